--- a/internal/claims/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -1,4 +1,4 @@
-package claims
+package reservation
 
 import (
 	"encoding/binary"
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"shalesail/internal/core"
-	"shalesail/internal/keeper"
-	"shalesail/internal/store"
+	"ryepaddle/internal/idempotency/persistence"
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/lifecycle"
 )
 
 func (g *Ledger) aliveName(life uint32) string { return fmt.Sprintf("%s.%08x.alive", g.base, life) }
@@ -34,7 +34,7 @@
 }
 
 // newLog begins a log with what is known, in place of the one that there is. The shared lock is held.
-func (g *Ledger) newLog(known func(func(core.Kept))) error {
+func (g *Ledger) newLog(known func(func(lifecycle.Kept))) error {
 	name := g.logName(g.cfg.Life, g.gen+1)
 	f, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -47,7 +47,7 @@
 				b, err = store.AppendFrame(b, r)
 			}
 		}
-		known(func(k core.Kept) { add(g.record(k)) })
+		known(func(k lifecycle.Kept) { add(g.record(k)) })
 		if g.serves {
 			add(&store.Record{Kind: store.Mark})
 		}
@@ -78,7 +78,7 @@
 
 // write appends a claim. Alone, a process without room goes on: its log is emptied, which takes none, so that one that comes knows that it
 // does not know, and it is written anew once there is room. All that was claimed is in the table.
-func (g *Ledger) write(k core.Kept) error {
+func (g *Ledger) write(k lifecycle.Kept) error {
 	var err error
 	if g.lost {
 		err = g.newLog(g.table.Known)
@@ -98,12 +98,12 @@
 }
 
 // record is what is written of a key. Results are for others: alone, nobody reads them.
-func (g *Ledger) record(k core.Kept) *store.Record {
+func (g *Ledger) record(k lifecycle.Kept) *store.Record {
 	kind := store.Begun
 	if k.Ended && g.living() > 0 {
 		kind = store.Ended
 	}
-	return keeper.Record(kind, k, g.loop.Unix())
+	return persistence.Record(kind, k, g.loop.Unix())
 }
 
 func (g *Ledger) append(r *store.Record) error {
@@ -168,6 +168,6 @@
 		p.ready = true
 	case store.Begun, store.Ended, store.Forgotten:
 		p.keys++
-		g.table.Heard(keeper.KeptOf(r), r.Kind == store.Forgotten)
+		g.table.Heard(persistence.KeptOf(r), r.Kind == store.Forgotten)
 	}
 }
--- a/internal/store/kinds.go
+++ b/internal/idempotency/store/kinds.go
@@ -1,13 +1,13 @@
 package store
 
-import "shalesail/internal/fault"
+import "ryepaddle/internal/fault"
 
 // What can go wrong here, and what an operator can do about it.
 var (
 	locked = fault.Define("store.locked", "Another process has the folder of the keys.",
 		"End that process, or name another folder for this one.")
 	damaged = fault.Define("store.damaged", "Files of the store are damaged in a way that no crash explains.",
-		"Look at them with ryepaddle store verify; with --repair the program keeps them aside and takes no new keys for a window.")
+		"Look at them with runner store verify; with --repair the program keeps them aside and takes no new keys for a window.")
 	newer = fault.Define("store.newer", "Files of the store were written by a newer program.",
 		"Start the newer program again, or give this one an empty folder once the window of the keys is over.")
 	down = fault.Define("store.down", "The disk of the keys failed and has not come back.",
--- a/internal/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/s2"
 
-	"shalesail/internal/fault"
+	"ryepaddle/internal/fault"
 )
 
 // Name is whose key it is. Classes and tenants go by their names: their places in a configuration change.
--- a/internal/store/recover.go
+++ b/internal/idempotency/store/recover.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 
-	"shalesail/internal/fault"
+	"ryepaddle/internal/fault"
 )
 
 // Damage is a part of a file that cannot be read, and that a crash does not explain.
--- a/internal/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -6,14 +6,14 @@
 	"sync"
 	"time"
 
-	"shalesail/internal/logs"
-	"shalesail/internal/wallclock"
+	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // What is told to operators.
 var (
-	evClosed   = logs.Define("store.close_failed", slog.LevelError, "error")
-	evSnapshot = logs.Define("store.snapshot_failed", slog.LevelError, "error")
+	evClosed   = logging.Define("store.close_failed", slog.LevelError, "error")
+	evSnapshot = logging.Define("store.snapshot_failed", slog.LevelError, "error")
 )
 
 // Settings are how a store is run beside the loop.
--- a/internal/store/weigh/weigh_test.go
+++ b/internal/idempotency/store/weigh/weigh_test.go
@@ -1,4 +1,4 @@
-// Package weigh holds the journal of internal/store against two libraries that keep keys and values on a disk, for the design
+// Package weigh holds the journal of internal/idempotency/store against two libraries that keep keys and values on a disk, for the design
 // note. It is a module of its own, so that the program does not depend on them: run it in this folder.
 package weigh
 
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -16,8 +16,8 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"shalesail/internal/fault"
-	"shalesail/internal/netaddr"
+	"ryepaddle/internal/fault"
+	"ryepaddle/internal/netaddr"
 )
 
 const (
--- a/internal/core/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -1,6 +1,6 @@
-package core
+package lifecycle
 
-import "shalesail"
+import "ryepaddle/internal/admission"
 
 // Began reports a result of which the first part is there. It answers the request, whose run goes on until its end is
 // reported; from now on it can neither fail nor be tried again. It reports whether anybody takes the rest.
@@ -59,7 +59,7 @@
 	if o != Stopped { // the module answers what is unanswered
 		c.answer(r, answer)
 	}
-	c.gate.report(shalesail.Event{Kind: shalesail.EventDone, Request: r.id, Outcome: done})
+	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: done})
 	c.settle()
 	c.drop(r)
 }
@@ -68,20 +68,20 @@
 func neverRan(o Outcome) bool { return o == NotRun || o == Unreachable || o == Unknown }
 
 // verdict is what the end of a run is to the module, and to its caller.
-func verdict(o Outcome, res *Result) (shalesail.Outcome, Answer) {
+func verdict(o Outcome, res *Result) (admission.Outcome, Answer) {
 	switch o {
 	case Fine:
-		return shalesail.OK, Answer{Kind: Served, Result: res}
+		return admission.OK, Answer{Kind: Served, Result: res}
 	case Stopped:
-		return shalesail.Cancelled, Answer{Kind: Failed}
+		return admission.Cancelled, Answer{Kind: Failed}
 	case NotRun, Unreachable:
-		return shalesail.Moot, Answer{Kind: Refused}
+		return admission.Moot, Answer{Kind: Refused}
 	case TimedOut:
-		return shalesail.Failed, Answer{Kind: Late}
+		return admission.Failed, Answer{Kind: Late}
 	case Unknown: // not a refusal: to try it elsewhere is in vain
-		return shalesail.Moot, Answer{Kind: Foreign}
+		return admission.Moot, Answer{Kind: Foreign}
 	}
-	return shalesail.Failed, Answer{Kind: Failed}
+	return admission.Failed, Answer{Kind: Failed}
 }
 
 // Needs reports that a run waits for a call with this body.
@@ -95,13 +95,13 @@
 	if r.answered { // the run is over as far as anybody cares; it ends by itself
 		return
 	}
-	c.gate.report(shalesail.Event{Kind: shalesail.EventBlocked, Request: r.id})
+	c.gate.report(admission.Event{Kind: admission.EventBlocked, Request: r.id})
 	c.settle()
 }
 
-var callOutcomes = map[Outcome]shalesail.Outcome{Fine: shalesail.OK, Fault: shalesail.Failed, Broken: shalesail.Broken,
-	TimedOut: shalesail.TimedOut, Stopped: shalesail.TimedOut, NotRun: shalesail.Moot, TurnedAway: shalesail.Full,
-	Unreachable: shalesail.Unreachable}
+var callOutcomes = map[Outcome]admission.Outcome{Fine: admission.OK, Fault: admission.Failed, Broken: admission.Broken,
+	TimedOut: admission.TimedOut, Stopped: admission.TimedOut, NotRun: admission.Moot, TurnedAway: admission.Full,
+	Unreachable: admission.Unreachable}
 
 // Called reports the end of a call that took so long.
 func (c *Core) Called(a *Attempt, o Outcome, reply []byte, took int64) {
@@ -116,7 +116,7 @@
 			runner.Resume(a, reply)
 		}
 	}
-	c.gate.report(shalesail.Event{Kind: shalesail.EventCalled, Request: r.id, Outcome: callOutcomes[o], Elapsed: span(took)})
+	c.gate.report(admission.Event{Kind: admission.EventCalled, Request: r.id, Outcome: callOutcomes[o], Elapsed: span(took)})
 	c.settle()
 }
 
@@ -127,10 +127,10 @@
 		c.yield(r)
 		return
 	}
-	if r.answered || r.running != nil || c.late(r) || class.Effect == shalesail.Keyed && !c.keys.mayRun(r) {
+	if r.answered || r.running != nil || c.late(r) || class.Effect == admission.Keyed && !c.keys.mayRun(r) {
 		c.host.Log(evNotRun, class.Name, r.Name)
 		c.answer(r, Answer{Kind: Failed})
-		c.gate.report(shalesail.Event{Kind: shalesail.EventDone, Request: r.id, Outcome: shalesail.Failed})
+		c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Failed})
 		return
 	}
 	if r.entry != nil {
@@ -158,7 +158,7 @@
 	if r.First > 0 {
 		aim = min(c.host.Now()-(c.host.Unix()-r.First)+class.Target.Microseconds(), r.due)
 	}
-	return &Attempt{Request: r.Request, Class: class.Name, Due: r.due, Aim: aim, Safe: class.Effect == shalesail.Safe, Before: before, id: r.id,
+	return &Attempt{Request: r.Request, Class: class.Name, Due: r.due, Aim: aim, Safe: class.Effect == admission.Safe, Before: before, id: r.id,
 		runner: c.host.Route(r.Class)}
 }
 
@@ -189,7 +189,7 @@
 
 func (c *Core) call(r *request, patience int64) {
 	if r.running == nil || r.wants == nil || c.host.Below == nil {
-		c.gate.report(shalesail.Event{Kind: shalesail.EventCalled, Request: r.id, Outcome: shalesail.Unreachable})
+		c.gate.report(admission.Event{Kind: admission.EventCalled, Request: r.id, Outcome: admission.Unreachable})
 		return
 	}
 	if patience <= 0 {
--- a/internal/core/callers.go
+++ b/internal/lifecycle/callers.go
@@ -1,4 +1,4 @@
-package core
+package lifecycle
 
 // callerTable knows the callers of whose requests one has lately run. Credit is shared among those that are heard: if
 // any number that a stranger makes up counted as a caller, a flood of them would leave the others none.
--- a/internal/core/claims.go
+++ b/internal/lifecycle/claims.go
@@ -1,9 +1,9 @@
-package core
+package lifecycle
 
 import (
 	"cmp"
 
-	"shalesail"
+	"ryepaddle/internal/admission"
 )
 
 // Claims settle between the processes of one runner which of them runs a key.
@@ -56,14 +56,14 @@
 	r.running, a.over = nil, true
 	c.forgetEntry(r.entry)
 	c.answer(r, Answer{Kind: Refused, ComeBack: back})
-	c.gate.report(shalesail.Event{Kind: shalesail.EventDone, Request: r.id, Outcome: shalesail.Moot})
+	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Moot})
 	c.settle()
 	c.drop(r)
 }
 
 // yield has a request that was to run here wait for the run of another process. To the module it is over.
 func (c *Core) yield(r *request) {
-	c.gate.report(shalesail.Event{Kind: shalesail.EventDone, Request: r.id, Outcome: shalesail.Moot})
+	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Moot})
 	if !r.answered {
 		c.await(r)
 	}
@@ -82,7 +82,7 @@
 	e.waiters = append(e.waiters, r)
 	c.host.After(max(r.due-lateBy-c.host.Now(), 0), func() {
 		if !r.answered {
-			r.trail.because(Cause(shalesail.CauseOverdue), 0, 0)
+			r.trail.because(Cause(admission.CauseOverdue), 0, 0)
 			c.answer(r, Answer{Kind: Late})
 			c.drop(r)
 		}
--- a/internal/core/core.go
+++ b/internal/lifecycle/core.go
@@ -3,24 +3,24 @@
 // back ends get attempts and calls and report outcomes; the decisions are the module's.
 //
 // All times are microseconds. The core runs on one goroutine.
-package core
+package lifecycle
 
 import (
 	"errors"
 	"log/slog"
 	"slices"
 
-	"shalesail"
-	"shalesail/internal/logs"
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/telemetry/logging"
 )
 
 // What is told to operators, through the host.
 var (
-	evRefused      = logs.Define("core.refused", slog.LevelWarn, "class", "cause", "requests")
-	evModule       = logs.Define("core.module", slog.LevelInfo, "text")
-	evNotRun       = logs.Define("core.not_run", slog.LevelWarn, "class", "request")
-	evRunUnkept    = logs.Define("core.run_not_kept", slog.LevelWarn, "class", "request", "error")
-	evResultUnkept = logs.Define("core.result_not_kept", slog.LevelWarn, "class", "request", "error")
+	evRefused      = logging.Define("core.refused", slog.LevelWarn, "class", "cause", "requests")
+	evModule       = logging.Define("core.module", slog.LevelInfo, "text")
+	evNotRun       = logging.Define("core.not_run", slog.LevelWarn, "class", "request")
+	evRunUnkept    = logging.Define("core.run_not_kept", slog.LevelWarn, "class", "request", "error")
+	evResultUnkept = logging.Define("core.result_not_kept", slog.LevelWarn, "class", "request", "error")
 )
 
 // Host is what the core needs from the program round it.
@@ -28,21 +28,21 @@
 	Now    func() int64 // monotonic, above 0
 	Unix   func() int64
 	After  func(d int64, fn func()) (stop func())
-	Gauges func(func(Gauges))                 // measures, and then calls back once
-	Health func(stored, good bool)            // how health checks are to be answered
-	Say    func(value float64)                // the free value that goes with every answer from now on
-	Trim   func(idle int64)                   // close connections that are idle for so long
-	Route  func(class int) Runner             // where requests of the class run
-	Again  func(Try) bool                     // whether one that came to nothing there is tried once more; nil: never
-	Back   func(class int) int64              // how long to stay away from a class that nobody took; nil: for the least time
-	Below  Dependency                         // nil where nothing is called
-	Log    func(e *logs.Event, values ...any) // nil: the log of the process
-	Limits Limits                             // of the table of keys
-	Keeper Keeper                             // nil: keys do not outlive the program
-	Claims Claims                             // nil: no other process serves as this runner
-	Life   uint64                             // with a Keeper or Claims: tells this life of the program from others; 32 bits count
-	Trails func(*Trail)                       // hears what became of each request, once it is answered; nil: nobody does
-	Seen   func(*Request)                     // hears of each request that is taken in; nil: nobody does
+	Gauges func(func(Gauges))                    // measures, and then calls back once
+	Health func(stored, good bool)               // how health checks are to be answered
+	Say    func(value float64)                   // the free value that goes with every answer from now on
+	Trim   func(idle int64)                      // close connections that are idle for so long
+	Route  func(class int) Runner                // where requests of the class run
+	Again  func(Try) bool                        // whether one that came to nothing there is tried once more; nil: never
+	Back   func(class int) int64                 // how long to stay away from a class that nobody took; nil: for the least time
+	Below  Dependency                            // nil where nothing is called
+	Log    func(e *logging.Event, values ...any) // nil: the log of the process
+	Limits Limits                                // of the table of keys
+	Keeper Keeper                                // nil: keys do not outlive the program
+	Claims Claims                                // nil: no other process serves as this runner
+	Life   uint64                                // with a Keeper or Claims: tells this life of the program from others; 32 bits count
+	Trails func(*Trail)                          // hears what became of each request, once it is answered; nil: nobody does
+	Seen   func(*Request)                        // hears of each request that is taken in; nil: nobody does
 }
 
 // Limits bound the table of keys. The zero value of a field stands for what is usual.
@@ -72,7 +72,7 @@
 // Core is the request table.
 type Core struct {
 	host     Host
-	set      shalesail.Settings
+	set      admission.Settings
 	gate     gate
 	requests map[uint64]*request
 	names    map[string]struct{} // of all in requests
@@ -93,14 +93,14 @@
 }
 
 // New makes the table round a fresh module.
-func New(set shalesail.Settings, seed uint64, host Host) (*Core, error) {
+func New(set admission.Settings, seed uint64, host Host) (*Core, error) {
 	set = usable(set)
-	module, err := shalesail.New(set, seed)
+	module, err := admission.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
 	if host.Log == nil {
-		host.Log = (*logs.Event).Log
+		host.Log = (*logging.Event).Log
 	}
 	c := &Core{host: host, set: set, requests: map[uint64]*request{}, names: map[string]struct{}{},
 		callers: callerTable{last: map[uint32]int64{}}, keys: newKeyTable(host.Limits), counts: make([]Stats, len(set.Classes)),
@@ -111,7 +111,7 @@
 
 // Start lets the module begin.
 func (c *Core) Start() {
-	c.gate.report(shalesail.Event{})
+	c.gate.report(admission.Event{})
 	c.settle()
 }
 
@@ -136,7 +136,7 @@
 	class := &c.set.Classes[q.Class]
 	arrival := c.arrivalOf(r, queued)
 	r.due = c.host.Now() - queued + class.Deadline.Microseconds()
-	keyed := class.Effect == shalesail.Keyed
+	keyed := class.Effect == admission.Keyed
 	if keyed {
 		if r.entry = c.keys.find(q); r.entry != nil {
 			if c.answersAtOnce(r) {
@@ -158,10 +158,10 @@
 }
 
 // arrivalOf is what the module hears of a request.
-func (c *Core) arrivalOf(r *request, queued int64) shalesail.Event {
-	return shalesail.Event{Kind: shalesail.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
+func (c *Core) arrivalOf(r *request, queued int64) admission.Event {
+	return admission.Event{Kind: admission.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Caller: c.callers.number(r.Caller), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Subject, Queued: span(queued),
-		Write: c.set.Classes[r.Class].Effect != shalesail.Safe}
+		Write: c.set.Classes[r.Class].Effect != admission.Safe}
 }
 
 // answersAtOnce answers a request that repeats another, where nothing has to be waited for: it carries another body, or the other ran in an
@@ -286,7 +286,7 @@
 		c.drop(r)
 		return
 	}
-	c.gate.report(shalesail.Event{Kind: shalesail.EventGone, Request: r.id})
+	c.gate.report(admission.Event{Kind: admission.EventGone, Request: r.id})
 	c.settle()
 	c.drop(r)
 }
@@ -306,7 +306,7 @@
 			c.boundReplication(r)
 		}
 	}
-	c.gate.report(shalesail.Event{Kind: shalesail.EventDrain, Due: span(c.stopAt)})
+	c.gate.report(admission.Event{Kind: admission.EventDrain, Due: span(c.stopAt)})
 	c.settle()
 }
 
--- a/internal/core/counts.go
+++ b/internal/lifecycle/counts.go
@@ -1,4 +1,4 @@
-package core
+package lifecycle
 
 import "log/slog"
 
--- a/internal/core/gate.go
+++ b/internal/lifecycle/gate.go
@@ -1,9 +1,9 @@
-package core
+package lifecycle
 
 import (
 	"time"
 
-	"shalesail"
+	"ryepaddle/internal/admission"
 )
 
 // verb is what a decision asks for.
@@ -25,12 +25,12 @@
 	doLog
 )
 
-var verbs = map[shalesail.ActionKind]verb{
-	shalesail.ActionStart: doStart, shalesail.ActionRefuse: doRefuse, shalesail.ActionFail: doFail,
-	shalesail.ActionCall: doCall, shalesail.ActionKeep: doKeep,
-	shalesail.ActionForget: doForget, shalesail.ActionReuse: doReuse, shalesail.ActionHealth: doHealth,
-	shalesail.ActionAdvertise: doAdvertise, shalesail.ActionTrim: doTrim, shalesail.ActionTimer: doTick,
-	shalesail.ActionLog: doLog,
+var verbs = map[admission.ActionKind]verb{
+	admission.ActionStart: doStart, admission.ActionRefuse: doRefuse, admission.ActionFail: doFail,
+	admission.ActionCall: doCall, admission.ActionKeep: doKeep,
+	admission.ActionForget: doForget, admission.ActionReuse: doReuse, admission.ActionHealth: doHealth,
+	admission.ActionAdvertise: doAdvertise, admission.ActionTrim: doTrim, admission.ActionTimer: doTick,
+	admission.ActionLog: doLog,
 }
 
 // decision is one thing that the module wants done.
@@ -42,27 +42,27 @@
 	stored, good bool
 	value        float64
 	text         string
-	cause        shalesail.Cause
+	cause        admission.Cause
 	limit        float64
 }
 
 // gate stands before the module: it is told what happened and hands out what to do, one decision at a time.
 type gate struct {
-	module *shalesail.Controller
+	module *admission.Controller
 	now    func() int64
-	events []shalesail.Event
-	ready  []shalesail.Action
+	events []admission.Event
+	ready  []admission.Action
 	next   int
 }
 
 func span(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
 // report tells the module one thing that happened. The module hears it at the next pick.
-func (g *gate) report(e shalesail.Event) { g.events = append(g.events, e) }
+func (g *gate) report(e admission.Event) { g.events = append(g.events, e) }
 
 // tick tells the module that the time it asked for has come.
 func (g *gate) tick(v Gauges) {
-	g.report(shalesail.Event{Kind: shalesail.EventTimer, Gauges: shalesail.Gauges(v)})
+	g.report(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges(v)})
 }
 
 // pick is the next thing to do; there is none when all that happened has been dealt with.
--- a/internal/core/keeper.go
+++ b/internal/lifecycle/keeper.go
@@ -1,9 +1,9 @@
-package core
+package lifecycle
 
 import (
 	"errors"
 
-	"shalesail"
+	"ryepaddle/internal/admission"
 )
 
 // Kept is what is remembered of a key where a crash does not reach it. Classes and tenants go by their names.
@@ -180,7 +180,7 @@
 // answer waits, but not for a disk that does not answer, and not beyond its due time.
 func (c *Core) hold(r *request, o Outcome, res *Result) {
 	done, answer := verdict(o, res)
-	c.gate.report(shalesail.Event{Kind: shalesail.EventDone, Request: r.id, Outcome: done})
+	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: done})
 	r.held = true
 	if o != Fine {
 		r.trail.because(causeOf(o), 0, 0)
--- a/internal/core/keys.go
+++ b/internal/lifecycle/keys.go
@@ -1,10 +1,10 @@
-package core
+package lifecycle
 
 import (
 	"cmp"
 	"crypto/sha256"
 
-	"shalesail"
+	"ryepaddle/internal/admission"
 )
 
 // keyName tells the tries of one request from those of others, whichever front they came through.
@@ -191,7 +191,7 @@
 		w.waits = false
 		w.trail.because(CauseForgotten, 0, 0)
 		c.answer(w, Answer{Kind: Refused})
-		c.reuseOver(w, shalesail.Failed)
+		c.reuseOver(w, admission.Failed)
 	}
 }
 
@@ -201,7 +201,7 @@
 	case e == nil || c.keys.byName[e.name] != e && !e.ended:
 		r.trail.because(CauseForgotten, 0, 0)
 		c.answer(r, Answer{Kind: Refused}) // what it repeats was dropped without having run
-		c.reuseOver(r, shalesail.Failed)
+		c.reuseOver(r, admission.Failed)
 	case e.ended:
 		c.finishReuse(r, e)
 	default:
@@ -216,14 +216,14 @@
 	r.trail.because(CauseRepeat, 0, 0)
 	if e.result != nil {
 		c.answer(r, Answer{Kind: Served, Result: e.result})
-		c.reuseOver(r, shalesail.OK)
+		c.reuseOver(r, admission.OK)
 		return
 	}
 	c.answer(r, Answer{Kind: e.failed})
-	c.reuseOver(r, shalesail.Failed)
+	c.reuseOver(r, admission.Failed)
 }
 
-func (c *Core) reuseOver(r *request, o shalesail.Outcome) {
-	c.gate.report(shalesail.Event{Kind: shalesail.EventDone, Request: r.id, Outcome: o})
+func (c *Core) reuseOver(r *request, o admission.Outcome) {
+	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: o})
 	c.drop(r)
 }
--- a/internal/core/settings.go
+++ b/internal/lifecycle/settings.go
@@ -1,9 +1,9 @@
-package core
+package lifecycle
 
 import (
 	"slices"
 
-	"shalesail"
+	"ryepaddle/internal/admission"
 )
 
 // droppedFor is for how long after a change of the settings requests of a class that they have not any more are taken: callers hear
@@ -12,7 +12,7 @@
 
 // Configure takes settings that were changed while the program runs, and gives them as they are in force, with the places of classes
 // that they have dropped.
-func (c *Core) Configure(set shalesail.Settings) (shalesail.Settings, error) {
+func (c *Core) Configure(set admission.Settings) (admission.Settings, error) {
 	set, err := usable(set).After(c.set)
 	if err != nil {
 		return set, err
@@ -50,7 +50,7 @@
 
 // Dropped tells whether there was a class by that name.
 func (c *Core) Dropped(name string) bool {
-	return slices.ContainsFunc(c.set.Classes, func(class shalesail.Class) bool { return class.Name == name && class.Dropped })
+	return slices.ContainsFunc(c.set.Classes, func(class admission.Class) bool { return class.Name == name && class.Dropped })
 }
 
 // NoTenant is the place of requests of nobody: where there are no tenants, all are.
@@ -70,13 +70,13 @@
 }
 
 // Keyed tells whether requests of the class carry a key.
-func (c *Core) Keyed(class int) bool { return c.set.Classes[class].Effect == shalesail.Keyed }
+func (c *Core) Keyed(class int) bool { return c.set.Classes[class].Effect == admission.Keyed }
 
 // usable is what the module is told of the settings: no more than this program can carry out. What they allow beyond that is no reason
 // not to serve. The engine's protocol has no word for stopping a run nor for going on without a call, and an answer is served with what
 // a run made for that request, so that reads do not share results.
-func usable(set shalesail.Settings) shalesail.Settings {
-	set.Halt, set.FreshFor = shalesail.HaltNone, 0
+func usable(set admission.Settings) admission.Settings {
+	set.Halt, set.FreshFor = admission.HaltNone, 0
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
 		set.Classes[i].OmitWorth = 0
--- a/internal/core/trail.go
+++ b/internal/lifecycle/trail.go
@@ -1,6 +1,6 @@
-package core
+package lifecycle
 
-import "shalesail"
+import "ryepaddle/internal/admission"
 
 // Cause is why a request was answered as it was. Those of the module are followed by those of the table of requests.
 type Cause uint8
@@ -29,11 +29,11 @@
 )
 
 var causeNames = map[Cause]string{
-	CauseNone: "none", Cause(shalesail.CauseDrain): "drain", Cause(shalesail.CauseMemory): "no memory to hold it",
-	Cause(shalesail.CauseNoTime): "too little time left", Cause(shalesail.CauseCall): "no room for its call",
-	Cause(shalesail.CauseDelay): "queueing delay", Cause(shalesail.CauseHopeless): "held until its aim was out of reach",
-	Cause(shalesail.CauseShare): "beyond its tenant's share", Cause(shalesail.CauseKeys): "no memory for its key",
-	Cause(shalesail.CauseOverdue): "due time came", Cause(shalesail.CauseCallFailed): "its call failed", Cause(shalesail.CauseStopped): "its run was stopped",
+	CauseNone: "none", Cause(admission.CauseDrain): "drain", Cause(admission.CauseMemory): "no memory to hold it",
+	Cause(admission.CauseNoTime): "too little time left", Cause(admission.CauseCall): "no room for its call",
+	Cause(admission.CauseDelay): "queueing delay", Cause(admission.CauseHopeless): "held until its aim was out of reach",
+	Cause(admission.CauseShare): "beyond its tenant's share", Cause(admission.CauseKeys): "no memory for its key",
+	Cause(admission.CauseOverdue): "due time came", Cause(admission.CauseCallFailed): "its call failed", Cause(admission.CauseStopped): "its run was stopped",
 	CauseKeyTable: "table of keys full", CauseDisk: "key cannot be kept", CauseNameOpen: "its name is open", CauseKeyTaken: "its key stands for another body",
 	CauseInDoubt: "in doubt after a restart", CauseRepeat: "repeats another try", CauseForgotten: "what it repeats never ran",
 	CauseNobody: "no server took it", CauseServerFault: "its server failed it", CauseBroken: "its run was cut off", CauseRunOverdue: "its run took too long",
--- a/internal/core/types.go
+++ b/internal/lifecycle/types.go
@@ -1,9 +1,9 @@
-package core
+package lifecycle
 
 import (
 	"math"
 
-	"shalesail"
+	"ryepaddle/internal/admission"
 )
 
 // Kind is how a request was answered.
@@ -184,7 +184,7 @@
 }
 
 // Gauges are measurements of the machine; NaN stands for one that is not had.
-type Gauges shalesail.Gauges
+type Gauges admission.Gauges
 
 // NoGauges tells the module to go by its own counts.
 func NoGauges() Gauges {
--- a/internal/peers/consensus/disk.go
+++ b/internal/peers/consensus/disk.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"shalesail/internal/peers/placement"
+	"ryepaddle/internal/peers/placement"
 )
 
 // restore takes a record of the disk.
--- a/internal/peers/consensus/kinds.go
+++ b/internal/peers/consensus/kinds.go
@@ -1,11 +1,11 @@
 package consensus
 
-import "shalesail/internal/fault"
+import "ryepaddle/internal/fault"
 
 // What can go wrong here, and what an operator can do about it.
 var (
 	stranger = fault.Define("peers.stranger", "No member of the runners that keep copies has the name.",
-		"Look at the names with ryepaddle peers; a new runner is added to all files and started first.")
+		"Look at the names with runner peers; a new runner is added to all files and started first.")
 	older = fault.Define("peers.older", "A voter is of an older version, which does not know what was asked for.",
 		"Bring the voters up to one version, one after the other, and ask again.")
 	nobody = fault.Define("peers.nobody", "Too few other runners are left to hold the copies of one that leaves.",
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/tracker"
 
-	"shalesail/internal/peers/placement"
+	"ryepaddle/internal/peers/placement"
 )
 
 // lead begins to lead, or ends it, and says who is lost.
--- a/internal/peers/consensus/members.go
+++ b/internal/peers/consensus/members.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"shalesail/internal/peers/placement"
+	"ryepaddle/internal/peers/placement"
 )
 
 // here hears of a runner.
--- a/internal/peers/consensus/message.go
+++ b/internal/peers/consensus/message.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "shalesail/internal/peers/placement"
+import "ryepaddle/internal/peers/placement"
 
 // Kind is what a message is for.
 type Kind uint8
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"shalesail/internal/peers/lease"
-	"shalesail/internal/peers/placement"
+	"ryepaddle/internal/peers/lease"
+	"ryepaddle/internal/peers/placement"
 )
 
 // Times are microseconds.
--- a/internal/peers/lease/lease.go
+++ b/internal/peers/lease/lease.go
@@ -10,7 +10,7 @@
 	"maps"
 	"slices"
 
-	"shalesail/internal/peers/placement"
+	"ryepaddle/internal/peers/placement"
 )
 
 // Times of a lease. A holder believes for Lease from the instant before it asked, less Margin: clocks go apart by less than one part in a
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -11,20 +11,20 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"shalesail/internal/logs"
-	"shalesail/internal/loop"
-	"shalesail/internal/peers/accounts"
-	"shalesail/internal/peers/consensus"
-	"shalesail/internal/peers/grid"
-	"shalesail/internal/peers/lease"
-	"shalesail/internal/peers/replication"
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/grid"
+	"ryepaddle/internal/peers/lease"
+	"ryepaddle/internal/peers/replication"
+	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/telemetry/logging"
 )
 
 // What is told to operators.
 var (
-	evUp     = logs.Define("peers.link_up", slog.LevelInfo, "peer")
-	evDown   = logs.Define("peers.link_down", slog.LevelWarn, "peer", "error")
-	evTurned = logs.Define("peers.turned_away", slog.LevelWarn, "from", "name", "reason")
+	evUp     = logging.Define("peers.link_up", slog.LevelInfo, "peer")
+	evDown   = logging.Define("peers.link_down", slog.LevelWarn, "peer", "error")
+	evTurned = logging.Define("peers.turned_away", slog.LevelWarn, "from", "name", "reason")
 )
 
 const (
@@ -58,13 +58,13 @@
 
 // Frame is one message; one of its parts is there.
 type Frame struct {
-	Hello       *Hello               `cbor:"1,keyasint,omitempty"`
-	Replication *replication.Message `cbor:"2,keyasint,omitempty"`
-	Consensus   *consensus.Message   `cbor:"3,keyasint,omitempty"`
-	Account     *accounts.Message    `cbor:"4,keyasint,omitempty"`
-	Health      *lease.HealthReport  `cbor:"7,keyasint,omitempty"`
-	To          string               `cbor:"5,keyasint,omitempty"` // of one that a relay is to pass on: whose it is,
-	From        string               `cbor:"6,keyasint,omitempty"` // and who says it
+	Hello       *Hello                `cbor:"1,keyasint,omitempty"`
+	Replication *replication.Message  `cbor:"2,keyasint,omitempty"`
+	Consensus   *consensus.Message    `cbor:"3,keyasint,omitempty"`
+	Account     *usagereplica.Message `cbor:"4,keyasint,omitempty"`
+	Health      *lease.HealthReport   `cbor:"7,keyasint,omitempty"`
+	To          string                `cbor:"5,keyasint,omitempty"` // of one that a relay is to pass on: whose it is,
+	From        string                `cbor:"6,keyasint,omitempty"` // and who says it
 }
 
 // Append appends a frame.
@@ -130,9 +130,9 @@
 
 // Net is all links of this runner.
 type Net struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	cfg    Config
-	ln     *loop.Listener
+	ln     *eventloop.Listener
 	peers  map[string]*out
 	ins    map[*in]bool
 	grid   *grid.Grid
@@ -144,7 +144,7 @@
 }
 
 // Open listens, and tells what comes of peers that the file names.
-func Open(l *loop.Loop, cfg Config, heard func(from string, f *Frame)) (*Net, error) {
+func Open(l *eventloop.Loop, cfg Config, heard func(from string, f *Frame)) (*Net, error) {
 	n := &Net{loop: l, cfg: cfg, peers: map[string]*out{}, ins: map[*in]bool{}, heard: heard}
 	for _, p := range cfg.Peers {
 		n.peers[p.Name] = &out{net: n, peer: p}
@@ -153,7 +153,7 @@
 	l.Every(idleFor/2, n.sweep)
 	var err error
 	// Each peer has one connection; another one may come before the end of the last is seen.
-	n.ln, err = l.Listen(cfg.Listen, 2*len(cfg.Peers)+4, loop.Limits{In: head + maxFrame, Out: 64}, n.accept, nil)
+	n.ln, err = l.Listen(cfg.Listen, 2*len(cfg.Peers)+4, eventloop.Limits{In: head + maxFrame, Out: 64}, n.accept, nil)
 	return n, err
 }
 
@@ -299,7 +299,7 @@
 type out struct {
 	net  *Net
 	peer Peer
-	conn *loop.Conn // nil: there is none
+	conn *eventloop.Conn // nil: there is none
 	up   bool
 	next int64
 	used int64
@@ -325,7 +325,7 @@
 // dial opens the connection. One that does not stand in time is given up, and the next message opens another: a machine that is back may hear the
 // system's next try much later.
 func (p *out) dial() {
-	conn := p.net.loop.Dial(p.peer.Addr, loop.Limits{In: 64, Out: mostQueue + head + maxFrame}, p)
+	conn := p.net.loop.Dial(p.peer.Addr, eventloop.Limits{In: 64, Out: mostQueue + head + maxFrame}, p)
 	p.conn = conn
 	p.net.loop.After(connectIn, func() {
 		if p.conn == conn && !p.up {
@@ -369,11 +369,11 @@
 // in is a connection of a peer.
 type in struct {
 	net  *Net
-	conn *loop.Conn
+	conn *eventloop.Conn
 	name string // empty: it has not said who it is
 }
 
-func (n *Net) accept(c *loop.Conn) loop.Handler {
+func (n *Net) accept(c *eventloop.Conn) eventloop.Handler {
 	i := &in{net: n, conn: c}
 	n.ins[i] = true
 	n.loop.After(helloIn, func() {
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -4,19 +4,19 @@
 	"log/slog"
 	"time"
 
-	"shalesail/internal/logs"
-	"shalesail/internal/peers/consensus"
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/peers/replication"
-	"shalesail/internal/peers/wal"
-	"shalesail/internal/store"
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/replication"
+	"ryepaddle/internal/peers/wal"
+	"ryepaddle/internal/telemetry/logging"
 )
 
 // What is told to operators.
 var (
-	evOpened     = logs.Define("peers.disk_opened", slog.LevelInfo, "folder", "records", "slots", "cut", "damaged")
-	evDiskFailed = logs.Define("peers.disk_failed", slog.LevelError, "error")
-	evDiskBack   = logs.Define("peers.disk_back", slog.LevelInfo, "ms")
+	evOpened     = logging.Define("peers.disk_opened", slog.LevelInfo, "folder", "records", "slots", "cut", "damaged")
+	evDiskFailed = logging.Define("peers.disk_failed", slog.LevelError, "error")
+	evDiskBack   = logging.Define("peers.disk_back", slog.LevelInfo, "ms")
 )
 
 const (
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -7,17 +7,17 @@
 
 	"golang.org/x/sys/unix"
 
-	"shalesail/internal/logs"
-	"shalesail/internal/peers/lease"
-	"shalesail/internal/peers/link"
+	"ryepaddle/internal/peers/lease"
+	"ryepaddle/internal/peers/link"
+	"ryepaddle/internal/telemetry/logging"
 )
 
 // What is told to operators.
 var (
-	evBegan  = logs.Define("peers.duty_began", slog.LevelInfo, "duty", "token")
-	evEnded  = logs.Define("peers.duty_ended", slog.LevelInfo, "duty", "token")
-	evPaused = logs.Define("peers.duty_paused", slog.LevelWarn, "duty", "token")
-	evOld    = logs.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
+	evBegan  = logging.Define("peers.duty_began", slog.LevelInfo, "duty", "token")
+	evEnded  = logging.Define("peers.duty_ended", slog.LevelInfo, "duty", "token")
+	evPaused = logging.Define("peers.duty_paused", slog.LevelWarn, "duty", "token")
+	evOld    = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
 )
 
 // Boot is the clock that duties go by, in microseconds: it counts the time for which the machine was suspended, too.
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -6,25 +6,25 @@
 	"errors"
 	"log/slog"
 
-	"shalesail/internal/core"
-	"shalesail/internal/keeper"
-	"shalesail/internal/logs"
-	"shalesail/internal/loop"
-	"shalesail/internal/peers/accounts"
-	"shalesail/internal/peers/consensus"
-	"shalesail/internal/peers/lease"
-	"shalesail/internal/peers/link"
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/peers/replication"
-	"shalesail/internal/peers/wal"
-	"shalesail/internal/store"
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/idempotency/persistence"
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/lease"
+	"ryepaddle/internal/peers/link"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/replication"
+	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/peers/wal"
+	"ryepaddle/internal/telemetry/logging"
 )
 
 // What is told to operators.
 var (
-	evTable = logs.Define("peers.table", slog.LevelInfo, "version", "members", "whole", "slots", "leads")
-	evLost  = logs.Define("peers.held_for_lost", slog.LevelWarn, "version")
-	evBad   = logs.Define("peers.council_failed", slog.LevelError, "error")
+	evTable = logging.Define("peers.table", slog.LevelInfo, "version", "members", "whole", "slots", "leads")
+	evLost  = logging.Define("peers.held_for_lost", slog.LevelWarn, "version")
+	evBad   = logging.Define("peers.council_failed", slog.LevelError, "error")
 )
 
 // Times are microseconds.
@@ -56,23 +56,23 @@
 
 // Accounts is what knows the accounts of runners. Its methods are called on the loop, and do not wait.
 type Accounts interface {
-	Hear(m *accounts.Message)
+	Hear(m *usagereplica.Message)
 	Table(t *placement.Table, life uint64)
 	// Promise counts the use of a run that ended, and calls done on the loop once others know of it.
-	Promise(k core.Kept, done func(error))
+	Promise(k lifecycle.Kept, done func(error))
 }
 
 // Table is what it needs of the core.
 type Table interface {
-	Heard(k core.Kept, forgotten bool)
+	Heard(k lifecycle.Kept, forgotten bool)
 }
 
 // Node is the part. Its methods are called on the loop.
 type Node struct {
 	cfg       Config
-	loop      *loop.Loop
+	loop      *eventloop.Loop
 	core      Table
-	disk      core.Keeper // nil: there is none
+	disk      lifecycle.Keeper // nil: there is none
 	net       *link.Net
 	holder    *replication.Replica
 	consensus *consensus.Participant
@@ -87,7 +87,7 @@
 }
 
 // Start listens for peers. Heard keys go to the core that Run names.
-func Start(l *loop.Loop, cfg Config) (*Node, error) {
+func Start(l *eventloop.Loop, cfg Config) (*Node, error) {
 	p := &Node{cfg: cfg, loop: l}
 	var log []consensus.Kept
 	var saved []replication.Saved
@@ -210,7 +210,7 @@
 }
 
 // Tell sends words about accounts.
-func (p *Node) Tell(out []accounts.Message) {
+func (p *Node) Tell(out []usagereplica.Message) {
 	for i := range out {
 		p.net.Send(out[i].To, &link.Frame{Account: &out[i]})
 	}
@@ -346,19 +346,19 @@
 	return s
 }
 
-func (p *Node) put(kind store.Kind, k core.Kept, done func(replication.Answer)) {
+func (p *Node) put(kind store.Kind, k lifecycle.Kept, done func(replication.Answer)) {
 	now := p.loop.Unix()
 	left, within := k.Until-now, p.cfg.Patience
 	if kind == store.Ended { // whoever waits for it knows for how long
 		within = max(within, left)
 	}
 	// The core is told in a turn of its own: it may ask for more at once.
-	p.holder.Put(keeper.Record(kind, k, now), left, within, p.loop.Now(), func(a replication.Answer) { p.loop.Post(func() { done(a) }) })
+	p.holder.Put(persistence.Record(kind, k, now), left, within, p.loop.Now(), func(a replication.Answer) { p.loop.Post(func() { done(a) }) })
 	p.loop.Post(p.flush)
 }
 
 // Claim implements core.Claims: the run begins once its beginning is kept on others, unless the key is another's.
-func (p *Node) Claim(k core.Kept, _ int64, free func() bool, done func(mine bool, err error)) {
+func (p *Node) Claim(k lifecycle.Kept, _ int64, free func() bool, done func(mine bool, err error)) {
 	first := true
 	p.put(store.Begun, k, func(a replication.Answer) {
 		again := !first
@@ -381,26 +381,26 @@
 	if a.Err == nil {
 		return nil
 	}
-	return &core.CopiesError{Back: a.Back, Err: a.Err}
+	return &lifecycle.CopiesError{Back: a.Back, Err: a.Err}
 }
 
 // hear tells the core of another's run.
 func (p *Node) hear(a replication.Answer) {
 	r := *a.Record
 	if r.Until = p.loop.Unix() + a.Left; a.Doubt { // the process that runs it is gone: it may have run
-		r.Kind, r.How = store.Ended, uint8(core.Failed)
+		r.Kind, r.How = store.Ended, uint8(lifecycle.Failed)
 	}
-	p.core.Heard(keeper.KeptOf(&r), r.Kind == store.Forgotten)
+	p.core.Heard(persistence.KeptOf(&r), r.Kind == store.Forgotten)
 }
 
 // Ended implements core.Claims. An end is kept by the Keeper, before it is answered.
-func (p *Node) Ended(core.Kept) {}
+func (p *Node) Ended(lifecycle.Kept) {}
 
 // Forgot implements core.Claims.
-func (p *Node) Forgot(k core.Kept) { p.put(store.Forgotten, k, func(replication.Answer) {}) }
+func (p *Node) Forgot(k lifecycle.Kept) { p.put(store.Forgotten, k, func(replication.Answer) {}) }
 
 // Before is a keeper that keeps on peers what the disk keeps too; nil: there is no disk.
-func (p *Node) Before(disk core.Keeper) core.Keeper {
+func (p *Node) Before(disk lifecycle.Keeper) lifecycle.Keeper {
 	p.disk = disk
 	return kept{p}
 }
@@ -426,7 +426,7 @@
 func (k kept) Patience() int64 { return k.p.cfg.Patience }
 
 // Begun implements core.Keeper: peers have it by the claim.
-func (k kept) Begun(c core.Kept, done func(error)) {
+func (k kept) Begun(c lifecycle.Kept, done func(error)) {
 	if k.p.disk == nil {
 		k.p.loop.Post(func() { done(nil) })
 		return
@@ -436,7 +436,7 @@
 
 // Ended implements core.Keeper: it is kept once peers and disk have it, and others know of its use. A disk that hangs is not waited for longer
 // than its patience, as peers have it.
-func (k kept) Ended(c core.Kept, done func(error)) {
+func (k kept) Ended(c lifecycle.Kept, done func(error)) {
 	var errs error
 	rest := 1
 	one := func(err error) {
@@ -458,7 +458,7 @@
 
 // within passes the first word of the disk on, or that it has not come in time.
 func (p *Node) within(patience int64, done func(error)) func(error) {
-	var late *loop.Timer
+	var late *eventloop.Timer
 	heard := false
 	once := func(err error) {
 		if heard {
@@ -473,7 +473,7 @@
 }
 
 // Forgot implements core.Keeper: peers hear it by the claim.
-func (k kept) Forgot(c core.Kept) {
+func (k kept) Forgot(c lifecycle.Kept) {
 	if k.p.disk != nil {
 		k.p.disk.Forgot(c)
 	}
--- a/internal/peers/replication/ask.go
+++ b/internal/peers/replication/ask.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"shalesail/internal/store"
+	"ryepaddle/internal/idempotency/store"
 )
 
 // Put asks that a record is taken: that a run is about to begin, that it ended, or that it never began. Left is what is left of its window.
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -3,7 +3,7 @@
 // are microseconds of a monotonic clock, and what is told of a window is the time that is left of it.
 package replication
 
-import "shalesail/internal/store"
+import "ryepaddle/internal/idempotency/store"
 
 // Kind is what a message is for.
 type Kind uint8
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/store"
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/placement"
 )
 
 // Times are microseconds.
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/store"
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/placement"
 )
 
 // item is what is held of one key.
--- a/internal/peers/accounts/accounts.go
+++ b/internal/peers/usagereplica/accounts.go
@@ -2,28 +2,28 @@
 // play them on an account of their own: the same steps make the same statements. Where it is lost, each heir ends the account as far as it
 // knows it, and a bill takes the statement that knew most. It is free of I/O: messages, steps and tables come in, messages and statements
 // go out. Times are microseconds of a monotonic clock, but for those within steps, which are those of the account.
-package accounts
+package usagereplica
 
 import (
 	"cmp"
 	"hash/fnv"
 	"slices"
 
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/usage"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/usage/ledger"
 )
 
 // Step is one thing that happens to an account; one of its parts is there.
 type Step struct {
-	Use  *usage.Use        `cbor:"1,keyasint,omitempty"`
-	Fix  *usage.Correction `cbor:"2,keyasint,omitempty"`
-	Lost uint64            `cbor:"3,keyasint,omitempty"` // uses that were never counted
-	Seal string            `cbor:"4,keyasint,omitempty"` // the digest of the statement that settles what has ended
-	At   int64             `cbor:"5,keyasint,omitempty"` // Unix time of a correction or a settlement
+	Use  *ledger.Use        `cbor:"1,keyasint,omitempty"`
+	Fix  *ledger.Correction `cbor:"2,keyasint,omitempty"`
+	Lost uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
+	Seal string             `cbor:"4,keyasint,omitempty"` // the digest of the statement that settles what has ended
+	At   int64              `cbor:"5,keyasint,omitempty"` // Unix time of a correction or a settlement
 }
 
 // play takes the step. It reports the statement of a settlement, and whether the account comes to the same.
-func (s *Step) play(l *usage.Ledger) (told *usage.Statement, same bool) {
+func (s *Step) play(l *ledger.Ledger) (told *ledger.Statement, same bool) {
 	switch {
 	case s.Use != nil:
 		l.Add(*s.Use)
@@ -58,20 +58,20 @@
 
 // Message goes between a runner and one of its heirs.
 type Message struct {
-	Kind    Kind           `cbor:"1,keyasint"`
-	From    string         `cbor:"2,keyasint"`
-	To      string         `cbor:"3,keyasint"`
-	Account string         `cbor:"4,keyasint"`           // its name; that of the runner is From, or To of a word of an heir
-	Process uint32         `cbor:"5,keyasint,omitempty"` // of the runner
-	Life    uint64         `cbor:"6,keyasint,omitempty"` // Held and Had: of the heir's membership, in which it knows what it says
-	Seq     uint64         `cbor:"7,keyasint,omitempty"` // Tell: the number before the first; State: up to which it goes; Held: up to which all is known
-	Steps   []Step         `cbor:"8,keyasint,omitempty"`
-	Part    int            `cbor:"9,keyasint,omitempty"` // State: which piece; Held: how many are here
-	Parts   int            `cbor:"10,keyasint,omitempty"`
-	Bytes   []byte         `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
-	Set     usage.Settings `cbor:"12,keyasint,omitzero"`
-	Name    string         `cbor:"13,keyasint,omitempty"` // of the statement
-	No      uint64         `cbor:"14,keyasint,omitempty"` // which giving of the account it goes by: a word about an earlier one counts for nothing
+	Kind    Kind            `cbor:"1,keyasint"`
+	From    string          `cbor:"2,keyasint"`
+	To      string          `cbor:"3,keyasint"`
+	Account string          `cbor:"4,keyasint"`           // its name; that of the runner is From, or To of a word of an heir
+	Process uint32          `cbor:"5,keyasint,omitempty"` // of the runner
+	Life    uint64          `cbor:"6,keyasint,omitempty"` // Held and Had: of the heir's membership, in which it knows what it says
+	Seq     uint64          `cbor:"7,keyasint,omitempty"` // Tell: the number before the first; State: up to which it goes; Held: up to which all is known
+	Steps   []Step          `cbor:"8,keyasint,omitempty"`
+	Part    int             `cbor:"9,keyasint,omitempty"` // State: which piece; Held: how many are here
+	Parts   int             `cbor:"10,keyasint,omitempty"`
+	Bytes   []byte          `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
+	Set     ledger.Settings `cbor:"12,keyasint,omitzero"`
+	Name    string          `cbor:"13,keyasint,omitempty"` // of the statement
+	No      uint64          `cbor:"14,keyasint,omitempty"` // which giving of the account it goes by: a word about an earlier one counts for nothing
 }
 
 // Bounds.
--- a/internal/peers/accounts/estate.go
+++ b/internal/peers/usagereplica/estate.go
@@ -1,12 +1,12 @@
-package accounts
+package usagereplica
 
 import (
 	"errors"
 	"maps"
 	"slices"
 
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/usage"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/usage/ledger"
 )
 
 // ErrDiffers is that of an account that came to something else than its runner's did. It is asked for anew.
@@ -16,7 +16,7 @@
 type estate struct {
 	owner   string
 	process uint32
-	led     *usage.Ledger // nil: it is still on its way
+	led     *ledger.Ledger // nil: it is still on its way
 	seq     uint64
 	parts   [][]byte
 	partsOf uint64 // which giving of it they are of
@@ -28,7 +28,7 @@
 type Paper struct {
 	Of      string
 	Process uint32
-	*usage.Statement
+	*ledger.Statement
 }
 
 // Heir knows accounts of others.
@@ -73,7 +73,7 @@
 	case Tell:
 		h.steps(m)
 	case Past:
-		s, err := usage.ParseStatement(m.Name, m.Bytes)
+		s, err := ledger.ParseStatement(m.Name, m.Bytes)
 		if err == nil && s.Name() != m.Name {
 			err = errors.New("accounts: " + m.Name + " is " + s.Name())
 		}
@@ -149,7 +149,7 @@
 		h.held(m, m.Seq, len(e.parts), m.Parts)
 		return
 	}
-	led, _, err := usage.Recall(m.Set, slices.Concat(e.parts...))
+	led, _, err := ledger.Recall(m.Set, slices.Concat(e.parts...))
 	e.parts = nil
 	if err == nil && (led.Life() != m.Account || m.Set.Instance != m.From) {
 		err = errors.New("accounts: an account of " + m.Set.Instance + " from " + m.From)
--- a/internal/peers/accounts/shelf.go
+++ b/internal/peers/usagereplica/shelf.go
@@ -1,10 +1,10 @@
-package accounts
+package usagereplica
 
 import (
 	"maps"
 	"slices"
 
-	"shalesail/internal/peers/placement"
+	"ryepaddle/internal/peers/placement"
 )
 
 // Duty is that of passing on the statements of lost runners.
--- a/internal/peers/accounts/writer.go
+++ b/internal/peers/usagereplica/writer.go
@@ -1,11 +1,11 @@
-package accounts
+package usagereplica
 
 import (
 	"maps"
 	"slices"
 
-	"shalesail/internal/peers/placement"
-	"shalesail/internal/usage"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/usage/ledger"
 )
 
 // heir is one of those who are told, as the runner sees it.
@@ -26,7 +26,7 @@
 	name    string
 	account string
 	process uint32
-	set     usage.Settings
+	set     ledger.Settings
 	state   func() []byte // the account as it stands
 	steps   []Step
 	base    uint64 // the number before the first of them
@@ -40,7 +40,7 @@
 }
 
 // NewWriter begins to tell an account that nobody else knows. Its steps count from 1, so that 0 is the word of who does not know it.
-func NewWriter(name, account string, process uint32, set usage.Settings, state func() []byte) *Writer {
+func NewWriter(name, account string, process uint32, set ledger.Settings, state func() []byte) *Writer {
 	return &Writer{name: name, account: account, process: process, set: set, state: state, base: 1, heirs: map[string]*heir{}, former: map[string]int{}}
 }
 
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -12,9 +12,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"shalesail/internal/peers/consensus"
-	"shalesail/internal/peers/replication"
-	"shalesail/internal/store"
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/replication"
 )
 
 const (
--- a/internal/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -9,9 +9,9 @@
 	"net/netip"
 	"slices"
 
-	"shalesail/internal/core"
-	"shalesail/internal/httpmsg"
-	"shalesail/internal/loop"
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/protocol/httpmessage"
 )
 
 // MostConns is how many connections a pool opens at once, unless it is told of fewer.
@@ -25,15 +25,15 @@
 
 // Sink gets the ends of calls.
 type Sink interface {
-	Called(a *core.Attempt, o core.Outcome, reply []byte, took int64)
+	Called(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took int64)
 }
 
 // Pool owns the connections to the back end.
 type Pool struct {
-	loop  *loop.Loop
+	loop  *eventloop.Loop
 	addr  netip.AddrPort
 	sink  Sink
-	calls map[*core.Attempt]*call
+	calls map[*lifecycle.Attempt]*call
 	idle  []*conn // the one used last is at the end
 	open  int
 	most  int     // connections at once
@@ -43,18 +43,18 @@
 
 // call is one call that is out.
 type call struct {
-	attempt   *core.Attempt
+	attempt   *lifecycle.Attempt
 	number    int64
 	began     int64
 	overtaken int // replies to later calls that came before its own
-	timer     *loop.Timer
+	timer     *eventloop.Timer
 	conn      *conn
 }
 
 // conn is a connection with at most one call on it.
 type conn struct {
 	pool *Pool
-	lc   *loop.Conn
+	lc   *eventloop.Conn
 	call *call
 	addr netip.AddrPort // where it leads
 	idle int64          // since when
@@ -62,8 +62,8 @@
 }
 
 // New makes a pool for the back end at addr.
-func New(l *loop.Loop, addr netip.AddrPort) *Pool {
-	return &Pool{loop: l, addr: addr, most: MostConns, calls: map[*core.Attempt]*call{}}
+func New(l *eventloop.Loop, addr netip.AddrPort) *Pool {
+	return &Pool{loop: l, addr: addr, most: MostConns, calls: map[*lifecycle.Attempt]*call{}}
 }
 
 // SetMost says how many connections may be open at once from now on. Those that are open stay.
@@ -101,7 +101,7 @@
 	}
 	slices.SortFunc(unsent, func(a, b *call) int { return cmp.Compare(a.number, b.number) })
 	for _, c := range unsent {
-		p.end(c, core.Unreachable, nil)
+		p.end(c, lifecycle.Unreachable, nil)
 	}
 }
 
@@ -111,14 +111,14 @@
 // outOfTime ends a call whose time is up.
 func (p *Pool) outOfTime(c *call) {
 	if c.unsent() {
-		p.end(c, core.Unreachable, nil)
+		p.end(c, lifecycle.Unreachable, nil)
 		return
 	}
-	p.end(c, core.TimedOut, nil)
+	p.end(c, lifecycle.TimedOut, nil)
 }
 
 // Call implements core.Dependency.
-func (p *Pool) Call(a *core.Attempt, body []byte, patience int64) {
+func (p *Pool) Call(a *lifecycle.Attempt, body []byte, patience int64) {
 	p.GiveUp(a)
 	p.last++
 	c := &call{attempt: a, number: p.last, began: p.loop.Now()}
@@ -136,9 +136,9 @@
 	} else if p.open < p.most {
 		c.conn = &conn{pool: p, addr: p.addr}
 		p.open++
-		c.conn.lc = p.loop.Dial(p.addr, loop.Limits{In: httpmsg.MaxHead + maxBody, Out: maxBody}, c.conn)
+		c.conn.lc = p.loop.Dial(p.addr, eventloop.Limits{In: httpmessage.MaxHead + maxBody, Out: maxBody}, c.conn)
 	} else {
-		p.loop.Post(func() { p.end(c, core.TurnedAway, nil) }) // nothing was sent
+		p.loop.Post(func() { p.end(c, lifecycle.TurnedAway, nil) }) // nothing was sent
 		return
 	}
 	c.conn.call = c
@@ -177,7 +177,7 @@
 }
 
 // GiveUp implements core.Dependency.
-func (p *Pool) GiveUp(a *core.Attempt) {
+func (p *Pool) GiveUp(a *lifecycle.Attempt) {
 	if c := p.calls[a]; c != nil {
 		p.forget(c)
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-func (p *Pool) end(c *call, o core.Outcome, reply []byte) {
+func (p *Pool) end(c *call, o lifecycle.Outcome, reply []byte) {
 	if p.calls[c.attempt] != c {
 		return
 	}
@@ -228,11 +228,11 @@
 	}
 	n.call = nil
 	// Only a refused connection proves that the call never ran; one that broke may have carried it.
-	var refused *loop.RefusedError
+	var refused *eventloop.RefusedError
 	if errors.As(err, &refused) {
-		p.end(c, core.Unreachable, nil)
+		p.end(c, lifecycle.Unreachable, nil)
 	} else {
-		p.end(c, core.Broken, nil)
+		p.end(c, lifecycle.Broken, nil)
 	}
 }
 
@@ -290,20 +290,20 @@
 		}
 	}
 	for _, c := range lost { // it may have run
-		p.end(c, core.Broken, nil)
+		p.end(c, lifecycle.Broken, nil)
 	}
 }
 
-func outcome(r reply) core.Outcome {
+func outcome(r reply) lifecycle.Outcome {
 	switch {
 	case r.status == 200:
-		return core.Fine
+		return lifecycle.Fine
 	case r.status == 503 && r.turnedAway:
-		return core.TurnedAway
+		return lifecycle.TurnedAway
 	case r.status == 409 && r.turnedAway:
-		return core.NotRun
+		return lifecycle.NotRun
 	case r.status == 504:
-		return core.TimedOut
+		return lifecycle.TimedOut
 	}
-	return core.Fault
+	return lifecycle.Fault
 }
--- a/internal/backend/http.go
+++ b/internal/platform/backend/http.go
@@ -5,7 +5,7 @@
 	"errors"
 	"strings"
 
-	"shalesail/internal/httpmsg"
+	"ryepaddle/internal/protocol/httpmessage"
 )
 
 // maxBody bounds what a connection holds: a reply may state any length.
@@ -24,7 +24,7 @@
 // readReply takes one response from the front of b. It returns 0 bytes used when b holds only a part of one. At the
 // end of the stream, a body of no stated length is whole.
 func readReply(b []byte, end bool) (reply, int, error) {
-	h, n, err := httpmsg.Read(b)
+	h, n, err := httpmessage.Read(b)
 	if err != nil || n == 0 {
 		return reply{}, 0, err
 	}
--- a/internal/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -11,19 +11,19 @@
 	"net/netip"
 	"strconv"
 
-	"shalesail/internal/core"
-	"shalesail/internal/logs"
-	"shalesail/internal/loop"
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/telemetry/logging"
 )
 
 // What is told to operators.
 var (
-	evLinkUp         = logs.Define("engine.link_up", slog.LevelInfo, "status", "last_notice", "pending")
-	evLinkLost       = logs.Define("engine.link_lost", slog.LevelWarn, "error")
-	evRunLost        = logs.Define("engine.run_lost", slog.LevelWarn, "request")
-	evNoticeUnread   = logs.Define("engine.notice_unread", slog.LevelWarn, "after", "error")
-	evNoticesMissing = logs.Define("engine.notices_missing", slog.LevelWarn, "first", "last")
-	evCommandRefused = logs.Define("engine.command_refused", slog.LevelWarn, "command", "request")
+	evLinkUp         = logging.Define("engine.link_up", slog.LevelInfo, "status", "last_notice", "pending")
+	evLinkLost       = logging.Define("engine.link_lost", slog.LevelWarn, "error")
+	evRunLost        = logging.Define("engine.run_lost", slog.LevelWarn, "request")
+	evNoticeUnread   = logging.Define("engine.notice_unread", slog.LevelWarn, "after", "error")
+	evNoticesMissing = logging.Define("engine.notices_missing", slog.LevelWarn, "first", "last")
+	evCommandRefused = logging.Define("engine.command_refused", slog.LevelWarn, "command", "request")
 )
 
 const (
@@ -40,8 +40,8 @@
 
 // Sink gets what the engine reports.
 type Sink interface {
-	Ended(*core.Attempt, core.Outcome, *core.Result)
-	Needs(*core.Attempt, []byte)
+	Ended(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
+	Needs(*lifecycle.Attempt, []byte)
 }
 
 type message struct {
@@ -81,7 +81,7 @@
 
 // run is an attempt that the engine was told of.
 type run struct {
-	attempt *core.Attempt
+	attempt *lifecycle.Attempt
 	needs   int
 }
 
@@ -96,10 +96,10 @@
 
 // Link owns the connection to the engine.
 type Link struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	addr   netip.AddrPort
 	sink   Sink
-	meters func([]float64) core.Gauges
+	meters func([]float64) lifecycle.Gauges
 
 	conn    *wire // that the engine was attached on; nil: none
 	next    *wire // that is being dialled
@@ -113,23 +113,23 @@
 	runs    map[string]*run
 	asked   int64 // time of the oldest question that is open; 0: none
 	marks   int64
-	gauges  core.Gauges
+	gauges  lifecycle.Gauges
 	gauged  int64  // when they came
 	waiting func() // the module's look round that waits for gauges
-	late    *loop.Timer
+	late    *eventloop.Timer
 	checks  map[string]func(bool)
 }
 
 // New makes a link; Start opens it. Meters puts the engine's gauges in their places.
-func New(l *loop.Loop, addr netip.AddrPort, meters func([]float64) core.Gauges) *Link {
-	return &Link{loop: l, addr: addr, meters: meters, gap: -1, poison: -1, runs: map[string]*run{}, gauges: core.NoGauges(),
+func New(l *eventloop.Loop, addr netip.AddrPort, meters func([]float64) lifecycle.Gauges) *Link {
+	return &Link{loop: l, addr: addr, meters: meters, gap: -1, poison: -1, runs: map[string]*run{}, gauges: lifecycle.NoGauges(),
 		checks: map[string]func(bool){}}
 }
 
 // wire is one connection to the engine. Two exist while a new one is dialled beside one that still stands.
 type wire struct {
 	link  *Link
-	conn  *loop.Conn
+	conn  *eventloop.Conn
 	began int64
 }
 
@@ -176,7 +176,7 @@
 		if k.loop.Now() > r.attempt.Due+after {
 			evRunLost.Log(id)
 			delete(k.runs, id)
-			k.sink.Ended(r.attempt, core.Fault, nil)
+			k.sink.Ended(r.attempt, lifecycle.Fault, nil)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 func (k *Link) dial() {
 	if k.next == nil {
 		k.next = &wire{link: k, began: k.loop.Now()}
-		k.next.conn = k.loop.Dial(k.addr, loop.Limits{In: maxLine, Out: maxOut}, k.next)
+		k.next.conn = k.loop.Dial(k.addr, eventloop.Limits{In: maxLine, Out: maxOut}, k.next)
 	}
 }
 
@@ -323,13 +323,13 @@
 		evCommandRefused.Log(m.Status, m.Rid)
 		if r := k.runs[m.Rid]; r != nil && m.Status == "RUN" {
 			delete(k.runs, m.Rid)
-			k.sink.Ended(r.attempt, core.Unknown, nil)
+			k.sink.Ended(r.attempt, lifecycle.Unknown, nil)
 		}
 	}
 	return nil
 }
 
-var ends = map[string]core.Outcome{"fine": core.Fine, "fault": core.Fault, "broken_off": core.Stopped, "late": core.NotRun}
+var ends = map[string]lifecycle.Outcome{"fine": lifecycle.Fine, "fault": lifecycle.Fault, "broken_off": lifecycle.Stopped, "late": lifecycle.NotRun}
 
 func (k *Link) done(m *message) {
 	r := k.runs[m.Rid]
@@ -339,11 +339,11 @@
 	delete(k.runs, m.Rid)
 	o, ok := ends[m.Status]
 	if !ok {
-		o = core.Fault
+		o = lifecycle.Fault
 	}
-	var res *core.Result
-	if o == core.Fine {
-		res = &core.Result{Status: 200, Body: m.B64}
+	var res *lifecycle.Result
+	if o == lifecycle.Fine {
+		res = &lifecycle.Result{Status: 200, Body: m.B64}
 	}
 	k.sink.Ended(r.attempt, o, res)
 }
@@ -394,9 +394,9 @@
 }
 
 // Run implements core.Runner.
-func (k *Link) Run(a *core.Attempt) {
+func (k *Link) Run(a *lifecycle.Attempt) {
 	if k.runs[a.Request.Name] != nil { // the engine would take it for the one that runs
-		k.loop.Post(func() { k.sink.Ended(a, core.Fault, nil) })
+		k.loop.Post(func() { k.sink.Ended(a, lifecycle.Fault, nil) })
 		return
 	}
 	k.runs[a.Request.Name] = &run{attempt: a}
@@ -404,24 +404,24 @@
 }
 
 // Abandon implements core.Runner. Running work can't be stopped; the engine itself ends it at its next call.
-func (k *Link) Abandon(*core.Attempt) {}
+func (k *Link) Abandon(*lifecycle.Attempt) {}
 
 // Resume implements core.Resumer.
-func (k *Link) Resume(a *core.Attempt, reply []byte) {
+func (k *Link) Resume(a *lifecycle.Attempt, reply []byte) {
 	if r := k.runs[a.Request.Name]; r != nil {
 		k.command(command{T: "FEED", Rid: a.Request.Name, B64: nonNil(reply)}, r.needs)
 	}
 }
 
 // Gauges measures the machine for the module. Without a link, or late, it gives what there is.
-func (k *Link) Gauges(fn func(core.Gauges)) {
+func (k *Link) Gauges(fn func(lifecycle.Gauges)) {
 	if k.phase != live {
-		fn(core.NoGauges())
+		fn(lifecycle.NoGauges())
 		return
 	}
 	k.waiting = func() {
 		if k.loop.Now()-k.gauged > gaugesAge {
-			fn(core.NoGauges())
+			fn(lifecycle.NoGauges())
 			return
 		}
 		fn(k.gauges)
--- a/internal/roster/roster.go
+++ b/internal/platform/registry/roster.go
@@ -1,10 +1,10 @@
 // Package roster reports to the platform's roster that this runner is there.
-package roster
+package registry
 
 import (
 	"net/netip"
 
-	"shalesail/internal/loop"
+	"ryepaddle/internal/eventloop"
 )
 
 // every is how often a report goes out. An entry lapses 3 s after the last one. A quarter of the reports may be lost:
@@ -13,10 +13,10 @@
 
 // Reporter owns the socket of the reports.
 type Reporter struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	addr   netip.AddrPort
-	socket *loop.Datagram // nil: none could be had yet
-	moved  bool           // the socket leads to an address that the roster has left
+	socket *eventloop.Datagram // nil: none could be had yet
+	moved  bool                // the socket leads to an address that the roster has left
 	name   string
 	state  string
 	over   bool
@@ -24,7 +24,7 @@
 
 // Start reports at once and from then on. Where no socket can be had, as without a route or a descriptor, each report tries
 // again: a runner that serves is worth more than one that ended for want of its registration.
-func Start(l *loop.Loop, addr netip.AddrPort, name string) (*Reporter, error) {
+func Start(l *eventloop.Loop, addr netip.AddrPort, name string) (*Reporter, error) {
 	r := &Reporter{loop: l, addr: addr, name: name, state: "on"}
 	err := r.open()
 	r.report()
--- a/internal/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"strings"
 
-	"shalesail/internal/match"
+	"ryepaddle/internal/match"
 )
 
 // Var is one variable, under its CGI name.
--- a/internal/httpmsg/httpmsg.go
+++ b/internal/protocol/httpmessage/httpmsg.go
@@ -1,6 +1,6 @@
 // Package httpmsg reads the heads of HTTP-style responses, as the back end and uwsgi servers send them, and of requests. It holds no
 // sockets.
-package httpmsg
+package httpmessage
 
 import (
 	"bytes"
--- a/internal/httpmsg/httpmsg_test.go
+++ b/internal/protocol/httpmessage/httpmsg_test.go
@@ -1,4 +1,4 @@
-package httpmsg
+package httpmessage
 
 import (
 	"errors"
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"shalesail/internal/httpmsg"
+	"ryepaddle/internal/protocol/httpmessage"
 )
 
 const (
@@ -180,7 +180,7 @@
 // Response is a whole response.
 type Response struct {
 	Status int
-	Fields []httpmsg.Field
+	Fields []httpmessage.Field
 	Body   []byte
 }
 
@@ -194,7 +194,7 @@
 }
 
 // AppendHead adds the head of a response whose body follows as it comes. A body of no stated length ends with the stream.
-func AppendHead(b []byte, status int, fields []httpmsg.Field, length int64) []byte {
+func AppendHead(b []byte, status int, fields []httpmessage.Field, length int64) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, f := range fields {
 		if f.Valid() { // a header that would become two never goes out, wherever it came from
--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -9,7 +9,7 @@
 import (
 	"math"
 
-	"shalesail/internal/simulator/vtime"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // The ways of choosing.
@@ -62,9 +62,9 @@
 	open   []*Try
 	tried  map[int]bool // in this round of the list
 	last   End
-	timer  vtime.Timer
+	timer  virtualclock.Timer
 	copied bool
-	paused vtime.Timer
+	paused virtualclock.Timer
 	same   int // the server to go to again; -1: any
 }
 
@@ -90,7 +90,7 @@
 // Balancer is one of them.
 type Balancer struct {
 	habit    Habit
-	clock    vtime.Clock
+	clock    virtualclock.Clock
 	wire     Wire
 	draw     Draw
 	servers  []server
@@ -111,7 +111,7 @@
 )
 
 // New makes a balancer before n servers, none of which is listed yet. name tells subsets apart.
-func New(name uint64, n int, habit Habit, clock vtime.Clock, wire Wire, draw Draw) *Balancer {
+func New(name uint64, n int, habit Habit, clock virtualclock.Clock, wire Wire, draw Draw) *Balancer {
 	b := &Balancer{habit: habit, clock: clock, wire: wire, draw: draw, servers: make([]server, n), tokens: mostTokens,
 		countsAt: clock.Now(), next: int(score(name, 0) % uint64(max(n, 1)))}
 	for i := range b.servers {
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -1,6 +1,6 @@
 package balance
 
-import "shalesail/internal/simulator/vtime"
+import "ryepaddle/internal/simulator/virtualclock"
 
 // Choice is how a server is chosen among those that are willing.
 type Choice string
@@ -61,7 +61,7 @@
 	Sent    int64
 	Copy    bool
 	p       *pending
-	timer   vtime.Timer
+	timer   virtualclock.Timer
 	over    bool
 }
 
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"shalesail/internal/simulator/compare"
+	"ryepaddle/internal/simulator/compare"
 )
 
 // Comparison is one kind of day routed in two ways, over many seeds.
--- a/internal/simulator/cluster/pools.go
+++ b/internal/simulator/cluster/pools.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"shalesail/internal/pools"
+	"ryepaddle/internal/balancer/bulkhead"
 )
 
 // reserveClass is that of the cheapest calls.
@@ -19,21 +19,21 @@
 const aims = "aims"
 
 // poolsOf are the pools of a way of routing that has some, over those of the routed way.
-func poolsOf(way string, spec *Spec) *pools.Config {
+func poolsOf(way string, spec *Spec) *bulkhead.Config {
 	name, ok := strings.CutPrefix(way, "pools-")
 	if !ok {
 		return nil
 	}
 	if name == aims {
-		name = pools.Gradient
+		name = bulkhead.Gradient
 	}
-	cfg := &pools.Config{Way: name, First: float64(spec.Servers * spec.Workers), Least: 4, Most: float64(spec.Servers * spec.Workers * 16), CallBack: 500_000,
+	cfg := &bulkhead.Config{Way: name, First: float64(spec.Servers * spec.Workers), Least: 4, Most: float64(spec.Servers * spec.Workers * 16), CallBack: 500_000,
 		Line: 200, Guard: 30_000, Tenants: []float64{1},
-		Pools: []pools.Pool{{Name: "hand-ins", Floor: 0.3, Ceiling: 1, Weight: 3, Classes: []int{2}},
+		Pools: []bulkhead.Pool{{Name: "hand-ins", Floor: 0.3, Ceiling: 1, Weight: 3, Classes: []int{2}},
 			{Name: "checks", Floor: 0.15, Ceiling: 1, Weight: 2, Reserve: true, Classes: []int{reserveClass}},
 			{Name: "rest", Floor: 0.1, Ceiling: 0.85, Weight: 1}}}
 	for _, c := range classes {
-		cfg.Classes = append(cfg.Classes, pools.Class{Worth: c.Worth, Late: c.Worth * c.Late})
+		cfg.Classes = append(cfg.Classes, bulkhead.Class{Worth: c.Worth, Late: c.Worth * c.Late})
 	}
 	return cfg
 }
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -6,8 +6,8 @@
 	"math"
 	"sync"
 
-	"shalesail/internal/simulator/day"
-	"shalesail/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/fleet"
 )
 
 // Player plays days. It is used by several goroutines at once.
--- a/internal/simulator/compare/estimate.go
+++ b/internal/simulator/compare/estimate.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"shalesail/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/fleet"
 )
 
 // Metric is a figure of a day.
--- a/internal/simulator/compare/verify.go
+++ b/internal/simulator/compare/verify.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"shalesail/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/fleet"
 )
 
 // Held is a figure of a real fleet against what the model says of the same day.
--- a/internal/simulator/compare/worker.go
+++ b/internal/simulator/compare/worker.go
@@ -11,7 +11,7 @@
 	"os/exec"
 	"strings"
 
-	"shalesail/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/fleet"
 )
 
 // The worker's protocol: one JSON value a line. It says hello first; then each task gets one reply.
--- a/internal/simulator/day/check.go
+++ b/internal/simulator/day/check.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strconv"
 
-	"shalesail/internal/simulator/balance"
-	"shalesail/internal/yamldoc"
+	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/yamldoc"
 )
 
 // figure is a value and its bounds.
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"shalesail/internal/traffic"
+	"ryepaddle/internal/telemetry/traffic"
 )
 
 // Replay is recorded traffic in place of what a scenario would draw.
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -9,8 +9,8 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"shalesail/internal/simulator/balance"
-	"shalesail/internal/yamldoc"
+	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/yamldoc"
 )
 
 // Range is a figure that is drawn anew for each day: one number, or the least and the most of it.
--- a/internal/simulator/world/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -1,6 +1,6 @@
-package world
+package dependencies
 
-import "shalesail/internal/simulator/vtime"
+import "ryepaddle/internal/simulator/virtualclock"
 
 // BackEndSpec is what the shared back end is like.
 type BackEndSpec struct {
@@ -33,7 +33,7 @@
 // BackEnd is the system that all runners share.
 type BackEnd struct {
 	spec   BackEndSpec
-	clock  vtime.Clock
+	clock  virtualclock.Clock
 	slots  share
 	window window
 	calls  map[*job]*Call
@@ -44,7 +44,7 @@
 }
 
 // NewBackEnd starts it.
-func NewBackEnd(clock vtime.Clock, spec BackEndSpec) *BackEnd {
+func NewBackEnd(clock virtualclock.Clock, spec BackEndSpec) *BackEnd {
 	b := &BackEnd{spec: spec, clock: clock, slow: 1, calls: map[*job]*Call{},
 		window: newWindow(max(int(spec.FallOver/sampleEvery), 1))}
 	b.slots = share{clock: clock, places: spec.Slots, thrash: spec.Thrash, crowd: spec.Slots, speed: 1, at: float64(clock.Now())}
--- a/internal/simulator/world/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -1,9 +1,9 @@
-package world
+package dependencies
 
 import (
 	"fmt"
 
-	"shalesail/internal/simulator/vtime"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // MachineSpec is what one runner's machine is like. Work is in microseconds on a core of speed 1.
@@ -69,7 +69,7 @@
 // Machine is one runner's cores, memory and engine.
 type Machine struct {
 	spec    MachineSpec
-	clock   vtime.Clock
+	clock   virtualclock.Clock
 	tenant  Tenant
 	cores   share
 	born    int64
@@ -93,7 +93,7 @@
 }
 
 // NewMachine starts a machine, cold or warm.
-func NewMachine(clock vtime.Clock, spec MachineSpec, cold bool, tenant Tenant) *Machine {
+func NewMachine(clock virtualclock.Clock, spec MachineSpec, cold bool, tenant Tenant) *Machine {
 	m := &Machine{spec: spec, clock: clock, tenant: tenant, born: clock.Now(), cold: cold && spec.ColdFor > 0, slow: 1,
 		runs: map[string]*run{}, held: map[string]float64{}, crowdAt: clock.Now(), cpuWin: newWindow(cpuSamples),
 		crowds: newWindow(max(int(spec.CrowdOver/sampleEvery), 1))}
--- a/internal/simulator/world/roster.go
+++ b/internal/simulator/dependencies/roster.go
@@ -1,20 +1,20 @@
-package world
+package dependencies
 
-import "shalesail/internal/simulator/vtime"
+import "ryepaddle/internal/simulator/virtualclock"
 
 // lapse is how long after the last report an entry stays listed (PROTOCOL).
 const lapse = 3_000_000
 
 // Roster lists runners while they report. Watchers hear of a change late.
 type Roster struct {
-	clock   vtime.Clock
+	clock   virtualclock.Clock
 	entries map[string]*entry
 	watch   []watcher
 }
 
 type entry struct {
 	listed bool
-	timer  vtime.Timer
+	timer  virtualclock.Timer
 }
 
 type watcher struct {
@@ -23,7 +23,9 @@
 }
 
 // NewRoster starts one with nobody listed.
-func NewRoster(clock vtime.Clock) *Roster { return &Roster{clock: clock, entries: map[string]*entry{}} }
+func NewRoster(clock virtualclock.Clock) *Roster {
+	return &Roster{clock: clock, entries: map[string]*entry{}}
+}
 
 // Watch tells of each change after a delay that is asked for each time. Changes overtake each other no more than the
 // delays allow; of one name, the state at the time of telling counts.
--- a/internal/simulator/world/share.go
+++ b/internal/simulator/dependencies/share.go
@@ -1,12 +1,12 @@
 // Package world holds what a fleet of runners stands on, as state machines free of I/O: the machine of one runner with
 // its engine, the back end that all share, and the roster. The simulator's model plays them in virtual time, and its rig puts
 // the same ones behind sockets. None of them decides about requests; that is the runner's.
-package world
+package dependencies
 
 import (
 	"container/heap"
 
-	"shalesail/internal/simulator/vtime"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // job is work that shares cores with other work.
@@ -36,7 +36,7 @@
 // share is processor sharing: all jobs get on at one rate. Since that is so, a job is done when the service that each
 // has attained passes its tag, and one timer for the least tag is enough for any number of them.
 type share struct {
-	clock    vtime.Clock
+	clock    virtualclock.Clock
 	places   float64 // how many get on at full speed
 	thrash   float64 // loss for each further multiple of crowd
 	crowd    float64 // jobs past which they slow each other down
@@ -46,7 +46,7 @@
 	jobs     jobHeap
 	over     []*job // done, and not yet told
 	seq      uint64
-	timer    vtime.Timer
+	timer    virtualclock.Timer
 	busy     float64 // places in use, integrated over time
 	present  float64 // jobs, integrated over time
 	work     float64 // done in all
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -3,9 +3,9 @@
 import (
 	"strconv"
 
-	"shalesail/internal/simulator/balance"
-	"shalesail/internal/simulator/day"
-	"shalesail/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/ledger"
 )
 
 // balancer puts one of package balance into the model.
--- a/internal/simulator/fleet/fleet.go
+++ b/internal/simulator/fleet/fleet.go
@@ -7,12 +7,12 @@
 	"fmt"
 	"strconv"
 
-	"shalesail"
-	"shalesail/internal/core"
-	"shalesail/internal/simulator/day"
-	"shalesail/internal/simulator/ledger"
-	"shalesail/internal/simulator/vtime"
-	"shalesail/internal/simulator/world"
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/dependencies"
+	"ryepaddle/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // Version names what the model does. Results of different versions are not compared.
@@ -20,9 +20,9 @@
 
 // Options are what may differ between two runs of one day.
 type Options struct {
-	Settings func(*shalesail.Settings) // changes what runners are told; nil: nothing
+	Settings func(*admission.Settings) // changes what runners are told; nil: nothing
 	Kinds    []day.BalancerKind        // of the balancers, in place of the scenario's, by place; nil: as they are
-	Limits   core.Limits               // of the cores' tables
+	Limits   lifecycle.Limits          // of the cores' tables
 	Noise    uint64                    // another one draws balancers' choices anew, with the day as it was
 	Log      func(at int64, runner, text string)
 }
@@ -55,14 +55,14 @@
 type Stage struct {
 	day        *day.Day
 	opt        Options
-	clock      vtime.Clock
+	clock      virtualclock.Clock
 	launch     Launch
 	listens    bool // runners report to the roster by themselves
 	origin     int64
 	unixOrigin int64
 	book       *ledger.Ledger
-	back       *world.BackEnd
-	roster     *world.Roster
+	back       *dependencies.BackEnd
+	roster     *dependencies.Roster
 	runners    []*runner
 	balancers  []*balancer
 	cut        int // hall that is cut off; -1: none
@@ -74,7 +74,7 @@
 
 // Play plays a day to its end, in virtual time, with runners in this process.
 func Play(d *day.Day, opt Options) (*Run, error) {
-	clock := vtime.New()
+	clock := virtualclock.New()
 	s := NewStage(d, opt, clock, launchInside, false)
 	if err := s.Start(); err != nil {
 		return nil, err
@@ -90,14 +90,14 @@
 }
 
 // NewStage sets up a day on a clock. Where runners listen, they report to the roster by themselves.
-func NewStage(d *day.Day, opt Options, clock vtime.Clock, launch Launch, listens bool) *Stage {
+func NewStage(d *day.Day, opt Options, clock virtualclock.Clock, launch Launch, listens bool) *Stage {
 	s := &Stage{day: d, opt: opt, clock: clock, launch: launch, listens: listens, cut: -1, origin: clock.Now()}
 	if opt.Log == nil {
 		s.opt.Log = func(int64, string, string) {}
 	}
 	s.openBook()
-	s.back = world.NewBackEnd(s.clock, d.BackEnd)
-	s.roster = world.NewRoster(s.clock)
+	s.back = dependencies.NewBackEnd(s.clock, d.BackEnd)
+	s.roster = dependencies.NewRoster(s.clock)
 	for i := range d.Runners {
 		s.runners = append(s.runners, &runner{s: s, no: i, spec: &d.Runners[i]})
 	}
@@ -152,7 +152,7 @@
 }
 
 // Back is the back end that all share.
-func (s *Stage) Back() *world.BackEnd { return s.back }
+func (s *Stage) Back() *dependencies.BackEnd { return s.back }
 
 // Find finds a try that a runner has read, and the runner.
 func (s *Stage) Find(name string) *Job {
--- a/internal/simulator/fleet/job.go
+++ b/internal/simulator/fleet/job.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"shalesail/internal/simulator/balance"
-	"shalesail/internal/simulator/day"
-	"shalesail/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/ledger"
 )
 
 // Status is how a runner answered.
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -4,29 +4,29 @@
 	"cmp"
 	"slices"
 
-	"shalesail"
-	"shalesail/internal/simulator/balance"
-	"shalesail/internal/simulator/day"
-	"shalesail/internal/simulator/ledger"
-	"shalesail/internal/simulator/world"
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/dependencies"
+	"ryepaddle/internal/simulator/ledger"
 )
 
 // Process is a runner as the stage meets it: one in this process, or one of its own behind sockets. What it says to the
 // stage it says through its Life and through Jobs, never from within one of these calls but for Submit.
 type Process interface {
-	Ready() bool                       // it takes requests
-	Submit(j *Job)                     // a request was read whole; it is owed one answer
-	Abandon(j *Job)                    // its balancer gave it up
-	Forget(j *Job)                     // it is answered or given up, and its run is over
-	Check(caller int, done func(bool)) // a health check; done may never be called
-	Needs(j *Job)                      // a run waits for its call
-	Ended(j *Job, e world.Ending)      // a run is over
-	Drain(stop int64)                  // it is to leave, and is stopped after so long
-	Kill()                             // it ends at once
+	Ready() bool                         // it takes requests
+	Submit(j *Job)                       // a request was read whole; it is owed one answer
+	Abandon(j *Job)                      // its balancer gave it up
+	Forget(j *Job)                       // it is answered or given up, and its run is over
+	Check(caller int, done func(bool))   // a health check; done may never be called
+	Needs(j *Job)                        // a run waits for its call
+	Ended(j *Job, e dependencies.Ending) // a run is over
+	Drain(stop int64)                    // it is to leave, and is stopped after so long
+	Kill()                               // it ends at once
 }
 
 // Launch starts a process with what it is told.
-type Launch func(l *Life, set shalesail.Settings) (Process, error)
+type Launch func(l *Life, set admission.Settings) (Process, error)
 
 // runner is one place of the fleet, with one life after the other.
 type runner struct {
@@ -43,7 +43,7 @@
 type Life struct {
 	r        *runner
 	proc     Process
-	machine  *world.Machine
+	machine  *dependencies.Machine
 	dead     bool
 	left     bool // takes no more connections
 	pressure float64
@@ -68,7 +68,7 @@
 	s := r.s
 	r.lives++
 	l := &Life{r: r, pressure: -1, jobs: map[string]*Job{}, conns: map[*Job]struct{}{}, ran: map[uint64]int64{}}
-	l.machine = world.NewMachine(s.clock, r.spec.Spec, cold, l)
+	l.machine = dependencies.NewMachine(s.clock, r.spec.Spec, cold, l)
 	if r.slowed > 1 {
 		l.machine.Slow(r.slowed)
 	}
@@ -116,7 +116,7 @@
 func (l *Life) Name() string { return l.r.spec.Name }
 
 // Machine is what it runs on.
-func (l *Life) Machine() *world.Machine { return l.machine }
+func (l *Life) Machine() *dependencies.Machine { return l.machine }
 
 // Job finds a try that was read here, and is not over.
 func (l *Life) Job(name string) *Job { return l.jobs[name] }
@@ -296,7 +296,7 @@
 		s.book.Break(ledger.Drain, s.now(), "%s ran what came %d ms too late", l.r.spec.Name, over/1000)
 	}
 	j.runs = true
-	l.machine.Run(world.Work{ID: name, SizeKB: j.a.SizeKB, Parts: l.parts(j)})
+	l.machine.Run(dependencies.Work{ID: name, SizeKB: j.a.SizeKB, Parts: l.parts(j)})
 	return true
 }
 
@@ -337,7 +337,7 @@
 }
 
 // Ended takes word from the machine that a run is over.
-func (l *Life) Ended(id string, e world.Ending) {
+func (l *Life) Ended(id string, e dependencies.Ending) {
 	if j := l.jobs[id]; j != nil {
 		j.runs = false
 		l.proc.Ended(j, e)
--- a/internal/simulator/report/charts.go
+++ b/internal/simulator/report/charts.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"shalesail/internal/simulator/compare"
-	"shalesail/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/compare"
+	"ryepaddle/internal/simulator/ledger"
 )
 
 type chart struct {
--- a/internal/simulator/report/report.go
+++ b/internal/simulator/report/report.go
@@ -15,9 +15,9 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"shalesail/internal/simulator/compare"
-	"shalesail/internal/simulator/fleet"
-	"shalesail/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/compare"
+	"ryepaddle/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/ledger"
 )
 
 //go:embed page.html
--- a/internal/simulator/variant/schema.go
+++ b/internal/simulator/variant/schema.go
@@ -6,8 +6,8 @@
 
 	"github.com/invopop/jsonschema"
 
-	"shalesail"
-	"shalesail/internal/simulator/day"
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/simulator/day"
 )
 
 // Schema describes a file of differences.
@@ -16,7 +16,7 @@
 	s := r.Reflect(&Variant{})
 	s.Title, s.Required = "Differences to try out on a day of the lab", []string{"name"}
 	figures := &jsonschema.Schema{Type: "object", Properties: jsonschema.NewProperties(), AdditionalProperties: jsonschema.FalseSchema}
-	f := shalesail.StandardFigures()
+	f := admission.StandardFigures()
 	for _, g := range f.All() {
 		figures.Properties.Set(g.Name, &jsonschema.Schema{Type: "number", Minimum: number(g.Least), Maximum: number(g.Most),
 			Default: *g.Value})
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -12,11 +12,11 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"shalesail"
-	"shalesail/internal/core"
-	"shalesail/internal/simulator/day"
-	"shalesail/internal/simulator/fleet"
-	"shalesail/internal/yamldoc"
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/fleet"
+	"ryepaddle/internal/yamldoc"
 )
 
 // Variant is a file of differences. What it does not name stays as the day has it.
@@ -72,7 +72,7 @@
 	if v.Name == "" {
 		return nil, v.doc.Bad("name", "missing")
 	}
-	f := shalesail.StandardFigures()
+	f := admission.StandardFigures()
 	for _, name := range slices.Sorted(maps.Keys(v.Figures)) {
 		if err := f.Set(name, v.Figures[name]); err != nil {
 			return nil, v.doc.Bad("figures."+name, "%v", err)
@@ -100,7 +100,7 @@
 
 // Options are the variant on a scenario. An error is of the variant: it names what the scenario has no place for.
 func (v *Variant) Options(s *day.Spec) (fleet.Options, error) {
-	o := fleet.Options{Settings: v.apply, Limits: core.Limits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))}}
+	o := fleet.Options{Settings: v.apply, Limits: lifecycle.Limits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))}}
 	if len(v.Balancers) == 0 {
 		return o, nil
 	}
@@ -115,8 +115,8 @@
 	return o, nil
 }
 
-func (v *Variant) apply(set *shalesail.Settings) {
-	set.Figures = shalesail.StandardFigures()
+func (v *Variant) apply(set *admission.Settings) {
+	set.Figures = admission.StandardFigures()
 	for name, value := range v.Figures {
 		if err := set.Figures.Set(name, value); err != nil {
 			panic(err) // Parse has checked it
@@ -154,6 +154,6 @@
 		set.MaxStayAway = time.Duration(s.MaxStayAwayMs * float64(time.Millisecond))
 	}
 	if s.NoCredit {
-		set.CreditMode = shalesail.CreditNone
+		set.CreditMode = admission.CreditNone
 	}
 }
--- a/internal/simulator/vtime/vtime.go
+++ b/internal/simulator/virtualclock/vtime.go
@@ -2,7 +2,7 @@
 // virtual time. The same machines run on sockets with the event loop's clock behind the interface.
 //
 // Times are microseconds. A scheduler starts at one second, so that 0 can mean "never".
-package vtime
+package virtualclock
 
 // Timer is one thing that is to happen. Stop takes it back; a timer that has fired or was stopped stays so.
 type Timer interface{ Stop() }
--- a/internal/simulator/vtime/vtime_test.go
+++ b/internal/simulator/virtualclock/vtime_test.go
@@ -1,4 +1,4 @@
-package vtime
+package virtualclock
 
 import (
 	"cmp"
--- a/internal/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -11,12 +11,12 @@
 	"math/rand/v2"
 	"slices"
 
-	"shalesail/internal/core"
+	"ryepaddle/internal/lifecycle"
 )
 
 // Entry is one request. Its texts are cut to a length, so that an entry has a bound.
 type Entry struct {
-	core.Trail
+	lifecycle.Trail
 	Number uint64 // in the order of answers
 	Stands int    // for so many of its stratum: it is one in so many
 }
@@ -29,7 +29,7 @@
 // strand is a class and an end.
 type strand struct {
 	class int
-	kind  core.Kind
+	kind  lifecycle.Kind
 }
 
 // stratum is the entries of one, the oldest first.
@@ -70,7 +70,7 @@
 // part is how much of the room a stratum has beside others.
 func (r *Record) part(s strand) float64 {
 	part := 1.0
-	if s.kind != core.Served {
+	if s.kind != lifecycle.Served {
 		part *= 4
 	}
 	if r.keyed(s.class) {
@@ -83,7 +83,7 @@
 const plenty = 100
 
 // Add takes a request that was answered, at that Unix time in microseconds.
-func (r *Record) Add(t *core.Trail, now int64) {
+func (r *Record) Add(t *lifecycle.Trail, now int64) {
 	key := strand{t.Class, t.Kind}
 	s := r.strata[key]
 	if s == nil {
@@ -100,7 +100,7 @@
 		s.since, s.count = now, 0
 	}
 	s.count++
-	if t.Kind == core.Served {
+	if t.Kind == lifecycle.Served {
 		if one := max(s.rate, s.count) / plenty; one > 1 && r.rand.IntN(one) > 0 {
 			s.skipped++
 			return
@@ -147,16 +147,16 @@
 type Query struct {
 	Name, Key string
 	Class     int // -1: any
-	Kind      core.Kind
+	Kind      lifecycle.Kind
 	NotServed bool
-	Cause     core.Cause
+	Cause     lifecycle.Cause
 	From, To  int64 // Unix time of the answer
 	Most      int
 }
 
 func (q *Query) takes(e *Entry) bool {
 	return (q.Name == "" || e.Name == short(q.Name) || e.First == short(q.Name)) && (q.Key == "" || e.Key == short(q.Key)) &&
-		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Kind == q.Kind) && !(q.NotServed && e.Kind == core.Served) &&
+		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Kind == q.Kind) && !(q.NotServed && e.Kind == lifecycle.Served) &&
 		(q.Cause == 0 || e.Cause == q.Cause) && (q.From == 0 || e.Answered >= q.From) && (q.To == 0 || e.Answered <= q.To)
 }
 
@@ -184,7 +184,7 @@
 // Stratum is what is known of a class and an end.
 type Stratum struct {
 	Class int
-	Kind  core.Kind
+	Kind  lifecycle.Kind
 	Seen  uint64 // since the start
 	Kept  int
 }
--- a/internal/logs/event.go
+++ b/internal/telemetry/logging/event.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"shalesail/internal/fault"
+	"ryepaddle/internal/fault"
 )
 
 // Event is a kind of line. Its name and those of its fields are what operators search for, and stay as they are once they
--- a/internal/logs/logs.go
+++ b/internal/telemetry/logging/logs.go
@@ -1,6 +1,6 @@
 // Package logs tells operators what happens: events with stable names and fields, by area and level. It keeps them from
 // costing the program anything: lines go out beside the loop, and a flood of one kind is cut short.
-package logs
+package logging
 
 import (
 	"context"
