--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -11,23 +11,26 @@
 
 // Routing is how requests find their servers. Halls are those of the inventory.
 type Routing struct {
-	Halls    []string `yaml:"halls"`    // the nearest first
-	Subset   int      `yaml:"subset"`   // servers of each hall that this instance uses; 0: all
-	Affinity bool     `yaml:"affinity"` // a key goes to one server, whichever instance it comes through
-	WarmS    float64  `yaml:"warm_s"`   // that a new server takes to get its whole part
-	WarmFrom float64  `yaml:"warm_from"`
-	Cold     Cold     `yaml:"cold"`
-	Eject    Eject    `yaml:"eject"`
-	Check    Check    `yaml:"check"`
-	Retries  Retries  `yaml:"retries"`
-	Limit    Limit    `yaml:"limit"`
+	Halls  []string `yaml:"halls"`  // the nearest first
+	Subset int      `yaml:"subset"` // servers of each hall that this instance uses; 0: all
+	// a key goes to one server, whichever instance it comes through
+	Affinity bool    `yaml:"affinity"`
+	WarmS    float64 `yaml:"warm_s"` // that a new server takes to get its whole part
+	WarmFrom float64 `yaml:"warm_from"`
+	Cold     Cold    `yaml:"cold"`
+	Eject    Eject   `yaml:"eject"`
+	Check    Check   `yaml:"check"`
+	Retries  Retries `yaml:"retries"`
+	Limit    Limit   `yaml:"limit"`
 }
 
-// Cold is what a server that has just started bears of all processes together; it grows with its part while it warms up.
+// Cold is what a server that has just started bears of all processes together; it grows with its
+// part while it warms up.
 type Cold struct {
-	Calls     float64 `yaml:"calls"` // within over_ms; 0: it goes by what its peers get alone
-	OverMs    int64   `yaml:"over_ms"`
-	Processes int     `yaml:"processes"` // that send to it; 0: as many as peers or the platform's settings name
+	Calls  float64 `yaml:"calls"` // within over_ms; 0: it goes by what its peers get alone
+	OverMs int64   `yaml:"over_ms"`
+	// that send to it; 0: as many as peers or the platform's settings name
+	Processes int `yaml:"processes"`
 }
 
 // Eject is when a server gets no more work, and for how long.
@@ -63,19 +66,29 @@
 
 // Watch is how the inventory is taken when it changes.
 type Watch struct {
-	EveryS   float64 `yaml:"every_s"`   // it is looked at so often, beside what the system tells of it; 0: at HUP alone
+	// it is looked at so often, beside what the system tells of it; 0: at HUP alone
+	EveryS   float64 `yaml:"every_s"`
 	SettleMs int64   `yaml:"settle_ms"` // it has to stay as it is for so long
-	Shrink   float64 `yaml:"shrink"`    // a list that lost more than this share of its servers waits for a HUP
+	// a list that lost more than this share of its servers waits for a HUP
+	Shrink float64 `yaml:"shrink"`
 }
 
 func standardRouting() Routing {
 	c := picker.Standard(1)
-	return Routing{WarmS: 10, WarmFrom: c.Members.WarmFrom, Cold: Cold{OverMs: c.Ramp.Over / 1000}, Eject: Eject{Fails: c.Members.Fails, Rate: c.Members.RateMost, Slow: c.Members.SlowFactor,
-		FirstS: 5, MostS: 60, Share: c.Members.MostShare}, Check: Check{EveryMs: 2000, WithinMs: 1000, Fails: 3, Passes: 2},
-		Retries: Retries{c.Retries.Share, c.Retries.Spare}, Limit: Limit{First: 8, Least: 2}}
+	return Routing{
+		WarmS:    10,
+		WarmFrom: c.Members.WarmFrom,
+		Cold:     Cold{OverMs: c.Ramp.Over / 1000},
+		Eject: Eject{Fails: c.Members.Fails, Rate: c.Members.RateMost, Slow: c.Members.SlowFactor,
+			FirstS: 5, MostS: 60, Share: c.Members.MostShare},
+		Check:   Check{EveryMs: 2000, WithinMs: 1000, Fails: 3, Passes: 2},
+		Retries: Retries{c.Retries.Share, c.Retries.Spare},
+		Limit:   Limit{First: 8, Least: 2},
+	}
 }
 
-// Route is how a router is to decide, where the platform's settings name so many servers like this one.
+// Route is how a router is to decide, where the platform's settings name so many servers like this
+// one.
 func (o *Operator) Route(servers int) picker.Config {
 	r, c := &o.Routing, picker.Standard(o.Limits.ServerConns)
 	us := func(s float64) int64 { return int64(s * 1e6) }
@@ -91,7 +104,13 @@
 	c.Ramp.Calls, c.Ramp.Over = r.Cold.Calls, r.Cold.OverMs*1000
 	c.Ramp.Processes = cmp.Or(r.Cold.Processes, len(o.Peers.Members), servers, c.Ramp.Processes)
 	c.Retries.Share, c.Retries.Spare = r.Retries.Share, r.Retries.Spare
-	c.Limits.First, c.Limits.Least = min(r.Limit.First, o.Limits.ServerConns), min(r.Limit.Least, o.Limits.ServerConns)
+	c.Limits.First, c.Limits.Least = min(
+		r.Limit.First,
+		o.Limits.ServerConns,
+	), min(
+		r.Limit.Least,
+		o.Limits.ServerConns,
+	)
 	return c
 }
 
@@ -104,7 +123,11 @@
 		return o.doc.Bad("routing.limit.least", "%d is over first, %d", r.Limit.Least, r.Limit.First)
 	}
 	if r.Check.Path != "" && (!strings.HasPrefix(r.Check.Path, "/") || len(r.Check.Path) > 1000) {
-		return o.doc.Bad("routing.check.path", "%q does not begin with /, or is over 1000 characters", r.Check.Path)
+		return o.doc.Bad(
+			"routing.check.path",
+			"%q does not begin with /, or is over 1000 characters",
+			r.Check.Path,
+		)
 	}
 	for i, hall := range r.Halls {
 		at := "routing.halls." + strconv.Itoa(i)
--- a/internal/config/routing_cold_test.go
+++ b/internal/config/routing_cold_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The number of processes that share what a cold server bears is that of the file, of the peers, of the platform's settings, or a cautious one.
+// The number of processes that share what a cold server bears is that of the file, of the peers, of
+// the platform's settings, or a cautious one.
 func TestProcessesThatShareAColdServer(t *testing.T) {
 	for name, c := range map[string]struct{ named, members, servers, want int }{
 		"named":        {7, 3, 12, 7},
@@ -14,7 +15,8 @@
 			o := &Operator{Routing: standardRouting()}
 			o.Routing.Cold.Calls, o.Routing.Cold.Processes = 5, c.named
 			o.Peers.Members = make([]Peer, c.members)
-			if got := o.Route(c.servers).Ramp; got.Processes != c.want || got.Calls != 5 || got.Over != 1_000_000 {
+			if got := o.Route(c.servers).Ramp; got.Processes != c.want || got.Calls != 5 ||
+				got.Over != 1_000_000 {
 				t.Errorf("%+v, want %d processes", got, c.want)
 			}
 		})
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -9,10 +9,15 @@
 	"github.com/invopop/jsonschema"
 )
 
-// OperatorSchema describes the operator's file. It is made of the same structure that the file is read into, with the figures that
-// hold where a field is left out.
+// OperatorSchema describes the operator's file. It is made of the same structure that the file is
+// read into, with the figures that hold where a field is left out.
 func OperatorSchema() *jsonschema.Schema {
-	r := jsonschema.Reflector{FieldNameTag: "yaml", ExpandedStruct: true, DoNotReference: true, RequiredFromJSONSchemaTags: true}
+	r := jsonschema.Reflector{
+		FieldNameTag:               "yaml",
+		ExpandedStruct:             true,
+		DoNotReference:             true,
+		RequiredFromJSONSchemaTags: true,
+	}
 	s := r.Reflect(&Operator{})
 	s.Title = "The operator's file of ryepaddle"
 	addDefaults(s, reflect.ValueOf(*standardOperator()))
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -14,8 +14,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// The schema takes the files that are given out, with what they hold as comments as well, and refuses what the program refuses:
-// each figure out of its bounds, and a field that there is not.
+// The schema takes the files that are given out, with what they hold as comments as well, and
+// refuses what the program refuses: each figure out of its bounds, and a field that there is not.
 func TestSchema(t *testing.T) {
 	text, err := json.Marshal(OperatorSchema())
 	if err != nil {
@@ -46,7 +46,12 @@
 			t.Fatal(err)
 		}
 		// What is off is written as it would be on, behind a mark.
-		whole := regexp.MustCompile(`(?m)^# ( *(?:[a-z_]+:(?: |$)|- \{))`).ReplaceAllString(string(text), "$1")
+		whole := regexp.MustCompile(
+			`(?m)^# ( *(?:[a-z_]+:(?: |$)|- \{))`,
+		).ReplaceAllString(
+			string(text),
+			"$1",
+		)
 		for _, text := range []string{string(text), whole} {
 			if err := holds(text); err != nil {
 				t.Errorf("%s: %v", file, err)
@@ -67,7 +72,8 @@
 			if holds(file) == nil {
 				t.Errorf("the schema takes %s", file)
 			}
-			if _, err := parseOperator(filepath.Join(t.TempDir(), "o.yaml"), []byte(file), p); err == nil || !strings.Contains(err.Error(), b.field+": ") {
+			if _, err := parseOperator(filepath.Join(t.TempDir(), "o.yaml"), []byte(file), p); err == nil ||
+				!strings.Contains(err.Error(), b.field+": ") {
 				t.Errorf("%s: %v", file, err)
 			}
 		}
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -7,8 +7,9 @@
 	"strconv"
 )
 
-// Has reports a key that the file has not, and the one in force had, or whose value is of another kind. Whatever the platform
-// tells it tells each time: a file that lacks something was cut short, or is another's.
+// Has reports a key that the file has not, and the one in force had, or whose value is of another
+// kind. Whatever the platform tells it tells each time: a file that lacks something was cut short,
+// or is another's.
 func (p *Platform) Has(was *Platform) error {
 	if was.shape == nil { // it was put together by other means
 		return nil
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// common is what all entries of a list have: the first one's keys that are in each of them with the same kind of value. For lists
-// of plain values it is their kind.
+// common is what all entries of a list have: the first one's keys that are in each of them with the
+// same kind of value. For lists of plain values it is their kind.
 func common(list []any) any {
 	if len(list) == 0 {
 		return nil
--- a/internal/config/shape_test.go
+++ b/internal/config/shape_test.go
@@ -8,7 +8,8 @@
 	"ryepaddle/internal/admission"
 )
 
-// A file that is cut short, lacks a key or has a value of another kind says so before anything of it is used.
+// A file that is cut short, lacks a key or has a value of another kind says so before anything of
+// it is used.
 func TestFilesThatLackSomething(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
--- a/internal/discovery/kinds.go
+++ b/internal/discovery/kinds.go
@@ -4,6 +4,9 @@
 
 // What can go wrong here, and what an operator can do about it.
 var (
-	shrunk = fault.Define("inventory.shrunk", "A list lacks so many of the servers in force that it is not believed.",
-		"If it is meant, send HUP, which confirms it; else see why the list is short.")
+	shrunk = fault.Define(
+		"inventory.shrunk",
+		"A list lacks so many of the servers in force that it is not believed.",
+		"If it is meant, send HUP, which confirms it; else see why the list is short.",
+	)
 )
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -1,10 +1,11 @@
-// Package discovery decides when a changed inventory is read, and whether what was read is taken. It is free of I/O: it is told
-// what files look like, what they were found to mean, and the time.
+// Package discovery decides when a changed inventory is read, and whether what was read is taken.
+// It is free of I/O: it is told what files look like, what they were found to mean, and the time.
 //
-// A list is read once it has stayed as it is for a while, so that what is still being written is let alone; one that never
-// rests is read all the same after some time, since its tool may write it whole each time. It is taken whole or not at all.
-// One that is wrong, or has lost many of its servers at once, is refused once, with the reason, and the last good one stays;
-// a loss that is meant is confirmed by whoever says so (HUP).
+// A list is read once it has stayed as it is for a while, so that what is still being written is
+// let alone; one that never rests is read all the same after some time, since its tool may write it
+// whole each time. It is taken whole or not at all. One that is wrong, or has lost many of its
+// servers at once, is refused once, with the reason, and the last good one stays; a loss that is
+// meant is confirmed by whoever says so (HUP).
 package discovery
 
 import (
@@ -74,8 +75,14 @@
 // ErrShrunk is that of a list that has lost too many of its servers.
 var ErrShrunk error = shrunk.New("a HUP confirms it, if it is meant")
 
-// Judge decides about what was read, between two looks at the files. A list that was taken meanwhile may be newer than what was read.
-func (i *Validator) Judge(before, after Mark, servers []inventory.Server, err error, now int64) (Verdict, error) {
+// Judge decides about what was read, between two looks at the files. A list that was taken
+// meanwhile may be newer than what was read.
+func (i *Validator) Judge(
+	before, after Mark,
+	servers []inventory.Server,
+	err error,
+	now int64,
+) (Verdict, error) {
 	if before != after || i.reading != i.version {
 		i.Look(after, now)
 		return Again, nil
@@ -111,7 +118,13 @@
 		}
 	}
 	if float64(lost) > i.cfg.Shrink*float64(all) {
-		return fmt.Errorf("%d of %d servers are gone from it at once, %s the first of them: %w", lost, all, first, ErrShrunk)
+		return fmt.Errorf(
+			"%d of %d servers are gone from it at once, %s the first of them: %w",
+			lost,
+			all,
+			first,
+			ErrShrunk,
+		)
 	}
 	return nil
 }
@@ -127,7 +140,8 @@
 	i.taken, i.current, i.refused, i.reason, i.moving, i.offered = mark, servers, 0, "", 0, 0
 }
 
-// Offers tells whether a list that was handed over still waits to be taken: a HUP may have brought a newer one since.
+// Offers tells whether a list that was handed over still waits to be taken: a HUP may have brought
+// a newer one since.
 func (i *Validator) Offers(mark Mark) bool { return i.offered == mark && mark != 0 }
 
 // Reason is why the files as they are now are not taken; empty: they are, or they have not settled.
--- a/internal/discovery/validator_test.go
+++ b/internal/discovery/validator_test.go
@@ -22,7 +22,10 @@
 		if err != nil {
 			panic(err)
 		}
-		out = append(out, inventory.Server{Name: fmt.Sprint("n", i), Addr: addr, Groups: []string{"g"}, Weight: 1})
+		out = append(
+			out,
+			inventory.Server{Name: fmt.Sprint("n", i), Addr: addr, Groups: []string{"g"}, Weight: 1},
+		)
 	}
 	return out
 }
@@ -36,7 +39,8 @@
 		read bool
 	}{
 		{1, 1000, false}, {2, 1010, false}, {2, 1100, false}, {2, 1110, true}, // rested
-		{3, 1120, false}, {4, 1200, false}, {5, 1290, false}, {6, 1380, false}, {7, 1470, false}, {8, 1500, false}, {9, 1510, true}, // never does
+		// never does
+		{3, 1120, false}, {4, 1200, false}, {5, 1290, false}, {6, 1380, false}, {7, 1470, false}, {8, 1500, false}, {9, 1510, true},
 		{1, 1520, false}, {1, 2520, false}, // back to what holds
 		{2, 2600, false}, {2, 2700, true},
 	} {
@@ -109,8 +113,8 @@
 	}
 }
 
-// However files change and whatever is in them, a list is taken only if it is whole and keeps enough of the one that holds,
-// and a good one that rests is taken in the end.
+// However files change and whatever is in them, a list is taken only if it is whole and keeps
+// enough of the one that holds, and a good one that rests is taken in the end.
 func TestOnlyGoodListsAreTaken(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		held := servers(10)
@@ -159,7 +163,8 @@
 	})
 }
 
-// The watcher sees files that are written, replaced, half-written, gone and back, variables beside them, and folders.
+// The watcher sees files that are written, replaced, half-written, gone and back, variables beside
+// them, and folders.
 func TestWatch(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "hosts.yml")
@@ -191,17 +196,24 @@
 	var got []string
 	var w *Watcher
 	ready := make(chan struct{})
-	w = Watch(path, Config{Settle: 20_000, Shrink: 0.5}, 200*time.Millisecond, mark, first, func(m Mark, s []inventory.Server) {
-		<-ready
-		var names []string
-		for _, x := range s {
-			names = append(names, x.Name+"@"+x.Addr.String())
-		}
-		mu.Lock()
-		got = append(got, strings.Join(names, " "))
-		mu.Unlock()
-		w.Took(m, s)
-	})
+	w = Watch(
+		path,
+		Config{Settle: 20_000, Shrink: 0.5},
+		200*time.Millisecond,
+		mark,
+		first,
+		func(m Mark, s []inventory.Server) {
+			<-ready
+			var names []string
+			for _, x := range s {
+				names = append(names, x.Name+"@"+x.Addr.String())
+			}
+			mu.Lock()
+			got = append(got, strings.Join(names, " "))
+			mu.Unlock()
+			w.Took(m, s)
+		},
+	)
 	close(ready)
 	defer w.Stop()
 	await := func(what string, is func() bool) {
@@ -229,13 +241,22 @@
 	write("host_vars/n5.yml", "uwsgi_port: 5005\n")
 	await("a variable beside it", last("n5@127.0.0.1:5005"))
 	write("hosts.yml", hosts(6)[:40])
-	await("the reason of a half-written one", func() bool { return strings.Contains(w.Reason(), "the last line has no end") })
+	await(
+		"the reason of a half-written one",
+		func() bool { return strings.Contains(w.Reason(), "the last line has no end") },
+	)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	await("the reason of one that is gone", func() bool { return strings.Contains(w.Reason(), "no such file") })
+	await(
+		"the reason of one that is gone",
+		func() bool { return strings.Contains(w.Reason(), "no such file") },
+	)
 	write("hosts.yml", hosts(1))
-	await("the reason of one that shrank", func() bool { return strings.Contains(w.Reason(), "gone from it at once") })
+	await(
+		"the reason of one that shrank",
+		func() bool { return strings.Contains(w.Reason(), "gone from it at once") },
+	)
 	write("hosts.yml", hosts(6))
 	await("one that is whole again", last("n6@127.0.0.1:4006"))
 	if w.Reason() != "" {
@@ -243,8 +264,9 @@
 	}
 }
 
-// A HUP takes a list while the watcher reads, or while what it found waits to be taken: what the watcher has may be older than the HUP's list,
-// and must not come after it. A shrunken list that a HUP has confirmed would be refused from then on.
+// A HUP takes a list while the watcher reads, or while what it found waits to be taken: what the
+// watcher has may be older than the HUP's list, and must not come after it. A shrunken list that a
+// HUP has confirmed would be refused from then on.
 func TestAHUPCrossesAListThatWasFound(t *testing.T) {
 	const before, older, confirmed = Mark(1), Mark(2), Mark(3)
 	for name, c := range map[string]struct {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,9 +22,9 @@
 // EvRefused is a list that is not taken: the last good one stays.
 var EvRefused = logging.Define("inventory.refused", slog.LevelError, "error")
 
-// Watcher reads an inventory's files beside the loop when they have changed: when the system says so, and now and then by
-// what is in them, since not all file systems tell. What is to be taken is handed over; whoever gets it says what became of
-// it by Took or Refused.
+// Watcher reads an inventory's files beside the loop when they have changed: when the system says
+// so, and now and then by what is in them, since not all file systems tell. What is to be taken is
+// handed over; whoever gets it says what became of it by Took or Refused.
 type Watcher struct {
 	path  string
 	every time.Duration
@@ -104,7 +104,8 @@
 		case <-w.stop:
 			return
 		case err := <-errs:
-			if err != nil && !errors.Is(err, fsnotify.ErrEventOverflow) { // an overflow is an event like others
+			// an overflow is an event like others
+			if err != nil && !errors.Is(err, fsnotify.ErrEventOverflow) {
 				evWatch.Log(err)
 			}
 		case <-events:
@@ -126,7 +127,8 @@
 	}
 }
 
-// follow has the system tell of the folders that hold the files. Files themselves are replaced, and folders stay.
+// follow has the system tell of the folders that hold the files. Files themselves are replaced, and
+// folders stay.
 func (w *Watcher) follow(n *fsnotify.Watcher) {
 	folders := []string{filepath.Dir(w.path)}
 	if files, err := inventory.Files(w.path); err == nil {
@@ -146,7 +148,8 @@
 	}
 }
 
-// look looks at the files, and reads them where that is due. It reports whether something is on the way.
+// look looks at the files, and reads them where that is due. It reports whether something is on the
+// way.
 func (w *Watcher) look() bool {
 	mark, err := MarkOf(w.path)
 	if err != nil { // being replaced, or gone: the list that holds stays
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -17,8 +17,8 @@
 	ErrFlood    = errors.New("peer sends more than fits the buffer")
 )
 
-// RefusedError tells that a connection was refused, or could not even be tried for want of a descriptor. Either
-// proves that nothing was sent on it.
+// RefusedError tells that a connection was refused, or could not even be tried for want of a
+// descriptor. Either proves that nothing was sent on it.
 type RefusedError struct{ Err error }
 
 func (e *RefusedError) Error() string { return "connect refused: " + e.Err.Error() }
@@ -51,8 +51,8 @@
 	h       Handler
 	limits  Limits
 	in, out []byte
-	// Opening: the connect is under way. Ended: the peer sends no more. Leaving: the own side is shut, what comes is
-	// thrown away until the peer closes.
+	// Opening: the connect is under way. Ended: the peer sends no more. Leaving: the own side is
+	// shut, what comes is thrown away until the peer closes.
 	opening, ended, leaving, isShut, closed, dirty bool
 	paused, blind                                  bool // blind: taken off epoll while it is paused
 	drain                                          func()
@@ -93,7 +93,8 @@
 	}
 	if err := unix.Connect(fd, sa); err != nil && err != unix.EINPROGRESS {
 		_ = unix.Close(fd)
-		if addr.IsUnix() { // there it stands at once or not at all: nobody took it, whatever the reason
+		// there it stands at once or not at all: nobody took it, whatever the reason
+		if addr.IsUnix() {
 			return l.stillborn(h, &RefusedError{err})
 		}
 		return l.stillborn(h, connectError(err))
@@ -106,7 +107,8 @@
 	return c
 }
 
-// stillborn is a connection that never had a descriptor; its handler learns of it like of any other.
+// stillborn is a connection that never had a descriptor; its handler learns of it like of any
+// other.
 func (l *Loop) stillborn(h Handler, err error) *Conn {
 	l.Post(func() { h.Closed(err) })
 	return &Conn{loop: l, fd: -1, h: h, closed: true}
@@ -125,14 +127,15 @@
 		c.finishConnect()
 		return
 	}
-	// The ends of a connection are always told. One that is paused would tell them again and again, and what came before
-	// the end would be lost with it.
+	// The ends of a connection are always told. One that is paused would tell them again and again,
+	// and what came before the end would be lost with it.
 	if c.paused && events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && len(c.out) == 0 {
 		c.blind = true
 		c.loop.unwatch(c.fd)
 		return
 	}
-	// What a server said before it reset the connection still counts; what a caller asked for before that does not.
+	// What a server said before it reset the connection still counts; what a caller asked for
+	// before that does not.
 	if events&unix.EPOLLERR != 0 && (events&unix.EPOLLIN == 0 || c.ended || !c.dialled) {
 		errno, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		c.Close(fmt.Errorf("connection broke: %w", unix.Errno(errno)))
@@ -201,9 +204,9 @@
 	}
 }
 
-// peerEnded deals with the end of what the peer sends. A peer that only stopped sending still gets what is queued for it:
-// its end may be read in the very turn in which its answer was written, before that went out. A connection that was dialled
-// to a server that ends has nobody to wait for.
+// peerEnded deals with the end of what the peer sends. A peer that only stopped sending still gets
+// what is queued for it: its end may be read in the very turn in which its answer was written,
+// before that went out. A connection that was dialled to a server that ends has nobody to wait for.
 func (c *Conn) peerEnded() {
 	c.ended = true
 	wanted := !c.leaving && c.h.End()
@@ -243,7 +246,8 @@
 	}
 }
 
-// Pause stops reading, or goes on. What the peer has sent waits in the system's buffers, and then at the peer.
+// Pause stops reading, or goes on. What the peer has sent waits in the system's buffers, and then
+// at the peer.
 func (c *Conn) Pause(on bool) {
 	if c.paused != on && !c.closed {
 		c.paused = on
@@ -262,7 +266,8 @@
 // OnDrain has fn called whenever the peer has taken some of what was queued. It must not write.
 func (c *Conn) OnDrain(fn func()) { c.drain = fn }
 
-// Abort ends the connection so that the peer sees that it was cut: what it has been sent must not look whole.
+// Abort ends the connection so that the peer sees that it was cut: what it has been sent must not
+// look whole.
 func (c *Conn) Abort(err error) {
 	if !c.closed {
 		// An error of it leaves an ordinary end, which a stated length still shows for what it is.
@@ -280,7 +285,8 @@
 	return err == unix.EAGAIN
 }
 
-// HasPending tells whether bytes wait in the system that the loop has not read yet, as they came in this very turn.
+// HasPending tells whether bytes wait in the system that the loop has not read yet, as they came in
+// this very turn.
 func (c *Conn) HasPending() bool {
 	if c.closed || c.ended {
 		return false
@@ -387,8 +393,9 @@
 	maxDropped  = 1 << 20    // a peer that goes on sending is not listened to for as long
 )
 
-// Leave sends what is queued, shuts the own side and closes when the peer does, or after a while. Closing at once
-// would reset the connection where the peer has just written, and take answers with it that it has not read.
+// Leave sends what is queued, shuts the own side and closes when the peer does, or after a while.
+// Closing at once would reset the connection where the peer has just written, and take answers with
+// it that it has not read.
 func (c *Conn) Leave() {
 	if c.closed || c.leaving {
 		return
@@ -404,8 +411,8 @@
 	c.touch()
 }
 
-// FinishNow is Leave for a process that ends at once: what the peer takes now of what is queued goes out, the own side is shut,
-// and what has come is read off.
+// FinishNow is Leave for a process that ends at once: what the peer takes now of what is queued
+// goes out, the own side is shut, and what has come is read off.
 func (c *Conn) FinishNow() {
 	if c.closed || c.opening {
 		return
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -27,7 +27,8 @@
 func (p *peer) End() bool    { return false }
 func (p *peer) Closed(error) {}
 
-// expect turns the loop until the peer has read to the end, which has to be in order and to bring all of the text.
+// expect turns the loop until the peer has read to the end, which has to be in order and to bring
+// all of the text.
 func expect(t testing.TB, s *scenario.Stepped, got <-chan scenario.Ended, want string) {
 	t.Helper()
 	if r := s.AwaitEnd(got); r.Err != nil || r.Text != want {
@@ -36,20 +37,32 @@
 }
 
 // accepting listens and gives the connections that are taken, oldest first.
-func accepting(t testing.TB, l *eventloop.Loop, most int, h func(*eventloop.Conn) eventloop.Handler) (*eventloop.Listener, *[]*eventloop.Conn) {
+func accepting(
+	t testing.TB,
+	l *eventloop.Loop,
+	most int,
+	h func(*eventloop.Conn) eventloop.Handler,
+) (*eventloop.Listener, *[]*eventloop.Conn) {
 	t.Helper()
 	taken := &[]*eventloop.Conn{}
-	ln, err := l.Listen(loopback, most, eventloop.Limits{In: 1 << 10, Out: 8 << 20}, func(c *eventloop.Conn) eventloop.Handler {
-		*taken = append(*taken, c)
-		return h(c)
-	}, nil)
+	ln, err := l.Listen(
+		loopback,
+		most,
+		eventloop.Limits{In: 1 << 10, Out: 8 << 20},
+		func(c *eventloop.Conn) eventloop.Handler {
+			*taken = append(*taken, c)
+			return h(c)
+		},
+		nil,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return ln, taken
 }
 
-// A peer that stops sending is read to its end in the turn in which its answer is written: the answer still goes out.
+// A peer that stops sending is read to its end in the turn in which its answer is written: the
+// answer still goes out.
 func TestEndOfPeerInTheTurnOfItsAnswer(t *testing.T) {
 	s := scenario.NewStepped(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
@@ -85,8 +98,8 @@
 	expect(t, s, scenario.ReadToEnd(c), string(large))
 }
 
-// A connection that is left while it is paused reads what still comes: closed over it, it would be reset and take the answer
-// along.
+// A connection that is left while it is paused reads what still comes: closed over it, it would be
+// reset and take the answer along.
 func TestLeftWhilePaused(t *testing.T) {
 	s := scenario.NewStepped(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
@@ -104,13 +117,19 @@
 	expect(t, s, scenario.ReadToEnd(c), "answer")
 }
 
-// What waits in the queue when a listener closes was accepted in its peer's eyes: all of it is taken in, however much it is.
+// What waits in the queue when a listener closes was accepted in its peer's eyes: all of it is
+// taken in, however much it is.
 func TestQueueIsTakenAsTheListenerCloses(t *testing.T) {
 	const many = 3 * acceptsInOneTurn
 	for name, end := range map[string]func(*eventloop.Listener){"close": (*eventloop.Listener).Close, "when taken": func(ln *eventloop.Listener) { ln.CloseWhenTaken(1_000_000) }} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario.NewStepped(t)
-			ln, taken := accepting(t, s.Loop, 2*many, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+			ln, taken := accepting(
+				t,
+				s.Loop,
+				2*many,
+				func(*eventloop.Conn) eventloop.Handler { return &peer{} },
+			)
 			for range many {
 				s.Dial(ln, "")
 			}
@@ -122,7 +141,8 @@
 	}
 }
 
-// Those in the queue that have no place yet get theirs as others go, and only then the listener closes.
+// Those in the queue that have no place yet get theirs as others go, and only then the listener
+// closes.
 func TestQueueWaitsForPlaces(t *testing.T) {
 	s := scenario.NewStepped(t)
 	ln, taken := accepting(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
@@ -150,8 +170,8 @@
 	}
 }
 
-// As the process ends, its connections are closed at once: bytes that were not read must not take along an answer that the peer has
-// not read yet.
+// As the process ends, its connections are closed at once: bytes that were not read must not take
+// along an answer that the peer has not read yet.
 func TestUnreadBytesAsTheProcessEnds(t *testing.T) {
 	s := scenario.NewStepped(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -31,27 +31,54 @@
 	ending bool // it closes as soon as nobody waits in the queue
 }
 
-// Listen accepts connections on addr. Accept names the handler of each. At most `most` are open at once; the others
-// wait in the system's queue, and full is called so that an idle connection can make room.
-func (l *Loop) Listen(addr netip.AddrPort, most int, limits Limits, accept func(*Conn) Handler, full func()) (*Listener, error) {
+// Listen accepts connections on addr. Accept names the handler of each. At most `most` are open at
+// once; the others wait in the system's queue, and full is called so that an idle connection can
+// make room.
+func (l *Loop) Listen(
+	addr netip.AddrPort,
+	most int,
+	limits Limits,
+	accept func(*Conn) Handler,
+	full func(),
+) (*Listener, error) {
 	return l.ListenAddr(netaddr.Addr{IP: addr}, most, limits, accept, full)
 }
 
-// ListenShared is Listen on an address on which other processes of the same user listen as well. The system spreads connections over
-// all of them.
-func (l *Loop) ListenShared(addr netip.AddrPort, most int, limits Limits, accept func(*Conn) Handler, full func()) (*Listener, error) {
+// ListenShared is Listen on an address on which other processes of the same user listen as well.
+// The system spreads connections over all of them.
+func (l *Loop) ListenShared(
+	addr netip.AddrPort,
+	most int,
+	limits Limits,
+	accept func(*Conn) Handler,
+	full func(),
+) (*Listener, error) {
 	return l.listen(netaddr.Addr{IP: addr}, true, most, limits, accept, full)
 }
 
 // socketMode lets the owner and the group of a unix socket connect.
 const socketMode = 0o660
 
-// ListenAddr is Listen on any kind of address. The file of a unix socket that nobody listens on any more is replaced.
-func (l *Loop) ListenAddr(addr netaddr.Addr, most int, limits Limits, accept func(*Conn) Handler, full func()) (*Listener, error) {
+// ListenAddr is Listen on any kind of address. The file of a unix socket that nobody listens on any
+// more is replaced.
+func (l *Loop) ListenAddr(
+	addr netaddr.Addr,
+	most int,
+	limits Limits,
+	accept func(*Conn) Handler,
+	full func(),
+) (*Listener, error) {
 	return l.listen(addr, false, most, limits, accept, full)
 }
 
-func (l *Loop) listen(addr netaddr.Addr, shared bool, most int, limits Limits, accept func(*Conn) Handler, full func()) (*Listener, error) {
+func (l *Loop) listen(
+	addr netaddr.Addr,
+	shared bool,
+	most int,
+	limits Limits,
+	accept func(*Conn) Handler,
+	full func(),
+) (*Listener, error) {
 	fam, sa := socketAddr(addr)
 	fd, err := unix.Socket(fam, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -74,7 +101,9 @@
 	if err == nil {
 		err = unix.Listen(fd, backlog)
 	}
-	if err == nil && shared { // what the one before it left behind would lead all connections here, and none to those that go on
+	// what the one before it left behind would lead all connections here, and none to those that go
+	// on
+	if err == nil && shared {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0)
 	}
 	if err == nil {
@@ -87,8 +116,8 @@
 	return ln, nil
 }
 
-// clearStale removes the file of a socket that a process left behind which was killed. One that still takes connections,
-// and a file that is no socket, stay, and bind fails on them.
+// clearStale removes the file of a socket that a process left behind which was killed. One that
+// still takes connections, and a file that is no socket, stay, and bind fails on them.
 func clearStale(path string) {
 	var st unix.Stat_t
 	if unix.Lstat(path, &st) != nil || st.Mode&unix.S_IFMT != unix.S_IFSOCK {
@@ -139,7 +168,8 @@
 			ln.pause()
 			if ln.full != nil {
 				ln.full()
-				// Nobody may have had to make room now, and nothing else may come to an end by itself.
+				// Nobody may have had to make room now, and nothing else may come to an end by
+				// itself.
 				ln.loop.After(acceptRest, ln.look)
 			}
 			return
@@ -154,7 +184,8 @@
 			}
 			return
 		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-			// The queue stays readable: without a rest the loop would spin on an accept that cannot succeed.
+			// The queue stays readable: without a rest the loop would spin on an accept that cannot
+			// succeed.
 			ln.pause()
 			if ln.full != nil {
 				ln.full()
@@ -236,17 +267,19 @@
 	}
 }
 
-// HandOver has the system lead what connects from now on to the process that began to listen after this one, and closes the listener
-// once the handshakes are over that it was led before: a listener that is closed resets them. Where the system does not do so it is
-// closed at once.
+// HandOver has the system lead what connects from now on to the process that began to listen after
+// this one, and closes the listener once the handshakes are over that it was led before: a listener
+// that is closed resets them. Where the system does not do so it is closed at once.
 func (ln *Listener) HandOver() {
 	if ln.fd < 0 {
 		return
 	}
-	// The system keeps the listeners of an address in the order in which they came: this one is the first of two.
+	// The system keeps the listeners of an address in the order in which they came: this one is the
+	// first of two.
 	toSecond := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 	prog := unix.SockFprog{Len: uint16(len(toSecond)), Filter: &toSecond[0]}
-	if !ln.shared || unix.SetsockoptSockFprog(ln.fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &prog) != nil {
+	if !ln.shared ||
+		unix.SetsockoptSockFprog(ln.fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &prog) != nil {
 		ln.Close()
 		return
 	}
@@ -256,9 +289,9 @@
 // Listens tells whether it still takes connections.
 func (ln *Listener) Listens() bool { return ln.fd >= 0 }
 
-// CloseWhenTaken stops listening once all that wait in the queue are taken in, or after so long: they were accepted in their
-// peers' eyes, and closing the listener would reset them. Usually that is now; where as many connections are open as may be,
-// those in the queue wait for their places.
+// CloseWhenTaken stops listening once all that wait in the queue are taken in, or after so long:
+// they were accepted in their peers' eyes, and closing the listener would reset them. Usually that
+// is now; where as many connections are open as may be, those in the queue wait for their places.
 func (ln *Listener) CloseWhenTaken(within int64) {
 	if ln.fd < 0 || ln.ending {
 		return
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,5 @@
-// Package loop is the program's one event loop: epoll, timers, the clock, connection buffers with limits, and signals.
-// Everything on it runs on the goroutine that called Run.
+// Package loop is the program's one event loop: epoll, timers, the clock, connection buffers with
+// limits, and signals. Everything on it runs on the goroutine that called Run.
 package eventloop
 
 import (
@@ -58,8 +58,8 @@
 // New makes a loop that goes by the system's clock. Close gives it back.
 func New() (*Loop, error) { return newLoop(wallclock.Now, false) }
 
-// NewStepped makes a loop for tests: it goes by a clock that its owner steps, and its turns deal with what is ready and due
-// without waiting.
+// NewStepped makes a loop for tests: it goes by a clock that its owner steps, and its turns deal
+// with what is ready and due without waiting.
 func NewStepped(clock Clock) (*Loop, error) { return newLoop(clock, true) }
 
 func newLoop(clock Clock, stepped bool) (*Loop, error) {
@@ -67,7 +67,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("loop: epoll: %w", err)
 	}
-	l := &Loop{ep: ep, clock: clock, stepped: stepped, start: clock(), table: map[int]watched{}, scratch: make([]byte, readChunk)}
+	l := &Loop{
+		ep:      ep,
+		clock:   clock,
+		stepped: stepped,
+		start:   clock(),
+		table:   map[int]watched{},
+		scratch: make([]byte, readChunk),
+	}
 	l.readClock()
 	if l.wake, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
 		_ = unix.Close(ep)
@@ -114,8 +121,8 @@
 	return nil
 }
 
-// Turn waits until something is ready or the next timer is due, and deals with all of it: timers first, then descriptors,
-// and what both have put into buffers is written at the end.
+// Turn waits until something is ready or the next timer is due, and deals with all of it: timers
+// first, then descriptors, and what both have put into buffers is written at the end.
 func (l *Loop) Turn() error {
 	l.settle()
 	n, err := unix.EpollWait(l.ep, l.events[:], l.patience())
@@ -125,7 +132,8 @@
 	l.readClock()
 	l.fire()
 	for _, event := range l.events[:max(n, 0)] {
-		// A descriptor closed earlier in this turn may have been given out again: the generation tells.
+		// A descriptor closed earlier in this turn may have been given out again: the generation
+		// tells.
 		if w, ok := l.table[int(event.Fd)]; ok && w.gen == event.Pad {
 			w.src.ready(event.Events)
 		}
@@ -134,8 +142,9 @@
 	return nil
 }
 
-// AwaitReady waits until the next turn will find something ready, without dealing with it, and reports whether there is
-// something. With a stepped clock it lets a test put a timer and a descriptor into the same turn.
+// AwaitReady waits until the next turn will find something ready, without dealing with it, and
+// reports whether there is something. With a stepped clock it lets a test put a timer and a
+// descriptor into the same turn.
 func (l *Loop) AwaitReady(within time.Duration) (bool, error) {
 	fds := []unix.PollFd{{Fd: int32(l.ep), Events: unix.POLLIN}}
 	for {
@@ -195,7 +204,8 @@
 // unwatch stops watching a descriptor that stays open.
 func (l *Loop) unwatch(fd int) {
 	delete(l.table, fd)
-	_ = unix.EpollCtl(l.ep, unix.EPOLL_CTL_DEL, fd, nil) // it fails only for one that is not watched
+	// it fails only for one that is not watched
+	_ = unix.EpollCtl(l.ep, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
 // release is the one place where a watched descriptor is given back.
@@ -204,8 +214,9 @@
 	_ = unix.Close(fd) // closing also ends the watch; there is nothing to be done about an error
 }
 
-// Signals calls fn on the loop for each of the signals. Those of one kind that come together count once, so that a
-// flood of one neither blocks nor crowds out another. They are caught from the moment of this call on, and for good.
+// Signals calls fn on the loop for each of the signals. Those of one kind that come together count
+// once, so that a flood of one neither blocks nor crowds out another. They are caught from the
+// moment of this call on, and for good.
 func (l *Loop) Signals(fn func(os.Signal), signals ...os.Signal) {
 	for _, s := range signals {
 		ch := make(chan os.Signal, 1)
@@ -223,7 +234,8 @@
 	l.mu.Lock()
 	l.delivered = append(l.delivered, fn)
 	l.mu.Unlock()
-	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0}) // it fails only where a wake-up is under way
+	// it fails only where a wake-up is under way
+	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
 // takeDelivered runs what other goroutines have left.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -104,7 +104,11 @@
 		}
 		ln := listen(t, l, 8, Limits{100, 100}, &peer{closed: func(err error) { flood = err; end() }}, nil)
 		var c *Conn
-		c = l.Dial(ln.Addr(), Limits{100, 1 << 10}, &peer{up: func() { c.Write([]byte(strings.Repeat("x", 101))) }})
+		c = l.Dial(
+			ln.Addr(),
+			Limits{100, 1 << 10},
+			&peer{up: func() { c.Write([]byte(strings.Repeat("x", 101))) }},
+		)
 		gone := listen(t, l, 1, Limits{}, &peer{}, nil)
 		addr := gone.Addr()
 		gone.Close()
@@ -116,7 +120,8 @@
 	}
 }
 
-// An accept that fails for want of descriptors leaves the listener readable: the loop must rest, not spin on it.
+// An accept that fails for want of descriptors leaves the listener readable: the loop must rest,
+// not spin on it.
 func TestNoSpinWithoutDescriptors(t *testing.T) {
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
@@ -124,8 +129,14 @@
 	}
 	fulls, took := 0, false
 	run(t, func(l *Loop) {
-		ln := listen(t, l, 100, Limits{10, 10}, &peer{data: func([]byte) (int, error) { took = true; l.Stop(); return 0, nil }},
-			func() { fulls++ })
+		ln := listen(
+			t,
+			l,
+			100,
+			Limits{10, 10},
+			&peer{data: func([]byte) (int, error) { took = true; l.Stop(); return 0, nil }},
+			func() { fulls++ },
+		)
 		var c *Conn
 		c = l.Dial(ln.Addr(), Limits{10, 10}, &peer{up: func() { c.Write([]byte("x")) }})
 		low := old
@@ -176,7 +187,8 @@
 		stopped := l.After(15_000, func() { got = append(got, -1) })
 		stopped.Stop()
 		stopped.Stop()
-		// Two that are due in one turn: the first stops the second, which must not fire from the turn's list.
+		// Two that are due in one turn: the first stops the second, which must not fire from the
+		// turn's list.
 		var second *Timer
 		l.After(0, func() { second.Stop() })
 		second = l.After(1, func() { got = append(got, -2) })
@@ -188,8 +200,8 @@
 	}
 }
 
-// Of two that listen on one address the first hands over while peers connect: each connection is taken by one of them, none is reset,
-// and none goes to the first once it has handed over.
+// Of two that listen on one address the first hands over while peers connect: each connection is
+// taken by one of them, none is reset, and none goes to the first once it has handed over.
 func TestHandOver(t *testing.T) {
 	const each = 400
 	taken := make([]int, 2)
@@ -270,7 +282,8 @@
 	return err
 }
 
-// Small writes go out at once on connections that were accepted and on those that were dialled: what the system held back would be lost with a reset.
+// Small writes go out at once on connections that were accepted and on those that were dialled:
+// what the system held back would be lost with a reset.
 func TestSmallWritesAreNotHeldBack(t *testing.T) {
 	noDelay := map[string]int{}
 	look := func(l *Loop, name string, c *Conn) {
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -25,7 +25,8 @@
 	})
 }
 
-// Stop cancels the call, also when it is due in this very turn. It may be called on a nil timer, and again.
+// Stop cancels the call, also when it is due in this very turn. It may be called on a nil timer,
+// and again.
 func (t *Timer) Stop() {
 	if t == nil {
 		return
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,6 @@
-// Package fault is what errors of the program have in common: a kind with a stable name, where it is, its cause, and what an operator
-// can do about it. A package defines its kinds once; whoever meets an error asks with Of, whatever it is wrapped in.
+// Package fault is what errors of the program have in common: a kind with a stable name, where it
+// is, its cause, and what an operator can do about it. A package defines its kinds once; whoever
+// meets an error asks with Of, whatever it is wrapped in.
 package fault
 
 import (
@@ -73,7 +74,8 @@
 	return &Error{Kind: k, Err: fmt.Errorf(format, args...)}
 }
 
-// Wrap gives a cause the kind. One that has a kind keeps it, as whoever was nearer knows more; none stays none.
+// Wrap gives a cause the kind. One that has a kind keeps it, as whoever was nearer knows more; none
+// stays none.
 func (k *Kind) Wrap(err error) error {
 	if err == nil || Of(err) != nil {
 		return err
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -30,7 +30,9 @@
 	if e := Of(fmt.Errorf("outer: %w", own{})); e == nil || e.Kind != near || e.Where.Line != 3 {
 		t.Errorf("%+v", e)
 	}
-	if plain := io.EOF; Of(plain) != nil || Name(plain) != "" || Advice(plain) != "" || far.Wrap(nil) != nil || Name(far.Wrap(plain)) != "test.far" {
+	if plain := io.EOF; Of(plain) != nil || Name(plain) != "" || Advice(plain) != "" ||
+		far.Wrap(nil) != nil ||
+		Name(far.Wrap(plain)) != "test.far" {
 		t.Error("what has no kind has one")
 	}
 	defer func() {
--- a/internal/flowcontrol/flow.go
+++ b/internal/flowcontrol/flow.go
@@ -1,13 +1,16 @@
-// Package flow decides how responses pass through the hop: which are gathered whole and which stream, what is kept of a
-// keyed one for its repeats, who of the readers is waited for, and who gives way when all of them together hold too much.
-// It is free of I/O: it is told what is queued and says what is to be done.
+// Package flow decides how responses pass through the hop: which are gathered whole and which
+// stream, what is kept of a keyed one for its repeats, who of the readers is waited for, and who
+// gives way when all of them together hold too much. It is free of I/O: it is told what is queued
+// and says what is to be done.
 package flowcontrol
 
 import "cmp"
 
 // Limits bound what passes, in bytes.
 type Limits struct {
-	Whole int // a response up to this is gathered, so that a failure in it can still be told, and tried elsewhere
+	// a response up to this is gathered, so that a failure in it can still be told, and tried
+	// elsewhere
+	Whole int
 	Keep  int // of a keyed one up to this is kept for its repeats
 	Queue int // what may wait for one reader
 	Total int // and for all of them
@@ -26,8 +29,9 @@
 	NeedsLength // it would stream, and a server has to be told how much comes
 )
 
-// PlanBody decides about the body of a request. One with a key is known by its body, and one that is not safe to repeat
-// must be whole before it may run; an engine beside the runner takes no other either (remote: it runs on servers).
+// PlanBody decides about the body of a request. One with a key is known by its body, and one that
+// is not safe to repeat must be whole before it may run; an engine beside the runner takes no other
+// either (remote: it runs on servers).
 func (l *Limits) PlanBody(safe, remote bool, length int64, chunked bool) Body {
 	switch {
 	case !chunked && length <= int64(l.Body):
@@ -93,8 +97,8 @@
 	return Begin
 }
 
-// Keeps tells whether what has come is to be kept for repeats. Once it is too long, nothing of it is; that it ran is
-// remembered all the same.
+// Keeps tells whether what has come is to be kept for repeats. Once it is too long, nothing of it
+// is; that it ran is remembered all the same.
 func (r *Response) Keeps() bool { return r.keyed && !r.tooLong }
 
 // ID names a reader.
@@ -135,14 +139,14 @@
 // Total is what is queued for all of them.
 func (b *Budget) Total() int { return b.total }
 
-// share is what may wait for one reader now: less when there are many, so that a crowd of slow ones does not come to the
-// total. Half of it is left for what is under way.
+// share is what may wait for one reader now: less when there are many, so that a crowd of slow ones
+// does not come to the total. Half of it is left for what is under way.
 func (b *Budget) share() int {
 	return max(min(b.limits.Queue, b.limits.Total/2/max(len(b.readers), 1)), 1)
 }
 
-// Queued notes how much waits for a reader, and says whether its server is to wait. It begins to wait at the reader's
-// share and goes on at half of it, or it would stop and go with every packet.
+// Queued notes how much waits for a reader, and says whether its server is to wait. It begins to
+// wait at the reader's share and goes on at half of it, or it would stop and go with every packet.
 func (b *Budget) Queued(id ID, n int, now int64) (wait bool) {
 	r := b.readers[id]
 	if r == nil {
@@ -158,9 +162,9 @@
 	return r.paused
 }
 
-// Victim names the reader that gives way while all together hold more than the total: the one that has taken nothing for
-// longest, and of those that wait alike the one with the most. Whoever reads on, however slowly, is not named before one
-// that does not.
+// Victim names the reader that gives way while all together hold more than the total: the one that
+// has taken nothing for longest, and of those that wait alike the one with the most. Whoever reads
+// on, however slowly, is not named before one that does not.
 func (b *Budget) Victim() (ID, bool) {
 	if b.total <= b.limits.Total {
 		return 0, false
@@ -170,7 +174,12 @@
 		if r.queued == 0 {
 			continue
 		}
-		if worst == nil || cmp.Or(cmp.Compare(worst.since, r.since), cmp.Compare(r.queued, worst.queued), cmp.Compare(worst.id, r.id)) > 0 {
+		if worst == nil ||
+			cmp.Or(
+				cmp.Compare(worst.since, r.since),
+				cmp.Compare(r.queued, worst.queued),
+				cmp.Compare(worst.id, r.id),
+			) > 0 {
 			worst = r
 		}
 	}
--- a/internal/flowcontrol/flow_test.go
+++ b/internal/flowcontrol/flow_test.go
@@ -90,8 +90,9 @@
 	}
 }
 
-// Whatever readers do: the total is the sum of what is queued; closing victims comes back under it; and where servers wait
-// when they are told to, with no part larger than a share, nobody has to be closed at all.
+// Whatever readers do: the total is the sum of what is queued; closing victims comes back under it;
+// and where servers wait when they are told to, with no part larger than a share, nobody has to be
+// closed at all.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(limits)
@@ -145,10 +146,12 @@
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if l.PlanLong(true, true) != NeedsLength || l.PlanLong(false, true) != TooLarge || l.PlanLong(true, false) != TooLarge {
+	if l.PlanLong(true, true) != NeedsLength || l.PlanLong(false, true) != TooLarge ||
+		l.PlanLong(true, false) != TooLarge {
 		t.Error("bodies in chunks that are too long")
 	}
-	if off := (Limits{Body: 10}); off.PlanBody(true, true, 11, false) != TooLarge || off.PlanLong(true, true) != TooLarge {
+	if off := (Limits{Body: 10}); off.PlanBody(true, true, 11, false) != TooLarge ||
+		off.PlanLong(true, true) != TooLarge {
 		t.Error("streaming is off, and a body streams")
 	}
 }
--- a/internal/frontend/admin/ops.go
+++ b/internal/frontend/admin/ops.go
@@ -1,5 +1,5 @@
-// Package ops is the operators' door: HTTP/1.1, one call a connection, on a listener of its own. It passes on what the
-// program says, and decides and counts nothing.
+// Package ops is the operators' door: HTTP/1.1, one call a connection, on a listener of its own. It
+// passes on what the program says, and decides and counts nothing.
 //
 //	GET /ops/readiness   200: this process can serve now; 503: it cannot, and why
 //	GET /ops/stats       the figures
@@ -53,7 +53,13 @@
 func Listen(l *eventloop.Loop, addr netip.AddrPort, of Program) (*Door, error) {
 	d := &Door{loop: l, of: of}
 	var err error
-	d.ln, err = l.Listen(addr, mostCalls, eventloop.Limits{In: mostHead + 4, Out: mostOut}, d.accept, d.makeRoom)
+	d.ln, err = l.Listen(
+		addr,
+		mostCalls,
+		eventloop.Limits{In: mostHead + 4, Out: mostOut},
+		d.accept,
+		d.makeRoom,
+	)
 	return d, err
 }
 
@@ -67,7 +73,8 @@
 	return k
 }
 
-// makeRoom closes those that have been there longest without a whole call: others wait for their places.
+// makeRoom closes those that have been there longest without a whole call: others wait for their
+// places.
 func (d *Door) makeRoom() {
 	n := 0
 	for _, k := range d.open {
@@ -147,8 +154,15 @@
 	if err != nil {
 		status, body = 500, nil
 	}
-	r := http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Close: true, ContentLength: int64(len(body)), Body: io.NopCloser(bytes.NewReader(body)),
-		Header: http.Header{"Content-Type": {"application/json"}, "Cache-Control": {"no-store"}}}
+	r := http.Response{
+		StatusCode:    status,
+		ProtoMajor:    1,
+		ProtoMinor:    1,
+		Close:         true,
+		ContentLength: int64(len(body)),
+		Body:          io.NopCloser(bytes.NewReader(body)),
+		Header:        http.Header{"Content-Type": {"application/json"}, "Cache-Control": {"no-store"}},
+	}
 	if status == http.StatusMethodNotAllowed {
 		r.Header.Set("Allow", http.MethodGet)
 	}
--- a/internal/frontend/admin/ops_test.go
+++ b/internal/frontend/admin/ops_test.go
@@ -88,7 +88,10 @@
 				if diff := cmp.Diff([]string{"HTTP/1.1 " + x.status, x.body}, []string{status, body}); diff != "" {
 					t.Errorf("(-want +got)\n%s", diff)
 				}
-				if want := fmt.Sprintf("Content-Length: %d\r\n", len(x.body)); !strings.Contains(fields+"\r\n", want) {
+				if want := fmt.Sprintf("Content-Length: %d\r\n", len(x.body)); !strings.Contains(
+					fields+"\r\n",
+					want,
+				) {
 					t.Errorf("%q not in %q", want, fields)
 				}
 			}
--- a/internal/frontend/control/control.go
+++ b/internal/frontend/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the way to ask a running program something: a unix socket on the loop, on which whoever may asks by a line
-// of JSON and is answered by another.
+// Package control is the way to ask a running program something: a unix socket on the loop, on
+// which whoever may asks by a line of JSON and is answered by another.
 //
 //	{"ask":"explain","class":"hand-in","not_served":true}
 //	{"ok":{"entries":[...]}}
@@ -57,8 +57,8 @@
 	lineMost    = 4 << 10
 	replyMost   = 4 << 20
 	idleMost    = 60_000_000 // microseconds without a question
-	// gap is the least time between two answers, over all clients. An answer of a thousand requests takes the loop 2 ms: asked
-	// without end it halved what the program served.
+	// gap is the least time between two answers, over all clients. An answer of a thousand requests
+	// takes the loop 2 ms: asked without end it halved what the program served.
 	gap = 50_000
 )
 
@@ -78,11 +78,18 @@
 	owed  bool // an answer
 }
 
-// Listen opens the socket. Each question is replied to once, at once or on a later turn of the loop. Its file is the owner's and the group's; who may ask is the same user and root.
+// Listen opens the socket. Each question is replied to once, at once or on a later turn of the
+// loop. Its file is the owner's and the group's; who may ask is the same user and root.
 func Listen(l *eventloop.Loop, path string, answer func(q Request, reply func(any, error))) (*Server, error) {
 	s := &Server{loop: l, answer: answer, conns: map[*client]bool{}}
 	var err error
-	s.ln, err = l.ListenAddr(netaddr.Addr{Path: path}, mostClients, eventloop.Limits{In: lineMost, Out: replyMost}, s.accept, func() {})
+	s.ln, err = l.ListenAddr(
+		netaddr.Addr{Path: path},
+		mostClients,
+		eventloop.Limits{In: lineMost, Out: replyMost},
+		s.accept,
+		func() {},
+	)
 	return s, err
 }
 
@@ -125,7 +132,8 @@
 // Connected implements loop.Handler.
 func (c *client) Connected() {}
 
-// Data implements loop.Handler. A client that asks again before it is answered would hold up the loop with many questions at once.
+// Data implements loop.Handler. A client that asks again before it is answered would hold up the
+// loop with many questions at once.
 func (c *client) Data(b []byte) (int, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
--- a/internal/frontend/control/kinds.go
+++ b/internal/frontend/control/kinds.go
@@ -8,8 +8,11 @@
 		"See that it runs and that its operator's file names this socket under control.")
 	question = fault.Define("control.question", "A question on the control socket cannot be read.",
 		"Ask with ryepaddle of the same version; a line has one question of 4 KB at the most.")
-	forbidden = fault.Define("control.forbidden", "Another user than the program's asked on the control socket.",
-		"Ask as the program's user or as root.")
+	forbidden = fault.Define(
+		"control.forbidden",
+		"Another user than the program's asked on the control socket.",
+		"Ask as the program's user or as root.",
+	)
 	answered = fault.Define("control.refused", "A running program turned a question down.",
 		"Do as the text of its answer says.")
 )
--- a/internal/frontend/platform/conn.go
+++ b/internal/frontend/platform/conn.go
@@ -13,9 +13,11 @@
 type connState uint8
 
 const (
-	accepting  connState = iota // any request
-	finishing                   // no new request; those that have begun are read and answered, then the connection is left
-	discarding                  // nothing, as what came cannot be read; what is owed is answered, then it is left
+	accepting connState = iota // any request
+	// no new request; those that have begun are read and answered, then the connection is left
+	finishing
+	// nothing, as what came cannot be read; what is owed is answered, then it is left
+	discarding
 )
 
 // conn is one connection of a balancer.
@@ -36,7 +38,8 @@
 // moveTo takes less from the peer from now on.
 func (c *conn) moveTo(state connState) { c.state = max(c.state, state) }
 
-// discard takes nothing more from the peer. What it goes on to send waits in the system's buffers until the connection is left.
+// discard takes nothing more from the peer. What it goes on to send waits in the system's buffers
+// until the connection is left.
 func (c *conn) discard() {
 	c.moveTo(discarding)
 	c.Pause(true)
@@ -91,8 +94,9 @@
 	return true
 }
 
-// overdue tells whether a request on the connection has begun and does not go on to its end, or none comes at all. That
-// something comes is not enough: a peer that sends a byte now and then would hold its place for good.
+// overdue tells whether a request on the connection has begun and does not go on to its end, or
+// none comes at all. That something comes is not enough: a peer that sends a byte now and then
+// would hold its place for good.
 func (c *conn) overdue(now int64) bool {
 	if !c.asked && now-c.began > askWithin && (!c.receiving() || now-c.began > askWithin+readWithin) {
 		return true
@@ -108,8 +112,9 @@
 	return false
 }
 
-// leaveIfDone leaves the connection once nothing more is to come of it. What is owed goes out before; a request that has begun
-// to come may still come whole, unless the peer cannot send the rest.
+// leaveIfDone leaves the connection once nothing more is to come of it. What is owed goes out
+// before; a request that has begun to come may still come whole, unless the peer cannot send the
+// rest.
 func (c *conn) leaveIfDone() {
 	switch {
 	case c.reading || c.owed() || c.IsLeaving() || c.IsClosed():
@@ -158,7 +163,8 @@
 			c.used = c.front.loop.Now()
 			err = c.record(rec)
 		}
-		if err != nil { // earlier requests on the connection were read, and are owed their answers all the same
+		// earlier requests on the connection were read, and are owed their answers all the same
+		if err != nil {
 			evBadRecord.Log(err)
 			c.dropUnread()
 			c.discard()
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -18,8 +18,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// idleFor is how long a connection may rest on the runner of these tests, and longIdle is longer than what a request that
-// has begun may take.
+// idleFor is how long a connection may rest on the runner of these tests, and longIdle is longer
+// than what a request that has begun may take.
 const (
 	idleFor  = 200 * time.Millisecond
 	longIdle = 3 * time.Second
@@ -49,15 +49,30 @@
 	}
 	a := r.runs[0]
 	r.runs = r.runs[1:]
-	r.core.Ended(a, lifecycle.Fine, &lifecycle.Result{Status: 200, Body: []byte("result of " + a.Request.Name)})
+	r.core.Ended(
+		a,
+		lifecycle.Fine,
+		&lifecycle.Result{Status: 200, Body: []byte("result of " + a.Request.Name)},
+	)
 }
 
 func newRunner(t *testing.T, idle time.Duration) *runner {
 	t.Helper()
 	r := &runner{Stepped: scenario.NewStepped(t), t: t}
 	r.front = platform.New(r.Loop, nil, 0)
-	set := admission.Settings{Cores: 4, MemoryKB: 50_000, RunFactor: 8, CrowdLimit: 6, TellsGone: true, DrainGrace: time.Second, Servers: 3,
-		IdleFor: 30 * time.Second, Classes: []admission.Class{{Name: "check", Target: 4 * time.Second, Deadline: 9 * time.Second, Worth: 1}}}
+	set := admission.Settings{
+		Cores:      4,
+		MemoryKB:   50_000,
+		RunFactor:  8,
+		CrowdLimit: 6,
+		TellsGone:  true,
+		DrainGrace: time.Second,
+		Servers:    3,
+		IdleFor:    30 * time.Second,
+		Classes: []admission.Class{
+			{Name: "check", Target: 4 * time.Second, Deadline: 9 * time.Second, Worth: 1},
+		},
+	}
 	var err error
 	r.core, err = lifecycle.New(set, 1, lifecycle.Host{Now: r.Now, Unix: r.Unix,
 		After:  func(d int64, fn func()) func() { return r.After(d, fn).Stop },
@@ -101,7 +116,8 @@
 	return string(fastcgi.Append(b, fastcgi.Stdin, uint16(id), nil))
 }
 
-// answers are the requests that a connection has ended, by their numbers: the status of a response, or "overloaded".
+// answers are the requests that a connection has ended, by their numbers: the status of a response,
+// or "overloaded".
 func answers(t *testing.T, text string) map[int]string {
 	t.Helper()
 	got, out := map[int]string{}, map[uint16][]byte{}
@@ -161,8 +177,8 @@
 	r.expect(c, map[int]string{1: "200", 2: "200"})
 }
 
-// A request that comes in pieces on a connection that has rested is not taken for one that never ends, nor its connection for
-// an idle one.
+// A request that comes in pieces on a connection that has rested is not taken for one that never
+// ends, nor its connection for an idle one.
 func TestPiecesOnARestedConnection(t *testing.T) {
 	for name, idle := range map[string]time.Duration{"that may rest": longIdle, "that is trimmed": idleFor} {
 		t.Run(name, func(t *testing.T) {
@@ -171,7 +187,8 @@
 			r.serve(1)
 			r.Pass(idle - sweep/2)
 			whole := r.request(2)
-			for _, cut := range []int{3, midRecord} { // in the head of the first record, and in the second one
+			// in the head of the first record, and in the second one
+			for _, cut := range []int{3, midRecord} {
 				r.Send(c, whole[:cut])
 				r.Together(0)
 				r.Pass(2 * sweep)
@@ -204,7 +221,8 @@
 	}
 }
 
-// The answer to one request must not end a connection on which another has begun to come, or has come in the same moment.
+// The answer to one request must not end a connection on which another has begun to come, or has
+// come in the same moment.
 func TestAnswerAsAnotherRequestComes(t *testing.T) {
 	for name, cut := range map[string]int{"begun": midRecord, "unread": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -226,8 +244,8 @@
 	}
 }
 
-// A balancer gives up a request whose answer is on its way, and then uses its number again: the abort is about nothing any more, and the new
-// request is served.
+// A balancer gives up a request whose answer is on its way, and then uses its number again: the
+// abort is about nothing any more, and the new request is served.
 func TestNumberIsUsedAgainAsAnAbortCrossesTheAnswer(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1))
@@ -256,7 +274,8 @@
 	r.expect(c, map[int]string{1: "200"})
 }
 
-// A request whose rest does not come in time is turned away alone: the others on its connection get their answers.
+// A request whose rest does not come in time is turned away alone: the others on its connection get
+// their answers.
 func TestRequestThatDoesNotGoOn(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1) + r.request(2)[:midRecord])
@@ -266,7 +285,8 @@
 	r.expect(c, map[int]string{1: "200", 2: "overloaded"})
 }
 
-// A bad request ends its connection after the others on it: one that has begun is still read, and a new one is turned away.
+// A bad request ends its connection after the others on it: one that has begun is still read, and a
+// new one is turned away.
 func TestBadRequestBesideOthers(t *testing.T) {
 	r := newRunner(t, longIdle)
 	bad := bytes.Replace([]byte(r.request(3)), []byte("/ops/check"), []byte("/ops/chalk"), 1)
@@ -276,7 +296,8 @@
 	r.expect(c, map[int]string{1: "200", 2: "200", 3: "400", 4: "overloaded"})
 }
 
-// Idle connections make room for others, the oldest first, but not one on which a request has just come.
+// Idle connections make room for others, the oldest first, but not one on which a request has just
+// come.
 func TestRoomIsMadeByIdleConnections(t *testing.T) {
 	r := newRunner(t, longIdle)
 	r.front.SetMost(3)
@@ -287,7 +308,8 @@
 		r.Pass(time.Millisecond)
 	}
 	late := r.DialAddr(r.front.Addr().String(), r.request(5)) // the listener is ready first
-	r.Send(resting[0], r.request(4))                          // it has rested longest, and is idle no more
+	// it has rested longest, and is idle no more
+	r.Send(resting[0], r.request(4))
 	r.serve(1)
 	r.Pass(time.Second) // those that were left are gone
 	r.serve(1)
@@ -300,7 +322,8 @@
 	r.expect(late, map[int]string{5: "200"})
 }
 
-// A peer that rests until the process ends does not hold it up, and one that always sends is left some time.
+// A peer that rests until the process ends does not hold it up, and one that always sends is left
+// some time.
 func TestPeersThatStayAsTheFrontLeaves(t *testing.T) {
 	r := newRunner(t, longIdle)
 	rests, sends := r.connect(r.request(1)), r.connect(r.request(2))
@@ -333,12 +356,14 @@
 	return string(b)
 }
 
-// A flood of parts on many connections costs the largest of them its parts, and not the answer that it is owed.
+// A flood of parts on many connections costs the largest of them its parts, and not the answer that
+// it is owed.
 func TestFloodOfPartsBesideARequest(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1))
 	r.Until(func() bool { return len(r.runs) == 1 })
-	write := func(c net.Conn, text string) { _, _ = io.WriteString(c, text) } // it fails where the connection is closed
+	// it fails where the connection is closed
+	write := func(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 	go write(c, parts(2, 32))
 	for range 8 {
 		go write(r.connect(""), parts(1, 30))
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -152,8 +152,9 @@
 	}
 }
 
-// reject answers what can't be taken for a request of a balancer. Its connection takes no more: the next would be as
-// bad, and a peer that sends the same again as soon as it is answered would keep the loop busy with nothing else.
+// reject answers what can't be taken for a request of a balancer. Its connection takes no more: the
+// next would be as bad, and a peer that sends the same again as soon as it is answered would keep
+// the loop busy with nothing else.
 func (x *exchange) reject(status int, err error) {
 	x.conn.moveTo(finishing)
 	evBad.Log(status, err)
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -1,4 +1,5 @@
-// Package platform is the front for the platform's balancers: FastCGI to the core and back. It decides nothing.
+// Package platform is the front for the platform's balancers: FastCGI to the core and back. It
+// decides nothing.
 package platform
 
 import (
@@ -23,19 +24,23 @@
 )
 
 const (
-	maxParams   = 8 << 10
-	maxBody     = 2 << 10
-	maxOpen     = 32        // requests on one connection; the platform's balancers open no more
-	maxOut      = 256 << 10 // answers that a peer has not read: all that it may have open, with room to spare
-	sweepEvery  = 100_000
-	askWithin   = 2_000_000  // the first whole request of a connection comes within so long
-	readWithin  = 2_000_000  // and each further one, once it has begun
-	takeWithin  = 10_000_000 // a peer takes what it is sent
-	firstWithin = 300_000    // what was taken from the queue as the front left brings its request by then
-	youngFor    = 100_000    // a connection that was just taken does not have to make room
-	partFor     = 500_000    // nor one on which a first request has begun to come
-	quietFor    = 1_000_000  // after leaving, for so long a connection is left only once nothing unread waits on it
-	queueFor    = 300_000    // after leaving, the listener is open for so long while callers wait in its queue
+	maxParams = 8 << 10
+	maxBody   = 2 << 10
+	maxOpen   = 32 // requests on one connection; the platform's balancers open no more
+	// answers that a peer has not read: all that it may have open, with room to spare
+	maxOut     = 256 << 10
+	sweepEvery = 100_000
+	askWithin  = 2_000_000  // the first whole request of a connection comes within so long
+	readWithin = 2_000_000  // and each further one, once it has begun
+	takeWithin = 10_000_000 // a peer takes what it is sent
+	// what was taken from the queue as the front left brings its request by then
+	firstWithin = 300_000
+	youngFor    = 100_000 // a connection that was just taken does not have to make room
+	partFor     = 500_000 // nor one on which a first request has begun to come
+	// after leaving, for so long a connection is left only once nothing unread waits on it
+	quietFor = 1_000_000
+	// after leaving, the listener is open for so long while callers wait in its queue
+	queueFor    = 300_000
 	largeUnread = 8
 	roomFor     = 16      // connections that are closed at once when others wait
 	maxUnread   = 2 << 20 // parts of requests on all connections together
@@ -64,8 +69,8 @@
 	stored, good bool
 }
 
-// New makes a front; Listen opens it. The checker may be nil. A connection may leave a few answers of the given size
-// unread beside those of the platform's engine.
+// New makes a front; Listen opens it. The checker may be nil. A connection may leave a few answers
+// of the given size unread beside those of the platform's engine.
 func New(l *eventloop.Loop, checker Checker, maxResponse int) *Front {
 	f := &Front{loop: l, checker: checker, conns: map[*conn]struct{}{}, good: true}
 	f.SetMaxResponse(maxResponse)
@@ -93,8 +98,8 @@
 // limits bound the buffers of a connection.
 func (f *Front) limits() eventloop.Limits { return eventloop.Limits{In: maxRecord, Out: f.maxOut} }
 
-// maxRecord is the longest record that is waited for. No balancer has a use for longer ones, and a crowd of peers that
-// each leave a large one unfinished would take all memory.
+// maxRecord is the longest record that is waited for. No balancer has a use for longer ones, and a
+// crowd of peers that each leave a large one unfinished would take all memory.
 const maxRecord = 8 + maxParams + 255
 
 // Listen begins to take connections for the core, at most so many at once.
@@ -130,11 +135,13 @@
 	f.sweep()
 }
 
-// leavesAtOnce tells whether connections are left even if more has come on them: a peer that always sends has to be left some time.
+// leavesAtOnce tells whether connections are left even if more has come on them: a peer that always
+// sends has to be left some time.
 func (f *Front) leavesAtOnce() bool { return f.leaving && f.loop.Now()-f.leftAt > quietFor }
 
-// Finish ends all connections as the process is about to: what is queued is written as far as it goes, and what came is read
-// off, as unread bytes would reset the connection and take answers with it that the peer has not read.
+// Finish ends all connections as the process is about to: what is queued is written as far as it
+// goes, and what came is read off, as unread bytes would reset the connection and take answers with
+// it that the peer has not read.
 func (f *Front) Finish() {
 	for c := range f.conns {
 		c.FinishNow()
@@ -144,7 +151,8 @@
 // Listens tells whether connections are still taken.
 func (f *Front) Listens() bool { return f.ln != nil && f.ln.Listens() }
 
-// Retire is Leave where another process serves as this runner: what this one says of its own room is not meant for it.
+// Retire is Leave where another process serves as this runner: what this one says of its own room
+// is not meant for it.
 func (f *Front) Retire() {
 	f.retired, f.pressure, f.leaving, f.leftAt = true, "", true, f.loop.Now()
 	f.ln.HandOver()
@@ -160,7 +168,8 @@
 	return c
 }
 
-// sweep leaves connections that are idle, or on which a request does not come whole, or answers are not taken.
+// sweep leaves connections that are idle, or on which a request does not come whole, or answers are
+// not taken.
 func (f *Front) sweep() {
 	now := f.loop.Now()
 	if !f.leaving && f.ln.Over() { // its share became smaller
@@ -187,7 +196,8 @@
 	return f.leaving && (c.asked || now-c.began > firstWithin) || f.idle > 0 && now-c.used > f.idle
 }
 
-// giveUp waits no longer for the rest of what has begun to come on a connection. Its other requests get their answers.
+// giveUp waits no longer for the rest of what has begun to come on a connection. Its other requests
+// get their answers.
 func (f *Front) giveUp(c *conn) {
 	if !c.owed() {
 		evIdle.Log()
@@ -201,9 +211,9 @@
 	}
 }
 
-// makeRoom closes connections as others wait for their places: first those that have never asked for anything, then those
-// that only began to ask, then those that have been idle for longest. One at a time would have each of those that wait
-// depend on a slow peer to close.
+// makeRoom closes connections as others wait for their places: first those that have never asked
+// for anything, then those that only began to ask, then those that have been idle for longest. One
+// at a time would have each of those that wait depend on a slow peer to close.
 func (f *Front) makeRoom() {
 	now := f.loop.Now()
 	var idle []*conn
@@ -213,8 +223,11 @@
 		}
 	}
 	slices.SortFunc(idle, func(a, b *conn) int {
-		return cmp.Or(cmp.Compare(btoi(a.asked), btoi(b.asked)), cmp.Compare(btoi(a.receiving()), btoi(b.receiving())),
-			cmp.Compare(a.used, b.used))
+		return cmp.Or(
+			cmp.Compare(btoi(a.asked), btoi(b.asked)),
+			cmp.Compare(btoi(a.receiving()), btoi(b.receiving())),
+			cmp.Compare(a.used, b.used),
+		)
 	})
 	gone := 0
 	for _, c := range idle {
@@ -251,8 +264,9 @@
 	return 0
 }
 
-// hold counts bytes of requests that have not come whole. When they are too many on all connections together, those of the
-// connection with the most of them are turned away: it is not one of those that send what they begin.
+// hold counts bytes of requests that have not come whole. When they are too many on all connections
+// together, those of the connection with the most of them are turned away: it is not one of those
+// that send what they begin.
 func (f *Front) hold(n int) {
 	f.partial += n
 	if f.partial <= maxUnread {
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -18,7 +18,8 @@
 func (f *Front) request(p map[string]string, path string) (*lifecycle.Request, error) {
 	q := &lifecycle.Request{Name: p["HTTP_X_CALL_ID"], Key: p["HTTP_X_DEDUPE_KEY"]}
 	var ok bool
-	if q.Class, ok = f.core.Class(strings.TrimPrefix(path, opsPrefix)); !ok || !strings.HasPrefix(path, opsPrefix) {
+	if q.Class, ok = f.core.Class(strings.TrimPrefix(path, opsPrefix)); !ok ||
+		!strings.HasPrefix(path, opsPrefix) {
 		if f.core.Dropped(strings.TrimPrefix(path, opsPrefix)) {
 			return nil, errDropped
 		}
@@ -37,7 +38,8 @@
 		return nil, errors.New("no X-Dedupe-Key in a keyed class")
 	}
 	ms, err := strconv.ParseInt(p["HTTP_X_QUEUE_START"], 10, 64)
-	// A key is remembered for its window from that time on: one far ahead would be remembered for ever.
+	// A key is remembered for its window from that time on: one far ahead would be remembered for
+	// ever.
 	if err != nil || ms <= 0 || ms > f.loop.Unix()/1000+maxAhead {
 		return nil, fmt.Errorf("X-Queue-Start %q", p["HTTP_X_QUEUE_START"])
 	}
@@ -47,10 +49,12 @@
 		return nil, fmt.Errorf("X-Source %q", p["HTTP_X_SOURCE"])
 	}
 	q.Caller = uint32(source)
-	if q.SizeKB, err = strconv.ParseFloat(p["HTTP_X_HEAP_KB"], 64); err != nil || !(q.SizeKB > 0 && q.SizeKB < 2000) {
+	if q.SizeKB, err = strconv.ParseFloat(p["HTTP_X_HEAP_KB"], 64); err != nil ||
+		!(q.SizeKB > 0 && q.SizeKB < 2000) {
 		return nil, fmt.Errorf("X-Heap-Kb %q", p["HTTP_X_HEAP_KB"])
 	}
-	if q.Rank, err = strconv.ParseFloat(p["HTTP_X_IMPORTANCE"], 64); err != nil || !(q.Rank >= 0 && q.Rank < 1) {
+	if q.Rank, err = strconv.ParseFloat(p["HTTP_X_IMPORTANCE"], 64); err != nil ||
+		!(q.Rank >= 0 && q.Rank < 1) {
 		return nil, fmt.Errorf("X-Importance %q", p["HTTP_X_IMPORTANCE"])
 	}
 	if e := p["HTTP_X_ENTITY"]; e != "" {
--- a/internal/frontend/uwsgi/conn.go
+++ b/internal/frontend/uwsgi/conn.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// begin takes the variables of a request, and reports whether its body is to be read: what is wrong without it is
-// answered at once.
+// begin takes the variables of a request, and reports whether its body is to be read: what is wrong
+// without it is answered at once.
 func (c *conn) begin(h *uwsgi.Head) bool {
 	f := c.front
 	vars := make([]cgi.Var, len(h.Vars))
@@ -257,8 +257,10 @@
 	case lifecycle.Refused:
 		r.Status = 503
 		if ms := (a.ComeBack + 999) / 1000; ms > 0 {
-			r.Fields = []httpmessage.Field{{Name: "Retry-After", Value: strconv.FormatInt(max((ms+999)/1000, 1), 10)},
-				{Name: "X-Come-Back-Ms", Value: strconv.FormatInt(ms, 10)}}
+			r.Fields = []httpmessage.Field{
+				{Name: "Retry-After", Value: strconv.FormatInt(max((ms+999)/1000, 1), 10)},
+				{Name: "X-Come-Back-Ms", Value: strconv.FormatInt(ms, 10)},
+			}
 		}
 	case lifecycle.Late:
 		r.Status = 504
--- a/internal/frontend/uwsgi/crossing_test.go
+++ b/internal/frontend/uwsgi/crossing_test.go
@@ -13,12 +13,16 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// newFront listens on a loop that the test steps. It is asked for its health alone, which needs no core.
+// newFront listens on a loop that the test steps. It is asked for its health alone, which needs no
+// core.
 func newFront(t *testing.T, connections int) (*scenario.Stepped, *front.Front) {
 	t.Helper()
 	s := scenario.NewStepped(t)
-	f := front.New(s.Loop, front.Options{Listen: netaddr.Addr{IP: netip.MustParseAddrPort("127.0.0.1:0")}, MaxConns: connections,
-		MaxVars: 4 << 10, HealthPath: "/alive", ReadWithin: time.Minute.Microseconds()})
+	f := front.New(
+		s.Loop,
+		front.Options{Listen: netaddr.Addr{IP: netip.MustParseAddrPort("127.0.0.1:0")}, MaxConns: connections,
+			MaxVars: 4 << 10, HealthPath: "/alive", ReadWithin: time.Minute.Microseconds()},
+	)
 	if err := f.Listen(nil); err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +32,12 @@
 // health is a whole request.
 func health(t *testing.T) string {
 	t.Helper()
-	packet, err := uwsgi.Append(nil, &uwsgi.Request{Vars: []uwsgi.Var{{Name: "REQUEST_METHOD", Value: "GET"}, {Name: "PATH_INFO", Value: "/alive"}}})
+	packet, err := uwsgi.Append(
+		nil,
+		&uwsgi.Request{
+			Vars: []uwsgi.Var{{Name: "REQUEST_METHOD", Value: "GET"}, {Name: "PATH_INFO", Value: "/alive"}},
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +51,8 @@
 	}
 }
 
-// What waits in the queue as the front leaves has been accepted in its caller's eyes, and its request is read and answered; one
-// that comes a little later as well.
+// What waits in the queue as the front leaves has been accepted in its caller's eyes, and its
+// request is read and answered; one that comes a little later as well.
 func TestRequestInTheQueueAsTheFrontLeaves(t *testing.T) {
 	s, f := newFront(t, 8)
 	asked := s.DialAddr(f.Addr().String(), health(t))
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -1,4 +1,5 @@
-// Package uwsgi is the front for uwsgi callers: one request a connection, to the core and back. It decides nothing.
+// Package uwsgi is the front for uwsgi callers: one request a connection, to the core and back. It
+// decides nothing.
 package uwsgi
 
 import (
@@ -39,9 +40,10 @@
 
 // Options set the front up.
 type Options struct {
-	Listen     netaddr.Addr
-	MaxConns   int
-	PerAddress int                // connections of one address; 0: no bound. Callers on a unix socket have none.
+	Listen   netaddr.Addr
+	MaxConns int
+	// connections of one address; 0: no bound. Callers on a unix socket have none.
+	PerAddress int
 	MaxVars    int                // bytes
 	Flow       flowcontrol.Limits // of responses
 	ReadWithin int64              // microseconds for a request to come whole
@@ -56,14 +58,15 @@
 }
 
 const (
-	mostLine    = 8 << 10   // of a chunked body's framing
-	onePart     = 128 << 10 // of a response that streams, beside what may wait
-	sweepEvery  = 500_000
-	takeWithin  = 10_000_000 // a reader of one takes something within so long
-	maxExtra    = 64 << 10   // bytes behind a request that are thrown away
-	youngFor    = 100_000    // a connection that was just taken does not have to make room
-	firstWithin = 300_000    // what was taken from the queue as the front left brings its request by then
-	roomFor     = 16         // connections that are closed at once when others wait
+	mostLine   = 8 << 10   // of a chunked body's framing
+	onePart    = 128 << 10 // of a response that streams, beside what may wait
+	sweepEvery = 500_000
+	takeWithin = 10_000_000 // a reader of one takes something within so long
+	maxExtra   = 64 << 10   // bytes behind a request that are thrown away
+	youngFor   = 100_000    // a connection that was just taken does not have to make room
+	// what was taken from the queue as the front left brings its request by then
+	firstWithin = 300_000
+	roomFor     = 16 // connections that are closed at once when others wait
 )
 
 // Front owns the listening socket of uwsgi callers and the connections on it.
@@ -82,8 +85,15 @@
 
 // New makes a front; Listen opens it.
 func New(l *eventloop.Loop, opt Options) *Front {
-	return &Front{loop: l, opt: opt, conns: map[*conn]struct{}{}, from: map[netip.Addr]int{}, names: opt.Seed, good: true,
-		flows: flowcontrol.NewBudget(opt.Flow)}
+	return &Front{
+		loop:  l,
+		opt:   opt,
+		conns: map[*conn]struct{}{},
+		from:  map[netip.Addr]int{},
+		names: opt.Seed,
+		good:  true,
+		flows: flowcontrol.NewBudget(opt.Flow),
+	}
 }
 
 // Listen begins to take connections for the core.
@@ -102,7 +112,8 @@
 // Conns is how many connections are open.
 func (f *Front) Conns() int { return len(f.conns) }
 
-// SetOptions takes other options for what comes from now on. The listening socket stays where it is.
+// SetOptions takes other options for what comes from now on. The listening socket stays where it
+// is.
 func (f *Front) SetOptions(opt Options) {
 	opt.Listen = f.opt.Listen
 	f.opt = opt
@@ -113,21 +124,26 @@
 
 // limits bound the buffers of a connection.
 func (f *Front) limits() eventloop.Limits {
-	return eventloop.Limits{In: 4 + f.opt.MaxVars + mostLine, Out: max(f.opt.Flow.Whole, f.opt.Flow.Keep) + f.opt.Flow.Queue + onePart + httpmessage.MaxHead}
+	return eventloop.Limits{
+		In:  4 + f.opt.MaxVars + mostLine,
+		Out: max(f.opt.Flow.Whole, f.opt.Flow.Keep) + f.opt.Flow.Queue + onePart + httpmessage.MaxHead,
+	}
 }
 
 // SetHealth says how health checks are answered.
 func (f *Front) SetHealth(good bool) { f.good = good }
 
-// Leave stops listening. What has begun to come is still read and answered; a connection on which nothing came is left, one that
-// was just taken from the queue after a while, as its request may be on the way.
+// Leave stops listening. What has begun to come is still read and answered; a connection on which
+// nothing came is left, one that was just taken from the queue after a while, as its request may be
+// on the way.
 func (f *Front) Leave() {
 	f.ln.CloseWhenTaken(firstWithin)
 	f.leaveSilent(firstWithin)
 	f.loop.After(2*firstWithin, func() { f.leaveSilent(0) })
 }
 
-// leaveSilent leaves connections that are older than that and on which nothing has come, also not in this very turn.
+// leaveSilent leaves connections that are older than that and on which nothing has come, also not
+// in this very turn.
 func (f *Front) leaveSilent(age int64) {
 	for c := range f.conns {
 		if !c.sent && c.req == nil && len(c.Unread()) == 0 && f.loop.Unix()-c.began > age && !c.HasPending() {
@@ -136,8 +152,9 @@
 	}
 }
 
-// makeRoom closes connections on which no request has come, the oldest first, as others wait for their places. A crowd
-// of silent peers would else keep all callers out for as long as a request may take to come.
+// makeRoom closes connections on which no request has come, the oldest first, as others wait for
+// their places. A crowd of silent peers would else keep all callers out for as long as a request
+// may take to come.
 func (f *Front) makeRoom() {
 	var silent []*conn
 	for c := range f.conns {
@@ -165,7 +182,8 @@
 	if lc.Peer().IsValid() {
 		c.addr = lc.Peer().Addr()
 		f.from[c.addr]++
-		if f.opt.PerAddress > 0 && f.from[c.addr] > f.opt.PerAddress { // nothing ran, and it may try again later
+		// nothing ran, and it may try again later
+		if f.opt.PerAddress > 0 && f.from[c.addr] > f.opt.PerAddress {
 			evTooMany.Log(c.addr, f.opt.PerAddress)
 			f.loop.Post(func() { c.Close(nil) })
 		}
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -11,8 +11,8 @@
 	"ryepaddle/internal/protocol/traceparent"
 )
 
-// arrived is when the request came: as a front end before this one stamped it, if that can be, or when its
-// connection was taken.
+// arrived is when the request came: as a front end before this one stamped it, if that can be, or
+// when its connection was taken.
 func (f *Front) arrived(r *cgi.Request, began int64) int64 {
 	ms, err := strconv.ParseInt(r.Get("HTTP_X_QUEUE_START"), 10, 64)
 	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > f.loop.Unix() || ms*1000 < f.loop.Unix()-maxQueued {
@@ -21,8 +21,8 @@
 	return ms * 1000
 }
 
-// first is when the request was asked for first, as its caller says, if that can be: one that was turned away and comes back looks like a
-// new one else. Nought: nobody says.
+// first is when the request was asked for first, as its caller says, if that can be: one that was
+// turned away and comes back looks like a new one else. Nought: nobody says.
 func (f *Front) first(r *cgi.Request) int64 {
 	if f.opt.FirstVar == "" {
 		return 0
@@ -39,7 +39,13 @@
 
 // request makes what the core gets of a request, but for its body, and tells which route it takes.
 func (f *Front) request(r *cgi.Request) (*lifecycle.Request, *Route, int, error) {
-	q := &lifecycle.Request{Streams: true, SizeKB: f.opt.SizeKB, Key: r.Get(f.opt.KeyVar), Trace: r.Get(traceparent.Var), Caller: maxPlatformCaller}
+	q := &lifecycle.Request{
+		Streams: true,
+		SizeKB:  f.opt.SizeKB,
+		Key:     r.Get(f.opt.KeyVar),
+		Trace:   r.Get(traceparent.Var),
+		Caller:  maxPlatformCaller,
+	}
 	m := r.Facts()
 	n := f.opt.Lead.Of(m)
 	if n < 0 {
@@ -81,5 +87,6 @@
 	return f.opt.KeyVar
 }
 
-// maxPlatformCaller is the number of callers that give none; the platform numbers its balancers from 0.
+// maxPlatformCaller is the number of callers that give none; the platform numbers its balancers
+// from 0.
 const maxPlatformCaller = 1 << 16
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -91,7 +91,8 @@
 	c.Pause(false)
 }
 
-// begun sends the first part of an answer that is still coming. From here on it can only go on or be cut.
+// begun sends the first part of an answer that is still coming. From here on it can only go on or
+// be cut.
 func (c *conn) begun(res *lifecycle.Result) {
 	f := c.front
 	c.answered = true
@@ -135,7 +136,8 @@
 	c.Leave()
 }
 
-// Cut implements core.Taker. The reader sees a reset: an ordinary end would make a response of no stated length look whole.
+// Cut implements core.Taker. The reader sees a reset: an ordinary end would make a response of no
+// stated length look whole.
 func (c *conn) Cut() {
 	c.detach()
 	c.Abort(errors.New("the response was cut"))
--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -15,8 +15,9 @@
 	"ryepaddle/internal/testing/crashfs"
 )
 
-// world is a machine with a disk that crashes, on which one life of the program follows another, and clients that repeat their
-// hand-ins through all of them. What ran, and who was told what, is noted outside of it by the checker.
+// world is a machine with a disk that crashes, on which one life of the program follows another,
+// and clients that repeat their hand-ins through all of them. What ran, and who was told what, is
+// noted outside of it by the checker.
 type world struct {
 	t     *testing.T
 	seed  uint64
@@ -71,19 +72,43 @@
 		return false
 	}
 	l.journal = journal
-	set := admission.Settings{Servers: 1, Callers: 1, Cores: 8, MemoryKB: 1e6, RunFactor: 1, KeyKB: 0.1, CreditMode: admission.CreditNone,
-		IdleFor: time.Second, MaxStayAway: time.Second, OverWorth: 0.05, Slack: 60 * time.Millisecond, DrainGrace: time.Second,
-		CrowdLimit: 100, CrowdOver: time.Second, ColdShare: 1, ColdFor: time.Second,
-		Tenants: []admission.Tenant{{Name: "north", QuotaRate: 1e6}},
-		Classes: []admission.Class{{Name: "hand-in", Target: time.Second, Deadline: 2 * time.Second, Window: window * time.Microsecond,
-			Effect: admission.Keyed, Worth: 1}}}
+	set := admission.Settings{
+		Servers:     1,
+		Callers:     1,
+		Cores:       8,
+		MemoryKB:    1e6,
+		RunFactor:   1,
+		KeyKB:       0.1,
+		CreditMode:  admission.CreditNone,
+		IdleFor:     time.Second,
+		MaxStayAway: time.Second,
+		OverWorth:   0.05,
+		Slack:       60 * time.Millisecond,
+		DrainGrace:  time.Second,
+		CrowdLimit:  100,
+		CrowdOver:   time.Second,
+		ColdShare:   1,
+		ColdFor:     time.Second,
+		Tenants:     []admission.Tenant{{Name: "north", QuotaRate: 1e6}},
+		Classes: []admission.Class{
+			{
+				Name:     "hand-in",
+				Target:   time.Second,
+				Deadline: 2 * time.Second,
+				Window:   window * time.Microsecond,
+				Effect:   admission.Keyed,
+				Worth:    1,
+			},
+		},
+	}
 	l.core, err = lifecycle.New(set, w.seed, lifecycle.Host{Now: w.sched.Now, Unix: w.unix,
 		After:  func(d int64, fn func()) func() { return l.after(d, fn).Stop },
 		Gauges: func(fn func(lifecycle.Gauges)) { l.after(1, func() { fn(lifecycle.NoGauges()) }) },
 		Health: func(bool, bool) {}, Say: func(float64) {}, Trim: func(int64) {}, Log: func(*logging.Event, ...any) {},
 		Route: func(int) lifecycle.Runner { return l }, Keeper: l, Life: w.lives,
 		Trails: func(t *lifecycle.Trail) {
-			if w.trails++; t.Kind != lifecycle.Served && t.Cause == lifecycle.CauseNone || t.Kind == lifecycle.Served && t.First != "" && t.Cause != lifecycle.CauseRepeat {
+			if w.trails++; t.Kind != lifecycle.Served && t.Cause == lifecycle.CauseNone ||
+				t.Kind == lifecycle.Served && t.First != "" && t.Cause != lifecycle.CauseRepeat {
 				w.breaks("%s has no cause: %+v", t.Name, *t)
 			}
 		}})
@@ -117,7 +142,8 @@
 	})
 }
 
-// The life is its own keeper: a commit takes a while, and records that come meanwhile wait for the next.
+// The life is its own keeper: a commit takes a while, and records that come meanwhile wait for the
+// next.
 func (l *life) Closed() (int64, string) {
 	if l.journal.IsDown() {
 		return 100_000, "down"
@@ -237,7 +263,8 @@
 	}
 }
 
-// client sends one hand-in and repeats it, as long as its window lasts, whatever it is told, and now and then even then.
+// client sends one hand-in and repeats it, as long as its window lasts, whatever it is told, and
+// now and then even then.
 type client struct {
 	w     *world
 	key   string
@@ -257,8 +284,19 @@
 		return
 	}
 	c.life = w.life.no
-	w.life.core.Submit(&lifecycle.Request{Name: fmt.Sprintf("%s-%d-%d", c.key, c.no, c.life), Tenant: 0, Arrived: w.unix(), SizeKB: 1, Rank: 0.5, Key: c.key,
-		Subject: 1, Body: []byte(c.key), Asker: c})
+	w.life.core.Submit(
+		&lifecycle.Request{
+			Name:    fmt.Sprintf("%s-%d-%d", c.key, c.no, c.life),
+			Tenant:  0,
+			Arrived: w.unix(),
+			SizeKB:  1,
+			Rank:    0.5,
+			Key:     c.key,
+			Subject: 1,
+			Body:    []byte(c.key),
+			Asker:   c,
+		},
+	)
 	if w.rand.IntN(3) == 0 { // impatient: another before there is an answer
 		again()
 	}
@@ -289,10 +327,20 @@
 	}
 }
 
-// play is one run: a hundred hand-ins in some seconds, and a crash at one step of the disk or another.
+// play is one run: a hundred hand-ins in some seconds, and a crash at one step of the disk or
+// another.
 func play(t *testing.T, seed uint64, mode store.Mode, fail bool) *world {
-	w := &world{t: t, seed: seed, disk: crashfs.New(seed), sched: virtualclock.New(), rand: rand.New(rand.NewPCG(seed, 1)), opt: store.Standard(),
-		ran: map[string]int{}, results: map[string]string{}, served: map[string]bool{}}
+	w := &world{
+		t:       t,
+		seed:    seed,
+		disk:    crashfs.New(seed),
+		sched:   virtualclock.New(),
+		rand:    rand.New(rand.NewPCG(seed, 1)),
+		opt:     store.Standard(),
+		ran:     map[string]int{},
+		results: map[string]string{},
+		served:  map[string]bool{},
+	}
 	w.opt.Mode, w.opt.Segment, w.calm = mode, 2000, !fail && seed%4 == 1
 	if fail {
 		w.disk.Fail = func(op, name string) error {
@@ -317,8 +365,8 @@
 	return w
 }
 
-// Over thousands of runs with a crash at each step of the disk, which loses, tears and reorders what was not synced and fails
-// by chance: no hand-in runs twice, and nobody gets another's result.
+// Over thousands of runs with a crash at each step of the disk, which loses, tears and reorders
+// what was not synced and fails by chance: no hand-in runs twice, and nobody gets another's result.
 func TestNoHandInRunsTwice(t *testing.T) {
 	runs := 1500
 	if testing.Short() {
@@ -333,30 +381,61 @@
 		if len(w.broken) > 0 {
 			t.Fatalf("seed %d: %q", seed, w.broken)
 		}
-		ran, answers, recalls, doubts, lives = ran+len(w.ran), answers+w.answers, recalls+w.recalls, doubts+w.doubts, lives+int(w.lives)
-	}
-	t.Logf("%d runs: %d lives, %d hand-ins ran, %d answers, %d of them from an earlier life, %d in doubt", runs, lives, ran, answers, recalls, doubts)
+		ran, answers, recalls, doubts, lives = ran+len(
+			w.ran,
+		), answers+w.answers, recalls+w.recalls, doubts+w.doubts, lives+int(
+			w.lives,
+		)
+	}
+	t.Logf(
+		"%d runs: %d lives, %d hand-ins ran, %d answers, %d of them from an earlier life, %d in doubt",
+		runs,
+		lives,
+		ran,
+		answers,
+		recalls,
+		doubts,
+	)
 	if lives < 2*runs || recalls < runs/2 || doubts < runs/10 {
 		t.Error("that tells nothing")
 	}
 }
 
-// While the disk hangs, and in a drain meanwhile, each request has its answer in time, and nothing runs of which it is not kept.
+// While the disk hangs, and in a drain meanwhile, each request has its answer in time, and nothing
+// runs of which it is not kept.
 func TestDrainWhileTheDiskHangs(t *testing.T) {
-	w := &world{t: t, disk: crashfs.New(1), sched: virtualclock.New(), rand: rand.New(rand.NewPCG(1, 1)), opt: store.Standard(), ran: map[string]int{},
-		results: map[string]string{}, served: map[string]bool{}}
+	w := &world{
+		t:       t,
+		disk:    crashfs.New(1),
+		sched:   virtualclock.New(),
+		rand:    rand.New(rand.NewPCG(1, 1)),
+		opt:     store.Standard(),
+		ran:     map[string]int{},
+		results: map[string]string{},
+		served:  map[string]bool{},
+	}
 	if !w.start() {
 		t.Fatal("it does not start")
 	}
 	ask := func(key string, kind lifecycle.Kind, within int64) {
 		at := w.sched.Now()
-		w.life.core.Submit(&lifecycle.Request{Name: key, Arrived: w.unix(), SizeKB: 1, Rank: 0.5, Key: key, Subject: 1, Body: []byte(key),
-			Asker: asker(func(a lifecycle.Answer) {
-				w.answers++
-				if past := w.sched.Now() - at; a.Kind != kind || past > within {
-					t.Errorf("%s: kind %d after %d ms", key, a.Kind, past/1000)
-				}
-			})})
+		w.life.core.Submit(
+			&lifecycle.Request{
+				Name:    key,
+				Arrived: w.unix(),
+				SizeKB:  1,
+				Rank:    0.5,
+				Key:     key,
+				Subject: 1,
+				Body:    []byte(key),
+				Asker: asker(func(a lifecycle.Answer) {
+					w.answers++
+					if past := w.sched.Now() - at; a.Kind != kind || past > within {
+						t.Errorf("%s: kind %d after %d ms", key, a.Kind, past/1000)
+					}
+				}),
+			},
+		)
 	}
 	ask("before", lifecycle.Served, 400_000)
 	w.sched.RunUntil(virtualclock.Origin + 1_000_000)
@@ -365,7 +444,8 @@
 	}
 	w.stuck = true
 	for k := range 20 {
-		ask(fmt.Sprint("stuck", k), lifecycle.Refused, 60_000) // once one has waited in vain, others do not
+		// once one has waited in vain, others do not
+		ask(fmt.Sprint("stuck", k), lifecycle.Refused, 60_000)
 	}
 	w.sched.After(20_000, func() { w.life.core.Drain(1_500_000) })
 	w.sched.RunUntil(virtualclock.Origin + 4_000_000)
--- a/internal/idempotency/persistence/health.go
+++ b/internal/idempotency/persistence/health.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// health decides whether new keys can be taken. It is free of I/O: it is told what waits for the disk and what became of it.
+// health decides whether new keys can be taken. It is free of I/O: it is told what waits for the
+// disk and what became of it.
 //
 // Times are microseconds, monotonic.
 type health struct {
--- a/internal/idempotency/persistence/keeper.go
+++ b/internal/idempotency/persistence/keeper.go
@@ -1,4 +1,5 @@
-// Package keeper keeps the core's keys in a store: it puts them into records and back, and says when no new ones can be taken.
+// Package keeper keeps the core's keys in a store: it puts them into records and back, and says
+// when no new ones can be taken.
 package persistence
 
 import (
@@ -13,7 +14,17 @@
 
 // What is told to operators.
 var (
-	evRecovered   = logging.Define("store.recovered", slog.LevelInfo, "keys", "records", "ms", "in_doubt", "strange", "expired", "cut_bytes")
+	evRecovered = logging.Define(
+		"store.recovered",
+		slog.LevelInfo,
+		"keys",
+		"records",
+		"ms",
+		"in_doubt",
+		"strange",
+		"expired",
+		"cut_bytes",
+	)
 	evRepaired    = logging.Define("store.repaired", slog.LevelWarn, "places", "closed_ms")
 	evClockBehind = logging.Define("store.clock_behind", slog.LevelWarn, "ms")
 	evDiskFailed  = logging.Define("store.disk_failed", slog.LevelError, "error")
@@ -51,15 +62,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Keeper{loop: l, fs: fsys, cfg: cfg, unlock: unlock, health: health{stall: cfg.Patience, reading: true},
-		opened: make(chan *store.Store, 1)}, nil
+	return &Keeper{
+		loop:   l,
+		fs:     fsys,
+		cfg:    cfg,
+		unlock: unlock,
+		health: health{stall: cfg.Patience, reading: true},
+		opened: make(chan *store.Store, 1),
+	}, nil
 }
 
 // portion is how many keys are restored in one turn of the loop.
 const portion = 2000
 
-// Restore reads what was kept, beside the loop, and hands it to the core in portions. Until that is done no new keys are taken.
-// failed is told if it cannot be gone by.
+// Restore reads what was kept, beside the loop, and hands it to the core in portions. Until that is
+// done no new keys are taken. failed is told if it cannot be gone by.
 func (k *Keeper) Restore(restore func([]lifecycle.Kept) (strange int), failed func(error)) {
 	go func() {
 		began := time.Now()
@@ -88,9 +105,18 @@
 					doubt++
 				}
 			}
-			evRecovered.Log(len(found.Keys), found.Records, time.Since(began).Milliseconds(), doubt, strange, found.Expired, found.Cut)
+			evRecovered.Log(
+				len(found.Keys),
+				found.Records,
+				time.Since(began).Milliseconds(),
+				doubt,
+				strange,
+				found.Expired,
+				found.Cut,
+			)
 			if len(found.Damage) > 0 {
-				// What is lost may be of keys whose window is not over. After that no repeat of them can come.
+				// What is lost may be of keys whose window is not over. After that no repeat of
+				// them can come.
 				k.health.quiet = k.loop.Now() + k.cfg.Window
 				evRepaired.Log(len(found.Damage), k.cfg.Window/1000)
 			}
@@ -160,7 +186,12 @@
 
 // Record is what is kept as a record of the store.
 func Record(kind store.Kind, c lifecycle.Kept, at int64) *store.Record {
-	r := &store.Record{Kind: kind, Name: store.Name{Class: c.Class, Tenant: c.Tenant, Key: c.Key}, Owner: c.Owner, At: at}
+	r := &store.Record{
+		Kind:  kind,
+		Name:  store.Name{Class: c.Class, Tenant: c.Tenant, Key: c.Key},
+		Owner: c.Owner,
+		At:    at,
+	}
 	if kind == store.Forgotten {
 		return r
 	}
@@ -179,8 +210,16 @@
 
 // kept is what was kept of a key.
 func kept(key *store.Key) lifecycle.Kept {
-	c := lifecycle.Kept{Class: key.Name.Class, Tenant: key.Name.Tenant, Key: key.Name.Key, Owner: key.Owner, Until: key.Until, Body: key.Body,
-		Ended: key.Ended, How: lifecycle.Kind(key.How)}
+	c := lifecycle.Kept{
+		Class:  key.Name.Class,
+		Tenant: key.Name.Tenant,
+		Key:    key.Name.Key,
+		Owner:  key.Owner,
+		Until:  key.Until,
+		Body:   key.Body,
+		Ended:  key.Ended,
+		How:    lifecycle.Kind(key.How),
+	}
 	if r := key.Result; r != nil {
 		c.Result = &lifecycle.Result{Status: r.Status, Body: r.Body}
 		for _, f := range r.Fields {
@@ -194,5 +233,15 @@
 
 // KeptOf is what a record says of a key.
 func KeptOf(r *store.Record) lifecycle.Kept {
-	return kept(&store.Key{Name: r.Name, Owner: r.Owner, Until: r.Until, Body: r.Body, Ended: r.Kind == store.Ended, How: r.How, Result: r.Result})
+	return kept(
+		&store.Key{
+			Name:   r.Name,
+			Owner:  r.Owner,
+			Until:  r.Until,
+			Body:   r.Body,
+			Ended:  r.Kind == store.Ended,
+			How:    r.How,
+			Result: r.Result,
+		},
+	)
 }
--- a/internal/idempotency/reservation/bench_test.go
+++ b/internal/idempotency/reservation/bench_test.go
@@ -24,7 +24,13 @@
 				}
 			}
 			for i := 0; b.Loop(); i++ {
-				k := lifecycle.Kept{Class: "hand-in", Tenant: "malarskolan", Key: fmt.Sprintf("%032x", i), Owner: 1 << 32, Until: 10_000_000}
+				k := lifecycle.Kept{
+					Class:  "hand-in",
+					Tenant: "malarskolan",
+					Key:    fmt.Sprintf("%032x", i),
+					Owner:  1 << 32,
+					Until:  10_000_000,
+				}
 				one.ledger.Claim(k, tryAgain, free, done)
 			}
 		})
--- a/internal/idempotency/reservation/claims.go
+++ b/internal/idempotency/reservation/claims.go
@@ -1,8 +1,10 @@
-// Package claims settles among the processes of one runner which of them runs a key. A new process is started beside the one that it
-// replaces; all that they share is a folder and the kernel. Each appends the claims of its runs to a log of its own, and holds a kernel
-// lock on a file of its own for as long as it lives. A claim is made under a lock that all share: first what the others have
-// written is read, and then, if the key is not theirs, the claim is written. Records carry checksums: one that its writer was killed
-// over is no record, and what it would have claimed never ran.
+// Package claims settles among the processes of one runner which of them runs a key. A new process
+// is started beside the one that it replaces; all that they share is a folder and the kernel. Each
+// appends the claims of its runs to a log of its own, and holds a kernel lock on a file of its own
+// for as long as it lives. A claim is made under a lock that all share: first what the others have
+// written is read, and then, if the key is not theirs, the claim is written. Records carry
+// checksums: one that its writer was killed over is no record, and what it would have claimed never
+// ran.
 //
 // Times are microseconds.
 package reservation
@@ -32,9 +34,10 @@
 )
 
 const (
-	pollAlone  = 50_000
-	pollOften  = 10_000 // while another process lives
-	tryAgain   = 1_000  // a lock that is held is free within microseconds, unless its holder was not given a core
+	pollAlone = 50_000
+	pollOften = 10_000 // while another process lives
+	// a lock that is held is free within microseconds, unless its holder was not given a core
+	tryAgain   = 1_000
 	openWithin = 2 * time.Second
 	newLogFrom = 256 << 10
 	sweepEvery = 5_000_000
@@ -57,7 +60,8 @@
 type Table interface {
 	// Heard takes what another process has written of a key; forgotten: its run never began.
 	Heard(k lifecycle.Kept, forgotten bool)
-	// Orphaned tells that the process of a life is dead: what it has not written an end of may have run.
+	// Orphaned tells that the process of a life is dead: what it has not written an end of may have
+	// run.
 	Orphaned(life uint32)
 	// Known gives what is known of keys whose runs this process began, whose window is not over.
 	Known(fn func(lifecycle.Kept))
@@ -109,12 +113,20 @@
 	keys   int
 }
 
-// Open takes part among the processes of the runner. What the others have claimed is read before it returns.
+// Open takes part among the processes of the runner. What the others have claimed is read before it
+// returns.
 func Open(l Loop, cfg Config, table Table) (*Ledger, error) {
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Runner))
-	g := &Ledger{loop: l, cfg: cfg, table: table, base: filepath.Join(cfg.Dir, fmt.Sprintf("ryepaddle-%016x", h.Sum64())),
-		peers: map[uint32]*peer{}, least: newLogFrom, told: -1}
+	g := &Ledger{
+		loop:  l,
+		cfg:   cfg,
+		table: table,
+		base:  filepath.Join(cfg.Dir, fmt.Sprintf("ryepaddle-%016x", h.Sum64())),
+		peers: map[uint32]*peer{},
+		least: newLogFrom,
+		told:  -1,
+	}
 	if err := g.open(); err != nil {
 		g.Close()
 		return nil, folder.New("claims: %w", err)
@@ -143,7 +155,8 @@
 	if err = g.newLog(nil); err != nil {
 		return err
 	}
-	return g.scan() // the number is of this process's own making, and tells nothing of what was there before
+	// the number is of this process's own making, and tells nothing of what was there before
+	return g.scan()
 }
 
 // Close gives everything back but the files, which the others go by.
@@ -179,8 +192,9 @@
 	return false
 }
 
-// Claim has it written that a run begins. Under the lock, once what others have written is read, free is asked whether the key is
-// still ours. Done is called once, with whether it is; an error: it is not known, and nothing may run.
+// Claim has it written that a run begins. Under the lock, once what others have written is read,
+// free is asked whether the key is still ours. Done is called once, with whether it is; an error:
+// it is not known, and nothing may run.
 func (g *Ledger) Claim(k lifecycle.Kept, within int64, free func() bool, done func(mine bool, err error)) {
 	if g.lock == nil {
 		done(false, os.ErrClosed)
@@ -204,8 +218,8 @@
 		}
 	}
 	if err == nil && g.size > g.least {
-		// Before the claim and not behind it: the table does not have it yet. The log may stay as long as it is: that the disk has no
-		// room for another is no reason to turn a run away.
+		// Before the claim and not behind it: the table does not have it yet. The log may stay as
+		// long as it is: that the disk has no room for another is no reason to turn a run away.
 		if e := g.newLog(g.table.Known); e != nil {
 			g.least *= 2
 			g.failed(e)
@@ -384,7 +398,8 @@
 	return nil
 }
 
-// sweep removes files of the dead of which no key can be asked for any more. The shared lock is held.
+// sweep removes files of the dead of which no key can be asked for any more. The shared lock is
+// held.
 func (g *Ledger) sweep() {
 	old := time.Now().Add(-time.Duration(g.cfg.Window) * time.Microsecond)
 	for life, p := range g.peers {
--- a/internal/idempotency/reservation/claims_test.go
+++ b/internal/idempotency/reservation/claims_test.go
@@ -13,7 +13,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// process is one of several that are one runner, on a clock of the test's own. Its table is a list of what it was told.
+// process is one of several that are one runner, on a clock of the test's own. Its table is a list
+// of what it was told.
 type process struct {
 	t      testing.TB
 	now    int64
@@ -53,8 +54,12 @@
 	t.Helper()
 	p := &process{t: t, now: 1_000_000, theirs: map[string]bool{}}
 	var err error
-	p.ledger, err = Open(p, Config{Dir: dir, Runner: "n0 127.0.0.1:1", Life: life, Window: 1_000_000, Most: 100,
-		After: func(_ int64, fn func()) { p.timers = append(p.timers, fn) }, Beside: func(n int) { p.beside = n }}, p)
+	p.ledger, err = Open(
+		p,
+		Config{Dir: dir, Runner: "n0 127.0.0.1:1", Life: life, Window: 1_000_000, Most: 100,
+			After: func(_ int64, fn func()) { p.timers = append(p.timers, fn) }, Beside: func(n int) { p.beside = n }},
+		p,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +143,8 @@
 	one.claims("a", "mine")
 	one.claims("b", "mine")
 	one.claims("c", "mine")
-	for i, text := range []string{"one", strings.Repeat("x", 200)} { // the second is over what is written at once
+	// the second is over what is written at once
+	for i, text := range []string{"one", strings.Repeat("x", 200)} {
 		one.known[i].Ended, one.known[i].Result = true, &lifecycle.Result{Status: 200, Body: []byte(text)}
 		one.ledger.Ended(one.known[i]) // nobody is there to read it
 	}
@@ -164,7 +170,8 @@
 		"in a record's head": {1000, []string{"begun a", "orphaned 1"}, "mine"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, before := range []bool{false, true} { // the other is there already, or comes later
+			// the other is there already, or comes later
+			for _, before := range []bool{false, true} {
 				dir := t.TempDir()
 				one := start(t, dir, 1)
 				var two *process
@@ -197,7 +204,8 @@
 	}
 }
 
-// A process that is stopped while it holds the lock costs the claims of others, and not their loops.
+// A process that is stopped while it holds the lock costs the claims of others, and not their
+// loops.
 func TestLockIsHeld(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
@@ -270,7 +278,8 @@
 	}
 }
 
-// Alone, a process whose disk takes nothing goes on. One that comes knows that it does not know what ran, until that is written.
+// Alone, a process whose disk takes nothing goes on. One that comes knows that it does not know
+// what ran, until that is written.
 func TestNoRoom(t *testing.T) {
 	dir := t.TempDir()
 	one := start(t, dir, 1)
@@ -302,12 +311,14 @@
 	two.expect("begun a", "begun c")
 }
 
-// A disk without room refuses the run where another process lives; what it took half of is written over.
+// A disk without room refuses the run where another process lives; what it took half of is written
+// over.
 func TestRecordThatWasHalfWritten(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
 	whole := one.ledger.log
-	if one.ledger.log, _ = os.Open(one.ledger.logName(1, 1)); one.ledger.log == nil { // not for writing
+	// not for writing
+	if one.ledger.log, _ = os.Open(one.ledger.logName(1, 1)); one.ledger.log == nil {
 		t.Fatal("no log")
 	}
 	if got := one.claim("a"); got == "mine" || got == "theirs" {
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -20,7 +20,8 @@
 	return fmt.Sprintf("%s.%08x.%d.log", g.base, life, gen)
 }
 
-// readEpoch reads the number that grows whenever there are other files than before. It stands in the shared lock's file.
+// readEpoch reads the number that grows whenever there are other files than before. It stands in
+// the shared lock's file.
 func (g *Ledger) readEpoch() uint64 {
 	var b [8]byte
 	_, _ = unix.Pread(int(g.lock.Fd()), b[:], 0) // one that was never written is nought
@@ -33,14 +34,16 @@
 	return err
 }
 
-// newLog begins a log with what is known, in place of the one that there is. The shared lock is held.
+// newLog begins a log with what is known, in place of the one that there is. The shared lock is
+// held.
 func (g *Ledger) newLog(known func(func(lifecycle.Kept))) error {
 	name := g.logName(g.cfg.Life, g.gen+1)
 	f, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	b, err := store.AppendFrame(nil, &store.Record{Kind: store.Last}) // one that holds nothing is one that was given up
+	// one that holds nothing is one that was given up
+	b, err := store.AppendFrame(nil, &store.Record{Kind: store.Last})
 	if known != nil {
 		add := func(r *store.Record) {
 			if err == nil {
@@ -76,8 +79,9 @@
 	return nil
 }
 
-// write appends a claim. Alone, a process without room goes on: its log is emptied, which takes none, so that one that comes knows that it
-// does not know, and it is written anew once there is room. All that was claimed is in the table.
+// write appends a claim. Alone, a process without room goes on: its log is emptied, which takes
+// none, so that one that comes knows that it does not know, and it is written anew once there is
+// room. All that was claimed is in the table.
 func (g *Ledger) write(k lifecycle.Kept) error {
 	var err error
 	if g.lost {
@@ -135,8 +139,8 @@
 	return uint32(l), n, ok && err == nil && err2 == nil
 }
 
-// read takes the records that a process has written since. One that is not whole yet is read again later; of a process that is dead
-// it never will be.
+// read takes the records that a process has written since. One that is not whole yet is read again
+// later; of a process that is dead it never will be.
 func (g *Ledger) read(p *peer) error {
 	var b []byte
 	part := make([]byte, readPart)
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -13,8 +13,8 @@
 	"ryepaddle/internal/idempotency/store"
 )
 
-// BenchmarkStore is how long a key takes from being put to being kept, beginning and end of one after the other, with so many
-// of them at once.
+// BenchmarkStore is how long a key takes from being put to being kept, beginning and end of one
+// after the other, with so many of them at once.
 func BenchmarkStore(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 50) // about 1 kB
 	for mode, name := range map[store.Mode]string{store.Always: "always", store.Group: "group", store.None: "none"} {
@@ -65,7 +65,8 @@
 	}
 }
 
-// BenchmarkRecovery is a start with so many keys in the journal: read, cut into a snapshot, and begun anew.
+// BenchmarkRecovery is a start with so many keys in the journal: read, cut into a snapshot, and
+// begun anew.
 func BenchmarkRecovery(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 10)
 	for _, n := range []int{1_000, 10_000, 100_000} {
--- a/internal/idempotency/store/fs.go
+++ b/internal/idempotency/store/fs.go
@@ -40,7 +40,11 @@
 // Create implements FS.
 func (d Dir) Create(name string) (File, error) {
 	d.stall()
-	f, err := os.OpenFile(filepath.Join(string(d), name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
+	f, err := os.OpenFile(
+		filepath.Join(string(d), name),
+		os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND,
+		0o600,
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -33,9 +33,11 @@
 type Options struct {
 	Mode    Mode
 	Segment int64 // bytes after which a new segment is begun
-	Slack   int64 // bytes beside twice those of the live keys, past which a snapshot cuts the journal
-	Keep    int64 // microseconds beyond its window for which a key is kept: a repeat may be read so much later
-	Repair  bool  // go on with damaged files, which are kept aside
+	// bytes beside twice those of the live keys, past which a snapshot cuts the journal
+	Slack int64
+	// microseconds beyond its window for which a key is kept: a repeat may be read so much later
+	Keep   int64
+	Repair bool // go on with damaged files, which are kept aside
 }
 
 // Standard is what is usual.
@@ -153,8 +155,8 @@
 	return f, err
 }
 
-// OpenJournal reads what is there and begins a journal after it. If the disk takes nothing it is open all the same, and
-// down: see Reopen.
+// OpenJournal reads what is there and begins a journal after it. If the disk takes nothing it is
+// open all the same, and down: see Reopen.
 func OpenJournal(fsys FS, now int64, opt Options) (*Journal, *Found, error) {
 	state, f, segments, snapshots, err := read(fsys, now, opt)
 	if err != nil {
@@ -185,8 +187,9 @@
 	return j, f, j.Reopen(now)
 }
 
-// Reopen begins anew after the disk failed, or at the start: a snapshot of all that is known, then a new segment. What the old
-// segment holds at its end is not known, and nothing is ever added to it; nor is a sync that failed tried again.
+// Reopen begins anew after the disk failed, or at the start: a snapshot of all that is known, then
+// a new segment. What the old segment holds at its end is not known, and nothing is ever added to
+// it; nor is a sync that failed tried again.
 func (j *Journal) Reopen(now int64) error {
 	if j.file != nil {
 		_ = j.file.Close() // what is in it counts for nothing from here on
@@ -207,7 +210,8 @@
 func (j *Journal) begin() error {
 	name := segmentName(j.number + 1)
 	f, err := j.fs.Create(name)
-	if err != nil && errors.Is(err, errExists) { // left by a start that got no further; nothing was promised of it
+	// left by a start that got no further; nothing was promised of it
+	if err != nil && errors.Is(err, errExists) {
 		if err = j.fs.Remove(name); err == nil {
 			f, err = j.fs.Create(name)
 		}
@@ -238,8 +242,9 @@
 // Size is how many bytes the segments have.
 func (j *Journal) Size() int64 { return j.sealed + j.size }
 
-// Commit writes records and has them kept as the mode says. If it fails none of them may be gone by, and the journal is
-// down. What is known all the same, such as a result, is in the next snapshot.
+// Commit writes records and has them kept as the mode says. If it fails none of them may be gone
+// by, and the journal is down. What is known all the same, such as a result, is in the next
+// snapshot.
 func (j *Journal) Commit(records []*Record) error {
 	err := j.commit(records)
 	for _, r := range records {
@@ -298,7 +303,8 @@
 	return j.begin()
 }
 
-// Cut begins a snapshot where one is due; nil: none is. Its Write may run beside; then Finish has to be told.
+// Cut begins a snapshot where one is due; nil: none is. Its Write may run beside; then Finish has
+// to be told.
 func (j *Journal) Cut(now int64) (*Snapshot, error) {
 	if j.file == nil || j.Size() <= 2*j.state.Live()+j.opt.Slack {
 		return nil, nil
@@ -396,7 +402,8 @@
 	return f.Sync()
 }
 
-// Finish removes what a snapshot that was written has made needless. What cannot be removed now is with the next one.
+// Finish removes what a snapshot that was written has made needless. What cannot be removed now is
+// with the next one.
 func (j *Journal) Finish(s *Snapshot) {
 	names, err := j.fs.List()
 	if err != nil {
@@ -405,7 +412,8 @@
 	for _, name := range names {
 		n, segment := numberOf(name, "journal")
 		m, snapshot := numberOf(name, "snapshot")
-		stale := strings.HasPrefix(name, "snapshot-") && strings.HasSuffix(name, unfinished) && name != snapshotName(s.covers)+unfinished
+		stale := strings.HasPrefix(name, "snapshot-") && strings.HasSuffix(name, unfinished) &&
+			name != snapshotName(s.covers)+unfinished
 		if segment && n <= s.covers || snapshot && m < s.covers || stale {
 			_ = j.fs.Remove(name)
 		}
--- a/internal/idempotency/store/kinds.go
+++ b/internal/idempotency/store/kinds.go
@@ -6,12 +6,21 @@
 var (
 	locked = fault.Define("store.locked", "Another process has the folder of the keys.",
 		"End that process, or name another folder for this one.")
-	damaged = fault.Define("store.damaged", "Files of the store are damaged in a way that no crash explains.",
-		"Look at them with runner store verify; with --repair the program keeps them aside and takes no new keys for a window.")
-	newer = fault.Define("store.newer", "Files of the store were written by a newer program.",
-		"Start the newer program again, or give this one an empty folder once the window of the keys is over.")
-	down = fault.Define("store.down", "The disk of the keys failed and has not come back.",
-		"See to its space, its rights and its health; keyed requests are taken again by themselves once it works.")
+	damaged = fault.Define(
+		"store.damaged",
+		"Files of the store are damaged in a way that no crash explains.",
+		"Look at them with runner store verify; with --repair the program keeps them aside and takes no new keys for a window.",
+	)
+	newer = fault.Define(
+		"store.newer",
+		"Files of the store were written by a newer program.",
+		"Start the newer program again, or give this one an empty folder once the window of the keys is over.",
+	)
+	down = fault.Define(
+		"store.down",
+		"The disk of the keys failed and has not come back.",
+		"See to its space, its rights and its health; keyed requests are taken again by themselves once it works.",
+	)
 	slow = fault.Define("store.slow", "The disk of the keys is too slow for what is kept on it.",
 		"Give the folder a faster disk, or set store.sync to a mode that waits less.")
 	disk = fault.Define("store.disk", "The folder of the keys cannot be read or written.",
--- a/internal/idempotency/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -1,6 +1,7 @@
-// Package store keeps remembered keys on a disk, so that a crash does not forget them: an append-only journal in segments,
-// and snapshots that cut it. What is decided (what a sequence of records means, what a damaged file is good for, when a
-// snapshot is due, what becomes of a disk that fails) is decided free of I/O; files are reached through FS.
+// Package store keeps remembered keys on a disk, so that a crash does not forget them: an
+// append-only journal in segments, and snapshots that cut it. What is decided (what a sequence of
+// records means, what a damaged file is good for, when a snapshot is due, what becomes of a disk
+// that fails) is decided free of I/O; files are reached through FS.
 //
 // Times are Unix microseconds.
 package store
@@ -17,7 +18,8 @@
 	"ryepaddle/internal/fault"
 )
 
-// Name is whose key it is. Classes and tenants go by their names: their places in a configuration change.
+// Name is whose key it is. Classes and tenants go by their names: their places in a configuration
+// change.
 type Name struct {
 	Class  string `cbor:"1,keyasint"`
 	Tenant string `cbor:"2,keyasint,omitempty"`
@@ -53,16 +55,18 @@
 
 // Record is one entry of the journal.
 type Record struct {
-	Kind   Kind     `cbor:"1,keyasint"`
-	Name   Name     `cbor:"2,keyasint,omitempty"`
-	Owner  uint64   `cbor:"3,keyasint,omitempty"` // the try that it is about; others of its key are not touched by its end
-	At     int64    `cbor:"4,keyasint,omitempty"` // when it was written
-	Until  int64    `cbor:"5,keyasint,omitempty"` // up to which a repeat may arrive
-	Body   [32]byte `cbor:"6,keyasint,omitempty"` // stands for the request's body
-	How    uint8    `cbor:"7,keyasint,omitempty"` // of Ended without a result: how repeats are answered
-	Result *Result  `cbor:"8,keyasint,omitempty"`
-	Synced int64    `cbor:"9,keyasint,omitempty"`  // of Mark: so many bytes
-	Count  int      `cbor:"10,keyasint,omitempty"` // of Last: records before it
+	Kind Kind `cbor:"1,keyasint"`
+	Name Name `cbor:"2,keyasint,omitempty"`
+	// the try that it is about; others of its key are not touched by its end
+	Owner uint64   `cbor:"3,keyasint,omitempty"`
+	At    int64    `cbor:"4,keyasint,omitempty"` // when it was written
+	Until int64    `cbor:"5,keyasint,omitempty"` // up to which a repeat may arrive
+	Body  [32]byte `cbor:"6,keyasint,omitempty"` // stands for the request's body
+	// of Ended without a result: how repeats are answered
+	How    uint8   `cbor:"7,keyasint,omitempty"`
+	Result *Result `cbor:"8,keyasint,omitempty"`
+	Synced int64   `cbor:"9,keyasint,omitempty"`  // of Mark: so many bytes
+	Count  int     `cbor:"10,keyasint,omitempty"` // of Last: records before it
 }
 
 // A frame is a magic number, the length of what follows, its checksum, and the record.
@@ -149,7 +153,8 @@
 // A file begins with its header: what it is, the format, and its number.
 const (
 	headerSize = 20
-	// Format is that of the files that are written. Newer ones are refused; fields that older ones lack are nought.
+	// Format is that of the files that are written. Newer ones are refused; fields that older ones
+	// lack are nought.
 	Format = 1
 )
 
@@ -165,7 +170,12 @@
 func (e *FormatError) Fault() (*fault.Kind, fault.Where) { return newer, fault.Where{File: e.File} }
 
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("store: %s: format %d, and this program knows up to %d: it was written by a newer one", e.File, e.Format, Format)
+	return fmt.Sprintf(
+		"store: %s: format %d, and this program knows up to %d: it was written by a newer one",
+		e.File,
+		e.Format,
+		Format,
+	)
 }
 
 func appendHeader(b []byte, number uint64) []byte {
--- a/internal/idempotency/store/recover.go
+++ b/internal/idempotency/store/recover.go
@@ -15,7 +15,8 @@
 	From, To int64 // bytes
 }
 
-// DamageError tells of files that are damaged. A program does not start with them unless it is told to repair them.
+// DamageError tells of files that are damaged. A program does not start with them unless it is told
+// to repair them.
 type DamageError struct{ Damage []Damage }
 
 // Fault implements fault.Described.
@@ -25,8 +26,13 @@
 
 func (e *DamageError) Error() string {
 	d := e.Damage[0]
-	return fmt.Sprintf("store: %s: bytes %d to %d are damaged, %d places in all: what they held is lost; -repair keeps the file aside and goes on",
-		d.File, d.From, d.To, len(e.Damage))
+	return fmt.Sprintf(
+		"store: %s: bytes %d to %d are damaged, %d places in all: what they held is lost; -repair keeps the file aside and goes on",
+		d.File,
+		d.From,
+		d.To,
+		len(e.Damage),
+	)
 }
 
 // Scan is what a file holds.
@@ -37,9 +43,10 @@
 	Whole   bool // of a snapshot: its end is there
 }
 
-// scan applies the records of a segment. The end of the last one may be missing, torn, or there in part: what a crash leaves
-// behind a point that was on the disk for sure. Only what a later mark vouches for must be there; and all of a segment that
-// another one follows, if the journal was written with syncs.
+// scan applies the records of a segment. The end of the last one may be missing, torn, or there in
+// part: what a crash leaves behind a point that was on the disk for sure. Only what a later mark
+// vouches for must be there; and all of a segment that another one follows, if the journal was
+// written with syncs.
 func scan(name string, b []byte, number uint64, last bool, s *State) (Scan, error) {
 	var out Scan
 	if err := readHeader(name, b, number); err != nil {
--- a/internal/idempotency/store/stall_faults.go
+++ b/internal/idempotency/store/stall_faults.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// stall stands for a disk that hangs: it does so as long as there is a file beside the folder, of its name with .hangs behind it.
+// stall stands for a disk that hangs: it does so as long as there is a file beside the folder, of
+// its name with .hangs behind it.
 func (d Dir) stall() {
 	for {
 		if _, err := os.Stat(string(d) + ".hangs"); err != nil {
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -42,7 +42,8 @@
 // Live is about how many bytes a snapshot takes.
 func (s *State) Live() int64 { return s.live }
 
-// Apply takes a record. An end is that of the try it names alone: what a later try of the key began is not touched.
+// Apply takes a record. An end is that of the try it names alone: what a later try of the key began
+// is not touched.
 func (s *State) Apply(r *Record) {
 	s.newest = max(s.newest, r.At)
 	k := s.keys[r.Name]
@@ -55,7 +56,17 @@
 	case Ended:
 		// Of a snapshot, or after a repair, it stands alone.
 		if k == nil || k.Owner == r.Owner {
-			s.put(&Key{Name: r.Name, Owner: r.Owner, Until: r.Until, Body: r.Body, Ended: true, How: r.How, Result: r.Result})
+			s.put(
+				&Key{
+					Name:   r.Name,
+					Owner:  r.Owner,
+					Until:  r.Until,
+					Body:   r.Body,
+					Ended:  true,
+					How:    r.How,
+					Result: r.Result,
+				},
+			)
 		}
 	case Forgotten:
 		if k != nil && k.Owner == r.Owner && !k.Ended {
@@ -84,7 +95,8 @@
 	s.live -= k.size
 }
 
-// Expire drops keys that no repeat can meet any more: they ended, or their process did, before that time.
+// Expire drops keys that no repeat can meet any more: they ended, or their process did, before that
+// time.
 func (s *State) Expire(before int64, begunToo bool) {
 	for _, k := range s.keys {
 		if k.Until < before && (k.Ended || begunToo) {
@@ -100,7 +112,11 @@
 		out = append(out, k)
 	}
 	slices.SortFunc(out, func(a, b *Key) int {
-		return cmp.Or(cmp.Compare(a.Name.Class, b.Name.Class), cmp.Compare(a.Name.Tenant, b.Name.Tenant), cmp.Compare(a.Name.Key, b.Name.Key))
+		return cmp.Or(
+			cmp.Compare(a.Name.Class, b.Name.Class),
+			cmp.Compare(a.Name.Tenant, b.Name.Tenant),
+			cmp.Compare(a.Name.Key, b.Name.Key),
+		)
 	})
 	return out
 }
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -66,16 +66,30 @@
 	err  error
 }
 
-// Open reads the files of a folder that is locked, and begins to keep records; Close unlocks it. It takes as long as that takes,
-// and is not for the loop. deliver calls functions on the loop: what becomes of records, and changed, when the disk fails and
-// when it is back.
-func Open(fsys FS, unlock func() error, set Settings, deliver func(func()), changed func(down bool, err error)) (*Store, *Found, error) {
+// Open reads the files of a folder that is locked, and begins to keep records; Close unlocks it. It
+// takes as long as that takes, and is not for the loop. deliver calls functions on the loop: what
+// becomes of records, and changed, when the disk fails and when it is back.
+func Open(
+	fsys FS,
+	unlock func() error,
+	set Settings,
+	deliver func(func()),
+	changed func(down bool, err error),
+) (*Store, *Found, error) {
 	j, found, err := OpenJournal(fsys, now(), set.Options)
 	if j == nil {
 		return nil, nil, errors.Join(err, unlock())
 	}
-	s := &Store{set: set, deliver: deliver, changed: changed, journal: j, unlock: unlock, wake: make(chan struct{}, 1),
-		done: make(chan struct{}), cuts: make(chan cut, 1)}
+	s := &Store{
+		set:     set,
+		deliver: deliver,
+		changed: changed,
+		journal: j,
+		unlock:  unlock,
+		wake:    make(chan struct{}, 1),
+		done:    make(chan struct{}),
+		cuts:    make(chan cut, 1),
+	}
 	if err != nil {
 		s.tell(true, err)
 	}
@@ -87,7 +101,8 @@
 
 func (s *Store) tell(down bool, err error) { s.deliver(func() { s.changed(down, err) }) }
 
-// Put hands over a record, and returns at once. done is called on the loop once it is kept, or is known not to be.
+// Put hands over a record, and returns at once. done is called on the loop once it is kept, or is
+// known not to be.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
 	full := len(s.queue) >= s.set.Queue && r.Kind == Begun || s.closing
@@ -175,9 +190,12 @@
 		if n == 0 {
 			return closing
 		}
-		// What comes while a sync runs shares the next one by itself. To wait for more pays only where several come at once, and for
-		// no longer than a sync takes; on a disk that takes under a millisecond it never does.
-		if wait := min(s.set.Wait, s.took); s.set.Mode == Group && !closing && n < s.last && wait >= time.Millisecond && !s.journal.IsDown() {
+		// What comes while a sync runs shares the next one by itself. To wait for more pays only
+		// where several come at once, and for no longer than a sync takes; on a disk that takes
+		// under a millisecond it never does.
+		if wait := min(s.set.Wait, s.took); s.set.Mode == Group && !closing && n < s.last &&
+			wait >= time.Millisecond &&
+			!s.journal.IsDown() {
 			time.Sleep(wait)
 		}
 		most := s.set.Batch
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -20,12 +20,23 @@
 func name(key string) store.Name { return store.Name{Class: "hand-in", Tenant: "north", Key: key} }
 
 func begun(key string, owner uint64) *store.Record {
-	return &store.Record{Kind: store.Begun, Name: name(key), Owner: owner, At: at, Until: at + 13_000_000, Body: [32]byte{1, 2}}
+	return &store.Record{
+		Kind:  store.Begun,
+		Name:  name(key),
+		Owner: owner,
+		At:    at,
+		Until: at + 13_000_000,
+		Body:  [32]byte{1, 2},
+	}
 }
 
 func ended(key string, owner uint64, body string) *store.Record {
 	r := begun(key, owner)
-	r.Kind, r.Result = store.Ended, &store.Result{Status: 200, Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}}, Body: []byte(body)}
+	r.Kind, r.Result = store.Ended, &store.Result{
+		Status: 200,
+		Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}},
+		Body:   []byte(body),
+	}
 	return r
 }
 
@@ -71,15 +82,41 @@
 	j, _ := open(t, d, store.Standard())
 	failed := ended("failed", 6, "")
 	failed.Result, failed.How = nil, 3
-	commit(t, j, begun("done", 1), begun("doubt", 2), begun("never", 3), begun("again", 4), begun("failed", 6), begun("long", 7))
-	commit(t, j, ended("done", 1, "ok"), forgotten("never", 3), forgotten("again", 4), begun("again", 5), failed, ended("long", 7, long))
+	commit(
+		t,
+		j,
+		begun("done", 1),
+		begun("doubt", 2),
+		begun("never", 3),
+		begun("again", 4),
+		begun("failed", 6),
+		begun("long", 7),
+	)
+	commit(
+		t,
+		j,
+		ended("done", 1, "ok"),
+		forgotten("never", 3),
+		forgotten("again", 4),
+		begun("again", 5),
+		failed,
+		ended("long", 7, long),
+	)
 	// An end that comes late is that of its own try: what the second one began stands.
-	commit(t, j, forgotten("again", 4), ended("again", 4, "of another"), begun("done", 1), forgotten("done", 1))
+	commit(
+		t,
+		j,
+		forgotten("again", 4),
+		ended("again", 4, "of another"),
+		begun("done", 1),
+		forgotten("done", 1),
+	)
 	old := begun("old", 9)
 	old.Until = at - 20_000_000
 	commit(t, j, old)
 	// A clock that went back keeps keys for longer, and drops none.
-	if f, err := store.Read(d, at-3_600_000_000, store.Standard()); err != nil || len(f.Keys) != 6 || f.Newest != at {
+	if f, err := store.Read(d, at-3_600_000_000, store.Standard()); err != nil || len(f.Keys) != 6 ||
+		f.Newest != at {
 		t.Errorf("an hour earlier: %d keys, %v", len(f.Keys), err)
 	}
 	want := []string{"again in doubt", "done 200 ok", "doubt in doubt", "failed how 3", "long 200 " + long}
@@ -92,18 +129,24 @@
 		if diff := cmp.Diff(want, told(f)); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
-		if f.Keys[1].Body != [32]byte{1, 2} || f.Keys[1].Owner != 1 || f.Keys[1].Result.Fields[0].Value != "text/plain" {
+		if f.Keys[1].Body != [32]byte{1, 2} || f.Keys[1].Owner != 1 ||
+			f.Keys[1].Result.Fields[0].Value != "text/plain" {
 			t.Errorf("%+v", f.Keys[1])
 		}
 	}
 }
 
-// A file of a newer format is refused, and left as it is; records of kinds that are not known are skipped, and fields that an
-// older one lacks are nought.
+// A file of a newer format is refused, and left as it is; records of kinds that are not known are
+// skipped, and fields that an older one lacks are nought.
 func TestFormats(t *testing.T) {
 	d := crashfs.New(1)
 	j, _ := open(t, d, store.Standard())
-	commit(t, j, &store.Record{Kind: 200, Name: name("x")}, &store.Record{Kind: store.Begun, Name: name("bare"), Until: at})
+	commit(
+		t,
+		j,
+		&store.Record{Kind: 200, Name: name("x")},
+		&store.Record{Kind: store.Begun, Name: name("bare"), Until: at},
+	)
 	j.Close()
 	if _, f := open(t, d, store.Standard()); len(f.Keys) != 1 || f.Keys[0].Owner != 0 {
 		t.Errorf("%+v", f)
@@ -129,8 +172,8 @@
 	}
 }
 
-// Cut off at any byte, a journal gives what was whole before; changed at any byte, it is refused where something was promised of
-// it, and repaired it gives the rest.
+// Cut off at any byte, a journal gives what was whole before; changed at any byte, it is refused
+// where something was promised of it, and repaired it gives the rest.
 func TestEveryByte(t *testing.T) {
 	build := func() (*crashfs.Disk, string) {
 		d := crashfs.New(1)
@@ -197,8 +240,8 @@
 	}
 }
 
-// Whatever is put in, the journal stays within twice what is alive and its slack, and nothing alive is lost by a snapshot, also
-// one that cannot be written.
+// Whatever is put in, the journal stays within twice what is alive and its slack, and nothing alive
+// is lost by a snapshot, also one that cannot be written.
 func TestSpaceIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := crashfs.New(1)
@@ -265,7 +308,8 @@
 	return f.File.Sync()
 }
 
-// A disk that hangs holds up neither whoever puts records nor the end; what it was given is answered when it goes on.
+// A disk that hangs holds up neither whoever puts records nor the end; what it was given is
+// answered when it goes on.
 func TestHungDisk(t *testing.T) {
 	h := hung{store.Dir(t.TempDir()), make(chan struct{}, 100)}
 	for range 2 { // for the start
@@ -310,7 +354,8 @@
 	}
 }
 
-// Whatever bytes are in a file, reading it ends, and a start from it loses nothing of what was read.
+// Whatever bytes are in a file, reading it ends, and a start from it loses nothing of what was
+// read.
 func FuzzRead(f *testing.F) {
 	d := crashfs.New(1)
 	j, _ := open(f, d, store.Standard())
@@ -335,7 +380,8 @@
 		if err != nil {
 			return
 		}
-		// Whoever goes on from it, with a repair or without, keeps just what was read, once and again.
+		// Whoever goes on from it, with a repair or without, keeps just what was read, once and
+		// again.
 		opt := store.Standard()
 		opt.Repair = true
 		for range 2 {
--- a/internal/idempotency/store/weigh/weigh_test.go
+++ b/internal/idempotency/store/weigh/weigh_test.go
@@ -1,5 +1,6 @@
-// Package weigh holds the journal of internal/idempotency/store against two libraries that keep keys and values on a disk, for the design
-// note. It is a module of its own, so that the program does not depend on them: run it in this folder.
+// Package weigh holds the journal of internal/idempotency/store against two libraries that keep
+// keys and values on a disk, for the design note. It is a module of its own, so that the program
+// does not depend on them: run it in this folder.
 package weigh
 
 import (
@@ -13,7 +14,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// batch is how many callers put a key at once, each of about this size, with the beginning and the end of it one after the other.
+// batch is how many callers put a key at once, each of about this size, with the beginning and the
+// end of it one after the other.
 const size = 300
 
 func value(n int) []byte { return fmt.Appendf(make([]byte, 0, size), "%*d", size-40, n) }
--- a/internal/inventory/digest.go
+++ b/internal/inventory/digest.go
@@ -10,7 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Files are all that an inventory is read from: the file, or those of the folder, and the variables beside.
+// Files are all that an inventory is read from: the file, or those of the folder, and the variables
+// beside.
 func Files(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -61,7 +61,10 @@
 // told is what a list means: name, address, groups, weight.
 func told(servers []Server) (out []string) {
 	for _, s := range servers {
-		out = append(out, s.Name+" "+s.Addr.String()+" "+strings.Join(s.Groups, ",")+" "+string(rune('0'+s.Weight)))
+		out = append(
+			out,
+			s.Name+" "+s.Addr.String()+" "+strings.Join(s.Groups, ",")+" "+string(rune('0'+s.Weight)),
+		)
 	}
 	return out
 }
@@ -83,7 +86,8 @@
       hosts: {runner-03.solna.example.org: }
 `
 
-// A list means here what it means to the tool that keeps it: ranges, groups of groups, and variables beside the file.
+// A list means here what it means to the tool that keeps it: ranges, groups of groups, and
+// variables beside the file.
 func TestAsTheToolReadsIt(t *testing.T) {
 	files := map[string]string{"hosts.yaml": halls,
 		"host_vars/runner-01.haninge.example.org.yml":      "ansible_host: 127.0.0.1\n",
@@ -136,8 +140,15 @@
 			t.Errorf("%q: %v, want %s", c.text, err, c.want)
 		}
 	}
-	dir := write(t, map[string]string{"hosts.yml": "g:\n  hosts:\n    a: {ansible_host: 127.0.0.1}\n", "host_vars/a.yml": "weight: [\n"})
-	if _, err := Read(filepath.Join(dir, "hosts.yml")); err == nil || !strings.Contains(err.Error(), "host_vars/a.yml:") {
+	dir := write(
+		t,
+		map[string]string{
+			"hosts.yml":       "g:\n  hosts:\n    a: {ansible_host: 127.0.0.1}\n",
+			"host_vars/a.yml": "weight: [\n",
+		},
+	)
+	if _, err := Read(filepath.Join(dir, "hosts.yml")); err == nil ||
+		!strings.Contains(err.Error(), "host_vars/a.yml:") {
 		t.Errorf("broken variables: %v", err)
 	}
 	if _, err := Read(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no servers") {
@@ -150,7 +161,8 @@
 	text := "all:\n  vars: {hall: somewhere}\n  children:\n    h:\n      vars: {hall: haninge}\n      hosts:\n        a: {address: \"127.0.0.1:1\"}\n" +
 		"    s:\n      vars: {hall: solna}\n      hosts:\n        b: {address: \"127.0.0.1:2\"}\n        a:\n        c: {address: \"127.0.0.1:3\", hall: own}\n" +
 		"    t:\n      hosts:\n        d: {address: \"127.0.0.1:4\"}\n"
-	if _, err := Parse("a.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), "server a is in hall") {
+	if _, err := Parse("a.yaml", []byte(text)); err == nil ||
+		!strings.Contains(err.Error(), "server a is in hall") {
 		t.Errorf("a server in two halls: %v", err)
 	}
 	servers, err := Parse("a.yaml", []byte(strings.Replace(text, "        a:\n", "", 1)))
@@ -183,7 +195,8 @@
 			names[s.Name], addrs[s.Addr.String()] = true, true
 		}
 		again, err := Parse(name, text)
-		if diff := cmp.Diff(servers, again, cmpopts.EquateComparable(netip.AddrPort{})); err != nil || diff != "" {
+		if diff := cmp.Diff(servers, again, cmpopts.EquateComparable(netip.AddrPort{})); err != nil ||
+			diff != "" {
 			t.Fatalf("%v\n%s", err, diff)
 		}
 	})
--- a/internal/inventory/groups.go
+++ b/internal/inventory/groups.go
@@ -91,7 +91,10 @@
 		case "vars":
 			return t.set(v, g.vars)
 		}
-		return t.at(k.Line, fmt.Errorf("group %s: unknown field %s: want hosts, vars or children", g.name, k.Value))
+		return t.at(
+			k.Line,
+			fmt.Errorf("group %s: unknown field %s: want hosts, vars or children", g.name, k.Value),
+		)
 	})
 }
 
@@ -114,7 +117,10 @@
 			t.named = append(t.named, h)
 		}
 		if slices.Contains(h.groups, g) {
-			return t.at(k.Line, fmt.Errorf("duplicate name %s in group %s, first on line %d", name, g.name, h.line))
+			return t.at(
+				k.Line,
+				fmt.Errorf("duplicate name %s in group %s, first on line %d", name, g.name, h.line),
+			)
 		}
 		h.groups = append(h.groups, g)
 		own := vars{}
@@ -124,7 +130,16 @@
 		for name, x := range own {
 			// The tool would take the last, and which that is depends on the order of its files.
 			if old, known := h.vars[name]; known && old.text != x.text && used(name) {
-				return t.at(x.line, fmt.Errorf("server %s has another %s on line %d of %s", h.name, name, old.line, filepath.Base(old.file)))
+				return t.at(
+					x.line,
+					fmt.Errorf(
+						"server %s has another %s on line %d of %s",
+						h.name,
+						name,
+						old.line,
+						filepath.Base(old.file),
+					),
+				)
 			}
 			h.vars[name] = x
 		}
@@ -150,8 +165,8 @@
 	})
 }
 
-// beside reads host_vars and group_vars in a folder. They are stronger than what the inventory itself says of the same
-// host or group.
+// beside reads host_vars and group_vars in a folder. They are stronger than what the inventory
+// itself says of the same host or group.
 func (t *tree) beside(dir string) error {
 	for _, g := range t.order {
 		if err := t.varFiles(filepath.Join(dir, "group_vars"), g.name, g.vars); err != nil {
@@ -211,8 +226,8 @@
 	return t.set(doc.Content[0], into)
 }
 
-// settle makes servers of the hosts: each with the variables of its groups, the outermost first and at one depth by name,
-// then its own; and in each group that it is in or below.
+// settle makes servers of the hosts: each with the variables of its groups, the outermost first and
+// at one depth by name, then its own; and in each group that it is in or below.
 func (t *tree) settle() error {
 	for _, g := range t.order {
 		g.depth = g.below()
@@ -229,10 +244,22 @@
 		v := vars{}
 		for _, g := range ordered {
 			// The tool would take the last by name, and a server stands in one hall.
-			if a, b := v["hall"], g.vars["hall"]; a.text != "" && b.text != "" && a.text != b.text && h.vars["hall"].text == "" && !g.refines(a, ordered) {
+			if a, b := v["hall"], g.vars["hall"]; a.text != "" && b.text != "" && a.text != b.text &&
+				h.vars["hall"].text == "" &&
+				!g.refines(a, ordered) {
 				t.file = b.file
-				return t.at(b.line, fmt.Errorf("server %s is in hall %q by group %s, and in %q on line %d of %s", h.name, b.text, g.name, a.text,
-					a.line, filepath.Base(a.file)))
+				return t.at(
+					b.line,
+					fmt.Errorf(
+						"server %s is in hall %q by group %s, and in %q on line %d of %s",
+						h.name,
+						b.text,
+						g.name,
+						a.text,
+						a.line,
+						filepath.Base(a.file),
+					),
+				)
 			}
 			maps.Copy(v, g.vars)
 		}
@@ -244,9 +271,13 @@
 	return nil
 }
 
-// refines tells whether a value is set by a group that this one is below, and so is stronger than by more than its name.
+// refines tells whether a value is set by a group that this one is below, and so is stronger than
+// by more than its name.
 func (g *group) refines(v value, all []*group) bool {
-	return slices.ContainsFunc(all, func(o *group) bool { return o != g && o.vars["hall"] == v && g.within(o) })
+	return slices.ContainsFunc(
+		all,
+		func(o *group) bool { return o != g && o.vars["hall"] == v && g.within(o) },
+	)
 }
 
 func (g *group) below() (depth int) {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads the list of servers as configuration tools keep it: a CSV table with a header row, or YAML
-// in the layout of Ansible, groups of hosts with variables.
+// Package inventory reads the list of servers as configuration tools keep it: a CSV table with a
+// header row, or YAML in the layout of Ansible, groups of hosts with variables.
 package inventory
 
 import (
@@ -42,8 +42,11 @@
 	Err  error
 }
 
-var kind = fault.Define("inventory.list", "An inventory cannot be read, names what cannot be, or may be cut off.",
-	"Correct the line that is named, or have the tool that keeps the list write it anew; the list in force stays meanwhile.")
+var kind = fault.Define(
+	"inventory.list",
+	"An inventory cannot be read, names what cannot be, or may be cut off.",
+	"Correct the line that is named, or have the tool that keeps the list write it anew; the list in force stays meanwhile.",
+)
 
 // Fault implements fault.Described.
 func (e *Error) Fault() (*fault.Kind, fault.Where) {
@@ -58,8 +61,9 @@
 // errNotDir is what the system says of a path below a file.
 var errNotDir = syscall.ENOTDIR
 
-// Read reads an inventory: a file by its ending, .csv, .yaml or .yml, or a folder of such files, taken as one. For YAML,
-// host_vars and group_vars beside the file, or in the folder, are read as the tool that wrote it reads them.
+// Read reads an inventory: a file by its ending, .csv, .yaml or .yml, or a folder of such files,
+// taken as one. For YAML, host_vars and group_vars beside the file, or in the folder, are read as
+// the tool that wrote it reads them.
 func Read(path string) ([]Server, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -89,8 +93,8 @@
 	return t.done(path, tree)
 }
 
-// listFiles gives the files of a folder in the order of their names, without those that editors and tools leave: hidden
-// ones and copies.
+// listFiles gives the files of a folder in the order of their names, without those that editors and
+// tools leave: hidden ones and copies.
 func listFiles(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -130,7 +134,10 @@
 	}
 	// What is cut off in the middle of a line may still read well, with half a name for a name.
 	if len(text) > 0 && text[len(text)-1] != '\n' {
-		return t.at(1+bytes.Count(text, []byte("\n")), errors.New("the last line has no end: the file may be cut off"))
+		return t.at(
+			1+bytes.Count(text, []byte("\n")),
+			errors.New("the last line has no end: the file may be cut off"),
+		)
 	}
 	if ending == ".csv" {
 		return t.csv(text)
@@ -184,20 +191,39 @@
 	}
 	if i, known := t.byName[name]; known {
 		if other := t.servers[i]; other.Hall != hall {
-			return t.at(line, fmt.Errorf("server %s is in hall %q, and in %q on line %d", name, hall, other.Hall, other.Line))
+			return t.at(
+				line,
+				fmt.Errorf(
+					"server %s is in hall %q, and in %q on line %d",
+					name,
+					hall,
+					other.Hall,
+					other.Line,
+				),
+			)
 		}
 		return t.at(line, fmt.Errorf("duplicate name %s, first on line %d", name, t.servers[i].Line))
 	}
-	// One process under two names would get two parts of the work, and a hand-in that it had a second time.
+	// One process under two names would get two parts of the work, and a hand-in that it had a
+	// second time.
 	if i, known := t.byAddr[s.Addr]; known {
-		return t.at(line, fmt.Errorf("server %s has the address of %s on line %d", name, t.servers[i].Name, t.servers[i].Line))
+		return t.at(
+			line,
+			fmt.Errorf(
+				"server %s has the address of %s on line %d",
+				name,
+				t.servers[i].Name,
+				t.servers[i].Line,
+			),
+		)
 	}
 	t.byName[name], t.byAddr[s.Addr] = len(t.servers), len(t.servers)
 	t.servers = append(t.servers, s)
 	return nil
 }
 
-// csv reads a table with a header row. Columns may stand in any order, others are skipped, # begins a comment.
+// csv reads a table with a header row. Columns may stand in any order, others are skipped, # begins
+// a comment.
 func (t *table) csv(text []byte) error {
 	r := csv.NewReader(bytes.NewReader(text))
 	r.Comment, r.TrimLeadingSpace, r.FieldsPerRecord = '#', true, -1
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -11,7 +11,13 @@
 )
 
 func server(name, addr string, weight, line int, groups ...string) Server {
-	return Server{Name: name, Addr: netaddr.Addr{IP: netip.MustParseAddrPort(addr)}, Groups: groups, Weight: weight, Line: line}
+	return Server{
+		Name:   name,
+		Addr:   netaddr.Addr{IP: netip.MustParseAddrPort(addr)},
+		Groups: groups,
+		Weight: weight,
+		Line:   line,
+	}
 }
 
 func TestParse(t *testing.T) {
--- a/internal/inventory/ranges.go
+++ b/internal/inventory/ranges.go
@@ -9,9 +9,10 @@
 // mostHosts bounds what one pattern may stand for.
 const mostHosts = 10_000
 
-// expand gives the hosts that a name stands for, as configuration tools read it: runner-[01:17].example.org is runner-01 to
-// runner-17, [a:f] is letters, and a third figure is a step. Several ranges give all combinations. A bracket that is no
-// range is an error: taken for a name, it would be one host that nobody has.
+// expand gives the hosts that a name stands for, as configuration tools read it:
+// runner-[01:17].example.org is runner-01 to runner-17, [a:f] is letters, and a third figure is a
+// step. Several ranges give all combinations. A bracket that is no range is an error: taken for a
+// name, it would be one host that nobody has.
 func expand(name string) ([]string, error) {
 	open := strings.IndexByte(name, '[')
 	if open < 0 {
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -2,8 +2,9 @@
 
 import "ryepaddle/internal/admission"
 
-// Began reports a result of which the first part is there. It answers the request, whose run goes on until its end is
-// reported; from now on it can neither fail nor be tried again. It reports whether anybody takes the rest.
+// Began reports a result of which the first part is there. It answers the request, whose run goes
+// on until its end is reported; from now on it can neither fail nor be tried again. It reports
+// whether anybody takes the rest.
 func (c *Core) Began(a *Attempt, res *Result) bool {
 	r := c.requests[a.id]
 	if a.over || r == nil || r.running != a || r.answered {
@@ -18,7 +19,8 @@
 	return true
 }
 
-// Ended reports the end of an attempt. A run that ended well without a result has one that is not kept.
+// Ended reports the end of an attempt. A run that ended well without a result has one that is not
+// kept.
 func (c *Core) Ended(a *Attempt, o Outcome, res *Result) {
 	r := c.requests[a.id]
 	if a.over || r == nil || r.running != a {
@@ -99,9 +101,16 @@
 	c.settle()
 }
 
-var callOutcomes = map[Outcome]admission.Outcome{Fine: admission.OK, Fault: admission.Failed, Broken: admission.Broken,
-	TimedOut: admission.TimedOut, Stopped: admission.TimedOut, NotRun: admission.Moot, TurnedAway: admission.Full,
-	Unreachable: admission.Unreachable}
+var callOutcomes = map[Outcome]admission.Outcome{
+	Fine:        admission.OK,
+	Fault:       admission.Failed,
+	Broken:      admission.Broken,
+	TimedOut:    admission.TimedOut,
+	Stopped:     admission.TimedOut,
+	NotRun:      admission.Moot,
+	TurnedAway:  admission.Full,
+	Unreachable: admission.Unreachable,
+}
 
 // Called reports the end of a call that took so long.
 func (c *Core) Called(a *Attempt, o Outcome, reply []byte, took int64) {
@@ -116,11 +125,19 @@
 			runner.Resume(a, reply)
 		}
 	}
-	c.gate.report(admission.Event{Kind: admission.EventCalled, Request: r.id, Outcome: callOutcomes[o], Elapsed: span(took)})
+	c.gate.report(
+		admission.Event{
+			Kind:    admission.EventCalled,
+			Request: r.id,
+			Outcome: callOutcomes[o],
+			Elapsed: span(took),
+		},
+	)
 	c.settle()
 }
 
-// start begins an attempt. It is the one place where something is run, and so the last guard of two rules.
+// start begins an attempt. It is the one place where something is run, and so the last guard of two
+// rules.
 func (c *Core) start(r *request) {
 	class := &c.set.Classes[r.Class]
 	if !r.answered && r.entry != nil && r.entry.elsewhere != 0 { // another process was first
@@ -149,7 +166,8 @@
 
 // late tells whether a request came too late to begin in a drain.
 func (c *Core) late(r *request) bool {
-	return c.drainAt != 0 && c.host.Now()-max(c.host.Unix()-r.Arrived, 0) > c.drainAt+c.set.DrainGrace.Microseconds()
+	return c.drainAt != 0 &&
+		c.host.Now()-max(c.host.Unix()-r.Arrived, 0) > c.drainAt+c.set.DrainGrace.Microseconds()
 }
 
 func (c *Core) newAttempt(r *request, before *Attempt) *Attempt {
@@ -158,8 +176,16 @@
 	if r.First > 0 {
 		aim = min(c.host.Now()-(c.host.Unix()-r.First)+class.Target.Microseconds(), r.due)
 	}
-	return &Attempt{Request: r.Request, Class: class.Name, Due: r.due, Aim: aim, Safe: class.Effect == admission.Safe, Before: before, id: r.id,
-		runner: c.host.Route(r.Class)}
+	return &Attempt{
+		Request: r.Request,
+		Class:   class.Name,
+		Due:     r.due,
+		Aim:     aim,
+		Safe:    class.Effect == admission.Safe,
+		Before:  before,
+		id:      r.id,
+		runner:  c.host.Route(r.Class),
+	}
 }
 
 func (c *Core) attempt(r *request, before *Attempt) {
@@ -174,13 +200,19 @@
 	r.running.runner.Run(r.running)
 }
 
-// again tells whether a run is tried once more, on another server. One that may have had its effect is sent again
-// only where that is safe; one that never ran always is.
+// again tells whether a run is tried once more, on another server. One that may have had its effect
+// is sent again only where that is safe; one that never ran always is.
 func (c *Core) again(r *request, a *Attempt, o Outcome) bool {
 	if r.answered || r.Spent || c.host.Again == nil || o != Unreachable && (o != Broken || !a.Safe) {
 		return false
 	}
-	t := Try{Class: r.Class, Effect: !a.Safe, Proven: o == Unreachable, Tries: 1, Left: r.due - lateBy - c.host.Now()}
+	t := Try{
+		Class:  r.Class,
+		Effect: !a.Safe,
+		Proven: o == Unreachable,
+		Tries:  1,
+		Left:   r.due - lateBy - c.host.Now(),
+	}
 	for b := a.Before; b != nil; b = b.Before {
 		t.Tries++
 	}
@@ -189,7 +221,9 @@
 
 func (c *Core) call(r *request, patience int64) {
 	if r.running == nil || r.wants == nil || c.host.Below == nil {
-		c.gate.report(admission.Event{Kind: admission.EventCalled, Request: r.id, Outcome: admission.Unreachable})
+		c.gate.report(
+			admission.Event{Kind: admission.EventCalled, Request: r.id, Outcome: admission.Unreachable},
+		)
 		return
 	}
 	if patience <= 0 {
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -1,7 +1,8 @@
 package lifecycle
 
-// callerTable knows the callers of whose requests one has lately run. Credit is shared among those that are heard: if
-// any number that a stranger makes up counted as a caller, a flood of them would leave the others none.
+// callerTable knows the callers of whose requests one has lately run. Credit is shared among those
+// that are heard: if any number that a stranger makes up counted as a caller, a flood of them would
+// leave the others none.
 type callerTable struct {
 	last  map[uint32]int64
 	swept int64
--- a/internal/lifecycle/claims.go
+++ b/internal/lifecycle/claims.go
@@ -8,8 +8,9 @@
 
 // Claims settle between the processes of one runner which of them runs a key.
 type Claims interface {
-	// Claim has it written that a run begins, unless the key is another's: free is asked once all that others have written was
-	// heard. Done is called once, now or later; an error: nothing may run.
+	// Claim has it written that a run begins, unless the key is another's: free is asked once all
+	// that others have written was heard. Done is called once, now or later; an error: nothing may
+	// run.
 	Claim(k Kept, within int64, free func() bool, done func(mine bool, err error))
 	Ended(k Kept)
 	Forgot(k Kept)
@@ -25,26 +26,31 @@
 	a, e := c.newAttempt(r, nil), r.entry
 	a.pending, r.running = true, a
 	asked := c.host.Now()
-	c.host.Claims.Claim(c.kept(r), claimWithin, func() bool { return e.elsewhere == 0 }, func(mine bool, err error) {
-		a.pending = false
-		r.trail.kept(c.host.Now() - asked)
-		switch {
-		case e.elsewhere != 0:
-			a.over, r.running = true, nil
-			c.yield(r)
-		case err != nil || !mine:
-			c.host.Log(evRunUnkept, a.Class, r.Name, err)
-			cause, back := unkeptBy(err)
-			c.unbegun(r, a, cause, cmp.Or(back, claimBack))
-		case r.answered || c.late(r) || c.host.Now() >= r.due-lateBy:
-			c.unbegun(r, a, CauseNone, 0)
-		case c.host.Keeper != nil:
-			c.begin(r)
-		default:
-			c.run(r)
-		}
-		c.settle()
-	})
+	c.host.Claims.Claim(
+		c.kept(r),
+		claimWithin,
+		func() bool { return e.elsewhere == 0 },
+		func(mine bool, err error) {
+			a.pending = false
+			r.trail.kept(c.host.Now() - asked)
+			switch {
+			case e.elsewhere != 0:
+				a.over, r.running = true, nil
+				c.yield(r)
+			case err != nil || !mine:
+				c.host.Log(evRunUnkept, a.Class, r.Name, err)
+				cause, back := unkeptBy(err)
+				c.unbegun(r, a, cause, cmp.Or(back, claimBack))
+			case r.answered || c.late(r) || c.host.Now() >= r.due-lateBy:
+				c.unbegun(r, a, CauseNone, 0)
+			case c.host.Keeper != nil:
+				c.begin(r)
+			default:
+				c.run(r)
+			}
+			c.settle()
+		},
+	)
 }
 
 // unbegun ends an attempt that was to begin and did not.
@@ -61,7 +67,8 @@
 	c.drop(r)
 }
 
-// yield has a request that was to run here wait for the run of another process. To the module it is over.
+// yield has a request that was to run here wait for the run of another process. To the module it is
+// over.
 func (c *Core) yield(r *request) {
 	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Moot})
 	if !r.answered {
@@ -106,7 +113,9 @@
 	e := c.keys.byName[name]
 	switch {
 	case e != nil && e.elsewhere == 0 && e.ran && !c.toBegin(e) && !(e.ended && k.Until > e.until):
-		return // it is ours, and by the lock not another's before its window is over; or it was kept in an earlier life
+		// it is ours, and by the lock not another's before its window is over; or it was kept in an
+		// earlier life
+		return
 	case e != nil && e.elsewhere != 0 && e.owner != k.Owner && k.Until < e.until:
 		return // it is older than what is known
 	case forgotten && (e == nil || e.owner != k.Owner || e.elsewhere == 0 || e.ended):
--- a/internal/lifecycle/claims_test.go
+++ b/internal/lifecycle/claims_test.go
@@ -14,7 +14,8 @@
 	"ryepaddle/internal/admission"
 )
 
-// logbook is what all processes of a runner have written, in order. Each reads it up to its end under the lock, and else when it likes.
+// logbook is what all processes of a runner have written, in order. Each reads it up to its end
+// under the lock, and else when it likes.
 type logbook struct {
 	lines   []line
 	members []*member
@@ -79,14 +80,15 @@
 func (m *member) Ended(k Kept)  { m.write(k, false) }
 func (m *member) Forgot(k Kept) { m.write(k, true) }
 
-// Whatever two processes read when, and whichever of them is killed, a key runs once within its window, each request has one answer, and
-// what is served is what the one run made.
+// Whatever two processes read when, and whichever of them is killed, a key runs once within its
+// window, each request has one answer, and what is served is what the one run made.
 func TestKeysRunOnceInTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := &logbook{}
 		one, two := b.join(t, 1_000_000), b.join(t, 1_000_000)
-		ran, answered := map[string]int64{}, map[string]bool{} // when a key ran last; whether a request was answered
-		asked := map[string]string{}                           // keys by request
+		// when a key ran last; whether a request was answered
+		ran, answered := map[string]int64{}, map[string]bool{}
+		asked := map[string]string{} // keys by request
 		last := 0
 		look := func() {
 			for _, m := range []*member{one, two} {
@@ -180,7 +182,8 @@
 				})
 			},
 		})
-		each(func(m *member) { // all that is open is answered by its due time, whatever the other does
+		// all that is open is answered by its due time, whatever the other does
+		each(func(m *member) {
 			send(m, "pass", "3000")
 			if n := m.Open(); n > 0 {
 				rt.Fatalf("%d are still open", n)
@@ -194,8 +197,11 @@
 	b := &logbook{}
 	one, two := b.join(t, 1_000_000), b.join(t, 1_000_000)
 	more := one.set
-	more.Classes = append(slices.Clone(more.Classes), admission.Class{Name: "late-hand-in", Target: time.Second, Deadline: 2 * time.Second, Worth: 3,
-		Effect: admission.Keyed, Window: 13 * time.Second})
+	more.Classes = append(
+		slices.Clone(more.Classes),
+		admission.Class{Name: "late-hand-in", Target: time.Second, Deadline: 2 * time.Second, Worth: 3,
+			Effect: admission.Keyed, Window: 13 * time.Second},
+	)
 	configure := func(m *member) {
 		if _, err := m.Configure(more); err != nil {
 			t.Fatal(err)
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -1,6 +1,7 @@
-// Package core owns every request from the moment it is read to its one final answer: the attempts to run it, the
-// dedupe keys and kept results, due times and the drain. It knows no wire. Fronts hand in requests and get answers;
-// back ends get attempts and calls and report outcomes; the decisions are the module's.
+// Package core owns every request from the moment it is read to its one final answer: the attempts
+// to run it, the dedupe keys and kept results, due times and the drain. It knows no wire. Fronts
+// hand in requests and get answers; back ends get attempts and calls and report outcomes; the
+// decisions are the module's.
 //
 // All times are microseconds. The core runs on one goroutine.
 package lifecycle
@@ -28,21 +29,27 @@
 	Now    func() int64 // monotonic, above 0
 	Unix   func() int64
 	After  func(d int64, fn func()) (stop func())
-	Gauges func(func(Gauges))                    // measures, and then calls back once
-	Health func(stored, good bool)               // how health checks are to be answered
-	Say    func(value float64)                   // the free value that goes with every answer from now on
-	Trim   func(idle int64)                      // close connections that are idle for so long
-	Route  func(class int) Runner                // where requests of the class run
-	Again  func(Try) bool                        // whether one that came to nothing there is tried once more; nil: never
-	Back   func(class int) int64                 // how long to stay away from a class that nobody took; nil: for the least time
+	Gauges func(func(Gauges))      // measures, and then calls back once
+	Health func(stored, good bool) // how health checks are to be answered
+	// the free value that goes with every answer from now on
+	Say   func(value float64)
+	Trim  func(idle int64)       // close connections that are idle for so long
+	Route func(class int) Runner // where requests of the class run
+	// whether one that came to nothing there is tried once more; nil: never
+	Again func(Try) bool
+	// how long to stay away from a class that nobody took; nil: for the least time
+	Back   func(class int) int64
 	Below  Dependency                            // nil where nothing is called
 	Log    func(e *logging.Event, values ...any) // nil: the log of the process
 	Limits Limits                                // of the table of keys
 	Keeper Keeper                                // nil: keys do not outlive the program
 	Claims Claims                                // nil: no other process serves as this runner
-	Life   uint64                                // with a Keeper or Claims: tells this life of the program from others; 32 bits count
-	Trails func(*Trail)                          // hears what became of each request, once it is answered; nil: nobody does
-	Seen   func(*Request)                        // hears of each request that is taken in; nil: nobody does
+	// with a Keeper or Claims: tells this life of the program from others; 32 bits count
+	Life uint64
+	// hears what became of each request, once it is answered; nil: nobody does
+	Trails func(*Trail)
+	// hears of each request that is taken in; nil: nobody does
+	Seen func(*Request)
 }
 
 // Limits bound the table of keys. The zero value of a field stands for what is usual.
@@ -103,7 +110,9 @@
 		host.Log = (*logging.Event).Log
 	}
 	c := &Core{host: host, set: set, requests: map[uint64]*request{}, names: map[string]struct{}{},
-		callers: callerTable{last: map[uint32]int64{}}, keys: newKeyTable(host.Limits), counts: make([]Stats, len(set.Classes)),
+		callers: callerTable{
+			last: map[uint32]int64{},
+		}, keys: newKeyTable(host.Limits), counts: make([]Stats, len(set.Classes)),
 		droppedAt: make([]int64, len(set.Classes))}
 	c.gate = gate{module: module, now: host.Now}
 	return c, nil
@@ -126,7 +135,8 @@
 
 // Submit takes over a request that has been read whole. Its answer may come before Submit returns.
 func (c *Core) Submit(q *Request) Ticket {
-	// A second request by a name would be taken for the first by whoever runs them, and get its result.
+	// A second request by a name would be taken for the first by whoever runs them, and get its
+	// result.
 	if _, taken := c.names[q.Name]; taken {
 		return c.misused(q, NameOpen)
 	}
@@ -160,14 +170,17 @@
 // arrivalOf is what the module hears of a request.
 func (c *Core) arrivalOf(r *request, queued int64) admission.Event {
 	return admission.Event{Kind: admission.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
-		Caller: c.callers.number(r.Caller), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Subject, Queued: span(queued),
+		Caller: c.callers.number(
+			r.Caller,
+		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Subject, Queued: span(queued),
 		Write: c.set.Classes[r.Class].Effect != admission.Safe}
 }
 
-// answersAtOnce answers a request that repeats another, where nothing has to be waited for: it carries another body, or the other ran in an
-// earlier life. Else it counts as a repeat.
+// answersAtOnce answers a request that repeats another, where nothing has to be waited for: it
+// carries another body, or the other ran in an earlier life. Else it counts as a repeat.
 func (c *Core) answersAtOnce(r *request) bool {
-	// All tries of one request carry one body. What comes with another must not get a stranger's result.
+	// All tries of one request carry one body. What comes with another must not get a stranger's
+	// result.
 	if r.entry.body != bodyOf(r.Request) {
 		c.misused(r.Request, KeyTaken)
 		return true
@@ -192,8 +205,8 @@
 		c.host.Seen(r.Request)
 	}
 	if r.Due > 0 {
-		// The module takes the time that is left for a sign of the try's age, and shorter ones for further tries. It
-		// goes by the class's deadline, and the shorter one is kept here.
+		// The module takes the time that is left for a sign of the try's age, and shorter ones for
+		// further tries. It goes by the class's deadline, and the shorter one is kept here.
 		now := c.host.Now()
 		r.due = min(r.due, now-queued+r.Due)
 		r.stop = c.host.After(r.due-now, func() { c.expire(r) })
@@ -226,7 +239,8 @@
 	c.drop(r)
 }
 
-// unkept tells that a request is refused since its key cannot be kept: once a second, for such troubles come to many.
+// unkept tells that a request is refused since its key cannot be kept: once a second, for such
+// troubles come to many.
 func (c *Core) unkept(class, why string) {
 	c.refused++
 	if now := c.host.Now(); now >= c.refusedAt+1_000_000 || c.refusedAt == 0 {
@@ -256,7 +270,8 @@
 	c.release(r)
 }
 
-// Abandon tells that nobody waits for the answer any more. What runs goes on, and a key stays remembered.
+// Abandon tells that nobody waits for the answer any more. What runs goes on, and a key stays
+// remembered.
 func (c *Core) Abandon(t Ticket) {
 	if r := c.requests[uint64(t)]; r != nil && !r.answered {
 		c.counts[r.Class].Gone++
@@ -264,8 +279,8 @@
 	}
 }
 
-// Withdraw is Abandon for a caller that is there still, and to whom its front confirms that the request is over: without a result, which
-// callers take for a failure.
+// Withdraw is Abandon for a caller that is there still, and to whom its front confirms that the
+// request is over: without a result, which callers take for a failure.
 func (c *Core) Withdraw(t Ticket) {
 	if r := c.requests[uint64(t)]; r != nil && !r.answered {
 		c.counts[r.Class].Withdrawn++
@@ -374,7 +389,10 @@
 	c.host.Gauges(func(v Gauges) {
 		c.keys.expire(c.host.Unix())
 		c.callers.expire(c.host.Now())
-		c.strange = slices.DeleteFunc(c.strange, func(k strangeKey) bool { return c.host.Unix() > k.Until+lateRead })
+		c.strange = slices.DeleteFunc(
+			c.strange,
+			func(k strangeKey) bool { return c.host.Unix() > k.Until+lateRead },
+		)
 		c.gate.tick(v)
 		c.settle()
 	})
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -13,9 +13,9 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// table is a core with a clock, a back end and callers of the test's own. It sends `ask ID CLASS [KEY [DUE-MS]]`, `gone ID`,
-// `end ID OUTCOME [RESULT]`, `need ID`, `called ID OUTCOME`, `drain MS` and `pass MS`; it sees `run ID`, `answer ID KIND
-// [RESULT]`, `call ID` and `give-up ID`.
+// table is a core with a clock, a back end and callers of the test's own. It sends `ask ID CLASS
+// [KEY [DUE-MS]]`, `gone ID`, `end ID OUTCOME [RESULT]`, `need ID`, `called ID OUTCOME`, `drain MS`
+// and `pass MS`; it sees `run ID`, `answer ID KIND [RESULT]`, `call ID` and `give-up ID`.
 type table struct {
 	*Core
 	now       int64
@@ -87,7 +87,18 @@
 		if !ok {
 			return fmt.Errorf("no tenant north")
 		}
-		t.ids[w[1]] = t.Submit(&Request{Name: w[1], Class: class, Tenant: tenant, Arrived: t.now, SizeKB: 1, Key: w[3], Due: int64(due) * 1000, Asker: asker{t, w[1]}})
+		t.ids[w[1]] = t.Submit(
+			&Request{
+				Name:    w[1],
+				Class:   class,
+				Tenant:  tenant,
+				Arrived: t.now,
+				SizeKB:  1,
+				Key:     w[3],
+				Due:     int64(due) * 1000,
+				Asker:   asker{t, w[1]},
+			},
+		)
 	case "gone":
 		t.Core.Abandon(t.ids[w[1]])
 	case "end":
@@ -147,9 +158,13 @@
 	return tableOf(t, 1, nil, 0, change)
 }
 
-// A keyed request that is held for longer than its window has kept its key: it runs, and a repeat that comes meanwhile waits for it.
+// A keyed request that is held for longer than its window has kept its key: it runs, and a repeat
+// that comes meanwhile waits for it.
 func TestHeldLongerThanItsWindow(t *testing.T) {
-	c := newTableAt(t, func(s *admission.Settings) { s.Cores, s.CrowdLimit, s.Classes[1].Window = 1, 1, time.Second })
+	c := newTableAt(
+		t,
+		func(s *admission.Settings) { s.Cores, s.CrowdLimit, s.Classes[1].Window = 1, 1, time.Second },
+	)
 	scenario.Play(t, `
 		core send ask 1 check
 		core expect run 1
@@ -194,24 +209,56 @@
 
 func tableOf(t *testing.T, tries int, claims Claims, life uint64, change func(*admission.Settings)) *table {
 	t.Helper()
-	s := admission.Settings{Cores: 4, MemoryKB: 50_000, RunFactor: 8, KeyKB: 100, CrowdLimit: 6, ColdShare: 0.2,
-		Dependency: admission.DependencyShared, CallsOut: 20, CallsOver: 5 * time.Second, Linger: 200 * time.Millisecond,
-		TellsGone: true, DrainGrace: 1800 * time.Millisecond, Servers: 3, IdleFor: 30 * time.Second,
-		Tenants: []admission.Tenant{{Name: "north"}},
+	s := admission.Settings{
+		Cores:      4,
+		MemoryKB:   50_000,
+		RunFactor:  8,
+		KeyKB:      100,
+		CrowdLimit: 6,
+		ColdShare:  0.2,
+		Dependency: admission.DependencyShared,
+		CallsOut:   20,
+		CallsOver:  5 * time.Second,
+		Linger:     200 * time.Millisecond,
+		TellsGone:  true,
+		DrainGrace: 1800 * time.Millisecond,
+		Servers:    3,
+		IdleFor:    30 * time.Second,
+		Tenants:    []admission.Tenant{{Name: "north"}},
 		Classes: []admission.Class{
-			{Name: "check", Target: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.2, Calls: true},
-			{Name: "hand-in", Target: time.Second, Deadline: 2500 * time.Millisecond, Worth: 3, LateWorth: 0.2,
-				Effect: admission.Keyed, Window: 13020 * time.Millisecond, Calls: true}}}
+			{
+				Name:      "check",
+				Target:    time.Second,
+				Deadline:  3 * time.Second,
+				Worth:     1,
+				LateWorth: 0.2,
+				Calls:     true,
+			},
+			{
+				Name:      "hand-in",
+				Target:    time.Second,
+				Deadline:  2500 * time.Millisecond,
+				Worth:     3,
+				LateWorth: 0.2,
+				Effect:    admission.Keyed,
+				Window:    13020 * time.Millisecond,
+				Calls:     true,
+			}},
+	}
 	change(&s)
 	c := &table{now: 1_000_000, runs: map[string]*Attempt{}, ids: map[string]Ticket{}}
 	clock := func() int64 { return c.now }
 	var err error
-	c.Core, err = New(s, 1, Host{Now: clock, Unix: clock, Health: func(_, _ bool) {}, Say: func(float64) {}, Trim: func(int64) {},
-		After:  c.after,
-		Gauges: func(fn func(Gauges)) { fn(NoGauges()) },
-		Route:  func(int) Runner { return c }, Again: func(t Try) bool { return t.Tries < tries && t.Left > 0 }, Below: c, Log: func(e *logging.Event, values ...any) { t.Log(e.Text(values...)) },
-		Claims: claims, Life: life,
-		Trails: func(tr *Trail) { c.trails = append(c.trails, tr) }})
+	c.Core, err = New(
+		s,
+		1,
+		Host{Now: clock, Unix: clock, Health: func(_, _ bool) {}, Say: func(float64) {}, Trim: func(int64) {},
+			After:  c.after,
+			Gauges: func(fn func(Gauges)) { fn(NoGauges()) },
+			Route:  func(int) Runner { return c }, Again: func(t Try) bool { return t.Tries < tries && t.Left > 0 }, Below: c, Log: func(e *logging.Event, values ...any) { t.Log(e.Text(values...)) },
+			Claims: claims, Life: life,
+			Trails: func(tr *Trail) { c.trails = append(c.trails, tr) }},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +286,8 @@
 			core expect answer 1 late
 			core send end 1 fine ok
 			core expect nothing`},
-		// Told of it, the module took such requests for old further tries, and gave them up early under load.
+		// Told of it, the module took such requests for old further tries, and gave them up early
+		// under load.
 		"a front's shorter deadline is kept by the core": {1, `
 			core send ask 1 check - 500
 			core expect run 1
@@ -364,7 +412,8 @@
 	}
 }
 
-// Such settings were turned down: no runner of a deployment started whose engine could stop work, or whose calls might be left out.
+// Such settings were turned down: no runner of a deployment started whose engine could stop work,
+// or whose calls might be left out.
 func TestSettingsThatAllowMore(t *testing.T) {
 	for name, change := range map[string]func(*admission.Settings){
 		"work may be stopped": func(s *admission.Settings) { s.Halt = admission.HaltDiscard },
@@ -404,8 +453,9 @@
 	}
 }
 
-// What earlier lives kept is answered from memory, whatever the module thinks: a result, an end without one, and doubt. Keys of
-// classes and tenants that there are not any more are left out, and more keys than the table holds keep new ones out.
+// What earlier lives kept is answered from memory, whatever the module thinks: a result, an end
+// without one, and doubt. Keys of classes and tenants that there are not any more are left out, and
+// more keys than the table holds keep new ones out.
 func TestRestore(t *testing.T) {
 	c := newTable(t, 1)
 	c.keys.most.Keys = 4
@@ -427,8 +477,18 @@
 	}{{"served", Served, 0}, {"failed", Late, 0}, {"doubt", Failed, InDoubt}, {"new", Refused, 0}} {
 		var got Answer
 		class, _ := c.Class("hand-in")
-		c.Submit(&Request{Name: want.key, Class: class, Tenant: -1, Arrived: c.now, Key: want.key, Asker: told(func(a Answer) { got = a })})
-		if got.Kind != want.kind || got.Reason != want.reason || got.Kind == Served && string(got.Result.Body) != "kept" {
+		c.Submit(
+			&Request{
+				Name:    want.key,
+				Class:   class,
+				Tenant:  -1,
+				Arrived: c.now,
+				Key:     want.key,
+				Asker:   told(func(a Answer) { got = a }),
+			},
+		)
+		if got.Kind != want.kind || got.Reason != want.reason ||
+			got.Kind == Served && string(got.Result.Body) != "kept" {
 			t.Errorf("%s: %+v", want.key, got)
 		}
 	}
@@ -438,12 +498,18 @@
 
 func (fn told) Answer(a Answer) { fn(a) }
 
-// A server's clock and that of its front are set to one time: whichever comes first, the same is told.
+// A server's clock and that of its front are set to one time: whichever comes first, the same is
+// told.
 func TestDeadlineCause(t *testing.T) {
 	for _, script := range []string{"core send pass 500", "core send end 1 out-of-time"} {
 		c := newTable(t, 1)
-		scenario.Play(t, "core send ask 1 check - 500\ncore expect run 1\n"+script+"\ncore expect answer 1 late", map[string]scenario.Actor{"core": c})
-		if len(c.trails) != 1 || c.trails[0].Cause != CauseDeadline || c.trails[0].Hops[0].Outcome != TimedOut {
+		scenario.Play(
+			t,
+			"core send ask 1 check - 500\ncore expect run 1\n"+script+"\ncore expect answer 1 late",
+			map[string]scenario.Actor{"core": c},
+		)
+		if len(c.trails) != 1 || c.trails[0].Cause != CauseDeadline ||
+			c.trails[0].Hops[0].Outcome != TimedOut {
 			t.Errorf("%s: %+v", script, c.trails)
 		}
 	}
@@ -452,8 +518,13 @@
 // On sockets the front leaves a moment after the grace.
 func TestDrainCause(t *testing.T) {
 	c := newTable(t, 1)
-	scenario.Play(t, "core send drain 5000\ncore send pass 1900\ncore send ask 1 check\ncore expect answer 1 refused", map[string]scenario.Actor{"core": c})
-	if len(c.trails) != 1 || c.trails[0].Cause != Cause(admission.CauseDrain) || c.trails[0].Value <= c.trails[0].Limit {
+	scenario.Play(
+		t,
+		"core send drain 5000\ncore send pass 1900\ncore send ask 1 check\ncore expect answer 1 refused",
+		map[string]scenario.Actor{"core": c},
+	)
+	if len(c.trails) != 1 || c.trails[0].Cause != Cause(admission.CauseDrain) ||
+		c.trails[0].Value <= c.trails[0].Limit {
 		t.Errorf("%+v", c.trails)
 	}
 }
--- a/internal/lifecycle/counts.go
+++ b/internal/lifecycle/counts.go
@@ -2,8 +2,9 @@
 
 import "log/slog"
 
-// Stats counts what became of requests since the start. Whoever has it read is in one of the ends, or open:
-// Read = Served + Refused + Failed + Late + Misused + Gone + Withdrawn + those that are open.
+// Stats counts what became of requests since the start. Whoever has it read is in one of the ends,
+// or open: Read = Served + Refused + Failed + Late + Misused + Gone + Withdrawn + those that are
+// open.
 type Stats struct {
 	Read      int64
 	Served    int64
@@ -51,8 +52,21 @@
 
 // LogValue implements slog.LogValuer.
 func (s Stats) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("read", s.Read), slog.Int64("served", s.Served), slog.Int64("refused", s.Refused), slog.Int64("failed", s.Failed),
-		slog.Int64("late", s.Late), slog.Int64("gone", s.Gone), slog.Int64("withdrawn", s.Withdrawn), slog.Int64("started", s.Started), slog.Int64("repeats", s.Repeats), slog.Int64("misused", s.Misused))
+	return slog.GroupValue(
+		slog.Int64("read", s.Read),
+		slog.Int64("served", s.Served),
+		slog.Int64("refused", s.Refused),
+		slog.Int64("failed", s.Failed),
+		slog.Int64(
+			"late",
+			s.Late,
+		),
+		slog.Int64("gone", s.Gone),
+		slog.Int64("withdrawn", s.Withdrawn),
+		slog.Int64("started", s.Started),
+		slog.Int64("repeats", s.Repeats),
+		slog.Int64("misused", s.Misused),
+	)
 }
 
 // ByClass gives the counts of each class by its name, also of those that there are not any more.
--- a/internal/lifecycle/counts_test.go
+++ b/internal/lifecycle/counts_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// Whatever happens, each request that was read is in one end or open, and the ends are what callers were told.
+// Whatever happens, each request that was read is in one end or open, and the ends are what callers
+// were told.
 func TestEachRequestIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newTable(t, 2)
@@ -59,7 +60,9 @@
 				Misused: told["misused"], Gone: gone, Withdrawn: withdrawn, Started: sum.Started, Repeats: sum.Repeats}, c.Stats()); diff != "" {
 				rt.Fatalf("(-want +got)\n%s", diff)
 			}
-			if left := sum.Read - sum.Served - sum.Refused - sum.Faulted() - sum.Gone; left != int64(c.Open()) {
+			if left := sum.Read - sum.Served - sum.Refused - sum.Faulted() - sum.Gone; left != int64(
+				c.Open(),
+			) {
 				rt.Fatalf("%d are in no end, and %d open", left, c.Open())
 			}
 		}
@@ -78,7 +81,8 @@
 					class, key = "hand-in", rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "key")
 				}
 				id := strconv.Itoa(last)
-				if len(c.ids) > 0 && rapid.IntRange(0, 9).Draw(rt, "again") == 0 { // an id that was there before, open or not
+				// an id that was there before, open or not
+				if len(c.ids) > 0 && rapid.IntRange(0, 9).Draw(rt, "again") == 0 {
 					id = rapid.SampledFrom(ids()).Draw(rt, "id")
 				}
 				asked++
@@ -104,7 +108,12 @@
 			},
 			"end": func(rt *rapid.T) {
 				if len(c.runs) > 0 {
-					send("end", rapid.SampledFrom(runs()).Draw(rt, "id"), rapid.SampledFrom(slices.Sorted(maps.Keys(outcomes))).Draw(rt, "outcome"), "ok")
+					send(
+						"end",
+						rapid.SampledFrom(runs()).Draw(rt, "id"),
+						rapid.SampledFrom(slices.Sorted(maps.Keys(outcomes))).Draw(rt, "outcome"),
+						"ok",
+					)
 				}
 			},
 			"need": func(rt *rapid.T) {
@@ -114,7 +123,16 @@
 			},
 			"called": func(rt *rapid.T) {
 				if len(c.runs) > 0 {
-					send("called", rapid.SampledFrom(runs()).Draw(rt, "id"), rapid.SampledFrom([]string{"fine", "fault", "away", "out-of-time"}).Draw(rt, "outcome"))
+					send(
+						"called",
+						rapid.SampledFrom(runs()).Draw(rt, "id"),
+						rapid.SampledFrom(
+							[]string{"fine", "fault", "away", "out-of-time"},
+						).Draw(
+							rt,
+							"outcome",
+						),
+					)
 				}
 			},
 			"pass": func(rt *rapid.T) { send("pass", strconv.Itoa(rapid.IntRange(1, 4000).Draw(rt, "ms"))) },
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -46,7 +46,8 @@
 	limit        float64
 }
 
-// gate stands before the module: it is told what happened and hands out what to do, one decision at a time.
+// gate stands before the module: it is told what happened and hands out what to do, one decision at
+// a time.
 type gate struct {
 	module *admission.Controller
 	now    func() int64
@@ -79,6 +80,16 @@
 	}
 	a := &g.ready[g.next]
 	g.next++
-	return decision{verb: verbs[a.Kind], id: a.Request, span: a.For.Microseconds(), last: a.Last, stored: a.Stored,
-		good: a.Good, value: a.Value, text: a.Text, cause: a.Cause, limit: a.Limit}, true
+	return decision{
+		verb:   verbs[a.Kind],
+		id:     a.Request,
+		span:   a.For.Microseconds(),
+		last:   a.Last,
+		stored: a.Stored,
+		good:   a.Good,
+		value:  a.Value,
+		text:   a.Text,
+		cause:  a.Cause,
+		limit:  a.Limit,
+	}, true
 }
--- a/internal/lifecycle/keeper.go
+++ b/internal/lifecycle/keeper.go
@@ -6,21 +6,24 @@
 	"ryepaddle/internal/admission"
 )
 
-// Kept is what is remembered of a key where a crash does not reach it. Classes and tenants go by their names.
+// Kept is what is remembered of a key where a crash does not reach it. Classes and tenants go by
+// their names.
 type Kept struct {
 	Class, Tenant, Key string
-	Owner              uint64 // the try that it is about, told from all others, also of other lives of the program
-	Until              int64  // Unix time up to which a repeat may arrive
-	Body               [32]byte
-	Ended              bool // else its run had begun
-	How                Kind // of an end without a result: how repeats are answered
-	Result             *Result
-	Work               int64 // of an end: microseconds that servers spent on it
-	Waits              bool  // of an end: somebody waits for the answer
+	// the try that it is about, told from all others, also of other lives of the program
+	Owner  uint64
+	Until  int64 // Unix time up to which a repeat may arrive
+	Body   [32]byte
+	Ended  bool // else its run had begun
+	How    Kind // of an end without a result: how repeats are answered
+	Result *Result
+	Work   int64 // of an end: microseconds that servers spent on it
+	Waits  bool  // of an end: somebody waits for the answer
 }
 
-// Keeper keeps keys where a crash does not reach them. A run begins once it is kept that it does, and the answer to it goes
-// out once its result is kept. What is kept of a key is kept in the order in which it was handed over.
+// Keeper keeps keys where a crash does not reach them. A run begins once it is kept that it does,
+// and the answer to it goes out once its result is kept. What is kept of a key is kept in the order
+// in which it was handed over.
 type Keeper interface {
 	// Closed tells for how long no new key can be taken, in microseconds, and why; 0: they can.
 	Closed() (back int64, why string)
@@ -28,11 +31,13 @@
 	Begun(k Kept, done func(error))
 	Ended(k Kept, done func(error))
 	Forgot(k Kept)
-	// Patience is how long a run or an answer waits for that, in microseconds; a result waits for other runners while there is time.
+	// Patience is how long a run or an answer waits for that, in microseconds; a result waits for
+	// other runners while there is time.
 	Patience() int64
 }
 
-// Sharer is a Keeper that keeps keys on other runners too. The result of a run is given out only once it is kept there.
+// Sharer is a Keeper that keeps keys on other runners too. The result of a run is given out only
+// once it is kept there.
 type Sharer interface {
 	Keeper
 	// Apart tells whether it is for want of them that no new key can be taken.
@@ -58,8 +63,9 @@
 	return CauseDisk, 0
 }
 
-// Restore takes what was kept in earlier lives of the program. A run that had begun and did not end is in doubt: it may have run,
-// and is never run again. It reports how many keys are of classes or tenants that there are not any more.
+// Restore takes what was kept in earlier lives of the program. A run that had begun and did not end
+// is in doubt: it may have run, and is never run again. It reports how many keys are of classes or
+// tenants that there are not any more.
 func (c *Core) Restore(keys []Kept) (strange int) {
 	for _, k := range keys {
 		class, ok := c.Class(k.Class)
@@ -71,8 +77,16 @@
 			strange++
 			continue
 		}
-		e := &entry{name: keyName{class, tenant, k.Key}, body: k.Body, until: k.Until, ran: true, ended: true, restored: true,
-			failed: k.How, result: k.Result}
+		e := &entry{
+			name:     keyName{class, tenant, k.Key},
+			body:     k.Body,
+			until:    k.Until,
+			ran:      true,
+			ended:    true,
+			restored: true,
+			failed:   k.How,
+			result:   k.Result,
+		}
 		if !k.Ended {
 			e.failed, e.doubt = Failed, true
 		}
@@ -87,7 +101,8 @@
 	return strange
 }
 
-// recall answers a repeat of a request that ran in an earlier life. Nothing runs, so that the module need not hear of it.
+// recall answers a repeat of a request that ran in an earlier life. Nothing runs, so that the
+// module need not hear of it.
 func (c *Core) recall(q *Request, e *entry) {
 	a := Answer{Kind: e.failed}
 	switch {
@@ -119,21 +134,30 @@
 
 // keptOf is what there is to be kept of a key.
 func (c *Core) keptOf(e *entry) Kept {
-	k := Kept{Class: c.set.Classes[e.name.class].Name, Key: e.name.key, Owner: c.host.Life<<32 | e.owner&(1<<32-1), Until: e.until, Body: e.body,
-		Ended: e.ended, How: e.failed, Result: e.result}
+	k := Kept{
+		Class:  c.set.Classes[e.name.class].Name,
+		Key:    e.name.key,
+		Owner:  c.host.Life<<32 | e.owner&(1<<32-1),
+		Until:  e.until,
+		Body:   e.body,
+		Ended:  e.ended,
+		How:    e.failed,
+		Result: e.result,
+	}
 	if e.name.tenant >= 0 {
 		k.Tenant = c.set.Tenants[e.name.tenant].Name
 	}
 	return k
 }
 
-// begin has it kept that a run begins, and then begins it. A disk that does not answer in time is not waited for: the request is
-// refused, and that it never ran is kept behind its beginning.
+// begin has it kept that a run begins, and then begins it. A disk that does not answer in time is
+// not waited for: the request is refused, and that it never ran is kept behind its beginning.
 func (c *Core) begin(r *request) {
 	a := c.newAttempt(r, nil)
 	r.running = a
 	k := c.kept(r)
-	if back, why := c.host.Keeper.Closed(); back > 0 { // it has waited in the hold since that was not so
+	// it has waited in the hold since that was not so
+	if back, why := c.host.Keeper.Closed(); back > 0 {
 		c.begun(r, a, k, errors.New(why))
 		return
 	}
@@ -149,11 +173,15 @@
 		stop()
 		c.begun(r, a, k, err)
 	}
-	stop = c.host.After(min(c.host.Keeper.Patience(), max(r.due-lateBy-c.host.Now(), 0)), func() { settle(errSlow) })
+	stop = c.host.After(
+		min(c.host.Keeper.Patience(), max(r.due-lateBy-c.host.Now(), 0)),
+		func() { settle(errSlow) },
+	)
 	c.host.Keeper.Begun(k, settle)
 }
 
-// begun goes on with a run of which it is kept that it begins, unless that failed or the run has become needless.
+// begun goes on with a run of which it is kept that it begins, unless that failed or the run has
+// become needless.
 func (c *Core) begun(r *request, a *Attempt, k Kept, err error) {
 	switch {
 	case err != nil:
@@ -176,8 +204,9 @@
 	return CauseDisk
 }
 
-// hold has the end of a run kept, and then answers it and its repeats. The module hears at once that the run is over; the
-// answer waits, but not for a disk that does not answer, and not beyond its due time.
+// hold has the end of a run kept, and then answers it and its repeats. The module hears at once
+// that the run is over; the answer waits, but not for a disk that does not answer, and not beyond
+// its due time.
 func (c *Core) hold(r *request, o Outcome, res *Result) {
 	done, answer := verdict(o, res)
 	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: done})
@@ -208,7 +237,8 @@
 		c.drop(r)
 	}
 	if _, shared := c.host.Keeper.(Sharer); shared && o == Fine {
-		stop = c.host.After(max(k.Until-c.host.Unix(), 0), func() { finish(errSlow) }) // no repeat can come any more
+		// no repeat can come any more
+		stop = c.host.After(max(k.Until-c.host.Unix(), 0), func() { finish(errSlow) })
 		c.host.Keeper.Ended(k, finish)
 		c.boundReplication(r)
 		c.settle()
@@ -226,8 +256,9 @@
 	c.settle()
 }
 
-// boundReplication answers a request whose result other runners have not confirmed while there was time for it. It must not be given out
-// without their word: should this process be taken for lost, they tell repeats that the run is in doubt. The key stays open until they confirm.
+// boundReplication answers a request whose result other runners have not confirmed while there was
+// time for it. It must not be given out without their word: should this process be taken for lost,
+// they tell repeats that the run is in doubt. The key stays open until they confirm.
 func (c *Core) boundReplication(r *request) {
 	wait := r.due - lateBy - c.host.Now()
 	if c.drainAt != 0 {
@@ -243,5 +274,6 @@
 	})
 }
 
-// replicationSpare is how long before the process is stopped a result that is not confirmed is given up.
+// replicationSpare is how long before the process is stopped a result that is not confirmed is
+// given up.
 const replicationSpare = 300_000
--- a/internal/lifecycle/keeper_test.go
+++ b/internal/lifecycle/keeper_test.go
@@ -6,7 +6,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// replicas stands in for other runners that keep keys: a run may begin at once, and its result is confirmed when the test says so. It sends `confirm`.
+// replicas stands in for other runners that keep keys: a run may begin at once, and its result is
+// confirmed when the test says so. It sends `confirm`.
 type replicas struct {
 	*table
 	confirm func(error)
@@ -28,7 +29,8 @@
 	return p.table.Send(words)
 }
 
-// The result of a run is not given out before other runners have confirmed it, however long that takes: they would tell repeats that the run is in doubt.
+// The result of a run is not given out before other runners have confirmed it, however long that
+// takes: they would tell repeats that the run is in doubt.
 func TestResultWaitsForItsReplicas(t *testing.T) {
 	for name, script := range map[string]string{
 		"confirmed after the patience": `
--- a/internal/lifecycle/keys.go
+++ b/internal/lifecycle/keys.go
@@ -46,7 +46,8 @@
 	return keyTable{byName: map[keyName]*entry{}, most: most}
 }
 
-// lateRead is how long after its arrival a repeat may be read; it still meets the entry that stood when it came.
+// lateRead is how long after its arrival a repeat may be read; it still meets the entry that stood
+// when it came.
 const lateRead = 10_000_000
 
 // sweepEvery bounds the work of looking through the table.
@@ -62,7 +63,8 @@
 // find is the entry that a request repeats, if it came while that stood.
 func (t *keyTable) find(q *Request) *entry {
 	e := t.byName[nameOf(q)]
-	if e != nil && (q.Arrived <= e.until || !e.ended) { // one that is held or runs stands, however long that takes
+	// one that is held or runs stands, however long that takes
+	if e != nil && (q.Arrived <= e.until || !e.ended) {
 		return e
 	}
 	return nil
@@ -71,7 +73,8 @@
 // keep remembers a request's key up to a Unix time, in place of an older try whose time is over.
 func (t *keyTable) keep(r *request, until int64) {
 	e := t.byName[nameOf(r.Request)]
-	if e != nil && e.elsewhere != 0 && r.Arrived <= e.until { // another process was first, since r was read
+	// another process was first, since r was read
+	if e != nil && e.elsewhere != 0 && r.Arrived <= e.until {
 		r.entry = e
 		return
 	}
@@ -182,7 +185,8 @@
 	}
 }
 
-// forgetEntry drops a key whose try never ran. Nor did those that wait for it, and they may be tried again.
+// forgetEntry drops a key whose try never ran. Nor did those that wait for it, and they may be
+// tried again.
 func (c *Core) forgetEntry(e *entry) {
 	c.keys.remove(e)
 	waiters := e.waiters
