--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -6,12 +6,12 @@
 	"ryepaddle/internal/admission"
 )
 
-// droppedFor is for how long after a change of the settings requests of a class that they have not any more are taken: callers hear
-// of it late.
+// droppedFor is for how long after a change of the settings requests of a class that they have not
+// any more are taken: callers hear of it late.
 const droppedFor = 5_000_000
 
-// Configure takes settings that were changed while the program runs, and gives them as they are in force, with the places of classes
-// that they have dropped.
+// Configure takes settings that were changed while the program runs, and gives them as they are in
+// force, with the places of classes that they have dropped.
 func (c *Core) Configure(set admission.Settings) (admission.Settings, error) {
 	set, err := usable(set).After(c.set)
 	if err != nil {
@@ -29,7 +29,11 @@
 		}
 	}
 	grow := len(set.Classes) - len(c.set.Classes)
-	c.counts, c.droppedAt = append(c.counts, make([]Stats, grow)...), append(c.droppedAt, make([]int64, grow)...)
+	c.counts, c.droppedAt = append(
+		c.counts,
+		make([]Stats, grow)...), append(
+		c.droppedAt,
+		make([]int64, grow)...)
 	c.set = set
 	c.hearAgain()
 	return set, nil
@@ -50,7 +54,10 @@
 
 // Dropped tells whether there was a class by that name.
 func (c *Core) Dropped(name string) bool {
-	return slices.ContainsFunc(c.set.Classes, func(class admission.Class) bool { return class.Name == name && class.Dropped })
+	return slices.ContainsFunc(
+		c.set.Classes,
+		func(class admission.Class) bool { return class.Name == name && class.Dropped },
+	)
 }
 
 // NoTenant is the place of requests of nobody: where there are no tenants, all are.
@@ -72,9 +79,10 @@
 // Keyed tells whether requests of the class carry a key.
 func (c *Core) Keyed(class int) bool { return c.set.Classes[class].Effect == admission.Keyed }
 
-// usable is what the module is told of the settings: no more than this program can carry out. What they allow beyond that is no reason
-// not to serve. The engine's protocol has no word for stopping a run nor for going on without a call, and an answer is served with what
-// a run made for that request, so that reads do not share results.
+// usable is what the module is told of the settings: no more than this program can carry out. What
+// they allow beyond that is no reason not to serve. The engine's protocol has no word for stopping
+// a run nor for going on without a call, and an answer is served with what a run made for that
+// request, so that reads do not share results.
 func usable(set admission.Settings) admission.Settings {
 	set.Halt, set.FreshFor = admission.HaltNone, 0
 	set.Classes = slices.Clone(set.Classes)
--- a/internal/lifecycle/trail.go
+++ b/internal/lifecycle/trail.go
@@ -2,10 +2,12 @@
 
 import "ryepaddle/internal/admission"
 
-// Cause is why a request was answered as it was. Those of the module are followed by those of the table of requests.
+// Cause is why a request was answered as it was. Those of the module are followed by those of the
+// table of requests.
 type Cause uint8
 
-// The causes that are not the module's. Value and Limit of the trail are what was compared, where that is said.
+// The causes that are not the module's. Value and Limit of the trail are what was compared, where
+// that is said.
 const (
 	CauseNone        Cause = 0
 	CauseKeyTable    Cause = 64 + iota // the table of keys is full; keys, and what it holds
@@ -23,9 +25,12 @@
 	CauseDeadline                      // the deadline of its front came
 	CauseGone                          // its caller went before there was an answer
 	CauseRefusedRun                    // the run was refused, and nothing ran
-	CausePool                          // it would have come too late for the slots of its pool; seconds it would take, and that are left
-	CauseLine                          // the line of its pool was full; requests in it, and that it holds
-	CauseCopies                        // its copies on other runners were not to be had
+	// it would have come too late for the slots of its pool; seconds it would take, and that are
+	// left
+	CausePool
+	// the line of its pool was full; requests in it, and that it holds
+	CauseLine
+	CauseCopies // its copies on other runners were not to be had
 )
 
 var causeNames = map[Cause]string{
@@ -77,8 +82,9 @@
 	Value, Limit  float64
 	ComeBack      int64
 	Hops          [mostHops]Hop
-	Tries         int   // those beyond the hops are counted alone
-	Kept          int64 // microseconds that it waited until its key was kept, on the disk or on other runners
+	Tries         int // those beyond the hops are counted alone
+	// microseconds that it waited until its key was kept, on the disk or on other runners
+	Kept int64
 }
 
 // trail begins one, where anybody takes them.
@@ -86,10 +92,20 @@
 	if c.host.Trails == nil {
 		return nil
 	}
-	return &Trail{Name: q.Name, Key: q.Key, Trace: q.Trace, Class: q.Class, Tenant: q.Tenant, Caller: q.Caller, Arrived: q.Arrived, Read: c.host.Unix()}
+	return &Trail{
+		Name:    q.Name,
+		Key:     q.Key,
+		Trace:   q.Trace,
+		Class:   q.Class,
+		Tenant:  q.Tenant,
+		Caller:  q.Caller,
+		Arrived: q.Arrived,
+		Read:    c.host.Unix(),
+	}
 }
 
-// because notes why an answer is about to be given. What was said first stands: a cause that is nearer to it.
+// because notes why an answer is about to be given. What was said first stands: a cause that is
+// nearer to it.
 func (t *Trail) because(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause, t.Value, t.Limit = cause, value, limit
--- a/internal/lifecycle/types.go
+++ b/internal/lifecycle/types.go
@@ -52,7 +52,8 @@
 	Cancel()
 }
 
-// Taker takes the rest of a result. Finished or Cut comes once, last, unless the stream was cancelled.
+// Taker takes the rest of a result. Finished or Cut comes once, last, unless the stream was
+// cancelled.
 type Taker interface {
 	Take(part []byte)
 	Finished()
@@ -75,7 +76,8 @@
 const (
 	NameOpen Reason = iota + 1 // another request by its name is open
 	KeyTaken                   // its key stands for another body
-	InDoubt                    // of Failed: it repeats one that had begun when the program ended, and may have run
+	// of Failed: it repeats one that had begun when the program ended, and may have run
+	InDoubt
 )
 
 func (r Reason) String() string {
@@ -134,7 +136,8 @@
 	Safe    bool     // it may be sent again
 	Server  string   // which server took it, for back ends that have several
 	Before  *Attempt // the try before it, which failed
-	// Why it was not run, if its runner knows better than the outcome tells, with what was compared.
+	// Why it was not run, if its runner knows better than the outcome tells, with what was
+	// compared.
 	Why          Cause
 	Value, Limit float64
 	id           uint64
@@ -162,15 +165,16 @@
 	Left   int64 // microseconds until its answer is late
 }
 
-// Runner is a back end that runs requests. Outcomes are reported with Core.Ended, once an attempt, never from
-// within Run.
+// Runner is a back end that runs requests. Outcomes are reported with Core.Ended, once an attempt,
+// never from within Run.
 type Runner interface {
 	Run(a *Attempt)
 	// Abandon tells that nobody waits for the attempt. Its end is still reported.
 	Abandon(a *Attempt)
 }
 
-// Dependency places the calls of running requests and reports them with Core.Called, never from within Call.
+// Dependency places the calls of running requests and reports them with Core.Called, never from
+// within Call.
 type Dependency interface {
 	Call(a *Attempt, body []byte, patience int64)
 	// GiveUp drops a call that is out; nothing is reported of it.
--- a/internal/match/lex.go
+++ b/internal/match/lex.go
@@ -45,9 +45,20 @@
 }
 
 // words are names that are operators. In capitals or not they mean nothing else.
-var words = map[string]bool{"and": true, "or": true, "not": true, "in": true, "startswith": true, "endswith": true, "contains": true, "matches": true, "within": true}
+var words = map[string]bool{
+	"and":        true,
+	"or":         true,
+	"not":        true,
+	"in":         true,
+	"startswith": true,
+	"endswith":   true,
+	"contains":   true,
+	"matches":    true,
+	"within":     true,
+}
 
-// mostText is how long an expression may be, in bytes. With mostDeep it bounds what reading it takes.
+// mostText is how long an expression may be, in bytes. With mostDeep it bounds what reading it
+// takes.
 const (
 	mostText = 4096
 	mostDeep = 64
@@ -114,7 +125,8 @@
 
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
 
-// quoted reads a text in quotes, and says how long it is with them. A backslash stands before a quote or another backslash.
+// quoted reads a text in quotes, and says how long it is with them. A backslash stands before a
+// quote or another backslash.
 func quoted(s string) (text string, n int, err error) {
 	var b strings.Builder
 	for i := 1; i < len(s); i++ {
--- a/internal/match/match.go
+++ b/internal/match/match.go
@@ -1,6 +1,7 @@
-// Package match is a small typed language in which the operator's file says which requests are meant, and what their schools and keys
-// are. An expression is compiled once. It has no loops, and its worst cost is known then: one that is ill-typed, stands for itself, or
-// could cost more than its bound never gets to see a request. It is free of I/O.
+// Package match is a small typed language in which the operator's file says which requests are
+// meant, and what their schools and keys are. An expression is compiled once. It has no loops, and
+// its worst cost is known then: one that is ill-typed, stands for itself, or could cost more than
+// its bound never gets to see a request. It is free of I/O.
 //
 //	school in ["north", "lindby"] and path startswith "/ops/exam" and length < 20000
 //	var("HTTP_X_EXERCISE") matches "intro-*" or remote within "10.0.0.0/8"
@@ -39,8 +40,8 @@
 
 // Bounds of what an expression may come to.
 const (
-	// MostCost is the most that one may cost, in steps: one for each operation, and one for each 64 bytes that it looks at, all of them
-	// as long as they can be.
+	// MostCost is the most that one may cost, in steps: one for each operation, and one for each 64
+	// bytes that it looks at, all of them as long as they can be.
 	MostCost = 10_000
 	// MostMade is how many bytes of text one may make.
 	MostMade  = 4096
@@ -71,8 +72,8 @@
 // Names are expressions that others may use by name, as they were written.
 type Names map[string]string
 
-// Compile reads an expression that comes to a type. Errors are *Error, and of the names that it uses tell which.
-// without are fields that are not known yet where it is used.
+// Compile reads an expression that comes to a type. Errors are *Error, and of the names that it
+// uses tell which. without are fields that are not known yet where it is used.
 func Compile(text string, want Type, names Names, without ...string) (*Expr, error) {
 	p := &parser{names: names, without: without, done: map[string]*node{}, busy: map[string]bool{}}
 	n, err := p.whole(text)
@@ -85,7 +86,8 @@
 	return &Expr{text, n}, nil
 }
 
-// CheckName reports what is wrong with one of the names and what it stands for, whether or not anybody uses it.
+// CheckName reports what is wrong with one of the names and what it stands for, whether or not
+// anybody uses it.
 func CheckName(name string, names Names) error {
 	toks, err := lex(name)
 	switch {
@@ -114,7 +116,8 @@
 // steps is what looking at so many bytes costs.
 func steps(bytes int) int { return 1 + bytes/perStep }
 
-// costs adds up what a node is made of, and refuses what comes to too much. Named ones count as often as they stand.
+// costs adds up what a node is made of, and refuses what comes to too much. Named ones count as
+// often as they stand.
 func (n *node) costs(own int, parts ...*node) (*node, error) {
 	n.cost = own
 	for _, p := range parts {
@@ -208,7 +211,11 @@
 	})
 }
 
-func (p *parser) logic(sign string, part func() (*node, error), join func(a, b *node) func(*Request) bool) (*node, error) {
+func (p *parser) logic(
+	sign string,
+	part func() (*node, error),
+	join func(a, b *node) func(*Request) bool,
+) (*node, error) {
 	a, err := part()
 	if err != nil {
 		return nil, err
@@ -346,7 +353,8 @@
 	return nil, wrong(t.at, "%v stands where a value is missing", t)
 }
 
-// named is a field, or an expression of that name. Each is read once, and costs what it costs wherever it stands.
+// named is a field, or an expression of that name. Each is read once, and costs what it costs
+// wherever it stands.
 func (p *parser) named(t token) (*node, error) {
 	if f, ok := fields[t.text]; ok {
 		if slices.Contains(p.without, t.text) {
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -12,12 +12,28 @@
 
 func request() *Request {
 	vars := map[string]string{"HTTP_X_EXERCISE": "intro-loops", "HTTP_X_EMPTY": "", "HTTP_X_N": "42"}
-	return &Request{Method: "POST", Path: "/ops/exam/7", Query: "group=a%20b&n=3&group=c", Host: "North.example.org", Scheme: "https", School: "north",
-		Remote: netip.MustParseAddr("::ffff:10.1.2.3"), Length: 1200, Var: func(name string) (string, bool) { v, ok := vars[name]; return v, ok }}
+	return &Request{
+		Method: "POST",
+		Path:   "/ops/exam/7",
+		Query:  "group=a%20b&n=3&group=c",
+		Host:   "North.example.org",
+		Scheme: "https",
+		School: "north",
+		Remote: netip.MustParseAddr(
+			"::ffff:10.1.2.3",
+		),
+		Length: 1200,
+		Var:    func(name string) (string, bool) { v, ok := vars[name]; return v, ok },
+	}
 }
 
 func TestConditions(t *testing.T) {
-	names := Names{"exam": `path startswith "/ops/exam"`, "ours": `school in ["north", "south"]`, "both": "exam and ours", "who": `lower(part(host, ".", 0))`}
+	names := Names{
+		"exam": `path startswith "/ops/exam"`,
+		"ours": `school in ["north", "south"]`,
+		"both": "exam and ours",
+		"who":  `lower(part(host, ".", 0))`,
+	}
 	for text, want := range map[string]bool{
 		`both`: true, `not both`: false, `who == school`: true, `method != "POST" or exam and not (scheme == "http")`: true,
 		`length > 1000 and length <= 1200`: true, `length - 1200 == 0`: true, `length in [1, 1200]`: true, `length not in [1, -1]`: true,
@@ -74,7 +90,8 @@
 			t.Errorf("%.40s: %v; want %s", text, err, want)
 		}
 	}
-	if _, err := Compile("school", Text, nil, "school"); err == nil || !strings.Contains(err.Error(), "not known yet") {
+	if _, err := Compile("school", Text, nil, "school"); err == nil ||
+		!strings.Contains(err.Error(), "not known yet") {
 		t.Error(err)
 	}
 }
@@ -87,7 +104,13 @@
 		}
 		return e
 	}
-	rules := []Rule{{"/", nil}, {"/ops", when(`school == "south"`)}, {"/ops/exam/", when(`length > 5000`)}, {"/ops/exam/", when(`method == "POST"`)}, {"/ops/exam", nil}}
+	rules := []Rule{
+		{"/", nil},
+		{"/ops", when(`school == "south"`)},
+		{"/ops/exam/", when(`length > 5000`)},
+		{"/ops/exam/", when(`method == "POST"`)},
+		{"/ops/exam", nil},
+	}
 	table, err := NewTable(rules)
 	if err != nil {
 		t.Fatal(err)
@@ -103,13 +126,16 @@
 		}
 	}
 	var behind *Unreached
-	if _, err := NewTable(append(rules, Rule{"/ops/exam", when(`length == 1`)})); !errors.As(err, &behind) || behind.Rule != 5 || behind.Behind != 4 {
+	if _, err := NewTable(append(rules, Rule{"/ops/exam", when(`length == 1`)})); !errors.As(err, &behind) ||
+		behind.Rule != 5 ||
+		behind.Behind != 4 {
 		t.Error(err)
 	}
 	for range 60 {
 		rules = append(rules, Rule{"/x", when(`var("A") contains "x"`)})
 	}
-	if _, err := NewTable(rules); err == nil || !strings.Contains(err.Error(), "conditions together could cost") {
+	if _, err := NewTable(rules); err == nil ||
+		!strings.Contains(err.Error(), "conditions together could cost") {
 		t.Error(err)
 	}
 }
@@ -127,7 +153,17 @@
 		return s != "" && s[0] == p[0] && plain(s[1:], p[1:])
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		s, p := rapid.StringMatching(`[ab]{0,8}`).Draw(t, "s"), rapid.StringMatching(`[ab*]{0,6}`).Draw(t, "p")
+		s, p := rapid.StringMatching(
+			`[ab]{0,8}`,
+		).Draw(
+			t,
+			"s",
+		), rapid.StringMatching(
+			`[ab*]{0,6}`,
+		).Draw(
+			t,
+			"p",
+		)
 		if got := matches(s, strings.Split(p, "*")); got != plain(s, p) {
 			t.Fatalf("%q, %q: %v", s, p, got)
 		}
@@ -164,7 +200,11 @@
 // The worst that an expression may be, on the longest fields; what it takes is per step.
 func BenchmarkWorst(b *testing.B) {
 	long := strings.Repeat("b", mostField-1) + "a"
-	r := &Request{Path: long, Query: strings.Repeat("a%41=b&", mostField/7), Var: func(string) (string, bool) { return long, true }}
+	r := &Request{
+		Path:  long,
+		Query: strings.Repeat("a%41=b&", mostField/7),
+		Var:   func(string) (string, bool) { return long, true },
+	}
 	for name, one := range map[string]string{"contains": `path contains "aa"`, "pattern": `path matches "*a*a"`, "part": `part(path, "b", 1000) == "x"`, "arg": `arg("x") == "y"`, "fold": `lower(path) == "x"`, "list": `path in ["x"]`, "bucket": `bucket(path, 7) == 9`} {
 		b.Run(name, func(b *testing.B) {
 			text, e := one, (*Expr)(nil)
@@ -185,7 +225,11 @@
 }
 
 func BenchmarkUsual(b *testing.B) {
-	e, err := Compile(`school in ["north", "south"] and path startswith "/ops/exam" and (length < 20000 or var("HTTP_X_EXERCISE") matches "intro-*")`, Bool, nil)
+	e, err := Compile(
+		`school in ["north", "south"] and path startswith "/ops/exam" and (length < 20000 or var("HTTP_X_EXERCISE") matches "intro-*")`,
+		Bool,
+		nil,
+	)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/match/ops.go
+++ b/internal/match/ops.go
@@ -12,7 +12,14 @@
 )
 
 func constant(at int, s string) *node {
-	return &node{at: at, typ: Text, cost: 1, long: len(s), fixed: true, text: func(*Request) string { return s }}
+	return &node{
+		at:    at,
+		typ:   Text,
+		cost:  1,
+		long:  len(s),
+		fixed: true,
+		text:  func(*Request) string { return s },
+	}
 }
 
 func number(at int, v int64) *node {
@@ -64,7 +71,8 @@
 			n.bool = func(r *Request) bool { _, ok := r.Var(name); return ok }
 			return scan, nil
 		}},
-		// arg is the first value of an argument of the query, among the first so many; nothing where there is none, or it cannot be read.
+		// arg is the first value of an argument of the query, among the first so many; nothing
+		// where there is none, or it cannot be read.
 		"arg": {[]param{plain}, func(n *node, a []*node) (int, error) {
 			name := a[0].text(nil)
 			n.typ, n.long, n.made = Text, mostMadeArg, mostMadeArg
@@ -89,7 +97,8 @@
 			n.text = func(r *Request) string { s := a[0].text(r); return s[:min(len(s), int(most))] }
 			return 1, nil
 		}},
-		// part is the part of a text of that number, from 0, between separators; nothing where there is none.
+		// part is the part of a text of that number, from 0, between separators; nothing where
+		// there is none.
 		"part": {[]param{text, plain, {Int, true}}, func(n *node, a []*node) (int, error) {
 			sep, which := a[1].text(nil), a[2].int(nil)
 			if sep == "" {
@@ -143,7 +152,8 @@
 	mostArgs    = 256 // arguments of a query that are looked at
 )
 
-// folded makes a text of another case. It makes no more than MostMade bytes: what is longer stays as it is, and equals none.
+// folded makes a text of another case. It makes no more than MostMade bytes: what is longer stays
+// as it is, and equals none.
 func folded(fold func(string) string) func(*node, []*node) (int, error) {
 	return func(n *node, a []*node) (int, error) {
 		n.typ, n.long = Text, a[0].long
@@ -166,7 +176,8 @@
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
 		key, value, _ := strings.Cut(pair, "=")
-		if len(key) > 3*mostMadeArg || len(value) > mostMadeArg { // what is read of it is no longer than it
+		// what is read of it is no longer than it
+		if len(key) > 3*mostMadeArg || len(value) > mostMadeArg {
 			continue
 		}
 		if k, err := url.QueryUnescape(key); err != nil || k != name {
@@ -194,8 +205,14 @@
 }
 
 // orders are the comparisons, by what they hold for: below, alike, above.
-var orders = map[string]*[3]bool{"==": {false, true, false}, "!=": {true, false, true}, "<": {true, false, false}, "<=": {true, true, false},
-	">": {false, false, true}, ">=": {false, true, true}}
+var orders = map[string]*[3]bool{
+	"==": {false, true, false},
+	"!=": {true, false, true},
+	"<":  {true, false, false},
+	"<=": {true, true, false},
+	">":  {false, false, true},
+	">=": {false, true, true},
+}
 
 func inOrder(t token, a, b *node, holds *[3]bool) (*node, error) {
 	if a.typ != b.typ {
@@ -214,7 +231,12 @@
 }
 
 // searches are what is asked of two texts. The second of matches is a pattern.
-var searches = map[string]func(s, of string) bool{"startswith": strings.HasPrefix, "endswith": strings.HasSuffix, "contains": strings.Contains, "matches": nil}
+var searches = map[string]func(s, of string) bool{
+	"startswith": strings.HasPrefix,
+	"endswith":   strings.HasSuffix,
+	"contains":   strings.Contains,
+	"matches":    nil,
+}
 
 func searchIn(t token, a, b *node, find func(s, of string) bool) (*node, error) {
 	for _, side := range []*node{a, b} {
@@ -230,7 +252,8 @@
 		}
 		pieces := strings.Split(b.text(nil), "*")
 		n.bool = func(r *Request) bool { return matches(a.text(r), pieces) }
-		// Each piece is looked for in what is left of the text, from left to right, and never again.
+		// Each piece is looked for in what is left of the text, from left to right, and never
+		// again.
 		return n.costs(steps(a.long)+len(pieces), a, b)
 	case "contains":
 		if !b.fixed {
@@ -243,7 +266,8 @@
 	return n.costs(steps(min(a.long, b.long)), a, b)
 }
 
-// matches tells whether a text is those pieces with anything in between. The first place of each piece is as good as a later one.
+// matches tells whether a text is those pieces with anything in between. The first place of each
+// piece is as good as a later one.
 func matches(s string, pieces []string) bool {
 	last := len(pieces) - 1
 	if last == 0 {
--- a/internal/match/table.go
+++ b/internal/match/table.go
@@ -36,7 +36,11 @@
 		t.order = append(t.order, i)
 	}
 	if t.cost > MostCost {
-		return nil, fmt.Errorf("the conditions together could cost %d steps for one request; %d is the most", t.cost, MostCost)
+		return nil, fmt.Errorf(
+			"the conditions together could cost %d steps for one request; %d is the most",
+			t.cost,
+			MostCost,
+		)
 	}
 	slices.SortStableFunc(t.order, func(a, b int) int { return len(rules[b].Prefix) - len(rules[a].Prefix) })
 	return t, nil
@@ -50,7 +54,8 @@
 	Default string // where neither says one
 }
 
-// Of finds a request's school, which the rules may go by, and the number of its rule; -1: it has none.
+// Of finds a request's school, which the rules may go by, and the number of its rule; -1: it has
+// none.
 func (l *Lead) Of(r *Request) int {
 	if l.School != nil {
 		r.School = l.School.Text(r)
@@ -68,10 +73,14 @@
 type Unreached struct{ Rule, Behind int }
 
 func (u *Unreached) Error() string {
-	return fmt.Sprintf("no request comes to it: the one of the same path before it, no. %d, takes all", u.Behind+1)
+	return fmt.Sprintf(
+		"no request comes to it: the one of the same path before it, no. %d, takes all",
+		u.Behind+1,
+	)
 }
 
-// Find is the number of a request's rule; -1: it has none. The longest prefix counts of which a rule holds.
+// Find is the number of a request's rule; -1: it has none. The longest prefix counts of which a
+// rule holds.
 func (t *Table) Find(r *Request) int {
 	for _, i := range t.order {
 		if rule := &t.rules[i]; below(r.Path, rule.Prefix) && (rule.When == nil || rule.When.Holds(r)) {
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -1,5 +1,5 @@
-// Package netaddr names where something listens: an IP address and port, or a unix socket by its path. Names are not
-// resolved.
+// Package netaddr names where something listens: an IP address and port, or a unix socket by its
+// path. Names are not resolved.
 package netaddr
 
 import (
@@ -24,7 +24,11 @@
 		case !strings.HasPrefix(path, "/"):
 			return Addr{}, fmt.Errorf("%q: the path of a unix socket begins with /", text)
 		case len(path) > mostPath || strings.Contains(path, "\x00"):
-			return Addr{}, fmt.Errorf("%q: the path of a unix socket is over %d bytes, or holds a zero", text, mostPath)
+			return Addr{}, fmt.Errorf(
+				"%q: the path of a unix socket is over %d bytes, or holds a zero",
+				text,
+				mostPath,
+			)
 		}
 		return Addr{Path: path}, nil
 	}
--- a/internal/peers/consensus/late_test.go
+++ b/internal/peers/consensus/late_test.go
@@ -9,8 +9,8 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// A word of the process before came late, and took from the one that is there the number that it votes under: it was heard, and never learned of
-// a table again.
+// A word of the process before came late, and took from the one that is there the number that it
+// votes under: it was heard, and never learned of a table again.
 func TestLateWordOfTheProcessBefore(t *testing.T) {
 	r := newRoom(t, 5, 3)
 	r.run(8000)
@@ -18,19 +18,28 @@
 	if voter == r.leader() {
 		voter = r.voters[1]
 	}
-	late := Message{Kind: Here, From: voter, To: r.leader(), Member: placement.Member{Name: voter, Life: 900, Process: 900}, Blank: 900<<8 | r.all[voter].place(voter), Sent: 1}
+	late := Message{
+		Kind:   Here,
+		From:   voter,
+		To:     r.leader(),
+		Member: placement.Member{Name: voter, Life: 900, Process: 900},
+		Blank:  900<<8 | r.all[voter].place(voter),
+		Sent:   1,
+	}
 	r.start(voter)
 	r.run(4000)
 	r.all[r.leader()].Receive(&late, r.now)
 	r.run(100)
 	r.all[r.leader()].Receive(&late, r.now)
 	r.run(12_000)
-	if m := r.agreed().Member(voter); r.in() != 5 || !r.all[voter].Votes() || m.Process != r.all[voter].me.Process {
+	if m := r.agreed().Member(voter); r.in() != 5 || !r.all[voter].Votes() ||
+		m.Process != r.all[voter].me.Process {
 		t.Errorf("%d are in; %s votes: %v; %+v", r.in(), voter, r.all[voter].Votes(), m)
 	}
 }
 
-// What a process said before it took another life came late, took it back to that one, and locked it out of the one that it was in.
+// What a process said before it took another life came late, took it back to that one, and locked
+// it out of the one that it was in.
 func TestLateWordBeforeAnotherLife(t *testing.T) {
 	r := newRoom(t, 4, 3)
 	r.run(8000)
@@ -50,7 +59,8 @@
 	}
 }
 
-// A snapshot that was lost on its way was not sent again, and its voter never learned of a table again.
+// A snapshot that was lost on its way was not sent again, and its voter never learned of a table
+// again.
 func TestLostSnapshot(t *testing.T) {
 	r := newRoom(t, 3, 3)
 	r.run(8000)
@@ -74,7 +84,8 @@
 		}
 		for _, m := range out {
 			x := &raftpb.Message{}
-			if m.Kind == Raft && m.To == voter && proto.Unmarshal(m.Raft, x) == nil && x.GetType() == raftpb.MsgSnap {
+			if m.Kind == Raft && m.To == voter && proto.Unmarshal(m.Raft, x) == nil &&
+				x.GetType() == raftpb.MsgSnap {
 				lost++
 				continue
 			}
@@ -92,7 +103,8 @@
 	r.agreed()
 }
 
-// A holder was confirmed in its duties after it was proposed to hold it for lost, and believed for as long as a lease beside the next one.
+// A holder was confirmed in its duties after it was proposed to hold it for lost, and believed for
+// as long as a lease beside the next one.
 func TestNoLeaseForWhoIsAboutToBeLost(t *testing.T) {
 	r := newRoom(t, 5, 3)
 	r.run(8000)
@@ -110,8 +122,9 @@
 	}
 }
 
-// An answer to the process before came to the one that took its name, whose clock began anew: it was taken for one from far in the future, and what
-// was heard last stayed new for as long as the process before had lived.
+// An answer to the process before came to the one that took its name, whose clock began anew: it
+// was taken for one from far in the future, and what was heard last stayed new for as long as the
+// process before had lived.
 func TestAnswerToTheProcessBefore(t *testing.T) {
 	r := newRoom(t, 4, 3)
 	r.run(8000)
@@ -127,7 +140,8 @@
 	}
 }
 
-// A voter whose number was taken from it went on to be heard, and never learned of a table again: it asks for another one.
+// A voter whose number was taken from it went on to be heard, and never learned of a table again:
+// it asks for another one.
 func TestVoterWithoutItsNumber(t *testing.T) {
 	r := newRoom(t, 3, 3)
 	r.run(8000)
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -51,7 +51,8 @@
 	c.propose(append(changes, c.grants()...))
 }
 
-// resend has voters be told anew who wait for a snapshot that may have been lost on its way: the library sends them nothing until it is told so.
+// resend has voters be told anew who wait for a snapshot that may have been lost on its way: the
+// library sends them nothing until it is told so.
 func (c *Participant) resend() {
 	c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
 		switch at, ok := c.snaps[id]; {
@@ -83,7 +84,8 @@
 	})
 }
 
-// read asks the other voters whether they still go by this leader, for those that hold duties and said that they are there.
+// read asks the other voters whether they still go by this leader, for those that hold duties and
+// said that they are there.
 func (c *Participant) read() {
 	if !c.leads || len(c.reads) > 0 && c.now-c.readAt < again || len(c.asks) == 0 && len(c.reads) == 0 {
 		return
@@ -105,7 +107,15 @@
 		case a.name == c.cfg.Name:
 			c.confirm(a.asked, c.table.Version)
 		default:
-			c.send(Message{Kind: Heard, To: a.name, Member: placement.Member{Name: a.name, Life: a.life}, Asked: a.asked, Version: c.table.Version})
+			c.send(
+				Message{
+					Kind:    Heard,
+					To:      a.name,
+					Member:  placement.Member{Name: a.name, Life: a.life},
+					Asked:   a.asked,
+					Version: c.table.Version,
+				},
+			)
 		}
 	}
 	c.reads, c.readTo = nil, 0
--- a/internal/peers/consensus/members.go
+++ b/internal/peers/consensus/members.go
@@ -16,8 +16,19 @@
 		_ = c.gather() // its figures are right
 		return
 	}
-	if rests, ok := c.justBegan(); ok && m.Blank != 0 && !m.Answer { // the other one may not have heard so
-		c.send(Message{Kind: Here, To: m.From, Member: c.me, Blank: c.raftID, Rests: rests, Answer: true, Sent: c.now})
+	// the other one may not have heard so
+	if rests, ok := c.justBegan(); ok && m.Blank != 0 && !m.Answer {
+		c.send(
+			Message{
+				Kind:   Here,
+				To:     m.From,
+				Member: c.me,
+				Blank:  c.raftID,
+				Rests:  rests,
+				Answer: true,
+				Sent:   c.now,
+			},
+		)
 	}
 	if !c.leads {
 		if c.node == nil {
@@ -40,14 +51,20 @@
 	c.last[m.From] = c.now
 	if m.Asked != 0 {
 		c.asked[m.From] = asker{m.From, m.Member.Life, m.Asked}
-		// Who is about to be held for lost is not told that it holds anything: its duties may be another's before it hears so.
-		if in := c.table.Member(m.From); c.table.Does(m.From) > 0 && (in == nil || in.Life != c.outs[m.From]) {
-			c.asks = append(slices.DeleteFunc(c.asks, func(a asker) bool { return a.name == m.From }), c.asked[m.From])
+		// Who is about to be held for lost is not told that it holds anything: its duties may be
+		// another's before it hears so.
+		if in := c.table.Member(m.From); c.table.Does(m.From) > 0 &&
+			(in == nil || in.Life != c.outs[m.From]) {
+			c.asks = append(
+				slices.DeleteFunc(c.asks, func(a asker) bool { return a.name == m.From }),
+				c.asked[m.From],
+			)
 		}
 	}
 	if in := c.table.Member(m.From); known && (in == nil || !in.Same(&m.Member)) {
 		// One that is out comes back in another life: by then it knows that it was lost.
-		if m.Member.Name == m.From && m.Member.Life != 0 && (in == nil || in.Life != 0 || m.Version >= c.table.Version) {
+		if m.Member.Name == m.From && m.Member.Life != 0 &&
+			(in == nil || in.Life != 0 || m.Version >= c.table.Version) {
 			c.propose([]placement.Change{{Kind: c.entry(), Member: m.Member}})
 		}
 	}
@@ -72,8 +89,9 @@
 	return placement.In
 }
 
-// known tells whether a word is of the process that is in the table, or of one that takes its place: a single word of the process before may come
-// late, all the more so where this one was stopped and reads what waited for it. One that is there says so again before the other one does.
+// known tells whether a word is of the process that is in the table, or of one that takes its
+// place: a single word of the process before may come late, all the more so where this one was
+// stopped and reads what waited for it. One that is there says so again before the other one does.
 func (c *Participant) known(m *Message) bool {
 	in := c.table.Member(m.From)
 	if in == nil || in.Life == 0 || in.Process == m.Member.Process {
@@ -106,7 +124,8 @@
 // mostTurns bounds how often a process asks for another number: each is one that it never had.
 const mostTurns = 15
 
-// admit gives a voter that lost its disk another number, in place of the one under which it may have voted.
+// admit gives a voter that lost its disk another number, in place of the one under which it may
+// have voted.
 func (c *Participant) admit(m *Message) {
 	if c.place(m.From) == 0 || m.Blank&0xff != c.place(m.From) {
 		return
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -1,6 +1,7 @@
-// Package consensus agrees on the table of copies: a Raft group of the voters that the operator's file names, from go.etcd.io/raft/v3, and what the
-// other runners say to it and hear of it. It is free of I/O: messages and ticks come in; messages, and what has to be on a disk before they
-// go out, come out. Times are microseconds of a monotonic clock.
+// Package consensus agrees on the table of copies: a Raft group of the voters that the operator's
+// file names, from go.etcd.io/raft/v3, and what the other runners say to it and hear of it. It is
+// free of I/O: messages and ticks come in; messages, and what has to be on a disk before they go
+// out, come out. Times are microseconds of a monotonic clock.
 package consensus
 
 import (
@@ -43,8 +44,10 @@
 	Slots  int
 	Copies int
 	Duties lease.Rules
-	Born   uint64       // Unix seconds when this process began
-	Clock  func() int64 // that duties go by, which also counts the time for which the machine was suspended; nil: there are none
+	Born   uint64 // Unix seconds when this process began
+	// that duties go by, which also counts the time for which the machine was suspended; nil: there
+	// are none
+	Clock func() int64
 }
 
 // Participant is one runner's part in it.
@@ -75,18 +78,22 @@
 	first   bool             // its number is not on the disk yet
 	seed    *raftpb.Snapshot // of one that began with nothing: what it began with
 	rested  bool             // it went on from its disk
-	blank   uint64           // of a voter that has just started: the number that it asks for; 0: it votes
-	blanks  map[string]bool  // the other voters that have just started: whether their disks have something
-
-	duties  *lease.Granter
-	freed   bool             // a duty was given back
-	snaps   map[uint64]int64 // since when voters wait for a snapshot
-	lost    []uint64         // of those, whose snapshot may be lost
-	fresh   map[string]newcomer
-	outs    map[string]uint64 // lives that this leader proposed to hold for lost
-	asked   map[string]asker  // when each runner said last that it is there, by its own clock
-	asks    []asker           // of those that hold duties, since the consensus group was asked last whether it goes by this leader
-	reads   []asker           // those that it was asked for
+	// of a voter that has just started: the number that it asks for; 0: it votes
+	blank uint64
+	// the other voters that have just started: whether their disks have something
+	blanks map[string]bool
+
+	duties *lease.Granter
+	freed  bool             // a duty was given back
+	snaps  map[uint64]int64 // since when voters wait for a snapshot
+	lost   []uint64         // of those, whose snapshot may be lost
+	fresh  map[string]newcomer
+	outs   map[string]uint64 // lives that this leader proposed to hold for lost
+	asked  map[string]asker  // when each runner said last that it is there, by its own clock
+	// of those that hold duties, since the consensus group was asked last whether it goes by this
+	// leader
+	asks    []asker
+	reads   []asker // those that it was asked for
 	readNo  uint64
 	readAt  int64
 	readTo  uint64 // the library confirmed it, for the table that this entry leads to; 0: not yet
@@ -100,13 +107,32 @@
 	asked int64
 }
 
-// New begins. A voter that starts does not vote, whatever its disk has: the disk may be empty, or an old one that was put back, and it would
-// contradict what it said before. The others give it another number. Only if more than half of all voters have just started, so that the others can
-// agree on nothing, do those with something on their disks go on from that; and if all have nothing they begin as the file has them.
+// New begins. A voter that starts does not vote, whatever its disk has: the disk may be empty, or
+// an old one that was put back, and it would contradict what it said before. The others give it
+// another number. Only if more than half of all voters have just started, so that the others can
+// agree on nothing, do those with something on their disks go on from that; and if all have nothing
+// they begin as the file has them.
 func New(cfg Config, me placement.Member, disk []Kept, now int64) (*Participant, error) {
 	me.Knows = placement.Newest
-	c := &Participant{cfg: cfg, me: me, now: now, ticked: now, heard: now - Lease - 1, last: map[string]int64{}, way: map[string]int64{}, blanks: map[string]bool{},
-		duties: lease.NewGranter(cfg.Duties, cfg.Born), asked: map[string]asker{}, snaps: map[uint64]int64{}, fresh: map[string]newcomer{}, outs: map[string]uint64{}, confirm: func(int64, uint64) {}}
+	c := &Participant{
+		cfg:    cfg,
+		me:     me,
+		now:    now,
+		ticked: now,
+		heard:  now - Lease - 1,
+		last:   map[string]int64{},
+		way:    map[string]int64{},
+		blanks: map[string]bool{},
+		duties: lease.NewGranter(
+			cfg.Duties,
+			cfg.Born,
+		),
+		asked:   map[string]asker{},
+		snaps:   map[uint64]int64{},
+		fresh:   map[string]newcomer{},
+		outs:    map[string]uint64{},
+		confirm: func(int64, uint64) {},
+	}
 	if c.me.Duties = cfg.Duties.Names(cfg.Name); cfg.Clock == nil {
 		c.cfg.Clock = func() int64 { return 0 }
 	}
@@ -116,7 +142,11 @@
 	}
 	place := c.place(cfg.Name)
 	if len(cfg.Voters)%2 == 0 || len(cfg.Voters) > mostVoters {
-		return nil, voters.New("consensus: %d voters: want an odd number up to %d", len(cfg.Voters), mostVoters)
+		return nil, voters.New(
+			"consensus: %d voters: want an odd number up to %d",
+			len(cfg.Voters),
+			mostVoters,
+		)
 	}
 	if place == 0 {
 		return c, nil
@@ -174,7 +204,9 @@
 	for i := range c.cfg.Voters {
 		voters.Voters = append(voters.Voters, uint64(i+1))
 	}
-	first := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: voters, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	first := &raftpb.Snapshot{
+		Metadata: &raftpb.SnapshotMetadata{ConfState: voters, Index: proto.Uint64(1), Term: proto.Uint64(1)},
+	}
 	if err := c.snapshot(first); err != nil {
 		return err
 	}
@@ -185,12 +217,26 @@
 // begin begins to vote.
 func (c *Participant) begin() (err error) {
 	c.blank, c.ticked = 0, c.now
-	c.node, err = raft.NewRawNode(&raft.Config{ID: c.raftID, ElectionTick: election, HeartbeatTick: 2, Storage: c.store, Applied: c.applied,
-		MaxSizePerMsg: maxSize, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: maxSize, CheckQuorum: true, PreVote: true, Logger: silent{}})
+	c.node, err = raft.NewRawNode(
+		&raft.Config{
+			ID:                        c.raftID,
+			ElectionTick:              election,
+			HeartbeatTick:             2,
+			Storage:                   c.store,
+			Applied:                   c.applied,
+			MaxSizePerMsg:             maxSize,
+			MaxInflightMsgs:           64,
+			MaxUncommittedEntriesSize: maxSize,
+			CheckQuorum:               true,
+			PreVote:                   true,
+			Logger:                    silent{},
+		},
+	)
 	return err
 }
 
-// place is a voter's place in the file, from 1 on; 0: it is none. It is the last byte of each number that the voter ever has.
+// place is a voter's place in the file, from 1 on; 0: it is none. It is the last byte of each
+// number that the voter ever has.
 func (c *Participant) place(name string) uint64 { return uint64(slices.Index(c.cfg.Voters, name) + 1) }
 
 // voter is the name that goes with a number.
@@ -204,10 +250,12 @@
 // Table is the newest that is known. It is not changed any more.
 func (c *Participant) Table() *placement.Table { return c.table }
 
-// HeardAt is when the newest word that the leader answered was sent: the consensus group was heard since then.
+// HeardAt is when the newest word that the leader answered was sent: the consensus group was heard
+// since then.
 func (c *Participant) HeardAt() int64 { return c.heard }
 
-// Votes tells whether this runner has a vote now: a voter that has just started has none before the others gave it one.
+// Votes tells whether this runner has a vote now: a voter that has just started has none before the
+// others gave it one.
 func (c *Participant) Votes() bool { return c.node != nil }
 
 // Leads tells whether this runner is the consensus group's leader.
@@ -216,7 +264,8 @@
 // Renew is another life of this runner's membership.
 func (c *Participant) Renew(life uint64) { c.me.Life = life }
 
-// OnConfirm names who hears that the consensus group went by its leader after this runner asked, and of which table the leader knew then.
+// OnConfirm names who hears that the consensus group went by its leader after this runner asked,
+// and of which table the leader knew then.
 func (c *Participant) OnConfirm(fn func(asked int64, version uint64)) { c.confirm = fn }
 
 // SetDuties takes the rules of another file.
@@ -235,11 +284,14 @@
 // Errors of a member that is to leave or to stay.
 var (
 	ErrStranger error = stranger.New("consensus: no member has that name")
-	ErrOlder    error = older.New("consensus: a voter is of an older version, which knows nothing of members that leave")
-	ErrNobody   error = nobody.New("consensus: too few others are left to hold its copies")
+	ErrOlder    error = older.New(
+		"consensus: a voter is of an older version, which knows nothing of members that leave",
+	)
+	ErrNobody error = nobody.New("consensus: too few others are left to hold its copies")
 )
 
-// Leave has a member hold nothing any more, or stay after all. It is done by and by: see Table.Holding.
+// Leave has a member hold nothing any more, or stay after all. It is done by and by: see
+// Table.Holding.
 func (c *Participant) Leave(name string, leave bool, now int64) error {
 	x := placement.Change{Kind: placement.Leave, Member: placement.Member{Name: name}}
 	m := c.table.Member(name)
@@ -262,7 +314,8 @@
 	return nil
 }
 
-// Lost tells whether the table holds this runner for lost, so that it has to come back in another life.
+// Lost tells whether the table holds this runner for lost, so that it has to come back in another
+// life.
 func (c *Participant) Lost() bool {
 	m := c.table.Member(c.cfg.Name)
 	return m != nil && m.Life == 0
@@ -317,13 +370,31 @@
 	if c.blank != 0 {
 		for _, v := range c.cfg.Voters {
 			if v != c.cfg.Name {
-				c.send(Message{Kind: Here, To: v, Member: c.me, Blank: c.blank, Rests: c.raftID != 0, Sent: c.now, Asked: c.cfg.Clock()})
+				c.send(
+					Message{
+						Kind:   Here,
+						To:     v,
+						Member: c.me,
+						Blank:  c.blank,
+						Rests:  c.raftID != 0,
+						Sent:   c.now,
+						Asked:  c.cfg.Clock(),
+					},
+				)
 			}
 		}
 		return
 	}
 	if c.leads {
-		c.here(Message{From: c.cfg.Name, Member: c.me, Version: c.table.Version, Sent: c.now, Asked: c.cfg.Clock()})
+		c.here(
+			Message{
+				From:    c.cfg.Name,
+				Member:  c.me,
+				Version: c.table.Version,
+				Sent:    c.now,
+				Asked:   c.cfg.Clock(),
+			},
+		)
 		return
 	}
 	if c.now-c.heard > Lease { // whoever was asked does not answer
@@ -331,7 +402,17 @@
 		c.tries++
 	}
 	if c.leader != "" && c.leader != c.cfg.Name {
-		c.send(Message{Kind: Here, To: c.leader, Member: c.me, Version: c.table.Version, Sent: c.now, Asked: c.cfg.Clock(), Number: c.number()})
+		c.send(
+			Message{
+				Kind:    Here,
+				To:      c.leader,
+				Member:  c.me,
+				Version: c.table.Version,
+				Sent:    c.now,
+				Asked:   c.cfg.Clock(),
+				Number:  c.number(),
+			},
+		)
 	}
 }
 
@@ -349,7 +430,9 @@
 	switch m.Kind {
 	case Raft:
 		r := &raftpb.Message{}
-		if c.node != nil && proto.Unmarshal(m.Raft, r) == nil && c.voter(r.GetFrom()) == m.From && m.From != "" && r.GetTo() == c.raftID {
+		if c.node != nil && proto.Unmarshal(m.Raft, r) == nil && c.voter(r.GetFrom()) == m.From &&
+			m.From != "" &&
+			r.GetTo() == c.raftID {
 			_ = c.node.Step(r) // what does not fit is passed over
 		}
 	case Here:
@@ -368,14 +451,16 @@
 		if c.place(m.From) == 0 {
 			return
 		}
-		if m.Blank != 0 && m.Blank == c.blank { // it is one of the voters again, and learns all from the others
+		// it is one of the voters again, and learns all from the others
+		if m.Blank != 0 && m.Blank == c.blank {
 			c.raftID, c.first, c.applied, c.cut, c.conf = c.blank, true, 0, 0, nil
 			c.store = raft.NewMemoryStorage()
 			_ = c.begin() // its figures are right
 			return
 		}
 		if m.Asked != 0 {
-			if m.Member.Life == c.me.Life { // else it is for the process before, whose clock may have been another
+			// else it is for the process before, whose clock may have been another
+			if m.Member.Life == c.me.Life {
 				c.confirm(m.Asked, m.Version)
 			}
 			return
@@ -387,11 +472,14 @@
 		if m.Sent > c.now { // it is for the process before, whose clock had gone further
 			return
 		}
-		if m.Version < c.table.Version { // it knows less than was agreed on: a consensus group that began anew does not stand for the one before it
+		// it knows less than was agreed on: a consensus group that began anew does not stand for
+		// the one before it
+		if m.Version < c.table.Version {
 			return
 		}
 		c.leader, c.heard = m.From, max(c.heard, m.Sent)
-		if m.Table != nil && c.node == nil && m.Table.Version > c.table.Version && len(m.Table.Slots) == c.cfg.Slots {
+		if m.Table != nil && c.node == nil && m.Table.Version > c.table.Version &&
+			len(m.Table.Slots) == c.cfg.Slots {
 			c.table = m.Table
 		}
 	}
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -10,7 +10,8 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// room is a consensus group whose messages are delivered in steps of virtual time; those of runners that are down or away are lost.
+// room is a consensus group whose messages are delivered in steps of virtual time; those of runners
+// that are down or away are lost.
 type room struct {
 	t      *testing.T
 	r      *rand.Rand
@@ -25,7 +26,14 @@
 }
 
 func newRoom(t *testing.T, runners, voters int) *room {
-	r := &room{t: t, r: rand.New(rand.NewPCG(1, 2)), all: map[string]*Participant{}, disks: map[string][]Kept{}, away: map[string]bool{}, sent: map[string]int{}}
+	r := &room{
+		t:     t,
+		r:     rand.New(rand.NewPCG(1, 2)),
+		all:   map[string]*Participant{},
+		disks: map[string][]Kept{},
+		away:  map[string]bool{},
+		sent:  map[string]int{},
+	}
 	for i := range runners {
 		r.names = append(r.names, fmt.Sprintf("n%03d", i+1))
 	}
@@ -40,7 +48,12 @@
 func (r *room) start(name string) {
 	r.t.Helper()
 	r.lives++
-	c, err := New(Config{Name: name, Voters: r.voters, Slots: 16, Copies: 1}, placement.Member{Name: name, Life: r.lives, Process: uint32(r.lives)}, r.disks[name], r.now)
+	c, err := New(
+		Config{Name: name, Voters: r.voters, Slots: 16, Copies: 1},
+		placement.Member{Name: name, Life: r.lives, Process: uint32(r.lives)},
+		r.disks[name],
+		r.now,
+	)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -116,7 +129,8 @@
 	return n
 }
 
-// All come to be in, whichever of them vote; the loss of the leader, with its disk, is one of a member, and it comes back with a new vote.
+// All come to be in, whichever of them vote; the loss of the leader, with its disk, is one of a
+// member, and it comes back with a new vote.
 func TestCouncil(t *testing.T) {
 	r := newRoom(t, 6, 3)
 	r.run(8000)
@@ -147,8 +161,8 @@
 	}
 }
 
-// Voters that all start again on their disks go on from the same table; a part that is cut off agrees on nothing, and does not take the
-// consensus group for heard.
+// Voters that all start again on their disks go on from the same table; a part that is cut off
+// agrees on nothing, and does not take the consensus group for heard.
 func TestColdStartAndCut(t *testing.T) {
 	r := newRoom(t, 5, 3)
 	r.run(8000)
@@ -166,7 +180,13 @@
 	r.run(8000)
 	c := r.all[alone]
 	if c.Leads() || c.Table().Version != at || r.now-c.HeardAt() < 6*Lease {
-		t.Errorf("cut off it leads: %v, version %d after %d, heard %d ms ago", c.Leads(), c.Table().Version, at, (r.now-c.HeardAt())/1000)
+		t.Errorf(
+			"cut off it leads: %v, version %d after %d, heard %d ms ago",
+			c.Leads(),
+			c.Table().Version,
+			at,
+			(r.now-c.HeardAt())/1000,
+		)
 	}
 	if r.in() != 4 {
 		t.Errorf("%d are in", r.in())
@@ -195,7 +215,12 @@
 		for _, name := range r.names[3:] {
 			most = max(most, r.sent[name])
 		}
-		t.Logf("%d runners: %d messages in 10 s by one that does not vote, %d by the leader", runners, most, r.sent[r.leader()])
+		t.Logf(
+			"%d runners: %d messages in 10 s by one that does not vote, %d by the leader",
+			runners,
+			most,
+			r.sent[r.leader()],
+		)
 		if n := r.in(); n != runners || most > 110 {
 			t.Errorf("%d of %d are in, %d messages", n, runners, most)
 		}
@@ -208,7 +233,12 @@
 	r.run(3000)
 	c := r.all["n001"]
 	for i := range 3 * compact {
-		c.Tell([]placement.Change{{Kind: placement.In, Member: placement.Member{Name: "x", Life: uint64(1000 + i)}}}, r.now)
+		c.Tell(
+			[]placement.Change{
+				{Kind: placement.In, Member: placement.Member{Name: "x", Life: uint64(1000 + i)}},
+			},
+			r.now,
+		)
 		r.run(10)
 	}
 	want := c.Table()
@@ -216,7 +246,8 @@
 		t.Errorf("%d records are on the disk", n)
 	}
 	r.start("n001")
-	if diff := cmp.Diff(want.Slots, r.all["n001"].Table().Slots); diff != "" && r.all["n001"].Table().Version == 0 {
+	if diff := cmp.Diff(want.Slots, r.all["n001"].Table().Slots); diff != "" &&
+		r.all["n001"].Table().Version == 0 {
 		t.Error(diff)
 	}
 	r.run(3000)
@@ -225,7 +256,8 @@
 	}
 }
 
-// Voters that all begin anew with nothing are not heard by those who know what was agreed on before: else two tables would be acted on.
+// Voters that all begin anew with nothing are not heard by those who know what was agreed on
+// before: else two tables would be acted on.
 func TestBegunAnew(t *testing.T) {
 	r := newRoom(t, 6, 3)
 	r.run(8000)
--- a/internal/peers/grid/grid.go
+++ b/internal/peers/grid/grid.go
@@ -1,6 +1,8 @@
-// Package grid bounds with how many others a runner of a large installation has links. Runners stand in rows and columns, in the order of
-// their names; each has links with those of its row and of its column, and reaches any other over one of two relays: who stands in its row and
-// the other's column, or in its column and the other's row. It is free of I/O; the same names give the same grid everywhere.
+// Package grid bounds with how many others a runner of a large installation has links. Runners
+// stand in rows and columns, in the order of their names; each has links with those of its row and
+// of its column, and reaches any other over one of two relays: who stands in its row and the
+// other's column, or in its column and the other's row. It is free of I/O; the same names give the
+// same grid everywhere.
 package grid
 
 import "slices"
@@ -57,7 +59,8 @@
 	return out
 }
 
-// Relays are over whom a runner reaches another that it has no link with; none: it has one, or one of them is not known.
+// Relays are over whom a runner reaches another that it has no link with; none: it has one, or one
+// of them is not known.
 func (g *Grid) Relays(from, to string) (out []string) {
 	fr, fc, ok := g.place(from)
 	tr, tc, known := g.place(to)
--- a/internal/peers/grid/grid_test.go
+++ b/internal/peers/grid/grid_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Of any number of runners each has links with no more than two roots of them, a link is one of both sides, and whoever has none is reached over
-// one relay that has links with both.
+// Of any number of runners each has links with no more than two roots of them, a link is one of
+// both sides, and whoever has none is reached over one relay that has links with both.
 func TestReached(t *testing.T) {
 	for n := 1; n <= 300; n += 1 + n/7 {
 		var names []string
@@ -50,7 +50,8 @@
 // Who is not in the names is near nobody, and not reached.
 func TestStranger(t *testing.T) {
 	g := New([]string{"a", "b", "c", "d", "e"}, 2)
-	if g.Near("a", "z") || g.Near("z", "z") || len(g.Relays("a", "z"))+len(g.Relays("z", "a")) > 0 || len(g.Peers("z")) > 0 {
+	if g.Near("a", "z") || g.Near("z", "z") || len(g.Relays("a", "z"))+len(g.Relays("z", "a")) > 0 ||
+		len(g.Peers("z")) > 0 {
 		t.Error("a stranger is reached")
 	}
 }
--- a/internal/peers/lease/fence.go
+++ b/internal/peers/lease/fence.go
@@ -5,8 +5,9 @@
 // mostFenced bounds the duties that a fence knows.
 const mostFenced = 1024
 
-// Fence is kept by whatever takes the effects of duties. No lease saves from a holder that stops between its look at the clock and its act; a
-// fence does: it takes no effect under a token that is lower than one that it has seen. Look and effect are one step.
+// Fence is kept by whatever takes the effects of duties. No lease saves from a holder that stops
+// between its look at the clock and its act; a fence does: it takes no effect under a token that is
+// lower than one that it has seen. Look and effect are one step.
 type Fence struct{ seen map[string]uint64 }
 
 // Take looks at the token of an effect, and remembers it.
--- a/internal/peers/lease/health_report.go
+++ b/internal/peers/lease/health_report.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// HealthReport is what the holder of a duty saw of servers, for runners that did not look themselves.
+// HealthReport is what the holder of a duty saw of servers, for runners that did not look
+// themselves.
 type HealthReport struct {
 	From  string `cbor:"1,keyasint"`
 	To    string `cbor:"2,keyasint"`
@@ -25,9 +26,10 @@
 	mostTold = 4096
 )
 
-// Checks decides who asks servers for their health. The holder of a hall's duty asks all servers of that hall, and tells the others. A runner
-// that was told well of a server, not longer ago than two rounds, does not ask. One that was told nothing, or ill, asks for itself: what is told
-// never takes a server out, and a report that is false or old costs no more than knowing nothing.
+// Checks decides who asks servers for their health. The holder of a hall's duty asks all servers of
+// that hall, and tells the others. A runner that was told well of a server, not longer ago than two
+// rounds, does not ask. One that was told nothing, or ill, asks for itself: what is told never
+// takes a server out, and a report that is false or old costs no more than knowing nothing.
 type Checks struct {
 	duties map[string]string // of halls
 	fence  Fence
@@ -49,7 +51,12 @@
 
 // NewChecks is for the halls whose servers are asked by one runner.
 func NewChecks(halls []string) *Checks {
-	c := &Checks{duties: map[string]string{}, told: map[[2]string]seenAt{}, tell: map[string][]seenAt{}, tokens: map[string]uint64{}}
+	c := &Checks{
+		duties: map[string]string{},
+		told:   map[[2]string]seenAt{},
+		tell:   map[string][]seenAt{},
+		tokens: map[string]uint64{},
+	}
 	c.SetHalls(halls)
 	return c
 }
@@ -62,9 +69,15 @@
 	}
 }
 
-// Ask tells whether a server is to be asked now, and the duty that does so; none is for a hall whose servers each runner asks for itself. Every is
-// the time between two checks, sure whether the server is in full service: one that is to come back is asked by each runner, over its own link.
-func (c *Checks) Ask(group, server, hall string, every, now int64, sure bool, holds func(duty string) (token uint64, ok bool)) (ask bool, duty string, token uint64) {
+// Ask tells whether a server is to be asked now, and the duty that does so; none is for a hall
+// whose servers each runner asks for itself. Every is the time between two checks, sure whether the
+// server is in full service: one that is to come back is asked by each runner, over its own link.
+func (c *Checks) Ask(
+	group, server, hall string,
+	every, now int64,
+	sure bool,
+	holds func(duty string) (token uint64, ok bool),
+) (ask bool, duty string, token uint64) {
 	if duty = c.duties[hall]; duty != "" {
 		if t, ok := holds(duty); ok {
 			c.Asked++
@@ -90,7 +103,11 @@
 }
 
 // Tales are those that are to be told to others now, by a runner that still holds their duties.
-func (c *Checks) Tales(from string, now int64, holds func(duty string) (token uint64, ok bool)) (tales []HealthReport) {
+func (c *Checks) Tales(
+	from string,
+	now int64,
+	holds func(duty string) (token uint64, ok bool),
+) (tales []HealthReport) {
 	names := make([]string, 0, len(c.tell))
 	for duty := range c.tell {
 		names = append(names, duty)
--- a/internal/peers/lease/health_report_test.go
+++ b/internal/peers/lease/health_report_test.go
@@ -10,7 +10,8 @@
 	"ryepaddle/internal/peers/lease"
 )
 
-// One runner asks for all; others ask for themselves what they were not told, were told ill or too long ago, and where nobody holds the duty.
+// One runner asks for all; others ask for themselves what they were not told, were told ill or too
+// long ago, and where nobody holds the duty.
 func TestWhoAsks(t *testing.T) {
 	const every = 1_000_000
 	held := func(duty string) (uint64, bool) { return 7, duty == "checks-h1" }
@@ -73,7 +74,12 @@
 		})
 	}
 	for token := uint64(1); token <= 2000; token++ {
-		b.Set([]lease.Grant{{Name: "other", Token: token}, {Name: "d", Token: token, Until: int64(token%2) * 10}})
+		b.Set(
+			[]lease.Grant{
+				{Name: "other", Token: token},
+				{Name: "d", Token: token, Until: int64(token%2) * 10},
+			},
+		)
 	}
 	done.Store(true)
 	all.Wait()
@@ -93,9 +99,13 @@
 	}
 }
 
-// What a look costs a request's path while pages change 100 times a second: a snapshot that is swapped, and a lock.
+// What a look costs a request's path while pages change 100 times a second: a snapshot that is
+// swapped, and a lock.
 func BenchmarkLook(b *testing.B) {
-	page := []lease.Grant{{Name: "checks-hall1", Token: 5, Until: 1 << 60}, {Name: "checks-hall2", Token: 6, Until: 1 << 60}}
+	page := []lease.Grant{
+		{Name: "checks-hall1", Token: 5, Until: 1 << 60},
+		{Name: "checks-hall2", Token: 6, Until: 1 << 60},
+	}
 	book, mu := &lease.Snapshot{}, &sync.RWMutex{}
 	locked := func() (token uint64) {
 		mu.RLock()
--- a/internal/peers/lease/lease.go
+++ b/internal/peers/lease/lease.go
@@ -1,7 +1,10 @@
-// Package lease decides who does what only one runner may do at a time, for how long a runner may believe that it is the one, and what comes of
-// what a former one still does. It is free of I/O: tables, words of the consensus group's leader and times come in; grants, changes and refusals come out.
+// Package lease decides who does what only one runner may do at a time, for how long a runner may
+// believe that it is the one, and what comes of what a former one still does. It is free of I/O:
+// tables, words of the consensus group's leader and times come in; grants, changes and refusals
+// come out.
 //
-// Times are microseconds. A holder's are those of a clock that also counts the time for which its machine was suspended.
+// Times are microseconds. A holder's are those of a clock that also counts the time for which its
+// machine was suspended.
 package lease
 
 import (
@@ -13,8 +16,9 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// Times of a lease. A holder believes for Lease from the instant before it asked, less Margin: clocks go apart by less than one part in a
-// hundred. Whoever grants anew after a holder that may still believe waits for Lease and Margin from when it learned of that.
+// Times of a lease. A holder believes for Lease from the instant before it asked, less Margin:
+// clocks go apart by less than one part in a hundred. Whoever grants anew after a holder that may
+// still believe waits for Lease and Margin from when it learned of that.
 const (
 	Lease  = 600_000
 	Margin = 50_000 + Lease/100
@@ -33,8 +37,10 @@
 
 // Rules are what the file says of all duties.
 type Rules struct {
-	Each  int   // that one member may hold
-	Again int64 // for so long who lost a duty without giving it back does not have it again; twice as long each further time in a row
+	Each int // that one member may hold
+	// for so long who lost a duty without giving it back does not have it again; twice as long each
+	// further time in a row
+	Again int64
 	List  []Rule
 }
 
@@ -96,8 +102,13 @@
 	return now
 }
 
-// Grants are the changes by which duties that nobody holds come to members. Asked tells when a member asked last, by its own clock.
-func (g *Granter) Grants(t *placement.Table, now int64, asked func(name string) int64) (changes []placement.Change) {
+// Grants are the changes by which duties that nobody holds come to members. Asked tells when a
+// member asked last, by its own clock.
+func (g *Granter) Grants(
+	t *placement.Table,
+	now int64,
+	asked func(name string) int64,
+) (changes []placement.Change) {
 	if len(g.rules.List) == 0 {
 		return nil
 	}
@@ -130,24 +141,43 @@
 		if m := g.best(t, r, d, does, now); m != nil {
 			does[m.Name]++
 			g.said[r.Name] = said{m.Name, mark{d.Token, now}}
-			changes = append(changes, placement.Change{Kind: placement.Grant, Member: placement.Member{Name: m.Name, Life: m.Life}, Duty: r.Name, Token: d.Token, Asked: asked(m.Name)})
+			changes = append(
+				changes,
+				placement.Change{
+					Kind:   placement.Grant,
+					Member: placement.Member{Name: m.Name, Life: m.Life},
+					Duty:   r.Name,
+					Token:  d.Token,
+					Asked:  asked(m.Name),
+				},
+			)
 		}
 	}
 	return changes
 }
 
 // best is who is to have a duty; nil: nobody may now.
-func (g *Granter) best(t *placement.Table, r *Rule, d *placement.Lease, does map[string]int, now int64) (best *placement.Member) {
+func (g *Granter) best(
+	t *placement.Table,
+	r *Rule,
+	d *placement.Lease,
+	does map[string]int,
+	now int64,
+) (best *placement.Member) {
 	var rank [5]uint64
 	for i := range t.Members {
 		m := &t.Members[i]
-		if m.Life == 0 || m.Leaving || !r.May(m.Name) || !slices.Contains(m.Duties, r.Name) || does[m.Name] >= g.rules.Each {
+		if m.Life == 0 || m.Leaving || !r.May(m.Name) || !slices.Contains(m.Duties, r.Name) ||
+			does[m.Name] >= g.rules.Each {
 			continue
 		}
 		times := 0
 		if j := slices.IndexFunc(d.Lapses, func(l placement.Lapse) bool { return l.Name == m.Name }); j >= 0 {
 			times = d.Lapses[j].Times
-			if at := since(g.lost, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.Again<<min(times-1, mostTimes) {
+			if at := since(g.lost, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.Again<<min(
+				times-1,
+				mostTimes,
+			) {
 				continue
 			}
 		}
@@ -172,7 +202,8 @@
 	h := fnv.New64a()
 	h.Write([]byte(duty + "\x00" + member)) // a hash takes all
 	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // a hash of names that differ in their last letter differs little above
+	// a hash of names that differ in their last letter differs little above
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return x ^ x>>27
 }
 
@@ -189,14 +220,16 @@
 	name  string
 	life  uint64
 	table *placement.Table
-	sure  int64             // asked then, and confirmed by a leader that knew no newer table than this runner does
+	// asked then, and confirmed by a leader that knew no newer table than this runner does
+	sure  int64
 	words []word            // confirmed by one that did
 	gone  map[string]uint64 // tokens under which it does nothing any more
 	said  map[string]*saying
 	seq   uint64 // of the last change that it said
 }
 
-// word is that of a leader which knew a version of the table when it confirmed what was asked at a time.
+// word is that of a leader which knew a version of the table when it confirmed what was asked at a
+// time.
 type word struct {
 	asked   int64
 	version uint64
@@ -226,8 +259,9 @@
 	h.Table(h.table)
 }
 
-// Confirm takes the word of a leader that the consensus group still goes by it: what this runner asked at a time of its clock holds, if it knows the
-// table that the leader knew by then. One that knows an older table may have lost its duties since.
+// Confirm takes the word of a leader that the consensus group still goes by it: what this runner
+// asked at a time of its clock holds, if it knows the table that the leader knew by then. One that
+// knows an older table may have lost its duties since.
 func (h *Holder) Confirm(asked int64, version uint64) {
 	if h.words = append(h.words, word{asked, version}); len(h.words) > mostWords {
 		h.words = h.words[1:]
@@ -264,7 +298,8 @@
 			continue // still on its way
 		}
 		if s.change.Kind == placement.Yield { // somebody may have it already; who lost it is noted
-			mine = d != nil && (d.Token != s.change.Token || d.Holder == "") && !slices.ContainsFunc(d.Lapses, func(l placement.Lapse) bool { return l.Name == h.name })
+			mine = d != nil && (d.Token != s.change.Token || d.Holder == "") &&
+				!slices.ContainsFunc(d.Lapses, func(l placement.Lapse) bool { return l.Name == h.name })
 		}
 		delete(h.said, name)
 		if s.done != nil {
@@ -294,8 +329,9 @@
 	return grants
 }
 
-// Leave has this runner do nothing more under a grant, and give the duty back with what the next one is to know. Done is told whether that was
-// agreed on before somebody else had it; it may be nil.
+// Leave has this runner do nothing more under a grant, and give the duty back with what the next
+// one is to know. Done is told whether that was agreed on before somebody else had it; it may be
+// nil.
 func (h *Holder) Leave(name string, check []byte, done func(ok bool)) {
 	d := h.own(name, check, done)
 	if d == nil {
@@ -305,8 +341,9 @@
 	h.say(placement.Yield, d, check, done)
 }
 
-// Note leaves what the next one is to know if this one is lost. Done is told whether it was agreed on while the duty was this runner's. A
-// note takes the place of one that is still on its way, which is told that it was not agreed on: it may have been.
+// Note leaves what the next one is to know if this one is lost. Done is told whether it was agreed
+// on while the duty was this runner's. A note takes the place of one that is still on its way,
+// which is told that it was not agreed on: it may have been.
 func (h *Holder) Note(name string, check []byte, done func(ok bool)) {
 	d := h.own(name, check, done)
 	if d == nil {
@@ -321,7 +358,8 @@
 	h.say(placement.Note, d, check, done)
 }
 
-// own is a duty that the table says is this runner's; nil: it is not, or what is left for it is too large, and done was told.
+// own is a duty that the table says is this runner's; nil: it is not, or what is left for it is too
+// large, and done was told.
 func (h *Holder) own(name string, check []byte, done func(bool)) *placement.Lease {
 	if h.table != nil && len(check) <= placement.MostCheck {
 		if d := h.table.Duty(name); d != nil && d.Holder == h.name && d.Life == h.life {
@@ -339,7 +377,18 @@
 		s.done(false)
 	}
 	h.seq++
-	h.said[d.Name] = &saying{placement.Change{Kind: kind, Member: placement.Member{Name: h.name, Life: h.life}, Duty: d.Name, Token: d.Token, Check: check, Epoch: h.seq}, never, done}
+	h.said[d.Name] = &saying{
+		placement.Change{
+			Kind:   kind,
+			Member: placement.Member{Name: h.name, Life: h.life},
+			Duty:   d.Name,
+			Token:  d.Token,
+			Check:  check,
+			Epoch:  h.seq,
+		},
+		never,
+		done,
+	}
 }
 
 // Changes are those that are to be said to the consensus group's leader now.
--- a/internal/peers/lease/lease_test.go
+++ b/internal/peers/lease/lease_test.go
@@ -19,7 +19,18 @@
 	}
 	p.Apply(placement.Change{Kind: placement.Found, Token: 7})
 	for i, n := range names {
-		p.Apply(placement.Change{Kind: placement.In, Member: placement.Member{Name: n, Hall: "hall" + n[1:], Life: uint64(i + 1), Process: uint32(i + 1), Duties: []string{"a", "b", "c"}}})
+		p.Apply(
+			placement.Change{
+				Kind: placement.In,
+				Member: placement.Member{
+					Name:    n,
+					Hall:    "hall" + n[1:],
+					Life:    uint64(i + 1),
+					Process: uint32(i + 1),
+					Duties:  []string{"a", "b", "c"},
+				},
+			},
+		)
 	}
 	return p
 }
@@ -40,7 +51,8 @@
 	return holders
 }
 
-// Duties go to preferred halls, spread over members, within the bound for each, and to who may have them.
+// Duties go to preferred halls, spread over members, within the bound for each, and to who may have
+// them.
 func TestWhoGetsDuties(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules lease.Rules
@@ -57,13 +69,18 @@
 		}
 	}
 	p := members(t, "n1", "n2", "n3")
-	held := grant(lease.NewGranter(lease.Rules{Each: 3, List: []lease.Rule{{Name: "a"}, {Name: "b"}, {Name: "c"}}}, 7), p, 0)
+	held := grant(
+		lease.NewGranter(lease.Rules{Each: 3, List: []lease.Rule{{Name: "a"}, {Name: "b"}, {Name: "c"}}}, 7),
+		p,
+		0,
+	)
 	if p.Does("n1") != 1 || p.Does("n2") != 1 || p.Does("n3") != 1 {
 		t.Errorf("not spread: %v", held)
 	}
 }
 
-// Who loses a duty without giving it back waits longer each time; a name that is back in another life is not relied on before its lease is over.
+// Who loses a duty without giving it back waits longer each time; a name that is back in another
+// life is not relied on before its lease is over.
 func TestPauses(t *testing.T) {
 	const again = 10_000_000
 	p := members(t, "n1")
@@ -72,7 +89,18 @@
 	grant(g, p, now)
 	for _, pause := range []int64{again, 2 * again, 4 * again} {
 		life++
-		p.Apply(placement.Change{Kind: placement.In, Member: placement.Member{Name: "n1", Hall: "hall1", Life: life, Process: uint32(life), Duties: []string{"a"}}})
+		p.Apply(
+			placement.Change{
+				Kind: placement.In,
+				Member: placement.Member{
+					Name:    "n1",
+					Hall:    "hall1",
+					Life:    life,
+					Process: uint32(life),
+					Duties:  []string{"a"},
+				},
+			},
+		)
 		if got := grant(g, p, now); len(got) > 0 {
 			t.Errorf("granted at once: %v", got)
 		}
@@ -86,10 +114,18 @@
 	p = members(t, "n1", "n2")
 	g = lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Halls: []string{"hall1"}}}}, 7)
 	grant(g, p, 0)
-	p.Apply(placement.Change{Kind: placement.In, Member: placement.Member{Name: "n1", Hall: "hall1", Life: 9, Process: 9, Duties: []string{"a"}}})
+	p.Apply(
+		placement.Change{
+			Kind:   placement.In,
+			Member: placement.Member{Name: "n1", Hall: "hall1", Life: 9, Process: 9, Duties: []string{"a"}},
+		},
+	)
 	for now, want := range map[int64]int{0: 0, lease.Lease: 0, lease.Lease + lease.Margin: 1} {
 		q := p.Clone()
-		h := lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Halls: []string{"hall1"}}}}, 7)
+		h := lease.NewGranter(
+			lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Halls: []string{"hall1"}}}},
+			7,
+		)
 		grant(h, q, 0)
 		if got := grant(h, q, now); len(got) != want {
 			t.Errorf("after %d us: %v", now, got)
@@ -97,10 +133,15 @@
 	}
 }
 
-// A holder believes for a lease from when it asked, goes by no word of a leader that knew a newer table, and does nothing once it gave back.
+// A holder believes for a lease from when it asked, goes by no word of a leader that knew a newer
+// table, and does nothing once it gave back.
 func TestHolder(t *testing.T) {
 	p := members(t, "n1", "n2")
-	grant(lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n1"}}}}, 7), p, 0)
+	grant(
+		lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n1"}}}}, 7),
+		p,
+		0,
+	)
 	h := lease.NewHolder("n1", 1)
 	h.Table(p)
 	until := func(now int64) int64 {
@@ -143,7 +184,9 @@
 	}
 	h.Table(q)
 	h.Note("a", []byte("4"), done)
-	if diff := cmp.Diff([]bool{false, true, true, false}, told); diff != "" || string(q.Duty("a").Check) != "3" || q.Duty("a").Holder != "" {
+	if diff := cmp.Diff([]bool{false, true, true, false}, told); diff != "" ||
+		string(q.Duty("a").Check) != "3" ||
+		q.Duty("a").Holder != "" {
 		t.Errorf("%s; %+v", diff, q.Duty("a"))
 	}
 }
@@ -151,7 +194,11 @@
 // What is given back while its runner is held for lost is not taken for agreed on.
 func TestGivenBackTooLate(t *testing.T) {
 	p := members(t, "n1", "n2")
-	grant(lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n1"}}}}, 7), p, 0)
+	grant(
+		lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n1"}}}}, 7),
+		p,
+		0,
+	)
 	h := lease.NewHolder("n1", 1)
 	h.Table(p)
 	h.Leave("a", []byte("late"), func(ok bool) {
@@ -175,7 +222,8 @@
 		token uint64
 		ok    bool
 	}{{"a", 5, true}, {"a", 5, true}, {"b", 4, true}, {"a", 4, false}, {"a", 0, false}, {"a", 6, true}, {"a", 5, false}, {"c", 0, false}} {
-		if err := f.Take(c.duty, c.token); (err == nil) != c.ok || err != nil && fault.Of(err).Kind.Name != "peers.fenced" {
+		if err := f.Take(c.duty, c.token); (err == nil) != c.ok ||
+			err != nil && fault.Of(err).Kind.Name != "peers.fenced" {
 			t.Errorf("%s under %d: %v", c.duty, c.token, err)
 		}
 	}
--- a/internal/peers/lease/snapshot.go
+++ b/internal/peers/lease/snapshot.go
@@ -2,8 +2,9 @@
 
 import "sync/atomic"
 
-// Snapshot is what a runner holds, for any thread to look at: readers take no lock, wait for nobody and allocate nothing. One writer puts the next
-// snapshot in the place of the one before, which is not changed any more (read-copy-update).
+// Snapshot is what a runner holds, for any thread to look at: readers take no lock, wait for nobody
+// and allocate nothing. One writer puts the next snapshot in the place of the one before, which is
+// not changed any more (read-copy-update).
 type Snapshot struct{ page atomic.Pointer[[]Grant] }
 
 // Set puts the next snapshot.
--- a/internal/peers/lease/world_test.go
+++ b/internal/peers/lease/world_test.go
@@ -14,7 +14,8 @@
 	"ryepaddle/internal/testing/simcluster"
 )
 
-// Duties in virtual time: real consensus groups and holders, effects that come late to a far end, and a judge that sees true time.
+// Duties in virtual time: real consensus groups and holders, effects that come late to a far end,
+// and a judge that sees true time.
 
 const (
 	ms     = simcluster.Ms
@@ -72,27 +73,42 @@
 }
 
 func (w *world) wrongIs(format string, a ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%.3f ", float64(w.Now())/float64(second))+fmt.Sprintf(format, a...))
+	w.broken = append(
+		w.broken,
+		fmt.Sprintf("%.3f ", float64(w.Now())/float64(second))+fmt.Sprintf(format, a...),
+	)
 }
 
 func newWorld(seed uint64, runners, duties int, bad wrong, tell func(string, ...any)) *world {
-	w := &world{wrong: bad, acted: map[string]uint64{}, beliefs: map[string]belief{}, grants: map[uint64]string{}, noted: map[string]uint64{}}
+	w := &world{
+		wrong:   bad,
+		acted:   map[string]uint64{},
+		beliefs: map[string]belief{},
+		grants:  map[uint64]string{},
+		noted:   map[string]uint64{},
+	}
 	w.Tell = tell
 	w.rules = lease.Rules{Each: (duties+runners-1)/runners + 1, Again: 500 * ms}
 	for i := range duties {
-		w.rules.List = append(w.rules.List, lease.Rule{Name: fmt.Sprint("d", i+1), Halls: []string{fmt.Sprintf("hall%d", i%3+1)}})
+		w.rules.List = append(
+			w.rules.List,
+			lease.Rule{Name: fmt.Sprint("d", i+1), Halls: []string{fmt.Sprintf("hall%d", i%3+1)}},
+		)
 	}
 	for i := range min(runners-(runners+1)%2, 5) {
 		w.voters = append(w.voters, fmt.Sprintf("n%d", i+1))
 	}
-	w.World = simcluster.New(seed, simcluster.Options{Runners: runners, Halls: 3, Drift: 0.004, Tell: tell, Start: w.start, May: w.spare,
-		Save: func(n *simcluster.Node) any { return n.Holds.(*process).log }})
+	w.World = simcluster.New(
+		seed,
+		simcluster.Options{Runners: runners, Halls: 3, Drift: 0.004, Tell: tell, Start: w.start, May: w.spare,
+			Save: func(n *simcluster.Node) any { return n.Holds.(*process).log }},
+	)
 	w.Begin()
 	return w
 }
 
-// spare tells whether the consensus group can do without a runner's vote: with half of them lost at once it does not come back, and one that is back
-// knows nothing until the others told it.
+// spare tells whether the consensus group can do without a runner's vote: with half of them lost at
+// once it does not come back, and one that is back knows nothing until the others told it.
 func (w *world) spare(n *simcluster.Node) bool {
 	newest, least := uint64(0), uint64(1<<62)
 	for _, name := range w.voters {
@@ -119,8 +135,20 @@
 		clock = n.Mono
 	}
 	var err error
-	p.c, err = consensus.New(consensus.Config{Name: n.Name, Voters: w.voters, Slots: 1, Copies: 1, Duties: w.rules, Born: 100 + n.Life, Clock: clock},
-		placement.Member{Name: n.Name, Hall: n.Hall, Life: p.life, Process: uint32(n.Life)}, p.log, n.Mono())
+	p.c, err = consensus.New(
+		consensus.Config{
+			Name:   n.Name,
+			Voters: w.voters,
+			Slots:  1,
+			Copies: 1,
+			Duties: w.rules,
+			Born:   100 + n.Life,
+			Clock:  clock,
+		},
+		placement.Member{Name: n.Name, Hall: n.Hall, Life: p.life, Process: uint32(n.Life)},
+		p.log,
+		n.Mono(),
+	)
 	if err != nil {
 		panic(err)
 	}
@@ -177,7 +205,8 @@
 func (p *process) table(t *placement.Table) {
 	w := p.w
 	if w.wrong.noWait || w.wrong.lostCheck || w.wrong.sameToken {
-		for i := range t.Duties { // tables are changed where they are, so that all that comes of them is wrong
+		// tables are changed where they are, so that all that comes of them is wrong
+		for i := range t.Duties {
 			d := &t.Duties[i]
 			if d.Abrupt = d.Abrupt && !w.wrong.noWait; w.wrong.lostCheck && d.Holder == "" {
 				d.Check = nil
@@ -209,7 +238,16 @@
 	w := p.w
 	if w.wrong.unasked && m.Kind == consensus.Here && m.Asked != 0 && p.c.Leads() {
 		p.n.Send(m.From, func(to *simcluster.Node) {
-			to.Holds.(*process).receive(consensus.Message{Kind: consensus.Heard, From: p.n.Name, To: m.From, Member: placement.Member{Life: m.Member.Life}, Asked: m.Asked, Version: p.c.Table().Version})
+			to.Holds.(*process).receive(
+				consensus.Message{
+					Kind:    consensus.Heard,
+					From:    p.n.Name,
+					To:      m.From,
+					Member:  placement.Member{Life: m.Member.Life},
+					Asked:   m.Asked,
+					Version: p.c.Table().Version,
+				},
+			)
 		})
 	}
 	if w.wrong.lateNote {
@@ -235,7 +273,8 @@
 func (p *process) believe(clock int64) {
 	w, held := p.w, p.h.Held(clock)
 	for name, b := range w.beliefs { // it may have given it back
-		if b.node == p.n && b.life == p.n.Life && !slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Name == name }) {
+		if b.node == p.n && b.life == p.n.Life &&
+			!slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Name == name }) {
 			b.until = min(b.until, w.Now())
 			w.beliefs[name] = b
 		}
@@ -247,8 +286,18 @@
 			until = p.n.True(g.Until)
 		}
 		b := w.beliefs[g.Name]
-		if (b.node != p.n || b.life != p.n.Life) && b.node != nil && b.until > w.Now() && b.node.Holds.(*process) != nil && b.alive() {
-			w.wrongIs("%s: %s believes under token %d, and %s does under %d for %d ms more", g.Name, p.n.Name, g.Token, b.node.Name, b.token, (b.until-w.Now())/ms)
+		if (b.node != p.n || b.life != p.n.Life) && b.node != nil && b.until > w.Now() &&
+			b.node.Holds.(*process) != nil &&
+			b.alive() {
+			w.wrongIs(
+				"%s: %s believes under token %d, and %s does under %d for %d ms more",
+				g.Name,
+				p.n.Name,
+				g.Token,
+				b.node.Name,
+				b.token,
+				(b.until-w.Now())/ms,
+			)
 		}
 		if b.token <= g.Token {
 			w.beliefs[g.Name] = belief{p.n, p.n.Life, g.Token, until}
@@ -259,7 +308,8 @@
 // alive tells whether the process that believes is there, be it held.
 func (b *belief) alive() bool { return b.node.Up && b.node.Life == b.life }
 
-// work looks at what it holds, and acts on it a while later, as a process that is held between its look and its act does.
+// work looks at what it holds, and acts on it a while later, as a process that is held between its
+// look and its act does.
 func (p *process) work(clock int64) {
 	w := p.w
 	for _, g := range p.h.Held(clock) {
@@ -267,16 +317,32 @@
 			p.does[g.Name] = g.Token
 			n, _ := strconv.ParseUint(string(g.Check), 10, 64)
 			if w.Tell != nil {
-				w.Tell("%.3f %s begins %s under %d at %d, table %d", float64(w.Now())/1e6, p.n.Name, g.Name, g.Token, n, p.version)
+				w.Tell(
+					"%.3f %s begins %s under %d at %d, table %d",
+					float64(w.Now())/1e6,
+					p.n.Name,
+					g.Name,
+					g.Token,
+					n,
+					p.version,
+				)
 			}
 			if p.count[g.Name] = n; n < w.noted[g.Name] {
-				w.wrongIs("%s: %s begins under token %d at %d, and %d was agreed on", g.Name, p.n.Name, g.Token, n, w.noted[g.Name])
+				w.wrongIs(
+					"%s: %s begins under token %d at %d, and %d was agreed on",
+					g.Name,
+					p.n.Name,
+					g.Token,
+					n,
+					w.noted[g.Name],
+				)
 			}
 		}
 		switch w.R.IntN(5) {
 		case 0, 1:
 			p.n.After(w.Between(0, 300*ms), func() {
-				w.After(w.Between(200, 20*ms), func() { w.take(g) }) // on its way to the far end nothing is held
+				// on its way to the far end nothing is held
+				w.After(w.Between(200, 20*ms), func() { w.take(g) })
 			})
 		case 2, 3:
 			p.count[g.Name]++
@@ -284,7 +350,17 @@
 			p.h.Note(g.Name, []byte(strconv.FormatUint(n, 10)), func(ok bool) {
 				if ok {
 					if w.Tell != nil {
-						w.Tell("%.3f %s noted %d for %s under %d, table %d, seq %d check %s", float64(w.Now())/1e6, p.n.Name, n, g.Name, g.Token, p.version, p.c.Table().Duty(g.Name).Seq, p.c.Table().Duty(g.Name).Check)
+						w.Tell(
+							"%.3f %s noted %d for %s under %d, table %d, seq %d check %s",
+							float64(w.Now())/1e6,
+							p.n.Name,
+							n,
+							g.Name,
+							g.Token,
+							p.version,
+							p.c.Table().Duty(g.Name).Seq,
+							p.c.Table().Duty(g.Name).Check,
+						)
 					}
 					w.noted[g.Name] = max(w.noted[g.Name], n)
 				}
@@ -297,7 +373,16 @@
 			p.h.Leave(g.Name, []byte(strconv.FormatUint(n, 10)), func(ok bool) {
 				if ok {
 					if w.Tell != nil {
-						w.Tell("%.3f %s yielded %d for %s under %d, table %d %+v", float64(w.Now())/1e6, p.n.Name, n, g.Name, g.Token, p.version, *p.c.Table().Duty(g.Name))
+						w.Tell(
+							"%.3f %s yielded %d for %s under %d, table %d %+v",
+							float64(w.Now())/1e6,
+							p.n.Name,
+							n,
+							g.Name,
+							g.Token,
+							p.version,
+							*p.c.Table().Duty(g.Name),
+						)
 					}
 					w.noted[g.Name] = max(w.noted[g.Name], n)
 				}
@@ -314,7 +399,12 @@
 		return
 	}
 	if w.acted[g.Name] > g.Token {
-		w.wrongIs("%s: an effect under token %d was taken after one under %d", g.Name, g.Token, w.acted[g.Name])
+		w.wrongIs(
+			"%s: an effect under token %d was taken after one under %d",
+			g.Name,
+			g.Token,
+			w.acted[g.Name],
+		)
 	}
 	w.acted[g.Name] = max(w.acted[g.Name], g.Token)
 }
@@ -337,9 +427,28 @@
 	for _, n := range w.Nodes {
 		p := n.Holds.(*process)
 		t := p.c.Table()
-		fmt.Fprintf(&b, "\n%s up %v life %d leads %v heard %d ms ago, table %d born %d", n.Name, n.Up, p.life, p.c.Leads(), (n.Mono()-p.c.HeardAt())/ms, t.Version, t.Born)
+		fmt.Fprintf(
+			&b,
+			"\n%s up %v life %d leads %v heard %d ms ago, table %d born %d",
+			n.Name,
+			n.Up,
+			p.life,
+			p.c.Leads(),
+			(n.Mono()-p.c.HeardAt())/ms,
+			t.Version,
+			t.Born,
+		)
 		for _, d := range t.Duties {
-			fmt.Fprintf(&b, "; %s %q life %d token %d lapses %v abrupt %v", d.Name, d.Holder, d.Life, d.Token, d.Lapses, d.Abrupt)
+			fmt.Fprintf(
+				&b,
+				"; %s %q life %d token %d lapses %v abrupt %v",
+				d.Name,
+				d.Holder,
+				d.Life,
+				d.Token,
+				d.Lapses,
+				d.Abrupt,
+			)
 		}
 	}
 	return b.String()
@@ -382,8 +491,8 @@
 	return uint64(first), uint64(first + n)
 }
 
-// At most one believes at any instant, tokens are granted once, effects are taken in the order of tokens, what was agreed on is handed on, and
-// after faults each duty is held again.
+// At most one believes at any instant, tokens are granted once, effects are taken in the order of
+// tokens, what was agreed on is handed on, and after faults each duty is held again.
 func TestDuties(t *testing.T) {
 	from, to := seeds(t, 6)
 	refused, grants := 0, 0
@@ -392,7 +501,13 @@
 		tell := func(format string, a ...any) { day = append(day, fmt.Sprintf(format, a...)) }
 		w := play(seed, 3+int(seed%7), 1+int(seed%5), wrong{}, tell)
 		if len(w.broken) > 0 {
-			t.Fatalf("%s\nseed %d: %s\nRYEPADDLE_FIRST=%d RYEPADDLE_SEEDS=1 go test -run TestDuties ./internal/peers/lease", strings.Join(day[max(len(day)-200, 0):], "\n"), seed, strings.Join(w.broken, "\n"), seed)
+			t.Fatalf(
+				"%s\nseed %d: %s\nRYEPADDLE_FIRST=%d RYEPADDLE_SEEDS=1 go test -run TestDuties ./internal/peers/lease",
+				strings.Join(day[max(len(day)-200, 0):], "\n"),
+				seed,
+				strings.Join(w.broken, "\n"),
+				seed,
+			)
 		}
 		refused, grants = refused+w.refused, grants+len(w.grants)
 	}
--- a/internal/peers/link/crossing_test.go
+++ b/internal/peers/link/crossing_test.go
@@ -7,11 +7,21 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// A connection that does not stand in time is given up, so that a peer whose machine is back is reached by the next message and not as late as the
-// system tries again. What stands late is nobody's.
+// A connection that does not stand in time is given up, so that a peer whose machine is back is
+// reached by the next message and not as late as the system tries again. What stands late is
+// nobody's.
 func TestLinkThatDoesNotStand(t *testing.T) {
 	s := scenario.NewStepped(t)
-	n, err := Open(s.Loop, Config{Installation: "i", Name: "n1", Listen: any4, Peers: []Peer{{Name: "n2", Addr: scenario.Mute(t)}}}, func(string, *Frame) {})
+	n, err := Open(
+		s.Loop,
+		Config{
+			Installation: "i",
+			Name:         "n1",
+			Listen:       any4,
+			Peers:        []Peer{{Name: "n2", Addr: scenario.Mute(t)}},
+		},
+		func(string, *Frame) {},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -1,5 +1,5 @@
-// Package link carries messages between the runners of an installation, on the loop. What cannot be sent is dropped: whoever says something
-// says it again until it is answered.
+// Package link carries messages between the runners of an installation, on the loop. What cannot be
+// sent is dropped: whoever says something says it again until it is answered.
 package link
 
 import (
@@ -34,8 +34,10 @@
 	mostQueue = 4 << 20 // bytes that wait for one peer
 	again     = 200_000 // microseconds before a peer that cannot be reached is dialled again
 	helloIn   = 2_000_000
-	connectIn = 2_000_000  // for a connection to stand
-	relayFor  = 300_000    // microseconds for which a relay is kept to: words keep their order, and one that hangs is not kept to for long
+	connectIn = 2_000_000 // for a connection to stand
+	// microseconds for which a relay is kept to: words keep their order, and one that hangs is not
+	// kept to for long
+	relayFor  = 300_000
 	mostExtra = 8          // links beside those of the grid, to whom no relay leads
 	idleFor   = 10_000_000 // after which such a link ends
 	format    = 1
@@ -63,8 +65,9 @@
 	Consensus   *consensus.Message    `cbor:"3,keyasint,omitempty"`
 	Account     *usagereplica.Message `cbor:"4,keyasint,omitempty"`
 	Health      *lease.HealthReport   `cbor:"7,keyasint,omitempty"`
-	To          string                `cbor:"5,keyasint,omitempty"` // of one that a relay is to pass on: whose it is,
-	From        string                `cbor:"6,keyasint,omitempty"` // and who says it
+	// of one that a relay is to pass on: whose it is,
+	To   string `cbor:"5,keyasint,omitempty"`
+	From string `cbor:"6,keyasint,omitempty"` // and who says it
 }
 
 // Append appends a frame.
@@ -153,11 +156,18 @@
 	l.Every(idleFor/2, n.sweep)
 	var err error
 	// Each peer has one connection; another one may come before the end of the last is seen.
-	n.ln, err = l.Listen(cfg.Listen, 2*len(cfg.Peers)+4, eventloop.Limits{In: head + maxFrame, Out: 64}, n.accept, nil)
+	n.ln, err = l.Listen(
+		cfg.Listen,
+		2*len(cfg.Peers)+4,
+		eventloop.Limits{In: head + maxFrame, Out: 64},
+		n.accept,
+		nil,
+	)
 	return n, err
 }
 
-// SetPeers takes other peers, at a HUP. Links to those that are in it no more end, in both directions.
+// SetPeers takes other peers, at a HUP. Links to those that are in it no more end, in both
+// directions.
 func (n *Net) SetPeers(peers []Peer) {
 	want := map[string]Peer{}
 	for _, p := range peers {
@@ -222,7 +232,8 @@
 	}
 }
 
-// way is the link that leads to a peer: its own, that of a relay, or one beside those of the grid while no relay is to be had; nil: there is none.
+// way is the link that leads to a peer: its own, that of a relay, or one beside those of the grid
+// while no relay is to be had; nil: there is none.
 func (n *Net) way(to *out) *out {
 	if n.near(to.peer.Name) {
 		return to
@@ -312,7 +323,9 @@
 	if p.conn == nil && l.Now() >= p.next {
 		p.next = l.Now() + again
 		p.dial()
-		p.write(&Frame{Hello: &Hello{Installation: p.net.cfg.Installation, Name: p.net.cfg.Name, Format: format}})
+		p.write(
+			&Frame{Hello: &Hello{Installation: p.net.cfg.Installation, Name: p.net.cfg.Name, Format: format}},
+		)
 	}
 	if p.conn == nil || p.conn.Queued() > mostQueue {
 		p.net.Lost++
@@ -322,8 +335,8 @@
 	p.write(f)
 }
 
-// dial opens the connection. One that does not stand in time is given up, and the next message opens another: a machine that is back may hear the
-// system's next try much later.
+// dial opens the connection. One that does not stand in time is given up, and the next message
+// opens another: a machine that is back may hear the system's next try much later.
 func (p *out) dial() {
 	conn := p.net.loop.Dial(p.peer.Addr, eventloop.Limits{In: 64, Out: mostQueue + head + maxFrame}, p)
 	p.conn = conn
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -17,11 +17,25 @@
 var any4 = netip.MustParseAddrPort("127.0.0.1:0")
 
 func frame() *Frame {
-	return &Frame{Replication: &replication.Message{Kind: replication.Keep, From: "n2", To: "n1", Slot: 3, Epoch: 7, Entries: []replication.Entry{{Seq: 9, Left: 5,
-		Record: &store.Record{Kind: store.Ended, Name: store.Name{Class: "hand-in", Key: "a"}, Result: &store.Result{Status: 200, Body: []byte("fine")}}}}}}
+	return &Frame{
+		Replication: &replication.Message{
+			Kind:  replication.Keep,
+			From:  "n2",
+			To:    "n1",
+			Slot:  3,
+			Epoch: 7,
+			Entries: []replication.Entry{{Seq: 9, Left: 5,
+				Record: &store.Record{
+					Kind:   store.Ended,
+					Name:   store.Name{Class: "hand-in", Key: "a"},
+					Result: &store.Result{Status: 200, Body: []byte("fine")},
+				}}},
+		},
+	}
 }
 
-// A frame is read as it was written, at whichever byte it is cut; one that was changed at any byte is refused, or not all there.
+// A frame is read as it was written, at whichever byte it is cut; one that was changed at any byte
+// is refused, or not all there.
 func TestFrame(t *testing.T) {
 	b, err := Append(nil, frame())
 	if err != nil {
@@ -59,8 +73,8 @@
 	})
 }
 
-// What peers of the file say is heard, in its order, with who said it; strangers, and those who say nothing or what is no frame, are turned away, and cost
-// nobody else anything.
+// What peers of the file say is heard, in its order, with who said it; strangers, and those who say
+// nothing or what is no frame, are turned away, and cost nobody else anything.
 func TestLinks(t *testing.T) {
 	l, err := eventloop.New()
 	if err != nil {
@@ -69,20 +83,33 @@
 	defer l.Close()
 	l.After(20_000_000, l.Stop)
 	var heard []uint64
-	one, err := Open(l, Config{Installation: "x", Name: "n1", Listen: any4, Peers: []Peer{{Name: "n2", Addr: any4}}}, func(from string, f *Frame) {
-		if from != "n2" || f.Consensus == nil {
-			t.Errorf("%s says %+v", from, f)
-			return
-		}
-		if heard = append(heard, f.Consensus.Version); len(heard) == 3 {
-			l.After(2*helloIn, l.Stop)
-		}
-	})
+	one, err := Open(
+		l,
+		Config{Installation: "x", Name: "n1", Listen: any4, Peers: []Peer{{Name: "n2", Addr: any4}}},
+		func(from string, f *Frame) {
+			if from != "n2" || f.Consensus == nil {
+				t.Errorf("%s says %+v", from, f)
+				return
+			}
+			if heard = append(heard, f.Consensus.Version); len(heard) == 3 {
+				l.After(2*helloIn, l.Stop)
+			}
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	open := func(installation, name string) *Net {
-		n, err := Open(l, Config{Installation: installation, Name: name, Listen: any4, Peers: []Peer{{Name: "n1", Addr: one.Addr()}}}, nil)
+		n, err := Open(
+			l,
+			Config{
+				Installation: installation,
+				Name:         name,
+				Listen:       any4,
+				Peers:        []Peer{{Name: "n1", Addr: one.Addr()}},
+			},
+			nil,
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,8 +149,9 @@
 	}
 }
 
-// Of four in a grid one reaches another over the two in between, whichever of them is held for lost, and by itself if both are. It is heard in its own
-// name, and what is passed on for a stranger is not.
+// Of four in a grid one reaches another over the two in between, whichever of them is held for
+// lost, and by itself if both are. It is heard in its own name, and what is passed on for a
+// stranger is not.
 func TestRelays(t *testing.T) {
 	l, err := eventloop.New()
 	if err != nil {
@@ -135,7 +163,11 @@
 	nets := map[string]*Net{}
 	heard := map[uint64]string{}
 	for _, name := range names {
-		nets[name], err = Open(l, Config{Installation: "x", Name: name, Listen: any4, Mesh: 1}, func(from string, f *Frame) { heard[f.Consensus.Version] = name + " from " + from })
+		nets[name], err = Open(
+			l,
+			Config{Installation: "x", Name: name, Listen: any4, Mesh: 1},
+			func(from string, f *Frame) { heard[f.Consensus.Version] = name + " from " + from },
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,7 +200,9 @@
 	if diff := cmp.Diff(map[uint64]string{1: want, 2: want, 3: want, 4: want}, heard); diff != "" {
 		t.Error(diff)
 	}
-	if passed[0]+passed[1] != 1 || passed[3]-passed[1] != 0 && passed[2]-passed[0] != 0 || passed[6]+passed[7] != 3 || one.Links() != 3 {
+	if passed[0]+passed[1] != 1 || passed[3]-passed[1] != 0 && passed[2]-passed[0] != 0 ||
+		passed[6]+passed[7] != 3 ||
+		one.Links() != 3 {
 		t.Errorf("n2 and n3 passed on %v; n1 has %d links", passed, one.Links())
 	}
 }
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -14,7 +14,15 @@
 
 // What is told to operators.
 var (
-	evOpened     = logging.Define("peers.disk_opened", slog.LevelInfo, "folder", "records", "slots", "cut", "damaged")
+	evOpened = logging.Define(
+		"peers.disk_opened",
+		slog.LevelInfo,
+		"folder",
+		"records",
+		"slots",
+		"cut",
+		"damaged",
+	)
 	evDiskFailed = logging.Define("peers.disk_failed", slog.LevelError, "error")
 	evDiskBack   = logging.Define("peers.disk_back", slog.LevelInfo, "ms")
 )
@@ -25,15 +33,17 @@
 	closeIn   = time.Second
 )
 
-// held is what the consensus group said at once: its words, and the table, are good only once its record is on the disk.
+// held is what the consensus group said at once: its words, and the table, are good only once its
+// record is on the disk.
 type held struct {
 	out   []consensus.Message
 	kept  *consensus.Kept // nil: nothing is to be kept
 	table *placement.Table
 }
 
-// disk has what the consensus group keeps on the disk before its words go out, and what is held of slots now and then. Its methods are called on the
-// loop; files are written by a goroutine of its own.
+// disk has what the consensus group keeps on the disk before its words go out, and what is held of
+// slots now and then. Its methods are called on the loop; files are written by a goroutine of its
+// own.
 type disk struct {
 	p       *Node
 	queue   []held
@@ -68,7 +78,8 @@
 	return found.Log, found.Copies, nil
 }
 
-// hold has words wait for what is to be on the disk before them. Where a disk hangs, words that keep nothing are lost, as others on the way may be.
+// hold has words wait for what is to be on the disk before them. Where a disk hangs, words that
+// keep nothing are lost, as others on the way may be.
 func (d *disk) hold(h held) {
 	if d.newest = h.table; len(d.queue) >= mostHeld && h.kept == nil {
 		d.queue[len(d.queue)-1].table = h.table
@@ -94,8 +105,8 @@
 	}
 }
 
-// wrote hears that the first of those that wait is on the disk, or is not: then it is tried again, and until it is there this voter says nothing,
-// so that the others go on without it.
+// wrote hears that the first of those that wait is on the disk, or is not: then it is tried again,
+// and until it is there this voter says nothing, so that the others go on without it.
 func (d *disk) wrote(err error) {
 	d.writing = false
 	now := d.p.loop.Now()
@@ -156,7 +167,8 @@
 	errHangs  error = hangs.New("node: the disk does not answer in time; other runners have the result")
 )
 
-// Close gives the folder back, with what is held of slots in it. No more comes from the loop by then.
+// Close gives the folder back, with what is held of slots in it. No more comes from the loop by
+// then.
 func (p *Node) Close() error {
 	if p.lasting == nil {
 		return nil
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -20,7 +20,8 @@
 	evOld    = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
 )
 
-// Boot is the clock that duties go by, in microseconds: it counts the time for which the machine was suspended, too.
+// Boot is the clock that duties go by, in microseconds: it counts the time for which the machine
+// was suspended, too.
 func Boot() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -29,7 +30,8 @@
 	return t.Nano() / 1000
 }
 
-// Leases is what this runner does of that which only one may do at a time. Its methods are called on the loop, but for Book's.
+// Leases is what this runner does of that which only one may do at a time. Its methods are called
+// on the loop, but for Book's.
 type Leases struct {
 	p      *Node
 	holder *lease.Holder
@@ -44,7 +46,13 @@
 const tellEvery = 10
 
 func (p *Node) startDuties() {
-	d := &Leases{p: p, holder: lease.NewHolder(p.cfg.Links.Name, p.cfg.Life), Checks: lease.NewChecks(p.cfg.CheckHalls), began: map[string]uint64{}, paused: map[string]bool{}}
+	d := &Leases{
+		p:      p,
+		holder: lease.NewHolder(p.cfg.Links.Name, p.cfg.Life),
+		Checks: lease.NewChecks(p.cfg.CheckHalls),
+		began:  map[string]uint64{},
+		paused: map[string]bool{},
+	}
 	p.duties = d
 	p.consensus.OnConfirm(d.holder.Confirm)
 }
@@ -55,7 +63,8 @@
 // Holds tells whether this runner may do something now, and under which token.
 func (d *Leases) Holds(name string) (token uint64, ok bool) { return d.Book.Holds(name, Boot()) }
 
-// look sees what is held, says when that changes, and gives back what this runner is not to do any more.
+// look sees what is held, says when that changes, and gives back what this runner is not to do any
+// more.
 func (d *Leases) look() {
 	now := Boot()
 	held := d.holder.Held(now)
@@ -71,7 +80,8 @@
 		if slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Name == name }) {
 			continue
 		}
-		if x := t.Duty(name); x != nil && x.Token == token && x.Holder == d.p.cfg.Links.Name { // its lease is over, or it gives it back
+		// its lease is over, or it gives it back
+		if x := t.Duty(name); x != nil && x.Token == token && x.Holder == d.p.cfg.Links.Name {
 			if !d.paused[name] {
 				d.paused[name] = true
 				evPaused.Log(name, token)
@@ -84,7 +94,8 @@
 	}
 	me := t.Member(d.p.cfg.Links.Name)
 	for _, g := range held {
-		if d.goes || me != nil && me.Leaving || !slices.Contains(d.p.cfg.Duties.Names(d.p.cfg.Links.Name), g.Name) {
+		if d.goes || me != nil && me.Leaving ||
+			!slices.Contains(d.p.cfg.Duties.Names(d.p.cfg.Links.Name), g.Name) {
 			d.holder.Leave(g.Name, g.Check, nil)
 		}
 	}
@@ -146,7 +157,13 @@
 	}
 	for i := range t.Duties {
 		x := &t.Duties[i]
-		row := LeaseRow{Name: x.Name, Holder: x.Holder, Token: x.Token, Lapses: len(x.Lapses), Check: len(x.Check)}
+		row := LeaseRow{
+			Name:   x.Name,
+			Holder: x.Holder,
+			Token:  x.Token,
+			Lapses: len(x.Lapses),
+			Check:  len(x.Check),
+		}
 		if j := slices.IndexFunc(page, func(g lease.Grant) bool { return g.Name == x.Name && now < g.Until }); j >= 0 {
 			row.Here, row.LeftMs = true, (page[j].Until-now)/1000
 		}
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -1,5 +1,6 @@
-// Package node is a runner's part among its peers: the holder of copies, the consensus group and the links between them, as the core sees them. The
-// core asks whether a key may run here, and has an answer wait until its result is kept on others too.
+// Package node is a runner's part among its peers: the holder of copies, the consensus group and
+// the links between them, as the core sees them. The core asks whether a key may run here, and has
+// an answer wait until its result is kept on others too.
 package node
 
 import (
@@ -54,11 +55,13 @@
 	CheckHalls []string
 }
 
-// Accounts is what knows the accounts of runners. Its methods are called on the loop, and do not wait.
+// Accounts is what knows the accounts of runners. Its methods are called on the loop, and do not
+// wait.
 type Accounts interface {
 	Hear(m *usagereplica.Message)
 	Table(t *placement.Table, life uint64)
-	// Promise counts the use of a run that ended, and calls done on the loop once others know of it.
+	// Promise counts the use of a run that ended, and calls done on the loop once others know of
+	// it.
 	Promise(k lifecycle.Kept, done func(error))
 }
 
@@ -97,11 +100,35 @@
 			return nil, err
 		}
 	}
-	p.holder = replication.New(replication.Config{Name: cfg.Links.Name, Life: cfg.Life, Window: cfg.Window, Lease: consensus.Lease, Most: cfg.Most, Rate: cfg.Rate}, saved, l.Now())
+	p.holder = replication.New(
+		replication.Config{
+			Name:   cfg.Links.Name,
+			Life:   cfg.Life,
+			Window: cfg.Window,
+			Lease:  consensus.Lease,
+			Most:   cfg.Most,
+			Rate:   cfg.Rate,
+		},
+		saved,
+		l.Now(),
+	)
 	var err error
-	p.consensus, err = consensus.New(consensus.Config{Name: cfg.Links.Name, Voters: cfg.Voters, Known: cfg.Known, Slots: cfg.Slots, Copies: cfg.Copies, Duties: cfg.Duties,
-		Born: uint64(l.Unix() / 1_000_000), Clock: Boot}, placement.Member{
-		Name: cfg.Links.Name, Hall: cfg.Hall, Life: cfg.Life, Process: cfg.Process, Bills: cfg.Accounts != nil}, log, l.Now())
+	p.consensus, err = consensus.New(
+		consensus.Config{
+			Name:   cfg.Links.Name,
+			Voters: cfg.Voters,
+			Known:  cfg.Known,
+			Slots:  cfg.Slots,
+			Copies: cfg.Copies,
+			Duties: cfg.Duties,
+			Born:   uint64(l.Unix() / 1_000_000),
+			Clock:  Boot,
+		},
+		placement.Member{
+			Name: cfg.Links.Name, Hall: cfg.Hall, Life: cfg.Life, Process: cfg.Process, Bills: cfg.Accounts != nil},
+		log,
+		l.Now(),
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -256,11 +283,13 @@
 	Epoch   uint64   `json:"epoch"`
 	Set     []string `json:"set"` // the primary first
 	Joining []string `json:"joining,omitempty"`
-	QuietMs int64    `json:"quiet_ms,omitempty"` // for so long, as is known here, its slot takes no new keys
-	Here    string   `json:"here"`               // begun, ended, forgotten, not held, or unknown to this holder
-	By      string   `json:"by,omitempty"`       // whose process runs it, or ran it
-	LeftMs  int64    `json:"left_ms,omitempty"`  // of its window
-	Bytes   int      `json:"bytes,omitempty"`    // of its result
+	// for so long, as is known here, its slot takes no new keys
+	QuietMs int64 `json:"quiet_ms,omitempty"`
+	// begun, ended, forgotten, not held, or unknown to this holder
+	Here   string `json:"here"`
+	By     string `json:"by,omitempty"`      // whose process runs it, or ran it
+	LeftMs int64  `json:"left_ms,omitempty"` // of its window
+	Bytes  int    `json:"bytes,omitempty"`   // of its result
 }
 
 // Key tells where the copies of a key are.
@@ -308,7 +337,8 @@
 	Dropped  int64    `json:"messages_dropped"`
 
 	Duties []LeaseRow `json:"duties,omitempty"`
-	Checks *Asked     `json:"checks,omitempty"` // where one runner asks a hall's servers for their health
+	// where one runner asks a hall's servers for their health
+	Checks *Asked `json:"checks,omitempty"`
 }
 
 // Asked is who asked servers for their health.
@@ -327,8 +357,19 @@
 // Status tells how copies stand.
 func (p *Node) Status() *Status {
 	t := p.consensus.Table()
-	s := &Status{Version: t.Version, Leads: p.consensus.Leads(), In: p.holder.In(), Whole: t.Whole(), Slots: len(t.Slots), Messages: p.net.Sent, Dropped: p.net.Lost,
-		Links: p.net.Links(), Passed: p.net.Passed, Copied: p.holder.Copied, Bytes: p.holder.Bytes}
+	s := &Status{
+		Version:  t.Version,
+		Leads:    p.consensus.Leads(),
+		In:       p.holder.In(),
+		Whole:    t.Whole(),
+		Slots:    len(t.Slots),
+		Messages: p.net.Sent,
+		Dropped:  p.net.Lost,
+		Links:    p.net.Links(),
+		Passed:   p.net.Passed,
+		Copied:   p.holder.Copied,
+		Bytes:    p.holder.Bytes,
+	}
 	_, s.Closed = p.holder.Closed(p.loop.Now())
 	if s.Duties = p.duties.rows(); len(p.cfg.CheckHalls) > 0 {
 		s.Checks = &Asked{p.duties.Checks.Asked, p.duties.Checks.Spared, p.duties.Checks.Late}
@@ -353,11 +394,18 @@
 		within = max(within, left)
 	}
 	// The core is told in a turn of its own: it may ask for more at once.
-	p.holder.Put(persistence.Record(kind, k, now), left, within, p.loop.Now(), func(a replication.Answer) { p.loop.Post(func() { done(a) }) })
+	p.holder.Put(
+		persistence.Record(kind, k, now),
+		left,
+		within,
+		p.loop.Now(),
+		func(a replication.Answer) { p.loop.Post(func() { done(a) }) },
+	)
 	p.loop.Post(p.flush)
 }
 
-// Claim implements core.Claims: the run begins once its beginning is kept on others, unless the key is another's.
+// Claim implements core.Claims: the run begins once its beginning is kept on others, unless the key
+// is another's.
 func (p *Node) Claim(k lifecycle.Kept, _ int64, free func() bool, done func(mine bool, err error)) {
 	first := true
 	p.put(store.Begun, k, func(a replication.Answer) {
@@ -387,7 +435,8 @@
 // hear tells the core of another's run.
 func (p *Node) hear(a replication.Answer) {
 	r := *a.Record
-	if r.Until = p.loop.Unix() + a.Left; a.Doubt { // the process that runs it is gone: it may have run
+	// the process that runs it is gone: it may have run
+	if r.Until = p.loop.Unix() + a.Left; a.Doubt {
 		r.Kind, r.How = store.Ended, uint8(lifecycle.Failed)
 	}
 	p.core.Heard(persistence.KeptOf(&r), r.Kind == store.Forgotten)
@@ -434,8 +483,8 @@
 	k.p.disk.Begun(c, done)
 }
 
-// Ended implements core.Keeper: it is kept once peers and disk have it, and others know of its use. A disk that hangs is not waited for longer
-// than its patience, as peers have it.
+// Ended implements core.Keeper: it is kept once peers and disk have it, and others know of its use.
+// A disk that hangs is not waited for longer than its patience, as peers have it.
 func (k kept) Ended(c lifecycle.Kept, done func(error)) {
 	var errs error
 	rest := 1
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -10,14 +10,17 @@
 	Name   string `cbor:"1,keyasint"`
 	Holder string `cbor:"2,keyasint,omitempty"` // empty: nobody
 	Life   uint64 `cbor:"3,keyasint,omitempty"` // of the holder's membership
-	Token  uint64 `cbor:"4,keyasint,omitempty"` // of the newest grant; it only grows, over all duties and consensus groups
-	Check  []byte `cbor:"5,keyasint,omitempty"` // what the holder left for the next one
-	// Abrupt says that the holder's name is back in another life, so that the one before may still believe for as long as its lease lasts.
+	// of the newest grant; it only grows, over all duties and consensus groups
+	Token uint64 `cbor:"4,keyasint,omitempty"`
+	Check []byte `cbor:"5,keyasint,omitempty"` // what the holder left for the next one
+	// Abrupt says that the holder's name is back in another life, so that the one before may still
+	// believe for as long as its lease lasts.
 	Abrupt bool    `cbor:"6,keyasint,omitempty"`
-	Lapses []Lapse `cbor:"7,keyasint,omitempty"`  // who lost it without giving it back
-	Asked  int64   `cbor:"8,keyasint,omitempty"`  // by the holder's own clock: it asked then, before it was granted; 0: it is not known
-	Seq    uint64  `cbor:"9,keyasint,omitempty"`  // of the holder's changes that was the last
-	Left   string  `cbor:"10,keyasint,omitempty"` // who gave it back, until somebody has it
+	Lapses []Lapse `cbor:"7,keyasint,omitempty"` // who lost it without giving it back
+	// by the holder's own clock: it asked then, before it was granted; 0: it is not known
+	Asked int64  `cbor:"8,keyasint,omitempty"`
+	Seq   uint64 `cbor:"9,keyasint,omitempty"`  // of the holder's changes that was the last
+	Left  string `cbor:"10,keyasint,omitempty"` // who gave it back, until somebody has it
 }
 
 // Lapse is how often in a row a member lost a duty without giving it back.
@@ -35,17 +38,23 @@
 
 // Duty is the one of that name; nil: nobody ever held it.
 func (t *Table) Duty(name string) *Lease {
-	i, ok := slices.BinarySearchFunc(t.Duties, name, func(d Lease, name string) int { return cmp.Compare(d.Name, name) })
+	i, ok := slices.BinarySearchFunc(
+		t.Duties,
+		name,
+		func(d Lease, name string) int { return cmp.Compare(d.Name, name) },
+	)
 	if !ok {
 		return nil
 	}
 	return &t.Duties[i]
 }
 
-// Token is that of a grant in this table. A consensus group that begins anew counts its changes anew, but was born later.
+// Token is that of a grant in this table. A consensus group that begins anew counts its changes
+// anew, but was born later.
 func (t *Table) Token() uint64 { return t.Born<<32 | t.Version&(1<<32-1) }
 
-// duty takes a change of a duty. One by a member that does not hold it any more, or who knows less of it than the table, changes nothing.
+// duty takes a change of a duty. One by a member that does not hold it any more, or who knows less
+// of it than the table, changes nothing.
 func (t *Table) duty(c Change, m *Member) {
 	d := t.Duty(c.Duty)
 	if c.Kind == Grant {
@@ -56,7 +65,11 @@
 			if c.Token != 0 || c.Duty == "" || len(t.Duties) >= MostLeases {
 				return
 			}
-			i, _ := slices.BinarySearchFunc(t.Duties, c.Duty, func(d Lease, name string) int { return cmp.Compare(d.Name, name) })
+			i, _ := slices.BinarySearchFunc(
+				t.Duties,
+				c.Duty,
+				func(d Lease, name string) int { return cmp.Compare(d.Name, name) },
+			)
 			t.Duties = slices.Insert(t.Duties, i, Lease{Name: c.Duty})
 			d = &t.Duties[i]
 		}
@@ -66,12 +79,17 @@
 		d.Holder, d.Life, d.Token, d.Abrupt, d.Asked, d.Seq, d.Left = m.Name, m.Life, t.Token(), false, c.Asked, 0, ""
 		return
 	}
-	if d == nil || d.Holder == "" || d.Holder != c.Member.Name || d.Token != c.Token || len(c.Check) > MostCheck || c.Epoch <= d.Seq {
+	if d == nil || d.Holder == "" || d.Holder != c.Member.Name || d.Token != c.Token ||
+		len(c.Check) > MostCheck ||
+		c.Epoch <= d.Seq {
 		return // a word that comes late does not take the place of a newer one
 	}
 	if d.Check, d.Seq = c.Check, c.Epoch; c.Kind == Yield {
 		d.Holder, d.Life, d.Left = "", 0, d.Holder
-		d.Lapses = slices.DeleteFunc(slices.Clone(d.Lapses), func(l Lapse) bool { return l.Name == c.Member.Name })
+		d.Lapses = slices.DeleteFunc(
+			slices.Clone(d.Lapses),
+			func(l Lapse) bool { return l.Name == c.Member.Name },
+		)
 	}
 }
 
--- a/internal/peers/placement/member_test.go
+++ b/internal/peers/placement/member_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A process takes another life under a name whose process before had lives of higher numbers: it is taken in, as these say nothing of it. What it
-// said before it took that life, and what the process before said, does not take it back.
+// A process takes another life under a name whose process before had lives of higher numbers: it is
+// taken in, as these say nothing of it. What it said before it took that life, and what the process
+// before said, does not take it back.
 func TestLivesOfTwoProcesses(t *testing.T) {
 	const before, now = 1, 2 // processes
 	say := func(process uint32, life uint64) Change {
--- a/internal/peers/placement/placement.go
+++ b/internal/peers/placement/placement.go
@@ -1,5 +1,6 @@
-// Package placement is the table that the runners of an installation agree on: who belongs, and which of them hold the copies of which keys at
-// which epoch. It is free of I/O and of clocks: the same changes in the same order give the same table everywhere.
+// Package placement is the table that the runners of an installation agree on: who belongs, and
+// which of them hold the copies of which keys at which epoch. It is free of I/O and of clocks: the
+// same changes in the same order give the same table everywhere.
 package placement
 
 import (
@@ -11,14 +12,17 @@
 
 // Member is a runner that belongs to the installation.
 type Member struct {
-	Name    string `cbor:"1,keyasint"`
-	Hall    string `cbor:"2,keyasint,omitempty"`
-	Life    uint64 `cbor:"3,keyasint,omitempty"` // which time it is in; 0: it is out
-	Process uint32 `cbor:"4,keyasint,omitempty"` // the life of its process, by which its runs are known
-	Gone    uint64 `cbor:"5,keyasint,omitempty"` // the life before this one, which does not come back
+	Name string `cbor:"1,keyasint"`
+	Hall string `cbor:"2,keyasint,omitempty"`
+	Life uint64 `cbor:"3,keyasint,omitempty"` // which time it is in; 0: it is out
+	// the life of its process, by which its runs are known
+	Process uint32 `cbor:"4,keyasint,omitempty"`
+	// the life before this one, which does not come back
+	Gone    uint64 `cbor:"5,keyasint,omitempty"`
 	Leaving bool   `cbor:"6,keyasint,omitempty"` // its slots go to others
 	Knows   Kind   `cbor:"7,keyasint,omitempty"` // the newest kind of change that it knows
-	Bills   bool   `cbor:"8,keyasint,omitempty"` // it has a folder for accounts of usage, and knows those of others
+	// it has a folder for accounts of usage, and knows those of others
+	Bills bool `cbor:"8,keyasint,omitempty"`
 	// Duties are the names of those that it would take, in order.
 	Duties []string `cbor:"9,keyasint,omitempty"`
 }
@@ -28,8 +32,9 @@
 	return m.Life == o.Life && m.Knows == o.Knows && m.Bills == o.Bills && slices.Equal(m.Duties, o.Duties)
 }
 
-// oldest is the oldest life in which a process may be taken in by a change. What is gone of a member that is in may be of the process before, whose
-// lives are other numbers; older versions do not tell, and all have to come to the same table.
+// oldest is the oldest life in which a process may be taken in by a change. What is gone of a
+// member that is in may be of the process before, whose lives are other numbers; older versions do
+// not tell, and all have to come to the same table.
 func (m *Member) oldest(kind Kind) uint64 {
 	switch {
 	case kind == In:
@@ -44,10 +49,12 @@
 
 // Slot is a part of the keys, and who holds it.
 type Slot struct {
-	Epoch   uint64   `cbor:"1,keyasint"`
-	Set     []string `cbor:"2,keyasint,omitempty"` // each has every promise of the slot; the primary first
+	Epoch uint64 `cbor:"1,keyasint"`
+	// each has every promise of the slot; the primary first
+	Set     []string `cbor:"2,keyasint,omitempty"`
 	Joining []string `cbor:"3,keyasint,omitempty"` // they are brought up, and count for nothing
-	Quiet   uint64   `cbor:"4,keyasint,omitempty"` // the epoch at which the slot began with nothing; 0: never
+	// the epoch at which the slot began with nothing; 0: never
+	Quiet uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Table is what is agreed on.
@@ -56,8 +63,9 @@
 	Copies  int      `cbor:"2,keyasint"` // beside the primary's
 	Members []Member `cbor:"3,keyasint,omitempty"`
 	Slots   []Slot   `cbor:"4,keyasint,omitempty"`
-	Born    uint64   `cbor:"5,keyasint,omitempty"` // Unix seconds, by the clock of whoever led the consensus group when it began; 0: not said yet
-	Duties  []Lease  `cbor:"6,keyasint,omitempty"` // by name
+	// Unix seconds, by the clock of whoever led the consensus group when it began; 0: not said yet
+	Born   uint64  `cbor:"5,keyasint,omitempty"`
+	Duties []Lease `cbor:"6,keyasint,omitempty"` // by name
 }
 
 // Kind is what a change says.
@@ -77,8 +85,9 @@
 	Grant                   // a member is to hold a duty that nobody holds
 	Yield                   // its holder gives it back, with what the next one is to know
 	Note                    // its holder leaves what the next one is to know
-	Enter                   // as In; what a process said before it took another life does not take it back there
-	Rejoin                  // as Enter, but lives of the process before do not count
+	// as In; what a process said before it took another life does not take it back there
+	Enter
+	Rejoin // as Enter, but lives of the process before do not count
 )
 
 // Newest is the newest kind of change.
@@ -93,11 +102,14 @@
 	Kind   Kind   `cbor:"1,keyasint"`
 	Member Member `cbor:"2,keyasint"`
 	Slot   int    `cbor:"3,keyasint,omitempty"`
-	Epoch  uint64 `cbor:"4,keyasint,omitempty"` // of a slot; Yield and Note: the number of the change, of those under its token
-	Duty   string `cbor:"5,keyasint,omitempty"`
-	Token  uint64 `cbor:"6,keyasint,omitempty"` // the newest that whoever says it knows of the duty; Found: Unix seconds
-	Check  []byte `cbor:"7,keyasint,omitempty"`
-	Asked  int64  `cbor:"8,keyasint,omitempty"` // Grant: by the member's own clock, when it said that it is there
+	// of a slot; Yield and Note: the number of the change, of those under its token
+	Epoch uint64 `cbor:"4,keyasint,omitempty"`
+	Duty  string `cbor:"5,keyasint,omitempty"`
+	// the newest that whoever says it knows of the duty; Found: Unix seconds
+	Token uint64 `cbor:"6,keyasint,omitempty"`
+	Check []byte `cbor:"7,keyasint,omitempty"`
+	// Grant: by the member's own clock, when it said that it is there
+	Asked int64 `cbor:"8,keyasint,omitempty"`
 }
 
 // New is the table of an installation before anybody is in.
@@ -120,7 +132,11 @@
 
 // Member is the one of that name; nil: none.
 func (t *Table) Member(name string) *Member {
-	i, ok := slices.BinarySearchFunc(t.Members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
+	i, ok := slices.BinarySearchFunc(
+		t.Members,
+		name,
+		func(m Member, name string) int { return cmp.Compare(m.Name, name) },
+	)
 	if !ok {
 		return nil
 	}
@@ -173,7 +189,9 @@
 		}
 		t.complete(s, m.Name)
 	case Add:
-		if s := t.slot(c); s != nil && m != nil && m.Life != 0 && !m.Leaving && !s.Holds(m.Name) && len(s.Set) == 1+t.Copies && len(s.Joining) == 0 {
+		if s := t.slot(c); s != nil && m != nil && m.Life != 0 && !m.Leaving && !s.Holds(m.Name) &&
+			len(s.Set) == 1+t.Copies &&
+			len(s.Joining) == 0 {
 			s.Joining = append(s.Joining, m.Name)
 		}
 	case Lead:
@@ -195,17 +213,24 @@
 	t.fill()
 }
 
-// enter takes a member in, in a life that is new; false: it is not, and the slots stay as they are. What an earlier life held is forgotten.
+// enter takes a member in, in a life that is new; false: it is not, and the slots stay as they are.
+// What an earlier life held is forgotten.
 func (t *Table) enter(c Change, m *Member) bool {
-	if m != nil && c.Member.Process != 0 && c.Member.Process == m.Process && c.Member.Life < m.oldest(c.Kind) {
+	if m != nil && c.Member.Process != 0 && c.Member.Process == m.Process &&
+		c.Member.Life < m.oldest(c.Kind) {
 		return false
 	}
 	if m == nil {
-		i, _ := slices.BinarySearchFunc(t.Members, c.Member.Name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
+		i, _ := slices.BinarySearchFunc(
+			t.Members,
+			c.Member.Name,
+			func(m Member, name string) int { return cmp.Compare(m.Name, name) },
+		)
 		t.Members = slices.Insert(t.Members, i, Member{Name: c.Member.Name})
 		m = &t.Members[i]
 	}
-	if m.Life == c.Member.Life && m.Life != 0 { // said again, as whoever agreed to it before may have known less of members
+	// said again, as whoever agreed to it before may have known less of members
+	if m.Life == c.Member.Life && m.Life != 0 {
 		m.Knows, m.Bills, m.Duties = c.Member.Knows, c.Member.Bills, c.Member.Duties
 	}
 	if m.Life == c.Member.Life || c.Member.Life == 0 || c.Member.Life == m.Gone {
@@ -236,7 +261,8 @@
 	}
 }
 
-// complete has a member that joined a slot hold it. Where it came for a better spread, another one goes.
+// complete has a member that joined a slot hold it. Where it came for a better spread, another one
+// goes.
 func (t *Table) complete(s *Slot, name string) {
 	s.Joining = remove(s.Joining, name)
 	s.Set = append(s.Set, name)
@@ -246,7 +272,8 @@
 	}
 }
 
-// May tells whether all of these members know a kind of change: who does not would come to another table.
+// May tells whether all of these members know a kind of change: who does not would come to another
+// table.
 func (t *Table) May(k Kind, names []string) bool {
 	for _, name := range names {
 		if m := t.Member(name); m == nil || max(m.Knows, oldest) < k {
@@ -317,7 +344,8 @@
 	return load
 }
 
-// best is the member that is to hold a slot next: in a hall that has none, with the least load, by a draw of slot and name.
+// best is the member that is to hold a slot next: in a hall that has none, with the least load, by
+// a draw of slot and name.
 func (t *Table) best(slot int, load map[string]int) string {
 	s := &t.Slots[slot]
 	best := ""
@@ -350,12 +378,17 @@
 	return n
 }
 
-// heaviest is whom a set can do without, as it is one too many: one that is leaving, or the one whose hall has others, then whose load is highest, not the primary.
+// heaviest is whom a set can do without, as it is one too many: one that is leaving, or the one
+// whose hall has others, then whose load is highest, not the primary.
 func (t *Table) heaviest(s *Slot, load map[string]int) string {
 	worst := s.Set[1]
 	for _, name := range s.Set[2:] {
 		a, b := t.inHall(s, t.Member(name).Hall), t.inHall(s, t.Member(worst).Hall)
-		if cmp.Or(t.leaves(name)-t.leaves(worst), cmp.Compare(a, b), cmp.Compare(load[name], load[worst])) > 0 {
+		if cmp.Or(
+			t.leaves(name)-t.leaves(worst),
+			cmp.Compare(a, b),
+			cmp.Compare(load[name], load[worst]),
+		) > 0 {
 			worst = name
 		}
 	}
@@ -370,7 +403,8 @@
 	return 0
 }
 
-// part is a change that brings a leaving member closer to holding nothing; false: there is none, or nobody who could take its place.
+// part is a change that brings a leaving member closer to holding nothing; false: there is none, or
+// nobody who could take its place.
 func (t *Table) part(load map[string]int) (Change, bool) {
 	for i := range t.Slots {
 		s := &t.Slots[i]
@@ -396,7 +430,8 @@
 // uneven is by how many slots the loads of two members may differ.
 const uneven = 2
 
-// Spread is a change that spreads slots or primaries better; false: they are spread well enough, or copies are still being made.
+// Spread is a change that spreads slots or primaries better; false: they are spread well enough, or
+// copies are still being made.
 func (t *Table) Spread() (Change, bool) {
 	load, leads := t.load(), map[string]int{}
 	for _, s := range t.Slots {
@@ -442,7 +477,8 @@
 	return ""
 }
 
-// Apart tells whether members that stay are too few for all copies, so that those that are leaving are needed on.
+// Apart tells whether members that stay are too few for all copies, so that those that are leaving
+// are needed on.
 func (t *Table) Apart() bool {
 	n := 0
 	for _, m := range t.Members {
--- a/internal/peers/placement/placement_test.go
+++ b/internal/peers/placement/placement_test.go
@@ -17,7 +17,17 @@
 		t.Fatal(err)
 	}
 	for i := range runners {
-		p.Apply(Change{Kind: In, Member: Member{Name: fmt.Sprintf("n%03d", i), Hall: fmt.Sprint("hall", i%halls), Life: uint64(i + 1), Process: uint32(i + 1)}})
+		p.Apply(
+			Change{
+				Kind: In,
+				Member: Member{
+					Name:    fmt.Sprintf("n%03d", i),
+					Hall:    fmt.Sprint("hall", i%halls),
+					Life:    uint64(i + 1),
+					Process: uint32(i + 1),
+				},
+			},
+		)
 	}
 	settle(p)
 	return p
@@ -45,7 +55,8 @@
 	return Change{}, false
 }
 
-// Of any number of runners a slot's copies are in as many halls as there are, nobody holds much more than others, and nobody leads much more.
+// Of any number of runners a slot's copies are in as many halls as there are, nobody holds much
+// more than others, and nobody leads much more.
 func TestSpread(t *testing.T) {
 	for _, x := range []struct{ runners, halls, slots, copies int }{{3, 3, 64, 2}, {5, 3, 64, 2}, {9, 3, 64, 1}, {17, 3, 128, 2}, {300, 5, 512, 2}} {
 		p := after(t, x.runners, x.halls, x.slots, x.copies)
@@ -89,7 +100,9 @@
 			}
 			continue
 		}
-		if s.Epoch <= old.Epoch || s.Holds(lost.Name) || !slices.Contains(old.Set, s.Primary()) || s.Quiet != old.Quiet || len(s.Joining) != 1 {
+		if s.Epoch <= old.Epoch || s.Holds(lost.Name) || !slices.Contains(old.Set, s.Primary()) ||
+			s.Quiet != old.Quiet ||
+			len(s.Joining) != 1 {
 			t.Errorf("slot %d is %+v, was %+v", i, s, old)
 		}
 	}
@@ -141,8 +154,8 @@
 	}
 }
 
-// A member that is leaving comes to hold nothing, one slot after the other, and no slot ever has fewer copies; where too few others are there, it
-// keeps what it has.
+// A member that is leaving comes to hold nothing, one slot after the other, and no slot ever has
+// fewer copies; where too few others are there, it keeps what it has.
 func TestLeaving(t *testing.T) {
 	p := after(t, 5, 3, 64, 2)
 	for _, name := range []string{"n001", "n003"} {
@@ -173,8 +186,9 @@
 	}
 }
 
-// Whatever changes come: epochs never go back, and rise whenever a set changes; a set has members that are in, each once; one that lost its
-// last member is quiet from its next epoch on; the same changes give the same table.
+// Whatever changes come: epochs never go back, and rise whenever a set changes; a set has members
+// that are in, each once; one that lost its last member is quiet from its next epoch on; the same
+// changes give the same table.
 func TestAnyChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, err := New(rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(1, 2).Draw(t, "copies"))
@@ -183,8 +197,14 @@
 		}
 		twin := p.Clone()
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
-			c := Change{Kind: Kind(rapid.IntRange(0, 10).Draw(t, "kind")), Slot: rapid.IntRange(-1, 8).Draw(t, "slot"),
-				Member: Member{Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name"), Life: uint64(rapid.IntRange(0, 3).Draw(t, "life"))}}
+			c := Change{
+				Kind: Kind(rapid.IntRange(0, 10).Draw(t, "kind")),
+				Slot: rapid.IntRange(-1, 8).Draw(t, "slot"),
+				Member: Member{
+					Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name"),
+					Life: uint64(rapid.IntRange(0, 3).Draw(t, "life")),
+				},
+			}
 			c.Member.Hall = c.Member.Name[:1]
 			if m := p.Member(c.Member.Name); m != nil && c.Kind != In && rapid.Bool().Draw(t, "now") {
 				c.Member.Life = m.Life
--- a/internal/peers/replication/ask.go
+++ b/internal/peers/replication/ask.go
@@ -6,10 +6,11 @@
 	"ryepaddle/internal/idempotency/store"
 )
 
-// Put asks that a record is taken: that a run is about to begin, that it ended, or that it never began. Left is what is left of its window.
-// Done is told once what that came to, at the latest when the time is over; of a run of another that goes on it is told that, and once more
-// how it ended. An end is said on after that, until it is kept; of
-// a beginning that was given up it is said that it never ran.
+// Put asks that a record is taken: that a run is about to begin, that it ended, or that it never
+// began. Left is what is left of its window. Done is told once what that came to, at the latest
+// when the time is over; of a run of another that goes on it is told that, and once more how it
+// ended. An end is said on after that, until it is kept; of a beginning that was given up it is
+// said that it never ran.
 func (h *Replica) Put(r *store.Record, left, within, now int64, done func(Answer)) {
 	h.now = max(h.now, now)
 	h.put(r, left, within, done)
@@ -19,7 +20,15 @@
 
 func (h *Replica) put(r *store.Record, left, within int64, done func(Answer)) {
 	h.next++
-	a := &asked{id: h.next, record: r, until: h.now + left, late: h.now + within, lost: h.now + within, next: h.now, done: done}
+	a := &asked{
+		id:     h.next,
+		record: r,
+		until:  h.now + left,
+		late:   h.now + within,
+		lost:   h.now + within,
+		next:   h.now,
+		done:   done,
+	}
 	if r.Kind != store.Begun {
 		a.lost = max(a.lost, a.until)
 	}
@@ -144,7 +153,8 @@
 		h.send(Message{Kind: Told, To: m.From, Slot: m.Slot, Epoch: m.Epoch, ID: m.ID, Word: w, Back: back})
 	}
 	s, t := *h.place(m.Slot), &h.table.Slots[m.Slot]
-	// A primary that does not hear the consensus group may have been replaced, and whoever replaced it may have begun with nothing.
+	// A primary that does not hear the consensus group may have been replaced, and whoever replaced
+	// it may have begun with nothing.
 	if s == nil || !s.leads || s.epoch != t.Epoch || m.Epoch != s.epoch || h.now-h.heard > h.cfg.Lease {
 		tell(Again, 0)
 		return
@@ -162,7 +172,16 @@
 	case r.Kind == store.Begun && m.Word == Theirs && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
 		never := *r
 		never.Kind = store.Forgotten
-		h.send(Message{Kind: Told, To: m.From, Slot: m.Slot, ID: m.ID, Word: Theirs, Entries: []Entry{{Left: left, Record: &never}}})
+		h.send(
+			Message{
+				Kind:    Told,
+				To:      m.From,
+				Slot:    m.Slot,
+				ID:      m.ID,
+				Word:    Theirs,
+				Entries: []Entry{{Left: left, Record: &never}},
+			},
+		)
 	case r.Kind == store.Begun && (it == nil || it.record.Kind == store.Forgotten && it.record.Owner != r.Owner):
 		if wait := s.quiet.until - h.now; s.quiet.epoch != 0 && wait > 0 {
 			tell(Shut, wait)
@@ -205,8 +224,18 @@
 	for name, p := range s.inOrder() {
 		if p.opened && p.sent == s.seq-1 {
 			p.sent, p.at = s.seq, h.now
-			h.send(Message{Kind: Keep, To: name, Slot: i, Epoch: s.epoch, Base: s.seq - 1, Seq: s.seq, Quiet: max(s.quiet.until-h.now, 0),
-				Entries: []Entry{{Seq: it.seq, Epoch: it.epoch, Left: until - h.now, Record: r}}})
+			h.send(
+				Message{
+					Kind:    Keep,
+					To:      name,
+					Slot:    i,
+					Epoch:   s.epoch,
+					Base:    s.seq - 1,
+					Seq:     s.seq,
+					Quiet:   max(s.quiet.until-h.now, 0),
+					Entries: []Entry{{Seq: it.seq, Epoch: it.epoch, Left: until - h.now, Record: r}},
+				},
+			)
 		}
 	}
 	return it
@@ -216,10 +245,21 @@
 func (h *Replica) tellOf(i int, it *item, w watcher) {
 	r := it.record
 	doubt := r.Kind == store.Begun && !h.lives(&r)
-	h.send(Message{Kind: Told, To: w.who, Slot: i, ID: w.id, Word: Theirs, Doubt: doubt, Entries: []Entry{{Left: it.until - h.now, Record: &r}}})
+	h.send(
+		Message{
+			Kind:    Told,
+			To:      w.who,
+			Slot:    i,
+			ID:      w.id,
+			Word:    Theirs,
+			Doubt:   doubt,
+			Entries: []Entry{{Left: it.until - h.now, Record: &r}},
+		},
+	)
 }
 
-// tellWatchers tells those who wait for the end of a run that it ended, never began, or is in doubt.
+// tellWatchers tells those who wait for the end of a run that it ended, never began, or is in
+// doubt.
 func (h *Replica) tellWatchers(i int, it *item) {
 	if len(it.watchers) == 0 || it.record.Kind == store.Begun && h.lives(&it.record) {
 		return
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -1,6 +1,7 @@
-// Package replication is one runner's part in keeping what runners promise on several of them: it asks as the runner that has a request, orders
-// and confirms as a primary, and keeps as a follower. It is free of I/O: messages and tables come in, messages and answers go out. Times
-// are microseconds of a monotonic clock, and what is told of a window is the time that is left of it.
+// Package replication is one runner's part in keeping what runners promise on several of them: it
+// asks as the runner that has a request, orders and confirms as a primary, and keeps as a follower.
+// It is free of I/O: messages and tables come in, messages and answers go out. Times are
+// microseconds of a monotonic clock, and what is told of a window is the time that is left of it.
 package replication
 
 import "ryepaddle/internal/idempotency/store"
@@ -48,17 +49,19 @@
 
 // Message goes from one runner to another.
 type Message struct {
-	Kind    Kind    `cbor:"1,keyasint"`
-	From    string  `cbor:"2,keyasint"`
-	To      string  `cbor:"3,keyasint"`
-	Slot    int     `cbor:"4,keyasint"`
-	Epoch   uint64  `cbor:"5,keyasint,omitempty"`
-	ID      uint64  `cbor:"6,keyasint,omitempty"` // of an ask
-	Word    Word    `cbor:"7,keyasint,omitempty"`
-	Doubt   bool    `cbor:"8,keyasint,omitempty"`  // the process that runs it is gone
-	Back    int64   `cbor:"9,keyasint,omitempty"`  // when to come back
-	Base    uint64  `cbor:"10,keyasint,omitempty"` // Keep: the number before the first; Opened: the epoch of the newest record
-	Seq     uint64  `cbor:"11,keyasint,omitempty"` // Keep: up to this number it is all; Kept, Opened: the newest that is held
+	Kind  Kind   `cbor:"1,keyasint"`
+	From  string `cbor:"2,keyasint"`
+	To    string `cbor:"3,keyasint"`
+	Slot  int    `cbor:"4,keyasint"`
+	Epoch uint64 `cbor:"5,keyasint,omitempty"`
+	ID    uint64 `cbor:"6,keyasint,omitempty"` // of an ask
+	Word  Word   `cbor:"7,keyasint,omitempty"`
+	Doubt bool   `cbor:"8,keyasint,omitempty"` // the process that runs it is gone
+	Back  int64  `cbor:"9,keyasint,omitempty"` // when to come back
+	// Keep: the number before the first; Opened: the epoch of the newest record
+	Base uint64 `cbor:"10,keyasint,omitempty"`
+	// Keep: up to this number it is all; Kept, Opened: the newest that is held
+	Seq     uint64  `cbor:"11,keyasint,omitempty"`
 	Reset   bool    `cbor:"12,keyasint,omitempty"` // what was held before does not count
 	Quiet   int64   `cbor:"13,keyasint,omitempty"` // Keep: for so long the slot takes nothing new
 	Eras    []Era   `cbor:"14,keyasint,omitempty"`
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -78,10 +78,17 @@
 	change []placement.Change
 }
 
-// New is a holder that knows no table yet. Saved is what its disk has, if anything: it counts for nothing, and saves sending.
+// New is a holder that knows no table yet. Saved is what its disk has, if anything: it counts for
+// nothing, and saves sending.
 func New(cfg Config, saved []Saved, now int64) *Replica {
 	// Asks of another life of this name may still be answered: no number is used in two lives.
-	h := &Replica{cfg: cfg, next: cfg.Life * 0x9e3779b97f4a7c15, asks: map[uint64]*asked{}, heard: now - cfg.Lease - 1, now: now}
+	h := &Replica{
+		cfg:   cfg,
+		next:  cfg.Life * 0x9e3779b97f4a7c15,
+		asks:  map[uint64]*asked{},
+		heard: now - cfg.Lease - 1,
+		now:   now,
+	}
 	for _, v := range saved {
 		*h.place(v.Slot) = v.slot(now)
 	}
@@ -110,8 +117,8 @@
 	return c
 }
 
-// Renew is another life of the membership of a process that was held for lost and goes on. What it held is not known to be all any more; what it
-// asked for goes on.
+// Renew is another life of the membership of a process that was held for lost and goes on. What it
+// held is not known to be all any more; what it asked for goes on.
 func (h *Replica) Renew(life uint64) {
 	h.cfg.Life = life
 	for _, s := range h.slots {
@@ -146,8 +153,12 @@
 	return nil
 }
 
-// Look tells the slot of a name, for how long that takes nothing new, whether it is held here, and what is held of the name.
-func (h *Replica) Look(name store.Name, now int64) (slot int, quiet int64, held bool, r *store.Record, left int64) {
+// Look tells the slot of a name, for how long that takes nothing new, whether it is held here, and
+// what is held of the name.
+func (h *Replica) Look(
+	name store.Name,
+	now int64,
+) (slot int, quiet int64, held bool, r *store.Record, left int64) {
 	if h.table == nil {
 		return 0, 0, false, nil, 0
 	}
@@ -210,8 +221,8 @@
 func (h *Replica) adopt(i int, t *placement.Slot, in bool) {
 	s := *h.place(i)
 	if !in || !t.Holds(h.cfg.Name) {
-		// What it held is not asked for any more; if it is to hold the slot again it is brought up. A word of a primary of a later epoch
-		// may have come before this table.
+		// What it held is not asked for any more; if it is to hold the slot again it is brought up.
+		// A word of a primary of a later epoch may have come before this table.
 		if s != nil && s.epoch <= t.Epoch && in {
 			*h.place(i) = nil
 		} else if s != nil {
@@ -227,7 +238,8 @@
 	if t.Quiet != s.quiet.epoch {
 		s.quiet.epoch = t.Quiet
 		s.quiet.until = h.now + h.cfg.Window + lateRead
-		if t.Quiet == t.Epoch && leads { // it begins with nothing: what a disk of its had is not known to be all
+		// it begins with nothing: what a disk of its had is not known to be all
+		if t.Quiet == t.Epoch && leads {
 			s.clear()
 		}
 	}
@@ -251,7 +263,8 @@
 	}
 	for _, names := range [][]string{t.Set, t.Joining} {
 		for _, name := range names {
-			if life := h.table.Member(name).Life; name != h.cfg.Name && (s.peers[name] == nil || s.peers[name].life != life) {
+			if life := h.table.Member(name).Life; name != h.cfg.Name &&
+				(s.peers[name] == nil || s.peers[name].life != life) {
 				s.peers[name] = &peer{life: life, at: h.now}
 				h.send(Message{Kind: Open, To: name, Slot: i, Epoch: s.epoch})
 			}
@@ -271,7 +284,8 @@
 }
 
 func (h *Replica) receive(m *Message) {
-	if h.table == nil || m.Slot < 0 || m.Slot >= len(h.table.Slots) || h.in() == nil { // it holds nothing in this life yet
+	// it holds nothing in this life yet
+	if h.table == nil || m.Slot < 0 || m.Slot >= len(h.table.Slots) || h.in() == nil {
 		return
 	}
 	switch m.Kind {
@@ -299,7 +313,8 @@
 	if m.Epoch > s.epoch { // the table that says so is on its way
 		s.epoch, s.leads, s.waiters = m.Epoch, false, nil
 	}
-	if s.leads || m.Epoch == t.Epoch && t.Primary() != m.From || s.heard.from == m.From && s.heard.life == m.Life && s.heard.no >= m.No {
+	if s.leads || m.Epoch == t.Epoch && t.Primary() != m.From ||
+		s.heard.from == m.From && s.heard.life == m.Life && s.heard.no >= m.No {
 		return
 	}
 	s.heard.from, s.heard.life, s.heard.no = m.From, m.Life, m.No
@@ -350,8 +365,8 @@
 	h.settle(m.Slot, s)
 }
 
-// bringUp sends a holder what it lacks, a chunk at a time. Who is joining counts for nothing and waits for its turn; without all others nothing is
-// kept, and they are sent theirs at once.
+// bringUp sends a holder what it lacks, a chunk at a time. Who is joining counts for nothing and
+// waits for its turn; without all others nothing is kept, and they are sent theirs at once.
 func (h *Replica) bringUp(i int, s *slot, name string, p *peer) {
 	if p.sent >= s.seq && !p.reset && !p.owed {
 		return
@@ -366,7 +381,17 @@
 		most = int(min(h.room, chunk))
 	}
 	entries, upTo := s.after(p.sent, h.now, most)
-	m := Message{Kind: Keep, To: name, Slot: i, Epoch: s.epoch, Base: p.sent, Seq: upTo, Reset: p.reset, Entries: entries, Quiet: max(s.quiet.until-h.now, 0)}
+	m := Message{
+		Kind:    Keep,
+		To:      name,
+		Slot:    i,
+		Epoch:   s.epoch,
+		Base:    p.sent,
+		Seq:     upTo,
+		Reset:   p.reset,
+		Entries: entries,
+		Quiet:   max(s.quiet.until-h.now, 0),
+	}
 	for _, e := range s.eras {
 		if e.First <= upTo {
 			m.Eras = append(m.Eras, e)
@@ -382,7 +407,8 @@
 	h.send(m)
 }
 
-// refill lets more go to those who are joining: what came of the time that went by, and not more than a quarter of a second is good for.
+// refill lets more go to those who are joining: what came of the time that went by, and not more
+// than a quarter of a second is good for.
 func (h *Replica) refill() {
 	h.room = min(h.room+h.cfg.Rate*(h.now-h.filled)/1_000_000, h.cfg.Rate/4)
 	h.filled = h.now
@@ -396,9 +422,13 @@
 	}
 	others := slices.ContainsFunc(s.follows(t), func(p *peer) bool { return !p.opened })
 	for name, p := range s.inOrder() {
-		if m := h.table.Member(name); slices.Contains(t.Joining, name) && p.opened && p.acked >= s.seq && !others {
+		if m := h.table.Member(name); slices.Contains(t.Joining, name) && p.opened && p.acked >= s.seq &&
+			!others {
 			p.whole = true
-			h.change = append(h.change, placement.Change{Kind: placement.Whole, Member: *m, Slot: i, Epoch: s.epoch})
+			h.change = append(
+				h.change,
+				placement.Change{Kind: placement.Whole, Member: *m, Slot: i, Epoch: s.epoch},
+			)
 		}
 	}
 	seq, open := s.kept(t)
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -18,8 +18,9 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// No key runs twice and no promise is lost over any mix of lost machines, old disks, stops, cuts and late or repeated messages.
-// RYEPADDLE_SEEDS says how many seeds are played and RYEPADDLE_FIRST from which on; RYEPADDLE_SEED plays one again.
+// No key runs twice and no promise is lost over any mix of lost machines, old disks, stops, cuts
+// and late or repeated messages. RYEPADDLE_SEEDS says how many seeds are played and RYEPADDLE_FIRST
+// from which on; RYEPADDLE_SEED plays one again.
 func TestPromises(t *testing.T) {
 	t.Parallel()
 	first, count := uint64(1), 30
@@ -37,7 +38,11 @@
 		w := play(seed, 3+int(seed%7), 1+int(seed/7%2), nil)
 		if v := w.verdict(); v != "" {
 			if bad++; bad <= 5 {
-				t.Errorf("%s\nagain, but for the library's own draws, with: RYEPADDLE_SEED=%d go test -run TestPromises ./internal/peers/replication", v, seed)
+				t.Errorf(
+					"%s\nagain, but for the library's own draws, with: RYEPADDLE_SEED=%d go test -run TestPromises ./internal/peers/replication",
+					v,
+					seed,
+				)
 			}
 		}
 		served, refused, failed = served+w.served, refused+w.refused, failed+w.failed
@@ -48,7 +53,8 @@
 	}
 }
 
-// wrongly are versions of the program that break a promise: what they do otherwise is done to their messages and tables.
+// wrongly are versions of the program that break a promise: what they do otherwise is done to their
+// messages and tables.
 var wrongly = []struct {
 	name   string
 	within int // seeds, at the most
@@ -61,16 +67,39 @@
 			}
 			late := *m
 			w.after(w.between(100*ms, 600*ms), func() { w.deliver(late) })
-			return []Message{{Kind: Kept, From: m.To, To: m.From, Slot: m.Slot, Epoch: m.Epoch, Seq: m.Seq, Life: w.lifeOf(m.To), No: m.No}}
+			return []Message{
+				{
+					Kind:  Kept,
+					From:  m.To,
+					To:    m.From,
+					Slot:  m.Slot,
+					Epoch: m.Epoch,
+					Seq:   m.Seq,
+					Life:  w.lifeOf(m.To),
+					No:    m.No,
+				},
+			}
 		}
 	}},
 	{"a holder does not look at the epoch", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.place(m.Slot); m.Kind == Keep && s != nil && m.Epoch < s.epoch && w.node(m.To).up {
+			if s := *w.node(m.To).h.place(m.Slot); m.Kind == Keep && s != nil && m.Epoch < s.epoch &&
+				w.node(m.To).up {
 				for _, e := range m.Entries {
 					s.set(e, w.now+e.Left)
 				}
-				return []Message{{Kind: Kept, From: m.To, To: m.From, Slot: m.Slot, Epoch: m.Epoch, Seq: m.Seq, Life: w.lifeOf(m.To), No: m.No}}
+				return []Message{
+					{
+						Kind:  Kept,
+						From:  m.To,
+						To:    m.From,
+						Slot:  m.Slot,
+						Epoch: m.Epoch,
+						Seq:   m.Seq,
+						Life:  w.lifeOf(m.To),
+						No:    m.No,
+					},
+				}
 			}
 			return []Message{*m}
 		}
@@ -127,8 +156,9 @@
 
 func (w *world) lifeOf(name string) uint64 { return w.node(name).h.cfg.Life }
 
-// Each broken version is found within its number of seeds. The library draws its elections by itself, so that a seed does not play the same to the
-// message; the numbers are some times what was seen.
+// Each broken version is found within its number of seeds. The library draws its elections by
+// itself, so that a seed does not play the same to the message; the numbers are some times what was
+// seen.
 func TestBrokenVersionsAreFound(t *testing.T) {
 	for _, x := range wrongly {
 		t.Run(x.name, func(t *testing.T) {
@@ -144,7 +174,8 @@
 	}
 }
 
-// An answer to an ask of an earlier life of the process is not taken for one to an ask of this: the key would run without being kept.
+// An answer to an ask of an earlier life of the process is not taken for one to an ask of this: the
+// key would run without being kept.
 func TestAnswersOfAnEarlierLife(t *testing.T) {
 	ids := map[uint64]bool{}
 	for life := range uint64(50) {
@@ -154,12 +185,26 @@
 			t.Fatal(err)
 		}
 		for i, name := range []string{"n1", "n2"} {
-			table.Apply(placement.Change{Kind: placement.In, Member: placement.Member{Name: name, Life: life + 1, Process: uint32(i + 1)}})
+			table.Apply(
+				placement.Change{
+					Kind:   placement.In,
+					Member: placement.Member{Name: name, Life: life + 1, Process: uint32(i + 1)},
+				},
+			)
 		}
 		h.Table(table, 1)
 		told := 0
 		for k := range 40 {
-			h.Put(&store.Record{Kind: store.Begun, Name: store.Name{Class: "hand-in", Key: string(rune('a' + k))}}, second, second, 2, func(Answer) { told++ })
+			h.Put(
+				&store.Record{
+					Kind: store.Begun,
+					Name: store.Name{Class: "hand-in", Key: string(rune('a' + k))},
+				},
+				second,
+				second,
+				2,
+				func(Answer) { told++ },
+			)
 		}
 		for _, m := range h.Out() {
 			if m.Kind != Ask {
@@ -169,7 +214,8 @@
 				t.Fatalf("number %d is used in two lives", m.ID)
 			}
 			ids[m.ID] = true
-			h.Receive(&Message{Kind: Told, From: m.To, To: "n2", Slot: m.Slot, ID: m.ID, Word: Done}, 3) // of an end, which it did not ask about
+			// of an end, which it did not ask about
+			h.Receive(&Message{Kind: Told, From: m.To, To: "n2", Slot: m.Slot, ID: m.ID, Word: Done}, 3)
 		}
 		if told > 0 {
 			t.Fatal("a beginning is answered as an end is")
@@ -180,7 +226,8 @@
 	}
 }
 
-// Who is joining is sent no more than the rate says, and all of it in the end; one without which nothing counts as kept gets what it lacks at once.
+// Who is joining is sent no more than the rate says, and all of it in the end; one without which
+// nothing counts as kept gets what it lacks at once.
 func TestRate(t *testing.T) {
 	const records, size, rate = 100, 1000, 20_000
 	for _, joining := range []bool{true, false} {
@@ -189,15 +236,33 @@
 			t.Fatal(err)
 		}
 		for _, name := range []string{"n1", "n2"} {
-			table.Apply(placement.Change{Kind: placement.In, Member: placement.Member{Name: name, Life: 1, Process: 1}})
+			table.Apply(
+				placement.Change{
+					Kind:   placement.In,
+					Member: placement.Member{Name: name, Life: 1, Process: 1},
+				},
+			)
 		}
 		if !joining {
-			table.Apply(placement.Change{Kind: placement.Whole, Member: *table.Member("n2"), Epoch: table.Slots[0].Epoch})
+			table.Apply(
+				placement.Change{
+					Kind:   placement.Whole,
+					Member: *table.Member("n2"),
+					Epoch:  table.Slots[0].Epoch,
+				},
+			)
 		}
 		h := New(Config{Name: "n1", Life: 1, Lease: 1000 * 1000 * ms, Rate: rate}, nil, 0)
 		h.Table(table, 1)
 		for i := range records {
-			h.slots[0].put(&store.Record{Kind: store.Ended, Name: store.Name{Key: strconv.Itoa(i)}, Result: &store.Result{Body: make([]byte, size)}}, 1_000_000*ms)
+			h.slots[0].put(
+				&store.Record{
+					Kind:   store.Ended,
+					Name:   store.Name{Key: strconv.Itoa(i)},
+					Result: &store.Result{Body: make([]byte, size)},
+				},
+				1_000_000*ms,
+			)
 		}
 		h.Receive(&Message{Kind: Opened, From: "n2", Life: 1, No: 1, Epoch: h.slots[0].epoch}, 2)
 		held, now, no := uint64(0), int64(2), uint64(1)
@@ -212,22 +277,29 @@
 				h.Receive(&Message{Kind: Kept, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq}, now)
 			}
 		}
-		if want := int64(records * (size + 128) * 1000 * ms / rate); held < records || joining && (now < want*9/10 || now > want*12/10) || !joining && now > 1000*ms {
+		if want := int64(records * (size + 128) * 1000 * ms / rate); held < records ||
+			joining && (now < want*9/10 || now > want*12/10) ||
+			!joining && now > 1000*ms {
 			t.Errorf("joining %v: it has %d records after %d ms", joining, held, now/ms)
 		}
 	}
 }
 
-// At its bound a holder takes no new keys, keeps what it has taken, and takes new ones once windows are over.
+// At its bound a holder takes no new keys, keeps what it has taken, and takes new ones once windows
+// are over.
 func TestMemoryAtItsBound(t *testing.T) {
 	table, err := placement.New(1, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"n1", "n2"} {
-		table.Apply(placement.Change{Kind: placement.In, Member: placement.Member{Name: name, Life: 1, Process: 1}})
+		table.Apply(
+			placement.Change{Kind: placement.In, Member: placement.Member{Name: name, Life: 1, Process: 1}},
+		)
 	}
-	table.Apply(placement.Change{Kind: placement.Whole, Member: *table.Member("n2"), Epoch: table.Slots[0].Epoch})
+	table.Apply(
+		placement.Change{Kind: placement.Whole, Member: *table.Member("n2"), Epoch: table.Slots[0].Epoch},
+	)
 	table.Slots[0].Quiet = 0
 	h := New(Config{Name: "n1", Life: 1, Lease: 1_000_000 * ms, Most: 10_000}, nil, 0)
 	now, no := int64(1), uint64(0)
@@ -287,8 +359,9 @@
 	}
 }
 
-// Days at 5 to 300 runners, for a run by hand: RYEPADDLE_FLEETS names the chart that is made of what each runner says and of its links. A runner gets
-// two keys a second whatever the size; runners are lost, stopped and cut off meanwhile, and no promise is broken.
+// Days at 5 to 300 runners, for a run by hand: RYEPADDLE_FLEETS names the chart that is made of
+// what each runner says and of its links. A runner gets two keys a second whatever the size;
+// runners are lost, stopped and cut off meanwhile, and no promise is broken.
 func TestFleets(t *testing.T) {
 	file := os.Getenv("RYEPADDLE_FLEETS")
 	if file == "" {
@@ -328,7 +401,13 @@
 			}
 		}
 		each := float64(mean) / float64(max(runners-5, 5)) / float64(over/second)
-		said, links = append(said, plotter.XY{X: float64(runners), Y: each}), append(links, plotter.XY{X: float64(runners), Y: float64(near)})
+		said, links = append(
+			said,
+			plotter.XY{X: float64(runners), Y: each},
+		), append(
+			links,
+			plotter.XY{X: float64(runners), Y: float64(near)},
+		)
 		calm := w.served
 		for range 6 { // the day goes on with faults
 			n := w.nodes[w.r.IntN(runners)]
@@ -355,8 +434,16 @@
 		if v := w.verdict(); v != "" {
 			t.Errorf("%d runners: %s", runners, v)
 		}
-		t.Logf("%d runners: %.0f messages a second by one that does not vote, at most %d links; %d served, then with faults %d, %d refused, %d failed", runners, each, near, calm,
-			w.served-calm, w.refused, w.failed)
+		t.Logf(
+			"%d runners: %.0f messages a second by one that does not vote, at most %d links; %d served, then with faults %d, %d refused, %d failed",
+			runners,
+			each,
+			near,
+			calm,
+			w.served-calm,
+			w.refused,
+			w.failed,
+		)
 	}
 	p := plot.New()
 	p.Title.Text = "What one runner that does not vote says, and to how many"
--- a/internal/peers/replication/saved.go
+++ b/internal/peers/replication/saved.go
@@ -32,7 +32,8 @@
 	return &Saved{Slot: i, Last: s.last, Seq: s.seq, Eras: slices.Clone(s.eras), Entries: entries}
 }
 
-// slot is what was saved. It is at no epoch: its holder counts for nothing until a primary has brought it up.
+// slot is what was saved. It is at no epoch: its holder counts for nothing until a primary has
+// brought it up.
 func (v *Saved) slot(now int64) *slot {
 	s := newSlot()
 	for _, e := range v.Entries {
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -31,9 +31,11 @@
 	acked  uint64 // it holds all up to this number
 	sent   uint64 // and all up to this one is on its way
 	at     int64  // when it last was told anything
-	whole  bool   // that it has all was said to the consensus group: from then on nothing counts as kept without it
-	reset  bool   // what it has is no beginning of what is held here, and it is yet to be told so
-	owed   bool   // it is to be sent what it lacks, once there is room for that
+	// that it has all was said to the consensus group: from then on nothing counts as kept without
+	// it
+	whole bool
+	reset bool // what it has is no beginning of what is held here, and it is yet to be told so
+	owed  bool // it is to be sent what it lacks, once there is room for that
 }
 
 // waiter is told once all up to a number is kept.
@@ -49,8 +51,9 @@
 	seq   uint64 // its number
 	eras  []Era
 	items map[store.Name]*item
-	bytes int      // of the records, about
-	heard struct { // the newest word of a primary: one that is said twice or comes late is not taken again
+	bytes int // of the records, about
+	// the newest word of a primary: one that is said twice or comes late is not taken again
+	heard struct {
 		from string
 		life uint64
 		no   uint64
@@ -118,7 +121,8 @@
 	return seq == 0 || seq <= s.seq && s.epochAt(seq) == last
 }
 
-// after are the items with higher numbers, in their order, at most so many bytes of them; up to which number that is all.
+// after are the items with higher numbers, in their order, at most so many bytes of them; up to
+// which number that is all.
 func (s *slot) after(seq uint64, now int64, most int) (out []Entry, upTo uint64) {
 	var later []*item
 	for _, it := range s.items {
@@ -182,8 +186,8 @@
 	return out
 }
 
-// kept is up to which number all is held by everybody who has to; false: the epoch is not open. It never is for a primary alone, and who
-// is only joining does not make two.
+// kept is up to which number all is held by everybody who has to; false: the epoch is not open. It
+// never is for a primary alone, and who is only joining does not make two.
 func (s *slot) kept(t *placement.Slot) (uint64, bool) {
 	seq := s.seq
 	for _, p := range s.follows(t) {
--- a/internal/peers/replication/world_test.go
+++ b/internal/peers/replication/world_test.go
@@ -13,8 +13,9 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// A world in virtual time: runners with their holders, links that lose, delay, repeat and cut, a consensus group that agrees on the table by the library's
-// consensus, callers, and a judge outside.
+// A world in virtual time: runners with their holders, links that lose, delay, repeat and cut, a
+// consensus group that agrees on the table by the library's consensus, callers, and a judge
+// outside.
 
 const (
 	ms       = int64(1000)
@@ -114,14 +115,24 @@
 }
 
 func newWorld(seed uint64, runners, copies, slots int) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 99)), cut: map[[2]string]bool{}, keys: map[string]*fact{}, named: map[string]*node{}}
+	w := &world{
+		r:     rand.New(rand.NewPCG(seed, 99)),
+		cut:   map[[2]string]bool{},
+		keys:  map[string]*fact{},
+		named: map[string]*node{},
+	}
 	var names []string
 	w.slots, w.copies = slots, copies
 	if seed%2 == 0 { // copies are made anew bit by bit
 		w.rate = 4000
 	}
 	for i := range runners {
-		n := &node{w: w, name: fmt.Sprintf("n%d", i+1), hall: fmt.Sprint("hall", i%3), links: map[string]bool{}}
+		n := &node{
+			w:     w,
+			name:  fmt.Sprintf("n%d", i+1),
+			hall:  fmt.Sprint("hall", i%3),
+			links: map[string]bool{},
+		}
 		w.nodes = append(w.nodes, n)
 		w.named[n.name] = n
 		names = append(names, n.name)
@@ -162,10 +173,17 @@
 func (n *node) start(d disk) {
 	w := n.w
 	w.lives++
-	n.process, n.up, n.stopped, n.held, n.entries, n.version, n.log = uint32(w.lives), true, false, nil, map[string]*entry{}, 0, d.log
+	n.process, n.up, n.stopped, n.held, n.entries, n.version, n.log = uint32(
+		w.lives,
+	), true, false, nil, map[string]*entry{}, 0, d.log
 	n.h = New(Config{Name: n.name, Life: w.lives, Window: window, Lease: lease, Rate: w.rate}, d.saved, w.now)
 	var err error
-	n.consensus, err = consensus.New(consensus.Config{Name: n.name, Voters: w.voters, Slots: w.slots, Copies: w.copies}, n.member(), d.log, w.now)
+	n.consensus, err = consensus.New(
+		consensus.Config{Name: n.name, Voters: w.voters, Slots: w.slots, Copies: w.copies},
+		n.member(),
+		d.log,
+		w.now,
+	)
 	if err != nil {
 		panic(err)
 	}
@@ -215,7 +233,8 @@
 		n.h.Heard(n.consensus.HeardAt())
 		t := n.consensus.Table()
 		if t.Version > n.version {
-			if n.version = t.Version; n.consensus.Lost() && n.renewed < t.Version { // it was held for lost, and goes on
+			// it was held for lost, and goes on
+			if n.version = t.Version; n.consensus.Lost() && n.renewed < t.Version {
 				w.lives++
 				n.renewed = t.Version
 				n.h.Renew(w.lives)
@@ -233,7 +252,8 @@
 	}
 }
 
-// over takes something to another runner: over their link, or over a relay if they stand in a grid and have none.
+// over takes something to another runner: over their link, or over a relay if they stand in a grid
+// and have none.
 func (w *world) over(from, to string, fn func(*node)) {
 	if w.grid == nil || w.grid.Near(from, to) {
 		w.hop(from, to, fn)
@@ -332,7 +352,8 @@
 	})
 }
 
-// try is one try of a key at a node. Told: served, refused or failed; of a process that is gone nothing is told.
+// try is one try of a key at a node. Told: served, refused or failed; of a process that is gone
+// nothing is told.
 func (n *node) try(key string, left int64) {
 	w := n.w
 	name := store.Name{Class: "hand-in", Key: key}
@@ -413,8 +434,8 @@
 	return w.keys[key]
 }
 
-// judge holds what a caller was told against what callers were told before it asked: of two tries at the same time, either may have been
-// first.
+// judge holds what a caller was told against what callers were told before it asked: of two tries
+// at the same time, either may have been first.
 func (w *world) judge(key, end string, hard bool, began int64) {
 	f := w.fact(key)
 	switch {
--- a/internal/peers/usagereplica/accounts.go
+++ b/internal/peers/usagereplica/accounts.go
@@ -1,7 +1,9 @@
-// Package accounts has what schools used known to more than one runner. A runner tells the steps of its account, in order, to heirs, who
-// play them on an account of their own: the same steps make the same statements. Where it is lost, each heir ends the account as far as it
-// knows it, and a bill takes the statement that knew most. It is free of I/O: messages, steps and tables come in, messages and statements
-// go out. Times are microseconds of a monotonic clock, but for those within steps, which are those of the account.
+// Package accounts has what schools used known to more than one runner. A runner tells the steps of
+// its account, in order, to heirs, who play them on an account of their own: the same steps make
+// the same statements. Where it is lost, each heir ends the account as far as it knows it, and a
+// bill takes the statement that knew most. It is free of I/O: messages, steps and tables come in,
+// messages and statements go out. Times are microseconds of a monotonic clock, but for those within
+// steps, which are those of the account.
 package usagereplica
 
 import (
@@ -18,11 +20,14 @@
 	Use  *ledger.Use        `cbor:"1,keyasint,omitempty"`
 	Fix  *ledger.Correction `cbor:"2,keyasint,omitempty"`
 	Lost uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
-	Seal string             `cbor:"4,keyasint,omitempty"` // the digest of the statement that settles what has ended
-	At   int64              `cbor:"5,keyasint,omitempty"` // Unix time of a correction or a settlement
+	// the digest of the statement that settles what has ended
+	Seal string `cbor:"4,keyasint,omitempty"`
+	// Unix time of a correction or a settlement
+	At int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// play takes the step. It reports the statement of a settlement, and whether the account comes to the same.
+// play takes the step. It reports the statement of a settlement, and whether the account comes to
+// the same.
 func (s *Step) play(l *ledger.Ledger) (told *ledger.Statement, same bool) {
 	switch {
 	case s.Use != nil:
@@ -58,37 +63,45 @@
 
 // Message goes between a runner and one of its heirs.
 type Message struct {
-	Kind    Kind            `cbor:"1,keyasint"`
-	From    string          `cbor:"2,keyasint"`
-	To      string          `cbor:"3,keyasint"`
-	Account string          `cbor:"4,keyasint"`           // its name; that of the runner is From, or To of a word of an heir
-	Process uint32          `cbor:"5,keyasint,omitempty"` // of the runner
-	Life    uint64          `cbor:"6,keyasint,omitempty"` // Held and Had: of the heir's membership, in which it knows what it says
-	Seq     uint64          `cbor:"7,keyasint,omitempty"` // Tell: the number before the first; State: up to which it goes; Held: up to which all is known
-	Steps   []Step          `cbor:"8,keyasint,omitempty"`
-	Part    int             `cbor:"9,keyasint,omitempty"` // State: which piece; Held: how many are here
-	Parts   int             `cbor:"10,keyasint,omitempty"`
-	Bytes   []byte          `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
-	Set     ledger.Settings `cbor:"12,keyasint,omitzero"`
-	Name    string          `cbor:"13,keyasint,omitempty"` // of the statement
-	No      uint64          `cbor:"14,keyasint,omitempty"` // which giving of the account it goes by: a word about an earlier one counts for nothing
+	Kind Kind   `cbor:"1,keyasint"`
+	From string `cbor:"2,keyasint"`
+	To   string `cbor:"3,keyasint"`
+	// its name; that of the runner is From, or To of a word of an heir
+	Account string `cbor:"4,keyasint"`
+	Process uint32 `cbor:"5,keyasint,omitempty"` // of the runner
+	// Held and Had: of the heir's membership, in which it knows what it says
+	Life uint64 `cbor:"6,keyasint,omitempty"`
+	// Tell: the number before the first; State: up to which it goes; Held: up to which all is known
+	Seq   uint64 `cbor:"7,keyasint,omitempty"`
+	Steps []Step `cbor:"8,keyasint,omitempty"`
+	// State: which piece; Held: how many are here
+	Part  int             `cbor:"9,keyasint,omitempty"`
+	Parts int             `cbor:"10,keyasint,omitempty"`
+	Bytes []byte          `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
+	Set   ledger.Settings `cbor:"12,keyasint,omitzero"`
+	Name  string          `cbor:"13,keyasint,omitempty"` // of the statement
+	// which giving of the account it goes by: a word about an earlier one counts for nothing
+	No uint64 `cbor:"14,keyasint,omitempty"`
 }
 
 // Bounds.
 const (
-	resend    = 200_000   // after which what had no answer is said again
-	endAfter  = 2_000_000 // after which the account of a runner that is lost is ended, and its statements passed on
+	resend = 200_000 // after which what had no answer is said again
+	// after which the account of a runner that is lost is ended, and its statements passed on
+	endAfter  = 2_000_000
 	piece     = 128 << 10
 	mostParts = 256     // of an account: 32 MB
 	mostSteps = 256     // in one message
 	mostWay   = 4096    // that an heir has not confirmed
 	mostKept  = 1 << 14 // for heirs that are behind; one that is further behind gets the account
-	mostOf    = 3       // accounts of one runner: one that goes on, and those that are about to be ended
+	// accounts of one runner: one that goes on, and those that are about to be ended
+	mostOf    = 3
 	dropTimes = 5
 )
 
-// Heirs are who is to know the account of a runner, of those that keep accounts: as many as the table has copies, of other halls first, by a draw of the two names. The same table
-// gives the same everywhere.
+// Heirs are who is to know the account of a runner, of those that keep accounts: as many as the
+// table has copies, of other halls first, by a draw of the two names. The same table gives the same
+// everywhere.
 func Heirs(t *placement.Table, name string) []placement.Member {
 	hall := ""
 	if m := t.Member(name); m != nil {
@@ -107,7 +120,11 @@
 		return 0
 	}
 	slices.SortFunc(all, func(a, b placement.Member) int {
-		return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(draw(name, a.Name), draw(name, b.Name)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(
+			cmp.Compare(near(a), near(b)),
+			cmp.Compare(draw(name, a.Name), draw(name, b.Name)),
+			cmp.Compare(a.Name, b.Name),
+		)
 	})
 	// Two of one other hall are no better than one: of each hall the first, then the rest.
 	seen := map[string]bool{hall: true}
@@ -128,7 +145,8 @@
 	h := fnv.New64a()
 	h.Write([]byte(a + "\x00" + b)) // a hash takes all
 	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // a hash of names that differ in their last letter differs little above
+	// a hash of names that differ in their last letter differs little above
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
--- a/internal/peers/usagereplica/estate.go
+++ b/internal/peers/usagereplica/estate.go
@@ -9,7 +9,8 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// ErrDiffers is that of an account that came to something else than its runner's did. It is asked for anew.
+// ErrDiffers is that of an account that came to something else than its runner's did. It is asked
+// for anew.
 var ErrDiffers = errors.New("accounts: it differs from its runner's")
 
 // estate is an account of another runner.
@@ -91,10 +92,24 @@
 }
 
 func (h *Heir) held(m *Message, seq uint64, part, parts int) {
-	h.out = append(h.out, Message{Kind: Held, From: h.name, To: m.From, Account: m.Account, Life: h.life, Seq: seq, Part: part, Parts: parts, No: m.No})
-}
-
-// steps plays what is new. Where something is missing in between, or the account is not known, it says so.
+	h.out = append(
+		h.out,
+		Message{
+			Kind:    Held,
+			From:    h.name,
+			To:      m.From,
+			Account: m.Account,
+			Life:    h.life,
+			Seq:     seq,
+			Part:    part,
+			Parts:   parts,
+			No:      m.No,
+		},
+	)
+}
+
+// steps plays what is new. Where something is missing in between, or the account is not known, it
+// says so.
 func (h *Heir) steps(m *Message) {
 	e := h.all[m.Account]
 	if e == nil || e.owner != m.From || e.led == nil || e.no != m.No {
@@ -120,7 +135,9 @@
 
 // state puts an account together that comes in pieces.
 func (h *Heir) state(m *Message) {
-	if m.Parts < 1 || m.Parts > mostParts || m.Part < 0 || m.Part >= m.Parts || len(m.Bytes) > piece || m.Set.Period <= 0 || m.Set.Slice <= 0 {
+	if m.Parts < 1 || m.Parts > mostParts || m.Part < 0 || m.Part >= m.Parts || len(m.Bytes) > piece ||
+		m.Set.Period <= 0 ||
+		m.Set.Slice <= 0 {
 		h.errs = append(h.errs, errors.New("accounts: a piece of an account that cannot be"))
 		return
 	}
--- a/internal/peers/usagereplica/shelf.go
+++ b/internal/peers/usagereplica/shelf.go
@@ -10,9 +10,11 @@
 // Duty is that of passing on the statements of lost runners.
 const Duty = "statements"
 
-// Shelf decides who else is to have the statements that lie in this runner's folder. Those of its own accounts are its to pass on; those that
-// it has of another one are, once that one's process is lost: whoever else was told of the account may know less of it. Where the table has a
-// holder for that, others give such statements to it alone, and it passes them on; without one they wait, where they lie.
+// Shelf decides who else is to have the statements that lie in this runner's folder. Those of its
+// own accounts are its to pass on; those that it has of another one are, once that one's process is
+// lost: whoever else was told of the account may know less of it. Where the table has a holder for
+// that, others give such statements to it alone, and it passes them on; without one they wait,
+// where they lie.
 type Shelf struct {
 	name  string
 	mark  uint32 // of this process
@@ -108,8 +110,8 @@
 	}
 }
 
-// Hear takes a word about a statement: whether it is here, or what an heir has or wants of it. Wanted is the name of one that is to be
-// read and given with Give.
+// Hear takes a word about a statement: whether it is here, or what an heir has or wants of it.
+// Wanted is the name of one that is to be read and given with Give.
 func (s *Shelf) Hear(m *Message) (wanted string) {
 	p := s.lies[m.Name]
 	switch {
@@ -132,7 +134,10 @@
 // Give gives an heir what it wants. One that was taken away is not passed on any more.
 func (s *Shelf) Give(to, name string, b []byte) {
 	if len(b) > 0 {
-		s.out = append(s.out, Message{Kind: Past, From: s.name, To: to, Process: s.mark, Name: name, Bytes: b})
+		s.out = append(
+			s.out,
+			Message{Kind: Past, From: s.name, To: to, Process: s.mark, Name: name, Bytes: b},
+		)
 		return
 	}
 	if p := s.lies[name]; p != nil && s.table != nil {
--- a/internal/peers/usagereplica/world_test.go
+++ b/internal/peers/usagereplica/world_test.go
@@ -19,7 +19,8 @@
 	sec = 1000 * ms
 )
 
-// runner is one machine: a process with its account, what it knows of others, and a disk with statements.
+// runner is one machine: a process with its account, what it knows of others, and a disk with
+// statements.
 type runner struct {
 	name    string
 	up      bool
@@ -62,7 +63,17 @@
 }
 
 func newWorld(t *testing.T, seed uint64, runners, copies int, b broken) *world {
-	w := &world{t: t, r: rand.New(rand.NewPCG(seed, 21)), now: 1_700_000_000 * sec, kept: map[string]int{}, counted: map[string]int{}, taken: map[string]*ledger.Statement{}, broken: b, duties: seed%3 == 2, others: rand.New(rand.NewPCG(seed, 22))}
+	w := &world{
+		t:       t,
+		r:       rand.New(rand.NewPCG(seed, 21)),
+		now:     1_700_000_000 * sec,
+		kept:    map[string]int{},
+		counted: map[string]int{},
+		taken:   map[string]*ledger.Statement{},
+		broken:  b,
+		duties:  seed%3 == 2,
+		others:  rand.New(rand.NewPCG(seed, 22)),
+	}
 	table, err := placement.New(1, copies)
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +96,14 @@
 }
 
 func (w *world) settings(r *runner) ledger.Settings {
-	return ledger.Settings{Instance: r.name, Period: 10 * sec, Slice: 5 * sec, Grace: sec, Keys: 40, Lines: 30}
+	return ledger.Settings{
+		Instance: r.name,
+		Period:   10 * sec,
+		Slice:    5 * sec,
+		Grace:    sec,
+		Keys:     40,
+		Lines:    30,
+	}
 }
 
 // start begins another life: the account before is ended as the disk has it, and a new one begins.
@@ -105,7 +123,18 @@
 	r.w = NewWriter(r.name, r.led.Life(), r.process, w.settings(r), func() []byte { return r.led.Keep(0) })
 	r.shelf = NewShelf(r.name, r.process, slices.Sorted(maps.Keys(r.files)))
 	r.heir = NewHeir(r.name)
-	w.change(placement.Change{Kind: placement.In, Member: placement.Member{Name: r.name, Hall: string('a' + rune(len(r.name)+int(r.name[1])%2)), Life: r.life, Process: r.process, Bills: true}})
+	w.change(
+		placement.Change{
+			Kind: placement.In,
+			Member: placement.Member{
+				Name:    r.name,
+				Hall:    string('a' + rune(len(r.name)+int(r.name[1])%2)),
+				Life:    r.life,
+				Process: r.process,
+				Bills:   true,
+			},
+		},
+	)
 	r.old = r.led.Keep(0)
 }
 
@@ -118,7 +147,8 @@
 	_ = last // it is among those
 }
 
-// lose is the loss of a process, with the disk or without; old: the disk is as it was some time ago.
+// lose is the loss of a process, with the disk or without; old: the disk is as it was some time
+// ago.
 func (w *world) lose(r *runner, wipe, old bool) {
 	if !r.up {
 		return
@@ -134,7 +164,8 @@
 	w.change(placement.Change{Kind: placement.Out, Member: placement.Member{Name: r.name, Life: r.life}})
 }
 
-// promised notes what anybody could have gone by. All that is billed of an account is a beginning of it, so that its number tells which.
+// promised notes what anybody could have gone by. All that is billed of an account is a beginning
+// of it, so that its number tells which.
 func (w *world) promised(r *runner) {
 	kept := r.w.Kept()
 	if len(r.w.heirs) == 0 {
@@ -171,7 +202,15 @@
 	case d.Holder == "":
 		w.change(placement.Change{Kind: placement.Grant, Duty: Duty, Member: m, Token: d.Token})
 	case w.others.IntN(10) == 0:
-		w.change(placement.Change{Kind: placement.Yield, Duty: Duty, Member: placement.Member{Name: d.Holder}, Token: d.Token, Epoch: 1})
+		w.change(
+			placement.Change{
+				Kind:   placement.Yield,
+				Duty:   Duty,
+				Member: placement.Member{Name: d.Holder},
+				Token:  d.Token,
+				Epoch:  1,
+			},
+		)
 	}
 }
 
@@ -237,7 +276,15 @@
 	}
 	if w.r.IntN(4) == 0 {
 		w.key++
-		u := ledger.Use{At: w.now, School: r.led.Life(), Class: "hand-in", End: ledger.Served, Key: w.key, Until: w.now + 20*sec, Work: 7}
+		u := ledger.Use{
+			At:     w.now,
+			School: r.led.Life(),
+			Class:  "hand-in",
+			End:    ledger.Served,
+			Key:    w.key,
+			Until:  w.now + 20*sec,
+			Work:   7,
+		}
 		r.led.Add(u)
 		r.uses = append(r.uses, r.w.Add(Step{Use: &u}))
 		w.counted[r.led.Life()]++
@@ -336,14 +383,21 @@
 	billed, promised, counted := 0, 0, 0
 	for life, n := range w.counted {
 		if served[life] > n || served[life] < w.kept[life] {
-			return fmt.Sprintf("%s: %d are billed of %d that were promised and %d that were counted", life, served[life], w.kept[life], n), false
+			return fmt.Sprintf(
+				"%s: %d are billed of %d that were promised and %d that were counted",
+				life,
+				served[life],
+				w.kept[life],
+				n,
+			), false
 		}
 		billed, promised, counted = billed+served[life], promised+w.kept[life], counted+n
 	}
 	return fmt.Sprint(billed, " billed, ", promised, " promised, ", counted, " counted"), true
 }
 
-// play is a world with faults, one machine lost at a time and the next once all have what they need.
+// play is a world with faults, one machine lost at a time and the next once all have what they
+// need.
 func play(t *testing.T, seed uint64, b broken) (string, bool) {
 	rounds := 12
 	if seeds(0) == 0 { // in a short run
@@ -357,12 +411,19 @@
 		r := w.all[w.r.IntN(len(w.all))]
 		wipe, old := w.r.IntN(2) == 0, w.r.IntN(3) == 0
 		if n%3 == 2 { // it is held for lost and goes on
-			w.change(placement.Change{Kind: placement.Out, Member: placement.Member{Name: r.name, Life: r.life}})
+			w.change(
+				placement.Change{Kind: placement.Out, Member: placement.Member{Name: r.name, Life: r.life}},
+			)
 			for range w.r.IntN(900) {
 				w.step()
 			}
 			r.life += 1000
-			w.change(placement.Change{Kind: placement.In, Member: placement.Member{Name: r.name, Life: r.life, Process: r.process, Bills: true}})
+			w.change(
+				placement.Change{
+					Kind:   placement.In,
+					Member: placement.Member{Name: r.name, Life: r.life, Process: r.process, Bills: true},
+				},
+			)
 			continue
 		}
 		w.settle()
@@ -382,12 +443,14 @@
 	return w.bill()
 }
 
-// settle waits until every runner's heirs have its account, so that the next loss is the first. What is new meanwhile may be on its way.
+// settle waits until every runner's heirs have its account, so that the next loss is the first.
+// What is new meanwhile may be on its way.
 func (w *world) settle() {
 	for n := 0; ; n++ {
 		ready := true
 		for _, r := range w.all {
-			if r.up && (r.table != w.table() || len(r.w.heirs) == 0 || slices.ContainsFunc(slices.Collect(maps.Values(r.w.heirs)), func(h *heir) bool { return !h.whole })) {
+			if r.up &&
+				(r.table != w.table() || len(r.w.heirs) == 0 || slices.ContainsFunc(slices.Collect(maps.Values(r.w.heirs)), func(h *heir) bool { return !h.whole })) {
 				ready = false
 			}
 			if r.up && (r.heir.Ends() > 0 || r.shelf.Short() > 0 && !w.broken.noShelf) {
@@ -425,7 +488,8 @@
 	}
 }
 
-// Versions that are wrong are found. The first ones are soon; the others only a long run has the time for.
+// Versions that are wrong are found. The first ones are soon; the others only a long run has the
+// time for.
 func TestBrokenVersions(t *testing.T) {
 	for i, v := range []struct {
 		name string
--- a/internal/peers/usagereplica/writer.go
+++ b/internal/peers/usagereplica/writer.go
@@ -39,9 +39,19 @@
 	out     []Message
 }
 
-// NewWriter begins to tell an account that nobody else knows. Its steps count from 1, so that 0 is the word of who does not know it.
+// NewWriter begins to tell an account that nobody else knows. Its steps count from 1, so that 0 is
+// the word of who does not know it.
 func NewWriter(name, account string, process uint32, set ledger.Settings, state func() []byte) *Writer {
-	return &Writer{name: name, account: account, process: process, set: set, state: state, base: 1, heirs: map[string]*heir{}, former: map[string]int{}}
+	return &Writer{
+		name:    name,
+		account: account,
+		process: process,
+		set:     set,
+		state:   state,
+		base:    1,
+		heirs:   map[string]*heir{},
+		former:  map[string]int{},
+	}
 }
 
 // Add has a step told, and gives its number. The account has taken it already.
@@ -55,7 +65,8 @@
 
 func (w *Writer) seq() uint64 { return w.base + uint64(len(w.steps)) }
 
-// Kept is up to which step all heirs know the account. Where there is nobody else there is nobody to wait for.
+// Kept is up to which step all heirs know the account. Where there is nobody else there is nobody
+// to wait for.
 func (w *Writer) Kept() uint64 {
 	seq := w.seq()
 	for _, h := range w.heirs {
@@ -86,7 +97,8 @@
 	w.order = slices.Sorted(maps.Keys(want))
 	for _, name := range w.order {
 		delete(w.former, name)
-		if h := w.heirs[name]; h == nil || h.life != want[name] { // what an earlier life knew may have gone with it
+		// what an earlier life knew may have gone with it
+		if h := w.heirs[name]; h == nil || h.life != want[name] {
 			w.heirs[name] = &heir{life: want[name]}
 			w.offer(name, w.heirs[name], now)
 		}
@@ -106,7 +118,18 @@
 func (w *Writer) offerOn(name string, h *heir, now int64) {
 	h.at = now
 	from := h.part * piece
-	w.send(Message{Kind: State, To: name, Seq: h.seq, Part: h.part, Parts: h.parts(), Bytes: h.state[from:min(from+piece, len(h.state))], Set: w.set, No: h.no})
+	w.send(
+		Message{
+			Kind:  State,
+			To:    name,
+			Seq:   h.seq,
+			Part:  h.part,
+			Parts: h.parts(),
+			Bytes: h.state[from:min(from+piece, len(h.state))],
+			Set:   w.set,
+			No:    h.no,
+		},
+	)
 }
 
 func (w *Writer) send(m Message) {
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -1,5 +1,6 @@
-// Package wal is a runner's part among its peers on its disk: the consensus group's log, which is there before what depends on it is said, and what
-// is held of each slot now and then, which only saves sending. It blocks, and is used beside the loop by one goroutine.
+// Package wal is a runner's part among its peers on its disk: the consensus group's log, which is
+// there before what depends on it is said, and what is held of each slot now and then, which only
+// saves sending. It blocks, and is used beside the loop by one goroutine.
 package wal
 
 import (
@@ -124,7 +125,8 @@
 	return head + n, nil
 }
 
-// Keep has a record of the consensus group on the disk once it returns nil. After an error all of the log is written anew.
+// Keep has a record of the consensus group on the disk once it returns nil. After an error all of
+// the log is written anew.
 func (v *Log) Keep(k *consensus.Kept) error {
 	if k.ID != 0 { // it begins anew with this one
 		v.all = nil
--- a/internal/peers/wal/wal_test.go
+++ b/internal/peers/wal/wal_test.go
@@ -13,8 +13,8 @@
 	"ryepaddle/internal/testing/crashfs"
 )
 
-// Whichever step the machine goes down at, the next process finds all that was kept by then, and nothing but what was given; a log that began
-// anew is found as the old or the new one.
+// Whichever step the machine goes down at, the next process finds all that was kept by then, and
+// nothing but what was given; a log that began anew is found as the old or the new one.
 func TestCrashes(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -60,7 +60,8 @@
 	}
 }
 
-// After a disk that failed all is there once it works again; a slot's file that is damaged counts for nothing and harms no other.
+// After a disk that failed all is there once it works again; a slot's file that is damaged counts
+// for nothing and harms no other.
 func TestADiskThatFails(t *testing.T) {
 	disk := crashfs.New(1)
 	v, _, err := Open(disk)
--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend places the calls of running requests at the back end that all runners share: HTTP/1.1, one call
-// at a time on a connection. Closing the connection gives the call up.
+// Package backend places the calls of running requests at the back end that all runners share:
+// HTTP/1.1, one call at a time on a connection. Closing the connection gives the call up.
 package backend
 
 import (
@@ -18,8 +18,9 @@
 const MostConns = 64
 
 const (
-	maxIdle   = 8
-	keepIdle  = 2_000_000 // the back end closes at 10 s or earlier; a call that crosses such a close proves nothing
+	maxIdle = 8
+	// the back end closes at 10 s or earlier; a call that crosses such a close proves nothing
+	keepIdle  = 2_000_000
 	sweepIdle = 500_000
 )
 
@@ -80,9 +81,9 @@
 	})
 }
 
-// Move places calls at another address from now on. Those that are out may end where they are; a connection to the
-// old address carries no further one. A call whose connection does not stand yet was not sent, and ends as one that
-// nobody took: the old address may never answer.
+// Move places calls at another address from now on. Those that are out may end where they are; a
+// connection to the old address carries no further one. A call whose connection does not stand yet
+// was not sent, and ends as one that nobody took: the old address may never answer.
 func (p *Pool) Move(addr netip.AddrPort) {
 	if addr == p.addr {
 		return
@@ -129,8 +130,9 @@
 	} else if p.open >= p.most {
 		p.drop()
 	}
-	// A connection that was idle may be dead without a sign, and that it breaks under the call proves nothing. Where the
-	// call may be made again that costs a little time; one with an effect would be lost, and gets a fresh connection.
+	// A connection that was idle may be dead without a sign, and that it breaks under the call
+	// proves nothing. Where the call may be made again that costs a little time; one with an effect
+	// would be lost, and gets a fresh connection.
 	if c.conn != nil {
 		// it stands
 	} else if p.open < p.most {
@@ -145,8 +147,8 @@
 	c.conn.lc.Write(request(p.addr.String(), a.Request.Name, patience, body))
 }
 
-// take is the idle connection that was used last, if one still stands. On one that is not quiet, something came behind
-// the last reply; it would be taken for the next.
+// take is the idle connection that was used last, if one still stands. On one that is not quiet,
+// something came behind the last reply; it would be taken for the next.
 func (p *Pool) take() *conn {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
@@ -172,8 +174,15 @@
 
 // request writes a call. The wait is stated in whole milliseconds, not longer than it is.
 func request(host, name string, patience int64, body []byte) []byte {
-	return fmt.Appendf(nil, "POST /rpc/call HTTP/1.1\r\nHost: %s\r\nParent-Call: %s\r\nDeadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-		host, name, max(patience/1000, 1), len(body), body)
+	return fmt.Appendf(
+		nil,
+		"POST /rpc/call HTTP/1.1\r\nHost: %s\r\nParent-Call: %s\r\nDeadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
+		host,
+		name,
+		max(patience/1000, 1),
+		len(body),
+		body,
+	)
 }
 
 // GiveUp implements core.Dependency.
@@ -183,7 +192,8 @@
 	}
 }
 
-// forget is the one place where a call is given back. A connection on which it still stands is closed.
+// forget is the one place where a call is given back. A connection on which it still stands is
+// closed.
 func (p *Pool) forget(c *call) {
 	delete(p.calls, c.attempt)
 	c.timer.Stop()
@@ -266,9 +276,10 @@
 	learn       = 0.05
 )
 
-// replied notes that a call came back, and gives up earlier ones that must have been lost on the way. Each of them
-// would hold a place in the share of the back end to its request's due time, and the rest would stand in line. Where
-// the back end itself is slow, its later calls are as slow, and none is overtaken.
+// replied notes that a call came back, and gives up earlier ones that must have been lost on the
+// way. Each of them would hold a place in the share of the back end to its request's due time, and
+// the rest would stand in line. Where the back end itself is slow, its later calls are as slow, and
+// none is overtaken.
 func (p *Pool) replied(by *call) {
 	if took := float64(p.loop.Now() - by.began); p.mean == 0 {
 		p.mean = took
@@ -285,7 +296,8 @@
 			times = effectTimes
 		}
 		c.overtaken++
-		if c.overtaken >= overtakenBy*times && float64(p.loop.Now()-c.began) > p.mean*float64(slowTimes*times) {
+		if c.overtaken >= overtakenBy*times &&
+			float64(p.loop.Now()-c.began) > p.mean*float64(slowTimes*times) {
 			lost = append(lost, c)
 		}
 	}
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -40,7 +40,8 @@
 	return a
 }
 
-// A reply that never came held its call to the request's due time, and its place in the share of the back end with it.
+// A reply that never came held its call to the request's due time, and its place in the share of
+// the back end with it.
 func TestCallThatOthersOvertakeIsGivenUp(t *testing.T) {
 	l, err := eventloop.New()
 	if err != nil {
--- a/internal/platform/backend/crossing_test.go
+++ b/internal/platform/backend/crossing_test.go
@@ -16,8 +16,8 @@
 	e.outcomes = append(e.outcomes, o)
 }
 
-// Nothing was sent on a connection that never stood. A call on one ends as a call that nobody took, as the back end moves or its
-// time is up: one with an effect may then be placed again.
+// Nothing was sent on a connection that never stood. A call on one ends as a call that nobody took,
+// as the back end moves or its time is up: one with an effect may then be placed again.
 func TestCallOnAConnectionThatDoesNotStand(t *testing.T) {
 	for name, cross := range map[string]func(*scenario.Stepped, *Pool){
 		"the back end moves": func(_ *scenario.Stepped, p *Pool) { p.Move(netip.MustParseAddrPort("127.0.0.1:9")) },
@@ -27,7 +27,11 @@
 			s, sink := scenario.NewStepped(t), &ended{}
 			p := New(s.Loop, scenario.Mute(t))
 			p.Start(sink)
-			p.Call(&lifecycle.Attempt{Request: &lifecycle.Request{Name: scenario.CallID("1")}}, nil, time.Second.Microseconds())
+			p.Call(
+				&lifecycle.Attempt{Request: &lifecycle.Request{Name: scenario.CallID("1")}},
+				nil,
+				time.Second.Microseconds(),
+			)
 			s.Pass(0)
 			cross(s, p)
 			if len(sink.outcomes) != 1 || sink.outcomes[0] != lifecycle.Unreachable {
--- a/internal/platform/backend/http.go
+++ b/internal/platform/backend/http.go
@@ -21,8 +21,8 @@
 
 var errBody = errors.New("body over its limit")
 
-// readReply takes one response from the front of b. It returns 0 bytes used when b holds only a part of one. At the
-// end of the stream, a body of no stated length is whole.
+// readReply takes one response from the front of b. It returns 0 bytes used when b holds only a
+// part of one. At the end of the stream, a body of no stated length is whole.
 func readReply(b []byte, end bool) (reply, int, error) {
 	h, n, err := httpmessage.Read(b)
 	if err != nil || n == 0 {
--- a/internal/platform/engine/crossing_test.go
+++ b/internal/platform/engine/crossing_test.go
@@ -9,11 +9,15 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// The engine moves, and moves again while the link to its first new address is still being opened: that one is given up, and the
-// link attaches at the second, with what is open.
+// The engine moves, and moves again while the link to its first new address is still being opened:
+// that one is given up, and the link attaches at the second, with what is open.
 func TestEngineMovesTwiceWhileALinkIsOpened(t *testing.T) {
 	s, stand := scenario.NewStepped(t), scenario.NewEngine(t)
-	k := New(s.Loop, netip.MustParseAddrPort(stand.Listener.Addr().String()), func([]float64) lifecycle.Gauges { return lifecycle.NoGauges() })
+	k := New(
+		s.Loop,
+		netip.MustParseAddrPort(stand.Listener.Addr().String()),
+		func([]float64) lifecycle.Gauges { return lifecycle.NoGauges() },
+	)
 	k.Start(&endings{loop: s.Loop})
 	s.Until(k.Up)
 	k.Run(attempt(s.Loop, "1"))
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine is the link to the platform's engine, which does the work. The link may break and be replaced at
-// any time: notices are counted, and commands are kept until the engine is known to have read them.
+// Package engine is the link to the platform's engine, which does the work. The link may break and
+// be replaced at any time: notices are counted, and commands are kept until the engine is known to
+// have read them.
 package engine
 
 import (
@@ -35,7 +36,8 @@
 	gaugesAge    = 200_000   // gauges older than this tell nothing of now
 	gaugesWithin = 10_000    // the module's look round does not wait longer for its gauges
 	checkWithin  = 5_000_000
-	lostAfter    = 60_000_000 // a run of which nothing is heard so long after its due time is taken for lost
+	// a run of which nothing is heard so long after its due time is taken for lost
+	lostAfter = 60_000_000
 )
 
 // Sink gets what the engine reports.
@@ -88,9 +90,10 @@
 type phase uint8
 
 const (
-	down    phase = iota
-	hello         // ATTACH is out
-	catchUp       // HELLO came; a question is out, and its answer follows all notices that were kept
+	down  phase = iota
+	hello       // ATTACH is out
+	// HELLO came; a question is out, and its answer follows all notices that were kept
+	catchUp
 	live
 )
 
@@ -101,11 +104,12 @@
 	sink   Sink
 	meters func([]float64) lifecycle.Gauges
 
-	conn    *wire // that the engine was attached on; nil: none
-	next    *wire // that is being dialled
-	phase   phase
-	was     bool  // the engine has been up
-	gap     int64 // notice from which on the numbers had a gap; one that is still there on a new link is for good
+	conn  *wire // that the engine was attached on; nil: none
+	next  *wire // that is being dialled
+	phase phase
+	was   bool // the engine has been up
+	// notice from which on the numbers had a gap; one that is still there on a new link is for good
+	gap     int64
 	poison  int64 // notice after which something came that cannot be read
 	seen    int64 // number of the last notice
 	seq     int64
@@ -122,11 +126,20 @@
 
 // New makes a link; Start opens it. Meters puts the engine's gauges in their places.
 func New(l *eventloop.Loop, addr netip.AddrPort, meters func([]float64) lifecycle.Gauges) *Link {
-	return &Link{loop: l, addr: addr, meters: meters, gap: -1, poison: -1, runs: map[string]*run{}, gauges: lifecycle.NoGauges(),
-		checks: map[string]func(bool){}}
+	return &Link{
+		loop:   l,
+		addr:   addr,
+		meters: meters,
+		gap:    -1,
+		poison: -1,
+		runs:   map[string]*run{},
+		gauges: lifecycle.NoGauges(),
+		checks: map[string]func(bool){},
+	}
 }
 
-// wire is one connection to the engine. Two exist while a new one is dialled beside one that still stands.
+// wire is one connection to the engine. Two exist while a new one is dialled beside one that still
+// stands.
 type wire struct {
 	link  *Link
 	conn  *eventloop.Conn
@@ -142,7 +155,8 @@
 		switch {
 		case k.phase >= catchUp && k.asked != 0 && now-k.asked > deadAfter:
 			k.conn.conn.Close(errors.New("no answer on the link"))
-		// The engine may be long in coming up, but once it was there a link on which it keeps silent is a dead one.
+		// The engine may be long in coming up, but once it was there a link on which it keeps
+		// silent is a dead one.
 		case k.phase == hello && k.was && now-k.conn.began > deadAfter:
 			k.conn.conn.Close(errors.New("no HELLO on the link"))
 		}
@@ -156,8 +170,8 @@
 // Up tells whether a link stands on which the engine takes commands.
 func (k *Link) Up() bool { return k.phase == live }
 
-// Move takes the engine's new address. The old link serves until one to the new address stands. Notices and commands
-// go on where they were.
+// Move takes the engine's new address. The old link serves until one to the new address stands.
+// Notices and commands go on where they were.
 func (k *Link) Move(addr netip.AddrPort) {
 	if addr == k.addr {
 		return
@@ -170,7 +184,8 @@
 	k.dial()
 }
 
-// bury ends runs whose end was never told, as when notices are missing. They would hold their place for good.
+// bury ends runs whose end was never told, as when notices are missing. They would hold their place
+// for good.
 func (k *Link) bury(after int64) {
 	for id, r := range k.runs {
 		if k.loop.Now() > r.attempt.Due+after {
@@ -216,8 +231,8 @@
 		evLinkLost.Log(err)
 		k.conn, k.phase = nil, down
 		k.lost()
-		// One that stood is dialled again at once: work goes on there that waits for its calls. One that never came to
-		// stand is left alone for a while.
+		// One that stood is dialled again at once: work goes on there that waits for its calls. One
+		// that never came to stand is left alone for a while.
 		if k.loop.Now()-w.began > redialAfter {
 			k.loop.Post(k.redial)
 		} else {
@@ -291,7 +306,8 @@
 			return nil
 		}
 		if m.No != k.seen+1 && k.gap != k.seen {
-			// The engine keeps notices for a link that attaches anew. What it does not give then is gone.
+			// The engine keeps notices for a link that attaches anew. What it does not give then is
+			// gone.
 			k.gap = k.seen
 			return fmt.Errorf("notice %d follows %d", m.No, k.seen)
 		}
@@ -329,7 +345,12 @@
 	return nil
 }
 
-var ends = map[string]lifecycle.Outcome{"fine": lifecycle.Fine, "fault": lifecycle.Fault, "broken_off": lifecycle.Stopped, "late": lifecycle.NotRun}
+var ends = map[string]lifecycle.Outcome{
+	"fine":       lifecycle.Fine,
+	"fault":      lifecycle.Fault,
+	"broken_off": lifecycle.Stopped,
+	"late":       lifecycle.NotRun,
+}
 
 func (k *Link) done(m *message) {
 	r := k.runs[m.Rid]
@@ -348,7 +369,8 @@
 	k.sink.Ended(r.attempt, o, res)
 }
 
-// stats takes the gauges, and with them the proof that the engine has read the commands before the question.
+// stats takes the gauges, and with them the proof that the engine has read the commands before the
+// question.
 func (k *Link) stats(m *message) {
 	k.asked = 0
 	k.gauges, k.gauged = k.meters(m.V), k.loop.Now()
@@ -367,8 +389,8 @@
 	k.look()
 }
 
-// repeat sends again what the last link may have swallowed. All notices up to now have been read, so a run that has
-// reported anything since a command was given has read that command.
+// repeat sends again what the last link may have swallowed. All notices up to now have been read,
+// so a run that has reported anything since a command was given has read that command.
 func (k *Link) repeat() {
 	kept := k.pending[:0]
 	for _, s := range k.pending {
@@ -403,7 +425,8 @@
 	k.command(command{"RUN", a.Request.Name, a.Class, nonNil(a.Request.Body)}, 0)
 }
 
-// Abandon implements core.Runner. Running work can't be stopped; the engine itself ends it at its next call.
+// Abandon implements core.Runner. Running work can't be stopped; the engine itself ends it at its
+// next call.
 func (k *Link) Abandon(*lifecycle.Attempt) {}
 
 // Resume implements core.Resumer.
--- a/internal/platform/engine/engine_test.go
+++ b/internal/platform/engine/engine_test.go
@@ -30,7 +30,11 @@
 	}
 	defer l.Close()
 	stand := scenario.NewEngine(t)
-	k := New(l, netip.MustParseAddrPort(stand.Listener.Addr().String()), func([]float64) lifecycle.Gauges { return lifecycle.NoGauges() })
+	k := New(
+		l,
+		netip.MustParseAddrPort(stand.Listener.Addr().String()),
+		func([]float64) lifecycle.Gauges { return lifecycle.NoGauges() },
+	)
 	sink := &endings{loop: l}
 	k.Start(sink)
 	l.After(10_000_000, l.Stop)
@@ -42,10 +46,15 @@
 }
 
 func attempt(l *eventloop.Loop, id string) *lifecycle.Attempt {
-	return &lifecycle.Attempt{Request: &lifecycle.Request{Name: scenario.CallID(id)}, Class: "check", Due: l.Now()}
+	return &lifecycle.Attempt{
+		Request: &lifecycle.Request{Name: scenario.CallID(id)},
+		Class:   "check",
+		Due:     l.Now(),
+	}
 }
 
-// A run whose end was in notices that the engine no longer had kept its place among the running for good.
+// A run whose end was in notices that the engine no longer had kept its place among the running for
+// good.
 func TestRunOfWhichNothingIsHeardIsBuried(t *testing.T) {
 	got := link(t, func(l *eventloop.Loop, k *Link, _ *scenario.Engine) {
 		k.Run(attempt(l, "1"))
--- a/internal/platform/registry/roster.go
+++ b/internal/platform/registry/roster.go
@@ -7,8 +7,9 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// every is how often a report goes out. An entry lapses 3 s after the last one. A quarter of the reports may be lost:
-// of twelve in that time, all were lost once in 17 million times, of the six that went out before once in 4,000.
+// every is how often a report goes out. An entry lapses 3 s after the last one. A quarter of the
+// reports may be lost: of twelve in that time, all were lost once in 17 million times, of the six
+// that went out before once in 4,000.
 const every = 250_000
 
 // Reporter owns the socket of the reports.
@@ -22,8 +23,9 @@
 	over   bool
 }
 
-// Start reports at once and from then on. Where no socket can be had, as without a route or a descriptor, each report tries
-// again: a runner that serves is worth more than one that ended for want of its registration.
+// Start reports at once and from then on. Where no socket can be had, as without a route or a
+// descriptor, each report tries again: a runner that serves is worth more than one that ended for
+// want of its registration.
 func Start(l *eventloop.Loop, addr netip.AddrPort, name string) (*Reporter, error) {
 	r := &Reporter{loop: l, addr: addr, name: name, state: "on"}
 	err := r.open()
@@ -32,8 +34,8 @@
 	return r, err
 }
 
-// Move reports to another address from now on. Where no socket can be had the old one is used until there is one, and the
-// error is told.
+// Move reports to another address from now on. Where no socket can be had the old one is used until
+// there is one, and the error is told.
 func (r *Reporter) Move(addr netip.AddrPort) error {
 	r.addr, r.moved = addr, r.socket != nil
 	err := r.open()
--- a/internal/platform/registry/roster_test.go
+++ b/internal/platform/registry/roster_test.go
@@ -70,8 +70,8 @@
 	expect(t, c, "HERE n3 on")
 }
 
-// The roster moves while no descriptor can be had: reports go on to where it was, and to its new address as soon as there is one.
-// The way out is told to both.
+// The roster moves while no descriptor can be had: reports go on to where it was, and to its new
+// address as soon as there is one. The way out is told to both.
 func TestMoveWithoutDescriptors(t *testing.T) {
 	s := scenario.NewStepped(t)
 	first, addr := registry(t)
