--- a/internal/protocol/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -1,8 +1,10 @@
-// Package cgi makes one reading of a request out of its variables, before anybody goes by them: the core, the routes and
-// the server behind must not each take another of two values for the one that counts. It holds no sockets.
+// Package cgi makes one reading of a request out of its variables, before anybody goes by them: the
+// core, the routes and the server behind must not each take another of two values for the one that
+// counts. It holds no sockets.
 //
-// What names a request (its method, path, length, tenant, key) may be given once, or again alike; anything else is an
-// error. Other variables of one name are joined as RFC 3875, 4.1.18, says. What comes out names each variable once.
+// What names a request (its method, path, length, tenant, key) may be given once, or again alike;
+// anything else is an error. Other variables of one name are joined as RFC 3875, 4.1.18, says. What
+// comes out names each variable once.
 package cgi
 
 import (
@@ -33,23 +35,39 @@
 
 // Request is one reading of a request.
 type Request struct {
-	Method   string
-	Path     string // that classes go by: PATH_INFO, or SCRIPT_NAME where that is empty; without dot segments
-	Query    string
-	Host     string
-	Scheme   string // http or https
-	Remote   netip.Addr
-	Length   int64 // of the body, as stated; -1: it is not
-	Chunked  bool  // the body comes in chunks
-	ToEnd    bool  // it ends as the caller closes its side, which it says by the coding identity and no length
+	Method string
+	// that classes go by: PATH_INFO, or SCRIPT_NAME where that is empty; without dot segments
+	Path    string
+	Query   string
+	Host    string
+	Scheme  string // http or https
+	Remote  netip.Addr
+	Length  int64 // of the body, as stated; -1: it is not
+	Chunked bool  // the body comes in chunks
+	// it ends as the caller closes its side, which it says by the coding identity and no length
+	ToEnd    bool
 	Continue bool  // the caller waits for an interim answer before it sends the body
 	Vars     []Var // each name once
 }
 
 // names are those that name a request beside the ones that the operator's file gives.
-var names = []string{"REQUEST_METHOD", "PATH_INFO", "SCRIPT_NAME", "QUERY_STRING", "CONTENT_LENGTH", "HTTP_CONTENT_LENGTH",
-	"HTTP_TRANSFER_ENCODING", "HTTP_EXPECT", "HTTP_HOST", "REQUEST_SCHEME", "HTTP_X_QUEUE_START", "HTTP_X_SOURCE", "SERVER_PROTOCOL",
-	"REQUEST_URI", "REMOTE_ADDR"}
+var names = []string{
+	"REQUEST_METHOD",
+	"PATH_INFO",
+	"SCRIPT_NAME",
+	"QUERY_STRING",
+	"CONTENT_LENGTH",
+	"HTTP_CONTENT_LENGTH",
+	"HTTP_TRANSFER_ENCODING",
+	"HTTP_EXPECT",
+	"HTTP_HOST",
+	"REQUEST_SCHEME",
+	"HTTP_X_QUEUE_START",
+	"HTTP_X_SOURCE",
+	"SERVER_PROTOCOL",
+	"REQUEST_URI",
+	"REMOTE_ADDR",
+}
 
 const (
 	mostVars  = 512
@@ -74,7 +92,16 @@
 
 // Facts are what expressions look at.
 func (r *Request) Facts() *match.Request {
-	return &match.Request{Method: r.Method, Path: r.Path, Query: r.Query, Host: r.Host, Scheme: r.Scheme, Remote: r.Remote, Length: r.Length, Var: r.Lookup}
+	return &match.Request{
+		Method: r.Method,
+		Path:   r.Path,
+		Query:  r.Query,
+		Host:   r.Host,
+		Scheme: r.Scheme,
+		Remote: r.Remote,
+		Length: r.Length,
+		Var:    r.Lookup,
+	}
 }
 
 // Read makes the one reading. once are further variables that name a request.
@@ -128,7 +155,8 @@
 	if strings.ContainsFunc(v.Value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
 		return bad("%s holds a control character", v.Name)
 	}
-	// A server that folds names would find HTTP_X_DEDUPE_KEY in http-x-dedupe-key, beside the one that the core went by.
+	// A server that folds names would find HTTP_X_DEDUPE_KEY in http-x-dedupe-key, beside the one
+	// that the core went by.
 	folded := strings.ToUpper(strings.ReplaceAll(v.Name, "-", "_"))
 	if folded != v.Name && (isOnce(folded, once) || strings.HasPrefix(folded, "HTTP_")) {
 		return bad("a variable named %q, which reads like %s", v.Name, folded)
@@ -172,8 +200,8 @@
 	return nil
 }
 
-// readPath takes dot segments out of the path. A REQUEST_URI that says otherwise than path and query, as one from before a
-// rewrite does, is written anew: a server may go by either.
+// readPath takes dot segments out of the path. A REQUEST_URI that says otherwise than path and
+// query, as one from before a rewrite does, is written anew: a server may go by either.
 func (r *Request) readPath() error {
 	for _, name := range []string{"PATH_INFO", "SCRIPT_NAME"} {
 		given := r.Get(name)
@@ -210,8 +238,8 @@
 	return nil
 }
 
-// cleanPath is a decoded path without empty and dot segments. One that leads above the root is refused, not clipped: the
-// one who wrote it meant another place.
+// cleanPath is a decoded path without empty and dot segments. One that leads above the root is
+// refused, not clipped: the one who wrote it meant another place.
 func cleanPath(p string) (string, error) {
 	if !strings.HasPrefix(p, "/") {
 		return "", fmt.Errorf("does not begin with /")
@@ -238,7 +266,8 @@
 	return clean, nil
 }
 
-// readBody settles how the body is framed. Two ways at once are how one request is smuggled in another.
+// readBody settles how the body is framed. Two ways at once are how one request is smuggled in
+// another.
 func (r *Request) readBody() error {
 	length := r.Get("CONTENT_LENGTH")
 	if also := r.Get("HTTP_CONTENT_LENGTH"); also != "" {
--- a/internal/protocol/cgi/cgi_test.go
+++ b/internal/protocol/cgi/cgi_test.go
@@ -60,7 +60,8 @@
 		"HTTP_EXPECT=100-continue CONTENT_LENGTH=3":        {Length: 3, Continue: true},
 	} {
 		r, err := Read(vars(in))
-		if err != nil || r.Length != want.Length || r.Chunked != want.Chunked || r.ToEnd != want.ToEnd || r.Continue != want.Continue {
+		if err != nil || r.Length != want.Length || r.Chunked != want.Chunked || r.ToEnd != want.ToEnd ||
+			r.Continue != want.Continue {
 			t.Errorf("%s: %+v, %v", in, r, err)
 		}
 	}
@@ -109,11 +110,29 @@
 	}
 }
 
-// Reading what was read gives the same: two hops in a row cannot disagree. And each name comes once.
+// Reading what was read gives the same: two hops in a row cannot disagree. And each name comes
+// once.
 func TestOneReading(t *testing.T) {
-	name := rapid.SampledFrom([]string{"PATH_INFO", "SCRIPT_NAME", "REQUEST_URI", "QUERY_STRING", "HTTP_ACCEPT", "HTTP_COOKIE",
-		"CONTENT_LENGTH", "HTTP_EXPECT", "REMOTE_ADDR", key, "HTTP_HOST", "X"})
-	value := rapid.SampledFrom([]string{"", "/", "/a", "/a/../b/", "//x/./y", "/a%2f?b=c", "1", "12", "100-continue", "a b", "::1", "k"})
+	name := rapid.SampledFrom(
+		[]string{"PATH_INFO", "SCRIPT_NAME", "REQUEST_URI", "QUERY_STRING", "HTTP_ACCEPT", "HTTP_COOKIE",
+			"CONTENT_LENGTH", "HTTP_EXPECT", "REMOTE_ADDR", key, "HTTP_HOST", "X"},
+	)
+	value := rapid.SampledFrom(
+		[]string{
+			"",
+			"/",
+			"/a",
+			"/a/../b/",
+			"//x/./y",
+			"/a%2f?b=c",
+			"1",
+			"12",
+			"100-continue",
+			"a b",
+			"::1",
+			"k",
+		},
+	)
 	rapid.Check(t, func(t *rapid.T) {
 		var in []Var
 		for range rapid.IntRange(0, 8).Draw(t, "n") {
@@ -143,7 +162,9 @@
 func FuzzRead(f *testing.F) {
 	f.Add("/a/../b", "x=1", "/b?x=1", "host")
 	f.Fuzz(func(t *testing.T, path, query, uri, host string) {
-		r, err := Read([]Var{{"PATH_INFO", path}, {"QUERY_STRING", query}, {"REQUEST_URI", uri}, {"HTTP_HOST", host}})
+		r, err := Read(
+			[]Var{{"PATH_INFO", path}, {"QUERY_STRING", query}, {"REQUEST_URI", uri}, {"HTTP_HOST", host}},
+		)
 		if err != nil {
 			return
 		}
--- a/internal/protocol/fastcgi/fastcgi.go
+++ b/internal/protocol/fastcgi/fastcgi.go
@@ -1,4 +1,5 @@
-// Package fastcgi reads and writes the records of FastCGI 1.0. It holds no sockets: bytes in, records out.
+// Package fastcgi reads and writes the records of FastCGI 1.0. It holds no sockets: bytes in,
+// records out.
 package fastcgi
 
 import (
@@ -54,8 +55,8 @@
 	Content []byte
 }
 
-// Read takes one record from the front of b. It returns 0 bytes used when b holds only a part of one. One that is longer
-// than most is an error as soon as its head has come.
+// Read takes one record from the front of b. It returns 0 bytes used when b holds only a part of
+// one. One that is longer than most is an error as soon as its head has come.
 func Read(b []byte, most int) (Record, int, error) {
 	if len(b) > 0 && b[0] != version {
 		return Record{}, 0, ErrVersion
@@ -71,10 +72,15 @@
 	if len(b) < size {
 		return Record{}, 0, nil
 	}
-	return Record{Type: b[1], ID: binary.BigEndian.Uint16(b[2:]), Content: b[headerSize : headerSize+n]}, size, nil
+	return Record{
+		Type:    b[1],
+		ID:      binary.BigEndian.Uint16(b[2:]),
+		Content: b[headerSize : headerSize+n],
+	}, size, nil
 }
 
-// Append adds one record to b. Content over the size of a record is split; empty content makes one empty record.
+// Append adds one record to b. Content over the size of a record is split; empty content makes one
+// empty record.
 func Append(b []byte, typ uint8, id uint16, content []byte) []byte {
 	for first := true; first || len(content) > 0; first = false {
 		part := content[:min(len(content), maxContent)]
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -54,9 +54,9 @@
 // ToEnd reads a body that ends with the stream.
 func ToEnd() *Body { return &Body{framing: toEnd} }
 
-// Next takes what it can from the front of b. Data is a part of b; done tells that the body is over, and nothing behind it
-// was taken. Nothing used and not done means that more has to come. At the end of the stream a body that is not over is
-// cut off, which is io.ErrUnexpectedEOF.
+// Next takes what it can from the front of b. Data is a part of b; done tells that the body is
+// over, and nothing behind it was taken. Nothing used and not done means that more has to come. At
+// the end of the stream a body that is not over is cut off, which is io.ErrUnexpectedEOF.
 func (r *Body) Next(b []byte, end bool) (data []byte, used int, done bool, err error) {
 	if r.over {
 		return nil, 0, true, nil
@@ -71,7 +71,8 @@
 	default:
 		data, used, done, err = r.chunk(b)
 	}
-	if r.over = done; err == nil && !done && end && (used == 0 || used == len(b)) { // or in the middle of a chunk's line
+	// or in the middle of a chunk's line
+	if r.over = done; err == nil && !done && end && (used == 0 || used == len(b)) {
 		err = io.ErrUnexpectedEOF
 	}
 	return data, used, done, err
--- a/internal/protocol/httpmessage/httpmsg.go
+++ b/internal/protocol/httpmessage/httpmsg.go
@@ -1,5 +1,5 @@
-// Package httpmsg reads the heads of HTTP-style responses, as the back end and uwsgi servers send them, and of requests. It holds no
-// sockets.
+// Package httpmsg reads the heads of HTTP-style responses, as the back end and uwsgi servers send
+// them, and of requests. It holds no sockets.
 package httpmessage
 
 import (
@@ -38,8 +38,8 @@
 	return ""
 }
 
-// Read takes a head from the front of b, over any interim ones before it. It returns 0 bytes used when b holds only a
-// part of it.
+// Read takes a head from the front of b, over any interim ones before it. It returns 0 bytes used
+// when b holds only a part of it.
 func Read(b []byte) (*Head, int, error) {
 	for used := 0; ; {
 		head, _, ok := bytes.Cut(b[used:], []byte("\r\n\r\n"))
@@ -65,13 +65,15 @@
 	proto, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
-	if err != nil || len(code) != 3 || proto != "HTTP/1.0" && proto != "HTTP/1.1" || status < 100 || status > 599 {
+	if err != nil || len(code) != 3 || proto != "HTTP/1.0" && proto != "HTTP/1.1" || status < 100 ||
+		status > 599 {
 		return nil, fmt.Errorf("status line %q", lines[0])
 	}
 	h := &Head{Proto: proto, Status: status, Length: -1}
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
+		if !ok || name == "" ||
+			strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
 			return nil, fmt.Errorf("header %q", line)
 		}
 		f := Field{name, strings.Trim(value, " \t")}
--- a/internal/protocol/httpmessage/response.go
+++ b/internal/protocol/httpmessage/response.go
@@ -23,9 +23,10 @@
 	Done bool   // the response is over
 }
 
-// ResponseReader reads one response of a uwsgi server as it comes: with a status line or a head in CGI's form, lines ended
-// by CRLF or a bare line feed, and a body of a stated length, in chunks, or to the end of the stream. What could be read
-// in two ways is an error. It keeps no more than a head.
+// ResponseReader reads one response of a uwsgi server as it comes: with a status line or a head in
+// CGI's form, lines ended by CRLF or a bare line feed, and a body of a stated length, in chunks, or
+// to the end of the stream. What could be read in two ways is an error. It keeps no more than a
+// head.
 type ResponseReader struct {
 	headOnly bool // the answer to HEAD
 	head     *Head
@@ -39,8 +40,8 @@
 // Head is the head, once it has come; else nil.
 func (r *ResponseReader) Head() *Head { return r.head }
 
-// Next takes one thing from the front of b. No event and nothing used means that more has to come; a response that is cut
-// off at the end of the stream is io.ErrUnexpectedEOF.
+// Next takes one thing from the front of b. No event and nothing used means that more has to come;
+// a response that is cut off at the end of the stream is io.ErrUnexpectedEOF.
 func (r *ResponseReader) Next(b []byte, end bool) (ev Event, used int, err error) {
 	if r.head == nil {
 		h, n, err := readHead(b)
--- a/internal/protocol/traceparent/traceparent.go
+++ b/internal/protocol/traceparent/traceparent.go
@@ -1,5 +1,6 @@
-// Package traceparent reads and writes the header by which a request's trace goes from hop to hop (W3C Trace Context, level 1). It
-// makes ids from what names a request, so that whoever knows the request knows them, with nothing to keep or hand on.
+// Package traceparent reads and writes the header by which a request's trace goes from hop to hop
+// (W3C Trace Context, level 1). It makes ids from what names a request, so that whoever knows the
+// request knows them, with nothing to keep or hand on.
 package traceparent
 
 import (
@@ -23,9 +24,12 @@
 
 const header = "traceparent"
 
-// Parse reads a header. One of a later version is read as far as this one goes; what is malformed or all noughts is none.
+// Parse reads a header. One of a later version is read as far as this one goes; what is malformed
+// or all noughts is none.
 func Parse(s string) (Context, bool) {
-	c := trace.SpanContextFromContext(propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{header: s}))
+	c := trace.SpanContextFromContext(
+		propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{header: s}),
+	)
 	return Context{c.TraceID(), c.SpanID(), c.IsSampled()}, c.IsValid()
 }
 
@@ -36,12 +40,16 @@
 		set.TraceFlags = trace.FlagsSampled
 	}
 	carrier := propagation.MapCarrier{}
-	propagation.TraceContext{}.Inject(trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(set)), carrier)
+	propagation.TraceContext{}.Inject(
+		trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(set)),
+		carrier,
+	)
 	return carrier[header]
 }
 
-// Of is the span of a request: in its caller's trace if it came in one, or in one of its own, of which a share is sampled. The name
-// alone may come again in another life of the program, or on another instance, so its arrival and the instance go with it.
+// Of is the span of a request: in its caller's trace if it came in one, or in one of its own, of
+// which a share is sampled. The name alone may come again in another life of the program, or on
+// another instance, so its arrival and the instance go with it.
 func Of(instance, name string, arrived int64, parent string, share float64) Context {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(arrived))
--- a/internal/protocol/traceparent/traceparent_test.go
+++ b/internal/protocol/traceparent/traceparent_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// Ids are the same whenever they are asked for, and differ between requests, tries, instances and lives.
+// Ids are the same whenever they are asked for, and differ between requests, tries, instances and
+// lives.
 func TestIds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, at := rapid.String().Draw(t, "name"), rapid.Int64().Draw(t, "arrived")
@@ -39,7 +40,8 @@
 			seen[other.Span] = true
 		}
 		own := Of("n1", name, at, "nonsense", 1)
-		if again := Of("n1", name, at, "", 1); own != again || !own.Sampled || own.Trace == c.Trace || Of("n1", name, at, "", 0).Sampled {
+		if again := Of("n1", name, at, "", 1); own != again || !own.Sampled || own.Trace == c.Trace ||
+			Of("n1", name, at, "", 0).Sampled {
 			t.Errorf("%v, %v", own, again)
 		}
 	})
--- a/internal/protocol/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -1,5 +1,5 @@
-// Package uwsgi reads and writes the packets of the uwsgi protocol and the HTTP-style responses that follow them. It
-// holds no sockets: bytes in, messages out.
+// Package uwsgi reads and writes the packets of the uwsgi protocol and the HTTP-style responses
+// that follow them. It holds no sockets: bytes in, messages out.
 package uwsgi
 
 import (
@@ -50,7 +50,8 @@
 	return ""
 }
 
-// The modifiers that are served: of requests, and of pings, whose second modifier tells a ping from its answer.
+// The modifiers that are served: of requests, and of pings, whose second modifier tells a ping from
+// its answer.
 const (
 	ModifierRequest = 0
 	ModifierPing    = 100
@@ -64,8 +65,9 @@
 	Vars []Var
 }
 
-// ReadHead takes a packet from the front of b. It returns 0 bytes used when b holds only a part of one. What is over its
-// limit, in bytes, or of a kind that is not served, is an error as soon as it is stated.
+// ReadHead takes a packet from the front of b. It returns 0 bytes used when b holds only a part of
+// one. What is over its limit, in bytes, or of a kind that is not served, is an error as soon as it
+// is stated.
 func ReadHead(b []byte, maxVars int) (*Head, int, error) {
 	if len(b) > 0 && b[0] != ModifierRequest && b[0] != ModifierPing {
 		return nil, 0, fmt.Errorf("%w: modifier %d", ErrModifier, b[0])
@@ -99,8 +101,9 @@
 // AppendPing adds the answer to a ping.
 func AppendPing(b []byte) []byte { return append(b, ModifierPing, 0, 0, pingAnswer) }
 
-// Read takes a request with a body of a stated length from the front of b. It returns 0 bytes used when b holds only a part of one. What is over a
-// limit, in bytes, is an error as soon as it is stated, before it has come.
+// Read takes a request with a body of a stated length from the front of b. It returns 0 bytes used
+// when b holds only a part of one. What is over a limit, in bytes, is an error as soon as it is
+// stated, before it has come.
 func Read(b []byte, maxVars, maxBody int) (*Request, int, error) {
 	h, n, err := ReadHead(b, maxVars)
 	switch {
@@ -184,16 +187,25 @@
 	Body   []byte
 }
 
-// hopByHop are the headers that are about one connection, which a translator does not pass on. The length is stated
-// anew.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Upgrade", "Trailer", "TE"}
+// hopByHop are the headers that are about one connection, which a translator does not pass on. The
+// length is stated anew.
+var hopByHop = []string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Connection",
+	"Transfer-Encoding",
+	"Upgrade",
+	"Trailer",
+	"TE",
+}
 
 // Hop tells whether a header is about one connection, which a translator does not pass on.
 func Hop(name string) bool {
 	return slices.ContainsFunc(hopByHop, func(hop string) bool { return strings.EqualFold(hop, name) })
 }
 
-// AppendHead adds the head of a response whose body follows as it comes. A body of no stated length ends with the stream.
+// AppendHead adds the head of a response whose body follows as it comes. A body of no stated length
+// ends with the stream.
 func AppendHead(b []byte, status int, fields []httpmessage.Field, length int64) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, f := range fields {
@@ -207,7 +219,8 @@
 	return append(b, "Connection: close\r\n\r\n"...)
 }
 
-// AppendResponse adds a response to b. It states the length of the body unless only the head was asked for.
+// AppendResponse adds a response to b. It states the length of the body unless only the head was
+// asked for.
 func AppendResponse(b []byte, r *Response, headOnly bool) []byte {
 	length := int64(len(r.Body))
 	if headOnly || r.Status == 204 || r.Status == 304 {
--- a/internal/protocol/uwsgi/uwsgi_test.go
+++ b/internal/protocol/uwsgi/uwsgi_test.go
@@ -12,7 +12,8 @@
 	"ryepaddle/internal/protocol/httpmessage"
 )
 
-// FuzzRead reads what it can, writes that again and reads the same; a part of it is never taken for the whole.
+// FuzzRead reads what it can, writes that again and reads the same; a part of it is never taken for
+// the whole.
 func FuzzRead(f *testing.F) {
 	b, err := Append(nil, &Request{Vars: []Var{{"CONTENT_LENGTH", "4"}, {"A", ""}}, Body: []byte("body")})
 	if err != nil {
@@ -76,13 +77,17 @@
 }
 
 func TestAppendRefusesTooMuch(t *testing.T) {
-	_, err := Append(nil, &Request{Vars: []Var{{"A", strings.Repeat("a", 40000)}, {"B", strings.Repeat("b", 40000)}}})
+	_, err := Append(
+		nil,
+		&Request{Vars: []Var{{"A", strings.Repeat("a", 40000)}, {"B", strings.Repeat("b", 40000)}}},
+	)
 	if !errors.Is(err, ErrVars) {
 		t.Fatalf("error %v", err)
 	}
 }
 
-// FuzzReadResponse writes what it could read again: the same must be read from that, and nothing from a part of it.
+// FuzzReadResponse writes what it could read again: the same must be read from that, and nothing
+// from a part of it.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 4\r\n\r\nbody"))
 	f.Add([]byte("HTTP/1.0 404 None\r\nA:\r\n\r\n"))
@@ -115,8 +120,8 @@
 	return &collector{reader: httpmessage.NewResponse(headOnly), headOnly: headOnly, most: maxBody}
 }
 
-// take takes all it can from b and returns how much that was. The response is not nil once it is whole. One that is cut
-// off at the end of the stream is io.ErrUnexpectedEOF.
+// take takes all it can from b and returns how much that was. The response is not nil once it is
+// whole. One that is cut off at the end of the stream is io.ErrUnexpectedEOF.
 func (c *collector) take(b []byte, end bool) (r *Response, used int, err error) {
 	for {
 		ev, n, err := c.reader.Next(b[used:], end)
@@ -156,8 +161,8 @@
 	return c.resp.Body
 }
 
-// readResponse takes a response from b, the whole stream so far. Nil without an error means that more has to come, or,
-// at the end of the stream, that it was cut off.
+// readResponse takes a response from b, the whole stream so far. Nil without an error means that
+// more has to come, or, at the end of the stream, that it was cut off.
 func readResponse(b []byte, end, headOnly bool, maxBody int) (*Response, error) {
 	r, _, err := newCollector(headOnly, maxBody).take(b, end)
 	if errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -1,9 +1,11 @@
-// Package balance is what stands before the runners: a balancer with habits of its own. It chooses a server for each
-// try, waits, tries again, avoids and checks servers, and heeds what they tell it, or does none of that. It is a state
-// machine free of I/O: the simulator's model plays it in virtual time, and its rig puts it on sockets.
+// Package balance is what stands before the runners: a balancer with habits of its own. It chooses
+// a server for each try, waits, tries again, avoids and checks servers, and heeds what they tell
+// it, or does none of that. It is a state machine free of I/O: the simulator's model plays it in
+// virtual time, and its rig puts it on sockets.
 //
-// Each request that is submitted is finished exactly once. Retries and copies belong to its first try. A balancer knows
-// of a server only what the list, its own checks, reports and that server's answers told it.
+// Each request that is submitted is finished exactly once. Retries and copies belong to its first
+// try. A balancer knows of a server only what the list, its own checks, reports and that server's
+// answers told it.
 package balance
 
 import (
@@ -112,8 +114,16 @@
 
 // New makes a balancer before n servers, none of which is listed yet. name tells subsets apart.
 func New(name uint64, n int, habit Habit, clock virtualclock.Clock, wire Wire, draw Draw) *Balancer {
-	b := &Balancer{habit: habit, clock: clock, wire: wire, draw: draw, servers: make([]server, n), tokens: mostTokens,
-		countsAt: clock.Now(), next: int(score(name, 0) % uint64(max(n, 1)))}
+	b := &Balancer{
+		habit:    habit,
+		clock:    clock,
+		wire:     wire,
+		draw:     draw,
+		servers:  make([]server, n),
+		tokens:   mostTokens,
+		countsAt: clock.Now(),
+		next:     int(score(name, 0) % uint64(max(n, 1))),
+	}
 	for i := range b.servers {
 		b.servers[i].weight = 1
 		b.servers[i].inSubset = true
@@ -218,7 +228,8 @@
 	p.open = append(p.open, t)
 	b.Stats.Tries++
 	b.servers[i].out++
-	if wait := int64(b.habit.Patience * float64(p.Deadline)); b.habit.Patience < 1 && now+wait < p.began+p.Deadline {
+	if wait := int64(b.habit.Patience * float64(p.Deadline)); b.habit.Patience < 1 &&
+		now+wait < p.began+p.Deadline {
 		t.timer = b.clock.After(wait, func() { b.timedOut(t) })
 	}
 	if b.habit.CopyAfter > 0 && p.Safe && !p.copied {
@@ -264,7 +275,8 @@
 	b.again(t, true, true)
 }
 
-// Answered takes what came back of a try. What nobody waits for any more is passed over, but for the free value.
+// Answered takes what came back of a try. What nobody waits for any more is passed over, but for
+// the free value.
 func (b *Balancer) Answered(t *Try, a Answer) {
 	s, now := &b.servers[t.Server], b.clock.Now()
 	if a.Pressure >= 0 && b.habit.Heeds {
@@ -339,7 +351,8 @@
 	}
 }
 
-// again decides what follows a try without a result. One that may have had an effect is sent again only under its key.
+// again decides what follows a try without a result. One that may have had an effect is sent again
+// only under its key.
 func (b *Balancer) again(t *Try, failed, mayHaveRun bool) {
 	p := t.p
 	if len(p.open) > 0 || p.timer == nil { // its copy may still bring one
--- a/internal/simulator/balance/balance_test.go
+++ b/internal/simulator/balance/balance_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// A limitless balancer goes down its list after refusals, and round again until its client's time is over.
+// A limitless balancer goes down its list after refusals, and round again until its client's time
+// is over.
 func TestLimitlessWalks(t *testing.T) {
 	w := setUp(3, Habit{Choose: Round, Retry: Limitless, Pause: 50_000}, always(Refused, 1000))
 	w.b.Submit(&Request{ID: 1, Deadline: 200_000})
@@ -134,9 +135,14 @@
 	if len(w.sent) != 3 || w.ends[1][0] != EndFailed {
 		t.Fatalf("%d tries, ends %v", len(w.sent), w.ends)
 	}
-	w = setUp(4, Habit{Choose: Round, Retry: Bounded, Tries: 3, Budget: 0.1, Pause: 1000}, always(Failed, 1000))
+	w = setUp(
+		4,
+		Habit{Choose: Round, Retry: Bounded, Tries: 3, Budget: 0.1, Pause: 1000},
+		always(Failed, 1000),
+	)
 	w.submit(200, Request{Safe: true})
-	if retries := len(w.sent) - 200; retries < 25 || retries > 31 { // a tenth of 200, and the ten it begins with
+	// a tenth of 200, and the ten it begins with
+	if retries := len(w.sent) - 200; retries < 25 || retries > 31 {
 		t.Fatalf("%d retries of 200 first tries with a budget of a tenth", retries)
 	}
 }
@@ -157,7 +163,11 @@
 		{"neither goes on where it never ran", Request{}, Refused, true, []int{0, 1, 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := setUp(4, Habit{Choose: Round, Retry: Bounded, Tries: 3, Stick: c.stick}, always(c.kind, 1000))
+			w := setUp(
+				4,
+				Habit{Choose: Round, Retry: Bounded, Tries: 3, Stick: c.stick},
+				always(c.kind, 1000),
+			)
 			w.submit(1, c.r)
 			if diff := cmp.Diff(c.want, w.where()); diff != "" {
 				t.Fatalf("(-want +got)\n%s", diff)
@@ -212,9 +222,13 @@
 	})
 	t.Run("tries nobody else", func(t *testing.T) {
 		for _, heeds := range []bool{true, false} {
-			w := setUp(3, Habit{Choose: Round, Retry: Limitless, Heeds: heeds, Pause: second}, func(*Try) (Answer, int64) {
-				return Answer{Kind: Refused, Last: true, Pressure: -1}, 1000
-			})
+			w := setUp(
+				3,
+				Habit{Choose: Round, Retry: Limitless, Heeds: heeds, Pause: second},
+				func(*Try) (Answer, int64) {
+					return Answer{Kind: Refused, Last: true, Pressure: -1}, 1000
+				},
+			)
 			w.submit(1, Request{Safe: true})
 			if want := map[bool]int{true: 1, false: 3}[heeds]; len(w.sent) != want {
 				t.Fatalf("heeds %v: %d tries, want %d", heeds, len(w.sent), want)
@@ -222,7 +236,11 @@
 		}
 	})
 	t.Run("keeps to the free value", func(t *testing.T) {
-		w := setUp(1, Habit{Choose: Round, Retry: Never, Heeds: true, CreditLife: second}, always(Served, 400_000))
+		w := setUp(
+			1,
+			Habit{Choose: Round, Retry: Never, Heeds: true, CreditLife: second},
+			always(Served, 400_000),
+		)
 		w.b.Answered(&Try{over: true, p: &pending{}}, Answer{Kind: Served, Pressure: 2.5})
 		w.submit(30, Request{Safe: true})
 		if out := w.b.Out(0); out < 2 || out > 3 {
@@ -328,20 +346,49 @@
 func habits(t *rapid.T) Habit {
 	return Habit{Choose: rapid.SampledFrom(Choices).Draw(t, "choose"),
 		Retry: rapid.SampledFrom([]Retry{Never, Bounded, Limitless}).Draw(t, "retry"),
-		Tries: rapid.IntRange(1, 5).Draw(t, "tries"), Budget: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "budget"),
-		Pause: rapid.Int64Range(0, 60_000).Draw(t, "pause"), Patience: rapid.SampledFrom([]float64{0.05, 0.4, 1}).Draw(t, "patience"),
-		CopyAfter: rapid.SampledFrom([]int64{0, 5000}).Draw(t, "copy"), Heeds: rapid.Bool().Draw(t, "heeds"), CreditLife: second,
-		CheckEvery: rapid.SampledFrom([]int64{0, 70_000}).Draw(t, "checks"), EjectAfter: rapid.IntRange(0, 2).Draw(t, "eject"),
+		Tries: rapid.IntRange(
+			1,
+			5,
+		).Draw(
+			t,
+			"tries",
+		), Budget: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "budget"),
+		Pause: rapid.Int64Range(
+			0,
+			60_000,
+		).Draw(
+			t,
+			"pause",
+		), Patience: rapid.SampledFrom([]float64{0.05, 0.4, 1}).Draw(t, "patience"),
+		CopyAfter: rapid.SampledFrom(
+			[]int64{0, 5000},
+		).Draw(
+			t,
+			"copy",
+		), Heeds: rapid.Bool().Draw(t, "heeds"), CreditLife: second,
+		CheckEvery: rapid.SampledFrom(
+			[]int64{0, 70_000},
+		).Draw(
+			t,
+			"checks",
+		), EjectAfter: rapid.IntRange(0, 2).Draw(t, "eject"),
 		EjectFor: 300_000, Throttle: rapid.SampledFrom([]float64{0, 2}).Draw(t, "throttle"),
 		Subset: rapid.IntRange(0, 3).Draw(t, "subset"), Stick: rapid.Bool().Draw(t, "stick")}
 }
 
-// Whatever servers answer, or do not, and however the list moves: each request is finished once and in its time, no
-// unlisted server gets a try, bounds hold, and in the end nothing is out.
+// Whatever servers answer, or do not, and however the list moves: each request is finished once and
+// in its time, no unlisted server gets a try, bounds hold, and in the end nothing is out.
 func TestEachRequestIsFinishedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, n := habits(t), rapid.IntRange(1, 5).Draw(t, "servers")
-		kinds := rapid.SliceOfN(rapid.SampledFrom([]Kind{Served, Refused, Failed, Unreachable}), n, n).Draw(t, "kinds")
+		kinds := rapid.SliceOfN(
+			rapid.SampledFrom([]Kind{Served, Refused, Failed, Unreachable}),
+			n,
+			n,
+		).Draw(
+			t,
+			"kinds",
+		)
 		silent := rapid.IntRange(-1, n-1).Draw(t, "silent")
 		var w *tape
 		w = setUp(n, h, func(try *Try) (Answer, int64) {
@@ -366,7 +413,15 @@
 				w.b.Listed(rapid.IntRange(0, n-1).Draw(t, "which"), rapid.Bool().Draw(t, "on"))
 			}
 			effect := rapid.IntRange(0, 2).Draw(t, "effect")
-			w.b.Submit(&Request{ID: uint64(i + 1), Key: uint64(i % 4), Safe: effect == 0, Keyed: effect == 1, Deadline: 200_000})
+			w.b.Submit(
+				&Request{
+					ID:       uint64(i + 1),
+					Key:      uint64(i % 4),
+					Safe:     effect == 0,
+					Keyed:    effect == 1,
+					Deadline: 200_000,
+				},
+			)
 			w.clock.RunUntil(w.clock.Now() + 5000)
 		}
 		w.clock.RunUntil(w.clock.Now() + 200_000)
--- a/internal/simulator/balance/choose.go
+++ b/internal/simulator/balance/choose.go
@@ -37,7 +37,8 @@
 	return b.pick(p)
 }
 
-// up tells whether a server is listed and, where it avoids any, neither ejected nor failing its checks.
+// up tells whether a server is listed and, where it avoids any, neither ejected nor failing its
+// checks.
 func (b *Balancer) up(i int, avoid bool) bool {
 	s := &b.servers[i]
 	if !s.listed || !s.inSubset {
@@ -55,8 +56,8 @@
 	return false
 }
 
-// allows tells whether a server has room for one more from here, as far as this balancer heeds that. A fraction of a
-// credit counts by chance.
+// allows tells whether a server has room for one more from here, as far as this balancer heeds
+// that. A fraction of a credit counts by chance.
 func (b *Balancer) allows(i int, p *pending) bool {
 	s, now := &b.servers[i], b.clock.Now()
 	if !b.habit.Heeds {
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -13,17 +13,18 @@
 
 // Habit is how a balancer behaves. Times are microseconds.
 type Habit struct {
-	Choose     Choice
-	Retry      Retry
-	Tries      int     // of Bounded, in all
-	Budget     float64 // of Bounded: retries for each first try; 0: no such bound
-	Pause      int64   // before the list is gone through once more, and between bounded tries
-	Patience   float64 // the share of the class's deadline that one try waits; 1: as long as the client
-	CopyAfter  int64   // a safe request that is slow gets a second copy then; 0: none
-	Heeds      bool    // the free value, advice to stay away and the wish not to try elsewhere
-	CreditLife int64   // how long the free value is remembered
-	CheckEvery int64   // 0: no health checks
-	EjectAfter int     // failures in a row after which a server is avoided; 0: never
+	Choose Choice
+	Retry  Retry
+	Tries  int     // of Bounded, in all
+	Budget float64 // of Bounded: retries for each first try; 0: no such bound
+	Pause  int64   // before the list is gone through once more, and between bounded tries
+	// the share of the class's deadline that one try waits; 1: as long as the client
+	Patience   float64
+	CopyAfter  int64 // a safe request that is slow gets a second copy then; 0: none
+	Heeds      bool  // the free value, advice to stay away and the wish not to try elsewhere
+	CreditLife int64 // how long the free value is remembered
+	CheckEvery int64 // 0: no health checks
+	EjectAfter int   // failures in a row after which a server is avoided; 0: never
 	EjectFor   int64
 	Throttle   float64 // keeps requests back when fewer than one in so many is taken; 0: never
 	Subset     int     // how many servers it keeps to; 0: all
@@ -65,7 +66,8 @@
 	over    bool
 }
 
-// Wire carries out what a balancer decides. It reports back through Answered and Checked, never from within a call.
+// Wire carries out what a balancer decides. It reports back through Answered and Checked, never
+// from within a call.
 type Wire interface {
 	Send(t *Try)
 	Abort(t *Try) // nobody waits for this try any more; nothing need be reported of it
@@ -73,6 +75,6 @@
 	Finish(r *Request, e End, by *Try) // by: the try that served it
 }
 
-// Draw gives a number from 0 to under 1 that depends on nothing but what it is asked for, so that two runs of a day
-// draw alike whatever else differs between them.
+// Draw gives a number from 0 to under 1 that depends on nothing but what it is asked for, so that
+// two runs of a day draw alike whatever else differs between them.
 type Draw func(request uint64, no, what int) float64
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -19,11 +19,12 @@
 
 // Result is what became of a day.
 type Result struct {
-	Seed     uint64  `json:"seed"`
-	Asked    int     `json:"asked"`
-	Worth    float64 `json:"worth"`  // share of the worth asked for
-	Worst    float64 `json:"worst"`  // the same in the worst 10 s
-	Middle   float64 `json:"middle"` // the same in the 10 s from the middle on, when an instance may be replaced
+	Seed  uint64  `json:"seed"`
+	Asked int     `json:"asked"`
+	Worth float64 `json:"worth"` // share of the worth asked for
+	Worst float64 `json:"worst"` // the same in the worst 10 s
+	// the same in the 10 s from the middle on, when an instance may be replaced
+	Middle   float64 `json:"middle"`
 	P50Ms    float64 `json:"p50_ms"` // of what was served, from the first asking on
 	P99Ms    float64 `json:"p99_ms"`
 	Tries    float64 `json:"tries"`    // on servers, for each request that was asked for
@@ -31,9 +32,10 @@
 	Failed   float64 `json:"failed"`   // share that got no good answer in the end
 	Twice    int     `json:"twice"`    // hand-ins that ran twice: a broken rule
 	Unasked  int     `json:"unasked"`  // requests that had no answer at all: a broken rule
-	Cheap    float64 `json:"cheap"`    // share of the cheapest calls that were served within their aim
-	HandIns  float64 `json:"hand_ins"` // share of the hand-ins' worth
-	Changes  int     `json:"changes"`  // of servers' states
+	// share of the cheapest calls that were served within their aim
+	Cheap   float64 `json:"cheap"`
+	HandIns float64 `json:"hand_ins"` // share of the hand-ins' worth
+	Changes int     `json:"changes"`  // of servers' states
 }
 
 const (
@@ -54,24 +56,25 @@
 }
 
 type play struct {
-	spec     *Spec
-	seed     uint64
-	sched    *virtualclock.Sched
-	core     *lifecycle.Core
-	picker   Picker
-	servers  []*server
-	byName   map[string]*server
-	listed   []endpointhealth.Listing
-	out      map[*lifecycle.Attempt]*trip
-	rand     *rand.Rand // of the clients
-	ran      map[string]int
-	res      Result
-	hist     *hdrhistogram.Histogram
-	aims     bool              // callers say when they asked first
-	hold     *waitqueue.Runner // nil where there are no pools
-	handIns  [2]float64        // worth of hand-ins: got, and asked for
-	inTime   [2]int            // requests of the reserve's class: answered within their aim, and all
-	worth    []float64         // by window: asked for
+	spec    *Spec
+	seed    uint64
+	sched   *virtualclock.Sched
+	core    *lifecycle.Core
+	picker  Picker
+	servers []*server
+	byName  map[string]*server
+	listed  []endpointhealth.Listing
+	out     map[*lifecycle.Attempt]*trip
+	rand    *rand.Rand // of the clients
+	ran     map[string]int
+	res     Result
+	hist    *hdrhistogram.Histogram
+	aims    bool              // callers say when they asked first
+	hold    *waitqueue.Runner // nil where there are no pools
+	handIns [2]float64        // worth of hand-ins: got, and asked for
+	// requests of the reserve's class: answered within their aim, and all
+	inTime   [2]int
+	worth    []float64 // by window: asked for
 	got      []float64
 	names    int
 	refusals int
@@ -89,9 +92,17 @@
 
 // Play plays a day of that kind, routed in one of the Ways.
 func Play(spec *Spec, seed uint64, way string) (*Result, error) {
-	p := &play{spec: spec, seed: seed, sched: virtualclock.New(), picker: NewPicker(way, spec, seed), byName: map[string]*server{},
-		out: map[*lifecycle.Attempt]*trip{}, rand: day.Stream(seed, "clients", 0), ran: map[string]int{},
-		hist: hdrhistogram.New(1, 60_000_000, 3)}
+	p := &play{
+		spec:   spec,
+		seed:   seed,
+		sched:  virtualclock.New(),
+		picker: NewPicker(way, spec, seed),
+		byName: map[string]*server{},
+		out:    map[*lifecycle.Attempt]*trip{},
+		rand:   day.Stream(seed, "clients", 0),
+		ran:    map[string]int{},
+		hist:   hdrhistogram.New(1, 60_000_000, 3),
+	}
 	n := int(math.Ceil(spec.Seconds*1e6/window)) + 1
 	p.worth, p.got = make([]float64, n), make([]float64, n)
 	for i := range spec.Servers {
@@ -115,8 +126,15 @@
 	p.picker.List(p.listed, p.sched.Now())
 	var run lifecycle.Runner = p
 	if cfg := poolsOf(way, spec); cfg != nil {
-		p.hold = waitqueue.New(waitqueue.Host{Now: p.sched.Now, Post: func(fn func()) { p.sched.After(0, fn) }, After: func(d int64, fn func()) { p.sched.After(d, fn) },
-			Room: func() int { return p.picker.(*routed).room(p.sched.Now()) }}, sink{p})
+		p.hold = waitqueue.New(
+			waitqueue.Host{
+				Now:   p.sched.Now,
+				Post:  func(fn func()) { p.sched.After(0, fn) },
+				After: func(d int64, fn func()) { p.sched.After(d, fn) },
+				Room:  func() int { return p.picker.(*routed).room(p.sched.Now()) },
+			},
+			sink{p},
+		)
 		p.hold.Before(p)
 		p.hold.Configure(cfg)
 		p.aims = way == "pools-"+aims
@@ -163,15 +181,39 @@
 
 func (p *play) settings(way string) admission.Settings {
 	ms := func(v float64) time.Duration { return time.Duration(v * 1e6) }
-	set := admission.Settings{Servers: 1, Callers: 4, Cores: p.spec.Servers * p.spec.Workers, MemoryKB: 1e8, RunFactor: 1, KeyKB: 0.1,
-		CreditMode: admission.CreditNone, TellsGone: true, IdleFor: 30 * time.Second, MaxStayAway: time.Second, OverWorth: 0.05,
-		Slack: ms(60), DrainGrace: ms(1000), CrowdLimit: 1000, CrowdOver: 2 * time.Second, ColdShare: 1, ColdFor: time.Second}
+	set := admission.Settings{
+		Servers:     1,
+		Callers:     4,
+		Cores:       p.spec.Servers * p.spec.Workers,
+		MemoryKB:    1e8,
+		RunFactor:   1,
+		KeyKB:       0.1,
+		CreditMode:  admission.CreditNone,
+		TellsGone:   true,
+		IdleFor:     30 * time.Second,
+		MaxStayAway: time.Second,
+		OverWorth:   0.05,
+		Slack: ms(
+			60,
+		),
+		DrainGrace: ms(1000),
+		CrowdLimit: 1000,
+		CrowdOver:  2 * time.Second,
+		ColdShare:  1,
+		ColdFor:    time.Second,
+	}
 	if isWide(way) {
 		set.Cores *= wideCores
 	}
 	for _, c := range classes {
-		class := admission.Class{Name: c.Name, Target: ms(c.Target), Deadline: ms(c.Deadline), Worth: c.Worth, LateWorth: c.Late,
-			Effect: admission.Safe}
+		class := admission.Class{
+			Name:      c.Name,
+			Target:    ms(c.Target),
+			Deadline:  ms(c.Deadline),
+			Worth:     c.Worth,
+			LateWorth: c.Late,
+			Effect:    admission.Safe,
+		}
 		if c.Keyed {
 			class.Effect, class.Window = admission.Keyed, 13*time.Second
 		}
@@ -201,7 +243,12 @@
 
 // ask draws a request of a class.
 func (p *play) ask(class int, r *rand.Rand) {
-	a := &ask{p: p, class: class, at: p.sched.Now(), work: classes[class].Work * 1000 * math.Exp(0.5*r.NormFloat64()-0.125)}
+	a := &ask{
+		p:     p,
+		class: class,
+		at:    p.sched.Now(),
+		work:  classes[class].Work * 1000 * math.Exp(0.5*r.NormFloat64()-0.125),
+	}
 	if classes[class].Keyed {
 		a.key = fmt.Sprint("key", p.res.Asked)
 		p.handIns[1] += classes[class].Worth
@@ -238,8 +285,23 @@
 	if p.aims {
 		first = a.at + 1e15
 	}
-	p.core.Submit(&lifecycle.Request{Name: a.name, First: first, Class: a.class, Caller: uint32(1 + p.names%4), Arrived: p.sched.Now() + 1e15, Due: left, SizeKB: 1,
-		Rank: 0.5, Key: a.key, Subject: uint64(p.names), Body: []byte(a.key), Meta: []lifecycle.Field{{Name: "work", Value: fmt.Sprint(a.work)}}, Asker: a})
+	p.core.Submit(
+		&lifecycle.Request{
+			Name:    a.name,
+			First:   first,
+			Class:   a.class,
+			Caller:  uint32(1 + p.names%4),
+			Arrived: p.sched.Now() + 1e15,
+			Due:     left,
+			SizeKB:  1,
+			Rank:    0.5,
+			Key:     a.key,
+			Subject: uint64(p.names),
+			Body:    []byte(a.key),
+			Meta:    []lifecycle.Field{{Name: "work", Value: fmt.Sprint(a.work)}},
+			Asker:   a,
+		},
+	)
 }
 
 // Answer implements core.Asker.
@@ -302,7 +364,8 @@
 	return v
 }
 
-// outOfTime ends a try at its due time; one with an effect goes on for as long again, so that a repeat gets its result.
+// outOfTime ends a try at its due time; one with an effect goes on for as long again, so that a
+// repeat gets its result.
 func (p *play) outOfTime(a *lifecycle.Attempt) {
 	t := p.out[a]
 	if t == nil {
--- a/internal/simulator/cluster/cluster_test.go
+++ b/internal/simulator/cluster/cluster_test.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-// On any kind of day, in any way of routing: each request has one answer, no hand-in runs twice, and a seed gives the same
-// day again.
+// On any kind of day, in any way of routing: each request has one answer, no hand-in runs twice,
+// and a seed gives the same day again.
 func TestRulesHoldOnAllDays(t *testing.T) {
 	for _, kind := range Specs() {
 		s := short(t, kind.Name)
@@ -32,7 +32,12 @@
 		}
 		for _, way := range Ways {
 			// Pools and the days for them, each with some of the others.
-			pooled, made := isWide(way), slices.Contains([]string{"load-80", "load-110", "load-150", "flood", "crawl", "crawl-fifth"}, kind.Name)
+			pooled, made := isWide(
+				way,
+			), slices.Contains(
+				[]string{"load-80", "load-110", "load-150", "flood", "crawl", "crawl-fifth"},
+				kind.Name,
+			)
 			if pooled != made && !(pooled && kind.Name == "flapping") && !(made && way == "routed") {
 				continue
 			}
@@ -45,7 +50,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.Twice != 0 || r.Unasked != 0 || r.Asked < 1000 || r.Worth <= 0 || r.Worth > 1 || r.Worst > r.Worth || r.Failed > 1 || r.Tries <= 0 {
+				if r.Twice != 0 || r.Unasked != 0 || r.Asked < 1000 || r.Worth <= 0 || r.Worth > 1 ||
+					r.Worst > r.Worth ||
+					r.Failed > 1 ||
+					r.Tries <= 0 {
 					t.Errorf("%+v", *r)
 				}
 				again, err := Play(&s, 5, way)
@@ -57,8 +65,8 @@
 	}
 }
 
-// What routing is for: a server that fails at once loses little, where the picker before it lost much; and it costs nothing
-// on a calm day. Workers do not change what comes out.
+// What routing is for: a server that fails at once loses little, where the picker before it lost
+// much; and it costs nothing on a calm day. Workers do not change what comes out.
 func TestRoutingIsWorthIt(t *testing.T) {
 	s := short(t, "fast-failer")
 	one, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 1, func() {})
@@ -82,8 +90,8 @@
 	}
 }
 
-// What a reserve is for: at half as much again as the servers can do the cheapest calls are answered within their aim, and without pools
-// they are not.
+// What a reserve is for: at half as much again as the servers can do the cheapest calls are
+// answered within their aim, and without pools they are not.
 func TestReserveKeepsTheCheapest(t *testing.T) {
 	s := short(t, "load-150")
 	c, err := Compare(context.Background(), &s, "routed", "pools-gradient", 1, 3, 8, func() {})
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -35,10 +35,24 @@
 	{"broken rules", "a day", -1, func(r *Result) float64 { return float64(r.Twice + r.Unasked) }},
 }
 
-// Compare plays the days from a seed on in both ways, on so many workers, and estimates the differences B - A at 95%. What
-// comes out does not depend on the workers.
-func Compare(ctx context.Context, spec *Spec, a, b string, seed uint64, days, workers int, tell func()) (*Comparison, error) {
-	c := &Comparison{Day: spec.Name, About: spec.About, A: a, B: b, DaysA: make([]*Result, days), DaysB: make([]*Result, days)}
+// Compare plays the days from a seed on in both ways, on so many workers, and estimates the
+// differences B - A at 95%. What comes out does not depend on the workers.
+func Compare(
+	ctx context.Context,
+	spec *Spec,
+	a, b string,
+	seed uint64,
+	days, workers int,
+	tell func(),
+) (*Comparison, error) {
+	c := &Comparison{
+		Day:   spec.Name,
+		About: spec.About,
+		A:     a,
+		B:     b,
+		DaysA: make([]*Result, days),
+		DaysB: make([]*Result, days),
+	}
 	err := compare.Each(ctx, workers, 2*days, func(i int) (err error) {
 		way, into := a, c.DaysA
 		if i%2 == 1 {
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -20,7 +20,21 @@
 }
 
 // Ways are the ways of routing by name; the first is the baseline.
-var Ways = []string{"before", "routed", "no-limits", "no-budget", "no-latency", "wide", "pools-fixed", "pools-additive", "pools-gradient", "pools-queue", "pools-rate", "pools-aims", blind}
+var Ways = []string{
+	"before",
+	"routed",
+	"no-limits",
+	"no-budget",
+	"no-latency",
+	"wide",
+	"pools-fixed",
+	"pools-additive",
+	"pools-gradient",
+	"pools-queue",
+	"pools-rate",
+	"pools-aims",
+	blind,
+}
 
 // NewPicker makes one. A way that leaves something out tells what that is good for.
 func NewPicker(way string, spec *Spec, seed uint64) Picker {
@@ -81,16 +95,32 @@
 	return s.Name, true
 }
 
-var outcomes = map[lifecycle.Outcome]endpointhealth.Outcome{lifecycle.Fine: endpointhealth.Good, lifecycle.Fault: endpointhealth.Fault,
-	lifecycle.Broken: endpointhealth.Bad, lifecycle.TimedOut: endpointhealth.Late, lifecycle.Unreachable: endpointhealth.Absent, lifecycle.Stopped: endpointhealth.Unsaid}
+var outcomes = map[lifecycle.Outcome]endpointhealth.Outcome{
+	lifecycle.Fine:        endpointhealth.Good,
+	lifecycle.Fault:       endpointhealth.Fault,
+	lifecycle.Broken:      endpointhealth.Bad,
+	lifecycle.TimedOut:    endpointhealth.Late,
+	lifecycle.Unreachable: endpointhealth.Absent,
+	lifecycle.Stopped:     endpointhealth.Unsaid,
+}
 
 func (p *routed) Done(name string, class int, o lifecycle.Outcome, took, now int64) {
 	p.r.Done(p.servers[name], class, outcomes[o], took, now)
 }
 
 func (p *routed) Again(t lifecycle.Try, now int64) bool {
-	return p.r.Budget().Ask(retry.Question{Class: t.Class, Effect: t.Effect, Proven: t.Proven, Tries: t.Tries, Most: mostTry, Left: t.Left,
-		Need: p.r.Need(t.Class)}, now) == retry.Granted
+	return p.r.Budget().Ask(
+		retry.Question{
+			Class:  t.Class,
+			Effect: t.Effect,
+			Proven: t.Proven,
+			Tries:  t.Tries,
+			Most:   mostTry,
+			Left:   t.Left,
+			Need:   p.r.Need(t.Class),
+		},
+		now,
+	) == retry.Granted
 }
 
 func (p *routed) room(now int64) int { return p.r.Room(now) }
@@ -98,8 +128,8 @@
 func (p *routed) Back(now int64) int64 { return p.r.ComeBack(now) }
 func (p *routed) Tick(now int64)       { p.r.Tick(now) }
 
-// before is the picker that stood before there was routing: the least busy server gets the request, one that failed three
-// times in a row rests for 5 s, and each request is tried twice.
+// before is the picker that stood before there was routing: the least busy server gets the request,
+// one that failed three times in a row rests for 5 s, and each request is tried twice.
 type before struct{ servers []*resting }
 
 type resting struct {
--- a/internal/simulator/cluster/pools.go
+++ b/internal/simulator/cluster/pools.go
@@ -9,8 +9,9 @@
 // reserveClass is that of the cheapest calls.
 const reserveClass = 0
 
-// wideCores is how many times the workers that there are the module is told of where something behind it says how many run. Told of the
-// workers alone it holds what is more, by worth, and pools have nothing to share. The way "wide" is that without pools.
+// wideCores is how many times the workers that there are the module is told of where something
+// behind it says how many run. Told of the workers alone it holds what is more, by worth, and pools
+// have nothing to share. The way "wide" is that without pools.
 const wideCores = 32
 
 func isWide(way string) bool { return way == "wide" || strings.HasPrefix(way, "pools-") }
@@ -27,11 +28,19 @@
 	if name == aims {
 		name = bulkhead.Gradient
 	}
-	cfg := &bulkhead.Config{Way: name, First: float64(spec.Servers * spec.Workers), Least: 4, Most: float64(spec.Servers * spec.Workers * 16), CallBack: 500_000,
-		Line: 200, Guard: 30_000, Tenants: []float64{1},
+	cfg := &bulkhead.Config{
+		Way:      name,
+		First:    float64(spec.Servers * spec.Workers),
+		Least:    4,
+		Most:     float64(spec.Servers * spec.Workers * 16),
+		CallBack: 500_000,
+		Line:     200,
+		Guard:    30_000,
+		Tenants:  []float64{1},
 		Pools: []bulkhead.Pool{{Name: "hand-ins", Floor: 0.3, Ceiling: 1, Weight: 3, Classes: []int{2}},
 			{Name: "checks", Floor: 0.15, Ceiling: 1, Weight: 2, Reserve: true, Classes: []int{reserveClass}},
-			{Name: "rest", Floor: 0.1, Ceiling: 0.85, Weight: 1}}}
+			{Name: "rest", Floor: 0.1, Ceiling: 0.85, Weight: 1}},
+	}
 	for _, c := range classes {
 		cfg.Classes = append(cfg.Classes, bulkhead.Class{Worth: c.Worth, Late: c.Worth * c.Late})
 	}
--- a/internal/simulator/cluster/renewed.go
+++ b/internal/simulator/cluster/renewed.go
@@ -8,10 +8,12 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// blind is the way in which the routing is replaced in the middle of the day by one that knows nothing, as when an instance is.
+// blind is the way in which the routing is replaced in the middle of the day by one that knows
+// nothing, as when an instance is.
 const blind = "new-blind"
 
-// renewed is that. What it does worse than routing that stays is what knowledge from before is worth.
+// renewed is that. What it does worse than routing that stays is what knowledge from before is
+// worth.
 type renewed struct {
 	*routed
 	cfg    picker.Config
@@ -23,7 +25,13 @@
 }
 
 func newRenewed(cfg picker.Config, spec *Spec, seed uint64) *renewed {
-	return &renewed{routed: newRouted(cfg, seed), cfg: cfg, seed: seed, at: int64(spec.Seconds * 1e6 / 2), old: map[string]int{}}
+	return &renewed{
+		routed: newRouted(cfg, seed),
+		cfg:    cfg,
+		seed:   seed,
+		at:     int64(spec.Seconds * 1e6 / 2),
+		old:    map[string]int{},
+	}
 }
 
 func (p *renewed) List(list []endpointhealth.Listing, now int64) {
@@ -31,7 +39,8 @@
 	p.routed.List(list, now)
 }
 
-// Done keeps the ends of what the one before had sent from the new one. Of one server they are taken to end first.
+// Done keeps the ends of what the one before had sent from the new one. Of one server they are
+// taken to end first.
 func (p *renewed) Done(name string, class int, o lifecycle.Outcome, took, now int64) {
 	if p.old[name] > 0 {
 		p.old[name]--
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -54,8 +54,18 @@
 
 func newServer(clock virtualclock.Clock, spec *Spec, seed uint64, n int, ran func(string)) *server {
 	name := fmt.Sprintf("runner-%03d", n+1)
-	return &server{Listing: endpointhealth.Listing{ID: endpointhealth.ID{Name: name, Addr: name}, Hall: spec.Halls[n%len(spec.Halls)], Weight: 1},
-		clock: clock, spec: spec, rand: day.Stream(seed, "server", uint64(n)), slow: 1, ran: ran}
+	return &server{
+		Listing: endpointhealth.Listing{
+			ID:     endpointhealth.ID{Name: name, Addr: name},
+			Hall:   spec.Halls[n%len(spec.Halls)],
+			Weight: 1,
+		},
+		clock: clock,
+		spec:  spec,
+		rand:  day.Stream(seed, "server", uint64(n)),
+		slow:  1,
+		ran:   ran,
+	}
 }
 
 // times is how many times longer than usual work takes now.
@@ -85,7 +95,8 @@
 	})
 }
 
-// next gives work to workers that have none. What was begun is done to its end, whether anybody waits for it or not.
+// next gives work to workers that have none. What was begun is done to its end, whether anybody
+// waits for it or not.
 func (s *server) next() {
 	for s.busy < s.spec.Workers && len(s.queue) > 0 {
 		j := s.queue[0]
--- a/internal/simulator/cluster/spec.go
+++ b/internal/simulator/cluster/spec.go
@@ -1,6 +1,7 @@
-// Package cluster is a model of one hop before many uwsgi servers, in virtual time: the real core and decision module, and the
-// real routing or the picker that stood before it, with servers that are slow, cold, dead, cut off or that fail at once.
-// Days are drawn from a seed; what differs between two ways of routing one day is the routing alone.
+// Package cluster is a model of one hop before many uwsgi servers, in virtual time: the real core
+// and decision module, and the real routing or the picker that stood before it, with servers that
+// are slow, cold, dead, cut off or that fail at once. Days are drawn from a seed; what differs
+// between two ways of routing one day is the routing alone.
 package cluster
 
 import "sort"
@@ -49,34 +50,107 @@
 }
 
 func base(name, about string, load float64, troubles ...Trouble) Spec {
-	return Spec{Name: name, About: about, Servers: 17, Halls: []string{"haninge"}, Workers: 4, Load: load, Seconds: 60,
-		ColdFor: 10, Cold: 4, Troubles: troubles}
+	return Spec{
+		Name:     name,
+		About:    about,
+		Servers:  17,
+		Halls:    []string{"haninge"},
+		Workers:  4,
+		Load:     load,
+		Seconds:  60,
+		ColdFor:  10,
+		Cold:     4,
+		Troubles: troubles,
+	}
 }
 
 // Specs are the days that are built in, by name.
 func Specs() []Spec {
-	big := base("large", "200 servers in four halls, of which a fifth dies", 0.65, Trouble{Kind: "dead", From: 20, Share: 0.2})
+	big := base(
+		"large",
+		"200 servers in four halls, of which a fifth dies",
+		0.65,
+		Trouble{Kind: "dead", From: 20, Share: 0.2},
+	)
 	big.Servers, big.Halls, big.Seconds = 200, []string{"a", "b", "c", "d"}, 40
-	cut := base("hall-cut", "one of two halls does not answer for 20 s", 0.45, Trouble{Kind: "cut", From: 20, To: 40, Hall: "haninge"})
+	cut := base(
+		"hall-cut",
+		"one of two halls does not answer for 20 s",
+		0.45,
+		Trouble{Kind: "cut", From: 20, To: 40, Hall: "haninge"},
+	)
 	cut.Halls = []string{"haninge", "solna"}
 	all := []Spec{big, cut,
 		base("calm", "nothing happens", 0.65),
-		base("dead-fifth", "a fifth of the servers dies at once and stays away", 0.65, Trouble{Kind: "dead", From: 20, Share: 0.2}),
-		base("fast-failer", "one server answers 500 in a millisecond", 0.65, Trouble{Kind: "faults", From: 20, Share: 0.06}),
-		base("slow-fifth", "a fifth of the servers is four times slower", 0.55, Trouble{Kind: "slow", From: 20, Share: 0.2, Times: 4}),
-		base("release", "one server after the other is stopped for 2 s and comes back cold", 0.6, Trouble{Kind: "release", From: 5, To: 56}),
-		base("scale-out", "a third of the servers joins cold at 20 s, under load", 0.6, Trouble{Kind: "join", From: 20, Share: 0.34}),
-		base("flapping", "two servers die and come back each 3 s", 0.6, Trouble{Kind: "flap", From: 10, Share: 0.12}),
-		base("overload", "a fifth dies at nine tenths of the load that all could carry", 0.9, Trouble{Kind: "dead", From: 20, Share: 0.2}),
+		base(
+			"dead-fifth",
+			"a fifth of the servers dies at once and stays away",
+			0.65,
+			Trouble{Kind: "dead", From: 20, Share: 0.2},
+		),
+		base(
+			"fast-failer",
+			"one server answers 500 in a millisecond",
+			0.65,
+			Trouble{Kind: "faults", From: 20, Share: 0.06},
+		),
+		base(
+			"slow-fifth",
+			"a fifth of the servers is four times slower",
+			0.55,
+			Trouble{Kind: "slow", From: 20, Share: 0.2, Times: 4},
+		),
+		base(
+			"release",
+			"one server after the other is stopped for 2 s and comes back cold",
+			0.6,
+			Trouble{Kind: "release", From: 5, To: 56},
+		),
+		base(
+			"scale-out",
+			"a third of the servers joins cold at 20 s, under load",
+			0.6,
+			Trouble{Kind: "join", From: 20, Share: 0.34},
+		),
+		base(
+			"flapping",
+			"two servers die and come back each 3 s",
+			0.6,
+			Trouble{Kind: "flap", From: 10, Share: 0.12},
+		),
+		base(
+			"overload",
+			"a fifth dies at nine tenths of the load that all could carry",
+			0.9,
+			Trouble{Kind: "dead", From: 20, Share: 0.2},
+		),
+	}
+	crawl, fifth := Trouble{
+		Kind:  "slow",
+		From:  20,
+		To:    40,
+		Share: 1,
+		Times: 2.5,
+	}, Trouble{
+		Kind:  "slow",
+		From:  20,
+		Share: 0.2,
+		Times: 4,
 	}
-	crawl, fifth := Trouble{Kind: "slow", From: 20, To: 40, Share: 1, Times: 2.5}, Trouble{Kind: "slow", From: 20, Share: 0.2, Times: 4}
-	all = append(all,
+	all = append(
+		all,
 		base("load-80", "four fifths of what the servers can do", 0.8),
 		base("load-110", "a tenth more than they can do", 1.1),
 		base("load-150", "half as much again", 1.5),
-		base("flood", "full checks flood in at deadline time, three fifths of the capacity beside the rest", 0.6, Trouble{Kind: "flood", From: 20, To: 50, Share: 0.6, Class: 1}),
+		base(
+			"flood",
+			"full checks flood in at deadline time, three fifths of the capacity beside the rest",
+			0.6,
+			Trouble{Kind: "flood", From: 20, To: 50, Share: 0.6, Class: 1},
+		),
 		base("crawl", "all servers are two and a half times slower for 20 s", 0.6, crawl),
-		base("crawl-fifth", "likewise, and a fifth is four times slower from then on", 0.6, crawl, fifth))
+		base("crawl-fifth", "likewise, and a fifth is four times slower from then on", 0.6, crawl, fifth),
+	)
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	return all
 }
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -35,8 +35,9 @@
 	Width   float64 // half a width of the score's interval that is narrow enough
 	Alpha   float64 // 0: 0.05
 	Workers int
-	// Independent draws the choices of the two sides apart from each other. Days stay paired, but chance no longer drops
-	// out: a thing compared with itself then shows how often chance passes for a difference.
+	// Independent draws the choices of the two sides apart from each other. Days stay paired, but
+	// chance no longer drops out: a thing compared with itself then shows how often chance passes
+	// for a difference.
 	Independent bool
 	Progress    func(done, most int)
 }
@@ -50,10 +51,11 @@
 
 // Outcome is what a comparison came to.
 type Outcome struct {
-	Model     int        `json:"model"`
-	Seed      uint64     `json:"seed"`
-	Days      int        `json:"days"`
-	Level     float64    `json:"level"` // of the intervals; over 0.95, since the looks share what may go wrong
+	Model int    `json:"model"`
+	Seed  uint64 `json:"seed"`
+	Days  int    `json:"days"`
+	// of the intervals; over 0.95, since the looks share what may go wrong
+	Level     float64    `json:"level"`
 	Verdict   string     `json:"verdict"`
 	Stopped   string     `json:"stopped"` // why no more days were drawn
 	Estimates []Estimate `json:"estimates"`
@@ -92,7 +94,8 @@
 	return out, nil
 }
 
-// play plays the days from one number to another, on both sides. Its result does not depend on the number of workers.
+// play plays the days from one number to another, on both sides. Its result does not depend on the
+// number of workers.
 func play(ctx context.Context, plan Plan, from, to int, a, b Player) ([]Pair, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -138,7 +141,12 @@
 	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
-			return nil, fmt.Errorf("compare: day %d, side %c: %w", plan.Seed+uint64(from+i/2), 'A'+rune(i%2), err)
+			return nil, fmt.Errorf(
+				"compare: day %d, side %c: %w",
+				plan.Seed+uint64(from+i/2),
+				'A'+rune(i%2),
+				err,
+			)
 		}
 	}
 	if err := ctx.Err(); err != nil {
--- a/internal/simulator/compare/compare_test.go
+++ b/internal/simulator/compare/compare_test.go
@@ -70,7 +70,12 @@
 func TestWorkersDoNotMatter(t *testing.T) {
 	var want []byte
 	for _, workers := range []int{1, 8, 3} {
-		o := compare(t, Plan{Seed: 1, Days: 6, Workers: workers, Independent: true}, local(t, ""), local(t, "figures: {target_share: 0.2}"))
+		o := compare(
+			t,
+			Plan{Seed: 1, Days: 6, Workers: workers, Independent: true},
+			local(t, ""),
+			local(t, "figures: {target_share: 0.2}"),
+		)
 		got, err := json.Marshal(struct {
 			*Outcome
 			Raw []Pair
@@ -100,15 +105,21 @@
 	}
 }
 
-// With the choices of both sides drawn apart, a thing compared with itself differs by chance on each day, and that passes
-// for a difference no more often than the level says: of 40 comparisons at 95%, in five at the most.
+// With the choices of both sides drawn apart, a thing compared with itself differs by chance on
+// each day, and that passes for a difference no more often than the level says: of 40 comparisons
+// at 95%, in five at the most.
 func TestChanceDoesNotPassForADifference(t *testing.T) {
 	if testing.Short() {
 		t.Skip("640 days")
 	}
 	shown, differ := 0, 0
 	for set := range uint64(40) {
-		o := compare(t, Plan{Seed: 1000 * (set + 1), Days: 8, Workers: 4, Independent: true}, local(t, ""), local(t, ""))
+		o := compare(
+			t,
+			Plan{Seed: 1000 * (set + 1), Days: 8, Workers: 4, Independent: true},
+			local(t, ""),
+			local(t, ""),
+		)
 		if o.Verdict != None {
 			shown++
 		}
@@ -127,7 +138,12 @@
 
 // A runner held to the work in progress of one core is found worse within eight days.
 func TestOneCoreOfWorkIsWorse(t *testing.T) {
-	o := compare(t, Plan{Seed: 1, Days: 8, Workers: 4}, local(t, ""), local(t, "settings: {cores: 1, crowd_limit: 1.25}"))
+	o := compare(
+		t,
+		Plan{Seed: 1, Days: 8, Workers: 4},
+		local(t, ""),
+		local(t, "settings: {cores: 1, crowd_limit: 1.25}"),
+	)
 	if o.Verdict != Worse || o.Days > 8 || o.Estimates[0].Hi > -0.05 {
 		t.Fatalf("%s after %d days: %+v", o.Verdict, o.Days, o.Estimates[0])
 	}
@@ -166,14 +182,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := compare(t, Plan{Seed: 5, Days: 100, Width: 0.02, Workers: 2}, zero, c.b)
-			if o.Days != c.days || o.Verdict != c.verdict || o.Stopped != c.stopped || len(o.Pairs) != c.days {
+			if o.Days != c.days || o.Verdict != c.verdict || o.Stopped != c.stopped ||
+				len(o.Pairs) != c.days {
 				t.Errorf("%d days, %s, %s: %+v", o.Days, o.Verdict, o.Stopped, o.Estimates[0])
 			}
 		})
 	}
 }
 
-// The intervals hold what they say: of a true difference, under looks that stop early, at least 95 in 100 contain it.
+// The intervals hold what they say: of a true difference, under looks that stop early, at least 95
+// in 100 contain it.
 func TestCoverage(t *testing.T) {
 	missed := 0
 	for set := range uint64(400) {
@@ -184,7 +202,12 @@
 			}
 			return 0.03 + 0.1*u
 		})
-		o := compare(t, Plan{Seed: set << 20, Days: 64, Width: 0.02, Workers: 1}, made(func(uint64) float64 { return 0 }), b)
+		o := compare(
+			t,
+			Plan{Seed: set << 20, Days: 64, Width: 0.02, Workers: 1},
+			made(func(uint64) float64 { return 0 }),
+			b,
+		)
 		if e := o.Estimates[0]; e.Lo > 0.03 || e.Hi < 0.03 {
 			missed++
 		}
@@ -214,7 +237,12 @@
 		}
 		return 0
 	})
-	_, err := Run(context.Background(), Plan{Seed: 10, Days: 8, Workers: 3}, made(func(uint64) float64 { return 0 }), bad)
+	_, err := Run(
+		context.Background(),
+		Plan{Seed: 10, Days: 8, Workers: 3},
+		made(func(uint64) float64 { return 0 }),
+		bad,
+	)
 	if err == nil || err.Error() != "compare: day 12, side B: no such day" {
 		t.Fatal(err)
 	}
@@ -279,7 +307,8 @@
 		{"mute", "is no worker of the lab: EOF: what worker?"},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
-			if _, err := StartVersion(standIn(t, c.kind), nil, 2); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := StartVersion(standIn(t, c.kind), nil, 2); err == nil ||
+				!strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %s", err, c.want)
 			}
 		})
@@ -291,11 +320,13 @@
 		}
 		defer v.Close()
 		_, err = Run(context.Background(), Plan{Seed: 1, Days: 4, Workers: 2}, local(t, ""), v)
-		if err == nil || !strings.Contains(err.Error(), "side B") || !strings.Contains(err.Error(), "out of luck") {
+		if err == nil || !strings.Contains(err.Error(), "side B") ||
+			!strings.Contains(err.Error(), "out of luck") {
 			t.Errorf("%v", err)
 		}
 	})
-	if _, err := StartVersion(filepath.Join(t.TempDir(), "none"), nil, 1); !errors.Is(err, os.ErrNotExist) && !errors.Is(err, exec.ErrNotFound) {
+	if _, err := StartVersion(filepath.Join(t.TempDir(), "none"), nil, 1); !errors.Is(err, os.ErrNotExist) &&
+		!errors.Is(err, exec.ErrNotFound) {
 		t.Errorf("a build that is not there: %v", err)
 	}
 }
@@ -305,13 +336,14 @@
 	if err := Serve(strings.NewReader(`{"seed":1}`+"\nnonsense\n"), &out, made(func(uint64) float64 { return math.NaN() })); err == nil {
 		t.Error("no error")
 	}
-	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2 || lines[1] != `{"error":"no such day"}` {
+	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2 ||
+		lines[1] != `{"error":"no such day"}` {
 		t.Errorf("%q", out.String())
 	}
 }
 
-// A real run inside what the model says is told from one that is not; a further run of the model is inside as often as the
-// level says, and a fleet that is told otherwise is found out.
+// A real run inside what the model says is told from one that is not; a further run of the model is
+// inside as often as the level says, and a fleet that is told otherwise is found out.
 func TestHold(t *testing.T) {
 	play := func(l Local, noise uint64) *fleet.Run {
 		t.Helper()
--- a/internal/simulator/compare/each.go
+++ b/internal/simulator/compare/each.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// Each does n things on so many workers, and gives the first error by number. What is begun when the context ends is finished.
+// Each does n things on so many workers, and gives the first error by number. What is begun when
+// the context ends is finished.
 func Each(ctx context.Context, workers, n int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int)
--- a/internal/simulator/compare/estimate.go
+++ b/internal/simulator/compare/estimate.go
@@ -1,6 +1,6 @@
-// Package compare sets two settings, or two versions of the program, side by side on the same days, and says how much
-// better one is, with an interval, and whether that is more than chance. Days are drawn until the interval is narrow
-// enough or a limit is reached.
+// Package compare sets two settings, or two versions of the program, side by side on the same days,
+// and says how much better one is, with an interval, and whether that is more than chance. Days are
+// drawn until the interval is narrow enough or a limit is reached.
 package compare
 
 import (
@@ -31,10 +31,16 @@
 		{"worst school", "", 1, func(r *fleet.Run) float64 { return r.WorstTenant }},
 	}
 	for i, c := range like.Classes {
-		m = append(m, Metric{"class " + c.Name, "", 1, func(r *fleet.Run) float64 { return r.Classes[i].Served }})
+		m = append(
+			m,
+			Metric{"class " + c.Name, "", 1, func(r *fleet.Run) float64 { return r.Classes[i].Served }},
+		)
 	}
 	for i, t := range like.Tenants {
-		m = append(m, Metric{"school " + t.Name, "", 1, func(r *fleet.Run) float64 { return r.Tenants[i].Served }})
+		m = append(
+			m,
+			Metric{"school " + t.Name, "", 1, func(r *fleet.Run) float64 { return r.Tenants[i].Served }},
+		)
 	}
 	return append(m,
 		Metric{"p50", "ms", -1, func(r *fleet.Run) float64 { return r.All.P50Ms }},
@@ -74,8 +80,9 @@
 	return Paired(m.Name, m.Unit, m.More, a, b, alpha)
 }
 
-// Paired estimates the difference of a figure between the sides of pairs: what they have in common drops out. The interval is
-// Student's, at a level of 1 - alpha. more is 1 if more is better, and -1 if less is.
+// Paired estimates the difference of a figure between the sides of pairs: what they have in common
+// drops out. The interval is Student's, at a level of 1 - alpha. more is 1 if more is better, and
+// -1 if less is.
 func Paired(name, unit string, more int, a, b []float64, alpha float64) Estimate {
 	d := make([]float64, len(a))
 	for i := range a {
@@ -114,9 +121,10 @@
 	return Worse
 }
 
-// looks are the numbers of days at which the interval is looked at, up to a limit, and how much of alpha each look may
-// spend. Whoever looks again and again and stops when the interval pleases is wrong more often than alpha, so that the
-// looks share it: half for the first, half of the rest for the next, and what is left for the last.
+// looks are the numbers of days at which the interval is looked at, up to a limit, and how much of
+// alpha each look may spend. Whoever looks again and again and stops when the interval pleases is
+// wrong more often than alpha, so that the looks share it: half for the first, half of the rest for
+// the next, and what is left for the last.
 func looks(most int, alpha float64) (at []int, spend []float64) {
 	for n := min(8, most); ; n = min(2*n, most) {
 		at = append(at, n)
--- a/internal/simulator/compare/verify.go
+++ b/internal/simulator/compare/verify.go
@@ -20,9 +20,9 @@
 	Inside bool    `json:"inside"`
 }
 
-// Hold says for each figure of a day whether a real run lies in the model's interval: where one further run of the model
-// would lie at a level of 1 - alpha, going by runs of the same day that differ in chance alone. The interval is
-// Student's for a new observation.
+// Hold says for each figure of a day whether a real run lies in the model's interval: where one
+// further run of the model would lie at a level of 1 - alpha, going by runs of the same day that
+// differ in chance alone. The interval is Student's for a new observation.
 func Hold(real *fleet.Run, model []*fleet.Run, alpha float64) []Held {
 	var out []Held
 	n := float64(len(model))
--- a/internal/simulator/compare/worker.go
+++ b/internal/simulator/compare/worker.go
@@ -68,8 +68,8 @@
 	stderr *bytes.Buffer
 }
 
-// StartVersion starts so many workers of a build. One whose model is another is refused: what differs would be the
-// model, and not what is compared.
+// StartVersion starts so many workers of a build. One whose model is another is refused: what
+// differs would be the model, and not what is compared.
 func StartVersion(path string, args []string, workers int) (*Version, error) {
 	v := &Version{path: path, idle: make(chan *process, workers)}
 	for range workers {
@@ -105,7 +105,12 @@
 	}
 	if h.Model != fleet.Version {
 		p.stop()
-		return nil, fmt.Errorf("compare: %s plays version %d of the model, this is %d: their days are not alike", path, h.Model, fleet.Version)
+		return nil, fmt.Errorf(
+			"compare: %s plays version %d of the model, this is %d: their days are not alike",
+			path,
+			h.Model,
+			fleet.Version,
+		)
 	}
 	return p, nil
 }
--- a/internal/simulator/day/check.go
+++ b/internal/simulator/day/check.go
@@ -62,28 +62,67 @@
 		}
 		last = p.AtS
 	}
-	return s.check(figure{"load.of_capacity", s.Load.OfCapacity, 0, 20}, one("load.rate_s", s.Load.RateS, 0, 1e6),
+	return s.check(
+		figure{"load.of_capacity", s.Load.OfCapacity, 0, 20},
+		one("load.rate_s", s.Load.RateS, 0, 1e6),
 		figure{"load.burstiness", s.Load.Burstiness, 0, 5},
-		figure{"fleet.runners", f.Runners, 1, 2000}, figure{"fleet.cross_ms", f.CrossMs, 0, 1000},
-		one("fleet.near_ms", f.NearMs, 0, 1000), one("fleet.cores", float64(f.Cores), 1, 1024),
-		figure{"fleet.speed", f.Speed, 0.01, 100}, figure{"fleet.thrash", f.Thrash, 0, 100},
-		figure{"fleet.thrash_at", f.ThrashAt, 0.1, 1e6}, figure{"fleet.read_share", f.ReadShare, 0, 10},
-		one("fleet.backlog_per_core", float64(f.Backlog), 1, 1e6), figure{"fleet.memory_runs", f.MemoryRuns, 1, 1e6},
-		one("fleet.run_factor", f.RunFactor, 1, 1000), figure{"fleet.hold_kb", f.HoldKB, 0.1, 1999},
-		figure{"fleet.key_room", f.KeyRoom, 0.001, 0.9}, figure{"fleet.cold_from", f.ColdFrom, 0.01, 1},
-		figure{"fleet.cold_s", f.ColdS, 0, 3600}, figure{"fleet.cold_calls", f.ColdCalls, 0, 100},
-		figure{"fleet.restart_s", f.RestartS, 0.1, 3600}, one("fleet.crowd_limit", f.CrowdLimit, 1, 1000),
-		one("fleet.crowd_ms", f.CrowdMs, 100, 60_000), one("fleet.slack_ms", f.SlackMs, 0, 60_000),
-		one("fleet.drain_grace_ms", f.DrainMs, 0, 60_000), one("fleet.stop_ms", f.StopMs, 100, 600_000),
-		figure{"fleet.tells_gone_ms", f.TellsGoneMs, 0, 60_000}, one("fleet.gone_lost", f.GoneLost, 0, 1),
-		figure{"backend.slots", b.Slots, 0.1, 1e6}, figure{"backend.headroom", b.Headroom, 0.01, 1000},
-		figure{"backend.thrash", b.Thrash, 0, 100}, one("backend.fall", b.Fall, 1, 1e6), one("backend.fall_ms", b.FallMs, 100, 600_000),
-		figure{"backend.down_s", b.DownS, 0.1, 3600}, one("backend.linger_ms", b.LingerMs, 0, 60_000),
-		one("backend.cv", b.CV, 0, 10), figure{"roster.notice_s", s.Roster.NoticeS, 0, 600},
-		one("goal.over_share_worth", s.Goal.OverWorth, 0, 1), figure{"goal.quota_of_capacity", s.Goal.QuotaOf, 0, 100},
-		one("goal.whole", s.Goal.Whole, 0, 1), one("goal.worst_window", s.Goal.WorstWindow, 0, 1),
-		one("goal.worst_class", s.Goal.WorstClass, 0, 1), one("goal.worst_tenant", s.Goal.WorstTenant, 0, 1),
-		one("goal.waste_price", s.Goal.Waste, 0, 1), one("goal.late_fail_price", s.Goal.LateFail, 0, 1))
+		figure{"fleet.runners", f.Runners, 1, 2000},
+		figure{"fleet.cross_ms", f.CrossMs, 0, 1000},
+		one("fleet.near_ms", f.NearMs, 0, 1000),
+		one("fleet.cores", float64(f.Cores), 1, 1024),
+		figure{"fleet.speed", f.Speed, 0.01, 100},
+		figure{"fleet.thrash", f.Thrash, 0, 100},
+		figure{"fleet.thrash_at", f.ThrashAt, 0.1, 1e6},
+		figure{"fleet.read_share", f.ReadShare, 0, 10},
+		one(
+			"fleet.backlog_per_core",
+			float64(f.Backlog),
+			1,
+			1e6,
+		),
+		figure{"fleet.memory_runs", f.MemoryRuns, 1, 1e6},
+		one("fleet.run_factor", f.RunFactor, 1, 1000),
+		figure{"fleet.hold_kb", f.HoldKB, 0.1, 1999},
+		figure{"fleet.key_room", f.KeyRoom, 0.001, 0.9},
+		figure{"fleet.cold_from", f.ColdFrom, 0.01, 1},
+		figure{"fleet.cold_s", f.ColdS, 0, 3600},
+		figure{"fleet.cold_calls", f.ColdCalls, 0, 100},
+		figure{"fleet.restart_s", f.RestartS, 0.1, 3600},
+		one("fleet.crowd_limit", f.CrowdLimit, 1, 1000),
+		one("fleet.crowd_ms", f.CrowdMs, 100, 60_000),
+		one("fleet.slack_ms", f.SlackMs, 0, 60_000),
+		one("fleet.drain_grace_ms", f.DrainMs, 0, 60_000),
+		one("fleet.stop_ms", f.StopMs, 100, 600_000),
+		figure{"fleet.tells_gone_ms", f.TellsGoneMs, 0, 60_000},
+		one("fleet.gone_lost", f.GoneLost, 0, 1),
+		figure{"backend.slots", b.Slots, 0.1, 1e6},
+		figure{"backend.headroom", b.Headroom, 0.01, 1000},
+		figure{
+			"backend.thrash",
+			b.Thrash,
+			0,
+			100,
+		},
+		one("backend.fall", b.Fall, 1, 1e6),
+		one("backend.fall_ms", b.FallMs, 100, 600_000),
+		figure{"backend.down_s", b.DownS, 0.1, 3600},
+		one("backend.linger_ms", b.LingerMs, 0, 60_000),
+		one("backend.cv", b.CV, 0, 10),
+		figure{"roster.notice_s", s.Roster.NoticeS, 0, 600},
+		one(
+			"goal.over_share_worth",
+			s.Goal.OverWorth,
+			0,
+			1,
+		),
+		figure{"goal.quota_of_capacity", s.Goal.QuotaOf, 0, 100},
+		one("goal.whole", s.Goal.Whole, 0, 1),
+		one("goal.worst_window", s.Goal.WorstWindow, 0, 1),
+		one("goal.worst_class", s.Goal.WorstClass, 0, 1),
+		one("goal.worst_tenant", s.Goal.WorstTenant, 0, 1),
+		one("goal.waste_price", s.Goal.Waste, 0, 1),
+		one("goal.late_fail_price", s.Goal.LateFail, 0, 1),
+	)
 }
 
 func (s *Spec) checkBalancers() error {
@@ -122,7 +161,10 @@
 	if !slices.Contains(balance.Choices, balance.Choice(k.Choose)) {
 		return doc.Bad(at+"choose", "%q is none of %v", k.Choose, balance.Choices)
 	}
-	if ways := []balance.Retry{balance.Never, balance.Bounded, balance.Limitless}; !slices.Contains(ways, balance.Retry(k.Retry)) {
+	if ways := []balance.Retry{balance.Never, balance.Bounded, balance.Limitless}; !slices.Contains(
+		ways,
+		balance.Retry(k.Retry),
+	) {
 		return doc.Bad(at+"retry", "%q is none of %v", k.Retry, ways)
 	}
 	for _, f := range []figure{one("count", float64(k.Count), 1, 1000), one("tries", float64(k.Tries), 0, 100),
@@ -165,7 +207,8 @@
 	sum = 0
 	for i, t := range s.Tenants {
 		at := "tenants." + strconv.Itoa(i) + "."
-		if t.Name == "" || slices.ContainsFunc(s.Tenants[:i], func(o Tenant) bool { return o.Name == t.Name }) {
+		if t.Name == "" ||
+			slices.ContainsFunc(s.Tenants[:i], func(o Tenant) bool { return o.Name == t.Name }) {
 			return s.doc.Bad(at+"name", "%q is empty or stands twice", t.Name)
 		}
 		if err := s.check(one(at+"share", t.Share, 0, 1e6), one(at+"asks", t.Asks, 0, 1e6)); err != nil {
--- a/internal/simulator/day/day_test.go
+++ b/internal/simulator/day/day_test.go
@@ -84,7 +84,8 @@
 		if n < 10 || n > 17 || d.Rate < 0.5*d.Capacity || d.Rate > 0.7*d.Capacity {
 			t.Errorf("seed %d: %d runners, %v of %v", seed, n, d.Rate, d.Capacity)
 		}
-		if at := d.Events[0].At; at < 10e6 || at > 20e6 || len(d.Events[0].Runners) != int(math.Round(0.2*float64(n))) {
+		if at := d.Events[0].At; at < 10e6 || at > 20e6 ||
+			len(d.Events[0].Runners) != int(math.Round(0.2*float64(n))) {
 			t.Errorf("seed %d: %+v of %d runners", seed, d.Events[0], n)
 		}
 		bursts += len(d.Events) - 1
@@ -98,7 +99,13 @@
 func TestArrivals(t *testing.T) {
 	s := parse(t, plain)
 	s.Troubles = nil
-	early, late, byClass, byBalancer, work, calls := 0.0, 0.0, make([]float64, 3), make([]float64, 3), 0.0, 0.0
+	early, late, byClass, byBalancer, work, calls := 0.0, 0.0, make(
+		[]float64,
+		3,
+	), make(
+		[]float64,
+		3,
+	), 0.0, 0.0
 	var d *Day
 	want := 0.0
 	for seed := range uint64(5) {
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -109,9 +109,22 @@
 	mean /= shares
 	read := pick(r, f.ReadShare) * mean
 	d.HoldKB = pick(r, f.HoldKB)
-	m := dependencies.MachineSpec{Cores: f.Cores, Thrash: pick(r, f.Thrash), ThrashAt: pick(r, f.ThrashAt), ReadWork: read,
-		Backlog: f.Backlog, RunFactor: f.RunFactor, CrowdLimit: f.CrowdLimit, CrowdOver: int64(f.CrowdMs * 1000),
-		ColdFrom: pick(r, f.ColdFrom), ColdFor: int64(pick(r, f.ColdS) * second), ColdCalls: pick(r, f.ColdCalls)}
+	m := dependencies.MachineSpec{
+		Cores:      f.Cores,
+		Thrash:     pick(r, f.Thrash),
+		ThrashAt:   pick(r, f.ThrashAt),
+		ReadWork:   read,
+		Backlog:    f.Backlog,
+		RunFactor:  f.RunFactor,
+		CrowdLimit: f.CrowdLimit,
+		CrowdOver:  int64(f.CrowdMs * 1000),
+		ColdFrom: pick(
+			r,
+			f.ColdFrom,
+		),
+		ColdFor:   int64(pick(r, f.ColdS) * second),
+		ColdCalls: pick(r, f.ColdCalls),
+	}
 	m.MemoryKB = pick(r, f.MemoryRuns) * float64(f.Cores) * f.RunFactor * d.HoldKB
 	d.CrossUs = pick(r, f.CrossMs) * 1000
 	n := int(math.Round(pick(r, f.Runners)))
@@ -120,7 +133,10 @@
 		one := m
 		one.Speed = pick(Stream(d.Seed, "speed", uint64(i)), f.Speed)
 		fleet += one.Speed * float64(f.Cores)
-		d.Runners = append(d.Runners, Runner{Name: "n" + strconv.Itoa(i+1), Hall: i % len(f.Halls), Spec: one})
+		d.Runners = append(
+			d.Runners,
+			Runner{Name: "n" + strconv.Itoa(i+1), Hall: i % len(f.Halls), Spec: one},
+		)
 	}
 	d.Capacity = fleet * second / (mean + read)
 	d.Rate = pick(r, d.Spec.Load.OfCapacity) * d.Capacity
@@ -144,8 +160,17 @@
 		calls += c.Share * d.CallMean[i]
 		shares += c.Share
 	}
-	d.BackEnd = dependencies.BackEndSpec{Slots: pick(r, b.Slots), Thrash: pick(r, b.Thrash), Sheds: b.Sheds, Fall: b.Fall,
-		FallOver: int64(b.FallMs * 1000), DownFor: int64(pick(r, b.DownS) * second), Linger: int64(b.LingerMs * 1000)}
+	d.BackEnd = dependencies.BackEndSpec{
+		Slots:  pick(r, b.Slots),
+		Thrash: pick(r, b.Thrash),
+		Sheds:  b.Sheds,
+		Fall:   b.Fall,
+		FallOver: int64(
+			b.FallMs * 1000,
+		),
+		DownFor: int64(pick(r, b.DownS) * second),
+		Linger:  int64(b.LingerMs * 1000),
+	}
 	if rate := pick(r, b.Headroom) * d.Capacity * calls / shares; rate > 0 {
 		d.CallWork = d.BackEnd.Slots / rate * second
 	}
@@ -164,7 +189,13 @@
 func (d *Day) drawEvents() {
 	for i, t := range d.Spec.Troubles {
 		r := Stream(d.Seed, "trouble", uint64(i))
-		e := Event{Kind: t.Kind, At: int64(pick(r, t.AtS) * second), For: int64(pick(r, t.ForS) * second), Times: pick(r, t.Times), Hall: -1}
+		e := Event{
+			Kind:  t.Kind,
+			At:    int64(pick(r, t.AtS) * second),
+			For:   int64(pick(r, t.ForS) * second),
+			Times: pick(r, t.Times),
+			Hall:  -1,
+		}
 		for h, name := range d.Spec.Fleet.Halls {
 			if name == t.Hall {
 				e.Hall = h
@@ -223,8 +254,9 @@
 	return distuv.NewCategorical(w, src)
 }
 
-// drawArrivals draws first tries as a Poisson stream whose rate follows the curve and, where the load is bursty, a
-// level that changes a few times a second. Each request draws what it is from its own stream.
+// drawArrivals draws first tries as a Poisson stream whose rate follows the curve and, where the
+// load is bursty, a level that changes a few times a second. Each request draws what it is from its
+// own stream.
 func (d *Day) drawArrivals() {
 	spec, src := d.Spec, Stream(d.Seed, "arrivals", 0)
 	most := 0.0
@@ -271,8 +303,16 @@
 		id++
 		r := Stream(d.Seed, "request", a.ID)
 		a.Class = int(weights(len(classes), func(i int) float64 { return classes[i] }, r).Rand())
-		a.Tenant = int(weights(len(spec.Tenants), func(i int) float64 { return spec.Tenants[i].asks() }, r).Rand())
-		a.Balancer = int(weights(len(d.Balancers), func(i int) float64 { return spec.Balancers[d.Balancers[i].Kind].Share }, r).Rand())
+		a.Tenant = int(
+			weights(len(spec.Tenants), func(i int) float64 { return spec.Tenants[i].asks() }, r).Rand(),
+		)
+		a.Balancer = int(
+			weights(
+				len(d.Balancers),
+				func(i int) float64 { return spec.Balancers[d.Balancers[i].Kind].Share },
+				r,
+			).Rand(),
+		)
 		d.fill(&a, r, cvs, ranks)
 		share.count(&a)
 		d.Arrivals = append(d.Arrivals, a)
@@ -349,21 +389,46 @@
 	return r.Float64(), lognormal(d.CallWork, d.Spec.BackEnd.CV, r)
 }
 
-var effects = map[string]admission.Effect{"safe": admission.Safe, "keyed": admission.Keyed, "unsafe": admission.Unsafe}
+var effects = map[string]admission.Effect{
+	"safe":   admission.Safe,
+	"keyed":  admission.Keyed,
+	"unsafe": admission.Unsafe,
+}
 
 // drawSettings is what a runner is told of all this.
 func (d *Day) drawSettings() {
 	f, g := &d.Spec.Fleet, &d.Spec.Goal
 	us := func(ms float64) time.Duration { return time.Duration(ms*1000) * time.Microsecond }
 	m := d.Runners[0].Spec
-	set := admission.Settings{Servers: len(d.Runners), Callers: len(d.Balancers), Cores: f.Cores, MemoryKB: m.MemoryKB,
-		RunFactor: f.RunFactor, KeyKB: d.KeyKB, CreditMode: admission.CreditAllowance, CreditLife: creditLife * time.Microsecond,
-		DeepChecks: true, TellsGone: true, IdleFor: 30 * time.Second, MaxStayAway: stayAway * time.Microsecond,
-		OverWorth: g.OverWorth, Slack: us(f.SlackMs), DrainGrace: us(f.DrainMs), CrowdLimit: f.CrowdLimit, CrowdOver: us(f.CrowdMs),
-		ColdShare: f.ColdFrom.Lo, ColdFor: us(f.ColdS.Hi * 1000)}
+	set := admission.Settings{
+		Servers:     len(d.Runners),
+		Callers:     len(d.Balancers),
+		Cores:       f.Cores,
+		MemoryKB:    m.MemoryKB,
+		RunFactor:   f.RunFactor,
+		KeyKB:       d.KeyKB,
+		CreditMode:  admission.CreditAllowance,
+		CreditLife:  creditLife * time.Microsecond,
+		DeepChecks:  true,
+		TellsGone:   true,
+		IdleFor:     30 * time.Second,
+		MaxStayAway: stayAway * time.Microsecond,
+		OverWorth:   g.OverWorth,
+		Slack:       us(f.SlackMs),
+		DrainGrace:  us(f.DrainMs),
+		CrowdLimit:  f.CrowdLimit,
+		CrowdOver:   us(f.CrowdMs),
+		ColdShare:   f.ColdFrom.Lo,
+		ColdFor:     us(f.ColdS.Hi * 1000),
+	}
 	for i, c := range d.Spec.Classes {
-		set.Classes = append(set.Classes, admission.Class{Name: c.Name, Target: us(c.AimMs), Deadline: us(c.DeadlineMs),
-			Window: us(c.WindowMs), Effect: effects[c.Effect], Worth: c.Worth, LateWorth: c.LateWorth, Calls: d.CallMean[i] > 0})
+		set.Classes = append(
+			set.Classes,
+			admission.Class{Name: c.Name, Target: us(c.AimMs), Deadline: us(c.DeadlineMs),
+				Window: us(
+					c.WindowMs,
+				), Effect: effects[c.Effect], Worth: c.Worth, LateWorth: c.LateWorth, Calls: d.CallMean[i] > 0},
+		)
 		if d.CallMean[i] > 0 {
 			set.Dependency = admission.DependencyShared
 		}
--- a/internal/simulator/day/named.go
+++ b/internal/simulator/day/named.go
@@ -28,7 +28,11 @@
 	text, err := scenarios.ReadFile(path.Join("scenarios", name+".yaml"))
 	if err != nil {
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, nil, fmt.Errorf("day: no scenario of this name is built in (%s), and no file: %w", strings.Join(Names(), ", "), err)
+			return nil, nil, fmt.Errorf(
+				"day: no scenario of this name is built in (%s), and no file: %w",
+				strings.Join(Names(), ", "),
+				err,
+			)
 		}
 	}
 	s, err := Parse(name, text)
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -19,11 +19,13 @@
 	Further  int // tries that were taken for further ones
 }
 
-// jitter is how far a copy of a request is moved when the rate is scaled up, or copies would come in pairs.
+// jitter is how far a copy of a request is moved when the rate is scaled up, or copies would come
+// in pairs.
 const jitter = 250_000
 
-// WithTraffic gives the scenario with recorded traffic, at so many times its rate. The day is as long as the recording;
-// fleet, troubles, work and sizes stay the scenario's, for a recording knows nothing of the work.
+// WithTraffic gives the scenario with recorded traffic, at so many times its rate. The day is as
+// long as the recording; fleet, troubles, work and sizes stay the scenario's, for a recording knows
+// nothing of the work.
 func (s *Spec) WithTraffic(rec *traffic.Recording, rate float64) (*Spec, *Replay, error) {
 	if !(rate > 0 && rate <= 100) {
 		return nil, nil, fmt.Errorf("day: a rate of %v times the recorded one", rate)
@@ -35,18 +37,28 @@
 	for _, name := range rec.Classes {
 		i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 		if i < 0 {
-			return nil, nil, fmt.Errorf("day: the recording has a class %q, which %s does not name", name, s.Name)
+			return nil, nil, fmt.Errorf(
+				"day: the recording has a class %q, which %s does not name",
+				name,
+				s.Name,
+			)
 		}
 		r.classes = append(r.classes, i)
 	}
 	for _, name := range rec.Tenants {
 		i := slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if i < 0 {
-			return nil, nil, fmt.Errorf("day: the recording has a tenant %q, which %s does not name", name, s.Name)
+			return nil, nil, fmt.Errorf(
+				"day: the recording has a tenant %q, which %s does not name",
+				name,
+				s.Name,
+			)
 		}
 		r.tenants = append(r.tenants, i)
 	}
-	r.requests, r.Further = rec.FirstTries(func(class int) int64 { return int64(s.Classes[r.classes[class]].DeadlineMs * 1000) })
+	r.requests, r.Further = rec.FirstTries(
+		func(class int) int64 { return int64(s.Classes[r.classes[class]].DeadlineMs * 1000) },
+	)
 	r.began = r.requests[0].At
 	out := *s
 	out.replay = r
@@ -58,8 +70,9 @@
 	return &out, r, nil
 }
 
-// replayArrivals takes first tries from a recording. At a higher rate some come twice or more, a little apart; at a lower
-// one some are left out. Which, and what they ask of the cores, is drawn anew for each day.
+// replayArrivals takes first tries from a recording. At a higher rate some come twice or more, a
+// little apart; at a lower one some are left out. Which, and what they ask of the cores, is drawn
+// anew for each day.
 func (d *Day) replayArrivals() {
 	r, cvs, ranks := d.Spec.replay, d.variations(), d.ranks()
 	id := uint64(0)
@@ -74,7 +87,13 @@
 			if at < 0 || at >= d.Length {
 				at = q.At - r.began
 			}
-			a := Arrival{At: at, ID: id, Class: r.classes[q.Class], Tenant: r.tenants[q.Tenant], Balancer: int(q.Caller) % len(d.Balancers)}
+			a := Arrival{
+				At:       at,
+				ID:       id,
+				Class:    r.classes[q.Class],
+				Tenant:   r.tenants[q.Tenant],
+				Balancer: int(q.Caller) % len(d.Balancers),
+			}
 			d.fill(&a, Stream(d.Seed, "request", id), cvs, ranks)
 			a.SizeKB, a.Rank = float64(q.SizeKB), float64(q.Rank)
 			if !(a.SizeKB > 0) {
@@ -91,7 +110,8 @@
 	d.Rate = float64(len(d.Arrivals)) / d.Spec.LengthS
 }
 
-// Record gives the traffic of a day as a recording, as if one runner had read it all without further tries.
+// Record gives the traffic of a day as a recording, as if one runner had read it all without
+// further tries.
 func (d *Day) Record(began int64) (h traffic.Head, requests []traffic.Request) {
 	h = traffic.Head{Runner: d.Spec.Name, Began: began}
 	for _, c := range d.Spec.Classes {
@@ -101,8 +121,16 @@
 		h.Tenants = append(h.Tenants, t.Name)
 	}
 	for _, a := range d.Arrivals {
-		q := traffic.Request{At: began + a.At, Class: uint16(a.Class), Tenant: uint16(a.Tenant), Caller: uint32(a.Balancer),
-			SizeKB: float32(a.SizeKB), Rank: float32(a.Rank), Body: Mix(d.Seed, "body", a.ID), BodyLen: 8}
+		q := traffic.Request{
+			At:      began + a.At,
+			Class:   uint16(a.Class),
+			Tenant:  uint16(a.Tenant),
+			Caller:  uint32(a.Balancer),
+			SizeKB:  float32(a.SizeKB),
+			Rank:    float32(a.Rank),
+			Body:    Mix(d.Seed, "body", a.ID),
+			BodyLen: 8,
+		}
 		if d.Spec.Classes[a.Class].Effect == "keyed" {
 			q.Key = Mix(d.Seed, "key", a.ID)
 		}
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -16,7 +16,8 @@
 	return &traffic.Recording{Head: h, Requests: requests}
 }
 
-// Recorded traffic comes again as it was: times, classes, tenants, balancers, sizes and ranks. Its work is drawn.
+// Recorded traffic comes again as it was: times, classes, tenants, balancers, sizes and ranks. Its
+// work is drawn.
 func TestReplay(t *testing.T) {
 	s := parse(t, plain)
 	was := Draw(s, 1).Arrivals
--- a/internal/simulator/day/rng.go
+++ b/internal/simulator/day/rng.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Stream is a source of random numbers of its own for one purpose. Since purposes do not share a source, one that draws
-// more leaves the others as they were: two runs of a day meet the same traffic and the same troubles, whatever differs.
+// Stream is a source of random numbers of its own for one purpose. Since purposes do not share a
+// source, one that draws more leaves the others as they were: two runs of a day meet the same
+// traffic and the same troubles, whatever differs.
 func Stream(seed uint64, purpose string, index uint64) *rand.Rand {
 	a := Mix(seed, purpose, index)
 	return rand.New(rand.NewPCG(a, a^0x9e3779b97f4a7c15))
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -1,5 +1,6 @@
-// Package day holds the days that the simulator plays: a YAML scenario that is checked, and the draw of one day from it. A
-// scenario gives ranges; a draw settles each of them, the traffic and the troubles from one seed.
+// Package day holds the days that the simulator plays: a YAML scenario that is checked, and the
+// draw of one day from it. A scenario gives ranges; a draw settles each of them, the traffic and
+// the troubles from one seed.
 package day
 
 import (
@@ -67,7 +68,8 @@
 type Load struct {
 	OfCapacity Range   `yaml:"of_capacity" json:"of_capacity"`
 	RateS      float64 `yaml:"rate_s" json:"rate_s"` // first tries a second; in place of a share
-	Curve      []Point `yaml:"curve" json:"curve"`   // times the load, in straight lines between points
+	// times the load, in straight lines between points
+	Curve      []Point `yaml:"curve" json:"curve"`
 	Burstiness Range   `yaml:"burstiness" json:"burstiness"`
 }
 
@@ -79,37 +81,42 @@
 
 // Fleet is what the runners' machines are like.
 type Fleet struct {
-	Runners     Range    `yaml:"runners" json:"runners"`
-	Halls       []string `yaml:"halls" json:"halls"`
-	CrossMs     Range    `yaml:"cross_ms" json:"cross_ms"` // between halls, one way
-	NearMs      float64  `yaml:"near_ms" json:"near_ms"`   // within one
-	Cores       int      `yaml:"cores" json:"cores"`
-	Speed       Range    `yaml:"speed" json:"speed"`
-	Thrash      Range    `yaml:"thrash" json:"thrash"`
-	ThrashAt    Range    `yaml:"thrash_at" json:"thrash_at"`
-	ReadShare   Range    `yaml:"read_share" json:"read_share"` // reading, as a share of the mean work
-	Backlog     int      `yaml:"backlog_per_core" json:"backlog_per_core"`
-	MemoryRuns  Range    `yaml:"memory_runs" json:"memory_runs"` // running requests a core that fill the memory
-	RunFactor   float64  `yaml:"run_factor" json:"run_factor"`
-	HoldKB      Range    `yaml:"hold_kb" json:"hold_kb"`
-	KeyRoom     Range    `yaml:"key_room" json:"key_room"` // of the memory, for all keys at full load
-	ColdFrom    Range    `yaml:"cold_from" json:"cold_from"`
-	ColdS       Range    `yaml:"cold_s" json:"cold_s"`
-	ColdCalls   Range    `yaml:"cold_calls" json:"cold_calls"`
-	RestartS    Range    `yaml:"restart_s" json:"restart_s"` // after it fell over
-	CrowdLimit  float64  `yaml:"crowd_limit" json:"crowd_limit"`
-	CrowdMs     float64  `yaml:"crowd_ms" json:"crowd_ms"`
-	SlackMs     float64  `yaml:"slack_ms" json:"slack_ms"`
-	DrainMs     float64  `yaml:"drain_grace_ms" json:"drain_grace_ms"`
-	StopMs      float64  `yaml:"stop_ms" json:"stop_ms"`
-	TellsGoneMs Range    `yaml:"tells_gone_ms" json:"tells_gone_ms"`
-	GoneLost    float64  `yaml:"gone_lost" json:"gone_lost"` // share of give-ups that a runner never hears of
+	Runners  Range    `yaml:"runners" json:"runners"`
+	Halls    []string `yaml:"halls" json:"halls"`
+	CrossMs  Range    `yaml:"cross_ms" json:"cross_ms"` // between halls, one way
+	NearMs   float64  `yaml:"near_ms" json:"near_ms"`   // within one
+	Cores    int      `yaml:"cores" json:"cores"`
+	Speed    Range    `yaml:"speed" json:"speed"`
+	Thrash   Range    `yaml:"thrash" json:"thrash"`
+	ThrashAt Range    `yaml:"thrash_at" json:"thrash_at"`
+	// reading, as a share of the mean work
+	ReadShare Range `yaml:"read_share" json:"read_share"`
+	Backlog   int   `yaml:"backlog_per_core" json:"backlog_per_core"`
+	// running requests a core that fill the memory
+	MemoryRuns Range   `yaml:"memory_runs" json:"memory_runs"`
+	RunFactor  float64 `yaml:"run_factor" json:"run_factor"`
+	HoldKB     Range   `yaml:"hold_kb" json:"hold_kb"`
+	// of the memory, for all keys at full load
+	KeyRoom     Range   `yaml:"key_room" json:"key_room"`
+	ColdFrom    Range   `yaml:"cold_from" json:"cold_from"`
+	ColdS       Range   `yaml:"cold_s" json:"cold_s"`
+	ColdCalls   Range   `yaml:"cold_calls" json:"cold_calls"`
+	RestartS    Range   `yaml:"restart_s" json:"restart_s"` // after it fell over
+	CrowdLimit  float64 `yaml:"crowd_limit" json:"crowd_limit"`
+	CrowdMs     float64 `yaml:"crowd_ms" json:"crowd_ms"`
+	SlackMs     float64 `yaml:"slack_ms" json:"slack_ms"`
+	DrainMs     float64 `yaml:"drain_grace_ms" json:"drain_grace_ms"`
+	StopMs      float64 `yaml:"stop_ms" json:"stop_ms"`
+	TellsGoneMs Range   `yaml:"tells_gone_ms" json:"tells_gone_ms"`
+	// share of give-ups that a runner never hears of
+	GoneLost float64 `yaml:"gone_lost" json:"gone_lost"`
 }
 
 // BackEnd is what the shared back end is like.
 type BackEnd struct {
-	Slots    Range   `yaml:"slots" json:"slots"`
-	Headroom Range   `yaml:"headroom" json:"headroom"` // its capacity over the calls of a full fleet
+	Slots Range `yaml:"slots" json:"slots"`
+	// its capacity over the calls of a full fleet
+	Headroom Range   `yaml:"headroom" json:"headroom"`
 	Thrash   Range   `yaml:"thrash" json:"thrash"`
 	Sheds    bool    `yaml:"sheds" json:"sheds"`
 	Fall     float64 `yaml:"fall" json:"fall"` // times the slots
@@ -126,15 +133,16 @@
 
 // BalancerKind is a number of balancers of one habit.
 type BalancerKind struct {
-	Count        int     `yaml:"count" json:"count"`
-	Choose       string  `yaml:"choose" json:"choose"`
-	Retry        string  `yaml:"retry" json:"retry"`
-	Tries        int     `yaml:"tries" json:"tries"`
-	Budget       float64 `yaml:"retry_budget" json:"retry_budget"`
-	PauseMs      float64 `yaml:"pause_ms" json:"pause_ms"`
-	Patience     float64 `yaml:"patience" json:"patience"`
-	CopyAfterMs  float64 `yaml:"copy_after_ms" json:"copy_after_ms"`
-	Heeds        float64 `yaml:"heeds" json:"heeds"` // the share of them that heed what they are told
+	Count       int     `yaml:"count" json:"count"`
+	Choose      string  `yaml:"choose" json:"choose"`
+	Retry       string  `yaml:"retry" json:"retry"`
+	Tries       int     `yaml:"tries" json:"tries"`
+	Budget      float64 `yaml:"retry_budget" json:"retry_budget"`
+	PauseMs     float64 `yaml:"pause_ms" json:"pause_ms"`
+	Patience    float64 `yaml:"patience" json:"patience"`
+	CopyAfterMs float64 `yaml:"copy_after_ms" json:"copy_after_ms"`
+	// the share of them that heed what they are told
+	Heeds        float64 `yaml:"heeds" json:"heeds"`
 	CheckEveryMs float64 `yaml:"check_every_ms" json:"check_every_ms"`
 	EjectAfter   int     `yaml:"eject_after" json:"eject_after"`
 	EjectMs      float64 `yaml:"eject_ms" json:"eject_ms"`
@@ -173,9 +181,10 @@
 	WorstClass  float64 `yaml:"worst_class" json:"worst_class"`
 	WorstTenant float64 `yaml:"worst_tenant" json:"worst_tenant"`
 	OverWorth   float64 `yaml:"over_share_worth" json:"over_share_worth"`
-	QuotaOf     Range   `yaml:"quota_of_capacity" json:"quota_of_capacity"` // what all shares come to
-	Waste       float64 `yaml:"waste_price" json:"waste_price"`
-	LateFail    float64 `yaml:"late_fail_price" json:"late_fail_price"`
+	// what all shares come to
+	QuotaOf  Range   `yaml:"quota_of_capacity" json:"quota_of_capacity"`
+	Waste    float64 `yaml:"waste_price" json:"waste_price"`
+	LateFail float64 `yaml:"late_fail_price" json:"late_fail_price"`
 }
 
 // The kinds of trouble.
@@ -207,13 +216,46 @@
 func standard() *Spec {
 	return &Spec{LengthS: 60, WindowS: 10,
 		Load: Load{OfCapacity: Range{0.65, 0.65}},
-		Fleet: Fleet{Runners: Range{12, 12}, Halls: []string{"kista", "solna", "haninge"}, CrossMs: Range{1.4, 2.6}, NearMs: 0.2,
-			Cores: 6, Speed: Range{0.85, 1.1}, Thrash: Range{0.2, 0.48}, ThrashAt: Range{2, 4.8}, ReadShare: Range{0.22, 0.28},
-			Backlog: 128, MemoryRuns: Range{12, 20}, RunFactor: 8, HoldKB: Range{28, 56}, KeyRoom: Range{0.16, 0.32},
-			ColdFrom: Range{0.2, 0.49}, ColdS: Range{8.6, 18}, ColdCalls: Range{0.33, 2}, RestartS: Range{4, 8}, CrowdLimit: 6,
-			CrowdMs: 2000, SlackMs: 60, DrainMs: 1800, StopMs: 6000, TellsGoneMs: Range{5, 200}, GoneLost: 0.1},
-		BackEnd: BackEnd{Slots: Range{5, 9}, Headroom: Range{1.3, 1.7}, Thrash: Range{0.4, 0.6}, Fall: 5, FallMs: 5000,
-			DownS: Range{3, 6}, LingerMs: 200, CV: 0.5},
+		Fleet: Fleet{
+			Runners:    Range{12, 12},
+			Halls:      []string{"kista", "solna", "haninge"},
+			CrossMs:    Range{1.4, 2.6},
+			NearMs:     0.2,
+			Cores:      6,
+			Speed:      Range{0.85, 1.1},
+			Thrash:     Range{0.2, 0.48},
+			ThrashAt:   Range{2, 4.8},
+			ReadShare:  Range{0.22, 0.28},
+			Backlog:    128,
+			MemoryRuns: Range{12, 20},
+			RunFactor:  8,
+			HoldKB:     Range{28, 56},
+			KeyRoom:    Range{0.16, 0.32},
+			ColdFrom: Range{
+				0.2,
+				0.49,
+			},
+			ColdS:       Range{8.6, 18},
+			ColdCalls:   Range{0.33, 2},
+			RestartS:    Range{4, 8},
+			CrowdLimit:  6,
+			CrowdMs:     2000,
+			SlackMs:     60,
+			DrainMs:     1800,
+			StopMs:      6000,
+			TellsGoneMs: Range{5, 200},
+			GoneLost:    0.1,
+		},
+		BackEnd: BackEnd{
+			Slots:    Range{5, 9},
+			Headroom: Range{1.3, 1.7},
+			Thrash:   Range{0.4, 0.6},
+			Fall:     5,
+			FallMs:   5000,
+			DownS:    Range{3, 6},
+			LingerMs: 200,
+			CV:       0.5,
+		},
 		Roster: Roster{NoticeS: Range{1.1, 3.9}},
 		Goal: Goal{Whole: 0.45, WorstWindow: 0.15, WorstClass: 0.3, WorstTenant: 0.1, OverWorth: 0.05,
 			QuotaOf: Range{0.61, 0.99}, Waste: 0.05, LateFail: 0.044}}
@@ -222,12 +264,41 @@
 // standardClasses and standardTenants stand for a scenario that names none.
 func standardClasses() []Class {
 	return []Class{
-		{Name: "quick-check", Share: 0.42, WorkMs: Range{150, 260}, CV: Range{0.58, 1.2}, AimMs: 2700, DeadlineMs: 9000, Worth: 1,
-			LateWorth: 0.2, Effect: "safe", Calls: Range{0.8, 1.2}},
-		{Name: "full-check", Share: 0.35, WorkMs: Range{350, 620}, CV: Range{0.65, 1.1}, AimMs: 2700, DeadlineMs: 9000, Worth: 1,
-			Effect: "safe"},
-		{Name: "hand-in", Share: 0.23, WorkMs: Range{150, 260}, CV: Range{0.41, 1.1}, AimMs: 1800, DeadlineMs: 4300,
-			WindowMs: 13020, Worth: 3, LateWorth: 0.2, Effect: "keyed", Calls: Range{1, 2}},
+		{
+			Name:       "quick-check",
+			Share:      0.42,
+			WorkMs:     Range{150, 260},
+			CV:         Range{0.58, 1.2},
+			AimMs:      2700,
+			DeadlineMs: 9000,
+			Worth:      1,
+			LateWorth:  0.2,
+			Effect:     "safe",
+			Calls:      Range{0.8, 1.2},
+		},
+		{
+			Name:       "full-check",
+			Share:      0.35,
+			WorkMs:     Range{350, 620},
+			CV:         Range{0.65, 1.1},
+			AimMs:      2700,
+			DeadlineMs: 9000,
+			Worth:      1,
+			Effect:     "safe",
+		},
+		{
+			Name:       "hand-in",
+			Share:      0.23,
+			WorkMs:     Range{150, 260},
+			CV:         Range{0.41, 1.1},
+			AimMs:      1800,
+			DeadlineMs: 4300,
+			WindowMs:   13020,
+			Worth:      3,
+			LateWorth:  0.2,
+			Effect:     "keyed",
+			Calls:      Range{1, 2},
+		},
 	}
 }
 
@@ -260,10 +331,27 @@
 // Habit is how balancers of the kind behave; one that heeds or one that does not.
 func (k *BalancerKind) Habit(heeds bool) balance.Habit {
 	us := func(ms float64) int64 { return int64(ms * 1000) }
-	return balance.Habit{Choose: balance.Choice(k.Choose), Retry: balance.Retry(k.Retry), Tries: k.Tries, Budget: k.Budget,
-		Pause: us(k.PauseMs), Patience: k.Patience, CopyAfter: us(k.CopyAfterMs), Heeds: heeds, CreditLife: creditLife,
-		CheckEvery: us(k.CheckEveryMs), EjectAfter: k.EjectAfter, EjectFor: us(k.EjectMs), Throttle: k.Throttle,
-		Subset: k.Subset, Stick: k.Stick}
+	return balance.Habit{
+		Choose: balance.Choice(k.Choose),
+		Retry:  balance.Retry(k.Retry),
+		Tries:  k.Tries,
+		Budget: k.Budget,
+		Pause: us(
+			k.PauseMs,
+		),
+		Patience:   k.Patience,
+		CopyAfter:  us(k.CopyAfterMs),
+		Heeds:      heeds,
+		CreditLife: creditLife,
+		CheckEvery: us(
+			k.CheckEveryMs,
+		),
+		EjectAfter: k.EjectAfter,
+		EjectFor:   us(k.EjectMs),
+		Throttle:   k.Throttle,
+		Subset:     k.Subset,
+		Stick:      k.Stick,
+	}
 }
 
 func (t *Tenant) asks() float64 {
@@ -283,8 +371,8 @@
 	return fmt.Sprintf("balancers.%d.%s: %s", e.Place, e.Field, e.What)
 }
 
-// Override gives the scenario's kinds of balancers with some of their fields changed. How many there are of each and
-// what part of the traffic they get belongs to the day and stays.
+// Override gives the scenario's kinds of balancers with some of their fields changed. How many
+// there are of each and what part of the traffic they get belongs to the day and stays.
 func (s *Spec) Override(changes []yaml.Node) ([]BalancerKind, *OverrideError) {
 	kinds := slices.Clone(s.Balancers)
 	for i := range changes {
--- a/internal/simulator/dependencies/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -47,7 +47,14 @@
 func NewBackEnd(clock virtualclock.Clock, spec BackEndSpec) *BackEnd {
 	b := &BackEnd{spec: spec, clock: clock, slow: 1, calls: map[*job]*Call{},
 		window: newWindow(max(int(spec.FallOver/sampleEvery), 1))}
-	b.slots = share{clock: clock, places: spec.Slots, thrash: spec.Thrash, crowd: spec.Slots, speed: 1, at: float64(clock.Now())}
+	b.slots = share{
+		clock:  clock,
+		places: spec.Slots,
+		thrash: spec.Thrash,
+		crowd:  spec.Slots,
+		speed:  1,
+		at:     float64(clock.Now()),
+	}
 	clock.After(sampleEvery, b.sample)
 	return b
 }
@@ -94,7 +101,8 @@
 	}
 }
 
-// GiveUp drops a call: nothing is told of it any more, and it leaves the back end's hands a little later.
+// GiveUp drops a call: nothing is told of it any more, and it leaves the back end's hands a little
+// later.
 func (b *BackEnd) GiveUp(c *Call) {
 	c.done = nil
 	if c.job != nil {
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -48,8 +48,9 @@
 
 const (
 	sampleEvery = 100_000 // of gauges, memory and crowd
-	bookAfter   = 100_000 // a held request counts against the memory so long after it was written (PROTOCOL)
-	cpuSamples  = 5       // half a second
+	// a held request counts against the memory so long after it was written (PROTOCOL)
+	bookAfter  = 100_000
+	cpuSamples = 5 // half a second
 )
 
 type run struct {
@@ -94,9 +95,19 @@
 
 // NewMachine starts a machine, cold or warm.
 func NewMachine(clock virtualclock.Clock, spec MachineSpec, cold bool, tenant Tenant) *Machine {
-	m := &Machine{spec: spec, clock: clock, tenant: tenant, born: clock.Now(), cold: cold && spec.ColdFor > 0, slow: 1,
-		runs: map[string]*run{}, held: map[string]float64{}, crowdAt: clock.Now(), cpuWin: newWindow(cpuSamples),
-		crowds: newWindow(max(int(spec.CrowdOver/sampleEvery), 1))}
+	m := &Machine{
+		spec:    spec,
+		clock:   clock,
+		tenant:  tenant,
+		born:    clock.Now(),
+		cold:    cold && spec.ColdFor > 0,
+		slow:    1,
+		runs:    map[string]*run{},
+		held:    map[string]float64{},
+		crowdAt: clock.Now(),
+		cpuWin:  newWindow(cpuSamples),
+		crowds:  newWindow(max(int(spec.CrowdOver/sampleEvery), 1)),
+	}
 	m.cores = share{clock: clock, places: float64(spec.Cores), thrash: spec.Thrash,
 		crowd: max(spec.ThrashAt, 0.1) * float64(spec.Cores), at: float64(clock.Now())}
 	m.cores.speed = m.speed()
@@ -135,8 +146,8 @@
 	m.cores.setSpeed(m.speed())
 }
 
-// Read reads a request that has come to the machine, which takes work: one a core at a time, the others wait unread.
-// It reports whether there was room.
+// Read reads a request that has come to the machine, which takes work: one a core at a time, the
+// others wait unread. It reports whether there was room.
 func (m *Machine) Read(done func()) bool {
 	if m.dead || len(m.unread) >= m.spec.Backlog*m.spec.Cores {
 		return false
@@ -166,7 +177,8 @@
 	m.held[id] = 0
 }
 
-// Free gives back what is booked for a held request that is answered or given up. What runs keeps its memory.
+// Free gives back what is booked for a held request that is answered or given up. What runs keeps
+// its memory.
 func (m *Machine) Free(id string) {
 	m.memory -= m.held[id]
 	delete(m.held, id)
@@ -267,8 +279,14 @@
 	}
 	switch {
 	case int64(n)*sampleEvery >= m.spec.CrowdOver && crowd/float64(m.spec.CrowdOver) > limit:
-		m.Kill(fmt.Sprintf("crowd: %.1f running requests a core in the mean of %d ms", crowd/float64(m.spec.CrowdOver)/
-			float64(m.spec.Cores), m.spec.CrowdOver/1000))
+		m.Kill(
+			fmt.Sprintf(
+				"crowd: %.1f running requests a core in the mean of %d ms",
+				crowd/float64(m.spec.CrowdOver)/
+					float64(m.spec.Cores),
+				m.spec.CrowdOver/1000,
+			),
+		)
 	case m.memory > m.spec.MemoryKB:
 		m.Kill(fmt.Sprintf("memory: %.0f of %.0f kB", m.memory, m.spec.MemoryKB))
 	default:
@@ -306,7 +324,11 @@
 // Gauges reads them.
 func (m *Machine) Gauges() Gauges {
 	m.book()
-	return Gauges{CPU: min(m.cpu, 1), Runnable: float64(len(m.cores.jobs) + len(m.unread)), Memory: m.memory / m.spec.MemoryKB}
+	return Gauges{
+		CPU:      min(m.cpu, 1),
+		Runnable: float64(len(m.cores.jobs) + len(m.unread)),
+		Memory:   m.memory / m.spec.MemoryKB,
+	}
 }
 
 // Worked is the work that its cores have done, in microseconds at speed 1.
--- a/internal/simulator/dependencies/roster.go
+++ b/internal/simulator/dependencies/roster.go
@@ -27,8 +27,8 @@
 	return &Roster{clock: clock, entries: map[string]*entry{}}
 }
 
-// Watch tells of each change after a delay that is asked for each time. Changes overtake each other no more than the
-// delays allow; of one name, the state at the time of telling counts.
+// Watch tells of each change after a delay that is asked for each time. Changes overtake each other
+// no more than the delays allow; of one name, the state at the time of telling counts.
 func (r *Roster) Watch(late func() int64, tell func(name string, listed bool)) {
 	r.watch = append(r.watch, watcher{late, tell})
 }
--- a/internal/simulator/dependencies/share.go
+++ b/internal/simulator/dependencies/share.go
@@ -1,6 +1,7 @@
-// Package world holds what a fleet of runners stands on, as state machines free of I/O: the machine of one runner with
-// its engine, the back end that all share, and the roster. The simulator's model plays them in virtual time, and its rig puts
-// the same ones behind sockets. None of them decides about requests; that is the runner's.
+// Package world holds what a fleet of runners stands on, as state machines free of I/O: the machine
+// of one runner with its engine, the back end that all share, and the roster. The simulator's model
+// plays them in virtual time, and its rig puts the same ones behind sockets. None of them decides
+// about requests; that is the runner's.
 package dependencies
 
 import (
@@ -33,8 +34,9 @@
 	return j
 }
 
-// share is processor sharing: all jobs get on at one rate. Since that is so, a job is done when the service that each
-// has attained passes its tag, and one timer for the least tag is enough for any number of them.
+// share is processor sharing: all jobs get on at one rate. Since that is so, a job is done when the
+// service that each has attained passes its tag, and one timer for the least tag is enough for any
+// number of them.
 type share struct {
 	clock    virtualclock.Clock
 	places   float64 // how many get on at full speed
@@ -65,8 +67,8 @@
 	return r
 }
 
-// advance brings the attained service up to now. A job that was done meanwhile left the cores then, however late the
-// timer comes: on sockets it may be a millisecond.
+// advance brings the attained service up to now. A job that was done meanwhile left the cores then,
+// however late the timer comes: on sockets it may be a millisecond.
 func (s *share) advance() {
 	now := float64(s.clock.Now())
 	for s.at < now {
--- a/internal/simulator/dependencies/world_test.go
+++ b/internal/simulator/dependencies/world_test.go
@@ -22,15 +22,27 @@
 }
 
 func (d *diary) note(format string, v ...any) {
-	d.lines = append(d.lines, fmt.Sprintf("%d ", (d.clock.Now()-virtualclock.Origin)/1000)+fmt.Sprintf(format, v...))
+	d.lines = append(
+		d.lines,
+		fmt.Sprintf("%d ", (d.clock.Now()-virtualclock.Origin)/1000)+fmt.Sprintf(format, v...),
+	)
 }
 func (d *diary) Needs(id string)           { d.note("%s needs", id) }
 func (d *diary) Ended(id string, e Ending) { d.note("%s ended %d", id, e); d.ends[id] = d.clock.Now() }
 func (d *diary) Died(why string)           { d.died = why }
 
 func spec() MachineSpec {
-	return MachineSpec{Cores: 2, Speed: 1, ThrashAt: 100, ReadWork: 10_000, Backlog: 4, MemoryKB: 1e6, RunFactor: 8,
-		CrowdLimit: 6, CrowdOver: 2 * second}
+	return MachineSpec{
+		Cores:      2,
+		Speed:      1,
+		ThrashAt:   100,
+		ReadWork:   10_000,
+		Backlog:    4,
+		MemoryKB:   1e6,
+		RunFactor:  8,
+		CrowdLimit: 6,
+		CrowdOver:  2 * second,
+	}
 }
 
 func machine(s MachineSpec, cold bool) (*Machine, *diary, *virtualclock.Sched) {
@@ -49,7 +61,8 @@
 		{"one a core", 2, func(*MachineSpec) {}, 100},
 		{"two a core", 4, func(*MachineSpec) {}, 200},
 		{"fast", 2, func(s *MachineSpec) { s.Speed = 2 }, 50},
-		{"past the crowd", 8, func(s *MachineSpec) { s.ThrashAt, s.Thrash = 2, 0.5 }, 600}, // 4 a core: 1.5 times as long
+		// 4 a core: 1.5 times as long
+		{"past the crowd", 8, func(s *MachineSpec) { s.ThrashAt, s.Thrash = 2, 0.5 }, 600},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := spec()
@@ -131,7 +144,8 @@
 	}
 }
 
-// A held request counts from 0.1 s after it was written, one that runs eight times from then on, and all is given back.
+// A held request counts from 0.1 s after it was written, one that runs eight times from then on,
+// and all is given back.
 func TestMemoryIsBooked(t *testing.T) {
 	m, _, clock := machine(spec(), false)
 	m.Hold("a", 50)
@@ -159,7 +173,8 @@
 	clock.After(50_000, func() { m.Freeze(true) })
 	clock.After(150_000, func() { m.Freeze(false); m.Slow(4) })
 	clock.RunUntil(virtualclock.Origin + second)
-	if got := (d.ends["a"] - virtualclock.Origin) / 1000; got != 350 { // 50, paused for 100, 50 at a quarter of the speed
+	// 50, paused for 100, 50 at a quarter of the speed
+	if got := (d.ends["a"] - virtualclock.Origin) / 1000; got != 350 {
 		t.Fatalf("ended after %d ms", got)
 	}
 	if cpu := m.Gauges().CPU; cpu != 0 {
@@ -181,7 +196,8 @@
 	}
 }
 
-// Work is neither made nor lost: whatever runs, is stopped or paused, what the cores did is what runs and reading took.
+// Work is neither made nor lost: whatever runs, is stopped or paused, what the cores did is what
+// runs and reading took.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec()
@@ -213,7 +229,14 @@
 }
 
 func TestBackEnd(t *testing.T) {
-	be := BackEndSpec{Slots: 2, Thrash: 0.5, Fall: 5, FallOver: 5 * second, DownFor: 2 * second, Linger: 200_000}
+	be := BackEndSpec{
+		Slots:    2,
+		Thrash:   0.5,
+		Fall:     5,
+		FallOver: 5 * second,
+		DownFor:  2 * second,
+		Linger:   200_000,
+	}
 	type end struct {
 		At    int64
 		Reply Reply
@@ -222,7 +245,10 @@
 		clock := virtualclock.New()
 		b, got := NewBackEnd(clock, s), &[]end{}
 		return b, clock, got, func(work float64) *Call {
-			return b.Call(work, func(r Reply) { *got = append(*got, end{(clock.Now() - virtualclock.Origin) / 1000, r}) })
+			return b.Call(
+				work,
+				func(r Reply) { *got = append(*got, end{(clock.Now() - virtualclock.Origin) / 1000, r}) },
+			)
 		}
 	}
 	t.Run("given up as it ends", func(t *testing.T) { // the call that ends it finds it done
@@ -242,7 +268,8 @@
 			call(10_000)
 		}
 		clock.RunUntil(virtualclock.Origin + second)
-		want := []end{{30, 1}, {30, 1}, {30, 1}, {30, 1}} // twice its slots: half the speed, and half as long again
+		// twice its slots: half the speed, and half as long again
+		want := []end{{30, 1}, {30, 1}, {30, 1}, {30, 1}}
 		if diff := cmp.Diff(want, *got); diff != "" {
 			t.Fatal(diff)
 		}
@@ -323,7 +350,8 @@
 	}
 }
 
-// late is a clock whose timers come up to a millisecond after their time, as those of an event loop do.
+// late is a clock whose timers come up to a millisecond after their time, as those of an event loop
+// do.
 type late struct{ *virtualclock.Sched }
 
 func (l late) After(d int64, fn func()) virtualclock.Timer {
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -26,8 +26,14 @@
 	if s.opt.Kinds != nil {
 		kind = s.opt.Kinds[at.Kind]
 	}
-	b := &balancer{s: s, no: i, hall: at.Hall, told: kind.Choose == string(balance.Told), open: map[uint64]*day.Arrival{},
-		tries: map[*balance.Try]*Job{}}
+	b := &balancer{
+		s:     s,
+		no:    i,
+		hall:  at.Hall,
+		told:  kind.Choose == string(balance.Told),
+		open:  map[uint64]*day.Arrival{},
+		tries: map[*balance.Try]*Job{},
+	}
 	seed := s.day.Seed ^ s.opt.Noise
 	heeds := at.Heeds
 	if s.opt.Kinds != nil { // the draw is the day's, the share may be another
@@ -55,8 +61,10 @@
 func (b *balancer) ask(a *day.Arrival) {
 	class := &b.s.day.Spec.Classes[a.Class]
 	b.open[a.ID] = a
-	b.b.Submit(&balance.Request{ID: a.ID, Key: a.ID, Safe: class.Effect == "safe", Keyed: class.Effect == "keyed",
-		Deadline: int64(class.DeadlineMs * 1000)})
+	b.b.Submit(
+		&balance.Request{ID: a.ID, Key: a.ID, Safe: class.Effect == "safe", Keyed: class.Effect == "keyed",
+			Deadline: int64(class.DeadlineMs * 1000)},
+	)
 }
 
 // Send puts a try on the network.
--- a/internal/simulator/fleet/bench_test.go
+++ b/internal/simulator/fleet/bench_test.go
@@ -7,13 +7,17 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// BenchmarkDay plays a minute of fleets of up to 200 runners at 10 requests a second each, and tells the events played a
-// second and what is allocated for one. The day itself is drawn ahead.
+// BenchmarkDay plays a minute of fleets of up to 200 runners at 10 requests a second each, and
+// tells the events played a second and what is allocated for one. The day itself is drawn ahead.
 func BenchmarkDay(b *testing.B) {
 	for _, n := range []int{12, 25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
-			text := fmt.Sprintf("name: bench\nlength_s: 60\nload: {rate_s: %d}\nfleet: {runners: %d}\nbalancers:\n"+
-				"  - {count: 4, choose: round, retry: limitless, pause_ms: 20, heeds: 0.9}\n", 10*n, n)
+			text := fmt.Sprintf(
+				"name: bench\nlength_s: 60\nload: {rate_s: %d}\nfleet: {runners: %d}\nbalancers:\n"+
+					"  - {count: 4, choose: round, retry: limitless, pause_ms: 20, heeds: 0.9}\n",
+				10*n,
+				n,
+			)
 			s, err := day.Parse("bench.yaml", []byte(text))
 			if err != nil {
 				b.Fatal(err)
--- a/internal/simulator/fleet/core.go
+++ b/internal/simulator/fleet/core.go
@@ -68,7 +68,12 @@
 	if math.IsNaN(g.CPU) {
 		return lifecycle.NoGauges()
 	}
-	return lifecycle.Gauges{CPU: g.CPU, Runnable: g.Runnable, Memory: g.Memory, Connections: float64(len(p.l.conns))}
+	return lifecycle.Gauges{
+		CPU:         g.CPU,
+		Runnable:    g.Runnable,
+		Memory:      g.Memory,
+		Connections: float64(len(p.l.conns)),
+	}
 }
 
 // Ready implements Process.
@@ -79,8 +84,18 @@
 	h := &hosted{j: j}
 	p.runs[j.Name] = h
 	tenant, _ := p.core.Tenant(j.TenantName())
-	q := &lifecycle.Request{Name: j.Name, Class: j.Class(), Tenant: tenant, Caller: j.Caller(), Arrived: j.Arrived(), SizeKB: j.SizeKB(),
-		Rank: j.Rank(), Key: j.Key(), Body: j.Body(), Asker: h}
+	q := &lifecycle.Request{
+		Name:    j.Name,
+		Class:   j.Class(),
+		Tenant:  tenant,
+		Caller:  j.Caller(),
+		Arrived: j.Arrived(),
+		SizeKB:  j.SizeKB(),
+		Rank:    j.Rank(),
+		Key:     j.Key(),
+		Body:    j.Body(),
+		Asker:   h,
+	}
 	h.ticket = p.core.Submit(q)
 }
 
@@ -163,8 +178,12 @@
 	p.l.after(linkDelay, func() { p.l.Resume(a.Request.Name) })
 }
 
-var replies = map[dependencies.Reply]lifecycle.Outcome{dependencies.ReplyFine: lifecycle.Fine, dependencies.ReplyTurnedAway: lifecycle.TurnedAway,
-	dependencies.ReplyDown: lifecycle.Unreachable, dependencies.ReplyBroken: lifecycle.Broken}
+var replies = map[dependencies.Reply]lifecycle.Outcome{
+	dependencies.ReplyFine:       lifecycle.Fine,
+	dependencies.ReplyTurnedAway: lifecycle.TurnedAway,
+	dependencies.ReplyDown:       lifecycle.Unreachable,
+	dependencies.ReplyBroken:     lifecycle.Broken,
+}
 
 // Call implements core.Dependency.
 func (p *inside) Call(a *lifecycle.Attempt, _ []byte, patience int64) {
@@ -188,7 +207,10 @@
 	work := h.j.CallWork()
 	s.clock.After(backendDelay, func() {
 		if !c.over {
-			c.out = s.back.Call(work, func(r dependencies.Reply) { s.clock.After(backendDelay, func() { finish(replies[r]) }) })
+			c.out = s.back.Call(
+				work,
+				func(r dependencies.Reply) { s.clock.After(backendDelay, func() { finish(replies[r]) }) },
+			)
 		}
 	})
 }
--- a/internal/simulator/fleet/fleet.go
+++ b/internal/simulator/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet is the simulator's model: it plays one day of a fleet in virtual time. Each runner is the real core with the
-// real decision module, on a machine of package world; balancers are those of package balance. There is no second copy
-// of any decision. A day depends on its draw and on nothing else.
+// Package fleet is the simulator's model: it plays one day of a fleet in virtual time. Each runner
+// is the real core with the real decision module, on a machine of package world; balancers are
+// those of package balance. There is no second copy of any decision. A day depends on its draw and
+// on nothing else.
 package fleet
 
 import (
@@ -21,10 +22,12 @@
 // Options are what may differ between two runs of one day.
 type Options struct {
 	Settings func(*admission.Settings) // changes what runners are told; nil: nothing
-	Kinds    []day.BalancerKind        // of the balancers, in place of the scenario's, by place; nil: as they are
-	Limits   lifecycle.Limits          // of the cores' tables
-	Noise    uint64                    // another one draws balancers' choices anew, with the day as it was
-	Log      func(at int64, runner, text string)
+	// of the balancers, in place of the scenario's, by place; nil: as they are
+	Kinds  []day.BalancerKind
+	Limits lifecycle.Limits // of the cores' tables
+	// another one draws balancers' choices anew, with the day as it was
+	Noise uint64
+	Log   func(at int64, runner, text string)
 }
 
 // Run is a day that was played.
@@ -48,10 +51,12 @@
 	linkDelay    = 50        // between a runner and its engine
 	backendDelay = 300       // between a runner and the back end, one way
 	checkTime    = 1_000_000 // a health check that takes longer is bad
-	spareTime    = 100_000   // of the rules' time limits, as on sockets (PROTOCOL grants 50 ms and the reading of answers)
+	// of the rules' time limits, as on sockets (PROTOCOL grants 50 ms and the reading of answers)
+	spareTime = 100_000
 )
 
-// Stage is a day on which the parts of a fleet meet: machines, back end, roster, balancers, and runners behind Process.
+// Stage is a day on which the parts of a fleet meet: machines, back end, roster, balancers, and
+// runners behind Process.
 type Stage struct {
 	day        *day.Day
 	opt        Options
@@ -91,7 +96,15 @@
 
 // NewStage sets up a day on a clock. Where runners listen, they report to the roster by themselves.
 func NewStage(d *day.Day, opt Options, clock virtualclock.Clock, launch Launch, listens bool) *Stage {
-	s := &Stage{day: d, opt: opt, clock: clock, launch: launch, listens: listens, cut: -1, origin: clock.Now()}
+	s := &Stage{
+		day:     d,
+		opt:     opt,
+		clock:   clock,
+		launch:  launch,
+		listens: listens,
+		cut:     -1,
+		origin:  clock.Now(),
+	}
 	if opt.Log == nil {
 		s.opt.Log = func(int64, string, string) {}
 	}
@@ -181,16 +194,24 @@
 	var classes []ledger.Class
 	var tenants []string
 	for _, c := range spec.Classes {
-		classes = append(classes, ledger.Class{Name: c.Name, Aim: int64(c.AimMs * 1000), Deadline: int64(c.DeadlineMs * 1000),
-			Worth: c.Worth, LateWorth: c.LateWorth})
+		classes = append(
+			classes,
+			ledger.Class{Name: c.Name, Aim: int64(c.AimMs * 1000), Deadline: int64(c.DeadlineMs * 1000),
+				Worth: c.Worth, LateWorth: c.LateWorth},
+		)
 	}
 	for _, t := range spec.Tenants {
 		tenants = append(tenants, t.Name)
 	}
 	g := spec.Goal
-	s.book = ledger.New(classes, tenants, ledger.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass,
-		WorstTenant: g.WorstTenant, OverWorth: g.OverWorth, Waste: g.Waste, LateFail: g.LateFail,
-		Window: int64(spec.WindowS * 1e6)}, d.Length)
+	s.book = ledger.New(
+		classes,
+		tenants,
+		ledger.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass,
+			WorstTenant: g.WorstTenant, OverWorth: g.OverWorth, Waste: g.Waste, LateFail: g.LateFail,
+			Window: int64(spec.WindowS * 1e6)},
+		d.Length,
+	)
 }
 
 // Close ends the day and closes the account.
@@ -223,7 +244,16 @@
 	}
 	a := &s.day.Arrivals[i]
 	s.clock.After(a.At-s.now(), func() {
-		s.book.Asked(a.ID, ledger.Ask{At: a.At, Class: a.Class, Tenant: a.Tenant, InShare: a.InShare, Work: a.Work + s.readWork()})
+		s.book.Asked(
+			a.ID,
+			ledger.Ask{
+				At:      a.At,
+				Class:   a.Class,
+				Tenant:  a.Tenant,
+				InShare: a.InShare,
+				Work:    a.Work + s.readWork(),
+			},
+		)
 		s.balancers[a.Balancer].ask(a)
 		s.askNext(i + 1)
 	})
--- a/internal/simulator/fleet/fleet_test.go
+++ b/internal/simulator/fleet/fleet_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Each habit of balancers gets through a troubled day with every first try ended once (Play reports what does not add
-// up) and with the rules kept.
+// Each habit of balancers gets through a troubled day with every first try ended once (Play reports
+// what does not add up) and with the rules kept.
 func TestAllHabitsKeepTheAccount(t *testing.T) {
 	for _, b := range []string{
 		"{count: 3, choose: round, retry: limitless, pause_ms: 20}",
@@ -107,8 +107,9 @@
 	}
 }
 
-// Retries that feed on themselves: balancers that heed nothing and try on without limit. A burst starts a storm that is
-// many tries deep while it lasts and for a while after, and ends when the load is low again.
+// Retries that feed on themselves: balancers that heed nothing and try on without limit. A burst
+// starts a storm that is many tries deep while it lasts and for a while after, and ends when the
+// load is low again.
 func TestAStormAppearsLastsAndEnds(t *testing.T) {
 	text := `
 load: {of_capacity: 0.5, curve: [{at_s: 0, times: 1}, {at_s: 5.9, times: 1}, {at_s: 6, times: 4}, {at_s: 14, times: 4}, {at_s: 14.1, times: 1}, {at_s: 40, times: 1}]}
@@ -127,7 +128,8 @@
 		}
 		return got / asked
 	}
-	// The burst is over at 14 s; from then on the load is what it was before, at which all were served.
+	// The burst is over at 14 s; from then on the load is what it was before, at which all were
+	// served.
 	for _, c := range []struct {
 		what        string
 		from, to    int
@@ -153,7 +155,8 @@
 	return s
 }
 
-// A fifth dies in mid-run: what was out there breaks and is tried elsewhere, the rest takes over, and they come back.
+// A fifth dies in mid-run: what was out there breaks and is tried elsewhere, the rest takes over,
+// and they come back.
 func TestAFifthDies(t *testing.T) {
 	var log []string
 	s := small(t, "load: {of_capacity: 0.45}\ntroubles:\n  - {kind: crash, at_s: 5, for_s: 3, part: 0.2}")
@@ -167,7 +170,14 @@
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 	if r.Broken != 0 || r.Tries <= calm.Tries || r.Worth > calm.Worth || r.Worth < calm.Worth-0.15 {
-		t.Errorf("worth %.3f with %d tries, without the trouble %.3f with %d; rules %v", r.Worth, r.Tries, calm.Worth, calm.Tries, r.Rules)
+		t.Errorf(
+			"worth %.3f with %d tries, without the trouble %.3f with %d; rules %v",
+			r.Worth,
+			r.Tries,
+			calm.Worth,
+			calm.Tries,
+			r.Rules,
+		)
 	}
 }
 
--- a/internal/simulator/fleet/job.go
+++ b/internal/simulator/fleet/job.go
@@ -148,13 +148,22 @@
 	l.send(j, out)
 }
 
-// late enters a request that is past its due time without an answer. One that was read past it is owed one at once.
+// late enters a request that is past its due time without an answer. One that was read past it is
+// owed one at once.
 func (j *Job) late(what string) {
 	class := &j.s.day.Spec.Classes[j.a.Class]
 	due := max(j.came+int64(class.DeadlineMs*1000), j.readAt) + j.l.standing() - j.stood
 	over := j.s.now() - due - int64(j.s.day.Spec.Fleet.SlackMs*1000) - spareTime
 	if over > 0 && !j.told {
-		j.s.book.Break(ledger.Lost, j.s.now(), "%s: a %s was %s %d ms past its due time", j.r.spec.Name, class.Name, what, over/1000)
+		j.s.book.Break(
+			ledger.Lost,
+			j.s.now(),
+			"%s: a %s was %s %d ms past its due time",
+			j.r.spec.Name,
+			class.Name,
+			what,
+			over/1000,
+		)
 	}
 }
 
@@ -193,7 +202,8 @@
 	}
 }
 
-// Lose tells that the request is lost by the rules: its connection ended without a whole answer, or with a wrong one.
+// Lose tells that the request is lost by the rules: its connection ended without a whole answer, or
+// with a wrong one.
 func (j *Job) Lose(why string) {
 	if !j.answered {
 		j.s.book.Break(ledger.Lost, j.s.now(), "%s: a %s: %s", j.r.spec.Name, j.ClassName(), why)
--- a/internal/simulator/fleet/probe_test.go
+++ b/internal/simulator/fleet/probe_test.go
@@ -34,7 +34,14 @@
 		}
 	}
 	p.n++
-	j := &Job{s: p.s, a: &day.Arrival{ID: id, Class: class, Work: 1000}, r: p.life.r, l: p.life, came: came, Name: strconv.Itoa(p.n)}
+	j := &Job{
+		s:    p.s,
+		a:    &day.Arrival{ID: id, Class: class, Work: 1000},
+		r:    p.life.r,
+		l:    p.life,
+		came: came,
+		Name: strconv.Itoa(p.n),
+	}
 	p.life.jobs[j.Name] = j
 	p.life.Run(j.Name)
 }
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -11,8 +11,9 @@
 	"ryepaddle/internal/simulator/ledger"
 )
 
-// Process is a runner as the stage meets it: one in this process, or one of its own behind sockets. What it says to the
-// stage it says through its Life and through Jobs, never from within one of these calls but for Submit.
+// Process is a runner as the stage meets it: one in this process, or one of its own behind sockets.
+// What it says to the stage it says through its Life and through Jobs, never from within one of
+// these calls but for Submit.
 type Process interface {
 	Ready() bool                         // it takes requests
 	Submit(j *Job)                       // a request was read whole; it is owed one answer
@@ -67,7 +68,13 @@
 func (r *runner) start(cold bool) error {
 	s := r.s
 	r.lives++
-	l := &Life{r: r, pressure: -1, jobs: map[string]*Job{}, conns: map[*Job]struct{}{}, ran: map[uint64]int64{}}
+	l := &Life{
+		r:        r,
+		pressure: -1,
+		jobs:     map[string]*Job{},
+		conns:    map[*Job]struct{}{},
+		ran:      map[uint64]int64{},
+	}
 	l.machine = dependencies.NewMachine(s.clock, r.spec.Spec, cold, l)
 	if r.slowed > 1 {
 		l.machine.Slow(r.slowed)
@@ -155,7 +162,8 @@
 	}
 }
 
-// pause lets the machine stand still, or go on: nothing is written to the runner, and nothing it writes is read.
+// pause lets the machine stand still, or go on: nothing is written to the runner, and nothing it
+// writes is read.
 func (r *runner) pause(on bool) {
 	l := r.life
 	if l == nil || on == (l.stoodAt != 0) {
@@ -275,8 +283,8 @@
 	}
 }
 
-// Run starts a run on the engine. It is where the rules about running are checked, by other means than the runner's. It
-// reports whether there is such a request, which is not over.
+// Run starts a run on the engine. It is where the rules about running are checked, by other means
+// than the runner's. It reports whether there is such a request, which is not over.
 func (l *Life) Run(name string) bool {
 	s, j := l.r.s, l.jobs[name]
 	if j == nil || l.dead || !j.runs && (j.answered || j.told) {
@@ -292,7 +300,8 @@
 		}
 		l.ran[j.a.ID] = j.came + int64(class.WindowMs*1000)
 	}
-	if over := j.came - l.drainAt - int64(s.day.Spec.Fleet.DrainMs*1000) - spareTime; l.drainAt != 0 && over > 0 {
+	if over := j.came - l.drainAt - int64(s.day.Spec.Fleet.DrainMs*1000) - spareTime; l.drainAt != 0 &&
+		over > 0 {
 		s.book.Break(ledger.Drain, s.now(), "%s ran what came %d ms too late", l.r.spec.Name, over/1000)
 	}
 	j.runs = true
--- a/internal/simulator/ledger/ledger.go
+++ b/internal/simulator/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger keeps the account of a day: what was asked for, what was served in its time, what became of the rest,
-// and which rules were broken. Each first try is entered once and ends once; retries belong to it. Worth is weighed as
-// the operators do: the whole, the worst stretch, the worst class and the worst tenant within its share.
+// Package ledger keeps the account of a day: what was asked for, what was served in its time, what
+// became of the rest, and which rules were broken. Each first try is entered once and ends once;
+// retries belong to it. Worth is weighed as the operators do: the whole, the worst stretch, the
+// worst class and the worst tenant within its share.
 package ledger
 
 import (
@@ -37,9 +38,10 @@
 const (
 	Lost      Rule = iota // what was read got no final answer in its time
 	Duplicate             // a request with an effect ran twice, or an answer went out twice
-	Drain                 // something ran that came too late after the notice, or was left unanswered
-	FallOver              // a runner died of its crowd or memory
-	BackEnd               // the back end died of its calls
+	// something ran that came too late after the notice, or was left unanswered
+	Drain
+	FallOver // a runner died of its crowd or memory
+	BackEnd  // the back end died of its calls
 	rules
 )
 
@@ -103,7 +105,8 @@
 	leastUs, mostUs, digits = 100, 3_600_000_000, 3
 	maxNotes                = 20
 	bucket                  = 1_000_000 // of the series
-	thin                    = 0.2       // a stretch asked for less than so much of the mean is no worst one
+	// a stretch asked for less than so much of the mean is no worst one
+	thin = 0.2
 )
 
 // New opens an account.
@@ -141,7 +144,8 @@
 	}
 }
 
-// Try counts a try that went out, Refuse one that was turned away, and Useful the work of one that served.
+// Try counts a try that went out, Refuse one that was turned away, and Useful the work of one that
+// served.
 func (l *Ledger) Try()                { l.tries++ }
 func (l *Ledger) Refuse()             { l.refused++ }
 func (l *Ledger) Useful(work float64) { l.usedFor += work }
@@ -150,7 +154,10 @@
 func (l *Ledger) Break(r Rule, at int64, format string, v ...any) {
 	l.broken[r]++
 	if len(l.notes) < maxNotes {
-		l.notes = append(l.notes, fmt.Sprintf("%.3f s: %v: %s", float64(at)/1e6, r, fmt.Sprintf(format, v...)))
+		l.notes = append(
+			l.notes,
+			fmt.Sprintf("%.3f s: %v: %s", float64(at)/1e6, r, fmt.Sprintf(format, v...)),
+		)
 	}
 }
 
@@ -231,10 +238,17 @@
 	return got / asked
 }
 
-// Close sums the account up, with the work that the cores did in all. What is still open ends as given up. It reports
-// an account that does not add up, which is a fault of the model and not of what it plays.
+// Close sums the account up, with the work that the cores did in all. What is still open ends as
+// given up. It reports an account that does not add up, which is a fault of the model and not of
+// what it plays.
 func (l *Ledger) Close(worked float64) (*Result, error) {
-	r := &Result{All: Part{Name: "all"}, Causes: map[string]Loss{}, Rules: map[string]int{}, Notes: l.notes, Tries: l.tries}
+	r := &Result{
+		All:    Part{Name: "all"},
+		Causes: map[string]Loss{},
+		Rules:  map[string]int{},
+		Notes:  l.notes,
+		Tries:  l.tries,
+	}
 	r.Series = make([]Second, int(l.length/bucket)+1)
 	for _, c := range l.classes {
 		r.Classes = append(r.Classes, Part{Name: c.Name})
@@ -269,7 +283,12 @@
 		ended++
 	}
 	if l.twice > 0 || ended != len(l.firsts) {
-		return nil, fmt.Errorf("ledger: %d ends of what had ended, %d first tries of %d", l.twice, ended, len(l.firsts))
+		return nil, fmt.Errorf(
+			"ledger: %d ends of what had ended, %d first tries of %d",
+			l.twice,
+			ended,
+			len(l.firsts),
+		)
 	}
 	sum := 0.0
 	for _, c := range r.Causes {
@@ -318,8 +337,8 @@
 	return r, nil
 }
 
-// worst is the least share served in any stretch of the window's length, from the first second on. Stretches in which
-// hardly anything was asked for do not count.
+// worst is the least share served in any stretch of the window's length, from the first second on.
+// Stretches in which hardly anything was asked for do not count.
 func (r *Result) worst(window int64) float64 {
 	n := int(window / bucket)
 	if len(r.Series) < n+1 || n < 1 {
--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -11,9 +11,20 @@
 const ms = 1000
 
 func account(length int64) *Ledger {
-	return New([]Class{{"check", 100 * ms, 500 * ms, 1, 0.2}, {"hand-in", 100 * ms, 500 * ms, 3, 0}, {"rare", 100 * ms, 500 * ms, 1, 0}},
-		[]string{"north", "south"}, Goal{Whole: 0.45, WorstWindow: 0.15, WorstClass: 0.3, WorstTenant: 0.1, OverWorth: 0.05,
-			Waste: 0.05, LateFail: 0.044, Window: 2_000_000}, length)
+	return New(
+		[]Class{
+			{"check", 100 * ms, 500 * ms, 1, 0.2},
+			{"hand-in", 100 * ms, 500 * ms, 3, 0},
+			{"rare", 100 * ms, 500 * ms, 1, 0},
+		},
+		[]string{
+			"north",
+			"south",
+		},
+		Goal{Whole: 0.45, WorstWindow: 0.15, WorstClass: 0.3, WorstTenant: 0.1, OverWorth: 0.05,
+			Waste: 0.05, LateFail: 0.044, Window: 2_000_000},
+		length,
+	)
 }
 
 func near(t *testing.T, what string, got, want float64) {
@@ -43,8 +54,9 @@
 	}
 	asked := 1 + 1 + 3 + 0.15
 	near(t, "whole", r.Whole, (1+0.2+3)/asked)
-	near(t, "worst class", r.WorstClass, 1.2/2)   // the class without traffic does not count
-	near(t, "worst tenant", r.WorstTenant, 1.2/2) // what is over the share of the other does not count
+	near(t, "worst class", r.WorstClass, 1.2/2) // the class without traffic does not count
+	// what is over the share of the other does not count
+	near(t, "worst tenant", r.WorstTenant, 1.2/2)
 	near(t, "worst window", r.WorstWindow, 3.2/4) // of 1 to 3 s and 2 to 4 s
 	near(t, "waste", r.Waste, 0.5)
 	near(t, "late fail", r.LateFail, 0.15/asked)
@@ -61,7 +73,8 @@
 	l.Ended(1, InAim, 1)
 	l.Break(Duplicate, 1_500_000, "hand-in %d", 7)
 	r, err := l.Close(0)
-	if err != nil || r.Score != 0 || r.Worth < 0.9 || r.Rules["duplicate"] != 1 || r.Notes[0] != "1.500 s: duplicate: hand-in 7" {
+	if err != nil || r.Score != 0 || r.Worth < 0.9 || r.Rules["duplicate"] != 1 ||
+		r.Notes[0] != "1.500 s: duplicate: hand-in 7" {
 		t.Fatalf("%+v, %v", r, err)
 	}
 }
@@ -95,7 +108,11 @@
 			id := uint64(i)
 			l.Asked(id, Ask{At: int64(i) * 50_000, Class: rapid.IntRange(0, 2).Draw(t, "class"),
 				Tenant: rapid.IntRange(0, 1).Draw(t, "tenant"), InShare: rapid.Bool().Draw(t, "in")})
-			l.Ended(id, Cause(rapid.IntRange(int(InAim), int(causes)-1).Draw(t, "cause")), rapid.Int64Range(0, 200*ms).Draw(t, "took"))
+			l.Ended(
+				id,
+				Cause(rapid.IntRange(int(InAim), int(causes)-1).Draw(t, "cause")),
+				rapid.Int64Range(0, 200*ms).Draw(t, "took"),
+			)
 		}
 		r, err := l.Close(0)
 		if err != nil {
--- a/internal/simulator/report/report.go
+++ b/internal/simulator/report/report.go
@@ -1,5 +1,6 @@
-// Package report writes what the simulator found: tables, charts and a page, into a folder that also holds the inputs, the
-// seeds and the raw days, so that whoever finds it can see what was compared and play it again.
+// Package report writes what the simulator found: tables, charts and a page, into a folder that
+// also holds the inputs, the seeds and the raw days, so that whoever finds it can see what was
+// compared and play it again.
 package report
 
 import (
@@ -82,21 +83,69 @@
 		}
 	}
 	e := o.Estimates[0]
-	return fmt.Sprintf("%s: the score goes from %s to %s, by %s (%s to %s at %.4g%%) over %d days; %s.\nDays with a broken rule: A %d, B %d.",
-		o.Verdict, Figure(e.A, ""), Figure(e.B, ""), Figure(e.Diff, ""), Figure(e.Lo, ""), Figure(e.Hi, ""), 100*o.Level, o.Days, o.Stopped,
-		broken[0], broken[1])
+	return fmt.Sprintf(
+		"%s: the score goes from %s to %s, by %s (%s to %s at %.4g%%) over %d days; %s.\nDays with a broken rule: A %d, B %d.",
+		o.Verdict,
+		Figure(e.A, ""),
+		Figure(e.B, ""),
+		Figure(e.Diff, ""),
+		Figure(e.Lo, ""),
+		Figure(e.Hi, ""),
+		100*o.Level,
+		o.Days,
+		o.Stopped,
+		broken[0],
+		broken[1],
+	)
 }
 
 // Days is a table of days that were played.
 func Days(runs []*fleet.Run) table.Writer {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"day", "score", "worth", "whole", "worst stretch", "worst class", "worst school", "p50 ms", "p99 ms",
-		"asked/s", "refusals", "retries", "broken rules"})
+	t.AppendHeader(
+		table.Row{
+			"day",
+			"score",
+			"worth",
+			"whole",
+			"worst stretch",
+			"worst class",
+			"worst school",
+			"p50 ms",
+			"p99 ms",
+			"asked/s",
+			"refusals",
+			"retries",
+			"broken rules",
+		},
+	)
 	for _, r := range runs {
-		t.AppendRow(table.Row{r.Seed, Figure(r.Score, ""), Figure(r.Worth, ""), Figure(r.Whole, ""), Figure(r.WorstWindow, ""),
-			Figure(r.WorstClass, ""), Figure(r.WorstTenant, ""), Figure(r.All.P50Ms, "ms"), Figure(r.All.P99Ms, "ms"),
-			strconv.FormatFloat(r.Rate, 'f', 0, 64), Figure(r.Refusals, ""), Figure(r.Retries, ""), r.Broken})
+		t.AppendRow(
+			table.Row{
+				r.Seed,
+				Figure(r.Score, ""),
+				Figure(r.Worth, ""),
+				Figure(r.Whole, ""),
+				Figure(r.WorstWindow, ""),
+				Figure(
+					r.WorstClass,
+					"",
+				),
+				Figure(r.WorstTenant, ""),
+				Figure(r.All.P50Ms, "ms"),
+				Figure(r.All.P99Ms, "ms"),
+				strconv.FormatFloat(
+					r.Rate,
+					'f',
+					0,
+					64,
+				),
+				Figure(r.Refusals, ""),
+				Figure(r.Retries, ""),
+				r.Broken,
+			},
+		)
 	}
 	return t
 }
@@ -108,7 +157,17 @@
 	t.AppendHeader(table.Row{"", "first tries", "asked", "served", "share", "p50 ms", "p99 ms"})
 	for _, parts := range [][]ledger.Part{r.Classes, r.Tenants} {
 		for _, p := range parts {
-			t.AppendRow(table.Row{p.Name, p.First, Figure(p.Asked, "ms"), Figure(p.Got, "ms"), Figure(p.Served, ""), ms(p.P50Ms), ms(p.P99Ms)})
+			t.AppendRow(
+				table.Row{
+					p.Name,
+					p.First,
+					Figure(p.Asked, "ms"),
+					Figure(p.Got, "ms"),
+					Figure(p.Served, ""),
+					ms(p.P50Ms),
+					ms(p.P99Ms),
+				},
+			)
 		}
 		t.AppendSeparator()
 	}
--- a/internal/simulator/report/report_test.go
+++ b/internal/simulator/report/report_test.go
@@ -20,19 +20,37 @@
 
 func comparison(t *testing.T) *Comparison {
 	t.Helper()
-	s, err := day.Parse("small.yaml", []byte("name: small\nlength_s: 5\nwindow_s: 2\nfleet: {runners: 2}\nbalancers: [{choose: round, count: 2}]\n"))
+	s, err := day.Parse(
+		"small.yaml",
+		[]byte(
+			"name: small\nlength_s: 5\nwindow_s: 2\nfleet: {runners: 2}\nbalancers: [{choose: round, count: 2}]\n",
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := compare.Run(context.Background(), compare.Plan{Seed: 3, Days: 4, Workers: 2, Independent: true}, compare.Local{Spec: s}, compare.Local{Spec: s})
+	o, err := compare.Run(
+		context.Background(),
+		compare.Plan{Seed: 3, Days: 4, Workers: 2, Independent: true},
+		compare.Local{Spec: s},
+		compare.Local{Spec: s},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Comparison{Title: "A <script> & B", A: "as it is", B: "as it is", Day: "small", Build: "test", Outcome: o,
-		Inputs: []Input{{"day.yaml", []byte("name: small\n")}}}
+	return &Comparison{
+		Title:   "A <script> & B",
+		A:       "as it is",
+		B:       "as it is",
+		Day:     "small",
+		Build:   "test",
+		Outcome: o,
+		Inputs:  []Input{{"day.yaml", []byte("name: small\n")}},
+	}
 }
 
-// A folder holds all that is needed to see what was compared, and the same comparison makes the same folder.
+// A folder holds all that is needed to see what was compared, and the same comparison makes the
+// same folder.
 func TestKeep(t *testing.T) {
 	c := comparison(t)
 	dirs := []string{filepath.Join(t.TempDir(), "a", "b"), t.TempDir()}
@@ -115,7 +133,8 @@
 	if out := Days([]*fleet.Run{c.Outcome.Pairs[0].A}).Render(); !strings.Contains(out, "WORST STRETCH") {
 		t.Error(out)
 	}
-	if out := Parts(c.Outcome.Pairs[0].A).Render(); !strings.Contains(out, "lindby-skola") || !strings.Contains(out, "in_aim") {
+	if out := Parts(c.Outcome.Pairs[0].A).Render(); !strings.Contains(out, "lindby-skola") ||
+		!strings.Contains(out, "in_aim") {
 		t.Error(out)
 	}
 }
--- a/internal/simulator/variant/schema.go
+++ b/internal/simulator/variant/schema.go
@@ -15,11 +15,18 @@
 	r := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
 	s := r.Reflect(&Variant{})
 	s.Title, s.Required = "Differences to try out on a day of the lab", []string{"name"}
-	figures := &jsonschema.Schema{Type: "object", Properties: jsonschema.NewProperties(), AdditionalProperties: jsonschema.FalseSchema}
+	figures := &jsonschema.Schema{
+		Type:                 "object",
+		Properties:           jsonschema.NewProperties(),
+		AdditionalProperties: jsonschema.FalseSchema,
+	}
 	f := admission.StandardFigures()
 	for _, g := range f.All() {
-		figures.Properties.Set(g.Name, &jsonschema.Schema{Type: "number", Minimum: number(g.Least), Maximum: number(g.Most),
-			Default: *g.Value})
+		figures.Properties.Set(
+			g.Name,
+			&jsonschema.Schema{Type: "number", Minimum: number(g.Least), Maximum: number(g.Most),
+				Default: *g.Value},
+		)
 	}
 	s.Properties.Set("figures", figures)
 	kind := r.Reflect(&day.BalancerKind{})
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -1,5 +1,6 @@
-// Package variant reads what is to be tried out: a file of differences to the module's figures, to what runners are
-// told, to the limits of the core and to how balancers route. A day with a variant is the same day.
+// Package variant reads what is to be tried out: a file of differences to the module's figures, to
+// what runners are told, to the limits of the core and to how balancers route. A day with a variant
+// is the same day.
 package variant
 
 import (
@@ -21,15 +22,17 @@
 
 // Variant is a file of differences. What it does not name stays as the day has it.
 type Variant struct {
-	Name      string             `yaml:"name" json:"name"`
-	Figures   map[string]float64 `yaml:"figures" json:"figures,omitempty"`
-	Settings  Settings           `yaml:"settings" json:"settings"`
-	Limits    Limits             `yaml:"limits" json:"limits"`
-	Balancers []yaml.Node        `yaml:"balancers" json:"-"` // fields of each kind of the day, by place
+	Name     string             `yaml:"name" json:"name"`
+	Figures  map[string]float64 `yaml:"figures" json:"figures,omitempty"`
+	Settings Settings           `yaml:"settings" json:"settings"`
+	Limits   Limits             `yaml:"limits" json:"limits"`
+	// fields of each kind of the day, by place
+	Balancers []yaml.Node `yaml:"balancers" json:"-"`
 	doc       *yamldoc.Doc
 }
 
-// Settings are changes of what runners are told. Zero leaves a field alone; "times" multiplies what the day has.
+// Settings are changes of what runners are told. Zero leaves a field alone; "times" multiplies what
+// the day has.
 type Settings struct {
 	Cores         int     `yaml:"cores" json:"cores,omitempty"`
 	Servers       int     `yaml:"servers" json:"servers,omitempty"`
@@ -98,9 +101,13 @@
 	return v, nil
 }
 
-// Options are the variant on a scenario. An error is of the variant: it names what the scenario has no place for.
+// Options are the variant on a scenario. An error is of the variant: it names what the scenario has
+// no place for.
 func (v *Variant) Options(s *day.Spec) (fleet.Options, error) {
-	o := fleet.Options{Settings: v.apply, Limits: lifecycle.Limits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))}}
+	o := fleet.Options{
+		Settings: v.apply,
+		Limits:   lifecycle.Limits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))},
+	}
 	if len(v.Balancers) == 0 {
 		return o, nil
 	}
--- a/internal/simulator/variant/variant_test.go
+++ b/internal/simulator/variant/variant_test.go
@@ -27,7 +27,12 @@
 
 func scenario(t *testing.T) *day.Spec {
 	t.Helper()
-	s, err := day.Parse("day.yaml", []byte("name: d\nbalancers:\n  - {count: 2, choose: round, retry: limitless, heeds: 1}\n  - {choose: two, tries: 5}\n"))
+	s, err := day.Parse(
+		"day.yaml",
+		[]byte(
+			"name: d\nbalancers:\n  - {count: 2, choose: round, retry: limitless, heeds: 1}\n  - {choose: two, tries: 5}\n",
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +52,10 @@
 	was := admission.Settings{Cores: 6, CallsOut: 4, Tenants: []admission.Tenant{{Name: "a", QuotaRate: 10}}}
 	set := was
 	o.Settings(&set)
-	if set.Cores != 2 || set.CallsOut != 2 || set.Tenants[0].QuotaRate != 20 || set.MaxStayAway != 500*time.Millisecond ||
-		set.Figures.TargetShare != 0.3 || set.Figures.RefuseAt != admission.StandardFigures().RefuseAt {
+	if set.Cores != 2 || set.CallsOut != 2 || set.Tenants[0].QuotaRate != 20 ||
+		set.MaxStayAway != 500*time.Millisecond ||
+		set.Figures.TargetShare != 0.3 ||
+		set.Figures.RefuseAt != admission.StandardFigures().RefuseAt {
 		t.Errorf("%+v", set)
 	}
 	if was.Tenants[0].QuotaRate != 10 {
@@ -57,7 +64,9 @@
 	if o.Limits.Keys != 100 || o.Limits.ResultBytes != 0 {
 		t.Errorf("%+v", o.Limits)
 	}
-	if k := o.Kinds[0]; k.Retry != string(balance.Bounded) || k.Tries != 3 || k.Choose != "round" || k.Count != 2 || k.Heeds != 1 {
+	if k := o.Kinds[0]; k.Retry != string(balance.Bounded) || k.Tries != 3 || k.Choose != "round" ||
+		k.Count != 2 ||
+		k.Heeds != 1 {
 		t.Errorf("%+v", k)
 	}
 	if o.Kinds[1].Tries != 5 || s.Balancers[0].Retry != "limitless" {
--- a/internal/simulator/virtualclock/vtime.go
+++ b/internal/simulator/virtualclock/vtime.go
@@ -1,10 +1,12 @@
-// Package vtime is time as the simulator's state machines see it: a clock they are handed, and a scheduler that plays it in
-// virtual time. The same machines run on sockets with the event loop's clock behind the interface.
+// Package vtime is time as the simulator's state machines see it: a clock they are handed, and a
+// scheduler that plays it in virtual time. The same machines run on sockets with the event loop's
+// clock behind the interface.
 //
 // Times are microseconds. A scheduler starts at one second, so that 0 can mean "never".
 package virtualclock
 
-// Timer is one thing that is to happen. Stop takes it back; a timer that has fired or was stopped stays so.
+// Timer is one thing that is to happen. Stop takes it back; a timer that has fired or was stopped
+// stays so.
 type Timer interface{ Stop() }
 
 // Clock tells the time and calls back later, on the goroutine of whoever owns it.
@@ -32,8 +34,9 @@
 	}
 }
 
-// Sched plays events in the order of their time; those of one time in the order in which they were asked for. That
-// order is the whole of its state, so that a day is the same each time it is played.
+// Sched plays events in the order of their time; those of one time in the order in which they were
+// asked for. That order is the whole of its state, so that a day is the same each time it is
+// played.
 type Sched struct {
 	now    int64
 	seq    uint64
--- a/internal/simulator/virtualclock/vtime_test.go
+++ b/internal/simulator/virtualclock/vtime_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is asked for and taken back, the rest happens in the order of time and, in a tie, of asking.
+// Whatever is asked for and taken back, the rest happens in the order of time and, in a tie, of
+// asking.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type ask struct{ at, n int64 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -69,7 +69,8 @@
 	return false
 }
 
-// items is how many objects a list has. Each of them has a path, so that a count beyond those is no list's.
+// items is how many objects a list has. Each of them has a path, so that a count beyond those is no
+// list's.
 func (p *pairs) items(k string) int {
 	n := p.count(k)
 	if n > len(p.m) {
@@ -137,7 +138,9 @@
 func Settings(m map[string]string) (admission.Settings, []Gauge, error) {
 	p := &pairs{m: m}
 	s := admission.Settings{
-		Servers: p.count("Servers"), Callers: p.count("Specifics.Upstreams"), Cold: p.flag("Specifics.JustStarted"),
+		Servers: p.count(
+			"Servers",
+		), Callers: p.count("Specifics.Upstreams"), Cold: p.flag("Specifics.JustStarted"),
 		Cores: p.count("Specifics.Cores"), MemoryKB: p.num("Specifics.MemoryKb"),
 		RunFactor: p.num("Specifics.RunMemFactor"), KeyKB: p.num("Specifics.KeyKb"),
 		FreshFor: p.dur("Specifics.FreshUs"), Halt: word(p, "Specifics.Halt", halts),
@@ -147,7 +150,9 @@
 		DeepChecks: p.flag("Specifics.DeepChecks"), TellsGone: p.flag("Specifics.TellsGone"),
 		MarksRetry: p.flag("Callers.MarksRetry"), ListFollows: p.flag("Specifics.RegistryFollows"),
 		IdleFor: p.dur("Specifics.IdleUs"), HandshakePrice: p.num("Prices.Handshake"),
-		MaxStayAway: p.dur("Caps.MaxRetryAfterUs"), NoStayAway: p.m["Caps.RetryAfter"] != "" && !p.flag("Caps.RetryAfter"),
+		MaxStayAway: p.dur(
+			"Caps.MaxRetryAfterUs",
+		), NoStayAway: p.m["Caps.RetryAfter"] != "" && !p.flag("Caps.RetryAfter"),
 		WorthPerWork: word(p, "ValueBy", byWork), OverWorth: p.num("OverShareWorth"),
 		Slack: p.dur("Rules.AnswerSlackUs"), DrainGrace: p.dur("Rules.StopSendingWithinUs"),
 		CrowdLimit: p.num("Rules.FallMultiple"), CrowdOver: p.dur("Rules.FallUs"),
@@ -159,7 +164,11 @@
 		c := admission.Class{
 			Name: p.m[at+"Name"], Target: p.dur(at + "TargetUs"), AimStretch: p.num(at + "AimStretch"),
 			Deadline: p.dur(at + "DeadlineUs"), Window: p.dur(at + "WindowUs"),
-			Effect: word(p, at+"Idempotency", effects), Worth: p.num(at + "Worth"), LateWorth: p.num(at + "LateWorth"),
+			Effect: word(
+				p,
+				at+"Idempotency",
+				effects,
+			), Worth: p.num(at + "Worth"), LateWorth: p.num(at + "LateWorth"),
 		}
 		if i < len(calls) {
 			c.Calls = p.flagText("Specifics.CallsByClass", calls[i])
@@ -175,7 +184,10 @@
 	}
 	for i := range p.items("Accounts.count") {
 		at := fmt.Sprintf("Accounts.%d.", i)
-		s.Tenants = append(s.Tenants, admission.Tenant{Name: p.m[at+"Name"], QuotaRate: p.num(at + "QuotaRps")})
+		s.Tenants = append(
+			s.Tenants,
+			admission.Tenant{Name: p.m[at+"Name"], QuotaRate: p.num(at + "QuotaRps")},
+		)
 	}
 	var gauges []Gauge
 	for _, name := range p.list("Specifics.Meters") {
@@ -187,13 +199,47 @@
 	return s, gauges, p.err
 }
 
-// paths are the settings' paths on the wire by the names that the module has for them, where they differ.
-var paths = strings.NewReplacer("Classes[", "RequestClasses.", "Tenants[", "Accounts.", "].", ".", "Cores", "Specifics.Cores", "MemoryKB", "Specifics.MemoryKb",
-	"RunFactor", "Specifics.RunMemFactor", "KeyKB", "Specifics.KeyKb", "CrowdLimit", "Rules.FallMultiple", "ColdShare", "Rules.ColdShare",
-	"CallsOut", "Specifics.CallsOut", "Classes", "RequestClasses", "Target", "TargetUs", "Deadline", "DeadlineUs", "Window", "WindowUs",
-	"Effect", "Idempotency", "OmitWorth", "ClassSkipWorth", "QuotaRate", "QuotaRps")
+// paths are the settings' paths on the wire by the names that the module has for them, where they
+// differ.
+var paths = strings.NewReplacer(
+	"Classes[",
+	"RequestClasses.",
+	"Tenants[",
+	"Accounts.",
+	"].",
+	".",
+	"Cores",
+	"Specifics.Cores",
+	"MemoryKB",
+	"Specifics.MemoryKb",
+	"RunFactor",
+	"Specifics.RunMemFactor",
+	"KeyKB",
+	"Specifics.KeyKb",
+	"CrowdLimit",
+	"Rules.FallMultiple",
+	"ColdShare",
+	"Rules.ColdShare",
+	"CallsOut",
+	"Specifics.CallsOut",
+	"Classes",
+	"RequestClasses",
+	"Target",
+	"TargetUs",
+	"Deadline",
+	"DeadlineUs",
+	"Window",
+	"WindowUs",
+	"Effect",
+	"Idempotency",
+	"OmitWorth",
+	"ClassSkipWorth",
+	"QuotaRate",
+	"QuotaRps",
+)
 
-// inPaths names the setting of an error by its path on the wire. What is not there at all is told from what is nought.
+// inPaths names the setting of an error by its path on the wire. What is not there at all is told
+// from what is nought.
 func (p *pairs) inPaths(err error) error {
 	e := (*admission.SettingError)(nil)
 	if !errors.As(err, &e) {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,4 +1,5 @@
-// Package simwire carries the bench's binary frames to and from the types of package admission. It decides nothing.
+// Package simwire carries the bench's binary frames to and from the types of package admission. It
+// decides nothing.
 package simwire
 
 import (
@@ -66,8 +67,8 @@
 // Len is the number of events in the batch.
 func (b *Batch) Len() int { return len(b.records) / eventSize }
 
-// ReadBatch reads one frame, into buf where that is large enough. It returns io.EOF at the end of input between
-// frames.
+// ReadBatch reads one frame, into buf where that is large enough. It returns io.EOF at the end of
+// input between frames.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var head [batchHeader]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -81,7 +82,11 @@
 		return Batch{}, buf, fmt.Errorf("simwire: batch header: length %d out of range", size)
 	}
 	if uint64(count)*eventSize > uint64(size) {
-		return Batch{}, buf, fmt.Errorf("simwire: batch header: %d records do not fit in %d bytes", count, size)
+		return Batch{}, buf, fmt.Errorf(
+			"simwire: batch header: %d records do not fit in %d bytes",
+			count,
+			size,
+		)
 	}
 	if now > maxMicros {
 		return Batch{}, buf, fmt.Errorf("simwire: batch header: clock %d out of range", now)
@@ -118,7 +123,13 @@
 		rec.Start, rec.Seed = true, le.Uint64(r[6:])
 		off, n := uint64(le.Uint32(r[14:])), uint64(le.Uint32(r[18:]))
 		if off+n > uint64(len(b.tail)) {
-			return rec, fmt.Errorf("simwire: record %d: tail range %d+%d exceeds %d bytes", i, off, n, len(b.tail))
+			return rec, fmt.Errorf(
+				"simwire: record %d: tail range %d+%d exceeds %d bytes",
+				i,
+				off,
+				n,
+				len(b.tail),
+			)
 		}
 		rec.Settings = string(b.tail[off : off+n])
 	case codeAsk:
@@ -133,11 +144,15 @@
 		ev.Key, ev.Retry, ev.Write = le.Uint64(r[19:]), flags&2 != 0, flags&4 != 0
 		ev.Queued, ev.Prior = micros(uint64(le.Uint32(r[52:]))), le.Uint64(r[56:])
 	case codeRunOver:
-		ev.Kind, ev.Outcome, ev.Elapsed = admission.EventDone, outcomes[le.Uint16(r[14:])], micros(uint64(le.Uint32(r[16:])))
+		ev.Kind, ev.Outcome, ev.Elapsed = admission.EventDone, outcomes[le.Uint16(r[14:])], micros(
+			uint64(le.Uint32(r[16:])),
+		)
 	case codeBlocked:
 		ev.Kind = admission.EventBlocked
 	case codeDownstream:
-		ev.Kind, ev.Elapsed, ev.Outcome = admission.EventCalled, micros(uint64(le.Uint32(r[14:]))), outcomes[le.Uint16(r[18:])]
+		ev.Kind, ev.Elapsed, ev.Outcome = admission.EventCalled, micros(
+			uint64(le.Uint32(r[14:])),
+		), outcomes[le.Uint16(r[18:])]
 	case codeSigterm:
 		ev.Kind, ev.Due = admission.EventDrain, micros(le.Uint64(r[6:]))
 	case codeHangup:
@@ -165,7 +180,8 @@
 	return PlaceGauges(values, names)
 }
 
-// PlaceGauges puts values that come in the order of names in their places. A gauge without a value is NaN.
+// PlaceGauges puts values that come in the order of names in their places. A gauge without a value
+// is NaN.
 func PlaceGauges(values []float64, names []Gauge) admission.Gauges {
 	nan := math.NaN()
 	g := admission.Gauges{CPU: nan, Runnable: nan, Memory: nan, Connections: nan}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -41,12 +41,16 @@
 
 // The records are those of the wire page's example.
 func TestRecords(t *testing.T) {
-	b, _, err := ReadBatch(bytes.NewReader(frame("",
-		unhex("0200 03000000 c4913a5de2f60b00 00 00000000 640ad2557c3bf091 da05840000000000 e02e0000 0000c441"+
-			"0000203f 01 11000000 3a070000 192b6f0ed2580a00"),
+	b, _, err := ReadBatch(bytes.NewReader(frame(
+		"",
+		unhex(
+			"0200 03000000 c4913a5de2f60b00 00 00000000 640ad2557c3bf091 da05840000000000 e02e0000 0000c441"+
+				"0000203f 01 11000000 3a070000 192b6f0ed2580a00",
+		),
 		unhex("0800 03000000 4d00000000000000 04 52b81e3f 00004040 85ebd13e 0000f042"),
 		unhex("0300 03000000 c4913a5de2f60b00 c800 44480000"),
-		unhex("0700 05000000 192b6f0ed2580a00"))), nil)
+		unhex("0700 05000000 192b6f0ed2580a00"),
+	)), nil)
 	if err != nil || b.Now != 5*time.Second || b.Len() != 4 {
 		t.Fatalf("%v %v %v", b.Now, b.Len(), err)
 	}
@@ -58,7 +62,8 @@
 		t.Fatalf("%+v %v", ask, err)
 	}
 	wake, err := b.Record(1, names)
-	if g := wake.Event.Gauges; err != nil || g.Runnable != 3 || g.Connections != 120 || wake.Event.Token != 77 {
+	if g := wake.Event.Gauges; err != nil || g.Runnable != 3 || g.Connections != 120 ||
+		wake.Event.Token != 77 {
 		t.Fatalf("%+v %v", wake, err)
 	}
 	done, err := b.Record(2, names)
@@ -73,7 +78,15 @@
 
 func TestReply(t *testing.T) {
 	var p Reply
-	p.Add(3, &admission.Action{Kind: admission.ActionRefuse, Request: 0xa58d20e6f2b19, For: 250 * time.Millisecond, Last: true})
+	p.Add(
+		3,
+		&admission.Action{
+			Kind:    admission.ActionRefuse,
+			Request: 0xa58d20e6f2b19,
+			For:     250 * time.Millisecond,
+			Last:    true,
+		},
+	)
 	p.Add(3, &admission.Action{Kind: admission.ActionTimer, Token: 77, For: 500 * time.Millisecond})
 	p.Add(3, &admission.Action{Kind: admission.ActionAdvertise, Value: 0.25})
 	p.Add(5, &admission.Action{Kind: admission.ActionLog, Text: "two"})
@@ -121,24 +134,31 @@
 		"Specifics.Halt=freeze\nSpecifics.Say=floor\nSpecifics.Below=tier\nSpecifics.CallsByClass=true\n" +
 		"Specifics.ClassSkipWorth=0.3\nSpecifics.Meters=cpu_busy,other,runnable\nUnknown.Key=x\nValueBy=work"
 	s, gauges, err := ParseSettings(text)
-	if err != nil || s.Halt != admission.HaltFreeze || s.CreditMode != admission.CreditLevel || !s.WorthPerWork ||
-		s.Dependency != admission.DependencyTier || len(gauges) != 3 || gauges[2] != gaugeRunnable {
+	if err != nil || s.Halt != admission.HaltFreeze || s.CreditMode != admission.CreditLevel ||
+		!s.WorthPerWork ||
+		s.Dependency != admission.DependencyTier ||
+		len(gauges) != 3 ||
+		gauges[2] != gaugeRunnable {
 		t.Fatalf("%+v %v %v", s, gauges, err)
 	}
-	if c := s.Classes[0]; c.Effect != admission.Keyed || c.Target != 2*time.Millisecond || !c.Calls || c.OmitWorth != 0.3 {
+	if c := s.Classes[0]; c.Effect != admission.Keyed || c.Target != 2*time.Millisecond || !c.Calls ||
+		c.OmitWorth != 0.3 {
 		t.Fatalf("%+v", c)
 	}
 	for _, bad := range []string{"Specifics.Cores=many", "Specifics.Halt=maybe", "RequestClasses.count=-1",
 		"Specifics.MemoryKb=NaN", "Specifics.DeepChecks=perhaps", "Rules.FallUs=-4",
 		"RequestClasses.0.WindowUs=0", "Specifics.Cores=0", "Rules.ColdShare=2", "Specifics.MemoryKb="} {
-		if _, _, err := ParseSettings(text + "\n" + bad); err == nil || !strings.Contains(err.Error(), strings.SplitN(bad, "=", 2)[0]) {
+		if _, _, err := ParseSettings(text + "\n" + bad); err == nil ||
+			!strings.Contains(err.Error(), strings.SplitN(bad, "=", 2)[0]) {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame("abc", unhex("0100 05000000 0000000000000000 00000000 03000000"), unhex("0800 05000000 00 04")))
+	f.Add(
+		frame("abc", unhex("0100 05000000 0000000000000000 00000000 03000000"), unhex("0800 05000000 00 04")),
+	)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		b, _, err := ReadBatch(bytes.NewReader(in), nil)
 		if err != nil {
--- a/internal/telemetry/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -1,9 +1,10 @@
-// Package explain remembers, in memory that does not grow, what became of recent requests and why. It is free of I/O.
+// Package explain remembers, in memory that does not grow, what became of recent requests and why.
+// It is free of I/O.
 //
-// Entries stand in strata, one for each class and end. When there is no room left, the stratum that is furthest over its part
-// gives up its oldest entry, so that a flood of one kind pushes out its own. What is rarer and worse has a larger part: a
-// refused hand-in outlives many served checks. In a flood of what went well only one in some is remembered, and the
-// others are counted.
+// Entries stand in strata, one for each class and end. When there is no room left, the stratum that
+// is furthest over its part gives up its oldest entry, so that a flood of one kind pushes out its
+// own. What is rarer and worse has a larger part: a refused hand-in outlives many served checks. In
+// a flood of what went well only one in some is remembered, and the others are counted.
 package explain
 
 import (
@@ -58,7 +59,12 @@
 
 // New makes a record of at most so many bytes. keyed tells which classes have an effect.
 func New(bytes int, keyed func(class int) bool, seed uint64) *Record {
-	return &Record{most: max(bytes/EntrySize, 1), keyed: keyed, rand: rand.New(rand.NewPCG(seed, 5)), strata: map[strand]*stratum{}}
+	return &Record{
+		most:   max(bytes/EntrySize, 1),
+		keyed:  keyed,
+		rand:   rand.New(rand.NewPCG(seed, 5)),
+		strata: map[strand]*stratum{},
+	}
 }
 
 // Most is how many entries there is room for, and Len how many there are.
@@ -79,7 +85,8 @@
 	return part
 }
 
-// plenty is how many requests of one stratum that were served are remembered in a second; of more, one in some.
+// plenty is how many requests of one stratum that were served are remembered in a second; of more,
+// one in some.
 const plenty = 100
 
 // Add takes a request that was answered, at that Unix time in microseconds.
@@ -157,11 +164,13 @@
 func (q *Query) takes(e *Entry) bool {
 	return (q.Name == "" || e.Name == short(q.Name) || e.First == short(q.Name)) && (q.Key == "" || e.Key == short(q.Key)) &&
 		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Kind == q.Kind) && !(q.NotServed && e.Kind == lifecycle.Served) &&
-		(q.Cause == 0 || e.Cause == q.Cause) && (q.From == 0 || e.Answered >= q.From) && (q.To == 0 || e.Answered <= q.To)
+		(q.Cause == 0 || e.Cause == q.Cause) &&
+		(q.From == 0 || e.Answered >= q.From) &&
+		(q.To == 0 || e.Answered <= q.To)
 }
 
-// Find gives the newest of the requests that are asked for, the newest first. Whoever asks by a name gets those that repeat it as
-// well; a name that was used again gets all of its uses.
+// Find gives the newest of the requests that are asked for, the newest first. Whoever asks by a
+// name gets those that repeat it as well; a name that was used again gets all of its uses.
 func (r *Record) Find(q Query) []*Entry {
 	var out []*Entry
 	most := cmp.Or(q.Most, 20)
@@ -194,6 +203,9 @@
 	for _, s := range r.order {
 		out = append(out, Stratum{s.class, s.kind, s.seen, len(s.entries)})
 	}
-	slices.SortFunc(out, func(a, b Stratum) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Kind, b.Kind)) })
+	slices.SortFunc(
+		out,
+		func(a, b Stratum) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Kind, b.Kind)) },
+	)
 	return out
 }
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -16,7 +16,13 @@
 func keyed(class int) bool { return class == handIn }
 
 func trail(n, class int, kind lifecycle.Kind) *lifecycle.Trail {
-	return &lifecycle.Trail{Name: fmt.Sprintf("%016x", n), Class: class, Kind: kind, Cause: lifecycle.CauseBroken, Answered: int64(n)}
+	return &lifecycle.Trail{
+		Name:     fmt.Sprintf("%016x", n),
+		Class:    class,
+		Kind:     kind,
+		Cause:    lifecycle.CauseBroken,
+		Answered: int64(n),
+	}
 }
 
 // A flood of ten times the record's size leaves the last 100 refused hand-ins explained.
@@ -56,19 +62,25 @@
 	}
 }
 
-// Whatever comes, the record keeps to its bound, finds what is new, and a kind with few entries loses none to one with many.
+// Whatever comes, the record keeps to its bound, finds what is new, and a kind with few entries
+// loses none to one with many.
 func TestTheRecordHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := New(rapid.IntRange(0, 60).Draw(rt, "most")*EntrySize, keyed, 1)
 		now := int64(1)
 		for n := range 300 {
 			now += rapid.Int64Range(-2_000_000, 2_000_000).Draw(rt, "step") // clocks do that
-			tr := trail(n, rapid.IntRange(0, 1).Draw(rt, "class"), lifecycle.Kind(rapid.IntRange(0, 3).Draw(rt, "kind")))
+			tr := trail(
+				n,
+				rapid.IntRange(0, 1).Draw(rt, "class"),
+				lifecycle.Kind(rapid.IntRange(0, 3).Draw(rt, "kind")),
+			)
 			r.Add(tr, now)
 			if r.Len() > r.Most() {
 				rt.Fatalf("%d of %d", r.Len(), r.Most())
 			}
-			if got := r.Find(Query{Name: tr.Name, Class: -1}); tr.Kind != lifecycle.Served && r.Most() > 8 && len(got) != 1 {
+			if got := r.Find(Query{Name: tr.Name, Class: -1}); tr.Kind != lifecycle.Served && r.Most() > 8 &&
+				len(got) != 1 {
 				rt.Fatalf("the newest is found %d times", len(got))
 			}
 		}
--- a/internal/telemetry/logging/event.go
+++ b/internal/telemetry/logging/event.go
@@ -17,8 +17,8 @@
 	"ryepaddle/internal/fault"
 )
 
-// Event is a kind of line. Its name and those of its fields are what operators search for, and stay as they are once they
-// are published: docs/on-call.md lists them all.
+// Event is a kind of line. Its name and those of its fields are what operators search for, and stay
+// as they are once they are published: docs/on-call.md lists them all.
 type Event struct {
 	Name   string // AREA.WHAT
 	Level  slog.Level
@@ -41,7 +41,8 @@
 	areas  map[string]*slog.LevelVar
 }{events: map[string]*Event{}, areas: map[string]*slog.LevelVar{}}
 
-// Define makes an event, for a variable of the package that logs it. Two of one name are a mistake in the program.
+// Define makes an event, for a variable of the package that logs it. Two of one name are a mistake
+// in the program.
 func Define(name string, level slog.Level, fields ...string) *Event {
 	registry.Lock()
 	defer registry.Unlock()
@@ -67,7 +68,10 @@
 func Events() []*Event {
 	registry.Lock()
 	defer registry.Unlock()
-	return slices.SortedFunc(maps.Values(registry.events), func(a, b *Event) int { return strings.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(
+		maps.Values(registry.events),
+		func(a, b *Event) int { return strings.Compare(a.Name, b.Name) },
+	)
 }
 
 // Enabled tells whether the area of the event is told of it, for values that cost something.
@@ -103,7 +107,8 @@
 	return left, true
 }
 
-// TellCut tells of the lines that were left out of floods that are over. The next line of such a kind may never come.
+// TellCut tells of the lines that were left out of floods that are over. The next line of such a
+// kind may never come.
 func TellCut() {
 	now := time.Now()
 	for _, e := range Events() {
@@ -225,7 +230,11 @@
 			return nil, fmt.Errorf("%q: want AREA=LEVEL, with debug, info, warn or error", word)
 		}
 		if registry.areas[area] == nil && area != allAreas {
-			return nil, fmt.Errorf("unknown area %q: want one of %s, or all", area, strings.Join(slices.Sorted(maps.Keys(registry.areas)), ", "))
+			return nil, fmt.Errorf(
+				"unknown area %q: want one of %s, or all",
+				area,
+				strings.Join(slices.Sorted(maps.Keys(registry.areas)), ", "),
+			)
 		}
 		out[area] = l
 	}
--- a/internal/telemetry/logging/logs.go
+++ b/internal/telemetry/logging/logs.go
@@ -1,5 +1,6 @@
-// Package logs tells operators what happens: events with stable names and fields, by area and level. It keeps them from
-// costing the program anything: lines go out beside the loop, and a flood of one kind is cut short.
+// Package logs tells operators what happens: events with stable names and fields, by area and
+// level. It keeps them from costing the program anything: lines go out beside the loop, and a flood
+// of one kind is cut short.
 package logging
 
 import (
@@ -19,7 +20,8 @@
 	done    chan struct{}
 }
 
-// Start has events written to w in a format, beside whoever logs them. Until then they go to the standard error output.
+// Start has events written to w in a format, beside whoever logs them. Until then they go to the
+// standard error output.
 func Start(w io.Writer, format string) *Writer {
 	l := newWriter(w, handler(w, format))
 	use(handler(l, format))
@@ -31,7 +33,8 @@
 
 var evDropped = Define("log.dropped", slog.LevelWarn, "lines")
 
-// newWriter begins to write to w, and tells of what was dropped through a handler that writes there itself.
+// newWriter begins to write to w, and tells of what was dropped through a handler that writes there
+// itself.
 func newWriter(w io.Writer, direct slog.Handler) *Writer {
 	l := &Writer{lines: make(chan []byte, backlog), done: make(chan struct{})}
 	go func() {
--- a/internal/telemetry/logging/logs_test.go
+++ b/internal/telemetry/logging/logs_test.go
@@ -15,8 +15,9 @@
 )
 
 var (
-	evBad   = Define("test.bad", slog.LevelWarn, "peer", "state")
-	evPlain = Define("test.plain", slog.LevelWarn, "peer", "state") // of a test with a clock of its own
+	evBad = Define("test.bad", slog.LevelWarn, "peer", "state")
+	// of a test with a clock of its own
+	evPlain = Define("test.plain", slog.LevelWarn, "peer", "state")
 	evQuiet = Define("test.quiet", slog.LevelDebug)
 )
 
@@ -25,7 +26,8 @@
 func (state) String() string { return "in service" }
 
 func written(t *testing.T, format string, do func()) string {
-	for _, e := range []*Event{evBad, evPlain} { // the clock of the test before may have been a later one
+	// the clock of the test before may have been a later one
+	for _, e := range []*Event{evBad, evPlain} {
 		e.since, e.passed, e.left = time.Time{}, 0, 0
 	}
 	var out bytes.Buffer
@@ -66,7 +68,11 @@
 			FormatText: "time=2000-01-01T00:00:00.000Z level=WARN event=test.plain peer=127.0.0.1:80 state=\"in service\"\n",
 			FormatJSON: `{"time":"2000-01-01T00:00:00Z","level":"WARN","event":"test.plain","peer":"127.0.0.1:80","state":"in service"}` + "\n",
 		} {
-			got := written(t, format, func() { evPlain.Log(netip.MustParseAddrPort("127.0.0.1:80"), state(1)) })
+			got := written(
+				t,
+				format,
+				func() { evPlain.Log(netip.MustParseAddrPort("127.0.0.1:80"), state(1)) },
+			)
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics counts what becomes of requests, and how the program and its servers stand, in the form of Prometheus.
+// Package metrics counts what becomes of requests, and how the program and its servers stand, in
+// the form of Prometheus.
 package metrics
 
 import (
@@ -33,13 +34,20 @@
 // seconds are the bounds of latencies: a few milliseconds to the longest deadlines.
 var seconds = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2, 4, 8, 16}
 
-// New makes the figures of a program. class names the class at a place. now gives those of the moment.
+// New makes the figures of a program. class names the class at a place. now gives those of the
+// moment.
 func New(class func(int) string, ends map[lifecycle.Kind]string, now func() []Gauge) *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), class: class, ends: ends, now: now}
-	m.took = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "ryepaddle_request_seconds", Buckets: seconds,
-		Help: "Time from a request's arrival to its answer."}, []string{"class", "end"})
-	m.waited = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "ryepaddle_wait_seconds", Buckets: seconds,
-		Help: "Time from a request's arrival to the beginning of its run."}, []string{"class"})
+	m.took = prometheus.NewHistogramVec(
+		prometheus.HistogramOpts{Name: "ryepaddle_request_seconds", Buckets: seconds,
+			Help: "Time from a request's arrival to its answer."},
+		[]string{"class", "end"},
+	)
+	m.waited = prometheus.NewHistogramVec(
+		prometheus.HistogramOpts{Name: "ryepaddle_wait_seconds", Buckets: seconds,
+			Help: "Time from a request's arrival to the beginning of its run."},
+		[]string{"class"},
+	)
 	m.causes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "ryepaddle_causes_total",
 		Help: "Requests by the cause of their answer."}, []string{"class", "end", "cause"})
 	m.tries = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "ryepaddle_tries_total",
@@ -48,7 +56,8 @@
 	return m
 }
 
-// Add counts a request that was answered. Its id goes with the latency as an exemplar, by which it can be explained.
+// Add counts a request that was answered. Its id goes with the latency as an exemplar, by which it
+// can be explained.
 func (m *Metrics) Add(t *lifecycle.Trail) {
 	class, end := m.class(t.Class), m.ends[t.Kind]
 	observe(m.took.WithLabelValues(class, end), t.Answered-t.Arrived, t.Name)
@@ -61,7 +70,8 @@
 	m.tries.WithLabelValues(class).Add(float64(t.Tries))
 }
 
-// exemplarMost is the longest id that an exemplar may hold, by the OpenMetrics format, beside the name of its label.
+// exemplarMost is the longest id that an exemplar may hold, by the OpenMetrics format, beside the
+// name of its label.
 const exemplarMost = 120
 
 func observe(o prometheus.Observer, us int64, id string) {
--- a/internal/telemetry/tracing/file.go
+++ b/internal/telemetry/tracing/file.go
@@ -5,7 +5,8 @@
 	"os"
 )
 
-// file is one of bounded size: when it is full it becomes FILE.1, in place of an older one, and begins anew.
+// file is one of bounded size: when it is full it becomes FILE.1, in place of an older one, and
+// begins anew.
 type file struct {
 	path string
 	most int64
--- a/internal/telemetry/tracing/sample.go
+++ b/internal/telemetry/tracing/sample.go
@@ -8,8 +8,9 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// Sampler decides of which requests spans are written, once their ends are known: of those that their callers or the share chose,
-// and of each that was not served. A flood of one class and end has no part in what others may write.
+// Sampler decides of which requests spans are written, once their ends are known: of those that
+// their callers or the share chose, and of each that was not served. A flood of one class and end
+// has no part in what others may write.
 type Sampler struct {
 	perSecond int
 	strata    map[stratum]*rate.Limiter
--- a/internal/telemetry/tracing/traces.go
+++ b/internal/telemetry/tracing/traces.go
@@ -1,5 +1,6 @@
-// Package traces writes what became of requests as OpenTelemetry spans to a file: one span for a request, one for its wait, one for
-// each try. Spans are made and written beside the loop; a slow disk or a full one costs spans, which are counted.
+// Package traces writes what became of requests as OpenTelemetry spans to a file: one span for a
+// request, one for its wait, one for each try. Spans are made and written beside the loop; a slow
+// disk or a full one costs spans, which are counted.
 package tracing
 
 import (
@@ -61,7 +62,12 @@
 
 // Start begins to write.
 func Start(opt Options) (*Recorder, error) {
-	r := &Recorder{opt: opt, sampler: NewSampler(opt.PerSecond), queue: make(chan entry, opt.Queue), done: make(chan struct{})}
+	r := &Recorder{
+		opt:     opt,
+		sampler: NewSampler(opt.PerSecond),
+		queue:   make(chan entry, opt.Queue),
+		done:    make(chan struct{}),
+	}
 	var err error
 	if r.out, err = openFile(opt.File, opt.MaxBytes); err != nil {
 		return nil, err
@@ -70,9 +76,18 @@
 	if err != nil {
 		return nil, err
 	}
-	r.provider = sdk.NewTracerProvider(sdk.WithSyncer(exporter), sdk.WithSampler(sdk.AlwaysSample()), sdk.WithIDGenerator(ids{}),
-		sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "ryepaddle"), attribute.String("service.version", opt.Version),
-			attribute.String("service.instance.id", opt.Instance))))
+	r.provider = sdk.NewTracerProvider(
+		sdk.WithSyncer(exporter),
+		sdk.WithSampler(sdk.AlwaysSample()),
+		sdk.WithIDGenerator(ids{}),
+		sdk.WithResource(
+			resource.NewSchemaless(
+				attribute.String("service.name", "ryepaddle"),
+				attribute.String("service.version", opt.Version),
+				attribute.String("service.instance.id", opt.Instance),
+			),
+		),
+	)
 	r.tracer = r.provider.Tracer("ryepaddle")
 	go r.run()
 	return r, nil
@@ -136,10 +151,22 @@
 func (r *Recorder) spans(e *entry) {
 	ctx := context.Background()
 	if e.remote {
-		ctx = trace.ContextWithRemoteSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{TraceID: e.parent.Trace, SpanID: e.parent.Span, Remote: true}))
+		ctx = trace.ContextWithRemoteSpanContext(
+			ctx,
+			trace.NewSpanContext(
+				trace.SpanContextConfig{TraceID: e.parent.Trace, SpanID: e.parent.Span, Remote: true},
+			),
+		)
+	}
+	attrs := []attribute.KeyValue{
+		attribute.String("ryepaddle.request", e.Name),
+		attribute.String("ryepaddle.class", r.opt.Class(e.Class)),
+		attribute.String(
+			"ryepaddle.end",
+			r.opt.Ends[e.Kind],
+		),
+		attribute.Int64("ryepaddle.caller", int64(e.Caller)),
 	}
-	attrs := []attribute.KeyValue{attribute.String("ryepaddle.request", e.Name), attribute.String("ryepaddle.class", r.opt.Class(e.Class)),
-		attribute.String("ryepaddle.end", r.opt.Ends[e.Kind]), attribute.Int64("ryepaddle.caller", int64(e.Caller))}
 	if e.Tenant >= 0 && e.Tenant < len(r.opt.Tenants) {
 		attrs = append(attrs, attribute.String("ryepaddle.tenant", r.opt.Tenants[e.Tenant]))
 	}
@@ -149,7 +176,11 @@
 	if e.Cause != lifecycle.CauseNone {
 		attrs = append(attrs, attribute.String("ryepaddle.cause", e.Cause.String()))
 		if e.Value != 0 || e.Limit != 0 {
-			attrs = append(attrs, attribute.Float64("ryepaddle.value", e.Value), attribute.Float64("ryepaddle.limit", e.Limit))
+			attrs = append(
+				attrs,
+				attribute.Float64("ryepaddle.value", e.Value),
+				attribute.Float64("ryepaddle.limit", e.Limit),
+			)
 		}
 	}
 	ctx, whole := r.span(ctx, e.at, r.opt.Class(e.Class), trace.SpanKindServer, e.Arrived, attrs)
@@ -161,8 +192,18 @@
 		end(wait, e.Arrived, e.Started)
 	}
 	for n, h := range e.Hops[:min(e.Tries, len(e.Hops))] {
-		_, try := r.span(ctx, e.at.Try(n), "try", trace.SpanKindClient, h.Began, []attribute.KeyValue{attribute.Int("ryepaddle.try", n+1),
-			attribute.String("ryepaddle.server", h.Server), attribute.String("ryepaddle.outcome", r.opt.Outcomes[h.Outcome])})
+		_, try := r.span(
+			ctx,
+			e.at.Try(n),
+			"try",
+			trace.SpanKindClient,
+			h.Began,
+			[]attribute.KeyValue{attribute.Int("ryepaddle.try", n+1),
+				attribute.String(
+					"ryepaddle.server",
+					h.Server,
+				), attribute.String("ryepaddle.outcome", r.opt.Outcomes[h.Outcome])},
+		)
 		if h.Outcome != lifecycle.Fine && h.Outcome != 0 {
 			try.SetStatus(codes.Error, r.opt.Outcomes[h.Outcome])
 		}
@@ -171,9 +212,21 @@
 	end(whole, e.Arrived, e.Answered)
 }
 
-func (r *Recorder) span(ctx context.Context, at traceparent.Context, name string, kind trace.SpanKind, began int64, attrs []attribute.KeyValue) (context.Context, trace.Span) {
-	return r.tracer.Start(context.WithValue(ctx, idsKey{}, at), name, trace.WithSpanKind(kind), trace.WithTimestamp(time.UnixMicro(began)),
-		trace.WithAttributes(attrs...))
+func (r *Recorder) span(
+	ctx context.Context,
+	at traceparent.Context,
+	name string,
+	kind trace.SpanKind,
+	began int64,
+	attrs []attribute.KeyValue,
+) (context.Context, trace.Span) {
+	return r.tracer.Start(
+		context.WithValue(ctx, idsKey{}, at),
+		name,
+		trace.WithSpanKind(kind),
+		trace.WithTimestamp(time.UnixMicro(began)),
+		trace.WithAttributes(attrs...),
+	)
 }
 
 // end ends a span. The clock may have been set back meanwhile; a span has no negative length.
--- a/internal/telemetry/tracing/traces_test.go
+++ b/internal/telemetry/tracing/traces_test.go
@@ -11,13 +11,32 @@
 )
 
 func options(t testing.TB) Options {
-	return Options{File: filepath.Join(t.TempDir(), "spans"), MaxBytes: 1 << 20, Queue: 4, PerSecond: 10, Instance: "n1", Class: func(i int) string { return []string{"check", "hand-in"}[i] },
-		Ends: map[lifecycle.Kind]string{lifecycle.Refused: "refused"}}
+	return Options{
+		File:      filepath.Join(t.TempDir(), "spans"),
+		MaxBytes:  1 << 20,
+		Queue:     4,
+		PerSecond: 10,
+		Instance:  "n1",
+		Class:     func(i int) string { return []string{"check", "hand-in"}[i] },
+		Ends:      map[lifecycle.Kind]string{lifecycle.Refused: "refused"},
+	}
 }
 
 func refused() *lifecycle.Trail {
-	return &lifecycle.Trail{Name: "x", Class: 1, Tenant: -1, Arrived: 5_000_000, Answered: 4_000_000, Kind: lifecycle.Refused, Cause: lifecycle.CauseNobody, Tries: 1,
-		Started: 5_000_000, Hops: [4]lifecycle.Hop{{Server: "one", Began: 5_000_000, Took: -1_000_000, Outcome: lifecycle.Unreachable}}}
+	return &lifecycle.Trail{
+		Name:     "x",
+		Class:    1,
+		Tenant:   -1,
+		Arrived:  5_000_000,
+		Answered: 4_000_000,
+		Kind:     lifecycle.Refused,
+		Cause:    lifecycle.CauseNobody,
+		Tries:    1,
+		Started:  5_000_000,
+		Hops: [4]lifecycle.Hop{
+			{Server: "one", Began: 5_000_000, Took: -1_000_000, Outcome: lifecycle.Unreachable},
+		},
+	}
 }
 
 // What is served and nobody chose is passed over, and a flood of one end leaves room for others.
@@ -43,7 +62,8 @@
 	}
 }
 
-// The file is bounded, and whole lines stand in it. A clock that was set back makes no span of negative length.
+// The file is bounded, and whole lines stand in it. A clock that was set back makes no span of
+// negative length.
 func TestFileIsBounded(t *testing.T) {
 	opt := options(t)
 	opt.MaxBytes, opt.PerSecond, opt.Queue = 10_000, 1000, 1000
@@ -63,7 +83,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(text) == 0 || len(text) > 10_000 || text[len(text)-1] != '\n' || strings.Contains(string(text), "T00:00:04") {
+		if len(text) == 0 || len(text) > 10_000 || text[len(text)-1] != '\n' ||
+			strings.Contains(string(text), "T00:00:04") {
 			t.Errorf("%s: %d bytes: %.600s", path, len(text), text)
 		}
 	}
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -1,9 +1,10 @@
-// Package traffic records what came to a runner, and reads it again for the simulator. A file is compact, carries its version,
-// and has a checksum on each block, so that what was cut off or spoilt is noticed and the rest still serves.
+// Package traffic records what came to a runner, and reads it again for the simulator. A file is
+// compact, carries its version, and has a checksum on each block, so that what was cut off or
+// spoilt is noticed and the rest still serves.
 //
-// A file is the magic, the version, and then frames: a kind, the length of what follows, its checksum, and that. The
-// first frame is the head; blocks of requests follow, compressed; the last is the end, with what was lost. Numbers are
-// little-endian.
+// A file is the magic, the version, and then frames: a kind, the length of what follows, its
+// checksum, and that. The first frame is the head; blocks of requests follow, compressed; the last
+// is the end, with what was lost. Numbers are little-endian.
 package traffic
 
 import (
@@ -90,7 +91,8 @@
 	return append(to, text...), nil
 }
 
-// sum covers the kind and the length too: a frame that was cut and one that was swapped are both noticed.
+// sum covers the kind and the length too: a frame that was cut and one that was swapped are both
+// noticed.
 func sum(kind byte, text []byte) uint64 {
 	d := xxhash.NewWithSeed(uint64(kind)<<32 | uint64(len(text)))
 	d.Write(text)
@@ -140,7 +142,8 @@
 	return m
 }()
 
-// Decode reads a file. What is cut off or spoilt ends it, and Cut says where; the blocks before that are whole.
+// Decode reads a file. What is cut off or spoilt ends it, and Cut says where; the blocks before
+// that are whole.
 func Decode(r io.Reader) (*Recording, error) {
 	var start [len(magic) + 2]byte
 	if _, err := io.ReadFull(r, start[:]); err != nil || string(start[:len(magic)]) != magic {
@@ -216,7 +219,11 @@
 		for i := range block {
 			q := &block[i]
 			if int(q.Class) >= len(rec.Classes) || int(q.Tenant) >= len(rec.Tenants) {
-				return fmt.Errorf("a request of class %d and tenant %d, which the head does not name", q.Class, q.Tenant)
+				return fmt.Errorf(
+					"a request of class %d and tenant %d, which the head does not name",
+					q.Class,
+					q.Tenant,
+				)
 			}
 			q.At += last
 			last = q.At
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -17,7 +17,12 @@
 	"pgregory.net/rapid"
 )
 
-var head = Head{Runner: "n3", Began: 1_764_576_000_000_000, Classes: []string{"check", "hand-in"}, Tenants: []string{"a", "b"}}
+var head = Head{
+	Runner:  "n3",
+	Began:   1_764_576_000_000_000,
+	Classes: []string{"check", "hand-in"},
+	Tenants: []string{"a", "b"},
+}
 
 // disk is a file that fails by script.
 type disk struct {
@@ -55,8 +60,17 @@
 func (d *disk) setRoom(n int)                       { d.mu.Lock(); d.room = n; d.mu.Unlock() }
 
 func request(i int) Request {
-	return Request{At: head.Began + int64(i)*1000, Class: uint16(i % 2), Tenant: uint16(i / 2 % 2), Caller: uint32(i), SizeKB: 24.5,
-		Rank: 0.25, Key: uint64(i % 2 * i), Body: uint64(i) * 7, BodyLen: 100}
+	return Request{
+		At:      head.Began + int64(i)*1000,
+		Class:   uint16(i % 2),
+		Tenant:  uint16(i / 2 % 2),
+		Caller:  uint32(i),
+		SizeKB:  24.5,
+		Rank:    0.25,
+		Key:     uint64(i % 2 * i),
+		Body:    uint64(i) * 7,
+		BodyLen: 100,
+	}
 }
 
 func written(t testing.TB, d *disk, n int, opt Options) *Recorder {
@@ -94,13 +108,38 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var want []Request
 		for range rapid.IntRange(0, 60).Draw(t, "n") {
-			want = append(want, Request{At: rapid.Int64Range(0, math.MaxInt64/4).Draw(t, "at"), Class: uint16(rapid.IntRange(0, 1).Draw(t, "class")),
-				Tenant: uint16(rapid.IntRange(0, 1).Draw(t, "tenant")), Caller: rapid.Uint32().Draw(t, "caller"),
-				SizeKB: rapid.Float32Range(0, 2000).Draw(t, "size"), Rank: rapid.Float32Range(0, 1).Draw(t, "rank"),
-				Key: rapid.Uint64().Draw(t, "key"), Body: rapid.Uint64().Draw(t, "body"), BodyLen: rapid.Uint32().Draw(t, "len")})
+			want = append(
+				want,
+				Request{
+					At:    rapid.Int64Range(0, math.MaxInt64/4).Draw(t, "at"),
+					Class: uint16(rapid.IntRange(0, 1).Draw(t, "class")),
+					Tenant: uint16(
+						rapid.IntRange(0, 1).Draw(t, "tenant"),
+					),
+					Caller: rapid.Uint32().Draw(t, "caller"),
+					SizeKB: rapid.Float32Range(
+						0,
+						2000,
+					).Draw(
+						t,
+						"size",
+					),
+					Rank: rapid.Float32Range(0, 1).Draw(t, "rank"),
+					Key: rapid.Uint64().Draw(
+						t,
+						"key",
+					),
+					Body:    rapid.Uint64().Draw(t, "body"),
+					BodyLen: rapid.Uint32().Draw(t, "len"),
+				},
+			)
 		}
 		d := &disk{room: -1}
-		r, err := Record(d, head, Options{MaxBytes: 1 << 20, Queue: 100, Block: rapid.IntRange(1, 40).Draw(t, "block")})
+		r, err := Record(
+			d,
+			head,
+			Options{MaxBytes: 1 << 20, Queue: 100, Block: rapid.IntRange(1, 40).Draw(t, "block")},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,7 +178,8 @@
 		if rec.Cut == nil || len(rec.Requests)%10 != 0 {
 			t.Fatalf("cut at %d: %d requests, %v", n, len(rec.Requests), rec.Cut)
 		}
-		if diff := cmp.Diff(whole.Requests[:len(rec.Requests)], rec.Requests, cmp.AllowUnexported(Request{})); diff != "" && len(rec.Requests) > 0 {
+		if diff := cmp.Diff(whole.Requests[:len(rec.Requests)], rec.Requests, cmp.AllowUnexported(Request{})); diff != "" &&
+			len(rec.Requests) > 0 {
 			t.Fatalf("cut at %d (-want +got)\n%s", n, diff)
 		}
 	}
@@ -191,7 +231,8 @@
 	}
 	huge = binary.LittleEndian.AppendUint32(append(huge, frameBlock), 3<<30)
 	huge = append(huge, make([]byte, 20)...)
-	if rec := decode(t, huge); rec.Cut == nil || !strings.Contains(rec.Cut.Error(), "a frame of 3221225472 bytes") {
+	if rec := decode(t, huge); rec.Cut == nil ||
+		!strings.Contains(rec.Cut.Error(), "a frame of 3221225472 bytes") {
 		t.Errorf("%v", rec.Cut)
 	}
 	stranger, err := appendBlock(append([]byte{}, huge[:len(huge)-25]...), []Request{{Class: 7}})
@@ -224,12 +265,14 @@
 	if err := r.Close(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if rec := decode(t, d.text); rec.Cut != nil || rec.Lost.Queue != lost || int64(len(rec.Requests)) != 1000-lost {
+	if rec := decode(t, d.text); rec.Cut != nil || rec.Lost.Queue != lost ||
+		int64(len(rec.Requests)) != 1000-lost {
 		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Cut)
 	}
 }
 
-// A full disk costs records; when there is room again, recording goes on, and the file holds whole blocks only.
+// A full disk costs records; when there is room again, recording goes on, and the file holds whole
+// blocks only.
 func TestAFullDisk(t *testing.T) {
 	d := &disk{room: 400}
 	r, err := Record(d, head, Options{MaxBytes: 1 << 20, Queue: 1000, Block: 10})
@@ -257,7 +300,8 @@
 	}
 	rec := decode(t, d.text)
 	lost := r.Lost().Errors
-	if rec.Cut != nil || lost < 10 || lost > 110 || int64(len(rec.Requests)) != 200-lost || rec.Lost.Errors != lost {
+	if rec.Cut != nil || lost < 10 || lost > 110 || int64(len(rec.Requests)) != 200-lost ||
+		rec.Lost.Errors != lost {
 		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Cut)
 	}
 	if last := rec.Requests[len(rec.Requests)-1]; last != request(199) {
@@ -269,7 +313,8 @@
 	d := &disk{room: -1}
 	r := written(t, d, 5000, Options{MaxBytes: 4000, Block: 10})
 	rec := decode(t, d.text)
-	if len(d.text) > 4000 || rec.Cut != nil || r.Lost().Bytes == 0 || int64(len(rec.Requests))+r.Lost().Bytes != 5000 {
+	if len(d.text) > 4000 || rec.Cut != nil || r.Lost().Bytes == 0 ||
+		int64(len(rec.Requests))+r.Lost().Bytes != 5000 {
 		t.Errorf("%d bytes, %d requests, lost %+v, %v", len(d.text), len(rec.Requests), r.Lost(), rec.Cut)
 	}
 	if _, err := Record(&disk{room: -1}, head, Options{MaxBytes: 100}); err == nil {
--- a/internal/telemetry/traffic/writer.go
+++ b/internal/telemetry/traffic/writer.go
@@ -25,8 +25,8 @@
 	Every    time.Duration // a block is written after so long at the latest; 0: 1 s
 }
 
-// Recorder writes requests to a file beside whoever notes them: a full disk or a slow one costs records, which are
-// counted, and never keeps a request waiting.
+// Recorder writes requests to a file beside whoever notes them: a full disk or a slow one costs
+// records, which are counted, and never keeps a request waiting.
 type Recorder struct {
 	opt    Options
 	file   File
@@ -76,7 +76,13 @@
 	if _, err := f.Write(start); err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
-	r := &Recorder{opt: opt, file: f, queue: make(chan Request, max(opt.Queue, 1)), done: make(chan struct{}), size: int64(len(start))}
+	r := &Recorder{
+		opt:   opt,
+		file:  f,
+		queue: make(chan Request, max(opt.Queue, 1)),
+		done:  make(chan struct{}),
+		size:  int64(len(start)),
+	}
 	go r.run()
 	return r, nil
 }
@@ -95,8 +101,8 @@
 	return Lost{Queue: r.lostQueue.Load(), Bytes: r.lostBytes.Load(), Errors: r.lostErrors.Load()}
 }
 
-// Close writes what is left and the end, and waits for that, but no longer than it is told: a disk that hangs must not
-// hold up the end of the program.
+// Close writes what is left and the end, and waits for that, but no longer than it is told: a disk
+// that hangs must not hold up the end of the program.
 func (r *Recorder) Close(within time.Duration) error {
 	r.closed.Do(func() { close(r.queue) })
 	select {
@@ -141,7 +147,8 @@
 	case err != nil:
 		r.lostErrors.Add(int64(len(block)))
 	case r.full || r.size+int64(len(text))+endRoom > r.opt.MaxBytes:
-		r.full = true // smaller blocks that would still fit are not let in: the file would have gaps
+		// smaller blocks that would still fit are not let in: the file would have gaps
+		r.full = true
 		r.lostBytes.Add(int64(len(block)))
 	case r.write(text) != nil:
 		r.lostErrors.Add(int64(len(block)))
@@ -150,7 +157,8 @@
 	}
 }
 
-// write adds a frame. What was written of one that failed is taken off again, before anything else is written.
+// write adds a frame. What was written of one that failed is taken off again, before anything else
+// is written.
 func (r *Recorder) write(text []byte) error {
 	if r.torn {
 		if err := r.file.Truncate(r.size); err != nil {
--- a/internal/testing/benchserver/benchserver.go
+++ b/internal/testing/benchserver/benchserver.go
@@ -1,5 +1,5 @@
-// Package benchserver plays the callers of a hop and the server behind it in a process of its own, so that what they allocate is not
-// counted with the hop.
+// Package benchserver plays the callers of a hop and the server behind it in a process of its own,
+// so that what they allocate is not counted with the hop.
 package benchserver
 
 import (
@@ -11,8 +11,9 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// Play prints where its server listens, which answers with so many bytes, and then asks as many requests as each line of its input
-// says, at the address that comes before. It prints how many were served, and ends with its input.
+// Play prints where its server listens, which answers with so many bytes, and then asks as many
+// requests as each line of its input says, at the address that comes before. It prints how many
+// were served, and ends with its input.
 func Play(size int, in io.Reader, out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,8 +27,11 @@
 		}
 	})
 	fmt.Fprintln(out, ln.Addr())
-	packet, err := uwsgi.Append(nil, &uwsgi.Request{Vars: []uwsgi.Var{{Name: "PATH_INFO", Value: "/ops/quick-check"},
-		{Name: "HTTP_X_CUSTOMER", Value: "north"}, {Name: "REQUEST_METHOD", Value: "GET"}}})
+	packet, err := uwsgi.Append(
+		nil,
+		&uwsgi.Request{Vars: []uwsgi.Var{{Name: "PATH_INFO", Value: "/ops/quick-check"},
+			{Name: "HTTP_X_CUSTOMER", Value: "north"}, {Name: "REQUEST_METHOD", Value: "GET"}}},
+	)
 	if err != nil {
 		return err
 	}
