--- a/internal/ci/verdict/known.go
+++ b/internal/ci/verdict/known.go
@@ -8,71 +8,140 @@
 	"strings"
 )
 
-// mostKnown is how many tests may be known to fail.
-const mostKnown = 3
-
-// KnownFailure is a test that is known to fail for a fault that is not mended yet.
+// KnownFailure is a test that is expected to fail, because of a fault that is not fixed yet.
 type KnownFailure struct {
-	Test  string // with its subtest, if only that fails
-	Cause string
-	Issue string
+	Test    string // name of the test, with its subtest if only that one fails
+	Command string // how to run it
+	Seed    string // seed of that run, or "none"
+	Seen    string // what the run showed
+	Issue   string // number of the open issue
+	Line    int    // line of the list at which the entry begins, from 1
 }
 
-// KnownError is a line that is not a known failure.
+// KnownError reports an entry of the list that is malformed.
 type KnownError struct {
-	Line   int
+	Line   int // from 1
 	Reason string
 }
 
+// Error implements error.
 func (e *KnownError) Error() string { return fmt.Sprintf("KNOWN-RED.txt:%d: %s", e.Line, e.Reason) }
 
-// issueForm is how an issue is named at the end of a line.
-var issueForm = regexp.MustCompile(`^issue \d+$`)
+// issueNumber is the form of the last part of an entry.
+var issueNumber = regexp.MustCompile(`^\d+$`)
 
-// ReadKnown reads a list of known failures: a line each, `TestName, cause, issue N`.
-func ReadKnown(r io.Reader) (known []KnownFailure, err error) {
+// ReadKnown reads a list of known failures. Entries are separated by blank lines and have five
+// parts, one a line, in any order; lines that begin with # are comments:
+//
+//	test: TestName/subtest
+//	command: go test -race -run TestName ./internal/lifecycle
+//	seed: 42
+//	seen: the second attempt is answered twice
+//	issue: 31
+//
+// A malformed entry is a *KnownError.
+func ReadKnown(r io.Reader) ([]KnownFailure, error) {
+	var known []KnownFailure
+	var entry *KnownFailure
+	finish := func() error {
+		if entry == nil {
+			return nil
+		}
+		if reason := entry.problem(); reason != "" {
+			return &KnownError{Line: entry.Line, Reason: reason}
+		}
+		known = append(known, *entry)
+		entry = nil
+		return nil
+	}
 	lines := bufio.NewScanner(r)
 	for number := 1; lines.Scan(); number++ {
 		text := strings.TrimSpace(lines.Text())
+		if strings.HasPrefix(text, "#") {
+			continue
+		}
 		if text == "" {
+			if err := finish(); err != nil {
+				return nil, err
+			}
 			continue
 		}
-		failure, reason := parseKnown(text)
-		switch {
-		case reason != "":
-			return nil, &KnownError{number, reason}
-		case len(known) == mostKnown:
-			return nil, &KnownError{number, fmt.Sprintf("more than %d tests are listed", mostKnown)}
+		if entry == nil {
+			entry = &KnownFailure{Line: number}
+		}
+		if reason := entry.set(text); reason != "" {
+			return nil, &KnownError{Line: number, Reason: reason}
 		}
-		known = append(known, failure)
 	}
-	return known, lines.Err()
+	if err := lines.Err(); err != nil {
+		return nil, fmt.Errorf("reading the known failures: %w", err)
+	}
+	if err := finish(); err != nil {
+		return nil, err
+	}
+	return known, nil
 }
 
-// parseKnown reads one line, or says what is wrong with it.
-func parseKnown(text string) (failure KnownFailure, reason string) {
-	name, rest, _ := strings.Cut(text, ",")
-	last := strings.LastIndex(rest, ",")
-	if last < 0 {
-		return failure, "want `TestName, cause, issue N`"
+// part returns the field for a label of the list, or nil.
+func (k *KnownFailure) part(label string) *string {
+	switch label {
+	case "test":
+		return &k.Test
+	case "command":
+		return &k.Command
+	case "seed":
+		return &k.Seed
+	case "seen":
+		return &k.Seen
+	case "issue":
+		return &k.Issue
 	}
-	failure = KnownFailure{
-		strings.TrimSpace(name),
-		strings.TrimSpace(rest[:last]),
-		strings.TrimSpace(rest[last+1:]),
+	return nil
+}
+
+// set takes one line of an entry and returns what is wrong with it.
+func (k *KnownFailure) set(line string) (reason string) {
+	label, value, _ := strings.Cut(line, ":")
+	field := k.part(label)
+	switch {
+	case field == nil:
+		return fmt.Sprintf("%q is no part of an entry: want test, command, seed, seen or issue", label)
+	case *field != "":
+		return fmt.Sprintf("a second %s in one entry: separate entries by a blank line", label)
+	}
+	*field = strings.TrimSpace(value)
+	return ""
+}
+
+// problem returns what is wrong with a whole entry.
+func (k *KnownFailure) problem() (reason string) {
+	for _, label := range []string{"test", "command", "seed", "seen", "issue"} {
+		if *k.part(label) == "" {
+			return "the entry has no " + label
+		}
 	}
 	switch {
-	case !strings.HasPrefix(failure.Test, "Test"):
-		return failure, fmt.Sprintf("%q is no test's name", failure.Test)
-	case failure.Cause == "":
-		return failure, "no cause is given"
-	case !issueForm.MatchString(failure.Issue):
-		return failure, fmt.Sprintf("%q is no issue: want `issue N`", failure.Issue)
+	case !strings.HasPrefix(k.Test, "Test"):
+		return fmt.Sprintf("%q is no name of a test", k.Test)
+	case !issueNumber.MatchString(k.Issue):
+		return fmt.Sprintf("%q is no number of an issue", k.Issue)
 	}
-	return failure, ""
+	return ""
 }
 
-// covers tells whether a failing test is the known one, or a part of it.
+// covers reports whether a failing test is the known one, or one of its subtests.
 func (k *KnownFailure) covers(test string) bool {
 	return test == k.Test || strings.HasPrefix(test, k.Test+"/")
 }
+
+// String is the line that CI prints for a failure that it passed over.
+func (k *KnownFailure) String() string {
+	return fmt.Sprintf(
+		"%s (issue %s): %s; again with: %s, seed %s",
+		k.Test,
+		k.Issue,
+		k.Seen,
+		k.Command,
+		k.Seed,
+	)
+}
--- a/internal/ci/verdict/main.go
+++ b/internal/ci/verdict/main.go
@@ -1,11 +1,15 @@
-// Command verdict reads what `go test -json` prints and decides whether the run is green. Tests
-// that KNOWN-RED.txt lists are to fail, and all others to pass:
+// Command verdict reads the output of `go test -json` and decides whether the run is green. Tests
+// that KNOWN-RED.txt lists have to fail, and all others to pass:
 //
 //	go test -race -json ./... | go run ./internal/ci/verdict KNOWN-RED.txt
+//
+// It prints each known failure that it passed over, and each problem. The exit code is 0 for green
+// and 1 for red or unreadable input.
 package main
 
 import (
 	"fmt"
+	"io"
 	"os"
 )
 
@@ -17,7 +21,7 @@
 		)
 		os.Exit(2)
 	}
-	green, err := run(os.Args[1])
+	green, err := run(os.Args[1], os.Stdin, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
@@ -26,7 +30,8 @@
 	}
 }
 
-func run(path string) (green bool, err error) {
+// run judges the run read from in by the list at path, and writes the findings to out.
+func run(path string, in io.Reader, out io.Writer) (green bool, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return false, err
@@ -36,16 +41,16 @@
 	if err != nil {
 		return false, err
 	}
-	results, err := ReadResults(os.Stdin, os.Stdout)
+	results, err := ReadResults(in, out)
 	if err != nil {
 		return false, err
 	}
 	problems := Judge(results, known)
-	for _, k := range known {
-		fmt.Printf("known red: %s, %s, %s\n", k.Test, k.Cause, k.Issue)
+	for i := range known {
+		fmt.Fprintln(out, "known red, passed over:", &known[i])
 	}
-	for _, p := range problems {
-		fmt.Println("red:", p)
+	for _, problem := range problems {
+		fmt.Fprintln(out, "red:", problem)
 	}
 	return len(problems) == 0, nil
 }
--- a/internal/ci/verdict/verdict.go
+++ b/internal/ci/verdict/verdict.go
@@ -33,17 +33,17 @@
 
 // Results is how the tests and packages of a run ended.
 type Results struct {
-	tests      map[testName]string // the action that ended each, or run
-	packages   map[string]string
+	tests      map[testName]string   // last action of each test; actionRun: it has not ended
+	packages   map[string]string     // action that ended each package
 	unbuilt    int                   // packages that could not be built
-	transcript map[testName][]string // the output of tests that have not passed
+	transcript map[testName][]string // output of the tests that have not passed
 }
 
-// longestLine bounds a line of the output.
-const longestLine = 16 << 20
+// maxLineBytes bounds one line of the output.
+const maxLineBytes = 16 << 20
 
-// ReadResults reads a run to its end. It passes on what packages print, and what tests print that
-// fail.
+// ReadResults reads a run to its end. It copies to out what packages print, and what failing tests
+// print. Input that is not the output of go test -json, or in which no package ends, is an error.
 func ReadResults(r io.Reader, out io.Writer) (*Results, error) {
 	results := &Results{
 		tests:      map[testName]string{},
@@ -51,21 +51,24 @@
 		transcript: map[testName][]string{},
 	}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var e event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return nil, fmt.Errorf("no output of go test -json: %w: %s", err, lines.Text())
+			return nil, fmt.Errorf("not the output of go test -json: %w: %s", err, lines.Text())
 		}
 		results.add(&e, out)
 	}
 	if len(results.packages) == 0 && lines.Err() == nil {
 		return nil, errors.New("no package has ended")
 	}
-	return results, lines.Err()
+	if err := lines.Err(); err != nil {
+		return nil, fmt.Errorf("reading the output of go test: %w", err)
+	}
+	return results, nil
 }
 
-// add takes one event.
+// add records one event.
 func (r *Results) add(e *event, out io.Writer) {
 	name := testName{e.Package, e.Test}
 	switch e.Action {
@@ -92,25 +95,25 @@
 	}
 }
 
-// Judge gives what makes a run red; nothing: it is green.
+// Judge returns what makes a run red. A run without problems is green.
 func Judge(r *Results, known []KnownFailure) (problems []string) {
 	if r.unbuilt > 0 {
 		problems = append(problems, fmt.Sprintf("%d packages cannot be built", r.unbuilt))
 	}
-	excused := map[string]bool{} // packages with a known failure
-	for name, ended := range r.tests {
+	excused := map[string]bool{} // packages that fail because of a known failure
+	for name, action := range r.tests {
 		switch {
-		case ended == actionRun:
+		case action == actionRun:
 			problems = append(problems, fmt.Sprintf("%s of %s has not ended", name.test, name.pkg))
-		case ended != actionFail || r.hasFailingPart(name):
+		case action != actionFail || r.hasFailingSubtest(name):
 		case slices.ContainsFunc(known, func(k KnownFailure) bool { return k.covers(name.test) }):
 			excused[name.pkg] = true
 		default:
 			problems = append(problems, fmt.Sprintf("%s of %s fails", name.test, name.pkg))
 		}
 	}
-	for pkg, ended := range r.packages {
-		if ended == actionFail && !excused[pkg] {
+	for pkg, action := range r.packages {
+		if action == actionFail && !excused[pkg] {
 			problems = append(problems, pkg+" fails")
 		}
 	}
@@ -121,37 +124,35 @@
 	return problems
 }
 
-// hasFailingPart tells whether a test fails for one of its subtests.
-func (r *Results) hasFailingPart(name testName) bool {
-	for other, ended := range r.tests {
-		if ended == actionFail && other.pkg == name.pkg && strings.HasPrefix(other.test, name.test+"/") {
+// hasFailingSubtest reports whether one of the subtests of a test fails.
+func (r *Results) hasFailingSubtest(name testName) bool {
+	for other, action := range r.tests {
+		if action == actionFail && other.pkg == name.pkg && strings.HasPrefix(other.test, name.test+"/") {
 			return true
 		}
 	}
 	return false
 }
 
-// checkKnown gives what is wrong with a known failure: no test has its name, or it does not fail.
+// checkKnown returns what is wrong with a known failure: no test has its name, or the test does not
+// fail.
 func (r *Results) checkKnown(k *KnownFailure) (problems []string) {
 	found := false
-	for name, ended := range r.tests {
+	for name, action := range r.tests {
 		if name.test != k.Test {
 			continue
 		}
-		if found = true; ended != actionFail {
+		found = true
+		if action != actionFail {
 			problems = append(
 				problems,
-				fmt.Sprintf(
-					"KNOWN-RED.txt: %s of %s does not fail (%s): take it off the list",
-					name.test,
-					name.pkg,
-					ended,
-				),
+				fmt.Sprintf("KNOWN-RED.txt:%d: %s of %s does not fail (%s): remove its entry",
+					k.Line, name.test, name.pkg, action),
 			)
 		}
 	}
 	if !found {
-		problems = append(problems, "KNOWN-RED.txt: no test has the name "+k.Test)
+		problems = append(problems, fmt.Sprintf("KNOWN-RED.txt:%d: no test has the name %s", k.Line, k.Test))
 	}
 	return problems
 }
--- a/internal/ci/verdict/verdict_test.go
+++ b/internal/ci/verdict/verdict_test.go
@@ -4,27 +4,69 @@
 	"errors"
 	"fmt"
 	"io"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
 )
 
-// A line names a test, a cause and an issue, and there are three at the most.
-func TestReadKnown(t *testing.T) {
+// entry is a whole entry of the list, with some lines replaced or, where the value is empty, left out.
+func entry(replaced map[string]string) string {
+	var b strings.Builder
+	for _, part := range [][2]string{
+		{"test", "TestA"},
+		{"command", "go test -run TestA ./p"},
+		{"seed", "7"},
+		{"seen", "it is answered twice"},
+		{"issue", "31"},
+	} {
+		value, ok := replaced[part[0]]
+		switch {
+		case !ok:
+			fmt.Fprintf(&b, "%s: %s\n", part[0], part[1])
+		case value != "":
+			fmt.Fprintf(&b, "%s: %s\n", part[0], value)
+		}
+	}
+	return b.String()
+}
+
+func TestReadKnownWantsAllPartsOfEachEntry(t *testing.T) {
+	first := KnownFailure{"TestA", "go test -run TestA ./p", "7", "it is answered twice", "31", 1}
+	subtest := first
+	subtest.Test, subtest.Line = "TestA/b c", 8
+	var many []KnownFailure
+	for i := range 5 {
+		many = append(many, first)
+		many[i].Line = 1 + 6*i
+	}
 	for name, c := range map[string]struct {
 		text string
 		want []KnownFailure
-		line int // that is wrong; 0: none
+		line int    // at which the error is; 0: none
+		says string // part of the error
 	}{
-		"nothing":           {"\n\n", nil, 0},
-		"one":               {"TestA, the link breaks, and twice, issue 36\n", []KnownFailure{{"TestA", "the link breaks, and twice", "issue 36"}}, 0},
-		"a subtest":         {"TestA/b c, cause, issue 1\n", []KnownFailure{{"TestA/b c", "cause", "issue 1"}}, 0},
-		"no test":           {"BenchmarkA, cause, issue 1\n", nil, 1},
-		"without a cause":   {"\nTestA, , issue 1\n", nil, 2},
-		"without an issue":  {"TestA, cause\n", nil, 1},
-		"the issue's words": {"TestA, cause, soon\n", nil, 1},
-		"a fourth":          {"TestA, c, issue 1\nTestB, c, issue 1\nTestC, c, issue 1\nTestD, c, issue 1\n", nil, 4},
+		"nothing": {"\n\n# a comment\n", nil, 0, ""},
+		"one":     {entry(nil), []KnownFailure{first}, 0, ""},
+		"a subtest": {
+			entry(nil) + "# why\n\n" + entry(map[string]string{"test": "TestA/b c"}),
+			[]KnownFailure{first, subtest},
+			0,
+			"",
+		},
+		"more than three":     {strings.Repeat(entry(nil)+"\n", 5), many, 0, ""},
+		"no test":             {entry(map[string]string{"test": "BenchmarkA"}), nil, 1, "no name of a test"},
+		"without a test":      {entry(map[string]string{"test": ""}), nil, 1, "no test"},
+		"without a command":   {entry(nil) + "\n" + entry(map[string]string{"command": ""}), nil, 7, "no command"},
+		"without a seed":      {entry(map[string]string{"seed": ""}), nil, 1, "no seed"},
+		"without what's seen": {"\n" + entry(map[string]string{"seen": ""}), nil, 2, "no seen"},
+		"without an issue":    {entry(map[string]string{"issue": ""}), nil, 1, "no issue"},
+		"the issue's words":   {entry(map[string]string{"issue": "soon"}), nil, 1, "no number of an issue"},
+		"an unknown part":     {entry(nil) + "cause: a race\n", nil, 6, "no part of an entry"},
+		"two in one":          {entry(nil) + entry(nil), nil, 6, "a second test"},
+		"the former form":     {"TestA, the link breaks, issue 36\n", nil, 1, "no part of an entry"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ReadKnown(strings.NewReader(c.text))
@@ -32,6 +74,9 @@
 			if errors.As(err, &wrong) != (c.line > 0) || wrong != nil && wrong.Line != c.line {
 				t.Fatalf("%v, want line %d", err, c.line)
 			}
+			if err != nil && !strings.Contains(err.Error(), c.says) {
+				t.Errorf("%v does not say %q", err, c.says)
+			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
 			}
@@ -52,10 +97,9 @@
 	return strings.NewReader(b.String())
 }
 
-// A run is green if all tests pass but those that are listed, which have to fail.
-func TestJudge(t *testing.T) {
-	known := []KnownFailure{{"TestKnown", "cause", "issue 1"}}
-	part := []KnownFailure{{"TestAll/known", "cause", "issue 1"}}
+func TestRunIsGreenIfKnownFailuresFailAndAllElsePasses(t *testing.T) {
+	known := []KnownFailure{{Test: "TestKnown", Line: 1}}
+	part := []KnownFailure{{Test: "TestAll/known", Line: 1}}
 	for name, c := range map[string]struct {
 		run   string
 		known []KnownFailure
@@ -66,15 +110,39 @@
 		"a known one fails": {"p:TestA pass\np:TestKnown fail\np fail", known, nil},
 		"another fails beside it": {"p:TestA fail\np:TestKnown fail\np fail\nq:TestB fail\nq fail", known,
 			[]string{"TestA of p fails", "TestB of q fails", "q fails"}},
-		"a known one passes":       {"p:TestKnown pass\np pass", known, []string{"KNOWN-RED.txt: TestKnown of p does not fail (pass): take it off the list"}},
-		"a known one is skipped":   {"p:TestKnown skip\np pass", known, []string{"KNOWN-RED.txt: TestKnown of p does not fail (skip): take it off the list"}},
-		"no test has the name":     {"p:TestA pass\np pass", known, []string{"KNOWN-RED.txt: no test has the name TestKnown"}},
-		"a subtest is known":       {"p:TestAll/a pass\np:TestAll/known fail\np:TestAll fail\np fail", part, nil},
-		"another subtest fails":    {"p:TestAll/a fail\np:TestAll/known fail\np:TestAll fail\np fail", part, []string{"TestAll/a of p fails"}},
-		"a part of a known one":    {"p:TestKnown/a fail\np:TestKnown fail\np fail", known, nil},
-		"a panic beside known":     {"p:TestKnown fail\np:TestA run\np fail", known, []string{"TestA of p has not ended"}},
+		"a known one passes": {
+			"p:TestKnown pass\np pass",
+			known,
+			[]string{"KNOWN-RED.txt:1: TestKnown of p does not fail (pass): remove its entry"},
+		},
+		"a known one is skipped": {
+			"p:TestKnown skip\np pass",
+			known,
+			[]string{"KNOWN-RED.txt:1: TestKnown of p does not fail (skip): remove its entry"},
+		},
+		"no test has the name": {
+			"p:TestA pass\np pass",
+			known,
+			[]string{"KNOWN-RED.txt:1: no test has the name TestKnown"},
+		},
+		"a subtest is known": {"p:TestAll/a pass\np:TestAll/known fail\np:TestAll fail\np fail", part, nil},
+		"another subtest fails": {
+			"p:TestAll/a fail\np:TestAll/known fail\np:TestAll fail\np fail",
+			part,
+			[]string{"TestAll/a of p fails"},
+		},
+		"a part of a known one": {"p:TestKnown/a fail\np:TestKnown fail\np fail", known, nil},
+		"a panic beside known": {
+			"p:TestKnown fail\np:TestA run\np fail",
+			known,
+			[]string{"TestA of p has not ended"},
+		},
 		"a package without a test": {"p:TestA pass\np fail", nil, []string{"p fails"}},
-		"one cannot be built":      {"p build-fail\np fail", nil, []string{"1 packages cannot be built", "p fails"}},
+		"one cannot be built": {
+			"p build-fail\np fail",
+			nil,
+			[]string{"1 packages cannot be built", "p fails"},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			results, err := ReadResults(events(c.run), io.Discard)
@@ -88,8 +156,7 @@
 	}
 }
 
-// What is no output of go test, or ends before any package has, is an error and never green.
-func TestReadResultsOfNothing(t *testing.T) {
+func TestInputWithoutAnEndedPackageIsAnError(t *testing.T) {
 	for _, text := range []string{"", "ok p\n", `{"Action":"run","Package":"p","Test":"TestA"}` + "\n"} {
 		if _, err := ReadResults(strings.NewReader(text), io.Discard); err == nil {
 			t.Errorf("%q is taken", text)
@@ -97,8 +164,7 @@
 	}
 }
 
-// What packages print is passed on, and of tests what those print that fail.
-func TestOutputIsPassedOn(t *testing.T) {
+func TestOutputOfPackagesAndFailingTestsIsPassedOn(t *testing.T) {
 	const run = `{"Action":"output","Package":"p","Test":"TestA","Output":"of a\n"}
 {"Action":"pass","Package":"p","Test":"TestA"}
 {"Action":"output","Package":"p","Test":"TestB","Output":"of b\n"}
@@ -114,3 +180,35 @@
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 }
+
+func TestRunPrintsKnownFailuresThatItPassesOver(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
+	if err := os.WriteFile(path, []byte(entry(nil)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		events string
+		green  bool
+		want   string
+	}{
+		"it fails": {"p:TestA fail\np fail", true, ""},
+		"it passes": {
+			"p:TestA pass\np pass",
+			false,
+			"red: KNOWN-RED.txt:1: TestA of p does not fail (pass): remove its entry\n",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out strings.Builder
+			green, err := run(path, events(c.events), &out)
+			if err != nil || green != c.green {
+				t.Errorf("green %v, %v", green, err)
+			}
+			want := "known red, passed over: TestA (issue 31): it is answered twice; " +
+				"again with: go test -run TestA ./p, seed 7\n" + c.want
+			if diff := cmp.Diff(want, out.String()); diff != "" {
+				t.Errorf("(-want +got)\n%s", diff)
+			}
+		})
+	}
+}
