--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -87,7 +87,7 @@
 }
 
 // dutyLine tells who does what only one runner may do at a time.
-func dutyLine(d *node.LeaseRow) string {
+func dutyLine(d *node.LeaseStatus) string {
 	switch {
 	case d.Holder == "":
 		return fmt.Sprintf("duty %s: nobody holds it", d.Name)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -91,7 +91,7 @@
 		evListens.Log("ops", r.door.Addr())
 	}
 	if r.peers != nil {
-		evListens.Log("peers", r.peers.Net().Addr())
+		evListens.Log("peers", r.peers.Transport().Addr())
 	}
 	if r.second != nil {
 		evListens.Log("uwsgi", r.second.Addr())
@@ -197,7 +197,7 @@
 	}
 	var among lifecycle.Claims = claimer{r}
 	if r.peers != nil {
-		kept, among = r.peers.Before(kept), r.peers
+		kept, among = r.peers.Keeper(kept), r.peers
 	}
 	if r.core, err = lifecycle.New(cfg.Settings, cfg.Seed, r.host(kept, among, life)); err != nil {
 		return nil, err
--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -22,7 +22,7 @@
 	evDrain.Log(r.core.Open())
 	r.core.Drain(stop)
 	if r.peers != nil {
-		r.peers.Duties().GiveBack()
+		r.peers.Leases().ReleaseAll()
 	}
 	if r.roster != nil {
 		r.roster.Set(false)
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -24,44 +24,44 @@
 	s := &r.op.Peers
 	cfg := node.Config{
 		Links: link.Config{
-			Installation: s.Installation,
-			Name:         r.cfg.Name,
-			Listen:       config.MustAddr(s.Listen),
-			Mesh:         int(s.Mesh),
+			Installation:  s.Installation,
+			Name:          r.cfg.Name,
+			Listen:        config.MustAddr(s.Listen),
+			FullMeshLimit: int(s.Mesh),
 		},
 		Slots: int(s.Slots),
-		Copies: int(
+		Backups: int(
 			s.Copies,
 		),
-		Patience: s.PatienceMs * 1000,
-		Rate:     s.RepairKB << 10,
-		Dir:      s.Dir,
-		Most:     int(cmp.Or(s.MemoryMB, int64(r.cfg.MemoryMB)/4)) << 20,
-		Process:  uint32(life),
-		Life:     life<<20 | 1,
-	}
-	cfg.Duties, cfg.CheckHalls = s.Rules()
+		ReplicationTimeout: s.PatienceMs * 1000,
+		CatchUpRate:        s.RepairKB << 10,
+		Dir:                s.Dir,
+		MaxBytes:           int(cmp.Or(s.MemoryMB, int64(r.cfg.MemoryMB)/4)) << 20,
+		Process:            uint32(life),
+		Incarnation:        life<<20 | 1,
+	}
+	cfg.LeaseRules, cfg.CheckedZones = s.Rules()
 	for _, c := range r.cfg.Settings.Classes {
-		cfg.Window = max(cfg.Window, c.Window.Microseconds())
+		cfg.KeyWindow = max(cfg.KeyWindow, c.Window.Microseconds())
 	}
 	for _, m := range s.Members {
 		if m.Votes {
 			cfg.Voters = append(cfg.Voters, m.Name)
 		}
 		if m.Name == r.cfg.Name {
-			cfg.Hall = m.Hall
+			cfg.Zone = m.Hall
 		}
 	}
-	cfg.Links.Peers, cfg.Known = members(s, r.cfg.Name)
+	cfg.Links.Peers, cfg.KnownMembers = members(s, r.cfg.Name)
 	if r.meter != nil {
-		cfg.Accounts = account{r, map[usedKey]bool{}}
-		r.promised = cfg.Accounts.(account).open
+		cfg.UsageReplicas = account{r, map[usedKey]bool{}}
+		r.promised = cfg.UsageReplicas.(account).open
 	}
 	var err error
 	if r.peers, err = node.Start(r.loop, cfg); err != nil || r.meter == nil {
 		return err
 	}
-	send := func(out []usagereplica.Message) { r.loop.Deliver(func() { r.peers.Tell(out) }) }
+	send := func(out []usagereplica.Message) { r.loop.Deliver(func() { r.peers.SendUsage(out) }) }
 	return r.meter.Join(metering.Join{Process: cfg.Process, Send: send, Deliver: r.loop.Deliver})
 }
 
@@ -97,7 +97,7 @@
 		evLater.Log("peers")
 	}
 	r.peers.SetMembers(members(s, r.cfg.Name))
-	r.peers.SetDuties(s.Rules())
+	r.peers.SetLeaseRules(s.Rules())
 }
 
 // checks is what decides who asks servers for their health, where one runner does so for all.
@@ -109,8 +109,8 @@
 	m *endpointhealth.Member,
 	every int64,
 ) (ask bool, duty string, token uint64) {
-	d := c.r.peers.Duties()
-	return d.Checks.Ask(
+	d := c.r.peers.Leases()
+	return d.HealthChecks.ShouldCheck(
 		group,
 		m.Name,
 		m.Hall,
@@ -123,7 +123,7 @@
 
 // Answered implements upstream.Checks.
 func (c checks) Answered(group string, m *endpointhealth.Member, duty string, token uint64, good bool) {
-	c.r.peers.Duties().Checks.Answered(duty, token, group, m.Name, good, c.r.loop.Now())
+	c.r.peers.Leases().HealthChecks.RecordResult(duty, token, group, m.Name, good, c.r.loop.Now())
 }
 
 // errNoPeers is that of a runner without peers.
@@ -136,11 +136,11 @@
 	}
 	switch q.Ask {
 	case "peers-key":
-		return r.peers.Key(store.Name{Class: q.Class, Tenant: q.Tenant, Key: q.Key}), nil
+		return r.peers.KeyStatus(store.Name{Class: q.Class, Tenant: q.Tenant, Key: q.Key}), nil
 	case "peers-leave":
-		return struct{}{}, r.peers.Leave(q.ID, true)
+		return struct{}{}, r.peers.SetLeaving(q.ID, true)
 	case "peers-stay":
-		return struct{}{}, r.peers.Leave(q.ID, false)
+		return struct{}{}, r.peers.SetLeaving(q.ID, false)
 	}
 	return struct{}{}, r.peers.Replace(q.ID, q.By)
 }
@@ -154,14 +154,14 @@
 	open map[usedKey]bool
 }
 
-// Hear implements node.Accounts.
-func (a account) Hear(m *usagereplica.Message) { a.r.meter.Hear(m) }
+// Receive implements node.UsageReplicas.
+func (a account) Receive(m *usagereplica.Message) { a.r.meter.Hear(m) }
 
-// Table implements node.Accounts.
-func (a account) Table(t *placement.Table, life uint64) { a.r.meter.Table(t, life) }
+// SetTable implements node.UsageReplicas.
+func (a account) SetTable(t *placement.Table, life uint64) { a.r.meter.Table(t, life) }
 
-// Promise implements node.Accounts.
-func (a account) Promise(k lifecycle.Kept, done func(error)) {
+// Replicate implements node.UsageReplicas.
+func (a account) Replicate(k lifecycle.Kept, done func(error)) {
 	class, ok := a.r.core.Class(k.Class)
 	if !ok {
 		done(nil)
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -53,17 +53,23 @@
 
 // Rules are the duties as the consensus group goes by them, and the halls that are checked so.
 func (p *Peers) Rules() (r lease.Rules, halls []string) {
-	r = lease.Rules{Each: int(p.Duties.Each), Again: int64(p.Duties.AgainS * 1e6)}
+	r = lease.Rules{MaxPerMember: int(p.Duties.Each), ExpiryBackoff: int64(p.Duties.AgainS * 1e6)}
 	for _, c := range p.Duties.Checks {
 		prefer := c.Prefer
 		if len(prefer) == 0 {
 			prefer = []string{c.Hall}
 		}
-		r.List = append(r.List, lease.Rule{Name: lease.CheckDuty(c.Hall), Halls: prefer, Members: c.Members})
+		r.Rules = append(
+			r.Rules,
+			lease.Rule{Name: lease.HealthCheckLease(c.Hall), Zones: prefer, Members: c.Members},
+		)
 		halls = append(halls, c.Hall)
 	}
 	if s := p.Duties.Statements; s != nil {
-		r.List = append(r.List, lease.Rule{Name: usagereplica.Duty, Halls: s.Prefer, Members: s.Members})
+		r.Rules = append(
+			r.Rules,
+			lease.Rule{Name: usagereplica.StatementsLease, Zones: s.Prefer, Members: s.Members},
+		)
 	}
 	return r, halls
 }
@@ -182,8 +188,8 @@
 			return o.doc.Bad("peers.duties.checks", "one of them names no hall")
 		case halls[c.Hall]:
 			return o.doc.Bad("peers.duties.checks", "%s is there twice", c.Hall)
-		case len(halls) == placement.MostLeases:
-			return o.doc.Bad("peers.duties.checks", "more than %d halls", placement.MostLeases)
+		case len(halls) == placement.MaxLeases:
+			return o.doc.Bad("peers.duties.checks", "more than %d halls", placement.MaxLeases)
 		case o.Routing.Check.Path == "":
 			return o.doc.Bad("peers.duties.checks", "servers are not checked: routing.check.path is missing")
 		}
--- a/internal/peers/consensus/late_test.go
+++ b/internal/peers/consensus/late_test.go
@@ -19,7 +19,7 @@
 		voter = r.voters[1]
 	}
 	late := Message{
-		Kind:   Here,
+		Kind:   MsgHeartbeat,
 		From:   voter,
 		To:     r.leader(),
 		Member: placement.Member{Name: voter, Life: 900, Process: 900},
@@ -32,9 +32,9 @@
 	r.run(100)
 	r.all[r.leader()].Receive(&late, r.now)
 	r.run(12_000)
-	if m := r.agreed().Member(voter); r.in() != 5 || !r.all[voter].Votes() ||
+	if m := r.agreed().Member(voter); r.in() != 5 || !r.all[voter].IsVoter() ||
 		m.Process != r.all[voter].me.Process {
-		t.Errorf("%d are in; %s votes: %v; %+v", r.in(), voter, r.all[voter].Votes(), m)
+		t.Errorf("%d are in; %s votes: %v; %+v", r.in(), voter, r.all[voter].IsVoter(), m)
 	}
 }
 
@@ -44,9 +44,9 @@
 	r := newRoom(t, 4, 3)
 	r.run(8000)
 	name := r.names[3]
-	late := Message{Kind: Here, From: name, To: r.leader(), Member: r.all[name].me, Sent: 1}
+	late := Message{Kind: MsgHeartbeat, From: name, To: r.leader(), Member: r.all[name].me, Sent: 1}
 	for _, life := range []uint64{700, 701} {
-		r.all[name].Renew(life)
+		r.all[name].Rejoin(life)
 		r.run(1000)
 	}
 	late.Member.Life = 700
@@ -72,19 +72,19 @@
 	r.run(3000)
 	c := r.all[leader]
 	c.renew = true // it cuts its log
-	c.Tell([]placement.Change{{Kind: placement.Stay, Member: placement.Member{Name: leader}}}, r.now)
+	c.Propose([]placement.Change{{Kind: placement.ChangeStay, Member: placement.Member{Name: leader}}}, r.now)
 	r.run(1000)
 	r.away[voter] = false
 	lost := 0
 	for range 200 {
 		c.Tick(r.now)
-		out, _, err := c.Out()
+		out, _, err := c.Ready()
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range out {
 			x := &raftpb.Message{}
-			if m.Kind == Raft && m.To == voter && proto.Unmarshal(m.Raft, x) == nil &&
+			if m.Kind == MsgRaft && m.To == voter && proto.Unmarshal(m.Raft, x) == nil &&
 				x.GetType() == raftpb.MsgSnap {
 				lost++
 				continue
@@ -109,15 +109,15 @@
 	r := newRoom(t, 5, 3)
 	r.run(8000)
 	c, name := r.all[r.leader()], r.names[4]
-	here := Message{Kind: Here, From: name, To: c.cfg.Name, Member: r.all[name].me, Sent: 1, Asked: 5}
+	here := Message{Kind: MsgHeartbeat, From: name, To: c.cfg.Name, Member: r.all[name].me, Sent: 1, Asked: 5}
 	c.table = c.table.Clone()
 	c.table.Duties = []placement.Lease{{Name: "d", Holder: name, Life: r.all[name].me.Life, Token: 1}}
 	if c.Receive(&here, r.now); len(c.asks) != 1 {
 		t.Fatalf("%d ask", len(c.asks))
 	}
 	c.asks = nil
-	c.Tick(r.now + Suspect + 2*tick) // it is proposed to hold it for lost
-	if c.Receive(&here, r.now+Suspect+2*tick); len(c.asks) != 0 {
+	c.Tick(r.now + FailureTimeout + 2*tick) // it is proposed to hold it for lost
+	if c.Receive(&here, r.now+FailureTimeout+2*tick); len(c.asks) != 0 {
 		t.Error("it is asked for all the same")
 	}
 }
@@ -129,14 +129,14 @@
 	r := newRoom(t, 4, 3)
 	r.run(8000)
 	c := r.all[r.names[3]]
-	confirmed, heard := 0, c.HeardAt()
-	c.OnConfirm(func(int64, uint64) { confirmed++ })
+	confirmed, heard := 0, c.LastContact()
+	c.OnLeaderConfirmed(func(int64, uint64) { confirmed++ })
 	for _, m := range []Message{{Asked: 1 << 50, Member: placement.Member{Life: 999}}, {Sent: r.now + 1<<50}} {
-		m.Kind, m.From, m.To, m.Version = Heard, r.leader(), c.cfg.Name, c.Table().Version
+		m.Kind, m.From, m.To, m.Version = MsgHeartbeatResp, r.leader(), c.cfg.Name, c.Table().Version
 		c.Receive(&m, r.now)
 	}
-	if confirmed > 0 || c.HeardAt() != heard {
-		t.Errorf("confirmed %d times, heard at %d of %d", confirmed, c.HeardAt(), r.now)
+	if confirmed > 0 || c.LastContact() != heard {
+		t.Errorf("confirmed %d times, heard at %d of %d", confirmed, c.LastContact(), r.now)
 	}
 }
 
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	r.run(8000)
-	if r.agreed(); !voter.Votes() || voter.number() == before {
-		t.Errorf("votes %v under %d", voter.Votes(), voter.number())
+	if r.agreed(); !voter.IsVoter() || voter.number() == before {
+		t.Errorf("votes %v under %d", voter.IsVoter(), voter.number())
 	}
 }
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -20,7 +20,7 @@
 		clear(c.asked)
 		clear(c.fresh)
 		clear(c.outs)
-		c.duties.Begin()
+		c.duties.Reset()
 		for _, m := range c.table.Members {
 			c.last[m.Name] = c.now
 		}
@@ -36,19 +36,20 @@
 		at, ok := c.last[m.Name]
 		if !ok {
 			c.last[m.Name] = c.now
-		} else if m.Life != 0 && c.now-at > Suspect {
-			changes = append(changes, placement.Change{Kind: placement.Out, Member: m})
+		} else if m.Life != 0 && c.now-at > FailureTimeout {
+			changes = append(changes, placement.Change{Kind: placement.ChangeLost, Member: m})
 		}
-		if m.Life == 0 && (m.Leaving || len(c.cfg.Known) > 0 && !slices.Contains(c.cfg.Known, m.Name)) {
-			changes = append(changes, placement.Change{Kind: placement.Removed, Member: m})
+		if m.Life == 0 &&
+			(m.Leaving || len(c.cfg.KnownMembers) > 0 && !slices.Contains(c.cfg.KnownMembers, m.Name)) {
+			changes = append(changes, placement.Change{Kind: placement.ChangeRemove, Member: m})
 		}
 	}
 	if len(changes) == 0 {
-		if s, ok := c.table.Spread(); ok {
+		if s, ok := c.table.Rebalance(); ok {
 			changes = append(changes, s)
 		}
 	}
-	c.propose(append(changes, c.grants()...))
+	c.proposeAsLeader(append(changes, c.grants()...))
 }
 
 // resend has voters be told anew who wait for a snapshot that may have been lost on its way: the
@@ -60,7 +61,7 @@
 			delete(c.snaps, id)
 		case !ok:
 			c.snaps[id] = c.now
-		case c.now-at > Suspect:
+		case c.now-at > FailureTimeout:
 			delete(c.snaps, id)
 			c.lost = append(c.lost, id)
 		}
@@ -73,7 +74,7 @@
 
 // grants are those of duties that nobody holds.
 func (c *Participant) grants() []placement.Change {
-	if len(c.cfg.Duties.List) == 0 || !c.table.May(placement.Enter, c.cfg.Voters) {
+	if len(c.cfg.LeaseRules.Rules) == 0 || !c.table.AllUnderstand(placement.ChangeJoinV2, c.cfg.Voters) {
 		return nil
 	}
 	return c.duties.Grants(c.table, c.now, func(name string) int64 {
@@ -84,9 +85,9 @@
 	})
 }
 
-// read asks the other voters whether they still go by this leader, for those that hold duties and
+// requestReadIndex asks the other voters whether they still go by this leader, for those that hold duties and
 // said that they are there.
-func (c *Participant) read() {
+func (c *Participant) requestReadIndex() {
 	if !c.leads || len(c.reads) > 0 && c.now-c.readAt < again || len(c.asks) == 0 && len(c.reads) == 0 {
 		return
 	}
@@ -109,7 +110,7 @@
 		default:
 			c.send(
 				Message{
-					Kind:    Heard,
+					Kind:    MsgHeartbeatResp,
 					To:      a.name,
 					Member:  placement.Member{Name: a.name, Life: a.life},
 					Asked:   a.asked,
@@ -121,10 +122,10 @@
 	c.reads, c.readTo = nil, 0
 }
 
-// propose has changes agreed on, each once in a while.
-func (c *Participant) propose(changes []placement.Change) {
+// proposeAsLeader has changes agreed on, each once in a while.
+func (c *Participant) proposeAsLeader(changes []placement.Change) {
 	for _, x := range changes {
-		if x.Kind > placement.Lead && !c.table.May(x.Kind, c.cfg.Voters) {
+		if x.Kind > placement.ChangeSetPrimary && !c.table.AllUnderstand(x.Kind, c.cfg.Voters) {
 			continue
 		}
 		data, err := cbor.Marshal(x)
@@ -145,7 +146,7 @@
 			}
 		}
 		if c.node.Propose(data) == nil { // else there is no leader, or too much is under way
-			if c.way[string(data)] = c.now; x.Kind == placement.Out {
+			if c.way[string(data)] = c.now; x.Kind == placement.ChangeLost {
 				c.outs[x.Member.Name] = x.Member.Life
 			}
 		}
--- a/internal/peers/consensus/members.go
+++ b/internal/peers/consensus/members.go
@@ -20,7 +20,7 @@
 	if rests, ok := c.justBegan(); ok && m.Blank != 0 && !m.Answer {
 		c.send(
 			Message{
-				Kind:   Here,
+				Kind:   MsgHeartbeat,
 				To:     m.From,
 				Member: c.me,
 				Blank:  c.raftID,
@@ -35,7 +35,7 @@
 			return
 		}
 		if lead := c.voter(c.node.BasicStatus().Lead); lead != "" {
-			c.send(Message{Kind: Heard, To: m.From, Leader: lead})
+			c.send(Message{Kind: MsgHeartbeatResp, To: m.From, Leader: lead})
 		}
 		return
 	}
@@ -45,7 +45,7 @@
 	}
 	// A word that came late, from the process before this one, may have taken its number from it.
 	if m.Number != 0 && c.place(m.From) == m.Number&0xff && !slices.Contains(c.conf.GetVoters(), m.Number) {
-		c.send(Message{Kind: Heard, To: m.From, Number: m.Number})
+		c.send(Message{Kind: MsgHeartbeatResp, To: m.From, Number: m.Number})
 		return
 	}
 	c.last[m.From] = c.now
@@ -53,7 +53,7 @@
 		c.asked[m.From] = asker{m.From, m.Member.Life, m.Asked}
 		// Who is about to be held for lost is not told that it holds anything: its duties may be
 		// another's before it hears so.
-		if in := c.table.Member(m.From); c.table.Does(m.From) > 0 &&
+		if in := c.table.Member(m.From); c.table.LeaseCount(m.From) > 0 &&
 			(in == nil || in.Life != c.outs[m.From]) {
 			c.asks = append(
 				slices.DeleteFunc(c.asks, func(a asker) bool { return a.name == m.From }),
@@ -61,18 +61,18 @@
 			)
 		}
 	}
-	if in := c.table.Member(m.From); known && (in == nil || !in.Same(&m.Member)) {
+	if in := c.table.Member(m.From); known && (in == nil || !in.SameAnnouncement(&m.Member)) {
 		// One that is out comes back in another life: by then it knows that it was lost.
 		if m.Member.Name == m.From && m.Member.Life != 0 &&
 			(in == nil || in.Life != 0 || m.Version >= c.table.Version) {
-			c.propose([]placement.Change{{Kind: c.entry(), Member: m.Member}})
+			c.proposeAsLeader([]placement.Change{{Kind: c.entry(), Member: m.Member}})
 		}
 	}
 	if m.From == c.cfg.Name {
 		c.heard = c.now
 		return
 	}
-	answer := Message{Kind: Heard, To: m.From, Sent: m.Sent, Version: c.table.Version}
+	answer := Message{Kind: MsgHeartbeatResp, To: m.From, Sent: m.Sent, Version: c.table.Version}
 	if m.Version < c.table.Version && c.place(m.From) == 0 { // voters have it from the log
 		answer.Table = c.table
 	}
@@ -80,13 +80,13 @@
 }
 
 // entry is the newest kind of change that takes a member in which all voters know.
-func (c *Participant) entry() placement.Kind {
-	for _, kind := range []placement.Kind{placement.Rejoin, placement.Enter} {
-		if c.table.May(kind, c.cfg.Voters) {
+func (c *Participant) entry() placement.ChangeKind {
+	for _, kind := range []placement.ChangeKind{placement.ChangeJoinV3, placement.ChangeJoinV2} {
+		if c.table.AllUnderstand(kind, c.cfg.Voters) {
 			return kind
 		}
 	}
-	return placement.In
+	return placement.ChangeJoin
 }
 
 // known tells whether a word is of the process that is in the table, or of one that takes its
@@ -99,7 +99,7 @@
 		return true
 	}
 	if f, ok := c.fresh[m.From]; ok && f.what == m.Member.Process {
-		return c.now-f.at >= Beat/2
+		return c.now-f.at >= HeartbeatInterval/2
 	}
 	c.fresh[m.From] = newcomer{m.Member.Process, c.now}
 	return false
@@ -132,7 +132,7 @@
 	}
 	ids := slices.Clone(c.conf.GetVoters())
 	if slices.Contains(ids, m.Blank) {
-		c.send(Message{Kind: Heard, To: m.From, Blank: m.Blank})
+		c.send(Message{Kind: MsgHeartbeatResp, To: m.From, Blank: m.Blank})
 		return
 	}
 	x := &raftpb.ConfChange{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(m.Blank)}
--- a/internal/peers/consensus/message.go
+++ b/internal/peers/consensus/message.go
@@ -2,39 +2,39 @@
 
 import "ryepaddle/internal/peers/placement"
 
-// Kind is what a message is for.
-type Kind uint8
+// MessageType is what a message is for.
+type MessageType uint8
 
 // Message goes from one runner to another.
 type Message struct {
-	Kind   Kind             `cbor:"1,keyasint"`
+	Kind   MessageType      `cbor:"1,keyasint"`
 	From   string           `cbor:"2,keyasint"`
 	To     string           `cbor:"3,keyasint"`
 	Raft   []byte           `cbor:"4,keyasint,omitempty"`
 	Member placement.Member `cbor:"5,keyasint,omitempty"`
-	// Here: of the table that is known; Heard: that the leader has
+	// MsgHeartbeat: of the table that is known; Heard: that the leader has
 	Version uint64 `cbor:"6,keyasint,omitempty"`
-	// Heard: who to turn to, if it is not the one that says so
+	// MsgHeartbeatResp: who to turn to, if it is not the one that says so
 	Leader  string             `cbor:"7,keyasint,omitempty"`
 	Table   *placement.Table   `cbor:"8,keyasint,omitempty"`
 	Changes []placement.Change `cbor:"9,keyasint,omitempty"`
-	// Here: by the clock of its sender; Heard gives it back
+	// MsgHeartbeat: by the clock of its sender; Heard gives it back
 	Sent int64 `cbor:"10,keyasint,omitempty"`
-	// Here: of a voter that has just started, the number that it asks for; Heard: it has it
+	// MsgHeartbeat: of a voter that has just started, the number that it asks for; Heard: it has it
 	Blank uint64 `cbor:"11,keyasint,omitempty"`
-	Rests bool   `cbor:"12,keyasint,omitempty"` // Here: its disk has something
-	// Here: to another one's, which is not answered again
+	Rests bool   `cbor:"12,keyasint,omitempty"` // MsgHeartbeat: its disk has something
+	// MsgHeartbeat: to another one's, which is not answered again
 	Answer bool `cbor:"13,keyasint,omitempty"`
-	// Here: under which this voter votes; Heard: nobody does under that one
+	// MsgHeartbeat: under which this voter votes; Heard: nobody does under that one
 	Number uint64 `cbor:"15,keyasint,omitempty"`
-	// Here: by the clock that duties go by; Heard gives it back once the consensus group has
+	// MsgHeartbeat: by the clock that duties go by; Heard gives it back once the consensus group has
 	// confirmed its leader
 	Asked int64 `cbor:"14,keyasint,omitempty"`
 }
 
-// Kept is what has to be on the disk before the messages that came with it go out. Its parts are
+// DurableRecord is what has to be on the disk before the messages that came with it go out. Its parts are
 // the library's, in its own form.
-type Kept struct {
+type DurableRecord struct {
 	// the voter's number; with one, the disk begins anew
 	ID    uint64 `cbor:"4,keyasint,omitempty"`
 	State []byte `cbor:"1,keyasint,omitempty"` // a raftpb.HardState; nil: as before
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -17,34 +17,34 @@
 
 // Times are microseconds.
 const (
-	Beat     = 100_000   // between two words that a runner is there
-	Suspect  = 1_500_000 // after which one that is silent is held for lost
-	Lease    = 600_000   // for so long after it was heard the consensus group counts as heard
-	tick     = 50_000    // of the library's clock
-	election = 10        // ticks without a leader until there is an election
-	compact  = 1000      // entries until the log is cut by a snapshot
-	again    = 500_000   // after which a change that does not come through is proposed again
-	maxSize  = 256 << 10 // of one message of the library
-	most     = 64        // changes under way
+	HeartbeatInterval = 100_000   // between two words that a runner is there
+	FailureTimeout    = 1_500_000 // after which one that is silent is held for lost
+	QuorumTimeout     = 600_000   // for so long after it was heard the consensus group counts as heard
+	tick              = 50_000    // of the library's clock
+	election          = 10        // ticks without a leader until there is an election
+	compact           = 1000      // entries until the log is cut by a snapshot
+	again             = 500_000   // after which a change that does not come through is proposed again
+	maxSize           = 256 << 10 // of one message of the library
+	most              = 64        // changes under way
 )
 
 // The kinds of messages.
 const (
-	Raft  Kind = iota + 1 // of the library, among voters
-	Here                  // a runner is there
-	Heard                 // the leader has heard that
-	Ask                   // a runner says a change
+	MsgRaft          MessageType = iota + 1 // of the library, among voters
+	MsgHeartbeat                            // a runner is there
+	MsgHeartbeatResp                        // the leader has heard that
+	MsgPropose                              // a runner says a change
 )
 
 // Config is what a runner is.
 type Config struct {
-	Name   string
-	Voters []string // the same everywhere, in the same order
-	Known  []string // who is in the file; empty: it says nothing of that
-	Slots  int
-	Copies int
-	Duties lease.Rules
-	Born   uint64 // Unix seconds when this process began
+	Name         string
+	Voters       []string // the same everywhere, in the same order
+	KnownMembers []string // who is in the file; empty: it says nothing of that
+	Slots        int
+	Backups      int
+	LeaseRules   lease.Rules
+	StartedAt    uint64 // Unix seconds when this process began
 	// that duties go by, which also counts the time for which the machine was suspended; nil: there
 	// are none
 	Clock func() int64
@@ -112,20 +112,20 @@
 // another number. Only if more than half of all voters have just started, so that the others can
 // agree on nothing, do those with something on their disks go on from that; and if all have nothing
 // they begin as the file has them.
-func New(cfg Config, me placement.Member, disk []Kept, now int64) (*Participant, error) {
-	me.Knows = placement.Newest
+func New(cfg Config, me placement.Member, disk []DurableRecord, now int64) (*Participant, error) {
+	me.Knows = placement.NewestChangeKind
 	c := &Participant{
 		cfg:    cfg,
 		me:     me,
 		now:    now,
 		ticked: now,
-		heard:  now - Lease - 1,
+		heard:  now - QuorumTimeout - 1,
 		last:   map[string]int64{},
 		way:    map[string]int64{},
 		blanks: map[string]bool{},
 		duties: lease.NewGranter(
-			cfg.Duties,
-			cfg.Born,
+			cfg.LeaseRules,
+			cfg.StartedAt,
 		),
 		asked:   map[string]asker{},
 		snaps:   map[uint64]int64{},
@@ -133,11 +133,11 @@
 		outs:    map[string]uint64{},
 		confirm: func(int64, uint64) {},
 	}
-	if c.me.Duties = cfg.Duties.Names(cfg.Name); cfg.Clock == nil {
+	if c.me.Duties = cfg.LeaseRules.NamesFor(cfg.Name); cfg.Clock == nil {
 		c.cfg.Clock = func() int64 { return 0 }
 	}
 	var err error
-	if c.table, err = placement.New(cfg.Slots, cfg.Copies); err != nil {
+	if c.table, err = placement.New(cfg.Slots, cfg.Backups); err != nil {
 		return nil, err
 	}
 	place := c.place(cfg.Name)
@@ -250,83 +250,83 @@
 // Table is the newest that is known. It is not changed any more.
 func (c *Participant) Table() *placement.Table { return c.table }
 
-// HeardAt is when the newest word that the leader answered was sent: the consensus group was heard
+// LastContact is when the newest word that the leader answered was sent: the consensus group was heard
 // since then.
-func (c *Participant) HeardAt() int64 { return c.heard }
+func (c *Participant) LastContact() int64 { return c.heard }
 
-// Votes tells whether this runner has a vote now: a voter that has just started has none before the
+// IsVoter tells whether this runner has a vote now: a voter that has just started has none before the
 // others gave it one.
-func (c *Participant) Votes() bool { return c.node != nil }
+func (c *Participant) IsVoter() bool { return c.node != nil }
 
-// Leads tells whether this runner is the consensus group's leader.
-func (c *Participant) Leads() bool { return c.leads }
+// IsLeader tells whether this runner is the consensus group's leader.
+func (c *Participant) IsLeader() bool { return c.leads }
 
-// Renew is another life of this runner's membership.
-func (c *Participant) Renew(life uint64) { c.me.Life = life }
+// Rejoin is another life of this runner's membership.
+func (c *Participant) Rejoin(life uint64) { c.me.Life = life }
 
-// OnConfirm names who hears that the consensus group went by its leader after this runner asked,
+// OnLeaderConfirmed names who hears that the consensus group went by its leader after this runner asked,
 // and of which table the leader knew then.
-func (c *Participant) OnConfirm(fn func(asked int64, version uint64)) { c.confirm = fn }
+func (c *Participant) OnLeaderConfirmed(fn func(asked int64, version uint64)) { c.confirm = fn }
 
-// SetDuties takes the rules of another file.
-func (c *Participant) SetDuties(r lease.Rules) {
-	c.cfg.Duties = r
-	c.me.Duties = r.Names(c.cfg.Name)
+// SetLeaseRules takes the rules of another file.
+func (c *Participant) SetLeaseRules(r lease.Rules) {
+	c.cfg.LeaseRules = r
+	c.me.Duties = r.NamesFor(c.cfg.Name)
 	c.duties.SetRules(r)
 }
 
-// Retire has this runner take no duty any more. If it leads, it goes on to grant them to others.
-func (c *Participant) Retire() { c.me.Duties = nil }
+// StopTakingLeases has this runner take no duty any more. If it leads, it goes on to grant them to others.
+func (c *Participant) StopTakingLeases() { c.me.Duties = nil }
 
-// SetKnown takes another list of who is in the file.
-func (c *Participant) SetKnown(names []string) { c.cfg.Known = names }
+// SetKnownMembers takes another list of who is in the file.
+func (c *Participant) SetKnownMembers(names []string) { c.cfg.KnownMembers = names }
 
 // Errors of a member that is to leave or to stay.
 var (
-	ErrStranger error = stranger.New("consensus: no member has that name")
-	ErrOlder    error = older.New(
+	ErrUnknownMember error = stranger.New("consensus: no member has that name")
+	ErrVersionTooOld error = older.New(
 		"consensus: a voter is of an older version, which knows nothing of members that leave",
 	)
-	ErrNobody error = nobody.New("consensus: too few others are left to hold its copies")
+	ErrTooFewMembers error = nobody.New("consensus: too few others are left to hold its copies")
 )
 
-// Leave has a member hold nothing any more, or stay after all. It is done by and by: see
+// SetLeaving has a member hold nothing any more, or stay after all. It is done by and by: see
 // Table.Holding.
-func (c *Participant) Leave(name string, leave bool, now int64) error {
-	x := placement.Change{Kind: placement.Leave, Member: placement.Member{Name: name}}
+func (c *Participant) SetLeaving(name string, leave bool, now int64) error {
+	x := placement.Change{Kind: placement.ChangeLeave, Member: placement.Member{Name: name}}
 	m := c.table.Member(name)
 	switch {
 	case m == nil:
-		return ErrStranger
+		return ErrUnknownMember
 	case !leave:
-		x.Kind = placement.Stay
+		x.Kind = placement.ChangeStay
 	case !m.Leaving:
 		after := c.table.Clone()
 		after.Apply(x)
-		if after.Apart() {
-			return ErrNobody
+		if after.NeedsLeavingMembers() {
+			return ErrTooFewMembers
 		}
 	}
-	if !c.table.May(x.Kind, c.cfg.Voters) {
-		return ErrOlder
+	if !c.table.AllUnderstand(x.Kind, c.cfg.Voters) {
+		return ErrVersionTooOld
 	}
-	c.Tell([]placement.Change{x}, now)
+	c.Propose([]placement.Change{x}, now)
 	return nil
 }
 
-// Lost tells whether the table holds this runner for lost, so that it has to come back in another
+// DeclaredLost tells whether the table holds this runner for lost, so that it has to come back in another
 // life.
-func (c *Participant) Lost() bool {
+func (c *Participant) DeclaredLost() bool {
 	m := c.table.Member(c.cfg.Name)
 	return m != nil && m.Life == 0
 }
 
-// Out gives what is to be sent, and what has to be on the disk before that, if anything.
-func (c *Participant) Out() ([]Message, *Kept, error) {
+// Ready gives what is to be sent, and what has to be on the disk before that, if anything.
+func (c *Participant) Ready() ([]Message, *DurableRecord, error) {
 	if c.node != nil {
-		c.read()
+		c.requestReadIndex()
 	}
-	kept, err := c.ready()
+	kept, err := c.advanceRaft()
 	c.confirmed()
 	out := c.out
 	c.out = nil
@@ -338,15 +338,15 @@
 	c.out = append(c.out, m)
 }
 
-// Tell says changes to the leader.
-func (c *Participant) Tell(changes []placement.Change, now int64) {
+// Propose says changes to the leader.
+func (c *Participant) Propose(changes []placement.Change, now int64) {
 	c.now = max(c.now, now)
 	switch {
 	case len(changes) == 0:
 	case c.leads:
-		c.propose(changes)
+		c.proposeAsLeader(changes)
 	case c.leader != "":
-		c.send(Message{Kind: Ask, To: c.leader, Changes: changes})
+		c.send(Message{Kind: MsgPropose, To: c.leader, Changes: changes})
 	}
 }
 
@@ -366,13 +366,13 @@
 	if c.now < c.beat {
 		return
 	}
-	c.beat = c.now + Beat
+	c.beat = c.now + HeartbeatInterval
 	if c.blank != 0 {
 		for _, v := range c.cfg.Voters {
 			if v != c.cfg.Name {
 				c.send(
 					Message{
-						Kind:   Here,
+						Kind:   MsgHeartbeat,
 						To:     v,
 						Member: c.me,
 						Blank:  c.blank,
@@ -397,14 +397,14 @@
 		)
 		return
 	}
-	if c.now-c.heard > Lease { // whoever was asked does not answer
+	if c.now-c.heard > QuorumTimeout { // whoever was asked does not answer
 		c.leader = c.cfg.Voters[c.tries%len(c.cfg.Voters)]
 		c.tries++
 	}
 	if c.leader != "" && c.leader != c.cfg.Name {
 		c.send(
 			Message{
-				Kind:    Here,
+				Kind:    MsgHeartbeat,
 				To:      c.leader,
 				Member:  c.me,
 				Version: c.table.Version,
@@ -428,20 +428,20 @@
 func (c *Participant) Receive(m *Message, now int64) {
 	c.now = max(c.now, now)
 	switch m.Kind {
-	case Raft:
+	case MsgRaft:
 		r := &raftpb.Message{}
 		if c.node != nil && proto.Unmarshal(m.Raft, r) == nil && c.voter(r.GetFrom()) == m.From &&
 			m.From != "" &&
 			r.GetTo() == c.raftID {
 			_ = c.node.Step(r) // what does not fit is passed over
 		}
-	case Here:
+	case MsgHeartbeat:
 		c.here(*m)
-	case Ask:
+	case MsgPropose:
 		if c.leads {
-			c.propose(m.Changes)
+			c.proposeAsLeader(m.Changes)
 		}
-	case Heard:
+	case MsgHeartbeatResp:
 		if m.Leader != "" {
 			if c.place(m.Leader) != 0 {
 				c.leader = m.Leader
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -17,7 +17,7 @@
 	r      *rand.Rand
 	now    int64
 	all    map[string]*Participant
-	disks  map[string][]Kept
+	disks  map[string][]DurableRecord
 	away   map[string]bool
 	names  []string
 	voters []string
@@ -30,7 +30,7 @@
 		t:     t,
 		r:     rand.New(rand.NewPCG(1, 2)),
 		all:   map[string]*Participant{},
-		disks: map[string][]Kept{},
+		disks: map[string][]DurableRecord{},
 		away:  map[string]bool{},
 		sent:  map[string]int{},
 	}
@@ -49,7 +49,7 @@
 	r.t.Helper()
 	r.lives++
 	c, err := New(
-		Config{Name: name, Voters: r.voters, Slots: 16, Copies: 1},
+		Config{Name: name, Voters: r.voters, Slots: 16, Backups: 1},
 		placement.Member{Name: name, Life: r.lives, Process: uint32(r.lives)},
 		r.disks[name],
 		r.now,
@@ -72,7 +72,7 @@
 				continue
 			}
 			c.Tick(r.now)
-			out, kept, err := c.Out()
+			out, kept, err := c.Ready()
 			if err != nil {
 				r.t.Fatal(err)
 			}
@@ -98,7 +98,7 @@
 
 func (r *room) leader() string {
 	for _, name := range r.names {
-		if c := r.all[name]; c != nil && c.Leads() && !r.away[name] {
+		if c := r.all[name]; c != nil && c.IsLeader() && !r.away[name] {
 			return name
 		}
 	}
@@ -179,13 +179,13 @@
 	at := r.all[alone].Table().Version
 	r.run(8000)
 	c := r.all[alone]
-	if c.Leads() || c.Table().Version != at || r.now-c.HeardAt() < 6*Lease {
+	if c.IsLeader() || c.Table().Version != at || r.now-c.LastContact() < 6*QuorumTimeout {
 		t.Errorf(
 			"cut off it leads: %v, version %d after %d, heard %d ms ago",
-			c.Leads(),
+			c.IsLeader(),
 			c.Table().Version,
 			at,
-			(r.now-c.HeardAt())/1000,
+			(r.now-c.LastContact())/1000,
 		)
 	}
 	if r.in() != 4 {
@@ -193,11 +193,11 @@
 	}
 	delete(r.away, alone)
 	r.run(3000)
-	if !c.Lost() {
+	if !c.DeclaredLost() {
 		t.Error("it does not learn that it was lost")
 	}
 	r.lives++
-	c.Renew(r.lives)
+	c.Rejoin(r.lives)
 	r.run(5000)
 	if r.in() != 5 {
 		t.Errorf("%d are in once it is back", r.in())
@@ -233,9 +233,9 @@
 	r.run(3000)
 	c := r.all["n001"]
 	for i := range 3 * compact {
-		c.Tell(
+		c.Propose(
 			[]placement.Change{
-				{Kind: placement.In, Member: placement.Member{Name: "x", Life: uint64(1000 + i)}},
+				{Kind: placement.ChangeJoin, Member: placement.Member{Name: "x", Life: uint64(1000 + i)}},
 			},
 			r.now,
 		)
@@ -274,7 +274,7 @@
 		t.Fatal("the voters do not begin")
 	}
 	for _, name := range r.names[3:] {
-		if ago := r.now - r.all[name].HeardAt(); ago < 2*Lease {
+		if ago := r.now - r.all[name].LastContact(); ago < 2*QuorumTimeout {
 			t.Errorf("%s hears the new consensus group %d ms ago", name, ago/1000)
 		}
 	}
--- a/internal/peers/consensus/disk.go
+++ b/internal/peers/consensus/storage.go
@@ -13,7 +13,7 @@
 )
 
 // restore takes a record of the disk.
-func (c *Participant) restore(k *Kept) error {
+func (c *Participant) restore(k *DurableRecord) error {
 	if k.ID != 0 {
 		c.raftID, c.applied, c.cut, c.conf = k.ID, 0, 0, nil
 		c.store = raft.NewMemoryStorage()
@@ -67,16 +67,16 @@
 	return nil
 }
 
-// ready does what the library asks for.
-func (c *Participant) ready() (*Kept, error) {
+// advanceRaft does what the library asks for.
+func (c *Participant) advanceRaft() (*DurableRecord, error) {
 	if c.node == nil {
 		return nil, nil
 	}
-	var kept *Kept
+	var kept *DurableRecord
 	for c.node.HasReady() {
 		rd := c.node.Ready()
 		if kept == nil {
-			kept = &Kept{}
+			kept = &DurableRecord{}
 		}
 		if c.first {
 			if c.first, kept.ID = false, c.raftID; c.seed != nil {
@@ -96,7 +96,7 @@
 				return nil, failed.New("consensus: %w", err)
 			}
 			if to := c.voter(m.GetTo()); to != "" {
-				c.send(Message{Kind: Raft, To: to, Raft: data})
+				c.send(Message{Kind: MsgRaft, To: to, Raft: data})
 			}
 		}
 		for _, e := range rd.CommittedEntries {
@@ -104,7 +104,7 @@
 		}
 		if c.freed && c.leads { // who is next begins with the same round
 			c.freed = false
-			c.propose(c.grants())
+			c.proposeAsLeader(c.grants())
 		}
 		for _, r := range rd.ReadStates {
 			if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == c.readNo {
@@ -123,7 +123,7 @@
 }
 
 // keep puts what the library wants kept into its storage, and among what is for the disk.
-func (c *Participant) keep(k *Kept, rd *raft.Ready) error {
+func (c *Participant) keep(k *DurableRecord, rd *raft.Ready) error {
 	if rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot) {
 		data, err := proto.Marshal(rd.Snapshot)
 		if err != nil {
@@ -176,11 +176,11 @@
 	}
 	t := c.table.Clone()
 	t.Apply(x)
-	c.table, c.freed = t, c.freed || x.Kind == placement.Yield
+	c.table, c.freed = t, c.freed || x.Kind == placement.ChangeReleaseLease
 }
 
 // compact cuts the log by a snapshot of the table.
-func (c *Participant) compact(k *Kept) error {
+func (c *Participant) compact(k *DurableRecord) error {
 	if k == nil || c.applied-c.cut < compact && !c.renew {
 		return nil
 	}
--- a/internal/peers/grid/grid.go
+++ b/internal/peers/grid/grid.go
@@ -42,17 +42,17 @@
 	return "" // the last row may be short
 }
 
-// Near tells whether two runners have a link.
-func (g *Grid) Near(a, b string) bool {
+// Linked tells whether two runners have a link.
+func (g *Grid) Linked(a, b string) bool {
 	ar, ac, ok := g.place(a)
 	br, bc, known := g.place(b)
 	return ok && known && (g.width == 0 || ar == br || ac == bc)
 }
 
-// Peers are with whom a runner has links.
-func (g *Grid) Peers(name string) (out []string) {
+// Neighbors are with whom a runner has links.
+func (g *Grid) Neighbors(name string) (out []string) {
 	for _, other := range g.names {
-		if other != name && g.Near(name, other) {
+		if other != name && g.Linked(name, other) {
 			out = append(out, other)
 		}
 	}
@@ -64,7 +64,7 @@
 func (g *Grid) Relays(from, to string) (out []string) {
 	fr, fc, ok := g.place(from)
 	tr, tc, known := g.place(to)
-	if !ok || !known || g.Near(from, to) {
+	if !ok || !known || g.Linked(from, to) {
 		return nil
 	}
 	for _, name := range []string{g.at(fr, tc), g.at(tr, fc)} {
--- a/internal/peers/grid/grid_test.go
+++ b/internal/peers/grid/grid_test.go
@@ -21,7 +21,7 @@
 			most = n - 1
 		}
 		for _, a := range names {
-			peers := g.Peers(a)
+			peers := g.Neighbors(a)
 			if len(peers) > most {
 				t.Errorf("of %d %s has links with %d, over %d", n, a, len(peers), most)
 			}
@@ -30,7 +30,7 @@
 				if a == b {
 					continue
 				}
-				if near != g.Near(b, a) {
+				if near != g.Linked(b, a) {
 					t.Errorf("of %d %s and %s do not agree", n, a, b)
 				}
 				relays := g.Relays(a, b)
@@ -38,7 +38,7 @@
 					t.Errorf("of %d, %s reaches %s over %v", n, a, b, relays)
 				}
 				for _, r := range relays {
-					if !g.Near(a, r) || !g.Near(r, b) {
+					if !g.Linked(a, r) || !g.Linked(r, b) {
 						t.Errorf("of %d, %s is to reach %s over %s", n, a, b, r)
 					}
 				}
@@ -50,8 +50,8 @@
 // Who is not in the names is near nobody, and not reached.
 func TestStranger(t *testing.T) {
 	g := New([]string{"a", "b", "c", "d", "e"}, 2)
-	if g.Near("a", "z") || g.Near("z", "z") || len(g.Relays("a", "z"))+len(g.Relays("z", "a")) > 0 ||
-		len(g.Peers("z")) > 0 {
+	if g.Linked("a", "z") || g.Linked("z", "z") || len(g.Relays("a", "z"))+len(g.Relays("z", "a")) > 0 ||
+		len(g.Neighbors("z")) > 0 {
 		t.Error("a stranger is reached")
 	}
 }
--- a/internal/peers/lease/world_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -67,7 +67,7 @@
 	h       *lease.Holder
 	life    uint64
 	version uint64
-	log     []consensus.Kept
+	log     []consensus.DurableRecord
 	does    map[string]uint64 // tokens under which it began
 	count   map[string]uint64 // its checkpoints
 }
@@ -88,11 +88,11 @@
 		noted:   map[string]uint64{},
 	}
 	w.Tell = tell
-	w.rules = lease.Rules{Each: (duties+runners-1)/runners + 1, Again: 500 * ms}
+	w.rules = lease.Rules{MaxPerMember: (duties+runners-1)/runners + 1, ExpiryBackoff: 500 * ms}
 	for i := range duties {
-		w.rules.List = append(
-			w.rules.List,
-			lease.Rule{Name: fmt.Sprint("d", i+1), Halls: []string{fmt.Sprintf("hall%d", i%3+1)}},
+		w.rules.Rules = append(
+			w.rules.Rules,
+			lease.Rule{Name: fmt.Sprint("d", i+1), Zones: []string{fmt.Sprintf("hall%d", i%3+1)}},
 		)
 	}
 	for i := range min(runners-(runners+1)%2, 5) {
@@ -114,7 +114,7 @@
 	for _, name := range w.voters {
 		o := w.Node(name)
 		c := o.Holds.(*process).c
-		if o != n && (!o.Up || !c.Votes()) {
+		if o != n && (!o.Up || !c.IsVoter()) {
 			return false
 		}
 		if newest = max(newest, c.Table().Version); o != n {
@@ -127,7 +127,7 @@
 func (w *world) start(n *simcluster.Node, disk any) {
 	p := &process{w: w, n: n, life: n.Life << 20, does: map[string]uint64{}, count: map[string]uint64{}}
 	if disk != nil {
-		p.log = disk.([]consensus.Kept)
+		p.log = disk.([]consensus.DurableRecord)
 	}
 	n.Holds = p
 	clock := n.Boot
@@ -137,13 +137,13 @@
 	var err error
 	p.c, err = consensus.New(
 		consensus.Config{
-			Name:   n.Name,
-			Voters: w.voters,
-			Slots:  1,
-			Copies: 1,
-			Duties: w.rules,
-			Born:   100 + n.Life,
-			Clock:  clock,
+			Name:       n.Name,
+			Voters:     w.voters,
+			Slots:      1,
+			Backups:    1,
+			LeaseRules: w.rules,
+			StartedAt:  100 + n.Life,
+			Clock:      clock,
 		},
 		placement.Member{Name: n.Name, Hall: n.Hall, Life: p.life, Process: uint32(n.Life)},
 		p.log,
@@ -153,14 +153,14 @@
 		panic(err)
 	}
 	p.h = lease.NewHolder(n.Name, p.life)
-	p.c.OnConfirm(func(asked int64, version uint64) {
+	p.c.OnLeaderConfirmed(func(asked int64, version uint64) {
 		if w.wrong.fromHeard {
 			asked = clock()
 		}
 		if w.wrong.oldTable {
 			version = 0
 		}
-		p.h.Confirm(asked, version)
+		p.h.ConfirmLeader(asked, version)
 	})
 	n.Every(20*ms, func() {
 		p.c.Tick(n.Mono())
@@ -172,8 +172,8 @@
 func (p *process) flush(clock int64) {
 	w := p.w
 	for range 3 {
-		p.c.Tell(p.h.Changes(clock), p.n.Mono())
-		out, kept, err := p.c.Out()
+		p.c.Propose(p.h.PendingChanges(clock), p.n.Mono())
+		out, kept, err := p.c.Ready()
 		if err != nil {
 			panic(err)
 		}
@@ -184,16 +184,16 @@
 			p.log = append(slices.Clip(p.log), *kept)
 		}
 		for _, m := range out {
-			if w.wrong.unasked && m.Kind == consensus.Heard && m.Asked != 0 {
+			if w.wrong.unasked && m.Kind == consensus.MsgHeartbeatResp && m.Asked != 0 {
 				continue // it was told before
 			}
 			p.n.Send(m.To, func(to *simcluster.Node) { to.Holds.(*process).receive(m) })
 		}
 		if t := p.c.Table(); t.Version > p.version {
-			if p.version = t.Version; p.c.Lost() {
+			if p.version = t.Version; p.c.DeclaredLost() {
 				p.life++
 				p.h.Renew(p.life)
-				p.c.Renew(p.life)
+				p.c.Rejoin(p.life)
 			}
 			p.table(t)
 		}
@@ -227,20 +227,20 @@
 			w.wrongIs("token %d was granted for %s and for %s", d.Token, before, who)
 		}
 		w.grants[d.Token] = who
-		if does[d.Holder]++; does[d.Holder] > w.rules.Each {
-			w.wrongIs("%s holds %d duties of %d", d.Holder, does[d.Holder], w.rules.Each)
+		if does[d.Holder]++; does[d.Holder] > w.rules.MaxPerMember {
+			w.wrongIs("%s holds %d duties of %d", d.Holder, does[d.Holder], w.rules.MaxPerMember)
 		}
 	}
-	p.h.Table(t)
+	p.h.SetTable(t)
 }
 
 func (p *process) receive(m consensus.Message) {
 	w := p.w
-	if w.wrong.unasked && m.Kind == consensus.Here && m.Asked != 0 && p.c.Leads() {
+	if w.wrong.unasked && m.Kind == consensus.MsgHeartbeat && m.Asked != 0 && p.c.IsLeader() {
 		p.n.Send(m.From, func(to *simcluster.Node) {
 			to.Holds.(*process).receive(
 				consensus.Message{
-					Kind:    consensus.Heard,
+					Kind:    consensus.MsgHeartbeatResp,
 					From:    p.n.Name,
 					To:      m.From,
 					Member:  placement.Member{Life: m.Member.Life},
@@ -252,7 +252,7 @@
 	}
 	if w.wrong.lateNote {
 		for i := range m.Changes {
-			if k := m.Changes[i].Kind; k == placement.Note || k == placement.Yield {
+			if k := m.Changes[i].Kind; k == placement.ChangeSetHandover || k == placement.ChangeReleaseLease {
 				w.late++
 				m.Changes[i].Epoch = w.late<<32 | m.Changes[i].Epoch&(1<<32-1)
 			}
@@ -271,27 +271,27 @@
 
 // believe looks from outside at what this process thinks that it holds.
 func (p *process) believe(clock int64) {
-	w, held := p.w, p.h.Held(clock)
+	w, held := p.w, p.h.HeldLeases(clock)
 	for name, b := range w.beliefs { // it may have given it back
 		if b.node == p.n && b.life == p.n.Life &&
-			!slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Name == name }) {
+			!slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Lease == name }) {
 			b.until = min(b.until, w.Now())
 			w.beliefs[name] = b
 		}
 	}
 	for _, g := range held {
 		// What its clock says in true time: one that stands still only ever makes it later.
-		until := w.Now() + int64(float64(g.Until-clock))
+		until := w.Now() + int64(float64(g.ExpiresAt-clock))
 		if !w.wrong.suspended {
-			until = p.n.True(g.Until)
+			until = p.n.True(g.ExpiresAt)
 		}
-		b := w.beliefs[g.Name]
+		b := w.beliefs[g.Lease]
 		if (b.node != p.n || b.life != p.n.Life) && b.node != nil && b.until > w.Now() &&
 			b.node.Holds.(*process) != nil &&
 			b.alive() {
 			w.wrongIs(
 				"%s: %s believes under token %d, and %s does under %d for %d ms more",
-				g.Name,
+				g.Lease,
 				p.n.Name,
 				g.Token,
 				b.node.Name,
@@ -300,7 +300,7 @@
 			)
 		}
 		if b.token <= g.Token {
-			w.beliefs[g.Name] = belief{p.n, p.n.Life, g.Token, until}
+			w.beliefs[g.Lease] = belief{p.n, p.n.Life, g.Token, until}
 		}
 	}
 }
@@ -312,29 +312,29 @@
 // look and its act does.
 func (p *process) work(clock int64) {
 	w := p.w
-	for _, g := range p.h.Held(clock) {
-		if p.does[g.Name] != g.Token {
-			p.does[g.Name] = g.Token
-			n, _ := strconv.ParseUint(string(g.Check), 10, 64)
+	for _, g := range p.h.HeldLeases(clock) {
+		if p.does[g.Lease] != g.Token {
+			p.does[g.Lease] = g.Token
+			n, _ := strconv.ParseUint(string(g.Handover), 10, 64)
 			if w.Tell != nil {
 				w.Tell(
 					"%.3f %s begins %s under %d at %d, table %d",
 					float64(w.Now())/1e6,
 					p.n.Name,
-					g.Name,
+					g.Lease,
 					g.Token,
 					n,
 					p.version,
 				)
 			}
-			if p.count[g.Name] = n; n < w.noted[g.Name] {
+			if p.count[g.Lease] = n; n < w.noted[g.Lease] {
 				w.wrongIs(
 					"%s: %s begins under token %d at %d, and %d was agreed on",
-					g.Name,
+					g.Lease,
 					p.n.Name,
 					g.Token,
 					n,
-					w.noted[g.Name],
+					w.noted[g.Lease],
 				)
 			}
 		}
@@ -345,9 +345,9 @@
 				w.After(w.Between(200, 20*ms), func() { w.take(g) })
 			})
 		case 2, 3:
-			p.count[g.Name]++
-			n := p.count[g.Name]
-			p.h.Note(g.Name, []byte(strconv.FormatUint(n, 10)), func(ok bool) {
+			p.count[g.Lease]++
+			n := p.count[g.Lease]
+			p.h.SetHandover(g.Lease, []byte(strconv.FormatUint(n, 10)), func(ok bool) {
 				if ok {
 					if w.Tell != nil {
 						w.Tell(
@@ -355,22 +355,22 @@
 							float64(w.Now())/1e6,
 							p.n.Name,
 							n,
-							g.Name,
+							g.Lease,
 							g.Token,
 							p.version,
-							p.c.Table().Duty(g.Name).Seq,
-							p.c.Table().Duty(g.Name).Check,
+							p.c.Table().Lease(g.Lease).Seq,
+							p.c.Table().Lease(g.Lease).Check,
 						)
 					}
-					w.noted[g.Name] = max(w.noted[g.Name], n)
+					w.noted[g.Lease] = max(w.noted[g.Lease], n)
 				}
 			})
 		case 4:
 			if w.R.IntN(20) > 0 {
 				continue
 			}
-			n := p.count[g.Name]
-			p.h.Leave(g.Name, []byte(strconv.FormatUint(n, 10)), func(ok bool) {
+			n := p.count[g.Lease]
+			p.h.Release(g.Lease, []byte(strconv.FormatUint(n, 10)), func(ok bool) {
 				if ok {
 					if w.Tell != nil {
 						w.Tell(
@@ -378,13 +378,13 @@
 							float64(w.Now())/1e6,
 							p.n.Name,
 							n,
-							g.Name,
+							g.Lease,
 							g.Token,
 							p.version,
-							*p.c.Table().Duty(g.Name),
+							*p.c.Table().Lease(g.Lease),
 						)
 					}
-					w.noted[g.Name] = max(w.noted[g.Name], n)
+					w.noted[g.Lease] = max(w.noted[g.Lease], n)
 				}
 			})
 		}
@@ -394,27 +394,27 @@
 
 // take is the far end.
 func (w *world) take(g lease.Grant) {
-	if err := w.fence.Take(g.Name, g.Token); err != nil && !w.wrong.noFence {
+	if err := w.fence.Check(g.Lease, g.Token); err != nil && !w.wrong.noFence {
 		w.refused++
 		return
 	}
-	if w.acted[g.Name] > g.Token {
+	if w.acted[g.Lease] > g.Token {
 		w.wrongIs(
 			"%s: an effect under token %d was taken after one under %d",
-			g.Name,
+			g.Lease,
 			g.Token,
-			w.acted[g.Name],
+			w.acted[g.Lease],
 		)
 	}
-	w.acted[g.Name] = max(w.acted[g.Name], g.Token)
+	w.acted[g.Lease] = max(w.acted[g.Lease], g.Token)
 }
 
 // held are the duties that somebody believes to hold.
 func (w *world) held() (names []string) {
 	for _, n := range w.Nodes {
 		if p := n.Holds.(*process); n.Up {
-			for _, g := range p.h.Held(p.clock()) {
-				names = append(names, g.Name)
+			for _, g := range p.h.HeldLeases(p.clock()) {
+				names = append(names, g.Lease)
 			}
 		}
 	}
@@ -433,8 +433,8 @@
 			n.Name,
 			n.Up,
 			p.life,
-			p.c.Leads(),
-			(n.Mono()-p.c.HeardAt())/ms,
+			p.c.IsLeader(),
+			(n.Mono()-p.c.LastContact())/ms,
 			t.Version,
 			t.Born,
 		)
--- a/internal/peers/lease/fence.go
+++ b/internal/peers/lease/fence.go
@@ -10,8 +10,8 @@
 // lower than one that it has seen. Look and effect are one step.
 type Fence struct{ seen map[string]uint64 }
 
-// Take looks at the token of an effect, and remembers it.
-func (f *Fence) Take(duty string, token uint64) error {
+// Check looks at the token of an effect, and remembers it.
+func (f *Fence) Check(duty string, token uint64) error {
 	newest, known := f.seen[duty]
 	switch {
 	case token == 0:
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// Seen are the highest tokens by duty, for where they outlive a process.
-func (f *Fence) Seen() map[string]uint64 { return maps.Clone(f.seen) }
+// Tokens are the highest tokens by duty, for where they outlive a process.
+func (f *Fence) Tokens() map[string]uint64 { return maps.Clone(f.seen) }
 
 // Restore takes what was seen before.
 func (f *Fence) Restore(seen map[string]uint64) { f.seen = maps.Clone(seen) }
--- a/internal/peers/lease/snapshot.go
+++ b/internal/peers/lease/grant_snapshot.go
@@ -17,15 +17,15 @@
 		return 0, false
 	}
 	for i := range *p {
-		if g := &(*p)[i]; g.Name == name {
-			return g.Token, now < g.Until
+		if g := &(*p)[i]; g.Lease == name {
+			return g.Token, now < g.ExpiresAt
 		}
 	}
 	return 0, false
 }
 
-// Page is all of it.
-func (b *Snapshot) Page() []Grant {
+// Grants is all of it.
+func (b *Snapshot) Grants() []Grant {
 	if p := b.page.Load(); p != nil {
 		return *p
 	}
--- a/internal/peers/lease/health_report.go
+++ b/internal/peers/lease/health_report.go
@@ -5,15 +5,15 @@
 // HealthReport is what the holder of a duty saw of servers, for runners that did not look
 // themselves.
 type HealthReport struct {
-	From  string `cbor:"1,keyasint"`
-	To    string `cbor:"2,keyasint"`
-	Duty  string `cbor:"3,keyasint"`
-	Token uint64 `cbor:"4,keyasint"`
-	Seen  []Seen `cbor:"5,keyasint"`
+	From  string         `cbor:"1,keyasint"`
+	To    string         `cbor:"2,keyasint"`
+	Duty  string         `cbor:"3,keyasint"`
+	Token uint64         `cbor:"4,keyasint"`
+	Seen  []ServerHealth `cbor:"5,keyasint"`
 }
 
-// Seen is how one server answered.
-type Seen struct {
+// Tokens is how one server answered.
+type ServerHealth struct {
 	Group  string `cbor:"1,keyasint"`
 	Server string `cbor:"2,keyasint"`
 	Good   bool   `cbor:"3,keyasint,omitempty"`
@@ -26,53 +26,53 @@
 	mostTold = 4096
 )
 
-// Checks decides who asks servers for their health. The holder of a hall's duty asks all servers of
+// HealthChecks decides who asks servers for their health. The holder of a hall's duty asks all servers of
 // that hall, and tells the others. A runner that was told well of a server, not longer ago than two
 // rounds, does not ask. One that was told nothing, or ill, asks for itself: what is told never
 // takes a server out, and a report that is false or old costs no more than knowing nothing.
-type Checks struct {
-	duties map[string]string // of halls
-	fence  Fence
-	told   map[[2]string]seenAt
-	tell   map[string][]seenAt // of each duty, what goes out with the next report
-	tokens map[string]uint64   // under which that was seen
-	Asked  int64               // checks that this runner made
-	Spared int64               // that it did not have to make
-	Late   int64               // reports of runners that had lost the duty
+type HealthChecks struct {
+	duties    map[string]string // of halls
+	fence     Fence
+	told      map[[2]string]seenAt
+	tell      map[string][]seenAt // of each duty, what goes out with the next report
+	tokens    map[string]uint64   // under which that was seen
+	Performed int64               // checks that this runner made
+	Skipped   int64               // that it did not have to make
+	Stale     int64               // reports of runners that had lost the duty
 }
 
 type seenAt struct {
-	Seen
+	ServerHealth
 	at int64
 }
 
-// CheckDuty is the name of the duty to ask a hall's servers.
-func CheckDuty(hall string) string { return "checks-" + hall }
+// HealthCheckLease is the name of the duty to ask a hall's servers.
+func HealthCheckLease(hall string) string { return "checks-" + hall }
 
-// NewChecks is for the halls whose servers are asked by one runner.
-func NewChecks(halls []string) *Checks {
-	c := &Checks{
+// NewHealthChecks is for the halls whose servers are asked by one runner.
+func NewHealthChecks(halls []string) *HealthChecks {
+	c := &HealthChecks{
 		duties: map[string]string{},
 		told:   map[[2]string]seenAt{},
 		tell:   map[string][]seenAt{},
 		tokens: map[string]uint64{},
 	}
-	c.SetHalls(halls)
+	c.SetZones(halls)
 	return c
 }
 
-// SetHalls takes those of another file.
-func (c *Checks) SetHalls(halls []string) {
+// SetZones takes those of another file.
+func (c *HealthChecks) SetZones(halls []string) {
 	clear(c.duties)
 	for _, h := range halls {
-		c.duties[h] = CheckDuty(h)
+		c.duties[h] = HealthCheckLease(h)
 	}
 }
 
-// Ask tells whether a server is to be asked now, and the duty that does so; none is for a hall
+// ShouldCheck tells whether a server is to be asked now, and the duty that does so; none is for a hall
 // whose servers each runner asks for itself. Every is the time between two checks, sure whether the
 // server is in full service: one that is to come back is asked by each runner, over its own link.
-func (c *Checks) Ask(
+func (c *HealthChecks) ShouldCheck(
 	group, server, hall string,
 	every, now int64,
 	sure bool,
@@ -80,30 +80,33 @@
 ) (ask bool, duty string, token uint64) {
 	if duty = c.duties[hall]; duty != "" {
 		if t, ok := holds(duty); ok {
-			c.Asked++
+			c.Performed++
 			return true, duty, t
 		}
 		if s, ok := c.told[[2]string{group, server}]; ok && sure && s.Good && now-s.at <= 2*every {
-			c.Spared++
+			c.Skipped++
 			return false, duty, 0
 		}
 	}
-	c.Asked++
+	c.Performed++
 	return true, duty, 0
 }
 
-// Answered notes how a server answered that was asked under a token.
-func (c *Checks) Answered(duty string, token uint64, group, server string, good bool, now int64) {
+// RecordResult notes how a server answered that was asked under a token.
+func (c *HealthChecks) RecordResult(duty string, token uint64, group, server string, good bool, now int64) {
 	if c.tokens[duty] != token {
 		c.tell[duty], c.tokens[duty] = nil, token
 	}
 	if len(c.tell[duty]) < mostSeen {
-		c.tell[duty] = append(c.tell[duty], seenAt{Seen{Group: group, Server: server, Good: good}, now})
+		c.tell[duty] = append(
+			c.tell[duty],
+			seenAt{ServerHealth{Group: group, Server: server, Good: good}, now},
+		)
 	}
 }
 
-// Tales are those that are to be told to others now, by a runner that still holds their duties.
-func (c *Checks) Tales(
+// TakeReports are those that are to be told to others now, by a runner that still holds their duties.
+func (c *HealthChecks) TakeReports(
 	from string,
 	now int64,
 	holds func(duty string) (token uint64, ok bool),
@@ -122,20 +125,20 @@
 		tale := HealthReport{From: from, Duty: duty, Token: c.tokens[duty]}
 		for _, s := range seen {
 			s.Age = now - s.at
-			tale.Seen = append(tale.Seen, s.Seen)
+			tale.Seen = append(tale.Seen, s.ServerHealth)
 		}
 		tales = append(tales, tale)
 	}
 	return tales
 }
 
-// Hear takes a report. One of a runner that lost its duty meanwhile is not taken.
-func (c *Checks) Hear(t *HealthReport, now int64) error {
+// Receive takes a report. One of a runner that lost its duty meanwhile is not taken.
+func (c *HealthChecks) Receive(t *HealthReport, now int64) error {
 	if len(t.Seen) > mostSeen {
 		return fenced.New("lease: a tale of %d servers is over %d", len(t.Seen), mostSeen)
 	}
-	if err := c.fence.Take(t.Duty, t.Token); err != nil {
-		c.Late++
+	if err := c.fence.Check(t.Duty, t.Token); err != nil {
+		c.Stale++
 		return err
 	}
 	for _, s := range t.Seen {
--- a/internal/peers/lease/health_report_test.go
+++ b/internal/peers/lease/health_report_test.go
@@ -16,21 +16,21 @@
 	const every = 1_000_000
 	held := func(duty string) (uint64, bool) { return 7, duty == "checks-h1" }
 	none := func(string) (uint64, bool) { return 0, false }
-	a, b := lease.NewChecks([]string{"h1"}), lease.NewChecks([]string{"h1"})
-	if ask, _, token := a.Ask("g", "s1", "h2", every, 0, true, held); !ask || token != 0 {
+	a, b := lease.NewHealthChecks([]string{"h1"}), lease.NewHealthChecks([]string{"h1"})
+	if ask, _, token := a.ShouldCheck("g", "s1", "h2", every, 0, true, held); !ask || token != 0 {
 		t.Error("a hall that nobody asks for all")
 	}
-	ask, name, token := a.Ask("g", "s1", "h1", every, 0, true, held)
+	ask, name, token := a.ShouldCheck("g", "s1", "h1", every, 0, true, held)
 	if !ask || name != "checks-h1" || token != 7 {
 		t.Errorf("the holder: %v %s %d", ask, name, token)
 	}
-	a.Answered(name, token, "g", "s1", true, 0)
-	a.Answered(name, token, "g", "s2", false, 0)
-	tales := a.Tales("n1", 500_000, held)
-	if len(tales) != 1 || len(a.Tales("n1", 0, held)) != 0 {
+	a.RecordResult(name, token, "g", "s1", true, 0)
+	a.RecordResult(name, token, "g", "s2", false, 0)
+	tales := a.TakeReports("n1", 500_000, held)
+	if len(tales) != 1 || len(a.TakeReports("n1", 0, held)) != 0 {
 		t.Fatalf("told: %+v", tales)
 	}
-	if err := b.Hear(&tales[0], 10_000_000); err != nil {
+	if err := b.Receive(&tales[0], 10_000_000); err != nil {
 		t.Error(err)
 	}
 	for _, c := range []struct {
@@ -39,16 +39,16 @@
 		sure, ask    bool
 	}{{"told well", "s1", 100_000, true, false}, {"told ill", "s2", 100_000, true, true}, {"told nothing", "s3", 100_000, true, true},
 		{"it is to come back", "s1", 100_000, false, true}, {"two rounds ago", "s1", 2*every - 500_000, true, false}, {"longer ago", "s1", 2*every - 499_999, true, true}} {
-		if ask, _, _ := b.Ask("g", c.server, "h1", every, 10_000_000+c.after, c.sure, none); ask != c.ask {
+		if ask, _, _ := b.ShouldCheck("g", c.server, "h1", every, 10_000_000+c.after, c.sure, none); ask != c.ask {
 			t.Errorf("%s: asks %v", c.what, ask)
 		}
 	}
 	tales[0].Token = 6
-	if b.Hear(&tales[0], 11_000_000) == nil || b.Late != 1 {
+	if b.Receive(&tales[0], 11_000_000) == nil || b.Stale != 1 {
 		t.Error("a tale of who has lost the duty is taken")
 	}
-	a.Answered(name, 7, "g", "s1", true, 0)
-	if got := a.Tales("n1", 0, none); len(got) != 0 {
+	a.RecordResult(name, 7, "g", "s1", true, 0)
+	if got := a.TakeReports("n1", 0, none); len(got) != 0 {
 		t.Errorf("told after the duty was lost: %+v", got)
 	}
 }
@@ -76,8 +76,8 @@
 	for token := uint64(1); token <= 2000; token++ {
 		b.Set(
 			[]lease.Grant{
-				{Name: "other", Token: token},
-				{Name: "d", Token: token, Until: int64(token%2) * 10},
+				{Lease: "other", Token: token},
+				{Lease: "d", Token: token, ExpiresAt: int64(token%2) * 10},
 			},
 		)
 	}
@@ -103,15 +103,15 @@
 // swapped, and a lock.
 func BenchmarkLook(b *testing.B) {
 	page := []lease.Grant{
-		{Name: "checks-hall1", Token: 5, Until: 1 << 60},
-		{Name: "checks-hall2", Token: 6, Until: 1 << 60},
+		{Lease: "checks-hall1", Token: 5, ExpiresAt: 1 << 60},
+		{Lease: "checks-hall2", Token: 6, ExpiresAt: 1 << 60},
 	}
 	book, mu := &lease.Snapshot{}, &sync.RWMutex{}
 	locked := func() (token uint64) {
 		mu.RLock()
 		defer mu.RUnlock()
 		for i := range page {
-			if page[i].Name == "checks-hall2" {
+			if page[i].Lease == "checks-hall2" {
 				token = page[i].Token
 			}
 		}
--- a/internal/peers/lease/lease.go
+++ b/internal/peers/lease/lease.go
@@ -20,38 +20,40 @@
 // clocks go apart by less than one part in a hundred. Whoever grants anew after a holder that may
 // still believe waits for Lease and Margin from when it learned of that.
 const (
-	Lease  = 600_000
-	Margin = 50_000 + Lease/100
-	resend = 300_000 // after which a change that is not in the table is said again
+	TTL         = 600_000
+	ClockMargin = 50_000 + TTL/100
+	resend      = 300_000 // after which a change that is not in the table is said again
 )
 
 // Rule is what the file says of a duty.
 type Rule struct {
 	Name    string
-	Halls   []string // preferred ones, the best first; members of others come after them
+	Zones   []string // preferred ones, the best first; members of others come after them
 	Members []string // who may have it; empty: all
 }
 
-// May tells whether the file lets a member have it.
-func (r *Rule) May(name string) bool { return len(r.Members) == 0 || slices.Contains(r.Members, name) }
+// Allows tells whether the file lets a member have it.
+func (r *Rule) Allows(name string) bool {
+	return len(r.Members) == 0 || slices.Contains(r.Members, name)
+}
 
 // Rules are what the file says of all duties.
 type Rules struct {
-	Each int // that one member may hold
+	MaxPerMember int // that one member may hold
 	// for so long who lost a duty without giving it back does not have it again; twice as long each
 	// further time in a row
-	Again int64
-	List  []Rule
+	ExpiryBackoff int64
+	Rules         []Rule
 }
 
 // mostTimes bounds the doubling of Again.
 const mostTimes = 7
 
-// Names are the duties that a member would take.
-func (r *Rules) Names(member string) (names []string) {
-	for i := range r.List {
-		if r.List[i].May(member) {
-			names = append(names, r.List[i].Name)
+// NamesFor are the duties that a member would take.
+func (r *Rules) NamesFor(member string) (names []string) {
+	for i := range r.Rules {
+		if r.Rules[i].Allows(member) {
+			names = append(names, r.Rules[i].Name)
 		}
 	}
 	return names
@@ -81,12 +83,12 @@
 // NewGranter is one that knows nothing of the past.
 func NewGranter(rules Rules, born uint64) *Granter {
 	g := &Granter{rules: rules, born: born}
-	g.Begin()
+	g.Reset()
 	return g
 }
 
-// Begin has it know nothing of the past, as when its runner begins to lead.
-func (g *Granter) Begin() {
+// Reset has it know nothing of the past, as when its runner begins to lead.
+func (g *Granter) Reset() {
 	g.free, g.lost, g.said = map[string]mark{}, map[string]mark{}, map[string]said{}
 }
 
@@ -109,33 +111,33 @@
 	now int64,
 	asked func(name string) int64,
 ) (changes []placement.Change) {
-	if len(g.rules.List) == 0 {
+	if len(g.rules.Rules) == 0 {
 		return nil
 	}
 	if t.Born == 0 {
-		return []placement.Change{{Kind: placement.Found, Token: max(g.born, 1)}}
+		return []placement.Change{{Kind: placement.ChangeBootstrap, Token: max(g.born, 1)}}
 	}
 	does := map[string]int{}
 	for _, m := range t.Members {
-		does[m.Name] = t.Does(m.Name)
+		does[m.Name] = t.LeaseCount(m.Name)
 	}
 	maps.DeleteFunc(g.said, func(name string, s said) bool {
-		d := t.Duty(name)
+		d := t.Lease(name)
 		return now-s.at >= resend || d != nil && d.Token != s.what
 	})
 	for _, s := range g.said {
 		does[s.member]++
 	}
-	for i := range g.rules.List {
-		r := &g.rules.List[i]
-		d := cmp.Or(t.Duty(r.Name), &placement.Lease{})
+	for i := range g.rules.Rules {
+		r := &g.rules.Rules[i]
+		d := cmp.Or(t.Lease(r.Name), &placement.Lease{})
 		for _, l := range d.Lapses { // noted while somebody else holds it, too
 			since(g.lost, r.Name+"\x00"+l.Name, uint64(l.Times), now)
 		}
 		if _, ok := g.said[r.Name]; ok || d.Holder != "" {
 			continue
 		}
-		if at := since(g.free, r.Name, d.Token, now); d.Abrupt && now-at < Lease+Margin {
+		if at := since(g.free, r.Name, d.Token, now); d.Abrupt && now-at < TTL+ClockMargin {
 			continue
 		}
 		if m := g.best(t, r, d, does, now); m != nil {
@@ -144,7 +146,7 @@
 			changes = append(
 				changes,
 				placement.Change{
-					Kind:   placement.Grant,
+					Kind:   placement.ChangeGrantLease,
 					Member: placement.Member{Name: m.Name, Life: m.Life},
 					Duty:   r.Name,
 					Token:  d.Token,
@@ -167,23 +169,23 @@
 	var rank [5]uint64
 	for i := range t.Members {
 		m := &t.Members[i]
-		if m.Life == 0 || m.Leaving || !r.May(m.Name) || !slices.Contains(m.Duties, r.Name) ||
-			does[m.Name] >= g.rules.Each {
+		if m.Life == 0 || m.Leaving || !r.Allows(m.Name) || !slices.Contains(m.Duties, r.Name) ||
+			does[m.Name] >= g.rules.MaxPerMember {
 			continue
 		}
 		times := 0
-		if j := slices.IndexFunc(d.Lapses, func(l placement.Lapse) bool { return l.Name == m.Name }); j >= 0 {
+		if j := slices.IndexFunc(d.Lapses, func(l placement.Expiration) bool { return l.Name == m.Name }); j >= 0 {
 			times = d.Lapses[j].Times
-			if at := since(g.lost, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.Again<<min(
+			if at := since(g.lost, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.ExpiryBackoff<<min(
 				times-1,
 				mostTimes,
 			) {
 				continue
 			}
 		}
-		hall := slices.Index(r.Halls, m.Hall)
+		hall := slices.Index(r.Zones, m.Hall)
 		if hall < 0 {
-			hall = len(r.Halls)
+			hall = len(r.Zones)
 		}
 		left := uint64(0)
 		if m.Name == d.Left { // it may be about to go
@@ -209,10 +211,10 @@
 
 // Grant is a duty that a runner may do until a time of its clock.
 type Grant struct {
-	Name  string
-	Token uint64
-	Until int64
-	Check []byte // what the one before left
+	Lease     string
+	Token     uint64
+	ExpiresAt int64
+	Handover  []byte // what the one before left
 }
 
 // Holder is the part of a runner that may hold duties.
@@ -256,13 +258,13 @@
 // Renew is another life of this runner's membership.
 func (h *Holder) Renew(life uint64) {
 	h.life, h.sure, h.words = life, never, nil
-	h.Table(h.table)
+	h.SetTable(h.table)
 }
 
-// Confirm takes the word of a leader that the consensus group still goes by it: what this runner
+// ConfirmLeader takes the word of a leader that the consensus group still goes by it: what this runner
 // asked at a time of its clock holds, if it knows the table that the leader knew by then. One that
 // knows an older table may have lost its duties since.
-func (h *Holder) Confirm(asked int64, version uint64) {
+func (h *Holder) ConfirmLeader(asked int64, version uint64) {
 	if h.words = append(h.words, word{asked, version}); len(h.words) > mostWords {
 		h.words = h.words[1:]
 	}
@@ -279,27 +281,27 @@
 	})
 }
 
-// Table takes a newer table.
-func (h *Holder) Table(t *placement.Table) {
+// SetTable takes a newer table.
+func (h *Holder) SetTable(t *placement.Table) {
 	h.table = t
 	h.look()
 	if t == nil {
 		return
 	}
 	maps.DeleteFunc(h.gone, func(name string, token uint64) bool {
-		d := t.Duty(name)
+		d := t.Lease(name)
 		return d == nil || d.Token != token || d.Holder != h.name
 	})
 	for _, name := range slices.Sorted(maps.Keys(h.said)) {
 		s := h.said[name]
-		d := t.Duty(name)
+		d := t.Lease(name)
 		mine := d != nil && d.Token == s.change.Token && d.Holder == h.name && d.Life == h.life
 		if mine && d.Seq < s.change.Epoch {
 			continue // still on its way
 		}
-		if s.change.Kind == placement.Yield { // somebody may have it already; who lost it is noted
+		if s.change.Kind == placement.ChangeReleaseLease { // somebody may have it already; who lost it is noted
 			mine = d != nil && (d.Token != s.change.Token || d.Holder == "") &&
-				!slices.ContainsFunc(d.Lapses, func(l placement.Lapse) bool { return l.Name == h.name })
+				!slices.ContainsFunc(d.Lapses, func(l placement.Expiration) bool { return l.Name == h.name })
 		}
 		delete(h.said, name)
 		if s.done != nil {
@@ -308,8 +310,8 @@
 	}
 }
 
-// Held are the duties that this runner may do now, by name.
-func (h *Holder) Held(now int64) (grants []Grant) {
+// HeldLeases are the duties that this runner may do now, by name.
+func (h *Holder) HeldLeases(now int64) (grants []Grant) {
 	if h.table == nil {
 		return nil
 	}
@@ -322,29 +324,29 @@
 		if d.Asked > 0 {
 			asked = max(asked, d.Asked)
 		}
-		if until := asked + Lease - Margin; now < until {
+		if until := asked + TTL - ClockMargin; now < until {
 			grants = append(grants, Grant{d.Name, d.Token, until, d.Check})
 		}
 	}
 	return grants
 }
 
-// Leave has this runner do nothing more under a grant, and give the duty back with what the next
+// Release has this runner do nothing more under a grant, and give the duty back with what the next
 // one is to know. Done is told whether that was agreed on before somebody else had it; it may be
 // nil.
-func (h *Holder) Leave(name string, check []byte, done func(ok bool)) {
+func (h *Holder) Release(name string, check []byte, done func(ok bool)) {
 	d := h.own(name, check, done)
 	if d == nil {
 		return
 	}
 	h.gone[name] = d.Token
-	h.say(placement.Yield, d, check, done)
+	h.say(placement.ChangeReleaseLease, d, check, done)
 }
 
-// Note leaves what the next one is to know if this one is lost. Done is told whether it was agreed
+// SetHandover leaves what the next one is to know if this one is lost. Done is told whether it was agreed
 // on while the duty was this runner's. A note takes the place of one that is still on its way,
 // which is told that it was not agreed on: it may have been.
-func (h *Holder) Note(name string, check []byte, done func(ok bool)) {
+func (h *Holder) SetHandover(name string, check []byte, done func(ok bool)) {
 	d := h.own(name, check, done)
 	if d == nil {
 		return
@@ -355,14 +357,14 @@
 		}
 		return
 	}
-	h.say(placement.Note, d, check, done)
+	h.say(placement.ChangeSetHandover, d, check, done)
 }
 
 // own is a duty that the table says is this runner's; nil: it is not, or what is left for it is too
 // large, and done was told.
 func (h *Holder) own(name string, check []byte, done func(bool)) *placement.Lease {
-	if h.table != nil && len(check) <= placement.MostCheck {
-		if d := h.table.Duty(name); d != nil && d.Holder == h.name && d.Life == h.life {
+	if h.table != nil && len(check) <= placement.MaxHandoverBytes {
+		if d := h.table.Lease(name); d != nil && d.Holder == h.name && d.Life == h.life {
 			return d
 		}
 	}
@@ -372,7 +374,7 @@
 	return nil
 }
 
-func (h *Holder) say(kind placement.Kind, d *placement.Lease, check []byte, done func(bool)) {
+func (h *Holder) say(kind placement.ChangeKind, d *placement.Lease, check []byte, done func(bool)) {
 	if s := h.said[d.Name]; s != nil && s.done != nil {
 		s.done(false)
 	}
@@ -391,8 +393,8 @@
 	}
 }
 
-// Changes are those that are to be said to the consensus group's leader now.
-func (h *Holder) Changes(now int64) (changes []placement.Change) {
+// PendingChanges are those that are to be said to the consensus group's leader now.
+func (h *Holder) PendingChanges(now int64) (changes []placement.Change) {
 	for _, name := range slices.Sorted(maps.Keys(h.said)) {
 		if s := h.said[name]; now-s.at >= resend {
 			s.at = now
@@ -402,8 +404,8 @@
 	return changes
 }
 
-// Fresh tells whether there is a change that was not said yet.
-func (h *Holder) Fresh() bool {
+// HasUnsentChanges tells whether there is a change that was not said yet.
+func (h *Holder) HasUnsentChanges() bool {
 	for _, s := range h.said {
 		if s.at == never {
 			return true
@@ -412,5 +414,5 @@
 	return false
 }
 
-// Says tells whether any change is on its way.
-func (h *Holder) Says() bool { return len(h.said) > 0 }
+// HasPendingChanges tells whether any change is on its way.
+func (h *Holder) HasPendingChanges() bool { return len(h.said) > 0 }
--- a/internal/peers/lease/lease_test.go
+++ b/internal/peers/lease/lease_test.go
@@ -17,11 +17,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Apply(placement.Change{Kind: placement.Found, Token: 7})
+	p.Apply(placement.Change{Kind: placement.ChangeBootstrap, Token: 7})
 	for i, n := range names {
 		p.Apply(
 			placement.Change{
-				Kind: placement.In,
+				Kind: placement.ChangeJoin,
 				Member: placement.Member{
 					Name:    n,
 					Hall:    "hall" + n[1:],
@@ -58,10 +58,10 @@
 		rules lease.Rules
 		want  map[string]string
 	}{
-		"preferred halls": {lease.Rules{Each: 3, List: []lease.Rule{{Name: "a", Halls: []string{"hall9", "hall2"}}, {Name: "b", Halls: []string{"hall3"}}}}, map[string]string{"a": "n2", "b": "n3"}},
-		"who may":         {lease.Rules{Each: 3, List: []lease.Rule{{Name: "a", Members: []string{"n3"}}, {Name: "b", Members: []string{"n3"}}}}, map[string]string{"a": "n3", "b": "n3"}},
-		"the bound":       {lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n3"}}, {Name: "b", Members: []string{"n3"}}}}, map[string]string{"a": "n3"}},
-		"nobody":          {lease.Rules{Each: 1, List: []lease.Rule{{Name: "z"}}}, map[string]string{}},
+		"preferred halls": {lease.Rules{MaxPerMember: 3, Rules: []lease.Rule{{Name: "a", Zones: []string{"hall9", "hall2"}}, {Name: "b", Zones: []string{"hall3"}}}}, map[string]string{"a": "n2", "b": "n3"}},
+		"who may":         {lease.Rules{MaxPerMember: 3, Rules: []lease.Rule{{Name: "a", Members: []string{"n3"}}, {Name: "b", Members: []string{"n3"}}}}, map[string]string{"a": "n3", "b": "n3"}},
+		"the bound":       {lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "a", Members: []string{"n3"}}, {Name: "b", Members: []string{"n3"}}}}, map[string]string{"a": "n3"}},
+		"nobody":          {lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "z"}}}, map[string]string{}},
 	} {
 		p := members(t, "n1", "n2", "n3")
 		if diff := cmp.Diff(c.want, grant(lease.NewGranter(c.rules, 7), p, 0)); diff != "" {
@@ -70,11 +70,14 @@
 	}
 	p := members(t, "n1", "n2", "n3")
 	held := grant(
-		lease.NewGranter(lease.Rules{Each: 3, List: []lease.Rule{{Name: "a"}, {Name: "b"}, {Name: "c"}}}, 7),
+		lease.NewGranter(
+			lease.Rules{MaxPerMember: 3, Rules: []lease.Rule{{Name: "a"}, {Name: "b"}, {Name: "c"}}},
+			7,
+		),
 		p,
 		0,
 	)
-	if p.Does("n1") != 1 || p.Does("n2") != 1 || p.Does("n3") != 1 {
+	if p.LeaseCount("n1") != 1 || p.LeaseCount("n2") != 1 || p.LeaseCount("n3") != 1 {
 		t.Errorf("not spread: %v", held)
 	}
 }
@@ -84,14 +87,17 @@
 func TestPauses(t *testing.T) {
 	const again = 10_000_000
 	p := members(t, "n1")
-	g := lease.NewGranter(lease.Rules{Each: 1, Again: again, List: []lease.Rule{{Name: "a"}}}, 7)
+	g := lease.NewGranter(
+		lease.Rules{MaxPerMember: 1, ExpiryBackoff: again, Rules: []lease.Rule{{Name: "a"}}},
+		7,
+	)
 	now, life := int64(0), uint64(10)
 	grant(g, p, now)
 	for _, pause := range []int64{again, 2 * again, 4 * again} {
 		life++
 		p.Apply(
 			placement.Change{
-				Kind: placement.In,
+				Kind: placement.ChangeJoin,
 				Member: placement.Member{
 					Name:    "n1",
 					Hall:    "hall1",
@@ -112,18 +118,21 @@
 		}
 	}
 	p = members(t, "n1", "n2")
-	g = lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Halls: []string{"hall1"}}}}, 7)
+	g = lease.NewGranter(
+		lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "a", Zones: []string{"hall1"}}}},
+		7,
+	)
 	grant(g, p, 0)
 	p.Apply(
 		placement.Change{
-			Kind:   placement.In,
+			Kind:   placement.ChangeJoin,
 			Member: placement.Member{Name: "n1", Hall: "hall1", Life: 9, Process: 9, Duties: []string{"a"}},
 		},
 	)
-	for now, want := range map[int64]int{0: 0, lease.Lease: 0, lease.Lease + lease.Margin: 1} {
+	for now, want := range map[int64]int{0: 0, lease.TTL: 0, lease.TTL + lease.ClockMargin: 1} {
 		q := p.Clone()
 		h := lease.NewGranter(
-			lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Halls: []string{"hall1"}}}},
+			lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "a", Zones: []string{"hall1"}}}},
 			7,
 		)
 		grant(h, q, 0)
@@ -138,56 +147,59 @@
 func TestHolder(t *testing.T) {
 	p := members(t, "n1", "n2")
 	grant(
-		lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n1"}}}}, 7),
+		lease.NewGranter(
+			lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "a", Members: []string{"n1"}}}},
+			7,
+		),
 		p,
 		0,
 	)
 	h := lease.NewHolder("n1", 1)
-	h.Table(p)
+	h.SetTable(p)
 	until := func(now int64) int64 {
-		if held := h.Held(now); len(held) == 1 {
-			return held[0].Until
+		if held := h.HeldLeases(now); len(held) == 1 {
+			return held[0].ExpiresAt
 		}
 		return 0
 	}
-	if got, want := until(1000), int64(1000+lease.Lease-lease.Margin); got != want || until(want) != 0 {
+	if got, want := until(1000), int64(1000+lease.TTL-lease.ClockMargin); got != want || until(want) != 0 {
 		t.Errorf("until %d, and %d is wanted and no longer", got, want)
 	}
-	h.Confirm(500_000, p.Version+1)
-	if got, want := until(1000), int64(1000+lease.Lease-lease.Margin); got != want {
+	h.ConfirmLeader(500_000, p.Version+1)
+	if got, want := until(1000), int64(1000+lease.TTL-lease.ClockMargin); got != want {
 		t.Errorf("until %d by a word of a leader that knew more", got)
 	}
 	q := p.Clone()
 	q.Version++
-	h.Table(q)
-	if got, want := until(1000), int64(500_000+lease.Lease-lease.Margin); got != want {
+	h.SetTable(q)
+	if got, want := until(1000), int64(500_000+lease.TTL-lease.ClockMargin); got != want {
 		t.Errorf("until %d, and %d is wanted once it knows as much", got, want)
 	}
 	told := []bool{}
 	done := func(ok bool) { told = append(told, ok) }
-	h.Note("a", []byte("1"), done)
-	late := h.Changes(0)
-	h.Note("a", []byte("2"), done)
-	for _, c := range append(h.Changes(0), late...) { // the first comes late
+	h.SetHandover("a", []byte("1"), done)
+	late := h.PendingChanges(0)
+	h.SetHandover("a", []byte("2"), done)
+	for _, c := range append(h.PendingChanges(0), late...) { // the first comes late
 		q.Apply(c)
 	}
-	h.Table(q)
-	if string(q.Duty("a").Check) != "2" {
-		t.Errorf("left is %q", q.Duty("a").Check)
+	h.SetTable(q)
+	if string(q.Lease("a").Check) != "2" {
+		t.Errorf("left is %q", q.Lease("a").Check)
 	}
-	h.Leave("a", []byte("3"), done)
+	h.Release("a", []byte("3"), done)
 	if until(1000) != 0 {
 		t.Error("it goes on with what it gave back")
 	}
-	for _, c := range h.Changes(0) {
+	for _, c := range h.PendingChanges(0) {
 		q.Apply(c)
 	}
-	h.Table(q)
-	h.Note("a", []byte("4"), done)
+	h.SetTable(q)
+	h.SetHandover("a", []byte("4"), done)
 	if diff := cmp.Diff([]bool{false, true, true, false}, told); diff != "" ||
-		string(q.Duty("a").Check) != "3" ||
-		q.Duty("a").Holder != "" {
-		t.Errorf("%s; %+v", diff, q.Duty("a"))
+		string(q.Lease("a").Check) != "3" ||
+		q.Lease("a").Holder != "" {
+		t.Errorf("%s; %+v", diff, q.Lease("a"))
 	}
 }
 
@@ -195,23 +207,26 @@
 func TestGivenBackTooLate(t *testing.T) {
 	p := members(t, "n1", "n2")
 	grant(
-		lease.NewGranter(lease.Rules{Each: 1, List: []lease.Rule{{Name: "a", Members: []string{"n1"}}}}, 7),
+		lease.NewGranter(
+			lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "a", Members: []string{"n1"}}}},
+			7,
+		),
 		p,
 		0,
 	)
 	h := lease.NewHolder("n1", 1)
-	h.Table(p)
-	h.Leave("a", []byte("late"), func(ok bool) {
+	h.SetTable(p)
+	h.Release("a", []byte("late"), func(ok bool) {
 		if ok {
 			t.Error("told as agreed on")
 		}
 	})
 	h.Renew(2)
-	if p.Apply(placement.Change{Kind: placement.Out, Member: placement.Member{Name: "n1", Life: 1}}); h.Says() {
-		h.Table(p)
+	if p.Apply(placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: "n1", Life: 1}}); h.HasPendingChanges() {
+		h.SetTable(p)
 	}
-	if d := p.Duty("a"); d.Holder != "" || len(d.Lapses) != 1 || h.Says() {
-		t.Errorf("%+v, still says %v", d, h.Says())
+	if d := p.Lease("a"); d.Holder != "" || len(d.Lapses) != 1 || h.HasPendingChanges() {
+		t.Errorf("%+v, still says %v", d, h.HasPendingChanges())
 	}
 }
 
@@ -222,14 +237,14 @@
 		token uint64
 		ok    bool
 	}{{"a", 5, true}, {"a", 5, true}, {"b", 4, true}, {"a", 4, false}, {"a", 0, false}, {"a", 6, true}, {"a", 5, false}, {"c", 0, false}} {
-		if err := f.Take(c.duty, c.token); (err == nil) != c.ok ||
+		if err := f.Check(c.duty, c.token); (err == nil) != c.ok ||
 			err != nil && fault.Of(err).Kind.Name != "peers.fenced" {
 			t.Errorf("%s under %d: %v", c.duty, c.token, err)
 		}
 	}
 	g := &lease.Fence{}
-	g.Restore(f.Seen())
-	if g.Take("a", 5) == nil {
+	g.Restore(f.Tokens())
+	if g.Check("a", 5) == nil {
 		t.Error("what was seen is forgotten")
 	}
 }
--- a/internal/peers/link/crossing_test.go
+++ b/internal/peers/link/crossing_test.go
@@ -31,11 +31,11 @@
 	if s.Pass((connectIn - 1) * time.Microsecond); n.peers["n2"].conn != first {
 		t.Fatal("it was given up before its time")
 	}
-	if s.Pass(time.Microsecond); n.Links() != 0 || !first.IsClosed() {
-		t.Fatalf("%d links, the first closed %v", n.Links(), first.IsClosed())
+	if s.Pass(time.Microsecond); n.Connections() != 0 || !first.IsClosed() {
+		t.Fatalf("%d links, the first closed %v", n.Connections(), first.IsClosed())
 	}
 	n.Send("n2", frame())
-	if n.Links() != 1 {
+	if n.Connections() != 1 {
 		t.Error("the next message opens no other")
 	}
 }
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -70,8 +70,8 @@
 	From string `cbor:"6,keyasint,omitempty"` // and who says it
 }
 
-// Append appends a frame.
-func Append(b []byte, f *Frame) ([]byte, error) {
+// AppendFrame appends a frame.
+func AppendFrame(b []byte, f *Frame) ([]byte, error) {
 	payload, err := cbor.Marshal(f)
 	if err != nil {
 		return b, broken.New("link: %w", err)
@@ -93,8 +93,8 @@
 	return m
 }()
 
-// Read reads the frame at the front of b; nil without an error: there is not all of it yet.
-func Read(b []byte) (f *Frame, used int, err error) {
+// ReadFrame reads the frame at the front of b; nil without an error: there is not all of it yet.
+func ReadFrame(b []byte) (f *Frame, used int, err error) {
 	if len(b) < head {
 		return nil, 0, nil
 	}
@@ -124,31 +124,31 @@
 
 // Config is who this runner is, and whom it knows.
 type Config struct {
-	Installation string
-	Name         string
-	Listen       netip.AddrPort
-	Peers        []Peer // the others
-	Mesh         int    // up to so many runners all have links with all; 0: any number
+	Installation  string
+	Name          string
+	Listen        netip.AddrPort
+	Peers         []Peer // the others
+	FullMeshLimit int    // up to so many runners all have links with all; 0: any number
 }
 
-// Net is all links of this runner.
-type Net struct {
-	loop   *eventloop.Loop
-	cfg    Config
-	ln     *eventloop.Listener
-	peers  map[string]*out
-	ins    map[*in]bool
-	grid   *grid.Grid
-	lost   map[string]bool // who is held for lost, and passes nothing on
-	heard  func(from string, f *Frame)
-	Sent   int64 // messages
-	Lost   int64 // of them that found no way
-	Passed int64 // messages between others
+// Transport is all links of this runner.
+type Transport struct {
+	loop        *eventloop.Loop
+	cfg         Config
+	ln          *eventloop.Listener
+	peers       map[string]*out
+	ins         map[*in]bool
+	grid        *grid.Grid
+	unavailable map[string]bool // who is held for lost, and passes nothing on
+	heard       func(from string, f *Frame)
+	Sent        int64 // messages
+	Dropped     int64 // of them that found no way
+	Relayed     int64 // messages between others
 }
 
 // Open listens, and tells what comes of peers that the file names.
-func Open(l *eventloop.Loop, cfg Config, heard func(from string, f *Frame)) (*Net, error) {
-	n := &Net{loop: l, cfg: cfg, peers: map[string]*out{}, ins: map[*in]bool{}, heard: heard}
+func Open(l *eventloop.Loop, cfg Config, heard func(from string, f *Frame)) (*Transport, error) {
+	n := &Transport{loop: l, cfg: cfg, peers: map[string]*out{}, ins: map[*in]bool{}, heard: heard}
 	for _, p := range cfg.Peers {
 		n.peers[p.Name] = &out{net: n, peer: p}
 	}
@@ -168,7 +168,7 @@
 
 // SetPeers takes other peers, at a HUP. Links to those that are in it no more end, in both
 // directions.
-func (n *Net) SetPeers(peers []Peer) {
+func (n *Transport) SetPeers(peers []Peer) {
 	want := map[string]Peer{}
 	for _, p := range peers {
 		want[p.Name] = p
@@ -195,12 +195,12 @@
 }
 
 // place stands the runners of the file in their grid.
-func (n *Net) place() {
+func (n *Transport) place() {
 	names := []string{n.cfg.Name}
 	for _, p := range n.cfg.Peers {
 		names = append(names, p.Name)
 	}
-	mesh := n.cfg.Mesh
+	mesh := n.cfg.FullMeshLimit
 	if mesh == 0 {
 		mesh = len(names)
 	}
@@ -208,13 +208,13 @@
 }
 
 // near tells whether there is to be a link with a peer.
-func (n *Net) near(name string) bool { return n.grid.Near(n.cfg.Name, name) }
+func (n *Transport) near(name string) bool { return n.grid.Linked(n.cfg.Name, name) }
 
-// SetLost takes who is held for lost.
-func (n *Net) SetLost(names map[string]bool) { n.lost = names }
+// SetUnavailable takes who is held for lost.
+func (n *Transport) SetUnavailable(names map[string]bool) { n.unavailable = names }
 
-// Links is how many connections there are to peers.
-func (n *Net) Links() (links int) {
+// Connections is how many connections there are to peers.
+func (n *Transport) Connections() (links int) {
 	for _, p := range n.peers {
 		if p.conn != nil {
 			links++
@@ -224,7 +224,7 @@
 }
 
 // sweep ends the links beside those of the grid that nobody uses.
-func (n *Net) sweep() {
+func (n *Transport) sweep() {
 	for name, p := range n.peers {
 		if p.conn != nil && !n.near(name) && n.loop.Now()-p.used > idleFor {
 			p.conn.Close(errIdle)
@@ -234,14 +234,14 @@
 
 // way is the link that leads to a peer: its own, that of a relay, or one beside those of the grid
 // while no relay is to be had; nil: there is none.
-func (n *Net) way(to *out) *out {
+func (n *Transport) way(to *out) *out {
 	if n.near(to.peer.Name) {
 		return to
 	}
 	relays := n.grid.Relays(n.cfg.Name, to.peer.Name)
 	turn := int(n.loop.Now() / relayFor % int64(max(len(relays), 1)))
 	for i := range relays {
-		if r := n.peers[relays[(turn+i)%len(relays)]]; r != nil && !r.down && !n.lost[r.peer.Name] {
+		if r := n.peers[relays[(turn+i)%len(relays)]]; r != nil && !r.down && !n.unavailable[r.peer.Name] {
 			return r
 		}
 	}
@@ -261,10 +261,10 @@
 }
 
 // Addr is where it listens.
-func (n *Net) Addr() netip.AddrPort { return n.ln.Addr() }
+func (n *Transport) Addr() netip.AddrPort { return n.ln.Addr() }
 
 // Send says something to a peer, as soon as there is a link.
-func (n *Net) Send(to string, f *Frame) {
+func (n *Transport) Send(to string, f *Frame) {
 	p := n.peers[to]
 	if p == nil {
 		return
@@ -273,7 +273,7 @@
 	way := n.way(p)
 	switch {
 	case way == nil:
-		n.Lost++
+		n.Dropped++
 	case way == p:
 		p.send(f)
 	default:
@@ -284,18 +284,18 @@
 }
 
 // pass passes a message on between two others.
-func (n *Net) pass(f *Frame) {
+func (n *Transport) pass(f *Frame) {
 	p := n.peers[f.To]
 	if p == nil || !n.near(f.To) {
-		n.Lost++
+		n.Dropped++
 		return
 	}
-	n.Passed++
+	n.Relayed++
 	p.send(f)
 }
 
 // take takes a message of a peer: its own, or one of another that it passes on.
-func (n *Net) take(from string, f *Frame) {
+func (n *Transport) take(from string, f *Frame) {
 	switch {
 	case f.To == "":
 		n.heard(from, f)
@@ -308,7 +308,7 @@
 
 // out is the link to a peer.
 type out struct {
-	net  *Net
+	net  *Transport
 	peer Peer
 	conn *eventloop.Conn // nil: there is none
 	up   bool
@@ -328,7 +328,7 @@
 		)
 	}
 	if p.conn == nil || p.conn.Queued() > mostQueue {
-		p.net.Lost++
+		p.net.Dropped++
 		return
 	}
 	p.used = l.Now()
@@ -348,7 +348,7 @@
 }
 
 func (p *out) write(f *Frame) {
-	b, err := Append(nil, f)
+	b, err := AppendFrame(nil, f)
 	if err != nil {
 		evDown.Log(p.peer.Name, err)
 		return
@@ -381,12 +381,12 @@
 
 // in is a connection of a peer.
 type in struct {
-	net  *Net
+	net  *Transport
 	conn *eventloop.Conn
 	name string // empty: it has not said who it is
 }
 
-func (n *Net) accept(c *eventloop.Conn) eventloop.Handler {
+func (n *Transport) accept(c *eventloop.Conn) eventloop.Handler {
 	i := &in{net: n, conn: c}
 	n.ins[i] = true
 	n.loop.After(helloIn, func() {
@@ -408,7 +408,7 @@
 // Data implements loop.Handler.
 func (i *in) Data(b []byte) (used int, err error) {
 	for {
-		f, n, err := Read(b[used:])
+		f, n, err := ReadFrame(b[used:])
 		if err != nil || f == nil {
 			return used, err
 		}
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -19,7 +19,7 @@
 func frame() *Frame {
 	return &Frame{
 		Replication: &replication.Message{
-			Kind:  replication.Keep,
+			Kind:  replication.MsgAppend,
 			From:  "n2",
 			To:    "n1",
 			Slot:  3,
@@ -37,21 +37,21 @@
 // A frame is read as it was written, at whichever byte it is cut; one that was changed at any byte
 // is refused, or not all there.
 func TestFrame(t *testing.T) {
-	b, err := Append(nil, frame())
+	b, err := AppendFrame(nil, frame())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := range len(b) {
-		if f, used, err := Read(b[:cut]); f != nil || used != 0 || err != nil {
+		if f, used, err := ReadFrame(b[:cut]); f != nil || used != 0 || err != nil {
 			t.Fatalf("of %d bytes %d are read: %v", cut, used, err)
 		}
 		bad := append([]byte(nil), b...)
 		bad[cut] ^= 0x40
-		if f, _, err := Read(bad); f != nil && err == nil {
+		if f, _, err := ReadFrame(bad); f != nil && err == nil {
 			t.Fatalf("changed at byte %d it is read", cut)
 		}
 	}
-	f, used, err := Read(append(b, b...))
+	f, used, err := ReadFrame(append(b, b...))
 	if err != nil || used != len(b) {
 		t.Fatal(used, err)
 	}
@@ -61,13 +61,13 @@
 }
 
 func FuzzRead(f *testing.F) {
-	b, err := Append(nil, frame())
+	b, err := AppendFrame(nil, frame())
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if g, used, err := Read(b); err == nil && g != nil && (used < head || used > len(b)) {
+		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < head || used > len(b)) {
 			t.Errorf("%d of %d bytes are used", used, len(b))
 		}
 	})
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	open := func(installation, name string) *Net {
+	open := func(installation, name string) *Transport {
 		n, err := Open(
 			l,
 			Config{
@@ -160,12 +160,12 @@
 	defer l.Close()
 	l.After(20_000_000, l.Stop)
 	names := []string{"n1", "n2", "n3", "n4"}
-	nets := map[string]*Net{}
+	nets := map[string]*Transport{}
 	heard := map[uint64]string{}
 	for _, name := range names {
 		nets[name], err = Open(
 			l,
-			Config{Installation: "x", Name: name, Listen: any4, Mesh: 1},
+			Config{Installation: "x", Name: name, Listen: any4, FullMeshLimit: 1},
 			func(from string, f *Frame) { heard[f.Consensus.Version] = name + " from " + from },
 		)
 		if err != nil {
@@ -187,11 +187,11 @@
 	nets["n2"].Send("n4", &Frame{Consensus: &consensus.Message{Version: 9}, To: "n4", From: "n7"})
 	var passed []int64
 	step := func(d int64, fn func()) {
-		l.After(d, func() { passed = append(passed, nets["n2"].Passed, nets["n3"].Passed); fn() })
+		l.After(d, func() { passed = append(passed, nets["n2"].Relayed, nets["n3"].Relayed); fn() })
 	}
-	step(400_000, func() { one.SetLost(map[string]bool{"n2": true}); say(2) })
-	step(800_000, func() { one.SetLost(map[string]bool{"n3": true}); say(3) })
-	step(1_200_000, func() { one.SetLost(map[string]bool{"n2": true, "n3": true}); say(4) })
+	step(400_000, func() { one.SetUnavailable(map[string]bool{"n2": true}); say(2) })
+	step(800_000, func() { one.SetUnavailable(map[string]bool{"n3": true}); say(3) })
+	step(1_200_000, func() { one.SetUnavailable(map[string]bool{"n2": true, "n3": true}); say(4) })
 	step(1_600_000, l.Stop)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 	}
 	if passed[0]+passed[1] != 1 || passed[3]-passed[1] != 0 && passed[2]-passed[0] != 0 ||
 		passed[6]+passed[7] != 3 ||
-		one.Links() != 3 {
-		t.Errorf("n2 and n3 passed on %v; n1 has %d links", passed, one.Links())
+		one.Connections() != 3 {
+		t.Errorf("n2 and n3 passed on %v; n1 has %d links", passed, one.Connections())
 	}
 }
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -37,7 +37,7 @@
 // record is on the disk.
 type held struct {
 	out   []consensus.Message
-	kept  *consensus.Kept // nil: nothing is to be kept
+	kept  *consensus.DurableRecord // nil: nothing is to be kept
 	table *placement.Table
 }
 
@@ -58,12 +58,14 @@
 }
 
 // openDisk takes a folder.
-func (p *Node) openDisk(dir string) (log []consensus.Kept, saved []replication.Saved, err error) {
+func (p *Node) openDisk(
+	dir string,
+) (log []consensus.DurableRecord, saved []replication.SlotSnapshot, err error) {
 	v, found, err := wal.Open(store.Dir(dir))
 	if err != nil {
 		return nil, nil, err
 	}
-	evOpened.Log(dir, len(found.Log), len(found.Copies), found.Cut, found.Bad)
+	evOpened.Log(dir, len(found.Log), len(found.Slots), found.TruncatedBytes, found.DamagedSlots)
 	d := &disk{p: p, work: make(chan func(), 4), done: make(chan struct{})}
 	go func() {
 		defer close(d.done)
@@ -75,7 +77,7 @@
 		}
 	}()
 	p.lasting, p.vault = d, v
-	return found.Log, found.Copies, nil
+	return found.Log, found.Slots, nil
 }
 
 // hold has words wait for what is to be on the disk before them. Where a disk hangs, words that
@@ -99,7 +101,7 @@
 		}
 		d.writing = true
 		d.work <- func() {
-			err := d.p.vault.Keep(h.kept)
+			err := d.p.vault.Append(h.kept)
 			d.p.loop.Deliver(func() { d.wrote(err) })
 		}
 	}
@@ -147,13 +149,13 @@
 		return
 	}
 	d.saved[d.slot] = now
-	s := d.p.holder.SaveSlot(d.slot, now)
+	s := d.p.holder.SnapshotSlot(d.slot, now)
 	if s == nil {
 		return
 	}
 	d.busy = true
 	d.work <- func() {
-		err := d.p.vault.Save(s)
+		err := d.p.vault.SaveSlot(s)
 		d.p.loop.Deliver(func() {
 			if d.busy = false; err != nil && d.failed == 0 {
 				evDiskFailed.Log(err) // it only saves sending
@@ -176,9 +178,9 @@
 	d := p.lasting
 	late := time.After(closeIn)
 	for i := range p.consensus.Table().Slots {
-		if s := p.holder.SaveSlot(i, p.loop.Now()); s != nil {
+		if s := p.holder.SnapshotSlot(i, p.loop.Now()); s != nil {
 			select {
-			case d.work <- func() { _ = p.vault.Save(s) }: // it only saves sending
+			case d.work <- func() { _ = p.vault.SaveSlot(s) }: // it only saves sending
 			case <-late:
 				return errCloses
 			}
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -20,9 +20,9 @@
 	evOld    = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
 )
 
-// Boot is the clock that duties go by, in microseconds: it counts the time for which the machine
+// BootTime is the clock that duties go by, in microseconds: it counts the time for which the machine
 // was suspended, too.
-func Boot() int64 {
+func BootTime() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
 		return 0 // no duty is held by it
@@ -33,13 +33,13 @@
 // Leases is what this runner does of that which only one may do at a time. Its methods are called
 // on the loop, but for Book's.
 type Leases struct {
-	p      *Node
-	holder *lease.Holder
-	Book   lease.Snapshot
-	Checks *lease.Checks
-	began  map[string]uint64 // tokens, of those that are held
-	paused map[string]bool
-	goes   bool // this runner is about to go
+	p            *Node
+	holder       *lease.Holder
+	Snapshot     lease.Snapshot
+	HealthChecks *lease.HealthChecks
+	began        map[string]uint64 // tokens, of those that are held
+	paused       map[string]bool
+	goes         bool // this runner is about to go
 }
 
 // tellEvery is how many ticks are between two tales.
@@ -47,41 +47,43 @@
 
 func (p *Node) startDuties() {
 	d := &Leases{
-		p:      p,
-		holder: lease.NewHolder(p.cfg.Links.Name, p.cfg.Life),
-		Checks: lease.NewChecks(p.cfg.CheckHalls),
-		began:  map[string]uint64{},
-		paused: map[string]bool{},
+		p:            p,
+		holder:       lease.NewHolder(p.cfg.Links.Name, p.cfg.Incarnation),
+		HealthChecks: lease.NewHealthChecks(p.cfg.CheckedZones),
+		began:        map[string]uint64{},
+		paused:       map[string]bool{},
 	}
 	p.duties = d
-	p.consensus.OnConfirm(d.holder.Confirm)
+	p.consensus.OnLeaderConfirmed(d.holder.ConfirmLeader)
 }
 
 // Leases are those of this runner.
-func (p *Node) Duties() *Leases { return p.duties }
+func (p *Node) Leases() *Leases { return p.duties }
 
 // Holds tells whether this runner may do something now, and under which token.
-func (d *Leases) Holds(name string) (token uint64, ok bool) { return d.Book.Holds(name, Boot()) }
+func (d *Leases) Holds(name string) (token uint64, ok bool) {
+	return d.Snapshot.Holds(name, BootTime())
+}
 
 // look sees what is held, says when that changes, and gives back what this runner is not to do any
 // more.
 func (d *Leases) look() {
-	now := Boot()
-	held := d.holder.Held(now)
+	now := BootTime()
+	held := d.holder.HeldLeases(now)
 	for _, g := range held {
-		if d.began[g.Name] != g.Token {
-			d.began[g.Name] = g.Token
-			evBegan.Log(g.Name, g.Token)
+		if d.began[g.Lease] != g.Token {
+			d.began[g.Lease] = g.Token
+			evBegan.Log(g.Lease, g.Token)
 		}
-		d.paused[g.Name] = false
+		d.paused[g.Lease] = false
 	}
 	t := d.p.consensus.Table()
 	for name, token := range d.began {
-		if slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Name == name }) {
+		if slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Lease == name }) {
 			continue
 		}
 		// its lease is over, or it gives it back
-		if x := t.Duty(name); x != nil && x.Token == token && x.Holder == d.p.cfg.Links.Name {
+		if x := t.Lease(name); x != nil && x.Token == token && x.Holder == d.p.cfg.Links.Name {
 			if !d.paused[name] {
 				d.paused[name] = true
 				evPaused.Log(name, token)
@@ -95,23 +97,23 @@
 	me := t.Member(d.p.cfg.Links.Name)
 	for _, g := range held {
 		if d.goes || me != nil && me.Leaving ||
-			!slices.Contains(d.p.cfg.Duties.Names(d.p.cfg.Links.Name), g.Name) {
-			d.holder.Leave(g.Name, g.Check, nil)
+			!slices.Contains(d.p.cfg.LeaseRules.NamesFor(d.p.cfg.Links.Name), g.Lease) {
+			d.holder.Release(g.Lease, g.Handover, nil)
 		}
 	}
-	d.Book.Set(d.holder.Held(now))
+	d.Snapshot.Set(d.holder.HeldLeases(now))
 }
 
-// GiveBack gives back all that is held, as this runner is about to go.
-func (d *Leases) GiveBack() {
+// ReleaseAll gives back all that is held, as this runner is about to go.
+func (d *Leases) ReleaseAll() {
 	d.goes = true
-	d.p.consensus.Retire()
+	d.p.consensus.StopTakingLeases()
 	d.p.loop.Post(d.p.flush)
 }
 
 // tell tells the others what was seen for them.
 func (d *Leases) tell() {
-	for _, tale := range d.Checks.Tales(d.p.cfg.Links.Name, d.p.loop.Now(), d.Holds) {
+	for _, tale := range d.HealthChecks.TakeReports(d.p.cfg.Links.Name, d.p.loop.Now(), d.Holds) {
 		for _, m := range d.p.consensus.Table().Members {
 			if m.Life != 0 && m.Name != tale.From {
 				t := tale
@@ -123,20 +125,20 @@
 }
 
 func (d *Leases) hear(t *lease.HealthReport) {
-	if err := d.Checks.Hear(t, d.p.loop.Now()); err != nil {
+	if err := d.HealthChecks.Receive(t, d.p.loop.Now()); err != nil {
 		evOld.Log(t.Duty, t.From, err)
 	}
 }
 
-// SetDuties takes the rules of another file.
-func (p *Node) SetDuties(r lease.Rules, halls []string) {
-	p.cfg.Duties = r
-	p.consensus.SetDuties(r)
-	p.duties.Checks.SetHalls(halls)
+// SetLeaseRules takes the rules of another file.
+func (p *Node) SetLeaseRules(r lease.Rules, halls []string) {
+	p.cfg.LeaseRules = r
+	p.consensus.SetLeaseRules(r)
+	p.duties.HealthChecks.SetZones(halls)
 }
 
-// LeaseRow is how a duty stands, as this runner knows it.
-type LeaseRow struct {
+// LeaseStatus is how a duty stands, as this runner knows it.
+type LeaseStatus struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder,omitempty"`
 	Token  uint64 `json:"token,omitempty"`
@@ -147,28 +149,28 @@
 }
 
 // rows are how all duties of the file and of the table stand.
-func (d *Leases) rows() (rows []LeaseRow) {
-	now, t := Boot(), d.p.consensus.Table()
-	page := d.Book.Page()
-	for _, r := range d.p.cfg.Duties.List {
-		if t.Duty(r.Name) == nil {
-			rows = append(rows, LeaseRow{Name: r.Name})
+func (d *Leases) rows() (rows []LeaseStatus) {
+	now, t := BootTime(), d.p.consensus.Table()
+	page := d.Snapshot.Grants()
+	for _, r := range d.p.cfg.LeaseRules.Rules {
+		if t.Lease(r.Name) == nil {
+			rows = append(rows, LeaseStatus{Name: r.Name})
 		}
 	}
 	for i := range t.Duties {
 		x := &t.Duties[i]
-		row := LeaseRow{
+		row := LeaseStatus{
 			Name:   x.Name,
 			Holder: x.Holder,
 			Token:  x.Token,
 			Lapses: len(x.Lapses),
 			Check:  len(x.Check),
 		}
-		if j := slices.IndexFunc(page, func(g lease.Grant) bool { return g.Name == x.Name && now < g.Until }); j >= 0 {
-			row.Here, row.LeftMs = true, (page[j].Until-now)/1000
+		if j := slices.IndexFunc(page, func(g lease.Grant) bool { return g.Lease == x.Name && now < g.ExpiresAt }); j >= 0 {
+			row.Here, row.LeftMs = true, (page[j].ExpiresAt-now)/1000
 		}
 		rows = append(rows, row)
 	}
-	slices.SortFunc(rows, func(a, b LeaseRow) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(rows, func(a, b LeaseStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return rows
 }
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -36,37 +36,37 @@
 
 // Config is what the operator's file says.
 type Config struct {
-	Links    link.Config
-	Hall     string
-	Voters   []string
-	Known    []string // all members of the file
-	Slots    int
-	Copies   int
-	Window   int64 // the longest of all classes
-	Most     int   // bytes of records that it holds; 0: any number
-	Rate     int64 // bytes a second that go to who is being brought up
-	Patience int64 // that a run or an answer waits for copies
-	Process  uint32
-	Life     uint64
-	Dir      string   // on a disk that lasts; empty: there is none
-	Accounts Accounts // nil: no account of usage is kept
-	Duties   lease.Rules
-	// CheckHalls are those whose servers are asked for their health by one runner.
-	CheckHalls []string
+	Links              link.Config
+	Zone               string
+	Voters             []string
+	KnownMembers       []string // all members of the file
+	Slots              int
+	Backups            int
+	KeyWindow          int64 // the longest of all classes
+	MaxBytes           int   // bytes of records that it holds; 0: any number
+	CatchUpRate        int64 // bytes a second that go to who is being brought up
+	ReplicationTimeout int64 // that a run or an answer waits for copies
+	Process            uint32
+	Incarnation        uint64
+	Dir                string        // on a disk that lasts; empty: there is none
+	UsageReplicas      UsageReplicas // nil: no account of usage is kept
+	LeaseRules         lease.Rules
+	// CheckedZones are those whose servers are asked for their health by one runner.
+	CheckedZones []string
 }
 
-// Accounts is what knows the accounts of runners. Its methods are called on the loop, and do not
+// UsageReplicas is what knows the accounts of runners. Its methods are called on the loop, and do not
 // wait.
-type Accounts interface {
-	Hear(m *usagereplica.Message)
-	Table(t *placement.Table, life uint64)
-	// Promise counts the use of a run that ended, and calls done on the loop once others know of
+type UsageReplicas interface {
+	Receive(m *usagereplica.Message)
+	SetTable(t *placement.Table, life uint64)
+	// Replicate counts the use of a run that ended, and calls done on the loop once others know of
 	// it.
-	Promise(k lifecycle.Kept, done func(error))
+	Replicate(k lifecycle.Kept, done func(error))
 }
 
-// Table is what it needs of the core.
-type Table interface {
+// SetTable is what it needs of the core.
+type KeyTable interface {
 	Heard(k lifecycle.Kept, forgotten bool)
 }
 
@@ -74,9 +74,9 @@
 type Node struct {
 	cfg       Config
 	loop      *eventloop.Loop
-	core      Table
+	core      KeyTable
 	disk      lifecycle.Keeper // nil: there is none
-	net       *link.Net
+	net       *link.Transport
 	holder    *replication.Replica
 	consensus *consensus.Participant
 	version   uint64
@@ -92,8 +92,8 @@
 // Start listens for peers. Heard keys go to the core that Run names.
 func Start(l *eventloop.Loop, cfg Config) (*Node, error) {
 	p := &Node{cfg: cfg, loop: l}
-	var log []consensus.Kept
-	var saved []replication.Saved
+	var log []consensus.DurableRecord
+	var saved []replication.SlotSnapshot
 	if cfg.Dir != "" {
 		var err error
 		if log, saved, err = p.openDisk(cfg.Dir); err != nil {
@@ -102,12 +102,12 @@
 	}
 	p.holder = replication.New(
 		replication.Config{
-			Name:   cfg.Links.Name,
-			Life:   cfg.Life,
-			Window: cfg.Window,
-			Lease:  consensus.Lease,
-			Most:   cfg.Most,
-			Rate:   cfg.Rate,
+			Name:          cfg.Links.Name,
+			Incarnation:   cfg.Incarnation,
+			KeyWindow:     cfg.KeyWindow,
+			QuorumTimeout: consensus.QuorumTimeout,
+			MaxBytes:      cfg.MaxBytes,
+			CatchUpRate:   cfg.CatchUpRate,
 		},
 		saved,
 		l.Now(),
@@ -115,17 +115,17 @@
 	var err error
 	p.consensus, err = consensus.New(
 		consensus.Config{
-			Name:   cfg.Links.Name,
-			Voters: cfg.Voters,
-			Known:  cfg.Known,
-			Slots:  cfg.Slots,
-			Copies: cfg.Copies,
-			Duties: cfg.Duties,
-			Born:   uint64(l.Unix() / 1_000_000),
-			Clock:  Boot,
+			Name:         cfg.Links.Name,
+			Voters:       cfg.Voters,
+			KnownMembers: cfg.KnownMembers,
+			Slots:        cfg.Slots,
+			Backups:      cfg.Backups,
+			LeaseRules:   cfg.LeaseRules,
+			StartedAt:    uint64(l.Unix() / 1_000_000),
+			Clock:        BootTime,
 		},
 		placement.Member{
-			Name: cfg.Links.Name, Hall: cfg.Hall, Life: cfg.Life, Process: cfg.Process, Bills: cfg.Accounts != nil},
+			Name: cfg.Links.Name, Hall: cfg.Zone, Life: cfg.Incarnation, Process: cfg.Process, Bills: cfg.UsageReplicas != nil},
 		log,
 		l.Now(),
 	)
@@ -137,11 +137,11 @@
 	return p, err
 }
 
-// Net is the links.
-func (p *Node) Net() *link.Net { return p.net }
+// Transport is the links.
+func (p *Node) Transport() *link.Transport { return p.net }
 
 // Run begins to take part.
-func (p *Node) Run(t Table) {
+func (p *Node) Run(t KeyTable) {
 	p.core = t
 	p.loop.Every(tick, func() {
 		p.consensus.Tick(p.loop.Now())
@@ -166,8 +166,8 @@
 		p.duties.hear(f.Health)
 		return
 	case f.Account != nil && f.Account.From == from:
-		if p.cfg.Accounts != nil {
-			p.cfg.Accounts.Hear(f.Account)
+		if p.cfg.UsageReplicas != nil {
+			p.cfg.UsageReplicas.Receive(f.Account)
 		}
 		return
 	}
@@ -183,13 +183,13 @@
 	defer func() { p.busy = false }()
 	for more := true; more; {
 		more = false
-		p.consensus.Tell(p.holder.Changes(), p.loop.Now())
-		p.consensus.Tell(p.duties.holder.Changes(Boot()), p.loop.Now())
-		out, kept, err := p.consensus.Out()
+		p.consensus.Propose(p.holder.TakeChanges(), p.loop.Now())
+		p.consensus.Propose(p.duties.holder.PendingChanges(BootTime()), p.loop.Now())
+		out, kept, err := p.consensus.Ready()
 		if err != nil {
 			evBad.Log(err)
 		}
-		p.holder.Heard(p.consensus.HeardAt())
+		p.holder.RecordQuorumContact(p.consensus.LastContact())
 		if h := (held{out, kept, p.consensus.Table()}); p.lasting == nil {
 			p.release(h)
 		} else if len(out) > 0 || kept != nil || h.table != p.lasting.newest {
@@ -197,12 +197,12 @@
 		}
 		if t := p.table; t != nil && t.Version > p.version {
 			p.version, more = t.Version, true
-			if p.consensus.Lost() { // it was held for lost, and goes on
-				p.cfg.Life++
+			if p.consensus.DeclaredLost() { // it was held for lost, and goes on
+				p.cfg.Incarnation++
 				evLost.Log(t.Version)
-				p.holder.Renew(p.cfg.Life)
-				p.consensus.Renew(p.cfg.Life)
-				p.duties.holder.Renew(p.cfg.Life)
+				p.holder.Rejoin(p.cfg.Incarnation)
+				p.consensus.Rejoin(p.cfg.Incarnation)
+				p.duties.holder.Renew(p.cfg.Incarnation)
 			}
 			lost := map[string]bool{}
 			for _, m := range t.Members {
@@ -210,19 +210,19 @@
 					lost[m.Name] = true
 				}
 			}
-			p.net.SetLost(lost)
-			p.holder.Table(t, p.loop.Now())
-			p.duties.holder.Table(t)
-			if p.cfg.Accounts != nil {
-				p.cfg.Accounts.Table(t, p.cfg.Life)
+			p.net.SetUnavailable(lost)
+			p.holder.SetTable(t, p.loop.Now())
+			p.duties.holder.SetTable(t)
+			if p.cfg.UsageReplicas != nil {
+				p.cfg.UsageReplicas.SetTable(t, p.cfg.Incarnation)
 			}
 			p.tell(t)
 		}
-		for _, m := range p.holder.Out() {
+		for _, m := range p.holder.TakeMessages() {
 			p.net.Send(m.To, &link.Frame{Replication: &m})
 			more = true
 		}
-		if p.duties.look(); !more && p.duties.holder.Fresh() {
+		if p.duties.look(); !more && p.duties.holder.HasUnsentChanges() {
 			more = true
 		}
 	}
@@ -236,8 +236,8 @@
 	p.table = h.table
 }
 
-// Tell sends words about accounts.
-func (p *Node) Tell(out []usagereplica.Message) {
+// SendUsage sends words about accounts.
+func (p *Node) SendUsage(out []usagereplica.Message) {
 	for i := range out {
 		p.net.Send(out[i].To, &link.Frame{Account: &out[i]})
 	}
@@ -245,22 +245,22 @@
 
 // tell tells of a table, not more often than somebody could read it, unless it has all copies.
 func (p *Node) tell(t *placement.Table) {
-	if p.loop.Now() < p.told+tellOver && t.Whole() < len(t.Slots) {
+	if p.loop.Now() < p.told+tellOver && t.FullyReplicatedSlots() < len(t.Slots) {
 		return
 	}
 	p.told = p.loop.Now()
-	evTable.Log(t.Version, len(t.Members), t.Whole(), len(t.Slots), p.consensus.Leads())
+	evTable.Log(t.Version, len(t.Members), t.FullyReplicatedSlots(), len(t.Slots), p.consensus.IsLeader())
 }
 
 // SetMembers takes the members of another file. Voters stay as they were at the start.
 func (p *Node) SetMembers(peers []link.Peer, known []string) {
 	p.net.SetPeers(peers)
-	p.consensus.SetKnown(known)
+	p.consensus.SetKnownMembers(known)
 }
 
-// Leave has a member hold nothing any more, or stay after all.
-func (p *Node) Leave(name string, leave bool) error {
-	err := p.consensus.Leave(name, leave, p.loop.Now())
+// SetLeaving has a member hold nothing any more, or stay after all.
+func (p *Node) SetLeaving(name string, leave bool) error {
+	err := p.consensus.SetLeaving(name, leave, p.loop.Now())
 	p.loop.Post(p.flush)
 	return err
 }
@@ -274,7 +274,7 @@
 	case m.Leaving || old == by:
 		return leaves.New("%s is leaving itself", by)
 	}
-	return p.Leave(old, true)
+	return p.SetLeaving(old, true)
 }
 
 // KeyStatus is where a key's copies are, and what is held of it here.
@@ -292,10 +292,10 @@
 	Bytes  int    `json:"bytes,omitempty"`   // of its result
 }
 
-// Key tells where the copies of a key are.
-func (p *Node) Key(name store.Name) *KeyStatus {
+// KeyStatus tells where the copies of a key are.
+func (p *Node) KeyStatus(name store.Name) *KeyStatus {
 	t := p.consensus.Table()
-	slot, quiet, held, rec, left := p.holder.Look(name, p.loop.Now())
+	slot, quiet, held, rec, left := p.holder.Lookup(name, p.loop.Now())
 	s := &KeyStatus{Slot: slot, QuietMs: quiet / 1000, Here: "not held", LeftMs: left / 1000}
 	if slot < len(t.Slots) {
 		s.Epoch, s.Set, s.Joining = t.Slots[slot].Epoch, t.Slots[slot].Set, t.Slots[slot].Joining
@@ -320,36 +320,36 @@
 
 // Status is how copies stand, as this runner knows it.
 type Status struct {
-	Version  uint64   `json:"version"`
-	Leads    bool     `json:"leads"`
-	In       bool     `json:"in"`
-	Closed   string   `json:"closed,omitempty"` // why no new keys are taken
-	Whole    int      `json:"slots_whole"`
-	Slots    int      `json:"slots"`
-	Members  []string `json:"members"` // that are in
-	Lost     []string `json:"lost,omitempty"`
-	Leaving  []Leaver `json:"leaving,omitempty"`
-	Links    int      `json:"links"`                     // connections to peers
-	Passed   int64    `json:"messages_passed,omitempty"` // between others
-	Bytes    int      `json:"bytes_held"`                // of records, about
-	Copied   int64    `json:"bytes_copied"`              // to runners that were brought up
-	Messages int64    `json:"messages_sent"`
-	Dropped  int64    `json:"messages_dropped"`
-
-	Duties []LeaseRow `json:"duties,omitempty"`
+	Version  uint64          `json:"version"`
+	Leads    bool            `json:"leads"`
+	In       bool            `json:"in"`
+	Closed   string          `json:"closed,omitempty"` // why no new keys are taken
+	Whole    int             `json:"slots_whole"`
+	Slots    int             `json:"slots"`
+	Members  []string        `json:"members"` // that are in
+	Lost     []string        `json:"lost,omitempty"`
+	Leaving  []LeavingMember `json:"leaving,omitempty"`
+	Links    int             `json:"links"`                     // connections to peers
+	Passed   int64           `json:"messages_passed,omitempty"` // between others
+	Bytes    int             `json:"bytes_held"`                // of records, about
+	Copied   int64           `json:"bytes_copied"`              // to runners that were brought up
+	Messages int64           `json:"messages_sent"`
+	Dropped  int64           `json:"messages_dropped"`
+
+	Duties []LeaseStatus `json:"duties,omitempty"`
 	// where one runner asks a hall's servers for their health
-	Checks *Asked `json:"checks,omitempty"`
+	Checks *HealthCheckStatus `json:"checks,omitempty"`
 }
 
-// Asked is who asked servers for their health.
-type Asked struct {
+// HealthCheckStatus is who asked servers for their health.
+type HealthCheckStatus struct {
 	Made   int64 `json:"made"`   // by this runner
 	Spared int64 `json:"spared"` // as another one had told of them
 	Late   int64 `json:"late"`   // tales of runners that had lost the duty
 }
 
-// Leaver is a member that is to hold nothing any more.
-type Leaver struct {
+// LeavingMember is a member that is to hold nothing any more.
+type LeavingMember struct {
 	Name  string `json:"name"`
 	Holds int    `json:"holds"` // slots, still
 }
@@ -359,24 +359,28 @@
 	t := p.consensus.Table()
 	s := &Status{
 		Version:  t.Version,
-		Leads:    p.consensus.Leads(),
-		In:       p.holder.In(),
-		Whole:    t.Whole(),
+		Leads:    p.consensus.IsLeader(),
+		In:       p.holder.IsMember(),
+		Whole:    t.FullyReplicatedSlots(),
 		Slots:    len(t.Slots),
 		Messages: p.net.Sent,
-		Dropped:  p.net.Lost,
-		Links:    p.net.Links(),
-		Passed:   p.net.Passed,
-		Copied:   p.holder.Copied,
-		Bytes:    p.holder.Bytes,
+		Dropped:  p.net.Dropped,
+		Links:    p.net.Connections(),
+		Passed:   p.net.Relayed,
+		Copied:   p.holder.CatchUpBytes,
+		Bytes:    p.holder.HeldBytes,
 	}
-	_, s.Closed = p.holder.Closed(p.loop.Now())
-	if s.Duties = p.duties.rows(); len(p.cfg.CheckHalls) > 0 {
-		s.Checks = &Asked{p.duties.Checks.Asked, p.duties.Checks.Spared, p.duties.Checks.Late}
+	_, s.Closed = p.holder.Unavailable(p.loop.Now())
+	if s.Duties = p.duties.rows(); len(p.cfg.CheckedZones) > 0 {
+		s.Checks = &HealthCheckStatus{
+			p.duties.HealthChecks.Performed,
+			p.duties.HealthChecks.Skipped,
+			p.duties.HealthChecks.Stale,
+		}
 	}
 	for _, m := range t.Members {
 		if m.Leaving {
-			s.Leaving = append(s.Leaving, Leaver{m.Name, t.Holding(m.Name)})
+			s.Leaving = append(s.Leaving, LeavingMember{m.Name, t.SlotCount(m.Name)})
 		}
 		if m.Life != 0 {
 			s.Members = append(s.Members, m.Name)
@@ -387,9 +391,9 @@
 	return s
 }
 
-func (p *Node) put(kind store.Kind, k lifecycle.Kept, done func(replication.Answer)) {
+func (p *Node) put(kind store.Kind, k lifecycle.Kept, done func(replication.Result)) {
 	now := p.loop.Unix()
-	left, within := k.Until-now, p.cfg.Patience
+	left, within := k.Until-now, p.cfg.ReplicationTimeout
 	if kind == store.Ended { // whoever waits for it knows for how long
 		within = max(within, left)
 	}
@@ -399,7 +403,7 @@
 		left,
 		within,
 		p.loop.Now(),
-		func(a replication.Answer) { p.loop.Post(func() { done(a) }) },
+		func(a replication.Result) { p.loop.Post(func() { done(a) }) },
 	)
 	p.loop.Post(p.flush)
 }
@@ -408,10 +412,10 @@
 // is another's.
 func (p *Node) Claim(k lifecycle.Kept, _ int64, free func() bool, done func(mine bool, err error)) {
 	first := true
-	p.put(store.Begun, k, func(a replication.Answer) {
+	p.put(store.Begun, k, func(a replication.Result) {
 		again := !first
 		first = false
-		if a.Word == replication.Theirs {
+		if a.Outcome == replication.OutcomeOwnedByOther {
 			p.hear(a)
 			if !again {
 				done(false, nil)
@@ -419,24 +423,24 @@
 			return
 		}
 		if !again {
-			done(a.Err == nil && a.Word == replication.Mine && free(), apart(a))
+			done(a.Err == nil && a.Outcome == replication.OutcomeGranted && free(), apart(a))
 		}
 	})
 }
 
 // apart is the error of an answer; nil: there is none.
-func apart(a replication.Answer) error {
+func apart(a replication.Result) error {
 	if a.Err == nil {
 		return nil
 	}
-	return &lifecycle.CopiesError{Back: a.Back, Err: a.Err}
+	return &lifecycle.CopiesError{Back: a.RetryAfter, Err: a.Err}
 }
 
 // hear tells the core of another's run.
-func (p *Node) hear(a replication.Answer) {
+func (p *Node) hear(a replication.Result) {
 	r := *a.Record
 	// the process that runs it is gone: it may have run
-	if r.Until = p.loop.Unix() + a.Left; a.Doubt {
+	if r.Until = p.loop.Unix() + a.Remaining; a.InDoubt {
 		r.Kind, r.How = store.Ended, uint8(lifecycle.Failed)
 	}
 	p.core.Heard(persistence.KeptOf(&r), r.Kind == store.Forgotten)
@@ -446,10 +450,10 @@
 func (p *Node) Ended(lifecycle.Kept) {}
 
 // Forgot implements core.Claims.
-func (p *Node) Forgot(k lifecycle.Kept) { p.put(store.Forgotten, k, func(replication.Answer) {}) }
+func (p *Node) Forgot(k lifecycle.Kept) { p.put(store.Forgotten, k, func(replication.Result) {}) }
 
-// Before is a keeper that keeps on peers what the disk keeps too; nil: there is no disk.
-func (p *Node) Before(disk lifecycle.Keeper) lifecycle.Keeper {
+// Keeper is a keeper that keeps on peers what the disk keeps too; nil: there is no disk.
+func (p *Node) Keeper(disk lifecycle.Keeper) lifecycle.Keeper {
 	p.disk = disk
 	return kept{p}
 }
@@ -459,7 +463,7 @@
 
 // Closed implements core.Keeper.
 func (k kept) Closed() (int64, string) {
-	if back, why := k.p.holder.Closed(k.p.loop.Now()); back > 0 || k.p.disk == nil {
+	if back, why := k.p.holder.Unavailable(k.p.loop.Now()); back > 0 || k.p.disk == nil {
 		return back, why
 	}
 	return k.p.disk.Closed()
@@ -467,12 +471,12 @@
 
 // Apart implements core.Sharer.
 func (k kept) Apart() bool {
-	back, _ := k.p.holder.Closed(k.p.loop.Now())
+	back, _ := k.p.holder.Unavailable(k.p.loop.Now())
 	return back > 0
 }
 
-// Patience implements core.Keeper.
-func (k kept) Patience() int64 { return k.p.cfg.Patience }
+// ReplicationTimeout implements core.Keeper.
+func (k kept) Patience() int64 { return k.p.cfg.ReplicationTimeout }
 
 // Begun implements core.Keeper: peers have it by the claim.
 func (k kept) Begun(c lifecycle.Kept, done func(error)) {
@@ -498,11 +502,11 @@
 		rest++
 		k.p.disk.Ended(c, k.p.within(k.p.disk.Patience(), one))
 	}
-	if k.p.cfg.Accounts != nil && c.Result != nil && c.Waits {
+	if k.p.cfg.UsageReplicas != nil && c.Result != nil && c.Waits {
 		rest++
-		k.p.cfg.Accounts.Promise(c, one)
+		k.p.cfg.UsageReplicas.Replicate(c, one)
 	}
-	k.p.put(store.Ended, c, func(a replication.Answer) { one(a.Err) })
+	k.p.put(store.Ended, c, func(a replication.Result) { one(a.Err) })
 }
 
 // within passes the first word of the disk on, or that it has not come in time.
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -15,29 +15,29 @@
 	Check []byte `cbor:"5,keyasint,omitempty"` // what the holder left for the next one
 	// Abrupt says that the holder's name is back in another life, so that the one before may still
 	// believe for as long as its lease lasts.
-	Abrupt bool    `cbor:"6,keyasint,omitempty"`
-	Lapses []Lapse `cbor:"7,keyasint,omitempty"` // who lost it without giving it back
+	Abrupt bool         `cbor:"6,keyasint,omitempty"`
+	Lapses []Expiration `cbor:"7,keyasint,omitempty"` // who lost it without giving it back
 	// by the holder's own clock: it asked then, before it was granted; 0: it is not known
 	Asked int64  `cbor:"8,keyasint,omitempty"`
 	Seq   uint64 `cbor:"9,keyasint,omitempty"`  // of the holder's changes that was the last
 	Left  string `cbor:"10,keyasint,omitempty"` // who gave it back, until somebody has it
 }
 
-// Lapse is how often in a row a member lost a duty without giving it back.
-type Lapse struct {
+// Expiration is how often in a row a member lost a duty without giving it back.
+type Expiration struct {
 	Name  string `cbor:"1,keyasint"`
 	Times int    `cbor:"2,keyasint"`
 }
 
 // Bounds of what the table has of duties.
 const (
-	MostLeases = 64
-	MostCheck  = 16 << 10 // bytes that one holder leaves for the next
-	mostLapses = 16       // members that are remembered for a duty
+	MaxLeases        = 64
+	MaxHandoverBytes = 16 << 10 // bytes that one holder leaves for the next
+	maxExpirations   = 16       // members that are remembered for a duty
 )
 
-// Duty is the one of that name; nil: nobody ever held it.
-func (t *Table) Duty(name string) *Lease {
+// Lease is the one of that name; nil: nobody ever held it.
+func (t *Table) Lease(name string) *Lease {
 	i, ok := slices.BinarySearchFunc(
 		t.Duties,
 		name,
@@ -49,20 +49,20 @@
 	return &t.Duties[i]
 }
 
-// Token is that of a grant in this table. A consensus group that begins anew counts its changes
+// GrantToken is that of a grant in this table. A consensus group that begins anew counts its changes
 // anew, but was born later.
-func (t *Table) Token() uint64 { return t.Born<<32 | t.Version&(1<<32-1) }
+func (t *Table) GrantToken() uint64 { return t.Born<<32 | t.Version&(1<<32-1) }
 
-// duty takes a change of a duty. One by a member that does not hold it any more, or who knows less
+// applyLeaseChange takes a change of a duty. One by a member that does not hold it any more, or who knows less
 // of it than the table, changes nothing.
-func (t *Table) duty(c Change, m *Member) {
-	d := t.Duty(c.Duty)
-	if c.Kind == Grant {
+func (t *Table) applyLeaseChange(c Change, m *Member) {
+	d := t.Lease(c.Duty)
+	if c.Kind == ChangeGrantLease {
 		if m == nil || m.Life == 0 || m.Life != c.Member.Life || m.Leaving || t.Born == 0 {
 			return
 		}
 		if d == nil {
-			if c.Token != 0 || c.Duty == "" || len(t.Duties) >= MostLeases {
+			if c.Token != 0 || c.Duty == "" || len(t.Duties) >= MaxLeases {
 				return
 			}
 			i, _ := slices.BinarySearchFunc(
@@ -76,25 +76,25 @@
 		if d.Holder != "" || d.Token != c.Token {
 			return
 		}
-		d.Holder, d.Life, d.Token, d.Abrupt, d.Asked, d.Seq, d.Left = m.Name, m.Life, t.Token(), false, c.Asked, 0, ""
+		d.Holder, d.Life, d.Token, d.Abrupt, d.Asked, d.Seq, d.Left = m.Name, m.Life, t.GrantToken(), false, c.Asked, 0, ""
 		return
 	}
 	if d == nil || d.Holder == "" || d.Holder != c.Member.Name || d.Token != c.Token ||
-		len(c.Check) > MostCheck ||
+		len(c.Check) > MaxHandoverBytes ||
 		c.Epoch <= d.Seq {
 		return // a word that comes late does not take the place of a newer one
 	}
-	if d.Check, d.Seq = c.Check, c.Epoch; c.Kind == Yield {
+	if d.Check, d.Seq = c.Check, c.Epoch; c.Kind == ChangeReleaseLease {
 		d.Holder, d.Life, d.Left = "", 0, d.Holder
 		d.Lapses = slices.DeleteFunc(
 			slices.Clone(d.Lapses),
-			func(l Lapse) bool { return l.Name == c.Member.Name },
+			func(l Expiration) bool { return l.Name == c.Member.Name },
 		)
 	}
 }
 
-// lapse takes all duties from a member that is lost, or whose name is back in another life.
-func (t *Table) lapse(name string, abrupt bool) {
+// expireLeases takes all duties from a member that is lost, or whose name is back in another life.
+func (t *Table) expireLeases(name string, abrupt bool) {
 	for i := range t.Duties {
 		d := &t.Duties[i]
 		if d.Holder != name {
@@ -102,17 +102,17 @@
 		}
 		d.Holder, d.Life, d.Abrupt = "", 0, abrupt
 		lapses, times := slices.Clone(d.Lapses), 1
-		if j := slices.IndexFunc(lapses, func(l Lapse) bool { return l.Name == name }); j >= 0 {
+		if j := slices.IndexFunc(lapses, func(l Expiration) bool { return l.Name == name }); j >= 0 {
 			times += lapses[j].Times
 			lapses = slices.Delete(lapses, j, j+1)
 		}
-		lapses = append(lapses, Lapse{name, times})
-		d.Lapses = lapses[max(len(lapses)-mostLapses, 0):]
+		lapses = append(lapses, Expiration{name, times})
+		d.Lapses = lapses[max(len(lapses)-maxExpirations, 0):]
 	}
 }
 
-// Does is how many duties a member holds.
-func (t *Table) Does(name string) (n int) {
+// LeaseCount is how many duties a member holds.
+func (t *Table) LeaseCount(name string) (n int) {
 	for i := range t.Duties {
 		if t.Duties[i].Holder == name {
 			n++
--- a/internal/peers/placement/member_test.go
+++ b/internal/peers/placement/member_test.go
@@ -8,9 +8,9 @@
 func TestLivesOfTwoProcesses(t *testing.T) {
 	const before, now = 1, 2 // processes
 	say := func(process uint32, life uint64) Change {
-		return Change{Kind: Rejoin, Member: Member{Name: "n1", Process: process, Life: life}}
+		return Change{Kind: ChangeJoinV3, Member: Member{Name: "n1", Process: process, Life: life}}
 	}
-	out := func(life uint64) Change { return Change{Kind: Out, Member: Member{Name: "n1", Life: life}} }
+	out := func(life uint64) Change { return Change{Kind: ChangeLost, Member: Member{Name: "n1", Life: life}} }
 	for name, c := range map[string]struct {
 		changes []Change
 		want    uint64
--- a/internal/peers/placement/placement.go
+++ b/internal/peers/placement/placement.go
@@ -18,28 +18,28 @@
 	// the life of its process, by which its runs are known
 	Process uint32 `cbor:"4,keyasint,omitempty"`
 	// the life before this one, which does not come back
-	Gone    uint64 `cbor:"5,keyasint,omitempty"`
-	Leaving bool   `cbor:"6,keyasint,omitempty"` // its slots go to others
-	Knows   Kind   `cbor:"7,keyasint,omitempty"` // the newest kind of change that it knows
+	Gone    uint64     `cbor:"5,keyasint,omitempty"`
+	Leaving bool       `cbor:"6,keyasint,omitempty"` // its slots go to others
+	Knows   ChangeKind `cbor:"7,keyasint,omitempty"` // the newest kind of change that it knows
 	// it has a folder for accounts of usage, and knows those of others
 	Bills bool `cbor:"8,keyasint,omitempty"`
 	// Duties are the names of those that it would take, in order.
 	Duties []string `cbor:"9,keyasint,omitempty"`
 }
 
-// Same tells whether two say the same of a runner, as the runner itself says it.
-func (m *Member) Same(o *Member) bool {
+// SameAnnouncement tells whether two say the same of a runner, as the runner itself says it.
+func (m *Member) SameAnnouncement(o *Member) bool {
 	return m.Life == o.Life && m.Knows == o.Knows && m.Bills == o.Bills && slices.Equal(m.Duties, o.Duties)
 }
 
-// oldest is the oldest life in which a process may be taken in by a change. What is gone of a
+// implicitChangeKind is the oldest life in which a process may be taken in by a change. What is gone of a
 // member that is in may be of the process before, whose lives are other numbers; older versions do
 // not tell, and all have to come to the same table.
-func (m *Member) oldest(kind Kind) uint64 {
+func (m *Member) oldest(kind ChangeKind) uint64 {
 	switch {
-	case kind == In:
+	case kind == ChangeJoin:
 		return 0
-	case kind == Enter:
+	case kind == ChangeJoinV2:
 		return max(m.Life, m.Gone)
 	case m.Life != 0:
 		return m.Life
@@ -68,47 +68,47 @@
 	Duties []Lease `cbor:"6,keyasint,omitempty"` // by name
 }
 
-// Kind is what a change says.
-type Kind uint8
+// ChangeKind is what a change says.
+type ChangeKind uint8
 
 // The kinds of changes.
 const (
-	In      Kind = iota + 1 // a member is there, in a life that is new
-	Out                     // it is lost, in that life
-	Removed                 // it does not belong any more
-	Whole                   // who was joining a slot has all of it, at that epoch
-	Add                     // a member is to join a slot, for a better spread
-	Lead                    // a member of a set is to be its primary
-	Leave                   // a member is to hold nothing any more
-	Stay                    // it is to stay after all
-	Found                   // when the consensus group began, by a clock
-	Grant                   // a member is to hold a duty that nobody holds
-	Yield                   // its holder gives it back, with what the next one is to know
-	Note                    // its holder leaves what the next one is to know
+	ChangeJoin         ChangeKind = iota + 1 // a member is there, in a life that is new
+	ChangeLost                               // it is lost, in that life
+	ChangeRemove                             // it does not belong any more
+	ChangeCaughtUp                           // who was joining a slot has all of it, at that epoch
+	ChangeAddReplica                         // a member is to join a slot, for a better spread
+	ChangeSetPrimary                         // a member of a set is to be its primary
+	ChangeLeave                              // a member is to hold nothing any more
+	ChangeStay                               // it is to stay after all
+	ChangeBootstrap                          // when the consensus group began, by a clock
+	ChangeGrantLease                         // a member is to hold a duty that nobody holds
+	ChangeReleaseLease                       // its holder gives it back, with what the next one is to know
+	ChangeSetHandover                        // its holder leaves what the next one is to know
 	// as In; what a process said before it took another life does not take it back there
-	Enter
-	Rejoin // as Enter, but lives of the process before do not count
+	ChangeJoinV2
+	ChangeJoinV3 // as Enter, but lives of the process before do not count
 )
 
-// Newest is the newest kind of change.
-const Newest = Rejoin
+// NewestChangeKind is the newest kind of change.
+const NewestChangeKind = ChangeJoinV3
 
 const (
-	oldest = Lead // the newest that a member knows which does not say so
+	implicitChangeKind = ChangeSetPrimary // the newest that a member knows which does not say so
 )
 
 // Change leads from one table to the next.
 type Change struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	Member Member `cbor:"2,keyasint"`
-	Slot   int    `cbor:"3,keyasint,omitempty"`
+	Kind   ChangeKind `cbor:"1,keyasint"`
+	Member Member     `cbor:"2,keyasint"`
+	Slot   int        `cbor:"3,keyasint,omitempty"`
 	// of a slot; Yield and Note: the number of the change, of those under its token
 	Epoch uint64 `cbor:"4,keyasint,omitempty"`
 	Duty  string `cbor:"5,keyasint,omitempty"`
 	// the newest that whoever says it knows of the duty; Found: Unix seconds
 	Token uint64 `cbor:"6,keyasint,omitempty"`
 	Check []byte `cbor:"7,keyasint,omitempty"`
-	// Grant: by the member's own clock, when it said that it is there
+	// ChangeGrantLease: by the member's own clock, when it said that it is there
 	Asked int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -143,13 +143,13 @@
 	return &t.Members[i]
 }
 
-// Lives tells whether a process is that of a member which is in.
-func (t *Table) Lives(process uint32) bool {
+// ProcessAlive tells whether a process is that of a member which is in.
+func (t *Table) ProcessAlive(process uint32) bool {
 	return slices.ContainsFunc(t.Members, func(m Member) bool { return m.Life != 0 && m.Process == process })
 }
 
-// Of is the slot of a name.
-func (t *Table) Of(name string) int {
+// SlotOf is the slot of a name.
+func (t *Table) SlotOf(name string) int {
 	h := fnv.New64a()
 	h.Write([]byte(name)) // a hash takes all
 	return int(mix(h.Sum64()) % uint64(len(t.Slots)))
@@ -173,42 +173,42 @@
 	t.Version++
 	m := t.Member(c.Member.Name)
 	switch c.Kind {
-	case In, Enter, Rejoin:
+	case ChangeJoin, ChangeJoinV2, ChangeJoinV3:
 		if !t.enter(c, m) {
 			return
 		}
-	case Out, Removed:
-		if m == nil || c.Kind == Out && m.Life != c.Member.Life {
+	case ChangeLost, ChangeRemove:
+		if m == nil || c.Kind == ChangeLost && m.Life != c.Member.Life {
 			return
 		}
-		t.exit(m, c.Kind == Removed)
-	case Whole:
+		t.exit(m, c.Kind == ChangeRemove)
+	case ChangeCaughtUp:
 		s := t.slot(c)
 		if s == nil || m == nil || m.Life != c.Member.Life || !slices.Contains(s.Joining, m.Name) {
 			return
 		}
 		t.complete(s, m.Name)
-	case Add:
+	case ChangeAddReplica:
 		if s := t.slot(c); s != nil && m != nil && m.Life != 0 && !m.Leaving && !s.Holds(m.Name) &&
 			len(s.Set) == 1+t.Copies &&
 			len(s.Joining) == 0 {
 			s.Joining = append(s.Joining, m.Name)
 		}
-	case Lead:
+	case ChangeSetPrimary:
 		if s := t.slot(c); s != nil && slices.Contains(s.Set, c.Member.Name) {
 			s.Set = append([]string{c.Member.Name}, remove(s.Set, c.Member.Name)...)
 			s.Epoch++
 		}
-	case Leave, Stay:
+	case ChangeLeave, ChangeStay:
 		if m != nil {
-			m.Leaving = c.Kind == Leave
+			m.Leaving = c.Kind == ChangeLeave
 		}
-	case Found:
+	case ChangeBootstrap:
 		if t.Born == 0 {
 			t.Born = c.Token
 		}
-	case Grant, Yield, Note:
-		t.duty(c, m)
+	case ChangeGrantLease, ChangeReleaseLease, ChangeSetHandover:
+		t.applyLeaseChange(c, m)
 	}
 	t.fill()
 }
@@ -236,7 +236,7 @@
 	if m.Life == c.Member.Life || c.Member.Life == 0 || c.Member.Life == m.Gone {
 		return false
 	}
-	t.lapse(m.Name, m.Life != 0)
+	t.expireLeases(m.Name, m.Life != 0)
 	t.leave(m.Name)
 	gone, leaving := m.Gone, m.Leaving
 	if m.Life != 0 {
@@ -250,7 +250,7 @@
 // exit takes a member out that is lost, or that does not belong any more.
 func (t *Table) exit(m *Member, removed bool) {
 	name := m.Name
-	t.lapse(name, false)
+	t.expireLeases(name, false)
 	t.leave(name)
 	if m.Life != 0 {
 		m.Gone = m.Life
@@ -272,19 +272,19 @@
 	}
 }
 
-// May tells whether all of these members know a kind of change: who does not would come to another
+// AllUnderstand tells whether all of these members know a kind of change: who does not would come to another
 // table.
-func (t *Table) May(k Kind, names []string) bool {
+func (t *Table) AllUnderstand(k ChangeKind, names []string) bool {
 	for _, name := range names {
-		if m := t.Member(name); m == nil || max(m.Knows, oldest) < k {
+		if m := t.Member(name); m == nil || max(m.Knows, implicitChangeKind) < k {
 			return false
 		}
 	}
 	return true
 }
 
-// Holding is how many slots a member holds, or is to hold.
-func (t *Table) Holding(name string) int { return t.load()[name] }
+// SlotCount is how many slots a member holds, or is to hold.
+func (t *Table) SlotCount(name string) int { return t.load()[name] }
 
 // slot is that of a change, if it still stands at the change's epoch.
 func (t *Table) slot(c Change) *Slot {
@@ -415,12 +415,17 @@
 			if name == s.Primary() {
 				for _, next := range s.Set[1:] {
 					if t.leaves(next) == 0 {
-						return Change{Kind: Lead, Member: *t.Member(next), Slot: i, Epoch: s.Epoch}, true
+						return Change{
+							Kind:   ChangeSetPrimary,
+							Member: *t.Member(next),
+							Slot:   i,
+							Epoch:  s.Epoch,
+						}, true
 					}
 				}
 			}
 			if next := t.best(i, load); next != "" {
-				return Change{Kind: Add, Member: *t.Member(next), Slot: i, Epoch: s.Epoch}, true
+				return Change{Kind: ChangeAddReplica, Member: *t.Member(next), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
 	}
@@ -430,9 +435,9 @@
 // uneven is by how many slots the loads of two members may differ.
 const uneven = 2
 
-// Spread is a change that spreads slots or primaries better; false: they are spread well enough, or
+// Rebalance is a change that spreads slots or primaries better; false: they are spread well enough, or
 // copies are still being made.
-func (t *Table) Spread() (Change, bool) {
+func (t *Table) Rebalance() (Change, bool) {
 	load, leads := t.load(), map[string]int{}
 	for _, s := range t.Slots {
 		if len(s.Joining) > 0 || len(s.Set) < 1+t.Copies {
@@ -456,12 +461,12 @@
 		s := &t.Slots[i]
 		if !s.Holds(least) {
 			if h := t.heaviestAfter(s, least, load); h != "" && load[h] > load[least]+uneven {
-				return Change{Kind: Add, Member: *t.Member(least), Slot: i, Epoch: s.Epoch}, true
+				return Change{Kind: ChangeAddReplica, Member: *t.Member(least), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
 		for _, name := range s.Set[1:] {
 			if leads[s.Primary()] > leads[name]+uneven && t.leaves(name) == 0 {
-				return Change{Kind: Lead, Member: *t.Member(name), Slot: i, Epoch: s.Epoch}, true
+				return Change{Kind: ChangeSetPrimary, Member: *t.Member(name), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
 	}
@@ -477,9 +482,9 @@
 	return ""
 }
 
-// Apart tells whether members that stay are too few for all copies, so that those that are leaving
+// NeedsLeavingMembers tells whether members that stay are too few for all copies, so that those that are leaving
 // are needed on.
-func (t *Table) Apart() bool {
+func (t *Table) NeedsLeavingMembers() bool {
 	n := 0
 	for _, m := range t.Members {
 		if m.Life != 0 && !m.Leaving {
@@ -489,8 +494,8 @@
 	return n < 1+t.Copies
 }
 
-// Whole tells how many slots have all their copies.
-func (t *Table) Whole() (n int) {
+// ChangeCaughtUp tells how many slots have all their copies.
+func (t *Table) FullyReplicatedSlots() (n int) {
 	for i := range t.Slots {
 		if len(t.Slots[i].Set) >= 1+t.Copies {
 			n++
--- a/internal/peers/placement/placement_test.go
+++ b/internal/peers/placement/placement_test.go
@@ -19,7 +19,7 @@
 	for i := range runners {
 		p.Apply(
 			Change{
-				Kind: In,
+				Kind: ChangeJoin,
 				Member: Member{
 					Name:    fmt.Sprintf("n%03d", i),
 					Hall:    fmt.Sprint("hall", i%halls),
@@ -38,7 +38,7 @@
 	for range 100_000 {
 		c, ok := joins(p)
 		if !ok {
-			if c, ok = p.Spread(); !ok {
+			if c, ok = p.Rebalance(); !ok {
 				return
 			}
 		}
@@ -49,13 +49,18 @@
 func joins(p *Table) (Change, bool) {
 	for i, s := range p.Slots {
 		if len(s.Joining) > 0 {
-			return Change{Kind: Whole, Slot: i, Epoch: s.Epoch, Member: *p.Member(s.Joining[0])}, true
+			return Change{
+				Kind:   ChangeCaughtUp,
+				Slot:   i,
+				Epoch:  s.Epoch,
+				Member: *p.Member(s.Joining[0]),
+			}, true
 		}
 	}
 	return Change{}, false
 }
 
-// Of any number of runners a slot's copies are in as many halls as there are, nobody holds much
+// SlotOf any number of runners a slot's copies are in as many halls as there are, nobody holds much
 // more than others, and nobody leads much more.
 func TestSpread(t *testing.T) {
 	for _, x := range []struct{ runners, halls, slots, copies int }{{3, 3, 64, 2}, {5, 3, 64, 2}, {9, 3, 64, 1}, {17, 3, 128, 2}, {300, 5, 512, 2}} {
@@ -91,7 +96,7 @@
 	p := after(t, 9, 3, 64, 2)
 	before := p.Clone()
 	lost := *p.Member("n004")
-	p.Apply(Change{Kind: Out, Member: lost})
+	p.Apply(Change{Kind: ChangeLost, Member: lost})
 	for i, s := range p.Slots {
 		old := before.Slots[i]
 		if !old.Holds(lost.Name) {
@@ -106,11 +111,11 @@
 			t.Errorf("slot %d is %+v, was %+v", i, s, old)
 		}
 	}
-	p.Apply(Change{Kind: In, Member: lost}) // a word of an earlier time, that is late
+	p.Apply(Change{Kind: ChangeJoin, Member: lost}) // a word of an earlier time, that is late
 	if p.Member(lost.Name).Life != 0 {
 		t.Error("a life that was lost is back")
 	}
-	p.Apply(Change{Kind: Out, Member: Member{Name: "n005", Life: 99}})
+	p.Apply(Change{Kind: ChangeLost, Member: Member{Name: "n005", Life: 99}})
 	if p.Member("n005").Life == 0 {
 		t.Error("it is out for the loss of another life")
 	}
@@ -120,11 +125,11 @@
 func TestSaidAgain(t *testing.T) {
 	p := after(t, 3, 3, 16, 2)
 	m := *p.Member("n001")
-	m.Knows, m.Bills = Newest, true
+	m.Knows, m.Bills = NewestChangeKind, true
 	want := p.Clone()
 	*want.Member("n001") = m
 	want.Version++
-	p.Apply(Change{Kind: In, Member: m})
+	p.Apply(Change{Kind: ChangeJoin, Member: m})
 	if diff := cmp.Diff(want, p); diff != "" {
 		t.Error(diff)
 	}
@@ -135,20 +140,20 @@
 	p := after(t, 3, 3, 16, 2)
 	m := *p.Member("n001")
 	m.Life = 77
-	p.Apply(Change{Kind: In, Member: m})
+	p.Apply(Change{Kind: ChangeJoin, Member: m})
 	for i, s := range p.Slots {
 		if slices.Contains(s.Set, m.Name) || !slices.Contains(s.Joining, m.Name) {
 			t.Errorf("slot %d: %+v", i, s)
 		}
 	}
 	s := p.Slots[0]
-	for _, c := range []Change{{Kind: Whole, Member: Member{Name: m.Name, Life: 2}, Epoch: s.Epoch}, {Kind: Whole, Member: m, Epoch: s.Epoch - 1},
-		{Kind: Whole, Member: *p.Member("n000"), Epoch: s.Epoch}, {Kind: Whole, Member: m, Slot: 99}} {
+	for _, c := range []Change{{Kind: ChangeCaughtUp, Member: Member{Name: m.Name, Life: 2}, Epoch: s.Epoch}, {Kind: ChangeCaughtUp, Member: m, Epoch: s.Epoch - 1},
+		{Kind: ChangeCaughtUp, Member: *p.Member("n000"), Epoch: s.Epoch}, {Kind: ChangeCaughtUp, Member: m, Slot: 99}} {
 		if p.Apply(c); slices.Contains(p.Slots[0].Set, m.Name) {
 			t.Fatalf("%+v made it whole", c)
 		}
 	}
-	p.Apply(Change{Kind: Whole, Member: m, Epoch: s.Epoch})
+	p.Apply(Change{Kind: ChangeCaughtUp, Member: m, Epoch: s.Epoch})
 	if !slices.Contains(p.Slots[0].Set, m.Name) {
 		t.Error("it does not become whole")
 	}
@@ -159,30 +164,30 @@
 func TestLeaving(t *testing.T) {
 	p := after(t, 5, 3, 64, 2)
 	for _, name := range []string{"n001", "n003"} {
-		p.Apply(Change{Kind: Leave, Member: Member{Name: name}})
+		p.Apply(Change{Kind: ChangeLeave, Member: Member{Name: name}})
 		for step := 0; ; step++ {
 			c, ok := joins(p)
 			if !ok {
-				if c, ok = p.Spread(); !ok {
+				if c, ok = p.Rebalance(); !ok {
 					break
 				}
 			}
-			if p.Apply(c); p.Whole() < 64 || step > 10_000 {
-				t.Fatalf("after %d steps, by %+v, %d slots are whole", step, c, p.Whole())
+			if p.Apply(c); p.FullyReplicatedSlots() < 64 || step > 10_000 {
+				t.Fatalf("after %d steps, by %+v, %d slots are whole", step, c, p.FullyReplicatedSlots())
 			}
 		}
-		if n := p.Holding(name); n != 0 {
+		if n := p.SlotCount(name); n != 0 {
 			t.Errorf("%s holds %d", name, n)
 		}
 	}
-	before := p.Holding("n000")
-	p.Apply(Change{Kind: Leave, Member: Member{Name: "n000"}})
-	if settle(p); !p.Apart() || p.Holding("n000") != before {
-		t.Errorf("too few are there, and it went from %d to %d slots", before, p.Holding("n000"))
+	before := p.SlotCount("n000")
+	p.Apply(Change{Kind: ChangeLeave, Member: Member{Name: "n000"}})
+	if settle(p); !p.NeedsLeavingMembers() || p.SlotCount("n000") != before {
+		t.Errorf("too few are there, and it went from %d to %d slots", before, p.SlotCount("n000"))
 	}
-	p.Apply(Change{Kind: Stay, Member: Member{Name: "n001"}})
-	if settle(p); p.Holding("n000") != 0 || p.Holding("n001") == 0 {
-		t.Errorf("n000 holds %d, n001 %d", p.Holding("n000"), p.Holding("n001"))
+	p.Apply(Change{Kind: ChangeStay, Member: Member{Name: "n001"}})
+	if settle(p); p.SlotCount("n000") != 0 || p.SlotCount("n001") == 0 {
+		t.Errorf("n000 holds %d, n001 %d", p.SlotCount("n000"), p.SlotCount("n001"))
 	}
 }
 
@@ -198,7 +203,7 @@
 		twin := p.Clone()
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			c := Change{
-				Kind: Kind(rapid.IntRange(0, 10).Draw(t, "kind")),
+				Kind: ChangeKind(rapid.IntRange(0, 10).Draw(t, "kind")),
 				Slot: rapid.IntRange(-1, 8).Draw(t, "slot"),
 				Member: Member{
 					Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name"),
@@ -206,7 +211,7 @@
 				},
 			}
 			c.Member.Hall = c.Member.Name[:1]
-			if m := p.Member(c.Member.Name); m != nil && c.Kind != In && rapid.Bool().Draw(t, "now") {
+			if m := p.Member(c.Member.Name); m != nil && c.Kind != ChangeJoin && rapid.Bool().Draw(t, "now") {
 				c.Member.Life = m.Life
 			}
 			if c.Slot >= 0 && c.Slot < len(p.Slots) && rapid.IntRange(0, 3).Draw(t, "fits") > 0 {
--- a/internal/peers/replication/world_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -90,9 +90,9 @@
 	stopped   bool
 	held      []func() // what came while it was stopped
 	consensus *consensus.Participant
-	version   uint64           // of the table that the holder was told
-	renewed   uint64           // that of the table for which it took another life
-	log       []consensus.Kept // on its disk, for the consensus group
+	version   uint64                    // of the table that the holder was told
+	renewed   uint64                    // that of the table for which it took another life
+	log       []consensus.DurableRecord // on its disk, for the consensus group
 	disk      disk
 	older     disk
 	entries   map[string]*entry
@@ -102,8 +102,8 @@
 
 // disk is what outlives a process.
 type disk struct {
-	saved []Saved
-	log   []consensus.Kept
+	saved []SlotSnapshot
+	log   []consensus.DurableRecord
 }
 
 // entry is what a node's core knows of a key.
@@ -166,7 +166,7 @@
 func (w *world) between(a, b int64) int64 { return a + w.r.Int64N(b-a) }
 
 func (n *node) member() placement.Member {
-	return placement.Member{Name: n.name, Hall: n.hall, Life: n.h.cfg.Life, Process: n.process}
+	return placement.Member{Name: n.name, Hall: n.hall, Life: n.h.cfg.Incarnation, Process: n.process}
 }
 
 // start is a new process on a disk.
@@ -176,10 +176,20 @@
 	n.process, n.up, n.stopped, n.held, n.entries, n.version, n.log = uint32(
 		w.lives,
 	), true, false, nil, map[string]*entry{}, 0, d.log
-	n.h = New(Config{Name: n.name, Life: w.lives, Window: window, Lease: lease, Rate: w.rate}, d.saved, w.now)
+	n.h = New(
+		Config{
+			Name:          n.name,
+			Incarnation:   w.lives,
+			KeyWindow:     window,
+			QuorumTimeout: lease,
+			CatchUpRate:   w.rate,
+		},
+		d.saved,
+		w.now,
+	)
 	var err error
 	n.consensus, err = consensus.New(
-		consensus.Config{Name: n.name, Voters: w.voters, Slots: w.slots, Copies: w.copies},
+		consensus.Config{Name: n.name, Voters: w.voters, Slots: w.slots, Backups: w.copies},
 		n.member(),
 		d.log,
 		w.now,
@@ -216,8 +226,8 @@
 func (n *node) flush() {
 	w := n.w
 	for range 3 { // a voter's table may follow from what is flushed
-		n.consensus.Tell(n.h.Changes(), w.now)
-		out, kept, err := n.consensus.Out()
+		n.consensus.Propose(n.h.TakeChanges(), w.now)
+		out, kept, err := n.consensus.Ready()
 		if err != nil {
 			panic(err)
 		}
@@ -230,24 +240,24 @@
 		for _, m := range out {
 			w.over(m.From, m.To, func(to *node) { to.consensus.Receive(&m, w.now) })
 		}
-		n.h.Heard(n.consensus.HeardAt())
+		n.h.RecordQuorumContact(n.consensus.LastContact())
 		t := n.consensus.Table()
 		if t.Version > n.version {
 			// it was held for lost, and goes on
-			if n.version = t.Version; n.consensus.Lost() && n.renewed < t.Version {
+			if n.version = t.Version; n.consensus.DeclaredLost() && n.renewed < t.Version {
 				w.lives++
 				n.renewed = t.Version
-				n.h.Renew(w.lives)
-				n.consensus.Renew(w.lives)
+				n.h.Rejoin(w.lives)
+				n.consensus.Rejoin(w.lives)
 			}
 			t = t.Clone()
 			if w.retable != nil {
 				w.retable(t)
 			}
-			n.h.Table(t, w.now)
+			n.h.SetTable(t, w.now)
 		}
 	}
-	for _, m := range n.h.Out() {
+	for _, m := range n.h.TakeMessages() {
 		w.send(m)
 	}
 }
@@ -255,7 +265,7 @@
 // over takes something to another runner: over their link, or over a relay if they stand in a grid
 // and have none.
 func (w *world) over(from, to string, fn func(*node)) {
-	if w.grid == nil || w.grid.Near(from, to) {
+	if w.grid == nil || w.grid.Linked(from, to) {
 		w.hop(from, to, fn)
 		return
 	}
@@ -336,7 +346,7 @@
 	if !n.up {
 		return
 	}
-	n.disk = disk{n.h.Save(n.w.now), n.log}
+	n.disk = disk{n.h.Snapshot(n.w.now), n.log}
 	n.up = false
 	w := n.w
 	w.after(back, func() {
@@ -368,7 +378,7 @@
 		e.waiters = append(e.waiters, told)
 		return
 	}
-	if back, _ := n.h.Closed(w.now); back > 0 {
+	if back, _ := n.h.Unavailable(w.now); back > 0 {
 		told("refused", false)
 		return
 	}
@@ -389,13 +399,13 @@
 	record := store.Record{Kind: store.Begun, Name: name, Owner: e.owner}
 	until := w.now + left
 	asked := w.now
-	n.h.Put(&record, left, patience, w.now, func(a Answer) {
+	n.h.Put(&record, left, patience, w.now, func(a Result) {
 		switch {
 		case a.Err != nil:
 			end("refused", false)
-		case a.Word == Mine && w.now > asked+patience:
+		case a.Outcome == OutcomeGranted && w.now > asked+patience:
 			w.broken = append(w.broken, key+" was begun after its time")
-		case a.Word == Mine:
+		case a.Outcome == OutcomeGranted:
 			e.running = true
 			w.fact(key).runs++
 			result := fmt.Sprintf("run %d of %s at %s", w.fact(key).runs, key, n.name)
@@ -409,18 +419,18 @@
 					ended.Kind, ended.Result = store.Ended, &store.Result{Status: 200, Body: []byte(result)}
 					waited := false
 					w.after(patience, func() { n.do(func() { waited = true; end(result, false) }) })
-					n.h.Put(&ended, until-w.now, patience, w.now, func(a Answer) {
+					n.h.Put(&ended, until-w.now, patience, w.now, func(a Result) {
 						if !waited {
 							end(result, a.Err == nil)
 						}
 					})
 				})
 			})
-		case a.Word == Theirs && a.Record.Kind == store.Ended:
+		case a.Outcome == OutcomeOwnedByOther && a.Record.Kind == store.Ended:
 			end(string(a.Record.Result.Body), true)
-		case a.Word == Theirs && a.Doubt:
+		case a.Outcome == OutcomeOwnedByOther && a.InDoubt:
 			end("failed", true)
-		case a.Word == Theirs && a.Record.Kind == store.Forgotten:
+		case a.Outcome == OutcomeOwnedByOther && a.Record.Kind == store.Forgotten:
 			end("refused", false)
 		}
 	})
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -6,30 +6,30 @@
 
 import "ryepaddle/internal/idempotency/store"
 
-// Kind is what a message is for.
-type Kind uint8
+// MessageType is what a message is for.
+type MessageType uint8
 
 // The kinds of messages.
 const (
-	Ask    Kind = iota + 1 // a runner asks a slot's primary to take a record
-	Told                   // what became of it
-	Open                   // a primary begins an epoch
-	Opened                 // how far a holder has come
-	Keep                   // records to hold
-	Kept                   // they are held, up to a number
+	MsgPut        MessageType = iota + 1 // a runner asks a slot's primary to take a record
+	MsgPutResp                           // what became of it
+	MsgProbe                             // a primary begins an epoch
+	MsgProbeResp                         // how far a holder has come
+	MsgAppend                            // records to hold
+	MsgAppendResp                        // they are held, up to a number
 )
 
-// Word is what an asker is told.
-type Word uint8
+// Outcome is what an asker is told.
+type Outcome uint8
 
 // The words.
 const (
-	Mine   Word = iota + 1 // the run may begin
-	Theirs                 // it is another's: the entry says how that stands
-	Done                   // what was told is kept
-	Again                  // not by this primary, or not yet
-	Shut                   // nothing new is taken, for a while
-	Denied                 // it contradicts what is kept
+	OutcomeGranted      Outcome = iota + 1 // the run may begin
+	OutcomeOwnedByOther                    // it is another's: the entry says how that stands
+	OutcomeStored                          // what was told is kept
+	OutcomeRetry                           // not by this primary, or not yet
+	OutcomeUnavailable                     // nothing new is taken, for a while
+	OutcomeConflict                        // it contradicts what is kept
 )
 
 // Entry is a record as it travels: its Until and At stand for nothing, Left does.
@@ -40,8 +40,8 @@
 	Record *store.Record `cbor:"4,keyasint"`
 }
 
-// Era is the first record of an epoch.
-type Era struct {
+// EpochStart is the first record of an epoch.
+type EpochStart struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch uint64
 	First uint64
@@ -49,23 +49,23 @@
 
 // Message goes from one runner to another.
 type Message struct {
-	Kind  Kind   `cbor:"1,keyasint"`
-	From  string `cbor:"2,keyasint"`
-	To    string `cbor:"3,keyasint"`
-	Slot  int    `cbor:"4,keyasint"`
-	Epoch uint64 `cbor:"5,keyasint,omitempty"`
-	ID    uint64 `cbor:"6,keyasint,omitempty"` // of an ask
-	Word  Word   `cbor:"7,keyasint,omitempty"`
-	Doubt bool   `cbor:"8,keyasint,omitempty"` // the process that runs it is gone
-	Back  int64  `cbor:"9,keyasint,omitempty"` // when to come back
-	// Keep: the number before the first; Opened: the epoch of the newest record
+	Kind  MessageType `cbor:"1,keyasint"`
+	From  string      `cbor:"2,keyasint"`
+	To    string      `cbor:"3,keyasint"`
+	Slot  int         `cbor:"4,keyasint"`
+	Epoch uint64      `cbor:"5,keyasint,omitempty"`
+	ID    uint64      `cbor:"6,keyasint,omitempty"` // of an ask
+	Word  Outcome     `cbor:"7,keyasint,omitempty"`
+	Doubt bool        `cbor:"8,keyasint,omitempty"` // the process that runs it is gone
+	Back  int64       `cbor:"9,keyasint,omitempty"` // when to come back
+	// MsgAppend: the number before the first; Opened: the epoch of the newest record
 	Base uint64 `cbor:"10,keyasint,omitempty"`
-	// Keep: up to this number it is all; Kept, Opened: the newest that is held
-	Seq     uint64  `cbor:"11,keyasint,omitempty"`
-	Reset   bool    `cbor:"12,keyasint,omitempty"` // what was held before does not count
-	Quiet   int64   `cbor:"13,keyasint,omitempty"` // Keep: for so long the slot takes nothing new
-	Eras    []Era   `cbor:"14,keyasint,omitempty"`
-	Entries []Entry `cbor:"15,keyasint,omitempty"`
-	Life    uint64  `cbor:"16,keyasint,omitempty"` // of the sender
-	No      uint64  `cbor:"17,keyasint"`           // the sender's messages in order
+	// MsgAppend: up to this number it is all; Kept, Opened: the newest that is held
+	Seq     uint64       `cbor:"11,keyasint,omitempty"`
+	Reset   bool         `cbor:"12,keyasint,omitempty"` // what was held before does not count
+	Quiet   int64        `cbor:"13,keyasint,omitempty"` // MsgAppend: for so long the slot takes nothing new
+	Eras    []EpochStart `cbor:"14,keyasint,omitempty"`
+	Entries []Entry      `cbor:"15,keyasint,omitempty"`
+	Life    uint64       `cbor:"16,keyasint,omitempty"` // of the sender
+	No      uint64       `cbor:"17,keyasint"`           // the sender's messages in order
 }
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -19,29 +19,29 @@
 
 // Errors of an ask.
 var (
-	ErrSlow   error = slow.New("replication: its copies were not to be had in time")
-	ErrShut   error = shut.New("replication: nothing new is taken")
-	ErrDenied error = denied.New("replication: another try of the key is kept")
+	ErrTimeout     error = slow.New("replication: its copies were not to be had in time")
+	ErrUnavailable error = shut.New("replication: nothing new is taken")
+	ErrConflict    error = denied.New("replication: another try of the key is kept")
 )
 
 // Config is what a holder is.
 type Config struct {
-	Name   string
-	Life   uint64 // of its membership
-	Window int64  // the longest of all classes
-	Lease  int64  // for so long after the consensus group was heard new keys are taken
-	Most   int    // bytes of records, from which on no new key is taken; 0: any number
-	Rate   int64  // bytes a second that go to those who are joining; 0: any number
+	Name          string
+	Incarnation   uint64 // of its membership
+	KeyWindow     int64  // the longest of all classes
+	QuorumTimeout int64  // for so long after the consensus group was heard new keys are taken
+	MaxBytes      int    // bytes of records, from which on no new key is taken; 0: any number
+	CatchUpRate   int64  // bytes a second that go to those who are joining; 0: any number
 }
 
-// Answer is what an ask came to.
-type Answer struct {
-	Word   Word
-	Record *store.Record // Theirs: what is known; its Until and At stand for nothing, Left does
-	Left   int64
-	Doubt  bool
-	Back   int64
-	Err    error
+// Result is what an ask came to.
+type Result struct {
+	Outcome    Outcome
+	Record     *store.Record // OutcomeOwnedByOther: what is known; its Until and At stand for nothing, Left does
+	Remaining  int64
+	InDoubt    bool
+	RetryAfter int64
+	Err        error
 }
 
 // asked is an ask that is under way.
@@ -55,38 +55,38 @@
 	next     int64 // when it is said again
 	told     bool  // its asker has had an answer
 	watching bool  // for the end of another's run
-	done     func(Answer)
+	done     func(Result)
 }
 
 // Replica is one runner's part.
 type Replica struct {
-	cfg    Config
-	table  *placement.Table
-	slots  []*slot // nil: it is not held
-	asks   map[uint64]*asked
-	next   uint64
-	sent   uint64
-	heard  int64 // the consensus group
-	swept  int64
-	now    int64
-	Bytes  int   // of the records that are held, about, as of the last tick
-	Copied int64 // bytes of records that were sent to bring holders up
-	room   int64 // bytes that may go to those who are joining now
-	filled int64 // when that was looked at last
-	out    []Message
-	inbox  []Message // to itself
-	change []placement.Change
+	cfg          Config
+	table        *placement.Table
+	slots        []*slot // nil: it is not held
+	asks         map[uint64]*asked
+	next         uint64
+	sent         uint64
+	heard        int64 // the consensus group
+	swept        int64
+	now          int64
+	HeldBytes    int   // of the records that are held, about, as of the last tick
+	CatchUpBytes int64 // bytes of records that were sent to bring holders up
+	room         int64 // bytes that may go to those who are joining now
+	filled       int64 // when that was looked at last
+	out          []Message
+	inbox        []Message // to itself
+	change       []placement.Change
 }
 
 // New is a holder that knows no table yet. Saved is what its disk has, if anything: it counts for
 // nothing, and saves sending.
-func New(cfg Config, saved []Saved, now int64) *Replica {
+func New(cfg Config, saved []SlotSnapshot, now int64) *Replica {
 	// Asks of another life of this name may still be answered: no number is used in two lives.
 	h := &Replica{
 		cfg:   cfg,
-		next:  cfg.Life * 0x9e3779b97f4a7c15,
+		next:  cfg.Incarnation * 0x9e3779b97f4a7c15,
 		asks:  map[uint64]*asked{},
-		heard: now - cfg.Lease - 1,
+		heard: now - cfg.QuorumTimeout - 1,
 		now:   now,
 	}
 	for _, v := range saved {
@@ -103,24 +103,24 @@
 	return &h.slots[i]
 }
 
-// Out gives what is to be sent, and Changes what is to be said to the consensus group.
-func (h *Replica) Out() []Message {
+// TakeMessages gives what is to be sent, and Changes what is to be said to the consensus group.
+func (h *Replica) TakeMessages() []Message {
 	out := h.out
 	h.out = nil
 	return out
 }
 
-// Changes are what the consensus group is to be told. They may be told more than once.
-func (h *Replica) Changes() []placement.Change {
+// TakeChanges are what the consensus group is to be told. They may be told more than once.
+func (h *Replica) TakeChanges() []placement.Change {
 	c := h.change
 	h.change = nil
 	return c
 }
 
-// Renew is another life of the membership of a process that was held for lost and goes on. What it
+// Rejoin is another life of the membership of a process that was held for lost and goes on. What it
 // held is not known to be all any more; what it asked for goes on.
-func (h *Replica) Renew(life uint64) {
-	h.cfg.Life = life
+func (h *Replica) Rejoin(life uint64) {
+	h.cfg.Incarnation = life
 	for _, s := range h.slots {
 		if s != nil {
 			s.leads, s.peers, s.waiters = false, nil, nil
@@ -128,41 +128,41 @@
 	}
 }
 
-// In tells whether the table has this runner, in this life.
-func (h *Replica) In() bool { return h.table != nil && h.in() != nil }
+// IsMember tells whether the table has this runner, in this life.
+func (h *Replica) IsMember() bool { return h.table != nil && h.in() != nil }
 
-// Heard tells that the consensus group was heard.
-func (h *Replica) Heard(now int64) { h.heard = max(h.heard, now) }
+// RecordQuorumContact tells that the consensus group was heard.
+func (h *Replica) RecordQuorumContact(now int64) { h.heard = max(h.heard, now) }
 
-// Closed tells why no new keys are taken, and for how long at the least; 0: they are.
-func (h *Replica) Closed(now int64) (back int64, why string) {
+// Unavailable tells why no new keys are taken, and for how long at the least; 0: they are.
+func (h *Replica) Unavailable(now int64) (back int64, why string) {
 	switch {
 	case h.table == nil || h.in() == nil:
-		return h.cfg.Lease, "this runner is in no table yet"
-	case now-h.heard > h.cfg.Lease:
-		return h.cfg.Lease, "the consensus group is not heard"
+		return h.cfg.QuorumTimeout, "this runner is in no table yet"
+	case now-h.heard > h.cfg.QuorumTimeout:
+		return h.cfg.QuorumTimeout, "the consensus group is not heard"
 	}
 	return 0, ""
 }
 
 // in is this runner's place in the table, in this life; nil: it has none.
 func (h *Replica) in() *placement.Member {
-	if m := h.table.Member(h.cfg.Name); m != nil && m.Life == h.cfg.Life {
+	if m := h.table.Member(h.cfg.Name); m != nil && m.Life == h.cfg.Incarnation {
 		return m
 	}
 	return nil
 }
 
-// Look tells the slot of a name, for how long that takes nothing new, whether it is held here, and
+// Lookup tells the slot of a name, for how long that takes nothing new, whether it is held here, and
 // what is held of the name.
-func (h *Replica) Look(
+func (h *Replica) Lookup(
 	name store.Name,
 	now int64,
 ) (slot int, quiet int64, held bool, r *store.Record, left int64) {
 	if h.table == nil {
 		return 0, 0, false, nil, 0
 	}
-	slot = h.table.Of(name.Class + "\x00" + name.Tenant + "\x00" + name.Key)
+	slot = h.table.SlotOf(name.Class + "\x00" + name.Tenant + "\x00" + name.Key)
 	s := *h.place(slot)
 	if s == nil || !h.table.Slots[slot].Holds(h.cfg.Name) {
 		return slot, 0, false, nil, 0
@@ -177,7 +177,7 @@
 }
 
 // lives tells whether the process that began a run is there.
-func (h *Replica) lives(r *store.Record) bool { return h.table.Lives(uint32(r.Owner >> 32)) }
+func (h *Replica) lives(r *store.Record) bool { return h.table.ProcessAlive(uint32(r.Owner >> 32)) }
 
 // step has what a holder says to itself heard, and what is kept told.
 func (h *Replica) step(now int64) {
@@ -191,7 +191,7 @@
 
 func (h *Replica) send(m Message) {
 	h.sent++
-	m.From, m.Life, m.No = h.cfg.Name, h.cfg.Life, h.sent
+	m.From, m.Life, m.No = h.cfg.Name, h.cfg.Incarnation, h.sent
 	if m.To == h.cfg.Name {
 		h.inbox = append(h.inbox, m)
 		return
@@ -199,8 +199,8 @@
 	h.out = append(h.out, m)
 }
 
-// Table takes a newer table.
-func (h *Replica) Table(t *placement.Table, now int64) {
+// SetTable takes a newer table.
+func (h *Replica) SetTable(t *placement.Table, now int64) {
 	if h.table != nil && t.Version <= h.table.Version {
 		return
 	}
@@ -237,7 +237,7 @@
 	leads := t.Primary() == h.cfg.Name
 	if t.Quiet != s.quiet.epoch {
 		s.quiet.epoch = t.Quiet
-		s.quiet.until = h.now + h.cfg.Window + lateRead
+		s.quiet.until = h.now + h.cfg.KeyWindow + lateRead
 		// it begins with nothing: what a disk of its had is not known to be all
 		if t.Quiet == t.Epoch && leads {
 			s.clear()
@@ -266,7 +266,7 @@
 			if life := h.table.Member(name).Life; name != h.cfg.Name &&
 				(s.peers[name] == nil || s.peers[name].life != life) {
 				s.peers[name] = &peer{life: life, at: h.now}
-				h.send(Message{Kind: Open, To: name, Slot: i, Epoch: s.epoch})
+				h.send(Message{Kind: MsgProbe, To: name, Slot: i, Epoch: s.epoch})
 			}
 		}
 	}
@@ -289,13 +289,13 @@
 		return
 	}
 	switch m.Kind {
-	case Ask:
+	case MsgPut:
 		h.asked(m)
-	case Told:
+	case MsgPutResp:
 		h.told(m)
-	case Open, Keep:
+	case MsgProbe, MsgAppend:
 		h.follow(m)
-	case Opened, Kept:
+	case MsgProbeResp, MsgAppendResp:
 		h.followed(m)
 	}
 }
@@ -318,8 +318,10 @@
 		return
 	}
 	s.heard.from, s.heard.life, s.heard.no = m.From, m.Life, m.No
-	if m.Kind == Open || !m.Reset && m.Base > s.seq { // there is a gap
-		h.send(Message{Kind: Opened, To: m.From, Slot: m.Slot, Epoch: s.epoch, Base: s.last, Seq: s.seq})
+	if m.Kind == MsgProbe || !m.Reset && m.Base > s.seq { // there is a gap
+		h.send(
+			Message{Kind: MsgProbeResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Base: s.last, Seq: s.seq},
+		)
 		return
 	}
 	if m.Reset {
@@ -335,7 +337,7 @@
 		s.eras, s.last = slices.Clone(m.Eras), m.Eras[len(m.Eras)-1].Epoch
 	}
 	s.seq = max(s.seq, m.Seq)
-	h.send(Message{Kind: Kept, To: m.From, Slot: m.Slot, Epoch: s.epoch, Seq: s.seq})
+	h.send(Message{Kind: MsgAppendResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Seq: s.seq})
 }
 
 // followed hears a holder, as the primary.
@@ -349,7 +351,7 @@
 		return
 	}
 	p.at = h.now
-	if m.Kind == Opened {
+	if m.Kind == MsgProbeResp {
 		first := !p.opened
 		reset := !s.beginning(m.Base, m.Seq)
 		if p.acked = m.Seq; reset {
@@ -371,7 +373,7 @@
 	if p.sent >= s.seq && !p.reset && !p.owed {
 		return
 	}
-	joins := h.cfg.Rate > 0 && !p.whole && slices.Contains(h.table.Slots[i].Joining, name)
+	joins := h.cfg.CatchUpRate > 0 && !p.whole && slices.Contains(h.table.Slots[i].Joining, name)
 	most := chunk
 	if joins {
 		if h.room <= 0 {
@@ -382,7 +384,7 @@
 	}
 	entries, upTo := s.after(p.sent, h.now, most)
 	m := Message{
-		Kind:    Keep,
+		Kind:    MsgAppend,
 		To:      name,
 		Slot:    i,
 		Epoch:   s.epoch,
@@ -399,7 +401,7 @@
 	}
 	for _, e := range entries {
 		size := int64(sizeOf(e.Record))
-		if h.Copied += size; joins {
+		if h.CatchUpBytes += size; joins {
 			h.room -= size
 		}
 	}
@@ -410,7 +412,7 @@
 // refill lets more go to those who are joining: what came of the time that went by, and not more
 // than a quarter of a second is good for.
 func (h *Replica) refill() {
-	h.room = min(h.room+h.cfg.Rate*(h.now-h.filled)/1_000_000, h.cfg.Rate/4)
+	h.room = min(h.room+h.cfg.CatchUpRate*(h.now-h.filled)/1_000_000, h.cfg.CatchUpRate/4)
 	h.filled = h.now
 }
 
@@ -427,7 +429,7 @@
 			p.whole = true
 			h.change = append(
 				h.change,
-				placement.Change{Kind: placement.Whole, Member: *m, Slot: i, Epoch: s.epoch},
+				placement.Change{Kind: placement.ChangeCaughtUp, Member: *m, Slot: i, Epoch: s.epoch},
 			)
 		}
 	}
@@ -457,10 +459,10 @@
 		return
 	}
 	h.refill()
-	h.Bytes = 0
+	h.HeldBytes = 0
 	for _, s := range h.slots {
 		if s != nil {
-			h.Bytes += s.bytes
+			h.HeldBytes += s.bytes
 		}
 	}
 	for i, s := range h.slots {
@@ -474,7 +476,7 @@
 			case h.now-p.at < resend:
 			case !p.opened:
 				p.at = h.now
-				h.send(Message{Kind: Open, To: name, Slot: i, Epoch: s.epoch})
+				h.send(Message{Kind: MsgProbe, To: name, Slot: i, Epoch: s.epoch})
 			case p.acked < s.seq:
 				p.sent = p.acked
 				h.bringUp(i, s, name, p)
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -62,14 +62,14 @@
 }{
 	{"an answer goes out before its copy", 200, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind != Keep {
+			if m.Kind != MsgAppend {
 				return []Message{*m}
 			}
 			late := *m
 			w.after(w.between(100*ms, 600*ms), func() { w.deliver(late) })
 			return []Message{
 				{
-					Kind:  Kept,
+					Kind:  MsgAppendResp,
 					From:  m.To,
 					To:    m.From,
 					Slot:  m.Slot,
@@ -83,14 +83,14 @@
 	}},
 	{"a holder does not look at the epoch", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.place(m.Slot); m.Kind == Keep && s != nil && m.Epoch < s.epoch &&
+			if s := *w.node(m.To).h.place(m.Slot); m.Kind == MsgAppend && s != nil && m.Epoch < s.epoch &&
 				w.node(m.To).up {
 				for _, e := range m.Entries {
 					s.set(e, w.now+e.Left)
 				}
 				return []Message{
 					{
-						Kind:  Kept,
+						Kind:  MsgAppendResp,
 						From:  m.To,
 						To:    m.From,
 						Slot:  m.Slot,
@@ -113,7 +113,7 @@
 	}},
 	{"an old disk counts as whole", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.place(m.Slot); m.Kind == Opened && s != nil && m.Seq > 0 {
+			if s := *w.node(m.To).h.place(m.Slot); m.Kind == MsgProbeResp && s != nil && m.Seq > 0 {
 				m.Seq, m.Base = s.seq, s.epochAt(s.seq)
 			}
 			return []Message{*m}
@@ -121,15 +121,15 @@
 	}},
 	{"what is in doubt is run again", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind == Told && m.Doubt {
-				m.Word, m.Doubt = Mine, false
+			if m.Kind == MsgPutResp && m.Doubt {
+				m.Word, m.Doubt = OutcomeGranted, false
 			}
 			return []Message{*m}
 		}
 	}},
 	{"repair drops the newest", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind == Keep && len(m.Entries) > 1 {
+			if m.Kind == MsgAppend && len(m.Entries) > 1 {
 				m.Entries = slices.Clone(m.Entries)[:len(m.Entries)-1]
 			}
 			return []Message{*m}
@@ -146,15 +146,15 @@
 	}},
 	{"a repeat of what runs elsewhere may run", 100, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind == Told && m.Word == Theirs && !m.Doubt {
-				m.Word = Mine
+			if m.Kind == MsgPutResp && m.Word == OutcomeOwnedByOther && !m.Doubt {
+				m.Word = OutcomeGranted
 			}
 			return []Message{*m}
 		}
 	}},
 }
 
-func (w *world) lifeOf(name string) uint64 { return w.node(name).h.cfg.Life }
+func (w *world) lifeOf(name string) uint64 { return w.node(name).h.cfg.Incarnation }
 
 // Each broken version is found within its number of seeds. The library draws its elections by
 // itself, so that a seed does not play the same to the message; the numbers are some times what was
@@ -179,7 +179,7 @@
 func TestAnswersOfAnEarlierLife(t *testing.T) {
 	ids := map[uint64]bool{}
 	for life := range uint64(50) {
-		h := New(Config{Name: "n2", Life: life + 1, Lease: lease}, nil, 0)
+		h := New(Config{Name: "n2", Incarnation: life + 1, QuorumTimeout: lease}, nil, 0)
 		table, err := placement.New(4, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -187,12 +187,12 @@
 		for i, name := range []string{"n1", "n2"} {
 			table.Apply(
 				placement.Change{
-					Kind:   placement.In,
+					Kind:   placement.ChangeJoin,
 					Member: placement.Member{Name: name, Life: life + 1, Process: uint32(i + 1)},
 				},
 			)
 		}
-		h.Table(table, 1)
+		h.SetTable(table, 1)
 		told := 0
 		for k := range 40 {
 			h.Put(
@@ -203,11 +203,11 @@
 				second,
 				second,
 				2,
-				func(Answer) { told++ },
+				func(Result) { told++ },
 			)
 		}
-		for _, m := range h.Out() {
-			if m.Kind != Ask {
+		for _, m := range h.TakeMessages() {
+			if m.Kind != MsgPut {
 				continue
 			}
 			if ids[m.ID] {
@@ -215,7 +215,10 @@
 			}
 			ids[m.ID] = true
 			// of an end, which it did not ask about
-			h.Receive(&Message{Kind: Told, From: m.To, To: "n2", Slot: m.Slot, ID: m.ID, Word: Done}, 3)
+			h.Receive(
+				&Message{Kind: MsgPutResp, From: m.To, To: "n2", Slot: m.Slot, ID: m.ID, Word: OutcomeStored},
+				3,
+			)
 		}
 		if told > 0 {
 			t.Fatal("a beginning is answered as an end is")
@@ -238,7 +241,7 @@
 		for _, name := range []string{"n1", "n2"} {
 			table.Apply(
 				placement.Change{
-					Kind:   placement.In,
+					Kind:   placement.ChangeJoin,
 					Member: placement.Member{Name: name, Life: 1, Process: 1},
 				},
 			)
@@ -246,14 +249,18 @@
 		if !joining {
 			table.Apply(
 				placement.Change{
-					Kind:   placement.Whole,
+					Kind:   placement.ChangeCaughtUp,
 					Member: *table.Member("n2"),
 					Epoch:  table.Slots[0].Epoch,
 				},
 			)
 		}
-		h := New(Config{Name: "n1", Life: 1, Lease: 1000 * 1000 * ms, Rate: rate}, nil, 0)
-		h.Table(table, 1)
+		h := New(
+			Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1000 * 1000 * ms, CatchUpRate: rate},
+			nil,
+			0,
+		)
+		h.SetTable(table, 1)
 		for i := range records {
 			h.slots[0].put(
 				&store.Record{
@@ -264,17 +271,20 @@
 				1_000_000*ms,
 			)
 		}
-		h.Receive(&Message{Kind: Opened, From: "n2", Life: 1, No: 1, Epoch: h.slots[0].epoch}, 2)
+		h.Receive(&Message{Kind: MsgProbeResp, From: "n2", Life: 1, No: 1, Epoch: h.slots[0].epoch}, 2)
 		held, now, no := uint64(0), int64(2), uint64(1)
 		for ; held < records && now < 60_000*ms; now += 10 * ms {
 			h.Tick(now)
-			for _, m := range h.Out() {
-				if m.Kind != Keep {
+			for _, m := range h.TakeMessages() {
+				if m.Kind != MsgAppend {
 					continue
 				}
 				no++
 				held = m.Seq
-				h.Receive(&Message{Kind: Kept, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq}, now)
+				h.Receive(
+					&Message{Kind: MsgAppendResp, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq},
+					now,
+				)
 			}
 		}
 		if want := int64(records * (size + 128) * 1000 * ms / rate); held < records ||
@@ -294,33 +304,40 @@
 	}
 	for _, name := range []string{"n1", "n2"} {
 		table.Apply(
-			placement.Change{Kind: placement.In, Member: placement.Member{Name: name, Life: 1, Process: 1}},
+			placement.Change{
+				Kind:   placement.ChangeJoin,
+				Member: placement.Member{Name: name, Life: 1, Process: 1},
+			},
 		)
 	}
 	table.Apply(
-		placement.Change{Kind: placement.Whole, Member: *table.Member("n2"), Epoch: table.Slots[0].Epoch},
+		placement.Change{
+			Kind:   placement.ChangeCaughtUp,
+			Member: *table.Member("n2"),
+			Epoch:  table.Slots[0].Epoch,
+		},
 	)
 	table.Slots[0].Quiet = 0
-	h := New(Config{Name: "n1", Life: 1, Lease: 1_000_000 * ms, Most: 10_000}, nil, 0)
+	h := New(Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1_000_000 * ms, MaxBytes: 10_000}, nil, 0)
 	now, no := int64(1), uint64(0)
-	h.Table(table, now)
+	h.SetTable(table, now)
 	answer := func() { // the other holder keeps all
-		for _, m := range h.Out() {
+		for _, m := range h.TakeMessages() {
 			no++
-			reply := &Message{Kind: Kept, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq}
-			if m.Kind == Open {
-				reply.Kind = Opened
+			reply := &Message{Kind: MsgAppendResp, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq}
+			if m.Kind == MsgProbe {
+				reply.Kind = MsgProbeResp
 			}
 			h.Receive(reply, now)
 		}
 	}
-	put := func(key string, kind store.Kind, size int) (a Answer) {
+	put := func(key string, kind store.Kind, size int) (a Result) {
 		r := &store.Record{Kind: kind, Name: store.Name{Key: key}, Owner: 1 << 32}
 		if size > 0 {
 			r.Result = &store.Result{Body: make([]byte, size)}
 		}
-		h.Heard(now)
-		h.Put(r, 500*ms, 100*ms, now, func(x Answer) { a = x })
+		h.RecordQuorumContact(now)
+		h.Put(r, 500*ms, 100*ms, now, func(x Result) { a = x })
 		for range 3 {
 			now += ms
 			h.Tick(now)
@@ -333,16 +350,16 @@
 	for ; taken < 100; taken++ {
 		key := strconv.Itoa(taken)
 		a := put(key, store.Begun, 0)
-		if a.Word == Shut {
-			if a.Back != fullFor {
-				t.Errorf("it says to come back after %d", a.Back)
+		if a.Outcome == OutcomeUnavailable {
+			if a.RetryAfter != fullFor {
+				t.Errorf("it says to come back after %d", a.RetryAfter)
 			}
 			break
 		}
-		if a.Word != Mine {
+		if a.Outcome != OutcomeGranted {
 			t.Fatalf("%s: %+v", key, a)
 		}
-		if a = put(key, store.Ended, 2000); a.Word != Done {
+		if a = put(key, store.Ended, 2000); a.Outcome != OutcomeStored {
 			t.Fatalf("the end of %s: %+v", key, a)
 		}
 	}
@@ -354,7 +371,7 @@
 		t.Errorf("%d keys of %d bytes are left", len(h.slots[0].items), h.slots[0].bytes)
 	}
 	h.Tick(now + ms)
-	if a := put("new", store.Begun, 0); a.Word != Mine {
+	if a := put("new", store.Begun, 0); a.Outcome != OutcomeGranted {
 		t.Errorf("a key after that: %+v", a)
 	}
 }
--- a/internal/peers/replication/ask.go
+++ b/internal/peers/replication/request.go
@@ -11,14 +11,14 @@
 // when the time is over; of a run of another that goes on it is told that, and once more how it
 // ended. An end is said on after that, until it is kept; of a beginning that was given up it is
 // said that it never ran.
-func (h *Replica) Put(r *store.Record, left, within, now int64, done func(Answer)) {
+func (h *Replica) Put(r *store.Record, left, within, now int64, done func(Result)) {
 	h.now = max(h.now, now)
 	h.put(r, left, within, done)
 	h.say()
 	h.step(now)
 }
 
-func (h *Replica) put(r *store.Record, left, within int64, done func(Answer)) {
+func (h *Replica) put(r *store.Record, left, within int64, done func(Result)) {
 	h.next++
 	a := &asked{
 		id:     h.next,
@@ -33,10 +33,10 @@
 		a.lost = max(a.lost, a.until)
 	}
 	if h.table == nil {
-		done(Answer{Word: Shut, Back: h.cfg.Lease, Err: ErrShut})
+		done(Result{Outcome: OutcomeUnavailable, RetryAfter: h.cfg.QuorumTimeout, Err: ErrUnavailable})
 		return
 	}
-	a.slot = h.table.Of(r.Name.Class + "\x00" + r.Name.Tenant + "\x00" + r.Name.Key)
+	a.slot = h.table.SlotOf(r.Name.Class + "\x00" + r.Name.Tenant + "\x00" + r.Name.Key)
 	h.asks[a.id] = a
 }
 
@@ -53,14 +53,14 @@
 			continue
 		}
 		if h.now >= a.late && !a.told && !a.watching {
-			h.give(a, Answer{Err: ErrSlow})
+			h.give(a, Result{Err: ErrTimeout})
 		}
 		if h.now >= a.lost {
 			delete(h.asks, id)
 			if a.record.Kind == store.Begun && !a.watching {
 				never := *a.record
 				never.Kind = store.Forgotten
-				h.put(&never, a.until-h.now, h.cfg.Lease, func(Answer) {})
+				h.put(&never, a.until-h.now, h.cfg.QuorumTimeout, func(Result) {})
 			}
 			continue
 		}
@@ -69,11 +69,11 @@
 		}
 		t := &h.table.Slots[a.slot]
 		if to := t.Primary(); to != "" {
-			word := Mine
+			word := OutcomeGranted
 			if a.watching {
-				word = Theirs
+				word = OutcomeOwnedByOther
 			}
-			h.send(Message{Kind: Ask, To: to, Slot: a.slot, Epoch: t.Epoch, ID: a.id, Word: word,
+			h.send(Message{Kind: MsgPut, To: to, Slot: a.slot, Epoch: t.Epoch, ID: a.id, Word: word,
 				Entries: []Entry{{Left: a.until - h.now, Record: a.record}}})
 		}
 		if a.next = h.now + resend; a.watching {
@@ -83,7 +83,7 @@
 }
 
 // give answers an asker, once.
-func (h *Replica) give(a *asked, x Answer) {
+func (h *Replica) give(a *asked, x Result) {
 	if !a.told {
 		a.told = true
 		a.done(x)
@@ -96,20 +96,21 @@
 	if a == nil {
 		return
 	}
-	if m.Word == Again {
+	if m.Word == OutcomeRetry {
 		a.next = min(a.next, h.now+againIn)
 		return
 	}
-	if begins := a.record.Kind == store.Begun; m.Word == Done && begins || m.Word == Mine && !begins {
+	if begins := a.record.Kind == store.Begun; m.Word == OutcomeStored && begins ||
+		m.Word == OutcomeGranted && !begins {
 		return // that was not asked
 	}
-	x := Answer{Word: m.Word, Doubt: m.Doubt, Back: m.Back}
+	x := Result{Outcome: m.Word, InDoubt: m.Doubt, RetryAfter: m.Back}
 	switch m.Word {
-	case Theirs:
+	case OutcomeOwnedByOther:
 		if len(m.Entries) != 1 || m.Entries[0].Record == nil || m.Entries[0].Record.Name != a.record.Name {
 			return
 		}
-		x.Record, x.Left = m.Entries[0].Record, m.Entries[0].Left
+		x.Record, x.Remaining = m.Entries[0].Record, m.Entries[0].Left
 		if x.Record.Kind == store.Begun && !m.Doubt { // its end is told as soon as it is kept
 			if !a.watching && !a.told {
 				a.watching, a.told, a.lost = true, true, a.until
@@ -120,22 +121,22 @@
 		if a.watching { // the second answer
 			a.told = false
 		}
-	case Mine:
+	case OutcomeGranted:
 		if h.now >= a.late { // it was given up, if only just
 			return
 		}
 		a.lost = h.now // there is nothing more to say
-	case Shut:
-		x.Err = ErrShut
-	case Denied:
-		x.Err = ErrDenied
+	case OutcomeUnavailable:
+		x.Err = ErrUnavailable
+	case OutcomeConflict:
+		x.Err = ErrConflict
 	}
 	delete(h.asks, a.id)
 	h.give(a, x)
 }
 
-// Forget ends the wait for another's run.
-func (h *Replica) Forget(name store.Name) {
+// CancelWatch ends the wait for another's run.
+func (h *Replica) CancelWatch(name store.Name) {
 	for id, a := range h.asks {
 		if a.watching && a.record.Name == name {
 			delete(h.asks, id)
@@ -149,58 +150,69 @@
 		return
 	}
 	r, left := m.Entries[0].Record, m.Entries[0].Left
-	tell := func(w Word, back int64) {
-		h.send(Message{Kind: Told, To: m.From, Slot: m.Slot, Epoch: m.Epoch, ID: m.ID, Word: w, Back: back})
+	tell := func(w Outcome, back int64) {
+		h.send(
+			Message{
+				Kind:  MsgPutResp,
+				To:    m.From,
+				Slot:  m.Slot,
+				Epoch: m.Epoch,
+				ID:    m.ID,
+				Word:  w,
+				Back:  back,
+			},
+		)
 	}
 	s, t := *h.place(m.Slot), &h.table.Slots[m.Slot]
 	// A primary that does not hear the consensus group may have been replaced, and whoever replaced
 	// it may have begun with nothing.
-	if s == nil || !s.leads || s.epoch != t.Epoch || m.Epoch != s.epoch || h.now-h.heard > h.cfg.Lease {
-		tell(Again, 0)
+	if s == nil || !s.leads || s.epoch != t.Epoch || m.Epoch != s.epoch ||
+		h.now-h.heard > h.cfg.QuorumTimeout {
+		tell(OutcomeRetry, 0)
 		return
 	}
 	if _, open := s.kept(t); !open {
-		tell(Again, 0)
+		tell(OutcomeRetry, 0)
 		return
 	}
 	it := s.items[r.Name]
 	if it != nil && h.now > it.until+lateRead && (it.record.Kind != store.Begun || !h.lives(&it.record)) {
 		it = nil // no repeat of it can come any more
 	}
-	once := func(it *item, w Word) { s.waiters = append(s.waiters, waiter{it.seq, func() { tell(w, 0) }}) }
+	once := func(it *item, w Outcome) { s.waiters = append(s.waiters, waiter{it.seq, func() { tell(w, 0) }}) }
 	switch {
-	case r.Kind == store.Begun && m.Word == Theirs && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
+	case r.Kind == store.Begun && m.Word == OutcomeOwnedByOther && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
 		never := *r
 		never.Kind = store.Forgotten
 		h.send(
 			Message{
-				Kind:    Told,
+				Kind:    MsgPutResp,
 				To:      m.From,
 				Slot:    m.Slot,
 				ID:      m.ID,
-				Word:    Theirs,
+				Word:    OutcomeOwnedByOther,
 				Entries: []Entry{{Left: left, Record: &never}},
 			},
 		)
 	case r.Kind == store.Begun && (it == nil || it.record.Kind == store.Forgotten && it.record.Owner != r.Owner):
 		if wait := s.quiet.until - h.now; s.quiet.epoch != 0 && wait > 0 {
-			tell(Shut, wait)
+			tell(OutcomeUnavailable, wait)
 			return
 		}
-		if h.cfg.Most > 0 && h.Bytes >= h.cfg.Most { // what was taken is kept, and its end too
-			tell(Shut, fullFor)
+		if h.cfg.MaxBytes > 0 && h.HeldBytes >= h.cfg.MaxBytes { // what was taken is kept, and its end too
+			tell(OutcomeUnavailable, fullFor)
 			return
 		}
-		once(h.take(m.Slot, s, r, h.now+left), Mine)
+		once(h.take(m.Slot, s, r, h.now+left), OutcomeGranted)
 	case r.Kind == store.Begun && it.record.Owner == r.Owner && it.record.Kind == store.Begun:
-		once(it, Mine) // it is said again
+		once(it, OutcomeGranted) // it is said again
 	case r.Kind == store.Begun && it.record.Kind == store.Forgotten:
-		tell(Denied, 0) // its asker has given it up
+		tell(OutcomeConflict, 0) // its asker has given it up
 	case r.Kind == store.Begun:
 		w := watcher{m.From, m.ID}
 		if it.record.Kind == store.Begun && !slices.Contains(it.watchers, w) {
 			if len(it.watchers) >= mostWaiting {
-				tell(Shut, resend)
+				tell(OutcomeUnavailable, resend)
 				return
 			}
 			it.watchers = append(it.watchers, w)
@@ -208,12 +220,12 @@
 		s.waiters = append(s.waiters, waiter{it.seq, func() { h.tellOf(m.Slot, it, w) }})
 	case it == nil || it.record.Owner == r.Owner && it.record.Kind == store.Begun:
 		it = h.take(m.Slot, s, r, h.now+left)
-		once(it, Done)
+		once(it, OutcomeStored)
 		s.waiters = append(s.waiters, waiter{it.seq, func() { h.tellWatchers(m.Slot, it) }})
 	case it.record.Owner == r.Owner:
-		once(it, Done)
+		once(it, OutcomeStored)
 	default:
-		tell(Denied, 0)
+		tell(OutcomeConflict, 0)
 	}
 	h.settle(m.Slot, s)
 }
@@ -226,7 +238,7 @@
 			p.sent, p.at = s.seq, h.now
 			h.send(
 				Message{
-					Kind:    Keep,
+					Kind:    MsgAppend,
 					To:      name,
 					Slot:    i,
 					Epoch:   s.epoch,
@@ -247,11 +259,11 @@
 	doubt := r.Kind == store.Begun && !h.lives(&r)
 	h.send(
 		Message{
-			Kind:    Told,
+			Kind:    MsgPutResp,
 			To:      w.who,
 			Slot:    i,
 			ID:      w.id,
-			Word:    Theirs,
+			Word:    OutcomeOwnedByOther,
 			Doubt:   doubt,
 			Entries: []Entry{{Left: it.until - h.now, Record: &r}},
 		},
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -49,7 +49,7 @@
 	epoch uint64 // older ones are refused
 	last  uint64 // the epoch of the newest record
 	seq   uint64 // its number
-	eras  []Era
+	eras  []EpochStart
 	items map[store.Name]*item
 	bytes int // of the records, about
 	// the newest word of a primary: one that is said twice or comes late is not taken again
@@ -90,7 +90,7 @@
 func (s *slot) set(e Entry, until int64) *item {
 	if e.Epoch != s.last {
 		s.last = e.Epoch
-		if s.eras = append(s.eras, Era{Epoch: e.Epoch, First: e.Seq}); len(s.eras) > mostEras {
+		if s.eras = append(s.eras, EpochStart{Epoch: e.Epoch, First: e.Seq}); len(s.eras) > mostEras {
 			s.eras = s.eras[1:]
 		}
 	}
--- /dev/null
+++ b/internal/peers/replication/snapshot.go
@@ -0,0 +1,44 @@
+package replication
+
+import "slices"
+
+// SlotSnapshot is what a disk has of a slot.
+type SlotSnapshot struct {
+	Slot    int          `cbor:"1,keyasint"`
+	Last    uint64       `cbor:"2,keyasint"`
+	Seq     uint64       `cbor:"3,keyasint"`
+	Eras    []EpochStart `cbor:"4,keyasint,omitempty"`
+	Entries []Entry      `cbor:"5,keyasint,omitempty"`
+}
+
+// Snapshot gives what is held, for a disk.
+func (h *Replica) Snapshot(now int64) []SlotSnapshot {
+	var all []SlotSnapshot
+	for i := range h.slots {
+		if s := h.SnapshotSlot(i, now); s != nil {
+			all = append(all, *s)
+		}
+	}
+	return all
+}
+
+// SnapshotSlot gives what is held of one slot; nil: nothing.
+func (h *Replica) SnapshotSlot(i int, now int64) *SlotSnapshot {
+	if i >= len(h.slots) || h.slots[i] == nil || h.slots[i].seq == 0 {
+		return nil
+	}
+	s := h.slots[i]
+	entries, _ := s.after(0, now, 1<<62)
+	return &SlotSnapshot{Slot: i, Last: s.last, Seq: s.seq, Eras: slices.Clone(s.eras), Entries: entries}
+}
+
+// slot is what was saved. It is at no epoch: its holder counts for nothing until a primary has
+// brought it up.
+func (v *SlotSnapshot) slot(now int64) *slot {
+	s := newSlot()
+	for _, e := range v.Entries {
+		s.set(e, now+e.Left)
+	}
+	s.last, s.seq, s.eras = v.Last, v.Seq, slices.Clone(v.Eras)
+	return s
+}
--- a/internal/peers/usagereplica/world_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -28,9 +28,9 @@
 	process uint32
 	table   *placement.Table
 	led     *ledger.Ledger
-	w       *Writer
-	heir    *Heir
-	shelf   *Shelf
+	w       *Primary
+	heir    *Replica
+	shelf   *StatementStore
 	seals   map[uint64]uint64 // statements that are settled, and not told: at which steps
 	uses    []uint64          // of this process, the steps that they are
 	old     []byte            // the account on the disk as the last process left it
@@ -120,12 +120,12 @@
 	}
 	r.led = ledger.New(w.settings(r), fmt.Sprintf("%s-%d", r.name, r.process), w.now)
 	r.seals, r.uses, r.table = map[uint64]uint64{}, nil, nil
-	r.w = NewWriter(r.name, r.led.Life(), r.process, w.settings(r), func() []byte { return r.led.Keep(0) })
-	r.shelf = NewShelf(r.name, r.process, slices.Sorted(maps.Keys(r.files)))
-	r.heir = NewHeir(r.name)
+	r.w = NewPrimary(r.name, r.led.Life(), r.process, w.settings(r), func() []byte { return r.led.Keep(0) })
+	r.shelf = NewStatementStore(r.name, r.process, slices.Sorted(maps.Keys(r.files)))
+	r.heir = NewReplica(r.name)
 	w.change(
 		placement.Change{
-			Kind: placement.In,
+			Kind: placement.ChangeJoin,
 			Member: placement.Member{
 				Name:    r.name,
 				Hall:    string('a' + rune(len(r.name)+int(r.name[1])%2)),
@@ -161,13 +161,15 @@
 	case !old:
 		r.old = r.led.Keep(0)
 	}
-	w.change(placement.Change{Kind: placement.Out, Member: placement.Member{Name: r.name, Life: r.life}})
+	w.change(
+		placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: r.name, Life: r.life}},
+	)
 }
 
 // promised notes what anybody could have gone by. All that is billed of an account is a beginning
 // of it, so that its number tells which.
 func (w *world) promised(r *runner) {
-	kept := r.w.Kept()
+	kept := r.w.ReplicatedSeq()
 	if len(r.w.heirs) == 0 {
 		kept = 0
 	}
@@ -192,20 +194,27 @@
 // duty has somebody hold that of statements, or another one from time to time.
 func (w *world) duty() {
 	t := w.table()
-	d := t.Duty(Duty)
+	d := t.Lease(StatementsLease)
 	m := t.Members[w.others.IntN(len(t.Members))]
 	switch {
 	case t.Born == 0:
-		w.change(placement.Change{Kind: placement.Found, Token: 1})
+		w.change(placement.Change{Kind: placement.ChangeBootstrap, Token: 1})
 	case d == nil:
-		w.change(placement.Change{Kind: placement.Grant, Duty: Duty, Member: m})
+		w.change(placement.Change{Kind: placement.ChangeGrantLease, Duty: StatementsLease, Member: m})
 	case d.Holder == "":
-		w.change(placement.Change{Kind: placement.Grant, Duty: Duty, Member: m, Token: d.Token})
+		w.change(
+			placement.Change{
+				Kind:   placement.ChangeGrantLease,
+				Duty:   StatementsLease,
+				Member: m,
+				Token:  d.Token,
+			},
+		)
 	case w.others.IntN(10) == 0:
 		w.change(
 			placement.Change{
-				Kind:   placement.Yield,
-				Duty:   Duty,
+				Kind:   placement.ChangeReleaseLease,
+				Duty:   StatementsLease,
 				Member: placement.Member{Name: d.Holder},
 				Token:  d.Token,
 				Epoch:  1,
@@ -232,7 +241,7 @@
 				continue
 			}
 			switch l.m.Kind {
-			case Held:
+			case MsgProgress:
 				m := l.m
 				if h := r.w.heirs[m.From]; h != nil && w.broken.anyLife {
 					m.Life = h.life
@@ -240,20 +249,20 @@
 				if h := r.w.heirs[m.From]; h != nil && w.broken.anyGiving {
 					m.No = h.no
 				}
-				r.w.Hear(&m, w.now)
-			case Past, Had, Want:
-				if name := r.shelf.Hear(&l.m); name != "" {
+				r.w.Receive(&m, w.now)
+			case MsgStatement, MsgStatementStored, MsgStatementWanted:
+				if name := r.shelf.Receive(&l.m); name != "" {
 					var b []byte
 					if s := r.files[name]; s != nil {
 						b = s.Encode()
 					}
-					r.shelf.Give(l.m.From, name, b)
+					r.shelf.Send(l.m.From, name, b)
 				}
 				if len(l.m.Bytes) > 0 {
-					r.heir.Hear(&l.m)
+					r.heir.Receive(&l.m)
 				}
 			default:
-				r.heir.Hear(&l.m)
+				r.heir.Receive(&l.m)
 			}
 		}
 	}
@@ -269,9 +278,9 @@
 		t := w.tables[len(w.tables)-1-min(w.r.IntN(3), len(w.tables)-1)]
 		if r.table == nil || t.Version > r.table.Version {
 			r.table = t
-			r.w.Table(t, w.now)
-			r.heir.Table(t, r.life, w.now)
-			r.shelf.Table(t, r.life)
+			r.w.SetTable(t, w.now)
+			r.heir.SetTable(t, r.life, w.now)
+			r.shelf.SetTable(t, r.life)
 		}
 	}
 	if w.r.IntN(4) == 0 {
@@ -286,22 +295,22 @@
 			Work:   7,
 		}
 		r.led.Add(u)
-		r.uses = append(r.uses, r.w.Add(Step{Use: &u}))
+		r.uses = append(r.uses, r.w.Append(Operation{Use: &u}))
 		w.counted[r.led.Life()]++
 	}
 	if w.r.IntN(500) == 0 {
 		r.led.Lost(1)
-		r.w.Add(Step{Lost: 1})
+		r.w.Append(Operation{Lost: 1})
 	}
 	if s := r.led.Seal(w.now); s != nil {
-		r.seals[s.Seq] = r.w.Add(Step{Seal: s.Digest(), At: w.now})
+		r.seals[s.Seq] = r.w.Append(Operation{Seal: s.Digest(), At: w.now})
 	}
 	if w.r.IntN(20) == 0 { // the disk
 		r.old = r.led.Keep(0)
 	}
-	for s, _ := r.led.Next(); s != nil && (r.seals[s.Seq] <= r.w.Kept() || w.broken.tellAtOnce); s, _ = r.led.Next() {
+	for s, _ := r.led.Next(); s != nil && (r.seals[s.Seq] <= r.w.ReplicatedSeq() || w.broken.tellAtOnce); s, _ = r.led.Next() {
 		r.files[s.Name()] = s
-		r.shelf.Own(s.Name())
+		r.shelf.AddOwn(s.Name())
 		r.led.Exported(s)
 		r.old = r.led.Keep(0)
 		if w.r.IntN(2) == 0 { // somebody takes it away at once
@@ -311,22 +320,22 @@
 	}
 	if w.broken.dropAtOnce {
 		for name := range r.w.former {
-			r.w.send(Message{Kind: Drop, To: name})
+			r.w.send(Message{Kind: MsgDrop, To: name})
 		}
 	}
 	r.w.Flush(w.now)
 	r.w.Tick(w.now)
 	r.heir.Tick(w.now)
-	for _, s := range r.heir.Told() {
+	for _, s := range r.heir.TakeStatements() {
 		r.files[s.Name()] = s.Statement
-		r.shelf.Of(&s)
+		r.shelf.AddReplicated(&s)
 	}
 	if !w.broken.noShelf {
 		r.shelf.Tick(w.now)
 	}
-	w.send(r.shelf.Out())
-	w.send(r.w.Out())
-	w.send(r.heir.Out())
+	w.send(r.shelf.TakeMessages())
+	w.send(r.w.TakeMessages())
+	w.send(r.heir.TakeMessages())
 }
 
 // bill is all that is there in the end: of runners that are up, what their accounts hold.
@@ -412,7 +421,10 @@
 		wipe, old := w.r.IntN(2) == 0, w.r.IntN(3) == 0
 		if n%3 == 2 { // it is held for lost and goes on
 			w.change(
-				placement.Change{Kind: placement.Out, Member: placement.Member{Name: r.name, Life: r.life}},
+				placement.Change{
+					Kind:   placement.ChangeLost,
+					Member: placement.Member{Name: r.name, Life: r.life},
+				},
 			)
 			for range w.r.IntN(900) {
 				w.step()
@@ -420,7 +432,7 @@
 			r.life += 1000
 			w.change(
 				placement.Change{
-					Kind:   placement.In,
+					Kind:   placement.ChangeJoin,
 					Member: placement.Member{Name: r.name, Life: r.life, Process: r.process, Bills: true},
 				},
 			)
@@ -450,10 +462,10 @@
 		ready := true
 		for _, r := range w.all {
 			if r.up &&
-				(r.table != w.table() || len(r.w.heirs) == 0 || slices.ContainsFunc(slices.Collect(maps.Values(r.w.heirs)), func(h *heir) bool { return !h.whole })) {
+				(r.table != w.table() || len(r.w.heirs) == 0 || slices.ContainsFunc(slices.Collect(maps.Values(r.w.heirs)), func(h *replicaProgress) bool { return !h.whole })) {
 				ready = false
 			}
-			if r.up && (r.heir.Ends() > 0 || r.shelf.Short() > 0 && !w.broken.noShelf) {
+			if r.up && (r.heir.PendingEnds() > 0 || r.shelf.Unreplicated() > 0 && !w.broken.noShelf) {
 				ready = false
 			}
 		}
--- a/internal/peers/usagereplica/accounts.go
+++ b/internal/peers/usagereplica/message.go
@@ -15,8 +15,8 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// Step is one thing that happens to an account; one of its parts is there.
-type Step struct {
+// Operation is one thing that happens to an account; one of its parts is there.
+type Operation struct {
 	Use  *ledger.Use        `cbor:"1,keyasint,omitempty"`
 	Fix  *ledger.Correction `cbor:"2,keyasint,omitempty"`
 	Lost uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
@@ -28,7 +28,7 @@
 
 // play takes the step. It reports the statement of a settlement, and whether the account comes to
 // the same.
-func (s *Step) play(l *ledger.Ledger) (told *ledger.Statement, same bool) {
+func (s *Operation) play(l *ledger.Ledger) (told *ledger.Statement, same bool) {
 	switch {
 	case s.Use != nil:
 		l.Add(*s.Use)
@@ -47,34 +47,34 @@
 	return told, true
 }
 
-// Kind is what a message is for.
-type Kind uint8
+// MessageType is what a message is for.
+type MessageType uint8
 
 // The kinds of messages.
 const (
-	Tell  Kind = iota + 1 // steps, from its runner
-	State                 // the account as it stands, a piece of it
-	Past                  // a statement; without its bytes, whether it is there
-	Drop                  // others have it now
-	Held                  // how far an heir has come
-	Had                   // that statement lies here
-	Want                  // it does not
+	MsgAppend          MessageType = iota + 1 // steps, from its runner
+	MsgSnapshot                               // the account as it stands, a piece of it
+	MsgStatement                              // a statement; without its bytes, whether it is there
+	MsgDrop                                   // others have it now
+	MsgProgress                               // how far an heir has come
+	MsgStatementStored                        // that statement lies here
+	MsgStatementWanted                        // it does not
 )
 
 // Message goes between a runner and one of its heirs.
 type Message struct {
-	Kind Kind   `cbor:"1,keyasint"`
-	From string `cbor:"2,keyasint"`
-	To   string `cbor:"3,keyasint"`
+	Kind MessageType `cbor:"1,keyasint"`
+	From string      `cbor:"2,keyasint"`
+	To   string      `cbor:"3,keyasint"`
 	// its name; that of the runner is From, or To of a word of an heir
 	Account string `cbor:"4,keyasint"`
 	Process uint32 `cbor:"5,keyasint,omitempty"` // of the runner
-	// Held and Had: of the heir's membership, in which it knows what it says
+	// MsgProgress and Had: of the heir's membership, in which it knows what it says
 	Life uint64 `cbor:"6,keyasint,omitempty"`
-	// Tell: the number before the first; State: up to which it goes; Held: up to which all is known
-	Seq   uint64 `cbor:"7,keyasint,omitempty"`
-	Steps []Step `cbor:"8,keyasint,omitempty"`
-	// State: which piece; Held: how many are here
+	// MsgAppend: the number before the first; State: up to which it goes; Held: up to which all is known
+	Seq   uint64      `cbor:"7,keyasint,omitempty"`
+	Steps []Operation `cbor:"8,keyasint,omitempty"`
+	// MsgSnapshot: which piece; Held: how many are here
 	Part  int             `cbor:"9,keyasint,omitempty"`
 	Parts int             `cbor:"10,keyasint,omitempty"`
 	Bytes []byte          `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
@@ -99,17 +99,17 @@
 	dropTimes = 5
 )
 
-// Heirs are who is to know the account of a runner, of those that keep accounts: as many as the
+// ReplicasOf are who is to know the account of a runner, of those that keep accounts: as many as the
 // table has copies, of other halls first, by a draw of the two names. The same table gives the same
 // everywhere.
-func Heirs(t *placement.Table, name string) []placement.Member {
+func ReplicasOf(t *placement.Table, name string) []placement.Member {
 	hall := ""
 	if m := t.Member(name); m != nil {
 		hall = m.Hall
 	}
 	var all []placement.Member
 	for _, m := range t.Members {
-		if m.Life != 0 && m.Name != name && m.Bills && (!m.Leaving || t.Apart()) {
+		if m.Life != 0 && m.Name != name && m.Bills && (!m.Leaving || t.NeedsLeavingMembers()) {
 			all = append(all, m)
 		}
 	}
