--- a/internal/peers/usagereplica/writer.go
+++ b/internal/peers/usagereplica/primary.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// heir is one of those who are told, as the runner sees it.
-type heir struct {
+// replicaProgress is one of those who are told, as the runner sees it.
+type replicaProgress struct {
 	life  uint64
 	acked uint64 // it knows all up to this step
 	sent  uint64 // and all up to this one is on its way
@@ -21,16 +21,16 @@
 	no    uint64 // which giving of the account that is
 }
 
-// Writer tells one account to its heirs. The account itself is its owner's.
-type Writer struct {
+// Primary tells one account to its heirs. The account itself is its owner's.
+type Primary struct {
 	name    string
 	account string
 	process uint32
 	set     ledger.Settings
 	state   func() []byte // the account as it stands
-	steps   []Step
+	steps   []Operation
 	base    uint64 // the number before the first of them
-	heirs   map[string]*heir
+	heirs   map[string]*replicaProgress
 	order   []string       // their names, sorted: the same messages are to come of the same
 	former  map[string]int // and how often they are still told to let go
 	version uint64
@@ -39,35 +39,35 @@
 	out     []Message
 }
 
-// NewWriter begins to tell an account that nobody else knows. Its steps count from 1, so that 0 is
+// NewPrimary begins to tell an account that nobody else knows. Its steps count from 1, so that 0 is
 // the word of who does not know it.
-func NewWriter(name, account string, process uint32, set ledger.Settings, state func() []byte) *Writer {
-	return &Writer{
+func NewPrimary(name, account string, process uint32, set ledger.Settings, state func() []byte) *Primary {
+	return &Primary{
 		name:    name,
 		account: account,
 		process: process,
 		set:     set,
 		state:   state,
 		base:    1,
-		heirs:   map[string]*heir{},
+		heirs:   map[string]*replicaProgress{},
 		former:  map[string]int{},
 	}
 }
 
-// Add has a step told, and gives its number. The account has taken it already.
-func (w *Writer) Add(s Step) uint64 {
+// Append has a step told, and gives its number. The account has taken it already.
+func (w *Primary) Append(s Operation) uint64 {
 	w.steps = append(w.steps, s)
 	return w.seq()
 }
 
-// Last is the number of the last step.
-func (w *Writer) Last() uint64 { return w.seq() }
+// LastSeq is the number of the last step.
+func (w *Primary) LastSeq() uint64 { return w.seq() }
 
-func (w *Writer) seq() uint64 { return w.base + uint64(len(w.steps)) }
+func (w *Primary) seq() uint64 { return w.base + uint64(len(w.steps)) }
 
-// Kept is up to which step all heirs know the account. Where there is nobody else there is nobody
+// ReplicatedSeq is up to which step all heirs know the account. Where there is nobody else there is nobody
 // to wait for.
-func (w *Writer) Kept() uint64 {
+func (w *Primary) ReplicatedSeq() uint64 {
 	seq := w.seq()
 	for _, h := range w.heirs {
 		if !h.whole {
@@ -78,14 +78,14 @@
 	return seq
 }
 
-// Table takes a newer table.
-func (w *Writer) Table(t *placement.Table, now int64) {
+// SetTable takes a newer table.
+func (w *Primary) SetTable(t *placement.Table, now int64) {
 	if t.Version <= w.version {
 		return
 	}
 	w.version = t.Version
 	want := map[string]uint64{}
-	for _, m := range Heirs(t, w.name) {
+	for _, m := range ReplicasOf(t, w.name) {
 		want[m.Name] = m.Life
 	}
 	for name := range w.heirs {
@@ -99,7 +99,7 @@
 		delete(w.former, name)
 		// what an earlier life knew may have gone with it
 		if h := w.heirs[name]; h == nil || h.life != want[name] {
-			w.heirs[name] = &heir{life: want[name]}
+			w.heirs[name] = &replicaProgress{life: want[name]}
 			w.offer(name, w.heirs[name], now)
 		}
 	}
@@ -107,20 +107,20 @@
 }
 
 // offer sends the account as it stands, the first piece of it.
-func (w *Writer) offer(name string, h *heir, now int64) {
+func (w *Primary) offer(name string, h *replicaProgress, now int64) {
 	w.given++
 	h.whole, h.state, h.seq, h.part, h.acked, h.no = false, w.state(), w.seq(), 0, 0, w.given
 	w.offerOn(name, h, now)
 }
 
-func (h *heir) parts() int { return max((len(h.state)+piece-1)/piece, 1) }
+func (h *replicaProgress) parts() int { return max((len(h.state)+piece-1)/piece, 1) }
 
-func (w *Writer) offerOn(name string, h *heir, now int64) {
+func (w *Primary) offerOn(name string, h *replicaProgress, now int64) {
 	h.at = now
 	from := h.part * piece
 	w.send(
 		Message{
-			Kind:  State,
+			Kind:  MsgSnapshot,
 			To:    name,
 			Seq:   h.seq,
 			Part:  h.part,
@@ -132,15 +132,15 @@
 	)
 }
 
-func (w *Writer) send(m Message) {
+func (w *Primary) send(m Message) {
 	m.From, m.Account, m.Process = w.name, w.account, w.process
 	w.out = append(w.out, m)
 }
 
-// Hear takes the word of an heir.
-func (w *Writer) Hear(m *Message, now int64) {
+// Receive takes the word of an heir.
+func (w *Primary) Receive(m *Message, now int64) {
 	h := w.heirs[m.From]
-	if m.Kind != Held || m.Account != w.account {
+	if m.Kind != MsgProgress || m.Account != w.account {
 		return
 	}
 	if h == nil {
@@ -168,7 +168,7 @@
 }
 
 // Flush tells heirs what they have not been told.
-func (w *Writer) Flush(now int64) {
+func (w *Primary) Flush(now int64) {
 	for _, name := range w.order {
 		h := w.heirs[name]
 		for h.whole && h.sent < w.seq() && h.sent-h.acked < mostWay {
@@ -178,7 +178,7 @@
 			}
 			steps := w.steps[h.sent-w.base:]
 			steps = steps[:min(len(steps), mostSteps)]
-			w.send(Message{Kind: Tell, To: name, Seq: h.sent, Steps: slices.Clone(steps), No: h.no})
+			w.send(Message{Kind: MsgAppend, To: name, Seq: h.sent, Steps: slices.Clone(steps), No: h.no})
 			h.sent += uint64(len(steps))
 			h.at = now
 		}
@@ -186,7 +186,7 @@
 }
 
 // Tick says again what had no answer.
-func (w *Writer) Tick(now int64) {
+func (w *Primary) Tick(now int64) {
 	for _, name := range w.order {
 		switch h := w.heirs[name]; {
 		case now-h.at < resend:
@@ -199,10 +199,10 @@
 	if now-w.swept >= 5*resend {
 		w.swept = now
 		for _, name := range slices.Sorted(maps.Keys(w.former)) {
-			if w.Kept() < w.seq() { // it may still be the only one
+			if w.ReplicatedSeq() < w.seq() { // it may still be the only one
 				break
 			}
-			w.send(Message{Kind: Drop, To: name})
+			w.send(Message{Kind: MsgDrop, To: name})
 			if w.former[name]--; w.former[name] <= 0 {
 				delete(w.former, name)
 			}
@@ -212,7 +212,7 @@
 }
 
 // trim forgets the steps that nobody needs any more.
-func (w *Writer) trim() {
+func (w *Primary) trim() {
 	least := w.seq()
 	for _, h := range w.heirs {
 		if h.whole {
@@ -230,15 +230,15 @@
 	}
 }
 
-// Out gives what is to be sent.
-func (w *Writer) Out() []Message {
+// TakeMessages gives what is to be sent.
+func (w *Primary) TakeMessages() []Message {
 	out := w.out
 	w.out = nil
 	return out
 }
 
-// Whole tells whether there are heirs, and each has the account and is told what is new.
-func (w *Writer) Whole() bool {
+// FullyReplicated tells whether there are heirs, and each has the account and is told what is new.
+func (w *Primary) FullyReplicated() bool {
 	for _, h := range w.heirs {
 		if !h.whole {
 			return false
@@ -247,8 +247,8 @@
 	return len(w.heirs) > 0
 }
 
-// Heirs tells who knows the account, and how many steps each is behind.
-func (w *Writer) Heirs() map[string]uint64 {
+// ReplicasOf tells who knows the account, and how many steps each is behind.
+func (w *Primary) Lag() map[string]uint64 {
 	all := map[string]uint64{}
 	for name, h := range w.heirs {
 		all[name] = w.seq() - h.acked
--- a/internal/peers/usagereplica/estate.go
+++ b/internal/peers/usagereplica/replica.go
@@ -9,12 +9,12 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// ErrDiffers is that of an account that came to something else than its runner's did. It is asked
+// ErrDiverged is that of an account that came to something else than its runner's did. It is asked
 // for anew.
-var ErrDiffers = errors.New("accounts: it differs from its runner's")
+var ErrDiverged = errors.New("accounts: it differs from its runner's")
 
-// estate is an account of another runner.
-type estate struct {
+// replicatedLedger is an account of another runner.
+type replicatedLedger struct {
 	owner   string
 	process uint32
 	led     *ledger.Ledger // nil: it is still on its way
@@ -25,35 +25,37 @@
 	lost    int64  // since when its runner is; 0: it is there
 }
 
-// Paper is a statement that is to be written, and the process whose it was.
-type Paper struct {
-	Of      string
+// OwnedStatement is a statement that is to be written, and the process whose it was.
+type OwnedStatement struct {
+	Owner   string
 	Process uint32
 	*ledger.Statement
 }
 
-// Heir knows accounts of others.
-type Heir struct {
+// Replica knows accounts of others.
+type Replica struct {
 	name  string
 	life  uint64
 	table *placement.Table
-	all   map[string]*estate // by the names of the accounts
+	all   map[string]*replicatedLedger // by the names of the accounts
 	out   []Message
-	told  []Paper
+	told  []OwnedStatement
 	errs  []error
 }
 
-// NewHeir is one that knows none yet.
-func NewHeir(name string) *Heir { return &Heir{name: name, all: map[string]*estate{}} }
+// NewReplica is one that knows none yet.
+func NewReplica(name string) *Replica {
+	return &Replica{name: name, all: map[string]*replicatedLedger{}}
+}
 
-// Table takes a newer table, and the life of this runner's membership.
-func (h *Heir) Table(t *placement.Table, life uint64, now int64) {
+// SetTable takes a newer table, and the life of this runner's membership.
+func (h *Replica) SetTable(t *placement.Table, life uint64, now int64) {
 	h.table, h.life = t, life
 	h.look(now)
 }
 
 // look notes whose process is not in the table. A word of it may have come after that.
-func (h *Heir) look(now int64) {
+func (h *Replica) look(now int64) {
 	if h.table == nil {
 		return
 	}
@@ -66,14 +68,14 @@
 	}
 }
 
-// Hear takes the word of a runner.
-func (h *Heir) Hear(m *Message) {
+// Receive takes the word of a runner.
+func (h *Replica) Receive(m *Message) {
 	switch m.Kind {
-	case State:
+	case MsgSnapshot:
 		h.state(m)
-	case Tell:
+	case MsgAppend:
 		h.steps(m)
-	case Past:
+	case MsgStatement:
 		s, err := ledger.ParseStatement(m.Name, m.Bytes)
 		if err == nil && s.Name() != m.Name {
 			err = errors.New("accounts: " + m.Name + " is " + s.Name())
@@ -82,8 +84,8 @@
 			h.errs = append(h.errs, err)
 			return
 		}
-		h.told = append(h.told, Paper{m.From, m.Process, s})
-	case Drop:
+		h.told = append(h.told, OwnedStatement{m.From, m.Process, s})
+	case MsgDrop:
 		if e := h.all[m.Account]; e != nil && e.owner == m.From && e.lost == 0 {
 			delete(h.all, m.Account)
 		}
@@ -91,11 +93,11 @@
 	}
 }
 
-func (h *Heir) held(m *Message, seq uint64, part, parts int) {
+func (h *Replica) held(m *Message, seq uint64, part, parts int) {
 	h.out = append(
 		h.out,
 		Message{
-			Kind:    Held,
+			Kind:    MsgProgress,
 			From:    h.name,
 			To:      m.From,
 			Account: m.Account,
@@ -110,7 +112,7 @@
 
 // steps plays what is new. Where something is missing in between, or the account is not known, it
 // says so.
-func (h *Heir) steps(m *Message) {
+func (h *Replica) steps(m *Message) {
 	e := h.all[m.Account]
 	if e == nil || e.owner != m.From || e.led == nil || e.no != m.No {
 		h.held(m, 0, 0, 0)
@@ -120,13 +122,13 @@
 		for _, s := range m.Steps[min(e.seq-m.Seq, uint64(len(m.Steps))):] {
 			told, same := s.play(e.led)
 			if !same {
-				h.errs = append(h.errs, ErrDiffers)
+				h.errs = append(h.errs, ErrDiverged)
 				delete(h.all, m.Account)
 				h.held(m, 0, 0, 0)
 				return
 			}
 			if e.seq++; told != nil {
-				h.told = append(h.told, Paper{e.owner, e.process, told})
+				h.told = append(h.told, OwnedStatement{e.owner, e.process, told})
 			}
 		}
 	}
@@ -134,7 +136,7 @@
 }
 
 // state puts an account together that comes in pieces.
-func (h *Heir) state(m *Message) {
+func (h *Replica) state(m *Message) {
 	if m.Parts < 1 || m.Parts > mostParts || m.Part < 0 || m.Part >= m.Parts || len(m.Bytes) > piece ||
 		m.Set.Period <= 0 ||
 		m.Set.Slice <= 0 {
@@ -146,7 +148,7 @@
 	case e == nil && h.of(m.From) >= mostOf:
 		return // those before it are ended soon
 	case e == nil:
-		e = &estate{owner: m.From, process: m.Process}
+		e = &replicatedLedger{owner: m.From, process: m.Process}
 		h.all[m.Account] = e
 	case e.owner != m.From:
 		return
@@ -177,14 +179,14 @@
 	}
 	e.led, e.seq, e.no = led, m.Seq, m.No
 	for s, _ := led.Next(); s != nil; s, _ = led.Next() { // they may not have their names there
-		h.told = append(h.told, Paper{e.owner, e.process, s})
+		h.told = append(h.told, OwnedStatement{e.owner, e.process, s})
 		led.Exported(s)
 	}
 	h.held(m, e.seq, 0, 0)
 }
 
 // of is how many accounts of a runner are known.
-func (h *Heir) of(owner string) (n int) {
+func (h *Replica) of(owner string) (n int) {
 	for _, e := range h.all {
 		if e.owner == owner {
 			n++
@@ -194,15 +196,15 @@
 }
 
 // Tick ends the accounts of those who have been lost for long enough.
-func (h *Heir) Tick(now int64) {
+func (h *Replica) Tick(now int64) {
 	h.look(now)
 	h.end(now - endAfter)
 }
 
 // Close ends the accounts of all who are lost, as this runner is about to go.
-func (h *Heir) Close(now int64) { h.end(now) }
+func (h *Replica) Close(now int64) { h.end(now) }
 
-func (h *Heir) end(before int64) {
+func (h *Replica) end(before int64) {
 	for _, name := range slices.Sorted(maps.Keys(h.all)) {
 		e := h.all[name]
 		if e.lost == 0 || e.lost > before {
@@ -213,34 +215,34 @@
 			continue
 		}
 		if s := e.led.End(); s != nil {
-			h.told = append(h.told, Paper{e.owner, e.process, s})
+			h.told = append(h.told, OwnedStatement{e.owner, e.process, s})
 		}
 	}
 }
 
-// Out gives what is to be sent.
-func (h *Heir) Out() []Message {
+// TakeMessages gives what is to be sent.
+func (h *Replica) TakeMessages() []Message {
 	out := h.out
 	h.out = nil
 	return out
 }
 
-// Told gives the statements that are to be written.
-func (h *Heir) Told() []Paper {
+// TakeStatements gives the statements that are to be written.
+func (h *Replica) TakeStatements() []OwnedStatement {
 	told := h.told
 	h.told = nil
 	return told
 }
 
-// Errs gives what went wrong.
-func (h *Heir) Errs() []error {
+// TakeErrors gives what went wrong.
+func (h *Replica) TakeErrors() []error {
 	errs := h.errs
 	h.errs = nil
 	return errs
 }
 
-// Ends tells how many accounts are of runners that are lost, and are to be ended.
-func (h *Heir) Ends() (n int) {
+// PendingEnds tells how many accounts are of runners that are lost, and are to be ended.
+func (h *Replica) PendingEnds() (n int) {
 	for _, e := range h.all {
 		if e.lost != 0 {
 			n++
@@ -249,5 +251,5 @@
 	return n
 }
 
-// Known tells how many accounts of others are known here.
-func (h *Heir) Known() int { return len(h.all) }
+// Len tells how many accounts of others are known here.
+func (h *Replica) Len() int { return len(h.all) }
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -32,20 +32,20 @@
 type Log struct {
 	fs   store.FS
 	log  store.File // nil: it has to be begun anew
-	all  []consensus.Kept
+	all  []consensus.DurableRecord
 	lock func() error
 }
 
-// Found is what a folder has.
-type Found struct {
-	Log    []consensus.Kept
-	Copies []replication.Saved
-	Cut    int // bytes at the end of the log that are not whole: nobody was told of them
-	Bad    int // slots whose files are damaged, and count for nothing
+// Recovery is what a folder has.
+type Recovery struct {
+	Log            []consensus.DurableRecord
+	Slots          []replication.SlotSnapshot
+	TruncatedBytes int // bytes at the end of the log that are not whole: nobody was told of them
+	DamagedSlots   int // slots whose files are damaged, and count for nothing
 }
 
 // Open takes a folder, which no other process uses.
-func Open(fsys store.FS) (*Log, *Found, error) {
+func Open(fsys store.FS) (*Log, *Recovery, error) {
 	lock, err := fsys.Lock()
 	if err != nil {
 		return nil, nil, err
@@ -58,17 +58,17 @@
 	return v, f, nil
 }
 
-func (v *Log) read() (*Found, error) {
-	f := &Found{}
+func (v *Log) read() (*Recovery, error) {
+	f := &Recovery{}
 	b, err := v.fs.Read(logFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
 	for len(b) > 0 {
-		var k consensus.Kept
+		var k consensus.DurableRecord
 		used, err := next(b, &k)
 		if err != nil {
-			f.Cut = len(b)
+			f.TruncatedBytes = len(b)
 			break
 		}
 		v.all, b = append(v.all, k), b[used:]
@@ -86,12 +86,12 @@
 		if err != nil {
 			return nil, err
 		}
-		var s replication.Saved
+		var s replication.SlotSnapshot
 		if _, err := next(b, &s); err != nil {
-			f.Bad++
+			f.DamagedSlots++
 			continue
 		}
-		f.Copies = append(f.Copies, s)
+		f.Slots = append(f.Slots, s)
 	}
 	return f, nil
 }
@@ -125,9 +125,9 @@
 	return head + n, nil
 }
 
-// Keep has a record of the consensus group on the disk once it returns nil. After an error all of
+// Append has a record of the consensus group on the disk once it returns nil. After an error all of
 // the log is written anew.
-func (v *Log) Keep(k *consensus.Kept) error {
+func (v *Log) Append(k *consensus.DurableRecord) error {
 	if k.ID != 0 { // it begins anew with this one
 		v.all = nil
 		v.close()
@@ -196,8 +196,8 @@
 	}
 }
 
-// Save has what is held of a slot on the disk.
-func (v *Log) Save(s *replication.Saved) error {
+// SaveSlot has what is held of a slot on the disk.
+func (v *Log) SaveSlot(s *replication.SlotSnapshot) error {
 	b, err := frame(nil, s)
 	if err != nil {
 		return err
--- a/internal/peers/wal/wal_test.go
+++ b/internal/peers/wal/wal_test.go
@@ -19,8 +19,8 @@
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		disk := crashfs.New(seed)
-		var given, kept []consensus.Kept // since the log began; what was kept is a beginning of it
-		var before []consensus.Kept      // the log that it took the place of, while it is not kept
+		var given, kept []consensus.DurableRecord // since the log began; what was kept is a beginning of it
+		var before []consensus.DurableRecord      // the log that it took the place of, while it is not kept
 		for range 6 {
 			disk.CrashAt = 0
 			v, found, err := Open(disk)
@@ -34,21 +34,21 @@
 				t.Fatalf("seed %d: %d records are found of %d that were kept and %d that were given", seed, len(log), len(kept), len(given))
 			}
 			given, before = log, nil
-			kept = append([]consensus.Kept(nil), log...)
+			kept = append([]consensus.DurableRecord(nil), log...)
 			disk.CrashAt = disk.Steps + 1 + r.IntN(40)
 			for n := byte(0); ; n++ {
-				k := consensus.Kept{State: []byte{n, byte(seed)}, Entries: [][]byte{{n}}}
+				k := consensus.DurableRecord{State: []byte{n, byte(seed)}, Entries: [][]byte{{n}}}
 				if r.IntN(6) == 0 {
 					k.ID = 7
 					before, given, kept = given, nil, nil
 				}
 				given = append(given, k)
-				if err = v.Keep(&k); err != nil {
+				if err = v.Append(&k); err != nil {
 					break
 				}
-				kept = append([]consensus.Kept(nil), given...)
+				kept = append([]consensus.DurableRecord(nil), given...)
 				before = nil
-				if err = v.Save(&replication.Saved{Slot: int(n % 3), Seq: uint64(n)}); err != nil {
+				if err = v.SaveSlot(&replication.SlotSnapshot{Slot: int(n % 3), Seq: uint64(n)}); err != nil {
 					break
 				}
 			}
@@ -68,9 +68,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var want []consensus.Kept
+	var want []consensus.DurableRecord
 	for n := range byte(20) {
-		k := consensus.Kept{State: []byte{n}}
+		k := consensus.DurableRecord{State: []byte{n}}
 		full := errors.New("no space left")
 		fails := n%4 == 1
 		disk.Fail = func(op, _ string) error {
@@ -79,18 +79,18 @@
 			}
 			return nil
 		}
-		if err := v.Keep(&k); fails != (err != nil) {
+		if err := v.Append(&k); fails != (err != nil) {
 			t.Fatal(n, err)
 		}
 		if fails = false; n%4 == 1 { // it is given again
-			if err := v.Keep(&k); err != nil {
+			if err := v.Append(&k); err != nil {
 				t.Fatal(n, err)
 			}
 		}
 		want = append(want, k)
 	}
 	for _, slot := range []int{1, 2} {
-		if err := v.Save(&replication.Saved{Slot: slot, Seq: 9}); err != nil {
+		if err := v.SaveSlot(&replication.SlotSnapshot{Slot: slot, Seq: 9}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -111,7 +111,7 @@
 	if diff := cmp.Diff(want, found.Log, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
-	if len(found.Copies) != 2 || found.Bad != 1 {
-		t.Errorf("%d slots are found, %d bad", len(found.Copies), found.Bad)
+	if len(found.Slots) != 2 || found.DamagedSlots != 1 {
+		t.Errorf("%d slots are found, %d bad", len(found.Slots), found.DamagedSlots)
 	}
 }
--- a/internal/testing/cluster/duties_test.go
+++ b/internal/testing/cluster/duties_test.go
@@ -32,7 +32,11 @@
 	took := map[string][]time.Duration{}
 	for i := range rounds {
 		way := Losses[i%len(Losses)]
-		d, err := c.Lose(lease.CheckDuty([]string{"hall1", "hall2"}[i/len(Losses)%2]), way, 60*time.Second)
+		d, err := c.Lose(
+			lease.HealthCheckLease([]string{"hall1", "hall2"}[i/len(Losses)%2]),
+			way,
+			60*time.Second,
+		)
 		if err := errors.Join(err, c.Ready(60*time.Second)); err != nil {
 			t.Fatalf("round %d: %v", i, err)
 		}
@@ -99,7 +103,7 @@
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(lease.Lease * time.Microsecond)
+	time.Sleep(lease.TTL * time.Microsecond)
 	for range 10 {
 		if own, under = count(8 * CheckEvery); own > 0 && under == 0 {
 			return
--- a/internal/usage/metering/copied.go
+++ b/internal/usage/metering/copied.go
@@ -128,12 +128,15 @@
 	}
 	m.join, m.ended = j, make(chan struct{})
 	if err := m.ask(func(d *desk) {
-		d.copied = &copied{seals: map[uint64]uint64{}, w: usagereplica.NewWriter(m.name, d.led.Life(), j.Process, d.led.Settings(), func() []byte { return d.led.Keep(d.taken) })}
+		d.copied = &copied{seals: map[uint64]uint64{}, w: usagereplica.NewPrimary(m.name, d.led.Life(), j.Process, d.led.Settings(), func() []byte { return d.led.Keep(d.taken) })}
 	}); err != nil {
 		return err
 	}
 	go m.know(
-		&others{heir: usagereplica.NewHeir(m.name), shelf: usagereplica.NewShelf(m.name, j.Process, told)},
+		&others{
+			heir:  usagereplica.NewReplica(m.name),
+			shelf: usagereplica.NewStatementStore(m.name, j.Process, told),
+		},
 	)
 	return nil
 }
@@ -146,7 +149,7 @@
 
 // Hear takes a message of a peer.
 func (m *Meter) Hear(x *usagereplica.Message) {
-	if x.Kind == usagereplica.Held {
+	if x.Kind == usagereplica.MsgProgress {
 		m.post.put(*x)
 		return
 	}
@@ -200,7 +203,7 @@
 
 // copied is the account as it is told to others. A nil one tells nobody.
 type copied struct {
-	w     *usagereplica.Writer
+	w     *usagereplica.Primary
 	seals map[uint64]uint64 // statements, and the steps that settled them
 	marks []mark            // uses that are not known yet
 	told  uint64            // up to this use it was said that they are
@@ -215,9 +218,9 @@
 	done func(error)
 }
 
-func (c *copied) step(s usagereplica.Step) {
+func (c *copied) step(s usagereplica.Operation) {
 	if c != nil {
-		c.w.Add(s)
+		c.w.Append(s)
 	}
 }
 
@@ -226,13 +229,13 @@
 		if len(c.marks) >= mostWaits { // a later use that is known tells of this one too
 			c.marks = c.marks[1:]
 		}
-		c.marks = append(c.marks, mark{number, c.w.Add(usagereplica.Step{Use: u})})
+		c.marks = append(c.marks, mark{number, c.w.Append(usagereplica.Operation{Use: u})})
 	}
 }
 
 func (c *copied) sealed(s *ledger.Statement, now int64) {
 	if c != nil {
-		c.seals[s.Seq] = c.w.Add(usagereplica.Step{Seal: s.Digest(), At: now})
+		c.seals[s.Seq] = c.w.Append(usagereplica.Operation{Seal: s.Digest(), At: now})
 	}
 }
 
@@ -240,7 +243,7 @@
 // settled. Else one that was taken away at once would stand in the place of theirs, and what they
 // know beyond it would be in none.
 func (c *copied) mayTell(s *ledger.Statement) bool {
-	return c == nil || c.seals[s.Seq] <= c.w.Kept()
+	return c == nil || c.seals[s.Seq] <= c.w.ReplicatedSeq()
 }
 
 // once calls done when all that was counted is known to others.
@@ -249,7 +252,7 @@
 		done(nil)
 		return
 	}
-	c.waits = append(c.waits, wait{c.w.Last(), late, done})
+	c.waits = append(c.waits, wait{c.w.LastSeq(), late, done})
 }
 
 // tell has others told, and those who wait for it.
@@ -261,21 +264,21 @@
 	now := m.mono()
 	in, _, at := m.post.take()
 	if at.table != nil {
-		c.w.Table(at.table, now)
+		c.w.SetTable(at.table, now)
 	}
 	for i := range in {
-		c.w.Hear(&in[i], now)
+		c.w.Receive(&in[i], now)
 	}
 	if c.w.Flush(now); tick {
 		c.w.Tick(now)
 		m.mu.Lock()
-		m.stands.Heirs, m.stands.Told = c.w.Heirs(), c.w.Whole()
+		m.stands.Heirs, m.stands.Told = c.w.Lag(), c.w.FullyReplicated()
 		m.mu.Unlock()
 	}
-	if out := c.w.Out(); len(out) > 0 {
+	if out := c.w.TakeMessages(); len(out) > 0 {
 		m.join.Send(out)
 	}
-	kept := c.w.Kept()
+	kept := c.w.ReplicatedSeq()
 	use := c.told
 	for len(c.marks) > 0 && c.marks[0].step <= kept {
 		use, c.marks = c.marks[0].use, c.marks[1:]
@@ -300,8 +303,8 @@
 
 // others is what is known of other runners' accounts.
 type others struct {
-	heir  *usagereplica.Heir
-	shelf *usagereplica.Shelf
+	heir  *usagereplica.Replica
+	shelf *usagereplica.StatementStore
 }
 
 // know plays the accounts of others. Their statements are written and read by a goroutine of its
@@ -332,24 +335,24 @@
 			o.heir.Tick(m.mono())
 			o.shelf.Tick(m.mono())
 			m.mu.Lock()
-			m.stands.Known, m.stands.Ending, m.stands.Short = o.heir.Known(), o.heir.Ends(), o.shelf.Short()
+			m.stands.Known, m.stands.Ending, m.stands.Short = o.heir.Len(), o.heir.PendingEnds(), o.shelf.Unreplicated()
 			m.mu.Unlock()
 		case then := <-back:
 			then()
 		case <-m.estate.kick:
 			in, own, at := m.estate.take()
 			for _, name := range own {
-				o.shelf.Own(name)
+				o.shelf.AddOwn(name)
 			}
 			if at.table != nil {
-				o.heir.Table(at.table, at.life, m.mono())
-				o.shelf.Table(at.table, at.life)
+				o.heir.SetTable(at.table, at.life, m.mono())
+				o.shelf.SetTable(at.table, at.life)
 			}
 			for i := range in {
 				m.hearOf(o, &in[i], work)
 			}
 		}
-		for _, p := range o.heir.Told() {
+		for _, p := range o.heir.TakeStatements() {
 			job := func() func() { return m.lay(o, &p) }
 			select {
 			case work <- job:
@@ -357,10 +360,10 @@
 				evDiffers.Log(errBacklog)
 			}
 		}
-		for _, err := range o.heir.Errs() {
+		for _, err := range o.heir.TakeErrors() {
 			evDiffers.Log(err)
 		}
-		if out := append(o.heir.Out(), o.shelf.Out()...); len(out) > 0 {
+		if out := append(o.heir.TakeMessages(), o.shelf.TakeMessages()...); len(out) > 0 {
 			m.join.Send(out)
 		}
 		if end {
@@ -377,8 +380,8 @@
 // hearOf takes a message about an account of another runner.
 func (m *Meter) hearOf(o *others, x *usagereplica.Message, work chan func() func()) {
 	switch x.Kind {
-	case usagereplica.Past, usagereplica.Had, usagereplica.Want:
-		name := o.shelf.Hear(x)
+	case usagereplica.MsgStatement, usagereplica.MsgStatementStored, usagereplica.MsgStatementWanted:
+		name := o.shelf.Receive(x)
 		if name != "" {
 			select {
 			case work <- func() func() {
@@ -386,22 +389,22 @@
 				if err != nil && !errors.Is(err, fs.ErrNotExist) { // it is asked for again
 					return func() {}
 				}
-				return func() { o.shelf.Give(x.From, name, b) }
+				return func() { o.shelf.Send(x.From, name, b) }
 			}:
 			default: // it is asked for again
 			}
 		}
 		if len(x.Bytes) > 0 {
-			o.heir.Hear(x)
+			o.heir.Receive(x)
 		}
 	default:
-		o.heir.Hear(x)
+		o.heir.Receive(x)
 	}
 }
 
 // lay writes a statement of another runner's account, if it does not lie there. It gives what is to
 // be done about it.
-func (m *Meter) lay(o *others, p *usagereplica.Paper) func() {
+func (m *Meter) lay(o *others, p *usagereplica.OwnedStatement) func() {
 	name := p.Name()
 	b, err := m.dir.Read(name)
 	switch {
@@ -414,7 +417,7 @@
 			err = errors.Join(m.dir.Rename(name+partMark, name), m.dir.SyncDir())
 		}
 		if err == nil {
-			evHeld.Log(name, p.Of)
+			evHeld.Log(name, p.Owner)
 		}
 	}
 	return func() {
@@ -422,6 +425,6 @@
 			evDiffers.Log(err)
 			return
 		}
-		o.shelf.Of(p)
+		o.shelf.AddReplicated(p)
 	}
 }
