--- a/cmd/simulator/lists.go
+++ b/cmd/simulator/lists.go
@@ -48,7 +48,7 @@
 
 // Run lists the module's figures.
 func (c *figuresCmd) Run(l *lab) error {
-	f := admission.StandardFigures()
+	f := admission.DefaultParameters()
 	if c.JSON {
 		values := map[string]float64{}
 		for _, g := range f.All() {
@@ -60,7 +60,7 @@
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"figure", "value", "least", "most"})
 	for _, g := range f.All() {
-		t.AppendRow(table.Row{g.Name, *g.Value, g.Least, g.Most})
+		t.AppendRow(table.Row{g.Name, *g.Value, g.Min, g.Max})
 	}
 	fmt.Fprintln(l.out, t.Render())
 	return nil
--- a/internal/admission/classes_test.go
+++ b/internal/admission/classes_test.go
@@ -10,11 +10,11 @@
 
 func TestSettingsAfter(t *testing.T) {
 	safe := func(name string, target time.Duration) Class {
-		return Class{Name: name, Target: target, Deadline: 3 * time.Second, Worth: 1}
+		return Class{Name: name, LatencyObjective: target, Timeout: 3 * time.Second, PriorityWeight: 1}
 	}
-	keyed := Class{Name: "a", Target: time.Second, Deadline: time.Second, Effect: Keyed, Window: time.Second}
+	keyed := Class{Name: "a", LatencyObjective: time.Second, Timeout: time.Second, Idempotency: IdempotentWithKey, IdempotencyWindow: time.Second}
 	dropped := func(c Class) Class {
-		c.Dropped = true
+		c.Removed = true
 		return c
 	}
 	a, b, c := safe("a", 1), safe("b", 1), safe("c", 1)
@@ -30,36 +30,36 @@
 		"of the first effect, later":   {[]Class{dropped(a), keyed}, []Class{a}, []Class{a, dropped(keyed)}},
 		"dropped before stays dropped": {[]Class{dropped(a), b}, []Class{b}, []Class{dropped(a), b}},
 	} {
-		got, err := Settings{Classes: x.is}.After(Settings{Classes: x.was})
+		got, err := Settings{Classes: x.is}.MergeClasses(Settings{Classes: x.was})
 		if diff := cmp.Diff(x.want, got.Classes); err != nil || diff != "" {
 			t.Errorf("%s: %v (-want +got)\n%s", name, err, diff)
 		}
 	}
-	if _, err := (Settings{Classes: []Class{a, b, a}}).After(Settings{}); err == nil ||
+	if _, err := (Settings{Classes: []Class{a, b, a}}).MergeClasses(Settings{}); err == nil ||
 		!strings.Contains(err.Error(), "second class a") {
 		t.Errorf("a class that is there twice: %v", err)
 	}
 	was := Settings{}
-	for i := range MostClasses {
+	for i := range MaxClasses {
 		was.Classes = append(was.Classes, safe(strings.Repeat("x", i+1), 1))
 	}
-	if _, err := (Settings{Classes: []Class{a}}).After(was); err == nil {
-		t.Errorf("more than %d places are given out", MostClasses)
+	if _, err := (Settings{Classes: []Class{a}}).MergeClasses(was); err == nil {
+		t.Errorf("more than %d places are given out", MaxClasses)
 	}
 }
 
 // What is held, runs and is known of classes goes on where places are added and dropped.
 func TestClassesChangeWhileRequestsAreOpen(t *testing.T) {
 	s := Settings{
-		Cores:      1,
-		MemoryKB:   50_000,
-		RunFactor:  8,
-		KeyKB:      100,
-		CrowdLimit: 6,
-		ColdShare:  0.2,
-		Servers:    1,
-		IdleFor:    time.Second,
-		Classes:    []Class{{Name: "old", Target: time.Second, Deadline: 3 * time.Second, Worth: 1}},
+		Cores:                 1,
+		MemoryKB:              50_000,
+		RunningMemoryFactor:   8,
+		KeyMemoryKB:           100,
+		MaxRunningPerCore:     6,
+		WarmUpInitialShare:    0.2,
+		Servers:               1,
+		IdleConnectionTimeout: time.Second,
+		Classes:               []Class{{Name: "old", LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1}},
 	}
 	c, err := New(s, 1)
 	if err != nil {
@@ -84,9 +84,9 @@
 		t.Fatalf("one core runs one: %s", diff)
 	}
 	next := s
-	next.Classes = []Class{{Name: "new", Target: time.Second, Deadline: 2 * time.Second, Worth: 1}}
+	next.Classes = []Class{{Name: "new", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1}}
 	for range 2 { // in quick succession
-		if next, err = next.After(c.set); err == nil {
+		if next, err = next.MergeClasses(c.set); err == nil {
 			err = c.Configure(next)
 		}
 		if err != nil {
@@ -97,11 +97,11 @@
 		now+time.Millisecond,
 		[]Event{
 			{Kind: EventRequest, Request: 3, Class: 1, SizeKB: 1},
-			{Kind: EventDone, Request: 1, Outcome: OK},
+			{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK},
 		},
 		nil,
 	)
-	out = c.Handle(now+2*time.Millisecond, []Event{{Kind: EventDone, Request: 2, Outcome: OK}}, out)
+	out = c.Handle(now+2*time.Millisecond, []Event{{Kind: EventCompleted, Request: 2, Outcome: OutcomeOK}}, out)
 	if diff := cmp.Diff([]uint64{2, 3}, began(out)); diff != "" {
 		t.Errorf("what was held of the dropped class runs, and then the new one: %s", diff)
 	}
--- a/internal/admission/contract_test.go
+++ b/internal/admission/contract_test.go
@@ -14,31 +14,31 @@
 	return Settings{
 		Classes: []Class{
 			{
-				Name:      "read",
-				Target:    time.Second,
-				Deadline:  3 * time.Second,
-				Worth:     1,
-				Calls:     true,
-				OmitWorth: 0.5,
+				Name:                   "read",
+				LatencyObjective:       time.Second,
+				Timeout:                3 * time.Second,
+				PriorityWeight:         1,
+				CallsDependency:        true,
+				DegradedWeightFraction: 0.5,
 			},
-			{Name: "keyed", Target: time.Second, Deadline: 3 * time.Second, Worth: 3, Effect: Keyed,
-				Window: 5 * time.Second, Calls: true},
+			{Name: "keyed", LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 3, Idempotency: IdempotentWithKey,
+				IdempotencyWindow: 5 * time.Second, CallsDependency: true},
 			{
-				Name:      "unsafe",
-				Target:    time.Second,
-				Deadline:  2 * time.Second,
-				Worth:     4,
-				Effect:    Unsafe,
-				Calls:     true,
-				LateWorth: 0.2,
+				Name:               "unsafe",
+				LatencyObjective:   time.Second,
+				Timeout:            2 * time.Second,
+				PriorityWeight:     4,
+				Idempotency:        NonIdempotent,
+				CallsDependency:    true,
+				LateWeightFraction: 0.2,
 			},
 		},
 		Tenants: []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 5}},
-		Servers: 2, Callers: 3, Cores: 4, MemoryKB: 20000, RunFactor: 8, KeyKB: 20,
-		CreditMode: CreditAllowance, CreditLife: time.Second, Dependency: DependencyShared, CallsOut: 5,
-		CallsOver: 5 * time.Second, Linger: 200 * time.Millisecond, MaxStayAway: time.Second, ListFollows: true,
-		IdleFor: 30 * time.Second, Slack: 60 * time.Millisecond, DrainGrace: time.Second, CrowdLimit: 5,
-		CrowdOver: 2 * time.Second, ColdShare: 0.2, ColdFor: 10 * time.Second, TellsGone: true, MarksRetry: true,
+		Servers: 2, Callers: 3, Cores: 4, MemoryKB: 20000, RunningMemoryFactor: 8, KeyMemoryKB: 20,
+		CreditMode: CreditPerCaller, CreditLifetime: time.Second, Dependency: DependencyShared, CallQuota: 5,
+		CallQuotaWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond, MaxRetryAfter: time.Second, EndpointListFollowsHealth: true,
+		IdleConnectionTimeout: 30 * time.Second, DeadlineGrace: 60 * time.Millisecond, DrainGrace: time.Second, MaxRunningPerCore: 5,
+		MaxRunningWindow: 2 * time.Second, WarmUpInitialShare: 0.2, WarmUpTime: 10 * time.Second, ReportsAbandoned: true, MarksRetries: true,
 	}
 }
 
@@ -113,41 +113,41 @@
 	queued := time.Duration(k.rng.IntN(200)) * time.Millisecond
 	s := &seen{id: k.nextID, class: class, subject: uint64(k.rng.IntN(40)) + 1, arrived: k.now - queued,
 		size: 1 + 60*k.rng.Float64()}
-	wait := time.Duration(k.rng.Int64N(int64(k.set.Classes[class].Deadline)))
+	wait := time.Duration(k.rng.Int64N(int64(k.set.Classes[class].Timeout)))
 	s.due = s.arrived + wait
 	e := Event{
-		Kind:    EventRequest,
-		Request: s.id,
-		Class:   class,
-		Tenant:  k.rng.IntN(3),
-		Caller:  uint32(k.rng.IntN(max(k.set.Callers, 5))),
-		Due:     s.due,
-		SizeKB:  s.size,
-		Queued:  queued,
-		Retry:   k.rng.IntN(4) == 0,
-	}
-	if !k.set.TellsGone { // such a server is told no deadline either
-		e.Due, s.due = 0, s.arrived+k.set.Classes[class].Deadline
+		Kind:          EventRequest,
+		Request:       s.id,
+		Class:         class,
+		Tenant:        k.rng.IntN(3),
+		Caller:        uint32(k.rng.IntN(max(k.set.Callers, 5))),
+		Deadline:      s.due,
+		SizeKB:        s.size,
+		QueueingDelay: queued,
+		Retry:         k.rng.IntN(4) == 0,
+	}
+	if !k.set.ReportsAbandoned { // such a server is told no deadline either
+		e.Deadline, s.due = 0, s.arrived+k.set.Classes[class].Timeout
 	}
 	s.due = max(s.due, k.now)
 	switch k.rng.IntN(12) {
 	case 0:
-		e.Hint = time.Duration(k.rng.Int64())
+		e.ExpectedWork = time.Duration(k.rng.Int64())
 	case 1, 2, 3:
-		e.Hint = time.Duration(k.rng.IntN(500)) * time.Millisecond
+		e.ExpectedWork = time.Duration(k.rng.IntN(500)) * time.Millisecond
 	}
-	if k.set.Classes[class].Effect == Safe && k.set.FreshFor > 0 {
+	if k.set.Classes[class].Idempotency == Idempotent && k.set.ResultMaxAge > 0 {
 		s.subject = 1000 + uint64(k.rng.IntN(10)) // few subjects, popular ones
 		e.Key, s.prior = s.subject, k.kept[s.subject]
 		if o := k.all[s.prior]; o != nil && k.keptEnd[s.subject] >= s.arrived && k.mayShare(o) {
-			e.Prior = s.prior
+			e.PriorRequest = s.prior
 		}
 	}
-	if k.set.Classes[class].Effect == Keyed {
+	if k.set.Classes[class].Idempotency == IdempotentWithKey {
 		if prior, ok := k.kept[s.subject]; ok && k.keptEnd[s.subject] >= s.arrived {
-			e.Prior = prior
+			e.PriorRequest = prior
 		} else if first, ok := k.fresh[s.subject]; ok {
-			e.Prior = first
+			e.PriorRequest = first
 		} else {
 			k.fresh[s.subject] = s.id
 		}
@@ -159,7 +159,7 @@
 
 // mayShare reports whether the result of a kept read can be had, now or later.
 func (k *checker) mayShare(o *seen) bool {
-	return !o.finished || o.endedOK && k.now <= o.ended+k.set.FreshFor
+	return !o.finished || o.endedOK && k.now <= o.ended+k.set.ResultMaxAge
 }
 
 // step moves the time by one tick and plays a batch.
@@ -218,48 +218,48 @@
 		return e, false
 	}
 	end := func(o Outcome) (Event, bool) {
-		s.finished, s.endedOK, s.ended = true, o == OK && s.state == running, k.now
-		if (o == OK || o == Failed) && !s.gone && !s.answered {
+		s.finished, s.endedOK, s.ended = true, o == OutcomeOK && s.state == running, k.now
+		if (o == OutcomeOK || o == OutcomeFailed) && !s.gone && !s.answered {
 			k.answered(s, false)
 		}
-		e.Kind, e.Outcome = EventDone, o
+		e.Kind, e.Outcome = EventCompleted, o
 		return e, true
 	}
 	switch p := k.rng.IntN(1000); {
 	case s.state == running && s.halted:
-		return end(Cancelled)
+		return end(OutcomeCancelled)
 	case s.state == running && s.answered && p < 100, s.state == blocked && (s.answered || s.gone):
-		return end(Cancelled)
+		return end(OutcomeCancelled)
 	case s.state == running && p < 10:
-		return end(OK)
+		return end(OutcomeOK)
 	case s.state == running && p < 12:
-		return end(Failed)
+		return end(OutcomeFailed)
 	case s.state == running && !s.called && p < 40 && !s.answered:
 		s.state, s.callUnproven = blocked, false
 		e.Kind = EventBlocked
 		return e, true
 	case s.state == reusing && p < 30:
-		return end([]Outcome{OK, OK, Failed}[k.rng.IntN(3)])
+		return end([]Outcome{OutcomeOK, OutcomeOK, OutcomeFailed}[k.rng.IntN(3)])
 	case s.state == calling && p < 60:
-		e.Kind, e.Outcome = EventCalled, []Outcome{OK, OK, OK, Failed, Full, TimedOut, Unreachable, Broken}[k.rng.IntN(8)]
+		e.Kind, e.Outcome = EventCallCompleted, []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeConnectionLost}[k.rng.IntN(8)]
 		e.Elapsed = time.Duration(k.rng.IntN(100)) * time.Millisecond
 		s.state = blocked
-		if e.Outcome == OK {
+		if e.Outcome == OutcomeOK {
 			s.state, s.called = running, true
 		}
-		if e.Outcome == TimedOut { // what broke was dropped by the dependency itself
-			k.linger = append(k.linger, k.now+k.set.Linger)
+		if e.Outcome == OutcomeTimedOut { // what broke was dropped by the dependency itself
+			k.linger = append(k.linger, k.now+k.set.AbandonedCallTime)
 		}
-		s.callUnproven = e.Outcome == TimedOut || e.Outcome == Broken || e.Outcome == Failed
+		s.callUnproven = e.Outcome == OutcomeTimedOut || e.Outcome == OutcomeConnectionLost || e.Outcome == OutcomeFailed
 		return e, true
-	case p == 999 && !s.answered && !s.gone && k.set.TellsGone:
+	case p == 999 && !s.answered && !s.gone && k.set.ReportsAbandoned:
 		s.gone = true
-		e.Kind = EventGone
+		e.Kind = EventAbandoned
 		if s.state == held || s.state == reusing {
 			s.finished = true
 		} else if s.state == calling {
 			s.state = blocked
-			k.linger = append(k.linger, k.now+k.set.Linger)
+			k.linger = append(k.linger, k.now+k.set.AbandonedCallTime)
 		}
 		return e, true
 	}
@@ -270,10 +270,10 @@
 	if s.answered {
 		k.bad("lost: request %d answered twice", s.id)
 	}
-	if !s.gone && k.now > s.due+k.set.Slack {
+	if !s.gone && k.now > s.due+k.set.DeadlineGrace {
 		k.bad("lost: request %d answered %v after its due time", s.id, k.now-s.due)
 	}
-	if refuse && s.ran && k.set.Classes[s.class].Effect != Safe {
+	if refuse && s.ran && k.set.Classes[s.class].Idempotency != Idempotent {
 		k.bad("duplicate: request %d refused after it ran", s.id)
 	}
 	s.answered = true
@@ -295,9 +295,9 @@
 	s := k.all[a.Request]
 	switch a.Kind {
 	case ActionTimer:
-		k.timers = append(k.timers, k.now+a.For)
+		k.timers = append(k.timers, k.now+a.Duration)
 		return
-	case ActionHealth, ActionTrim, ActionLog:
+	case ActionSetHealth, ActionCloseIdle, ActionLog:
 		return
 	case ActionAdvertise:
 		if k.set.CreditMode == CreditNone || !(a.Value >= 0) || math.IsInf(a.Value, 0) {
@@ -318,72 +318,72 @@
 		if k.drainAt > 0 && s.arrived > k.drainAt+k.set.DrainGrace {
 			k.bad("drain: request %d started, %v too late", s.id, s.arrived-k.drainAt-k.set.DrainGrace)
 		}
-		if at, ok := k.ranKeys[s.subject]; ok && class.Effect == Keyed && s.arrived <= at+class.Window {
+		if at, ok := k.ranKeys[s.subject]; ok && class.Idempotency == IdempotentWithKey && s.arrived <= at+class.IdempotencyWindow {
 			k.bad("duplicate: key %d run again after %v", s.subject, s.arrived-at)
 		}
-		if class.Effect == Keyed {
+		if class.Idempotency == IdempotentWithKey {
 			if k.kept[s.subject] != s.id {
 				k.bad("duplicate: request %d started without being kept", s.id)
 			}
 			k.ranKeys[s.subject] = s.arrived
 		}
-		if s.ran && class.Effect != Safe {
+		if s.ran && class.Idempotency != Idempotent {
 			k.bad("duplicate: request %d started twice", s.id)
 		}
 		s.state, s.ran = running, true
-	case ActionRefuse, ActionFail:
+	case ActionReject, ActionFail:
 		if s.finished && s.answered || s.gone {
 			return
 		}
-		k.answered(s, a.Kind == ActionRefuse)
+		k.answered(s, a.Kind == ActionReject)
 		switch s.state {
 		case held, reusing:
 			s.finished = true
 		case calling:
-			k.linger = append(k.linger, k.now+k.set.Linger)
+			k.linger = append(k.linger, k.now+k.set.AbandonedCallTime)
 			s.state = blocked
 		}
-	case ActionHalt:
-		if k.set.Halt == HaltNone {
+	case ActionCancel:
+		if k.set.Cancel == CancelNone {
 			k.bad("fault: halt where nothing can be stopped")
 		}
 		s.halted = true
-	case ActionCall:
+	case ActionPlaceCall:
 		if s.state != blocked {
 			return
 		}
-		if s.callUnproven && class.Effect != Safe {
+		if s.callUnproven && class.Idempotency != Idempotent {
 			k.bad("duplicate: call of request %d repeated without proof", s.id)
 		}
-		if a.For <= 0 || k.now+a.For > s.due+k.set.Slack {
+		if a.Duration <= 0 || k.now+a.Duration > s.due+k.set.DeadlineGrace {
 			k.bad("lost: call of request %d outlives its due time", s.id)
 		}
 		s.state = calling
-	case ActionOmit:
-		if class.OmitWorth == 0 {
+	case ActionOmitCall:
+		if class.DegradedWeightFraction == 0 {
 			k.bad("fault: call of request %d omitted", s.id)
 		}
 		if s.state == blocked {
 			s.state, s.called = running, true
 		}
-	case ActionKeep:
-		k.kept[s.subject], k.keptEnd[s.subject] = s.id, k.now+a.For
-		if a.For < class.Window {
-			k.bad("duplicate: key %d kept for %v only", s.subject, a.For)
+	case ActionRememberKey:
+		k.kept[s.subject], k.keptEnd[s.subject] = s.id, k.now+a.Duration
+		if a.Duration < class.IdempotencyWindow {
+			k.bad("duplicate: key %d kept for %v only", s.subject, a.Duration)
 		}
-	case ActionForget:
+	case ActionForgetKey:
 		if k.kept[s.subject] == s.id {
-			if s.ran && class.Effect == Keyed {
+			if s.ran && class.Idempotency == IdempotentWithKey {
 				k.bad("duplicate: key %d forgotten after it ran", s.subject)
 			}
 			delete(k.kept, s.subject)
 		}
-	case ActionReuse:
+	case ActionReuseResult:
 		if s.state != held {
 			k.bad("fault: request %d reused in state %d", s.id, s.state)
 		}
-		if o := k.all[s.prior]; class.Effect == Safe &&
-			(o == nil || !o.endedOK || k.now > o.ended+k.set.FreshFor) {
+		if o := k.all[s.prior]; class.Idempotency == Idempotent &&
+			(o == nil || !o.endedOK || k.now > o.ended+k.set.ResultMaxAge) {
 			k.bad("lost: request %d is answered from a result that is not there", s.id)
 		}
 		k.reused++
@@ -401,20 +401,20 @@
 			switch s.state {
 			case held, reusing:
 				memory += s.size
-				if s.state == reusing && k.set.Classes[s.class].Effect == Safe {
+				if s.state == reusing && k.set.Classes[s.class].Idempotency == Idempotent {
 					cores++ // its result is there, so that it is on the cores
 				}
 			case running:
 				cores++
-				memory += s.size * k.set.RunFactor
+				memory += s.size * k.set.RunningMemoryFactor
 			default:
-				memory += s.size * k.set.RunFactor
+				memory += s.size * k.set.RunningMemoryFactor
 				if s.state == calling {
 					calls++
 				}
 			}
 		}
-		if !s.answered && !s.gone && k.now > s.due+k.set.Slack {
+		if !s.answered && !s.gone && k.now > s.due+k.set.DeadlineGrace {
 			k.bad("lost: request %d unanswered %v after its due time", s.id, k.now-s.due)
 			s.answered = true
 		}
@@ -426,7 +426,7 @@
 	k.live = live
 	for subject, end := range k.keptEnd {
 		if end >= k.now && k.kept[subject] != 0 {
-			memory += k.set.KeyKB
+			memory += k.set.KeyMemoryKB
 		}
 	}
 	for len(k.linger) > 0 && k.linger[0] <= k.now {
@@ -436,16 +436,16 @@
 		k.bad("fall-over: %.0f kB of %.0f", memory, k.set.MemoryKB)
 	}
 	share := 1.0
-	if k.set.Cold {
-		share = min(k.set.ColdShare+(1-k.set.ColdShare)*float64(k.now-time.Hour)/float64(k.set.ColdFor), 1)
+	if k.set.WarmingUp {
+		share = min(k.set.WarmUpInitialShare+(1-k.set.WarmUpInitialShare)*float64(k.now-time.Hour)/float64(k.set.WarmUpTime), 1)
 	}
-	if limit := float64(k.set.Cores) * (1 + (k.set.CrowdLimit-1)*share); float64(cores) > limit {
+	if limit := float64(k.set.Cores) * (1 + (k.set.MaxRunningPerCore-1)*share); float64(cores) > limit {
 		k.bad("fall-over: %d on the cores, %.1f is the limit", cores, limit)
 	}
-	if k.set.Dependency == DependencyShared && float64(calls+len(k.linger)) > max(k.set.CallsOut, 1) &&
+	if k.set.Dependency == DependencyShared && float64(calls+len(k.linger)) > max(k.set.CallQuota, 1) &&
 		calls > 0 &&
-		float64(calls) > k.set.CallsOut {
-		k.bad("fall-over: %d calls in hand of %.1f", calls, k.set.CallsOut)
+		float64(calls) > k.set.CallQuota {
+		k.bad("fall-over: %d calls in hand of %.1f", calls, k.set.CallQuota)
 	}
 }
 
@@ -458,7 +458,7 @@
 		k.step(70)
 	}
 	k.drainAt, k.stopAt = k.now, k.now+3*time.Second
-	k.play([]Event{{Kind: EventDrain, Due: k.stopAt}})
+	k.play([]Event{{Kind: EventDrain, Deadline: k.stopAt}})
 	for k.now < k.stopAt {
 		k.step(40)
 		if k.now > k.stopAt-100*time.Millisecond {
@@ -471,25 +471,25 @@
 func variants() map[string]func(*Settings) {
 	return map[string]func(*Settings){
 		"plain":       func(*Settings) {},
-		"cold":        func(s *Settings) { s.Cold = true },
-		"discard":     func(s *Settings) { s.Halt = HaltDiscard },
-		"freeze":      func(s *Settings) { s.Halt = HaltFreeze },
+		"cold":        func(s *Settings) { s.WarmingUp = true },
+		"discard":     func(s *Settings) { s.Cancel = CancelDiscard },
+		"freeze":      func(s *Settings) { s.Cancel = CancelSuspend },
 		"silent":      func(s *Settings) { s.CreditMode = CreditNone },
-		"level":       func(s *Settings) { s.CreditMode = CreditLevel },
+		"level":       func(s *Settings) { s.CreditMode = CreditRankThreshold },
 		"weight":      func(s *Settings) { s.CreditMode = CreditWeight },
 		"no tenants":  func(s *Settings) { s.Tenants = nil },
 		"no calls":    func(s *Settings) { s.Dependency = DependencyNone },
-		"tier":        func(s *Settings) { s.Dependency = DependencyTier; s.CallsOut = 0 },
-		"fresh reads": func(s *Settings) { s.FreshFor = time.Second },
+		"tier":        func(s *Settings) { s.Dependency = DependencyTier; s.CallQuota = 0 },
+		"fresh reads": func(s *Settings) { s.ResultMaxAge = time.Second },
 		"fresh reads, short memory": func(s *Settings) {
-			s.FreshFor, s.MemoryKB, s.KeyKB, s.Cold, s.Halt = time.Second, 6000, 100, true, HaltFreeze
+			s.ResultMaxAge, s.MemoryKB, s.KeyMemoryKB, s.WarmingUp, s.Cancel = time.Second, 6000, 100, true, CancelSuspend
 		},
-		"no told deadline": func(s *Settings) { s.TellsGone = false; s.Halt = HaltNone },
+		"no told deadline": func(s *Settings) { s.ReportsAbandoned = false; s.Cancel = CancelNone },
 		"small":            func(s *Settings) { s.MemoryKB = 3000; s.Cores = 1 },
 		"many callers": func(s *Settings) {
-			s.Cores, s.Callers, s.Servers, s.CallsOut = 2, 1000, 300, 0.4
+			s.Cores, s.Callers, s.Servers, s.CallQuota = 2, 1000, 300, 0.4
 		},
-		"no advice": func(s *Settings) { s.MaxStayAway = 0; s.MarksRetry = false },
+		"no advice": func(s *Settings) { s.MaxRetryAfter = 0; s.MarksRetries = false },
 	}
 }
 
@@ -511,7 +511,7 @@
 						started++
 					}
 				}
-				if s.FreshFor > 0 && k.reused < 20 {
+				if s.ResultMaxAge > 0 && k.reused < 20 {
 					t.Fatalf("seed %d: only %d reads shared a run", seed, k.reused)
 				}
 				if started < 20 {
@@ -540,18 +540,18 @@
 		mutate func(*checker, []Action) []Action
 	}{
 		"answers dropped": {"lost", drop(ActionFail)},
-		"keys not kept":   {"duplicate", drop(ActionKeep)},
+		"keys not kept":   {"duplicate", drop(ActionRememberKey)},
 		"refused after it ran": {"duplicate", func(_ *checker, out []Action) []Action {
 			for i := range out {
 				if out[i].Kind == ActionFail {
-					out[i].Kind = ActionRefuse
+					out[i].Kind = ActionReject
 				}
 			}
 			return out
 		}},
 		"late start": {"drain", func(k *checker, out []Action) []Action {
 			for i := range out {
-				if k.drainAt > 0 && out[i].Kind == ActionRefuse {
+				if k.drainAt > 0 && out[i].Kind == ActionReject {
 					out[i].Kind = ActionStart
 				}
 			}
@@ -568,7 +568,7 @@
 		"calls past the share": {"fall-over", func(k *checker, out []Action) []Action {
 			for _, s := range k.live {
 				if s.state == blocked && !s.answered && !s.callUnproven {
-					out = append(out, Action{Kind: ActionCall, Request: s.id, For: time.Millisecond})
+					out = append(out, Action{Kind: ActionPlaceCall, Request: s.id, Duration: time.Millisecond})
 				}
 			}
 			return out
@@ -577,7 +577,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.CallsOut = 2 // so few that calls past it are soon made
+			s.CallQuota = 2 // so few that calls past it are soon made
 			k := newChecker(t, s, 1)
 			k.mutate = c.mutate
 			k.day()
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -14,48 +14,48 @@
 
 // What the module goes by unless it is told otherwise: unit, origin (paper, design page; all others
 // are ours) and reason. The bounds stand in figures.go.
-var standardFigures = Figures{
-	Alpha: 0.001, // credits per caller and period; paper: additive growth, at least 1
+var defaultParameters = Parameters{
+	AdditiveIncrease: 0.001, // credits per caller and period; paper: additive growth, at least 1
 	// of the excess; paper: 0.02 each network round trip, but a period is far longer
-	Beta:        0.5,
-	CutFloor:    0.5, // of the pool; paper: no cut takes more than half
-	TargetShare: 0.4, // of the aim left beside the run; paper: 40% of the objective
+	MultiplicativeDecrease: 0.5,
+	MinCutFactor:           0.5, // of the pool; paper: no cut takes more than half
+	DelayTargetShare:       0.4, // of the aim left beside the run; paper: 40% of the objective
 	// the same while nothing is turned away: others have room, an early cut leads there
-	TargetLeast: 0.3,
-	RefuseAt:    2.0, // delay targets; paper: refusal past it
-	BusyCPU:     0.9, // cpu gauge; design page: cut and refuse only above it
-	PoolFloor:   1.0, // credits: a trickle that shows when a server has recovered
-	RetryShare:  0.5, // of the target: what a marked further try gets of it
+	MinDelayTargetShare: 0.3,
+	RejectDelayFactor:   2.0, // delay targets; paper: refusal past it
+	BusyCPU:             0.9, // cpu gauge; design page: cut and refuse only above it
+	MinCredit:           1.0, // credits: a trickle that shows when a server has recovered
+	RetryTargetShare:    0.5, // of the target: what a marked further try gets of it
 	// of arrivals: so many further tries are a storm, and get nothing of the target
-	StormShare: 0.25,
+	RetryStormShare: 0.25,
 	// of arrivals: with fewer further tries others serve; with more a walk is in vain
-	FewShare: 0.05,
+	FewRetriesShare: 0.05,
 	// expected runs: past it, under overload, stoppable work gives way to what waits
-	OverRun: 3.0,
+	OverrunFactor: 3.0,
 	// expected runs: time for a start that cannot be stopped; one for one that can
-	HopeShare:   1.5,
-	CrowdShare:  0.8, // of the crowd that the server outlives: room for what comes back at once
-	MemoryShare: 0.9, // of the memory: runs start and keys are kept below it
+	StartMarginFactor: 1.5,
+	RunningLimitShare: 0.8, // of the crowd that the server outlives: room for what comes back at once
+	RunMemoryShare:    0.9, // of the memory: runs start and keys are kept below it
 	// of the memory: arrivals are refused past it; the rest is for what is read unasked
-	HoldShare: 0.95,
+	QueueMemoryShare: 0.95,
 	// of the stated share of the dependency: the most that is spent steadily on calls
-	CallShare: 0.8,
+	CallQuotaShare: 0.8,
 	// of it: the least, however small; the rest is saved up for calls that take long
-	CallLeast:  0.2,
-	CallSlow:   2.5,   // best mean times of a call: past it the dependency is crowded
-	CallCut:    0.9,   // a period: how fast a crowded dependency is given room
-	CallForget: 1.003, // a call: how fast the best mean is forgotten
-	CallLate:   1e-6,  // of worth, for each second left: the order of requests that are late
+	MinCallQuotaShare:  0.2,
+	SlowCallFactor:     2.5,   // best mean times of a call: past it the dependency is crowded
+	CallLimitDecrease:  0.9,   // a period: how fast a crowded dependency is given room
+	BestCallTimeGrowth: 1.003, // a call: how fast the best mean is forgotten
+	LateCallWeight:     1e-6,  // of worth, for each second left: the order of requests that are late
 	// of the aim: what would stand in line for a call for longer is refused at reading
-	CallAhead: 0.07,
+	CallQueueShare: 0.07,
 	// credits for each core: the least while calls stand in line and the cores are free
-	IdlePool:  3.0,
-	CallSlots: 0.2,  // of the stated share: what the dependency works on at once
-	SayStep:   0.02, // of the value last sent: smaller moves are not sent
+	IdleCreditPerCore: 3.0,
+	MinCallLimitShare: 0.2,  // of the stated share: what the dependency works on at once
+	AdvertiseStep:     0.02, // of the value last sent: smaller moves are not sent
 }
 
-// StandardFigures are those that are built in.
-func StandardFigures() Figures { return standardFigures }
+// DefaultParameters are those that are built in.
+func DefaultParameters() Parameters { return defaultParameters }
 
 // What is built in.
 const (
@@ -134,7 +134,7 @@
 // goroutine.
 type Controller struct {
 	set            Settings
-	fig            Figures
+	fig            Parameters
 	requests       map[uint64]*request
 	holds          []hold
 	busy           []*request                  // running, at a call, joined or reusing
@@ -171,27 +171,27 @@
 // New returns a controller for a server that starts now. It reports a setting that it cannot do
 // without.
 func New(s Settings, _ uint64) (*Controller, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	aim, over := 0.0, s.CallsOver.Seconds()
+	aim, over := 0.0, s.CallQuotaWindow.Seconds()
 	for _, c := range s.Classes {
-		if !c.Dropped {
-			aim = max(aim, c.Target.Seconds())
+		if !c.Removed {
+			aim = max(aim, c.LatencyObjective.Seconds())
 		}
 	}
 	c := &Controller{set: s, requests: map[uint64]*request{}, fresh: map[uint64]*request{},
 		holds: make([]hold, len(s.Classes)), buckets: make([]float64, len(s.Tenants)), said: -1}
 	var err error
-	if c.fig, err = s.Figures.or(standardFigures); err != nil {
+	if c.fig, err = s.Parameters.or(defaultParameters); err != nil {
 		return nil, err
 	}
 	for i := range c.buckets {
 		c.buckets[i] = c.quota(i) * quotaBurst.Seconds()
 	}
 	c.pool = float64(s.Cores)
-	c.callMost = max(min(s.CallsOut-aim/over, c.fig.CallShare*s.CallsOut), c.fig.CallLeast*s.CallsOut)
-	c.callStock = (s.CallsOut - c.callMost) / 2 * over // as much again may be overdrawn
+	c.callMost = max(min(s.CallQuota-aim/over, c.fig.CallQuotaShare*s.CallQuota), c.fig.MinCallQuotaShare*s.CallQuota)
+	c.callStock = (s.CallQuota - c.callMost) / 2 * over // as much again may be overdrawn
 	c.callLimit = max(c.callMost, 1)
 	return c, nil
 }
@@ -220,27 +220,27 @@
 	if err != nil {
 		return err
 	}
-	same := func(a, b Class) bool { return a.Name == b.Name && a.Effect == b.Effect }
+	same := func(a, b Class) bool { return a.Name == b.Name && a.Idempotency == b.Idempotency }
 	named := func(a, b Tenant) bool { return a.Name == b.Name }
 	n := len(c.holds)
 	if len(s.Classes) < n || !slices.EqualFunc(s.Classes[:n], c.set.Classes, same) ||
 		!slices.EqualFunc(s.Tenants, c.set.Tenants, named) || s.Cores != c.set.Cores ||
-		s.KeyKB != c.set.KeyKB || s.RunFactor != c.set.RunFactor ||
+		s.KeyMemoryKB != c.set.KeyMemoryKB || s.RunningMemoryFactor != c.set.RunningMemoryFactor ||
 		s.CreditMode != c.set.CreditMode || s.Dependency != c.set.Dependency {
 		return fmt.Errorf("admission: other classes, tenants, cores or another way of working need a restart")
 	}
 	c.holds = append(c.holds, make([]hold, len(s.Classes)-n)...)
-	s.Cold = c.set.Cold // it tells of the start
+	s.WarmingUp = c.set.WarmingUp // it tells of the start
 	c.set, c.fig, c.callMost, c.callStock = s, fresh.fig, fresh.callMost, fresh.callStock
 	return nil
 }
 
 func (c *Controller) begin() {
 	c.begun, c.born, c.periodAt, c.returns = true, c.now, c.now, 1
-	c.act(Action{Kind: ActionHealth, Stored: true, Good: true})
+	c.act(Action{Kind: ActionSetHealth, Static: true, Healthy: true})
 	c.trim(1)
 	c.advertise()
-	c.act(Action{Kind: ActionTimer, For: tick})
+	c.act(Action{Kind: ActionTimer, Duration: tick})
 }
 
 func (c *Controller) act(a Action) { c.out = append(c.out, a) }
@@ -256,7 +256,7 @@
 	case e.Kind == EventDrain:
 		c.drain(e)
 	case r == nil:
-	case e.Kind == EventDone:
+	case e.Kind == EventCompleted:
 		c.done(r, e)
 	case e.Kind == EventBlocked:
 		if r.state == running {
@@ -266,9 +266,9 @@
 			r.state, r.tries, r.callAt = blocked, 0, c.now
 			c.callLine = append(c.callLine, r)
 		}
-	case e.Kind == EventCalled:
+	case e.Kind == EventCallCompleted:
 		c.called(r, e)
-	case e.Kind == EventGone:
+	case e.Kind == EventAbandoned:
 		c.release(r)
 	}
 }
@@ -280,7 +280,7 @@
 	}
 	c.heard(e.Caller)
 	c.readNow, c.readAll = c.readNow+1, c.readAll+1
-	r := &request{id: e.Request, hint: e.Hint, arrived: c.now - max(e.Queued, 0)}
+	r := &request{id: e.Request, hint: e.ExpectedWork, arrived: c.now - max(e.QueueingDelay, 0)}
 	if r.sizeKB = e.SizeKB; !(r.sizeKB > 0) || math.IsInf(r.sizeKB, 0) {
 		r.sizeKB = 0
 	}
@@ -288,30 +288,30 @@
 	c.memoryKB += r.sizeKB
 	c.unread += learn * (float64(c.now-r.arrived) - c.unread)
 	if r.due = c.now; e.Class >= 0 && e.Class < len(c.holds) { // one of no class is shut out below
-		r.class, r.due = e.Class, e.Due
+		r.class, r.due = e.Class, e.Deadline
 	}
 	class := &c.set.Classes[r.class]
 	if r.due <= 0 {
-		r.due = r.arrived + class.Deadline
+		r.due = r.arrived + class.Timeout
 	}
 	age := c.age(r.class, r.due-r.arrived)
-	r.walked = e.Retry || !c.set.MarksRetry && age > 0
-	r.aim = r.arrived + class.Target + time.Duration(class.AimStretch*float64(r.hint))
+	r.walked = e.Retry || !c.set.MarksRetries && age > 0
+	r.aim = r.arrived + class.LatencyObjective + time.Duration(class.ObjectiveWorkFactor*float64(r.hint))
 	if r.walked {
 		r.aim -= age
 	}
 	r.aim = min(r.aim, r.due)
 	c.push(r)
 	// what it repeats may have run: never started nor refused
-	r.ran = e.Prior != 0 && class.Effect == Keyed
-	shut := c.late(r) || c.memoryKB > c.fig.HoldShare*c.set.MemoryKB || r.due <= c.now+guardTime
-	r.read = class.Effect == Safe && e.Key != 0 && !e.Write && c.set.FreshFor > 0
+	r.ran = e.PriorRequest != 0 && class.Idempotency == IdempotentWithKey
+	shut := c.late(r) || c.memoryKB > c.fig.QueueMemoryShare*c.set.MemoryKB || r.due <= c.now+guardTime
+	r.read = class.Idempotency == Idempotent && e.Key != 0 && !e.Write && c.set.ResultMaxAge > 0
 	switch {
 	case shut:
 		c.refuse(r, 0, false, c.shutOut(r))
 	case r.ran:
 		c.reuse(r)
-	case !(r.read && c.join(r, e.Prior)):
+	case !(r.read && c.join(r, e.PriorRequest)):
 		c.admit(r, e)
 	}
 }
@@ -320,11 +320,11 @@
 func (c *Controller) shutOut(r *request) Action {
 	switch {
 	case c.late(r):
-		return why(CauseDrain, (r.arrived - c.drainAt).Seconds(), c.set.DrainGrace.Seconds())
-	case c.memoryKB > c.fig.HoldShare*c.set.MemoryKB:
-		return why(CauseMemory, c.memoryKB, c.fig.HoldShare*c.set.MemoryKB)
+		return why(CauseDraining, (r.arrived - c.drainAt).Seconds(), c.set.DrainGrace.Seconds())
+	case c.memoryKB > c.fig.QueueMemoryShare*c.set.MemoryKB:
+		return why(CauseMemory, c.memoryKB, c.fig.QueueMemoryShare*c.set.MemoryKB)
 	}
-	return why(CauseNoTime, (r.due - c.now).Seconds(), guardTime.Seconds())
+	return why(CauseDeadlineTooNear, (r.due - c.now).Seconds(), guardTime.Seconds())
 }
 
 // late reports whether r came after the drain's grace, so that it must not start; a repeat does not
@@ -343,22 +343,22 @@
 		c.further += furtherLearn
 	}
 	if e.Retry { // it may have failed for being long, and a storm must not crowd out first tries
-		target = time.Duration(c.fig.RetryShare * max(1-c.further/c.fig.StormShare, 0) * float64(target))
+		target = time.Duration(c.fig.RetryTargetShare * max(1-c.further/c.fig.RetryStormShare, 0) * float64(target))
 	}
 	switch {
 	// The dependency is the same wherever a caller walks to. What needs none of it is to come all
 	// the same.
-	case class.Calls && !(c.cpu > c.fig.BusyCPU) &&
-		float64(c.ahead(r.class)) > c.fig.CallAhead*float64(class.Target):
-		w := why(CauseCall, c.ahead(r.class).Seconds(), c.fig.CallAhead*class.Target.Seconds())
+	case class.CallsDependency && !(c.cpu > c.fig.BusyCPU) &&
+		float64(c.ahead(r.class)) > c.fig.CallQueueShare*float64(class.LatencyObjective):
+		w := why(CauseCallQueue, c.ahead(r.class).Seconds(), c.fig.CallQueueShare*class.LatencyObjective.Seconds())
 		c.refuse(r, 0, true, w)
-	case c.full(r.class) && float64(delay) > c.fig.RefuseAt*float64(target):
-		w := why(CauseDelay, delay.Seconds(), c.fig.RefuseAt*target.Seconds())
-		c.refuse(r, delay-target, r.walked || c.further > c.fig.FewShare || c.crowded >= 1, w)
+	case c.full(r.class) && float64(delay) > c.fig.RejectDelayFactor*float64(target):
+		w := why(CauseQueueingDelay, delay.Seconds(), c.fig.RejectDelayFactor*target.Seconds())
+		c.refuse(r, delay-target, r.walked || c.further > c.fig.FewRetriesShare || c.crowded >= 1, w)
 	case c.full(r.class) && c.hopeless(r, c.wait(r)):
-		c.refuse(r, 0, r.walked || c.further > c.fig.FewShare || c.crowded >= 1, why(CauseHopeless, 0, 0))
+		c.refuse(r, 0, r.walked || c.further > c.fig.FewRetriesShare || c.crowded >= 1, why(CauseObjectiveUnreachable, 0, 0))
 	case !c.spend(e.Tenant) && c.full(r.class) && delay > target:
-		c.refuse(r, 0, true, why(CauseShare, delay.Seconds(), target.Seconds()))
+		c.refuse(r, 0, true, why(CauseQuota, delay.Seconds(), target.Seconds()))
 	default:
 		c.keep(r)
 	}
@@ -367,7 +367,7 @@
 // delay is the oldest held wait of a class, its unread time included, and the wait in line for a
 // call.
 func (c *Controller) delay(class int) (wait time.Duration) {
-	if c.set.Classes[class].Calls {
+	if c.set.Classes[class].CallsDependency {
 		wait = c.callWait()
 	}
 	if line := c.holds[class].line; len(line) > 0 {
@@ -378,9 +378,9 @@
 
 // target is the class's delay target: a share of what its aim leaves beside the run.
 func (c *Controller) target(class int) time.Duration {
-	aim := c.set.Classes[class].Target
+	aim := c.set.Classes[class].LatencyObjective
 	run := time.Duration(c.holds[class].mean * float64(time.Second))
-	share := c.fig.TargetLeast + (c.fig.TargetShare-c.fig.TargetLeast)*c.crowded
+	share := c.fig.MinDelayTargetShare + (c.fig.DelayTargetShare-c.fig.MinDelayTargetShare)*c.crowded
 	return time.Duration(share * float64(max(aim-run, aim/4)))
 }
 
@@ -411,12 +411,12 @@
 		return r.due <= c.now+guardTime
 	}
 	end := r.due - guardTime
-	if c.set.Classes[r.class].LateWorth == 0 {
+	if c.set.Classes[r.class].LateWeightFraction == 0 {
 		end = min(end, r.aim)
 	}
 	run := float64(c.expected(r))
-	if c.set.Halt == HaltNone { // what turns out to be late takes its cores to the end
-		run *= c.fig.HopeShare
+	if c.set.Cancel == CancelNone { // what turns out to be late takes its cores to the end
+		run *= c.fig.StartMarginFactor
 	}
 	return c.now+wait+time.Duration(run) > end
 }
@@ -424,7 +424,7 @@
 // lost reports that r, hopeless here, is so elsewhere: others are full too, or less than a run is
 // left.
 func (c *Controller) lost(r *request) bool {
-	return c.crowded > c.fig.FewShare || r.aim < c.now+c.expected(r)
+	return c.crowded > c.fig.FewRetriesShare || r.aim < c.now+c.expected(r)
 }
 
 // quota is a tenant's part of this server, in requests a second.
@@ -469,7 +469,7 @@
 // what is left of the client's patience. It guards against late work that looks fresh. Where waits
 // vary by themselves none is usual.
 func (c *Controller) age(class int, left time.Duration) time.Duration {
-	deadline := float64(c.set.Classes[class].Deadline)
+	deadline := float64(c.set.Classes[class].Timeout)
 	near, part := float64(walkTime)/deadline, float64(left)/deadline
 	match, least, known, above := -1, 0, false, math.Inf(1)
 	for i := range c.usual {
@@ -521,9 +521,9 @@
 		c.forget(r)
 		c.remove(r)
 	case running:
-		if c.set.Halt != HaltNone && r.sharers == 0 {
+		if c.set.Cancel != CancelNone && r.sharers == 0 {
 			c.learn(r) // or the mean would fall with each run stopped for being long
-			c.act(Action{Kind: ActionHalt, Request: r.id})
+			c.act(Action{Kind: ActionCancel, Request: r.id})
 		}
 	case blocked:
 		c.resume(r)
@@ -539,7 +539,7 @@
 		return
 	}
 	c.turned, away = c.turned+furtherLearn, max(away, tick) // a client is told when to come back
-	w.Kind, w.For, w.Last = ActionRefuse, min(away, c.set.MaxStayAway), last
+	w.Kind, w.Duration, w.NoRetry = ActionReject, min(away, c.set.MaxRetryAfter), last
 	c.answer(r, w)
 }
 
@@ -550,8 +550,8 @@
 
 // start is the one place that starts a request.
 func (c *Controller) start(r *request) bool {
-	memory := c.memoryKB + r.sizeKB*(c.set.RunFactor-1)
-	if r.state != held || r.ran || r.answered || c.late(r) || memory > c.fig.MemoryShare*c.set.MemoryKB {
+	memory := c.memoryKB + r.sizeKB*(c.set.RunningMemoryFactor-1)
+	if r.state != held || r.ran || r.answered || c.late(r) || memory > c.fig.RunMemoryShare*c.set.MemoryKB {
 		return false
 	}
 	c.unlink(&c.holds[r.class].line, r)
@@ -573,7 +573,7 @@
 			return
 		}
 		if c.hopeless(r, 0) {
-			c.refuse(r, 0, c.lost(r), why(CauseHopeless, 0, 0))
+			c.refuse(r, 0, c.lost(r), why(CauseObjectiveUnreachable, 0, 0))
 			continue
 		}
 		if !c.room() || !c.start(r) {
@@ -589,7 +589,7 @@
 	most := -1.0
 	for i := range c.holds {
 		if line := c.holds[i].line; len(line) > 0 && !c.jammed(i) {
-			if w := float64(c.now-line[0].arrived) * c.set.Classes[i].Worth; w > most {
+			if w := float64(c.now-line[0].arrived) * c.set.Classes[i].PriorityWeight; w > most {
 				best, most = line[0], w
 			}
 		}
@@ -602,7 +602,7 @@
 func (c *Controller) room() bool {
 	crowd := c.crowd()
 	all := float64(c.onCores + c.atCalls + c.sharing + 1) // calls may all return at once
-	if float64(c.onCores+c.sharing+1) > crowd || all > crowd/c.fig.CrowdShare {
+	if float64(c.onCores+c.sharing+1) > crowd || all > crowd/c.fig.RunningLimitShare {
 		return false
 	}
 	return c.onCores < c.set.Cores || float64(c.onCores) < c.pool && c.load < float64(c.set.Cores)
@@ -612,10 +612,10 @@
 // ease.
 func (c *Controller) crowd() float64 {
 	share := 1.0
-	if c.set.Cold && c.set.ColdFor > 0 {
-		share = min(c.set.ColdShare+(1-c.set.ColdShare)*float64(c.now-c.born)/float64(c.set.ColdFor), 1)
+	if c.set.WarmingUp && c.set.WarmUpTime > 0 {
+		share = min(c.set.WarmUpInitialShare+(1-c.set.WarmUpInitialShare)*float64(c.now-c.born)/float64(c.set.WarmUpTime), 1)
 	}
-	return max(float64(c.set.Cores)*(1+(c.set.CrowdLimit-1)*share)*c.fig.CrowdShare, 1)
+	return max(float64(c.set.Cores)*(1+(c.set.MaxRunningPerCore-1)*share)*c.fig.RunningLimitShare, 1)
 }
 
 // join lets a read share the run of another of its subject. It costs no run, so delay does not
@@ -652,7 +652,7 @@
 		if r := c.busy[i]; r.state == joined && c.fresh[r.origin.id] != nil && c.now <= r.origin.keptTo {
 			r.state = reusing
 			c.sharing++
-			c.act(Action{Kind: ActionReuse, Request: r.id})
+			c.act(Action{Kind: ActionReuseResult, Request: r.id})
 		}
 	}
 }
@@ -662,25 +662,25 @@
 	c.unlink(&c.holds[r.class].line, r)
 	r.state = reusing
 	c.busy = append(c.busy, r)
-	c.act(Action{Kind: ActionReuse, Request: r.id})
+	c.act(Action{Kind: ActionReuseResult, Request: r.id})
 }
 
 // keep remembers a keyed request for its whole window, or refuses it for want of memory, and a read
 // to share.
 func (c *Controller) keep(r *request) {
 	class := &c.set.Classes[r.class]
-	scarce := c.memoryKB+c.set.KeyKB > c.fig.MemoryShare*c.set.MemoryKB
-	if class.Effect == Keyed && scarce {
-		c.refuse(r, 0, false, why(CauseKeys, c.memoryKB, c.fig.MemoryShare*c.set.MemoryKB))
-	} else if class.Effect == Keyed || r.read && !scarce {
+	scarce := c.memoryKB+c.set.KeyMemoryKB > c.fig.RunMemoryShare*c.set.MemoryKB
+	if class.Idempotency == IdempotentWithKey && scarce {
+		c.refuse(r, 0, false, why(CauseKeyMemory, c.memoryKB, c.fig.RunMemoryShare*c.set.MemoryKB))
+	} else if class.Idempotency == IdempotentWithKey || r.read && !scarce {
 		r.kept = true
-		c.memoryKB += c.set.KeyKB
-		last := r.due - c.now + c.set.FreshFor
-		if class.Effect == Keyed {
-			last = class.Window
+		c.memoryKB += c.set.KeyMemoryKB
+		last := r.due - c.now + c.set.ResultMaxAge
+		if class.Idempotency == IdempotentWithKey {
+			last = class.IdempotencyWindow
 			c.forgetAt(r, c.now+last)
 		}
-		c.act(Action{Kind: ActionKeep, Request: r.id, For: last})
+		c.act(Action{Kind: ActionRememberKey, Request: r.id, Duration: last})
 	}
 }
 
@@ -695,10 +695,10 @@
 func (c *Controller) expire() {
 	for i := range c.holds {
 		for h := &c.holds[i]; len(h.keys) > 0 && h.keys[0].keptTo < c.now-tick; {
-			r, last := h.keys[0], c.set.Classes[i].Window
+			r, last := h.keys[0], c.set.Classes[i].IdempotencyWindow
 			if h.keys = h.keys[1:]; r.kept && r.state == held {
 				c.forgetAt(r, c.now+last)
-				c.act(Action{Kind: ActionKeep, Request: r.id, For: last})
+				c.act(Action{Kind: ActionRememberKey, Request: r.id, Duration: last})
 			} else {
 				c.forget(r)
 			}
@@ -712,10 +712,10 @@
 		return
 	}
 	r.kept = false
-	c.memoryKB -= c.set.KeyKB
+	c.memoryKB -= c.set.KeyMemoryKB
 	delete(c.fresh, r.id)
 	if r.read || r.state == held {
-		c.act(Action{Kind: ActionForget, Request: r.id})
+		c.act(Action{Kind: ActionForgetKey, Request: r.id})
 	}
 	c.part(r)
 }
@@ -725,15 +725,15 @@
 	if r.state == held || r.state == joined {
 		return
 	}
-	if e.Outcome == Cancelled && !r.answered { // stopped without an answer: it may not start again
-		c.fail(r, why(CauseStopped, 0, 0))
+	if e.Outcome == OutcomeCancelled && !r.answered { // stopped without an answer: it may not start again
+		c.fail(r, why(CauseCancelled, 0, 0))
 	}
-	if r.state == running && e.Outcome == OK {
+	if r.state == running && e.Outcome == OutcomeOK {
 		c.learn(r)
 	}
-	if r.read && r.kept && r.state == running && e.Outcome == OK {
+	if r.read && r.kept && r.state == running && e.Outcome == OutcomeOK {
 		c.fresh[r.id] = r
-		c.forgetAt(r, c.now+c.set.FreshFor)
+		c.forgetAt(r, c.now+c.set.ResultMaxAge)
 	} else if r.read {
 		c.forget(r)
 	}
@@ -754,14 +754,14 @@
 func (c *Controller) trim(target float64) {
 	keep := idleKeep
 	switch {
-	case c.set.HandshakePrice > 0 && c.cpu < c.fig.BusyCPU: // idle ones take only cores that nobody wants
-		keep = c.set.IdleFor
+	case c.set.HandshakeCost > 0 && c.cpu < c.fig.BusyCPU: // idle ones take only cores that nobody wants
+		keep = c.set.IdleConnectionTimeout
 	case c.returns < returnShare && c.unread < target:
 		keep = idleShort
 	}
-	if keep = min(keep, c.set.IdleFor); keep != c.trimmed {
+	if keep = min(keep, c.set.IdleConnectionTimeout); keep != c.trimmed {
 		c.trimmed = keep
-		c.act(Action{Kind: ActionTrim, For: keep})
+		c.act(Action{Kind: ActionCloseIdle, Duration: keep})
 	}
 }
 
@@ -772,11 +772,11 @@
 	if c.calls < callFew {
 		return
 	}
-	next := c.callLimit + 1 - c.fig.CallCut
-	if c.callMean > c.fig.CallSlow*c.callBest {
-		next = c.callLimit * c.fig.CallCut
+	next := c.callLimit + 1 - c.fig.CallLimitDecrease
+	if c.callMean > c.fig.SlowCallFactor*c.callBest {
+		next = c.callLimit * c.fig.CallLimitDecrease
 	}
-	c.callLimit = max(min(next, c.callMost), c.fig.CallSlots*c.set.CallsOut, 1)
+	c.callLimit = max(min(next, c.callMost), c.fig.MinCallLimitShare*c.set.CallQuota, 1)
 }
 
 // mayCall reports whether one more call may be placed: by their number, and by the time for which
@@ -787,7 +787,7 @@
 		return true
 	}
 	// twice a usual call and its linger
-	need := min(c.callMean+c.set.Linger.Seconds()/2, c.callStock)
+	need := min(c.callMean+c.set.AbandonedCallTime.Seconds()/2, c.callStock)
 	return float64(c.inHand+len(c.lingering)+1) <= c.callLimit && c.callTime >= need
 }
 
@@ -812,9 +812,9 @@
 
 // ahead is how long a call of the class would wait for its turn behind those that go before it.
 func (c *Controller) ahead(class int) time.Duration {
-	n, worth := 0, c.set.Classes[class].Worth
+	n, worth := 0, c.set.Classes[class].PriorityWeight
 	for _, r := range c.callLine {
-		if r.state == blocked && !r.answered && r.aim > c.now && c.set.Classes[r.class].Worth >= worth {
+		if r.state == blocked && !r.answered && r.aim > c.now && c.set.Classes[r.class].PriorityWeight >= worth {
 			n++
 		}
 	}
@@ -824,7 +824,7 @@
 // jammed reports that requests of a class would stand in line for the dependency; others need not
 // wait.
 func (c *Controller) jammed(class int) bool {
-	return c.set.Classes[class].Calls && c.callWait() > callJam
+	return c.set.Classes[class].CallsDependency && c.callWait() > callJam
 }
 
 // full reports a want of capacity for a class: busy cores (design page) or, ours, a line for calls.
@@ -857,11 +857,11 @@
 	class, back := &c.set.Classes[r.class], c.now+time.Duration(c.callMean*float64(time.Second))
 	switch {
 	case back <= r.aim:
-		return class.Worth
+		return class.PriorityWeight
 	case back > r.due-guardTime && c.callMean < c.callStock:
 		return 0
 	}
-	return class.Worth*class.LateWorth + c.fig.CallLate*(1+max(r.due-c.now, 0).Seconds())
+	return class.PriorityWeight*class.LateWeightFraction + c.fig.LateCallWeight*(1+max(r.due-c.now, 0).Seconds())
 }
 
 // call places one call, with patience to the end of the request's time or of the worth without the
@@ -869,7 +869,7 @@
 func (c *Controller) call(r *request) {
 	class := &c.set.Classes[r.class]
 	end := r.due - guardTime
-	if class.OmitWorth > 0 {
+	if class.DegradedWeightFraction > 0 {
 		end = min(end, r.aim-c.expected(r)/2)
 	}
 	if end <= c.now {
@@ -877,23 +877,23 @@
 		return
 	}
 	if c.set.Dependency == DependencyShared {
-		patience := max(2*c.callTime-c.set.Linger.Seconds(), c.callTime)
+		patience := max(2*c.callTime-c.set.AbandonedCallTime.Seconds(), c.callTime)
 		end = min(end, c.now+time.Duration(patience*float64(time.Second)))
 	}
 	r.state = calling
 	r.tries++
 	c.inHand++
-	c.act(Action{Kind: ActionCall, Request: r.id, For: end - c.now})
+	c.act(Action{Kind: ActionPlaceCall, Request: r.id, Duration: end - c.now})
 }
 
 // without goes on without the call where that has worth, and fails the request where it has none.
 func (c *Controller) without(r *request) {
-	if c.set.Classes[r.class].OmitWorth <= 0 {
+	if c.set.Classes[r.class].DegradedWeightFraction <= 0 {
 		c.fail(r, why(CauseCallFailed, 0, 0))
 		return
 	}
 	c.resume(r)
-	c.act(Action{Kind: ActionOmit, Request: r.id})
+	c.act(Action{Kind: ActionOmitCall, Request: r.id})
 }
 
 // called ends a call. One that may have had an effect is not repeated.
@@ -901,10 +901,10 @@
 	if r.state != calling {
 		return
 	}
-	proven := e.Outcome == Full || e.Outcome == Unreachable || e.Outcome == Moot
+	proven := e.Outcome == OutcomeRejected || e.Outcome == OutcomeUnreachable || e.Outcome == OutcomeNeverStarted
 	// A call turned away at once is not a fast one, and one that broke does not tell how long calls
 	// take.
-	if took := e.Elapsed.Seconds(); !proven && e.Outcome != Broken {
+	if took := e.Elapsed.Seconds(); !proven && e.Outcome != OutcomeConnectionLost {
 		c.calls++
 		c.callMean += max(learn, 1/c.calls) * (took - c.callMean)
 		// Forgotten by time, the best of many short calls is that of a lucky few, and the usual
@@ -914,21 +914,21 @@
 		c.callLong += w * (took - c.callLong)
 		c.callVar += w * ((took-c.callLong)*(took-c.callLong) - c.callVar)
 		high := c.callLong + 2*math.Sqrt(c.callVar/min(c.calls, 2/callLearn))
-		if c.callBest = min(c.callBest*c.fig.CallForget, high); c.calls <= callFew {
+		if c.callBest = min(c.callBest*c.fig.BestCallTimeGrowth, high); c.calls <= callFew {
 			c.callBest = high
 		}
 	}
-	if e.Outcome == TimedOut { // one that broke was dropped by the dependency itself
+	if e.Outcome == OutcomeTimedOut { // one that broke was dropped by the dependency itself
 		c.linger()
 	}
-	if e.Outcome == OK || r.answered {
+	if e.Outcome == OutcomeOK || r.answered {
 		c.resume(r)
 		return
 	}
 	c.inHand--
 	r.state = blocked
-	again := r.tries < maxCalls && (proven || c.set.Classes[r.class].Effect == Safe)
-	if !again || e.Outcome == TimedOut {
+	again := r.tries < maxCalls && (proven || c.set.Classes[r.class].Idempotency == Idempotent)
+	if !again || e.Outcome == OutcomeTimedOut {
 		c.without(r)
 		return
 	}
@@ -955,7 +955,7 @@
 	c.load++
 }
 
-func (c *Controller) linger() { c.lingering = append(c.lingering, c.now+c.set.Linger) }
+func (c *Controller) linger() { c.lingering = append(c.lingering, c.now+c.set.AbandonedCallTime) }
 
 // timer reads the gauges, answers what is due and moves the pool.
 func (c *Controller) timer(e *Event) {
@@ -972,7 +972,7 @@
 		c.step(c.now - c.periodAt)
 		c.periodAt = c.now
 	}
-	c.act(Action{Kind: ActionTimer, For: tick})
+	c.act(Action{Kind: ActionTimer, Duration: tick})
 }
 
 // sweep answers what has run out of time. It goes by copies: what is answered moves those that wait
@@ -981,24 +981,24 @@
 	for i := range c.holds {
 		for _, r := range slices.Clone(c.holds[i].line) {
 			if r.due <= c.now+guardTime || c.hopeless(r, 0) {
-				c.refuse(r, 0, c.lost(r), why(CauseHopeless, 0, 0))
+				c.refuse(r, 0, c.lost(r), why(CauseObjectiveUnreachable, 0, 0))
 			}
 		}
 	}
 	next := c.next()
 	for _, r := range slices.Clone(c.busy) {
-		pointless := r.state == running && c.set.Halt != HaltNone && c.full(r.class) &&
-			(c.overlong(r, next) || c.set.Classes[r.class].LateWorth == 0 && r.aim <= c.now)
+		pointless := r.state == running && c.set.Cancel != CancelNone && c.full(r.class) &&
+			(c.overlong(r, next) || c.set.Classes[r.class].LateWeightFraction == 0 && r.aim <= c.now)
 		if r.due <= c.now+guardTime || pointless {
-			c.fail(r, why(CauseOverdue, 0, 0))
+			c.fail(r, why(CauseDeadlinePassed, 0, 0))
 		}
 	}
 }
 
 // overlong reports that r gives way to next: what has run far longer than expected has long to go.
 func (c *Controller) overlong(r, next *request) bool {
-	return c.overloaded && next != nil && c.set.Classes[next.class].Worth >= c.set.Classes[r.class].Worth &&
-		float64(c.now-r.began) > c.fig.OverRun*float64(c.expected(r))
+	return c.overloaded && next != nil && c.set.Classes[next.class].PriorityWeight >= c.set.Classes[r.class].PriorityWeight &&
+		float64(c.now-r.began) > c.fig.OverrunFactor*float64(c.expected(r))
 }
 
 // health is bad while this server alone reads too late to serve, as few further tries tell: the
@@ -1008,12 +1008,12 @@
 	c.unread, c.readNow = c.unread*unreadFade, c.readNow*(1-learn)
 	// a period, in the mean of its life
 	usual := c.readAll * float64(period) / float64(c.now-c.born)
-	enter := c.unread > c.fig.RefuseAt*target && c.further < c.fig.FewShare && learn*c.readNow <= usual
-	if !c.set.ListFollows || c.draining || c.unfit && c.unread > target/2 || !c.unfit && !enter {
+	enter := c.unread > c.fig.RejectDelayFactor*target && c.further < c.fig.FewRetriesShare && learn*c.readNow <= usual
+	if !c.set.EndpointListFollowsHealth || c.draining || c.unfit && c.unread > target/2 || !c.unfit && !enter {
 		return
 	}
 	c.turn(&c.unfit, !c.unfit, "health bad: reads too late to serve, others serve", "health good again")
-	c.act(Action{Kind: ActionHealth, Stored: true, Good: !c.unfit})
+	c.act(Action{Kind: ActionSetHealth, Static: true, Healthy: !c.unfit})
 }
 
 // step is Breakwater's: the pool grows by A, or is cut by the excess of the class furthest over its
@@ -1033,16 +1033,16 @@
 	c.stepCalls()
 	c.health(longest)
 	if worst >= 0 {
-		least := c.fig.PoolFloor
+		least := c.fig.MinCredit
 		if !(c.cpu > c.fig.BusyCPU) { // the cores are free: what does not call is still welcome
-			least = c.fig.IdlePool * float64(c.set.Cores)
+			least = c.fig.IdleCreditPerCore * float64(c.set.Cores)
 		}
-		c.pool = max(c.pool*max(1-c.fig.Beta*worst, c.fig.CutFloor), least)
+		c.pool = max(c.pool*max(1-c.fig.MultiplicativeDecrease*worst, c.fig.MinCutFactor), least)
 	} else {
 		// Nor beyond twice its use: credit that nobody used would all be drawn at once as load
 		// comes.
 		use := float64(c.onCores + c.atCalls + c.set.Cores)
-		c.pool = min(c.pool+max(c.fig.Alpha*float64(max(c.heardN, 1)), 1), c.crowd(), max(c.pool, 2*use))
+		c.pool = min(c.pool+max(c.fig.AdditiveIncrease*float64(max(c.heardN, 1)), 1), c.crowd(), max(c.pool, 2*use))
 	}
 	c.turn(&c.overloaded, full && (worst >= 0 || c.overloaded),
 		"overload entered: queueing delay over target, credit cut", "overload left: capacity no longer full")
@@ -1081,18 +1081,18 @@
 	switch share := min(pool/c.crowd(), 1); c.set.CreditMode {
 	case CreditNone:
 		return
-	case CreditAllowance:
+	case CreditPerCaller:
 		n := max(c.heardN, 1)
-		if c.set.Cold && c.now < c.born+heardFor { // callers that were not heard yet come as well
+		if c.set.WarmingUp && c.now < c.born+heardFor { // callers that were not heard yet come as well
 			n = max(n, c.set.Callers)
 		}
 		v = pool / float64(n)
 	case CreditWeight:
 		v = share
-	case CreditLevel:
+	case CreditRankThreshold:
 		v = 1 - share
 	}
-	if math.Abs(v-c.said) > c.fig.SayStep*c.said || c.said < 0 {
+	if math.Abs(v-c.said) > c.fig.AdvertiseStep*c.said || c.said < 0 {
 		c.said = v
 		c.act(Action{Kind: ActionAdvertise, Value: v})
 	}
@@ -1104,9 +1104,9 @@
 	if c.draining {
 		return
 	}
-	c.draining, c.drainAt, c.stopAt = true, c.now, e.Due
+	c.draining, c.drainAt, c.stopAt = true, c.now, e.Deadline
 	c.log("drain: leaving, late arrivals are refused")
-	c.act(Action{Kind: ActionHealth, Stored: true, Good: false})
+	c.act(Action{Kind: ActionSetHealth, Static: true, Healthy: false})
 	c.advertise()
 	for _, r := range c.requests {
 		c.bound(r)
@@ -1136,7 +1136,7 @@
 
 // remove drops a request and gives its memory back.
 func (c *Controller) remove(r *request) {
-	line, factor := &c.busy, c.set.RunFactor
+	line, factor := &c.busy, c.set.RunningMemoryFactor
 	switch r.state {
 	case held:
 		line, factor = &c.holds[r.class].line, 1
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -53,9 +53,9 @@
 	last := h.ctl.trimmed
 	for id := first; id < first+n; id++ {
 		e := h.ask(id, 0)
-		e.Caller, e.Queued = uint32(id)%callers, queued
-		if a := find(h.at(50*ms, e, timerEvent(cpu, 0)), ActionTrim, 0); a != nil {
-			last = a.For
+		e.Caller, e.QueueingDelay = uint32(id)%callers, queued
+		if a := find(h.at(50*ms, e, timerEvent(cpu, 0)), ActionCloseIdle, 0); a != nil {
+			last = a.Duration
 		}
 	}
 	return last
@@ -66,8 +66,8 @@
 	for id := first; id < first+n; id++ {
 		h.at(0, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
-		h.at(ms, Event{Kind: EventCalled, Request: id, Outcome: OK, Elapsed: took})
-		h.at(0, Event{Kind: EventDone, Request: id, Outcome: OK})
+		h.at(ms, Event{Kind: EventCallCompleted, Request: id, Outcome: OutcomeOK, Elapsed: took})
+		h.at(0, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK})
 		h.gauges(period, 0.5, 1)
 	}
 }
@@ -78,13 +78,13 @@
 
 func (h *hand) ask(id uint64, class int) Event {
 	return Event{
-		Kind:    EventRequest,
-		Request: id,
-		Class:   class,
-		Due:     h.now + h.ctl.set.Classes[class].Deadline,
-		SizeKB:  1,
-		Caller:  1,
-		Tenant:  -1,
+		Kind:     EventRequest,
+		Request:  id,
+		Class:    class,
+		Deadline: h.now + h.ctl.set.Classes[class].Timeout,
+		SizeKB:   1,
+		Caller:   1,
+		Tenant:   -1,
 	}
 }
 
@@ -108,16 +108,16 @@
 
 func TestNewNamesTheField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"Cores":      func(s *Settings) { s.Cores = 0 },
-		"MemoryKB":   func(s *Settings) { s.MemoryKB = math.NaN() },
-		"RunFactor":  func(s *Settings) { s.RunFactor = 0 },
-		"CrowdLimit": func(s *Settings) { s.CrowdLimit = 0 },
-		"ColdShare":  func(s *Settings) { s.ColdShare = 2 },
-		"CallsOut":   func(s *Settings) { s.CallsOut = 0 },
-		"Classes":    func(s *Settings) { s.Classes = nil },
-		"Target":     func(s *Settings) { s.Classes[0].Target = 0 },
-		"Window":     func(s *Settings) { s.Classes[1].Window = 0 },
-		"Effect":     func(s *Settings) { s.Classes[2].Effect = 9 },
+		"Cores":               func(s *Settings) { s.Cores = 0 },
+		"MemoryKB":            func(s *Settings) { s.MemoryKB = math.NaN() },
+		"RunningMemoryFactor": func(s *Settings) { s.RunningMemoryFactor = 0 },
+		"MaxRunningPerCore":   func(s *Settings) { s.MaxRunningPerCore = 0 },
+		"WarmUpInitialShare":  func(s *Settings) { s.WarmUpInitialShare = 2 },
+		"CallQuota":           func(s *Settings) { s.CallQuota = 0 },
+		"Classes":             func(s *Settings) { s.Classes = nil },
+		"LatencyObjective":    func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"IdempotencyWindow":   func(s *Settings) { s.Classes[1].IdempotencyWindow = 0 },
+		"Idempotency":         func(s *Settings) { s.Classes[2].Idempotency = 9 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -158,25 +158,25 @@
 	if h.ctl.pool >= grown { // equation (2), only while the cpu gauge is over 0.9
 		t.Fatalf("pool %v not cut from %v", h.ctl.pool, grown)
 	}
-	h.want(h.at(0, h.ask(99, 2)), ActionRefuse, 99)
+	h.want(h.at(0, h.ask(99, 2)), ActionReject, 99)
 }
 
 // A quiet server must not turn large work away on a guess, however dear its runs have been so far.
 func TestLargeWorkIsNotHopelessOnAQuietServer(t *testing.T) {
 	h := newHand(t, nil)
 	small := h.ask(1, 0)
-	small.Hint = 10 * ms
+	small.ExpectedWork = 10 * ms
 	h.at(0, small)
-	h.at(900*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+	h.at(900*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 	h.gauges(20*ms, 0.3, 0)
 	large := h.ask(2, 0)
-	large.Hint = 500 * ms
+	large.ExpectedWork = 500 * ms
 	h.want(h.at(0, large), ActionStart, 2)
 }
 
 // Slow calls leave the cores idle; the wait for a call must count as delay all the same.
 func TestSlowDependencyIsOverload(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 2 })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 2 })
 	for id := uint64(1); id <= 8; id++ {
 		h.at(ms, h.ask(id, 2))
 		h.at(ms, Event{Kind: EventBlocked, Request: id})
@@ -185,10 +185,10 @@
 	for id := uint64(50); id < 60; id++ {
 		out = append(out, h.at(ms, h.ask(id, 2))...)
 	}
-	h.want(out, ActionRefuse, 0)
+	h.want(out, ActionReject, 0)
 }
 
-// Calls that take longer the more there are must be held back. Where calls are short and many, the
+// CallsDependency that take longer the more there are must be held back. Where calls are short and many, the
 // lowest mean was that of a lucky few, and lasted: the usual looked twice as slow.
 func TestBestCallTimeIsForgottenByCalls(t *testing.T) {
 	h := newHand(t, nil)
@@ -197,8 +197,8 @@
 	for id := uint64(100); id < 900; id++ { // 20 a period
 		h.at(0, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
-		h.at(0, Event{Kind: EventCalled, Request: id, Outcome: OK, Elapsed: 20 * ms})
-		h.at(period/20, Event{Kind: EventDone, Request: id, Outcome: OK}, timerEvent(0.5, 1))
+		h.at(0, Event{Kind: EventCallCompleted, Request: id, Outcome: OutcomeOK, Elapsed: 20 * ms})
+		h.at(period/20, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK}, timerEvent(0.5, 1))
 	}
 	if h.ctl.callLimit < most {
 		t.Errorf("limit of calls %v, it was %v", h.ctl.callLimit, most)
@@ -208,7 +208,7 @@
 // While calls stood in line the credit fell to a trickle, and what makes no calls was not sent
 // either, to idle cores.
 func TestJamRefusesWhatCallsAndLeavesRoomForTheRest(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut, s.Classes[2].Calls = 1, false })
+	h := newHand(t, func(s *Settings) { s.CallQuota, s.Classes[2].CallsDependency = 1, false })
 	h.calls(1, 20, 100*ms)
 	for id := uint64(100); id < 104; id++ {
 		h.at(0, h.ask(id, 0))
@@ -216,11 +216,11 @@
 	}
 	out := h.at(ms, h.ask(200, 0), h.ask(201, 2))
 	h.want(out, ActionStart, 201)
-	if a := h.want(out, ActionRefuse, 200); !a.Last || a.For > tick {
+	if a := h.want(out, ActionReject, 200); !a.NoRetry || a.Duration > tick {
 		t.Errorf("refused with %+v: others are as jammed, and this one is not to be stayed away from", a)
 	}
 	h.gauges(900*ms, 0.1, 0)
-	if h.ctl.pool < standardFigures.IdlePool*float64(h.ctl.set.Cores) {
+	if h.ctl.pool < defaultParameters.IdleCreditPerCore*float64(h.ctl.set.Cores) {
 		t.Errorf("pool %v while the cores are idle", h.ctl.pool)
 	}
 }
@@ -228,7 +228,7 @@
 // In the order in which they came, calls that wait for a crowded dependency were all late by their
 // turn.
 func TestCallsWaitByTheWorthThatIsStillToBeHad(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut, s.Classes[0].OmitWorth = 2, 0 })
+	h := newHand(t, func(s *Settings) { s.CallQuota, s.Classes[0].DegradedWeightFraction = 2, 0 })
 	for id := uint64(1); id <= 4; id++ { // 1 takes the place
 		h.at(ms, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
@@ -242,8 +242,8 @@
 	}
 	last := uint64(1)
 	for _, id := range []uint64{6, 5, 4} {
-		out := h.at(ms, Event{Kind: EventCalled, Request: last, Outcome: OK, Elapsed: ms})
-		h.want(out, ActionCall, id)
+		out := h.at(ms, Event{Kind: EventCallCompleted, Request: last, Outcome: OutcomeOK, Elapsed: ms})
+		h.want(out, ActionPlaceCall, id)
 		last = id
 	}
 }
@@ -255,9 +255,9 @@
 	h.calls(1, 20, 30*ms)
 	mean, limit := h.ctl.callMean, h.ctl.callLimit
 	h.at(0, h.ask(100, 0))
-	h.want(h.at(0, Event{Kind: EventBlocked, Request: 100}), ActionCall, 100)
-	h.at(800*ms, Event{Kind: EventCalled, Request: 100, Outcome: Broken, Elapsed: 800 * ms})
-	h.want(h.gauges(callBackoff+period, 0.5, 1), ActionCall, 100)
+	h.want(h.at(0, Event{Kind: EventBlocked, Request: 100}), ActionPlaceCall, 100)
+	h.at(800*ms, Event{Kind: EventCallCompleted, Request: 100, Outcome: OutcomeConnectionLost, Elapsed: 800 * ms})
+	h.want(h.gauges(callBackoff+period, 0.5, 1), ActionPlaceCall, 100)
 	if h.ctl.callMean != mean || h.ctl.callLimit < limit {
 		t.Errorf("mean %v, limit %v; they were %v and %v", h.ctl.callMean, h.ctl.callLimit, mean, limit)
 	}
@@ -269,7 +269,7 @@
 func TestChanceLowsDoNotLookLikeTheBest(t *testing.T) {
 	held := 0
 	for seed := range uint64(40) {
-		h, r := newHand(t, func(s *Settings) { s.CallsOut = 20 }), rand.New(rand.NewPCG(seed, 1))
+		h, r := newHand(t, func(s *Settings) { s.CallQuota = 20 }), rand.New(rand.NewPCG(seed, 1))
 		most := h.ctl.callLimit
 		for id := uint64(1); id <= 200; id++ {
 			h.calls(id, 1, time.Duration(190*r.ExpFloat64())*ms)
@@ -287,16 +287,16 @@
 // its linger, calls of a slow dependency were counted at half of what it had in its hands, and it
 // fell over.
 func TestCallsOfRequestsThatAreOverStillCount(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 20 })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
 	for id := uint64(1); id <= 3; id++ {
 		h.at(0, h.ask(id, 0))
-		h.want(h.at(0, Event{Kind: EventBlocked, Request: id}), ActionCall, id)
+		h.want(h.at(0, Event{Kind: EventBlocked, Request: id}), ActionPlaceCall, id)
 	}
 	h.at(
 		ms,
-		Event{Kind: EventGone, Request: 1},
-		Event{Kind: EventGone, Request: 2},
-		Event{Kind: EventGone, Request: 3},
+		Event{Kind: EventAbandoned, Request: 1},
+		Event{Kind: EventAbandoned, Request: 2},
+		Event{Kind: EventAbandoned, Request: 3},
 	)
 	h.gauges(time.Second, 0.1, 0) // five times the linger
 	if h.ctl.inHand != 3 {
@@ -304,22 +304,22 @@
 	}
 	h.at(
 		0,
-		Event{Kind: EventCalled, Request: 1, Outcome: OK, Elapsed: time.Second},
+		Event{Kind: EventCallCompleted, Request: 1, Outcome: OutcomeOK, Elapsed: time.Second},
 		Event{
-			Kind:    EventCalled,
+			Kind:    EventCallCompleted,
 			Request: 2,
-			Outcome: TimedOut,
+			Outcome: OutcomeTimedOut,
 			Elapsed: time.Second,
 		},
-		Event{Kind: EventDone, Request: 3, Outcome: Cancelled},
+		Event{Kind: EventCompleted, Request: 3, Outcome: OutcomeCancelled},
 	)
 	if h.ctl.inHand != 0 || len(h.ctl.lingering) != 2 {
 		t.Errorf("%d calls in hand, %d linger", h.ctl.inHand, len(h.ctl.lingering))
 	}
 	h.at(
 		0,
-		Event{Kind: EventDone, Request: 1, Outcome: Cancelled},
-		Event{Kind: EventDone, Request: 2, Outcome: Cancelled},
+		Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeCancelled},
+		Event{Kind: EventCompleted, Request: 2, Outcome: OutcomeCancelled},
 	)
 	if h.ctl.onCores != 0 || h.ctl.atCalls != 0 || len(h.ctl.requests) != 0 {
 		t.Errorf(
@@ -332,7 +332,7 @@
 }
 
 func TestCrowdedDependencyGetsFewerCalls(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 20 })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
 	most := h.ctl.callLimit
 	h.calls(1, 10, 50*ms)
 	h.calls(11, 50, 800*ms)
@@ -345,7 +345,7 @@
 // limit fell to one call, runs stood in line with the cores idle, and the credit was cut to nothing
 // for the whole day.
 func TestShortFirstCallDoesNotLookLikeCrowding(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 20 })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
 	most := h.ctl.callLimit
 	h.calls(1, 1, ms)
 	h.calls(2, 80, 30*ms)
@@ -357,20 +357,20 @@
 // A request that is given up is answered at once; without advice its client would ask again at once
 // too.
 func TestGivenUpRequestIsToldWhenToComeBack(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.MaxStayAway = time.Second })
+	h := newHand(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	late := h.ask(1, 0)
-	late.Due = h.now + ms
-	if a := h.want(h.at(0, late), ActionRefuse, 1); a.For < tick {
-		t.Fatalf("advice to stay away for %v", a.For)
+	late.Deadline = h.now + ms
+	if a := h.want(h.at(0, late), ActionReject, 1); a.Duration < tick {
+		t.Fatalf("advice to stay away for %v", a.Duration)
 	}
 }
 
 // A dependency that is slow for a reason of its own still works on its slots at once.
 func TestSlowDependencyKeepsItsSlotsBusy(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 20 })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
 	h.calls(1, 10, 50*ms)
 	h.calls(11, 90, 800*ms)
-	if want := standardFigures.CallSlots * 20; h.ctl.callLimit != want {
+	if want := defaultParameters.MinCallLimitShare * 20; h.ctl.callLimit != want {
 		t.Fatalf("call limit %v, want %v", h.ctl.callLimit, want)
 	}
 }
@@ -378,12 +378,12 @@
 // Callers that cut their tries short must not make fresh requests look old, and a walked one must
 // be told, though no caller is ever heard twice and one class tells about another.
 func TestAgeFromTheTimeLeft(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.MarksRetry = false })
+	h := newHand(t, func(s *Settings) { s.MarksRetries = false })
 	if got := h.ctl.age(0, 700*ms); got != 0 {
 		t.Fatalf("before any sample a try is %v old", got)
 	}
 	share := func(class int, part float64) time.Duration {
-		return h.ctl.age(class, time.Duration(part*float64(h.ctl.set.Classes[class].Deadline)))
+		return h.ctl.age(class, time.Duration(part*float64(h.ctl.set.Classes[class].Timeout)))
 	}
 	for i := range 12 {
 		if got := share(i%2, 0.5); got != 0 {
@@ -393,7 +393,7 @@
 			t.Fatalf("a first try of the other habit is %v old", got)
 		}
 	}
-	deadline := float64(h.ctl.set.Classes[0].Deadline)
+	deadline := float64(h.ctl.set.Classes[0].Timeout)
 	for _, c := range []struct{ part, age float64 }{{0.3, 0.2}, {0.6, 0.2}, {0.9, 0.1}} {
 		want := time.Duration(c.age * deadline)
 		if got := share(0, c.part); got < want-ms || got > want+ms {
@@ -409,7 +409,7 @@
 		callers uint32
 		want    time.Duration
 	}{{3, idleKeep}, {1000, idleShort}} {
-		h := newHand(t, func(s *Settings) { s.IdleFor = 30 * time.Second })
+		h := newHand(t, func(s *Settings) { s.IdleConnectionTimeout = 30 * time.Second })
 		if last := h.idle(1, 100, c.callers, 0, 0); last != c.want {
 			t.Fatalf("%d callers: idle connections are kept for %v, want %v", c.callers, last, c.want)
 		}
@@ -425,11 +425,11 @@
 		for id := uint64(1); id <= 200; id++ {
 			e := h.ask(id, 2)
 			e.Retry = int(id%100) < share
-			h.at(ms, e, Event{Kind: EventDone, Request: id, Outcome: OK})
+			h.at(ms, e, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK})
 		}
 		e := h.ask(500, 0)
-		e.Queued = 1500 * ms // read far too late
-		return h.want(h.at(0, e), ActionRefuse, 500).Last
+		e.QueueingDelay = 1500 * ms // read far too late
+		return h.want(h.at(0, e), ActionReject, 500).NoRetry
 	}
 	if last(2) || !last(60) {
 		t.Fatalf(
@@ -440,18 +440,18 @@
 	}
 }
 
-// Calls that are turned away at once say nothing of how long a call takes.
+// CallsDependency that are turned away at once say nothing of how long a call takes.
 func TestCallTurnedAwayIsNoFastCall(t *testing.T) {
 	h := newHand(t, nil)
 	for id := uint64(1); id <= 20; id++ {
 		h.at(0, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
-		outcome, took := OK, 400*ms
+		outcome, took := OutcomeOK, 400*ms
 		if id > 2 {
-			outcome, took = Full, ms
+			outcome, took = OutcomeRejected, ms
 		}
-		h.at(0, Event{Kind: EventCalled, Request: id, Outcome: outcome, Elapsed: took})
-		h.at(0, Event{Kind: EventGone, Request: id}, Event{Kind: EventDone, Request: id, Outcome: Cancelled})
+		h.at(0, Event{Kind: EventCallCompleted, Request: id, Outcome: outcome, Elapsed: took})
+		h.at(0, Event{Kind: EventAbandoned, Request: id}, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeCancelled})
 	}
 	if h.ctl.callMean < 0.39 {
 		t.Fatalf("a call takes %v s in the mean, 0.4 were seen", h.ctl.callMean)
@@ -462,20 +462,22 @@
 // hangs until it is given up and lingers after that; and it is used.
 func TestShareUnderOneCall(t *testing.T) {
 	for share, linger := range map[float64]time.Duration{0.05: 10 * ms, 0.3: 100 * ms, 0.9: 200 * ms} {
-		h := newHand(t, func(s *Settings) { s.CallsOut, s.Linger, s.Classes[0].OmitWorth = share, linger, 0 })
+		h := newHand(t, func(s *Settings) {
+			s.CallQuota, s.AbandonedCallTime, s.Classes[0].DegradedWeightFraction = share, linger, 0
+		})
 		until, since, placed := map[uint64]time.Duration{}, map[uint64]time.Duration{}, 0
 		var busy [6000]float64 // calls in hand, by step
 		var note func(out []Action)
 		note = func(out []Action) {
 			for _, a := range out {
 				switch a.Kind {
-				case ActionCall:
-					until[a.Request], since[a.Request] = h.now+a.For, h.now
+				case ActionPlaceCall:
+					until[a.Request], since[a.Request] = h.now+a.Duration, h.now
 					placed++
 				case ActionStart:
 					note(h.at(0, Event{Kind: EventBlocked, Request: a.Request}))
 				case ActionFail: // a run that is over ends at its call
-					note(h.at(0, Event{Kind: EventDone, Request: a.Request, Outcome: Cancelled}))
+					note(h.at(0, Event{Kind: EventCompleted, Request: a.Request, Outcome: OutcomeCancelled}))
 				}
 			}
 		}
@@ -490,20 +492,20 @@
 						h.at(
 							0,
 							Event{
-								Kind:    EventCalled,
+								Kind:    EventCallCompleted,
 								Request: r,
-								Outcome: TimedOut,
+								Outcome: OutcomeTimedOut,
 								Elapsed: h.now - since[r],
 							},
 						),
 					)
 				}
-				if h.now >= end+h.ctl.set.Linger {
+				if h.now >= end+h.ctl.set.AbandonedCallTime {
 					delete(until, r)
 				}
 			}
 		}
-		window, most := int(h.ctl.set.CallsOver/(20*ms)), 0.0
+		window, most := int(h.ctl.set.CallQuotaWindow/(20*ms)), 0.0
 		for i := range len(busy) - window {
 			sum := 0.0
 			for _, n := range busy[i : i+window] {
@@ -520,36 +522,36 @@
 // Where the share is under one call, a call must still have the time that a slow dependency takes:
 // calls given up just before they end load it and bring nothing.
 func TestSmallShareIsPatient(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut, s.Classes[0].Target = 0.6, 2400*ms })
+	h := newHand(t, func(s *Settings) { s.CallQuota, s.Classes[0].LatencyObjective = 0.6, 2400*ms })
 	h.at(0, h.ask(1, 1)) // keyed, no answer without the call
-	if got := h.want(h.at(ms, Event{Kind: EventBlocked, Request: 1}), ActionCall, 1).For; got < time.Second {
+	if got := h.want(h.at(ms, Event{Kind: EventBlocked, Request: 1}), ActionPlaceCall, 1).Duration; got < time.Second {
 		t.Fatalf("a call is given up after %v", got)
 	}
 }
 
 // A call given up is paid for while it lingers, not for as long as no other call is asked for.
 func TestLingerIsPaidOnce(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 0.4 })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 0.4 })
 	call := func(id uint64) []Action {
 		h.at(0, h.ask(id, 2))
 		return h.at(0, Event{Kind: EventBlocked, Request: id})
 	}
-	a := h.want(call(1), ActionCall, 1)
-	h.at(a.For, Event{Kind: EventCalled, Request: 1, Outcome: TimedOut, Elapsed: a.For})
+	a := h.want(call(1), ActionPlaceCall, 1)
+	h.at(a.Duration, Event{Kind: EventCallCompleted, Request: 1, Outcome: OutcomeTimedOut, Elapsed: a.Duration})
 	h.gauges(30*time.Second, 0.1, 0)
-	h.want(call(2), ActionCall, 2)
+	h.want(call(2), ActionPlaceCall, 2)
 }
 
 // With less than hopeShare runs left a start is a gamble: worth it only where the work can be
 // stopped.
 func TestShortTimeIsAGambleOnlyForStoppableWork(t *testing.T) {
-	for halt, want := range map[HaltMode]ActionKind{HaltNone: ActionRefuse, HaltDiscard: ActionStart} {
-		h := newHand(t, func(s *Settings) { s.Halt = halt })
+	for halt, want := range map[CancelMode]ActionKind{CancelNone: ActionReject, CancelDiscard: ActionStart} {
+		h := newHand(t, func(s *Settings) { s.Cancel = halt })
 		h.at(0, h.ask(1, 0))
-		h.at(500*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+		h.at(500*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 		h.gauges(100*ms, 1, 1)
 		e := h.ask(2, 0)
-		e.Due = h.now + 625*ms
+		e.Deadline = h.now + 625*ms
 		h.want(h.at(0, e), want, 2)
 	}
 }
@@ -557,7 +559,7 @@
 // Credit grew to the ceiling while nobody used it, and was all drawn at once by whatever came next;
 // it takes periods to cut.
 func TestPoolStaysNearItsUse(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CrowdLimit = 20 })
+	h := newHand(t, func(s *Settings) { s.MaxRunningPerCore = 20 })
 	most := 2 * float64(h.ctl.set.Cores)
 	h.gauges(10*time.Second, 0.1, 0)
 	if h.ctl.pool > most {
@@ -575,19 +577,21 @@
 // What waits behind others until there is no hope could have gone to a server with room, had it
 // been told at once.
 func TestNoHopeBehindOthersIsToldAtOnce(t *testing.T) {
-	for waiting, want := range map[int]ActionKind{0: ActionKeep, 12: ActionRefuse} {
+	for waiting, want := range map[int]ActionKind{0: ActionRememberKey, 12: ActionReject} {
 		h := newHand(
 			t,
-			func(s *Settings) { s.Cores, s.Classes[2].Effect, s.Classes[2].Window = 1, Keyed, time.Second },
+			func(s *Settings) {
+				s.Cores, s.Classes[2].Idempotency, s.Classes[2].IdempotencyWindow = 1, IdempotentWithKey, time.Second
+			},
 		)
 		h.at(0, h.ask(1, 2))
-		h.at(300*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+		h.at(300*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 		h.gauges(100*ms, 1, 1)
 		for id := 2; id < 3+waiting; id++ { // one runs
 			h.at(0, h.ask(uint64(id), 2))
 		}
-		if a := h.want(h.at(0, h.ask(100, 2)), want, 100); want == ActionRefuse &&
-			(a.Cause != CauseHopeless || a.Last) {
+		if a := h.want(h.at(0, h.ask(100, 2)), want, 100); want == ActionReject &&
+			(a.Cause != CauseObjectiveUnreachable || a.NoRetry) {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -603,14 +607,14 @@
 		last   bool
 	}{"time for a usual run elsewhere": {0, 700 * ms, false}, "too little time left": {0, 1600 * ms, true}, "all turn away": {0.3, 700 * ms, true}} {
 		h := newHand(t, func(s *Settings) {
-			s.Cores, s.Halt, s.Classes[2].Target, s.Classes[2].Deadline, s.Classes[2].LateWorth = 1, HaltNone, 2*time.Second, 5*time.Second, 0
+			s.Cores, s.Cancel, s.Classes[2].LatencyObjective, s.Classes[2].Timeout, s.Classes[2].LateWeightFraction = 1, CancelNone, 2*time.Second, 5*time.Second, 0
 		})
 		h.at(0, h.ask(1, 2))
-		h.at(time.Second, Event{Kind: EventDone, Request: 1, Outcome: OK})
+		h.at(time.Second, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 		h.at(0, h.ask(2, 2), h.ask(3, 2)) // one runs
 		h.ctl.turned = c.turned
-		if a := h.want(h.at(c.after, timerEvent(1, 1)), ActionRefuse, 3); a.Cause != CauseHopeless ||
-			a.Last != c.last {
+		if a := h.want(h.at(c.after, timerEvent(1, 1)), ActionReject, 3); a.Cause != CauseObjectiveUnreachable ||
+			a.NoRetry != c.last {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
@@ -619,7 +623,7 @@
 // A line that is cut short leads requests to servers with room; where all turn away it only adds
 // reads.
 func TestTargetEasesAsMoreIsTurnedAway(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.Classes[2].Target = 2 * time.Second })
+	h := newHand(t, func(s *Settings) { s.Classes[2].LatencyObjective = 2 * time.Second })
 	of := func(turned, cpu float64) time.Duration {
 		h.ctl.turned = turned
 		h.at(0, timerEvent(cpu, 1))
@@ -641,18 +645,18 @@
 		for id := uint64(1); id <= 150; id++ {
 			e := h.ask(id, 0)
 			if e.Retry = among && id%4 == 0; id > 50 {
-				e.Queued = 2500 * ms
+				e.QueueingDelay = 2500 * ms
 			}
 			out = append(out, h.at(tick, e, timerEvent(1, 4))...)
 		}
 		left := false
 		for _, a := range out {
-			left = left || a.Kind == ActionHealth && !a.Good
+			left = left || a.Kind == ActionSetHealth && !a.Healthy
 		}
 		if left == among {
 			t.Fatalf("among further tries %v: left the list %v", among, left)
 		}
-		if !among && !h.want(h.gauges(time.Minute, 0.1, 0), ActionHealth, 0).Good {
+		if !among && !h.want(h.gauges(time.Minute, 0.1, 0), ActionSetHealth, 0).Healthy {
 			t.Fatal("did not come back")
 		}
 	}
@@ -666,17 +670,17 @@
 	for id := uint64(1); id <= 1200; id++ {
 		after, e := 5*tick, h.ask(id, 0)
 		if id > 200 { // five times the usual
-			after, e.Queued = tick, 2500*ms
+			after, e.QueueingDelay = tick, 2500*ms
 		}
 		out = append(
 			out,
-			h.at(after, e, timerEvent(1, 4), Event{Kind: EventDone, Request: id, Outcome: OK})...)
+			h.at(after, e, timerEvent(1, 4), Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK})...)
 		if h.now > time.Hour+28*time.Second {
 			break
 		}
 	}
 	for _, a := range out {
-		if a.Kind == ActionHealth && !a.Good {
+		if a.Kind == ActionSetHealth && !a.Healthy {
 			t.Fatal("left the list")
 		}
 	}
@@ -692,24 +696,24 @@
 		}
 		h.gauges(40*ms, 0.5, 4) // no core is free
 		cheap, dear := h.ask(10, 0), h.ask(11, 2)
-		cheap.Queued, dear.Queued = cheapFirst+50*ms, 50*ms
+		cheap.QueueingDelay, dear.QueueingDelay = cheapFirst+50*ms, 50*ms
 		h.at(0, cheap, dear)
-		h.want(h.at(ms, Event{Kind: EventDone, Request: 1, Outcome: OK}), ActionStart, want)
+		h.want(h.at(ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK}), ActionStart, want)
 	}
 }
 
 // Where work can be stopped, what has run far over the mean gives way under overload.
 func TestOverlongWorkGivesWay(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.Halt = HaltDiscard; s.Cores = 1 })
+	h := newHand(t, func(s *Settings) { s.Cancel = CancelDiscard; s.Cores = 1 })
 	h.at(0, h.ask(1, 0))
-	h.at(50*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+	h.at(50*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 	h.at(0, h.ask(2, 0))
 	for id := uint64(3); id < 9; id++ {
 		h.at(0, h.ask(id, 0))
 	}
 	out := h.gauges(900*ms, 1, 2)
 	h.want(out, ActionFail, 2)
-	h.want(out, ActionHalt, 2)
+	h.want(out, ActionCancel, 2)
 }
 
 // A storm of marked further tries must not crowd out first tries; a few of them are still served.
@@ -719,11 +723,11 @@
 		h.gauges(100*ms, 1, 4)
 		for id := uint64(1); id <= 200; id++ {
 			e := h.ask(id, 2)
-			e.Retry, e.Queued = int(id%100) < share || id == 200, 30*ms
-			if a := find(h.at(ms, e), ActionRefuse, id); a != nil && id == 200 {
+			e.Retry, e.QueueingDelay = int(id%100) < share || id == 200, 30*ms
+			if a := find(h.at(ms, e), ActionReject, id); a != nil && id == 200 {
 				n++
 			}
-			h.at(ms, Event{Kind: EventDone, Request: id, Outcome: OK})
+			h.at(ms, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK})
 		}
 		return n
 	}
@@ -734,12 +738,12 @@
 
 // Runs stopped as overlong must count in the mean, or it falls and more are stopped.
 func TestStoppedRunsCountInTheMean(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.Halt = HaltDiscard })
+	h := newHand(t, func(s *Settings) { s.Cancel = CancelDiscard })
 	h.at(0, h.ask(1, 0))
-	h.at(50*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+	h.at(50*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 	before := h.ctl.holds[0].mean
 	h.at(0, h.ask(2, 0))
-	h.at(500*ms, Event{Kind: EventGone, Request: 2})
+	h.at(500*ms, Event{Kind: EventAbandoned, Request: 2})
 	if h.ctl.holds[0].mean <= before {
 		t.Fatalf("mean %v, was %v", h.ctl.holds[0].mean, before)
 	}
@@ -747,14 +751,14 @@
 
 func TestKeyedRepeatIsReused(t *testing.T) {
 	h := newHand(t, nil)
-	keep := h.want(h.at(0, h.ask(1, 1)), ActionKeep, 1)
-	if keep.For < h.ctl.set.Classes[1].Window {
-		t.Fatalf("kept for %v", keep.For)
+	keep := h.want(h.at(0, h.ask(1, 1)), ActionRememberKey, 1)
+	if keep.Duration < h.ctl.set.Classes[1].IdempotencyWindow {
+		t.Fatalf("kept for %v", keep.Duration)
 	}
 	again := h.ask(2, 1)
-	again.Prior = 1
+	again.PriorRequest = 1
 	out := h.at(ms, again)
-	h.want(out, ActionReuse, 2)
+	h.want(out, ActionReuseResult, 2)
 	if find(out, ActionStart, 2) != nil {
 		t.Fatal("a repeat was started")
 	}
@@ -765,15 +769,15 @@
 // freshHand is a server whose reads may be shared; read asks for one subject.
 func freshHand(t *testing.T, change func(*Settings)) (h *hand, read func(id, prior uint64) Event) {
 	h = newHand(t, func(s *Settings) {
-		s.FreshFor, s.Cores = time.Second, 1
-		s.Classes[0].Calls = false
+		s.ResultMaxAge, s.Cores = time.Second, 1
+		s.Classes[0].CallsDependency = false
 		if change != nil {
 			change(s)
 		}
 	})
 	return h, func(id, prior uint64) Event {
 		e := h.ask(id, 0)
-		e.Key, e.Prior = 7, prior
+		e.Key, e.PriorRequest = 7, prior
 		return e
 	}
 }
@@ -782,24 +786,24 @@
 // are refused, and take it while it is fresh.
 func TestReadsOfOneSubjectShareARun(t *testing.T) {
 	h, read := freshHand(t, nil)
-	h.want(h.at(0, read(1, 0)), ActionKeep, 1)
+	h.want(h.at(0, read(1, 0)), ActionRememberKey, 1)
 	for id := uint64(2); id < 5; id++ {
 		if out := h.at(ms, read(id, 1)); find(out, ActionStart, id) != nil ||
-			find(out, ActionReuse, id) != nil {
+			find(out, ActionReuseResult, id) != nil {
 			t.Fatal("a read did not wait for the run that it shares")
 		}
 	}
-	out := h.at(200*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+	out := h.at(200*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 	for id := uint64(2); id < 5; id++ {
-		h.want(out, ActionReuse, id)
+		h.want(out, ActionReuseResult, id)
 	}
-	h.at(ms, Event{Kind: EventDone, Request: 2, Outcome: OK})
-	h.want(h.at(500*ms, read(9, 1)), ActionReuse, 9)
-	h.want(h.gauges(1200*ms, 0.1, 0), ActionForget, 1)
+	h.at(ms, Event{Kind: EventCompleted, Request: 2, Outcome: OutcomeOK})
+	h.want(h.at(500*ms, read(9, 1)), ActionReuseResult, 9)
+	h.want(h.gauges(1200*ms, 0.1, 0), ActionForgetKey, 1)
 	h.want(h.at(0, read(10, 1)), ActionStart, 10) // the result is stale
 	write := read(11, 0)
 	write.Write = true
-	if find(h.at(ms, write), ActionKeep, 11) != nil {
+	if find(h.at(ms, write), ActionRememberKey, 11) != nil {
 		t.Fatal("a write was kept to be shared")
 	}
 }
@@ -807,18 +811,18 @@
 // A read that waits for another runs itself when that fails, is stopped at its call, or is dropped.
 func TestReadRunsItselfWhereTheOtherDoesNot(t *testing.T) {
 	for name, end := range map[string][]Event{
-		"failed":  {{Kind: EventDone, Request: 1, Outcome: Failed}},
-		"stopped": {{Kind: EventDone, Request: 1, Outcome: Cancelled}},
-		"gone":    {{Kind: EventGone, Request: 1}, {Kind: EventDone, Request: 1, Outcome: Cancelled}},
+		"failed":  {{Kind: EventCompleted, Request: 1, Outcome: OutcomeFailed}},
+		"stopped": {{Kind: EventCompleted, Request: 1, Outcome: OutcomeCancelled}},
+		"gone":    {{Kind: EventAbandoned, Request: 1}, {Kind: EventCompleted, Request: 1, Outcome: OutcomeCancelled}},
 	} {
 		h, read := freshHand(t, nil)
 		h.want(h.at(0, read(1, 0)), ActionStart, 1)
 		h.at(ms, read(2, 1), read(3, 1))
 		out := h.at(ms, end...)
-		h.want(out, ActionForget, 1)
-		h.want(out, ActionKeep, 2)
+		h.want(out, ActionForgetKey, 1)
+		h.want(out, ActionRememberKey, 2)
 		h.want(out, ActionStart, 2)
-		if find(out, ActionReuse, 0) != nil {
+		if find(out, ActionReuseResult, 0) != nil {
 			t.Fatalf("%s: reused what is not there", name)
 		}
 	}
@@ -826,25 +830,25 @@
 	h.at(0, h.ask(50, 2)) // takes the core
 	h.at(ms, read(1, 0))
 	h.at(ms, read(2, 1))
-	out := h.at(ms, Event{Kind: EventGone, Request: 1})
-	h.want(out, ActionKeep, 2)
-	h.want(h.at(ms, Event{Kind: EventDone, Request: 50, Outcome: OK}), ActionStart, 2)
+	out := h.at(ms, Event{Kind: EventAbandoned, Request: 1})
+	h.want(out, ActionRememberKey, 2)
+	h.want(h.at(ms, Event{Kind: EventCompleted, Request: 50, Outcome: OutcomeOK}), ActionStart, 2)
 }
 
 // Many that wait for one result do not come onto the cores all at once.
 func TestSharedResultsDoNotCrowdTheCores(t *testing.T) {
-	h, read := freshHand(t, func(s *Settings) { s.Cold = true })
+	h, read := freshHand(t, func(s *Settings) { s.WarmingUp = true })
 	h.at(0, read(1, 0))
 	for id := uint64(2); id < 60; id++ {
 		h.at(0, read(id, 1))
 	}
 	n := 0
-	for _, a := range h.at(ms, Event{Kind: EventDone, Request: 1, Outcome: OK}) {
-		if a.Kind == ActionReuse {
+	for _, a := range h.at(ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK}) {
+		if a.Kind == ActionReuseResult {
 			n++
 		}
 	}
-	if limit := float64(h.ctl.set.Cores) * (1 + (h.ctl.set.CrowdLimit-1)*h.ctl.set.ColdShare); n < 1 ||
+	if limit := float64(h.ctl.set.Cores) * (1 + (h.ctl.set.MaxRunningPerCore-1)*h.ctl.set.WarmUpInitialShare); n < 1 ||
 		float64(n) > limit {
 		t.Fatalf("%d answered from the result at once, a cold server outlives %.1f", n, limit)
 	}
@@ -852,16 +856,16 @@
 
 // A slow dependency holds up only the classes that call it.
 func TestJamHoldsUpOnlyWhatCalls(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.CallsOut = 1; s.Classes[0].Calls = false })
+	h := newHand(t, func(s *Settings) { s.CallQuota = 1; s.Classes[0].CallsDependency = false })
 	for id := uint64(1); id <= 4; id++ {
 		h.at(ms, h.ask(id, 2))
 		h.at(ms, Event{Kind: EventBlocked, Request: id})
 	}
 	h.gauges(900*ms, 0.1, 0)
-	h.want(h.at(0, h.ask(20, 2)), ActionRefuse, 20)
+	h.want(h.at(0, h.ask(20, 2)), ActionReject, 20)
 	h.want(h.at(0, h.ask(21, 0)), ActionStart, 21)
 
-	h = newHand(t, func(s *Settings) { s.CallsOut = 1; s.Classes[0].Calls = false })
+	h = newHand(t, func(s *Settings) { s.CallQuota = 1; s.Classes[0].CallsDependency = false })
 	for id := uint64(1); id <= 4; id++ {
 		h.at(0, h.ask(id, 2))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
@@ -869,22 +873,22 @@
 	h.at(0, h.ask(11, 0), h.ask(12, 0), h.ask(13, 0), h.ask(14, 0)) // takes the cores
 	h.at(0, h.ask(25, 2), h.ask(26, 0))
 	h.gauges(2*callJam, 0.5, 4)
-	h.want(h.at(ms, Event{Kind: EventDone, Request: 11, Outcome: OK}), ActionStart, 26)
+	h.want(h.at(ms, Event{Kind: EventCompleted, Request: 11, Outcome: OutcomeOK}), ActionStart, 26)
 }
 
 // What was expected to run long is not overlong for being longer than the class's mean.
 func TestOverlongFollowsTheHint(t *testing.T) {
-	h := newHand(t, func(s *Settings) { s.Halt = HaltDiscard; s.Cores = 1 })
+	h := newHand(t, func(s *Settings) { s.Cancel = CancelDiscard; s.Cores = 1 })
 	ask := func(id uint64, hint time.Duration) Event {
 		e := h.ask(id, 2)
-		e.Hint = hint
+		e.ExpectedWork = hint
 		return e
 	}
 	h.at(0, ask(1, 50*ms))
-	h.at(50*ms, Event{Kind: EventDone, Request: 1, Outcome: OK})
+	h.at(50*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 	h.at(0, ask(2, 500*ms))
 	h.at(0, ask(3, 50*ms), ask(4, 50*ms), ask(5, 50*ms))
-	if out := h.gauges(750*ms, 1, 2); find(out, ActionHalt, 2) != nil {
+	if out := h.gauges(750*ms, 1, 2); find(out, ActionCancel, 2) != nil {
 		t.Fatal("stopped, though it ran as long as its hint told")
 	}
 }
@@ -893,15 +897,15 @@
 // return.
 func TestIdleConnectionsStayWhereNewOnesHaveAPrice(t *testing.T) {
 	for price, want := range map[float64]time.Duration{0: idleShort, 0.03: 30 * time.Second} {
-		h := newHand(t, func(s *Settings) { s.HandshakePrice = price })
+		h := newHand(t, func(s *Settings) { s.HandshakeCost = price })
 		if last := h.idle(1, 100, 1000, 0, 0.3); last != want {
 			t.Fatalf("price %v: idle connections are kept for %v, want %v", price, last, want)
 		}
 		if price == 0 {
 			continue
 		}
-		if a := h.want(h.gauges(2*period, 1, 4), ActionTrim, 0); a.For != idleShort {
-			t.Fatalf("cores full: idle connections are kept for %v", a.For)
+		if a := h.want(h.gauges(2*period, 1, 4), ActionCloseIdle, 0); a.Duration != idleShort {
+			t.Fatalf("cores full: idle connections are kept for %v", a.Duration)
 		}
 	}
 }
@@ -917,14 +921,14 @@
 }
 
 func TestCallRepeatedOnlyWhenProven(t *testing.T) {
-	for outcome, again := range map[Outcome]bool{Full: true, Unreachable: true, Moot: true, Failed: false,
-		TimedOut: false, Broken: false, OutcomeUnknown: false} {
+	for outcome, again := range map[Outcome]bool{OutcomeRejected: true, OutcomeUnreachable: true, OutcomeNeverStarted: true, OutcomeFailed: false,
+		OutcomeTimedOut: false, OutcomeConnectionLost: false, OutcomeUnknown: false} {
 		h := newHand(t, nil)
 		h.at(0, h.ask(1, 2))
-		h.want(h.at(ms, Event{Kind: EventBlocked, Request: 1}), ActionCall, 1)
-		out := h.at(ms, Event{Kind: EventCalled, Request: 1, Outcome: outcome})
+		h.want(h.at(ms, Event{Kind: EventBlocked, Request: 1}), ActionPlaceCall, 1)
+		out := h.at(ms, Event{Kind: EventCallCompleted, Request: 1, Outcome: outcome})
 		out = append(out, h.gauges(200*ms, 0.1, 0)...)
-		if got := find(out, ActionCall, 1) != nil; got != again {
+		if got := find(out, ActionPlaceCall, 1) != nil; got != again {
 			t.Errorf("outcome %d: call repeated %v, want %v", outcome, got, again)
 		}
 		if !again {
@@ -938,14 +942,14 @@
 	for id := uint64(1); id < 20; id++ {
 		h.at(0, h.ask(id, 0))
 	}
-	h.want(h.at(ms, Event{Kind: EventDrain, Due: h.now + 2*time.Second}), ActionHealth, 0)
+	h.want(h.at(ms, Event{Kind: EventDrain, Deadline: h.now + 2*time.Second}), ActionSetHealth, 0)
 	h.gauges(1100*ms, 1, 4)
-	h.want(h.at(0, h.ask(90, 0)), ActionRefuse, 90)
+	h.want(h.at(0, h.ask(90, 0)), ActionReject, 90)
 	// of one that ran: nothing runs for it, and it was answered as failed in the last part of a
 	// drain
 	repeat := h.ask(91, 1)
-	repeat.Prior = 1
-	h.want(h.at(0, repeat), ActionReuse, 91)
+	repeat.PriorRequest = 1
+	h.want(h.at(0, repeat), ActionReuseResult, 91)
 	h.gauges(900*ms, 1, 4)
 	for id, r := range h.ctl.requests {
 		if !r.answered {
@@ -957,21 +961,21 @@
 func TestOddValues(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	odd := []Event{
-		{Kind: EventRequest, Request: 1, Due: time.Second, SizeKB: nan},
+		{Kind: EventRequest, Request: 1, Deadline: time.Second, SizeKB: nan},
 		{Kind: EventRequest, Request: 2, Class: 99, Tenant: 1 << 30, SizeKB: inf},
-		{Kind: EventRequest, Request: 3, Class: -1, Tenant: -4, SizeKB: -5, Queued: -time.Hour},
-		{Kind: EventRequest, Request: 4, Hint: math.MaxInt64, SizeKB: 1e300},
-		{Kind: EventRequest, Request: 5, Queued: math.MaxInt64 / 4, SizeKB: 1},
-		{Kind: EventDone, Request: 77}, {Kind: EventCalled, Request: 4},
-		{Kind: EventBlocked, Request: 5}, {Kind: EventGone, Request: 78}, {Kind: 200, Request: 4},
+		{Kind: EventRequest, Request: 3, Class: -1, Tenant: -4, SizeKB: -5, QueueingDelay: -time.Hour},
+		{Kind: EventRequest, Request: 4, ExpectedWork: math.MaxInt64, SizeKB: 1e300},
+		{Kind: EventRequest, Request: 5, QueueingDelay: math.MaxInt64 / 4, SizeKB: 1},
+		{Kind: EventCompleted, Request: 77}, {Kind: EventCallCompleted, Request: 4},
+		{Kind: EventBlocked, Request: 5}, {Kind: EventAbandoned, Request: 78}, {Kind: 200, Request: 4},
 		{Kind: EventTimer, Gauges: Gauges{CPU: nan, Runnable: inf, Memory: nan, Connections: nan}},
-		{Kind: EventDrain}, {Kind: EventDrain, Due: -5},
+		{Kind: EventDrain}, {Kind: EventDrain, Deadline: -5},
 	}
 	h := newHand(t, nil)
 	answered := map[uint64]int{}
 	out := append(h.at(ms, odd...), h.gauges(4*time.Second, nan, nan)...)
 	for _, a := range out {
-		if a.Kind == ActionRefuse || a.Kind == ActionFail {
+		if a.Kind == ActionReject || a.Kind == ActionFail {
 			answered[a.Request]++
 		}
 		if a.Kind == ActionAdvertise && !(a.Value >= 0 && a.Value < 1e9) {
@@ -993,7 +997,7 @@
 		h.now += ms
 		events[0] = h.ask(uint64(i+1), 2)
 		out = h.ctl.Handle(h.now, events, out[:0])
-		events[0] = Event{Kind: EventDone, Request: uint64(i + 1), Outcome: OK}
+		events[0] = Event{Kind: EventCompleted, Request: uint64(i + 1), Outcome: OutcomeOK}
 		out = h.ctl.Handle(h.now, events, out[:0])
 	}
 }
@@ -1010,9 +1014,9 @@
 		h.ctl.turned = turnedAway.share
 		h.at(tick, timerEvent(1, 4))
 		e := h.ask(3, 0)
-		e.Queued = 1500 * ms // read far too late
-		a := h.want(h.at(0, e), ActionRefuse, 3)
-		if (a.Cause != CauseDelay && a.Cause != CauseHopeless) || a.Last != turnedAway.last {
+		e.QueueingDelay = 1500 * ms // read far too late
+		a := h.want(h.at(0, e), ActionReject, 3)
+		if (a.Cause != CauseQueueingDelay && a.Cause != CauseObjectiveUnreachable) || a.NoRetry != turnedAway.last {
 			t.Errorf("with %v turned away: %+v", turnedAway.share, a)
 		}
 	}
@@ -1023,12 +1027,12 @@
 // four times the pool together. Once warm none of it is kept back.
 func TestColdCreditCountsCallersThatWereNotHeard(t *testing.T) {
 	const callers = 30
-	h := newHand(t, func(s *Settings) { s.Cold, s.Callers = true, callers })
+	h := newHand(t, func(s *Settings) { s.WarmingUp, s.Callers = true, callers })
 	told, said := 0.0, h.ctl.said
 	for id := uint64(1); id <= callers; id++ {
 		e := h.ask(id, 0)
 		e.Caller = uint32(id)
-		if a := find(h.at(20*ms, e, timerEvent(0.1, 1), Event{Kind: EventDone, Request: id, Outcome: OK}), ActionAdvertise, 0); a != nil {
+		if a := find(h.at(20*ms, e, timerEvent(0.1, 1), Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK}), ActionAdvertise, 0); a != nil {
 			said = a.Value
 		}
 		told += said
@@ -1037,7 +1041,7 @@
 		t.Errorf("thirty callers were told of %v together, and the pool began at %d", told, h.ctl.set.Cores)
 	}
 	h.gauges(2*heardFor, 0.1, 1)
-	if v := h.ctl.pool / float64(max(h.ctl.heardN, 1)); math.Abs(h.ctl.said-v) > 2*h.ctl.fig.SayStep*v {
+	if v := h.ctl.pool / float64(max(h.ctl.heardN, 1)); math.Abs(h.ctl.said-v) > 2*h.ctl.fig.AdvertiseStep*v {
 		t.Errorf("warm it says %v, and could give %v", h.ctl.said, v)
 	}
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -13,7 +13,7 @@
 // carries out the actions in the order written. The module owns no goroutine, no clock and no
 // global state, and uses no randomness: the same events give the same actions.
 //
-// The host owes the controller one EventDone for each ActionStart and ActionReuse that took effect,
-// one EventCalled for each ActionCall (unless EventDone comes first), and an EventTimer for each
+// The host owes the controller one EventCompleted for each ActionStart and ActionReuseResult that took effect,
+// one EventCallCompleted for each ActionPlaceCall (unless EventCompleted comes first), and an EventTimer for each
 // ActionTimer.
 package admission
--- a/internal/admission/figures.go
+++ b/internal/admission/figures.go
@@ -2,83 +2,83 @@
 
 import "fmt"
 
-// Figures are what the module's decisions go by. Each is set out, with its reason, in the module
+// Parameters are what the module's decisions go by. Each is set out, with its reason, in the module
 // itself; the platform sets none of them. They can be set otherwise to try out a change before it
 // is built in.
-type Figures struct {
-	Alpha       float64
-	Beta        float64
-	CutFloor    float64
-	TargetShare float64
-	TargetLeast float64
-	RefuseAt    float64
-	BusyCPU     float64
-	PoolFloor   float64
-	RetryShare  float64
-	StormShare  float64
-	FewShare    float64
-	OverRun     float64
-	HopeShare   float64
-	CrowdShare  float64
-	MemoryShare float64
-	HoldShare   float64
-	CallShare   float64
-	CallLeast   float64
-	CallSlow    float64
-	CallCut     float64
-	CallForget  float64
-	CallLate    float64
-	CallAhead   float64
-	IdlePool    float64
-	CallSlots   float64
-	SayStep     float64
+type Parameters struct {
+	AdditiveIncrease       float64
+	MultiplicativeDecrease float64
+	MinCutFactor           float64
+	DelayTargetShare       float64
+	MinDelayTargetShare    float64
+	RejectDelayFactor      float64
+	BusyCPU                float64
+	MinCredit              float64
+	RetryTargetShare       float64
+	RetryStormShare        float64
+	FewRetriesShare        float64
+	OverrunFactor          float64
+	StartMarginFactor      float64
+	RunningLimitShare      float64
+	RunMemoryShare         float64
+	QueueMemoryShare       float64
+	CallQuotaShare         float64
+	MinCallQuotaShare      float64
+	SlowCallFactor         float64
+	CallLimitDecrease      float64
+	BestCallTimeGrowth     float64
+	LateCallWeight         float64
+	CallQueueShare         float64
+	IdleCreditPerCore      float64
+	MinCallLimitShare      float64
+	AdvertiseStep          float64
 }
 
-// Figure is one of them, by name, with the bounds within which the module still works.
-type Figure struct {
-	Name        string
-	Value       *float64
-	Least, Most float64
+// Parameter is one of them, by name, with the bounds within which the module still works.
+type Parameter struct {
+	Name     string
+	Value    *float64
+	Min, Max float64
 }
 
 // All lists the figures.
-func (f *Figures) All() []Figure {
-	return []Figure{
-		{"alpha", &f.Alpha, 0, 10},
-		{"beta", &f.Beta, 0, 10},
-		{"cut_floor", &f.CutFloor, 0, 1},
-		{"target_share", &f.TargetShare, 0.01, 1},
-		{"target_least", &f.TargetLeast, 0.01, 1},
-		{"refuse_at", &f.RefuseAt, 0.1, 100},
+func (f *Parameters) All() []Parameter {
+	return []Parameter{
+		{"alpha", &f.AdditiveIncrease, 0, 10},
+		{"beta", &f.MultiplicativeDecrease, 0, 10},
+		{"cut_floor", &f.MinCutFactor, 0, 1},
+		{"target_share", &f.DelayTargetShare, 0.01, 1},
+		{"target_least", &f.MinDelayTargetShare, 0.01, 1},
+		{"refuse_at", &f.RejectDelayFactor, 0.1, 100},
 		{"busy_cpu", &f.BusyCPU, 0, 2},
-		{"pool_floor", &f.PoolFloor, 0, 1000},
-		{"retry_share", &f.RetryShare, 0, 10},
-		{"storm_share", &f.StormShare, 0.001, 1},
-		{"few_share", &f.FewShare, 0, 1},
-		{"over_run", &f.OverRun, 1, 1000},
-		{"hope_share", &f.HopeShare, 0, 100},
-		{"crowd_share", &f.CrowdShare, 0.01, 1},
-		{"memory_share", &f.MemoryShare, 0.01, 1},
-		{"hold_share", &f.HoldShare, 0.01, 1},
-		{"call_share", &f.CallShare, 0.01, 1},
-		{"call_least", &f.CallLeast, 0, 1},
-		{"call_slow", &f.CallSlow, 1, 100},
-		{"call_cut", &f.CallCut, 0.01, 1},
-		{"call_forget", &f.CallForget, 1, 10},
-		{"call_late", &f.CallLate, 0, 1},
-		{"call_ahead", &f.CallAhead, 0, 100},
-		{"idle_pool", &f.IdlePool, 0, 1000},
-		{"call_slots", &f.CallSlots, 0.001, 1},
-		{"say_step", &f.SayStep, 0, 1},
+		{"pool_floor", &f.MinCredit, 0, 1000},
+		{"retry_share", &f.RetryTargetShare, 0, 10},
+		{"storm_share", &f.RetryStormShare, 0.001, 1},
+		{"few_share", &f.FewRetriesShare, 0, 1},
+		{"over_run", &f.OverrunFactor, 1, 1000},
+		{"hope_share", &f.StartMarginFactor, 0, 100},
+		{"crowd_share", &f.RunningLimitShare, 0.01, 1},
+		{"memory_share", &f.RunMemoryShare, 0.01, 1},
+		{"hold_share", &f.QueueMemoryShare, 0.01, 1},
+		{"call_share", &f.CallQuotaShare, 0.01, 1},
+		{"call_least", &f.MinCallQuotaShare, 0, 1},
+		{"call_slow", &f.SlowCallFactor, 1, 100},
+		{"call_cut", &f.CallLimitDecrease, 0.01, 1},
+		{"call_forget", &f.BestCallTimeGrowth, 1, 10},
+		{"call_late", &f.LateCallWeight, 0, 1},
+		{"call_ahead", &f.CallQueueShare, 0, 100},
+		{"idle_pool", &f.IdleCreditPerCore, 0, 1000},
+		{"call_slots", &f.MinCallLimitShare, 0.001, 1},
+		{"say_step", &f.AdvertiseStep, 0, 1},
 	}
 }
 
 // Set gives one figure another value.
-func (f *Figures) Set(name string, v float64) error {
+func (f *Parameters) Set(name string, v float64) error {
 	for _, g := range f.All() {
 		if g.Name == name {
-			if !(v >= g.Least && v <= g.Most) {
-				return fmt.Errorf("%v is not from %v to %v", v, g.Least, g.Most)
+			if !(v >= g.Min && v <= g.Max) {
+				return fmt.Errorf("%v is not from %v to %v", v, g.Min, g.Max)
 			}
 			*g.Value = v
 			return nil
@@ -88,18 +88,18 @@
 }
 
 // or takes the standard ones where none were told, and reports one out of its bounds.
-func (f Figures) or(standard Figures) (Figures, error) {
-	if f == (Figures{}) {
+func (f Parameters) or(standard Parameters) (Parameters, error) {
+	if f == (Parameters{}) {
 		return standard, nil
 	}
 	for _, g := range f.All() {
-		if !(*g.Value >= g.Least && *g.Value <= g.Most) {
+		if !(*g.Value >= g.Min && *g.Value <= g.Max) {
 			return f, fmt.Errorf(
-				"admission: setting Figures: %s is %v, not from %v to %v",
+				"admission: setting Parameters: %s is %v, not from %v to %v",
 				g.Name,
 				*g.Value,
-				g.Least,
-				g.Most,
+				g.Min,
+				g.Max,
 			)
 		}
 	}
--- a/internal/admission/figures_test.go
+++ b/internal/admission/figures_test.go
@@ -8,8 +8,8 @@
 // The figures that are built in lie within their own bounds, and those that do not are refused by
 // name.
 func TestFigures(t *testing.T) {
-	f := StandardFigures()
-	if _, err := f.or(standardFigures); err != nil {
+	f := DefaultParameters()
+	if _, err := f.or(defaultParameters); err != nil {
 		t.Fatal(err)
 	}
 	for _, g := range f.All() {
@@ -17,9 +17,9 @@
 			t.Errorf("%s is 0: it was left out", g.Name)
 		}
 	}
-	if err := f.Set("target_share", 0.3); err != nil || f.TargetShare != 0.3 ||
-		StandardFigures().TargetShare == 0.3 {
-		t.Fatalf("set: %v, %v", err, f.TargetShare)
+	if err := f.Set("target_share", 0.3); err != nil || f.DelayTargetShare != 0.3 ||
+		DefaultParameters().DelayTargetShare == 0.3 {
+		t.Fatalf("set: %v, %v", err, f.DelayTargetShare)
 	}
 	for name, v := range map[string]float64{"target_share": 2, "targets": 0.3} {
 		if f.Set(name, v) == nil {
@@ -27,8 +27,8 @@
 		}
 	}
 	set := testSettings()
-	set.Figures = f
-	set.Figures.CallCut = -1
+	set.Parameters = f
+	set.Parameters.CallLimitDecrease = -1
 	if _, err := New(set, 0); err == nil || !strings.Contains(err.Error(), "call_cut is -1") {
 		t.Errorf("New: %v", err)
 	}
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -8,7 +8,7 @@
 
 // SettingError is a setting that is missing or out of range, or that another contradicts.
 type SettingError struct {
-	Setting string // as Settings names it, for example Classes[2].Window
+	Setting string // as Settings names it, for example Classes[2].IdempotencyWindow
 	Value   any
 	Want    string // what it would have to be
 }
@@ -17,9 +17,9 @@
 	return fmt.Sprintf("admission: setting %s: %v, and it has to be %s", e.Setting, e.Value, e.Want)
 }
 
-// Check reports a setting that a controller cannot do without. What the settings allow beyond what
+// Validate reports a setting that a controller cannot do without. What the settings allow beyond what
 // it makes use of is no fault.
-func (s *Settings) Check() error {
+func (s *Settings) Validate() error {
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 	shared := s.Dependency == DependencyShared
 	for _, f := range []struct {
@@ -29,14 +29,14 @@
 		good  bool
 	}{
 		{"Classes", len(s.Classes), "at least one", len(s.Classes) > 0},
-		{"Classes", len(s.Classes), "at most " + strconv.Itoa(MostClasses), len(s.Classes) <= MostClasses},
+		{"Classes", len(s.Classes), "at most " + strconv.Itoa(MaxClasses), len(s.Classes) <= MaxClasses},
 		{"Cores", s.Cores, "1 or more", s.Cores >= 1},
 		{"MemoryKB", s.MemoryKB, "above 0", s.MemoryKB > 0 && finite(s.MemoryKB)},
-		{"RunFactor", s.RunFactor, "1 or more", s.RunFactor >= 1 && finite(s.RunFactor)},
-		{"KeyKB", s.KeyKB, "0 or more", s.KeyKB >= 0 && finite(s.KeyKB)},
-		{"CrowdLimit", s.CrowdLimit, "1 or more", s.CrowdLimit >= 1 && finite(s.CrowdLimit)},
-		{"ColdShare", s.ColdShare, "from 0 to 1", s.ColdShare >= 0 && s.ColdShare <= 1},
-		{"CallsOut", s.CallsOut, "above 0, and calls are shared", !shared || s.CallsOut > 0 && finite(s.CallsOut)},
+		{"RunningMemoryFactor", s.RunningMemoryFactor, "1 or more", s.RunningMemoryFactor >= 1 && finite(s.RunningMemoryFactor)},
+		{"KeyMemoryKB", s.KeyMemoryKB, "0 or more", s.KeyMemoryKB >= 0 && finite(s.KeyMemoryKB)},
+		{"MaxRunningPerCore", s.MaxRunningPerCore, "1 or more", s.MaxRunningPerCore >= 1 && finite(s.MaxRunningPerCore)},
+		{"WarmUpInitialShare", s.WarmUpInitialShare, "from 0 to 1", s.WarmUpInitialShare >= 0 && s.WarmUpInitialShare <= 1},
+		{"CallQuota", s.CallQuota, "above 0, and calls are shared", !shared || s.CallQuota > 0 && finite(s.CallQuota)},
 	} {
 		if !f.good {
 			return &SettingError{f.name, f.value, f.want}
@@ -75,21 +75,21 @@
 		good  bool
 	}{
 		{"Name", `""`, "a name", c.Name != ""},
-		{"Target", c.Target, "above 0", c.Target > 0},
-		{"Deadline", c.Deadline, "above 0", c.Deadline > 0},
-		{"AimStretch", c.AimStretch, "0 or more", c.AimStretch >= 0 && !math.IsInf(c.AimStretch, 0)},
-		{"Effect", c.Effect, "one of the effects", c.Effect <= Unsafe},
-		{"Window", c.Window, "above 0, and the class is keyed", c.Effect != Keyed || c.Window > 0},
-		{"Worth", c.Worth, "0 or more", c.Worth >= 0 && !math.IsInf(c.Worth, 0)},
-		{"LateWorth", c.LateWorth, "from 0 to 1", fraction(c.LateWorth)},
-		{"OmitWorth", c.OmitWorth, "from 0 to 1", fraction(c.OmitWorth)},
+		{"LatencyObjective", c.LatencyObjective, "above 0", c.LatencyObjective > 0},
+		{"Timeout", c.Timeout, "above 0", c.Timeout > 0},
+		{"ObjectiveWorkFactor", c.ObjectiveWorkFactor, "0 or more", c.ObjectiveWorkFactor >= 0 && !math.IsInf(c.ObjectiveWorkFactor, 0)},
+		{"Idempotency", c.Idempotency, "one of the effects", c.Idempotency <= NonIdempotent},
+		{"IdempotencyWindow", c.IdempotencyWindow, "above 0, and the class is keyed", c.Idempotency != IdempotentWithKey || c.IdempotencyWindow > 0},
+		{"PriorityWeight", c.PriorityWeight, "0 or more", c.PriorityWeight >= 0 && !math.IsInf(c.PriorityWeight, 0)},
+		{"LateWeightFraction", c.LateWeightFraction, "from 0 to 1", fraction(c.LateWeightFraction)},
+		{"DegradedWeightFraction", c.DegradedWeightFraction, "from 0 to 1", fraction(c.DegradedWeightFraction)},
 	} {
 		if !f.good {
 			return &SettingError{f.name, f.value, f.want}
 		}
 	}
 	for i := range others {
-		if o := &others[i]; o.Name == c.Name && !o.Dropped && !c.Dropped {
+		if o := &others[i]; o.Name == c.Name && !o.Removed && !c.Removed {
 			return &SettingError{"Name", c.Name, "a name that no other class has"}
 		}
 	}
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Effect says what running a request twice would do.
-type Effect uint8
+// Idempotency says what running a request twice would do.
+type Idempotency uint8
 
 // The three kinds of effect.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // may arrive again within Class.Window and must run once
-	Unsafe               // must never run twice; never reused
+	Idempotent        Idempotency = iota // may be repeated freely
+	IdempotentWithKey                    // may arrive again within Class.IdempotencyWindow and must run once
+	NonIdempotent                        // must never run twice; never reused
 )
 
 // CreditMode says how callers read the value of an Advertise action.
@@ -17,22 +17,22 @@
 
 // The forms of the advertised value.
 const (
-	CreditNone  CreditMode = iota // callers read no value; advertising is a fault
-	CreditLevel                   // callers keep back requests ranked below the value
+	CreditNone          CreditMode = iota // callers read no value; advertising is a fault
+	CreditRankThreshold                   // callers keep back requests ranked below the value
 	// requests that each caller may have outstanding here; fractions by chance
-	CreditAllowance
+	CreditPerCaller
 	// probability, 0 to 1, that a caller does not pass this server over
 	CreditWeight
 )
 
-// HaltMode says whether running work can be stopped.
-type HaltMode uint8
+// CancelMode says whether running work can be stopped.
+type CancelMode uint8
 
 // The ways of stopping.
 const (
-	HaltNone    HaltMode = iota // it cannot; stopping is a fault
-	HaltDiscard                 // work done so far is lost
-	HaltFreeze                  // work keeps its progress and its memory until started again
+	CancelNone    CancelMode = iota // it cannot; stopping is a fault
+	CancelDiscard                   // work done so far is lost
+	CancelSuspend                   // work keeps its progress and its memory until started again
 )
 
 // Dependency says what requests call while they run.
@@ -45,19 +45,19 @@
 	DependencyTier              // a further tier of servers, reached through a balancer
 )
 
-// Class describes one class of requests.
+// ClassIndex describes one class of requests.
 type Class struct {
-	Name       string
-	Target     time.Duration // the aim: answers within it, from the first try, earn full worth
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration // how long a client waits in all
-	Window     time.Duration // Keyed: how long after arrival a request may arrive again
-	Effect     Effect
-	Worth      float64
-	LateWorth  float64 // fraction of the worth after the aim and before the deadline
-	Calls      bool    // requests of the class may call the dependency
-	OmitWorth  float64 // fraction of the worth earned when a call is left out; 0 forbids it
-	Dropped    bool    // it is there for what is open of it; see Settings.After
+	Name                   string
+	LatencyObjective       time.Duration // the aim: answers within it, from the first try, earn full worth
+	ObjectiveWorkFactor    float64       // the aim grows by this multiple of the request's own work
+	Timeout                time.Duration // how long a client waits in all
+	IdempotencyWindow      time.Duration // IdempotentWithKey: how long after arrival a request may arrive again
+	Idempotency            Idempotency
+	PriorityWeight         float64
+	LateWeightFraction     float64 // fraction of the worth after the aim and before the deadline
+	CallsDependency        bool    // requests of the class may call the dependency
+	DegradedWeightFraction float64 // fraction of the worth earned when a call is left out; 0 forbids it
+	Removed                bool    // it is there for what is open of it; see Settings.MergeClasses
 }
 
 // Tenant is one customer that shares the fleet.
@@ -72,47 +72,47 @@
 	Classes []Class
 	Tenants []Tenant
 
-	Servers int  // servers of this tier at start
-	Callers int  // callers of this tier at start
-	Cold    bool // just started
+	Servers   int  // servers of this tier at start
+	Callers   int  // callers of this tier at start
+	WarmingUp bool // just started
 
-	Cores      int
-	MemoryKB   float64
-	RunFactor  float64 // memory of a running request over that of a held one
-	KeyKB      float64 // memory of a remembered key
-	FreshFor   time.Duration
-	Halt       HaltMode
-	CreditMode CreditMode
-	CreditLife time.Duration // how long callers remember the advertised value
+	Cores               int
+	MemoryKB            float64
+	RunningMemoryFactor float64 // memory of a running request over that of a held one
+	KeyMemoryKB         float64 // memory of a remembered key
+	ResultMaxAge        time.Duration
+	Cancel              CancelMode
+	CreditMode          CreditMode
+	CreditLifetime      time.Duration // how long callers remember the advertised value
 
 	Dependency Dependency
 	// this server's share of the calls that the shared dependency outlives, as a mean
-	CallsOut    float64
-	CallsOver   time.Duration // the time over which that mean is taken
-	Linger      time.Duration // longest stay of an abandoned call in the dependency's hands
-	DeepChecks  bool
-	TellsGone   bool
-	MarksRetry  bool
-	ListFollows bool // the callers' server list follows health answers
-	IdleFor     time.Duration
-	MaxStayAway time.Duration // longest advice to stay away that callers observe
-	NoStayAway  bool          // such advice is not passed on
-	// HandshakePrice is what a new connection takes off the result, in parts of the worth asked
+	CallQuota                 float64
+	CallQuotaWindow           time.Duration // the time over which that mean is taken
+	AbandonedCallTime         time.Duration // longest stay of an abandoned call in the dependency's hands
+	DeepHealthChecks          bool
+	ReportsAbandoned          bool
+	MarksRetries              bool
+	EndpointListFollowsHealth bool // the callers' server list follows health answers
+	IdleConnectionTimeout     time.Duration
+	MaxRetryAfter             time.Duration // longest advice to stay away that callers observe
+	NoRetryAfter              bool          // such advice is not passed on
+	// HandshakeCost is what a new connection takes off the result, in parts of the worth asked
 	// for.
-	HandshakePrice float64
-	WorthPerWork   bool    // worth is counted per unit of work, not per request
-	OverWorth      float64 // worth of a request beyond its tenant's share
+	HandshakeCost   float64
+	WeightPerWork   bool    // worth is counted per unit of work, not per request
+	OverQuotaWeight float64 // worth of a request beyond its tenant's share
 
-	Slack time.Duration // grace after a due time in which an answer still counts
+	DeadlineGrace time.Duration // grace after a due time in which an answer still counts
 	// requests that arrive later than this after the drain notice must not start
 	DrainGrace time.Duration
 	// requests on the cores, per core, that a warm server outlives as a mean
-	CrowdLimit float64
-	CrowdOver  time.Duration // the time over which that mean is taken
-	ColdShare  float64       // a cold server starts at no less than this share of its speed
-	ColdFor    time.Duration // and is warm within this time
+	MaxRunningPerCore  float64
+	MaxRunningWindow   time.Duration // the time over which that mean is taken
+	WarmUpInitialShare float64       // a cold server starts at no less than this share of its speed
+	WarmUpTime         time.Duration // and is warm within this time
 
-	Figures Figures // of the module itself; the zero value stands for StandardFigures
+	Parameters Parameters // of the module itself; the zero value stands for DefaultParameters
 }
 
 // EventKind names what happened.
@@ -120,14 +120,14 @@
 
 // The events that the host reports.
 const (
-	EventNone    EventKind = iota
-	EventRequest           // a request was read into the hold; it is owed exactly one answer
-	EventDone              // a run or a reuse ended
-	EventBlocked           // a running request waits for a call to be placed, omitted or failed
-	EventCalled            // a call ended
-	EventGone              // nobody waits for this request any longer
-	EventDrain             // the server leaves; it is stopped at Event.Due
-	EventTimer             // a timer is due; carries the gauges
+	EventNone          EventKind = iota
+	EventRequest                 // a request was read into the hold; it is owed exactly one answer
+	EventCompleted               // a run or a reuse ended
+	EventBlocked                 // a running request waits for a call to be placed, omitted or failed
+	EventCallCompleted           // a call ended
+	EventAbandoned               // nobody waits for this request any longer
+	EventDrain                   // the server leaves; it is stopped at Event.Deadline
+	EventTimer                   // a timer is due; carries the gauges
 )
 
 // Outcome is how a run or a call ended.
@@ -136,14 +136,14 @@
 // The outcomes. Full, Unreachable and Moot prove that nothing ran.
 const (
 	OutcomeUnknown Outcome = iota
-	OK
-	Failed
-	Full
-	TimedOut
-	Unreachable
-	Broken
-	Cancelled
-	Moot
+	OutcomeOK
+	OutcomeFailed
+	OutcomeRejected
+	OutcomeTimedOut
+	OutcomeUnreachable
+	OutcomeConnectionLost
+	OutcomeCancelled
+	OutcomeNeverStarted
 )
 
 // Gauges are the server's own measurements. A gauge that the host does not have is NaN.
@@ -164,17 +164,17 @@
 	Tenant int
 	Caller uint32
 	// when the caller stops waiting, or, for EventDrain, when the process is stopped; 0: not told
-	Due    time.Duration
-	Hint   time.Duration // expected work on a standard core; 0: not told
-	SizeKB float64
-	Rank   float64 // position by worth, 0 to under 1
-	Key    uint64  // subject of the request; 0: none
-	Write  bool    // it changes something, so that its result is not shared
-	Retry  bool    // a further try or a second copy
-	Queued time.Duration
-	Prior  uint64 // the kept request that this one repeats; 0: none
-
-	// EventDone, EventCalled.
+	Deadline      time.Duration
+	ExpectedWork  time.Duration // expected work on a standard core; 0: not told
+	SizeKB        float64
+	Rank          float64 // position by worth, 0 to under 1
+	Key           uint64  // subject of the request; 0: none
+	Write         bool    // it changes something, so that its result is not shared
+	Retry         bool    // a further try or a second copy
+	QueueingDelay time.Duration
+	PriorRequest  uint64 // the kept request that this one repeats; 0: none
+
+	// EventCompleted, EventCallCompleted.
 	Outcome Outcome
 	Elapsed time.Duration
 
@@ -188,21 +188,21 @@
 
 // The actions.
 const (
-	ActionNone      ActionKind = iota
-	ActionStart                // run a held request
-	ActionRefuse               // final answer: turned away, never ran
-	ActionFail                 // final answer: an error, without a promise
-	ActionHalt                 // stop running work
-	ActionCall                 // place the call that the request waits for
-	ActionOmit                 // go on without the call
-	ActionKeep                 // remember the request's key for Action.For
-	ActionForget               // drop the remembered key
-	ActionReuse                // answer with the result of the request that this one repeats
-	ActionHealth               // answer health checks with Action.Good
-	ActionAdvertise            // send Action.Value with every answer
-	ActionTrim                 // close connections idle for Action.For
-	ActionTimer                // report EventTimer with Action.Token after Action.For
-	ActionLog                  // add Action.Text to the log
+	ActionNone        ActionKind = iota
+	ActionStart                  // run a held request
+	ActionReject                 // final answer: turned away, never ran
+	ActionFail                   // final answer: an error, without a promise
+	ActionCancel                 // stop running work
+	ActionPlaceCall              // place the call that the request waits for
+	ActionOmitCall               // go on without the call
+	ActionRememberKey            // remember the request's key for Action.Duration
+	ActionForgetKey              // drop the remembered key
+	ActionReuseResult            // answer with the result of the request that this one repeats
+	ActionSetHealth              // answer health checks with Action.Healthy
+	ActionAdvertise              // send Action.Value with every answer
+	ActionCloseIdle              // close connections idle for Action.Duration
+	ActionTimer                  // report EventTimer with Action.Token after Action.Duration
+	ActionLog                    // add Action.Text to the log
 )
 
 // Cause is why a request is answered without a result.
@@ -213,19 +213,19 @@
 const (
 	CauseNone Cause = iota
 	// it arrived after the drain's grace; seconds since the drain began, and the grace
-	CauseDrain
+	CauseDraining
 	CauseMemory // no memory to hold it; kB
 	// its due time is over or too near when it is read; seconds left, and the least
-	CauseNoTime
-	CauseCall     // too many wait for calls; seconds in line, and what is borne
-	CauseDelay    // queueing delay is past what is borne; seconds
-	CauseHopeless // held so long that its aim is out of reach
+	CauseDeadlineTooNear
+	CauseCallQueue            // too many wait for calls; seconds in line, and what is borne
+	CauseQueueingDelay        // queueing delay is past what is borne; seconds
+	CauseObjectiveUnreachable // held so long that its aim is out of reach
 	// beyond its tenant's share while there is a queue; seconds of delay, and the target
-	CauseShare
-	CauseKeys       // no memory for another key; kB
-	CauseOverdue    // its due time came while it was held or ran
-	CauseCallFailed // its call failed, and there is no answer without it
-	CauseStopped    // its run was stopped
+	CauseQuota
+	CauseKeyMemory      // no memory for another key; kB
+	CauseDeadlinePassed // its due time came while it was held or ran
+	CauseCallFailed     // its call failed, and there is no answer without it
+	CauseCancelled      // its run was stopped
 )
 
 // why is the beginning of an answer without a result: its cause, with what was compared.
@@ -233,15 +233,15 @@
 
 // Action is one thing for the host to do, in the order written.
 type Action struct {
-	Kind    ActionKind
-	Request uint64
-	For     time.Duration // advice to stay away, patience, lifetime or delay
-	Last    bool          // ActionRefuse: ask the caller not to try elsewhere
-	Stored  bool          // ActionHealth: answer checks from this setting alone
-	Good    bool
-	Value   float64
-	Token   uint64
-	Text    string
-	Cause   Cause   // ActionRefuse, ActionFail
-	Limit   float64 // beside Value, of the cause
+	Kind     ActionKind
+	Request  uint64
+	Duration time.Duration // advice to stay away, patience, lifetime or delay
+	NoRetry  bool          // ActionReject: ask the caller not to try elsewhere
+	Static   bool          // ActionSetHealth: answer checks from this setting alone
+	Healthy  bool
+	Value    float64
+	Token    uint64
+	Text     string
+	Cause    Cause   // ActionReject, ActionFail
+	Limit    float64 // beside Value, of the cause
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -169,7 +169,7 @@
 	r.link = engine.New(
 		l,
 		cfg.Engine,
-		func(v []float64) lifecycle.Gauges { return lifecycle.Gauges(simwire.PlaceGauges(v, cfg.Meters)) },
+		func(v []float64) lifecycle.Gauges { return lifecycle.Gauges(simwire.ArrangeGauges(v, cfg.Meters)) },
 	)
 	r.pool = backend.New(l, cfg.Backend)
 	maxResponse := 0
--- a/internal/app/beside.go
+++ b/internal/app/beside.go
@@ -65,7 +65,7 @@
 	}
 	var window int64
 	for _, c := range r.cfg.Settings.Classes {
-		window = max(window, c.Window.Microseconds())
+		window = max(window, c.IdempotencyWindow.Microseconds())
 	}
 	var err error
 	r.claims, err = reservation.Open(
@@ -111,8 +111,8 @@
 func (r *Program) part(s admission.Settings) admission.Settings {
 	n := float64(r.parts)
 	s.MemoryKB /= n
-	s.CallsOut /= n
-	s.CrowdLimit = max(s.CrowdLimit/n, 1)
+	s.CallQuota /= n
+	s.MaxRunningPerCore = max(s.MaxRunningPerCore/n, 1)
 	return s
 }
 
@@ -155,8 +155,8 @@
 func stay(cfg *config.Platform) int64 {
 	var longest int64
 	for _, c := range cfg.Settings.Classes {
-		if !c.Dropped {
-			longest = max(longest, c.Deadline.Microseconds())
+		if !c.Removed {
+			longest = max(longest, c.Timeout.Microseconds())
 		}
 	}
 	return min(longest, retireMost) + retireSpare
--- a/internal/app/beside_test.go
+++ b/internal/app/beside_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	for i := range cfg.Settings.Classes { // nothing listens for calls here
-		cfg.Settings.Classes[i].Calls = false
+		cfg.Settings.Classes[i].CallsDependency = false
 	}
 	cfg.Listen = netip.MustParseAddrPort("127.0.0.1:0")
 	change(cfg)
@@ -66,8 +66,8 @@
 		for range 1000 {
 			r.on(func() {
 				s := r.part(r.cfg.Settings)
-				got = limits{r.parts, s.MemoryKB, s.CallsOut, s.CrowdLimit}
-				whole = limits{1, r.cfg.Settings.MemoryKB, r.cfg.Settings.CallsOut, r.cfg.Settings.CrowdLimit}
+				got = limits{r.parts, s.MemoryKB, s.CallQuota, s.MaxRunningPerCore}
+				whole = limits{1, r.cfg.Settings.MemoryKB, r.cfg.Settings.CallQuota, r.cfg.Settings.MaxRunningPerCore}
 			})
 			if got.Parts == parts {
 				break
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -64,7 +64,7 @@
 	s := scenario.NewStepped(t)
 	r := alone(t, s, func(cfg *config.Platform) {
 		for i := range cfg.Settings.Classes {
-			cfg.Settings.Classes[i].Deadline = time.Minute
+			cfg.Settings.Classes[i].Timeout = time.Minute
 		}
 	})
 	balancer := s.DialAddr(r.front.Addr().String(), whole(s, 1))
--- a/internal/app/keep.go
+++ b/internal/app/keep.go
@@ -14,7 +14,7 @@
 	}
 	var windows int64
 	for _, c := range r.cfg.Settings.Classes {
-		windows = max(windows, c.Window.Microseconds())
+		windows = max(windows, c.IdempotencyWindow.Microseconds())
 	}
 	var err error
 	r.keep, err = persistence.Start(
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -42,7 +42,7 @@
 	}
 	cfg.LeaseRules, cfg.CheckedZones = s.Rules()
 	for _, c := range r.cfg.Settings.Classes {
-		cfg.KeyWindow = max(cfg.KeyWindow, c.Window.Microseconds())
+		cfg.KeyWindow = max(cfg.KeyWindow, c.IdempotencyWindow.Microseconds())
 	}
 	for _, m := range s.Members {
 		if m.Votes {
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -84,7 +84,7 @@
 	if err := cfg.Has(r.cfg); err != nil {
 		return err
 	}
-	set, err := cfg.Settings.After(r.cfg.Settings)
+	set, err := cfg.Settings.MergeClasses(r.cfg.Settings)
 	if err == nil {
 		_, err = r.core.Configure(r.part(set))
 	}
--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -16,7 +16,7 @@
 	routes, behind := r.routes, r.behind
 	r.routes, r.behind = make([]lifecycle.Runner, len(classes)), make([]*upstream.Group, len(classes))
 	for i := range classes {
-		if r.routes[i] = r.link; classes[i].Dropped { // what is open of it goes on where it was led
+		if r.routes[i] = r.link; classes[i].Removed { // what is open of it goes on where it was led
 			r.routes[i], r.behind[i] = routes[i], behind[i]
 		}
 	}
@@ -45,7 +45,7 @@
 	}
 	for i, class := range classes {
 		name := op.GroupsByUse[class.Name]
-		if name == "" || class.Dropped {
+		if name == "" || class.Removed {
 			continue
 		}
 		if r.groups[name] == nil {
@@ -102,12 +102,12 @@
 		Seed:       r.cfg.Seed,
 	}
 	for _, p := range op.Routes {
-		class := r.cfg.Settings.Class(p.Class)
+		class := r.cfg.Settings.ClassIndex(p.Class)
 		opt.Routes = append(
 			opt.Routes,
 			uwsgi.Route{Prefix: p.Path, Class: class, Due: p.DeadlineMs * 1000, Key: p.KeyFrom,
 				Safe: class >= 0 &&
-					r.cfg.Settings.Classes[class].Effect == admission.Safe, Remote: p.Group != ""},
+					r.cfg.Settings.Classes[class].Idempotency == admission.Idempotent, Remote: p.Group != ""},
 		)
 	}
 	return opt
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -70,7 +70,7 @@
 	c := &r.cfg.Settings.Classes[class]
 	u.Key = ledger.KeyOf(u.School, u.Class, key)
 	// A repeat that came at the end of the window is answered within its deadline, or not at all.
-	u.Until = u.At + c.Window.Microseconds() + c.Deadline.Microseconds()
+	u.Until = u.At + c.IdempotencyWindow.Microseconds() + c.Timeout.Microseconds()
 }
 
 // Corrected is the answer to a correction.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,9 +29,9 @@
 		p.MemoryMB,
 		s.Cores,
 		s.Classes[2].Name,
-		s.Classes[2].Window.Seconds(),
-		s.Classes[1].Calls,
-		s.Classes[2].Calls,
+		s.Classes[2].IdempotencyWindow.Seconds(),
+		s.Classes[1].CallsDependency,
+		s.Classes[2].CallsDependency,
 		s.Tenants[1].Name,
 		len(p.Meters),
 	}
--- a/internal/config/match_test.go
+++ b/internal/config/match_test.go
@@ -14,8 +14,8 @@
 func TestExpressions(t *testing.T) {
 	p := &Platform{MemoryMB: 192, Sockets: 1024, Engine: netip.MustParseAddrPort("127.0.0.1:9")}
 	p.Settings.Classes = []admission.Class{
-		{Name: "check", Worth: 1, Deadline: 3e9},
-		{Name: "exam", Worth: 1, Deadline: 3e9},
+		{Name: "check", PriorityWeight: 1, Timeout: 3e9},
+		{Name: "exam", PriorityWeight: 1, Timeout: 3e9},
 	}
 	file := filepath.Join(t.TempDir(), "o.yaml")
 	read := func(text string) (*Operator, error) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -286,7 +286,7 @@
 		case o != nil && o.GroupsByUse[c.Name] != "":
 		case !p.Engine.IsValid():
 			return field.New("config: field engine: missing, and class %s runs on no other servers", c.Name)
-		case c.Calls && p.Settings.Dependency != admission.DependencyNone && !p.Backend.IsValid():
+		case c.CallsDependency && p.Settings.Dependency != admission.DependencyNone && !p.Backend.IsValid():
 			return field.New("config: field backend: missing, and class %s calls it", c.Name)
 		}
 	}
@@ -413,9 +413,9 @@
 			return o.doc.Bad(at+".group", "no enabled server of the inventory is in %q", r.Group)
 		case r.Group == "" && !p.Engine.IsValid():
 			return o.doc.Bad(at+".group", "missing, and the platform names no engine")
-		case r.DeadlineMs < 0 || r.DeadlineMs*1000 > p.Settings.Classes[class].Deadline.Microseconds():
+		case r.DeadlineMs < 0 || r.DeadlineMs*1000 > p.Settings.Classes[class].Timeout.Microseconds():
 			return o.doc.Bad(at+".deadline_ms", "%d is not from 1 to the class's %d", r.DeadlineMs,
-				p.Settings.Classes[class].Deadline.Milliseconds())
+				p.Settings.Classes[class].Timeout.Milliseconds())
 		}
 		byClass[r.Class] = r.Group
 		if r.Group != "" {
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -76,7 +76,7 @@
 		c.Tenants = append(c.Tenants, share)
 	}
 	for _, class := range p.Settings.Classes {
-		c.Classes = append(c.Classes, bulkhead.Class{PriorityWeight: class.Worth, LatePriorityWeight: class.Worth * class.LateWorth})
+		c.Classes = append(c.Classes, bulkhead.Class{PriorityWeight: class.PriorityWeight, LatePriorityWeight: class.PriorityWeight * class.LateWeightFraction})
 	}
 	for _, l := range set.List {
 		pool := bulkhead.Pool{Name: l.Name, Floor: l.Floor, Ceiling: 1, Weight: 1, Reserve: l.Reserve}
@@ -88,7 +88,7 @@
 		}
 		for i, class := range p.Settings.Classes {
 			// what is open of one that was dropped
-			if slices.Contains(l.Classes, class.Name) || class.Dropped && l.Classes != nil {
+			if slices.Contains(l.Classes, class.Name) || class.Removed && l.Classes != nil {
 				pool.Classes = append(pool.Classes, i)
 			}
 		}
--- a/internal/config/pools_test.go
+++ b/internal/config/pools_test.go
@@ -19,7 +19,7 @@
 	}
 	p := &Platform{MemoryMB: 192, Sockets: 1024, Engine: netip.MustParseAddrPort("127.0.0.1:9")}
 	for _, c := range []string{"hand-in", "quick-check", "full-check"} {
-		p.Settings.Classes = append(p.Settings.Classes, admission.Class{Name: c, Worth: 1, Deadline: 3e9})
+		p.Settings.Classes = append(p.Settings.Classes, admission.Class{Name: c, PriorityWeight: 1, Timeout: 3e9})
 	}
 	p.Settings.Tenants = []admission.Tenant{{Name: "north", QuotaRate: 30}, {Name: "south", QuotaRate: 10}}
 	read := func(text string) (*Operator, error) {
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -61,16 +61,16 @@
 	r := &runner{Stepped: scenario.NewStepped(t), t: t}
 	r.front = platform.New(r.Loop, nil, 0)
 	set := admission.Settings{
-		Cores:      4,
-		MemoryKB:   50_000,
-		RunFactor:  8,
-		CrowdLimit: 6,
-		TellsGone:  true,
-		DrainGrace: time.Second,
-		Servers:    3,
-		IdleFor:    30 * time.Second,
+		Cores:                 4,
+		MemoryKB:              50_000,
+		RunningMemoryFactor:   8,
+		MaxRunningPerCore:     6,
+		ReportsAbandoned:      true,
+		DrainGrace:            time.Second,
+		Servers:               3,
+		IdleConnectionTimeout: 30 * time.Second,
 		Classes: []admission.Class{
-			{Name: "check", Target: 4 * time.Second, Deadline: 9 * time.Second, Worth: 1},
+			{Name: "check", LatencyObjective: 4 * time.Second, Timeout: 9 * time.Second, PriorityWeight: 1},
 		},
 	}
 	var err error
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -61,7 +61,7 @@
 	if o != Stopped { // the module answers what is unanswered
 		c.answer(r, answer)
 	}
-	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: done})
+	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
 	c.settle()
 	c.drop(r)
 }
@@ -73,17 +73,17 @@
 func verdict(o Outcome, res *Result) (admission.Outcome, Answer) {
 	switch o {
 	case Fine:
-		return admission.OK, Answer{Kind: Served, Result: res}
+		return admission.OutcomeOK, Answer{Kind: Served, Result: res}
 	case Stopped:
-		return admission.Cancelled, Answer{Kind: Failed}
+		return admission.OutcomeCancelled, Answer{Kind: Failed}
 	case NotRun, Unreachable:
-		return admission.Moot, Answer{Kind: Refused}
+		return admission.OutcomeNeverStarted, Answer{Kind: Refused}
 	case TimedOut:
-		return admission.Failed, Answer{Kind: Late}
+		return admission.OutcomeFailed, Answer{Kind: Late}
 	case Unknown: // not a refusal: to try it elsewhere is in vain
-		return admission.Moot, Answer{Kind: Foreign}
+		return admission.OutcomeNeverStarted, Answer{Kind: Foreign}
 	}
-	return admission.Failed, Answer{Kind: Failed}
+	return admission.OutcomeFailed, Answer{Kind: Failed}
 }
 
 // Needs reports that a run waits for a call with this body.
@@ -102,14 +102,14 @@
 }
 
 var callOutcomes = map[Outcome]admission.Outcome{
-	Fine:        admission.OK,
-	Fault:       admission.Failed,
-	Broken:      admission.Broken,
-	TimedOut:    admission.TimedOut,
-	Stopped:     admission.TimedOut,
-	NotRun:      admission.Moot,
-	TurnedAway:  admission.Full,
-	Unreachable: admission.Unreachable,
+	Fine:        admission.OutcomeOK,
+	Fault:       admission.OutcomeFailed,
+	Broken:      admission.OutcomeConnectionLost,
+	TimedOut:    admission.OutcomeTimedOut,
+	Stopped:     admission.OutcomeTimedOut,
+	NotRun:      admission.OutcomeNeverStarted,
+	TurnedAway:  admission.OutcomeRejected,
+	Unreachable: admission.OutcomeUnreachable,
 }
 
 // Called reports the end of a call that took so long.
@@ -127,7 +127,7 @@
 	}
 	c.gate.report(
 		admission.Event{
-			Kind:    admission.EventCalled,
+			Kind:    admission.EventCallCompleted,
 			Request: r.id,
 			Outcome: callOutcomes[o],
 			Elapsed: span(took),
@@ -144,14 +144,14 @@
 		c.yield(r)
 		return
 	}
-	if r.answered || r.running != nil || c.late(r) || class.Effect == admission.Keyed && !c.keys.mayRun(r) {
+	if r.answered || r.running != nil || c.late(r) || class.Idempotency == admission.IdempotentWithKey && !c.keys.mayRun(r) {
 		c.host.Log(evNotRun, class.Name, r.Name)
 		c.answer(r, Answer{Kind: Failed})
-		c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Failed})
+		c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeFailed})
 		return
 	}
 	if r.entry != nil {
-		r.entry.run(r.Arrived, class.Window.Microseconds())
+		r.entry.run(r.Arrived, class.IdempotencyWindow.Microseconds())
 		if c.host.Claims != nil {
 			c.claim(r)
 			return
@@ -174,14 +174,14 @@
 	class := &c.set.Classes[r.Class]
 	aim := int64(0)
 	if r.First > 0 {
-		aim = min(c.host.Now()-(c.host.Unix()-r.First)+class.Target.Microseconds(), r.due)
+		aim = min(c.host.Now()-(c.host.Unix()-r.First)+class.LatencyObjective.Microseconds(), r.due)
 	}
 	return &Attempt{
 		Request: r.Request,
 		Class:   class.Name,
 		Due:     r.due,
 		Aim:     aim,
-		Safe:    class.Effect == admission.Safe,
+		Safe:    class.Idempotency == admission.Idempotent,
 		Before:  before,
 		id:      r.id,
 		runner:  c.host.Route(r.Class),
@@ -222,12 +222,12 @@
 func (c *Core) call(r *request, patience int64) {
 	if r.running == nil || r.wants == nil || c.host.Below == nil {
 		c.gate.report(
-			admission.Event{Kind: admission.EventCalled, Request: r.id, Outcome: admission.Unreachable},
+			admission.Event{Kind: admission.EventCallCompleted, Request: r.id, Outcome: admission.OutcomeUnreachable},
 		)
 		return
 	}
 	if patience <= 0 {
-		patience = c.set.Classes[r.Class].Deadline.Microseconds()
+		patience = c.set.Classes[r.Class].Timeout.Microseconds()
 	}
 	r.calling = true
 	c.host.Below.Call(r.running, r.wants, patience)
--- a/internal/lifecycle/claims.go
+++ b/internal/lifecycle/claims.go
@@ -62,7 +62,7 @@
 	r.running, a.over = nil, true
 	c.forgetEntry(r.entry)
 	c.answer(r, Answer{Kind: Refused, ComeBack: back})
-	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Moot})
+	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeNeverStarted})
 	c.settle()
 	c.drop(r)
 }
@@ -70,7 +70,7 @@
 // yield has a request that was to run here wait for the run of another process. To the module it is
 // over.
 func (c *Core) yield(r *request) {
-	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: admission.Moot})
+	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeNeverStarted})
 	if !r.answered {
 		c.await(r)
 	}
@@ -89,7 +89,7 @@
 	e.waiters = append(e.waiters, r)
 	c.host.After(max(r.due-lateBy-c.host.Now(), 0), func() {
 		if !r.answered {
-			r.trail.because(Cause(admission.CauseOverdue), 0, 0)
+			r.trail.because(Cause(admission.CauseDeadlinePassed), 0, 0)
 			c.answer(r, Answer{Kind: Late})
 			c.drop(r)
 		}
--- a/internal/lifecycle/claims_test.go
+++ b/internal/lifecycle/claims_test.go
@@ -199,8 +199,8 @@
 	more := one.set
 	more.Classes = append(
 		slices.Clone(more.Classes),
-		admission.Class{Name: "late-hand-in", Target: time.Second, Deadline: 2 * time.Second, Worth: 3,
-			Effect: admission.Keyed, Window: 13 * time.Second},
+		admission.Class{Name: "late-hand-in", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 3,
+			Idempotency: admission.IdempotentWithKey, IdempotencyWindow: 13 * time.Second},
 	)
 	configure := func(m *member) {
 		if _, err := m.Configure(more); err != nil {
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -145,14 +145,14 @@
 	r := &request{Request: q, id: c.lastID, trail: c.trail(q)}
 	class := &c.set.Classes[q.Class]
 	arrival := c.arrivalOf(r, queued)
-	r.due = c.host.Now() - queued + class.Deadline.Microseconds()
-	keyed := class.Effect == admission.Keyed
+	r.due = c.host.Now() - queued + class.Timeout.Microseconds()
+	keyed := class.Idempotency == admission.IdempotentWithKey
 	if keyed {
 		if r.entry = c.keys.find(q); r.entry != nil {
 			if c.answersAtOnce(r) {
 				return 0
 			}
-			arrival.Prior = r.entry.owner
+			arrival.PriorRequest = r.entry.owner
 		}
 	}
 	c.takeIn(r, queued)
@@ -172,8 +172,8 @@
 	return admission.Event{Kind: admission.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Caller: c.callers.number(
 			r.Caller,
-		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Subject, Queued: span(queued),
-		Write: c.set.Classes[r.Class].Effect != admission.Safe}
+		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Subject, QueueingDelay: span(queued),
+		Write: c.set.Classes[r.Class].Idempotency != admission.Idempotent}
 }
 
 // answersAtOnce answers a request that repeats another, where nothing has to be waited for: it
@@ -301,7 +301,7 @@
 		c.drop(r)
 		return
 	}
-	c.gate.report(admission.Event{Kind: admission.EventGone, Request: r.id})
+	c.gate.report(admission.Event{Kind: admission.EventAbandoned, Request: r.id})
 	c.settle()
 	c.drop(r)
 }
@@ -321,7 +321,7 @@
 			c.boundReplication(r)
 		}
 	}
-	c.gate.report(admission.Event{Kind: admission.EventDrain, Due: span(c.stopAt)})
+	c.gate.report(admission.Event{Kind: admission.EventDrain, Deadline: span(c.stopAt)})
 	c.settle()
 }
 
@@ -422,7 +422,7 @@
 	}
 	c.counts[r.Class].ended(a.Kind)
 	if a.Kind == Refused {
-		if a.ComeBack = max(a.ComeBack, comeBack); c.set.NoStayAway {
+		if a.ComeBack = max(a.ComeBack, comeBack); c.set.NoRetryAfter {
 			a.ComeBack = 0
 		}
 	}
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -163,7 +163,9 @@
 func TestHeldLongerThanItsWindow(t *testing.T) {
 	c := newTableAt(
 		t,
-		func(s *admission.Settings) { s.Cores, s.CrowdLimit, s.Classes[1].Window = 1, 1, time.Second },
+		func(s *admission.Settings) {
+			s.Cores, s.MaxRunningPerCore, s.Classes[1].IdempotencyWindow = 1, 1, time.Second
+		},
 	)
 	scenario.Play(t, `
 		core send ask 1 check
@@ -210,39 +212,39 @@
 func tableOf(t *testing.T, tries int, claims Claims, life uint64, change func(*admission.Settings)) *table {
 	t.Helper()
 	s := admission.Settings{
-		Cores:      4,
-		MemoryKB:   50_000,
-		RunFactor:  8,
-		KeyKB:      100,
-		CrowdLimit: 6,
-		ColdShare:  0.2,
-		Dependency: admission.DependencyShared,
-		CallsOut:   20,
-		CallsOver:  5 * time.Second,
-		Linger:     200 * time.Millisecond,
-		TellsGone:  true,
-		DrainGrace: 1800 * time.Millisecond,
-		Servers:    3,
-		IdleFor:    30 * time.Second,
-		Tenants:    []admission.Tenant{{Name: "north"}},
+		Cores:                 4,
+		MemoryKB:              50_000,
+		RunningMemoryFactor:   8,
+		KeyMemoryKB:           100,
+		MaxRunningPerCore:     6,
+		WarmUpInitialShare:    0.2,
+		Dependency:            admission.DependencyShared,
+		CallQuota:             20,
+		CallQuotaWindow:       5 * time.Second,
+		AbandonedCallTime:     200 * time.Millisecond,
+		ReportsAbandoned:      true,
+		DrainGrace:            1800 * time.Millisecond,
+		Servers:               3,
+		IdleConnectionTimeout: 30 * time.Second,
+		Tenants:               []admission.Tenant{{Name: "north"}},
 		Classes: []admission.Class{
 			{
-				Name:      "check",
-				Target:    time.Second,
-				Deadline:  3 * time.Second,
-				Worth:     1,
-				LateWorth: 0.2,
-				Calls:     true,
+				Name:               "check",
+				LatencyObjective:   time.Second,
+				Timeout:            3 * time.Second,
+				PriorityWeight:     1,
+				LateWeightFraction: 0.2,
+				CallsDependency:    true,
 			},
 			{
-				Name:      "hand-in",
-				Target:    time.Second,
-				Deadline:  2500 * time.Millisecond,
-				Worth:     3,
-				LateWorth: 0.2,
-				Effect:    admission.Keyed,
-				Window:    13020 * time.Millisecond,
-				Calls:     true,
+				Name:               "hand-in",
+				LatencyObjective:   time.Second,
+				Timeout:            2500 * time.Millisecond,
+				PriorityWeight:     3,
+				LateWeightFraction: 0.2,
+				Idempotency:        admission.IdempotentWithKey,
+				IdempotencyWindow:  13020 * time.Millisecond,
+				CallsDependency:    true,
 			}},
 	}
 	change(&s)
@@ -416,12 +418,12 @@
 // or whose calls might be left out.
 func TestSettingsThatAllowMore(t *testing.T) {
 	for name, change := range map[string]func(*admission.Settings){
-		"work may be stopped": func(s *admission.Settings) { s.Halt = admission.HaltDiscard },
-		"and goes on later":   func(s *admission.Settings) { s.Halt = admission.HaltFreeze },
+		"work may be stopped": func(s *admission.Settings) { s.Cancel = admission.CancelDiscard },
+		"and goes on later":   func(s *admission.Settings) { s.Cancel = admission.CancelSuspend },
 		"calls may be left out": func(s *admission.Settings) {
-			s.Classes[0].OmitWorth, s.Classes[1].OmitWorth = 0.5, 0.5
+			s.Classes[0].DegradedWeightFraction, s.Classes[1].DegradedWeightFraction = 0.5, 0.5
 		},
-		"reads share results": func(s *admission.Settings) { s.FreshFor = time.Second },
+		"reads share results": func(s *admission.Settings) { s.ResultMaxAge = time.Second },
 		"no tenants":          func(s *admission.Settings) { s.Tenants = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -523,7 +525,7 @@
 		"core send drain 5000\ncore send pass 1900\ncore send ask 1 check\ncore expect answer 1 refused",
 		map[string]scenario.Actor{"core": c},
 	)
-	if len(c.trails) != 1 || c.trails[0].Cause != Cause(admission.CauseDrain) ||
+	if len(c.trails) != 1 || c.trails[0].Cause != Cause(admission.CauseDraining) ||
 		c.trails[0].Value <= c.trails[0].Limit {
 		t.Errorf("%+v", c.trails)
 	}
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -26,10 +26,10 @@
 )
 
 var verbs = map[admission.ActionKind]verb{
-	admission.ActionStart: doStart, admission.ActionRefuse: doRefuse, admission.ActionFail: doFail,
-	admission.ActionCall: doCall, admission.ActionKeep: doKeep,
-	admission.ActionForget: doForget, admission.ActionReuse: doReuse, admission.ActionHealth: doHealth,
-	admission.ActionAdvertise: doAdvertise, admission.ActionTrim: doTrim, admission.ActionTimer: doTick,
+	admission.ActionStart: doStart, admission.ActionReject: doRefuse, admission.ActionFail: doFail,
+	admission.ActionPlaceCall: doCall, admission.ActionRememberKey: doKeep,
+	admission.ActionForgetKey: doForget, admission.ActionReuseResult: doReuse, admission.ActionSetHealth: doHealth,
+	admission.ActionAdvertise: doAdvertise, admission.ActionCloseIdle: doTrim, admission.ActionTimer: doTick,
 	admission.ActionLog: doLog,
 }
 
@@ -83,10 +83,10 @@
 	return decision{
 		verb:   verbs[a.Kind],
 		id:     a.Request,
-		span:   a.For.Microseconds(),
-		last:   a.Last,
-		stored: a.Stored,
-		good:   a.Good,
+		span:   a.Duration.Microseconds(),
+		last:   a.NoRetry,
+		stored: a.Static,
+		good:   a.Healthy,
 		value:  a.Value,
 		text:   a.Text,
 		cause:  a.Cause,
--- a/internal/lifecycle/keeper.go
+++ b/internal/lifecycle/keeper.go
@@ -209,7 +209,7 @@
 // its due time.
 func (c *Core) hold(r *request, o Outcome, res *Result) {
 	done, answer := verdict(o, res)
-	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: done})
+	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
 	r.held = true
 	if o != Fine {
 		r.trail.because(causeOf(o), 0, 0)
--- a/internal/lifecycle/keys.go
+++ b/internal/lifecycle/keys.go
@@ -195,7 +195,7 @@
 		w.waits = false
 		w.trail.because(CauseForgotten, 0, 0)
 		c.answer(w, Answer{Kind: Refused})
-		c.reuseOver(w, admission.Failed)
+		c.reuseOver(w, admission.OutcomeFailed)
 	}
 }
 
@@ -205,7 +205,7 @@
 	case e == nil || c.keys.byName[e.name] != e && !e.ended:
 		r.trail.because(CauseForgotten, 0, 0)
 		c.answer(r, Answer{Kind: Refused}) // what it repeats was dropped without having run
-		c.reuseOver(r, admission.Failed)
+		c.reuseOver(r, admission.OutcomeFailed)
 	case e.ended:
 		c.finishReuse(r, e)
 	default:
@@ -220,14 +220,14 @@
 	r.trail.because(CauseRepeat, 0, 0)
 	if e.result != nil {
 		c.answer(r, Answer{Kind: Served, Result: e.result})
-		c.reuseOver(r, admission.OK)
+		c.reuseOver(r, admission.OutcomeOK)
 		return
 	}
 	c.answer(r, Answer{Kind: e.failed})
-	c.reuseOver(r, admission.Failed)
+	c.reuseOver(r, admission.OutcomeFailed)
 }
 
 func (c *Core) reuseOver(r *request, o admission.Outcome) {
-	c.gate.report(admission.Event{Kind: admission.EventDone, Request: r.id, Outcome: o})
+	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: o})
 	c.drop(r)
 }
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -13,7 +13,7 @@
 // Configure takes settings that were changed while the program runs, and gives them as they are in
 // force, with the places of classes that they have dropped.
 func (c *Core) Configure(set admission.Settings) (admission.Settings, error) {
-	set, err := usable(set).After(c.set)
+	set, err := usable(set).MergeClasses(c.set)
 	if err != nil {
 		return set, err
 	}
@@ -24,7 +24,7 @@
 		return set, err
 	}
 	for i := range set.Classes {
-		if i < len(c.set.Classes) && set.Classes[i].Dropped && !c.set.Classes[i].Dropped {
+		if i < len(c.set.Classes) && set.Classes[i].Removed && !c.set.Classes[i].Removed {
 			c.droppedAt[i] = c.host.Now()
 		}
 	}
@@ -41,7 +41,7 @@
 
 // Class finds a class by its name.
 func (c *Core) Class(name string) (int, bool) {
-	if i := c.set.Class(name); i >= 0 {
+	if i := c.set.ClassIndex(name); i >= 0 {
 		return i, true
 	}
 	for i := range c.set.Classes {
@@ -56,7 +56,7 @@
 func (c *Core) Dropped(name string) bool {
 	return slices.ContainsFunc(
 		c.set.Classes,
-		func(class admission.Class) bool { return class.Name == name && class.Dropped },
+		func(class admission.Class) bool { return class.Name == name && class.Removed },
 	)
 }
 
@@ -77,17 +77,19 @@
 }
 
 // Keyed tells whether requests of the class carry a key.
-func (c *Core) Keyed(class int) bool { return c.set.Classes[class].Effect == admission.Keyed }
+func (c *Core) Keyed(class int) bool {
+	return c.set.Classes[class].Idempotency == admission.IdempotentWithKey
+}
 
 // usable is what the module is told of the settings: no more than this program can carry out. What
 // they allow beyond that is no reason not to serve. The engine's protocol has no word for stopping
 // a run nor for going on without a call, and an answer is served with what a run made for that
 // request, so that reads do not share results.
 func usable(set admission.Settings) admission.Settings {
-	set.Halt, set.FreshFor = admission.HaltNone, 0
+	set.Cancel, set.ResultMaxAge = admission.CancelNone, 0
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
-		set.Classes[i].OmitWorth = 0
+		set.Classes[i].DegradedWeightFraction = 0
 	}
 	return set
 }
--- a/internal/lifecycle/trail.go
+++ b/internal/lifecycle/trail.go
@@ -34,11 +34,11 @@
 )
 
 var causeNames = map[Cause]string{
-	CauseNone: "none", Cause(admission.CauseDrain): "drain", Cause(admission.CauseMemory): "no memory to hold it",
-	Cause(admission.CauseNoTime): "too little time left", Cause(admission.CauseCall): "no room for its call",
-	Cause(admission.CauseDelay): "queueing delay", Cause(admission.CauseHopeless): "held until its aim was out of reach",
-	Cause(admission.CauseShare): "beyond its tenant's share", Cause(admission.CauseKeys): "no memory for its key",
-	Cause(admission.CauseOverdue): "due time came", Cause(admission.CauseCallFailed): "its call failed", Cause(admission.CauseStopped): "its run was stopped",
+	CauseNone: "none", Cause(admission.CauseDraining): "drain", Cause(admission.CauseMemory): "no memory to hold it",
+	Cause(admission.CauseDeadlineTooNear): "too little time left", Cause(admission.CauseCallQueue): "no room for its call",
+	Cause(admission.CauseQueueingDelay): "queueing delay", Cause(admission.CauseObjectiveUnreachable): "held until its aim was out of reach",
+	Cause(admission.CauseQuota): "beyond its tenant's share", Cause(admission.CauseKeyMemory): "no memory for its key",
+	Cause(admission.CauseDeadlinePassed): "due time came", Cause(admission.CauseCallFailed): "its call failed", Cause(admission.CauseCancelled): "its run was stopped",
 	CauseKeyTable: "table of keys full", CauseDisk: "key cannot be kept", CauseNameOpen: "its name is open", CauseKeyTaken: "its key stands for another body",
 	CauseInDoubt: "in doubt after a restart", CauseRepeat: "repeats another try", CauseForgotten: "what it repeats never ran",
 	CauseNobody: "no server took it", CauseServerFault: "its server failed it", CauseBroken: "its run was cut off", CauseRunOverdue: "its run took too long",
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -182,40 +182,40 @@
 func (p *play) settings(way string) admission.Settings {
 	ms := func(v float64) time.Duration { return time.Duration(v * 1e6) }
 	set := admission.Settings{
-		Servers:     1,
-		Callers:     4,
-		Cores:       p.spec.Servers * p.spec.Workers,
-		MemoryKB:    1e8,
-		RunFactor:   1,
-		KeyKB:       0.1,
-		CreditMode:  admission.CreditNone,
-		TellsGone:   true,
-		IdleFor:     30 * time.Second,
-		MaxStayAway: time.Second,
-		OverWorth:   0.05,
-		Slack: ms(
+		Servers:               1,
+		Callers:               4,
+		Cores:                 p.spec.Servers * p.spec.Workers,
+		MemoryKB:              1e8,
+		RunningMemoryFactor:   1,
+		KeyMemoryKB:           0.1,
+		CreditMode:            admission.CreditNone,
+		ReportsAbandoned:      true,
+		IdleConnectionTimeout: 30 * time.Second,
+		MaxRetryAfter:         time.Second,
+		OverQuotaWeight:       0.05,
+		DeadlineGrace: ms(
 			60,
 		),
-		DrainGrace: ms(1000),
-		CrowdLimit: 1000,
-		CrowdOver:  2 * time.Second,
-		ColdShare:  1,
-		ColdFor:    time.Second,
+		DrainGrace:         ms(1000),
+		MaxRunningPerCore:  1000,
+		MaxRunningWindow:   2 * time.Second,
+		WarmUpInitialShare: 1,
+		WarmUpTime:         time.Second,
 	}
 	if isWide(way) {
 		set.Cores *= wideCores
 	}
 	for _, c := range classes {
 		class := admission.Class{
-			Name:      c.Name,
-			Target:    ms(c.Target),
-			Deadline:  ms(c.Deadline),
-			Worth:     c.Worth,
-			LateWorth: c.Late,
-			Effect:    admission.Safe,
+			Name:               c.Name,
+			LatencyObjective:   ms(c.Target),
+			Timeout:            ms(c.Deadline),
+			PriorityWeight:     c.Worth,
+			LateWeightFraction: c.Late,
+			Idempotency:        admission.Idempotent,
 		}
 		if c.Keyed {
-			class.Effect, class.Window = admission.Keyed, 13*time.Second
+			class.Idempotency, class.IdempotencyWindow = admission.IdempotentWithKey, 13*time.Second
 		}
 		set.Classes = append(set.Classes, class)
 	}
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -389,10 +389,10 @@
 	return r.Float64(), lognormal(d.CallWork, d.Spec.BackEnd.CV, r)
 }
 
-var effects = map[string]admission.Effect{
-	"safe":   admission.Safe,
-	"keyed":  admission.Keyed,
-	"unsafe": admission.Unsafe,
+var effects = map[string]admission.Idempotency{
+	"safe":   admission.Idempotent,
+	"keyed":  admission.IdempotentWithKey,
+	"unsafe": admission.NonIdempotent,
 }
 
 // drawSettings is what a runner is told of all this.
@@ -401,42 +401,42 @@
 	us := func(ms float64) time.Duration { return time.Duration(ms*1000) * time.Microsecond }
 	m := d.Runners[0].Spec
 	set := admission.Settings{
-		Servers:     len(d.Runners),
-		Callers:     len(d.Balancers),
-		Cores:       f.Cores,
-		MemoryKB:    m.MemoryKB,
-		RunFactor:   f.RunFactor,
-		KeyKB:       d.KeyKB,
-		CreditMode:  admission.CreditAllowance,
-		CreditLife:  creditLife * time.Microsecond,
-		DeepChecks:  true,
-		TellsGone:   true,
-		IdleFor:     30 * time.Second,
-		MaxStayAway: stayAway * time.Microsecond,
-		OverWorth:   g.OverWorth,
-		Slack:       us(f.SlackMs),
-		DrainGrace:  us(f.DrainMs),
-		CrowdLimit:  f.CrowdLimit,
-		CrowdOver:   us(f.CrowdMs),
-		ColdShare:   f.ColdFrom.Lo,
-		ColdFor:     us(f.ColdS.Hi * 1000),
+		Servers:               len(d.Runners),
+		Callers:               len(d.Balancers),
+		Cores:                 f.Cores,
+		MemoryKB:              m.MemoryKB,
+		RunningMemoryFactor:   f.RunFactor,
+		KeyMemoryKB:           d.KeyKB,
+		CreditMode:            admission.CreditPerCaller,
+		CreditLifetime:        creditLife * time.Microsecond,
+		DeepHealthChecks:      true,
+		ReportsAbandoned:      true,
+		IdleConnectionTimeout: 30 * time.Second,
+		MaxRetryAfter:         stayAway * time.Microsecond,
+		OverQuotaWeight:       g.OverWorth,
+		DeadlineGrace:         us(f.SlackMs),
+		DrainGrace:            us(f.DrainMs),
+		MaxRunningPerCore:     f.CrowdLimit,
+		MaxRunningWindow:      us(f.CrowdMs),
+		WarmUpInitialShare:    f.ColdFrom.Lo,
+		WarmUpTime:            us(f.ColdS.Hi * 1000),
 	}
 	for i, c := range d.Spec.Classes {
 		set.Classes = append(
 			set.Classes,
-			admission.Class{Name: c.Name, Target: us(c.AimMs), Deadline: us(c.DeadlineMs),
-				Window: us(
+			admission.Class{Name: c.Name, LatencyObjective: us(c.AimMs), Timeout: us(c.DeadlineMs),
+				IdempotencyWindow: us(
 					c.WindowMs,
-				), Effect: effects[c.Effect], Worth: c.Worth, LateWorth: c.LateWorth, Calls: d.CallMean[i] > 0},
+				), Idempotency: effects[c.Effect], PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth, CallsDependency: d.CallMean[i] > 0},
 		)
 		if d.CallMean[i] > 0 {
 			set.Dependency = admission.DependencyShared
 		}
 	}
 	if set.Dependency == admission.DependencyShared {
-		set.CallsOut = d.BackEnd.Fall * d.BackEnd.Slots / float64(len(d.Runners))
-		set.CallsOver = time.Duration(d.BackEnd.FallOver) * time.Microsecond
-		set.Linger = time.Duration(d.BackEnd.Linger) * time.Microsecond
+		set.CallQuota = d.BackEnd.Fall * d.BackEnd.Slots / float64(len(d.Runners))
+		set.CallQuotaWindow = time.Duration(d.BackEnd.FallOver) * time.Microsecond
+		set.AbandonedCallTime = time.Duration(d.BackEnd.Linger) * time.Microsecond
 	}
 	all := pick(Stream(d.Seed, "quota", 0), g.QuotaOf) * d.Capacity
 	shares := 0.0
--- a/internal/simulator/fleet/fleet_test.go
+++ b/internal/simulator/fleet/fleet_test.go
@@ -203,14 +203,14 @@
 		rule string
 	}{
 		{"a crowd", Options{Settings: func(set *admission.Settings) {
-			set.Cores, set.CrowdLimit, set.MemoryKB, set.Figures.CrowdShare = 200, 1000, 1e12, 1
+			set.Cores, set.MaxRunningPerCore, set.MemoryKB, set.Parameters.RunningLimitShare = 200, 1000, 1e12, 1
 		}}, "fall-over"},
-		{"calls without bound", Options{Settings: func(set *admission.Settings) { set.CallsOut = 1000 }}, "backend"},
+		{"calls without bound", Options{Settings: func(set *admission.Settings) { set.CallQuota = 1000 }}, "backend"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			change := c.opt.Settings
 			c.opt.Settings = func(set *admission.Settings) {
-				set.Figures = admission.StandardFigures()
+				set.Parameters = admission.DefaultParameters()
 				change(set)
 			}
 			over := *s
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -81,7 +81,7 @@
 	}
 	set := s.day.Settings
 	set.Classes = slices.Clone(set.Classes)
-	set.Cold = cold
+	set.WarmingUp = cold
 	if s.opt.Settings != nil {
 		s.opt.Settings(&set)
 	}
--- a/internal/simulator/variant/schema.go
+++ b/internal/simulator/variant/schema.go
@@ -20,11 +20,11 @@
 		Properties:           jsonschema.NewProperties(),
 		AdditionalProperties: jsonschema.FalseSchema,
 	}
-	f := admission.StandardFigures()
+	f := admission.DefaultParameters()
 	for _, g := range f.All() {
 		figures.Properties.Set(
 			g.Name,
-			&jsonschema.Schema{Type: "number", Minimum: number(g.Least), Maximum: number(g.Most),
+			&jsonschema.Schema{Type: "number", Minimum: number(g.Min), Maximum: number(g.Max),
 				Default: *g.Value},
 		)
 	}
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -75,7 +75,7 @@
 	if v.Name == "" {
 		return nil, v.doc.Bad("name", "missing")
 	}
-	f := admission.StandardFigures()
+	f := admission.DefaultParameters()
 	for _, name := range slices.Sorted(maps.Keys(v.Figures)) {
 		if err := f.Set(name, v.Figures[name]); err != nil {
 			return nil, v.doc.Bad("figures."+name, "%v", err)
@@ -123,9 +123,9 @@
 }
 
 func (v *Variant) apply(set *admission.Settings) {
-	set.Figures = admission.StandardFigures()
+	set.Parameters = admission.DefaultParameters()
 	for name, value := range v.Figures {
-		if err := set.Figures.Set(name, value); err != nil {
+		if err := set.Parameters.Set(name, value); err != nil {
 			panic(err) // Parse has checked it
 		}
 	}
@@ -142,8 +142,8 @@
 		set.Servers = s.Servers
 	}
 	times(&set.MemoryKB, s.MemoryTimes)
-	times(&set.KeyKB, s.KeyTimes)
-	times(&set.CallsOut, s.CallsOutTimes)
+	times(&set.KeyMemoryKB, s.KeyTimes)
+	times(&set.CallQuota, s.CallsOutTimes)
 	set.Tenants = slices.Clone(set.Tenants)
 	for i := range set.Tenants {
 		times(&set.Tenants[i].QuotaRate, s.QuotaTimes)
@@ -151,14 +151,14 @@
 	if s.AimTimes > 0 {
 		set.Classes = slices.Clone(set.Classes)
 		for i := range set.Classes {
-			set.Classes[i].Target = time.Duration(float64(set.Classes[i].Target) * s.AimTimes)
+			set.Classes[i].LatencyObjective = time.Duration(float64(set.Classes[i].LatencyObjective) * s.AimTimes)
 		}
 	}
 	if s.CrowdLimit > 0 {
-		set.CrowdLimit = s.CrowdLimit
+		set.MaxRunningPerCore = s.CrowdLimit
 	}
 	if s.MaxStayAwayMs > 0 {
-		set.MaxStayAway = time.Duration(s.MaxStayAwayMs * float64(time.Millisecond))
+		set.MaxRetryAfter = time.Duration(s.MaxStayAwayMs * float64(time.Millisecond))
 	}
 	if s.NoCredit {
 		set.CreditMode = admission.CreditNone
--- a/internal/simulator/variant/variant_test.go
+++ b/internal/simulator/variant/variant_test.go
@@ -49,13 +49,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := admission.Settings{Cores: 6, CallsOut: 4, Tenants: []admission.Tenant{{Name: "a", QuotaRate: 10}}}
+	was := admission.Settings{Cores: 6, CallQuota: 4, Tenants: []admission.Tenant{{Name: "a", QuotaRate: 10}}}
 	set := was
 	o.Settings(&set)
-	if set.Cores != 2 || set.CallsOut != 2 || set.Tenants[0].QuotaRate != 20 ||
-		set.MaxStayAway != 500*time.Millisecond ||
-		set.Figures.TargetShare != 0.3 ||
-		set.Figures.RefuseAt != admission.StandardFigures().RefuseAt {
+	if set.Cores != 2 || set.CallQuota != 2 || set.Tenants[0].QuotaRate != 20 ||
+		set.MaxRetryAfter != 500*time.Millisecond ||
+		set.Parameters.DelayTargetShare != 0.3 ||
+		set.Parameters.RejectDelayFactor != admission.DefaultParameters().RejectDelayFactor {
 		t.Errorf("%+v", set)
 	}
 	if was.Tenants[0].QuotaRate != 10 {
@@ -105,7 +105,7 @@
 	o, err := v.Options(scenario(t))
 	set := admission.Settings{Cores: 6}
 	o.Settings(&set)
-	if err != nil || o.Kinds != nil || set.Cores != 6 || set.Figures != admission.StandardFigures() {
+	if err != nil || o.Kinds != nil || set.Cores != 6 || set.Parameters != admission.DefaultParameters() {
 		t.Errorf("%+v, %v", set, err)
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -98,12 +98,12 @@
 }
 
 var (
-	effects = map[string]admission.Effect{"read_like": admission.Safe, "idempotency_key": admission.Keyed,
-		"non_idempotent": admission.Unsafe}
+	effects = map[string]admission.Idempotency{"read_like": admission.Idempotent, "idempotency_key": admission.IdempotentWithKey,
+		"non_idempotent": admission.NonIdempotent}
 	credits = map[string]admission.CreditMode{"": admission.CreditNone, "silent": admission.CreditNone,
-		"floor": admission.CreditLevel, "allowance": admission.CreditAllowance, "weight": admission.CreditWeight}
-	halts = map[string]admission.HaltMode{"": admission.HaltNone, "silent": admission.HaltNone,
-		"discard": admission.HaltDiscard, "freeze": admission.HaltFreeze}
+		"floor": admission.CreditRankThreshold, "allowance": admission.CreditPerCaller, "weight": admission.CreditWeight}
+	halts = map[string]admission.CancelMode{"": admission.CancelNone, "silent": admission.CancelNone,
+		"discard": admission.CancelDiscard, "freeze": admission.CancelSuspend}
 	belows = map[string]admission.Dependency{"": admission.DependencyNone, "silent": admission.DependencyNone,
 		"one_for_all": admission.DependencyShared, "tier": admission.DependencyTier}
 	byWork = map[string]bool{"": false, "request": false, "work": true}
@@ -140,45 +140,45 @@
 	s := admission.Settings{
 		Servers: p.count(
 			"Servers",
-		), Callers: p.count("Specifics.Upstreams"), Cold: p.flag("Specifics.JustStarted"),
+		), Callers: p.count("Specifics.Upstreams"), WarmingUp: p.flag("Specifics.JustStarted"),
 		Cores: p.count("Specifics.Cores"), MemoryKB: p.num("Specifics.MemoryKb"),
-		RunFactor: p.num("Specifics.RunMemFactor"), KeyKB: p.num("Specifics.KeyKb"),
-		FreshFor: p.dur("Specifics.FreshUs"), Halt: word(p, "Specifics.Halt", halts),
-		CreditMode: word(p, "Specifics.Say", credits), CreditLife: p.dur("Specifics.HeededUs"),
-		Dependency: word(p, "Specifics.Below", belows), CallsOut: p.num("Specifics.CallsOut"),
-		CallsOver: p.dur("Specifics.CallsOverUs"), Linger: p.dur("Specifics.LingerUs"),
-		DeepChecks: p.flag("Specifics.DeepChecks"), TellsGone: p.flag("Specifics.TellsGone"),
-		MarksRetry: p.flag("Callers.MarksRetry"), ListFollows: p.flag("Specifics.RegistryFollows"),
-		IdleFor: p.dur("Specifics.IdleUs"), HandshakePrice: p.num("Prices.Handshake"),
-		MaxStayAway: p.dur(
+		RunningMemoryFactor: p.num("Specifics.RunMemFactor"), KeyMemoryKB: p.num("Specifics.KeyKb"),
+		ResultMaxAge: p.dur("Specifics.FreshUs"), Cancel: word(p, "Specifics.Halt", halts),
+		CreditMode: word(p, "Specifics.Say", credits), CreditLifetime: p.dur("Specifics.HeededUs"),
+		Dependency: word(p, "Specifics.Below", belows), CallQuota: p.num("Specifics.CallsOut"),
+		CallQuotaWindow: p.dur("Specifics.CallsOverUs"), AbandonedCallTime: p.dur("Specifics.LingerUs"),
+		DeepHealthChecks: p.flag("Specifics.DeepChecks"), ReportsAbandoned: p.flag("Specifics.TellsGone"),
+		MarksRetries: p.flag("Callers.MarksRetry"), EndpointListFollowsHealth: p.flag("Specifics.RegistryFollows"),
+		IdleConnectionTimeout: p.dur("Specifics.IdleUs"), HandshakeCost: p.num("Prices.Handshake"),
+		MaxRetryAfter: p.dur(
 			"Caps.MaxRetryAfterUs",
-		), NoStayAway: p.m["Caps.RetryAfter"] != "" && !p.flag("Caps.RetryAfter"),
-		WorthPerWork: word(p, "ValueBy", byWork), OverWorth: p.num("OverShareWorth"),
-		Slack: p.dur("Rules.AnswerSlackUs"), DrainGrace: p.dur("Rules.StopSendingWithinUs"),
-		CrowdLimit: p.num("Rules.FallMultiple"), CrowdOver: p.dur("Rules.FallUs"),
-		ColdShare: p.num("Rules.ColdShare"), ColdFor: p.dur("Rules.ColdUs"),
+		), NoRetryAfter: p.m["Caps.RetryAfter"] != "" && !p.flag("Caps.RetryAfter"),
+		WeightPerWork: word(p, "ValueBy", byWork), OverQuotaWeight: p.num("OverShareWorth"),
+		DeadlineGrace: p.dur("Rules.AnswerSlackUs"), DrainGrace: p.dur("Rules.StopSendingWithinUs"),
+		MaxRunningPerCore: p.num("Rules.FallMultiple"), MaxRunningWindow: p.dur("Rules.FallUs"),
+		WarmUpInitialShare: p.num("Rules.ColdShare"), WarmUpTime: p.dur("Rules.ColdUs"),
 	}
 	calls, omits := p.list("Specifics.CallsByClass"), p.list("Specifics.ClassSkipWorth")
 	for i := range p.items("RequestClasses.count") {
 		at := fmt.Sprintf("RequestClasses.%d.", i)
 		c := admission.Class{
-			Name: p.m[at+"Name"], Target: p.dur(at + "TargetUs"), AimStretch: p.num(at + "AimStretch"),
-			Deadline: p.dur(at + "DeadlineUs"), Window: p.dur(at + "WindowUs"),
-			Effect: word(
+			Name: p.m[at+"Name"], LatencyObjective: p.dur(at + "TargetUs"), ObjectiveWorkFactor: p.num(at + "AimStretch"),
+			Timeout: p.dur(at + "DeadlineUs"), IdempotencyWindow: p.dur(at + "WindowUs"),
+			Idempotency: word(
 				p,
 				at+"Idempotency",
 				effects,
-			), Worth: p.num(at + "Worth"), LateWorth: p.num(at + "LateWorth"),
+			), PriorityWeight: p.num(at + "Worth"), LateWeightFraction: p.num(at + "LateWorth"),
 		}
 		if i < len(calls) {
-			c.Calls = p.flagText("Specifics.CallsByClass", calls[i])
+			c.CallsDependency = p.flagText("Specifics.CallsByClass", calls[i])
 		}
 		if i < len(omits) {
 			f, err := strconv.ParseFloat(omits[i], 64)
 			if err != nil {
 				p.bad("Specifics.ClassSkipWorth", omits[i])
 			}
-			c.OmitWorth = f
+			c.DegradedWeightFraction = f
 		}
 		s.Classes = append(s.Classes, c)
 	}
@@ -194,50 +194,51 @@
 		gauges = append(gauges, gaugeNames[name])
 	}
 	if p.err == nil {
-		p.err = p.inPaths(s.Check())
+		p.err = p.inPaths(s.Validate())
 	}
 	return s, gauges, p.err
 }
 
-// paths are the settings' paths on the wire by the names that the module has for them, where they
-// differ.
-var paths = strings.NewReplacer(
-	"Classes[",
-	"RequestClasses.",
-	"Tenants[",
-	"Accounts.",
-	"].",
-	".",
-	"Cores",
-	"Specifics.Cores",
-	"MemoryKB",
-	"Specifics.MemoryKb",
-	"RunFactor",
-	"Specifics.RunMemFactor",
-	"KeyKB",
-	"Specifics.KeyKb",
-	"CrowdLimit",
-	"Rules.FallMultiple",
-	"ColdShare",
-	"Rules.ColdShare",
-	"CallsOut",
-	"Specifics.CallsOut",
-	"Classes",
-	"RequestClasses",
-	"Target",
-	"TargetUs",
-	"Deadline",
-	"DeadlineUs",
-	"Window",
-	"WindowUs",
-	"Effect",
-	"Idempotency",
-	"OmitWorth",
-	"ClassSkipWorth",
-	"QuotaRate",
-	"QuotaRps",
+// Paths on the wire of the settings that Settings.Validate may report, by their names in the module.
+var (
+	settingPaths = map[string]string{
+		"Classes":             "RequestClasses",
+		"Cores":               "Specifics.Cores",
+		"MemoryKB":            "Specifics.MemoryKb",
+		"RunningMemoryFactor": "Specifics.RunMemFactor",
+		"KeyMemoryKB":         "Specifics.KeyKb",
+		"CallQuota":           "Specifics.CallsOut",
+		"MaxRunningPerCore":   "Rules.FallMultiple",
+		"WarmUpInitialShare":  "Rules.ColdShare",
+	}
+	classPaths = map[string]string{
+		"Name":                   "Name",
+		"LatencyObjective":       "TargetUs",
+		"ObjectiveWorkFactor":    "AimStretch",
+		"Timeout":                "DeadlineUs",
+		"IdempotencyWindow":      "WindowUs",
+		"Idempotency":            "Idempotency",
+		"PriorityWeight":         "Worth",
+		"LateWeightFraction":     "LateWorth",
+		"DegradedWeightFraction": "ClassSkipWorth",
+	}
+	tenantPaths = map[string]string{"Name": "Name", "QuotaRate": "QuotaRps"}
 )
 
+// wirePath translates the name of a setting, such as "Classes[2].IdempotencyWindow", to its path on
+// the wire, such as "RequestClasses.2.WindowUs".
+func wirePath(setting string) string {
+	list, rest, indexed := strings.Cut(setting, "[")
+	if !indexed {
+		return settingPaths[setting]
+	}
+	index, field, _ := strings.Cut(rest, "].")
+	if list == "Tenants" {
+		return "Accounts." + index + "." + tenantPaths[field]
+	}
+	return "RequestClasses." + index + "." + classPaths[field]
+}
+
 // inPaths names the setting of an error by its path on the wire. What is not there at all is told
 // from what is nought.
 func (p *pairs) inPaths(err error) error {
@@ -245,7 +246,7 @@
 	if !errors.As(err, &e) {
 		return err
 	}
-	named := &admission.SettingError{Setting: paths.Replace(e.Setting), Value: e.Value, Want: e.Want}
+	named := &admission.SettingError{Setting: wirePath(e.Setting), Value: e.Value, Want: e.Want}
 	if p.m[named.Setting] == "" && p.m[named.Setting+".count"] == "" {
 		named.Value = "missing"
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -45,15 +45,15 @@
 
 // actionCodes are LAUNCH, NOT_NOW, LOSE and so on, by kind of action.
 var actionCodes = [...]uint16{
-	admission.ActionStart: 76, admission.ActionRefuse: 75, admission.ActionFail: 68, admission.ActionHalt: 72,
-	admission.ActionCall: 71, admission.ActionOmit: 78, admission.ActionKeep: 79, admission.ActionForget: 70,
-	admission.ActionReuse: 73, admission.ActionHealth: 67, admission.ActionAdvertise: 74, admission.ActionTrim: 66,
+	admission.ActionStart: 76, admission.ActionReject: 75, admission.ActionFail: 68, admission.ActionCancel: 72,
+	admission.ActionPlaceCall: 71, admission.ActionOmitCall: 78, admission.ActionRememberKey: 79, admission.ActionForgetKey: 70,
+	admission.ActionReuseResult: 73, admission.ActionSetHealth: 67, admission.ActionAdvertise: 74, admission.ActionCloseIdle: 66,
 	admission.ActionTimer: 65, admission.ActionLog: 69,
 }
 
-var outcomes = map[uint16]admission.Outcome{200: admission.OK, 502: admission.Failed, 429: admission.Full,
-	408: admission.TimedOut, 521: admission.Unreachable, 520: admission.Broken, 444: admission.Cancelled,
-	409: admission.Moot}
+var outcomes = map[uint16]admission.Outcome{200: admission.OutcomeOK, 502: admission.OutcomeFailed, 429: admission.OutcomeRejected,
+	408: admission.OutcomeTimedOut, 521: admission.OutcomeUnreachable, 520: admission.OutcomeConnectionLost, 444: admission.OutcomeCancelled,
+	409: admission.OutcomeNeverStarted}
 
 var le = binary.LittleEndian
 
@@ -136,27 +136,27 @@
 		flags := r[47]
 		ev.Kind = admission.EventRequest
 		ev.Class, ev.Tenant, ev.Caller = int(r[14]), int(le.Uint32(r[15:])), le.Uint32(r[48:])
-		ev.Due = micros(le.Uint64(r[27:]))
+		ev.Deadline = micros(le.Uint64(r[27:]))
 		if flags&1 != 0 {
-			ev.Hint = micros(uint64(le.Uint32(r[35:])))
+			ev.ExpectedWork = micros(uint64(le.Uint32(r[35:])))
 		}
 		ev.SizeKB, ev.Rank = float(r[39:]), float(r[43:])
 		ev.Key, ev.Retry, ev.Write = le.Uint64(r[19:]), flags&2 != 0, flags&4 != 0
-		ev.Queued, ev.Prior = micros(uint64(le.Uint32(r[52:]))), le.Uint64(r[56:])
+		ev.QueueingDelay, ev.PriorRequest = micros(uint64(le.Uint32(r[52:]))), le.Uint64(r[56:])
 	case codeRunOver:
-		ev.Kind, ev.Outcome, ev.Elapsed = admission.EventDone, outcomes[le.Uint16(r[14:])], micros(
+		ev.Kind, ev.Outcome, ev.Elapsed = admission.EventCompleted, outcomes[le.Uint16(r[14:])], micros(
 			uint64(le.Uint32(r[16:])),
 		)
 	case codeBlocked:
 		ev.Kind = admission.EventBlocked
 	case codeDownstream:
-		ev.Kind, ev.Elapsed, ev.Outcome = admission.EventCalled, micros(
+		ev.Kind, ev.Elapsed, ev.Outcome = admission.EventCallCompleted, micros(
 			uint64(le.Uint32(r[14:])),
 		), outcomes[le.Uint16(r[18:])]
 	case codeSigterm:
-		ev.Kind, ev.Due = admission.EventDrain, micros(le.Uint64(r[6:]))
+		ev.Kind, ev.Deadline = admission.EventDrain, micros(le.Uint64(r[6:]))
 	case codeHangup:
-		ev.Kind = admission.EventGone
+		ev.Kind = admission.EventAbandoned
 	case codeWakeup:
 		ev.Kind, ev.Token = admission.EventTimer, le.Uint64(r[6:])
 		n := int(r[14])
@@ -177,12 +177,12 @@
 	for ; len(b) >= 4; b = b[4:] {
 		values = append(values, float(b))
 	}
-	return PlaceGauges(values, names)
+	return ArrangeGauges(values, names)
 }
 
-// PlaceGauges puts values that come in the order of names in their places. A gauge without a value
+// ArrangeGauges puts values that come in the order of names in their places. A gauge without a value
 // is NaN.
-func PlaceGauges(values []float64, names []Gauge) admission.Gauges {
+func ArrangeGauges(values []float64, names []Gauge) admission.Gauges {
 	nan := math.NaN()
 	g := admission.Gauges{CPU: nan, Runnable: nan, Memory: nan, Connections: nan}
 	for i := range min(len(names), len(values)) {
@@ -221,21 +221,21 @@
 	r := p.record(actionCodes[a.Kind], instance)
 	le.PutUint64(r[6:], a.Request)
 	switch a.Kind {
-	case admission.ActionRefuse:
-		le.PutUint32(r[14:], span(a.For))
-		r[18] = bit(a.Last)
-	case admission.ActionCall, admission.ActionKeep:
-		le.PutUint32(r[14:], span(a.For))
-	case admission.ActionHealth:
+	case admission.ActionReject:
+		le.PutUint32(r[14:], span(a.Duration))
+		r[18] = bit(a.NoRetry)
+	case admission.ActionPlaceCall, admission.ActionRememberKey:
+		le.PutUint32(r[14:], span(a.Duration))
+	case admission.ActionSetHealth:
 		le.PutUint64(r[6:], 0)
-		r[6], r[7] = bit(a.Stored), bit(a.Good)
+		r[6], r[7] = bit(a.Static), bit(a.Healthy)
 	case admission.ActionAdvertise:
 		le.PutUint64(r[6:], uint64(math.Float32bits(float32(a.Value))))
-	case admission.ActionTrim:
-		le.PutUint64(r[6:], uint64(span(a.For)))
+	case admission.ActionCloseIdle:
+		le.PutUint64(r[6:], uint64(span(a.Duration)))
 	case admission.ActionTimer:
 		le.PutUint64(r[6:], a.Token)
-		le.PutUint32(r[14:], span(a.For))
+		le.PutUint32(r[14:], span(a.Duration))
 	case admission.ActionLog:
 		p.text(r, a.Text)
 	}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -56,9 +56,9 @@
 	}
 	ask, err := b.Record(0, names)
 	e := ask.Event
-	if err != nil || ask.Instance != 3 || e.Request != 0xbf6e25d3a91c4 || e.Due != 8652250*time.Microsecond ||
-		e.Hint != 12*time.Millisecond || e.Key != 0x91f03b7c55d20a64 || e.Write || e.SizeKB != 24.5 || e.Rank != 0.625 || e.Retry || e.Caller != 17 ||
-		e.Queued != 1850*time.Microsecond || e.Prior != 0xa58d20e6f2b19 {
+	if err != nil || ask.Instance != 3 || e.Request != 0xbf6e25d3a91c4 || e.Deadline != 8652250*time.Microsecond ||
+		e.ExpectedWork != 12*time.Millisecond || e.Key != 0x91f03b7c55d20a64 || e.Write || e.SizeKB != 24.5 || e.Rank != 0.625 || e.Retry || e.Caller != 17 ||
+		e.QueueingDelay != 1850*time.Microsecond || e.PriorRequest != 0xa58d20e6f2b19 {
 		t.Fatalf("%+v %v", ask, err)
 	}
 	wake, err := b.Record(1, names)
@@ -67,11 +67,11 @@
 		t.Fatalf("%+v %v", wake, err)
 	}
 	done, err := b.Record(2, names)
-	if err != nil || done.Event.Outcome != admission.OK || done.Event.Elapsed != 18500*time.Microsecond {
+	if err != nil || done.Event.Outcome != admission.OutcomeOK || done.Event.Elapsed != 18500*time.Microsecond {
 		t.Fatalf("%+v %v", done, err)
 	}
 	gone, err := b.Record(3, names)
-	if err != nil || gone.Event.Kind != admission.EventGone || gone.Instance != 5 {
+	if err != nil || gone.Event.Kind != admission.EventAbandoned || gone.Instance != 5 {
 		t.Fatalf("%+v %v", gone, err)
 	}
 }
@@ -81,13 +81,13 @@
 	p.Add(
 		3,
 		&admission.Action{
-			Kind:    admission.ActionRefuse,
-			Request: 0xa58d20e6f2b19,
-			For:     250 * time.Millisecond,
-			Last:    true,
+			Kind:     admission.ActionReject,
+			Request:  0xa58d20e6f2b19,
+			Duration: 250 * time.Millisecond,
+			NoRetry:  true,
 		},
 	)
-	p.Add(3, &admission.Action{Kind: admission.ActionTimer, Token: 77, For: 500 * time.Millisecond})
+	p.Add(3, &admission.Action{Kind: admission.ActionTimer, Token: 77, Duration: 500 * time.Millisecond})
 	p.Add(3, &admission.Action{Kind: admission.ActionAdvertise, Value: 0.25})
 	p.Add(5, &admission.Action{Kind: admission.ActionLog, Text: "two"})
 	var out bytes.Buffer
@@ -134,15 +134,15 @@
 		"Specifics.Halt=freeze\nSpecifics.Say=floor\nSpecifics.Below=tier\nSpecifics.CallsByClass=true\n" +
 		"Specifics.ClassSkipWorth=0.3\nSpecifics.Meters=cpu_busy,other,runnable\nUnknown.Key=x\nValueBy=work"
 	s, gauges, err := ParseSettings(text)
-	if err != nil || s.Halt != admission.HaltFreeze || s.CreditMode != admission.CreditLevel ||
-		!s.WorthPerWork ||
+	if err != nil || s.Cancel != admission.CancelSuspend || s.CreditMode != admission.CreditRankThreshold ||
+		!s.WeightPerWork ||
 		s.Dependency != admission.DependencyTier ||
 		len(gauges) != 3 ||
 		gauges[2] != gaugeRunnable {
 		t.Fatalf("%+v %v %v", s, gauges, err)
 	}
-	if c := s.Classes[0]; c.Effect != admission.Keyed || c.Target != 2*time.Millisecond || !c.Calls ||
-		c.OmitWorth != 0.3 {
+	if c := s.Classes[0]; c.Idempotency != admission.IdempotentWithKey || c.LatencyObjective != 2*time.Millisecond || !c.CallsDependency ||
+		c.DegradedWeightFraction != 0.3 {
 		t.Fatalf("%+v", c)
 	}
 	for _, bad := range []string{"Specifics.Cores=many", "Specifics.Halt=maybe", "RequestClasses.count=-1",
@@ -171,3 +171,36 @@
 		}
 	})
 }
+
+// TestSettingErrorsNameTheWirePath holds the path that an error names for each setting that the
+// module may report, as the operators know it.
+func TestSettingErrorsNameTheWirePath(t *testing.T) {
+	for setting, want := range map[string]string{
+		"Classes":                           "RequestClasses",
+		"Cores":                             "Specifics.Cores",
+		"MemoryKB":                          "Specifics.MemoryKb",
+		"RunningMemoryFactor":               "Specifics.RunMemFactor",
+		"KeyMemoryKB":                       "Specifics.KeyKb",
+		"MaxRunningPerCore":                 "Rules.FallMultiple",
+		"WarmUpInitialShare":                "Rules.ColdShare",
+		"CallQuota":                         "Specifics.CallsOut",
+		"Classes[0].Name":                   "RequestClasses.0.Name",
+		"Classes[0].LatencyObjective":       "RequestClasses.0.TargetUs",
+		"Classes[0].Timeout":                "RequestClasses.0.DeadlineUs",
+		"Classes[0].ObjectiveWorkFactor":    "RequestClasses.0.AimStretch",
+		"Classes[1].Idempotency":            "RequestClasses.1.Idempotency",
+		"Classes[12].IdempotencyWindow":     "RequestClasses.12.WindowUs",
+		"Classes[0].PriorityWeight":         "RequestClasses.0.Worth",
+		"Classes[0].LateWeightFraction":     "RequestClasses.0.LateWorth",
+		"Classes[0].DegradedWeightFraction": "RequestClasses.0.ClassSkipWorth",
+		"Tenants[0].Name":                   "Accounts.0.Name",
+		"Tenants[3].QuotaRate":              "Accounts.3.QuotaRps",
+	} {
+		p := &pairs{m: map[string]string{want: "7"}}
+		err := p.inPaths(&admission.SettingError{Setting: setting, Value: 7, Want: "less"})
+		var named *admission.SettingError
+		if !errors.As(err, &named) || named.Setting != want || named.Value != 7 {
+			t.Errorf("%s: %v, want the path %s", setting, err, want)
+		}
+	}
+}
--- a/internal/testing/cluster/config.go
+++ b/internal/testing/cluster/config.go
@@ -16,28 +16,28 @@
 // config is the platform's file of a runner. There is room for all that is asked: what is refused
 // is refused for a fault.
 func (c *Cluster) config(n *Node) map[string]any {
-	class := func(name string, effect admission.Effect, worth float64) admission.Class {
+	class := func(name string, effect admission.Idempotency, worth float64) admission.Class {
 		return admission.Class{
-			Name:     name,
-			Target:   time.Second,
-			Deadline: dueWithin,
-			Window:   c.opt.Window,
-			Effect:   effect,
-			Worth:    worth,
+			Name:              name,
+			LatencyObjective:  time.Second,
+			Timeout:           dueWithin,
+			IdempotencyWindow: c.opt.Window,
+			Idempotency:       effect,
+			PriorityWeight:    worth,
 		}
 	}
 	set := admission.Settings{
 		Classes: []admission.Class{
-			class("quick-check", admission.Safe, 1),
-			class("full-check", admission.Safe, 1),
-			class("hand-in", admission.Keyed, 3),
+			class("quick-check", admission.Idempotent, 1),
+			class("full-check", admission.Idempotent, 1),
+			class("hand-in", admission.IdempotentWithKey, 3),
 		},
 		Tenants: []admission.Tenant{{Name: "north", QuotaRate: 1e6}},
 		Servers: len(
 			c.Nodes,
-		), Callers: 1, Cores: 400, MemoryKB: 1e8, RunFactor: 8, KeyKB: 1, CallsOut: 1000, CallsOver: 5 * time.Second,
-		Linger: 200 * time.Millisecond, CreditMode: admission.CreditNone, IdleFor: 30 * time.Second, MaxStayAway: time.Second, OverWorth: 0.05,
-		Slack: 60 * time.Millisecond, DrainGrace: 1800 * time.Millisecond, CrowdLimit: 6, CrowdOver: 2 * time.Second, ColdShare: 1, ColdFor: time.Second}
+		), Callers: 1, Cores: 400, MemoryKB: 1e8, RunningMemoryFactor: 8, KeyMemoryKB: 1, CallQuota: 1000, CallQuotaWindow: 5 * time.Second,
+		AbandonedCallTime: 200 * time.Millisecond, CreditMode: admission.CreditNone, IdleConnectionTimeout: 30 * time.Second, MaxRetryAfter: time.Second, OverQuotaWeight: 0.05,
+		DeadlineGrace: 60 * time.Millisecond, DrainGrace: 1800 * time.Millisecond, MaxRunningPerCore: 6, MaxRunningWindow: 2 * time.Second, WarmUpInitialShare: 1, WarmUpTime: time.Second}
 	seed := fnv.New64a()
 	seed.Write([]byte(n.Name + c.opt.Dir)) // a hash takes all
 	return map[string]any{"name": n.Name, "listen": "127.0.0.1:0", "engine": "", "backend": "", "roster": "",
--- a/internal/testing/daytest/rig.go
+++ b/internal/testing/daytest/rig.go
@@ -196,22 +196,22 @@
 
 // Settings lays out what a runner is told as the platform does.
 func Settings(s *admission.Settings) map[string]any {
-	effects := map[admission.Effect]string{
-		admission.Safe:   "read_like",
-		admission.Keyed:  "idempotency_key",
-		admission.Unsafe: "non_idempotent",
+	effects := map[admission.Idempotency]string{
+		admission.Idempotent:        "read_like",
+		admission.IdempotentWithKey: "idempotency_key",
+		admission.NonIdempotent:     "non_idempotent",
 	}
-	says := map[admission.CreditMode]string{admission.CreditNone: "silent", admission.CreditLevel: "floor",
-		admission.CreditAllowance: "allowance", admission.CreditWeight: "weight"}
+	says := map[admission.CreditMode]string{admission.CreditNone: "silent", admission.CreditRankThreshold: "floor",
+		admission.CreditPerCaller: "allowance", admission.CreditWeight: "weight"}
 	below := map[admission.Dependency]string{
 		admission.DependencyNone:   "silent",
 		admission.DependencyShared: "one_for_all",
 		admission.DependencyTier:   "tier",
 	}
-	halts := map[admission.HaltMode]string{
-		admission.HaltNone:    "silent",
-		admission.HaltDiscard: "discard",
-		admission.HaltFreeze:  "freeze",
+	halts := map[admission.CancelMode]string{
+		admission.CancelNone:    "silent",
+		admission.CancelDiscard: "discard",
+		admission.CancelSuspend: "freeze",
 	}
 	by := map[bool]string{false: "request", true: "work"}
 	us := func(d time.Duration) int64 { return d.Microseconds() }
@@ -219,12 +219,12 @@
 	for _, c := range s.Classes {
 		classes = append(
 			classes,
-			map[string]any{"Name": c.Name, "TargetUs": us(c.Target), "AimStretch": c.AimStretch,
+			map[string]any{"Name": c.Name, "TargetUs": us(c.LatencyObjective), "AimStretch": c.ObjectiveWorkFactor,
 				"DeadlineUs": us(
-					c.Deadline,
-				), "WindowUs": us(c.Window), "Idempotency": effects[c.Effect], "Worth": c.Worth, "LateWorth": c.LateWorth},
+					c.Timeout,
+				), "WindowUs": us(c.IdempotencyWindow), "Idempotency": effects[c.Idempotency], "Worth": c.PriorityWeight, "LateWorth": c.LateWeightFraction},
 		)
-		calls, omits = append(calls, c.Calls), append(omits, c.OmitWorth)
+		calls, omits = append(calls, c.CallsDependency), append(omits, c.DegradedWeightFraction)
 	}
 	for _, t := range s.Tenants {
 		tenants = append(tenants, map[string]any{"Name": t.Name, "QuotaRps": t.QuotaRate})
@@ -233,42 +233,42 @@
 		"Accounts":       tenants,
 		"RequestClasses": classes,
 		"Servers":        s.Servers,
-		"OverShareWorth": s.OverWorth,
-		"ValueBy":        by[s.WorthPerWork],
-		"Prices":         map[string]any{"Handshake": s.HandshakePrice},
-		"Callers":        map[string]any{"MarksRetry": s.MarksRetry},
-		"Caps":           map[string]any{"MaxRetryAfterUs": us(s.MaxStayAway), "RetryAfter": !s.NoStayAway},
+		"OverShareWorth": s.OverQuotaWeight,
+		"ValueBy":        by[s.WeightPerWork],
+		"Prices":         map[string]any{"Handshake": s.HandshakeCost},
+		"Callers":        map[string]any{"MarksRetry": s.MarksRetries},
+		"Caps":           map[string]any{"MaxRetryAfterUs": us(s.MaxRetryAfter), "RetryAfter": !s.NoRetryAfter},
 		"Rules": map[string]any{
-			"AnswerSlackUs":       us(s.Slack),
+			"AnswerSlackUs":       us(s.DeadlineGrace),
 			"StopSendingWithinUs": us(s.DrainGrace),
-			"FallMultiple":        s.CrowdLimit,
-			"FallUs":              us(s.CrowdOver),
-			"ColdShare":           s.ColdShare,
-			"ColdUs":              us(s.ColdFor),
+			"FallMultiple":        s.MaxRunningPerCore,
+			"FallUs":              us(s.MaxRunningWindow),
+			"ColdShare":           s.WarmUpInitialShare,
+			"ColdUs":              us(s.WarmUpTime),
 		},
 		"Specifics": map[string]any{
 			"Upstreams":    s.Callers,
-			"JustStarted":  s.Cold,
+			"JustStarted":  s.WarmingUp,
 			"Cores":        s.Cores,
 			"MemoryKb":     s.MemoryKB,
-			"RunMemFactor": s.RunFactor,
-			"KeyKb":        s.KeyKB,
-			"FreshUs":      us(s.FreshFor),
-			"Halt":         halts[s.Halt],
+			"RunMemFactor": s.RunningMemoryFactor,
+			"KeyKb":        s.KeyMemoryKB,
+			"FreshUs":      us(s.ResultMaxAge),
+			"Halt":         halts[s.Cancel],
 			"Say":          says[s.CreditMode],
 			"HeededUs": us(
-				s.CreditLife,
+				s.CreditLifetime,
 			),
 			"Below":       below[s.Dependency],
-			"CallsOut":    s.CallsOut,
-			"CallsOverUs": us(s.CallsOver),
+			"CallsOut":    s.CallQuota,
+			"CallsOverUs": us(s.CallQuotaWindow),
 			"LingerUs": us(
-				s.Linger,
+				s.AbandonedCallTime,
 			),
-			"DeepChecks":      s.DeepChecks,
-			"TellsGone":       s.TellsGone,
-			"RegistryFollows": s.ListFollows,
-			"IdleUs":          us(s.IdleFor),
+			"DeepChecks":      s.DeepHealthChecks,
+			"TellsGone":       s.ReportsAbandoned,
+			"RegistryFollows": s.EndpointListFollowsHealth,
+			"IdleUs":          us(s.IdleConnectionTimeout),
 			"CallsByClass":    calls,
 			"ClassSkipWorth":  omits,
 			"PassesDeadline":  false,
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -151,7 +151,7 @@
 func (d *Deployment) bear() {
 	drawn := day.Draw(d.Spec, d.Seed)
 	b := &d.Spec.BackEnd
-	if most := drawn.Settings.CallsOut * b.FallMs; most > 0 {
+	if most := drawn.Settings.CallQuota * b.FallMs; most > 0 {
 		b.Fall *= max(1, 4*(drawn.CallWork/1000+b.LingerMs)/most)
 	}
 }
@@ -273,8 +273,8 @@
 		return time.Duration(rapid.IntRange(low, high).Draw(t, what)) * time.Microsecond
 	}
 	var told admission.Settings
-	told.Halt = rapid.SampledFrom(
-		[]admission.HaltMode{admission.HaltNone, admission.HaltDiscard, admission.HaltFreeze},
+	told.Cancel = rapid.SampledFrom(
+		[]admission.CancelMode{admission.CancelNone, admission.CancelDiscard, admission.CancelSuspend},
 	).Draw(
 		t,
 		"halt",
@@ -282,19 +282,19 @@
 	told.CreditMode = rapid.SampledFrom(
 		[]admission.CreditMode{
 			admission.CreditNone,
-			admission.CreditLevel,
-			admission.CreditAllowance,
+			admission.CreditRankThreshold,
+			admission.CreditPerCaller,
 			admission.CreditWeight,
 		},
 	).Draw(
 		t,
 		"say",
 	)
-	told.FreshFor, told.CreditLife = us("fresh", 0, 5_000_000), us("heeded", 0, 60_000_000)
-	told.IdleFor = us("idle", 10_000, 300_000_000)
-	told.NoStayAway = yes(t, "no advice to stay away")
-	told.MaxStayAway = us("stay away", 0, 60_000_000)
-	told.DeepChecks, told.TellsGone, told.MarksRetry, told.ListFollows = yes(
+	told.ResultMaxAge, told.CreditLifetime = us("fresh", 0, 5_000_000), us("heeded", 0, 60_000_000)
+	told.IdleConnectionTimeout = us("idle", 10_000, 300_000_000)
+	told.NoRetryAfter = yes(t, "no advice to stay away")
+	told.MaxRetryAfter = us("stay away", 0, 60_000_000)
+	told.DeepHealthChecks, told.ReportsAbandoned, told.MarksRetries, told.EndpointListFollowsHealth = yes(
 		t,
 		"deep checks",
 	), yes(
@@ -307,7 +307,7 @@
 		t,
 		"list follows",
 	)
-	told.WorthPerWork, told.HandshakePrice = yes(t, "worth by work"), between(t, "handshake", 0, 1)
+	told.WeightPerWork, told.HandshakeCost = yes(t, "worth by work"), between(t, "handshake", 0, 1)
 	omit, stretch, upstreams := between(
 		t,
 		"skip worth",
@@ -326,16 +326,16 @@
 		"upstreams",
 	)
 	return func(s *admission.Settings) {
-		s.Halt, s.CreditMode, s.FreshFor, s.CreditLife, s.IdleFor = told.Halt, told.CreditMode, told.FreshFor, told.CreditLife, told.IdleFor
-		s.MaxStayAway, s.NoStayAway, s.DeepChecks, s.TellsGone, s.MarksRetry = told.MaxStayAway, told.NoStayAway, told.DeepChecks, told.TellsGone, told.MarksRetry
-		s.ListFollows, s.WorthPerWork, s.HandshakePrice, s.Callers = told.ListFollows, told.WorthPerWork, told.HandshakePrice, upstreams
+		s.Cancel, s.CreditMode, s.ResultMaxAge, s.CreditLifetime, s.IdleConnectionTimeout = told.Cancel, told.CreditMode, told.ResultMaxAge, told.CreditLifetime, told.IdleConnectionTimeout
+		s.MaxRetryAfter, s.NoRetryAfter, s.DeepHealthChecks, s.ReportsAbandoned, s.MarksRetries = told.MaxRetryAfter, told.NoRetryAfter, told.DeepHealthChecks, told.ReportsAbandoned, told.MarksRetries
+		s.EndpointListFollowsHealth, s.WeightPerWork, s.HandshakeCost, s.Callers = told.EndpointListFollowsHealth, told.WeightPerWork, told.HandshakeCost, upstreams
 		if none {
 			s.Tenants = nil
 		}
 		for i := range s.Classes {
-			s.Classes[i].AimStretch = stretch
-			if s.Classes[i].Calls {
-				s.Classes[i].OmitWorth = omit
+			s.Classes[i].ObjectiveWorkFactor = stretch
+			if s.Classes[i].CallsDependency {
+				s.Classes[i].DegradedWeightFraction = omit
 			}
 		}
 		if tier && s.Dependency == admission.DependencyShared {
