--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -83,16 +83,16 @@
 
 // shown is what is told of one file.
 type shown struct {
-	File     string       `json:"file"`
-	Runner   string       `json:"runner"`
-	Began    string       `json:"began"`
-	Seconds  float64      `json:"seconds"`
-	Requests int          `json:"requests"`
-	Further  int          `json:"further"` // that look like further tries, within 10 s
-	Backward int          `json:"backward"`
-	Lost     traffic.Lost `json:"lost"`
-	Cut      string       `json:"cut,omitempty"`
-	Classes  map[string]int
+	File     string         `json:"file"`
+	Runner   string         `json:"runner"`
+	Began    string         `json:"began"`
+	Seconds  float64        `json:"seconds"`
+	Requests int            `json:"requests"`
+	Further  int            `json:"further"` // that look like further tries, within 10 s
+	Backward int            `json:"backward"`
+	Lost     traffic.Lost   `json:"lost"`
+	Cut      string         `json:"cut,omitempty"`
+	Classes  map[string]int `json:"Classes"`
 }
 
 // Run tells of each file.
--- a/internal/ci/verdict/verdict.go
+++ b/internal/ci/verdict/verdict.go
@@ -12,10 +12,10 @@
 
 // event is one line of `go test -json`.
 type event struct {
-	Action  string
-	Package string
-	Test    string
-	Output  string
+	Action  string `json:"Action"`
+	Package string `json:"Package"`
+	Test    string `json:"Test"`
+	Output  string `json:"Output"`
 }
 
 // The actions that end a test or a package, and the one that begins a test.
--- a/internal/idempotency/store/recover.go
+++ b/internal/idempotency/store/recover.go
@@ -11,8 +11,9 @@
 
 // Damage is a part of a file that cannot be read, and that a crash does not explain.
 type Damage struct {
-	File     string
-	From, To int64 // bytes
+	File string `json:"File"`
+	From int64  `json:"From"`
+	To   int64  `json:"To"` // bytes
 }
 
 // DamageError tells of files that are damaged. A program does not start with them unless it is told
--- a/internal/lifecycle/counts.go
+++ b/internal/lifecycle/counts.go
@@ -6,16 +6,16 @@
 // or open: Read = Served + Refused + Failed + Late + Misused + Gone + Withdrawn + those that are
 // open.
 type Stats struct {
-	Read      int64
-	Served    int64
-	Refused   int64
-	Failed    int64
-	Late      int64
-	Gone      int64 // nobody waited any more when they ended
-	Withdrawn int64 // taken back by their callers, who are told that they are over
-	Started   int64 // attempts handed to whoever runs them
-	Repeats   int64 // of those read
-	Misused   int64
+	Read      int64 `json:"Read"`
+	Served    int64 `json:"Served"`
+	Refused   int64 `json:"Refused"`
+	Failed    int64 `json:"Failed"`
+	Late      int64 `json:"Late"`
+	Gone      int64 `json:"Gone"`      // nobody waited any more when they ended
+	Withdrawn int64 `json:"Withdrawn"` // taken back by their callers, who are told that they are over
+	Started   int64 `json:"Started"`   // attempts handed to whoever runs them
+	Repeats   int64 `json:"Repeats"`   // of those read
+	Misused   int64 `json:"Misused"`
 }
 
 // ended counts the one final answer to a request.
--- /dev/null
+++ b/internal/peers/link/stored_test.go
@@ -0,0 +1,283 @@
+package link
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/lease"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/replication"
+	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/usage/ledger"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// encoding of a program that is in use; the files are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+// sampleRecord has every field of a record set.
+func sampleRecord() *store.Record {
+	return &store.Record{
+		Kind:  store.Ended,
+		Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-1"},
+		Owner: 1<<40 | 7,
+		At:    1_700_000_000_000_001,
+		Until: 1_700_000_013_000_002,
+		Body:  [32]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32},
+		How:   3,
+		Result: &store.Result{
+			Status: 201,
+			Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "X-Seat", Value: "4"}},
+			Body:   []byte("handed in"),
+			Packed: true,
+		},
+		Synced: 4096,
+		Count:  12,
+	}
+}
+
+func sampleReplication() *replication.Message {
+	return &replication.Message{
+		Kind:    replication.MsgAppend,
+		From:    "runner-a",
+		To:      "runner-b",
+		Slot:    17,
+		Epoch:   300,
+		ID:      70_000,
+		Word:    replication.OutcomeRetry,
+		Doubt:   true,
+		Back:    250_000,
+		Base:    41,
+		Seq:     43,
+		Reset:   true,
+		Quiet:   1_500_000,
+		Eras:    []replication.EpochStart{{Epoch: 299, First: 40}, {Epoch: 300, First: 42}},
+		Entries: []replication.Entry{{Seq: 42, Epoch: 300, Left: 12_000_000, Record: sampleRecord()}},
+		Life:    5_000_000_000,
+		No:      99,
+	}
+}
+
+func sampleMember() placement.Member {
+	return placement.Member{
+		Name:    "runner-a",
+		Hall:    "west",
+		Life:    3_000_000_001,
+		Process: 4_000_000_002,
+		Gone:    3_000_000_000,
+		Leaving: true,
+		Knows:   placement.ChangeJoinV3,
+		Bills:   true,
+		Duties:  []string{"probe-east", "probe-west"},
+	}
+}
+
+func sampleTable() *placement.Table {
+	return &placement.Table{
+		Version: 1234,
+		Copies:  2,
+		Members: []placement.Member{sampleMember()},
+		Slots: []placement.Slot{
+			{Epoch: 8, Set: []string{"runner-a", "runner-b"}, Joining: []string{"runner-c"}, Quiet: 7},
+			{Epoch: 9, Set: []string{"runner-b"}, Joining: []string{"runner-a"}, Quiet: 9},
+		},
+		Born: 1_700_000_000,
+		Duties: []placement.Lease{{
+			Name:   "probe-west",
+			Holder: "runner-a",
+			Life:   3_000_000_001,
+			Token:  1_700_000_000<<32 | 1200,
+			Check:  []byte{9, 8, 7},
+			Abrupt: true,
+			Lapses: []placement.Expiration{{Name: "runner-c", Times: 2}},
+			Asked:  123_456_789,
+			Seq:    4,
+			Left:   "runner-b",
+		}},
+	}
+}
+
+func sampleConsensus() *consensus.Message {
+	return &consensus.Message{
+		Kind:    consensus.MsgHeartbeatResp,
+		From:    "runner-a",
+		To:      "runner-b",
+		Raft:    []byte{1, 2, 3},
+		Member:  sampleMember(),
+		Version: 1234,
+		Leader:  "runner-c",
+		Table:   sampleTable(),
+		Changes: []placement.Change{{
+			Kind:   placement.ChangeReleaseLease,
+			Member: sampleMember(),
+			Slot:   17,
+			Epoch:  300,
+			Duty:   "probe-west",
+			Token:  1_700_000_000<<32 | 1200,
+			Check:  []byte{9, 8, 7},
+			Asked:  123_456_789,
+		}},
+		Sent:   987_654_321,
+		Blank:  3_000_000_001<<8 | 1,
+		Rests:  true,
+		Answer: true,
+		Number: 3_000_000_001<<8 | 2,
+		Asked:  123_456_790,
+	}
+}
+
+func sampleUsage() *usagereplica.Message {
+	return &usagereplica.Message{
+		Kind:    usagereplica.MsgAppend,
+		From:    "runner-a",
+		To:      "runner-b",
+		Account: "0011aabbccdd",
+		Process: 4_000_000_002,
+		Life:    3_000_000_001,
+		Seq:     88,
+		Steps: []usagereplica.Operation{{
+			Use: &ledger.Use{
+				At:     1_700_000_000_000_001,
+				School: "north",
+				Class:  "hand-in",
+				End:    ledger.Repeat,
+				Work:   25_000,
+				Key:    1<<63 | 5,
+				Until:  1_700_000_013_000_002,
+				Again:  true,
+			},
+			Fix: &ledger.Correction{
+				ID:     "c-1",
+				Period: 1_699_999_800_000_000,
+				School: "north",
+				Class:  "hand-in",
+				Count: ledger.Count{
+					Served:  -1,
+					Repeats: 2,
+					Late:    3,
+					Refused: 4,
+					Failed:  5,
+					Gone:    6,
+					WorkUs:  -7_000,
+				},
+				Why: "counted twice",
+				By:  "ops",
+			},
+			Lost: 6,
+			Seal: "5f5e",
+			At:   1_700_000_000_000_003,
+		}},
+		Part:  2,
+		Parts: 3,
+		Bytes: []byte("a piece"),
+		Set: ledger.Settings{
+			Instance: "runner-a",
+			Period:   600_000_000,
+			Slice:    60_000_000,
+			Grace:    5_000_000,
+			Keys:     10_000,
+			Lines:    100,
+		},
+		Name: "usage-runner-a-0011aabbccdd-00000001.json",
+		No:   4,
+	}
+}
+
+func sampleHealth() *lease.HealthReport {
+	return &lease.HealthReport{
+		From:  "runner-a",
+		To:    "runner-b",
+		Duty:  "probe-west",
+		Token: 1_700_000_000<<32 | 1200,
+		Seen:  []lease.ServerHealth{{Group: "teachers", Server: "t-1", Good: true, Age: 120_000}},
+	}
+}
+
+// allSet fails the test for each exported field of v, at any depth, that has its zero value: a
+// sample with such a field would not show a change of the field's tag.
+func allSet(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set in the sample", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		allSet(t, path, v.Elem())
+	case reflect.Slice:
+		for i := range v.Len() {
+			if v.Index(i).Kind() == reflect.Struct || v.Index(i).Kind() == reflect.Pointer {
+				allSet(t, path, v.Index(i))
+			}
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				allSet(t, path+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
+
+// Each message between runners has the bytes that version 1 of the protocol gave it, and those
+// bytes are read as the same message: runners of two versions work in one installation while it is
+// upgraded.
+func TestMessagesKeepTheirBytes(t *testing.T) {
+	for _, tt := range []struct {
+		file  string
+		frame Frame
+	}{
+		{"hello", Frame{Hello: &Hello{Installation: "school-west", Name: "runner-a", Format: 1}}},
+		{"replication", Frame{Replication: sampleReplication()}},
+		{"consensus", Frame{Consensus: sampleConsensus()}},
+		{"usage", Frame{Account: sampleUsage()}},
+		{"health", Frame{Health: sampleHealth()}},
+		{"all-fields", Frame{
+			Hello:       &Hello{Installation: "school-west", Name: "runner-a", Format: 1},
+			Replication: sampleReplication(),
+			Consensus:   sampleConsensus(),
+			Account:     sampleUsage(),
+			Health:      sampleHealth(),
+			To:          "runner-c",
+			From:        "runner-a",
+		}},
+	} {
+		t.Run(tt.file, func(t *testing.T) {
+			if tt.file == "all-fields" {
+				allSet(t, "Frame", reflect.ValueOf(tt.frame))
+			}
+			got, err := AppendFrame(nil, &tt.frame)
+			if err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join("testdata", tt.file+".bin")
+			if os.Getenv(writeTestdata) != "" {
+				if err := os.WriteFile(path, got, 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(got, want) {
+				t.Errorf("encoded as\n%x\nand not, as before, as\n%x", got, want)
+			}
+			frame, used, err := ReadFrame(want)
+			if err != nil || used != len(want) {
+				t.Fatalf("%d of %d bytes are read: %v", used, len(want), err)
+			}
+			if diff := cmp.Diff(&tt.frame, frame, cmpopts.IgnoreUnexported(replication.EpochStart{}, store.Field{})); diff != "" {
+				t.Errorf("read as (-want +got)\n%s", diff)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/peers/wal/stored_test.go
@@ -0,0 +1,278 @@
+package wal_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/lease"
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/replication"
+	"ryepaddle/internal/peers/wal"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// files of a program that is in use; they are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+const storedDir = "testdata/stored"
+
+// storedSlot is the copy of one slot in testdata.
+func storedSlot() replication.SlotSnapshot {
+	return replication.SlotSnapshot{
+		Slot: 3,
+		Last: 12,
+		Seq:  14,
+		Eras: []replication.EpochStart{{Epoch: 11, First: 9}, {Epoch: 12, First: 13}},
+		Entries: []replication.Entry{
+			{Seq: 13, Epoch: 12, Left: 12_000_000, Record: &store.Record{
+				Kind:  store.Begun,
+				Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-1"},
+				Owner: 1<<40 | 7,
+				At:    1_700_000_000_000_001,
+				Until: 1_700_000_013_000_002,
+				Body:  [32]byte{1, 2, 31: 32},
+			}},
+			{Seq: 14, Epoch: 12, Left: 11_000_000, Record: &store.Record{
+				Kind:  store.Ended,
+				Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-2"},
+				Owner: 1<<40 | 8,
+				At:    1_700_000_000_500_000,
+				Until: 1_700_000_013_500_000,
+				Body:  [32]byte{3, 4, 31: 5},
+				Result: &store.Result{
+					Status: 201,
+					Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}},
+					Body:   []byte("handed in"),
+				},
+			}},
+		},
+	}
+}
+
+// storedMember is the only voter of the group in testdata.
+func storedMember() placement.Member {
+	return placement.Member{
+		Name:    "runner-a",
+		Hall:    "west",
+		Life:    1_700_000_000,
+		Process: 4_000_000_002,
+		Bills:   true,
+	}
+}
+
+func voter(t *testing.T, disk []consensus.DurableRecord) *consensus.Participant {
+	t.Helper()
+	c, err := consensus.New(
+		consensus.Config{
+			Name:       "runner-a",
+			Voters:     []string{"runner-a"},
+			Slots:      4,
+			Backups:    1,
+			StartedAt:  1_700_000_000,
+			LeaseRules: lease.Rules{MaxPerMember: 1, ExpiryBackoff: 1_000_000, Rules: []lease.Rule{{Name: "probe-west"}}},
+			Clock:      func() int64 { return 77_000_000 },
+		},
+		storedMember(), disk, 1_000_000,
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// writeStored has a voter alone in its group agree on a table, and keeps its log and one slot.
+func writeStored(t *testing.T) {
+	t.Helper()
+	if err := os.RemoveAll(storedDir); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(storedDir, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	log, _, err := wal.Open(store.Dir(storedDir))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := voter(t, nil)
+	changes := 0
+	for now := int64(1_000_000); now < 6_000_000; now += 50_000 {
+		c.Tick(now)
+		// Enough changes for the log to be cut by a snapshot, and some after it. They are of a member
+		// that is not there, so that only the version of the table counts them.
+		for range 16 {
+			if c.IsLeader() && changes < 1040 {
+				changes++
+				stay := placement.Change{Kind: placement.ChangeStay, Member: placement.Member{Name: fmt.Sprint(changes)}}
+				c.Propose([]placement.Change{stay}, now)
+			}
+		}
+		_, kept, err := c.Ready()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if kept == nil {
+			continue
+		}
+		if err := log.Append(kept); err != nil {
+			t.Fatal(err)
+		}
+	}
+	slot := storedSlot()
+	if err := log.SaveSlot(&slot); err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Remove(filepath.Join(storedDir, "lock")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The folder of a runner of version 1 is read: the log of the consensus group, record by record,
+// the table that a voter goes on with from it, and the saved copy of a slot.
+func TestReadsFolderOfVersion1(t *testing.T) {
+	if os.Getenv(writeTestdata) != "" {
+		writeStored(t)
+	}
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(storedDir)); err != nil {
+		t.Fatal(err)
+	}
+	log, found, err := wal.Open(store.Dir(dir))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if found.TruncatedBytes != 0 || found.DamagedSlots != 0 {
+		t.Errorf("%d bytes are cut off and %d slots are damaged", found.TruncatedBytes, found.DamagedSlots)
+	}
+	if diff := cmp.Diff(
+		[]replication.SlotSnapshot{storedSlot()},
+		found.Slots,
+		cmpopts.IgnoreUnexported(replication.EpochStart{}, store.Field{}),
+	); diff != "" {
+		t.Errorf("slots (-want +got)\n%s", diff)
+	}
+	checkLog(t, found.Log)
+	restored := voter(t, found.Log)
+	if _, _, err := restored.Ready(); err != nil { // it applies what was committed
+		t.Fatal(err)
+	}
+	table := restored.Table()
+	if diff := cmp.Diff(storedTable(), table); diff != "" {
+		t.Errorf("table (-want +got)\n%s", diff)
+	}
+	if err := log.Close(); err != nil {
+		t.Fatal(err)
+	}
+	// What is written from the same values has the same bytes.
+	slot := storedSlot()
+	rewritten := t.TempDir()
+	log, _, err = wal.Open(store.Dir(rewritten))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer log.Close()
+	if err := log.SaveSlot(&slot); err != nil {
+		t.Fatal(err)
+	}
+	for i := range found.Log {
+		if err := log.Append(&found.Log[i]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, name := range []string{"council", "slot-0003"} {
+		want, err := os.ReadFile(filepath.Join(storedDir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := os.ReadFile(filepath.Join(rewritten, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(got) != string(want) {
+			t.Errorf("%s is written with other bytes", name)
+		}
+	}
+}
+
+// checkLog compares the parts of the log, which are those of the Raft library, with what was kept.
+func checkLog(t *testing.T, log []consensus.DurableRecord) {
+	t.Helper()
+	type record struct {
+		ID       uint64
+		Term     uint64
+		Vote     uint64
+		Commit   uint64
+		First    uint64 // index of the first entry
+		Last     uint64 // and of the last
+		Snapshot uint64
+	}
+	var got []record
+	for _, k := range log {
+		r := record{ID: k.ID}
+		if k.State != nil {
+			state := &raftpb.HardState{}
+			if err := proto.Unmarshal(k.State, state); err != nil {
+				t.Fatal(err)
+			}
+			r.Term, r.Vote, r.Commit = state.GetTerm(), state.GetVote(), state.GetCommit()
+		}
+		for _, b := range k.Entries {
+			entry := &raftpb.Entry{}
+			if err := proto.Unmarshal(b, entry); err != nil {
+				t.Fatal(err)
+			}
+			if r.First == 0 {
+				r.First = entry.GetIndex()
+			}
+			r.Last = entry.GetIndex()
+		}
+		if k.Snapshot != nil {
+			snapshot := &raftpb.Snapshot{}
+			if err := proto.Unmarshal(k.Snapshot, snapshot); err != nil {
+				t.Fatal(err)
+			}
+			r.Snapshot = snapshot.GetMetadata().GetIndex()
+		}
+		got = append(got, r)
+	}
+	want := []record{
+		{ID: 1, Term: 1, Vote: 1, Commit: 1013, Snapshot: 1013},
+		{Term: 1, Vote: 1, Commit: 1029, First: 1014, Last: 1029},
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("log (-want +got)\n%s", diff)
+	}
+}
+
+// storedTable is what the group in testdata agreed on.
+func storedTable() *placement.Table {
+	slot := placement.Slot{Epoch: 1, Set: []string{"runner-a"}, Quiet: 1}
+	member := storedMember()
+	member.Knows = placement.ChangeJoinV3
+	member.Duties = []string{"probe-west"}
+	return &placement.Table{
+		Version: 1027,
+		Copies:  1,
+		Members: []placement.Member{member},
+		Slots:   []placement.Slot{slot, slot, slot, slot},
+		Born:    1_700_000_000,
+		Duties: []placement.Lease{{
+			Name:   "probe-west",
+			Holder: "runner-a",
+			Life:   1_700_000_000,
+			Token:  1_700_000_000<<32 | 19,
+			Asked:  77_000_000,
+		}},
+	}
+}
--- a/internal/testing/scenario/mill.go
+++ b/internal/testing/scenario/mill.go
@@ -51,8 +51,10 @@
 	no := 0
 	for r := bufio.NewScanner(c); r.Scan(); {
 		var q struct {
-			T, Rid, Mark string
-			B64          []byte
+			T    string `json:"t"`
+			Rid  string `json:"rid"`
+			Mark string `json:"mark"`
+			B64  []byte `json:"b64"`
 		}
 		if json.Unmarshal(r.Bytes(), &q) != nil {
 			return
--- a/internal/testing/scenario/platform.go
+++ b/internal/testing/scenario/platform.go
@@ -310,9 +310,12 @@
 	defer c.Close()
 	for r := bufio.NewScanner(c); r.Scan(); {
 		var m struct {
-			T, Rid, Route, Mark string
-			No                  int
-			B64                 []byte
+			T     string `json:"t"`
+			Rid   string `json:"rid"`
+			Route string `json:"route"`
+			Mark  string `json:"mark"`
+			No    int    `json:"no"`
+			B64   []byte `json:"b64"`
 		}
 		if json.Unmarshal(r.Bytes(), &m) != nil {
 			e.Note("not JSON: %s", r.Bytes())
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -8,14 +8,14 @@
 
 // Settings are how an account is kept. Period and Slice stay as they are while there is one.
 type Settings struct {
-	Instance string
-	Period   int64
-	Slice    int64 // divides the period
+	Instance string `cbor:"Instance"`
+	Period   int64  `cbor:"Period"`
+	Slice    int64  `cbor:"Slice"` // divides the period
 	// after a period's end until it is sealed: what was answered at its end may still be handed
 	// over
-	Grace int64
-	Keys  int // most keys that are remembered, and listed in a statement
-	Lines int // most lines of the open periods; what goes beyond is counted for no school
+	Grace int64 `cbor:"Grace"`
+	Keys  int   `cbor:"Keys"`  // most keys that are remembered, and listed in a statement
+	Lines int   `cbor:"Lines"` // most lines of the open periods; what goes beyond is counted for no school
 }
 
 // Bounds of what is remembered beside.
--- a/internal/usage/ledger/use.go
+++ b/internal/usage/ledger/use.go
@@ -33,13 +33,14 @@
 
 // Use is one request.
 type Use struct {
-	At            int64 // when it was answered
-	School, Class string
-	End           End
-	Work          int64  // microseconds that servers spent on it, of all its tries
-	Key           uint64 // KeyOf of a keyed one; 0: it has none
-	Until         int64  // how long a keyed one may come again
-	Again         bool   // it is known to repeat another one
+	At     int64  `cbor:"At"` // when it was answered
+	School string `cbor:"School"`
+	Class  string `cbor:"Class"`
+	End    End    `cbor:"End"`
+	Work   int64  `cbor:"Work"`  // microseconds that servers spent on it, of all its tries
+	Key    uint64 `cbor:"Key"`   // KeyOf of a keyed one; 0: it has none
+	Until  int64  `cbor:"Until"` // how long a keyed one may come again
+	Again  bool   `cbor:"Again"` // it is known to repeat another one
 }
 
 // KeyOf is what stands for a key, alike on all instances. It is never nought.
