--- a/cmd/runner/route.go
+++ b/cmd/runner/route.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	m := r.Facts()
-	n := op.Lead.Of(m)
+	n := op.Lead.Match(m)
 	known := len(cfg.Settings.Tenants) == 0
 	for _, t := range cfg.Settings.Tenants {
 		known = known || t.Name == m.School
@@ -106,7 +106,7 @@
 		out.Key = p.KeyFrom.Text(m)
 	}
 	if p.When != "" {
-		out.Cost = op.Lead.Table.Cost(n)
+		out.Cost = op.Lead.Rules.Cost(n)
 	}
 	if c.JSON {
 		return printJSON(sh, out)
--- a/internal/config/match.go
+++ b/internal/config/match.go
@@ -12,13 +12,13 @@
 // checkMatch compiles the expressions, and puts the routes together. All that are named are read,
 // also those that nobody uses.
 func (o *Operator) checkMatch(*Platform) error {
-	names := match.Names(o.Expressions)
+	names := match.Definitions(o.Expressions)
 	for _, name := range slices.Sorted(maps.Keys(o.Expressions)) {
-		if err := match.CheckName(name, names); err != nil {
+		if err := match.CheckDefinition(name, names); err != nil {
 			return o.doc.Bad("expressions."+name, "%v", err)
 		}
 	}
-	compile := func(field, text string, want match.Type, without ...string) (*match.Expr, error) {
+	compile := func(field, text string, want match.Type, without ...string) (*match.Expression, error) {
 		if text == "" {
 			return nil, nil
 		}
@@ -29,7 +29,7 @@
 		return e, nil
 	}
 	var err error
-	o.Lead.Var, o.Lead.Default = o.Tenant.Var, o.Tenant.Default
+	o.Lead.SchoolVariable, o.Lead.DefaultSchool = o.Tenant.Var, o.Tenant.Default
 	if o.Lead.School, err = compile("tenant.from", o.Tenant.From, match.Text, "school"); err != nil {
 		return err
 	}
@@ -37,15 +37,15 @@
 	for i := range o.Routes {
 		r, at := &o.Routes[i], "routes."+strconv.Itoa(i)
 		rules[i].Prefix = r.Path
-		if rules[i].When, err = compile(at+".when", r.When, match.Bool); err != nil {
+		if rules[i].Condition, err = compile(at+".when", r.When, match.Bool); err != nil {
 			return err
 		}
 		if r.KeyFrom, err = compile(at+".key", r.Key, match.Text); err != nil {
 			return err
 		}
 	}
-	if o.Lead.Table, err = match.NewTable(rules); err != nil {
-		var behind *match.Unreached
+	if o.Lead.Rules, err = match.NewRuleTable(rules); err != nil {
+		var behind *match.UnreachableRuleError
 		if errors.As(err, &behind) {
 			return o.doc.Bad("routes."+strconv.Itoa(behind.Rule)+".path", "%v", err)
 		}
--- a/internal/config/match_test.go
+++ b/internal/config/match_test.go
@@ -43,7 +43,7 @@
 	o, err := read(
 		"expressions: {big: length > 9}\nroutes: [{path: /, class: exam, when: big, key: 'first(path, 9)'}, {path: /, class: check}]",
 	)
-	if err != nil || o.Lead.Table == nil || o.Routes[0].KeyFrom.String() != "first(path, 9)" {
+	if err != nil || o.Lead.Rules == nil || o.Routes[0].KeyFrom.String() != "first(path, 9)" {
 		t.Fatal(err)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -42,7 +42,7 @@
 	Usage       Usage             `yaml:"usage"`
 	Peers       Peers             `yaml:"peers"`
 	Expressions map[string]string `yaml:"expressions"` // by the names under which others use them
-	Lead        match.Lead        `yaml:"-"`           // to the routes
+	Lead        match.Matcher     `yaml:"-"`           // to the routes
 	file        string
 	doc         *yamldoc.Doc
 	ListenAddr  netaddr.Addr       `yaml:"-"`
@@ -227,9 +227,9 @@
 	Group      string `yaml:"group"`
 	DeadlineMs int64  `yaml:"deadline_ms"`
 	// an expression that has to hold; empty: all below the path
-	When    string      `yaml:"when"`
-	Key     string      `yaml:"key"` // an expression for the dedupe key; empty: key_var
-	KeyFrom *match.Expr `yaml:"-"`
+	When    string            `yaml:"when"`
+	Key     string            `yaml:"key"` // an expression for the dedupe key; empty: key_var
+	KeyFrom *match.Expression `yaml:"-"`
 }
 
 // ReadOperator reads and checks the operator's file beside what the platform has told.
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -32,10 +32,10 @@
 type Route struct {
 	Prefix string
 	Class  int
-	Due    int64       // microseconds that a caller waits; 0: the class's deadline
-	Key    *match.Expr // the dedupe key; nil: the variable that the options name
-	Safe   bool        // the class may be repeated
-	Remote bool        // it runs on servers
+	Due    int64             // microseconds that a caller waits; 0: the class's deadline
+	Key    *match.Expression // the dedupe key; nil: the variable that the options name
+	Safe   bool              // the class may be repeated
+	Remote bool              // it runs on servers
 }
 
 // Options set the front up.
@@ -48,7 +48,7 @@
 	Flow       flowcontrol.Limits // of responses
 	ReadWithin int64              // microseconds for a request to come whole
 	Routes     []Route
-	Lead       match.Lead // to them, by their numbers
+	Lead       match.Matcher // to them, by their numbers
 	HealthPath string
 	TenantVar  string // the variable that names the tenant; it is given once
 	KeyVar     string // the variable with the dedupe key
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -47,7 +47,7 @@
 		Caller:  maxPlatformCaller,
 	}
 	m := r.Facts()
-	n := f.opt.Lead.Of(m)
+	n := f.opt.Lead.Match(m)
 	if n < 0 {
 		return nil, nil, 404, fmt.Errorf("no class at %q", r.Path)
 	}
--- a/internal/match/lex.go
+++ b/internal/match/lexer.go
@@ -7,45 +7,51 @@
 	"unicode/utf8"
 )
 
-// Error is what is wrong with an expression, and where.
+// Error reports what is wrong with an expression, and where.
 type Error struct {
-	At   int // byte of the expression, from 0
-	What string
+	Offset int // byte of the source, from 0
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.At+1, e.What) }
+// Error implements error.
+func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Offset+1, e.Reason) }
 
-func wrong(at int, format string, args ...any) error { return &Error{at, fmt.Sprintf(format, args...)} }
+// errorAt returns an *Error for a place of the source.
+func errorAt(at int, format string, args ...any) error {
+	return &Error{at, fmt.Sprintf(format, args...)}
+}
 
-type kind uint8
+// tokenKind is the kind of a token.
+type tokenKind uint8
 
 const (
-	tokEnd kind = iota
-	tokName
-	tokText
-	tokNumber
-	tokSign // an operator or a bracket
+	tokenEnd tokenKind = iota
+	tokenName
+	tokenText
+	tokenNumber
+	tokenOperator // an operator or a bracket
 )
 
+// token is one word of the source.
 type token struct {
-	kind kind
-	at   int
-	text string // of a text: what it stands for
-	n    int64
+	kind   tokenKind
+	offset int
+	text   string // of a text: what it stands for
+	number int64
 }
 
 func (t token) String() string {
 	switch t.kind {
-	case tokEnd:
+	case tokenEnd:
 		return "the end"
-	case tokText:
+	case tokenText:
 		return strconv.Quote(t.text)
 	}
 	return t.text
 }
 
-// words are names that are operators. In capitals or not they mean nothing else.
-var words = map[string]bool{
+// operatorWords are the operators that are spelled as names.
+var operatorWords = map[string]bool{
 	"and":        true,
 	"or":         true,
 	"not":        true,
@@ -57,20 +63,19 @@
 	"within":     true,
 }
 
-// mostText is how long an expression may be, in bytes. With mostDeep it bounds what reading it
-// takes.
+// Bounds of the source; together they bound the work and the stack of the parser.
 const (
-	mostText = 4096
-	mostDeep = 64
+	maxSourceBytes = 4096
+	maxDepth       = 64
 )
 
-// lex reads an expression into its words.
+// lex splits a source into tokens, the last of which is tokenEnd.
 func lex(s string) ([]token, error) {
-	if len(s) > mostText {
-		return nil, wrong(0, "it has %d bytes; %d is the most", len(s), mostText)
+	if len(s) > maxSourceBytes {
+		return nil, errorAt(0, "it has %d bytes; %d is the most", len(s), maxSourceBytes)
 	}
 	if !utf8.ValidString(s) {
-		return nil, wrong(0, "it is not valid UTF-8")
+		return nil, errorAt(0, "it is not valid UTF-8")
 	}
 	var out []token
 	for i := 0; i < len(s); {
@@ -80,12 +85,12 @@
 			i++
 			continue
 		case c == '"' || c == '\'':
-			text, n, err := quoted(s[i:])
+			text, n, err := lexString(s[i:])
 			if err != nil {
-				return nil, wrong(i, "%v", err)
+				return nil, errorAt(i, "%v", err)
 			}
 			i += n
-			out = append(out, token{tokText, from, text, 0})
+			out = append(out, token{tokenText, from, text, 0})
 			continue
 		case isDigit(c):
 			for i < len(s) && (isDigit(s[i]) || isLetter(s[i])) {
@@ -93,17 +98,17 @@
 			}
 			n, err := strconv.ParseInt(s[from:i], 10, 64)
 			if err != nil {
-				return nil, wrong(from, "%s is no whole number", s[from:i])
+				return nil, errorAt(from, "%s is no whole number", s[from:i])
 			}
-			out = append(out, token{tokNumber, from, s[from:i], n})
+			out = append(out, token{tokenNumber, from, s[from:i], n})
 			continue
 		case isLetter(c):
 			for i < len(s) && (isDigit(s[i]) || isLetter(s[i])) {
 				i++
 			}
-			kind := tokName
-			if words[s[from:i]] {
-				kind = tokSign
+			kind := tokenName
+			if operatorWords[s[from:i]] {
+				kind = tokenOperator
 			}
 			out = append(out, token{kind, from, s[from:i], 0})
 			continue
@@ -113,21 +118,23 @@
 			n = 2
 		} else if strings.IndexByte("<>()[],+-", c) < 0 {
 			r, _ := utf8.DecodeRuneInString(s[i:])
-			return nil, wrong(i, "%q means nothing here", r)
+			return nil, errorAt(i, "%q means nothing here", r)
 		}
 		i += n
-		out = append(out, token{tokSign, from, s[from:i], 0})
+		out = append(out, token{tokenOperator, from, s[from:i], 0})
 	}
-	return append(out, token{tokEnd, len(s), "", 0}), nil
+	return append(out, token{tokenEnd, len(s), "", 0}), nil
 }
 
+// isDigit reports whether c is a decimal digit.
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
+// isLetter reports whether c may begin a name.
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
 
-// quoted reads a text in quotes, and says how long it is with them. A backslash stands before a
-// quote or another backslash.
-func quoted(s string) (text string, n int, err error) {
+// lexString reads a quoted text and returns its value and its length in the source with the quotes.
+// A backslash escapes a quote or another backslash.
+func lexString(s string) (text string, n int, err error) {
 	var b strings.Builder
 	for i := 1; i < len(s); i++ {
 		switch c := s[i]; {
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -27,63 +27,139 @@
 	}
 }
 
-func TestConditions(t *testing.T) {
-	names := Names{
+// conditionCases maps conditions to what they evaluate to for request().
+var conditionCases = map[string]bool{
+	`both`:          true,
+	`not both`:      false,
+	`who == school`: true,
+	`method != "POST" or exam and not (scheme == "http")`: true,
+	`length > 1000 and length <= 1200`:                    true,
+	`length - 1200 == 0`:                                  true,
+	`length in [1, 1200]`:                                 true,
+	`length not in [1, -1]`:                               true,
+	`var("HTTP_X_EXERCISE") matches "intro-*"`:            true,
+	`var("HTTP_X_EXERCISE") matches "*loop"`:              false,
+	`var("HTTP_X_EXERCISE") matches "i*o*o*s"`:            true,
+	`path matches "/ops/*/7"`:                             true,
+	`path matches "/ops/exam/7"`:                          true,
+	`path matches "/ops/exam/7*7"`:                        false,
+	`"aba" matches "ab*ba"`:                               false,
+	`has("HTTP_X_EMPTY") and not has("HTTP_X_NONE")`:      true,
+	`var("HTTP_X_NONE") == ""`:                            true,
+	`default(var("HTTP_X_NONE"), "x") == "x"`:             true,
+	`number(var("HTTP_X_N"), 0) >= 42`:                    true,
+	`number(var("HTTP_X_NONE"), -1) == -1`:                true,
+	`number("99999999999999999999999", 7) == 7`:           true,
+	`arg("group") == 'a b'`:                               true,
+	`arg("none") == ""`:                                   true,
+	`number(arg("n"), 0) + 1 == 4`:                        true,
+	`remote within "10.0.0.0/8"`:                          true,
+	`remote within "10.2.0.0/16"`:                         false,
+	`known(remote)`:                                       true,
+	`host endswith ".example.org"`:                        true,
+	`host contains "exam"`:                                true,
+	`part(path, "/", 9) == ""`:                            true,
+	`first(path, 4) == "/ops"`:                            true,
+	`len(school) == 5`:                                    true,
+	`upper("a" + first(school, 1)) == "AN"`:               true,
+	`bucket(school, 1) == 0`:                              true,
+	`bucket(school, 100) == bucket("north", 100)`:         true,
+	`"a\"b" == 'a"b'`:                                     true,
+	`9223372036854775807 + 1 == 9223372036854775807`:      true, `0 - 9223372036854775807 - 9 < 0`: true,
+}
+
+func TestConditionsEvaluateAsWritten(t *testing.T) {
+	names := Definitions{
 		"exam": `path startswith "/ops/exam"`,
 		"ours": `school in ["north", "south"]`,
 		"both": "exam and ours",
 		"who":  `lower(part(host, ".", 0))`,
 	}
-	for text, want := range map[string]bool{
-		`both`: true, `not both`: false, `who == school`: true, `method != "POST" or exam and not (scheme == "http")`: true,
-		`length > 1000 and length <= 1200`: true, `length - 1200 == 0`: true, `length in [1, 1200]`: true, `length not in [1, -1]`: true,
-		`var("HTTP_X_EXERCISE") matches "intro-*"`: true, `var("HTTP_X_EXERCISE") matches "*loop"`: false, `var("HTTP_X_EXERCISE") matches "i*o*o*s"`: true,
-		`path matches "/ops/*/7"`: true, `path matches "/ops/exam/7"`: true, `path matches "/ops/exam/7*7"`: false, `"aba" matches "ab*ba"`: false,
-		`has("HTTP_X_EMPTY") and not has("HTTP_X_NONE")`: true, `var("HTTP_X_NONE") == ""`: true, `default(var("HTTP_X_NONE"), "x") == "x"`: true,
-		`number(var("HTTP_X_N"), 0) >= 42`: true, `number(var("HTTP_X_NONE"), -1) == -1`: true, `number("99999999999999999999999", 7) == 7`: true,
-		`arg("group") == 'a b'`: true, `arg("none") == ""`: true, `number(arg("n"), 0) + 1 == 4`: true,
-		`remote within "10.0.0.0/8"`: true, `remote within "10.2.0.0/16"`: false, `known(remote)`: true, `host endswith ".example.org"`: true, `host contains "exam"`: true,
-		`part(path, "/", 9) == ""`: true, `first(path, 4) == "/ops"`: true, `len(school) == 5`: true, `upper("a" + first(school, 1)) == "AN"`: true,
-		`bucket(school, 1) == 0`: true, `bucket(school, 100) == bucket("north", 100)`: true, `"a\"b" == 'a"b'`: true,
-		`9223372036854775807 + 1 == 9223372036854775807`: true, `0 - 9223372036854775807 - 9 < 0`: true,
-	} {
+	for text, want := range conditionCases {
 		e, err := Compile(text, Bool, names)
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
-		} else if got := e.Holds(request()); got != want {
+		} else if got := e.Matches(request()); got != want {
 			t.Errorf("%s: %v", text, got)
 		}
 	}
 	nobody := &Request{Length: -1, Var: func(string) (string, bool) { return "", false }}
-	for _, text := range []string{`remote within "0.0.0.0/0"`, `known(remote)`, `has("X")`, `length >= 0`, `path startswith "/"`} {
-		if e, err := Compile(text, Bool, nil); err != nil || e.Holds(nobody) {
+	for _, text := range []string{
+		`remote within "0.0.0.0/0"`,
+		`known(remote)`,
+		`has("X")`,
+		`length >= 0`,
+		`path startswith "/"`,
+	} {
+		if e, err := Compile(text, Bool, nil); err != nil || e.Matches(nobody) {
 			t.Errorf("%s holds for nobody: %v", text, err)
 		}
 	}
 }
 
-// What is wrong is found before any request comes, with its place.
-func TestBadExpressions(t *testing.T) {
-	names := Names{"a": "b and b", "b": "a", "text": `"x"`, "bad": "1 +", "d0": `school + school`}
+// invalidCases maps invalid expressions to a part of their error.
+var invalidCases = map[string]string{
+	``: "column 1: the end stands where a value is missing", `path`: "column 1: it is a text; " +
+		"wanted is a condition", `path == 1`: "column 6: a text is compared with a number",
+	`path and true`:          "there is no field and no expression named true",
+	`path and method == "x"`: `column 1: a side of "and" is a text; wanted is a condition`,
+	`not length`:             "column 5: what follows",
+	`a`: "column 1: in a: column 1: in b: column 1: a " +
+		"stands for itself", `text`: "column 1: it is a text",
+	`bad == 1`:                   "in bad: column 4: the end stands",
+	`d39 == ""`:                  "could make",
+	`c39`:                        "could cost",
+	`school in []`:               "the list is empty",
+	`school in ["a", "a"]`:       "column 17: it stands twice",
+	`school in ["a", 1]`:         "column 17: the list is of a text each",
+	`school in [path]`:           "written out",
+	`length == 1 == 2`:           "two comparisons in a row",
+	`1 < length < 3`:             "two comparisons in a row",
+	`path matches school`:        "the pattern has to be written out",
+	`path contains school`:       "written out",
+	`remote within "10.0.0.1/8"`: "is 10.0.0.0/8 meant?",
+	`remote within "x"`:          "is no network",
+	`remote within path`:         "written out",
+	`path within "10.0.0.0/8"`:   "is a text; wanted is an address",
+	`remote == remote`:           "does not compare an address",
+	`remote in ["x"]`:            "an address is in no list",
+	`part(path, "", 1) == ""`:    "the separator is empty",
+	`part(path, "/", 0-1) == ""`: "has to be written out",
+	`part(path, "/") == ""`:      "takes 3 values, and has 2",
+	`lower(1) == ""`:             "value 1 of lower is a number",
+	`nothing(1)`:                 "there is no function nothing",
+	`var(path) == ""`:            "has to be written out",
+	`bucket(path, 0) == 0`:       "is not from 1",
+	`first(path, -1) == ""`:      "is not from 0",
+	`path - path == ""`:          "- does not go with",
+	`"a`:                         "has no end",
+	`"\n" == ""`:                 "a backslash stands before",
+	`path = "x"`:                 `'=' means nothing here`,
+	`12x == 1`:                   "12x is no whole number",
+	`path == "x" path`:           "path follows a whole expression",
+	`(path == "x"`:               `")" is missing`,
+	`- path == 1`:                "a minus stands before a number",
+	strings.Repeat(
+		"(",
+		70,
+	): "more than 64 deep", strings.Repeat(
+		"not ",
+		70,
+	) + "a": "more than 64 deep", strings.Repeat(
+		"x",
+		5000,
+	): "5000 bytes; 4096 is the most", "\xff": "not valid UTF-8",
+	`length not 1`: `"in" is missing`, `len(path, path) == 1`: "len takes 1 values",
+}
+
+func TestInvalidExpressionsAreRejectedWithTheirPlace(t *testing.T) {
+	names := Definitions{"a": "b and b", "b": "a", "text": `"x"`, "bad": "1 +", "d0": `school + school`}
 	for i := 1; i < 40; i++ { // each twice the one before
 		names[fmt.Sprint("d", i)] = fmt.Sprintf("d%d + d%d", i-1, i-1)
 		names[fmt.Sprint("c", i)] = fmt.Sprintf("c%d and c%d", i-1, i-1)
 	}
 	names["c0"] = `var("A") contains "x"`
-	for text, want := range map[string]string{
-		``: "column 1: the end stands where a value is missing", `path`: "column 1: it is a text; wanted is a condition", `path == 1`: "column 6: a text is compared with a number",
-		`path and true`: "there is no field and no expression named true", `path and method == "x"`: `column 1: a side of "and" is a text; wanted is a condition`,
-		`not length`: "column 5: what follows", `a`: "column 1: in a: column 1: in b: column 1: a stands for itself", `text`: "column 1: it is a text", `bad == 1`: "in bad: column 4: the end stands",
-		`d39 == ""`: "could make", `c39`: "could cost", `school in []`: "the list is empty", `school in ["a", "a"]`: "column 17: it stands twice", `school in ["a", 1]`: "column 17: the list is of a text each",
-		`school in [path]`: "written out", `length == 1 == 2`: "two comparisons in a row", `1 < length < 3`: "two comparisons in a row", `path matches school`: "the pattern has to be written out",
-		`path contains school`: "written out", `remote within "10.0.0.1/8"`: "is 10.0.0.0/8 meant?", `remote within "x"`: "is no network", `remote within path`: "written out", `path within "10.0.0.0/8"`: "is a text; wanted is an address",
-		`remote == remote`: "does not compare an address", `remote in ["x"]`: "an address is in no list", `part(path, "", 1) == ""`: "the separator is empty", `part(path, "/", 0-1) == ""`: "has to be written out",
-		`part(path, "/") == ""`: "takes 3 values, and has 2", `lower(1) == ""`: "value 1 of lower is a number", `nothing(1)`: "there is no function nothing", `var(path) == ""`: "has to be written out",
-		`bucket(path, 0) == 0`: "is not from 1", `first(path, -1) == ""`: "is not from 0", `path - path == ""`: "- does not go with", `"a`: "has no end", `"\n" == ""`: "a backslash stands before",
-		`path = "x"`: `'=' means nothing here`, `12x == 1`: "12x is no whole number", `path == "x" path`: "path follows a whole expression", `(path == "x"`: `")" is missing`, `- path == 1`: "a minus stands before a number",
-		strings.Repeat("(", 70): "more than 64 deep", strings.Repeat("not ", 70) + "a": "more than 64 deep", strings.Repeat("x", 5000): "5000 bytes; 4096 is the most", "\xff": "not valid UTF-8",
-		`length not 1`: `"in" is missing`, `len(path, path) == 1`: "len takes 1 values",
-	} {
+	for text, want := range invalidCases {
 		_, err := Compile(text, Bool, names)
 		var at *Error
 		if !errors.As(err, &at) || !strings.Contains(err.Error(), want) {
@@ -96,8 +172,8 @@
 	}
 }
 
-func TestTable(t *testing.T) {
-	when := func(text string) *Expr {
+func TestRulesApplyByLongestPrefixThenOrder(t *testing.T) {
+	when := func(text string) *Expression {
 		e, err := Compile(text, Bool, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -111,7 +187,7 @@
 		{"/ops/exam/", when(`method == "POST"`)},
 		{"/ops/exam", nil},
 	}
-	table, err := NewTable(rules)
+	table, err := NewRuleTable(rules)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,29 +195,44 @@
 		path, method, school string
 		length               int64
 		want                 int
-	}{{"/ops/exam/1", "POST", "north", 9000, 2}, {"/ops/exam/1", "POST", "north", 1, 3}, {"/ops/exam/1", "GET", "south", 1, 4}, {"/ops/examine", "POST", "south", 1, 1},
+	}{{
+		"/ops/exam/1",
+		"POST",
+		"north",
+		9000,
+		2,
+	}, {
+		"/ops/exam/1",
+		"POST",
+		"north",
+		1,
+		3,
+	}, {"/ops/exam/1", "GET", "south", 1, 4}, {"/ops/examine", "POST", "south", 1, 1},
 		{"/ops/examine", "POST", "north", 1, 0}, {"/ops", "POST", "south", 1, 1}, {"x", "", "", 0, -1}} {
-		if got := table.Find(&Request{Path: c.path, Method: c.method, School: c.school, Length: c.length}); got != c.want {
+		if got := table.Find(
+			&Request{Path: c.path, Method: c.method, School: c.school, Length: c.length},
+		); got != c.want {
 			t.Errorf("%+v: rule %d", c, got)
 		}
 	}
-	var behind *Unreached
-	if _, err := NewTable(append(rules, Rule{"/ops/exam", when(`length == 1`)})); !errors.As(err, &behind) ||
+	var behind *UnreachableRuleError
+	if _, err := NewRuleTable(
+		append(rules, Rule{"/ops/exam", when(`length == 1`)}),
+	); !errors.As(err, &behind) ||
 		behind.Rule != 5 ||
-		behind.Behind != 4 {
+		behind.Before != 4 {
 		t.Error(err)
 	}
 	for range 60 {
 		rules = append(rules, Rule{"/x", when(`var("A") contains "x"`)})
 	}
-	if _, err := NewTable(rules); err == nil ||
+	if _, err := NewRuleTable(rules); err == nil ||
 		!strings.Contains(err.Error(), "conditions together could cost") {
 		t.Error(err)
 	}
 }
 
-// Patterns mean what a plain reading of them says.
-func TestPatterns(t *testing.T) {
+func TestPatternsMatchLikeAPlainReading(t *testing.T) {
 	var plain func(s, p string) bool
 	plain = func(s, p string) bool {
 		if p == "" {
@@ -164,32 +255,46 @@
 			t,
 			"p",
 		)
-		if got := matches(s, strings.Split(p, "*")); got != plain(s, p) {
+		if got := matchesPattern(s, strings.Split(p, "*")); got != plain(s, p) {
 			t.Fatalf("%q, %q: %v", s, p, got)
 		}
 	})
 }
 
-// Whatever is written, reading it ends, and what comes of it runs within its bounds.
+// Compiling any text ends, and what it compiles to stays within its bounds.
 func FuzzCompile(f *testing.F) {
-	for _, s := range []string{`both`, `school in ["a", "b"] and length > 3`, `lower(part(host, ".", 0)) == "x"`, `remote within "10.0.0.0/8"`, `not (a or a) and arg("x") matches "*a*"`} {
+	for _, s := range []string{
+		`both`,
+		`school in ["a", "b"] and length > 3`,
+		`lower(part(host, ".", 0)) == "x"`,
+		`remote within "10.0.0.0/8"`,
+		`not (a or a) and arg("x") matches "*a*"`,
+	} {
 		f.Add(s)
 	}
-	names := Names{"a": `path startswith "/"`, "both": "a and a"}
-	long := strings.Repeat("ab/=&.%20", mostField/9)
+	names := Definitions{"a": `path startswith "/"`, "both": "a and a"}
+	long := strings.Repeat("ab/=&.%20", maxFieldBytes/9)
 	f.Fuzz(func(t *testing.T, s string) {
 		for _, want := range []Type{Bool, Text} {
 			e, err := Compile(s, want, names)
 			if err != nil {
 				continue
 			}
-			if e.Cost() > MostCost {
+			if e.Cost() > MaxCost {
 				t.Error(e.Cost())
 			}
-			for _, r := range []*Request{request(), {Path: long, Query: long, Host: long[:200], Var: func(string) (string, bool) { return long, true }}} {
+			for _, r := range []*Request{
+				request(),
+				{
+					Path:  long,
+					Query: long,
+					Host:  long[:200],
+					Var:   func(string) (string, bool) { return long, true },
+				},
+			} {
 				if want == Bool {
-					e.Holds(r)
-				} else if n := len(e.Text(r)); n > mostField+MostMade {
+					e.Matches(r)
+				} else if n := len(e.Text(r)); n > maxFieldBytes+MaxTextBytes {
 					t.Errorf("%d bytes", n)
 				}
 			}
@@ -197,17 +302,26 @@
 	})
 }
 
-// The worst that an expression may be, on the longest fields; what it takes is per step.
+// BenchmarkWorst evaluates expressions of the greatest cost on the longest fields, and reports the time
+// for one step.
 func BenchmarkWorst(b *testing.B) {
-	long := strings.Repeat("b", mostField-1) + "a"
+	long := strings.Repeat("b", maxFieldBytes-1) + "a"
 	r := &Request{
 		Path:  long,
-		Query: strings.Repeat("a%41=b&", mostField/7),
+		Query: strings.Repeat("a%41=b&", maxFieldBytes/7),
 		Var:   func(string) (string, bool) { return long, true },
 	}
-	for name, one := range map[string]string{"contains": `path contains "aa"`, "pattern": `path matches "*a*a"`, "part": `part(path, "b", 1000) == "x"`, "arg": `arg("x") == "y"`, "fold": `lower(path) == "x"`, "list": `path in ["x"]`, "bucket": `bucket(path, 7) == 9`} {
+	for name, one := range map[string]string{
+		"contains": `path contains "aa"`,
+		"pattern":  `path matches "*a*a"`,
+		"part":     `part(path, "b", 1000) == "x"`,
+		"arg":      `arg("x") == "y"`,
+		"fold":     `lower(path) == "x"`,
+		"list":     `path in ["x"]`,
+		"bucket":   `bucket(path, 7) == 9`,
+	} {
 		b.Run(name, func(b *testing.B) {
-			text, e := one, (*Expr)(nil)
+			text, e := one, (*Expression)(nil)
 			for {
 				more, err := Compile(text, Bool, nil)
 				if err != nil {
@@ -217,7 +331,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				e.Holds(r)
+				e.Matches(r)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(e.Cost()), "ns/step")
 		})
@@ -226,7 +340,8 @@
 
 func BenchmarkUsual(b *testing.B) {
 	e, err := Compile(
-		`school in ["north", "south"] and path startswith "/ops/exam" and (length < 20000 or var("HTTP_X_EXERCISE") matches "intro-*")`,
+		`school in ["north", "south"] and path startswith "/ops/exam" and `+
+			`(length < 20000 or var("HTTP_X_EXERCISE") matches "intro-*")`,
 		Bool,
 		nil,
 	)
@@ -236,6 +351,6 @@
 	r := request()
 	b.ReportAllocs()
 	for b.Loop() {
-		e.Holds(r)
+		e.Matches(r)
 	}
 }
--- /dev/null
+++ b/internal/match/operators.go
@@ -0,0 +1,154 @@
+package match
+
+import (
+	"cmp"
+	"math"
+	"net/netip"
+	"strconv"
+	"strings"
+)
+
+// comparisons tells for each comparison whether it holds where the left side is less than, equal to
+// and greater than the right side.
+var comparisons = map[string]*[3]bool{
+	"==": {false, true, false},
+	"!=": {true, false, true},
+	"<":  {true, false, false},
+	"<=": {true, true, false},
+	">":  {false, false, true},
+	">=": {false, true, true},
+}
+
+// compareValues compiles a comparison of two numbers or two texts.
+func compareValues(t token, a, b *node, holds *[3]bool) (*node, error) {
+	if a.resultType != b.resultType {
+		return nil, errorAt(t.offset, "%v is compared with %v", a.resultType, b.resultType)
+	}
+	n := &node{offset: t.offset, resultType: Bool}
+	switch a.resultType {
+	case Int:
+		n.evalBool = func(r *Request) bool { return holds[1+cmp.Compare(a.evalInt(r), b.evalInt(r))] }
+		return n.withCost(1, a, b)
+	case Text:
+		n.evalBool = func(r *Request) bool { return holds[1+strings.Compare(a.evalText(r), b.evalText(r))] }
+		return n.withCost(scanCost(min(a.maxLength, b.maxLength)), a, b)
+	}
+	return nil, errorAt(t.offset, "%s does not compare %v", t.text, a.resultType)
+}
+
+// textSearches are the operators that look for one text in another. matches has a pattern as its
+// right side and no function here.
+var textSearches = map[string]func(s, of string) bool{
+	"startswith": strings.HasPrefix,
+	"endswith":   strings.HasSuffix,
+	"contains":   strings.Contains,
+	"matches":    nil,
+}
+
+// searchText compiles one of the textSearches.
+func searchText(t token, a, b *node, find func(s, of string) bool) (*node, error) {
+	for _, side := range []*node{a, b} {
+		if err := side.expectType(Text, "a side of "+strconv.Quote(t.text)); err != nil {
+			return nil, err
+		}
+	}
+	n := &node{offset: t.offset, resultType: Bool}
+	switch t.text {
+	case "matches":
+		if !b.constant {
+			return nil, errorAt(b.offset, "the pattern has to be written out")
+		}
+		pieces := strings.Split(b.evalText(nil), "*")
+		n.evalBool = func(r *Request) bool { return matchesPattern(a.evalText(r), pieces) }
+		// The pieces are searched for once each, from left to right in the rest of the text.
+		return n.withCost(scanCost(a.maxLength)+len(pieces), a, b)
+	case "contains":
+		if !b.constant {
+			return nil, errorAt(b.offset, "what it contains has to be written out")
+		}
+		n.evalBool = func(r *Request) bool { return find(a.evalText(r), b.evalText(r)) }
+		return n.withCost(scanCost(a.maxLength), a, b)
+	}
+	n.evalBool = func(r *Request) bool { return find(a.evalText(r), b.evalText(r)) }
+	return n.withCost(scanCost(min(a.maxLength, b.maxLength)), a, b)
+}
+
+// matchesPattern reports whether s consists of the pieces with any text between them. Taking the
+// first occurrence of each piece is sufficient.
+func matchesPattern(s string, pieces []string) bool {
+	last := len(pieces) - 1
+	if last == 0 {
+		return s == pieces[0]
+	}
+	if !strings.HasPrefix(s, pieces[0]) {
+		return false
+	}
+	s = s[len(pieces[0]):]
+	for _, piece := range pieces[1:last] {
+		_, tail, ok := strings.Cut(s, piece)
+		if !ok {
+			return false
+		}
+		s = tail
+	}
+	return strings.HasSuffix(s, pieces[last])
+}
+
+// withinNetwork compiles the test whether an address belongs to a network. An unknown address
+// belongs to none.
+func withinNetwork(t token, a, b *node) (*node, error) {
+	if err := a.expectType(Addr, `what is "within"`); err != nil {
+		return nil, err
+	}
+	if b.resultType != Text || !b.constant {
+		return nil, errorAt(b.offset, "the network has to be written out, as a text")
+	}
+	net, err := netip.ParsePrefix(b.evalText(nil))
+	if err != nil {
+		return nil, errorAt(b.offset, "%q is no network, such as 10.0.0.0/8", b.evalText(nil))
+	}
+	if net != net.Masked() {
+		return nil, errorAt(b.offset, "%v has bits behind its length: is %v meant?", net, net.Masked())
+	}
+	n := &node{offset: t.offset, resultType: Bool, evalBool: func(r *Request) bool {
+		addr := a.evalAddr(r)
+		return addr.IsValid() && net.Contains(addr.Unmap())
+	}}
+	return n.withCost(2, a, b)
+}
+
+// addValues compiles the sum or difference of two numbers, which saturates at the limits of int64,
+// or the concatenation of two texts.
+func addValues(t token, a, b *node) (*node, error) {
+	if a.resultType != b.resultType || a.resultType != Int && (a.resultType != Text || t.text == "-") {
+		return nil, errorAt(t.offset, "%s does not go with %v and %v", t.text, a.resultType, b.resultType)
+	}
+	n := &node{offset: t.offset, resultType: a.resultType}
+	if a.resultType == Text {
+		n.maxLength = min(a.maxLength+b.maxLength, math.MaxInt32)
+		n.maxAllocated = n.maxLength
+		n.evalText = func(r *Request) string { return a.evalText(r) + b.evalText(r) }
+		return n.withCost(scanCost(n.maxLength), a, b)
+	}
+	n.evalInt = func(r *Request) int64 {
+		x, y := a.evalInt(r), b.evalInt(r)
+		if t.text == "-" {
+			if y == math.MinInt64 {
+				y++
+			}
+			y = -y
+		}
+		switch s := x + y; {
+		case x > 0 && y > 0 && s < 0:
+			return math.MaxInt64
+		case x < 0 && y < 0 && s >= 0:
+			return math.MinInt64
+		default:
+			return s
+		}
+	}
+	return n.withCost(1, a, b)
+}
+
+// maxListLength bounds the values of a list.
+const maxListLength = 256
--- /dev/null
+++ b/internal/match/parser.go
@@ -0,0 +1,376 @@
+package match
+
+import (
+	"fmt"
+	"slices"
+)
+
+// parser is a recursive-descent parser that type-checks and compiles as it reads. From the loosest
+// to the tightest the operators are: or, and, not, comparisons, + and -.
+type parser struct {
+	definitions Definitions
+	unavailable []string         // fields that may not be used
+	compiled    map[string]*node // definitions that were used before
+	expanding   map[string]bool  // definitions that are being compiled, to find cycles
+	tokens      []token          // what is left of the source
+	depth       int
+}
+
+// newParser returns a parser that has no source yet.
+func newParser(definitions Definitions, unavailable []string) *parser {
+	return &parser{
+		definitions: definitions,
+		unavailable: unavailable,
+		compiled:    map[string]*node{},
+		expanding:   map[string]bool{},
+	}
+}
+
+// parseSource compiles a whole source. It leaves the tokens of p as they are, so that a definition
+// can be compiled in the middle of another source.
+func (p *parser) parseSource(source string) (*node, error) {
+	tokens, err := lex(source)
+	if err != nil {
+		return nil, err
+	}
+	inner := *p
+	inner.tokens = tokens
+	n, err := inner.parseOr()
+	if err != nil {
+		return nil, err
+	}
+	if t := inner.peek(); t.kind != tokenEnd {
+		return nil, errorAt(t.offset, "%v follows a whole expression", t)
+	}
+	return n, nil
+}
+
+// peek returns the next token without consuming it.
+func (p *parser) peek() token { return p.tokens[0] }
+
+// next consumes the next token. tokenEnd is never consumed.
+func (p *parser) next() token {
+	t := p.tokens[0]
+	if t.kind != tokenEnd {
+		p.tokens = p.tokens[1:]
+	}
+	return t
+}
+
+// accept consumes the next token if it is that operator.
+func (p *parser) accept(operator string) bool {
+	if t := p.peek(); t.kind == tokenOperator && t.text == operator {
+		p.next()
+		return true
+	}
+	return false
+}
+
+// expect consumes that operator, or returns an error.
+func (p *parser) expect(operator string) error {
+	if !p.accept(operator) {
+		return errorAt(p.peek().offset, "%v stands where %q is missing", p.peek(), operator)
+	}
+	return nil
+}
+
+// enter counts one level of nesting; the caller has to decrement depth when it leaves the level.
+func (p *parser) enter(offset int) error {
+	if p.depth++; p.depth > maxDepth {
+		return errorAt(offset, "it is more than %d deep", maxDepth)
+	}
+	return nil
+}
+
+// parseOr parses conditions that are joined by or.
+func (p *parser) parseOr() (*node, error) {
+	return p.parseLogic("or", p.parseAnd, func(a, b *node) func(*Request) bool {
+		return func(r *Request) bool { return a.evalBool(r) || b.evalBool(r) }
+	})
+}
+
+// parseAnd parses conditions that are joined by and.
+func (p *parser) parseAnd() (*node, error) {
+	return p.parseLogic("and", p.parseNot, func(a, b *node) func(*Request) bool {
+		return func(r *Request) bool { return a.evalBool(r) && b.evalBool(r) }
+	})
+}
+
+// parseLogic parses operands that are joined by a logical operator.
+func (p *parser) parseLogic(
+	operator string,
+	operand func() (*node, error),
+	join func(a, b *node) func(*Request) bool,
+) (*node, error) {
+	a, err := operand()
+	if err != nil {
+		return nil, err
+	}
+	for p.peek().kind == tokenOperator && p.peek().text == operator {
+		offset := p.next().offset
+		b, err := operand()
+		if err != nil {
+			return nil, err
+		}
+		for _, side := range []*node{a, b} {
+			if err := side.expectType(Bool, fmt.Sprintf("a side of %q", operator)); err != nil {
+				return nil, err
+			}
+		}
+		n := &node{offset: offset, resultType: Bool, evalBool: join(a, b)}
+		if a, err = n.withCost(1, a, b); err != nil {
+			return nil, err
+		}
+	}
+	return a, nil
+}
+
+// parseNot parses a condition that may be negated.
+func (p *parser) parseNot() (*node, error) {
+	if t := p.peek(); p.accept("not") {
+		if err := p.enter(t.offset); err != nil {
+			return nil, err
+		}
+		defer func() { p.depth-- }()
+		a, err := p.parseNot()
+		if err != nil {
+			return nil, err
+		}
+		if err := a.expectType(Bool, `what follows "not"`); err != nil {
+			return nil, err
+		}
+		return (&node{
+			offset:     t.offset,
+			resultType: Bool,
+			evalBool:   func(r *Request) bool { return !a.evalBool(r) },
+		}).withCost(
+			1,
+			a,
+		)
+	}
+	return p.parseComparison()
+}
+
+// parseComparison parses a value, or two values and how they are compared.
+func (p *parser) parseComparison() (*node, error) {
+	a, err := p.parseSum()
+	if err != nil {
+		return nil, err
+	}
+	t := p.peek()
+	if t.kind != tokenOperator {
+		return a, nil
+	}
+	switch t.text {
+	case "in":
+		p.next()
+		return p.parseMembership(t.offset, a, false)
+	case "not":
+		p.next()
+		if !p.accept("in") {
+			return nil, errorAt(p.peek().offset, `%v stands where "in" is missing`, p.peek())
+		}
+		return p.parseMembership(t.offset, a, true)
+	}
+	ordered, equal := comparisons[t.text]
+	search, found := textSearches[t.text]
+	if !equal && !found && t.text != "within" {
+		return a, nil
+	}
+	p.next()
+	b, err := p.parseSum()
+	if err != nil {
+		return nil, err
+	}
+	var n *node
+	switch {
+	case t.text == "within":
+		n, err = withinNetwork(t, a, b)
+	case found:
+		n, err = searchText(t, a, b, search)
+	default:
+		n, err = compareValues(t, a, b, ordered)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if after := p.peek(); after.kind == tokenOperator && comparisons[after.text] != nil {
+		return nil, errorAt(after.offset, "two comparisons in a row: join them with and")
+	}
+	return n, nil
+}
+
+// parseSum parses values that are joined by + or -.
+func (p *parser) parseSum() (*node, error) {
+	a, err := p.parseValue()
+	if err != nil {
+		return nil, err
+	}
+	for p.peek().kind == tokenOperator && (p.peek().text == "+" || p.peek().text == "-") {
+		t := p.next()
+		b, err := p.parseValue()
+		if err != nil {
+			return nil, err
+		}
+		if a, err = addValues(t, a, b); err != nil {
+			return nil, err
+		}
+	}
+	return a, nil
+}
+
+// parseValue parses a literal, a name, a call or an expression in brackets.
+func (p *parser) parseValue() (*node, error) {
+	t := p.next()
+	if err := p.enter(t.offset); err != nil {
+		return nil, err
+	}
+	defer func() { p.depth-- }()
+	switch {
+	case t.kind == tokenText:
+		return textLiteral(t.offset, t.text), nil
+	case t.kind == tokenNumber:
+		return intLiteral(t.offset, t.number), nil
+	case t.kind == tokenOperator && t.text == "-":
+		if n := p.next(); n.kind == tokenNumber {
+			return intLiteral(t.offset, -n.number), nil
+		}
+		return nil, errorAt(t.offset, "a minus stands before a number, or between two")
+	case t.kind == tokenOperator && t.text == "(":
+		n, err := p.parseOr()
+		if err != nil {
+			return nil, err
+		}
+		return n, p.expect(")")
+	case t.kind == tokenName && p.accept("("):
+		return p.parseCall(t)
+	case t.kind == tokenName:
+		return p.parseName(t)
+	}
+	return nil, errorAt(t.offset, "%v stands where a value is missing", t)
+}
+
+// parseName resolves a name to a field or a definition. A definition is compiled once, and its cost
+// counts at each place where it is used.
+func (p *parser) parseName(t token) (*node, error) {
+	if f, ok := fields[t.text]; ok {
+		if slices.Contains(p.unavailable, t.text) {
+			return nil, errorAt(t.offset, "%s is not known yet here", t.text)
+		}
+		n := *f
+		n.offset = t.offset
+		return &n, nil
+	}
+	if n := p.compiled[t.text]; n != nil {
+		return n, nil
+	}
+	text, ok := p.definitions[t.text]
+	if !ok {
+		return nil, errorAt(t.offset, "there is no field and no expression named %s", t.text)
+	}
+	if p.expanding[t.text] {
+		return nil, errorAt(t.offset, "%s stands for itself", t.text)
+	}
+	p.expanding[t.text] = true
+	defer delete(p.expanding, t.text)
+	n, err := p.parseSource(text)
+	if err != nil {
+		return nil, errorAt(t.offset, "in %s: %v", t.text, err)
+	}
+	p.compiled[t.text] = n
+	return n, nil
+}
+
+// parseCall parses the arguments of a function up to the closing bracket.
+func (p *parser) parseCall(t token) (*node, error) {
+	f, ok := lookUpFunction(t.text)
+	if !ok {
+		return nil, errorAt(t.offset, "there is no function %s", t.text)
+	}
+	var arguments []*node
+	for !p.accept(")") {
+		if len(arguments) > 0 {
+			if err := p.expect(","); err != nil {
+				return nil, err
+			}
+		}
+		if len(arguments) == len(f.parameters) {
+			return nil, errorAt(p.peek().offset, "%s takes %d values", t.text, len(f.parameters))
+		}
+		a, err := p.parseOr()
+		if err != nil {
+			return nil, err
+		}
+		want := f.parameters[len(arguments)]
+		if err := a.expectType(
+			want.resultType,
+			fmt.Sprintf("value %d of %s", len(arguments)+1, t.text),
+		); err != nil {
+			return nil, err
+		}
+		if want.constant && !a.constant {
+			return nil, errorAt(a.offset, "value %d of %s has to be written out", len(arguments)+1, t.text)
+		}
+		arguments = append(arguments, a)
+	}
+	if len(arguments) < len(f.parameters) {
+		return nil, errorAt(
+			t.offset,
+			"%s takes %d values, and has %d",
+			t.text,
+			len(f.parameters),
+			len(arguments),
+		)
+	}
+	n := &node{offset: t.offset}
+	own, err := f.build(n, arguments)
+	if err != nil {
+		return nil, err
+	}
+	return n.withCost(own, arguments...)
+}
+
+// parseMembership parses the list behind in or not in, and compiles the test whether a value is one
+// of it.
+func (p *parser) parseMembership(offset int, a *node, negated bool) (*node, error) {
+	if a.resultType != Int && a.resultType != Text {
+		return nil, errorAt(a.offset, "%v is in no list", a.resultType)
+	}
+	if err := p.expect("["); err != nil {
+		return nil, err
+	}
+	texts, numbers := map[string]bool{}, map[int64]bool{}
+	for !p.accept("]") {
+		if len(texts)+len(numbers) > 0 {
+			if err := p.expect(","); err != nil {
+				return nil, err
+			}
+		}
+		b, err := p.parseValue()
+		if err != nil {
+			return nil, err
+		}
+		switch {
+		case !b.constant || b.resultType != a.resultType:
+			return nil, errorAt(b.offset, "the list is of %v each, written out", a.resultType)
+		case b.resultType == Text && texts[b.evalText(nil)], b.resultType == Int && numbers[b.evalInt(nil)]:
+			return nil, errorAt(b.offset, "it stands twice in the list")
+		case len(texts)+len(numbers) >= maxListLength:
+			return nil, errorAt(b.offset, "the list has more than %d", maxListLength)
+		case b.resultType == Text:
+			texts[b.evalText(nil)] = true
+		default:
+			numbers[b.evalInt(nil)] = true
+		}
+	}
+	if len(texts)+len(numbers) == 0 {
+		return nil, errorAt(offset, "the list is empty")
+	}
+	n := &node{offset: offset, resultType: Bool}
+	if a.resultType == Int {
+		n.evalBool = func(r *Request) bool { return numbers[a.evalInt(r)] != negated }
+		return n.withCost(2, a)
+	}
+	n.evalBool = func(r *Request) bool { return texts[a.evalText(r)] != negated }
+	return n.withCost(scanCost(a.maxLength), a)
+}
--- /dev/null
+++ b/internal/match/rules.go
@@ -0,0 +1,105 @@
+package match
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Rule selects the requests below a path prefix for which a condition holds.
+type Rule struct {
+	Prefix    string
+	Condition *Expression // nil: all requests below the prefix
+}
+
+// RuleTable finds the rule that applies to a request. It is immutable.
+type RuleTable struct {
+	rules []Rule
+	order []int // indexes of rules: longer prefixes first, then as listed
+	cost  int
+}
+
+// NewRuleTable returns a table of the rules. A rule that no request can reach is an
+// *UnreachableRuleError; conditions that together exceed MaxCost are an error too.
+func NewRuleTable(rules []Rule) (*RuleTable, error) {
+	t := &RuleTable{rules: rules}
+	unconditional := map[string]int{} // indexes of rules without a condition, by prefix
+	for i, r := range rules {
+		if before, ok := unconditional[r.Prefix]; ok {
+			return nil, &UnreachableRuleError{Rule: i, Before: before}
+		}
+		if r.Condition == nil {
+			unconditional[r.Prefix] = i
+		} else {
+			t.cost += r.Condition.Cost()
+		}
+		t.order = append(t.order, i)
+	}
+	if t.cost > MaxCost {
+		return nil, fmt.Errorf(
+			"the conditions together could cost %d steps for one request; %d is the most",
+			t.cost,
+			MaxCost,
+		)
+	}
+	slices.SortStableFunc(t.order, func(a, b int) int { return len(rules[b].Prefix) - len(rules[a].Prefix) })
+	return t, nil
+}
+
+// Matcher derives the tenant of a request and finds the rule that applies to it.
+type Matcher struct {
+	Rules          *RuleTable
+	School         *Expression // tenant of a request; nil: SchoolVariable holds it
+	SchoolVariable string      // name of the variable with the tenant
+	DefaultSchool  string      // tenant of requests that name none
+}
+
+// Match sets the tenant of a request, which the conditions may use, and returns the index of the
+// rule that applies, or -1.
+func (m *Matcher) Match(r *Request) int {
+	if m.School != nil {
+		r.School = m.School.Text(r)
+	} else {
+		r.School, _ = r.Var(m.SchoolVariable)
+	}
+	r.School = cmp.Or(r.School, m.DefaultSchool)
+	return m.Rules.Find(r)
+}
+
+// Cost returns the worst-case cost of a rule's condition in steps.
+func (t *RuleTable) Cost(rule int) int { return t.rules[rule].Condition.Cost() }
+
+// UnreachableRuleError reports a rule that stands behind one that applies to all of its requests.
+type UnreachableRuleError struct {
+	Rule   int // index of the rule
+	Before int // index of the rule that takes its requests
+}
+
+// Error implements error.
+func (u *UnreachableRuleError) Error() string {
+	return fmt.Sprintf(
+		"no request comes to it: the one of the same path before it, no. %d, takes all",
+		u.Before+1,
+	)
+}
+
+// Find returns the index of the rule that applies to a request, or -1: of the rules whose condition
+// holds, the first one with the longest prefix.
+func (t *RuleTable) Find(r *Request) int {
+	for _, i := range t.order {
+		if rule := &t.rules[i]; hasPathPrefix(
+			r.Path,
+			rule.Prefix,
+		) && (rule.Condition == nil || rule.Condition.Matches(r)) {
+			return i
+		}
+	}
+	return -1
+}
+
+// hasPathPrefix reports whether path is prefix or lies below it.
+func hasPathPrefix(path, prefix string) bool {
+	stem := strings.TrimSuffix(prefix, "/")
+	return path == prefix || len(path) > len(stem) && path[len(stem)] == '/' && path[:len(stem)] == stem
+}
