--- a/internal/peers/consensus/errors.go
+++ b/internal/peers/consensus/errors.go
@@ -4,23 +4,23 @@
 
 // What can go wrong here, and what an operator can do about it.
 var (
-	stranger = fault.Define("peers.stranger", "No member of the runners that keep copies has the name.",
+	kindUnknownMember = fault.Define("peers.stranger", "No member of the runners that keep copies has the name.",
 		"Look at the names with runner peers; a new runner is added to all files and started first.")
-	older = fault.Define(
+	kindVersionTooOld = fault.Define(
 		"peers.older",
 		"A voter is of an older version, which does not know what was asked for.",
 		"Bring the voters up to one version, one after the other, and ask again.",
 	)
-	nobody = fault.Define(
+	kindTooFewMembers = fault.Define(
 		"peers.nobody",
 		"Too few other runners are left to hold the copies of one that leaves.",
 		"Add a runner first, or wait until one that was lost is back.",
 	)
-	voters = fault.Define(
+	kindVoters = fault.Define(
 		"peers.voters",
 		"The voters of the file, or what the disk has of this one, cannot be.",
 		"Correct peers.members: an odd number of voters; a voter keeps its name and its folder.",
 	)
-	failed = fault.Define("peers.council", "The consensus group of the runners cannot go on here.",
+	kindConsensusFailed = fault.Define("peers.council", "The consensus group of the runners cannot go on here.",
 		"Start this runner anew; the others go on without it.")
 )
--- a/internal/peers/consensus/late_test.go
+++ b/internal/peers/consensus/late_test.go
@@ -23,7 +23,7 @@
 		From:   voter,
 		To:     r.leader(),
 		Member: placement.Member{Name: voter, Life: 900, Process: 900},
-		Blank:  900<<8 | r.all[voter].place(voter),
+		Blank:  900<<8 | r.all[voter].voterPosition(voter),
 		Sent:   1,
 	}
 	r.start(voter)
@@ -33,7 +33,7 @@
 	r.all[r.leader()].Receive(&late, r.now)
 	r.run(12_000)
 	if m := r.agreed().Member(voter); r.in() != 5 || !r.all[voter].IsVoter() ||
-		m.Process != r.all[voter].me.Process {
+		m.Process != r.all[voter].self.Process {
 		t.Errorf("%d are in; %s votes: %v; %+v", r.in(), voter, r.all[voter].IsVoter(), m)
 	}
 }
@@ -44,7 +44,7 @@
 	r := newRoom(t, 4, 3)
 	r.run(8000)
 	name := r.names[3]
-	late := Message{Kind: MsgHeartbeat, From: name, To: r.leader(), Member: r.all[name].me, Sent: 1}
+	late := Message{Kind: MsgHeartbeat, From: name, To: r.leader(), Member: r.all[name].self, Sent: 1}
 	for _, life := range []uint64{700, 701} {
 		r.all[name].Rejoin(life)
 		r.run(1000)
@@ -71,7 +71,7 @@
 	r.away[voter] = true
 	r.run(3000)
 	c := r.all[leader]
-	c.renew = true // it cuts its log
+	c.snapshotDue = true // it cuts its log
 	c.Propose([]placement.Change{{Kind: placement.ChangeStay, Member: placement.Member{Name: leader}}}, r.now)
 	r.run(1000)
 	r.away[voter] = false
@@ -109,15 +109,15 @@
 	r := newRoom(t, 5, 3)
 	r.run(8000)
 	c, name := r.all[r.leader()], r.names[4]
-	here := Message{Kind: MsgHeartbeat, From: name, To: c.cfg.Name, Member: r.all[name].me, Sent: 1, Asked: 5}
+	here := Message{Kind: MsgHeartbeat, From: name, To: c.cfg.Name, Member: r.all[name].self, Sent: 1, Asked: 5}
 	c.table = c.table.Clone()
-	c.table.Duties = []placement.Lease{{Name: "d", Holder: name, Life: r.all[name].me.Life, Token: 1}}
-	if c.Receive(&here, r.now); len(c.asks) != 1 {
-		t.Fatalf("%d ask", len(c.asks))
+	c.table.Duties = []placement.Lease{{Name: "d", Holder: name, Life: r.all[name].self.Life, Token: 1}}
+	if c.Receive(&here, r.now); len(c.pendingConfirmations) != 1 {
+		t.Fatalf("%d ask", len(c.pendingConfirmations))
 	}
-	c.asks = nil
-	c.Tick(r.now + FailureTimeout + 2*tick) // it is proposed to hold it for lost
-	if c.Receive(&here, r.now+FailureTimeout+2*tick); len(c.asks) != 0 {
+	c.pendingConfirmations = nil
+	c.Tick(r.now + FailureTimeout + 2*raftTickInterval) // it is proposed to hold it for lost
+	if c.Receive(&here, r.now+FailureTimeout+2*raftTickInterval); len(c.pendingConfirmations) != 0 {
 		t.Error("it is asked for all the same")
 	}
 }
@@ -149,12 +149,12 @@
 	if voter == c {
 		voter = r.all[r.voters[1]]
 	}
-	before := voter.number()
-	if err := c.node.ProposeConfChange(&raftpb.ConfChange{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(before)}); err != nil {
+	before := voter.currentVoterID()
+	if err := c.rawNode.ProposeConfChange(&raftpb.ConfChange{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(before)}); err != nil {
 		t.Fatal(err)
 	}
 	r.run(8000)
-	if r.agreed(); !voter.IsVoter() || voter.number() == before {
-		t.Errorf("votes %v under %d", voter.IsVoter(), voter.number())
+	if r.agreed(); !voter.IsVoter() || voter.currentVoterID() == before {
+		t.Errorf("votes %v under %d", voter.IsVoter(), voter.currentVoterID())
 	}
 }
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -11,31 +11,31 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// lead begins to lead, or ends it, and says who is lost.
-func (c *Participant) lead() {
-	leads := c.node.BasicStatus().RaftState == raft.StateLeader
-	if leads && !c.leads { // it knows nothing of who was heard until now
-		clear(c.last)
-		clear(c.way)
-		clear(c.asked)
-		clear(c.fresh)
-		clear(c.outs)
-		c.duties.Reset()
+// runLeader begins to lead, or ends it, and says who is lost.
+func (c *Participant) runLeader() {
+	leads := c.rawNode.BasicStatus().RaftState == raft.StateLeader
+	if leads && !c.isLeader { // it knows nothing of who was heard until now
+		clear(c.lastHeard)
+		clear(c.pendingProposals)
+		clear(c.leaseRequests)
+		clear(c.newProcesses)
+		clear(c.proposedLost)
+		c.granter.Reset()
 		for _, m := range c.table.Members {
-			c.last[m.Name] = c.now
+			c.lastHeard[m.Name] = c.now
 		}
 	}
-	if c.leads = leads; !leads {
-		c.asks, c.reads = nil, nil
-		clear(c.snaps)
+	if c.isLeader = leads; !leads {
+		c.pendingConfirmations, c.readIndexRequests = nil, nil
+		clear(c.snapshotPendingSince)
 		return
 	}
-	c.resend()
+	c.reportLostSnapshots()
 	var changes []placement.Change
 	for _, m := range c.table.Members {
-		at, ok := c.last[m.Name]
+		at, ok := c.lastHeard[m.Name]
 		if !ok {
-			c.last[m.Name] = c.now
+			c.lastHeard[m.Name] = c.now
 		} else if m.Life != 0 && c.now-at > FailureTimeout {
 			changes = append(changes, placement.Change{Kind: placement.ChangeLost, Member: m})
 		}
@@ -49,37 +49,37 @@
 			changes = append(changes, s)
 		}
 	}
-	c.proposeAsLeader(append(changes, c.grants()...))
+	c.proposeAsLeader(append(changes, c.leaseGrants()...))
 }
 
-// resend has voters be told anew who wait for a snapshot that may have been lost on its way: the
+// reportLostSnapshots has voters be told anew who wait for a snapshot that may have been lost on its way: the
 // library sends them nothing until it is told so.
-func (c *Participant) resend() {
-	c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-		switch at, ok := c.snaps[id]; {
+func (c *Participant) reportLostSnapshots() {
+	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
+		switch at, ok := c.snapshotPendingSince[id]; {
 		case pr.State != tracker.StateSnapshot:
-			delete(c.snaps, id)
+			delete(c.snapshotPendingSince, id)
 		case !ok:
-			c.snaps[id] = c.now
+			c.snapshotPendingSince[id] = c.now
 		case c.now-at > FailureTimeout:
-			delete(c.snaps, id)
-			c.lost = append(c.lost, id)
+			delete(c.snapshotPendingSince, id)
+			c.failedSnapshots = append(c.failedSnapshots, id)
 		}
 	})
-	for _, id := range c.lost { // not from within, where the library is in the middle of it
-		c.node.ReportSnapshot(id, raft.SnapshotFailure)
+	for _, id := range c.failedSnapshots { // not from within, where the library is in the middle of it
+		c.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 	}
-	c.lost = c.lost[:0]
+	c.failedSnapshots = c.failedSnapshots[:0]
 }
 
-// grants are those of duties that nobody holds.
-func (c *Participant) grants() []placement.Change {
+// leaseGrants are those of duties that nobody holds.
+func (c *Participant) leaseGrants() []placement.Change {
 	if len(c.cfg.LeaseRules.Rules) == 0 || !c.table.AllUnderstand(placement.ChangeJoinV2, c.cfg.Voters) {
 		return nil
 	}
-	return c.duties.Grants(c.table, c.now, func(name string) int64 {
-		if m, a := c.table.Member(name), c.asked[name]; m != nil && a.life == m.Life {
-			return a.asked
+	return c.granter.Grants(c.table, c.now, func(name string) int64 {
+		if m, a := c.table.Member(name), c.leaseRequests[name]; m != nil && a.incarnation == m.Life {
+			return a.askedAt
 		}
 		return 0
 	})
@@ -88,38 +88,38 @@
 // requestReadIndex asks the other voters whether they still go by this leader, for those that hold duties and
 // said that they are there.
 func (c *Participant) requestReadIndex() {
-	if !c.leads || len(c.reads) > 0 && c.now-c.readAt < again || len(c.asks) == 0 && len(c.reads) == 0 {
+	if !c.isLeader || len(c.readIndexRequests) > 0 && c.now-c.readIndexAt < proposalRetryInterval || len(c.pendingConfirmations) == 0 && len(c.readIndexRequests) == 0 {
 		return
 	}
-	c.reads = append(c.reads, c.asks...) // those whose question was lost are asked for again
-	c.asks = nil
-	c.readNo, c.readAt, c.readTo = c.readNo+1, c.now, 0
-	c.node.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readNo))
+	c.readIndexRequests = append(c.readIndexRequests, c.pendingConfirmations...) // those whose question was lost are asked for again
+	c.pendingConfirmations = nil
+	c.readIndexID, c.readIndexAt, c.readIndex = c.readIndexID+1, c.now, 0
+	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readIndexID))
 }
 
-// confirmed tells those that were asked for what this leader's table was.
-func (c *Participant) confirmed() {
-	if c.readTo == 0 || c.applied < c.readTo {
+// sendConfirmations tells those that were asked for what this leader's table was.
+func (c *Participant) sendConfirmations() {
+	if c.readIndex == 0 || c.appliedIndex < c.readIndex {
 		return
 	}
-	for _, a := range c.reads {
+	for _, a := range c.readIndexRequests {
 		switch m := c.table.Member(a.name); {
-		case m == nil || m.Life != a.life:
+		case m == nil || m.Life != a.incarnation:
 		case a.name == c.cfg.Name:
-			c.confirm(a.asked, c.table.Version)
+			c.leaderConfirmed(a.askedAt, c.table.Version)
 		default:
 			c.send(
 				Message{
 					Kind:    MsgHeartbeatResp,
 					To:      a.name,
-					Member:  placement.Member{Name: a.name, Life: a.life},
-					Asked:   a.asked,
+					Member:  placement.Member{Name: a.name, Life: a.incarnation},
+					Asked:   a.askedAt,
 					Version: c.table.Version,
 				},
 			)
 		}
 	}
-	c.reads, c.readTo = nil, 0
+	c.readIndexRequests, c.readIndex = nil, 0
 }
 
 // proposeAsLeader has changes agreed on, each once in a while.
@@ -132,22 +132,22 @@
 		if err != nil {
 			continue // it is made of numbers and names
 		}
-		if at, ok := c.way[string(data)]; ok && c.now-at < again {
+		if at, ok := c.pendingProposals[string(data)]; ok && c.now-at < proposalRetryInterval {
 			continue
 		}
-		if len(c.way) >= most {
-			for k, at := range c.way {
-				if c.now-at >= again {
-					delete(c.way, k)
+		if len(c.pendingProposals) >= maxPendingProposals {
+			for k, at := range c.pendingProposals {
+				if c.now-at >= proposalRetryInterval {
+					delete(c.pendingProposals, k)
 				}
 			}
-			if len(c.way) >= most {
+			if len(c.pendingProposals) >= maxPendingProposals {
 				return // those that are under way come first; the rest is said again
 			}
 		}
-		if c.node.Propose(data) == nil { // else there is no leader, or too much is under way
-			if c.way[string(data)] = c.now; x.Kind == placement.ChangeLost {
-				c.outs[x.Member.Name] = x.Member.Life
+		if c.rawNode.Propose(data) == nil { // else there is no leader, or too much is under way
+			if c.pendingProposals[string(data)] = c.now; x.Kind == placement.ChangeLost {
+				c.proposedLost[x.Member.Name] = x.Member.Life
 			}
 		}
 	}
--- a/internal/peers/consensus/logger.go
+++ b/internal/peers/consensus/logger.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// silent has the library say nothing: what matters of it is told by who uses it.
-type silent struct{}
+// silentLogger has the library say nothing: what matters of it is told by who uses it.
+type silentLogger struct{}
 
-func (silent) Debug(...any) {}
+func (silentLogger) Debug(...any) {}
 
-func (silent) Debugf(string, ...any) {}
+func (silentLogger) Debugf(string, ...any) {}
 
-func (silent) Error(...any) {}
+func (silentLogger) Error(...any) {}
 
-func (silent) Errorf(string, ...any) {}
+func (silentLogger) Errorf(string, ...any) {}
 
-func (silent) Info(...any) {}
+func (silentLogger) Info(...any) {}
 
-func (silent) Infof(string, ...any) {}
+func (silentLogger) Infof(string, ...any) {}
 
-func (silent) Warning(...any) {}
+func (silentLogger) Warning(...any) {}
 
-func (silent) Warningf(string, ...any) {}
+func (silentLogger) Warningf(string, ...any) {}
 
-func (silent) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+func (silentLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (silent) Fatalf(f string, v ...any) {
+func (silentLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
 
-func (silent) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (silentLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (silent) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -17,15 +17,15 @@
 
 // Times are microseconds.
 const (
-	HeartbeatInterval = 100_000   // between two words that a runner is there
-	FailureTimeout    = 1_500_000 // after which one that is silent is held for lost
-	QuorumTimeout     = 600_000   // for so long after it was heard the consensus group counts as heard
-	tick              = 50_000    // of the library's clock
-	election          = 10        // ticks without a leader until there is an election
-	compact           = 1000      // entries until the log is cut by a snapshot
-	again             = 500_000   // after which a change that does not come through is proposed again
-	maxSize           = 256 << 10 // of one message of the library
-	most              = 64        // changes under way
+	HeartbeatInterval     = 100_000   // between two words that a runner is there
+	FailureTimeout        = 1_500_000 // after which one that is silent is held for lost
+	QuorumTimeout         = 600_000   // for so long after it was heard the consensus group counts as heard
+	raftTickInterval      = 50_000    // of the library's clock
+	electionTicks         = 10        // ticks without a leader until there is an election
+	compactAfterEntries   = 1000      // entries until the log is cut by a snapshot
+	proposalRetryInterval = 500_000   // after which a change that does not come through is proposed again
+	maxRaftMessageBytes   = 256 << 10 // of one message of the library
+	maxPendingProposals   = 64        // changes under way
 )
 
 // The kinds of messages.
@@ -52,59 +52,59 @@
 
 // Participant is one runner's part in it.
 type Participant struct {
-	cfg    Config
-	me     placement.Member
-	now    int64
-	table  *placement.Table
-	out    []Message
-	leader string // to whom it is said that this runner is there
-	beat   int64
-	heard  int64 // a word that the leader answered was sent then
-	tries  int   // voters that were tried since
+	cfg             Config
+	self            placement.Member
+	now             int64
+	table           *placement.Table
+	outbox          []Message
+	leader          string // to whom it is said that this runner is there
+	nextHeartbeat   int64
+	lastContact     int64 // a word that the leader answered was sent then
+	contactAttempts int   // voters that were tried since
 
 	// Of a voter:
-	node    *raft.RawNode
-	store   *raft.MemoryStorage
-	ticked  int64
-	applied uint64
-	cut     uint64
-	leads   bool
-	last    map[string]int64 // when each runner was heard
-	way     map[string]int64 // changes under way, and since when
-	conf    *raftpb.ConfState
-	raftID  uint64
-	turns   int              // how often this process had to ask for another number
-	renew   bool             // a snapshot is due for other voters
-	first   bool             // its number is not on the disk yet
-	seed    *raftpb.Snapshot // of one that began with nothing: what it began with
-	rested  bool             // it went on from its disk
+	rawNode           *raft.RawNode
+	storage           *raft.MemoryStorage
+	lastTick          int64
+	appliedIndex      uint64
+	snapshotIndex     uint64
+	isLeader          bool
+	lastHeard         map[string]int64 // when each runner was heard
+	pendingProposals  map[string]int64 // changes under way, and since when
+	confState         *raftpb.ConfState
+	voterID           uint64
+	voterIDRequests   int              // how often this process had to ask for another number
+	snapshotDue       bool             // a snapshot is due for other voters
+	voterIDUnsaved    bool             // its number is not on the disk yet
+	bootstrapSnapshot *raftpb.Snapshot // of one that began with nothing: what it began with
+	restartedFromDisk bool             // it went on from its disk
 	// of a voter that has just started: the number that it asks for; 0: it votes
-	blank uint64
+	requestedVoterID uint64
 	// the other voters that have just started: whether their disks have something
-	blanks map[string]bool
-
-	duties *lease.Granter
-	freed  bool             // a duty was given back
-	snaps  map[uint64]int64 // since when voters wait for a snapshot
-	lost   []uint64         // of those, whose snapshot may be lost
-	fresh  map[string]newcomer
-	outs   map[string]uint64 // lives that this leader proposed to hold for lost
-	asked  map[string]asker  // when each runner said last that it is there, by its own clock
+	restartingVoters map[string]bool
+
+	granter              *lease.Granter
+	leaseReleased        bool             // a duty was given back
+	snapshotPendingSince map[uint64]int64 // since when voters wait for a snapshot
+	failedSnapshots      []uint64         // of those, whose snapshot may be lost
+	newProcesses         map[string]newProcess
+	proposedLost         map[string]uint64       // lives that this leader proposed to hold for lost
+	leaseRequests        map[string]leaseRequest // when each runner said last that it is there, by its own clock
 	// of those that hold duties, since the consensus group was asked last whether it goes by this
 	// leader
-	asks    []asker
-	reads   []asker // those that it was asked for
-	readNo  uint64
-	readAt  int64
-	readTo  uint64 // the library confirmed it, for the table that this entry leads to; 0: not yet
-	confirm func(asked int64, version uint64)
+	pendingConfirmations []leaseRequest
+	readIndexRequests    []leaseRequest // those that it was asked for
+	readIndexID          uint64
+	readIndexAt          int64
+	readIndex            uint64 // the library confirmed it, for the table that this entry leads to; 0: not yet
+	leaderConfirmed      func(asked int64, version uint64)
 }
 
-// asker is a runner that said it was there.
-type asker struct {
-	name  string
-	life  uint64
-	asked int64
+// leaseRequest is a runner that said it was there.
+type leaseRequest struct {
+	name        string
+	incarnation uint64
+	askedAt     int64
 }
 
 // New begins. A voter that starts does not vote, whatever its disk has: the disk may be empty, or
@@ -115,91 +115,91 @@
 func New(cfg Config, me placement.Member, disk []DurableRecord, now int64) (*Participant, error) {
 	me.Knows = placement.NewestChangeKind
 	c := &Participant{
-		cfg:    cfg,
-		me:     me,
-		now:    now,
-		ticked: now,
-		heard:  now - QuorumTimeout - 1,
-		last:   map[string]int64{},
-		way:    map[string]int64{},
-		blanks: map[string]bool{},
-		duties: lease.NewGranter(
+		cfg:              cfg,
+		self:             me,
+		now:              now,
+		lastTick:         now,
+		lastContact:      now - QuorumTimeout - 1,
+		lastHeard:        map[string]int64{},
+		pendingProposals: map[string]int64{},
+		restartingVoters: map[string]bool{},
+		granter: lease.NewGranter(
 			cfg.LeaseRules,
 			cfg.StartedAt,
 		),
-		asked:   map[string]asker{},
-		snaps:   map[uint64]int64{},
-		fresh:   map[string]newcomer{},
-		outs:    map[string]uint64{},
-		confirm: func(int64, uint64) {},
+		leaseRequests:        map[string]leaseRequest{},
+		snapshotPendingSince: map[uint64]int64{},
+		newProcesses:         map[string]newProcess{},
+		proposedLost:         map[string]uint64{},
+		leaderConfirmed:      func(int64, uint64) {},
 	}
-	if c.me.Duties = cfg.LeaseRules.NamesFor(cfg.Name); cfg.Clock == nil {
+	if c.self.Duties = cfg.LeaseRules.NamesFor(cfg.Name); cfg.Clock == nil {
 		c.cfg.Clock = func() int64 { return 0 }
 	}
 	var err error
 	if c.table, err = placement.New(cfg.Slots, cfg.Backups); err != nil {
 		return nil, err
 	}
-	place := c.place(cfg.Name)
-	if len(cfg.Voters)%2 == 0 || len(cfg.Voters) > mostVoters {
-		return nil, voters.New(
+	place := c.voterPosition(cfg.Name)
+	if len(cfg.Voters)%2 == 0 || len(cfg.Voters) > maxVoters {
+		return nil, kindVoters.New(
 			"consensus: %d voters: want an odd number up to %d",
 			len(cfg.Voters),
-			mostVoters,
+			maxVoters,
 		)
 	}
 	if place == 0 {
 		return c, nil
 	}
-	c.store = raft.NewMemoryStorage()
-	c.blank = me.Life<<8 | place
+	c.storage = raft.NewMemoryStorage()
+	c.requestedVoterID = me.Life<<8 | place
 	for i := range disk {
-		if err := c.restore(&disk[i]); err != nil {
-			return nil, voters.New("consensus: record %d of the disk: %w", i, err)
+		if err := c.restoreRecord(&disk[i]); err != nil {
+			return nil, kindVoters.New("consensus: record %d of the disk: %w", i, err)
 		}
 	}
-	if len(disk) > 0 && c.raftID == 0 {
-		return nil, voters.New("consensus: the disk does not have this voter's number")
+	if len(disk) > 0 && c.voterID == 0 {
+		return nil, kindVoters.New("consensus: the disk does not have this voter's number")
 	}
-	return c, c.gather()
+	return c, c.tryStart()
 }
 
-// gather looks whether enough voters have just started for them to begin by themselves.
-func (c *Participant) gather() error {
+// tryStart looks whether enough voters have just started for them to begin by themselves.
+func (c *Participant) tryStart() error {
 	rest := 0
-	for _, has := range c.blanks {
+	for _, has := range c.restartingVoters {
 		if has {
 			rest++
 		}
 	}
 	switch all := len(c.cfg.Voters); {
-	case c.raftID != 0 && rest+1 > all/2:
-		c.rested = true
-		return c.begin()
-	case c.raftID == 0 && rest == 0 && len(c.blanks) == all-1:
-		return c.form()
+	case c.voterID != 0 && rest+1 > all/2:
+		c.restartedFromDisk = true
+		return c.startRaft()
+	case c.voterID == 0 && rest == 0 && len(c.restartingVoters) == all-1:
+		return c.bootstrap()
 	}
 	return nil
 }
 
-const mostVoters = 7
+const maxVoters = 7
 
-// justBegan tells whether a voter began by itself and has no part in any agreement yet.
-func (c *Participant) justBegan() (rests, ok bool) {
-	if c.node == nil {
+// startedWithoutOthers tells whether a voter began by itself and has no part in any agreement yet.
+func (c *Participant) startedWithoutOthers() (rests, ok bool) {
+	if c.rawNode == nil {
 		return false, false
 	}
-	switch s := c.node.BasicStatus(); {
-	case c.seed != nil:
+	switch s := c.rawNode.BasicStatus(); {
+	case c.bootstrapSnapshot != nil:
 		return false, s.HardState.GetVote() == 0 && s.HardState.GetTerm() <= 1
-	case c.rested:
+	case c.restartedFromDisk:
 		return true, s.Lead == 0
 	}
 	return false, false
 }
 
-// form begins with the voters of the file.
-func (c *Participant) form() error {
+// bootstrap begins with the voters of the file.
+func (c *Participant) bootstrap() error {
 	voters := &raftpb.ConfState{}
 	for i := range c.cfg.Voters {
 		voters.Voters = append(voters.Voters, uint64(i+1))
@@ -207,40 +207,42 @@
 	first := &raftpb.Snapshot{
 		Metadata: &raftpb.SnapshotMetadata{ConfState: voters, Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
-	if err := c.snapshot(first); err != nil {
+	if err := c.applySnapshot(first); err != nil {
 		return err
 	}
-	c.raftID, c.seed, c.first = c.place(c.cfg.Name), first, true
-	return c.begin()
+	c.voterID, c.bootstrapSnapshot, c.voterIDUnsaved = c.voterPosition(c.cfg.Name), first, true
+	return c.startRaft()
 }
 
-// begin begins to vote.
-func (c *Participant) begin() (err error) {
-	c.blank, c.ticked = 0, c.now
-	c.node, err = raft.NewRawNode(
+// startRaft begins to vote.
+func (c *Participant) startRaft() (err error) {
+	c.requestedVoterID, c.lastTick = 0, c.now
+	c.rawNode, err = raft.NewRawNode(
 		&raft.Config{
-			ID:                        c.raftID,
-			ElectionTick:              election,
+			ID:                        c.voterID,
+			ElectionTick:              electionTicks,
 			HeartbeatTick:             2,
-			Storage:                   c.store,
-			Applied:                   c.applied,
-			MaxSizePerMsg:             maxSize,
+			Storage:                   c.storage,
+			Applied:                   c.appliedIndex,
+			MaxSizePerMsg:             maxRaftMessageBytes,
 			MaxInflightMsgs:           64,
-			MaxUncommittedEntriesSize: maxSize,
+			MaxUncommittedEntriesSize: maxRaftMessageBytes,
 			CheckQuorum:               true,
 			PreVote:                   true,
-			Logger:                    silent{},
+			Logger:                    silentLogger{},
 		},
 	)
 	return err
 }
 
-// place is a voter's place in the file, from 1 on; 0: it is none. It is the last byte of each
+// voterPosition is a voter's place in the file, from 1 on; 0: it is none. It is the last byte of each
 // number that the voter ever has.
-func (c *Participant) place(name string) uint64 { return uint64(slices.Index(c.cfg.Voters, name) + 1) }
+func (c *Participant) voterPosition(name string) uint64 {
+	return uint64(slices.Index(c.cfg.Voters, name) + 1)
+}
 
-// voter is the name that goes with a number.
-func (c *Participant) voter(id uint64) string {
+// voterName is the name that goes with a number.
+func (c *Participant) voterName(id uint64) string {
 	if i := id & 0xff; i > 0 && i <= uint64(len(c.cfg.Voters)) {
 		return c.cfg.Voters[i-1]
 	}
@@ -252,42 +254,42 @@
 
 // LastContact is when the newest word that the leader answered was sent: the consensus group was heard
 // since then.
-func (c *Participant) LastContact() int64 { return c.heard }
+func (c *Participant) LastContact() int64 { return c.lastContact }
 
 // IsVoter tells whether this runner has a vote now: a voter that has just started has none before the
 // others gave it one.
-func (c *Participant) IsVoter() bool { return c.node != nil }
+func (c *Participant) IsVoter() bool { return c.rawNode != nil }
 
 // IsLeader tells whether this runner is the consensus group's leader.
-func (c *Participant) IsLeader() bool { return c.leads }
+func (c *Participant) IsLeader() bool { return c.isLeader }
 
 // Rejoin is another life of this runner's membership.
-func (c *Participant) Rejoin(life uint64) { c.me.Life = life }
+func (c *Participant) Rejoin(life uint64) { c.self.Life = life }
 
 // OnLeaderConfirmed names who hears that the consensus group went by its leader after this runner asked,
 // and of which table the leader knew then.
-func (c *Participant) OnLeaderConfirmed(fn func(asked int64, version uint64)) { c.confirm = fn }
+func (c *Participant) OnLeaderConfirmed(fn func(asked int64, version uint64)) { c.leaderConfirmed = fn }
 
 // SetLeaseRules takes the rules of another file.
 func (c *Participant) SetLeaseRules(r lease.Rules) {
 	c.cfg.LeaseRules = r
-	c.me.Duties = r.NamesFor(c.cfg.Name)
-	c.duties.SetRules(r)
+	c.self.Duties = r.NamesFor(c.cfg.Name)
+	c.granter.SetRules(r)
 }
 
 // StopTakingLeases has this runner take no duty any more. If it leads, it goes on to grant them to others.
-func (c *Participant) StopTakingLeases() { c.me.Duties = nil }
+func (c *Participant) StopTakingLeases() { c.self.Duties = nil }
 
 // SetKnownMembers takes another list of who is in the file.
 func (c *Participant) SetKnownMembers(names []string) { c.cfg.KnownMembers = names }
 
 // Errors of a member that is to leave or to stay.
 var (
-	ErrUnknownMember error = stranger.New("consensus: no member has that name")
-	ErrVersionTooOld error = older.New(
+	ErrUnknownMember error = kindUnknownMember.New("consensus: no member has that name")
+	ErrVersionTooOld error = kindVersionTooOld.New(
 		"consensus: a voter is of an older version, which knows nothing of members that leave",
 	)
-	ErrTooFewMembers error = nobody.New("consensus: too few others are left to hold its copies")
+	ErrTooFewMembers error = kindTooFewMembers.New("consensus: too few others are left to hold its copies")
 )
 
 // SetLeaving has a member hold nothing any more, or stay after all. It is done by and by: see
@@ -323,19 +325,19 @@
 
 // Ready gives what is to be sent, and what has to be on the disk before that, if anything.
 func (c *Participant) Ready() ([]Message, *DurableRecord, error) {
-	if c.node != nil {
+	if c.rawNode != nil {
 		c.requestReadIndex()
 	}
 	kept, err := c.advanceRaft()
-	c.confirmed()
-	out := c.out
-	c.out = nil
+	c.sendConfirmations()
+	out := c.outbox
+	c.outbox = nil
 	return out, kept, err
 }
 
 func (c *Participant) send(m Message) {
 	m.From = c.cfg.Name
-	c.out = append(c.out, m)
+	c.outbox = append(c.outbox, m)
 }
 
 // Propose says changes to the leader.
@@ -343,7 +345,7 @@
 	c.now = max(c.now, now)
 	switch {
 	case len(changes) == 0:
-	case c.leads:
+	case c.isLeader:
 		c.proposeAsLeader(changes)
 	case c.leader != "":
 		c.send(Message{Kind: MsgPropose, To: c.leader, Changes: changes})
@@ -353,30 +355,30 @@
 // Tick looks at the clock.
 func (c *Participant) Tick(now int64) {
 	c.now = max(c.now, now)
-	if c.node != nil {
-		if c.now-c.ticked > 20*tick { // it was stopped, and does not make up for that
-			c.ticked = c.now - tick
+	if c.rawNode != nil {
+		if c.now-c.lastTick > 20*raftTickInterval { // it was stopped, and does not make up for that
+			c.lastTick = c.now - raftTickInterval
 		}
-		for c.now-c.ticked >= tick {
-			c.ticked += tick
-			c.node.Tick()
+		for c.now-c.lastTick >= raftTickInterval {
+			c.lastTick += raftTickInterval
+			c.rawNode.Tick()
 		}
-		c.lead()
+		c.runLeader()
 	}
-	if c.now < c.beat {
+	if c.now < c.nextHeartbeat {
 		return
 	}
-	c.beat = c.now + HeartbeatInterval
-	if c.blank != 0 {
+	c.nextHeartbeat = c.now + HeartbeatInterval
+	if c.requestedVoterID != 0 {
 		for _, v := range c.cfg.Voters {
 			if v != c.cfg.Name {
 				c.send(
 					Message{
 						Kind:   MsgHeartbeat,
 						To:     v,
-						Member: c.me,
-						Blank:  c.blank,
-						Rests:  c.raftID != 0,
+						Member: c.self,
+						Blank:  c.requestedVoterID,
+						Rests:  c.voterID != 0,
 						Sent:   c.now,
 						Asked:  c.cfg.Clock(),
 					},
@@ -385,11 +387,11 @@
 		}
 		return
 	}
-	if c.leads {
-		c.here(
+	if c.isLeader {
+		c.handleHeartbeat(
 			Message{
 				From:    c.cfg.Name,
-				Member:  c.me,
+				Member:  c.self,
 				Version: c.table.Version,
 				Sent:    c.now,
 				Asked:   c.cfg.Clock(),
@@ -397,31 +399,31 @@
 		)
 		return
 	}
-	if c.now-c.heard > QuorumTimeout { // whoever was asked does not answer
-		c.leader = c.cfg.Voters[c.tries%len(c.cfg.Voters)]
-		c.tries++
+	if c.now-c.lastContact > QuorumTimeout { // whoever was asked does not answer
+		c.leader = c.cfg.Voters[c.contactAttempts%len(c.cfg.Voters)]
+		c.contactAttempts++
 	}
 	if c.leader != "" && c.leader != c.cfg.Name {
 		c.send(
 			Message{
 				Kind:    MsgHeartbeat,
 				To:      c.leader,
-				Member:  c.me,
+				Member:  c.self,
 				Version: c.table.Version,
 				Sent:    c.now,
 				Asked:   c.cfg.Clock(),
-				Number:  c.number(),
+				Number:  c.currentVoterID(),
 			},
 		)
 	}
 }
 
-// number is that under which this voter votes; 0: it has none.
-func (c *Participant) number() uint64 {
-	if c.node == nil {
+// currentVoterID is that under which this voter votes; 0: it has none.
+func (c *Participant) currentVoterID() uint64 {
+	if c.rawNode == nil {
 		return 0
 	}
-	return c.raftID
+	return c.voterID
 }
 
 // Receive takes a message.
@@ -430,43 +432,43 @@
 	switch m.Kind {
 	case MsgRaft:
 		r := &raftpb.Message{}
-		if c.node != nil && proto.Unmarshal(m.Raft, r) == nil && c.voter(r.GetFrom()) == m.From &&
+		if c.rawNode != nil && proto.Unmarshal(m.Raft, r) == nil && c.voterName(r.GetFrom()) == m.From &&
 			m.From != "" &&
-			r.GetTo() == c.raftID {
-			_ = c.node.Step(r) // what does not fit is passed over
+			r.GetTo() == c.voterID {
+			_ = c.rawNode.Step(r) // what does not fit is passed over
 		}
 	case MsgHeartbeat:
-		c.here(*m)
+		c.handleHeartbeat(*m)
 	case MsgPropose:
-		if c.leads {
+		if c.isLeader {
 			c.proposeAsLeader(m.Changes)
 		}
 	case MsgHeartbeatResp:
 		if m.Leader != "" {
-			if c.place(m.Leader) != 0 {
+			if c.voterPosition(m.Leader) != 0 {
 				c.leader = m.Leader
 			}
 			return
 		}
-		if c.place(m.From) == 0 {
+		if c.voterPosition(m.From) == 0 {
 			return
 		}
 		// it is one of the voters again, and learns all from the others
-		if m.Blank != 0 && m.Blank == c.blank {
-			c.raftID, c.first, c.applied, c.cut, c.conf = c.blank, true, 0, 0, nil
-			c.store = raft.NewMemoryStorage()
-			_ = c.begin() // its figures are right
+		if m.Blank != 0 && m.Blank == c.requestedVoterID {
+			c.voterID, c.voterIDUnsaved, c.appliedIndex, c.snapshotIndex, c.confState = c.requestedVoterID, true, 0, 0, nil
+			c.storage = raft.NewMemoryStorage()
+			_ = c.startRaft() // its figures are right
 			return
 		}
 		if m.Asked != 0 {
 			// else it is for the process before, whose clock may have been another
-			if m.Member.Life == c.me.Life {
-				c.confirm(m.Asked, m.Version)
+			if m.Member.Life == c.self.Life {
+				c.leaderConfirmed(m.Asked, m.Version)
 			}
 			return
 		}
 		if m.Number != 0 {
-			c.dropped(m.Number)
+			c.replaceVoterID(m.Number)
 			return
 		}
 		if m.Sent > c.now { // it is for the process before, whose clock had gone further
@@ -477,8 +479,8 @@
 		if m.Version < c.table.Version {
 			return
 		}
-		c.leader, c.heard = m.From, max(c.heard, m.Sent)
-		if m.Table != nil && c.node == nil && m.Table.Version > c.table.Version &&
+		c.leader, c.lastContact = m.From, max(c.lastContact, m.Sent)
+		if m.Table != nil && c.rawNode == nil && m.Table.Version > c.table.Version &&
 			len(m.Table.Slots) == c.cfg.Slots {
 			c.table = m.Table
 		}
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -232,7 +232,7 @@
 	r := newRoom(t, 1, 1)
 	r.run(3000)
 	c := r.all["n001"]
-	for i := range 3 * compact {
+	for i := range 3 * compactAfterEntries {
 		c.Propose(
 			[]placement.Change{
 				{Kind: placement.ChangeJoin, Member: placement.Member{Name: "x", Life: uint64(1000 + i)}},
@@ -242,7 +242,7 @@
 		r.run(10)
 	}
 	want := c.Table()
-	if n := len(r.disks["n001"]); n > compact+100 {
+	if n := len(r.disks["n001"]); n > compactAfterEntries+100 {
 		t.Errorf("%d records are on the disk", n)
 	}
 	r.start("n001")
--- a/internal/peers/consensus/storage.go
+++ b/internal/peers/consensus/storage.go
@@ -12,18 +12,18 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// restore takes a record of the disk.
-func (c *Participant) restore(k *DurableRecord) error {
+// restoreRecord takes a record of the disk.
+func (c *Participant) restoreRecord(k *DurableRecord) error {
 	if k.ID != 0 {
-		c.raftID, c.applied, c.cut, c.conf = k.ID, 0, 0, nil
-		c.store = raft.NewMemoryStorage()
+		c.voterID, c.appliedIndex, c.snapshotIndex, c.confState = k.ID, 0, 0, nil
+		c.storage = raft.NewMemoryStorage()
 	}
 	if k.Snapshot != nil {
 		s := &raftpb.Snapshot{}
 		if err := proto.Unmarshal(k.Snapshot, s); err != nil {
 			return err
 		}
-		if err := c.snapshot(s); err != nil {
+		if err := c.applySnapshot(s); err != nil {
 			return err
 		}
 	}
@@ -35,7 +35,7 @@
 		}
 		entries = append(entries, e)
 	}
-	if err := c.store.Append(entries); err != nil {
+	if err := c.storage.Append(entries); err != nil {
 		return err
 	}
 	if k.State == nil {
@@ -45,12 +45,12 @@
 	if err := proto.Unmarshal(k.State, state); err != nil {
 		return err
 	}
-	return c.store.SetHardState(state)
+	return c.storage.SetHardState(state)
 }
 
-// snapshot takes a table in place of the entries up to it.
-func (c *Participant) snapshot(s *raftpb.Snapshot) error {
-	if err := c.store.ApplySnapshot(s); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+// applySnapshot takes a table in place of the entries up to it.
+func (c *Participant) applySnapshot(s *raftpb.Snapshot) error {
+	if err := c.storage.ApplySnapshot(s); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return err
 	} else if err != nil {
 		return nil
@@ -62,58 +62,58 @@
 		}
 		c.table = t
 	}
-	c.applied, c.conf = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	c.cut = c.applied
+	c.appliedIndex, c.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	c.snapshotIndex = c.appliedIndex
 	return nil
 }
 
 // advanceRaft does what the library asks for.
 func (c *Participant) advanceRaft() (*DurableRecord, error) {
-	if c.node == nil {
+	if c.rawNode == nil {
 		return nil, nil
 	}
 	var kept *DurableRecord
-	for c.node.HasReady() {
-		rd := c.node.Ready()
+	for c.rawNode.HasReady() {
+		rd := c.rawNode.Ready()
 		if kept == nil {
 			kept = &DurableRecord{}
 		}
-		if c.first {
-			if c.first, kept.ID = false, c.raftID; c.seed != nil {
-				data, err := proto.Marshal(c.seed)
+		if c.voterIDUnsaved {
+			if c.voterIDUnsaved, kept.ID = false, c.voterID; c.bootstrapSnapshot != nil {
+				data, err := proto.Marshal(c.bootstrapSnapshot)
 				if err != nil {
 					return nil, err
 				}
 				kept.Snapshot = data
 			}
 		}
-		if err := c.keep(kept, &rd); err != nil {
+		if err := c.persist(kept, &rd); err != nil {
 			return nil, err
 		}
 		for _, m := range rd.Messages {
 			data, err := proto.Marshal(m)
 			if err != nil {
-				return nil, failed.New("consensus: %w", err)
+				return nil, kindConsensusFailed.New("consensus: %w", err)
 			}
-			if to := c.voter(m.GetTo()); to != "" {
+			if to := c.voterName(m.GetTo()); to != "" {
 				c.send(Message{Kind: MsgRaft, To: to, Raft: data})
 			}
 		}
 		for _, e := range rd.CommittedEntries {
-			c.apply(e)
+			c.applyEntry(e)
 		}
-		if c.freed && c.leads { // who is next begins with the same round
-			c.freed = false
-			c.proposeAsLeader(c.grants())
+		if c.leaseReleased && c.isLeader { // who is next begins with the same round
+			c.leaseReleased = false
+			c.proposeAsLeader(c.leaseGrants())
 		}
 		for _, r := range rd.ReadStates {
-			if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == c.readNo {
-				c.readTo = r.Index
+			if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == c.readIndexID {
+				c.readIndex = r.Index
 			}
 		}
-		c.node.Advance(rd)
+		c.rawNode.Advance(rd)
 	}
-	if err := c.compact(kept); err != nil {
+	if err := c.compactLog(kept); err != nil {
 		return nil, err
 	}
 	if kept != nil && kept.ID == 0 && kept.State == nil && kept.Entries == nil && kept.Snapshot == nil {
@@ -122,16 +122,16 @@
 	return kept, nil
 }
 
-// keep puts what the library wants kept into its storage, and among what is for the disk.
-func (c *Participant) keep(k *DurableRecord, rd *raft.Ready) error {
+// persist puts what the library wants kept into its storage, and among what is for the disk.
+func (c *Participant) persist(k *DurableRecord, rd *raft.Ready) error {
 	if rd.Snapshot != nil && !raft.IsEmptySnap(rd.Snapshot) {
 		data, err := proto.Marshal(rd.Snapshot)
 		if err != nil {
 			return err
 		}
 		k.Snapshot, k.Entries = data, nil
-		if err := c.snapshot(rd.Snapshot); err != nil {
-			return failed.New("consensus: %w", err)
+		if err := c.applySnapshot(rd.Snapshot); err != nil {
+			return kindConsensusFailed.New("consensus: %w", err)
 		}
 	}
 	for _, e := range rd.Entries {
@@ -141,8 +141,8 @@
 		}
 		k.Entries = append(k.Entries, data)
 	}
-	if err := c.store.Append(rd.Entries); err != nil {
-		return failed.New("consensus: %w", err)
+	if err := c.storage.Append(rd.Entries); err != nil {
+		return kindConsensusFailed.New("consensus: %w", err)
 	}
 	if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
 		data, err := proto.Marshal(rd.HardState)
@@ -150,64 +150,64 @@
 			return err
 		}
 		k.State = data
-		return c.store.SetHardState(rd.HardState)
+		return c.storage.SetHardState(rd.HardState)
 	}
 	return nil
 }
 
-// apply takes a change that is agreed on.
-func (c *Participant) apply(e *raftpb.Entry) {
-	c.applied = e.GetIndex()
+// applyEntry takes a change that is agreed on.
+func (c *Participant) applyEntry(e *raftpb.Entry) {
+	c.appliedIndex = e.GetIndex()
 	if e.GetType() == raftpb.EntryConfChange {
 		x := &raftpb.ConfChange{}
 		if proto.Unmarshal(e.GetData(), x) == nil {
-			c.conf = c.node.ApplyConfChange(x)
-			c.renew = true // the library passes over a snapshot in whose voters a new one is not
+			c.confState = c.rawNode.ApplyConfChange(x)
+			c.snapshotDue = true // the library passes over a snapshot in whose voters a new one is not
 		}
 		return
 	}
 	if e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
 		return
 	}
-	delete(c.way, string(e.GetData()))
+	delete(c.pendingProposals, string(e.GetData()))
 	var x placement.Change
 	if cbor.Unmarshal(e.GetData(), &x) != nil {
 		return // of a newer version: a change that is not known changes nothing here
 	}
 	t := c.table.Clone()
 	t.Apply(x)
-	c.table, c.freed = t, c.freed || x.Kind == placement.ChangeReleaseLease
+	c.table, c.leaseReleased = t, c.leaseReleased || x.Kind == placement.ChangeReleaseLease
 }
 
-// compact cuts the log by a snapshot of the table.
-func (c *Participant) compact(k *DurableRecord) error {
-	if k == nil || c.applied-c.cut < compact && !c.renew {
+// compactAfterEntries cuts the log by a snapshot of the table.
+func (c *Participant) compactLog(k *DurableRecord) error {
+	if k == nil || c.appliedIndex-c.snapshotIndex < compactAfterEntries && !c.snapshotDue {
 		return nil
 	}
-	c.renew = false
+	c.snapshotDue = false
 	data, err := cbor.Marshal(c.table)
 	if err != nil {
 		return err
 	}
-	s, err := c.store.CreateSnapshot(c.applied, c.conf, data)
+	s, err := c.storage.CreateSnapshot(c.appliedIndex, c.confState, data)
 	if err != nil {
-		return failed.New("consensus: %w", err)
+		return kindConsensusFailed.New("consensus: %w", err)
 	}
-	c.cut = c.applied
-	if err := c.store.Compact(c.applied); err != nil {
-		return failed.New("consensus: %w", err)
+	c.snapshotIndex = c.appliedIndex
+	if err := c.storage.Compact(c.appliedIndex); err != nil {
+		return kindConsensusFailed.New("consensus: %w", err)
 	}
 	// The disk begins anew with it, and with what comes behind it.
 	k.Snapshot, err = proto.Marshal(s)
 	if err != nil {
 		return err
 	}
-	k.ID, k.Entries = c.raftID, nil
-	last, err := c.store.LastIndex()
-	if err != nil || last <= c.applied {
+	k.ID, k.Entries = c.voterID, nil
+	last, err := c.storage.LastIndex()
+	if err != nil || last <= c.appliedIndex {
 		return err
 	}
-	rest, err := c.store.Entries(c.applied+1, last+1, 1<<62)
+	rest, err := c.storage.Entries(c.appliedIndex+1, last+1, 1<<62)
 	for _, e := range rest {
 		data, bad := proto.Marshal(e)
 		if bad != nil {
@@ -215,7 +215,7 @@
 		}
 		k.Entries = append(k.Entries, data)
 	}
-	if state, _, bad := c.store.InitialState(); bad == nil && state != nil {
+	if state, _, bad := c.storage.InitialState(); bad == nil && state != nil {
 		k.State, bad = proto.Marshal(state)
 		if bad != nil {
 			return bad
--- a/internal/peers/grid/grid.go
+++ b/internal/peers/grid/grid.go
@@ -24,7 +24,7 @@
 	return g
 }
 
-func (g *Grid) place(name string) (row, column int, ok bool) {
+func (g *Grid) position(name string) (row, column int, ok bool) {
 	i, ok := slices.BinarySearch(g.names, name)
 	if g.width == 0 {
 		return 0, i, ok
@@ -44,8 +44,8 @@
 
 // Linked tells whether two runners have a link.
 func (g *Grid) Linked(a, b string) bool {
-	ar, ac, ok := g.place(a)
-	br, bc, known := g.place(b)
+	ar, ac, ok := g.position(a)
+	br, bc, known := g.position(b)
 	return ok && known && (g.width == 0 || ar == br || ac == bc)
 }
 
@@ -62,8 +62,8 @@
 // Relays are over whom a runner reaches another that it has no link with; none: it has one, or one
 // of them is not known.
 func (g *Grid) Relays(from, to string) (out []string) {
-	fr, fc, ok := g.place(from)
-	tr, tc, known := g.place(to)
+	fr, fc, ok := g.position(from)
+	tr, tc, known := g.position(to)
 	if !ok || !known || g.Linked(from, to) {
 		return nil
 	}
--- a/internal/peers/lease/errors.go
+++ b/internal/peers/lease/errors.go
@@ -3,7 +3,7 @@
 import "ryepaddle/internal/fault"
 
 // What can go wrong here, and what an operator can do about it.
-var fenced = fault.Define(
+var kindFenced = fault.Define(
 	"peers.fenced",
 	"Something was done for a duty by a runner that had lost it meanwhile, and was not taken.",
 	"Nothing, if its clock or process had stopped; if it goes on, see with runner peers who holds the duty and whether clocks of the voters are right.",
--- a/internal/peers/lease/grant_snapshot.go
+++ b/internal/peers/lease/grant_snapshot.go
@@ -5,14 +5,14 @@
 // Snapshot is what a runner holds, for any thread to look at: readers take no lock, wait for nobody
 // and allocate nothing. One writer puts the next snapshot in the place of the one before, which is
 // not changed any more (read-copy-update).
-type Snapshot struct{ page atomic.Pointer[[]Grant] }
+type Snapshot struct{ grants atomic.Pointer[[]Grant] }
 
 // Set puts the next snapshot.
-func (b *Snapshot) Set(grants []Grant) { b.page.Store(&grants) }
+func (b *Snapshot) Set(grants []Grant) { b.grants.Store(&grants) }
 
 // Holds tells whether a duty may be done at a time of the holder's clock, and under which token.
 func (b *Snapshot) Holds(name string, now int64) (token uint64, ok bool) {
-	p := b.page.Load()
+	p := b.grants.Load()
 	if p == nil {
 		return 0, false
 	}
@@ -26,7 +26,7 @@
 
 // Grants is all of it.
 func (b *Snapshot) Grants() []Grant {
-	if p := b.page.Load(); p != nil {
+	if p := b.grants.Load(); p != nil {
 		return *p
 	}
 	return nil
--- a/internal/peers/lease/health_report.go
+++ b/internal/peers/lease/health_report.go
@@ -20,10 +20,10 @@
 	Age    int64  `cbor:"4,keyasint,omitempty"` // since it answered, as the report goes out
 }
 
-// mostSeen bounds the servers of one report, and mostTold those that are remembered.
+// maxReportServers bounds the servers of one report, and maxKnownServers those that are remembered.
 const (
-	mostSeen = 512
-	mostTold = 4096
+	maxReportServers = 512
+	maxKnownServers  = 4096
 )
 
 // HealthChecks decides who asks servers for their health. The holder of a hall's duty asks all servers of
@@ -31,17 +31,17 @@
 // rounds, does not ask. One that was told nothing, or ill, asks for itself: what is told never
 // takes a server out, and a report that is false or old costs no more than knowing nothing.
 type HealthChecks struct {
-	duties    map[string]string // of halls
+	leases    map[string]string // of halls
 	fence     Fence
-	told      map[[2]string]seenAt
-	tell      map[string][]seenAt // of each duty, what goes out with the next report
-	tokens    map[string]uint64   // under which that was seen
-	Performed int64               // checks that this runner made
-	Skipped   int64               // that it did not have to make
-	Stale     int64               // reports of runners that had lost the duty
+	reported  map[[2]string]observedHealth
+	unsent    map[string][]observedHealth // of each duty, what goes out with the next report
+	tokens    map[string]uint64           // under which that was seen
+	Performed int64                       // checks that this runner made
+	Skipped   int64                       // that it did not have to make
+	Stale     int64                       // reports of runners that had lost the duty
 }
 
-type seenAt struct {
+type observedHealth struct {
 	ServerHealth
 	at int64
 }
@@ -52,10 +52,10 @@
 // NewHealthChecks is for the halls whose servers are asked by one runner.
 func NewHealthChecks(halls []string) *HealthChecks {
 	c := &HealthChecks{
-		duties: map[string]string{},
-		told:   map[[2]string]seenAt{},
-		tell:   map[string][]seenAt{},
-		tokens: map[string]uint64{},
+		leases:   map[string]string{},
+		reported: map[[2]string]observedHealth{},
+		unsent:   map[string][]observedHealth{},
+		tokens:   map[string]uint64{},
 	}
 	c.SetZones(halls)
 	return c
@@ -63,9 +63,9 @@
 
 // SetZones takes those of another file.
 func (c *HealthChecks) SetZones(halls []string) {
-	clear(c.duties)
+	clear(c.leases)
 	for _, h := range halls {
-		c.duties[h] = HealthCheckLease(h)
+		c.leases[h] = HealthCheckLease(h)
 	}
 }
 
@@ -78,12 +78,12 @@
 	sure bool,
 	holds func(duty string) (token uint64, ok bool),
 ) (ask bool, duty string, token uint64) {
-	if duty = c.duties[hall]; duty != "" {
+	if duty = c.leases[hall]; duty != "" {
 		if t, ok := holds(duty); ok {
 			c.Performed++
 			return true, duty, t
 		}
-		if s, ok := c.told[[2]string{group, server}]; ok && sure && s.Good && now-s.at <= 2*every {
+		if s, ok := c.reported[[2]string{group, server}]; ok && sure && s.Good && now-s.at <= 2*every {
 			c.Skipped++
 			return false, duty, 0
 		}
@@ -95,12 +95,12 @@
 // RecordResult notes how a server answered that was asked under a token.
 func (c *HealthChecks) RecordResult(duty string, token uint64, group, server string, good bool, now int64) {
 	if c.tokens[duty] != token {
-		c.tell[duty], c.tokens[duty] = nil, token
+		c.unsent[duty], c.tokens[duty] = nil, token
 	}
-	if len(c.tell[duty]) < mostSeen {
-		c.tell[duty] = append(
-			c.tell[duty],
-			seenAt{ServerHealth{Group: group, Server: server, Good: good}, now},
+	if len(c.unsent[duty]) < maxReportServers {
+		c.unsent[duty] = append(
+			c.unsent[duty],
+			observedHealth{ServerHealth{Group: group, Server: server, Good: good}, now},
 		)
 	}
 }
@@ -111,14 +111,14 @@
 	now int64,
 	holds func(duty string) (token uint64, ok bool),
 ) (tales []HealthReport) {
-	names := make([]string, 0, len(c.tell))
-	for duty := range c.tell {
+	names := make([]string, 0, len(c.unsent))
+	for duty := range c.unsent {
 		names = append(names, duty)
 	}
 	slices.Sort(names)
 	for _, duty := range names {
-		seen := c.tell[duty]
-		delete(c.tell, duty)
+		seen := c.unsent[duty]
+		delete(c.unsent, duty)
 		if t, ok := holds(duty); !ok || t != c.tokens[duty] || len(seen) == 0 {
 			continue
 		}
@@ -134,8 +134,8 @@
 
 // Receive takes a report. One of a runner that lost its duty meanwhile is not taken.
 func (c *HealthChecks) Receive(t *HealthReport, now int64) error {
-	if len(t.Seen) > mostSeen {
-		return fenced.New("lease: a tale of %d servers is over %d", len(t.Seen), mostSeen)
+	if len(t.Seen) > maxReportServers {
+		return kindFenced.New("lease: a tale of %d servers is over %d", len(t.Seen), maxReportServers)
 	}
 	if err := c.fence.Check(t.Duty, t.Token); err != nil {
 		c.Stale++
@@ -143,11 +143,11 @@
 	}
 	for _, s := range t.Seen {
 		key := [2]string{s.Group, s.Server}
-		if _, ok := c.told[key]; !ok && len(c.told) >= mostTold {
+		if _, ok := c.reported[key]; !ok && len(c.reported) >= maxKnownServers {
 			continue
 		}
-		if at := now - max(s.Age, 0); c.told[key].at <= at {
-			c.told[key] = seenAt{s, at}
+		if at := now - max(s.Age, 0); c.reported[key].at <= at {
+			c.reported[key] = observedHealth{s, at}
 		}
 	}
 	return nil
--- a/internal/peers/lease/lease.go
+++ b/internal/peers/lease/lease.go
@@ -20,9 +20,9 @@
 // clocks go apart by less than one part in a hundred. Whoever grants anew after a holder that may
 // still believe waits for Lease and Margin from when it learned of that.
 const (
-	TTL         = 600_000
-	ClockMargin = 50_000 + TTL/100
-	resend      = 300_000 // after which a change that is not in the table is said again
+	TTL            = 600_000
+	ClockMargin    = 50_000 + TTL/100
+	resendInterval = 300_000 // after which a change that is not in the table is said again
 )
 
 // Rule is what the file says of a duty.
@@ -46,8 +46,8 @@
 	Rules         []Rule
 }
 
-// mostTimes bounds the doubling of Again.
-const mostTimes = 7
+// maxBackoffDoublings bounds the doubling of Again.
+const maxBackoffDoublings = 7
 
 // NamesFor are the duties that a member would take.
 func (r *Rules) NamesFor(member string) (names []string) {
@@ -61,46 +61,46 @@
 
 // Granter is the part of the consensus group's leader.
 type Granter struct {
-	rules Rules
-	born  uint64 // Unix seconds when this process began
-	free  map[string]mark
-	lost  map[string]mark // by duty and member
-	said  map[string]said // grants that may be under way
+	rules        Rules
+	startedAt    uint64 // Unix seconds when this process began
+	unheldSince  map[string]observation
+	expiredSince map[string]observation   // by duty and member
+	proposed     map[string]proposedGrant // grants that may be under way
 }
 
-// said is a grant that was proposed.
-type said struct {
+// proposedGrant is a grant that was proposed.
+type proposedGrant struct {
 	member string
-	mark
+	observation
 }
 
-// mark is since when something stands so, as this leader knows.
-type mark struct {
-	what uint64
-	at   int64
+// observation is since when something stands so, as this leader knows.
+type observation struct {
+	value uint64
+	since int64
 }
 
 // NewGranter is one that knows nothing of the past.
 func NewGranter(rules Rules, born uint64) *Granter {
-	g := &Granter{rules: rules, born: born}
+	g := &Granter{rules: rules, startedAt: born}
 	g.Reset()
 	return g
 }
 
 // Reset has it know nothing of the past, as when its runner begins to lead.
 func (g *Granter) Reset() {
-	g.free, g.lost, g.said = map[string]mark{}, map[string]mark{}, map[string]said{}
+	g.unheldSince, g.expiredSince, g.proposed = map[string]observation{}, map[string]observation{}, map[string]proposedGrant{}
 }
 
 // SetRules takes those of another file.
 func (g *Granter) SetRules(r Rules) { g.rules = r }
 
-// since notes in marks what stands now, and tells since when it has.
-func since(marks map[string]mark, name string, what uint64, now int64) int64 {
-	if m, ok := marks[name]; ok && m.what == what {
-		return m.at
+// observedSince notes in marks what stands now, and tells since when it has.
+func observedSince(marks map[string]observation, name string, what uint64, now int64) int64 {
+	if m, ok := marks[name]; ok && m.value == what {
+		return m.since
 	}
-	marks[name] = mark{what, now}
+	marks[name] = observation{what, now}
 	return now
 }
 
@@ -115,34 +115,34 @@
 		return nil
 	}
 	if t.Born == 0 {
-		return []placement.Change{{Kind: placement.ChangeBootstrap, Token: max(g.born, 1)}}
+		return []placement.Change{{Kind: placement.ChangeBootstrap, Token: max(g.startedAt, 1)}}
 	}
 	does := map[string]int{}
 	for _, m := range t.Members {
 		does[m.Name] = t.LeaseCount(m.Name)
 	}
-	maps.DeleteFunc(g.said, func(name string, s said) bool {
+	maps.DeleteFunc(g.proposed, func(name string, s proposedGrant) bool {
 		d := t.Lease(name)
-		return now-s.at >= resend || d != nil && d.Token != s.what
+		return now-s.since >= resendInterval || d != nil && d.Token != s.value
 	})
-	for _, s := range g.said {
+	for _, s := range g.proposed {
 		does[s.member]++
 	}
 	for i := range g.rules.Rules {
 		r := &g.rules.Rules[i]
 		d := cmp.Or(t.Lease(r.Name), &placement.Lease{})
 		for _, l := range d.Lapses { // noted while somebody else holds it, too
-			since(g.lost, r.Name+"\x00"+l.Name, uint64(l.Times), now)
+			observedSince(g.expiredSince, r.Name+"\x00"+l.Name, uint64(l.Times), now)
 		}
-		if _, ok := g.said[r.Name]; ok || d.Holder != "" {
+		if _, ok := g.proposed[r.Name]; ok || d.Holder != "" {
 			continue
 		}
-		if at := since(g.free, r.Name, d.Token, now); d.Abrupt && now-at < TTL+ClockMargin {
+		if at := observedSince(g.unheldSince, r.Name, d.Token, now); d.Abrupt && now-at < TTL+ClockMargin {
 			continue
 		}
-		if m := g.best(t, r, d, does, now); m != nil {
+		if m := g.bestMember(t, r, d, does, now); m != nil {
 			does[m.Name]++
-			g.said[r.Name] = said{m.Name, mark{d.Token, now}}
+			g.proposed[r.Name] = proposedGrant{m.Name, observation{d.Token, now}}
 			changes = append(
 				changes,
 				placement.Change{
@@ -158,8 +158,8 @@
 	return changes
 }
 
-// best is who is to have a duty; nil: nobody may now.
-func (g *Granter) best(
+// bestMember is who is to have a duty; nil: nobody may now.
+func (g *Granter) bestMember(
 	t *placement.Table,
 	r *Rule,
 	d *placement.Lease,
@@ -176,9 +176,9 @@
 		times := 0
 		if j := slices.IndexFunc(d.Lapses, func(l placement.Expiration) bool { return l.Name == m.Name }); j >= 0 {
 			times = d.Lapses[j].Times
-			if at := since(g.lost, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.ExpiryBackoff<<min(
+			if at := observedSince(g.expiredSince, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.ExpiryBackoff<<min(
 				times-1,
-				mostTimes,
+				maxBackoffDoublings,
 			) {
 				continue
 			}
@@ -191,7 +191,7 @@
 		if m.Name == d.Left { // it may be about to go
 			left = 1
 		}
-		k := [5]uint64{left, uint64(hall), uint64(does[m.Name]), uint64(times), draw(r.Name, m.Name)}
+		k := [5]uint64{left, uint64(hall), uint64(does[m.Name]), uint64(times), hashRank(r.Name, m.Name)}
 		if best == nil || slices.Compare(k[:], rank[:]) < 0 {
 			best, rank = m, k
 		}
@@ -199,8 +199,8 @@
 	return best
 }
 
-// draw is a number of a duty and a member, the same everywhere.
-func draw(duty, member string) uint64 {
+// hashRank is a number of a duty and a member, the same everywhere.
+func hashRank(duty, member string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(duty + "\x00" + member)) // a hash takes all
 	x := h.Sum64()
@@ -219,37 +219,37 @@
 
 // Holder is the part of a runner that may hold duties.
 type Holder struct {
-	name  string
-	life  uint64
-	table *placement.Table
+	name        string
+	incarnation uint64
+	table       *placement.Table
 	// asked then, and confirmed by a leader that knew no newer table than this runner does
-	sure  int64
-	words []word            // confirmed by one that did
-	gone  map[string]uint64 // tokens under which it does nothing any more
-	said  map[string]*saying
-	seq   uint64 // of the last change that it said
+	confirmedAt   int64
+	confirmations []confirmation    // confirmed by one that did
+	released      map[string]uint64 // tokens under which it does nothing any more
+	pending       map[string]*pendingChange
+	seq           uint64 // of the last change that it said
 }
 
-// word is that of a leader which knew a version of the table when it confirmed what was asked at a
+// confirmation is that of a leader which knew a version of the table when it confirmed what was asked at a
 // time.
-type word struct {
-	asked   int64
-	version uint64
+type confirmation struct {
+	askedAt      int64
+	tableVersion uint64
 }
 
-// mostWords bounds the words that wait for their table.
-const mostWords = 8
+// maxConfirmations bounds the words that wait for their table.
+const maxConfirmations = 8
 
-// saying is a change that is said until the table has it.
-type saying struct {
+// pendingChange is a change that is said until the table has it.
+type pendingChange struct {
 	change placement.Change
-	at     int64
+	sentAt int64
 	done   func(ok bool) // called once it is agreed on, or can't be any more
 }
 
 // NewHolder is a runner in one life of its membership.
 func NewHolder(name string, life uint64) *Holder {
-	return &Holder{name: name, life: life, sure: never, gone: map[string]uint64{}, said: map[string]*saying{}}
+	return &Holder{name: name, incarnation: life, confirmedAt: never, released: map[string]uint64{}, pending: map[string]*pendingChange{}}
 }
 
 // never is a time before all times.
@@ -257,7 +257,7 @@
 
 // Renew is another life of this runner's membership.
 func (h *Holder) Renew(life uint64) {
-	h.life, h.sure, h.words = life, never, nil
+	h.incarnation, h.confirmedAt, h.confirmations = life, never, nil
 	h.SetTable(h.table)
 }
 
@@ -265,17 +265,17 @@
 // asked at a time of its clock holds, if it knows the table that the leader knew by then. One that
 // knows an older table may have lost its duties since.
 func (h *Holder) ConfirmLeader(asked int64, version uint64) {
-	if h.words = append(h.words, word{asked, version}); len(h.words) > mostWords {
-		h.words = h.words[1:]
+	if h.confirmations = append(h.confirmations, confirmation{asked, version}); len(h.confirmations) > maxConfirmations {
+		h.confirmations = h.confirmations[1:]
 	}
-	h.look()
+	h.applyConfirmations()
 }
 
-func (h *Holder) look() {
-	h.words = slices.DeleteFunc(h.words, func(w word) bool {
-		known := h.table != nil && w.version <= h.table.Version
+func (h *Holder) applyConfirmations() {
+	h.confirmations = slices.DeleteFunc(h.confirmations, func(w confirmation) bool {
+		known := h.table != nil && w.tableVersion <= h.table.Version
 		if known {
-			h.sure = max(h.sure, w.asked)
+			h.confirmedAt = max(h.confirmedAt, w.askedAt)
 		}
 		return known
 	})
@@ -284,18 +284,18 @@
 // SetTable takes a newer table.
 func (h *Holder) SetTable(t *placement.Table) {
 	h.table = t
-	h.look()
+	h.applyConfirmations()
 	if t == nil {
 		return
 	}
-	maps.DeleteFunc(h.gone, func(name string, token uint64) bool {
+	maps.DeleteFunc(h.released, func(name string, token uint64) bool {
 		d := t.Lease(name)
 		return d == nil || d.Token != token || d.Holder != h.name
 	})
-	for _, name := range slices.Sorted(maps.Keys(h.said)) {
-		s := h.said[name]
+	for _, name := range slices.Sorted(maps.Keys(h.pending)) {
+		s := h.pending[name]
 		d := t.Lease(name)
-		mine := d != nil && d.Token == s.change.Token && d.Holder == h.name && d.Life == h.life
+		mine := d != nil && d.Token == s.change.Token && d.Holder == h.name && d.Life == h.incarnation
 		if mine && d.Seq < s.change.Epoch {
 			continue // still on its way
 		}
@@ -303,7 +303,7 @@
 			mine = d != nil && (d.Token != s.change.Token || d.Holder == "") &&
 				!slices.ContainsFunc(d.Lapses, func(l placement.Expiration) bool { return l.Name == h.name })
 		}
-		delete(h.said, name)
+		delete(h.pending, name)
 		if s.done != nil {
 			s.done(mine)
 		}
@@ -317,10 +317,10 @@
 	}
 	for i := range h.table.Duties {
 		d := &h.table.Duties[i]
-		if d.Holder != h.name || d.Life != h.life || h.gone[d.Name] == d.Token {
+		if d.Holder != h.name || d.Life != h.incarnation || h.released[d.Name] == d.Token {
 			continue
 		}
-		asked := h.sure
+		asked := h.confirmedAt
 		if d.Asked > 0 {
 			asked = max(asked, d.Asked)
 		}
@@ -335,36 +335,36 @@
 // one is to know. Done is told whether that was agreed on before somebody else had it; it may be
 // nil.
 func (h *Holder) Release(name string, check []byte, done func(ok bool)) {
-	d := h.own(name, check, done)
+	d := h.ownLease(name, check, done)
 	if d == nil {
 		return
 	}
-	h.gone[name] = d.Token
-	h.say(placement.ChangeReleaseLease, d, check, done)
+	h.released[name] = d.Token
+	h.enqueue(placement.ChangeReleaseLease, d, check, done)
 }
 
 // SetHandover leaves what the next one is to know if this one is lost. Done is told whether it was agreed
 // on while the duty was this runner's. A note takes the place of one that is still on its way,
 // which is told that it was not agreed on: it may have been.
 func (h *Holder) SetHandover(name string, check []byte, done func(ok bool)) {
-	d := h.own(name, check, done)
+	d := h.ownLease(name, check, done)
 	if d == nil {
 		return
 	}
-	if h.gone[name] == d.Token {
+	if h.released[name] == d.Token {
 		if done != nil {
 			done(false)
 		}
 		return
 	}
-	h.say(placement.ChangeSetHandover, d, check, done)
+	h.enqueue(placement.ChangeSetHandover, d, check, done)
 }
 
-// own is a duty that the table says is this runner's; nil: it is not, or what is left for it is too
+// ownLease is a duty that the table says is this runner's; nil: it is not, or what is left for it is too
 // large, and done was told.
-func (h *Holder) own(name string, check []byte, done func(bool)) *placement.Lease {
+func (h *Holder) ownLease(name string, check []byte, done func(bool)) *placement.Lease {
 	if h.table != nil && len(check) <= placement.MaxHandoverBytes {
-		if d := h.table.Lease(name); d != nil && d.Holder == h.name && d.Life == h.life {
+		if d := h.table.Lease(name); d != nil && d.Holder == h.name && d.Life == h.incarnation {
 			return d
 		}
 	}
@@ -374,15 +374,15 @@
 	return nil
 }
 
-func (h *Holder) say(kind placement.ChangeKind, d *placement.Lease, check []byte, done func(bool)) {
-	if s := h.said[d.Name]; s != nil && s.done != nil {
+func (h *Holder) enqueue(kind placement.ChangeKind, d *placement.Lease, check []byte, done func(bool)) {
+	if s := h.pending[d.Name]; s != nil && s.done != nil {
 		s.done(false)
 	}
 	h.seq++
-	h.said[d.Name] = &saying{
+	h.pending[d.Name] = &pendingChange{
 		placement.Change{
 			Kind:   kind,
-			Member: placement.Member{Name: h.name, Life: h.life},
+			Member: placement.Member{Name: h.name, Life: h.incarnation},
 			Duty:   d.Name,
 			Token:  d.Token,
 			Check:  check,
@@ -395,9 +395,9 @@
 
 // PendingChanges are those that are to be said to the consensus group's leader now.
 func (h *Holder) PendingChanges(now int64) (changes []placement.Change) {
-	for _, name := range slices.Sorted(maps.Keys(h.said)) {
-		if s := h.said[name]; now-s.at >= resend {
-			s.at = now
+	for _, name := range slices.Sorted(maps.Keys(h.pending)) {
+		if s := h.pending[name]; now-s.sentAt >= resendInterval {
+			s.sentAt = now
 			changes = append(changes, s.change)
 		}
 	}
@@ -406,8 +406,8 @@
 
 // HasUnsentChanges tells whether there is a change that was not said yet.
 func (h *Holder) HasUnsentChanges() bool {
-	for _, s := range h.said {
-		if s.at == never {
+	for _, s := range h.pending {
+		if s.sentAt == never {
 			return true
 		}
 	}
@@ -415,4 +415,4 @@
 }
 
 // HasPendingChanges tells whether any change is on its way.
-func (h *Holder) HasPendingChanges() bool { return len(h.said) > 0 }
+func (h *Holder) HasPendingChanges() bool { return len(h.pending) > 0 }
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -22,34 +22,34 @@
 
 // What is told to operators.
 var (
-	evUp     = logging.Define("peers.link_up", slog.LevelInfo, "peer")
-	evDown   = logging.Define("peers.link_down", slog.LevelWarn, "peer", "error")
-	evTurned = logging.Define("peers.turned_away", slog.LevelWarn, "from", "name", "reason")
+	eventLinkUp       = logging.Define("peers.link_up", slog.LevelInfo, "peer")
+	eventLinkDown     = logging.Define("peers.link_down", slog.LevelWarn, "peer", "error")
+	eventPeerRejected = logging.Define("peers.turned_away", slog.LevelWarn, "from", "name", "reason")
 )
 
 const (
-	magic     = 0x52595031 // "RYP1"
-	head      = 12
-	maxFrame  = 2 << 20 // a chunk of records, with the largest result that is kept
-	mostQueue = 4 << 20 // bytes that wait for one peer
-	again     = 200_000 // microseconds before a peer that cannot be reached is dialled again
-	helloIn   = 2_000_000
-	connectIn = 2_000_000 // for a connection to stand
+	magic          = 0x52595031 // "RYP1"
+	headerSize     = 12
+	maxFrameBytes  = 2 << 20 // a chunk of records, with the largest result that is kept
+	maxQueuedBytes = 4 << 20 // bytes that wait for one peer
+	redialInterval = 200_000 // microseconds before a peer that cannot be reached is dialled again
+	helloTimeout   = 2_000_000
+	connectTimeout = 2_000_000 // for a connection to stand
 	// microseconds for which a relay is kept to: words keep their order, and one that hangs is not
 	// kept to for long
-	relayFor  = 300_000
-	mostExtra = 8          // links beside those of the grid, to whom no relay leads
-	idleFor   = 10_000_000 // after which such a link ends
-	format    = 1
+	relayInterval  = 300_000
+	maxDirectLinks = 8          // links beside those of the grid, to whom no relay leads
+	idleTimeout    = 10_000_000 // after which such a link ends
+	formatVersion  = 1
 )
 
 var (
-	errNotInFile error = broken.New("link: it is not in the file any more")
-	errIdle      error = broken.New("link: nobody uses it")
-	errConnects  error = broken.New("link: it does not stand in time")
+	errNotInFile      error = kindLink.New("link: it is not in the file any more")
+	errIdle           error = kindLink.New("link: nobody uses it")
+	errConnectTimeout error = kindLink.New("link: it does not stand in time")
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Hello is the first word on a connection.
 type Hello struct {
@@ -74,14 +74,14 @@
 func AppendFrame(b []byte, f *Frame) ([]byte, error) {
 	payload, err := cbor.Marshal(f)
 	if err != nil {
-		return b, broken.New("link: %w", err)
+		return b, kindLink.New("link: %w", err)
 	}
-	if len(payload) > maxFrame {
-		return b, broken.New("link: a message of %d bytes is over %d", len(payload), maxFrame)
+	if len(payload) > maxFrameBytes {
+		return b, kindLink.New("link: a message of %d bytes is over %d", len(payload), maxFrameBytes)
 	}
 	b = binary.LittleEndian.AppendUint32(b, magic)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(payload, table))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(payload, castagnoli))
 	return append(b, payload...), nil
 }
 
@@ -95,25 +95,25 @@
 
 // ReadFrame reads the frame at the front of b; nil without an error: there is not all of it yet.
 func ReadFrame(b []byte) (f *Frame, used int, err error) {
-	if len(b) < head {
+	if len(b) < headerSize {
 		return nil, 0, nil
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
-	if binary.LittleEndian.Uint32(b) != magic || n > maxFrame {
-		return nil, 0, broken.New("link: no frame")
+	if binary.LittleEndian.Uint32(b) != magic || n > maxFrameBytes {
+		return nil, 0, kindLink.New("link: no frame")
 	}
-	if len(b) < head+n {
+	if len(b) < headerSize+n {
 		return nil, 0, nil
 	}
-	payload := b[head : head+n]
-	if crc32.Checksum(payload, table) != binary.LittleEndian.Uint32(b[8:]) {
-		return nil, 0, broken.New("link: a damaged frame")
+	payload := b[headerSize : headerSize+n]
+	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
+		return nil, 0, kindLink.New("link: a damaged frame")
 	}
 	f = &Frame{}
 	if err := decoder.Unmarshal(payload, f); err != nil {
-		return nil, 0, broken.New("link: %w", err)
+		return nil, 0, kindLink.New("link: %w", err)
 	}
-	return f, head + n, nil
+	return f, headerSize + n, nil
 }
 
 // Peer is another runner of the installation.
@@ -135,12 +135,12 @@
 type Transport struct {
 	loop        *eventloop.Loop
 	cfg         Config
-	ln          *eventloop.Listener
-	peers       map[string]*out
-	ins         map[*in]bool
+	listener    *eventloop.Listener
+	outbound    map[string]*outboundLink
+	inbound     map[*inboundLink]bool
 	grid        *grid.Grid
 	unavailable map[string]bool // who is held for lost, and passes nothing on
-	heard       func(from string, f *Frame)
+	receive     func(from string, f *Frame)
 	Sent        int64 // messages
 	Dropped     int64 // of them that found no way
 	Relayed     int64 // messages between others
@@ -148,18 +148,18 @@
 
 // Open listens, and tells what comes of peers that the file names.
 func Open(l *eventloop.Loop, cfg Config, heard func(from string, f *Frame)) (*Transport, error) {
-	n := &Transport{loop: l, cfg: cfg, peers: map[string]*out{}, ins: map[*in]bool{}, heard: heard}
+	n := &Transport{loop: l, cfg: cfg, outbound: map[string]*outboundLink{}, inbound: map[*inboundLink]bool{}, receive: heard}
 	for _, p := range cfg.Peers {
-		n.peers[p.Name] = &out{net: n, peer: p}
+		n.outbound[p.Name] = &outboundLink{transport: n, peer: p}
 	}
-	n.place()
-	l.Every(idleFor/2, n.sweep)
+	n.rebuildGrid()
+	l.Every(idleTimeout/2, n.closeIdle)
 	var err error
 	// Each peer has one connection; another one may come before the end of the last is seen.
-	n.ln, err = l.Listen(
+	n.listener, err = l.Listen(
 		cfg.Listen,
 		2*len(cfg.Peers)+4,
-		eventloop.Limits{In: head + maxFrame, Out: 64},
+		eventloop.Limits{In: headerSize + maxFrameBytes, Out: 64},
 		n.accept,
 		nil,
 	)
@@ -173,29 +173,29 @@
 	for _, p := range peers {
 		want[p.Name] = p
 	}
-	for name, p := range n.peers {
+	for name, p := range n.outbound {
 		if want[name] == p.peer {
 			delete(want, name)
 			continue
 		}
-		if delete(n.peers, name); p.conn != nil {
+		if delete(n.outbound, name); p.conn != nil {
 			p.conn.Close(errNotInFile)
 		}
 	}
 	for name, p := range want {
-		n.peers[name] = &out{net: n, peer: p}
+		n.outbound[name] = &outboundLink{transport: n, peer: p}
 	}
-	for i := range n.ins {
-		if i.name != "" && n.peers[i.name] == nil {
+	for i := range n.inbound {
+		if i.name != "" && n.outbound[i.name] == nil {
 			i.conn.Close(nil)
 		}
 	}
 	n.cfg.Peers = peers
-	n.place()
+	n.rebuildGrid()
 }
 
-// place stands the runners of the file in their grid.
-func (n *Transport) place() {
+// rebuildGrid stands the runners of the file in their grid.
+func (n *Transport) rebuildGrid() {
 	names := []string{n.cfg.Name}
 	for _, p := range n.cfg.Peers {
 		names = append(names, p.Name)
@@ -207,15 +207,15 @@
 	n.grid = grid.New(names, mesh)
 }
 
-// near tells whether there is to be a link with a peer.
-func (n *Transport) near(name string) bool { return n.grid.Linked(n.cfg.Name, name) }
+// linked tells whether there is to be a link with a peer.
+func (n *Transport) linked(name string) bool { return n.grid.Linked(n.cfg.Name, name) }
 
 // SetUnavailable takes who is held for lost.
 func (n *Transport) SetUnavailable(names map[string]bool) { n.unavailable = names }
 
 // Connections is how many connections there are to peers.
 func (n *Transport) Connections() (links int) {
-	for _, p := range n.peers {
+	for _, p := range n.outbound {
 		if p.conn != nil {
 			links++
 		}
@@ -223,25 +223,25 @@
 	return links
 }
 
-// sweep ends the links beside those of the grid that nobody uses.
-func (n *Transport) sweep() {
-	for name, p := range n.peers {
-		if p.conn != nil && !n.near(name) && n.loop.Now()-p.used > idleFor {
+// closeIdle ends the links beside those of the grid that nobody uses.
+func (n *Transport) closeIdle() {
+	for name, p := range n.outbound {
+		if p.conn != nil && !n.linked(name) && n.loop.Now()-p.lastUsed > idleTimeout {
 			p.conn.Close(errIdle)
 		}
 	}
 }
 
-// way is the link that leads to a peer: its own, that of a relay, or one beside those of the grid
+// route is the link that leads to a peer: its own, that of a relay, or one beside those of the grid
 // while no relay is to be had; nil: there is none.
-func (n *Transport) way(to *out) *out {
-	if n.near(to.peer.Name) {
+func (n *Transport) route(to *outboundLink) *outboundLink {
+	if n.linked(to.peer.Name) {
 		return to
 	}
 	relays := n.grid.Relays(n.cfg.Name, to.peer.Name)
-	turn := int(n.loop.Now() / relayFor % int64(max(len(relays), 1)))
+	turn := int(n.loop.Now() / relayInterval % int64(max(len(relays), 1)))
 	for i := range relays {
-		if r := n.peers[relays[(turn+i)%len(relays)]]; r != nil && !r.down && !n.unavailable[r.peer.Name] {
+		if r := n.outbound[relays[(turn+i)%len(relays)]]; r != nil && !r.failed && !n.unavailable[r.peer.Name] {
 			return r
 		}
 	}
@@ -249,28 +249,28 @@
 		return to
 	}
 	extra := 0
-	for name, p := range n.peers {
-		if p.conn != nil && !n.near(name) {
+	for name, p := range n.outbound {
+		if p.conn != nil && !n.linked(name) {
 			extra++
 		}
 	}
-	if extra >= mostExtra {
+	if extra >= maxDirectLinks {
 		return nil
 	}
 	return to
 }
 
 // Addr is where it listens.
-func (n *Transport) Addr() netip.AddrPort { return n.ln.Addr() }
+func (n *Transport) Addr() netip.AddrPort { return n.listener.Addr() }
 
 // Send says something to a peer, as soon as there is a link.
 func (n *Transport) Send(to string, f *Frame) {
-	p := n.peers[to]
+	p := n.outbound[to]
 	if p == nil {
 		return
 	}
 	n.Sent++
-	way := n.way(p)
+	way := n.route(p)
 	switch {
 	case way == nil:
 		n.Dropped++
@@ -283,10 +283,10 @@
 	}
 }
 
-// pass passes a message on between two others.
-func (n *Transport) pass(f *Frame) {
-	p := n.peers[f.To]
-	if p == nil || !n.near(f.To) {
+// relay passes a message on between two others.
+func (n *Transport) relay(f *Frame) {
+	p := n.outbound[f.To]
+	if p == nil || !n.linked(f.To) {
 		n.Dropped++
 		return
 	}
@@ -294,119 +294,119 @@
 	p.send(f)
 }
 
-// take takes a message of a peer: its own, or one of another that it passes on.
-func (n *Transport) take(from string, f *Frame) {
+// dispatch takes a message of a peer: its own, or one of another that it passes on.
+func (n *Transport) dispatch(from string, f *Frame) {
 	switch {
 	case f.To == "":
-		n.heard(from, f)
+		n.receive(from, f)
 	case f.To != n.cfg.Name:
-		n.pass(f)
-	case n.peers[f.From] != nil:
-		n.heard(f.From, f)
+		n.relay(f)
+	case n.outbound[f.From] != nil:
+		n.receive(f.From, f)
 	}
 }
 
-// out is the link to a peer.
-type out struct {
-	net  *Transport
-	peer Peer
-	conn *eventloop.Conn // nil: there is none
-	up   bool
-	next int64
-	used int64
-	told bool // that it is down
-	down bool // the last connection failed, and there has been none since
+// outboundLink is the link to a peer.
+type outboundLink struct {
+	transport  *Transport
+	peer       Peer
+	conn       *eventloop.Conn // nil: there is none
+	connected  bool
+	nextDial   int64
+	lastUsed   int64
+	downLogged bool // that it is down
+	failed     bool // the last connection failed, and there has been none since
 }
 
-func (p *out) send(f *Frame) {
-	l := p.net.loop
-	if p.conn == nil && l.Now() >= p.next {
-		p.next = l.Now() + again
+func (p *outboundLink) send(f *Frame) {
+	l := p.transport.loop
+	if p.conn == nil && l.Now() >= p.nextDial {
+		p.nextDial = l.Now() + redialInterval
 		p.dial()
 		p.write(
-			&Frame{Hello: &Hello{Installation: p.net.cfg.Installation, Name: p.net.cfg.Name, Format: format}},
+			&Frame{Hello: &Hello{Installation: p.transport.cfg.Installation, Name: p.transport.cfg.Name, Format: formatVersion}},
 		)
 	}
-	if p.conn == nil || p.conn.Queued() > mostQueue {
-		p.net.Dropped++
+	if p.conn == nil || p.conn.Queued() > maxQueuedBytes {
+		p.transport.Dropped++
 		return
 	}
-	p.used = l.Now()
+	p.lastUsed = l.Now()
 	p.write(f)
 }
 
 // dial opens the connection. One that does not stand in time is given up, and the next message
 // opens another: a machine that is back may hear the system's next try much later.
-func (p *out) dial() {
-	conn := p.net.loop.Dial(p.peer.Addr, eventloop.Limits{In: 64, Out: mostQueue + head + maxFrame}, p)
+func (p *outboundLink) dial() {
+	conn := p.transport.loop.Dial(p.peer.Addr, eventloop.Limits{In: 64, Out: maxQueuedBytes + headerSize + maxFrameBytes}, p)
 	p.conn = conn
-	p.net.loop.After(connectIn, func() {
-		if p.conn == conn && !p.up {
-			conn.Close(errConnects)
+	p.transport.loop.After(connectTimeout, func() {
+		if p.conn == conn && !p.connected {
+			conn.Close(errConnectTimeout)
 		}
 	})
 }
 
-func (p *out) write(f *Frame) {
+func (p *outboundLink) write(f *Frame) {
 	b, err := AppendFrame(nil, f)
 	if err != nil {
-		evDown.Log(p.peer.Name, err)
+		eventLinkDown.Log(p.peer.Name, err)
 		return
 	}
 	p.conn.Write(b)
 }
 
 // Connected implements loop.Handler.
-func (p *out) Connected() {
-	p.up, p.told, p.down = true, false, false
-	evUp.Log(p.peer.Name)
+func (p *outboundLink) Connected() {
+	p.connected, p.downLogged, p.failed = true, false, false
+	eventLinkUp.Log(p.peer.Name)
 }
 
 // Data implements loop.Handler: a peer says what it says on a connection of its own.
-func (p *out) Data([]byte) (int, error) {
-	return 0, broken.New("link: an answer on a one-way connection")
+func (p *outboundLink) Data([]byte) (int, error) {
+	return 0, kindLink.New("link: an answer on a one-way connection")
 }
 
 // End implements loop.Handler.
-func (p *out) End() bool { return false }
+func (p *outboundLink) End() bool { return false }
 
 // Closed implements loop.Handler.
-func (p *out) Closed(err error) {
-	if p.up || !p.told {
-		p.told = true
-		evDown.Log(p.peer.Name, err)
+func (p *outboundLink) Closed(err error) {
+	if p.connected || !p.downLogged {
+		p.downLogged = true
+		eventLinkDown.Log(p.peer.Name, err)
 	}
-	p.conn, p.up, p.down = nil, false, !errors.Is(err, errIdle)
+	p.conn, p.connected, p.failed = nil, false, !errors.Is(err, errIdle)
 }
 
-// in is a connection of a peer.
-type in struct {
-	net  *Transport
-	conn *eventloop.Conn
-	name string // empty: it has not said who it is
+// inboundLink is a connection of a peer.
+type inboundLink struct {
+	transport *Transport
+	conn      *eventloop.Conn
+	name      string // empty: it has not said who it is
 }
 
 func (n *Transport) accept(c *eventloop.Conn) eventloop.Handler {
-	i := &in{net: n, conn: c}
-	n.ins[i] = true
-	n.loop.After(helloIn, func() {
+	i := &inboundLink{transport: n, conn: c}
+	n.inbound[i] = true
+	n.loop.After(helloTimeout, func() {
 		if i.name == "" && !c.IsClosed() {
-			i.turn("", "it does not say who it is")
+			i.reject("", "it does not say who it is")
 		}
 	})
 	return i
 }
 
-func (i *in) turn(name, why string) {
-	evTurned.Log(i.conn.Peer(), name, why)
+func (i *inboundLink) reject(name, why string) {
+	eventPeerRejected.Log(i.conn.Peer(), name, why)
 	i.conn.Close(nil)
 }
 
 // Connected implements loop.Handler.
-func (i *in) Connected() {}
+func (i *inboundLink) Connected() {}
 
 // Data implements loop.Handler.
-func (i *in) Data(b []byte) (used int, err error) {
+func (i *inboundLink) Data(b []byte) (used int, err error) {
 	for {
 		f, n, err := ReadFrame(b[used:])
 		if err != nil || f == nil {
@@ -415,15 +415,15 @@
 		used += n
 		switch h := f.Hello; {
 		case i.name != "":
-			i.net.take(i.name, f)
+			i.transport.dispatch(i.name, f)
 		case h == nil:
-			i.turn("", "it does not say who it is")
+			i.reject("", "it does not say who it is")
 			return used, nil
-		case h.Installation != i.net.cfg.Installation:
-			i.turn(h.Name, "it is of another installation")
+		case h.Installation != i.transport.cfg.Installation:
+			i.reject(h.Name, "it is of another installation")
 			return used, nil
-		case i.net.peers[h.Name] == nil:
-			i.turn(h.Name, "it is not in the file")
+		case i.transport.outbound[h.Name] == nil:
+			i.reject(h.Name, "it is not in the file")
 			return used, nil
 		default:
 			i.name = h.Name
@@ -432,7 +432,7 @@
 }
 
 // End implements loop.Handler.
-func (i *in) End() bool { return false }
+func (i *inboundLink) End() bool { return false }
 
 // Closed implements loop.Handler.
-func (i *in) Closed(error) { delete(i.net.ins, i) }
+func (i *inboundLink) Closed(error) { delete(i.transport.inbound, i) }
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -67,7 +67,7 @@
 	}
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < head || used > len(b)) {
+		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < headerSize || used > len(b)) {
 			t.Errorf("%d of %d bytes are used", used, len(b))
 		}
 	})
@@ -92,7 +92,7 @@
 				return
 			}
 			if heard = append(heard, f.Consensus.Version); len(heard) == 3 {
-				l.After(2*helloIn, l.Stop)
+				l.After(2*helloTimeout, l.Stop)
 			}
 		},
 	)
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -14,7 +14,7 @@
 
 // What is told to operators.
 var (
-	evOpened = logging.Define(
+	eventDiskOpened = logging.Define(
 		"peers.disk_opened",
 		slog.LevelInfo,
 		"folder",
@@ -23,38 +23,38 @@
 		"cut",
 		"damaged",
 	)
-	evDiskFailed = logging.Define("peers.disk_failed", slog.LevelError, "error")
-	evDiskBack   = logging.Define("peers.disk_back", slog.LevelInfo, "ms")
+	eventDiskFailed    = logging.Define("peers.disk_failed", slog.LevelError, "error")
+	eventDiskRecovered = logging.Define("peers.disk_back", slog.LevelInfo, "ms")
 )
 
 const (
-	saveEvery = 30_000_000 // for each slot that has changed, in microseconds
-	mostHeld  = 1024       // words that wait for the disk
-	closeIn   = time.Second
+	slotSaveInterval = 30_000_000 // for each slot that has changed, in microseconds
+	maxQueuedOutputs = 1024       // words that wait for the disk
+	closeTimeout     = time.Second
 )
 
-// held is what the consensus group said at once: its words, and the table, are good only once its
+// consensusOutput is what the consensus group said at once: its words, and the table, are good only once its
 // record is on the disk.
-type held struct {
-	out   []consensus.Message
-	kept  *consensus.DurableRecord // nil: nothing is to be kept
-	table *placement.Table
+type consensusOutput struct {
+	messages []consensus.Message
+	record   *consensus.DurableRecord // nil: nothing is to be kept
+	table    *placement.Table
 }
 
-// disk has what the consensus group keeps on the disk before its words go out, and what is held of
+// localKeeper has what the consensus group keeps on the disk before its words go out, and what is held of
 // slots now and then. Its methods are called on the loop; files are written by a goroutine of its
 // own.
 type disk struct {
-	p       *Node
-	queue   []held
-	newest  *placement.Table // of them, or released
-	writing bool
-	failed  int64 // since when the disk does; 0: it does not
-	work    chan func()
-	done    chan struct{}
-	slot    int     // whose turn it is to be saved
-	saved   []int64 // when each slot was
-	busy    bool    // one is being saved
+	node        *Node
+	queue       []consensusOutput
+	newestTable *placement.Table // of them, or released
+	writing     bool
+	failedSince int64 // since when the disk does; 0: it does not
+	work        chan func()
+	done        chan struct{}
+	nextSlot    int     // whose turn it is to be saved
+	savedAt     []int64 // when each slot was
+	saving      bool    // one is being saved
 }
 
 // openDisk takes a folder.
@@ -65,124 +65,124 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	evOpened.Log(dir, len(found.Log), len(found.Slots), found.TruncatedBytes, found.DamagedSlots)
-	d := &disk{p: p, work: make(chan func(), 4), done: make(chan struct{})}
+	eventDiskOpened.Log(dir, len(found.Log), len(found.Slots), found.TruncatedBytes, found.DamagedSlots)
+	d := &disk{node: p, work: make(chan func(), 4), done: make(chan struct{})}
 	go func() {
 		defer close(d.done)
 		for fn := range d.work {
 			fn()
 		}
 		if err := v.Close(); err != nil {
-			evDiskFailed.Log(err)
+			eventDiskFailed.Log(err)
 		}
 	}()
-	p.lasting, p.vault = d, v
+	p.disk, p.log = d, v
 	return found.Log, found.Slots, nil
 }
 
-// hold has words wait for what is to be on the disk before them. Where a disk hangs, words that
+// enqueue has words wait for what is to be on the disk before them. Where a disk hangs, words that
 // keep nothing are lost, as others on the way may be.
-func (d *disk) hold(h held) {
-	if d.newest = h.table; len(d.queue) >= mostHeld && h.kept == nil {
+func (d *disk) enqueue(h consensusOutput) {
+	if d.newestTable = h.table; len(d.queue) >= maxQueuedOutputs && h.record == nil {
 		d.queue[len(d.queue)-1].table = h.table
 		return
 	}
 	d.queue = append(d.queue, h)
-	d.pump()
+	d.writeNext()
 }
 
-func (d *disk) pump() {
+func (d *disk) writeNext() {
 	for len(d.queue) > 0 && !d.writing {
 		h := d.queue[0]
-		if h.kept == nil {
+		if h.record == nil {
 			d.queue = d.queue[1:]
-			d.p.release(h)
+			d.node.release(h)
 			continue
 		}
 		d.writing = true
 		d.work <- func() {
-			err := d.p.vault.Append(h.kept)
-			d.p.loop.Deliver(func() { d.wrote(err) })
+			err := d.node.log.Append(h.record)
+			d.node.loop.Deliver(func() { d.handleWritten(err) })
 		}
 	}
 }
 
-// wrote hears that the first of those that wait is on the disk, or is not: then it is tried again,
+// handleWritten hears that the first of those that wait is on the disk, or is not: then it is tried again,
 // and until it is there this voter says nothing, so that the others go on without it.
-func (d *disk) wrote(err error) {
+func (d *disk) handleWritten(err error) {
 	d.writing = false
-	now := d.p.loop.Now()
+	now := d.node.loop.Now()
 	switch {
 	case err != nil:
-		if d.failed == 0 {
-			d.failed = now
-			evDiskFailed.Log(err)
+		if d.failedSince == 0 {
+			d.failedSince = now
+			eventDiskFailed.Log(err)
 		}
 		d.writing = true
-		d.p.loop.After(saveEvery/30, func() {
+		d.node.loop.After(slotSaveInterval/30, func() {
 			d.writing = false
-			d.pump()
+			d.writeNext()
 		})
 		return
-	case d.failed != 0:
-		evDiskBack.Log((now - d.failed) / 1000)
-		d.failed = 0
+	case d.failedSince != 0:
+		eventDiskRecovered.Log((now - d.failedSince) / 1000)
+		d.failedSince = 0
 	}
 	h := d.queue[0]
 	d.queue = d.queue[1:]
-	d.p.release(h)
-	d.pump()
-	d.p.flush()
+	d.node.release(h)
+	d.writeNext()
+	d.node.flush()
 }
 
-// save has the next slot that has changed on the disk, one at a time.
-func (d *disk) save() {
-	now, slots := d.p.loop.Now(), len(d.p.consensus.Table().Slots)
-	if d.busy || slots == 0 || len(d.work) > 0 {
+// saveNextSlot has the next slot that has changed on the disk, one at a time.
+func (d *disk) saveNextSlot() {
+	now, slots := d.node.loop.Now(), len(d.node.consensus.Table().Slots)
+	if d.saving || slots == 0 || len(d.work) > 0 {
 		return
 	}
-	for len(d.saved) < slots {
-		d.saved = append(d.saved, now)
+	for len(d.savedAt) < slots {
+		d.savedAt = append(d.savedAt, now)
 	}
-	d.slot = (d.slot + 1) % slots
-	if now-d.saved[d.slot] < saveEvery {
+	d.nextSlot = (d.nextSlot + 1) % slots
+	if now-d.savedAt[d.nextSlot] < slotSaveInterval {
 		return
 	}
-	d.saved[d.slot] = now
-	s := d.p.holder.SnapshotSlot(d.slot, now)
+	d.savedAt[d.nextSlot] = now
+	s := d.node.replica.SnapshotSlot(d.nextSlot, now)
 	if s == nil {
 		return
 	}
-	d.busy = true
+	d.saving = true
 	d.work <- func() {
-		err := d.p.vault.SaveSlot(s)
-		d.p.loop.Deliver(func() {
-			if d.busy = false; err != nil && d.failed == 0 {
-				evDiskFailed.Log(err) // it only saves sending
+		err := d.node.log.SaveSlot(s)
+		d.node.loop.Deliver(func() {
+			if d.saving = false; err != nil && d.failedSince == 0 {
+				eventDiskFailed.Log(err) // it only saves sending
 			}
 		})
 	}
 }
 
 var (
-	errCloses error = unsaved.New("node: the disk does not answer; what is there counts")
-	errHangs  error = hangs.New("node: the disk does not answer in time; other runners have the result")
+	errDiskClose   error = kindDiskClose.New("node: the disk does not answer; what is there counts")
+	errDiskTimeout error = kindDiskTimeout.New("node: the disk does not answer in time; other runners have the result")
 )
 
 // Close gives the folder back, with what is held of slots in it. No more comes from the loop by
 // then.
 func (p *Node) Close() error {
-	if p.lasting == nil {
+	if p.disk == nil {
 		return nil
 	}
-	d := p.lasting
-	late := time.After(closeIn)
+	d := p.disk
+	late := time.After(closeTimeout)
 	for i := range p.consensus.Table().Slots {
-		if s := p.holder.SnapshotSlot(i, p.loop.Now()); s != nil {
+		if s := p.replica.SnapshotSlot(i, p.loop.Now()); s != nil {
 			select {
-			case d.work <- func() { _ = p.vault.SaveSlot(s) }: // it only saves sending
+			case d.work <- func() { _ = p.log.SaveSlot(s) }: // it only saves sending
 			case <-late:
-				return errCloses
+				return errDiskClose
 			}
 		}
 	}
@@ -191,6 +191,6 @@
 	case <-d.done:
 		return nil
 	case <-late:
-		return errCloses
+		return errDiskClose
 	}
 }
--- a/internal/peers/node/errors.go
+++ b/internal/peers/node/errors.go
@@ -4,16 +4,16 @@
 
 // What can go wrong here, and what an operator can do about it.
 var (
-	leaves = fault.Define(
+	kindReplacement = fault.Define(
 		"peers.leaves",
 		"The runner in whose favour another is to leave is not in, or leaves itself.",
 		"Add it to all files and start it first, or name another one.",
 	)
-	hangs = fault.Define(
+	kindDiskTimeout = fault.Define(
 		"peers.disk_hangs",
 		"The disk of the keys did not take a result in time, which other runners have.",
 		"See to its disk; the result is not lost, and repeats get it.",
 	)
-	unsaved = fault.Define("peers.unsaved", "The peers' folder did not answer as the program ended.",
+	kindDiskClose = fault.Define("peers.unsaved", "The peers' folder did not answer as the program ended.",
 		"See to its disk; what is there counts at the next start, and the others send the rest.")
 )
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -14,10 +14,10 @@
 
 // What is told to operators.
 var (
-	evBegan  = logging.Define("peers.duty_began", slog.LevelInfo, "duty", "token")
-	evEnded  = logging.Define("peers.duty_ended", slog.LevelInfo, "duty", "token")
-	evPaused = logging.Define("peers.duty_paused", slog.LevelWarn, "duty", "token")
-	evOld    = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
+	eventLeaseAcquired  = logging.Define("peers.duty_began", slog.LevelInfo, "duty", "token")
+	eventLeaseLost      = logging.Define("peers.duty_ended", slog.LevelInfo, "duty", "token")
+	eventLeaseSuspended = logging.Define("peers.duty_paused", slog.LevelWarn, "duty", "token")
+	eventReportFenced   = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
 )
 
 // BootTime is the clock that duties go by, in microseconds: it counts the time for which the machine
@@ -33,71 +33,71 @@
 // Leases is what this runner does of that which only one may do at a time. Its methods are called
 // on the loop, but for Book's.
 type Leases struct {
-	p            *Node
+	node         *Node
 	holder       *lease.Holder
 	Snapshot     lease.Snapshot
 	HealthChecks *lease.HealthChecks
-	began        map[string]uint64 // tokens, of those that are held
+	heldTokens   map[string]uint64 // tokens, of those that are held
 	paused       map[string]bool
-	goes         bool // this runner is about to go
+	releasing    bool // this runner is about to go
 }
 
-// tellEvery is how many ticks are between two tales.
-const tellEvery = 10
+// reportTicks is how many ticks are between two tales.
+const reportTicks = 10
 
-func (p *Node) startDuties() {
+func (p *Node) startLeases() {
 	d := &Leases{
-		p:            p,
+		node:         p,
 		holder:       lease.NewHolder(p.cfg.Links.Name, p.cfg.Incarnation),
 		HealthChecks: lease.NewHealthChecks(p.cfg.CheckedZones),
-		began:        map[string]uint64{},
+		heldTokens:   map[string]uint64{},
 		paused:       map[string]bool{},
 	}
-	p.duties = d
+	p.leases = d
 	p.consensus.OnLeaderConfirmed(d.holder.ConfirmLeader)
 }
 
 // Leases are those of this runner.
-func (p *Node) Leases() *Leases { return p.duties }
+func (p *Node) Leases() *Leases { return p.leases }
 
 // Holds tells whether this runner may do something now, and under which token.
 func (d *Leases) Holds(name string) (token uint64, ok bool) {
 	return d.Snapshot.Holds(name, BootTime())
 }
 
-// look sees what is held, says when that changes, and gives back what this runner is not to do any
+// update sees what is held, says when that changes, and gives back what this runner is not to do any
 // more.
-func (d *Leases) look() {
+func (d *Leases) update() {
 	now := BootTime()
 	held := d.holder.HeldLeases(now)
 	for _, g := range held {
-		if d.began[g.Lease] != g.Token {
-			d.began[g.Lease] = g.Token
-			evBegan.Log(g.Lease, g.Token)
+		if d.heldTokens[g.Lease] != g.Token {
+			d.heldTokens[g.Lease] = g.Token
+			eventLeaseAcquired.Log(g.Lease, g.Token)
 		}
 		d.paused[g.Lease] = false
 	}
-	t := d.p.consensus.Table()
-	for name, token := range d.began {
+	t := d.node.consensus.Table()
+	for name, token := range d.heldTokens {
 		if slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Lease == name }) {
 			continue
 		}
 		// its lease is over, or it gives it back
-		if x := t.Lease(name); x != nil && x.Token == token && x.Holder == d.p.cfg.Links.Name {
+		if x := t.Lease(name); x != nil && x.Token == token && x.Holder == d.node.cfg.Links.Name {
 			if !d.paused[name] {
 				d.paused[name] = true
-				evPaused.Log(name, token)
+				eventLeaseSuspended.Log(name, token)
 			}
 			continue
 		}
-		delete(d.began, name)
+		delete(d.heldTokens, name)
 		delete(d.paused, name)
-		evEnded.Log(name, token)
+		eventLeaseLost.Log(name, token)
 	}
-	me := t.Member(d.p.cfg.Links.Name)
+	me := t.Member(d.node.cfg.Links.Name)
 	for _, g := range held {
-		if d.goes || me != nil && me.Leaving ||
-			!slices.Contains(d.p.cfg.LeaseRules.NamesFor(d.p.cfg.Links.Name), g.Lease) {
+		if d.releasing || me != nil && me.Leaving ||
+			!slices.Contains(d.node.cfg.LeaseRules.NamesFor(d.node.cfg.Links.Name), g.Lease) {
 			d.holder.Release(g.Lease, g.Handover, nil)
 		}
 	}
@@ -106,27 +106,27 @@
 
 // ReleaseAll gives back all that is held, as this runner is about to go.
 func (d *Leases) ReleaseAll() {
-	d.goes = true
-	d.p.consensus.StopTakingLeases()
-	d.p.loop.Post(d.p.flush)
+	d.releasing = true
+	d.node.consensus.StopTakingLeases()
+	d.node.loop.Post(d.node.flush)
 }
 
-// tell tells the others what was seen for them.
-func (d *Leases) tell() {
-	for _, tale := range d.HealthChecks.TakeReports(d.p.cfg.Links.Name, d.p.loop.Now(), d.Holds) {
-		for _, m := range d.p.consensus.Table().Members {
+// sendHealthReports tells the others what was seen for them.
+func (d *Leases) sendHealthReports() {
+	for _, tale := range d.HealthChecks.TakeReports(d.node.cfg.Links.Name, d.node.loop.Now(), d.Holds) {
+		for _, m := range d.node.consensus.Table().Members {
 			if m.Life != 0 && m.Name != tale.From {
 				t := tale
 				t.To = m.Name
-				d.p.net.Send(m.Name, &link.Frame{Health: &t})
+				d.node.transport.Send(m.Name, &link.Frame{Health: &t})
 			}
 		}
 	}
 }
 
-func (d *Leases) hear(t *lease.HealthReport) {
-	if err := d.HealthChecks.Receive(t, d.p.loop.Now()); err != nil {
-		evOld.Log(t.Duty, t.From, err)
+func (d *Leases) receiveHealthReport(t *lease.HealthReport) {
+	if err := d.HealthChecks.Receive(t, d.node.loop.Now()); err != nil {
+		eventReportFenced.Log(t.Duty, t.From, err)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (p *Node) SetLeaseRules(r lease.Rules, halls []string) {
 	p.cfg.LeaseRules = r
 	p.consensus.SetLeaseRules(r)
-	p.duties.HealthChecks.SetZones(halls)
+	p.leases.HealthChecks.SetZones(halls)
 }
 
 // LeaseStatus is how a duty stands, as this runner knows it.
@@ -148,11 +148,11 @@
 	Check  int    `json:"check_bytes,omitempty"` // left for the next holder
 }
 
-// rows are how all duties of the file and of the table stand.
-func (d *Leases) rows() (rows []LeaseStatus) {
-	now, t := BootTime(), d.p.consensus.Table()
+// status are how all duties of the file and of the table stand.
+func (d *Leases) status() (rows []LeaseStatus) {
+	now, t := BootTime(), d.node.consensus.Table()
 	page := d.Snapshot.Grants()
-	for _, r := range d.p.cfg.LeaseRules.Rules {
+	for _, r := range d.node.cfg.LeaseRules.Rules {
 		if t.Lease(r.Name) == nil {
 			rows = append(rows, LeaseStatus{Name: r.Name})
 		}
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -23,15 +23,15 @@
 
 // What is told to operators.
 var (
-	evTable = logging.Define("peers.table", slog.LevelInfo, "version", "members", "whole", "slots", "leads")
-	evLost  = logging.Define("peers.held_for_lost", slog.LevelWarn, "version")
-	evBad   = logging.Define("peers.council_failed", slog.LevelError, "error")
+	eventTable           = logging.Define("peers.table", slog.LevelInfo, "version", "members", "whole", "slots", "leads")
+	eventDeclaredLost    = logging.Define("peers.held_for_lost", slog.LevelWarn, "version")
+	eventConsensusFailed = logging.Define("peers.council_failed", slog.LevelError, "error")
 )
 
 // Times are microseconds.
 const (
-	tick     = 20_000
-	tellOver = 1_000_000 // between two lines about tables
+	tickInterval     = 20_000
+	tableLogInterval = 1_000_000 // between two lines about tables
 )
 
 // Config is what the operator's file says.
@@ -72,21 +72,21 @@
 
 // Node is the part. Its methods are called on the loop.
 type Node struct {
-	cfg       Config
-	loop      *eventloop.Loop
-	core      KeyTable
-	disk      lifecycle.Keeper // nil: there is none
-	net       *link.Transport
-	holder    *replication.Replica
-	consensus *consensus.Participant
-	version   uint64
-	table     *placement.Table // the newest that is on the disk, if there is one
-	told      int64
-	busy      bool     // what comes of it is being sent
-	lasting   *disk    // nil: nothing is on a disk
-	vault     *wal.Log // the goroutine's
-	duties    *Leases
-	ticks     int
+	cfg            Config
+	loop           *eventloop.Loop
+	keys           KeyTable
+	localKeeper    lifecycle.Keeper // nil: there is none
+	transport      *link.Transport
+	replica        *replication.Replica
+	consensus      *consensus.Participant
+	appliedVersion uint64
+	durableTable   *placement.Table // the newest that is on the disk, if there is one
+	tableLoggedAt  int64
+	flushing       bool     // what comes of it is being sent
+	disk           *disk    // nil: nothing is on a disk
+	log            *wal.Log // the goroutine's
+	leases         *Leases
+	ticks          int
 }
 
 // Start listens for peers. Heard keys go to the core that Run names.
@@ -100,7 +100,7 @@
 			return nil, err
 		}
 	}
-	p.holder = replication.New(
+	p.replica = replication.New(
 		replication.Config{
 			Name:          cfg.Links.Name,
 			Incarnation:   cfg.Incarnation,
@@ -132,38 +132,38 @@
 	if err != nil {
 		return nil, err
 	}
-	p.startDuties()
-	p.net, err = link.Open(l, cfg.Links, p.heard)
+	p.startLeases()
+	p.transport, err = link.Open(l, cfg.Links, p.receive)
 	return p, err
 }
 
 // Transport is the links.
-func (p *Node) Transport() *link.Transport { return p.net }
+func (p *Node) Transport() *link.Transport { return p.transport }
 
 // Run begins to take part.
 func (p *Node) Run(t KeyTable) {
-	p.core = t
-	p.loop.Every(tick, func() {
+	p.keys = t
+	p.loop.Every(tickInterval, func() {
 		p.consensus.Tick(p.loop.Now())
-		p.holder.Tick(p.loop.Now())
-		if p.lasting != nil {
-			p.lasting.save()
+		p.replica.Tick(p.loop.Now())
+		if p.disk != nil {
+			p.disk.saveNextSlot()
 		}
 		p.flush()
-		if p.ticks++; p.ticks%tellEvery == 0 {
-			p.duties.tell()
+		if p.ticks++; p.ticks%reportTicks == 0 {
+			p.leases.sendHealthReports()
 		}
 	})
 }
 
-func (p *Node) heard(from string, f *link.Frame) {
+func (p *Node) receive(from string, f *link.Frame) {
 	switch {
 	case f.Replication != nil && f.Replication.From == from:
-		p.holder.Receive(f.Replication, p.loop.Now())
+		p.replica.Receive(f.Replication, p.loop.Now())
 	case f.Consensus != nil && f.Consensus.From == from:
 		p.consensus.Receive(f.Consensus, p.loop.Now())
 	case f.Health != nil && f.Health.From == from:
-		p.duties.hear(f.Health)
+		p.leases.receiveHealthReport(f.Health)
 		return
 	case f.Account != nil && f.Account.From == from:
 		if p.cfg.UsageReplicas != nil {
@@ -176,33 +176,33 @@
 
 // flush sends what is to be sent, and tells holder and consensus group what the other came to.
 func (p *Node) flush() {
-	if p.busy { // it goes on where it was called from
+	if p.flushing { // it goes on where it was called from
 		return
 	}
-	p.busy = true
-	defer func() { p.busy = false }()
+	p.flushing = true
+	defer func() { p.flushing = false }()
 	for more := true; more; {
 		more = false
-		p.consensus.Propose(p.holder.TakeChanges(), p.loop.Now())
-		p.consensus.Propose(p.duties.holder.PendingChanges(BootTime()), p.loop.Now())
+		p.consensus.Propose(p.replica.TakeChanges(), p.loop.Now())
+		p.consensus.Propose(p.leases.holder.PendingChanges(BootTime()), p.loop.Now())
 		out, kept, err := p.consensus.Ready()
 		if err != nil {
-			evBad.Log(err)
+			eventConsensusFailed.Log(err)
 		}
-		p.holder.RecordQuorumContact(p.consensus.LastContact())
-		if h := (held{out, kept, p.consensus.Table()}); p.lasting == nil {
+		p.replica.RecordQuorumContact(p.consensus.LastContact())
+		if h := (consensusOutput{out, kept, p.consensus.Table()}); p.disk == nil {
 			p.release(h)
-		} else if len(out) > 0 || kept != nil || h.table != p.lasting.newest {
-			p.lasting.hold(h)
+		} else if len(out) > 0 || kept != nil || h.table != p.disk.newestTable {
+			p.disk.enqueue(h)
 		}
-		if t := p.table; t != nil && t.Version > p.version {
-			p.version, more = t.Version, true
+		if t := p.durableTable; t != nil && t.Version > p.appliedVersion {
+			p.appliedVersion, more = t.Version, true
 			if p.consensus.DeclaredLost() { // it was held for lost, and goes on
 				p.cfg.Incarnation++
-				evLost.Log(t.Version)
-				p.holder.Rejoin(p.cfg.Incarnation)
+				eventDeclaredLost.Log(t.Version)
+				p.replica.Rejoin(p.cfg.Incarnation)
 				p.consensus.Rejoin(p.cfg.Incarnation)
-				p.duties.holder.Renew(p.cfg.Incarnation)
+				p.leases.holder.Renew(p.cfg.Incarnation)
 			}
 			lost := map[string]bool{}
 			for _, m := range t.Members {
@@ -210,51 +210,51 @@
 					lost[m.Name] = true
 				}
 			}
-			p.net.SetUnavailable(lost)
-			p.holder.SetTable(t, p.loop.Now())
-			p.duties.holder.SetTable(t)
+			p.transport.SetUnavailable(lost)
+			p.replica.SetTable(t, p.loop.Now())
+			p.leases.holder.SetTable(t)
 			if p.cfg.UsageReplicas != nil {
 				p.cfg.UsageReplicas.SetTable(t, p.cfg.Incarnation)
 			}
-			p.tell(t)
+			p.logTable(t)
 		}
-		for _, m := range p.holder.TakeMessages() {
-			p.net.Send(m.To, &link.Frame{Replication: &m})
+		for _, m := range p.replica.TakeMessages() {
+			p.transport.Send(m.To, &link.Frame{Replication: &m})
 			more = true
 		}
-		if p.duties.look(); !more && p.duties.holder.HasUnsentChanges() {
+		if p.leases.update(); !more && p.leases.holder.HasUnsentChanges() {
 			more = true
 		}
 	}
 }
 
 // release sends what the consensus group says, and has its table hold.
-func (p *Node) release(h held) {
-	for i := range h.out {
-		p.net.Send(h.out[i].To, &link.Frame{Consensus: &h.out[i]})
+func (p *Node) release(h consensusOutput) {
+	for i := range h.messages {
+		p.transport.Send(h.messages[i].To, &link.Frame{Consensus: &h.messages[i]})
 	}
-	p.table = h.table
+	p.durableTable = h.table
 }
 
 // SendUsage sends words about accounts.
 func (p *Node) SendUsage(out []usagereplica.Message) {
 	for i := range out {
-		p.net.Send(out[i].To, &link.Frame{Account: &out[i]})
+		p.transport.Send(out[i].To, &link.Frame{Account: &out[i]})
 	}
 }
 
-// tell tells of a table, not more often than somebody could read it, unless it has all copies.
-func (p *Node) tell(t *placement.Table) {
-	if p.loop.Now() < p.told+tellOver && t.FullyReplicatedSlots() < len(t.Slots) {
+// sendHealthReports tells of a table, not more often than somebody could read it, unless it has all copies.
+func (p *Node) logTable(t *placement.Table) {
+	if p.loop.Now() < p.tableLoggedAt+tableLogInterval && t.FullyReplicatedSlots() < len(t.Slots) {
 		return
 	}
-	p.told = p.loop.Now()
-	evTable.Log(t.Version, len(t.Members), t.FullyReplicatedSlots(), len(t.Slots), p.consensus.IsLeader())
+	p.tableLoggedAt = p.loop.Now()
+	eventTable.Log(t.Version, len(t.Members), t.FullyReplicatedSlots(), len(t.Slots), p.consensus.IsLeader())
 }
 
 // SetMembers takes the members of another file. Voters stay as they were at the start.
 func (p *Node) SetMembers(peers []link.Peer, known []string) {
-	p.net.SetPeers(peers)
+	p.transport.SetPeers(peers)
 	p.consensus.SetKnownMembers(known)
 }
 
@@ -270,9 +270,9 @@
 	m := p.consensus.Table().Member(by)
 	switch {
 	case m == nil || m.Life == 0:
-		return leaves.New("%s is not in: add it to all files, and start it first", by)
+		return kindReplacement.New("%s is not in: add it to all files, and start it first", by)
 	case m.Leaving || old == by:
-		return leaves.New("%s is leaving itself", by)
+		return kindReplacement.New("%s is leaving itself", by)
 	}
 	return p.SetLeaving(old, true)
 }
@@ -295,7 +295,7 @@
 // KeyStatus tells where the copies of a key are.
 func (p *Node) KeyStatus(name store.Name) *KeyStatus {
 	t := p.consensus.Table()
-	slot, quiet, held, rec, left := p.holder.Lookup(name, p.loop.Now())
+	slot, quiet, held, rec, left := p.replica.Lookup(name, p.loop.Now())
 	s := &KeyStatus{Slot: slot, QuietMs: quiet / 1000, Here: "not held", LeftMs: left / 1000}
 	if slot < len(t.Slots) {
 		s.Epoch, s.Set, s.Joining = t.Slots[slot].Epoch, t.Slots[slot].Set, t.Slots[slot].Joining
@@ -360,22 +360,22 @@
 	s := &Status{
 		Version:  t.Version,
 		Leads:    p.consensus.IsLeader(),
-		In:       p.holder.IsMember(),
+		In:       p.replica.IsMember(),
 		Whole:    t.FullyReplicatedSlots(),
 		Slots:    len(t.Slots),
-		Messages: p.net.Sent,
-		Dropped:  p.net.Dropped,
-		Links:    p.net.Connections(),
-		Passed:   p.net.Relayed,
-		Copied:   p.holder.CatchUpBytes,
-		Bytes:    p.holder.HeldBytes,
+		Messages: p.transport.Sent,
+		Dropped:  p.transport.Dropped,
+		Links:    p.transport.Connections(),
+		Passed:   p.transport.Relayed,
+		Copied:   p.replica.CatchUpBytes,
+		Bytes:    p.replica.HeldBytes,
 	}
-	_, s.Closed = p.holder.Unavailable(p.loop.Now())
-	if s.Duties = p.duties.rows(); len(p.cfg.CheckedZones) > 0 {
+	_, s.Closed = p.replica.Unavailable(p.loop.Now())
+	if s.Duties = p.leases.status(); len(p.cfg.CheckedZones) > 0 {
 		s.Checks = &HealthCheckStatus{
-			p.duties.HealthChecks.Performed,
-			p.duties.HealthChecks.Skipped,
-			p.duties.HealthChecks.Stale,
+			p.leases.HealthChecks.Performed,
+			p.leases.HealthChecks.Skipped,
+			p.leases.HealthChecks.Stale,
 		}
 	}
 	for _, m := range t.Members {
@@ -398,7 +398,7 @@
 		within = max(within, left)
 	}
 	// The core is told in a turn of its own: it may ask for more at once.
-	p.holder.Put(
+	p.replica.Put(
 		persistence.Record(kind, k, now),
 		left,
 		within,
@@ -416,34 +416,34 @@
 		again := !first
 		first = false
 		if a.Outcome == replication.OutcomeOwnedByOther {
-			p.hear(a)
+			p.deliverRemoteRun(a)
 			if !again {
 				done(false, nil)
 			}
 			return
 		}
 		if !again {
-			done(a.Err == nil && a.Outcome == replication.OutcomeGranted && free(), apart(a))
+			done(a.Err == nil && a.Outcome == replication.OutcomeGranted && free(), claimError(a))
 		}
 	})
 }
 
-// apart is the error of an answer; nil: there is none.
-func apart(a replication.Result) error {
+// claimError is the error of an answer; nil: there is none.
+func claimError(a replication.Result) error {
 	if a.Err == nil {
 		return nil
 	}
 	return &lifecycle.CopiesError{Back: a.RetryAfter, Err: a.Err}
 }
 
-// hear tells the core of another's run.
-func (p *Node) hear(a replication.Result) {
+// receiveHealthReport tells the core of another's run.
+func (p *Node) deliverRemoteRun(a replication.Result) {
 	r := *a.Record
 	// the process that runs it is gone: it may have run
 	if r.Until = p.loop.Unix() + a.Remaining; a.InDoubt {
 		r.Kind, r.How = store.Ended, uint8(lifecycle.Failed)
 	}
-	p.core.Heard(persistence.KeptOf(&r), r.Kind == store.Forgotten)
+	p.keys.Heard(persistence.KeptOf(&r), r.Kind == store.Forgotten)
 }
 
 // Ended implements core.Claims. An end is kept by the Keeper, before it is answered.
@@ -454,42 +454,42 @@
 
 // Keeper is a keeper that keeps on peers what the disk keeps too; nil: there is no disk.
 func (p *Node) Keeper(disk lifecycle.Keeper) lifecycle.Keeper {
-	p.disk = disk
-	return kept{p}
+	p.localKeeper = disk
+	return keeper{p}
 }
 
-// kept is the core's keeper.
-type kept struct{ p *Node }
+// record is the core's keeper.
+type keeper struct{ node *Node }
 
 // Closed implements core.Keeper.
-func (k kept) Closed() (int64, string) {
-	if back, why := k.p.holder.Unavailable(k.p.loop.Now()); back > 0 || k.p.disk == nil {
+func (k keeper) Closed() (int64, string) {
+	if back, why := k.node.replica.Unavailable(k.node.loop.Now()); back > 0 || k.node.localKeeper == nil {
 		return back, why
 	}
-	return k.p.disk.Closed()
+	return k.node.localKeeper.Closed()
 }
 
 // Apart implements core.Sharer.
-func (k kept) Apart() bool {
-	back, _ := k.p.holder.Unavailable(k.p.loop.Now())
+func (k keeper) Apart() bool {
+	back, _ := k.node.replica.Unavailable(k.node.loop.Now())
 	return back > 0
 }
 
 // ReplicationTimeout implements core.Keeper.
-func (k kept) Patience() int64 { return k.p.cfg.ReplicationTimeout }
+func (k keeper) Patience() int64 { return k.node.cfg.ReplicationTimeout }
 
 // Begun implements core.Keeper: peers have it by the claim.
-func (k kept) Begun(c lifecycle.Kept, done func(error)) {
-	if k.p.disk == nil {
-		k.p.loop.Post(func() { done(nil) })
+func (k keeper) Begun(c lifecycle.Kept, done func(error)) {
+	if k.node.localKeeper == nil {
+		k.node.loop.Post(func() { done(nil) })
 		return
 	}
-	k.p.disk.Begun(c, done)
+	k.node.localKeeper.Begun(c, done)
 }
 
 // Ended implements core.Keeper: it is kept once peers and disk have it, and others know of its use.
 // A disk that hangs is not waited for longer than its patience, as peers have it.
-func (k kept) Ended(c lifecycle.Kept, done func(error)) {
+func (k keeper) Ended(c lifecycle.Kept, done func(error)) {
 	var errs error
 	rest := 1
 	one := func(err error) {
@@ -498,19 +498,19 @@
 			done(errs)
 		}
 	}
-	if k.p.disk != nil {
+	if k.node.localKeeper != nil {
 		rest++
-		k.p.disk.Ended(c, k.p.within(k.p.disk.Patience(), one))
+		k.node.localKeeper.Ended(c, k.node.withTimeout(k.node.localKeeper.Patience(), one))
 	}
-	if k.p.cfg.UsageReplicas != nil && c.Result != nil && c.Waits {
+	if k.node.cfg.UsageReplicas != nil && c.Result != nil && c.Waits {
 		rest++
-		k.p.cfg.UsageReplicas.Replicate(c, one)
+		k.node.cfg.UsageReplicas.Replicate(c, one)
 	}
-	k.p.put(store.Ended, c, func(a replication.Result) { one(a.Err) })
+	k.node.put(store.Ended, c, func(a replication.Result) { one(a.Err) })
 }
 
-// within passes the first word of the disk on, or that it has not come in time.
-func (p *Node) within(patience int64, done func(error)) func(error) {
+// withTimeout passes the first word of the disk on, or that it has not come in time.
+func (p *Node) withTimeout(patience int64, done func(error)) func(error) {
 	var late *eventloop.Timer
 	heard := false
 	once := func(err error) {
@@ -521,13 +521,13 @@
 		late.Stop()
 		done(err)
 	}
-	late = p.loop.After(patience, func() { once(errHangs) })
+	late = p.loop.After(patience, func() { once(errDiskTimeout) })
 	return once
 }
 
 // Forgot implements core.Keeper: peers hear it by the claim.
-func (k kept) Forgot(c lifecycle.Kept) {
-	if k.p.disk != nil {
-		k.p.disk.Forgot(c)
+func (k keeper) Forgot(c lifecycle.Kept) {
+	if k.node.localKeeper != nil {
+		k.node.localKeeper.Forgot(c)
 	}
 }
--- a/internal/peers/placement/placement.go
+++ b/internal/peers/placement/placement.go
@@ -35,7 +35,7 @@
 // implicitChangeKind is the oldest life in which a process may be taken in by a change. What is gone of a
 // member that is in may be of the process before, whose lives are other numbers; older versions do
 // not tell, and all have to come to the same table.
-func (m *Member) oldest(kind ChangeKind) uint64 {
+func (m *Member) oldestIncarnation(kind ChangeKind) uint64 {
 	switch {
 	case kind == ChangeJoin:
 		return 0
@@ -152,7 +152,7 @@
 func (t *Table) SlotOf(name string) int {
 	h := fnv.New64a()
 	h.Write([]byte(name)) // a hash takes all
-	return int(mix(h.Sum64()) % uint64(len(t.Slots)))
+	return int(mix64(h.Sum64()) % uint64(len(t.Slots)))
 }
 
 // Primary is who orders the tries of a slot's keys; empty: nobody.
@@ -174,29 +174,29 @@
 	m := t.Member(c.Member.Name)
 	switch c.Kind {
 	case ChangeJoin, ChangeJoinV2, ChangeJoinV3:
-		if !t.enter(c, m) {
+		if !t.join(c, m) {
 			return
 		}
 	case ChangeLost, ChangeRemove:
 		if m == nil || c.Kind == ChangeLost && m.Life != c.Member.Life {
 			return
 		}
-		t.exit(m, c.Kind == ChangeRemove)
+		t.markLost(m, c.Kind == ChangeRemove)
 	case ChangeCaughtUp:
-		s := t.slot(c)
+		s := t.slotAt(c)
 		if s == nil || m == nil || m.Life != c.Member.Life || !slices.Contains(s.Joining, m.Name) {
 			return
 		}
-		t.complete(s, m.Name)
+		t.completeJoin(s, m.Name)
 	case ChangeAddReplica:
-		if s := t.slot(c); s != nil && m != nil && m.Life != 0 && !m.Leaving && !s.Holds(m.Name) &&
+		if s := t.slotAt(c); s != nil && m != nil && m.Life != 0 && !m.Leaving && !s.Holds(m.Name) &&
 			len(s.Set) == 1+t.Copies &&
 			len(s.Joining) == 0 {
 			s.Joining = append(s.Joining, m.Name)
 		}
 	case ChangeSetPrimary:
-		if s := t.slot(c); s != nil && slices.Contains(s.Set, c.Member.Name) {
-			s.Set = append([]string{c.Member.Name}, remove(s.Set, c.Member.Name)...)
+		if s := t.slotAt(c); s != nil && slices.Contains(s.Set, c.Member.Name) {
+			s.Set = append([]string{c.Member.Name}, without(s.Set, c.Member.Name)...)
 			s.Epoch++
 		}
 	case ChangeLeave, ChangeStay:
@@ -210,14 +210,14 @@
 	case ChangeGrantLease, ChangeReleaseLease, ChangeSetHandover:
 		t.applyLeaseChange(c, m)
 	}
-	t.fill()
+	t.assignReplicas()
 }
 
-// enter takes a member in, in a life that is new; false: it is not, and the slots stay as they are.
+// join takes a member in, in a life that is new; false: it is not, and the slots stay as they are.
 // What an earlier life held is forgotten.
-func (t *Table) enter(c Change, m *Member) bool {
+func (t *Table) join(c Change, m *Member) bool {
 	if m != nil && c.Member.Process != 0 && c.Member.Process == m.Process &&
-		c.Member.Life < m.oldest(c.Kind) {
+		c.Member.Life < m.oldestIncarnation(c.Kind) {
 		return false
 	}
 	if m == nil {
@@ -237,7 +237,7 @@
 		return false
 	}
 	t.expireLeases(m.Name, m.Life != 0)
-	t.leave(m.Name)
+	t.removeFromSlots(m.Name)
 	gone, leaving := m.Gone, m.Leaving
 	if m.Life != 0 {
 		gone = m.Life
@@ -247,11 +247,11 @@
 	return true
 }
 
-// exit takes a member out that is lost, or that does not belong any more.
-func (t *Table) exit(m *Member, removed bool) {
+// markLost takes a member out that is lost, or that does not belong any more.
+func (t *Table) markLost(m *Member, removed bool) {
 	name := m.Name
 	t.expireLeases(name, false)
-	t.leave(name)
+	t.removeFromSlots(name)
 	if m.Life != 0 {
 		m.Gone = m.Life
 	}
@@ -261,14 +261,14 @@
 	}
 }
 
-// complete has a member that joined a slot hold it. Where it came for a better spread, another one
+// completeJoin has a member that joined a slot hold it. Where it came for a better spread, another one
 // goes.
-func (t *Table) complete(s *Slot, name string) {
-	s.Joining = remove(s.Joining, name)
+func (t *Table) completeJoin(s *Slot, name string) {
+	s.Joining = without(s.Joining, name)
 	s.Set = append(s.Set, name)
 	s.Epoch++
 	if len(s.Set) > 1+t.Copies {
-		s.Set = remove(s.Set, t.heaviest(s, t.load()))
+		s.Set = without(s.Set, t.mostDispensable(s, t.slotCounts()))
 	}
 }
 
@@ -284,43 +284,43 @@
 }
 
 // SlotCount is how many slots a member holds, or is to hold.
-func (t *Table) SlotCount(name string) int { return t.load()[name] }
+func (t *Table) SlotCount(name string) int { return t.slotCounts()[name] }
 
-// slot is that of a change, if it still stands at the change's epoch.
-func (t *Table) slot(c Change) *Slot {
+// slotAt is that of a change, if it still stands at the change's epoch.
+func (t *Table) slotAt(c Change) *Slot {
 	if c.Slot < 0 || c.Slot >= len(t.Slots) || t.Slots[c.Slot].Epoch != c.Epoch {
 		return nil
 	}
 	return &t.Slots[c.Slot]
 }
 
-// leave takes a member out of all slots. Those that it was the last of begin anew, with nothing.
-func (t *Table) leave(name string) {
+// removeFromSlots takes a member out of all slots. Those that it was the last of begin anew, with nothing.
+func (t *Table) removeFromSlots(name string) {
 	for i := range t.Slots {
 		s := &t.Slots[i]
-		s.Joining = remove(s.Joining, name)
+		s.Joining = without(s.Joining, name)
 		if slices.Contains(s.Set, name) {
-			s.Set = remove(s.Set, name)
+			s.Set = without(s.Set, name)
 			s.Epoch++
 		}
 	}
 }
 
-// fill has members join the slots that lack copies.
-func (t *Table) fill() {
-	load := t.load()
+// assignReplicas has members join the slots that lack copies.
+func (t *Table) assignReplicas() {
+	load := t.slotCounts()
 	for i := range t.Slots {
 		s := &t.Slots[i]
 		if len(s.Set) == 0 { // who was joining has nothing that can be relied on
 			s.Joining = nil
-			if p := t.best(i, load); p != "" {
+			if p := t.bestReplica(i, load); p != "" {
 				s.Epoch++
 				s.Set, s.Quiet = []string{p}, s.Epoch
 				load[p]++
 			}
 		}
 		for len(s.Set) > 0 && len(s.Set)+len(s.Joining) < 1+t.Copies {
-			p := t.best(i, load)
+			p := t.bestReplica(i, load)
 			if p == "" {
 				break
 			}
@@ -330,8 +330,8 @@
 	}
 }
 
-// load is how many slots each member holds.
-func (t *Table) load() map[string]int {
+// slotCounts is how many slots each member holds.
+func (t *Table) slotCounts() map[string]int {
 	load := map[string]int{}
 	for _, s := range t.Slots {
 		for _, name := range s.Set {
@@ -344,9 +344,9 @@
 	return load
 }
 
-// best is the member that is to hold a slot next: in a hall that has none, with the least load, by
+// bestReplica is the member that is to hold a slot next: in a hall that has none, with the least load, by
 // a draw of slot and name.
-func (t *Table) best(slot int, load map[string]int) string {
+func (t *Table) bestReplica(slot int, load map[string]int) string {
 	s := &t.Slots[slot]
 	best := ""
 	var rank [4]uint64
@@ -358,7 +358,7 @@
 		if m.Leaving { // better than nobody
 			leaving = 1
 		}
-		r := [4]uint64{leaving, uint64(t.inHall(s, m.Hall)), uint64(load[m.Name]), draw(slot, m.Name)}
+		r := [4]uint64{leaving, uint64(t.replicasInZone(s, m.Hall)), uint64(load[m.Name]), hashRank(slot, m.Name)}
 		if best == "" || slices.Compare(r[:], rank[:]) < 0 {
 			best, rank = m.Name, r
 		}
@@ -366,8 +366,8 @@
 	return best
 }
 
-// inHall is how many holders of a slot there are in a hall.
-func (t *Table) inHall(s *Slot, hall string) (n int) {
+// replicasInZone is how many holders of a slot there are in a hall.
+func (t *Table) replicasInZone(s *Slot, hall string) (n int) {
 	for _, names := range [][]string{s.Set, s.Joining} {
 		for _, name := range names {
 			if m := t.Member(name); m != nil && m.Hall == hall {
@@ -378,14 +378,14 @@
 	return n
 }
 
-// heaviest is whom a set can do without, as it is one too many: one that is leaving, or the one
+// mostDispensable is whom a set can do without, as it is one too many: one that is leaving, or the one
 // whose hall has others, then whose load is highest, not the primary.
-func (t *Table) heaviest(s *Slot, load map[string]int) string {
+func (t *Table) mostDispensable(s *Slot, load map[string]int) string {
 	worst := s.Set[1]
 	for _, name := range s.Set[2:] {
-		a, b := t.inHall(s, t.Member(name).Hall), t.inHall(s, t.Member(worst).Hall)
+		a, b := t.replicasInZone(s, t.Member(name).Hall), t.replicasInZone(s, t.Member(worst).Hall)
 		if cmp.Or(
-			t.leaves(name)-t.leaves(worst),
+			t.leavingRank(name)-t.leavingRank(worst),
 			cmp.Compare(a, b),
 			cmp.Compare(load[name], load[worst]),
 		) > 0 {
@@ -395,26 +395,26 @@
 	return worst
 }
 
-// leaves is 1 for a member that is leaving.
-func (t *Table) leaves(name string) int {
+// leavingRank is 1 for a member that is leaving.
+func (t *Table) leavingRank(name string) int {
 	if m := t.Member(name); m != nil && m.Leaving {
 		return 1
 	}
 	return 0
 }
 
-// part is a change that brings a leaving member closer to holding nothing; false: there is none, or
+// moveOffLeaving is a change that brings a leaving member closer to holding nothing; false: there is none, or
 // nobody who could take its place.
-func (t *Table) part(load map[string]int) (Change, bool) {
+func (t *Table) moveOffLeaving(load map[string]int) (Change, bool) {
 	for i := range t.Slots {
 		s := &t.Slots[i]
 		for _, name := range s.Set {
-			if t.leaves(name) == 0 {
+			if t.leavingRank(name) == 0 {
 				continue
 			}
 			if name == s.Primary() {
 				for _, next := range s.Set[1:] {
-					if t.leaves(next) == 0 {
+					if t.leavingRank(next) == 0 {
 						return Change{
 							Kind:   ChangeSetPrimary,
 							Member: *t.Member(next),
@@ -424,7 +424,7 @@
 					}
 				}
 			}
-			if next := t.best(i, load); next != "" {
+			if next := t.bestReplica(i, load); next != "" {
 				return Change{Kind: ChangeAddReplica, Member: *t.Member(next), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
@@ -432,20 +432,20 @@
 	return Change{}, false
 }
 
-// uneven is by how many slots the loads of two members may differ.
-const uneven = 2
+// maxImbalance is by how many slots the loads of two members may differ.
+const maxImbalance = 2
 
 // Rebalance is a change that spreads slots or primaries better; false: they are spread well enough, or
 // copies are still being made.
 func (t *Table) Rebalance() (Change, bool) {
-	load, leads := t.load(), map[string]int{}
+	load, leads := t.slotCounts(), map[string]int{}
 	for _, s := range t.Slots {
 		if len(s.Joining) > 0 || len(s.Set) < 1+t.Copies {
 			return Change{}, false
 		}
 		leads[s.Primary()]++
 	}
-	if c, ok := t.part(load); ok {
+	if c, ok := t.moveOffLeaving(load); ok {
 		return c, true
 	}
 	least := ""
@@ -460,12 +460,12 @@
 	for i := range t.Slots {
 		s := &t.Slots[i]
 		if !s.Holds(least) {
-			if h := t.heaviestAfter(s, least, load); h != "" && load[h] > load[least]+uneven {
+			if h := t.dispensableAfter(s, least, load); h != "" && load[h] > load[least]+maxImbalance {
 				return Change{Kind: ChangeAddReplica, Member: *t.Member(least), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
 		for _, name := range s.Set[1:] {
-			if leads[s.Primary()] > leads[name]+uneven && t.leaves(name) == 0 {
+			if leads[s.Primary()] > leads[name]+maxImbalance && t.leavingRank(name) == 0 {
 				return Change{Kind: ChangeSetPrimary, Member: *t.Member(name), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
@@ -473,10 +473,10 @@
 	return Change{}, false
 }
 
-// heaviestAfter is who would leave a set once another has joined it; empty: that one itself.
-func (t *Table) heaviestAfter(s *Slot, joins string, load map[string]int) string {
+// dispensableAfter is who would leave a set once another has joined it; empty: that one itself.
+func (t *Table) dispensableAfter(s *Slot, joins string, load map[string]int) string {
 	after := &Slot{Set: append(slices.Clone(s.Set), joins)}
-	if h := t.heaviest(after, load); h != joins {
+	if h := t.mostDispensable(after, load); h != joins {
 		return h
 	}
 	return ""
@@ -504,19 +504,19 @@
 	return n
 }
 
-func remove(names []string, name string) []string {
+func without(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// draw is a number of a slot and a member, the same everywhere.
-func draw(slot int, name string) uint64 {
+// hashRank is a number of a slot and a member, the same everywhere.
+func hashRank(slot int, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	return mix(h.Sum64() ^ uint64(slot)*0x9e3779b97f4a7c15)
+	return mix64(h.Sum64() ^ uint64(slot)*0x9e3779b97f4a7c15)
 }
 
-// mix spreads the bits of a number (the finalizer of splitmix64).
-func mix(x uint64) uint64 {
+// mix64 spreads the bits of a number (the finalizer of splitmix64).
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/internal/peers/placement/placement_test.go
+++ b/internal/peers/placement/placement_test.go
@@ -77,14 +77,14 @@
 			leads[s.Primary()]++
 		}
 		low, high := x.slots, 0
-		for _, n := range p.load() {
+		for _, n := range p.slotCounts() {
 			low, high = min(low, n), max(high, n)
 		}
-		if len(p.load()) != x.runners || high > 2*x.slots*(1+x.copies)/x.runners+uneven {
-			t.Errorf("%+v: %d hold, from %d to %d slots", x, len(p.load()), low, high)
+		if len(p.slotCounts()) != x.runners || high > 2*x.slots*(1+x.copies)/x.runners+maxImbalance {
+			t.Errorf("%+v: %d hold, from %d to %d slots", x, len(p.slotCounts()), low, high)
 		}
 		for name, n := range leads {
-			if n > 3*x.slots/x.runners+uneven+1 {
+			if n > 3*x.slots/x.runners+maxImbalance+1 {
 				t.Errorf("%+v: %s leads %d slots", x, name, n)
 			}
 		}
--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -482,7 +482,7 @@
 	if change != nil {
 		change(w)
 	}
-	w.run(window + lateRead + second) // the first sets begin with nothing
+	w.run(window + readGrace + second) // the first sets begin with nothing
 	for k := range 60 {
 		key := fmt.Sprint("k", k)
 		first := w.between(0, lasts)
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -83,10 +83,10 @@
 	}},
 	{"a holder does not look at the epoch", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.place(m.Slot); m.Kind == MsgAppend && s != nil && m.Epoch < s.epoch &&
+			if s := *w.node(m.To).h.slotAt(m.Slot); m.Kind == MsgAppend && s != nil && m.Epoch < s.epoch &&
 				w.node(m.To).up {
 				for _, e := range m.Entries {
-					s.set(e, w.now+e.Left)
+					s.store(e, w.now+e.Left)
 				}
 				return []Message{
 					{
@@ -113,8 +113,8 @@
 	}},
 	{"an old disk counts as whole", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.place(m.Slot); m.Kind == MsgProbeResp && s != nil && m.Seq > 0 {
-				m.Seq, m.Base = s.seq, s.epochAt(s.seq)
+			if s := *w.node(m.To).h.slotAt(m.Slot); m.Kind == MsgProbeResp && s != nil && m.Seq > 0 {
+				m.Seq, m.Base = s.lastSeq, s.epochAt(s.lastSeq)
 			}
 			return []Message{*m}
 		}
@@ -262,7 +262,7 @@
 		)
 		h.SetTable(table, 1)
 		for i := range records {
-			h.slots[0].put(
+			h.slots[0].append(
 				&store.Record{
 					Kind:   store.Ended,
 					Name:   store.Name{Key: strconv.Itoa(i)},
@@ -351,7 +351,7 @@
 		key := strconv.Itoa(taken)
 		a := put(key, store.Begun, 0)
 		if a.Outcome == OutcomeUnavailable {
-			if a.RetryAfter != fullFor {
+			if a.RetryAfter != memoryRetryAfter {
 				t.Errorf("it says to come back after %d", a.RetryAfter)
 			}
 			break
@@ -366,7 +366,7 @@
 	if taken < 4 || taken > 6 || len(h.slots[0].items) != taken {
 		t.Errorf("%d keys are taken, %d held", taken, len(h.slots[0].items))
 	}
-	now += 500*ms + lateRead + 2*sweepTime
+	now += 500*ms + readGrace + 2*sweepInterval
 	if h.Tick(now); len(h.slots[0].items) > 0 || h.slots[0].bytes != 0 {
 		t.Errorf("%d keys of %d bytes are left", len(h.slots[0].items), h.slots[0].bytes)
 	}
@@ -390,7 +390,7 @@
 		if w.grid = nil; runners > 32 {
 			w.grid = grid.New(slices.Collect(maps.Keys(w.named)), 32)
 		}
-		w.run(window + lateRead + second)
+		w.run(window + readGrace + second)
 		const over = 20 * second
 		for _, n := range w.nodes {
 			n.sent = 0
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -13,58 +13,58 @@
 // said that it never ran.
 func (h *Replica) Put(r *store.Record, left, within, now int64, done func(Result)) {
 	h.now = max(h.now, now)
-	h.put(r, left, within, done)
-	h.say()
-	h.step(now)
+	h.enqueuePut(r, left, within, done)
+	h.sendPending()
+	h.drainLoopback(now)
 }
 
-func (h *Replica) put(r *store.Record, left, within int64, done func(Result)) {
-	h.next++
-	a := &asked{
-		id:     h.next,
-		record: r,
-		until:  h.now + left,
-		late:   h.now + within,
-		lost:   h.now + within,
-		next:   h.now,
-		done:   done,
+func (h *Replica) enqueuePut(r *store.Record, left, within int64, done func(Result)) {
+	h.lastRequestID++
+	a := &pendingPut{
+		id:        h.lastRequestID,
+		record:    r,
+		expiresAt: h.now + left,
+		deadline:  h.now + within,
+		abandonAt: h.now + within,
+		nextSend:  h.now,
+		done:      done,
 	}
 	if r.Kind != store.Begun {
-		a.lost = max(a.lost, a.until)
+		a.abandonAt = max(a.abandonAt, a.expiresAt)
 	}
 	if h.table == nil {
 		done(Result{Outcome: OutcomeUnavailable, RetryAfter: h.cfg.QuorumTimeout, Err: ErrUnavailable})
 		return
 	}
 	a.slot = h.table.SlotOf(r.Name.Class + "\x00" + r.Name.Tenant + "\x00" + r.Name.Key)
-	h.asks[a.id] = a
+	h.pending[a.id] = a
 }
 
-// say says what is under way and was not answered, and gives up what is late.
-func (h *Replica) say() {
-	ids := make([]uint64, 0, len(h.asks))
-	for id := range h.asks {
+// sendPending says what is under way and was not answered, and gives up what is late.
+func (h *Replica) sendPending() {
+	ids := make([]uint64, 0, len(h.pending))
+	for id := range h.pending {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids) // in the order in which they came
 	for _, id := range ids {
-		a := h.asks[id]
+		a := h.pending[id]
 		if a == nil {
 			continue
 		}
-		if h.now >= a.late && !a.told && !a.watching {
-			h.give(a, Result{Err: ErrTimeout})
+		if h.now >= a.deadline && !a.answered && !a.watching {
+			h.answer(a, Result{Err: ErrTimeout})
 		}
-		if h.now >= a.lost {
-			delete(h.asks, id)
+		if h.now >= a.abandonAt {
+			delete(h.pending, id)
 			if a.record.Kind == store.Begun && !a.watching {
 				never := *a.record
 				never.Kind = store.Forgotten
-				h.put(&never, a.until-h.now, h.cfg.QuorumTimeout, func(Result) {})
+				h.enqueuePut(&never, a.expiresAt-h.now, h.cfg.QuorumTimeout, func(Result) {})
 			}
 			continue
 		}
-		if h.now < a.next {
+		if h.now < a.nextSend {
 			continue
 		}
 		t := &h.table.Slots[a.slot]
@@ -74,30 +74,30 @@
 				word = OutcomeOwnedByOther
 			}
 			h.send(Message{Kind: MsgPut, To: to, Slot: a.slot, Epoch: t.Epoch, ID: a.id, Word: word,
-				Entries: []Entry{{Left: a.until - h.now, Record: a.record}}})
+				Entries: []Entry{{Left: a.expiresAt - h.now, Record: a.record}}})
 		}
-		if a.next = h.now + resend; a.watching {
-			a.next = h.now + 5*resend
+		if a.nextSend = h.now + resendInterval; a.watching {
+			a.nextSend = h.now + 5*resendInterval
 		}
 	}
 }
 
-// give answers an asker, once.
-func (h *Replica) give(a *asked, x Result) {
-	if !a.told {
-		a.told = true
+// answer answers an asker, once.
+func (h *Replica) answer(a *pendingPut, x Result) {
+	if !a.answered {
+		a.answered = true
 		a.done(x)
 	}
 }
 
-// told hears what became of an ask.
-func (h *Replica) told(m *Message) {
-	a := h.asks[m.ID]
+// answered hears what became of an ask.
+func (h *Replica) handlePutResponse(m *Message) {
+	a := h.pending[m.ID]
 	if a == nil {
 		return
 	}
 	if m.Word == OutcomeRetry {
-		a.next = min(a.next, h.now+againIn)
+		a.nextSend = min(a.nextSend, h.now+retryInterval)
 		return
 	}
 	if begins := a.record.Kind == store.Begun; m.Word == OutcomeStored && begins ||
@@ -112,40 +112,40 @@
 		}
 		x.Record, x.Remaining = m.Entries[0].Record, m.Entries[0].Left
 		if x.Record.Kind == store.Begun && !m.Doubt { // its end is told as soon as it is kept
-			if !a.watching && !a.told {
-				a.watching, a.told, a.lost = true, true, a.until
+			if !a.watching && !a.answered {
+				a.watching, a.answered, a.abandonAt = true, true, a.expiresAt
 				a.done(x)
 			}
 			return
 		}
 		if a.watching { // the second answer
-			a.told = false
+			a.answered = false
 		}
 	case OutcomeGranted:
-		if h.now >= a.late { // it was given up, if only just
+		if h.now >= a.deadline { // it was given up, if only just
 			return
 		}
-		a.lost = h.now // there is nothing more to say
+		a.abandonAt = h.now // there is nothing more to say
 	case OutcomeUnavailable:
 		x.Err = ErrUnavailable
 	case OutcomeConflict:
 		x.Err = ErrConflict
 	}
-	delete(h.asks, a.id)
-	h.give(a, x)
+	delete(h.pending, a.id)
+	h.answer(a, x)
 }
 
 // CancelWatch ends the wait for another's run.
 func (h *Replica) CancelWatch(name store.Name) {
-	for id, a := range h.asks {
+	for id, a := range h.pending {
 		if a.watching && a.record.Name == name {
-			delete(h.asks, id)
+			delete(h.pending, id)
 		}
 	}
 }
 
-// asked hears an ask, as the primary.
-func (h *Replica) asked(m *Message) {
+// pendingPut hears an ask, as the primary.
+func (h *Replica) handlePut(m *Message) {
 	if len(m.Entries) != 1 || m.Entries[0].Record == nil {
 		return
 	}
@@ -163,23 +163,25 @@
 			},
 		)
 	}
-	s, t := *h.place(m.Slot), &h.table.Slots[m.Slot]
+	s, t := *h.slotAt(m.Slot), &h.table.Slots[m.Slot]
 	// A primary that does not hear the consensus group may have been replaced, and whoever replaced
 	// it may have begun with nothing.
-	if s == nil || !s.leads || s.epoch != t.Epoch || m.Epoch != s.epoch ||
-		h.now-h.heard > h.cfg.QuorumTimeout {
+	if s == nil || !s.isPrimary || s.epoch != t.Epoch || m.Epoch != s.epoch ||
+		h.now-h.quorumContact > h.cfg.QuorumTimeout {
 		tell(OutcomeRetry, 0)
 		return
 	}
-	if _, open := s.kept(t); !open {
+	if _, open := s.committed(t); !open {
 		tell(OutcomeRetry, 0)
 		return
 	}
 	it := s.items[r.Name]
-	if it != nil && h.now > it.until+lateRead && (it.record.Kind != store.Begun || !h.lives(&it.record)) {
+	if it != nil && h.now > it.expiresAt+readGrace && (it.record.Kind != store.Begun || !h.ownerAlive(&it.record)) {
 		it = nil // no repeat of it can come any more
 	}
-	once := func(it *item, w Outcome) { s.waiters = append(s.waiters, waiter{it.seq, func() { tell(w, 0) }}) }
+	once := func(it *item, w Outcome) {
+		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { tell(w, 0) }})
+	}
 	switch {
 	case r.Kind == store.Begun && m.Word == OutcomeOwnedByOther && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
 		never := *r
@@ -195,15 +197,15 @@
 			},
 		)
 	case r.Kind == store.Begun && (it == nil || it.record.Kind == store.Forgotten && it.record.Owner != r.Owner):
-		if wait := s.quiet.until - h.now; s.quiet.epoch != 0 && wait > 0 {
+		if wait := s.quarantine.until - h.now; s.quarantine.epoch != 0 && wait > 0 {
 			tell(OutcomeUnavailable, wait)
 			return
 		}
 		if h.cfg.MaxBytes > 0 && h.HeldBytes >= h.cfg.MaxBytes { // what was taken is kept, and its end too
-			tell(OutcomeUnavailable, fullFor)
+			tell(OutcomeUnavailable, memoryRetryAfter)
 			return
 		}
-		once(h.take(m.Slot, s, r, h.now+left), OutcomeGranted)
+		once(h.appendRecord(m.Slot, s, r, h.now+left), OutcomeGranted)
 	case r.Kind == store.Begun && it.record.Owner == r.Owner && it.record.Kind == store.Begun:
 		once(it, OutcomeGranted) // it is said again
 	case r.Kind == store.Begun && it.record.Kind == store.Forgotten:
@@ -211,40 +213,40 @@
 	case r.Kind == store.Begun:
 		w := watcher{m.From, m.ID}
 		if it.record.Kind == store.Begun && !slices.Contains(it.watchers, w) {
-			if len(it.watchers) >= mostWaiting {
-				tell(OutcomeUnavailable, resend)
+			if len(it.watchers) >= maxWatchers {
+				tell(OutcomeUnavailable, resendInterval)
 				return
 			}
 			it.watchers = append(it.watchers, w)
 		}
-		s.waiters = append(s.waiters, waiter{it.seq, func() { h.tellOf(m.Slot, it, w) }})
+		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { h.sendOwner(m.Slot, it, w) }})
 	case it == nil || it.record.Owner == r.Owner && it.record.Kind == store.Begun:
-		it = h.take(m.Slot, s, r, h.now+left)
+		it = h.appendRecord(m.Slot, s, r, h.now+left)
 		once(it, OutcomeStored)
-		s.waiters = append(s.waiters, waiter{it.seq, func() { h.tellWatchers(m.Slot, it) }})
+		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { h.notifyWatchers(m.Slot, it) }})
 	case it.record.Owner == r.Owner:
 		once(it, OutcomeStored)
 	default:
 		tell(OutcomeConflict, 0)
 	}
-	h.settle(m.Slot, s)
+	h.advance(m.Slot, s)
 }
 
-// take takes a record as the slot's next, and has it kept.
-func (h *Replica) take(i int, s *slot, r *store.Record, until int64) *item {
-	it := s.put(r, until)
-	for name, p := range s.inOrder() {
-		if p.opened && p.sent == s.seq-1 {
-			p.sent, p.at = s.seq, h.now
+// appendRecord takes a record as the slot's next, and has it kept.
+func (h *Replica) appendRecord(i int, s *slot, r *store.Record, until int64) *item {
+	it := s.append(r, until)
+	for name, p := range s.sortedFollowers() {
+		if p.probed && p.sentSeq == s.lastSeq-1 {
+			p.sentSeq, p.lastActive = s.lastSeq, h.now
 			h.send(
 				Message{
 					Kind:    MsgAppend,
 					To:      name,
 					Slot:    i,
 					Epoch:   s.epoch,
-					Base:    s.seq - 1,
-					Seq:     s.seq,
-					Quiet:   max(s.quiet.until-h.now, 0),
+					Base:    s.lastSeq - 1,
+					Seq:     s.lastSeq,
+					Quiet:   max(s.quarantine.until-h.now, 0),
 					Entries: []Entry{{Seq: it.seq, Epoch: it.epoch, Left: until - h.now, Record: r}},
 				},
 			)
@@ -253,31 +255,31 @@
 	return it
 }
 
-// tellOf tells a runner how a key stands.
-func (h *Replica) tellOf(i int, it *item, w watcher) {
+// sendOwner tells a runner how a key stands.
+func (h *Replica) sendOwner(i int, it *item, w watcher) {
 	r := it.record
-	doubt := r.Kind == store.Begun && !h.lives(&r)
+	doubt := r.Kind == store.Begun && !h.ownerAlive(&r)
 	h.send(
 		Message{
 			Kind:    MsgPutResp,
-			To:      w.who,
+			To:      w.runner,
 			Slot:    i,
-			ID:      w.id,
+			ID:      w.requestID,
 			Word:    OutcomeOwnedByOther,
 			Doubt:   doubt,
-			Entries: []Entry{{Left: it.until - h.now, Record: &r}},
+			Entries: []Entry{{Left: it.expiresAt - h.now, Record: &r}},
 		},
 	)
 }
 
-// tellWatchers tells those who wait for the end of a run that it ended, never began, or is in
+// notifyWatchers tells those who wait for the end of a run that it ended, never began, or is in
 // doubt.
-func (h *Replica) tellWatchers(i int, it *item) {
-	if len(it.watchers) == 0 || it.record.Kind == store.Begun && h.lives(&it.record) {
+func (h *Replica) notifyWatchers(i int, it *item) {
+	if len(it.watchers) == 0 || it.record.Kind == store.Begun && h.ownerAlive(&it.record) {
 		return
 	}
 	for _, w := range it.watchers {
-		h.tellOf(i, it, w)
+		h.sendOwner(i, it, w)
 	}
 	it.watchers = nil
 }
--- a/internal/peers/replication/snapshot.go
+++ b/internal/peers/replication/snapshot.go
@@ -24,21 +24,21 @@
 
 // SnapshotSlot gives what is held of one slot; nil: nothing.
 func (h *Replica) SnapshotSlot(i int, now int64) *SlotSnapshot {
-	if i >= len(h.slots) || h.slots[i] == nil || h.slots[i].seq == 0 {
+	if i >= len(h.slots) || h.slots[i] == nil || h.slots[i].lastSeq == 0 {
 		return nil
 	}
 	s := h.slots[i]
-	entries, _ := s.after(0, now, 1<<62)
-	return &SlotSnapshot{Slot: i, Last: s.last, Seq: s.seq, Eras: slices.Clone(s.eras), Entries: entries}
+	entries, _ := s.entriesAfter(0, now, 1<<62)
+	return &SlotSnapshot{Slot: i, Last: s.lastEpoch, Seq: s.lastSeq, Eras: slices.Clone(s.epochStarts), Entries: entries}
 }
 
-// slot is what was saved. It is at no epoch: its holder counts for nothing until a primary has
+// restore is what was saved. It is at no epoch: its holder counts for nothing until a primary has
 // brought it up.
-func (v *SlotSnapshot) slot(now int64) *slot {
+func (v *SlotSnapshot) restore(now int64) *slot {
 	s := newSlot()
 	for _, e := range v.Entries {
-		s.set(e, now+e.Left)
+		s.store(e, now+e.Left)
 	}
-	s.last, s.seq, s.eras = v.Last, v.Seq, slices.Clone(v.Eras)
+	s.lastEpoch, s.lastSeq, s.epochStarts = v.Last, v.Seq, slices.Clone(v.Eras)
 	return s
 }
--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -170,7 +170,7 @@
 // of it, so that its number tells which.
 func (w *world) promised(r *runner) {
 	kept := r.w.ReplicatedSeq()
-	if len(r.w.heirs) == 0 {
+	if len(r.w.replicas) == 0 {
 		kept = 0
 	}
 	for i, step := range r.uses {
@@ -243,11 +243,11 @@
 			switch l.m.Kind {
 			case MsgProgress:
 				m := l.m
-				if h := r.w.heirs[m.From]; h != nil && w.broken.anyLife {
-					m.Life = h.life
+				if h := r.w.replicas[m.From]; h != nil && w.broken.anyLife {
+					m.Life = h.incarnation
 				}
-				if h := r.w.heirs[m.From]; h != nil && w.broken.anyGiving {
-					m.No = h.no
+				if h := r.w.replicas[m.From]; h != nil && w.broken.anyGiving {
+					m.No = h.snapshotID
 				}
 				r.w.Receive(&m, w.now)
 			case MsgStatement, MsgStatementStored, MsgStatementWanted:
@@ -405,7 +405,7 @@
 	return fmt.Sprint(billed, " billed, ", promised, " promised, ", counted, " counted"), true
 }
 
-// play is a world with faults, one machine lost at a time and the next once all have what they
+// apply is a world with faults, one machine lost at a time and the next once all have what they
 // need.
 func play(t *testing.T, seed uint64, b broken) (string, bool) {
 	rounds := 12
@@ -462,7 +462,7 @@
 		ready := true
 		for _, r := range w.all {
 			if r.up &&
-				(r.table != w.table() || len(r.w.heirs) == 0 || slices.ContainsFunc(slices.Collect(maps.Values(r.w.heirs)), func(h *replicaProgress) bool { return !h.whole })) {
+				(r.table != w.table() || len(r.w.replicas) == 0 || slices.ContainsFunc(slices.Collect(maps.Values(r.w.replicas)), func(h *replicaProgress) bool { return !h.caughtUp })) {
 				ready = false
 			}
 			if r.up && (r.heir.PendingEnds() > 0 || r.shelf.Unreplicated() > 0 && !w.broken.noShelf) {
--- a/internal/peers/usagereplica/message.go
+++ b/internal/peers/usagereplica/message.go
@@ -26,9 +26,9 @@
 	At int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// play takes the step. It reports the statement of a settlement, and whether the account comes to
+// apply takes the step. It reports the statement of a settlement, and whether the account comes to
 // the same.
-func (s *Operation) play(l *ledger.Ledger) (told *ledger.Statement, same bool) {
+func (s *Operation) apply(l *ledger.Ledger) (told *ledger.Statement, same bool) {
 	switch {
 	case s.Use != nil:
 		l.Add(*s.Use)
@@ -86,17 +86,17 @@
 
 // Bounds.
 const (
-	resend = 200_000 // after which what had no answer is said again
+	resendInterval = 200_000 // after which what had no answer is said again
 	// after which the account of a runner that is lost is ended, and its statements passed on
-	endAfter  = 2_000_000
-	piece     = 128 << 10
-	mostParts = 256     // of an account: 32 MB
-	mostSteps = 256     // in one message
-	mostWay   = 4096    // that an heir has not confirmed
-	mostKept  = 1 << 14 // for heirs that are behind; one that is further behind gets the account
+	endDelay                = 2_000_000
+	snapshotPartBytes       = 128 << 10
+	maxSnapshotParts        = 256     // of an account: 32 MB
+	maxOperationsPerMessage = 256     // in one message
+	maxInFlight             = 4096    // that an heir has not confirmed
+	maxRetainedOperations   = 1 << 14 // for heirs that are behind; one that is further behind gets the account
 	// accounts of one runner: one that goes on, and those that are about to be ended
-	mostOf    = 3
-	dropTimes = 5
+	maxLedgersPerRunner = 3
+	dropAttempts        = 5
 )
 
 // ReplicasOf are who is to know the account of a runner, of those that keep accounts: as many as the
@@ -122,7 +122,7 @@
 	slices.SortFunc(all, func(a, b placement.Member) int {
 		return cmp.Or(
 			cmp.Compare(near(a), near(b)),
-			cmp.Compare(draw(name, a.Name), draw(name, b.Name)),
+			cmp.Compare(hashRank(name, a.Name), hashRank(name, b.Name)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
@@ -141,7 +141,7 @@
 	return all[:min(len(all), t.Copies)]
 }
 
-func draw(a, b string) uint64 {
+func hashRank(a, b string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a + "\x00" + b)) // a hash takes all
 	x := h.Sum64()
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	logFile  = "council"
-	slotMark = "slot-"
-	newMark  = ".new"
-	magic    = 0x52594356 // "RYCV"
-	head     = 12
+	logFile    = "council"
+	slotPrefix = "slot-"
+	tempSuffix = ".new"
+	magic      = 0x52594356 // "RYCV"
+	headerSize = 12
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Log is the files of a folder.
 type Log struct {
-	fs   store.FS
-	log  store.File // nil: it has to be begun anew
-	all  []consensus.DurableRecord
-	lock func() error
+	dir     store.FS
+	file    store.File // nil: it has to be begun anew
+	records []consensus.DurableRecord
+	unlock  func() error
 }
 
 // Recovery is what a folder has.
@@ -50,44 +50,44 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	v := &Log{fs: fsys, lock: lock}
-	f, err := v.read()
+	v := &Log{dir: fsys, unlock: lock}
+	f, err := v.load()
 	if err != nil {
 		return nil, nil, errors.Join(err, lock())
 	}
 	return v, f, nil
 }
 
-func (v *Log) read() (*Recovery, error) {
+func (v *Log) load() (*Recovery, error) {
 	f := &Recovery{}
-	b, err := v.fs.Read(logFile)
+	b, err := v.dir.Read(logFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
 	for len(b) > 0 {
 		var k consensus.DurableRecord
-		used, err := next(b, &k)
+		used, err := readFrame(b, &k)
 		if err != nil {
 			f.TruncatedBytes = len(b)
 			break
 		}
-		v.all, b = append(v.all, k), b[used:]
+		v.records, b = append(v.records, k), b[used:]
 	}
-	f.Log = v.all
-	names, err := v.fs.List()
+	f.Log = v.records
+	names, err := v.dir.List()
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range names {
-		if !strings.HasPrefix(name, slotMark) || strings.HasSuffix(name, newMark) {
+		if !strings.HasPrefix(name, slotPrefix) || strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
-		b, err := v.fs.Read(name)
+		b, err := v.dir.Read(name)
 		if err != nil {
 			return nil, err
 		}
 		var s replication.SlotSnapshot
-		if _, err := next(b, &s); err != nil {
+		if _, err := readFrame(b, &s); err != nil {
 			f.DamagedSlots++
 			continue
 		}
@@ -96,8 +96,8 @@
 	return f, nil
 }
 
-// frame is a value with its length and checksum.
-func frame(b []byte, value any) ([]byte, error) {
+// appendFrame is a value with its length and checksum.
+func appendFrame(b []byte, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
 		return nil, err
@@ -108,80 +108,80 @@
 	return append(b, payload...), nil
 }
 
-var errDamaged error = damaged.New("wal: it is not whole")
+var errDamaged error = kindDamaged.New("wal: it is not whole")
 
-// next reads the value at the front of b.
-func next(b []byte, value any) (used int, err error) {
-	if len(b) < head || binary.LittleEndian.Uint32(b) != magic {
+// readFrame reads the value at the front of b.
+func readFrame(b []byte, value any) (used int, err error) {
+	if len(b) < headerSize || binary.LittleEndian.Uint32(b) != magic {
 		return 0, errDamaged
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
-	if n > len(b)-head || crc32.Checksum(b[head:head+n], castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
+	if n > len(b)-headerSize || crc32.Checksum(b[headerSize:headerSize+n], castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
 		return 0, errDamaged
 	}
-	if err := cbor.Unmarshal(b[head:head+n], value); err != nil {
-		return 0, damaged.New("wal: %w", err)
+	if err := cbor.Unmarshal(b[headerSize:headerSize+n], value); err != nil {
+		return 0, kindDamaged.New("wal: %w", err)
 	}
-	return head + n, nil
+	return headerSize + n, nil
 }
 
 // Append has a record of the consensus group on the disk once it returns nil. After an error all of
 // the log is written anew.
 func (v *Log) Append(k *consensus.DurableRecord) error {
 	if k.ID != 0 { // it begins anew with this one
-		v.all = nil
-		v.close()
+		v.records = nil
+		v.closeFile()
 	}
-	v.all = append(v.all, *k)
-	if v.log == nil {
-		return v.anew()
+	v.records = append(v.records, *k)
+	if v.file == nil {
+		return v.rewrite()
 	}
-	b, err := frame(nil, k)
+	b, err := appendFrame(nil, k)
 	if err == nil {
-		if _, err = v.log.Write(b); err == nil {
-			err = v.log.Sync()
+		if _, err = v.file.Write(b); err == nil {
+			err = v.file.Sync()
 		}
 	}
 	if err != nil {
-		v.all = v.all[:len(v.all)-1] // it is given again
-		v.close()
+		v.records = v.records[:len(v.records)-1] // it is given again
+		v.closeFile()
 	}
 	return err
 }
 
-// anew writes all of the log beside the old one, in whose place it comes whole.
-func (v *Log) anew() (err error) {
+// rewrite writes all of the log beside the old one, in whose place it comes whole.
+func (v *Log) rewrite() (err error) {
 	defer func() {
 		if err != nil {
-			v.all = v.all[:len(v.all)-1]
-			v.close()
+			v.records = v.records[:len(v.records)-1]
+			v.closeFile()
 		}
 	}()
 	var b []byte
-	for i := range v.all {
-		if b, err = frame(b, &v.all[i]); err != nil {
+	for i := range v.records {
+		if b, err = appendFrame(b, &v.records[i]); err != nil {
 			return err
 		}
 	}
-	if v.log, err = v.put(logFile, b); err != nil {
+	if v.file, err = v.replaceFile(logFile, b); err != nil {
 		return err
 	}
 	return nil
 }
 
-// put has a file on the disk, whole, and leaves it open.
-func (v *Log) put(name string, b []byte) (f store.File, err error) {
-	if err := v.fs.Remove(name + newMark); err != nil && !errors.Is(err, fs.ErrNotExist) {
+// replaceFile has a file on the disk, whole, and leaves it open.
+func (v *Log) replaceFile(name string, b []byte) (f store.File, err error) {
+	if err := v.dir.Remove(name + tempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	if f, err = v.fs.Create(name + newMark); err != nil {
+	if f, err = v.dir.Create(name + tempSuffix); err != nil {
 		return nil, err
 	}
 	if _, err = f.Write(b); err == nil {
 		err = f.Sync()
 	}
 	if err == nil {
-		err = errors.Join(v.fs.Rename(name+newMark, name), v.fs.SyncDir())
+		err = errors.Join(v.dir.Rename(name+tempSuffix, name), v.dir.SyncDir())
 	}
 	if err != nil {
 		return nil, errors.Join(err, f.Close())
@@ -189,20 +189,20 @@
 	return f, nil
 }
 
-func (v *Log) close() {
-	if v.log != nil {
-		_ = v.log.Close() // what was synced is there
-		v.log = nil
+func (v *Log) closeFile() {
+	if v.file != nil {
+		_ = v.file.Close() // what was synced is there
+		v.file = nil
 	}
 }
 
 // SaveSlot has what is held of a slot on the disk.
 func (v *Log) SaveSlot(s *replication.SlotSnapshot) error {
-	b, err := frame(nil, s)
+	b, err := appendFrame(nil, s)
 	if err != nil {
 		return err
 	}
-	f, err := v.put(fmt.Sprintf("%s%04d", slotMark, s.Slot), b)
+	f, err := v.replaceFile(fmt.Sprintf("%s%04d", slotPrefix, s.Slot), b)
 	if err != nil {
 		return err
 	}
@@ -211,6 +211,6 @@
 
 // Close gives the folder back.
 func (v *Log) Close() error {
-	v.close()
-	return v.lock()
+	v.closeFile()
+	return v.unlock()
 }
