--- a/internal/admission/classes_test.go
+++ b/internal/admission/classes_test.go
@@ -86,7 +86,7 @@
 	next := s
 	next.Classes = []Class{{Name: "new", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1}}
 	for range 2 { // in quick succession
-		if next, err = next.MergeClasses(c.set); err == nil {
+		if next, err = next.MergeClasses(c.settings); err == nil {
 			err = c.Configure(next)
 		}
 		if err != nil {
--- a/internal/admission/contract_test.go
+++ b/internal/admission/contract_test.go
@@ -162,7 +162,7 @@
 	return !o.finished || o.endedOK && k.now <= o.ended+k.set.ResultMaxAge
 }
 
-// step moves the time by one tick and plays a batch.
+// updateCredit moves the time by one tick and plays a batch.
 func (k *checker) step(rate int) {
 	k.now += time.Duration(1+k.rng.IntN(8)) * time.Millisecond
 	var events []Event
@@ -228,22 +228,22 @@
 	switch p := k.rng.IntN(1000); {
 	case s.state == running && s.halted:
 		return end(OutcomeCancelled)
-	case s.state == running && s.answered && p < 100, s.state == blocked && (s.answered || s.gone):
+	case s.state == running && s.answered && p < 100, s.state == awaitingCall && (s.answered || s.gone):
 		return end(OutcomeCancelled)
 	case s.state == running && p < 10:
 		return end(OutcomeOK)
 	case s.state == running && p < 12:
 		return end(OutcomeFailed)
 	case s.state == running && !s.called && p < 40 && !s.answered:
-		s.state, s.callUnproven = blocked, false
+		s.state, s.callUnproven = awaitingCall, false
 		e.Kind = EventBlocked
 		return e, true
-	case s.state == reusing && p < 30:
+	case s.state == reusingResult && p < 30:
 		return end([]Outcome{OutcomeOK, OutcomeOK, OutcomeFailed}[k.rng.IntN(3)])
-	case s.state == calling && p < 60:
+	case s.state == inCall && p < 60:
 		e.Kind, e.Outcome = EventCallCompleted, []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeConnectionLost}[k.rng.IntN(8)]
 		e.Elapsed = time.Duration(k.rng.IntN(100)) * time.Millisecond
-		s.state = blocked
+		s.state = awaitingCall
 		if e.Outcome == OutcomeOK {
 			s.state, s.called = running, true
 		}
@@ -255,10 +255,10 @@
 	case p == 999 && !s.answered && !s.gone && k.set.ReportsAbandoned:
 		s.gone = true
 		e.Kind = EventAbandoned
-		if s.state == held || s.state == reusing {
+		if s.state == queued || s.state == reusingResult {
 			s.finished = true
-		} else if s.state == calling {
-			s.state = blocked
+		} else if s.state == inCall {
+			s.state = awaitingCall
 			k.linger = append(k.linger, k.now+k.set.AbandonedCallTime)
 		}
 		return e, true
@@ -312,7 +312,7 @@
 	class := k.set.Classes[s.class]
 	switch a.Kind {
 	case ActionStart:
-		if s.finished || s.state != held {
+		if s.finished || s.state != queued {
 			return
 		}
 		if k.drainAt > 0 && s.arrived > k.drainAt+k.set.DrainGrace {
@@ -337,11 +337,11 @@
 		}
 		k.answered(s, a.Kind == ActionReject)
 		switch s.state {
-		case held, reusing:
+		case queued, reusingResult:
 			s.finished = true
-		case calling:
+		case inCall:
 			k.linger = append(k.linger, k.now+k.set.AbandonedCallTime)
-			s.state = blocked
+			s.state = awaitingCall
 		}
 	case ActionCancel:
 		if k.set.Cancel == CancelNone {
@@ -349,7 +349,7 @@
 		}
 		s.halted = true
 	case ActionPlaceCall:
-		if s.state != blocked {
+		if s.state != awaitingCall {
 			return
 		}
 		if s.callUnproven && class.Idempotency != Idempotent {
@@ -358,12 +358,12 @@
 		if a.Duration <= 0 || k.now+a.Duration > s.due+k.set.DeadlineGrace {
 			k.bad("lost: call of request %d outlives its due time", s.id)
 		}
-		s.state = calling
+		s.state = inCall
 	case ActionOmitCall:
 		if class.DegradedWeightFraction == 0 {
 			k.bad("fault: call of request %d omitted", s.id)
 		}
-		if s.state == blocked {
+		if s.state == awaitingCall {
 			s.state, s.called = running, true
 		}
 	case ActionRememberKey:
@@ -379,7 +379,7 @@
 			delete(k.kept, s.subject)
 		}
 	case ActionReuseResult:
-		if s.state != held {
+		if s.state != queued {
 			k.bad("fault: request %d reused in state %d", s.id, s.state)
 		}
 		if o := k.all[s.prior]; class.Idempotency == Idempotent &&
@@ -387,7 +387,7 @@
 			k.bad("lost: request %d is answered from a result that is not there", s.id)
 		}
 		k.reused++
-		s.state = reusing
+		s.state = reusingResult
 	}
 }
 
@@ -399,9 +399,9 @@
 		if !s.finished {
 			live = append(live, s)
 			switch s.state {
-			case held, reusing:
+			case queued, reusingResult:
 				memory += s.size
-				if s.state == reusing && k.set.Classes[s.class].Idempotency == Idempotent {
+				if s.state == reusingResult && k.set.Classes[s.class].Idempotency == Idempotent {
 					cores++ // its result is there, so that it is on the cores
 				}
 			case running:
@@ -409,7 +409,7 @@
 				memory += s.size * k.set.RunningMemoryFactor
 			default:
 				memory += s.size * k.set.RunningMemoryFactor
-				if s.state == calling {
+				if s.state == inCall {
 					calls++
 				}
 			}
@@ -559,7 +559,7 @@
 		}},
 		"all started": {"fall-over", func(k *checker, out []Action) []Action {
 			for _, s := range k.live {
-				if s.state == held {
+				if s.state == queued {
 					out = append(out, Action{Kind: ActionStart, Request: s.id})
 				}
 			}
@@ -567,7 +567,7 @@
 		}},
 		"calls past the share": {"fall-over", func(k *checker, out []Action) []Action {
 			for _, s := range k.live {
-				if s.state == blocked && !s.answered && !s.callUnproven {
+				if s.state == awaitingCall && !s.answered && !s.callUnproven {
 					out = append(out, Action{Kind: ActionPlaceCall, Request: s.id, Duration: time.Millisecond})
 				}
 			}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -60,97 +60,97 @@
 // What is built in.
 const (
 	// calls: a best is taken from no fewer, or one short first call would be it for good
-	callFew      = 10
-	maxCalls     = 6    // tries of one call: the layer below may have lost a third of its servers
-	learn        = 0.1  // weight of a new run or call in its mean
-	callLearn    = 0.03 // weight of a new call in the mean of which the best is taken
-	furtherLearn = 0.02 // weight of one arrival in the share of further tries
-	unreadFade   = 0.98 // a period: as its unread line is forgotten, a server off the list returns
-	usualWaits   = 8    // waits remembered: more than callers have habits
-	usualCount   = 3.0  // of about the last 50 arrivals: a wait seen as often is usual
+	minCallSamples      = 10
+	maxCallAttempts     = 6    // tries of one call: the layer below may have lost a third of its servers
+	runTimeWeight       = 0.1  // weight of a new run or call in its mean
+	longCallWeight      = 0.03 // weight of a new call in the mean of which the best is taken
+	arrivalWeight       = 0.02 // weight of one arrival in the share of further tries
+	readDelayDecay      = 0.98 // a period: as its unread line is forgotten, a server off the list returns
+	commonWaitSlots     = 8    // waits remembered: more than callers have habits
+	commonWaitMinWeight = 3.0  // of about the last 50 arrivals: a wait seen as often is usual
 
 	// how late a deadline may be noticed; a third of the usual slack
-	tick      = 20 * time.Millisecond
-	guardTime = tick + tick/4          // answers are given this long before they are due
-	period    = 100 * time.Millisecond // one step of the pool, about a third of a usual run
+	tickInterval  = 20 * time.Millisecond
+	answerMargin  = tickInterval + tickInterval/4 // answers are given this long before they are due
+	controlPeriod = 100 * time.Millisecond        // one step of the pool, about a third of a usual run
 	// a wait in line for a call that counts as want of capacity
-	callJam     = 2 * period
-	callBackoff = 50 * time.Millisecond  // before a call that was turned away is tried again
-	walkTime    = 30 * time.Millisecond  // a wait further off a caller's usual tells a further try
-	stopGuard   = 200 * time.Millisecond // answers are out this long before the process is stopped
+	callCongestionDelay = 2 * controlPeriod
+	callBackoff         = 50 * time.Millisecond  // before a call that was turned away is tried again
+	waitTolerance       = 30 * time.Millisecond  // a wait further off a caller's usual tells a further try
+	stopMargin          = 200 * time.Millisecond // answers are out this long before the process is stopped
 	// design page: callers heard in about so long share the pool
-	heardFor     = time.Second
-	callerPlaces = 2048 // callers told apart
-	heardSlots   = int(heardFor/period) + 1
+	callerActiveTime = time.Second
+	callerTableSize  = 2048 // callers told apart
+	callerSlots      = int(callerActiveTime/controlPeriod) + 1
 	// of a tenant's rate that may come at once and be in its share
-	quotaBurst  = 2 * time.Second
-	returnShare = 0.5 // of arrivals: with fewer returning in time, keep short
+	quotaBurst        = 2 * time.Second
+	minReturningShare = 0.5 // of arrivals: with fewer returning in time, keep short
 	// of arrivals: with so many turned away no other server has room
-	turnedAll = 0.5
+	fullRejectedShare = 0.5
 	// idle connections take cores; as much by then as a new one
-	idleKeep  = 5 * time.Second
-	idleShort = 200 * time.Millisecond // where callers seldom return in time for that
+	defaultIdleTimeout = 5 * time.Second
+	shortIdleTimeout   = 200 * time.Millisecond // where callers seldom return in time for that
 )
 
 type state uint8
 
 const (
-	held    state = iota
-	running       // on the cores, or waiting for disk
-	blocked       // at a call that is not placed yet
-	calling       // its call is out
-	joined        // waits for the run of another of its subject
-	reusing       // answered from the result of another request
+	queued         state = iota
+	running              // on the cores, or waiting for disk
+	awaitingCall         // at a call that is not placed yet
+	inCall               // its call is out
+	awaitingResult       // waits for the run of another of its subject
+	reusingResult        // answered from the result of another request
 )
 
 // request is what the module knows of one request until its run is over.
 type request struct {
-	id                       uint64
-	class, tries, sharers    int // sharers: how many wait for its result
-	state                    state
-	answered, ran, kept      bool
-	walked, read             bool
-	origin                   *request // whose result it waits for
-	arrived, due, aim, began time.Duration
-	callAt, keptTo           time.Duration // no call before the one, key remembered to the other
-	hint                     time.Duration
-	sizeKB                   float64
-}
-
-// hold is the line of held requests of one class, as they were read, and what is known of the
+	id                                        uint64
+	class, callAttempts, waiters              int // sharers: how many wait for its result
+	state                                     state
+	answered, mayHaveRun, keyRemembered       bool
+	retried, shareable                        bool
+	resultSource                              *request // whose result it waits for
+	arrived, deadline, objectiveAt, startedAt time.Duration
+	nextCallAt, keyExpiresAt                  time.Duration // no call before the one, key remembered to the other
+	expectedWork                              time.Duration
+	sizeKB                                    float64
+}
+
+// classQueue is the line of held requests of one class, as they were read, and what is known of the
 // class's runs.
-type hold struct {
-	line []*request
-	mean float64    // seconds that a run takes
-	hint float64    // mean hint of those runs, in seconds
-	keys []*request // whose keys are remembered, oldest first
+type classQueue struct {
+	requests         []*request
+	meanRunTime      float64    // seconds that a run takes
+	meanExpectedWork float64    // mean hint of those runs, in seconds
+	keyExpiry        []*request // whose keys are remembered, oldest first
 }
 
-// wait is a share of the deadline that first tries wait at some callers, and how often it was seen
+// commonWait is a share of the deadline that first tries wait at some callers, and how often it was seen
 // of late.
-type wait struct{ part, count float64 }
+type commonWait struct{ fraction, weight float64 }
 
 // Controller decides for one server. It is not safe for concurrent use: Handle is called from one
 // goroutine.
 type Controller struct {
-	set            Settings
-	fig            Parameters
+	settings       Settings
+	parameters     Parameters
 	requests       map[uint64]*request
-	holds          []hold
-	busy           []*request                  // running, at a call, joined or reusing
-	callLine       []*request                  // blocked, in order
-	callers        [callerPlaces]time.Duration // when each was last heard, by part of its number
-	buckets        []float64                   // tokens of each tenant
+	queues         []classQueue
+	executing      []*request                     // running, at a call, joined or reusing
+	callLine       []*request                     // blocked, in order
+	callers        [callerTableSize]time.Duration // when each was last heard, by part of its number
+	quotaTokens    []float64                      // tokens of each tenant
 	lingering      []time.Duration
-	fresh          map[uint64]*request // reads that ended well and whose result may still be shared
-	usual          [usualWaits]wait
-	slots          [heardSlots]int // callers by when they were last heard
-	slotAt, heardN int             // the slot of now, and the sum of all
-
-	begun, draining, overloaded, unfit bool
-	born, now, periodAt, trimmed       time.Duration
-	drainAt, stopAt, paidAt            time.Duration
-	pool, said                         float64
+	reusable       map[uint64]*request // reads that ended well and whose result may still be shared
+	usual          [commonWaitSlots]commonWait
+	slots          [callerSlots]int // callers by when they were last heard
+	slotAt, heardN int              // the slot of now, and the sum of all
+
+	started, draining, overloaded, unhealthy bool
+	startedAt, now, periodStart, idleTimeout time.Duration
+	drainAt, stopAt, paidAt                  time.Duration
+	pool, said                               float64
 	// shares: callers heard, further, refused; how full others are
 	returns, further, turned, crowded float64
 	// mean unread wait in ns; arrivals of late and in all
@@ -165,7 +165,7 @@
 	calls, callMean             float64
 	callLong, callVar, callBest float64 // over longer, its spread, and the lowest it may be
 	memoryKB                    float64
-	out                         []Action
+	actions                     []Action
 }
 
 // New returns a controller for a server that starts now. It reports a setting that it cannot do
@@ -180,17 +180,17 @@
 			aim = max(aim, c.LatencyObjective.Seconds())
 		}
 	}
-	c := &Controller{set: s, requests: map[uint64]*request{}, fresh: map[uint64]*request{},
-		holds: make([]hold, len(s.Classes)), buckets: make([]float64, len(s.Tenants)), said: -1}
+	c := &Controller{settings: s, requests: map[uint64]*request{}, reusable: map[uint64]*request{},
+		queues: make([]classQueue, len(s.Classes)), quotaTokens: make([]float64, len(s.Tenants)), said: -1}
 	var err error
-	if c.fig, err = s.Parameters.or(defaultParameters); err != nil {
+	if c.parameters, err = s.Parameters.orDefault(defaultParameters); err != nil {
 		return nil, err
 	}
-	for i := range c.buckets {
-		c.buckets[i] = c.quota(i) * quotaBurst.Seconds()
+	for i := range c.quotaTokens {
+		c.quotaTokens[i] = c.tenantQuota(i) * quotaBurst.Seconds()
 	}
 	c.pool = float64(s.Cores)
-	c.callMost = max(min(s.CallQuota-aim/over, c.fig.CallQuotaShare*s.CallQuota), c.fig.MinCallQuotaShare*s.CallQuota)
+	c.callMost = max(min(s.CallQuota-aim/over, c.parameters.CallQuotaShare*s.CallQuota), c.parameters.MinCallQuotaShare*s.CallQuota)
 	c.callStock = (s.CallQuota - c.callMost) / 2 * over // as much again may be overdrawn
 	c.callLimit = max(c.callMost, 1)
 	return c, nil
@@ -198,17 +198,17 @@
 
 // Handle takes what happened up to now and appends what is to be done to out.
 func (c *Controller) Handle(now time.Duration, events []Event, out []Action) []Action {
-	c.out, c.now = out, max(now, c.now)
-	c.payCalls()
-	if !c.begun {
-		c.begin()
+	c.actions, c.now = out, max(now, c.now)
+	c.accountCallTime()
+	if !c.started {
+		c.onStart()
 	}
 	for i := range events {
-		c.event(&events[i])
+		c.handleEvent(&events[i])
 	}
 	c.placeCalls()
 	c.dispatch()
-	out, c.out = c.out, nil
+	out, c.actions = c.actions, nil
 	return out
 }
 
@@ -222,278 +222,278 @@
 	}
 	same := func(a, b Class) bool { return a.Name == b.Name && a.Idempotency == b.Idempotency }
 	named := func(a, b Tenant) bool { return a.Name == b.Name }
-	n := len(c.holds)
-	if len(s.Classes) < n || !slices.EqualFunc(s.Classes[:n], c.set.Classes, same) ||
-		!slices.EqualFunc(s.Tenants, c.set.Tenants, named) || s.Cores != c.set.Cores ||
-		s.KeyMemoryKB != c.set.KeyMemoryKB || s.RunningMemoryFactor != c.set.RunningMemoryFactor ||
-		s.CreditMode != c.set.CreditMode || s.Dependency != c.set.Dependency {
+	n := len(c.queues)
+	if len(s.Classes) < n || !slices.EqualFunc(s.Classes[:n], c.settings.Classes, same) ||
+		!slices.EqualFunc(s.Tenants, c.settings.Tenants, named) || s.Cores != c.settings.Cores ||
+		s.KeyMemoryKB != c.settings.KeyMemoryKB || s.RunningMemoryFactor != c.settings.RunningMemoryFactor ||
+		s.CreditMode != c.settings.CreditMode || s.Dependency != c.settings.Dependency {
 		return fmt.Errorf("admission: other classes, tenants, cores or another way of working need a restart")
 	}
-	c.holds = append(c.holds, make([]hold, len(s.Classes)-n)...)
-	s.WarmingUp = c.set.WarmingUp // it tells of the start
-	c.set, c.fig, c.callMost, c.callStock = s, fresh.fig, fresh.callMost, fresh.callStock
+	c.queues = append(c.queues, make([]classQueue, len(s.Classes)-n)...)
+	s.WarmingUp = c.settings.WarmingUp // it tells of the start
+	c.settings, c.parameters, c.callMost, c.callStock = s, fresh.parameters, fresh.callMost, fresh.callStock
 	return nil
 }
 
-func (c *Controller) begin() {
-	c.begun, c.born, c.periodAt, c.returns = true, c.now, c.now, 1
-	c.act(Action{Kind: ActionSetHealth, Static: true, Healthy: true})
-	c.trim(1)
+func (c *Controller) onStart() {
+	c.started, c.startedAt, c.periodStart, c.returns = true, c.now, c.now, 1
+	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: true})
+	c.adjustIdleTimeout(1)
 	c.advertise()
-	c.act(Action{Kind: ActionTimer, Duration: tick})
+	c.emit(Action{Kind: ActionTimer, Duration: tickInterval})
 }
 
-func (c *Controller) act(a Action) { c.out = append(c.out, a) }
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Controller) log(text string) { c.act(Action{Kind: ActionLog, Text: "admission: " + text}) }
+func (c *Controller) log(text string) { c.emit(Action{Kind: ActionLog, Text: "admission: " + text}) }
 
-func (c *Controller) event(e *Event) {
+func (c *Controller) handleEvent(e *Event) {
 	switch r := c.requests[e.Request]; {
 	case e.Kind == EventRequest:
-		c.arrive(e)
+		c.onArrival(e)
 	case e.Kind == EventTimer:
-		c.timer(e)
+		c.onTimer(e)
 	case e.Kind == EventDrain:
-		c.drain(e)
+		c.onDrain(e)
 	case r == nil:
 	case e.Kind == EventCompleted:
-		c.done(r, e)
+		c.onCompleted(r, e)
 	case e.Kind == EventBlocked:
 		if r.state == running {
 			c.onCores--
 			c.load--
 			c.atCalls++
-			r.state, r.tries, r.callAt = blocked, 0, c.now
+			r.state, r.callAttempts, r.nextCallAt = awaitingCall, 0, c.now
 			c.callLine = append(c.callLine, r)
 		}
 	case e.Kind == EventCallCompleted:
-		c.called(r, e)
+		c.onCallCompleted(r, e)
 	case e.Kind == EventAbandoned:
 		c.release(r)
 	}
 }
 
-// arrive decides on a request that was just read: repeat, refuse, or hold.
-func (c *Controller) arrive(e *Event) {
+// onArrival decides on a request that was just read: repeat, refuse, or hold.
+func (c *Controller) onArrival(e *Event) {
 	if c.requests[e.Request] != nil {
 		return
 	}
-	c.heard(e.Caller)
+	c.onCallerHeard(e.Caller)
 	c.readNow, c.readAll = c.readNow+1, c.readAll+1
-	r := &request{id: e.Request, hint: e.ExpectedWork, arrived: c.now - max(e.QueueingDelay, 0)}
+	r := &request{id: e.Request, expectedWork: e.ExpectedWork, arrived: c.now - max(e.QueueingDelay, 0)}
 	if r.sizeKB = e.SizeKB; !(r.sizeKB > 0) || math.IsInf(r.sizeKB, 0) {
 		r.sizeKB = 0
 	}
 	c.requests[r.id] = r
 	c.memoryKB += r.sizeKB
-	c.unread += learn * (float64(c.now-r.arrived) - c.unread)
-	if r.due = c.now; e.Class >= 0 && e.Class < len(c.holds) { // one of no class is shut out below
-		r.class, r.due = e.Class, e.Deadline
-	}
-	class := &c.set.Classes[r.class]
-	if r.due <= 0 {
-		r.due = r.arrived + class.Timeout
-	}
-	age := c.age(r.class, r.due-r.arrived)
-	r.walked = e.Retry || !c.set.MarksRetries && age > 0
-	r.aim = r.arrived + class.LatencyObjective + time.Duration(class.ObjectiveWorkFactor*float64(r.hint))
-	if r.walked {
-		r.aim -= age
-	}
-	r.aim = min(r.aim, r.due)
-	c.push(r)
+	c.unread += runTimeWeight * (float64(c.now-r.arrived) - c.unread)
+	if r.deadline = c.now; e.Class >= 0 && e.Class < len(c.queues) { // one of no class is shut out below
+		r.class, r.deadline = e.Class, e.Deadline
+	}
+	class := &c.settings.Classes[r.class]
+	if r.deadline <= 0 {
+		r.deadline = r.arrived + class.Timeout
+	}
+	age := c.requestAge(r.class, r.deadline-r.arrived)
+	r.retried = e.Retry || !c.settings.MarksRetries && age > 0
+	r.objectiveAt = r.arrived + class.LatencyObjective + time.Duration(class.ObjectiveWorkFactor*float64(r.expectedWork))
+	if r.retried {
+		r.objectiveAt -= age
+	}
+	r.objectiveAt = min(r.objectiveAt, r.deadline)
+	c.enqueue(r)
 	// what it repeats may have run: never started nor refused
-	r.ran = e.PriorRequest != 0 && class.Idempotency == IdempotentWithKey
-	shut := c.late(r) || c.memoryKB > c.fig.QueueMemoryShare*c.set.MemoryKB || r.due <= c.now+guardTime
-	r.read = class.Idempotency == Idempotent && e.Key != 0 && !e.Write && c.set.ResultMaxAge > 0
+	r.mayHaveRun = e.PriorRequest != 0 && class.Idempotency == IdempotentWithKey
+	shut := c.arrivedAfterDrain(r) || c.memoryKB > c.parameters.QueueMemoryShare*c.settings.MemoryKB || r.deadline <= c.now+answerMargin
+	r.shareable = class.Idempotency == Idempotent && e.Key != 0 && !e.Write && c.settings.ResultMaxAge > 0
 	switch {
 	case shut:
-		c.refuse(r, 0, false, c.shutOut(r))
-	case r.ran:
-		c.reuse(r)
-	case !(r.read && c.join(r, e.PriorRequest)):
+		c.reject(r, 0, false, c.rejectionOnRead(r))
+	case r.mayHaveRun:
+		c.reuseResult(r)
+	case !(r.shareable && c.joinRun(r, e.PriorRequest)):
 		c.admit(r, e)
 	}
 }
 
-// shutOut is why a request is not taken in.
-func (c *Controller) shutOut(r *request) Action {
+// rejectionOnRead is why a request is not taken in.
+func (c *Controller) rejectionOnRead(r *request) Action {
 	switch {
-	case c.late(r):
-		return why(CauseDraining, (r.arrived - c.drainAt).Seconds(), c.set.DrainGrace.Seconds())
-	case c.memoryKB > c.fig.QueueMemoryShare*c.set.MemoryKB:
-		return why(CauseMemory, c.memoryKB, c.fig.QueueMemoryShare*c.set.MemoryKB)
+	case c.arrivedAfterDrain(r):
+		return because(CauseDraining, (r.arrived - c.drainAt).Seconds(), c.settings.DrainGrace.Seconds())
+	case c.memoryKB > c.parameters.QueueMemoryShare*c.settings.MemoryKB:
+		return because(CauseMemory, c.memoryKB, c.parameters.QueueMemoryShare*c.settings.MemoryKB)
 	}
-	return why(CauseDeadlineTooNear, (r.due - c.now).Seconds(), guardTime.Seconds())
+	return because(CauseDeadlineTooNear, (r.deadline - c.now).Seconds(), answerMargin.Seconds())
 }
 
-// late reports whether r came after the drain's grace, so that it must not start; a repeat does not
+// arrivedAfterDrain reports whether r came after the drain's grace, so that it must not start; a repeat does not
 // start.
-func (c *Controller) late(r *request) bool {
-	return c.draining && !r.ran && r.arrived > c.drainAt+c.set.DrainGrace
+func (c *Controller) arrivedAfterDrain(r *request) bool {
+	return c.draining && !r.mayHaveRun && r.arrived > c.drainAt+c.settings.DrainGrace
 }
 
 // admit refuses an arrival past twice the delay target, without hope, or past a tenant's share
 // under load.
 func (c *Controller) admit(r *request, e *Event) {
-	class := &c.set.Classes[r.class]
-	delay, target := max(c.delay(r.class), c.now-r.arrived), c.target(r.class)
-	c.further, c.turned = c.further*(1-furtherLearn), c.turned*(1-furtherLearn)
-	if r.walked {
-		c.further += furtherLearn
+	class := &c.settings.Classes[r.class]
+	delay, target := max(c.queueingDelay(r.class), c.now-r.arrived), c.delayTarget(r.class)
+	c.further, c.turned = c.further*(1-arrivalWeight), c.turned*(1-arrivalWeight)
+	if r.retried {
+		c.further += arrivalWeight
 	}
 	if e.Retry { // it may have failed for being long, and a storm must not crowd out first tries
-		target = time.Duration(c.fig.RetryTargetShare * max(1-c.further/c.fig.RetryStormShare, 0) * float64(target))
+		target = time.Duration(c.parameters.RetryTargetShare * max(1-c.further/c.parameters.RetryStormShare, 0) * float64(target))
 	}
 	switch {
 	// The dependency is the same wherever a caller walks to. What needs none of it is to come all
 	// the same.
-	case class.CallsDependency && !(c.cpu > c.fig.BusyCPU) &&
-		float64(c.ahead(r.class)) > c.fig.CallQueueShare*float64(class.LatencyObjective):
-		w := why(CauseCallQueue, c.ahead(r.class).Seconds(), c.fig.CallQueueShare*class.LatencyObjective.Seconds())
-		c.refuse(r, 0, true, w)
-	case c.full(r.class) && float64(delay) > c.fig.RejectDelayFactor*float64(target):
-		w := why(CauseQueueingDelay, delay.Seconds(), c.fig.RejectDelayFactor*target.Seconds())
-		c.refuse(r, delay-target, r.walked || c.further > c.fig.FewRetriesShare || c.crowded >= 1, w)
-	case c.full(r.class) && c.hopeless(r, c.wait(r)):
-		c.refuse(r, 0, r.walked || c.further > c.fig.FewRetriesShare || c.crowded >= 1, why(CauseObjectiveUnreachable, 0, 0))
-	case !c.spend(e.Tenant) && c.full(r.class) && delay > target:
-		c.refuse(r, 0, true, why(CauseQuota, delay.Seconds(), target.Seconds()))
+	case class.CallsDependency && !(c.cpu > c.parameters.BusyCPU) &&
+		float64(c.estimatedCallWait(r.class)) > c.parameters.CallQueueShare*float64(class.LatencyObjective):
+		w := because(CauseCallQueue, c.estimatedCallWait(r.class).Seconds(), c.parameters.CallQueueShare*class.LatencyObjective.Seconds())
+		c.reject(r, 0, true, w)
+	case c.saturated(r.class) && float64(delay) > c.parameters.RejectDelayFactor*float64(target):
+		w := because(CauseQueueingDelay, delay.Seconds(), c.parameters.RejectDelayFactor*target.Seconds())
+		c.reject(r, delay-target, r.retried || c.further > c.parameters.FewRetriesShare || c.crowded >= 1, w)
+	case c.saturated(r.class) && c.missesObjective(r, c.queueWait(r)):
+		c.reject(r, 0, r.retried || c.further > c.parameters.FewRetriesShare || c.crowded >= 1, because(CauseObjectiveUnreachable, 0, 0))
+	case !c.takeQuotaToken(e.Tenant) && c.saturated(r.class) && delay > target:
+		c.reject(r, 0, true, because(CauseQuota, delay.Seconds(), target.Seconds()))
 	default:
-		c.keep(r)
+		c.rememberKey(r)
 	}
 }
 
-// delay is the oldest held wait of a class, its unread time included, and the wait in line for a
+// queueingDelay is the oldest held wait of a class, its unread time included, and the wait in line for a
 // call.
-func (c *Controller) delay(class int) (wait time.Duration) {
-	if c.set.Classes[class].CallsDependency {
-		wait = c.callWait()
+func (c *Controller) queueingDelay(class int) (wait time.Duration) {
+	if c.settings.Classes[class].CallsDependency {
+		wait = c.callQueueDelay()
 	}
-	if line := c.holds[class].line; len(line) > 0 {
+	if line := c.queues[class].requests; len(line) > 0 {
 		wait += c.now - line[0].arrived
 	}
 	return wait
 }
 
-// target is the class's delay target: a share of what its aim leaves beside the run.
-func (c *Controller) target(class int) time.Duration {
-	aim := c.set.Classes[class].LatencyObjective
-	run := time.Duration(c.holds[class].mean * float64(time.Second))
-	share := c.fig.MinDelayTargetShare + (c.fig.DelayTargetShare-c.fig.MinDelayTargetShare)*c.crowded
+// delayTarget is the class's delay target: a share of what its aim leaves beside the run.
+func (c *Controller) delayTarget(class int) time.Duration {
+	aim := c.settings.Classes[class].LatencyObjective
+	run := time.Duration(c.queues[class].meanRunTime * float64(time.Second))
+	share := c.parameters.MinDelayTargetShare + (c.parameters.DelayTargetShare-c.parameters.MinDelayTargetShare)*c.crowded
 	return time.Duration(share * float64(max(aim-run, aim/4)))
 }
 
-// expected is how long r would run, from the runs of its class.
-func (c *Controller) expected(r *request) time.Duration {
-	h := &c.holds[r.class]
-	took := h.mean
+// expectedRunTime is how long r would run, from the runs of its class.
+func (c *Controller) expectedRunTime(r *request) time.Duration {
+	h := &c.queues[r.class]
+	took := h.meanRunTime
 	// a part of every run is waiting, so half of it does not grow with the hint
-	if r.hint > 0 && h.hint > 0 {
-		took *= (1 + r.hint.Seconds()/h.hint) / 2
+	if r.expectedWork > 0 && h.meanExpectedWork > 0 {
+		took *= (1 + r.expectedWork.Seconds()/h.meanExpectedWork) / 2
 	}
 	return time.Duration(min(took, 1e6) * float64(time.Second))
 }
 
-// wait is how long those held beside r take to start: what has no hope is told so while others have
+// commonWait is how long those held beside r take to start: what has no hope is told so while others have
 // room.
-func (c *Controller) wait(r *request) time.Duration {
-	work := -c.holds[r.class].mean // it is held itself
-	for i := range c.holds {
-		work += float64(len(c.holds[i].line)) * c.holds[i].mean
+func (c *Controller) queueWait(r *request) time.Duration {
+	work := -c.queues[r.class].meanRunTime // it is held itself
+	for i := range c.queues {
+		work += float64(len(c.queues[i].requests)) * c.queues[i].meanRunTime
 	}
-	return time.Duration(work / float64(max(c.onCores+c.atCalls, c.set.Cores)) * float64(time.Second))
+	return time.Duration(work / float64(max(c.onCores+c.atCalls, c.settings.Cores)) * float64(time.Second))
 }
 
-// hopeless reports that r, if it waits for so long, cannot be answered while its answer has worth.
-func (c *Controller) hopeless(r *request, wait time.Duration) bool {
-	if !c.full(r.class) { // a guess must not turn work away where there is room for it
-		return r.due <= c.now+guardTime
+// missesObjective reports that r, if it waits for so long, cannot be answered while its answer has worth.
+func (c *Controller) missesObjective(r *request, wait time.Duration) bool {
+	if !c.saturated(r.class) { // a guess must not turn work away where there is room for it
+		return r.deadline <= c.now+answerMargin
 	}
-	end := r.due - guardTime
-	if c.set.Classes[r.class].LateWeightFraction == 0 {
-		end = min(end, r.aim)
+	end := r.deadline - answerMargin
+	if c.settings.Classes[r.class].LateWeightFraction == 0 {
+		end = min(end, r.objectiveAt)
 	}
-	run := float64(c.expected(r))
-	if c.set.Cancel == CancelNone { // what turns out to be late takes its cores to the end
-		run *= c.fig.StartMarginFactor
+	run := float64(c.expectedRunTime(r))
+	if c.settings.Cancel == CancelNone { // what turns out to be late takes its cores to the end
+		run *= c.parameters.StartMarginFactor
 	}
 	return c.now+wait+time.Duration(run) > end
 }
 
-// lost reports that r, hopeless here, is so elsewhere: others are full too, or less than a run is
+// retryIsFutile reports that r, hopeless here, is so elsewhere: others are full too, or less than a run is
 // left.
-func (c *Controller) lost(r *request) bool {
-	return c.crowded > c.fig.FewRetriesShare || r.aim < c.now+c.expected(r)
+func (c *Controller) retryIsFutile(r *request) bool {
+	return c.crowded > c.parameters.FewRetriesShare || r.objectiveAt < c.now+c.expectedRunTime(r)
 }
 
-// quota is a tenant's part of this server, in requests a second.
-func (c *Controller) quota(tenant int) float64 {
-	return c.set.Tenants[tenant].QuotaRate / float64(max(c.set.Servers, 1))
+// tenantQuota is a tenant's part of this server, in requests a second.
+func (c *Controller) tenantQuota(tenant int) float64 {
+	return c.settings.Tenants[tenant].QuotaRate / float64(max(c.settings.Servers, 1))
 }
 
-// spend takes a token of a tenant's share, and reports whether there was one; without shares there
+// takeQuotaToken takes a token of a tenant's share, and reports whether there was one; without shares there
 // is.
-func (c *Controller) spend(tenant int) bool {
-	if tenant < 0 || tenant >= len(c.buckets) || c.set.Tenants[tenant].QuotaRate <= 0 {
+func (c *Controller) takeQuotaToken(tenant int) bool {
+	if tenant < 0 || tenant >= len(c.quotaTokens) || c.settings.Tenants[tenant].QuotaRate <= 0 {
 		return true
 	}
-	if c.buckets[tenant] < 1 {
+	if c.quotaTokens[tenant] < 1 {
 		return false
 	}
-	c.buckets[tenant]--
+	c.quotaTokens[tenant]--
 	return true
 }
 
-// heard counts a caller among those that share the pool, and notes whether it returned within
-// idleKeep.
-func (c *Controller) heard(id uint32) {
-	last := c.callers[id%callerPlaces]
-	c.callers[id%callerPlaces] = c.now
-	c.countCallers()
-	if slot := int(last / period); last > 0 && slot > c.slotAt-heardSlots {
-		c.slots[slot%heardSlots]--
+// onCallerHeard counts a caller among those that share the pool, and notes whether it returned within
+// defaultIdleTimeout.
+func (c *Controller) onCallerHeard(id uint32) {
+	last := c.callers[id%callerTableSize]
+	c.callers[id%callerTableSize] = c.now
+	c.expireCallers()
+	if slot := int(last / controlPeriod); last > 0 && slot > c.slotAt-callerSlots {
+		c.slots[slot%callerSlots]--
 		c.heardN--
 	}
-	c.slots[c.slotAt%heardSlots]++
+	c.slots[c.slotAt%callerSlots]++
 	c.heardN++
-	c.returns *= 1 - furtherLearn
-	if last > 0 && c.now-last < idleKeep {
-		c.returns += furtherLearn
+	c.returns *= 1 - arrivalWeight
+	if last > 0 && c.now-last < defaultIdleTimeout {
+		c.returns += arrivalWeight
 	}
 }
 
-// age tells from the time left how long ago a request was first tried. First tries wait the same
+// requestAge tells from the time left how long ago a request was first tried. First tries wait the same
 // share of the deadline at all callers of one habit, so that few shares come again and again,
 // whoever calls; further tries have a little less than one of these or, where tries are cut short,
 // what is left of the client's patience. It guards against late work that looks fresh. Where waits
 // vary by themselves none is usual.
-func (c *Controller) age(class int, left time.Duration) time.Duration {
-	deadline := float64(c.set.Classes[class].Timeout)
-	near, part := float64(walkTime)/deadline, float64(left)/deadline
+func (c *Controller) requestAge(class int, left time.Duration) time.Duration {
+	deadline := float64(c.settings.Classes[class].Timeout)
+	near, part := float64(waitTolerance)/deadline, float64(left)/deadline
 	match, least, known, above := -1, 0, false, math.Inf(1)
 	for i := range c.usual {
 		w := &c.usual[i]
-		w.count *= 1 - furtherLearn
-		if w.count < c.usual[least].count {
+		w.weight *= 1 - arrivalWeight
+		if w.weight < c.usual[least].weight {
 			least = i
 		}
-		if math.Abs(w.part-part) < near && (match < 0 || w.count > c.usual[match].count) {
+		if math.Abs(w.fraction-part) < near && (match < 0 || w.weight > c.usual[match].weight) {
 			match = i
 		}
-		if w.count >= usualCount {
+		if w.weight >= commonWaitMinWeight {
 			known = true
-			if w.part > part {
-				above = min(above, w.part)
+			if w.fraction > part {
+				above = min(above, w.fraction)
 			}
 		}
 	}
 	if match < 0 {
 		match = least
-		c.usual[least] = wait{part: part}
+		c.usual[least] = commonWait{fraction: part}
 	}
-	c.usual[match].count++
-	if !known || c.usual[match].count >= usualCount {
+	c.usual[match].weight++
+	if !known || c.usual[match].weight >= commonWaitMinWeight {
 		return 0
 	}
 	return time.Duration((min(above, max(part, 1)) - part) * deadline)
@@ -505,7 +505,7 @@
 		return
 	}
 	a.Request = r.id
-	c.act(a)
+	c.emit(a)
 	c.release(r)
 }
 
@@ -517,29 +517,29 @@
 	}
 	r.answered = true
 	switch r.state {
-	case held, joined, reusing:
-		c.forget(r)
+	case queued, awaitingResult, reusingResult:
+		c.forgetKey(r)
 		c.remove(r)
 	case running:
-		if c.set.Cancel != CancelNone && r.sharers == 0 {
-			c.learn(r) // or the mean would fall with each run stopped for being long
-			c.act(Action{Kind: ActionCancel, Request: r.id})
+		if c.settings.Cancel != CancelNone && r.waiters == 0 {
+			c.recordRunTime(r) // or the mean would fall with each run stopped for being long
+			c.emit(Action{Kind: ActionCancel, Request: r.id})
 		}
-	case blocked:
-		c.resume(r)
+	case awaitingCall:
+		c.resumeAfterCall(r)
 	default: // its call is in the dependency's hands until its end, or that of its run, is reported
 	}
 }
 
-// refuse turns a held request away. What ran, or waits for what ran, is failed: an effect is never
+// reject turns a held request away. What ran, or waits for what ran, is failed: an effect is never
 // refused.
-func (c *Controller) refuse(r *request, away time.Duration, last bool, w Action) {
-	if r.state != held || r.ran {
+func (c *Controller) reject(r *request, away time.Duration, last bool, w Action) {
+	if r.state != queued || r.mayHaveRun {
 		c.fail(r, w)
 		return
 	}
-	c.turned, away = c.turned+furtherLearn, max(away, tick) // a client is told when to come back
-	w.Kind, w.Duration, w.NoRetry = ActionReject, min(away, c.set.MaxRetryAfter), last
+	c.turned, away = c.turned+arrivalWeight, max(away, tickInterval) // a client is told when to come back
+	w.Kind, w.Duration, w.NoRetry = ActionReject, min(away, c.settings.MaxRetryAfter), last
 	c.answer(r, w)
 }
 
@@ -548,48 +548,48 @@
 	c.answer(r, w)
 }
 
-// start is the one place that starts a request.
-func (c *Controller) start(r *request) bool {
-	memory := c.memoryKB + r.sizeKB*(c.set.RunningMemoryFactor-1)
-	if r.state != held || r.ran || r.answered || c.late(r) || memory > c.fig.RunMemoryShare*c.set.MemoryKB {
+// startRun is the one place that starts a request.
+func (c *Controller) startRun(r *request) bool {
+	memory := c.memoryKB + r.sizeKB*(c.settings.RunningMemoryFactor-1)
+	if r.state != queued || r.mayHaveRun || r.answered || c.arrivedAfterDrain(r) || memory > c.parameters.RunMemoryShare*c.settings.MemoryKB {
 		return false
 	}
-	c.unlink(&c.holds[r.class].line, r)
+	c.removeFrom(&c.queues[r.class].requests, r)
 	c.memoryKB = memory
-	r.state, r.ran, r.began = running, true, c.now
-	c.busy = append(c.busy, r)
+	r.state, r.mayHaveRun, r.startedAt = running, true, c.now
+	c.executing = append(c.executing, r)
 	c.onCores++
 	c.load++
-	c.act(Action{Kind: ActionStart, Request: r.id})
+	c.emit(Action{Kind: ActionStart, Request: r.id})
 	return true
 }
 
 // dispatch starts held requests as far as pool, cores and memory allow.
 func (c *Controller) dispatch() {
-	c.serveJoined()
+	c.reuseResults()
 	for {
-		r := c.next()
+		r := c.nextQueued()
 		if r == nil {
 			return
 		}
-		if c.hopeless(r, 0) {
-			c.refuse(r, 0, c.lost(r), why(CauseObjectiveUnreachable, 0, 0))
+		if c.missesObjective(r, 0) {
+			c.reject(r, 0, c.retryIsFutile(r), because(CauseObjectiveUnreachable, 0, 0))
 			continue
 		}
-		if !c.room() || !c.start(r) {
+		if !c.hasRoom() || !c.startRun(r) {
 			return
 		}
 	}
 }
 
-// next is the held request to start: that of the longest wait, in which each second counts by the
+// nextQueued is the held request to start: that of the longest wait, in which each second counts by the
 // worth.
-func (c *Controller) next() *request {
+func (c *Controller) nextQueued() *request {
 	var best *request
 	most := -1.0
-	for i := range c.holds {
-		if line := c.holds[i].line; len(line) > 0 && !c.jammed(i) {
-			if w := float64(c.now-line[0].arrived) * c.set.Classes[i].PriorityWeight; w > most {
+	for i := range c.queues {
+		if line := c.queues[i].requests; len(line) > 0 && !c.callsCongested(i) {
+			if w := float64(c.now-line[0].arrived) * c.settings.Classes[i].PriorityWeight; w > most {
 				best, most = line[0], w
 			}
 		}
@@ -597,202 +597,202 @@
 	return best
 }
 
-// room reports whether one more may run: up to the cores always, up to the pool while a core is
+// hasRoom reports whether one more may run: up to the cores always, up to the pool while a core is
 // free.
-func (c *Controller) room() bool {
-	crowd := c.crowd()
+func (c *Controller) hasRoom() bool {
+	crowd := c.runningLimit()
 	all := float64(c.onCores + c.atCalls + c.sharing + 1) // calls may all return at once
-	if float64(c.onCores+c.sharing+1) > crowd || all > crowd/c.fig.RunningLimitShare {
+	if float64(c.onCores+c.sharing+1) > crowd || all > crowd/c.parameters.RunningLimitShare {
 		return false
 	}
-	return c.onCores < c.set.Cores || float64(c.onCores) < c.pool && c.load < float64(c.set.Cores)
+	return c.onCores < c.settings.Cores || float64(c.onCores) < c.pool && c.load < float64(c.settings.Cores)
 }
 
-// crowd is the number of running requests that the server, as cold as it may be, outlives with
+// runningLimit is the number of running requests that the server, as cold as it may be, outlives with
 // ease.
-func (c *Controller) crowd() float64 {
+func (c *Controller) runningLimit() float64 {
 	share := 1.0
-	if c.set.WarmingUp && c.set.WarmUpTime > 0 {
-		share = min(c.set.WarmUpInitialShare+(1-c.set.WarmUpInitialShare)*float64(c.now-c.born)/float64(c.set.WarmUpTime), 1)
+	if c.settings.WarmingUp && c.settings.WarmUpTime > 0 {
+		share = min(c.settings.WarmUpInitialShare+(1-c.settings.WarmUpInitialShare)*float64(c.now-c.startedAt)/float64(c.settings.WarmUpTime), 1)
 	}
-	return max(float64(c.set.Cores)*(1+(c.set.MaxRunningPerCore-1)*share)*c.fig.RunningLimitShare, 1)
+	return max(float64(c.settings.Cores)*(1+(c.settings.MaxRunningPerCore-1)*share)*c.parameters.RunningLimitShare, 1)
 }
 
-// join lets a read share the run of another of its subject. It costs no run, so delay does not
+// joinRun lets a read share the run of another of its subject. It costs no run, so delay does not
 // refuse it.
-func (c *Controller) join(r *request, prior uint64) bool {
-	o := cmp.Or(c.requests[prior], c.fresh[prior])
-	if o == nil || !o.kept || o.class != r.class {
+func (c *Controller) joinRun(r *request, prior uint64) bool {
+	o := cmp.Or(c.requests[prior], c.reusable[prior])
+	if o == nil || !o.keyRemembered || o.class != r.class {
 		return false
 	}
-	c.unlink(&c.holds[r.class].line, r)
-	r.state, r.origin = joined, o
-	o.sharers++
-	c.busy = append(c.busy, r)
+	c.removeFrom(&c.queues[r.class].requests, r)
+	r.state, r.resultSource = awaitingResult, o
+	o.waiters++
+	c.executing = append(c.executing, r)
 	return true
 }
 
-// part lets those that wait for a read which failed or was dropped run themselves.
-func (c *Controller) part(o *request) {
-	for i := len(c.busy) - 1; o.sharers > 0 && i >= 0; i-- {
-		if r := c.busy[i]; r.origin == o && r.state == joined {
-			c.unlink(&c.busy, r)
-			r.state, r.origin = held, nil
-			line := &c.holds[r.class].line
+// fraction lets those that wait for a read which failed or was dropped run themselves.
+func (c *Controller) detachWaiters(o *request) {
+	for i := len(c.executing) - 1; o.waiters > 0 && i >= 0; i-- {
+		if r := c.executing[i]; r.resultSource == o && r.state == awaitingResult {
+			c.removeFrom(&c.executing, r)
+			r.state, r.resultSource = queued, nil
+			line := &c.queues[r.class].requests
 			*line = slices.Insert(*line, 0, r)
-			c.keep(r)
+			c.rememberKey(r)
 		}
 	}
 }
 
-// serveJoined answers from results that are there, a few at a time: each is on the cores for a
+// reuseResults answers from results that are there, a few at a time: each is on the cores for a
 // while.
-func (c *Controller) serveJoined() {
-	for i := 0; len(c.fresh) > 0 && i < len(c.busy) && float64(c.onCores+c.sharing+1) <= c.crowd(); i++ {
-		if r := c.busy[i]; r.state == joined && c.fresh[r.origin.id] != nil && c.now <= r.origin.keptTo {
-			r.state = reusing
+func (c *Controller) reuseResults() {
+	for i := 0; len(c.reusable) > 0 && i < len(c.executing) && float64(c.onCores+c.sharing+1) <= c.runningLimit(); i++ {
+		if r := c.executing[i]; r.state == awaitingResult && c.reusable[r.resultSource.id] != nil && c.now <= r.resultSource.keyExpiresAt {
+			r.state = reusingResult
 			c.sharing++
-			c.act(Action{Kind: ActionReuseResult, Request: r.id})
+			c.emit(Action{Kind: ActionReuseResult, Request: r.id})
 		}
 	}
 }
 
-// reuse answers r from the request that it repeats.
-func (c *Controller) reuse(r *request) {
-	c.unlink(&c.holds[r.class].line, r)
-	r.state = reusing
-	c.busy = append(c.busy, r)
-	c.act(Action{Kind: ActionReuseResult, Request: r.id})
+// reuseResult answers r from the request that it repeats.
+func (c *Controller) reuseResult(r *request) {
+	c.removeFrom(&c.queues[r.class].requests, r)
+	r.state = reusingResult
+	c.executing = append(c.executing, r)
+	c.emit(Action{Kind: ActionReuseResult, Request: r.id})
 }
 
-// keep remembers a keyed request for its whole window, or refuses it for want of memory, and a read
+// rememberKey remembers a keyed request for its whole window, or refuses it for want of memory, and a read
 // to share.
-func (c *Controller) keep(r *request) {
-	class := &c.set.Classes[r.class]
-	scarce := c.memoryKB+c.set.KeyMemoryKB > c.fig.RunMemoryShare*c.set.MemoryKB
+func (c *Controller) rememberKey(r *request) {
+	class := &c.settings.Classes[r.class]
+	scarce := c.memoryKB+c.settings.KeyMemoryKB > c.parameters.RunMemoryShare*c.settings.MemoryKB
 	if class.Idempotency == IdempotentWithKey && scarce {
-		c.refuse(r, 0, false, why(CauseKeyMemory, c.memoryKB, c.fig.RunMemoryShare*c.set.MemoryKB))
-	} else if class.Idempotency == IdempotentWithKey || r.read && !scarce {
-		r.kept = true
-		c.memoryKB += c.set.KeyMemoryKB
-		last := r.due - c.now + c.set.ResultMaxAge
+		c.reject(r, 0, false, because(CauseKeyMemory, c.memoryKB, c.parameters.RunMemoryShare*c.settings.MemoryKB))
+	} else if class.Idempotency == IdempotentWithKey || r.shareable && !scarce {
+		r.keyRemembered = true
+		c.memoryKB += c.settings.KeyMemoryKB
+		last := r.deadline - c.now + c.settings.ResultMaxAge
 		if class.Idempotency == IdempotentWithKey {
 			last = class.IdempotencyWindow
-			c.forgetAt(r, c.now+last)
+			c.scheduleKeyExpiry(r, c.now+last)
 		}
-		c.act(Action{Kind: ActionRememberKey, Request: r.id, Duration: last})
+		c.emit(Action{Kind: ActionRememberKey, Request: r.id, Duration: last})
 	}
 }
 
-// forgetAt lets r's key go at a time that comes later for each next request of the class.
-func (c *Controller) forgetAt(r *request, at time.Duration) {
-	r.keptTo = at
-	c.holds[r.class].keys = append(c.holds[r.class].keys, r)
+// scheduleKeyExpiry lets r's key go at a time that comes later for each next request of the class.
+func (c *Controller) scheduleKeyExpiry(r *request, at time.Duration) {
+	r.keyExpiresAt = at
+	c.queues[r.class].keyExpiry = append(c.queues[r.class].keyExpiry, r)
 }
 
-// expire gives back the memory of keys whose time is over. That of a held request has yet to begin
+// expireKeys gives back the memory of keys whose time is over. That of a held request has yet to begin
 // to count.
-func (c *Controller) expire() {
-	for i := range c.holds {
-		for h := &c.holds[i]; len(h.keys) > 0 && h.keys[0].keptTo < c.now-tick; {
-			r, last := h.keys[0], c.set.Classes[i].IdempotencyWindow
-			if h.keys = h.keys[1:]; r.kept && r.state == held {
-				c.forgetAt(r, c.now+last)
-				c.act(Action{Kind: ActionRememberKey, Request: r.id, Duration: last})
+func (c *Controller) expireKeys() {
+	for i := range c.queues {
+		for h := &c.queues[i]; len(h.keyExpiry) > 0 && h.keyExpiry[0].keyExpiresAt < c.now-tickInterval; {
+			r, last := h.keyExpiry[0], c.settings.Classes[i].IdempotencyWindow
+			if h.keyExpiry = h.keyExpiry[1:]; r.keyRemembered && r.state == queued {
+				c.scheduleKeyExpiry(r, c.now+last)
+				c.emit(Action{Kind: ActionRememberKey, Request: r.id, Duration: last})
 			} else {
-				c.forget(r)
+				c.forgetKey(r)
 			}
 		}
 	}
 }
 
-// forget drops r's key. That of a keyed request goes before it runs or by itself.
-func (c *Controller) forget(r *request) {
-	if !r.kept {
+// forgetKey drops r's key. That of a keyed request goes before it runs or by itself.
+func (c *Controller) forgetKey(r *request) {
+	if !r.keyRemembered {
 		return
 	}
-	r.kept = false
-	c.memoryKB -= c.set.KeyMemoryKB
-	delete(c.fresh, r.id)
-	if r.read || r.state == held {
-		c.act(Action{Kind: ActionForgetKey, Request: r.id})
+	r.keyRemembered = false
+	c.memoryKB -= c.settings.KeyMemoryKB
+	delete(c.reusable, r.id)
+	if r.shareable || r.state == queued {
+		c.emit(Action{Kind: ActionForgetKey, Request: r.id})
 	}
-	c.part(r)
+	c.detachWaiters(r)
 }
 
-// done ends a run.
-func (c *Controller) done(r *request, e *Event) {
-	if r.state == held || r.state == joined {
+// onCompleted ends a run.
+func (c *Controller) onCompleted(r *request, e *Event) {
+	if r.state == queued || r.state == awaitingResult {
 		return
 	}
 	if e.Outcome == OutcomeCancelled && !r.answered { // stopped without an answer: it may not start again
-		c.fail(r, why(CauseCancelled, 0, 0))
+		c.fail(r, because(CauseCancelled, 0, 0))
 	}
 	if r.state == running && e.Outcome == OutcomeOK {
-		c.learn(r)
+		c.recordRunTime(r)
 	}
-	if r.read && r.kept && r.state == running && e.Outcome == OutcomeOK {
-		c.fresh[r.id] = r
-		c.forgetAt(r, c.now+c.set.ResultMaxAge)
-	} else if r.read {
-		c.forget(r)
+	if r.shareable && r.keyRemembered && r.state == running && e.Outcome == OutcomeOK {
+		c.reusable[r.id] = r
+		c.scheduleKeyExpiry(r, c.now+c.settings.ResultMaxAge)
+	} else if r.shareable {
+		c.forgetKey(r)
 	}
 	c.remove(r)
 }
 
-func (c *Controller) learn(r *request) {
-	h, took := &c.holds[r.class], (c.now - r.began).Seconds()
-	if h.mean == 0 {
-		h.mean, h.hint = took, r.hint.Seconds()
+func (c *Controller) recordRunTime(r *request) {
+	h, took := &c.queues[r.class], (c.now - r.startedAt).Seconds()
+	if h.meanRunTime == 0 {
+		h.meanRunTime, h.meanExpectedWork = took, r.expectedWork.Seconds()
 	}
-	h.mean, h.hint = h.mean+learn*(took-h.mean), h.hint+learn*(r.hint.Seconds()-h.hint)
+	h.meanRunTime, h.meanExpectedWork = h.meanRunTime+runTimeWeight*(took-h.meanRunTime), h.meanExpectedWork+runTimeWeight*(r.expectedWork.Seconds()-h.meanExpectedWork)
 }
 
-// trim closes idle connections soon where callers return too late to use them: else a crowd fills
+// adjustIdleTimeout closes idle connections soon where callers return too late to use them: else a crowd fills
 // the table. Where requests come too fast to be read, a full table keeps out what would only cost a
 // handshake.
-func (c *Controller) trim(target float64) {
-	keep := idleKeep
+func (c *Controller) adjustIdleTimeout(target float64) {
+	keep := defaultIdleTimeout
 	switch {
-	case c.set.HandshakeCost > 0 && c.cpu < c.fig.BusyCPU: // idle ones take only cores that nobody wants
-		keep = c.set.IdleConnectionTimeout
-	case c.returns < returnShare && c.unread < target:
-		keep = idleShort
+	case c.settings.HandshakeCost > 0 && c.cpu < c.parameters.BusyCPU: // idle ones take only cores that nobody wants
+		keep = c.settings.IdleConnectionTimeout
+	case c.returns < minReturningShare && c.unread < target:
+		keep = shortIdleTimeout
 	}
-	if keep = min(keep, c.set.IdleConnectionTimeout); keep != c.trimmed {
-		c.trimmed = keep
-		c.act(Action{Kind: ActionCloseIdle, Duration: keep})
+	if keep = min(keep, c.settings.IdleConnectionTimeout); keep != c.idleTimeout {
+		c.idleTimeout = keep
+		c.emit(Action{Kind: ActionCloseIdle, Duration: keep})
 	}
 }
 
-// stepCalls moves the number of calls in the dependency's hands by the time that they take: a
+// adjustCallLimit moves the number of calls in the dependency's hands by the time that they take: a
 // crowded one gets less done. One slow for another reason is held back for nothing, to what it
 // works on at once.
-func (c *Controller) stepCalls() {
-	if c.calls < callFew {
+func (c *Controller) adjustCallLimit() {
+	if c.calls < minCallSamples {
 		return
 	}
-	next := c.callLimit + 1 - c.fig.CallLimitDecrease
-	if c.callMean > c.fig.SlowCallFactor*c.callBest {
-		next = c.callLimit * c.fig.CallLimitDecrease
+	next := c.callLimit + 1 - c.parameters.CallLimitDecrease
+	if c.callMean > c.parameters.SlowCallFactor*c.callBest {
+		next = c.callLimit * c.parameters.CallLimitDecrease
 	}
-	c.callLimit = max(min(next, c.callMost), c.fig.MinCallLimitShare*c.set.CallQuota, 1)
+	c.callLimit = max(min(next, c.callMost), c.parameters.MinCallLimitShare*c.settings.CallQuota, 1)
 }
 
-// mayCall reports whether one more call may be placed: by their number, and by the time for which
+// mayPlaceCall reports whether one more call may be placed: by their number, and by the time for which
 // calls may be in hand, so that a share of less than one call, as each of hundreds may have, is a
 // share of time.
-func (c *Controller) mayCall() bool {
-	if c.set.Dependency != DependencyShared {
+func (c *Controller) mayPlaceCall() bool {
+	if c.settings.Dependency != DependencyShared {
 		return true
 	}
 	// twice a usual call and its linger
-	need := min(c.callMean+c.set.AbandonedCallTime.Seconds()/2, c.callStock)
+	need := min(c.callMean+c.settings.AbandonedCallTime.Seconds()/2, c.callStock)
 	return float64(c.inHand+len(c.lingering)+1) <= c.callLimit && c.callTime >= need
 }
 
-// payCalls keeps the time for which calls may be in hand: the share over time, less those that are.
-func (c *Controller) payCalls() {
+// accountCallTime keeps the time for which calls may be in hand: the share over time, less those that are.
+func (c *Controller) accountCallTime() {
 	n := float64(c.inHand + len(c.lingering))
 	c.callTime, c.paidAt = min(c.callTime+(c.callMost-n)*(c.now-c.paidAt).Seconds(), c.callStock), c.now
 	for len(c.lingering) > 0 && c.lingering[0] <= c.now {
@@ -800,45 +800,47 @@
 	}
 }
 
-// callWait is how long the oldest call that may still be in time has waited for its turn.
-func (c *Controller) callWait() time.Duration {
+// callQueueDelay is how long the oldest call that may still be in time has waited for its turn.
+func (c *Controller) callQueueDelay() time.Duration {
 	for _, r := range c.callLine {
-		if r.state == blocked && !r.answered && r.aim > c.now {
-			return c.now - r.callAt
+		if r.state == awaitingCall && !r.answered && r.objectiveAt > c.now {
+			return c.now - r.nextCallAt
 		}
 	}
 	return 0
 }
 
-// ahead is how long a call of the class would wait for its turn behind those that go before it.
-func (c *Controller) ahead(class int) time.Duration {
-	n, worth := 0, c.set.Classes[class].PriorityWeight
+// estimatedCallWait is how long a call of the class would wait for its turn behind those that go before it.
+func (c *Controller) estimatedCallWait(class int) time.Duration {
+	n, worth := 0, c.settings.Classes[class].PriorityWeight
 	for _, r := range c.callLine {
-		if r.state == blocked && !r.answered && r.aim > c.now && c.set.Classes[r.class].PriorityWeight >= worth {
+		if r.state == awaitingCall && !r.answered && r.objectiveAt > c.now && c.settings.Classes[r.class].PriorityWeight >= worth {
 			n++
 		}
 	}
 	return time.Duration(float64(n) * c.callMean / c.callLimit * float64(time.Second))
 }
 
-// jammed reports that requests of a class would stand in line for the dependency; others need not
+// callsCongested reports that requests of a class would stand in line for the dependency; others need not
 // wait.
-func (c *Controller) jammed(class int) bool {
-	return c.set.Classes[class].CallsDependency && c.callWait() > callJam
+func (c *Controller) callsCongested(class int) bool {
+	return c.settings.Classes[class].CallsDependency && c.callQueueDelay() > callCongestionDelay
 }
 
-// full reports a want of capacity for a class: busy cores (design page) or, ours, a line for calls.
-func (c *Controller) full(class int) bool { return c.cpu > c.fig.BusyCPU || c.jammed(class) }
+// saturated reports a want of capacity for a class: busy cores (design page) or, ours, a line for calls.
+func (c *Controller) saturated(class int) bool {
+	return c.cpu > c.parameters.BusyCPU || c.callsCongested(class)
+}
 
 // placeCalls places waiting calls as far as the share goes: by worth those still in their aim, then
 // others.
 func (c *Controller) placeCalls() {
-	over := func(r *request) bool { return r.state != blocked || r.answered }
+	over := func(r *request) bool { return r.state != awaitingCall || r.answered }
 	c.callLine = slices.DeleteFunc(c.callLine, over)
-	for c.mayCall() {
+	for c.mayPlaceCall() {
 		best, most := -1, 0.0
 		for i, r := range c.callLine {
-			if w := c.callWorth(r); r.callAt <= c.now && w > most {
+			if w := c.callWeight(r); r.nextCallAt <= c.now && w > most {
 				best, most = i, w
 			}
 		}
@@ -847,58 +849,58 @@
 		}
 		r := c.callLine[best]
 		c.callLine = slices.Delete(c.callLine, best, best+1)
-		c.call(r)
+		c.placeCall(r)
 	}
 }
 
-// callWorth is what a request is worth that waits for a call. Of late ones the latest read has most
+// callWeight is what a request is worth that waits for a call. Of late ones the latest read has most
 // hope.
-func (c *Controller) callWorth(r *request) float64 {
-	class, back := &c.set.Classes[r.class], c.now+time.Duration(c.callMean*float64(time.Second))
+func (c *Controller) callWeight(r *request) float64 {
+	class, back := &c.settings.Classes[r.class], c.now+time.Duration(c.callMean*float64(time.Second))
 	switch {
-	case back <= r.aim:
+	case back <= r.objectiveAt:
 		return class.PriorityWeight
-	case back > r.due-guardTime && c.callMean < c.callStock:
+	case back > r.deadline-answerMargin && c.callMean < c.callStock:
 		return 0
 	}
-	return class.PriorityWeight*class.LateWeightFraction + c.fig.LateCallWeight*(1+max(r.due-c.now, 0).Seconds())
+	return class.PriorityWeight*class.LateWeightFraction + c.parameters.LateCallWeight*(1+max(r.deadline-c.now, 0).Seconds())
 }
 
-// call places one call, with patience to the end of the request's time or of the worth without the
+// placeCall places one call, with patience to the end of the request's time or of the worth without the
 // call.
-func (c *Controller) call(r *request) {
-	class := &c.set.Classes[r.class]
-	end := r.due - guardTime
+func (c *Controller) placeCall(r *request) {
+	class := &c.settings.Classes[r.class]
+	end := r.deadline - answerMargin
 	if class.DegradedWeightFraction > 0 {
-		end = min(end, r.aim-c.expected(r)/2)
+		end = min(end, r.objectiveAt-c.expectedRunTime(r)/2)
 	}
 	if end <= c.now {
-		c.without(r)
+		c.continueWithoutCall(r)
 		return
 	}
-	if c.set.Dependency == DependencyShared {
-		patience := max(2*c.callTime-c.set.AbandonedCallTime.Seconds(), c.callTime)
+	if c.settings.Dependency == DependencyShared {
+		patience := max(2*c.callTime-c.settings.AbandonedCallTime.Seconds(), c.callTime)
 		end = min(end, c.now+time.Duration(patience*float64(time.Second)))
 	}
-	r.state = calling
-	r.tries++
+	r.state = inCall
+	r.callAttempts++
 	c.inHand++
-	c.act(Action{Kind: ActionPlaceCall, Request: r.id, Duration: end - c.now})
+	c.emit(Action{Kind: ActionPlaceCall, Request: r.id, Duration: end - c.now})
 }
 
-// without goes on without the call where that has worth, and fails the request where it has none.
-func (c *Controller) without(r *request) {
-	if c.set.Classes[r.class].DegradedWeightFraction <= 0 {
-		c.fail(r, why(CauseCallFailed, 0, 0))
+// continueWithoutCall goes on without the call where that has worth, and fails the request where it has none.
+func (c *Controller) continueWithoutCall(r *request) {
+	if c.settings.Classes[r.class].DegradedWeightFraction <= 0 {
+		c.fail(r, because(CauseCallFailed, 0, 0))
 		return
 	}
-	c.resume(r)
-	c.act(Action{Kind: ActionOmitCall, Request: r.id})
+	c.resumeAfterCall(r)
+	c.emit(Action{Kind: ActionOmitCall, Request: r.id})
 }
 
-// called ends a call. One that may have had an effect is not repeated.
-func (c *Controller) called(r *request, e *Event) {
-	if r.state != calling {
+// onCallCompleted ends a call. One that may have had an effect is not repeated.
+func (c *Controller) onCallCompleted(r *request, e *Event) {
+	if r.state != inCall {
 		return
 	}
 	proven := e.Outcome == OutcomeRejected || e.Outcome == OutcomeUnreachable || e.Outcome == OutcomeNeverStarted
@@ -906,154 +908,156 @@
 	// take.
 	if took := e.Elapsed.Seconds(); !proven && e.Outcome != OutcomeConnectionLost {
 		c.calls++
-		c.callMean += max(learn, 1/c.calls) * (took - c.callMean)
+		c.callMean += max(runTimeWeight, 1/c.calls) * (took - c.callMean)
 		// Forgotten by time, the best of many short calls is that of a lucky few, and the usual
 		// looks slow. So it does beside the best of any few: it is taken as high as it may be, by
 		// how calls differ.
-		w := max(callLearn, 1/c.calls)
+		w := max(longCallWeight, 1/c.calls)
 		c.callLong += w * (took - c.callLong)
 		c.callVar += w * ((took-c.callLong)*(took-c.callLong) - c.callVar)
-		high := c.callLong + 2*math.Sqrt(c.callVar/min(c.calls, 2/callLearn))
-		if c.callBest = min(c.callBest*c.fig.BestCallTimeGrowth, high); c.calls <= callFew {
+		high := c.callLong + 2*math.Sqrt(c.callVar/min(c.calls, 2/longCallWeight))
+		if c.callBest = min(c.callBest*c.parameters.BestCallTimeGrowth, high); c.calls <= minCallSamples {
 			c.callBest = high
 		}
 	}
 	if e.Outcome == OutcomeTimedOut { // one that broke was dropped by the dependency itself
-		c.linger()
+		c.addAbandonedCall()
 	}
 	if e.Outcome == OutcomeOK || r.answered {
-		c.resume(r)
+		c.resumeAfterCall(r)
 		return
 	}
 	c.inHand--
-	r.state = blocked
-	again := r.tries < maxCalls && (proven || c.set.Classes[r.class].Idempotency == Idempotent)
+	r.state = awaitingCall
+	again := r.callAttempts < maxCallAttempts && (proven || c.settings.Classes[r.class].Idempotency == Idempotent)
 	if !again || e.Outcome == OutcomeTimedOut {
-		c.without(r)
+		c.continueWithoutCall(r)
 		return
 	}
-	r.callAt = c.now + callBackoff*time.Duration(r.tries)
+	r.nextCallAt = c.now + callBackoff*time.Duration(r.callAttempts)
 	c.callLine = append(c.callLine, r)
 }
 
-// leaveCall ends r's stay at a call; an abandoned one lingers in the dependency's hands.
-func (c *Controller) leaveCall(r *request, abandoned bool) {
+// endCall ends r's stay at a call; an abandoned one lingers in the dependency's hands.
+func (c *Controller) endCall(r *request, abandoned bool) {
 	c.atCalls--
-	if r.state == calling {
+	if r.state == inCall {
 		c.inHand--
 	}
 	if abandoned {
-		c.linger()
+		c.addAbandonedCall()
 	}
 }
 
-// resume brings r back from a call.
-func (c *Controller) resume(r *request) {
-	c.leaveCall(r, false)
+// resumeAfterCall brings r back from a call.
+func (c *Controller) resumeAfterCall(r *request) {
+	c.endCall(r, false)
 	r.state = running
 	c.onCores++
 	c.load++
 }
 
-func (c *Controller) linger() { c.lingering = append(c.lingering, c.now+c.set.AbandonedCallTime) }
+func (c *Controller) addAbandonedCall() {
+	c.lingering = append(c.lingering, c.now+c.settings.AbandonedCallTime)
+}
 
-// timer reads the gauges, answers what is due and moves the pool.
-func (c *Controller) timer(e *Event) {
+// onTimer reads the gauges, answers what is due and moves the pool.
+func (c *Controller) onTimer(e *Event) {
 	c.cpu, c.load = e.Gauges.CPU, e.Gauges.Runnable
 	if !(c.cpu >= 0 && c.load >= 0) { // no gauges: what runs stands for them
-		c.cpu, c.load = float64(c.onCores)/float64(c.set.Cores), float64(c.onCores)
+		c.cpu, c.load = float64(c.onCores)/float64(c.settings.Cores), float64(c.onCores)
 	}
-	if c.crowded = min(c.turned/turnedAll, 1); !(c.cpu > c.fig.BusyCPU) {
+	if c.crowded = min(c.turned/fullRejectedShare, 1); !(c.cpu > c.parameters.BusyCPU) {
 		c.crowded = 1 // calls may stand in line, and the dependency is the same for all
 	}
-	c.expire()
-	c.sweep()
-	if c.now >= c.periodAt+period {
-		c.step(c.now - c.periodAt)
-		c.periodAt = c.now
+	c.expireKeys()
+	c.answerExpired()
+	if c.now >= c.periodStart+controlPeriod {
+		c.updateCredit(c.now - c.periodStart)
+		c.periodStart = c.now
 	}
-	c.act(Action{Kind: ActionTimer, Duration: tick})
+	c.emit(Action{Kind: ActionTimer, Duration: tickInterval})
 }
 
-// sweep answers what has run out of time. It goes by copies: what is answered moves those that wait
+// answerExpired answers what has run out of time. It goes by copies: what is answered moves those that wait
 // for it.
-func (c *Controller) sweep() {
-	for i := range c.holds {
-		for _, r := range slices.Clone(c.holds[i].line) {
-			if r.due <= c.now+guardTime || c.hopeless(r, 0) {
-				c.refuse(r, 0, c.lost(r), why(CauseObjectiveUnreachable, 0, 0))
+func (c *Controller) answerExpired() {
+	for i := range c.queues {
+		for _, r := range slices.Clone(c.queues[i].requests) {
+			if r.deadline <= c.now+answerMargin || c.missesObjective(r, 0) {
+				c.reject(r, 0, c.retryIsFutile(r), because(CauseObjectiveUnreachable, 0, 0))
 			}
 		}
 	}
-	next := c.next()
-	for _, r := range slices.Clone(c.busy) {
-		pointless := r.state == running && c.set.Cancel != CancelNone && c.full(r.class) &&
-			(c.overlong(r, next) || c.set.Classes[r.class].LateWeightFraction == 0 && r.aim <= c.now)
-		if r.due <= c.now+guardTime || pointless {
-			c.fail(r, why(CauseDeadlinePassed, 0, 0))
+	next := c.nextQueued()
+	for _, r := range slices.Clone(c.executing) {
+		pointless := r.state == running && c.settings.Cancel != CancelNone && c.saturated(r.class) &&
+			(c.overrunsFor(r, next) || c.settings.Classes[r.class].LateWeightFraction == 0 && r.objectiveAt <= c.now)
+		if r.deadline <= c.now+answerMargin || pointless {
+			c.fail(r, because(CauseDeadlinePassed, 0, 0))
 		}
 	}
 }
 
-// overlong reports that r gives way to next: what has run far longer than expected has long to go.
-func (c *Controller) overlong(r, next *request) bool {
-	return c.overloaded && next != nil && c.set.Classes[next.class].PriorityWeight >= c.set.Classes[r.class].PriorityWeight &&
-		float64(c.now-r.began) > c.fig.OverrunFactor*float64(c.expected(r))
+// overrunsFor reports that r gives way to next: what has run far longer than expected has long to go.
+func (c *Controller) overrunsFor(r, next *request) bool {
+	return c.overloaded && next != nil && c.settings.Classes[next.class].PriorityWeight >= c.settings.Classes[r.class].PriorityWeight &&
+		float64(c.now-r.startedAt) > c.parameters.OverrunFactor*float64(c.expectedRunTime(r))
 }
 
-// health is bad while this server alone reads too late to serve, as few further tries tell: the
+// updateHealth is bad while this server alone reads too late to serve, as few further tries tell: the
 // list reaches callers that forget its credit. While it reads more than usual all may be flooded,
 // and it stays.
-func (c *Controller) health(target float64) {
-	c.unread, c.readNow = c.unread*unreadFade, c.readNow*(1-learn)
+func (c *Controller) updateHealth(target float64) {
+	c.unread, c.readNow = c.unread*readDelayDecay, c.readNow*(1-runTimeWeight)
 	// a period, in the mean of its life
-	usual := c.readAll * float64(period) / float64(c.now-c.born)
-	enter := c.unread > c.fig.RejectDelayFactor*target && c.further < c.fig.FewRetriesShare && learn*c.readNow <= usual
-	if !c.set.EndpointListFollowsHealth || c.draining || c.unfit && c.unread > target/2 || !c.unfit && !enter {
+	usual := c.readAll * float64(controlPeriod) / float64(c.now-c.startedAt)
+	enter := c.unread > c.parameters.RejectDelayFactor*target && c.further < c.parameters.FewRetriesShare && runTimeWeight*c.readNow <= usual
+	if !c.settings.EndpointListFollowsHealth || c.draining || c.unhealthy && c.unread > target/2 || !c.unhealthy && !enter {
 		return
 	}
-	c.turn(&c.unfit, !c.unfit, "health bad: reads too late to serve, others serve", "health good again")
-	c.act(Action{Kind: ActionSetHealth, Static: true, Healthy: !c.unfit})
+	c.setLogged(&c.unhealthy, !c.unhealthy, "health bad: reads too late to serve, others serve", "health good again")
+	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: !c.unhealthy})
 }
 
-// step is Breakwater's: the pool grows by A, or is cut by the excess of the class furthest over its
+// updateCredit is Breakwater's: the pool grows by A, or is cut by the excess of the class furthest over its
 // target.
-func (c *Controller) step(since time.Duration) {
+func (c *Controller) updateCredit(since time.Duration) {
 	worst, longest, full := -1.0, 0.0, false
-	for i := range c.holds {
-		t := float64(c.target(i))
+	for i := range c.queues {
+		t := float64(c.delayTarget(i))
 		longest = max(longest, t)
-		if c.full(i) {
+		if c.saturated(i) {
 			full = true
-			worst = max(worst, (float64(c.delay(i))-t)/t)
+			worst = max(worst, (float64(c.queueingDelay(i))-t)/t)
 		}
 	}
-	c.countCallers()
-	c.trim(longest)
-	c.stepCalls()
-	c.health(longest)
+	c.expireCallers()
+	c.adjustIdleTimeout(longest)
+	c.adjustCallLimit()
+	c.updateHealth(longest)
 	if worst >= 0 {
-		least := c.fig.MinCredit
-		if !(c.cpu > c.fig.BusyCPU) { // the cores are free: what does not call is still welcome
-			least = c.fig.IdleCreditPerCore * float64(c.set.Cores)
+		least := c.parameters.MinCredit
+		if !(c.cpu > c.parameters.BusyCPU) { // the cores are free: what does not call is still welcome
+			least = c.parameters.IdleCreditPerCore * float64(c.settings.Cores)
 		}
-		c.pool = max(c.pool*max(1-c.fig.MultiplicativeDecrease*worst, c.fig.MinCutFactor), least)
+		c.pool = max(c.pool*max(1-c.parameters.MultiplicativeDecrease*worst, c.parameters.MinCutFactor), least)
 	} else {
 		// Nor beyond twice its use: credit that nobody used would all be drawn at once as load
 		// comes.
-		use := float64(c.onCores + c.atCalls + c.set.Cores)
-		c.pool = min(c.pool+max(c.fig.AdditiveIncrease*float64(max(c.heardN, 1)), 1), c.crowd(), max(c.pool, 2*use))
+		use := float64(c.onCores + c.atCalls + c.settings.Cores)
+		c.pool = min(c.pool+max(c.parameters.AdditiveIncrease*float64(max(c.heardN, 1)), 1), c.runningLimit(), max(c.pool, 2*use))
 	}
-	c.turn(&c.overloaded, full && (worst >= 0 || c.overloaded),
+	c.setLogged(&c.overloaded, full && (worst >= 0 || c.overloaded),
 		"overload entered: queueing delay over target, credit cut", "overload left: capacity no longer full")
 	c.advertise()
-	for i := range c.buckets {
-		c.buckets[i] = min(c.buckets[i]+c.quota(i)*since.Seconds(), max(c.quota(i)*quotaBurst.Seconds(), 1))
+	for i := range c.quotaTokens {
+		c.quotaTokens[i] = min(c.quotaTokens[i]+c.tenantQuota(i)*since.Seconds(), max(c.tenantQuota(i)*quotaBurst.Seconds(), 1))
 	}
 }
 
-// turn sets one of the logged states.
-func (c *Controller) turn(flag *bool, on bool, entered, left string) {
+// setLogged sets one of the logged states.
+func (c *Controller) setLogged(flag *bool, on bool, entered, left string) {
 	if *flag == on {
 		return
 	}
@@ -1063,12 +1067,12 @@
 	c.log(entered)
 }
 
-// countCallers lets callers leave the count when they have not been heard for heardFor.
-func (c *Controller) countCallers() {
-	for c.slotAt = max(c.slotAt, int(c.now/period)-heardSlots); c.slotAt < int(c.now/period); {
+// expireCallers lets callers leave the count when they have not been heard for callerActiveTime.
+func (c *Controller) expireCallers() {
+	for c.slotAt = max(c.slotAt, int(c.now/controlPeriod)-callerSlots); c.slotAt < int(c.now/controlPeriod); {
 		c.slotAt++
-		c.heardN -= c.slots[c.slotAt%heardSlots]
-		c.slots[c.slotAt%heardSlots] = 0
+		c.heardN -= c.slots[c.slotAt%callerSlots]
+		c.slots[c.slotAt%callerSlots] = 0
 	}
 }
 
@@ -1078,13 +1082,13 @@
 	if c.draining {
 		pool = 0
 	}
-	switch share := min(pool/c.crowd(), 1); c.set.CreditMode {
+	switch share := min(pool/c.runningLimit(), 1); c.settings.CreditMode {
 	case CreditNone:
 		return
 	case CreditPerCaller:
 		n := max(c.heardN, 1)
-		if c.set.WarmingUp && c.now < c.born+heardFor { // callers that were not heard yet come as well
-			n = max(n, c.set.Callers)
+		if c.settings.WarmingUp && c.now < c.startedAt+callerActiveTime { // callers that were not heard yet come as well
+			n = max(n, c.settings.Callers)
 		}
 		v = pool / float64(n)
 	case CreditWeight:
@@ -1092,43 +1096,43 @@
 	case CreditRankThreshold:
 		v = 1 - share
 	}
-	if math.Abs(v-c.said) > c.fig.AdvertiseStep*c.said || c.said < 0 {
+	if math.Abs(v-c.said) > c.parameters.AdvertiseStep*c.said || c.said < 0 {
 		c.said = v
-		c.act(Action{Kind: ActionAdvertise, Value: v})
+		c.emit(Action{Kind: ActionAdvertise, Value: v})
 	}
 }
 
-// drain starts the way out: health turns bad, late arrivals are refused, all is answered before the
+// onDrain starts the way out: health turns bad, late arrivals are refused, all is answered before the
 // stop.
-func (c *Controller) drain(e *Event) {
+func (c *Controller) onDrain(e *Event) {
 	if c.draining {
 		return
 	}
 	c.draining, c.drainAt, c.stopAt = true, c.now, e.Deadline
 	c.log("drain: leaving, late arrivals are refused")
-	c.act(Action{Kind: ActionSetHealth, Static: true, Healthy: false})
+	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: false})
 	c.advertise()
 	for _, r := range c.requests {
-		c.bound(r)
+		c.capDeadline(r)
 	}
 }
 
-// bound keeps a request's due time before the stop of a draining process.
-func (c *Controller) bound(r *request) {
+// capDeadline keeps a request's due time before the stop of a draining process.
+func (c *Controller) capDeadline(r *request) {
 	if c.draining && c.stopAt > 0 {
-		r.due = min(r.due, c.stopAt-stopGuard)
-		r.aim = min(r.aim, r.due)
+		r.deadline = min(r.deadline, c.stopAt-stopMargin)
+		r.objectiveAt = min(r.objectiveAt, r.deadline)
 	}
 }
 
-// push adds r to the hold of its class, in the order of reading.
-func (c *Controller) push(r *request) {
-	c.bound(r)
-	c.holds[r.class].line = append(c.holds[r.class].line, r)
+// enqueue adds r to the hold of its class, in the order of reading.
+func (c *Controller) enqueue(r *request) {
+	c.capDeadline(r)
+	c.queues[r.class].requests = append(c.queues[r.class].requests, r)
 }
 
-// unlink takes r out of a line.
-func (c *Controller) unlink(line *[]*request, r *request) {
+// removeFrom takes r out of a line.
+func (c *Controller) removeFrom(line *[]*request, r *request) {
 	if i := slices.Index(*line, r); i >= 0 {
 		*line = slices.Delete(*line, i, i+1)
 	}
@@ -1136,22 +1140,22 @@
 
 // remove drops a request and gives its memory back.
 func (c *Controller) remove(r *request) {
-	line, factor := &c.busy, c.set.RunningMemoryFactor
+	line, factor := &c.executing, c.settings.RunningMemoryFactor
 	switch r.state {
-	case held:
-		line, factor = &c.holds[r.class].line, 1
-	case joined, reusing:
+	case queued:
+		line, factor = &c.queues[r.class].requests, 1
+	case awaitingResult, reusingResult:
 		factor = 1
-		if r.state == reusing && r.origin != nil {
+		if r.state == reusingResult && r.resultSource != nil {
 			c.sharing--
 		}
 	case running:
 		c.onCores--
 		c.load--
 	default:
-		c.leaveCall(r, r.state == calling)
+		c.endCall(r, r.state == inCall)
 	}
-	c.unlink(line, r)
+	c.removeFrom(line, r)
 	c.memoryKB -= r.sizeKB * factor
 	delete(c.requests, r.id)
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -41,8 +41,8 @@
 
 // gauges plays timers for a while with the same gauges.
 func (h *hand) gauges(span time.Duration, cpu, runnable float64) (out []Action) {
-	for ; span > 0; span -= tick {
-		out = append(out, h.at(tick, timerEvent(cpu, runnable))...)
+	for ; span > 0; span -= tickInterval {
+		out = append(out, h.at(tickInterval, timerEvent(cpu, runnable))...)
 	}
 	return out
 }
@@ -50,7 +50,7 @@
 // idle plays requests of so many callers in turn and returns for how long idle connections are kept
 // at the end.
 func (h *hand) idle(first, n uint64, callers uint32, queued time.Duration, cpu float64) time.Duration {
-	last := h.ctl.trimmed
+	last := h.ctl.idleTimeout
 	for id := first; id < first+n; id++ {
 		e := h.ask(id, 0)
 		e.Caller, e.QueueingDelay = uint32(id)%callers, queued
@@ -68,7 +68,7 @@
 		h.at(0, Event{Kind: EventBlocked, Request: id})
 		h.at(ms, Event{Kind: EventCallCompleted, Request: id, Outcome: OutcomeOK, Elapsed: took})
 		h.at(0, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK})
-		h.gauges(period, 0.5, 1)
+		h.gauges(controlPeriod, 0.5, 1)
 	}
 }
 
@@ -81,7 +81,7 @@
 		Kind:     EventRequest,
 		Request:  id,
 		Class:    class,
-		Deadline: h.now + h.ctl.set.Classes[class].Timeout,
+		Deadline: h.now + h.ctl.settings.Classes[class].Timeout,
 		SizeKB:   1,
 		Caller:   1,
 		Tenant:   -1,
@@ -145,7 +145,7 @@
 func TestPoolMovesByTheEquations(t *testing.T) {
 	h := newHand(t, nil)
 	before := h.ctl.pool
-	h.gauges(period, 0.1, 0)
+	h.gauges(controlPeriod, 0.1, 0)
 	if got := h.ctl.pool; got != before+1 { // equation (1) with A = max(alpha n_c, 1)
 		t.Fatalf("pool %v after one quiet period, want %v", got, before+1)
 	}
@@ -198,7 +198,7 @@
 		h.at(0, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
 		h.at(0, Event{Kind: EventCallCompleted, Request: id, Outcome: OutcomeOK, Elapsed: 20 * ms})
-		h.at(period/20, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK}, timerEvent(0.5, 1))
+		h.at(controlPeriod/20, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK}, timerEvent(0.5, 1))
 	}
 	if h.ctl.callLimit < most {
 		t.Errorf("limit of calls %v, it was %v", h.ctl.callLimit, most)
@@ -216,11 +216,11 @@
 	}
 	out := h.at(ms, h.ask(200, 0), h.ask(201, 2))
 	h.want(out, ActionStart, 201)
-	if a := h.want(out, ActionReject, 200); !a.NoRetry || a.Duration > tick {
+	if a := h.want(out, ActionReject, 200); !a.NoRetry || a.Duration > tickInterval {
 		t.Errorf("refused with %+v: others are as jammed, and this one is not to be stayed away from", a)
 	}
 	h.gauges(900*ms, 0.1, 0)
-	if h.ctl.pool < defaultParameters.IdleCreditPerCore*float64(h.ctl.set.Cores) {
+	if h.ctl.pool < defaultParameters.IdleCreditPerCore*float64(h.ctl.settings.Cores) {
 		t.Errorf("pool %v while the cores are idle", h.ctl.pool)
 	}
 }
@@ -257,7 +257,7 @@
 	h.at(0, h.ask(100, 0))
 	h.want(h.at(0, Event{Kind: EventBlocked, Request: 100}), ActionPlaceCall, 100)
 	h.at(800*ms, Event{Kind: EventCallCompleted, Request: 100, Outcome: OutcomeConnectionLost, Elapsed: 800 * ms})
-	h.want(h.gauges(callBackoff+period, 0.5, 1), ActionPlaceCall, 100)
+	h.want(h.gauges(callBackoff+controlPeriod, 0.5, 1), ActionPlaceCall, 100)
 	if h.ctl.callMean != mean || h.ctl.callLimit < limit {
 		t.Errorf("mean %v, limit %v; they were %v and %v", h.ctl.callMean, h.ctl.callLimit, mean, limit)
 	}
@@ -360,7 +360,7 @@
 	h := newHand(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	late := h.ask(1, 0)
 	late.Deadline = h.now + ms
-	if a := h.want(h.at(0, late), ActionReject, 1); a.Duration < tick {
+	if a := h.want(h.at(0, late), ActionReject, 1); a.Duration < tickInterval {
 		t.Fatalf("advice to stay away for %v", a.Duration)
 	}
 }
@@ -379,11 +379,11 @@
 // be told, though no caller is ever heard twice and one class tells about another.
 func TestAgeFromTheTimeLeft(t *testing.T) {
 	h := newHand(t, func(s *Settings) { s.MarksRetries = false })
-	if got := h.ctl.age(0, 700*ms); got != 0 {
+	if got := h.ctl.requestAge(0, 700*ms); got != 0 {
 		t.Fatalf("before any sample a try is %v old", got)
 	}
 	share := func(class int, part float64) time.Duration {
-		return h.ctl.age(class, time.Duration(part*float64(h.ctl.set.Classes[class].Timeout)))
+		return h.ctl.requestAge(class, time.Duration(part*float64(h.ctl.settings.Classes[class].Timeout)))
 	}
 	for i := range 12 {
 		if got := share(i%2, 0.5); got != 0 {
@@ -393,7 +393,7 @@
 			t.Fatalf("a first try of the other habit is %v old", got)
 		}
 	}
-	deadline := float64(h.ctl.set.Classes[0].Timeout)
+	deadline := float64(h.ctl.settings.Classes[0].Timeout)
 	for _, c := range []struct{ part, age float64 }{{0.3, 0.2}, {0.6, 0.2}, {0.9, 0.1}} {
 		want := time.Duration(c.age * deadline)
 		if got := share(0, c.part); got < want-ms || got > want+ms {
@@ -408,7 +408,7 @@
 	for _, c := range []struct {
 		callers uint32
 		want    time.Duration
-	}{{3, idleKeep}, {1000, idleShort}} {
+	}{{3, defaultIdleTimeout}, {1000, shortIdleTimeout}} {
 		h := newHand(t, func(s *Settings) { s.IdleConnectionTimeout = 30 * time.Second })
 		if last := h.idle(1, 100, c.callers, 0, 0); last != c.want {
 			t.Fatalf("%d callers: idle connections are kept for %v, want %v", c.callers, last, c.want)
@@ -500,12 +500,12 @@
 						),
 					)
 				}
-				if h.now >= end+h.ctl.set.AbandonedCallTime {
+				if h.now >= end+h.ctl.settings.AbandonedCallTime {
 					delete(until, r)
 				}
 			}
 		}
-		window, most := int(h.ctl.set.CallQuotaWindow/(20*ms)), 0.0
+		window, most := int(h.ctl.settings.CallQuotaWindow/(20*ms)), 0.0
 		for i := range len(busy) - window {
 			sum := 0.0
 			for _, n := range busy[i : i+window] {
@@ -560,7 +560,7 @@
 // it takes periods to cut.
 func TestPoolStaysNearItsUse(t *testing.T) {
 	h := newHand(t, func(s *Settings) { s.MaxRunningPerCore = 20 })
-	most := 2 * float64(h.ctl.set.Cores)
+	most := 2 * float64(h.ctl.settings.Cores)
 	h.gauges(10*time.Second, 0.1, 0)
 	if h.ctl.pool > most {
 		t.Errorf("nobody uses it, and the pool is %v", h.ctl.pool)
@@ -627,9 +627,9 @@
 	of := func(turned, cpu float64) time.Duration {
 		h.ctl.turned = turned
 		h.at(0, timerEvent(cpu, 1))
-		return h.ctl.target(2)
+		return h.ctl.delayTarget(2)
 	}
-	least, half, jam := of(0, 1), of(turnedAll/2, 1), of(0, 0.1)
+	least, half, jam := of(0, 1), of(fullRejectedShare/2, 1), of(0, 0.1)
 	if whole := of(1, 1); whole != 800*ms || jam != whole || least != 600*ms ||
 		!(least < half && half < whole) {
 		t.Errorf("targets %v, %v, %v", least, half, whole)
@@ -647,7 +647,7 @@
 			if e.Retry = among && id%4 == 0; id > 50 {
 				e.QueueingDelay = 2500 * ms
 			}
-			out = append(out, h.at(tick, e, timerEvent(1, 4))...)
+			out = append(out, h.at(tickInterval, e, timerEvent(1, 4))...)
 		}
 		left := false
 		for _, a := range out {
@@ -668,9 +668,9 @@
 	h := newHand(t, nil)
 	var out []Action
 	for id := uint64(1); id <= 1200; id++ {
-		after, e := 5*tick, h.ask(id, 0)
+		after, e := 5*tickInterval, h.ask(id, 0)
 		if id > 200 { // five times the usual
-			after, e.QueueingDelay = tick, 2500*ms
+			after, e.QueueingDelay = tickInterval, 2500*ms
 		}
 		out = append(
 			out,
@@ -741,18 +741,18 @@
 	h := newHand(t, func(s *Settings) { s.Cancel = CancelDiscard })
 	h.at(0, h.ask(1, 0))
 	h.at(50*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
-	before := h.ctl.holds[0].mean
+	before := h.ctl.queues[0].meanRunTime
 	h.at(0, h.ask(2, 0))
 	h.at(500*ms, Event{Kind: EventAbandoned, Request: 2})
-	if h.ctl.holds[0].mean <= before {
-		t.Fatalf("mean %v, was %v", h.ctl.holds[0].mean, before)
+	if h.ctl.queues[0].meanRunTime <= before {
+		t.Fatalf("mean %v, was %v", h.ctl.queues[0].meanRunTime, before)
 	}
 }
 
 func TestKeyedRepeatIsReused(t *testing.T) {
 	h := newHand(t, nil)
 	keep := h.want(h.at(0, h.ask(1, 1)), ActionRememberKey, 1)
-	if keep.Duration < h.ctl.set.Classes[1].IdempotencyWindow {
+	if keep.Duration < h.ctl.settings.Classes[1].IdempotencyWindow {
 		t.Fatalf("kept for %v", keep.Duration)
 	}
 	again := h.ask(2, 1)
@@ -848,7 +848,7 @@
 			n++
 		}
 	}
-	if limit := float64(h.ctl.set.Cores) * (1 + (h.ctl.set.MaxRunningPerCore-1)*h.ctl.set.WarmUpInitialShare); n < 1 ||
+	if limit := float64(h.ctl.settings.Cores) * (1 + (h.ctl.settings.MaxRunningPerCore-1)*h.ctl.settings.WarmUpInitialShare); n < 1 ||
 		float64(n) > limit {
 		t.Fatalf("%d answered from the result at once, a cold server outlives %.1f", n, limit)
 	}
@@ -872,7 +872,7 @@
 	}
 	h.at(0, h.ask(11, 0), h.ask(12, 0), h.ask(13, 0), h.ask(14, 0)) // takes the cores
 	h.at(0, h.ask(25, 2), h.ask(26, 0))
-	h.gauges(2*callJam, 0.5, 4)
+	h.gauges(2*callCongestionDelay, 0.5, 4)
 	h.want(h.at(ms, Event{Kind: EventCompleted, Request: 11, Outcome: OutcomeOK}), ActionStart, 26)
 }
 
@@ -896,7 +896,7 @@
 // Where new connections have a price, idle ones stay while cores are free, however seldom callers
 // return.
 func TestIdleConnectionsStayWhereNewOnesHaveAPrice(t *testing.T) {
-	for price, want := range map[float64]time.Duration{0: idleShort, 0.03: 30 * time.Second} {
+	for price, want := range map[float64]time.Duration{0: shortIdleTimeout, 0.03: 30 * time.Second} {
 		h := newHand(t, func(s *Settings) { s.HandshakeCost = price })
 		if last := h.idle(1, 100, 1000, 0, 0.3); last != want {
 			t.Fatalf("price %v: idle connections are kept for %v, want %v", price, last, want)
@@ -904,7 +904,7 @@
 		if price == 0 {
 			continue
 		}
-		if a := h.want(h.gauges(2*period, 1, 4), ActionCloseIdle, 0); a.Duration != idleShort {
+		if a := h.want(h.gauges(2*controlPeriod, 1, 4), ActionCloseIdle, 0); a.Duration != shortIdleTimeout {
 			t.Fatalf("cores full: idle connections are kept for %v", a.Duration)
 		}
 	}
@@ -913,7 +913,7 @@
 // While requests wait long to be read, a full table is better than more handshakes.
 func TestIdleConnectionsStayWhileReadingIsLate(t *testing.T) {
 	h := newHand(t, nil)
-	for i, want := range []time.Duration{idleShort, idleKeep} { // read at once, then late
+	for i, want := range []time.Duration{shortIdleTimeout, defaultIdleTimeout} { // read at once, then late
 		if last := h.idle(1+uint64(i)*150, 150, 1000, time.Duration(i)*900*ms, 0); last != want {
 			t.Fatalf("part %d: idle connections are kept for %v, want %v", i, last, want)
 		}
@@ -1012,7 +1012,7 @@
 	}{{0.2, false}, {0.6, true}} {
 		h := newHand(t, nil)
 		h.ctl.turned = turnedAway.share
-		h.at(tick, timerEvent(1, 4))
+		h.at(tickInterval, timerEvent(1, 4))
 		e := h.ask(3, 0)
 		e.QueueingDelay = 1500 * ms // read far too late
 		a := h.want(h.at(0, e), ActionReject, 3)
@@ -1037,11 +1037,11 @@
 		}
 		told += said
 	}
-	if most := float64(h.ctl.set.Cores) * 2; told > most {
-		t.Errorf("thirty callers were told of %v together, and the pool began at %d", told, h.ctl.set.Cores)
+	if most := float64(h.ctl.settings.Cores) * 2; told > most {
+		t.Errorf("thirty callers were told of %v together, and the pool began at %d", told, h.ctl.settings.Cores)
 	}
-	h.gauges(2*heardFor, 0.1, 1)
-	if v := h.ctl.pool / float64(max(h.ctl.heardN, 1)); math.Abs(h.ctl.said-v) > 2*h.ctl.fig.AdvertiseStep*v {
+	h.gauges(2*callerActiveTime, 0.1, 1)
+	if v := h.ctl.pool / float64(max(h.ctl.heardN, 1)); math.Abs(h.ctl.said-v) > 2*h.ctl.parameters.AdvertiseStep*v {
 		t.Errorf("warm it says %v, and could give %v", h.ctl.said, v)
 	}
 }
--- a/internal/admission/figures.go
+++ b/internal/admission/figures.go
@@ -87,8 +87,8 @@
 	return fmt.Errorf("no figure of the module has this name")
 }
 
-// or takes the standard ones where none were told, and reports one out of its bounds.
-func (f Parameters) or(standard Parameters) (Parameters, error) {
+// orDefault takes the standard ones where none were told, and reports one out of its bounds.
+func (f Parameters) orDefault(standard Parameters) (Parameters, error) {
 	if f == (Parameters{}) {
 		return standard, nil
 	}
--- a/internal/admission/figures_test.go
+++ b/internal/admission/figures_test.go
@@ -9,7 +9,7 @@
 // name.
 func TestFigures(t *testing.T) {
 	f := DefaultParameters()
-	if _, err := f.or(defaultParameters); err != nil {
+	if _, err := f.orDefault(defaultParameters); err != nil {
 		t.Fatal(err)
 	}
 	for _, g := range f.All() {
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for i := range s.Classes {
-		if err := s.Classes[i].check(s.Classes[:i]); err != nil {
+		if err := s.Classes[i].validate(s.Classes[:i]); err != nil {
 			err.Setting = fmt.Sprintf("Classes[%d].%s", i, err.Setting)
 			return err
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// check reports what is wrong with a class beside those before it.
-func (c *Class) check(others []Class) *SettingError {
+// validate reports what is wrong with a class beside those before it.
+func (c *Class) validate(others []Class) *SettingError {
 	fraction := func(v float64) bool { return v >= 0 && v <= 1 }
 	for _, f := range []struct {
 		name  string
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -228,8 +228,10 @@
 	CauseCancelled      // its run was stopped
 )
 
-// why is the beginning of an answer without a result: its cause, with what was compared.
-func why(c Cause, value, limit float64) Action { return Action{Cause: c, Value: value, Limit: limit} }
+// because is the beginning of an answer without a result: its cause, with what was compared.
+func because(c Cause, value, limit float64) Action {
+	return Action{Cause: c, Value: value, Limit: limit}
+}
 
 // Action is one thing for the host to do, in the order written.
 type Action struct {
