--- /dev/null
+++ b/internal/idempotency/store/stored_test.go
@@ -0,0 +1,141 @@
+package store_test
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"ryepaddle/internal/idempotency/store"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// files of a program that is in use; they are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+const storedDir = "testdata/stored"
+
+// storedRecords are the records of the folder in testdata: those before its snapshot and those
+// after it.
+func storedRecords() (before, after []*store.Record) {
+	withoutResult := ended("failed", 6, "")
+	withoutResult.Result, withoutResult.How = nil, 3
+	long := make([]byte, 600) // long enough to be compressed
+	for i := range long {
+		long[i] = byte('a' + i%3)
+	}
+	before = []*store.Record{
+		begun("open", 5), begun("failed", 6), withoutResult, begun("done", 1<<40|7), ended("done", 1<<40|7, "handed in"),
+		begun("never-ran", 8), forgotten("never-ran", 8),
+	}
+	after = []*store.Record{begun("long", 9), ended("long", 9, string(long)), begun("open-2", 10)}
+	return before, after
+}
+
+// writeStored writes the records into an empty folder.
+func writeStored(t *testing.T, dir string) {
+	t.Helper()
+	j, _ := open(t, store.Dir(dir), store.Standard())
+	before, after := storedRecords()
+	commit(t, j, before...)
+	snapshot, err := j.ForceCut(at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := snapshot.Write(); err != nil {
+		t.Fatal(err)
+	}
+	j.Finish(snapshot)
+	commit(t, j, after[:2]...)
+	commit(t, j, after[2])
+	if err := j.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// storedKeys are the keys that the folder in testdata holds.
+func storedKeys() []*store.Key {
+	long := ""
+	for len(long) < 600 {
+		long += "abc"
+	}
+	result := func(body string) *store.Result {
+		return &store.Result{
+			Status: 200,
+			Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}},
+			Body:   []byte(body),
+		}
+	}
+	key := func(name string, owner uint64) *store.Key {
+		return &store.Key{
+			Name:  store.Name{Class: "hand-in", Tenant: "north", Key: name},
+			Owner: owner,
+			Until: 1_700_000_013_000_000,
+			Body:  [32]byte{1, 2},
+		}
+	}
+	done, failed, compressed := key("done", 1<<40|7), key("failed", 6), key("long", 9)
+	done.Ended, done.Result = true, result("handed in")
+	failed.Ended, failed.How = true, 3
+	compressed.Ended, compressed.Result = true, result(long)
+	return []*store.Key{done, failed, compressed, key("open", 5), key("open-2", 10)}
+}
+
+// The folder of a program of version 1, with a snapshot and the segment after it, holds the keys
+// that were written.
+func TestReadsFolderOfVersion1(t *testing.T) {
+	if os.Getenv(writeTestdata) != "" {
+		if err := os.RemoveAll(storedDir); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.MkdirAll(storedDir, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		writeStored(t, storedDir)
+	}
+	found, err := store.Read(store.Dir(storedDir), at, store.Standard())
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &store.Found{Keys: storedKeys(), Snapshot: 1, Segments: 1, Records: 5, Newest: at}
+	if diff := cmp.Diff(want, found, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
+		t.Errorf("(-want +got)\n%s", diff)
+	}
+	// A program that opens the folder goes on from it.
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(storedDir)); err != nil {
+		t.Fatal(err)
+	}
+	j, opened := open(t, store.Dir(dir), store.Standard())
+	if diff := cmp.Diff(storedKeys(), opened.Keys, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
+		t.Errorf("opened (-want +got)\n%s", diff)
+	}
+	if err := j.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The same records and keys are written with the bytes of version 1.
+func TestWritesBytesOfVersion1(t *testing.T) {
+	dir := t.TempDir()
+	writeStored(t, dir)
+	files, err := os.ReadDir(storedDir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		want, err := os.ReadFile(filepath.Join(storedDir, file.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := os.ReadFile(filepath.Join(dir, file.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(want, got); diff != "" {
+			t.Errorf("%s (-want +got)\n%s", file.Name(), diff)
+		}
+	}
+}
--- /dev/null
+++ b/internal/usage/ledger/stored_test.go
@@ -0,0 +1,283 @@
+package ledger
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// files of a program that is in use; they are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+const (
+	storedDir   = "testdata/stored"
+	storedBegin = 480_000 * hour // when the first period began
+	firstName   = "usage-n0-0011aabbccdd-00000001.json"
+	lastName    = "usage-n0-0011aabbccdd-00000003-last-23.json"
+)
+
+// storedUses are uses of three periods.
+func storedUses(period int) []Use {
+	at := storedBegin + int64(period)*hour
+	return []Use{
+		{At: at + 10*sec, School: "north", Class: "hand-in", End: Served, Work: 25_000, Key: KeyOf("north", "hand-in", "a"), Until: at + 13*sec},
+		{At: at + 11*sec, School: "north", Class: "hand-in", End: Served, Work: 1, Key: KeyOf("north", "hand-in", "a"), Until: at + 14*sec, Again: true},
+		{At: at + 12*sec, School: "north", Class: "check", End: Late, Work: 300},
+		{At: at + 70*sec, School: "south", Class: "check", End: Served, Work: 2_000},
+		{At: at + 71*sec, School: "south", Class: "check", End: Refused},
+		{At: at + 72*sec, School: "south", Class: "check", End: Failed, Work: 7},
+		{At: at + 73*sec, School: "south", Class: "check", End: Gone},
+	}
+}
+
+// storedCorrection is a correction of the first period.
+func storedCorrection(id string) Correction {
+	return Correction{
+		ID: id, Period: storedBegin, School: "north", Class: "hand-in",
+		Count: Count{Served: -1, Repeats: 2, Late: 3, Refused: 4, Failed: 5, Gone: 6, WorkUs: -7_000},
+		Why:   "counted twice", By: "ops",
+	}
+}
+
+// storedFiles makes the files of an account: its state in the third period, the statements of the
+// first and the last, and a ring of uses.
+func storedFiles(t *testing.T) map[string][]byte {
+	t.Helper()
+	l := New(settings(), "0011aabbccdd", storedBegin)
+	add := func(period int) {
+		for _, u := range storedUses(period) {
+			l.Add(u)
+		}
+	}
+	add(0)
+	if known, err := l.Correct(storedCorrection("c-1"), storedBegin+hour); known || err != nil {
+		t.Fatal(known, err)
+	}
+	l.Lost(2)
+	first := l.Seal(storedBegin + hour + 10*sec)
+	l.Naming(first)
+	l.Exported(first)
+	add(1)
+	second := l.Seal(storedBegin + 2*hour + 10*sec)
+	l.Naming(second)
+	add(2)
+	if known, err := l.Correct(storedCorrection("c-2"), storedBegin+2*hour); known || err != nil {
+		t.Fatal(known, err)
+	}
+	files := map[string][]byte{"state": l.Keep(21), firstName: first.Encode()}
+	// Two uses more than the ring has room for.
+	ring := make([]byte, RingSize(7))
+	r := NewRing(ring, "0011aabbccdd", 21)
+	for _, u := range append(storedUses(2), storedUses(1)[:2]...) {
+		r.Put(u)
+	}
+	files["ring"] = ring
+	files[lastName] = l.End().Encode()
+	return files
+}
+
+// allFields are values of what is stored or shown as JSON, with every field set.
+func allFields() map[string]any {
+	count := Count{Served: 1, Repeats: 2, Late: 3, Refused: 4, Failed: 5, Gone: 6, WorkUs: 7}
+	line := Line{Period: storedBegin, School: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
+	keys := Keys{storedKeyOf(0)}
+	statement := Statement{
+		Format: 2, Instance: "n0", Life: "0011aabbccdd", Seq: 3, From: storedBegin, To: storedBegin + hour,
+		PeriodUs: 3_600_000_000, SliceUs: 60_000_000, Before: "774a", Lines: []Line{line},
+		Corrections: []Correction{storedCorrection("c-1")}, Keys: keys, Lost: 8, Bare: 9, Last: true, Taken: 10,
+	}
+	return map[string]any{
+		"all-fields-statement.json": statement,
+		"all-fields-state.json": state{
+			Format: 1, Instance: "n0", Life: "0011aabbccdd", PeriodUs: 3_600_000_000, SliceUs: 60_000_000, Taken: 1, Seq: 2,
+			Before: "774a", Through: 3, Newest: 4, Sealed: 5, Lines: []Line{line}, Keys: keys, Listed: keys,
+			Fixes: []Correction{storedCorrection("c-1")}, IDs: []string{"c-1"}, Pending: []*Statement{&statement}, Exports: 6,
+			Naming: 7, Lost: 8, BareTo: 9, RingLost: 10, RingFrom: 11, Bare: 12, Steps: 13, Over: true, Swept: 14, Ahead: 15,
+		},
+		"all-fields-summary.json": Summary{
+			Instance: "n0", Life: "0011aabbccdd", Through: 1, Seq: 2, Exported: 3, Keys: 4, Lost: 5, Lines: []Line{line}, Fixes: 6,
+		},
+		"all-fields-bill.json": Bill{
+			Periods:    []BillPeriod{{Period: storedBegin, Missing: []string{"n1"}}},
+			Lines:      []BillLine{{Period: storedBegin, School: "north", Class: "hand-in", Count: count, Changed: true}},
+			Schools:    []BillSchool{{Period: storedBegin, School: "north", Served: 1, Above: 2.5, WorkUs: 3}},
+			Problems:   []Problem{{Instance: "n0", Life: "0011aabbccdd", What: "a statement is missing"}},
+			Statements: 1, Copies: 2, Twice: 3, Lost: 4,
+		},
+	}
+}
+
+// allSet fails the test for each exported field of v, at any depth, that has its zero value: a
+// sample with such a field would not show a change of the field's tag.
+func allSet(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set in the sample", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		allSet(t, path, v.Elem())
+	case reflect.Slice:
+		for i := range v.Len() {
+			allSet(t, path, v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				allSet(t, path+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
+
+// Each field that is stored or shown has the name that version 1 gave it, and is read under it.
+func TestFieldsKeepTheirNames(t *testing.T) {
+	for name, sample := range allFields() {
+		allSet(t, name, reflect.ValueOf(sample))
+		got, err := json.MarshalIndent(sample, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(storedDir, name)
+		if os.Getenv(writeTestdata) != "" {
+			if err := os.WriteFile(path, got, 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want := readStored(t, name)
+		if diff := cmp.Diff(string(want), string(got)); diff != "" {
+			t.Errorf("%s (-want +got)\n%s", name, diff)
+		}
+		read := reflect.New(reflect.TypeOf(sample))
+		if err := json.Unmarshal(want, read.Interface()); err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(sample, read.Elem().Interface(), cmp.AllowUnexported(state{})); diff != "" {
+			t.Errorf("%s is read as (-want +got)\n%s", name, diff)
+		}
+	}
+}
+
+// The files of an account that version 1 wrote have the same bytes when they are written now.
+func TestWritesBytesOfVersion1(t *testing.T) {
+	for name, got := range storedFiles(t) {
+		path := filepath.Join(storedDir, name)
+		if os.Getenv(writeTestdata) != "" {
+			if err := os.MkdirAll(storedDir, 0o755); err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(path, got, 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(got) != string(want) {
+			t.Errorf("%s is written as\n%q\nand not, as before, as\n%q", name, got, want)
+		}
+	}
+}
+
+func readStored(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join(storedDir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// storedLines are the lines of the uses of a period.
+func storedLines(period int) []Line {
+	at := storedBegin + int64(period)*hour
+	return []Line{
+		{Period: at, School: "north", Class: "check", Count: Count{Late: 1, WorkUs: 300}},
+		{Period: at, School: "north", Class: "hand-in", Count: Count{Served: 1, Repeats: 1, WorkUs: 25_000}, Slices: []int64{1}},
+		{
+			Period: at, School: "south", Class: "check",
+			Count:  Count{Served: 1, Refused: 1, Failed: 1, Gone: 1, WorkUs: 2_007},
+			Slices: []int64{0, 1},
+		},
+	}
+}
+
+// storedKeyOf is the key of the hand-in that was counted in a period.
+func storedKeyOf(period int) Key {
+	at := storedBegin + int64(period)*hour + 10*sec
+	return Key{Key: 1070329728019876228, At: at, Until: at + 3*sec, Work: 25_000, School: "north", Class: "hand-in"}
+}
+
+// The statements of version 1 are read as they were written, the last of an account too.
+func TestReadsStatementsOfVersion1(t *testing.T) {
+	first := &Statement{
+		Format: 1, Instance: "n0", Life: "0011aabbccdd", Seq: 1,
+		From: storedBegin, To: storedBegin + hour, PeriodUs: 3_600_000_000, SliceUs: 60_000_000,
+		Lines: storedLines(0), Corrections: []Correction{storedCorrection("c-1")}, Keys: Keys{storedKeyOf(0)}, Lost: 2,
+	}
+	last := &Statement{
+		Format: 2, Instance: "n0", Life: "0011aabbccdd", Seq: 3,
+		From: storedBegin + 2*hour, To: storedBegin + 3*hour, PeriodUs: 3_600_000_000, SliceUs: 60_000_000,
+		Before: "774ab82649a50465ea6e87d0f0964455ae03c7278041f48b9bb74430f6835471", Lines: storedLines(2), Corrections: []Correction{storedCorrection("c-2")}, Keys: Keys{storedKeyOf(2)},
+		Last: true, Taken: 23,
+	}
+	for name, want := range map[string]*Statement{firstName: first, lastName: last} {
+		got, err := ParseStatement(name, readStored(t, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(want, got); diff != "" {
+			t.Errorf("%s (-want +got)\n%s", name, diff)
+		}
+		if got.Name() != name {
+			t.Errorf("%s names itself %s", name, got.Name())
+		}
+	}
+}
+
+// The state of an account that version 1 kept is read as it was, and the account goes on from it.
+func TestReadsStateOfVersion1(t *testing.T) {
+	l, taken, err := Recall(settings(), readStored(t, "state"))
+	if err != nil || taken != 21 {
+		t.Fatal(taken, err)
+	}
+	want := Summary{
+		Instance: "n0", Life: "0011aabbccdd", Through: storedBegin + 2*hour, Seq: 2, Exported: 1,
+		Keys: 1, Lines: storedLines(2), Fixes: 1,
+	}
+	if diff := cmp.Diff(want, l.Summary()); diff != "" {
+		t.Errorf("summary (-want +got)\n%s", diff)
+	}
+	if next, naming := l.Next(); !naming || next.Seq != 2 || !reflect.DeepEqual(next.Lines, storedLines(1)) {
+		t.Errorf("the statement to be written is %+v, naming: %v", next, naming)
+	}
+	if known, err := l.Correct(storedCorrection("c-1"), storedBegin+2*hour); !known || err != nil {
+		t.Errorf("a correction of before is known: %v, %v", known, err)
+	}
+	if got, want := l.End().Encode(), readStored(t, lastName); string(got) != string(want) {
+		t.Errorf("the account ends with\n%s\nand not with\n%s", got, want)
+	}
+}
+
+// The ring that a process of version 1 left gives its uses.
+func TestReadsRingOfVersion1(t *testing.T) {
+	r, err := OpenRing(readStored(t, "ring"), "0011aabbccdd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Use
+	last, missing := r.Left(21, func(u Use) { got = append(got, u) })
+	if last != 28 || missing != 0 || r.Lost() != 2 || r.From() != 21 {
+		t.Errorf("uses up to %d, %d missing, %d lost, from %d", last, missing, r.Lost(), r.From())
+	}
+	if diff := cmp.Diff(storedUses(2), got); diff != "" {
+		t.Errorf("(-want +got)\n%s", diff)
+	}
+}
