--- /dev/null
+++ b/internal/app/stored_test.go
@@ -0,0 +1,132 @@
+package app
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ryepaddle/internal/balancer/bulkhead"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/peers/node"
+	"ryepaddle/internal/upstream"
+	"ryepaddle/internal/usage/metering"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// answers of a program that is in use; the files are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+func storedStatus() Status {
+	return Status{
+		Name: "n0", Version: "1.2.3", Draining: true, Open: 4, Connections: 5,
+		Stats: lifecycle.Stats{
+			Read: 100, Served: 60, Refused: 10, Failed: 5, Late: 4, Gone: 3, Withdrawn: 2, Started: 70, Repeats: 6, Misused: 1,
+		},
+		Groups: []string{"teachers: 1 of 2 in service"},
+		Servers: []upstream.ServerStatus{{
+			Group: "teachers", Name: "t-1", Address: "10.0.0.1:9000", Zone: "west", Weight: 3, State: "out", StateSeconds: 12,
+			Cause: "errors", TrafficShare: 0.25, ActiveRequests: 2, Limit: 8, LatencyMs: 12.5, Requests: 400, Failures: 7, StateChanges: 2,
+		}},
+		Pools: []PoolRow{{
+			Group: "teachers", Limit: 16,
+			PoolStatus: bulkhead.PoolStatus{Name: "exam", Running: 1, Waiting: 2, Floor: 3, Ceiling: 4},
+		}},
+		Inventory: "inventory.ini:3: no address", Keys: "the disk failed", KeysHeld: 12,
+		Peers: &node.Status{
+			Version: 1234, Leads: true, In: true, Closed: "too few others", Whole: 60, Slots: 64,
+			Members: []string{"n0", "n1"}, Lost: []string{"n2"}, Leaving: []node.LeavingMember{{Name: "n1", Holds: 3}},
+			Links: 2, Passed: 7, Bytes: 4096, Copied: 8192, Messages: 1000, Dropped: 4,
+			Duties: []node.LeaseStatus{{
+				Name: "checks-west", Holder: "n0", Token: 1200, Here: true, LeftMs: 450, Lapses: 1, Check: 3,
+			}},
+			Checks: &node.HealthCheckStatus{Made: 30, Spared: 40, Late: 2},
+		},
+		Accounts:   &metering.Copies{Heirs: map[string]uint64{"n1": 5}, Told: true, Known: 2, Ending: 1, Short: 3},
+		Remembered: []Remembered{{Class: "hand-in", Kind: "served", Seen: 60, Kept: 50}},
+	}
+}
+
+func storedEntries() Entries {
+	return Entries{Entries: []Explained{{
+		ID: "r-1", Key: "key-1", Repeats: "r-0", Class: "hand-in", Tenant: "north", Caller: 77,
+		ArrivedMs: 1_700_000_000_123, WaitedMs: 1.5, TookMs: 25.25, End: "refused", Cause: "no server took it", Value: 3.5,
+		Limit: 2.5, ComeBackMs: 400, Tries: []Tried{{Server: "t-1", Ms: 12.125, Outcome: "turned away"}}, MoreTries: 2,
+		KeptMs: 0.75, KeptBy: "copies", Stands: 9,
+	}}}
+}
+
+// allSet fails the test for each exported field of v, at any depth, that has its zero value: a
+// sample with such a field would not show a change of the field's tag.
+func allSet(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set in the sample", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		allSet(t, path, v.Elem())
+	case reflect.Slice:
+		for i := range v.Len() {
+			allSet(t, path, v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				allSet(t, path+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
+
+// A command reads what a program of version 1 answers on the control socket, and a program answers
+// what a command of version 1 reads.
+func TestAnswersKeepTheirForm(t *testing.T) {
+	for name, sample := range map[string]any{
+		"status":  storedStatus(),
+		"explain": storedEntries(),
+		"levels":  Levels{Levels: map[string]string{"peers": "debug"}},
+		"metrics": Text{Text: "# HELP ryepaddle_open\n"},
+		"correct": Corrected{Known: true},
+		"key": node.KeyStatus{
+			Slot: 3, Epoch: 4, Set: []string{"n0", "n1"}, Joining: []string{"n2"}, QuietMs: 5, Here: "begun", By: "n0",
+			LeftMs: 6, Bytes: 7,
+		},
+		"figures": Figures{
+			Fulfilled: map[string]int64{"check": 1}, Throttled: map[string]int64{"check": 2}, Faulted: map[string]int64{"check": 3},
+			Relayed: 4, Open: 5, CfgAccepted: 6, CfgInvalid: 7,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			allSet(t, name, reflect.ValueOf(sample))
+			got, err := json.MarshalIndent(sample, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join("testdata", "answers", name+".json")
+			if os.Getenv(writeTestdata) != "" {
+				if err := os.WriteFile(path, got, 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(string(want), string(got)); diff != "" {
+				t.Errorf("answered as (-want +got)\n%s", diff)
+			}
+			read := reflect.New(reflect.TypeOf(sample))
+			if err := json.Unmarshal(want, read.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(sample, read.Elem().Interface()); diff != "" {
+				t.Errorf("read as (-want +got)\n%s", diff)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/telemetry/traffic/stored_test.go
@@ -0,0 +1,108 @@
+package traffic
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// files of a program that is in use; they are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+const storedFile = "testdata/stored.traffic"
+
+func storedHead() Head {
+	return Head{
+		Runner:  "n3",
+		Began:   1_764_576_000_000_000,
+		Classes: []string{"check", "hand-in"},
+		Tenants: []string{"north", "south"},
+	}
+}
+
+func storedRequests() []Request {
+	return []Request{
+		{
+			At: 1_764_576_000_000_100, Class: 1, Tenant: 1, Caller: 77, SizeKB: 1.5, Rank: 0.25, Key: 1<<63 | 3, Body: 1<<62 | 5,
+			BodyLen: 1_536,
+		},
+		{At: 1_764_576_000_250_000, Caller: 78, SizeKB: 0.125, Body: 9, BodyLen: 128},
+		{At: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, Key: 4, Body: 10, BodyLen: 2_048},
+		{At: 1_764_576_001_000_000, Tenant: 1, Caller: 77, SizeKB: 1, Body: 11, BodyLen: 1_024},
+	}
+}
+
+// writeStored records the requests in blocks of three.
+func writeStored(t *testing.T, path string) {
+	t.Helper()
+	r, err := Open(path, storedHead(), Options{MaxBytes: 1 << 20, Queue: 10, Block: 3, Every: time.Hour})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, q := range storedRequests() {
+		r.Note(q)
+	}
+	if err := r.Close(time.Minute); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A recording of version 1 is read as it was written, and recorded again it has the same bytes.
+func TestReadsRecordingOfVersion1(t *testing.T) {
+	if os.Getenv(writeTestdata) != "" {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.RemoveAll(storedFile); err != nil {
+			t.Fatal(err)
+		}
+		writeStored(t, storedFile)
+	}
+	got, err := Read(storedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Recording{Head: storedHead(), Requests: storedRequests(), Backward: 1}
+	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Head{}, Request{}, Lost{})); diff != "" {
+		t.Errorf("(-want +got)\n%s", diff)
+	}
+	again := filepath.Join(t.TempDir(), "again.traffic")
+	writeStored(t, again)
+	wantBytes, err := os.ReadFile(storedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotBytes, err := os.ReadFile(again)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(wantBytes, gotBytes); diff != "" {
+		t.Errorf("written as (-want +got)\n%s", diff)
+	}
+}
+
+// What was lost is in the last frame of a file; the figures keep their order.
+func TestEndFrameKeepsItsBytes(t *testing.T) {
+	got, err := appendFrame(nil, frameEnd, End{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := "testdata/end.frame"
+	if os.Getenv(writeTestdata) != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("(-want +got)\n%s", diff)
+	}
+}
