--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -48,7 +48,7 @@
 			"%s: table %d, %d of %d slots have all copies\nin: %s\n",
 			s.Name,
 			p.Version,
-			p.Whole,
+			p.FullyReplicated,
 			p.Slots,
 			strings.Join(p.Members, " "),
 		)
@@ -56,31 +56,31 @@
 			fmt.Fprintf(sh.out, "lost: %s\n", strings.Join(p.Lost, " "))
 		}
 		for _, l := range p.Leaving {
-			fmt.Fprintf(sh.out, "leaving: %s, which holds %d slots\n", l.Name, l.Holds)
+			fmt.Fprintf(sh.out, "leaving: %s, which holds %d slots\n", l.Name, l.Slots)
 		}
-		if p.Leads {
+		if p.IsLeader {
 			fmt.Fprintln(sh.out, "it leads the consensus group")
 		}
-		for _, d := range p.Duties {
+		for _, d := range p.Leases {
 			fmt.Fprintln(sh.out, dutyLine(&d))
 		}
-		if x := p.Checks; x != nil {
+		if x := p.HealthChecks; x != nil {
 			fmt.Fprintf(
 				sh.out,
 				"checks of servers: %d made here, %d spared by what another runner told\n",
-				x.Made,
-				x.Spared,
+				x.Performed,
+				x.Skipped,
 			)
 		}
-		if p.Closed != "" {
-			fmt.Fprintf(sh.out, "no new keys are taken: %s\n", p.Closed)
+		if p.Unavailable != "" {
+			fmt.Fprintf(sh.out, "no new keys are taken: %s\n", p.Unavailable)
 		}
 		if a := s.Accounts; a != nil {
 			fmt.Fprint(sh.out, accountsLine(a))
 		}
 		fmt.Fprintf(sh.out, "%d keys held, %d messages sent, %d dropped\n", s.KeysHeld, p.Messages, p.Dropped)
 	}
-	if p.Closed != "" || p.Whole < p.Slots || s.Accounts != nil && !s.Accounts.Whole() {
+	if p.Unavailable != "" || p.FullyReplicated < p.Slots || s.Accounts != nil && !s.Accounts.Whole() {
 		return errNotWhole
 	}
 	return nil
@@ -91,13 +91,13 @@
 	switch {
 	case d.Holder == "":
 		return fmt.Sprintf("duty %s: nobody holds it", d.Name)
-	case d.Here:
+	case d.HeldHere:
 		return fmt.Sprintf(
 			"duty %s: %s, this runner, token %d, %d ms left",
 			d.Name,
 			d.Holder,
 			d.Token,
-			d.LeftMs,
+			d.RemainingMs,
 		)
 	}
 	return fmt.Sprintf("duty %s: %s, token %d", d.Name, d.Holder, d.Token)
@@ -122,18 +122,18 @@
 	if c.JSON {
 		return printJSON(sh, k)
 	}
-	fmt.Fprintf(sh.out, "slot %d at epoch %d: %s\n", k.Slot, k.Epoch, strings.Join(k.Set, " "))
+	fmt.Fprintf(sh.out, "slot %d at epoch %d: %s\n", k.Slot, k.Epoch, strings.Join(k.Replicas, " "))
 	if len(k.Joining) > 0 {
 		fmt.Fprintf(sh.out, "being brought up: %s\n", strings.Join(k.Joining, " "))
 	}
-	if k.QuietMs > 0 {
+	if k.QuarantineMs > 0 {
 		fmt.Fprintf(
 			sh.out,
 			"it began with nothing, and takes no new keys for %.1f s\n",
-			float64(k.QuietMs)/1000,
+			float64(k.QuarantineMs)/1000,
 		)
 	}
-	switch k.Here {
+	switch k.State {
 	case "not held":
 		fmt.Fprintln(sh.out, "this runner has no copy; ask one of those")
 	case "unknown":
@@ -142,10 +142,10 @@
 		fmt.Fprintf(
 			sh.out,
 			"%s by %s, %d bytes of result, %.1f s left of its window\n",
-			k.Here,
-			k.By,
-			k.Bytes,
-			float64(k.LeftMs)/1000,
+			k.State,
+			k.Owner,
+			k.ResultBytes,
+			float64(k.RemainingMs)/1000,
 		)
 	}
 	return nil
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -217,7 +217,7 @@
 		return nil
 	}
 	p, closed := r.peers.Status(), 0.0
-	if p.Closed != "" {
+	if p.Unavailable != "" {
 		closed = 1
 	}
 	out := []metrics.Gauge{
@@ -235,17 +235,17 @@
 		{
 			Name:  "ryepaddle_peers_slots_whole",
 			Help:  "Parts of the keys that have all their copies.",
-			Value: float64(p.Whole),
+			Value: float64(p.FullyReplicated),
 		},
 		{
 			Name:  "ryepaddle_peers_held_bytes",
 			Help:  "What is held of keys for others and itself, about.",
-			Value: float64(p.Bytes),
+			Value: float64(p.HeldBytes),
 		},
 		{
 			Name:  "ryepaddle_peers_copied_bytes_total",
 			Help:  "What was sent to bring others up.",
-			Value: float64(p.Copied),
+			Value: float64(p.CatchUpBytes),
 			Total: true,
 		},
 		{Name: "ryepaddle_peers_links", Help: "Connections to peers.", Value: float64(p.Links)},
@@ -253,7 +253,7 @@
 			Name:   "ryepaddle_peers_messages_total",
 			Help:   "Messages to peers.",
 			Labels: map[string]string{"what": "passed on"},
-			Value:  float64(p.Passed),
+			Value:  float64(p.Relayed),
 			Total:  true,
 		},
 		{
@@ -271,9 +271,9 @@
 			Total:  true,
 		},
 	}
-	for _, d := range p.Duties {
+	for _, d := range p.Leases {
 		here := 0.0
-		if d.Here {
+		if d.HeldHere {
 			here = 1
 		}
 		out = append(
@@ -286,21 +286,21 @@
 			},
 		)
 	}
-	if x := p.Checks; x != nil {
+	if x := p.HealthChecks; x != nil {
 		out = append(
 			out,
 			metrics.Gauge{
 				Name:   "ryepaddle_peers_checks_total",
 				Help:   "Checks of servers.",
 				Labels: map[string]string{"what": "made"},
-				Value:  float64(x.Made),
+				Value:  float64(x.Performed),
 				Total:  true,
 			},
 			metrics.Gauge{
 				Name:   "ryepaddle_peers_checks_total",
 				Help:   "Checks of servers.",
 				Labels: map[string]string{"what": "spared"},
-				Value:  float64(x.Spared),
+				Value:  float64(x.Skipped),
 				Total:  true,
 			},
 		)
--- a/internal/app/stored_test.go
+++ b/internal/app/stored_test.go
@@ -37,13 +37,13 @@
 		}},
 		Inventory: "inventory.ini:3: no address", Keys: "the disk failed", KeysHeld: 12,
 		Peers: &node.Status{
-			Version: 1234, Leads: true, In: true, Closed: "too few others", Whole: 60, Slots: 64,
-			Members: []string{"n0", "n1"}, Lost: []string{"n2"}, Leaving: []node.LeavingMember{{Name: "n1", Holds: 3}},
-			Links: 2, Passed: 7, Bytes: 4096, Copied: 8192, Messages: 1000, Dropped: 4,
-			Duties: []node.LeaseStatus{{
-				Name: "checks-west", Holder: "n0", Token: 1200, Here: true, LeftMs: 450, Lapses: 1, Check: 3,
+			Version: 1234, IsLeader: true, IsMember: true, Unavailable: "too few others", FullyReplicated: 60, Slots: 64,
+			Members: []string{"n0", "n1"}, Lost: []string{"n2"}, Leaving: []node.LeavingMember{{Name: "n1", Slots: 3}},
+			Links: 2, Relayed: 7, HeldBytes: 4096, CatchUpBytes: 8192, Messages: 1000, Dropped: 4,
+			Leases: []node.LeaseStatus{{
+				Name: "checks-west", Holder: "n0", Token: 1200, HeldHere: true, RemainingMs: 450, Expirations: 1, HandoverBytes: 3,
 			}},
-			Checks: &node.HealthCheckStatus{Made: 30, Spared: 40, Late: 2},
+			HealthChecks: &node.HealthCheckStatus{Performed: 30, Skipped: 40, Stale: 2},
 		},
 		Accounts:   &metering.Copies{Heirs: map[string]uint64{"n1": 5}, Told: true, Known: 2, Ending: 1, Short: 3},
 		Remembered: []Remembered{{Class: "hand-in", Kind: "served", Seen: 60, Kept: 50}},
@@ -93,8 +93,8 @@
 		"metrics": Text{Text: "# HELP ryepaddle_open\n"},
 		"correct": Corrected{Known: true},
 		"key": node.KeyStatus{
-			Slot: 3, Epoch: 4, Set: []string{"n0", "n1"}, Joining: []string{"n2"}, QuietMs: 5, Here: "begun", By: "n0",
-			LeftMs: 6, Bytes: 7,
+			Slot: 3, Epoch: 4, Replicas: []string{"n0", "n1"}, Joining: []string{"n2"}, QuarantineMs: 5, State: "begun", Owner: "n0",
+			RemainingMs: 6, ResultBytes: 7,
 		},
 		"figures": Figures{
 			Fulfilled: map[string]int64{"check": 1}, Throttled: map[string]int64{"check": 2}, Faulted: map[string]int64{"check": 3},
--- a/internal/peers/consensus/late_test.go
+++ b/internal/peers/consensus/late_test.go
@@ -19,12 +19,12 @@
 		voter = r.voters[1]
 	}
 	late := Message{
-		Kind:   MsgHeartbeat,
-		From:   voter,
-		To:     r.leader(),
-		Member: placement.Member{Name: voter, Life: 900, Process: 900},
-		Blank:  900<<8 | r.all[voter].voterPosition(voter),
-		Sent:   1,
+		Type:        MsgHeartbeat,
+		From:        voter,
+		To:          r.leader(),
+		Member:      placement.Member{Name: voter, Incarnation: 900, Process: 900},
+		RequestedID: 900<<8 | r.all[voter].voterPosition(voter),
+		SentAt:      1,
 	}
 	r.start(voter)
 	r.run(4000)
@@ -44,17 +44,17 @@
 	r := newRoom(t, 4, 3)
 	r.run(8000)
 	name := r.names[3]
-	late := Message{Kind: MsgHeartbeat, From: name, To: r.leader(), Member: r.all[name].self, Sent: 1}
+	late := Message{Type: MsgHeartbeat, From: name, To: r.leader(), Member: r.all[name].self, SentAt: 1}
 	for _, life := range []uint64{700, 701} {
 		r.all[name].Rejoin(life)
 		r.run(1000)
 	}
-	late.Member.Life = 700
+	late.Member.Incarnation = 700
 	r.all[r.leader()].Receive(&late, r.now)
-	late.Member.Life = 4 // two lives ago
+	late.Member.Incarnation = 4 // two lives ago
 	r.all[r.leader()].Receive(&late, r.now)
 	r.run(2000)
-	if m := r.agreed().Member(name); m.Life != 701 {
+	if m := r.agreed().Member(name); m.Incarnation != 701 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -84,7 +84,7 @@
 		}
 		for _, m := range out {
 			x := &raftpb.Message{}
-			if m.Kind == MsgRaft && m.To == voter && proto.Unmarshal(m.Raft, x) == nil &&
+			if m.Type == MsgRaft && m.To == voter && proto.Unmarshal(m.Raft, x) == nil &&
 				x.GetType() == raftpb.MsgSnap {
 				lost++
 				continue
@@ -109,9 +109,9 @@
 	r := newRoom(t, 5, 3)
 	r.run(8000)
 	c, name := r.all[r.leader()], r.names[4]
-	here := Message{Kind: MsgHeartbeat, From: name, To: c.cfg.Name, Member: r.all[name].self, Sent: 1, Asked: 5}
+	here := Message{Type: MsgHeartbeat, From: name, To: c.cfg.Name, Member: r.all[name].self, SentAt: 1, AskedAt: 5}
 	c.table = c.table.Clone()
-	c.table.Duties = []placement.Lease{{Name: "d", Holder: name, Life: r.all[name].self.Life, Token: 1}}
+	c.table.Leases = []placement.Lease{{Name: "d", Holder: name, Incarnation: r.all[name].self.Incarnation, Token: 1}}
 	if c.Receive(&here, r.now); len(c.pendingConfirmations) != 1 {
 		t.Fatalf("%d ask", len(c.pendingConfirmations))
 	}
@@ -131,8 +131,8 @@
 	c := r.all[r.names[3]]
 	confirmed, heard := 0, c.LastContact()
 	c.OnLeaderConfirmed(func(int64, uint64) { confirmed++ })
-	for _, m := range []Message{{Asked: 1 << 50, Member: placement.Member{Life: 999}}, {Sent: r.now + 1<<50}} {
-		m.Kind, m.From, m.To, m.Version = MsgHeartbeatResp, r.leader(), c.cfg.Name, c.Table().Version
+	for _, m := range []Message{{AskedAt: 1 << 50, Member: placement.Member{Incarnation: 999}}, {SentAt: r.now + 1<<50}} {
+		m.Type, m.From, m.To, m.Version = MsgHeartbeatResp, r.leader(), c.cfg.Name, c.Table().Version
 		c.Receive(&m, r.now)
 	}
 	if confirmed > 0 || c.LastContact() != heard {
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -36,10 +36,10 @@
 		at, ok := c.lastHeard[m.Name]
 		if !ok {
 			c.lastHeard[m.Name] = c.now
-		} else if m.Life != 0 && c.now-at > FailureTimeout {
+		} else if m.Incarnation != 0 && c.now-at > FailureTimeout {
 			changes = append(changes, placement.Change{Kind: placement.ChangeLost, Member: m})
 		}
-		if m.Life == 0 &&
+		if m.Incarnation == 0 &&
 			(m.Leaving || len(c.cfg.KnownMembers) > 0 && !slices.Contains(c.cfg.KnownMembers, m.Name)) {
 			changes = append(changes, placement.Change{Kind: placement.ChangeRemove, Member: m})
 		}
@@ -78,7 +78,7 @@
 		return nil
 	}
 	return c.granter.Grants(c.table, c.now, func(name string) int64 {
-		if m, a := c.table.Member(name), c.leaseRequests[name]; m != nil && a.incarnation == m.Life {
+		if m, a := c.table.Member(name), c.leaseRequests[name]; m != nil && a.incarnation == m.Incarnation {
 			return a.askedAt
 		}
 		return 0
@@ -104,16 +104,16 @@
 	}
 	for _, a := range c.readIndexRequests {
 		switch m := c.table.Member(a.name); {
-		case m == nil || m.Life != a.incarnation:
+		case m == nil || m.Incarnation != a.incarnation:
 		case a.name == c.cfg.Name:
 			c.leaderConfirmed(a.askedAt, c.table.Version)
 		default:
 			c.send(
 				Message{
-					Kind:    MsgHeartbeatResp,
+					Type:    MsgHeartbeatResp,
 					To:      a.name,
-					Member:  placement.Member{Name: a.name, Life: a.incarnation},
-					Asked:   a.askedAt,
+					Member:  placement.Member{Name: a.name, Incarnation: a.incarnation},
+					AskedAt: a.askedAt,
 					Version: c.table.Version,
 				},
 			)
@@ -147,7 +147,7 @@
 		}
 		if c.rawNode.Propose(data) == nil { // else there is no leader, or too much is under way
 			if c.pendingProposals[string(data)] = c.now; x.Kind == placement.ChangeLost {
-				c.proposedLost[x.Member.Name] = x.Member.Life
+				c.proposedLost[x.Member.Name] = x.Member.Incarnation
 			}
 		}
 	}
--- a/internal/peers/consensus/members.go
+++ b/internal/peers/consensus/members.go
@@ -11,22 +11,22 @@
 
 // handleHeartbeat hears of a runner.
 func (c *Participant) handleHeartbeat(m Message) {
-	if m.Blank != 0 && c.voterPosition(m.From) != 0 && c.requestedVoterID != 0 {
-		c.restartingVoters[m.From] = m.Rests
+	if m.RequestedID != 0 && c.voterPosition(m.From) != 0 && c.requestedVoterID != 0 {
+		c.restartingVoters[m.From] = m.HasLog
 		_ = c.tryStart() // its figures are right
 		return
 	}
 	// the other one may not have heard so
-	if rests, ok := c.startedWithoutOthers(); ok && m.Blank != 0 && !m.Answer {
+	if rests, ok := c.startedWithoutOthers(); ok && m.RequestedID != 0 && !m.IsReply {
 		c.send(
 			Message{
-				Kind:   MsgHeartbeat,
-				To:     m.From,
-				Member: c.self,
-				Blank:  c.voterID,
-				Rests:  rests,
-				Answer: true,
-				Sent:   c.now,
+				Type:        MsgHeartbeat,
+				To:          m.From,
+				Member:      c.self,
+				RequestedID: c.voterID,
+				HasLog:      rests,
+				IsReply:     true,
+				SentAt:      c.now,
 			},
 		)
 	}
@@ -35,26 +35,26 @@
 			return
 		}
 		if lead := c.voterName(c.rawNode.BasicStatus().Lead); lead != "" {
-			c.send(Message{Kind: MsgHeartbeatResp, To: m.From, Leader: lead})
+			c.send(Message{Type: MsgHeartbeatResp, To: m.From, Leader: lead})
 		}
 		return
 	}
 	known := c.isEstablished(&m)
-	if m.Blank != 0 && known {
+	if m.RequestedID != 0 && known {
 		c.proposeVoterID(&m)
 	}
 	// A word that came late, from the process before this one, may have taken its number from it.
-	if m.Number != 0 && c.voterPosition(m.From) == m.Number&0xff && !slices.Contains(c.confState.GetVoters(), m.Number) {
-		c.send(Message{Kind: MsgHeartbeatResp, To: m.From, Number: m.Number})
+	if m.VoterID != 0 && c.voterPosition(m.From) == m.VoterID&0xff && !slices.Contains(c.confState.GetVoters(), m.VoterID) {
+		c.send(Message{Type: MsgHeartbeatResp, To: m.From, VoterID: m.VoterID})
 		return
 	}
 	c.lastHeard[m.From] = c.now
-	if m.Asked != 0 {
-		c.leaseRequests[m.From] = leaseRequest{m.From, m.Member.Life, m.Asked}
+	if m.AskedAt != 0 {
+		c.leaseRequests[m.From] = leaseRequest{m.From, m.Member.Incarnation, m.AskedAt}
 		// Who is about to be held for lost is not told that it holds anything: its duties may be
 		// another's before it hears so.
 		if in := c.table.Member(m.From); c.table.LeaseCount(m.From) > 0 &&
-			(in == nil || in.Life != c.proposedLost[m.From]) {
+			(in == nil || in.Incarnation != c.proposedLost[m.From]) {
 			c.pendingConfirmations = append(
 				slices.DeleteFunc(c.pendingConfirmations, func(a leaseRequest) bool { return a.name == m.From }),
 				c.leaseRequests[m.From],
@@ -63,8 +63,8 @@
 	}
 	if in := c.table.Member(m.From); known && (in == nil || !in.SameAnnouncement(&m.Member)) {
 		// One that is out comes back in another life: by then it knows that it was lost.
-		if m.Member.Name == m.From && m.Member.Life != 0 &&
-			(in == nil || in.Life != 0 || m.Version >= c.table.Version) {
+		if m.Member.Name == m.From && m.Member.Incarnation != 0 &&
+			(in == nil || in.Incarnation != 0 || m.Version >= c.table.Version) {
 			c.proposeAsLeader([]placement.Change{{Kind: c.joinKind(), Member: m.Member}})
 		}
 	}
@@ -72,7 +72,7 @@
 		c.lastContact = c.now
 		return
 	}
-	answer := Message{Kind: MsgHeartbeatResp, To: m.From, Sent: m.Sent, Version: c.table.Version}
+	answer := Message{Type: MsgHeartbeatResp, To: m.From, SentAt: m.SentAt, Version: c.table.Version}
 	if m.Version < c.table.Version && c.voterPosition(m.From) == 0 { // voters have it from the log
 		answer.Table = c.table
 	}
@@ -94,7 +94,7 @@
 // stopped and reads what waited for it. One that is there says so again before the other one does.
 func (c *Participant) isEstablished(m *Message) bool {
 	in := c.table.Member(m.From)
-	if in == nil || in.Life == 0 || in.Process == m.Member.Process {
+	if in == nil || in.Incarnation == 0 || in.Process == m.Member.Process {
 		delete(c.newProcesses, m.From)
 		return true
 	}
@@ -118,7 +118,7 @@
 	}
 	c.voterIDRequests++
 	c.rawNode, c.isLeader, c.bootstrapSnapshot, c.restartedFromDisk = nil, false, nil, false
-	c.requestedVoterID = uint64(c.voterIDRequests)<<60 | c.self.Life<<8&(1<<60-1) | c.voterPosition(c.cfg.Name)
+	c.requestedVoterID = uint64(c.voterIDRequests)<<60 | c.self.Incarnation<<8&(1<<60-1) | c.voterPosition(c.cfg.Name)
 }
 
 // maxVoterIDRequests bounds how often a process asks for another number: each is one that it never had.
@@ -127,15 +127,15 @@
 // proposeVoterID gives a voter that lost its disk another number, in place of the one under which it may
 // have voted.
 func (c *Participant) proposeVoterID(m *Message) {
-	if c.voterPosition(m.From) == 0 || m.Blank&0xff != c.voterPosition(m.From) {
+	if c.voterPosition(m.From) == 0 || m.RequestedID&0xff != c.voterPosition(m.From) {
 		return
 	}
 	ids := slices.Clone(c.confState.GetVoters())
-	if slices.Contains(ids, m.Blank) {
-		c.send(Message{Kind: MsgHeartbeatResp, To: m.From, Blank: m.Blank})
+	if slices.Contains(ids, m.RequestedID) {
+		c.send(Message{Type: MsgHeartbeatResp, To: m.From, RequestedID: m.RequestedID})
 		return
 	}
-	x := &raftpb.ConfChange{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(m.Blank)}
+	x := &raftpb.ConfChange{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(m.RequestedID)}
 	for _, id := range ids {
 		if c.voterName(id) == m.From {
 			x = &raftpb.ConfChange{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(id)}
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -113,7 +113,7 @@
 // agree on nothing, do those with something on their disks go on from that; and if all have nothing
 // they begin as the file has them.
 func New(cfg Config, me placement.Member, disk []DurableRecord, now int64) (*Participant, error) {
-	me.Knows = placement.NewestChangeKind
+	me.NewestChange = placement.NewestChangeKind
 	c := &Participant{
 		cfg:              cfg,
 		self:             me,
@@ -133,7 +133,7 @@
 		proposedLost:         map[string]uint64{},
 		leaderConfirmed:      func(int64, uint64) {},
 	}
-	if c.self.Duties = cfg.LeaseRules.NamesFor(cfg.Name); cfg.Clock == nil {
+	if c.self.LeaseNames = cfg.LeaseRules.NamesFor(cfg.Name); cfg.Clock == nil {
 		c.cfg.Clock = func() int64 { return 0 }
 	}
 	var err error
@@ -152,7 +152,7 @@
 		return c, nil
 	}
 	c.storage = raft.NewMemoryStorage()
-	c.requestedVoterID = me.Life<<8 | place
+	c.requestedVoterID = me.Incarnation<<8 | place
 	for i := range disk {
 		if err := c.restoreRecord(&disk[i]); err != nil {
 			return nil, kindVoters.New("consensus: record %d of the disk: %w", i, err)
@@ -264,7 +264,7 @@
 func (c *Participant) IsLeader() bool { return c.isLeader }
 
 // Rejoin is another life of this runner's membership.
-func (c *Participant) Rejoin(life uint64) { c.self.Life = life }
+func (c *Participant) Rejoin(life uint64) { c.self.Incarnation = life }
 
 // OnLeaderConfirmed names who hears that the consensus group went by its leader after this runner asked,
 // and of which table the leader knew then.
@@ -273,12 +273,12 @@
 // SetLeaseRules takes the rules of another file.
 func (c *Participant) SetLeaseRules(r lease.Rules) {
 	c.cfg.LeaseRules = r
-	c.self.Duties = r.NamesFor(c.cfg.Name)
+	c.self.LeaseNames = r.NamesFor(c.cfg.Name)
 	c.granter.SetRules(r)
 }
 
 // StopTakingLeases has this runner take no duty any more. If it leads, it goes on to grant them to others.
-func (c *Participant) StopTakingLeases() { c.self.Duties = nil }
+func (c *Participant) StopTakingLeases() { c.self.LeaseNames = nil }
 
 // SetKnownMembers takes another list of who is in the file.
 func (c *Participant) SetKnownMembers(names []string) { c.cfg.KnownMembers = names }
@@ -320,7 +320,7 @@
 // life.
 func (c *Participant) DeclaredLost() bool {
 	m := c.table.Member(c.cfg.Name)
-	return m != nil && m.Life == 0
+	return m != nil && m.Incarnation == 0
 }
 
 // Ready gives what is to be sent, and what has to be on the disk before that, if anything.
@@ -348,7 +348,7 @@
 	case c.isLeader:
 		c.proposeAsLeader(changes)
 	case c.leader != "":
-		c.send(Message{Kind: MsgPropose, To: c.leader, Changes: changes})
+		c.send(Message{Type: MsgPropose, To: c.leader, Changes: changes})
 	}
 }
 
@@ -374,13 +374,13 @@
 			if v != c.cfg.Name {
 				c.send(
 					Message{
-						Kind:   MsgHeartbeat,
-						To:     v,
-						Member: c.self,
-						Blank:  c.requestedVoterID,
-						Rests:  c.voterID != 0,
-						Sent:   c.now,
-						Asked:  c.cfg.Clock(),
+						Type:        MsgHeartbeat,
+						To:          v,
+						Member:      c.self,
+						RequestedID: c.requestedVoterID,
+						HasLog:      c.voterID != 0,
+						SentAt:      c.now,
+						AskedAt:     c.cfg.Clock(),
 					},
 				)
 			}
@@ -393,8 +393,8 @@
 				From:    c.cfg.Name,
 				Member:  c.self,
 				Version: c.table.Version,
-				Sent:    c.now,
-				Asked:   c.cfg.Clock(),
+				SentAt:  c.now,
+				AskedAt: c.cfg.Clock(),
 			},
 		)
 		return
@@ -406,13 +406,13 @@
 	if c.leader != "" && c.leader != c.cfg.Name {
 		c.send(
 			Message{
-				Kind:    MsgHeartbeat,
+				Type:    MsgHeartbeat,
 				To:      c.leader,
 				Member:  c.self,
 				Version: c.table.Version,
-				Sent:    c.now,
-				Asked:   c.cfg.Clock(),
-				Number:  c.currentVoterID(),
+				SentAt:  c.now,
+				AskedAt: c.cfg.Clock(),
+				VoterID: c.currentVoterID(),
 			},
 		)
 	}
@@ -429,7 +429,7 @@
 // Receive takes a message.
 func (c *Participant) Receive(m *Message, now int64) {
 	c.now = max(c.now, now)
-	switch m.Kind {
+	switch m.Type {
 	case MsgRaft:
 		r := &raftpb.Message{}
 		if c.rawNode != nil && proto.Unmarshal(m.Raft, r) == nil && c.voterName(r.GetFrom()) == m.From &&
@@ -454,24 +454,24 @@
 			return
 		}
 		// it is one of the voters again, and learns all from the others
-		if m.Blank != 0 && m.Blank == c.requestedVoterID {
+		if m.RequestedID != 0 && m.RequestedID == c.requestedVoterID {
 			c.voterID, c.voterIDUnsaved, c.appliedIndex, c.snapshotIndex, c.confState = c.requestedVoterID, true, 0, 0, nil
 			c.storage = raft.NewMemoryStorage()
 			_ = c.startRaft() // its figures are right
 			return
 		}
-		if m.Asked != 0 {
+		if m.AskedAt != 0 {
 			// else it is for the process before, whose clock may have been another
-			if m.Member.Life == c.self.Life {
-				c.leaderConfirmed(m.Asked, m.Version)
+			if m.Member.Incarnation == c.self.Incarnation {
+				c.leaderConfirmed(m.AskedAt, m.Version)
 			}
 			return
 		}
-		if m.Number != 0 {
-			c.replaceVoterID(m.Number)
+		if m.VoterID != 0 {
+			c.replaceVoterID(m.VoterID)
 			return
 		}
-		if m.Sent > c.now { // it is for the process before, whose clock had gone further
+		if m.SentAt > c.now { // it is for the process before, whose clock had gone further
 			return
 		}
 		// it knows less than was agreed on: a consensus group that began anew does not stand for
@@ -479,7 +479,7 @@
 		if m.Version < c.table.Version {
 			return
 		}
-		c.leader, c.lastContact = m.From, max(c.lastContact, m.Sent)
+		c.leader, c.lastContact = m.From, max(c.lastContact, m.SentAt)
 		if m.Table != nil && c.rawNode == nil && m.Table.Version > c.table.Version &&
 			len(m.Table.Slots) == c.cfg.Slots {
 			c.table = m.Table
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -50,7 +50,7 @@
 	r.lives++
 	c, err := New(
 		Config{Name: name, Voters: r.voters, Slots: 16, Backups: 1},
-		placement.Member{Name: name, Life: r.lives, Process: uint32(r.lives)},
+		placement.Member{Name: name, Incarnation: r.lives, Process: uint32(r.lives)},
 		r.disks[name],
 		r.now,
 	)
@@ -77,7 +77,7 @@
 				r.t.Fatal(err)
 			}
 			if kept != nil {
-				if kept.ID != 0 {
+				if kept.VoterID != 0 {
 					r.disks[name] = nil
 				}
 				r.disks[name] = append(r.disks[name], *kept)
@@ -122,7 +122,7 @@
 func (r *room) in() (n int) {
 	r.t.Helper()
 	for _, m := range r.agreed().Members {
-		if m.Life != 0 {
+		if m.Incarnation != 0 {
 			n++
 		}
 	}
@@ -235,7 +235,7 @@
 	for i := range 3 * compactAfterEntries {
 		c.Propose(
 			[]placement.Change{
-				{Kind: placement.ChangeJoin, Member: placement.Member{Name: "x", Life: uint64(1000 + i)}},
+				{Kind: placement.ChangeJoin, Member: placement.Member{Name: "x", Incarnation: uint64(1000 + i)}},
 			},
 			r.now,
 		)
--- a/internal/peers/consensus/storage.go
+++ b/internal/peers/consensus/storage.go
@@ -14,8 +14,8 @@
 
 // restoreRecord takes a record of the disk.
 func (c *Participant) restoreRecord(k *DurableRecord) error {
-	if k.ID != 0 {
-		c.voterID, c.appliedIndex, c.snapshotIndex, c.confState = k.ID, 0, 0, nil
+	if k.VoterID != 0 {
+		c.voterID, c.appliedIndex, c.snapshotIndex, c.confState = k.VoterID, 0, 0, nil
 		c.storage = raft.NewMemoryStorage()
 	}
 	if k.Snapshot != nil {
@@ -38,11 +38,11 @@
 	if err := c.storage.Append(entries); err != nil {
 		return err
 	}
-	if k.State == nil {
+	if k.HardState == nil {
 		return nil
 	}
 	state := &raftpb.HardState{}
-	if err := proto.Unmarshal(k.State, state); err != nil {
+	if err := proto.Unmarshal(k.HardState, state); err != nil {
 		return err
 	}
 	return c.storage.SetHardState(state)
@@ -79,7 +79,7 @@
 			kept = &DurableRecord{}
 		}
 		if c.voterIDUnsaved {
-			if c.voterIDUnsaved, kept.ID = false, c.voterID; c.bootstrapSnapshot != nil {
+			if c.voterIDUnsaved, kept.VoterID = false, c.voterID; c.bootstrapSnapshot != nil {
 				data, err := proto.Marshal(c.bootstrapSnapshot)
 				if err != nil {
 					return nil, err
@@ -96,7 +96,7 @@
 				return nil, kindConsensusFailed.New("consensus: %w", err)
 			}
 			if to := c.voterName(m.GetTo()); to != "" {
-				c.send(Message{Kind: MsgRaft, To: to, Raft: data})
+				c.send(Message{Type: MsgRaft, To: to, Raft: data})
 			}
 		}
 		for _, e := range rd.CommittedEntries {
@@ -116,7 +116,7 @@
 	if err := c.compactLog(kept); err != nil {
 		return nil, err
 	}
-	if kept != nil && kept.ID == 0 && kept.State == nil && kept.Entries == nil && kept.Snapshot == nil {
+	if kept != nil && kept.VoterID == 0 && kept.HardState == nil && kept.Entries == nil && kept.Snapshot == nil {
 		kept = nil
 	}
 	return kept, nil
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		k.State = data
+		k.HardState = data
 		return c.storage.SetHardState(rd.HardState)
 	}
 	return nil
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	k.ID, k.Entries = c.voterID, nil
+	k.VoterID, k.Entries = c.voterID, nil
 	last, err := c.storage.LastIndex()
 	if err != nil || last <= c.appliedIndex {
 		return err
@@ -216,7 +216,7 @@
 		k.Entries = append(k.Entries, data)
 	}
 	if state, _, bad := c.storage.InitialState(); bad == nil && state != nil {
-		k.State, bad = proto.Marshal(state)
+		k.HardState, bad = proto.Marshal(state)
 		if bad != nil {
 			return bad
 		}
--- a/internal/peers/lease/cluster_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -145,7 +145,7 @@
 			StartedAt:  100 + n.Life,
 			Clock:      clock,
 		},
-		placement.Member{Name: n.Name, Hall: n.Hall, Life: p.life, Process: uint32(n.Life)},
+		placement.Member{Name: n.Name, Zone: n.Hall, Incarnation: p.life, Process: uint32(n.Life)},
 		p.log,
 		n.Mono(),
 	)
@@ -178,13 +178,13 @@
 			panic(err)
 		}
 		if kept != nil {
-			if kept.ID != 0 {
+			if kept.VoterID != 0 {
 				p.log = nil
 			}
 			p.log = append(slices.Clip(p.log), *kept)
 		}
 		for _, m := range out {
-			if w.wrong.unasked && m.Kind == consensus.MsgHeartbeatResp && m.Asked != 0 {
+			if w.wrong.unasked && m.Type == consensus.MsgHeartbeatResp && m.AskedAt != 0 {
 				continue // it was told before
 			}
 			p.n.Send(m.To, func(to *simcluster.Node) { to.Holds.(*process).receive(m) })
@@ -206,23 +206,23 @@
 	w := p.w
 	if w.wrong.noWait || w.wrong.lostCheck || w.wrong.sameToken {
 		// tables are changed where they are, so that all that comes of them is wrong
-		for i := range t.Duties {
-			d := &t.Duties[i]
+		for i := range t.Leases {
+			d := &t.Leases[i]
 			if d.Abrupt = d.Abrupt && !w.wrong.noWait; w.wrong.lostCheck && d.Holder == "" {
-				d.Check = nil
+				d.Handover = nil
 			}
 			if w.wrong.sameToken && d.Token != 0 {
-				d.Token = t.Born << 32
+				d.Token = t.BootstrapTime << 32
 			}
 		}
 	}
 	does := map[string]int{}
-	for i := range t.Duties {
-		d := &t.Duties[i]
+	for i := range t.Leases {
+		d := &t.Leases[i]
 		if d.Holder == "" {
 			continue
 		}
-		who := fmt.Sprintf("%s for %s in life %d", d.Name, d.Holder, d.Life)
+		who := fmt.Sprintf("%s for %s in life %d", d.Name, d.Holder, d.Incarnation)
 		if before, ok := w.grants[d.Token]; ok && before != who {
 			w.wrongIs("token %d was granted for %s and for %s", d.Token, before, who)
 		}
@@ -236,15 +236,15 @@
 
 func (p *process) receive(m consensus.Message) {
 	w := p.w
-	if w.wrong.unasked && m.Kind == consensus.MsgHeartbeat && m.Asked != 0 && p.c.IsLeader() {
+	if w.wrong.unasked && m.Type == consensus.MsgHeartbeat && m.AskedAt != 0 && p.c.IsLeader() {
 		p.n.Send(m.From, func(to *simcluster.Node) {
 			to.Holds.(*process).receive(
 				consensus.Message{
-					Kind:    consensus.MsgHeartbeatResp,
+					Type:    consensus.MsgHeartbeatResp,
 					From:    p.n.Name,
 					To:      m.From,
-					Member:  placement.Member{Life: m.Member.Life},
-					Asked:   m.Asked,
+					Member:  placement.Member{Incarnation: m.Member.Incarnation},
+					AskedAt: m.AskedAt,
 					Version: p.c.Table().Version,
 				},
 			)
@@ -359,7 +359,7 @@
 							g.Token,
 							p.version,
 							p.c.Table().Lease(g.Lease).Seq,
-							p.c.Table().Lease(g.Lease).Check,
+							p.c.Table().Lease(g.Lease).Handover,
 						)
 					}
 					w.noted[g.Lease] = max(w.noted[g.Lease], n)
@@ -436,17 +436,17 @@
 			p.c.IsLeader(),
 			(n.Mono()-p.c.LastContact())/ms,
 			t.Version,
-			t.Born,
+			t.BootstrapTime,
 		)
-		for _, d := range t.Duties {
+		for _, d := range t.Leases {
 			fmt.Fprintf(
 				&b,
 				"; %s %q life %d token %d lapses %v abrupt %v",
 				d.Name,
 				d.Holder,
-				d.Life,
+				d.Incarnation,
 				d.Token,
-				d.Lapses,
+				d.Expirations,
 				d.Abrupt,
 			)
 		}
--- a/internal/peers/lease/health_report.go
+++ b/internal/peers/lease/health_report.go
@@ -5,19 +5,19 @@
 // HealthReport is what the holder of a duty saw of servers, for runners that did not look
 // themselves.
 type HealthReport struct {
-	From  string         `cbor:"1,keyasint"`
-	To    string         `cbor:"2,keyasint"`
-	Duty  string         `cbor:"3,keyasint"`
-	Token uint64         `cbor:"4,keyasint"`
-	Seen  []ServerHealth `cbor:"5,keyasint"`
+	From    string         `cbor:"1,keyasint"`
+	To      string         `cbor:"2,keyasint"`
+	Lease   string         `cbor:"3,keyasint"`
+	Token   uint64         `cbor:"4,keyasint"`
+	Servers []ServerHealth `cbor:"5,keyasint"`
 }
 
 // Tokens is how one server answered.
 type ServerHealth struct {
-	Group  string `cbor:"1,keyasint"`
-	Server string `cbor:"2,keyasint"`
-	Good   bool   `cbor:"3,keyasint,omitempty"`
-	Age    int64  `cbor:"4,keyasint,omitempty"` // since it answered, as the report goes out
+	Group   string `cbor:"1,keyasint"`
+	Server  string `cbor:"2,keyasint"`
+	Healthy bool   `cbor:"3,keyasint,omitempty"`
+	Age     int64  `cbor:"4,keyasint,omitempty"` // since it answered, as the report goes out
 }
 
 // maxReportServers bounds the servers of one report, and maxKnownServers those that are remembered.
@@ -83,7 +83,7 @@
 			c.Performed++
 			return true, duty, t
 		}
-		if s, ok := c.reported[[2]string{group, server}]; ok && sure && s.Good && now-s.at <= 2*every {
+		if s, ok := c.reported[[2]string{group, server}]; ok && sure && s.Healthy && now-s.at <= 2*every {
 			c.Skipped++
 			return false, duty, 0
 		}
@@ -100,7 +100,7 @@
 	if len(c.unsent[duty]) < maxReportServers {
 		c.unsent[duty] = append(
 			c.unsent[duty],
-			observedHealth{ServerHealth{Group: group, Server: server, Good: good}, now},
+			observedHealth{ServerHealth{Group: group, Server: server, Healthy: good}, now},
 		)
 	}
 }
@@ -122,10 +122,10 @@
 		if t, ok := holds(duty); !ok || t != c.tokens[duty] || len(seen) == 0 {
 			continue
 		}
-		tale := HealthReport{From: from, Duty: duty, Token: c.tokens[duty]}
+		tale := HealthReport{From: from, Lease: duty, Token: c.tokens[duty]}
 		for _, s := range seen {
 			s.Age = now - s.at
-			tale.Seen = append(tale.Seen, s.ServerHealth)
+			tale.Servers = append(tale.Servers, s.ServerHealth)
 		}
 		tales = append(tales, tale)
 	}
@@ -134,14 +134,14 @@
 
 // Receive takes a report. One of a runner that lost its duty meanwhile is not taken.
 func (c *HealthChecks) Receive(t *HealthReport, now int64) error {
-	if len(t.Seen) > maxReportServers {
-		return kindFenced.New("lease: a tale of %d servers is over %d", len(t.Seen), maxReportServers)
+	if len(t.Servers) > maxReportServers {
+		return kindFenced.New("lease: a tale of %d servers is over %d", len(t.Servers), maxReportServers)
 	}
-	if err := c.fence.Check(t.Duty, t.Token); err != nil {
+	if err := c.fence.Check(t.Lease, t.Token); err != nil {
 		c.Stale++
 		return err
 	}
-	for _, s := range t.Seen {
+	for _, s := range t.Servers {
 		key := [2]string{s.Group, s.Server}
 		if _, ok := c.reported[key]; !ok && len(c.reported) >= maxKnownServers {
 			continue
--- a/internal/peers/lease/lease.go
+++ b/internal/peers/lease/lease.go
@@ -114,7 +114,7 @@
 	if len(g.rules.Rules) == 0 {
 		return nil
 	}
-	if t.Born == 0 {
+	if t.BootstrapTime == 0 {
 		return []placement.Change{{Kind: placement.ChangeBootstrap, Token: max(g.startedAt, 1)}}
 	}
 	does := map[string]int{}
@@ -131,8 +131,8 @@
 	for i := range g.rules.Rules {
 		r := &g.rules.Rules[i]
 		d := cmp.Or(t.Lease(r.Name), &placement.Lease{})
-		for _, l := range d.Lapses { // noted while somebody else holds it, too
-			observedSince(g.expiredSince, r.Name+"\x00"+l.Name, uint64(l.Times), now)
+		for _, l := range d.Expirations { // noted while somebody else holds it, too
+			observedSince(g.expiredSince, r.Name+"\x00"+l.Name, uint64(l.Count), now)
 		}
 		if _, ok := g.proposed[r.Name]; ok || d.Holder != "" {
 			continue
@@ -146,11 +146,11 @@
 			changes = append(
 				changes,
 				placement.Change{
-					Kind:   placement.ChangeGrantLease,
-					Member: placement.Member{Name: m.Name, Life: m.Life},
-					Duty:   r.Name,
-					Token:  d.Token,
-					Asked:  asked(m.Name),
+					Kind:    placement.ChangeGrantLease,
+					Member:  placement.Member{Name: m.Name, Incarnation: m.Incarnation},
+					Lease:   r.Name,
+					Token:   d.Token,
+					AskedAt: asked(m.Name),
 				},
 			)
 		}
@@ -169,13 +169,13 @@
 	var rank [5]uint64
 	for i := range t.Members {
 		m := &t.Members[i]
-		if m.Life == 0 || m.Leaving || !r.Allows(m.Name) || !slices.Contains(m.Duties, r.Name) ||
+		if m.Incarnation == 0 || m.Leaving || !r.Allows(m.Name) || !slices.Contains(m.LeaseNames, r.Name) ||
 			does[m.Name] >= g.rules.MaxPerMember {
 			continue
 		}
 		times := 0
-		if j := slices.IndexFunc(d.Lapses, func(l placement.Expiration) bool { return l.Name == m.Name }); j >= 0 {
-			times = d.Lapses[j].Times
+		if j := slices.IndexFunc(d.Expirations, func(l placement.Expiration) bool { return l.Name == m.Name }); j >= 0 {
+			times = d.Expirations[j].Count
 			if at := observedSince(g.expiredSince, r.Name+"\x00"+m.Name, uint64(times), now); now-at < g.rules.ExpiryBackoff<<min(
 				times-1,
 				maxBackoffDoublings,
@@ -183,12 +183,12 @@
 				continue
 			}
 		}
-		hall := slices.Index(r.Zones, m.Hall)
+		hall := slices.Index(r.Zones, m.Zone)
 		if hall < 0 {
 			hall = len(r.Zones)
 		}
 		left := uint64(0)
-		if m.Name == d.Left { // it may be about to go
+		if m.Name == d.ReleasedBy { // it may be about to go
 			left = 1
 		}
 		k := [5]uint64{left, uint64(hall), uint64(does[m.Name]), uint64(times), hashRank(r.Name, m.Name)}
@@ -295,13 +295,13 @@
 	for _, name := range slices.Sorted(maps.Keys(h.pending)) {
 		s := h.pending[name]
 		d := t.Lease(name)
-		mine := d != nil && d.Token == s.change.Token && d.Holder == h.name && d.Life == h.incarnation
+		mine := d != nil && d.Token == s.change.Token && d.Holder == h.name && d.Incarnation == h.incarnation
 		if mine && d.Seq < s.change.Epoch {
 			continue // still on its way
 		}
 		if s.change.Kind == placement.ChangeReleaseLease { // somebody may have it already; who lost it is noted
 			mine = d != nil && (d.Token != s.change.Token || d.Holder == "") &&
-				!slices.ContainsFunc(d.Lapses, func(l placement.Expiration) bool { return l.Name == h.name })
+				!slices.ContainsFunc(d.Expirations, func(l placement.Expiration) bool { return l.Name == h.name })
 		}
 		delete(h.pending, name)
 		if s.done != nil {
@@ -315,17 +315,17 @@
 	if h.table == nil {
 		return nil
 	}
-	for i := range h.table.Duties {
-		d := &h.table.Duties[i]
-		if d.Holder != h.name || d.Life != h.incarnation || h.released[d.Name] == d.Token {
+	for i := range h.table.Leases {
+		d := &h.table.Leases[i]
+		if d.Holder != h.name || d.Incarnation != h.incarnation || h.released[d.Name] == d.Token {
 			continue
 		}
 		asked := h.confirmedAt
-		if d.Asked > 0 {
-			asked = max(asked, d.Asked)
+		if d.AskedAt > 0 {
+			asked = max(asked, d.AskedAt)
 		}
 		if until := asked + TTL - ClockMargin; now < until {
-			grants = append(grants, Grant{d.Name, d.Token, until, d.Check})
+			grants = append(grants, Grant{d.Name, d.Token, until, d.Handover})
 		}
 	}
 	return grants
@@ -364,7 +364,7 @@
 // large, and done was told.
 func (h *Holder) ownLease(name string, check []byte, done func(bool)) *placement.Lease {
 	if h.table != nil && len(check) <= placement.MaxHandoverBytes {
-		if d := h.table.Lease(name); d != nil && d.Holder == h.name && d.Life == h.incarnation {
+		if d := h.table.Lease(name); d != nil && d.Holder == h.name && d.Incarnation == h.incarnation {
 			return d
 		}
 	}
@@ -381,12 +381,12 @@
 	h.seq++
 	h.pending[d.Name] = &pendingChange{
 		placement.Change{
-			Kind:   kind,
-			Member: placement.Member{Name: h.name, Life: h.incarnation},
-			Duty:   d.Name,
-			Token:  d.Token,
-			Check:  check,
-			Epoch:  h.seq,
+			Kind:     kind,
+			Member:   placement.Member{Name: h.name, Incarnation: h.incarnation},
+			Lease:    d.Name,
+			Token:    d.Token,
+			Handover: check,
+			Epoch:    h.seq,
 		},
 		never,
 		done,
--- a/internal/peers/lease/lease_test.go
+++ b/internal/peers/lease/lease_test.go
@@ -23,11 +23,11 @@
 			placement.Change{
 				Kind: placement.ChangeJoin,
 				Member: placement.Member{
-					Name:    n,
-					Hall:    "hall" + n[1:],
-					Life:    uint64(i + 1),
-					Process: uint32(i + 1),
-					Duties:  []string{"a", "b", "c"},
+					Name:        n,
+					Zone:        "hall" + n[1:],
+					Incarnation: uint64(i + 1),
+					Process:     uint32(i + 1),
+					LeaseNames:  []string{"a", "b", "c"},
 				},
 			},
 		)
@@ -43,7 +43,7 @@
 		p.Apply(c)
 	}
 	holders := map[string]string{}
-	for _, d := range p.Duties {
+	for _, d := range p.Leases {
 		if d.Holder != "" {
 			holders[d.Name] = d.Holder
 		}
@@ -99,11 +99,11 @@
 			placement.Change{
 				Kind: placement.ChangeJoin,
 				Member: placement.Member{
-					Name:    "n1",
-					Hall:    "hall1",
-					Life:    life,
-					Process: uint32(life),
-					Duties:  []string{"a"},
+					Name:        "n1",
+					Zone:        "hall1",
+					Incarnation: life,
+					Process:     uint32(life),
+					LeaseNames:  []string{"a"},
 				},
 			},
 		)
@@ -126,7 +126,7 @@
 	p.Apply(
 		placement.Change{
 			Kind:   placement.ChangeJoin,
-			Member: placement.Member{Name: "n1", Hall: "hall1", Life: 9, Process: 9, Duties: []string{"a"}},
+			Member: placement.Member{Name: "n1", Zone: "hall1", Incarnation: 9, Process: 9, LeaseNames: []string{"a"}},
 		},
 	)
 	for now, want := range map[int64]int{0: 0, lease.TTL: 0, lease.TTL + lease.ClockMargin: 1} {
@@ -184,8 +184,8 @@
 		q.Apply(c)
 	}
 	h.SetTable(q)
-	if string(q.Lease("a").Check) != "2" {
-		t.Errorf("left is %q", q.Lease("a").Check)
+	if string(q.Lease("a").Handover) != "2" {
+		t.Errorf("left is %q", q.Lease("a").Handover)
 	}
 	h.Release("a", []byte("3"), done)
 	if until(1000) != 0 {
@@ -197,7 +197,7 @@
 	h.SetTable(q)
 	h.SetHandover("a", []byte("4"), done)
 	if diff := cmp.Diff([]bool{false, true, true, false}, told); diff != "" ||
-		string(q.Lease("a").Check) != "3" ||
+		string(q.Lease("a").Handover) != "3" ||
 		q.Lease("a").Holder != "" {
 		t.Errorf("%s; %+v", diff, q.Lease("a"))
 	}
@@ -222,10 +222,10 @@
 		}
 	})
 	h.Renew(2)
-	if p.Apply(placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: "n1", Life: 1}}); h.HasPendingChanges() {
+	if p.Apply(placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: "n1", Incarnation: 1}}); h.HasPendingChanges() {
 		h.SetTable(p)
 	}
-	if d := p.Lease("a"); d.Holder != "" || len(d.Lapses) != 1 || h.HasPendingChanges() {
+	if d := p.Lease("a"); d.Holder != "" || len(d.Expirations) != 1 || h.HasPendingChanges() {
 		t.Errorf("%+v, still says %v", d, h.HasPendingChanges())
 	}
 }
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -55,7 +55,7 @@
 type Hello struct {
 	Installation string `cbor:"1,keyasint"`
 	Name         string `cbor:"2,keyasint"`
-	Format       int    `cbor:"3,keyasint"` // newer ones add fields, which older ones pass over
+	Version      int    `cbor:"3,keyasint"` // newer ones add fields, which older ones pass over
 }
 
 // Frame is one message; one of its parts is there.
@@ -63,7 +63,7 @@
 	Hello       *Hello                `cbor:"1,keyasint,omitempty"`
 	Replication *replication.Message  `cbor:"2,keyasint,omitempty"`
 	Consensus   *consensus.Message    `cbor:"3,keyasint,omitempty"`
-	Account     *usagereplica.Message `cbor:"4,keyasint,omitempty"`
+	Usage       *usagereplica.Message `cbor:"4,keyasint,omitempty"`
 	Health      *lease.HealthReport   `cbor:"7,keyasint,omitempty"`
 	// of one that a relay is to pass on: whose it is,
 	To   string `cbor:"5,keyasint,omitempty"`
@@ -324,7 +324,7 @@
 		p.nextDial = l.Now() + redialInterval
 		p.dial()
 		p.write(
-			&Frame{Hello: &Hello{Installation: p.transport.cfg.Installation, Name: p.transport.cfg.Name, Format: formatVersion}},
+			&Frame{Hello: &Hello{Installation: p.transport.cfg.Installation, Name: p.transport.cfg.Name, Version: formatVersion}},
 		)
 	}
 	if p.conn == nil || p.conn.Queued() > maxQueuedBytes {
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -19,12 +19,12 @@
 func frame() *Frame {
 	return &Frame{
 		Replication: &replication.Message{
-			Kind:  replication.MsgAppend,
+			Type:  replication.MsgAppend,
 			From:  "n2",
 			To:    "n1",
 			Slot:  3,
 			Epoch: 7,
-			Entries: []replication.Entry{{Seq: 9, Left: 5,
+			Entries: []replication.Entry{{Seq: 9, Remaining: 5,
 				Record: &store.Record{
 					Kind:   store.Ended,
 					Name:   store.Name{Class: "hand-in", Key: "a"},
--- a/internal/peers/link/stored_test.go
+++ b/internal/peers/link/stored_test.go
@@ -46,68 +46,68 @@
 
 func sampleReplication() *replication.Message {
 	return &replication.Message{
-		Kind:    replication.MsgAppend,
-		From:    "runner-a",
-		To:      "runner-b",
-		Slot:    17,
-		Epoch:   300,
-		ID:      70_000,
-		Word:    replication.OutcomeRetry,
-		Doubt:   true,
-		Back:    250_000,
-		Base:    41,
-		Seq:     43,
-		Reset:   true,
-		Quiet:   1_500_000,
-		Eras:    []replication.EpochStart{{Epoch: 299, First: 40}, {Epoch: 300, First: 42}},
-		Entries: []replication.Entry{{Seq: 42, Epoch: 300, Left: 12_000_000, Record: sampleRecord()}},
-		Life:    5_000_000_000,
-		No:      99,
+		Type:        replication.MsgAppend,
+		From:        "runner-a",
+		To:          "runner-b",
+		Slot:        17,
+		Epoch:       300,
+		RequestID:   70_000,
+		Outcome:     replication.OutcomeRetry,
+		InDoubt:     true,
+		RetryAfter:  250_000,
+		Base:        41,
+		Seq:         43,
+		Reset:       true,
+		Quarantine:  1_500_000,
+		EpochStarts: []replication.EpochStart{{Epoch: 299, FirstSeq: 40}, {Epoch: 300, FirstSeq: 42}},
+		Entries:     []replication.Entry{{Seq: 42, Epoch: 300, Remaining: 12_000_000, Record: sampleRecord()}},
+		Incarnation: 5_000_000_000,
+		Serial:      99,
 	}
 }
 
 func sampleMember() placement.Member {
 	return placement.Member{
-		Name:    "runner-a",
-		Hall:    "west",
-		Life:    3_000_000_001,
-		Process: 4_000_000_002,
-		Gone:    3_000_000_000,
-		Leaving: true,
-		Knows:   placement.ChangeJoinV3,
-		Bills:   true,
-		Duties:  []string{"probe-east", "probe-west"},
+		Name:            "runner-a",
+		Zone:            "west",
+		Incarnation:     3_000_000_001,
+		Process:         4_000_000_002,
+		PrevIncarnation: 3_000_000_000,
+		Leaving:         true,
+		NewestChange:    placement.ChangeJoinV3,
+		KeepsUsage:      true,
+		LeaseNames:      []string{"probe-east", "probe-west"},
 	}
 }
 
 func sampleTable() *placement.Table {
 	return &placement.Table{
 		Version: 1234,
-		Copies:  2,
+		Backups: 2,
 		Members: []placement.Member{sampleMember()},
 		Slots: []placement.Slot{
-			{Epoch: 8, Set: []string{"runner-a", "runner-b"}, Joining: []string{"runner-c"}, Quiet: 7},
-			{Epoch: 9, Set: []string{"runner-b"}, Joining: []string{"runner-a"}, Quiet: 9},
+			{Epoch: 8, Replicas: []string{"runner-a", "runner-b"}, Joining: []string{"runner-c"}, EmptyEpoch: 7},
+			{Epoch: 9, Replicas: []string{"runner-b"}, Joining: []string{"runner-a"}, EmptyEpoch: 9},
 		},
-		Born: 1_700_000_000,
-		Duties: []placement.Lease{{
-			Name:   "probe-west",
-			Holder: "runner-a",
-			Life:   3_000_000_001,
-			Token:  1_700_000_000<<32 | 1200,
-			Check:  []byte{9, 8, 7},
-			Abrupt: true,
-			Lapses: []placement.Expiration{{Name: "runner-c", Times: 2}},
-			Asked:  123_456_789,
-			Seq:    4,
-			Left:   "runner-b",
+		BootstrapTime: 1_700_000_000,
+		Leases: []placement.Lease{{
+			Name:        "probe-west",
+			Holder:      "runner-a",
+			Incarnation: 3_000_000_001,
+			Token:       1_700_000_000<<32 | 1200,
+			Handover:    []byte{9, 8, 7},
+			Abrupt:      true,
+			Expirations: []placement.Expiration{{Name: "runner-c", Count: 2}},
+			AskedAt:     123_456_789,
+			Seq:         4,
+			ReleasedBy:  "runner-b",
 		}},
 	}
 }
 
 func sampleConsensus() *consensus.Message {
 	return &consensus.Message{
-		Kind:    consensus.MsgHeartbeatResp,
+		Type:    consensus.MsgHeartbeatResp,
 		From:    "runner-a",
 		To:      "runner-b",
 		Raft:    []byte{1, 2, 3},
@@ -116,34 +116,34 @@
 		Leader:  "runner-c",
 		Table:   sampleTable(),
 		Changes: []placement.Change{{
-			Kind:   placement.ChangeReleaseLease,
-			Member: sampleMember(),
-			Slot:   17,
-			Epoch:  300,
-			Duty:   "probe-west",
-			Token:  1_700_000_000<<32 | 1200,
-			Check:  []byte{9, 8, 7},
-			Asked:  123_456_789,
+			Kind:     placement.ChangeReleaseLease,
+			Member:   sampleMember(),
+			Slot:     17,
+			Epoch:    300,
+			Lease:    "probe-west",
+			Token:    1_700_000_000<<32 | 1200,
+			Handover: []byte{9, 8, 7},
+			AskedAt:  123_456_789,
 		}},
-		Sent:   987_654_321,
-		Blank:  3_000_000_001<<8 | 1,
-		Rests:  true,
-		Answer: true,
-		Number: 3_000_000_001<<8 | 2,
-		Asked:  123_456_790,
+		SentAt:      987_654_321,
+		RequestedID: 3_000_000_001<<8 | 1,
+		HasLog:      true,
+		IsReply:     true,
+		VoterID:     3_000_000_001<<8 | 2,
+		AskedAt:     123_456_790,
 	}
 }
 
 func sampleUsage() *usagereplica.Message {
 	return &usagereplica.Message{
-		Kind:    usagereplica.MsgAppend,
-		From:    "runner-a",
-		To:      "runner-b",
-		Account: "0011aabbccdd",
-		Process: 4_000_000_002,
-		Life:    3_000_000_001,
-		Seq:     88,
-		Steps: []usagereplica.Operation{{
+		Type:        usagereplica.MsgAppend,
+		From:        "runner-a",
+		To:          "runner-b",
+		Ledger:      "0011aabbccdd",
+		Process:     4_000_000_002,
+		Incarnation: 3_000_000_001,
+		Seq:         88,
+		Operations: []usagereplica.Operation{{
 			Use: &ledger.Use{
 				At:     1_700_000_000_000_001,
 				School: "north",
@@ -154,7 +154,7 @@
 				Until:  1_700_000_013_000_002,
 				Again:  true,
 			},
-			Fix: &ledger.Correction{
+			Correction: &ledger.Correction{
 				ID:     "c-1",
 				Period: 1_699_999_800_000_000,
 				School: "north",
@@ -171,14 +171,14 @@
 				Why: "counted twice",
 				By:  "ops",
 			},
-			Lost: 6,
-			Seal: "5f5e",
-			At:   1_700_000_000_000_003,
+			LostUses:   6,
+			SealDigest: "5f5e",
+			At:         1_700_000_000_000_003,
 		}},
 		Part:  2,
 		Parts: 3,
 		Bytes: []byte("a piece"),
-		Set: ledger.Settings{
+		Settings: ledger.Settings{
 			Instance: "runner-a",
 			Period:   600_000_000,
 			Slice:    60_000_000,
@@ -186,18 +186,18 @@
 			Keys:     10_000,
 			Lines:    100,
 		},
-		Name: "usage-runner-a-0011aabbccdd-00000001.json",
-		No:   4,
+		Name:       "usage-runner-a-0011aabbccdd-00000001.json",
+		SnapshotID: 4,
 	}
 }
 
 func sampleHealth() *lease.HealthReport {
 	return &lease.HealthReport{
-		From:  "runner-a",
-		To:    "runner-b",
-		Duty:  "probe-west",
-		Token: 1_700_000_000<<32 | 1200,
-		Seen:  []lease.ServerHealth{{Group: "teachers", Server: "t-1", Good: true, Age: 120_000}},
+		From:    "runner-a",
+		To:      "runner-b",
+		Lease:   "probe-west",
+		Token:   1_700_000_000<<32 | 1200,
+		Servers: []lease.ServerHealth{{Group: "teachers", Server: "t-1", Healthy: true, Age: 120_000}},
 	}
 }
 
@@ -235,16 +235,16 @@
 		file  string
 		frame Frame
 	}{
-		{"hello", Frame{Hello: &Hello{Installation: "school-west", Name: "runner-a", Format: 1}}},
+		{"hello", Frame{Hello: &Hello{Installation: "school-west", Name: "runner-a", Version: 1}}},
 		{"replication", Frame{Replication: sampleReplication()}},
 		{"consensus", Frame{Consensus: sampleConsensus()}},
-		{"usage", Frame{Account: sampleUsage()}},
+		{"usage", Frame{Usage: sampleUsage()}},
 		{"health", Frame{Health: sampleHealth()}},
 		{"all-fields", Frame{
-			Hello:       &Hello{Installation: "school-west", Name: "runner-a", Format: 1},
+			Hello:       &Hello{Installation: "school-west", Name: "runner-a", Version: 1},
 			Replication: sampleReplication(),
 			Consensus:   sampleConsensus(),
-			Account:     sampleUsage(),
+			Usage:       sampleUsage(),
 			Health:      sampleHealth(),
 			To:          "runner-c",
 			From:        "runner-a",
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -60,7 +60,7 @@
 // Leases are those of this runner.
 func (p *Node) Leases() *Leases { return p.leases }
 
-// Holds tells whether this runner may do something now, and under which token.
+// Slots tells whether this runner may do something now, and under which token.
 func (d *Leases) Holds(name string) (token uint64, ok bool) {
 	return d.Snapshot.Holds(name, BootTime())
 }
@@ -115,7 +115,7 @@
 func (d *Leases) sendHealthReports() {
 	for _, tale := range d.HealthChecks.TakeReports(d.node.cfg.Links.Name, d.node.loop.Now(), d.Holds) {
 		for _, m := range d.node.consensus.Table().Members {
-			if m.Life != 0 && m.Name != tale.From {
+			if m.Incarnation != 0 && m.Name != tale.From {
 				t := tale
 				t.To = m.Name
 				d.node.transport.Send(m.Name, &link.Frame{Health: &t})
@@ -126,7 +126,7 @@
 
 func (d *Leases) receiveHealthReport(t *lease.HealthReport) {
 	if err := d.HealthChecks.Receive(t, d.node.loop.Now()); err != nil {
-		eventReportFenced.Log(t.Duty, t.From, err)
+		eventReportFenced.Log(t.Lease, t.From, err)
 	}
 }
 
@@ -139,13 +139,13 @@
 
 // LeaseStatus is how a duty stands, as this runner knows it.
 type LeaseStatus struct {
-	Name   string `json:"name"`
-	Holder string `json:"holder,omitempty"`
-	Token  uint64 `json:"token,omitempty"`
-	Here   bool   `json:"here,omitempty"`        // this runner may do it now
-	LeftMs int64  `json:"left_ms,omitempty"`     // of its lease, if it is here
-	Lapses int    `json:"lapses,omitempty"`      // runners that lost it without giving it back
-	Check  int    `json:"check_bytes,omitempty"` // left for the next holder
+	Name          string `json:"name"`
+	Holder        string `json:"holder,omitempty"`
+	Token         uint64 `json:"token,omitempty"`
+	HeldHere      bool   `json:"here,omitempty"`        // this runner may do it now
+	RemainingMs   int64  `json:"left_ms,omitempty"`     // of its lease, if it is here
+	Expirations   int    `json:"lapses,omitempty"`      // runners that lost it without giving it back
+	HandoverBytes int    `json:"check_bytes,omitempty"` // left for the next holder
 }
 
 // status are how all duties of the file and of the table stand.
@@ -157,17 +157,17 @@
 			rows = append(rows, LeaseStatus{Name: r.Name})
 		}
 	}
-	for i := range t.Duties {
-		x := &t.Duties[i]
+	for i := range t.Leases {
+		x := &t.Leases[i]
 		row := LeaseStatus{
-			Name:   x.Name,
-			Holder: x.Holder,
-			Token:  x.Token,
-			Lapses: len(x.Lapses),
-			Check:  len(x.Check),
+			Name:          x.Name,
+			Holder:        x.Holder,
+			Token:         x.Token,
+			Expirations:   len(x.Expirations),
+			HandoverBytes: len(x.Handover),
 		}
 		if j := slices.IndexFunc(page, func(g lease.Grant) bool { return g.Lease == x.Name && now < g.ExpiresAt }); j >= 0 {
-			row.Here, row.LeftMs = true, (page[j].ExpiresAt-now)/1000
+			row.HeldHere, row.RemainingMs = true, (page[j].ExpiresAt-now)/1000
 		}
 		rows = append(rows, row)
 	}
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -125,7 +125,7 @@
 			Clock:        BootTime,
 		},
 		placement.Member{
-			Name: cfg.Links.Name, Hall: cfg.Zone, Life: cfg.Incarnation, Process: cfg.Process, Bills: cfg.UsageReplicas != nil},
+			Name: cfg.Links.Name, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Process: cfg.Process, KeepsUsage: cfg.UsageReplicas != nil},
 		log,
 		l.Now(),
 	)
@@ -165,9 +165,9 @@
 	case f.Health != nil && f.Health.From == from:
 		p.leases.receiveHealthReport(f.Health)
 		return
-	case f.Account != nil && f.Account.From == from:
+	case f.Usage != nil && f.Usage.From == from:
 		if p.cfg.UsageReplicas != nil {
-			p.cfg.UsageReplicas.Receive(f.Account)
+			p.cfg.UsageReplicas.Receive(f.Usage)
 		}
 		return
 	}
@@ -206,7 +206,7 @@
 			}
 			lost := map[string]bool{}
 			for _, m := range t.Members {
-				if m.Life == 0 {
+				if m.Incarnation == 0 {
 					lost[m.Name] = true
 				}
 			}
@@ -239,7 +239,7 @@
 // SendUsage sends words about accounts.
 func (p *Node) SendUsage(out []usagereplica.Message) {
 	for i := range out {
-		p.transport.Send(out[i].To, &link.Frame{Account: &out[i]})
+		p.transport.Send(out[i].To, &link.Frame{Usage: &out[i]})
 	}
 }
 
@@ -269,7 +269,7 @@
 func (p *Node) Replace(old, by string) error {
 	m := p.consensus.Table().Member(by)
 	switch {
-	case m == nil || m.Life == 0:
+	case m == nil || m.Incarnation == 0:
 		return kindReplacement.New("%s is not in: add it to all files, and start it first", by)
 	case m.Leaving || old == by:
 		return kindReplacement.New("%s is leaving itself", by)
@@ -279,100 +279,100 @@
 
 // KeyStatus is where a key's copies are, and what is held of it here.
 type KeyStatus struct {
-	Slot    int      `json:"slot"`
-	Epoch   uint64   `json:"epoch"`
-	Set     []string `json:"set"` // the primary first
-	Joining []string `json:"joining,omitempty"`
+	Slot     int      `json:"slot"`
+	Epoch    uint64   `json:"epoch"`
+	Replicas []string `json:"set"` // the primary first
+	Joining  []string `json:"joining,omitempty"`
 	// for so long, as is known here, its slot takes no new keys
-	QuietMs int64 `json:"quiet_ms,omitempty"`
+	QuarantineMs int64 `json:"quiet_ms,omitempty"`
 	// begun, ended, forgotten, not held, or unknown to this holder
-	Here   string `json:"here"`
-	By     string `json:"by,omitempty"`      // whose process runs it, or ran it
-	LeftMs int64  `json:"left_ms,omitempty"` // of its window
-	Bytes  int    `json:"bytes,omitempty"`   // of its result
+	State       string `json:"here"`
+	Owner       string `json:"by,omitempty"`      // whose process runs it, or ran it
+	RemainingMs int64  `json:"left_ms,omitempty"` // of its window
+	ResultBytes int    `json:"bytes,omitempty"`   // of its result
 }
 
 // KeyStatus tells where the copies of a key are.
 func (p *Node) KeyStatus(name store.Name) *KeyStatus {
 	t := p.consensus.Table()
 	slot, quiet, held, rec, left := p.replica.Lookup(name, p.loop.Now())
-	s := &KeyStatus{Slot: slot, QuietMs: quiet / 1000, Here: "not held", LeftMs: left / 1000}
+	s := &KeyStatus{Slot: slot, QuarantineMs: quiet / 1000, State: "not held", RemainingMs: left / 1000}
 	if slot < len(t.Slots) {
-		s.Epoch, s.Set, s.Joining = t.Slots[slot].Epoch, t.Slots[slot].Set, t.Slots[slot].Joining
+		s.Epoch, s.Replicas, s.Joining = t.Slots[slot].Epoch, t.Slots[slot].Replicas, t.Slots[slot].Joining
 	}
 	switch {
 	case rec != nil:
-		s.Here = map[store.Kind]string{store.Begun: "begun", store.Ended: "ended", store.Forgotten: "forgotten"}[rec.Kind]
-		s.By = "a process that is gone"
+		s.State = map[store.Kind]string{store.Begun: "begun", store.Ended: "ended", store.Forgotten: "forgotten"}[rec.Kind]
+		s.Owner = "a process that is gone"
 		for _, m := range t.Members {
-			if m.Life != 0 && m.Process == uint32(rec.Owner>>32) {
-				s.By = m.Name
+			if m.Incarnation != 0 && m.Process == uint32(rec.Owner>>32) {
+				s.Owner = m.Name
 			}
 		}
 		if rec.Result != nil {
-			s.Bytes = len(rec.Result.Body)
+			s.ResultBytes = len(rec.Result.Body)
 		}
 	case held:
-		s.Here = "unknown"
+		s.State = "unknown"
 	}
 	return s
 }
 
 // Status is how copies stand, as this runner knows it.
 type Status struct {
-	Version  uint64          `json:"version"`
-	Leads    bool            `json:"leads"`
-	In       bool            `json:"in"`
-	Closed   string          `json:"closed,omitempty"` // why no new keys are taken
-	Whole    int             `json:"slots_whole"`
-	Slots    int             `json:"slots"`
-	Members  []string        `json:"members"` // that are in
-	Lost     []string        `json:"lost,omitempty"`
-	Leaving  []LeavingMember `json:"leaving,omitempty"`
-	Links    int             `json:"links"`                     // connections to peers
-	Passed   int64           `json:"messages_passed,omitempty"` // between others
-	Bytes    int             `json:"bytes_held"`                // of records, about
-	Copied   int64           `json:"bytes_copied"`              // to runners that were brought up
-	Messages int64           `json:"messages_sent"`
-	Dropped  int64           `json:"messages_dropped"`
-
-	Duties []LeaseStatus `json:"duties,omitempty"`
+	Version         uint64          `json:"version"`
+	IsLeader        bool            `json:"leads"`
+	IsMember        bool            `json:"in"`
+	Unavailable     string          `json:"closed,omitempty"` // why no new keys are taken
+	FullyReplicated int             `json:"slots_whole"`
+	Slots           int             `json:"slots"`
+	Members         []string        `json:"members"` // that are in
+	Lost            []string        `json:"lost,omitempty"`
+	Leaving         []LeavingMember `json:"leaving,omitempty"`
+	Links           int             `json:"links"`                     // connections to peers
+	Relayed         int64           `json:"messages_passed,omitempty"` // between others
+	HeldBytes       int             `json:"bytes_held"`                // of records, about
+	CatchUpBytes    int64           `json:"bytes_copied"`              // to runners that were brought up
+	Messages        int64           `json:"messages_sent"`
+	Dropped         int64           `json:"messages_dropped"`
+
+	Leases []LeaseStatus `json:"duties,omitempty"`
 	// where one runner asks a hall's servers for their health
-	Checks *HealthCheckStatus `json:"checks,omitempty"`
+	HealthChecks *HealthCheckStatus `json:"checks,omitempty"`
 }
 
 // HealthCheckStatus is who asked servers for their health.
 type HealthCheckStatus struct {
-	Made   int64 `json:"made"`   // by this runner
-	Spared int64 `json:"spared"` // as another one had told of them
-	Late   int64 `json:"late"`   // tales of runners that had lost the duty
+	Performed int64 `json:"made"`   // by this runner
+	Skipped   int64 `json:"spared"` // as another one had told of them
+	Stale     int64 `json:"late"`   // tales of runners that had lost the duty
 }
 
 // LeavingMember is a member that is to hold nothing any more.
 type LeavingMember struct {
 	Name  string `json:"name"`
-	Holds int    `json:"holds"` // slots, still
+	Slots int    `json:"holds"` // slots, still
 }
 
 // Status tells how copies stand.
 func (p *Node) Status() *Status {
 	t := p.consensus.Table()
 	s := &Status{
-		Version:  t.Version,
-		Leads:    p.consensus.IsLeader(),
-		In:       p.replica.IsMember(),
-		Whole:    t.FullyReplicatedSlots(),
-		Slots:    len(t.Slots),
-		Messages: p.transport.Sent,
-		Dropped:  p.transport.Dropped,
-		Links:    p.transport.Connections(),
-		Passed:   p.transport.Relayed,
-		Copied:   p.replica.CatchUpBytes,
-		Bytes:    p.replica.HeldBytes,
+		Version:         t.Version,
+		IsLeader:        p.consensus.IsLeader(),
+		IsMember:        p.replica.IsMember(),
+		FullyReplicated: t.FullyReplicatedSlots(),
+		Slots:           len(t.Slots),
+		Messages:        p.transport.Sent,
+		Dropped:         p.transport.Dropped,
+		Links:           p.transport.Connections(),
+		Relayed:         p.transport.Relayed,
+		CatchUpBytes:    p.replica.CatchUpBytes,
+		HeldBytes:       p.replica.HeldBytes,
 	}
-	_, s.Closed = p.replica.Unavailable(p.loop.Now())
-	if s.Duties = p.leases.status(); len(p.cfg.CheckedZones) > 0 {
-		s.Checks = &HealthCheckStatus{
+	_, s.Unavailable = p.replica.Unavailable(p.loop.Now())
+	if s.Leases = p.leases.status(); len(p.cfg.CheckedZones) > 0 {
+		s.HealthChecks = &HealthCheckStatus{
 			p.leases.HealthChecks.Performed,
 			p.leases.HealthChecks.Skipped,
 			p.leases.HealthChecks.Stale,
@@ -382,7 +382,7 @@
 		if m.Leaving {
 			s.Leaving = append(s.Leaving, LeavingMember{m.Name, t.SlotCount(m.Name)})
 		}
-		if m.Life != 0 {
+		if m.Incarnation != 0 {
 			s.Members = append(s.Members, m.Name)
 		} else {
 			s.Lost = append(s.Lost, m.Name)
@@ -461,7 +461,7 @@
 // record is the core's keeper.
 type keeper struct{ node *Node }
 
-// Closed implements core.Keeper.
+// Unavailable implements core.Keeper.
 func (k keeper) Closed() (int64, string) {
 	if back, why := k.node.replica.Unavailable(k.node.loop.Now()); back > 0 || k.node.localKeeper == nil {
 		return back, why
--- a/internal/peers/placement/member_test.go
+++ b/internal/peers/placement/member_test.go
@@ -8,9 +8,11 @@
 func TestLivesOfTwoProcesses(t *testing.T) {
 	const before, now = 1, 2 // processes
 	say := func(process uint32, life uint64) Change {
-		return Change{Kind: ChangeJoinV3, Member: Member{Name: "n1", Process: process, Life: life}}
+		return Change{Kind: ChangeJoinV3, Member: Member{Name: "n1", Process: process, Incarnation: life}}
+	}
+	out := func(life uint64) Change {
+		return Change{Kind: ChangeLost, Member: Member{Name: "n1", Incarnation: life}}
 	}
-	out := func(life uint64) Change { return Change{Kind: ChangeLost, Member: Member{Name: "n1", Life: life}} }
 	for name, c := range map[string]struct {
 		changes []Change
 		want    uint64
@@ -30,7 +32,7 @@
 			for _, change := range c.changes {
 				table.Apply(change)
 			}
-			if got := table.Member("n1").Life; got != c.want {
+			if got := table.Member("n1").Incarnation; got != c.want {
 				t.Errorf("life %d, want %d", got, c.want)
 			}
 		})
--- a/internal/peers/placement/placement.go
+++ b/internal/peers/placement/placement.go
@@ -12,24 +12,24 @@
 
 // Member is a runner that belongs to the installation.
 type Member struct {
-	Name string `cbor:"1,keyasint"`
-	Hall string `cbor:"2,keyasint,omitempty"`
-	Life uint64 `cbor:"3,keyasint,omitempty"` // which time it is in; 0: it is out
+	Name        string `cbor:"1,keyasint"`
+	Zone        string `cbor:"2,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"3,keyasint,omitempty"` // which time it is in; 0: it is out
 	// the life of its process, by which its runs are known
 	Process uint32 `cbor:"4,keyasint,omitempty"`
 	// the life before this one, which does not come back
-	Gone    uint64     `cbor:"5,keyasint,omitempty"`
-	Leaving bool       `cbor:"6,keyasint,omitempty"` // its slots go to others
-	Knows   ChangeKind `cbor:"7,keyasint,omitempty"` // the newest kind of change that it knows
+	PrevIncarnation uint64     `cbor:"5,keyasint,omitempty"`
+	Leaving         bool       `cbor:"6,keyasint,omitempty"` // its slots go to others
+	NewestChange    ChangeKind `cbor:"7,keyasint,omitempty"` // the newest kind of change that it knows
 	// it has a folder for accounts of usage, and knows those of others
-	Bills bool `cbor:"8,keyasint,omitempty"`
-	// Duties are the names of those that it would take, in order.
-	Duties []string `cbor:"9,keyasint,omitempty"`
+	KeepsUsage bool `cbor:"8,keyasint,omitempty"`
+	// LeaseNames are the names of those that it would take, in order.
+	LeaseNames []string `cbor:"9,keyasint,omitempty"`
 }
 
 // SameAnnouncement tells whether two say the same of a runner, as the runner itself says it.
 func (m *Member) SameAnnouncement(o *Member) bool {
-	return m.Life == o.Life && m.Knows == o.Knows && m.Bills == o.Bills && slices.Equal(m.Duties, o.Duties)
+	return m.Incarnation == o.Incarnation && m.NewestChange == o.NewestChange && m.KeepsUsage == o.KeepsUsage && slices.Equal(m.LeaseNames, o.LeaseNames)
 }
 
 // implicitChangeKind is the oldest life in which a process may be taken in by a change. What is gone of a
@@ -40,32 +40,32 @@
 	case kind == ChangeJoin:
 		return 0
 	case kind == ChangeJoinV2:
-		return max(m.Life, m.Gone)
-	case m.Life != 0:
-		return m.Life
+		return max(m.Incarnation, m.PrevIncarnation)
+	case m.Incarnation != 0:
+		return m.Incarnation
 	}
-	return m.Gone
+	return m.PrevIncarnation
 }
 
 // Slot is a part of the keys, and who holds it.
 type Slot struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	// each has every promise of the slot; the primary first
-	Set     []string `cbor:"2,keyasint,omitempty"`
-	Joining []string `cbor:"3,keyasint,omitempty"` // they are brought up, and count for nothing
+	Replicas []string `cbor:"2,keyasint,omitempty"`
+	Joining  []string `cbor:"3,keyasint,omitempty"` // they are brought up, and count for nothing
 	// the epoch at which the slot began with nothing; 0: never
-	Quiet uint64 `cbor:"4,keyasint,omitempty"`
+	EmptyEpoch uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Table is what is agreed on.
 type Table struct {
 	Version uint64   `cbor:"1,keyasint"`
-	Copies  int      `cbor:"2,keyasint"` // beside the primary's
+	Backups int      `cbor:"2,keyasint"` // beside the primary's
 	Members []Member `cbor:"3,keyasint,omitempty"`
 	Slots   []Slot   `cbor:"4,keyasint,omitempty"`
 	// Unix seconds, by the clock of whoever led the consensus group when it began; 0: not said yet
-	Born   uint64  `cbor:"5,keyasint,omitempty"`
-	Duties []Lease `cbor:"6,keyasint,omitempty"` // by name
+	BootstrapTime uint64  `cbor:"5,keyasint,omitempty"`
+	Leases        []Lease `cbor:"6,keyasint,omitempty"` // by name
 }
 
 // ChangeKind is what a change says.
@@ -104,12 +104,12 @@
 	Slot   int        `cbor:"3,keyasint,omitempty"`
 	// of a slot; Yield and Note: the number of the change, of those under its token
 	Epoch uint64 `cbor:"4,keyasint,omitempty"`
-	Duty  string `cbor:"5,keyasint,omitempty"`
+	Lease string `cbor:"5,keyasint,omitempty"`
 	// the newest that whoever says it knows of the duty; Found: Unix seconds
-	Token uint64 `cbor:"6,keyasint,omitempty"`
-	Check []byte `cbor:"7,keyasint,omitempty"`
+	Token    uint64 `cbor:"6,keyasint,omitempty"`
+	Handover []byte `cbor:"7,keyasint,omitempty"`
 	// ChangeGrantLease: by the member's own clock, when it said that it is there
-	Asked int64 `cbor:"8,keyasint,omitempty"`
+	AskedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
 // New is the table of an installation before anybody is in.
@@ -117,15 +117,15 @@
 	if slots < 1 || slots > 1<<12 || copies < 1 || copies > 4 {
 		return nil, fmt.Errorf("plan: %d slots with %d copies: want 1 to 4096 and 1 to 4", slots, copies)
 	}
-	return &Table{Copies: copies, Slots: make([]Slot, slots)}, nil
+	return &Table{Backups: copies, Slots: make([]Slot, slots)}, nil
 }
 
 // Clone is the same table, which may be changed by itself.
 func (t *Table) Clone() *Table {
 	c := *t
-	c.Members, c.Slots, c.Duties = slices.Clone(t.Members), slices.Clone(t.Slots), slices.Clone(t.Duties)
+	c.Members, c.Slots, c.Leases = slices.Clone(t.Members), slices.Clone(t.Slots), slices.Clone(t.Leases)
 	for i := range c.Slots {
-		c.Slots[i].Set, c.Slots[i].Joining = slices.Clone(c.Slots[i].Set), slices.Clone(c.Slots[i].Joining)
+		c.Slots[i].Replicas, c.Slots[i].Joining = slices.Clone(c.Slots[i].Replicas), slices.Clone(c.Slots[i].Joining)
 	}
 	return &c
 }
@@ -145,7 +145,7 @@
 
 // ProcessAlive tells whether a process is that of a member which is in.
 func (t *Table) ProcessAlive(process uint32) bool {
-	return slices.ContainsFunc(t.Members, func(m Member) bool { return m.Life != 0 && m.Process == process })
+	return slices.ContainsFunc(t.Members, func(m Member) bool { return m.Incarnation != 0 && m.Process == process })
 }
 
 // SlotOf is the slot of a name.
@@ -157,15 +157,15 @@
 
 // Primary is who orders the tries of a slot's keys; empty: nobody.
 func (s *Slot) Primary() string {
-	if len(s.Set) == 0 {
+	if len(s.Replicas) == 0 {
 		return ""
 	}
-	return s.Set[0]
+	return s.Replicas[0]
 }
 
 // Holds tells whether a member has the slot, or is being brought up.
 func (s *Slot) Holds(name string) bool {
-	return slices.Contains(s.Set, name) || slices.Contains(s.Joining, name)
+	return slices.Contains(s.Replicas, name) || slices.Contains(s.Joining, name)
 }
 
 // Apply takes a change. One that does not fit any more changes nothing but the version.
@@ -178,25 +178,25 @@
 			return
 		}
 	case ChangeLost, ChangeRemove:
-		if m == nil || c.Kind == ChangeLost && m.Life != c.Member.Life {
+		if m == nil || c.Kind == ChangeLost && m.Incarnation != c.Member.Incarnation {
 			return
 		}
 		t.markLost(m, c.Kind == ChangeRemove)
 	case ChangeCaughtUp:
 		s := t.slotAt(c)
-		if s == nil || m == nil || m.Life != c.Member.Life || !slices.Contains(s.Joining, m.Name) {
+		if s == nil || m == nil || m.Incarnation != c.Member.Incarnation || !slices.Contains(s.Joining, m.Name) {
 			return
 		}
 		t.completeJoin(s, m.Name)
 	case ChangeAddReplica:
-		if s := t.slotAt(c); s != nil && m != nil && m.Life != 0 && !m.Leaving && !s.Holds(m.Name) &&
-			len(s.Set) == 1+t.Copies &&
+		if s := t.slotAt(c); s != nil && m != nil && m.Incarnation != 0 && !m.Leaving && !s.Holds(m.Name) &&
+			len(s.Replicas) == 1+t.Backups &&
 			len(s.Joining) == 0 {
 			s.Joining = append(s.Joining, m.Name)
 		}
 	case ChangeSetPrimary:
-		if s := t.slotAt(c); s != nil && slices.Contains(s.Set, c.Member.Name) {
-			s.Set = append([]string{c.Member.Name}, without(s.Set, c.Member.Name)...)
+		if s := t.slotAt(c); s != nil && slices.Contains(s.Replicas, c.Member.Name) {
+			s.Replicas = append([]string{c.Member.Name}, without(s.Replicas, c.Member.Name)...)
 			s.Epoch++
 		}
 	case ChangeLeave, ChangeStay:
@@ -204,8 +204,8 @@
 			m.Leaving = c.Kind == ChangeLeave
 		}
 	case ChangeBootstrap:
-		if t.Born == 0 {
-			t.Born = c.Token
+		if t.BootstrapTime == 0 {
+			t.BootstrapTime = c.Token
 		}
 	case ChangeGrantLease, ChangeReleaseLease, ChangeSetHandover:
 		t.applyLeaseChange(c, m)
@@ -217,7 +217,7 @@
 // What an earlier life held is forgotten.
 func (t *Table) join(c Change, m *Member) bool {
 	if m != nil && c.Member.Process != 0 && c.Member.Process == m.Process &&
-		c.Member.Life < m.oldestIncarnation(c.Kind) {
+		c.Member.Incarnation < m.oldestIncarnation(c.Kind) {
 		return false
 	}
 	if m == nil {
@@ -230,20 +230,20 @@
 		m = &t.Members[i]
 	}
 	// said again, as whoever agreed to it before may have known less of members
-	if m.Life == c.Member.Life && m.Life != 0 {
-		m.Knows, m.Bills, m.Duties = c.Member.Knows, c.Member.Bills, c.Member.Duties
+	if m.Incarnation == c.Member.Incarnation && m.Incarnation != 0 {
+		m.NewestChange, m.KeepsUsage, m.LeaseNames = c.Member.NewestChange, c.Member.KeepsUsage, c.Member.LeaseNames
 	}
-	if m.Life == c.Member.Life || c.Member.Life == 0 || c.Member.Life == m.Gone {
+	if m.Incarnation == c.Member.Incarnation || c.Member.Incarnation == 0 || c.Member.Incarnation == m.PrevIncarnation {
 		return false
 	}
-	t.expireLeases(m.Name, m.Life != 0)
+	t.expireLeases(m.Name, m.Incarnation != 0)
 	t.removeFromSlots(m.Name)
-	gone, leaving := m.Gone, m.Leaving
-	if m.Life != 0 {
-		gone = m.Life
+	gone, leaving := m.PrevIncarnation, m.Leaving
+	if m.Incarnation != 0 {
+		gone = m.Incarnation
 	}
 	*m = c.Member
-	m.Gone, m.Leaving = gone, leaving
+	m.PrevIncarnation, m.Leaving = gone, leaving
 	return true
 }
 
@@ -252,10 +252,10 @@
 	name := m.Name
 	t.expireLeases(name, false)
 	t.removeFromSlots(name)
-	if m.Life != 0 {
-		m.Gone = m.Life
+	if m.Incarnation != 0 {
+		m.PrevIncarnation = m.Incarnation
 	}
-	m.Life = 0
+	m.Incarnation = 0
 	if removed {
 		t.Members = slices.DeleteFunc(t.Members, func(m Member) bool { return m.Name == name })
 	}
@@ -265,10 +265,10 @@
 // goes.
 func (t *Table) completeJoin(s *Slot, name string) {
 	s.Joining = without(s.Joining, name)
-	s.Set = append(s.Set, name)
+	s.Replicas = append(s.Replicas, name)
 	s.Epoch++
-	if len(s.Set) > 1+t.Copies {
-		s.Set = without(s.Set, t.mostDispensable(s, t.slotCounts()))
+	if len(s.Replicas) > 1+t.Backups {
+		s.Replicas = without(s.Replicas, t.mostDispensable(s, t.slotCounts()))
 	}
 }
 
@@ -276,7 +276,7 @@
 // table.
 func (t *Table) AllUnderstand(k ChangeKind, names []string) bool {
 	for _, name := range names {
-		if m := t.Member(name); m == nil || max(m.Knows, implicitChangeKind) < k {
+		if m := t.Member(name); m == nil || max(m.NewestChange, implicitChangeKind) < k {
 			return false
 		}
 	}
@@ -299,8 +299,8 @@
 	for i := range t.Slots {
 		s := &t.Slots[i]
 		s.Joining = without(s.Joining, name)
-		if slices.Contains(s.Set, name) {
-			s.Set = without(s.Set, name)
+		if slices.Contains(s.Replicas, name) {
+			s.Replicas = without(s.Replicas, name)
 			s.Epoch++
 		}
 	}
@@ -311,15 +311,15 @@
 	load := t.slotCounts()
 	for i := range t.Slots {
 		s := &t.Slots[i]
-		if len(s.Set) == 0 { // who was joining has nothing that can be relied on
+		if len(s.Replicas) == 0 { // who was joining has nothing that can be relied on
 			s.Joining = nil
 			if p := t.bestReplica(i, load); p != "" {
 				s.Epoch++
-				s.Set, s.Quiet = []string{p}, s.Epoch
+				s.Replicas, s.EmptyEpoch = []string{p}, s.Epoch
 				load[p]++
 			}
 		}
-		for len(s.Set) > 0 && len(s.Set)+len(s.Joining) < 1+t.Copies {
+		for len(s.Replicas) > 0 && len(s.Replicas)+len(s.Joining) < 1+t.Backups {
 			p := t.bestReplica(i, load)
 			if p == "" {
 				break
@@ -334,7 +334,7 @@
 func (t *Table) slotCounts() map[string]int {
 	load := map[string]int{}
 	for _, s := range t.Slots {
-		for _, name := range s.Set {
+		for _, name := range s.Replicas {
 			load[name]++
 		}
 		for _, name := range s.Joining {
@@ -351,14 +351,14 @@
 	best := ""
 	var rank [4]uint64
 	for _, m := range t.Members {
-		if m.Life == 0 || s.Holds(m.Name) || m.Leaving && len(s.Set) > 0 {
+		if m.Incarnation == 0 || s.Holds(m.Name) || m.Leaving && len(s.Replicas) > 0 {
 			continue
 		}
 		leaving := uint64(0)
 		if m.Leaving { // better than nobody
 			leaving = 1
 		}
-		r := [4]uint64{leaving, uint64(t.replicasInZone(s, m.Hall)), uint64(load[m.Name]), hashRank(slot, m.Name)}
+		r := [4]uint64{leaving, uint64(t.replicasInZone(s, m.Zone)), uint64(load[m.Name]), hashRank(slot, m.Name)}
 		if best == "" || slices.Compare(r[:], rank[:]) < 0 {
 			best, rank = m.Name, r
 		}
@@ -368,9 +368,9 @@
 
 // replicasInZone is how many holders of a slot there are in a hall.
 func (t *Table) replicasInZone(s *Slot, hall string) (n int) {
-	for _, names := range [][]string{s.Set, s.Joining} {
+	for _, names := range [][]string{s.Replicas, s.Joining} {
 		for _, name := range names {
-			if m := t.Member(name); m != nil && m.Hall == hall {
+			if m := t.Member(name); m != nil && m.Zone == hall {
 				n++
 			}
 		}
@@ -381,9 +381,9 @@
 // mostDispensable is whom a set can do without, as it is one too many: one that is leaving, or the one
 // whose hall has others, then whose load is highest, not the primary.
 func (t *Table) mostDispensable(s *Slot, load map[string]int) string {
-	worst := s.Set[1]
-	for _, name := range s.Set[2:] {
-		a, b := t.replicasInZone(s, t.Member(name).Hall), t.replicasInZone(s, t.Member(worst).Hall)
+	worst := s.Replicas[1]
+	for _, name := range s.Replicas[2:] {
+		a, b := t.replicasInZone(s, t.Member(name).Zone), t.replicasInZone(s, t.Member(worst).Zone)
 		if cmp.Or(
 			t.leavingRank(name)-t.leavingRank(worst),
 			cmp.Compare(a, b),
@@ -408,12 +408,12 @@
 func (t *Table) moveOffLeaving(load map[string]int) (Change, bool) {
 	for i := range t.Slots {
 		s := &t.Slots[i]
-		for _, name := range s.Set {
+		for _, name := range s.Replicas {
 			if t.leavingRank(name) == 0 {
 				continue
 			}
 			if name == s.Primary() {
-				for _, next := range s.Set[1:] {
+				for _, next := range s.Replicas[1:] {
 					if t.leavingRank(next) == 0 {
 						return Change{
 							Kind:   ChangeSetPrimary,
@@ -440,7 +440,7 @@
 func (t *Table) Rebalance() (Change, bool) {
 	load, leads := t.slotCounts(), map[string]int{}
 	for _, s := range t.Slots {
-		if len(s.Joining) > 0 || len(s.Set) < 1+t.Copies {
+		if len(s.Joining) > 0 || len(s.Replicas) < 1+t.Backups {
 			return Change{}, false
 		}
 		leads[s.Primary()]++
@@ -450,7 +450,7 @@
 	}
 	least := ""
 	for _, m := range t.Members {
-		if m.Life != 0 && !m.Leaving && (least == "" || load[m.Name] < load[least]) {
+		if m.Incarnation != 0 && !m.Leaving && (least == "" || load[m.Name] < load[least]) {
 			least = m.Name
 		}
 	}
@@ -464,7 +464,7 @@
 				return Change{Kind: ChangeAddReplica, Member: *t.Member(least), Slot: i, Epoch: s.Epoch}, true
 			}
 		}
-		for _, name := range s.Set[1:] {
+		for _, name := range s.Replicas[1:] {
 			if leads[s.Primary()] > leads[name]+maxImbalance && t.leavingRank(name) == 0 {
 				return Change{Kind: ChangeSetPrimary, Member: *t.Member(name), Slot: i, Epoch: s.Epoch}, true
 			}
@@ -475,7 +475,7 @@
 
 // dispensableAfter is who would leave a set once another has joined it; empty: that one itself.
 func (t *Table) dispensableAfter(s *Slot, joins string, load map[string]int) string {
-	after := &Slot{Set: append(slices.Clone(s.Set), joins)}
+	after := &Slot{Replicas: append(slices.Clone(s.Replicas), joins)}
 	if h := t.mostDispensable(after, load); h != joins {
 		return h
 	}
@@ -487,17 +487,17 @@
 func (t *Table) NeedsLeavingMembers() bool {
 	n := 0
 	for _, m := range t.Members {
-		if m.Life != 0 && !m.Leaving {
+		if m.Incarnation != 0 && !m.Leaving {
 			n++
 		}
 	}
-	return n < 1+t.Copies
+	return n < 1+t.Backups
 }
 
 // ChangeCaughtUp tells how many slots have all their copies.
 func (t *Table) FullyReplicatedSlots() (n int) {
 	for i := range t.Slots {
-		if len(t.Slots[i].Set) >= 1+t.Copies {
+		if len(t.Slots[i].Replicas) >= 1+t.Backups {
 			n++
 		}
 	}
--- a/internal/peers/placement/placement_test.go
+++ b/internal/peers/placement/placement_test.go
@@ -21,10 +21,10 @@
 			Change{
 				Kind: ChangeJoin,
 				Member: Member{
-					Name:    fmt.Sprintf("n%03d", i),
-					Hall:    fmt.Sprint("hall", i%halls),
-					Life:    uint64(i + 1),
-					Process: uint32(i + 1),
+					Name:        fmt.Sprintf("n%03d", i),
+					Zone:        fmt.Sprint("hall", i%halls),
+					Incarnation: uint64(i + 1),
+					Process:     uint32(i + 1),
 				},
 			},
 		)
@@ -68,11 +68,11 @@
 		leads := map[string]int{}
 		for i, s := range p.Slots {
 			halls := map[string]bool{}
-			for _, name := range s.Set {
-				halls[p.Member(name).Hall] = true
+			for _, name := range s.Replicas {
+				halls[p.Member(name).Zone] = true
 			}
-			if len(s.Set) != 1+x.copies || len(halls) != min(1+x.copies, x.halls) {
-				t.Errorf("%+v: slot %d is in %v", x, i, s.Set)
+			if len(s.Replicas) != 1+x.copies || len(halls) != min(1+x.copies, x.halls) {
+				t.Errorf("%+v: slot %d is in %v", x, i, s.Replicas)
 			}
 			leads[s.Primary()]++
 		}
@@ -105,18 +105,18 @@
 			}
 			continue
 		}
-		if s.Epoch <= old.Epoch || s.Holds(lost.Name) || !slices.Contains(old.Set, s.Primary()) ||
-			s.Quiet != old.Quiet ||
+		if s.Epoch <= old.Epoch || s.Holds(lost.Name) || !slices.Contains(old.Replicas, s.Primary()) ||
+			s.EmptyEpoch != old.EmptyEpoch ||
 			len(s.Joining) != 1 {
 			t.Errorf("slot %d is %+v, was %+v", i, s, old)
 		}
 	}
 	p.Apply(Change{Kind: ChangeJoin, Member: lost}) // a word of an earlier time, that is late
-	if p.Member(lost.Name).Life != 0 {
+	if p.Member(lost.Name).Incarnation != 0 {
 		t.Error("a life that was lost is back")
 	}
-	p.Apply(Change{Kind: ChangeLost, Member: Member{Name: "n005", Life: 99}})
-	if p.Member("n005").Life == 0 {
+	p.Apply(Change{Kind: ChangeLost, Member: Member{Name: "n005", Incarnation: 99}})
+	if p.Member("n005").Incarnation == 0 {
 		t.Error("it is out for the loss of another life")
 	}
 }
@@ -125,7 +125,7 @@
 func TestSaidAgain(t *testing.T) {
 	p := after(t, 3, 3, 16, 2)
 	m := *p.Member("n001")
-	m.Knows, m.Bills = NewestChangeKind, true
+	m.NewestChange, m.KeepsUsage = NewestChangeKind, true
 	want := p.Clone()
 	*want.Member("n001") = m
 	want.Version++
@@ -139,22 +139,22 @@
 func TestNewLife(t *testing.T) {
 	p := after(t, 3, 3, 16, 2)
 	m := *p.Member("n001")
-	m.Life = 77
+	m.Incarnation = 77
 	p.Apply(Change{Kind: ChangeJoin, Member: m})
 	for i, s := range p.Slots {
-		if slices.Contains(s.Set, m.Name) || !slices.Contains(s.Joining, m.Name) {
+		if slices.Contains(s.Replicas, m.Name) || !slices.Contains(s.Joining, m.Name) {
 			t.Errorf("slot %d: %+v", i, s)
 		}
 	}
 	s := p.Slots[0]
-	for _, c := range []Change{{Kind: ChangeCaughtUp, Member: Member{Name: m.Name, Life: 2}, Epoch: s.Epoch}, {Kind: ChangeCaughtUp, Member: m, Epoch: s.Epoch - 1},
+	for _, c := range []Change{{Kind: ChangeCaughtUp, Member: Member{Name: m.Name, Incarnation: 2}, Epoch: s.Epoch}, {Kind: ChangeCaughtUp, Member: m, Epoch: s.Epoch - 1},
 		{Kind: ChangeCaughtUp, Member: *p.Member("n000"), Epoch: s.Epoch}, {Kind: ChangeCaughtUp, Member: m, Slot: 99}} {
-		if p.Apply(c); slices.Contains(p.Slots[0].Set, m.Name) {
+		if p.Apply(c); slices.Contains(p.Slots[0].Replicas, m.Name) {
 			t.Fatalf("%+v made it whole", c)
 		}
 	}
 	p.Apply(Change{Kind: ChangeCaughtUp, Member: m, Epoch: s.Epoch})
-	if !slices.Contains(p.Slots[0].Set, m.Name) {
+	if !slices.Contains(p.Slots[0].Replicas, m.Name) {
 		t.Error("it does not become whole")
 	}
 }
@@ -206,13 +206,13 @@
 				Kind: ChangeKind(rapid.IntRange(0, 10).Draw(t, "kind")),
 				Slot: rapid.IntRange(-1, 8).Draw(t, "slot"),
 				Member: Member{
-					Name: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name"),
-					Life: uint64(rapid.IntRange(0, 3).Draw(t, "life")),
+					Name:        rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name"),
+					Incarnation: uint64(rapid.IntRange(0, 3).Draw(t, "life")),
 				},
 			}
-			c.Member.Hall = c.Member.Name[:1]
+			c.Member.Zone = c.Member.Name[:1]
 			if m := p.Member(c.Member.Name); m != nil && c.Kind != ChangeJoin && rapid.Bool().Draw(t, "now") {
-				c.Member.Life = m.Life
+				c.Member.Incarnation = m.Incarnation
 			}
 			if c.Slot >= 0 && c.Slot < len(p.Slots) && rapid.IntRange(0, 3).Draw(t, "fits") > 0 {
 				c.Epoch = p.Slots[c.Slot].Epoch
@@ -222,21 +222,21 @@
 			twin.Apply(c)
 			for i, s := range p.Slots {
 				old := before.Slots[i]
-				if s.Epoch < old.Epoch || s.Epoch == old.Epoch && !slices.Equal(s.Set, old.Set) {
+				if s.Epoch < old.Epoch || s.Epoch == old.Epoch && !slices.Equal(s.Replicas, old.Replicas) {
 					t.Fatalf("%+v: slot %d went from %+v to %+v", c, i, old, s)
 				}
-				kept := slices.ContainsFunc(s.Set, func(n string) bool { return slices.Contains(old.Set, n) })
-				if len(s.Set) > 0 && !kept && s.Quiet != s.Epoch {
+				kept := slices.ContainsFunc(s.Replicas, func(n string) bool { return slices.Contains(old.Replicas, n) })
+				if len(s.Replicas) > 0 && !kept && s.EmptyEpoch != s.Epoch {
 					t.Fatalf("%+v: slot %d began with nothing and is not quiet: %+v to %+v", c, i, old, s)
 				}
 				seen := map[string]bool{}
-				for _, name := range append(slices.Clone(s.Set), s.Joining...) {
-					if m := p.Member(name); seen[name] || m == nil || m.Life == 0 {
+				for _, name := range append(slices.Clone(s.Replicas), s.Joining...) {
+					if m := p.Member(name); seen[name] || m == nil || m.Incarnation == 0 {
 						t.Fatalf("%+v: slot %d holds %q in %+v", c, i, name, s)
 					}
 					seen[name] = true
 				}
-				if len(s.Set) > 1+p.Copies {
+				if len(s.Replicas) > 1+p.Backups {
 					t.Fatalf("%+v: slot %d has too many: %+v", c, i, s)
 				}
 			}
--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -166,7 +166,7 @@
 func (w *world) between(a, b int64) int64 { return a + w.r.Int64N(b-a) }
 
 func (n *node) member() placement.Member {
-	return placement.Member{Name: n.name, Hall: n.hall, Life: n.h.cfg.Incarnation, Process: n.process}
+	return placement.Member{Name: n.name, Zone: n.hall, Incarnation: n.h.cfg.Incarnation, Process: n.process}
 }
 
 // start is a new process on a disk.
@@ -232,7 +232,7 @@
 			panic(err)
 		}
 		if kept != nil {
-			if kept.ID != 0 {
+			if kept.VoterID != 0 {
 				n.log = nil
 			}
 			n.log = append(slices.Clip(n.log), *kept)
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -34,38 +34,38 @@
 
 // Entry is a record as it travels: its Until and At stand for nothing, Left does.
 type Entry struct {
-	Seq    uint64        `cbor:"1,keyasint"` // its number in the slot
-	Epoch  uint64        `cbor:"2,keyasint"` // in which it was made
-	Left   int64         `cbor:"3,keyasint"` // of its window
-	Record *store.Record `cbor:"4,keyasint"`
+	Seq       uint64        `cbor:"1,keyasint"` // its number in the slot
+	Epoch     uint64        `cbor:"2,keyasint"` // in which it was made
+	Remaining int64         `cbor:"3,keyasint"` // of its window
+	Record    *store.Record `cbor:"4,keyasint"`
 }
 
 // EpochStart is the first record of an epoch.
 type EpochStart struct {
-	_     struct{} `cbor:",toarray"`
-	Epoch uint64
-	First uint64
+	_        struct{} `cbor:",toarray"`
+	Epoch    uint64
+	FirstSeq uint64
 }
 
 // Message goes from one runner to another.
 type Message struct {
-	Kind  MessageType `cbor:"1,keyasint"`
-	From  string      `cbor:"2,keyasint"`
-	To    string      `cbor:"3,keyasint"`
-	Slot  int         `cbor:"4,keyasint"`
-	Epoch uint64      `cbor:"5,keyasint,omitempty"`
-	ID    uint64      `cbor:"6,keyasint,omitempty"` // of an ask
-	Word  Outcome     `cbor:"7,keyasint,omitempty"`
-	Doubt bool        `cbor:"8,keyasint,omitempty"` // the process that runs it is gone
-	Back  int64       `cbor:"9,keyasint,omitempty"` // when to come back
+	Type       MessageType `cbor:"1,keyasint"`
+	From       string      `cbor:"2,keyasint"`
+	To         string      `cbor:"3,keyasint"`
+	Slot       int         `cbor:"4,keyasint"`
+	Epoch      uint64      `cbor:"5,keyasint,omitempty"`
+	RequestID  uint64      `cbor:"6,keyasint,omitempty"` // of an ask
+	Outcome    Outcome     `cbor:"7,keyasint,omitempty"`
+	InDoubt    bool        `cbor:"8,keyasint,omitempty"` // the process that runs it is gone
+	RetryAfter int64       `cbor:"9,keyasint,omitempty"` // when to come back
 	// MsgAppend: the number before the first; Opened: the epoch of the newest record
 	Base uint64 `cbor:"10,keyasint,omitempty"`
 	// MsgAppend: up to this number it is all; Kept, Opened: the newest that is held
-	Seq     uint64       `cbor:"11,keyasint,omitempty"`
-	Reset   bool         `cbor:"12,keyasint,omitempty"` // what was held before does not count
-	Quiet   int64        `cbor:"13,keyasint,omitempty"` // MsgAppend: for so long the slot takes nothing new
-	Eras    []EpochStart `cbor:"14,keyasint,omitempty"`
-	Entries []Entry      `cbor:"15,keyasint,omitempty"`
-	Life    uint64       `cbor:"16,keyasint,omitempty"` // of the sender
-	No      uint64       `cbor:"17,keyasint"`           // the sender's messages in order
+	Seq         uint64       `cbor:"11,keyasint,omitempty"`
+	Reset       bool         `cbor:"12,keyasint,omitempty"` // what was held before does not count
+	Quarantine  int64        `cbor:"13,keyasint,omitempty"` // MsgAppend: for so long the slot takes nothing new
+	EpochStarts []EpochStart `cbor:"14,keyasint,omitempty"`
+	Entries     []Entry      `cbor:"15,keyasint,omitempty"`
+	Incarnation uint64       `cbor:"16,keyasint,omitempty"` // of the sender
+	Serial      uint64       `cbor:"17,keyasint"`           // the sender's messages in order
 }
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -147,7 +147,7 @@
 
 // self is this runner's place in the table, in this life; nil: it has none.
 func (h *Replica) self() *placement.Member {
-	if m := h.table.Member(h.cfg.Name); m != nil && m.Life == h.cfg.Incarnation {
+	if m := h.table.Member(h.cfg.Name); m != nil && m.Incarnation == h.cfg.Incarnation {
 		return m
 	}
 	return nil
@@ -193,7 +193,7 @@
 
 func (h *Replica) send(m Message) {
 	h.lastSerial++
-	m.From, m.Life, m.No = h.cfg.Name, h.cfg.Incarnation, h.lastSerial
+	m.From, m.Incarnation, m.Serial = h.cfg.Name, h.cfg.Incarnation, h.lastSerial
 	if m.To == h.cfg.Name {
 		h.loopback = append(h.loopback, m)
 		return
@@ -237,11 +237,11 @@
 		*h.slotAt(i) = s
 	}
 	leads := t.Primary() == h.cfg.Name
-	if t.Quiet != s.quarantine.epoch {
-		s.quarantine.epoch = t.Quiet
+	if t.EmptyEpoch != s.quarantine.epoch {
+		s.quarantine.epoch = t.EmptyEpoch
 		s.quarantine.until = h.now + h.cfg.KeyWindow + readGrace
 		// it begins with nothing: what a disk of its had is not known to be all
-		if t.Quiet == t.Epoch && leads {
+		if t.EmptyEpoch == t.Epoch && leads {
 			s.reset()
 		}
 	}
@@ -263,12 +263,12 @@
 			delete(s.followers, name)
 		}
 	}
-	for _, names := range [][]string{t.Set, t.Joining} {
+	for _, names := range [][]string{t.Replicas, t.Joining} {
 		for _, name := range names {
-			if life := h.table.Member(name).Life; name != h.cfg.Name &&
+			if life := h.table.Member(name).Incarnation; name != h.cfg.Name &&
 				(s.followers[name] == nil || s.followers[name].incarnation != life) {
 				s.followers[name] = &follower{incarnation: life, lastActive: h.now}
-				h.send(Message{Kind: MsgProbe, To: name, Slot: i, Epoch: s.epoch})
+				h.send(Message{Type: MsgProbe, To: name, Slot: i, Epoch: s.epoch})
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 	if h.table == nil || m.Slot < 0 || m.Slot >= len(h.table.Slots) || h.self() == nil {
 		return
 	}
-	switch m.Kind {
+	switch m.Type {
 	case MsgPut:
 		h.handlePut(m)
 	case MsgPutResp:
@@ -316,30 +316,30 @@
 		s.epoch, s.isPrimary, s.commitWaiters = m.Epoch, false, nil
 	}
 	if s.isPrimary || m.Epoch == t.Epoch && t.Primary() != m.From ||
-		s.newest.from == m.From && s.newest.life == m.Life && s.newest.no >= m.No {
+		s.newest.from == m.From && s.newest.life == m.Incarnation && s.newest.no >= m.Serial {
 		return
 	}
-	s.newest.from, s.newest.life, s.newest.no = m.From, m.Life, m.No
-	if m.Kind == MsgProbe || !m.Reset && m.Base > s.lastSeq { // there is a gap
+	s.newest.from, s.newest.life, s.newest.no = m.From, m.Incarnation, m.Serial
+	if m.Type == MsgProbe || !m.Reset && m.Base > s.lastSeq { // there is a gap
 		h.send(
-			Message{Kind: MsgProbeResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Base: s.lastEpoch, Seq: s.lastSeq},
+			Message{Type: MsgProbeResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Base: s.lastEpoch, Seq: s.lastSeq},
 		)
 		return
 	}
 	if m.Reset {
 		s.reset()
 	}
-	s.quarantine.until = h.now + m.Quiet
+	s.quarantine.until = h.now + m.Quarantine
 	for _, e := range m.Entries {
 		if e.Seq > s.lastSeq {
-			s.store(e, h.now+e.Left)
+			s.store(e, h.now+e.Remaining)
 		}
 	}
-	if m.Eras != nil { // records that were made and are over leave no other trace of their epochs
-		s.epochStarts, s.lastEpoch = slices.Clone(m.Eras), m.Eras[len(m.Eras)-1].Epoch
+	if m.EpochStarts != nil { // records that were made and are over leave no other trace of their epochs
+		s.epochStarts, s.lastEpoch = slices.Clone(m.EpochStarts), m.EpochStarts[len(m.EpochStarts)-1].Epoch
 	}
 	s.lastSeq = max(s.lastSeq, m.Seq)
-	h.send(Message{Kind: MsgAppendResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Seq: s.lastSeq})
+	h.send(Message{Type: MsgAppendResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Seq: s.lastSeq})
 }
 
 // handleFollowerResponse hears a holder, as the primary.
@@ -349,11 +349,11 @@
 		return
 	}
 	p := s.followers[m.From]
-	if p == nil || p.incarnation != m.Life { // its disk may have gone with its life
+	if p == nil || p.incarnation != m.Incarnation { // its disk may have gone with its life
 		return
 	}
 	p.lastActive = h.now
-	if m.Kind == MsgProbeResp {
+	if m.Type == MsgProbeResp {
 		first := !p.probed
 		reset := !s.isPrefix(m.Base, m.Seq)
 		if p.ackedSeq = m.Seq; reset {
@@ -386,19 +386,19 @@
 	}
 	entries, upTo := s.entriesAfter(p.sentSeq, h.now, most)
 	m := Message{
-		Kind:    MsgAppend,
-		To:      name,
-		Slot:    i,
-		Epoch:   s.epoch,
-		Base:    p.sentSeq,
-		Seq:     upTo,
-		Reset:   p.needsReset,
-		Entries: entries,
-		Quiet:   max(s.quarantine.until-h.now, 0),
+		Type:       MsgAppend,
+		To:         name,
+		Slot:       i,
+		Epoch:      s.epoch,
+		Base:       p.sentSeq,
+		Seq:        upTo,
+		Reset:      p.needsReset,
+		Entries:    entries,
+		Quarantine: max(s.quarantine.until-h.now, 0),
 	}
 	for _, e := range s.epochStarts {
-		if e.First <= upTo {
-			m.Eras = append(m.Eras, e)
+		if e.FirstSeq <= upTo {
+			m.EpochStarts = append(m.EpochStarts, e)
 		}
 	}
 	for _, e := range entries {
@@ -478,7 +478,7 @@
 			case h.now-p.lastActive < resendInterval:
 			case !p.probed:
 				p.lastActive = h.now
-				h.send(Message{Kind: MsgProbe, To: name, Slot: i, Epoch: s.epoch})
+				h.send(Message{Type: MsgProbe, To: name, Slot: i, Epoch: s.epoch})
 			case p.ackedSeq < s.lastSeq:
 				p.sentSeq = p.ackedSeq
 				h.catchUp(i, s, name, p)
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -62,42 +62,42 @@
 }{
 	{"an answer goes out before its copy", 200, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind != MsgAppend {
+			if m.Type != MsgAppend {
 				return []Message{*m}
 			}
 			late := *m
 			w.after(w.between(100*ms, 600*ms), func() { w.deliver(late) })
 			return []Message{
 				{
-					Kind:  MsgAppendResp,
-					From:  m.To,
-					To:    m.From,
-					Slot:  m.Slot,
-					Epoch: m.Epoch,
-					Seq:   m.Seq,
-					Life:  w.lifeOf(m.To),
-					No:    m.No,
+					Type:        MsgAppendResp,
+					From:        m.To,
+					To:          m.From,
+					Slot:        m.Slot,
+					Epoch:       m.Epoch,
+					Seq:         m.Seq,
+					Incarnation: w.lifeOf(m.To),
+					Serial:      m.Serial,
 				},
 			}
 		}
 	}},
 	{"a holder does not look at the epoch", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.slotAt(m.Slot); m.Kind == MsgAppend && s != nil && m.Epoch < s.epoch &&
+			if s := *w.node(m.To).h.slotAt(m.Slot); m.Type == MsgAppend && s != nil && m.Epoch < s.epoch &&
 				w.node(m.To).up {
 				for _, e := range m.Entries {
-					s.store(e, w.now+e.Left)
+					s.store(e, w.now+e.Remaining)
 				}
 				return []Message{
 					{
-						Kind:  MsgAppendResp,
-						From:  m.To,
-						To:    m.From,
-						Slot:  m.Slot,
-						Epoch: m.Epoch,
-						Seq:   m.Seq,
-						Life:  w.lifeOf(m.To),
-						No:    m.No,
+						Type:        MsgAppendResp,
+						From:        m.To,
+						To:          m.From,
+						Slot:        m.Slot,
+						Epoch:       m.Epoch,
+						Seq:         m.Seq,
+						Incarnation: w.lifeOf(m.To),
+						Serial:      m.Serial,
 					},
 				}
 			}
@@ -107,13 +107,13 @@
 	{"a set that begins with nothing takes keys at once", 300, func(w *world) {
 		w.retable = func(t *placement.Table) {
 			for i := range t.Slots {
-				t.Slots[i].Quiet = 0
+				t.Slots[i].EmptyEpoch = 0
 			}
 		}
 	}},
 	{"an old disk counts as whole", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if s := *w.node(m.To).h.slotAt(m.Slot); m.Kind == MsgProbeResp && s != nil && m.Seq > 0 {
+			if s := *w.node(m.To).h.slotAt(m.Slot); m.Type == MsgProbeResp && s != nil && m.Seq > 0 {
 				m.Seq, m.Base = s.lastSeq, s.epochAt(s.lastSeq)
 			}
 			return []Message{*m}
@@ -121,15 +121,15 @@
 	}},
 	{"what is in doubt is run again", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind == MsgPutResp && m.Doubt {
-				m.Word, m.Doubt = OutcomeGranted, false
+			if m.Type == MsgPutResp && m.InDoubt {
+				m.Outcome, m.InDoubt = OutcomeGranted, false
 			}
 			return []Message{*m}
 		}
 	}},
 	{"repair drops the newest", 300, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind == MsgAppend && len(m.Entries) > 1 {
+			if m.Type == MsgAppend && len(m.Entries) > 1 {
 				m.Entries = slices.Clone(m.Entries)[:len(m.Entries)-1]
 			}
 			return []Message{*m}
@@ -139,15 +139,15 @@
 		w.tamper = func(w *world, m *Message) []Message {
 			m.Entries = slices.Clone(m.Entries)
 			for i := range m.Entries {
-				m.Entries[i].Left += (int64(m.To[1]) - int64(m.From[1])) * 60 * second
+				m.Entries[i].Remaining += (int64(m.To[1]) - int64(m.From[1])) * 60 * second
 			}
 			return []Message{*m}
 		}
 	}},
 	{"a repeat of what runs elsewhere may run", 100, func(w *world) {
 		w.tamper = func(w *world, m *Message) []Message {
-			if m.Kind == MsgPutResp && m.Word == OutcomeOwnedByOther && !m.Doubt {
-				m.Word = OutcomeGranted
+			if m.Type == MsgPutResp && m.Outcome == OutcomeOwnedByOther && !m.InDoubt {
+				m.Outcome = OutcomeGranted
 			}
 			return []Message{*m}
 		}
@@ -188,7 +188,7 @@
 			table.Apply(
 				placement.Change{
 					Kind:   placement.ChangeJoin,
-					Member: placement.Member{Name: name, Life: life + 1, Process: uint32(i + 1)},
+					Member: placement.Member{Name: name, Incarnation: life + 1, Process: uint32(i + 1)},
 				},
 			)
 		}
@@ -207,16 +207,16 @@
 			)
 		}
 		for _, m := range h.TakeMessages() {
-			if m.Kind != MsgPut {
+			if m.Type != MsgPut {
 				continue
 			}
-			if ids[m.ID] {
-				t.Fatalf("number %d is used in two lives", m.ID)
+			if ids[m.RequestID] {
+				t.Fatalf("number %d is used in two lives", m.RequestID)
 			}
-			ids[m.ID] = true
+			ids[m.RequestID] = true
 			// of an end, which it did not ask about
 			h.Receive(
-				&Message{Kind: MsgPutResp, From: m.To, To: "n2", Slot: m.Slot, ID: m.ID, Word: OutcomeStored},
+				&Message{Type: MsgPutResp, From: m.To, To: "n2", Slot: m.Slot, RequestID: m.RequestID, Outcome: OutcomeStored},
 				3,
 			)
 		}
@@ -242,7 +242,7 @@
 			table.Apply(
 				placement.Change{
 					Kind:   placement.ChangeJoin,
-					Member: placement.Member{Name: name, Life: 1, Process: 1},
+					Member: placement.Member{Name: name, Incarnation: 1, Process: 1},
 				},
 			)
 		}
@@ -271,18 +271,18 @@
 				1_000_000*ms,
 			)
 		}
-		h.Receive(&Message{Kind: MsgProbeResp, From: "n2", Life: 1, No: 1, Epoch: h.slots[0].epoch}, 2)
+		h.Receive(&Message{Type: MsgProbeResp, From: "n2", Incarnation: 1, Serial: 1, Epoch: h.slots[0].epoch}, 2)
 		held, now, no := uint64(0), int64(2), uint64(1)
 		for ; held < records && now < 60_000*ms; now += 10 * ms {
 			h.Tick(now)
 			for _, m := range h.TakeMessages() {
-				if m.Kind != MsgAppend {
+				if m.Type != MsgAppend {
 					continue
 				}
 				no++
 				held = m.Seq
 				h.Receive(
-					&Message{Kind: MsgAppendResp, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq},
+					&Message{Type: MsgAppendResp, From: "n2", Incarnation: 1, Serial: no, Epoch: m.Epoch, Seq: m.Seq},
 					now,
 				)
 			}
@@ -306,7 +306,7 @@
 		table.Apply(
 			placement.Change{
 				Kind:   placement.ChangeJoin,
-				Member: placement.Member{Name: name, Life: 1, Process: 1},
+				Member: placement.Member{Name: name, Incarnation: 1, Process: 1},
 			},
 		)
 	}
@@ -317,16 +317,16 @@
 			Epoch:  table.Slots[0].Epoch,
 		},
 	)
-	table.Slots[0].Quiet = 0
+	table.Slots[0].EmptyEpoch = 0
 	h := New(Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1_000_000 * ms, MaxBytes: 10_000}, nil, 0)
 	now, no := int64(1), uint64(0)
 	h.SetTable(table, now)
 	answer := func() { // the other holder keeps all
 		for _, m := range h.TakeMessages() {
 			no++
-			reply := &Message{Kind: MsgAppendResp, From: "n2", Life: 1, No: no, Epoch: m.Epoch, Seq: m.Seq}
-			if m.Kind == MsgProbe {
-				reply.Kind = MsgProbeResp
+			reply := &Message{Type: MsgAppendResp, From: "n2", Incarnation: 1, Serial: no, Epoch: m.Epoch, Seq: m.Seq}
+			if m.Type == MsgProbe {
+				reply.Type = MsgProbeResp
 			}
 			h.Receive(reply, now)
 		}
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -73,8 +73,8 @@
 			if a.watching {
 				word = OutcomeOwnedByOther
 			}
-			h.send(Message{Kind: MsgPut, To: to, Slot: a.slot, Epoch: t.Epoch, ID: a.id, Word: word,
-				Entries: []Entry{{Left: a.expiresAt - h.now, Record: a.record}}})
+			h.send(Message{Type: MsgPut, To: to, Slot: a.slot, Epoch: t.Epoch, RequestID: a.id, Outcome: word,
+				Entries: []Entry{{Remaining: a.expiresAt - h.now, Record: a.record}}})
 		}
 		if a.nextSend = h.now + resendInterval; a.watching {
 			a.nextSend = h.now + 5*resendInterval
@@ -92,26 +92,26 @@
 
 // answered hears what became of an ask.
 func (h *Replica) handlePutResponse(m *Message) {
-	a := h.pending[m.ID]
+	a := h.pending[m.RequestID]
 	if a == nil {
 		return
 	}
-	if m.Word == OutcomeRetry {
+	if m.Outcome == OutcomeRetry {
 		a.nextSend = min(a.nextSend, h.now+retryInterval)
 		return
 	}
-	if begins := a.record.Kind == store.Begun; m.Word == OutcomeStored && begins ||
-		m.Word == OutcomeGranted && !begins {
+	if begins := a.record.Kind == store.Begun; m.Outcome == OutcomeStored && begins ||
+		m.Outcome == OutcomeGranted && !begins {
 		return // that was not asked
 	}
-	x := Result{Outcome: m.Word, InDoubt: m.Doubt, RetryAfter: m.Back}
-	switch m.Word {
+	x := Result{Outcome: m.Outcome, InDoubt: m.InDoubt, RetryAfter: m.RetryAfter}
+	switch m.Outcome {
 	case OutcomeOwnedByOther:
 		if len(m.Entries) != 1 || m.Entries[0].Record == nil || m.Entries[0].Record.Name != a.record.Name {
 			return
 		}
-		x.Record, x.Remaining = m.Entries[0].Record, m.Entries[0].Left
-		if x.Record.Kind == store.Begun && !m.Doubt { // its end is told as soon as it is kept
+		x.Record, x.Remaining = m.Entries[0].Record, m.Entries[0].Remaining
+		if x.Record.Kind == store.Begun && !m.InDoubt { // its end is told as soon as it is kept
 			if !a.watching && !a.answered {
 				a.watching, a.answered, a.abandonAt = true, true, a.expiresAt
 				a.done(x)
@@ -149,17 +149,17 @@
 	if len(m.Entries) != 1 || m.Entries[0].Record == nil {
 		return
 	}
-	r, left := m.Entries[0].Record, m.Entries[0].Left
+	r, left := m.Entries[0].Record, m.Entries[0].Remaining
 	tell := func(w Outcome, back int64) {
 		h.send(
 			Message{
-				Kind:  MsgPutResp,
-				To:    m.From,
-				Slot:  m.Slot,
-				Epoch: m.Epoch,
-				ID:    m.ID,
-				Word:  w,
-				Back:  back,
+				Type:       MsgPutResp,
+				To:         m.From,
+				Slot:       m.Slot,
+				Epoch:      m.Epoch,
+				RequestID:  m.RequestID,
+				Outcome:    w,
+				RetryAfter: back,
 			},
 		)
 	}
@@ -183,17 +183,17 @@
 		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { tell(w, 0) }})
 	}
 	switch {
-	case r.Kind == store.Begun && m.Word == OutcomeOwnedByOther && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
+	case r.Kind == store.Begun && m.Outcome == OutcomeOwnedByOther && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
 		never := *r
 		never.Kind = store.Forgotten
 		h.send(
 			Message{
-				Kind:    MsgPutResp,
-				To:      m.From,
-				Slot:    m.Slot,
-				ID:      m.ID,
-				Word:    OutcomeOwnedByOther,
-				Entries: []Entry{{Left: left, Record: &never}},
+				Type:      MsgPutResp,
+				To:        m.From,
+				Slot:      m.Slot,
+				RequestID: m.RequestID,
+				Outcome:   OutcomeOwnedByOther,
+				Entries:   []Entry{{Remaining: left, Record: &never}},
 			},
 		)
 	case r.Kind == store.Begun && (it == nil || it.record.Kind == store.Forgotten && it.record.Owner != r.Owner):
@@ -211,7 +211,7 @@
 	case r.Kind == store.Begun && it.record.Kind == store.Forgotten:
 		tell(OutcomeConflict, 0) // its asker has given it up
 	case r.Kind == store.Begun:
-		w := watcher{m.From, m.ID}
+		w := watcher{m.From, m.RequestID}
 		if it.record.Kind == store.Begun && !slices.Contains(it.watchers, w) {
 			if len(it.watchers) >= maxWatchers {
 				tell(OutcomeUnavailable, resendInterval)
@@ -240,14 +240,14 @@
 			p.sentSeq, p.lastActive = s.lastSeq, h.now
 			h.send(
 				Message{
-					Kind:    MsgAppend,
-					To:      name,
-					Slot:    i,
-					Epoch:   s.epoch,
-					Base:    s.lastSeq - 1,
-					Seq:     s.lastSeq,
-					Quiet:   max(s.quarantine.until-h.now, 0),
-					Entries: []Entry{{Seq: it.seq, Epoch: it.epoch, Left: until - h.now, Record: r}},
+					Type:       MsgAppend,
+					To:         name,
+					Slot:       i,
+					Epoch:      s.epoch,
+					Base:       s.lastSeq - 1,
+					Seq:        s.lastSeq,
+					Quarantine: max(s.quarantine.until-h.now, 0),
+					Entries:    []Entry{{Seq: it.seq, Epoch: it.epoch, Remaining: until - h.now, Record: r}},
 				},
 			)
 		}
@@ -261,13 +261,13 @@
 	doubt := r.Kind == store.Begun && !h.ownerAlive(&r)
 	h.send(
 		Message{
-			Kind:    MsgPutResp,
-			To:      w.runner,
-			Slot:    i,
-			ID:      w.requestID,
-			Word:    OutcomeOwnedByOther,
-			Doubt:   doubt,
-			Entries: []Entry{{Left: it.expiresAt - h.now, Record: &r}},
+			Type:      MsgPutResp,
+			To:        w.runner,
+			Slot:      i,
+			RequestID: w.requestID,
+			Outcome:   OutcomeOwnedByOther,
+			InDoubt:   doubt,
+			Entries:   []Entry{{Remaining: it.expiresAt - h.now, Record: &r}},
 		},
 	)
 }
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -90,7 +90,7 @@
 func (s *slot) store(e Entry, until int64) *item {
 	if e.Epoch != s.lastEpoch {
 		s.lastEpoch = e.Epoch
-		if s.epochStarts = append(s.epochStarts, EpochStart{Epoch: e.Epoch, First: e.Seq}); len(s.epochStarts) > maxEpochStarts {
+		if s.epochStarts = append(s.epochStarts, EpochStart{Epoch: e.Epoch, FirstSeq: e.Seq}); len(s.epochStarts) > maxEpochStarts {
 			s.epochStarts = s.epochStarts[1:]
 		}
 	}
@@ -109,7 +109,7 @@
 // epochAt is the epoch of the record with a number; 0: it is not known.
 func (s *slot) epochAt(seq uint64) (epoch uint64) {
 	for _, e := range s.epochStarts {
-		if e.First <= seq {
+		if e.FirstSeq <= seq {
 			epoch = e.Epoch
 		}
 	}
@@ -137,7 +137,7 @@
 			return out, out[len(out)-1].Seq
 		}
 		r := it.record
-		out = append(out, Entry{Seq: it.seq, Epoch: it.epoch, Left: it.expiresAt - now, Record: &r})
+		out = append(out, Entry{Seq: it.seq, Epoch: it.epoch, Remaining: it.expiresAt - now, Record: &r})
 	}
 	return out, s.lastSeq
 }
@@ -179,7 +179,7 @@
 // requiredFollowers are the peers without which nothing counts as kept.
 func (s *slot) requiredFollowers(t *placement.Slot) (out []*follower) {
 	for name, p := range s.followers {
-		if slices.Contains(t.Set, name) || p.caughtUp {
+		if slices.Contains(t.Replicas, name) || p.caughtUp {
 			out = append(out, p)
 		}
 	}
@@ -196,7 +196,7 @@
 		}
 		seq = min(seq, p.ackedSeq)
 	}
-	return seq, len(t.Set) > 1
+	return seq, len(t.Replicas) > 1
 }
 
 // removeExpired drops what no repeat can meet any more. A run that goes on is never dropped.
--- a/internal/peers/replication/snapshot.go
+++ b/internal/peers/replication/snapshot.go
@@ -4,11 +4,11 @@
 
 // SlotSnapshot is what a disk has of a slot.
 type SlotSnapshot struct {
-	Slot    int          `cbor:"1,keyasint"`
-	Last    uint64       `cbor:"2,keyasint"`
-	Seq     uint64       `cbor:"3,keyasint"`
-	Eras    []EpochStart `cbor:"4,keyasint,omitempty"`
-	Entries []Entry      `cbor:"5,keyasint,omitempty"`
+	Slot        int          `cbor:"1,keyasint"`
+	LastEpoch   uint64       `cbor:"2,keyasint"`
+	LastSeq     uint64       `cbor:"3,keyasint"`
+	EpochStarts []EpochStart `cbor:"4,keyasint,omitempty"`
+	Entries     []Entry      `cbor:"5,keyasint,omitempty"`
 }
 
 // Snapshot gives what is held, for a disk.
@@ -29,7 +29,7 @@
 	}
 	s := h.slots[i]
 	entries, _ := s.entriesAfter(0, now, 1<<62)
-	return &SlotSnapshot{Slot: i, Last: s.lastEpoch, Seq: s.lastSeq, Eras: slices.Clone(s.epochStarts), Entries: entries}
+	return &SlotSnapshot{Slot: i, LastEpoch: s.lastEpoch, LastSeq: s.lastSeq, EpochStarts: slices.Clone(s.epochStarts), Entries: entries}
 }
 
 // restore is what was saved. It is at no epoch: its holder counts for nothing until a primary has
@@ -37,8 +37,8 @@
 func (v *SlotSnapshot) restore(now int64) *slot {
 	s := newSlot()
 	for _, e := range v.Entries {
-		s.store(e, now+e.Left)
+		s.store(e, now+e.Remaining)
 	}
-	s.lastEpoch, s.lastSeq, s.epochStarts = v.Last, v.Seq, slices.Clone(v.Eras)
+	s.lastEpoch, s.lastSeq, s.epochStarts = v.LastEpoch, v.LastSeq, slices.Clone(v.EpochStarts)
 	return s
 }
--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -127,11 +127,11 @@
 		placement.Change{
 			Kind: placement.ChangeJoin,
 			Member: placement.Member{
-				Name:    r.name,
-				Hall:    string('a' + rune(len(r.name)+int(r.name[1])%2)),
-				Life:    r.life,
-				Process: r.process,
-				Bills:   true,
+				Name:        r.name,
+				Zone:        string('a' + rune(len(r.name)+int(r.name[1])%2)),
+				Incarnation: r.life,
+				Process:     r.process,
+				KeepsUsage:  true,
 			},
 		},
 	)
@@ -162,7 +162,7 @@
 		r.old = r.led.Keep(0)
 	}
 	w.change(
-		placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: r.name, Life: r.life}},
+		placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: r.name, Incarnation: r.life}},
 	)
 }
 
@@ -197,15 +197,15 @@
 	d := t.Lease(StatementsLease)
 	m := t.Members[w.others.IntN(len(t.Members))]
 	switch {
-	case t.Born == 0:
+	case t.BootstrapTime == 0:
 		w.change(placement.Change{Kind: placement.ChangeBootstrap, Token: 1})
 	case d == nil:
-		w.change(placement.Change{Kind: placement.ChangeGrantLease, Duty: StatementsLease, Member: m})
+		w.change(placement.Change{Kind: placement.ChangeGrantLease, Lease: StatementsLease, Member: m})
 	case d.Holder == "":
 		w.change(
 			placement.Change{
 				Kind:   placement.ChangeGrantLease,
-				Duty:   StatementsLease,
+				Lease:  StatementsLease,
 				Member: m,
 				Token:  d.Token,
 			},
@@ -214,7 +214,7 @@
 		w.change(
 			placement.Change{
 				Kind:   placement.ChangeReleaseLease,
-				Duty:   StatementsLease,
+				Lease:  StatementsLease,
 				Member: placement.Member{Name: d.Holder},
 				Token:  d.Token,
 				Epoch:  1,
@@ -240,14 +240,14 @@
 			if r.name != l.m.To || !r.up {
 				continue
 			}
-			switch l.m.Kind {
+			switch l.m.Type {
 			case MsgProgress:
 				m := l.m
 				if h := r.w.replicas[m.From]; h != nil && w.broken.anyLife {
-					m.Life = h.incarnation
+					m.Incarnation = h.incarnation
 				}
 				if h := r.w.replicas[m.From]; h != nil && w.broken.anyGiving {
-					m.No = h.snapshotID
+					m.SnapshotID = h.snapshotID
 				}
 				r.w.Receive(&m, w.now)
 			case MsgStatement, MsgStatementStored, MsgStatementWanted:
@@ -300,10 +300,10 @@
 	}
 	if w.r.IntN(500) == 0 {
 		r.led.Lost(1)
-		r.w.Append(Operation{Lost: 1})
+		r.w.Append(Operation{LostUses: 1})
 	}
 	if s := r.led.Seal(w.now); s != nil {
-		r.seals[s.Seq] = r.w.Append(Operation{Seal: s.Digest(), At: w.now})
+		r.seals[s.Seq] = r.w.Append(Operation{SealDigest: s.Digest(), At: w.now})
 	}
 	if w.r.IntN(20) == 0 { // the disk
 		r.old = r.led.Keep(0)
@@ -320,7 +320,7 @@
 	}
 	if w.broken.dropAtOnce {
 		for name := range r.w.former {
-			r.w.send(Message{Kind: MsgDrop, To: name})
+			r.w.send(Message{Type: MsgDrop, To: name})
 		}
 	}
 	r.w.Flush(w.now)
@@ -423,7 +423,7 @@
 			w.change(
 				placement.Change{
 					Kind:   placement.ChangeLost,
-					Member: placement.Member{Name: r.name, Life: r.life},
+					Member: placement.Member{Name: r.name, Incarnation: r.life},
 				},
 			)
 			for range w.r.IntN(900) {
@@ -433,7 +433,7 @@
 			w.change(
 				placement.Change{
 					Kind:   placement.ChangeJoin,
-					Member: placement.Member{Name: r.name, Life: r.life, Process: r.process, Bills: true},
+					Member: placement.Member{Name: r.name, Incarnation: r.life, Process: r.process, KeepsUsage: true},
 				},
 			)
 			continue
--- a/internal/peers/usagereplica/message.go
+++ b/internal/peers/usagereplica/message.go
@@ -17,11 +17,11 @@
 
 // Operation is one thing that happens to an account; one of its parts is there.
 type Operation struct {
-	Use  *ledger.Use        `cbor:"1,keyasint,omitempty"`
-	Fix  *ledger.Correction `cbor:"2,keyasint,omitempty"`
-	Lost uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
+	Use        *ledger.Use        `cbor:"1,keyasint,omitempty"`
+	Correction *ledger.Correction `cbor:"2,keyasint,omitempty"`
+	LostUses   uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
 	// the digest of the statement that settles what has ended
-	Seal string `cbor:"4,keyasint,omitempty"`
+	SealDigest string `cbor:"4,keyasint,omitempty"`
 	// Unix time of a correction or a settlement
 	At int64 `cbor:"5,keyasint,omitempty"`
 }
@@ -32,17 +32,17 @@
 	switch {
 	case s.Use != nil:
 		l.Add(*s.Use)
-	case s.Fix != nil:
-		_, err := l.Correct(*s.Fix, s.At)
+	case s.Correction != nil:
+		_, err := l.Correct(*s.Correction, s.At)
 		return nil, err == nil
-	case s.Seal != "":
+	case s.SealDigest != "":
 		told = l.Seal(s.At)
-		if told == nil || told.Digest() != s.Seal {
+		if told == nil || told.Digest() != s.SealDigest {
 			return nil, false
 		}
 		l.Exported(told)
 	default:
-		l.Lost(s.Lost)
+		l.Lost(s.LostUses)
 	}
 	return told, true
 }
@@ -63,25 +63,25 @@
 
 // Message goes between a runner and one of its heirs.
 type Message struct {
-	Kind MessageType `cbor:"1,keyasint"`
+	Type MessageType `cbor:"1,keyasint"`
 	From string      `cbor:"2,keyasint"`
 	To   string      `cbor:"3,keyasint"`
 	// its name; that of the runner is From, or To of a word of an heir
-	Account string `cbor:"4,keyasint"`
+	Ledger  string `cbor:"4,keyasint"`
 	Process uint32 `cbor:"5,keyasint,omitempty"` // of the runner
 	// MsgProgress and Had: of the heir's membership, in which it knows what it says
-	Life uint64 `cbor:"6,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"6,keyasint,omitempty"`
 	// MsgAppend: the number before the first; State: up to which it goes; Held: up to which all is known
-	Seq   uint64      `cbor:"7,keyasint,omitempty"`
-	Steps []Operation `cbor:"8,keyasint,omitempty"`
+	Seq        uint64      `cbor:"7,keyasint,omitempty"`
+	Operations []Operation `cbor:"8,keyasint,omitempty"`
 	// MsgSnapshot: which piece; Held: how many are here
-	Part  int             `cbor:"9,keyasint,omitempty"`
-	Parts int             `cbor:"10,keyasint,omitempty"`
-	Bytes []byte          `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
-	Set   ledger.Settings `cbor:"12,keyasint,omitzero"`
-	Name  string          `cbor:"13,keyasint,omitempty"` // of the statement
+	Part     int             `cbor:"9,keyasint,omitempty"`
+	Parts    int             `cbor:"10,keyasint,omitempty"`
+	Bytes    []byte          `cbor:"11,keyasint,omitempty"` // of the piece, or of the statement
+	Settings ledger.Settings `cbor:"12,keyasint,omitzero"`
+	Name     string          `cbor:"13,keyasint,omitempty"` // of the statement
 	// which giving of the account it goes by: a word about an earlier one counts for nothing
-	No uint64 `cbor:"14,keyasint,omitempty"`
+	SnapshotID uint64 `cbor:"14,keyasint,omitempty"`
 }
 
 // Bounds.
@@ -105,16 +105,16 @@
 func ReplicasOf(t *placement.Table, name string) []placement.Member {
 	hall := ""
 	if m := t.Member(name); m != nil {
-		hall = m.Hall
+		hall = m.Zone
 	}
 	var all []placement.Member
 	for _, m := range t.Members {
-		if m.Life != 0 && m.Name != name && m.Bills && (!m.Leaving || t.NeedsLeavingMembers()) {
+		if m.Incarnation != 0 && m.Name != name && m.KeepsUsage && (!m.Leaving || t.NeedsLeavingMembers()) {
 			all = append(all, m)
 		}
 	}
 	near := func(m placement.Member) int {
-		if m.Hall == hall {
+		if m.Zone == hall {
 			return 1
 		}
 		return 0
@@ -130,15 +130,15 @@
 	seen := map[string]bool{hall: true}
 	var first, rest []placement.Member
 	for _, m := range all {
-		if seen[m.Hall] {
+		if seen[m.Zone] {
 			rest = append(rest, m)
 		} else {
 			first = append(first, m)
 		}
-		seen[m.Hall] = true
+		seen[m.Zone] = true
 	}
 	all = append(first, rest...)
-	return all[:min(len(all), t.Copies)]
+	return all[:min(len(all), t.Backups)]
 }
 
 func hashRank(a, b string) uint64 {
--- a/internal/peers/usagereplica/primary.go
+++ b/internal/peers/usagereplica/primary.go
@@ -24,7 +24,7 @@
 // Primary tells one account to its heirs. The account itself is its owner's.
 type Primary struct {
 	name         string
-	account      string
+	ledger       string
 	process      uint32
 	settings     ledger.Settings
 	encodeLedger func() []byte // the account as it stands
@@ -44,7 +44,7 @@
 func NewPrimary(name, account string, process uint32, set ledger.Settings, state func() []byte) *Primary {
 	return &Primary{
 		name:         name,
-		account:      account,
+		ledger:       account,
 		process:      process,
 		settings:     set,
 		encodeLedger: state,
@@ -86,7 +86,7 @@
 	w.version = t.Version
 	want := map[string]uint64{}
 	for _, m := range ReplicasOf(t, w.name) {
-		want[m.Name] = m.Life
+		want[m.Name] = m.Incarnation
 	}
 	for name := range w.replicas {
 		if _, ok := want[name]; !ok {
@@ -122,27 +122,27 @@
 	from := h.nextPart * snapshotPartBytes
 	w.send(
 		Message{
-			Kind:  MsgSnapshot,
-			To:    name,
-			Seq:   h.snapshotSeq,
-			Part:  h.nextPart,
-			Parts: h.parts(),
-			Bytes: h.snapshot[from:min(from+snapshotPartBytes, len(h.snapshot))],
-			Set:   w.settings,
-			No:    h.snapshotID,
+			Type:       MsgSnapshot,
+			To:         name,
+			Seq:        h.snapshotSeq,
+			Part:       h.nextPart,
+			Parts:      h.parts(),
+			Bytes:      h.snapshot[from:min(from+snapshotPartBytes, len(h.snapshot))],
+			Settings:   w.settings,
+			SnapshotID: h.snapshotID,
 		},
 	)
 }
 
 func (w *Primary) send(m Message) {
-	m.From, m.Account, m.Process = w.name, w.account, w.process
+	m.From, m.Ledger, m.Process = w.name, w.ledger, w.process
 	w.outbox = append(w.outbox, m)
 }
 
 // Receive takes the word of an heir.
 func (w *Primary) Receive(m *Message, now int64) {
 	h := w.replicas[m.From]
-	if m.Kind != MsgProgress || m.Account != w.account {
+	if m.Type != MsgProgress || m.Ledger != w.ledger {
 		return
 	}
 	if h == nil {
@@ -151,7 +151,7 @@
 		}
 		return
 	}
-	if m.Life != h.incarnation || m.No != h.snapshotID { // it may have forgotten what it says
+	if m.Incarnation != h.incarnation || m.SnapshotID != h.snapshotID { // it may have forgotten what it says
 		return
 	}
 	switch {
@@ -180,7 +180,7 @@
 			}
 			steps := w.operations[h.sentSeq-w.base:]
 			steps = steps[:min(len(steps), maxOperationsPerMessage)]
-			w.send(Message{Kind: MsgAppend, To: name, Seq: h.sentSeq, Steps: slices.Clone(steps), No: h.snapshotID})
+			w.send(Message{Type: MsgAppend, To: name, Seq: h.sentSeq, Operations: slices.Clone(steps), SnapshotID: h.snapshotID})
 			h.sentSeq += uint64(len(steps))
 			h.lastSent = now
 		}
@@ -204,7 +204,7 @@
 			if w.ReplicatedSeq() < w.seq() { // it may still be the only one
 				break
 			}
-			w.send(Message{Kind: MsgDrop, To: name})
+			w.send(Message{Type: MsgDrop, To: name})
 			if w.former[name]--; w.former[name] <= 0 {
 				delete(w.former, name)
 			}
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, e := range h.ledgers {
-		if m := h.table.Member(e.owner); m != nil && m.Life != 0 && m.Process == e.process {
+		if m := h.table.Member(e.owner); m != nil && m.Incarnation != 0 && m.Process == e.process {
 			e.lostSince = 0
 		} else if e.lostSince == 0 {
 			e.lostSince = now
@@ -70,7 +70,7 @@
 
 // Receive takes the word of a runner.
 func (h *Replica) Receive(m *Message) {
-	switch m.Kind {
+	switch m.Type {
 	case MsgSnapshot:
 		h.receiveSnapshotPart(m)
 	case MsgAppend:
@@ -86,8 +86,8 @@
 		}
 		h.statements = append(h.statements, OwnedStatement{m.From, m.Process, s})
 	case MsgDrop:
-		if e := h.ledgers[m.Account]; e != nil && e.owner == m.From && e.lostSince == 0 {
-			delete(h.ledgers, m.Account)
+		if e := h.ledgers[m.Ledger]; e != nil && e.owner == m.From && e.lostSince == 0 {
+			delete(h.ledgers, m.Ledger)
 		}
 		h.sendProgress(m, 0, 0, 0)
 	}
@@ -97,15 +97,15 @@
 	h.outbox = append(
 		h.outbox,
 		Message{
-			Kind:    MsgProgress,
-			From:    h.name,
-			To:      m.From,
-			Account: m.Account,
-			Life:    h.incarnation,
-			Seq:     seq,
-			Part:    part,
-			Parts:   parts,
-			No:      m.No,
+			Type:        MsgProgress,
+			From:        h.name,
+			To:          m.From,
+			Ledger:      m.Ledger,
+			Incarnation: h.incarnation,
+			Seq:         seq,
+			Part:        part,
+			Parts:       parts,
+			SnapshotID:  m.SnapshotID,
 		},
 	)
 }
@@ -113,17 +113,17 @@
 // operations plays what is new. Where something is missing in between, or the account is not known, it
 // says so.
 func (h *Replica) applyOperations(m *Message) {
-	e := h.ledgers[m.Account]
-	if e == nil || e.owner != m.From || e.ledger == nil || e.snapshotID != m.No {
+	e := h.ledgers[m.Ledger]
+	if e == nil || e.owner != m.From || e.ledger == nil || e.snapshotID != m.SnapshotID {
 		h.sendProgress(m, 0, 0, 0)
 		return
 	}
 	if m.Seq <= e.seq {
-		for _, s := range m.Steps[min(e.seq-m.Seq, uint64(len(m.Steps))):] {
+		for _, s := range m.Operations[min(e.seq-m.Seq, uint64(len(m.Operations))):] {
 			told, same := s.apply(e.ledger)
 			if !same {
 				h.errs = append(h.errs, ErrDiverged)
-				delete(h.ledgers, m.Account)
+				delete(h.ledgers, m.Ledger)
 				h.sendProgress(m, 0, 0, 0)
 				return
 			}
@@ -138,28 +138,28 @@
 // encodeLedger puts an account together that comes in pieces.
 func (h *Replica) receiveSnapshotPart(m *Message) {
 	if m.Parts < 1 || m.Parts > maxSnapshotParts || m.Part < 0 || m.Part >= m.Parts || len(m.Bytes) > snapshotPartBytes ||
-		m.Set.Period <= 0 ||
-		m.Set.Slice <= 0 {
+		m.Settings.Period <= 0 ||
+		m.Settings.Slice <= 0 {
 		h.errs = append(h.errs, errors.New("accounts: a piece of an account that cannot be"))
 		return
 	}
-	e := h.ledgers[m.Account]
+	e := h.ledgers[m.Ledger]
 	switch {
 	case e == nil && h.countOf(m.From) >= maxLedgersPerRunner:
 		return // those before it are ended soon
 	case e == nil:
 		e = &replicatedLedger{owner: m.From, process: m.Process}
-		h.ledgers[m.Account] = e
+		h.ledgers[m.Ledger] = e
 	case e.owner != m.From:
 		return
 	}
 	if e.ledger != nil && m.Seq <= e.seq { // it is said again, or what is here goes further
-		e.snapshotID = m.No
+		e.snapshotID = m.SnapshotID
 		h.sendProgress(m, e.seq, 0, 0)
 		return
 	}
-	if e.partsID != m.No || m.Part == 0 {
-		e.parts, e.partsID = nil, m.No
+	if e.partsID != m.SnapshotID || m.Part == 0 {
+		e.parts, e.partsID = nil, m.SnapshotID
 	}
 	if m.Part == len(e.parts) {
 		e.parts = append(e.parts, m.Bytes)
@@ -168,16 +168,16 @@
 		h.sendProgress(m, m.Seq, len(e.parts), m.Parts)
 		return
 	}
-	led, _, err := ledger.Recall(m.Set, slices.Concat(e.parts...))
+	led, _, err := ledger.Recall(m.Settings, slices.Concat(e.parts...))
 	e.parts = nil
-	if err == nil && (led.Life() != m.Account || m.Set.Instance != m.From) {
-		err = errors.New("accounts: an account of " + m.Set.Instance + " from " + m.From)
+	if err == nil && (led.Life() != m.Ledger || m.Settings.Instance != m.From) {
+		err = errors.New("accounts: an account of " + m.Settings.Instance + " from " + m.From)
 	}
 	if err != nil {
 		h.errs = append(h.errs, err)
 		return
 	}
-	e.ledger, e.seq, e.snapshotID = led, m.Seq, m.No
+	e.ledger, e.seq, e.snapshotID = led, m.Seq, m.SnapshotID
 	for s, _ := led.Next(); s != nil; s, _ = led.Next() { // they may not have their names there
 		h.statements = append(h.statements, OwnedStatement{e.owner, e.process, s})
 		led.Exported(s)
--- a/internal/peers/usagereplica/statement_store.go
+++ b/internal/peers/usagereplica/statement_store.go
@@ -68,7 +68,7 @@
 // processGone tells whether the process of a member is not there any more.
 func (s *StatementStore) processGone(m placement.Member) bool {
 	now := s.table.Member(m.Name)
-	return now == nil || now.Life == 0 || now.Process != m.Process
+	return now == nil || now.Incarnation == 0 || now.Process != m.Process
 }
 
 // recipients is whom this runner is to pass a statement on to.
@@ -81,7 +81,7 @@
 	case d == nil || d.Holder == s.name:
 		return s.replicas
 	default:
-		if m := s.table.Member(d.Holder); m != nil && m.Life != 0 && m.Bills {
+		if m := s.table.Member(d.Holder); m != nil && m.Incarnation != 0 && m.KeepsUsage {
 			return []placement.Member{*m}
 		}
 		return nil
@@ -104,9 +104,9 @@
 			continue
 		}
 		for _, h := range s.recipients(p) {
-			if life, ok := p.holders[h.Name]; !ok || life != h.Life {
+			if life, ok := p.holders[h.Name]; !ok || life != h.Incarnation {
 				p.lastSent = now
-				s.outbox = append(s.outbox, Message{Kind: MsgStatement, From: s.name, To: h.Name, Name: name})
+				s.outbox = append(s.outbox, Message{Type: MsgStatement, From: s.name, To: h.Name, Name: name})
 			}
 		}
 	}
@@ -117,20 +117,20 @@
 func (s *StatementStore) Receive(m *Message) (wanted string) {
 	p := s.statements[m.Name]
 	switch {
-	case m.Kind == MsgStatement && p != nil:
+	case m.Type == MsgStatement && p != nil:
 		s.respond(m, MsgStatementStored)
-	case m.Kind == MsgStatement && len(m.Bytes) == 0:
+	case m.Type == MsgStatement && len(m.Bytes) == 0:
 		s.respond(m, MsgStatementWanted)
-	case m.Kind == MsgStatementStored && p != nil:
-		p.holders[m.From] = m.Life
-	case m.Kind == MsgStatementWanted && p != nil:
+	case m.Type == MsgStatementStored && p != nil:
+		p.holders[m.From] = m.Incarnation
+	case m.Type == MsgStatementWanted && p != nil:
 		return m.Name
 	}
 	return ""
 }
 
 func (s *StatementStore) respond(m *Message, k MessageType) {
-	s.outbox = append(s.outbox, Message{Kind: k, From: s.name, To: m.From, Name: m.Name, Life: s.incarnation})
+	s.outbox = append(s.outbox, Message{Type: k, From: s.name, To: m.From, Name: m.Name, Incarnation: s.incarnation})
 }
 
 // Send gives an heir what it wants. One that was taken away is not passed on any more.
@@ -138,13 +138,13 @@
 	if len(b) > 0 {
 		s.outbox = append(
 			s.outbox,
-			Message{Kind: MsgStatement, From: s.name, To: to, Process: s.process, Name: name, Bytes: b},
+			Message{Type: MsgStatement, From: s.name, To: to, Process: s.process, Name: name, Bytes: b},
 		)
 		return
 	}
 	if p := s.statements[name]; p != nil && s.table != nil {
 		for _, h := range append(s.recipients(p), s.replicas...) {
-			p.holders[h.Name] = h.Life
+			p.holders[h.Name] = h.Incarnation
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.statements)) {
 		p := s.statements[name]
-		if slices.ContainsFunc(s.recipients(p), func(h placement.Member) bool { return p.holders[h.Name] != h.Life }) {
+		if slices.ContainsFunc(s.recipients(p), func(h placement.Member) bool { return p.holders[h.Name] != h.Incarnation }) {
 			n++
 		}
 	}
--- a/internal/peers/wal/stored_test.go
+++ b/internal/peers/wal/stored_test.go
@@ -28,12 +28,12 @@
 // storedSlot is the copy of one slot in testdata.
 func storedSlot() replication.SlotSnapshot {
 	return replication.SlotSnapshot{
-		Slot: 3,
-		Last: 12,
-		Seq:  14,
-		Eras: []replication.EpochStart{{Epoch: 11, First: 9}, {Epoch: 12, First: 13}},
+		Slot:        3,
+		LastEpoch:   12,
+		LastSeq:     14,
+		EpochStarts: []replication.EpochStart{{Epoch: 11, FirstSeq: 9}, {Epoch: 12, FirstSeq: 13}},
 		Entries: []replication.Entry{
-			{Seq: 13, Epoch: 12, Left: 12_000_000, Record: &store.Record{
+			{Seq: 13, Epoch: 12, Remaining: 12_000_000, Record: &store.Record{
 				Kind:  store.Begun,
 				Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-1"},
 				Owner: 1<<40 | 7,
@@ -41,7 +41,7 @@
 				Until: 1_700_000_013_000_002,
 				Body:  [32]byte{1, 2, 31: 32},
 			}},
-			{Seq: 14, Epoch: 12, Left: 11_000_000, Record: &store.Record{
+			{Seq: 14, Epoch: 12, Remaining: 11_000_000, Record: &store.Record{
 				Kind:  store.Ended,
 				Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-2"},
 				Owner: 1<<40 | 8,
@@ -61,11 +61,11 @@
 // storedMember is the only voter of the group in testdata.
 func storedMember() placement.Member {
 	return placement.Member{
-		Name:    "runner-a",
-		Hall:    "west",
-		Life:    1_700_000_000,
-		Process: 4_000_000_002,
-		Bills:   true,
+		Name:        "runner-a",
+		Zone:        "west",
+		Incarnation: 1_700_000_000,
+		Process:     4_000_000_002,
+		KeepsUsage:  true,
 	}
 }
 
@@ -219,10 +219,10 @@
 	}
 	var got []record
 	for _, k := range log {
-		r := record{ID: k.ID}
-		if k.State != nil {
+		r := record{ID: k.VoterID}
+		if k.HardState != nil {
 			state := &raftpb.HardState{}
-			if err := proto.Unmarshal(k.State, state); err != nil {
+			if err := proto.Unmarshal(k.HardState, state); err != nil {
 				t.Fatal(err)
 			}
 			r.Term, r.Vote, r.Commit = state.GetTerm(), state.GetVote(), state.GetCommit()
@@ -257,22 +257,22 @@
 
 // storedTable is what the group in testdata agreed on.
 func storedTable() *placement.Table {
-	slot := placement.Slot{Epoch: 1, Set: []string{"runner-a"}, Quiet: 1}
+	slot := placement.Slot{Epoch: 1, Replicas: []string{"runner-a"}, EmptyEpoch: 1}
 	member := storedMember()
-	member.Knows = placement.ChangeJoinV3
-	member.Duties = []string{"probe-west"}
+	member.NewestChange = placement.ChangeJoinV3
+	member.LeaseNames = []string{"probe-west"}
 	return &placement.Table{
-		Version: 1027,
-		Copies:  1,
-		Members: []placement.Member{member},
-		Slots:   []placement.Slot{slot, slot, slot, slot},
-		Born:    1_700_000_000,
-		Duties: []placement.Lease{{
-			Name:   "probe-west",
-			Holder: "runner-a",
-			Life:   1_700_000_000,
-			Token:  1_700_000_000<<32 | 19,
-			Asked:  77_000_000,
+		Version:       1027,
+		Backups:       1,
+		Members:       []placement.Member{member},
+		Slots:         []placement.Slot{slot, slot, slot, slot},
+		BootstrapTime: 1_700_000_000,
+		Leases: []placement.Lease{{
+			Name:        "probe-west",
+			Holder:      "runner-a",
+			Incarnation: 1_700_000_000,
+			Token:       1_700_000_000<<32 | 19,
+			AskedAt:     77_000_000,
 		}},
 	}
 }
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -128,7 +128,7 @@
 // Append has a record of the consensus group on the disk once it returns nil. After an error all of
 // the log is written anew.
 func (v *Log) Append(k *consensus.DurableRecord) error {
-	if k.ID != 0 { // it begins anew with this one
+	if k.VoterID != 0 { // it begins anew with this one
 		v.records = nil
 		v.closeFile()
 	}
--- a/internal/peers/wal/wal_test.go
+++ b/internal/peers/wal/wal_test.go
@@ -37,9 +37,9 @@
 			kept = append([]consensus.DurableRecord(nil), log...)
 			disk.CrashAt = disk.Steps + 1 + r.IntN(40)
 			for n := byte(0); ; n++ {
-				k := consensus.DurableRecord{State: []byte{n, byte(seed)}, Entries: [][]byte{{n}}}
+				k := consensus.DurableRecord{HardState: []byte{n, byte(seed)}, Entries: [][]byte{{n}}}
 				if r.IntN(6) == 0 {
-					k.ID = 7
+					k.VoterID = 7
 					before, given, kept = given, nil, nil
 				}
 				given = append(given, k)
@@ -48,7 +48,7 @@
 				}
 				kept = append([]consensus.DurableRecord(nil), given...)
 				before = nil
-				if err = v.SaveSlot(&replication.SlotSnapshot{Slot: int(n % 3), Seq: uint64(n)}); err != nil {
+				if err = v.SaveSlot(&replication.SlotSnapshot{Slot: int(n % 3), LastSeq: uint64(n)}); err != nil {
 					break
 				}
 			}
@@ -70,7 +70,7 @@
 	}
 	var want []consensus.DurableRecord
 	for n := range byte(20) {
-		k := consensus.DurableRecord{State: []byte{n}}
+		k := consensus.DurableRecord{HardState: []byte{n}}
 		full := errors.New("no space left")
 		fails := n%4 == 1
 		disk.Fail = func(op, _ string) error {
@@ -90,7 +90,7 @@
 		want = append(want, k)
 	}
 	for _, slot := range []int{1, 2} {
-		if err := v.SaveSlot(&replication.SlotSnapshot{Slot: slot, Seq: 9}); err != nil {
+		if err := v.SaveSlot(&replication.SlotSnapshot{Slot: slot, LastSeq: 9}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -275,7 +275,7 @@
 		}
 		for _, l := range s.Peers.Leaving {
 			if l.Name == name {
-				return l.Holds
+				return l.Slots
 			}
 		}
 	}
--- a/internal/testing/cluster/copies_test.go
+++ b/internal/testing/cluster/copies_test.go
@@ -231,18 +231,18 @@
 		control.Request{Ask: "peers-key", Class: "hand-in", Tenant: "north", Key: "a key"},
 		&key,
 	); err != nil ||
-		len(key.Set) != 2 ||
-		slices.Contains(key.Set, "n4") {
+		len(key.Replicas) != 2 ||
+		slices.Contains(key.Replicas, "n4") {
 		t.Errorf("%v; of a key it says %+v", err, key)
 	}
 	for _, n := range c.Nodes {
-		if slices.Contains(key.Set, n.Name) {
+		if slices.Contains(key.Replicas, n.Name) {
 			if err := n.Tell(
 				control.Request{Ask: "peers-key", Class: "hand-in", Tenant: "north", Key: "a key"},
 				&key,
 			); err != nil ||
-				key.Here != "ended" ||
-				key.Bytes != len(told.Result) {
+				key.State != "ended" ||
+				key.ResultBytes != len(told.Result) {
 				t.Errorf("%v; its holder %s says %+v", err, n.Name, key)
 			}
 		}
@@ -300,7 +300,7 @@
 						few = false
 						continue
 					}
-					passed += s.Peers.Passed
+					passed += s.Peers.Relayed
 				}
 				return passed, few
 			}
@@ -328,7 +328,7 @@
 			if err := n.Tell(control.Request{Ask: "status"}, &s); err != nil {
 				t.Fatal(err)
 			}
-			sum += s.Peers.Copied
+			sum += s.Peers.CatchUpBytes
 		}
 		return sum
 	}
@@ -343,7 +343,7 @@
 		}
 		wait(t, "n3 is back", func() bool {
 			var s app.Status
-			return last.Tell(control.Request{Ask: "status"}, &s) == nil && s.Peers.In
+			return last.Tell(control.Request{Ask: "status"}, &s) == nil && s.Peers.IsMember
 		})
 		if err := c.Ready(60 * time.Second); err != nil {
 			t.Fatal(err)
--- a/internal/testing/cluster/duties.go
+++ b/internal/testing/cluster/duties.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		newest = s.Peers.Version
-		for _, d := range s.Peers.Duties {
+		for _, d := range s.Peers.Leases {
 			if d.Name == duty {
 				name, token = d.Holder, d.Token
 			}
--- a/internal/usage/metering/copied.go
+++ b/internal/usage/metering/copied.go
@@ -149,7 +149,7 @@
 
 // Hear takes a message of a peer.
 func (m *Meter) Hear(x *usagereplica.Message) {
-	if x.Kind == usagereplica.MsgProgress {
+	if x.Type == usagereplica.MsgProgress {
 		m.post.put(*x)
 		return
 	}
@@ -235,7 +235,7 @@
 
 func (c *copied) sealed(s *ledger.Statement, now int64) {
 	if c != nil {
-		c.seals[s.Seq] = c.w.Append(usagereplica.Operation{Seal: s.Digest(), At: now})
+		c.seals[s.Seq] = c.w.Append(usagereplica.Operation{SealDigest: s.Digest(), At: now})
 	}
 }
 
@@ -379,7 +379,7 @@
 
 // hearOf takes a message about an account of another runner.
 func (m *Meter) hearOf(o *others, x *usagereplica.Message, work chan func() func()) {
-	switch x.Kind {
+	switch x.Type {
 	case usagereplica.MsgStatement, usagereplica.MsgStatementStored, usagereplica.MsgStatementWanted:
 		name := o.shelf.Receive(x)
 		if name != "" {
--- a/internal/usage/metering/desk.go
+++ b/internal/usage/metering/desk.go
@@ -171,7 +171,7 @@
 		d.copied.use(&u, d.taken)
 	}
 	if lost := d.ring.Lost(); lost != d.lost {
-		d.copied.step(usagereplica.Operation{Lost: d.led.RingLost(d.ring)})
+		d.copied.step(usagereplica.Operation{LostUses: d.led.RingLost(d.ring)})
 		d.lost, d.dirty = lost, true
 	}
 }
--- a/internal/usage/metering/metering.go
+++ b/internal/usage/metering/metering.go
@@ -187,7 +187,7 @@
 		now := wallclock.Now().UnixMicro()
 		known, err := d.led.Correct(c, now)
 		if err == nil && !known {
-			d.copied.step(usagereplica.Operation{Fix: &c, At: now})
+			d.copied.step(usagereplica.Operation{Correction: &c, At: now})
 		}
 		if err == nil {
 			// also of a known one: what failed to be kept is known in memory alone
