--- a/cmd/runner/route.go
+++ b/cmd/runner/route.go
@@ -76,7 +76,7 @@
 		}
 		vars = append(vars, cgi.Variable{Name: name, Value: value})
 	}
-	r, err := cgi.Read(vars, op.KeyVariable, op.Tenant.Var, op.FirstAttemptVariable)
+	r, err := cgi.Read(vars, op.KeyVariable, op.Tenant.Variable, op.FirstAttemptVariable)
 	if err != nil {
 		return err
 	}
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -26,7 +26,7 @@
 		Links: link.Config{
 			Installation:  s.Installation,
 			Name:          r.cfg.Name,
-			Listen:        config.MustAddr(s.Listen),
+			Listen:        config.MustParseAddr(s.Listen),
 			FullMeshLimit: int(s.MeshSize),
 		},
 		Slots: int(s.Slots),
@@ -93,7 +93,7 @@
 		}
 		return
 	}
-	if !s.SameButMembers(&r.op.Peers) {
+	if !s.EqualExceptMembers(&r.op.Peers) {
 		evLater.Log("peers")
 	}
 	r.peers.SetMembers(members(s, r.cfg.Name))
--- a/internal/config/bounds.go
+++ b/internal/config/bounds.go
@@ -80,15 +80,15 @@
 func (o *Operator) checkBounds(*Platform) error {
 	for _, b := range bounds {
 		// no number is not in bounds either
-		if v := figure(reflect.ValueOf(o).Elem(), b.field); !(v >= b.least && v <= b.most) {
-			return o.doc.Errorf(b.field, "%v is not from %v to %v", v, b.least, b.most)
+		if v := numberAt(reflect.ValueOf(o).Elem(), b.field); !(v >= b.least && v <= b.most) {
+			return o.document.Errorf(b.field, "%v is not from %v to %v", v, b.least, b.most)
 		}
 	}
 	return nil
 }
 
-// figure is the number in a field that is named as in the file.
-func figure(v reflect.Value, name string) float64 {
+// numberAt is the number in a field that is named as in the file.
+func numberAt(v reflect.Value, name string) float64 {
 	for _, part := range strings.Split(name, ".") {
 		found := false
 		for i := range v.NumField() {
--- a/internal/config/pools.go
+++ b/internal/config/bulkheads.go
@@ -38,12 +38,12 @@
 }
 
 const (
-	poolsFirst    = 16
-	poolsLeast    = 4
-	poolsMost     = 1000
-	poolsCallBack = 500
-	poolsLine     = 200
-	poolsGuard    = 30_000
+	defaultInitialLimit = 16
+	defaultMinLimit     = 4
+	defaultMaxLimit     = 1000
+	defaultReclaimMs    = 500
+	defaultQueueLength  = 200
+	deadlineMargin      = 30_000
 )
 
 // BulkheadsOf is how the pools of a group decide; nil: it has none.
@@ -54,15 +54,15 @@
 	}
 	c := &bulkhead.Config{
 		LimitAlgorithm: cmp.Or(set.Mode, bulkhead.GradientLimit),
-		InitialLimit:   cmp.Or(set.First, poolsFirst),
-		MinLimit:       cmp.Or(set.Minimum, poolsLeast),
+		InitialLimit:   cmp.Or(set.First, defaultInitialLimit),
+		MinLimit:       cmp.Or(set.Minimum, defaultMinLimit),
 		MaxLimit: cmp.Or(
 			set.Maximum,
-			poolsMost,
+			defaultMaxLimit,
 		),
-		ReclaimTime:    cmp.Or(set.ReclaimMs, poolsCallBack) * 1000,
-		MaxQueueLength: cmp.Or(set.QueueLength, poolsLine),
-		DeadlineMargin: poolsGuard,
+		ReclaimTime:    cmp.Or(set.ReclaimMs, defaultReclaimMs) * 1000,
+		MaxQueueLength: cmp.Or(set.QueueLength, defaultQueueLength),
+		DeadlineMargin: deadlineMargin,
 	}
 	quota := 0.0
 	for _, t := range p.Settings.Tenants {
@@ -104,7 +104,7 @@
 			}
 		}
 		for _, text := range l.Callers {
-			callers, _ := callersOf(text) // checked with the file
+			callers, _ := parseCallerRange(text) // checked with the file
 			pool.Callers = append(pool.Callers, callers)
 		}
 		c.Pools = append(c.Pools, pool)
@@ -112,8 +112,8 @@
 	return c
 }
 
-// callersOf reads the number of a caller, or the first and the last of some.
-func callersOf(text string) (c bulkhead.CallerRange, err error) {
+// parseCallerRange reads the number of a caller, or the first and the last of some.
+func parseCallerRange(text string) (c bulkhead.CallerRange, err error) {
 	first, last, several := strings.Cut(text, "-")
 	if !several {
 		last = first
@@ -126,12 +126,12 @@
 	return bulkhead.CallerRange{From: uint32(from), To: uint32(to)}, nil
 }
 
-func (o *Operator) checkPools(p *Platform) error {
+func (o *Operator) checkBulkheads(p *Platform) error {
 	groups := slices.Sorted(maps.Values(o.GroupByClass))
 	for _, group := range slices.Sorted(maps.Keys(o.Bulkheads)) {
 		set, at := o.Bulkheads[group], "pools."+group
 		if !slices.Contains(groups, group) {
-			return o.doc.Errorf(at, "no class of routes runs on this group")
+			return o.document.Errorf(at, "no class of routes runs on this group")
 		}
 		for _, f := range []struct {
 			name           string
@@ -139,11 +139,11 @@
 		}{{"first", set.First, 1, 100_000}, {"least", set.Minimum, 1, 100_000}, {"most", set.Maximum, 1, 100_000},
 			{"call_back_ms", float64(set.ReclaimMs), 1, 60_000}, {"line", float64(set.QueueLength), 1, 10_000}} {
 			if f.v != 0 && !(f.v >= f.least && f.v <= f.most) {
-				return o.doc.Errorf(at+"."+f.name, "%v is not from %v to %v", f.v, f.least, f.most)
+				return o.document.Errorf(at+"."+f.name, "%v is not from %v to %v", f.v, f.least, f.most)
 			}
 		}
 		if set.Mode != "" && !slices.Contains(bulkhead.LimitAlgorithms, set.Mode) {
-			return o.doc.Errorf(
+			return o.document.Errorf(
 				at+".way",
 				"%q is none of %s",
 				set.Mode,
@@ -151,22 +151,22 @@
 			)
 		}
 		if len(set.List) == 0 {
-			return o.doc.Errorf(at, "no pool is listed")
+			return o.document.Errorf(at, "no pool is listed")
 		}
 		for i, l := range set.List {
 			in := at + ".list." + strconv.Itoa(i)
 			if l.Name == "" ||
 				slices.ContainsFunc(set.List[:i], func(x Bulkhead) bool { return x.Name == l.Name }) {
-				return o.doc.Errorf(in, "name %q is missing or stands twice", l.Name)
+				return o.document.Errorf(in, "name %q is missing or stands twice", l.Name)
 			}
 			for _, class := range l.Classes {
 				if o.GroupByClass[class] != group {
-					return o.doc.Errorf(in+".classes", "class %s does not run on group %s", class, group)
+					return o.document.Errorf(in+".classes", "class %s does not run on group %s", class, group)
 				}
 			}
 			for _, text := range l.Callers {
-				if _, err := callersOf(text); err != nil {
-					return o.doc.Errorf(in+".callers", "%v", err)
+				if _, err := parseCallerRange(text); err != nil {
+					return o.document.Errorf(in+".callers", "%v", err)
 				}
 			}
 			for _, tenant := range l.Tenants {
@@ -174,13 +174,13 @@
 					p.Settings.Tenants,
 					func(t admission.Tenant) bool { return t.Name == tenant },
 				) {
-					return o.doc.Errorf(in+".tenants", "unknown tenant %q", tenant)
+					return o.document.Errorf(in+".tenants", "unknown tenant %q", tenant)
 				}
 			}
 		}
 		c := o.BulkheadsOf(group, p)
 		if c.MinLimit > c.InitialLimit || c.InitialLimit > c.MaxLimit {
-			return o.doc.Errorf(
+			return o.document.Errorf(
 				at,
 				"least %v, first %v and most %v are not in this order",
 				c.MinLimit,
@@ -192,7 +192,7 @@
 		var none *bulkhead.NoPoolError
 		if errors.As(err, &none) {
 			if name := p.Settings.Classes[none.Class].Name; o.GroupByClass[name] == group {
-				return o.doc.Errorf(
+				return o.document.Errorf(
 					at+".list",
 					"requests of class %s are in no pool, for some tenants or callers at least: a last "+
 						"pool without classes takes the rest",
@@ -202,7 +202,7 @@
 			err = nil
 		}
 		if err != nil {
-			return o.doc.Errorf(at+".list", "%v", err)
+			return o.document.Errorf(at+".list", "%v", err)
 		}
 	}
 	return nil
--- a/internal/config/match.go
+++ b/internal/config/match.go
@@ -9,13 +9,13 @@
 	"ryepaddle/internal/match"
 )
 
-// checkMatch compiles the expressions, and puts the routes together. All that are named are read,
+// compileExpressions compiles the expressions, and puts the routes together. All that are named are read,
 // also those that nobody uses.
-func (o *Operator) checkMatch(*Platform) error {
+func (o *Operator) compileExpressions(*Platform) error {
 	names := match.Definitions(o.Expressions)
 	for _, name := range slices.Sorted(maps.Keys(o.Expressions)) {
 		if err := match.CheckDefinition(name, names); err != nil {
-			return o.doc.Errorf("expressions."+name, "%v", err)
+			return o.document.Errorf("expressions."+name, "%v", err)
 		}
 	}
 	compile := func(field, text string, want match.Type, without ...string) (*match.Expression, error) {
@@ -24,13 +24,13 @@
 		}
 		e, err := match.Compile(text, want, names, without...)
 		if err != nil {
-			return nil, o.doc.Errorf(field, "%v", err)
+			return nil, o.document.Errorf(field, "%v", err)
 		}
 		return e, nil
 	}
 	var err error
-	o.Matcher.SchoolVariable, o.Matcher.DefaultSchool = o.Tenant.Var, o.Tenant.Default
-	if o.Matcher.School, err = compile("tenant.from", o.Tenant.From, match.Text, "school"); err != nil {
+	o.Matcher.SchoolVariable, o.Matcher.DefaultSchool = o.Tenant.Variable, o.Tenant.Default
+	if o.Matcher.School, err = compile("tenant.from", o.Tenant.Expression, match.Text, "school"); err != nil {
 		return err
 	}
 	rules := make([]match.Rule, len(o.Routes))
@@ -47,9 +47,9 @@
 	if o.Matcher.Rules, err = match.NewRuleTable(rules); err != nil {
 		var behind *match.UnreachableRuleError
 		if errors.As(err, &behind) {
-			return o.doc.Errorf("routes."+strconv.Itoa(behind.Rule)+".path", "%v", err)
+			return o.document.Errorf("routes."+strconv.Itoa(behind.Rule)+".path", "%v", err)
 		}
-		return o.doc.Errorf("routes", "%v", err)
+		return o.document.Errorf("routes", "%v", err)
 	}
 	return nil
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -84,19 +84,19 @@
 }
 
 const (
-	mostPeers  = 300
-	mostVoters = 7
+	maxPeers  = 300
+	maxVoters = 7
 )
 
 // Enabled tells whether anything is copied.
 func (p *Peers) Enabled() bool { return p.Listen != "" }
 
-// MustAddr is an address that was checked with the file.
-func MustAddr(s string) netip.AddrPort { return netip.MustParseAddrPort(s) }
+// MustParseAddr is an address that was checked with the file.
+func MustParseAddr(s string) netip.AddrPort { return netip.MustParseAddrPort(s) }
 
-// SameButMembers tells whether two files say the same of peers, but for members that do not vote
+// EqualExceptMembers tells whether two files say the same of peers, but for members that do not vote
 // and for duties.
-func (p *Peers) SameButMembers(o *Peers) bool {
+func (p *Peers) EqualExceptMembers(o *Peers) bool {
 	a, b := *p, *o
 	a.Members, b.Members = a.voters(), b.voters()
 	a.Leases, b.Leases = Leases{}, Leases{}
@@ -116,7 +116,7 @@
 	s := &o.Peers
 	if !s.Enabled() {
 		if len(s.Members) > 0 {
-			return o.doc.Errorf(
+			return o.document.Errorf(
 				"peers.listen",
 				"missing: there are members, and no address at which they reach this runner",
 			)
@@ -124,16 +124,16 @@
 		return nil
 	}
 	if s.Installation == "" {
-		return o.doc.Errorf(
+		return o.document.Errorf(
 			"peers.installation",
 			"missing: it tells the runners of this installation from others",
 		)
 	}
 	if a, err := netip.ParseAddrPort(s.Listen); err != nil || !a.Addr().Is4() {
-		return o.doc.Errorf("peers.listen", "%q is no IPv4 address with a port", s.Listen)
+		return o.document.Errorf("peers.listen", "%q is no IPv4 address with a port", s.Listen)
 	}
 	if s.Dir != "" {
-		if err := o.checkFolder("peers.dir", &s.Dir); err != nil {
+		if err := o.resolveFolder("peers.dir", &s.Dir); err != nil {
 			return err
 		}
 	}
@@ -144,15 +144,15 @@
 		var err error
 		if m.Addr, err = netip.ParseAddrPort(m.Address); err != nil || !m.Addr.Addr().Is4() ||
 			m.Addr.Port() == 0 {
-			return o.doc.Errorf("peers.members", "%s: %q is no IPv4 address with a port", m.Name, m.Address)
+			return o.document.Errorf("peers.members", "%s: %q is no IPv4 address with a port", m.Name, m.Address)
 		}
 		switch other := addresses[m.Addr]; {
 		case m.Name == "":
-			return o.doc.Errorf("peers.members", "the one at %s has no name", m.Address)
+			return o.document.Errorf("peers.members", "the one at %s has no name", m.Address)
 		case names[m.Name]:
-			return o.doc.Errorf("peers.members", "%s is there twice", m.Name)
+			return o.document.Errorf("peers.members", "%s is there twice", m.Name)
 		case other != "":
-			return o.doc.Errorf("peers.members", "%s and %s are both at %s", other, m.Name, m.Address)
+			return o.document.Errorf("peers.members", "%s and %s are both at %s", other, m.Name, m.Address)
 		}
 		names[m.Name], addresses[m.Addr] = true, m.Name
 		if m.Voter {
@@ -162,13 +162,13 @@
 	}
 	switch {
 	case !here:
-		return o.doc.Errorf("peers.members", "this runner, %s, is not among them", p.Name)
-	case len(s.Members) > mostPeers:
-		return o.doc.Errorf("peers.members", "%d are over %d", len(s.Members), mostPeers)
-	case voters%2 == 0 || voters > mostVoters:
-		return o.doc.Errorf("peers.members", "%d of them vote: want an odd number up to %d", voters, mostVoters)
+		return o.document.Errorf("peers.members", "this runner, %s, is not among them", p.Name)
+	case len(s.Members) > maxPeers:
+		return o.document.Errorf("peers.members", "%d are over %d", len(s.Members), maxPeers)
+	case voters%2 == 0 || voters > maxVoters:
+		return o.document.Errorf("peers.members", "%d of them vote: want an odd number up to %d", voters, maxVoters)
 	case int(s.Replicas) >= len(s.Members):
-		return o.doc.Errorf(
+		return o.document.Errorf(
 			"peers.copies",
 			"%d copies beside the first need %d members, and there are %d",
 			s.Replicas,
@@ -176,37 +176,37 @@
 			len(s.Members),
 		)
 	}
-	return o.checkDuties(names)
+	return o.checkLeases(names)
 }
 
-// checkDuties looks at who is to do what for all.
-func (o *Operator) checkDuties(members map[string]bool) error {
+// checkLeases looks at who is to do what for all.
+func (o *Operator) checkLeases(members map[string]bool) error {
 	halls := map[string]bool{}
 	for _, c := range o.Peers.Leases.Checks {
 		switch {
 		case c.Zone == "":
-			return o.doc.Errorf("peers.duties.checks", "one of them names no hall")
+			return o.document.Errorf("peers.duties.checks", "one of them names no hall")
 		case halls[c.Zone]:
-			return o.doc.Errorf("peers.duties.checks", "%s is there twice", c.Zone)
+			return o.document.Errorf("peers.duties.checks", "%s is there twice", c.Zone)
 		case len(halls) == placement.MaxLeases:
-			return o.doc.Errorf("peers.duties.checks", "more than %d halls", placement.MaxLeases)
+			return o.document.Errorf("peers.duties.checks", "more than %d halls", placement.MaxLeases)
 		case o.Routing.HealthCheck.Path == "":
-			return o.doc.Errorf("peers.duties.checks", "servers are not checked: routing.check.path is missing")
+			return o.document.Errorf("peers.duties.checks", "servers are not checked: routing.check.path is missing")
 		}
 		halls[c.Zone] = true
 		for _, m := range c.Members {
 			if !members[m] {
-				return o.doc.Errorf("peers.duties.checks", "%s: %s is not among the members", c.Zone, m)
+				return o.document.Errorf("peers.duties.checks", "%s: %s is not among the members", c.Zone, m)
 			}
 		}
 	}
 	if s := o.Peers.Leases.Statements; s != nil {
 		if o.Usage.Dir == "" {
-			return o.doc.Errorf("peers.duties.statements", "there are no statements: usage.dir is missing")
+			return o.document.Errorf("peers.duties.statements", "there are no statements: usage.dir is missing")
 		}
 		for _, m := range s.Members {
 			if !members[m] {
-				return o.doc.Errorf("peers.duties.statements", "%s is not among the members", m)
+				return o.document.Errorf("peers.duties.statements", "%s is not among the members", m)
 			}
 		}
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -9,7 +9,6 @@
 	"net/netip"
 	"os"
 	"strconv"
-	"strings"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/fault"
@@ -18,25 +17,25 @@
 
 // What can be wrong with what the program is told.
 var (
-	unreadable = fault.Define(
+	unreadableKind = fault.Define(
 		"config.unreadable",
 		"A file that the program is told of is not there, or may not be read.",
 		"See that the path is right and that the program's user may read the file.",
 	)
-	syntax = fault.Define(
+	syntaxKind = fault.Define(
 		"config.syntax",
 		"The platform's file is not JSON, or a field has a value of another kind.",
 		"Write the file anew, whole: it may be cut off at the line that is named.",
 	)
-	field = fault.Define("config.field", "A field is missing, or has a value that it cannot have.",
+	fieldKind = fault.Define("config.field", "A field is missing, or has a value that it cannot have.",
 		"Correct the field that is named; runner check reads the files without starting anything.")
-	settings = fault.Define(
+	settingsKind = fault.Define(
 		"config.settings",
 		"The settings lack what the module cannot do without, or contradict themselves.",
 		"Correct the setting that is named where the platform's configuration is made; the value is "+
 			"told beside it.",
 	)
-	changed = fault.Define(
+	changedKind = fault.Define(
 		"config.changed",
 		"A file at HUP lacks a key that the one in force has, or changes what holds for the life of the "+
 			"program.",
@@ -59,7 +58,7 @@
 	Settings       admission.Settings
 	Gauges         []simwire.Gauge
 	file           string
-	shape          any // the file as it was decoded
+	decoded        any // the file as it was decoded
 }
 
 type platformFile struct {
@@ -71,26 +70,26 @@
 	Ops      string          `json:"ops"`
 	Seed     string          `json:"seed"`
 	StopMs   float64         `json:"stop_ms"`
-	Limits   limits          `json:"limits"`
+	Limits   platformLimits  `json:"limits"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-type limits struct {
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+type platformLimits struct {
+	MemoryMB       float64 `json:"memory_mb"`
+	MaxDescriptors int     `json:"sockets"`
 }
 
-// doorVar names the operators' door where the file does not.
-const doorVar = "ROUTER_OPS"
+// adminAddressVariable names the operators' door where the file does not.
+const adminAddressVariable = "ROUTER_OPS"
 
 // ReadPlatform reads and checks the platform's file.
 func ReadPlatform(path string) (*Platform, error) {
 	if path == "" {
-		return nil, unreadable.New("config: ROUTER_CONFIG names no file")
+		return nil, unreadableKind.New("config: ROUTER_CONFIG names no file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, unreadable.New("config: %w", err).At(path, 0, "")
+		return nil, unreadableKind.New("config: %w", err).At(path, 0, "")
 	}
 	p, err := ParsePlatform(text)
 	if err != nil {
@@ -100,9 +99,9 @@
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
 	p.file = path
-	if door := os.Getenv(doorVar); door != "" && !p.Admin.IsValid() {
+	if door := os.Getenv(adminAddressVariable); door != "" && !p.Admin.IsValid() {
 		if p.Admin, err = netip.ParseAddrPort(door); err != nil {
-			return nil, field.New("config: %s: %w", doorVar, err).At("", 0, doorVar)
+			return nil, fieldKind.New("config: %s: %w", adminAddressVariable, err).At("", 0, adminAddressVariable)
 		}
 	}
 	return p, nil
@@ -117,7 +116,7 @@
 	p := &Platform{
 		Name:           f.Name,
 		StopTimeout:    int64(f.StopMs * 1000),
-		MaxDescriptors: f.Limits.Sockets,
+		MaxDescriptors: f.Limits.MaxDescriptors,
 		MemoryMB:       int(f.Limits.MemoryMB),
 	}
 	if p.Name == "" {
@@ -156,66 +155,17 @@
 	if p.MaxDescriptors < 32 || p.MemoryMB < 16 {
 		return nil, fieldError(text, "limits", "sockets under 32 or memory_mb under 16")
 	}
-	err := json.Unmarshal(text, &p.shape)
+	err := json.Unmarshal(text, &p.decoded)
 	if err != nil {
 		return nil, jsonError(text, err)
 	}
 	if p.Settings, p.Gauges, err = parseSettings(f.Settings); err != nil {
 		line := lineOf(text, bytes.Index(text, []byte(`"settings"`)))
-		return nil, settings.New("line %d: field settings: %w", line, err).At("", line, "settings")
+		return nil, settingsKind.New("line %d: field settings: %w", line, err).At("", line, "settings")
 	}
 	return p, nil
 }
 
-// parseSettings lays the nested object out as the paths of the bench's wire, which are read in one
-// place for both.
-func parseSettings(raw json.RawMessage) (admission.Settings, []simwire.Gauge, error) {
-	if len(raw) == 0 {
-		return admission.Settings{}, nil, fmt.Errorf("missing")
-	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
-	var v any
-	if err := d.Decode(&v); err != nil {
-		return admission.Settings{}, nil, err
-	}
-	pairs := map[string]string{}
-	flatten(pairs, "", v)
-	return simwire.Settings(pairs)
-}
-
-func flatten(out map[string]string, path string, v any) {
-	join := func(k string) string { return strings.TrimPrefix(path+"."+k, ".") }
-	switch v := v.(type) {
-	case map[string]any:
-		for k, x := range v {
-			flatten(out, join(k), x)
-		}
-	case []any:
-		plain := make([]string, 0, len(v))
-		for i, x := range v {
-			if _, ok := x.(map[string]any); ok {
-				out[join("count")] = strconv.Itoa(len(v))
-				flatten(out, join(strconv.Itoa(i)), x)
-			} else {
-				plain = append(plain, scalar(x))
-			}
-		}
-		if len(plain) > 0 {
-			out[path] = strings.Join(plain, ",")
-		}
-	default:
-		out[path] = scalar(v)
-	}
-}
-
-func scalar(v any) string {
-	if v == nil {
-		return ""
-	}
-	return fmt.Sprint(v)
-}
-
 // jsonError adds the line to an error of the decoder.
 func jsonError(text []byte, err error) error {
 	at := int64(-1)
@@ -226,18 +176,18 @@
 		at = e.Offset
 	}
 	if at < 0 {
-		return syntax.Wrap(err)
+		return syntaxKind.Wrap(err)
 	}
 	line := lineOf(text, int(at))
-	return syntax.New("line %d: %w", line, err).At("", line, "")
+	return syntaxKind.New("line %d: %w", line, err).At("", line, "")
 }
 
 func fieldError(text []byte, name, what string) error {
 	if i := bytes.Index(text, []byte(`"`+name+`"`)); i >= 0 {
 		line := lineOf(text, i)
-		return field.New("line %d: field %s: %s", line, name, what).At("", line, name)
+		return fieldKind.New("line %d: field %s: %s", line, name, what).At("", line, name)
 	}
-	return field.New("field %s: %s", name, what).At("", 0, name)
+	return fieldKind.New("field %s: %s", name, what).At("", 0, name)
 }
 
 func lineOf(text []byte, at int) int {
--- /dev/null
+++ b/internal/config/routes.go
@@ -0,0 +1,82 @@
+package config
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/inventory"
+	"ryepaddle/internal/match"
+)
+
+// Route leads the paths below a prefix to a class, and its requests to a group of servers. Without a
+// group they run on the platform's engine.
+type Route struct {
+	Path       string `yaml:"path"`
+	Class      string `yaml:"class"`
+	Group      string `yaml:"group"`
+	DeadlineMs int64  `yaml:"deadline_ms"`
+	// an expression that has to hold; empty: all below the path
+	Condition     string            `yaml:"when"`
+	Key           string            `yaml:"key"` // an expression for the dedupe key; empty: key_var
+	KeyExpression *match.Expression `yaml:"-"`
+}
+
+func (o *Operator) checkRoutes(p *Platform) error {
+	if !o.HasUWSGIFrontend() && len(o.Routes) == 0 {
+		return nil
+	}
+	if len(o.Routes) == 0 {
+		return o.document.Errorf("routes", "missing")
+	}
+	byClass := map[string]string{}
+	for i, r := range o.Routes {
+		at := "routes." + strconv.Itoa(i)
+		class := slices.IndexFunc(
+			p.Settings.Classes,
+			func(c admission.Class) bool { return c.Name == r.Class },
+		)
+		group, known := byClass[r.Class]
+		inGroup := func(s inventory.Server) bool { return s.Weight > 0 && slices.Contains(s.Groups, r.Group) }
+		switch {
+		case !strings.HasPrefix(r.Path, "/"):
+			return o.document.Errorf(at+".path", "%q does not begin with /", r.Path)
+		case class < 0:
+			return o.document.Errorf(at+".class", "unknown class %q", r.Class)
+		case known && group != r.Group:
+			return o.document.Errorf(
+				at+".group",
+				"class %s goes to %q elsewhere: its keys need one place",
+				r.Class,
+				group,
+			)
+		case r.Group != "" && !slices.ContainsFunc(o.Servers, inGroup):
+			return o.document.Errorf(at+".group", "no enabled server of the inventory is in %q", r.Group)
+		case r.Group == "" && !p.Engine.IsValid():
+			return o.document.Errorf(at+".group", "missing, and the platform names no engine")
+		case r.DeadlineMs < 0 || r.DeadlineMs*1000 > p.Settings.Classes[class].Timeout.Microseconds():
+			return o.document.Errorf(at+".deadline_ms", "%d is not from 1 to the class's %d", r.DeadlineMs,
+				p.Settings.Classes[class].Timeout.Milliseconds())
+		}
+		byClass[r.Class] = r.Group
+		if r.Group != "" {
+			o.GroupByClass[r.Class] = r.Group
+		}
+	}
+	return nil
+}
+
+// CheckComplete reports what is missing for each class to run somewhere. The operator's file may be nil.
+func CheckComplete(p *Platform, o *Operator) error {
+	for _, c := range p.Settings.Classes {
+		switch {
+		case o != nil && o.GroupByClass[c.Name] != "":
+		case !p.Engine.IsValid():
+			return fieldKind.New("config: field engine: missing, and class %s runs on no other servers", c.Name)
+		case c.CallsDependency && p.Settings.Dependency != admission.DependencyNone && !p.Backend.IsValid():
+			return fieldKind.New("config: field backend: missing, and class %s calls it", c.Name)
+		}
+	}
+	return nil
+}
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -64,16 +64,7 @@
 	Minimum int `yaml:"least"`
 }
 
-// InventoryWatch is how the inventory is taken when it changes.
-type InventoryWatch struct {
-	// it is looked at so often, beside what the system tells of it; 0: at HUP alone
-	IntervalS float64 `yaml:"every_s"`
-	SettleMs  int64   `yaml:"settle_ms"` // it has to stay as it is for so long
-	// a list that lost more than this share of its servers waits for a HUP
-	MaxShrink float64 `yaml:"shrink"`
-}
-
-func standardRouting() Routing {
+func defaultRouting() Routing {
 	c := picker.DefaultConfig(1)
 	return Routing{
 		WarmUpS:    10,
@@ -117,13 +108,13 @@
 func (o *Operator) checkRouting(*Platform) error {
 	r := &o.Routing
 	if r.OutlierEjection.MaxTimeS < r.OutlierEjection.BaseTimeS {
-		return o.doc.Errorf("routing.eject.most_s", "%v is under first_s, %v", r.OutlierEjection.MaxTimeS, r.OutlierEjection.BaseTimeS)
+		return o.document.Errorf("routing.eject.most_s", "%v is under first_s, %v", r.OutlierEjection.MaxTimeS, r.OutlierEjection.BaseTimeS)
 	}
 	if r.ConcurrencyLimit.Minimum > r.ConcurrencyLimit.First {
-		return o.doc.Errorf("routing.limit.least", "%d is over first, %d", r.ConcurrencyLimit.Minimum, r.ConcurrencyLimit.First)
+		return o.document.Errorf("routing.limit.least", "%d is over first, %d", r.ConcurrencyLimit.Minimum, r.ConcurrencyLimit.First)
 	}
 	if r.HealthCheck.Path != "" && (!strings.HasPrefix(r.HealthCheck.Path, "/") || len(r.HealthCheck.Path) > 1000) {
-		return o.doc.Errorf(
+		return o.document.Errorf(
 			"routing.check.path",
 			"%q does not begin with /, or is over 1000 characters",
 			r.HealthCheck.Path,
@@ -132,7 +123,7 @@
 	for i, hall := range r.Zones {
 		at := "routing.halls." + strconv.Itoa(i)
 		if slices.Contains(r.Zones[:i], hall) {
-			return o.doc.Errorf(at, "%s stands twice", hall)
+			return o.document.Errorf(at, "%s stands twice", hall)
 		}
 	}
 	return nil
--- a/internal/config/routing_cold_test.go
+++ b/internal/config/routing_cold_test.go
@@ -12,7 +12,7 @@
 		"nobody tells": {0, 0, 0, 30},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := &Operator{Routing: standardRouting()}
+			o := &Operator{Routing: defaultRouting()}
 			o.Routing.SlowStart.Calls, o.Routing.SlowStart.Processes = 5, c.named
 			o.Peers.Members = make([]Peer, c.members)
 			if got := o.PickerConfig(c.servers).SlowStart; got.Processes != c.want || got.InitialRequests != 5 ||
--- a/internal/config/shape.go
+++ b/internal/config/samekeys.go
@@ -11,16 +11,16 @@
 // kind. Whatever the platform tells it tells each time: a file that lacks something was cut short,
 // or is another's.
 func (p *Platform) CheckSameKeys(was *Platform) error {
-	if was.shape == nil { // it was put together by other means
+	if was.decoded == nil { // it was put together by other means
 		return nil
 	}
-	if err := has(p.shape, was.shape, ""); err != nil {
-		return changed.New("config: %s: %w", p.file, err).At(p.file, 0, "")
+	if err := checkContains(p.decoded, was.decoded, ""); err != nil {
+		return changedKind.New("config: %s: %w", p.file, err).At(p.file, 0, "")
 	}
 	return nil
 }
 
-func has(is, was any, path string) error {
+func checkContains(is, was any, path string) error {
 	if was == nil {
 		return nil
 	}
@@ -39,17 +39,17 @@
 			if !ok {
 				return fmt.Errorf("field %s: missing", at)
 			}
-			if err := has(v, was[key], at); err != nil {
+			if err := checkContains(v, was[key], at); err != nil {
 				return err
 			}
 		}
 	case []any:
-		all := common(was)
+		all := commonKeys(was)
 		if all == nil {
 			return nil
 		}
 		for i, v := range is.([]any) {
-			if err := has(v, all, path+"."+strconv.Itoa(i)); err != nil {
+			if err := checkContains(v, all, path+"."+strconv.Itoa(i)); err != nil {
 				return err
 			}
 		}
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// common is what all entries of a list have: the first one's keys that are in each of them with the
+// commonKeys is what all entries of a list have: the first one's keys that are in each of them with the
 // same kind of value. For lists of plain values it is their kind.
-func common(list []any) any {
+func commonKeys(list []any) any {
 	if len(list) == 0 {
 		return nil
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -20,7 +20,7 @@
 	}
 	s := r.Reflect(&Operator{})
 	s.Title = "The operator's file of ryepaddle"
-	addDefaults(s, reflect.ValueOf(*standardOperator()))
+	addDefaults(s, reflect.ValueOf(*defaultOperator()))
 	for _, b := range bounds {
 		p := property(s, b.field)
 		p.Minimum, p.Maximum = number(b.least), number(b.most)
--- a/internal/config/usage.go
+++ b/internal/config/usage.go
@@ -20,7 +20,7 @@
 	Lines int `yaml:"lines"` // schools times classes times open periods
 }
 
-func standardUsage() Usage {
+func defaultUsage() Usage {
 	return Usage{PeriodMin: 60, SliceS: 60, GraceS: 5, FlushIntervalS: 5, Queue: 16_384, Keys: 20_000, Lines: 1000}
 }
 
@@ -46,7 +46,7 @@
 		return nil
 	}
 	if period := u.PeriodMin * 60; period%u.SliceS != 0 || period/u.SliceS > 1440 {
-		return o.doc.Errorf(
+		return o.document.Errorf(
 			"usage.slice_s",
 			"%d does not divide a period of %d s, or makes more than 1440 of it",
 			u.SliceS,
@@ -54,7 +54,7 @@
 		)
 	}
 	if strings.ContainsAny(p.Name, "/\x00") {
-		return o.doc.Errorf(
+		return o.document.Errorf(
 			"usage.dir",
 			"the instance is named %q, which cannot be part of a file's name",
 			p.Name,
@@ -63,11 +63,11 @@
 	// A key is remembered, listed, and written; a line has its slices, and is copied to be written.
 	need := u.Keys*400 + u.Lines*2*(300+8*int(u.PeriodMin*60/u.SliceS)) + u.Queue*64
 	if need > p.MemoryMB<<20/8 {
-		return o.doc.Errorf(
+		return o.document.Errorf(
 			"usage",
 			"keys, lines and queue of that size may need %d MB, over an eighth of memory_mb",
 			need>>20,
 		)
 	}
-	return o.checkFolder("usage.dir", &u.Dir)
+	return o.resolveFolder("usage.dir", &u.Dir)
 }
