--- /dev/null
+++ b/internal/admission/admission.go
@@ -0,0 +1,171 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// arrivalWeight is the weight of one arrival in the shares of arrivals, which so cover about the
+// last 50.
+const arrivalWeight = 0.02
+
+// fullRejectedShare is the share of rejected arrivals from which all servers count as full.
+const fullRejectedShare = 0.5
+
+// arrivalStatistics describes the requests that the server reads. Shares are moving averages over
+// arrivals, from 0 to 1.
+type arrivalStatistics struct {
+	retryShare    float64 // retries and hedged requests
+	rejectedShare float64
+	// readDelay is the mean queueing delay before a request is read, in nanoseconds. It is a moving
+	// average over arrivals that also fades by control periods.
+	readDelay float64
+	recent    float64 // requests read, in a sum that fades by control periods
+	total     float64 // requests read since the start
+	// fleetSaturation is how full the other servers are expected to be, from 0 to 1.
+	fleetSaturation float64
+}
+
+// updateFleetSaturation estimates how full the other servers are from the share of requests that
+// this one rejects. While the cores are not busy requests queue for the dependency, which is the
+// same for all servers.
+func (c *Controller) updateFleetSaturation() {
+	c.arrivals.fleetSaturation = min(c.arrivals.rejectedShare/fullRejectedShare, 1)
+	if !c.coresBusy() {
+		c.arrivals.fleetSaturation = 1
+	}
+}
+
+// onArrival decides on a request that was just read: reject it, answer it from the result of another
+// request, or queue it.
+func (c *Controller) onArrival(e *Event) {
+	if c.requests[e.Request] != nil {
+		return
+	}
+	c.callers.heard(e.Caller, c.now)
+	r := c.newRequest(e)
+	c.requests[r.id] = r
+	c.memoryKB += r.sizeKB
+	c.enqueue(r)
+	class := &c.settings.Classes[r.class]
+	// A repeat of a request that may have run is neither started nor rejected.
+	r.mayHaveRun = e.PriorRequest != 0 && class.Idempotency == IdempotentWithKey
+	r.shareable = class.Idempotency == Idempotent && e.Key != 0 && !e.Write && c.settings.ResultMaxAge > 0
+	if why, unacceptable := c.unacceptable(r); unacceptable {
+		c.reject(r, 0, false, why)
+		return
+	}
+	switch {
+	case r.mayHaveRun:
+		c.reuseResult(r)
+	case !(r.shareable && c.joinRun(r, e.PriorRequest)):
+		c.admit(r, e)
+	}
+}
+
+// newRequest makes the record of a request that was read, and counts it in the arrival statistics.
+func (c *Controller) newRequest(e *Event) *request {
+	c.arrivals.recent++
+	c.arrivals.total++
+	r := &request{id: e.Request, expectedWork: e.ExpectedWork, arrivedAt: c.now - max(e.QueueingDelay, 0)}
+	if e.SizeKB > 0 && !math.IsInf(e.SizeKB, 0) {
+		r.sizeKB = e.SizeKB
+	}
+	c.arrivals.readDelay += runTimeWeight * (float64(c.now-r.arrivedAt) - c.arrivals.readDelay)
+	r.deadline = c.now // a request of no known class is rejected for its deadline
+	if e.Class >= 0 && e.Class < len(c.queues) {
+		r.class, r.deadline = e.Class, e.Deadline
+	}
+	class := &c.settings.Classes[r.class]
+	if r.deadline <= 0 {
+		r.deadline = r.arrivedAt + class.Timeout
+	}
+	age := c.retries.age(r.deadline-r.arrivedAt, class.Timeout)
+	r.retried = e.Retry || !c.settings.MarksRetries && age > 0
+	r.objectiveAt = r.arrivedAt + class.LatencyObjective +
+		time.Duration(class.ObjectiveWorkFactor*float64(r.expectedWork))
+	if r.retried { // the objective counts from the first attempt
+		r.objectiveAt -= age
+	}
+	r.objectiveAt = min(r.objectiveAt, r.deadline)
+	return r
+}
+
+// unacceptable reports whether r cannot be taken at all, whatever the load, and why.
+func (c *Controller) unacceptable(r *request) (reason, bool) {
+	switch {
+	case c.arrivedAfterDrain(r):
+		since := r.arrivedAt - c.drain.startedAt
+		return reason{CauseDraining, since.Seconds(), c.settings.DrainGrace.Seconds()}, true
+	case c.memoryKB > c.queueMemoryLimitKB():
+		return reason{CauseMemory, c.memoryKB, c.queueMemoryLimitKB()}, true
+	case r.deadline <= c.now+answerMargin:
+		return reason{CauseDeadlineTooNear, (r.deadline - c.now).Seconds(), answerMargin.Seconds()}, true
+	}
+	return reason{}, false
+}
+
+// admit queues an arrival unless the server is saturated and the request is past the queueing delay
+// that is accepted, cannot meet its objective, or is beyond its tenant's quota. Rejection past a
+// multiple of the delay target is the AQM of Breakwater, section 3.2.3.
+func (c *Controller) admit(r *request, e *Event) {
+	delay, target := max(c.queueingDelay(r.class), c.now-r.arrivedAt), c.delayTarget(r.class)
+	c.countArrival(r)
+	if e.Retry {
+		target = c.retryDelayTarget(target)
+	}
+	saturated := c.saturated(r.class)
+	maxDelay := c.parameters.RejectDelayFactor * float64(target) // nanoseconds
+	switch {
+	case c.callQueueTooLong(r):
+		// The dependency is the same for all servers, so that a retry elsewhere does not help.
+		// Requests that need no call are still welcome: callers are not told to stay away.
+		class := &c.settings.Classes[r.class]
+		c.reject(r, 0, true, reason{CauseCallQueue, c.estimatedCallWait(r.class).Seconds(),
+			c.parameters.CallQueueShare * class.LatencyObjective.Seconds()})
+	case saturated && float64(delay) > maxDelay:
+		c.reject(r, delay-target, c.othersLikelyFull(r), reason{CauseQueueingDelay, delay.Seconds(),
+			c.parameters.RejectDelayFactor * target.Seconds()})
+	case saturated && c.missesObjective(r, c.queueWait(r)):
+		c.reject(r, 0, c.othersLikelyFull(r), reason{cause: CauseObjectiveUnreachable})
+	case !c.takeQuotaToken(e.Tenant) && saturated && delay > target:
+		c.reject(r, 0, true, reason{CauseQuota, delay.Seconds(), target.Seconds()})
+	default:
+		c.rememberKey(r)
+	}
+}
+
+// countArrival updates the shares of retries and rejections for one more arrival, which is not
+// rejected yet.
+func (c *Controller) countArrival(r *request) {
+	c.arrivals.retryShare *= 1 - arrivalWeight
+	c.arrivals.rejectedShare *= 1 - arrivalWeight
+	if r.retried {
+		c.arrivals.retryShare += arrivalWeight
+	}
+}
+
+// retryDelayTarget is the delay target of a marked retry: a part of its class's target that shrinks
+// to nothing in a retry storm. A retry may have failed because it takes long, and a storm must not
+// crowd out first attempts.
+func (c *Controller) retryDelayTarget(target time.Duration) time.Duration {
+	calm := max(1-c.arrivals.retryShare/c.parameters.RetryStormShare, 0)
+	return time.Duration(c.parameters.RetryTargetShare * calm * float64(target))
+}
+
+// callQueueTooLong reports whether r would wait for the dependency for too large a part of its
+// latency objective, while the cores are not busy.
+func (c *Controller) callQueueTooLong(r *request) bool {
+	class := &c.settings.Classes[r.class]
+	return class.CallsDependency && !c.coresBusy() &&
+		float64(c.estimatedCallWait(r.class)) > c.parameters.CallQueueShare*float64(class.LatencyObjective)
+}
+
+// othersLikelyFull reports whether r, rejected here, would probably be rejected elsewhere too, so
+// that its caller is asked not to retry.
+func (c *Controller) othersLikelyFull(r *request) bool {
+	return r.retried || c.arrivals.retryShare > c.parameters.FewRetriesShare || c.arrivals.fleetSaturation >= 1
+}
+
+// saturated reports a lack of capacity for a class: busy cores, or a queue for the dependency.
+func (c *Controller) saturated(class int) bool { return c.coresBusy() || c.callsCongested(class) }
--- /dev/null
+++ b/internal/admission/calls.go
@@ -0,0 +1,183 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxCallAttempts is the number of attempts of one call. Up to a third of the dependency's
+	// servers may be lost at once.
+	maxCallAttempts = 6
+	// callBackoff is the wait before the second attempt of a call. It grows by itself with each
+	// further one.
+	callBackoff = 50 * time.Millisecond
+	// callCongestionDelay is the wait for a call from which the dependency counts as congested.
+	callCongestionDelay = 2 * controlPeriod
+)
+
+// onBlocked puts a running request that needs a call into the queue for calls.
+func (c *Controller) onBlocked(r *request) {
+	if r.state != running {
+		return
+	}
+	c.leaveCores()
+	c.occupancy.atCalls++
+	r.state, r.callAttempts, r.nextCallAt = awaitingCall, 0, c.now
+	c.calls.queue = append(c.calls.queue, r)
+}
+
+// awaitsCallInTime reports whether r, of the queue for calls, may still meet its objective.
+func (c *Controller) awaitsCallInTime(r *request) bool {
+	return r.state == awaitingCall && !r.answered && r.objectiveAt > c.now
+}
+
+// callQueueDelay is how long the first request in the queue for calls that may still be in time has
+// waited.
+func (c *Controller) callQueueDelay() time.Duration {
+	for _, r := range c.calls.queue {
+		if c.awaitsCallInTime(r) {
+			return c.now - r.nextCallAt
+		}
+	}
+	return 0
+}
+
+// estimatedCallWait is how long a call of the class would wait behind those that go before it.
+func (c *Controller) estimatedCallWait(class int) time.Duration {
+	ahead, weight := 0, c.settings.Classes[class].PriorityWeight
+	for _, r := range c.calls.queue {
+		if c.awaitsCallInTime(r) && c.settings.Classes[r.class].PriorityWeight >= weight {
+			ahead++
+		}
+	}
+	return seconds(float64(ahead) * c.calls.times.meanSeconds / c.calls.limit)
+}
+
+// callsCongested reports whether requests of the class would wait long for a call. Requests that
+// make none need not wait.
+func (c *Controller) callsCongested(class int) bool {
+	return c.settings.Classes[class].CallsDependency && c.callQueueDelay() > callCongestionDelay
+}
+
+// placeCalls places waiting calls as far as the quota of calls allows, by weight.
+func (c *Controller) placeCalls() {
+	c.calls.queue = slices.DeleteFunc(c.calls.queue, func(r *request) bool {
+		return r.state != awaitingCall || r.answered
+	})
+	for c.mayPlaceCall() {
+		next := c.nextCall()
+		if next < 0 {
+			return
+		}
+		r := c.calls.queue[next]
+		c.calls.queue = slices.Delete(c.calls.queue, next, next+1)
+		c.placeCall(r)
+	}
+}
+
+// nextCall is the place in the queue of the call to be placed next; -1: none is worth it.
+func (c *Controller) nextCall() int {
+	next, most := -1, 0.0
+	for i, r := range c.calls.queue {
+		if w := c.callWeight(r); r.nextCallAt <= c.now && w > most {
+			next, most = i, w
+		}
+	}
+	return next
+}
+
+// callWeight is the weight of a request that waits for a call: that of its class if the call would
+// be in time for the objective, and less otherwise. Of late requests the one with the most time left
+// goes first.
+func (c *Controller) callWeight(r *request) float64 {
+	class, end := &c.settings.Classes[r.class], c.now+seconds(c.calls.times.meanSeconds)
+	if end <= r.objectiveAt {
+		return class.PriorityWeight
+	}
+	// With a quota so small that no usual call fits, one that ends after the deadline is tried too.
+	if end > r.deadline-answerMargin && c.calls.times.meanSeconds < c.calls.maxBudgetSeconds {
+		return 0
+	}
+	secondsLeft := max(r.deadline-c.now, 0).Seconds()
+	return class.PriorityWeight*class.LateWeightFraction + c.parameters.LateCallWeight*(1+secondsLeft)
+}
+
+// placeCall places one call. It may last until the request's deadline, or until it is better to go
+// on without the call.
+func (c *Controller) placeCall(r *request) {
+	end := r.deadline - answerMargin
+	if c.settings.Classes[r.class].DegradedWeightFraction > 0 {
+		end = min(end, r.objectiveAt-c.expectedRunTime(r)/2)
+	}
+	if end <= c.now {
+		c.continueWithoutCall(r)
+		return
+	}
+	if c.settings.Dependency == DependencyShared {
+		end = min(end, c.now+c.maxCallTime())
+	}
+	r.state = inCall
+	r.callAttempts++
+	c.calls.inFlight++
+	c.emit(Action{Kind: ActionPlaceCall, Request: r.id, Duration: end - c.now})
+}
+
+// continueWithoutCall lets r go on without its call where that is worth something, and fails it
+// otherwise.
+func (c *Controller) continueWithoutCall(r *request) {
+	if c.settings.Classes[r.class].DegradedWeightFraction <= 0 {
+		c.fail(r, reason{cause: CauseCallFailed})
+		return
+	}
+	c.resumeAfterCall(r)
+	c.emit(Action{Kind: ActionOmitCall, Request: r.id})
+}
+
+// onCallCompleted ends an attempt of a call. It is repeated only where that cannot have an effect
+// twice.
+func (c *Controller) onCallCompleted(r *request, e *Event) {
+	if r.state != inCall {
+		return
+	}
+	neverRan := e.Outcome.neverRan()
+	// A call that was rejected at once is not a fast one, and one whose connection broke does not
+	// tell how long calls take.
+	if !neverRan && e.Outcome != OutcomeConnectionLost {
+		c.calls.times.record(e.Elapsed.Seconds(), c.parameters.BestCallTimeGrowth)
+	}
+	if e.Outcome == OutcomeTimedOut { // the dependency itself drops a call whose connection broke
+		c.addAbandonedCall()
+	}
+	if e.Outcome == OutcomeOK || r.answered {
+		c.resumeAfterCall(r)
+		return
+	}
+	c.calls.inFlight--
+	r.state = awaitingCall
+	repeatable := neverRan || c.settings.Classes[r.class].Idempotency == Idempotent
+	if r.callAttempts >= maxCallAttempts || !repeatable || e.Outcome == OutcomeTimedOut {
+		c.continueWithoutCall(r)
+		return
+	}
+	r.nextCallAt = c.now + callBackoff*time.Duration(r.callAttempts)
+	c.calls.queue = append(c.calls.queue, r)
+}
+
+// endCall ends r's stay at a call. An abandoned call stays with the dependency for a while.
+func (c *Controller) endCall(r *request, abandoned bool) {
+	c.occupancy.atCalls--
+	if r.state == inCall {
+		c.calls.inFlight--
+	}
+	if abandoned {
+		c.addAbandonedCall()
+	}
+}
+
+// resumeAfterCall brings r back onto the cores from a call.
+func (c *Controller) resumeAfterCall(r *request) {
+	c.endCall(r, false)
+	r.state = running
+	c.enterCores()
+}
--- a/internal/admission/contract_test.go
+++ b/internal/admission/contract_test.go
@@ -49,7 +49,7 @@
 	subject              uint64
 	arrived, due         time.Duration
 	size                 float64
-	state                state
+	state                requestState
 	answered, gone, ran  bool
 	finished             bool
 	called, callUnproven bool
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -39,6 +39,11 @@
 	return h.ctl.Handle(h.now, events, nil)
 }
 
+// age is the age that the retry detector estimates for a request with so much time left.
+func (h *hand) age(class int, left time.Duration) time.Duration {
+	return h.ctl.retries.age(left, h.ctl.settings.Classes[class].Timeout)
+}
+
 // gauges plays timers for a while with the same gauges.
 func (h *hand) gauges(span time.Duration, cpu, runnable float64) (out []Action) {
 	for ; span > 0; span -= tickInterval {
@@ -144,19 +149,19 @@
 
 func TestPoolMovesByTheEquations(t *testing.T) {
 	h := newHand(t, nil)
-	before := h.ctl.pool
+	before := h.ctl.credit.size
 	h.gauges(controlPeriod, 0.1, 0)
-	if got := h.ctl.pool; got != before+1 { // equation (1) with A = max(alpha n_c, 1)
+	if got := h.ctl.credit.size; got != before+1 { // equation (1) with A = max(alpha n_c, 1)
 		t.Fatalf("pool %v after one quiet period, want %v", got, before+1)
 	}
 	for id := uint64(1); id <= 40; id++ {
 		h.at(0, h.ask(id, 2))
 	}
 	h.gauges(600*ms, 0.5, 8)
-	grown := h.ctl.pool
+	grown := h.ctl.credit.size
 	h.gauges(300*ms, 1, 8)
-	if h.ctl.pool >= grown { // equation (2), only while the cpu gauge is over 0.9
-		t.Fatalf("pool %v not cut from %v", h.ctl.pool, grown)
+	if h.ctl.credit.size >= grown { // equation (2), only while the cpu gauge is over 0.9
+		t.Fatalf("pool %v not cut from %v", h.ctl.credit.size, grown)
 	}
 	h.want(h.at(0, h.ask(99, 2)), ActionReject, 99)
 }
@@ -193,15 +198,15 @@
 func TestBestCallTimeIsForgottenByCalls(t *testing.T) {
 	h := newHand(t, nil)
 	h.calls(1, 20, 8*ms) // the lucky few
-	most := h.ctl.callLimit
+	most := h.ctl.calls.limit
 	for id := uint64(100); id < 900; id++ { // 20 a period
 		h.at(0, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
 		h.at(0, Event{Kind: EventCallCompleted, Request: id, Outcome: OutcomeOK, Elapsed: 20 * ms})
 		h.at(controlPeriod/20, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK}, timerEvent(0.5, 1))
 	}
-	if h.ctl.callLimit < most {
-		t.Errorf("limit of calls %v, it was %v", h.ctl.callLimit, most)
+	if h.ctl.calls.limit < most {
+		t.Errorf("limit of calls %v, it was %v", h.ctl.calls.limit, most)
 	}
 }
 
@@ -220,8 +225,8 @@
 		t.Errorf("refused with %+v: others are as jammed, and this one is not to be stayed away from", a)
 	}
 	h.gauges(900*ms, 0.1, 0)
-	if h.ctl.pool < defaultParameters.IdleCreditPerCore*float64(h.ctl.settings.Cores) {
-		t.Errorf("pool %v while the cores are idle", h.ctl.pool)
+	if h.ctl.credit.size < defaultParameters.IdleCreditPerCore*float64(h.ctl.settings.Cores) {
+		t.Errorf("pool %v while the cores are idle", h.ctl.credit.size)
 	}
 }
 
@@ -253,13 +258,13 @@
 func TestBrokenCallDoesNotLookLikeCrowding(t *testing.T) {
 	h := newHand(t, nil)
 	h.calls(1, 20, 30*ms)
-	mean, limit := h.ctl.callMean, h.ctl.callLimit
+	mean, limit := h.ctl.calls.times.meanSeconds, h.ctl.calls.limit
 	h.at(0, h.ask(100, 0))
 	h.want(h.at(0, Event{Kind: EventBlocked, Request: 100}), ActionPlaceCall, 100)
 	h.at(800*ms, Event{Kind: EventCallCompleted, Request: 100, Outcome: OutcomeConnectionLost, Elapsed: 800 * ms})
 	h.want(h.gauges(callBackoff+controlPeriod, 0.5, 1), ActionPlaceCall, 100)
-	if h.ctl.callMean != mean || h.ctl.callLimit < limit {
-		t.Errorf("mean %v, limit %v; they were %v and %v", h.ctl.callMean, h.ctl.callLimit, mean, limit)
+	if h.ctl.calls.times.meanSeconds != mean || h.ctl.calls.limit < limit {
+		t.Errorf("mean %v, limit %v; they were %v and %v", h.ctl.calls.times.meanSeconds, h.ctl.calls.limit, mean, limit)
 	}
 }
 
@@ -270,11 +275,11 @@
 	held := 0
 	for seed := range uint64(40) {
 		h, r := newHand(t, func(s *Settings) { s.CallQuota = 20 }), rand.New(rand.NewPCG(seed, 1))
-		most := h.ctl.callLimit
+		most := h.ctl.calls.limit
 		for id := uint64(1); id <= 200; id++ {
 			h.calls(id, 1, time.Duration(190*r.ExpFloat64())*ms)
 		}
-		if h.ctl.callLimit < 0.9*most {
+		if h.ctl.calls.limit < 0.9*most {
 			held++
 		}
 	}
@@ -299,8 +304,8 @@
 		Event{Kind: EventAbandoned, Request: 3},
 	)
 	h.gauges(time.Second, 0.1, 0) // five times the linger
-	if h.ctl.inHand != 3 {
-		t.Errorf("%d calls in hand, 3 are", h.ctl.inHand)
+	if h.ctl.calls.inFlight != 3 {
+		t.Errorf("%d calls in hand, 3 are", h.ctl.calls.inFlight)
 	}
 	h.at(
 		0,
@@ -313,19 +318,19 @@
 		},
 		Event{Kind: EventCompleted, Request: 3, Outcome: OutcomeCancelled},
 	)
-	if h.ctl.inHand != 0 || len(h.ctl.lingering) != 2 {
-		t.Errorf("%d calls in hand, %d linger", h.ctl.inHand, len(h.ctl.lingering))
+	if h.ctl.calls.inFlight != 0 || len(h.ctl.calls.abandonedUntil) != 2 {
+		t.Errorf("%d calls in hand, %d linger", h.ctl.calls.inFlight, len(h.ctl.calls.abandonedUntil))
 	}
 	h.at(
 		0,
 		Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeCancelled},
 		Event{Kind: EventCompleted, Request: 2, Outcome: OutcomeCancelled},
 	)
-	if h.ctl.onCores != 0 || h.ctl.atCalls != 0 || len(h.ctl.requests) != 0 {
+	if h.ctl.occupancy.onCores != 0 || h.ctl.occupancy.atCalls != 0 || len(h.ctl.requests) != 0 {
 		t.Errorf(
 			"%d on the cores, %d at calls, %d requests",
-			h.ctl.onCores,
-			h.ctl.atCalls,
+			h.ctl.occupancy.onCores,
+			h.ctl.occupancy.atCalls,
 			len(h.ctl.requests),
 		)
 	}
@@ -333,11 +338,11 @@
 
 func TestCrowdedDependencyGetsFewerCalls(t *testing.T) {
 	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
-	most := h.ctl.callLimit
+	most := h.ctl.calls.limit
 	h.calls(1, 10, 50*ms)
 	h.calls(11, 50, 800*ms)
-	if h.ctl.callLimit > most/2 {
-		t.Fatalf("call limit %v, was %v", h.ctl.callLimit, most)
+	if h.ctl.calls.limit > most/2 {
+		t.Fatalf("call limit %v, was %v", h.ctl.calls.limit, most)
 	}
 }
 
@@ -346,11 +351,11 @@
 // for the whole day.
 func TestShortFirstCallDoesNotLookLikeCrowding(t *testing.T) {
 	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
-	most := h.ctl.callLimit
+	most := h.ctl.calls.limit
 	h.calls(1, 1, ms)
 	h.calls(2, 80, 30*ms)
-	if h.ctl.callLimit < most {
-		t.Fatalf("call limit %v, was %v", h.ctl.callLimit, most)
+	if h.ctl.calls.limit < most {
+		t.Fatalf("call limit %v, was %v", h.ctl.calls.limit, most)
 	}
 }
 
@@ -370,8 +375,8 @@
 	h := newHand(t, func(s *Settings) { s.CallQuota = 20 })
 	h.calls(1, 10, 50*ms)
 	h.calls(11, 90, 800*ms)
-	if want := defaultParameters.MinCallLimitShare * 20; h.ctl.callLimit != want {
-		t.Fatalf("call limit %v, want %v", h.ctl.callLimit, want)
+	if want := defaultParameters.MinCallLimitShare * 20; h.ctl.calls.limit != want {
+		t.Fatalf("call limit %v, want %v", h.ctl.calls.limit, want)
 	}
 }
 
@@ -379,11 +384,11 @@
 // be told, though no caller is ever heard twice and one class tells about another.
 func TestAgeFromTheTimeLeft(t *testing.T) {
 	h := newHand(t, func(s *Settings) { s.MarksRetries = false })
-	if got := h.ctl.requestAge(0, 700*ms); got != 0 {
+	if got := h.age(0, 700*ms); got != 0 {
 		t.Fatalf("before any sample a try is %v old", got)
 	}
 	share := func(class int, part float64) time.Duration {
-		return h.ctl.requestAge(class, time.Duration(part*float64(h.ctl.settings.Classes[class].Timeout)))
+		return h.age(class, time.Duration(part*float64(h.ctl.settings.Classes[class].Timeout)))
 	}
 	for i := range 12 {
 		if got := share(i%2, 0.5); got != 0 {
@@ -453,8 +458,8 @@
 		h.at(0, Event{Kind: EventCallCompleted, Request: id, Outcome: outcome, Elapsed: took})
 		h.at(0, Event{Kind: EventAbandoned, Request: id}, Event{Kind: EventCompleted, Request: id, Outcome: OutcomeCancelled})
 	}
-	if h.ctl.callMean < 0.39 {
-		t.Fatalf("a call takes %v s in the mean, 0.4 were seen", h.ctl.callMean)
+	if h.ctl.calls.times.meanSeconds < 0.39 {
+		t.Fatalf("a call takes %v s in the mean, 0.4 were seen", h.ctl.calls.times.meanSeconds)
 	}
 }
 
@@ -562,15 +567,15 @@
 	h := newHand(t, func(s *Settings) { s.MaxRunningPerCore = 20 })
 	most := 2 * float64(h.ctl.settings.Cores)
 	h.gauges(10*time.Second, 0.1, 0)
-	if h.ctl.pool > most {
-		t.Errorf("nobody uses it, and the pool is %v", h.ctl.pool)
+	if h.ctl.credit.size > most {
+		t.Errorf("nobody uses it, and the pool is %v", h.ctl.credit.size)
 	}
 	for id := uint64(1); id <= 8; id++ {
 		h.at(0, h.ask(id, 0))
 		h.at(0, Event{Kind: EventBlocked, Request: id})
 	}
-	if h.gauges(time.Second, 0.1, 0); !(h.ctl.pool > most) {
-		t.Errorf("eight are at calls, and the pool is %v", h.ctl.pool)
+	if h.gauges(time.Second, 0.1, 0); !(h.ctl.credit.size > most) {
+		t.Errorf("eight are at calls, and the pool is %v", h.ctl.credit.size)
 	}
 }
 
@@ -612,7 +617,7 @@
 		h.at(0, h.ask(1, 2))
 		h.at(time.Second, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
 		h.at(0, h.ask(2, 2), h.ask(3, 2)) // one runs
-		h.ctl.turned = c.turned
+		h.ctl.arrivals.rejectedShare = c.turned
 		if a := h.want(h.at(c.after, timerEvent(1, 1)), ActionReject, 3); a.Cause != CauseObjectiveUnreachable ||
 			a.NoRetry != c.last {
 			t.Errorf("%s: %+v", name, a)
@@ -625,7 +630,7 @@
 func TestTargetEasesAsMoreIsTurnedAway(t *testing.T) {
 	h := newHand(t, func(s *Settings) { s.Classes[2].LatencyObjective = 2 * time.Second })
 	of := func(turned, cpu float64) time.Duration {
-		h.ctl.turned = turned
+		h.ctl.arrivals.rejectedShare = turned
 		h.at(0, timerEvent(cpu, 1))
 		return h.ctl.delayTarget(2)
 	}
@@ -741,11 +746,11 @@
 	h := newHand(t, func(s *Settings) { s.Cancel = CancelDiscard })
 	h.at(0, h.ask(1, 0))
 	h.at(50*ms, Event{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK})
-	before := h.ctl.queues[0].meanRunTime
+	before := h.ctl.queues[0].meanRunSeconds
 	h.at(0, h.ask(2, 0))
 	h.at(500*ms, Event{Kind: EventAbandoned, Request: 2})
-	if h.ctl.queues[0].meanRunTime <= before {
-		t.Fatalf("mean %v, was %v", h.ctl.queues[0].meanRunTime, before)
+	if h.ctl.queues[0].meanRunSeconds <= before {
+		t.Fatalf("mean %v, was %v", h.ctl.queues[0].meanRunSeconds, before)
 	}
 }
 
@@ -1011,7 +1016,7 @@
 		last  bool
 	}{{0.2, false}, {0.6, true}} {
 		h := newHand(t, nil)
-		h.ctl.turned = turnedAway.share
+		h.ctl.arrivals.rejectedShare = turnedAway.share
 		h.at(tickInterval, timerEvent(1, 4))
 		e := h.ask(3, 0)
 		e.QueueingDelay = 1500 * ms // read far too late
@@ -1028,7 +1033,7 @@
 func TestColdCreditCountsCallersThatWereNotHeard(t *testing.T) {
 	const callers = 30
 	h := newHand(t, func(s *Settings) { s.WarmingUp, s.Callers = true, callers })
-	told, said := 0.0, h.ctl.said
+	told, said := 0.0, h.ctl.credit.advertised
 	for id := uint64(1); id <= callers; id++ {
 		e := h.ask(id, 0)
 		e.Caller = uint32(id)
@@ -1041,7 +1046,7 @@
 		t.Errorf("thirty callers were told of %v together, and the pool began at %d", told, h.ctl.settings.Cores)
 	}
 	h.gauges(2*callerActiveTime, 0.1, 1)
-	if v := h.ctl.pool / float64(max(h.ctl.heardN, 1)); math.Abs(h.ctl.said-v) > 2*h.ctl.parameters.AdvertiseStep*v {
-		t.Errorf("warm it says %v, and could give %v", h.ctl.said, v)
+	if v := h.ctl.credit.size / float64(max(h.ctl.callers.active, 1)); math.Abs(h.ctl.credit.advertised-v) > 2*h.ctl.parameters.AdvertiseStep*v {
+		t.Errorf("warm it says %v, and could give %v", h.ctl.credit.advertised, v)
 	}
 }
--- /dev/null
+++ b/internal/admission/drain.go
@@ -0,0 +1,42 @@
+package admission
+
+import "time"
+
+// stopMargin is how long before the stop of a draining process its last answers are given.
+const stopMargin = 200 * time.Millisecond
+
+// drainState is the state of a graceful shutdown.
+type drainState struct {
+	active    bool
+	startedAt time.Duration
+	stopAt    time.Duration // when the process is stopped from outside; 0: not told
+}
+
+// onDrain begins the graceful shutdown: health checks fail, callers get no credit, requests that
+// arrive after Settings.DrainGrace are rejected, and all are answered before the stop.
+func (c *Controller) onDrain(e *Event) {
+	if c.drain.active {
+		return
+	}
+	c.drain = drainState{active: true, startedAt: c.now, stopAt: e.Deadline}
+	c.log("drain: leaving, late arrivals are refused")
+	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: false})
+	c.advertise()
+	for _, r := range c.requests {
+		c.capDeadline(r)
+	}
+}
+
+// arrivedAfterDrain reports whether r came after the grace of a drain, so that it must not start. A
+// repeat of a request that may have run is answered all the same, since it does not start.
+func (c *Controller) arrivedAfterDrain(r *request) bool {
+	return c.drain.active && !r.mayHaveRun && r.arrivedAt > c.drain.startedAt+c.settings.DrainGrace
+}
+
+// capDeadline keeps a request's deadline before the stop of a draining process.
+func (c *Controller) capDeadline(r *request) {
+	if c.drain.active && c.drain.stopAt > 0 {
+		r.deadline = min(r.deadline, c.drain.stopAt-stopMargin)
+		r.objectiveAt = min(r.objectiveAt, r.deadline)
+	}
+}
--- /dev/null
+++ b/internal/admission/idempotency.go
@@ -0,0 +1,67 @@
+package admission
+
+import "time"
+
+// rememberKey remembers the idempotency key of a queued request for its whole window, or rejects
+// the request if there is no memory for the key. A read that others may share is remembered too,
+// but runs without it as well.
+func (c *Controller) rememberKey(r *request) {
+	keyed := c.settings.Classes[r.class].Idempotency == IdempotentWithKey
+	scarce := c.memoryKB+c.settings.KeyMemoryKB > c.runMemoryLimitKB()
+	if keyed && scarce {
+		c.reject(r, 0, false, reason{CauseKeyMemory, c.memoryKB, c.runMemoryLimitKB()})
+		return
+	}
+	if !keyed && (!r.shareable || scarce) {
+		return
+	}
+	r.keyRemembered = true
+	c.memoryKB += c.settings.KeyMemoryKB
+	lifetime := r.deadline - c.now + c.settings.ResultMaxAge
+	if keyed {
+		lifetime = c.settings.Classes[r.class].IdempotencyWindow
+		c.scheduleKeyExpiry(r, c.now+lifetime)
+	}
+	c.emit(Action{Kind: ActionRememberKey, Request: r.id, Duration: lifetime})
+}
+
+// scheduleKeyExpiry lets r's key expire at a time that must not be earlier than that of the class's
+// keys before it.
+func (c *Controller) scheduleKeyExpiry(r *request, at time.Duration) {
+	r.keyExpiresAt = at
+	queue := &c.queues[r.class]
+	queue.keyExpiry = append(queue.keyExpiry, r)
+}
+
+// expireKeys gives back the memory of keys whose window is over. The window of a request that is
+// still queued begins anew.
+func (c *Controller) expireKeys() {
+	for i := range c.queues {
+		queue, window := &c.queues[i], c.settings.Classes[i].IdempotencyWindow
+		for len(queue.keyExpiry) > 0 && queue.keyExpiry[0].keyExpiresAt < c.now-tickInterval {
+			r := queue.keyExpiry[0]
+			queue.keyExpiry = queue.keyExpiry[1:]
+			if !r.keyRemembered || r.state != queued {
+				c.forgetKey(r)
+				continue
+			}
+			c.scheduleKeyExpiry(r, c.now+window)
+			c.emit(Action{Kind: ActionRememberKey, Request: r.id, Duration: window})
+		}
+	}
+}
+
+// forgetKey drops r's key. The host is told only where the key has not expired by itself: for a
+// shareable read, and for a request that did not start.
+func (c *Controller) forgetKey(r *request) {
+	if !r.keyRemembered {
+		return
+	}
+	r.keyRemembered = false
+	c.memoryKB -= c.settings.KeyMemoryKB
+	delete(c.reusable, r.id)
+	if r.shareable || r.state == queued {
+		c.emit(Action{Kind: ActionForgetKey, Request: r.id})
+	}
+	c.requeueWaiters(r)
+}
--- /dev/null
+++ b/internal/admission/memory.go
@@ -0,0 +1,13 @@
+package admission
+
+// queueMemoryLimitKB is the memory up to which arrivals are queued. The rest is for requests that
+// are read before they can be rejected.
+func (c *Controller) queueMemoryLimitKB() float64 {
+	return c.parameters.QueueMemoryShare * c.settings.MemoryKB
+}
+
+// runMemoryLimitKB is the memory up to which runs start and keys are remembered. It is below
+// queueMemoryLimitKB, so that queued requests can be rejected without being squeezed by runs.
+func (c *Controller) runMemoryLimitKB() float64 {
+	return c.parameters.RunMemoryShare * c.settings.MemoryKB
+}
--- a/internal/admission/figures.go
+++ b/internal/admission/parameters.go
@@ -105,3 +105,46 @@
 	}
 	return f, nil
 }
+
+var defaultParameters = Parameters{
+	AdditiveIncrease: 0.001, // credits per caller and period; paper: additive growth, at least 1
+	// of the excess; paper: 0.02 each network round trip, but a period is far longer
+	MultiplicativeDecrease: 0.5,
+	MinCutFactor:           0.5, // of the pool; paper: no cut takes more than half
+	DelayTargetShare:       0.4, // of the aim left beside the run; paper: 40% of the objective
+	// the same while nothing is turned away: others have room, an early cut leads there
+	MinDelayTargetShare: 0.3,
+	RejectDelayFactor:   2.0, // delay targets; paper: refusal past it
+	BusyCPU:             0.9, // cpu gauge; design page: cut and refuse only above it
+	MinCredit:           1.0, // credits: a trickle that shows when a server has recovered
+	RetryTargetShare:    0.5, // of the target: what a marked further try gets of it
+	// of arrivals: so many further tries are a storm, and get nothing of the target
+	RetryStormShare: 0.25,
+	// of arrivals: with fewer further tries others serve; with more a walk is in vain
+	FewRetriesShare: 0.05,
+	// expected runs: past it, under overload, stoppable work gives way to what waits
+	OverrunFactor: 3.0,
+	// expected runs: time for a start that cannot be stopped; one for one that can
+	StartMarginFactor: 1.5,
+	RunningLimitShare: 0.8, // of the crowd that the server outlives: room for what comes back at once
+	RunMemoryShare:    0.9, // of the memory: runs start and keys are kept below it
+	// of the memory: arrivals are refused past it; the rest is for what is read unasked
+	QueueMemoryShare: 0.95,
+	// of the stated share of the dependency: the most that is spent steadily on calls
+	CallQuotaShare: 0.8,
+	// of it: the least, however small; the rest is saved up for calls that take long
+	MinCallQuotaShare:  0.2,
+	SlowCallFactor:     2.5,   // best mean times of a call: past it the dependency is crowded
+	CallLimitDecrease:  0.9,   // a period: how fast a crowded dependency is given room
+	BestCallTimeGrowth: 1.003, // a call: how fast the best mean is forgotten
+	LateCallWeight:     1e-6,  // of worth, for each second left: the order of requests that are late
+	// of the aim: what would stand in line for a call for longer is refused at reading
+	CallQueueShare: 0.07,
+	// credits for each core: the least while calls stand in line and the cores are free
+	IdleCreditPerCore: 3.0,
+	MinCallLimitShare: 0.2,  // of the stated share: what the dependency works on at once
+	AdvertiseStep:     0.02, // of the value last sent: smaller moves are not sent
+}
+
+// DefaultParameters are those that are built in.
+func DefaultParameters() Parameters { return defaultParameters }
--- /dev/null
+++ b/internal/admission/request.go
@@ -0,0 +1,105 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+// requestState is where a request stands between its arrival and the end of its run.
+type requestState uint8
+
+const (
+	queued         requestState = iota
+	running                     // on the cores, or waiting for the disk
+	awaitingCall                // stands at a call that is not placed yet
+	inCall                      // its call is in flight
+	awaitingResult              // a read that waits for the run of another read of the same subject
+	reusingResult               // answered from the result of another request
+)
+
+// request is what the controller knows of one request until its run is over.
+type request struct {
+	id           uint64
+	class        int
+	state        requestState
+	arrivedAt    time.Duration // when the server could have read it first
+	deadline     time.Duration // when it must have been answered
+	objectiveAt  time.Duration // the end of its latency objective
+	startedAt    time.Duration // when its run started
+	expectedWork time.Duration // on a standard core; 0: not told
+	sizeKB       float64       // of memory while it is queued
+
+	answered      bool // or abandoned, so that nobody waits for it
+	retried       bool // a retry or a hedged request
+	mayHaveRun    bool // it was started, or repeats a request that may have been
+	keyRemembered bool
+	keyExpiresAt  time.Duration
+
+	shareable    bool     // a read whose result others may reuse
+	resultSource *request // whose result it waits for or reuses
+	waiters      int      // requests that wait for its result
+
+	callAttempts int
+	nextCallAt   time.Duration // its call is not placed before
+}
+
+// classQueue holds the queued requests of one class, in the order in which they were read, and what
+// is known of the class.
+type classQueue struct {
+	requests            []*request
+	meanRunSeconds      float64
+	meanExpectedSeconds float64    // mean of Event.ExpectedWork of those runs
+	keyExpiry           []*request // whose keys are remembered, by time of expiry
+}
+
+// enqueue adds r to the queue of its class.
+func (c *Controller) enqueue(r *request) {
+	c.capDeadline(r)
+	queue := &c.queues[r.class]
+	queue.requests = append(queue.requests, r)
+}
+
+// dequeue takes r out of the queue of its class.
+func (c *Controller) dequeue(r *request) { removeFrom(&c.queues[r.class].requests, r) }
+
+// remove drops a request and gives back what it uses.
+func (c *Controller) remove(r *request) {
+	memoryKB := r.sizeKB * c.settings.RunningMemoryFactor
+	list := &c.executing
+	switch r.state {
+	case queued:
+		list, memoryKB = &c.queues[r.class].requests, r.sizeKB
+	case awaitingResult:
+		memoryKB = r.sizeKB
+	case reusingResult:
+		memoryKB = r.sizeKB
+		if r.resultSource != nil {
+			c.occupancy.reusing--
+		}
+	case running:
+		c.leaveCores()
+	case awaitingCall, inCall:
+		c.endCall(r, r.state == inCall)
+	}
+	removeFrom(list, r)
+	c.memoryKB -= memoryKB
+	delete(c.requests, r.id)
+}
+
+func removeFrom(list *[]*request, r *request) {
+	if i := slices.Index(*list, r); i >= 0 {
+		*list = slices.Delete(*list, i, i+1)
+	}
+}
+
+// enterCores counts a request that comes onto the cores.
+func (c *Controller) enterCores() {
+	c.occupancy.onCores++
+	c.load.runnable++
+}
+
+// leaveCores counts a request that leaves the cores.
+func (c *Controller) leaveCores() {
+	c.occupancy.onCores--
+	c.load.runnable--
+}
--- /dev/null
+++ b/internal/admission/reuse.go
@@ -0,0 +1,74 @@
+package admission
+
+import (
+	"cmp"
+	"slices"
+)
+
+// reuseResult answers r, which repeats a request with the same idempotency key, from that request.
+func (c *Controller) reuseResult(r *request) {
+	c.dequeue(r)
+	r.state = reusingResult
+	c.executing = append(c.executing, r)
+	c.emit(Action{Kind: ActionReuseResult, Request: r.id})
+}
+
+// joinRun lets a read wait for the result of the prior read of the same subject, and reports
+// whether there is one. It costs no run, so that queueing delay does not reject it.
+func (c *Controller) joinRun(r *request, prior uint64) bool {
+	source := cmp.Or(c.requests[prior], c.reusable[prior])
+	if source == nil || !source.keyRemembered || source.class != r.class {
+		return false
+	}
+	c.dequeue(r)
+	r.state, r.resultSource = awaitingResult, source
+	source.waiters++
+	c.executing = append(c.executing, r)
+	return true
+}
+
+// requeueWaiters lets the reads that wait for source, which failed or was dropped, run themselves.
+func (c *Controller) requeueWaiters(source *request) {
+	for i := len(c.executing) - 1; source.waiters > 0 && i >= 0; i-- {
+		r := c.executing[i]
+		if r.resultSource != source || r.state != awaitingResult {
+			continue
+		}
+		removeFrom(&c.executing, r)
+		r.state, r.resultSource = queued, nil
+		queue := &c.queues[r.class]
+		queue.requests = slices.Insert(queue.requests, 0, r)
+		c.rememberKey(r)
+	}
+}
+
+// keepResult keeps the result of a shareable read for reuse if its run succeeded, and drops its key
+// otherwise.
+func (c *Controller) keepResult(r *request, succeeded bool) {
+	if !succeeded || !r.keyRemembered {
+		c.forgetKey(r)
+		return
+	}
+	c.reusable[r.id] = r
+	c.scheduleKeyExpiry(r, c.now+c.settings.ResultMaxAge)
+}
+
+// reuseResults answers waiting reads from results that are there, as far as the cores allow: each
+// answer takes a core for a moment.
+func (c *Controller) reuseResults() {
+	if len(c.reusable) == 0 {
+		return
+	}
+	for _, r := range c.executing {
+		if float64(c.occupancy.onCores+c.occupancy.reusing+1) > c.runningLimit() {
+			return
+		}
+		if r.state != awaitingResult || c.reusable[r.resultSource.id] == nil ||
+			c.now > r.resultSource.keyExpiresAt {
+			continue
+		}
+		r.state = reusingResult
+		c.occupancy.reusing++
+		c.emit(Action{Kind: ActionReuseResult, Request: r.id})
+	}
+}
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -228,11 +228,6 @@
 	CauseCancelled      // its run was stopped
 )
 
-// because is the beginning of an answer without a result: its cause, with what was compared.
-func because(c Cause, value, limit float64) Action {
-	return Action{Cause: c, Value: value, Limit: limit}
-}
-
 // Action is one thing for the host to do, in the order written.
 type Action struct {
 	Kind     ActionKind
@@ -247,3 +242,8 @@
 	Cause    Cause   // ActionReject, ActionFail
 	Limit    float64 // beside Value, of the cause
 }
+
+// neverRan reports whether the outcome proves that nothing ran.
+func (o Outcome) neverRan() bool {
+	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNeverStarted
+}
