--- /dev/null
+++ b/cmd/runner/stored_test.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ryepaddle/internal/idempotency/store"
+)
+
+// writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
+// files of a program that is in use; they are not changed to make a test pass.
+const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
+
+// storedUntil is when the keys in testdata expire: in 2099.
+const storedUntil = int64(4_090_000_000_000_000)
+
+// programName is before the last line of an error: the binary's, which was another one in version 1.
+var programName = regexp.MustCompile(`(?m)^(runner|ryepaddle): `)
+
+// writeStoredKeys makes a folder with two keys in a snapshot and one after it.
+func writeStoredKeys(t *testing.T, dir string) {
+	t.Helper()
+	if err := os.RemoveAll(dir); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	const now = 1_700_000_000_000_000
+	j, _, err := store.OpenJournal(store.Dir(dir), now, store.Standard())
+	if err != nil {
+		t.Fatal(err)
+	}
+	record := func(kind store.Kind, key string) *store.Record {
+		r := &store.Record{
+			Kind: kind, Name: store.Name{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, At: now,
+			Until: storedUntil, Body: [32]byte{1, 2, 3},
+		}
+		if kind == store.Ended {
+			r.Result = &store.Result{
+				Status: 201, Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}}, Body: []byte("handed in"),
+			}
+		}
+		return r
+	}
+	if err := j.Commit([]*store.Record{record(store.Begun, "a"), record(store.Begun, "b"), record(store.Ended, "b")}); err != nil {
+		t.Fatal(err)
+	}
+	snapshot, err := j.ForceCut(now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := snapshot.Write(); err != nil {
+		t.Fatal(err)
+	}
+	j.Finish(snapshot)
+	if err := j.Commit([]*store.Record{record(store.Begun, "c")}); err != nil {
+		t.Fatal(err)
+	}
+	if err := j.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Commands that read files of a program of version 1 print what the commands of version 1 did. The
+// folder account holds the files that internal/usage/ledger keeps as test data,
+// but for one statement, so that a bill of it is not complete and ends with status 1.
+func TestCommandsReadFilesOfVersion1(t *testing.T) {
+	const dir = "testdata/stored"
+	keys, account := filepath.Join(dir, "keys"), filepath.Join(dir, "account")
+	if os.Getenv(writeTestdata) != "" {
+		writeStoredKeys(t, keys)
+	}
+	for _, tt := range []struct {
+		name   string
+		args   []string
+		status int
+	}{
+		{"store-inspect", []string{"store", "inspect", keys}, 0},
+		{"store-inspect-json", []string{"store", "inspect", keys, "--json"}, 0},
+		{"store-verify", []string{"store", "verify", keys}, 0},
+		{"store-verify-json", []string{"store", "verify", keys, "--json"}, 0},
+		{"usage-show", []string{"usage", "show", account}, 0},
+		{"usage-show-json", []string{"usage", "show", account, "--json"}, 0},
+		{"usage-bill", []string{"usage", "bill", account}, 1},
+		{"usage-bill-json", []string{"usage", "bill", account, "--json", "--instances", "n0,n1"}, 1},
+		{"usage-bill-csv", []string{"usage", "bill", account, "--csv"}, 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			status, out, errs := run(t, tt.args...)
+			got := out + "--\n" + programName.ReplaceAllString(errs, "")
+			if status != tt.status {
+				t.Fatalf("status %d: %s", status, got)
+			}
+			path := filepath.Join(dir, tt.name+".out")
+			if os.Getenv(writeTestdata) != "" {
+				if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(string(want), got); diff != "" {
+				t.Errorf("(-want +got)\n%s", diff)
+			}
+		})
+	}
+}
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -61,9 +61,9 @@
 // Lost counts requests that were not recorded, by why.
 type Lost struct {
 	_      struct{} `cbor:",toarray"`
-	Queue  int64    // the writer was too slow
-	Bytes  int64    // the file had reached its bound
-	Errors int64    // the disk took no more
+	Queue  int64    `json:"Queue"`  // the writer was too slow
+	Bytes  int64    `json:"Bytes"`  // the file had reached its bound
+	Errors int64    `json:"Errors"` // the disk took no more
 }
 
 // Any tells whether anything was lost.
