--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -1,38 +1,45 @@
-// Package limit finds how many requests at once a server is good for. It is free of I/O: it is told
-// how long requests took and how they ended, and goes by how that compares with the best that was
-// seen.
+// Package concurrencylimit implements an adaptive concurrency limit for one server: it finds how
+// many requests the server can work on at once. The policy is the gradient algorithm of Netflix's
+// concurrency-limits library (GradientLimit) and of Envoy's adaptive concurrency filter. It does no
+// I/O; callers report the latency and the end of each request.
 //
-// The limit follows the gradient between the best latency and that of the last window. A server
-// that slows with what it is given gets less, one that does not gets more by the root of the limit,
-// as long as it makes use of what it has. Time that cannot be told from noise is tolerated.
+// At the end of each window the limit is multiplied by the ratio of the best latency to the mean
+// latency of the window. A server whose latency rises with its load gets a lower limit. A server
+// whose latency does not rise gets a limit that is higher by the square root of the limit, as long
+// as the limit is used. A rise within the tolerance does not count.
 //
-// What is best ages: under steady load a queue would come to look like the server's own latency. So
-// now and then half of the limit has to do for two windows, and the latency of the second, when the
-// queue is gone, is the best one from then on.
+// The best latency has to be measured anew from time to time: under steady load a queue would
+// otherwise come to be taken for the server's own latency. For that the limit is halved for two
+// windows, and the mean latency of the second one, when the queue has drained, is the new best.
 package concurrencylimit
 
-import "math"
+import (
+	"math"
+	"time"
 
-// Config is how a limit moves. Times are microseconds.
+	"ryepaddle/internal/balancer/latency"
+)
+
+// Config holds the parameters of a limit.
 type Config struct {
-	Initial          int     // the limit of a server that nothing is known of
-	Min              int     // a limit never falls below it
-	Max              int     // or rises above it
-	MinWindow        int64   // a window lasts at least so long
-	MinSamples       int     // and has at least so many answers
-	LatencyTolerance float64 // how many times the best latency is still as good as the best
-	BackoffRatio     float64 // what is left of the limit after a window in which requests broke
-	Smoothing        float64 // how much of the way to what was found is gone in one window
-	ProbeInterval    int     // windows after which the best latency is measured anew
+	Initial          int           // requests; the limit of a server that has not been measured
+	Min              int           // requests; the limit never falls below it
+	Max              int           // requests; the limit never rises above it
+	MinWindow        time.Duration // a window lasts at least this long
+	MinSamples       int           // requests; a window has at least so many
+	LatencyTolerance float64       // a mean latency up to so many times the best one is as good as that
+	BackoffRatio     float64       // the limit is multiplied by it after a window with overload
+	Smoothing        float64       // part of the way to the new limit that one window goes; 0 to 1
+	ProbeInterval    int           // windows after which the best latency is measured anew
 }
 
-// DefaultConfig is what is usual, up to so many.
-func DefaultConfig(most int) Config {
+// DefaultConfig returns the default parameters with an upper bound of maxRequests.
+func DefaultConfig(maxRequests int) Config {
 	return Config{
-		Initial:          min(8, most),
-		Min:              min(2, most),
-		Max:              most,
-		MinWindow:        500_000,
+		Initial:          min(8, maxRequests),
+		Min:              min(2, maxRequests),
+		Max:              maxRequests,
+		MinWindow:        500 * time.Millisecond,
 		MinSamples:       30,
 		LatencyTolerance: 1.5,
 		BackoffRatio:     0.8,
@@ -41,100 +48,142 @@
 	}
 }
 
-// Limit is that of one server.
+const (
+	// measureWindows is for how many windows the limit is halved to measure the best latency. The
+	// first one still sees the queue from before.
+	measureWindows = 2
+	// measureGiveUp is after how many probe intervals a measurement that got no answer ends.
+	measureGiveUp = 2
+	// lowerBestWeight is the number of windows over which a lower latency becomes the best one: a
+	// single window may be low by chance.
+	lowerBestWeight = 4
+	// idleBestWeight is the number of windows over which the best latency follows that of a server
+	// that is not half used, and therefore has no queue.
+	idleBestWeight = 16
+	// minGradient bounds by how much one window may lower the limit.
+	minGradient = 0.5
+	// overloadDivisor: more than one overloaded request in so many that succeeded lowers the limit.
+	overloadDivisor = 10
+)
+
+// Limit is the concurrency limit of one server. It is used by one goroutine.
 type Limit struct {
-	limit  float64
-	best   float64
-	since  int64 // the beginning of the window
-	sum    float64
-	n      int
-	broken int
-	peak   int // most that were open in the window
-	half   bool
-	least  int
-	turns  int // windows since the best latency was measured
+	limit       float64
+	minimum     int
+	bestLatency float64 // microseconds; 0: not measured
+	measuring   bool    // the limit is halved, to measure the best latency
+	windows     int     // since the best latency was measured
+
+	// Of the current window:
+	windowStart time.Duration // monotonic; 0: no request has ended yet
+	latencySum  float64       // microseconds, of the requests that succeeded
+	succeeded   int
+	overloaded  int
+	peak        int // most requests in flight at once
 }
 
-// New is the limit of a server that nothing is known of.
-func New(cfg *Config) Limit { return Limit{limit: float64(cfg.Initial), least: cfg.Min} }
+// New returns the limit of a server that has not been measured.
+func New(cfg *Config) Limit { return Limit{limit: float64(cfg.Initial), minimum: cfg.Min} }
 
-// Current is how many requests it may have at once.
+// Current returns how many requests the server may have in flight now.
 func (l *Limit) Current() int {
-	if l.half {
-		return max(int(l.limit/2), l.least)
+	if l.measuring {
+		return max(int(l.limit/2), l.minimum)
 	}
 	return int(l.limit)
 }
 
-// Sent notes that so many are open.
-func (l *Limit) Sent(open int) { l.peak = max(l.peak, open) }
+// Sent reports a request that was sent, and how many are in flight with it.
+func (l *Limit) Sent(inFlight int) { l.peak = max(l.peak, inFlight) }
 
-// Done notes the end of a request that took so long. broken ones tell that it may be too much, not
-// how long work takes.
-func (l *Limit) Done(cfg *Config, took int64, broken bool, now int64) {
-	if l.since == 0 {
-		l.since = now
+// Done reports the end of a request at the monotonic time now. A request that ended by overload (a
+// timeout or a broken connection) counts against the limit; its latency is not used.
+func (l *Limit) Done(cfg *Config, took time.Duration, overload bool, now time.Duration) {
+	if l.windowStart == 0 {
+		l.windowStart = now
 	}
-	if broken {
-		l.broken++
+	if overload {
+		l.overloaded++
 	} else {
-		l.sum += float64(max(took, 1))
-		l.n++
+		l.latencySum += latency.Micros(latency.AtLeastOne(took))
+		l.succeeded++
 	}
-	if now-l.since >= cfg.MinWindow && l.n+l.broken >= cfg.MinSamples {
-		l.turn(cfg)
-		l.since, l.sum, l.n, l.broken, l.peak = now, 0, 0, 0, 0
+	if now-l.windowStart >= cfg.MinWindow && l.succeeded+l.overloaded >= cfg.MinSamples {
+		l.endWindow(cfg)
+		l.windowStart, l.latencySum, l.succeeded, l.overloaded, l.peak = now, 0, 0, 0, 0
 	}
 }
 
-// turn ends a window.
-func (l *Limit) turn(cfg *Config) {
+// endWindow moves the limit by what the window showed.
+func (l *Limit) endWindow(cfg *Config) {
 	mean := 0.0
-	if l.n > 0 {
-		mean = l.sum / float64(l.n)
+	if l.succeeded > 0 {
+		mean = l.latencySum / float64(l.succeeded)
 	}
-	l.turns++
+	l.windows++
 	switch {
-	case l.half: // the first window of it still sees the queue from before
-		if mean > 0 && l.turns >= cfg.ProbeInterval+2 {
-			l.best, l.half, l.turns = mean, false, 0
-		} else if l.turns >= 2*cfg.ProbeInterval { // nothing came back whole all that time
-			l.half, l.turns = false, 0
-		}
+	case l.measuring:
+		l.measure(cfg, mean)
 		return
-	case l.turns >= cfg.ProbeInterval && float64(l.peak) >= l.limit/2:
-		l.half = true
+	case l.windows >= cfg.ProbeInterval && l.isHalfUsed():
+		l.measuring = true
 		return
 	}
-	to := l.limit
+	target := l.target(cfg, mean)
+	l.limit += (target - l.limit) * cfg.Smoothing
+	l.clamp(cfg)
+}
+
+// measure ends the measurement of the best latency once the queue has drained, or when no request
+// succeeds for too long.
+func (l *Limit) measure(cfg *Config, mean float64) {
+	if mean > 0 && l.windows >= cfg.ProbeInterval+measureWindows {
+		l.bestLatency, l.measuring, l.windows = mean, false, 0
+	} else if l.windows >= measureGiveUp*cfg.ProbeInterval {
+		l.measuring, l.windows = false, 0
+	}
+}
+
+// target returns the limit that a window with a mean latency (microseconds; 0: none) speaks for.
+func (l *Limit) target(cfg *Config, mean float64) float64 {
+	target := l.limit
 	if mean > 0 {
-		switch {
-		case l.best == 0:
-			l.best = mean
-		case mean < l.best: // one window may be a lucky one
-			l.best += (mean - l.best) / 4
-		case float64(l.peak) < l.limit/2: // there is no queue, by what it is good for
-			l.best += (mean - l.best) / 16
-		}
-		slope := min(max(cfg.LatencyTolerance*l.best/mean, 0.5), 1)
-		if to = l.limit * slope; slope == 1 {
-			to += math.Sqrt(l.limit)
+		l.learnBest(mean)
+		gradient := min(max(cfg.LatencyTolerance*l.bestLatency/mean, minGradient), 1)
+		if target = l.limit * gradient; gradient == 1 {
+			target += math.Sqrt(l.limit)
 		}
 	}
-	if l.broken*10 > l.n { // over a tenth
-		to = min(to, l.limit*cfg.BackoffRatio)
+	if l.overloaded*overloadDivisor > l.succeeded {
+		target = min(target, l.limit*cfg.BackoffRatio)
 	}
-	// A limit that nothing comes near to is no worse for it, and says nothing of what more would
-	// do.
-	if to > l.limit && float64(l.peak) < l.limit/2 {
-		to = l.limit
+	// A limit that is not half used shows nothing of what a higher one would do.
+	if target > l.limit && !l.isHalfUsed() {
+		target = l.limit
 	}
-	l.limit += (to - l.limit) * cfg.Smoothing
-	l.limit = min(max(l.limit, float64(cfg.Min)), float64(cfg.Max))
+	return target
 }
 
-// ApplyBounds holds a limit within bounds that have changed.
+// learnBest takes the mean latency of a window into the best one.
+func (l *Limit) learnBest(mean float64) {
+	switch {
+	case l.bestLatency == 0:
+		l.bestLatency = mean
+	case mean < l.bestLatency:
+		l.bestLatency = latency.Smooth(l.bestLatency, mean, lowerBestWeight)
+	case !l.isHalfUsed():
+		l.bestLatency = latency.Smooth(l.bestLatency, mean, idleBestWeight)
+	}
+}
+
+func (l *Limit) isHalfUsed() bool { return float64(l.peak) >= l.limit/2 }
+
+// ApplyBounds keeps the limit within bounds that have changed.
 func (l *Limit) ApplyBounds(cfg *Config) {
-	l.least = cfg.Min
+	l.minimum = cfg.Min
+	l.clamp(cfg)
+}
+
+func (l *Limit) clamp(cfg *Config) {
 	l.limit = min(max(l.limit, float64(cfg.Min)), float64(cfg.Max))
 }
--- a/internal/balancer/concurrencylimit/limit_test.go
+++ b/internal/balancer/concurrencylimit/limit_test.go
@@ -3,34 +3,38 @@
 import (
 	"math/rand/v2"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 )
 
-// station is a server of so many workers: a request takes its work, and waits for a worker first.
-type station struct {
+// testServer is a server with so many workers: a request waits for a worker, and then takes the time
+// of its work.
+type testServer struct {
 	workers int
-	work    float64 // microseconds
+	work    time.Duration
 	rand    *rand.Rand
 }
 
-// run keeps the server as busy as its limit lets, for so many windows, and gives the limit at the
+// run keeps the server as busy as its limit allows for so many windows, and returns the limit at the
 // end of each.
-func (st *station) run(l *Limit, cfg *Config, now *int64, windows int) (limits []int) {
+func (s *testServer) run(l *Limit, cfg *Config, now *time.Duration, windows int) (limits []int) {
 	for range windows {
-		open := l.Current()
-		l.Sent(open)
-		took := st.work * max(1, float64(open)/float64(st.workers))
+		inFlight := l.Current()
+		l.Sent(inFlight)
+		took := s.work.Seconds() * max(1, float64(inFlight)/float64(s.workers))
 		for range cfg.MinSamples {
-			l.Done(cfg, int64(took*(0.7+0.6*st.rand.Float64())), false, *now)
+			l.Done(cfg, seconds(took*(0.7+0.6*s.rand.Float64())), false, *now)
 		}
 		*now += cfg.MinWindow
-		l.Done(cfg, int64(took), false, *now)
+		l.Done(cfg, seconds(took), false, *now)
 		limits = append(limits, l.Current())
 	}
 	return limits
 }
 
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
 func mean(v []int) float64 {
 	sum := 0
 	for _, x := range v {
@@ -39,24 +43,22 @@
 	return float64(sum) / float64(len(v))
 }
 
-// The limit finds what a server is good for, shrinks when it slows, does not jam it, and grows back
-// without overshoot.
-func TestTheLimitFollowsTheServer(t *testing.T) {
+func TestLimitFollowsTheCapacityOfTheServerWithoutOvershoot(t *testing.T) {
 	cfg := DefaultConfig(500)
-	st := &station{workers: 16, work: 10_000, rand: rand.New(rand.NewPCG(1, 2))}
-	l, now := New(&cfg), int64(1)
-	st.run(&l, &cfg, &now, 100)
-	fast := st.run(&l, &cfg, &now, 100)
+	server := &testServer{workers: 16, work: 10 * time.Millisecond, rand: rand.New(rand.NewPCG(1, 2))}
+	l, now := New(&cfg), time.Microsecond
+	server.run(&l, &cfg, &now, 100)
+	fast := server.run(&l, &cfg, &now, 100)
 	if m := mean(fast); m < 16 || m > 48 {
-		t.Errorf("16 workers: the limit is %.1f on the average", m)
+		t.Errorf("16 workers: the mean limit is %.1f", m)
 	}
-	st.workers = 4 // a quarter of it is left
-	st.run(&l, &cfg, &now, 60)
-	if m := mean(st.run(&l, &cfg, &now, 100)); m < 4 || m > 0.6*mean(fast) {
+	server.workers = 4
+	server.run(&l, &cfg, &now, 60)
+	if m := mean(server.run(&l, &cfg, &now, 100)); m < 4 || m > 0.6*mean(fast) {
 		t.Errorf("4 workers: the limit is %.1f, and was %.1f", m, mean(fast))
 	}
-	st.workers = 16
-	back := st.run(&l, &cfg, &now, 160)
+	server.workers = 16
+	back := server.run(&l, &cfg, &now, 160)
 	if m := mean(back[60:]); m < 0.8*mean(fast) {
 		t.Errorf("back at 16 workers: the limit is %.1f, and was %.1f", m, mean(fast))
 	}
@@ -67,37 +69,34 @@
 	}
 }
 
-// Noise alone does not take the limit down to nothing.
-func TestNoise(t *testing.T) {
+func TestNoiseAloneDoesNotLowerTheLimit(t *testing.T) {
 	cfg := DefaultConfig(100)
 	l := New(&cfg)
 	r := rand.New(rand.NewPCG(3, 4))
-	for now := int64(1); now < 100*cfg.MinWindow; now += cfg.MinWindow / 20 {
+	for now := time.Microsecond; now < 100*cfg.MinWindow; now += cfg.MinWindow / 20 {
 		l.Sent(8)
-		l.Done(&cfg, int64(r.ExpFloat64()*10_000), false, now)
+		l.Done(&cfg, seconds(r.ExpFloat64()*0.01), false, now)
 	}
 	if l.Current() < 8 {
 		t.Errorf("the limit is %d", l.Current())
 	}
 }
 
-// A limit that is not made use of does not grow, whatever comes back it stays within its bounds,
-// and breaks shrink it.
-func TestBounds(t *testing.T) {
+func TestLimitStaysWithinItsBoundsAndGrowsOnlyWhenUsed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := DefaultConfig(rapid.IntRange(1, 50).Draw(rt, "most"))
-		l, now := New(&cfg), int64(1)
+		cfg := DefaultConfig(rapid.IntRange(1, 50).Draw(rt, "max"))
+		l, now := New(&cfg), time.Microsecond
 		idle := rapid.Bool().Draw(rt, "idle")
 		for range 300 {
 			before := l.Current()
-			now += rapid.Int64Range(0, cfg.MinWindow).Draw(rt, "wait")
+			now += drawDuration(rt, 0, cfg.MinWindow, "wait")
 			if !idle {
-				l.Sent(rapid.IntRange(0, 60).Draw(rt, "open"))
+				l.Sent(rapid.IntRange(0, 60).Draw(rt, "in flight"))
 			}
 			l.Done(
 				&cfg,
-				rapid.Int64Range(-5, 1_000_000).Draw(rt, "took"),
-				rapid.Bool().Draw(rt, "broken"),
+				drawDuration(rt, -5*time.Microsecond, time.Second, "took"),
+				rapid.Bool().Draw(rt, "overload"),
 				now,
 			)
 			if l.Current() < cfg.Min || l.Current() > cfg.Max || idle && l.Current() > before {
@@ -105,13 +104,21 @@
 			}
 		}
 	})
+}
+
+func TestOverloadLowersTheLimitToItsMinimum(t *testing.T) {
 	cfg := DefaultConfig(100)
 	l := New(&cfg)
-	for now := int64(1); now < 40*cfg.MinWindow; now += cfg.MinWindow / 20 {
+	for now := time.Microsecond; now < 40*cfg.MinWindow; now += cfg.MinWindow / 20 {
 		l.Sent(l.Current())
-		l.Done(&cfg, 1000, true, now)
+		l.Done(&cfg, time.Millisecond, true, now)
 	}
 	if l.Current() != cfg.Min {
-		t.Errorf("after nothing but breaks the limit is %d", l.Current())
+		t.Errorf("after overload alone the limit is %d", l.Current())
 	}
 }
+
+func drawDuration(rt *rapid.T, least, most time.Duration, label string) time.Duration {
+	us := rapid.Int64Range(least.Microseconds(), most.Microseconds()).Draw(rt, label)
+	return time.Duration(us) * time.Microsecond
+}
--- /dev/null
+++ b/internal/balancer/endpointhealth/config.go
@@ -0,0 +1,70 @@
+package endpointhealth
+
+import "time"
+
+// Config holds the parameters of a monitor.
+type Config struct {
+	ConsecutiveFailures int           // that eject an endpoint; default 3
+	BaseEjectionTime    time.Duration // of the first ejection; default 5 s
+	// MaxEjectionTime bounds the time of an ejection, which doubles each time that an endpoint
+	// recovers and fails again; default 60 s.
+	MaxEjectionTime time.Duration
+	// EjectionResetAfter is after how long in service the next ejection counts as the first;
+	// default 60 s.
+	EjectionResetAfter time.Duration
+	MaxEjectedShare    float64       // of the listed endpoints that may be out at once; default 0.5
+	WarmUpWindow       time.Duration // in which the share grows to the whole; default 10 s
+	WarmUpMinShare     float64       // share at the start of the warm-up; default 0.1
+	MinSuspectTime     time.Duration // that a suspicion lasts at least; default 5 s
+	SuspectShare       float64       // share of a suspected endpoint; default 0.5
+
+	// An endpoint is compared with its peers once it has ended MinRequests (default 20) within the
+	// outlier window.
+	MinRequests int
+	// An endpoint is an outlier by failures if the rate of its failures (0 to 1) reaches
+	// FailureRateThreshold (default 0.3) and FailureRateFactor (default 3) times that of its peers.
+	FailureRateThreshold float64
+	FailureRateFactor    float64
+	// An endpoint is an outlier by latency if its mean exceeds LatencyFactor (default 4; 0: latency
+	// is not compared) times the median, by MinLatencyExcess (default 20 ms) at least, at
+	// SlowIntervals (default 3) ticks in a row.
+	LatencyFactor    float64
+	MinLatencyExcess time.Duration
+	SlowIntervals    int
+
+	// MaxProbeWait is how long an endpoint waits for a request that may be retried to probe it.
+	// After that any request may; default 5 s.
+	MaxProbeWait time.Duration
+	HealthChecks HealthChecks
+}
+
+// HealthChecks holds the parameters of active health checks. Checks that pass return an endpoint to
+// service, and say nothing else about it: it may answer checks and fail its requests.
+type HealthChecks struct {
+	Interval           time.Duration // between two checks of an endpoint; 0, the default: no checks
+	UnhealthyThreshold int           // failed checks in a row that eject an endpoint; default 3
+	HealthyThreshold   int           // passed checks in a row before it gets requests; default 2
+}
+
+// DefaultConfig returns the default parameters.
+func DefaultConfig() Config {
+	return Config{
+		ConsecutiveFailures:  3,
+		BaseEjectionTime:     5 * time.Second,
+		MaxEjectionTime:      60 * time.Second,
+		EjectionResetAfter:   60 * time.Second,
+		MaxEjectedShare:      0.5,
+		WarmUpWindow:         10 * time.Second,
+		WarmUpMinShare:       0.1,
+		MinSuspectTime:       5 * time.Second,
+		SuspectShare:         0.5,
+		MinRequests:          20,
+		FailureRateThreshold: 0.3,
+		FailureRateFactor:    3,
+		LatencyFactor:        4,
+		MinLatencyExcess:     20 * time.Millisecond,
+		SlowIntervals:        3,
+		MaxProbeWait:         5 * time.Second,
+		HealthChecks:         HealthChecks{UnhealthyThreshold: 3, HealthyThreshold: 2},
+	}
+}
--- /dev/null
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -0,0 +1,213 @@
+package endpointhealth
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"ryepaddle/internal/balancer/latency"
+)
+
+// MeasurementLifetime is after how long without outcomes the measurements of an endpoint are void.
+const MeasurementLifetime = 5 * time.Second
+
+const (
+	// smoothing is the number of requests over which the moving means of an endpoint go.
+	smoothing = 16
+	// minLatencyPeers is how many endpoints must have a mean latency for a median to be formed.
+	minLatencyPeers = 3
+	// probesPerBackoff is how many probes in a row fail before the ejection time doubles: a probe
+	// of an endpoint that stays down costs one request, an endpoint that recovers and fails again
+	// costs many.
+	probesPerBackoff = 4
+	// maxBackoffDoublings bounds the exponent of the ejection time.
+	maxBackoffDoublings = 20
+)
+
+// Sent reports a request that was sent to an endpoint.
+func (m *Monitor) Sent(e *Endpoint) {
+	e.ActiveRequests++
+	e.probeSent = e.probeSent || e.State == Probing
+}
+
+// Done reports the end of a request at an endpoint, which took the given time.
+func (m *Monitor) Done(e *Endpoint, outcome Outcome, took, now time.Duration) {
+	e.ActiveRequests--
+	e.record(outcome, took, now)
+	if e.unlisted {
+		m.forgetDrained(e, now)
+		return
+	}
+	if e.State == Probing {
+		m.probeDone(e, outcome, now)
+		return
+	}
+	switch outcome {
+	case Success:
+		e.consecutiveFailures = 0
+	case TimedOut: // a single one may be chance, or the fault of the load on all
+		e.consecutiveFailures++
+		if e.consecutiveFailures >= m.cfg.ConsecutiveFailures && m.peersAreInTime() {
+			m.judgeFailures(e, now)
+		}
+	case Aborted, Unreachable:
+		e.consecutiveFailures++
+		m.judgeFailures(e, now)
+	}
+}
+
+// record takes an outcome into the measurements of the endpoint.
+func (e *Endpoint) record(outcome Outcome, took, now time.Duration) {
+	if outcome != Inconclusive {
+		if e.Requests++; now-e.LastOutcomeAt > MeasurementLifetime {
+			e.MeanLatency, e.SuccessRate = 0, 1
+		}
+		e.LastOutcomeAt = now
+	}
+	switch outcome {
+	case Success:
+		micros := latency.Micros(latency.AtLeastOne(took))
+		if e.MeanLatency == 0 {
+			e.MeanLatency = micros
+		}
+		e.MeanLatency = latency.Smooth(e.MeanLatency, micros, smoothing)
+		e.SuccessRate = latency.Smooth(e.SuccessRate, 1, smoothing)
+		e.window.add(now, false)
+	case ErrorResponse, Aborted, TimedOut, Unreachable:
+		e.Failures++
+		e.SuccessRate = latency.Smooth(e.SuccessRate, 0, smoothing)
+		e.window.add(now, true)
+	}
+}
+
+// peersAreInTime reports whether so few of all requests fail that timeouts in a row are the fault
+// of the endpoint.
+func (m *Monitor) peersAreInTime() bool {
+	return m.failureRate <= m.cfg.FailureRateThreshold/m.cfg.FailureRateFactor
+}
+
+// judgeFailures ejects an endpoint for consecutive failures, or suspects it.
+func (m *Monitor) judgeFailures(e *Endpoint, now time.Duration) {
+	switch {
+	case !e.State.takesRequests():
+	case e.consecutiveFailures >= m.cfg.ConsecutiveFailures && m.mayEject():
+		m.eject(e, now, fmt.Sprintf("%d failures in a row", e.consecutiveFailures))
+	case e.State == InService:
+		m.setState(e, Suspected, now, "it failed")
+	}
+}
+
+// mayEject reports whether MaxEjectedShare leaves room for one more ejection. With too many ejected
+// the rest would be overloaded and fail in turn.
+func (m *Monitor) mayEject() bool {
+	return float64(m.ejected+1) <= m.cfg.MaxEjectedShare*float64(len(m.list.Endpoints))
+}
+
+func (m *Monitor) eject(e *Endpoint, now time.Duration, cause string) {
+	if e.recovered {
+		e.repeatedEjections++
+	}
+	doublings := min(e.repeatedEjections+e.failedProbes/probesPerBackoff, maxBackoffDoublings)
+	ejectionTime := min(m.cfg.BaseEjectionTime<<doublings, m.cfg.MaxEjectionTime)
+	e.ejectedUntil = now + ejectionTime
+	e.consecutiveFailures, e.probeSent, e.recovered = 0, false, false
+	m.setState(e, Ejected, now, fmt.Sprintf("%s, for %d ms", cause, ejectionTime.Milliseconds()))
+}
+
+// NextProbe returns an endpoint that waits for a request to probe it, or nil. retryable says whether
+// the request may be retried if the probe fails; one that may not probes only an endpoint that has
+// waited for MaxProbeWait.
+func (m *Monitor) NextProbe(retryable bool, now time.Duration) *Endpoint {
+	for _, e := range m.probing {
+		if !e.probeSent && (retryable || now-e.StateSince >= m.cfg.MaxProbeWait) {
+			return e
+		}
+	}
+	return nil
+}
+
+// EarliestProbe returns the monotonic time at which the first of the ejected endpoints may be
+// probed; 0: none is ejected.
+func (m *Monitor) EarliestProbe() (at time.Duration) {
+	for _, e := range m.list.Endpoints {
+		if e.State == Ejected && (at == 0 || e.ejectedUntil < at) {
+			at = e.ejectedUntil
+		}
+	}
+	return at
+}
+
+func (m *Monitor) probeDone(e *Endpoint, outcome Outcome, now time.Duration) {
+	switch outcome {
+	case Success:
+		m.recover(e, now, "its probe went well")
+	case Inconclusive:
+		e.probeSent = false // another request may probe it
+	default:
+		e.failedProbes++
+		m.eject(e, now, "its probe failed")
+	}
+}
+
+// recover lets an endpoint that was ejected warm up.
+func (m *Monitor) recover(e *Endpoint, now time.Duration, cause string) {
+	e.consecutiveFailures, e.failedProbes, e.recovered = 0, 0, true
+	m.setState(e, WarmingUp, now, cause)
+}
+
+// ejectOutliers compares each endpoint with its peers by what the window holds.
+func (m *Monitor) ejectOutliers(now time.Duration) {
+	var all outcomeCounts
+	m.peerLatencies = m.peerLatencies[:0]
+	for _, e := range m.list.Endpoints {
+		own := e.window.sum(now)
+		all.successes += own.successes
+		all.failures += own.failures
+		if e.State == InService && own.total() >= m.cfg.MinRequests && e.MeanLatency > 0 {
+			m.peerLatencies = append(m.peerLatencies, e.MeanLatency)
+		}
+	}
+	slices.Sort(m.peerLatencies)
+	m.failureRate = all.failureRate()
+	for _, e := range m.list.Endpoints {
+		if !e.State.takesRequests() {
+			continue
+		}
+		own := e.window.sum(now)
+		if own.total() < m.cfg.MinRequests {
+			e.slowIntervals = 0
+			continue
+		}
+		peers := outcomeCounts{all.successes - own.successes, all.failures - own.failures}
+		if m.isFailureOutlier(own, peers) && m.mayEject() {
+			m.eject(e, now, fmt.Sprintf("%d of its %d requests failed, %.0f%% of its peers'",
+				own.failures, own.total(), 100*peers.failureRate()))
+			continue
+		}
+		m.judgeLatency(e, now)
+	}
+}
+
+func (m *Monitor) isFailureOutlier(own, peers outcomeCounts) bool {
+	rate := own.failureRate()
+	return rate >= m.cfg.FailureRateThreshold && rate >= m.cfg.FailureRateFactor*peers.failureRate()
+}
+
+// judgeLatency ejects an endpoint that has been a latency outlier for SlowIntervals. One that warms
+// up may be slow.
+func (m *Monitor) judgeLatency(e *Endpoint, now time.Duration) {
+	if m.cfg.LatencyFactor == 0 || len(m.peerLatencies) < minLatencyPeers || e.State == WarmingUp {
+		return
+	}
+	median := m.peerLatencies[len(m.peerLatencies)/2]
+	mean := e.MeanLatency
+	if mean <= m.cfg.LatencyFactor*median || mean-median < latency.Micros(m.cfg.MinLatencyExcess) {
+		e.slowIntervals = 0
+		return
+	}
+	e.slowIntervals++
+	if e.slowIntervals >= m.cfg.SlowIntervals && m.mayEject() {
+		e.MeanLatency = 0 // to be measured anew once it has recovered
+		m.eject(e, now, fmt.Sprintf("%.0f ms are too slow beside %.0f of its peers", mean/1000, median/1000))
+	}
+}
--- a/internal/balancer/endpointhealth/monitor_test.go
+++ b/internal/balancer/endpointhealth/monitor_test.go
@@ -4,52 +4,72 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 )
 
-const s = 1_000_000
-
-// play is a table whose servers are named n0, n1 and so on, with the log of its changes.
-type play struct {
+// monitorTest is a monitor whose endpoints are named n0, n1 and so on, with the log of its state
+// changes.
+type monitorTest struct {
 	*Monitor
 	t   testing.TB
 	log []string
 	all []StateChange
 }
 
-func listing(n int) EndpointSpec { return EndpointSpec{ID: ID{fmt.Sprint("n", n), "a"}, Weight: 1} }
+func testSpec(n int) EndpointSpec {
+	return EndpointSpec{ID: ID{Name: fmt.Sprint("n", n), Addr: "a"}, Weight: 1}
+}
 
-func newPlay(t testing.TB, cfg Config, servers int) *play {
-	p := &play{t: t}
+func newMonitorTest(t testing.TB, cfg Config, servers int) *monitorTest {
+	p := &monitorTest{t: t}
 	p.Monitor = New(cfg, func(_ *Endpoint, c StateChange) {
 		p.all = append(p.all, c)
-		p.log = append(p.log, fmt.Sprintf("%d %s %v>%v: %s", c.At/s, c.Endpoint.Name, c.From, c.To, c.Cause))
+		p.log = append(
+			p.log,
+			fmt.Sprintf("%d %s %v>%v: %s", c.At/time.Second, c.Endpoint.Name, c.From, c.To, c.Cause),
+		)
 	})
-	p.list(s, servers)
+	p.list(time.Second, servers)
 	p.log = nil
 	return p
 }
 
-// list lists so many servers.
-func (p *play) list(now int64, servers int) {
+// list updates the list to so many endpoints.
+func (p *monitorTest) list(now time.Duration, servers int) {
 	var list []EndpointSpec
 	for i := range servers {
-		list = append(list, listing(i))
+		list = append(list, testSpec(i))
 	}
 	p.Update(list, now)
 }
 
-func (p *play) member(n int) *Endpoint { return p.byID[listing(n).ID] }
+func (p *monitorTest) endpoint(n int) *Endpoint { return p.byID[testSpec(n).ID] }
+
+// request has one request begin and end at an endpoint.
+func (p *monitorTest) request(n int, outcome Outcome, took, now time.Duration) {
+	e := p.endpoint(n)
+	p.Sent(e)
+	p.Done(e, outcome, took, now)
+}
+
+// check ends all health checks that are due.
+func (p *monitorTest) check(now time.Duration, passed bool) {
+	for _, e := range p.DueHealthChecks(now, nil) {
+		p.HealthCheckDone(e, passed, now)
+	}
+}
 
-func (p *play) one(n int, o Outcome, took, now int64) {
-	m := p.member(n)
-	p.Sent(m)
-	p.Done(m, o, took, now)
+func numberOf(e *Endpoint) (n int) {
+	if _, err := fmt.Sscanf(e.Name, "n%d", &n); err != nil {
+		panic(err)
+	}
+	return n
 }
 
-func (p *play) expect(want ...string) {
+func (p *monitorTest) expect(want ...string) {
 	p.t.Helper()
 	if diff := cmp.Diff(want, p.log); diff != "" {
 		p.t.Errorf("(-want +got)\n%s", diff)
@@ -57,53 +77,51 @@
 	p.log = nil
 }
 
-// A server that fails is ejected, probed by one request, warms up, and is ejected for longer if it
-// fails again.
-func TestALife(t *testing.T) {
-	p := newPlay(t, DefaultConfig(), 4)
+func TestEndpointIsEjectedProbedWarmedUpAndEjectedForLonger(t *testing.T) {
+	p := newMonitorTest(t, DefaultConfig(), 4)
 	for range 3 {
-		p.one(0, Aborted, 0, 1*s)
+		p.request(0, Aborted, 0, time.Second)
 	}
 	p.expect(
 		"1 n0 in service>suspected: it failed",
 		"1 n0 suspected>ejected: 3 failures in a row, for 5000 ms",
 	)
-	m := p.member(0)
-	p.Tick(5 * s)
-	if p.TrafficShare(m, 5*s) != 0 || p.NextProbe(true, 5*s) != nil {
-		t.Error("an ejected server gets a part, or is probed")
+	e := p.endpoint(0)
+	p.Tick(5 * time.Second)
+	if p.TrafficShare(e, 5*time.Second) != 0 || p.NextProbe(true, 5*time.Second) != nil {
+		t.Error("an ejected endpoint gets traffic, or is probed")
 	}
-	if p.EarliestProbe() != 6*s {
-		t.Errorf("it is back at %d", p.EarliestProbe())
+	if p.EarliestProbe() != 6*time.Second {
+		t.Errorf("it may be probed at %v", p.EarliestProbe())
 	}
-	p.Tick(6 * s)
-	if p.NextProbe(true, 6*s) != m || p.NextProbe(false, 6*s) != nil {
-		t.Error("nothing probes it, or a request does that may not be sent again")
+	p.Tick(6 * time.Second)
+	if p.NextProbe(true, 6*time.Second) != e || p.NextProbe(false, 6*time.Second) != nil {
+		t.Error("nothing probes it, or a request does that may not be retried")
 	}
-	if p.NextProbe(false, 11*s) != m {
-		t.Error("where no others come, nothing probes it")
+	if p.NextProbe(false, 11*time.Second) != e {
+		t.Error("a request that may not be retried does not probe it after the wait")
 	}
-	p.Sent(m)
-	if p.NextProbe(true, 6*s) != nil {
+	p.Sent(e)
+	if p.NextProbe(true, 6*time.Second) != nil {
 		t.Error("two requests probe it")
 	}
-	p.Done(m, Inconclusive, 0, 6*s)
-	if p.NextProbe(true, 6*s) != m {
-		t.Error("after a probe that said nothing there is no other")
+	p.Done(e, Inconclusive, 0, 6*time.Second)
+	if p.NextProbe(true, 6*time.Second) != e {
+		t.Error("an inconclusive probe is not repeated")
 	}
-	p.one(0, Success, 1000, 7*s)
-	if got := p.TrafficShare(m, 12*s); got < 0.5 || got > 0.6 {
-		t.Errorf("half warm it gets %v", got)
+	p.request(0, Success, time.Millisecond, 7*time.Second)
+	if got := p.TrafficShare(e, 12*time.Second); got < 0.5 || got > 0.6 {
+		t.Errorf("halfway through the warm-up it gets %v", got)
 	}
-	p.Tick(17 * s)
-	if p.TrafficShare(m, 17*s) != 1 {
-		t.Error("warm, it does not get its whole part")
+	p.Tick(17 * time.Second)
+	if p.TrafficShare(e, 17*time.Second) != 1 {
+		t.Error("after the warm-up it does not get its whole share")
 	}
 	for range 3 {
-		p.one(0, Unreachable, 0, 20*s)
+		p.request(0, Unreachable, 0, 20*time.Second)
 	}
-	p.Tick(30 * s)
-	p.one(0, Aborted, 0, 30*s)
+	p.Tick(30 * time.Second)
+	p.request(0, Aborted, 0, 30*time.Second)
 	p.expect(
 		"6 n0 ejected>probing: its time is over",
 		"7 n0 probing>warming: its probe went well",
@@ -115,18 +133,17 @@
 	)
 }
 
-// One that stays away is probed at the same distance for a while, and less often after that.
-func TestOneThatStaysAway(t *testing.T) {
-	p := newPlay(t, DefaultConfig(), 4)
+func TestEndpointThatStaysDownIsProbedLessOften(t *testing.T) {
+	p := newMonitorTest(t, DefaultConfig(), 4)
 	for range 3 {
-		p.one(0, Unreachable, 0, 1*s)
+		p.request(0, Unreachable, 0, time.Second)
 	}
-	var at []int64
-	for now := int64(1 * s); now < 100*s; now += s {
+	var at []int64 // seconds
+	for now := time.Second; now < 100*time.Second; now += time.Second {
 		p.Tick(now)
-		if m := p.NextProbe(true, now); m != nil {
-			p.one(0, Unreachable, 0, now)
-			at = append(at, now/s)
+		if p.NextProbe(true, now) != nil {
+			p.request(0, Unreachable, 0, now)
+			at = append(at, int64(now/time.Second))
 		}
 	}
 	if diff := cmp.Diff([]int64{6, 11, 16, 21, 31, 41, 51, 61, 81}, at); diff != "" {
@@ -134,103 +151,103 @@
 	}
 }
 
-// Requests that come back too late tell of a server only where its peers' do come back, and one of
-// them tells nothing.
-func TestLateness(t *testing.T) {
-	p := newPlay(t, DefaultConfig(), 4)
-	for n := range 4 { // a crowd: all are late now and then
+func TestTimeoutsCountOnlyInARowAndWherePeersAreInTime(t *testing.T) {
+	p := newMonitorTest(t, DefaultConfig(), 4)
+	for n := range 4 { // under overload all time out now and then
 		for k := range 40 {
 			o := Success
 			if k%4 == 3 {
 				o = TimedOut
 			}
-			p.one(n, o, 1000, 1*s)
+			p.request(n, o, time.Millisecond, time.Second)
 		}
 	}
-	p.Tick(2 * s)
+	p.Tick(2 * time.Second)
 	for range 5 {
-		p.one(1, TimedOut, 0, 2*s)
+		p.request(1, TimedOut, 0, 2*time.Second)
 	}
 	p.expect()
-	p = newPlay(t, DefaultConfig(), 4)
+
+	p = newMonitorTest(t, DefaultConfig(), 4)
 	for range 2 {
-		p.one(1, TimedOut, 0, 1*s)
+		p.request(1, TimedOut, 0, time.Second)
 	}
 	p.expect()
-	p.one(1, TimedOut, 0, 1*s)
+	p.request(1, TimedOut, 0, time.Second)
 	p.expect("1 n1 in service>ejected: 3 failures in a row, for 5000 ms")
 }
 
-// One failure is a suspicion, which lasts; then the server is in service again.
-func TestSuspicion(t *testing.T) {
-	p := newPlay(t, DefaultConfig(), 4)
-	p.one(1, Aborted, 0, 1*s)
-	p.one(1, Success, 1000, 2*s)
-	p.Tick(2 * s)
-	if got := p.TrafficShare(p.member(1), 2*s); got != 0.5 {
-		t.Errorf("its part is %v", got)
-	}
-	p.Tick(6 * s)
+func TestSuspicionLastsItsMinimumTime(t *testing.T) {
+	p := newMonitorTest(t, DefaultConfig(), 4)
+	p.request(1, Aborted, 0, time.Second)
+	p.request(1, Success, time.Millisecond, 2*time.Second)
+	p.Tick(2 * time.Second)
+	if got := p.TrafficShare(p.endpoint(1), 2*time.Second); got != 0.5 {
+		t.Errorf("its share is %v", got)
+	}
+	p.Tick(6 * time.Second)
 	p.expect("1 n1 in service>suspected: it failed", "6 n1 suspected>in service: it serves again")
 }
 
-// A server's own failures tell on it where its peers have none, and what befalls all says nothing
-// of one. A server that answers 500 in a millisecond drew all the work.
-func TestRateBesidePeers(t *testing.T) {
+func TestFailureRateIsComparedWithPeers(t *testing.T) {
 	for name, c := range map[string]struct {
 		fails [4]int // of 40 requests
 		want  []string
 	}{
-		"one":           {[4]int{0, 0, 20, 0}, []string{"2 n2 in service>ejected: 20 of its 40 requests failed, 0% of its peers', for 5000 ms"}},
-		"all alike":     {[4]int{20, 20, 22, 18}, nil},
-		"a few":         {[4]int{0, 8, 0, 0}, nil},
-		"half, and two": {[4]int{0, 40, 40, 0}, []string{"2 n1 in service>ejected: 40 of its 40 requests failed, 33% of its peers', for 5000 ms", "2 n2 in service>ejected: 40 of its 40 requests failed, 33% of its peers', for 5000 ms"}},
+		"one": {[4]int{0, 0, 20, 0}, []string{
+			"2 n2 in service>ejected: 20 of its 40 requests failed, 0% of its peers', for 5000 ms",
+		}},
+		"all alike": {[4]int{20, 20, 22, 18}, nil},
+		"a few":     {[4]int{0, 8, 0, 0}, nil},
+		"half, and two": {[4]int{0, 40, 40, 0}, []string{
+			"2 n1 in service>ejected: 40 of its 40 requests failed, 33% of its peers', for 5000 ms",
+			"2 n2 in service>ejected: 40 of its 40 requests failed, 33% of its peers', for 5000 ms",
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlay(t, DefaultConfig(), 4)
+			p := newMonitorTest(t, DefaultConfig(), 4)
 			for k := range 40 {
 				for n := range 4 {
 					o := Success
 					if k%40 < c.fails[n] {
 						o = ErrorResponse
 					}
-					p.one(n, o, 1000, 1*s)
+					p.request(n, o, time.Millisecond, time.Second)
 				}
 			}
-			p.Tick(2 * s)
+			p.Tick(2 * time.Second)
 			p.expect(c.want...)
 		})
 	}
 }
 
-// A server that has been several times slower than the others for a while is ejected; all of them
-// slow are not, and one that warms up is not.
-func TestLatencyBesidePeers(t *testing.T) {
+func TestLatencyIsComparedWithPeers(t *testing.T) {
 	for name, c := range map[string]struct {
-		took [5]int64 // ms
-		want int      // that is ejected; -1: nobody
+		took [5]int // ms
+		want int    // that is ejected; -1: none
 	}{
-		"one slow":      {[5]int64{50, 50, 50, 400, 60}, 3},
-		"all slow":      {[5]int64{400, 400, 400, 500, 400}, -1},
-		"little":        {[5]int64{1, 1, 1, 10, 1}, -1}, // 10 ms are nothing to speak of
-		"twice as slow": {[5]int64{50, 50, 50, 100, 50}, -1},
+		"one slow":      {[5]int{50, 50, 50, 400, 60}, 3},
+		"all slow":      {[5]int{400, 400, 400, 500, 400}, -1},
+		"little":        {[5]int{1, 1, 1, 10, 1}, -1}, // below the minimum excess
+		"twice as slow": {[5]int{50, 50, 50, 100, 50}, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlay(t, DefaultConfig(), 5)
-			for sec := int64(1); sec < 8; sec++ {
+			p := newMonitorTest(t, DefaultConfig(), 5)
+			for now := time.Second; now < 8*time.Second; now += time.Second {
 				for n := range 5 {
 					for range 25 {
-						if m := p.member(n); p.TrafficShare(m, sec*s) > 0 {
-							p.one(n, Success, c.took[n]*1000, sec*s)
+						if p.TrafficShare(p.endpoint(n), now) > 0 {
+							took := time.Duration(c.took[n]) * time.Millisecond
+							p.request(n, Success, took, now)
 						}
 					}
 				}
-				p.Tick(sec*s + s/2)
+				p.Tick(now + time.Second/2)
 			}
 			out := -1
-			for _, m := range p.EndpointList().Endpoints {
-				if m.State == Ejected {
-					fmt.Sscanf(m.Name, "n%d", &out)
+			for _, e := range p.EndpointList().Endpoints {
+				if e.State == Ejected {
+					out = numberOf(e)
 				}
 			}
 			if out != c.want {
@@ -240,71 +257,66 @@
 	}
 }
 
-// HealthChecks bring servers in and out; one that answers them and no work is out for longer each time
-// all the same.
-func TestChecks(t *testing.T) {
+func TestHealthChecksBringEndpointsInAndOut(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.HealthChecks.Interval = 2 * s
-	p := newPlay(t, cfg, 3)
-	check := func(now int64, good bool) (names []string) {
-		for _, m := range p.DueHealthChecks(now, nil) {
-			names = append(names, m.Name)
-			p.HealthCheckDone(m, good, now)
-		}
-		return names
-	}
-	p.DueHealthChecks(1*s, nil)
-	p.list(2*s, 4)
+	cfg.HealthChecks.Interval = 2 * time.Second
+	p := newMonitorTest(t, cfg, 3)
+	p.DueHealthChecks(time.Second, nil)
+	p.list(2*time.Second, 4)
 	p.expect("2 n3 listed>checking: it is new in the list")
-	if p.TrafficShare(p.member(3), 2*s) != 0 {
-		t.Error("it gets work before it is checked")
+	if p.TrafficShare(p.endpoint(3), 2*time.Second) != 0 {
+		t.Error("it gets traffic before it is checked")
 	}
-	for now := int64(2 * s); now < 7*s; now += s {
-		check(now, true)
+	for now := 2 * time.Second; now < 7*time.Second; now += time.Second {
+		p.check(now, true)
 	}
 	p.expect("4 n3 checking>warming: 2 checks passed")
-	for now := int64(7 * s); now < 13*s; now += s {
-		check(now, false)
+	for now := 7 * time.Second; now < 13*time.Second; now += time.Second {
+		p.check(now, false)
 	}
 	if got := p.StateCounts(); got[Ejected] != 2 {
 		t.Errorf("%d of 4 are ejected by checks, of at most half: %q", got[Ejected], p.log)
 	}
-	p.log = nil
-	p = newPlay(t, cfg, 3)
-	p.DueHealthChecks(1*s, nil)
-	outs := 0
-	for now := int64(2 * s); now < 120*s; now += s / 4 {
-		check(now, true)
-		if m := p.member(0); p.TrafficShare(m, now) > 0 {
-			p.one(0, Aborted, 0, now)
+}
+
+func TestEndpointThatPassesChecksAndFailsRequestsIsEjectedForLonger(t *testing.T) {
+	cfg := DefaultConfig()
+	cfg.HealthChecks.Interval = 2 * time.Second
+	p := newMonitorTest(t, cfg, 3)
+	p.DueHealthChecks(time.Second, nil)
+	ejections := 0
+	for now := 2 * time.Second; now < 120*time.Second; now += time.Second / 4 {
+		p.check(now, true)
+		if p.TrafficShare(p.endpoint(0), now) > 0 {
+			p.request(0, Aborted, 0, now)
 		}
 		p.Tick(now)
 	}
 	for _, c := range p.all {
 		if c.To == Ejected {
-			outs++
+			ejections++
 		}
 	}
-	if outs < 2 || outs > 6 {
-		t.Errorf("a server that answers checks alone is ejected %d times in 2 minutes", outs)
+	if ejections < 2 || ejections > 6 {
+		t.Errorf("it is ejected %d times in 2 minutes", ejections)
 	}
 }
 
-// A server that comes back at another address while its old requests are open is another one.
-func TestAnotherAddress(t *testing.T) {
-	p := newPlay(t, DefaultConfig(), 1)
-	old := p.member(0)
+func TestServerAtAnotherAddressIsAnotherEndpoint(t *testing.T) {
+	p := newMonitorTest(t, DefaultConfig(), 1)
+	old := p.endpoint(0)
 	p.Sent(old)
 	first := p.EndpointList()
-	p.Update([]EndpointSpec{{ID: ID{"n0", "b"}, Weight: 1}}, 2*s)
+	p.Update([]EndpointSpec{{ID: ID{Name: "n0", Addr: "b"}, Weight: 1}}, 2*time.Second)
 	back := p.EndpointList().Endpoints[0]
-	if p.TrafficShare(old, 2*s) != 0 || p.TrafficShare(back, 2*s) == 0 || p.DrainingCount() != 1 {
+	if p.TrafficShare(old, 2*time.Second) != 0 || p.TrafficShare(back, 2*time.Second) == 0 ||
+		p.DrainingCount() != 1 {
 		t.Errorf("%+v, %+v", old, back)
 	}
 	if first.Endpoints[0] != old || len(first.Endpoints) != 1 || p.EndpointList().Version != first.Version+1 {
-		t.Error("the roster that stood was changed")
+		t.Error("the previous list was changed")
 	}
-	p.Done(old, Aborted, 0, 3*s)
+	p.Done(old, Aborted, 0, 3*time.Second)
 	p.expect(
 		"2 n0 in service>draining: it left the list with 1 open",
 		"2 n0 listed>warming: it is new in the list",
@@ -315,97 +327,124 @@
 	}
 }
 
-// Whatever servers do, each changes its state a bounded number of times in any minute, never more
-// are out than may be, what is open comes out even, and those that are well again are in service
-// again within a stated time.
-func TestFlappingIsBounded(t *testing.T) {
-	// the longest ejection, the wait for a probe, the warming, two looks
-	const backWithin = 60*s + 5*s + 10*s + 2*s
-	rapid.Check(t, func(rt *rapid.T) {
-		n := rapid.IntRange(1, 6).Draw(rt, "servers")
-		p := newPlay(t, DefaultConfig(), n)
-		bad := rapid.IntRange(0, 100).Draw(rt, "bad")
-		open := make([]int, n)
-		now := int64(s)
-		step := func(bad int) {
-			now += rapid.Int64Range(0, s/2).Draw(rt, "wait")
-			p.Tick(now)
-			var in []int
-			for k := range n {
-				if p.TrafficShare(p.member(k), now) > 0 {
-					in = append(in, k)
-				}
-			}
-			if len(in) == 0 {
-				rt.Fatalf("nobody gets work: %q", p.log)
-			}
-			if p.out > n/2 {
-				rt.Fatalf("%d of %d are out", p.out, n)
-			}
-			to := rapid.SampledFrom(in).Draw(rt, "to")
-			if m := p.NextProbe(true, now); m != nil {
-				fmt.Sscanf(m.Name, "n%d", &to)
-			}
-			p.Sent(p.member(to))
-			open[to]++
-			if rapid.IntRange(0, 9).Draw(rt, "later") > 0 || bad == 0 {
-				o := Success
-				if rapid.IntRange(0, 99).Draw(rt, "luck") < bad {
-					o = rapid.SampledFrom([]Outcome{Aborted, Unreachable, ErrorResponse}).Draw(rt, "how")
-				}
-				p.Done(p.member(to), o, 1000, now)
-				open[to]--
-			}
+// flapping drives random requests against endpoints that fail at random.
+type flapping struct {
+	*monitorTest
+	rt       *rapid.T
+	count    int   // of endpoints
+	inFlight []int // by endpoint
+	now      time.Duration
+}
+
+// step sends one request to an endpoint that gets traffic, or as a probe. It fails with a
+// probability of badPercent.
+func (f *flapping) step(badPercent int) {
+	f.now += time.Duration(rapid.Int64Range(0, 500_000).Draw(f.rt, "wait")) * time.Microsecond
+	f.Tick(f.now)
+	var candidates []int
+	for k := range f.count {
+		if f.TrafficShare(f.endpoint(k), f.now) > 0 {
+			candidates = append(candidates, k)
 		}
-		for range 300 {
-			step(bad)
+	}
+	if len(candidates) == 0 {
+		f.rt.Fatalf("no endpoint gets traffic: %q", f.log)
+	}
+	if f.ejected > f.count/2 {
+		f.rt.Fatalf("%d of %d are ejected", f.ejected, f.count)
+	}
+	to := rapid.SampledFrom(candidates).Draw(f.rt, "to")
+	if probed := f.NextProbe(true, f.now); probed != nil {
+		to = numberOf(probed)
+	}
+	f.Sent(f.endpoint(to))
+	f.inFlight[to]++
+	if rapid.IntRange(0, 9).Draw(f.rt, "later") > 0 || badPercent == 0 {
+		outcome := Success
+		if rapid.IntRange(0, 99).Draw(f.rt, "luck") < badPercent {
+			outcome = rapid.SampledFrom([]Outcome{Aborted, Unreachable, ErrorResponse}).Draw(f.rt, "how")
 		}
-		for k := range n {
-			if p.member(k).ActiveRequests != open[k] {
-				rt.Fatalf("n%d: %d open, and %d by its count", k, open[k], p.member(k).ActiveRequests)
-			}
+		f.Done(f.endpoint(to), outcome, time.Millisecond, f.now)
+		f.inFlight[to]--
+	}
+}
+
+func (f *flapping) checkActiveRequests() {
+	for k := range f.count {
+		if f.endpoint(k).ActiveRequests != f.inFlight[k] {
+			f.rt.Fatalf(
+				"n%d: %d in flight, and %d by its count",
+				k,
+				f.inFlight[k],
+				f.endpoint(k).ActiveRequests,
+			)
 		}
-		const most = 40
-		for i, c := range p.all {
-			changes := 0
-			for _, d := range p.all[i:] {
-				if d.Endpoint == c.Endpoint && d.At < c.At+60*s {
-					changes++
-				}
-			}
-			if changes > most {
-				rt.Fatalf(
-					"%s changes %d times in a minute:\n%s",
-					c.Endpoint.Name,
-					changes,
-					strings.Join(p.log, "\n"),
-				)
+	}
+}
+
+func (f *flapping) checkChangesInAnyMinute() {
+	const maxChanges = 40
+	for i, c := range f.all {
+		changes := 0
+		for _, d := range f.all[i:] {
+			if d.Endpoint == c.Endpoint && d.At < c.At+time.Minute {
+				changes++
 			}
 		}
-		for k, open := range open {
-			for range open {
-				p.Done(p.member(k), Success, 1000, now)
-			}
+		if changes > maxChanges {
+			f.rt.Fatalf("%s changes %d times in a minute:\n%s",
+				c.Endpoint.Name, changes, strings.Join(f.log, "\n"))
 		}
-		for well := now + backWithin; now < well; {
-			step(0)
-			for k := range n { // and all of them get some
-				if p.TrafficShare(p.member(k), now) > 0 {
-					p.one(k, Success, 1000, now)
-				}
-			}
+	}
+}
+
+// heal ends all requests with success, and has all that follow succeed for the given time.
+func (f *flapping) heal(within time.Duration) {
+	for k, n := range f.inFlight {
+		for range n {
+			f.Done(f.endpoint(k), Success, time.Millisecond, f.now)
 		}
-		for k := range n {
-			if m := p.member(k); m.State != InService {
-				rt.Fatalf(
-					"%s is %v, since %d s: %s\n%s",
-					m.Name,
-					m.State,
-					(now-m.StateSince)/s,
-					m.StateCause,
-					strings.Join(p.log, "\n"),
-				)
+	}
+	for end := f.now + within; f.now < end; {
+		f.step(0)
+		for k := range f.count { // so that all of them get requests
+			if f.TrafficShare(f.endpoint(k), f.now) > 0 {
+				f.request(k, Success, time.Millisecond, f.now)
 			}
 		}
+	}
+}
+
+func (f *flapping) checkAllInService() {
+	for k := range f.count {
+		if e := f.endpoint(k); e.State != InService {
+			f.rt.Fatalf("%s is %v, since %v: %s\n%s",
+				e.Name, e.State, f.now-e.StateSince, e.StateCause, strings.Join(f.log, "\n"))
+		}
+	}
+}
+
+// Each endpoint changes its state a bounded number of times in any minute, never more are ejected
+// than may be, and those that have recovered are in service within a stated time.
+func TestStateChangesOfFlappingEndpointsAreBounded(t *testing.T) {
+	// the longest ejection, the wait for a probe, the warm-up, two ticks
+	const recoveryTime = 60*time.Second + 5*time.Second + 10*time.Second + 2*time.Second
+	rapid.Check(t, func(rt *rapid.T) {
+		count := rapid.IntRange(1, 6).Draw(rt, "endpoints")
+		f := &flapping{
+			monitorTest: newMonitorTest(t, DefaultConfig(), count),
+			rt:          rt,
+			count:       count,
+			inFlight:    make([]int, count),
+			now:         time.Second,
+		}
+		badPercent := rapid.IntRange(0, 100).Draw(rt, "bad")
+		for range 300 {
+			f.step(badPercent)
+		}
+		f.checkActiveRequests()
+		f.checkChangesInAnyMinute()
+		f.heal(recoveryTime)
+		f.checkAllInService()
 	})
 }
--- a/internal/balancer/endpointhealth/window.go
+++ b/internal/balancer/endpointhealth/window.go
@@ -1,41 +1,57 @@
 package endpointhealth
 
+import "time"
+
+// The outlier window is the last outlierBuckets buckets of bucketSpan.
 const (
-	buckets = 8
-	bucket  = 1_000_000 // microseconds
+	outlierBuckets = 8
+	bucketSpan     = time.Second
 )
 
-// window counts ends of requests over the last 8 s.
-type window struct {
-	at        int64 // number of the newest bucket
-	good, bad [buckets]uint32
+// outcomeWindow counts outcomes in a sliding window.
+type outcomeWindow struct {
+	newest    int64 // number of the newest bucket
+	successes [outlierBuckets]uint32
+	failures  [outlierBuckets]uint32
 }
 
-func (w *window) roll(now int64) int64 {
-	n := now / bucket
-	switch {
-	case n-w.at >= buckets:
-		*w = window{at: n}
-	default:
-		for ; w.at < n; w.at++ {
-			w.good[(w.at+1)%buckets], w.bad[(w.at+1)%buckets] = 0, 0
-		}
+// advance drops the buckets that now lie before the window, and returns the index of the newest.
+func (w *outcomeWindow) advance(now time.Duration) int64 {
+	current := int64(now / bucketSpan)
+	if current-w.newest >= outlierBuckets {
+		*w = outcomeWindow{newest: current}
+	}
+	for ; w.newest < current; w.newest++ {
+		next := (w.newest + 1) % outlierBuckets
+		w.successes[next], w.failures[next] = 0, 0
 	}
-	return w.at % buckets
+	return w.newest % outlierBuckets
 }
 
-func (w *window) add(now int64, failed bool) {
-	if i := w.roll(now); failed {
-		w.bad[i]++
+func (w *outcomeWindow) add(now time.Duration, failed bool) {
+	bucket := w.advance(now)
+	if failed {
+		w.failures[bucket]++
 	} else {
-		w.good[i]++
+		w.successes[bucket]++
 	}
 }
 
-func (w *window) sum(now int64) (good, bad int) {
-	w.roll(now)
-	for i := range buckets {
-		good, bad = good+int(w.good[i]), bad+int(w.bad[i])
+// outcomeCounts is the sum over a window.
+type outcomeCounts struct{ successes, failures int }
+
+func (w *outcomeWindow) sum(now time.Duration) (c outcomeCounts) {
+	w.advance(now)
+	for i := range outlierBuckets {
+		c.successes += int(w.successes[i])
+		c.failures += int(w.failures[i])
 	}
-	return good, bad
+	return c
+}
+
+func (c outcomeCounts) total() int { return c.successes + c.failures }
+
+// failureRate returns the share of failures, 0 where there were no requests.
+func (c outcomeCounts) failureRate() float64 {
+	return float64(c.failures) / float64(max(c.total(), 1))
 }
--- /dev/null
+++ b/internal/balancer/latency/latency_test.go
@@ -0,0 +1,31 @@
+package latency
+
+import (
+	"testing"
+	"time"
+)
+
+func TestConversionKeepsWholeMicroseconds(t *testing.T) {
+	if got := Micros(1500*time.Microsecond + 999*time.Nanosecond); got != 1500 {
+		t.Errorf("Micros: %v, want 1500", got)
+	}
+	if got := FromMicros(1500.9); got != 1500*time.Microsecond {
+		t.Errorf("FromMicros: %v, want 1.5ms", got)
+	}
+	if got := AtLeastOne(0); got != time.Microsecond {
+		t.Errorf("AtLeastOne(0): %v, want 1µs", got)
+	}
+}
+
+func TestMeanIsPlainUntilItsWindowIsFull(t *testing.T) {
+	var m Mean
+	for _, v := range []float64{10, 20, 30} {
+		m.Add(v, 3)
+	}
+	if m.Value != 20 || m.Count != 3 {
+		t.Errorf("mean of three values: %v of %d, want 20 of 3", m.Value, m.Count)
+	}
+	if m.Add(50, 3); m.Value != 30 || m.Count != 3 {
+		t.Errorf("after a fourth: %v of %d, want 30 of 3", m.Value, m.Count)
+	}
+}
--- a/internal/balancer/picker/pacing.go
+++ b/internal/balancer/picker/pacing.go
@@ -1,60 +1,74 @@
 package picker
 
-import "ryepaddle/internal/balancer/endpointhealth"
+import (
+	"time"
 
-// warm tells whether a server has been at its work for a while.
-func (s *Server) warm() bool {
+	"ryepaddle/internal/balancer/endpointhealth"
+)
+
+// minGrowthBase bounds the initial traffic share by which the growth of a share is measured.
+const minGrowthBase = 0.01
+
+// isWarm reports whether a server has completed its slow start.
+func (s *Server) isWarm() bool {
 	return s.State == endpointhealth.InService || s.State == endpointhealth.Suspected
 }
 
-// paced tells whether a server gets what its pacer says: it warms up beside others of its hall that
-// carry the work.
-func (s *Server) paced() bool {
-	return s.State == endpointhealth.WarmingUp && s.hall != nil && s.hall.warm > 0
+// isPaced reports whether a server gets requests by the permits of its pacer: it warms up beside
+// warm servers of its zone.
+func (s *Server) isPaced() bool {
+	return s.State == endpointhealth.WarmingUp && s.zone != nil && s.zone.warmWeight > 0
 }
 
-// withinCalls tells whether the calls of all processes leave one for a server that is not warm.
-func (s *Server) withinCalls(now int64) bool {
-	if s.warm() {
+// hasClockPermit reports whether a server may get a request by the bound on what all processes
+// together send a server that is not warm.
+func (s *Server) hasClockPermit(now time.Duration) bool {
+	if s.isWarm() {
 		return true
 	}
-	warmFrom, part := s.r.cfg.Health.WarmUpMinShare, s.r.table.TrafficShare(s.Endpoint, now)
-	return s.pacer.HasClockPermit(&s.r.cfg.SlowStart, max(part/max(warmFrom, 0.01), 1), now)
+	cfg := &s.picker.cfg
+	growth := max(s.trafficShare(now)/max(cfg.Health.WarmUpMinShare, minGrowthBase), 1)
+	return s.pacer.HasClockPermit(&cfg.SlowStart, growth, now)
+}
+
+// hasPermits reports whether a server that is paced may get the request.
+func (s *Server) hasPermits(q *Query) bool {
+	return s.isPaced() && s.pacer.HasPeerPermit() && s.isEligible(q) && s.hasClockPermit(q.Now)
 }
 
-// pace gives a request to a server of the same hall that warms up and has a permit, unless that is
-// a worse one. What goes to a warm server earns those that warm up beside it their part.
-func (r *Picker) pace(chosen *Server, why PickReason, q *Query) (*Server, PickReason) {
-	if chosen == nil {
-		return r.paceOverflow(q)
+// pace gives the request to a server of the same zone that warms up and has permits, unless that
+// has a higher cost. A request to a warm server earns those that warm up beside it their share.
+func (p *Picker) pace(picked *Server, reason PickReason, q *Query) (*Server, PickReason) {
+	if picked == nil {
+		return p.paceOverloaded(q)
 	}
-	hall := chosen.hall
-	if hall == nil || len(hall.warming) == 0 {
-		return chosen, why
+	z := picked.zone
+	if z == nil || len(z.warmingUp) == 0 {
+		return picked, reason
 	}
-	for _, s := range hall.warming {
-		if !s.permitted(q) || s.ActiveRequests >= s.limit.Current() {
+	for _, s := range z.warmingUp {
+		if !s.hasPermits(q) || s.isFull() {
 			continue
 		}
-		if s.cost(q) <= chosen.cost(q) {
-			return s, why
+		if s.cost(q) <= picked.cost(q) {
+			return s, reason
 		}
 		s.pacer.ForfeitPeerPermits()
 	}
-	if chosen.warm() {
-		hall.earn(q.Now)
+	if picked.isWarm() {
+		z.earnPermits(q.Now)
 	}
-	return chosen, why
+	return picked, reason
 }
 
-// paceOverflow gives a request that all warm servers are too full for to one that warms up and has
-// a permit. It counts as one that was sent to a warm server: else those that warm up would get
-// nothing while the others hang.
-func (r *Picker) paceOverflow(q *Query) (*Server, PickReason) {
-	for _, hall := range r.halls {
-		hall.earn(q.Now)
-		for _, s := range hall.warming {
-			if s.permitted(q) {
+// paceOverloaded gives a request that no warm server can take to one that warms up and has permits.
+// The request earns permits as one to a warm server does: servers that warm up would otherwise get
+// nothing while the warm ones hang.
+func (p *Picker) paceOverloaded(q *Query) (*Server, PickReason) {
+	for _, z := range p.zones {
+		z.earnPermits(q.Now)
+		for _, s := range z.warmingUp {
+			if s.hasPermits(q) {
 				return s, Overloaded
 			}
 		}
@@ -62,16 +76,11 @@
 	return nil, NoEndpoint
 }
 
-// permitted tells whether a server that is paced may have the request now.
-func (s *Server) permitted(q *Query) bool {
-	return s.paced() && s.pacer.HasPeerPermit() && able(s, q) && s.withinCalls(q.Now)
-}
-
-// earn has the servers that warm up earn their part of a request to a warm one.
-func (h *hall) earn(now int64) {
-	for _, s := range h.warming {
-		if s.paced() {
-			s.pacer.PeerSent(s.r.table.TrafficShare(s.Endpoint, now) * float64(s.Weight) / h.warm)
+// earnPermits gives the servers that warm up their share of a request to a warm one.
+func (z *zone) earnPermits(now time.Duration) {
+	for _, s := range z.warmingUp {
+		if s.isPaced() {
+			s.pacer.PeerSent(s.trafficShare(now) * float64(s.Weight) / z.warmWeight)
 		}
 	}
 }
--- a/internal/balancer/picker/pacing_test.go
+++ b/internal/balancer/picker/pacing_test.go
@@ -6,31 +6,32 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// coldFleet is a number of routers that share servers, of which one joins cold. Its requests come
-// evenly in sum, each at a router that is drawn.
-type coldFleet struct {
-	routers []*Picker
-	rand    *rand.Rand
-	ticked  []int64 // when each router looked round last
-	ends    endings
-	now     int64
-	cold    []int64 // when the cold server was sent a request
-	refused int
-	slow    int64 // how many times as long the cold server takes
+// pickerFleet is a number of pickers that share servers, of which one joins cold. Requests come at
+// an even rate in sum, each at a picker that is drawn.
+type pickerFleet struct {
+	pickers    []*Picker
+	random     *rand.Rand
+	tickedAt   []time.Duration // by picker
+	ends       endings
+	now        time.Duration
+	coldSent   []time.Duration // when the cold server was sent a request
+	refused    int
+	slowFactor int // how many times as long the cold server takes
 }
 
-// ending is a request that a server is at.
+// ending is a request in flight.
 type ending struct {
-	at, took int64
-	router   *Picker
+	at, took time.Duration
+	picker   *Picker
 	server   *Server
 }
 
-// endings are those under way, the next to end first.
+// endings are the requests in flight, as a heap by their ends.
 type endings []ending
 
 func (e endings) Len() int           { return len(e) }
@@ -45,68 +46,64 @@
 
 const coldName = "cold"
 
-// newColdFleet is so many routers at which the cold server is new in the list, of which each hears
-// within a tenth of a second.
-func newColdFleet(cfg Config, processes, servers int, seed uint64) *coldFleet {
-	f := &coldFleet{rand: rand.New(rand.NewPCG(seed, 1)), now: s}
-	warm := farm(servers-1, "")
+// newPickerFleet returns so many pickers without the cold server, which tick at different times.
+func newPickerFleet(cfg Config, processes, servers int, seed uint64) *pickerFleet {
+	f := &pickerFleet{random: rand.New(rand.NewPCG(seed, 1)), now: time.Second, slowFactor: 1}
+	warm := testSpecs(servers-1, "")
 	for i := range processes {
-		r := New(
-			cfg,
-			fmt.Sprint("process-", i),
-			1,
-			seed<<16+uint64(i),
-			func(*Server, endpointhealth.StateChange) {},
-		)
-		r.UpdateEndpoints(warm, f.now)
-		f.routers, f.ticked = append(f.routers, r), append(f.ticked, f.now-f.rand.Int64N(endpointhealth.TickInterval))
+		name := fmt.Sprint("process-", i)
+		p := New(cfg, name, 1, seed<<16+uint64(i), func(*Server, endpointhealth.StateChange) {})
+		p.UpdateEndpoints(warm, f.now)
+		sinceTick := f.random.Int64N(endpointhealth.TickInterval.Microseconds())
+		f.pickers = append(f.pickers, p)
+		f.tickedAt = append(f.tickedAt, f.now-time.Duration(sinceTick)*time.Microsecond)
 	}
 	return f
 }
 
-// join has the cold server in the list of each router.
-func (f *coldFleet) join(servers int) {
-	for _, r := range f.routers {
-		r.UpdateEndpoints(append(farm(servers-1, ""), listing(coldName, "")), f.now)
+// join puts the cold server into the list of each picker.
+func (f *pickerFleet) join(servers int) {
+	for _, p := range f.pickers {
+		p.UpdateEndpoints(append(testSpecs(servers-1, ""), testSpec(coldName, "")), f.now)
 	}
 }
 
-// play has so many requests a second come for a while. One takes 20 ms, at the cold server 100.
-func (f *coldFleet) play(rate float64, lasts int64) {
+// play has requests come at a rate per second for a while. A request takes 20 ms, at the cold server
+// slowFactor times that.
+func (f *pickerFleet) play(rate float64, lasts time.Duration) {
 	for end := f.now + lasts; f.now < end; {
-		f.now += int64(f.rand.ExpFloat64() * s / rate)
+		f.now += time.Duration(f.random.ExpFloat64()*1e6/rate) * time.Microsecond
 		for len(f.ends) > 0 && f.ends[0].at <= f.now {
 			e := heap.Pop(&f.ends).(ending)
-			e.router.Done(e.server, 0, endpointhealth.Success, e.took, e.at)
+			e.picker.Done(e.server, 0, endpointhealth.Success, e.took, e.at)
 		}
-		for i, r := range f.routers {
-			if at := f.ticked[i]; f.now >= at+endpointhealth.TickInterval {
-				r.Tick(f.now)
-				f.ticked[i] = f.now
+		for i, p := range f.pickers {
+			if at := f.tickedAt[i]; f.now >= at+endpointhealth.TickInterval {
+				p.Tick(f.now)
+				f.tickedAt[i] = f.now
 			}
 		}
-		r := f.routers[f.rand.IntN(len(f.routers))]
-		to, _ := send(r, Query{Idempotent: true, Now: f.now})
+		p := f.pickers[f.random.IntN(len(f.pickers))]
+		to, _ := send(p, Query{Idempotent: true, Now: f.now})
 		if to == nil {
 			f.refused++
 			continue
 		}
-		took := int64(20_000)
+		took := 20 * time.Millisecond
 		if to.Name == coldName {
-			took *= f.slow
-			f.cold = append(f.cold, f.now)
+			took *= time.Duration(f.slowFactor)
+			f.coldSent = append(f.coldSent, f.now)
 		}
-		heap.Push(&f.ends, ending{f.now + took, took, r, to})
+		heap.Push(&f.ends, ending{f.now + took, took, p, to})
 	}
 }
 
-// peaks looks at each second that ends with a request of the cold server, and tells in how many of
-// them there were more than chance explains of a budget that is given by the time since the
-// beginning, and the worst of them beside its bound.
-func (f *coldFleet) peaks(over int64, budget func(at int64) float64) (exceeded, windows int, worst float64) {
+// peaks looks at each second that ends with a request to the cold server. It counts those with more
+// requests than a budget and two standard deviations allow, and returns the worst ratio to that.
+func (f *pickerFleet) peaks(budget func(at time.Duration) float64) (exceeded, windows int, worst float64) {
 	first := 0
-	for i, at := range f.cold {
-		for f.cold[first] <= at-over {
+	for i, at := range f.coldSent {
+		for f.coldSent[first] <= at-time.Second {
 			first++
 		}
 		n := budget(at)
@@ -119,138 +116,136 @@
 	return exceeded, windows, worst
 }
 
-// ramped is the budget of a server in the table's warming: so much as it begins, and in proportion
-// to its part.
-func ramped(cfg *endpointhealth.Config, first float64, joined int64) func(int64) float64 {
-	return func(at int64) float64 {
-		return first / cfg.WarmUpMinShare * min(
-			cfg.WarmUpMinShare+(1-cfg.WarmUpMinShare)*float64(at-joined)/float64(cfg.WarmUpWindow),
-			1,
-		)
+// warmUpBudget returns the requests per second that a server may get that joined at a time: the
+// initial ones, and more in proportion to its traffic share.
+func warmUpBudget(
+	cfg *endpointhealth.Config,
+	initial float64,
+	joined time.Duration,
+) func(time.Duration) float64 {
+	return func(at time.Duration) float64 {
+		elapsed := float64(at-joined) / float64(cfg.WarmUpWindow)
+		share := min(cfg.WarmUpMinShare+(1-cfg.WarmUpMinShare)*elapsed, 1)
+		return initial / cfg.WarmUpMinShare * share
 	}
 }
 
-// What any number of processes send a server that joins keeps to the ramp in sum: to its part of
-// what a warm one gets, or to the calls that the operator has named for all of them. No third of
-// that is left over, where the server is as fast as the others.
-func TestManyProcessesKeepToTheRamp(t *testing.T) {
-	const servers, warmFor = 10, 10 * s
+type warmUpCase struct {
+	processes       int
+	rate            float64 // requests per second
+	initialRequests float64 // that the operator allows; 0: no bound
+	slowFactor      int
+}
+
+// The bound is the server's share of what a warm one gets, or the requests that the operator allows.
+// At least two thirds of it are used where the server is as fast as the others.
+func TestProcessesTogetherStayWithinTheSlowStart(t *testing.T) {
+	const maxRateOfFewProcesses = 3000 // higher rates take too long with fewer than the most processes
 	for _, processes := range []int{1, 20, 30} {
-		// requests a second of fewer than the most processes: more take long to play
-		const longest = 3000
-		for _, c := range []struct {
-			rate, calls float64
-			slow        int64
-		}{{100, 0, 1}, {300, 0, 1}, {1000, 0, 1}, {3000, 0, 1}, {10_000, 0, 1}, {10_000, 0, 5}, {3000, 5, 1}, {3000, 10, 1}, {10_000, 20, 1}, {10_000, 20, 5}} {
-			if processes < 30 && c.rate > longest {
+		for _, c := range []warmUpCase{
+			{processes, 100, 0, 1},
+			{processes, 300, 0, 1},
+			{processes, 1000, 0, 1},
+			{processes, 3000, 0, 1},
+			{processes, 10_000, 0, 1},
+			{processes, 10_000, 0, 5},
+			{processes, 3000, 5, 1},
+			{processes, 3000, 10, 1},
+			{processes, 10_000, 20, 1},
+			{processes, 10_000, 20, 5},
+		} {
+			if processes < 30 && c.rate > maxRateOfFewProcesses {
 				continue
 			}
-			t.Run(
-				fmt.Sprintf(
-					"%d processes, %v a second, %v calls, %d times as slow",
-					processes,
-					c.rate,
-					c.calls,
-					c.slow,
-				),
-				func(t *testing.T) {
-					t.Parallel()
-					cfg := DefaultConfig(1000)
-					cfg.SlowStart.InitialRequests, cfg.SlowStart.Processes = c.calls, processes
-					first := c.rate / servers * cfg.Health.WarmUpMinShare
-					if c.calls > 0 {
-						first = min(first, c.calls)
-					}
-					f := newColdFleet(cfg, processes, servers, 1)
-					f.slow = c.slow
-					f.play(c.rate, 5*s)
-					f.join(servers)
-					budget := ramped(&cfg.Health, first, f.now)
-					mean := (budget(f.now) + budget(f.now+warmFor*9/10)) / 2
-					f.play(c.rate, warmFor*9/10)
-					exceeded, windows, worst := f.peaks(s, budget)
-					used := float64(len(f.cold)) / (mean * 9)
-					t.Logf(
-						"over the bound in %d of %d windows, at the most %.2f of it; %.2f of the budget is used",
-						exceeded,
-						windows,
-						worst,
-						used,
-					)
-					if exceeded > 0 || f.refused > 0 {
-						t.Errorf(
-							"over the bound in %d of %d windows, %d requests refused",
-							exceeded,
-							windows,
-							f.refused,
-						)
-					}
-					if c.slow == 1 && used < 2./3 {
-						t.Errorf("%.2f of the budget is used", used)
-					}
-				},
-			)
+			name := fmt.Sprintf("%d processes, %v a second, %v initial requests, %d times as slow",
+				processes, c.rate, c.initialRequests, c.slowFactor)
+			t.Run(name, func(t *testing.T) {
+				t.Parallel()
+				c.test(t)
+			})
 		}
 	}
 }
 
-// Processes that have all lost a server do not all probe it in the same moment, where the operator
-// has named its calls.
-func TestManyProcessesProbeWithinTheCalls(t *testing.T) {
-	const servers, processes, calls = 10, 30, 5
+func (c warmUpCase) test(t *testing.T) {
+	const servers, lasts = 10, 9 * time.Second
+	cfg := DefaultConfig(1000)
+	cfg.SlowStart.InitialRequests, cfg.SlowStart.Processes = c.initialRequests, c.processes
+	initial := c.rate / servers * cfg.Health.WarmUpMinShare
+	if c.initialRequests > 0 {
+		initial = min(initial, c.initialRequests)
+	}
+	f := newPickerFleet(cfg, c.processes, servers, 1)
+	f.slowFactor = c.slowFactor
+	f.play(c.rate, 5*time.Second)
+	f.join(servers)
+	budget := warmUpBudget(&cfg.Health, initial, f.now)
+	mean := (budget(f.now) + budget(f.now+lasts)) / 2
+	f.play(c.rate, lasts)
+	exceeded, windows, worst := f.peaks(budget)
+	used := float64(len(f.coldSent)) / (mean * lasts.Seconds())
+	t.Logf("over the bound in %d of %d windows, at the most %.2f of it; %.2f of the budget is used",
+		exceeded, windows, worst, used)
+	if exceeded > 0 || f.refused > 0 {
+		t.Errorf("over the bound in %d of %d windows, %d requests refused", exceeded, windows, f.refused)
+	}
+	if c.slowFactor == 1 && used < 2./3 {
+		t.Errorf("%.2f of the budget is used", used)
+	}
+}
+
+func TestProcessesTogetherProbeWithinTheInitialRequests(t *testing.T) {
+	const servers, processes, initialRequests = 10, 30, 5
 	cfg := DefaultConfig(1000)
-	cfg.SlowStart.InitialRequests, cfg.SlowStart.Processes = calls, processes
-	f := newColdFleet(cfg, processes, servers, 1)
-	f.slow = 1
+	cfg.SlowStart.InitialRequests, cfg.SlowStart.Processes = initialRequests, processes
+	f := newPickerFleet(cfg, processes, servers, 1)
 	f.join(servers)
-	f.play(3000, s)
-	for _, r := range f.routers {
-		for _, x := range r.Servers() {
+	f.play(3000, time.Second)
+	for _, p := range f.pickers {
+		for _, x := range p.Servers() {
 			for range cfg.Health.ConsecutiveFailures {
 				if x.Name == coldName {
-					r.Sent(x)
-					r.Done(x, 0, endpointhealth.Unreachable, 100, f.now)
+					p.Sent(x)
+					p.Done(x, 0, endpointhealth.Unreachable, 100*time.Microsecond, f.now)
 				}
 			}
 		}
 	}
-	f.cold = nil
+	f.coldSent = nil
 	lost := f.now
-	f.play(3000, 15*s)
-	if len(f.cold) == 0 {
-		t.Fatal("nobody has probed it")
+	f.play(3000, 15*time.Second)
+	if len(f.coldSent) == 0 {
+		t.Fatal("it was not probed")
 	}
-	exceeded, windows, worst := f.peaks(
-		s,
-		func(at int64) float64 { return calls * max(1, float64(at-lost-cfg.Health.BaseEjectionTime)/s) },
-	)
+	exceeded, windows, worst := f.peaks(func(at time.Duration) float64 {
+		return initialRequests * max(1, (at-lost-cfg.Health.BaseEjectionTime).Seconds())
+	})
 	t.Logf("over the bound in %d of %d windows, at the most %.2f of it", exceeded, windows, worst)
 	if exceeded > 0 {
 		t.Errorf("over the bound in %d of %d windows", exceeded, windows)
 	}
 }
 
-// A server that warms up gets its part also where all others are as full as may be.
-func TestWarmingBesideFullServers(t *testing.T) {
+func TestServerThatWarmsUpGetsItsShareBesideFullServers(t *testing.T) {
 	cfg := DefaultConfig(1)
-	r := newRouter(cfg, farm(2, ""))
-	now := int64(2 * s)
+	p := newTestPicker(cfg, testSpecs(2, ""))
+	now := 2 * time.Second
 	for range 2 {
-		send(r, Query{Now: now})
+		send(p, Query{Now: now})
 	}
-	r.UpdateEndpoints(append(farm(2, ""), listing(coldName, "")), now)
-	got, refused := 0, 0
+	p.UpdateEndpoints(append(testSpecs(2, ""), testSpec(coldName, "")), now)
+	sent, refused := 0, 0
 	for range 1000 {
-		now += 5000
-		if to, why := send(r, Query{Now: now}); to == nil {
+		now += 5 * time.Millisecond
+		if to, reason := send(p, Query{Now: now}); to == nil {
 			refused++
-		} else if got++; to.Name != coldName || why != Overloaded {
-			t.Fatalf("%s by %v", to.Name, why)
+		} else if sent++; to.Name != coldName || reason != Overloaded {
+			t.Fatalf("%s by %v", to.Name, reason)
 		} else {
-			r.Done(to, 0, endpointhealth.Success, 1000, now)
+			p.Done(to, 0, endpointhealth.Success, time.Millisecond, now)
 		}
 	}
-	if got < 100 || got > 250 { // half of 0.1 to 0.55 of 1,000
-		t.Errorf("%d sent, %d refused", got, refused)
+	if sent < 100 || sent > 250 { // half of 0.1 to 0.55 of 1,000
+		t.Errorf("%d sent, %d refused", sent, refused)
 	}
 }
--- a/internal/balancer/picker/picker.go
+++ b/internal/balancer/picker/picker.go
@@ -1,381 +1,236 @@
-// Package route decides to which server a request goes, and whether it goes to another after that.
-// It is free of I/O: it is told of lists, ends of requests and time.
+// Package picker picks a server for each attempt of a request. It implements locality-aware load
+// balancing with the power of several choices: the policies are those of gRPC's weighted round robin
+// and least request balancers (weights, outlier ejection, slow start) and of Envoy's priority levels
+// (overflow to the next zone). It does no I/O: the caller passes endpoint lists, the ends of
+// requests and the time.
 //
-// Servers stand in halls, the nearest first. A request goes to the best of a small hall, or the
-// best of a few that are drawn from a large one by weight and part: by what they have to do, how
-// fast they are and how much of it goes well. A hall that is full, or that has lost much of itself,
-// passes requests on to the next. What is full is told by limits that follow what each server gets
-// done; where all are, the least loaded one takes the request all the same, for what is let in is
-// decided elsewhere.
+// Servers are grouped by zone, the nearest zone first. A request goes to the server of the least
+// cost in a small zone, or of a few servers that are drawn by weight in a large one. The cost is the
+// server's latency, success rate and load. A zone that is full, or that has lost much of its
+// capacity, passes requests on to the next zone. A server is full by its adaptive concurrency limit;
+// where all are full the least loaded one takes the request, as admission is decided elsewhere.
 //
-// Times are microseconds, monotonic and above nought. A router is used by one goroutine.
+// Times are monotonic, whole microseconds and above zero. A picker is used by one goroutine.
 package picker
 
 import (
 	"math/rand/v2"
-	"slices"
-
-	"github.com/cespare/xxhash/v2"
+	"time"
 
 	"ryepaddle/internal/balancer/concurrencylimit"
 	"ryepaddle/internal/balancer/endpointhealth"
+	"ryepaddle/internal/balancer/latency"
 	"ryepaddle/internal/balancer/retry"
-	"ryepaddle/internal/balancer/slowstart"
 )
 
-// Config is how a router decides.
-type Config struct {
-	Health           endpointhealth.Config
-	ConcurrencyLimit concurrencylimit.Config
-	Retry            retry.Config
-	SlowStart        slowstart.Config
-	Zones            []string // by nearness; others follow by name
-	SubsetSize       int      // servers of each hall that this instance uses; 0: all
-	KeyAffinity      bool     // a key goes to one server, whichever instance it comes through
-	MaxRequests      int      // requests at one server, whatever it is good for
-	Overprovisioning float64  // a hall passes requests on once less than 1/Spare of it stands
-}
-
-// DefaultConfig is what is usual, with so many requests at one server at the most.
-func DefaultConfig(mostOpen int) Config {
-	return Config{
-		Health:           endpointhealth.DefaultConfig(),
-		ConcurrencyLimit: concurrencylimit.DefaultConfig(mostOpen),
-		Retry:            retry.DefaultConfig(),
-		SlowStart:        slowstart.DefaultConfig(),
-		MaxRequests:      mostOpen,
-		Overprovisioning: 1.4,
-	}
-}
-
-// Server is a member with what routing knows of it.
-type Server struct {
-	*endpointhealth.Endpoint
-	Attachment any // for whoever keeps its connections
-	limit      concurrencylimit.Limit
-	pacer      slowstart.Pacer // while it warms up or is probed
-	hall       *hall
-	r          *Picker
-	share      float64 // its weight by the mean one
-}
-
-// Limit is how many requests at once it is good for.
-func (s *Server) Limit() int { return s.limit.Current() }
-
-// Attempts tells of the tries that a request has had.
-type Attempts interface{ Tried(server string) bool }
-
-// Query is a request that is to be sent.
-type Query struct {
-	Key        string   // of a keyed one; empty: none
-	Idempotent bool     // it may be sent again
-	Retry      bool     // it has been sent before
-	Attempts   Attempts // where; nil: nowhere
-	Now        int64
-}
-
-func (q *Query) tried(s *Server) bool { return q.Attempts != nil && q.Attempts.Tried(s.Name) }
-
-// PickReason is how a server was chosen.
-type PickReason uint8
-
-// The ways.
 const (
-	Nearest    PickReason = iota + 1 // the better of two in the nearest hall
-	Overflow                         // the same in another, as those before it are full or gone
-	Probe                            // to see whether a server is back
-	Affinity                         // it has the request's key
-	Overloaded                       // all are full, and it is the least so
-	LastResort                       // nobody gets a part, and it may work all the same
-	NoEndpoint                       // there is no server that could take it
+	// minRetryAfter and maxRetryAfter bound the time after which a client is asked to try again.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
+	// betterZoneFactor is how many times the cost of a server must be that of one in a zone further
+	// away for that one to be picked, once the near one is half full. Concurrency limits follow
+	// slowly, and a zone would queue up to them while the next one idles.
+	betterZoneFactor = 1.5
+	// randomStream is the second word of the seed of a picker's random numbers.
+	randomStream = 0x9e3779b97f4a7c15
 )
 
-var whys = [...]string{
-	Nearest:    "near",
-	Overflow:   "overflow",
-	Probe:      "probe",
-	Affinity:   "home of its key",
-	Overloaded: "all full",
-	LastResort: "last resort",
-	NoEndpoint: "nobody",
+// Attempts tells of the attempts that a request has had.
+type Attempts interface {
+	// Tried reports whether a server of that name has had an attempt.
+	Tried(server string) bool
 }
 
-func (w PickReason) String() string { return whys[w] }
+// Query is an attempt that a server is wanted for.
+type Query struct {
+	Key        string        // idempotency key; empty: none
+	Idempotent bool          // it may be sent again if it fails
+	Retry      bool          // the request has been sent before
+	Attempts   Attempts      // where it has been sent; nil: nowhere
+	Now        time.Duration // monotonic
+}
 
-// PickReasons are all of them.
-var PickReasons = []PickReason{Nearest, Overflow, Probe, Affinity, Overloaded, LastResort, NoEndpoint}
+func (q *Query) attempted(s *Server) bool { return q.Attempts != nil && q.Attempts.Tried(s.Name) }
 
-// Picker is the routing of a group of servers.
+// Picker balances the load over the servers of a group.
 type Picker struct {
 	cfg         Config
-	self        string
-	table       *endpointhealth.Monitor
-	budget      *retry.Budget
-	rand        *rand.Rand
-	halls       []*hall
-	all         []*Server
+	instance    string
+	health      *endpointhealth.Monitor
+	retryBudget *retry.Budget
+	random      *rand.Rand
+	zones       []*zone // the nearest first
+	servers     []*Server
 	ring        *ring
-	changed     func(*Server, endpointhealth.StateChange)
-	MeanLatency float64   // of all answers, as a moving mean, in microseconds; 0: none yet
-	means       []float64 // the same by class
-	classes     []usual
-	unit        float64 // latency of a request like any other, as the first one had it
-	usual       float64 // what such ones take of late
-	PickCounts  [NoEndpoint + 1]uint64
+	onChange    func(*Server, endpointhealth.StateChange)
+	MeanLatency float64 // moving mean of all successes, in microseconds; 0: not measured
+	classes     []classLatency
+	// Latencies of a typical class, in microseconds: of the first request, and a moving mean.
+	referenceLatency float64
+	typicalLatency   float64
+	PickCounts       [NoEndpoint + 1]uint64 // by reason, since the start
 }
 
-// New makes a router without servers, for an instance of that name and so many classes. changed
-// hears of each change of a server's state.
+// New returns a picker without servers for so many classes. instance is the name of this process,
+// which decides its subset. onChange is called after each change of a server's state.
 func New(
 	cfg Config,
-	self string,
+	instance string,
 	classes int,
 	seed uint64,
-	changed func(*Server, endpointhealth.StateChange),
+	onChange func(*Server, endpointhealth.StateChange),
 ) *Picker {
-	r := &Picker{
-		cfg:     cfg,
-		self:    self,
-		budget:  retry.New(cfg.Retry, classes),
-		means:   make([]float64, classes),
-		classes: make([]usual, classes),
-		rand:    rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		ring:    &ring{},
-		changed: changed,
-	}
-	r.table = endpointhealth.New(cfg.Health, r.memberChanged)
-	return r
+	p := &Picker{
+		cfg:         cfg,
+		instance:    instance,
+		retryBudget: retry.New(cfg.Retry, classes),
+		classes:     make([]classLatency, classes),
+		random:      rand.New(rand.NewPCG(seed, randomStream)),
+		ring:        &ring{},
+		onChange:    onChange,
+	}
+	p.health = endpointhealth.New(cfg.Health, p.stateChanged)
+	return p
 }
 
-func (r *Picker) memberChanged(m *endpointhealth.Endpoint, c endpointhealth.StateChange) {
-	s, _ := m.Attachment.(*Server)
+func (p *Picker) stateChanged(e *endpointhealth.Endpoint, change endpointhealth.StateChange) {
+	s, _ := e.Attachment.(*Server)
 	if s == nil {
-		s = &Server{Endpoint: m, limit: concurrencylimit.New(&r.cfg.ConcurrencyLimit), r: r}
-		m.Attachment = s
+		s = &Server{Endpoint: e, limit: concurrencylimit.New(&p.cfg.ConcurrencyLimit), picker: p}
+		e.Attachment = s
 	}
-	if c.To == endpointhealth.Ejected || c.To == endpointhealth.WarmingUp && c.From != endpointhealth.Probing {
-		s.pacer.Reset(r.rand.Float64(), r.rand.Float64(), c.At)
+	startsCold := change.To == endpointhealth.WarmingUp && change.From != endpointhealth.Probing
+	if change.To == endpointhealth.Ejected || startsCold {
+		s.pacer.Reset(p.random.Float64(), p.random.Float64(), change.At)
 	}
-	if s.hall != nil {
-		s.hall.stale = true
+	if s.zone != nil {
+		s.zone.stale = true
 	}
-	r.changed(s, c)
-}
-
-// Configure takes another way to decide. What was learned stays.
-func (r *Picker) Configure(cfg Config, classes int) {
-	r.cfg = cfg
-	r.table.Configure(cfg.Health)
-	r.budget.Configure(cfg.Retry, classes)
-	r.means = append(r.means, make([]float64, max(classes-len(r.means), 0))...)
-	r.classes = append(r.classes, make([]usual, max(classes-len(r.classes), 0))...)
+	p.onChange(s, change)
 }
 
-// UpdateEndpoints takes a new list. Of each hall those are used that fall to this instance. Servers that stay
-// keep what is known of them, those that go finish what they have.
-func (r *Picker) UpdateEndpoints(list []endpointhealth.EndpointSpec, now int64) {
-	byHall := map[string][]endpointhealth.EndpointSpec{}
-	for _, l := range list {
-		byHall[l.Zone] = append(byHall[l.Zone], l)
-	}
-	names := make([]string, 0, len(byHall))
-	for name := range byHall {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	rank := func(name string) int {
-		if i := slices.Index(r.cfg.Zones, name); i >= 0 {
-			return i
-		}
-		return len(r.cfg.Zones)
-	}
-	slices.SortStableFunc(names, func(a, b string) int { return rank(a) - rank(b) })
-	var used []endpointhealth.EndpointSpec
-	for _, name := range names {
-		used = append(used, subset(r.self, byHall[name], r.cfg.SubsetSize)...)
-	}
-	if r.cfg.KeyAffinity { // a key has its server whichever instance it comes through
-		used = list
-	}
-	roster := r.table.Update(used, now)
-	r.halls, r.all = nil, nil
-	places := map[string]*hall{}
-	for _, name := range names {
-		places[name] = &hall{name: name}
-		r.halls = append(r.halls, places[name])
-	}
-	weights := 0
-	for _, m := range roster.Endpoints {
-		weights += m.Weight
-	}
-	for _, m := range roster.Endpoints {
-		s := m.Attachment.(*Server)
-		s.share = float64(m.Weight*len(roster.Endpoints)) / float64(weights)
-		s.limit.ApplyBounds(&r.cfg.ConcurrencyLimit)
-		s.hall = places[m.Zone]
-		s.hall.servers = append(s.hall.servers, s)
-		s.hall.open += s.ActiveRequests
-		r.all = append(r.all, s)
-	}
-	for _, m := range r.table.DrainingEndpoints() {
-		m.Attachment.(*Server).hall = nil // what it has open is no hall's any more
-	}
-	if r.ring = (&ring{}); r.cfg.KeyAffinity && len(r.all) > 0 {
-		r.ring = newRing(r.all)
+// Configure changes the parameters. What was measured stays.
+func (p *Picker) Configure(cfg Config, classes int) {
+	p.cfg = cfg
+	p.health.Configure(cfg.Health)
+	p.retryBudget.Configure(cfg.Retry, classes)
+	if added := classes - len(p.classes); added > 0 {
+		p.classes = append(p.classes, make([]classLatency, added)...)
 	}
 }
 
-// Servers are those in use, by name.
-func (r *Picker) Servers() []*Server { return r.all }
+// Servers returns the servers in use, by name.
+func (p *Picker) Servers() []*Server { return p.servers }
 
-// Size is how many servers are in use.
-func (r *Picker) Size() int { return len(r.all) }
+// Size returns how many servers are in use.
+func (p *Picker) Size() int { return len(p.servers) }
 
-// Health is what is known of the servers.
-func (r *Picker) Health() *endpointhealth.Monitor { return r.table }
+// Health returns the health of the servers.
+func (p *Picker) Health() *endpointhealth.Monitor { return p.health }
 
-// RetryBudget is that of the retries.
-func (r *Picker) RetryBudget() *retry.Budget { return r.budget }
+// RetryBudget returns the budget of the group's retries.
+func (p *Picker) RetryBudget() *retry.Budget { return p.retryBudget }
 
-// even is how far above the mean latency a server is like any other: what differs by less is
-// chance, and would draw all of a light load to one.
-const even = 1.25
-
-// cost is how bad a server is for a request: how slow it is and how often it fails, and what it has
-// to do for its weight and part. Where nobody has anything to do, weights and parts do not count:
-// servers are drawn by them already.
-func (s *Server) cost(q *Query) float64 {
-	latency, well := max(even*s.r.usual, 1), 1.0
-	if q.Now-s.LastOutcomeAt <= endpointhealth.MeasurementLifetime {
-		// A server that fails fast would look like the best of all.
-		latency, well = max(latency, s.MeanLatency), max(s.SuccessRate, 0.05)
-	}
-	return latency / (well * well) * (1 + float64(s.ActiveRequests)/(s.share*s.r.table.TrafficShare(s.Endpoint, q.Now)))
-}
-
-// roomy tells whether a server may be chosen, and has room by its limit.
-func roomy(s *Server, q *Query) bool { return takes(s, q) && s.ActiveRequests < s.limit.Current() }
-
-// takes tells whether a server may be chosen at all. One that is paced is chosen in another way.
-func takes(s *Server, q *Query) bool { return able(s, q) && !s.paced() && s.withinCalls(q.Now) }
-
-// able tells whether a server gets a part and could take the request.
-func able(s *Server, q *Query) bool {
-	return s.ActiveRequests < s.r.cfg.MaxRequests && s.r.table.TrafficShare(s.Endpoint, q.Now) > 0 && !q.tried(s)
-}
-
-// Pick chooses a server. Nil, for Nobody: there is none that could take the request. Whoever gets
-// one sends the request there, and tells of it by Sent.
-func (r *Picker) Pick(q *Query) (*Server, PickReason) {
-	s, why := r.pick(q)
-	if why != Probe && why != Affinity {
-		s, why = r.pace(s, why, q)
+// Pick picks a server, or returns nil and NoEndpoint. The caller that sends the request there
+// reports it by Sent.
+func (p *Picker) Pick(q *Query) (*Server, PickReason) {
+	s, reason := p.pick(q)
+	if reason != Probe && reason != Affinity {
+		s, reason = p.pace(s, reason, q)
 	}
-	if s != nil && !s.warm() {
+	if s != nil && !s.isWarm() {
 		s.pacer.Spend()
 	}
-	r.PickCounts[why]++
-	return s, why
+	p.PickCounts[reason]++
+	return s, reason
 }
 
-func (r *Picker) pick(q *Query) (*Server, PickReason) {
-	if m := r.table.NextProbe(q.Idempotent && !q.Retry, q.Now); m != nil {
-		if s := m.Attachment.(*Server); s.ActiveRequests < r.cfg.MaxRequests && !q.tried(s) && s.withinCalls(q.Now) {
-			return s, Probe
-		}
+func (p *Picker) pick(q *Query) (*Server, PickReason) {
+	if s := p.pickProbe(q); s != nil {
+		return s, Probe
 	}
-	if q.Key != "" && len(r.ring.points) > 0 {
-		if s := r.homeOf(q); s != nil {
+	if q.Key != "" && len(p.ring.servers) > 0 {
+		if s := p.pickByKey(q); s != nil {
 			return s, Affinity
 		}
 	}
-	for i, h := range r.halls {
-		h.look(r.table, q.Now)
-		if h.isFull() || i < len(r.halls)-1 && r.passesOn(h) {
-			continue
+	for i, z := range p.zones {
+		if s, reason := p.pickInZone(i, z, q); s != nil {
+			return s, reason
 		}
-		s := h.draw(r.rand, q, roomy)
-		if s == nil {
-			continue
-		}
-		if s.ActiveRequests*2 >= s.limit.Current() {
-			if t := r.better(s, i+1, q); t != nil {
-				return t, Overflow
-			}
-		}
-		if i == 0 {
-			return s, Nearest
-		}
-		return s, Overflow
 	}
-	return r.least(q)
+	return p.pickOverloaded(q)
 }
 
-// farther is how many times worse a server has to be than one in a hall further away for that to be
-// taken, once it has half of what it is good for. Limits follow slowly, and a hall would queue up
-// to them while the next one idles.
-const farther = 1.5
-
-// better is a server in a hall from that one on which is better by so much; nil: there is none.
-func (r *Picker) better(than *Server, from int, q *Query) *Server {
-	for _, h := range r.halls[from:] {
-		if h.look(r.table, q.Now); h.isFull() {
-			continue
-		}
-		if s := h.draw(r.rand, q, roomy); s != nil && s.cost(q)*farther < than.cost(q) {
-			return s
-		}
+// pickProbe returns a server that waits to be probed, if the request may do that.
+func (p *Picker) pickProbe(q *Query) *Server {
+	e := p.health.NextProbe(q.Idempotent && !q.Retry, q.Now)
+	if e == nil {
+		return nil
+	}
+	s := e.Attachment.(*Server)
+	if s.ActiveRequests < p.cfg.MaxRequests && !q.attempted(s) && s.hasClockPermit(q.Now) {
+		return s
 	}
 	return nil
 }
 
-// passesOn tells whether a hall that has lost much of itself passes this request on: what is left
-// of it gets a bit more than it had, and not the whole of what the others did.
-func (r *Picker) passesOn(h *hall) bool {
-	share := h.standing * r.cfg.Overprovisioning
-	return share < 1 && r.rand.Float64() >= share
+// pickInZone returns a server below its limit of the zone at a place in the order, or a much better
+// one of a zone further away.
+func (p *Picker) pickInZone(place int, z *zone, q *Query) (*Server, PickReason) {
+	z.refresh(p.health, q.Now)
+	isLast := place == len(p.zones)-1
+	if z.isFull() || !isLast && p.overflows(z) {
+		return nil, NoEndpoint
+	}
+	s := z.pickLeastCost(p.random, q, canPickBelowLimit)
+	if s == nil {
+		return nil, NoEndpoint
+	}
+	if s.ActiveRequests*2 >= s.limit.Current() {
+		if better := p.pickBetter(s, p.zones[place+1:], q); better != nil {
+			return better, Overflow
+		}
+	}
+	if place == 0 {
+		return s, Nearest
+	}
+	return s, Overflow
 }
 
-// walk is how many servers behind its home a key goes on to.
-const walk = 16
-
-// homeOf is the server that has a key, or the next on the ring that may take it. One that warms up
-// takes the keys of its part, always the same ones.
-func (r *Picker) homeOf(q *Query) *Server {
-	key := xxhash.Sum64String(q.Key)
-	at := r.ring.home(key)
-	var last *Server
-	for i := 0; i < walk && i < len(r.ring.points); i++ {
-		s := r.ring.points[(at+i)%len(r.ring.points)]
-		if s == last || !able(s, q) || s.ActiveRequests >= s.limit.Current() || !s.withinCalls(q.Now) {
+// pickBetter returns a server of the given zones whose cost is lower by betterZoneFactor; nil:
+// there is none.
+func (p *Picker) pickBetter(than *Server, zones []*zone, q *Query) *Server {
+	for _, z := range zones {
+		if z.refresh(p.health, q.Now); z.isFull() {
 			continue
 		}
-		last = s
-		if p := r.table.TrafficShare(s.Endpoint, q.Now); s.State == endpointhealth.WarmingUp &&
-			float64(mix(key^hashOf(s.ID))>>11)/(1<<53) >= p {
-			continue
+		s := z.pickLeastCost(p.random, q, canPickBelowLimit)
+		if s != nil && s.cost(q)*betterZoneFactor < than.cost(q) {
+			return s
 		}
-		return s
 	}
 	return nil
 }
 
-// least is the server with the least to do for what it is good for, where all are full. Where
-// nobody gets a part, one of the others is tried all the same.
-func (r *Picker) least(q *Query) (*Server, PickReason) {
-	for _, h := range r.halls {
-		if s := h.draw(r.rand, q, takes); s != nil {
+// overflows reports whether a zone that has lost much of its capacity passes this request on: what
+// is left of it gets a little more than it had, and not the whole of what the others had.
+func (p *Picker) overflows(z *zone) bool {
+	share := z.healthyShare * p.cfg.Overprovisioning
+	return share < 1 && p.random.Float64() >= share
+}
+
+// pickOverloaded returns the least loaded server, where all are full. Where none gets traffic by
+// its health, one of the others is tried all the same.
+func (p *Picker) pickOverloaded(q *Query) (*Server, PickReason) {
+	for _, z := range p.zones {
+		if s := z.pickLeastCost(p.random, q, canPick); s != nil {
 			return s, Overloaded
 		}
 	}
 	var best *Server
-	for _, s := range r.all {
-		if s.State != endpointhealth.Checking && s.State != endpointhealth.Listed &&
-			s.ActiveRequests < r.cfg.MaxRequests &&
-			!q.tried(s) &&
-			!s.paced() &&
-			s.withinCalls(q.Now) &&
-			(best == nil || s.ActiveRequests < best.ActiveRequests) {
+	for _, s := range p.servers {
+		if s.isLastResort(q) && (best == nil || s.ActiveRequests < best.ActiveRequests) {
 			best = s
 		}
 	}
@@ -385,99 +240,66 @@
 	return best, LastResort
 }
 
-// Sent notes that a request has been sent to a server.
-func (r *Picker) Sent(s *Server) {
-	r.table.Sent(s.Endpoint)
+// isLastResort reports whether the server can take the request, whatever its health.
+func (s *Server) isLastResort(q *Query) bool {
+	isNew := s.State == endpointhealth.Checking || s.State == endpointhealth.Listed
+	return !isNew && s.ActiveRequests < s.picker.cfg.MaxRequests &&
+		!q.attempted(s) && !s.isPaced() && s.hasClockPermit(q.Now)
+}
+
+// Sent reports that a request was sent to a server.
+func (p *Picker) Sent(s *Server) {
+	p.health.Sent(s.Endpoint)
 	s.limit.Sent(s.ActiveRequests)
-	if s.hall != nil {
-		s.hall.open++
+	if s.zone != nil {
+		s.zone.activeRequests++
 	}
 }
 
-// Done notes the end of a request of a class, which took so long.
-func (r *Picker) Done(s *Server, class int, o endpointhealth.Outcome, took, now int64) {
-	if s.hall != nil {
-		s.hall.open--
+// Done reports the end of a request of a class, which took the given time.
+func (p *Picker) Done(s *Server, class int, outcome endpointhealth.Outcome, took, now time.Duration) {
+	if s.zone != nil {
+		s.zone.activeRequests--
 	}
 	before := s.limit.Current()
-	switch o {
+	switch outcome {
 	case endpointhealth.Success:
-		took = r.learn(class, took)
-		s.limit.Done(&r.cfg.ConcurrencyLimit, took, false, now)
+		took = p.learnLatency(class, took)
+		s.limit.Done(&p.cfg.ConcurrencyLimit, took, false, now)
 	case endpointhealth.Aborted, endpointhealth.TimedOut:
-		s.limit.Done(&r.cfg.ConcurrencyLimit, took, true, now)
+		s.limit.Done(&p.cfg.ConcurrencyLimit, took, true, now)
 	}
-	if s.hall != nil && r.table.TrafficShare(s.Endpoint, now) > 0 {
-		s.hall.room += s.limit.Current() - before
+	if s.zone != nil && s.trafficShare(now) > 0 {
+		s.zone.capacity += s.limit.Current() - before
 	}
-	r.table.Done(s.Endpoint, o, took, now)
+	p.health.Done(s.Endpoint, outcome, took, now)
 }
 
-// learn takes a latency into the means, and gives what it would have been for a request like any
-// other: a server that got long work is not a slow one. What is usual of a class is that over many
-// of its requests. By the mean of all classes a server looked slow as soon as more of the long work
-// came, and its limit fell.
-func (r *Picker) learn(class int, took int64) int64 {
-	v := float64(max(took, 1))
-	if r.MeanLatency == 0 {
-		r.MeanLatency, r.unit, r.usual = v, v, v
-	}
-	mean, long := &r.means[class], &r.classes[class]
-	if *mean == 0 {
-		*mean = v
+// Capacity returns how many requests the servers may have in flight together.
+func (p *Picker) Capacity(now time.Duration) int {
+	capacity := 0.0
+	for _, s := range p.servers {
+		capacity += float64(s.limit.Current()) * s.trafficShare(now)
 	}
-	*mean += (v - *mean) / 64
-	r.MeanLatency += (v - r.MeanLatency) / 64
-	long.n = min(long.n+1, usualOver)
-	long.mean += (v - long.mean) / float64(long.n)
-	like := v / long.mean * r.unit
-	r.usual += (like - r.usual) / 64
-	return max(int64(like), 1)
+	return int(capacity)
 }
 
-// usualOver is over how many requests of a class its usual latency is taken.
-const usualOver = 2048
-
-// usual is the latency of a class over many of its requests.
-type usual struct {
-	mean float64
-	n    int
-}
-
-// MinAttemptTime is how long a try of a class takes by what is known: half of the mean, as much work takes
-// less.
-func (r *Picker) MinAttemptTime(class int) int64 { return int64(r.means[class] / 2) }
-
-// Capacity is how many requests its servers may have together.
-func (r *Picker) Capacity(now int64) int {
-	room := 0.0
-	for _, s := range r.all {
-		room += float64(s.limit.Current()) * r.table.TrafficShare(s.Endpoint, now)
-	}
-	return int(room)
-}
-
-// Tick is to be called each membership.Look.
-func (r *Picker) Tick(now int64) { r.table.Tick(now) }
-
-// RetryAfter is after how long a caller does well to ask again, by what is known: when the first
-// server that was ejected may be back, where that is why there is none; otherwise when a request
-// ends.
-func (r *Picker) RetryAfter(now int64) int64 {
-	wait := int64(r.MeanLatency)
-	out := 0
-	for _, s := range r.all {
-		if r.table.TrafficShare(s.Endpoint, now) == 0 {
-			out++
+// Tick is to be called each endpointhealth.TickInterval.
+func (p *Picker) Tick(now time.Duration) { p.health.Tick(now) }
+
+// RetryAfter returns after how long a client whose request got no server should try again: when the
+// first ejected server may be probed, if none gets traffic; otherwise when a request ends, by the
+// mean latency. It is between 20 ms and 10 s.
+func (p *Picker) RetryAfter(now time.Duration) time.Duration {
+	wait := latency.FromMicros(p.MeanLatency)
+	withoutTraffic := 0
+	for _, s := range p.servers {
+		if s.trafficShare(now) == 0 {
+			withoutTraffic++
 		}
 	}
-	if at := r.table.EarliestProbe(); out == len(r.all) && at > 0 {
+	if at := p.health.EarliestProbe(); withoutTraffic == len(p.servers) && at > 0 {
 		wait = at - now
 	}
-	return min(max(wait, leastBack), mostBack)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
-
-const (
-	leastBack = 20_000
-	mostBack  = 10_000_000
-)
--- a/internal/balancer/picker/ring.go
+++ b/internal/balancer/picker/ring.go
@@ -10,89 +10,117 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// probes is how many places of the ring a key is held to: the nearest server to any of them has it.
-// With 11 the server with the most keys has about a tenth more than the mean, with a single point
-// for each (Appleton, O'Reilly, "Multi-probe consistent hashing", 2015), so that a ring of
-// thousands is laid out in a moment.
-const probes = 11
-
-// mostPoints bounds the points of a server whose weight is above that of others.
-const mostPoints = 16
-
-type point struct {
-	at uint64
-	s  *Server
-}
+const (
+	// keyProbes is the number of positions of a key on the ring; the point nearest to one of them
+	// has the key.
+	keyProbes = 11
+	// maxPoints bounds the points of a server on the ring, where weights differ.
+	maxPoints = 16
+	// maxRingSteps is how many points behind its own a key goes on to.
+	maxRingSteps = 16
+	// goldenGamma is the increment of SplitMix64.
+	goldenGamma = 0x9e3779b97f4a7c15
+)
 
-// ring leads keys to servers so that few of them move when a server comes or goes. It is the same
-// for all that have the same list, whatever they know of the servers.
+// ring maps keys to servers by multi-probe consistent hashing (Appleton and O'Reilly, 2015): few
+// keys move when a server comes or goes. It is the same for all instances that have the same list.
 type ring struct {
-	at     []uint64 // in order, apart from whose they are: a look-up goes through these alone
-	points []*Server
+	positions []uint64  // ascending; apart from the servers, as a look-up reads positions alone
+	servers   []*Server // by point
 }
 
 func newRing(servers []*Server) *ring {
-	most, even := 1, true
+	maxWeight, sameWeights := 1, true
 	for _, s := range servers {
-		most, even = max(most, s.Weight), even && s.Weight == servers[0].Weight
+		maxWeight = max(maxWeight, s.Weight)
+		sameWeights = sameWeights && s.Weight == servers[0].Weight
+	}
+	type point struct {
+		position uint64
+		server   *Server
 	}
 	var points []point
 	for _, s := range servers {
-		n := 1
-		if !even {
-			n = max(s.Weight*mostPoints/most, 1)
+		count := 1
+		if !sameWeights {
+			count = max(s.Weight*maxPoints/maxWeight, 1)
 		}
-		h := hashOf(s.ID)
-		for i := range n {
-			points = append(points, point{mix(h + uint64(i)), s})
+		hash := hashOf(s.ID)
+		for i := range count {
+			points = append(points, point{mix(hash + uint64(i)), s})
 		}
 	}
-	slices.SortFunc(
-		points,
-		func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.s.Name, b.s.Name)) },
-	)
+	slices.SortFunc(points, func(a, b point) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.server.Name, b.server.Name))
+	})
 	r := &ring{}
 	for _, p := range points {
-		r.at, r.points = append(r.at, p.at), append(r.points, p.s)
+		r.positions, r.servers = append(r.positions, p.position), append(r.servers, p.server)
 	}
 	return r
 }
 
-// hashOf goes by the name alone: a server that moves keeps its keys.
+// hashOf hashes the name alone: a server that moves to another address keeps its keys.
 func hashOf(id endpointhealth.ID) uint64 { return xxhash.Sum64String(id.Name) }
 
-// mix spreads the bits of a number over all of it (the last steps of SplitMix64).
+// mix spreads the bits of a number over all of it: the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
+	x += goldenGamma
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// next is the first point at or behind a place. Places are spread evenly, so that it is near where
-// it would be if they were so to the dot.
-func (r *ring) next(at uint64) int {
-	n := len(r.at)
-	hi, _ := bits.Mul64(at, uint64(n))
-	i := int(hi)
-	for i > 0 && r.at[i-1] >= at {
+// next returns the first point at or behind a position. Positions are spread evenly, so the search
+// starts where the point would be if they were spread exactly.
+func (r *ring) next(position uint64) int {
+	n := len(r.positions)
+	estimate, _ := bits.Mul64(position, uint64(n))
+	i := int(estimate)
+	for i > 0 && r.positions[i-1] >= position {
 		i--
 	}
-	for i < n && r.at[i] < at {
+	for i < n && r.positions[i] < position {
 		i++
 	}
 	return i % n
 }
 
-// home is the place of the server that has a key.
-func (r *ring) home(key uint64) int {
-	best, least := 0, ^uint64(0)
-	for i := range uint64(probes) {
-		at := mix(key ^ i*0x9e3779b97f4a7c15)
-		p := r.next(at)
-		if d := r.at[p] - at; d < least { // it goes round
-			best, least = p, d
+// find returns the point that has a key.
+func (r *ring) find(key uint64) int {
+	nearest, least := 0, ^uint64(0)
+	for i := range uint64(keyProbes) {
+		position := mix(key ^ i*goldenGamma)
+		point := r.next(position)
+		if distance := r.positions[point] - position; distance < least { // modulo 2^64
+			nearest, least = point, distance
+		}
+	}
+	return nearest
+}
+
+// pickByKey returns the server that has the key, or the next one on the ring that can take the
+// request; nil: none near enough can. A server that warms up takes the keys of its traffic share,
+// always the same ones.
+func (p *Picker) pickByKey(q *Query) *Server {
+	key := xxhash.Sum64String(q.Key)
+	first := p.ring.find(key)
+	var previous *Server
+	for i := 0; i < maxRingSteps && i < len(p.ring.servers); i++ {
+		s := p.ring.servers[(first+i)%len(p.ring.servers)]
+		if s == previous || !s.isEligible(q) || s.isFull() || !s.hasClockPermit(q.Now) {
+			continue
 		}
+		previous = s
+		if s.State == endpointhealth.WarmingUp && keyFraction(key, s) >= s.trafficShare(q.Now) {
+			continue
+		}
+		return s
 	}
-	return best
+	return nil
+}
+
+// keyFraction maps a key to a number from 0 up to 1 that is fixed for the server.
+func keyFraction(key uint64, s *Server) float64 {
+	return float64(mix(key^hashOf(s.ID))>>11) / (1 << 53)
 }
--- a/internal/balancer/picker/subset.go
+++ b/internal/balancer/picker/subset.go
@@ -9,19 +9,18 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// subset chooses k of the servers for one instance: those whose names rank highest with its own
-// (rendezvous, or highest random weight, hashing). A server that comes or goes changes at most one
-// of them. Instances need not know of each other; the price is that a server is in more subsets
-// than the mean by chance.
-func subset(self string, list []endpointhealth.EndpointSpec, k int) []endpointhealth.EndpointSpec {
-	if k <= 0 || len(list) <= k {
-		return list
+// subset returns the size servers that an instance uses (0: all), by rendezvous (highest random
+// weight) hashing. A server that comes or goes changes at most one of them. Instances need not know
+// of each other; the price is that by chance a server is in more subsets than the mean.
+func subset(instance string, specs []endpointhealth.EndpointSpec, size int) []endpointhealth.EndpointSpec {
+	if size <= 0 || len(specs) <= size {
+		return specs
 	}
-	own := xxhash.Sum64String(self)
-	rank := func(l endpointhealth.EndpointSpec) uint64 { return mix(own ^ hashOf(l.ID)) }
-	out := slices.Clone(list)
-	slices.SortFunc(out, func(a, b endpointhealth.EndpointSpec) int {
+	instanceHash := xxhash.Sum64String(instance)
+	rank := func(spec endpointhealth.EndpointSpec) uint64 { return mix(instanceHash ^ hashOf(spec.ID)) }
+	ranked := slices.Clone(specs)
+	slices.SortFunc(ranked, func(a, b endpointhealth.EndpointSpec) int {
 		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a.Name, b.Name))
 	})
-	return out[:k]
+	return ranked[:size]
 }
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -3,118 +3,144 @@
 import (
 	"cmp"
 	"math/rand/v2"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// relay is how long the drawing of servers may lag behind what becomes of them, in microseconds.
-// Whoever is drawn is looked at before it is chosen, so that this costs a second draw, not a
-// request.
-const relay = 20_000
+const (
+	// zoneRefreshInterval is how long the drawing of servers may lag behind their states. Each
+	// server that is drawn is checked before it is picked, so a stale zone costs another draw and
+	// not a failed request.
+	zoneRefreshInterval = 20 * time.Millisecond
+	// fullScanSize is up to how many servers of a zone are all compared.
+	fullScanSize = 32
+	// drawnCandidates is how many servers of a larger zone are compared.
+	drawnCandidates = 3
+	// maxDraws bounds the draws for them.
+	maxDraws = 12
+)
+
+// zone is the servers of one locality.
+type zone struct {
+	name           string
+	servers        []*Server
+	activeRequests int // at its servers
 
-// hall is the servers at one place, in one network.
-type hall struct {
-	name     string
-	servers  []*Server
-	weights  []float64 // as drawn by: weight times part
-	dice     alias
-	any      bool      // there is somebody to draw
-	laid     int64     // when it was laid out
-	stale    bool      // something has changed since
-	warming  []*Server // whose parts change by themselves
-	warm     float64   // the weight of those that are not new to their work
-	open     int       // requests at its servers
-	room     int       // the sum of the limits of those who get a part
-	standing float64   // share of its weight that is there
+	// Of the last refresh:
+	refreshedAt  time.Duration // 0: never
+	stale        bool          // the state of a server has changed since
+	weights      []float64     // by server: weight times traffic share
+	drawer       aliasTable
+	drawable     bool      // the drawer has a server to draw
+	warmingUp    []*Server // their traffic shares change with time
+	warmWeight   float64   // sum of the weights of the servers that are warm
+	capacity     int       // sum of the limits of the servers that get traffic
+	healthyShare float64   // of its weight
 }
 
-// look lays the hall out anew where that is due.
-func (h *hall) look(t *endpointhealth.Monitor, now int64) {
-	if h.laid != 0 && (!h.stale && len(h.warming) == 0 || now-h.laid < relay) {
+// refresh brings the zone up to date where that is due.
+func (z *zone) refresh(health *endpointhealth.Monitor, now time.Duration) {
+	unchanged := !z.stale && len(z.warmingUp) == 0
+	if z.refreshedAt != 0 && (unchanged || now-z.refreshedAt < zoneRefreshInterval) {
 		return
 	}
-	h.laid, h.stale, h.warming, h.warm, h.room = now, false, h.warming[:0], 0, 0
-	all, part := 0.0, 0.0
-	h.weights = h.weights[:0]
-	for _, s := range h.servers {
-		p := t.TrafficShare(s.Endpoint, now)
-		h.weights = append(h.weights, float64(s.Weight)*p)
-		all += float64(s.Weight)
-		if part += float64(s.Weight) * p; s.State == endpointhealth.Suspected { // it is there
-			part += float64(s.Weight) * (1 - p)
+	z.refreshedAt, z.stale = now, false
+	z.warmingUp, z.warmWeight, z.capacity = z.warmingUp[:0], 0, 0
+	total, healthy := 0.0, 0.0
+	z.weights = z.weights[:0]
+	for _, s := range z.servers {
+		share := health.TrafficShare(s.Endpoint, now)
+		weight := float64(s.Weight)
+		z.weights = append(z.weights, weight*share)
+		total += weight
+		healthy += weight * share
+		if s.State == endpointhealth.Suspected { // it counts whole: it is still there
+			healthy += weight * (1 - share)
 		}
 		if s.State == endpointhealth.WarmingUp {
-			h.warming = append(h.warming, s)
+			z.warmingUp = append(z.warmingUp, s)
 		}
-		if s.warm() {
-			h.warm += float64(s.Weight)
+		if s.isWarm() {
+			z.warmWeight += weight
 		}
-		if p > 0 {
-			h.room += s.limit.Current()
+		if share > 0 {
+			z.capacity += s.limit.Current()
 		}
 	}
-	h.standing = part / max(all, 1)
-	h.any = h.dice.lay(h.weights)
+	z.healthyShare = healthy / max(total, 1)
+	z.drawable = z.drawer.build(z.weights)
 }
 
-// isFull tells whether its servers have all that they are good for.
-func (h *hall) isFull() bool { return !h.any || h.open >= h.room }
+// isFull reports whether the servers of the zone have as many requests as their limits allow.
+func (z *zone) isFull() bool { return !z.drawable || z.activeRequests >= z.capacity }
 
-const (
-	// whole is up to how many servers of a hall all are looked at. The best of all is worth the
-	// nanoseconds: near the limit of what the servers can carry, the better of two lost 6% of the
-	// worth in the model, and the best of three 3%.
-	whole    = 32
-	finalist = 3  // candidates in a larger hall
-	draws    = 12 // for them
-)
+// candidate is the server of the least cost of those that were compared.
+type candidate struct {
+	query   *Query
+	canPick func(*Server, *Query) bool
+	best    *Server
+	cost    float64
+	found   int // servers that may be picked
+}
 
-// draw gives the best of the servers, or of some that are drawn by their parts; nil: there is none
-// that may be chosen. Where several are as good the one that was drawn first stays, so that a light
-// load too is parted by weights.
-func (h *hall) draw(r *rand.Rand, q *Query, may func(*Server, *Query) bool) *Server {
-	if !h.any {
+// compare takes a server into account. Of servers of the same cost the first one stays, so that a
+// light load too is spread by weight.
+func (c *candidate) compare(s *Server) {
+	if s == c.best || !c.canPick(s, c.query) {
+		return
+	}
+	c.found++
+	if cost := s.cost(c.query); c.best == nil || cost < c.cost {
+		c.best, c.cost = s, cost
+	}
+}
+
+// pickLeastCost returns the server of the least cost of all, or in a large zone of some that are
+// drawn by weight and traffic share; nil: none may be picked.
+func (z *zone) pickLeastCost(random *rand.Rand, q *Query, canPick func(*Server, *Query) bool) *Server {
+	if !z.drawable {
 		return nil
 	}
-	var best *Server
-	least := 0.0
-	found := 0
-	look := func(s *Server) {
-		if s == best || !may(s, q) {
-			return
-		}
-		found++
-		if c := s.cost(q); best == nil || c < least {
-			best, least = s, c
-		}
+	c := candidate{query: q, canPick: canPick}
+	if len(z.servers) <= fullScanSize {
+		z.compareAll(random, &c)
+	} else {
+		z.compareDrawn(random, &c)
 	}
-	if len(h.servers) <= whole {
-		at := h.dice.draw(r)
-		look(h.servers[at])
-		// where what was drawn is beaten, the first in order would get it all
-		if at = r.IntN(len(h.servers)); at > 0 {
-			for _, s := range h.servers[at:] {
-				look(s)
-			}
-		}
-		for _, s := range h.servers[:cmp.Or(at, len(h.servers))] {
-			look(s)
+	return c.best
+}
+
+// compareAll compares all servers: one that is drawn first, then the others from a random place on,
+// as otherwise the first in order would get all requests that the drawn one does not get.
+func (z *zone) compareAll(random *rand.Rand, c *candidate) {
+	c.compare(z.servers[z.drawer.draw(random)])
+	start := random.IntN(len(z.servers))
+	if start > 0 {
+		for _, s := range z.servers[start:] {
+			c.compare(s)
 		}
-		return best
 	}
-	for range draws {
-		if look(h.servers[h.dice.draw(r)]); found == finalist {
-			return best
+	for _, s := range z.servers[:cmp.Or(start, len(z.servers))] {
+		c.compare(s)
+	}
+}
+
+// compareDrawn compares drawnCandidates servers that are drawn. Where no draw finds one that may be
+// picked, it takes the first one that may be from a random place on.
+func (z *zone) compareDrawn(random *rand.Rand, c *candidate) {
+	for range maxDraws {
+		if c.compare(z.servers[z.drawer.draw(random)]); c.found == drawnCandidates {
+			return
 		}
 	}
-	if best != nil {
-		return best
+	if c.best != nil {
+		return
 	}
-	from := r.IntN(len(h.servers))
-	for i := range h.servers {
-		if look(h.servers[(from+i)%len(h.servers)]); best != nil {
-			return best
+	start := random.IntN(len(z.servers))
+	for i := range z.servers {
+		if c.compare(z.servers[(start+i)%len(z.servers)]); c.best != nil {
+			return
 		}
 	}
-	return nil
 }
--- a/internal/balancer/retry/retry.go
+++ b/internal/balancer/retry/retry.go
@@ -1,138 +1,161 @@
-// Package retry decides whether a request that came to nothing on one server is tried on another.
-// It is free of I/O.
+// Package retry decides whether a request whose attempt failed is retried on another server. The
+// policy is a retry budget, as in Finagle and in the retry throttling of gRPC (gRFC A6): each first
+// attempt earns a part of a retry, for its class and for the total. Where a budget is exhausted the
+// fault is one that more attempts would make worse. The package does no I/O.
 //
-// A retry is paid for: each first try earns a part of one, for its class and for the whole, and
-// where either has none left the trouble is one that more tries would feed. What may have run and
-// has an effect is never tried again, and nothing is for which no time is left.
+// A request that may have run and has side effects is never retried, nor one for which too little
+// time is left.
 package retry
 
-import "math"
+import (
+	"fmt"
+	"math"
+	"time"
 
-// Decision is why a request is tried again or not.
+	"ryepaddle/internal/balancer/latency"
+)
+
+// Decision says whether a request is retried, and if not, why.
 type Decision uint8
 
-// The reasons.
+// The decisions.
 const (
 	Allowed              Decision = iota + 1
-	MayHaveRun                    // it has an effect, and no proof that it never ran
-	AttemptsExhausted             // it has had all its tries, or its failure would be the same elsewhere
-	TooLittleTime                 // too little is left for a try
-	ClassBudgetExhausted          // its class has used up its retries
-	TotalBudgetExhausted          // all of them together have
+	MayHaveRun                    // it has side effects, and may have run
+	AttemptsExhausted             // it has had all its attempts, or would fail everywhere alike
+	TooLittleTime                 // less time is left than an attempt takes
+	ClassBudgetExhausted          // the budget of its class is used up
+	TotalBudgetExhausted          // the budget of all classes together is used up
 )
 
-var names = [...]string{
-	Allowed:              "granted",
-	MayHaveRun:           "may have run",
-	AttemptsExhausted:    "no more tries",
-	TooLittleTime:        "no time",
-	ClassBudgetExhausted: "the budget of the class is spent",
-	TotalBudgetExhausted: "the budget is spent",
+// String returns the name that metrics and the status line use.
+func (d Decision) String() string {
+	switch d {
+	case Allowed:
+		return "granted"
+	case MayHaveRun:
+		return "may have run"
+	case AttemptsExhausted:
+		return "no more tries"
+	case TooLittleTime:
+		return "no time"
+	case ClassBudgetExhausted:
+		return "the budget of the class is spent"
+	case TotalBudgetExhausted:
+		return "the budget is spent"
+	}
+	return fmt.Sprintf("retry.Decision(%d)", uint8(d))
 }
 
-func (r Decision) String() string { return names[r] }
-
-// Decisions are all of them.
-var Decisions = []Decision{Allowed, MayHaveRun, AttemptsExhausted, TooLittleTime, ClassBudgetExhausted, TotalBudgetExhausted}
+// Decisions lists all decisions.
+var Decisions = []Decision{
+	Allowed, MayHaveRun, AttemptsExhausted, TooLittleTime, ClassBudgetExhausted, TotalBudgetExhausted,
+}
 
-// Config is the budget.
+// Config holds the parameters of a budget.
 type Config struct {
-	Ratio     float64 // retries for each first try, for a class and for the whole
-	MinTokens float64 // retries that are there at the start, and stay: a quiet class has a few
-	// microseconds after which two thirds of what was saved up beyond that is forgotten
-	DecayTime int64
+	Ratio     float64 // retries that each first attempt earns, for its class and for the total
+	MinTokens float64 // retries available at the start; they do not decay
+	// DecayTime is after how long two thirds of the tokens above MinTokens are gone.
+	DecayTime time.Duration
 }
 
-// DefaultConfig is what is usual. At size many servers may die in one second, and what was earned in ten
-// has to be there for it.
-func DefaultConfig() Config { return Config{Ratio: 0.2, MinTokens: 20, DecayTime: 10_000_000} }
+// DefaultConfig returns the default budget: one retry for five first attempts, 20 in reserve, and a
+// decay time of 10 s, so that the tokens earned in that time are there when many servers fail at
+// once.
+func DefaultConfig() Config {
+	return Config{Ratio: 0.2, MinTokens: 20, DecayTime: 10 * time.Second}
+}
 
-// FailedAttempt is what is known of a request that came to nothing.
+// FailedAttempt describes a request whose attempt failed.
 type FailedAttempt struct {
 	Class          int
-	HasSideEffects bool  // running it twice would do harm
-	NeverRan       bool  // that it never ran
-	Attempts       int   // that it has had
-	MaxAttempts    int   // that it may have
-	TimeLeft       int64 // microseconds until its answer is worth nothing
-	TimeNeeded     int64 // that a try takes by what is known
+	HasSideEffects bool          // running it twice does harm
+	NeverRan       bool          // it is certain that the attempt did not run
+	Attempts       int           // that it has had
+	MaxAttempts    int           // that it may have
+	TimeLeft       time.Duration // until its deadline
+	TimeNeeded     time.Duration // that an attempt of its class takes at least
 }
 
-// Budget is what is left to spend.
+// Budget is the retry budget of a group of servers. It is used by one goroutine.
 type Budget struct {
 	cfg            Config
-	whole          tokenBucket
+	total          tokenBucket
 	classes        []tokenBucket
-	DecisionCounts [TotalBudgetExhausted + 1]uint64 // how often each was the answer
-	FirstAttempts  uint64
+	DecisionCounts [TotalBudgetExhausted + 1]uint64 // by decision, since the start
+	FirstAttempts  uint64                           // since the start
 }
 
-// tokenBucket is what is left to spend of one kind.
+// tokenBucket holds retries that have been earned and not used.
 type tokenBucket struct {
-	left float64
-	at   int64 // when it was looked at last
+	tokens    float64
+	updatedAt time.Duration // monotonic
 }
 
-// age forgets what was saved up long ago.
-func (p *tokenBucket) age(cfg *Config, now int64) {
-	if over := p.left - cfg.MinTokens; over > 0 && now > p.at {
-		p.left = cfg.MinTokens + over*math.Exp(-float64(now-p.at)/float64(max(cfg.DecayTime, 1)))
+// decay drops tokens that were earned long ago.
+func (b *tokenBucket) decay(cfg *Config, now time.Duration) {
+	if excess := b.tokens - cfg.MinTokens; excess > 0 && now > b.updatedAt {
+		age := latency.Micros(now - b.updatedAt)
+		b.tokens = cfg.MinTokens + excess*math.Exp(-age/latency.Micros(latency.AtLeastOne(cfg.DecayTime)))
 	}
-	p.at = now
+	b.updatedAt = now
 }
 
-// New is the budget for so many classes.
+// New returns a budget for so many classes.
 func New(cfg Config, classes int) *Budget {
-	b := &Budget{cfg: cfg, whole: tokenBucket{left: cfg.MinTokens}}
+	b := &Budget{cfg: cfg, total: tokenBucket{tokens: cfg.MinTokens}}
 	b.Configure(cfg, classes)
 	return b
 }
 
-// Configure takes another budget. What was saved up stays, and is forgotten in time.
+// Configure changes the parameters. Tokens that were earned stay, and decay.
 func (b *Budget) Configure(cfg Config, classes int) {
 	b.cfg = cfg
 	for len(b.classes) < classes {
-		b.classes = append(b.classes, tokenBucket{left: cfg.MinTokens})
+		b.classes = append(b.classes, tokenBucket{tokens: cfg.MinTokens})
 	}
 }
 
-// RecordFirstAttempt notes the first try of a request.
-func (b *Budget) RecordFirstAttempt(class int, now int64) {
+// RecordFirstAttempt reports the first attempt of a request at the monotonic time now.
+func (b *Budget) RecordFirstAttempt(class int, now time.Duration) {
 	b.FirstAttempts++
-	for _, p := range []*tokenBucket{&b.whole, &b.classes[class]} {
-		p.age(&b.cfg, now)
-		p.left += b.cfg.Ratio
+	for _, bucket := range []*tokenBucket{&b.total, &b.classes[class]} {
+		bucket.decay(&b.cfg, now)
+		bucket.tokens += b.cfg.Ratio
 	}
 }
 
-// Allow decides, and takes what is granted off the budget.
-func (b *Budget) Allow(q FailedAttempt, now int64) Decision {
-	b.whole.age(&b.cfg, now)
-	b.classes[q.Class].age(&b.cfg, now)
-	r := b.decide(q)
-	if r == Allowed {
-		b.whole.left--
-		b.classes[q.Class].left--
+// Allow decides whether a request is retried at the monotonic time now. A retry that is allowed is
+// taken off the budgets.
+func (b *Budget) Allow(attempt FailedAttempt, now time.Duration) Decision {
+	total, class := &b.total, &b.classes[attempt.Class]
+	total.decay(&b.cfg, now)
+	class.decay(&b.cfg, now)
+	decision := b.decide(attempt)
+	if decision == Allowed {
+		total.tokens--
+		class.tokens--
 	}
-	b.DecisionCounts[r]++
-	return r
+	b.DecisionCounts[decision]++
+	return decision
 }
 
-func (b *Budget) decide(q FailedAttempt) Decision {
+func (b *Budget) decide(attempt FailedAttempt) Decision {
 	switch {
-	case q.HasSideEffects && !q.NeverRan:
+	case attempt.HasSideEffects && !attempt.NeverRan:
 		return MayHaveRun
-	case q.Attempts >= q.MaxAttempts:
+	case attempt.Attempts >= attempt.MaxAttempts:
 		return AttemptsExhausted
-	case q.TimeLeft <= 0 || q.TimeLeft < q.TimeNeeded:
+	case attempt.TimeLeft <= 0 || attempt.TimeLeft < attempt.TimeNeeded:
 		return TooLittleTime
-	case b.classes[q.Class].left < 1:
+	case b.classes[attempt.Class].tokens < 1:
 		return ClassBudgetExhausted
-	case b.whole.left < 1:
+	case b.total.tokens < 1:
 		return TotalBudgetExhausted
 	}
 	return Allowed
 }
 
-// TimeLeft is what the budget of the whole is good for.
-func (b *Budget) TokensLeft() float64 { return b.whole.left }
+// TokensLeft returns how many retries the total budget still allows.
+func (b *Budget) TokensLeft() float64 { return b.total.tokens }
--- a/internal/balancer/slowstart/pacer.go
+++ b/internal/balancer/slowstart/pacer.go
@@ -1,94 +1,107 @@
-// Package ramp paces what one of several processes sends to a server that is warming up, so that
-// the sum over all processes keeps to what the server is to get. It is free of I/O: it is told of
-// time and of what was sent, and says whether one more request may go.
+// Package slowstart limits what one of several independent processes sends to a server that is
+// warming up, so that the sum over all processes stays within what the server is to get. It does no
+// I/O: the caller reports what was sent, passes the time, and asks whether one more request may go.
 //
-// A request takes a permit of each kind. Whole permits are spent and the fraction stays; what a
-// process begins with is drawn by its owner, so that processes that each have a third of a request
-// do not all round it up. What is not taken soon is void: permits that many processes had saved up
-// would go out at once.
-//
-// Times are microseconds, monotonic. A pacer is used by one goroutine.
+// A request needs one permit from each of two token buckets: one earns by what warm servers are
+// sent, the other by the clock. Whole permits are spent and the fraction stays. The caller draws the
+// initial fractions at random, so that processes that each have a third of a permit do not all
+// round it up. Permits expire soon: what many processes had saved up would go out at once.
 package slowstart
 
-import "math"
+import (
+	"math"
+	"time"
+
+	"ryepaddle/internal/balancer/latency"
+)
 
-// Config is what a server that warms up may be sent by all processes.
+// Config holds what all processes together may send a server that is warming up.
 type Config struct {
-	InitialRequests float64 // as it begins, within Over; 0: it goes by what its peers get alone
-	Window          int64
-	Processes       int // that share in Calls
+	// InitialRequests is how many requests per Window the server gets at first; 0: no bound by the
+	// clock, only by what warm servers are sent.
+	InitialRequests float64
+	Window          time.Duration // default 1 s
+	Processes       int           // that share InitialRequests; default 30
 }
 
 const (
-	standardOver      = 1_000_000
-	standardProcesses = 30 // where nobody tells how many there are
-	holdShare         = 20 // a permit of the clock's is void after this part of Over
+	defaultWindow    = time.Second
+	defaultProcesses = 30
+
+	// expiryDivisor: a whole permit of the clock's bucket expires after Window/expiryDivisor.
+	expiryDivisor = 20
 
-	// utilization is the part of Calls that is spent. Processes that do not talk send by chance
-	// what they send: the rest keeps the sum under Calls and two deviations.
+	// utilization is the part of InitialRequests that is given out. Processes that do not
+	// coordinate send at random times: the rest keeps the sum, plus two standard deviations, below
+	// InitialRequests.
 	utilization = 0.85
 )
 
-// DefaultConfig goes by what peers get alone.
-func DefaultConfig() Config { return Config{Window: standardOver, Processes: standardProcesses} }
+// DefaultConfig returns a configuration that bounds a server only by what warm servers are sent.
+func DefaultConfig() Config { return Config{Window: defaultWindow, Processes: defaultProcesses} }
 
-// rate is how many permits a microsecond one process earns by the clock, where calls have grown so
-// many times.
-func (c *Config) rate(grown float64) float64 {
-	return utilization * c.InitialRequests * grown / float64(max(c.Processes, 1)) / float64(max(c.Window, 1))
+// permitRate returns how many permits per microsecond the clock earns one process, once the share
+// of the server has grown by the factor growth since its start.
+func (c *Config) permitRate(growth float64) float64 {
+	window := latency.Micros(latency.AtLeastOne(c.Window))
+	return utilization * c.InitialRequests * growth / float64(max(c.Processes, 1)) / window
 }
 
-// Pacer is what one process may send one server that warms up.
+// Pacer holds the permits of one process for one server. It is used by one goroutine.
 type Pacer struct {
-	byPeers float64 // permits, with a fraction
-	byClock float64
-	earned  int64 // up to when byClock has earned
-	whole   int64 // since when byClock has its newest whole permit
+	peerPermits    float64
+	clockPermits   float64
+	clockAt        time.Duration // monotonic; up to when clockPermits has earned
+	newestPermitAt time.Duration // monotonic; when clockPermits got its newest whole permit
 }
 
-// Reset begins anew, with fractions of a permit that were drawn between 0 and 1.
-func (p *Pacer) Reset(byPeers, byClock float64, now int64) {
-	*p = Pacer{byPeers: byPeers, byClock: byClock, earned: now, whole: now}
+// Reset begins a new slow start at the monotonic time now, with fractions of a permit between 0 and
+// 1 that the caller has drawn.
+func (p *Pacer) Reset(peerFraction, clockFraction float64, now time.Duration) {
+	*p = Pacer{peerPermits: peerFraction, clockPermits: clockFraction, clockAt: now, newestPermitAt: now}
 }
 
-// PeerSent earns what a request to a warm peer is worth for the server: its part, by its weight
-// over that of all warm peers.
-func (p *Pacer) PeerSent(part float64) { p.byPeers = min(p.byPeers+part, 1) }
+// PeerSent earns the share of a permit that a request to a warm server is worth: the weight of this
+// server by the sum of the weights of all warm servers.
+func (p *Pacer) PeerSent(share float64) { p.peerPermits = min(p.peerPermits+share, 1) }
 
-// HasPeerPermit tells whether the server may be sent a request by what its peers get.
-func (p *Pacer) HasPeerPermit() bool { return p.byPeers >= 1 }
+// HasPeerPermit reports whether the requests to warm servers have earned a permit.
+func (p *Pacer) HasPeerPermit() bool { return p.peerPermits >= 1 }
 
-// ForfeitPeerPermits tells that a request which might have gone to the server went to a better one.
-func (p *Pacer) ForfeitPeerPermits() { p.byPeers = 0 }
+// ForfeitPeerPermits drops the permits earned by requests to warm servers. It is called when a
+// request that could have gone to the server went to a better one.
+func (p *Pacer) ForfeitPeerPermits() { p.peerPermits = 0 }
 
-// HasClockPermit tells whether the server may be sent a request by the calls of all processes, which
-// have grown so many times by now.
-func (p *Pacer) HasClockPermit(cfg *Config, grown float64, now int64) bool {
+// HasClockPermit reports whether the clock has earned a permit by the monotonic time now, with a
+// share that has grown by the factor growth since the start.
+func (p *Pacer) HasClockPermit(cfg *Config, growth float64, now time.Duration) bool {
 	if cfg.InitialRequests == 0 {
 		return true
 	}
-	p.earn(cfg, cfg.rate(grown), now)
-	return p.byClock >= 1
+	p.earn(cfg, cfg.permitRate(growth), now)
+	return p.clockPermits >= 1
 }
 
-// earn counts the time that went by, and voids what was not taken in time.
-func (p *Pacer) earn(cfg *Config, rate float64, now int64) {
-	hold := max(float64(cfg.Window)/holdShare, 1)
-	p.byClock += rate * float64(max(now-p.earned, 0))
-	p.earned = max(p.earned, now)
-	whole, fraction := math.Modf(p.byClock)
+// earn adds the permits of the time that has passed, at a rate per microsecond, and drops those
+// that have expired.
+func (p *Pacer) earn(cfg *Config, rate float64, now time.Duration) {
+	expiry := max(latency.Micros(cfg.Window)/expiryDivisor, 1)
+	p.clockPermits += rate * latency.Micros(max(now-p.clockAt, 0))
+	p.clockAt = max(p.clockAt, now)
+	whole, fraction := math.Modf(p.clockPermits)
 	if whole < 1 {
 		return
 	}
-	p.whole = max(p.whole, now-int64(fraction/rate)) // when the newest of them became one
-	if float64(now-p.whole) > hold {
+	sinceWhole := latency.FromMicros(min(fraction/rate, latency.Micros(now)))
+	p.newestPermitAt = max(p.newestPermitAt, now-sinceWhole)
+	if latency.Micros(now-p.newestPermitAt) > expiry {
 		whole = 0
 	}
-	p.byClock = min(whole, max(math.Floor(rate*hold), 1)) + fraction
+	p.clockPermits = min(whole, max(math.Floor(rate*expiry), 1)) + fraction
 }
 
-// Spend spends what a request to the server takes.
+// Spend takes one permit from each bucket, for a request that was sent.
 func (p *Pacer) Spend() {
-	p.byPeers = max(p.byPeers-1, 0)
-	p.byClock = max(p.byClock-1, 0)
+	p.peerPermits = max(p.peerPermits-1, 0)
+	p.clockPermits = max(p.clockPermits-1, 0)
 }
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"ryepaddle/internal/balancer/picker"
 )
@@ -69,7 +70,7 @@
 	return Routing{
 		WarmUpS:    10,
 		WarmUpFrom: c.Health.WarmUpMinShare,
-		SlowStart:  SlowStart{OverMs: c.SlowStart.Window / 1000},
+		SlowStart:  SlowStart{OverMs: c.SlowStart.Window.Milliseconds()},
 		OutlierEjection: OutlierEjection{ConsecutiveFailures: c.Health.ConsecutiveFailures, FailureRate: c.Health.FailureRateThreshold, LatencyFactor: c.Health.LatencyFactor,
 			BaseTimeS: 5, MaxTimeS: 60, MaxRatio: c.Health.MaxEjectedShare},
 		HealthCheck:      HealthCheck{IntervalMs: 2000, TimeoutMs: 1000, UnhealthyThreshold: 3, HealthyThreshold: 2},
@@ -82,17 +83,17 @@
 // one.
 func (o *Operator) PickerConfig(servers int) picker.Config {
 	r, c := &o.Routing, picker.DefaultConfig(o.Limits.ServerConnections)
-	us := func(s float64) int64 { return int64(s * 1e6) }
+	seconds := func(s float64) time.Duration { return time.Duration(s*1e6) * time.Microsecond }
 	c.Zones, c.SubsetSize, c.KeyAffinity = r.Zones, r.Subset, r.Affinity
 	m := &c.Health
-	m.WarmUpWindow, m.WarmUpMinShare = us(r.WarmUpS), r.WarmUpFrom
+	m.WarmUpWindow, m.WarmUpMinShare = seconds(r.WarmUpS), r.WarmUpFrom
 	m.ConsecutiveFailures, m.FailureRateThreshold, m.LatencyFactor, m.MaxEjectedShare = r.OutlierEjection.ConsecutiveFailures, r.OutlierEjection.FailureRate, r.OutlierEjection.LatencyFactor, r.OutlierEjection.MaxRatio
-	m.BaseEjectionTime, m.MaxEjectionTime = us(r.OutlierEjection.BaseTimeS), us(r.OutlierEjection.MaxTimeS)
+	m.BaseEjectionTime, m.MaxEjectionTime = seconds(r.OutlierEjection.BaseTimeS), seconds(r.OutlierEjection.MaxTimeS)
 	m.HealthChecks.UnhealthyThreshold, m.HealthChecks.HealthyThreshold = r.HealthCheck.UnhealthyThreshold, r.HealthCheck.HealthyThreshold
 	if r.HealthCheck.Path != "" {
-		m.HealthChecks.Interval = r.HealthCheck.IntervalMs * 1000
+		m.HealthChecks.Interval = time.Duration(r.HealthCheck.IntervalMs) * time.Millisecond
 	}
-	c.SlowStart.InitialRequests, c.SlowStart.Window = r.SlowStart.Calls, r.SlowStart.OverMs*1000
+	c.SlowStart.InitialRequests, c.SlowStart.Window = r.SlowStart.Calls, time.Duration(r.SlowStart.OverMs)*time.Millisecond
 	c.SlowStart.Processes = cmp.Or(r.SlowStart.Processes, len(o.Peers.Members), servers, c.SlowStart.Processes)
 	c.Retry.Ratio, c.Retry.MinTokens = r.Retries.Ratio, r.Retries.Burst
 	c.ConcurrencyLimit.Initial, c.ConcurrencyLimit.Min = min(
--- a/internal/config/routing_cold_test.go
+++ b/internal/config/routing_cold_test.go
@@ -1,6 +1,9 @@
 package config
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // The number of processes that share what a cold server bears is that of the file, of the peers, of
 // the platform's settings, or a cautious one.
@@ -16,7 +19,7 @@
 			o.Routing.SlowStart.Calls, o.Routing.SlowStart.Processes = 5, c.named
 			o.Peers.Members = make([]Peer, c.members)
 			if got := o.PickerConfig(c.servers).SlowStart; got.Processes != c.want || got.InitialRequests != 5 ||
-				got.Window != 1_000_000 {
+				got.Window != time.Second {
 				t.Errorf("%+v, want %d processes", got, c.want)
 			}
 		})
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -162,7 +162,7 @@
 		return nil, err
 	}
 	p.core.Start()
-	p.every(endpointhealth.TickInterval, func() { p.picker.Tick(p.sched.Now()) })
+	p.every(endpointhealth.TickInterval.Microseconds(), func() { p.picker.Tick(p.sched.Now()) })
 	for _, t := range spec.Troubles {
 		p.trouble(t)
 	}
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/balancer/picker"
@@ -61,6 +62,9 @@
 	mostTry  = 2  // servers that one request may be sent to
 )
 
+// micros is a time or a span of so many microseconds.
+func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
 // routed is the routing of the program.
 type routed struct {
 	r       *picker.Picker
@@ -80,13 +84,15 @@
 	return p
 }
 
-func (p *routed) List(list []endpointhealth.EndpointSpec, now int64) { p.r.UpdateEndpoints(list, now) }
+func (p *routed) List(list []endpointhealth.EndpointSpec, now int64) {
+	p.r.UpdateEndpoints(list, micros(now))
+}
 
 func (p *routed) Pick(a *lifecycle.Attempt, now int64) (string, bool) {
 	if a.Before == nil {
-		p.r.RetryBudget().RecordFirstAttempt(a.Request.Class, now)
+		p.r.RetryBudget().RecordFirstAttempt(a.Request.Class, micros(now))
 	}
-	p.query = picker.Query{Idempotent: a.Safe, Retry: a.Before != nil, Attempts: a, Now: now}
+	p.query = picker.Query{Idempotent: a.Safe, Retry: a.Before != nil, Attempts: a, Now: micros(now)}
 	s, _ := p.r.Pick(&p.query)
 	if s == nil {
 		return "", false
@@ -105,7 +111,7 @@
 }
 
 func (p *routed) Done(name string, class int, o lifecycle.Outcome, took, now int64) {
-	p.r.Done(p.servers[name], class, outcomes[o], took, now)
+	p.r.Done(p.servers[name], class, outcomes[o], micros(took), micros(now))
 }
 
 func (p *routed) Again(t lifecycle.Try, now int64) bool {
@@ -116,17 +122,17 @@
 			NeverRan:       t.Proven,
 			Attempts:       t.Tries,
 			MaxAttempts:    mostTry,
-			TimeLeft:       t.Left,
+			TimeLeft:       micros(t.Left),
 			TimeNeeded:     p.r.MinAttemptTime(t.Class),
 		},
-		now,
+		micros(now),
 	) == retry.Allowed
 }
 
-func (p *routed) room(now int64) int { return p.r.Capacity(now) }
+func (p *routed) room(now int64) int { return p.r.Capacity(micros(now)) }
 
-func (p *routed) Back(now int64) int64 { return p.r.RetryAfter(now) }
-func (p *routed) Tick(now int64)       { p.r.Tick(now) }
+func (p *routed) Back(now int64) int64 { return p.r.RetryAfter(micros(now)).Microseconds() }
+func (p *routed) Tick(now int64)       { p.r.Tick(micros(now)) }
 
 // before is the picker that stood before there was routing: the least busy server gets the request,
 // one that failed three times in a row rests for 5 s, and each request is tried twice.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -47,7 +47,7 @@
 // openAhead sees to it that so many connections wait for the next requests, within what the server
 // may have.
 func (g *Group) openAhead(s *server) {
-	for len(s.spares) < g.opt.Preconnect && s.ActiveRequests+len(s.spares) < g.opt.Picker.MaxRequests && g.router.Health().TrafficShare(s.Endpoint, g.loop.Now()) > 0 {
+	for len(s.spares) < g.opt.Preconnect && s.ActiveRequests+len(s.spares) < g.opt.Picker.MaxRequests && g.router.Health().TrafficShare(s.Endpoint, micros(g.loop.Now())) > 0 {
 		s.spares = append(s.spares, g.dial(s))
 	}
 }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -96,7 +96,7 @@
 	if c.conn != nil {
 		c.conn.Close(nil)
 	}
-	c.group.router.Health().HealthCheckDone(c.server.Endpoint, good, c.group.loop.Now())
+	c.group.router.Health().HealthCheckDone(c.server.Endpoint, good, micros(c.group.loop.Now()))
 	if c.token != 0 && c.group.opt.HealthCheckCoordinator != nil {
 		c.group.opt.HealthCheckCoordinator.CheckDone(c.group.name, c.server.Endpoint, c.duty, c.token, good)
 	}
--- a/internal/upstream/status.go
+++ b/internal/upstream/status.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"strings"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/balancer/picker"
@@ -99,7 +100,7 @@
 
 // ServerStatuses are the servers of the group, those that are leaving last.
 func (g *Group) ServerStatuses() (out []ServerStatus) {
-	now := g.loop.Now()
+	now := micros(g.loop.Now())
 	row := func(m *endpointhealth.Endpoint) {
 		out = append(
 			out,
@@ -110,7 +111,7 @@
 				m.Zone,
 				m.Weight,
 				m.State.String(),
-				(now - m.StateSince) / 1_000_000,
+				int64((now - m.StateSince) / time.Second),
 				m.StateCause,
 				g.router.Health().TrafficShare(
 					m,
@@ -135,4 +136,4 @@
 }
 
 // Capacity is how many requests the servers of the group may have together.
-func (g *Group) Capacity() int { return g.router.Capacity(g.loop.Now()) }
+func (g *Group) Capacity() int { return g.router.Capacity(micros(g.loop.Now())) }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"slices"
 	"strings"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/balancer/picker"
@@ -116,23 +117,26 @@
 	return g
 }
 
+// micros is a time or a span of so many microseconds.
+func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
 const lookEvery = 250_000
 
 // look lets the router see the time, and has servers checked that are due for it.
 func (g *Group) look() {
 	now := g.loop.Now()
-	if now-g.looked >= endpointhealth.TickInterval {
+	if now-g.looked >= endpointhealth.TickInterval.Microseconds() {
 		g.looked = now
-		g.router.Tick(now)
+		g.router.Tick(micros(now))
 	}
-	g.due = g.router.Health().DueHealthChecks(now, g.due[:0])
+	g.due = g.router.Health().DueHealthChecks(micros(now), g.due[:0])
 	for _, m := range g.due {
 		if g.opt.HealthCheckCoordinator == nil {
 			g.check(m.Attachment.(*picker.Server), "", 0)
-		} else if ask, duty, token := g.opt.HealthCheckCoordinator.ShouldCheck(g.name, m, g.opt.Picker.Health.HealthChecks.Interval); ask {
+		} else if ask, duty, token := g.opt.HealthCheckCoordinator.ShouldCheck(g.name, m, g.opt.Picker.Health.HealthChecks.Interval.Microseconds()); ask {
 			g.check(m.Attachment.(*picker.Server), duty, token)
 		} else { // another one asked it, and it was well
-			g.router.Health().HealthCheckDone(m, true, now)
+			g.router.Health().HealthCheckDone(m, true, micros(now))
 		}
 	}
 }
@@ -153,7 +157,7 @@
 		list = append(list, endpointhealth.EndpointSpec{ID: id, Zone: s.Zone, Weight: s.Weight})
 	}
 	before := g.router.Health().EndpointList().Version
-	g.router.UpdateEndpoints(list, g.loop.Now())
+	g.router.UpdateEndpoints(list, micros(g.loop.Now()))
 	for _, s := range g.router.Servers() {
 		o, _ := s.Attachment.(*server)
 		if o == nil {
@@ -188,14 +192,14 @@
 			MaxAttempts: min(
 				g.opt.MaxAttempts,
 				g.Size(),
-			), TimeLeft: t.Left, TimeNeeded: g.router.MinAttemptTime(t.Class)},
-		g.loop.Now(),
+			), TimeLeft: micros(t.Left), TimeNeeded: g.router.MinAttemptTime(t.Class)},
+		micros(g.loop.Now()),
 	) == retry.Allowed
 }
 
 // RetryAfter is after how long a caller does well to ask again that was refused here, in
 // microseconds.
-func (g *Group) RetryAfter() int64 { return g.router.RetryAfter(g.loop.Now()) }
+func (g *Group) RetryAfter() int64 { return g.router.RetryAfter(micros(g.loop.Now())).Microseconds() }
 
 // exchange is one request on one server.
 type exchange struct {
@@ -223,9 +227,9 @@
 func (g *Group) Run(a *lifecycle.Attempt) {
 	now := g.loop.Now()
 	if a.Before == nil {
-		g.router.RetryBudget().RecordFirstAttempt(a.Request.Class, now)
+		g.router.RetryBudget().RecordFirstAttempt(a.Request.Class, micros(now))
 	}
-	g.query = picker.Query{Idempotent: a.Safe && a.Request.Rest == nil, Retry: a.Before != nil, Attempts: a, Now: now}
+	g.query = picker.Query{Idempotent: a.Safe && a.Request.Rest == nil, Retry: a.Before != nil, Attempts: a, Now: micros(now)}
 	if !a.Safe {
 		g.query.Key = a.Request.Key
 	}
@@ -319,7 +323,7 @@
 	if s := x.server; s != nil {
 		x.conn.Close(nil)
 		now := g.loop.Now()
-		g.router.Done(s.Server, x.attempt.Request.Class, outcomeOf(o), now-x.began, now)
+		g.router.Done(s.Server, x.attempt.Request.Class, outcomeOf(o), micros(now-x.began), micros(now))
 	}
 	g.sink.Ended(x.attempt, o, res)
 }
