--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -2,47 +2,78 @@
 
 import "fmt"
 
-// MaxClasses is how many places there are for classes, those that were dropped included.
+// MaxClasses is the number of places for classes, including those of removed classes.
 const MaxClasses = 256
 
-// MergeClasses lays settings that are to come into force over those that are. Each class keeps its place,
-// since all that is open, learned and remembered goes by places: one that is not there any more
-// stays, Dropped; one that comes back by its name and effect has its place again; others come
-// behind.
-func (s Settings) MergeClasses(was Settings) (Settings, error) {
-	places := make([]Class, len(was.Classes), len(was.Classes)+len(s.Classes))
-	for i, c := range was.Classes {
-		places[i], places[i].Removed = c, true
+// DuplicateClassError is a class whose name another configured class has.
+type DuplicateClassError struct {
+	Index int // in Settings.Classes
+	Name  string
+}
+
+func (e *DuplicateClassError) Error() string {
+	return fmt.Sprintf("admission: setting Classes[%d]: a second class %s", e.Index, e.Name)
+}
+
+// TooManyClassesError reports more than MaxClasses classes, including those that were removed since
+// the start of the process.
+type TooManyClassesError struct{ Count int }
+
+func (e *TooManyClassesError) Error() string {
+	return fmt.Sprintf(
+		"admission: setting Classes: %d classes with those dropped since the start, of %d at the most",
+		e.Count, MaxClasses)
+}
+
+// MergeClasses returns s with its classes in the places that they have in current, the settings in
+// force. Open requests, learned times and remembered keys refer to classes by place. A class that is
+// no longer configured keeps its place, marked as Removed; one that comes back with its name and
+// idempotency takes its place again; others come after. It returns a DuplicateClassError or a
+// TooManyClassesError.
+func (s Settings) MergeClasses(current Settings) (Settings, error) {
+	places := make([]Class, len(current.Classes), len(current.Classes)+len(s.Classes))
+	for i, class := range current.Classes {
+		places[i], places[i].Removed = class, true
 	}
-	for i, c := range s.Classes {
-		for _, o := range s.Classes[:i] {
-			if o.Name == c.Name && !o.Removed && !c.Removed {
-				return s, fmt.Errorf("admission: setting Classes[%d]: a second class %s", i, c.Name)
-			}
+	for i, class := range s.Classes {
+		if s.isDuplicate(i) {
+			return s, &DuplicateClassError{Index: i, Name: class.Name}
 		}
-		at := len(places)
-		for j := range was.Classes {
-			if was.Classes[j].Name == c.Name && was.Classes[j].Idempotency == c.Idempotency {
-				at = j
-			}
+		if at := placeOf(class, current.Classes); at >= 0 {
+			places[at] = class
+		} else {
+			places = append(places, class)
 		}
-		if at == len(places) {
-			places = append(places, c)
-		}
-		places[at] = c
 	}
 	if len(places) > MaxClasses {
-		return s, fmt.Errorf(
-			"admission: setting Classes: %d classes with those dropped since the start, of %d at the most",
-			len(places),
-			MaxClasses,
-		)
+		return s, &TooManyClassesError{Count: len(places)}
 	}
 	s.Classes = places
 	return s, nil
 }
 
-// ClassIndex finds a class that is in force by its name; -1: there is none.
+// isDuplicate reports whether a class before the one at place i has its name, both being configured.
+func (s *Settings) isDuplicate(i int) bool {
+	class := &s.Classes[i]
+	for j := range s.Classes[:i] {
+		if other := &s.Classes[j]; other.Name == class.Name && !other.Removed && !class.Removed {
+			return true
+		}
+	}
+	return false
+}
+
+// placeOf is the last place of a class with the name and idempotency of class; -1: there is none.
+func placeOf(class Class, places []Class) int {
+	for i := len(places) - 1; i >= 0; i-- {
+		if places[i].Name == class.Name && places[i].Idempotency == class.Idempotency {
+			return i
+		}
+	}
+	return -1
+}
+
+// ClassIndex is the place of the configured class with this name; -1: there is none.
 func (s *Settings) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name && !s.Classes[i].Removed {
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,19 +1,21 @@
-// Package admission decides, inside one server of a fleet, which requests it takes, runs and turns
-// away.
+// Package admission decides, inside one server of a fleet, which requests the server accepts, runs
+// and rejects.
 //
-// The ordinary path is the mechanism of Breakwater (OSDI 2020): a credit pool that grows while
-// queueing delay is under its target and is cut by the excess otherwise, credit from the pool
-// advertised to callers, and refusal on arrival past twice the target. Guards around it keep four
-// rules: every request is answered once by its due time, no effect happens twice, a drain leaves
-// nothing behind, and the server does not outgrow its memory, its cores or its share of what lies
-// below.
+// The ordinary path is the overload control of Breakwater (Cho et al., OSDI 2020): a credit pool
+// that grows while queueing delay is under its target and is cut by the excess otherwise, credit
+// from the pool that is advertised to callers, and rejection of arrivals past a multiple of the
+// target. Further limits keep four rules: every request is answered once before its deadline, no
+// effect happens twice, a drain leaves nothing unanswered, and the server stays within its memory,
+// its cores and its quota of calls.
 //
 // The host owns time, threads and I/O. It calls [Controller.Handle] from one goroutine at a time,
-// with a clock that only goes forward, reports every event in the order in which it happened, and
-// carries out the actions in the order written. The module owns no goroutine, no clock and no
+// with a clock that never goes back, reports every event in the order in which it happened, and
+// carries out the actions in the order written. The package owns no goroutine, no clock and no
 // global state, and uses no randomness: the same events give the same actions.
 //
-// The host owes the controller one EventCompleted for each ActionStart and ActionReuseResult that took effect,
-// one EventCallCompleted for each ActionPlaceCall (unless EventCompleted comes first), and an EventTimer for each
-// ActionTimer.
+// The host owes the controller one EventCompleted for each ActionStart and ActionReuseResult that
+// took effect, one EventCallCompleted for each ActionPlaceCall unless EventCompleted comes first,
+// and one EventTimer for each ActionTimer.
+//
+// Times are durations since the host's clock began. Numbers of seconds are named as such.
 package admission
--- /dev/null
+++ b/internal/admission/events.go
@@ -0,0 +1,80 @@
+package admission
+
+import "time"
+
+// EventKind names what happened.
+type EventKind uint8
+
+// The events that the host reports.
+const (
+	EventNone          EventKind = iota
+	EventRequest                 // a request was read; it is owed exactly one answer
+	EventCompleted               // a run, or an answer from another's result, ended
+	EventBlocked                 // a running request waits for its call to be placed, omitted or failed
+	EventCallCompleted           // a call ended
+	EventAbandoned               // nobody waits for this request any longer
+	EventDrain                   // graceful shutdown begins; the process is stopped at Event.Deadline
+	EventTimer                   // a timer is due; carries the gauges
+)
+
+// Outcome is how a run or a call ended.
+type Outcome uint8
+
+// The outcomes. OutcomeRejected, OutcomeUnreachable and OutcomeNeverStarted prove that nothing ran.
+const (
+	OutcomeUnknown Outcome = iota
+	OutcomeOK
+	OutcomeFailed
+	OutcomeRejected
+	OutcomeTimedOut
+	OutcomeUnreachable
+	OutcomeConnectionLost
+	OutcomeCancelled
+	OutcomeNeverStarted // the request was over before it could start
+)
+
+// neverRan reports whether the outcome proves that nothing ran.
+func (o Outcome) neverRan() bool {
+	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNeverStarted
+}
+
+// Gauges are the server's own measurements. A gauge that the host does not have is NaN.
+type Gauges struct {
+	CPU         float64 // busy fraction of the cores over the last half second
+	Runnable    float64 // requests and other tasks that want a core now
+	Memory      float64 // fraction in use
+	Connections float64
+}
+
+// Event is one thing that happened. Only the fields of its kind are read.
+type Event struct {
+	Kind    EventKind
+	Request uint64
+
+	// EventRequest; Deadline also EventDrain.
+
+	Class  int    // place in Settings.Classes
+	Tenant int    // place in Settings.Tenants; others: no quota applies
+	Caller uint32 // number of the caller
+	// Deadline is when the caller stops waiting, or when the draining process is stopped, by the
+	// clock of Controller.Handle; 0: not told.
+	Deadline      time.Duration
+	ExpectedWork  time.Duration // on a standard core; 0: not told
+	SizeKB        float64       // memory of the request while it is queued
+	Rank          float64       // position by priority weight, from 0 to under 1
+	Key           uint64        // subject of the request; 0: none
+	Write         bool          // it changes its subject, so that its result is not shared
+	Retry         bool          // a retry or a hedged request
+	QueueingDelay time.Duration // before the request was read
+	PriorRequest  uint64        // the remembered request that this one repeats; 0: none
+
+	// EventCompleted, EventCallCompleted.
+
+	Outcome Outcome
+	Elapsed time.Duration
+
+	// EventTimer.
+
+	Token  uint64 // of the ActionTimer
+	Gauges Gauges
+}
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -6,8 +6,8 @@
 	return c.parameters.QueueMemoryShare * c.settings.MemoryKB
 }
 
-// runMemoryLimitKB is the memory up to which runs start and keys are remembered. It is below
-// queueMemoryLimitKB, so that queued requests can be rejected without being squeezed by runs.
+// runMemoryLimitKB is the memory up to which runs start and keys are remembered. It is lower than
+// queueMemoryLimitKB, so that runs leave memory for the queue.
 func (c *Controller) runMemoryLimitKB() float64 {
 	return c.parameters.RunMemoryShare * c.settings.MemoryKB
 }
--- a/internal/admission/parameters.go
+++ b/internal/admission/parameters.go
@@ -1,150 +1,158 @@
 package admission
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
-// Parameters are what the module's decisions go by. Each is set out, with its reason, in the module
-// itself; the platform sets none of them. They can be set otherwise to try out a change before it
-// is built in.
+// Parameters are the adjustable constants of the module's decisions. The platform sets none of them;
+// a trial of a change may. Their values and reasons are listed in docs/capacity.md.
 type Parameters struct {
-	AdditiveIncrease       float64
-	MultiplicativeDecrease float64
-	MinCutFactor           float64
-	DelayTargetShare       float64
-	MinDelayTargetShare    float64
-	RejectDelayFactor      float64
-	BusyCPU                float64
-	MinCredit              float64
-	RetryTargetShare       float64
-	RetryStormShare        float64
-	FewRetriesShare        float64
-	OverrunFactor          float64
-	StartMarginFactor      float64
-	RunningLimitShare      float64
-	RunMemoryShare         float64
-	QueueMemoryShare       float64
-	CallQuotaShare         float64
-	MinCallQuotaShare      float64
-	SlowCallFactor         float64
-	CallLimitDecrease      float64
-	BestCallTimeGrowth     float64
-	LateCallWeight         float64
-	CallQueueShare         float64
-	IdleCreditPerCore      float64
-	MinCallLimitShare      float64
-	AdvertiseStep          float64
+	AdditiveIncrease       float64 // credits for each caller and control period; Breakwater's alpha
+	MultiplicativeDecrease float64 // of the relative excess of queueing delay; Breakwater's beta
+	MinCutFactor           float64 // of the pool that a cut leaves at least
+	DelayTargetShare       float64 // of what the latency objective leaves beside the run: the delay target
+	MinDelayTargetShare    float64 // the same while no requests are rejected
+	RejectDelayFactor      float64 // delay targets from which arrivals are rejected
+	BusyCPU                float64 // CPU gauge above which the cores count as busy
+	MinCredit              float64 // credits that cuts leave while the cores are busy
+	RetryTargetShare       float64 // of the delay target that a marked retry gets
+	RetryStormShare        float64 // retries as a share of arrivals at which retries get no delay target
+	FewRetriesShare        float64 // retries as a share of arrivals below which other servers have room
+	OverrunFactor          float64 // expected run times after which a run gives way under overload
+	StartMarginFactor      float64 // expected run times left for a start that cannot be cancelled
+	RunningLimitShare      float64 // of Settings.MaxRunningPerCore that is used
+	RunMemoryShare         float64 // of the memory below which runs start and keys are remembered
+	QueueMemoryShare       float64 // of the memory past which arrivals are rejected
+	CallQuotaShare         float64 // of the call quota that is spent steadily at most
+	MinCallQuotaShare      float64 // of the call quota that is spent steadily at least
+	SlowCallFactor         float64 // best call times past which the dependency is congested
+	CallLimitDecrease      float64 // factor of the call limit for each control period with congestion
+	BestCallTimeGrowth     float64 // factor of the best call time for each call
+	LateCallWeight         float64 // priority weight for each second that a late request has left
+	CallQueueShare         float64 // of the latency objective: the longest accepted wait for a call
+	IdleCreditPerCore      float64 // credits for each core that cuts leave while the cores are not busy
+	MinCallLimitShare      float64 // of the call quota: calls that the dependency works on at once
+	AdvertiseStep          float64 // of the advertised credit: smaller changes are not advertised
 }
 
-// Parameter is one of them, by name, with the bounds within which the module still works.
+var defaultParameters = Parameters{
+	AdditiveIncrease:       0.001,
+	MultiplicativeDecrease: 0.5,
+	MinCutFactor:           0.5,
+	DelayTargetShare:       0.4,
+	MinDelayTargetShare:    0.3,
+	RejectDelayFactor:      2.0,
+	BusyCPU:                0.9,
+	MinCredit:              1.0,
+	RetryTargetShare:       0.5,
+	RetryStormShare:        0.25,
+	FewRetriesShare:        0.05,
+	OverrunFactor:          3.0,
+	StartMarginFactor:      1.5,
+	RunningLimitShare:      0.8,
+	RunMemoryShare:         0.9,
+	QueueMemoryShare:       0.95,
+	CallQuotaShare:         0.8,
+	MinCallQuotaShare:      0.2,
+	SlowCallFactor:         2.5,
+	CallLimitDecrease:      0.9,
+	BestCallTimeGrowth:     1.003,
+	LateCallWeight:         1e-6, // only orders late requests: below the weight of any other
+	CallQueueShare:         0.07,
+	IdleCreditPerCore:      3.0,
+	MinCallLimitShare:      0.2,
+	AdvertiseStep:          0.02,
+}
+
+// DefaultParameters returns the parameters that apply where none are set.
+func DefaultParameters() Parameters { return defaultParameters }
+
+// ErrUnknownParameter reports a name that no parameter has.
+var ErrUnknownParameter = errors.New("no figure of the module has this name")
+
+// ParameterError is a parameter out of its bounds.
+type ParameterError struct {
+	Name            string
+	Value, Min, Max float64
+}
+
+func (e *ParameterError) Error() string {
+	return fmt.Sprintf("%v is not from %v to %v", e.Value, e.Min, e.Max)
+}
+
+// Parameter is one of the parameters by the name that files and commands use.
 type Parameter struct {
 	Name     string
 	Value    *float64
-	Min, Max float64
+	Min, Max float64 // the values with which the module still works
 }
 
-// All lists the figures.
-func (f *Parameters) All() []Parameter {
+// check returns a ParameterError if value is out of the parameter's bounds.
+func (p *Parameter) check(value float64) error {
+	if value >= p.Min && value <= p.Max {
+		return nil
+	}
+	return &ParameterError{Name: p.Name, Value: value, Min: p.Min, Max: p.Max}
+}
+
+// All lists the parameters of p. Their values can be read and set through the list.
+func (p *Parameters) All() []Parameter {
 	return []Parameter{
-		{"alpha", &f.AdditiveIncrease, 0, 10},
-		{"beta", &f.MultiplicativeDecrease, 0, 10},
-		{"cut_floor", &f.MinCutFactor, 0, 1},
-		{"target_share", &f.DelayTargetShare, 0.01, 1},
-		{"target_least", &f.MinDelayTargetShare, 0.01, 1},
-		{"refuse_at", &f.RejectDelayFactor, 0.1, 100},
-		{"busy_cpu", &f.BusyCPU, 0, 2},
-		{"pool_floor", &f.MinCredit, 0, 1000},
-		{"retry_share", &f.RetryTargetShare, 0, 10},
-		{"storm_share", &f.RetryStormShare, 0.001, 1},
-		{"few_share", &f.FewRetriesShare, 0, 1},
-		{"over_run", &f.OverrunFactor, 1, 1000},
-		{"hope_share", &f.StartMarginFactor, 0, 100},
-		{"crowd_share", &f.RunningLimitShare, 0.01, 1},
-		{"memory_share", &f.RunMemoryShare, 0.01, 1},
-		{"hold_share", &f.QueueMemoryShare, 0.01, 1},
-		{"call_share", &f.CallQuotaShare, 0.01, 1},
-		{"call_least", &f.MinCallQuotaShare, 0, 1},
-		{"call_slow", &f.SlowCallFactor, 1, 100},
-		{"call_cut", &f.CallLimitDecrease, 0.01, 1},
-		{"call_forget", &f.BestCallTimeGrowth, 1, 10},
-		{"call_late", &f.LateCallWeight, 0, 1},
-		{"call_ahead", &f.CallQueueShare, 0, 100},
-		{"idle_pool", &f.IdleCreditPerCore, 0, 1000},
-		{"call_slots", &f.MinCallLimitShare, 0.001, 1},
-		{"say_step", &f.AdvertiseStep, 0, 1},
+		{"alpha", &p.AdditiveIncrease, 0, 10},
+		{"beta", &p.MultiplicativeDecrease, 0, 10},
+		{"cut_floor", &p.MinCutFactor, 0, 1},
+		{"target_share", &p.DelayTargetShare, 0.01, 1},
+		{"target_least", &p.MinDelayTargetShare, 0.01, 1},
+		{"refuse_at", &p.RejectDelayFactor, 0.1, 100},
+		{"busy_cpu", &p.BusyCPU, 0, 2},
+		{"pool_floor", &p.MinCredit, 0, 1000},
+		{"retry_share", &p.RetryTargetShare, 0, 10},
+		{"storm_share", &p.RetryStormShare, 0.001, 1},
+		{"few_share", &p.FewRetriesShare, 0, 1},
+		{"over_run", &p.OverrunFactor, 1, 1000},
+		{"hope_share", &p.StartMarginFactor, 0, 100},
+		{"crowd_share", &p.RunningLimitShare, 0.01, 1},
+		{"memory_share", &p.RunMemoryShare, 0.01, 1},
+		{"hold_share", &p.QueueMemoryShare, 0.01, 1},
+		{"call_share", &p.CallQuotaShare, 0.01, 1},
+		{"call_least", &p.MinCallQuotaShare, 0, 1},
+		{"call_slow", &p.SlowCallFactor, 1, 100},
+		{"call_cut", &p.CallLimitDecrease, 0.01, 1},
+		{"call_forget", &p.BestCallTimeGrowth, 1, 10},
+		{"call_late", &p.LateCallWeight, 0, 1},
+		{"call_ahead", &p.CallQueueShare, 0, 100},
+		{"idle_pool", &p.IdleCreditPerCore, 0, 1000},
+		{"call_slots", &p.MinCallLimitShare, 0.001, 1},
+		{"say_step", &p.AdvertiseStep, 0, 1},
 	}
 }
 
-// Set gives one figure another value.
-func (f *Parameters) Set(name string, v float64) error {
-	for _, g := range f.All() {
-		if g.Name == name {
-			if !(v >= g.Min && v <= g.Max) {
-				return fmt.Errorf("%v is not from %v to %v", v, g.Min, g.Max)
-			}
-			*g.Value = v
-			return nil
+// Set gives one parameter another value. It returns ErrUnknownParameter for a name that there is
+// not, and a ParameterError for a value out of bounds.
+func (p *Parameters) Set(name string, value float64) error {
+	for _, parameter := range p.All() {
+		if parameter.Name != name {
+			continue
 		}
+		if err := parameter.check(value); err != nil {
+			return err
+		}
+		*parameter.Value = value
+		return nil
 	}
-	return fmt.Errorf("no figure of the module has this name")
+	return ErrUnknownParameter
 }
 
-// orDefault takes the standard ones where none were told, and reports one out of its bounds.
-func (f Parameters) orDefault(standard Parameters) (Parameters, error) {
-	if f == (Parameters{}) {
-		return standard, nil
+// orDefault returns p, or defaults if p is the zero value. It reports a parameter out of its bounds.
+func (p Parameters) orDefault(defaults Parameters) (Parameters, error) {
+	if p == (Parameters{}) {
+		return defaults, nil
 	}
-	for _, g := range f.All() {
-		if !(*g.Value >= g.Min && *g.Value <= g.Max) {
-			return f, fmt.Errorf(
-				"admission: setting Parameters: %s is %v, not from %v to %v",
-				g.Name,
-				*g.Value,
-				g.Min,
-				g.Max,
-			)
+	for _, parameter := range p.All() {
+		if err := parameter.check(*parameter.Value); err != nil {
+			return p, fmt.Errorf("admission: setting Parameters.%s: %w", parameter.Name, err)
 		}
 	}
-	return f, nil
-}
-
-var defaultParameters = Parameters{
-	AdditiveIncrease: 0.001, // credits per caller and period; paper: additive growth, at least 1
-	// of the excess; paper: 0.02 each network round trip, but a period is far longer
-	MultiplicativeDecrease: 0.5,
-	MinCutFactor:           0.5, // of the pool; paper: no cut takes more than half
-	DelayTargetShare:       0.4, // of the aim left beside the run; paper: 40% of the objective
-	// the same while nothing is turned away: others have room, an early cut leads there
-	MinDelayTargetShare: 0.3,
-	RejectDelayFactor:   2.0, // delay targets; paper: refusal past it
-	BusyCPU:             0.9, // cpu gauge; design page: cut and refuse only above it
-	MinCredit:           1.0, // credits: a trickle that shows when a server has recovered
-	RetryTargetShare:    0.5, // of the target: what a marked further try gets of it
-	// of arrivals: so many further tries are a storm, and get nothing of the target
-	RetryStormShare: 0.25,
-	// of arrivals: with fewer further tries others serve; with more a walk is in vain
-	FewRetriesShare: 0.05,
-	// expected runs: past it, under overload, stoppable work gives way to what waits
-	OverrunFactor: 3.0,
-	// expected runs: time for a start that cannot be stopped; one for one that can
-	StartMarginFactor: 1.5,
-	RunningLimitShare: 0.8, // of the crowd that the server outlives: room for what comes back at once
-	RunMemoryShare:    0.9, // of the memory: runs start and keys are kept below it
-	// of the memory: arrivals are refused past it; the rest is for what is read unasked
-	QueueMemoryShare: 0.95,
-	// of the stated share of the dependency: the most that is spent steadily on calls
-	CallQuotaShare: 0.8,
-	// of it: the least, however small; the rest is saved up for calls that take long
-	MinCallQuotaShare:  0.2,
-	SlowCallFactor:     2.5,   // best mean times of a call: past it the dependency is crowded
-	CallLimitDecrease:  0.9,   // a period: how fast a crowded dependency is given room
-	BestCallTimeGrowth: 1.003, // a call: how fast the best mean is forgotten
-	LateCallWeight:     1e-6,  // of worth, for each second left: the order of requests that are late
-	// of the aim: what would stand in line for a call for longer is refused at reading
-	CallQueueShare: 0.07,
-	// credits for each core: the least while calls stand in line and the cores are free
-	IdleCreditPerCore: 3.0,
-	MinCallLimitShare: 0.2,  // of the stated share: what the dependency works on at once
-	AdvertiseStep:     0.02, // of the value last sent: smaller moves are not sent
+	return p, nil
 }
-
-// DefaultParameters are those that are built in.
-func DefaultParameters() Parameters { return defaultParameters }
--- a/internal/admission/parameters_test.go
+++ b/internal/admission/parameters_test.go
@@ -29,7 +29,7 @@
 	set := testSettings()
 	set.Parameters = f
 	set.Parameters.CallLimitDecrease = -1
-	if _, err := New(set, 0); err == nil || !strings.Contains(err.Error(), "call_cut is -1") {
+	if _, err := New(set, 0); err == nil || !strings.Contains(err.Error(), "call_cut: -1 is not from 0.01 to 1") {
 		t.Errorf("New: %v", err)
 	}
 }
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -1,97 +1,130 @@
 package admission
 
-import (
-	"fmt"
-	"math"
-	"strconv"
+import "time"
+
+// Idempotency says what running a request twice would do.
+type Idempotency uint8
+
+// The kinds of idempotency.
+const (
+	Idempotent        Idempotency = iota // it may run any number of times
+	IdempotentWithKey                    // it may arrive again within Class.IdempotencyWindow and must run once
+	NonIdempotent                        // it must never run twice, and its result is never reused
 )
 
-// SettingError is a setting that is missing or out of range, or that another contradicts.
-type SettingError struct {
-	Setting string // as Settings names it, for example Classes[2].IdempotencyWindow
-	Value   any
-	Want    string // what it would have to be
-}
+// CreditMode says how callers read the value of ActionAdvertise.
+type CreditMode uint8
+
+// The forms of the advertised credit.
+const (
+	CreditNone          CreditMode = iota // callers read no value, and none may be advertised
+	CreditRankThreshold                   // callers keep back requests whose Event.Rank is below the value
+	CreditPerCaller                       // requests in flight for each caller; a fraction is a probability
+	CreditWeight                          // probability, 0 to 1, with which a caller picks this server
+)
+
+// CancelMode says what becomes of a run that is cancelled.
+type CancelMode uint8
+
+// The kinds of cancellation.
+const (
+	CancelNone    CancelMode = iota // runs cannot be cancelled
+	CancelDiscard                   // the work done so far is lost
+	CancelSuspend                   // the run keeps its progress and its memory until it is started again
+)
 
-func (e *SettingError) Error() string {
-	return fmt.Sprintf("admission: setting %s: %v, and it has to be %s", e.Setting, e.Value, e.Want)
+// Dependency says what requests call while they run.
+type Dependency uint8
+
+// The kinds of dependency.
+const (
+	DependencyNone   Dependency = iota
+	DependencyShared            // one system that all servers of the fleet share
+	DependencyTier              // a further tier of servers behind a load balancer
+)
+
+// Class describes one class of requests.
+type Class struct {
+	Name string
+	// LatencyObjective is the time from the first attempt within which an answer earns the full
+	// weight.
+	LatencyObjective time.Duration
+	// ObjectiveWorkFactor times a request's own expected work is added to its objective.
+	ObjectiveWorkFactor float64
+	// Timeout is how long a client waits in all. It is the deadline of requests that tell none.
+	Timeout time.Duration
+	// IdempotencyWindow is how long after its arrival a request may arrive again, for
+	// IdempotentWithKey.
+	IdempotencyWindow time.Duration
+	Idempotency       Idempotency
+	// PriorityWeight is the value of an answer relative to those of other classes.
+	PriorityWeight float64
+	// LateWeightFraction is the fraction of the weight that an answer earns between the objective
+	// and the deadline.
+	LateWeightFraction float64
+	// CallsDependency says whether requests of the class may call the dependency.
+	CallsDependency bool
+	// DegradedWeightFraction is the fraction of the weight that an answer earns without its call; 0:
+	// there is no answer without it.
+	DegradedWeightFraction float64
+	// Removed marks a class that is no longer configured and remains for its open requests; see
+	// Settings.MergeClasses.
+	Removed bool
 }
 
-// Validate reports a setting that a controller cannot do without. What the settings allow beyond what
-// it makes use of is no fault.
-func (s *Settings) Validate() error {
-	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
-	shared := s.Dependency == DependencyShared
-	for _, f := range []struct {
-		name  string
-		value any
-		want  string
-		good  bool
-	}{
-		{"Classes", len(s.Classes), "at least one", len(s.Classes) > 0},
-		{"Classes", len(s.Classes), "at most " + strconv.Itoa(MaxClasses), len(s.Classes) <= MaxClasses},
-		{"Cores", s.Cores, "1 or more", s.Cores >= 1},
-		{"MemoryKB", s.MemoryKB, "above 0", s.MemoryKB > 0 && finite(s.MemoryKB)},
-		{"RunningMemoryFactor", s.RunningMemoryFactor, "1 or more", s.RunningMemoryFactor >= 1 && finite(s.RunningMemoryFactor)},
-		{"KeyMemoryKB", s.KeyMemoryKB, "0 or more", s.KeyMemoryKB >= 0 && finite(s.KeyMemoryKB)},
-		{"MaxRunningPerCore", s.MaxRunningPerCore, "1 or more", s.MaxRunningPerCore >= 1 && finite(s.MaxRunningPerCore)},
-		{"WarmUpInitialShare", s.WarmUpInitialShare, "from 0 to 1", s.WarmUpInitialShare >= 0 && s.WarmUpInitialShare <= 1},
-		{"CallQuota", s.CallQuota, "above 0, and calls are shared", !shared || s.CallQuota > 0 && finite(s.CallQuota)},
-	} {
-		if !f.good {
-			return &SettingError{f.name, f.value, f.want}
-		}
-	}
-	for i := range s.Classes {
-		if err := s.Classes[i].validate(s.Classes[:i]); err != nil {
-			err.Setting = fmt.Sprintf("Classes[%d].%s", i, err.Setting)
-			return err
-		}
-	}
-	for i, t := range s.Tenants {
-		at := fmt.Sprintf("Tenants[%d].", i)
-		if t.Name == "" {
-			return &SettingError{at + "Name", `""`, "a name"}
-		}
-		for _, o := range s.Tenants[:i] {
-			if o.Name == t.Name {
-				return &SettingError{at + "Name", t.Name, "a name that no other tenant has"}
-			}
-		}
-		if !(t.QuotaRate >= 0) || !finite(t.QuotaRate) {
-			return &SettingError{at + "QuotaRate", t.QuotaRate, "0 or more"}
-		}
-	}
-	return nil
+// Tenant is one customer of the fleet.
+type Tenant struct {
+	Name      string
+	QuotaRate float64 // requests a second within its quota, over all servers; 0: no quota
 }
 
-// validate reports what is wrong with a class beside those before it.
-func (c *Class) validate(others []Class) *SettingError {
-	fraction := func(v float64) bool { return v >= 0 && v <= 1 }
-	for _, f := range []struct {
-		name  string
-		value any
-		want  string
-		good  bool
-	}{
-		{"Name", `""`, "a name", c.Name != ""},
-		{"LatencyObjective", c.LatencyObjective, "above 0", c.LatencyObjective > 0},
-		{"Timeout", c.Timeout, "above 0", c.Timeout > 0},
-		{"ObjectiveWorkFactor", c.ObjectiveWorkFactor, "0 or more", c.ObjectiveWorkFactor >= 0 && !math.IsInf(c.ObjectiveWorkFactor, 0)},
-		{"Idempotency", c.Idempotency, "one of the effects", c.Idempotency <= NonIdempotent},
-		{"IdempotencyWindow", c.IdempotencyWindow, "above 0, and the class is keyed", c.Idempotency != IdempotentWithKey || c.IdempotencyWindow > 0},
-		{"PriorityWeight", c.PriorityWeight, "0 or more", c.PriorityWeight >= 0 && !math.IsInf(c.PriorityWeight, 0)},
-		{"LateWeightFraction", c.LateWeightFraction, "from 0 to 1", fraction(c.LateWeightFraction)},
-		{"DegradedWeightFraction", c.DegradedWeightFraction, "from 0 to 1", fraction(c.DegradedWeightFraction)},
-	} {
-		if !f.good {
-			return &SettingError{f.name, f.value, f.want}
-		}
-	}
-	for i := range others {
-		if o := &others[i]; o.Name == c.Name && !o.Removed && !c.Removed {
-			return &SettingError{"Name", c.Name, "a name that no other class has"}
-		}
-	}
-	return nil
+// Settings describes the server and its surroundings. The zero value of a field means that it is not
+// known, unless Validate reports it as missing.
+type Settings struct {
+	Classes []Class
+	Tenants []Tenant
+
+	Servers   int  // servers of this tier at the start
+	Callers   int  // callers of this tier at the start
+	WarmingUp bool // the process has just started
+
+	Cores               int
+	MemoryKB            float64
+	RunningMemoryFactor float64 // memory of a running request over that of a queued one
+	KeyMemoryKB         float64 // memory of a remembered key
+	ResultMaxAge        time.Duration
+	Cancel              CancelMode
+	CreditMode          CreditMode
+	CreditLifetime      time.Duration // how long callers remember the advertised credit
+
+	Dependency Dependency
+	// CallQuota is this server's share of the calls in flight that the shared dependency can take,
+	// as a mean over CallQuotaWindow.
+	CallQuota                 float64
+	CallQuotaWindow           time.Duration
+	AbandonedCallTime         time.Duration // how long the dependency works on an abandoned call at most
+	DeepHealthChecks          bool
+	ReportsAbandoned          bool // the host reports EventAbandoned
+	MarksRetries              bool // callers set Event.Retry
+	EndpointListFollowsHealth bool // callers' endpoint list drops servers whose health checks fail
+	IdleConnectionTimeout     time.Duration
+	MaxRetryAfter             time.Duration // the longest Retry-After that callers observe
+	NoRetryAfter              bool          // Retry-After is not passed on
+	// HandshakeCost is what a new connection takes off the result, in parts of the priority weight
+	// of all requests.
+	HandshakeCost   float64
+	WeightPerWork   bool    // priority weights count for each unit of work, not for each request
+	OverQuotaWeight float64 // weight of a request beyond its tenant's quota
+
+	DeadlineGrace time.Duration // time after a deadline in which an answer still counts
+	// DrainGrace is the time after the begin of a drain from which arrivals must not start.
+	DrainGrace time.Duration
+	// MaxRunningPerCore is the number of running requests for each core, as a mean over
+	// MaxRunningWindow, that a server can take which is not warming up.
+	MaxRunningPerCore  float64
+	MaxRunningWindow   time.Duration
+	WarmUpInitialShare float64       // speed of a server that just started, as a share of its full speed
+	WarmUpTime         time.Duration // time until the full speed
+
+	Parameters Parameters // of the module itself; the zero value stands for DefaultParameters
 }
