--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -30,14 +30,14 @@
 		t.Fatal(err)
 	}
 	now := time.Now().UnixMicro()
-	j, _, err := store.OpenJournal(store.Dir(dir), now, store.Standard())
+	j, _, err := store.OpenJournal(store.Dir(dir), now, store.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for k := range 5 {
 		r := &store.Record{
-			Kind:  store.Begun,
-			Name:  store.Name{Class: "hand-in", Key: fmt.Sprint("key", k)},
+			Kind:  store.RunStarted,
+			Name:  store.KeyName{Class: "hand-in", Key: fmt.Sprint("key", k)},
 			Owner: 1,
 			Until: now + 60_000_000,
 		}
--- a/cmd/runner/store.go
+++ b/cmd/runner/store.go
@@ -32,7 +32,7 @@
 
 // readStore reads a folder that may be in use: a file that a snapshot has just made needless may go
 // meanwhile.
-func readStore(dir string) (*store.Found, error) {
+func readStore(dir string) (*store.Recovery, error) {
 	info, err := os.Stat(dir)
 	if err != nil {
 		return nil, badInput{err}
@@ -41,7 +41,7 @@
 		return nil, badInput{fmt.Errorf("%s is no folder", dir)}
 	}
 	for range 20 {
-		f, err := store.Read(store.Dir(dir), time.Now().UnixMicro(), store.Standard())
+		f, err := store.Read(store.Dir(dir), time.Now().UnixMicro(), store.DefaultOptions())
 		if !errors.Is(err, os.ErrNotExist) {
 			var format *store.FormatError
 			if errors.As(err, &format) {
@@ -54,7 +54,7 @@
 }
 
 // whole is an error if a folder is damaged.
-func whole(f *store.Found) error {
+func whole(f *store.Recovery) error {
 	if len(f.Damage) > 0 {
 		return badInput{&store.DamageError{Damage: f.Damage}}
 	}
@@ -89,10 +89,10 @@
 			k.Name.Tenant,
 			k.Name.Key,
 			"begun",
-			time.UnixMicro(k.Until).UTC(),
+			time.UnixMicro(k.ExpiresAt).UTC(),
 			0,
 			fmt.Sprintf("%x", k.Owner),
-			hex.EncodeToString(k.Body[:8]),
+			hex.EncodeToString(k.BodyHash[:8]),
 		}
 		switch {
 		case k.Result != nil:
@@ -151,8 +151,8 @@
 	Damage   []store.Damage `json:"damage,omitempty"`
 }
 
-func sumOf(f *store.Found) storeSum {
-	return storeSum{len(f.Keys), f.Expired, f.Snapshot, f.Segments, f.Records, f.Cut, f.Damage}
+func sumOf(f *store.Recovery) storeSum {
+	return storeSum{len(f.Keys), f.Expired, f.Snapshot, f.Segments, f.Records, f.TornBytes, f.Damage}
 }
 
 // Run looks for damage.
@@ -178,7 +178,7 @@
 		f.Snapshot,
 		f.Segments,
 		f.Records,
-		f.Cut,
+		f.TornBytes,
 	)
 	return err
 }
@@ -199,7 +199,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	opt := store.Standard()
+	opt := store.DefaultOptions()
 	opt.Repair = c.Repair
 	j, f, err := store.OpenJournal(dir, time.Now().UnixMicro(), opt)
 	var damage *store.DamageError
--- a/cmd/runner/stored_test.go
+++ b/cmd/runner/stored_test.go
@@ -31,34 +31,34 @@
 		t.Fatal(err)
 	}
 	const now = 1_700_000_000_000_000
-	j, _, err := store.OpenJournal(store.Dir(dir), now, store.Standard())
+	j, _, err := store.OpenJournal(store.Dir(dir), now, store.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := func(kind store.Kind, key string) *store.Record {
+	record := func(kind store.RecordKind, key string) *store.Record {
 		r := &store.Record{
-			Kind: kind, Name: store.Name{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, At: now,
+			Kind: kind, Name: store.KeyName{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, At: now,
 			Until: storedUntil, Body: [32]byte{1, 2, 3},
 		}
-		if kind == store.Ended {
+		if kind == store.RunEnded {
 			r.Result = &store.Result{
 				Status: 201, Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}}, Body: []byte("handed in"),
 			}
 		}
 		return r
 	}
-	if err := j.Commit([]*store.Record{record(store.Begun, "a"), record(store.Begun, "b"), record(store.Ended, "b")}); err != nil {
+	if err := j.Commit([]*store.Record{record(store.RunStarted, "a"), record(store.RunStarted, "b"), record(store.RunEnded, "b")}); err != nil {
 		t.Fatal(err)
 	}
-	snapshot, err := j.ForceCut(now)
+	snapshot, err := j.BeginSnapshot(now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := snapshot.Write(); err != nil {
 		t.Fatal(err)
 	}
-	j.Finish(snapshot)
-	if err := j.Commit([]*store.Record{record(store.Begun, "c")}); err != nil {
+	j.FinishSnapshot(snapshot)
+	if err := j.Commit([]*store.Record{record(store.RunStarted, "c")}); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.Close(); err != nil {
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -115,7 +115,7 @@
 	cfg    *config.Platform
 	op     *config.Operator
 	loop   *eventloop.Loop
-	core   *lifecycle.Core
+	core   *lifecycle.Manager
 	front  *platform.Frontend
 	door   *admin.Server      // nil where nobody opened it
 	second *uwsgi.Frontend    // nil where no operator's file sets it up
@@ -133,23 +133,23 @@
 	lost  traffic.Lost      // as was told last
 	told  lifecycle.Stats
 
-	control  *control.Server     // nil where nobody may ask
-	figures  *metrics.Metrics    // with it
-	recent   *explain.Record     // nil where nothing is remembered of requests
-	keep     *persistence.Keeper // nil where keys are not kept on a disk
-	spans    *tracing.Recorder   // nil where none are written
-	meter    *metering.Meter     // nil where no account of usage is kept
-	peers    *node.Node          // nil where nothing is copied
-	promised map[usedKey]bool    // uses that are counted before their answers go out
-	untold   tracing.Lost        // as was told last
-	fatal    error               // why the program ends
+	control  *control.Server       // nil where nobody may ask
+	figures  *metrics.Metrics      // with it
+	recent   *explain.Record       // nil where nothing is remembered of requests
+	keep     *persistence.KeyStore // nil where keys are not kept on a disk
+	spans    *tracing.Recorder     // nil where none are written
+	meter    *metering.Meter       // nil where no account of usage is kept
+	peers    *node.Node            // nil where nothing is copied
+	promised map[usedKey]bool      // uses that are counted before their answers go out
+	untold   tracing.Lost          // as was told last
+	fatal    error                 // why the program ends
 
 	accepted, invalid int64 // files at HUP
 
-	claims    *reservation.Ledger // nil: no other process can be this runner
-	unclaimed bool                // it is not open yet, as another process holds its lock
-	parts     int                 // processes that are this runner
-	listens   bool                // for balancers
+	claims    *reservation.Coordinator // nil: no other process can be this runner
+	unclaimed bool                     // it is not open yet, as another process holds its lock
+	parts     int                      // processes that are this runner
+	listens   bool                     // for balancers
 
 	leaving       bool
 	reading, more bool // files are being read; they are to be read once more after that
@@ -195,7 +195,7 @@
 	if err := r.startPeers(life); err != nil {
 		return nil, err
 	}
-	var among lifecycle.Claims = claimer{r}
+	var among lifecycle.Reservations = claimer{r}
 	if r.peers != nil {
 		kept, among = r.peers.Keeper(kept), r.peers
 	}
@@ -217,24 +217,24 @@
 }
 
 // host is what the core needs of the program.
-func (r *Program) host(kept lifecycle.Keeper, among lifecycle.Claims, life uint64) lifecycle.Host {
+func (r *Program) host(kept lifecycle.KeyStore, among lifecycle.Reservations, life uint64) lifecycle.Host {
 	l := r.loop
 	return lifecycle.Host{
 		Now: l.Now, Unix: l.Unix,
-		After:  func(d int64, fn func()) func() { return l.After(d, fn).Stop },
-		Gauges: r.link.Gauges,
-		Health: r.health,
-		Say:    r.front.SetAdvertisedValue,
-		Trim:   r.front.SetIdleTimeout,
-		Route:  func(class int) lifecycle.Runner { return r.routes[class] },
-		Again:  r.again,
-		Back:   r.backOf,
-		Below:  r.pool,
-		Seen:   r.record(),
-		Keeper: kept,
-		Trails: r.trails(),
-		Claims: among,
-		Life:   life,
+		After:        func(d int64, fn func()) func() { return l.After(d, fn).Stop },
+		Measure:      r.link.Gauges,
+		SetHealth:    r.health,
+		Advertise:    r.front.SetAdvertisedValue,
+		CloseIdle:    r.front.SetIdleTimeout,
+		Route:        func(class int) lifecycle.Runner { return r.routes[class] },
+		ShouldRetry:  r.again,
+		RetryAfter:   r.backOf,
+		Dependency:   r.pool,
+		OnAccepted:   r.record(),
+		KeyStore:     kept,
+		OnAnswered:   r.trails(),
+		Reservations: among,
+		Incarnation:  life,
 	}
 }
 
--- a/internal/app/beside.go
+++ b/internal/app/beside.go
@@ -30,29 +30,29 @@
 // claimer is the ledger of claims as the core sees it, also before it is open.
 type claimer struct{ r *Program }
 
-// Claim implements core.Claims.
-func (c claimer) Claim(k lifecycle.Kept, within int64, free func() bool, done func(bool, error)) {
+// Reserve implements lifecycle.Reservations.
+func (c claimer) Reserve(k lifecycle.KeyRecord, within int64, free func() bool, done func(bool, error)) {
 	switch {
 	case c.r.claims != nil:
-		c.r.claims.Claim(k, within, free, done)
+		c.r.claims.Reserve(k, within, free, done)
 	case c.r.unclaimed: // another process may have run it
-		done(false, reservation.ErrBusy)
+		done(false, reservation.ErrLockHeld)
 	default:
 		done(true, nil)
 	}
 }
 
-// Ended implements core.Claims.
-func (c claimer) Ended(k lifecycle.Kept) {
+// Ended implements lifecycle.Reservations.
+func (c claimer) Ended(k lifecycle.KeyRecord) {
 	if c.r.claims != nil {
 		c.r.claims.Ended(k)
 	}
 }
 
-// Forgot implements core.Claims.
-func (c claimer) Forgot(k lifecycle.Kept) {
+// Released implements lifecycle.Reservations.
+func (c claimer) Released(k lifecycle.KeyRecord) {
 	if c.r.claims != nil {
-		c.r.claims.Forgot(k)
+		c.r.claims.Released(k)
 	}
 }
 
@@ -70,12 +70,12 @@
 	var err error
 	r.claims, err = reservation.Open(
 		r.loop,
-		reservation.Config{Dir: dir, Runner: r.cfg.Name + " " + r.cfg.Listen.String(), Life: uint32(life),
-			Window: window + keyLate, Most: int64(r.cfg.MemoryMB) << 20 / resultsPart, Beside: r.beside,
+		reservation.Config{Dir: dir, Runner: r.cfg.Name + " " + r.cfg.Listen.String(), Incarnation: uint32(life),
+			Window: window + keyLate, MaxResultBytes: int64(r.cfg.MemoryMB) << 20 / resultsPart, OnProcessesChanged: r.beside,
 			After: func(d int64, fn func()) { r.loop.After(d, fn) }},
 		r.core,
 	)
-	if r.unclaimed = errors.Is(err, reservation.ErrBusy); r.unclaimed {
+	if r.unclaimed = errors.Is(err, reservation.ErrLockHeld); r.unclaimed {
 		r.loop.After(claimsAgain, func() { r.startClaims(life) })
 	}
 	if err != nil {
@@ -141,7 +141,7 @@
 	r.listens = true
 	evListens.Log(r.cfg.Name, r.front.Addr())
 	if r.claims != nil {
-		r.claims.Serves()
+		r.claims.MarkServing()
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 	if r.claims == nil {
 		return false
 	}
-	_, serves := r.claims.Beside()
+	_, serves := r.claims.OtherProcesses()
 	return serves
 }
 
@@ -181,7 +181,7 @@
 	if r.second != nil {
 		r.second.Drain()
 	}
-	evRetire.Log(r.core.Open(), most/1000)
+	evRetire.Log(r.core.OpenRequests(), most/1000)
 	r.loop.After(most-retireDrain, func() {
 		set := r.part(r.cfg.Settings)
 		set.DrainGrace = 0
@@ -193,7 +193,7 @@
 	var look func()
 	look = func() {
 		past := r.loop.Now() - began
-		if r.conns() == 0 && r.core.Idle() && !r.front.IsListening() || past > most-drainSpare {
+		if r.conns() == 0 && r.core.IsIdle() && !r.front.IsListening() || past > most-drainSpare {
 			r.finish(past)
 			return
 		}
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -19,53 +19,53 @@
 
 // trails has what became of requests counted, remembered and written, as far as the operator's file
 // asks for it; nil: nobody does.
-func (r *Program) trails() func(*lifecycle.Trail) {
-	var all []func(*lifecycle.Trail)
+func (r *Program) trails() func(*lifecycle.Trace) {
+	var all []func(*lifecycle.Trace)
 	if r.meter != nil {
 		all = append(all, r.note)
 	}
 	if r.op != nil && r.op.Control.Socket != "" {
 		r.recent = explain.New(
 			r.op.Control.ExplainKB<<10,
-			func(class int) bool { return r.core.Keyed(class) },
+			func(class int) bool { return r.core.IsKeyed(class) },
 			r.cfg.Seed,
 		)
 		r.figures = metrics.New(r.className, kindNames, r.gauges)
 		all = append(
 			all,
-			func(t *lifecycle.Trail) { r.recent.Add(t, r.loop.Unix()) },
+			func(t *lifecycle.Trace) { r.recent.Add(t, r.loop.Unix()) },
 			r.figures.Add,
 			r.tellAnswered,
 		)
 	}
 	if r.spans != nil {
-		all = append(all, func(t *lifecycle.Trail) { r.spans.Add(t, r.loop.Unix()) })
+		all = append(all, func(t *lifecycle.Trace) { r.spans.Add(t, r.loop.Unix()) })
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	return func(t *lifecycle.Trail) {
+	return func(t *lifecycle.Trace) {
 		for _, fn := range all {
 			fn(t)
 		}
 	}
 }
 
-func (r *Program) tellAnswered(t *lifecycle.Trail) {
+func (r *Program) tellAnswered(t *lifecycle.Trace) {
 	if !evAnswered.Enabled() {
 		return
 	}
 	server := ""
-	if n := min(t.Tries, len(t.Hops)); n > 0 {
-		server = t.Hops[n-1].Server
+	if n := min(t.AttemptCount, len(t.Attempts)); n > 0 {
+		server = t.Attempts[n-1].Server
 	}
 	evAnswered.Log(
-		t.Name,
+		t.ID,
 		r.cfg.Settings.Classes[t.Class].Name,
-		kindNames[t.Kind],
+		kindNames[t.Status],
 		t.Cause,
-		float64(t.Answered-t.Arrived)/1000,
-		t.Tries,
+		float64(t.AnsweredAt-t.ArrivedAt)/1000,
+		t.AttemptCount,
 		server,
 	)
 }
@@ -77,18 +77,18 @@
 		draining = 1
 	}
 	out := []metrics.Gauge{
-		{Name: "ryepaddle_open", Help: "Requests that are owed an answer.", Value: float64(r.core.Open())},
+		{Name: "ryepaddle_open", Help: "Requests that are owed an answer.", Value: float64(r.core.OpenRequests())},
 		{Name: "ryepaddle_connections", Help: "Connections of callers.", Value: float64(r.conns())},
 		{Name: "ryepaddle_draining", Help: "1: the program leaves.", Value: draining},
 	}
-	for class, n := range r.core.ByClass() {
+	for class, n := range r.core.StatsByClass() {
 		for end, v := range map[string]int64{
 			"served":    n.Served,
-			"refused":   n.Refused,
+			"refused":   n.Rejected,
 			"failed":    n.Failed,
-			"late":      n.Late,
-			"misused":   n.Misused,
-			"gone":      n.Gone,
+			"late":      n.Expired,
+			"misused":   n.Conflicts,
+			"gone":      n.Abandoned,
 			"withdrawn": n.Withdrawn,
 		} {
 			out = append(
@@ -108,7 +108,7 @@
 				Name:   "ryepaddle_relayed_total",
 				Help:   "Attempts handed to the engine or a server.",
 				Labels: map[string]string{"class": class},
-				Value:  float64(n.Started),
+				Value:  float64(n.Attempts),
 				Total:  true,
 			},
 		)
@@ -200,7 +200,7 @@
 	}
 	if r.keep != nil {
 		closed := 0.0
-		if back, _ := r.keep.Closed(); back > 0 {
+		if back, _ := r.keep.Unavailable(); back > 0 {
 			closed = 1
 		}
 		out = append(
@@ -421,28 +421,28 @@
 	Entries []Explained `json:"entries"`
 }
 
-var kindNames = map[lifecycle.Kind]string{
-	0:                 "gone",
-	lifecycle.Served:  "served",
-	lifecycle.Refused: "refused",
-	lifecycle.Failed:  "failed",
-	lifecycle.Late:    "late",
-	lifecycle.Misused: "misused",
-	lifecycle.Foreign: "foreign",
-	lifecycle.Ran:     "ran",
+var kindNames = map[lifecycle.Status]string{
+	0:                    "gone",
+	lifecycle.Served:     "served",
+	lifecycle.Rejected:   "refused",
+	lifecycle.Failed:     "failed",
+	lifecycle.Expired:    "late",
+	lifecycle.Conflict:   "misused",
+	lifecycle.NotFound:   "foreign",
+	lifecycle.ResultLost: "ran",
 }
 
 var outcomeNames = map[lifecycle.Outcome]string{
-	0:                     "not over",
-	lifecycle.Fine:        "fine",
-	lifecycle.Fault:       "fault",
-	lifecycle.Broken:      "broken off",
-	lifecycle.TimedOut:    "out of time",
-	lifecycle.Stopped:     "stopped",
-	lifecycle.NotRun:      "not run",
-	lifecycle.TurnedAway:  "turned away",
-	lifecycle.Unreachable: "unreachable",
-	lifecycle.Unknown:     "unknown",
+	0:                        "not over",
+	lifecycle.Succeeded:      "fine",
+	lifecycle.Faulted:        "fault",
+	lifecycle.Interrupted:    "broken off",
+	lifecycle.TimedOut:       "out of time",
+	lifecycle.Canceled:       "stopped",
+	lifecycle.NotStarted:     "not run",
+	lifecycle.CallRejected:   "turned away",
+	lifecycle.Unreachable:    "unreachable",
+	lifecycle.UnknownRequest: "unknown",
 }
 
 // asked answers whoever asks on the control socket.
@@ -515,10 +515,10 @@
 		Name:        r.cfg.Name,
 		Version:     buildinfo.Version(),
 		Draining:    r.leaving,
-		Open:        r.core.Open(),
+		Open:        r.core.OpenRequests(),
 		Connections: r.conns(),
 		Stats:       r.core.Stats(),
-		KeysHeld:    r.core.Keys(),
+		KeysHeld:    r.core.KeyCount(),
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.groups)) {
 		line, _ := r.groups[name].Summary()
@@ -536,7 +536,7 @@
 		s.Inventory = r.watch.RejectReason()
 	}
 	if r.keep != nil {
-		_, s.Keys = r.keep.Closed()
+		_, s.Keys = r.keep.Unavailable()
 	}
 	if r.peers != nil {
 		s.Peers = r.peers.Status()
@@ -586,7 +586,7 @@
 		}
 	}
 	if q.Cause != "" {
-		for _, c := range lifecycle.Causes() {
+		for _, c := range lifecycle.AllCauses() {
 			if c.String() == q.Cause {
 				e.Cause = c
 			}
@@ -605,28 +605,28 @@
 func (r *Program) inWords(x *explain.Entry) Explained {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	e := Explained{
-		ID:        x.Name,
+		ID:        x.ID,
 		Key:       x.Key,
-		Repeats:   x.First,
+		Repeats:   x.OriginalID,
 		Class:     r.cfg.Settings.Classes[x.Class].Name,
 		Caller:    x.Caller,
-		ArrivedMs: x.Arrived / 1000,
+		ArrivedMs: x.ArrivedAt / 1000,
 		TookMs: ms(
-			x.Answered - x.Arrived,
+			x.AnsweredAt - x.ArrivedAt,
 		),
-		End:        kindNames[x.Kind],
+		End:        kindNames[x.Status],
 		Value:      x.Value,
 		Limit:      x.Limit,
-		ComeBackMs: x.ComeBack / 1000,
-		MoreTries:  max(x.Tries-len(x.Hops), 0),
+		ComeBackMs: x.RetryAfter / 1000,
+		MoreTries:  max(x.AttemptCount-len(x.Attempts), 0),
 	}
 	if x.Tenant >= 0 && x.Tenant < len(r.cfg.Settings.Tenants) {
 		e.Tenant = r.cfg.Settings.Tenants[x.Tenant].Name
 	}
-	if e.WaitedMs = e.TookMs; x.Started > 0 {
-		e.WaitedMs = ms(x.Started - x.Arrived)
+	if e.WaitedMs = e.TookMs; x.StartedAt > 0 {
+		e.WaitedMs = ms(x.StartedAt - x.ArrivedAt)
 	}
-	if e.KeptMs = ms(x.Kept); x.Kept > 0 {
+	if e.KeptMs = ms(x.KeyWait); x.KeyWait > 0 {
 		if e.KeptBy = "disk"; r.peers != nil {
 			e.KeptBy = "copies"
 		}
@@ -637,8 +637,8 @@
 	if x.Stands > 1 {
 		e.Stands = x.Stands
 	}
-	for _, h := range x.Hops[:min(x.Tries, len(x.Hops))] {
-		e.Tries = append(e.Tries, Tried{h.Server, ms(h.Took), outcomeNames[h.Outcome]})
+	for _, h := range x.Attempts[:min(x.AttemptCount, len(x.Attempts))] {
+		e.Tries = append(e.Tries, Tried{h.Server, ms(h.Duration), outcomeNames[h.Outcome]})
 	}
 	return e
 }
--- a/internal/app/door.go
+++ b/internal/app/door.go
@@ -17,13 +17,13 @@
 		Fulfilled:   map[string]int64{},
 		Throttled:   map[string]int64{},
 		Faulted:     map[string]int64{},
-		Open:        r.core.Open(),
+		Open:        r.core.OpenRequests(),
 		CfgAccepted: r.accepted,
 		CfgInvalid:  r.invalid,
 	}
-	for name, n := range r.core.ByClass() {
-		f.Fulfilled[name], f.Throttled[name], f.Faulted[name] = n.Served, n.Refused, n.Faulted()
-		f.Relayed += n.Started
+	for name, n := range r.core.StatsByClass() {
+		f.Fulfilled[name], f.Throttled[name], f.Faulted[name] = n.Served, n.Rejected, n.Faulted()
+		f.Relayed += n.Attempts
 	}
 	return f
 }
@@ -39,7 +39,7 @@
 		return "it does not listen yet", false
 	case r.unclaimed:
 		return "another process holds the lock of the claims", false
-	case r.keep != nil && !r.keep.Restored():
+	case r.keep != nil && !r.keep.IsRestored():
 		return "keys are being read from the disk", false
 	}
 	return "", true
--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -19,7 +19,7 @@
 	r.leaving = true
 	// a HUP that comes now does not move the time at which the process is stopped
 	began, stop := r.loop.Now(), r.cfg.StopTimeout
-	evDrain.Log(r.core.Open())
+	evDrain.Log(r.core.OpenRequests())
 	r.core.Drain(stop)
 	if r.peers != nil {
 		r.peers.Leases().ReleaseAll()
@@ -52,6 +52,6 @@
 // and what was not answered is told.
 func (r *Program) finish(past int64) {
 	r.front.Close()
-	evDrained.Log(past/1000, r.core.Open(), r.core.Stats())
+	evDrained.Log(past/1000, r.core.OpenRequests(), r.core.Stats())
 	r.loop.Stop()
 }
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -74,7 +74,7 @@
 		}
 	})
 	balancer := s.DialAddr(r.front.Addr().String(), whole(s, 1))
-	s.Until(func() bool { return r.core.Open() == 1 })
+	s.Until(func() bool { return r.core.OpenRequests() == 1 })
 	r.retire()
 	most := time.Duration(stay(r.cfg)) * time.Microsecond
 	passUntil(s, most-time.Second)
--- a/internal/app/keep.go
+++ b/internal/app/keep.go
@@ -8,7 +8,7 @@
 
 // startKeeper takes the store's folder, so that no other process does. What is in it is read once
 // the core stands.
-func (r *Program) startKeeper(repair bool) (lifecycle.Keeper, error) {
+func (r *Program) startKeeper(repair bool) (lifecycle.KeyStore, error) {
 	if r.op == nil || r.op.Store.Dir == "" {
 		return nil, nil
 	}
@@ -17,11 +17,11 @@
 		windows = max(windows, c.IdempotencyWindow.Microseconds())
 	}
 	var err error
-	r.keep, err = persistence.Start(
+	r.keep, err = persistence.Open(
 		r.loop,
 		store.Dir(r.op.Store.Dir),
 		persistence.Config{Settings: r.op.Store.Settings(repair),
-			Patience: r.op.Store.TimeoutMs * 1000, Window: windows},
+			Timeout: r.op.Store.TimeoutMs * 1000, Window: windows},
 	)
 	if err != nil {
 		return nil, err
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -136,7 +136,7 @@
 	}
 	switch q.Ask {
 	case "peers-key":
-		return r.peers.KeyStatus(store.Name{Class: q.Class, Tenant: q.Tenant, Key: q.Key}), nil
+		return r.peers.KeyStatus(store.KeyName{Class: q.Class, Tenant: q.Tenant, Key: q.Key}), nil
 	case "peers-leave":
 		return struct{}{}, r.peers.SetLeaving(q.ID, true)
 	case "peers-stay":
@@ -161,7 +161,7 @@
 func (a account) SetTable(t *placement.Table, life uint64) { a.r.meter.Table(t, life) }
 
 // Replicate implements node.UsageReplicas.
-func (a account) Replicate(k lifecycle.Kept, done func(error)) {
+func (a account) Replicate(k lifecycle.KeyRecord, done func(error)) {
 	class, ok := a.r.core.Class(k.Class)
 	if !ok {
 		done(nil)
@@ -172,7 +172,7 @@
 		School: cmp.Or(k.Tenant, NoSchool),
 		Class:  k.Class,
 		End:    ledger.Served,
-		Work:   k.Work,
+		Work:   k.ServerTime,
 	}
 	a.r.key(&u, class, k.Key)
 	a.open[usedKey{u.Class, u.School, k.Key}] = true
@@ -181,7 +181,7 @@
 
 // restore takes the keys of earlier lives. Of a run that had begun peers know how it stands, as far
 // as anybody does.
-func (r *Program) restore(keys []lifecycle.Kept) (strange int) {
+func (r *Program) restore(keys []lifecycle.KeyRecord) (strange int) {
 	if r.peers == nil {
 		return r.core.Restore(keys)
 	}
--- a/internal/app/record.go
+++ b/internal/app/record.go
@@ -48,7 +48,7 @@
 			return
 		}
 		n := traffic.Request{
-			At:      q.Arrived,
+			At:      q.ArrivedAt,
 			Class:   uint16(q.Class),
 			Tenant:  uint16(max(q.Tenant, 0)),
 			Caller:  q.Caller,
--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -129,7 +129,7 @@
 
 // again decides whether a request is tried once more: never on the engine, and on the servers of
 // its group as that says.
-func (r *Program) again(t lifecycle.Try) bool {
+func (r *Program) again(t lifecycle.RetryCandidate) bool {
 	g := r.behind[t.Class]
 	return g != nil && g.AllowRetry(t)
 }
--- a/internal/app/status.go
+++ b/internal/app/status.go
@@ -20,7 +20,7 @@
 	r.tellLost()
 	r.tellSpans()
 	if s := r.core.Stats(); s != r.told {
-		evStatus.Log(r.core.Open(), r.conns(), s)
+		evStatus.Log(r.core.OpenRequests(), r.conns(), s)
 		r.told = s
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.groups)) {
@@ -32,7 +32,7 @@
 
 // table tells all that is known of the servers: USR1 asks for it.
 func (r *Program) table() {
-	evStatus.Log(r.core.Open(), r.conns(), r.core.Stats())
+	evStatus.Log(r.core.OpenRequests(), r.conns(), r.core.Stats())
 	if r.watch != nil {
 		if why := r.watch.RejectReason(); why != "" {
 			evListWaits.Log(why)
--- a/internal/app/stored_test.go
+++ b/internal/app/stored_test.go
@@ -24,7 +24,7 @@
 	return Status{
 		Name: "n0", Version: "1.2.3", Draining: true, Open: 4, Connections: 5,
 		Stats: lifecycle.Stats{
-			Read: 100, Served: 60, Refused: 10, Failed: 5, Late: 4, Gone: 3, Withdrawn: 2, Started: 70, Repeats: 6, Misused: 1,
+			Read: 100, Served: 60, Rejected: 10, Failed: 5, Expired: 4, Abandoned: 3, Withdrawn: 2, Attempts: 70, Repeats: 6, Conflicts: 1,
 		},
 		Groups: []string{"teachers: 1 of 2 in service"},
 		Servers: []upstream.ServerStatus{{
--- a/internal/app/traces.go
+++ b/internal/app/traces.go
@@ -39,11 +39,11 @@
 // traceOf is where a try stands in the trace of its request, for its server.
 func (r *Program) traceOf(a *lifecycle.Attempt) string {
 	n := 0
-	for b := a.Before; b != nil; b = b.Before {
+	for b := a.Previous; b != nil; b = b.Previous {
 		n++
 	}
 	q := a.Request
-	return r.spans.Place(q.Name, q.Arrived, q.Trace).Attempt(n).String()
+	return r.spans.Place(q.ID, q.ArrivedAt, q.TraceParent).Attempt(n).String()
 }
 
 // tellSpans tells of spans that were lost since it was told last.
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -27,31 +27,31 @@
 	return err
 }
 
-var usageEnds = map[lifecycle.Kind]ledger.End{
-	0:                 ledger.Gone,
-	lifecycle.Served:  ledger.Served,
-	lifecycle.Refused: ledger.Refused,
-	lifecycle.Failed:  ledger.Failed,
-	lifecycle.Late:    ledger.Late,
-	lifecycle.Misused: ledger.Failed,
-	lifecycle.Foreign: ledger.Failed,
-	lifecycle.Ran:     ledger.Repeat,
+var usageEnds = map[lifecycle.Status]ledger.End{
+	0:                    ledger.Gone,
+	lifecycle.Served:     ledger.Served,
+	lifecycle.Rejected:   ledger.Refused,
+	lifecycle.Failed:     ledger.Failed,
+	lifecycle.Expired:    ledger.Late,
+	lifecycle.Conflict:   ledger.Failed,
+	lifecycle.NotFound:   ledger.Failed,
+	lifecycle.ResultLost: ledger.Repeat,
 }
 
 // note counts a request that has been answered. Its answer goes out after that.
-func (r *Program) note(t *lifecycle.Trail) {
+func (r *Program) note(t *lifecycle.Trace) {
 	class := &r.cfg.Settings.Classes[t.Class]
 	u := ledger.Use{
-		At:     t.Answered,
+		At:     t.AnsweredAt,
 		School: NoSchool,
 		Class:  class.Name,
-		End:    usageEnds[t.Kind],
-		Again:  t.Cause == lifecycle.CauseRepeat,
+		End:    usageEnds[t.Status],
+		Again:  t.Cause == lifecycle.CauseDuplicate,
 	}
 	if t.Tenant >= 0 && t.Tenant < len(r.cfg.Settings.Tenants) {
 		u.School = r.cfg.Settings.Tenants[t.Tenant].Name
 	}
-	if t.Key != "" && r.core.Keyed(t.Class) {
+	if t.Key != "" && r.core.IsKeyed(t.Class) {
 		r.key(&u, t.Class, t.Key)
 		// it was counted with the end of its run
 		if k := (usedKey{u.Class, u.School, t.Key}); !u.Again && r.promised[k] {
@@ -59,8 +59,8 @@
 			return
 		}
 	}
-	for _, h := range t.Hops[:min(t.Tries, len(t.Hops))] {
-		u.Work += h.Took
+	for _, h := range t.Attempts[:min(t.AttemptCount, len(t.Attempts))] {
+		u.Work += h.Duration
 	}
 	r.meter.Note(u)
 }
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -27,7 +27,7 @@
 // lookEvery is how often those that wait are looked through.
 const lookEvery = 20_000
 
-// Queue is a core.Runner before another one, whose Sink it is.
+// Queue is a lifecycle.Runner before another one, whose Sink it is.
 type Queue struct {
 	host    Environment
 	sink    Sink
@@ -58,7 +58,7 @@
 				waiting = append(waiting, a)
 			}
 		}
-		slices.SortFunc(waiting, func(a, b *lifecycle.Attempt) int { return int(a.Due - b.Due) })
+		slices.SortFunc(waiting, func(a, b *lifecycle.Attempt) int { return int(a.Deadline - b.Deadline) })
 		for _, a := range waiting {
 			h.next.Run(a)
 		}
@@ -74,7 +74,7 @@
 // Scheduler is the pools; nil: there are none.
 func (h *Queue) Scheduler() *bulkhead.Scheduler { return h.set }
 
-// Run implements core.Runner.
+// Run implements lifecycle.Runner.
 func (h *Queue) Run(a *lifecycle.Attempt) {
 	if h.set == nil {
 		h.next.Run(a)
@@ -84,9 +84,9 @@
 		Class:         a.Request.Class,
 		Tenant:        a.Request.Tenant,
 		Caller:        a.Request.Caller,
-		Objective:     a.Aim,
-		Deadline:      a.Due,
-		MayUseReserve: !a.Safe,
+		Objective:     a.Objective,
+		Deadline:      a.Deadline,
+		MayUseReserve: !a.Idempotent,
 		Attachment:    a,
 	}
 	h.held[a] = r
@@ -104,11 +104,11 @@
 	for _, d := range dropped {
 		a := d.Attachment.(*lifecycle.Attempt)
 		delete(h.held, a)
-		a.Why, a.Value, a.Limit = lifecycle.CausePool, d.Wanted/1e6, d.Available/1e6
+		a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadWait, d.Wanted/1e6, d.Available/1e6
 		if d.Reason == bulkhead.QueueFull {
-			a.Why, a.Value, a.Limit = lifecycle.CauseLine, d.Wanted, d.Available
+			a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadFull, d.Wanted, d.Available
 		}
-		h.host.Post(func() { h.sink.Ended(a, lifecycle.NotRun, nil) })
+		h.host.Post(func() { h.sink.Ended(a, lifecycle.NotStarted, nil) })
 	}
 	if h.set.Waiting() > 0 && !h.looking {
 		h.looking = true
@@ -126,7 +126,7 @@
 	h.flow()
 }
 
-// Abandon implements core.Runner. What waits has not run: it ends at once, whatever its class.
+// Abandon implements lifecycle.Runner. What waits has not run: it ends at once, whatever its class.
 func (h *Queue) Abandon(a *lifecycle.Attempt) {
 	r := h.held[a]
 	if r == nil || !h.set.Cancel(r, h.host.Now()) {
@@ -134,7 +134,7 @@
 		return
 	}
 	delete(h.held, a)
-	h.host.Post(func() { h.sink.Ended(a, lifecycle.NotRun, nil) })
+	h.host.Post(func() { h.sink.Ended(a, lifecycle.NotStarted, nil) })
 }
 
 // Began implements Sink.
@@ -143,15 +143,15 @@
 // outcomes are what ends tell of the servers. A failure of a server's own, and one that nobody
 // waited for, tell nothing.
 var outcomes = map[lifecycle.Outcome]bulkhead.Outcome{
-	lifecycle.Fine:        bulkhead.Success,
-	lifecycle.Broken:      bulkhead.Failure,
-	lifecycle.TimedOut:    bulkhead.Failure,
-	lifecycle.TurnedAway:  bulkhead.Failure,
-	lifecycle.Unreachable: bulkhead.Failure,
-	lifecycle.NotRun:      bulkhead.Failure,
-	lifecycle.Fault:       bulkhead.Inconclusive,
-	lifecycle.Stopped:     bulkhead.Inconclusive,
-	lifecycle.Unknown:     bulkhead.Inconclusive,
+	lifecycle.Succeeded:      bulkhead.Success,
+	lifecycle.Interrupted:    bulkhead.Failure,
+	lifecycle.TimedOut:       bulkhead.Failure,
+	lifecycle.CallRejected:   bulkhead.Failure,
+	lifecycle.Unreachable:    bulkhead.Failure,
+	lifecycle.NotStarted:     bulkhead.Failure,
+	lifecycle.Faulted:        bulkhead.Inconclusive,
+	lifecycle.Canceled:       bulkhead.Inconclusive,
+	lifecycle.UnknownRequest: bulkhead.Inconclusive,
 }
 
 // Ended implements Sink: the one place where a slot is given back.
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -98,9 +98,9 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				a := &lifecycle.Attempt{
-					Request: &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(t, "class")},
-					Due:     b.now + rapid.Int64Range(0, 2_000_000).Draw(t, "due"),
-					Safe:    rapid.Bool().Draw(t, "safe"),
+					Request:    &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(t, "class")},
+					Deadline:   b.now + rapid.Int64Range(0, 2_000_000).Draw(t, "due"),
+					Idempotent: rapid.Bool().Draw(t, "safe"),
 				}
 				open = append(open, a)
 				all++
@@ -109,13 +109,13 @@
 				end(
 					rapid.SampledFrom(
 						[]lifecycle.Outcome{
-							lifecycle.Fine,
-							lifecycle.Fault,
-							lifecycle.Broken,
+							lifecycle.Succeeded,
+							lifecycle.Faulted,
+							lifecycle.Interrupted,
 							lifecycle.TimedOut,
-							lifecycle.NotRun,
+							lifecycle.NotStarted,
 							lifecycle.Unreachable,
-							lifecycle.Stopped,
+							lifecycle.Canceled,
 						},
 					).Draw(
 						t,
@@ -138,7 +138,7 @@
 			b.settle()
 			for i := 0; i < len(open); i++ {
 				if o, over := b.ended[open[i]]; over {
-					if o != lifecycle.NotRun || b.running[open[i]] {
+					if o != lifecycle.NotStarted || b.running[open[i]] {
 						t.Fatalf("dropped: %v, running %v", o, b.running[open[i]])
 					}
 					open = append(open[:i], open[i+1:]...)
@@ -149,7 +149,7 @@
 		h.Configure(nil) // all that waits goes on
 		b.settle()
 		for range all {
-			end(lifecycle.Fine)
+			end(lifecycle.Succeeded)
 		}
 		if len(b.ended) != all || len(h.held) != 0 {
 			t.Fatalf("%d of %d ended, %d held", len(b.ended), all, len(h.held))
@@ -186,19 +186,19 @@
 		},
 	)
 	run := func(due int64) *lifecycle.Attempt {
-		a := &lifecycle.Attempt{Request: &lifecycle.Request{}, Due: due}
+		a := &lifecycle.Attempt{Request: &lifecycle.Request{}, Deadline: due}
 		h.Run(a)
 		return a
 	}
 	first := run(1 << 40)
 	b.now += 1_000_000
-	h.Ended(first, lifecycle.Fine, nil)
+	h.Ended(first, lifecycle.Succeeded, nil)
 	run(1 << 40)
-	if a := run(b.now + 500_000); a.Why != lifecycle.CausePool || a.Value < 1 || a.Limit != 0.5 {
-		t.Errorf("%v, %v of %v", a.Why, a.Value, a.Limit)
+	if a := run(b.now + 500_000); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 || a.Limit != 0.5 {
+		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
 	}
 	run(1 << 40)
-	if a := run(1 << 41); a.Why != lifecycle.CauseLine || a.Value != 2 || a.Limit != 1 {
-		t.Errorf("%v, %v of %v", a.Why, a.Value, a.Limit)
+	if a := run(1 << 41); a.Cause != lifecycle.CauseBulkheadFull || a.Value != 2 || a.Limit != 1 {
+		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
 	}
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -19,10 +19,10 @@
 
 // Settings are those of the store.
 func (s *Store) Settings(repair bool) store.Settings {
-	set := store.Usual()
-	set.Mode, _ = store.ParseMode(s.Mode) // checked with the file
-	set.Wait = time.Duration(s.WaitMs * float64(time.Millisecond))
-	set.Segment, set.Slack, set.Repair = s.SegmentMB<<20, s.SlackMB<<20, repair
+	set := store.DefaultSettings()
+	set.Sync, _ = store.ParseSyncMode(s.Mode) // checked with the file
+	set.GroupWait = time.Duration(s.WaitMs * float64(time.Millisecond))
+	set.SegmentBytes, set.SlackBytes, set.Repair = s.SegmentMB<<20, s.SlackMB<<20, repair
 	return set
 }
 
@@ -31,7 +31,7 @@
 	if s.Dir == "" {
 		return nil
 	}
-	if _, err := store.ParseMode(s.Mode); err != nil {
+	if _, err := store.ParseSyncMode(s.Mode); err != nil {
 		return o.document.Errorf("store.mode", "%v", err)
 	}
 	return o.resolveFolder("store.dir", &s.Dir)
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -13,18 +13,18 @@
 
 // The ends of a connection that are not errors of the system.
 var (
-	ErrPeerSlow = errors.New("peer does not read")
-	ErrFlood    = errors.New("peer sends more than fits the buffer")
+	ErrSlowPeer      = errors.New("peer does not read")
+	ErrInputOverflow = errors.New("peer sends more than fits the buffer")
 )
 
-// RefusedError tells that a connection was refused, or could not even be tried for want of a
+// ConnectionRefusedError tells that a connection was refused, or could not even be tried for want of a
 // descriptor. Either proves that nothing was sent on it.
-type RefusedError struct{ Err error }
+type ConnectionRefusedError struct{ Err error }
 
-func (e *RefusedError) Error() string { return "connect refused: " + e.Err.Error() }
+func (e *ConnectionRefusedError) Error() string { return "connect refused: " + e.Err.Error() }
 
 // Unwrap returns the system's error.
-func (e *RefusedError) Unwrap() error { return e.Err }
+func (e *ConnectionRefusedError) Unwrap() error { return e.Err }
 
 // Handler is told what happens on a connection.
 type Handler interface {
@@ -39,8 +39,8 @@
 	Closed(err error)
 }
 
-// Limits bound the buffers of a connection in bytes.
-type Limits struct{ In, Out int }
+// BufferLimits bound the buffers of a connection in bytes.
+type BufferLimits struct{ In, Out int }
 
 // Conn is one stream connection. It owns its descriptor and gives it back in Close.
 type Conn struct {
@@ -49,7 +49,7 @@
 	peer    netip.AddrPort // where it was dialled to, or came from
 	dialled bool
 	h       Handler
-	limits  Limits
+	limits  BufferLimits
 	in, out []byte
 	// Opening: the connect is under way. Ended: the peer sends no more. Leaving: the own side is
 	// shut, what comes is thrown away until the peer closes.
@@ -64,7 +64,7 @@
 	onFree  func()
 }
 
-func newConn(l *Loop, fd int, limits Limits, opening bool) (*Conn, error) {
+func newConn(l *Loop, fd int, limits BufferLimits, opening bool) (*Conn, error) {
 	c := &Conn{loop: l, fd: fd, limits: limits, opening: opening, events: unix.EPOLLIN}
 	if opening {
 		c.events = unix.EPOLLOUT
@@ -77,16 +77,16 @@
 }
 
 // Dial begins a connection to addr. The outcome reaches the handler, never before Dial returns.
-func (l *Loop) Dial(addr netip.AddrPort, limits Limits, h Handler) *Conn {
+func (l *Loop) Dial(addr netip.AddrPort, limits BufferLimits, h Handler) *Conn {
 	return l.DialAddr(netaddr.Addr{IP: addr}, limits, h)
 }
 
 // DialAddr is Dial to any kind of address.
-func (l *Loop) DialAddr(addr netaddr.Addr, limits Limits, h Handler) *Conn {
+func (l *Loop) DialAddr(addr netaddr.Addr, limits BufferLimits, h Handler) *Conn {
 	fam, sa := socketAddr(addr)
 	fd, err := unix.Socket(fam, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return l.stillborn(h, &RefusedError{err})
+		return l.stillborn(h, &ConnectionRefusedError{err})
 	}
 	if !addr.IsUnix() {
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
@@ -95,13 +95,13 @@
 		_ = unix.Close(fd)
 		// there it stands at once or not at all: nobody took it, whatever the reason
 		if addr.IsUnix() {
-			return l.stillborn(h, &RefusedError{err})
+			return l.stillborn(h, &ConnectionRefusedError{err})
 		}
 		return l.stillborn(h, connectError(err))
 	}
 	c, err := newConn(l, fd, limits, true)
 	if err != nil {
-		return l.stillborn(h, &RefusedError{err})
+		return l.stillborn(h, &ConnectionRefusedError{err})
 	}
 	c.h, c.peer, c.dialled = h, addr.IP, true
 	return c
@@ -117,7 +117,7 @@
 // connectError marks the one error that proves that nobody took the connection.
 func connectError(err error) error {
 	if err == unix.ECONNREFUSED {
-		return &RefusedError{err}
+		return &ConnectionRefusedError{err}
 	}
 	return fmt.Errorf("connect: %w", err)
 }
@@ -178,7 +178,7 @@
 		return
 	case c.leaving:
 		if c.dropped += n; c.dropped > maxDropped {
-			c.Close(ErrFlood)
+			c.Close(ErrInputOverflow)
 		}
 		return
 	}
@@ -200,7 +200,7 @@
 		c.in = nil
 	}
 	if len(c.in) > c.limits.In {
-		c.Close(ErrFlood)
+		c.Close(ErrInputOverflow)
 	}
 }
 
@@ -217,7 +217,7 @@
 	case c.dialled || len(c.out) == 0:
 		c.Close(io.EOF)
 	default:
-		c.Leave()
+		c.CloseGracefully()
 		c.rearm()
 	}
 }
@@ -231,7 +231,7 @@
 		c.flush() // much may have been written in one turn: what the peer takes now does not count
 	}
 	if len(c.out)+len(b) > c.limits.Out {
-		c.Close(ErrPeerSlow)
+		c.Close(ErrSlowPeer)
 		return
 	}
 	c.out = append(c.out, b...)
@@ -257,14 +257,14 @@
 	}
 }
 
-// Queued is how much waits for the peer to take it.
-func (c *Conn) Queued() int { return len(c.out) }
+// QueuedBytes is how much waits for the peer to take it.
+func (c *Conn) QueuedBytes() int { return len(c.out) }
 
-// Push writes what is queued as far as the peer takes it, now and not at the end of the turn.
-func (c *Conn) Push() { c.flush() }
+// Flush writes what is queued as far as the peer takes it, now and not at the end of the turn.
+func (c *Conn) Flush() { c.flush() }
 
-// OnDrain has fn called whenever the peer has taken some of what was queued. It must not write.
-func (c *Conn) OnDrain(fn func()) { c.drain = fn }
+// OnFlushed has fn called whenever the peer has taken some of what was queued. It must not write.
+func (c *Conn) OnFlushed(fn func()) { c.drain = fn }
 
 // Abort ends the connection so that the peer sees that it was cut: what it has been sent must not
 // look whole.
@@ -276,8 +276,8 @@
 	}
 }
 
-// IsQuiet tells whether the connection stands, and nothing has come on it that was not read.
-func (c *Conn) IsQuiet() bool {
+// IsIdle tells whether the connection stands, and nothing has come on it that was not read.
+func (c *Conn) IsIdle() bool {
 	if c.closed || c.ended || len(c.in) > 0 {
 		return false
 	}
@@ -285,9 +285,9 @@
 	return err == unix.EAGAIN
 }
 
-// HasPending tells whether bytes wait in the system that the loop has not read yet, as they came in
+// HasUnreadInput tells whether bytes wait in the system that the loop has not read yet, as they came in
 // this very turn.
-func (c *Conn) HasPending() bool {
+func (c *Conn) HasUnreadInput() bool {
 	if c.closed || c.ended {
 		return false
 	}
@@ -302,11 +302,11 @@
 	return n, err
 }
 
-// Peer is the address that the connection was dialled to or came from; not valid on a unix socket.
-func (c *Conn) Peer() netip.AddrPort { return c.peer }
+// RemoteAddr is the address that the connection was dialled to or came from; not valid on a unix socket.
+func (c *Conn) RemoteAddr() netip.AddrPort { return c.peer }
 
-// PeerUser is the user whose process connected to a unix socket of ours; false: it is not known.
-func (c *Conn) PeerUser() (uid int, ok bool) {
+// PeerUID is the user whose process connected to a unix socket of ours; false: it is not known.
+func (c *Conn) PeerUID() (uid int, ok bool) {
 	u, err := unix.GetsockoptUcred(c.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
 		return 0, false
@@ -314,16 +314,16 @@
 	return int(u.Uid), true
 }
 
-// Stuck is for how long the peer has taken nothing of what is queued for it.
-func (c *Conn) Stuck() int64 {
+// StalledFor is for how long the peer has taken nothing of what is queued for it.
+func (c *Conn) StalledFor() int64 {
 	if c.stuck == 0 {
 		return 0
 	}
 	return c.loop.now - c.stuck
 }
 
-// IsOpening tells whether a dialled connection does not stand yet, so that nothing was sent on it.
-func (c *Conn) IsOpening() bool { return c.opening && !c.closed }
+// IsConnecting tells whether a dialled connection does not stand yet, so that nothing was sent on it.
+func (c *Conn) IsConnecting() bool { return c.opening && !c.closed }
 
 // IsClosed tells whether the descriptor has been given back.
 func (c *Conn) IsClosed() bool { return c.closed }
@@ -393,10 +393,10 @@
 	maxDropped  = 1 << 20    // a peer that goes on sending is not listened to for as long
 )
 
-// Leave sends what is queued, shuts the own side and closes when the peer does, or after a while.
+// CloseGracefully sends what is queued, shuts the own side and closes when the peer does, or after a while.
 // Closing at once would reset the connection where the peer has just written, and take answers with
 // it that it has not read.
-func (c *Conn) Leave() {
+func (c *Conn) CloseGracefully() {
 	if c.closed || c.leaving {
 		return
 	}
@@ -407,13 +407,13 @@
 	// Reading goes on where it was paused: closed over unread bytes, the connection would be reset.
 	c.leaving, c.paused, c.in = true, false, nil
 	c.rearm()
-	c.last = c.loop.After(flushWithin, func() { c.Close(ErrPeerSlow) })
+	c.last = c.loop.After(flushWithin, func() { c.Close(ErrSlowPeer) })
 	c.touch()
 }
 
-// FinishNow is Leave for a process that ends at once: what the peer takes now of what is queued
+// FlushAndShutdown is Leave for a process that ends at once: what the peer takes now of what is queued
 // goes out, the own side is shut, and what has come is read off.
-func (c *Conn) FinishNow() {
+func (c *Conn) FlushAndShutdown() {
 	if c.closed || c.opening {
 		return
 	}
@@ -438,8 +438,8 @@
 	c.last = c.loop.After(lingerFor, func() { c.Close(nil) })
 }
 
-// IsLeaving tells whether the connection was left and only waits for its end.
-func (c *Conn) IsLeaving() bool { return c.leaving }
+// IsClosing tells whether the connection was left and only waits for its end.
+func (c *Conn) IsClosing() bool { return c.leaving }
 
 // Close gives the descriptor back, at once. The handler hears of it later in the turn.
 func (c *Conn) Close(err error) {
@@ -480,5 +480,5 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
 }
 
-// Unread is what has come and is not used up.
-func (c *Conn) Unread() []byte { return c.in }
+// Buffered is what has come and is not used up.
+func (c *Conn) Buffered() []byte { return c.in }
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -48,7 +48,7 @@
 	ln, err := l.Listen(
 		loopback,
 		most,
-		eventloop.Limits{In: 1 << 10, Out: 8 << 20},
+		eventloop.BufferLimits{In: 1 << 10, Out: 8 << 20},
 		func(c *eventloop.Conn) eventloop.Handler {
 			*taken = append(*taken, c)
 			return h(c)
@@ -68,7 +68,7 @@
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
 	s.Until(func() bool { return len(*taken) == 1 })
-	s.Until(func() bool { return len((*taken)[0].Unread()) == 1 })
+	s.Until(func() bool { return len((*taken)[0].Buffered()) == 1 })
 	s.After(1000, func() { (*taken)[0].Write([]byte("answer")) })
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -86,8 +86,8 @@
 	s.Until(func() bool { return len(*taken) == 1 })
 	large := make([]byte, 6<<20)
 	(*taken)[0].Write(large)
-	(*taken)[0].Leave()
-	s.Until(func() bool { return (*taken)[0].Queued() < len(large) })
+	(*taken)[0].CloseGracefully()
+	s.Until(func() bool { return (*taken)[0].QueuedBytes() < len(large) })
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -109,8 +109,8 @@
 	lc.Pause(true)
 	s.Send(c, "more")
 	lc.Write([]byte("answer"))
-	lc.Leave()
-	s.Until(func() bool { return !lc.HasPending() })
+	lc.CloseGracefully()
+	s.Until(func() bool { return !lc.HasUnreadInput() })
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 // taken in, however much it is.
 func TestQueueIsTakenAsTheListenerCloses(t *testing.T) {
 	const many = 3 * acceptsInOneTurn
-	for name, end := range map[string]func(*eventloop.Listener){"close": (*eventloop.Listener).Close, "when taken": func(ln *eventloop.Listener) { ln.CloseWhenTaken(1_000_000) }} {
+	for name, end := range map[string]func(*eventloop.Listener){"close": (*eventloop.Listener).Close, "when taken": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(1_000_000) }} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario.NewStepped(t)
 			ln, taken := accepting(
@@ -134,8 +134,8 @@
 				s.Dial(ln, "")
 			}
 			end(ln)
-			if len(*taken) != many || ln.Listens() {
-				t.Fatalf("%d of %d taken, listens: %t", len(*taken), many, ln.Listens())
+			if len(*taken) != many || ln.IsListening() {
+				t.Fatalf("%d of %d taken, listens: %t", len(*taken), many, ln.IsListening())
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 	ln, taken := accepting(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
 		return &peer{data: func(b []byte) (int, error) {
 			c.Write(b)
-			c.Leave()
+			c.CloseGracefully()
 			return len(b), nil
 		}}
 	})
@@ -156,8 +156,8 @@
 	for range 3 {
 		answers = append(answers, scenario.ReadToEnd(s.Dial(ln, "call")))
 	}
-	ln.CloseWhenTaken(3_600_000_000)
-	if !ln.Listens() {
+	ln.CloseWhenAccepted(3_600_000_000)
+	if !ln.IsListening() {
 		t.Fatal("closed while peers wait for their places")
 	}
 	for _, got := range answers {
@@ -165,8 +165,8 @@
 	}
 	s.Pass(time.Second) // the last one's place is given back
 	s.Pass(0)
-	if len(*taken) != 3 || ln.Listens() {
-		t.Fatalf("%d taken, listens: %t", len(*taken), ln.Listens())
+	if len(*taken) != 3 || ln.IsListening() {
+		t.Fatalf("%d taken, listens: %t", len(*taken), ln.IsListening())
 	}
 }
 
@@ -180,10 +180,10 @@
 	lc := (*taken)[0]
 	lc.Write([]byte("answer"))
 	s.Send(c, "more")
-	for !lc.HasPending() {
+	for !lc.HasUnreadInput() {
 		time.Sleep(time.Millisecond)
 	}
-	lc.FinishNow()
+	lc.FlushAndShutdown()
 	lc.Close(nil)
 	expect(t, s, scenario.ReadToEnd(c), "answer")
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -22,7 +22,7 @@
 	fd     int
 	most   int
 	open   int
-	limits Limits
+	limits BufferLimits
 	path   string // of a unix socket, which goes with it; empty: it is none
 	accept func(*Conn) Handler
 	paused bool
@@ -37,7 +37,7 @@
 func (l *Loop) Listen(
 	addr netip.AddrPort,
 	most int,
-	limits Limits,
+	limits BufferLimits,
 	accept func(*Conn) Handler,
 	full func(),
 ) (*Listener, error) {
@@ -49,7 +49,7 @@
 func (l *Loop) ListenShared(
 	addr netip.AddrPort,
 	most int,
-	limits Limits,
+	limits BufferLimits,
 	accept func(*Conn) Handler,
 	full func(),
 ) (*Listener, error) {
@@ -64,7 +64,7 @@
 func (l *Loop) ListenAddr(
 	addr netaddr.Addr,
 	most int,
-	limits Limits,
+	limits BufferLimits,
 	accept func(*Conn) Handler,
 	full func(),
 ) (*Listener, error) {
@@ -75,7 +75,7 @@
 	addr netaddr.Addr,
 	shared bool,
 	most int,
-	limits Limits,
+	limits BufferLimits,
 	accept func(*Conn) Handler,
 	full func(),
 ) (*Listener, error) {
@@ -133,8 +133,8 @@
 	_ = unix.Close(fd)
 }
 
-// Where is the address it listens on, of any kind.
-func (ln *Listener) Where() netaddr.Addr {
+// LocalAddr is the address it listens on, of any kind.
+func (ln *Listener) LocalAddr() netaddr.Addr {
 	if ln.path != "" {
 		return netaddr.Addr{Path: ln.path}
 	}
@@ -226,20 +226,20 @@
 	c.h = ln.accept(c)
 }
 
-// Most is how many connections may be open at once.
-func (ln *Listener) Most() int { return ln.most }
+// MaxOpen is how many connections may be open at once.
+func (ln *Listener) MaxOpen() int { return ln.most }
 
-// SetMost says how many connections may be open at once from now on. Those that are open stay.
-func (ln *Listener) SetMost(most int) {
+// SetMaxOpen says how many connections may be open at once from now on. Those that are open stay.
+func (ln *Listener) SetMaxOpen(most int) {
 	ln.most = most
 	ln.resume()
 }
 
-// Over tells whether more connections are open than may be since SetMost.
-func (ln *Listener) Over() bool { return ln.open > ln.most }
+// IsOverLimit tells whether more connections are open than may be since SetMaxOpen.
+func (ln *Listener) IsOverLimit() bool { return ln.open > ln.most }
 
 // SetLimits bounds the buffers of connections that are accepted from now on.
-func (ln *Listener) SetLimits(limits Limits) { ln.limits = limits }
+func (ln *Listener) SetLimits(limits BufferLimits) { ln.limits = limits }
 
 // look asks for room again while others wait for their places.
 func (ln *Listener) look() {
@@ -286,13 +286,13 @@
 	ln.loop.After(handshake, ln.Close)
 }
 
-// Listens tells whether it still takes connections.
-func (ln *Listener) Listens() bool { return ln.fd >= 0 }
+// IsListening tells whether it still takes connections.
+func (ln *Listener) IsListening() bool { return ln.fd >= 0 }
 
-// CloseWhenTaken stops listening once all that wait in the queue are taken in, or after so long:
+// CloseWhenAccepted stops listening once all that wait in the queue are taken in, or after so long:
 // they were accepted in their peers' eyes, and closing the listener would reset them. Usually that
 // is now; where as many connections are open as may be, those in the queue wait for their places.
-func (ln *Listener) CloseWhenTaken(within int64) {
+func (ln *Listener) CloseWhenAccepted(within int64) {
 	if ln.fd < 0 || ln.ending {
 		return
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -57,7 +57,7 @@
 	return l
 }
 
-func listen(t *testing.T, l *Loop, most int, limits Limits, h Handler, full func()) *Listener {
+func listen(t *testing.T, l *Loop, most int, limits BufferLimits, h Handler, full func()) *Listener {
 	t.Helper()
 	ln, err := l.Listen(any4, most, limits, func(*Conn) Handler { return h }, full)
 	if err != nil {
@@ -71,7 +71,7 @@
 	var got error
 	run(t, func(l *Loop) {
 		var c *Conn
-		ln, err := l.Listen(any4, 8, Limits{1 << 10, 1 << 20}, func(a *Conn) Handler {
+		ln, err := l.Listen(any4, 8, BufferLimits{1 << 10, 1 << 20}, func(a *Conn) Handler {
 			c = a
 			return &peer{closed: func(err error) { got = err; l.Stop() }}
 		}, nil)
@@ -89,7 +89,7 @@
 			}
 		})
 	})
-	if !errors.Is(got, ErrPeerSlow) {
+	if !errors.Is(got, ErrSlowPeer) {
 		t.Fatalf("closed with %v", got)
 	}
 }
@@ -102,20 +102,20 @@
 				l.Stop()
 			}
 		}
-		ln := listen(t, l, 8, Limits{100, 100}, &peer{closed: func(err error) { flood = err; end() }}, nil)
+		ln := listen(t, l, 8, BufferLimits{100, 100}, &peer{closed: func(err error) { flood = err; end() }}, nil)
 		var c *Conn
 		c = l.Dial(
 			ln.Addr(),
-			Limits{100, 1 << 10},
+			BufferLimits{100, 1 << 10},
 			&peer{up: func() { c.Write([]byte(strings.Repeat("x", 101))) }},
 		)
-		gone := listen(t, l, 1, Limits{}, &peer{}, nil)
+		gone := listen(t, l, 1, BufferLimits{}, &peer{}, nil)
 		addr := gone.Addr()
 		gone.Close()
-		l.Dial(addr, Limits{}, &peer{closed: func(err error) { refused = err; end() }})
+		l.Dial(addr, BufferLimits{}, &peer{closed: func(err error) { refused = err; end() }})
 	})
-	var r *RefusedError
-	if !errors.Is(flood, ErrFlood) || !errors.As(refused, &r) {
+	var r *ConnectionRefusedError
+	if !errors.Is(flood, ErrInputOverflow) || !errors.As(refused, &r) {
 		t.Fatalf("flood closed with %v, refusal with %v", flood, refused)
 	}
 }
@@ -133,12 +133,12 @@
 			t,
 			l,
 			100,
-			Limits{10, 10},
+			BufferLimits{10, 10},
 			&peer{data: func([]byte) (int, error) { took = true; l.Stop(); return 0, nil }},
 			func() { fulls++ },
 		)
 		var c *Conn
-		c = l.Dial(ln.Addr(), Limits{10, 10}, &peer{up: func() { c.Write([]byte("x")) }})
+		c = l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{up: func() { c.Write([]byte("x")) }})
 		low := old
 		low.Cur = uint64(c.fd) + 1 // all that are in use, and no more
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &low); err != nil {
@@ -160,18 +160,18 @@
 	taken, fulls := 0, 0
 	run(t, func(l *Loop) {
 		var first *Conn
-		ln, err := l.Listen(any4, 1, Limits{10, 10}, func(c *Conn) Handler {
+		ln, err := l.Listen(any4, 1, BufferLimits{10, 10}, func(c *Conn) Handler {
 			if taken++; taken == 2 {
 				l.Stop()
 			}
 			first = c
 			return &peer{}
-		}, func() { fulls++; first.Leave() })
+		}, func() { fulls++; first.CloseGracefully() })
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Dial(ln.Addr(), Limits{10, 10}, &peer{})
-		l.Dial(ln.Addr(), Limits{10, 10}, &peer{})
+		l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{})
+		l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{})
 	})
 	if taken != 2 || fulls == 0 {
 		t.Fatalf("%d taken, full %d times", taken, fulls)
@@ -214,7 +214,7 @@
 			if i == 1 {
 				at = addr
 			}
-			ln, err := l.ListenShared(at, 10*each, Limits{In: 64, Out: 64}, func(c *Conn) Handler {
+			ln, err := l.ListenShared(at, 10*each, BufferLimits{In: 64, Out: 64}, func(c *Conn) Handler {
 				taken[i]++
 				if i == 0 && handed {
 					late++
@@ -238,7 +238,7 @@
 				if n == each/4 {
 					l.Deliver(func() {
 						first.HandOver()
-						if handed = true; !first.Listens() {
+						if handed = true; !first.IsListening() {
 							t.Error("handshakes that go on are reset")
 						}
 					})
@@ -254,7 +254,7 @@
 			}
 			l.Deliver(func() {
 				l.After(2*handshake, func() {
-					if first.Listens() {
+					if first.IsListening() {
 						t.Error("the first goes on listening")
 					}
 					l.Stop()
@@ -296,7 +296,7 @@
 		}
 	}
 	run(t, func(l *Loop) {
-		ln, err := l.Listen(any4, 8, Limits{100, 100}, func(c *Conn) Handler {
+		ln, err := l.Listen(any4, 8, BufferLimits{100, 100}, func(c *Conn) Handler {
 			l.Post(func() { look(l, "accepted", c) })
 			return &peer{}
 		}, nil)
@@ -304,7 +304,7 @@
 			t.Fatal(err)
 		}
 		var dialled *Conn
-		dialled = l.Dial(ln.Addr(), Limits{100, 100}, &peer{up: func() { look(l, "dialled", dialled) }})
+		dialled = l.Dial(ln.Addr(), BufferLimits{100, 100}, &peer{up: func() { look(l, "dialled", dialled) }})
 	})
 	if noDelay["accepted"] != 1 || noDelay["dialled"] != 1 {
 		t.Errorf("TCP_NODELAY: %v", noDelay)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -59,7 +59,7 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Push implements heap.Interface.
+// Flush implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.index = len(*h)
--- a/internal/frontend/admin/ops.go
+++ b/internal/frontend/admin/ops.go
@@ -56,7 +56,7 @@
 	d.ln, err = l.Listen(
 		addr,
 		mostCalls,
-		eventloop.Limits{In: mostHead + 4, Out: mostOut},
+		eventloop.BufferLimits{In: mostHead + 4, Out: mostOut},
 		d.accept,
 		d.makeRoom,
 	)
@@ -169,7 +169,7 @@
 	var out bytes.Buffer
 	_ = r.Write(&out) // neither the buffer nor the body fails
 	k.Write(out.Bytes())
-	k.Leave()
+	k.CloseGracefully()
 }
 
 // End implements loop.Handler. A caller may send no more and still wait for its reply.
--- a/internal/frontend/control/control.go
+++ b/internal/frontend/control/control.go
@@ -86,7 +86,7 @@
 	s.ln, err = l.ListenAddr(
 		netaddr.Addr{Path: path},
 		mostClients,
-		eventloop.Limits{In: lineMost, Out: replyMost},
+		eventloop.BufferLimits{In: lineMost, Out: replyMost},
 		s.accept,
 		func() {},
 	)
@@ -105,9 +105,9 @@
 	c := &client{s: s, conn: conn}
 	s.conns[c] = true
 	c.rest()
-	if uid, ok := conn.PeerUser(); !ok || uid != 0 && uid != os.Geteuid() {
+	if uid, ok := conn.PeerUID(); !ok || uid != 0 && uid != os.Geteuid() {
 		c.send(failed(forbidden.New("only the program's own user and root may ask")))
-		conn.Leave()
+		conn.CloseGracefully()
 	}
 	return c
 }
--- a/internal/frontend/platform/conn.go
+++ b/internal/frontend/platform/conn.go
@@ -117,13 +117,13 @@
 // rest.
 func (c *conn) leaveIfDone() {
 	switch {
-	case c.reading || c.owed() || c.IsLeaving() || c.IsClosed():
+	case c.reading || c.owed() || c.IsClosing() || c.IsClosed():
 	case c.state == discarding || c.ended:
-		c.Leave()
+		c.CloseGracefully()
 	case c.state == finishing && len(c.open) == 0:
-		c.Leave()
-	case c.front.leaving && len(c.open) == 0 && (c.front.leavesAtOnce() || c.partAt == 0 && !c.HasPending()):
-		c.Leave()
+		c.CloseGracefully()
+	case c.front.leaving && len(c.open) == 0 && (c.front.leavesAtOnce() || c.partAt == 0 && !c.HasUnreadInput()):
+		c.CloseGracefully()
 	}
 }
 
@@ -151,7 +151,7 @@
 // takeRecords takes all whole records from the front of b, and gives how much of b is used up.
 func (c *conn) takeRecords(b []byte) (used int) {
 	for !c.IsClosed() {
-		if c.state == discarding || c.IsLeaving() {
+		if c.state == discarding || c.IsClosing() {
 			return len(b)
 		}
 		rec, n, err := fastcgi.Read(b[used:], maxRecord)
@@ -181,7 +181,7 @@
 
 // Closed implements loop.Handler.
 func (c *conn) Closed(err error) {
-	if errors.Is(err, eventloop.ErrPeerSlow) {
+	if errors.Is(err, eventloop.ErrSlowPeer) {
 		evSlow.Log(len(c.open), err)
 	}
 	c.forget()
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -34,7 +34,7 @@
 	*scenario.Stepped
 	t     *testing.T
 	front *platform.Frontend
-	core  *lifecycle.Core
+	core  *lifecycle.Manager
 	runs  []*lifecycle.Attempt
 }
 
@@ -51,8 +51,8 @@
 	r.runs = r.runs[1:]
 	r.core.Ended(
 		a,
-		lifecycle.Fine,
-		&lifecycle.Result{Status: 200, Body: []byte("result of " + a.Request.Name)},
+		lifecycle.Succeeded,
+		&lifecycle.Result{Status: 200, Body: []byte("result of " + a.Request.ID)},
 	)
 }
 
@@ -75,9 +75,9 @@
 	}
 	var err error
 	r.core, err = lifecycle.New(set, 1, lifecycle.Host{Now: r.Now, Unix: r.Unix,
-		After:  func(d int64, fn func()) func() { return r.After(d, fn).Stop },
-		Gauges: func(fn func(lifecycle.Gauges)) { fn(lifecycle.NoGauges()) },
-		Health: r.front.SetHealth, Say: r.front.SetAdvertisedValue, Trim: func(int64) {},
+		After:     func(d int64, fn func()) func() { return r.After(d, fn).Stop },
+		Measure:   func(fn func(lifecycle.Gauges)) { fn(lifecycle.UnknownGauges()) },
+		SetHealth: r.front.SetHealth, Advertise: r.front.SetAdvertisedValue, CloseIdle: func(int64) {},
 		Route: func(int) lifecycle.Runner { return r }})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -78,31 +78,31 @@
 	x.finish(fastcgi.Append(recs, fastcgi.Stdout, x.id, nil), fastcgi.RequestComplete)
 }
 
-// Answer implements core.Asker.
+// Answer implements lifecycle.Responder.
 func (x *exchange) Answer(a lifecycle.Answer) {
-	switch a.Kind {
+	switch a.Status {
 	case lifecycle.Served:
 		fields := make([]string, 0, 2*len(a.Result.Fields)+2)
 		for _, f := range a.Result.Fields {
 			fields = append(fields, f.Name, f.Value)
 		}
 		x.respond(a.Result.Status, a.Result.Body, fields...)
-	case lifecycle.Refused:
+	case lifecycle.Rejected:
 		var fields []string
-		if a.ComeBack > 0 {
-			fields = append(fields, "X-Come-Back-Ms", strconv.FormatInt((a.ComeBack+999)/1000, 10))
+		if a.RetryAfter > 0 {
+			fields = append(fields, "X-Come-Back-Ms", strconv.FormatInt((a.RetryAfter+999)/1000, 10))
 		}
-		if a.Last {
+		if a.DoNotRetry {
 			fields = append(fields, "X-No-Failover", "1")
 		}
 		x.respond(503, nil, fields...)
-	case lifecycle.Late:
+	case lifecycle.Expired:
 		x.respond(504, nil)
-	case lifecycle.Misused:
+	case lifecycle.Conflict:
 		x.reject(422, errors.New(a.Reason.String()))
-	case lifecycle.Ran:
+	case lifecycle.ResultLost:
 		x.respond(409, []byte("it ran, and its result was not kept\n"), "Content-Type", "text/plain")
-	case lifecycle.Foreign:
+	case lifecycle.NotFound:
 		x.reject(404, errors.New("nobody here knows this request"))
 	default:
 		x.respond(500, nil)
@@ -150,7 +150,7 @@
 	case p["CONTENT_LENGTH"] != "" && p["CONTENT_LENGTH"] != strconv.Itoa(len(body)):
 		x.reject(400, fmt.Errorf("CONTENT_LENGTH %q, and a body of %d bytes", p["CONTENT_LENGTH"], len(body)))
 	default:
-		q.Body, q.Meta, q.Asker = body, meta, x
+		q.Body, q.Metadata, q.Responder = body, meta, x
 		x.ticket = f.core.Submit(q)
 	}
 }
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -54,7 +54,7 @@
 // Frontend owns the listening socket of the platform and the connections on it.
 type Frontend struct {
 	loop    *eventloop.Loop
-	core    *lifecycle.Core
+	core    *lifecycle.Manager
 	checker DeepHealthChecker
 	ln      *eventloop.Listener
 	maxOut  int
@@ -88,22 +88,24 @@
 // SetMaxConnections says how many connections are taken at once from now on.
 func (f *Frontend) SetMaxConnections(most int) {
 	if f.ln != nil {
-		f.ln.SetMost(most)
+		f.ln.SetMaxOpen(most)
 	}
 }
 
 // MaxConnections is how many connections are taken at once.
-func (f *Frontend) MaxConnections() int { return f.ln.Most() }
+func (f *Frontend) MaxConnections() int { return f.ln.MaxOpen() }
 
 // limits bound the buffers of a connection.
-func (f *Frontend) limits() eventloop.Limits { return eventloop.Limits{In: maxRecord, Out: f.maxOut} }
+func (f *Frontend) limits() eventloop.BufferLimits {
+	return eventloop.BufferLimits{In: maxRecord, Out: f.maxOut}
+}
 
 // maxRecord is the longest record that is waited for. No balancer has a use for longer ones, and a
 // crowd of peers that each leave a large one unfinished would take all memory.
 const maxRecord = 8 + maxParams + 255
 
 // Listen begins to take connections for the core, at most so many at once.
-func (f *Frontend) Listen(addr netip.AddrPort, most int, c *lifecycle.Core) (err error) {
+func (f *Frontend) Listen(addr netip.AddrPort, most int, c *lifecycle.Manager) (err error) {
 	f.core = c
 	f.ln, err = f.loop.ListenShared(addr, most, f.limits(), f.accept, f.makeRoom)
 	if err == nil {
@@ -131,7 +133,7 @@
 // Drain stops listening and leaves each connection as it has no open request.
 func (f *Frontend) Drain() {
 	f.leaving, f.leftAt = true, f.loop.Now()
-	f.ln.CloseWhenTaken(queueFor)
+	f.ln.CloseWhenAccepted(queueFor)
 	f.sweep()
 }
 
@@ -144,12 +146,12 @@
 // it that the peer has not read.
 func (f *Frontend) Close() {
 	for c := range f.conns {
-		c.FinishNow()
+		c.FlushAndShutdown()
 	}
 }
 
 // IsListening tells whether connections are still taken.
-func (f *Frontend) IsListening() bool { return f.ln != nil && f.ln.Listens() }
+func (f *Frontend) IsListening() bool { return f.ln != nil && f.ln.IsListening() }
 
 // Retire is Leave where another process serves as this runner: what this one says of its own room
 // is not meant for it.
@@ -172,18 +174,18 @@
 // not taken.
 func (f *Frontend) sweep() {
 	now := f.loop.Now()
-	if !f.leaving && f.ln.Over() { // its share became smaller
+	if !f.leaving && f.ln.IsOverLimit() { // its share became smaller
 		f.makeRoom()
 	}
 	for c := range f.conns {
 		switch {
-		case c.IsClosed() || c.IsLeaving(): // that has a limit of its own
-		case c.Stuck() > takeWithin:
-			c.Close(eventloop.ErrPeerSlow)
+		case c.IsClosed() || c.IsClosing(): // that has a limit of its own
+		case c.StalledFor() > takeWithin:
+			c.Close(eventloop.ErrSlowPeer)
 		case c.overdue(now):
 			f.giveUp(c)
-		case f.isIdle(c, now) && !c.HasPending(): // what came in this very moment is read first
-			c.Leave()
+		case f.isIdle(c, now) && !c.HasUnreadInput(): // what came in this very moment is read first
+			c.CloseGracefully()
 		}
 	}
 }
@@ -218,7 +220,7 @@
 	now := f.loop.Now()
 	var idle []*conn
 	for c := range f.conns {
-		if !c.IsLeaving() && !c.IsClosed() && mayGo(c, now) {
+		if !c.IsClosing() && !c.IsClosed() && mayGo(c, now) {
 			idle = append(idle, c)
 		}
 	}
@@ -234,12 +236,12 @@
 		if gone == roomFor {
 			return
 		}
-		if !c.receiving() && c.HasPending() { // a request came in this very moment
+		if !c.receiving() && c.HasUnreadInput() { // a request came in this very moment
 			continue
 		}
 		gone++
 		if c.asked {
-			c.Leave()
+			c.CloseGracefully()
 		} else {
 			c.Close(nil)
 		}
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -16,11 +16,11 @@
 
 // request reads the fields of a request.
 func (f *Frontend) request(p map[string]string, path string) (*lifecycle.Request, error) {
-	q := &lifecycle.Request{Name: p["HTTP_X_CALL_ID"], Key: p["HTTP_X_DEDUPE_KEY"]}
+	q := &lifecycle.Request{ID: p["HTTP_X_CALL_ID"], Key: p["HTTP_X_DEDUPE_KEY"]}
 	var ok bool
 	if q.Class, ok = f.core.Class(strings.TrimPrefix(path, opsPrefix)); !ok ||
 		!strings.HasPrefix(path, opsPrefix) {
-		if f.core.Dropped(strings.TrimPrefix(path, opsPrefix)) {
+		if f.core.IsDroppedClass(strings.TrimPrefix(path, opsPrefix)) {
 			return nil, errDropped
 		}
 		return nil, fmt.Errorf("no class at %q", path)
@@ -28,13 +28,13 @@
 	if p["REQUEST_METHOD"] != "POST" {
 		return nil, fmt.Errorf("method %q", p["REQUEST_METHOD"])
 	}
-	if _, err := strconv.ParseUint(q.Name, 16, 64); err != nil || len(q.Name) != 16 {
-		return nil, fmt.Errorf("X-Call-Id %q is not 16 hex digits", q.Name)
+	if _, err := strconv.ParseUint(q.ID, 16, 64); err != nil || len(q.ID) != 16 {
+		return nil, fmt.Errorf("X-Call-Id %q is not 16 hex digits", q.ID)
 	}
 	if q.Tenant, ok = f.core.Tenant(p["HTTP_X_CUSTOMER"]); !ok {
 		return nil, fmt.Errorf("unknown X-Customer %q", p["HTTP_X_CUSTOMER"])
 	}
-	if f.core.Keyed(q.Class) && q.Key == "" {
+	if f.core.IsKeyed(q.Class) && q.Key == "" {
 		return nil, errors.New("no X-Dedupe-Key in a keyed class")
 	}
 	ms, err := strconv.ParseInt(p["HTTP_X_QUEUE_START"], 10, 64)
@@ -43,7 +43,7 @@
 	if err != nil || ms <= 0 || ms > f.loop.Unix()/1000+maxAhead {
 		return nil, fmt.Errorf("X-Queue-Start %q", p["HTTP_X_QUEUE_START"])
 	}
-	q.Arrived = ms * 1000
+	q.ArrivedAt = ms * 1000
 	source, err := strconv.ParseUint(p["HTTP_X_SOURCE"], 10, 32)
 	if err != nil {
 		return nil, fmt.Errorf("X-Source %q", p["HTTP_X_SOURCE"])
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("X-Importance %q", p["HTTP_X_IMPORTANCE"])
 	}
 	if e := p["HTTP_X_ENTITY"]; e != "" {
-		if q.Subject, err = strconv.ParseUint(e, 16, 64); err != nil {
+		if q.Entity, err = strconv.ParseUint(e, 16, 64); err != nil {
 			return nil, fmt.Errorf("X-Entity %q", e)
 		}
 	}
--- a/internal/frontend/uwsgi/conn.go
+++ b/internal/frontend/uwsgi/conn.go
@@ -31,10 +31,10 @@
 	stream   lifecycle.Stream // the rest of its answer; nil: there is none
 	id       flowcontrol.ReaderID
 	route    *Route
-	toEnd    bool                  // its body ends as the caller closes its side
-	rest     bool                  // its body follows what was handed over
-	upload   lifecycle.UploadTaker // who takes that; nil: nobody yet
-	pending  []byte                // of it that waits for somebody
+	toEnd    bool                     // its body ends as the caller closes its side
+	rest     bool                     // its body follows what was handed over
+	upload   lifecycle.UploadConsumer // who takes that; nil: nobody yet
+	pending  []byte                   // of it that waits for somebody
 	uploadID flowcontrol.ReaderID
 	waits    bool // the caller waits for the server
 	ticket   lifecycle.Ticket
@@ -50,7 +50,7 @@
 	}
 	if c.sent || c.answered { // more than one request: it is thrown away, as long as it ends
 		if c.extra += len(b); c.extra > maxExtra && c.uploadID == 0 {
-			return len(b), eventloop.ErrFlood
+			return len(b), eventloop.ErrInputOverflow
 		}
 		return len(b), nil
 	}
@@ -67,7 +67,7 @@
 			c.answered = true
 			c.timer.Stop()
 			c.Write(uwsgi.AppendPing(nil))
-			c.Leave()
+			c.CloseGracefully()
 			return len(b), nil
 		}
 		if !c.begin(h) {
@@ -154,13 +154,13 @@
 	case r.UntilClose:
 		c.framing, c.toEnd = httpmessage.BodyUntilClose(), true
 	}
-	q.Arrived = f.arrived(r, c.began)
+	q.ArrivedAt = f.arrived(r, c.began)
 	if r.ExpectsContinue {
 		c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if plan == flowcontrol.StreamBody {
 		c.rest = true
-		q.Rest, q.Length = c, r.Length
+		q.Upload, q.ContentLength = c, r.Length
 		f.ids++
 		c.uploadID = f.ids
 		f.flows.AddReader(c.uploadID, f.loop.Now())
@@ -172,7 +172,7 @@
 
 // submit hands over a request that has come whole.
 func (c *conn) submit() {
-	c.req.Body, c.req.Asker = c.body, c
+	c.req.Body, c.req.Responder = c.body, c
 	c.body = nil
 	c.sent, c.extra = true, 0
 	c.ticket = c.front.core.Submit(c.req)
@@ -205,7 +205,7 @@
 
 // Closed implements loop.Handler.
 func (c *conn) Closed(err error) {
-	if errors.Is(err, eventloop.ErrPeerSlow) {
+	if errors.Is(err, eventloop.ErrSlowPeer) {
 		evSlow.Log(err)
 	}
 	c.timer.Stop()
@@ -246,15 +246,15 @@
 		c.Detach()
 	}
 	c.Write(uwsgi.AppendResponse(nil, r, c.headOnly))
-	c.Leave()
+	c.CloseGracefully()
 }
 
-// Answer implements core.Asker.
+// Answer implements lifecycle.Responder.
 func (c *conn) Answer(a lifecycle.Answer) {
 	r := &uwsgi.Response{}
-	switch a.Kind {
+	switch a.Status {
 	case lifecycle.Served:
-		if a.Result.Rest != nil {
+		if a.Result.Stream != nil {
 			c.begun(a.Result)
 			return
 		}
@@ -262,20 +262,20 @@
 		for _, f := range a.Result.Fields {
 			r.Fields = append(r.Fields, httpmessage.Field(f))
 		}
-	case lifecycle.Refused:
+	case lifecycle.Rejected:
 		r.Status = 503
-		if ms := (a.ComeBack + 999) / 1000; ms > 0 {
+		if ms := (a.RetryAfter + 999) / 1000; ms > 0 {
 			r.Fields = []httpmessage.Field{
 				{Name: "Retry-After", Value: strconv.FormatInt(max((ms+999)/1000, 1), 10)},
 				{Name: "X-Come-Back-Ms", Value: strconv.FormatInt(ms, 10)},
 			}
 		}
-	case lifecycle.Late:
+	case lifecycle.Expired:
 		r.Status = 504
-	case lifecycle.Ran:
+	case lifecycle.ResultLost:
 		c.reject(409, errors.New("it ran, and its result was not kept"))
 		return
-	case lifecycle.Misused:
+	case lifecycle.Conflict:
 		c.reject(422, errors.New(a.Reason.String()))
 		return
 	default:
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -72,7 +72,7 @@
 // Frontend owns the listening socket of uwsgi callers and the connections on it.
 type Frontend struct {
 	loop  *eventloop.Loop
-	core  *lifecycle.Core
+	core  *lifecycle.Manager
 	opt   Options
 	ln    *eventloop.Listener
 	conns map[*conn]struct{}
@@ -97,7 +97,7 @@
 }
 
 // Listen begins to take connections for the core.
-func (f *Frontend) Listen(c *lifecycle.Core) (err error) {
+func (f *Frontend) Listen(c *lifecycle.Manager) (err error) {
 	f.core = c
 	f.ln, err = f.loop.ListenAddr(f.opt.Listen, f.opt.MaxConnections, f.limits(), f.accept, f.makeRoom)
 	if err == nil {
@@ -107,7 +107,7 @@
 }
 
 // Addr is where the front listens.
-func (f *Frontend) Addr() netaddr.Addr { return f.ln.Where() }
+func (f *Frontend) Addr() netaddr.Addr { return f.ln.LocalAddr() }
 
 // Connections is how many connections are open.
 func (f *Frontend) Connections() int { return len(f.conns) }
@@ -117,14 +117,14 @@
 func (f *Frontend) SetOptions(opt Options) {
 	opt.Listen = f.opt.Listen
 	f.opt = opt
-	f.ln.SetMost(opt.MaxConnections)
+	f.ln.SetMaxOpen(opt.MaxConnections)
 	f.ln.SetLimits(f.limits())
 	f.flows.SetLimits(opt.Flow)
 }
 
 // limits bound the buffers of a connection.
-func (f *Frontend) limits() eventloop.Limits {
-	return eventloop.Limits{
+func (f *Frontend) limits() eventloop.BufferLimits {
+	return eventloop.BufferLimits{
 		In: 4 + f.opt.MaxVariablesBytes + mostLine,
 		Out: max(
 			f.opt.Flow.MaxBuffered,
@@ -140,7 +140,7 @@
 // nothing came is left, one that was just taken from the queue after a while, as its request may be
 // on the way.
 func (f *Frontend) Drain() {
-	f.ln.CloseWhenTaken(firstWithin)
+	f.ln.CloseWhenAccepted(firstWithin)
 	f.leaveSilent(firstWithin)
 	f.loop.After(2*firstWithin, func() { f.leaveSilent(0) })
 }
@@ -149,8 +149,8 @@
 // in this very turn.
 func (f *Frontend) leaveSilent(age int64) {
 	for c := range f.conns {
-		if !c.sent && c.req == nil && len(c.Unread()) == 0 && f.loop.Unix()-c.began > age && !c.HasPending() {
-			c.Leave()
+		if !c.sent && c.req == nil && len(c.Buffered()) == 0 && f.loop.Unix()-c.began > age && !c.HasUnreadInput() {
+			c.CloseGracefully()
 		}
 	}
 }
@@ -171,7 +171,7 @@
 		if gone == roomFor {
 			return
 		}
-		if !c.HasPending() { // a request may have come in this very moment
+		if !c.HasUnreadInput() { // a request may have come in this very moment
 			gone++
 			c.Close(nil)
 		}
@@ -182,8 +182,8 @@
 	c := &conn{front: f, Conn: lc, began: f.loop.Unix()}
 	c.timer = f.loop.After(f.opt.ReadTimeout, func() { c.reject(408, errors.New("request does not come")) })
 	f.conns[c] = struct{}{}
-	if lc.Peer().IsValid() {
-		c.addr = lc.Peer().Addr()
+	if lc.RemoteAddr().IsValid() {
+		c.addr = lc.RemoteAddr().Addr()
 		f.from[c.addr]++
 		// nothing ran, and it may try again later
 		if f.opt.MaxConnectionsPerAddress > 0 && f.from[c.addr] > f.opt.MaxConnectionsPerAddress {
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -40,11 +40,11 @@
 // request makes what the core gets of a request, but for its body, and tells which route it takes.
 func (f *Frontend) request(r *cgi.Request) (*lifecycle.Request, *Route, int, error) {
 	q := &lifecycle.Request{
-		Streams: true,
-		SizeKB:  f.opt.SizeKB,
-		Key:     r.Get(f.opt.KeyVariable),
-		Trace:   r.Get(traceparent.Variable),
-		Caller:  maxPlatformCaller,
+		AcceptsStream: true,
+		SizeKB:        f.opt.SizeKB,
+		Key:           r.Get(f.opt.KeyVariable),
+		TraceParent:   r.Get(traceparent.Variable),
+		Caller:        maxPlatformCaller,
 	}
 	m := r.MatchRequest()
 	n := f.opt.Matcher.Match(m)
@@ -52,7 +52,7 @@
 		return nil, nil, 404, fmt.Errorf("no class at %q", r.Path)
 	}
 	route := &f.opt.Routes[n]
-	q.Class, q.Due = route.Class, route.Deadline
+	q.Class, q.Timeout = route.Class, route.Deadline
 	var ok bool
 	if q.Tenant, ok = f.core.Tenant(m.School); !ok {
 		return nil, nil, 403, fmt.Errorf("unknown tenant %q", m.School)
@@ -63,19 +63,19 @@
 			return nil, nil, 400, fmt.Errorf("the key %q holds a control character", q.Key)
 		}
 	}
-	if f.core.Keyed(q.Class) && q.Key == "" {
+	if f.core.IsKeyed(q.Class) && q.Key == "" {
 		return nil, nil, 400, fmt.Errorf("no %s in a keyed class", f.keyFrom(route))
 	}
 	if source, err := strconv.ParseUint(r.Get("HTTP_X_SOURCE"), 10, 32); err == nil {
 		q.Caller = uint32(source)
 	}
-	q.First = f.first(r)
-	q.Meta = make([]lifecycle.Field, 0, len(r.Variables))
+	q.FirstSentAt = f.first(r)
+	q.Metadata = make([]lifecycle.Field, 0, len(r.Variables))
 	for _, v := range r.Variables {
-		q.Meta = append(q.Meta, lifecycle.Field(v))
+		q.Metadata = append(q.Metadata, lifecycle.Field(v))
 	}
 	f.names += 0x9e3779b97f4a7c15 // odd, so that no name comes twice
-	q.Name = fmt.Sprintf("%016x", f.names)
+	q.ID = fmt.Sprintf("%016x", f.names)
 	return q, route, 0, nil
 }
 
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -54,31 +54,31 @@
 
 func (c *conn) give(data []byte) {
 	if c.upload != nil {
-		c.upload.TakeBody(data)
+		c.upload.ConsumeBody(data)
 		return
 	}
 	c.pending = append(c.pending, data...)
-	c.Untaken(len(c.pending))
+	c.SetBacklog(len(c.pending))
 }
 
-// Attach implements core.Upload.
-func (c *conn) Attach(t lifecycle.UploadTaker) {
+// Attach implements lifecycle.Upload.
+func (c *conn) Attach(t lifecycle.UploadConsumer) {
 	c.upload = t
 	pending := c.pending
 	c.pending = nil
-	c.Untaken(0)
+	c.SetBacklog(0)
 	if len(pending) > 0 {
-		t.TakeBody(pending)
+		t.ConsumeBody(pending)
 	}
 }
 
-// Untaken implements core.Upload: the caller waits for a slow server, and nobody else does.
-func (c *conn) Untaken(n int) {
+// SetBacklog implements lifecycle.Upload: the caller waits for a slow server, and nobody else does.
+func (c *conn) SetBacklog(n int) {
 	c.waits = c.front.flows.SetQueued(c.uploadID, n, c.front.loop.Now())
 	c.Pause(c.waits)
 }
 
-// Detach implements core.Upload. What still comes is thrown away.
+// Detach implements lifecycle.Upload. What still comes is thrown away.
 func (c *conn) Detach() {
 	c.endUpload()
 	c.rest = false
@@ -97,22 +97,22 @@
 	f := c.front
 	c.answered = true
 	f.ids++
-	c.id, c.stream = f.ids, res.Rest
+	c.id, c.stream = f.ids, res.Stream
 	f.flows.AddReader(c.id, f.loop.Now())
 	fields := make([]httpmessage.Field, 0, len(res.Fields))
 	for _, x := range res.Fields {
 		fields = append(fields, httpmessage.Field(x))
 	}
-	c.OnDrain(c.look)
-	c.Write(uwsgi.AppendHead(nil, res.Status, fields, res.Length))
-	res.Rest.Attach(c)
-	c.Take(res.Body)
+	c.OnFlushed(c.look)
+	c.Write(uwsgi.AppendHead(nil, res.Status, fields, res.ContentLength))
+	res.Stream.Attach(c)
+	c.Consume(res.Body)
 }
 
-// Take implements core.Taker.
-func (c *conn) Take(part []byte) {
+// Consume implements lifecycle.StreamConsumer.
+func (c *conn) Consume(part []byte) {
 	c.Write(part)
-	c.Push()
+	c.Flush()
 	if c.IsClosed() {
 		return
 	}
@@ -126,26 +126,26 @@
 // look sees how much waits for the reader, and has the server wait for it.
 func (c *conn) look() {
 	if c.stream != nil && !c.IsClosed() {
-		c.stream.Wait(c.front.flows.SetQueued(c.id, c.Queued(), c.front.loop.Now()))
+		c.stream.Pause(c.front.flows.SetQueued(c.id, c.QueuedBytes(), c.front.loop.Now()))
 	}
 }
 
-// Finished implements core.Taker.
-func (c *conn) Finished() {
+// Completed implements lifecycle.StreamConsumer.
+func (c *conn) Completed() {
 	c.detach()
-	c.Leave()
+	c.CloseGracefully()
 }
 
-// Cut implements core.Taker. The reader sees a reset: an ordinary end would make a response of no
+// Truncated implements lifecycle.StreamConsumer. The reader sees a reset: an ordinary end would make a response of no
 // stated length look whole.
-func (c *conn) Cut() {
+func (c *conn) Truncated() {
 	c.detach()
 	c.Abort(errors.New("the response was cut"))
 }
 
 func (c *conn) detach() {
 	c.stream = nil
-	c.OnDrain(nil)
+	c.OnFlushed(nil)
 	c.front.flows.RemoveReader(c.id)
 }
 
@@ -159,9 +159,9 @@
 			return
 		}
 		if c.stream != nil && c.id == id {
-			evResponseCut.Log(c.Queued(), why)
+			evResponseCut.Log(c.QueuedBytes(), why)
 			s := c.stream
-			c.Cut()
+			c.Truncated()
 			s.Cancel()
 			return
 		}
--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -44,7 +44,7 @@
 type life struct {
 	w       *world
 	no      uint64
-	core    *lifecycle.Core
+	core    *lifecycle.Manager
 	journal *store.Journal
 	queue   []entry
 	syncing bool
@@ -63,7 +63,7 @@
 func (w *world) start() bool {
 	w.lives++
 	l := &life{w: w, no: w.lives}
-	l.health.stall = l.Patience()
+	l.health.stall = l.Timeout()
 	journal, found, err := store.OpenJournal(w.disk, w.unix(), w.opt)
 	if journal == nil {
 		if !errors.Is(err, crashfs.ErrCrashed) {
@@ -102,20 +102,20 @@
 		},
 	}
 	l.core, err = lifecycle.New(set, w.seed, lifecycle.Host{Now: w.sched.Now, Unix: w.unix,
-		After:  func(d int64, fn func()) func() { return l.after(d, fn).Stop },
-		Gauges: func(fn func(lifecycle.Gauges)) { l.after(1, func() { fn(lifecycle.NoGauges()) }) },
-		Health: func(bool, bool) {}, Say: func(float64) {}, Trim: func(int64) {}, Log: func(*logging.Event, ...any) {},
-		Route: func(int) lifecycle.Runner { return l }, Keeper: l, Life: w.lives,
-		Trails: func(t *lifecycle.Trail) {
-			if w.trails++; t.Kind != lifecycle.Served && t.Cause == lifecycle.CauseNone ||
-				t.Kind == lifecycle.Served && t.First != "" && t.Cause != lifecycle.CauseRepeat {
-				w.breaks("%s has no cause: %+v", t.Name, *t)
+		After:     func(d int64, fn func()) func() { return l.after(d, fn).Stop },
+		Measure:   func(fn func(lifecycle.Gauges)) { l.after(1, func() { fn(lifecycle.UnknownGauges()) }) },
+		SetHealth: func(bool, bool) {}, Advertise: func(float64) {}, CloseIdle: func(int64) {}, Log: func(*logging.Event, ...any) {},
+		Route: func(int) lifecycle.Runner { return l }, KeyStore: l, Incarnation: w.lives,
+		OnAnswered: func(t *lifecycle.Trace) {
+			if w.trails++; t.Status != lifecycle.Served && t.Cause == lifecycle.CauseNone ||
+				t.Status == lifecycle.Served && t.OriginalID != "" && t.Cause != lifecycle.CauseDuplicate {
+				w.breaks("%s has no cause: %+v", t.ID, *t)
 			}
 		}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	var keys []lifecycle.Kept
+	var keys []lifecycle.KeyRecord
 	for _, k := range found.Keys {
 		keys = append(keys, kept(k))
 	}
@@ -144,19 +144,19 @@
 
 // The life is its own keeper: a commit takes a while, and records that come meanwhile wait for the
 // next.
-func (l *life) Closed() (int64, string) {
+func (l *life) Unavailable() (int64, string) {
 	if l.journal.IsDown() {
 		return 100_000, "down"
 	}
 	return l.health.closed(l.w.sched.Now())
 }
-func (l *life) Patience() int64                          { return 50_000 }
-func (l *life) Begun(k lifecycle.Kept, done func(error)) { l.put(store.Begun, k, done) }
-func (l *life) Ended(k lifecycle.Kept, done func(error)) { l.put(store.Ended, k, done) }
-func (l *life) Forgot(k lifecycle.Kept)                  { l.put(store.Forgotten, k, func(error) {}) }
-func (l *life) put(kind store.Kind, k lifecycle.Kept, done func(error)) {
+func (l *life) Timeout() int64                                  { return 50_000 }
+func (l *life) Started(k lifecycle.KeyRecord, done func(error)) { l.put(store.RunStarted, k, done) }
+func (l *life) Ended(k lifecycle.KeyRecord, done func(error))   { l.put(store.RunEnded, k, done) }
+func (l *life) Released(k lifecycle.KeyRecord)                  { l.put(store.KeyReleased, k, func(error) {}) }
+func (l *life) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(error)) {
 	l.health.sent(l.w.sched.Now())
-	l.queue = append(l.queue, entry{Record(kind, k, l.w.unix()), done})
+	l.queue = append(l.queue, entry{ToRecord(kind, k, l.w.unix()), done})
 	l.commit()
 }
 
@@ -188,8 +188,8 @@
 		if err != nil {
 			l.after(20_000, l.reopen)
 		} else if l.w.rand.IntN(6) == 0 {
-			if snap, err := l.journal.ForceCut(l.w.unix()); err == nil && snap.Write() == nil {
-				l.journal.Finish(snap)
+			if snap, err := l.journal.BeginSnapshot(l.w.unix()); err == nil && snap.Write() == nil {
+				l.journal.FinishSnapshot(snap)
 			}
 		} else {
 			_ = l.journal.Roll() // it is down then
@@ -221,7 +221,7 @@
 	}
 }
 
-// Run implements core.Runner: it is the server, and the checker's witness.
+// Run implements lifecycle.Runner: it is the server, and the checker's witness.
 func (l *life) Run(a *lifecycle.Attempt) {
 	w, key := l.w, a.Request.Key
 	if w.rand.IntN(8) == 0 { // it never gets there
@@ -235,14 +235,14 @@
 	w.results[key] = result
 	l.after(int64(1000+w.rand.IntN(300_000)), func() {
 		if w.rand.IntN(10) == 0 {
-			l.core.Ended(a, lifecycle.Broken, nil)
+			l.core.Ended(a, lifecycle.Interrupted, nil)
 			return
 		}
-		l.core.Ended(a, lifecycle.Fine, &lifecycle.Result{Status: 200, Body: []byte(result)})
+		l.core.Ended(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200, Body: []byte(result)})
 	})
 }
 
-// Abandon implements core.Runner.
+// Abandon implements lifecycle.Runner.
 func (l *life) Abandon(*lifecycle.Attempt) {}
 
 // crash is a loss of power; a while later the next life begins.
@@ -286,15 +286,15 @@
 	c.life = w.life.no
 	w.life.core.Submit(
 		&lifecycle.Request{
-			Name:    fmt.Sprintf("%s-%d-%d", c.key, c.no, c.life),
-			Tenant:  0,
-			Arrived: w.unix(),
-			SizeKB:  1,
-			Rank:    0.5,
-			Key:     c.key,
-			Subject: 1,
-			Body:    []byte(c.key),
-			Asker:   c,
+			ID:        fmt.Sprintf("%s-%d-%d", c.key, c.no, c.life),
+			Tenant:    0,
+			ArrivedAt: w.unix(),
+			SizeKB:    1,
+			Rank:      0.5,
+			Key:       c.key,
+			Entity:    1,
+			Body:      []byte(c.key),
+			Responder: c,
 		},
 	)
 	if w.rand.IntN(3) == 0 { // impatient: another before there is an answer
@@ -302,11 +302,11 @@
 	}
 }
 
-// Answer implements core.Asker.
+// Answer implements lifecycle.Responder.
 func (c *client) Answer(a lifecycle.Answer) {
 	w := c.w
 	w.answers++
-	switch a.Kind {
+	switch a.Status {
 	case lifecycle.Served:
 		if got := string(a.Result.Body); got != w.results[c.key] {
 			w.breaks("%s is told %q, and %q ran", c.key, got, w.results[c.key])
@@ -329,19 +329,19 @@
 
 // play is one run: a hundred hand-ins in some seconds, and a crash at one step of the disk or
 // another.
-func play(t *testing.T, seed uint64, mode store.Mode, fail bool) *world {
+func play(t *testing.T, seed uint64, mode store.SyncMode, fail bool) *world {
 	w := &world{
 		t:       t,
 		seed:    seed,
 		disk:    crashfs.New(seed),
 		sched:   virtualclock.New(),
 		rand:    rand.New(rand.NewPCG(seed, 1)),
-		opt:     store.Standard(),
+		opt:     store.DefaultOptions(),
 		ran:     map[string]int{},
 		results: map[string]string{},
 		served:  map[string]bool{},
 	}
-	w.opt.Mode, w.opt.Segment, w.calm = mode, 2000, !fail && seed%4 == 1
+	w.opt.Sync, w.opt.SegmentBytes, w.calm = mode, 2000, !fail && seed%4 == 1
 	if fail {
 		w.disk.Fail = func(op, name string) error {
 			if w.rand.IntN(12) == 0 {
@@ -374,7 +374,7 @@
 	}
 	var ran, answers, recalls, doubts, lives int
 	for seed := range uint64(runs) {
-		w := play(t, seed, []store.Mode{store.Group, store.Always}[seed%2], seed%3 == 0)
+		w := play(t, seed, []store.SyncMode{store.SyncGroup, store.SyncAlways}[seed%2], seed%3 == 0)
 		if w.trails != w.answers {
 			t.Fatalf("seed %d: %d answers, %d trails", seed, w.answers, w.trails)
 		}
@@ -409,7 +409,7 @@
 		disk:    crashfs.New(1),
 		sched:   virtualclock.New(),
 		rand:    rand.New(rand.NewPCG(1, 1)),
-		opt:     store.Standard(),
+		opt:     store.DefaultOptions(),
 		ran:     map[string]int{},
 		results: map[string]string{},
 		served:  map[string]bool{},
@@ -417,21 +417,21 @@
 	if !w.start() {
 		t.Fatal("it does not start")
 	}
-	ask := func(key string, kind lifecycle.Kind, within int64) {
+	ask := func(key string, kind lifecycle.Status, within int64) {
 		at := w.sched.Now()
 		w.life.core.Submit(
 			&lifecycle.Request{
-				Name:    key,
-				Arrived: w.unix(),
-				SizeKB:  1,
-				Rank:    0.5,
-				Key:     key,
-				Subject: 1,
-				Body:    []byte(key),
-				Asker: asker(func(a lifecycle.Answer) {
+				ID:        key,
+				ArrivedAt: w.unix(),
+				SizeKB:    1,
+				Rank:      0.5,
+				Key:       key,
+				Entity:    1,
+				Body:      []byte(key),
+				Responder: asker(func(a lifecycle.Answer) {
 					w.answers++
-					if past := w.sched.Now() - at; a.Kind != kind || past > within {
-						t.Errorf("%s: kind %d after %d ms", key, a.Kind, past/1000)
+					if past := w.sched.Now() - at; a.Status != kind || past > within {
+						t.Errorf("%s: kind %d after %d ms", key, a.Status, past/1000)
 					}
 				}),
 			},
@@ -445,12 +445,12 @@
 	w.stuck = true
 	for k := range 20 {
 		// once one has waited in vain, others do not
-		ask(fmt.Sprint("stuck", k), lifecycle.Refused, 60_000)
+		ask(fmt.Sprint("stuck", k), lifecycle.Rejected, 60_000)
 	}
 	w.sched.After(20_000, func() { w.life.core.Drain(1_500_000) })
 	w.sched.RunUntil(virtualclock.Origin + 4_000_000)
-	if w.answers != 21 || w.life.core.Open() != 0 || len(w.ran) != 1 {
-		t.Errorf("%d answers, %d open, %d ran", w.answers, w.life.core.Open(), len(w.ran))
+	if w.answers != 21 || w.life.core.OpenRequests() != 0 || len(w.ran) != 1 {
+		t.Errorf("%d answers, %d open, %d ran", w.answers, w.life.core.OpenRequests(), len(w.ran))
 	}
 }
 
--- a/internal/idempotency/persistence/keeper.go
+++ b/internal/idempotency/persistence/keeper.go
@@ -41,12 +41,12 @@
 // Config is how keys are kept. Times are microseconds.
 type Config struct {
 	store.Settings
-	Patience int64 // that a run or an answer waits for the disk
-	Window   int64 // the longest for which a key may be repeated
+	Timeout int64 // that a run or an answer waits for the disk
+	Window  int64 // the longest for which a key may be repeated
 }
 
-// Keeper implements core.Keeper on a store. Its methods are called on the loop.
-type Keeper struct {
+// KeyStore implements lifecycle.KeyStore on a store. Its methods are called on the loop.
+type KeyStore struct {
 	loop   Loop
 	fs     store.FS
 	cfg    Config
@@ -56,18 +56,18 @@
 	opened chan *store.Store // what the reading came to, for a Close meanwhile
 }
 
-// Start takes the folder, which no other process may use.
-func Start(l Loop, fsys store.FS, cfg Config) (*Keeper, error) {
+// Open takes the folder, which no other process may use.
+func Open(l Loop, fsys store.FS, cfg Config) (*KeyStore, error) {
 	unlock, err := fsys.Lock()
 	if err != nil {
 		return nil, err
 	}
-	return &Keeper{
+	return &KeyStore{
 		loop:   l,
 		fs:     fsys,
 		cfg:    cfg,
 		unlock: unlock,
-		health: health{stall: cfg.Patience, reading: true},
+		health: health{stall: cfg.Timeout, reading: true},
 		opened: make(chan *store.Store, 1),
 	}, nil
 }
@@ -77,7 +77,7 @@
 
 // Restore reads what was kept, beside the loop, and hands it to the core in portions. Until that is
 // done no new keys are taken. failed is told if it cannot be gone by.
-func (k *Keeper) Restore(restore func([]lifecycle.Kept) (strange int), failed func(error)) {
+func (k *KeyStore) Restore(restore func([]lifecycle.KeyRecord) (strange int), failed func(error)) {
 	go func() {
 		began := time.Now()
 		s, found, err := store.Open(k.fs, k.unlock, k.cfg.Settings, k.loop.Deliver, k.changed)
@@ -90,7 +90,7 @@
 		strange := 0
 		for keys := found.Keys; len(keys) > 0; {
 			n := min(portion, len(keys))
-			part := make([]lifecycle.Kept, n)
+			part := make([]lifecycle.KeyRecord, n)
 			for i, key := range keys[:n] {
 				part[i] = kept(key)
 			}
@@ -112,7 +112,7 @@
 				doubt,
 				strange,
 				found.Expired,
-				found.Cut,
+				found.TornBytes,
 			)
 			if len(found.Damage) > 0 {
 				// What is lost may be of keys whose window is not over. After that no repeat of
@@ -120,15 +120,15 @@
 				k.health.quiet = k.loop.Now() + k.cfg.Window
 				evRepaired.Log(len(found.Damage), k.cfg.Window/1000)
 			}
-			if found.Newest > k.loop.Unix() {
-				evClockBehind.Log((found.Newest - k.loop.Unix()) / 1000)
+			if found.NewestAt > k.loop.Unix() {
+				evClockBehind.Log((found.NewestAt - k.loop.Unix()) / 1000)
 			}
 		})
 	}()
 }
 
 // changed hears of a disk that fails or is back.
-func (k *Keeper) changed(down bool, err error) {
+func (k *KeyStore) changed(down bool, err error) {
 	if down {
 		evDiskFailed.Log(err)
 		k.health.down = err.Error()
@@ -138,31 +138,31 @@
 	k.health.down = ""
 }
 
-// Restored tells whether what was kept is read.
-func (k *Keeper) Restored() bool { return k.store != nil }
+// IsRestored tells whether what was kept is read.
+func (k *KeyStore) IsRestored() bool { return k.store != nil }
 
-// Closed implements core.Keeper.
-func (k *Keeper) Closed() (back int64, why string) { return k.health.closed(k.loop.Now()) }
+// Unavailable implements lifecycle.KeyStore.
+func (k *KeyStore) Unavailable() (back int64, why string) { return k.health.closed(k.loop.Now()) }
 
-// Patience implements core.Keeper.
-func (k *Keeper) Patience() int64 { return k.cfg.Patience }
+// Timeout implements lifecycle.KeyStore.
+func (k *KeyStore) Timeout() int64 { return k.cfg.Timeout }
 
-// Begun implements core.Keeper.
-func (k *Keeper) Begun(c lifecycle.Kept, done func(error)) { k.put(store.Begun, c, done) }
+// Started implements lifecycle.KeyStore.
+func (k *KeyStore) Started(c lifecycle.KeyRecord, done func(error)) { k.put(store.RunStarted, c, done) }
 
-// Ended implements core.Keeper.
-func (k *Keeper) Ended(c lifecycle.Kept, done func(error)) { k.put(store.Ended, c, done) }
+// Ended implements lifecycle.KeyStore.
+func (k *KeyStore) Ended(c lifecycle.KeyRecord, done func(error)) { k.put(store.RunEnded, c, done) }
 
-// Forgot implements core.Keeper.
-func (k *Keeper) Forgot(c lifecycle.Kept) { k.put(store.Forgotten, c, func(error) {}) }
+// Released implements lifecycle.KeyStore.
+func (k *KeyStore) Released(c lifecycle.KeyRecord) { k.put(store.KeyReleased, c, func(error) {}) }
 
-func (k *Keeper) put(kind store.Kind, c lifecycle.Kept, done func(error)) {
+func (k *KeyStore) put(kind store.RecordKind, c lifecycle.KeyRecord, done func(error)) {
 	if k.store == nil { // nothing is begun until it is there
 		k.loop.Deliver(func() { done(store.ErrDown) })
 		return
 	}
 	k.health.sent(k.loop.Now())
-	k.store.Put(Record(kind, c, k.loop.Unix()), func(err error) {
+	k.store.Put(ToRecord(kind, c, k.loop.Unix()), func(err error) {
 		k.health.answered()
 		done(err)
 	})
@@ -172,7 +172,7 @@
 const closeWithin = time.Second
 
 // Close keeps what was handed over, and gives the folder back.
-func (k *Keeper) Close() error {
+func (k *KeyStore) Close() error {
 	select {
 	case s := <-k.opened:
 		if s == nil {
@@ -184,20 +184,20 @@
 	}
 }
 
-// Record is what is kept as a record of the store.
-func Record(kind store.Kind, c lifecycle.Kept, at int64) *store.Record {
+// ToRecord is what is kept as a record of the store.
+func ToRecord(kind store.RecordKind, c lifecycle.KeyRecord, at int64) *store.Record {
 	r := &store.Record{
 		Kind:  kind,
-		Name:  store.Name{Class: c.Class, Tenant: c.Tenant, Key: c.Key},
+		Name:  store.KeyName{Class: c.Class, Tenant: c.Tenant, Key: c.Key},
 		Owner: c.Owner,
 		At:    at,
 	}
-	if kind == store.Forgotten {
+	if kind == store.KeyReleased {
 		return r
 	}
-	r.Until, r.Body = c.Until, c.Body
-	if kind == store.Ended {
-		r.How = uint8(c.How)
+	r.Until, r.Body = c.ExpiresAt, c.BodyHash
+	if kind == store.RunEnded {
+		r.How = uint8(c.Status)
 		if c.Result != nil {
 			r.Result = &store.Result{Status: c.Result.Status, Body: c.Result.Body}
 			for _, f := range c.Result.Fields {
@@ -209,39 +209,39 @@
 }
 
 // kept is what was kept of a key.
-func kept(key *store.Key) lifecycle.Kept {
-	c := lifecycle.Kept{
-		Class:  key.Name.Class,
-		Tenant: key.Name.Tenant,
-		Key:    key.Name.Key,
-		Owner:  key.Owner,
-		Until:  key.Until,
-		Body:   key.Body,
-		Ended:  key.Ended,
-		How:    lifecycle.Kind(key.How),
+func kept(key *store.Key) lifecycle.KeyRecord {
+	c := lifecycle.KeyRecord{
+		Class:     key.Name.Class,
+		Tenant:    key.Name.Tenant,
+		Key:       key.Name.Key,
+		Owner:     key.Owner,
+		ExpiresAt: key.ExpiresAt,
+		BodyHash:  key.BodyHash,
+		Ended:     key.Ended,
+		Status:    lifecycle.Status(key.Status),
 	}
 	if r := key.Result; r != nil {
 		c.Result = &lifecycle.Result{Status: r.Status, Body: r.Body}
 		for _, f := range r.Fields {
 			c.Result.Fields = append(c.Result.Fields, lifecycle.Field{Name: f.Name, Value: f.Value})
 		}
-	} else if key.Ended && (c.How < lifecycle.Failed || c.How > lifecycle.Ran) { // of a format that says it otherwise
-		c.How = lifecycle.Failed
+	} else if key.Ended && (c.Status < lifecycle.Failed || c.Status > lifecycle.ResultLost) { // of a format that says it otherwise
+		c.Status = lifecycle.Failed
 	}
 	return c
 }
 
-// KeptOf is what a record says of a key.
-func KeptOf(r *store.Record) lifecycle.Kept {
+// FromRecord is what a record says of a key.
+func FromRecord(r *store.Record) lifecycle.KeyRecord {
 	return kept(
 		&store.Key{
-			Name:   r.Name,
-			Owner:  r.Owner,
-			Until:  r.Until,
-			Body:   r.Body,
-			Ended:  r.Kind == store.Ended,
-			How:    r.How,
-			Result: r.Result,
+			Name:      r.Name,
+			Owner:     r.Owner,
+			ExpiresAt: r.Until,
+			BodyHash:  r.Body,
+			Ended:     r.Kind == store.RunEnded,
+			Status:    r.How,
+			Result:    r.Result,
 		},
 	)
 }
--- a/internal/idempotency/reservation/bench_test.go
+++ b/internal/idempotency/reservation/bench_test.go
@@ -24,14 +24,14 @@
 				}
 			}
 			for i := 0; b.Loop(); i++ {
-				k := lifecycle.Kept{
-					Class:  "hand-in",
-					Tenant: "malarskolan",
-					Key:    fmt.Sprintf("%032x", i),
-					Owner:  1 << 32,
-					Until:  10_000_000,
+				k := lifecycle.KeyRecord{
+					Class:     "hand-in",
+					Tenant:    "malarskolan",
+					Key:       fmt.Sprintf("%032x", i),
+					Owner:     1 << 32,
+					ExpiresAt: 10_000_000,
 				}
-				one.ledger.Claim(k, tryAgain, free, done)
+				one.ledger.Reserve(k, tryAgain, free, done)
 			}
 		})
 	}
--- a/internal/idempotency/reservation/claims.go
+++ b/internal/idempotency/reservation/claims.go
@@ -44,11 +44,11 @@
 	readPart   = 64 << 10
 )
 
-// ErrUnknown tells that another process could not write what it claimed: its keys are not known.
-var ErrUnknown error = unwritten.New("claims: another process could not write its claims")
+// ErrPeerIncomplete tells that another process could not write what it claimed: its keys are not known.
+var ErrPeerIncomplete error = unwritten.New("claims: another process could not write its claims")
 
-// ErrBusy tells that the lock was not to be had in time.
-var ErrBusy error = held.New("claims: another process holds the lock")
+// ErrLockHeld tells that the lock was not to be had in time.
+var ErrLockHeld error = held.New("claims: another process holds the lock")
 
 // Loop is what is needed of the event loop.
 type Loop interface {
@@ -58,29 +58,29 @@
 
 // Table is the table of keys of this process.
 type Table interface {
-	// Heard takes what another process has written of a key; forgotten: its run never began.
-	Heard(k lifecycle.Kept, forgotten bool)
-	// Orphaned tells that the process of a life is dead: what it has not written an end of may have
+	// ApplyRemote takes what another process has written of a key; forgotten: its run never began.
+	ApplyRemote(k lifecycle.KeyRecord, forgotten bool)
+	// OwnerDied tells that the process of a life is dead: what it has not written an end of may have
 	// run.
-	Orphaned(life uint32)
-	// Known gives what is known of keys whose runs this process began, whose window is not over.
-	Known(fn func(lifecycle.Kept))
+	OwnerDied(life uint32)
+	// EachOwned gives what is known of keys whose runs this process began, whose window is not over.
+	EachOwned(fn func(lifecycle.KeyRecord))
 }
 
 // Config is where claims are kept, and for whom. Times are microseconds.
 type Config struct {
-	Dir    string // that all processes of the runner have
-	Runner string // tells its processes from those of others
-	Life   uint32
-	Window int64 // the longest for which a key is remembered
-	Most   int64 // bytes of results that are written when another process comes
-	// Beside is told how many other processes live, whenever that changes.
-	Beside func(living int)
-	After  func(d int64, fn func())
+	Dir            string // that all processes of the runner have
+	Runner         string // tells its processes from those of others
+	Incarnation    uint32
+	Window         int64 // the longest for which a key is remembered
+	MaxResultBytes int64 // bytes of results that are written when another process comes
+	// OtherProcesses is told how many other processes live, whenever that changes.
+	OnProcessesChanged func(living int)
+	After              func(d int64, fn func())
 }
 
-// Ledger is the claims of one process, and what it has read of the others'.
-type Ledger struct {
+// Coordinator is the claims of one process, and what it has read of the others'.
+type Coordinator struct {
 	loop   Loop
 	cfg    Config
 	table  Table
@@ -115,10 +115,10 @@
 
 // Open takes part among the processes of the runner. What the others have claimed is read before it
 // returns.
-func Open(l Loop, cfg Config, table Table) (*Ledger, error) {
+func Open(l Loop, cfg Config, table Table) (*Coordinator, error) {
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Runner))
-	g := &Ledger{
+	g := &Coordinator{
 		loop:  l,
 		cfg:   cfg,
 		table: table,
@@ -136,21 +136,21 @@
 	return g, nil
 }
 
-func (g *Ledger) open() (err error) {
+func (g *Coordinator) open() (err error) {
 	if g.lock, err = os.OpenFile(g.base+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return err
 	}
 	for began := time.Now(); !hold(g.lock); time.Sleep(time.Millisecond) {
 		if time.Since(began) > openWithin {
-			return ErrBusy
+			return ErrLockHeld
 		}
 	}
 	defer release(g.lock)
-	if g.alive, err = os.OpenFile(g.aliveName(g.cfg.Life), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
+	if g.alive, err = os.OpenFile(g.aliveName(g.cfg.Incarnation), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
 		return err
 	}
 	if !hold(g.alive) {
-		return ErrBusy
+		return ErrLockHeld
 	}
 	if err = g.newLog(nil); err != nil {
 		return err
@@ -160,7 +160,7 @@
 }
 
 // Close gives everything back but the files, which the others go by.
-func (g *Ledger) Close() {
+func (g *Coordinator) Close() {
 	for _, f := range []*os.File{g.lock, g.log, g.alive} {
 		if f != nil {
 			f.Close()
@@ -192,20 +192,20 @@
 	return false
 }
 
-// Claim has it written that a run begins. Under the lock, once what others have written is read,
+// Reserve has it written that a run begins. Under the lock, once what others have written is read,
 // free is asked whether the key is still ours. Done is called once, with whether it is; an error:
 // it is not known, and nothing may run.
-func (g *Ledger) Claim(k lifecycle.Kept, within int64, free func() bool, done func(mine bool, err error)) {
+func (g *Coordinator) Reserve(k lifecycle.KeyRecord, within int64, free func() bool, done func(mine bool, err error)) {
 	if g.lock == nil {
 		done(false, os.ErrClosed)
 		return
 	}
 	if !hold(g.lock) {
 		if within < tryAgain {
-			done(false, ErrBusy)
+			done(false, ErrLockHeld)
 			return
 		}
-		g.cfg.After(tryAgain, func() { g.Claim(k, within-tryAgain, free, done) })
+		g.cfg.After(tryAgain, func() { g.Reserve(k, within-tryAgain, free, done) })
 		return
 	}
 	mine := false
@@ -213,14 +213,14 @@
 	if err == nil {
 		for _, p := range g.peers {
 			if p.at == 0 {
-				err = ErrUnknown
+				err = ErrPeerIncomplete
 			}
 		}
 	}
 	if err == nil && g.size > g.least {
 		// Before the claim and not behind it: the table does not have it yet. The log may stay as
 		// long as it is: that the disk has no room for another is no reason to turn a run away.
-		if e := g.newLog(g.table.Known); e != nil {
+		if e := g.newLog(g.table.EachOwned); e != nil {
 			g.least *= 2
 			g.failed(e)
 		}
@@ -238,7 +238,7 @@
 }
 
 // failed tells of an error that was not there before.
-func (g *Ledger) failed(err error) {
+func (g *Coordinator) failed(err error) {
 	why := ""
 	if err != nil {
 		why = err.Error()
@@ -250,25 +250,25 @@
 }
 
 // Ended has an end written, for those who wait for it in other processes.
-func (g *Ledger) Ended(k lifecycle.Kept) {
+func (g *Coordinator) Ended(k lifecycle.KeyRecord) {
 	if g.living() > 0 {
 		g.failed(g.append(g.record(k)))
 	}
 }
 
-// Forgot has it written that a run which was claimed never began.
-func (g *Ledger) Forgot(k lifecycle.Kept) {
-	g.failed(g.append(persistence.Record(store.Forgotten, k, g.loop.Unix())))
+// Released has it written that a run which was claimed never began.
+func (g *Coordinator) Released(k lifecycle.KeyRecord) {
+	g.failed(g.append(persistence.ToRecord(store.KeyReleased, k, g.loop.Unix())))
 }
 
-// Serves has it written that this process takes connections.
-func (g *Ledger) Serves() {
+// MarkServing has it written that this process takes connections.
+func (g *Coordinator) MarkServing() {
 	g.serves = true
-	g.failed(g.append(&store.Record{Kind: store.Mark}))
+	g.failed(g.append(&store.Record{Kind: store.SyncMark}))
 }
 
 // living is how many other processes live.
-func (g *Ledger) living() (n int) {
+func (g *Coordinator) living() (n int) {
 	for _, p := range g.peers {
 		if p.living {
 			n++
@@ -277,8 +277,8 @@
 	return n
 }
 
-// Beside tells how many other processes live now, and whether one of them serves.
-func (g *Ledger) Beside() (living int, serves bool) {
+// OtherProcesses tells how many other processes live now, and whether one of them serves.
+func (g *Coordinator) OtherProcesses() (living int, serves bool) {
 	if g.lock != nil { // what came since the last poll counts
 		g.failed(g.look())
 		g.tell()
@@ -290,7 +290,7 @@
 }
 
 // poll reads what others write as long as the ledger is open.
-func (g *Ledger) poll() {
+func (g *Coordinator) poll() {
 	if g.lock == nil {
 		return
 	}
@@ -310,15 +310,15 @@
 }
 
 // tell tells how many others live. To one that is new all that is known is written.
-func (g *Ledger) tell() {
+func (g *Coordinator) tell() {
 	n := g.living()
 	if n == g.told {
 		return
 	}
 	grown := n > max(g.told, 0) && g.told >= 0
 	if g.told = n; grown {
-		left := g.cfg.Most
-		g.table.Known(func(k lifecycle.Kept) {
+		left := g.cfg.MaxResultBytes
+		g.table.EachOwned(func(k lifecycle.KeyRecord) {
 			if r := g.record(k); k.Ended && left > 0 {
 				if r.Result != nil {
 					left -= int64(len(r.Result.Body))
@@ -327,13 +327,13 @@
 			}
 		})
 	}
-	if g.cfg.Beside != nil {
-		g.cfg.Beside(n)
+	if g.cfg.OnProcessesChanged != nil {
+		g.cfg.OnProcessesChanged(n)
 	}
 }
 
 // look reads what others have written since it was read last.
-func (g *Ledger) look() error {
+func (g *Coordinator) look() error {
 	if e := g.readEpoch(); e != g.epoch {
 		if err := g.scan(); err != nil {
 			return err
@@ -348,14 +348,14 @@
 		}
 		if was && !p.living {
 			evGone.Log(fmt.Sprintf("%08x", life))
-			g.table.Orphaned(life)
+			g.table.OwnerDied(life)
 		}
 	}
 	return nil
 }
 
 // scan finds the logs of others.
-func (g *Ledger) scan() error {
+func (g *Coordinator) scan() error {
 	files, err := os.ReadDir(g.cfg.Dir)
 	if err != nil {
 		return err
@@ -364,7 +364,7 @@
 		name := filepath.Join(g.cfg.Dir, f.Name())
 		life, gen, ok := g.parse(name)
 		p := g.peers[life]
-		if !ok || life == g.cfg.Life || p != nil && p.gen >= gen {
+		if !ok || life == g.cfg.Incarnation || p != nil && p.gen >= gen {
 			continue
 		}
 		log, err := os.Open(name)
@@ -392,7 +392,7 @@
 			return err
 		}
 		if evJoined.Log(fmt.Sprintf("%08x", life), p.living, p.keys); !p.living {
-			g.table.Orphaned(life)
+			g.table.OwnerDied(life)
 		}
 	}
 	return nil
@@ -400,7 +400,7 @@
 
 // sweep removes files of the dead of which no key can be asked for any more. The shared lock is
 // held.
-func (g *Ledger) sweep() {
+func (g *Coordinator) sweep() {
 	old := time.Now().Add(-time.Duration(g.cfg.Window) * time.Microsecond)
 	for life, p := range g.peers {
 		st, err := p.log.Stat()
--- a/internal/idempotency/reservation/claims_test.go
+++ b/internal/idempotency/reservation/claims_test.go
@@ -19,8 +19,8 @@
 	t      testing.TB
 	now    int64
 	timers []func()
-	ledger *Ledger
-	known  []lifecycle.Kept
+	ledger *Coordinator
+	known  []lifecycle.KeyRecord
 	theirs map[string]bool
 	seen   []string
 	beside int
@@ -29,7 +29,7 @@
 func (p *process) Now() int64  { return p.now }
 func (p *process) Unix() int64 { return p.now }
 
-func (p *process) Heard(k lifecycle.Kept, forgotten bool) {
+func (p *process) ApplyRemote(k lifecycle.KeyRecord, forgotten bool) {
 	p.theirs[k.Key] = !forgotten
 	text := "begun " + k.Key
 	if k.Ended {
@@ -43,8 +43,8 @@
 	}
 	p.seen = append(p.seen, text)
 }
-func (p *process) Orphaned(life uint32) { p.seen = append(p.seen, fmt.Sprintf("orphaned %d", life)) }
-func (p *process) Known(fn func(lifecycle.Kept)) {
+func (p *process) OwnerDied(life uint32) { p.seen = append(p.seen, fmt.Sprintf("orphaned %d", life)) }
+func (p *process) EachOwned(fn func(lifecycle.KeyRecord)) {
 	for _, k := range p.known {
 		fn(k)
 	}
@@ -56,8 +56,8 @@
 	var err error
 	p.ledger, err = Open(
 		p,
-		Config{Dir: dir, Runner: "n0 127.0.0.1:1", Life: life, Window: 1_000_000, Most: 100,
-			After: func(_ int64, fn func()) { p.timers = append(p.timers, fn) }, Beside: func(n int) { p.beside = n }},
+		Config{Dir: dir, Runner: "n0 127.0.0.1:1", Incarnation: life, Window: 1_000_000, MaxResultBytes: 100,
+			After: func(_ int64, fn func()) { p.timers = append(p.timers, fn) }, OnProcessesChanged: func(n int) { p.beside = n }},
 		p,
 	)
 	if err != nil {
@@ -81,8 +81,8 @@
 
 // claim tries to claim a key and tells what came of it.
 func (p *process) claim(key string) (out string) {
-	k := lifecycle.Kept{Class: "hand-in", Key: key, Owner: uint64(p.ledger.cfg.Life) << 32, Until: 10_000_000}
-	p.ledger.Claim(k, 3*tryAgain, func() bool { return !p.theirs[key] }, func(mine bool, err error) {
+	k := lifecycle.KeyRecord{Class: "hand-in", Key: key, Owner: uint64(p.ledger.cfg.Incarnation) << 32, ExpiresAt: 10_000_000}
+	p.ledger.Reserve(k, 3*tryAgain, func() bool { return !p.theirs[key] }, func(mine bool, err error) {
 		switch out = "theirs"; {
 		case err != nil:
 			out = err.Error()
@@ -128,7 +128,7 @@
 	two.claims("b", "mine")
 	one.claims("b", "theirs") // though nothing was polled in between
 	one.expect("begun b")
-	one.ledger.Forgot(one.known[0])
+	one.ledger.Released(one.known[0])
 	two.pass()
 	two.expect("forgotten a")
 	two.claims("a", "mine")
@@ -212,7 +212,7 @@
 	if !hold(one.ledger.lock) {
 		t.Fatal("the lock is held by nobody, and is not free")
 	}
-	two.claims("a", ErrBusy.Error())
+	two.claims("a", ErrLockHeld.Error())
 	release(one.ledger.lock)
 	two.claims("a", "mine")
 }
@@ -221,7 +221,7 @@
 func TestLogIsWrittenAnew(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
-	one.ledger.Serves()
+	one.ledger.MarkServing()
 	one.ledger.least = 1000
 	for i := range 40 {
 		one.claims(fmt.Sprint(i), "mine")
@@ -237,7 +237,7 @@
 	if two.claims("39", "theirs"); len(two.theirs) < 4 {
 		t.Errorf("of 40 claims %d were heard", len(two.theirs))
 	}
-	if _, serves := two.ledger.Beside(); !serves {
+	if _, serves := two.ledger.OtherProcesses(); !serves {
 		t.Error("that it serves is not in its new log")
 	}
 }
@@ -303,7 +303,7 @@
 	}
 	one.ledger.size, one.ledger.lost = 0, true // as after a record that found no room
 	two := start(t, dir, 2)
-	two.claims("a", ErrUnknown.Error())
+	two.claims("a", ErrPeerIncomplete.Error())
 	one.pass()
 	one.claims("c", "mine") // there is room again, and all is written
 	two.claims("a", "theirs")
@@ -326,7 +326,7 @@
 	}
 	one.ledger.log.Close()
 	one.ledger.log = whole
-	frame, err := store.AppendFrame(nil, &store.Record{Kind: store.Begun, Name: store.Name{Key: "z"}})
+	frame, err := store.AppendFrame(nil, &store.Record{Kind: store.RunStarted, Name: store.KeyName{Key: "z"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -14,21 +14,23 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-func (g *Ledger) aliveName(life uint32) string { return fmt.Sprintf("%s.%08x.alive", g.base, life) }
+func (g *Coordinator) aliveName(life uint32) string {
+	return fmt.Sprintf("%s.%08x.alive", g.base, life)
+}
 
-func (g *Ledger) logName(life uint32, gen uint64) string {
+func (g *Coordinator) logName(life uint32, gen uint64) string {
 	return fmt.Sprintf("%s.%08x.%d.log", g.base, life, gen)
 }
 
 // readEpoch reads the number that grows whenever there are other files than before. It stands in
 // the shared lock's file.
-func (g *Ledger) readEpoch() uint64 {
+func (g *Coordinator) readEpoch() uint64 {
 	var b [8]byte
 	_, _ = unix.Pread(int(g.lock.Fd()), b[:], 0) // one that was never written is nought
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-func (g *Ledger) bumpEpoch() error {
+func (g *Coordinator) bumpEpoch() error {
 	g.epoch = g.readEpoch() + 1
 	_, err := g.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, g.epoch), 0)
 	return err
@@ -36,23 +38,23 @@
 
 // newLog begins a log with what is known, in place of the one that there is. The shared lock is
 // held.
-func (g *Ledger) newLog(known func(func(lifecycle.Kept))) error {
-	name := g.logName(g.cfg.Life, g.gen+1)
+func (g *Coordinator) newLog(known func(func(lifecycle.KeyRecord))) error {
+	name := g.logName(g.cfg.Incarnation, g.gen+1)
 	f, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
 	// one that holds nothing is one that was given up
-	b, err := store.AppendFrame(nil, &store.Record{Kind: store.Last})
+	b, err := store.AppendFrame(nil, &store.Record{Kind: store.EndOfSnapshot})
 	if known != nil {
 		add := func(r *store.Record) {
 			if err == nil {
 				b, err = store.AppendFrame(b, r)
 			}
 		}
-		known(func(k lifecycle.Kept) { add(g.record(k)) })
+		known(func(k lifecycle.KeyRecord) { add(g.record(k)) })
 		if g.serves {
-			add(&store.Record{Kind: store.Mark})
+			add(&store.Record{Kind: store.SyncMark})
 		}
 	}
 	if err == nil {
@@ -71,7 +73,7 @@
 	}
 	if g.log != nil {
 		g.log.Close()
-		os.Remove(g.logName(g.cfg.Life, g.gen))
+		os.Remove(g.logName(g.cfg.Incarnation, g.gen))
 	}
 	g.log, g.size = f, int64(len(b))
 	g.gen++
@@ -82,10 +84,10 @@
 // write appends a claim. Alone, a process without room goes on: its log is emptied, which takes
 // none, so that one that comes knows that it does not know, and it is written anew once there is
 // room. All that was claimed is in the table.
-func (g *Ledger) write(k lifecycle.Kept) error {
+func (g *Coordinator) write(k lifecycle.KeyRecord) error {
 	var err error
 	if g.lost {
-		err = g.newLog(g.table.Known)
+		err = g.newLog(g.table.EachOwned)
 	}
 	if err == nil {
 		err = g.append(g.record(k))
@@ -102,15 +104,15 @@
 }
 
 // record is what is written of a key. Results are for others: alone, nobody reads them.
-func (g *Ledger) record(k lifecycle.Kept) *store.Record {
-	kind := store.Begun
+func (g *Coordinator) record(k lifecycle.KeyRecord) *store.Record {
+	kind := store.RunStarted
 	if k.Ended && g.living() > 0 {
-		kind = store.Ended
+		kind = store.RunEnded
 	}
-	return persistence.Record(kind, k, g.loop.Unix())
+	return persistence.ToRecord(kind, k, g.loop.Unix())
 }
 
-func (g *Ledger) append(r *store.Record) error {
+func (g *Coordinator) append(r *store.Record) error {
 	if g.lock == nil {
 		return os.ErrClosed
 	}
@@ -127,7 +129,7 @@
 	return nil
 }
 
-func (g *Ledger) parse(name string) (life uint32, gen uint64, ok bool) {
+func (g *Coordinator) parse(name string) (life uint32, gen uint64, ok bool) {
 	text, ours := strings.CutPrefix(name, g.base+".")
 	text, isLog := strings.CutSuffix(text, ".log")
 	if !ours || !isLog {
@@ -141,7 +143,7 @@
 
 // read takes the records that a process has written since. One that is not whole yet is read again
 // later; of a process that is dead it never will be.
-func (g *Ledger) read(p *peer) error {
+func (g *Coordinator) read(p *peer) error {
 	var b []byte
 	part := make([]byte, readPart)
 	for {
@@ -166,12 +168,12 @@
 	}
 }
 
-func (g *Ledger) take(p *peer, r *store.Record) {
+func (g *Coordinator) take(p *peer, r *store.Record) {
 	switch r.Kind {
-	case store.Mark:
+	case store.SyncMark:
 		p.ready = true
-	case store.Begun, store.Ended, store.Forgotten:
+	case store.RunStarted, store.RunEnded, store.KeyReleased:
 		p.keys++
-		g.table.Heard(persistence.KeptOf(r), r.Kind == store.Forgotten)
+		g.table.ApplyRemote(persistence.FromRecord(r), r.Kind == store.KeyReleased)
 	}
 }
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -18,19 +18,19 @@
 const storedDir = "testdata/stored"
 
 // storedKey is a key that the process of a life has reserved in testdata.
-func storedKey(name string, life uint32) lifecycle.Kept {
-	return lifecycle.Kept{
-		Class:  "hand-in",
-		Tenant: "north",
-		Key:    name,
-		Owner:  uint64(life)<<32 | 5,
-		Until:  10_000_000,
-		Body:   [32]byte{1, 2, 31: 3},
+func storedKey(name string, life uint32) lifecycle.KeyRecord {
+	return lifecycle.KeyRecord{
+		Class:     "hand-in",
+		Tenant:    "north",
+		Key:       name,
+		Owner:     uint64(life)<<32 | 5,
+		ExpiresAt: 10_000_000,
+		BodyHash:  [32]byte{1, 2, 31: 3},
 	}
 }
 
 // storedEnd is a key whose run has ended with a result.
-func storedEnd(name string, life uint32) lifecycle.Kept {
+func storedEnd(name string, life uint32) lifecycle.KeyRecord {
 	k := storedKey(name, life)
 	k.Ended = true
 	k.Result = &lifecycle.Result{
@@ -45,8 +45,8 @@
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
 	first, second := start(t, dir, 7), start(t, dir, 8)
-	claim := func(p *process, k lifecycle.Kept) {
-		p.ledger.Claim(k, 0, func() bool { return true }, func(mine bool, err error) {
+	claim := func(p *process, k lifecycle.KeyRecord) {
+		p.ledger.Reserve(k, 0, func() bool { return true }, func(mine bool, err error) {
 			if !mine || err != nil {
 				t.Fatal(mine, err)
 			}
@@ -57,28 +57,28 @@
 	claim(second, storedKey("b", 8))
 	claim(first, storedKey("c", 7))
 	first.ledger.Ended(storedEnd("a", 7))
-	first.ledger.Forgot(storedKey("c", 7))
-	second.ledger.Serves()
+	first.ledger.Released(storedKey("c", 7))
+	second.ledger.MarkServing()
 	first.kill()
 	second.kill()
 }
 
 // heard is a table of keys that notes what it is told of other processes.
 type heard struct {
-	keys      []lifecycle.Kept
+	keys      []lifecycle.KeyRecord
 	forgotten []string
 	orphaned  []uint32
 }
 
-func (h *heard) Heard(k lifecycle.Kept, forgotten bool) {
+func (h *heard) ApplyRemote(k lifecycle.KeyRecord, forgotten bool) {
 	if forgotten {
 		h.forgotten = append(h.forgotten, k.Key)
 		return
 	}
 	h.keys = append(h.keys, k)
 }
-func (h *heard) Orphaned(life uint32)       { h.orphaned = append(h.orphaned, life) }
-func (h *heard) Known(func(lifecycle.Kept)) {}
+func (h *heard) OwnerDied(life uint32)               { h.orphaned = append(h.orphaned, life) }
+func (h *heard) EachOwned(func(lifecycle.KeyRecord)) {}
 
 // What two processes of version 1 have reserved is read by a process that starts after them.
 func TestReadsFilesOfVersion1(t *testing.T) {
@@ -99,7 +99,7 @@
 	l, err := Open(
 		&process{t: t, now: 1_000_000},
 		Config{
-			Dir: dir, Runner: "n0 127.0.0.1:1", Life: 9, Window: 1_000_000, Most: 100,
+			Dir: dir, Runner: "n0 127.0.0.1:1", Incarnation: 9, Window: 1_000_000, MaxResultBytes: 100,
 			After: func(int64, func()) {},
 		},
 		h,
@@ -109,7 +109,7 @@
 	}
 	defer l.Close()
 	want := &heard{
-		keys:      []lifecycle.Kept{storedKey("a", 7), storedKey("c", 7), storedEnd("a", 7), storedKey("b", 8)},
+		keys:      []lifecycle.KeyRecord{storedKey("a", 7), storedKey("c", 7), storedEnd("a", 7), storedKey("b", 8)},
 		forgotten: []string{"c"},
 		orphaned:  []uint32{7, 8},
 	}
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -17,11 +17,11 @@
 // after the other, with so many of them at once.
 func BenchmarkStore(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 50) // about 1 kB
-	for mode, name := range map[store.Mode]string{store.Always: "always", store.Group: "group", store.None: "none"} {
+	for mode, name := range map[store.SyncMode]string{store.SyncAlways: "always", store.SyncGroup: "group", store.SyncNone: "none"} {
 		for _, at := range []int{1, 16, 128} {
 			b.Run(fmt.Sprintf("%s/%d", name, at), func(b *testing.B) {
-				set := store.Usual()
-				set.Mode = mode
+				set := store.DefaultSettings()
+				set.Sync = mode
 				dir := store.Dir(b.TempDir())
 				unlock, err := dir.Lock()
 				if err != nil {
@@ -72,7 +72,7 @@
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			path := b.TempDir()
-			opt := store.Standard()
+			opt := store.DefaultOptions()
 			j, _ := open(b, store.Dir(path), opt)
 			for k := 0; k < n; k += 100 {
 				var batch []*store.Record
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// Mode is what has to be true of a record before anybody goes by it.
-type Mode uint8
+// SyncMode is what has to be true of a record before anybody goes by it.
+type SyncMode uint8
 
 // The modes.
 const (
-	Group  Mode = iota // it is on the disk; records that come within a short time share one sync
-	Always             // it is on the disk, by a sync of its own
-	None               // the system has it: it outlives the process, not a loss of power
+	SyncGroup  SyncMode = iota // it is on the disk; records that come within a short time share one sync
+	SyncAlways                 // it is on the disk, by a sync of its own
+	SyncNone                   // the system has it: it outlives the process, not a loss of power
 )
 
-var modes = map[string]Mode{"group": Group, "always": Always, "none": None}
+var modes = map[string]SyncMode{"group": SyncGroup, "always": SyncAlways, "none": SyncNone}
 
-// ParseMode reads the name of a mode.
-func ParseMode(name string) (Mode, error) {
+// ParseSyncMode reads the name of a mode.
+func ParseSyncMode(name string) (SyncMode, error) {
 	m, ok := modes[name]
 	if !ok {
 		return 0, fmt.Errorf("unknown mode %q: want always, group or none", name)
@@ -31,17 +31,19 @@
 
 // Options are how a journal is kept.
 type Options struct {
-	Mode    Mode
-	Segment int64 // bytes after which a new segment is begun
+	Sync         SyncMode
+	SegmentBytes int64 // bytes after which a new segment is begun
 	// bytes beside twice those of the live keys, past which a snapshot cuts the journal
-	Slack int64
+	SlackBytes int64
 	// microseconds beyond its window for which a key is kept: a repeat may be read so much later
-	Keep   int64
-	Repair bool // go on with damaged files, which are kept aside
+	Retention int64
+	Repair    bool // go on with damaged files, which are kept aside
 }
 
-// Standard is what is usual.
-func Standard() Options { return Options{Segment: 8 << 20, Slack: 16 << 20, Keep: 10_000_000} }
+// DefaultOptions is what is usual.
+func DefaultOptions() Options {
+	return Options{SegmentBytes: 8 << 20, SlackBytes: 16 << 20, Retention: 10_000_000}
+}
 
 func segmentName(n uint64) string  { return fmt.Sprintf("journal-%016d", n) }
 func snapshotName(n uint64) string { return fmt.Sprintf("snapshot-%016d", n) }
@@ -58,16 +60,16 @@
 	return n, err == nil
 }
 
-// Found is what was found at a start.
-type Found struct {
-	Keys     []*Key
-	Snapshot uint64 // that it began with; 0: none
-	Segments int
-	Records  int
-	Cut      int64 // bytes at the end that were never promised
-	Expired  int
-	Damage   []Damage // that was repaired
-	Newest   int64    // time of the newest record
+// Recovery is what was found at a start.
+type Recovery struct {
+	Keys      []*Key
+	Snapshot  uint64 // that it began with; 0: none
+	Segments  int
+	Records   int
+	TornBytes int64 // bytes at the end that were never promised
+	Expired   int
+	Damage    []Damage // that was repaired
+	NewestAt  int64    // time of the newest record
 }
 
 // Journal is the files of a store. It is used by one goroutine, but for Snapshot.Write.
@@ -85,7 +87,7 @@
 }
 
 // read finds out what the files of a folder hold, without changing them.
-func read(fsys FS, now int64, opt Options) (*State, *Found, []uint64, []uint64, error) {
+func read(fsys FS, now int64, opt Options) (*State, *Recovery, []uint64, []uint64, error) {
 	names, err := fsys.List()
 	if err != nil {
 		return nil, nil, nil, nil, disk.New("store: %w", err)
@@ -100,7 +102,7 @@
 	}
 	slices.Sort(segments)
 	slices.Sort(snapshots)
-	f := &Found{}
+	f := &Recovery{}
 	state := NewState()
 	for _, n := range slices.Backward(snapshots) {
 		b, err := fsys.Read(snapshotName(n))
@@ -125,39 +127,39 @@
 		if f.Segments > 0 {
 			want = segments[i-1] + 1
 		}
-		if n != want && opt.Mode != None { // numbers go on without a gap
+		if n != want && opt.Sync != SyncNone { // numbers go on without a gap
 			f.Damage = append(f.Damage, Damage{segmentName(want), 0, 0})
 		}
 		b, err := fsys.Read(segmentName(n))
 		if err != nil {
 			return nil, nil, nil, nil, disk.New("store: %w", err)
 		}
-		got, err := scan(segmentName(n), b, n, i == len(segments)-1 || opt.Mode == None, state)
+		got, err := scan(segmentName(n), b, n, i == len(segments)-1 || opt.Sync == SyncNone, state)
 		if err != nil {
 			return nil, nil, nil, nil, err
 		}
 		f.Segments++
 		f.Records += got.Records
-		f.Cut += got.Cut
+		f.TornBytes += got.Cut
 		f.Damage = append(f.Damage, got.Damage...)
 	}
-	f.Newest = state.newest
+	f.NewestAt = state.newest
 	all := state.Len()
-	state.Expire(now-opt.Keep, true)
+	state.Expire(now-opt.Retention, true)
 	f.Expired = all - state.Len()
 	f.Keys = state.Keys()
 	return state, f, segments, snapshots, nil
 }
 
 // Read finds out what the files of a folder hold. They are not changed, and may be in use.
-func Read(fsys FS, now int64, opt Options) (*Found, error) {
+func Read(fsys FS, now int64, opt Options) (*Recovery, error) {
 	_, f, _, _, err := read(fsys, now, opt)
 	return f, err
 }
 
 // OpenJournal reads what is there and begins a journal after it. If the disk takes nothing it is
 // open all the same, and down: see Reopen.
-func OpenJournal(fsys FS, now int64, opt Options) (*Journal, *Found, error) {
+func OpenJournal(fsys FS, now int64, opt Options) (*Journal, *Recovery, error) {
 	state, f, segments, snapshots, err := read(fsys, now, opt)
 	if err != nil {
 		return nil, nil, err
@@ -202,7 +204,7 @@
 	if err := j.begin(); err != nil {
 		return err
 	}
-	j.Finish(snap)
+	j.FinishSnapshot(snap)
 	return nil
 }
 
@@ -220,7 +222,7 @@
 		return disk.New("store: %w", err)
 	}
 	head := appendHeader(nil, j.number+1)
-	if _, err = f.Write(head); err == nil && j.opt.Mode != None {
+	if _, err = f.Write(head); err == nil && j.opt.Sync != SyncNone {
 		if err = f.Sync(); err == nil {
 			err = j.fs.SyncDir()
 		}
@@ -248,7 +250,7 @@
 func (j *Journal) Commit(records []*Record) error {
 	err := j.commit(records)
 	for _, r := range records {
-		if err == nil || r.Kind != Begun { // one that could not be kept will not be run
+		if err == nil || r.Kind != RunStarted { // one that could not be kept will not be run
 			j.state.Apply(r)
 		}
 	}
@@ -264,8 +266,8 @@
 		return ErrDown
 	}
 	j.buf = j.buf[:0]
-	if j.told < j.synced && j.opt.Mode != None {
-		if j.buf, err = AppendFrame(j.buf, &Record{Kind: Mark, Synced: j.synced}); err != nil {
+	if j.told < j.synced && j.opt.Sync != SyncNone {
+		if j.buf, err = AppendFrame(j.buf, &Record{Kind: SyncMark, Synced: j.synced}); err != nil {
 			return err
 		}
 	}
@@ -278,7 +280,7 @@
 	if j.size += int64(n); err != nil {
 		return disk.New("store: %w", err)
 	}
-	if j.opt.Mode == None {
+	if j.opt.Sync == SyncNone {
 		return nil
 	}
 	if err := j.file.Sync(); err != nil {
@@ -290,7 +292,7 @@
 
 // Roll begins a new segment once this one is large.
 func (j *Journal) Roll() error {
-	if j.file == nil || j.size < j.opt.Segment {
+	if j.file == nil || j.size < j.opt.SegmentBytes {
 		return nil
 	}
 	err := j.file.Close() // it is synced
@@ -303,17 +305,17 @@
 	return j.begin()
 }
 
-// Cut begins a snapshot where one is due; nil: none is. Its Write may run beside; then Finish has
+// TornBytes begins a snapshot where one is due; nil: none is. Its Write may run beside; then Finish has
 // to be told.
-func (j *Journal) Cut(now int64) (*Snapshot, error) {
-	if j.file == nil || j.Size() <= 2*j.state.Live()+j.opt.Slack {
+func (j *Journal) SnapshotIfDue(now int64) (*Snapshot, error) {
+	if j.file == nil || j.Size() <= 2*j.state.LiveBytes()+j.opt.SlackBytes {
 		return nil, nil
 	}
-	return j.ForceCut(now)
+	return j.BeginSnapshot(now)
 }
 
-// ForceCut begins a snapshot in any case but that of a disk that failed.
-func (j *Journal) ForceCut(now int64) (*Snapshot, error) {
+// BeginSnapshot begins a snapshot in any case but that of a disk that failed.
+func (j *Journal) BeginSnapshot(now int64) (*Snapshot, error) {
 	if j.file == nil {
 		return nil, ErrDown
 	}
@@ -339,7 +341,7 @@
 
 // take notes what is known. Keys do not change once they are in the state.
 func (j *Journal) take(now int64) *Snapshot {
-	j.state.Expire(now-j.opt.Keep, false)
+	j.state.Expire(now-j.opt.Retention, false)
 	return &Snapshot{fs: j.fs, covers: j.number, keys: j.state.Keys(), at: now, frees: j.sealed}
 }
 
@@ -393,7 +395,7 @@
 			return err
 		}
 	}
-	if b, err = AppendFrame(b, &Record{Kind: Last, Count: len(s.keys), At: s.at}); err != nil {
+	if b, err = AppendFrame(b, &Record{Kind: EndOfSnapshot, Count: len(s.keys), At: s.at}); err != nil {
 		return err
 	}
 	if err = flush(0); err != nil {
@@ -402,9 +404,9 @@
 	return f.Sync()
 }
 
-// Finish removes what a snapshot that was written has made needless. What cannot be removed now is
+// FinishSnapshot removes what a snapshot that was written has made needless. What cannot be removed now is
 // with the next one.
-func (j *Journal) Finish(s *Snapshot) {
+func (j *Journal) FinishSnapshot(s *Snapshot) {
 	names, err := j.fs.List()
 	if err != nil {
 		return
@@ -428,7 +430,7 @@
 	}
 	f := j.file
 	j.file = nil
-	if j.opt.Mode == None {
+	if j.opt.Sync == SyncNone {
 		return errors.Join(f.Sync(), f.Close())
 	}
 	return f.Close()
--- a/internal/idempotency/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -18,24 +18,24 @@
 	"ryepaddle/internal/fault"
 )
 
-// Name is whose key it is. Classes and tenants go by their names: their places in a configuration
+// KeyName is whose key it is. Classes and tenants go by their names: their places in a configuration
 // change.
-type Name struct {
+type KeyName struct {
 	Class  string `cbor:"1,keyasint"`
 	Tenant string `cbor:"2,keyasint,omitempty"`
 	Key    string `cbor:"3,keyasint"`
 }
 
-// Kind is what a record says.
-type Kind uint8
+// RecordKind is what a record says.
+type RecordKind uint8
 
 // The kinds. A reader that does not know one of 128 or more skips it.
 const (
-	Begun     Kind = iota + 1 // a run is about to begin: from here on it may have run
-	Ended                     // it ended, with a result or without
-	Forgotten                 // it is proven that it never ran
-	Mark                      // all of the segment before it is on the disk for sure
-	Last                      // the end of a snapshot
+	RunStarted    RecordKind = iota + 1 // a run is about to begin: from here on it may have run
+	RunEnded                            // it ended, with a result or without
+	KeyReleased                         // it is proven that it never ran
+	SyncMark                            // all of the segment before it is on the disk for sure
+	EndOfSnapshot                       // the end of a snapshot
 )
 
 // Field is one named value of a result.
@@ -55,8 +55,8 @@
 
 // Record is one entry of the journal.
 type Record struct {
-	Kind Kind `cbor:"1,keyasint"`
-	Name Name `cbor:"2,keyasint,omitempty"`
+	Kind RecordKind `cbor:"1,keyasint"`
+	Name KeyName    `cbor:"2,keyasint,omitempty"`
 	// the try that it is about; others of its key are not touched by its end
 	Owner uint64   `cbor:"3,keyasint,omitempty"`
 	At    int64    `cbor:"4,keyasint,omitempty"` // when it was written
--- a/internal/idempotency/store/recover.go
+++ b/internal/idempotency/store/recover.go
@@ -36,8 +36,8 @@
 	)
 }
 
-// Scan is what a file holds.
-type Scan struct {
+// segmentScan is what a file holds.
+type segmentScan struct {
 	Records int
 	Cut     int64 // bytes at its end that were never promised to be there
 	Damage  []Damage
@@ -48,8 +48,8 @@
 // part: what a crash leaves behind a point that was on the disk for sure. Only what a later mark
 // vouches for must be there; and all of a segment that another one follows, if the journal was
 // written with syncs.
-func scan(name string, b []byte, number uint64, last bool, s *State) (Scan, error) {
-	var out Scan
+func scan(name string, b []byte, number uint64, last bool, s *State) (segmentScan, error) {
+	var out segmentScan
 	if err := readHeader(name, b, number); err != nil {
 		var format *FormatError
 		if errors.As(err, &format) {
@@ -97,7 +97,7 @@
 			at = resync(b, at+1)
 			continue
 		}
-		if r.Kind == Mark {
+		if r.Kind == SyncMark {
 			synced = max(synced, r.Synced)
 		}
 		if at += int64(n); at >= int64(len(b)) {
@@ -140,7 +140,7 @@
 			return err
 		}
 		at += used
-		if r.Kind == Last {
+		if r.Kind == EndOfSnapshot {
 			if r.Count != n || at != len(b) {
 				return errBad
 			}
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -7,40 +7,40 @@
 
 // Key is what is known of one.
 type Key struct {
-	Name   Name
-	Owner  uint64
-	Until  int64
-	Body   [32]byte
-	Ended  bool // else its run had begun: it is in doubt once the process is gone
-	How    uint8
-	Result *Result
-	size   int64 // of its records in a snapshot, about
+	Name      KeyName
+	Owner     uint64
+	ExpiresAt int64
+	BodyHash  [32]byte
+	Ended     bool // else its run had begun: it is in doubt once the process is gone
+	Status    uint8
+	Result    *Result
+	size      int64 // of its records in a snapshot, about
 }
 
 // record is the key as a snapshot holds it.
 func (k *Key) record() *Record {
-	r := &Record{Kind: Begun, Name: k.Name, Owner: k.Owner, Until: k.Until, Body: k.Body}
+	r := &Record{Kind: RunStarted, Name: k.Name, Owner: k.Owner, Until: k.ExpiresAt, Body: k.BodyHash}
 	if k.Ended {
-		r.Kind, r.How, r.Result = Ended, k.How, k.Result
+		r.Kind, r.How, r.Result = RunEnded, k.Status, k.Result
 	}
 	return r
 }
 
 // State is what a sequence of records comes to.
 type State struct {
-	keys   map[Name]*Key
+	keys   map[KeyName]*Key
 	live   int64 // bytes of all keys, about
 	newest int64 // time of the newest record
 }
 
 // NewState is that of no records.
-func NewState() *State { return &State{keys: map[Name]*Key{}} }
+func NewState() *State { return &State{keys: map[KeyName]*Key{}} }
 
 // Len is how many keys there are.
 func (s *State) Len() int { return len(s.keys) }
 
-// Live is about how many bytes a snapshot takes.
-func (s *State) Live() int64 { return s.live }
+// LiveBytes is about how many bytes a snapshot takes.
+func (s *State) LiveBytes() int64 { return s.live }
 
 // Apply takes a record. An end is that of the try it names alone: what a later try of the key began
 // is not touched.
@@ -48,27 +48,27 @@
 	s.newest = max(s.newest, r.At)
 	k := s.keys[r.Name]
 	switch r.Kind {
-	case Begun:
+	case RunStarted:
 		if k != nil && k.Owner == r.Owner && k.Ended { // told twice
 			return
 		}
-		s.put(&Key{Name: r.Name, Owner: r.Owner, Until: r.Until, Body: r.Body})
-	case Ended:
+		s.put(&Key{Name: r.Name, Owner: r.Owner, ExpiresAt: r.Until, BodyHash: r.Body})
+	case RunEnded:
 		// Of a snapshot, or after a repair, it stands alone.
 		if k == nil || k.Owner == r.Owner {
 			s.put(
 				&Key{
-					Name:   r.Name,
-					Owner:  r.Owner,
-					Until:  r.Until,
-					Body:   r.Body,
-					Ended:  true,
-					How:    r.How,
-					Result: r.Result,
+					Name:      r.Name,
+					Owner:     r.Owner,
+					ExpiresAt: r.Until,
+					BodyHash:  r.Body,
+					Ended:     true,
+					Status:    r.How,
+					Result:    r.Result,
 				},
 			)
 		}
-	case Forgotten:
+	case KeyReleased:
 		if k != nil && k.Owner == r.Owner && !k.Ended {
 			s.drop(k)
 		}
@@ -99,7 +99,7 @@
 // time.
 func (s *State) Expire(before int64, begunToo bool) {
 	for _, k := range s.keys {
-		if k.Until < before && (k.Ended || begunToo) {
+		if k.ExpiresAt < before && (k.Ended || begunToo) {
 			s.drop(k)
 		}
 	}
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -19,14 +19,14 @@
 // Settings are how a store is run beside the loop.
 type Settings struct {
 	Options
-	Wait  time.Duration // Group: how long records wait at the most for others to share a sync with
-	Batch int           // records of one sync at the most
-	Queue int           // records that wait for the disk at the most
+	GroupWait time.Duration // Group: how long records wait at the most for others to share a sync with
+	MaxBatch  int           // records of one sync at the most
+	MaxQueue  int           // records that wait for the disk at the most
 }
 
-// Usual are the settings that are usual.
-func Usual() Settings {
-	return Settings{Options: Standard(), Wait: 2 * time.Millisecond, Batch: 256, Queue: 20_000}
+// DefaultSettings are the settings that are usual.
+func DefaultSettings() Settings {
+	return Settings{Options: DefaultOptions(), GroupWait: 2 * time.Millisecond, MaxBatch: 256, MaxQueue: 20_000}
 }
 
 // ErrBusy is that of a record that finds the queue full.
@@ -75,7 +75,7 @@
 	set Settings,
 	deliver func(func()),
 	changed func(down bool, err error),
-) (*Store, *Found, error) {
+) (*Store, *Recovery, error) {
 	j, found, err := OpenJournal(fsys, now(), set.Options)
 	if j == nil {
 		return nil, nil, errors.Join(err, unlock())
@@ -105,7 +105,7 @@
 // known not to be.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
-	full := len(s.queue) >= s.set.Queue && r.Kind == Begun || s.closing
+	full := len(s.queue) >= s.set.MaxQueue && r.Kind == RunStarted || s.closing
 	if !full {
 		s.queue = append(s.queue, item{r, done})
 	}
@@ -193,13 +193,13 @@
 		// What comes while a sync runs shares the next one by itself. To wait for more pays only
 		// where several come at once, and for no longer than a sync takes; on a disk that takes
 		// under a millisecond it never does.
-		if wait := min(s.set.Wait, s.took); s.set.Mode == Group && !closing && n < s.last &&
+		if wait := min(s.set.GroupWait, s.took); s.set.Sync == SyncGroup && !closing && n < s.last &&
 			wait >= time.Millisecond &&
 			!s.journal.IsDown() {
 			time.Sleep(wait)
 		}
-		most := s.set.Batch
-		if s.set.Mode == Always {
+		most := s.set.MaxBatch
+		if s.set.Sync == SyncAlways {
 			most = 1
 		}
 		s.mu.Lock()
@@ -239,7 +239,7 @@
 	if err := s.journal.Roll(); err != nil || s.cutting {
 		return err
 	}
-	snap, err := s.journal.Cut(now())
+	snap, err := s.journal.SnapshotIfDue(now())
 	if snap == nil {
 		return err
 	}
@@ -254,5 +254,5 @@
 		evSnapshot.Log(c.err)
 		return
 	}
-	s.journal.Finish(c.snap)
+	s.journal.FinishSnapshot(c.snap)
 }
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -17,11 +17,13 @@
 
 const at = int64(1_700_000_000_000_000)
 
-func name(key string) store.Name { return store.Name{Class: "hand-in", Tenant: "north", Key: key} }
+func name(key string) store.KeyName {
+	return store.KeyName{Class: "hand-in", Tenant: "north", Key: key}
+}
 
 func begun(key string, owner uint64) *store.Record {
 	return &store.Record{
-		Kind:  store.Begun,
+		Kind:  store.RunStarted,
 		Name:  name(key),
 		Owner: owner,
 		At:    at,
@@ -32,7 +34,7 @@
 
 func ended(key string, owner uint64, body string) *store.Record {
 	r := begun(key, owner)
-	r.Kind, r.Result = store.Ended, &store.Result{
+	r.Kind, r.Result = store.RunEnded, &store.Result{
 		Status: 200,
 		Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}},
 		Body:   []byte(body),
@@ -41,10 +43,10 @@
 }
 
 func forgotten(key string, owner uint64) *store.Record {
-	return &store.Record{Kind: store.Forgotten, Name: name(key), Owner: owner, At: at}
+	return &store.Record{Kind: store.KeyReleased, Name: name(key), Owner: owner, At: at}
 }
 
-func open(t testing.TB, d store.FS, opt store.Options) (*store.Journal, *store.Found) {
+func open(t testing.TB, d store.FS, opt store.Options) (*store.Journal, *store.Recovery) {
 	t.Helper()
 	j, f, err := store.OpenJournal(d, at, opt)
 	if err != nil {
@@ -61,11 +63,11 @@
 }
 
 // told is keys in a line each.
-func told(f *store.Found) (out []string) {
+func told(f *store.Recovery) (out []string) {
 	for _, k := range f.Keys {
 		what := "in doubt"
 		if k.Ended {
-			what = fmt.Sprintf("how %d", k.How)
+			what = fmt.Sprintf("how %d", k.Status)
 		}
 		if k.Result != nil {
 			what = fmt.Sprintf("%d %s", k.Result.Status, k.Result.Body)
@@ -79,7 +81,7 @@
 func TestRecords(t *testing.T) {
 	long := strings.Repeat("result ", 1000)
 	d := crashfs.New(1)
-	j, _ := open(t, d, store.Standard())
+	j, _ := open(t, d, store.DefaultOptions())
 	failed := ended("failed", 6, "")
 	failed.Result, failed.How = nil, 3
 	commit(
@@ -115,8 +117,8 @@
 	old.Until = at - 20_000_000
 	commit(t, j, old)
 	// A clock that went back keeps keys for longer, and drops none.
-	if f, err := store.Read(d, at-3_600_000_000, store.Standard()); err != nil || len(f.Keys) != 6 ||
-		f.Newest != at {
+	if f, err := store.Read(d, at-3_600_000_000, store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
+		f.NewestAt != at {
 		t.Errorf("an hour earlier: %d keys, %v", len(f.Keys), err)
 	}
 	want := []string{"again in doubt", "done 200 ok", "doubt in doubt", "failed how 3", "long 200 " + long}
@@ -124,12 +126,12 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		var f *store.Found
-		j, f = open(t, d, store.Standard())
+		var f *store.Recovery
+		j, f = open(t, d, store.DefaultOptions())
 		if diff := cmp.Diff(want, told(f)); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
-		if f.Keys[1].Body != [32]byte{1, 2} || f.Keys[1].Owner != 1 ||
+		if f.Keys[1].BodyHash != [32]byte{1, 2} || f.Keys[1].Owner != 1 ||
 			f.Keys[1].Result.Fields[0].Value != "text/plain" {
 			t.Errorf("%+v", f.Keys[1])
 		}
@@ -140,15 +142,15 @@
 // skipped, and fields that an older one lacks are nought.
 func TestFormats(t *testing.T) {
 	d := crashfs.New(1)
-	j, _ := open(t, d, store.Standard())
+	j, _ := open(t, d, store.DefaultOptions())
 	commit(
 		t,
 		j,
 		&store.Record{Kind: 200, Name: name("x")},
-		&store.Record{Kind: store.Begun, Name: name("bare"), Until: at},
+		&store.Record{Kind: store.RunStarted, Name: name("bare"), Until: at},
 	)
 	j.Close()
-	if _, f := open(t, d, store.Standard()); len(f.Keys) != 1 || f.Keys[0].Owner != 0 {
+	if _, f := open(t, d, store.DefaultOptions()); len(f.Keys) != 1 || f.Keys[0].Owner != 0 {
 		t.Errorf("%+v", f)
 	}
 	d = crashfs.New(1)
@@ -160,7 +162,7 @@
 	if _, err := w.Write(head); err != nil {
 		t.Fatal(err)
 	}
-	opt := store.Standard()
+	opt := store.DefaultOptions()
 	opt.Repair = true // that mends nothing here
 	_, _, err = store.OpenJournal(d, at, opt)
 	var format *store.FormatError
@@ -177,7 +179,7 @@
 func TestEveryByte(t *testing.T) {
 	build := func() (*crashfs.Disk, string) {
 		d := crashfs.New(1)
-		j, _ := open(t, d, store.Standard())
+		j, _ := open(t, d, store.DefaultOptions())
 		for k := range 6 {
 			commit(t, j, begun(fmt.Sprint("k", k), uint64(k+1)))
 		}
@@ -195,7 +197,7 @@
 		if _, err := w.Write(whole[:n]); err != nil {
 			t.Fatal(err)
 		}
-		_, f, err := store.OpenJournal(d, at, store.Standard())
+		_, f, err := store.OpenJournal(d, at, store.DefaultOptions())
 		var damage *store.DamageError
 		if errors.As(err, &damage) { // the cut is before a mark's promise: no crash does that
 			t.Fatalf("cut at %d: %v", n, err)
@@ -212,7 +214,7 @@
 	for n := range whole {
 		d, file := build()
 		d.Rot(file, n)
-		_, f, err := store.OpenJournal(d, at, store.Standard())
+		_, f, err := store.OpenJournal(d, at, store.DefaultOptions())
 		var damage *store.DamageError
 		var format *store.FormatError
 		switch {
@@ -220,7 +222,7 @@
 			continue
 		case errors.As(err, &damage):
 			refused++
-			opt := store.Standard()
+			opt := store.DefaultOptions()
 			opt.Repair = true
 			_, f, err = store.OpenJournal(d, at, opt)
 			if err != nil || len(f.Damage) == 0 || len(f.Keys) < 4 {
@@ -245,8 +247,8 @@
 func TestSpaceIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := crashfs.New(1)
-		opt := store.Standard()
-		opt.Segment, opt.Slack = 2000, 8000
+		opt := store.DefaultOptions()
+		opt.SegmentBytes, opt.SlackBytes = 2000, 8000
 		j, _ := open(t, d, opt)
 		fails := rapid.Bool().Draw(rt, "fails")
 		alive := map[string]bool{}
@@ -264,20 +266,20 @@
 			if err := j.Roll(); err != nil {
 				rt.Fatal(err)
 			}
-			if snap, err := j.Cut(at); err != nil {
+			if snap, err := j.SnapshotIfDue(at); err != nil {
 				rt.Fatal(err)
 			} else if snap != nil {
 				if fails && k%2 == 0 {
 					d.Fail = func(string, string) error { return errors.New("no room") }
 				}
 				if err := snap.Write(); err == nil {
-					j.Finish(snap)
+					j.FinishSnapshot(snap)
 				}
 				d.Fail = nil
 			}
 		}
-		if most := 2*j.State().Live() + opt.Slack + 3*opt.Segment; j.Size() > most && !fails {
-			rt.Fatalf("%d bytes, with %d alive", j.Size(), j.State().Live())
+		if most := 2*j.State().LiveBytes() + opt.SlackBytes + 3*opt.SegmentBytes; j.Size() > most && !fails {
+			rt.Fatalf("%d bytes, with %d alive", j.Size(), j.State().LiveBytes())
 		}
 		j.Close()
 		_, f, err := store.OpenJournal(d, at, opt)
@@ -322,8 +324,8 @@
 	if _, err := h.Lock(); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a second lock: %v", err)
 	}
-	set := store.Usual()
-	set.Queue = 5
+	set := store.DefaultSettings()
+	set.MaxQueue = 5
 	s, _, err := store.Open(h, unlock, set, func(fn func()) { fn() }, func(bool, error) {})
 	if err != nil {
 		t.Fatal(err)
@@ -358,7 +360,7 @@
 // read.
 func FuzzRead(f *testing.F) {
 	d := crashfs.New(1)
-	j, _ := open(f, d, store.Standard())
+	j, _ := open(f, d, store.DefaultOptions())
 	commit(f, j, begun("a", 1), ended("a", 1, strings.Repeat("x", 600)))
 	commit(f, j, begun("b", 2))
 	seed, err := d.Read("journal-0000000000000001")
@@ -376,13 +378,13 @@
 		if _, err := w.Write(b); err != nil {
 			t.Fatal(err)
 		}
-		found, err := store.Read(d, at, store.Standard())
+		found, err := store.Read(d, at, store.DefaultOptions())
 		if err != nil {
 			return
 		}
 		// Whoever goes on from it, with a repair or without, keeps just what was read, once and
 		// again.
-		opt := store.Standard()
+		opt := store.DefaultOptions()
 		opt.Repair = true
 		for range 2 {
 			j, again, err := store.OpenJournal(d, at, opt)
--- a/internal/idempotency/store/stored_test.go
+++ b/internal/idempotency/store/stored_test.go
@@ -37,17 +37,17 @@
 // writeStored writes the records into an empty folder.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
-	j, _ := open(t, store.Dir(dir), store.Standard())
+	j, _ := open(t, store.Dir(dir), store.DefaultOptions())
 	before, after := storedRecords()
 	commit(t, j, before...)
-	snapshot, err := j.ForceCut(at)
+	snapshot, err := j.BeginSnapshot(at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := snapshot.Write(); err != nil {
 		t.Fatal(err)
 	}
-	j.Finish(snapshot)
+	j.FinishSnapshot(snapshot)
 	commit(t, j, after[:2]...)
 	commit(t, j, after[2])
 	if err := j.Close(); err != nil {
@@ -70,15 +70,15 @@
 	}
 	key := func(name string, owner uint64) *store.Key {
 		return &store.Key{
-			Name:  store.Name{Class: "hand-in", Tenant: "north", Key: name},
-			Owner: owner,
-			Until: 1_700_000_013_000_000,
-			Body:  [32]byte{1, 2},
+			Name:      store.KeyName{Class: "hand-in", Tenant: "north", Key: name},
+			Owner:     owner,
+			ExpiresAt: 1_700_000_013_000_000,
+			BodyHash:  [32]byte{1, 2},
 		}
 	}
 	done, failed, compressed := key("done", 1<<40|7), key("failed", 6), key("long", 9)
 	done.Ended, done.Result = true, result("handed in")
-	failed.Ended, failed.How = true, 3
+	failed.Ended, failed.Status = true, 3
 	compressed.Ended, compressed.Result = true, result(long)
 	return []*store.Key{done, failed, compressed, key("open", 5), key("open-2", 10)}
 }
@@ -95,11 +95,11 @@
 		}
 		writeStored(t, storedDir)
 	}
-	found, err := store.Read(store.Dir(storedDir), at, store.Standard())
+	found, err := store.Read(store.Dir(storedDir), at, store.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &store.Found{Keys: storedKeys(), Snapshot: 1, Segments: 1, Records: 5, Newest: at}
+	want := &store.Recovery{Keys: storedKeys(), Snapshot: 1, Segments: 1, Records: 5, NewestAt: at}
 	if diff := cmp.Diff(want, found, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
@@ -108,7 +108,7 @@
 	if err := os.CopyFS(dir, os.DirFS(storedDir)); err != nil {
 		t.Fatal(err)
 	}
-	j, opened := open(t, store.Dir(dir), store.Standard())
+	j, opened := open(t, store.Dir(dir), store.DefaultOptions())
 	if diff := cmp.Diff(storedKeys(), opened.Keys, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
 		t.Errorf("opened (-want +got)\n%s", diff)
 	}
--- a/internal/lifecycle/claims_test.go
+++ b/internal/lifecycle/claims_test.go
@@ -24,7 +24,7 @@
 
 type line struct {
 	life      uint64
-	k         Kept
+	k         KeyRecord
 	forgotten bool
 }
 
@@ -46,7 +46,7 @@
 	m.catchUp()
 	for _, o := range b.members {
 		if o.dead {
-			m.Orphaned(uint32(o.life))
+			m.OwnerDied(uint32(o.life))
 		}
 	}
 	b.members = append(b.members, m)
@@ -56,12 +56,12 @@
 func (m *member) catchUp() {
 	for ; m.read < len(m.book.lines); m.read++ {
 		if l := m.book.lines[m.read]; l.life != m.life {
-			m.Heard(l.k, l.forgotten)
+			m.ApplyRemote(l.k, l.forgotten)
 		}
 	}
 }
 
-func (m *member) Claim(k Kept, _ int64, free func() bool, done func(bool, error)) {
+func (m *member) Reserve(k KeyRecord, _ int64, free func() bool, done func(bool, error)) {
 	m.catchUp()
 	switch {
 	case m.fail:
@@ -74,11 +74,11 @@
 	}
 }
 
-func (m *member) write(k Kept, forgotten bool) {
+func (m *member) write(k KeyRecord, forgotten bool) {
 	m.book.lines = append(m.book.lines, line{m.life, k, forgotten})
 }
-func (m *member) Ended(k Kept)  { m.write(k, false) }
-func (m *member) Forgot(k Kept) { m.write(k, true) }
+func (m *member) Ended(k KeyRecord)    { m.write(k, false) }
+func (m *member) Released(k KeyRecord) { m.write(k, true) }
 
 // Whatever two processes read when, and whichever of them is killed, a key runs once within its
 // window, each request has one answer, and what is served is what the one run made.
@@ -170,13 +170,13 @@
 				}
 				one.dead = true
 				two.catchUp()
-				two.Orphaned(uint32(one.life))
+				two.OwnerDied(uint32(one.life))
 				one, two = two, b.join(t, two.now)
 				look()
 			},
 			"": func(rt *rapid.T) {
 				each(func(m *member) {
-					if n := m.Open(); n < 0 {
+					if n := m.OpenRequests(); n < 0 {
 						rt.Fatalf("%d open", n)
 					}
 				})
@@ -185,7 +185,7 @@
 		// all that is open is answered by its due time, whatever the other does
 		each(func(m *member) {
 			send(m, "pass", "3000")
-			if n := m.Open(); n > 0 {
+			if n := m.OpenRequests(); n > 0 {
 				rt.Fatalf("%d are still open", n)
 			}
 		})
@@ -252,7 +252,7 @@
 	step(two, "ask 8 hand-in b")
 	one.dead = true
 	two.seen = nil
-	if two.Orphaned(uint32(one.life)); fmt.Sprint(two.seen) != "[answer 8 failed]" {
+	if two.OwnerDied(uint32(one.life)); fmt.Sprint(two.seen) != "[answer 8 failed]" {
 		t.Errorf("the process that ran it is dead: %v", two.seen)
 	}
 	two.fail = true
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -26,34 +26,34 @@
 
 // Host is what the core needs from the program round it.
 type Host struct {
-	Now    func() int64 // monotonic, above 0
-	Unix   func() int64
-	After  func(d int64, fn func()) (stop func())
-	Gauges func(func(Gauges))      // measures, and then calls back once
-	Health func(stored, good bool) // how health checks are to be answered
+	Now       func() int64 // monotonic, above 0
+	Unix      func() int64
+	After     func(d int64, fn func()) (stop func())
+	Measure   func(func(Gauges))      // measures, and then calls back once
+	SetHealth func(stored, good bool) // how health checks are to be answered
 	// the free value that goes with every answer from now on
-	Say   func(value float64)
-	Trim  func(idle int64)       // close connections that are idle for so long
-	Route func(class int) Runner // where requests of the class run
+	Advertise func(value float64)
+	CloseIdle func(idle int64)       // close connections that are idle for so long
+	Route     func(class int) Runner // where requests of the class run
 	// whether one that came to nothing there is tried once more; nil: never
-	Again func(Try) bool
+	ShouldRetry func(RetryCandidate) bool
 	// how long to stay away from a class that nobody took; nil: for the least time
-	Back   func(class int) int64
-	Below  Dependency                            // nil where nothing is called
-	Log    func(e *logging.Event, values ...any) // nil: the log of the process
-	Limits Limits                                // of the table of keys
-	Keeper Keeper                                // nil: keys do not outlive the program
-	Claims Claims                                // nil: no other process serves as this runner
+	RetryAfter   func(class int) int64
+	Dependency   Dependency                            // nil where nothing is called
+	Log          func(e *logging.Event, values ...any) // nil: the log of the process
+	KeyLimits    KeyLimits                             // of the table of keys
+	KeyStore     KeyStore                              // nil: keys do not outlive the program
+	Reservations Reservations                          // nil: no other process serves as this runner
 	// with a Keeper or Claims: tells this life of the program from others; 32 bits count
-	Life uint64
+	Incarnation uint64
 	// hears what became of each request, once it is answered; nil: nobody does
-	Trails func(*Trail)
+	OnAnswered func(*Trace)
 	// hears of each request that is taken in; nil: nobody does
-	Seen func(*Request)
+	OnAccepted func(*Request)
 }
 
-// Limits bound the table of keys. The zero value of a field stands for what is usual.
-type Limits struct {
+// KeyLimits bound the table of keys. The zero value of a field stands for what is usual.
+type KeyLimits struct {
 	Keys        int // 20,000
 	ResultBytes int // of kept results; 24 MB
 }
@@ -72,12 +72,12 @@
 	entry    *entry // of its key
 	waits    bool   // for the result of another try
 	held     bool   // it ended, and its answer waits until that is kept
-	trail    *Trail // nil: nobody takes them
+	trail    *Trace // nil: nobody takes them
 	stop     func() // ends the timer of its front's deadline, which would hold all of it until then
 }
 
-// Core is the request table.
-type Core struct {
+// Manager is the request table.
+type Manager struct {
 	host     Host
 	set      admission.Settings
 	gate     gate
@@ -100,7 +100,7 @@
 }
 
 // New makes the table round a fresh module.
-func New(set admission.Settings, seed uint64, host Host) (*Core, error) {
+func New(set admission.Settings, seed uint64, host Host) (*Manager, error) {
 	set = usable(set)
 	module, err := admission.New(set, seed)
 	if err != nil {
@@ -109,39 +109,39 @@
 	if host.Log == nil {
 		host.Log = (*logging.Event).Log
 	}
-	c := &Core{host: host, set: set, requests: map[uint64]*request{}, names: map[string]struct{}{},
+	c := &Manager{host: host, set: set, requests: map[uint64]*request{}, names: map[string]struct{}{},
 		callers: callerTable{
 			last: map[uint32]int64{},
-		}, keys: newKeyTable(host.Limits), counts: make([]Stats, len(set.Classes)),
+		}, keys: newKeyTable(host.KeyLimits), counts: make([]Stats, len(set.Classes)),
 		droppedAt: make([]int64, len(set.Classes))}
 	c.gate = gate{module: module, now: host.Now}
 	return c, nil
 }
 
 // Start lets the module begin.
-func (c *Core) Start() {
+func (c *Manager) Start() {
 	c.gate.report(admission.Event{})
 	c.settle()
 }
 
-// Idle tells whether nothing is open, and nothing runs.
-func (c *Core) Idle() bool { return len(c.requests) == 0 }
+// IsIdle tells whether nothing is open, and nothing runs.
+func (c *Manager) IsIdle() bool { return len(c.requests) == 0 }
 
-// Open is how many requests are owed an answer.
-func (c *Core) Open() int { return c.open }
+// OpenRequests is how many requests are owed an answer.
+func (c *Manager) OpenRequests() int { return c.open }
 
 // Ticket names a request that was handed in.
 type Ticket uint64
 
 // Submit takes over a request that has been read whole. Its answer may come before Submit returns.
-func (c *Core) Submit(q *Request) Ticket {
+func (c *Manager) Submit(q *Request) Ticket {
 	// A second request by a name would be taken for the first by whoever runs them, and get its
 	// result.
-	if _, taken := c.names[q.Name]; taken {
-		return c.misused(q, NameOpen)
+	if _, taken := c.names[q.ID]; taken {
+		return c.misused(q, DuplicateID)
 	}
 	c.lastID++
-	queued := max(c.host.Unix()-q.Arrived, 0)
+	queued := max(c.host.Unix()-q.ArrivedAt, 0)
 	r := &request{Request: q, id: c.lastID, trail: c.trail(q)}
 	class := &c.set.Classes[q.Class]
 	arrival := c.arrivalOf(r, queued)
@@ -168,21 +168,21 @@
 }
 
 // arrivalOf is what the module hears of a request.
-func (c *Core) arrivalOf(r *request, queued int64) admission.Event {
+func (c *Manager) arrivalOf(r *request, queued int64) admission.Event {
 	return admission.Event{Kind: admission.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Caller: c.callers.number(
 			r.Caller,
-		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Subject, QueueingDelay: span(queued),
+		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Entity, QueueingDelay: span(queued),
 		Write: c.set.Classes[r.Class].Idempotency != admission.Idempotent}
 }
 
 // answersAtOnce answers a request that repeats another, where nothing has to be waited for: it
 // carries another body, or the other ran in an earlier life. Else it counts as a repeat.
-func (c *Core) answersAtOnce(r *request) bool {
+func (c *Manager) answersAtOnce(r *request) bool {
 	// All tries of one request carry one body. What comes with another must not get a stranger's
 	// result.
 	if r.entry.body != bodyOf(r.Request) {
-		c.misused(r.Request, KeyTaken)
+		c.misused(r.Request, KeyReused)
 		return true
 	}
 	if r.entry.restored && r.entry.ended {
@@ -190,40 +190,40 @@
 		return true
 	}
 	if r.trail != nil {
-		r.trail.First = r.entry.first
+		r.trail.OriginalID = r.entry.first
 	}
 	c.counts[r.Class].Repeats++
 	return false
 }
 
 // takeIn has a request in the table, where it is owed an answer.
-func (c *Core) takeIn(r *request, queued int64) {
-	c.requests[r.id], c.names[r.Name] = r, struct{}{}
+func (c *Manager) takeIn(r *request, queued int64) {
+	c.requests[r.id], c.names[r.ID] = r, struct{}{}
 	c.open++
 	c.counts[r.Class].Read++
-	if c.host.Seen != nil {
-		c.host.Seen(r.Request)
+	if c.host.OnAccepted != nil {
+		c.host.OnAccepted(r.Request)
 	}
-	if r.Due > 0 {
+	if r.Timeout > 0 {
 		// The module takes the time that is left for a sign of the try's age, and shorter ones for
 		// further tries. It goes by the class's deadline, and the shorter one is kept here.
 		now := c.host.Now()
-		r.due = min(r.due, now-queued+r.Due)
+		r.due = min(r.due, now-queued+r.Timeout)
 		r.stop = c.host.After(r.due-now, func() { c.expire(r) })
 	}
 }
 
 // refusesNewKey turns a request away whose key cannot be kept.
-func (c *Core) refusesNewKey(r *request) bool {
+func (c *Manager) refusesNewKey(r *request) bool {
 	if c.keys.full() {
-		r.trail.because(CauseKeyTable, float64(len(c.keys.byName)), float64(c.keys.most.Keys))
+		r.trail.because(CauseKeyTableFull, float64(len(c.keys.byName)), float64(c.keys.most.Keys))
 		c.turnAway(r, "the table of keys is full", fullFor)
 		return true
 	}
-	if c.host.Keeper == nil {
+	if c.host.KeyStore == nil {
 		return false
 	}
-	back, why := c.host.Keeper.Closed()
+	back, why := c.host.KeyStore.Unavailable()
 	if back <= 0 {
 		return false
 	}
@@ -233,15 +233,15 @@
 }
 
 // turnAway refuses a request of which the module has not heard, and says when to come back.
-func (c *Core) turnAway(r *request, why string, back int64) {
+func (c *Manager) turnAway(r *request, why string, back int64) {
 	c.unkept(c.set.Classes[r.Class].Name, why)
-	c.answer(r, Answer{Kind: Refused, ComeBack: back})
+	c.answer(r, Answer{Status: Rejected, RetryAfter: back})
 	c.drop(r)
 }
 
 // unkept tells that a request is refused since its key cannot be kept: once a second, for such
 // troubles come to many.
-func (c *Core) unkept(class, why string) {
+func (c *Manager) unkept(class, why string) {
 	c.refused++
 	if now := c.host.Now(); now >= c.refusedAt+1_000_000 || c.refusedAt == 0 {
 		c.host.Log(evRefused, class, why, c.refused)
@@ -250,53 +250,53 @@
 }
 
 // misused answers a request that is not taken in. The module never hears of it.
-func (c *Core) misused(q *Request, why Reason) Ticket {
+func (c *Manager) misused(q *Request, why Reason) Ticket {
 	c.counts[q.Class].Read++
-	c.counts[q.Class].ended(Misused)
+	c.counts[q.Class].ended(Conflict)
 	t := c.trail(q)
-	t.because(CauseNameOpen+Cause(why-NameOpen), 0, 0)
-	c.tell(t, Misused, 0)
-	q.Asker.Answer(Answer{Kind: Misused, Reason: why})
+	t.because(CauseDuplicateID+Cause(why-DuplicateID), 0, 0)
+	c.tell(t, Conflict, 0)
+	q.Responder.Answer(Answer{Status: Conflict, Reason: why})
 	return 0
 }
 
 // expire answers a request whose front set it a deadline shorter than its class's.
-func (c *Core) expire(r *request) {
+func (c *Manager) expire(r *request) {
 	if r.answered {
 		return
 	}
 	r.trail.because(CauseDeadline, 0, 0)
-	c.answer(r, Answer{Kind: Late})
+	c.answer(r, Answer{Status: Expired})
 	c.release(r)
 }
 
 // Abandon tells that nobody waits for the answer any more. What runs goes on, and a key stays
 // remembered.
-func (c *Core) Abandon(t Ticket) {
+func (c *Manager) Abandon(t Ticket) {
 	if r := c.requests[uint64(t)]; r != nil && !r.answered {
-		c.counts[r.Class].Gone++
+		c.counts[r.Class].Abandoned++
 		c.abandon(r)
 	}
 }
 
 // Withdraw is Abandon for a caller that is there still, and to whom its front confirms that the
 // request is over: without a result, which callers take for a failure.
-func (c *Core) Withdraw(t Ticket) {
+func (c *Manager) Withdraw(t Ticket) {
 	if r := c.requests[uint64(t)]; r != nil && !r.answered {
 		c.counts[r.Class].Withdrawn++
 		c.abandon(r)
 	}
 }
 
-func (c *Core) abandon(r *request) {
-	r.trail.because(CauseGone, 0, 0)
+func (c *Manager) abandon(r *request) {
+	r.trail.because(CauseCallerGone, 0, 0)
 	c.tellOf(r, 0, 0)
 	c.close(r)
 	c.release(r)
 }
 
 // release tells the module that an answer is no longer owed.
-func (c *Core) release(r *request) {
+func (c *Manager) release(r *request) {
 	if r.held { // it knows
 		c.drop(r)
 		return
@@ -306,11 +306,11 @@
 	c.drop(r)
 }
 
-// Keys is how many keys are remembered.
-func (c *Core) Keys() int { return len(c.keys.byName) }
+// KeyCount is how many keys are remembered.
+func (c *Manager) KeyCount() int { return len(c.keys.byName) }
 
 // Drain tells that the process is stopped after so long.
-func (c *Core) Drain(stop int64) {
+func (c *Manager) Drain(stop int64) {
 	if c.drainAt != 0 {
 		return
 	}
@@ -326,7 +326,7 @@
 }
 
 // settle carries out decisions until there are none. What it does may report more.
-func (c *Core) settle() {
+func (c *Manager) settle() {
 	if c.settling {
 		return
 	}
@@ -341,16 +341,16 @@
 	}
 }
 
-func (c *Core) carryOut(d decision) {
+func (c *Manager) carryOut(d decision) {
 	switch d.verb {
 	case doHealth:
-		c.host.Health(d.stored, d.good)
+		c.host.SetHealth(d.stored, d.good)
 		return
 	case doAdvertise:
-		c.host.Say(d.value)
+		c.host.Advertise(d.value)
 		return
 	case doTrim:
-		c.host.Trim(d.span)
+		c.host.CloseIdle(d.span)
 		return
 	case doTick:
 		c.host.After(d.span, c.tick)
@@ -368,7 +368,7 @@
 		c.start(r)
 	case doRefuse:
 		r.trail.because(Cause(d.cause), d.value, d.limit)
-		c.answer(r, Answer{Kind: Refused, ComeBack: d.span, Last: d.last})
+		c.answer(r, Answer{Status: Rejected, RetryAfter: d.span, DoNotRetry: d.last})
 	case doFail:
 		r.trail.because(Cause(d.cause), d.value, d.limit)
 		c.fail(r)
@@ -385,13 +385,13 @@
 }
 
 // tick measures the machine and lets the module look round.
-func (c *Core) tick() {
-	c.host.Gauges(func(v Gauges) {
+func (c *Manager) tick() {
+	c.host.Measure(func(v Gauges) {
 		c.keys.expire(c.host.Unix())
 		c.callers.expire(c.host.Now())
 		c.strange = slices.DeleteFunc(
 			c.strange,
-			func(k strangeKey) bool { return c.host.Unix() > k.Until+lateRead },
+			func(k strangeKey) bool { return c.host.Unix() > k.ExpiresAt+lateRead },
 		)
 		c.gate.tick(v)
 		c.settle()
@@ -407,32 +407,32 @@
 // lateBy is how close to its due time a failure counts as want of time.
 const lateBy = 40_000
 
-func (c *Core) fail(r *request) {
+func (c *Manager) fail(r *request) {
 	kind := Failed
 	if c.host.Now() >= r.due-lateBy {
-		kind = Late
+		kind = Expired
 	}
-	c.answer(r, Answer{Kind: kind})
+	c.answer(r, Answer{Status: kind})
 }
 
 // answer gives the final answer, if none was given.
-func (c *Core) answer(r *request, a Answer) {
+func (c *Manager) answer(r *request, a Answer) {
 	if r.answered {
 		return
 	}
-	c.counts[r.Class].ended(a.Kind)
-	if a.Kind == Refused {
-		if a.ComeBack = max(a.ComeBack, comeBack); c.set.NoRetryAfter {
-			a.ComeBack = 0
+	c.counts[r.Class].ended(a.Status)
+	if a.Status == Rejected {
+		if a.RetryAfter = max(a.RetryAfter, comeBack); c.set.NoRetryAfter {
+			a.RetryAfter = 0
 		}
 	}
 	c.close(r)
-	c.tellOf(r, a.Kind, a.ComeBack)
-	r.Asker.Answer(a)
+	c.tellOf(r, a.Status, a.RetryAfter)
+	r.Responder.Answer(a)
 }
 
 // close ends what is owed: the request is answered or nobody waits for it.
-func (c *Core) close(r *request) {
+func (c *Manager) close(r *request) {
 	r.answered = true
 	c.open--
 	if r.waits {
@@ -446,10 +446,10 @@
 }
 
 // drop forgets a request that is answered and of which nothing runs.
-func (c *Core) drop(r *request) {
+func (c *Manager) drop(r *request) {
 	if r.answered && r.running == nil {
 		delete(c.requests, r.id)
-		delete(c.names, r.Name)
+		delete(c.names, r.ID)
 		if r.stop != nil {
 			r.stop()
 		}
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -17,14 +17,14 @@
 // [KEY [DUE-MS]]`, `gone ID`, `end ID OUTCOME [RESULT]`, `need ID`, `called ID OUTCOME`, `drain MS`
 // and `pass MS`; it sees `run ID`, `answer ID KIND [RESULT]`, `call ID` and `give-up ID`.
 type table struct {
-	*Core
+	*Manager
 	now       int64
 	timers    []timer
 	lastTimer int
 	runs      map[string]*Attempt
 	ids       map[string]Ticket
 	seen      []string
-	trails    []*Trail
+	trails    []*Trace
 }
 
 type timer struct {
@@ -38,14 +38,14 @@
 	id string
 }
 
-var kinds = map[Kind]string{Served: "served", Refused: "refused", Failed: "failed", Late: "late"}
+var kinds = map[Status]string{Served: "served", Rejected: "refused", Failed: "failed", Expired: "late"}
 
 func (a asker) Answer(v Answer) {
 	text := ""
 	if v.Result != nil {
 		text = string(v.Result.Body)
 	}
-	a.t.note("answer %s %s %s", a.id, kinds[v.Kind], text)
+	a.t.note("answer %s %s %s", a.id, kinds[v.Status], text)
 }
 
 func (t *table) note(format string, v ...any) {
@@ -53,13 +53,13 @@
 }
 
 func (t *table) Run(a *Attempt) {
-	t.runs[a.Request.Name] = a
-	t.note("run %s", a.Request.Name)
+	t.runs[a.Request.ID] = a
+	t.note("run %s", a.Request.ID)
 }
 func (t *table) Abandon(*Attempt)                   {}
 func (t *table) Resume(*Attempt, []byte)            {}
-func (t *table) Call(a *Attempt, _ []byte, _ int64) { t.note("call %s", a.Request.Name) }
-func (t *table) GiveUp(a *Attempt)                  { t.note("give-up %s", a.Request.Name) }
+func (t *table) Call(a *Attempt, _ []byte, _ int64) { t.note("call %s", a.Request.ID) }
+func (t *table) CancelCall(a *Attempt)              { t.note("give-up %s", a.Request.ID) }
 
 // Next implements scenario.Actor. All happens at once here, so nothing is waited for.
 func (t *table) Next(time.Duration) (string, bool) {
@@ -73,8 +73,8 @@
 
 func (t *table) Close() error { return nil }
 
-var outcomes = map[string]Outcome{"fine": Fine, "fault": Fault, "broken": Broken, "out-of-time": TimedOut,
-	"stopped": Stopped, "not-run": NotRun, "away": TurnedAway, "refused": Unreachable}
+var outcomes = map[string]Outcome{"fine": Succeeded, "fault": Faulted, "broken": Interrupted, "out-of-time": TimedOut,
+	"stopped": Canceled, "not-run": NotStarted, "away": CallRejected, "refused": Unreachable}
 
 // Send implements scenario.Actor.
 func (t *table) Send(w []string) error {
@@ -89,24 +89,24 @@
 		}
 		t.ids[w[1]] = t.Submit(
 			&Request{
-				Name:    w[1],
-				Class:   class,
-				Tenant:  tenant,
-				Arrived: t.now,
-				SizeKB:  1,
-				Key:     w[3],
-				Due:     int64(due) * 1000,
-				Asker:   asker{t, w[1]},
+				ID:        w[1],
+				Class:     class,
+				Tenant:    tenant,
+				ArrivedAt: t.now,
+				SizeKB:    1,
+				Key:       w[3],
+				Timeout:   int64(due) * 1000,
+				Responder: asker{t, w[1]},
 			},
 		)
 	case "gone":
-		t.Core.Abandon(t.ids[w[1]])
+		t.Manager.Abandon(t.ids[w[1]])
 	case "end":
 		t.Ended(t.runs[w[1]], outcomes[w[2]], &Result{Body: []byte(w[3])})
 	case "need":
-		t.Needs(t.runs[w[1]], []byte("body"))
+		t.NeedsCall(t.runs[w[1]], []byte("body"))
 	case "called":
-		t.Called(t.runs[w[1]], outcomes[w[2]], nil, 1000)
+		t.CallEnded(t.runs[w[1]], outcomes[w[2]], nil, 1000)
 	case "drain", "pass":
 		var ms int64
 		if _, err := fmt.Sscan(w[1], &ms); err != nil {
@@ -204,12 +204,12 @@
 }
 
 // newTableBeside is the table of one of several processes of a runner.
-func newTableBeside(t *testing.T, tries int, claims Claims, life uint64) *table {
+func newTableBeside(t *testing.T, tries int, claims Reservations, life uint64) *table {
 	t.Helper()
 	return tableOf(t, tries, claims, life, func(*admission.Settings) {})
 }
 
-func tableOf(t *testing.T, tries int, claims Claims, life uint64, change func(*admission.Settings)) *table {
+func tableOf(t *testing.T, tries int, claims Reservations, life uint64, change func(*admission.Settings)) *table {
 	t.Helper()
 	s := admission.Settings{
 		Cores:                 4,
@@ -251,15 +251,15 @@
 	c := &table{now: 1_000_000, runs: map[string]*Attempt{}, ids: map[string]Ticket{}}
 	clock := func() int64 { return c.now }
 	var err error
-	c.Core, err = New(
+	c.Manager, err = New(
 		s,
 		1,
-		Host{Now: clock, Unix: clock, Health: func(_, _ bool) {}, Say: func(float64) {}, Trim: func(int64) {},
-			After:  c.after,
-			Gauges: func(fn func(Gauges)) { fn(NoGauges()) },
-			Route:  func(int) Runner { return c }, Again: func(t Try) bool { return t.Tries < tries && t.Left > 0 }, Below: c, Log: func(e *logging.Event, values ...any) { t.Log(e.Text(values...)) },
-			Claims: claims, Life: life,
-			Trails: func(tr *Trail) { c.trails = append(c.trails, tr) }},
+		Host{Now: clock, Unix: clock, SetHealth: func(_, _ bool) {}, Advertise: func(float64) {}, CloseIdle: func(int64) {},
+			After:   c.after,
+			Measure: func(fn func(Gauges)) { fn(UnknownGauges()) },
+			Route:   func(int) Runner { return c }, ShouldRetry: func(t RetryCandidate) bool { return t.Attempts < tries && t.Remaining > 0 }, Dependency: c, Log: func(e *logging.Event, values ...any) { t.Log(e.Text(values...)) },
+			Reservations: claims, Incarnation: life,
+			OnAnswered: func(tr *Trace) { c.trails = append(c.trails, tr) }},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -407,8 +407,8 @@
 			if len(c.timers) > 1+len(c.requests) || len(c.names) != len(c.requests) {
 				t.Errorf("%d timers, %d names, %d requests", len(c.timers), len(c.names), len(c.requests))
 			}
-			if open != c.Open() {
-				t.Errorf("%d requests are open, %d by the count", open, c.Open())
+			if open != c.OpenRequests() {
+				t.Errorf("%d requests are open, %d by the count", open, c.OpenRequests())
 			}
 		})
 	}
@@ -461,36 +461,36 @@
 func TestRestore(t *testing.T) {
 	c := newTable(t, 1)
 	c.keys.most.Keys = 4
-	key := func(class, name string) Kept {
-		return Kept{Class: class, Key: name, Until: c.now + 5_000_000, Body: bodyOf(&Request{})}
+	key := func(class, name string) KeyRecord {
+		return KeyRecord{Class: class, Key: name, ExpiresAt: c.now + 5_000_000, BodyHash: bodyOf(&Request{})}
 	}
 	served, failed, doubt := key("hand-in", "served"), key("hand-in", "failed"), key("hand-in", "doubt")
 	served.Ended, served.Result = true, &Result{Status: 200, Body: []byte("kept")}
-	failed.Ended, failed.How = true, Late
+	failed.Ended, failed.Status = true, Expired
 	stranger := key("hand-in", "x")
 	stranger.Tenant = "nobody"
-	if strange := c.Restore([]Kept{served, failed, doubt, key("gone", "x"), stranger, key("hand-in", "fourth")}); strange != 2 {
+	if strange := c.Restore([]KeyRecord{served, failed, doubt, key("gone", "x"), stranger, key("hand-in", "fourth")}); strange != 2 {
 		t.Errorf("%d are strange", strange)
 	}
 	for _, want := range []struct {
 		key    string
-		kind   Kind
+		kind   Status
 		reason Reason
-	}{{"served", Served, 0}, {"failed", Late, 0}, {"doubt", Failed, InDoubt}, {"new", Refused, 0}} {
+	}{{"served", Served, 0}, {"failed", Expired, 0}, {"doubt", Failed, InDoubt}, {"new", Rejected, 0}} {
 		var got Answer
 		class, _ := c.Class("hand-in")
 		c.Submit(
 			&Request{
-				Name:    want.key,
-				Class:   class,
-				Tenant:  -1,
-				Arrived: c.now,
-				Key:     want.key,
-				Asker:   told(func(a Answer) { got = a }),
+				ID:        want.key,
+				Class:     class,
+				Tenant:    -1,
+				ArrivedAt: c.now,
+				Key:       want.key,
+				Responder: told(func(a Answer) { got = a }),
 			},
 		)
-		if got.Kind != want.kind || got.Reason != want.reason ||
-			got.Kind == Served && string(got.Result.Body) != "kept" {
+		if got.Status != want.kind || got.Reason != want.reason ||
+			got.Status == Served && string(got.Result.Body) != "kept" {
 			t.Errorf("%s: %+v", want.key, got)
 		}
 	}
@@ -511,7 +511,7 @@
 			map[string]scenario.Actor{"core": c},
 		)
 		if len(c.trails) != 1 || c.trails[0].Cause != CauseDeadline ||
-			c.trails[0].Hops[0].Outcome != TimedOut {
+			c.trails[0].Attempts[0].Outcome != TimedOut {
 			t.Errorf("%s: %+v", script, c.trails)
 		}
 	}
--- a/internal/lifecycle/counts.go
+++ b/internal/lifecycle/counts.go
@@ -8,46 +8,46 @@
 type Stats struct {
 	Read      int64 `json:"Read"`
 	Served    int64 `json:"Served"`
-	Refused   int64 `json:"Refused"`
+	Rejected  int64 `json:"Refused"`
 	Failed    int64 `json:"Failed"`
-	Late      int64 `json:"Late"`
-	Gone      int64 `json:"Gone"`      // nobody waited any more when they ended
+	Expired   int64 `json:"Late"`
+	Abandoned int64 `json:"Gone"`      // nobody waited any more when they ended
 	Withdrawn int64 `json:"Withdrawn"` // taken back by their callers, who are told that they are over
-	Started   int64 `json:"Started"`   // attempts handed to whoever runs them
+	Attempts  int64 `json:"Started"`   // attempts handed to whoever runs them
 	Repeats   int64 `json:"Repeats"`   // of those read
-	Misused   int64 `json:"Misused"`
+	Conflicts int64 `json:"Misused"`
 }
 
 // ended counts the one final answer to a request.
-func (s *Stats) ended(k Kind) {
+func (s *Stats) ended(k Status) {
 	switch k {
 	case Served:
 		s.Served++
-	case Refused:
-		s.Refused++
-	case Late:
-		s.Late++
-	case Misused:
-		s.Misused++
+	case Rejected:
+		s.Rejected++
+	case Expired:
+		s.Expired++
+	case Conflict:
+		s.Conflicts++
 	default:
 		s.Failed++
 	}
 }
 
 // Faulted is how many were answered, and neither served nor refused.
-func (s Stats) Faulted() int64 { return s.Failed + s.Late + s.Misused + s.Withdrawn }
+func (s Stats) Faulted() int64 { return s.Failed + s.Expired + s.Conflicts + s.Withdrawn }
 
 func (s *Stats) add(o Stats) {
 	s.Read += o.Read
 	s.Served += o.Served
-	s.Refused += o.Refused
+	s.Rejected += o.Rejected
 	s.Failed += o.Failed
-	s.Late += o.Late
-	s.Gone += o.Gone
+	s.Expired += o.Expired
+	s.Abandoned += o.Abandoned
 	s.Withdrawn += o.Withdrawn
-	s.Started += o.Started
+	s.Attempts += o.Attempts
 	s.Repeats += o.Repeats
-	s.Misused += o.Misused
+	s.Conflicts += o.Conflicts
 }
 
 // LogValue implements slog.LogValuer.
@@ -55,22 +55,22 @@
 	return slog.GroupValue(
 		slog.Int64("read", s.Read),
 		slog.Int64("served", s.Served),
-		slog.Int64("refused", s.Refused),
+		slog.Int64("refused", s.Rejected),
 		slog.Int64("failed", s.Failed),
 		slog.Int64(
 			"late",
-			s.Late,
+			s.Expired,
 		),
-		slog.Int64("gone", s.Gone),
+		slog.Int64("gone", s.Abandoned),
 		slog.Int64("withdrawn", s.Withdrawn),
-		slog.Int64("started", s.Started),
+		slog.Int64("started", s.Attempts),
 		slog.Int64("repeats", s.Repeats),
-		slog.Int64("misused", s.Misused),
+		slog.Int64("misused", s.Conflicts),
 	)
 }
 
-// ByClass gives the counts of each class by its name, also of those that there are not any more.
-func (c *Core) ByClass() map[string]Stats {
+// StatsByClass gives the counts of each class by its name, also of those that there are not any more.
+func (c *Manager) StatsByClass() map[string]Stats {
 	out := make(map[string]Stats, len(c.counts))
 	for i := range c.counts {
 		s := out[c.set.Classes[i].Name]
@@ -81,8 +81,8 @@
 }
 
 // Stats gives the counts of all classes together.
-func (c *Core) Stats() (sum Stats) {
-	for _, s := range c.ByClass() {
+func (c *Manager) Stats() (sum Stats) {
+	for _, s := range c.StatsByClass() {
 		sum.add(s)
 	}
 	return sum
--- a/internal/lifecycle/counts_test.go
+++ b/internal/lifecycle/counts_test.go
@@ -24,14 +24,14 @@
 	if _, err := c.Configure(next); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := c.Class("check"); !ok || !c.Dropped("check") {
+	if _, ok := c.Class("check"); !ok || !c.IsDroppedClass("check") {
 		t.Error("a class that was dropped just now is not taken")
 	}
 	c.pass(droppedFor)
-	if _, ok := c.Class("check"); ok || !c.Dropped("check") || c.Dropped("never was") {
+	if _, ok := c.Class("check"); ok || !c.IsDroppedClass("check") || c.IsDroppedClass("never was") {
 		t.Error("a class that was dropped a while ago is taken")
 	}
-	if diff := cmp.Diff(Stats{Read: 1, Served: 1, Started: 1}, c.ByClass()["check"]); diff != "" {
+	if diff := cmp.Diff(Stats{Read: 1, Served: 1, Attempts: 1}, c.StatsByClass()["check"]); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 }
@@ -53,17 +53,17 @@
 			}
 			c.seen = nil
 			var sum Stats
-			for _, s := range c.ByClass() {
+			for _, s := range c.StatsByClass() {
 				sum.add(s)
 			}
-			if diff := cmp.Diff(Stats{Read: asked, Served: told["served"], Refused: told["refused"], Failed: told["failed"], Late: told["late"],
-				Misused: told["misused"], Gone: gone, Withdrawn: withdrawn, Started: sum.Started, Repeats: sum.Repeats}, c.Stats()); diff != "" {
+			if diff := cmp.Diff(Stats{Read: asked, Served: told["served"], Rejected: told["refused"], Failed: told["failed"], Expired: told["late"],
+				Conflicts: told["misused"], Abandoned: gone, Withdrawn: withdrawn, Attempts: sum.Attempts, Repeats: sum.Repeats}, c.Stats()); diff != "" {
 				rt.Fatalf("(-want +got)\n%s", diff)
 			}
-			if left := sum.Read - sum.Served - sum.Refused - sum.Faulted() - sum.Gone; left != int64(
-				c.Open(),
+			if left := sum.Read - sum.Served - sum.Rejected - sum.Faulted() - sum.Abandoned; left != int64(
+				c.OpenRequests(),
 			) {
-				rt.Fatalf("%d are in no end, and %d open", left, c.Open())
+				rt.Fatalf("%d are in no end, and %d open", left, c.OpenRequests())
 			}
 		}
 		send := func(words ...string) {
@@ -97,12 +97,12 @@
 						if open {
 							withdrawn++
 						}
-						c.Core.Withdraw(Ticket(r.id))
+						c.Manager.Withdraw(Ticket(r.id))
 					default:
 						if open {
 							gone++
 						}
-						c.Core.Abandon(Ticket(r.id))
+						c.Manager.Abandon(Ticket(r.id))
 					}
 				}
 			},
--- a/internal/lifecycle/keeper_test.go
+++ b/internal/lifecycle/keeper_test.go
@@ -13,12 +13,12 @@
 	confirm func(error)
 }
 
-func (*replicas) Closed() (int64, string)          { return 0, "" }
-func (*replicas) Apart() bool                      { return false }
-func (*replicas) Patience() int64                  { return 500_000 }
-func (*replicas) Begun(_ Kept, done func(error))   { done(nil) }
-func (p *replicas) Ended(_ Kept, done func(error)) { p.confirm = done }
-func (*replicas) Forgot(Kept)                      {}
+func (*replicas) Unavailable() (int64, string)          { return 0, "" }
+func (*replicas) MissingReplicas() bool                 { return false }
+func (*replicas) Timeout() int64                        { return 500_000 }
+func (*replicas) Started(_ KeyRecord, done func(error)) { done(nil) }
+func (p *replicas) Ended(_ KeyRecord, done func(error)) { p.confirm = done }
+func (*replicas) Released(KeyRecord)                    {}
 
 // Send implements scenario.Actor.
 func (p *replicas) Send(words []string) error {
@@ -79,7 +79,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &replicas{table: newTable(t, 1)}
-			p.host.Keeper = p
+			p.host.KeyStore = p
 			scenario.Play(t, script, map[string]scenario.Actor{"core": p})
 		})
 	}
--- a/internal/lifecycle/keys.go
+++ b/internal/lifecycle/keys.go
@@ -22,7 +22,7 @@
 	until   int64 // Unix time up to which a repeat may arrive
 	ran     bool
 	ended   bool
-	failed  Kind    // of an end without a result
+	failed  Status  // of an end without a result
 	result  *Result // of an end with one
 	waiters []*request
 	// Of one that was kept in an earlier life of the program:
@@ -37,10 +37,10 @@
 	byName map[keyName]*entry
 	bytes  int
 	swept  int64
-	most   Limits
+	most   KeyLimits
 }
 
-func newKeyTable(most Limits) keyTable {
+func newKeyTable(most KeyLimits) keyTable {
 	most.Keys = cmp.Or(most.Keys, 20_000)
 	most.ResultBytes = cmp.Or(most.ResultBytes, 24<<20)
 	return keyTable{byName: map[keyName]*entry{}, most: most}
@@ -64,7 +64,7 @@
 func (t *keyTable) find(q *Request) *entry {
 	e := t.byName[nameOf(q)]
 	// one that is held or runs stands, however long that takes
-	if e != nil && (q.Arrived <= e.until || !e.ended) {
+	if e != nil && (q.ArrivedAt <= e.until || !e.ended) {
 		return e
 	}
 	return nil
@@ -74,13 +74,13 @@
 func (t *keyTable) keep(r *request, until int64) {
 	e := t.byName[nameOf(r.Request)]
 	// another process was first, since r was read
-	if e != nil && e.elsewhere != 0 && r.Arrived <= e.until {
+	if e != nil && e.elsewhere != 0 && r.ArrivedAt <= e.until {
 		r.entry = e
 		return
 	}
 	if e == nil || e.owner != r.id {
 		t.remove(e)
-		e = &entry{name: nameOf(r.Request), owner: r.id, first: r.Name, body: bodyOf(r.Request)}
+		e = &entry{name: nameOf(r.Request), owner: r.id, first: r.ID, body: bodyOf(r.Request)}
 		t.byName[e.name] = e
 	}
 	e.until = max(e.until, until)
@@ -143,22 +143,22 @@
 }
 
 // settleKey notes how the run of a key ended and answers the repeats that wait for it.
-func (c *Core) settleKey(r *request, o Outcome, res *Result) {
+func (c *Manager) settleKey(r *request, o Outcome, res *Result) {
 	e := r.entry
 	if neverRan(o) { // proof that nothing ran: another try may
-		if c.host.Claims != nil {
-			c.host.Claims.Forgot(c.keptOf(e))
+		if c.host.Reservations != nil {
+			c.host.Reservations.Released(c.keptOf(e))
 		}
 		c.forgetEntry(e)
 		return
 	}
 	e.ended, e.failed = true, howOf(o)
-	if o == Fine && res != nil {
+	if o == Succeeded && res != nil {
 		e.result = res
 		c.keys.bytes += res.size()
 	}
-	if c.host.Claims != nil {
-		c.host.Claims.Ended(c.keptOf(e))
+	if c.host.Reservations != nil {
+		c.host.Reservations.Ended(c.keptOf(e))
 	}
 	waiters := e.waiters
 	e.waiters = nil
@@ -168,18 +168,18 @@
 }
 
 // howOf is how repeats of a run are answered that has no result to give.
-func howOf(o Outcome) Kind {
+func howOf(o Outcome) Status {
 	switch o {
 	case TimedOut:
-		return Late
-	case Fine:
-		return Ran
+		return Expired
+	case Succeeded:
+		return ResultLost
 	}
 	return Failed
 }
 
 // forget drops the key of a request that did not run.
-func (c *Core) forget(r *request) {
+func (c *Manager) forget(r *request) {
 	if r.entry != nil && r.entry.owner == r.id && !r.entry.ran {
 		c.forgetEntry(r.entry)
 	}
@@ -187,24 +187,24 @@
 
 // forgetEntry drops a key whose try never ran. Nor did those that wait for it, and they may be
 // tried again.
-func (c *Core) forgetEntry(e *entry) {
+func (c *Manager) forgetEntry(e *entry) {
 	c.keys.remove(e)
 	waiters := e.waiters
 	e.waiters = nil
 	for _, w := range waiters {
 		w.waits = false
-		w.trail.because(CauseForgotten, 0, 0)
-		c.answer(w, Answer{Kind: Refused})
+		w.trail.because(CauseOriginalNotRun, 0, 0)
+		c.answer(w, Answer{Status: Rejected})
 		c.reuseOver(w, admission.OutcomeFailed)
 	}
 }
 
 // reuse answers a repeat with the result of the try that ran, now or when there is one.
-func (c *Core) reuse(r *request) {
+func (c *Manager) reuse(r *request) {
 	switch e := r.entry; {
 	case e == nil || c.keys.byName[e.name] != e && !e.ended:
-		r.trail.because(CauseForgotten, 0, 0)
-		c.answer(r, Answer{Kind: Refused}) // what it repeats was dropped without having run
+		r.trail.because(CauseOriginalNotRun, 0, 0)
+		c.answer(r, Answer{Status: Rejected}) // what it repeats was dropped without having run
 		c.reuseOver(r, admission.OutcomeFailed)
 	case e.ended:
 		c.finishReuse(r, e)
@@ -215,19 +215,19 @@
 }
 
 // finishReuse answers a repeat from an entry that has ended.
-func (c *Core) finishReuse(r *request, e *entry) {
+func (c *Manager) finishReuse(r *request, e *entry) {
 	r.waits = false
-	r.trail.because(CauseRepeat, 0, 0)
+	r.trail.because(CauseDuplicate, 0, 0)
 	if e.result != nil {
-		c.answer(r, Answer{Kind: Served, Result: e.result})
+		c.answer(r, Answer{Status: Served, Result: e.result})
 		c.reuseOver(r, admission.OutcomeOK)
 		return
 	}
-	c.answer(r, Answer{Kind: e.failed})
+	c.answer(r, Answer{Status: e.failed})
 	c.reuseOver(r, admission.OutcomeFailed)
 }
 
-func (c *Core) reuseOver(r *request, o admission.Outcome) {
+func (c *Manager) reuseOver(r *request, o admission.Outcome) {
 	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: o})
 	c.drop(r)
 }
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -12,7 +12,7 @@
 
 // Configure takes settings that were changed while the program runs, and gives them as they are in
 // force, with the places of classes that they have dropped.
-func (c *Core) Configure(set admission.Settings) (admission.Settings, error) {
+func (c *Manager) Configure(set admission.Settings) (admission.Settings, error) {
 	set, err := usable(set).MergeClasses(c.set)
 	if err != nil {
 		return set, err
@@ -40,7 +40,7 @@
 }
 
 // Class finds a class by its name.
-func (c *Core) Class(name string) (int, bool) {
+func (c *Manager) Class(name string) (int, bool) {
 	if i := c.set.ClassIndex(name); i >= 0 {
 		return i, true
 	}
@@ -52,8 +52,8 @@
 	return 0, false
 }
 
-// Dropped tells whether there was a class by that name.
-func (c *Core) Dropped(name string) bool {
+// IsDroppedClass tells whether there was a class by that name.
+func (c *Manager) IsDroppedClass(name string) bool {
 	return slices.ContainsFunc(
 		c.set.Classes,
 		func(class admission.Class) bool { return class.Name == name && class.Removed },
@@ -64,7 +64,7 @@
 const NoTenant = -1
 
 // Tenant finds a tenant by its name. Where there are none, a name says nothing.
-func (c *Core) Tenant(name string) (int, bool) {
+func (c *Manager) Tenant(name string) (int, bool) {
 	if len(c.set.Tenants) == 0 {
 		return NoTenant, true
 	}
@@ -76,8 +76,8 @@
 	return NoTenant, false
 }
 
-// Keyed tells whether requests of the class carry a key.
-func (c *Core) Keyed(class int) bool {
+// IsKeyed tells whether requests of the class carry a key.
+func (c *Manager) IsKeyed(class int) bool {
 	return c.set.Classes[class].Idempotency == admission.IdempotentWithKey
 }
 
--- a/internal/lifecycle/trail.go
+++ b/internal/lifecycle/trail.go
@@ -9,28 +9,28 @@
 // The causes that are not the module's. Value and Limit of the trail are what was compared, where
 // that is said.
 const (
-	CauseNone        Cause = 0
-	CauseKeyTable    Cause = 64 + iota // the table of keys is full; keys, and what it holds
-	CauseDisk                          // the key cannot be kept now
-	CauseNameOpen                      // a request by its name is open
-	CauseKeyTaken                      // its key stands for another body
-	CauseInDoubt                       // it repeats one that had begun before a restart
-	CauseRepeat                        // it got what the try got that it repeats
-	CauseForgotten                     // what it repeats was dropped without having run
-	CauseNobody                        // no server took it
-	CauseServerFault                   // its server failed it, by a status of its own
-	CauseBroken                        // its run was cut off, and may not be tried again
-	CauseRunOverdue                    // its run had no end by its due time
-	CauseStranger                      // whoever runs requests knows of none like it
-	CauseDeadline                      // the deadline of its front came
-	CauseGone                          // its caller went before there was an answer
-	CauseRefusedRun                    // the run was refused, and nothing ran
+	CauseNone           Cause = 0
+	CauseKeyTableFull   Cause = 64 + iota // the table of keys is full; keys, and what it holds
+	CauseKeyStore                         // the key cannot be kept now
+	CauseDuplicateID                      // a request by its name is open
+	CauseKeyReused                        // its key stands for another body
+	CauseInDoubt                          // it repeats one that had begun before a restart
+	CauseDuplicate                        // it got what the try got that it repeats
+	CauseOriginalNotRun                   // what it repeats was dropped without having run
+	CauseNoServer                         // no server took it
+	CauseServerFault                      // its server failed it, by a status of its own
+	CauseInterrupted                      // its run was cut off, and may not be tried again
+	CauseRunTimeout                       // its run had no end by its due time
+	CauseUnknownRequest                   // whoever runs requests knows of none like it
+	CauseDeadline                         // the deadline of its front came
+	CauseCallerGone                       // its caller went before there was an answer
+	CauseRunRejected                      // the run was refused, and nothing ran
 	// it would have come too late for the slots of its pool; seconds it would take, and that are
 	// left
-	CausePool
+	CauseBulkheadWait
 	// the line of its pool was full; requests in it, and that it holds
-	CauseLine
-	CauseCopies // its copies on other runners were not to be had
+	CauseBulkheadFull
+	CauseReplicas // its copies on other runners were not to be had
 )
 
 var causeNames = map[Cause]string{
@@ -39,94 +39,94 @@
 	Cause(admission.CauseQueueingDelay): "queueing delay", Cause(admission.CauseObjectiveUnreachable): "held until its aim was out of reach",
 	Cause(admission.CauseQuota): "beyond its tenant's share", Cause(admission.CauseKeyMemory): "no memory for its key",
 	Cause(admission.CauseDeadlinePassed): "due time came", Cause(admission.CauseCallFailed): "its call failed", Cause(admission.CauseCancelled): "its run was stopped",
-	CauseKeyTable: "table of keys full", CauseDisk: "key cannot be kept", CauseNameOpen: "its name is open", CauseKeyTaken: "its key stands for another body",
-	CauseInDoubt: "in doubt after a restart", CauseRepeat: "repeats another try", CauseForgotten: "what it repeats never ran",
-	CauseNobody: "no server took it", CauseServerFault: "its server failed it", CauseBroken: "its run was cut off", CauseRunOverdue: "its run took too long",
-	CauseStranger: "nobody knows it", CauseDeadline: "its deadline came", CauseGone: "its caller went", CauseRefusedRun: "its run was refused",
-	CausePool: "no slot of its pool in time", CauseLine: "line of its pool full", CauseCopies: "its copies were not to be had"}
+	CauseKeyTableFull: "table of keys full", CauseKeyStore: "key cannot be kept", CauseDuplicateID: "its name is open", CauseKeyReused: "its key stands for another body",
+	CauseInDoubt: "in doubt after a restart", CauseDuplicate: "repeats another try", CauseOriginalNotRun: "what it repeats never ran",
+	CauseNoServer: "no server took it", CauseServerFault: "its server failed it", CauseInterrupted: "its run was cut off", CauseRunTimeout: "its run took too long",
+	CauseUnknownRequest: "nobody knows it", CauseDeadline: "its deadline came", CauseCallerGone: "its caller went", CauseRunRejected: "its run was refused",
+	CauseBulkheadWait: "no slot of its pool in time", CauseBulkheadFull: "line of its pool full", CauseReplicas: "its copies were not to be had"}
 
 func (c Cause) String() string { return causeNames[c] }
 
-// Causes are all of them.
-func Causes() (out []Cause) {
+// AllCauses are all of them.
+func AllCauses() (out []Cause) {
 	for c := range causeNames {
 		out = append(out, c)
 	}
 	return out
 }
 
-// Hop is one try on a server.
-type Hop struct {
-	Server  string // empty: none took it
-	Began   int64  // Unix time
-	Took    int64
-	Outcome Outcome // nought: it is not over
+// AttemptTrace is one try on a server.
+type AttemptTrace struct {
+	Server    string // empty: none took it
+	StartedAt int64  // Unix time
+	Duration  int64
+	Outcome   Outcome // nought: it is not over
 }
 
 // mostHops is how many tries a trail tells of.
 const mostHops = 4
 
-// Trail is what became of a request, and why.
-type Trail struct {
-	Name, Key     string
-	Trace         string // as the request has it
+// Trace is what became of a request, and why.
+type Trace struct {
+	ID, Key       string
+	TraceParent   string // as the request has it
 	Class, Tenant int
 	Caller        uint32
-	Arrived       int64  // Unix times: at the machine,
-	Read          int64  // when it was read whole,
-	Started       int64  // when its run began; 0: never
-	Answered      int64  // and when it was answered
-	First         string // of a repeat: the name of the try that it repeats
-	Kind          Kind   // nought: its caller went
+	ArrivedAt     int64  // Unix times: at the machine,
+	ReadAt        int64  // when it was read whole,
+	StartedAt     int64  // when its run began; 0: never
+	AnsweredAt    int64  // and when it was answered
+	OriginalID    string // of a repeat: the name of the try that it repeats
+	Status        Status // nought: its caller went
 	Cause         Cause
 	Value, Limit  float64
-	ComeBack      int64
-	Hops          [mostHops]Hop
-	Tries         int // those beyond the hops are counted alone
+	RetryAfter    int64
+	Attempts      [mostHops]AttemptTrace
+	AttemptCount  int // those beyond the hops are counted alone
 	// microseconds that it waited until its key was kept, on the disk or on other runners
-	Kept int64
+	KeyWait int64
 }
 
 // trail begins one, where anybody takes them.
-func (c *Core) trail(q *Request) *Trail {
-	if c.host.Trails == nil {
+func (c *Manager) trail(q *Request) *Trace {
+	if c.host.OnAnswered == nil {
 		return nil
 	}
-	return &Trail{
-		Name:    q.Name,
-		Key:     q.Key,
-		Trace:   q.Trace,
-		Class:   q.Class,
-		Tenant:  q.Tenant,
-		Caller:  q.Caller,
-		Arrived: q.Arrived,
-		Read:    c.host.Unix(),
+	return &Trace{
+		ID:          q.ID,
+		Key:         q.Key,
+		TraceParent: q.TraceParent,
+		Class:       q.Class,
+		Tenant:      q.Tenant,
+		Caller:      q.Caller,
+		ArrivedAt:   q.ArrivedAt,
+		ReadAt:      c.host.Unix(),
 	}
 }
 
 // because notes why an answer is about to be given. What was said first stands: a cause that is
 // nearer to it.
-func (t *Trail) because(cause Cause, value, limit float64) {
+func (t *Trace) because(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause, t.Value, t.Limit = cause, value, limit
 	}
 }
 
 // tell hands a trail over, once.
-func (c *Core) tell(t *Trail, kind Kind, comeBack int64) {
-	if t == nil || t.Answered != 0 {
+func (c *Manager) tell(t *Trace, kind Status, comeBack int64) {
+	if t == nil || t.AnsweredAt != 0 {
 		return
 	}
-	t.Kind, t.ComeBack, t.Answered = kind, comeBack, c.host.Unix()
-	c.host.Trails(t)
+	t.Status, t.RetryAfter, t.AnsweredAt = kind, comeBack, c.host.Unix()
+	c.host.OnAnswered(t)
 }
 
 // tellOf is tell for a request that may still run.
-func (c *Core) tellOf(r *request, kind Kind, comeBack int64) {
-	if t, a := r.trail, r.running; t != nil && a != nil && t.Tries > 0 && t.Tries <= mostHops {
-		h := &t.Hops[t.Tries-1]
-		h.Server, h.Took = a.Server, c.host.Unix()-h.Began
-		if kind == Late {
+func (c *Manager) tellOf(r *request, kind Status, comeBack int64) {
+	if t, a := r.trail, r.running; t != nil && a != nil && t.AttemptCount > 0 && t.AttemptCount <= mostHops {
+		h := &t.Attempts[t.AttemptCount-1]
+		h.Server, h.Duration = a.Server, c.host.Unix()-h.StartedAt
+		if kind == Expired {
 			h.Outcome = TimedOut
 		}
 	}
@@ -134,40 +134,40 @@
 }
 
 // tried notes a try that begins, and ended one that is over.
-func (t *Trail) tried(now int64) {
+func (t *Trace) tried(now int64) {
 	if t == nil {
 		return
 	}
-	if t.Tries < mostHops {
-		t.Hops[t.Tries] = Hop{Began: now}
+	if t.AttemptCount < mostHops {
+		t.Attempts[t.AttemptCount] = AttemptTrace{StartedAt: now}
 	}
-	if t.Tries++; t.Started == 0 {
-		t.Started = now
+	if t.AttemptCount++; t.StartedAt == 0 {
+		t.StartedAt = now
 	}
 }
 
-func (t *Trail) ended(a *Attempt, o Outcome, now int64) {
-	if t == nil || t.Tries == 0 || t.Tries > mostHops {
+func (t *Trace) ended(a *Attempt, o Outcome, now int64) {
+	if t == nil || t.AttemptCount == 0 || t.AttemptCount > mostHops {
 		return
 	}
-	h := &t.Hops[t.Tries-1]
-	h.Server, h.Outcome, h.Took = a.Server, o, now-h.Began
+	h := &t.Attempts[t.AttemptCount-1]
+	h.Server, h.Outcome, h.Duration = a.Server, o, now-h.StartedAt
 }
 
 // kept notes a wait for its key to be kept.
-func (t *Trail) kept(us int64) {
+func (t *Trace) kept(us int64) {
 	if t != nil {
-		t.Kept += us
+		t.KeyWait += us
 	}
 }
 
 // work is the time that servers spent, of the tries that it tells of.
-func (t *Trail) work() (us int64) {
+func (t *Trace) work() (us int64) {
 	if t == nil {
 		return 0
 	}
-	for _, h := range t.Hops[:min(t.Tries, len(t.Hops))] {
-		us += h.Took
+	for _, h := range t.Attempts[:min(t.AttemptCount, len(t.Attempts))] {
+		us += h.Duration
 	}
 	return us
 }
@@ -175,20 +175,20 @@
 // causeOf is why a run that ended like that has no result.
 func causeOf(o Outcome) Cause {
 	switch o {
-	case Fine:
+	case Succeeded:
 		return CauseNone
-	case NotRun:
-		return CauseRefusedRun
+	case NotStarted:
+		return CauseRunRejected
 	case Unreachable:
-		return CauseNobody
+		return CauseNoServer
 	case TimedOut:
-		return CauseRunOverdue
-	case Unknown:
-		return CauseStranger
-	case Broken:
-		return CauseBroken
-	case Stopped:
-		return CauseGone
+		return CauseRunTimeout
+	case UnknownRequest:
+		return CauseUnknownRequest
+	case Interrupted:
+		return CauseInterrupted
+	case Canceled:
+		return CauseCallerGone
 	}
 	return CauseServerFault
 }
