--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -159,7 +159,7 @@
 	n.listener, err = l.Listen(
 		cfg.Listen,
 		2*len(cfg.Peers)+4,
-		eventloop.Limits{In: headerSize + maxFrameBytes, Out: 64},
+		eventloop.BufferLimits{In: headerSize + maxFrameBytes, Out: 64},
 		n.accept,
 		nil,
 	)
@@ -327,7 +327,7 @@
 			&Frame{Hello: &Hello{Installation: p.transport.cfg.Installation, Name: p.transport.cfg.Name, Version: formatVersion}},
 		)
 	}
-	if p.conn == nil || p.conn.Queued() > maxQueuedBytes {
+	if p.conn == nil || p.conn.QueuedBytes() > maxQueuedBytes {
 		p.transport.Dropped++
 		return
 	}
@@ -338,7 +338,7 @@
 // dial opens the connection. One that does not stand in time is given up, and the next message
 // opens another: a machine that is back may hear the system's next try much later.
 func (p *outboundLink) dial() {
-	conn := p.transport.loop.Dial(p.peer.Addr, eventloop.Limits{In: 64, Out: maxQueuedBytes + headerSize + maxFrameBytes}, p)
+	conn := p.transport.loop.Dial(p.peer.Addr, eventloop.BufferLimits{In: 64, Out: maxQueuedBytes + headerSize + maxFrameBytes}, p)
 	p.conn = conn
 	p.transport.loop.After(connectTimeout, func() {
 		if p.conn == conn && !p.connected {
@@ -398,7 +398,7 @@
 }
 
 func (i *inboundLink) reject(name, why string) {
-	eventPeerRejected.Log(i.conn.Peer(), name, why)
+	eventPeerRejected.Log(i.conn.RemoteAddr(), name, why)
 	i.conn.Close(nil)
 }
 
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -26,8 +26,8 @@
 			Epoch: 7,
 			Entries: []replication.Entry{{Seq: 9, Remaining: 5,
 				Record: &store.Record{
-					Kind:   store.Ended,
-					Name:   store.Name{Class: "hand-in", Key: "a"},
+					Kind:   store.RunEnded,
+					Name:   store.KeyName{Class: "hand-in", Key: "a"},
 					Result: &store.Result{Status: 200, Body: []byte("fine")},
 				}}},
 		},
--- a/internal/peers/link/stored_test.go
+++ b/internal/peers/link/stored_test.go
@@ -26,8 +26,8 @@
 // sampleRecord has every field of a record set.
 func sampleRecord() *store.Record {
 	return &store.Record{
-		Kind:  store.Ended,
-		Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-1"},
+		Kind:  store.RunEnded,
+		Name:  store.KeyName{Class: "hand-in", Tenant: "north", Key: "key-1"},
 		Owner: 1<<40 | 7,
 		At:    1_700_000_000_000_001,
 		Until: 1_700_000_013_000_002,
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -62,12 +62,12 @@
 	SetTable(t *placement.Table, life uint64)
 	// Replicate counts the use of a run that ended, and calls done on the loop once others know of
 	// it.
-	Replicate(k lifecycle.Kept, done func(error))
+	Replicate(k lifecycle.KeyRecord, done func(error))
 }
 
 // SetTable is what it needs of the core.
 type KeyTable interface {
-	Heard(k lifecycle.Kept, forgotten bool)
+	ApplyRemote(k lifecycle.KeyRecord, forgotten bool)
 }
 
 // Node is the part. Its methods are called on the loop.
@@ -75,7 +75,7 @@
 	cfg            Config
 	loop           *eventloop.Loop
 	keys           KeyTable
-	localKeeper    lifecycle.Keeper // nil: there is none
+	localKeeper    lifecycle.KeyStore // nil: there is none
 	transport      *link.Transport
 	replica        *replication.Replica
 	consensus      *consensus.Participant
@@ -293,7 +293,7 @@
 }
 
 // KeyStatus tells where the copies of a key are.
-func (p *Node) KeyStatus(name store.Name) *KeyStatus {
+func (p *Node) KeyStatus(name store.KeyName) *KeyStatus {
 	t := p.consensus.Table()
 	slot, quiet, held, rec, left := p.replica.Lookup(name, p.loop.Now())
 	s := &KeyStatus{Slot: slot, QuarantineMs: quiet / 1000, State: "not held", RemainingMs: left / 1000}
@@ -302,7 +302,7 @@
 	}
 	switch {
 	case rec != nil:
-		s.State = map[store.Kind]string{store.Begun: "begun", store.Ended: "ended", store.Forgotten: "forgotten"}[rec.Kind]
+		s.State = map[store.RecordKind]string{store.RunStarted: "begun", store.RunEnded: "ended", store.KeyReleased: "forgotten"}[rec.Kind]
 		s.Owner = "a process that is gone"
 		for _, m := range t.Members {
 			if m.Incarnation != 0 && m.Process == uint32(rec.Owner>>32) {
@@ -391,15 +391,15 @@
 	return s
 }
 
-func (p *Node) put(kind store.Kind, k lifecycle.Kept, done func(replication.Result)) {
+func (p *Node) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(replication.Result)) {
 	now := p.loop.Unix()
-	left, within := k.Until-now, p.cfg.ReplicationTimeout
-	if kind == store.Ended { // whoever waits for it knows for how long
+	left, within := k.ExpiresAt-now, p.cfg.ReplicationTimeout
+	if kind == store.RunEnded { // whoever waits for it knows for how long
 		within = max(within, left)
 	}
 	// The core is told in a turn of its own: it may ask for more at once.
 	p.replica.Put(
-		persistence.Record(kind, k, now),
+		persistence.ToRecord(kind, k, now),
 		left,
 		within,
 		p.loop.Now(),
@@ -408,11 +408,11 @@
 	p.loop.Post(p.flush)
 }
 
-// Claim implements core.Claims: the run begins once its beginning is kept on others, unless the key
+// Reserve implements lifecycle.Reservations: the run begins once its beginning is kept on others, unless the key
 // is another's.
-func (p *Node) Claim(k lifecycle.Kept, _ int64, free func() bool, done func(mine bool, err error)) {
+func (p *Node) Reserve(k lifecycle.KeyRecord, _ int64, free func() bool, done func(mine bool, err error)) {
 	first := true
-	p.put(store.Begun, k, func(a replication.Result) {
+	p.put(store.RunStarted, k, func(a replication.Result) {
 		again := !first
 		first = false
 		if a.Outcome == replication.OutcomeOwnedByOther {
@@ -433,7 +433,7 @@
 	if a.Err == nil {
 		return nil
 	}
-	return &lifecycle.CopiesError{Back: a.RetryAfter, Err: a.Err}
+	return &lifecycle.ReplicationError{RetryAfter: a.RetryAfter, Err: a.Err}
 }
 
 // receiveHealthReport tells the core of another's run.
@@ -441,19 +441,21 @@
 	r := *a.Record
 	// the process that runs it is gone: it may have run
 	if r.Until = p.loop.Unix() + a.Remaining; a.InDoubt {
-		r.Kind, r.How = store.Ended, uint8(lifecycle.Failed)
+		r.Kind, r.How = store.RunEnded, uint8(lifecycle.Failed)
 	}
-	p.keys.Heard(persistence.KeptOf(&r), r.Kind == store.Forgotten)
+	p.keys.ApplyRemote(persistence.FromRecord(&r), r.Kind == store.KeyReleased)
 }
 
-// Ended implements core.Claims. An end is kept by the Keeper, before it is answered.
-func (p *Node) Ended(lifecycle.Kept) {}
+// Ended implements lifecycle.Reservations. An end is kept by the Keeper, before it is answered.
+func (p *Node) Ended(lifecycle.KeyRecord) {}
 
-// Forgot implements core.Claims.
-func (p *Node) Forgot(k lifecycle.Kept) { p.put(store.Forgotten, k, func(replication.Result) {}) }
+// Released implements lifecycle.Reservations.
+func (p *Node) Released(k lifecycle.KeyRecord) {
+	p.put(store.KeyReleased, k, func(replication.Result) {})
+}
 
 // Keeper is a keeper that keeps on peers what the disk keeps too; nil: there is no disk.
-func (p *Node) Keeper(disk lifecycle.Keeper) lifecycle.Keeper {
+func (p *Node) Keeper(disk lifecycle.KeyStore) lifecycle.KeyStore {
 	p.localKeeper = disk
 	return keeper{p}
 }
@@ -461,35 +463,35 @@
 // record is the core's keeper.
 type keeper struct{ node *Node }
 
-// Unavailable implements core.Keeper.
-func (k keeper) Closed() (int64, string) {
+// Unavailable implements lifecycle.KeyStore.
+func (k keeper) Unavailable() (int64, string) {
 	if back, why := k.node.replica.Unavailable(k.node.loop.Now()); back > 0 || k.node.localKeeper == nil {
 		return back, why
 	}
-	return k.node.localKeeper.Closed()
+	return k.node.localKeeper.Unavailable()
 }
 
-// Apart implements core.Sharer.
-func (k keeper) Apart() bool {
+// MissingReplicas implements lifecycle.ReplicatedKeyStore.
+func (k keeper) MissingReplicas() bool {
 	back, _ := k.node.replica.Unavailable(k.node.loop.Now())
 	return back > 0
 }
 
-// ReplicationTimeout implements core.Keeper.
-func (k keeper) Patience() int64 { return k.node.cfg.ReplicationTimeout }
+// ReplicationTimeout implements lifecycle.KeyStore.
+func (k keeper) Timeout() int64 { return k.node.cfg.ReplicationTimeout }
 
-// Begun implements core.Keeper: peers have it by the claim.
-func (k keeper) Begun(c lifecycle.Kept, done func(error)) {
+// Started implements lifecycle.KeyStore: peers have it by the claim.
+func (k keeper) Started(c lifecycle.KeyRecord, done func(error)) {
 	if k.node.localKeeper == nil {
 		k.node.loop.Post(func() { done(nil) })
 		return
 	}
-	k.node.localKeeper.Begun(c, done)
+	k.node.localKeeper.Started(c, done)
 }
 
-// Ended implements core.Keeper: it is kept once peers and disk have it, and others know of its use.
+// Ended implements lifecycle.KeyStore: it is kept once peers and disk have it, and others know of its use.
 // A disk that hangs is not waited for longer than its patience, as peers have it.
-func (k keeper) Ended(c lifecycle.Kept, done func(error)) {
+func (k keeper) Ended(c lifecycle.KeyRecord, done func(error)) {
 	var errs error
 	rest := 1
 	one := func(err error) {
@@ -500,13 +502,13 @@
 	}
 	if k.node.localKeeper != nil {
 		rest++
-		k.node.localKeeper.Ended(c, k.node.withTimeout(k.node.localKeeper.Patience(), one))
+		k.node.localKeeper.Ended(c, k.node.withTimeout(k.node.localKeeper.Timeout(), one))
 	}
-	if k.node.cfg.UsageReplicas != nil && c.Result != nil && c.Waits {
+	if k.node.cfg.UsageReplicas != nil && c.Result != nil && c.HasWaiter {
 		rest++
 		k.node.cfg.UsageReplicas.Replicate(c, one)
 	}
-	k.node.put(store.Ended, c, func(a replication.Result) { one(a.Err) })
+	k.node.put(store.RunEnded, c, func(a replication.Result) { one(a.Err) })
 }
 
 // withTimeout passes the first word of the disk on, or that it has not come in time.
@@ -525,9 +527,9 @@
 	return once
 }
 
-// Forgot implements core.Keeper: peers hear it by the claim.
-func (k keeper) Forgot(c lifecycle.Kept) {
+// Released implements lifecycle.KeyStore: peers hear it by the claim.
+func (k keeper) Released(c lifecycle.KeyRecord) {
 	if k.node.localKeeper != nil {
-		k.node.localKeeper.Forgot(c)
+		k.node.localKeeper.Released(c)
 	}
 }
--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -366,7 +366,7 @@
 // nothing is told.
 func (n *node) try(key string, left int64) {
 	w := n.w
-	name := store.Name{Class: "hand-in", Key: key}
+	name := store.KeyName{Class: "hand-in", Key: key}
 	began := w.now
 	told := func(end string, hard bool) { w.judge(key, end, hard, began) }
 	e := n.entries[key]
@@ -396,7 +396,7 @@
 			fn(how, hard)
 		}
 	}
-	record := store.Record{Kind: store.Begun, Name: name, Owner: e.owner}
+	record := store.Record{Kind: store.RunStarted, Name: name, Owner: e.owner}
 	until := w.now + left
 	asked := w.now
 	n.h.Put(&record, left, patience, w.now, func(a Result) {
@@ -416,7 +416,7 @@
 						return
 					}
 					ended := record
-					ended.Kind, ended.Result = store.Ended, &store.Result{Status: 200, Body: []byte(result)}
+					ended.Kind, ended.Result = store.RunEnded, &store.Result{Status: 200, Body: []byte(result)}
 					waited := false
 					w.after(patience, func() { n.do(func() { waited = true; end(result, false) }) })
 					n.h.Put(&ended, until-w.now, patience, w.now, func(a Result) {
@@ -426,11 +426,11 @@
 					})
 				})
 			})
-		case a.Outcome == OutcomeOwnedByOther && a.Record.Kind == store.Ended:
+		case a.Outcome == OutcomeOwnedByOther && a.Record.Kind == store.RunEnded:
 			end(string(a.Record.Result.Body), true)
 		case a.Outcome == OutcomeOwnedByOther && a.InDoubt:
 			end("failed", true)
-		case a.Outcome == OutcomeOwnedByOther && a.Record.Kind == store.Forgotten:
+		case a.Outcome == OutcomeOwnedByOther && a.Record.Kind == store.KeyReleased:
 			end("refused", false)
 		}
 	})
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -156,7 +156,7 @@
 // Lookup tells the slot of a name, for how long that takes nothing new, whether it is held here, and
 // what is held of the name.
 func (h *Replica) Lookup(
-	name store.Name,
+	name store.KeyName,
 	now int64,
 ) (slot int, quiet int64, held bool, r *store.Record, left int64) {
 	if h.table == nil {
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -197,8 +197,8 @@
 		for k := range 40 {
 			h.Put(
 				&store.Record{
-					Kind: store.Begun,
-					Name: store.Name{Class: "hand-in", Key: string(rune('a' + k))},
+					Kind: store.RunStarted,
+					Name: store.KeyName{Class: "hand-in", Key: string(rune('a' + k))},
 				},
 				second,
 				second,
@@ -264,8 +264,8 @@
 		for i := range records {
 			h.slots[0].append(
 				&store.Record{
-					Kind:   store.Ended,
-					Name:   store.Name{Key: strconv.Itoa(i)},
+					Kind:   store.RunEnded,
+					Name:   store.KeyName{Key: strconv.Itoa(i)},
 					Result: &store.Result{Body: make([]byte, size)},
 				},
 				1_000_000*ms,
@@ -331,8 +331,8 @@
 			h.Receive(reply, now)
 		}
 	}
-	put := func(key string, kind store.Kind, size int) (a Result) {
-		r := &store.Record{Kind: kind, Name: store.Name{Key: key}, Owner: 1 << 32}
+	put := func(key string, kind store.RecordKind, size int) (a Result) {
+		r := &store.Record{Kind: kind, Name: store.KeyName{Key: key}, Owner: 1 << 32}
 		if size > 0 {
 			r.Result = &store.Result{Body: make([]byte, size)}
 		}
@@ -349,7 +349,7 @@
 	taken := 0
 	for ; taken < 100; taken++ {
 		key := strconv.Itoa(taken)
-		a := put(key, store.Begun, 0)
+		a := put(key, store.RunStarted, 0)
 		if a.Outcome == OutcomeUnavailable {
 			if a.RetryAfter != memoryRetryAfter {
 				t.Errorf("it says to come back after %d", a.RetryAfter)
@@ -359,7 +359,7 @@
 		if a.Outcome != OutcomeGranted {
 			t.Fatalf("%s: %+v", key, a)
 		}
-		if a = put(key, store.Ended, 2000); a.Outcome != OutcomeStored {
+		if a = put(key, store.RunEnded, 2000); a.Outcome != OutcomeStored {
 			t.Fatalf("the end of %s: %+v", key, a)
 		}
 	}
@@ -371,7 +371,7 @@
 		t.Errorf("%d keys of %d bytes are left", len(h.slots[0].items), h.slots[0].bytes)
 	}
 	h.Tick(now + ms)
-	if a := put("new", store.Begun, 0); a.Outcome != OutcomeGranted {
+	if a := put("new", store.RunStarted, 0); a.Outcome != OutcomeGranted {
 		t.Errorf("a key after that: %+v", a)
 	}
 }
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -29,7 +29,7 @@
 		nextSend:  h.now,
 		done:      done,
 	}
-	if r.Kind != store.Begun {
+	if r.Kind != store.RunStarted {
 		a.abandonAt = max(a.abandonAt, a.expiresAt)
 	}
 	if h.table == nil {
@@ -57,9 +57,9 @@
 		}
 		if h.now >= a.abandonAt {
 			delete(h.pending, id)
-			if a.record.Kind == store.Begun && !a.watching {
+			if a.record.Kind == store.RunStarted && !a.watching {
 				never := *a.record
-				never.Kind = store.Forgotten
+				never.Kind = store.KeyReleased
 				h.enqueuePut(&never, a.expiresAt-h.now, h.cfg.QuorumTimeout, func(Result) {})
 			}
 			continue
@@ -100,7 +100,7 @@
 		a.nextSend = min(a.nextSend, h.now+retryInterval)
 		return
 	}
-	if begins := a.record.Kind == store.Begun; m.Outcome == OutcomeStored && begins ||
+	if begins := a.record.Kind == store.RunStarted; m.Outcome == OutcomeStored && begins ||
 		m.Outcome == OutcomeGranted && !begins {
 		return // that was not asked
 	}
@@ -111,7 +111,7 @@
 			return
 		}
 		x.Record, x.Remaining = m.Entries[0].Record, m.Entries[0].Remaining
-		if x.Record.Kind == store.Begun && !m.InDoubt { // its end is told as soon as it is kept
+		if x.Record.Kind == store.RunStarted && !m.InDoubt { // its end is told as soon as it is kept
 			if !a.watching && !a.answered {
 				a.watching, a.answered, a.abandonAt = true, true, a.expiresAt
 				a.done(x)
@@ -136,7 +136,7 @@
 }
 
 // CancelWatch ends the wait for another's run.
-func (h *Replica) CancelWatch(name store.Name) {
+func (h *Replica) CancelWatch(name store.KeyName) {
 	for id, a := range h.pending {
 		if a.watching && a.record.Name == name {
 			delete(h.pending, id)
@@ -176,16 +176,16 @@
 		return
 	}
 	it := s.items[r.Name]
-	if it != nil && h.now > it.expiresAt+readGrace && (it.record.Kind != store.Begun || !h.ownerAlive(&it.record)) {
+	if it != nil && h.now > it.expiresAt+readGrace && (it.record.Kind != store.RunStarted || !h.ownerAlive(&it.record)) {
 		it = nil // no repeat of it can come any more
 	}
 	once := func(it *item, w Outcome) {
 		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { tell(w, 0) }})
 	}
 	switch {
-	case r.Kind == store.Begun && m.Outcome == OutcomeOwnedByOther && (it == nil || it.record.Kind == store.Forgotten): // what it waits for never began
+	case r.Kind == store.RunStarted && m.Outcome == OutcomeOwnedByOther && (it == nil || it.record.Kind == store.KeyReleased): // what it waits for never began
 		never := *r
-		never.Kind = store.Forgotten
+		never.Kind = store.KeyReleased
 		h.send(
 			Message{
 				Type:      MsgPutResp,
@@ -196,7 +196,7 @@
 				Entries:   []Entry{{Remaining: left, Record: &never}},
 			},
 		)
-	case r.Kind == store.Begun && (it == nil || it.record.Kind == store.Forgotten && it.record.Owner != r.Owner):
+	case r.Kind == store.RunStarted && (it == nil || it.record.Kind == store.KeyReleased && it.record.Owner != r.Owner):
 		if wait := s.quarantine.until - h.now; s.quarantine.epoch != 0 && wait > 0 {
 			tell(OutcomeUnavailable, wait)
 			return
@@ -206,13 +206,13 @@
 			return
 		}
 		once(h.appendRecord(m.Slot, s, r, h.now+left), OutcomeGranted)
-	case r.Kind == store.Begun && it.record.Owner == r.Owner && it.record.Kind == store.Begun:
+	case r.Kind == store.RunStarted && it.record.Owner == r.Owner && it.record.Kind == store.RunStarted:
 		once(it, OutcomeGranted) // it is said again
-	case r.Kind == store.Begun && it.record.Kind == store.Forgotten:
+	case r.Kind == store.RunStarted && it.record.Kind == store.KeyReleased:
 		tell(OutcomeConflict, 0) // its asker has given it up
-	case r.Kind == store.Begun:
+	case r.Kind == store.RunStarted:
 		w := watcher{m.From, m.RequestID}
-		if it.record.Kind == store.Begun && !slices.Contains(it.watchers, w) {
+		if it.record.Kind == store.RunStarted && !slices.Contains(it.watchers, w) {
 			if len(it.watchers) >= maxWatchers {
 				tell(OutcomeUnavailable, resendInterval)
 				return
@@ -220,7 +220,7 @@
 			it.watchers = append(it.watchers, w)
 		}
 		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { h.sendOwner(m.Slot, it, w) }})
-	case it == nil || it.record.Owner == r.Owner && it.record.Kind == store.Begun:
+	case it == nil || it.record.Owner == r.Owner && it.record.Kind == store.RunStarted:
 		it = h.appendRecord(m.Slot, s, r, h.now+left)
 		once(it, OutcomeStored)
 		s.commitWaiters = append(s.commitWaiters, commitWaiter{it.seq, func() { h.notifyWatchers(m.Slot, it) }})
@@ -258,7 +258,7 @@
 // sendOwner tells a runner how a key stands.
 func (h *Replica) sendOwner(i int, it *item, w watcher) {
 	r := it.record
-	doubt := r.Kind == store.Begun && !h.ownerAlive(&r)
+	doubt := r.Kind == store.RunStarted && !h.ownerAlive(&r)
 	h.send(
 		Message{
 			Type:      MsgPutResp,
@@ -275,7 +275,7 @@
 // notifyWatchers tells those who wait for the end of a run that it ended, never began, or is in
 // doubt.
 func (h *Replica) notifyWatchers(i int, it *item) {
-	if len(it.watchers) == 0 || it.record.Kind == store.Begun && h.ownerAlive(&it.record) {
+	if len(it.watchers) == 0 || it.record.Kind == store.RunStarted && h.ownerAlive(&it.record) {
 		return
 	}
 	for _, w := range it.watchers {
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -50,7 +50,7 @@
 	lastEpoch   uint64 // the epoch of the newest record
 	lastSeq     uint64 // its number
 	epochStarts []EpochStart
-	items       map[store.Name]*item
+	items       map[store.KeyName]*item
 	bytes       int // of the records, about
 	// the newest word of a primary: one that is said twice or comes late is not taken again
 	newest struct {
@@ -73,11 +73,11 @@
 	maxWatchers    = 256 // watchers of one key
 )
 
-func newSlot() *slot { return &slot{items: map[store.Name]*item{}} }
+func newSlot() *slot { return &slot{items: map[store.KeyName]*item{}} }
 
 // reset forgets what is held.
 func (s *slot) reset() {
-	s.items, s.bytes, s.lastEpoch, s.lastSeq, s.epochStarts = map[store.Name]*item{}, 0, 0, 0, nil
+	s.items, s.bytes, s.lastEpoch, s.lastSeq, s.epochStarts = map[store.KeyName]*item{}, 0, 0, 0, nil
 }
 
 // enqueuePut takes the next record of a primary.
@@ -202,7 +202,7 @@
 // removeExpired drops what no repeat can meet any more. A run that goes on is never dropped.
 func (s *slot) removeExpired(now int64, lives func(*store.Record) bool) {
 	for name, it := range s.items {
-		if now > it.expiresAt && len(it.watchers) == 0 && (it.record.Kind != store.Begun || !lives(&it.record)) {
+		if now > it.expiresAt && len(it.watchers) == 0 && (it.record.Kind != store.RunStarted || !lives(&it.record)) {
 			s.bytes -= recordSize(&it.record)
 			delete(s.items, name)
 		}
--- a/internal/peers/wal/stored_test.go
+++ b/internal/peers/wal/stored_test.go
@@ -34,16 +34,16 @@
 		EpochStarts: []replication.EpochStart{{Epoch: 11, FirstSeq: 9}, {Epoch: 12, FirstSeq: 13}},
 		Entries: []replication.Entry{
 			{Seq: 13, Epoch: 12, Remaining: 12_000_000, Record: &store.Record{
-				Kind:  store.Begun,
-				Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-1"},
+				Kind:  store.RunStarted,
+				Name:  store.KeyName{Class: "hand-in", Tenant: "north", Key: "key-1"},
 				Owner: 1<<40 | 7,
 				At:    1_700_000_000_000_001,
 				Until: 1_700_000_013_000_002,
 				Body:  [32]byte{1, 2, 31: 32},
 			}},
 			{Seq: 14, Epoch: 12, Remaining: 11_000_000, Record: &store.Record{
-				Kind:  store.Ended,
-				Name:  store.Name{Class: "hand-in", Tenant: "north", Key: "key-2"},
+				Kind:  store.RunEnded,
+				Name:  store.KeyName{Class: "hand-in", Tenant: "north", Key: "key-2"},
 				Owner: 1<<40 | 8,
 				At:    1_700_000_000_500_000,
 				Until: 1_700_000_013_500_000,
--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -26,7 +26,7 @@
 
 // Sink gets the ends of calls.
 type Sink interface {
-	Called(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took int64)
+	CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took int64)
 }
 
 // Pool owns the connections to the back end.
@@ -107,7 +107,7 @@
 }
 
 // unsent tells whether nothing of a call can have reached the back end.
-func (c *call) unsent() bool { return c.conn != nil && c.conn.call == c && c.conn.lc.IsOpening() }
+func (c *call) unsent() bool { return c.conn != nil && c.conn.call == c && c.conn.lc.IsConnecting() }
 
 // outOfTime ends a call whose time is up.
 func (p *Pool) outOfTime(c *call) {
@@ -118,14 +118,14 @@
 	p.end(c, lifecycle.TimedOut, nil)
 }
 
-// Call implements core.Dependency.
+// Call implements lifecycle.Dependency.
 func (p *Pool) Call(a *lifecycle.Attempt, body []byte, patience int64) {
-	p.GiveUp(a)
+	p.CancelCall(a)
 	p.last++
 	c := &call{attempt: a, number: p.last, began: p.loop.Now()}
 	p.calls[a] = c
 	c.timer = p.loop.After(patience, func() { p.outOfTime(c) })
-	if a.Safe {
+	if a.Idempotent {
 		c.conn = p.take()
 	} else if p.open >= p.most {
 		p.drop()
@@ -140,15 +140,15 @@
 		p.open++
 		c.conn.lc = p.loop.Dial(
 			p.addr,
-			eventloop.Limits{In: httpmessage.MaxHeadBytes + maxBody, Out: maxBody},
+			eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + maxBody, Out: maxBody},
 			c.conn,
 		)
 	} else {
-		p.loop.Post(func() { p.end(c, lifecycle.TurnedAway, nil) }) // nothing was sent
+		p.loop.Post(func() { p.end(c, lifecycle.CallRejected, nil) }) // nothing was sent
 		return
 	}
 	c.conn.call = c
-	c.conn.lc.Write(request(p.addr.String(), a.Request.Name, patience, body))
+	c.conn.lc.Write(request(p.addr.String(), a.Request.ID, patience, body))
 }
 
 // take is the idle connection that was used last, if one still stands. On one that is not quiet,
@@ -157,7 +157,7 @@
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		if c.lc.IsQuiet() {
+		if c.lc.IsIdle() {
 			return c
 		}
 		c.lc.Close(errors.New("not quiet while it was idle"))
@@ -190,8 +190,8 @@
 	)
 }
 
-// GiveUp implements core.Dependency.
-func (p *Pool) GiveUp(a *lifecycle.Attempt) {
+// CancelCall implements lifecycle.Dependency.
+func (p *Pool) CancelCall(a *lifecycle.Attempt) {
 	if c := p.calls[a]; c != nil {
 		p.forget(c)
 	}
@@ -213,7 +213,7 @@
 		return
 	}
 	p.forget(c)
-	p.sink.Called(c.attempt, o, reply, p.loop.Now()-c.began)
+	p.sink.CallEnded(c.attempt, o, reply, p.loop.Now()-c.began)
 }
 
 // Connected implements loop.Handler.
@@ -243,11 +243,11 @@
 	}
 	n.call = nil
 	// Only a refused connection proves that the call never ran; one that broke may have carried it.
-	var refused *eventloop.RefusedError
+	var refused *eventloop.ConnectionRefusedError
 	if errors.As(err, &refused) {
 		p.end(c, lifecycle.Unreachable, nil)
 	} else {
-		p.end(c, lifecycle.Broken, nil)
+		p.end(c, lifecycle.Interrupted, nil)
 	}
 }
 
@@ -297,7 +297,7 @@
 			continue
 		}
 		times := 1
-		if !c.attempt.Safe {
+		if !c.attempt.Idempotent {
 			times = effectTimes
 		}
 		c.overtaken++
@@ -307,20 +307,20 @@
 		}
 	}
 	for _, c := range lost { // it may have run
-		p.end(c, lifecycle.Broken, nil)
+		p.end(c, lifecycle.Interrupted, nil)
 	}
 }
 
 func outcome(r reply) lifecycle.Outcome {
 	switch {
 	case r.status == 200:
-		return lifecycle.Fine
+		return lifecycle.Succeeded
 	case r.status == 503 && r.turnedAway:
-		return lifecycle.TurnedAway
+		return lifecycle.CallRejected
 	case r.status == 409 && r.turnedAway:
-		return lifecycle.NotRun
+		return lifecycle.NotStarted
 	case r.status == 504:
 		return lifecycle.TimedOut
 	}
-	return lifecycle.Fault
+	return lifecycle.Faulted
 }
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -21,7 +21,7 @@
 	n     int
 }
 
-func (c *calls) Called(a *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ int64) {
+func (c *calls) CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ int64) {
 	if a == c.first {
 		c.got = o
 	}
@@ -34,7 +34,7 @@
 
 func (c *calls) place(reply string) *lifecycle.Attempt {
 	c.n++
-	a := &lifecycle.Attempt{Request: &lifecycle.Request{Name: scenario.CallID("1")}, Safe: true}
+	a := &lifecycle.Attempt{Request: &lifecycle.Request{ID: scenario.CallID("1")}, Idempotent: true}
 	c.pool.Call(a, nil, 60_000_000)
 	scenario.Play(c.t, "backend send "+reply, map[string]scenario.Actor{"backend": c.stand})
 	return a
@@ -65,7 +65,7 @@
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if c.got != lifecycle.Broken || c.n < overtakenBy {
+	if c.got != lifecycle.Interrupted || c.n < overtakenBy {
 		t.Errorf("outcome %v after %d calls", c.got, c.n)
 	}
 }
--- a/internal/platform/backend/crossing_test.go
+++ b/internal/platform/backend/crossing_test.go
@@ -12,7 +12,7 @@
 // ended is a sink that keeps the ends of calls.
 type ended struct{ outcomes []lifecycle.Outcome }
 
-func (e *ended) Called(_ *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ int64) {
+func (e *ended) CallEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ int64) {
 	e.outcomes = append(e.outcomes, o)
 }
 
@@ -32,7 +32,7 @@
 			p := New(s.Loop, scenario.Mute(t))
 			p.Start(sink)
 			p.Call(
-				&lifecycle.Attempt{Request: &lifecycle.Request{Name: scenario.CallID("1")}},
+				&lifecycle.Attempt{Request: &lifecycle.Request{ID: scenario.CallID("1")}},
 				nil,
 				time.Second.Microseconds(),
 			)
--- a/internal/platform/engine/crossing_test.go
+++ b/internal/platform/engine/crossing_test.go
@@ -16,7 +16,7 @@
 	k := New(
 		s.Loop,
 		netip.MustParseAddrPort(stand.Listener.Addr().String()),
-		func([]float64) lifecycle.Gauges { return lifecycle.NoGauges() },
+		func([]float64) lifecycle.Gauges { return lifecycle.UnknownGauges() },
 	)
 	k.Start(&endings{loop: s.Loop})
 	s.Until(k.IsConnected)
@@ -30,7 +30,7 @@
 	}
 	last := netip.MustParseAddrPort(stand.Elsewhere(t))
 	k.SetAddress(last)
-	s.Until(func() bool { return k.IsConnected() && k.conn.conn.Peer() == last })
+	s.Until(func() bool { return k.IsConnected() && k.conn.conn.RemoteAddr() == last })
 	if k.next != nil {
 		t.Error("a second link is still being opened")
 	}
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -43,7 +43,7 @@
 // Sink gets what the engine reports.
 type Sink interface {
 	Ended(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
-	Needs(*lifecycle.Attempt, []byte)
+	NeedsCall(*lifecycle.Attempt, []byte)
 }
 
 type message struct {
@@ -133,7 +133,7 @@
 		gap:    -1,
 		poison: -1,
 		runs:   map[string]*run{},
-		gauges: lifecycle.NoGauges(),
+		gauges: lifecycle.UnknownGauges(),
 		checks: map[string]func(bool){},
 	}
 }
@@ -188,10 +188,10 @@
 // for good.
 func (k *Link) bury(after int64) {
 	for id, r := range k.runs {
-		if k.loop.Now() > r.attempt.Due+after {
+		if k.loop.Now() > r.attempt.Deadline+after {
 			evRunLost.Log(id)
 			delete(k.runs, id)
-			k.sink.Ended(r.attempt, lifecycle.Fault, nil)
+			k.sink.Ended(r.attempt, lifecycle.Faulted, nil)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 func (k *Link) dial() {
 	if k.next == nil {
 		k.next = &wire{link: k, began: k.loop.Now()}
-		k.next.conn = k.loop.Dial(k.addr, eventloop.Limits{In: maxLine, Out: maxOut}, k.next)
+		k.next.conn = k.loop.Dial(k.addr, eventloop.BufferLimits{In: maxLine, Out: maxOut}, k.next)
 	}
 }
 
@@ -252,7 +252,7 @@
 }
 
 // moving tells whether the link that stands leads to an address that the engine has left.
-func (k *Link) moving() bool { return k.conn.conn.Peer() != k.addr }
+func (k *Link) moving() bool { return k.conn.conn.RemoteAddr() != k.addr }
 
 // lost ends what waits for an answer on a link that is gone. Commands wait for the next one.
 func (k *Link) lost() {
@@ -326,7 +326,7 @@
 	case "NEED":
 		if r := k.runs[m.Rid]; r != nil {
 			r.needs++
-			k.sink.Needs(r.attempt, nonNil(m.B64))
+			k.sink.NeedsCall(r.attempt, nonNil(m.B64))
 		}
 	case "STATS":
 		k.stats(m)
@@ -339,17 +339,17 @@
 		evCommandRefused.Log(m.Status, m.Rid)
 		if r := k.runs[m.Rid]; r != nil && m.Status == "RUN" {
 			delete(k.runs, m.Rid)
-			k.sink.Ended(r.attempt, lifecycle.Unknown, nil)
+			k.sink.Ended(r.attempt, lifecycle.UnknownRequest, nil)
 		}
 	}
 	return nil
 }
 
 var ends = map[string]lifecycle.Outcome{
-	"fine":       lifecycle.Fine,
-	"fault":      lifecycle.Fault,
-	"broken_off": lifecycle.Stopped,
-	"late":       lifecycle.NotRun,
+	"fine":       lifecycle.Succeeded,
+	"fault":      lifecycle.Faulted,
+	"broken_off": lifecycle.Canceled,
+	"late":       lifecycle.NotStarted,
 }
 
 func (k *Link) done(m *message) {
@@ -360,10 +360,10 @@
 	delete(k.runs, m.Rid)
 	o, ok := ends[m.Status]
 	if !ok {
-		o = lifecycle.Fault
+		o = lifecycle.Faulted
 	}
 	var res *lifecycle.Result
-	if o == lifecycle.Fine {
+	if o == lifecycle.Succeeded {
 		res = &lifecycle.Result{Status: 200, Body: m.B64}
 	}
 	k.sink.Ended(r.attempt, o, res)
@@ -415,36 +415,36 @@
 	}
 }
 
-// Run implements core.Runner.
+// Run implements lifecycle.Runner.
 func (k *Link) Run(a *lifecycle.Attempt) {
-	if k.runs[a.Request.Name] != nil { // the engine would take it for the one that runs
-		k.loop.Post(func() { k.sink.Ended(a, lifecycle.Fault, nil) })
+	if k.runs[a.Request.ID] != nil { // the engine would take it for the one that runs
+		k.loop.Post(func() { k.sink.Ended(a, lifecycle.Faulted, nil) })
 		return
 	}
-	k.runs[a.Request.Name] = &run{attempt: a}
-	k.command(command{"RUN", a.Request.Name, a.Class, nonNil(a.Request.Body)}, 0)
+	k.runs[a.Request.ID] = &run{attempt: a}
+	k.command(command{"RUN", a.Request.ID, a.Class, nonNil(a.Request.Body)}, 0)
 }
 
-// Abandon implements core.Runner. Running work can't be stopped; the engine itself ends it at its
+// Abandon implements lifecycle.Runner. Running work can't be stopped; the engine itself ends it at its
 // next call.
 func (k *Link) Abandon(*lifecycle.Attempt) {}
 
-// Resume implements core.Resumer.
+// Resume implements lifecycle.Resumer.
 func (k *Link) Resume(a *lifecycle.Attempt, reply []byte) {
-	if r := k.runs[a.Request.Name]; r != nil {
-		k.command(command{T: "FEED", Rid: a.Request.Name, B64: nonNil(reply)}, r.needs)
+	if r := k.runs[a.Request.ID]; r != nil {
+		k.command(command{T: "FEED", Rid: a.Request.ID, B64: nonNil(reply)}, r.needs)
 	}
 }
 
 // Gauges measures the machine for the module. Without a link, or late, it gives what there is.
 func (k *Link) Gauges(fn func(lifecycle.Gauges)) {
 	if k.phase != live {
-		fn(lifecycle.NoGauges())
+		fn(lifecycle.UnknownGauges())
 		return
 	}
 	k.waiting = func() {
 		if k.loop.Now()-k.gauged > gaugesAge {
-			fn(lifecycle.NoGauges())
+			fn(lifecycle.UnknownGauges())
 			return
 		}
 		fn(k.gauges)
--- a/internal/platform/engine/engine_test.go
+++ b/internal/platform/engine/engine_test.go
@@ -19,7 +19,7 @@
 	e.got = o
 	e.loop.Stop()
 }
-func (e *endings) Needs(*lifecycle.Attempt, []byte) {}
+func (e *endings) NeedsCall(*lifecycle.Attempt, []byte) {}
 
 // link turns a loop with a link to a stand-in until an attempt ends or too much time has passed.
 func link(t *testing.T, play func(*eventloop.Loop, *Link, *scenario.Engine)) lifecycle.Outcome {
@@ -33,7 +33,7 @@
 	k := New(
 		l,
 		netip.MustParseAddrPort(stand.Listener.Addr().String()),
-		func([]float64) lifecycle.Gauges { return lifecycle.NoGauges() },
+		func([]float64) lifecycle.Gauges { return lifecycle.UnknownGauges() },
 	)
 	sink := &endings{loop: l}
 	k.Start(sink)
@@ -47,9 +47,9 @@
 
 func attempt(l *eventloop.Loop, id string) *lifecycle.Attempt {
 	return &lifecycle.Attempt{
-		Request: &lifecycle.Request{Name: scenario.CallID(id)},
-		Class:   "check",
-		Due:     l.Now(),
+		Request:  &lifecycle.Request{ID: scenario.CallID(id)},
+		Class:    "check",
+		Deadline: l.Now(),
 	}
 }
 
@@ -60,7 +60,7 @@
 		k.Run(attempt(l, "1"))
 		l.After(50_000, func() { k.bury(10_000) })
 	})
-	if got != lifecycle.Fault {
+	if got != lifecycle.Faulted {
 		t.Fatalf("outcome %v", got)
 	}
 }
@@ -90,7 +90,7 @@
 		k.Run(attempt(l, "1"))
 		k.Run(attempt(l, "1"))
 	})
-	if got != lifecycle.Fault {
+	if got != lifecycle.Faulted {
 		t.Fatalf("outcome %v", got)
 	}
 }
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -59,7 +59,7 @@
 	spec    *Spec
 	seed    uint64
 	sched   *virtualclock.Sched
-	core    *lifecycle.Core
+	core    *lifecycle.Manager
 	picker  Picker
 	servers []*server
 	byName  map[string]*server
@@ -143,21 +143,21 @@
 	var err error
 	if p.core, err = lifecycle.New(p.settings(way), seed, lifecycle.Host{
 		Now: p.sched.Now, Unix: func() int64 { return p.sched.Now() + 1e15 },
-		After:  func(d int64, fn func()) func() { return p.sched.After(d, fn).Stop },
-		Gauges: func(fn func(lifecycle.Gauges)) { p.sched.After(wire, func() { fn(lifecycle.NoGauges()) }) },
-		Health: func(bool, bool) {},
-		Say:    func(float64) {},
-		Trim:   func(int64) {},
-		Log:    func(*logging.Event, ...any) {},
-		Route:  func(int) lifecycle.Runner { return run },
-		Again:  func(t lifecycle.Try) bool { return p.picker.Again(t, p.sched.Now()) },
-		Back: func(class int) int64 {
+		After:       func(d int64, fn func()) func() { return p.sched.After(d, fn).Stop },
+		Measure:     func(fn func(lifecycle.Gauges)) { p.sched.After(wire, func() { fn(lifecycle.UnknownGauges()) }) },
+		SetHealth:   func(bool, bool) {},
+		Advertise:   func(float64) {},
+		CloseIdle:   func(int64) {},
+		Log:         func(*logging.Event, ...any) {},
+		Route:       func(int) lifecycle.Runner { return run },
+		ShouldRetry: func(t lifecycle.RetryCandidate) bool { return p.picker.Again(t, p.sched.Now()) },
+		RetryAfter: func(class int) int64 {
 			if p.hold != nil {
 				return max(p.picker.Back(p.sched.Now()), p.hold.RetryAfter(class))
 			}
 			return p.picker.Back(p.sched.Now())
 		},
-		Limits: lifecycle.Limits{Keys: 1 << 20, ResultBytes: 1 << 30},
+		KeyLimits: lifecycle.KeyLimits{Keys: 1 << 20, ResultBytes: 1 << 30},
 	}); err != nil {
 		return nil, err
 	}
@@ -291,31 +291,31 @@
 	}
 	p.core.Submit(
 		&lifecycle.Request{
-			Name:    a.name,
-			First:   first,
-			Class:   a.class,
-			Caller:  uint32(1 + p.names%4),
-			Arrived: p.sched.Now() + 1e15,
-			Due:     left,
-			SizeKB:  1,
-			Rank:    0.5,
-			Key:     a.key,
-			Subject: uint64(p.names),
-			Body:    []byte(a.key),
-			Meta:    []lifecycle.Field{{Name: "work", Value: fmt.Sprint(a.work)}},
-			Asker:   a,
+			ID:          a.name,
+			FirstSentAt: first,
+			Class:       a.class,
+			Caller:      uint32(1 + p.names%4),
+			ArrivedAt:   p.sched.Now() + 1e15,
+			Timeout:     left,
+			SizeKB:      1,
+			Rank:        0.5,
+			Key:         a.key,
+			Entity:      uint64(p.names),
+			Body:        []byte(a.key),
+			Metadata:    []lifecycle.Field{{Name: "work", Value: fmt.Sprint(a.work)}},
+			Responder:   a,
 		},
 	)
 }
 
-// Answer implements core.Asker.
+// Answer implements lifecycle.Responder.
 func (a *ask) Answer(v lifecycle.Answer) {
 	p, c := a.p, &classes[a.class]
 	past := p.sched.Now() - a.at
 	switch {
 	case a.answered:
 		panic("farm: a request is answered twice")
-	case v.Kind == lifecycle.Served:
+	case v.Status == lifecycle.Served:
 		worth := c.Worth
 		if float64(past) > c.Target*1000 {
 			worth *= c.Late
@@ -328,9 +328,9 @@
 		if a.class == reserveClass && float64(past) <= c.Target*1000 {
 			p.inTime[0]++
 		}
-	case v.Kind == lifecycle.Refused:
+	case v.Status == lifecycle.Rejected:
 		p.refusals++
-		wait := v.ComeBack + int64(p.rand.Float64()*float64(v.ComeBack))
+		wait := v.RetryAfter + int64(p.rand.Float64()*float64(v.RetryAfter))
 		if a.comings < backMost && past+wait+int64(c.Work*1000) < int64(c.Deadline*1000) {
 			p.sched.After(wait, a.submit)
 			return
@@ -346,12 +346,12 @@
 	p.res.Unasked--
 }
 
-// Run implements core.Runner.
+// Run implements lifecycle.Runner.
 func (p *play) Run(a *lifecycle.Attempt) {
 	now := p.sched.Now()
 	name, ok := p.picker.Pick(a, now)
 	if !ok {
-		p.sched.After(0, func() { p.ended(a, lifecycle.NotRun, nil) })
+		p.sched.After(0, func() { p.ended(a, lifecycle.NotStarted, nil) })
 		return
 	}
 	a.Server = name
@@ -359,12 +359,12 @@
 	t := &trip{to: name, began: now}
 	p.out[a] = t
 	t.job = &job{work: workOf(a), key: a.Request.Key, ended: func(o lifecycle.Outcome) { p.end(a, o) }}
-	t.timer = p.sched.After(a.Due-now, func() { p.outOfTime(a) })
+	t.timer = p.sched.After(a.Deadline-now, func() { p.outOfTime(a) })
 	p.byName[name].take(t.job)
 }
 
 func workOf(a *lifecycle.Attempt) (v float64) {
-	_, _ = fmt.Sscan(a.Request.Meta[0].Value, &v) // written by submit
+	_, _ = fmt.Sscan(a.Request.Metadata[0].Value, &v) // written by submit
 	return v
 }
 
@@ -375,17 +375,17 @@
 	if t == nil {
 		return
 	}
-	if whole := a.Due - (t.began - 0); !a.Safe && p.sched.Now() < a.Due+whole {
-		t.timer = p.sched.After(a.Due+whole-p.sched.Now(), func() { p.outOfTime(a) })
+	if whole := a.Deadline - (t.began - 0); !a.Idempotent && p.sched.Now() < a.Deadline+whole {
+		t.timer = p.sched.After(a.Deadline+whole-p.sched.Now(), func() { p.outOfTime(a) })
 		return
 	}
 	p.end(a, lifecycle.TimedOut)
 }
 
-// Abandon implements core.Runner.
+// Abandon implements lifecycle.Runner.
 func (p *play) Abandon(a *lifecycle.Attempt) {
-	if a.Safe {
-		p.sched.After(0, func() { p.end(a, lifecycle.Stopped) })
+	if a.Idempotent {
+		p.sched.After(0, func() { p.end(a, lifecycle.Canceled) })
 	}
 }
 
@@ -401,7 +401,7 @@
 	now := p.sched.Now()
 	p.picker.Done(t.to, a.Request.Class, o, now-t.began, now)
 	var res *lifecycle.Result
-	if o == lifecycle.Fine {
+	if o == lifecycle.Succeeded {
 		res = &lifecycle.Result{Status: 200}
 	}
 	p.ended(a, o, res)
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -15,7 +15,7 @@
 	List(list []endpointhealth.EndpointSpec, now int64)
 	Pick(a *lifecycle.Attempt, now int64) (name string, ok bool)
 	Done(name string, class int, o lifecycle.Outcome, took, now int64)
-	Again(t lifecycle.Try, now int64) bool
+	Again(t lifecycle.RetryCandidate, now int64) bool
 	Back(now int64) int64
 	Tick(now int64)
 }
@@ -89,10 +89,10 @@
 }
 
 func (p *routed) Pick(a *lifecycle.Attempt, now int64) (string, bool) {
-	if a.Before == nil {
+	if a.Previous == nil {
 		p.r.RetryBudget().RecordFirstAttempt(a.Request.Class, micros(now))
 	}
-	p.query = picker.Query{Idempotent: a.Safe, Retry: a.Before != nil, Attempts: a, Now: micros(now)}
+	p.query = picker.Query{Idempotent: a.Idempotent, Retry: a.Previous != nil, Attempts: a, Now: micros(now)}
 	s, _ := p.r.Pick(&p.query)
 	if s == nil {
 		return "", false
@@ -102,27 +102,27 @@
 }
 
 var outcomes = map[lifecycle.Outcome]endpointhealth.Outcome{
-	lifecycle.Fine:        endpointhealth.Success,
-	lifecycle.Fault:       endpointhealth.ErrorResponse,
-	lifecycle.Broken:      endpointhealth.Aborted,
+	lifecycle.Succeeded:   endpointhealth.Success,
+	lifecycle.Faulted:     endpointhealth.ErrorResponse,
+	lifecycle.Interrupted: endpointhealth.Aborted,
 	lifecycle.TimedOut:    endpointhealth.TimedOut,
 	lifecycle.Unreachable: endpointhealth.Unreachable,
-	lifecycle.Stopped:     endpointhealth.Inconclusive,
+	lifecycle.Canceled:    endpointhealth.Inconclusive,
 }
 
 func (p *routed) Done(name string, class int, o lifecycle.Outcome, took, now int64) {
 	p.r.Done(p.servers[name], class, outcomes[o], micros(took), micros(now))
 }
 
-func (p *routed) Again(t lifecycle.Try, now int64) bool {
+func (p *routed) Again(t lifecycle.RetryCandidate, now int64) bool {
 	return p.r.RetryBudget().Allow(
 		retry.FailedAttempt{
 			Class:          t.Class,
-			HasSideEffects: t.Effect,
-			NeverRan:       t.Proven,
-			Attempts:       t.Tries,
+			HasSideEffects: t.HasSideEffect,
+			NeverRan:       t.NeverRan,
+			Attempts:       t.Attempts,
 			MaxAttempts:    mostTry,
-			TimeLeft:       micros(t.Left),
+			TimeLeft:       micros(t.Remaining),
 			TimeNeeded:     p.r.MinAttemptTime(t.Class),
 		},
 		micros(now),
@@ -200,17 +200,17 @@
 	}
 	s.open--
 	switch o {
-	case lifecycle.Fine:
+	case lifecycle.Succeeded:
 		s.fails = 0
-	case lifecycle.Broken, lifecycle.Unreachable, lifecycle.TimedOut:
+	case lifecycle.Interrupted, lifecycle.Unreachable, lifecycle.TimedOut:
 		if s.fails++; s.fails >= failsInARow {
 			s.until = now + restFor
 		}
 	}
 }
 
-func (p *before) Again(t lifecycle.Try, _ int64) bool {
-	return t.Tries < min(mostTry, len(p.servers)) && t.Left > 0
+func (p *before) Again(t lifecycle.RetryCandidate, _ int64) bool {
+	return t.Attempts < min(mostTry, len(p.servers)) && t.Remaining > 0
 }
 func (p *before) Back(int64) int64 { return 0 }
 func (p *before) Tick(int64)       {}
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -83,11 +83,11 @@
 	j.timer = s.clock.After(wire, func() {
 		switch {
 		case s.cut || !s.dead && len(s.queue) >= backlog:
-			j.timer = s.clock.After(connectIn-wire, func() { j.end(lifecycle.Broken) })
+			j.timer = s.clock.After(connectIn-wire, func() { j.end(lifecycle.Interrupted) })
 		case s.dead:
 			j.timer = s.clock.After(wire, func() { j.end(lifecycle.Unreachable) })
 		case s.faults:
-			j.timer = s.clock.After(faultIn+wire, func() { j.end(lifecycle.Fault) })
+			j.timer = s.clock.After(faultIn+wire, func() { j.end(lifecycle.Faulted) })
 		default:
 			s.queue = append(s.queue, j)
 			s.next()
@@ -115,7 +115,7 @@
 			s.running = slices.Delete(s.running, i, i+1)
 			s.busy--
 			if !j.over {
-				j.timer = s.clock.After(wire, func() { j.end(lifecycle.Fine) })
+				j.timer = s.clock.After(wire, func() { j.end(lifecycle.Succeeded) })
 			}
 			s.next()
 		})
@@ -126,10 +126,10 @@
 func (s *server) kill() {
 	s.dead = true
 	for _, j := range s.queue {
-		j.end(lifecycle.Broken)
+		j.end(lifecycle.Interrupted)
 	}
 	for _, j := range s.running {
-		s.clock.After(wire, func() { j.end(lifecycle.Broken) })
+		s.clock.After(wire, func() { j.end(lifecycle.Interrupted) })
 	}
 	s.queue, s.running, s.busy = nil, nil, 0
 }
--- a/internal/simulator/fleet/core.go
+++ b/internal/simulator/fleet/core.go
@@ -17,7 +17,7 @@
 type inside struct {
 	l    *Life
 	s    *Stage
-	core *lifecycle.Core
+	core *lifecycle.Manager
 	runs map[string]*hosted
 	good bool
 }
@@ -43,15 +43,15 @@
 	p := &inside{l: l, s: s, runs: map[string]*hosted{}, good: true}
 	var err error
 	p.core, err = lifecycle.New(set, day.Mix(s.day.Seed, l.r.spec.Name, l.r.lives), lifecycle.Host{
-		Now:    s.clock.Now,
-		Unix:   func() int64 { return s.unixOrigin + s.now() },
-		After:  l.after,
-		Gauges: func(fn func(lifecycle.Gauges)) { l.after(2*linkDelay, func() { fn(p.gauges()) }) },
-		Health: func(_, good bool) { p.good = good },
-		Say:    l.Say,
-		Trim:   func(int64) {}, // connections are not modelled
-		Route:  func(int) lifecycle.Runner { return engine{p} },
-		Below:  p,
+		Now:        s.clock.Now,
+		Unix:       func() int64 { return s.unixOrigin + s.now() },
+		After:      l.after,
+		Measure:    func(fn func(lifecycle.Gauges)) { l.after(2*linkDelay, func() { fn(p.gauges()) }) },
+		SetHealth:  func(_, good bool) { p.good = good },
+		Advertise:  l.Say,
+		CloseIdle:  func(int64) {}, // connections are not modelled
+		Route:      func(int) lifecycle.Runner { return engine{p} },
+		Dependency: p,
 		Log: func(e *logging.Event, values ...any) {
 			s.opt.Log(
 				s.now(),
@@ -59,7 +59,7 @@
 				e.Text(values...),
 			)
 		},
-		Limits: s.opt.Limits,
+		KeyLimits: s.opt.Limits,
 	})
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 func (p *inside) gauges() lifecycle.Gauges {
 	g := p.l.machine.Gauges()
 	if math.IsNaN(g.CPU) {
-		return lifecycle.NoGauges()
+		return lifecycle.UnknownGauges()
 	}
 	return lifecycle.Gauges{
 		CPU:         g.CPU,
@@ -91,27 +91,27 @@
 	p.runs[j.Name] = h
 	tenant, _ := p.core.Tenant(j.TenantName())
 	q := &lifecycle.Request{
-		Name:    j.Name,
-		Class:   j.Class(),
-		Tenant:  tenant,
-		Caller:  j.Caller(),
-		Arrived: j.Arrived(),
-		SizeKB:  j.SizeKB(),
-		Rank:    j.Rank(),
-		Key:     j.Key(),
-		Body:    j.Body(),
-		Asker:   h,
+		ID:        j.Name,
+		Class:     j.Class(),
+		Tenant:    tenant,
+		Caller:    j.Caller(),
+		ArrivedAt: j.Arrived(),
+		SizeKB:    j.SizeKB(),
+		Rank:      j.Rank(),
+		Key:       j.Key(),
+		Body:      j.Body(),
+		Responder: h,
 	}
 	h.ticket = p.core.Submit(q)
 }
 
-// Answer implements core.Asker.
+// Answer implements lifecycle.Responder.
 func (h *hosted) Answer(a lifecycle.Answer) {
-	switch a.Kind {
+	switch a.Status {
 	case lifecycle.Served:
 		h.j.Answer(Answer{Status: Served})
-	case lifecycle.Refused:
-		h.j.Answer(Answer{Status: Refused, ComeBack: a.ComeBack, Last: a.Last})
+	case lifecycle.Rejected:
+		h.j.Answer(Answer{Status: Refused, ComeBack: a.RetryAfter, Last: a.DoNotRetry})
 	default:
 		h.j.Answer(Answer{Status: Failed})
 	}
@@ -142,7 +142,7 @@
 func (p *inside) Needs(j *Job) {
 	p.l.after(linkDelay, func() {
 		if h := p.runs[j.Name]; h != nil && h.attempt != nil {
-			p.core.Needs(h.attempt, []byte(j.Name))
+			p.core.NeedsCall(h.attempt, []byte(j.Name))
 		}
 	})
 }
@@ -154,9 +154,9 @@
 		a := h.attempt
 		h.attempt = nil
 		if e == dependencies.Fine {
-			p.core.Ended(a, lifecycle.Fine, &lifecycle.Result{Status: 200})
+			p.core.Ended(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200})
 		} else {
-			p.core.Ended(a, lifecycle.Stopped, nil)
+			p.core.Ended(a, lifecycle.Canceled, nil)
 		}
 	})
 }
@@ -164,36 +164,36 @@
 // engine is the link to the machine's engine, as the core knows it.
 type engine struct{ *inside }
 
-// Run implements core.Runner.
+// Run implements lifecycle.Runner.
 func (p engine) Run(a *lifecycle.Attempt) {
-	h := p.runs[a.Request.Name]
+	h := p.runs[a.Request.ID]
 	h.attempt = a
 	p.l.after(linkDelay, func() {
 		if !p.l.Run(h.j.Name) {
 			h.attempt = nil
-			p.core.Ended(a, lifecycle.NotRun, nil)
+			p.core.Ended(a, lifecycle.NotStarted, nil)
 		}
 	})
 }
 
-// Abandon implements core.Runner: the engine knows by itself that the request is over.
+// Abandon implements lifecycle.Runner: the engine knows by itself that the request is over.
 func (p engine) Abandon(*lifecycle.Attempt) {}
 
-// Resume implements core.Resumer.
+// Resume implements lifecycle.Resumer.
 func (p engine) Resume(a *lifecycle.Attempt, _ []byte) {
-	p.l.after(linkDelay, func() { p.l.Resume(a.Request.Name) })
+	p.l.after(linkDelay, func() { p.l.Resume(a.Request.ID) })
 }
 
 var replies = map[dependencies.Reply]lifecycle.Outcome{
-	dependencies.ReplyFine:       lifecycle.Fine,
-	dependencies.ReplyTurnedAway: lifecycle.TurnedAway,
+	dependencies.ReplyFine:       lifecycle.Succeeded,
+	dependencies.ReplyTurnedAway: lifecycle.CallRejected,
 	dependencies.ReplyDown:       lifecycle.Unreachable,
-	dependencies.ReplyBroken:     lifecycle.Broken,
+	dependencies.ReplyBroken:     lifecycle.Interrupted,
 }
 
-// Call implements core.Dependency.
+// Call implements lifecycle.Dependency.
 func (p *inside) Call(a *lifecycle.Attempt, _ []byte, patience int64) {
-	s, h := p.s, p.runs[a.Request.Name]
+	s, h := p.s, p.runs[a.Request.ID]
 	c := &call{began: s.clock.Now()}
 	h.call = c
 	finish := func(o lifecycle.Outcome) {
@@ -202,7 +202,7 @@
 		}
 		c.over, h.call = true, nil
 		c.timer.Stop()
-		p.core.Called(a, o, nil, s.clock.Now()-c.began)
+		p.core.CallEnded(a, o, nil, s.clock.Now()-c.began)
 	}
 	c.timer = s.clock.After(patience, func() {
 		if !c.over && c.out != nil {
@@ -221,9 +221,9 @@
 	})
 }
 
-// GiveUp implements core.Dependency.
-func (p *inside) GiveUp(a *lifecycle.Attempt) {
-	if h := p.runs[a.Request.Name]; h != nil && h.call != nil {
+// CancelCall implements lifecycle.Dependency.
+func (p *inside) CancelCall(a *lifecycle.Attempt) {
+	if h := p.runs[a.Request.ID]; h != nil && h.call != nil {
 		h.call.drop(p.s.back)
 		h.call = nil
 	}
--- a/internal/simulator/fleet/fleet.go
+++ b/internal/simulator/fleet/fleet.go
@@ -24,7 +24,7 @@
 	Settings func(*admission.Settings) // changes what runners are told; nil: nothing
 	// of the balancers, in place of the scenario's, by place; nil: as they are
 	Kinds  []day.BalancerKind
-	Limits lifecycle.Limits // of the cores' tables
+	Limits lifecycle.KeyLimits // of the cores' tables
 	// another one draws balancers' choices anew, with the day as it was
 	Noise uint64
 	Log   func(at int64, runner, text string)
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -107,7 +107,7 @@
 func (v *Variant) Options(s *day.Spec) (fleet.Options, error) {
 	o := fleet.Options{
 		Settings: v.apply,
-		Limits:   lifecycle.Limits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))},
+		Limits:   lifecycle.KeyLimits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))},
 	}
 	if len(v.Balancers) == 0 {
 		return o, nil
--- a/internal/telemetry/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -17,7 +17,7 @@
 
 // Entry is one request. Its texts are cut to a length, so that an entry has a bound.
 type Entry struct {
-	lifecycle.Trail
+	lifecycle.Trace
 	Number uint64 // in the order of answers
 	Stands int    // for so many of its stratum: it is one in so many
 }
@@ -30,7 +30,7 @@
 // strand is a class and an end.
 type strand struct {
 	class int
-	kind  lifecycle.Kind
+	kind  lifecycle.Status
 }
 
 // stratum is the entries of one, the oldest first.
@@ -90,8 +90,8 @@
 const plenty = 100
 
 // Add takes a request that was answered, at that Unix time in microseconds.
-func (r *Record) Add(t *lifecycle.Trail, now int64) {
-	key := strand{t.Class, t.Kind}
+func (r *Record) Add(t *lifecycle.Trace, now int64) {
+	key := strand{t.Class, t.Status}
 	s := r.strata[key]
 	if s == nil {
 		s = &stratum{strand: key, part: r.part(key)}
@@ -107,18 +107,18 @@
 		s.since, s.count = now, 0
 	}
 	s.count++
-	if t.Kind == lifecycle.Served {
+	if t.Status == lifecycle.Served {
 		if one := max(s.rate, s.count) / plenty; one > 1 && r.rand.IntN(one) > 0 {
 			s.skipped++
 			return
 		}
 	}
 	r.numbers++
-	e := &Entry{Trail: *t, Number: r.numbers, Stands: s.skipped + 1}
+	e := &Entry{Trace: *t, Number: r.numbers, Stands: s.skipped + 1}
 	s.skipped = 0
-	e.Name, e.Key, e.First = short(e.Name), short(e.Key), short(e.First)
-	for i := range e.Hops {
-		e.Hops[i].Server = short(e.Hops[i].Server)
+	e.ID, e.Key, e.OriginalID = short(e.ID), short(e.Key), short(e.OriginalID)
+	for i := range e.Attempts {
+		e.Attempts[i].Server = short(e.Attempts[i].Server)
 	}
 	s.entries = append(s.entries, e)
 	if r.len++; r.len > r.most {
@@ -154,7 +154,7 @@
 type Query struct {
 	Name, Key string
 	Class     int // -1: any
-	Kind      lifecycle.Kind
+	Kind      lifecycle.Status
 	NotServed bool
 	Cause     lifecycle.Cause
 	From, To  int64 // Unix time of the answer
@@ -162,11 +162,11 @@
 }
 
 func (q *Query) takes(e *Entry) bool {
-	return (q.Name == "" || e.Name == short(q.Name) || e.First == short(q.Name)) && (q.Key == "" || e.Key == short(q.Key)) &&
-		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Kind == q.Kind) && !(q.NotServed && e.Kind == lifecycle.Served) &&
+	return (q.Name == "" || e.ID == short(q.Name) || e.OriginalID == short(q.Name)) && (q.Key == "" || e.Key == short(q.Key)) &&
+		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Status == q.Kind) && !(q.NotServed && e.Status == lifecycle.Served) &&
 		(q.Cause == 0 || e.Cause == q.Cause) &&
-		(q.From == 0 || e.Answered >= q.From) &&
-		(q.To == 0 || e.Answered <= q.To)
+		(q.From == 0 || e.AnsweredAt >= q.From) &&
+		(q.To == 0 || e.AnsweredAt <= q.To)
 }
 
 // Find gives the newest of the requests that are asked for, the newest first. Whoever asks by a
@@ -193,7 +193,7 @@
 // Stratum is what is known of a class and an end.
 type Stratum struct {
 	Class int
-	Kind  lifecycle.Kind
+	Kind  lifecycle.Status
 	Seen  uint64 // since the start
 	Kept  int
 }
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -15,13 +15,13 @@
 
 func keyed(class int) bool { return class == handIn }
 
-func trail(n, class int, kind lifecycle.Kind) *lifecycle.Trail {
-	return &lifecycle.Trail{
-		Name:     fmt.Sprintf("%016x", n),
-		Class:    class,
-		Kind:     kind,
-		Cause:    lifecycle.CauseBroken,
-		Answered: int64(n),
+func trail(n, class int, kind lifecycle.Status) *lifecycle.Trace {
+	return &lifecycle.Trace{
+		ID:         fmt.Sprintf("%016x", n),
+		Class:      class,
+		Status:     kind,
+		Cause:      lifecycle.CauseInterrupted,
+		AnsweredAt: int64(n),
 	}
 }
 
@@ -33,22 +33,22 @@
 		now += 10 // 100,000 a second
 		r.Add(trail(n, check, lifecycle.Served), now)
 		if n%5 == 0 {
-			r.Add(trail(n, check, lifecycle.Refused), now)
+			r.Add(trail(n, check, lifecycle.Rejected), now)
 		}
 		if n%50 == 0 {
-			r.Add(trail(n, handIn, lifecycle.Refused), now)
+			r.Add(trail(n, handIn, lifecycle.Rejected), now)
 		}
 	}
 	if r.Len() > r.Most() {
 		t.Errorf("%d entries of %d", r.Len(), r.Most())
 	}
-	got := r.Find(Query{Class: handIn, Kind: lifecycle.Refused, Most: 100})
+	got := r.Find(Query{Class: handIn, Kind: lifecycle.Rejected, Most: 100})
 	if len(got) != 100 {
 		t.Fatalf("%d refused hand-ins are explained", len(got))
 	}
 	for i, e := range got {
-		if want := 10*r.Most() - 50*(i+1); e.Answered != int64(want) {
-			t.Fatalf("number %d is %d, want %d", i, e.Answered, want)
+		if want := 10*r.Most() - 50*(i+1); e.AnsweredAt != int64(want) {
+			t.Fatalf("number %d is %d, want %d", i, e.AnsweredAt, want)
 		}
 	}
 	served := r.Find(Query{Class: check, Kind: lifecycle.Served, Most: 1})
@@ -73,13 +73,13 @@
 			tr := trail(
 				n,
 				rapid.IntRange(0, 1).Draw(rt, "class"),
-				lifecycle.Kind(rapid.IntRange(0, 3).Draw(rt, "kind")),
+				lifecycle.Status(rapid.IntRange(0, 3).Draw(rt, "kind")),
 			)
 			r.Add(tr, now)
 			if r.Len() > r.Most() {
 				rt.Fatalf("%d of %d", r.Len(), r.Most())
 			}
-			if got := r.Find(Query{Name: tr.Name, Class: -1}); tr.Kind != lifecycle.Served && r.Most() > 8 &&
+			if got := r.Find(Query{Name: tr.ID, Class: -1}); tr.Status != lifecycle.Served && r.Most() > 8 &&
 				len(got) != 1 {
 				rt.Fatalf("the newest is found %d times", len(got))
 			}
@@ -92,17 +92,17 @@
 	r := New(100*EntrySize, keyed, 1)
 	for n := range 3 {
 		tr := trail(7, handIn, lifecycle.Failed)
-		tr.Key, tr.Answered = strings.Repeat("k", 100), int64(100+n)
+		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), int64(100+n)
 		r.Add(tr, 1)
 	}
 	again := trail(8, handIn, lifecycle.Served)
-	again.First = fmt.Sprintf("%016x", 7)
+	again.OriginalID = fmt.Sprintf("%016x", 7)
 	r.Add(again, 1)
 	for _, c := range []struct {
 		q    Query
 		want int
-	}{{Query{Name: again.First, Class: -1}, 4}, {Query{Key: strings.Repeat("k", 100), Class: handIn}, 3}, {Query{Class: -1, NotServed: true, From: 101}, 2},
-		{Query{Class: check}, 0}, {Query{Class: -1, Cause: lifecycle.CauseBroken, To: 100}, 2}, {Query{Class: -1, Most: 1}, 1}} {
+	}{{Query{Name: again.OriginalID, Class: -1}, 4}, {Query{Key: strings.Repeat("k", 100), Class: handIn}, 3}, {Query{Class: -1, NotServed: true, From: 101}, 2},
+		{Query{Class: check}, 0}, {Query{Class: -1, Cause: lifecycle.CauseInterrupted, To: 100}, 2}, {Query{Class: -1, Most: 1}, 1}} {
 		if got := r.Find(c.q); len(got) != c.want {
 			t.Errorf("%+v: %d", c.q, len(got))
 		}
@@ -117,11 +117,11 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 4 * n {
-		tr := trail(i, handIn, lifecycle.Refused)
-		tr.Name += strings.Repeat("n", 100)
-		tr.Key, tr.First = strings.Repeat("k", 1000), strings.Repeat("f", 1000)
-		for h := range tr.Hops {
-			tr.Hops[h].Server = strings.Repeat("s", 100)
+		tr := trail(i, handIn, lifecycle.Rejected)
+		tr.ID += strings.Repeat("n", 100)
+		tr.Key, tr.OriginalID = strings.Repeat("k", 1000), strings.Repeat("f", 1000)
+		for h := range tr.Attempts {
+			tr.Attempts[h].Server = strings.Repeat("s", 100)
 		}
 		r.Add(tr, int64(i))
 	}
@@ -135,8 +135,8 @@
 
 func BenchmarkAdd(b *testing.B) {
 	r := New(4<<20, keyed, 1)
-	tr := trail(1, handIn, lifecycle.Refused)
-	tr.Hops[0].Server = "runner-01"
+	tr := trail(1, handIn, lifecycle.Rejected)
+	tr.Attempts[0].Server = "runner-01"
 	b.ReportAllocs()
 	now := int64(0)
 	for b.Loop() {
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -27,7 +27,7 @@
 	causes   *prometheus.CounterVec
 	tries    *prometheus.CounterVec
 	class    func(int) string
-	ends     map[lifecycle.Kind]string
+	ends     map[lifecycle.Status]string
 	now      func() []Gauge
 }
 
@@ -36,7 +36,7 @@
 
 // New makes the figures of a program. class names the class at a place. now gives those of the
 // moment.
-func New(class func(int) string, ends map[lifecycle.Kind]string, now func() []Gauge) *Metrics {
+func New(class func(int) string, ends map[lifecycle.Status]string, now func() []Gauge) *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), class: class, ends: ends, now: now}
 	m.took = prometheus.NewHistogramVec(
 		prometheus.HistogramOpts{Name: "ryepaddle_request_seconds", Buckets: seconds,
@@ -58,16 +58,16 @@
 
 // Add counts a request that was answered. Its id goes with the latency as an exemplar, by which it
 // can be explained.
-func (m *Metrics) Add(t *lifecycle.Trail) {
-	class, end := m.class(t.Class), m.ends[t.Kind]
-	observe(m.took.WithLabelValues(class, end), t.Answered-t.Arrived, t.Name)
-	if t.Started > 0 {
-		observe(m.waited.WithLabelValues(class), t.Started-t.Arrived, t.Name)
+func (m *Metrics) Add(t *lifecycle.Trace) {
+	class, end := m.class(t.Class), m.ends[t.Status]
+	observe(m.took.WithLabelValues(class, end), t.AnsweredAt-t.ArrivedAt, t.ID)
+	if t.StartedAt > 0 {
+		observe(m.waited.WithLabelValues(class), t.StartedAt-t.ArrivedAt, t.ID)
 	}
 	if t.Cause != lifecycle.CauseNone {
 		m.causes.WithLabelValues(class, end, t.Cause.String()).Inc()
 	}
-	m.tries.WithLabelValues(class).Add(float64(t.Tries))
+	m.tries.WithLabelValues(class).Add(float64(t.AttemptCount))
 }
 
 // exemplarMost is the longest id that an exemplar may hold, by the OpenMetrics format, beside the
--- a/internal/telemetry/tracing/sample.go
+++ b/internal/telemetry/tracing/sample.go
@@ -18,7 +18,7 @@
 
 type stratum struct {
 	class int
-	kind  lifecycle.Kind
+	kind  lifecycle.Status
 }
 
 // NewSampler makes one that keeps at most so many requests of a class and an end in a second.
@@ -27,11 +27,11 @@
 }
 
 // Keep decides about a request that was answered just now, by Unix time.
-func (s *Sampler) Keep(t *lifecycle.Trail, chosen bool, now int64) bool {
-	if !chosen && (t.Kind == lifecycle.Served || t.Kind == lifecycle.Ran) {
+func (s *Sampler) Keep(t *lifecycle.Trace, chosen bool, now int64) bool {
+	if !chosen && (t.Status == lifecycle.Served || t.Status == lifecycle.ResultLost) {
 		return false
 	}
-	key := stratum{t.Class, t.Kind}
+	key := stratum{t.Class, t.Status}
 	l := s.strata[key]
 	if l == nil {
 		l = rate.NewLimiter(rate.Limit(s.perSecond), s.perSecond)
--- a/internal/telemetry/tracing/traces.go
+++ b/internal/telemetry/tracing/traces.go
@@ -31,7 +31,7 @@
 	Version   string
 	Class     func(class int) string // its name; it is asked beside the loop
 	Tenants   []string
-	Ends      map[lifecycle.Kind]string
+	Ends      map[lifecycle.Status]string
 	Outcomes  map[lifecycle.Outcome]string
 }
 
@@ -55,7 +55,7 @@
 }
 
 type entry struct {
-	lifecycle.Trail
+	lifecycle.Trace
 	at, parent traceparent.Context
 	remote     bool // parent is there
 }
@@ -94,13 +94,13 @@
 }
 
 // Add has the spans of a request written, if it is one of those that are chosen. It never waits.
-func (r *Recorder) Add(t *lifecycle.Trail, now int64) {
-	at := r.Place(t.Name, t.Arrived, t.Trace)
+func (r *Recorder) Add(t *lifecycle.Trace, now int64) {
+	at := r.Place(t.ID, t.ArrivedAt, t.TraceParent)
 	if !r.sampler.Keep(t, at.Sampled, now) {
 		return
 	}
-	e := entry{Trail: *t, at: at}
-	e.parent, e.remote = traceparent.Parse(t.Trace)
+	e := entry{Trace: *t, at: at}
+	e.parent, e.remote = traceparent.Parse(t.TraceParent)
 	select {
 	case r.queue <- e:
 	default:
@@ -159,19 +159,19 @@
 		)
 	}
 	attrs := []attribute.KeyValue{
-		attribute.String("ryepaddle.request", e.Name),
+		attribute.String("ryepaddle.request", e.ID),
 		attribute.String("ryepaddle.class", r.opt.Class(e.Class)),
 		attribute.String(
 			"ryepaddle.end",
-			r.opt.Ends[e.Kind],
+			r.opt.Ends[e.Status],
 		),
 		attribute.Int64("ryepaddle.caller", int64(e.Caller)),
 	}
 	if e.Tenant >= 0 && e.Tenant < len(r.opt.Tenants) {
 		attrs = append(attrs, attribute.String("ryepaddle.tenant", r.opt.Tenants[e.Tenant]))
 	}
-	if e.First != "" {
-		attrs = append(attrs, attribute.String("ryepaddle.repeats", e.First))
+	if e.OriginalID != "" {
+		attrs = append(attrs, attribute.String("ryepaddle.repeats", e.OriginalID))
 	}
 	if e.Cause != lifecycle.CauseNone {
 		attrs = append(attrs, attribute.String("ryepaddle.cause", e.Cause.String()))
@@ -183,33 +183,33 @@
 			)
 		}
 	}
-	ctx, whole := r.span(ctx, e.at, r.opt.Class(e.Class), trace.SpanKindServer, e.Arrived, attrs)
-	if e.Kind != lifecycle.Served && e.Kind != lifecycle.Ran {
+	ctx, whole := r.span(ctx, e.at, r.opt.Class(e.Class), trace.SpanKindServer, e.ArrivedAt, attrs)
+	if e.Status != lifecycle.Served && e.Status != lifecycle.ResultLost {
 		whole.SetStatus(codes.Error, e.Cause.String())
 	}
-	if e.Started > 0 {
-		_, wait := r.span(ctx, e.at.Attempt(1<<15), "wait", trace.SpanKindInternal, e.Arrived, nil)
-		end(wait, e.Arrived, e.Started)
+	if e.StartedAt > 0 {
+		_, wait := r.span(ctx, e.at.Attempt(1<<15), "wait", trace.SpanKindInternal, e.ArrivedAt, nil)
+		end(wait, e.ArrivedAt, e.StartedAt)
 	}
-	for n, h := range e.Hops[:min(e.Tries, len(e.Hops))] {
+	for n, h := range e.Attempts[:min(e.AttemptCount, len(e.Attempts))] {
 		_, try := r.span(
 			ctx,
 			e.at.Attempt(n),
 			"try",
 			trace.SpanKindClient,
-			h.Began,
+			h.StartedAt,
 			[]attribute.KeyValue{attribute.Int("ryepaddle.try", n+1),
 				attribute.String(
 					"ryepaddle.server",
 					h.Server,
 				), attribute.String("ryepaddle.outcome", r.opt.Outcomes[h.Outcome])},
 		)
-		if h.Outcome != lifecycle.Fine && h.Outcome != 0 {
+		if h.Outcome != lifecycle.Succeeded && h.Outcome != 0 {
 			try.SetStatus(codes.Error, r.opt.Outcomes[h.Outcome])
 		}
-		end(try, h.Began, h.Began+h.Took)
+		end(try, h.StartedAt, h.StartedAt+h.Duration)
 	}
-	end(whole, e.Arrived, e.Answered)
+	end(whole, e.ArrivedAt, e.AnsweredAt)
 }
 
 func (r *Recorder) span(
--- a/internal/telemetry/tracing/traces_test.go
+++ b/internal/telemetry/tracing/traces_test.go
@@ -18,23 +18,23 @@
 		PerSecond: 10,
 		Instance:  "n1",
 		Class:     func(i int) string { return []string{"check", "hand-in"}[i] },
-		Ends:      map[lifecycle.Kind]string{lifecycle.Refused: "refused"},
+		Ends:      map[lifecycle.Status]string{lifecycle.Rejected: "refused"},
 	}
 }
 
-func refused() *lifecycle.Trail {
-	return &lifecycle.Trail{
-		Name:     "x",
-		Class:    1,
-		Tenant:   -1,
-		Arrived:  5_000_000,
-		Answered: 4_000_000,
-		Kind:     lifecycle.Refused,
-		Cause:    lifecycle.CauseNobody,
-		Tries:    1,
-		Started:  5_000_000,
-		Hops: [4]lifecycle.Hop{
-			{Server: "one", Began: 5_000_000, Took: -1_000_000, Outcome: lifecycle.Unreachable},
+func refused() *lifecycle.Trace {
+	return &lifecycle.Trace{
+		ID:           "x",
+		Class:        1,
+		Tenant:       -1,
+		ArrivedAt:    5_000_000,
+		AnsweredAt:   4_000_000,
+		Status:       lifecycle.Rejected,
+		Cause:        lifecycle.CauseNoServer,
+		AttemptCount: 1,
+		StartedAt:    5_000_000,
+		Attempts: [4]lifecycle.AttemptTrace{
+			{Server: "one", StartedAt: 5_000_000, Duration: -1_000_000, Outcome: lifecycle.Unreachable},
 		},
 	}
 }
@@ -42,20 +42,20 @@
 // What is served and nobody chose is passed over, and a flood of one end leaves room for others.
 func TestSampler(t *testing.T) {
 	s := NewSampler(10)
-	keep := func(kind lifecycle.Kind, chosen bool, n int, now int64) (kept int) {
+	keep := func(kind lifecycle.Status, chosen bool, n int, now int64) (kept int) {
 		for range n {
-			if s.Keep(&lifecycle.Trail{Kind: kind}, chosen, now) {
+			if s.Keep(&lifecycle.Trace{Status: kind}, chosen, now) {
 				kept++
 			}
 		}
 		return kept
 	}
 	for _, c := range []struct {
-		kind   lifecycle.Kind
+		kind   lifecycle.Status
 		chosen bool
 		now    int64
 		want   int
-	}{{lifecycle.Served, false, 0, 0}, {lifecycle.Refused, false, 0, 10}, {lifecycle.Failed, false, 0, 10}, {lifecycle.Served, true, 0, 10}, {lifecycle.Refused, false, 500_000, 5}} {
+	}{{lifecycle.Served, false, 0, 0}, {lifecycle.Rejected, false, 0, 10}, {lifecycle.Failed, false, 0, 10}, {lifecycle.Served, true, 0, 10}, {lifecycle.Rejected, false, 500_000, 5}} {
 		if got := keep(c.kind, c.chosen, 1000, c.now+1_000_000_000); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
@@ -151,11 +151,11 @@
 				b.Fatal(err)
 			}
 			t := refused()
-			t.Kind, t.Tries = lifecycle.Served, 0
+			t.Status, t.AttemptCount = lifecycle.Served, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t.Arrived = int64(i)
-				r.Add(t, t.Arrived)
+				t.ArrivedAt = int64(i)
+				r.Add(t, t.ArrivedAt)
 			}
 			lost, _ := r.Lost()
 			b.ReportMetric(float64(lost.Queue)/float64(b.N), "lost/op")
--- a/internal/testing/daytest/backend.go
+++ b/internal/testing/daytest/backend.go
@@ -41,7 +41,7 @@
 	b.ln, err = b.loop.Listen(
 		b.addr,
 		4096,
-		eventloop.Limits{In: bufferIn, Out: bufferOut},
+		eventloop.BufferLimits{In: bufferIn, Out: bufferOut},
 		func(c *eventloop.Conn) eventloop.Handler {
 			k := &caller{Conn: c, b: b}
 			b.conns[k] = struct{}{}
--- a/internal/testing/daytest/engine.go
+++ b/internal/testing/daytest/engine.go
@@ -41,7 +41,7 @@
 	e.ln, err = l.Listen(
 		loopback,
 		16,
-		eventloop.Limits{In: bufferIn, Out: bufferOut},
+		eventloop.BufferLimits{In: bufferIn, Out: bufferOut},
 		func(c *eventloop.Conn) eventloop.Handler {
 			return &link{Conn: c, engine: e}
 		},
--- a/internal/testing/daytest/process.go
+++ b/internal/testing/daytest/process.go
@@ -240,7 +240,7 @@
 func (p *process) Check(_ int, done func(good bool)) {
 	c := &conn{p: p, open: map[uint16]*exchange{1: {id: 1, check: done}}}
 	c.open[1].c = c
-	c.Conn = p.rig.loop.Dial(p.addr, eventloop.Limits{In: bufferIn, Out: bufferOut}, c)
+	c.Conn = p.rig.loop.Dial(p.addr, eventloop.BufferLimits{In: bufferIn, Out: bufferOut}, c)
 	c.Write(request(1, [][2]string{{"REQUEST_METHOD", "GET"}, {"SCRIPT_NAME", "/alive"}}, nil))
 }
 
@@ -255,7 +255,7 @@
 
 func (p *process) dial(caller uint32) *conn {
 	c := &conn{p: p, open: map[uint16]*exchange{}}
-	c.Conn = p.rig.loop.Dial(p.addr, eventloop.Limits{In: bufferIn, Out: bufferOut}, c)
+	c.Conn = p.rig.loop.Dial(p.addr, eventloop.BufferLimits{In: bufferIn, Out: bufferOut}, c)
 	p.conns[caller] = append(p.conns[caller], c)
 	return c
 }
@@ -351,7 +351,7 @@
 			}
 		}
 	}
-	var refused *eventloop.RefusedError
+	var refused *eventloop.ConnectionRefusedError
 	for id := range c.open {
 		x := c.open[id]
 		if x.check != nil {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -27,7 +27,7 @@
 func (g *Group) dial(s *server) *link {
 	l := &link{group: g, server: s, made: g.loop.Now()}
 	out := uwsgi.MaxVariablesBytes + 4 + g.opt.FlowControl.MaxBufferedBody + g.opt.FlowControl.MaxQueued + onePart
-	l.conn = g.loop.DialAddr(s.addr, eventloop.Limits{In: httpmessage.MaxHeadBytes + 1, Out: out}, l)
+	l.conn = g.loop.DialAddr(s.addr, eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: out}, l)
 	return l
 }
 
@@ -36,7 +36,7 @@
 	for len(s.spares) > 0 && s.spares[0].up {
 		l := s.spares[0]
 		s.spares = s.spares[1:]
-		if g.loop.Now()-l.made <= spareFor && l.conn.IsQuiet() {
+		if g.loop.Now()-l.made <= spareFor && l.conn.IsIdle() {
 			return l
 		}
 		l.conn.Close(nil)
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -58,9 +58,9 @@
 // attempt is one that is due within a while.
 func attempt(s *scenario.Stepped, safe bool, due time.Duration) *lifecycle.Attempt {
 	return &lifecycle.Attempt{
-		Request: &lifecycle.Request{Name: "1", Key: "k", Arrived: s.Unix()},
-		Safe:    safe,
-		Due:     s.Now() + due.Microseconds(),
+		Request:    &lifecycle.Request{ID: "1", Key: "k", ArrivedAt: s.Unix()},
+		Idempotent: safe,
+		Deadline:   s.Now() + due.Microseconds(),
 	}
 }
 
@@ -103,21 +103,21 @@
 		want    lifecycle.Outcome
 		results []string
 	}{
-		"whole, and the server closes":    {says: whole, ends: true, want: lifecycle.Fine, results: []string{"result"}},
-		"whole, with bytes behind it":     {says: whole + "HTTP/1.1 500 again", want: lifecycle.Fine, results: []string{"result"}},
-		"cut in its head":                 {says: whole[:20], ends: true, want: lifecycle.Broken},
-		"cut in its body":                 {says: whole[:len(whole)-1], ends: true, want: lifecycle.Broken},
-		"cut in its body, safe":           {says: whole[:len(whole)-1], ends: true, safe: true, want: lifecycle.Broken},
-		"closed without a word":           {says: "", ends: true, want: lifecycle.Broken},
+		"whole, and the server closes":    {says: whole, ends: true, want: lifecycle.Succeeded, results: []string{"result"}},
+		"whole, with bytes behind it":     {says: whole + "HTTP/1.1 500 again", want: lifecycle.Succeeded, results: []string{"result"}},
+		"cut in its head":                 {says: whole[:20], ends: true, want: lifecycle.Interrupted},
+		"cut in its body":                 {says: whole[:len(whole)-1], ends: true, want: lifecycle.Interrupted},
+		"cut in its body, safe":           {says: whole[:len(whole)-1], ends: true, safe: true, want: lifecycle.Interrupted},
+		"closed without a word":           {says: "", ends: true, want: lifecycle.Interrupted},
 		"whole, as its time passes, safe": {says: whole, safe: true, cross: func(s *scenario.Stepped, _ *Group, _ *lifecycle.Attempt) { s.Together(2 * time.Second) }, want: lifecycle.TimedOut},
 		"whole, as its time passes": {says: whole, cross: func(s *scenario.Stepped, _ *Group, _ *lifecycle.Attempt) { s.Together(1500 * time.Millisecond) },
 			// one with an effect goes on, for its repeats
-			want: lifecycle.Fine, results: []string{"result"}},
-		"whole, as its caller goes, safe": {says: whole, safe: true, cross: func(_ *scenario.Stepped, g *Group, a *lifecycle.Attempt) { g.Abandon(a) }, want: lifecycle.Stopped},
+			want: lifecycle.Succeeded, results: []string{"result"}},
+		"whole, as its caller goes, safe": {says: whole, safe: true, cross: func(_ *scenario.Stepped, g *Group, a *lifecycle.Attempt) { g.Abandon(a) }, want: lifecycle.Canceled},
 		"whole, as its caller goes": {says: whole, cross: func(_ *scenario.Stepped, g *Group, a *lifecycle.Attempt) { g.Abandon(a) },
-			want: lifecycle.Fine, results: []string{"result"}},
+			want: lifecycle.Succeeded, results: []string{"result"}},
 		"whole, as the server leaves the list": {says: whole, cross: func(_ *scenario.Stepped, g *Group, _ *lifecycle.Attempt) { g.Update(nil, g.opt) },
-			want: lifecycle.Fine, results: []string{"result"}},
+			want: lifecycle.Succeeded, results: []string{"result"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -134,7 +134,7 @@
 				t.Fatal(err)
 			}
 			defer server.Close()
-			s.Until(func() bool { x := g.attempts[a]; return x.link.up && x.conn.Queued() == 0 })
+			s.Until(func() bool { x := g.attempts[a]; return x.link.up && x.conn.QueuedBytes() == 0 })
 			if _, err := server.Read(make([]byte, 4096)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -79,7 +79,7 @@
 	}
 	c.conn = g.loop.DialAddr(
 		s.Attachment.(*server).addr,
-		eventloop.Limits{In: httpmessage.MaxHeadBytes + 1, Out: len(packet)},
+		eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: len(packet)},
 		c,
 	)
 	c.timer = g.loop.After(g.opt.HealthCheck.Timeout, func() { c.end(false) })
@@ -122,7 +122,7 @@
 
 // End implements loop.Handler.
 func (c *checkup) End() bool {
-	_, _ = c.take(c.conn.Unread(), true) // what it could not read is a failure all the same
+	_, _ = c.take(c.conn.Buffered(), true) // what it could not read is a failure all the same
 	c.end(false)
 	return false
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -16,7 +16,7 @@
 	"HTTP_PROXY_CONNECTION": true, "HTTP_PROXY": true, "HTTP_EXPECT": true}
 
 func method(a *lifecycle.Attempt) string {
-	for _, f := range a.Request.Meta {
+	for _, f := range a.Request.Metadata {
 		if f.Name == "REQUEST_METHOD" {
 			return f.Value
 		}
@@ -36,7 +36,7 @@
 		named = append(named, uwsgi.Variable{Name: traceparent.Variable, Value: opt.TraceParent(a)})
 	}
 	named = slices.DeleteFunc(named, func(v uwsgi.Variable) bool { return v.Name == "" || v.Value == "" })
-	for _, f := range a.Request.Meta {
+	for _, f := range a.Request.Metadata {
 		if !left[f.Name] && !slices.ContainsFunc(named, func(v uwsgi.Variable) bool { return v.Name == f.Name }) {
 			r.Variables = append(r.Variables, uwsgi.Variable(f))
 		}
@@ -50,8 +50,8 @@
 		}
 	}
 	length := int64(len(r.Body))
-	if a.Request.Rest != nil {
-		length = a.Request.Length
+	if a.Request.Upload != nil {
+		length = a.Request.ContentLength
 	}
 	r.Variables = append(r.Variables, uwsgi.Variable{Name: "CONTENT_LENGTH", Value: strconv.FormatInt(length, 10)})
 	return uwsgi.Append(nil, r)
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -14,7 +14,7 @@
 // two hand-ins of one.
 func TestServersGetWhatTheCoreWentBy(t *testing.T) {
 	a := &lifecycle.Attempt{
-		Request: &lifecycle.Request{Key: "a", Tenant: 1, Body: []byte("essay"), Meta: []lifecycle.Field{
+		Request: &lifecycle.Request{Key: "a", Tenant: 1, Body: []byte("essay"), Metadata: []lifecycle.Field{
 			{
 				Name:  "SCRIPT_NAME",
 				Value: "/ops/hand-in",
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -186,13 +186,13 @@
 func (g *Group) Picker() *picker.Picker { return g.router }
 
 // AllowRetry decides whether a request that came to nothing is tried on another server.
-func (g *Group) AllowRetry(t lifecycle.Try) bool {
+func (g *Group) AllowRetry(t lifecycle.RetryCandidate) bool {
 	return g.router.RetryBudget().Allow(
-		retry.FailedAttempt{Class: t.Class, HasSideEffects: t.Effect, NeverRan: t.Proven, Attempts: t.Tries,
+		retry.FailedAttempt{Class: t.Class, HasSideEffects: t.HasSideEffect, NeverRan: t.NeverRan, Attempts: t.Attempts,
 			MaxAttempts: min(
 				g.opt.MaxAttempts,
 				g.Size(),
-			), TimeLeft: micros(t.Left), TimeNeeded: g.router.MinAttemptTime(t.Class)},
+			), TimeLeft: micros(t.Remaining), TimeNeeded: g.router.MinAttemptTime(t.Class)},
 		micros(g.loop.Now()),
 	) == retry.Allowed
 }
@@ -216,44 +216,44 @@
 	resp    *httpmessage.ResponseReader
 	head    bool // only the head is asked for
 	flow    *flowcontrol.Response
-	res     *lifecycle.Result // its head has come
-	body    []byte            // what was gathered, or is kept
-	begun   bool              // the rest streams
-	taker   lifecycle.Taker   // who takes it; nil: nobody
-	upload  lifecycle.Upload  // the rest of the body that is being sent; nil: there is none
+	res     *lifecycle.Result        // its head has come
+	body    []byte                   // what was gathered, or is kept
+	begun   bool                     // the rest streams
+	taker   lifecycle.StreamConsumer // who takes it; nil: nobody
+	upload  lifecycle.Upload         // the rest of the body that is being sent; nil: there is none
 }
 
-// Run implements core.Runner.
+// Run implements lifecycle.Runner.
 func (g *Group) Run(a *lifecycle.Attempt) {
 	now := g.loop.Now()
-	if a.Before == nil {
+	if a.Previous == nil {
 		g.router.RetryBudget().RecordFirstAttempt(a.Request.Class, micros(now))
 	}
-	g.query = picker.Query{Idempotent: a.Safe && a.Request.Rest == nil, Retry: a.Before != nil, Attempts: a, Now: micros(now)}
-	if !a.Safe {
+	g.query = picker.Query{Idempotent: a.Idempotent && a.Request.Upload == nil, Retry: a.Previous != nil, Attempts: a, Now: micros(now)}
+	if !a.Idempotent {
 		g.query.Key = a.Request.Key
 	}
 	to, _ := g.router.Pick(&g.query)
 	packet, err := packet(a, &g.opt)
 	if to == nil || err != nil {
-		evNobody.Log(g.name, a.Request.Name, to != nil, err)
+		evNobody.Log(g.name, a.Request.ID, to != nil, err)
 		x := &exchange{group: g, attempt: a}
 		g.attempts[a] = x
-		g.loop.Post(func() { x.end(lifecycle.NotRun, nil) })
+		g.loop.Post(func() { x.end(lifecycle.NotStarted, nil) })
 		return
 	}
 	s := to.Attachment.(*server)
 	a.Server = s.Name
 	g.router.Sent(to)
 	x := &exchange{group: g, server: s, attempt: a, began: now, head: method(a) == "HEAD",
-		flow: flowcontrol.NewResponse(g.opt.FlowControl, !a.Safe, a.Request.Streams)}
+		flow: flowcontrol.NewResponse(g.opt.FlowControl, !a.Idempotent, a.Request.AcceptsStream)}
 	x.resp = httpmessage.NewResponseReader(x.head)
 	g.attempts[a] = x
-	x.timer = g.loop.After(a.Due-g.loop.Now(), x.outOfTime)
+	x.timer = g.loop.After(a.Deadline-g.loop.Now(), x.outOfTime)
 	x.packet = packet
 	// A connection that stood idle may be dead without a sign: what may run once gets a fresh one,
 	// and so does a body that cannot be sent again.
-	if a.Safe && a.Request.Rest == nil {
+	if a.Idempotent && a.Request.Upload == nil {
 		if l := g.spare(s); l != nil {
 			x.ahead = true
 			x.send(l)
@@ -276,11 +276,11 @@
 	g.openAhead(x.server)
 }
 
-// Abandon implements core.Runner. What has an effect goes on to its end, so that its result can be
+// Abandon implements lifecycle.Runner. What has an effect goes on to its end, so that its result can be
 // remembered.
 func (g *Group) Abandon(a *lifecycle.Attempt) {
-	if x := g.attempts[a]; x != nil && a.Safe {
-		g.loop.Post(func() { x.end(lifecycle.Stopped, nil) })
+	if x := g.attempts[a]; x != nil && a.Idempotent {
+		g.loop.Post(func() { x.end(lifecycle.Canceled, nil) })
 	}
 }
 
@@ -293,8 +293,8 @@
 		return
 	}
 	now := x.group.loop.Now()
-	if whole := a.Due - (now - (x.group.loop.Unix() - a.Request.Arrived)); !a.Safe && now < a.Due+whole {
-		x.timer = x.group.loop.After(a.Due+whole-now, x.outOfTime)
+	if whole := a.Deadline - (now - (x.group.loop.Unix() - a.Request.ArrivedAt)); !a.Idempotent && now < a.Deadline+whole {
+		x.timer = x.group.loop.After(a.Deadline+whole-now, x.outOfTime)
 		return
 	}
 	x.end(lifecycle.TimedOut, nil)
@@ -308,10 +308,10 @@
 	}
 	delete(g.attempts, x.attempt)
 	if t := x.taker; t != nil {
-		if x.taker = nil; o == lifecycle.Fine {
-			t.Finished()
+		if x.taker = nil; o == lifecycle.Succeeded {
+			t.Completed()
 		} else {
-			t.Cut()
+			t.Truncated()
 		}
 	}
 	if u := x.upload; u != nil {
@@ -332,11 +332,11 @@
 // request's fault.
 func outcomeOf(o lifecycle.Outcome) endpointhealth.Outcome {
 	switch o {
-	case lifecycle.Fine:
+	case lifecycle.Succeeded:
 		return endpointhealth.Success
-	case lifecycle.Fault:
+	case lifecycle.Faulted:
 		return endpointhealth.ErrorResponse
-	case lifecycle.Broken:
+	case lifecycle.Interrupted:
 		return endpointhealth.Aborted
 	case lifecycle.TimedOut:
 		return endpointhealth.TimedOut
@@ -350,7 +350,7 @@
 // ran.
 func (x *exchange) unreachable(what string) {
 	if x.group.attempts[x.attempt] == x {
-		evBroken.Log(x.group.name, x.server.Name, x.attempt.Request.Name, what)
+		evBroken.Log(x.group.name, x.server.Name, x.attempt.Request.ID, what)
 		x.end(lifecycle.Unreachable, nil)
 	}
 }
@@ -369,8 +369,8 @@
 			x.send(x.group.dial(x.server))
 			return
 		}
-		evBroken.Log(x.group.name, x.server.Name, x.attempt.Request.Name, what)
-		x.end(lifecycle.Broken, nil)
+		evBroken.Log(x.group.name, x.server.Name, x.attempt.Request.ID, what)
+		x.end(lifecycle.Interrupted, nil)
 	}
 }
 
@@ -378,24 +378,24 @@
 func (x *exchange) Connected() {
 	x.connect.Stop()
 	q := x.attempt.Request
-	if q.Rest == nil || x.group.attempts[x.attempt] != x {
+	if q.Upload == nil || x.group.attempts[x.attempt] != x {
 		return
 	}
-	q.Spent, x.upload = true, q.Rest
-	x.conn.OnDrain(func() {
+	q.BodyConsumed, x.upload = true, q.Upload
+	x.conn.OnFlushed(func() {
 		if x.upload != nil {
-			x.upload.Untaken(x.conn.Queued())
+			x.upload.SetBacklog(x.conn.QueuedBytes())
 		}
 	})
-	q.Rest.Attach(x)
+	q.Upload.Attach(x)
 }
 
-// TakeBody implements core.UploadTaker.
-func (x *exchange) TakeBody(part []byte) {
+// ConsumeBody implements lifecycle.UploadConsumer.
+func (x *exchange) ConsumeBody(part []byte) {
 	x.conn.Write(part)
-	x.conn.Push()
+	x.conn.Flush()
 	if x.upload != nil && !x.conn.IsClosed() {
-		x.upload.Untaken(x.conn.Queued())
+		x.upload.SetBacklog(x.conn.QueuedBytes())
 	}
 }
 
@@ -414,8 +414,8 @@
 			return used, err
 		case ev.Head != nil:
 			if ev.Head.Status >= 500 {
-				evFault.Log(x.group.name, x.server.Name, x.attempt.Request.Name, ev.Head.Status)
-				x.end(lifecycle.Fault, nil)
+				evFault.Log(x.group.name, x.server.Name, x.attempt.Request.ID, ev.Head.Status)
+				x.end(lifecycle.Faulted, nil)
 				return len(b), nil
 			}
 			x.res = x.result(ev.Head)
@@ -437,7 +437,7 @@
 
 // result is the head of a response as it is passed on.
 func (x *exchange) result(h *httpmessage.Head) *lifecycle.Result {
-	res := &lifecycle.Result{Status: h.Status, Length: int64(h.Length)}
+	res := &lifecycle.Result{Status: h.Status, ContentLength: int64(h.Length)}
 	for _, f := range h.Fields {
 		// The length is stated anew; of a head alone it says what the body would have.
 		if !uwsgi.IsHopByHop(f.Name) && (x.head || !strings.EqualFold(f.Name, "Content-Length")) {
@@ -459,37 +459,37 @@
 	if step == flowcontrol.StartStreaming {
 		x.begun = true
 		begun := *x.res
-		begun.Body, begun.Rest = x.body, x
+		begun.Body, begun.Stream = x.body, x
 		// nobody waits for it any more
-		if !x.group.sink.Began(x.attempt, &begun) && x.attempt.Safe {
-			x.end(lifecycle.Stopped, nil)
+		if !x.group.sink.Began(x.attempt, &begun) && x.attempt.Idempotent {
+			x.end(lifecycle.Canceled, nil)
 		}
 	} else if step == flowcontrol.Forward && x.taker != nil {
-		x.taker.Take(data)
+		x.taker.Consume(data)
 	}
 	if x.begun && !x.flow.Caches() {
 		// it ran, and nobody has a use for the rest
-		if x.body = nil; x.taker == nil && !x.attempt.Safe {
-			x.end(lifecycle.Fine, nil)
+		if x.body = nil; x.taker == nil && !x.attempt.Idempotent {
+			x.end(lifecycle.Succeeded, nil)
 		}
 	}
 	return nil
 }
 
-// Attach implements core.Stream.
-func (x *exchange) Attach(t lifecycle.Taker) { x.taker = t }
+// Attach implements lifecycle.Stream.
+func (x *exchange) Attach(t lifecycle.StreamConsumer) { x.taker = t }
 
-// Wait implements core.Stream: the server waits for a slow reader, and nobody else does.
-func (x *exchange) Wait(on bool) { x.conn.Pause(on) }
+// Pause implements lifecycle.Stream: the server waits for a slow reader, and nobody else does.
+func (x *exchange) Pause(on bool) { x.conn.Pause(on) }
 
-// Cancel implements core.Stream. The result of one with an effect is still read, as far as it is
+// Cancel implements lifecycle.Stream. The result of one with an effect is still read, as far as it is
 // kept for repeats.
 func (x *exchange) Cancel() {
 	x.taker = nil
-	if x.attempt.Safe || !x.flow.Caches() {
-		o := lifecycle.Stopped
-		if !x.attempt.Safe { // it ran, whatever comes of the rest
-			o = lifecycle.Fine
+	if x.attempt.Idempotent || !x.flow.Caches() {
+		o := lifecycle.Canceled
+		if !x.attempt.Idempotent { // it ran, whatever comes of the rest
+			o = lifecycle.Succeeded
 		}
 		x.group.loop.Post(func() { x.end(o, nil) })
 		return
@@ -499,7 +499,7 @@
 
 // End implements loop.Handler.
 func (x *exchange) End() bool {
-	_, err := x.take(x.conn.Unread(), true)
+	_, err := x.take(x.conn.Buffered(), true)
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		x.fail("closed before the answer was whole")
@@ -513,7 +513,7 @@
 
 // Closed implements loop.Handler.
 func (x *exchange) Closed(err error) {
-	var refused *eventloop.RefusedError
+	var refused *eventloop.ConnectionRefusedError
 	switch {
 	case errors.As(err, &refused):
 		x.end(lifecycle.Unreachable, nil) // the one proof that nothing ran
@@ -527,9 +527,9 @@
 // finish ends a response that is whole. One that streamed has a result only if it was kept.
 func (x *exchange) finish() {
 	if x.begun && !x.flow.Caches() {
-		x.end(lifecycle.Fine, nil)
+		x.end(lifecycle.Succeeded, nil)
 		return
 	}
 	x.res.Body = x.body
-	x.end(lifecycle.Fine, x.res)
+	x.end(lifecycle.Succeeded, x.res)
 }
