--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -155,26 +155,26 @@
 	t.Parallel()
 	dir := t.TempDir()
 	const hour = 3_600_000_000
-	set := ledger.Settings{Instance: "n0", Period: hour, Slice: hour / 60, Keys: 10, Lines: 10}
+	set := ledger.Settings{Instance: "n0", Period: hour, Slice: hour / 60, MaxKeys: 10, MaxLines: 10}
 	l := ledger.New(set, "a", 480_000*hour)
 	for n := range int64(3) {
 		l.Add(
-			ledger.Use{
-				At:     (480_000 + n) * hour,
-				School: "north",
-				Class:  "hand-in",
-				End:    ledger.Served,
-				Work:   1500,
-				Key:    uint64(n + 1),
-				Until:  480_010 * hour,
+			ledger.Record{
+				AnsweredAt:   (480_000 + n) * hour,
+				School:       "north",
+				Class:        "hand-in",
+				Outcome:      ledger.OutcomeServed,
+				Work:         1500,
+				Key:          uint64(n + 1),
+				KeyExpiresAt: 480_010 * hour,
 			},
 		)
 		s := l.Seal((480_001 + n) * hour)
-		if err := os.WriteFile(filepath.Join(dir, s.Name()), s.Encode(), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, s.FileName()), s.Encode(), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(dir, "state"), l.Keep(3), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "state"), l.Encode(3), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	one := filepath.Join(dir, "usage-n0-a-00000001.json")
@@ -273,7 +273,7 @@
 	for _, n := range s.Lines {
 		sum.Add(n.Count)
 	}
-	if sum.Served != 4 || sum.Repeats != 1 || sum.WorkUs <= 0 || s.Fixes != 2 {
+	if sum.Served != 4 || sum.Duplicates != 1 || sum.Work <= 0 || s.Corrections != 2 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -80,7 +80,7 @@
 		}
 		fmt.Fprintf(sh.out, "%d keys held, %d messages sent, %d dropped\n", s.KeysHeld, p.Messages, p.Dropped)
 	}
-	if p.Unavailable != "" || p.FullyReplicated < p.Slots || s.Accounts != nil && !s.Accounts.Whole() {
+	if p.Unavailable != "" || p.FullyReplicated < p.Slots || s.Accounts != nil && !s.Accounts.FullyReplicated() {
 		return errNotWhole
 	}
 	return nil
@@ -189,10 +189,10 @@
 }
 
 // accountsLine tells who knows the account of usage, and what is known of others'.
-func accountsLine(a *metering.Copies) string {
+func accountsLine(a *metering.ReplicationStatus) string {
 	var heirs []string
-	for _, name := range slices.Sorted(maps.Keys(a.Heirs)) {
-		if n := a.Heirs[name]; n > 0 {
+	for _, name := range slices.Sorted(maps.Keys(a.Replicas)) {
+		if n := a.Replicas[name]; n > 0 {
 			name = fmt.Sprintf("%s (%d behind)", name, n)
 		}
 		heirs = append(heirs, name)
@@ -204,9 +204,9 @@
 	return fmt.Sprintf(
 		"%s; it knows those of %d others, is about to end %d of them, and has %d statements to pass on\n",
 		line,
-		a.Known,
-		a.Ending,
-		a.Short,
+		a.RemoteAccounts,
+		a.ExpiringAccounts,
+		a.UndeliveredStatements,
 	)
 }
 
--- a/cmd/runner/record_test.go
+++ b/cmd/runner/record_test.go
@@ -48,7 +48,7 @@
 func TestTrafficIsRecorded(t *testing.T) {
 	t.Parallel()
 	rec := recorded(t, threeTries+"\nrunner send TERM\nrunner expect exit 0")
-	if rec.Cut != nil || rec.Lost.Any() || rec.Runner != "n0" || len(rec.Requests) != 3 {
+	if rec.Truncation != nil || rec.Lost.Any() || rec.Runner != "n0" || len(rec.Requests) != 3 {
 		t.Fatalf("%+v", rec)
 	}
 	var classes []string
@@ -58,8 +58,8 @@
 	if diff := cmp.Diff([]string{"quick-check", "hand-in", "hand-in"}, classes); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	first, further := rec.FirstTries(func(int) int64 { return 4_300_000 })
-	if len(first) != 2 || further != 1 || rec.Requests[1].Key == 0 || rec.Requests[0].Body == 0 {
+	first, further := rec.FirstAttempts(func(int) int64 { return 4_300_000 })
+	if len(first) != 2 || further != 1 || rec.Requests[1].KeyHash == 0 || rec.Requests[0].BodyHash == 0 {
 		t.Errorf("%d first tries, %d further, %+v", len(first), further, rec.Requests)
 	}
 }
@@ -69,7 +69,7 @@
 func TestARecordThatIsCutOff(t *testing.T) {
 	t.Parallel()
 	rec := recorded(t, threeTries+"\nrunner close")
-	if rec.Cut == nil || !strings.Contains(rec.Cut.Error(), "it was not finished") {
+	if rec.Truncation == nil || !strings.Contains(rec.Truncation.Error(), "it was not finished") {
 		t.Fatalf("%+v", rec)
 	}
 }
--- a/cmd/runner/usage.go
+++ b/cmd/runner/usage.go
@@ -59,12 +59,12 @@
 		"%s, account %s: settled up to %s in %d statements, %d of them written; %d keys, %d corrections "+
 			"to come\n",
 		s.Instance,
-		s.Life,
-		at(s.Through),
-		s.Seq,
+		s.Incarnation,
+		at(s.SealedThrough),
+		s.Statements,
 		s.Exported,
 		s.Keys,
-		s.Fixes,
+		s.Corrections,
 	)
 	if s.Lost > 0 {
 		fmt.Fprintf(sh.out, "%d uses were not counted\n", s.Lost)
@@ -92,12 +92,12 @@
 				n.School,
 				n.Class,
 				n.Served,
-				n.Repeats,
-				n.Late,
-				n.Refused,
+				n.Duplicates,
+				n.TimedOut,
+				n.Rejected,
 				n.Failed,
-				n.Gone,
-				fmt.Sprintf("%.3f", float64(n.WorkUs)/1e6),
+				n.Abandoned,
+				fmt.Sprintf("%.3f", float64(n.Work)/1e6),
 			},
 		)
 	}
@@ -118,7 +118,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	l, err := ledger.Look(b)
+	l, err := ledger.Inspect(b)
 	if err != nil {
 		return badInput{fmt.Errorf("%s: %w", filepath.Join(c.Dir, "state"), err)}
 	}
@@ -142,14 +142,14 @@
 
 // Run makes a bill. It is printed also where it is not the whole truth.
 func (c *usageBillCmd) Run(sh *shell) error {
-	terms := ledger.Terms{Instances: c.Instances, Shares: map[string]float64{}}
+	terms := ledger.BillingTerms{Instances: c.Instances, Quotas: map[string]float64{}}
 	if c.Config != "" {
 		cfg, err := config.ReadPlatform(c.Config)
 		if err != nil {
 			return badInput{err}
 		}
 		for _, t := range cfg.Settings.Tenants {
-			terms.Shares[t.Name] = t.QuotaRate
+			terms.Quotas[t.Name] = t.QuotaRate
 		}
 	}
 	list, err := readStatements(c.Files)
@@ -174,7 +174,7 @@
 	for _, p := range bill.Problems {
 		fmt.Fprintln(sh.err, p)
 	}
-	missing := slices.ContainsFunc(bill.Periods, func(p ledger.BillPeriod) bool { return len(p.Missing) > 0 })
+	missing := slices.ContainsFunc(bill.Periods, func(p ledger.BillPeriod) bool { return len(p.MissingInstances) > 0 })
 	if len(bill.Problems) > 0 || missing {
 		return fmt.Errorf(
 			"the bill is not the whole truth: %d problems; %d of %d periods are not told by all instances",
@@ -188,7 +188,7 @@
 
 func untold(b *ledger.Bill) (n int) {
 	for _, p := range b.Periods {
-		if len(p.Missing) > 0 {
+		if len(p.MissingInstances) > 0 {
 			n++
 		}
 	}
@@ -247,12 +247,12 @@
 				n.School,
 				n.Class,
 				n.Served,
-				n.Repeats,
-				n.Late,
-				n.Refused,
+				n.Duplicates,
+				n.TimedOut,
+				n.Rejected,
 				n.Failed,
-				n.Gone,
-				fmt.Sprintf("%.3f", float64(n.WorkUs)/1e6),
+				n.Abandoned,
+				fmt.Sprintf("%.3f", float64(n.Work)/1e6),
 				n.Changed,
 			},
 		)
@@ -267,8 +267,8 @@
 				at(s.Period),
 				s.School,
 				s.Served,
-				fmt.Sprintf("%.0f", s.Above),
-				fmt.Sprintf("%.3f", float64(s.WorkUs)/1e6),
+				fmt.Sprintf("%.0f", s.AboveQuota),
+				fmt.Sprintf("%.3f", float64(s.Work)/1e6),
 			},
 		)
 	}
@@ -277,12 +277,12 @@
 		sh.out,
 		"%d statements, %d copies of them; %d hand-ins were counted by two instances, and are counted once\n",
 		b.Statements,
-		b.Copies,
-		b.Twice,
+		b.DuplicateStatements,
+		b.DeduplicatedRuns,
 	)
 	for _, p := range b.Periods {
-		if len(p.Missing) > 0 {
-			fmt.Fprintf(sh.out, "%s: nothing yet of %s\n", at(p.Period), strings.Join(p.Missing, ", "))
+		if len(p.MissingInstances) > 0 {
+			fmt.Fprintf(sh.out, "%s: nothing yet of %s\n", at(p.Period), strings.Join(p.MissingInstances, ", "))
 		}
 	}
 }
@@ -306,7 +306,7 @@
 	}
 	for _, n := range b.Lines {
 		row := []string{at(n.Period), n.School, n.Class}
-		for _, v := range []int64{n.Served, n.Repeats, n.Late, n.Refused, n.Failed, n.Gone, n.WorkUs} {
+		for _, v := range []int64{n.Served, n.Duplicates, n.TimedOut, n.Rejected, n.Failed, n.Abandoned, n.Work} {
 			row = append(row, strconv.FormatInt(v, 10))
 		}
 		rows = append(rows, append(row, strconv.FormatBool(n.Changed)))
@@ -335,9 +335,9 @@
 			Period: c.Period.UnixMicro(),
 			School: c.School,
 			Class:  c.Class,
-			Why:    c.Why,
-			By:     c.By,
-			Count:  ledger.Count{Served: c.Served, Repeats: c.Repeats, WorkUs: c.WorkMs * 1000},
+			Reason: c.Why,
+			Author: c.By,
+			Count:  ledger.Count{Served: c.Served, Duplicates: c.Repeats, Work: c.WorkMs * 1000},
 		},
 	)
 	if err != nil {
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		return nil, nil, badInput{err}
 	}
-	if rec.Cut != nil {
-		fmt.Fprintf(l.err, "simulator: %v; what came before that is played\n", rec.Cut)
+	if rec.Truncation != nil {
+		fmt.Fprintf(l.err, "simulator: %v; what came before that is played\n", rec.Truncation)
 	}
 	if rec.Lost.Any() {
 		fmt.Fprintf(
@@ -107,18 +107,18 @@
 		s := shown{
 			File:     path,
 			Runner:   rec.Runner,
-			Began:    time.UnixMicro(rec.Began).UTC().Format(time.RFC3339),
+			Began:    time.UnixMicro(rec.StartedAt).UTC().Format(time.RFC3339),
 			Requests: len(rec.Requests),
-			Backward: rec.Backward,
+			Backward: rec.OutOfOrder,
 			Lost:     rec.Lost,
 			Classes:  map[string]int{},
 		}
-		first, further := rec.FirstTries(func(int) int64 { return 10_000_000 })
+		first, further := rec.FirstAttempts(func(int) int64 { return 10_000_000 })
 		if s.Further = further; len(first) > 0 {
-			s.Seconds = float64(first[len(first)-1].At-first[0].At) / 1e6
+			s.Seconds = float64(first[len(first)-1].ArrivedAt-first[0].ArrivedAt) / 1e6
 		}
-		if rec.Cut != nil {
-			s.Cut = rec.Cut.Error()
+		if rec.Truncation != nil {
+			s.Cut = rec.Truncation.Error()
 		}
 		for _, q := range rec.Requests {
 			s.Classes[rec.Classes[q.Class]]++
@@ -169,16 +169,16 @@
 		return err
 	}
 	h, requests := day.Draw(s, c.Seed).Record(unixBegin)
-	r, err := traffic.Open(
+	r, err := traffic.Create(
 		c.Out,
 		h,
-		traffic.Options{MaxBytes: 1 << 40, Queue: len(requests) + 1, Every: time.Hour},
+		traffic.Options{MaxBytes: 1 << 40, QueueSize: len(requests) + 1, FlushInterval: time.Hour},
 	)
 	if err != nil {
 		return badInput{err}
 	}
 	for _, q := range requests {
-		r.Note(q)
+		r.Record(q)
 	}
 	if err := r.Close(time.Minute); err != nil {
 		return err
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -135,7 +135,7 @@
 
 	control  *control.Server       // nil where nobody may ask
 	figures  *metrics.Metrics      // with it
-	recent   *explain.Record       // nil where nothing is remembered of requests
+	recent   *explain.RequestLog   // nil where nothing is remembered of requests
 	keep     *persistence.KeyStore // nil where keys are not kept on a disk
 	spans    *tracing.Recorder     // nil where none are written
 	meter    *metering.Meter       // nil where no account of usage is kept
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -34,12 +34,12 @@
 		all = append(
 			all,
 			func(t *lifecycle.Trace) { r.recent.Add(t, r.loop.Unix()) },
-			r.figures.Add,
+			r.figures.Observe,
 			r.tellAnswered,
 		)
 	}
 	if r.spans != nil {
-		all = append(all, func(t *lifecycle.Trace) { r.spans.Add(t, r.loop.Unix()) })
+		all = append(all, func(t *lifecycle.Trace) { r.spans.Record(t, r.loop.Unix()) })
 	}
 	if len(all) == 0 {
 		return nil
@@ -71,12 +71,12 @@
 }
 
 // gauges are the figures of the moment.
-func (r *Program) gauges() []metrics.Gauge {
+func (r *Program) gauges() []metrics.Sample {
 	draining := 0.0
 	if r.leaving {
 		draining = 1
 	}
-	out := []metrics.Gauge{
+	out := []metrics.Sample{
 		{Name: "ryepaddle_open", Help: "Requests that are owed an answer.", Value: float64(r.core.OpenRequests())},
 		{Name: "ryepaddle_connections", Help: "Connections of callers.", Value: float64(r.conns())},
 		{Name: "ryepaddle_draining", Help: "1: the program leaves.", Value: draining},
@@ -93,48 +93,48 @@
 		} {
 			out = append(
 				out,
-				metrics.Gauge{
-					Name:   "ryepaddle_requests_total",
-					Help:   "Requests by their one end.",
-					Labels: map[string]string{"class": class, "end": end},
-					Value:  float64(v),
-					Total:  true,
+				metrics.Sample{
+					Name:      "ryepaddle_requests_total",
+					Help:      "Requests by their one end.",
+					Labels:    map[string]string{"class": class, "end": end},
+					Value:     float64(v),
+					Monotonic: true,
 				},
 			)
 		}
 		out = append(
 			out,
-			metrics.Gauge{
-				Name:   "ryepaddle_relayed_total",
-				Help:   "Attempts handed to the engine or a server.",
-				Labels: map[string]string{"class": class},
-				Value:  float64(n.Attempts),
-				Total:  true,
+			metrics.Sample{
+				Name:      "ryepaddle_relayed_total",
+				Help:      "Attempts handed to the engine or a server.",
+				Labels:    map[string]string{"class": class},
+				Value:     float64(n.Attempts),
+				Monotonic: true,
 			},
 		)
 	}
 	for what, n := range map[string]int64{"taken": r.accepted, "turned down": r.invalid} {
 		out = append(
 			out,
-			metrics.Gauge{
-				Name:   "ryepaddle_reloads_total",
-				Help:   "Files at HUP.",
-				Labels: map[string]string{"what": what},
-				Value:  float64(n),
-				Total:  true,
+			metrics.Sample{
+				Name:      "ryepaddle_reloads_total",
+				Help:      "Files at HUP.",
+				Labels:    map[string]string{"what": what},
+				Value:     float64(n),
+				Monotonic: true,
 			},
 		)
 	}
 	for name, g := range r.groups {
 		for _, c := range g.Metrics() {
-			m := metrics.Gauge{
-				Labels: map[string]string{"group": name, c.Kind: c.Name},
-				Value:  c.Value,
-				Total:  true,
+			m := metrics.Sample{
+				Labels:    map[string]string{"group": name, c.Kind: c.Name},
+				Value:     c.Value,
+				Monotonic: true,
 			}
 			switch c.Kind {
 			case upstream.ServersInState:
-				m.Name, m.Help, m.Total = "ryepaddle_servers", "Servers in a state.", false
+				m.Name, m.Help, m.Monotonic = "ryepaddle_servers", "Servers in a state.", false
 			case upstream.StateTransitions:
 				m.Name, m.Help = "ryepaddle_server_changes_total", "Changes of servers into a state."
 			case upstream.Picks:
@@ -152,7 +152,7 @@
 		}
 		out = append(
 			out,
-			metrics.Gauge{
+			metrics.Sample{
 				Name:   "ryepaddle_slots",
 				Help:   "Requests that a group of servers is given at once.",
 				Labels: map[string]string{"group": name},
@@ -170,12 +170,12 @@
 		} {
 			out = append(
 				out,
-				metrics.Gauge{
-					Name:   "ryepaddle_pool_decisions_total",
-					Help:   "What pools decided.",
-					Labels: map[string]string{"group": name, "what": what},
-					Value:  float64(n),
-					Total:  true,
+				metrics.Sample{
+					Name:      "ryepaddle_pool_decisions_total",
+					Help:      "What pools decided.",
+					Labels:    map[string]string{"group": name, "what": what},
+					Value:     float64(n),
+					Monotonic: true,
 				},
 			)
 		}
@@ -183,13 +183,13 @@
 			labels := map[string]string{"group": name, "pool": row.Name}
 			out = append(
 				out,
-				metrics.Gauge{
+				metrics.Sample{
 					Name:   "ryepaddle_pool_running",
 					Help:   "Slots that a pool has.",
 					Labels: labels,
 					Value:  float64(row.Running),
 				},
-				metrics.Gauge{
+				metrics.Sample{
 					Name:   "ryepaddle_pool_waiting",
 					Help:   "Requests that wait in a pool.",
 					Labels: labels,
@@ -205,14 +205,14 @@
 		}
 		out = append(
 			out,
-			metrics.Gauge{Name: "ryepaddle_keys_closed", Help: "1: no new keys are taken.", Value: closed},
+			metrics.Sample{Name: "ryepaddle_keys_closed", Help: "1: no new keys are taken.", Value: closed},
 		)
 	}
 	return append(out, r.peerGauges()...)
 }
 
 // peerGauges are how copies on other runners stand.
-func (r *Program) peerGauges() []metrics.Gauge {
+func (r *Program) peerGauges() []metrics.Sample {
 	if r.peers == nil {
 		return nil
 	}
@@ -220,7 +220,7 @@
 	if p.Unavailable != "" {
 		closed = 1
 	}
-	out := []metrics.Gauge{
+	out := []metrics.Sample{
 		{
 			Name:  "ryepaddle_peers_closed",
 			Help:  "1: no new keys are taken, as peers do not keep them.",
@@ -243,32 +243,32 @@
 			Value: float64(p.HeldBytes),
 		},
 		{
-			Name:  "ryepaddle_peers_copied_bytes_total",
-			Help:  "What was sent to bring others up.",
-			Value: float64(p.CatchUpBytes),
-			Total: true,
+			Name:      "ryepaddle_peers_copied_bytes_total",
+			Help:      "What was sent to bring others up.",
+			Value:     float64(p.CatchUpBytes),
+			Monotonic: true,
 		},
 		{Name: "ryepaddle_peers_links", Help: "Connections to peers.", Value: float64(p.Links)},
 		{
-			Name:   "ryepaddle_peers_messages_total",
-			Help:   "Messages to peers.",
-			Labels: map[string]string{"what": "passed on"},
-			Value:  float64(p.Relayed),
-			Total:  true,
+			Name:      "ryepaddle_peers_messages_total",
+			Help:      "Messages to peers.",
+			Labels:    map[string]string{"what": "passed on"},
+			Value:     float64(p.Relayed),
+			Monotonic: true,
 		},
 		{
-			Name:   "ryepaddle_peers_messages_total",
-			Help:   "Messages to peers.",
-			Labels: map[string]string{"what": "sent"},
-			Value:  float64(p.Messages),
-			Total:  true,
+			Name:      "ryepaddle_peers_messages_total",
+			Help:      "Messages to peers.",
+			Labels:    map[string]string{"what": "sent"},
+			Value:     float64(p.Messages),
+			Monotonic: true,
 		},
 		{
-			Name:   "ryepaddle_peers_messages_total",
-			Help:   "Messages to peers.",
-			Labels: map[string]string{"what": "dropped"},
-			Value:  float64(p.Dropped),
-			Total:  true,
+			Name:      "ryepaddle_peers_messages_total",
+			Help:      "Messages to peers.",
+			Labels:    map[string]string{"what": "dropped"},
+			Value:     float64(p.Dropped),
+			Monotonic: true,
 		},
 	}
 	for _, d := range p.Leases {
@@ -278,7 +278,7 @@
 		}
 		out = append(
 			out,
-			metrics.Gauge{
+			metrics.Sample{
 				Name:   "ryepaddle_peers_duty_here",
 				Help:   "1: this runner may do what only one does at a time.",
 				Labels: map[string]string{"duty": d.Name},
@@ -289,50 +289,50 @@
 	if x := p.HealthChecks; x != nil {
 		out = append(
 			out,
-			metrics.Gauge{
-				Name:   "ryepaddle_peers_checks_total",
-				Help:   "Checks of servers.",
-				Labels: map[string]string{"what": "made"},
-				Value:  float64(x.Performed),
-				Total:  true,
+			metrics.Sample{
+				Name:      "ryepaddle_peers_checks_total",
+				Help:      "Checks of servers.",
+				Labels:    map[string]string{"what": "made"},
+				Value:     float64(x.Performed),
+				Monotonic: true,
 			},
-			metrics.Gauge{
-				Name:   "ryepaddle_peers_checks_total",
-				Help:   "Checks of servers.",
-				Labels: map[string]string{"what": "spared"},
-				Value:  float64(x.Skipped),
-				Total:  true,
+			metrics.Sample{
+				Name:      "ryepaddle_peers_checks_total",
+				Help:      "Checks of servers.",
+				Labels:    map[string]string{"what": "spared"},
+				Value:     float64(x.Skipped),
+				Monotonic: true,
 			},
 		)
 	}
 	if r.meter == nil {
 		return out
 	}
-	c, behind := r.meter.Copies(), uint64(0)
-	for _, n := range c.Heirs {
+	c, behind := r.meter.ReplicationStatus(), uint64(0)
+	for _, n := range c.Replicas {
 		behind = max(behind, n)
 	}
 	return append(
 		out,
-		metrics.Gauge{
+		metrics.Sample{
 			Name:  "ryepaddle_accounts_heirs",
 			Help:  "Runners that are told this one's account of usage.",
-			Value: float64(len(c.Heirs)),
+			Value: float64(len(c.Replicas)),
 		},
-		metrics.Gauge{
+		metrics.Sample{
 			Name:  "ryepaddle_accounts_behind",
 			Help:  "Steps that the one furthest behind does not know.",
 			Value: float64(behind),
 		},
-		metrics.Gauge{
+		metrics.Sample{
 			Name:  "ryepaddle_accounts_known",
 			Help:  "Accounts of other runners that are known here.",
-			Value: float64(c.Known),
+			Value: float64(c.RemoteAccounts),
 		},
-		metrics.Gauge{
+		metrics.Sample{
 			Name:  "ryepaddle_accounts_statements_short",
 			Help:  "Statements that are to be passed on to peers.",
-			Value: float64(c.Short),
+			Value: float64(c.UndeliveredStatements),
 		},
 	)
 }
@@ -349,21 +349,21 @@
 
 // Status is what is told of the program as a whole.
 type Status struct {
-	Name        string                  `json:"name"`
-	Version     string                  `json:"version"`
-	Draining    bool                    `json:"draining,omitempty"`
-	Open        int                     `json:"open"`
-	Connections int                     `json:"connections"`
-	Stats       lifecycle.Stats         `json:"since_start"`
-	Groups      []string                `json:"groups,omitempty"`
-	Servers     []upstream.ServerStatus `json:"servers,omitempty"`
-	Pools       []PoolRow               `json:"pools,omitempty"`
-	Inventory   string                  `json:"inventory_refused,omitempty"` // why its files are not taken
-	Keys        string                  `json:"keys_refused,omitempty"`      // why no new ones are
-	KeysHeld    int                     `json:"keys_held"`
-	Peers       *node.Status            `json:"peers,omitempty"`
-	Accounts    *metering.Copies        `json:"accounts,omitempty"` // where peers know what schools used
-	Remembered  []Remembered            `json:"remembered,omitempty"`
+	Name        string                      `json:"name"`
+	Version     string                      `json:"version"`
+	Draining    bool                        `json:"draining,omitempty"`
+	Open        int                         `json:"open"`
+	Connections int                         `json:"connections"`
+	Stats       lifecycle.Stats             `json:"since_start"`
+	Groups      []string                    `json:"groups,omitempty"`
+	Servers     []upstream.ServerStatus     `json:"servers,omitempty"`
+	Pools       []PoolRow                   `json:"pools,omitempty"`
+	Inventory   string                      `json:"inventory_refused,omitempty"` // why its files are not taken
+	Keys        string                      `json:"keys_refused,omitempty"`      // why no new ones are
+	KeysHeld    int                         `json:"keys_held"`
+	Peers       *node.Status                `json:"peers,omitempty"`
+	Accounts    *metering.ReplicationStatus `json:"accounts,omitempty"` // where peers know what schools used
+	Remembered  []Remembered                `json:"remembered,omitempty"`
 }
 
 // PoolRow is how a pool stands.
@@ -541,14 +541,14 @@
 	if r.peers != nil {
 		s.Peers = r.peers.Status()
 		if r.meter != nil {
-			c := r.meter.Copies()
+			c := r.meter.ReplicationStatus()
 			s.Accounts = &c
 		}
 	}
 	for _, x := range r.recent.Strata() {
 		s.Remembered = append(
 			s.Remembered,
-			Remembered{r.cfg.Settings.Classes[x.Class].Name, kindNames[x.Kind], x.Seen, x.Kept},
+			Remembered{r.cfg.Settings.Classes[x.Class].Name, kindNames[x.Kind], x.Seen, x.Retained},
 		)
 	}
 	return s
@@ -563,7 +563,7 @@
 		NotServed: q.NotServed,
 		From:      q.From * 1000,
 		To:        q.To * 1000,
-		Most:      q.Most,
+		Limit:     q.Most,
 	}
 	if q.Most < 0 || q.Most > 1000 {
 		return nil, asked.New("most: %d is not from 1 to 1000", q.Most)
@@ -634,8 +634,8 @@
 	if x.Cause != lifecycle.CauseNone {
 		e.Cause = x.Cause.String()
 	}
-	if x.Stands > 1 {
-		e.Stands = x.Stands
+	if x.Represents > 1 {
+		e.Stands = x.Represents
 	}
 	for _, h := range x.Attempts[:min(x.AttemptCount, len(x.Attempts))] {
 		e.Tries = append(e.Tries, Tried{h.Server, ms(h.Duration), outcomeNames[h.Outcome]})
--- a/internal/app/events.go
+++ b/internal/app/events.go
@@ -20,8 +20,8 @@
 	evAlone        = logging.Define("start.alone", slog.LevelError, "error")
 	evDrained      = logging.Define("drain.done", slog.LevelInfo, "ms", "unanswered", "requests")
 	evStatus       = logging.Define("status.requests", slog.LevelInfo, "open", "connections", "since_start")
-	evGroup        = logging.Define("status.group", slog.LevelInfo, "group", "summary").Most(100)
-	evMore         = logging.Define("status.servers_more", slog.LevelInfo, "group", "servers").Most(100)
+	evGroup        = logging.Define("status.group", slog.LevelInfo, "group", "summary").SetRateLimit(100)
+	evMore         = logging.Define("status.servers_more", slog.LevelInfo, "group", "servers").SetRateLimit(100)
 	evListWaits    = logging.Define("status.inventory", slog.LevelWarn, "error")
 	evListTaken    = logging.Define("inventory.taken", slog.LevelInfo, "servers", "change")
 	evRecord       = logging.Define("record.began", slog.LevelInfo, "file")
@@ -41,7 +41,7 @@
 		"ms",
 		"tries",
 		"server",
-	).Most(
+	).SetRateLimit(
 		1000,
 	)
 	evServer = logging.Define(
@@ -62,7 +62,7 @@
 		"requests",
 		"failed",
 		"changes",
-	).Most(
+	).SetRateLimit(
 		100 * tableMost,
 	)
 )
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	send := func(out []usagereplica.Message) { r.loop.Deliver(func() { r.peers.SendUsage(out) }) }
-	return r.meter.Join(metering.Join{Process: cfg.Process, Send: send, Deliver: r.loop.Deliver})
+	return r.meter.StartReplication(metering.ReplicationConfig{Process: cfg.Process, Send: send, RunOnLoop: r.loop.Deliver})
 }
 
 // endPeers gives the peers' folder back.
@@ -155,10 +155,10 @@
 }
 
 // Receive implements node.UsageReplicas.
-func (a account) Receive(m *usagereplica.Message) { a.r.meter.Hear(m) }
+func (a account) Receive(m *usagereplica.Message) { a.r.meter.Receive(m) }
 
 // SetTable implements node.UsageReplicas.
-func (a account) SetTable(t *placement.Table, life uint64) { a.r.meter.Table(t, life) }
+func (a account) SetTable(t *placement.Table, life uint64) { a.r.meter.SetTable(t, life) }
 
 // Replicate implements node.UsageReplicas.
 func (a account) Replicate(k lifecycle.KeyRecord, done func(error)) {
@@ -167,16 +167,16 @@
 		done(nil)
 		return
 	}
-	u := ledger.Use{
-		At:     a.r.loop.Unix(),
-		School: cmp.Or(k.Tenant, NoSchool),
-		Class:  k.Class,
-		End:    ledger.Served,
-		Work:   k.ServerTime,
+	u := ledger.Record{
+		AnsweredAt: a.r.loop.Unix(),
+		School:     cmp.Or(k.Tenant, NoSchool),
+		Class:      k.Class,
+		Outcome:    ledger.OutcomeServed,
+		Work:       k.ServerTime,
 	}
 	a.r.key(&u, class, k.Key)
 	a.open[usedKey{u.Class, u.School, k.Key}] = true
-	a.r.meter.Promise(u, done)
+	a.r.meter.RecordReplicated(u, done)
 }
 
 // restore takes the keys of earlier lives. Of a run that had begun peers know how it stands, as far
--- a/internal/app/record.go
+++ b/internal/app/record.go
@@ -20,7 +20,7 @@
 	if r.op == nil || r.op.TrafficRecording.Dir == "" {
 		return nil
 	}
-	h := traffic.Head{Runner: r.cfg.Name, Began: r.loop.Unix()}
+	h := traffic.Header{Runner: r.cfg.Name, StartedAt: r.loop.Unix()}
 	for _, c := range r.cfg.Settings.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -30,12 +30,12 @@
 	if len(h.Tenants) == 0 {
 		h.Tenants = []string{""}
 	}
-	path := filepath.Join(r.op.TrafficRecording.Dir, fmt.Sprintf("%s-%d.traffic", r.cfg.Name, h.Began/1_000_000))
+	path := filepath.Join(r.op.TrafficRecording.Dir, fmt.Sprintf("%s-%d.traffic", r.cfg.Name, h.StartedAt/1_000_000))
 	var err error
-	r.rec, err = traffic.Open(
+	r.rec, err = traffic.Create(
 		path,
 		h,
-		traffic.Options{MaxBytes: int64(r.op.TrafficRecording.MaxMB) << 20, Queue: r.op.TrafficRecording.Queue},
+		traffic.Options{MaxBytes: int64(r.op.TrafficRecording.MaxMB) << 20, QueueSize: r.op.TrafficRecording.Queue},
 	)
 	if err != nil {
 		evRecordFailed.Log(err)
@@ -48,21 +48,21 @@
 			return
 		}
 		n := traffic.Request{
-			At:      q.ArrivedAt,
-			Class:   uint16(q.Class),
-			Tenant:  uint16(max(q.Tenant, 0)),
-			Caller:  q.Caller,
-			SizeKB:  float32(q.SizeKB),
-			Rank:    float32(q.Rank),
-			BodyLen: uint32(len(q.Body)),
+			ArrivedAt: q.ArrivedAt,
+			Class:     uint16(q.Class),
+			Tenant:    uint16(max(q.Tenant, 0)),
+			Caller:    q.Caller,
+			SizeKB:    float32(q.SizeKB),
+			Rank:      float32(q.Rank),
+			BodyLen:   uint32(len(q.Body)),
 		}
 		if len(q.Body) > 0 { // or all that carry none would look like tries of one
-			n.Body = xxhash.Sum64(q.Body)
+			n.BodyHash = xxhash.Sum64(q.Body)
 		}
 		if q.Key != "" {
-			n.Key = xxhash.Sum64String(q.Key)
+			n.KeyHash = xxhash.Sum64String(q.Key)
 		}
-		r.rec.Note(n)
+		r.rec.Record(n)
 	}
 }
 
--- a/internal/app/status.go
+++ b/internal/app/status.go
@@ -16,7 +16,7 @@
 // status tells now and then what became of requests, if any came, and how servers stand, if that
 // changed.
 func (r *Program) status() {
-	logging.TellCut()
+	logging.ReportSuppressed()
 	r.tellLost()
 	r.tellSpans()
 	if s := r.core.Stats(); s != r.told {
--- a/internal/app/stored_test.go
+++ b/internal/app/stored_test.go
@@ -45,7 +45,7 @@
 			}},
 			HealthChecks: &node.HealthCheckStatus{Performed: 30, Skipped: 40, Stale: 2},
 		},
-		Accounts:   &metering.Copies{Heirs: map[string]uint64{"n1": 5}, Told: true, Known: 2, Ending: 1, Short: 3},
+		Accounts:   &metering.ReplicationStatus{Replicas: map[string]uint64{"n1": 5}, InSync: true, RemoteAccounts: 2, ExpiringAccounts: 1, UndeliveredStatements: 3},
 		Remembered: []Remembered{{Class: "hand-in", Kind: "served", Seen: 60, Kept: 50}},
 	}
 }
--- a/internal/app/traces.go
+++ b/internal/app/traces.go
@@ -18,16 +18,16 @@
 	}
 	t := &r.op.Traces
 	opt := tracing.Options{
-		File:      t.File,
-		MaxBytes:  t.MaxMB << 20,
-		Queue:     t.Queue,
-		Share:     t.SampleRatio,
-		PerSecond: t.MaxPerSecond,
-		Instance:  r.cfg.Name,
-		Version:   buildinfo.Version(),
-		Ends:      kindNames,
-		Outcomes:  outcomeNames,
-		Class:     r.className,
+		Path:         t.File,
+		MaxBytes:     t.MaxMB << 20,
+		QueueSize:    t.Queue,
+		SampleRatio:  t.SampleRatio,
+		MaxPerSecond: t.MaxPerSecond,
+		Instance:     r.cfg.Name,
+		Version:      buildinfo.Version(),
+		KindNames:    kindNames,
+		OutcomeNames: outcomeNames,
+		ClassName:    r.className,
 	}
 	for _, c := range r.cfg.Settings.Tenants {
 		opt.Tenants = append(opt.Tenants, c.Name)
@@ -43,7 +43,7 @@
 		n++
 	}
 	q := a.Request
-	return r.spans.Place(q.ID, q.ArrivedAt, q.TraceParent).Attempt(n).String()
+	return r.spans.SpanContext(q.ID, q.ArrivedAt, q.TraceParent).Attempt(n).String()
 }
 
 // tellSpans tells of spans that were lost since it was told last.
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -22,31 +22,31 @@
 		return nil
 	}
 	opt := r.op.Usage.Options(r.cfg.Name)
-	opt.Copied = r.op.Peers.Enabled()
+	opt.Replicated = r.op.Peers.Enabled()
 	r.meter, err = metering.Start(opt)
 	return err
 }
 
-var usageEnds = map[lifecycle.Status]ledger.End{
-	0:                    ledger.Gone,
-	lifecycle.Served:     ledger.Served,
-	lifecycle.Rejected:   ledger.Refused,
-	lifecycle.Failed:     ledger.Failed,
-	lifecycle.Expired:    ledger.Late,
-	lifecycle.Conflict:   ledger.Failed,
-	lifecycle.NotFound:   ledger.Failed,
-	lifecycle.ResultLost: ledger.Repeat,
+var usageEnds = map[lifecycle.Status]ledger.Outcome{
+	0:                    ledger.OutcomeAbandoned,
+	lifecycle.Served:     ledger.OutcomeServed,
+	lifecycle.Rejected:   ledger.OutcomeRejected,
+	lifecycle.Failed:     ledger.OutcomeFailed,
+	lifecycle.Expired:    ledger.OutcomeTimedOut,
+	lifecycle.Conflict:   ledger.OutcomeFailed,
+	lifecycle.NotFound:   ledger.OutcomeFailed,
+	lifecycle.ResultLost: ledger.OutcomeDuplicate,
 }
 
 // note counts a request that has been answered. Its answer goes out after that.
 func (r *Program) note(t *lifecycle.Trace) {
 	class := &r.cfg.Settings.Classes[t.Class]
-	u := ledger.Use{
-		At:     t.AnsweredAt,
-		School: NoSchool,
-		Class:  class.Name,
-		End:    usageEnds[t.Status],
-		Again:  t.Cause == lifecycle.CauseDuplicate,
+	u := ledger.Record{
+		AnsweredAt:     t.AnsweredAt,
+		School:         NoSchool,
+		Class:          class.Name,
+		Outcome:        usageEnds[t.Status],
+		KnownDuplicate: t.Cause == lifecycle.CauseDuplicate,
 	}
 	if t.Tenant >= 0 && t.Tenant < len(r.cfg.Settings.Tenants) {
 		u.School = r.cfg.Settings.Tenants[t.Tenant].Name
@@ -54,7 +54,7 @@
 	if t.Key != "" && r.core.IsKeyed(t.Class) {
 		r.key(&u, t.Class, t.Key)
 		// it was counted with the end of its run
-		if k := (usedKey{u.Class, u.School, t.Key}); !u.Again && r.promised[k] {
+		if k := (usedKey{u.Class, u.School, t.Key}); !u.KnownDuplicate && r.promised[k] {
 			delete(r.promised, k)
 			return
 		}
@@ -62,15 +62,15 @@
 	for _, h := range t.Attempts[:min(t.AttemptCount, len(t.Attempts))] {
 		u.Work += h.Duration
 	}
-	r.meter.Note(u)
+	r.meter.Record(u)
 }
 
 // key has a use known by its key.
-func (r *Program) key(u *ledger.Use, class int, key string) {
+func (r *Program) key(u *ledger.Record, class int, key string) {
 	c := &r.cfg.Settings.Classes[class]
-	u.Key = ledger.KeyOf(u.School, u.Class, key)
+	u.Key = ledger.HashKey(u.School, u.Class, key)
 	// A repeat that came at the end of the window is answered within its deadline, or not at all.
-	u.Until = u.At + c.IdempotencyWindow.Microseconds() + c.Timeout.Microseconds()
+	u.KeyExpiresAt = u.AnsweredAt + c.IdempotencyWindow.Microseconds() + c.Timeout.Microseconds()
 }
 
 // Corrected is the answer to a correction.
@@ -86,7 +86,7 @@
 		reply(nil, errNoAccount)
 		return
 	}
-	if err := r.meter.Ask(func(l *ledger.Ledger) {
+	if err := r.meter.Inspect(func(l *ledger.Ledger) {
 		s := l.Summary()
 		r.loop.Deliver(func() { reply(s, nil) })
 	}); err != nil {
--- a/internal/config/usage.go
+++ b/internal/config/usage.go
@@ -46,15 +46,15 @@
 func (u *Usage) Options(instance string) metering.Options {
 	const second = 1_000_000
 	return metering.Options{
-		Dir:     u.Dir,
-		Records: u.Queue,
-		Every:   u.FlushIntervalS * second,
+		Dir:          u.Dir,
+		RingCapacity: u.Queue,
+		SaveInterval: u.FlushIntervalS * second,
 		Settings: ledger.Settings{Instance: instance,
-			Period: u.PeriodMin * 60 * second,
-			Slice:  u.SliceS * second,
-			Grace:  u.GraceS * second,
-			Keys:   u.Keys,
-			Lines:  u.Lines},
+			Period:   u.PeriodMin * 60 * second,
+			Slice:    u.SliceS * second,
+			Grace:    u.GraceS * second,
+			MaxKeys:  u.Keys,
+			MaxLines: u.Lines},
 	}
 }
 
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -257,7 +257,7 @@
 		Host{Now: clock, Unix: clock, SetHealth: func(_, _ bool) {}, Advertise: func(float64) {}, CloseIdle: func(int64) {},
 			After:   c.after,
 			Measure: func(fn func(Gauges)) { fn(UnknownGauges()) },
-			Route:   func(int) Runner { return c }, ShouldRetry: func(t RetryCandidate) bool { return t.Attempts < tries && t.Remaining > 0 }, Dependency: c, Log: func(e *logging.Event, values ...any) { t.Log(e.Text(values...)) },
+			Route:   func(int) Runner { return c }, ShouldRetry: func(t RetryCandidate) bool { return t.Attempts < tries && t.Remaining > 0 }, Dependency: c, Log: func(e *logging.Event, values ...any) { t.Log(e.FormatLine(values...)) },
 			Reservations: claims, Incarnation: life,
 			OnAnswered: func(tr *Trace) { c.trails = append(c.trails, tr) }},
 	)
--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -101,8 +101,8 @@
 		Period:   10 * sec,
 		Slice:    5 * sec,
 		Grace:    sec,
-		Keys:     40,
-		Lines:    30,
+		MaxKeys:  40,
+		MaxLines: 30,
 	}
 }
 
@@ -112,7 +112,7 @@
 	r.life++
 	r.process++
 	if r.old != nil {
-		led, _, err := ledger.Recall(w.settings(r), r.old)
+		led, _, err := ledger.Decode(w.settings(r), r.old)
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 	}
 	r.led = ledger.New(w.settings(r), fmt.Sprintf("%s-%d", r.name, r.process), w.now)
 	r.seals, r.uses, r.table = map[uint64]uint64{}, nil, nil
-	r.w = NewPrimary(r.name, r.led.Life(), r.process, w.settings(r), func() []byte { return r.led.Keep(0) })
+	r.w = NewPrimary(r.name, r.led.Incarnation(), r.process, w.settings(r), func() []byte { return r.led.Encode(0) })
 	r.shelf = NewStatementStore(r.name, r.process, slices.Sorted(maps.Keys(r.files)))
 	r.heir = NewReplica(r.name)
 	w.change(
@@ -135,14 +135,14 @@
 			},
 		},
 	)
-	r.old = r.led.Keep(0)
+	r.old = r.led.Encode(0)
 }
 
 func (w *world) end(r *runner, led *ledger.Ledger) {
-	last := led.End()
-	for s, _ := led.Next(); s != nil; s, _ = led.Next() {
-		r.files[s.Name()] = s
-		led.Exported(s)
+	last := led.Finish()
+	for s, _ := led.NextStatement(); s != nil; s, _ = led.NextStatement() {
+		r.files[s.FileName()] = s
+		led.MarkExported(s)
 	}
 	_ = last // it is among those
 }
@@ -159,7 +159,7 @@
 	case wipe:
 		r.old, r.files = nil, map[string]*ledger.Statement{}
 	case !old:
-		r.old = r.led.Keep(0)
+		r.old = r.led.Encode(0)
 	}
 	w.change(
 		placement.Change{Kind: placement.ChangeLost, Member: placement.Member{Name: r.name, Incarnation: r.life}},
@@ -175,7 +175,7 @@
 	}
 	for i, step := range r.uses {
 		if step <= kept {
-			w.kept[r.led.Life()] = i + 1
+			w.kept[r.led.Incarnation()] = i + 1
 		}
 	}
 }
@@ -285,37 +285,37 @@
 	}
 	if w.r.IntN(4) == 0 {
 		w.key++
-		u := ledger.Use{
-			At:     w.now,
-			School: r.led.Life(),
-			Class:  "hand-in",
-			End:    ledger.Served,
-			Key:    w.key,
-			Until:  w.now + 20*sec,
-			Work:   7,
+		u := ledger.Record{
+			AnsweredAt:   w.now,
+			School:       r.led.Incarnation(),
+			Class:        "hand-in",
+			Outcome:      ledger.OutcomeServed,
+			Key:          w.key,
+			KeyExpiresAt: w.now + 20*sec,
+			Work:         7,
 		}
 		r.led.Add(u)
 		r.uses = append(r.uses, r.w.Append(Operation{Use: &u}))
-		w.counted[r.led.Life()]++
+		w.counted[r.led.Incarnation()]++
 	}
 	if w.r.IntN(500) == 0 {
-		r.led.Lost(1)
+		r.led.AddLost(1)
 		r.w.Append(Operation{LostUses: 1})
 	}
 	if s := r.led.Seal(w.now); s != nil {
 		r.seals[s.Seq] = r.w.Append(Operation{SealDigest: s.Digest(), At: w.now})
 	}
 	if w.r.IntN(20) == 0 { // the disk
-		r.old = r.led.Keep(0)
+		r.old = r.led.Encode(0)
 	}
-	for s, _ := r.led.Next(); s != nil && (r.seals[s.Seq] <= r.w.ReplicatedSeq() || w.broken.tellAtOnce); s, _ = r.led.Next() {
-		r.files[s.Name()] = s
-		r.shelf.AddOwn(s.Name())
-		r.led.Exported(s)
-		r.old = r.led.Keep(0)
+	for s, _ := r.led.NextStatement(); s != nil && (r.seals[s.Seq] <= r.w.ReplicatedSeq() || w.broken.tellAtOnce); s, _ = r.led.NextStatement() {
+		r.files[s.FileName()] = s
+		r.shelf.AddOwn(s.FileName())
+		r.led.MarkExported(s)
+		r.old = r.led.Encode(0)
 		if w.r.IntN(2) == 0 { // somebody takes it away at once
-			w.taken[s.Name()] = s
-			delete(r.files, s.Name())
+			w.taken[s.FileName()] = s
+			delete(r.files, s.FileName())
 		}
 	}
 	if w.broken.dropAtOnce {
@@ -327,7 +327,7 @@
 	r.w.Tick(w.now)
 	r.heir.Tick(w.now)
 	for _, s := range r.heir.TakeStatements() {
-		r.files[s.Name()] = s.Statement
+		r.files[s.FileName()] = s.Statement
 		r.shelf.AddReplicated(&s)
 	}
 	if !w.broken.noShelf {
@@ -344,7 +344,7 @@
 	var list []*ledger.Statement
 	add := func(s *ledger.Statement) {
 		list = append(list, s)
-		seen[s.Name()] = true
+		seen[s.FileName()] = true
 	}
 	for _, s := range w.taken {
 		add(s)
@@ -354,7 +354,7 @@
 			w.promised(r)
 			w.end(r, r.led)
 		} else if r.old != nil {
-			led, _, err := ledger.Recall(w.settings(r), r.old)
+			led, _, err := ledger.Decode(w.settings(r), r.old)
 			if err != nil {
 				w.t.Fatal(err)
 			}
@@ -367,18 +367,18 @@
 	if w.broken.firstLast {
 		last := map[string]bool{}
 		list = slices.DeleteFunc(list, func(s *ledger.Statement) bool {
-			name := fmt.Sprint(s.Life, s.Seq)
+			name := fmt.Sprint(s.Incarnation, s.Seq)
 			had := last[name]
-			last[name] = last[name] || s.Last
-			return s.Last && had
+			last[name] = last[name] || s.Final
+			return s.Final && had
 		})
 	}
-	b, err := ledger.Reconcile(list, ledger.Terms{})
+	b, err := ledger.Reconcile(list, ledger.BillingTerms{})
 	if err != nil {
 		return err.Error(), false
 	}
 	for _, p := range b.Problems {
-		if !strings.Contains(p.What, "were lost") && !strings.Contains(p.What, "does not list") {
+		if !strings.Contains(p.Description, "were lost") && !strings.Contains(p.Description, "does not list") {
 			return p.String(), false
 		}
 	}
@@ -386,8 +386,8 @@
 	for _, l := range b.Lines {
 		served[l.School] += int(l.Served)
 	}
-	if b.Twice > 0 {
-		return fmt.Sprint(b.Twice, " are in two accounts"), false
+	if b.DeduplicatedRuns > 0 {
+		return fmt.Sprint(b.DeduplicatedRuns, " are in two accounts"), false
 	}
 	billed, promised, counted := 0, 0, 0
 	for life, n := range w.counted {
--- a/internal/peers/usagereplica/message.go
+++ b/internal/peers/usagereplica/message.go
@@ -17,7 +17,7 @@
 
 // Operation is one thing that happens to an account; one of its parts is there.
 type Operation struct {
-	Use        *ledger.Use        `cbor:"1,keyasint,omitempty"`
+	Use        *ledger.Record     `cbor:"1,keyasint,omitempty"`
 	Correction *ledger.Correction `cbor:"2,keyasint,omitempty"`
 	LostUses   uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
 	// the digest of the statement that settles what has ended
@@ -40,9 +40,9 @@
 		if told == nil || told.Digest() != s.SealDigest {
 			return nil, false
 		}
-		l.Exported(told)
+		l.MarkExported(told)
 	default:
-		l.Lost(s.LostUses)
+		l.AddLost(s.LostUses)
 	}
 	return told, true
 }
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -77,8 +77,8 @@
 		h.applyOperations(m)
 	case MsgStatement:
 		s, err := ledger.ParseStatement(m.Name, m.Bytes)
-		if err == nil && s.Name() != m.Name {
-			err = errors.New("accounts: " + m.Name + " is " + s.Name())
+		if err == nil && s.FileName() != m.Name {
+			err = errors.New("accounts: " + m.Name + " is " + s.FileName())
 		}
 		if err != nil {
 			h.errs = append(h.errs, err)
@@ -168,9 +168,9 @@
 		h.sendProgress(m, m.Seq, len(e.parts), m.Parts)
 		return
 	}
-	led, _, err := ledger.Recall(m.Settings, slices.Concat(e.parts...))
+	led, _, err := ledger.Decode(m.Settings, slices.Concat(e.parts...))
 	e.parts = nil
-	if err == nil && (led.Life() != m.Ledger || m.Settings.Instance != m.From) {
+	if err == nil && (led.Incarnation() != m.Ledger || m.Settings.Instance != m.From) {
 		err = errors.New("accounts: an account of " + m.Settings.Instance + " from " + m.From)
 	}
 	if err != nil {
@@ -178,9 +178,9 @@
 		return
 	}
 	e.ledger, e.seq, e.snapshotID = led, m.Seq, m.SnapshotID
-	for s, _ := led.Next(); s != nil; s, _ = led.Next() { // they may not have their names there
+	for s, _ := led.NextStatement(); s != nil; s, _ = led.NextStatement() { // they may not have their names there
 		h.statements = append(h.statements, OwnedStatement{e.owner, e.process, s})
-		led.Exported(s)
+		led.MarkExported(s)
 	}
 	h.sendProgress(m, e.seq, 0, 0)
 }
@@ -214,7 +214,7 @@
 		if e.ledger == nil {
 			continue
 		}
-		if s := e.ledger.End(); s != nil {
+		if s := e.ledger.Finish(); s != nil {
 			h.statements = append(h.statements, OwnedStatement{e.owner, e.process, s})
 		}
 	}
--- a/internal/peers/usagereplica/statement_store.go
+++ b/internal/peers/usagereplica/statement_store.go
@@ -48,7 +48,7 @@
 
 // Owner notes a statement that a runner's process gave, or that came of playing its account.
 func (s *StatementStore) AddReplicated(p *OwnedStatement) {
-	s.add(p.Name(), placement.Member{Name: p.Owner, Process: p.Process})
+	s.add(p.FileName(), placement.Member{Name: p.Owner, Process: p.Process})
 }
 
 func (s *StatementStore) add(name string, giver placement.Member) {
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -56,13 +56,13 @@
 		}
 		r.tenants = append(r.tenants, i)
 	}
-	r.requests, r.Further = rec.FirstTries(
+	r.requests, r.Further = rec.FirstAttempts(
 		func(class int) int64 { return int64(s.Classes[r.classes[class]].DeadlineMs * 1000) },
 	)
-	r.began = r.requests[0].At
+	r.began = r.requests[0].ArrivedAt
 	out := *s
 	out.replay = r
-	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].At-r.began+1) / second)
+	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.began+1) / second)
 	if out.LengthS > 86_400 {
 		return nil, nil, fmt.Errorf("day: the recording spans %.0f s, more than a day", out.LengthS)
 	}
@@ -80,12 +80,12 @@
 		copies := int(r.rate + Unit(d.Seed, "copies", uint64(i)))
 		for k := range copies {
 			id++
-			at := q.At - r.began
+			at := q.ArrivedAt - r.began
 			if k > 0 {
 				at += int64((2*Unit(d.Seed, "jitter", id) - 1) * jitter)
 			}
 			if at < 0 || at >= d.Length {
-				at = q.At - r.began
+				at = q.ArrivedAt - r.began
 			}
 			a := Arrival{
 				At:       at,
@@ -112,8 +112,8 @@
 
 // Record gives the traffic of a day as a recording, as if one runner had read it all without
 // further tries.
-func (d *Day) Record(began int64) (h traffic.Head, requests []traffic.Request) {
-	h = traffic.Head{Runner: d.Spec.Name, Began: began}
+func (d *Day) Record(began int64) (h traffic.Header, requests []traffic.Request) {
+	h = traffic.Header{Runner: d.Spec.Name, StartedAt: began}
 	for _, c := range d.Spec.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -122,17 +122,17 @@
 	}
 	for _, a := range d.Arrivals {
 		q := traffic.Request{
-			At:      began + a.At,
-			Class:   uint16(a.Class),
-			Tenant:  uint16(a.Tenant),
-			Caller:  uint32(a.Balancer),
-			SizeKB:  float32(a.SizeKB),
-			Rank:    float32(a.Rank),
-			Body:    Mix(d.Seed, "body", a.ID),
-			BodyLen: 8,
+			ArrivedAt: began + a.At,
+			Class:     uint16(a.Class),
+			Tenant:    uint16(a.Tenant),
+			Caller:    uint32(a.Balancer),
+			SizeKB:    float32(a.SizeKB),
+			Rank:      float32(a.Rank),
+			BodyHash:  Mix(d.Seed, "body", a.ID),
+			BodyLen:   8,
 		}
 		if d.Spec.Classes[a.Class].Effect == "keyed" {
-			q.Key = Mix(d.Seed, "key", a.ID)
+			q.KeyHash = Mix(d.Seed, "key", a.ID)
 		}
 		requests = append(requests, q)
 	}
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -13,7 +13,7 @@
 func recording(t *testing.T, s *Spec) *traffic.Recording {
 	t.Helper()
 	h, requests := Draw(s, 1).Record(1_764_576_000_000_000)
-	return &traffic.Recording{Head: h, Requests: requests}
+	return &traffic.Recording{Header: h, Requests: requests}
 }
 
 // Recorded traffic comes again as it was: times, classes, tenants, balancers, sizes and ranks. Its
@@ -82,7 +82,7 @@
 	rec := recording(t, s)
 	n := len(rec.Requests)
 	for _, q := range rec.Requests[:n/2] { // each of the first half is tried again a second later
-		q.At += second
+		q.ArrivedAt += second
 		rec.Requests = append(rec.Requests, q)
 	}
 	again, r, err := s.WithTraffic(rec, 1)
@@ -105,7 +105,7 @@
 		},
 		{func(r *traffic.Recording) { r.Tenants[0] = "x" }, 1, `a tenant "x", which plain does not name`},
 		{func(r *traffic.Recording) { r.Requests = nil }, 1, "holds no requests"},
-		{func(r *traffic.Recording) { r.Requests[0].At = 0 }, 1, "more than a day"},
+		{func(r *traffic.Recording) { r.Requests[0].ArrivedAt = 0 }, 1, "more than a day"},
 		{func(*traffic.Recording) {}, 0, "a rate of 0 times"},
 		{func(*traffic.Recording) {}, math.NaN(), "a rate of NaN times"},
 	} {
--- a/internal/simulator/fleet/core.go
+++ b/internal/simulator/fleet/core.go
@@ -56,7 +56,7 @@
 			s.opt.Log(
 				s.now(),
 				l.r.spec.Name,
-				e.Text(values...),
+				e.FormatLine(values...),
 			)
 		},
 		KeyLimits: s.opt.Limits,
--- a/internal/telemetry/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -18,8 +18,8 @@
 // Entry is one request. Its texts are cut to a length, so that an entry has a bound.
 type Entry struct {
 	lifecycle.Trace
-	Number uint64 // in the order of answers
-	Stands int    // for so many of its stratum: it is one in so many
+	Seq        uint64 // in the order of answers
+	Represents int    // for so many of its stratum: it is one in so many
 }
 
 const (
@@ -45,8 +45,8 @@
 	skipped int   // since the last that was taken
 }
 
-// Record is the entries.
-type Record struct {
+// RequestLog is the entries.
+type RequestLog struct {
 	most    int
 	keyed   func(class int) bool
 	rand    *rand.Rand
@@ -58,8 +58,8 @@
 }
 
 // New makes a record of at most so many bytes. keyed tells which classes have an effect.
-func New(bytes int, keyed func(class int) bool, seed uint64) *Record {
-	return &Record{
+func New(bytes int, keyed func(class int) bool, seed uint64) *RequestLog {
+	return &RequestLog{
 		most:   max(bytes/EntrySize, 1),
 		keyed:  keyed,
 		rand:   rand.New(rand.NewPCG(seed, 5)),
@@ -67,14 +67,14 @@
 	}
 }
 
-// Most is how many entries there is room for, and Len how many there are.
-func (r *Record) Most() int { return r.most }
+// Capacity is how many entries there is room for, and Len how many there are.
+func (r *RequestLog) Capacity() int { return r.most }
 
 // Len is how many entries there are.
-func (r *Record) Len() int { return r.len }
+func (r *RequestLog) Len() int { return r.len }
 
 // part is how much of the room a stratum has beside others.
-func (r *Record) part(s strand) float64 {
+func (r *RequestLog) part(s strand) float64 {
 	part := 1.0
 	if s.kind != lifecycle.Served {
 		part *= 4
@@ -90,7 +90,7 @@
 const plenty = 100
 
 // Add takes a request that was answered, at that Unix time in microseconds.
-func (r *Record) Add(t *lifecycle.Trace, now int64) {
+func (r *RequestLog) Add(t *lifecycle.Trace, now int64) {
 	key := strand{t.Class, t.Status}
 	s := r.strata[key]
 	if s == nil {
@@ -114,7 +114,7 @@
 		}
 	}
 	r.numbers++
-	e := &Entry{Trace: *t, Number: r.numbers, Stands: s.skipped + 1}
+	e := &Entry{Trace: *t, Seq: r.numbers, Represents: s.skipped + 1}
 	s.skipped = 0
 	e.ID, e.Key, e.OriginalID = short(e.ID), short(e.Key), short(e.OriginalID)
 	for i := range e.Attempts {
@@ -135,7 +135,7 @@
 }
 
 // giveUp drops the oldest entry of the stratum that is furthest over its part.
-func (r *Record) giveUp() {
+func (r *RequestLog) giveUp() {
 	var worst *stratum
 	over := 0.0
 	for _, s := range r.order {
@@ -158,7 +158,7 @@
 	NotServed bool
 	Cause     lifecycle.Cause
 	From, To  int64 // Unix time of the answer
-	Most      int
+	Limit     int
 }
 
 func (q *Query) takes(e *Entry) bool {
@@ -171,9 +171,9 @@
 
 // Find gives the newest of the requests that are asked for, the newest first. Whoever asks by a
 // name gets those that repeat it as well; a name that was used again gets all of its uses.
-func (r *Record) Find(q Query) []*Entry {
+func (r *RequestLog) Find(q Query) []*Entry {
 	var out []*Entry
-	most := cmp.Or(q.Most, 20)
+	most := cmp.Or(q.Limit, 20)
 	for _, s := range r.order {
 		n := 0
 		for _, e := range slices.Backward(s.entries) {
@@ -186,20 +186,20 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *Entry) int { return cmp.Compare(b.Number, a.Number) })
+	slices.SortFunc(out, func(a, b *Entry) int { return cmp.Compare(b.Seq, a.Seq) })
 	return out[:min(len(out), most)]
 }
 
 // Stratum is what is known of a class and an end.
 type Stratum struct {
-	Class int
-	Kind  lifecycle.Status
-	Seen  uint64 // since the start
-	Kept  int
+	Class    int
+	Kind     lifecycle.Status
+	Seen     uint64 // since the start
+	Retained int
 }
 
 // Strata are all of them.
-func (r *Record) Strata() (out []Stratum) {
+func (r *RequestLog) Strata() (out []Stratum) {
 	for _, s := range r.order {
 		out = append(out, Stratum{s.class, s.kind, s.seen, len(s.entries)})
 	}
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -29,7 +29,7 @@
 func TestAFlood(t *testing.T) {
 	r := New(1000*EntrySize, keyed, 1)
 	now := int64(1)
-	for n := range 10 * r.Most() {
+	for n := range 10 * r.Capacity() {
 		now += 10 // 100,000 a second
 		r.Add(trail(n, check, lifecycle.Served), now)
 		if n%5 == 0 {
@@ -39,24 +39,24 @@
 			r.Add(trail(n, handIn, lifecycle.Rejected), now)
 		}
 	}
-	if r.Len() > r.Most() {
-		t.Errorf("%d entries of %d", r.Len(), r.Most())
+	if r.Len() > r.Capacity() {
+		t.Errorf("%d entries of %d", r.Len(), r.Capacity())
 	}
-	got := r.Find(Query{Class: handIn, Kind: lifecycle.Rejected, Most: 100})
+	got := r.Find(Query{Class: handIn, Kind: lifecycle.Rejected, Limit: 100})
 	if len(got) != 100 {
 		t.Fatalf("%d refused hand-ins are explained", len(got))
 	}
 	for i, e := range got {
-		if want := 10*r.Most() - 50*(i+1); e.AnsweredAt != int64(want) {
+		if want := 10*r.Capacity() - 50*(i+1); e.AnsweredAt != int64(want) {
 			t.Fatalf("number %d is %d, want %d", i, e.AnsweredAt, want)
 		}
 	}
-	served := r.Find(Query{Class: check, Kind: lifecycle.Served, Most: 1})
-	if len(served) != 1 || served[0].Stands < 2 {
+	served := r.Find(Query{Class: check, Kind: lifecycle.Served, Limit: 1})
+	if len(served) != 1 || served[0].Represents < 2 {
 		t.Errorf("of a flood of served ones: %+v", served)
 	}
 	for _, s := range r.Strata() {
-		if s.Class == check && s.Kind == lifecycle.Served && s.Seen != uint64(10*r.Most()) {
+		if s.Class == check && s.Kind == lifecycle.Served && s.Seen != uint64(10*r.Capacity()) {
 			t.Errorf("%d are counted", s.Seen)
 		}
 	}
@@ -76,10 +76,10 @@
 				lifecycle.Status(rapid.IntRange(0, 3).Draw(rt, "kind")),
 			)
 			r.Add(tr, now)
-			if r.Len() > r.Most() {
-				rt.Fatalf("%d of %d", r.Len(), r.Most())
+			if r.Len() > r.Capacity() {
+				rt.Fatalf("%d of %d", r.Len(), r.Capacity())
 			}
-			if got := r.Find(Query{Name: tr.ID, Class: -1}); tr.Status != lifecycle.Served && r.Most() > 8 &&
+			if got := r.Find(Query{Name: tr.ID, Class: -1}); tr.Status != lifecycle.Served && r.Capacity() > 8 &&
 				len(got) != 1 {
 				rt.Fatalf("the newest is found %d times", len(got))
 			}
@@ -102,7 +102,7 @@
 		q    Query
 		want int
 	}{{Query{Name: again.OriginalID, Class: -1}, 4}, {Query{Key: strings.Repeat("k", 100), Class: handIn}, 3}, {Query{Class: -1, NotServed: true, From: 101}, 2},
-		{Query{Class: check}, 0}, {Query{Class: -1, Cause: lifecycle.CauseInterrupted, To: 100}, 2}, {Query{Class: -1, Most: 1}, 1}} {
+		{Query{Class: check}, 0}, {Query{Class: -1, Cause: lifecycle.CauseInterrupted, To: 100}, 2}, {Query{Class: -1, Limit: 1}, 1}} {
 		if got := r.Find(c.q); len(got) != c.want {
 			t.Errorf("%+v: %d", c.q, len(got))
 		}
--- a/internal/telemetry/logging/event.go
+++ b/internal/telemetry/logging/event.go
@@ -58,8 +58,8 @@
 	return e
 }
 
-// Most lets so many lines through in a second, in place of 10. The rest is counted.
-func (e *Event) Most(lines int) *Event {
+// SetRateLimit lets so many lines through in a second, in place of 10. The rest is counted.
+func (e *Event) SetRateLimit(lines int) *Event {
 	e.most = lines
 	return e
 }
@@ -107,9 +107,9 @@
 	return left, true
 }
 
-// TellCut tells of the lines that were left out of floods that are over. The next line of such a
+// ReportSuppressed tells of the lines that were left out of floods that are over. The next line of such a
 // kind may never come.
-func TellCut() {
+func ReportSuppressed() {
 	now := time.Now()
 	for _, e := range Events() {
 		e.mu.Lock()
@@ -155,8 +155,8 @@
 	return out
 }
 
-// Text is the event on one line, where it goes to no log: the model has some of its own.
-func (e *Event) Text(values ...any) string {
+// FormatLine is the event on one line, where it goes to no log: the model has some of its own.
+func (e *Event) FormatLine(values ...any) string {
 	var b strings.Builder
 	b.WriteString(e.Name)
 	for _, a := range e.attrs(values) {
--- a/internal/telemetry/logging/logs.go
+++ b/internal/telemetry/logging/logs.go
@@ -66,7 +66,7 @@
 
 // Close writes what waits, unless that takes too long.
 func (l *Writer) Close() {
-	TellCut()
+	ReportSuppressed()
 	late := time.After(time.Second)
 	select {
 	case l.lines <- nil:
--- a/internal/telemetry/logging/logs_test.go
+++ b/internal/telemetry/logging/logs_test.go
@@ -48,8 +48,8 @@
 			for range 15 {
 				evBad.Log(1, 2)
 			}
-			TellCut()
-			TellCut()
+			ReportSuppressed()
+			ReportSuppressed()
 		})
 		if n := strings.Count(out, "event=test.bad peer=1 state=2\n"); n != 20 {
 			t.Errorf("%d lines", n)
@@ -78,7 +78,7 @@
 			}
 		}
 	})
-	if got := evBad.Text("x", state(1)); got != "test.bad peer=x state=in service" {
+	if got := evBad.FormatLine("x", state(1)); got != "test.bad peer=x state=in service" {
 		t.Error(got)
 	}
 }
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -11,12 +11,12 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// Gauge is a figure of the moment.
-type Gauge struct {
+// Sample is a figure of the moment.
+type Sample struct {
 	Name, Help string
 	Labels     map[string]string
 	Value      float64
-	Total      bool // it only grows
+	Monotonic  bool // it only grows
 }
 
 // Metrics are the figures of one program. They are used on the loop.
@@ -28,7 +28,7 @@
 	tries    *prometheus.CounterVec
 	class    func(int) string
 	ends     map[lifecycle.Status]string
-	now      func() []Gauge
+	now      func() []Sample
 }
 
 // seconds are the bounds of latencies: a few milliseconds to the longest deadlines.
@@ -36,7 +36,7 @@
 
 // New makes the figures of a program. class names the class at a place. now gives those of the
 // moment.
-func New(class func(int) string, ends map[lifecycle.Status]string, now func() []Gauge) *Metrics {
+func New(class func(int) string, ends map[lifecycle.Status]string, now func() []Sample) *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), class: class, ends: ends, now: now}
 	m.took = prometheus.NewHistogramVec(
 		prometheus.HistogramOpts{Name: "ryepaddle_request_seconds", Buckets: seconds,
@@ -56,9 +56,9 @@
 	return m
 }
 
-// Add counts a request that was answered. Its id goes with the latency as an exemplar, by which it
+// Observe counts a request that was answered. Its id goes with the latency as an exemplar, by which it
 // can be explained.
-func (m *Metrics) Add(t *lifecycle.Trace) {
+func (m *Metrics) Observe(t *lifecycle.Trace) {
 	class, end := m.class(t.Class), m.ends[t.Status]
 	observe(m.took.WithLabelValues(class, end), t.AnsweredAt-t.ArrivedAt, t.ID)
 	if t.StartedAt > 0 {
@@ -93,7 +93,7 @@
 func (c moment) Collect(ch chan<- prometheus.Metric) {
 	for _, g := range c.m.now() {
 		kind := prometheus.GaugeValue
-		if g.Total {
+		if g.Monotonic {
 			kind = prometheus.CounterValue
 		}
 		var names, values []string
--- a/internal/telemetry/tracing/sample.go
+++ b/internal/telemetry/tracing/sample.go
@@ -26,8 +26,8 @@
 	return &Sampler{perSecond: perSecond, strata: map[stratum]*rate.Limiter{}}
 }
 
-// Keep decides about a request that was answered just now, by Unix time.
-func (s *Sampler) Keep(t *lifecycle.Trace, chosen bool, now int64) bool {
+// Sample decides about a request that was answered just now, by Unix time.
+func (s *Sampler) Sample(t *lifecycle.Trace, chosen bool, now int64) bool {
 	if !chosen && (t.Status == lifecycle.Served || t.Status == lifecycle.ResultLost) {
 		return false
 	}
--- a/internal/telemetry/tracing/traces.go
+++ b/internal/telemetry/tracing/traces.go
@@ -22,17 +22,17 @@
 
 // Options are what is written, and where.
 type Options struct {
-	File      string
-	MaxBytes  int64   // of the file; one that was full before stays beside it
-	Queue     int     // requests in memory whose spans are not yet written
-	Share     float64 // of the requests that no caller decided about
-	PerSecond int     // requests of a class and an end
-	Instance  string
-	Version   string
-	Class     func(class int) string // its name; it is asked beside the loop
-	Tenants   []string
-	Ends      map[lifecycle.Status]string
-	Outcomes  map[lifecycle.Outcome]string
+	Path         string
+	MaxBytes     int64   // of the file; one that was full before stays beside it
+	QueueSize    int     // requests in memory whose spans are not yet written
+	SampleRatio  float64 // of the requests that no caller decided about
+	MaxPerSecond int     // requests of a class and an end
+	Instance     string
+	Version      string
+	ClassName    func(class int) string // its name; it is asked beside the loop
+	Tenants      []string
+	KindNames    map[lifecycle.Status]string
+	OutcomeNames map[lifecycle.Outcome]string
 }
 
 // Lost counts requests whose spans were not written, and why.
@@ -64,12 +64,12 @@
 func Start(opt Options) (*Recorder, error) {
 	r := &Recorder{
 		opt:     opt,
-		sampler: NewSampler(opt.PerSecond),
-		queue:   make(chan entry, opt.Queue),
+		sampler: NewSampler(opt.MaxPerSecond),
+		queue:   make(chan entry, opt.QueueSize),
 		done:    make(chan struct{}),
 	}
 	var err error
-	if r.out, err = openFile(opt.File, opt.MaxBytes); err != nil {
+	if r.out, err = openFile(opt.Path, opt.MaxBytes); err != nil {
 		return nil, err
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(&r.buf))
@@ -93,10 +93,10 @@
 	return r, nil
 }
 
-// Add has the spans of a request written, if it is one of those that are chosen. It never waits.
-func (r *Recorder) Add(t *lifecycle.Trace, now int64) {
-	at := r.Place(t.ID, t.ArrivedAt, t.TraceParent)
-	if !r.sampler.Keep(t, at.Sampled, now) {
+// Record has the spans of a request written, if it is one of those that are chosen. It never waits.
+func (r *Recorder) Record(t *lifecycle.Trace, now int64) {
+	at := r.SpanContext(t.ID, t.ArrivedAt, t.TraceParent)
+	if !r.sampler.Sample(t, at.Sampled, now) {
 		return
 	}
 	e := entry{Trace: *t, at: at}
@@ -108,9 +108,9 @@
 	}
 }
 
-// Place is where a request stands, by its name, its arrival and what its caller said of its trace.
-func (r *Recorder) Place(name string, arrived int64, parent string) traceparent.Context {
-	return traceparent.New(r.opt.Instance, name, arrived, parent, r.opt.Share)
+// SpanContext is where a request stands, by its name, its arrival and what its caller said of its trace.
+func (r *Recorder) SpanContext(name string, arrived int64, parent string) traceparent.Context {
+	return traceparent.New(r.opt.Instance, name, arrived, parent, r.opt.SampleRatio)
 }
 
 // Lost tells what was lost so far, and the last error of the file.
@@ -160,10 +160,10 @@
 	}
 	attrs := []attribute.KeyValue{
 		attribute.String("ryepaddle.request", e.ID),
-		attribute.String("ryepaddle.class", r.opt.Class(e.Class)),
+		attribute.String("ryepaddle.class", r.opt.ClassName(e.Class)),
 		attribute.String(
 			"ryepaddle.end",
-			r.opt.Ends[e.Status],
+			r.opt.KindNames[e.Status],
 		),
 		attribute.Int64("ryepaddle.caller", int64(e.Caller)),
 	}
@@ -183,7 +183,7 @@
 			)
 		}
 	}
-	ctx, whole := r.span(ctx, e.at, r.opt.Class(e.Class), trace.SpanKindServer, e.ArrivedAt, attrs)
+	ctx, whole := r.span(ctx, e.at, r.opt.ClassName(e.Class), trace.SpanKindServer, e.ArrivedAt, attrs)
 	if e.Status != lifecycle.Served && e.Status != lifecycle.ResultLost {
 		whole.SetStatus(codes.Error, e.Cause.String())
 	}
@@ -202,10 +202,10 @@
 				attribute.String(
 					"ryepaddle.server",
 					h.Server,
-				), attribute.String("ryepaddle.outcome", r.opt.Outcomes[h.Outcome])},
+				), attribute.String("ryepaddle.outcome", r.opt.OutcomeNames[h.Outcome])},
 		)
 		if h.Outcome != lifecycle.Succeeded && h.Outcome != 0 {
-			try.SetStatus(codes.Error, r.opt.Outcomes[h.Outcome])
+			try.SetStatus(codes.Error, r.opt.OutcomeNames[h.Outcome])
 		}
 		end(try, h.StartedAt, h.StartedAt+h.Duration)
 	}
--- a/internal/telemetry/tracing/traces_test.go
+++ b/internal/telemetry/tracing/traces_test.go
@@ -12,13 +12,13 @@
 
 func options(t testing.TB) Options {
 	return Options{
-		File:      filepath.Join(t.TempDir(), "spans"),
-		MaxBytes:  1 << 20,
-		Queue:     4,
-		PerSecond: 10,
-		Instance:  "n1",
-		Class:     func(i int) string { return []string{"check", "hand-in"}[i] },
-		Ends:      map[lifecycle.Status]string{lifecycle.Rejected: "refused"},
+		Path:         filepath.Join(t.TempDir(), "spans"),
+		MaxBytes:     1 << 20,
+		QueueSize:    4,
+		MaxPerSecond: 10,
+		Instance:     "n1",
+		ClassName:    func(i int) string { return []string{"check", "hand-in"}[i] },
+		KindNames:    map[lifecycle.Status]string{lifecycle.Rejected: "refused"},
 	}
 }
 
@@ -44,7 +44,7 @@
 	s := NewSampler(10)
 	keep := func(kind lifecycle.Status, chosen bool, n int, now int64) (kept int) {
 		for range n {
-			if s.Keep(&lifecycle.Trace{Status: kind}, chosen, now) {
+			if s.Sample(&lifecycle.Trace{Status: kind}, chosen, now) {
 				kept++
 			}
 		}
@@ -66,19 +66,19 @@
 // negative length.
 func TestFileIsBounded(t *testing.T) {
 	opt := options(t)
-	opt.MaxBytes, opt.PerSecond, opt.Queue = 10_000, 1000, 1000
+	opt.MaxBytes, opt.MaxPerSecond, opt.QueueSize = 10_000, 1000, 1000
 	r, err := Start(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 100 {
-		r.Add(refused(), 0)
+		r.Record(refused(), 0)
 	}
 	r.Close(10 * time.Second)
 	if lost, err := r.Lost(); lost != (Lost{}) || err != nil {
 		t.Errorf("%+v, %v", lost, err)
 	}
-	for _, path := range []string{opt.File, opt.File + ".1"} {
+	for _, path := range []string{opt.Path, opt.Path + ".1"} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -93,14 +93,14 @@
 // A disk that fails costs spans, which are counted, and once it works again they go on.
 func TestADiskThatFails(t *testing.T) {
 	opt := options(t)
-	w, err := openFile(opt.File, 100)
+	w, err := openFile(opt.Path, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := w.write([]byte("first\n")); err != nil {
 		t.Fatal(err)
 	}
-	dir := filepath.Dir(opt.File)
+	dir := filepath.Dir(opt.Path)
 	if err := os.Rename(dir, dir+"-away"); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	if err := w.write(long); err != nil {
 		t.Error(err)
 	}
-	if text, _ := os.ReadFile(opt.File + ".1"); string(text) != "first\n" {
+	if text, _ := os.ReadFile(opt.Path + ".1"); string(text) != "first\n" {
 		t.Errorf("%q", text)
 	}
 	r, err := Start(opt)
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	r.out.f.Close() // whatever is written fails
-	r.Add(refused(), 0)
+	r.Record(refused(), 0)
 	r.Close(10 * time.Second)
 	if lost, err := r.Lost(); lost != (Lost{Errors: 1}) || err == nil {
 		t.Errorf("%+v, %v", lost, err)
@@ -132,9 +132,9 @@
 // What nobody writes does not pile up.
 func TestQueueIsBounded(t *testing.T) {
 	opt := options(t)
-	r := &Recorder{opt: opt, sampler: NewSampler(1000), queue: make(chan entry, opt.Queue)}
+	r := &Recorder{opt: opt, sampler: NewSampler(1000), queue: make(chan entry, opt.QueueSize)}
 	for range 100 {
-		r.Add(refused(), 0)
+		r.Record(refused(), 0)
 	}
 	if lost, _ := r.Lost(); lost.Queue != 96 {
 		t.Errorf("%+v", lost)
@@ -145,7 +145,7 @@
 	for name, share := range map[string]float64{"passed over": 0, "written": 1} {
 		b.Run(name, func(b *testing.B) {
 			opt := options(b)
-			opt.Share, opt.PerSecond, opt.Queue, opt.MaxBytes = share, 1_000_000_000, 1024, 64<<20
+			opt.SampleRatio, opt.MaxPerSecond, opt.QueueSize, opt.MaxBytes = share, 1_000_000_000, 1024, 64<<20
 			r, err := Start(opt)
 			if err != nil {
 				b.Fatal(err)
@@ -155,7 +155,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				t.ArrivedAt = int64(i)
-				r.Add(t, t.ArrivedAt)
+				r.Record(t, t.ArrivedAt)
 			}
 			lost, _ := r.Lost()
 			b.ReportMetric(float64(lost.Queue)/float64(b.N), "lost/op")
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -35,27 +35,27 @@
 	mostFrame = 16 << 20  // a longer one is taken for noise
 )
 
-// Head says whose traffic it is.
-type Head struct {
-	_       struct{} `cbor:",toarray"`
-	Runner  string
-	Began   int64 // Unix time, microseconds
-	Classes []string
-	Tenants []string
+// Header says whose traffic it is.
+type Header struct {
+	_         struct{} `cbor:",toarray"`
+	Runner    string
+	StartedAt int64 // Unix time, microseconds
+	Classes   []string
+	Tenants   []string
 }
 
 // Request is one try that a runner read.
 type Request struct {
-	_       struct{} `cbor:",toarray"`
-	At      int64    // Unix time at which it reached the machine; in a file, since the one before
-	Class   uint16   // of the head's
-	Tenant  uint16
-	Caller  uint32
-	SizeKB  float32
-	Rank    float32
-	Key     uint64 // hash of its dedupe key; 0: none
-	Body    uint64 // hash of its body, by which further tries are told
-	BodyLen uint32
+	_         struct{} `cbor:",toarray"`
+	ArrivedAt int64    // Unix time at which it reached the machine; in a file, since the one before
+	Class     uint16   // of the head's
+	Tenant    uint16
+	Caller    uint32
+	SizeKB    float32
+	Rank      float32
+	KeyHash   uint64 // hash of its dedupe key; 0: none
+	BodyHash  uint64 // hash of its body, by which further tries are told
+	BodyLen   uint32
 }
 
 // Lost counts requests that were not recorded, by why.
@@ -69,8 +69,8 @@
 // Any tells whether anything was lost.
 func (l Lost) Any() bool { return l.Queue+l.Bytes+l.Errors > 0 }
 
-// End closes a file that was finished.
-type End struct {
+// Trailer closes a file that was finished.
+type Trailer struct {
 	_        struct{} `cbor:",toarray"`
 	Requests int64
 	Lost     Lost
@@ -105,14 +105,14 @@
 	last := int64(0)
 	for i, q := range requests {
 		block[i] = q
-		block[i].At = q.At - last
-		last = q.At
+		block[i].ArrivedAt = q.ArrivedAt - last
+		last = q.ArrivedAt
 	}
 	return appendFrame(to, frameBlock, block)
 }
 
 // appendStart begins a file.
-func appendStart(to []byte, h Head) ([]byte, error) {
+func appendStart(to []byte, h Header) ([]byte, error) {
 	to = append(to, magic...)
 	to = binary.LittleEndian.AppendUint16(to, Version)
 	return appendFrame(to, frameHead, h)
@@ -120,17 +120,17 @@
 
 // Recording is what a file holds.
 type Recording struct {
-	Head
-	Requests []Request
-	Lost     Lost
-	Cut      error // why the file ends early; nil: it was finished
-	Backward int   // times that came before the one in front of them
+	Header
+	Requests   []Request
+	Lost       Lost
+	Truncation error // why the file ends early; nil: it was finished
+	OutOfOrder int   // times that came before the one in front of them
 }
 
 // Errors of a file that cannot be used at all.
 var (
-	ErrNotTraffic = errors.New("this is no recorded traffic")
-	ErrLater      = errors.New("a later version wrote it")
+	ErrNotRecording = errors.New("this is no recorded traffic")
+	ErrNewerVersion = errors.New("a later version wrote it")
 )
 
 // decoding is strict about sizes: a file is somebody else's word.
@@ -147,17 +147,17 @@
 func Decode(r io.Reader) (*Recording, error) {
 	var start [len(magic) + 2]byte
 	if _, err := io.ReadFull(r, start[:]); err != nil || string(start[:len(magic)]) != magic {
-		return nil, ErrNotTraffic
+		return nil, ErrNotRecording
 	}
 	if v := binary.LittleEndian.Uint16(start[len(magic):]); v > Version {
-		return nil, fmt.Errorf("%w: version %d, this program reads up to %d", ErrLater, v, Version)
+		return nil, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, v, Version)
 	} else if v == 0 {
-		return nil, ErrNotTraffic
+		return nil, ErrNotRecording
 	}
 	rec, at := &Recording{}, int64(len(start))
 	kind, text, err := readFrame(r)
-	if err != nil || kind != frameHead || decoding.Unmarshal(text, &rec.Head) != nil {
-		return nil, fmt.Errorf("%w: its head cannot be read", ErrNotTraffic)
+	if err != nil || kind != frameHead || decoding.Unmarshal(text, &rec.Header) != nil {
+		return nil, fmt.Errorf("%w: its head cannot be read", ErrNotRecording)
 	}
 	at += frameLen + int64(len(text))
 	for {
@@ -167,9 +167,9 @@
 		}
 		switch {
 		case err == io.EOF:
-			rec.Cut = fmt.Errorf("at byte %d: it was not finished", at)
+			rec.Truncation = fmt.Errorf("at byte %d: it was not finished", at)
 		case err != nil:
-			rec.Cut = fmt.Errorf("at byte %d: %w", at, err)
+			rec.Truncation = fmt.Errorf("at byte %d: %w", at, err)
 		case kind != frameEnd:
 			at += frameLen + int64(len(text))
 			continue
@@ -225,15 +225,15 @@
 					q.Tenant,
 				)
 			}
-			q.At += last
-			last = q.At
-			if n := len(rec.Requests); n > 0 && q.At < rec.Requests[n-1].At {
-				rec.Backward++
+			q.ArrivedAt += last
+			last = q.ArrivedAt
+			if n := len(rec.Requests); n > 0 && q.ArrivedAt < rec.Requests[n-1].ArrivedAt {
+				rec.OutOfOrder++
 			}
 			rec.Requests = append(rec.Requests, *q)
 		}
 	case frameEnd:
-		var e End
+		var e Trailer
 		if err := decoding.Unmarshal(text, &e); err != nil {
 			return fmt.Errorf("an end that cannot be read: %w", err)
 		}
--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -16,36 +16,36 @@
 
 const storedFile = "testdata/stored.traffic"
 
-func storedHead() Head {
-	return Head{
-		Runner:  "n3",
-		Began:   1_764_576_000_000_000,
-		Classes: []string{"check", "hand-in"},
-		Tenants: []string{"north", "south"},
+func storedHead() Header {
+	return Header{
+		Runner:    "n3",
+		StartedAt: 1_764_576_000_000_000,
+		Classes:   []string{"check", "hand-in"},
+		Tenants:   []string{"north", "south"},
 	}
 }
 
 func storedRequests() []Request {
 	return []Request{
 		{
-			At: 1_764_576_000_000_100, Class: 1, Tenant: 1, Caller: 77, SizeKB: 1.5, Rank: 0.25, Key: 1<<63 | 3, Body: 1<<62 | 5,
+			ArrivedAt: 1_764_576_000_000_100, Class: 1, Tenant: 1, Caller: 77, SizeKB: 1.5, Rank: 0.25, KeyHash: 1<<63 | 3, BodyHash: 1<<62 | 5,
 			BodyLen: 1_536,
 		},
-		{At: 1_764_576_000_250_000, Caller: 78, SizeKB: 0.125, Body: 9, BodyLen: 128},
-		{At: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, Key: 4, Body: 10, BodyLen: 2_048},
-		{At: 1_764_576_001_000_000, Tenant: 1, Caller: 77, SizeKB: 1, Body: 11, BodyLen: 1_024},
+		{ArrivedAt: 1_764_576_000_250_000, Caller: 78, SizeKB: 0.125, BodyHash: 9, BodyLen: 128},
+		{ArrivedAt: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, KeyHash: 4, BodyHash: 10, BodyLen: 2_048},
+		{ArrivedAt: 1_764_576_001_000_000, Tenant: 1, Caller: 77, SizeKB: 1, BodyHash: 11, BodyLen: 1_024},
 	}
 }
 
 // writeStored records the requests in blocks of three.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
-	r, err := Open(path, storedHead(), Options{MaxBytes: 1 << 20, Queue: 10, Block: 3, Every: time.Hour})
+	r, err := Create(path, storedHead(), Options{MaxBytes: 1 << 20, QueueSize: 10, BlockSize: 3, FlushInterval: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, q := range storedRequests() {
-		r.Note(q)
+		r.Record(q)
 	}
 	if err := r.Close(time.Minute); err != nil {
 		t.Fatal(err)
@@ -67,8 +67,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Recording{Head: storedHead(), Requests: storedRequests(), Backward: 1}
-	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Head{}, Request{}, Lost{})); diff != "" {
+	want := &Recording{Header: storedHead(), Requests: storedRequests(), OutOfOrder: 1}
+	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Header{}, Request{}, Lost{})); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 	again := filepath.Join(t.TempDir(), "again.traffic")
@@ -88,7 +88,7 @@
 
 // What was lost is in the last frame of a file; the figures keep their order.
 func TestEndFrameKeepsItsBytes(t *testing.T) {
-	got, err := appendFrame(nil, frameEnd, End{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
+	got, err := appendFrame(nil, frameEnd, Trailer{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -17,11 +17,11 @@
 	"pgregory.net/rapid"
 )
 
-var head = Head{
-	Runner:  "n3",
-	Began:   1_764_576_000_000_000,
-	Classes: []string{"check", "hand-in"},
-	Tenants: []string{"a", "b"},
+var head = Header{
+	Runner:    "n3",
+	StartedAt: 1_764_576_000_000_000,
+	Classes:   []string{"check", "hand-in"},
+	Tenants:   []string{"a", "b"},
 }
 
 // disk is a file that fails by script.
@@ -61,15 +61,15 @@
 
 func request(i int) Request {
 	return Request{
-		At:      head.Began + int64(i)*1000,
-		Class:   uint16(i % 2),
-		Tenant:  uint16(i / 2 % 2),
-		Caller:  uint32(i),
-		SizeKB:  24.5,
-		Rank:    0.25,
-		Key:     uint64(i % 2 * i),
-		Body:    uint64(i) * 7,
-		BodyLen: 100,
+		ArrivedAt: head.StartedAt + int64(i)*1000,
+		Class:     uint16(i % 2),
+		Tenant:    uint16(i / 2 % 2),
+		Caller:    uint32(i),
+		SizeKB:    24.5,
+		Rank:      0.25,
+		KeyHash:   uint64(i % 2 * i),
+		BodyHash:  uint64(i) * 7,
+		BodyLen:   100,
 	}
 }
 
@@ -78,15 +78,15 @@
 	if opt.MaxBytes == 0 {
 		opt.MaxBytes = 1 << 20
 	}
-	if opt.Queue == 0 {
-		opt.Queue = n + 1
+	if opt.QueueSize == 0 {
+		opt.QueueSize = n + 1
 	}
-	r, err := Record(d, head, opt)
+	r, err := NewRecorder(d, head, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range n {
-		r.Note(request(i))
+		r.Record(request(i))
 	}
 	if err := r.Close(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -111,8 +111,8 @@
 			want = append(
 				want,
 				Request{
-					At:    rapid.Int64Range(0, math.MaxInt64/4).Draw(t, "at"),
-					Class: uint16(rapid.IntRange(0, 1).Draw(t, "class")),
+					ArrivedAt: rapid.Int64Range(0, math.MaxInt64/4).Draw(t, "at"),
+					Class:     uint16(rapid.IntRange(0, 1).Draw(t, "class")),
 					Tenant: uint16(
 						rapid.IntRange(0, 1).Draw(t, "tenant"),
 					),
@@ -125,39 +125,39 @@
 						"size",
 					),
 					Rank: rapid.Float32Range(0, 1).Draw(t, "rank"),
-					Key: rapid.Uint64().Draw(
+					KeyHash: rapid.Uint64().Draw(
 						t,
 						"key",
 					),
-					Body:    rapid.Uint64().Draw(t, "body"),
-					BodyLen: rapid.Uint32().Draw(t, "len"),
+					BodyHash: rapid.Uint64().Draw(t, "body"),
+					BodyLen:  rapid.Uint32().Draw(t, "len"),
 				},
 			)
 		}
 		d := &disk{room: -1}
-		r, err := Record(
+		r, err := NewRecorder(
 			d,
 			head,
-			Options{MaxBytes: 1 << 20, Queue: 100, Block: rapid.IntRange(1, 40).Draw(t, "block")},
+			Options{MaxBytes: 1 << 20, QueueSize: 100, BlockSize: rapid.IntRange(1, 40).Draw(t, "block")},
 		)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, q := range want {
-			r.Note(q)
+			r.Record(q)
 		}
 		if err := r.Close(10 * time.Second); err != nil || !d.closed {
 			t.Fatal(err, d.closed)
 		}
 		rec, err := Decode(bytes.NewReader(d.text))
-		if err != nil || rec.Cut != nil || rec.Lost.Any() {
-			t.Fatal(err, rec.Cut, rec.Lost)
+		if err != nil || rec.Truncation != nil || rec.Lost.Any() {
+			t.Fatal(err, rec.Truncation, rec.Lost)
 		}
 		if diff := cmp.Diff(want, rec.Requests, cmp.AllowUnexported(Request{})); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
-		if rec.Runner != "n3" || rec.Began != head.Began {
-			t.Fatalf("%+v", rec.Head)
+		if rec.Runner != "n3" || rec.StartedAt != head.StartedAt {
+			t.Fatalf("%+v", rec.Header)
 		}
 	})
 }
@@ -165,33 +165,33 @@
 // A file that ends anywhere gives the blocks that are whole, says that it was cut, and where.
 func TestCutAnywhere(t *testing.T) {
 	d := &disk{room: -1}
-	written(t, d, 50, Options{Block: 10})
+	written(t, d, 50, Options{BlockSize: 10})
 	whole := decode(t, d.text)
 	for n := range len(d.text) {
 		rec, err := Decode(bytes.NewReader(d.text[:n]))
 		if err != nil {
-			if !errors.Is(err, ErrNotTraffic) || n > 200 {
+			if !errors.Is(err, ErrNotRecording) || n > 200 {
 				t.Fatalf("cut at %d: %v", n, err)
 			}
 			continue
 		}
-		if rec.Cut == nil || len(rec.Requests)%10 != 0 {
-			t.Fatalf("cut at %d: %d requests, %v", n, len(rec.Requests), rec.Cut)
+		if rec.Truncation == nil || len(rec.Requests)%10 != 0 {
+			t.Fatalf("cut at %d: %d requests, %v", n, len(rec.Requests), rec.Truncation)
 		}
 		if diff := cmp.Diff(whole.Requests[:len(rec.Requests)], rec.Requests, cmp.AllowUnexported(Request{})); diff != "" &&
 			len(rec.Requests) > 0 {
 			t.Fatalf("cut at %d (-want +got)\n%s", n, diff)
 		}
 	}
-	if whole.Cut != nil || len(whole.Requests) != 50 {
-		t.Fatalf("%d requests, %v", len(whole.Requests), whole.Cut)
+	if whole.Truncation != nil || len(whole.Requests) != 50 {
+		t.Fatalf("%d requests, %v", len(whole.Requests), whole.Truncation)
 	}
 }
 
 // A flipped bit is noticed wherever it is, and never changes a request.
 func TestSpoiltAnywhere(t *testing.T) {
 	d := &disk{room: -1}
-	written(t, d, 30, Options{Block: 10})
+	written(t, d, 30, Options{BlockSize: 10})
 	whole := decode(t, d.text)
 	for i := range d.text {
 		spoilt := bytes.Clone(d.text)
@@ -200,7 +200,7 @@
 		if err != nil {
 			continue
 		}
-		if rec.Cut == nil {
+		if rec.Truncation == nil {
 			t.Fatalf("byte %d: not noticed", i)
 		}
 		for k, q := range rec.Requests {
@@ -218,8 +218,8 @@
 		text []byte
 		want error
 	}{
-		{"empty", nil, ErrNotTraffic}, {"text", []byte("name,address\na,b\n"), ErrNotTraffic}, {"later", later, ErrLater},
-		{"no head", append([]byte(magic), 1, 0), ErrNotTraffic},
+		{"empty", nil, ErrNotRecording}, {"text", []byte("name,address\na,b\n"), ErrNotRecording}, {"later", later, ErrNewerVersion},
+		{"no head", append([]byte(magic), 1, 0), ErrNotRecording},
 	} {
 		if _, err := Decode(bytes.NewReader(c.text)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -231,28 +231,28 @@
 	}
 	huge = binary.LittleEndian.AppendUint32(append(huge, frameBlock), 3<<30)
 	huge = append(huge, make([]byte, 20)...)
-	if rec := decode(t, huge); rec.Cut == nil ||
-		!strings.Contains(rec.Cut.Error(), "a frame of 3221225472 bytes") {
-		t.Errorf("%v", rec.Cut)
+	if rec := decode(t, huge); rec.Truncation == nil ||
+		!strings.Contains(rec.Truncation.Error(), "a frame of 3221225472 bytes") {
+		t.Errorf("%v", rec.Truncation)
 	}
 	stranger, err := appendBlock(append([]byte{}, huge[:len(huge)-25]...), []Request{{Class: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rec := decode(t, stranger); rec.Cut == nil || !strings.Contains(rec.Cut.Error(), "class 7") {
-		t.Errorf("%v", rec.Cut)
+	if rec := decode(t, stranger); rec.Truncation == nil || !strings.Contains(rec.Truncation.Error(), "class 7") {
+		t.Errorf("%v", rec.Truncation)
 	}
 }
 
 // A slow disk costs records, counted, and never keeps whoever notes a request waiting.
 func TestASlowDisk(t *testing.T) {
 	d := &disk{room: -1, gate: make(chan struct{})}
-	r, err := Record(d, head, Options{MaxBytes: 1 << 20, Queue: 50, Block: 10})
+	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 50, BlockSize: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		r.Note(request(i)) // would hang here if it waited
+		r.Record(request(i)) // would hang here if it waited
 	}
 	lost := r.Lost().Queue
 	if lost < 900 || lost > 950 {
@@ -265,9 +265,9 @@
 	if err := r.Close(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if rec := decode(t, d.text); rec.Cut != nil || rec.Lost.Queue != lost ||
+	if rec := decode(t, d.text); rec.Truncation != nil || rec.Lost.Queue != lost ||
 		int64(len(rec.Requests)) != 1000-lost {
-		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Cut)
+		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Truncation)
 	}
 }
 
@@ -275,13 +275,13 @@
 // blocks only.
 func TestAFullDisk(t *testing.T) {
 	d := &disk{room: 400}
-	r, err := Record(d, head, Options{MaxBytes: 1 << 20, Queue: 1000, Block: 10})
+	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 1000, BlockSize: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	note := func(from, to int) {
 		for i := from; i < to; i++ {
-			r.Note(request(i))
+			r.Record(request(i))
 		}
 	}
 	note(0, 100)
@@ -300,9 +300,9 @@
 	}
 	rec := decode(t, d.text)
 	lost := r.Lost().Errors
-	if rec.Cut != nil || lost < 10 || lost > 110 || int64(len(rec.Requests)) != 200-lost ||
+	if rec.Truncation != nil || lost < 10 || lost > 110 || int64(len(rec.Requests)) != 200-lost ||
 		rec.Lost.Errors != lost {
-		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Cut)
+		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Truncation)
 	}
 	if last := rec.Requests[len(rec.Requests)-1]; last != request(199) {
 		t.Errorf("the last is %+v", last)
@@ -311,13 +311,13 @@
 
 func TestTheFileIsBounded(t *testing.T) {
 	d := &disk{room: -1}
-	r := written(t, d, 5000, Options{MaxBytes: 4000, Block: 10})
+	r := written(t, d, 5000, Options{MaxBytes: 4000, BlockSize: 10})
 	rec := decode(t, d.text)
-	if len(d.text) > 4000 || rec.Cut != nil || r.Lost().Bytes == 0 ||
+	if len(d.text) > 4000 || rec.Truncation != nil || r.Lost().Bytes == 0 ||
 		int64(len(rec.Requests))+r.Lost().Bytes != 5000 {
-		t.Errorf("%d bytes, %d requests, lost %+v, %v", len(d.text), len(rec.Requests), r.Lost(), rec.Cut)
+		t.Errorf("%d bytes, %d requests, lost %+v, %v", len(d.text), len(rec.Requests), r.Lost(), rec.Truncation)
 	}
-	if _, err := Record(&disk{room: -1}, head, Options{MaxBytes: 100}); err == nil {
+	if _, err := NewRecorder(&disk{room: -1}, head, Options{MaxBytes: 100}); err == nil {
 		t.Error("a file with no room was begun")
 	}
 }
@@ -327,7 +327,7 @@
 	if err := os.WriteFile(path, []byte("dear"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path, head, Options{MaxBytes: 1 << 20}); !errors.Is(err, os.ErrExist) {
+	if _, err := Create(path, head, Options{MaxBytes: 1 << 20}); !errors.Is(err, os.ErrExist) {
 		t.Errorf("%v", err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "dear" {
@@ -337,21 +337,21 @@
 
 func TestFirstTries(t *testing.T) {
 	const s = 1_000_000
-	rec := &Recording{Head: head, Requests: []Request{
-		{At: 5 * s, Class: 0, Caller: 1, Body: 70},  // the clock went back behind this one
-		{At: 1 * s, Class: 0, Caller: 1, Body: 10},  //
-		{At: 2 * s, Class: 0, Caller: 1, Body: 10},  // again
-		{At: 2 * s, Class: 0, Caller: 2, Body: 10},  // somebody else's
-		{At: 3 * s, Class: 1, Caller: 1, Key: 9},    //
-		{At: 4 * s, Class: 1, Caller: 2, Key: 9},    // again, through another balancer
-		{At: 20 * s, Class: 0, Caller: 1, Body: 10}, // long after
-		{At: 21 * s, Class: 0, Caller: 1},           // no body to tell it by
-		{At: 22 * s, Class: 0, Caller: 1},
+	rec := &Recording{Header: head, Requests: []Request{
+		{ArrivedAt: 5 * s, Class: 0, Caller: 1, BodyHash: 70},  // the clock went back behind this one
+		{ArrivedAt: 1 * s, Class: 0, Caller: 1, BodyHash: 10},  //
+		{ArrivedAt: 2 * s, Class: 0, Caller: 1, BodyHash: 10},  // again
+		{ArrivedAt: 2 * s, Class: 0, Caller: 2, BodyHash: 10},  // somebody else's
+		{ArrivedAt: 3 * s, Class: 1, Caller: 1, KeyHash: 9},    //
+		{ArrivedAt: 4 * s, Class: 1, Caller: 2, KeyHash: 9},    // again, through another balancer
+		{ArrivedAt: 20 * s, Class: 0, Caller: 1, BodyHash: 10}, // long after
+		{ArrivedAt: 21 * s, Class: 0, Caller: 1},               // no body to tell it by
+		{ArrivedAt: 22 * s, Class: 0, Caller: 1},
 	}}
-	first, further := rec.FirstTries(func(int) int64 { return 9 * s })
+	first, further := rec.FirstAttempts(func(int) int64 { return 9 * s })
 	var at []string
 	for _, q := range first {
-		at = append(at, fmt.Sprint(q.At/s))
+		at = append(at, fmt.Sprint(q.ArrivedAt/s))
 	}
 	if got := strings.Join(at, " "); got != "1 2 3 5 20 21 22" || further != 2 {
 		t.Errorf("%s, %d further", got, further)
@@ -361,7 +361,7 @@
 // Decoding takes any bytes: it neither fails in itself nor takes more memory than they warrant.
 func FuzzDecode(f *testing.F) {
 	d := &disk{room: -1}
-	written(f, d, 20, Options{Block: 7})
+	written(f, d, 20, Options{BlockSize: 7})
 	f.Add(d.text)
 	f.Add(d.text[:len(d.text)/2])
 	f.Add([]byte(magic))
@@ -379,14 +379,14 @@
 }
 
 func BenchmarkNote(b *testing.B) {
-	r, err := Record(&disk{room: -1}, head, Options{MaxBytes: 1 << 40, Queue: 4096})
+	r, err := NewRecorder(&disk{room: -1}, head, Options{MaxBytes: 1 << 40, QueueSize: 4096})
 	if err != nil {
 		b.Fatal(err)
 	}
 	q := request(1)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Note(q)
+		r.Record(q)
 	}
 	r.Close(time.Minute)
 }
--- a/internal/telemetry/traffic/writer.go
+++ b/internal/telemetry/traffic/writer.go
@@ -19,10 +19,10 @@
 
 // Options bound a recorder.
 type Options struct {
-	MaxBytes int64         // of the file
-	Queue    int           // requests in memory that are not yet written
-	Block    int           // requests in one block; 0: 512
-	Every    time.Duration // a block is written after so long at the latest; 0: 1 s
+	MaxBytes      int64         // of the file
+	QueueSize     int           // requests in memory that are not yet written
+	BlockSize     int           // requests in one block; 0: 512
+	FlushInterval time.Duration // a block is written after so long at the latest; 0: 1 s
 }
 
 // Recorder writes requests to a file beside whoever notes them: a full disk or a slow one costs
@@ -44,13 +44,13 @@
 // endRoom is kept free in the file for its last frame.
 const endRoom = 256
 
-// Open begins a file. One that is there already is not overwritten.
-func Open(path string, h Head, opt Options) (*Recorder, error) {
+// Create begins a file. One that is there already is not overwritten.
+func Create(path string, h Header, opt Options) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
-	r, err := Record(f, h, opt)
+	r, err := NewRecorder(f, h, opt)
 	if err != nil {
 		f.Close()
 		os.Remove(path)
@@ -58,13 +58,13 @@
 	return r, err
 }
 
-// Record begins to write to a file, which it closes in the end.
-func Record(f File, h Head, opt Options) (*Recorder, error) {
-	if opt.Block <= 0 {
-		opt.Block = 512
+// NewRecorder begins to write to a file, which it closes in the end.
+func NewRecorder(f File, h Header, opt Options) (*Recorder, error) {
+	if opt.BlockSize <= 0 {
+		opt.BlockSize = 512
 	}
-	if opt.Every <= 0 {
-		opt.Every = time.Second
+	if opt.FlushInterval <= 0 {
+		opt.FlushInterval = time.Second
 	}
 	start, err := appendStart(nil, h)
 	if err != nil {
@@ -79,7 +79,7 @@
 	r := &Recorder{
 		opt:   opt,
 		file:  f,
-		queue: make(chan Request, max(opt.Queue, 1)),
+		queue: make(chan Request, max(opt.QueueSize, 1)),
 		done:  make(chan struct{}),
 		size:  int64(len(start)),
 	}
@@ -87,8 +87,8 @@
 	return r, nil
 }
 
-// Note records a request, or counts it as lost. It does not wait. It is not called after Close.
-func (r *Recorder) Note(q Request) {
+// Record records a request, or counts it as lost. It does not wait. It is not called after Close.
+func (r *Recorder) Record(q Request) {
 	select {
 	case r.queue <- q:
 	default:
@@ -116,9 +116,9 @@
 // run writes blocks as they fill or their time comes.
 func (r *Recorder) run() {
 	defer close(r.done)
-	tick := time.NewTicker(r.opt.Every)
+	tick := time.NewTicker(r.opt.FlushInterval)
 	defer tick.Stop()
-	block := make([]Request, 0, r.opt.Block)
+	block := make([]Request, 0, r.opt.BlockSize)
 	for {
 		select {
 		case q, more := <-r.queue:
@@ -178,7 +178,7 @@
 }
 
 func (r *Recorder) end() {
-	text, err := appendFrame(nil, frameEnd, End{Requests: r.wrote, Lost: r.Lost()})
+	text, err := appendFrame(nil, frameEnd, Trailer{Requests: r.wrote, Lost: r.Lost()})
 	if err == nil {
 		err = r.write(text)
 	}
--- a/internal/testing/cluster/bill.go
+++ b/internal/testing/cluster/bill.go
@@ -33,7 +33,7 @@
 		}
 		list = append(list, its...)
 	}
-	b, err := ledger.Reconcile(list, ledger.Terms{})
+	b, err := ledger.Reconcile(list, ledger.BillingTerms{})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -42,7 +42,7 @@
 		b,
 		list,
 		c.Ran(),
-		func(key string) uint64 { return ledger.KeyOf("north", "hand-in", key) },
+		func(key string) uint64 { return ledger.HashKey("north", "hand-in", key) },
 	), b, nil
 }
 
@@ -73,14 +73,14 @@
 	if err != nil {
 		return nil, err
 	}
-	led, err := ledger.Look(b)
+	led, err := ledger.Inspect(b)
 	if err != nil {
 		return nil, err
 	}
-	led.End()
-	for s, _ := led.Next(); s != nil; s, _ = led.Next() {
+	led.Finish()
+	for s, _ := led.NextStatement(); s != nil; s, _ = led.NextStatement() {
 		list = append(list, s)
-		led.Exported(s)
+		led.MarkExported(s)
 	}
 	return list, nil
 }
--- a/internal/testing/cluster/copies_test.go
+++ b/internal/testing/cluster/copies_test.go
@@ -103,8 +103,8 @@
 	t.Logf(
 		"the bill: %d statements, %d there more than once, %d hand-ins in two accounts",
 		b.Statements,
-		b.Copies,
-		b.Twice,
+		b.DuplicateStatements,
+		b.DeduplicatedRuns,
 	)
 }
 
--- a/internal/testing/cluster/view.go
+++ b/internal/testing/cluster/view.go
@@ -50,13 +50,13 @@
 					Slots   int      `json:"slots"`
 					Members []string `json:"members"`
 				} `json:"peers"`
-				Accounts *metering.Copies `json:"accounts"`
+				Accounts *metering.ReplicationStatus `json:"accounts"`
 			}
 			r.Silent = control.Ask(n.file("control"), control.Request{Ask: "status"}, askWithin, &s) != nil
 			r.Keys = s.Keys
 			if p := s.Peers; p != nil {
 				r.Whole = p.In && p.Closed == "" && p.Whole == p.Slots && len(p.Members) == c.size() &&
-					(s.Accounts == nil || s.Accounts.Whole())
+					(s.Accounts == nil || s.Accounts.FullyReplicated())
 				r.Copied = fmt.Sprintf("%d of %d", p.Whole, p.Slots)
 			}
 		}
--- a/internal/testing/historychecker/bill.go
+++ b/internal/testing/historychecker/bill.go
@@ -22,7 +22,7 @@
 	listed := map[uint64]bool{}
 	for _, s := range list {
 		for _, k := range s.Keys {
-			listed[k.Key] = true
+			listed[k.Hash] = true
 		}
 	}
 	h.mu.Lock()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -34,7 +34,7 @@
 		"state",
 		"was",
 		"cause",
-	).Most(
+	).SetRateLimit(
 		100,
 	)
 	evHallEmpty = logging.Define("upstream.hall_empty", slog.LevelWarn, "group", "hall")
--- a/internal/usage/ledger/keys.go
+++ b/internal/usage/ledger/keys.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Keys are written packed: a hundred thousand of them in full would be 13 MB of a statement.
-type Keys []Key
+// CountedKeys are written packed: a hundred thousand of them in full would be 13 MB of a statement.
+type CountedKeys []CountedKey
 
 // keyGroup are the keys of a school and class: 8 bytes of the key, 4 each of the second it was
 // served in, the seconds after which it cannot come again, and its work in microseconds, in the
@@ -24,15 +24,15 @@
 const packed = 20
 
 // rounded is a key as it comes back.
-func (k Key) rounded() Key {
-	k.At = min(max(k.At/1e6, 0), math.MaxUint32) * 1e6
-	k.Until = k.At + min(max((k.Until-k.At+1e6-1)/1e6, 0), math.MaxUint32)*1e6
+func (k CountedKey) rounded() CountedKey {
+	k.ServedAt = min(max(k.ServedAt/1e6, 0), math.MaxUint32) * 1e6
+	k.ExpiresAt = k.ServedAt + min(max((k.ExpiresAt-k.ServedAt+1e6-1)/1e6, 0), math.MaxUint32)*1e6
 	k.Work = min(max(k.Work, 0), math.MaxUint32)
 	return k
 }
 
 // MarshalJSON implements json.Marshaler. Keys of a group keep their order.
-func (k Keys) MarshalJSON() ([]byte, error) {
+func (k CountedKeys) MarshalJSON() ([]byte, error) {
 	groups := []keyGroup{}
 	at := map[[2]string]int{}
 	for _, one := range k {
@@ -43,9 +43,9 @@
 			n = len(groups)
 			at[name], groups = n, append(groups, keyGroup{School: one.School, Class: one.Class})
 		}
-		b := binary.BigEndian.AppendUint64(groups[n].Packed, one.Key)
-		b = binary.BigEndian.AppendUint32(b, uint32(one.At/1e6))
-		b = binary.BigEndian.AppendUint32(b, uint32((one.Until-one.At)/1e6))
+		b := binary.BigEndian.AppendUint64(groups[n].Packed, one.Hash)
+		b = binary.BigEndian.AppendUint32(b, uint32(one.ServedAt/1e6))
+		b = binary.BigEndian.AppendUint32(b, uint32((one.ExpiresAt-one.ServedAt)/1e6))
 		groups[n].Packed = binary.BigEndian.AppendUint32(b, uint32(one.Work))
 	}
 	slices.SortFunc(
@@ -56,7 +56,7 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (k *Keys) UnmarshalJSON(b []byte) error {
+func (k *CountedKeys) UnmarshalJSON(b []byte) error {
 	var groups []keyGroup
 	if err := json.Unmarshal(b, &groups); err != nil {
 		return err
@@ -73,14 +73,14 @@
 			)
 		}
 		for one := range slices.Chunk(g.Packed, packed) {
-			n := Key{
-				Key:    binary.BigEndian.Uint64(one),
-				At:     int64(binary.BigEndian.Uint32(one[8:])) * 1e6,
-				Work:   int64(binary.BigEndian.Uint32(one[16:])),
-				School: g.School,
-				Class:  g.Class,
+			n := CountedKey{
+				Hash:     binary.BigEndian.Uint64(one),
+				ServedAt: int64(binary.BigEndian.Uint32(one[8:])) * 1e6,
+				Work:     int64(binary.BigEndian.Uint32(one[16:])),
+				School:   g.School,
+				Class:    g.Class,
 			}
-			n.Until = n.At + int64(binary.BigEndian.Uint32(one[12:]))*1e6
+			n.ExpiresAt = n.ServedAt + int64(binary.BigEndian.Uint32(one[12:]))*1e6
 			*k = append(*k, n)
 		}
 	}
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -13,9 +13,9 @@
 	Slice    int64  `cbor:"Slice"` // divides the period
 	// after a period's end until it is sealed: what was answered at its end may still be handed
 	// over
-	Grace int64 `cbor:"Grace"`
-	Keys  int   `cbor:"Keys"`  // most keys that are remembered, and listed in a statement
-	Lines int   `cbor:"Lines"` // most lines of the open periods; what goes beyond is counted for no school
+	Grace    int64 `cbor:"Grace"`
+	MaxKeys  int   `cbor:"Keys"`  // most keys that are remembered, and listed in a statement
+	MaxLines int   `cbor:"Lines"` // most lines of the open periods; what goes beyond is counted for no school
 }
 
 // Bounds of what is remembered beside.
@@ -27,8 +27,8 @@
 	longestText = 200
 )
 
-// Other is the school of what had no room among the lines.
-const Other = "(other)"
+// OtherSchool is the school of what had no room among the lines.
+const OtherSchool = "(other)"
 
 // Ledger is the account of one instance. It is used by one goroutine.
 type Ledger struct {
@@ -42,10 +42,10 @@
 	sealed   int64  // when that was done last
 	ahead    int    // uses in a row that came from a time that is not believed
 	lines    map[lineName]*Line
-	keys     map[uint64]Key // that were counted as served, until they cannot come again
-	listed   Keys           // of them, since the last statement
-	fixes    []Correction   // since the last statement
-	ids      []string       // of corrections, oldest first
+	keys     map[uint64]CountedKey // that were counted as served, until they cannot come again
+	listed   CountedKeys           // of them, since the last statement
+	fixes    []Correction          // since the last statement
+	ids      []string              // of corrections, oldest first
 	known    map[string]bool
 	pending  []*Statement // sealed, and not known to be written; oldest first
 	exports  uint64       // seq of the last that is known to be written
@@ -70,17 +70,17 @@
 	return &Ledger{
 		set:     set,
 		life:    life,
-		through: set.PeriodOf(now),
+		through: set.PeriodStart(now),
 		newest:  now,
 		lines:   map[lineName]*Line{},
-		keys:    map[uint64]Key{},
+		keys:    map[uint64]CountedKey{},
 		known:   map[string]bool{},
 	}
 }
 
-// After begins an account in place of one that was ended: keys that it counted as served, and
+// NewSuccessor begins an account in place of one that was ended: keys that it counted as served, and
 // corrections that it took, are known on.
-func After(old *Ledger, set Settings, life string, now int64) *Ledger {
+func NewSuccessor(old *Ledger, set Settings, life string, now int64) *Ledger {
 	l := New(set, life, now)
 	l.bareTo = old.bareTo
 	for _, id := range old.ids {
@@ -93,11 +93,11 @@
 // Settings are how it is kept.
 func (l *Ledger) Settings() Settings { return l.set }
 
-// Over tells whether it was ended.
-func (l *Ledger) Over() bool { return l.over }
+// Ended tells whether it was ended.
+func (l *Ledger) Ended() bool { return l.over }
 
-// PeriodOf is when the period of a moment began.
-func (s Settings) PeriodOf(at int64) int64 {
+// PeriodStart is when the period of a moment began.
+func (s Settings) PeriodStart(at int64) int64 {
 	p := at / s.Period * s.Period
 	if p > at { // before 1970
 		p -= s.Period
@@ -106,42 +106,42 @@
 }
 
 // Add counts a use.
-func (l *Ledger) Add(u Use) {
+func (l *Ledger) Add(u Record) {
 	l.steps++
-	if u.End == 0 || u.End >= ends {
+	if u.Outcome == 0 || u.Outcome >= outcomeCount {
 		l.lost++
 		return
 	}
-	at := l.settle(u.At)
-	if u.Key != 0 && u.End == Served {
+	at := l.settle(u.AnsweredAt)
+	if u.Key != 0 && u.Outcome == OutcomeServed {
 		l.forget(at)
 		// What repeats another one that was not counted, as the process was killed before it was
 		// answered, is counted here. If keys had no room it may be one of those, and was.
 		switch k, ok := l.keys[u.Key]; {
-		case ok && at < k.Until, u.Again && at < l.bareTo:
-			u.End, u.Work = Repeat, 0 // its result was kept, and it ran no second time
-		case len(l.keys) >= l.set.Keys:
+		case ok && at < k.ExpiresAt, u.KnownDuplicate && at < l.bareTo:
+			u.Outcome, u.Work = OutcomeDuplicate, 0 // its result was kept, and it ran no second time
+		case len(l.keys) >= l.set.MaxKeys:
 			l.bare++
-			l.bareTo = max(l.bareTo, u.Until)
+			l.bareTo = max(l.bareTo, u.KeyExpiresAt)
 		default:
-			k = Key{
-				Key:    u.Key,
-				At:     at,
-				Until:  max(u.Until, at),
-				Work:   u.Work,
-				School: u.School,
-				Class:  u.Class,
+			k = CountedKey{
+				Hash:      u.Key,
+				ServedAt:  at,
+				ExpiresAt: max(u.KeyExpiresAt, at),
+				Work:      u.Work,
+				School:    u.School,
+				Class:     u.Class,
 			}.rounded()
 			l.keys[u.Key] = k
 			l.listed = append(l.listed, k)
 		}
 	}
 	// A use of a sealed period keeps the name of its period: its line is an amendment.
-	line := l.line(lineName{l.set.PeriodOf(at), u.School, u.Class})
-	n := line.of(u.End)
+	line := l.line(lineName{l.set.PeriodStart(at), u.School, u.Class})
+	n := line.of(u.Outcome)
 	*n = sum(*n, 1)
-	line.WorkUs = sum(line.WorkUs, max(u.Work, 0))
-	if u.End == Served {
+	line.Work = sum(line.Work, max(u.Work, 0))
+	if u.Outcome == OutcomeServed {
 		line.inSlice(int((at-line.Period)/l.set.Slice), 1)
 	}
 }
@@ -164,11 +164,11 @@
 // a sweep looks at all. It is made once a second at most: a full table that was swept for each use
 // made one cost 350 us.
 func (l *Ledger) forget(now int64) {
-	if len(l.keys) < l.set.Keys || now >= l.swept && now < l.swept+1_000_000 {
+	if len(l.keys) < l.set.MaxKeys || now >= l.swept && now < l.swept+1_000_000 {
 		return
 	}
 	l.swept = now
-	maps.DeleteFunc(l.keys, func(_ uint64, k Key) bool { return now >= k.Until })
+	maps.DeleteFunc(l.keys, func(_ uint64, k CountedKey) bool { return now >= k.ExpiresAt })
 }
 
 // line is the one of a name. Where there is no room for another it is that of the others, and in
@@ -177,37 +177,37 @@
 	if line := l.lines[n]; line != nil {
 		return line
 	}
-	if len(l.lines) >= l.set.Lines && n.school != Other {
-		return l.line(lineName{n.period, Other, Other})
+	if len(l.lines) >= l.set.MaxLines && n.school != OtherSchool {
+		return l.line(lineName{n.period, OtherSchool, OtherSchool})
 	}
 	line := &Line{Period: n.period, School: n.school, Class: n.class}
 	l.lines[n] = line
 	return line
 }
 
-// Lost counts uses that could not be handed over.
-func (l *Ledger) Lost(n uint64) { l.lost += n }
+// AddLost counts uses that could not be handed over.
+func (l *Ledger) AddLost(n uint64) { l.lost += n }
 
-// RingLost counts uses that found no room in a ring. A ring tells of all it ever lost, also after a
+// AddRingLost counts uses that found no room in a ring. A ring tells of all it ever lost, also after a
 // kill: what was counted before is not counted again. It reports how many that is.
-func (l *Ledger) RingLost(r *Ring) (lost uint64) {
+func (l *Ledger) AddRingLost(r *Ring) (lost uint64) {
 	before := uint64(0)
-	if l.ringFrom == r.From() {
+	if l.ringFrom == r.StartedAfter() {
 		before = l.ringLost
 	}
 	if n := r.Lost(); n > before {
 		lost = n - before
 		l.lost += lost
-		l.ringLost, l.ringFrom = n, r.From()
+		l.ringLost, l.ringFrom = n, r.StartedAfter()
 	}
 	return lost
 }
 
-// Life tells the account from another one of an instance of the same name.
-func (l *Ledger) Life() string { return l.life }
+// Incarnation tells the account from another one of an instance of the same name.
+func (l *Ledger) Incarnation() string { return l.life }
 
-// ErrFull is that of a correction for which there is no room before the next statement.
-var ErrFull error = full.New("usage: too many corrections since the last statement")
+// ErrTooManyCorrections is that of a correction for which there is no room before the next statement.
+var ErrTooManyCorrections error = full.New("usage: too many corrections since the last statement")
 
 // Correct takes a correction. One whose ID is known is taken already, and is no error; known tells
 // of it.
@@ -215,7 +215,7 @@
 	for _, f := range []struct {
 		name, value string
 		must        bool
-	}{{"id", c.ID, true}, {"school", c.School, true}, {"class", c.Class, true}, {"why", c.Why, true}, {"by", c.By, false}} {
+	}{{"id", c.ID, true}, {"school", c.School, true}, {"class", c.Class, true}, {"why", c.Reason, true}, {"by", c.Author, false}} {
 		if f.must && f.value == "" {
 			return false, correction.New("usage: correction: field %s is missing", f.name)
 		}
@@ -231,11 +231,11 @@
 	if c.Count == (Count{}) {
 		return false, correction.New("usage: correction: it changes nothing")
 	}
-	if c.Period != l.set.PeriodOf(c.Period) {
+	if c.Period != l.set.PeriodStart(c.Period) {
 		return false, correction.New(
 			"usage: correction: field period: none begins at %d; the one it is in at %d",
 			c.Period,
-			l.set.PeriodOf(c.Period),
+			l.set.PeriodStart(c.Period),
 		)
 	}
 	if c.Period > now {
@@ -245,7 +245,7 @@
 		return true, nil
 	}
 	if len(l.fixes) >= mostIDs {
-		return false, ErrFull
+		return false, ErrTooManyCorrections
 	}
 	l.steps++
 	l.fixes = append(l.fixes, c)
@@ -260,10 +260,10 @@
 	}
 }
 
-// Due tells whether a period has ended that is not sealed. One in which nothing was used is sealed
+// SealDue tells whether a period has ended that is not sealed. One in which nothing was used is sealed
 // too: it is known then that nothing was. While statements cannot be written no more are sealed
 // than are kept; what is counted goes on into the next one.
-func (l *Ledger) Due(now int64) bool {
+func (l *Ledger) SealDue(now int64) bool {
 	if len(l.pending) >= mostPending || l.over {
 		return false
 	}
@@ -276,23 +276,23 @@
 func (l *Ledger) isBack(now int64) bool { return now+l.set.Period < l.through }
 
 // ended is the end of the last period that can be sealed.
-func (l *Ledger) ended(now int64) int64 { return l.set.PeriodOf(now - l.set.Grace) }
+func (l *Ledger) ended(now int64) int64 { return l.set.PeriodStart(now - l.set.Grace) }
 
 // Seal settles the periods that have ended, in one statement. It reports nil where none is due.
 func (l *Ledger) Seal(now int64) *Statement {
-	if !l.Due(now) {
+	if !l.SealDue(now) {
 		return nil
 	}
 	s := l.seal(max(l.ended(now), l.through), false)
 	l.sealed = now
-	maps.DeleteFunc(l.keys, func(_ uint64, k Key) bool { return now >= k.Until })
+	maps.DeleteFunc(l.keys, func(_ uint64, k CountedKey) bool { return now >= k.ExpiresAt })
 	return s
 }
 
-// End ends the account with a statement of all that it holds, periods that are open as well; nil:
+// Outcome ends the account with a statement of all that it holds, periods that are open as well; nil:
 // there is nothing that was not told. Of one account several may be written, by whoever knew it up
 // to some use; all are beginnings of one history.
-func (l *Ledger) End() *Statement {
+func (l *Ledger) Finish() *Statement {
 	if l.over {
 		return nil
 	}
@@ -310,22 +310,22 @@
 // seal puts what there is of periods before a moment into a statement.
 func (l *Ledger) seal(to int64, last bool) *Statement {
 	s := &Statement{
-		Format:      Format,
-		Instance:    l.set.Instance,
-		Life:        l.life,
-		Seq:         l.seq + 1,
-		From:        l.through,
-		To:          to,
-		PeriodUs:    l.set.Period,
-		SliceUs:     l.set.Slice,
-		Before:      l.before,
-		Corrections: l.fixes,
-		Keys:        l.listed,
-		Lost:        l.lost,
-		Bare:        l.bare,
-	}
-	if s.Last = last; last {
-		s.Format, s.Taken = formatLast, l.steps
+		Format:         FormatVersion,
+		Instance:       l.set.Instance,
+		Incarnation:    l.life,
+		Seq:            l.seq + 1,
+		From:           l.through,
+		To:             to,
+		Period:         l.set.Period,
+		Slice:          l.set.Slice,
+		PreviousDigest: l.before,
+		Corrections:    l.fixes,
+		Keys:           l.listed,
+		Lost:           l.lost,
+		UnlistedKeys:   l.bare,
+	}
+	if s.Final = last; last {
+		s.Format, s.Steps = finalFormatVersion, l.steps
 	}
 	for n, line := range l.lines {
 		if n.period < to {
@@ -336,7 +336,9 @@
 	slices.SortFunc(s.Lines, byName)
 	slices.SortFunc(
 		s.Keys,
-		func(a, b Key) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Key, b.Key)) },
+		func(a, b CountedKey) int {
+			return cmp.Or(cmp.Compare(a.ServedAt, b.ServedAt), cmp.Compare(a.Hash, b.Hash))
+		},
 	)
 	l.seq, l.before, l.through = s.Seq, s.Digest(), to
 	l.listed, l.fixes, l.lost, l.bare = nil, nil, 0, 0
@@ -344,10 +346,10 @@
 	return s
 }
 
-// Next is the statement that is to be written now; nil: none. naming tells that it was being given
+// NextStatement is the statement that is to be written now; nil: none. naming tells that it was being given
 // its name when that was kept last: if what it is to be named from is not there any more it has its
 // name, or had it and was taken away by who it is for.
-func (l *Ledger) Next() (s *Statement, naming bool) {
+func (l *Ledger) NextStatement() (s *Statement, naming bool) {
 	if len(l.pending) == 0 {
 		return nil, false
 	}
@@ -355,23 +357,23 @@
 	return s, l.naming == s.Seq
 }
 
-// Naming notes that a statement is on the disk whole, and is about to be given its name; nil: that
+// MarkRenaming notes that a statement is on the disk whole, and is about to be given its name; nil: that
 // none is. It has to be kept before that is done.
-func (l *Ledger) Naming(s *Statement) {
+func (l *Ledger) MarkRenaming(s *Statement) {
 	if l.naming = 0; s != nil {
 		l.naming = s.Seq
 	}
 }
 
-// Exported notes that a statement has its name.
-func (l *Ledger) Exported(s *Statement) {
+// MarkExported notes that a statement has its name.
+func (l *Ledger) MarkExported(s *Statement) {
 	if len(l.pending) > 0 && l.pending[0].Seq == s.Seq {
 		l.pending, l.exports, l.naming = l.pending[1:], s.Seq, 0
 	}
 }
 
-// Open is what has been counted and is in no statement.
-func (l *Ledger) Open() []Line {
+// OpenLines is what has been counted and is in no statement.
+func (l *Ledger) OpenLines() []Line {
 	out := make([]Line, 0, len(l.lines))
 	for _, line := range l.lines {
 		out = append(out, line.clone())
@@ -382,15 +384,15 @@
 
 // Summary is where an account stands.
 type Summary struct {
-	Instance string `json:"instance"`
-	Life     string `json:"life"`
-	Through  int64  `json:"through"` // up to here it is sealed
-	Seq      uint64 `json:"statements"`
-	Exported uint64 `json:"exported"`
-	Keys     int    `json:"keys"`
-	Lost     uint64 `json:"lost,omitempty"`
-	Lines    []Line `json:"open,omitempty"`
-	Fixes    int    `json:"corrections,omitempty"`
+	Instance      string `json:"instance"`
+	Incarnation   string `json:"life"`
+	SealedThrough int64  `json:"through"` // up to here it is sealed
+	Statements    uint64 `json:"statements"`
+	Exported      uint64 `json:"exported"`
+	Keys          int    `json:"keys"`
+	Lost          uint64 `json:"lost,omitempty"`
+	Lines         []Line `json:"open,omitempty"`
+	Corrections   int    `json:"corrections,omitempty"`
 }
 
 // Summary is where the account stands.
@@ -403,7 +405,7 @@
 		l.exports,
 		len(l.keys),
 		l.lost,
-		l.Open(),
+		l.OpenLines(),
 		len(l.fixes),
 	}
 }
--- a/internal/usage/ledger/ledger_test.go
+++ b/internal/usage/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 )
 
 func settings() Settings {
-	return Settings{Instance: "n0", Period: hour, Slice: 60 * sec, Grace: 5 * sec, Keys: 100, Lines: 50}
+	return Settings{Instance: "n0", Period: hour, Slice: 60 * sec, Grace: 5 * sec, MaxKeys: 100, MaxLines: 50}
 }
 
 // Whatever clocks do, and wherever the account is put down and taken up: all that was counted is
@@ -36,7 +36,7 @@
 		seal := func() {
 			if s := l.Seal(now); s != nil {
 				list = append(list, s)
-				l.Exported(s)
+				l.MarkExported(s)
 			}
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -48,42 +48,42 @@
 			case 2:
 				seal()
 			case 3:
-				again, taken, err := Recall(set, l.Keep(7))
+				again, taken, err := Decode(set, l.Encode(7))
 				if err != nil || taken != 7 {
 					t.Fatal(err, taken)
 				}
-				if diff := cmp.Diff(string(l.Keep(7)), string(again.Keep(7))); diff != "" {
+				if diff := cmp.Diff(string(l.Encode(7)), string(again.Encode(7))); diff != "" {
 					t.Fatal(diff)
 				}
 				l = again
 			case 4:
 				key := rapid.Uint64Range(1, 20).Draw(t, "key")
 				l.Add(
-					Use{
-						At:     now,
-						School: "north",
-						Class:  "hand-in",
-						End:    Served,
-						Work:   10,
-						Key:    key,
-						Until:  now + 1000*hour,
+					Record{
+						AnsweredAt:   now,
+						School:       "north",
+						Class:        "hand-in",
+						Outcome:      OutcomeServed,
+						Work:         10,
+						Key:          key,
+						KeyExpiresAt: now + 1000*hour,
 					},
 				)
 				if served[key]++; served[key] == 1 {
 					keyed++
-					want.Add(Count{Served: 1, WorkUs: 10})
+					want.Add(Count{Served: 1, Work: 10})
 				} else {
-					want.Add(Count{Repeats: 1})
+					want.Add(Count{Duplicates: 1})
 				}
 			case 5:
 				id := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "id"))
 				c := Correction{
 					ID:     id,
-					Period: set.PeriodOf(now),
+					Period: set.PeriodStart(now),
 					School: "south",
 					Class:  "check",
-					Why:    "x",
-					Count:  Count{Late: 3},
+					Reason: "x",
+					Count:  Count{TimedOut: 3},
 				}
 				if known, err := l.Correct(c, now); err != nil {
 					t.Fatal(err)
@@ -91,25 +91,25 @@
 					want.Add(c.Count)
 				}
 			default:
-				end := End(rapid.IntRange(1, int(ends)-1).Draw(t, "end"))
+				end := Outcome(rapid.IntRange(1, int(outcomeCount)-1).Draw(t, "end"))
 				l.Add(
-					Use{
-						At:     now - rapid.Int64Range(0, 2*hour).Draw(t, "ago"),
-						School: rapid.SampledFrom([]string{"north", "south"}).Draw(t, "school"),
-						Class:  "check",
-						End:    end,
-						Work:   5,
+					Record{
+						AnsweredAt: now - rapid.Int64Range(0, 2*hour).Draw(t, "ago"),
+						School:     rapid.SampledFrom([]string{"north", "south"}).Draw(t, "school"),
+						Class:      "check",
+						Outcome:    end,
+						Work:       5,
 					},
 				)
 				*want.of(end)++
-				want.WorkUs += 5
+				want.Work += 5
 			}
 		}
 		for range 3 {
 			now = max(now, l.through) + 2*hour
 			seal()
 		}
-		if s := l.Summary(); len(s.Lines) > 0 || s.Fixes > 0 {
+		if s := l.Summary(); len(s.Lines) > 0 || s.Corrections > 0 {
 			t.Fatalf("left open: %+v", s)
 		}
 		rand.New(
@@ -127,7 +127,7 @@
 				list = append(list, read)
 			}
 		}
-		bill, err := Reconcile(list, Terms{})
+		bill, err := Reconcile(list, BillingTerms{})
 		if err != nil || len(bill.Problems) > 0 {
 			t.Fatal(err, bill.Problems)
 		}
@@ -135,28 +135,28 @@
 		for _, b := range bill.Lines {
 			got.Add(b.Count)
 		}
-		if diff := cmp.Diff(want, got); diff != "" || bill.Twice > 0 {
-			t.Fatal(diff, bill.Twice)
+		if diff := cmp.Diff(want, got); diff != "" || bill.DeduplicatedRuns > 0 {
+			t.Fatal(diff, bill.DeduplicatedRuns)
 		}
 	})
 }
 
 func TestBounds(t *testing.T) {
 	set := settings()
-	set.Lines, set.Keys = 3, 2
+	set.MaxLines, set.MaxKeys = 3, 2
 	now := 480_000 * hour
 	l := New(set, "a", now)
 	for n := range uint64(10) {
-		u := Use{
-			At:     now,
-			School: fmt.Sprint("s", n),
-			Class:  "hand-in",
-			End:    Served,
-			Key:    n + 1,
-			Until:  now + hour,
+		u := Record{
+			AnsweredAt:   now,
+			School:       fmt.Sprint("s", n),
+			Class:        "hand-in",
+			Outcome:      OutcomeServed,
+			Key:          n + 1,
+			KeyExpiresAt: now + hour,
 		}
 		l.Add(u)
-		u.Again = true // known by its key, or by what the one that repeats says
+		u.KnownDuplicate = true // known by its key, or by what the one that repeats says
 		l.Add(u)
 	}
 	s := l.Seal(now + 2*hour)
@@ -164,19 +164,19 @@
 	for _, n := range s.Lines {
 		got.Add(n.Count)
 	}
-	if want := (Count{Served: 10, Repeats: 10}); got != want || len(s.Lines) != 4 || len(s.Keys) != 2 ||
-		s.Bare != 8 {
-		t.Errorf("%+v in %d lines, %d keys, %d bare", got, len(s.Lines), len(s.Keys), s.Bare)
+	if want := (Count{Served: 10, Duplicates: 10}); got != want || len(s.Lines) != 4 || len(s.Keys) != 2 ||
+		s.UnlistedKeys != 8 {
+		t.Errorf("%+v in %d lines, %d keys, %d bare", got, len(s.Lines), len(s.Keys), s.UnlistedKeys)
 	}
 	// A clock that was wrong for a moment opens no period; one that stays where it is does.
-	l.Add(Use{At: now + 10_000*hour, School: "s0", Class: "check", End: Served})
-	if open := l.Open(); len(open) != 1 || open[0].Period > now+2*hour {
+	l.Add(Record{AnsweredAt: now + 10_000*hour, School: "s0", Class: "check", Outcome: OutcomeServed})
+	if open := l.OpenLines(); len(open) != 1 || open[0].Period > now+2*hour {
 		t.Errorf("%+v", open)
 	}
 	for range mostAhead {
-		l.Add(Use{At: now + 10_000*hour, School: "s0", Class: "check", End: Served})
+		l.Add(Record{AnsweredAt: now + 10_000*hour, School: "s0", Class: "check", Outcome: OutcomeServed})
 	}
-	if open := l.Open(); open[len(open)-1].Period != now+10_000*hour {
+	if open := l.OpenLines(); open[len(open)-1].Period != now+10_000*hour {
 		t.Errorf("%+v", open)
 	}
 	// Statements that cannot be written are not made without end, and nothing is lost meanwhile.
@@ -188,13 +188,13 @@
 	}
 	// A clock that went far back settles nothing: what is counted then amends, once a period.
 	back := l.through - 100*hour
-	l.Add(Use{At: back, School: "s1", Class: "check", End: Served})
+	l.Add(Record{AnsweredAt: back, School: "s1", Class: "check", Outcome: OutcomeServed})
 	l.pending = nil
 	if s := l.Seal(back + sec); s == nil || s.From != s.To || s.check() != nil {
 		t.Errorf("%+v", s)
 	}
-	l.Add(Use{At: back, School: "s1", Class: "check", End: Served})
-	if l.Due(back + 2*sec) {
+	l.Add(Record{AnsweredAt: back, School: "s1", Class: "check", Outcome: OutcomeServed})
+	if l.SealDue(back + 2*sec) {
 		t.Error("it amends more than once in a period")
 	}
 }
@@ -206,12 +206,12 @@
 		Period: now - sec,
 		School: "s",
 		Class:  "c",
-		Why:    "w",
+		Reason: "w",
 		Count:  Count{Served: -1},
 	}
 	for want, change := range map[string]func(*Correction){
 		"field id is missing":           func(c *Correction) { c.ID = "" },
-		"field why is missing":          func(c *Correction) { c.Why = "" },
+		"field why is missing":          func(c *Correction) { c.Reason = "" },
 		"field school has 300 bytes":    func(c *Correction) { c.School = strings.Repeat("x", 300) },
 		"it changes nothing":            func(c *Correction) { c.Count = Count{} },
 		"field period: none begins at":  func(c *Correction) { c.Period++ },
@@ -236,12 +236,12 @@
 func TestChangedFilesAreRefused(t *testing.T) {
 	now := 480_000 * hour
 	l := New(settings(), "a", now)
-	l.Add(Use{At: now, School: "s", Class: "c", End: Served, Key: 5, Until: now + hour})
+	l.Add(Record{AnsweredAt: now, School: "s", Class: "c", Outcome: OutcomeServed, Key: 5, KeyExpiresAt: now + hour})
 	b := l.Seal(now + 2*hour).Encode()
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"cut": {b[:len(b)-1], ErrCut}, "cut in the line": {b[:10], ErrCut}, "empty": {nil, ErrCut}, "changed": {bytes.Replace(b, []byte(`"served":1`), []byte(`"served":9`), 1), ErrChanged}} {
+	}{"cut": {b[:len(b)-1], ErrTruncated}, "cut in the line": {b[:10], ErrTruncated}, "empty": {nil, ErrTruncated}, "changed": {bytes.Replace(b, []byte(`"served":1`), []byte(`"served":9`), 1), ErrDigestMismatch}} {
 		if _, err := ParseStatement(name, c.b); !errors.Is(err, c.want) ||
 			!strings.HasPrefix(err.Error(), name+": ") {
 			t.Errorf("%s: %v", name, err)
@@ -251,7 +251,7 @@
 		"begin another folder": func(s *Settings) { s.Period = 2 * hour }} {
 		other := settings()
 		set(&other)
-		if _, _, err := Recall(other, l.Keep(1)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := Decode(other, l.Encode(1)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v", err)
 		}
 	}
@@ -265,19 +265,19 @@
 		mem := make([]byte, RingSize(records))
 		taken := rapid.Uint64Range(0, 50).Draw(t, "from")
 		r := NewRing(mem, "life", taken)
-		var waiting []Use
+		var waiting []Record
 		lost := uint64(0)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") {
-				u := Use{
-					At:    rapid.Int64().Draw(t, "at"),
-					Until: 3,
-					Key:   4,
-					Work:  5,
-					End:   Late,
-					Again: rapid.Bool().Draw(t, "again"),
+				u := Record{
+					AnsweredAt:     rapid.Int64().Draw(t, "at"),
+					KeyExpiresAt:   3,
+					Key:            4,
+					Work:           5,
+					Outcome:        OutcomeTimedOut,
+					KnownDuplicate: rapid.Bool().Draw(t, "again"),
 					School: rapid.SampledFrom(
-						[]string{"north", "south", "", Other},
+						[]string{"north", "south", "", OtherSchool},
 					).Draw(
 						t,
 						"school",
@@ -290,12 +290,12 @@
 					t.Fatal("there was room")
 				}
 			} else if len(waiting) > 0 {
-				u, ok := r.Take(taken + 1)
+				u, ok := r.Read(taken + 1)
 				if !ok || u != waiting[0] {
 					t.Fatalf("%+v, %v; want %+v", u, ok, waiting[0])
 				}
 				taken, waiting = taken+1, waiting[1:]
-				r.Free(taken)
+				r.Release(taken)
 			}
 		}
 		if r.Lost() != lost {
@@ -309,14 +309,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got []Use
-		last, missing := after.Left(taken, func(u Use) { got = append(got, u) })
+		var got []Record
+		last, missing := after.Recover(taken, func(u Record) { got = append(got, u) })
 		if torn < 0 && (len(got) != len(waiting) || missing != 0) || len(got)+int(missing) > len(waiting) ||
 			len(got) < len(waiting)-1 ||
 			last > taken+uint64(len(waiting)) {
 			t.Fatalf("%d of %d, %d missing", len(got), len(waiting), missing)
 		}
-		if _, err := OpenRing(mem, "other"); !errors.Is(err, ErrRing) {
+		if _, err := OpenRing(mem, "other"); !errors.Is(err, ErrForeignRing) {
 			t.Fatal(err)
 		}
 	})
@@ -326,14 +326,14 @@
 func FuzzRing(f *testing.F) {
 	mem := make([]byte, RingSize(3))
 	r := NewRing(mem, "life", 0)
-	r.Put(Use{School: "north", Class: "c", End: Served})
+	r.Put(Record{School: "north", Class: "c", Outcome: OutcomeServed})
 	f.Add(mem[:headerSize+40], mem[headerSize+namesSize:])
 	f.Fuzz(func(t *testing.T, head, records []byte) {
 		mem := make([]byte, RingSize(3))
 		copy(mem, head)
 		copy(mem[headerSize+namesSize:], records)
 		if r, err := OpenRing(mem, "life"); err == nil {
-			if last, missing := r.Left(0, func(Use) {}); last > 3 || missing > last {
+			if last, missing := r.Recover(0, func(Record) {}); last > 3 || missing > last {
 				t.Error(last, missing)
 			}
 		}
@@ -343,7 +343,7 @@
 func FuzzStatement(f *testing.F) {
 	now := 480_000 * hour
 	l := New(settings(), "a", now)
-	l.Add(Use{At: now, School: "s", Class: "c", End: Served, Key: 5, Until: now + hour})
+	l.Add(Record{AnsweredAt: now, School: "s", Class: "c", Outcome: OutcomeServed, Key: 5, KeyExpiresAt: now + hour})
 	f.Add(l.Seal(now + 2*hour).body())
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var s Statement
@@ -355,7 +355,7 @@
 		if err != nil || !bytes.Equal(again.Encode(), b) {
 			t.Fatalf("%v: %s", err, b)
 		}
-		if _, err := Reconcile([]*Statement{&s, again}, Terms{}); err != nil {
+		if _, err := Reconcile([]*Statement{&s, again}, BillingTerms{}); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -366,25 +366,25 @@
 	r := NewRing(mem, "life", 0)
 	b.ReportAllocs()
 	for n := range b.N {
-		r.Put(Use{At: int64(n), School: "north", Class: "hand-in", End: Served, Key: 9, Work: 5})
-		r.Free(uint64(n))
+		r.Put(Record{AnsweredAt: int64(n), School: "north", Class: "hand-in", Outcome: OutcomeServed, Key: 9, Work: 5})
+		r.Release(uint64(n))
 	}
 }
 
 func BenchmarkAdd(b *testing.B) {
 	set := settings()
-	set.Keys = 20_000
+	set.MaxKeys = 20_000
 	l := New(set, "a", 480_000*hour)
 	b.ReportAllocs()
 	for n := range b.N {
 		l.Add(
-			Use{
-				At:     480_000*hour + int64(n),
-				School: "north",
-				Class:  "hand-in",
-				End:    Served,
-				Key:    uint64(n),
-				Until:  480_001 * hour,
+			Record{
+				AnsweredAt:   480_000*hour + int64(n),
+				School:       "north",
+				Class:        "hand-in",
+				Outcome:      OutcomeServed,
+				Key:          uint64(n),
+				KeyExpiresAt: 480_001 * hour,
 			},
 		)
 	}
@@ -394,22 +394,22 @@
 	for _, keys := range []int{1000, 20_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			set := settings()
-			set.Keys = keys
+			set.MaxKeys = keys
 			l := New(set, "a", 480_000*hour)
 			for n := range keys {
 				l.Add(
-					Use{
-						At:     480_000 * hour,
-						School: fmt.Sprint("s", n%17),
-						Class:  "hand-in",
-						End:    Served,
-						Key:    uint64(n + 1),
-						Until:  480_001 * hour,
+					Record{
+						AnsweredAt:   480_000 * hour,
+						School:       fmt.Sprint("s", n%17),
+						Class:        "hand-in",
+						Outcome:      OutcomeServed,
+						Key:          uint64(n + 1),
+						KeyExpiresAt: 480_001 * hour,
 					},
 				)
 			}
 			for b.Loop() {
-				b.SetBytes(int64(len(l.Keep(1))))
+				b.SetBytes(int64(len(l.Encode(1))))
 			}
 		})
 	}
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -7,32 +7,32 @@
 	"slices"
 )
 
-// Terms are what a bill is made by.
-type Terms struct {
-	// Shares are what schools may use, in requests a second over all instances; a school that is
+// BillingTerms are what a bill is made by.
+type BillingTerms struct {
+	// Quotas are what schools may use, in requests a second over all instances; a school that is
 	// not in it has no share, and nothing of what it uses is above.
-	Shares map[string]float64
+	Quotas map[string]float64
 	// Instances are those of which statements are expected; empty: of those that there is any of.
 	Instances []string
 }
 
 // Bill is what statements come to together.
 type Bill struct {
-	Periods    []BillPeriod `json:"periods"`
-	Lines      []BillLine   `json:"lines"`
-	Schools    []BillSchool `json:"schools"`
-	Problems   []Problem    `json:"problems,omitempty"`
-	Statements int          `json:"statements"`       // that it is made of
-	Copies     int          `json:"copies,omitempty"` // of those, that were there more than once
+	Periods             []BillPeriod `json:"periods"`
+	Lines               []BillLine   `json:"lines"`
+	Schools             []BillSchool `json:"schools"`
+	Problems            []Problem    `json:"problems,omitempty"`
+	Statements          int          `json:"statements"`       // that it is made of
+	DuplicateStatements int          `json:"copies,omitempty"` // of those, that were there more than once
 	// hand-ins that two instances counted, and are counted once here
-	Twice int    `json:"twice,omitempty"`
-	Lost  uint64 `json:"lost,omitempty"` // uses that are known to be in no statement
+	DeduplicatedRuns int    `json:"twice,omitempty"`
+	Lost             uint64 `json:"lost,omitempty"` // uses that are known to be in no statement
 }
 
 // BillPeriod tells whether all instances have told of a period.
 type BillPeriod struct {
-	Period  int64    `json:"period"`
-	Missing []string `json:"missing,omitempty"` // instances that have not
+	Period           int64    `json:"period"`
+	MissingInstances []string `json:"missing,omitempty"` // instances that have not
 }
 
 // BillLine is what a school used of a class in a period.
@@ -46,22 +46,22 @@
 
 // BillSchool is what a school used in a period, beside its share.
 type BillSchool struct {
-	Period int64   `json:"period"`
-	School string  `json:"school"`
-	Served int64   `json:"served"`
-	Above  float64 `json:"above"` // of them, beyond its share of the slice that they were served in
-	WorkUs int64   `json:"work_us"`
+	Period     int64   `json:"period"`
+	School     string  `json:"school"`
+	Served     int64   `json:"served"`
+	AboveQuota float64 `json:"above"` // of them, beyond its share of the slice that they were served in
+	Work       int64   `json:"work_us"`
 }
 
 // Problem is what keeps a bill from being the whole truth.
 type Problem struct {
-	Instance string `json:"instance"`
-	Life     string `json:"life,omitempty"`
-	What     string `json:"what"`
+	Instance    string `json:"instance"`
+	Incarnation string `json:"life,omitempty"`
+	Description string `json:"what"`
 }
 
 func (p Problem) String() string {
-	return fmt.Sprintf("%s (account %s): %s", p.Instance, cmp.Or(p.Life, "none"), p.What)
+	return fmt.Sprintf("%s (account %s): %s", p.Instance, cmp.Or(p.Incarnation, "none"), p.Description)
 }
 
 type account struct{ instance, life string }
@@ -69,7 +69,7 @@
 // Reconcile puts statements together: each is counted once however often it is there, in any order.
 // What does not fit is a problem of the bill and no error: the rest is still worth knowing.
 // Statements of different periods cannot be put together.
-func Reconcile(list []*Statement, terms Terms) (*Bill, error) {
+func Reconcile(list []*Statement, terms BillingTerms) (*Bill, error) {
 	r := &reconciler{
 		bill:   &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
 		lines:  map[lineName]*BillLine{},
@@ -80,19 +80,19 @@
 	spoiled := map[account]map[uint64]bool{}
 	for _, s := range list {
 		if r.period == 0 {
-			r.period, r.slice = s.PeriodUs, s.SliceUs
+			r.period, r.slice = s.Period, s.Slice
 		}
-		if s.PeriodUs != r.period || s.SliceUs != r.slice {
+		if s.Period != r.period || s.Slice != r.slice {
 			return nil, apart.New(
 				"usage: %s has periods of %d s in slices of %d s, others of %d and %d",
-				s.Name(),
-				s.PeriodUs/1e6,
-				s.SliceUs/1e6,
+				s.FileName(),
+				s.Period/1e6,
+				s.Slice/1e6,
 				r.period/1e6,
 				r.slice/1e6,
 			)
 		}
-		a := account{s.Instance, s.Life}
+		a := account{s.Instance, s.Incarnation}
 		if byAccount[a] == nil {
 			byAccount[a], spoiled[a] = map[uint64]*Statement{}, map[uint64]bool{}
 		}
@@ -100,9 +100,9 @@
 		case was == nil:
 			byAccount[a][s.Seq] = s
 		case was.Digest() == s.Digest():
-			r.bill.Copies++
-		case was.Last || s.Last: // heirs ended it, as far as each knew it
-			if r.bill.Copies++; s.tellsMore(was) {
+			r.bill.DuplicateStatements++
+		case was.Final || s.Final: // heirs ended it, as far as each knew it
+			if r.bill.DuplicateStatements++; s.supersedes(was) {
 				byAccount[a][s.Seq] = s
 			}
 		default:
@@ -116,7 +116,7 @@
 		r.chain(a, byAccount[a], spoiled[a])
 	}
 	r.once()
-	r.shares(terms.Shares)
+	r.shares(terms.Quotas)
 	r.covered(terms.Instances)
 	r.close()
 	return r.bill, nil
@@ -138,7 +138,7 @@
 	lines         map[lineName]*BillLine
 	slices        map[schoolName][]int64
 	fixes         map[string]bool
-	keys          []Key
+	keys          []CountedKey
 	told          []told
 }
 
@@ -165,7 +165,7 @@
 			before = nil
 			continue
 		}
-		if before != nil && before.Seq == seq-1 && (s.Before != before.Digest() || s.From != before.To) {
+		if before != nil && before.Seq == seq-1 && (s.PreviousDigest != before.Digest() || s.From != before.To) {
 			r.problem(
 				a,
 				"statement %d does not follow the statement %d that is here; both are counted",
@@ -183,12 +183,12 @@
 	if r.bill.Lost += s.Lost; s.Lost > 0 {
 		r.problem(a, "statement %d says that %d uses were lost", s.Seq, s.Lost)
 	}
-	if s.Bare > 0 {
+	if s.UnlistedKeys > 0 {
 		r.problem(
 			a,
 			"statement %d does not list the keys of %d uses; other instances may have counted them too",
 			s.Seq,
-			s.Bare,
+			s.UnlistedKeys,
 		)
 	}
 	for _, n := range s.Lines {
@@ -230,21 +230,21 @@
 
 // once counts a hand-in once that two instances ran: the first stands, as long as the key does.
 func (r *reconciler) once() {
-	slices.SortFunc(r.keys, func(a, b Key) int {
-		return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.At, b.At), cmp.Compare(a.Work, b.Work))
+	slices.SortFunc(r.keys, func(a, b CountedKey) int {
+		return cmp.Or(cmp.Compare(a.Hash, b.Hash), cmp.Compare(a.ServedAt, b.ServedAt), cmp.Compare(a.Work, b.Work))
 	})
-	var first Key
+	var first CountedKey
 	for i, k := range r.keys {
-		if i == 0 || k.Key != first.Key || k.School != first.School || k.Class != first.Class ||
-			k.At >= first.Until {
+		if i == 0 || k.Hash != first.Hash || k.School != first.School || k.Class != first.Class ||
+			k.ServedAt >= first.ExpiresAt {
 			first = k
 			continue
 		}
-		r.bill.Twice++
-		period := k.At - ((k.At%r.period)+r.period)%r.period
+		r.bill.DeduplicatedRuns++
+		period := k.ServedAt - ((k.ServedAt%r.period)+r.period)%r.period
 		b := r.line(lineName{period, k.School, k.Class})
-		b.Add(Count{Served: -1, Repeats: 1, WorkUs: -k.Work})
-		r.inSlice(schoolName{period, k.School}, int((k.At-period)/r.slice), -1)
+		b.Add(Count{Served: -1, Duplicates: 1, Work: -k.Work})
+		r.inSlice(schoolName{period, k.School}, int((k.ServedAt-period)/r.slice), -1)
 	}
 }
 
@@ -257,15 +257,15 @@
 			sums[name] = &BillSchool{Period: n.period, School: n.school}
 		}
 		sums[name].Served = sum(sums[name].Served, b.Served)
-		sums[name].WorkUs = sum(sums[name].WorkUs, b.WorkUs)
+		sums[name].Work = sum(sums[name].Work, b.Work)
 	}
 	for name, s := range sums {
 		if rate, ok := shares[name.school]; ok {
 			for _, served := range r.slices[name] {
-				s.Above += max(float64(served)-rate*float64(r.slice)/1e6, 0)
+				s.AboveQuota += max(float64(served)-rate*float64(r.slice)/1e6, 0)
 			}
 			// a correction may have taken some of it back
-			s.Above = min(s.Above, float64(max(s.Served, 0)))
+			s.AboveQuota = min(s.AboveQuota, float64(max(s.Served, 0)))
 		}
 		r.bill.Schools = append(r.bill.Schools, *s)
 	}
@@ -298,7 +298,7 @@
 				r.told,
 				func(t told) bool { return t.instance == name && t.from <= p && p < t.to },
 			) {
-				b.Missing = append(b.Missing, name)
+				b.MissingInstances = append(b.MissingInstances, name)
 			}
 		}
 		r.bill.Periods = append(r.bill.Periods, b)
@@ -312,7 +312,7 @@
 				r.bill.Problems,
 				Problem{
 					Instance: "bill",
-					What: fmt.Sprintf(
+					Description: fmt.Sprintf(
 						"%s, %s, period %d: a sum is below nought",
 						n.school,
 						n.class,
@@ -333,8 +333,8 @@
 	slices.SortFunc(r.bill.Problems, func(a, b Problem) int {
 		return cmp.Or(
 			cmp.Compare(a.Instance, b.Instance),
-			cmp.Compare(a.Life, b.Life),
-			cmp.Compare(a.What, b.What),
+			cmp.Compare(a.Incarnation, b.Incarnation),
+			cmp.Compare(a.Description, b.Description),
 		)
 	})
 }
--- a/internal/usage/ledger/ring.go
+++ b/internal/usage/ledger/ring.go
@@ -42,8 +42,8 @@
 // RingSize is how much memory a ring of so many records takes.
 func RingSize(records int) int { return headerSize + namesSize + records*recordSize }
 
-// ErrRing is that of memory that holds no ring of this account.
-var ErrRing error = ring.New("usage: no ring of this account")
+// ErrForeignRing is that of memory that holds no ring of this account.
+var ErrForeignRing error = ring.New("usage: no ring of this account")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -70,11 +70,11 @@
 	copy(name[:], life)
 	if len(mem) < RingSize(1) || string(mem[:lifeAt]) != ringMark ||
 		string(mem[lifeAt:lifeAt+lifeSize]) != string(name[:]) {
-		return nil, ErrRing
+		return nil, ErrForeignRing
 	}
 	n := binary.LittleEndian.Uint64(mem[recordsAt:])
 	if n == 0 || n > uint64(len(mem)-headerSize-namesSize)/recordSize {
-		return nil, ErrRing
+		return nil, ErrForeignRing
 	}
 	return &Ring{mem: mem, records: n, takenAt: headerSize}, nil
 }
@@ -87,7 +87,7 @@
 
 // Put hands a use over, and reports whether there was room: as long as nothing is freed there is
 // only so much. What found none is counted.
-func (r *Ring) Put(u Use) bool {
+func (r *Ring) Put(u Record) bool {
 	if r.next-r.freed.Load() > r.records {
 		r.word(lostAt).Add(1)
 		return false
@@ -96,14 +96,14 @@
 	b := r.mem[at : at+recordSize]
 	r.word(at).Store(0) // it is none while it is written
 	le := binary.LittleEndian
-	le.PutUint64(b[8:], uint64(u.At))
-	le.PutUint64(b[16:], uint64(u.Until))
+	le.PutUint64(b[8:], uint64(u.AnsweredAt))
+	le.PutUint64(b[16:], uint64(u.KeyExpiresAt))
 	le.PutUint64(b[24:], u.Key)
 	le.PutUint64(b[32:], uint64(u.Work))
 	le.PutUint16(b[40:], r.name(u.School))
 	le.PutUint16(b[42:], r.name(u.Class))
-	b[44], b[45] = byte(u.End), 0
-	if u.Again {
+	b[44], b[45] = byte(u.Outcome), 0
+	if u.KnownDuplicate {
 		b[45] = 1
 	}
 	le.PutUint64(b[48:], r.next)
@@ -121,8 +121,8 @@
 	if id, ok := r.ids[s]; ok {
 		return id
 	}
-	if len(r.ids) == 0 && s != Other {
-		r.name(Other)
+	if len(r.ids) == 0 && s != OtherSchool {
+		r.name(OtherSchool)
 	}
 	s = s[:min(len(s), longestText)]
 	if id, ok := r.ids[s]; ok || r.nameAt+2+len(s) > headerSize+namesSize {
@@ -156,24 +156,24 @@
 	return r.names[id], true
 }
 
-// Take is the use of a number, if it is there.
-func (r *Ring) Take(number uint64) (Use, bool) {
+// Read is the use of a number, if it is there.
+func (r *Ring) Read(number uint64) (Record, bool) {
 	at := r.at(number)
 	if r.word(at).Load() != number {
-		return Use{}, false
+		return Record{}, false
 	}
 	b := r.mem[at : at+recordSize]
 	le := binary.LittleEndian
 	if le.Uint64(b[48:]) != number || le.Uint32(b[60:]) != check(b) {
-		return Use{}, false
+		return Record{}, false
 	}
-	u := Use{
-		At:    int64(le.Uint64(b[8:])),
-		Until: int64(le.Uint64(b[16:])),
-		Key:   le.Uint64(b[24:]),
-		Work:  int64(le.Uint64(b[32:])),
-		End:   End(b[44]),
-		Again: b[45] == 1,
+	u := Record{
+		AnsweredAt:     int64(le.Uint64(b[8:])),
+		KeyExpiresAt:   int64(le.Uint64(b[16:])),
+		Key:            le.Uint64(b[24:]),
+		Work:           int64(le.Uint64(b[32:])),
+		Outcome:        Outcome(b[44]),
+		KnownDuplicate: b[45] == 1,
 	}
 	var ok, known bool
 	u.School, ok = r.nameOf(le.Uint16(b[40:]))
@@ -181,40 +181,40 @@
 	return u, ok && known
 }
 
-// Last tells up to which number uses were put.
+// Final tells up to which number uses were put.
 func (r *Ring) Last() uint64 { return r.next - 1 }
 
-// Free gives back the room of uses up to a number: they are kept elsewhere.
-func (r *Ring) Free(number uint64) { r.freed.Store(number) }
+// Release gives back the room of uses up to a number: they are kept elsewhere.
+func (r *Ring) Release(number uint64) { r.freed.Store(number) }
 
-// Lost is how many uses found no room.
+// AddLost is how many uses found no room.
 func (r *Ring) Lost() uint64 { return r.word(lostAt).Load() }
 
-// From tells rings of an account apart, as far as they lost anything: it is behind which use they
+// StartedAfter tells rings of an account apart, as far as they lost anything: it is behind which use they
 // began.
-func (r *Ring) From() uint64 { return binary.LittleEndian.Uint64(r.mem[fromAt:]) }
+func (r *Ring) StartedAfter() uint64 { return binary.LittleEndian.Uint64(r.mem[fromAt:]) }
 
-// Used is which part of the room is taken, seen from who takes at a number.
-func (r *Ring) Used(number uint64) float64 {
+// Utilization is which part of the room is taken, seen from who takes at a number.
+func (r *Ring) Utilization(number uint64) float64 {
 	return float64(number-r.freed.Load()) / float64(r.records)
 }
 
-// Left takes what an earlier life left behind the use of number taken: all that is whole, in the
+// Recover takes what an earlier life left behind the use of number taken: all that is whole, in the
 // order it was put. Missing is how many lie between that are not. A disk that lost power may have
 // kept any of them.
-func (r *Ring) Left(taken uint64, take func(Use)) (last, missing uint64) {
+func (r *Ring) Recover(taken uint64, take func(Record)) (last, missing uint64) {
 	for n := range r.records {
 		if number := r.word(headerSize + namesSize + int(n)*recordSize).Load(); number > last &&
 			number <= taken+r.records &&
 			r.at(number) == headerSize+namesSize+int(n)*recordSize {
-			if _, ok := r.Take(number); ok {
+			if _, ok := r.Read(number); ok {
 				last = number
 			}
 		}
 	}
 	last = max(last, taken)
 	for number := taken + 1; number <= last; number++ {
-		if u, ok := r.Take(number); ok {
+		if u, ok := r.Read(number); ok {
 			take(u)
 		} else {
 			missing++
--- a/internal/usage/ledger/state.go
+++ b/internal/usage/ledger/state.go
@@ -24,8 +24,8 @@
 	Newest   int64        `json:"newest"`
 	Sealed   int64        `json:"sealed"`
 	Lines    []Line       `json:"lines,omitempty"`
-	Keys     Keys         `json:"keys,omitempty"`
-	Listed   Keys         `json:"listed,omitempty"`
+	Keys     CountedKeys  `json:"keys,omitempty"`
+	Listed   CountedKeys  `json:"listed,omitempty"`
 	Fixes    []Correction `json:"corrections,omitempty"`
 	IDs      []string     `json:"ids,omitempty"`
 	Pending  []*Statement `json:"pending,omitempty"`
@@ -42,10 +42,10 @@
 	Ahead    int          `json:"ahead,omitempty"`
 }
 
-// Keep is the account as a file. Taken is the number of the last use in it.
-func (l *Ledger) Keep(taken uint64) []byte {
+// Encode is the account as a file. Taken is the number of the last use in it.
+func (l *Ledger) Encode(taken uint64) []byte {
 	s := state{
-		Format:   Format,
+		Format:   FormatVersion,
 		Instance: l.set.Instance,
 		Life:     l.life,
 		PeriodUs: l.set.Period,
@@ -56,7 +56,7 @@
 		Through:  l.through,
 		Newest:   l.newest,
 		Sealed:   l.sealed,
-		Lines:    l.Open(),
+		Lines:    l.OpenLines(),
 		Listed:   l.listed,
 		Fixes:    l.fixes,
 		IDs:      l.ids,
@@ -84,8 +84,8 @@
 	return fmt.Appendf(b, "\n%s%s\n", stateMark, hex.EncodeToString(sum[:]))
 }
 
-// Look is the account of a file, to be looked at.
-func Look(b []byte) (*Ledger, error) {
+// Inspect is the account of a file, to be looked at.
+func Inspect(b []byte) (*Ledger, error) {
 	body, err := sealed(b, stateMark)
 	if err != nil {
 		return nil, err
@@ -94,13 +94,13 @@
 	if err := json.Unmarshal(body, &s); err != nil {
 		return nil, err
 	}
-	l, _, err := Recall(Settings{Instance: s.Instance}, b)
+	l, _, err := Decode(Settings{Instance: s.Instance}, b)
 	return l, err
 }
 
-// Recall is the account of a file, and the number of the last use in it. An account of other
+// Decode is the account of a file, and the number of the last use in it. An account of other
 // periods is not gone on with: its statements would lie across those that were written.
-func Recall(set Settings, b []byte) (*Ledger, uint64, error) {
+func Decode(set Settings, b []byte) (*Ledger, uint64, error) {
 	body, err := sealed(b, stateMark)
 	if err != nil {
 		return nil, 0, err
@@ -110,8 +110,8 @@
 		return nil, 0, err
 	}
 	switch {
-	case s.Format < 1 || s.Format > Format:
-		return nil, 0, format.New("format %d; this program knows up to %d", s.Format, Format)
+	case s.Format < 1 || s.Format > FormatVersion:
+		return nil, 0, format.New("format %d; this program knows up to %d", s.Format, FormatVersion)
 	case s.Instance != set.Instance:
 		return nil, 0, format.New("it is the account of %s, and this is %s", s.Instance, set.Instance)
 	case set.Period != 0 && (s.PeriodUs != set.Period || s.SliceUs != set.Slice):
@@ -133,7 +133,7 @@
 	l.listed, l.bareTo, l.ringFrom = s.Listed, s.BareTo, s.RingFrom
 	l.steps, l.over, l.swept, l.ahead = s.Steps, s.Over, s.Swept, s.Ahead
 	for _, k := range s.Keys {
-		l.keys[k.Key] = k
+		l.keys[k.Hash] = k
 	}
 	for _, id := range s.IDs {
 		l.remember(id)
--- a/internal/usage/ledger/stored_test.go
+++ b/internal/usage/ledger/stored_test.go
@@ -22,16 +22,16 @@
 )
 
 // storedUses are uses of three periods.
-func storedUses(period int) []Use {
+func storedUses(period int) []Record {
 	at := storedBegin + int64(period)*hour
-	return []Use{
-		{At: at + 10*sec, School: "north", Class: "hand-in", End: Served, Work: 25_000, Key: KeyOf("north", "hand-in", "a"), Until: at + 13*sec},
-		{At: at + 11*sec, School: "north", Class: "hand-in", End: Served, Work: 1, Key: KeyOf("north", "hand-in", "a"), Until: at + 14*sec, Again: true},
-		{At: at + 12*sec, School: "north", Class: "check", End: Late, Work: 300},
-		{At: at + 70*sec, School: "south", Class: "check", End: Served, Work: 2_000},
-		{At: at + 71*sec, School: "south", Class: "check", End: Refused},
-		{At: at + 72*sec, School: "south", Class: "check", End: Failed, Work: 7},
-		{At: at + 73*sec, School: "south", Class: "check", End: Gone},
+	return []Record{
+		{AnsweredAt: at + 10*sec, School: "north", Class: "hand-in", Outcome: OutcomeServed, Work: 25_000, Key: HashKey("north", "hand-in", "a"), KeyExpiresAt: at + 13*sec},
+		{AnsweredAt: at + 11*sec, School: "north", Class: "hand-in", Outcome: OutcomeServed, Work: 1, Key: HashKey("north", "hand-in", "a"), KeyExpiresAt: at + 14*sec, KnownDuplicate: true},
+		{AnsweredAt: at + 12*sec, School: "north", Class: "check", Outcome: OutcomeTimedOut, Work: 300},
+		{AnsweredAt: at + 70*sec, School: "south", Class: "check", Outcome: OutcomeServed, Work: 2_000},
+		{AnsweredAt: at + 71*sec, School: "south", Class: "check", Outcome: OutcomeRejected},
+		{AnsweredAt: at + 72*sec, School: "south", Class: "check", Outcome: OutcomeFailed, Work: 7},
+		{AnsweredAt: at + 73*sec, School: "south", Class: "check", Outcome: OutcomeAbandoned},
 	}
 }
 
@@ -39,8 +39,8 @@
 func storedCorrection(id string) Correction {
 	return Correction{
 		ID: id, Period: storedBegin, School: "north", Class: "hand-in",
-		Count: Count{Served: -1, Repeats: 2, Late: 3, Refused: 4, Failed: 5, Gone: 6, WorkUs: -7_000},
-		Why:   "counted twice", By: "ops",
+		Count:  Count{Served: -1, Duplicates: 2, TimedOut: 3, Rejected: 4, Failed: 5, Abandoned: 6, Work: -7_000},
+		Reason: "counted twice", Author: "ops",
 	}
 }
 
@@ -58,18 +58,18 @@
 	if known, err := l.Correct(storedCorrection("c-1"), storedBegin+hour); known || err != nil {
 		t.Fatal(known, err)
 	}
-	l.Lost(2)
+	l.AddLost(2)
 	first := l.Seal(storedBegin + hour + 10*sec)
-	l.Naming(first)
-	l.Exported(first)
+	l.MarkRenaming(first)
+	l.MarkExported(first)
 	add(1)
 	second := l.Seal(storedBegin + 2*hour + 10*sec)
-	l.Naming(second)
+	l.MarkRenaming(second)
 	add(2)
 	if known, err := l.Correct(storedCorrection("c-2"), storedBegin+2*hour); known || err != nil {
 		t.Fatal(known, err)
 	}
-	files := map[string][]byte{"state": l.Keep(21), firstName: first.Encode()}
+	files := map[string][]byte{"state": l.Encode(21), firstName: first.Encode()}
 	// Two uses more than the ring has room for.
 	ring := make([]byte, RingSize(7))
 	r := NewRing(ring, "0011aabbccdd", 21)
@@ -77,19 +77,19 @@
 		r.Put(u)
 	}
 	files["ring"] = ring
-	files[lastName] = l.End().Encode()
+	files[lastName] = l.Finish().Encode()
 	return files
 }
 
 // allFields are values of what is stored or shown as JSON, with every field set.
 func allFields() map[string]any {
-	count := Count{Served: 1, Repeats: 2, Late: 3, Refused: 4, Failed: 5, Gone: 6, WorkUs: 7}
+	count := Count{Served: 1, Duplicates: 2, TimedOut: 3, Rejected: 4, Failed: 5, Abandoned: 6, Work: 7}
 	line := Line{Period: storedBegin, School: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
-	keys := Keys{storedKeyOf(0)}
+	keys := CountedKeys{storedKeyOf(0)}
 	statement := Statement{
-		Format: 2, Instance: "n0", Life: "0011aabbccdd", Seq: 3, From: storedBegin, To: storedBegin + hour,
-		PeriodUs: 3_600_000_000, SliceUs: 60_000_000, Before: "774a", Lines: []Line{line},
-		Corrections: []Correction{storedCorrection("c-1")}, Keys: keys, Lost: 8, Bare: 9, Last: true, Taken: 10,
+		Format: 2, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 3, From: storedBegin, To: storedBegin + hour,
+		Period: 3_600_000_000, Slice: 60_000_000, PreviousDigest: "774a", Lines: []Line{line},
+		Corrections: []Correction{storedCorrection("c-1")}, Keys: keys, Lost: 8, UnlistedKeys: 9, Final: true, Steps: 10,
 	}
 	return map[string]any{
 		"all-fields-statement.json": statement,
@@ -100,14 +100,14 @@
 			Naming: 7, Lost: 8, BareTo: 9, RingLost: 10, RingFrom: 11, Bare: 12, Steps: 13, Over: true, Swept: 14, Ahead: 15,
 		},
 		"all-fields-summary.json": Summary{
-			Instance: "n0", Life: "0011aabbccdd", Through: 1, Seq: 2, Exported: 3, Keys: 4, Lost: 5, Lines: []Line{line}, Fixes: 6,
+			Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: 1, Statements: 2, Exported: 3, Keys: 4, Lost: 5, Lines: []Line{line}, Corrections: 6,
 		},
 		"all-fields-bill.json": Bill{
-			Periods:    []BillPeriod{{Period: storedBegin, Missing: []string{"n1"}}},
+			Periods:    []BillPeriod{{Period: storedBegin, MissingInstances: []string{"n1"}}},
 			Lines:      []BillLine{{Period: storedBegin, School: "north", Class: "hand-in", Count: count, Changed: true}},
-			Schools:    []BillSchool{{Period: storedBegin, School: "north", Served: 1, Above: 2.5, WorkUs: 3}},
-			Problems:   []Problem{{Instance: "n0", Life: "0011aabbccdd", What: "a statement is missing"}},
-			Statements: 1, Copies: 2, Twice: 3, Lost: 4,
+			Schools:    []BillSchool{{Period: storedBegin, School: "north", Served: 1, AboveQuota: 2.5, Work: 3}},
+			Problems:   []Problem{{Instance: "n0", Incarnation: "0011aabbccdd", Description: "a statement is missing"}},
+			Statements: 1, DuplicateStatements: 2, DeduplicatedRuns: 3, Lost: 4,
 		},
 	}
 }
@@ -199,34 +199,34 @@
 func storedLines(period int) []Line {
 	at := storedBegin + int64(period)*hour
 	return []Line{
-		{Period: at, School: "north", Class: "check", Count: Count{Late: 1, WorkUs: 300}},
-		{Period: at, School: "north", Class: "hand-in", Count: Count{Served: 1, Repeats: 1, WorkUs: 25_000}, Slices: []int64{1}},
+		{Period: at, School: "north", Class: "check", Count: Count{TimedOut: 1, Work: 300}},
+		{Period: at, School: "north", Class: "hand-in", Count: Count{Served: 1, Duplicates: 1, Work: 25_000}, Slices: []int64{1}},
 		{
 			Period: at, School: "south", Class: "check",
-			Count:  Count{Served: 1, Refused: 1, Failed: 1, Gone: 1, WorkUs: 2_007},
+			Count:  Count{Served: 1, Rejected: 1, Failed: 1, Abandoned: 1, Work: 2_007},
 			Slices: []int64{0, 1},
 		},
 	}
 }
 
 // storedKeyOf is the key of the hand-in that was counted in a period.
-func storedKeyOf(period int) Key {
+func storedKeyOf(period int) CountedKey {
 	at := storedBegin + int64(period)*hour + 10*sec
-	return Key{Key: 1070329728019876228, At: at, Until: at + 3*sec, Work: 25_000, School: "north", Class: "hand-in"}
+	return CountedKey{Hash: 1070329728019876228, ServedAt: at, ExpiresAt: at + 3*sec, Work: 25_000, School: "north", Class: "hand-in"}
 }
 
 // The statements of version 1 are read as they were written, the last of an account too.
 func TestReadsStatementsOfVersion1(t *testing.T) {
 	first := &Statement{
-		Format: 1, Instance: "n0", Life: "0011aabbccdd", Seq: 1,
-		From: storedBegin, To: storedBegin + hour, PeriodUs: 3_600_000_000, SliceUs: 60_000_000,
-		Lines: storedLines(0), Corrections: []Correction{storedCorrection("c-1")}, Keys: Keys{storedKeyOf(0)}, Lost: 2,
+		Format: 1, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 1,
+		From: storedBegin, To: storedBegin + hour, Period: 3_600_000_000, Slice: 60_000_000,
+		Lines: storedLines(0), Corrections: []Correction{storedCorrection("c-1")}, Keys: CountedKeys{storedKeyOf(0)}, Lost: 2,
 	}
 	last := &Statement{
-		Format: 2, Instance: "n0", Life: "0011aabbccdd", Seq: 3,
-		From: storedBegin + 2*hour, To: storedBegin + 3*hour, PeriodUs: 3_600_000_000, SliceUs: 60_000_000,
-		Before: "774ab82649a50465ea6e87d0f0964455ae03c7278041f48b9bb74430f6835471", Lines: storedLines(2), Corrections: []Correction{storedCorrection("c-2")}, Keys: Keys{storedKeyOf(2)},
-		Last: true, Taken: 23,
+		Format: 2, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 3,
+		From: storedBegin + 2*hour, To: storedBegin + 3*hour, Period: 3_600_000_000, Slice: 60_000_000,
+		PreviousDigest: "774ab82649a50465ea6e87d0f0964455ae03c7278041f48b9bb74430f6835471", Lines: storedLines(2), Corrections: []Correction{storedCorrection("c-2")}, Keys: CountedKeys{storedKeyOf(2)},
+		Final: true, Steps: 23,
 	}
 	for name, want := range map[string]*Statement{firstName: first, lastName: last} {
 		got, err := ParseStatement(name, readStored(t, name))
@@ -236,32 +236,32 @@
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("%s (-want +got)\n%s", name, diff)
 		}
-		if got.Name() != name {
-			t.Errorf("%s names itself %s", name, got.Name())
+		if got.FileName() != name {
+			t.Errorf("%s names itself %s", name, got.FileName())
 		}
 	}
 }
 
 // The state of an account that version 1 kept is read as it was, and the account goes on from it.
 func TestReadsStateOfVersion1(t *testing.T) {
-	l, taken, err := Recall(settings(), readStored(t, "state"))
+	l, taken, err := Decode(settings(), readStored(t, "state"))
 	if err != nil || taken != 21 {
 		t.Fatal(taken, err)
 	}
 	want := Summary{
-		Instance: "n0", Life: "0011aabbccdd", Through: storedBegin + 2*hour, Seq: 2, Exported: 1,
-		Keys: 1, Lines: storedLines(2), Fixes: 1,
+		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: storedBegin + 2*hour, Statements: 2, Exported: 1,
+		Keys: 1, Lines: storedLines(2), Corrections: 1,
 	}
 	if diff := cmp.Diff(want, l.Summary()); diff != "" {
 		t.Errorf("summary (-want +got)\n%s", diff)
 	}
-	if next, naming := l.Next(); !naming || next.Seq != 2 || !reflect.DeepEqual(next.Lines, storedLines(1)) {
+	if next, naming := l.NextStatement(); !naming || next.Seq != 2 || !reflect.DeepEqual(next.Lines, storedLines(1)) {
 		t.Errorf("the statement to be written is %+v, naming: %v", next, naming)
 	}
 	if known, err := l.Correct(storedCorrection("c-1"), storedBegin+2*hour); !known || err != nil {
 		t.Errorf("a correction of before is known: %v, %v", known, err)
 	}
-	if got, want := l.End().Encode(), readStored(t, lastName); string(got) != string(want) {
+	if got, want := l.Finish().Encode(), readStored(t, lastName); string(got) != string(want) {
 		t.Errorf("the account ends with\n%s\nand not with\n%s", got, want)
 	}
 }
@@ -272,10 +272,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []Use
-	last, missing := r.Left(21, func(u Use) { got = append(got, u) })
-	if last != 28 || missing != 0 || r.Lost() != 2 || r.From() != 21 {
-		t.Errorf("uses up to %d, %d missing, %d lost, from %d", last, missing, r.Lost(), r.From())
+	var got []Record
+	last, missing := r.Recover(21, func(u Record) { got = append(got, u) })
+	if last != 28 || missing != 0 || r.Lost() != 2 || r.StartedAfter() != 21 {
+		t.Errorf("uses up to %d, %d missing, %d lost, from %d", last, missing, r.Lost(), r.StartedAfter())
 	}
 	if diff := cmp.Diff(storedUses(2), got); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
--- a/internal/usage/ledger/use.go
+++ b/internal/usage/ledger/use.go
@@ -17,34 +17,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// End is what became of a request.
-type End uint8
+// Outcome is what became of a request.
+type Outcome uint8
 
 // The ends of requests.
 const (
-	Served  End = iota + 1 // it ran, and its result went out; of a keyed one: for the first time
-	Repeat                 // a keyed one that had been counted as served
-	Late                   // it came to nothing in time
-	Refused                // it never ran
-	Failed
-	Gone // its caller went
-	ends
+	OutcomeServed    Outcome = iota + 1 // it ran, and its result went out; of a keyed one: for the first time
+	OutcomeDuplicate                    // a keyed one that had been counted as served
+	OutcomeTimedOut                     // it came to nothing in time
+	OutcomeRejected                     // it never ran
+	OutcomeFailed
+	OutcomeAbandoned // its caller went
+	outcomeCount
 )
 
-// Use is one request.
-type Use struct {
-	At     int64  `cbor:"At"` // when it was answered
-	School string `cbor:"School"`
-	Class  string `cbor:"Class"`
-	End    End    `cbor:"End"`
-	Work   int64  `cbor:"Work"`  // microseconds that servers spent on it, of all its tries
-	Key    uint64 `cbor:"Key"`   // KeyOf of a keyed one; 0: it has none
-	Until  int64  `cbor:"Until"` // how long a keyed one may come again
-	Again  bool   `cbor:"Again"` // it is known to repeat another one
+// Record is one request.
+type Record struct {
+	AnsweredAt     int64   `cbor:"At"` // when it was answered
+	School         string  `cbor:"School"`
+	Class          string  `cbor:"Class"`
+	Outcome        Outcome `cbor:"End"`
+	Work           int64   `cbor:"Work"`  // microseconds that servers spent on it, of all its tries
+	Key            uint64  `cbor:"Key"`   // HashKey of a keyed one; 0: it has none
+	KeyExpiresAt   int64   `cbor:"Until"` // how long a keyed one may come again
+	KnownDuplicate bool    `cbor:"Again"` // it is known to repeat another one
 }
 
-// KeyOf is what stands for a key, alike on all instances. It is never nought.
-func KeyOf(school, class, key string) uint64 {
+// HashKey is what stands for a key, alike on all instances. It is never nought.
+func HashKey(school, class, key string) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{school, class, key} {
 		_, _ = d.WriteString(s)
@@ -55,27 +55,27 @@
 
 // Count is sums of uses. In a correction and in an amendment they may be below nought.
 type Count struct {
-	Served  int64 `json:"served,omitempty"`
-	Repeats int64 `json:"repeats,omitempty"`
-	Late    int64 `json:"late,omitempty"`
-	Refused int64 `json:"refused,omitempty"`
-	Failed  int64 `json:"failed,omitempty"`
-	Gone    int64 `json:"gone,omitempty"`
-	WorkUs  int64 `json:"work_us,omitempty"`
+	Served     int64 `json:"served,omitempty"`
+	Duplicates int64 `json:"repeats,omitempty"`
+	TimedOut   int64 `json:"late,omitempty"`
+	Rejected   int64 `json:"refused,omitempty"`
+	Failed     int64 `json:"failed,omitempty"`
+	Abandoned  int64 `json:"gone,omitempty"`
+	Work       int64 `json:"work_us,omitempty"`
 }
 
-func (c *Count) of(e End) *int64 {
-	return [ends]*int64{Served: &c.Served, Repeat: &c.Repeats, Late: &c.Late, Refused: &c.Refused, Failed: &c.Failed, Gone: &c.Gone}[e]
+func (c *Count) of(e Outcome) *int64 {
+	return [outcomeCount]*int64{OutcomeServed: &c.Served, OutcomeDuplicate: &c.Duplicates, OutcomeTimedOut: &c.TimedOut, OutcomeRejected: &c.Rejected, OutcomeFailed: &c.Failed, OutcomeAbandoned: &c.Abandoned}[e]
 }
 
 // Add adds another one. Sums stay within what can be written: an account that came to its end is
 // told from one that wrapped.
 func (c *Count) Add(o Count) {
-	for e := Served; e < ends; e++ {
+	for e := OutcomeServed; e < outcomeCount; e++ {
 		n := c.of(e)
 		*n = sum(*n, *o.of(e))
 	}
-	c.WorkUs = sum(c.WorkUs, o.WorkUs)
+	c.Work = sum(c.Work, o.Work)
 }
 
 func sum(a, b int64) int64 {
@@ -92,7 +92,7 @@
 // Requests is how many there were.
 func (c Count) Requests() int64 {
 	n := int64(0)
-	for e := Served; e < ends; e++ {
+	for e := OutcomeServed; e < outcomeCount; e++ {
 		n = sum(n, *c.of(e))
 	}
 	return n
@@ -100,12 +100,12 @@
 
 // isBelow tells whether a sum is below nought, which no account comes to by itself.
 func (c Count) isBelow() bool {
-	for e := Served; e < ends; e++ {
+	for e := OutcomeServed; e < outcomeCount; e++ {
 		if *c.of(e) < 0 {
 			return true
 		}
 	}
-	return c.WorkUs < 0
+	return c.Work < 0
 }
 
 // Line is what a school used of a class in a period.
@@ -146,14 +146,14 @@
 	School string `json:"school"`
 	Class  string `json:"class"`
 	Count
-	Why string `json:"why"`
-	By  string `json:"by,omitempty"`
+	Reason string `json:"why"`
+	Author string `json:"by,omitempty"`
 }
 
-// Key is a key that was counted as served, so that other instances' statements can be compared.
-type Key struct {
-	Key           uint64
-	At, Until     int64 // to the second below, and above
-	Work          int64 // microseconds, up to an hour
-	School, Class string
+// Hash is a key that was counted as served, so that other instances' statements can be compared.
+type CountedKey struct {
+	Hash                uint64
+	ServedAt, ExpiresAt int64 // to the second below, and above
+	Work                int64 // microseconds, up to an hour
+	School, Class       string
 }
--- a/internal/usage/metering/copied.go
+++ b/internal/usage/metering/copied.go
@@ -27,30 +27,32 @@
 // correctWithin is how long a correction waits for others to know it, in microseconds.
 const correctWithin = 2_000_000
 
-// ErrUnkept is that of what others could not be told in time.
-var ErrUnkept error = unkept.New(
+// ErrNotReplicated is that of what others could not be told in time.
+var ErrNotReplicated error = unkept.New(
 	"usage: it is kept here, and others could not be told in time; give it again",
 )
 
-// Join is how the account is known to others.
-type Join struct {
-	Process uint32
-	Send    func(out []usagereplica.Message) // from beside the loop
-	Deliver func(fn func())                  // has fn called on the loop
+// StartReplication is how the account is known to others.
+type ReplicationConfig struct {
+	Process   uint32
+	Send      func(out []usagereplica.Message) // from beside the loop
+	RunOnLoop func(fn func())                  // has fn called on the loop
 }
 
-// Copies is how far others know the account, and what is known of others'.
-type Copies struct {
-	Heirs map[string]uint64 `json:"heirs"` // and how many steps each is behind
+// ReplicationStatus is how far others know the account, and what is known of others'.
+type ReplicationStatus struct {
+	Replicas map[string]uint64 `json:"heirs"` // and how many steps each is behind
 	// they have the account, and are told what is new
-	Told   bool `json:"told"`
-	Known  int  `json:"known"`            // accounts of others
-	Ending int  `json:"ending,omitempty"` // of them, those of runners that are lost
-	Short  int  `json:"short,omitempty"`  // statements that are still to be passed on
+	InSync                bool `json:"told"`
+	RemoteAccounts        int  `json:"known"`            // accounts of others
+	ExpiringAccounts      int  `json:"ending,omitempty"` // of them, those of runners that are lost
+	UndeliveredStatements int  `json:"short,omitempty"`  // statements that are still to be passed on
 }
 
-// Whole tells whether all that is known here is known to as many as it should be.
-func (c *Copies) Whole() bool { return c.Told && c.Ending == 0 && c.Short == 0 }
+// FullyReplicated tells whether all that is known here is known to as many as it should be.
+func (c *ReplicationStatus) FullyReplicated() bool {
+	return c.InSync && c.ExpiringAccounts == 0 && c.UndeliveredStatements == 0
+}
 
 // box is where messages and the newest table wait for a goroutine.
 type box struct {
@@ -113,9 +115,9 @@
 // mono is the time that has passed, which no clock moves.
 func (m *Meter) mono() int64 { return time.Since(m.began).Microseconds() }
 
-// Join has the account known to others from here on, and theirs known here. It is called once, on
+// StartReplication has the account known to others from here on, and theirs known here. It is called once, on
 // the loop.
-func (m *Meter) Join(j Join) error {
+func (m *Meter) StartReplication(j ReplicationConfig) error {
 	names, err := m.dir.List()
 	if err != nil {
 		return err
@@ -128,7 +130,7 @@
 	}
 	m.join, m.ended = j, make(chan struct{})
 	if err := m.ask(func(d *desk) {
-		d.copied = &copied{seals: map[uint64]uint64{}, w: usagereplica.NewPrimary(m.name, d.led.Life(), j.Process, d.led.Settings(), func() []byte { return d.led.Keep(d.taken) })}
+		d.copied = &copied{seals: map[uint64]uint64{}, w: usagereplica.NewPrimary(m.name, d.led.Incarnation(), j.Process, d.led.Settings(), func() []byte { return d.led.Encode(d.taken) })}
 	}); err != nil {
 		return err
 	}
@@ -141,14 +143,14 @@
 	return nil
 }
 
-// Table tells of a newer table.
-func (m *Meter) Table(t *placement.Table, life uint64) {
+// SetTable tells of a newer table.
+func (m *Meter) SetTable(t *placement.Table, life uint64) {
 	m.post.sit(seat{t, life})
 	m.estate.sit(seat{t, life})
 }
 
-// Hear takes a message of a peer.
-func (m *Meter) Hear(x *usagereplica.Message) {
+// Receive takes a message of a peer.
+func (m *Meter) Receive(x *usagereplica.Message) {
 	if x.Type == usagereplica.MsgProgress {
 		m.post.put(*x)
 		return
@@ -165,9 +167,9 @@
 // errNoRoom is that of a use for which the ring has no room.
 var errNoRoom error = noRoom.New("usage: no room for a use; the disk takes nothing")
 
-// Promise counts a use, and tells done on the loop once others know of it. Whoever asks gives up by
+// RecordReplicated counts a use, and tells done on the loop once others know of it. Whoever asks gives up by
 // itself.
-func (m *Meter) Promise(u ledger.Use, done func(error)) {
+func (m *Meter) RecordReplicated(u ledger.Record, done func(error)) {
 	if !m.ring.Put(u) {
 		done(errNoRoom)
 		return
@@ -175,7 +177,7 @@
 	if len(m.waits) >= mostWaits { // its heirs say nothing for long; whoever waited has given up
 		first := m.waits[0]
 		m.waits = m.waits[1:]
-		first.done(ErrUnkept)
+		first.done(ErrNotReplicated)
 	}
 	m.waits = append(m.waits, promise{m.ring.Last(), done})
 	m.post.wake()
@@ -194,8 +196,8 @@
 	}
 }
 
-// Copies tells how far others know the account.
-func (m *Meter) Copies() Copies {
+// ReplicationStatus tells how far others know the account.
+func (m *Meter) ReplicationStatus() ReplicationStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.stands
@@ -224,7 +226,7 @@
 	}
 }
 
-func (c *copied) use(u *ledger.Use, number uint64) {
+func (c *copied) use(u *ledger.Record, number uint64) {
 	if c != nil {
 		if len(c.marks) >= mostWaits { // a later use that is known tells of this one too
 			c.marks = c.marks[1:]
@@ -272,7 +274,7 @@
 	if c.w.Flush(now); tick {
 		c.w.Tick(now)
 		m.mu.Lock()
-		m.stands.Heirs, m.stands.Told = c.w.Lag(), c.w.FullyReplicated()
+		m.stands.Replicas, m.stands.InSync = c.w.Lag(), c.w.FullyReplicated()
 		m.mu.Unlock()
 	}
 	if out := c.w.TakeMessages(); len(out) > 0 {
@@ -285,7 +287,7 @@
 	}
 	if use > c.told {
 		c.told = use
-		m.join.Deliver(func() { m.known(use) })
+		m.join.RunOnLoop(func() { m.known(use) })
 	}
 	rest := c.waits[:0]
 	for _, w := range c.waits {
@@ -293,7 +295,7 @@
 		case w.step <= kept:
 			w.done(nil)
 		case now >= w.late:
-			w.done(ErrUnkept)
+			w.done(ErrNotReplicated)
 		default:
 			rest = append(rest, w)
 		}
@@ -335,7 +337,7 @@
 			o.heir.Tick(m.mono())
 			o.shelf.Tick(m.mono())
 			m.mu.Lock()
-			m.stands.Known, m.stands.Ending, m.stands.Short = o.heir.Len(), o.heir.PendingEnds(), o.shelf.Unreplicated()
+			m.stands.RemoteAccounts, m.stands.ExpiringAccounts, m.stands.UndeliveredStatements = o.heir.Len(), o.heir.PendingEnds(), o.shelf.Unreplicated()
 			m.mu.Unlock()
 		case then := <-back:
 			then()
@@ -405,7 +407,7 @@
 // lay writes a statement of another runner's account, if it does not lie there. It gives what is to
 // be done about it.
 func (m *Meter) lay(o *others, p *usagereplica.OwnedStatement) func() {
-	name := p.Name()
+	name := p.FileName()
 	b, err := m.dir.Read(name)
 	switch {
 	case err == nil && bytes.Equal(b, p.Encode()):
--- a/internal/usage/metering/desk.go
+++ b/internal/usage/metering/desk.go
@@ -70,26 +70,26 @@
 	case err != nil:
 		return nil, f, err
 	default:
-		if d.led, d.taken, err = ledger.Recall(set, b); err != nil {
+		if d.led, d.taken, err = ledger.Decode(set, b); err != nil {
 			return nil, f, account.New("usage: %s: %w", stateFile, err)
 		}
 	}
 	if len(old) > 0 && !f.New {
-		ring, err := ledger.OpenRing(old, d.led.Life())
+		ring, err := ledger.OpenRing(old, d.led.Incarnation())
 		if f.Ring = err; err == nil {
-			last, missing := ring.Left(d.taken, d.led.Add)
+			last, missing := ring.Recover(d.taken, d.led.Add)
 			f.Left, f.Missing = last-d.taken-missing, missing
 			d.taken = last
-			d.led.Lost(missing)
-			d.led.RingLost(ring)
+			d.led.AddLost(missing)
+			d.led.AddRingLost(ring)
 		}
 	}
-	if s, naming := d.led.Next(); naming && !powered {
+	if s, naming := d.led.NextStatement(); naming && !powered {
 		if err := d.named(s); err != nil {
 			return nil, f, err
 		}
 	}
-	if err := d.keep(now); err != nil || f.New || !anew && !d.led.Over() {
+	if err := d.keep(now); err != nil || f.New || !anew && !d.led.Ended() {
 		return d, f, err
 	}
 	return d, f, d.begin(set, life, now)
@@ -97,7 +97,7 @@
 
 // begin ends the account and begins another one. What the ring held is on the disk by now.
 func (d *desk) begin(set ledger.Settings, life string, now int64) error {
-	d.led.End()
+	d.led.Finish()
 	if err := d.keep(now); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	if err := d.export(now); err != nil {
 		return err
 	}
-	d.led, d.taken = ledger.After(d.led, set, life, now), 0
+	d.led, d.taken = ledger.NewSuccessor(d.led, set, life, now), 0
 	return d.keep(now)
 }
 
@@ -132,14 +132,14 @@
 // named. A disk may have kept neither name of it; then it is written again, and who took it already
 // knows it by its number.
 func (d *desk) named(s *ledger.Statement) error {
-	for _, name := range []string{s.Name(), s.Name() + partMark} {
+	for _, name := range []string{s.FileName(), s.FileName() + partMark} {
 		if b, err := d.fs.Read(name); err == nil && bytes.Equal(b, s.Encode()) {
 			return nil
 		} else if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
-	d.led.Naming(nil)
+	d.led.MarkRenaming(nil)
 	return nil
 }
 
@@ -150,7 +150,7 @@
 	if s != nil {
 		d.copied.sealed(s, now)
 	}
-	if s != nil || d.dirty && (d.ring.Used(d.taken) > 0.5 || now-d.kept >= d.every || now < d.kept) {
+	if s != nil || d.dirty && (d.ring.Utilization(d.taken) > 0.5 || now-d.kept >= d.every || now < d.kept) {
 		if err := d.keep(now); err != nil {
 			return err
 		}
@@ -161,7 +161,7 @@
 // take takes uses out of the ring.
 func (d *desk) take() {
 	for {
-		u, ok := d.ring.Take(d.taken + 1)
+		u, ok := d.ring.Read(d.taken + 1)
 		if !ok {
 			break
 		}
@@ -171,7 +171,7 @@
 		d.copied.use(&u, d.taken)
 	}
 	if lost := d.ring.Lost(); lost != d.lost {
-		d.copied.step(usagereplica.Operation{LostUses: d.led.RingLost(d.ring)})
+		d.copied.step(usagereplica.Operation{LostUses: d.led.AddRingLost(d.ring)})
 		d.lost, d.dirty = lost, true
 	}
 }
@@ -179,7 +179,7 @@
 // keep has the account on the disk, whole or as it was.
 func (d *desk) keep(now int64) error {
 	d.dirty = true // until it is done
-	b := d.led.Keep(d.taken)
+	b := d.led.Encode(d.taken)
 	if err := d.write(stateFile+newMark, b); err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 		return err
 	}
 	if d.ring != nil {
-		d.ring.Free(d.taken)
+		d.ring.Release(d.taken)
 	}
 	d.dirty, d.kept, d.wrote = false, now, len(b)
 	return nil
@@ -224,14 +224,14 @@
 // became of the name.
 func (d *desk) export(now int64) error {
 	for {
-		s, naming := d.led.Next()
+		s, naming := d.led.NextStatement()
 		if s == nil {
 			return nil
 		}
 		if !d.copied.mayTell(s) {
 			return nil
 		}
-		name, part := s.Name(), s.Name()+partMark
+		name, part := s.FileName(), s.FileName()+partMark
 		if !naming {
 			if _, err := d.fs.Read(name); err == nil {
 				return &conflict{name}
@@ -242,7 +242,7 @@
 			if err := d.fs.SyncDir(); err != nil {
 				return err
 			}
-			d.led.Naming(s)
+			d.led.MarkRenaming(s)
 			if err := d.keep(now); err != nil {
 				return err
 			}
@@ -253,7 +253,7 @@
 		if err := d.fs.SyncDir(); err != nil {
 			return err
 		}
-		d.led.Exported(s)
+		d.led.MarkExported(s)
 		d.names = append(d.names, name)
 		if err := d.keep(now); err != nil {
 			return err
--- a/internal/usage/metering/desk_test.go
+++ b/internal/usage/metering/desk_test.go
@@ -18,7 +18,7 @@
 )
 
 func settings() ledger.Settings {
-	return ledger.Settings{Instance: "n0", Period: 600 * sec, Slice: 60 * sec, Keys: 10_000, Lines: 100}
+	return ledger.Settings{Instance: "n0", Period: 600 * sec, Slice: 60 * sec, MaxKeys: 10_000, MaxLines: 100}
 }
 
 // life is a process that keeps an account on a disk that may go at any step, and one who takes its
@@ -45,7 +45,7 @@
 		return err
 	}
 	l.desk, l.mem = d, make([]byte, ledger.RingSize(20))
-	d.ring = ledger.NewRing(l.mem, d.led.Life(), d.taken)
+	d.ring = ledger.NewRing(l.mem, d.led.Incarnation(), d.taken)
 	return nil
 }
 
@@ -119,13 +119,13 @@
 					for range r.IntN(12) * (1 + 3*r.IntN(2)) {
 						key++
 						if l.desk.ring.Put(
-							ledger.Use{
-								At:     l.now,
-								School: "north",
-								Class:  "hand-in",
-								End:    ledger.Served,
-								Key:    key,
-								Until:  l.now + 100*sec,
+							ledger.Record{
+								AnsweredAt:   l.now,
+								School:       "north",
+								Class:        "hand-in",
+								Outcome:      ledger.OutcomeServed,
+								Key:          key,
+								KeyExpiresAt: l.now + 100*sec,
 							},
 						) {
 							noted++
@@ -175,7 +175,7 @@
 					copies += len(l.collect(t, r))
 				}
 			}
-			bill, err := ledger.Reconcile(l.list, ledger.Terms{})
+			bill, err := ledger.Reconcile(l.list, ledger.BillingTerms{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -185,10 +185,10 @@
 			}
 			problems := slices.DeleteFunc(
 				bill.Problems,
-				func(p ledger.Problem) bool { return strings.Contains(p.What, "were lost") },
+				func(p ledger.Problem) bool { return strings.Contains(p.Description, "were lost") },
 			)
-			if len(problems) > 0 || got.Repeats > 0 || bill.Twice > 0 {
-				t.Fatalf("seed %d, way %d: %v, %+v, %d twice", seed, way, problems, got, bill.Twice)
+			if len(problems) > 0 || got.Duplicates > 0 || bill.DeduplicatedRuns > 0 {
+				t.Fatalf("seed %d, way %d: %v, %+v, %d twice", seed, way, problems, got, bill.DeduplicatedRuns)
 			}
 			if !power && (uint64(got.Served) != noted || bill.Lost != lost) ||
 				power && (uint64(got.Served) > noted || uint64(got.Served)+bill.Lost < safe) {
@@ -223,7 +223,7 @@
 			return nil
 		}
 		for n := range 50 {
-			l.desk.ring.Put(ledger.Use{At: l.now, School: op, Class: "check", End: ledger.Served})
+			l.desk.ring.Put(ledger.Record{AnsweredAt: l.now, School: op, Class: "check", Outcome: ledger.OutcomeServed})
 			l.now += sec
 			if err := l.desk.step(l.now); n > 40 && err == nil {
 				t.Fatalf("%s: it does not show", op)
@@ -242,7 +242,7 @@
 		}
 		l.collect(t, r)
 	}
-	bill, err := ledger.Reconcile(l.list, ledger.Terms{})
+	bill, err := ledger.Reconcile(l.list, ledger.BillingTerms{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprint(f, "somebody's")
-	l.desk.ring.Put(ledger.Use{At: l.now, School: "north", Class: "check", End: ledger.Served})
+	l.desk.ring.Put(ledger.Record{AnsweredAt: l.now, School: "north", Class: "check", Outcome: ledger.OutcomeServed})
 	l.now += 700 * sec
 	var in *conflict
 	if err := l.desk.step(l.now); !errors.As(err, &in) || in.name != name {
--- a/internal/usage/metering/metering.go
+++ b/internal/usage/metering/metering.go
@@ -43,11 +43,11 @@
 
 // Options are how an account is kept. Times are microseconds.
 type Options struct {
-	Dir      string
-	Settings ledger.Settings
-	Records  int   // uses in memory that are not yet on the disk
-	Every    int64 // between two keeps
-	Copied   bool  // others are told of it: see Join
+	Dir          string
+	Settings     ledger.Settings
+	RingCapacity int   // uses in memory that are not yet on the disk
+	SaveInterval int64 // between two keeps
+	Replicated   bool  // others are told of it: see Join
 }
 
 // look is how often the ring is looked into, and retry how long a disk that failed is left alone.
@@ -66,11 +66,11 @@
 	post   *box // for the account
 	estate *box // for those of others
 	began  time.Time
-	join   Join
+	join   ReplicationConfig
 	waits  []promise
 	ended  chan struct{} // of who knows accounts of others; nil: nobody does
 	mu     sync.Mutex
-	stands Copies
+	stands ReplicationStatus
 	unlock func() error
 	asks   chan func(*desk)
 	end    chan struct{}
@@ -101,7 +101,7 @@
 		return nil, errors.Join(err, unlock())
 	}
 	s := d.led.Summary()
-	evOpened.Log(opt.Dir, s.Life, s.Seq, s.Through/1_000_000, f.Left, f.Missing)
+	evOpened.Log(opt.Dir, s.Incarnation, s.Statements, s.SealedThrough/1_000_000, f.Left, f.Missing)
 	if f.Missing > 0 {
 		evLost.Log(f.Missing, "the machine went down before they were on the disk")
 	}
@@ -128,12 +128,12 @@
 	d, f, err := openDesk(
 		dir,
 		opt.Settings,
-		opt.Every,
+		opt.SaveInterval,
 		now,
 		hex.EncodeToString(life[:]),
 		old,
 		powered,
-		opt.Copied,
+		opt.Replicated,
 	)
 	if err != nil {
 		return nil, f, err
@@ -142,10 +142,10 @@
 		return nil, f, err
 	}
 	// What the old ring held is in the state now. The new one takes its place whole.
-	if m.mem, err = mapped(path+newMark, ledger.RingSize(opt.Records)); err != nil {
+	if m.mem, err = mapped(path+newMark, ledger.RingSize(opt.RingCapacity)); err != nil {
 		return nil, f, err
 	}
-	m.ring = ledger.NewRing(m.mem, d.led.Life(), d.taken)
+	m.ring = ledger.NewRing(m.mem, d.led.Incarnation(), d.taken)
 	if err := os.Rename(path+newMark, path); err != nil {
 		return nil, f, errors.Join(err, unix.Munmap(m.mem))
 	}
@@ -174,11 +174,11 @@
 	return unix.Mmap(int(f.Fd()), 0, size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED|unix.MAP_POPULATE)
 }
 
-// Note counts a use. It takes less than a microsecond, and outlives a kill of the process.
-func (m *Meter) Note(u ledger.Use) { m.ring.Put(u) }
+// Record counts a use. It takes less than a microsecond, and outlives a kill of the process.
+func (m *Meter) Record(u ledger.Record) { m.ring.Put(u) }
 
-// Ask has fn look at the account beside the loop.
-func (m *Meter) Ask(fn func(*ledger.Ledger)) error { return m.ask(func(d *desk) { fn(d.led) }) }
+// Inspect has fn look at the account beside the loop.
+func (m *Meter) Inspect(fn func(*ledger.Ledger)) error { return m.ask(func(d *desk) { fn(d.led) }) }
 
 // Correct takes a correction, and tells done once it is on the disk, and known to others if any are
 // told, or why not; known: it had been taken before.
--- a/internal/usage/metering/metering_test.go
+++ b/internal/usage/metering/metering_test.go
@@ -14,10 +14,10 @@
 func TestStatementsInAFolder(t *testing.T) {
 	dir := t.TempDir()
 	opt := Options{
-		Dir:      dir,
-		Records:  256,
-		Every:    1000,
-		Settings: ledger.Settings{Instance: "n0", Period: 200_000, Slice: 100_000, Keys: 100, Lines: 100},
+		Dir:          dir,
+		RingCapacity: 256,
+		SaveInterval: 1000,
+		Settings:     ledger.Settings{Instance: "n0", Period: 200_000, Slice: 100_000, MaxKeys: 100, MaxLines: 100},
 	}
 	for life := range 3 {
 		m, err := Start(opt)
@@ -29,14 +29,14 @@
 		}
 		for n := range 10 {
 			at := time.Now().UnixMicro()
-			m.Note(
-				ledger.Use{
-					At:     at,
-					School: "north",
-					Class:  "hand-in",
-					End:    ledger.Served,
-					Key:    uint64(life*10 + n + 1),
-					Until:  at + 60_000_000,
+			m.Record(
+				ledger.Record{
+					AnsweredAt:   at,
+					School:       "north",
+					Class:        "hand-in",
+					Outcome:      ledger.OutcomeServed,
+					Key:          uint64(life*10 + n + 1),
+					KeyExpiresAt: at + 60_000_000,
 				},
 			)
 		}
@@ -66,7 +66,7 @@
 			}
 			list = append(list, s)
 		}
-		bill, err := ledger.Reconcile(list, ledger.Terms{})
+		bill, err := ledger.Reconcile(list, ledger.BillingTerms{})
 		if err != nil || len(bill.Problems) > 0 {
 			t.Fatal(err, bill.Problems)
 		}
--- a/internal/usage/metering/stored_test.go
+++ b/internal/usage/metering/stored_test.go
@@ -18,10 +18,10 @@
 
 const storedDir = "testdata/stored"
 
-func storedUse(at int64, key string) ledger.Use {
-	return ledger.Use{
-		At: at, School: "north", Class: "hand-in", End: ledger.Served, Work: 2_000, Key: ledger.KeyOf("north", "hand-in", key),
-		Until: at + 100*sec,
+func storedUse(at int64, key string) ledger.Record {
+	return ledger.Record{
+		AnsweredAt: at, School: "north", Class: "hand-in", Outcome: ledger.OutcomeServed, Work: 2_000, Key: ledger.HashKey("north", "hand-in", key),
+		KeyExpiresAt: at + 100*sec,
 	}
 }
 
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	mem := make([]byte, ledger.RingSize(20))
-	d.ring = ledger.NewRing(mem, d.led.Life(), d.taken)
+	d.ring = ledger.NewRing(mem, d.led.Incarnation(), d.taken)
 	for _, step := range []struct {
 		at  int64
 		key string
@@ -79,16 +79,16 @@
 		t.Errorf("found (-want +got)\n%s", diff)
 	}
 	want := ledger.Summary{
-		Instance: "n0", Life: "0011aabbccdd", Through: start + 600*sec, Seq: 1, Exported: 1, Keys: 3,
+		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: start + 600*sec, Statements: 1, Exported: 1, Keys: 3,
 		Lines: []ledger.Line{{
-			Period: start + 600*sec, School: "north", Class: "hand-in", Count: ledger.Count{Served: 3, WorkUs: 6_000},
+			Period: start + 600*sec, School: "north", Class: "hand-in", Count: ledger.Count{Served: 3, Work: 6_000},
 			Slices: []int64{3},
 		}},
 	}
 	if diff := cmp.Diff(want, d.led.Summary()); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	d.ring = ledger.NewRing(make([]byte, ledger.RingSize(20)), d.led.Life(), d.taken)
+	d.ring = ledger.NewRing(make([]byte, ledger.RingSize(20)), d.led.Incarnation(), d.taken)
 	if err := d.step(start + 1300*sec); err != nil {
 		t.Fatal(err)
 	}
