--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -1,6 +1,8 @@
 package app
 
 import (
+	"time"
+
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/balancer/waitqueue"
 	"ryepaddle/internal/config"
@@ -54,9 +56,9 @@
 		if r.groups[name] == nil {
 			h := waitqueue.New(
 				waitqueue.Environment{
-					Now:      r.loop.Now,
+					Now:      func() time.Duration { return micros(r.loop.Now()) },
 					Post:     r.loop.Post,
-					After:    func(d int64, fn func()) { r.loop.After(d, fn) },
+					After:    func(d time.Duration, fn func()) { r.loop.After(d.Microseconds(), fn) },
 					Capacity: func() int { return r.groups[name].Capacity() },
 				},
 				r,
@@ -75,6 +77,9 @@
 	}
 }
 
+// micros is a time or a span of so many microseconds.
+func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
 // nameClasses notes what the classes are called.
 func (r *Program) nameClasses(set admission.Settings) {
 	names := make([]string, len(set.Classes))
@@ -140,5 +145,5 @@
 	if g == nil {
 		return 0
 	}
-	return max(g.RetryAfter(), r.routes[class].(*waitqueue.Queue).RetryAfter(class))
+	return max(g.RetryAfter(), r.routes[class].(*waitqueue.Queue).RetryAfter(class).Microseconds())
 }
--- a/internal/balancer/bulkhead/config.go
+++ b/internal/balancer/bulkhead/config.go
@@ -4,99 +4,126 @@
 	"fmt"
 	"math"
 	"slices"
+	"time"
 )
 
-// Pool is one pool as it is set.
+// minUnreserved is the share of the slots that floors leave where a pool has none: its work would
+// never get a slot if it takes longer than the reclaim time.
+const minUnreserved = 0.1
+
+// Pool holds the parameters of one pool. Shares are of all slots, 0 to 1.
 type Pool struct {
 	Name    string
-	Floor   float64 // share of the slots that is its own; at least one slot, if it is not nought
-	Ceiling float64 // share of the slots that it can have at most; at least one slot
-	// its part of what is left, beside those of others; nought: what nobody else wants
+	Floor   float64 // share that the pool owns; at least one slot, unless it is 0
+	Ceiling float64 // share that it can have at most; at least one slot
+	// Weight is its part of what is left, beside the weights of the others; 0: only what no other
+	// pool wants.
 	Weight  float64
-	Reserve bool  // its floor is never lent
-	Classes []int // of requests that it is for; nil: all
-	Tenants []int // likewise
-	Callers []CallerRange
+	Reserve bool          // its floor is never lent
+	Classes []int         // of requests that it takes; nil: all
+	Tenants []int         // of requests that it takes; nil: all
+	Callers []CallerRange // of requests that it takes; nil: all
 }
 
-// CallerRange are those of some numbers, the last one with them.
+// CallerRange is a range of caller numbers, both ends included.
 type CallerRange struct{ From, To uint32 }
 
+func (r CallerRange) contains(caller int64) bool {
+	return int64(r.From) <= caller && caller <= int64(r.To)
+}
+
 func (p *Pool) takes(class, tenant int, caller int64) bool {
-	return (p.Callers == nil || slices.ContainsFunc(p.Callers, func(c CallerRange) bool { return int64(c.From) <= caller && caller <= int64(c.To) })) &&
+	matchesCaller := func(r CallerRange) bool { return r.contains(caller) }
+	return (p.Callers == nil || slices.ContainsFunc(p.Callers, matchesCaller)) &&
 		(p.Classes == nil || slices.Contains(p.Classes, class)) &&
 		(p.Tenants == nil || slices.Contains(p.Tenants, tenant))
 }
 
-// Class is what is told of a class of requests.
+// Class holds the priority of a class of requests.
 type Class struct {
-	PriorityWeight     float64 // of an answer within its aim
-	LatePriorityWeight float64 // of one after that, up to its due time
+	PriorityWeight     float64 // of a result within the latency objective
+	LatePriorityWeight float64 // of a result after that, up to the deadline
 }
 
-// Config is how a set decides. Times are microseconds.
+// Config holds the parameters of a scheduler.
 type Config struct {
-	Pools          []Pool    // a request goes to the first that takes it
-	Classes        []Class   // by class
-	Tenants        []float64 // shares, by tenant; the sum is 1
-	LimitAlgorithm string    // of finding the limit
-	InitialLimit   float64   // the limit of a group that nothing is known of
-	MinLimit       float64
-	MaxLimit       float64
-	ReclaimTime    int64 // within which what is lent comes back
-	MaxQueueLength int   // requests that wait in a pool
-	DeadlineMargin int64 // a request that would end so close to its due time is given up
+	Pools          []Pool        // a request goes to the first one that takes it
+	Classes        []Class       // by number of the class
+	Tenants        []float64     // shares, by number of the tenant; their sum is 1
+	LimitAlgorithm string        // one of LimitAlgorithms
+	InitialLimit   float64       // slots of a group that has not been measured
+	MinLimit       float64       // slots
+	MaxLimit       float64       // slots
+	ReclaimTime    time.Duration // within which borrowed slots come back
+	MaxQueueLength int           // requests that wait in a pool
+	// DeadlineMargin is how long before its deadline a request has to end; one that would end later
+	// is dropped.
+	DeadlineMargin time.Duration
+}
+
+// ConfigError reports parameters that contradict each other.
+type ConfigError struct {
+	Pool    string // empty: it concerns all pools together
+	Problem string
+}
+
+func (e *ConfigError) Error() string { return e.Problem }
+
+// NoPoolError reports a class of a tenant (-1: of requests without one) that no pool takes.
+type NoPoolError struct{ Class, Tenant int }
+
+func (e *NoPoolError) Error() string {
+	return fmt.Sprintf("class %d of tenant %d is in no pool", e.Class, e.Tenant)
 }
 
-// Validate reports what cannot be meant.
+// Validate returns a ConfigError or a NoPoolError if the configuration cannot be used.
 func (c *Config) Validate() error {
 	floors := 0.0
-	for _, p := range c.Pools {
-		switch {
-		case !(p.Floor >= 0 && p.Floor <= p.Ceiling && p.Ceiling <= 1):
-			return fmt.Errorf(
-				"pool %s: floor %v and ceiling %v: want 0 <= floor <= ceiling <= 1",
-				p.Name,
-				p.Floor,
-				p.Ceiling,
-			)
-		case !(p.Weight >= 0) || math.IsInf(p.Weight, 0):
-			return fmt.Errorf("pool %s: weight %v", p.Name, p.Weight)
-		case p.Reserve && p.Floor == 0:
-			return fmt.Errorf("pool %s: a reserve without a floor reserves nothing", p.Name)
+	for i := range c.Pools {
+		if err := c.Pools[i].validate(); err != nil {
+			return err
 		}
-		floors += p.Floor
+		floors += c.Pools[i].Floor
 	}
 	if floors > 1 {
-		return fmt.Errorf("the floors of the pools are %.3g of the slots together", floors)
+		return &ConfigError{
+			Problem: fmt.Sprintf("the floors of the pools are %.3g of the slots together", floors),
+		}
 	}
-	for _, p := range c.Pools {
-		if p.Floor == 0 && p.Weight > 0 && floors > 1-leastFree {
-			return fmt.Errorf(
-				"pool %s has no floor, and the floors of the others leave it %.3g of the slots: want %v",
-				p.Name,
-				max(1-floors, 0),
-				leastFree,
-			)
+	for i := range c.Pools {
+		if p := &c.Pools[i]; p.Floor == 0 && p.Weight > 0 && floors > 1-minUnreserved {
+			return p.problem(" has no floor, and the floors of the others leave it %.3g of the slots: want %v",
+				max(1-floors, 0), minUnreserved)
 		}
 	}
+	return c.validateAssignment()
+}
+
+func (p *Pool) problem(format string, args ...any) error {
+	return &ConfigError{Pool: p.Name, Problem: "pool " + p.Name + fmt.Sprintf(format, args...)}
+}
+
+func (p *Pool) validate() error {
+	switch {
+	case !(p.Floor >= 0 && p.Floor <= p.Ceiling && p.Ceiling <= 1):
+		return p.problem(": floor %v and ceiling %v: want 0 <= floor <= ceiling <= 1", p.Floor, p.Ceiling)
+	case !(p.Weight >= 0) || math.IsInf(p.Weight, 0):
+		return p.problem(": weight %v", p.Weight)
+	case p.Reserve && p.Floor == 0:
+		return p.problem(": a reserve without a floor reserves nothing")
+	}
+	return nil
+}
+
+// validateAssignment checks that a pool takes each class of each tenant, whoever the caller is.
+func (c *Config) validateAssignment() error {
 	for class := range c.Classes {
 		for tenant := -1; tenant < len(c.Tenants); tenant++ {
-			if !slices.ContainsFunc(c.Pools, func(p Pool) bool { return p.takes(class, tenant, -1) }) {
+			takes := func(p Pool) bool { return p.takes(class, tenant, -1) }
+			if !slices.ContainsFunc(c.Pools, takes) {
 				return &NoPoolError{class, tenant}
 			}
 		}
 	}
 	return nil
 }
-
-// leastFree is the share of the slots that floors leave where a pool has none: work that takes
-// longer than the call-back time would never have a slot there.
-const leastFree = 0.1
-
-// NoPoolError is that of a class, of a tenant (-1: of none), that no pool takes.
-type NoPoolError struct{ Class, Tenant int }
-
-func (e *NoPoolError) Error() string {
-	return fmt.Sprintf("class %d of tenant %d is in no pool", e.Class, e.Tenant)
-}
--- /dev/null
+++ b/internal/balancer/bulkhead/granting.go
@@ -0,0 +1,177 @@
+package bulkhead
+
+import (
+	"math"
+	"time"
+
+	"ryepaddle/internal/balancer/latency"
+)
+
+const (
+	// runSample is how many running requests are looked at to estimate the next free slot.
+	runSample = 64
+	// minSparePerReserve is how many free slots a reserve must have to lend one: one of them stays.
+	minSparePerReserve = 2
+)
+
+// floorSlots returns the floor of a pool in slots. With no more slots than pools that have a floor a
+// small share is none: otherwise what is owed to pools that want nothing, and to a reserve above all,
+// would keep the others out for good.
+func (s *Scheduler) floorSlots(p *pool) int {
+	n := int(p.Floor * s.limit.current())
+	if n == 0 && p.Floor > 0 && s.Limit() > s.poolsWithFloor {
+		return 1
+	}
+	return n
+}
+
+func (s *Scheduler) ceilingSlots(p *pool) int { return max(int(p.Ceiling*s.limit.current()), 1) }
+
+// expectedSlots returns how many slots a pool can count on while it has work.
+func (s *Scheduler) expectedSlots(p *pool) int {
+	weights := 0.0
+	for _, q := range s.pools {
+		if q == p || q.queue.length() > 0 || q.running > s.floorSlots(q) {
+			weights += q.Weight
+		}
+	}
+	part := 0
+	if weights > 0 {
+		part = int(s.limit.current() * p.Weight / weights)
+	}
+	return max(min(max(p.running, s.floorSlots(p), part), s.ceilingSlots(p)), 1)
+}
+
+// grantSlots gives slots to waiting requests as long as one can have one.
+func (s *Scheduler) grantSlots() {
+	for {
+		p, isBorrowed := s.nextPool()
+		if p == nil {
+			return
+		}
+		s.grant(p, p.queue.head(), isBorrowed)
+	}
+}
+
+func (s *Scheduler) grant(p *pool, r *Request, isBorrowed bool) {
+	p.queue.remove(r)
+	r.chargedMicros = max(s.classes[r.Class].meanMicros.Value, 1)
+	p.charge(r.chargedMicros)
+	r.state, r.startedAt = stateGranted, s.now
+	p.addRun(r)
+	p.grantedAt = s.now
+	s.running++
+	s.classes[r.Class].running++
+	s.limit.sent(s.running)
+	s.Counts.Granted++
+	if isBorrowed {
+		s.Counts.Borrowed++
+	}
+	s.granted = append(s.granted, r)
+}
+
+// nextPool returns the pool that gets the next slot, and whether the slot is borrowed: a pool below
+// its floor, then the one whose turn it is by weight, then one that may use a reserve.
+func (s *Scheduler) nextPool() (p *pool, isBorrowed bool) {
+	if s.running >= s.Limit() {
+		return nil, false
+	}
+	free := s.Limit() - s.running - s.reservedSlots()
+	if p := s.nextBelowFloor(free); p != nil {
+		return p, false
+	}
+	if p := s.nextByWeight(free); p != nil {
+		return p, true
+	}
+	return s.nextFromReserve(), false
+}
+
+// nextBelowFloor returns the pool below its floor that got no slot for longest.
+func (s *Scheduler) nextBelowFloor(free int) (best *pool) {
+	for _, p := range s.pools {
+		isBelow := p.queue.length() > 0 && p.running < min(s.floorSlots(p), s.ceilingSlots(p))
+		if isBelow && (p.Reserve || free > 0) && (best == nil || p.grantedAt < best.grantedAt) {
+			best = p
+		}
+	}
+	return best
+}
+
+// nextByWeight returns the pool with the least slot time for its weight that may borrow. A pool
+// without a weight gets only what no other wants.
+func (s *Scheduler) nextByWeight(free int) (best *pool) {
+	s.advanceIdlePools()
+	for _, p := range s.pools {
+		if p.queue.length() == 0 || p.running >= s.ceilingSlots(p) || !s.mayBorrow(p, free) {
+			continue
+		}
+		if best == nil || best.Weight == 0 && p.Weight > 0 ||
+			(best.Weight > 0) == (p.Weight > 0) && p.pass < best.pass {
+			best = p
+		}
+	}
+	return best
+}
+
+// advanceIdlePools takes from pools that want nothing the claim to slots of that time.
+func (s *Scheduler) advanceIdlePools() {
+	least := math.Inf(1)
+	for _, p := range s.pools {
+		if p.queue.length() > 0 {
+			least = min(least, p.pass)
+		}
+	}
+	for _, p := range s.pools {
+		switch {
+		case p.queue.length() > 0:
+		case math.IsInf(least, 1):
+			p.pass = 0
+		default:
+			p.pass = max(p.pass, least)
+		}
+	}
+}
+
+// nextFromReserve returns a pool whose first request would be too late if it waited for the next
+// slot, and may have one of the reserve. No request may wait for that reserve, one of its slots
+// stays free, and what is owed to other pools is not touched.
+func (s *Scheduler) nextFromReserve() *pool {
+	for _, reserve := range s.pools {
+		spare := s.Limit() - s.running - s.owedSlots()
+		if !reserve.Reserve || reserve.queue.length() > 0 || spare < minSparePerReserve {
+			continue
+		}
+		for _, p := range s.pools {
+			if r := p.queue.head(); r != nil && s.needsReserve(p, r) {
+				s.Counts.ReserveGrants++
+				return p
+			}
+		}
+	}
+	return nil
+}
+
+func (s *Scheduler) needsReserve(p *pool, r *Request) bool {
+	if !r.MayUseReserve || p.Reserve || p.running >= s.ceilingSlots(p) {
+		return false
+	}
+	longest := latency.FromMicros(s.classes[r.Class].longestMicros)
+	latestStart := r.target() - s.cfg.DeadlineMargin - longest
+	return latestStart <= s.now+s.timeToNextSlot()
+}
+
+// timeToNextSlot returns how long the next slot may take to come free: the mean run time by the
+// number of running requests.
+func (s *Scheduler) timeToNextSlot() time.Duration {
+	sumMicros, n := 0.0, 0
+	for _, p := range s.pools {
+		for r := p.first; r != nil && n < runSample; r = r.next {
+			sumMicros += s.classes[r.Class].meanMicros.Value
+			n++
+		}
+	}
+	if n == 0 {
+		return 0
+	}
+	return latency.FromMicros(sumMicros / float64(n) / float64(max(s.running, 1)))
+}
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -1,237 +1,255 @@
 package bulkhead
 
-import "math"
+import (
+	"math"
+	"time"
 
-// LimitAlgorithms of finding the limit, by name. All go by the same windows.
-const (
-	FixedLimit = "fixed" // it stays as it is set
-	// a step up while it is made use of, a part down when servers slow or break
-	AIMDLimit = "additive"
-	// the part of the best speed that is left, and the root of the limit for growth
-	GradientLimit = "gradient"
-	VegasLimit    = "queue" // by how many requests wait at the servers, as Vegas goes by packets
-	// what the best throughput of late needs at the best latency, and a part more
-	ThroughputLimit = "rate"
+	"ryepaddle/internal/balancer/latency"
 )
 
-// LimitAlgorithms are all of them.
-var LimitAlgorithms = []string{FixedLimit, AIMDLimit, GradientLimit, VegasLimit, ThroughputLimit}
-
 const (
-	windowLeast  = 500_000 // microseconds of a window,
-	windowDone   = 40      // and requests that ended in it
-	tolerance    = 1.5     // times the best latency that are still as good as the best
-	measureEvery = 60      // windows after which the best latency is measured anew
-	// windows that this takes: the first one still sees the queue from before
-	measureIn   = 2
-	measurePart = 0.5  // of the limit, meanwhile
-	classDone   = 5    // requests of a class, and their mean says something
-	fellBy      = 0.7  // of the limit is left, and it is looked whether that helped:
-	noBetter    = 0.85 // of the ratio should be left, if it was for a queue
-	brokenPart  = 0.1  // of the requests, and what breaks tells of too much
-	brokenBack  = 0.8  // of the limit is left then
-	rateKept    = 20   // windows of which the best throughput counts
-	rateMore    = 1.3  // times what that needs
+	minWindow         = 500 * time.Millisecond
+	minWindowRequests = 40 // that end in a window
+	// measureInterval is the number of windows after which the best latency is measured anew, and
+	// measureWindows for how many the limit is reduced for that: the first one still sees the queue
+	// from before.
+	measureInterval = 60
+	measureWindows  = 2
+	measureRatio    = 0.5 // by which the limit is multiplied meanwhile
+	// minClassRequests is how many requests of a class a window must have for a mean.
+	minClassRequests = 5
+	// lowerBestWeight is the number of windows over which a lower latency becomes the best one: a
+	// single window may be low by chance.
+	lowerBestWeight = 4
+	// idleBestWeight is the number of windows over which the best latency follows that of servers
+	// whose slots are not all used, and which therefore have no queue.
+	idleBestWeight = 16
+	// usedRatio of the limit must have been in use for the window to say something about it.
+	usedRatio = 0.8
+	// overloadRatio of failures to successes in a window is a sign of overload, by which the limit
+	// is multiplied with overloadBackoff.
+	overloadRatio   = 0.1
+	overloadBackoff = 0.8
+	// Once a falling limit is down to declineCheck of where it began, the latency ratio must be down
+	// to declineGain: otherwise the latency was not that of a queue.
+	declineCheck = 0.7
+	declineGain  = 0.85
+	// capacityBackoff is by how much one window may lower the limit towards the capacity.
+	capacityBackoff = 0.9
 )
 
-// adapt finds how many requests at once a group of servers is good for: as many as get the most
-// done without making each take longer than it need. Latencies of classes are compared with the
-// best of their own class, so that another mix is not taken for another speed.
+// adaptiveLimit finds how many requests at once a group of servers can work on: as many as get the
+// most done without a rise of latency. The latency of a class is compared with the best latency of
+// the same class, so that another mix of classes is not taken for another speed.
 //
-// Latency alone cannot tell a queue from servers that have become slower: less at once helps
-// against the first, and against the second it only gets less done. So where a limit that went down
-// by a third has made nothing faster, what is best is what servers do now.
-type adapt struct {
-	limit float64
-	cap   float64 // of the servers together; 0: none is known
-	best  []float64
-	seen  []spread // latencies of this window, by class
-
-	since  int64
-	n      int
-	broken int
-	peak   int
-	turns  int     // windows since the best was measured
-	half   float64 // the limit from before it is being measured; 0: it is not
-	from   float64 // the limit from which it goes down; 0: it does not
-	was    float64 // the ratio at that time
-	rates  [rateKept]float64
-	rateAt int
+// Latency alone cannot tell a queue from servers that have become slower. A lower limit helps
+// against the first; against the second it only gets less done. So where a limit that has fallen by
+// a third has not lowered the latency, the current latency becomes the best one.
+type adaptiveLimit struct {
+	limit      float64
+	capacity   float64      // of the servers together; 0: not known
+	bestMicros []float64    // best latency by class; 0: not measured
+	recent     []sampleMean // latencies in this window, by class, in microseconds
+
+	windowStart time.Duration // monotonic; 0: no request has ended yet
+	succeeded   int           // in this window
+	failed      int
+	peak        int // most requests running at once in this window
+
+	windows      int     // since the best latencies were measured
+	reducedFrom  float64 // the limit before it was reduced to measure; 0: it is not reduced
+	declineFrom  float64 // the limit from which it has been falling; 0: it is not falling
+	declineRatio float64 // the latency ratio at that time
+	demand       [demandWindows]float64
+	nextDemand   int
 }
 
-// window is what the ways go by.
-type window struct {
-	ratio  float64 // latency over the best; 0: not known
-	noise  float64 // its standard error
-	rate   float64 // slots that what was done would have needed at the best latency
-	used   bool    // the limit was come near to
-	broken bool
+// limitWindow is what a window shows.
+type limitWindow struct {
+	ratio        float64 // mean latency over the best one; 0: not known
+	ratioError   float64 // its standard error
+	demand       float64 // slots that the completed work needs at the best latency
+	isUsed       bool    // the limit was nearly reached
+	isOverloaded bool
 }
 
-func (a *adapt) configure(cfg *Config) {
-	for len(a.best) < len(cfg.Classes) {
-		a.best, a.seen = append(a.best, 0), append(a.seen, spread{})
+func (l *adaptiveLimit) configure(cfg *Config) {
+	for len(l.bestMicros) < len(cfg.Classes) {
+		l.bestMicros, l.recent = append(l.bestMicros, 0), append(l.recent, sampleMean{})
 	}
 	if cfg.LimitAlgorithm == FixedLimit {
-		a.limit = cfg.InitialLimit
+		l.limit = cfg.InitialLimit
+	}
+	l.limit = min(max(l.limit, cfg.MinLimit), cfg.MaxLimit)
+}
+
+// current returns the limit within the capacity of the servers.
+func (l *adaptiveLimit) current() float64 {
+	if l.capacity > 0 {
+		return max(min(l.limit, l.capacity), 1)
 	}
-	a.limit = min(max(a.limit, cfg.MinLimit), cfg.MaxLimit)
+	return max(l.limit, 1)
 }
 
-func (a *adapt) sent(running int) { a.peak = max(a.peak, running) }
+func (l *adaptiveLimit) sent(running int) { l.peak = max(l.peak, running) }
 
-func (a *adapt) done(cfg *Config, class int, took int64, ok bool, now int64) {
-	if a.since == 0 {
-		a.since = now
+func (l *adaptiveLimit) done(cfg *Config, class int, took time.Duration, succeeded bool, now time.Duration) {
+	if l.windowStart == 0 {
+		l.windowStart = now
 	}
-	if ok {
-		a.seen[class].add(float64(took))
-		a.n++
+	if succeeded {
+		l.recent[class].add(latency.Micros(took))
+		l.succeeded++
 	} else {
-		a.broken++
+		l.failed++
 	}
-	a.look(cfg, now)
+	l.endWindow(cfg, now)
 }
 
-// look ends a window that is long enough and has seen enough.
-func (a *adapt) look(cfg *Config, now int64) {
-	if a.since == 0 || now-a.since < windowLeast || a.n+a.broken < windowDone {
+// endWindow ends the window if it is long enough and has seen enough requests.
+func (l *adaptiveLimit) endWindow(cfg *Config, now time.Duration) {
+	isLong := l.windowStart != 0 && now-l.windowStart >= minWindow
+	if !isLong || l.succeeded+l.failed < minWindowRequests {
 		return
 	}
-	a.turn(cfg, a.window(now))
-	clear(a.seen)
-	a.since, a.n, a.broken, a.peak = now, 0, 0, 0
+	l.update(cfg, l.summarize(now))
+	clear(l.recent)
+	l.windowStart, l.succeeded, l.failed, l.peak = now, 0, 0, 0
 }
 
-func (a *adapt) window(now int64) *window {
-	w := &window{
-		used:   float64(a.peak) >= 0.8*math.Floor(a.now()),
-		broken: float64(a.broken) > brokenPart*float64(a.n),
-	}
-	sum, best, square := 0.0, 0.0, 0.0
-	for i := range a.seen {
-		mean, noise := a.seen[i].mean()
-		if n := float64(a.seen[i].n); n > 0 && a.best[i] > 0 {
-			sum, best, square = sum+n*mean, best+n*a.best[i], square+n*n*noise*noise
+func (l *adaptiveLimit) summarize(now time.Duration) *limitWindow {
+	w := &limitWindow{
+		isUsed:       float64(l.peak) >= usedRatio*math.Floor(l.current()),
+		isOverloaded: float64(l.failed) > overloadRatio*float64(l.succeeded),
+	}
+	sum, best, variance := 0.0, 0.0, 0.0
+	for i := range l.recent {
+		mean, standardError := l.recent[i].mean()
+		if n := float64(l.recent[i].count); n > 0 && l.bestMicros[i] > 0 {
+			sum += n * mean
+			best += n * l.bestMicros[i]
+			variance += n * n * standardError * standardError
 		}
 	}
 	if best > 0 {
-		w.ratio, w.noise, w.rate = sum/best, math.Sqrt(square)/best, best/float64(now-a.since)
+		w.ratio = sum / best
+		w.ratioError = math.Sqrt(variance) / best
+		w.demand = best / latency.Micros(now-l.windowStart)
 	}
 	return w
 }
 
-// measured takes the latencies of this window for the best.
-func (a *adapt) measured() {
-	for i := range a.seen {
-		if mean, _ := a.seen[i].mean(); a.seen[i].n >= classDone {
-			a.best[i] = mean
-		}
-	}
-	a.turns, a.from, a.rates = 0, 0, [rateKept]float64{}
-}
-
-func (a *adapt) turn(cfg *Config, w *window) {
-	a.turns++
-	a.rates[a.rateAt%rateKept] = w.rate
-	a.rateAt++
-	if a.half > 0 { // the best is being measured
-		if a.turns >= measureIn {
-			a.measured()
-			a.limit, a.half = a.half, 0
+// update moves the limit by what a window shows.
+func (l *adaptiveLimit) update(cfg *Config, w *limitWindow) {
+	l.windows++
+	l.demand[l.nextDemand%demandWindows] = w.demand
+	l.nextDemand++
+	if l.reducedFrom > 0 {
+		if l.windows >= measureWindows {
+			l.resetBest()
+			l.limit, l.reducedFrom = l.reducedFrom, 0
 		}
 		return
 	}
-	for i := range a.seen {
-		mean, _ := a.seen[i].mean()
-		switch {
-		case a.seen[i].n < classDone:
-		case a.best[i] == 0:
-			a.best[i] = mean
-		case mean < a.best[i]: // one window may be a lucky one
-			a.best[i] += (mean - a.best[i]) / 4
-		case !w.used: // there is no queue, by what it is good for
-			a.best[i] += (mean - a.best[i]) / 16
-		}
-	}
+	l.learnBest(w)
 	if cfg.LimitAlgorithm == FixedLimit {
 		return
 	}
-	if a.turns >= measureEvery && w.used {
-		a.half, a.turns = a.limit, 0
-		a.limit = max(a.limit*measurePart, cfg.MinLimit)
+	if l.windows >= measureInterval && w.isUsed {
+		l.reducedFrom, l.windows = l.limit, 0
+		l.limit = max(l.limit*measureRatio, cfg.MinLimit)
 		return
 	}
-	to := a.limit
-	if w.ratio > 0 {
-		to = a.way(cfg.LimitAlgorithm, w)
+	target := l.target(cfg, w)
+	if l.declineWasInVain(target, w) {
+		l.resetBest()
+		return
 	}
-	if w.broken {
-		to = min(to, a.limit*brokenBack)
+	if l.capacity > 0 { // or it would grow where only the servers' own limits hold it
+		target = min(target, max(l.capacity, l.limit*capacityBackoff))
 	}
-	// a limit that nothing comes near to says nothing of what more would do
-	if to > a.limit && !w.used {
-		to = a.limit
+	l.limit = min(max(target, cfg.MinLimit), cfg.MaxLimit)
+}
+
+// target returns the limit that a window speaks for.
+func (l *adaptiveLimit) target(cfg *Config, w *limitWindow) float64 {
+	target := l.limit
+	if w.ratio > 0 {
+		target = l.targetByAlgorithm(cfg.LimitAlgorithm, w)
 	}
-	switch {
-	case to >= a.limit:
-		a.from = 0
-	case a.from == 0:
-		a.from, a.was = a.limit, w.ratio
-	case a.limit <= a.from*fellBy && w.ratio > a.was*noBetter:
-		a.measured()
-		return
-	case a.limit <= a.from*fellBy:
-		a.from, a.was = a.limit, w.ratio
+	if w.isOverloaded {
+		target = min(target, l.limit*overloadBackoff)
 	}
-	if a.cap > 0 { // or it would grow where only the servers' own limits hold it
-		to = min(to, max(a.cap, a.limit*0.9))
+	// A limit that is not nearly reached shows nothing of what a higher one would do.
+	if target > l.limit && !w.isUsed {
+		target = l.limit
 	}
-	a.limit = min(max(to, cfg.MinLimit), cfg.MaxLimit)
+	return target
 }
 
-// now is the limit, within what the servers can take.
-func (a *adapt) now() float64 {
-	if a.cap > 0 {
-		return max(min(a.limit, a.cap), 1)
-	}
-	return max(a.limit, 1)
+// declineWasInVain follows a falling limit, and reports whether its fall has not lowered the
+// latency.
+func (l *adaptiveLimit) declineWasInVain(target float64, w *limitWindow) bool {
+	isChecked := l.limit <= l.declineFrom*declineCheck
+	switch {
+	case target >= l.limit:
+		l.declineFrom = 0
+	case l.declineFrom == 0:
+		l.declineFrom, l.declineRatio = l.limit, w.ratio
+	case isChecked && w.ratio > l.declineRatio*declineGain:
+		return true
+	case isChecked:
+		l.declineFrom, l.declineRatio = l.limit, w.ratio
+	}
+	return false
 }
 
-// way is where the limit is to go. Latency counts as worse only beyond its noise.
-func (a *adapt) way(name string, w *window) float64 {
-	sure := w.ratio - 2*w.noise
-	switch name {
-	case AIMDLimit:
-		if sure > tolerance {
-			return a.limit * 0.9
-		}
-		return a.limit + 1
-	case GradientLimit:
-		slope := min(max(tolerance/max(sure, 0.01), 0.5), 1)
-		to := a.limit * slope
-		if slope == 1 {
-			to += math.Sqrt(a.limit)
-		}
-		return a.limit + (to-a.limit)*0.3
-	case VegasLimit:
-		step := math.Log10(max(a.limit, 10)) * 2
-		switch waiting := a.limit * (1 - 1/max(sure, 1)); {
-		case waiting < 3*step:
-			return a.limit + step
-		case waiting > 6*step:
-			return a.limit - step
-		}
-	case ThroughputLimit:
-		most := 0.0
-		for _, r := range a.rates {
-			most = max(most, r)
+// learnBest takes the latencies of a window into the best ones.
+func (l *adaptiveLimit) learnBest(w *limitWindow) {
+	for i := range l.recent {
+		mean, _ := l.recent[i].mean()
+		best := &l.bestMicros[i]
+		switch {
+		case l.recent[i].count < minClassRequests:
+		case *best == 0:
+			*best = mean
+		case mean < *best:
+			*best = latency.Smooth(*best, mean, lowerBestWeight)
+		case !w.isUsed:
+			*best = latency.Smooth(*best, mean, idleBestWeight)
 		}
-		to := most*rateMore + math.Sqrt(a.limit)
-		if sure <= tolerance { // what is slow with more is not for want of slots
-			to = max(to, a.limit)
+	}
+}
+
+// resetBest makes the latencies of this window the best ones.
+func (l *adaptiveLimit) resetBest() {
+	for i := range l.recent {
+		if mean, _ := l.recent[i].mean(); l.recent[i].count >= minClassRequests {
+			l.bestMicros[i] = mean
 		}
-		return a.limit + (to-a.limit)*0.3
 	}
-	return a.limit
+	l.windows, l.declineFrom, l.demand = 0, 0, [demandWindows]float64{}
+}
+
+// sampleMean holds the sums of samples for their mean and its uncertainty.
+type sampleMean struct {
+	count     int
+	sum       float64
+	squareSum float64
+}
+
+func (m *sampleMean) add(value float64) {
+	m.count++
+	m.sum += value
+	m.squareSum += value * value
+}
+
+// mean returns the mean and its standard error.
+func (m *sampleMean) mean() (mean, standardError float64) {
+	if m.count == 0 {
+		return 0, 0
+	}
+	n := float64(m.count)
+	mean = m.sum / n
+	return mean, math.Sqrt(max(m.squareSum/n-mean*mean, 0) / n)
 }
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -1,176 +1,197 @@
-// Package queue has attempts wait for a slot of their pool (internal/balancer/bulkhead) before they
-// go to the servers of a group. It stands between the core and the group, for whichever front a
-// request came through.
+// Package waitqueue implements the runner that stands before a group of servers where the group has
+// bulkheads: attempts wait here for a slot of their pool (package bulkhead) before they go to the
+// runner behind it. It is the one place where slots are taken and given back.
 package waitqueue
 
 import (
+	"cmp"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/balancer/bulkhead"
 	"ryepaddle/internal/lifecycle"
 )
 
-// Sink gets what became of attempts, as the core does.
+// tickInterval is how often waiting attempts are looked through.
+const tickInterval = 20 * time.Millisecond
+
+// Sink gets the results of attempts, as the request lifecycle does.
 type Sink interface {
 	Began(*lifecycle.Attempt, *lifecycle.Result) bool
 	Ended(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
 
-// Environment is what it needs of the program.
+// Environment is what a queue needs of the program.
 type Environment struct {
-	Now      func() int64
-	Post     func(fn func()) // fn is called soon, and not from within
-	After    func(d int64, fn func())
-	Capacity func() int // requests that the servers may have together; nought: nobody knows
+	Now      func() time.Duration             // monotonic
+	Post     func(fn func())                  // calls fn soon, and not from within Post
+	After    func(d time.Duration, fn func()) // calls fn after d
+	Capacity func() int                       // requests that the servers can take; 0: not known
 }
 
-// lookEvery is how often those that wait are looked through.
-const lookEvery = 20_000
-
-// Queue is a lifecycle.Runner before another one, whose Sink it is.
+// Queue is a lifecycle.Runner before another runner, whose Sink it is. It is used by one goroutine.
 type Queue struct {
-	host    Environment
-	sink    Sink
-	next    lifecycle.Runner
-	set     *bulkhead.Scheduler // nil: nothing waits here
-	held    map[*lifecycle.Attempt]*bulkhead.Request
-	looking bool
+	environment   Environment
+	sink          Sink
+	next          lifecycle.Runner
+	scheduler     *bulkhead.Scheduler // nil: no bulkheads, attempts go on at once
+	requests      map[*lifecycle.Attempt]*bulkhead.Request
+	tickIsPlanned bool
 }
 
-// New makes one without pools, before a runner that Before names.
-func New(host Environment, sink Sink) *Queue {
-	return &Queue{host: host, sink: sink, held: map[*lifecycle.Attempt]*bulkhead.Request{}}
+// New returns a queue without bulkheads. SetNext must follow before attempts come.
+func New(environment Environment, sink Sink) *Queue {
+	return &Queue{
+		environment: environment,
+		sink:        sink,
+		requests:    map[*lifecycle.Attempt]*bulkhead.Request{},
+	}
 }
 
-// SetNext sets the runner that gets what has a slot.
-func (h *Queue) SetNext(next lifecycle.Runner) { h.next = next }
+// SetNext sets the runner that gets the attempts that have a slot.
+func (q *Queue) SetNext(next lifecycle.Runner) { q.next = next }
 
-// Configure sets pools or others, under load. Without any, all that waits goes on at once; what
-// runs is not counted any more.
-func (h *Queue) Configure(cfg *bulkhead.Config) {
+// Configure sets bulkheads, or changes them under load. With nil all waiting attempts go on at
+// once, and running ones are not counted any more.
+func (q *Queue) Configure(cfg *bulkhead.Config) {
 	switch {
-	case cfg == nil && h.set != nil:
-		all := h.held
-		h.set, h.held = nil, map[*lifecycle.Attempt]*bulkhead.Request{}
-		var waiting []*lifecycle.Attempt
-		for a, r := range all {
-			if !r.Granted() {
-				waiting = append(waiting, a)
-			}
-		}
-		slices.SortFunc(waiting, func(a, b *lifecycle.Attempt) int { return int(a.Deadline - b.Deadline) })
-		for _, a := range waiting {
-			h.next.Run(a)
-		}
+	case cfg == nil && q.scheduler != nil:
+		q.removeBulkheads()
 	case cfg == nil:
-	case h.set == nil:
-		h.set = bulkhead.New(*cfg, h.host.Now())
+	case q.scheduler == nil:
+		q.scheduler = bulkhead.New(*cfg, q.environment.Now())
 	default:
-		h.set.Configure(*cfg, h.host.Now())
-		h.flow()
+		q.scheduler.Configure(*cfg, q.environment.Now())
+		q.applyDecisions()
+	}
+}
+
+func (q *Queue) removeBulkheads() {
+	requests := q.requests
+	q.scheduler, q.requests = nil, map[*lifecycle.Attempt]*bulkhead.Request{}
+	var waiting []*lifecycle.Attempt
+	for a, r := range requests {
+		if !r.IsGranted() {
+			waiting = append(waiting, a)
+		}
+	}
+	slices.SortFunc(waiting, func(a, b *lifecycle.Attempt) int { return cmp.Compare(a.Deadline, b.Deadline) })
+	for _, a := range waiting {
+		q.next.Run(a)
 	}
 }
 
-// Scheduler is the pools; nil: there are none.
-func (h *Queue) Scheduler() *bulkhead.Scheduler { return h.set }
+// Scheduler returns the scheduler of the bulkheads; nil: there are none.
+func (q *Queue) Scheduler() *bulkhead.Scheduler { return q.scheduler }
 
 // Run implements lifecycle.Runner.
-func (h *Queue) Run(a *lifecycle.Attempt) {
-	if h.set == nil {
-		h.next.Run(a)
+func (q *Queue) Run(a *lifecycle.Attempt) {
+	if q.scheduler == nil {
+		q.next.Run(a)
 		return
 	}
 	r := &bulkhead.Request{
 		Class:         a.Request.Class,
 		Tenant:        a.Request.Tenant,
 		Caller:        a.Request.Caller,
-		Objective:     a.Objective,
-		Deadline:      a.Deadline,
+		Objective:     micros(a.Objective),
+		Deadline:      micros(a.Deadline),
 		MayUseReserve: !a.Idempotent,
 		Attachment:    a,
 	}
-	h.held[a] = r
-	h.set.SetCapacity(h.host.Capacity())
-	h.set.Enqueue(r, h.host.Now())
-	h.flow()
+	q.requests[a] = r
+	q.scheduler.SetCapacity(q.environment.Capacity())
+	q.scheduler.Enqueue(r, q.environment.Now())
+	q.applyDecisions()
 }
 
-// flow does what the pools say.
-func (h *Queue) flow() {
-	granted, dropped := h.set.TakeDecisions()
+// micros converts a time of package lifecycle, in microseconds.
+func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
+// applyDecisions runs the attempts that were granted a slot, and ends those that were dropped.
+func (q *Queue) applyDecisions() {
+	granted, dropped := q.scheduler.TakeDecisions()
 	for _, r := range granted {
-		h.next.Run(r.Attachment.(*lifecycle.Attempt))
+		q.next.Run(r.Attachment.(*lifecycle.Attempt))
 	}
 	for _, d := range dropped {
-		a := d.Attachment.(*lifecycle.Attempt)
-		delete(h.held, a)
-		a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadWait, d.Wanted/1e6, d.Available/1e6
-		if d.Reason == bulkhead.QueueFull {
-			a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadFull, d.Wanted, d.Available
-		}
-		h.host.Post(func() { h.sink.Ended(a, lifecycle.NotStarted, nil) })
+		q.endDropped(d)
 	}
-	if h.set.Waiting() > 0 && !h.looking {
-		h.looking = true
-		h.host.After(lookEvery, h.look)
+	if q.scheduler.Waiting() > 0 && !q.tickIsPlanned {
+		q.tickIsPlanned = true
+		q.environment.After(tickInterval, q.tick)
 	}
 }
 
-func (h *Queue) look() {
-	h.looking = false
-	if h.set == nil {
+// endDropped ends a dropped attempt, with what was compared: seconds, or for a full queue lengths.
+func (q *Queue) endDropped(d bulkhead.Dropped) {
+	const microsPerSecond = 1e6
+	a := d.Attachment.(*lifecycle.Attempt)
+	delete(q.requests, a)
+	a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadWait, d.Wanted/microsPerSecond, d.Available/microsPerSecond
+	if d.Reason == bulkhead.QueueFull {
+		a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadFull, d.Wanted, d.Available
+	}
+	q.environment.Post(func() { q.sink.Ended(a, lifecycle.NotStarted, nil) })
+}
+
+func (q *Queue) tick() {
+	q.tickIsPlanned = false
+	if q.scheduler == nil {
 		return
 	}
-	h.set.SetCapacity(h.host.Capacity())
-	h.set.Tick(h.host.Now())
-	h.flow()
+	q.scheduler.SetCapacity(q.environment.Capacity())
+	q.scheduler.Tick(q.environment.Now())
+	q.applyDecisions()
 }
 
-// Abandon implements lifecycle.Runner. What waits has not run: it ends at once, whatever its class.
-func (h *Queue) Abandon(a *lifecycle.Attempt) {
-	r := h.held[a]
-	if r == nil || !h.set.Cancel(r, h.host.Now()) {
-		h.next.Abandon(a)
+// Abandon implements lifecycle.Runner. An attempt that waits has not run: it ends at once, whatever
+// its class.
+func (q *Queue) Abandon(a *lifecycle.Attempt) {
+	r := q.requests[a]
+	if r == nil || !q.scheduler.Cancel(r, q.environment.Now()) {
+		q.next.Abandon(a)
 		return
 	}
-	delete(h.held, a)
-	h.host.Post(func() { h.sink.Ended(a, lifecycle.NotStarted, nil) })
+	delete(q.requests, a)
+	q.environment.Post(func() { q.sink.Ended(a, lifecycle.NotStarted, nil) })
 }
 
 // Began implements Sink.
-func (h *Queue) Began(a *lifecycle.Attempt, res *lifecycle.Result) bool { return h.sink.Began(a, res) }
-
-// outcomes are what ends tell of the servers. A failure of a server's own, and one that nobody
-// waited for, tell nothing.
-var outcomes = map[lifecycle.Outcome]bulkhead.Outcome{
-	lifecycle.Succeeded:      bulkhead.Success,
-	lifecycle.Interrupted:    bulkhead.Failure,
-	lifecycle.TimedOut:       bulkhead.Failure,
-	lifecycle.CallRejected:   bulkhead.Failure,
-	lifecycle.Unreachable:    bulkhead.Failure,
-	lifecycle.NotStarted:     bulkhead.Failure,
-	lifecycle.Faulted:        bulkhead.Inconclusive,
-	lifecycle.Canceled:       bulkhead.Inconclusive,
-	lifecycle.UnknownRequest: bulkhead.Inconclusive,
+func (q *Queue) Began(a *lifecycle.Attempt, result *lifecycle.Result) bool {
+	return q.sink.Began(a, result)
+}
+
+// outcomeOf returns what the end of an attempt says about the servers. An error response, and the
+// end of an attempt whose request is over, say nothing.
+func outcomeOf(outcome lifecycle.Outcome) bulkhead.Outcome {
+	switch outcome {
+	case lifecycle.Faulted, lifecycle.Canceled, lifecycle.UnknownRequest:
+		return bulkhead.Inconclusive
+	case lifecycle.Interrupted, lifecycle.TimedOut, lifecycle.CallRejected, lifecycle.Unreachable, lifecycle.NotStarted:
+		return bulkhead.Failure
+	}
+	return bulkhead.Success
 }
 
-// Ended implements Sink: the one place where a slot is given back.
-func (h *Queue) Ended(a *lifecycle.Attempt, o lifecycle.Outcome, res *lifecycle.Result) {
-	r := h.held[a]
+// Ended implements Sink. It is the one place where a slot is given back.
+func (q *Queue) Ended(a *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
+	r := q.requests[a]
 	if r != nil {
-		delete(h.held, a)
-		h.set.Done(r, outcomes[o], h.host.Now())
+		delete(q.requests, a)
+		q.scheduler.Done(r, outcomeOf(outcome), q.environment.Now())
 	}
-	h.sink.Ended(a, o, res) // before others begin: what it leaves free counts for them
-	if r != nil && h.set != nil {
-		h.flow()
+	q.sink.Ended(a, outcome, result) // before others begin: what it frees counts for them
+	if r != nil && q.scheduler != nil {
+		q.applyDecisions()
 	}
 }
 
-// RetryAfter is how long to stay away from a class that has no slot.
-func (h *Queue) RetryAfter(class int) int64 {
-	if h.set == nil {
+// RetryAfter returns after how long a request of a class without a tenant may find a slot; 0
+// without bulkheads.
+func (q *Queue) RetryAfter(class int) time.Duration {
+	if q.scheduler == nil {
 		return 0
 	}
-	return h.set.RetryAfter(class, -1)
+	return q.scheduler.RetryAfter(class, -1)
 }
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -1,7 +1,9 @@
 package waitqueue
 
 import (
+	"slices"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -9,10 +11,10 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// bench is a program round a Runner: a clock, what is posted, servers that end when the test says
-// so, and a core that counts ends.
-type bench struct {
-	now     int64
+// testProgram is the program around a queue: a clock, posted functions, timers, a runner whose
+// attempts end when the test says so, and a sink that holds each attempt to one end.
+type testProgram struct {
+	now     time.Duration
 	posted  []func()
 	timers  []func()
 	running map[*lifecycle.Attempt]bool
@@ -20,161 +22,171 @@
 	t       *rapid.T
 }
 
-func (b *bench) Run(a *lifecycle.Attempt) {
-	if b.running[a] {
-		b.t.Fatal("it runs twice")
+func (p *testProgram) Run(a *lifecycle.Attempt) {
+	if p.running[a] {
+		p.t.Fatal("an attempt runs twice")
 	}
-	b.running[a] = true
+	p.running[a] = true
 }
-func (b *bench) Abandon(*lifecycle.Attempt)                       {}
-func (b *bench) Began(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
-func (b *bench) Ended(a *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
-	if _, twice := b.ended[a]; twice {
-		b.t.Fatal("it ends twice")
+func (p *testProgram) Abandon(*lifecycle.Attempt)                       {}
+func (p *testProgram) Began(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
+func (p *testProgram) Ended(a *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
+	if _, twice := p.ended[a]; twice {
+		p.t.Fatal("an attempt ends twice")
 	}
-	b.ended[a] = o
+	p.ended[a] = o
 }
 
-func (b *bench) settle() {
-	for len(b.posted) > 0 {
-		fn := b.posted[0]
-		b.posted = b.posted[1:]
+func (p *testProgram) settle() {
+	for len(p.posted) > 0 {
+		fn := p.posted[0]
+		p.posted = p.posted[1:]
 		fn()
 	}
 }
 
-// Whatever comes, with pools set, changed and taken away under load: each attempt ends once, none
-// runs twice, what is dropped did not run and says why, and no slot stays taken.
-func TestEachEndsOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		b := &bench{
-			now:     1,
-			running: map[*lifecycle.Attempt]bool{},
-			ended:   map[*lifecycle.Attempt]lifecycle.Outcome{},
-			t:       t,
+// environment has the given functions to post and to plan calls.
+func (p *testProgram) environment(post func(func()), after func(time.Duration, func())) Environment {
+	return Environment{
+		Now:      func() time.Duration { return p.now },
+		Post:     post,
+		After:    after,
+		Capacity: func() int { return 0 },
+	}
+}
+
+func newTestProgram(t *rapid.T) *testProgram {
+	return &testProgram{
+		now:     time.Microsecond,
+		running: map[*lifecycle.Attempt]bool{},
+		ended:   map[*lifecycle.Attempt]lifecycle.Outcome{},
+		t:       t,
+	}
+}
+
+func testConfig(maxQueueLength int) *bulkhead.Config {
+	return &bulkhead.Config{
+		Pools: []bulkhead.Pool{
+			{Name: "a", Floor: 0.5, Ceiling: 1, Weight: 1, Classes: []int{0}},
+			{Name: "b", Ceiling: 1, Weight: 1},
+		},
+		Classes: []bulkhead.Class{
+			{PriorityWeight: 1},
+			{PriorityWeight: 2},
+		},
+		LimitAlgorithm: bulkhead.GradientLimit,
+		InitialLimit:   4,
+		MinLimit:       1,
+		MaxLimit:       10,
+		ReclaimTime:    time.Millisecond,
+		MaxQueueLength: maxQueueLength,
+	}
+}
+
+// randomAttempts drives a queue by random attempts, ends and configurations.
+type randomAttempts struct {
+	*testProgram
+	queue *Queue
+	open  []*lifecycle.Attempt // that have not ended
+	count int
+}
+
+func (r *randomAttempts) begin() {
+	a := &lifecycle.Attempt{
+		Request:    &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(r.t, "class")},
+		Deadline:   r.now.Microseconds() + rapid.Int64Range(0, 2_000_000).Draw(r.t, "due"),
+		Idempotent: rapid.Bool().Draw(r.t, "safe"),
+	}
+	r.open = append(r.open, a)
+	r.count++
+	r.queue.Run(a)
+}
+
+// endFirst ends the first attempt that runs.
+func (r *randomAttempts) endFirst(outcome lifecycle.Outcome) {
+	i := slices.IndexFunc(r.open, func(a *lifecycle.Attempt) bool { return r.running[a] })
+	if i < 0 {
+		return
+	}
+	a := r.open[i]
+	delete(r.running, a)
+	r.open = slices.Delete(r.open, i, i+1)
+	r.queue.Ended(a, outcome, nil)
+}
+
+func (r *randomAttempts) step() {
+	r.now += time.Duration(rapid.Int64Range(0, 300_000).Draw(r.t, "time")) * time.Microsecond
+	switch rapid.IntRange(0, 6).Draw(r.t, "what") {
+	case 0, 1, 2:
+		r.begin()
+	case 3:
+		r.endFirst(rapid.SampledFrom([]lifecycle.Outcome{
+			lifecycle.Succeeded,
+			lifecycle.Faulted,
+			lifecycle.Interrupted,
+			lifecycle.TimedOut,
+			lifecycle.NotStarted,
+			lifecycle.Unreachable,
+			lifecycle.Canceled,
+		}).Draw(r.t, "outcome"))
+	case 4:
+		if len(r.open) > 0 {
+			r.queue.Abandon(r.open[len(r.open)-1])
 		}
-		h := New(
-			Environment{
-				Now:      func() int64 { return b.now },
-				Post:     func(fn func()) { b.posted = append(b.posted, fn) },
-				After:    func(_ int64, fn func()) { b.timers = append(b.timers, fn) },
-				Capacity: func() int { return 0 },
-			},
-			b,
-		)
-		h.SetNext(b)
-		cfg := func(line int) *bulkhead.Config {
-			return &bulkhead.Config{
-				Pools: []bulkhead.Pool{
-					{Name: "a", Floor: 0.5, Ceiling: 1, Weight: 1, Classes: []int{0}},
-					{Name: "b", Ceiling: 1, Weight: 1},
-				},
-				Classes: []bulkhead.Class{
-					{PriorityWeight: 1},
-					{PriorityWeight: 2},
-				},
-				LimitAlgorithm: bulkhead.GradientLimit,
-				InitialLimit:   4,
-				MinLimit:       1,
-				MaxLimit:       10,
-				ReclaimTime:    1000,
-				MaxQueueLength: line,
-			}
+	case 5:
+		configs := []*bulkhead.Config{nil, testConfig(3), testConfig(20)}
+		r.queue.Configure(rapid.SampledFrom(configs).Draw(r.t, "pools"))
+	case 6:
+		timers := r.timers
+		r.timers = nil
+		for _, fn := range timers {
+			fn()
 		}
-		var open []*lifecycle.Attempt
-		all := 0
-		end := func(o lifecycle.Outcome) {
-			for i, a := range open {
-				if b.running[a] {
-					delete(b.running, a)
-					open = append(open[:i], open[i+1:]...)
-					h.Ended(a, o, nil)
-					return
-				}
-			}
+	}
+	r.settle()
+}
+
+// checkDropped takes out the attempts that were dropped, which must not have run.
+func (r *randomAttempts) checkDropped() {
+	r.open = slices.DeleteFunc(r.open, func(a *lifecycle.Attempt) bool {
+		outcome, isOver := r.ended[a]
+		if isOver && (outcome != lifecycle.NotStarted || r.running[a]) {
+			r.t.Fatalf("dropped: %v, running %v", outcome, r.running[a])
 		}
+		return isOver
+	})
+}
+
+// Bulkheads are set, changed and removed under load.
+func TestEachAttemptEndsOnceAndNoSlotStaysTaken(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p := newTestProgram(t)
+		environment := p.environment(
+			func(fn func()) { p.posted = append(p.posted, fn) },
+			func(_ time.Duration, fn func()) { p.timers = append(p.timers, fn) },
+		)
+		r := &randomAttempts{testProgram: p, queue: New(environment, p)}
+		r.queue.SetNext(p)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			b.now += rapid.Int64Range(0, 300_000).Draw(t, "time")
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0, 1, 2:
-				a := &lifecycle.Attempt{
-					Request:    &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(t, "class")},
-					Deadline:   b.now + rapid.Int64Range(0, 2_000_000).Draw(t, "due"),
-					Idempotent: rapid.Bool().Draw(t, "safe"),
-				}
-				open = append(open, a)
-				all++
-				h.Run(a)
-			case 3:
-				end(
-					rapid.SampledFrom(
-						[]lifecycle.Outcome{
-							lifecycle.Succeeded,
-							lifecycle.Faulted,
-							lifecycle.Interrupted,
-							lifecycle.TimedOut,
-							lifecycle.NotStarted,
-							lifecycle.Unreachable,
-							lifecycle.Canceled,
-						},
-					).Draw(
-						t,
-						"outcome",
-					),
-				)
-			case 4:
-				if len(open) > 0 {
-					h.Abandon(open[len(open)-1])
-				}
-			case 5:
-				h.Configure(rapid.SampledFrom([]*bulkhead.Config{nil, cfg(3), cfg(20)}).Draw(t, "pools"))
-			case 6:
-				timers := b.timers
-				b.timers = nil
-				for _, fn := range timers {
-					fn()
-				}
-			}
-			b.settle()
-			for i := 0; i < len(open); i++ {
-				if o, over := b.ended[open[i]]; over {
-					if o != lifecycle.NotStarted || b.running[open[i]] {
-						t.Fatalf("dropped: %v, running %v", o, b.running[open[i]])
-					}
-					open = append(open[:i], open[i+1:]...)
-					i--
-				}
-			}
+			r.step()
+			r.checkDropped()
 		}
-		h.Configure(nil) // all that waits goes on
-		b.settle()
-		for range all {
-			end(lifecycle.Succeeded)
+		r.queue.Configure(nil) // all that wait go on
+		r.settle()
+		for range r.count {
+			r.endFirst(lifecycle.Succeeded)
 		}
-		if len(b.ended) != all || len(h.held) != 0 {
-			t.Fatalf("%d of %d ended, %d held", len(b.ended), all, len(h.held))
+		if len(r.ended) != r.count || len(r.queue.requests) != 0 {
+			t.Fatalf("%d of %d ended, %d kept", len(r.ended), r.count, len(r.queue.requests))
 		}
 	})
 }
 
-// A drop says what was compared.
-func TestWhy(t *testing.T) {
-	b := &bench{
-		now:     1,
-		running: map[*lifecycle.Attempt]bool{},
-		ended:   map[*lifecycle.Attempt]lifecycle.Outcome{},
-	}
-	h := New(
-		Environment{
-			Now:      func() int64 { return b.now },
-			Post:     func(fn func()) { fn() },
-			After:    func(int64, func()) {},
-			Capacity: func() int { return 0 },
-		},
-		b,
-	)
-	h.SetNext(b)
-	h.Configure(
+func TestDroppedAttemptSaysWhatWasCompared(t *testing.T) {
+	p := newTestProgram(nil)
+	queue := New(p.environment(func(fn func()) { fn() }, func(time.Duration, func()) {}), p)
+	queue.SetNext(p)
+	queue.Configure(
 		&bulkhead.Config{
 			Pools:          []bulkhead.Pool{{Name: "a", Ceiling: 1, Weight: 1}},
 			Classes:        []bulkhead.Class{{PriorityWeight: 1}},
@@ -185,20 +197,21 @@
 			MaxQueueLength: 1,
 		},
 	)
-	run := func(due int64) *lifecycle.Attempt {
-		a := &lifecycle.Attempt{Request: &lifecycle.Request{}, Deadline: due}
-		h.Run(a)
+	const far = 300 * time.Hour
+	run := func(deadline time.Duration) *lifecycle.Attempt {
+		a := &lifecycle.Attempt{Request: &lifecycle.Request{}, Deadline: deadline.Microseconds()}
+		queue.Run(a)
 		return a
 	}
-	first := run(1 << 40)
-	b.now += 1_000_000
-	h.Ended(first, lifecycle.Succeeded, nil)
-	run(1 << 40)
-	if a := run(b.now + 500_000); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 || a.Limit != 0.5 {
+	first := run(far)
+	p.now += time.Second
+	queue.Ended(first, lifecycle.Succeeded, nil)
+	run(far)
+	if a := run(p.now + 500*time.Millisecond); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 || a.Limit != 0.5 {
 		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
 	}
-	run(1 << 40)
-	if a := run(1 << 41); a.Cause != lifecycle.CauseBulkheadFull || a.Value != 2 || a.Limit != 1 {
+	run(far)
+	if a := run(2 * far); a.Cause != lifecycle.CauseBulkheadFull || a.Value != 2 || a.Limit != 1 {
 		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
 	}
 }
--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -8,6 +8,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/balancer/bulkhead"
@@ -54,9 +55,9 @@
 	defaultMaxLimit     = 1000 // requests
 	defaultReclaimMs    = 500
 	defaultQueueLength  = 200 // requests
-	// deadlineMargin is how long before its deadline, in microseconds, a waiting request is
+	// deadlineMargin is how long before its deadline a waiting request is
 	// rejected.
-	deadlineMargin = 30_000
+	deadlineMargin = 30 * time.Millisecond
 )
 
 // BulkheadsOf returns the configuration of a group's bulkheads, or nil if it has none.
@@ -70,7 +71,7 @@
 		InitialLimit:   cmp.Or(set.First, defaultInitialLimit),
 		MinLimit:       cmp.Or(set.Minimum, defaultMinLimit),
 		MaxLimit:       cmp.Or(set.Maximum, defaultMaxLimit),
-		ReclaimTime:    cmp.Or(set.ReclaimMs, defaultReclaimMs) * 1000,
+		ReclaimTime:    time.Duration(cmp.Or(set.ReclaimMs, defaultReclaimMs)) * time.Millisecond,
 		MaxQueueLength: cmp.Or(set.QueueLength, defaultQueueLength),
 		DeadlineMargin: deadlineMargin,
 		Tenants:        quotaShares(p.Settings.Tenants),
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -128,9 +128,9 @@
 	if cfg := poolsOf(way, spec); cfg != nil {
 		p.hold = waitqueue.New(
 			waitqueue.Environment{
-				Now:      p.sched.Now,
+				Now:      func() time.Duration { return micros(p.sched.Now()) },
 				Post:     func(fn func()) { p.sched.After(0, fn) },
-				After:    func(d int64, fn func()) { p.sched.After(d, fn) },
+				After:    func(d time.Duration, fn func()) { p.sched.After(d.Microseconds(), fn) },
 				Capacity: func() int { return p.picker.(*routed).room(p.sched.Now()) },
 			},
 			sink{p},
@@ -153,7 +153,7 @@
 		ShouldRetry: func(t lifecycle.RetryCandidate) bool { return p.picker.Again(t, p.sched.Now()) },
 		RetryAfter: func(class int) int64 {
 			if p.hold != nil {
-				return max(p.picker.Back(p.sched.Now()), p.hold.RetryAfter(class))
+				return max(p.picker.Back(p.sched.Now()), p.hold.RetryAfter(class).Microseconds())
 			}
 			return p.picker.Back(p.sched.Now())
 		},
--- a/internal/simulator/cluster/pools.go
+++ b/internal/simulator/cluster/pools.go
@@ -2,6 +2,7 @@
 
 import (
 	"strings"
+	"time"
 
 	"ryepaddle/internal/balancer/bulkhead"
 )
@@ -33,9 +34,9 @@
 		InitialLimit:   float64(spec.Servers * spec.Workers),
 		MinLimit:       4,
 		MaxLimit:       float64(spec.Servers * spec.Workers * 16),
-		ReclaimTime:    500_000,
+		ReclaimTime:    500 * time.Millisecond,
 		MaxQueueLength: 200,
-		DeadlineMargin: 30_000,
+		DeadlineMargin: 30 * time.Millisecond,
 		Tenants:        []float64{1},
 		Pools: []bulkhead.Pool{{Name: "hand-ins", Floor: 0.3, Ceiling: 1, Weight: 3, Classes: []int{2}},
 			{Name: "checks", Floor: 0.15, Ceiling: 1, Weight: 2, Reserve: true, Classes: []int{reserveClass}},
