--- a/internal/admission/classes_test.go
+++ b/internal/admission/classes_test.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -8,48 +9,59 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestSettingsAfter(t *testing.T) {
-	safe := func(name string, target time.Duration) Class {
-		return Class{Name: name, LatencyObjective: target, Timeout: 3 * time.Second, PriorityWeight: 1}
+// Merged settings keep each class in its place, whatever is added, removed, reordered or configured
+// again.
+func TestMergeClassesKeepsPlaces(t *testing.T) {
+	safe := func(name string, objective time.Duration) Class {
+		return Class{Name: name, LatencyObjective: objective, Timeout: 3 * time.Second, PriorityWeight: 1}
 	}
-	keyed := Class{Name: "a", LatencyObjective: time.Second, Timeout: time.Second, Idempotency: IdempotentWithKey, IdempotencyWindow: time.Second}
-	dropped := func(c Class) Class {
+	keyed := Class{
+		Name:              "a",
+		LatencyObjective:  time.Second,
+		Timeout:           time.Second,
+		Idempotency:       IdempotentWithKey,
+		IdempotencyWindow: time.Second,
+	}
+	removed := func(c Class) Class {
 		c.Removed = true
 		return c
 	}
 	a, b, c := safe("a", 1), safe("b", 1), safe("c", 1)
-	for name, x := range map[string]struct{ was, is, want []Class }{
-		"as it was":                    {[]Class{a, b}, []Class{a, b}, []Class{a, b}},
-		"another order":                {[]Class{a, b}, []Class{b, a}, []Class{a, b}},
-		"changed":                      {[]Class{a, b}, []Class{a, safe("b", 2)}, []Class{a, safe("b", 2)}},
-		"added in front":               {[]Class{a}, []Class{c, a}, []Class{a, c}},
-		"dropped":                      {[]Class{a, b}, []Class{b}, []Class{dropped(a), b}},
-		"one for another":              {[]Class{a}, []Class{b}, []Class{dropped(a), b}},
-		"back, changed":                {[]Class{dropped(a), b}, []Class{safe("a", 2), b}, []Class{safe("a", 2), b}},
-		"of another effect":            {[]Class{a}, []Class{keyed}, []Class{dropped(a), keyed}},
-		"of the first effect, later":   {[]Class{dropped(a), keyed}, []Class{a}, []Class{a, dropped(keyed)}},
-		"dropped before stays dropped": {[]Class{dropped(a), b}, []Class{b}, []Class{dropped(a), b}},
+	for name, x := range map[string]struct{ current, configured, want []Class }{
+		"as it was":                       {[]Class{a, b}, []Class{a, b}, []Class{a, b}},
+		"another order":                   {[]Class{a, b}, []Class{b, a}, []Class{a, b}},
+		"changed":                         {[]Class{a, b}, []Class{a, safe("b", 2)}, []Class{a, safe("b", 2)}},
+		"added in front":                  {[]Class{a}, []Class{c, a}, []Class{a, c}},
+		"removed":                         {[]Class{a, b}, []Class{b}, []Class{removed(a), b}},
+		"one for another":                 {[]Class{a}, []Class{b}, []Class{removed(a), b}},
+		"back, changed":                   {[]Class{removed(a), b}, []Class{safe("a", 2), b}, []Class{safe("a", 2), b}},
+		"of another idempotency":          {[]Class{a}, []Class{keyed}, []Class{removed(a), keyed}},
+		"of the first idempotency, later": {[]Class{removed(a), keyed}, []Class{a}, []Class{a, removed(keyed)}},
+		"removed before stays removed":    {[]Class{removed(a), b}, []Class{b}, []Class{removed(a), b}},
 	} {
-		got, err := Settings{Classes: x.is}.MergeClasses(Settings{Classes: x.was})
+		got, err := Settings{Classes: x.configured}.MergeClasses(Settings{Classes: x.current})
 		if diff := cmp.Diff(x.want, got.Classes); err != nil || diff != "" {
 			t.Errorf("%s: %v (-want +got)\n%s", name, err, diff)
 		}
 	}
-	if _, err := (Settings{Classes: []Class{a, b, a}}).MergeClasses(Settings{}); err == nil ||
-		!strings.Contains(err.Error(), "second class a") {
-		t.Errorf("a class that is there twice: %v", err)
+	_, err := Settings{Classes: []Class{a, b, a}}.MergeClasses(Settings{})
+	var duplicate *DuplicateClassError
+	if !errors.As(err, &duplicate) || duplicate.Index != 2 || !strings.Contains(err.Error(), "second class a") {
+		t.Errorf("a class that is configured twice: %v", err)
 	}
-	was := Settings{}
+	current := Settings{}
 	for i := range MaxClasses {
-		was.Classes = append(was.Classes, safe(strings.Repeat("x", i+1), 1))
+		current.Classes = append(current.Classes, safe(strings.Repeat("x", i+1), 1))
 	}
-	if _, err := (Settings{Classes: []Class{a}}).MergeClasses(was); err == nil {
-		t.Errorf("more than %d places are given out", MaxClasses)
+	_, err = Settings{Classes: []Class{a}}.MergeClasses(current)
+	var tooMany *TooManyClassesError
+	if !errors.As(err, &tooMany) || tooMany.Count != MaxClasses+1 {
+		t.Errorf("more than %d places are taken: %v", MaxClasses, err)
 	}
 }
 
-// What is held, runs and is known of classes goes on where places are added and dropped.
-func TestClassesChangeWhileRequestsAreOpen(t *testing.T) {
+// Queued requests, runs and what is known of classes go on while classes are added and removed.
+func TestConfigureKeepsOpenRequests(t *testing.T) {
 	s := Settings{
 		Cores:                 1,
 		MemoryKB:              50_000,
@@ -59,13 +71,15 @@
 		WarmUpInitialShare:    0.2,
 		Servers:               1,
 		IdleConnectionTimeout: time.Second,
-		Classes:               []Class{{Name: "old", LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1}},
+		Classes: []Class{
+			{Name: "old", LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1},
+		},
 	}
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := func(actions []Action) (ids []uint64) {
+	started := func(actions []Action) (ids []uint64) {
 		for _, a := range actions {
 			if a.Kind == ActionStart {
 				ids = append(ids, a.Request)
@@ -75,16 +89,18 @@
 	}
 	now := time.Second
 	c.Handle(now, nil, nil)
-	first := c.Handle(
-		now,
-		[]Event{{Kind: EventRequest, Request: 1, SizeKB: 1}, {Kind: EventRequest, Request: 2, SizeKB: 1}},
-		nil,
-	)
-	if diff := cmp.Diff([]uint64{1}, began(first)); diff != "" {
+	arrivals := []Event{
+		{Kind: EventRequest, Request: 1, SizeKB: 1},
+		{Kind: EventRequest, Request: 2, SizeKB: 1},
+	}
+	first := c.Handle(now, arrivals, nil)
+	if diff := cmp.Diff([]uint64{1}, started(first)); diff != "" {
 		t.Fatalf("one core runs one: %s", diff)
 	}
 	next := s
-	next.Classes = []Class{{Name: "new", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1}}
+	next.Classes = []Class{
+		{Name: "new", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1},
+	}
 	for range 2 { // in quick succession
 		if next, err = next.MergeClasses(c.settings); err == nil {
 			err = c.Configure(next)
@@ -93,19 +109,12 @@
 			t.Fatal(err)
 		}
 	}
-	out := c.Handle(
-		now+time.Millisecond,
-		[]Event{
-			{Kind: EventRequest, Request: 3, Class: 1, SizeKB: 1},
-			{Kind: EventCompleted, Request: 1, Outcome: OutcomeOK},
-		},
-		nil,
-	)
-	out = c.Handle(now+2*time.Millisecond, []Event{{Kind: EventCompleted, Request: 2, Outcome: OutcomeOK}}, out)
-	if diff := cmp.Diff([]uint64{2, 3}, began(out)); diff != "" {
-		t.Errorf("what was held of the dropped class runs, and then the new one: %s", diff)
-	}
-	if err := c.Configure(s); err == nil {
-		t.Error("settings that do not have all places are taken")
+	out := c.Handle(now+ms, []Event{{Kind: EventRequest, Request: 3, Class: 1, SizeKB: 1}, completed(1)}, nil)
+	out = c.Handle(now+2*ms, []Event{completed(2)}, out)
+	if diff := cmp.Diff([]uint64{2, 3}, started(out)); diff != "" {
+		t.Errorf("a queued request of the removed class runs, and then one of the new class: %s", diff)
+	}
+	if err := c.Configure(s); !errors.Is(err, ErrRestartRequired) {
+		t.Errorf("settings without a place of the classes in force: %v", err)
 	}
 }
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -8,18 +8,28 @@
 	"ryepaddle/internal/admission"
 )
 
-// Example shows the life of one request, of one refusal, and of a drain.
+// Example shows the life of one request, of one rejection, and of a drain.
 func Example() {
 	ctl, err := admission.New(admission.Settings{
-		Classes: []admission.Class{{Name: "read", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1}},
-		Cores:   2, MemoryKB: 1 << 20, RunningMemoryFactor: 8, MaxRunningPerCore: 5, DrainGrace: time.Second,
+		Classes: []admission.Class{
+			{Name: "read", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1},
+		},
+		Cores:               2,
+		MemoryKB:            1 << 20,
+		RunningMemoryFactor: 8,
+		MaxRunningPerCore:   5,
+		DrainGrace:          time.Second,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	names := map[admission.ActionKind]string{admission.ActionStart: "start", admission.ActionReject: "refuse",
-		admission.ActionSetHealth: "health", admission.ActionLog: "log"}
+	names := map[admission.ActionKind]string{
+		admission.ActionStart:     "start",
+		admission.ActionReject:    "reject",
+		admission.ActionSetHealth: "health",
+		admission.ActionLog:       "log",
+	}
 	now := time.Duration(0)
 	handle := func(events ...admission.Event) {
 		for _, a := range ctl.Handle(now, events, nil) {
@@ -39,8 +49,8 @@
 	// Output:
 	// 0s health 0 true
 	// 0s start 7 false
-	// 30ms refuse 8 false
+	// 30ms reject 8 false
 	// 30ms log 0 false admission: drain: leaving, late arrivals are refused
 	// 30ms health 0 false
-	// 2.03s refuse 9 false
+	// 2.03s reject 9 false
 }
