--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault is what errors of the program have in common: a kind with a stable name, where it
-// is, its cause, and what an operator can do about it. A package defines its kinds once; whoever
-// meets an error asks with Of, whatever it is wrapped in.
+// Package fault classifies errors for operators: each has a kind with a stable name and a remedy, a
+// location, and a cause. A package defines its kinds once, at package level; Find returns the
+// classified error inside a wrapped one.
 package fault
 
 import (
@@ -12,10 +12,10 @@
 	"sync"
 )
 
-// Kind is a kind of error. Its name is stable: scripts, the log and the on-call page go by it.
+// Kind is a kind of error. Its name is stable: scripts, the log and the on-call page refer to it.
 type Kind struct {
 	Name        string
-	Description string // what it tells, in one sentence
+	Description string // what happened, in one sentence
 	Remedy      string // what an operator can do, in one sentence
 }
 
@@ -24,19 +24,20 @@
 	kinds = map[string]*Kind{}
 )
 
-// Define names a kind, when its package is loaded. A name stands once.
-func Define(name, about, do string) *Kind {
+// Define registers a kind. It panics on an empty argument or on a name that is taken, and is to be
+// called while packages are initialized.
+func Define(name, description, remedy string) *Kind {
 	mu.Lock()
 	defer mu.Unlock()
-	if kinds[name] != nil || name == "" || about == "" || do == "" {
+	if kinds[name] != nil || name == "" || description == "" || remedy == "" {
 		panic(fmt.Sprintf("fault: %q is defined twice, or says too little", name))
 	}
-	k := &Kind{name, about, do}
+	k := &Kind{Name: name, Description: description, Remedy: remedy}
 	kinds[name] = k
 	return k
 }
 
-// Kinds are all that are defined, by name.
+// Kinds returns all kinds, ordered by name.
 func Kinds() (all []*Kind) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -47,35 +48,35 @@
 	return all
 }
 
-// Location is the place of what is wrong. What does not apply is empty.
+// Location is the place of an error. Fields that do not apply are zero.
 type Location struct {
 	File  string
 	Line  int // from 1
 	Field string
 }
 
-// Error is an error of a kind. Its text is that of its cause.
+// Error is a classified error. Its text is that of its cause.
 type Error struct {
 	Kind     *Kind
 	Location Location
 	Err      error
 }
 
+// Error implements error.
 func (e *Error) Error() string { return e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
 // LogValue implements slog.LogValuer.
 func (e *Error) LogValue() slog.Value { return slog.StringValue(e.Kind.Name + ": " + e.Error()) }
 
-// New makes an error of the kind. The text may wrap a cause.
+// New returns an error of the kind. The format may wrap a cause with %w.
 func (k *Kind) New(format string, args ...any) *Error {
 	return &Error{Kind: k, Err: fmt.Errorf(format, args...)}
 }
 
-// Wrap gives a cause the kind. One that has a kind keeps it, as whoever was nearer knows more; none
-// stays none.
+// Wrap classifies an error. An error that has a kind already keeps it; nil stays nil.
 func (k *Kind) Wrap(err error) error {
 	if err == nil || Find(err) != nil {
 		return err
@@ -83,42 +84,43 @@
 	return &Error{Kind: k, Err: err}
 }
 
-// At says where it is.
+// At sets the location.
 func (e *Error) At(file string, line int, field string) *Error {
 	e.Location = Location{file, line, field}
 	return e
 }
 
-// Classified is an error of a type of its own that tells its kind and its place.
+// Classified is an error that knows its kind and location.
 type Classified interface {
 	error
 	Fault() (*Kind, Location)
 }
 
-// Fault implements Described.
+// Fault implements Classified.
 func (e *Error) Fault() (*Kind, Location) { return e.Kind, e.Location }
 
-// Find finds the error of a kind in what may be wrapped; nil: there is none.
+// Find returns the classified error inside err, or nil.
 func Find(err error) *Error {
-	var d Classified
-	if !errors.As(err, &d) {
+	var classified Classified
+	if !errors.As(err, &classified) {
 		return nil
 	}
-	if e, ok := d.(*Error); ok {
-		return e
+	var own *Error
+	if errors.As(classified, &own) && Classified(own) == classified {
+		return own
 	}
-	e := &Error{Err: d}
-	e.Kind, e.Location = d.Fault()
+	e := &Error{Err: classified}
+	e.Kind, e.Location = classified.Fault()
 	return e
 }
 
-// Is tells whether an error is of the kind.
+// Is reports whether err is of the kind.
 func (k *Kind) Is(err error) bool {
 	e := Find(err)
 	return e != nil && e.Kind == k
 }
 
-// Remedy is what an operator can do about an error; empty: nobody has said.
+// Remedy returns what an operator can do about an error, or an empty string.
 func Remedy(err error) string {
 	if e := Find(err); e != nil {
 		return e.Kind.Remedy
@@ -126,7 +128,7 @@
 	return ""
 }
 
-// KindName is that of the kind of an error; empty: it has none.
+// KindName returns the name of the kind of an error, or an empty string.
 func KindName(err error) string {
 	if e := Find(err); e != nil {
 		return e.Kind.Name
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -1,5 +1,5 @@
-// Package netaddr names where something listens: an IP address and port, or a unix socket by its
-// path. Names are not resolved.
+// Package netaddr represents the address of a listener: an IP address and port, or the path of a
+// Unix socket. Host names are not resolved.
 package netaddr
 
 import (
@@ -8,26 +8,27 @@
 	"strings"
 )
 
-// Addr is one or the other. The zero value is neither. It can be compared.
+// Addr is an IP address and port or the path of a Unix socket. It is comparable; the zero value is
+// invalid.
 type Addr struct {
 	IP   netip.AddrPort
-	Path string // of a unix socket; empty: it is an IP address
+	Path string // path of a Unix socket; empty: an IP address
 }
 
-// mostPath is what the system has room for in the name of a socket, with its end.
-const mostPath = 107
+// maxPathBytes is the longest path of a Unix socket (sockaddr_un without its terminating zero).
+const maxPathBytes = 107
 
-// Parse reads IP:PORT, or unix:PATH with a path from the root.
+// Parse parses IP:PORT, or unix:PATH with an absolute path.
 func Parse(text string) (Addr, error) {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		switch {
 		case !strings.HasPrefix(path, "/"):
 			return Addr{}, fmt.Errorf("%q: the path of a unix socket begins with /", text)
-		case len(path) > mostPath || strings.Contains(path, "\x00"):
+		case len(path) > maxPathBytes || strings.Contains(path, "\x00"):
 			return Addr{}, fmt.Errorf(
 				"%q: the path of a unix socket is over %d bytes, or holds a zero",
 				text,
-				mostPath,
+				maxPathBytes,
 			)
 		}
 		return Addr{Path: path}, nil
@@ -36,12 +37,13 @@
 	return Addr{IP: ip}, err
 }
 
-// IsUnix tells whether it is a unix socket.
+// IsUnix reports whether the address is a Unix socket.
 func (a Addr) IsUnix() bool { return a.Path != "" }
 
-// IsValid tells whether it names anything.
+// IsValid reports whether the address is set.
 func (a Addr) IsValid() bool { return a.IsUnix() || a.IP.IsValid() }
 
+// String returns the address in the form that Parse accepts.
 func (a Addr) String() string {
 	if a.IsUnix() {
 		return "unix:" + a.Path
--- a/internal/protocol/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -1,15 +1,17 @@
-// Package cgi makes one reading of a request out of its variables, before anybody goes by them: the
-// core, the routes and the server behind must not each take another of two values for the one that
-// counts. It holds no sockets.
+// Package cgi normalizes the variables of a request (RFC 3875) before any other part uses them, so
+// that the runner and the server behind it cannot disagree about which of two values counts. It
+// does no I/O.
 //
-// What names a request (its method, path, length, tenant, key) may be given once, or again alike;
-// anything else is an error. Other variables of one name are joined as RFC 3875, 4.1.18, says. What
-// comes out names each variable once.
+// Variables that identify a request (its method, path, length, tenant, key) have one value; a
+// second, different one is an error. Other variables of one name are joined (RFC 3875, 4.1.18). The
+// result has each name once.
 package cgi
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
+	"net/http"
 	"net/netip"
 	"net/url"
 	"path"
@@ -20,38 +22,45 @@
 	"ryepaddle/internal/match"
 )
 
-// Variable is one variable, under its CGI name.
+// Variable is one variable of a request, under its CGI name.
 type Variable struct{ Name, Value string }
 
-// Error is what is wrong with a request, and the status that says so.
+// Error reports a request that is rejected.
 type Error struct {
-	Status int
+	Status int // HTTP status of the answer
 	Reason string
 }
 
+// Error implements error.
 func (e *Error) Error() string { return e.Reason }
 
-func bad(format string, v ...any) error { return &Error{400, fmt.Sprintf(format, v...)} }
+// badRequest returns an *Error with status 400.
+func badRequest(format string, v ...any) error {
+	return &Error{Status: http.StatusBadRequest, Reason: fmt.Sprintf(format, v...)}
+}
 
-// Request is one reading of a request.
+// Request is a normalized request.
 type Request struct {
 	Method string
-	// that classes go by: PATH_INFO, or SCRIPT_NAME where that is empty; without dot segments
+	// Path is PATH_INFO, or SCRIPT_NAME where that is empty, without dot segments.
 	Path    string
 	Query   string
 	Host    string
-	Scheme  string // http or https
-	Remote  netip.Addr
-	Length  int64 // of the body, as stated; -1: it is not
-	Chunked bool  // the body comes in chunks
-	// it ends as the caller closes its side, which it says by the coding identity and no length
-	UntilClose      bool
-	ExpectsContinue bool       // the caller waits for an interim answer before it sends the body
+	Scheme  string     // http or https
+	Remote  netip.Addr // address of the caller; invalid: unknown
+	Length  int64      // stated length of the body in bytes; -1: none
+	Chunked bool       // the body has the chunked transfer coding
+	// UntilClose tells that the body ends as the caller closes its side of the connection: it has
+	// the transfer coding identity and no length.
+	UntilClose bool
+	// ExpectsContinue tells that the caller sends the body only after an interim response.
+	ExpectsContinue bool
 	Variables       []Variable // each name once
 }
 
-// names are those that name a request beside the ones that the operator's file gives.
-var names = []string{
+// identifying are the variables that may have one value only, beside those that the caller of Read
+// names.
+var identifying = []string{
 	"REQUEST_METHOD",
 	"PATH_INFO",
 	"SCRIPT_NAME",
@@ -69,18 +78,19 @@
 	"REMOTE_ADDR",
 }
 
+// Bounds of a request.
 const (
-	mostVars  = 512
-	mostValue = 32 << 10
+	maxVariables  = 512
+	maxValueBytes = 32 << 10
 )
 
-// Get is the value of a variable, or nothing.
+// Get returns the value of a variable, or an empty string.
 func (r *Request) Get(name string) string {
 	v, _ := r.Lookup(name)
 	return v
 }
 
-// Lookup is Get, and tells whether there is one.
+// Lookup returns the value of a variable and whether the request has it.
 func (r *Request) Lookup(name string) (string, bool) {
 	for _, v := range r.Variables {
 		if v.Name == name {
@@ -90,7 +100,7 @@
 	return "", false
 }
 
-// MatchRequest are what expressions look at.
+// MatchRequest returns the request as expressions see it.
 func (r *Request) MatchRequest() *match.Request {
 	return &match.Request{
 		Method: r.Method,
@@ -104,78 +114,100 @@
 	}
 }
 
-// Read makes the one reading. once are further variables that name a request.
-func Read(vars []Variable, once ...string) (*Request, error) {
-	if len(vars) > mostVars {
-		return nil, &Error{431, fmt.Sprintf("%d variables", len(vars))}
+// Read normalizes a request. alsoIdentifying are further variables that may have one value only.
+// All errors are *Error.
+func Read(variables []Variable, alsoIdentifying ...string) (*Request, error) {
+	r, err := merge(variables, alsoIdentifying)
+	if err != nil {
+		return nil, err
+	}
+	for _, read := range []func(*Request) error{
+		(*Request).readMethod,
+		(*Request).readPath,
+		(*Request).readBody,
+		(*Request).readPeer,
+	} {
+		if err := read(r); err != nil {
+			return nil, err
+		}
+	}
+	return r, nil
+}
+
+// merge returns a request with each variable once.
+func merge(variables []Variable, alsoIdentifying []string) (*Request, error) {
+	if len(variables) > maxVariables {
+		return nil, &Error{
+			Status: http.StatusRequestHeaderFieldsTooLarge,
+			Reason: fmt.Sprintf("%d variables", len(variables)),
+		}
 	}
-	r := &Request{Variables: make([]Variable, 0, len(vars)), Length: -1}
-	at := make(map[string]int, len(vars))
-	for _, v := range vars {
-		if err := check(v, once); err != nil {
+	r := &Request{Variables: make([]Variable, 0, len(variables)), Length: -1}
+	indexes := make(map[string]int, len(variables))
+	for _, v := range variables {
+		if err := check(v, alsoIdentifying); err != nil {
 			return nil, err
 		}
-		i, known := at[v.Name]
+		i, known := indexes[v.Name]
 		if !known {
-			at[v.Name] = len(r.Variables)
+			indexes[v.Name] = len(r.Variables)
 			r.Variables = append(r.Variables, v)
 			continue
 		}
-		old := &r.Variables[i]
-		switch {
-		case old.Value == v.Value:
-		case isOnce(v.Name, once) || !strings.HasPrefix(v.Name, "HTTP_"):
-			return nil, bad("%s is given twice, as %q and %q", v.Name, old.Value, v.Value)
-		case v.Name == "HTTP_COOKIE":
-			old.Value += "; " + v.Value
-		default:
-			old.Value += ", " + v.Value
-		}
-		if len(old.Value) > mostValue {
-			return nil, &Error{431, v.Name + " is too long"}
-		}
-	}
-	for _, part := range []func(*Request) error{
-		(*Request).readMethod,
-		(*Request).readPath,
-		(*Request).readBody,
-		(*Request).readPeer,
-	} {
-		if err := part(r); err != nil {
+		if err := r.Variables[i].join(v.Value, alsoIdentifying); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-func isOnce(name string, once []string) bool {
-	return slices.Contains(names, name) || slices.Contains(once, name)
+// join adds a second value of the variable.
+func (v *Variable) join(value string, alsoIdentifying []string) error {
+	switch {
+	case v.Value == value:
+	case isIdentifying(v.Name, alsoIdentifying) || !strings.HasPrefix(v.Name, "HTTP_"):
+		return badRequest("%s is given twice, as %q and %q", v.Name, v.Value, value)
+	case v.Name == "HTTP_COOKIE":
+		v.Value += "; " + value
+	default:
+		v.Value += ", " + value
+	}
+	if len(v.Value) > maxValueBytes {
+		return &Error{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: v.Name + " is too long"}
+	}
+	return nil
 }
 
-// check refuses a variable that a server could take for another, or for two.
-func check(v Variable, once []string) error {
+// isIdentifying reports whether a variable may have one value only.
+func isIdentifying(name string, also []string) bool {
+	return slices.Contains(identifying, name) || slices.Contains(also, name)
+}
+
+// check rejects a variable that a server could take for another one, or for two.
+func check(v Variable, alsoIdentifying []string) error {
 	if v.Name == "" || strings.ContainsAny(v.Name, "=\x00\r\n") {
-		return bad("a variable named %q", v.Name)
+		return badRequest("a variable named %q", v.Name)
 	}
-	if strings.ContainsFunc(v.Value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-		return bad("%s holds a control character", v.Name)
+	isControl := func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
+	if strings.ContainsFunc(v.Value, isControl) {
+		return badRequest("%s holds a control character", v.Name)
 	}
-	// A server that folds names would find HTTP_X_DEDUPE_KEY in http-x-dedupe-key, beside the one
-	// that the core went by.
+	// A server that folds names reads http-x-dedupe-key as HTTP_X_DEDUPE_KEY.
 	folded := strings.ToUpper(strings.ReplaceAll(v.Name, "-", "_"))
-	if folded != v.Name && (isOnce(folded, once) || strings.HasPrefix(folded, "HTTP_")) {
-		return bad("a variable named %q, which reads like %s", v.Name, folded)
+	if folded != v.Name && (isIdentifying(folded, alsoIdentifying) || strings.HasPrefix(folded, "HTTP_")) {
+		return badRequest("a variable named %q, which reads like %s", v.Name, folded)
 	}
 	return nil
 }
 
-func token(s string) bool {
+// isToken reports whether s is a token (RFC 9110, 5.6.2).
+func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
 	})
 }
 
-// set changes a variable, or adds it.
+// set changes or adds a variable.
 func (r *Request) set(name, value string) {
 	for i := range r.Variables {
 		if r.Variables[i].Name == name {
@@ -186,27 +218,29 @@
 	r.Variables = append(r.Variables, Variable{name, value})
 }
 
-func (r *Request) drop(name string) {
+// remove removes a variable.
+func (r *Request) remove(name string) {
 	r.Variables = slices.DeleteFunc(r.Variables, func(v Variable) bool { return v.Name == name })
 }
 
+// readMethod sets the method and the scheme.
 func (r *Request) readMethod() error {
 	r.Method = cmp.Or(r.Get("REQUEST_METHOD"), "POST")
-	if !token(r.Method) {
-		return bad("REQUEST_METHOD %q", r.Method)
+	if !isToken(r.Method) {
+		return badRequest("REQUEST_METHOD %q", r.Method)
 	}
 	if r.Method == "CONNECT" {
-		return &Error{501, "the method CONNECT is not served"}
+		return &Error{Status: http.StatusNotImplemented, Reason: "the method CONNECT is not served"}
 	}
 	r.Scheme = cmp.Or(r.Get("REQUEST_SCHEME"), r.Get("UWSGI_SCHEME"), "http")
 	if s := strings.ToLower(r.Scheme); s != "http" && s != "https" {
-		return bad("REQUEST_SCHEME %q", r.Scheme)
+		return badRequest("REQUEST_SCHEME %q", r.Scheme)
 	}
 	return nil
 }
 
-// readPath takes dot segments out of the path. A REQUEST_URI that says otherwise than path and
-// query, as one from before a rewrite does, is written anew: a server may go by either.
+// readPath sets the path, without dot segments, and the query. A REQUEST_URI that differs from
+// them, such as one from before a rewrite, is replaced, since a server may use either.
 func (r *Request) readPath() error {
 	for _, name := range []string{"PATH_INFO", "SCRIPT_NAME"} {
 		given := r.Get(name)
@@ -215,50 +249,51 @@
 		}
 		clean, err := cleanPath(given)
 		if err != nil {
-			return bad("%s %q %v", name, given, err)
+			return badRequest("%s %q %v", name, given, err)
 		}
 		r.set(name, clean)
 	}
 	r.Path = cmp.Or(r.Get("PATH_INFO"), r.Get("SCRIPT_NAME"))
 	r.Query = r.Get("QUERY_STRING")
 	if strings.ContainsAny(r.Query, " \t#") {
-		return bad("QUERY_STRING %q", r.Query)
+		return badRequest("QUERY_STRING %q", r.Query)
 	}
 	uri := r.Get("REQUEST_URI")
 	if uri == "" {
 		return nil
 	}
-	whole := r.Get("PATH_INFO")
-	if script := r.Get("SCRIPT_NAME"); script != whole {
-		whole = strings.TrimSuffix(script, "/") + whole
+	fullPath := r.Get("PATH_INFO")
+	if script := r.Get("SCRIPT_NAME"); script != fullPath {
+		fullPath = strings.TrimSuffix(script, "/") + fullPath
 	}
-	anew := (&url.URL{Path: whole, RawQuery: r.Query}).RequestURI()
 	u, err := url.ParseRequestURI(uri)
 	if err != nil {
-		return bad("REQUEST_URI %q", uri)
+		return badRequest("REQUEST_URI %q", uri)
 	}
-	if p, err := cleanPath(u.Path); err != nil || p != whole || u.RawQuery != r.Query || u.Host != "" {
-		r.set("REQUEST_URI", anew)
+	uriPath, err := cleanPath(u.Path)
+	if err != nil || uriPath != fullPath || u.RawQuery != r.Query || u.Host != "" {
+		r.set("REQUEST_URI", (&url.URL{Path: fullPath, RawQuery: r.Query}).RequestURI())
 	}
 	return nil
 }
 
-// cleanPath is a decoded path without empty and dot segments. One that leads above the root is
-// refused, not clipped: the one who wrote it meant another place.
+// cleanPath returns a decoded path without empty and dot segments. A path that leads above the root
+// is an error, as its writer meant another place.
 func cleanPath(p string) (string, error) {
 	if !strings.HasPrefix(p, "/") {
-		return "", fmt.Errorf("does not begin with /")
+		return "", errors.New("does not begin with /")
 	}
 	if strings.Contains(p, "\\") {
-		return "", fmt.Errorf("holds a backslash")
+		return "", errors.New("holds a backslash")
 	}
 	depth := 0
 	for _, part := range strings.Split(p, "/") {
 		switch part {
 		case "", ".":
 		case "..":
-			if depth--; depth < 0 {
-				return "", fmt.Errorf("leads above the root")
+			depth--
+			if depth < 0 {
+				return "", errors.New("leads above the root")
 			}
 		default:
 			depth++
@@ -271,20 +306,20 @@
 	return clean, nil
 }
 
-// readBody settles how the body is framed. Two ways at once are how one request is smuggled in
-// another.
+// readBody decides how the body is framed. Two framings at once are an error, since they would
+// allow request smuggling.
 func (r *Request) readBody() error {
 	length := r.Get("CONTENT_LENGTH")
 	if also := r.Get("HTTP_CONTENT_LENGTH"); also != "" {
 		if length != "" && length != also {
-			return bad("CONTENT_LENGTH %q and HTTP_CONTENT_LENGTH %q", length, also)
+			return badRequest("CONTENT_LENGTH %q and HTTP_CONTENT_LENGTH %q", length, also)
 		}
 		length = also
 	}
 	if length != "" {
 		n, err := strconv.ParseUint(length, 10, 62)
 		if err != nil || length[0] == '+' {
-			return bad("bad CONTENT_LENGTH: %q", length)
+			return badRequest("bad CONTENT_LENGTH: %q", length)
 		}
 		r.Length = int64(n)
 	}
@@ -293,33 +328,36 @@
 	case te == "identity":
 		r.UntilClose = length == ""
 	case te != "chunked":
-		return &Error{501, fmt.Sprintf("HTTP_TRANSFER_ENCODING %q", te)}
+		return &Error{
+			Status: http.StatusNotImplemented,
+			Reason: fmt.Sprintf("HTTP_TRANSFER_ENCODING %q", te),
+		}
 	case length != "":
-		return bad("a body both of a stated length and in chunks")
+		return badRequest("a body both of a stated length and in chunks")
 	default:
 		r.Chunked = true
 	}
 	switch expect := strings.ToLower(r.Get("HTTP_EXPECT")); {
 	case expect == "":
 	case expect != "100-continue":
-		return &Error{417, fmt.Sprintf("HTTP_EXPECT %q", expect)}
-	default: // this hop answers it; the server gets the whole body
+		return &Error{Status: http.StatusExpectationFailed, Reason: fmt.Sprintf("HTTP_EXPECT %q", expect)}
+	default: // the runner answers it; the server gets the complete body
 		r.ExpectsContinue = r.Chunked || r.Length > 0
-		r.drop("HTTP_EXPECT")
+		r.remove("HTTP_EXPECT")
 	}
 	return nil
 }
 
-// readPeer reads who asks, and whom. An address that is none is left out rather than passed on.
+// readPeer sets the host and the address of the caller. A malformed address is removed.
 func (r *Request) readPeer() error {
 	r.Host = r.Get("HTTP_HOST")
 	if strings.ContainsAny(r.Host, " \t/\\@,?#") {
-		return bad("HTTP_HOST %q", r.Host)
+		return badRequest("HTTP_HOST %q", r.Host)
 	}
 	if text := r.Get("REMOTE_ADDR"); text != "" {
 		addr, err := netip.ParseAddr(text)
 		if err != nil {
-			r.drop("REMOTE_ADDR")
+			r.remove("REMOTE_ADDR")
 		}
 		r.Remote = addr
 	}
--- a/internal/protocol/cgi/cgi_test.go
+++ b/internal/protocol/cgi/cgi_test.go
@@ -20,7 +20,7 @@
 
 const key = "HTTP_X_DEDUPE_KEY"
 
-func TestRead(t *testing.T) {
+func TestRequestsAreNormalized(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{
 			"alike twice",
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestBodies(t *testing.T) {
+func TestBodiesAreFramedInOneWay(t *testing.T) {
 	for in, want := range map[string]Request{
 		"":                               {Length: -1},
 		"CONTENT_LENGTH=":                {Length: -1},
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		in     string
 		status int
@@ -144,7 +144,7 @@
 
 // Reading what was read gives the same: two hops in a row cannot disagree. And each name comes
 // once.
-func TestOneReading(t *testing.T) {
+func TestEachIdentifyingVariableHasOneValue(t *testing.T) {
 	name := rapid.SampledFrom(
 		[]string{"PATH_INFO", "SCRIPT_NAME", "REQUEST_URI", "QUERY_STRING", "HTTP_ACCEPT", "HTTP_COOKIE",
 			"CONTENT_LENGTH", "HTTP_EXPECT", "REMOTE_ADDR", key, "HTTP_HOST", "X"},
@@ -195,7 +195,12 @@
 	f.Add("/a/../b", "x=1", "/b?x=1", "host")
 	f.Fuzz(func(t *testing.T, path, query, uri, host string) {
 		r, err := Read(
-			[]Variable{{"PATH_INFO", path}, {"QUERY_STRING", query}, {"REQUEST_URI", uri}, {"HTTP_HOST", host}},
+			[]Variable{
+				{"PATH_INFO", path},
+				{"QUERY_STRING", query},
+				{"REQUEST_URI", uri},
+				{"HTTP_HOST", host},
+			},
 		)
 		if err != nil {
 			return
--- a/internal/protocol/fastcgi/fastcgi.go
+++ b/internal/protocol/fastcgi/fastcgi.go
@@ -1,5 +1,5 @@
-// Package fastcgi reads and writes the records of FastCGI 1.0. It holds no sockets: bytes in,
-// records out.
+// Package fastcgi implements the record layer of the FastCGI 1.0 specification. It does no I/O: it
+// decodes records from bytes and appends records to bytes.
 package fastcgi
 
 import (
@@ -8,7 +8,7 @@
 	"fmt"
 )
 
-// Types of records.
+// Types of records (specification, section 8).
 const (
 	BeginRequest    = 1
 	AbortRequest    = 2
@@ -23,50 +23,68 @@
 	UnknownType     = 11
 )
 
-// Roles, flags and protocol statuses.
-const (
-	Responder      = 1
-	KeepConnection = 1
+// Responder is the only role that is served.
+const Responder = 1
+
+// KeepConnection is the flag of a BeginRequest that asks to keep the connection open.
+const KeepConnection = 1
 
+// Protocol statuses of an EndRequest.
+const (
 	RequestComplete = 0
 	CannotMultiplex = 1
 	Overloaded      = 2
 	UnknownRole     = 3
 )
 
+// Sizes in bytes.
 const (
-	version    = 1
 	headerSize = 8
 	maxContent = 65535
-	// MaxRecord is the most bytes that one record takes.
-	MaxRecord = headerSize + maxContent + 255
+	maxPadding = 255
+	bodySize   = 8 // of a BeginRequest and an EndRequest
+	// MaxRecord is the largest size of a record.
+	MaxRecord = headerSize + maxContent + maxPadding
 )
 
-// The ways in which a record can be wrong.
+// version is the protocol version of a record.
+const version = 1
+
+// Lengths of names and values take one byte up to maxShortLength, and else four bytes with the
+// highest bit set.
+const (
+	maxShortLength = 127
+	longLengthFlag = 1 << 31
+)
+
+// Errors of malformed records. The connection cannot be used further after any of them.
 var (
-	ErrVersion       = errors.New("fastcgi: not version 1") // the peer speaks something else
+	ErrVersion       = errors.New("fastcgi: not version 1")
 	ErrRecordTooLong = errors.New("fastcgi: record over its limit")
+	ErrTruncated     = errors.New("fastcgi: truncated content")
 )
 
-// Record is one record. Content is a part of the bytes that it was read from.
+// Record is one record. Content is a slice of the bytes that it was decoded from.
 type Record struct {
 	Type    uint8
 	ID      uint16
 	Content []byte
 }
 
-// Read takes one record from the front of b. It returns 0 bytes used when b holds only a part of
-// one. One that is longer than most is an error as soon as its head has come.
-func Read(b []byte, most int) (Record, int, error) {
+// Read decodes one record from the front of b and returns how many bytes it takes, or 0 if b holds
+// only a part of it. A record of more than maxSize bytes is ErrRecordTooLong as soon as its header
+// is there.
+func Read(b []byte, maxSize int) (Record, int, error) {
 	if len(b) > 0 && b[0] != version {
 		return Record{}, 0, ErrVersion
 	}
 	if len(b) < headerSize {
 		return Record{}, 0, nil
 	}
-	n := int(binary.BigEndian.Uint16(b[4:]))
-	size := headerSize + n + int(b[6])
-	if size > most {
+	contentLength := int(binary.BigEndian.Uint16(b[4:]))
+	paddingLength := int(b[6])
+	size := headerSize + contentLength + paddingLength
+	if size > maxSize {
 		return Record{}, 0, fmt.Errorf("%w: %d bytes", ErrRecordTooLong, size)
 	}
 	if len(b) < size {
@@ -75,12 +93,12 @@
 	return Record{
 		Type:    b[1],
 		ID:      binary.BigEndian.Uint16(b[2:]),
-		Content: b[headerSize : headerSize+n],
+		Content: b[headerSize : headerSize+contentLength],
 	}, size, nil
 }
 
-// Append adds one record to b. Content over the size of a record is split; empty content makes one
-// empty record.
+// Append appends a record to b. Content that exceeds one record is split over several; empty
+// content makes one empty record, which ends a stream.
 func Append(b []byte, typ uint8, id uint16, content []byte) []byte {
 	for first := true; first || len(content) > 0; first = false {
 		part := content[:min(len(content), maxContent)]
@@ -99,63 +117,76 @@
 	KeepConnection bool
 }
 
-// ReadBegin reads the content of a BeginRequest.
+// ReadBegin decodes the content of a BeginRequest.
 func ReadBegin(content []byte) (BeginRequestBody, error) {
-	if len(content) < 8 {
-		return BeginRequestBody{}, fmt.Errorf("fastcgi: begin of %d bytes", len(content))
+	if len(content) < bodySize {
+		return BeginRequestBody{}, fmt.Errorf("%w: begin of %d bytes", ErrTruncated, len(content))
 	}
-	return BeginRequestBody{Role: binary.BigEndian.Uint16(content), KeepConnection: content[2]&KeepConnection != 0}, nil
+	return BeginRequestBody{
+		Role:           binary.BigEndian.Uint16(content),
+		KeepConnection: content[2]&KeepConnection != 0,
+	}, nil
 }
 
-// AppendBegin adds a BeginRequest.
-func AppendBegin(b []byte, id uint16, v BeginRequestBody) []byte {
-	content := make([]byte, 8)
-	binary.BigEndian.PutUint16(content, v.Role)
-	if v.KeepConnection {
+// AppendBegin appends a BeginRequest to b.
+func AppendBegin(b []byte, id uint16, body BeginRequestBody) []byte {
+	content := make([]byte, bodySize)
+	binary.BigEndian.PutUint16(content, body.Role)
+	if body.KeepConnection {
 		content[2] = KeepConnection
 	}
 	return Append(b, BeginRequest, id, content)
 }
 
-// AppendEnd adds an EndRequest.
+// AppendEnd appends an EndRequest to b.
 func AppendEnd(b []byte, id uint16, appStatus uint32, protocolStatus uint8) []byte {
-	content := make([]byte, 8)
+	content := make([]byte, bodySize)
 	binary.BigEndian.PutUint32(content, appStatus)
 	content[4] = protocolStatus
 	return Append(b, EndRequest, id, content)
 }
 
-// AppendPair adds one name and value to the content of a Params or GetValuesResult record.
+// AppendPair appends a name and its value to the content of a Params or GetValuesResult record.
 func AppendPair(b []byte, name, value string) []byte {
 	for _, n := range []int{len(name), len(value)} {
-		if n < 128 {
+		if n <= maxShortLength {
 			b = append(b, byte(n))
 		} else {
-			b = binary.BigEndian.AppendUint32(b, uint32(n)|1<<31)
+			b = binary.BigEndian.AppendUint32(b, uint32(n)|longLengthFlag)
 		}
 	}
 	return append(append(b, name...), value...)
 }
 
-// ReadPairs calls fn for each name and value of a whole stream.
+// ReadPairs calls fn for each name and value of a complete Params stream. A stream that ends within
+// a pair is ErrTruncated.
 func ReadPairs(b []byte, fn func(name, value string)) error {
 	for len(b) > 0 {
-		var size [2]int
-		for i := range size {
-			switch {
-			case len(b) >= 1 && b[0] < 128:
-				size[i], b = int(b[0]), b[1:]
-			case len(b) >= 4:
-				size[i], b = int(binary.BigEndian.Uint32(b)&^(1<<31)), b[4:]
-			default:
-				return errors.New("fastcgi: a length is cut off")
-			}
+		nameLength, rest, ok := readLength(b)
+		if !ok {
+			return fmt.Errorf("%w: a length", ErrTruncated)
+		}
+		valueLength, rest, ok := readLength(rest)
+		if !ok {
+			return fmt.Errorf("%w: a length", ErrTruncated)
 		}
-		if size[0]+size[1] > len(b) {
-			return fmt.Errorf("fastcgi: a pair of %d bytes in %d", size[0]+size[1], len(b))
+		size := nameLength + valueLength
+		if size > len(rest) {
+			return fmt.Errorf("%w: a pair of %d bytes in %d", ErrTruncated, size, len(rest))
 		}
-		fn(string(b[:size[0]]), string(b[size[0]:size[0]+size[1]]))
-		b = b[size[0]+size[1]:]
+		fn(string(rest[:nameLength]), string(rest[nameLength:size]))
+		b = rest[size:]
 	}
 	return nil
 }
+
+// readLength decodes the length of a name or value.
+func readLength(b []byte) (length int, rest []byte, ok bool) {
+	switch {
+	case len(b) >= 1 && b[0] <= maxShortLength:
+		return int(b[0]), b[1:], true
+	case len(b) >= 4:
+		return int(binary.BigEndian.Uint32(b) &^ longLengthFlag), b[4:], true
+	}
+	return 0, nil, false
+}
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"strings"
 	"testing"
 
@@ -26,7 +27,7 @@
 			}
 			got = append(got, recs...)
 		}
-		if diff := cmp.Diff(whole, got); diff != "" || wholeErr != err {
+		if diff := cmp.Diff(whole, got); diff != "" || !errors.Is(err, wholeErr) {
 			t.Fatalf("errors %v and %v, (-whole +split)\n%s", wholeErr, err, diff)
 		}
 	})
@@ -56,7 +57,7 @@
 	}
 }
 
-func TestPairs(t *testing.T) {
+func TestPairsOfAnyLengthAreReadBack(t *testing.T) {
 	long := strings.Repeat("v", 300)
 	b := AppendPair(AppendPair(AppendPair(nil, "A", ""), "", "b"), long, long)
 	var got []string
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -7,129 +7,161 @@
 	"io"
 )
 
-// The ways in which a body can be wrong.
+// Errors of malformed bodies.
 var (
 	ErrChunk          = errors.New("a chunk that cannot be read")
 	ErrTrailerTooLong = errors.New("trailer over its limit")
 )
 
+// Bounds of a chunked body.
 const (
-	mostChunkLine = 256 // its extensions with it; none is known here
-	mostTrailer   = 8 << 10
-	mostDigits    = 15 // of a chunk's size in hex; more would not fit a signed number
+	maxChunkLineBytes = 256 // size and extensions
+	maxTrailerBytes   = 8 << 10
+	maxSizeDigits     = 15 // hexadecimal digits that fit into an int64
 )
 
+// framing is how the end of a body is found.
 type framing uint8
 
 const (
-	byLength framing = iota
-	byChunks
-	toEnd
+	framedByLength framing = iota
+	framedByChunks
+	framedByClose
 )
 
+// chunkState is the part of a chunked body that comes next.
 type chunkState uint8
 
 const (
-	inSize chunkState = iota
-	inData
-	behindData
-	inTrailer
+	chunkSizeLine chunkState = iota
+	chunkData
+	chunkDataEnd // the line end after the data
+	trailerSection
 )
 
-// Body reads the body of a message as it comes, whatever pieces it comes in. It keeps none of it.
+// Body is an incremental reader of a message body. It buffers nothing.
 type Body struct {
-	framing framing
-	left    int64 // of the length, or of a chunk
-	state   chunkState
-	trailer int // bytes of it so far
-	over    bool
+	framing      framing
+	remaining    int64 // bytes of the body, or of the current chunk
+	state        chunkState
+	trailerBytes int // read so far
+	done         bool
 }
 
-// BodyOfLength reads a body of so many bytes.
-func BodyOfLength(n int64) *Body { return &Body{framing: byLength, left: n} }
+// BodyOfLength returns a reader of a body of n bytes.
+func BodyOfLength(n int64) *Body { return &Body{framing: framedByLength, remaining: n} }
 
-// ChunkedBody reads a body in chunks.
-func ChunkedBody() *Body { return &Body{framing: byChunks} }
+// ChunkedBody returns a reader of a body with the chunked transfer coding (RFC 9112, 7.1).
+func ChunkedBody() *Body { return &Body{framing: framedByChunks} }
 
-// BodyUntilClose reads a body that ends with the stream.
-func BodyUntilClose() *Body { return &Body{framing: toEnd} }
+// BodyUntilClose returns a reader of a body that ends with the stream.
+func BodyUntilClose() *Body { return &Body{framing: framedByClose} }
 
-// Next takes what it can from the front of b. Data is a part of b; done tells that the body is
-// over, and nothing behind it was taken. Nothing used and not done means that more has to come. At
-// the end of the stream a body that is not over is cut off, which is io.ErrUnexpectedEOF.
+// Next decodes what it can from the front of b; end tells that the stream ends behind b. data is a
+// slice of b, and done reports the end of the body, behind which nothing is used. If nothing is
+// used and done is false, more input is needed. A body that is incomplete at the end of the stream
+// is io.ErrUnexpectedEOF.
 func (r *Body) Next(b []byte, end bool) (data []byte, used int, done bool, err error) {
-	if r.over {
+	if r.done {
 		return nil, 0, true, nil
 	}
 	switch r.framing {
-	case byLength:
-		n := int(min(r.left, int64(len(b))))
-		r.left -= int64(n)
-		data, used, done = b[:n], n, r.left == 0
-	case toEnd:
+	case framedByLength:
+		data = r.take(b)
+		used, done = len(data), r.remaining == 0
+	case framedByClose:
 		data, used, done = b, len(b), end
 	default:
-		data, used, done, err = r.chunk(b)
+		data, used, done, err = r.nextChunkPart(b)
 	}
-	// or in the middle of a chunk's line
-	if r.over = done; err == nil && !done && end && (used == 0 || used == len(b)) {
+	r.done = done
+	// The stream may also end within a chunk's line, with input left that is not a whole line.
+	if err == nil && !done && end && (used == 0 || used == len(b)) {
 		err = io.ErrUnexpectedEOF
 	}
 	return data, used, done, err
 }
 
-// chunk takes one step in a body of chunks.
-func (r *Body) chunk(b []byte) (data []byte, used int, done bool, err error) {
+// take returns the part of b that belongs to what remains, and counts it.
+func (r *Body) take(b []byte) []byte {
+	n := int(min(r.remaining, int64(len(b))))
+	r.remaining -= int64(n)
+	return b[:n]
+}
+
+// nextChunkPart decodes the next part of a chunked body.
+func (r *Body) nextChunkPart(b []byte) (data []byte, used int, done bool, err error) {
 	switch r.state {
-	case inSize:
-		line, n, err := crlfLine(b, mostChunkLine, ErrChunk)
-		if err != nil || n == 0 {
-			return nil, 0, false, err
-		}
-		size, err := chunkSize(line)
-		if err != nil {
-			return nil, 0, false, err
-		}
-		if r.left, r.state = size, inData; size == 0 {
-			r.state = inTrailer
-		}
-		return nil, n, false, nil
-	case inData:
-		n := int(min(r.left, int64(len(b))))
-		if r.left -= int64(n); r.left == 0 {
-			r.state = behindData
+	case chunkSizeLine:
+		used, err = r.readSizeLine(b)
+		return nil, used, false, err
+	case chunkData:
+		data = r.take(b)
+		if r.remaining == 0 {
+			r.state = chunkDataEnd
 		}
-		return b[:n], n, false, nil
-	case behindData:
-		if len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n' {
-			return nil, 0, false, fmt.Errorf("%w: it is longer than its size", ErrChunk)
-		}
-		if len(b) < 2 {
-			return nil, 0, false, nil
-		}
-		r.state = inSize
-		return nil, 2, false, nil
+		return data, len(data), false, nil
+	case chunkDataEnd:
+		used, err = r.readDataEnd(b)
+		return nil, used, false, err
+	}
+	used, done, err = r.readTrailerLine(b)
+	return nil, used, done, err
+}
+
+// readSizeLine decodes the line before a chunk. A size of 0 ends the data.
+func (r *Body) readSizeLine(b []byte) (used int, err error) {
+	line, used, err := crlfLine(b, maxChunkLineBytes, ErrChunk)
+	if err != nil || used == 0 {
+		return 0, err
+	}
+	size, err := chunkSize(line)
+	if err != nil {
+		return 0, err
+	}
+	r.remaining, r.state = size, chunkData
+	if size == 0 {
+		r.state = trailerSection
 	}
-	line, n, err := crlfLine(b, mostTrailer-r.trailer, ErrTrailerTooLong)
-	if err != nil || n == 0 {
-		return nil, 0, false, err
+	return used, nil
+}
+
+// readDataEnd decodes the line end after a chunk's data.
+func (r *Body) readDataEnd(b []byte) (used int, err error) {
+	if len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n' {
+		return 0, fmt.Errorf("%w: it is longer than its size", ErrChunk)
+	}
+	if len(b) < 2 {
+		return 0, nil
+	}
+	r.state = chunkSizeLine
+	return 2, nil
+}
+
+// readTrailerLine decodes one line of the trailer section, which ends with an empty line. Fields
+// are checked and not passed on.
+func (r *Body) readTrailerLine(b []byte) (used int, done bool, err error) {
+	line, used, err := crlfLine(b, maxTrailerBytes-r.trailerBytes, ErrTrailerTooLong)
+	if err != nil || used == 0 {
+		return 0, false, err
 	}
-	r.trailer += n
+	r.trailerBytes += used
 	if len(line) == 0 {
-		return nil, n, true, nil
+		return used, true, nil
 	}
-	if _, err := parseField(string(line)); err != nil { // read, and not passed on
-		return nil, 0, false, err
+	if _, err := parseField(string(line)); err != nil {
+		return 0, false, err
 	}
-	return nil, n, false, nil
+	return used, false, nil
 }
 
-// crlfLine is the line at the front of b without its end; 0 bytes used: it has not come whole.
-func crlfLine(b []byte, most int, long error) (line []byte, used int, err error) {
-	i := bytes.IndexByte(b[:min(len(b), most+1)], '\n')
+// crlfLine returns the line at the front of b without its end, and how many bytes it takes with it,
+// or 0 if it is incomplete. A line of more than maxBytes is the error tooLong.
+func crlfLine(b []byte, maxBytes int, tooLong error) (line []byte, used int, err error) {
+	i := bytes.IndexByte(b[:min(len(b), maxBytes+1)], '\n')
 	switch {
-	case i < 0 && len(b) > most:
-		return nil, 0, long
+	case i < 0 && len(b) > maxBytes:
+		return nil, 0, tooLong
 	case i < 0:
 		return nil, 0, nil
 	case i == 0 || b[i-1] != '\r':
@@ -138,11 +170,11 @@
 	return b[:i-1], i + 1, nil
 }
 
-// chunkSize reads the size at the front of a chunk's line. Extensions are passed over.
+// chunkSize decodes the size in bytes at the front of a chunk's line. Extensions are ignored.
 func chunkSize(line []byte) (int64, error) {
-	size, ext, _ := bytes.Cut(line, []byte(";"))
+	size, extensions, _ := bytes.Cut(line, []byte(";"))
 	size = bytes.TrimRight(size, " \t")
-	if len(size) == 0 || len(size) > mostDigits || bytes.ContainsAny(ext, "\r\x00") {
+	if len(size) == 0 || len(size) > maxSizeDigits || bytes.ContainsAny(extensions, "\r\x00") {
 		return 0, fmt.Errorf("%w: size %q", ErrChunk, line)
 	}
 	n := int64(0)
@@ -159,7 +191,7 @@
 	return n, nil
 }
 
-// AppendChunk adds a chunk; an empty one ends the body.
+// AppendChunk appends a chunk to b. An empty chunk ends the body.
 func AppendChunk(b, data []byte) []byte {
 	b = fmt.Appendf(b, "%x\r\n", len(data))
 	return append(append(b, data...), '\r', '\n')
--- /dev/null
+++ b/internal/protocol/httpmessage/head.go
@@ -0,0 +1,119 @@
+// Package httpmessage reads HTTP/1.x responses (RFC 9112) and CGI responses (RFC 3875, 6), as the
+// back end and uwsgi servers send them, and message bodies of both directions. It does no I/O.
+package httpmessage
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// MaxHeadBytes is the largest size of a head in bytes.
+const MaxHeadBytes = 16 << 10
+
+// ErrHeadTooLong reports a head of more than MaxHeadBytes.
+var ErrHeadTooLong = errors.New("head over its limit")
+
+// SyntaxError reports a part of a message that cannot be read, or that could be read in two ways.
+type SyntaxError struct {
+	Part  string // such as "status line" or the name of a header field
+	Value string // as received; empty: Part says it all
+}
+
+// Error implements error.
+func (e *SyntaxError) Error() string {
+	if e.Value == "" {
+		return e.Part
+	}
+	return fmt.Sprintf("%s %q", e.Part, e.Value)
+}
+
+// Field is one header field.
+type Field struct{ Name, Value string }
+
+// Head is the status line and the header fields of a response.
+type Head struct {
+	Proto   string // HTTP/1.0, HTTP/1.1, or CGI for a head without a status line
+	Status  int
+	Fields  []Field
+	Length  int  // bytes of the body; -1: not stated
+	Chunked bool // the body has the chunked transfer coding
+}
+
+// Get returns the value of a header field, or an empty string.
+func (h *Head) Get(name string) string {
+	for _, f := range h.Fields {
+		if strings.EqualFold(f.Name, name) {
+			return f.Value
+		}
+	}
+	return ""
+}
+
+// Read decodes the head of a final response from the front of b and returns how many bytes it takes
+// with the interim responses before it, or 0 if b holds only a part of it. Lines have to end with
+// CRLF, and transfer codings are not accepted.
+func Read(b []byte) (*Head, int, error) {
+	for used := 0; ; {
+		head, _, ok := bytes.Cut(b[used:], []byte("\r\n\r\n"))
+		if len(head) > MaxHeadBytes {
+			return nil, 0, ErrHeadTooLong
+		}
+		if !ok {
+			return nil, 0, nil
+		}
+		used += len(head) + 4
+		h, err := parse(string(head))
+		if err != nil {
+			return nil, 0, err
+		}
+		if h.Status >= 200 {
+			return h, used, nil
+		}
+	}
+}
+
+// parse decodes a head without its empty line.
+func parse(text string) (*Head, error) {
+	lines := strings.Split(text, "\r\n")
+	h := &Head{Length: -1}
+	if err := h.parseStatusLine(lines[0]); err != nil {
+		return nil, err
+	}
+	for _, line := range lines[1:] {
+		if err := h.parseStrictField(line); err != nil {
+			return nil, err
+		}
+	}
+	if h.Status == 204 || h.Status == 304 {
+		h.Length = 0
+	}
+	return h, nil
+}
+
+// parseStrictField adds a header field. The body has to be framed by its length alone.
+func (h *Head) parseStrictField(line string) error {
+	name, value, ok := strings.Cut(line, ":")
+	badName := func(r rune) bool { return r <= ' ' || r >= 0x7f }
+	if !ok || name == "" || strings.ContainsFunc(name, badName) {
+		return &SyntaxError{"header", line}
+	}
+	f := Field{Name: name, Value: strings.Trim(value, " \t")}
+	if strings.ContainsAny(f.Value, "\r\n\x00") {
+		return &SyntaxError{"header", line}
+	}
+	h.Fields = append(h.Fields, f)
+	switch {
+	case strings.EqualFold(name, "Content-Length"):
+		n, err := strconv.ParseUint(f.Value, 10, 31)
+		if err != nil || h.Length >= 0 && h.Length != int(n) {
+			return &SyntaxError{"Content-Length", f.Value}
+		}
+		h.Length = int(n)
+	case strings.EqualFold(name, "Transfer-Encoding") && !strings.EqualFold(f.Value, "identity"):
+		return &SyntaxError{"Transfer-Encoding", f.Value}
+	}
+	return nil
+}
--- a/internal/protocol/httpmessage/httpmsg_test.go
+++ b/internal/protocol/httpmessage/head_test.go
@@ -90,7 +90,7 @@
 }
 
 // Cut at every byte, a response that states its end is never taken for whole.
-func TestCutAtEveryByte(t *testing.T) {
+func TestTruncatedResponsesAreUnexpectedEOF(t *testing.T) {
 	for _, s := range seeds[:2] {
 		text := []byte(s[:len(s)-len("extra")])
 		if r := read(text, false, len(text)); !r.Done || string(r.Body) != "body" || r.Left != 0 {
@@ -104,9 +104,23 @@
 	}
 }
 
-func TestChunkSizes(t *testing.T) {
-	for text, want := range map[string]int64{"0": 0, "a": 10, "fF": 255, "10 ": 16, "10;a=b": 16, "fffffffffffffff": 1<<60 - 1,
-		"": -1, "-1": -1, "+1": -1, "0x1": -1, "1 1": -1, "ffffffffffffffff": -1, " 1": -1, "1;\x00": -1} {
+func TestChunkSizesAreHexadecimal(t *testing.T) {
+	for text, want := range map[string]int64{
+		"0":                0,
+		"a":                10,
+		"fF":               255,
+		"10 ":              16,
+		"10;a=b":           16,
+		"fffffffffffffff":  1<<60 - 1,
+		"":                 -1,
+		"-1":               -1,
+		"+1":               -1,
+		"0x1":              -1,
+		"1 1":              -1,
+		"ffffffffffffffff": -1,
+		" 1":               -1,
+		"1;\x00":           -1,
+	} {
 		n, err := chunkSize([]byte(text))
 		if (err != nil) != (want < 0) || err == nil && n != want {
 			t.Errorf("%q: %d, %v", text, n, err)
@@ -114,7 +128,7 @@
 	}
 }
 
-func TestAppendChunk(t *testing.T) {
+func TestAppendedChunksAreReadBack(t *testing.T) {
 	b := AppendChunk(AppendChunk(AppendChunk(nil, []byte("hello, ")), make([]byte, 300)), nil)
 	r, got := ChunkedBody(), []byte{}
 	for {
--- a/internal/protocol/httpmessage/response.go
+++ b/internal/protocol/httpmessage/response.go
@@ -10,38 +10,43 @@
 	"strings"
 )
 
-// mostInterim is how many 1xx responses may come before the one that counts.
-const mostInterim = 16
+// maxInterim bounds the interim (1xx) responses before the final one.
+const maxInterim = 16
 
-// ErrTooManyInterim tells that no end of them is in sight.
-var ErrTooManyInterim = errors.New("too many interim responses")
+// Errors of responses.
+var (
+	ErrTooManyInterim     = errors.New("too many interim responses")
+	ErrSwitchingProtocols = errors.New("status 101: the protocol was changed though nobody asked for it")
+)
 
-// Event is one thing that was read of a response.
+// Event is one part of a response.
 type Event struct {
-	Head *Head  // it has come whole; nil: this is something else
-	Data []byte // of the body, a part of what was read
-	Done bool   // the response is over
+	Head *Head  // the complete head; nil: this is another part
+	Data []byte // part of the body, a slice of the input
+	Done bool   // the response is complete
 }
 
-// ResponseReader reads one response of a uwsgi server as it comes: with a status line or a head in
-// CGI's form, lines ended by CRLF or a bare line feed, and a body of a stated length, in chunks, or
-// to the end of the stream. What could be read in two ways is an error. It keeps no more than a
-// head.
+// ResponseReader is an incremental reader of one response of a uwsgi server. The head has a status
+// line or the form of CGI, its lines end with CRLF or LF, and the body has a stated length, the
+// chunked transfer coding, or ends with the stream. Input that could be read in two ways is an
+// error. It buffers nothing but the head.
 type ResponseReader struct {
-	headOnly bool // the answer to HEAD
+	headOnly bool // response to a HEAD request
 	head     *Head
 	body     *Body
 	interim  int
 }
 
-// NewResponseReader begins a response. headOnly tells that only the head was asked for.
+// NewResponseReader returns a reader. headOnly tells that the request was HEAD, so that no body
+// follows.
 func NewResponseReader(headOnly bool) *ResponseReader { return &ResponseReader{headOnly: headOnly} }
 
-// Head is the head, once it has come; else nil.
+// Head returns the head of the final response, or nil before it is complete.
 func (r *ResponseReader) Head() *Head { return r.head }
 
-// Next takes one thing from the front of b. No event and nothing used means that more has to come;
-// a response that is cut off at the end of the stream is io.ErrUnexpectedEOF.
+// Next decodes one part from the front of b; end tells that the stream ends behind b. If nothing is
+// used and the event is empty, more input is needed. A response that is incomplete at the end of
+// the stream is io.ErrUnexpectedEOF.
 func (r *ResponseReader) Next(b []byte, end bool) (ev Event, used int, err error) {
 	if r.head == nil {
 		h, n, err := readHead(b)
@@ -53,9 +58,10 @@
 		case n == 0:
 			return Event{}, 0, nil
 		case h.Status == 101:
-			return Event{}, 0, errors.New("status 101: the protocol was changed though nobody asked for it")
+			return Event{}, 0, ErrSwitchingProtocols
 		case h.Status < 200:
-			if r.interim++; r.interim > mostInterim {
+			r.interim++
+			if r.interim > maxInterim {
 				return Event{}, 0, ErrTooManyInterim
 			}
 			return Event{}, n, nil
@@ -67,7 +73,7 @@
 	return Event{Data: data, Done: done}, used, err
 }
 
-// frame settles where the body ends (RFC 9112, 6.3).
+// frame decides where the body ends (RFC 9112, 6.3).
 func (r *ResponseReader) frame(h *Head) *Body {
 	switch {
 	case r.headOnly || h.Status == 204 || h.Status == 304:
@@ -80,7 +86,8 @@
 	return BodyUntilClose()
 }
 
-// readHead takes a head from the front of b; 0 bytes used: it has not come whole.
+// readHead decodes a head from the front of b and returns how many bytes it takes, or 0 if b holds
+// only a part of it.
 func readHead(b []byte) (*Head, int, error) {
 	var lines []string
 	for at := 0; ; {
@@ -93,7 +100,7 @@
 		}
 		line := bytes.TrimSuffix(b[at:at+i], []byte("\r"))
 		if bytes.IndexByte(line, '\r') >= 0 {
-			return nil, 0, fmt.Errorf("header %q: a bare carriage return", line)
+			return nil, 0, fmt.Errorf("%w: a bare carriage return", &SyntaxError{"header", string(line)})
 		}
 		at += i + 1
 		if len(line) == 0 {
@@ -104,14 +111,14 @@
 	}
 }
 
-// parseHead reads a status line and headers, or, in CGI's form, headers alone.
+// parseHead decodes a status line and header fields or, in the form of CGI, header fields alone.
 func parseHead(lines []string) (*Head, error) {
 	if len(lines) == 0 {
-		return nil, errors.New("an empty head")
+		return nil, &SyntaxError{Part: "an empty head"}
 	}
 	h := &Head{Length: -1, Proto: "CGI"}
 	if strings.HasPrefix(lines[0], "HTTP/") {
-		if err := h.statusLine(lines[0]); err != nil {
+		if err := h.parseStatusLine(lines[0]); err != nil {
 			return nil, err
 		}
 		lines = lines[1:]
@@ -126,62 +133,61 @@
 		}
 	}
 	if h.Chunked && h.Length >= 0 {
-		return nil, errors.New("a body both of a stated length and in chunks")
+		return nil, &SyntaxError{Part: "a body both of a stated length and in chunks"}
 	}
 	if h.Status == 0 { // RFC 3875, 6.2 and 6.3.3
-		if h.Status = 200; h.Get("Location") != "" {
+		h.Status = 200
+		if h.Get("Location") != "" {
 			h.Status = 302
 		}
 	}
 	return h, nil
 }
 
-func (h *Head) statusLine(line string) (err error) {
+// parseStatusLine sets the protocol and the status.
+func (h *Head) parseStatusLine(line string) error {
 	proto, rest, _ := strings.Cut(line, " ")
-	if proto != "HTTP/1.0" && proto != "HTTP/1.1" {
-		return fmt.Errorf("status line %q", line)
-	}
-	h.Proto = proto
-	if h.Status, err = parseStatus(rest); err != nil {
-		return fmt.Errorf("status line %q", line)
+	status, ok := parseStatus(rest)
+	if !ok || proto != "HTTP/1.0" && proto != "HTTP/1.1" {
+		return &SyntaxError{"status line", line}
 	}
+	h.Proto, h.Status = proto, status
 	return nil
 }
 
-func parseStatus(text string) (int, error) {
+// parseStatus decodes a status code with the reason phrase that may follow it.
+func parseStatus(text string) (status int, ok bool) {
 	code, _, _ := strings.Cut(text, " ")
 	n, err := strconv.Atoi(code)
-	if err != nil || len(code) != 3 || n < 100 || n > 599 {
-		return 0, fmt.Errorf("status %q", text)
-	}
-	return n, nil
+	return n, err == nil && len(code) == 3 && n >= 100 && n <= 599
 }
 
-// parseField reads one header.
+// parseField decodes one header field.
 func parseField(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
 	f := Field{name, strings.Trim(value, " \t")}
 	if !ok || !f.Valid() {
-		return Field{}, fmt.Errorf("header %q", line)
+		return Field{}, &SyntaxError{"header", line}
 	}
 	return f, nil
 }
 
-// Valid tells whether a header can be written without becoming something else.
+// Valid reports whether a header field can be written so that it is read as the same field.
 func (f Field) Valid() bool {
 	return f.Name != "" && !strings.ContainsFunc(f.Name, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
 	}) && !strings.ContainsAny(f.Value, "\r\n\x00")
 }
 
-// add takes a header, and what it says of the body. Those that state it twice have to agree.
+// add adds a header field and applies what it says about the body. Fields that state the same twice
+// have to agree.
 func (h *Head) add(f Field) error {
 	switch {
 	case strings.EqualFold(f.Name, "Content-Length"):
 		for part := range strings.SplitSeq(f.Value, ",") {
 			n, err := strconv.ParseUint(strings.Trim(part, " \t"), 10, 62)
 			if err != nil || h.Length >= 0 && h.Length != int(n) {
-				return fmt.Errorf("Content-Length %q", f.Value)
+				return &SyntaxError{"Content-Length", f.Value}
 			}
 			h.Length = int(n)
 		}
@@ -195,15 +201,15 @@
 		case strings.EqualFold(f.Value, "chunked") && h.Proto == "HTTP/1.1" && !h.Chunked:
 			h.Chunked = true
 		default:
-			return fmt.Errorf("Transfer-Encoding %q", f.Value)
+			return &SyntaxError{"Transfer-Encoding", f.Value}
 		}
 	case h.Proto == "CGI" && strings.EqualFold(f.Name, "Status"):
-		n, err := parseStatus(f.Value)
-		if err != nil || h.Status != 0 && h.Status != n {
-			return fmt.Errorf("field Status %q", f.Value)
+		n, ok := parseStatus(f.Value)
+		if !ok || h.Status != 0 && h.Status != n {
+			return &SyntaxError{"field Status", f.Value}
 		}
 		h.Status = n
-		return nil // it is the status line's
+		return nil // it belongs to the status line
 	}
 	h.Fields = append(h.Fields, f)
 	return nil
--- a/internal/protocol/traceparent/traceparent.go
+++ b/internal/protocol/traceparent/traceparent.go
@@ -1,6 +1,6 @@
-// Package traceparent reads and writes the header by which a request's trace goes from hop to hop
-// (W3C Trace Context, level 1). It makes ids from what names a request, so that whoever knows the
-// request knows them, with nothing to keep or hand on.
+// Package traceparent implements the traceparent header of W3C Trace Context, level 1. It derives
+// span ids from what identifies a request, so that every part that knows the request can compute
+// them.
 package traceparent
 
 import (
@@ -12,20 +12,21 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Context is the place of a request in a trace.
+// Context is a position in a trace.
 type Context struct {
 	Trace   [16]byte
 	Span    [8]byte
-	Sampled bool // whoever made it records it
+	Sampled bool // the caller records the trace
 }
 
-// Variable is the variable that carries it in CGI form.
+// Variable is the CGI variable of the header.
 const Variable = "HTTP_TRACEPARENT"
 
+// header is the name of the header as the propagator knows it.
 const header = "traceparent"
 
-// Parse reads a header. One of a later version is read as far as this one goes; what is malformed
-// or all noughts is none.
+// Parse decodes a header, and reports whether it is valid. A header of a later version is read as
+// one of this version.
 func Parse(s string) (Context, bool) {
 	c := trace.SpanContextFromContext(
 		propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{header: s}),
@@ -33,7 +34,7 @@
 	return Context{c.TraceID(), c.SpanID(), c.IsSampled()}, c.IsValid()
 }
 
-// String is the header.
+// String returns the value of the header.
 func (c Context) String() string {
 	set := trace.SpanContextConfig{TraceID: c.Trace, SpanID: c.Span}
 	if c.Sampled {
@@ -47,10 +48,10 @@
 	return carrier[header]
 }
 
-// New is the span of a request: in its caller's trace if it came in one, or in one of its own, of
-// which a share is sampled. The name alone may come again in another life of the program, or on
-// another instance, so its arrival and the instance go with it.
-func New(instance, name string, arrived int64, parent string, share float64) Context {
+// New returns the span of a request: in the trace of its caller, if parent is a valid header, or in
+// a trace of its own. Of these the share sampleRatio, from 0 to 1, is sampled. The name of a
+// request is unique together with its instance and arrival, a Unix time in microseconds.
+func New(instance, name string, arrived int64, parent string, sampleRatio float64) Context {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(arrived))
 	d.WriteString(instance)
@@ -63,18 +64,19 @@
 		low := d.Sum64()
 		binary.BigEndian.PutUint64(c.Trace[:], span)
 		binary.BigEndian.PutUint64(c.Trace[8:], low)
-		c.Sampled = float64(low>>11)/(1<<53) < share
+		c.Sampled = float64(low>>11)/(1<<53) < sampleRatio
 	}
-	c.put(span)
+	c.setSpan(span)
 	return c
 }
 
-// Attempt is the span of the n-th try of a request, from 0 on.
+// Attempt returns the span of the n-th attempt of a request, from 0.
 func (c Context) Attempt(n int) Context {
-	c.put(xxhash.Sum64(append(c.Span[:], byte(n), byte(n>>8))))
+	c.setSpan(xxhash.Sum64(append(c.Span[:], byte(n), byte(n>>8))))
 	return c
 }
 
-func (c *Context) put(span uint64) {
-	binary.BigEndian.PutUint64(c.Span[:], max(span, 1)) // nought is no id
+// setSpan sets the span id. Zero is not a valid id.
+func (c *Context) setSpan(span uint64) {
+	binary.BigEndian.PutUint64(c.Span[:], max(span, 1))
 }
--- a/internal/protocol/traceparent/traceparent_test.go
+++ b/internal/protocol/traceparent/traceparent_test.go
@@ -9,7 +9,7 @@
 
 const sample = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
-func TestParse(t *testing.T) {
+func TestHeadersOfAnyVersionAreParsed(t *testing.T) {
 	for text, ok := range map[string]bool{
 		sample: true, strings.Replace(sample, "-01", "-00", 1): true, "cc" + sample[2:] + "-more": true,
 		"":                      false,
@@ -33,7 +33,7 @@
 
 // Ids are the same whenever they are asked for, and differ between requests, tries, instances and
 // lives.
-func TestIds(t *testing.T) {
+func TestIDsFollowFromWhatIdentifiesARequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, at := rapid.String().Draw(t, "name"), rapid.Int64().Draw(t, "arrived")
 		c := New("n1", name, at, sample, 0)
@@ -60,7 +60,7 @@
 }
 
 // The share that is sampled is the one that was asked for.
-func TestShare(t *testing.T) {
+func TestSampleRatioIsKept(t *testing.T) {
 	n := 0
 	for i := range int64(10_000) {
 		if New("n1", "x", i, "", 0.1).Sampled {
--- a/internal/protocol/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -1,5 +1,5 @@
-// Package uwsgi reads and writes the packets of the uwsgi protocol and the HTTP-style responses
-// that follow them. It holds no sockets: bytes in, messages out.
+// Package uwsgi implements the packets of the uwsgi protocol, and the HTTP-style responses that
+// follow them. It does no I/O: it decodes messages from bytes and appends messages to bytes.
 package uwsgi
 
 import (
@@ -15,13 +15,14 @@
 	"ryepaddle/internal/protocol/httpmessage"
 )
 
+// Sizes in bytes.
 const (
 	headerSize = 4
-	// MaxVariablesBytes is the most bytes that the variables of one packet take.
+	// MaxVariablesBytes is the largest size of the variables of one packet.
 	MaxVariablesBytes = 65535
 )
 
-// The ways in which a packet can be wrong.
+// Errors of malformed packets.
 var (
 	ErrModifier          = errors.New("uwsgi: not a request packet")
 	ErrPing              = errors.New("uwsgi: a ping with variables")
@@ -34,13 +35,13 @@
 // Variable is one variable of a request, under its CGI name.
 type Variable struct{ Name, Value string }
 
-// Request is one request packet and the body behind it.
+// Request is a request packet with the body that follows it.
 type Request struct {
 	Variables []Variable
 	Body      []byte
 }
 
-// Get is the value of a variable, or nothing. Of two by one name the first counts.
+// Get returns the value of a variable, or an empty string. The first variable of a name counts.
 func (r *Request) Get(name string) string {
 	for _, v := range r.Variables {
 		if v.Name == name {
@@ -50,25 +51,28 @@
 	return ""
 }
 
-// The modifiers that are served: of requests, and of pings, whose second modifier tells a ping from
-// its answer.
+// First modifiers of the packets that are served.
 const (
 	ModifierRequest = 0
 	ModifierPing    = 100
-	pingAsk         = 0
-	pingAnswer      = 1
 )
 
-// Head is a packet without the body behind it.
+// Second modifiers of a ping and of its answer.
+const (
+	pingRequest = 0
+	pingAnswer  = 1
+)
+
+// Head is a packet without the body that follows it.
 type Head struct {
-	Ping      bool // it asks whether anybody is there; Vars is empty
+	Ping      bool // a liveness check of the peer; it has no variables
 	Variables []Variable
 }
 
-// ReadHead takes a packet from the front of b. It returns 0 bytes used when b holds only a part of
-// one. What is over its limit, in bytes, or of a kind that is not served, is an error as soon as it
-// is stated.
-func ReadHead(b []byte, maxVars int) (*Head, int, error) {
+// ReadHead decodes a packet from the front of b and returns how many bytes it takes, or 0 if b
+// holds only a part of it. A packet of another kind, or whose variables exceed maxVariables bytes,
+// is an error as soon as its header is there.
+func ReadHead(b []byte, maxVariables int) (*Head, int, error) {
 	if len(b) > 0 && b[0] != ModifierRequest && b[0] != ModifierPing {
 		return nil, 0, fmt.Errorf("%w: modifier %d", ErrModifier, b[0])
 	}
@@ -78,88 +82,100 @@
 	size := int(binary.LittleEndian.Uint16(b[1:]))
 	if b[0] == ModifierPing {
 		switch {
-		case b[3] != pingAsk:
-			return nil, 0, fmt.Errorf("%w: an answer to a ping that nobody sent", ErrModifier)
+		case b[3] != pingRequest:
+			return nil, 0, fmt.Errorf("%w: an unsolicited answer to a ping", ErrModifier)
 		case size != 0:
 			return nil, 0, ErrPing
 		}
 		return &Head{Ping: true}, headerSize, nil
 	}
-	if size > maxVars {
+	if size > maxVariables {
 		return nil, 0, fmt.Errorf("%w: %d bytes", ErrVariablesTooLong, size)
 	}
 	if len(b) < headerSize+size {
 		return nil, 0, nil
 	}
-	r := &Request{}
-	if err := r.readVars(b[headerSize : headerSize+size]); err != nil {
+	variables, err := readVariables(b[headerSize : headerSize+size])
+	if err != nil {
 		return nil, 0, err
 	}
-	return &Head{Variables: r.Variables}, headerSize + size, nil
+	return &Head{Variables: variables}, headerSize + size, nil
 }
 
-// AppendPing adds the answer to a ping.
+// AppendPing appends the answer to a ping to b.
 func AppendPing(b []byte) []byte { return append(b, ModifierPing, 0, 0, pingAnswer) }
 
-// Read takes a request with a body of a stated length from the front of b. It returns 0 bytes used
-// when b holds only a part of one. What is over a limit, in bytes, is an error as soon as it is
-// stated, before it has come.
-func Read(b []byte, maxVars, maxBody int) (*Request, int, error) {
-	h, n, err := ReadHead(b, maxVars)
+// Read decodes a request with a body of a stated length from the front of b and returns how many
+// bytes it takes, or 0 if b holds only a part of it. Variables or a body over their limits, in
+// bytes, are an error as soon as their length is there.
+func Read(b []byte, maxVariables, maxBody int) (*Request, int, error) {
+	head, headSize, err := ReadHead(b, maxVariables)
 	switch {
-	case err != nil || n == 0:
+	case err != nil || headSize == 0:
 		return nil, 0, err
-	case h.Ping:
+	case head.Ping:
 		return nil, 0, fmt.Errorf("%w: a ping", ErrModifier)
 	}
-	r, size := &Request{Variables: h.Variables}, n-headerSize
-	length := 0
-	if text := r.Get("CONTENT_LENGTH"); text != "" {
-		n, err := strconv.ParseUint(text, 10, 62)
-		if err != nil {
-			return nil, 0, fmt.Errorf("%w: %q", ErrContentLength, text)
-		}
-		if n > uint64(maxBody) {
-			return nil, 0, fmt.Errorf("%w: %d bytes", ErrBodyTooLong, n)
-		}
-		length = int(n)
+	r := &Request{Variables: head.Variables}
+	bodySize, err := r.contentLength(maxBody)
+	if err != nil {
+		return nil, 0, err
 	}
-	whole := headerSize + size + length
-	if len(b) < whole {
+	size := headSize + bodySize
+	if len(b) < size {
 		return nil, 0, nil
 	}
-	r.Body = bytes.Clone(b[headerSize+size : whole])
-	return r, whole, nil
+	r.Body = bytes.Clone(b[headSize:size])
+	return r, size, nil
 }
 
-func (r *Request) readVars(b []byte) error {
-	take := func() (string, bool) {
-		if len(b) < 2 {
-			return "", false
-		}
-		n := int(binary.LittleEndian.Uint16(b))
-		if len(b) < 2+n {
-			return "", false
-		}
-		s := string(b[2 : 2+n])
-		b = b[2+n:]
-		return s, true
+// contentLength returns the stated length of the body in bytes; 0 if none is stated.
+func (r *Request) contentLength(maxBody int) (int, error) {
+	text := r.Get("CONTENT_LENGTH")
+	if text == "" {
+		return 0, nil
 	}
+	n, err := strconv.ParseUint(text, 10, 62)
+	if err != nil {
+		return 0, fmt.Errorf("%w: %q", ErrContentLength, text)
+	}
+	if n > uint64(maxBody) {
+		return 0, fmt.Errorf("%w: %d bytes", ErrBodyTooLong, n)
+	}
+	return int(n), nil
+}
+
+// readVariables decodes all variables of a packet.
+func readVariables(b []byte) ([]Variable, error) {
+	var variables []Variable
 	for len(b) > 0 {
-		name, ok := take()
+		name, rest, ok := readString(b)
 		if !ok {
-			return ErrTruncatedVariable
+			return nil, ErrTruncatedVariable
 		}
-		value, ok := take()
+		value, rest, ok := readString(rest)
 		if !ok {
-			return ErrTruncatedVariable
+			return nil, ErrTruncatedVariable
 		}
-		r.Variables = append(r.Variables, Variable{name, value})
+		variables = append(variables, Variable{Name: name, Value: value})
+		b = rest
+	}
+	return variables, nil
+}
+
+// readString decodes a string with its length in two bytes before it.
+func readString(b []byte) (s string, rest []byte, ok bool) {
+	if len(b) < 2 {
+		return "", nil, false
+	}
+	end := 2 + int(binary.LittleEndian.Uint16(b))
+	if len(b) < end {
+		return "", nil, false
 	}
-	return nil
+	return string(b[2:end]), b[end:], true
 }
 
-// Append adds a request to b.
+// Append appends a request to b. Variables that exceed a packet are ErrVariablesTooLong.
 func Append(b []byte, r *Request) ([]byte, error) {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0)
@@ -180,15 +196,15 @@
 	return append(b, r.Body...), nil
 }
 
-// Response is a whole response.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Fields []httpmessage.Field
 	Body   []byte
 }
 
-// hopByHop are the headers that are about one connection, which a translator does not pass on. The
-// length is stated anew.
+// hopByHop are the headers that concern a single connection (RFC 9110, 7.6.1). A gateway does not
+// forward them.
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -199,17 +215,17 @@
 	"TE",
 }
 
-// IsHopByHop tells whether a header is about one connection, which a translator does not pass on.
+// IsHopByHop reports whether a header concerns a single connection and is not forwarded.
 func IsHopByHop(name string) bool {
 	return slices.ContainsFunc(hopByHop, func(hop string) bool { return strings.EqualFold(hop, name) })
 }
 
-// AppendHead adds the head of a response whose body follows as it comes. A body of no stated length
-// ends with the stream.
+// AppendHead appends the head of a response to b. length is the length of the body in bytes; a
+// negative one is not stated, and the body then ends with the connection.
 func AppendHead(b []byte, status int, fields []httpmessage.Field, length int64) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, f := range fields {
-		if f.Valid() { // a header that would become two never goes out, wherever it came from
+		if f.Valid() { // never write a header that could be read as two
 			b = fmt.Appendf(b, "%s: %s\r\n", f.Name, f.Value)
 		}
 	}
@@ -219,8 +235,7 @@
 	return append(b, "Connection: close\r\n\r\n"...)
 }
 
-// AppendResponse adds a response to b. It states the length of the body unless only the head was
-// asked for.
+// AppendResponse appends a response to b. headOnly leaves the body and its length out.
 func AppendResponse(b []byte, r *Response, headOnly bool) []byte {
 	length := int64(len(r.Body))
 	if headOnly || r.Status == 204 || r.Status == 304 {
--- a/internal/protocol/uwsgi/uwsgi_test.go
+++ b/internal/protocol/uwsgi/uwsgi_test.go
@@ -15,7 +15,10 @@
 // FuzzRead reads what it can, writes that again and reads the same; a part of it is never taken for
 // the whole.
 func FuzzRead(f *testing.F) {
-	b, err := Append(nil, &Request{Variables: []Variable{{"CONTENT_LENGTH", "4"}, {"A", ""}}, Body: []byte("body")})
+	b, err := Append(
+		nil,
+		&Request{Variables: []Variable{{"CONTENT_LENGTH", "4"}, {"A", ""}}, Body: []byte("body")},
+	)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -40,87 +43,94 @@
 	})
 }
 
-func TestReadResponse(t *testing.T) {
-	const fields = "Content-Type: a/b\r\nConnection: close\r\n"
-	kept := []httpmessage.Field{{Name: "Content-Type", Value: "a/b"}}
-	for name, c := range map[string]struct {
-		text      string
-		end, head bool
-		want      *Response
-		err       string
-	}{
-		"of a stated length": {
-			"HTTP/1.1 200 OK\r\n" + fields + "Content-Length: 4\r\n\r\nbody",
-			false,
-			false,
-			&Response{200, kept, []byte("body")},
-			"",
-		},
-		"short of it": {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", true, false, nil, ""},
-		"to the end": {
-			"HTTP/1.0 404 None\r\n" + fields + "\r\nbody",
-			true,
-			false,
-			&Response{404, kept, []byte("body")},
-			"",
-		},
-		"before the end":     {"HTTP/1.0 200 OK\r\n\r\nbody", false, false, nil, ""},
-		"a part of the head": {"HTTP/1.1 200 OK\r\nConte", true, false, nil, ""},
-		"an interim one first": {
-			"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n\r\n",
-			false,
-			false,
-			&Response{204, nil, []byte{}},
-			"",
-		},
-		"the head alone": {
-			"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
-			false,
-			true,
-			&Response{200, []httpmessage.Field{{Name: "Content-Length", Value: "9"}}, nil},
-			"",
-		},
-		"not HTTP": {"hello\r\n\r\n", false, false, nil, "header"},
-		"two lengths": {
-			"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-			false,
-			false,
-			nil,
-			"Content-Length",
-		},
-		"chunks": {
-			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2;x=y\r\ndy\r\n0\r\nA: " +
-				"b\r\n\r\n",
-			false,
-			false,
-			&Response{200, nil, []byte("body")},
-			"",
-		},
-		"a CGI head": {
-			"Status: 404 None\nContent-Type: a/b\n\nbody",
-			true,
-			false,
-			&Response{404, kept, []byte("body")},
-			"",
-		},
-		"a folded header": {"HTTP/1.1 200 OK\r\nA: b\r\n c: d\r\n\r\n", false, false, nil, "header"},
-		"over its limit": {
-			"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n",
-			false,
-			false,
-			nil,
-			"over its limit",
-		},
-		"a head over its limit": {
-			"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", httpmessage.MaxHeadBytes),
-			false,
-			false,
-			nil,
-			"head over",
-		},
-	} {
+const responseFields = "Content-Type: a/b\r\nConnection: close\r\n"
+
+// forwardedFields are the fields of responseFields that do not concern a single connection.
+var forwardedFields = []httpmessage.Field{{Name: "Content-Type", Value: "a/b"}}
+
+// readResponseCases are responses by what is special about them. end tells that the stream ends behind
+// the text, headOnly that the request was HEAD; err is a part of the error.
+var readResponseCases = map[string]struct {
+	text          string
+	end, headOnly bool
+	want          *Response
+	err           string
+}{
+	"of a stated length": {
+		"HTTP/1.1 200 OK\r\n" + responseFields + "Content-Length: 4\r\n\r\nbody",
+		false,
+		false,
+		&Response{200, forwardedFields, []byte("body")},
+		"",
+	},
+	"short of it": {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", true, false, nil, ""},
+	"to the end": {
+		"HTTP/1.0 404 None\r\n" + responseFields + "\r\nbody",
+		true,
+		false,
+		&Response{404, forwardedFields, []byte("body")},
+		"",
+	},
+	"before the end":     {"HTTP/1.0 200 OK\r\n\r\nbody", false, false, nil, ""},
+	"a part of the head": {"HTTP/1.1 200 OK\r\nConte", true, false, nil, ""},
+	"an interim one first": {
+		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n\r\n",
+		false,
+		false,
+		&Response{204, nil, []byte{}},
+		"",
+	},
+	"the head alone": {
+		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
+		false,
+		true,
+		&Response{200, []httpmessage.Field{{Name: "Content-Length", Value: "9"}}, nil},
+		"",
+	},
+	"not HTTP": {"hello\r\n\r\n", false, false, nil, "header"},
+	"two lengths": {
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+		false,
+		false,
+		nil,
+		"Content-Length",
+	},
+	"chunks": {
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2;x=y\r\ndy\r\n0\r\nA: " +
+			"b\r\n\r\n",
+		false,
+		false,
+		&Response{200, nil, []byte("body")},
+		"",
+	},
+	"a CGI head": {
+		"Status: 404 None\nContent-Type: a/b\n\nbody",
+		true,
+		false,
+		&Response{404, forwardedFields, []byte("body")},
+		"",
+	},
+	"a folded header": {"HTTP/1.1 200 OK\r\nA: b\r\n c: d\r\n\r\n", false, false, nil, "header"},
+	"over its limit": {
+		"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n",
+		false,
+		false,
+		nil,
+		"over its limit",
+	},
+	"a head over its limit": {
+		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", httpmessage.MaxHeadBytes),
+		false,
+		false,
+		nil,
+		"head over",
+	},
+}
+
+func TestResponsesAreReadInAllFormsOfServers(t *testing.T) {
+	for name, c := range readResponseCases {
 		t.Run(name, func(t *testing.T) {
-			got, err := readResponse([]byte(c.text), c.end, c.head, 99)
+			got, err := readResponse([]byte(c.text), c.end, c.headOnly, 99)
 			if (err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) {
 				t.Fatalf("error %v, want %q", err, c.err)
 			}
@@ -131,7 +141,7 @@
 	}
 }
 
-func TestAppendRefusesTooMuch(t *testing.T) {
+func TestVariablesOverAPacketAreRejected(t *testing.T) {
 	_, err := Append(
 		nil,
 		&Request{Variables: []Variable{{"A", strings.Repeat("a", 40000)}, {"B", strings.Repeat("b", 40000)}}},
--- a/internal/yamldoc/yamldoc.go
+++ b/internal/yamldoc/yamldoc.go
@@ -1,9 +1,10 @@
-// Package yamldoc reads YAML files that are checked: unknown fields are refused, and what is wrong
-// with a value is told with the file, the line and the field.
+// Package yamldoc decodes YAML files strictly: unknown fields are errors, and an error about a
+// value names the file, the line and the field.
 package yamldoc
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"strconv"
@@ -14,18 +15,19 @@
 	"ryepaddle/internal/fault"
 )
 
-// Document is one file that was read.
+// Document is a decoded file.
 type Document struct {
-	part, file string
-	root       yaml.Node
+	component string
+	file      string
+	root      yaml.Node
 }
 
-// Error is what is wrong with a file.
+// Error reports what is wrong with a file.
 type Error struct {
-	Component string // which part of the program says so
+	Component string // part of the program that decodes the file
 	File      string
-	Line      int    // 0: none is known
-	Field     string // such as routes.0.class; empty: the file as a whole
+	Line      int    // from 1; 0: unknown
+	Field     string // such as routes.0.class; empty: the whole file
 	Reason    string
 }
 
@@ -41,6 +43,7 @@
 	return kind, fault.Location{File: e.File, Line: e.Line, Field: e.Field}
 }
 
+// Error implements error.
 func (e *Error) Error() string {
 	at := e.File
 	if e.Line > 0 {
@@ -52,15 +55,17 @@
 	return fmt.Sprintf("%s: %s: field %s: %s", e.Component, at, e.Field, e.Reason)
 }
 
-// Decode reads text into v, a pointer to a struct that holds the defaults. part names who asks, for
-// errors.
-func Decode(part, file string, text []byte, v any) (*Document, error) {
-	doc := &Document{part: part, file: file}
+// Decode decodes text into v, a pointer to a struct that holds the defaults. Errors are *Error and
+// name the component and the file.
+func Decode(component, file string, text []byte, v any) (*Document, error) {
+	doc := &Document{component: component, file: file}
 	d := yaml.NewDecoder(bytes.NewReader(text))
 	d.KnownFields(true)
-	if err := d.Decode(v); err == io.EOF {
-		return nil, &Error{Component: part, File: file, Reason: "empty"}
-	} else if err != nil {
+	err := d.Decode(v)
+	if errors.Is(err, io.EOF) {
+		return nil, &Error{Component: component, File: file, Reason: "empty"}
+	}
+	if err != nil {
 		return nil, doc.fromYAML(err)
 	}
 	if err := yaml.Unmarshal(text, &doc.root); err != nil {
@@ -69,11 +74,11 @@
 	return doc, nil
 }
 
-// fromYAML takes the line out of the library's first complaint, where it names one.
+// fromYAML converts the first error of the library, with its line and field if it names them.
 func (d *Document) fromYAML(err error) error {
 	text := strings.TrimPrefix(strings.TrimPrefix(err.Error(), "yaml: "), "unmarshal errors:\n")
 	text, _, _ = strings.Cut(strings.TrimSpace(text), "\n")
-	e := &Error{Component: d.part, File: d.file, Reason: text}
+	e := &Error{Component: d.component, File: d.file, Reason: text}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
 		if n, what, ok := strings.Cut(rest, ": "); ok {
 			if line, err := strconv.Atoi(n); err == nil {
@@ -83,7 +88,8 @@
 	}
 	if rest, ok := strings.CutPrefix(e.Reason, "field "); ok {
 		if name, what, ok := strings.Cut(rest, " "); ok {
-			if e.Field, e.Reason = name, what; strings.HasPrefix(what, "not found") {
+			e.Field, e.Reason = name, what
+			if strings.HasPrefix(what, "not found") {
 				e.Reason = "unknown"
 			}
 		}
@@ -91,10 +97,10 @@
 	return e
 }
 
-// Errorf is an error that names the file, the line and the field.
+// Errorf returns an *Error for a field.
 func (d *Document) Errorf(field, format string, v ...any) error {
 	return &Error{
-		Component: d.part,
+		Component: d.component,
 		File:      d.file,
 		Line:      d.Line(field),
 		Field:     field,
@@ -102,28 +108,37 @@
 	}
 }
 
-// Line is where a field such as routes.0.class stands, or the nearest thing round it that does.
+// Line returns the line of a field such as routes.0.class, or of the innermost part of it that
+// exists.
 func (d *Document) Line(field string) int {
-	n, line := &d.root, 1
-	if len(n.Content) > 0 {
-		n = n.Content[0]
+	node, line := &d.root, 1
+	if len(node.Content) > 0 {
+		node = node.Content[0]
 	}
 	for _, part := range strings.Split(field, ".") {
-		var next *yaml.Node
-		if i, err := strconv.Atoi(part); err == nil && n.Kind == yaml.SequenceNode && i < len(n.Content) {
-			next = n.Content[i]
-			line = next.Line
-		}
-		for i := 0; n.Kind == yaml.MappingNode && i+1 < len(n.Content); i += 2 {
-			if n.Content[i].Value == part {
-				next = n.Content[i+1]
-				line = n.Content[i].Line
-			}
-		}
-		if next == nil {
+		key, value := child(node, part)
+		if value == nil {
 			return line
 		}
-		n = next
+		node, line = value, key.Line
 	}
 	return line
 }
+
+// child returns an entry of a list or a mapping, and the node with its line: the key, or the entry
+// itself in a list.
+func child(node *yaml.Node, part string) (key, value *yaml.Node) {
+	switch node.Kind {
+	case yaml.SequenceNode:
+		if i, err := strconv.Atoi(part); err == nil && i < len(node.Content) {
+			return node.Content[i], node.Content[i]
+		}
+	case yaml.MappingNode:
+		for i := 0; i+1 < len(node.Content); i += 2 {
+			if node.Content[i].Value == part {
+				key, value = node.Content[i], node.Content[i+1]
+			}
+		}
+	}
+	return key, value
+}
