--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -25,7 +25,7 @@
 	}
 	pairs := map[string]string{}
 	flatten(pairs, "", v)
-	return simwire.Settings(pairs)
+	return simwire.DecodeSettings(pairs)
 }
 
 // flatten adds the scalars below v to out by their dotted paths.
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -131,11 +131,11 @@
 			m[k] = v
 		}
 	}
-	return Settings(m)
+	return DecodeSettings(m)
 }
 
-// Settings reads start-up settings by their paths. Unknown paths are skipped.
-func Settings(m map[string]string) (admission.Settings, []Gauge, error) {
+// DecodeSettings reads start-up settings by their paths. Unknown paths are skipped.
+func DecodeSettings(m map[string]string) (admission.Settings, []Gauge, error) {
 	p := &pairs{m: m}
 	s := admission.Settings{
 		Servers: p.count(
