--- a/internal/frontend/uwsgi/conn.go
+++ b/internal/frontend/uwsgi/conn.go
@@ -163,7 +163,7 @@
 		q.Upload, q.ContentLength = c, r.Length
 		f.ids++
 		c.uploadID = f.ids
-		f.flows.AddReader(c.uploadID, f.loop.Now())
+		f.flows.AddReader(c.uploadID, f.now())
 		c.patient()
 		c.submit()
 	}
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"time"
 
 	"ryepaddle/internal/flowcontrol"
 	"ryepaddle/internal/lifecycle"
@@ -9,6 +10,9 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
+// now returns the monotonic time.
+func (f *Frontend) now() time.Duration { return time.Duration(f.loop.Now()) * time.Microsecond }
+
 // patient gives the caller its time to send more; while it waits for the server it need not.
 func (c *conn) patient() {
 	c.timer.Stop()
@@ -74,7 +78,7 @@
 
 // SetBacklog implements lifecycle.Upload: the caller waits for a slow server, and nobody else does.
 func (c *conn) SetBacklog(n int) {
-	c.waits = c.front.flows.SetQueued(c.uploadID, n, c.front.loop.Now())
+	c.waits = c.front.flows.SetQueued(c.uploadID, n, c.front.now())
 	c.Pause(c.waits)
 }
 
@@ -98,7 +102,7 @@
 	c.answered = true
 	f.ids++
 	c.id, c.stream = f.ids, res.Stream
-	f.flows.AddReader(c.id, f.loop.Now())
+	f.flows.AddReader(c.id, f.now())
 	fields := make([]httpmessage.Field, 0, len(res.Fields))
 	for _, x := range res.Fields {
 		fields = append(fields, httpmessage.Field(x))
@@ -126,7 +130,7 @@
 // look sees how much waits for the reader, and has the server wait for it.
 func (c *conn) look() {
 	if c.stream != nil && !c.IsClosed() {
-		c.stream.Pause(c.front.flows.SetQueued(c.id, c.QueuedBytes(), c.front.loop.Now()))
+		c.stream.Pause(c.front.flows.SetQueued(c.id, c.QueuedBytes(), c.front.now()))
 	}
 }
 
@@ -171,7 +175,7 @@
 
 // sweep cuts off readers that take nothing.
 func (f *Frontend) sweep() {
-	for _, id := range f.flows.Stalled(f.loop.Now(), takeWithin) {
+	for _, id := range f.flows.Stalled(f.now(), takeWithin*time.Microsecond) {
 		f.cut(id, "its reader takes nothing")
 	}
 }
