--- /dev/null
+++ b/internal/simwire/batch.go
@@ -0,0 +1,100 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+)
+
+// Sizes of the fixed parts of a frame, in bytes.
+const (
+	batchHeaderSize = 16
+	replyHeaderSize = 8
+	eventSize       = 64
+	actionSize      = 24
+)
+
+// maxMicros is the longest time that a time.Duration holds, in microseconds.
+const maxMicros = math.MaxInt64 / 1000
+
+// maxBatchSize bounds the memory that one batch may ask for, in bytes.
+const maxBatchSize = 1 << 30
+
+var littleEndian = binary.LittleEndian
+
+// FrameError is a frame, or a record of one, that cannot be read or written.
+type FrameError struct {
+	Part string // of the frame, for example "record 3"
+	Err  error
+}
+
+func (e *FrameError) Error() string { return "simwire: " + e.Part + ": " + e.Err.Error() }
+
+// Unwrap returns the error that the part was found to have.
+func (e *FrameError) Unwrap() error { return e.Err }
+
+// frameErrorf makes a FrameError of a part.
+func frameErrorf(part, format string, a ...any) error {
+	return &FrameError{Part: part, Err: fmt.Errorf(format, a...)}
+}
+
+// Batch is one frame from the simulator.
+type Batch struct {
+	Now     time.Duration // time of the simulated clock
+	records []byte
+	tail    []byte
+}
+
+// Len is the number of events in the batch.
+func (b *Batch) Len() int { return len(b.records) / eventSize }
+
+// ReadBatch reads one frame, into buf where that is large enough, and returns the buffer for the next
+// call. It returns io.EOF at the end of the input between frames, and a FrameError otherwise.
+func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return Batch{}, buf, io.EOF
+		}
+		return Batch{}, buf, &FrameError{Part: "batch header", Err: err}
+	}
+	size, count := littleEndian.Uint32(header[0:]), littleEndian.Uint32(header[4:])
+	now := littleEndian.Uint64(header[8:])
+	if err := checkHeader(size, count, now); err != nil {
+		return Batch{}, buf, err
+	}
+	if cap(buf) < int(size) {
+		buf = make([]byte, size)
+	}
+	buf = buf[:size]
+	if n, err := io.ReadFull(r, buf); err != nil {
+		return Batch{}, buf, frameErrorf("batch", "%d of %d bytes: %w", n, size, io.ErrUnexpectedEOF)
+	}
+	cut := int(count) * eventSize
+	return Batch{Now: micros(now), records: buf[:cut], tail: buf[cut:]}, buf, nil
+}
+
+// checkHeader checks a batch's size in bytes, number of records and time in microseconds.
+func checkHeader(size, count uint32, now uint64) error {
+	const part = "batch header"
+	switch {
+	case size > maxBatchSize:
+		return frameErrorf(part, "length %d out of range", size)
+	case uint64(count)*eventSize > uint64(size):
+		return frameErrorf(part, "%d records do not fit in %d bytes", count, size)
+	case now > maxMicros:
+		return frameErrorf(part, "clock %d out of range", now)
+	}
+	return nil
+}
+
+// micros converts microseconds of the wire.
+func micros(v uint64) time.Duration {
+	return time.Duration(min(v, maxMicros)) * time.Microsecond
+}
+
+// float converts a 32-bit float of the wire.
+func float(b []byte) float64 { return float64(math.Float32frombits(littleEndian.Uint32(b))) }
--- /dev/null
+++ b/internal/simwire/reply.go
@@ -0,0 +1,114 @@
+package simwire
+
+import (
+	"io"
+	"math"
+	"time"
+
+	"ryepaddle/internal/admission"
+)
+
+// codeBroken is the code on the wire that reports a fault of an instance.
+const codeBroken = 77
+
+// actionCodes are the codes of the actions on the wire, by kind.
+var actionCodes = [...]uint16{
+	admission.ActionStart:       76,
+	admission.ActionReject:      75,
+	admission.ActionFail:        68,
+	admission.ActionCancel:      72,
+	admission.ActionPlaceCall:   71,
+	admission.ActionOmitCall:    78,
+	admission.ActionRememberKey: 79,
+	admission.ActionForgetKey:   70,
+	admission.ActionReuseResult: 73,
+	admission.ActionSetHealth:   67,
+	admission.ActionAdvertise:   74,
+	admission.ActionCloseIdle:   66,
+	admission.ActionTimer:       65,
+	admission.ActionLog:         69,
+}
+
+// Reply collects the actions that answer one batch.
+type Reply struct {
+	records []byte
+	tail    []byte
+}
+
+// Reset empties the reply for the next batch.
+func (p *Reply) Reset() { p.records, p.tail = p.records[:0], p.tail[:0] }
+
+// Add appends an instance's action.
+func (p *Reply) Add(instance uint32, a *admission.Action) {
+	r := p.addRecord(actionCodes[a.Kind], instance)
+	littleEndian.PutUint64(r[6:], a.Request)
+	switch a.Kind {
+	case admission.ActionReject:
+		littleEndian.PutUint32(r[14:], toMicros(a.Duration))
+		r[18] = toByte(a.NoRetry)
+	case admission.ActionPlaceCall, admission.ActionRememberKey:
+		littleEndian.PutUint32(r[14:], toMicros(a.Duration))
+	case admission.ActionSetHealth:
+		littleEndian.PutUint64(r[6:], 0)
+		r[6], r[7] = toByte(a.Static), toByte(a.Healthy)
+	case admission.ActionAdvertise:
+		littleEndian.PutUint64(r[6:], uint64(math.Float32bits(float32(a.Value))))
+	case admission.ActionCloseIdle:
+		littleEndian.PutUint64(r[6:], uint64(toMicros(a.Duration)))
+	case admission.ActionTimer:
+		littleEndian.PutUint64(r[6:], a.Token)
+		littleEndian.PutUint32(r[14:], toMicros(a.Duration))
+	case admission.ActionLog:
+		p.addText(r, a.Text)
+	}
+}
+
+// Fault reports that an instance's decisions have failed.
+func (p *Reply) Fault(instance uint32, text string) {
+	p.addText(p.addRecord(codeBroken, instance), text)
+}
+
+func (p *Reply) addRecord(code uint16, instance uint32) []byte {
+	n := len(p.records)
+	var zero [actionSize]byte
+	p.records = append(p.records, zero[:]...)
+	r := p.records[n:]
+	littleEndian.PutUint16(r, code)
+	littleEndian.PutUint32(r[2:], instance)
+	return r
+}
+
+// addText puts a record's text into the tail.
+func (p *Reply) addText(r []byte, text string) {
+	littleEndian.PutUint32(r[6:], uint32(len(p.tail)))
+	littleEndian.PutUint32(r[10:], uint32(len(text)))
+	p.tail = append(p.tail, text...)
+}
+
+// WriteTo writes the reply as one frame. It returns a FrameError if w fails.
+func (p *Reply) WriteTo(w io.Writer) (int64, error) {
+	var header [replyHeaderSize]byte
+	littleEndian.PutUint32(header[0:], uint32(len(p.records)+len(p.tail)))
+	littleEndian.PutUint32(header[4:], uint32(len(p.records)/actionSize))
+	var total int64
+	for _, b := range [...][]byte{header[:], p.records, p.tail} {
+		n, err := w.Write(b)
+		total += int64(n)
+		if err != nil {
+			return total, &FrameError{Part: "reply", Err: err}
+		}
+	}
+	return total, nil
+}
+
+// toMicros converts a duration to microseconds, within what the wire holds.
+func toMicros(d time.Duration) uint32 {
+	return uint32(min(max(d/time.Microsecond, 0), math.MaxUint32))
+}
+
+func toByte(v bool) byte {
+	if v {
+		return 1
+	}
+	return 0
+}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,194 +11,244 @@
 	"ryepaddle/internal/admission"
 )
 
-// pairs holds start-up settings by path and remembers the first malformed value.
-type pairs struct {
-	m   map[string]string
-	err error
+// maxCount is the largest count that a setting may tell.
+const maxCount = 1 << 20
+
+// MalformedSettingError is a setting whose text is no value of its kind.
+type MalformedSettingError struct {
+	Path  string // on the wire
+	Value string
+}
+
+func (e *MalformedSettingError) Error() string {
+	return fmt.Sprintf("admission: setting %s: malformed value %q", e.Path, e.Value)
+}
+
+// Words of the wire for the settings that are one of a few.
+var (
+	idempotencies = map[string]admission.Idempotency{
+		"read_like":       admission.Idempotent,
+		"idempotency_key": admission.IdempotentWithKey,
+		"non_idempotent":  admission.NonIdempotent,
+	}
+	creditModes = map[string]admission.CreditMode{
+		"":          admission.CreditNone,
+		"silent":    admission.CreditNone,
+		"floor":     admission.CreditRankThreshold,
+		"allowance": admission.CreditPerCaller,
+		"weight":    admission.CreditWeight,
+	}
+	cancelModes = map[string]admission.CancelMode{
+		"":        admission.CancelNone,
+		"silent":  admission.CancelNone,
+		"discard": admission.CancelDiscard,
+		"freeze":  admission.CancelSuspend,
+	}
+	dependencies = map[string]admission.Dependency{
+		"":            admission.DependencyNone,
+		"silent":      admission.DependencyNone,
+		"one_for_all": admission.DependencyShared,
+		"tier":        admission.DependencyTier,
+	}
+	weighsPerWork = map[string]bool{"": false, "request": false, "work": true}
+)
+
+// ParseSettings reads start-up text of lines path=value, as DecodeSettings does.
+func ParseSettings(text string) (admission.Settings, []Gauge, error) {
+	values := map[string]string{}
+	for _, line := range strings.Split(text, "\n") {
+		if path, value, ok := strings.Cut(line, "="); ok {
+			values[path] = value
+		}
+	}
+	return DecodeSettings(values)
+}
+
+// DecodeSettings reads start-up settings by their paths on the wire, and the order in which timers
+// carry the gauges. Unknown paths are skipped. It returns a MalformedSettingError for the first value
+// that cannot be read, or an admission.SettingError, which names the path, for a setting that is
+// missing or out of range.
+func DecodeSettings(values map[string]string) (admission.Settings, []Gauge, error) {
+	r := &settingsReader{values: values}
+	s := r.server()
+	s.Classes = r.classes()
+	s.Tenants = r.tenants()
+	var gauges []Gauge
+	for _, name := range r.list("Specifics.Meters") {
+		gauges = append(gauges, gaugeNames[name])
+	}
+	if r.err == nil {
+		r.err = r.withWirePath(s.Validate())
+	}
+	return s, gauges, r.err
+}
+
+// settingsReader reads settings by path and remembers the first malformed value.
+type settingsReader struct {
+	values map[string]string
+	err    error
+}
+
+// server reads the settings that are not of one class or tenant.
+func (r *settingsReader) server() admission.Settings {
+	return admission.Settings{
+		Servers:                   r.count("Servers"),
+		Callers:                   r.count("Specifics.Upstreams"),
+		WarmingUp:                 r.flag("Specifics.JustStarted"),
+		Cores:                     r.count("Specifics.Cores"),
+		MemoryKB:                  r.float("Specifics.MemoryKb"),
+		RunningMemoryFactor:       r.float("Specifics.RunMemFactor"),
+		KeyMemoryKB:               r.float("Specifics.KeyKb"),
+		ResultMaxAge:              r.duration("Specifics.FreshUs"),
+		Cancel:                    word(r, "Specifics.Halt", cancelModes),
+		CreditMode:                word(r, "Specifics.Say", creditModes),
+		CreditLifetime:            r.duration("Specifics.HeededUs"),
+		Dependency:                word(r, "Specifics.Below", dependencies),
+		CallQuota:                 r.float("Specifics.CallsOut"),
+		CallQuotaWindow:           r.duration("Specifics.CallsOverUs"),
+		AbandonedCallTime:         r.duration("Specifics.LingerUs"),
+		DeepHealthChecks:          r.flag("Specifics.DeepChecks"),
+		ReportsAbandoned:          r.flag("Specifics.TellsGone"),
+		MarksRetries:              r.flag("Callers.MarksRetry"),
+		EndpointListFollowsHealth: r.flag("Specifics.RegistryFollows"),
+		IdleConnectionTimeout:     r.duration("Specifics.IdleUs"),
+		HandshakeCost:             r.float("Prices.Handshake"),
+		MaxRetryAfter:             r.duration("Caps.MaxRetryAfterUs"),
+		NoRetryAfter:              r.values["Caps.RetryAfter"] != "" && !r.flag("Caps.RetryAfter"),
+		WeightPerWork:             word(r, "ValueBy", weighsPerWork),
+		OverQuotaWeight:           r.float("OverShareWorth"),
+		DeadlineGrace:             r.duration("Rules.AnswerSlackUs"),
+		DrainGrace:                r.duration("Rules.StopSendingWithinUs"),
+		MaxRunningPerCore:         r.float("Rules.FallMultiple"),
+		MaxRunningWindow:          r.duration("Rules.FallUs"),
+		WarmUpInitialShare:        r.float("Rules.ColdShare"),
+		WarmUpTime:                r.duration("Rules.ColdUs"),
+	}
+}
+
+// classes reads the classes. What they call, and what their answers earn without it, stand in lists
+// beside them.
+func (r *settingsReader) classes() (classes []admission.Class) {
+	const callsPath, degradedPath = "Specifics.CallsByClass", "Specifics.ClassSkipWorth"
+	calls, degraded := r.list(callsPath), r.list(degradedPath)
+	for i := range r.listLength("RequestClasses.count") {
+		at := fmt.Sprintf("RequestClasses.%d.", i)
+		class := admission.Class{
+			Name:                r.values[at+"Name"],
+			LatencyObjective:    r.duration(at + "TargetUs"),
+			ObjectiveWorkFactor: r.float(at + "AimStretch"),
+			Timeout:             r.duration(at + "DeadlineUs"),
+			IdempotencyWindow:   r.duration(at + "WindowUs"),
+			Idempotency:         word(r, at+"Idempotency", idempotencies),
+			PriorityWeight:      r.float(at + "Worth"),
+			LateWeightFraction:  r.float(at + "LateWorth"),
+		}
+		if i < len(calls) {
+			class.CallsDependency = r.flagText(callsPath, calls[i])
+		}
+		if i < len(degraded) {
+			fraction, err := strconv.ParseFloat(degraded[i], 64)
+			if err != nil {
+				r.malformed(degradedPath, degraded[i])
+			}
+			class.DegradedWeightFraction = fraction
+		}
+		classes = append(classes, class)
+	}
+	return classes
 }
 
-func (p *pairs) bad(k, v string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("admission: setting %s: malformed value %q", k, v)
+func (r *settingsReader) tenants() (tenants []admission.Tenant) {
+	for i := range r.listLength("Accounts.count") {
+		at := fmt.Sprintf("Accounts.%d.", i)
+		tenant := admission.Tenant{Name: r.values[at+"Name"], QuotaRate: r.float(at + "QuotaRps")}
+		tenants = append(tenants, tenant)
 	}
+	return tenants
 }
 
-func (p *pairs) num(k string) float64 {
-	v, ok := p.m[k]
-	if !ok || v == "" {
+func (r *settingsReader) malformed(path, value string) {
+	if r.err == nil {
+		r.err = &MalformedSettingError{Path: path, Value: value}
+	}
+}
+
+// float reads a finite number. One that is not there is 0, as with all kinds of values.
+func (r *settingsReader) float(path string) float64 {
+	value := r.values[path]
+	if value == "" {
 		return 0
 	}
-	f, err := strconv.ParseFloat(v, 64)
+	f, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		p.bad(k, v)
+		r.malformed(path, value)
 		return 0
 	}
 	return f
 }
 
-func (p *pairs) count(k string) int {
-	f := p.num(k)
-	if f < 0 || f > 1<<20 || f != math.Trunc(f) {
-		p.bad(k, p.m[k])
+// count reads a whole number from 0 to maxCount.
+func (r *settingsReader) count(path string) int {
+	f := r.float(path)
+	if f < 0 || f > maxCount || f != math.Trunc(f) {
+		r.malformed(path, r.values[path])
 		return 0
 	}
 	return int(f)
 }
 
-func (p *pairs) dur(k string) time.Duration {
-	f := p.num(k)
+// duration reads a number of microseconds.
+func (r *settingsReader) duration(path string) time.Duration {
+	f := r.float(path)
 	if f < 0 || f > float64(maxMicros) {
-		p.bad(k, p.m[k])
+		r.malformed(path, r.values[path])
 		return 0
 	}
 	return time.Duration(f) * time.Microsecond
 }
 
-func (p *pairs) flag(k string) bool {
-	return p.flagText(k, p.m[k])
-}
+// flag reads true or false.
+func (r *settingsReader) flag(path string) bool { return r.flagText(path, r.values[path]) }
 
-func (p *pairs) flagText(k, v string) bool {
-	switch v {
+func (r *settingsReader) flagText(path, value string) bool {
+	switch value {
 	case "true":
 		return true
 	case "", "false":
 		return false
 	}
-	p.bad(k, v)
+	r.malformed(path, value)
 	return false
 }
 
-// items is how many objects a list has. Each of them has a path, so that a count beyond those is no
-// list's.
-func (p *pairs) items(k string) int {
-	n := p.count(k)
-	if n > len(p.m) {
-		p.bad(k, p.m[k])
+// listLength reads the number of objects in a list. Each of them has a path, so that a list cannot
+// have more objects than there are paths.
+func (r *settingsReader) listLength(path string) int {
+	n := r.count(path)
+	if n > len(r.values) {
+		r.malformed(path, r.values[path])
 		return 0
 	}
 	return n
 }
 
-// list returns the comma-joined values under k.
-func (p *pairs) list(k string) []string {
-	if p.m[k] == "" {
+// list reads values that are joined by commas.
+func (r *settingsReader) list(path string) []string {
+	if r.values[path] == "" {
 		return nil
 	}
-	return strings.Split(p.m[k], ",")
+	return strings.Split(r.values[path], ",")
 }
 
-// word looks the value of k up among the words of the wire.
-func word[T any](p *pairs, k string, words map[string]T) T {
-	v, ok := words[p.m[k]]
+// word reads one of the words of the wire.
+func word[T any](r *settingsReader, path string, words map[string]T) T {
+	v, ok := words[r.values[path]]
 	if !ok {
-		p.bad(k, p.m[k])
+		r.malformed(path, r.values[path])
 	}
 	return v
 }
 
-var (
-	effects = map[string]admission.Idempotency{"read_like": admission.Idempotent, "idempotency_key": admission.IdempotentWithKey,
-		"non_idempotent": admission.NonIdempotent}
-	credits = map[string]admission.CreditMode{"": admission.CreditNone, "silent": admission.CreditNone,
-		"floor": admission.CreditRankThreshold, "allowance": admission.CreditPerCaller, "weight": admission.CreditWeight}
-	halts = map[string]admission.CancelMode{"": admission.CancelNone, "silent": admission.CancelNone,
-		"discard": admission.CancelDiscard, "freeze": admission.CancelSuspend}
-	belows = map[string]admission.Dependency{"": admission.DependencyNone, "silent": admission.DependencyNone,
-		"one_for_all": admission.DependencyShared, "tier": admission.DependencyTier}
-	byWork = map[string]bool{"": false, "request": false, "work": true}
-)
-
-// Gauge is the place of one Gauge in admission.Gauges.
-type Gauge int
-
-const (
-	gaugeOther Gauge = iota
-	gaugeCPU
-	gaugeRunnable
-	gaugeMemory
-	gaugeConnections
-)
-
-var gaugeNames = map[string]Gauge{"cpu_busy": gaugeCPU, "runnable": gaugeRunnable, "mem_used": gaugeMemory,
-	"sockets": gaugeConnections}
-
-// ParseSettings reads start-up text of path=value lines. Unknown paths are skipped.
-func ParseSettings(text string) (admission.Settings, []Gauge, error) {
-	m := map[string]string{}
-	for _, line := range strings.Split(text, "\n") {
-		if k, v, ok := strings.Cut(line, "="); ok {
-			m[k] = v
-		}
-	}
-	return DecodeSettings(m)
-}
-
-// DecodeSettings reads start-up settings by their paths. Unknown paths are skipped.
-func DecodeSettings(m map[string]string) (admission.Settings, []Gauge, error) {
-	p := &pairs{m: m}
-	s := admission.Settings{
-		Servers: p.count(
-			"Servers",
-		), Callers: p.count("Specifics.Upstreams"), WarmingUp: p.flag("Specifics.JustStarted"),
-		Cores: p.count("Specifics.Cores"), MemoryKB: p.num("Specifics.MemoryKb"),
-		RunningMemoryFactor: p.num("Specifics.RunMemFactor"), KeyMemoryKB: p.num("Specifics.KeyKb"),
-		ResultMaxAge: p.dur("Specifics.FreshUs"), Cancel: word(p, "Specifics.Halt", halts),
-		CreditMode: word(p, "Specifics.Say", credits), CreditLifetime: p.dur("Specifics.HeededUs"),
-		Dependency: word(p, "Specifics.Below", belows), CallQuota: p.num("Specifics.CallsOut"),
-		CallQuotaWindow: p.dur("Specifics.CallsOverUs"), AbandonedCallTime: p.dur("Specifics.LingerUs"),
-		DeepHealthChecks: p.flag("Specifics.DeepChecks"), ReportsAbandoned: p.flag("Specifics.TellsGone"),
-		MarksRetries: p.flag("Callers.MarksRetry"), EndpointListFollowsHealth: p.flag("Specifics.RegistryFollows"),
-		IdleConnectionTimeout: p.dur("Specifics.IdleUs"), HandshakeCost: p.num("Prices.Handshake"),
-		MaxRetryAfter: p.dur(
-			"Caps.MaxRetryAfterUs",
-		), NoRetryAfter: p.m["Caps.RetryAfter"] != "" && !p.flag("Caps.RetryAfter"),
-		WeightPerWork: word(p, "ValueBy", byWork), OverQuotaWeight: p.num("OverShareWorth"),
-		DeadlineGrace: p.dur("Rules.AnswerSlackUs"), DrainGrace: p.dur("Rules.StopSendingWithinUs"),
-		MaxRunningPerCore: p.num("Rules.FallMultiple"), MaxRunningWindow: p.dur("Rules.FallUs"),
-		WarmUpInitialShare: p.num("Rules.ColdShare"), WarmUpTime: p.dur("Rules.ColdUs"),
-	}
-	calls, omits := p.list("Specifics.CallsByClass"), p.list("Specifics.ClassSkipWorth")
-	for i := range p.items("RequestClasses.count") {
-		at := fmt.Sprintf("RequestClasses.%d.", i)
-		c := admission.Class{
-			Name: p.m[at+"Name"], LatencyObjective: p.dur(at + "TargetUs"), ObjectiveWorkFactor: p.num(at + "AimStretch"),
-			Timeout: p.dur(at + "DeadlineUs"), IdempotencyWindow: p.dur(at + "WindowUs"),
-			Idempotency: word(
-				p,
-				at+"Idempotency",
-				effects,
-			), PriorityWeight: p.num(at + "Worth"), LateWeightFraction: p.num(at + "LateWorth"),
-		}
-		if i < len(calls) {
-			c.CallsDependency = p.flagText("Specifics.CallsByClass", calls[i])
-		}
-		if i < len(omits) {
-			f, err := strconv.ParseFloat(omits[i], 64)
-			if err != nil {
-				p.bad("Specifics.ClassSkipWorth", omits[i])
-			}
-			c.DegradedWeightFraction = f
-		}
-		s.Classes = append(s.Classes, c)
-	}
-	for i := range p.items("Accounts.count") {
-		at := fmt.Sprintf("Accounts.%d.", i)
-		s.Tenants = append(
-			s.Tenants,
-			admission.Tenant{Name: p.m[at+"Name"], QuotaRate: p.num(at + "QuotaRps")},
-		)
-	}
-	var gauges []Gauge
-	for _, name := range p.list("Specifics.Meters") {
-		gauges = append(gauges, gaugeNames[name])
-	}
-	if p.err == nil {
-		p.err = p.inPaths(s.Validate())
-	}
-	return s, gauges, p.err
-}
-
 // Paths on the wire of the settings that Settings.Validate may report, by their names in the module.
 var (
 	settingPaths = map[string]string{
@@ -239,15 +289,19 @@
 	return "RequestClasses." + index + "." + classPaths[field]
 }
 
-// inPaths names the setting of an error by its path on the wire. What is not there at all is told
-// from what is nought.
-func (p *pairs) inPaths(err error) error {
-	e := (*admission.SettingError)(nil)
-	if !errors.As(err, &e) {
+// withWirePath names the setting of a SettingError by its path on the wire. A setting that is not
+// there at all is reported as missing, and not as 0.
+func (r *settingsReader) withWirePath(err error) error {
+	var invalid *admission.SettingError
+	if !errors.As(err, &invalid) {
 		return err
 	}
-	named := &admission.SettingError{Setting: wirePath(e.Setting), Value: e.Value, Want: e.Want}
-	if p.m[named.Setting] == "" && p.m[named.Setting+".count"] == "" {
+	named := &admission.SettingError{
+		Setting: wirePath(invalid.Setting),
+		Value:   invalid.Value,
+		Want:    invalid.Want,
+	}
+	if r.values[named.Setting] == "" && r.values[named.Setting+".count"] == "" {
 		named.Value = "missing"
 	}
 	return named
