--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/config"
@@ -12,6 +13,7 @@
 	"ryepaddle/internal/peers/node"
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/upstream"
 	"ryepaddle/internal/usage/ledger"
 	"ryepaddle/internal/usage/metering"
 )
@@ -107,23 +109,29 @@
 func (c checks) ShouldCheck(
 	group string,
 	m *endpointhealth.Endpoint,
-	every int64,
-) (ask bool, duty string, token uint64) {
+	interval time.Duration,
+) (upstream.CheckLease, bool) {
 	d := c.r.peers.Leases()
-	return d.HealthChecks.ShouldCheck(
+	check, lease, token := d.HealthChecks.ShouldCheck(
 		group,
 		m.Name,
 		m.Zone,
-		every,
+		interval.Microseconds(),
 		c.r.loop.Now(),
 		m.State == endpointhealth.InService || m.State == endpointhealth.WarmingUp,
 		d.Holds,
 	)
+	return upstream.CheckLease{Name: lease, Token: token}, check
 }
 
 // CheckDone implements upstream.HealthCheckCoordinator.
-func (c checks) CheckDone(group string, m *endpointhealth.Endpoint, duty string, token uint64, good bool) {
-	c.r.peers.Leases().HealthChecks.RecordResult(duty, token, group, m.Name, good, c.r.loop.Now())
+func (c checks) CheckDone(
+	group string,
+	m *endpointhealth.Endpoint,
+	lease upstream.CheckLease,
+	passed bool,
+) {
+	c.r.peers.Leases().HealthChecks.RecordResult(lease.Name, lease.Token, group, m.Name, passed, c.r.loop.Now())
 }
 
 // errNoPeers is that of a runner without peers.
--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -26,17 +26,17 @@
 		return
 	}
 	opt := upstream.Options{
-		ConnectTimeout: op.Limits.ConnectMs * 1000,
+		ConnectTimeout: time.Duration(op.Limits.ConnectMs) * time.Millisecond,
 		FlowControl:    op.Limits.Flow(),
 		Preconnect:     op.Limits.PreopenedConnections,
-		KeyVar:         op.KeyVariable,
-		TenantVar:      op.Tenant.Variable,
+		KeyVariable:    op.KeyVariable,
+		TenantVariable: op.Tenant.Variable,
 		Picker:         op.PickerConfig(r.cfg.Settings.Servers),
 		ClassCount:     len(classes),
 		MaxAttempts:    op.Limits.Attempts,
 		HealthCheck: upstream.HealthCheck{
 			Path:    op.Routing.HealthCheck.Path,
-			Timeout: op.Routing.HealthCheck.TimeoutMs * 1000,
+			Timeout: time.Duration(op.Routing.HealthCheck.TimeoutMs) * time.Millisecond,
 		},
 	}
 	if r.spans != nil {
@@ -145,5 +145,5 @@
 	if g == nil {
 		return 0
 	}
-	return max(g.RetryAfter(), r.routes[class].(*waitqueue.Queue).RetryAfter(class).Microseconds())
+	return max(g.RetryAfter(), r.routes[class].(*waitqueue.Queue).RetryAfter(class)).Microseconds()
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -1,89 +1,107 @@
 package upstream
 
 import (
-	"errors"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/protocol/httpmessage"
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// spareFor is how long a connection that was opened ahead is used: servers close those on which
-// nothing comes.
-const spareFor = 2_000_000
+const (
+	// maxSpareAge is how long a connection that was opened in advance is used: servers close those
+	// on which nothing comes.
+	maxSpareAge = 2 * time.Second
+	// maxBodyPart is the size of one part of a request body that streams, in bytes.
+	maxBodyPart = 128 << 10
+	// packetHeaderBytes is the size of the header of a uwsgi packet.
+	packetHeaderBytes = 4
+)
 
-// link is a connection to a server. It carries one request, or was opened ahead and waits for one.
-type link struct {
-	group  *Group
-	server *server
-	conn   *eventloop.Conn
-	up     bool
-	made   int64
-	x      *exchange // nil: it waits, or what it carried was given up
+// connection is a connection to a server. It carries one request, or was opened in advance and waits
+// for one.
+type connection struct {
+	server      *server
+	conn        *eventloop.Conn
+	established bool
+	dialedAt    time.Duration // monotonic
+	exchange    *exchange     // nil: it waits for one, or its exchange gave it up
 }
 
 // dial opens a connection to a server.
-func (g *Group) dial(s *server) *link {
-	l := &link{group: g, server: s, made: g.loop.Now()}
-	out := uwsgi.MaxVariablesBytes + 4 + g.opt.FlowControl.MaxBufferedBody + g.opt.FlowControl.MaxQueued + onePart
-	l.conn = g.loop.DialAddr(s.addr, eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: out}, l)
-	return l
+func (g *Group) dial(s *server) *connection {
+	c := &connection{server: s, dialedAt: g.now()}
+	limits := eventloop.BufferLimits{
+		In: httpmessage.MaxHeadBytes + 1,
+		Out: uwsgi.MaxVariablesBytes + packetHeaderBytes + maxBodyPart +
+			g.opt.FlowControl.MaxBufferedBody + g.opt.FlowControl.MaxQueued,
+	}
+	c.conn = g.loop.DialAddr(s.addr, limits, c)
+	return c
 }
 
-// spare takes a connection that was opened ahead and still looks good; nil: there is none.
-func (g *Group) spare(s *server) *link {
-	for len(s.spares) > 0 && s.spares[0].up {
-		l := s.spares[0]
-		s.spares = s.spares[1:]
-		if g.loop.Now()-l.made <= spareFor && l.conn.IsIdle() {
-			return l
+// takeSpare returns a connection that was opened in advance and can still be used; nil: there is
+// none.
+func (g *Group) takeSpare(s *server) *connection {
+	for len(s.spare) > 0 && s.spare[0].established {
+		c := s.spare[0]
+		s.spare = s.spare[1:]
+		if g.now()-c.dialedAt <= maxSpareAge && c.conn.IsIdle() {
+			return c
 		}
-		l.conn.Close(nil)
+		c.conn.Close(nil)
 	}
 	return nil
 }
 
-// openAhead sees to it that so many connections wait for the next requests, within what the server
-// may have.
-func (g *Group) openAhead(s *server) {
-	for len(s.spares) < g.opt.Preconnect && s.ActiveRequests+len(s.spares) < g.opt.Picker.MaxRequests && g.router.Health().TrafficShare(s.Endpoint, micros(g.loop.Now())) > 0 {
-		s.spares = append(s.spares, g.dial(s))
+// preconnect opens connections in advance, within what the server may have.
+func (g *Group) preconnect(s *server) {
+	for len(s.spare) < g.opt.Preconnect && s.ActiveRequests+len(s.spare) < g.opt.Picker.MaxRequests {
+		if g.picker.Health().TrafficShare(s.Endpoint, g.now()) == 0 {
+			return
+		}
+		s.spare = append(s.spare, g.dial(s))
 	}
 }
 
-// dropSpares closes what waits beyond so many.
-func (s *server) dropSpares(keep int) {
-	for len(s.spares) > keep {
-		l := s.spares[len(s.spares)-1]
-		s.spares = s.spares[:len(s.spares)-1]
-		l.conn.Close(nil)
+// closeSpare closes the connections that were opened in advance, but for so many.
+func (s *server) closeSpare(keep int) {
+	for len(s.spare) > keep {
+		c := s.spare[len(s.spare)-1]
+		s.spare = s.spare[:len(s.spare)-1]
+		c.conn.Close(nil)
 	}
 }
 
-// Connected implements loop.Handler.
-func (l *link) Connected() {
-	if l.up = true; l.x != nil {
-		l.x.Connected()
+// Connected implements eventloop.Handler.
+func (c *connection) Connected() {
+	if c.established = true; c.exchange != nil {
+		c.exchange.connected()
 	}
 }
 
-// Data implements loop.Handler.
-func (l *link) Data(b []byte) (int, error) {
-	if l.x == nil {
-		return 0, errors.New("something came before it was asked for")
+// Data implements eventloop.Handler.
+func (c *connection) Data(b []byte) (int, error) {
+	if c.exchange == nil {
+		return 0, errUnsolicited
 	}
-	return l.x.Data(b)
+	return c.exchange.read(b, false)
 }
 
-// End implements loop.Handler.
-func (l *link) End() bool { return l.x != nil && l.x.End() }
+// End implements eventloop.Handler.
+func (c *connection) End() bool {
+	if c.exchange != nil {
+		c.exchange.readEnd()
+	}
+	return false
+}
 
-// Closed implements loop.Handler.
-func (l *link) Closed(err error) {
-	if l.x != nil {
-		l.x.Closed(err)
+// Closed implements eventloop.Handler.
+func (c *connection) Closed(err error) {
+	if c.exchange != nil {
+		c.exchange.connectionClosed(err)
 		return
 	}
-	l.server.spares = slices.DeleteFunc(l.server.spares, func(o *link) bool { return o == l })
+	c.server.spare = slices.DeleteFunc(c.server.spare, func(other *connection) bool { return other == c })
 }
--- /dev/null
+++ b/internal/upstream/exchange.go
@@ -0,0 +1,258 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"time"
+
+	"ryepaddle/internal/balancer/endpointhealth"
+	"ryepaddle/internal/balancer/picker"
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/flowcontrol"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/protocol/httpmessage"
+)
+
+// exchange is one attempt on one server. It implements lifecycle.UploadConsumer for a request body
+// that streams, and lifecycle.Stream for a response that does.
+type exchange struct {
+	group      *Group
+	server     *server // nil: no server was found
+	attempt    *lifecycle.Attempt
+	packet     []byte // the request, as it is sent
+	startedAt  time.Duration
+	connection *connection
+	isSpare    bool             // the connection was opened in advance
+	connecting *eventloop.Timer // until the connection is established
+	deadline   *eventloop.Timer
+	upload     lifecycle.Upload // the rest of a request body that streams; nil: there is none
+
+	isHead    bool // of the response only the head is wanted
+	reader    *httpmessage.ResponseReader
+	flow      *flowcontrol.Response
+	result    *lifecycle.Result // nil: the head of the response has not come
+	body      []byte            // buffered, or to be cached
+	streaming bool
+	consumer  lifecycle.StreamConsumer // of a response that streams; nil: none
+}
+
+// Run implements lifecycle.Runner.
+func (g *Group) Run(a *lifecycle.Attempt) {
+	now := g.now()
+	s := g.pick(a, now)
+	packet, err := packetFor(a, &g.opt)
+	if s == nil || err != nil {
+		evNoEndpoint.Log(g.name, a.Request.ID, s != nil, withoutRequestKind(err))
+		x := &exchange{group: g, attempt: a}
+		g.exchanges[a] = x
+		g.loop.Post(func() { x.end(lifecycle.NotStarted, nil) })
+		return
+	}
+	own := s.Attachment.(*server)
+	a.Server = s.Name
+	g.picker.Sent(s)
+	x := &exchange{
+		group:     g,
+		server:    own,
+		attempt:   a,
+		packet:    packet,
+		startedAt: now,
+		isHead:    methodOf(a) == "HEAD",
+		flow:      flowcontrol.NewResponse(g.opt.FlowControl, !a.Idempotent, a.Request.AcceptsStream),
+	}
+	x.reader = httpmessage.NewResponseReader(x.isHead)
+	g.exchanges[a] = x
+	x.deadline = g.after(micros(a.Deadline)-g.now(), x.deadlinePassed)
+	// A connection that was idle may be broken without a sign. A request that may run only once, or
+	// whose body cannot be sent again, gets a new one.
+	if a.Idempotent && a.Request.Upload == nil {
+		if c := g.takeSpare(own); c != nil {
+			x.isSpare = true
+			x.send(c)
+			return
+		}
+	}
+	x.send(g.dial(own))
+}
+
+// pick returns a server for an attempt; nil: there is none.
+func (g *Group) pick(a *lifecycle.Attempt, now time.Duration) *picker.Server {
+	isRetry := a.Previous != nil
+	if !isRetry {
+		g.picker.RetryBudget().RecordFirstAttempt(a.Request.Class, now)
+	}
+	g.query = picker.Query{
+		Idempotent: a.Idempotent && a.Request.Upload == nil,
+		Retry:      isRetry,
+		Attempts:   a,
+		Now:        now,
+	}
+	if !a.Idempotent {
+		g.query.Key = a.Request.Key
+	}
+	s, _ := g.picker.Pick(&g.query)
+	return s
+}
+
+// Abandon implements lifecycle.Runner. A request with side effects goes on to its end, so that its
+// result can be cached.
+func (g *Group) Abandon(a *lifecycle.Attempt) {
+	if x := g.exchanges[a]; x != nil && a.Idempotent {
+		g.loop.Post(func() { x.end(lifecycle.Canceled, nil) })
+	}
+}
+
+// isOpen reports whether the exchange has not ended.
+func (x *exchange) isOpen() bool { return x.group.exchanges[x.attempt] == x }
+
+// send sends the request on a connection, and opens others in advance for the next ones.
+func (x *exchange) send(c *connection) {
+	g := x.group
+	c.exchange, x.connection = x, c
+	c.conn.Write(x.packet)
+	if c.established {
+		x.connected()
+	} else {
+		x.connecting = g.after(g.opt.ConnectTimeout, func() { x.fail(errConnectTimeout) })
+	}
+	g.preconnect(x.server)
+}
+
+// connected sends the rest of a body that streams.
+func (x *exchange) connected() {
+	x.connecting.Stop()
+	request := x.attempt.Request
+	if request.Upload == nil || !x.isOpen() {
+		return
+	}
+	request.BodyConsumed, x.upload = true, request.Upload
+	x.connection.conn.OnFlushed(x.reportBacklog)
+	request.Upload.Attach(x)
+}
+
+// ConsumeBody implements lifecycle.UploadConsumer.
+func (x *exchange) ConsumeBody(part []byte) {
+	conn := x.connection.conn
+	conn.Write(part)
+	conn.Flush()
+	if !conn.IsClosed() {
+		x.reportBacklog()
+	}
+}
+
+// reportBacklog tells the sender of the body how much of it the server has not taken.
+func (x *exchange) reportBacklog() {
+	if x.upload != nil {
+		x.upload.SetBacklog(x.connection.conn.QueuedBytes())
+	}
+}
+
+// deadlinePassed ends the attempt at its deadline. One with side effects may go on for as long
+// again: nobody waits for it, but a repeated request gets its result.
+func (x *exchange) deadlinePassed() {
+	if !x.connection.established {
+		x.unreachable(errConnectDeadline)
+		return
+	}
+	a, loop := x.attempt, x.group.loop
+	now, deadline := x.group.now(), micros(a.Deadline)
+	arrivedAt := now - micros(loop.Unix()-a.Request.ArrivedAt)
+	extended := deadline + (deadline - arrivedAt)
+	if !a.Idempotent && now < extended {
+		x.deadline = x.group.after(extended-now, x.deadlinePassed)
+		return
+	}
+	x.end(lifecycle.TimedOut, nil)
+}
+
+// fail ends the attempt by an error of its connection. An idempotent request whose connection was
+// opened in advance, and has answered nothing, is sent again on a new connection.
+func (x *exchange) fail(err error) {
+	if !x.connection.established {
+		x.unreachable(err)
+		return
+	}
+	if !x.isOpen() {
+		return
+	}
+	if x.isSpare && x.reader.Head() == nil {
+		x.isSpare, x.connection.exchange = false, nil
+		x.connection.conn.Close(nil)
+		x.reader = httpmessage.NewResponseReader(x.isHead)
+		x.send(x.group.dial(x.server))
+		return
+	}
+	x.logInterrupted(interruptedKind.Wrap(err))
+	x.end(lifecycle.Interrupted, nil)
+}
+
+// unreachable ends an attempt whose connection was not established: nothing was sent, so that it
+// did not run.
+func (x *exchange) unreachable(err error) {
+	if x.isOpen() {
+		x.logInterrupted(connectKind.Wrap(err))
+		x.end(lifecycle.Unreachable, nil)
+	}
+}
+
+func (x *exchange) logInterrupted(err error) {
+	evRequestInterrupted.Log(x.group.name, x.server.Name, x.attempt.Request.ID, err.Error())
+}
+
+// connectionClosed ends the attempt when its connection has closed.
+func (x *exchange) connectionClosed(err error) {
+	var refused *eventloop.ConnectionRefusedError
+	switch {
+	case errors.As(err, &refused): // it cannot have run
+		x.end(lifecycle.Unreachable, nil)
+	case err == nil || errors.Is(err, io.EOF):
+		x.fail(errClosed)
+	default:
+		x.fail(err)
+	}
+}
+
+// end releases the exchange and reports the outcome, once.
+func (x *exchange) end(outcome lifecycle.Outcome, result *lifecycle.Result) {
+	if !x.isOpen() {
+		return
+	}
+	g := x.group
+	delete(g.exchanges, x.attempt)
+	if consumer := x.consumer; consumer != nil {
+		if x.consumer = nil; outcome == lifecycle.Succeeded {
+			consumer.Completed()
+		} else {
+			consumer.Truncated()
+		}
+	}
+	if upload := x.upload; upload != nil {
+		x.upload = nil
+		upload.Detach()
+	}
+	x.connecting.Stop()
+	x.deadline.Stop()
+	if s := x.server; s != nil {
+		x.connection.conn.Close(nil)
+		now := g.now()
+		g.picker.Done(s.Server, x.attempt.Request.Class, endpointOutcome(outcome), now-x.startedAt, now)
+	}
+	g.sink.Ended(x.attempt, outcome, result)
+}
+
+// endpointOutcome returns what the end of an attempt says about its server.
+func endpointOutcome(outcome lifecycle.Outcome) endpointhealth.Outcome {
+	switch outcome {
+	case lifecycle.Succeeded:
+		return endpointhealth.Success
+	case lifecycle.Faulted:
+		return endpointhealth.ErrorResponse
+	case lifecycle.Interrupted:
+		return endpointhealth.Aborted
+	case lifecycle.TimedOut:
+		return endpointhealth.TimedOut
+	case lifecycle.Unreachable:
+		return endpointhealth.Unreachable
+	}
+	return endpointhealth.Inconclusive
+}
--- /dev/null
+++ b/internal/upstream/group.go
@@ -0,0 +1,174 @@
+package upstream
+
+import (
+	"slices"
+	"time"
+
+	"ryepaddle/internal/balancer/endpointhealth"
+	"ryepaddle/internal/balancer/picker"
+	"ryepaddle/internal/balancer/retry"
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/inventory"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/netaddr"
+)
+
+// tickInterval is how often a group looks for health checks that are due.
+const tickInterval = 250 * time.Millisecond
+
+// firstListCause is the cause of the state changes by the first endpoint list.
+const firstListCause = "it is in the first list"
+
+// Group is a group of servers that run the requests of some classes. It owns the connections to
+// them. It implements lifecycle.Runner.
+type Group struct {
+	name        string
+	loop        *eventloop.Loop
+	sink        Sink
+	opt         Options
+	picker      *picker.Picker
+	query       picker.Query // reused, so that a pick allocates nothing
+	exchanges   map[*lifecycle.Attempt]*exchange
+	dueChecks   []*endpointhealth.Endpoint
+	tickedAt    time.Duration // monotonic; 0: never
+	lastSummary string        // the states at the last call of Summary
+}
+
+// server is what the group keeps of a server.
+type server struct {
+	*picker.Server
+	addr  netaddr.Addr
+	spare []*connection // opened in advance, the oldest first
+}
+
+// New returns a group without servers. instance is the name of this process, which decides its
+// subset of the servers; the sink gets the results of attempts.
+func New(loop *eventloop.Loop, name, instance string, seed uint64, sink Sink, opt Options) *Group {
+	g := &Group{
+		name:      name,
+		loop:      loop,
+		sink:      sink,
+		opt:       opt,
+		exchanges: map[*lifecycle.Attempt]*exchange{},
+	}
+	g.picker = picker.New(opt.Picker, instance, opt.ClassCount, seed, g.stateChanged)
+	loop.Every(tickInterval.Microseconds(), g.tick)
+	return g
+}
+
+func (g *Group) now() time.Duration { return micros(g.loop.Now()) }
+
+func (g *Group) after(d time.Duration, fn func()) *eventloop.Timer {
+	return g.loop.After(d.Microseconds(), fn)
+}
+
+func (g *Group) stateChanged(s *picker.Server, change endpointhealth.StateChange) {
+	// At the start there would be a line for each of thousands of servers.
+	if g.tickedAt > 0 || change.Cause != firstListCause {
+		evEndpointState.Log(
+			g.name,
+			change.Endpoint.Name,
+			change.Endpoint.Addr,
+			change.To,
+			change.From,
+			change.Cause,
+		)
+	}
+	own, ok := s.Attachment.(*server)
+	if ok && g.picker.Health().TrafficShare(s.Endpoint, change.At) == 0 {
+		own.closeSpare(0)
+	}
+}
+
+// tick moves the states of the servers by time, and starts the health checks that are due.
+func (g *Group) tick() {
+	now := g.now()
+	if now-g.tickedAt >= endpointhealth.TickInterval {
+		g.tickedAt = now
+		g.picker.Tick(now)
+	}
+	g.dueChecks = g.picker.Health().DueHealthChecks(now, g.dueChecks[:0])
+	for _, e := range g.dueChecks {
+		g.checkOrSkip(e, now)
+	}
+}
+
+// checkOrSkip checks a server, unless another runner has done that and found it healthy.
+func (g *Group) checkOrSkip(e *endpointhealth.Endpoint, now time.Duration) {
+	lease, check := CheckLease{}, true
+	if coordinator := g.opt.HealthCheckCoordinator; coordinator != nil {
+		lease, check = coordinator.ShouldCheck(g.name, e, g.opt.Picker.Health.HealthChecks.Interval)
+	}
+	if check {
+		g.check(e.Attachment.(*picker.Server), lease)
+		return
+	}
+	g.picker.Health().HealthCheckDone(e, true, now)
+}
+
+// Update takes the servers of an inventory that belong to the group, and other options. A server
+// that stays keeps what is known of it; requests in flight at one that goes end there.
+func (g *Group) Update(all []inventory.Server, opt Options) {
+	g.opt = opt
+	g.picker.Configure(opt.Picker, opt.ClassCount)
+	var specs []endpointhealth.EndpointSpec
+	addrs := map[endpointhealth.ID]netaddr.Addr{}
+	for _, s := range all {
+		if s.Weight == 0 || !slices.Contains(s.Groups, g.name) {
+			continue
+		}
+		id := endpointhealth.ID{Name: s.Name, Addr: s.Addr.String()}
+		addrs[id] = s.Addr
+		specs = append(specs, endpointhealth.EndpointSpec{ID: id, Zone: s.Zone, Weight: s.Weight})
+	}
+	version := g.picker.Health().EndpointList().Version + 1
+	g.picker.UpdateEndpoints(specs, g.now())
+	for _, s := range g.picker.Servers() {
+		own, _ := s.Attachment.(*server)
+		if own == nil {
+			own = &server{Server: s, addr: addrs[s.ID]}
+			s.Attachment = own
+		}
+		own.closeSpare(opt.Preconnect)
+		g.preconnect(own)
+	}
+	g.reportEmptyZones(specs)
+	evEndpointList.Log(g.name, version, g.picker.Size(), g.picker.Health().DrainingCount())
+}
+
+// reportEmptyZones reports the configured zones without a server: they may be switched off, or
+// misspelt.
+func (g *Group) reportEmptyZones(specs []endpointhealth.EndpointSpec) {
+	for _, zone := range g.opt.Picker.Zones {
+		isIn := func(spec endpointhealth.EndpointSpec) bool { return spec.Zone == zone }
+		if !slices.ContainsFunc(specs, isIn) {
+			evZoneEmpty.Log(g.name, zone)
+		}
+	}
+}
+
+// Size returns how many servers are in use.
+func (g *Group) Size() int { return g.picker.Size() }
+
+// Picker returns the group's picker.
+func (g *Group) Picker() *picker.Picker { return g.picker }
+
+// Capacity returns how many requests the servers may have in flight together.
+func (g *Group) Capacity() int { return g.picker.Capacity(g.now()) }
+
+// AllowRetry decides whether a request whose attempt failed is retried on another server.
+func (g *Group) AllowRetry(c lifecycle.RetryCandidate) bool {
+	attempt := retry.FailedAttempt{
+		Class:          c.Class,
+		HasSideEffects: c.HasSideEffect,
+		NeverRan:       c.NeverRan,
+		Attempts:       c.Attempts,
+		MaxAttempts:    min(g.opt.MaxAttempts, g.Size()),
+		TimeLeft:       micros(c.Remaining),
+		TimeNeeded:     g.picker.MinAttemptTime(c.Class),
+	}
+	return g.picker.RetryBudget().Allow(attempt, g.now()) == retry.Allowed
+}
+
+// RetryAfter returns after how long a caller whose request was rejected should try again.
+func (g *Group) RetryAfter() time.Duration { return g.picker.RetryAfter(g.now()) }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -4,6 +4,7 @@
 	"errors"
 	"io"
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/balancer/picker"
@@ -12,120 +13,128 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// HealthCheck is how servers are asked whether they are well. When that is due is the router's to say.
+// HealthCheck holds what an active health check asks. Package endpointhealth says when one is due.
 type HealthCheck struct {
-	Path    string // empty: they are not asked
-	Timeout int64  // microseconds for the answer
+	Path    string        // empty: no checks
+	Timeout time.Duration // for the whole check
 }
 
-// HealthCheckCoordinator decides who asks a server, where one runner does so for others.
+// CheckLease is the lease under which a runner checks a server on behalf of others.
+type CheckLease struct {
+	Name  string
+	Token uint64 // fencing token; 0: there is no lease, the check is for this runner alone
+}
+
+// HealthCheckCoordinator decides which of several runners checks a server.
 type HealthCheckCoordinator interface {
-	// ShouldCheck tells whether this runner is to ask now, and for which duty and under which token it does
-	// so; a token of 0 is for itself alone.
-	ShouldCheck(group string, m *endpointhealth.Endpoint, every int64) (ask bool, duty string, token uint64)
-	// CheckDone hears of a server that was asked under a token.
-	CheckDone(group string, m *endpointhealth.Endpoint, duty string, token uint64, good bool)
+	// ShouldCheck returns whether this runner checks the server now, and under which lease.
+	// Otherwise another runner has found it healthy within the interval.
+	ShouldCheck(group string, e *endpointhealth.Endpoint, interval time.Duration) (CheckLease, bool)
+	// CheckDone reports the end of a check under a lease.
+	CheckDone(group string, e *endpointhealth.Endpoint, lease CheckLease, passed bool)
 }
 
-// The variables by which a server that looks at them can refuse whoever has lost a duty: its name,
-// its token, and who says so.
+// The variables by which a server can reject a check whose runner has lost the lease.
 const (
-	dutyVar   = "HTTP_X_DUTY"
-	tokenVar  = "HTTP_X_DUTY_TOKEN"
-	holderVar = "HTTP_X_DUTY_HOLDER"
+	leaseVariable  = "HTTP_X_DUTY"
+	tokenVariable  = "HTTP_X_DUTY_TOKEN"
+	holderVariable = "HTTP_X_DUTY_HOLDER"
 )
 
-// checkup is one check that is out: a request on a connection of its own, answered well by any
-// status below 400.
-type checkup struct {
+// minUnhealthyStatus is the lowest status that fails a check.
+const minUnhealthyStatus = 400
+
+// check is one health check: a request on a connection of its own. It passes with any status below
+// minUnhealthyStatus.
+type check struct {
 	group  *Group
 	server *picker.Server
+	lease  CheckLease
 	conn   *eventloop.Conn
 	timer  *eventloop.Timer
-	resp   *httpmessage.ResponseReader
-	over   bool
-	duty   string
-	token  uint64
+	reader *httpmessage.ResponseReader
+	ended  bool
 }
 
-// check asks a server.
-func (g *Group) check(s *picker.Server, duty string, token uint64) {
+// check starts a health check of a server.
+func (g *Group) check(s *picker.Server, lease CheckLease) {
+	c := &check{group: g, server: s, lease: lease, reader: httpmessage.NewResponseReader(false)}
+	packet, err := uwsgi.Append(nil, g.checkRequest(lease))
+	if err != nil { // a path that is too long is refused with the operator's file
+		g.loop.Post(func() { c.end(false) })
+		return
+	}
+	limits := eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: len(packet)}
+	c.conn = g.loop.DialAddr(s.Attachment.(*server).addr, limits, c)
+	c.timer = g.after(g.opt.HealthCheck.Timeout, func() { c.end(false) })
+	c.conn.Write(packet)
+}
+
+func (g *Group) checkRequest(lease CheckLease) *uwsgi.Request {
+	path := g.opt.HealthCheck.Path
 	r := &uwsgi.Request{
 		Variables: []uwsgi.Variable{
 			{Name: "REQUEST_METHOD", Value: "GET"},
 			{Name: "SERVER_PROTOCOL", Value: "HTTP/1.1"},
-			{
-				Name: "SCRIPT_NAME",
-			},
-			{Name: "PATH_INFO", Value: g.opt.HealthCheck.Path},
-			{Name: "REQUEST_URI", Value: g.opt.HealthCheck.Path},
+			{Name: "SCRIPT_NAME"},
+			{Name: "PATH_INFO", Value: path},
+			{Name: "REQUEST_URI", Value: path},
 			{Name: "QUERY_STRING"},
 			{Name: "CONTENT_LENGTH", Value: "0"},
 		},
 	}
-	if token != 0 {
+	if lease.Token != 0 {
 		r.Variables = append(
 			r.Variables,
-			uwsgi.Variable{Name: dutyVar, Value: duty},
-			uwsgi.Variable{Name: tokenVar, Value: strconv.FormatUint(token, 10)},
-			uwsgi.Variable{Name: holderVar, Value: g.opt.RunnerName},
+			uwsgi.Variable{Name: leaseVariable, Value: lease.Name},
+			uwsgi.Variable{Name: tokenVariable, Value: strconv.FormatUint(lease.Token, 10)},
+			uwsgi.Variable{Name: holderVariable, Value: g.opt.RunnerName},
 		)
 	}
-	c := &checkup{group: g, server: s, resp: httpmessage.NewResponseReader(false), duty: duty, token: token}
-	packet, err := uwsgi.Append(nil, r)
-	if err != nil { // a path that is too long is refused with the file
-		g.loop.Post(func() { c.end(false) })
-		return
-	}
-	c.conn = g.loop.DialAddr(
-		s.Attachment.(*server).addr,
-		eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: len(packet)},
-		c,
-	)
-	c.timer = g.loop.After(g.opt.HealthCheck.Timeout, func() { c.end(false) })
-	c.conn.Write(packet)
+	return r
 }
 
-// end is the one place where a check is given back.
-func (c *checkup) end(good bool) {
-	if c.over {
+// end releases the check and reports its result, once.
+func (c *check) end(passed bool) {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.timer.Stop()
 	if c.conn != nil {
 		c.conn.Close(nil)
 	}
-	c.group.router.Health().HealthCheckDone(c.server.Endpoint, good, micros(c.group.loop.Now()))
-	if c.token != 0 && c.group.opt.HealthCheckCoordinator != nil {
-		c.group.opt.HealthCheckCoordinator.CheckDone(c.group.name, c.server.Endpoint, c.duty, c.token, good)
+	g := c.group
+	g.picker.Health().HealthCheckDone(c.server.Endpoint, passed, g.now())
+	if c.lease.Token != 0 && g.opt.HealthCheckCoordinator != nil {
+		g.opt.HealthCheckCoordinator.CheckDone(g.name, c.server.Endpoint, c.lease, passed)
 	}
 }
 
-// Connected implements loop.Handler.
-func (c *checkup) Connected() {}
+// Connected implements eventloop.Handler.
+func (c *check) Connected() {}
 
-// Data implements loop.Handler. The head is all that is asked for.
-func (c *checkup) Data(b []byte) (int, error) { return c.take(b, false) }
+// Data implements eventloop.Handler. The head of the response decides the check.
+func (c *check) Data(b []byte) (int, error) { return c.read(b, false) }
 
-func (c *checkup) take(b []byte, end bool) (int, error) {
-	ev, n, err := c.resp.Next(b, end)
+func (c *check) read(b []byte, isEnd bool) (int, error) {
+	event, n, err := c.reader.Next(b, isEnd)
 	switch {
 	case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
 		return n, err
-	case ev.Head != nil:
-		c.end(ev.Head.Status < 400)
+	case event.Head != nil:
+		c.end(event.Head.Status < minUnhealthyStatus)
 		return len(b), nil
 	}
 	return n, nil
 }
 
-// End implements loop.Handler.
-func (c *checkup) End() bool {
-	_, _ = c.take(c.conn.Buffered(), true) // what it could not read is a failure all the same
+// End implements eventloop.Handler.
+func (c *check) End() bool {
+	_, _ = c.read(c.conn.Buffered(), true) // what cannot be read is a failed check all the same
 	c.end(false)
 	return false
 }
 
-// Closed implements loop.Handler.
-func (c *checkup) Closed(error) { c.end(false) }
+// Closed implements eventloop.Handler.
+func (c *check) Closed(error) { c.end(false) }
--- /dev/null
+++ b/internal/upstream/response.go
@@ -0,0 +1,142 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"strings"
+
+	"ryepaddle/internal/flowcontrol"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/protocol/httpmessage"
+	"ryepaddle/internal/protocol/uwsgi"
+)
+
+// minErrorStatus is the lowest status that counts as an error of the server.
+const minErrorStatus = 500
+
+// read reads what it can of the response, and returns how many bytes it has used.
+func (x *exchange) read(b []byte, isEnd bool) (used int, err error) {
+	for x.isOpen() {
+		event, n, err := x.reader.Next(b[used:], isEnd)
+		used += n
+		switch {
+		case err != nil:
+			return used, err
+		case event.Head != nil:
+			if event.Head.Status >= minErrorStatus {
+				x.endWithError(event.Head.Status)
+				return len(b), nil
+			}
+			x.result = x.resultOf(event.Head)
+			continue
+		case len(event.Data) > 0:
+			if err := x.takeBody(event.Data); err != nil {
+				return used, err
+			}
+		}
+		switch {
+		case event.Done:
+			x.complete()
+		case n == 0:
+			return used, nil
+		}
+	}
+	return len(b), nil // what comes after the end is ignored
+}
+
+func (x *exchange) endWithError(status int) {
+	evErrorResponse.Log(x.group.name, x.server.Name, x.attempt.Request.ID, status)
+	x.end(lifecycle.Faulted, nil)
+}
+
+// resultOf returns the head of a response as the caller gets it.
+func (x *exchange) resultOf(head *httpmessage.Head) *lifecycle.Result {
+	result := &lifecycle.Result{Status: head.Status, ContentLength: int64(head.Length)}
+	for _, f := range head.Fields {
+		// The length is stated anew, but for a head alone, where it says what the body would have.
+		isRestated := !x.isHead && strings.EqualFold(f.Name, "Content-Length")
+		if !uwsgi.IsHopByHop(f.Name) && !isRestated {
+			result.Fields = append(result.Fields, lifecycle.Field(f))
+		}
+	}
+	return result
+}
+
+// takeBody buffers, caches or forwards a part of the body.
+func (x *exchange) takeBody(data []byte) error {
+	step := x.flow.Add(len(data))
+	if step == flowcontrol.Reject {
+		return uwsgi.ErrBodyTooLong
+	}
+	if !x.streaming || x.flow.Caches() {
+		x.body = append(x.body, data...)
+	}
+	switch {
+	case step == flowcontrol.StartStreaming:
+		x.startStreaming()
+	case step == flowcontrol.Forward && x.consumer != nil:
+		x.consumer.Consume(data)
+	}
+	if x.streaming && !x.flow.Caches() {
+		x.body = nil
+		if x.consumer == nil && !x.attempt.Idempotent { // it ran, and the rest is not needed
+			x.end(lifecycle.Succeeded, nil)
+		}
+	}
+	return nil
+}
+
+func (x *exchange) startStreaming() {
+	x.streaming = true
+	result := *x.result
+	result.Body, result.Stream = x.body, x
+	isRead := x.group.sink.Began(x.attempt, &result)
+	if !isRead && x.attempt.Idempotent {
+		x.end(lifecycle.Canceled, nil)
+	}
+}
+
+// complete ends a complete response. One that streamed has a result only if it is cached.
+func (x *exchange) complete() {
+	if x.streaming && !x.flow.Caches() {
+		x.end(lifecycle.Succeeded, nil)
+		return
+	}
+	x.result.Body = x.body
+	x.end(lifecycle.Succeeded, x.result)
+}
+
+// Attach implements lifecycle.Stream.
+func (x *exchange) Attach(consumer lifecycle.StreamConsumer) { x.consumer = consumer }
+
+// Pause implements lifecycle.Stream: the server waits for a slow reader.
+func (x *exchange) Pause(on bool) { x.connection.conn.Pause(on) }
+
+// Cancel implements lifecycle.Stream. The response to a request with side effects is read on as long
+// as it is cached.
+func (x *exchange) Cancel() {
+	x.consumer = nil
+	if !x.attempt.Idempotent && x.flow.Caches() {
+		x.connection.conn.Pause(false)
+		return
+	}
+	outcome := lifecycle.Canceled
+	if !x.attempt.Idempotent { // it ran, whatever becomes of the rest
+		outcome = lifecycle.Succeeded
+	}
+	x.group.loop.Post(func() { x.end(outcome, nil) })
+}
+
+// readEnd reads the last of the response after the server has closed its side. A response that is
+// not complete then is an error.
+func (x *exchange) readEnd() {
+	_, err := x.read(x.connection.conn.Buffered(), true)
+	switch {
+	case errors.Is(err, io.ErrUnexpectedEOF):
+		x.fail(errTruncated)
+	case err != nil:
+		x.fail(err)
+	default:
+		x.fail(errClosed) // no effect after a complete response
+	}
+}
--- a/internal/upstream/status.go
+++ b/internal/upstream/status.go
@@ -10,76 +10,87 @@
 	"ryepaddle/internal/balancer/retry"
 )
 
-// Summary is the group in one line. changed tells whether servers have other states than when it
-// was asked for last.
+// Summary returns the group in one line, and whether the states of its servers have changed since
+// the last call.
 func (g *Group) Summary() (line string, changed bool) {
-	t := g.router.Health()
+	states := g.stateSummary()
+	changed, g.lastSummary = states != g.lastSummary, states
+	return states + ";" + strings.TrimSuffix(g.countSummary(), ","), changed
+}
+
+func (g *Group) stateSummary() string {
+	health := g.picker.Health()
 	var b strings.Builder
-	n := t.StateCounts()
-	for _, s := range endpointhealth.States {
-		if n[s] > 0 {
-			fmt.Fprintf(&b, ", %d %v", n[s], s)
+	fmt.Fprintf(&b, "%s: list %d", g.name, health.EndpointList().Version)
+	counts := health.StateCounts()
+	for _, state := range endpointhealth.States {
+		if n := counts[state]; n > 0 {
+			fmt.Fprintf(&b, ", %d %v", n, state)
 		}
 	}
-	counts := fmt.Sprintf("%s: list %d%s", g.name, t.EndpointList().Version, b.String())
-	changed, g.told = counts != g.told, counts
-	b.Reset()
-	for _, w := range picker.PickReasons {
-		if c := g.router.PickCounts[w]; c > 0 {
-			fmt.Fprintf(&b, " %v %d,", w, c)
+	return b.String()
+}
+
+func (g *Group) countSummary() string {
+	var b strings.Builder
+	for _, reason := range picker.PickReasons {
+		if n := g.picker.PickCounts[reason]; n > 0 {
+			fmt.Fprintf(&b, " %v %d,", reason, n)
 		}
 	}
-	budget := g.router.RetryBudget()
+	budget := g.picker.RetryBudget()
 	fmt.Fprintf(&b, " first tries %d, budget for %.0f retries,", budget.FirstAttempts, budget.TokensLeft())
-	for _, r := range retry.Decisions {
-		if c := budget.DecisionCounts[r]; c > 0 {
-			fmt.Fprintf(&b, " retry: %v %d,", r, c)
+	for _, decision := range retry.Decisions {
+		if n := budget.DecisionCounts[decision]; n > 0 {
+			fmt.Fprintf(&b, " retry: %v %d,", decision, n)
 		}
 	}
-	for _, s := range endpointhealth.States {
-		if c := t.TransitionCounts[s]; c > 0 && s != endpointhealth.Listed {
-			fmt.Fprintf(&b, " became %v %d,", s, c)
+	transitions := g.picker.Health().TransitionCounts
+	for _, state := range endpointhealth.States {
+		if n := transitions[state]; n > 0 && state != endpointhealth.Listed {
+			fmt.Fprintf(&b, " became %v %d,", state, n)
 		}
 	}
-	return counts + ";" + strings.TrimSuffix(b.String(), ","), changed
+	return b.String()
 }
 
-// Metric is a figure of the group: how many servers are in a state, how often they came to be, how
-// servers were chosen, and what was said of retries.
+// Metric is one count of the group.
 type Metric struct {
-	Kind, Name string
-	Value      float64
+	Kind  string // one of the kinds below; the label of the metric
+	Name  string // the state, reason or decision that is counted
+	Value float64
 }
 
-// The kinds of counts.
+// The kinds of metrics.
 const (
-	ServersInState   = "state"
-	StateTransitions = "became"
-	Picks            = "chosen"
-	RetryDecisions   = "retry"
+	ServersInState   = "state"  // servers that are in a state
+	StateTransitions = "became" // changes into a state, since the start
+	Picks            = "chosen" // picks by reason, since the start
+	RetryDecisions   = "retry"  // decisions about retries, since the start
 )
 
-// Metrics are all of them.
-func (g *Group) Metrics() (out []Metric) {
-	t := g.router.Health()
-	n := t.StateCounts()
-	for _, s := range endpointhealth.States {
-		out = append(
-			out,
-			Metric{ServersInState, s.String(), float64(n[s])},
-			Metric{StateTransitions, s.String(), float64(t.TransitionCounts[s])},
+// Metrics returns all counts of the group.
+func (g *Group) Metrics() (metrics []Metric) {
+	health := g.picker.Health()
+	counts := health.StateCounts()
+	for _, state := range endpointhealth.States {
+		metrics = append(
+			metrics,
+			Metric{ServersInState, state.String(), float64(counts[state])},
+			Metric{StateTransitions, state.String(), float64(health.TransitionCounts[state])},
 		)
 	}
-	for _, w := range picker.PickReasons {
-		out = append(out, Metric{Picks, w.String(), float64(g.router.PickCounts[w])})
+	for _, reason := range picker.PickReasons {
+		metrics = append(metrics, Metric{Picks, reason.String(), float64(g.picker.PickCounts[reason])})
 	}
-	for _, r := range retry.Decisions {
-		out = append(out, Metric{RetryDecisions, r.String(), float64(g.router.RetryBudget().DecisionCounts[r])})
+	for _, decision := range retry.Decisions {
+		n := g.picker.RetryBudget().DecisionCounts[decision]
+		metrics = append(metrics, Metric{RetryDecisions, decision.String(), float64(n)})
 	}
-	return out
+	return metrics
 }
 
-// ServerStatus is one server.
+// ServerStatus is the current state of one server.
 type ServerStatus struct {
 	Group          string  `json:"group"`
 	Name           string  `json:"name"`
@@ -87,53 +98,46 @@
 	Zone           string  `json:"hall,omitempty"`
 	Weight         int     `json:"weight"`
 	State          string  `json:"state"`
-	StateSeconds   int64   `json:"for_s"`
+	StateSeconds   int64   `json:"for_s"` // for which it has been in that state
 	Cause          string  `json:"cause"`
-	TrafficShare   float64 `json:"part"`
+	TrafficShare   float64 `json:"part"` // 0 to 1
 	ActiveRequests int     `json:"open"`
-	Limit          int     `json:"limit"`
+	Limit          int     `json:"limit"` // requests in flight, by its concurrency limit
 	LatencyMs      float64 `json:"latency_ms"`
-	Requests       uint64  `json:"requests"`
-	Failures       uint64  `json:"failed"`
+	Requests       uint64  `json:"requests"` // since it was listed
+	Failures       uint64  `json:"failed"`   // of these requests
 	StateChanges   int     `json:"changes"`
 }
 
-// ServerStatuses are the servers of the group, those that are leaving last.
-func (g *Group) ServerStatuses() (out []ServerStatus) {
-	now := micros(g.loop.Now())
-	row := func(m *endpointhealth.Endpoint) {
-		out = append(
-			out,
-			ServerStatus{
-				g.name,
-				m.Name,
-				m.Addr,
-				m.Zone,
-				m.Weight,
-				m.State.String(),
-				int64((now - m.StateSince) / time.Second),
-				m.StateCause,
-				g.router.Health().TrafficShare(
-					m,
-					now,
-				),
-				m.ActiveRequests,
-				m.Attachment.(*picker.Server).Limit(),
-				m.MeanLatency / 1000,
-				m.Requests,
-				m.Failures,
-				m.StateChanges,
-			},
-		)
-	}
-	for _, m := range g.router.Health().EndpointList().Endpoints {
-		row(m)
+// ServerStatuses returns the states of the listed servers, then of the draining ones, by name.
+func (g *Group) ServerStatuses() (statuses []ServerStatus) {
+	for _, e := range g.picker.Health().EndpointList().Endpoints {
+		statuses = append(statuses, g.statusOf(e))
 	}
-	for _, m := range g.router.Health().DrainingEndpoints() {
-		row(m)
+	for _, e := range g.picker.Health().DrainingEndpoints() {
+		statuses = append(statuses, g.statusOf(e))
 	}
-	return out
+	return statuses
 }
 
-// Capacity is how many requests the servers of the group may have together.
-func (g *Group) Capacity() int { return g.router.Capacity(micros(g.loop.Now())) }
+func (g *Group) statusOf(e *endpointhealth.Endpoint) ServerStatus {
+	const microsPerMs = 1000
+	now := g.now()
+	return ServerStatus{
+		Group:          g.name,
+		Name:           e.Name,
+		Address:        e.Addr,
+		Zone:           e.Zone,
+		Weight:         e.Weight,
+		State:          e.State.String(),
+		StateSeconds:   int64((now - e.StateSince) / time.Second),
+		Cause:          e.StateCause,
+		TrafficShare:   g.picker.Health().TrafficShare(e, now),
+		ActiveRequests: e.ActiveRequests,
+		Limit:          e.Attachment.(*picker.Server).Limit(),
+		LatencyMs:      e.MeanLatency / microsPerMs,
+		Requests:       e.Requests,
+		Failures:       e.Failures,
+		StateChanges:   e.StateChanges,
+	}
+}
