--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter hosts one admission.Controller for each backend of the bench, from standard
-// input to standard output. It holds a table of instances and decides nothing.
+// Command simadapter hosts one admission.Controller for each server of a simulation. It reads
+// batches of events from standard input and writes the actions to standard output, in the frames of
+// package simwire. It decides nothing.
 package main
 
 import (
@@ -13,21 +14,8 @@
 	"ryepaddle/internal/simwire"
 )
 
-// instance is one backend's controller and the events of the current batch that wait for it.
-type instance struct {
-	ctl    *admission.Controller
-	gauges []simwire.Gauge
-	events []admission.Event
-	listed bool
-}
-
-// host is the table of instances.
-type host struct {
-	table   map[uint32]*instance
-	order   []uint32 // instances with an event in this batch, in order of their first
-	reply   simwire.Reply
-	actions []admission.Action
-}
+// ioBufferSize is the size in bytes of the buffers of input and output.
+const ioBufferSize = 1 << 16
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
@@ -36,100 +24,137 @@
 	}
 }
 
-// serve answers every batch of r on w until the input ends.
+// serve answers every batch of r on w until the input ends. It returns a simwire.FrameError for a
+// frame that it cannot read or write.
 func serve(r io.Reader, w io.Writer) error {
-	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
-	h := &host{table: map[uint32]*instance{}}
+	in, out := bufio.NewReaderSize(r, ioBufferSize), bufio.NewWriterSize(w, ioBufferSize)
+	h := &host{instances: map[uint32]*instance{}}
 	var buf []byte
 	for {
-		var b simwire.Batch
+		var batch simwire.Batch
 		var err error
-		if b, buf, err = simwire.ReadBatch(in, buf); errors.Is(err, io.EOF) {
+		batch, buf, err = simwire.ReadBatch(in, buf)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
-		if err := h.batch(&b); err != nil {
+		if err := h.handle(&batch); err != nil {
 			return err
 		}
 		if _, err := h.reply.WriteTo(out); err != nil {
 			return err
 		}
 		if err := out.Flush(); err != nil {
-			return fmt.Errorf("simwire: reply: %w", err)
+			return &simwire.FrameError{Part: "reply", Err: err}
 		}
 	}
 }
 
-// batch fills h.reply with the actions for one batch.
-func (h *host) batch(b *simwire.Batch) error {
+// instance is one server's controller with its events of the current batch.
+type instance struct {
+	controller *admission.Controller
+	gauges     []simwire.Gauge // the order in which its timers carry them
+	events     []admission.Event
+	scheduled  bool // it is in host.scheduled and has not decided yet
+}
+
+// host holds the instances of a simulation.
+type host struct {
+	instances map[uint32]*instance
+	scheduled []uint32 // instances with an event in this batch, in the order of their first
+	reply     simwire.Reply
+	actions   []admission.Action
+}
+
+// handle fills h.reply with the actions for one batch.
+func (h *host) handle(batch *simwire.Batch) error {
 	h.reply.Reset()
-	h.order = h.order[:0]
-	for i := range b.Len() {
-		rec, err := b.Record(i, h.gaugesOf)
+	h.scheduled = h.scheduled[:0]
+	for i := range batch.Len() {
+		record, err := batch.Record(i, h.gaugesOf)
 		if err != nil {
 			return err
 		}
-		switch in := h.table[rec.Instance]; {
-		case rec.Start:
-			if in, err = start(rec); err != nil {
-				h.reply.Fault(rec.Instance, err.Error())
-				continue
+		if !h.accept(&record) {
+			return &simwire.FrameError{
+				Part: fmt.Sprintf("record %d", i),
+				Err:  fmt.Errorf("event for unknown instance %d", record.Instance),
 			}
-			h.table[rec.Instance] = in
-			h.list(rec.Instance, in)
-		case in == nil:
-			return fmt.Errorf("simwire: record %d: event for unknown instance %d", i, rec.Instance)
-		case rec.Killed:
-			delete(h.table, rec.Instance)
-		default:
-			in.events = append(in.events, rec.Event)
-			h.list(rec.Instance, in)
 		}
 	}
-	for _, id := range h.order {
-		if in := h.table[id]; in != nil && in.listed {
-			h.decide(id, in, b)
+	for _, id := range h.scheduled {
+		if in := h.instances[id]; in != nil && in.scheduled {
+			h.decide(id, in, batch)
 		}
 	}
 	return nil
 }
 
+// accept starts or ends an instance, or keeps its event for the end of the batch. It reports whether
+// the instance is known.
+func (h *host) accept(record *simwire.Record) bool {
+	id := record.Instance
+	if record.Start {
+		in, err := newInstance(record)
+		if err != nil {
+			h.reply.Fault(id, err.Error())
+			return true
+		}
+		h.instances[id] = in
+		h.schedule(id, in)
+		return true
+	}
+	in := h.instances[id]
+	if in == nil {
+		return false
+	}
+	if record.Killed {
+		delete(h.instances, id)
+		return true
+	}
+	in.events = append(in.events, record.Event)
+	h.schedule(id, in)
+	return true
+}
+
 func (h *host) gaugesOf(id uint32) []simwire.Gauge {
-	if in := h.table[id]; in != nil {
+	if in := h.instances[id]; in != nil {
 		return in.gauges
 	}
 	return nil
 }
 
-func (h *host) list(id uint32, in *instance) {
-	if !in.listed {
-		in.listed = true
-		h.order = append(h.order, id)
+// schedule lets an instance decide at the end of the batch.
+func (h *host) schedule(id uint32, in *instance) {
+	if !in.scheduled {
+		in.scheduled = true
+		h.scheduled = append(h.scheduled, id)
 	}
 }
 
-func start(rec simwire.Record) (*instance, error) {
-	s, gauges, err := simwire.ParseSettings(rec.Settings)
+func newInstance(record *simwire.Record) (*instance, error) {
+	settings, gauges, err := simwire.ParseSettings(record.Settings)
 	if err != nil {
 		return nil, err
 	}
-	ctl, err := admission.New(s, rec.Seed)
+	controller, err := admission.New(settings, record.Seed)
 	if err != nil {
 		return nil, err
 	}
-	return &instance{ctl: ctl, gauges: gauges}, nil
+	return &instance{controller: controller, gauges: gauges}, nil
 }
 
-// decide lets one instance act, and reports a panic of the module as its fault.
-func (h *host) decide(id uint32, in *instance, b *simwire.Batch) {
+// decide lets one instance act, and reports a panic as its fault.
+func (h *host) decide(id uint32, in *instance, batch *simwire.Batch) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Fault(id, fmt.Sprintf("simwire: panic: %v", p))
 		}
 	}()
-	in.listed = false
-	h.actions = in.ctl.Handle(b.Now, in.events, h.actions[:0])
+	in.scheduled = false
+	h.actions = in.controller.Handle(batch.Now, in.events, h.actions[:0])
 	in.events = in.events[:0]
 	for i := range h.actions {
 		h.reply.Add(id, &h.actions[i])
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,9 +7,25 @@
 	"testing"
 )
 
-const boot = "RequestClasses.count=1\nRequestClasses.0.Idempotency=read_like\nRequestClasses.0.TargetUs=1000000\n" +
-	"RequestClasses.0.DeadlineUs=2000000\nRequestClasses.0.Worth=1\nSpecifics.Cores=2\nSpecifics.MemoryKb=100000\n" +
-	"Specifics.RunMemFactor=4\nRules.FallMultiple=5\nSpecifics.Meters=cpu_busy"
+// Codes of events and actions on the wire.
+const (
+	codeNewInstance = 1
+	codeHangup      = 7
+	codeUnknown     = 99
+	codeBroken      = 77
+)
+
+// settings are those of a valid instance.
+const settings = `RequestClasses.count=1
+RequestClasses.0.Idempotency=read_like
+RequestClasses.0.TargetUs=1000000
+RequestClasses.0.DeadlineUs=2000000
+RequestClasses.0.Worth=1
+Specifics.Cores=2
+Specifics.MemoryKb=100000
+Specifics.RunMemFactor=4
+Rules.FallMultiple=5
+Specifics.Meters=cpu_busy`
 
 // batch builds a frame of one record.
 func batch(code uint16, instance uint32, tail string) []byte {
@@ -22,16 +38,17 @@
 	return append(b, tail...)
 }
 
-func TestServe(t *testing.T) {
+// A malformed frame ends the adapter with an error and without a partial reply.
+func TestServeReportsMalformedFrames(t *testing.T) {
 	for name, c := range map[string]struct {
 		in  []byte
 		err string
 	}{
 		"nothing":          {nil, ""},
-		"start":            {batch(1, 3, boot), ""},
-		"unknown instance": {batch(7, 9, ""), "record 0: event for unknown instance 9"},
-		"unknown code":     {batch(99, 3, ""), "record 0: unknown event code 99"},
-		"cut":              {batch(1, 3, boot)[:30], "batch: 14 of"},
+		"start":            {batch(codeNewInstance, 3, settings), ""},
+		"unknown instance": {batch(codeHangup, 9, ""), "record 0: event for unknown instance 9"},
+		"unknown code":     {batch(codeUnknown, 3, ""), "record 0: unknown event code 99"},
+		"cut":              {batch(codeNewInstance, 3, settings)[:30], "batch: 14 of"},
 	} {
 		var out bytes.Buffer
 		err := serve(bytes.NewReader(c.in), &out)
@@ -44,12 +61,14 @@
 	}
 }
 
-func TestBadSettingsAreAFault(t *testing.T) {
+// Invalid settings are a fault of their instance alone; its error names the path.
+func TestInvalidSettingsAreReportedAsFault(t *testing.T) {
+	invalid := strings.Replace(settings, "Cores=2", "Cores=0", 1)
 	var out bytes.Buffer
-	if err := serve(bytes.NewReader(batch(1, 3, strings.Replace(boot, "Cores=2", "Cores=0", 1))), &out); err != nil {
+	if err := serve(bytes.NewReader(batch(codeNewInstance, 3, invalid)), &out); err != nil {
 		t.Fatal(err)
 	}
-	if code := binary.LittleEndian.Uint16(out.Bytes()[8:]); code != 77 ||
+	if code := binary.LittleEndian.Uint16(out.Bytes()[8:]); code != codeBroken ||
 		!strings.Contains(out.String(), "Cores") {
 		t.Fatalf("code %d, %q", code, out.String())
 	}
