--- a/internal/app/lists.go
+++ b/internal/app/lists.go
@@ -31,7 +31,7 @@
 	found := func(mark discovery.Fingerprint, servers []inventory.Server) {
 		r.loop.Deliver(func() { r.takeFound(w, mark, servers) })
 	}
-	cfg := discovery.Config{SettleTime: op.InventoryWatch.SettleMs * 1000, MaxShrink: op.InventoryWatch.MaxShrink}
+	cfg := discovery.Config{SettleTime: time.Duration(op.InventoryWatch.SettleMs) * time.Millisecond, MaxShrink: op.InventoryWatch.MaxShrink}
 	w = discovery.Watch(
 		op.InventoryPath,
 		cfg,
--- a/internal/app/lists_test.go
+++ b/internal/app/lists_test.go
@@ -52,7 +52,7 @@
 	}
 	other := discovery.Watch(
 		op.InventoryPath,
-		discovery.Config{SettleTime: time.Hour.Microseconds()},
+		discovery.Config{SettleTime: time.Hour},
 		time.Hour,
 		op.InventoryFingerprint,
 		op.Servers,
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -1,187 +1,181 @@
-// Package discovery decides when a changed inventory is read, and whether what was read is taken.
-// It is free of I/O: it is told what files look like, what they were found to mean, and the time.
+// Package discovery decides when a changed inventory is read, and whether the list that was read is
+// accepted. The Validator does no I/O; the Watcher applies it to files.
 //
-// A list is read once it has stayed as it is for a while, so that what is still being written is
-// let alone; one that never rests is read all the same after some time, since its tool may write it
-// whole each time. It is taken whole or not at all. One that is wrong, or has lost many of its
-// servers at once, is refused once, with the reason, and the last good one stays; a loss that is
-// meant is confirmed by whoever says so (HUP).
+// The files are read when they have not changed for a settle time, so that a file is not read while it
+// is written, or after some settle times if they keep changing. A list is accepted as a whole or not
+// at all. A list that is invalid, or that lacks many of the accepted servers, is rejected once, with
+// the reason, and the accepted list stays; SIGHUP confirms a loss that is intended.
 package discovery
 
 import (
 	"fmt"
+	"time"
 
 	"ryepaddle/internal/inventory"
 )
 
-// Config is how it decides. Times are microseconds.
+// Config configures a Validator.
 type Config struct {
-	SettleTime int64   // files have to stay as they are for so long
-	MaxShrink  float64 // a list that has lost more than this share of its servers is refused
+	// SettleTime is how long the files have to stay unchanged before they are read.
+	SettleTime time.Duration
+	// MaxShrink is the largest share of the accepted servers, from 0 to 1, that a list may lack.
+	MaxShrink float64
 }
 
-// restless is how many times the time to settle is waited for files that never do.
-const restless = 5
+// maxSettleFactor is after how many settle times files that keep changing are read all the same.
+const maxSettleFactor = 5
 
-// Fingerprint stands for all that is in the files of an inventory: another mark means other files.
+// Fingerprint identifies the contents of an inventory's files; 0: they cannot be read.
 type Fingerprint uint64
 
-// Validator is the state of an inventory's files. It is used by one goroutine.
+// Validator is the state of an inventory's files. Times are monotonic and above 0. It is not safe for
+// concurrent use.
 type Validator struct {
-	cfg     Config
-	seen    Fingerprint // as they look now
-	since   int64
-	moving  int64 // since when they have not been as they were taken or refused; 0: they are
-	taken   Fingerprint
-	current []inventory.Server
-	refused Fingerprint
-	reason  string
-	offered Fingerprint // was handed over, and is not yet answered
-	version int         // of the list that holds, whoever brought it
-	reading int         // the version when the files were last found to be read
+	config     Config
+	observed   Fingerprint // of the last observation
+	observedAt time.Duration
+	// unsettledSince is when the files began to differ from what was accepted or rejected; 0: they do
+	// not.
+	unsettledSince time.Duration
+
+	acceptedFingerprint Fingerprint
+	accepted            []inventory.Server
+	rejectedFingerprint Fingerprint
+	rejectReason        string
+	pending             Fingerprint // of a list that was handed over and is neither accepted nor rejected
+	version             int         // of the accepted list
+	readVersion         int         // version when the files were last found to be due
 }
 
-// New begins with a list that was taken.
-func New(cfg Config, mark Fingerprint, servers []inventory.Server) *Validator {
-	return &Validator{cfg: cfg, seen: mark, taken: mark, current: servers}
+// New returns a Validator with an accepted list.
+func New(config Config, fingerprint Fingerprint, servers []inventory.Server) *Validator {
+	return &Validator{
+		config:              config,
+		observed:            fingerprint,
+		acceptedFingerprint: fingerprint,
+		accepted:            servers,
+	}
 }
 
-// Observe notes how the files look, and tells whether they are to be read now.
-func (i *Validator) Observe(mark Fingerprint, now int64) (read bool) {
-	if mark != i.seen {
-		i.seen, i.since = mark, now
+// Observe records the fingerprint of the files, and reports whether they are to be read now.
+func (v *Validator) Observe(fingerprint Fingerprint, now time.Duration) (read bool) {
+	if fingerprint != v.observed {
+		v.observed, v.observedAt = fingerprint, now
 	}
-	if mark == i.taken || mark == i.offered && mark != 0 || mark == i.refused && i.reason != "" {
-		i.moving = 0
+	if v.isSettled(fingerprint) {
+		v.unsettledSince = 0
 		return false
 	}
-	if i.moving == 0 {
-		i.moving = now
+	if v.unsettledSince == 0 {
+		v.unsettledSince = now
 	}
-	i.reading = i.version
-	return now-i.since >= i.cfg.SettleTime || now-i.moving >= restless*i.cfg.SettleTime
+	v.readVersion = v.version
+	settled := now-v.observedAt >= v.config.SettleTime
+	overdue := now-v.unsettledSince >= maxSettleFactor*v.config.SettleTime
+	return settled || overdue
+}
+
+// isSettled reports whether a list with that fingerprint was accepted, rejected or handed over.
+func (v *Validator) isSettled(fingerprint Fingerprint) bool {
+	return fingerprint == v.acceptedFingerprint ||
+		fingerprint == v.pending && fingerprint != 0 ||
+		fingerprint == v.rejectedFingerprint && v.rejectReason != ""
 }
 
-// Verdict is what becomes of a list that was read.
+// Verdict is the decision about a list that was read.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts.
 const (
 	Accept Verdict = iota + 1
-	Reject         // the reason is told once
-	Reread         // it changed while it was read
+	Reject
+	Reread // the files changed while they were read
 )
 
-// ErrShrunk is that of a list that has lost too many of its servers.
-var ErrShrunk error = shrunk.New("a HUP confirms it, if it is meant")
+// ErrShrunk reports a list that lacks too many of the accepted servers.
+var ErrShrunk error = shrunkKind.New("a HUP confirms it, if it is meant")
 
-// Validate decides about what was read, between two looks at the files. A list that was taken
-// meanwhile may be newer than what was read.
-func (i *Validator) Validate(
+// Validate decides about a list that was read, or could not be read because of err, between two
+// fingerprints of the files. A list that was accepted since the files were found to be due may be newer
+// than this one, so that they are read again.
+func (v *Validator) Validate(
 	before, after Fingerprint,
 	servers []inventory.Server,
 	err error,
-	now int64,
+	now time.Duration,
 ) (Verdict, error) {
-	if before != after || i.reading != i.version {
-		i.Observe(after, now)
+	if before != after || v.readVersion != v.version {
+		v.Observe(after, now)
 		return Reread, nil
 	}
 	if err == nil {
-		err = i.checkLoss(servers)
+		err = v.checkShrink(servers)
 	}
 	if err != nil {
-		i.Rejected(before, err)
+		v.Rejected(before, err)
 		return Reject, err
 	}
-	i.offered = before
+	v.pending = before
 	return Accept, nil
 }
 
-func (i *Validator) checkLoss(servers []inventory.Server) error {
-	if len(i.current) == 0 {
-		return nil
-	}
-	in := make(map[string]bool, len(servers))
+// checkShrink returns an error if a list lacks too many of the accepted servers. Disabled servers do not
+// count.
+func (v *Validator) checkShrink(servers []inventory.Server) error {
+	enabled := make(map[string]bool, len(servers))
 	for _, s := range servers {
-		in[s.Name] = s.Weight > 0
+		enabled[s.Name] = s.Weight > 0
 	}
-	lost, all, first := 0, 0, ""
-	for _, s := range i.current {
+	total, lost, firstLost := 0, 0, ""
+	for _, s := range v.accepted {
 		if s.Weight == 0 {
 			continue
 		}
-		if all++; !in[s.Name] {
-			if lost++; first == "" {
-				first = s.Name
-			}
+		total++
+		if enabled[s.Name] {
+			continue
+		}
+		lost++
+		if firstLost == "" {
+			firstLost = s.Name
 		}
 	}
-	if float64(lost) > i.cfg.MaxShrink*float64(all) {
-		return fmt.Errorf(
-			"%d of %d servers are gone from it at once, %s the first of them: %w",
-			lost,
-			all,
-			first,
-			ErrShrunk,
-		)
+	if float64(lost) > v.config.MaxShrink*float64(total) {
+		return fmt.Errorf("%d of %d servers are gone from it at once, %s the first of them: %w",
+			lost, total, firstLost, ErrShrunk)
 	}
 	return nil
 }
 
-// Rejected notes that what the files hold is not taken.
-func (i *Validator) Rejected(mark Fingerprint, why error) {
-	i.refused, i.reason, i.moving, i.offered = mark, why.Error(), 0, 0
+// Rejected records that the list with a fingerprint is rejected.
+func (v *Validator) Rejected(fingerprint Fingerprint, reason error) {
+	v.rejectedFingerprint = fingerprint
+	v.rejectReason = reason.Error()
+	v.unsettledSince = 0
+	v.pending = 0
 }
 
-// Accepted notes a list that holds from now on, whoever brought it.
-func (i *Validator) Accepted(mark Fingerprint, servers []inventory.Server) {
-	i.version++
-	i.taken, i.current, i.refused, i.reason, i.moving, i.offered = mark, servers, 0, "", 0, 0
+// Accepted records the list that is in force from now on, wherever it comes from.
+func (v *Validator) Accepted(fingerprint Fingerprint, servers []inventory.Server) {
+	v.version++
+	v.acceptedFingerprint = fingerprint
+	v.accepted = servers
+	v.rejectedFingerprint = 0
+	v.rejectReason = ""
+	v.unsettledSince = 0
+	v.pending = 0
 }
 
-// IsPending tells whether a list that was handed over still waits to be taken: a HUP may have brought
-// a newer one since.
-func (i *Validator) IsPending(mark Fingerprint) bool { return i.offered == mark && mark != 0 }
-
-// RejectReason is why the files as they are now are not taken; empty: they are, or they have not settled.
-func (i *Validator) RejectReason() string {
-	if i.seen == i.refused {
-		return i.reason
-	}
-	return ""
+// IsPending reports whether a list that was handed over is still to be accepted or rejected. A SIGHUP may
+// have brought a newer one.
+func (v *Validator) IsPending(fingerprint Fingerprint) bool {
+	return v.pending == fingerprint && fingerprint != 0
 }
 
-// Difference is what one list has changed of another.
-type Difference struct{ Added, Removed, Moved, Changed int }
-
-// Diff compares two lists by the names in use.
-func Diff(old, new []inventory.Server) (d Difference) {
-	had := make(map[string]*inventory.Server, len(old))
-	for k := range old {
-		if old[k].Weight > 0 {
-			had[old[k].Name] = &old[k]
-		}
+// RejectReason returns why the list in the files is rejected, or an empty string.
+func (v *Validator) RejectReason() string {
+	if v.observed == v.rejectedFingerprint {
+		return v.rejectReason
 	}
-	for k := range new {
-		s := &new[k]
-		if s.Weight == 0 {
-			continue
-		}
-		switch o := had[s.Name]; {
-		case o == nil:
-			d.Added++
-		case o.Addr != s.Addr:
-			d.Moved++
-		case o.Weight != s.Weight || o.Zone != s.Zone || fmt.Sprint(o.Groups) != fmt.Sprint(s.Groups):
-			d.Changed++
-		}
-		delete(had, s.Name)
-	}
-	d.Removed = len(had)
-	return d
-}
-
-func (d Difference) String() string {
-	return fmt.Sprintf("%d came, %d left, %d moved, %d changed", d.Added, d.Removed, d.Moved, d.Changed)
+	return ""
 }
--- a/internal/discovery/validator_test.go
+++ b/internal/discovery/validator_test.go
@@ -3,10 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
-	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -30,12 +26,12 @@
 	return out
 }
 
-// Files are read once they rest, and once each; those that never rest are read all the same.
-func TestSettling(t *testing.T) {
-	i := New(Config{SettleTime: 100, MaxShrink: 0.5}, 1, servers(4))
+// Files are read once after they have settled; files that keep changing are read all the same.
+func TestFilesAreReadWhenTheyHaveSettled(t *testing.T) {
+	i := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.5}, 1, servers(4))
 	for _, c := range []struct {
 		mark Fingerprint
-		now  int64
+		now  int // microseconds
 		read bool
 	}{
 		{1, 1000, false}, {2, 1010, false}, {2, 1100, false}, {2, 1110, true}, // rested
@@ -50,13 +46,13 @@
 		{1, 1520, false}, {1, 2520, false}, // back to what holds
 		{2, 2600, false}, {2, 2700, true},
 	} {
-		if got := i.Observe(c.mark, c.now); got != c.read {
+		if got := i.Observe(c.mark, time.Duration(c.now)*time.Microsecond); got != c.read {
 			t.Errorf("at %d it looks like %d: read %v", c.now, c.mark, got)
 		}
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestInvalidAndShrunkListsAreRejected(t *testing.T) {
 	bad := errors.New("a.csv:3: wrong")
 	for name, c := range map[string]struct {
 		after   Fingerprint
@@ -96,8 +92,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := New(Config{MaxShrink: 0.5}, 1, servers(4))
-			i.Observe(2, 10)
-			v, err := i.Validate(2, c.after, c.servers, c.err, 10)
+			i.Observe(2, 10*time.Microsecond)
+			v, err := i.Validate(2, c.after, c.servers, c.err, 10*time.Microsecond)
 			why := ""
 			if err != nil {
 				why = err.Error()
@@ -105,11 +101,11 @@
 			if v != c.verdict || why != c.why || i.RejectReason() != c.why {
 				t.Errorf("%v, %q, reason %q", v, why, i.RejectReason())
 			}
-			if again := i.Observe(c.after, 20); again != (v == Reread) {
+			if again := i.Observe(c.after, 20*time.Microsecond); again != (v == Reread) {
 				t.Errorf("read again: %v", again)
 			}
 			i.Accepted(c.after, c.servers) // a HUP
-			if i.RejectReason() != "" || i.Observe(c.after, 30) {
+			if i.RejectReason() != "" || i.Observe(c.after, 30*time.Microsecond) {
 				t.Error("what was confirmed is still refused, or read again")
 			}
 		})
@@ -130,7 +126,7 @@
 	return s
 }
 
-func TestDiff(t *testing.T) {
+func TestDifferenceCountsEnabledServers(t *testing.T) {
 	old, next := servers(5), servers(6)[1:]
 	next[0].Addr = servers(9)[8].Addr
 	next[1].Weight = 3
@@ -140,13 +136,13 @@
 	}
 }
 
-// However files change and whatever is in them, a list is taken only if it is whole and keeps
-// enough of the one that holds, and a good one that rests is taken in the end.
-func TestOnlyGoodListsAreTaken(t *testing.T) {
+// However files change and whatever they hold, a list is accepted only if it is valid and keeps enough
+// servers of the accepted one, and a valid list that settles is accepted in the end.
+func TestOnlyValidListsAreAccepted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		held := servers(10)
-		i := New(Config{SettleTime: 100, MaxShrink: 0.3}, 1, held)
-		now := int64(1)
+		i := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.3}, 1, held)
+		now := time.Microsecond
 		mark := Fingerprint(1)
 		content := map[Fingerprint]int{1: 10} // servers; negative: it cannot be read
 		step := func() {
@@ -170,7 +166,7 @@
 			}
 		}
 		for range 200 {
-			now += rapid.Int64Range(0, 60).Draw(rt, "wait")
+			now += time.Duration(rapid.Int64Range(0, 60).Draw(rt, "wait")) * time.Microsecond
 			if rapid.IntRange(0, 3).Draw(rt, "write") == 0 {
 				mark = Fingerprint(rapid.IntRange(1, 6).Draw(rt, "mark"))
 				if _, known := content[mark]; !known {
@@ -181,7 +177,7 @@
 		}
 		mark, content[99] = 99, len(held)+1
 		for range 4 {
-			now += 60
+			now += 60 * time.Microsecond
 			step()
 		}
 		if len(held) != content[99] {
@@ -190,110 +186,9 @@
 	})
 }
 
-// The watcher sees files that are written, replaced, half-written, gone and back, variables beside
-// them, and folders.
-func TestWatch(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "hosts.yml")
-	write := func(name, text string) {
-		t.Helper()
-		if err := os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	hosts := func(n int) string {
-		return fmt.Sprintf("g:\n  vars: {ansible_host: 127.0.0.1}\n  hosts:\n    n[1:%d]: {}\n", n)
-	}
-	for i := range 9 {
-		write(fmt.Sprintf("host_vars/n%d.yml", i), fmt.Sprintf("uwsgi_port: %d\n", 4000+i))
-	}
-	write("hosts.yml", hosts(3))
-	mark, err := FingerprintOf(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	first, err := inventory.Read(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var mu sync.Mutex
-	var got []string
-	var w *Watcher
-	ready := make(chan struct{})
-	w = Watch(
-		path,
-		Config{SettleTime: 20_000, MaxShrink: 0.5},
-		200*time.Millisecond,
-		mark,
-		first,
-		func(m Fingerprint, s []inventory.Server) {
-			<-ready
-			var names []string
-			for _, x := range s {
-				names = append(names, x.Name+"@"+x.Addr.String())
-			}
-			mu.Lock()
-			got = append(got, strings.Join(names, " "))
-			mu.Unlock()
-			w.Accepted(m, s)
-		},
-	)
-	close(ready)
-	defer w.Stop()
-	await := func(what string, is func() bool) {
-		t.Helper()
-		for deadline := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(deadline) {
-				t.Fatalf("%s does not come: %q, refused: %q", what, got, w.RejectReason())
-			}
-		}
-	}
-	last := func(ending string) func() bool {
-		return func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			return len(got) > 0 && strings.HasSuffix(got[len(got)-1], ending)
-		}
-	}
-	write("hosts.yml", hosts(4))
-	await("a file that was written over", last("n4@127.0.0.1:4004"))
-	write("new", hosts(5))
-	if err := os.Rename(filepath.Join(dir, "new"), path); err != nil {
-		t.Fatal(err)
-	}
-	await("a file that was replaced", last("n5@127.0.0.1:4005"))
-	write("host_vars/n5.yml", "uwsgi_port: 5005\n")
-	await("a variable beside it", last("n5@127.0.0.1:5005"))
-	write("hosts.yml", hosts(6)[:40])
-	await(
-		"the reason of a half-written one",
-		func() bool { return strings.Contains(w.RejectReason(), "the last line has no end") },
-	)
-	if err := os.Remove(path); err != nil {
-		t.Fatal(err)
-	}
-	await(
-		"the reason of one that is gone",
-		func() bool { return strings.Contains(w.RejectReason(), "no such file") },
-	)
-	write("hosts.yml", hosts(1))
-	await(
-		"the reason of one that shrank",
-		func() bool { return strings.Contains(w.RejectReason(), "gone from it at once") },
-	)
-	write("hosts.yml", hosts(6))
-	await("one that is whole again", last("n6@127.0.0.1:4006"))
-	if w.RejectReason() != "" {
-		t.Error(w.RejectReason())
-	}
-}
-
-// A HUP takes a list while the watcher reads, or while what it found waits to be taken: what the
-// watcher has may be older than the HUP's list, and must not come after it. A shrunken list that a
-// HUP has confirmed would be refused from then on.
+// A SIGHUP brings a list while the watcher reads, or while its list is pending. The watcher's list may be
+// older and must not be accepted after it; a shrunken list that SIGHUP confirmed would be rejected from
+// then on.
 func TestAHUPCrossesAListThatWasFound(t *testing.T) {
 	const before, older, confirmed = Fingerprint(1), Fingerprint(2), Fingerprint(3)
 	for name, c := range map[string]struct {
@@ -302,17 +197,23 @@
 	}{
 		"it is being read": {
 			func(*Validator) Verdict { return 0 },
-			func(i *Validator) Verdict { v, _ := i.Validate(older, older, servers(5), nil, 1000); return v },
+			func(i *Validator) Verdict {
+				v, _ := i.Validate(older, older, servers(5), nil, time.Millisecond)
+				return v
+			},
 			Reread},
 		"it waits to be taken": {
-			func(i *Validator) Verdict { v, _ := i.Validate(older, older, servers(5), nil, 1000); return v },
+			func(i *Validator) Verdict {
+				v, _ := i.Validate(older, older, servers(5), nil, time.Millisecond)
+				return v
+			},
 			func(*Validator) Verdict { return Accept },
 			Accept},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := New(Config{SettleTime: 100, MaxShrink: 0.5}, before, servers(4))
-			i.Observe(older, 10)
-			if !i.Observe(older, 110) {
+			i := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.5}, before, servers(4))
+			i.Observe(older, 10*time.Microsecond)
+			if !i.Observe(older, 110*time.Microsecond) {
 				t.Fatal("it is not read")
 			}
 			c.first(i)
@@ -323,7 +224,7 @@
 			if i.IsPending(older) {
 				t.Error("the older list would be taken")
 			}
-			if i.Observe(confirmed, 2000) || i.RejectReason() != "" {
+			if i.Observe(confirmed, 2000*time.Microsecond) || i.RejectReason() != "" {
 				t.Errorf("the HUP's list is read again, or refused: %q", i.RejectReason())
 			}
 		})
--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-func TestRanges(t *testing.T) {
+func TestPatternsOfHostsAreExpanded(t *testing.T) {
 	for name, want := range map[string]string{
 		"one":                  "one",
 		"n[1:3]":               "n1 n2 n3",
@@ -88,7 +88,7 @@
 
 // A list means here what it means to the tool that keeps it: ranges, groups of groups, and
 // variables beside the file.
-func TestAsTheToolReadsIt(t *testing.T) {
+func TestVariablesAreResolvedAsAnsibleDoes(t *testing.T) {
 	files := map[string]string{"hosts.yaml": halls,
 		"host_vars/runner-01.haninge.example.org.yml":      "ansible_host: 127.0.0.1\n",
 		"host_vars/runner-02.haninge.example.org/main.yml": "ansible_host: 127.0.0.2\nweight: 5\n",
@@ -117,57 +117,60 @@
 	}
 }
 
+// invalidListsAreRejectedWithFileAndLineCases are cases of TestInvalidListsAreRejectedWithFileAndLine.
+var invalidListsAreRejectedWithFileAndLineCases = []struct {
+	name, text, want string
+}{
+	{
+		"a.csv",
+		"name,address,group\na,127.0.0.1:1,g\nb,127.0.0.1:2,to",
+		"a.csv:3: the last line has no end: the file may be cut off",
+	},
+	{"a.yaml", "g:\n  hosts:\n    a: {address: \"127.0.0.1:1\"}", "a.yaml:3: the last line has no end"},
+	{
+		"a.csv",
+		"name,address,group\na,127.0.0.1:1,g\nb,127.0.0.1:1,g\n",
+		"a.csv:3: server b has the address of a on line 2",
+	},
+	{
+		"a.yaml",
+		"g:\n  vars: {ansible_host: 127.0.0.1}\n  hosts:\n    n[1:2]:\n",
+		"a.yaml:4: server n2 has the address of n1 on line 4",
+	},
+	{
+		"a.csv",
+		"name,address,group\nn[1:2],127.0.0.1:1,g\n",
+		`a.csv:2: name "n[1:2]" stands for 2 hosts, and one address`,
+	},
+	{"a.yaml", "g:\n  hosts:\n    n[1:: {address: \"127.0.0.1:1\"}\n", "a.yaml:3: "},
+	{
+		"a.yaml",
+		"g:\n  hosts:\n    n1: {address: \"127.0.0.1:1\"}\n    n[1:2]: {}\n",
+		"a.yaml:4: duplicate name n1 in group g, first on line 3",
+	},
+	{
+		"a.yaml",
+		"g:\n  children:\n    h:\n      children:\n        g:\n",
+		"a.yaml:5: group g is a child of itself",
+	},
+	{
+		"a.csv",
+		"name,address,group,hall\na,127.0.0.1:1,g,solna\na,127.0.0.1:1,g,haninge\n",
+		`a.csv:3: server a is in hall "haninge", and in "solna" on line 2`,
+	},
+	{"a.yaml", "h:\n  vars: {hall: haninge}\n  hosts: {runner-09: {address: \"127.0.0.1:9\"}}\ns:\n " +
+		" vars: {hall: solna}\n  hosts: {runner-09: }\n",
+		`a.yaml:5: server runner-09 is in hall "solna" by group s, and in "haninge" on line 2 of a.yaml`},
+	{
+		"a.yaml",
+		"g:\n  hosts:\n    a: {address: \"127.0.0.1:1\", weight: 1}\nh:\n  hosts:\n    a: {weight: 2}\n",
+		"a.yaml:6: server a has another weight on line 3",
+	},
+}
+
 // What would be read as something else is refused, with file, line and reason.
-func TestRefusedLists(t *testing.T) {
-	for _, c := range []struct {
-		name, text, want string
-	}{
-		{
-			"a.csv",
-			"name,address,group\na,127.0.0.1:1,g\nb,127.0.0.1:2,to",
-			"a.csv:3: the last line has no end: the file may be cut off",
-		},
-		{"a.yaml", "g:\n  hosts:\n    a: {address: \"127.0.0.1:1\"}", "a.yaml:3: the last line has no end"},
-		{
-			"a.csv",
-			"name,address,group\na,127.0.0.1:1,g\nb,127.0.0.1:1,g\n",
-			"a.csv:3: server b has the address of a on line 2",
-		},
-		{
-			"a.yaml",
-			"g:\n  vars: {ansible_host: 127.0.0.1}\n  hosts:\n    n[1:2]:\n",
-			"a.yaml:4: server n2 has the address of n1 on line 4",
-		},
-		{
-			"a.csv",
-			"name,address,group\nn[1:2],127.0.0.1:1,g\n",
-			`a.csv:2: name "n[1:2]" stands for 2 hosts, and one address`,
-		},
-		{"a.yaml", "g:\n  hosts:\n    n[1:: {address: \"127.0.0.1:1\"}\n", "a.yaml:3: "},
-		{
-			"a.yaml",
-			"g:\n  hosts:\n    n1: {address: \"127.0.0.1:1\"}\n    n[1:2]: {}\n",
-			"a.yaml:4: duplicate name n1 in group g, first on line 3",
-		},
-		{
-			"a.yaml",
-			"g:\n  children:\n    h:\n      children:\n        g:\n",
-			"a.yaml:5: group g is a child of itself",
-		},
-		{
-			"a.csv",
-			"name,address,group,hall\na,127.0.0.1:1,g,solna\na,127.0.0.1:1,g,haninge\n",
-			`a.csv:3: server a is in hall "haninge", and in "solna" on line 2`,
-		},
-		{"a.yaml", "h:\n  vars: {hall: haninge}\n  hosts: {runner-09: {address: \"127.0.0.1:9\"}}\ns:\n " +
-			" vars: {hall: solna}\n  hosts: {runner-09: }\n",
-			`a.yaml:5: server runner-09 is in hall "solna" by group s, and in "haninge" on line 2 of a.yaml`},
-		{
-			"a.yaml",
-			"g:\n  hosts:\n    a: {address: \"127.0.0.1:1\", weight: 1}\nh:\n  hosts:\n    a: {weight: 2}\n",
-			"a.yaml:6: server a has another weight on line 3",
-		},
-	} {
+func TestInvalidListsAreRejectedWithFileAndLine(t *testing.T) {
+	for _, c := range invalidListsAreRejectedWithFileAndLineCases {
 		_, err := Parse(c.name, []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %s", c.text, err, c.want)
@@ -190,7 +193,7 @@
 }
 
 // A server's hall is its own variable, or its group's; a group below another refines it.
-func TestHalls(t *testing.T) {
+func TestZonesFollowFromHostsAndGroups(t *testing.T) {
 	text := "all:\n  vars: {hall: somewhere}\n  children:\n    h:\n      vars: {hall: haninge}\n      " +
 		"hosts:\n        a: {address: \"127.0.0.1:1\"}\n" +
 		"    s:\n      vars: {hall: solna}\n      hosts:\n        b: {address: \"127.0.0.1:2\"}\n       " +
--- a/internal/inventory/digest.go
+++ b/internal/inventory/fingerprint.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Files are all that an inventory is read from: the file, or those of the folder, and the variables
-// beside.
+// Files returns the paths of all files that an inventory is read from: the file or those of the folder,
+// and the variables beside it.
 func Files(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return files, nil
 }
 
-// Digest stands for the names and contents of an inventory's files. It is never nought.
-func Digest(path string) (uint64, error) {
+// Fingerprint returns a hash of the names and contents of an inventory's files. It is never 0.
+func Fingerprint(path string) (uint64, error) {
 	files, err := Files(path)
 	if err != nil {
 		return 0, err
@@ -52,7 +52,7 @@
 		if err != nil {
 			return 0, err
 		}
-		_, _ = h.WriteString(name) // it never fails
+		_, _ = h.WriteString(name) // a hash never fails
 		_, _ = h.Write([]byte{0})
 		_, _ = h.Write(text)
 		_, _ = h.Write([]byte{0, 0})
--- a/internal/inventory/ranges.go
+++ b/internal/inventory/ranges.go
@@ -6,13 +6,12 @@
 	"strings"
 )
 
-// mostHosts bounds what one pattern may stand for.
-const mostHosts = 10_000
+// maxHosts bounds the hosts of one pattern.
+const maxHosts = 10_000
 
-// expand gives the hosts that a name stands for, as configuration tools read it:
-// runner-[01:17].example.org is runner-01 to runner-17, [a:f] is letters, and a third figure is a
-// step. Several ranges give all combinations. A bracket that is no range is an error: taken for a
-// name, it would be one host that nobody has.
+// expand returns the hosts of a pattern as Ansible expands it: runner-[01:17].example.org is runner-01 to
+// runner-17, [a:f] are letters, and a third number is a step. Several ranges give all combinations. A
+// bracket that is no range is an error.
 func expand(name string) ([]string, error) {
 	open := strings.IndexByte(name, '[')
 	if open < 0 {
@@ -25,7 +24,7 @@
 	if end < 0 {
 		return nil, fmt.Errorf("name %q: [ without ]", name)
 	}
-	values, err := span(name[open+1 : open+end])
+	values, err := expandRange(name[open+1 : open+end])
 	if err != nil {
 		return nil, fmt.Errorf("name %q: %w", name, err)
 	}
@@ -33,8 +32,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(values)*len(rest) > mostHosts {
-		return nil, fmt.Errorf("name %q: over %d hosts", name, mostHosts)
+	if len(values)*len(rest) > maxHosts {
+		return nil, fmt.Errorf("name %q: over %d hosts", name, maxHosts)
 	}
 	var out []string
 	for _, v := range values {
@@ -45,8 +44,8 @@
 	return out, nil
 }
 
-// span gives the values of a range, both ends in it.
-func span(text string) ([]string, error) {
+// expandRange returns the values of a range, including both ends.
+func expandRange(text string) ([]string, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 2 || len(parts) > 3 {
 		return nil, fmt.Errorf("range [%s]: want [first:last] or [first:last:step]", text)
@@ -59,39 +58,50 @@
 		}
 	}
 	first, last := parts[0], parts[1]
-	if letter(first) && letter(last) {
-		if first[0] > last[0] {
-			return nil, fmt.Errorf("range [%s]: it ends before it begins", text)
-		}
-		var out []string
-		for c := int(first[0]); c <= int(last[0]); c += step {
-			out = append(out, string(rune(c)))
-		}
-		return out, nil
+	if isLetter(first) && isLetter(last) {
+		return expandLetters(text, first[0], last[0], step)
+	}
+	return expandNumbers(text, first, last, step)
+}
+
+// expandLetters returns the letters of a range.
+func expandLetters(text string, first, last byte, step int) ([]string, error) {
+	if first > last {
+		return nil, fmt.Errorf("range [%s]: it ends before it begins", text)
 	}
-	from, err := strconv.ParseUint(first, 10, 31)
-	to, err2 := strconv.ParseUint(last, 10, 31)
+	var letters []string
+	for c := int(first); c <= int(last); c += step {
+		letters = append(letters, string(rune(c)))
+	}
+	return letters, nil
+}
+
+// expandNumbers returns the numbers of a range. A first number with leading zeros sets the width of all.
+func expandNumbers(text, first, last string, step int) ([]string, error) {
+	from, fromErr := strconv.ParseUint(first, 10, 31)
+	to, toErr := strconv.ParseUint(last, 10, 31)
 	switch {
-	case err != nil || err2 != nil:
+	case fromErr != nil || toErr != nil:
 		return nil, fmt.Errorf("range [%s]: want numbers, or letters of one case", text)
 	case len(first) > 1 && first[0] == '0' && len(first) != len(last):
 		return nil, fmt.Errorf("range [%s]: both ends have to be of one width", text)
 	case from > to:
 		return nil, fmt.Errorf("range [%s]: it ends before it begins", text)
-	case (to-from)/uint64(step) >= mostHosts:
-		return nil, fmt.Errorf("range [%s]: over %d hosts", text, mostHosts)
+	case (to-from)/uint64(step) >= maxHosts:
+		return nil, fmt.Errorf("range [%s]: over %d hosts", text, maxHosts)
 	}
 	width := 0
 	if first[0] == '0' {
 		width = len(first)
 	}
-	var out []string
+	var numbers []string
 	for n := from; n <= to; n += uint64(step) {
-		out = append(out, fmt.Sprintf("%0*d", width, n))
+		numbers = append(numbers, fmt.Sprintf("%0*d", width, n))
 	}
-	return out, nil
+	return numbers, nil
 }
 
-func letter(s string) bool {
+// isLetter reports whether s is a single ASCII letter.
+func isLetter(s string) bool {
 	return len(s) == 1 && (s[0] >= 'a' && s[0] <= 'z' || s[0] >= 'A' && s[0] <= 'Z')
 }
--- /dev/null
+++ b/internal/inventory/resolve.go
@@ -0,0 +1,111 @@
+package inventory
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// resolve adds the servers of all hosts. A host has the variables of its groups, the outermost group
+// first and at one depth by name, then its own; it belongs to each group that it is in or below.
+func (h *hierarchy) resolve() error {
+	for _, g := range h.groupOrder {
+		g.depth = g.maxDepth()
+	}
+	for _, host := range h.hostOrder {
+		var groups []*group
+		for _, g := range host.groups {
+			groups = g.appendAncestors(groups)
+		}
+		merged, err := h.mergeVariables(host, groups)
+		if err != nil {
+			return err
+		}
+		if err := h.addServer(host, merged, groups); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// mergeVariables returns the variables of a host with those of its groups. Two groups that set different
+// zones are an error unless one is below the other: Ansible would take the last one by name.
+func (h *hierarchy) mergeVariables(host *host, groups []*group) (variables, error) {
+	ordered := slices.Clone(groups)
+	slices.SortStableFunc(ordered, func(a, b *group) int {
+		return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.name, b.name))
+	})
+	merged := variables{}
+	for _, g := range ordered {
+		before, zone := merged["hall"], g.variables["hall"]
+		differs := before.text != "" && zone.text != "" && before.text != zone.text
+		if differs && host.variables["hall"].text == "" && !g.overrides(before, ordered) {
+			h.file = zone.file
+			return nil, h.errorAt(zone.line, fmt.Errorf(
+				"server %s is in hall %q by group %s, and in %q on line %d of %s",
+				host.name, zone.text, g.name, before.text, before.line, filepath.Base(before.file)))
+		}
+		maps.Copy(merged, g.variables)
+	}
+	maps.Copy(merged, host.variables)
+	return merged, nil
+}
+
+// overrides reports whether a group is below the one that sets a zone.
+func (g *group) overrides(zone variable, groups []*group) bool {
+	return slices.ContainsFunc(groups, func(other *group) bool {
+		return other != g && other.variables["hall"] == zone && g.isWithin(other)
+	})
+}
+
+// maxDepth returns the longest way from a group to one without parents.
+func (g *group) maxDepth() (depth int) {
+	for _, parent := range g.parents {
+		depth = max(depth, parent.maxDepth()+1)
+	}
+	return depth
+}
+
+// appendAncestors appends a group and all groups that it is below, each once.
+func (g *group) appendAncestors(groups []*group) []*group {
+	if slices.Contains(groups, g) {
+		return groups
+	}
+	groups = append(groups, g)
+	for _, parent := range g.parents {
+		groups = parent.appendAncestors(groups)
+	}
+	return groups
+}
+
+// addServer adds the server of a host. Its address is the variable address, or ansible_host with the
+// port uwsgi_port.
+func (h *hierarchy) addServer(host *host, v variables, groups []*group) error {
+	h.file = host.file
+	address := v["address"].text
+	if address == "" {
+		ip := v["ansible_host"].text
+		if ip == "" {
+			return h.errorAt(host.line, fmt.Errorf("server %s: missing address or ansible_host", host.name))
+		}
+		if strings.Contains(ip, ":") {
+			ip = "[" + strings.Trim(ip, "[]") + "]"
+		}
+		address = ip + ":" + cmp.Or(v["uwsgi_port"].text, defaultPort)
+	}
+	names := make([]string, len(groups))
+	for i, g := range groups {
+		names[i] = g.name
+	}
+	return h.addRow(host.line, serverRow{
+		name:    host.name,
+		address: address,
+		groups:  names,
+		zone:    v["hall"].text,
+		weight:  v["weight"].text,
+		state:   v["state"].text,
+	})
+}
