--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -13,6 +13,7 @@
 	"ryepaddle/internal/frontend/control"
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
 )
 
 // run carries out a command line.
@@ -30,7 +31,7 @@
 		t.Fatal(err)
 	}
 	now := time.Now().UnixMicro()
-	j, _, err := store.OpenJournal(store.Dir(dir), now, store.DefaultOptions())
+	j, _, err := store.OpenJournal(store.Dir(dir), wallclock.UnixMicro(now), store.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +40,7 @@
 			Kind:  store.RunStarted,
 			Name:  store.KeyName{Class: "hand-in", Key: fmt.Sprint("key", k)},
 			Owner: 1,
-			Until: now + 60_000_000,
+			Until: wallclock.UnixMicro(now + 60_000_000),
 		}
 		if err := j.Commit([]*store.Record{r}); err != nil {
 			t.Fatal(err)
--- a/cmd/runner/store.go
+++ b/cmd/runner/store.go
@@ -10,6 +10,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/wallclock"
 )
 
 type storeCmd struct {
@@ -41,7 +42,7 @@
 		return nil, badInput{fmt.Errorf("%s is no folder", dir)}
 	}
 	for range 20 {
-		f, err := store.Read(store.Dir(dir), time.Now().UnixMicro(), store.DefaultOptions())
+		f, err := store.Read(store.Dir(dir), wallclock.FromTime(time.Now()), store.DefaultOptions())
 		if !errors.Is(err, os.ErrNotExist) {
 			var format *store.FormatError
 			if errors.As(err, &format) {
@@ -89,7 +90,7 @@
 			k.Name.Tenant,
 			k.Name.Key,
 			"begun",
-			time.UnixMicro(k.ExpiresAt).UTC(),
+			time.UnixMicro(int64(k.ExpiresAt)).UTC(),
 			0,
 			fmt.Sprintf("%x", k.Owner),
 			hex.EncodeToString(k.BodyHash[:8]),
@@ -201,7 +202,7 @@
 	}
 	opt := store.DefaultOptions()
 	opt.Repair = c.Repair
-	j, f, err := store.OpenJournal(dir, time.Now().UnixMicro(), opt)
+	j, f, err := store.OpenJournal(dir, wallclock.FromTime(time.Now()), opt)
 	var damage *store.DamageError
 	if errors.As(err, &damage) {
 		err = badInput{err}
@@ -235,7 +236,7 @@
 	if err := os.Mkdir(c.To, 0o700); err != nil {
 		return badInput{err}
 	}
-	if err := store.WriteSnapshot(store.Dir(c.To), f.Keys, time.Now().UnixMicro()); err != nil {
+	if err := store.WriteSnapshot(store.Dir(c.To), f.Keys, wallclock.FromTime(time.Now())); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/runner/stored_test.go
+++ b/cmd/runner/stored_test.go
@@ -9,6 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/wallclock"
 )
 
 // writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
@@ -31,14 +32,14 @@
 		t.Fatal(err)
 	}
 	const now = 1_700_000_000_000_000
-	j, _, err := store.OpenJournal(store.Dir(dir), now, store.DefaultOptions())
+	j, _, err := store.OpenJournal(store.Dir(dir), wallclock.UnixMicro(now), store.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
 	record := func(kind store.RecordKind, key string) *store.Record {
 		r := &store.Record{
-			Kind: kind, Name: store.KeyName{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, At: now,
-			Until: storedUntil, Body: [32]byte{1, 2, 3},
+			Kind: kind, Name: store.KeyName{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, At: wallclock.UnixMicro(now),
+			Until: wallclock.UnixMicro(storedUntil), Body: [32]byte{1, 2, 3},
 		}
 		if kind == store.RunEnded {
 			r.Result = &store.Result{
@@ -50,7 +51,7 @@
 	if err := j.Commit([]*store.Record{record(store.RunStarted, "a"), record(store.RunStarted, "b"), record(store.RunEnded, "b")}); err != nil {
 		t.Fatal(err)
 	}
-	snapshot, err := j.BeginSnapshot(now)
+	snapshot, err := j.BeginSnapshot(wallclock.UnixMicro(now))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -8,6 +8,7 @@
 	"os/signal"
 	"sync/atomic"
 	"syscall"
+	"time"
 
 	"ryepaddle/internal/balancer/waitqueue"
 	"ryepaddle/internal/config"
@@ -212,7 +213,7 @@
 	if r.keep != nil {
 		r.keep.Restore(r.restore, r.storeFailed)
 	}
-	l.Every(statusEvery, r.status)
+	l.Every(time.Duration(statusEvery)*time.Microsecond, r.status)
 	return r, r.startListening()
 }
 
@@ -221,11 +222,11 @@
 	l := r.loop
 	return lifecycle.Host{
 		Now: l.Now, Unix: l.Unix,
-		After:        func(d int64, fn func()) func() { return l.After(d, fn).Stop },
+		After:        func(d time.Duration, fn func()) func() { return l.After(d, fn).Stop },
 		Measure:      r.link.Gauges,
 		SetHealth:    r.health,
 		Advertise:    r.front.SetAdvertisedValue,
-		CloseIdle:    r.front.SetIdleTimeout,
+		CloseIdle:    func(idle time.Duration) { r.front.SetIdleTimeout(idle.Microseconds()) },
 		Route:        func(class int) lifecycle.Runner { return r.routes[class] },
 		ShouldRetry:  r.again,
 		RetryAfter:   r.backOf,
--- a/internal/app/beside.go
+++ b/internal/app/beside.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/config"
@@ -31,7 +32,12 @@
 type claimer struct{ r *Program }
 
 // Reserve implements lifecycle.Reservations.
-func (c claimer) Reserve(k lifecycle.KeyRecord, within int64, free func() bool, done func(bool, error)) {
+func (c claimer) Reserve(
+	k lifecycle.KeyRecord,
+	within time.Duration,
+	free func() bool,
+	done func(bool, error),
+) {
 	switch {
 	case c.r.claims != nil:
 		c.r.claims.Reserve(k, within, free, done)
@@ -70,13 +76,21 @@
 	var err error
 	r.claims, err = reservation.Open(
 		r.loop,
-		reservation.Config{Dir: dir, Runner: r.cfg.Name + " " + r.cfg.Listen.String(), Incarnation: uint32(life),
-			Window: window + keyLate, MaxResultBytes: int64(r.cfg.MemoryMB) << 20 / resultsPart, OnProcessesChanged: r.beside,
-			After: func(d int64, fn func()) { r.loop.After(d, fn) }},
+		reservation.Config{
+			Dir:         dir,
+			Runner:      r.cfg.Name + " " + r.cfg.Listen.String(),
+			Incarnation: uint32(life),
+			Window: time.Duration(
+				window+keyLate,
+			) * time.Microsecond,
+			MaxResultBytes:     int64(r.cfg.MemoryMB) << 20 / resultsPart,
+			OnProcessesChanged: r.beside,
+			After:              func(d time.Duration, fn func()) { r.loop.After(d, fn) },
+		},
 		r.core,
 	)
 	if r.unclaimed = errors.Is(err, reservation.ErrLockHeld); r.unclaimed {
-		r.loop.After(claimsAgain, func() { r.startClaims(life) })
+		r.loop.After(time.Duration(claimsAgain)*time.Microsecond, func() { r.startClaims(life) })
 	}
 	if err != nil {
 		evAlone.Log(err)
@@ -120,7 +134,7 @@
 // them.
 func (r *Program) listen() error {
 	if r.parts > 1 && r.cfg.Engine.IsValid() && !r.link.IsConnected() {
-		r.loop.After(lookReady, func() {
+		r.loop.After(time.Duration(lookReady)*time.Microsecond, func() {
 			if err := r.listen(); err != nil {
 				r.fatal = err
 				r.loop.Stop()
@@ -171,7 +185,7 @@
 // runs out, and each connection is closed as it has nothing open.
 func (r *Program) retire() {
 	r.leaving = true
-	began, most := r.loop.Now(), stay(r.cfg)
+	began, most := r.loop.Now().Microseconds(), stay(r.cfg)
 	if r.roster != nil {
 		r.roster.Close()
 	}
@@ -182,22 +196,22 @@
 		r.second.Drain()
 	}
 	evRetire.Log(r.core.OpenRequests(), most/1000)
-	r.loop.After(most-retireDrain, func() {
+	r.loop.After(time.Duration(most-retireDrain)*time.Microsecond, func() {
 		set := r.part(r.cfg.Settings)
 		set.DrainGrace = 0
 		if _, err := r.core.Configure(set); err != nil {
 			evNotTaken.Log(fmt.Errorf("drain: %w", err))
 		}
-		r.core.Drain(retireDrain)
+		r.core.Drain(time.Duration(retireDrain) * time.Microsecond)
 	})
 	var look func()
 	look = func() {
-		past := r.loop.Now() - began
+		past := r.loop.Now().Microseconds() - began
 		if r.conns() == 0 && r.core.IsIdle() && !r.front.IsListening() || past > most-drainSpare {
 			r.finish(past)
 			return
 		}
-		r.loop.After(drainLook, look)
+		r.loop.After(time.Duration(drainLook)*time.Microsecond, look)
 	}
 	look()
 }
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -33,13 +33,13 @@
 		r.figures = metrics.New(r.className, kindNames, r.gauges)
 		all = append(
 			all,
-			func(t *lifecycle.Trace) { r.recent.Add(t, r.loop.Unix()) },
+			func(t *lifecycle.Trace) { r.recent.Add(t, int64(r.loop.Unix())) },
 			r.figures.Observe,
 			r.tellAnswered,
 		)
 	}
 	if r.spans != nil {
-		all = append(all, func(t *lifecycle.Trace) { r.spans.Record(t, r.loop.Unix()) })
+		all = append(all, func(t *lifecycle.Trace) { r.spans.Record(t, int64(r.loop.Unix())) })
 	}
 	if len(all) == 0 {
 		return nil
@@ -64,7 +64,7 @@
 		r.cfg.Settings.Classes[t.Class].Name,
 		kindNames[t.Status],
 		t.Cause,
-		float64(t.AnsweredAt-t.ArrivedAt)/1000,
+		float64(int64(t.AnsweredAt)-int64(t.ArrivedAt))/1000,
 		t.AttemptCount,
 		server,
 	)
@@ -77,7 +77,11 @@
 		draining = 1
 	}
 	out := []metrics.Sample{
-		{Name: "ryepaddle_open", Help: "Requests that are owed an answer.", Value: float64(r.core.OpenRequests())},
+		{
+			Name:  "ryepaddle_open",
+			Help:  "Requests that are owed an answer.",
+			Value: float64(r.core.OpenRequests()),
+		},
 		{Name: "ryepaddle_connections", Help: "Connections of callers.", Value: float64(r.conns())},
 		{Name: "ryepaddle_draining", Help: "1: the program leaves.", Value: draining},
 	}
@@ -610,23 +614,23 @@
 		Repeats:   x.OriginalID,
 		Class:     r.cfg.Settings.Classes[x.Class].Name,
 		Caller:    x.Caller,
-		ArrivedMs: x.ArrivedAt / 1000,
+		ArrivedMs: int64(x.ArrivedAt) / 1000,
 		TookMs: ms(
-			x.AnsweredAt - x.ArrivedAt,
+			int64(x.AnsweredAt) - int64(x.ArrivedAt),
 		),
 		End:        kindNames[x.Status],
 		Value:      x.Value,
 		Limit:      x.Limit,
-		ComeBackMs: x.RetryAfter / 1000,
+		ComeBackMs: x.RetryAfter.Microseconds() / 1000,
 		MoreTries:  max(x.AttemptCount-len(x.Attempts), 0),
 	}
 	if x.Tenant >= 0 && x.Tenant < len(r.cfg.Settings.Tenants) {
 		e.Tenant = r.cfg.Settings.Tenants[x.Tenant].Name
 	}
-	if e.WaitedMs = e.TookMs; x.StartedAt > 0 {
-		e.WaitedMs = ms(x.StartedAt - x.ArrivedAt)
+	if e.WaitedMs = e.TookMs; int64(x.StartedAt) > 0 {
+		e.WaitedMs = ms(int64(x.StartedAt) - int64(x.ArrivedAt))
 	}
-	if e.KeptMs = ms(x.KeyWait); x.KeyWait > 0 {
+	if e.KeptMs = ms(x.KeyWait.Microseconds()); x.KeyWait.Microseconds() > 0 {
 		if e.KeptBy = "disk"; r.peers != nil {
 			e.KeptBy = "copies"
 		}
@@ -638,7 +642,7 @@
 		e.Stands = x.Represents
 	}
 	for _, h := range x.Attempts[:min(x.AttemptCount, len(x.Attempts))] {
-		e.Tries = append(e.Tries, Tried{h.Server, ms(h.Duration), outcomeNames[h.Outcome]})
+		e.Tries = append(e.Tries, Tried{h.Server, ms(h.Duration.Microseconds()), outcomeNames[h.Outcome]})
 	}
 	return e
 }
--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -1,5 +1,7 @@
 package app
 
+import "time"
+
 // Times of a drain, in microseconds.
 const (
 	drainLook  = 20_000
@@ -18,9 +20,9 @@
 	}
 	r.leaving = true
 	// a HUP that comes now does not move the time at which the process is stopped
-	began, stop := r.loop.Now(), r.cfg.StopTimeout
+	began, stop := r.loop.Now().Microseconds(), r.cfg.StopTimeout
 	evDrain.Log(r.core.OpenRequests())
-	r.core.Drain(stop)
+	r.core.Drain(time.Duration(stop) * time.Microsecond)
 	if r.peers != nil {
 		r.peers.Leases().ReleaseAll()
 	}
@@ -28,7 +30,7 @@
 		r.roster.SetAvailable(false)
 	}
 	grace := min(r.cfg.Settings.DrainGrace.Microseconds()+100_000, stop/2)
-	r.loop.After(grace, func() {
+	r.loop.After(time.Duration(grace)*time.Microsecond, func() {
 		if r.listens {
 			r.front.Drain()
 		}
@@ -38,12 +40,12 @@
 	})
 	var look func()
 	look = func() {
-		past := r.loop.Now() - began
+		past := r.loop.Now().Microseconds() - began
 		if r.conns() == 0 && past > grace && !r.front.IsListening() || past > stop-drainSpare {
 			r.finish(past)
 			return
 		}
-		r.loop.After(drainLook, look)
+		r.loop.After(time.Duration(drainLook)*time.Microsecond, look)
 	}
 	look()
 }
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -34,7 +34,9 @@
 
 // half is a request of which the rest does not come.
 func half(id uint16) string {
-	return string(fastcgi.AppendBegin(nil, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true}))
+	return string(
+		fastcgi.AppendBegin(nil, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true}),
+	)
 }
 
 // whole is a request that runs until its deadline, as there is no engine.
@@ -48,7 +50,7 @@
 		{"HTTP_X_CUSTOMER", "north"},
 		{"HTTP_X_HEAP_KB", "20"},
 		{"HTTP_X_IMPORTANCE", "0.5"},
-		{"HTTP_X_QUEUE_START", strconv.FormatInt(s.Unix()/1000, 10)}} {
+		{"HTTP_X_QUEUE_START", strconv.FormatInt(int64(s.Unix())/1000, 10)}} {
 		params = fastcgi.AppendPair(params, p[0], p[1])
 	}
 	b := fastcgi.Append([]byte(half(id)), fastcgi.Params, id, params)
@@ -58,7 +60,7 @@
 
 // passUntil lets time pass until the loop has stopped, or for so long.
 func passUntil(s *scenario.Stepped, most time.Duration) {
-	for end := s.Now() + most.Microseconds(); !s.IsStopped() && s.Now() < end; {
+	for end := s.Now().Microseconds() + most.Microseconds(); !s.IsStopped() && s.Now().Microseconds() < end; {
 		s.Pass(drainLook * time.Microsecond)
 	}
 }
@@ -105,9 +107,9 @@
 	if err := r.take(&longer, nil); err != nil {
 		t.Fatal(err)
 	}
-	began := r.loop.Now()
+	began := r.loop.Now().Microseconds()
 	passUntil(s, 2*stop)
-	if took := time.Duration(r.loop.Now()-began) * time.Microsecond; took >= stop {
+	if took := time.Duration(r.loop.Now().Microseconds()-began) * time.Microsecond; took >= stop {
 		t.Errorf("it ends %v after the notice, and is killed after %v", took, stop)
 	}
 }
--- a/internal/app/keep.go
+++ b/internal/app/keep.go
@@ -1,6 +1,8 @@
 package app
 
 import (
+	"time"
+
 	"ryepaddle/internal/idempotency/persistence"
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/lifecycle"
@@ -21,7 +23,9 @@
 		r.loop,
 		store.Dir(r.op.Store.Dir),
 		persistence.Config{Settings: r.op.Store.Settings(repair),
-			Timeout: r.op.Store.TimeoutMs * 1000, Window: windows},
+			Timeout: time.Duration(
+				r.op.Store.TimeoutMs*1000,
+			) * time.Microsecond, Window: time.Duration(windows) * time.Microsecond},
 	)
 	if err != nil {
 		return nil, err
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -64,7 +64,9 @@
 		return err
 	}
 	send := func(out []usagereplica.Message) { r.loop.Deliver(func() { r.peers.SendUsage(out) }) }
-	return r.meter.StartReplication(metering.ReplicationConfig{Process: cfg.Process, Send: send, RunOnLoop: r.loop.Deliver})
+	return r.meter.StartReplication(
+		metering.ReplicationConfig{Process: cfg.Process, Send: send, RunOnLoop: r.loop.Deliver},
+	)
 }
 
 // endPeers gives the peers' folder back.
@@ -117,7 +119,7 @@
 		m.Name,
 		m.Zone,
 		interval.Microseconds(),
-		c.r.loop.Now(),
+		c.r.loop.Now().Microseconds(),
 		m.State == endpointhealth.InService || m.State == endpointhealth.WarmingUp,
 		d.Holds,
 	)
@@ -131,7 +133,14 @@
 	lease upstream.CheckLease,
 	passed bool,
 ) {
-	c.r.peers.Leases().HealthChecks.RecordResult(lease.Name, lease.Token, group, m.Name, passed, c.r.loop.Now())
+	c.r.peers.Leases().HealthChecks.RecordResult(
+		lease.Name,
+		lease.Token,
+		group,
+		m.Name,
+		passed,
+		c.r.loop.Now().Microseconds(),
+	)
 }
 
 // errNoPeers is that of a runner without peers.
@@ -176,11 +185,11 @@
 		return
 	}
 	u := ledger.Record{
-		AnsweredAt: a.r.loop.Unix(),
+		AnsweredAt: int64(a.r.loop.Unix()),
 		School:     cmp.Or(k.Tenant, NoSchool),
 		Class:      k.Class,
 		Outcome:    ledger.OutcomeServed,
-		Work:       k.ServerTime,
+		Work:       k.ServerTime.Microseconds(),
 	}
 	a.r.key(&u, class, k.Key)
 	a.open[usedKey{u.Class, u.School, k.Key}] = true
--- a/internal/app/record.go
+++ b/internal/app/record.go
@@ -20,7 +20,7 @@
 	if r.op == nil || r.op.TrafficRecording.Dir == "" {
 		return nil
 	}
-	h := traffic.Header{Runner: r.cfg.Name, StartedAt: r.loop.Unix()}
+	h := traffic.Header{Runner: r.cfg.Name, StartedAt: int64(r.loop.Unix())}
 	for _, c := range r.cfg.Settings.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -30,12 +30,18 @@
 	if len(h.Tenants) == 0 {
 		h.Tenants = []string{""}
 	}
-	path := filepath.Join(r.op.TrafficRecording.Dir, fmt.Sprintf("%s-%d.traffic", r.cfg.Name, h.StartedAt/1_000_000))
+	path := filepath.Join(
+		r.op.TrafficRecording.Dir,
+		fmt.Sprintf("%s-%d.traffic", r.cfg.Name, h.StartedAt/1_000_000),
+	)
 	var err error
 	r.rec, err = traffic.Create(
 		path,
 		h,
-		traffic.Options{MaxBytes: int64(r.op.TrafficRecording.MaxMB) << 20, QueueSize: r.op.TrafficRecording.Queue},
+		traffic.Options{
+			MaxBytes:  int64(r.op.TrafficRecording.MaxMB) << 20,
+			QueueSize: r.op.TrafficRecording.Queue,
+		},
 	)
 	if err != nil {
 		evRecordFailed.Log(err)
@@ -48,7 +54,7 @@
 			return
 		}
 		n := traffic.Request{
-			ArrivedAt: q.ArrivedAt,
+			ArrivedAt: int64(q.ArrivedAt),
 			Class:     uint16(q.Class),
 			Tenant:    uint16(max(q.Tenant, 0)),
 			Caller:    q.Caller,
--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -56,9 +56,9 @@
 		if r.groups[name] == nil {
 			h := waitqueue.New(
 				waitqueue.Environment{
-					Now:      func() time.Duration { return micros(r.loop.Now()) },
+					Now:      r.loop.Now,
 					Post:     r.loop.Post,
-					After:    func(d time.Duration, fn func()) { r.loop.After(d.Microseconds(), fn) },
+					After:    func(d time.Duration, fn func()) { r.loop.After(d, fn) },
 					Capacity: func() int { return r.groups[name].Capacity() },
 				},
 				r,
@@ -77,9 +77,6 @@
 	}
 }
 
-// micros is a time or a span of so many microseconds.
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
-
 // nameClasses notes what the classes are called.
 func (r *Program) nameClasses(set admission.Settings) {
 	names := make([]string, len(set.Classes))
@@ -140,10 +137,10 @@
 }
 
 // backOf is how long a caller stays away whom nobody could serve.
-func (r *Program) backOf(class int) int64 {
+func (r *Program) backOf(class int) time.Duration {
 	g := r.behind[class]
 	if g == nil {
 		return 0
 	}
-	return max(g.RetryAfter(), r.routes[class].(*waitqueue.Queue).RetryAfter(class)).Microseconds()
+	return max(g.RetryAfter(), r.routes[class].(*waitqueue.Queue).RetryAfter(class))
 }
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -42,7 +42,7 @@
 func (r *Program) note(t *lifecycle.Trace) {
 	class := &r.cfg.Settings.Classes[t.Class]
 	u := ledger.Record{
-		AnsweredAt:     t.AnsweredAt,
+		AnsweredAt:     int64(t.AnsweredAt),
 		School:         NoSchool,
 		Class:          class.Name,
 		Outcome:        usageEnds[t.Status],
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, h := range t.Attempts[:min(t.AttemptCount, len(t.Attempts))] {
-		u.Work += h.Duration
+		u.Work += h.Duration.Microseconds()
 	}
 	r.meter.Record(u)
 }
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -75,7 +75,9 @@
 			waiting = append(waiting, a)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *lifecycle.Attempt) int { return cmp.Compare(a.Deadline, b.Deadline) })
+	slices.SortFunc(waiting, func(a, b *lifecycle.Attempt) int {
+		return cmp.Compare(a.Deadline, b.Deadline)
+	})
 	for _, a := range waiting {
 		q.next.Run(a)
 	}
@@ -94,8 +96,8 @@
 		Class:         a.Request.Class,
 		Tenant:        a.Request.Tenant,
 		Caller:        a.Request.Caller,
-		Objective:     micros(a.Objective),
-		Deadline:      micros(a.Deadline),
+		Objective:     a.Objective,
+		Deadline:      a.Deadline,
 		MayUseReserve: !a.Idempotent,
 		Attachment:    a,
 	}
@@ -105,9 +107,6 @@
 	q.applyDecisions()
 }
 
-// micros converts a time of package lifecycle, in microseconds.
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
-
 // applyDecisions runs the attempts that were granted a slot, and ends those that were dropped.
 func (q *Queue) applyDecisions() {
 	granted, dropped := q.scheduler.TakeDecisions()
@@ -168,7 +167,11 @@
 	switch outcome {
 	case lifecycle.Faulted, lifecycle.Canceled, lifecycle.UnknownRequest:
 		return bulkhead.Inconclusive
-	case lifecycle.Interrupted, lifecycle.TimedOut, lifecycle.CallRejected, lifecycle.Unreachable, lifecycle.NotStarted:
+	case lifecycle.Interrupted,
+		lifecycle.TimedOut,
+		lifecycle.CallRejected,
+		lifecycle.Unreachable,
+		lifecycle.NotStarted:
 		return bulkhead.Failure
 	}
 	return bulkhead.Success
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -93,8 +93,10 @@
 
 func (r *randomAttempts) begin() {
 	a := &lifecycle.Attempt{
-		Request:    &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(r.t, "class")},
-		Deadline:   r.now.Microseconds() + rapid.Int64Range(0, 2_000_000).Draw(r.t, "due"),
+		Request: &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(r.t, "class")},
+		Deadline: time.Duration(
+			r.now.Microseconds()+rapid.Int64Range(0, 2_000_000).Draw(r.t, "due"),
+		) * time.Microsecond,
 		Idempotent: rapid.Bool().Draw(r.t, "safe"),
 	}
 	r.open = append(r.open, a)
@@ -199,7 +201,7 @@
 	)
 	const far = 300 * time.Hour
 	run := func(deadline time.Duration) *lifecycle.Attempt {
-		a := &lifecycle.Attempt{Request: &lifecycle.Request{}, Deadline: deadline.Microseconds()}
+		a := &lifecycle.Attempt{Request: &lifecycle.Request{}, Deadline: deadline}
 		queue.Run(a)
 		return a
 	}
@@ -207,7 +209,8 @@
 	p.now += time.Second
 	queue.Ended(first, lifecycle.Succeeded, nil)
 	run(far)
-	if a := run(p.now + 500*time.Millisecond); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 || a.Limit != 0.5 {
+	if a := run(p.now + 500*time.Millisecond); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 ||
+		a.Limit != 0.5 {
 		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
 	}
 	run(far)
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net/netip"
+	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -58,9 +59,9 @@
 	drain                                          func()
 
 	events  uint32
-	stuck   int64  // since when the peer has taken nothing of what is queued; 0: it takes all
-	dropped int    // bytes that came after the connection was left
-	last    *Timer // the end of a connection that was left
+	stuck   time.Duration // since when the peer has taken nothing of what is queued; 0: it takes all
+	dropped int           // bytes that came after the connection was left
+	last    *Timer        // the end of a connection that was left
 	onFree  func()
 }
 
@@ -315,7 +316,7 @@
 }
 
 // StalledFor is for how long the peer has taken nothing of what is queued for it.
-func (c *Conn) StalledFor() int64 {
+func (c *Conn) StalledFor() time.Duration {
 	if c.stuck == 0 {
 		return 0
 	}
@@ -388,9 +389,9 @@
 }
 
 const (
-	flushWithin = 10_000_000 // a connection that was left has so long to be rid of what is queued
-	lingerFor   = 500_000    // and its peer so long to close after that
-	maxDropped  = 1 << 20    // a peer that goes on sending is not listened to for as long
+	flushWithin = 10 * time.Second       // a connection that was left has so long to be rid of what is queued
+	lingerFor   = 500 * time.Millisecond // and its peer so long to close after that
+	maxDropped  = 1 << 20                // a peer that goes on sending is not listened to for as long
 )
 
 // CloseGracefully sends what is queued, shuts the own side and closes when the peer does, or after a while.
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -69,7 +69,7 @@
 	c := s.Dial(ln, "x")
 	s.Until(func() bool { return len(*taken) == 1 })
 	s.Until(func() bool { return len((*taken)[0].Buffered()) == 1 })
-	s.After(1000, func() { (*taken)[0].Write([]byte("answer")) })
+	s.After(time.Millisecond, func() { (*taken)[0].Write([]byte("answer")) })
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 // taken in, however much it is.
 func TestQueueIsTakenAsTheListenerCloses(t *testing.T) {
 	const many = 3 * acceptsInOneTurn
-	for name, end := range map[string]func(*eventloop.Listener){"close": (*eventloop.Listener).Close, "when taken": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(1_000_000) }} {
+	for name, end := range map[string]func(*eventloop.Listener){"close": (*eventloop.Listener).Close, "when taken": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(time.Second) }} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario.NewStepped(t)
 			ln, taken := accepting(
@@ -156,7 +156,7 @@
 	for range 3 {
 		answers = append(answers, scenario.ReadToEnd(s.Dial(ln, "call")))
 	}
-	ln.CloseWhenAccepted(3_600_000_000)
+	ln.CloseWhenAccepted(time.Hour)
 	if !ln.IsListening() {
 		t.Fatal("closed while peers wait for their places")
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -11,9 +12,9 @@
 
 const (
 	acceptsATurn = 64
-	backlog      = 1024   // connections that wait in the system's queue
-	acceptRest   = 50_000 // after the system ran out of something that an accept needs
-	handshake    = 200_000
+	backlog      = 1024                  // connections that wait in the system's queue
+	acceptRest   = 50 * time.Millisecond // after the system ran out of something that an accept needs
+	handshake    = 200 * time.Millisecond
 )
 
 // Listener accepts connections, up to a number that may be open at once.
@@ -292,7 +293,7 @@
 // CloseWhenAccepted stops listening once all that wait in the queue are taken in, or after so long:
 // they were accepted in their peers' eyes, and closing the listener would reset them. Usually that
 // is now; where as many connections are open as may be, those in the queue wait for their places.
-func (ln *Listener) CloseWhenAccepted(within int64) {
+func (ln *Listener) CloseWhenAccepted(within time.Duration) {
 	if ln.fd < 0 || ln.ending {
 		return
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -7,17 +7,18 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"ryepaddle/internal/wallclock"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"ryepaddle/internal/wallclock"
 )
 
 const (
 	readChunk   = 64 << 10 // bytes read from one connection in one turn
 	eventsATurn = 256
-	clockOrigin = 1_000_000 // the clock starts at one second, so that 0 can mean "never"
+	clockOrigin = time.Second // what the clock shows at its start, so that 0 can mean "never"
 )
 
 // source is something that epoll watches.
@@ -39,8 +40,8 @@
 	clock   Clock
 	stepped bool // the clock's owner says when time passes, so that no turn waits for it
 	start   time.Time
-	now     int64
-	unix    int64
+	now     time.Duration
+	unix    wallclock.UnixMicro
 	table   map[int]watched
 	gen     int32
 	timers  timerHeap
@@ -90,15 +91,15 @@
 // Close gives back the loop's own descriptors.
 func (l *Loop) Close() error { return errors.Join(unix.Close(l.ep), unix.Close(l.wake)) }
 
-// Now is the monotonic time of this turn in microseconds.
-func (l *Loop) Now() int64 { return l.now }
+// Now returns the monotonic time of this turn, in whole microseconds, since the clock's origin.
+func (l *Loop) Now() time.Duration { return l.now }
 
-// Unix is the system's Unix time of this turn in microseconds.
-func (l *Loop) Unix() int64 { return l.unix }
+// Unix returns the system's Unix time of this turn.
+func (l *Loop) Unix() wallclock.UnixMicro { return l.unix }
 
 func (l *Loop) readClock() {
 	t := l.clock()
-	l.now, l.unix = t.Sub(l.start).Microseconds()+clockOrigin, t.UnixMicro()
+	l.now, l.unix = t.Sub(l.start).Truncate(time.Microsecond)+clockOrigin, wallclock.FromTime(t)
 }
 
 // Post runs fn later in this turn, after what is being done now.
@@ -178,7 +179,8 @@
 	if len(l.timers) == 0 {
 		return 1000
 	}
-	return int(min(max(l.timers[0].at-l.now+999, 0)/1000, 1000))
+	wait := l.timers[0].at - l.now + time.Millisecond - time.Microsecond
+	return int(min(max(wait, 0).Milliseconds(), 1000))
 }
 
 func (l *Loop) watch(fd int, events uint32, s source) error {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.After(10_000_000, func() {
+	l.After(10*time.Second, func() {
 		t.Error("the test does not come to its end")
 		l.Stop()
 	})
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { mute.Close() })
-		l.Every(1000, func() {
+		l.Every(time.Millisecond, func() {
 			if c != nil {
 				c.Write(make([]byte, 1<<18))
 			}
@@ -144,7 +144,7 @@
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &low); err != nil {
 			t.Fatal(err)
 		}
-		l.After(200_000, func() {
+		l.After(200*time.Millisecond, func() {
 			if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 				t.Error(err)
 			}
@@ -182,18 +182,18 @@
 	var got []int
 	run(t, func(l *Loop) {
 		for _, d := range []int{30, 10, 20} {
-			l.After(int64(d)*1000, func() { got = append(got, d) })
+			l.After(time.Duration(d)*time.Millisecond, func() { got = append(got, d) })
 		}
-		stopped := l.After(15_000, func() { got = append(got, -1) })
+		stopped := l.After(15*time.Millisecond, func() { got = append(got, -1) })
 		stopped.Stop()
 		stopped.Stop()
 		// Two that are due in one turn: the first stops the second, which must not fire from the
 		// turn's list.
 		var second *Timer
 		l.After(0, func() { second.Stop() })
-		second = l.After(1, func() { got = append(got, -2) })
+		second = l.After(time.Microsecond, func() { got = append(got, -2) })
 		time.Sleep(time.Millisecond)
-		l.After(int64(40*time.Millisecond/time.Microsecond), l.Stop)
+		l.After(40*time.Millisecond, l.Stop)
 	})
 	if len(got) != 3 || got[0] != 10 || got[1] != 20 || got[2] != 30 {
 		t.Fatalf("timers fired as %v", got)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,24 +1,27 @@
 package eventloop
 
-import "container/heap"
+import (
+	"container/heap"
+	"time"
+)
 
 // Timer is a call to come.
 type Timer struct {
 	loop  *Loop
-	at    int64
+	at    time.Duration
 	fn    func()
 	index int // in the heap; -1 when it is not in it
 }
 
-// After calls fn once, d microseconds from now.
-func (l *Loop) After(d int64, fn func()) *Timer {
+// After calls fn once, after d.
+func (l *Loop) After(d time.Duration, fn func()) *Timer {
 	t := &Timer{loop: l, at: l.now + max(d, 0), fn: fn}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Every calls fn each d microseconds, first after d.
-func (l *Loop) Every(d int64, fn func()) {
+// Every calls fn once every d, first after d.
+func (l *Loop) Every(d time.Duration, fn func()) {
 	l.After(d, func() {
 		fn()
 		l.Every(d, fn)
--- a/internal/frontend/admin/ops.go
+++ b/internal/frontend/admin/ops.go
@@ -14,6 +14,7 @@
 	"log/slog"
 	"net/http"
 	"net/netip"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/telemetry/logging"
@@ -68,7 +69,10 @@
 
 func (d *Server) accept(c *eventloop.Conn) eventloop.Handler {
 	k := &caller{Conn: c, door: d}
-	k.timer = d.loop.After(readMost, func() { k.reply(408, problem{"the call did not come whole in time"}) })
+	k.timer = d.loop.After(
+		time.Duration(readMost)*time.Microsecond,
+		func() { k.reply(408, problem{"the call did not come whole in time"}) },
+	)
 	d.open = append(d.open, k)
 	return k
 }
--- a/internal/frontend/control/control.go
+++ b/internal/frontend/control/control.go
@@ -12,6 +12,7 @@
 	"bytes"
 	"encoding/json"
 	"os"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/fault"
@@ -115,7 +116,7 @@
 // rest closes a client that asks nothing for long.
 func (c *client) rest() {
 	c.timer.Stop()
-	c.timer = c.s.loop.After(idleMost, func() { c.conn.Close(nil) })
+	c.timer = c.s.loop.After(time.Duration(idleMost)*time.Microsecond, func() { c.conn.Close(nil) })
 }
 
 func (c *client) send(r reply) {
@@ -154,9 +155,9 @@
 		return i + 1, nil
 	}
 	c.owed = true
-	at := max(c.s.loop.Now(), c.s.next)
+	at := max(c.s.loop.Now().Microseconds(), c.s.next)
 	c.s.next = at + gap
-	c.s.loop.After(at-c.s.loop.Now(), func() {
+	c.s.loop.After(time.Duration(at-c.s.loop.Now().Microseconds())*time.Microsecond, func() {
 		if c.conn.IsClosed() {
 			return
 		}
--- a/internal/frontend/platform/conn.go
+++ b/internal/frontend/platform/conn.go
@@ -142,7 +142,7 @@
 	case rest == 0:
 		c.partAt = 0
 	case c.partAt == 0 || used > 0:
-		c.partAt = c.front.loop.Now()
+		c.partAt = c.front.loop.Now().Microseconds()
 	}
 	c.leaveIfDone()
 	return used, nil
@@ -160,7 +160,7 @@
 		}
 		if err == nil {
 			used += n
-			c.used = c.front.loop.Now()
+			c.used = c.front.loop.Now().Microseconds()
 			err = c.record(rec)
 		}
 		// earlier requests on the connection were read, and are owed their answers all the same
@@ -257,7 +257,12 @@
 	case c.state != accepting || len(c.open) >= maxOpen: // it never ran, and may come on another connection
 		c.Write(fastcgi.AppendEnd(nil, rec.ID, 0, fastcgi.Overloaded))
 	default:
-		c.open[rec.ID] = &exchange{conn: c, id: rec.ID, keep: v.KeepConnection, began: c.front.loop.Now()}
+		c.open[rec.ID] = &exchange{
+			conn:  c,
+			id:    rec.ID,
+			keep:  v.KeepConnection,
+			began: c.front.loop.Now().Microseconds(),
+		}
 	}
 	return nil
 }
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -75,9 +75,9 @@
 	}
 	var err error
 	r.core, err = lifecycle.New(set, 1, lifecycle.Host{Now: r.Now, Unix: r.Unix,
-		After:     func(d int64, fn func()) func() { return r.After(d, fn).Stop },
+		After:     func(d time.Duration, fn func()) func() { return r.After(d, fn).Stop },
 		Measure:   func(fn func(lifecycle.Gauges)) { fn(lifecycle.UnknownGauges()) },
-		SetHealth: r.front.SetHealth, Advertise: r.front.SetAdvertisedValue, CloseIdle: func(int64) {},
+		SetHealth: r.front.SetHealth, Advertise: r.front.SetAdvertisedValue, CloseIdle: func(time.Duration) {},
 		Route: func(int) lifecycle.Runner { return r }})
 	if err != nil {
 		t.Fatal(err)
@@ -113,10 +113,14 @@
 		{"HTTP_X_CUSTOMER", ""},
 		{"HTTP_X_HEAP_KB", "20"},
 		{"HTTP_X_IMPORTANCE", "0.5"},
-		{"HTTP_X_QUEUE_START", strconv.FormatInt(r.Unix()/1000, 10)}} {
+		{"HTTP_X_QUEUE_START", strconv.FormatInt(int64(r.Unix())/1000, 10)}} {
 		params = fastcgi.AppendPair(params, p[0], p[1])
 	}
-	b := fastcgi.AppendBegin(nil, uint16(id), fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true})
+	b := fastcgi.AppendBegin(
+		nil,
+		uint16(id),
+		fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true},
+	)
 	b = fastcgi.Append(b, fastcgi.Params, uint16(id), params)
 	b = fastcgi.Append(b, fastcgi.Params, uint16(id), nil)
 	return string(fastcgi.Append(b, fastcgi.Stdin, uint16(id), nil))
@@ -241,7 +245,7 @@
 				r.Send(c, whole[:cut])
 				r.Together(0)
 			}
-			r.After(1000, r.end) // in the turn in which the rest is there
+			r.After(time.Millisecond, r.end) // in the turn in which the rest is there
 			r.Send(c, whole[cut:])
 			r.Together(time.Millisecond)
 			r.serve(1)
@@ -356,7 +360,11 @@
 func parts(first, last int) string {
 	var b []byte
 	for id := first; id <= last; id++ {
-		b = fastcgi.AppendBegin(b, uint16(id), fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true})
+		b = fastcgi.AppendBegin(
+			b,
+			uint16(id),
+			fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true},
+		)
 		b = fastcgi.Append(b, fastcgi.Params, uint16(id), make([]byte, 8000))
 	}
 	return string(b)
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -55,7 +55,7 @@
 	}
 	x.forget()
 	delete(c.open, x.id)
-	c.used = c.front.loop.Now()
+	c.used = c.front.loop.Now().Microseconds()
 	c.Write(fastcgi.AppendEnd(out, x.id, 0, protocolStatus))
 	if !x.keep {
 		c.moveTo(finishing)
@@ -89,8 +89,12 @@
 		x.respond(a.Result.Status, a.Result.Body, fields...)
 	case lifecycle.Rejected:
 		var fields []string
-		if a.RetryAfter > 0 {
-			fields = append(fields, "X-Come-Back-Ms", strconv.FormatInt((a.RetryAfter+999)/1000, 10))
+		if a.RetryAfter.Microseconds() > 0 {
+			fields = append(
+				fields,
+				"X-Come-Back-Ms",
+				strconv.FormatInt((a.RetryAfter.Microseconds()+999)/1000, 10),
+			)
 		}
 		if a.DoNotRetry {
 			fields = append(fields, "X-No-Failover", "1")
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -8,6 +8,7 @@
 	"net/netip"
 	"slices"
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/lifecycle"
@@ -109,7 +110,7 @@
 	f.core = c
 	f.ln, err = f.loop.ListenShared(addr, most, f.limits(), f.accept, f.makeRoom)
 	if err == nil {
-		f.loop.Every(sweepEvery, f.sweep)
+		f.loop.Every(time.Duration(sweepEvery)*time.Microsecond, f.sweep)
 	}
 	return err
 }
@@ -132,14 +133,16 @@
 
 // Drain stops listening and leaves each connection as it has no open request.
 func (f *Frontend) Drain() {
-	f.leaving, f.leftAt = true, f.loop.Now()
-	f.ln.CloseWhenAccepted(queueFor)
+	f.leaving, f.leftAt = true, f.loop.Now().Microseconds()
+	f.ln.CloseWhenAccepted(time.Duration(queueFor) * time.Microsecond)
 	f.sweep()
 }
 
 // leavesAtOnce tells whether connections are left even if more has come on them: a peer that always
 // sends has to be left some time.
-func (f *Frontend) leavesAtOnce() bool { return f.leaving && f.loop.Now()-f.leftAt > quietFor }
+func (f *Frontend) leavesAtOnce() bool {
+	return f.leaving && f.loop.Now().Microseconds()-f.leftAt > quietFor
+}
 
 // Close ends all connections as the process is about to: what is queued is written as far as it
 // goes, and what came is read off, as unread bytes would reset the connection and take answers with
@@ -156,7 +159,7 @@
 // Retire is Leave where another process serves as this runner: what this one says of its own room
 // is not meant for it.
 func (f *Frontend) Retire() {
-	f.retired, f.pressure, f.leaving, f.leftAt = true, "", true, f.loop.Now()
+	f.retired, f.pressure, f.leaving, f.leftAt = true, "", true, f.loop.Now().Microseconds()
 	f.ln.HandOver()
 	f.sweep()
 }
@@ -165,7 +168,13 @@
 func (f *Frontend) Connections() int { return len(f.conns) }
 
 func (f *Frontend) accept(lc *eventloop.Conn) eventloop.Handler {
-	c := &conn{front: f, Conn: lc, open: map[uint16]*exchange{}, began: f.loop.Now(), used: f.loop.Now()}
+	c := &conn{
+		front: f,
+		Conn:  lc,
+		open:  map[uint16]*exchange{},
+		began: f.loop.Now().Microseconds(),
+		used:  f.loop.Now().Microseconds(),
+	}
 	f.conns[c] = struct{}{}
 	return c
 }
@@ -173,14 +182,14 @@
 // sweep leaves connections that are idle, or on which a request does not come whole, or answers are
 // not taken.
 func (f *Frontend) sweep() {
-	now := f.loop.Now()
+	now := f.loop.Now().Microseconds()
 	if !f.leaving && f.ln.IsOverLimit() { // its share became smaller
 		f.makeRoom()
 	}
 	for c := range f.conns {
 		switch {
 		case c.IsClosed() || c.IsClosing(): // that has a limit of its own
-		case c.StalledFor() > takeWithin:
+		case c.StalledFor().Microseconds() > takeWithin:
 			c.Close(eventloop.ErrSlowPeer)
 		case c.overdue(now):
 			f.giveUp(c)
@@ -217,7 +226,7 @@
 // for anything, then those that only began to ask, then those that have been idle for longest. One
 // at a time would have each of those that wait depend on a slow peer to close.
 func (f *Frontend) makeRoom() {
-	now := f.loop.Now()
+	now := f.loop.Now().Microseconds()
 	var idle []*conn
 	for c := range f.conns {
 		if !c.IsClosing() && !c.IsClosed() && mayGo(c, now) {
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/wallclock"
 )
 
 // errDropped is that of a request of a class that was dropped a while ago.
@@ -40,10 +41,10 @@
 	ms, err := strconv.ParseInt(p["HTTP_X_QUEUE_START"], 10, 64)
 	// A key is remembered for its window from that time on: one far ahead would be remembered for
 	// ever.
-	if err != nil || ms <= 0 || ms > f.loop.Unix()/1000+maxAhead {
+	if err != nil || ms <= 0 || ms > int64(f.loop.Unix())/1000+maxAhead {
 		return nil, fmt.Errorf("X-Queue-Start %q", p["HTTP_X_QUEUE_START"])
 	}
-	q.ArrivedAt = ms * 1000
+	q.ArrivedAt = wallclock.UnixMicro(ms * 1000)
 	source, err := strconv.ParseUint(p["HTTP_X_SOURCE"], 10, 32)
 	if err != nil {
 		return nil, fmt.Errorf("X-Source %q", p["HTTP_X_SOURCE"])
--- a/internal/frontend/uwsgi/conn.go
+++ b/internal/frontend/uwsgi/conn.go
@@ -12,6 +12,7 @@
 	"ryepaddle/internal/protocol/cgi"
 	"ryepaddle/internal/protocol/httpmessage"
 	"ryepaddle/internal/protocol/uwsgi"
+	"ryepaddle/internal/wallclock"
 )
 
 // conn is one connection of a caller, and its one request.
@@ -154,7 +155,7 @@
 	case r.UntilClose:
 		c.framing, c.toEnd = httpmessage.BodyUntilClose(), true
 	}
-	q.ArrivedAt = f.arrived(r, c.began)
+	q.ArrivedAt = wallclock.UnixMicro(f.arrived(r, c.began))
 	if r.ExpectsContinue {
 		c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
@@ -264,7 +265,7 @@
 		}
 	case lifecycle.Rejected:
 		r.Status = 503
-		if ms := (a.RetryAfter + 999) / 1000; ms > 0 {
+		if ms := (a.RetryAfter.Microseconds() + 999) / 1000; ms > 0 {
 			r.Fields = []httpmessage.Field{
 				{Name: "Retry-After", Value: strconv.FormatInt(max((ms+999)/1000, 1), 10)},
 				{Name: "X-Come-Back-Ms", Value: strconv.FormatInt(ms, 10)},
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net/netip"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/flowcontrol"
@@ -101,7 +102,7 @@
 	f.core = c
 	f.ln, err = f.loop.ListenAddr(f.opt.Listen, f.opt.MaxConnections, f.limits(), f.accept, f.makeRoom)
 	if err == nil {
-		f.loop.Every(sweepEvery, f.sweep)
+		f.loop.Every(time.Duration(sweepEvery)*time.Microsecond, f.sweep)
 	}
 	return err
 }
@@ -140,16 +141,17 @@
 // nothing came is left, one that was just taken from the queue after a while, as its request may be
 // on the way.
 func (f *Frontend) Drain() {
-	f.ln.CloseWhenAccepted(firstWithin)
+	f.ln.CloseWhenAccepted(time.Duration(firstWithin) * time.Microsecond)
 	f.leaveSilent(firstWithin)
-	f.loop.After(2*firstWithin, func() { f.leaveSilent(0) })
+	f.loop.After(time.Duration(2*firstWithin)*time.Microsecond, func() { f.leaveSilent(0) })
 }
 
 // leaveSilent leaves connections that are older than that and on which nothing has come, also not
 // in this very turn.
 func (f *Frontend) leaveSilent(age int64) {
 	for c := range f.conns {
-		if !c.sent && c.req == nil && len(c.Buffered()) == 0 && f.loop.Unix()-c.began > age && !c.HasUnreadInput() {
+		if !c.sent && c.req == nil && len(c.Buffered()) == 0 && int64(f.loop.Unix())-c.began > age &&
+			!c.HasUnreadInput() {
 			c.CloseGracefully()
 		}
 	}
@@ -161,7 +163,7 @@
 func (f *Frontend) makeRoom() {
 	var silent []*conn
 	for c := range f.conns {
-		if !c.sent && !c.answered && f.loop.Unix()-c.began > youngFor {
+		if !c.sent && !c.answered && int64(f.loop.Unix())-c.began > youngFor {
 			silent = append(silent, c)
 		}
 	}
@@ -179,8 +181,11 @@
 }
 
 func (f *Frontend) accept(lc *eventloop.Conn) eventloop.Handler {
-	c := &conn{front: f, Conn: lc, began: f.loop.Unix()}
-	c.timer = f.loop.After(f.opt.ReadTimeout, func() { c.reject(408, errors.New("request does not come")) })
+	c := &conn{front: f, Conn: lc, began: int64(f.loop.Unix())}
+	c.timer = f.loop.After(
+		time.Duration(f.opt.ReadTimeout)*time.Microsecond,
+		func() { c.reject(408, errors.New("request does not come")) },
+	)
 	f.conns[c] = struct{}{}
 	if lc.RemoteAddr().IsValid() {
 		c.addr = lc.RemoteAddr().Addr()
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -4,18 +4,21 @@
 	"fmt"
 	"strconv"
 	"strings"
+	"time"
 	"unicode"
 
 	"ryepaddle/internal/lifecycle"
 	"ryepaddle/internal/protocol/cgi"
 	"ryepaddle/internal/protocol/traceparent"
+	"ryepaddle/internal/wallclock"
 )
 
 // arrived is when the request came: as a front end before this one stamped it, if that can be, or
 // when its connection was taken.
 func (f *Frontend) arrived(r *cgi.Request, began int64) int64 {
 	ms, err := strconv.ParseInt(r.Get("HTTP_X_QUEUE_START"), 10, 64)
-	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > f.loop.Unix() || ms*1000 < f.loop.Unix()-maxQueued {
+	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > int64(f.loop.Unix()) ||
+		ms*1000 < int64(f.loop.Unix())-maxQueued {
 		return began
 	}
 	return ms * 1000
@@ -28,7 +31,8 @@
 		return 0
 	}
 	ms, err := strconv.ParseInt(r.Get(f.opt.FirstAttemptVariable), 10, 64)
-	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > f.loop.Unix() || ms*1000 < f.loop.Unix()-maxQueued {
+	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > int64(f.loop.Unix()) ||
+		ms*1000 < int64(f.loop.Unix())-maxQueued {
 		return 0
 	}
 	return ms * 1000
@@ -52,7 +56,7 @@
 		return nil, nil, 404, fmt.Errorf("no class at %q", r.Path)
 	}
 	route := &f.opt.Routes[n]
-	q.Class, q.Timeout = route.Class, route.Deadline
+	q.Class, q.Timeout = route.Class, time.Duration(route.Deadline)*time.Microsecond
 	var ok bool
 	if q.Tenant, ok = f.core.Tenant(m.School); !ok {
 		return nil, nil, 403, fmt.Errorf("unknown tenant %q", m.School)
@@ -69,7 +73,7 @@
 	if source, err := strconv.ParseUint(r.Get("HTTP_X_SOURCE"), 10, 32); err == nil {
 		q.Caller = uint32(source)
 	}
-	q.FirstSentAt = f.first(r)
+	q.FirstSentAt = wallclock.UnixMicro(f.first(r))
 	q.Metadata = make([]lifecycle.Field, 0, len(r.Variables))
 	for _, v := range r.Variables {
 		q.Metadata = append(q.Metadata, lifecycle.Field(v))
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -11,12 +11,14 @@
 )
 
 // now returns the monotonic time.
-func (f *Frontend) now() time.Duration { return time.Duration(f.loop.Now()) * time.Microsecond }
+func (f *Frontend) now() time.Duration {
+	return time.Duration(f.loop.Now().Microseconds()) * time.Microsecond
+}
 
 // patient gives the caller its time to send more; while it waits for the server it need not.
 func (c *conn) patient() {
 	c.timer.Stop()
-	c.timer = c.front.loop.After(c.front.opt.ReadTimeout, func() {
+	c.timer = c.front.loop.After(time.Duration(c.front.opt.ReadTimeout)*time.Microsecond, func() {
 		switch {
 		case !c.rest:
 		case c.waits:
--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -13,6 +13,7 @@
 	"ryepaddle/internal/simulator/virtualclock"
 	"ryepaddle/internal/telemetry/logging"
 	"ryepaddle/internal/testing/crashfs"
+	"ryepaddle/internal/wallclock"
 )
 
 // world is a machine with a disk that crashes, on which one life of the program follows another,
@@ -57,7 +58,7 @@
 	done func(error)
 }
 
-const window = 3_000_000
+const window = 3 * time.Second
 
 // start begins a life with what the disk holds.
 func (w *world) start() bool {
@@ -95,16 +96,16 @@
 				Name:              "hand-in",
 				LatencyObjective:  time.Second,
 				Timeout:           2 * time.Second,
-				IdempotencyWindow: window * time.Microsecond,
+				IdempotencyWindow: window,
 				Idempotency:       admission.IdempotentWithKey,
 				PriorityWeight:    1,
 			},
 		},
 	}
-	l.core, err = lifecycle.New(set, w.seed, lifecycle.Host{Now: w.sched.Now, Unix: w.unix,
-		After:     func(d int64, fn func()) func() { return l.after(d, fn).Stop },
+	l.core, err = lifecycle.New(set, w.seed, lifecycle.Host{Now: w.now, Unix: w.unix,
+		After:     func(d time.Duration, fn func()) func() { return l.after(d.Microseconds(), fn).Stop },
 		Measure:   func(fn func(lifecycle.Gauges)) { l.after(1, func() { fn(lifecycle.UnknownGauges()) }) },
-		SetHealth: func(bool, bool) {}, Advertise: func(float64) {}, CloseIdle: func(int64) {}, Log: func(*logging.Event, ...any) {},
+		SetHealth: func(bool, bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {}, Log: func(*logging.Event, ...any) {},
 		Route: func(int) lifecycle.Runner { return l }, KeyStore: l, Incarnation: w.lives,
 		OnAnswered: func(t *lifecycle.Trace) {
 			if w.trails++; t.Status != lifecycle.Served && t.Cause == lifecycle.CauseNone ||
@@ -127,7 +128,9 @@
 	return true
 }
 
-func (w *world) unix() int64 { return w.sched.Now() + 1e15 }
+func (w *world) unix() wallclock.UnixMicro { return wallclock.UnixMicro(w.sched.Now() + 1e15) }
+
+func (w *world) now() time.Duration { return time.Duration(w.sched.Now()) * time.Microsecond }
 
 func (w *world) breaks(format string, v ...any) {
 	w.broken = append(w.broken, fmt.Sprintf(format, v...))
@@ -144,18 +147,18 @@
 
 // The life is its own keeper: a commit takes a while, and records that come meanwhile wait for the
 // next.
-func (l *life) Unavailable() (int64, string) {
+func (l *life) Unavailable() (time.Duration, string) {
 	if l.journal.IsDown() {
-		return 100_000, "down"
+		return 100 * time.Millisecond, "down"
 	}
-	return l.health.closed(l.w.sched.Now())
+	return l.health.closed(l.w.now())
 }
-func (l *life) Timeout() int64                                  { return 50_000 }
+func (l *life) Timeout() time.Duration                          { return 50 * time.Millisecond }
 func (l *life) Started(k lifecycle.KeyRecord, done func(error)) { l.put(store.RunStarted, k, done) }
 func (l *life) Ended(k lifecycle.KeyRecord, done func(error))   { l.put(store.RunEnded, k, done) }
 func (l *life) Released(k lifecycle.KeyRecord)                  { l.put(store.KeyReleased, k, func(error) {}) }
 func (l *life) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(error)) {
-	l.health.sent(l.w.sched.Now())
+	l.health.sent(l.w.now())
 	l.queue = append(l.queue, entry{ToRecord(kind, k, l.w.unix()), done})
 	l.commit()
 }
@@ -276,7 +279,7 @@
 func (c *client) send() {
 	w := c.w
 	again := func() { w.sched.After(int64(1000+w.rand.IntN(400_000)), c.send) }
-	if w.sched.Now() > c.first+window-400_000 || c.no > 12 {
+	if w.sched.Now() > c.first+window.Microseconds()-400_000 || c.no > 12 {
 		return
 	}
 	if c.no++; w.life == nil {
@@ -447,7 +450,7 @@
 		// once one has waited in vain, others do not
 		ask(fmt.Sprint("stuck", k), lifecycle.Rejected, 60_000)
 	}
-	w.sched.After(20_000, func() { w.life.core.Drain(1_500_000) })
+	w.sched.After(20_000, func() { w.life.core.Drain(1500 * time.Millisecond) })
 	w.sched.RunUntil(virtualclock.Origin + 4_000_000)
 	if w.answers != 21 || w.life.core.OpenRequests() != 0 || len(w.ran) != 1 {
 		t.Errorf("%d answers, %d open, %d ran", w.answers, w.life.core.OpenRequests(), len(w.ran))
@@ -459,28 +462,29 @@
 func (fn asker) Answer(a lifecycle.Answer) { fn(a) }
 
 func TestHealth(t *testing.T) {
-	h := health{stall: 100, reading: true}
+	const ms = time.Millisecond
+	h := health{stall: 100 * ms, reading: true}
 	for _, c := range []struct {
 		what string
 		do   func()
-		now  int64
-		back int64
+		now  time.Duration
+		back time.Duration
 	}{
-		{"reading", func() {}, 1, backReading},
-		{"read", func() { h.reading = false }, 2, 0},
-		{"repaired", func() { h.quiet = 50 }, 10, 40},
-		{"long after", func() {}, 50, 0},
-		{"owed", func() { h.sent(100); h.sent(150) }, 199, 0},
-		{"owed for long", func() {}, 200, 100},
-		{"the first is answered", func() { h.answered() }, 201, 0},
-		{"the second is owed for long", func() {}, 251, 100},
-		{"all are answered", func() { h.answered() }, 900, 0},
-		{"down", func() { h.down = "no room" }, 901, backDown},
-		{"back", func() { h.down = "" }, 902, 0},
+		{"reading", func() {}, 1 * ms, backReading},
+		{"read", func() { h.reading = false }, 2 * ms, 0},
+		{"repaired", func() { h.quiet = 50 * ms }, 10 * ms, 40 * ms},
+		{"long after", func() {}, 50 * ms, 0},
+		{"owed", func() { h.sent(100 * ms); h.sent(150 * ms) }, 199 * ms, 0},
+		{"owed for long", func() {}, 200 * ms, 100 * ms},
+		{"the first is answered", func() { h.answered() }, 201 * ms, 0},
+		{"the second is owed for long", func() {}, 251 * ms, 100 * ms},
+		{"all are answered", func() { h.answered() }, 900 * ms, 0},
+		{"down", func() { h.down = "no room" }, 901 * ms, backDown},
+		{"back", func() { h.down = "" }, 902 * ms, 0},
 	} {
 		c.do()
 		if back, why := h.closed(c.now); back != c.back || (back > 0) != (why != "") {
-			t.Errorf("%s: %d, %q", c.what, back, why)
+			t.Errorf("%s: %v, %q", c.what, back, why)
 		}
 	}
 }
--- a/internal/idempotency/persistence/keeper.go
+++ b/internal/idempotency/persistence/keeper.go
@@ -10,6 +10,7 @@
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/lifecycle"
 	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // What is told to operators.
@@ -33,16 +34,16 @@
 
 // Loop is what it needs of the event loop.
 type Loop interface {
-	Now() int64
-	Unix() int64
+	Now() time.Duration
+	Unix() wallclock.UnixMicro
 	Deliver(fn func())
 }
 
-// Config is how keys are kept. Times are microseconds.
+// Config is how keys are kept.
 type Config struct {
 	store.Settings
-	Timeout int64 // that a run or an answer waits for the disk
-	Window  int64 // the longest for which a key may be repeated
+	Timeout time.Duration // that a run or an answer waits for the disk
+	Window  time.Duration // the longest for which a key may be repeated
 }
 
 // KeyStore implements lifecycle.KeyStore on a store. Its methods are called on the loop.
@@ -118,10 +119,10 @@
 				// What is lost may be of keys whose window is not over. After that no repeat of
 				// them can come.
 				k.health.quiet = k.loop.Now() + k.cfg.Window
-				evRepaired.Log(len(found.Damage), k.cfg.Window/1000)
+				evRepaired.Log(len(found.Damage), k.cfg.Window.Milliseconds())
 			}
 			if found.NewestAt > k.loop.Unix() {
-				evClockBehind.Log((found.NewestAt - k.loop.Unix()) / 1000)
+				evClockBehind.Log(found.NewestAt.Sub(k.loop.Unix()).Milliseconds())
 			}
 		})
 	}()
@@ -142,10 +143,12 @@
 func (k *KeyStore) IsRestored() bool { return k.store != nil }
 
 // Unavailable implements lifecycle.KeyStore.
-func (k *KeyStore) Unavailable() (back int64, why string) { return k.health.closed(k.loop.Now()) }
+func (k *KeyStore) Unavailable() (back time.Duration, why string) {
+	return k.health.closed(k.loop.Now())
+}
 
 // Timeout implements lifecycle.KeyStore.
-func (k *KeyStore) Timeout() int64 { return k.cfg.Timeout }
+func (k *KeyStore) Timeout() time.Duration { return k.cfg.Timeout }
 
 // Started implements lifecycle.KeyStore.
 func (k *KeyStore) Started(c lifecycle.KeyRecord, done func(error)) { k.put(store.RunStarted, c, done) }
@@ -185,7 +188,7 @@
 }
 
 // ToRecord is what is kept as a record of the store.
-func ToRecord(kind store.RecordKind, c lifecycle.KeyRecord, at int64) *store.Record {
+func ToRecord(kind store.RecordKind, c lifecycle.KeyRecord, at wallclock.UnixMicro) *store.Record {
 	r := &store.Record{
 		Kind:  kind,
 		Name:  store.KeyName{Class: c.Class, Tenant: c.Tenant, Key: c.Key},
--- a/internal/idempotency/reservation/claims.go
+++ b/internal/idempotency/reservation/claims.go
@@ -5,8 +5,6 @@
 // written is read, and then, if the key is not theirs, the claim is written. Records carry
 // checksums: one that its writer was killed over is no record, and what it would have claimed never
 // ran.
-//
-// Times are microseconds.
 package reservation
 
 import (
@@ -24,6 +22,7 @@
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/lifecycle"
 	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // What is told to operators.
@@ -34,13 +33,13 @@
 )
 
 const (
-	pollAlone = 50_000
-	pollOften = 10_000 // while another process lives
+	pollAlone = 50 * time.Millisecond
+	pollOften = 10 * time.Millisecond // while another process lives
 	// a lock that is held is free within microseconds, unless its holder was not given a core
-	tryAgain   = 1_000
+	tryAgain   = time.Millisecond
 	openWithin = 2 * time.Second
 	newLogFrom = 256 << 10
-	sweepEvery = 5_000_000
+	sweepEvery = 5 * time.Second
 	readPart   = 64 << 10
 )
 
@@ -52,8 +51,8 @@
 
 // Loop is what is needed of the event loop.
 type Loop interface {
-	Now() int64
-	Unix() int64
+	Now() time.Duration
+	Unix() wallclock.UnixMicro
 }
 
 // Table is the table of keys of this process.
@@ -67,16 +66,16 @@
 	EachOwned(fn func(lifecycle.KeyRecord))
 }
 
-// Config is where claims are kept, and for whom. Times are microseconds.
+// Config is where claims are kept, and for whom.
 type Config struct {
 	Dir            string // that all processes of the runner have
 	Runner         string // tells its processes from those of others
 	Incarnation    uint32
-	Window         int64 // the longest for which a key is remembered
-	MaxResultBytes int64 // bytes of results that are written when another process comes
+	Window         time.Duration // the longest for which a key is remembered
+	MaxResultBytes int64         // bytes of results that are written when another process comes
 	// OtherProcesses is told how many other processes live, whenever that changes.
 	OnProcessesChanged func(living int)
-	After              func(d int64, fn func())
+	After              func(d time.Duration, fn func())
 }
 
 // Coordinator is the claims of one process, and what it has read of the others'.
@@ -96,7 +95,7 @@
 	told   int
 	serves bool // this process takes connections
 	lost   bool // the log does not hold all claims: there was no room, and nobody to read it
-	swept  int64
+	swept  time.Duration
 	down   string // why nothing can be claimed, as was told last
 	frame  []byte
 }
@@ -195,7 +194,7 @@
 // Reserve has it written that a run begins. Under the lock, once what others have written is read,
 // free is asked whether the key is still ours. Done is called once, with whether it is; an error:
 // it is not known, and nothing may run.
-func (g *Coordinator) Reserve(k lifecycle.KeyRecord, within int64, free func() bool, done func(mine bool, err error)) {
+func (g *Coordinator) Reserve(k lifecycle.KeyRecord, within time.Duration, free func() bool, done func(mine bool, err error)) {
 	if g.lock == nil {
 		done(false, os.ErrClosed)
 		return
@@ -297,7 +296,7 @@
 	if err := g.look(); err != nil || !g.lost {
 		g.failed(err)
 	}
-	wait := int64(pollAlone)
+	wait := pollAlone
 	if g.tell(); g.living() > 0 {
 		wait = pollOften
 	}
@@ -401,7 +400,7 @@
 // sweep removes files of the dead of which no key can be asked for any more. The shared lock is
 // held.
 func (g *Coordinator) sweep() {
-	old := time.Now().Add(-time.Duration(g.cfg.Window) * time.Microsecond)
+	old := time.Now().Add(-g.cfg.Window)
 	for life, p := range g.peers {
 		st, err := p.log.Stat()
 		if p.living || err == nil && st.ModTime().After(old) {
--- a/internal/idempotency/reservation/claims_test.go
+++ b/internal/idempotency/reservation/claims_test.go
@@ -6,18 +6,20 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/wallclock"
 )
 
 // process is one of several that are one runner, on a clock of the test's own. Its table is a list
 // of what it was told.
 type process struct {
 	t      testing.TB
-	now    int64
+	now    time.Duration
 	timers []func()
 	ledger *Coordinator
 	known  []lifecycle.KeyRecord
@@ -26,8 +28,8 @@
 	beside int
 }
 
-func (p *process) Now() int64  { return p.now }
-func (p *process) Unix() int64 { return p.now }
+func (p *process) Now() time.Duration        { return p.now }
+func (p *process) Unix() wallclock.UnixMicro { return wallclock.UnixMicro(p.now.Microseconds()) }
 
 func (p *process) ApplyRemote(k lifecycle.KeyRecord, forgotten bool) {
 	p.theirs[k.Key] = !forgotten
@@ -52,12 +54,12 @@
 
 func start(t testing.TB, dir string, life uint32) *process {
 	t.Helper()
-	p := &process{t: t, now: 1_000_000, theirs: map[string]bool{}}
+	p := &process{t: t, now: time.Second, theirs: map[string]bool{}}
 	var err error
 	p.ledger, err = Open(
 		p,
-		Config{Dir: dir, Runner: "n0 127.0.0.1:1", Incarnation: life, Window: 1_000_000, MaxResultBytes: 100,
-			After: func(_ int64, fn func()) { p.timers = append(p.timers, fn) }, OnProcessesChanged: func(n int) { p.beside = n }},
+		Config{Dir: dir, Runner: "n0 127.0.0.1:1", Incarnation: life, Window: time.Second, MaxResultBytes: 100,
+			After: func(_ time.Duration, fn func()) { p.timers = append(p.timers, fn) }, OnProcessesChanged: func(n int) { p.beside = n }},
 		p,
 	)
 	if err != nil {
@@ -269,7 +271,7 @@
 		t.Fatal(err)
 	}
 	two := start(t, dir, 2)
-	two.ledger.cfg.Window = -1_000_000 // it is over
+	two.ledger.cfg.Window = -time.Second // it is over
 	two.now += 2 * sweepEvery
 	two.pass()
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
@@ -97,10 +98,10 @@
 	}
 	h := &heard{}
 	l, err := Open(
-		&process{t: t, now: 1_000_000},
+		&process{t: t, now: time.Second},
 		Config{
-			Dir: dir, Runner: "n0 127.0.0.1:1", Incarnation: 9, Window: 1_000_000, MaxResultBytes: 100,
-			After: func(int64, func()) {},
+			Dir: dir, Runner: "n0 127.0.0.1:1", Incarnation: 9, Window: time.Second, MaxResultBytes: 100,
+			After: func(time.Duration, func()) {},
 		},
 		h,
 	)
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -11,6 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/wallclock"
 )
 
 // BenchmarkStore is how long a key takes from being put to being kept, beginning and end of one
@@ -41,7 +42,7 @@
 						for k := n; k < b.N; k += at {
 							key, from := fmt.Sprint(k), time.Now()
 							for _, r := range []*store.Record{begun(key, 1), ended(key, 1, body)} {
-								r.Until = time.Now().UnixMicro() - 9_000_000 // gone in a second
+								r.Until = wallclock.FromTime(time.Now().Add(-9 * time.Second)) // gone in a second
 								s.Put(r, func(err error) { done <- err })
 								if err := <-done; err != nil {
 									b.Error(err)
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -6,6 +6,9 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
+
+	"ryepaddle/internal/wallclock"
 )
 
 // SyncMode is what has to be true of a record before anybody goes by it.
@@ -35,14 +38,14 @@
 	SegmentBytes int64 // bytes after which a new segment is begun
 	// bytes beside twice those of the live keys, past which a snapshot cuts the journal
 	SlackBytes int64
-	// microseconds beyond its window for which a key is kept: a repeat may be read so much later
-	Retention int64
+	// beyond its window for which a key is kept: a repeat may be read so much later
+	Retention time.Duration
 	Repair    bool // go on with damaged files, which are kept aside
 }
 
 // DefaultOptions is what is usual.
 func DefaultOptions() Options {
-	return Options{SegmentBytes: 8 << 20, SlackBytes: 16 << 20, Retention: 10_000_000}
+	return Options{SegmentBytes: 8 << 20, SlackBytes: 16 << 20, Retention: 10 * time.Second}
 }
 
 func segmentName(n uint64) string  { return fmt.Sprintf("journal-%016d", n) }
@@ -68,8 +71,8 @@
 	Records   int
 	TornBytes int64 // bytes at the end that were never promised
 	Expired   int
-	Damage    []Damage // that was repaired
-	NewestAt  int64    // time of the newest record
+	Damage    []Damage            // that was repaired
+	NewestAt  wallclock.UnixMicro // time of the newest record
 }
 
 // Journal is the files of a store. It is used by one goroutine, but for Snapshot.Write.
@@ -87,7 +90,7 @@
 }
 
 // read finds out what the files of a folder hold, without changing them.
-func read(fsys FS, now int64, opt Options) (*State, *Recovery, []uint64, []uint64, error) {
+func read(fsys FS, now wallclock.UnixMicro, opt Options) (*State, *Recovery, []uint64, []uint64, error) {
 	names, err := fsys.List()
 	if err != nil {
 		return nil, nil, nil, nil, disk.New("store: %w", err)
@@ -145,21 +148,21 @@
 	}
 	f.NewestAt = state.newest
 	all := state.Len()
-	state.Expire(now-opt.Retention, true)
+	state.Expire(now.Add(-opt.Retention), true)
 	f.Expired = all - state.Len()
 	f.Keys = state.Keys()
 	return state, f, segments, snapshots, nil
 }
 
 // Read finds out what the files of a folder hold. They are not changed, and may be in use.
-func Read(fsys FS, now int64, opt Options) (*Recovery, error) {
+func Read(fsys FS, now wallclock.UnixMicro, opt Options) (*Recovery, error) {
 	_, f, _, _, err := read(fsys, now, opt)
 	return f, err
 }
 
 // OpenJournal reads what is there and begins a journal after it. If the disk takes nothing it is
 // open all the same, and down: see Reopen.
-func OpenJournal(fsys FS, now int64, opt Options) (*Journal, *Recovery, error) {
+func OpenJournal(fsys FS, now wallclock.UnixMicro, opt Options) (*Journal, *Recovery, error) {
 	state, f, segments, snapshots, err := read(fsys, now, opt)
 	if err != nil {
 		return nil, nil, err
@@ -192,7 +195,7 @@
 // Reopen begins anew after the disk failed, or at the start: a snapshot of all that is known, then
 // a new segment. What the old segment holds at its end is not known, and nothing is ever added to
 // it; nor is a sync that failed tried again.
-func (j *Journal) Reopen(now int64) error {
+func (j *Journal) Reopen(now wallclock.UnixMicro) error {
 	if j.file != nil {
 		_ = j.file.Close() // what is in it counts for nothing from here on
 		j.file = nil
@@ -307,7 +310,7 @@
 
 // TornBytes begins a snapshot where one is due; nil: none is. Its Write may run beside; then Finish has
 // to be told.
-func (j *Journal) SnapshotIfDue(now int64) (*Snapshot, error) {
+func (j *Journal) SnapshotIfDue(now wallclock.UnixMicro) (*Snapshot, error) {
 	if j.file == nil || j.Size() <= 2*j.state.LiveBytes()+j.opt.SlackBytes {
 		return nil, nil
 	}
@@ -315,7 +318,7 @@
 }
 
 // BeginSnapshot begins a snapshot in any case but that of a disk that failed.
-func (j *Journal) BeginSnapshot(now int64) (*Snapshot, error) {
+func (j *Journal) BeginSnapshot(now wallclock.UnixMicro) (*Snapshot, error) {
 	if j.file == nil {
 		return nil, ErrDown
 	}
@@ -335,18 +338,18 @@
 	fs     FS
 	covers uint64 // the segment at whose end it stands
 	keys   []*Key
-	at     int64
+	at     wallclock.UnixMicro
 	frees  int64
 }
 
 // take notes what is known. Keys do not change once they are in the state.
-func (j *Journal) take(now int64) *Snapshot {
-	j.state.Expire(now-j.opt.Retention, false)
+func (j *Journal) take(now wallclock.UnixMicro) *Snapshot {
+	j.state.Expire(now.Add(-j.opt.Retention), false)
 	return &Snapshot{fs: j.fs, covers: j.number, keys: j.state.Keys(), at: now, frees: j.sealed}
 }
 
 // WriteSnapshot writes keys into an empty folder, from which a journal can begin.
-func WriteSnapshot(fsys FS, keys []*Key, now int64) error {
+func WriteSnapshot(fsys FS, keys []*Key, now wallclock.UnixMicro) error {
 	return (&Snapshot{fs: fsys, keys: keys, at: now}).Write()
 }
 
--- a/internal/idempotency/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -2,8 +2,6 @@
 // append-only journal in segments, and snapshots that cut it. What is decided (what a sequence of
 // records means, what a damaged file is good for, when a snapshot is due, what becomes of a disk
 // that fails) is decided free of I/O; files are reached through FS.
-//
-// Times are Unix microseconds.
 package store
 
 import (
@@ -16,6 +14,7 @@
 	"github.com/klauspost/compress/s2"
 
 	"ryepaddle/internal/fault"
+	"ryepaddle/internal/wallclock"
 )
 
 // KeyName is whose key it is. Classes and tenants go by their names: their places in a configuration
@@ -58,10 +57,10 @@
 	Kind RecordKind `cbor:"1,keyasint"`
 	Name KeyName    `cbor:"2,keyasint,omitempty"`
 	// the try that it is about; others of its key are not touched by its end
-	Owner uint64   `cbor:"3,keyasint,omitempty"`
-	At    int64    `cbor:"4,keyasint,omitempty"` // when it was written
-	Until int64    `cbor:"5,keyasint,omitempty"` // up to which a repeat may arrive
-	Body  [32]byte `cbor:"6,keyasint,omitempty"` // stands for the request's body
+	Owner uint64              `cbor:"3,keyasint,omitempty"`
+	At    wallclock.UnixMicro `cbor:"4,keyasint,omitempty"` // when it was written
+	Until wallclock.UnixMicro `cbor:"5,keyasint,omitempty"` // up to which a repeat may arrive
+	Body  [32]byte            `cbor:"6,keyasint,omitempty"` // stands for the request's body
 	// of Ended without a result: how repeats are answered
 	How    uint8   `cbor:"7,keyasint,omitempty"`
 	Result *Result `cbor:"8,keyasint,omitempty"`
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -3,13 +3,15 @@
 import (
 	"cmp"
 	"slices"
+
+	"ryepaddle/internal/wallclock"
 )
 
 // Key is what is known of one.
 type Key struct {
 	Name      KeyName
 	Owner     uint64
-	ExpiresAt int64
+	ExpiresAt wallclock.UnixMicro
 	BodyHash  [32]byte
 	Ended     bool // else its run had begun: it is in doubt once the process is gone
 	Status    uint8
@@ -29,8 +31,8 @@
 // State is what a sequence of records comes to.
 type State struct {
 	keys   map[KeyName]*Key
-	live   int64 // bytes of all keys, about
-	newest int64 // time of the newest record
+	live   int64               // bytes of all keys, about
+	newest wallclock.UnixMicro // time of the newest record
 }
 
 // NewState is that of no records.
@@ -97,7 +99,7 @@
 
 // Expire drops keys that no repeat can meet any more: they ended, or their process did, before that
 // time.
-func (s *State) Expire(before int64, begunToo bool) {
+func (s *State) Expire(before wallclock.UnixMicro, begunToo bool) {
 	for _, k := range s.keys {
 		if k.ExpiresAt < before && (k.Ended || begunToo) {
 			s.drop(k)
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -97,7 +97,7 @@
 	return s, found, nil
 }
 
-func now() int64 { return wallclock.Now().UnixMicro() }
+func now() wallclock.UnixMicro { return wallclock.FromTime(wallclock.Now()) }
 
 func (s *Store) tell(down bool, err error) { s.deliver(func() { s.changed(down, err) }) }
 
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -13,9 +13,10 @@
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/testing/crashfs"
+	"ryepaddle/internal/wallclock"
 )
 
-const at = int64(1_700_000_000_000_000)
+const at = wallclock.UnixMicro(1_700_000_000_000_000)
 
 func name(key string) store.KeyName {
 	return store.KeyName{Class: "hand-in", Tenant: "north", Key: key}
@@ -27,7 +28,7 @@
 		Name:  name(key),
 		Owner: owner,
 		At:    at,
-		Until: at + 13_000_000,
+		Until: at.Add(13 * time.Second),
 		Body:  [32]byte{1, 2},
 	}
 }
@@ -114,10 +115,10 @@
 		forgotten("done", 1),
 	)
 	old := begun("old", 9)
-	old.Until = at - 20_000_000
+	old.Until = at.Add(-20 * time.Second)
 	commit(t, j, old)
 	// A clock that went back keeps keys for longer, and drops none.
-	if f, err := store.Read(d, at-3_600_000_000, store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
+	if f, err := store.Read(d, at.Add(-time.Hour), store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
 		f.NewestAt != at {
 		t.Errorf("an hour earlier: %d keys, %v", len(f.Keys), err)
 	}
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -1,6 +1,10 @@
 package lifecycle
 
-import "ryepaddle/internal/admission"
+import (
+	"time"
+
+	"ryepaddle/internal/admission"
+)
 
 // StartedAt reports a result of which the first part is there. It answers the request, whose run goes
 // on until its end is reported; from now on it can neither fail nor be tried again. It reports
@@ -113,7 +117,7 @@
 }
 
 // CallEnded reports the end of a call that took so long.
-func (c *Manager) CallEnded(a *Attempt, o Outcome, reply []byte, took int64) {
+func (c *Manager) CallEnded(a *Attempt, o Outcome, reply []byte, took time.Duration) {
 	r := c.requests[a.id]
 	if a.over || r == nil || r.running != a || !r.calling {
 		return
@@ -130,7 +134,7 @@
 			Kind:    admission.EventCallCompleted,
 			Request: r.id,
 			Outcome: callOutcomes[o],
-			Elapsed: span(took),
+			Elapsed: took,
 		},
 	)
 	c.settle()
@@ -151,7 +155,7 @@
 		return
 	}
 	if r.entry != nil {
-		r.entry.run(r.ArrivedAt, class.IdempotencyWindow.Microseconds())
+		r.entry.run(r.ArrivedAt, class.IdempotencyWindow)
 		if c.host.Reservations != nil {
 			c.claim(r)
 			return
@@ -167,14 +171,14 @@
 // late tells whether a request came too late to begin in a drain.
 func (c *Manager) late(r *request) bool {
 	return c.drainAt != 0 &&
-		c.host.Now()-max(c.host.Unix()-r.ArrivedAt, 0) > c.drainAt+c.set.DrainGrace.Microseconds()
+		c.host.Now()-max(c.host.Unix().Sub(r.ArrivedAt), 0) > c.drainAt+c.set.DrainGrace
 }
 
 func (c *Manager) newAttempt(r *request, before *Attempt) *Attempt {
 	class := &c.set.Classes[r.Class]
-	aim := int64(0)
+	aim := time.Duration(0)
 	if r.FirstSentAt > 0 {
-		aim = min(c.host.Now()-(c.host.Unix()-r.FirstSentAt)+class.LatencyObjective.Microseconds(), r.due)
+		aim = min(c.host.Now()-c.host.Unix().Sub(r.FirstSentAt)+class.LatencyObjective, r.due)
 	}
 	return &Attempt{
 		Request:    r.Request,
@@ -219,7 +223,7 @@
 	return c.host.ShouldRetry(t)
 }
 
-func (c *Manager) call(r *request, patience int64) {
+func (c *Manager) call(r *request, patience time.Duration) {
 	if r.running == nil || r.wants == nil || c.host.Dependency == nil {
 		c.gate.report(
 			admission.Event{Kind: admission.EventCallCompleted, Request: r.id, Outcome: admission.OutcomeUnreachable},
@@ -227,7 +231,7 @@
 		return
 	}
 	if patience <= 0 {
-		patience = c.set.Classes[r.Class].Timeout.Microseconds()
+		patience = c.set.Classes[r.Class].Timeout
 	}
 	r.calling = true
 	c.host.Dependency.Call(r.running, r.wants, patience)
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -1,21 +1,23 @@
 package lifecycle
 
+import "time"
+
 // callerTable knows the callers of whose requests one has lately run. Credit is shared among those
 // that are heard: if any number that a stranger makes up counted as a caller, a flood of them would
 // leave the others none.
 type callerTable struct {
-	last  map[uint32]int64
-	swept int64
+	last  map[uint32]time.Duration
+	swept time.Duration
 }
 
 const (
-	provenFor  = 10_000_000
+	provenFor  = 10 * time.Second
 	maxProven  = 4096
 	noCallerNo = 1<<32 - 1 // what the module is told for all strangers together
 )
 
 // prove notes that a request of the caller has run.
-func (t *callerTable) prove(number uint32, now int64) {
+func (t *callerTable) prove(number uint32, now time.Duration) {
 	if _, known := t.last[number]; known || len(t.last) < maxProven {
 		t.last[number] = now
 	}
@@ -30,7 +32,7 @@
 }
 
 // expire forgets callers that were not heard for long: their numbers are ever new.
-func (t *callerTable) expire(now int64) {
+func (t *callerTable) expire(now time.Duration) {
 	if now < t.swept+sweepEvery {
 		return
 	}
--- a/internal/lifecycle/claims.go
+++ b/internal/lifecycle/claims.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"time"
 
 	"ryepaddle/internal/admission"
 )
@@ -11,14 +12,14 @@
 	// Reserve has it written that a run begins, unless the key is another's: free is asked once all
 	// that others have written was heard. Done is called once, now or later; an error: nothing may
 	// run.
-	Reserve(k KeyRecord, within int64, free func() bool, done func(mine bool, err error))
+	Reserve(k KeyRecord, within time.Duration, free func() bool, done func(mine bool, err error))
 	Ended(k KeyRecord)
 	Released(k KeyRecord)
 }
 
 const (
-	claimWithin = 200_000   // a claim that takes longer is given up
-	claimBack   = 1_000_000 // and its caller stays away for so long
+	claimWithin = 200 * time.Millisecond // a claim that takes longer is given up
+	claimBack   = time.Second            // and its caller stays away for so long
 )
 
 // claim has a run claimed, and then begins it.
@@ -54,7 +55,7 @@
 }
 
 // unbegun ends an attempt that was to begin and did not.
-func (c *Manager) unbegun(r *request, a *Attempt, cause Cause, back int64) {
+func (c *Manager) unbegun(r *request, a *Attempt, cause Cause, back time.Duration) {
 	r.trail.because(cause, 0, 0)
 	if c.host.Reservations != nil {
 		c.host.Reservations.Released(c.kept(r))
@@ -152,7 +153,7 @@
 	heard := c.strange
 	c.strange = nil
 	for _, k := range heard {
-		if c.host.Unix() <= k.ExpiresAt+lateRead {
+		if c.host.Unix() <= k.ExpiresAt.Add(lateRead) {
 			c.ApplyRemote(k.KeyRecord, k.forgotten)
 		}
 	}
@@ -194,7 +195,7 @@
 func (c *Manager) EachOwned(fn func(KeyRecord)) {
 	now := c.host.Unix()
 	for _, e := range c.keys.byName {
-		if e.elsewhere == 0 && e.ran && !c.toBegin(e) && now <= e.until+lateRead {
+		if e.elsewhere == 0 && e.ran && !c.toBegin(e) && now <= e.until.Add(lateRead) {
 			fn(c.keptOf(e))
 		}
 	}
--- a/internal/lifecycle/claims_test.go
+++ b/internal/lifecycle/claims_test.go
@@ -38,7 +38,7 @@
 	fail bool // the disk takes nothing
 }
 
-func (b *logbook) join(t *testing.T, now int64) *member {
+func (b *logbook) join(t *testing.T, now time.Duration) *member {
 	b.lives++
 	m := &member{book: b, life: b.lives}
 	m.table = newTableBeside(t, 1, m, m.life)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (m *member) Reserve(k KeyRecord, _ int64, free func() bool, done func(bool, error)) {
+func (m *member) Reserve(k KeyRecord, _ time.Duration, free func() bool, done func(bool, error)) {
 	m.catchUp()
 	switch {
 	case m.fail:
@@ -85,9 +85,9 @@
 func TestKeysRunOnceInTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := &logbook{}
-		one, two := b.join(t, 1_000_000), b.join(t, 1_000_000)
+		one, two := b.join(t, time.Second), b.join(t, time.Second)
 		// when a key ran last; whether a request was answered
-		ran, answered := map[string]int64{}, map[string]bool{}
+		ran, answered := map[string]time.Duration{}, map[string]bool{}
 		asked := map[string]string{} // keys by request
 		last := 0
 		look := func() {
@@ -97,8 +97,8 @@
 					key := asked[w[1]]
 					switch w[0] {
 					case "run":
-						if at, before := ran[key]; before && m.now < at+13_020_000 {
-							rt.Fatalf("key %s runs at %d and at %d", key, at, m.now)
+						if at, before := ran[key]; before && m.now < at+13020*time.Millisecond {
+							rt.Fatalf("key %s runs at %v and at %v", key, at, m.now)
 						}
 						ran[key] = m.now
 					case "answer":
@@ -195,7 +195,7 @@
 // The other process has read settings with a class that this one does not know yet.
 func TestClaimOfAClassThatComesLater(t *testing.T) {
 	b := &logbook{}
-	one, two := b.join(t, 1_000_000), b.join(t, 1_000_000)
+	one, two := b.join(t, time.Second), b.join(t, time.Second)
 	more := one.set
 	more.Classes = append(
 		slices.Clone(more.Classes),
@@ -224,7 +224,7 @@
 // What a repeat gets that meets a run of the other process, step by step.
 func TestRepeatOfARunElsewhere(t *testing.T) {
 	b := &logbook{}
-	one, two := b.join(t, 1_000_000), b.join(t, 1_000_000)
+	one, two := b.join(t, time.Second), b.join(t, time.Second)
 	step := func(m *member, words string, want ...string) {
 		t.Helper()
 		m.seen = nil
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -3,16 +3,18 @@
 // hand in requests and get answers; back ends get attempts and calls and report outcomes; the
 // decisions are the module's.
 //
-// All times are microseconds. The core runs on one goroutine.
+// The manager runs on one goroutine.
 package lifecycle
 
 import (
 	"errors"
 	"log/slog"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // What is told to operators, through the host.
@@ -26,19 +28,19 @@
 
 // Host is what the core needs from the program round it.
 type Host struct {
-	Now       func() int64 // monotonic, above 0
-	Unix      func() int64
-	After     func(d int64, fn func()) (stop func())
+	Now       func() time.Duration // monotonic, above 0
+	Unix      func() wallclock.UnixMicro
+	After     func(d time.Duration, fn func()) (stop func())
 	Measure   func(func(Gauges))      // measures, and then calls back once
 	SetHealth func(stored, good bool) // how health checks are to be answered
 	// the free value that goes with every answer from now on
 	Advertise func(value float64)
-	CloseIdle func(idle int64)       // close connections that are idle for so long
-	Route     func(class int) Runner // where requests of the class run
+	CloseIdle func(idle time.Duration) // close connections that are idle for so long
+	Route     func(class int) Runner   // where requests of the class run
 	// whether one that came to nothing there is tried once more; nil: never
 	ShouldRetry func(RetryCandidate) bool
 	// how long to stay away from a class that nobody took; nil: for the least time
-	RetryAfter   func(class int) int64
+	RetryAfter   func(class int) time.Duration
 	Dependency   Dependency                            // nil where nothing is called
 	Log          func(e *logging.Event, values ...any) // nil: the log of the process
 	KeyLimits    KeyLimits                             // of the table of keys
@@ -58,13 +60,13 @@
 	ResultBytes int // of kept results; 24 MB
 }
 
-const fullFor = 1_000_000 // how long a caller stays away from a full table
+const fullFor = time.Second // how long a caller stays away from a full table
 
 // request is the core's own record. It is kept until it is answered and nothing of it runs.
 type request struct {
 	*Request
 	id       uint64
-	due      int64 // monotonic
+	due      time.Duration // monotonic
 	answered bool
 	running  *Attempt
 	wants    []byte // body of the call that the run waits for
@@ -88,15 +90,15 @@
 	open     int // not yet answered
 	keys     keyTable
 	settling bool
-	drainAt  int64   // monotonic; 0: not draining
-	stopAt   int64   // monotonic; when a drain has to be over
-	counts   []Stats // by class
+	drainAt  time.Duration // monotonic; 0: not draining
+	stopAt   time.Duration // monotonic; when a drain has to be over
+	counts   []Stats       // by class
 	// Monotonic times since when classes are not in the settings any more.
-	droppedAt []int64
+	droppedAt []time.Duration
 	strange   []strangeKey // heard of other processes, of classes that there are not
 
 	refused   int // for their keys, since that was told
-	refusedAt int64
+	refusedAt time.Duration
 }
 
 // New makes the table round a fresh module.
@@ -111,9 +113,9 @@
 	}
 	c := &Manager{host: host, set: set, requests: map[uint64]*request{}, names: map[string]struct{}{},
 		callers: callerTable{
-			last: map[uint32]int64{},
+			last: map[uint32]time.Duration{},
 		}, keys: newKeyTable(host.KeyLimits), counts: make([]Stats, len(set.Classes)),
-		droppedAt: make([]int64, len(set.Classes))}
+		droppedAt: make([]time.Duration, len(set.Classes))}
 	c.gate = gate{module: module, now: host.Now}
 	return c, nil
 }
@@ -141,11 +143,11 @@
 		return c.misused(q, DuplicateID)
 	}
 	c.lastID++
-	queued := max(c.host.Unix()-q.ArrivedAt, 0)
+	queued := max(c.host.Unix().Sub(q.ArrivedAt), 0)
 	r := &request{Request: q, id: c.lastID, trail: c.trail(q)}
 	class := &c.set.Classes[q.Class]
 	arrival := c.arrivalOf(r, queued)
-	r.due = c.host.Now() - queued + class.Timeout.Microseconds()
+	r.due = c.host.Now() - queued + class.Timeout
 	keyed := class.Idempotency == admission.IdempotentWithKey
 	if keyed {
 		if r.entry = c.keys.find(q); r.entry != nil {
@@ -168,11 +170,11 @@
 }
 
 // arrivalOf is what the module hears of a request.
-func (c *Manager) arrivalOf(r *request, queued int64) admission.Event {
+func (c *Manager) arrivalOf(r *request, queued time.Duration) admission.Event {
 	return admission.Event{Kind: admission.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
 		Caller: c.callers.number(
 			r.Caller,
-		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Entity, QueueingDelay: span(queued),
+		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Entity, QueueingDelay: queued,
 		Write: c.set.Classes[r.Class].Idempotency != admission.Idempotent}
 }
 
@@ -197,7 +199,7 @@
 }
 
 // takeIn has a request in the table, where it is owed an answer.
-func (c *Manager) takeIn(r *request, queued int64) {
+func (c *Manager) takeIn(r *request, queued time.Duration) {
 	c.requests[r.id], c.names[r.ID] = r, struct{}{}
 	c.open++
 	c.counts[r.Class].Read++
@@ -233,7 +235,7 @@
 }
 
 // turnAway refuses a request of which the module has not heard, and says when to come back.
-func (c *Manager) turnAway(r *request, why string, back int64) {
+func (c *Manager) turnAway(r *request, why string, back time.Duration) {
 	c.unkept(c.set.Classes[r.Class].Name, why)
 	c.answer(r, Answer{Status: Rejected, RetryAfter: back})
 	c.drop(r)
@@ -243,7 +245,7 @@
 // troubles come to many.
 func (c *Manager) unkept(class, why string) {
 	c.refused++
-	if now := c.host.Now(); now >= c.refusedAt+1_000_000 || c.refusedAt == 0 {
+	if now := c.host.Now(); now >= c.refusedAt+time.Second || c.refusedAt == 0 {
 		c.host.Log(evRefused, class, why, c.refused)
 		c.refused, c.refusedAt = 0, now
 	}
@@ -310,7 +312,7 @@
 func (c *Manager) KeyCount() int { return len(c.keys.byName) }
 
 // Drain tells that the process is stopped after so long.
-func (c *Manager) Drain(stop int64) {
+func (c *Manager) Drain(stop time.Duration) {
 	if c.drainAt != 0 {
 		return
 	}
@@ -321,7 +323,7 @@
 			c.boundReplication(r)
 		}
 	}
-	c.gate.report(admission.Event{Kind: admission.EventDrain, Deadline: span(c.stopAt)})
+	c.gate.report(admission.Event{Kind: admission.EventDrain, Deadline: c.stopAt})
 	c.settle()
 }
 
@@ -375,7 +377,7 @@
 	case doCall:
 		c.call(r, d.span)
 	case doKeep:
-		c.keys.keep(r, c.host.Unix()+d.span)
+		c.keys.keep(r, c.host.Unix().Add(d.span))
 	case doForget:
 		c.forget(r)
 	case doReuse:
@@ -391,7 +393,7 @@
 		c.callers.expire(c.host.Now())
 		c.strange = slices.DeleteFunc(
 			c.strange,
-			func(k strangeKey) bool { return c.host.Unix() > k.ExpiresAt+lateRead },
+			func(k strangeKey) bool { return c.host.Unix() > k.ExpiresAt.Add(lateRead) },
 		)
 		c.gate.tick(v)
 		c.settle()
@@ -399,13 +401,13 @@
 }
 
 // comeBack is the least time that a caller is told to stay away after a refusal.
-const comeBack = 20_000
+const comeBack = 20 * time.Millisecond
 
 // errSlow is that of a keeper that does not answer in time.
 var errSlow = errors.New("the disk does not answer in time")
 
 // lateBy is how close to its due time a failure counts as want of time.
-const lateBy = 40_000
+const lateBy = 40 * time.Millisecond
 
 func (c *Manager) fail(r *request) {
 	kind := Failed
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -11,6 +11,7 @@
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/telemetry/logging"
 	"ryepaddle/internal/testing/scenario"
+	"ryepaddle/internal/wallclock"
 )
 
 // table is a core with a clock, a back end and callers of the test's own. It sends `ask ID CLASS
@@ -18,7 +19,7 @@
 // and `pass MS`; it sees `run ID`, `answer ID KIND [RESULT]`, `call ID` and `give-up ID`.
 type table struct {
 	*Manager
-	now       int64
+	now       time.Duration
 	timers    []timer
 	lastTimer int
 	runs      map[string]*Attempt
@@ -28,7 +29,7 @@
 }
 
 type timer struct {
-	at int64
+	at time.Duration
 	fn func()
 	n  int
 }
@@ -56,10 +57,10 @@
 	t.runs[a.Request.ID] = a
 	t.note("run %s", a.Request.ID)
 }
-func (t *table) Abandon(*Attempt)                   {}
-func (t *table) Resume(*Attempt, []byte)            {}
-func (t *table) Call(a *Attempt, _ []byte, _ int64) { t.note("call %s", a.Request.ID) }
-func (t *table) CancelCall(a *Attempt)              { t.note("give-up %s", a.Request.ID) }
+func (t *table) Abandon(*Attempt)                           {}
+func (t *table) Resume(*Attempt, []byte)                    {}
+func (t *table) Call(a *Attempt, _ []byte, _ time.Duration) { t.note("call %s", a.Request.ID) }
+func (t *table) CancelCall(a *Attempt)                      { t.note("give-up %s", a.Request.ID) }
 
 // Next implements scenario.Actor. All happens at once here, so nothing is waited for.
 func (t *table) Next(time.Duration) (string, bool) {
@@ -92,10 +93,10 @@
 				ID:        w[1],
 				Class:     class,
 				Tenant:    tenant,
-				ArrivedAt: t.now,
+				ArrivedAt: t.unix(),
 				SizeKB:    1,
 				Key:       w[3],
-				Timeout:   int64(due) * 1000,
+				Timeout:   time.Duration(due) * time.Millisecond,
 				Responder: asker{t, w[1]},
 			},
 		)
@@ -106,29 +107,32 @@
 	case "need":
 		t.NeedsCall(t.runs[w[1]], []byte("body"))
 	case "called":
-		t.CallEnded(t.runs[w[1]], outcomes[w[2]], nil, 1000)
+		t.CallEnded(t.runs[w[1]], outcomes[w[2]], nil, time.Millisecond)
 	case "drain", "pass":
-		var ms int64
+		var ms time.Duration
 		if _, err := fmt.Sscan(w[1], &ms); err != nil {
 			return err
 		}
 		if w[0] == "drain" {
-			t.Drain(ms * 1000)
+			t.Drain(ms * time.Millisecond)
 			return nil
 		}
-		t.pass(ms * 1000)
+		t.pass(ms * time.Millisecond)
 	}
 	return nil
 }
 
-func (t *table) after(d int64, fn func()) (stop func()) {
+// unix is a wall clock that began with the monotonic one.
+func (t *table) unix() wallclock.UnixMicro { return wallclock.UnixMicro(t.now.Microseconds()) }
+
+func (t *table) after(d time.Duration, fn func()) (stop func()) {
 	t.lastTimer++
 	n := t.lastTimer
 	t.timers = append(t.timers, timer{t.now + d, fn, n})
 	return func() { t.timers = slices.DeleteFunc(t.timers, func(v timer) bool { return v.n == n }) }
 }
 
-func (t *table) pass(d int64) {
+func (t *table) pass(d time.Duration) {
 	for end := t.now + d; ; {
 		next := -1
 		for i := range t.timers {
@@ -188,7 +192,7 @@
 // A HUP during a drain does not lengthen the grace under which the notice was given.
 func TestSettingsChangeDuringADrain(t *testing.T) {
 	c := newTableAt(t, func(s *admission.Settings) { s.DrainGrace = time.Second })
-	c.Drain(5_000_000)
+	c.Drain(5 * time.Second)
 	set := c.set
 	set.DrainGrace = 4 * time.Second
 	if _, err := c.Configure(set); err != nil {
@@ -248,13 +252,13 @@
 			}},
 	}
 	change(&s)
-	c := &table{now: 1_000_000, runs: map[string]*Attempt{}, ids: map[string]Ticket{}}
-	clock := func() int64 { return c.now }
+	c := &table{now: time.Second, runs: map[string]*Attempt{}, ids: map[string]Ticket{}}
+	clock := func() time.Duration { return c.now }
 	var err error
 	c.Manager, err = New(
 		s,
 		1,
-		Host{Now: clock, Unix: clock, SetHealth: func(_, _ bool) {}, Advertise: func(float64) {}, CloseIdle: func(int64) {},
+		Host{Now: clock, Unix: c.unix, SetHealth: func(_, _ bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {},
 			After:   c.after,
 			Measure: func(fn func(Gauges)) { fn(UnknownGauges()) },
 			Route:   func(int) Runner { return c }, ShouldRetry: func(t RetryCandidate) bool { return t.Attempts < tries && t.Remaining > 0 }, Dependency: c, Log: func(e *logging.Event, values ...any) { t.Log(e.FormatLine(values...)) },
@@ -462,7 +466,7 @@
 	c := newTable(t, 1)
 	c.keys.most.Keys = 4
 	key := func(class, name string) KeyRecord {
-		return KeyRecord{Class: class, Key: name, ExpiresAt: c.now + 5_000_000, BodyHash: bodyOf(&Request{})}
+		return KeyRecord{Class: class, Key: name, ExpiresAt: c.unix().Add(5 * time.Second), BodyHash: bodyOf(&Request{})}
 	}
 	served, failed, doubt := key("hand-in", "served"), key("hand-in", "failed"), key("hand-in", "doubt")
 	served.Ended, served.Result = true, &Result{Status: 200, Body: []byte("kept")}
@@ -484,7 +488,7 @@
 				ID:        want.key,
 				Class:     class,
 				Tenant:    -1,
-				ArrivedAt: c.now,
+				ArrivedAt: c.unix(),
 				Key:       want.key,
 				Responder: told(func(a Answer) { got = a }),
 			},
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -37,7 +37,7 @@
 type decision struct {
 	verb         verb
 	id           uint64
-	span         int64 // microseconds
+	span         time.Duration
 	last         bool
 	stored, good bool
 	value        float64
@@ -50,14 +50,12 @@
 // a time.
 type gate struct {
 	module *admission.Controller
-	now    func() int64
+	now    func() time.Duration
 	events []admission.Event
 	ready  []admission.Action
 	next   int
 }
 
-func span(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
-
 // report tells the module one thing that happened. The module hears it at the next pick.
 func (g *gate) report(e admission.Event) { g.events = append(g.events, e) }
 
@@ -72,7 +70,7 @@
 		if len(g.events) == 0 {
 			return decision{}, false
 		}
-		g.ready, g.next = g.module.Handle(span(g.now()), g.events, g.ready[:0]), 0
+		g.ready, g.next = g.module.Handle(g.now(), g.events, g.ready[:0]), 0
 		g.events = g.events[:0]
 		if len(g.ready) == 0 {
 			return decision{}, false
@@ -83,7 +81,7 @@
 	return decision{
 		verb:   verbs[a.Kind],
 		id:     a.Request,
-		span:   a.Duration.Microseconds(),
+		span:   a.Duration.Truncate(time.Microsecond),
 		last:   a.NoRetry,
 		stored: a.Static,
 		good:   a.Healthy,
--- a/internal/lifecycle/keeper.go
+++ b/internal/lifecycle/keeper.go
@@ -2,8 +2,10 @@
 
 import (
 	"errors"
+	"time"
 
 	"ryepaddle/internal/admission"
+	"ryepaddle/internal/wallclock"
 )
 
 // KeyRecord is what is remembered of a key where a crash does not reach it. Classes and tenants go by
@@ -12,28 +14,28 @@
 	Class, Tenant, Key string
 	// the try that it is about, told from all others, also of other lives of the program
 	Owner      uint64
-	ExpiresAt  int64 // Unix time up to which a repeat may arrive
+	ExpiresAt  wallclock.UnixMicro // Unix time up to which a repeat may arrive
 	BodyHash   [32]byte
 	Ended      bool   // else its run had begun
 	Status     Status // of an end without a result: how repeats are answered
 	Result     *Result
-	ServerTime int64 // of an end: microseconds that servers spent on it
-	HasWaiter  bool  // of an end: somebody waits for the answer
+	ServerTime time.Duration // of an end: time that servers spent on it
+	HasWaiter  bool          // of an end: somebody waits for the answer
 }
 
 // KeyStore keeps keys where a crash does not reach them. A run begins once it is kept that it does,
 // and the answer to it goes out once its result is kept. What is kept of a key is kept in the order
 // in which it was handed over.
 type KeyStore interface {
-	// Unavailable tells for how long no new key can be taken, in microseconds, and why; 0: they can.
-	Unavailable() (back int64, why string)
+	// Unavailable tells for how long no new key can be taken, and why; 0: they can.
+	Unavailable() (back time.Duration, why string)
 	// Started and Ended call done on the loop, later.
 	Started(k KeyRecord, done func(error))
 	Ended(k KeyRecord, done func(error))
 	Released(k KeyRecord)
-	// Timeout is how long a run or an answer waits for that, in microseconds; a result waits for
+	// Timeout is how long a run or an answer waits for that; a result waits for
 	// other runners while there is time.
-	Timeout() int64
+	Timeout() time.Duration
 }
 
 // ReplicatedKeyStore is a Keeper that keeps keys on other runners too. The result of a run is given out only
@@ -46,7 +48,7 @@
 
 // ReplicationError is that of a key that could not be kept on other runners.
 type ReplicationError struct {
-	RetryAfter int64 // microseconds after which it may be; 0: not known
+	RetryAfter time.Duration // after which it may be; 0: not known
 	Err        error
 }
 
@@ -56,7 +58,7 @@
 func (e *ReplicationError) Unwrap() error { return e.Err }
 
 // unkeptBy is why a key is not kept, and when to come back; nought: not known.
-func unkeptBy(err error) (Cause, int64) {
+func unkeptBy(err error) (Cause, time.Duration) {
 	if copies := (*ReplicationError)(nil); errors.As(err, &copies) {
 		return CauseReplicas, copies.RetryAfter
 	}
@@ -238,7 +240,7 @@
 	}
 	if _, shared := c.host.KeyStore.(ReplicatedKeyStore); shared && o == Succeeded {
 		// no repeat can come any more
-		stop = c.host.After(max(k.ExpiresAt-c.host.Unix(), 0), func() { finish(errSlow) })
+		stop = c.host.After(max(k.ExpiresAt.Sub(c.host.Unix()), 0), func() { finish(errSlow) })
 		c.host.KeyStore.Ended(k, finish)
 		c.boundReplication(r)
 		c.settle()
@@ -276,4 +278,4 @@
 
 // replicationSpare is how long before the process is stopped a result that is not confirmed is
 // given up.
-const replicationSpare = 300_000
+const replicationSpare = 300 * time.Millisecond
--- a/internal/lifecycle/keeper_test.go
+++ b/internal/lifecycle/keeper_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"ryepaddle/internal/testing/scenario"
 )
@@ -13,9 +14,9 @@
 	confirm func(error)
 }
 
-func (*replicas) Unavailable() (int64, string)          { return 0, "" }
+func (*replicas) Unavailable() (time.Duration, string)  { return 0, "" }
 func (*replicas) MissingReplicas() bool                 { return false }
-func (*replicas) Timeout() int64                        { return 500_000 }
+func (*replicas) Timeout() time.Duration                { return 500 * time.Millisecond }
 func (*replicas) Started(_ KeyRecord, done func(error)) { done(nil) }
 func (p *replicas) Ended(_ KeyRecord, done func(error)) { p.confirm = done }
 func (*replicas) Released(KeyRecord)                    {}
--- a/internal/lifecycle/keys.go
+++ b/internal/lifecycle/keys.go
@@ -3,8 +3,10 @@
 import (
 	"cmp"
 	"crypto/sha256"
+	"time"
 
 	"ryepaddle/internal/admission"
+	"ryepaddle/internal/wallclock"
 )
 
 // keyName tells the tries of one request from those of others, whichever front they came through.
@@ -19,7 +21,7 @@
 	first   string // the name of the try that is kept
 	owner   uint64 // the try that is kept, and that runs if any does
 	body    bodySum
-	until   int64 // Unix time up to which a repeat may arrive
+	until   wallclock.UnixMicro // Unix time up to which a repeat may arrive
 	ran     bool
 	ended   bool
 	failed  Status  // of an end without a result
@@ -36,7 +38,7 @@
 type keyTable struct {
 	byName map[keyName]*entry
 	bytes  int
-	swept  int64
+	swept  wallclock.UnixMicro
 	most   KeyLimits
 }
 
@@ -48,10 +50,10 @@
 
 // lateRead is how long after its arrival a repeat may be read; it still meets the entry that stood
 // when it came.
-const lateRead = 10_000_000
+const lateRead = 10 * time.Second
 
 // sweepEvery bounds the work of looking through the table.
-const sweepEvery = 500_000
+const sweepEvery = 500 * time.Millisecond
 
 // bodySum stands for a body, of which all tries carry the same.
 type bodySum [sha256.Size]byte
@@ -71,7 +73,7 @@
 }
 
 // keep remembers a request's key up to a Unix time, in place of an older try whose time is over.
-func (t *keyTable) keep(r *request, until int64) {
+func (t *keyTable) keep(r *request, until wallclock.UnixMicro) {
 	e := t.byName[nameOf(r.Request)]
 	// another process was first, since r was read
 	if e != nil && e.elsewhere != 0 && r.ArrivedAt <= e.until {
@@ -97,9 +99,9 @@
 func (t *keyTable) full() bool { return len(t.byName) >= t.most.Keys || t.bytes >= t.most.ResultBytes }
 
 // run opens the window: it counts from the arrival of the try that runs.
-func (e *entry) run(arrived, window int64) {
+func (e *entry) run(arrived wallclock.UnixMicro, window time.Duration) {
 	e.ran = true
-	e.until = max(e.until, arrived+window)
+	e.until = max(e.until, arrived.Add(window))
 }
 
 func (e *entry) leave(r *request) {
@@ -130,13 +132,13 @@
 }
 
 // expire drops the entries that no repeat can meet any more.
-func (t *keyTable) expire(now int64) {
-	if now < t.swept+sweepEvery {
+func (t *keyTable) expire(now wallclock.UnixMicro) {
+	if now < t.swept.Add(sweepEvery) {
 		return
 	}
 	t.swept = now
 	for _, e := range t.byName {
-		if now > e.until+lateRead && (e.ended || !e.ran || e.elsewhere != 0) && len(e.waiters) == 0 {
+		if now > e.until.Add(lateRead) && (e.ended || !e.ran || e.elsewhere != 0) && len(e.waiters) == 0 {
 			t.remove(e)
 		}
 	}
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -2,13 +2,14 @@
 
 import (
 	"slices"
+	"time"
 
 	"ryepaddle/internal/admission"
 )
 
 // droppedFor is for how long after a change of the settings requests of a class that they have not
 // any more are taken: callers hear of it late.
-const droppedFor = 5_000_000
+const droppedFor = 5 * time.Second
 
 // Configure takes settings that were changed while the program runs, and gives them as they are in
 // force, with the places of classes that they have dropped.
@@ -33,7 +34,7 @@
 		c.counts,
 		make([]Stats, grow)...), append(
 		c.droppedAt,
-		make([]int64, grow)...)
+		make([]time.Duration, grow)...)
 	c.set = set
 	c.hearAgain()
 	return set, nil
--- a/internal/lifecycle/trail.go
+++ b/internal/lifecycle/trail.go
@@ -1,6 +1,11 @@
 package lifecycle
 
-import "ryepaddle/internal/admission"
+import (
+	"time"
+
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/wallclock"
+)
 
 // Cause is why a request was answered as it was. Those of the module are followed by those of the
 // table of requests.
@@ -57,9 +62,9 @@
 
 // AttemptTrace is one try on a server.
 type AttemptTrace struct {
-	Server    string // empty: none took it
-	StartedAt int64  // Unix time
-	Duration  int64
+	Server    string              // empty: none took it
+	StartedAt wallclock.UnixMicro // Unix time
+	Duration  time.Duration
 	Outcome   Outcome // nought: it is not over
 }
 
@@ -72,19 +77,19 @@
 	TraceParent   string // as the request has it
 	Class, Tenant int
 	Caller        uint32
-	ArrivedAt     int64  // Unix times: at the machine,
-	ReadAt        int64  // when it was read whole,
-	StartedAt     int64  // when its run began; 0: never
-	AnsweredAt    int64  // and when it was answered
-	OriginalID    string // of a repeat: the name of the try that it repeats
-	Status        Status // nought: its caller went
+	ArrivedAt     wallclock.UnixMicro // Unix times: at the machine,
+	ReadAt        wallclock.UnixMicro // when it was read whole,
+	StartedAt     wallclock.UnixMicro // when its run began; 0: never
+	AnsweredAt    wallclock.UnixMicro // and when it was answered
+	OriginalID    string              // of a repeat: the name of the try that it repeats
+	Status        Status              // nought: its caller went
 	Cause         Cause
 	Value, Limit  float64
-	RetryAfter    int64
+	RetryAfter    time.Duration
 	Attempts      [mostHops]AttemptTrace
 	AttemptCount  int // those beyond the hops are counted alone
-	// microseconds that it waited until its key was kept, on the disk or on other runners
-	KeyWait int64
+	// time that it waited until its key was kept, on the disk or on other runners
+	KeyWait time.Duration
 }
 
 // trail begins one, where anybody takes them.
@@ -113,7 +118,7 @@
 }
 
 // tell hands a trail over, once.
-func (c *Manager) tell(t *Trace, kind Status, comeBack int64) {
+func (c *Manager) tell(t *Trace, kind Status, comeBack time.Duration) {
 	if t == nil || t.AnsweredAt != 0 {
 		return
 	}
@@ -122,10 +127,10 @@
 }
 
 // tellOf is tell for a request that may still run.
-func (c *Manager) tellOf(r *request, kind Status, comeBack int64) {
+func (c *Manager) tellOf(r *request, kind Status, comeBack time.Duration) {
 	if t, a := r.trail, r.running; t != nil && a != nil && t.AttemptCount > 0 && t.AttemptCount <= mostHops {
 		h := &t.Attempts[t.AttemptCount-1]
-		h.Server, h.Duration = a.Server, c.host.Unix()-h.StartedAt
+		h.Server, h.Duration = a.Server, c.host.Unix().Sub(h.StartedAt)
 		if kind == Expired {
 			h.Outcome = TimedOut
 		}
@@ -134,7 +139,7 @@
 }
 
 // tried notes a try that begins, and ended one that is over.
-func (t *Trace) tried(now int64) {
+func (t *Trace) tried(now wallclock.UnixMicro) {
 	if t == nil {
 		return
 	}
@@ -146,30 +151,30 @@
 	}
 }
 
-func (t *Trace) ended(a *Attempt, o Outcome, now int64) {
+func (t *Trace) ended(a *Attempt, o Outcome, now wallclock.UnixMicro) {
 	if t == nil || t.AttemptCount == 0 || t.AttemptCount > mostHops {
 		return
 	}
 	h := &t.Attempts[t.AttemptCount-1]
-	h.Server, h.Outcome, h.Duration = a.Server, o, now-h.StartedAt
+	h.Server, h.Outcome, h.Duration = a.Server, o, now.Sub(h.StartedAt)
 }
 
 // kept notes a wait for its key to be kept.
-func (t *Trace) kept(us int64) {
+func (t *Trace) kept(d time.Duration) {
 	if t != nil {
-		t.KeyWait += us
+		t.KeyWait += d
 	}
 }
 
 // work is the time that servers spent, of the tries that it tells of.
-func (t *Trace) work() (us int64) {
+func (t *Trace) work() (sum time.Duration) {
 	if t == nil {
 		return 0
 	}
 	for _, h := range t.Attempts[:min(t.AttemptCount, len(t.Attempts))] {
-		us += h.Duration
+		sum += h.Duration
 	}
-	return us
+	return sum
 }
 
 // causeOf is why a run that ended like that has no result.
--- a/internal/lifecycle/types.go
+++ b/internal/lifecycle/types.go
@@ -2,8 +2,10 @@
 
 import (
 	"math"
+	"time"
 
 	"ryepaddle/internal/admission"
+	"ryepaddle/internal/wallclock"
 )
 
 // Status is how a request was answered.
@@ -63,10 +65,10 @@
 // Answer is the one final answer to a request.
 type Answer struct {
 	Status     Status
-	Result     *Result // of Served
-	RetryAfter int64   // of Refused: how long to stay away; 0: the settings allow no such advice
-	DoNotRetry bool    // of Refused: the wish that nobody else is tried
-	Reason     Reason  // of Misused, and of Failed in doubt
+	Result     *Result       // of Served
+	RetryAfter time.Duration // of Refused: how long to stay away; 0: the settings allow no such advice
+	DoNotRetry bool          // of Refused: the wish that nobody else is tried
+	Reason     Reason        // of Misused, and of Failed in doubt
 }
 
 // Reason is how a request was misused.
@@ -94,9 +96,9 @@
 	Class         int
 	Tenant        int // NoTenant: nobody's
 	Caller        uint32
-	ArrivedAt     int64 // Unix time at which it reached the machine
-	Timeout       int64 // how long after that its caller waits; 0: the class's deadline
-	FirstSentAt   int64 // Unix time at which its caller asked for it first; 0: not known
+	ArrivedAt     wallclock.UnixMicro // Unix time at which it reached the machine
+	Timeout       time.Duration       // how long after that its caller waits; 0: the class's deadline
+	FirstSentAt   wallclock.UnixMicro // Unix time at which its caller asked for it first; 0: not known
 	SizeKB        float64
 	Rank          float64
 	Key           string // dedupe key; needed in keyed classes
@@ -131,11 +133,11 @@
 type Attempt struct {
 	Request    *Request
 	Class      string
-	Deadline   int64    // monotonic time at which its answer is worth nothing
-	Objective  int64    // and after which it is worth less; 0: nobody knows how old it is
-	Idempotent bool     // it may be sent again
-	Server     string   // which server took it, for back ends that have several
-	Previous   *Attempt // the try before it, which failed
+	Deadline   time.Duration // monotonic time at which its answer is worth nothing
+	Objective  time.Duration // and after which it is worth less; 0: nobody knows how old it is
+	Idempotent bool          // it may be sent again
+	Server     string        // which server took it, for back ends that have several
+	Previous   *Attempt      // the try before it, which failed
 	// Cause it was not run, if its runner knows better than the outcome tells, with what was
 	// compared.
 	Cause        Cause
@@ -159,10 +161,10 @@
 // RetryCandidate is what is known of a request that came to nothing, when it is asked whether to try again.
 type RetryCandidate struct {
 	Class         int
-	HasSideEffect bool  // running it twice would do harm
-	NeverRan      bool  // that it never ran
-	Attempts      int   // that it has had
-	Remaining     int64 // microseconds until its answer is late
+	HasSideEffect bool          // running it twice would do harm
+	NeverRan      bool          // that it never ran
+	Attempts      int           // that it has had
+	Remaining     time.Duration // until its answer is late
 }
 
 // Runner is a back end that runs requests. Outcomes are reported with Core.Ended, once an attempt,
@@ -176,7 +178,7 @@
 // Dependency places the calls of running requests and reports them with Core.CallEnded, never from
 // within Call.
 type Dependency interface {
-	Call(a *Attempt, body []byte, patience int64)
+	Call(a *Attempt, body []byte, patience time.Duration)
 	// CancelCall drops a call that is out; nothing is reported of it.
 	CancelCall(a *Attempt)
 }
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -8,6 +8,7 @@
 	"hash/crc32"
 	"log/slog"
 	"net/netip"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
@@ -148,12 +149,18 @@
 
 // Open listens, and tells what comes of peers that the file names.
 func Open(l *eventloop.Loop, cfg Config, heard func(from string, f *Frame)) (*Transport, error) {
-	n := &Transport{loop: l, cfg: cfg, outbound: map[string]*outboundLink{}, inbound: map[*inboundLink]bool{}, receive: heard}
+	n := &Transport{
+		loop:     l,
+		cfg:      cfg,
+		outbound: map[string]*outboundLink{},
+		inbound:  map[*inboundLink]bool{},
+		receive:  heard,
+	}
 	for _, p := range cfg.Peers {
 		n.outbound[p.Name] = &outboundLink{transport: n, peer: p}
 	}
 	n.rebuildGrid()
-	l.Every(idleTimeout/2, n.closeIdle)
+	l.Every(time.Duration(idleTimeout/2)*time.Microsecond, n.closeIdle)
 	var err error
 	// Each peer has one connection; another one may come before the end of the last is seen.
 	n.listener, err = l.Listen(
@@ -226,7 +233,7 @@
 // closeIdle ends the links beside those of the grid that nobody uses.
 func (n *Transport) closeIdle() {
 	for name, p := range n.outbound {
-		if p.conn != nil && !n.linked(name) && n.loop.Now()-p.lastUsed > idleTimeout {
+		if p.conn != nil && !n.linked(name) && n.loop.Now().Microseconds()-p.lastUsed > idleTimeout {
 			p.conn.Close(errIdle)
 		}
 	}
@@ -239,9 +246,10 @@
 		return to
 	}
 	relays := n.grid.Relays(n.cfg.Name, to.peer.Name)
-	turn := int(n.loop.Now() / relayInterval % int64(max(len(relays), 1)))
+	turn := int(n.loop.Now().Microseconds() / relayInterval % int64(max(len(relays), 1)))
 	for i := range relays {
-		if r := n.outbound[relays[(turn+i)%len(relays)]]; r != nil && !r.failed && !n.unavailable[r.peer.Name] {
+		if r := n.outbound[relays[(turn+i)%len(relays)]]; r != nil && !r.failed &&
+			!n.unavailable[r.peer.Name] {
 			return r
 		}
 	}
@@ -320,27 +328,37 @@
 
 func (p *outboundLink) send(f *Frame) {
 	l := p.transport.loop
-	if p.conn == nil && l.Now() >= p.nextDial {
-		p.nextDial = l.Now() + redialInterval
+	if p.conn == nil && l.Now().Microseconds() >= p.nextDial {
+		p.nextDial = l.Now().Microseconds() + redialInterval
 		p.dial()
 		p.write(
-			&Frame{Hello: &Hello{Installation: p.transport.cfg.Installation, Name: p.transport.cfg.Name, Version: formatVersion}},
+			&Frame{
+				Hello: &Hello{
+					Installation: p.transport.cfg.Installation,
+					Name:         p.transport.cfg.Name,
+					Version:      formatVersion,
+				},
+			},
 		)
 	}
 	if p.conn == nil || p.conn.QueuedBytes() > maxQueuedBytes {
 		p.transport.Dropped++
 		return
 	}
-	p.lastUsed = l.Now()
+	p.lastUsed = l.Now().Microseconds()
 	p.write(f)
 }
 
 // dial opens the connection. One that does not stand in time is given up, and the next message
 // opens another: a machine that is back may hear the system's next try much later.
 func (p *outboundLink) dial() {
-	conn := p.transport.loop.Dial(p.peer.Addr, eventloop.BufferLimits{In: 64, Out: maxQueuedBytes + headerSize + maxFrameBytes}, p)
+	conn := p.transport.loop.Dial(
+		p.peer.Addr,
+		eventloop.BufferLimits{In: 64, Out: maxQueuedBytes + headerSize + maxFrameBytes},
+		p,
+	)
 	p.conn = conn
-	p.transport.loop.After(connectTimeout, func() {
+	p.transport.loop.After(time.Duration(connectTimeout)*time.Microsecond, func() {
 		if p.conn == conn && !p.connected {
 			conn.Close(errConnectTimeout)
 		}
@@ -389,7 +407,7 @@
 func (n *Transport) accept(c *eventloop.Conn) eventloop.Handler {
 	i := &inboundLink{transport: n, conn: c}
 	n.inbound[i] = true
-	n.loop.After(helloTimeout, func() {
+	n.loop.After(time.Duration(helloTimeout)*time.Microsecond, func() {
 		if i.name == "" && !c.IsClosed() {
 			i.reject("", "it does not say who it is")
 		}
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.After(20_000_000, l.Stop)
+	l.After(20*time.Second, l.Stop)
 	var heard []uint64
 	one, err := Open(
 		l,
@@ -92,7 +92,7 @@
 				return
 			}
 			if heard = append(heard, f.Consensus.Version); len(heard) == 3 {
-				l.After(2*helloTimeout, l.Stop)
+				l.After(time.Duration(2*helloTimeout)*time.Microsecond, l.Stop)
 			}
 		},
 	)
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.After(20_000_000, l.Stop)
+	l.After(20*time.Second, l.Stop)
 	names := []string{"n1", "n2", "n3", "n4"}
 	nets := map[string]*Transport{}
 	heard := map[uint64]string{}
@@ -187,7 +187,10 @@
 	nets["n2"].Send("n4", &Frame{Consensus: &consensus.Message{Version: 9}, To: "n4", From: "n7"})
 	var passed []int64
 	step := func(d int64, fn func()) {
-		l.After(d, func() { passed = append(passed, nets["n2"].Relayed, nets["n3"].Relayed); fn() })
+		l.After(
+			time.Duration(d)*time.Microsecond,
+			func() { passed = append(passed, nets["n2"].Relayed, nets["n3"].Relayed); fn() },
+		)
 	}
 	step(400_000, func() { one.SetUnavailable(map[string]bool{"n2": true}); say(2) })
 	step(800_000, func() { one.SetUnavailable(map[string]bool{"n3": true}); say(3) })
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -111,7 +111,7 @@
 // and until it is there this voter says nothing, so that the others go on without it.
 func (d *disk) handleWritten(err error) {
 	d.writing = false
-	now := d.node.loop.Now()
+	now := d.node.loop.Now().Microseconds()
 	switch {
 	case err != nil:
 		if d.failedSince == 0 {
@@ -119,7 +119,7 @@
 			eventDiskFailed.Log(err)
 		}
 		d.writing = true
-		d.node.loop.After(slotSaveInterval/30, func() {
+		d.node.loop.After(time.Duration(slotSaveInterval/30)*time.Microsecond, func() {
 			d.writing = false
 			d.writeNext()
 		})
@@ -137,7 +137,7 @@
 
 // saveNextSlot has the next slot that has changed on the disk, one at a time.
 func (d *disk) saveNextSlot() {
-	now, slots := d.node.loop.Now(), len(d.node.consensus.Table().Slots)
+	now, slots := d.node.loop.Now().Microseconds(), len(d.node.consensus.Table().Slots)
 	if d.saving || slots == 0 || len(d.work) > 0 {
 		return
 	}
@@ -166,7 +166,9 @@
 
 var (
 	errDiskClose   error = kindDiskClose.New("node: the disk does not answer; what is there counts")
-	errDiskTimeout error = kindDiskTimeout.New("node: the disk does not answer in time; other runners have the result")
+	errDiskTimeout error = kindDiskTimeout.New(
+		"node: the disk does not answer in time; other runners have the result",
+	)
 )
 
 // Close gives the folder back, with what is held of slots in it. No more comes from the loop by
@@ -178,7 +180,7 @@
 	d := p.disk
 	late := time.After(closeTimeout)
 	for i := range p.consensus.Table().Slots {
-		if s := p.replica.SnapshotSlot(i, p.loop.Now()); s != nil {
+		if s := p.replica.SnapshotSlot(i, p.loop.Now().Microseconds()); s != nil {
 			select {
 			case d.work <- func() { _ = p.log.SaveSlot(s) }: // it only saves sending
 			case <-late:
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -113,7 +113,7 @@
 
 // sendHealthReports tells the others what was seen for them.
 func (d *Leases) sendHealthReports() {
-	for _, tale := range d.HealthChecks.TakeReports(d.node.cfg.Links.Name, d.node.loop.Now(), d.Holds) {
+	for _, tale := range d.HealthChecks.TakeReports(d.node.cfg.Links.Name, d.node.loop.Now().Microseconds(), d.Holds) {
 		for _, m := range d.node.consensus.Table().Members {
 			if m.Incarnation != 0 && m.Name != tale.From {
 				t := tale
@@ -125,7 +125,7 @@
 }
 
 func (d *Leases) receiveHealthReport(t *lease.HealthReport) {
-	if err := d.HealthChecks.Receive(t, d.node.loop.Now()); err != nil {
+	if err := d.HealthChecks.Receive(t, d.node.loop.Now().Microseconds()); err != nil {
 		eventReportFenced.Log(t.Lease, t.From, err)
 	}
 }
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -6,6 +6,7 @@
 import (
 	"errors"
 	"log/slog"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/idempotency/persistence"
@@ -19,11 +20,20 @@
 	"ryepaddle/internal/peers/usagereplica"
 	"ryepaddle/internal/peers/wal"
 	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // What is told to operators.
 var (
-	eventTable           = logging.Define("peers.table", slog.LevelInfo, "version", "members", "whole", "slots", "leads")
+	eventTable = logging.Define(
+		"peers.table",
+		slog.LevelInfo,
+		"version",
+		"members",
+		"whole",
+		"slots",
+		"leads",
+	)
 	eventDeclaredLost    = logging.Define("peers.held_for_lost", slog.LevelWarn, "version")
 	eventConsensusFailed = logging.Define("peers.council_failed", slog.LevelError, "error")
 )
@@ -110,7 +120,7 @@
 			CatchUpRate:   cfg.CatchUpRate,
 		},
 		saved,
-		l.Now(),
+		l.Now().Microseconds(),
 	)
 	var err error
 	p.consensus, err = consensus.New(
@@ -121,13 +131,13 @@
 			Slots:        cfg.Slots,
 			Backups:      cfg.Backups,
 			LeaseRules:   cfg.LeaseRules,
-			StartedAt:    uint64(l.Unix() / 1_000_000),
+			StartedAt:    uint64(int64(l.Unix()) / 1_000_000),
 			Clock:        BootTime,
 		},
 		placement.Member{
 			Name: cfg.Links.Name, Zone: cfg.Zone, Incarnation: cfg.Incarnation, Process: cfg.Process, KeepsUsage: cfg.UsageReplicas != nil},
 		log,
-		l.Now(),
+		l.Now().Microseconds(),
 	)
 	if err != nil {
 		return nil, err
@@ -143,9 +153,9 @@
 // Run begins to take part.
 func (p *Node) Run(t KeyTable) {
 	p.keys = t
-	p.loop.Every(tickInterval, func() {
-		p.consensus.Tick(p.loop.Now())
-		p.replica.Tick(p.loop.Now())
+	p.loop.Every(time.Duration(tickInterval)*time.Microsecond, func() {
+		p.consensus.Tick(p.loop.Now().Microseconds())
+		p.replica.Tick(p.loop.Now().Microseconds())
 		if p.disk != nil {
 			p.disk.saveNextSlot()
 		}
@@ -159,9 +169,9 @@
 func (p *Node) receive(from string, f *link.Frame) {
 	switch {
 	case f.Replication != nil && f.Replication.From == from:
-		p.replica.Receive(f.Replication, p.loop.Now())
+		p.replica.Receive(f.Replication, p.loop.Now().Microseconds())
 	case f.Consensus != nil && f.Consensus.From == from:
-		p.consensus.Receive(f.Consensus, p.loop.Now())
+		p.consensus.Receive(f.Consensus, p.loop.Now().Microseconds())
 	case f.Health != nil && f.Health.From == from:
 		p.leases.receiveHealthReport(f.Health)
 		return
@@ -183,8 +193,8 @@
 	defer func() { p.flushing = false }()
 	for more := true; more; {
 		more = false
-		p.consensus.Propose(p.replica.TakeChanges(), p.loop.Now())
-		p.consensus.Propose(p.leases.holder.PendingChanges(BootTime()), p.loop.Now())
+		p.consensus.Propose(p.replica.TakeChanges(), p.loop.Now().Microseconds())
+		p.consensus.Propose(p.leases.holder.PendingChanges(BootTime()), p.loop.Now().Microseconds())
 		out, kept, err := p.consensus.Ready()
 		if err != nil {
 			eventConsensusFailed.Log(err)
@@ -211,7 +221,7 @@
 				}
 			}
 			p.transport.SetUnavailable(lost)
-			p.replica.SetTable(t, p.loop.Now())
+			p.replica.SetTable(t, p.loop.Now().Microseconds())
 			p.leases.holder.SetTable(t)
 			if p.cfg.UsageReplicas != nil {
 				p.cfg.UsageReplicas.SetTable(t, p.cfg.Incarnation)
@@ -245,10 +255,11 @@
 
 // sendHealthReports tells of a table, not more often than somebody could read it, unless it has all copies.
 func (p *Node) logTable(t *placement.Table) {
-	if p.loop.Now() < p.tableLoggedAt+tableLogInterval && t.FullyReplicatedSlots() < len(t.Slots) {
+	if p.loop.Now().Microseconds() < p.tableLoggedAt+tableLogInterval &&
+		t.FullyReplicatedSlots() < len(t.Slots) {
 		return
 	}
-	p.tableLoggedAt = p.loop.Now()
+	p.tableLoggedAt = p.loop.Now().Microseconds()
 	eventTable.Log(t.Version, len(t.Members), t.FullyReplicatedSlots(), len(t.Slots), p.consensus.IsLeader())
 }
 
@@ -260,7 +271,7 @@
 
 // SetLeaving has a member hold nothing any more, or stay after all.
 func (p *Node) SetLeaving(name string, leave bool) error {
-	err := p.consensus.SetLeaving(name, leave, p.loop.Now())
+	err := p.consensus.SetLeaving(name, leave, p.loop.Now().Microseconds())
 	p.loop.Post(p.flush)
 	return err
 }
@@ -295,7 +306,7 @@
 // KeyStatus tells where the copies of a key are.
 func (p *Node) KeyStatus(name store.KeyName) *KeyStatus {
 	t := p.consensus.Table()
-	slot, quiet, held, rec, left := p.replica.Lookup(name, p.loop.Now())
+	slot, quiet, held, rec, left := p.replica.Lookup(name, p.loop.Now().Microseconds())
 	s := &KeyStatus{Slot: slot, QuarantineMs: quiet / 1000, State: "not held", RemainingMs: left / 1000}
 	if slot < len(t.Slots) {
 		s.Epoch, s.Replicas, s.Joining = t.Slots[slot].Epoch, t.Slots[slot].Replicas, t.Slots[slot].Joining
@@ -370,7 +381,7 @@
 		CatchUpBytes:    p.replica.CatchUpBytes,
 		HeldBytes:       p.replica.HeldBytes,
 	}
-	_, s.Unavailable = p.replica.Unavailable(p.loop.Now())
+	_, s.Unavailable = p.replica.Unavailable(p.loop.Now().Microseconds())
 	if s.Leases = p.leases.status(); len(p.cfg.CheckedZones) > 0 {
 		s.HealthChecks = &HealthCheckStatus{
 			p.leases.HealthChecks.Performed,
@@ -392,17 +403,17 @@
 }
 
 func (p *Node) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(replication.Result)) {
-	now := p.loop.Unix()
-	left, within := k.ExpiresAt-now, p.cfg.ReplicationTimeout
+	now := int64(p.loop.Unix())
+	left, within := int64(k.ExpiresAt)-now, p.cfg.ReplicationTimeout
 	if kind == store.RunEnded { // whoever waits for it knows for how long
 		within = max(within, left)
 	}
 	// The core is told in a turn of its own: it may ask for more at once.
 	p.replica.Put(
-		persistence.ToRecord(kind, k, now),
+		persistence.ToRecord(kind, k, wallclock.UnixMicro(now)),
 		left,
 		within,
-		p.loop.Now(),
+		p.loop.Now().Microseconds(),
 		func(a replication.Result) { p.loop.Post(func() { done(a) }) },
 	)
 	p.loop.Post(p.flush)
@@ -410,7 +421,12 @@
 
 // Reserve implements lifecycle.Reservations: the run begins once its beginning is kept on others, unless the key
 // is another's.
-func (p *Node) Reserve(k lifecycle.KeyRecord, _ int64, free func() bool, done func(mine bool, err error)) {
+func (p *Node) Reserve(
+	k lifecycle.KeyRecord,
+	_ time.Duration,
+	free func() bool,
+	done func(mine bool, err error),
+) {
 	first := true
 	p.put(store.RunStarted, k, func(a replication.Result) {
 		again := !first
@@ -433,14 +449,14 @@
 	if a.Err == nil {
 		return nil
 	}
-	return &lifecycle.ReplicationError{RetryAfter: a.RetryAfter, Err: a.Err}
+	return &lifecycle.ReplicationError{RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond, Err: a.Err}
 }
 
 // receiveHealthReport tells the core of another's run.
 func (p *Node) deliverRemoteRun(a replication.Result) {
 	r := *a.Record
 	// the process that runs it is gone: it may have run
-	if r.Until = p.loop.Unix() + a.Remaining; a.InDoubt {
+	if r.Until = wallclock.UnixMicro(int64(p.loop.Unix()) + a.Remaining); a.InDoubt {
 		r.Kind, r.How = store.RunEnded, uint8(lifecycle.Failed)
 	}
 	p.keys.ApplyRemote(persistence.FromRecord(&r), r.Kind == store.KeyReleased)
@@ -464,21 +480,24 @@
 type keeper struct{ node *Node }
 
 // Unavailable implements lifecycle.KeyStore.
-func (k keeper) Unavailable() (int64, string) {
-	if back, why := k.node.replica.Unavailable(k.node.loop.Now()); back > 0 || k.node.localKeeper == nil {
-		return back, why
+func (k keeper) Unavailable() (time.Duration, string) {
+	if back, why := k.node.replica.Unavailable(k.node.loop.Now().Microseconds()); back > 0 ||
+		k.node.localKeeper == nil {
+		return time.Duration(back) * time.Microsecond, why
 	}
 	return k.node.localKeeper.Unavailable()
 }
 
 // MissingReplicas implements lifecycle.ReplicatedKeyStore.
 func (k keeper) MissingReplicas() bool {
-	back, _ := k.node.replica.Unavailable(k.node.loop.Now())
+	back, _ := k.node.replica.Unavailable(k.node.loop.Now().Microseconds())
 	return back > 0
 }
 
-// ReplicationTimeout implements lifecycle.KeyStore.
-func (k keeper) Timeout() int64 { return k.node.cfg.ReplicationTimeout }
+// Timeout implements lifecycle.KeyStore.
+func (k keeper) Timeout() time.Duration {
+	return time.Duration(k.node.cfg.ReplicationTimeout) * time.Microsecond
+}
 
 // Started implements lifecycle.KeyStore: peers have it by the claim.
 func (k keeper) Started(c lifecycle.KeyRecord, done func(error)) {
@@ -512,7 +531,7 @@
 }
 
 // withTimeout passes the first word of the disk on, or that it has not come in time.
-func (p *Node) withTimeout(patience int64, done func(error)) func(error) {
+func (p *Node) withTimeout(patience time.Duration, done func(error)) func(error) {
 	var late *eventloop.Timer
 	heard := false
 	once := func(err error) {
--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"net/netip"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/lifecycle"
@@ -26,7 +27,7 @@
 
 // Sink gets the ends of calls.
 type Sink interface {
-	CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took int64)
+	CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took time.Duration)
 }
 
 // Pool owns the connections to the back end.
@@ -73,8 +74,8 @@
 // Start names where the ends of calls go.
 func (p *Pool) Start(sink Sink) {
 	p.sink = sink
-	p.loop.Every(sweepIdle, func() {
-		for len(p.idle) > 0 && p.loop.Now()-p.idle[0].idle > keepIdle {
+	p.loop.Every(time.Duration(sweepIdle)*time.Microsecond, func() {
+		for len(p.idle) > 0 && p.loop.Now().Microseconds()-p.idle[0].idle > keepIdle {
 			p.idle[0].lc.Close(nil)
 			p.idle = p.idle[1:]
 		}
@@ -119,10 +120,10 @@
 }
 
 // Call implements lifecycle.Dependency.
-func (p *Pool) Call(a *lifecycle.Attempt, body []byte, patience int64) {
+func (p *Pool) Call(a *lifecycle.Attempt, body []byte, patience time.Duration) {
 	p.CancelCall(a)
 	p.last++
-	c := &call{attempt: a, number: p.last, began: p.loop.Now()}
+	c := &call{attempt: a, number: p.last, began: p.loop.Now().Microseconds()}
 	p.calls[a] = c
 	c.timer = p.loop.After(patience, func() { p.outOfTime(c) })
 	if a.Idempotent {
@@ -148,7 +149,7 @@
 		return
 	}
 	c.conn.call = c
-	c.conn.lc.Write(request(p.addr.String(), a.Request.ID, patience, body))
+	c.conn.lc.Write(request(p.addr.String(), a.Request.ID, patience.Microseconds(), body))
 }
 
 // take is the idle connection that was used last, if one still stands. On one that is not quiet,
@@ -213,7 +214,7 @@
 		return
 	}
 	p.forget(c)
-	p.sink.CallEnded(c.attempt, o, reply, p.loop.Now()-c.began)
+	p.sink.CallEnded(c.attempt, o, reply, time.Duration(p.loop.Now().Microseconds()-c.began)*time.Microsecond)
 }
 
 // Connected implements loop.Handler.
@@ -263,7 +264,7 @@
 	n.call = nil
 	// What is left over belongs to no call, and the next one's reply would be looked for behind it.
 	if r.keep && used == len(b) && n.addr == n.pool.addr && len(n.pool.idle) < maxIdle {
-		n.idle = n.pool.loop.Now()
+		n.idle = n.pool.loop.Now().Microseconds()
 		n.pool.idle = append(n.pool.idle, n)
 	} else {
 		n.lc.Close(nil)
@@ -286,7 +287,7 @@
 // the rest would stand in line. Where the back end itself is slow, its later calls are as slow, and
 // none is overtaken.
 func (p *Pool) replied(by *call) {
-	if took := float64(p.loop.Now() - by.began); p.mean == 0 {
+	if took := float64(p.loop.Now().Microseconds() - by.began); p.mean == 0 {
 		p.mean = took
 	} else {
 		p.mean += learn * (took - p.mean)
@@ -302,7 +303,7 @@
 		}
 		c.overtaken++
 		if c.overtaken >= overtakenBy*times &&
-			float64(p.loop.Now()-c.began) > p.mean*float64(slowTimes*times) {
+			float64(p.loop.Now().Microseconds()-c.began) > p.mean*float64(slowTimes*times) {
 			lost = append(lost, c)
 		}
 	}
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -21,7 +21,7 @@
 	n     int
 }
 
-func (c *calls) CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ int64) {
+func (c *calls) CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ time.Duration) {
 	if a == c.first {
 		c.got = o
 	}
@@ -35,7 +35,7 @@
 func (c *calls) place(reply string) *lifecycle.Attempt {
 	c.n++
 	a := &lifecycle.Attempt{Request: &lifecycle.Request{ID: scenario.CallID("1")}, Idempotent: true}
-	c.pool.Call(a, nil, 60_000_000)
+	c.pool.Call(a, nil, time.Minute)
 	scenario.Play(c.t, "backend send "+reply, map[string]scenario.Actor{"backend": c.stand})
 	return a
 }
@@ -55,13 +55,13 @@
 	var next func()
 	next = func() {
 		if c.stand.Waiting() > 0 { // the first call must have its answer, which is none
-			l.After(1000, next)
+			l.After(time.Millisecond, next)
 			return
 		}
 		c.place("200 row")
 	}
 	next()
-	l.After((20 * time.Second).Microseconds(), l.Stop)
+	l.After(20*time.Second, l.Stop)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/backend/crossing_test.go
+++ b/internal/platform/backend/crossing_test.go
@@ -12,7 +12,7 @@
 // ended is a sink that keeps the ends of calls.
 type ended struct{ outcomes []lifecycle.Outcome }
 
-func (e *ended) CallEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ int64) {
+func (e *ended) CallEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ time.Duration) {
 	e.outcomes = append(e.outcomes, o)
 }
 
@@ -34,7 +34,7 @@
 			p.Call(
 				&lifecycle.Attempt{Request: &lifecycle.Request{ID: scenario.CallID("1")}},
 				nil,
-				time.Second.Microseconds(),
+				time.Second,
 			)
 			s.Pass(0)
 			cross(s, p)
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -11,6 +11,7 @@
 	"log/slog"
 	"net/netip"
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/lifecycle"
@@ -150,8 +151,8 @@
 func (k *Link) Start(sink Sink) {
 	k.sink = sink
 	k.dial()
-	k.loop.Every(deadAfter/6, func() {
-		now := k.loop.Now()
+	k.loop.Every(time.Duration(deadAfter/6)*time.Microsecond, func() {
+		now := k.loop.Now().Microseconds()
 		switch {
 		case k.phase >= catchUp && k.asked != 0 && now-k.asked > deadAfter:
 			k.conn.conn.Close(errors.New("no answer on the link"))
@@ -188,7 +189,7 @@
 // for good.
 func (k *Link) bury(after int64) {
 	for id, r := range k.runs {
-		if k.loop.Now() > r.attempt.Deadline+after {
+		if k.loop.Now().Microseconds() > r.attempt.Deadline.Microseconds()+after {
 			evRunLost.Log(id)
 			delete(k.runs, id)
 			k.sink.Ended(r.attempt, lifecycle.Faulted, nil)
@@ -198,7 +199,7 @@
 
 func (k *Link) dial() {
 	if k.next == nil {
-		k.next = &wire{link: k, began: k.loop.Now()}
+		k.next = &wire{link: k, began: k.loop.Now().Microseconds()}
 		k.next.conn = k.loop.Dial(k.addr, eventloop.BufferLimits{In: maxLine, Out: maxOut}, k.next)
 	}
 }
@@ -211,7 +212,7 @@
 		return
 	}
 	old := k.conn
-	k.conn, k.next, w.began = w, nil, k.loop.Now()
+	k.conn, k.next, w.began = w, nil, k.loop.Now().Microseconds()
 	if old != nil { // what it holds unread comes again on the new link
 		old.conn.Close(nil)
 		k.lost()
@@ -233,14 +234,14 @@
 		k.lost()
 		// One that stood is dialled again at once: work goes on there that waits for its calls. One
 		// that never came to stand is left alone for a while.
-		if k.loop.Now()-w.began > redialAfter {
+		if k.loop.Now().Microseconds()-w.began > redialAfter {
 			k.loop.Post(k.redial)
 		} else {
-			k.loop.After(redialAfter, k.redial)
+			k.loop.After(time.Duration(redialAfter)*time.Microsecond, k.redial)
 		}
 	case k.next:
 		k.next = nil
-		k.loop.After(redialAfter, k.redial)
+		k.loop.After(time.Duration(redialAfter)*time.Microsecond, k.redial)
 	}
 }
 
@@ -295,7 +296,7 @@
 
 func (k *Link) ask() {
 	if k.asked == 0 {
-		k.asked = k.loop.Now()
+		k.asked = k.loop.Now().Microseconds()
 	}
 	k.write(question{"STAT", strconv.FormatInt(k.seq, 10)})
 }
@@ -373,7 +374,7 @@
 // question.
 func (k *Link) stats(m *message) {
 	k.asked = 0
-	k.gauges, k.gauged = k.meters(m.V), k.loop.Now()
+	k.gauges, k.gauged = k.meters(m.V), k.loop.Now().Microseconds()
 	if seq, err := strconv.ParseInt(m.Mark, 10, 64); err == nil {
 		for len(k.pending) > 0 && k.pending[0].seq <= seq && k.phase == live {
 			k.pending = k.pending[1:]
@@ -443,14 +444,14 @@
 		return
 	}
 	k.waiting = func() {
-		if k.loop.Now()-k.gauged > gaugesAge {
+		if k.loop.Now().Microseconds()-k.gauged > gaugesAge {
 			fn(lifecycle.UnknownGauges())
 			return
 		}
 		fn(k.gauges)
 	}
 	k.ask()
-	k.late = k.loop.After(gaugesWithin, k.look)
+	k.late = k.loop.After(time.Duration(gaugesWithin)*time.Microsecond, k.look)
 }
 
 // look lets the module have its look round, if it waits for one.
@@ -472,7 +473,7 @@
 	mark := "check" + strconv.FormatInt(k.marks, 10)
 	k.checks[mark] = fn
 	k.write(question{"TEST", mark})
-	k.loop.After(checkWithin, func() {
+	k.loop.After(time.Duration(checkWithin)*time.Microsecond, func() {
 		if fn := k.checks[mark]; fn != nil {
 			delete(k.checks, mark)
 			fn(false)
--- a/internal/platform/engine/engine_test.go
+++ b/internal/platform/engine/engine_test.go
@@ -3,6 +3,7 @@
 import (
 	"net/netip"
 	"testing"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/lifecycle"
@@ -37,7 +38,7 @@
 	)
 	sink := &endings{loop: l}
 	k.Start(sink)
-	l.After(10_000_000, l.Stop)
+	l.After(10*time.Second, l.Stop)
 	play(l, k, stand)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
@@ -58,7 +59,7 @@
 func TestRunOfWhichNothingIsHeardIsBuried(t *testing.T) {
 	got := link(t, func(l *eventloop.Loop, k *Link, _ *scenario.Engine) {
 		k.Run(attempt(l, "1"))
-		l.After(50_000, func() { k.bury(10_000) })
+		l.After(50*time.Millisecond, func() { k.bury(10_000) })
 	})
 	if got != lifecycle.Faulted {
 		t.Fatalf("outcome %v", got)
@@ -69,7 +70,7 @@
 func TestLookRoundDoesNotWaitForADeafEngine(t *testing.T) {
 	looks := 0
 	link(t, func(l *eventloop.Loop, k *Link, stand *scenario.Engine) {
-		l.After(100_000, func() {
+		l.After(100*time.Millisecond, func() {
 			if err := stand.Send([]string{"deaf"}); err != nil {
 				t.Error(err)
 			}
--- a/internal/platform/registry/roster.go
+++ b/internal/platform/registry/roster.go
@@ -3,6 +3,7 @@
 
 import (
 	"net/netip"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 )
@@ -30,7 +31,7 @@
 	r := &Reporter{loop: l, addr: addr, name: name, state: "on"}
 	err := r.open()
 	r.report()
-	l.Every(every, r.report)
+	l.Every(time.Duration(every)*time.Microsecond, r.report)
 	return r, err
 }
 
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -15,6 +15,7 @@
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/virtualclock"
 	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // Result is what became of a day.
@@ -142,20 +143,22 @@
 	}
 	var err error
 	if p.core, err = lifecycle.New(p.settings(way), seed, lifecycle.Host{
-		Now: p.sched.Now, Unix: func() int64 { return p.sched.Now() + 1e15 },
-		After:       func(d int64, fn func()) func() { return p.sched.After(d, fn).Stop },
+		Now:         func() time.Duration { return time.Duration(p.sched.Now()) * time.Microsecond },
+		Unix:        func() wallclock.UnixMicro { return wallclock.UnixMicro(p.sched.Now() + 1e15) },
+		After:       func(d time.Duration, fn func()) func() { return p.sched.After(d.Microseconds(), fn).Stop },
 		Measure:     func(fn func(lifecycle.Gauges)) { p.sched.After(wire, func() { fn(lifecycle.UnknownGauges()) }) },
 		SetHealth:   func(bool, bool) {},
 		Advertise:   func(float64) {},
-		CloseIdle:   func(int64) {},
+		CloseIdle:   func(time.Duration) {},
 		Log:         func(*logging.Event, ...any) {},
 		Route:       func(int) lifecycle.Runner { return run },
 		ShouldRetry: func(t lifecycle.RetryCandidate) bool { return p.picker.Again(t, p.sched.Now()) },
-		RetryAfter: func(class int) int64 {
+		RetryAfter: func(class int) time.Duration {
+			back := time.Duration(p.picker.Back(p.sched.Now())) * time.Microsecond
 			if p.hold != nil {
-				return max(p.picker.Back(p.sched.Now()), p.hold.RetryAfter(class).Microseconds())
+				return max(back, p.hold.RetryAfter(class))
 			}
-			return p.picker.Back(p.sched.Now())
+			return back
 		},
 		KeyLimits: lifecycle.KeyLimits{Keys: 1 << 20, ResultBytes: 1 << 30},
 	}); err != nil {
@@ -292,11 +295,11 @@
 	p.core.Submit(
 		&lifecycle.Request{
 			ID:          a.name,
-			FirstSentAt: first,
+			FirstSentAt: wallclock.UnixMicro(first),
 			Class:       a.class,
 			Caller:      uint32(1 + p.names%4),
-			ArrivedAt:   p.sched.Now() + 1e15,
-			Timeout:     left,
+			ArrivedAt:   wallclock.UnixMicro(p.sched.Now() + 1e15),
+			Timeout:     time.Duration(left) * time.Microsecond,
 			SizeKB:      1,
 			Rank:        0.5,
 			Key:         a.key,
@@ -330,7 +333,7 @@
 		}
 	case v.Status == lifecycle.Rejected:
 		p.refusals++
-		wait := v.RetryAfter + int64(p.rand.Float64()*float64(v.RetryAfter))
+		wait := v.RetryAfter.Microseconds() + int64(p.rand.Float64()*float64(v.RetryAfter.Microseconds()))
 		if a.comings < backMost && past+wait+int64(c.Work*1000) < int64(c.Deadline*1000) {
 			p.sched.After(wait, a.submit)
 			return
@@ -359,7 +362,7 @@
 	t := &trip{to: name, began: now}
 	p.out[a] = t
 	t.job = &job{work: workOf(a), key: a.Request.Key, ended: func(o lifecycle.Outcome) { p.end(a, o) }}
-	t.timer = p.sched.After(a.Deadline-now, func() { p.outOfTime(a) })
+	t.timer = p.sched.After(a.Deadline.Microseconds()-now, func() { p.outOfTime(a) })
 	p.byName[name].take(t.job)
 }
 
@@ -375,8 +378,9 @@
 	if t == nil {
 		return
 	}
-	if whole := a.Deadline - (t.began - 0); !a.Idempotent && p.sched.Now() < a.Deadline+whole {
-		t.timer = p.sched.After(a.Deadline+whole-p.sched.Now(), func() { p.outOfTime(a) })
+	if whole := a.Deadline.Microseconds() - (t.began - 0); !a.Idempotent &&
+		p.sched.Now() < a.Deadline.Microseconds()+whole {
+		t.timer = p.sched.After(a.Deadline.Microseconds()+whole-p.sched.Now(), func() { p.outOfTime(a) })
 		return
 	}
 	p.end(a, lifecycle.TimedOut)
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -122,7 +122,7 @@
 			NeverRan:       t.NeverRan,
 			Attempts:       t.Attempts,
 			MaxAttempts:    mostTry,
-			TimeLeft:       micros(t.Remaining),
+			TimeLeft:       t.Remaining,
 			TimeNeeded:     p.r.MinAttemptTime(t.Class),
 		},
 		micros(now),
@@ -210,7 +210,7 @@
 }
 
 func (p *before) Again(t lifecycle.RetryCandidate, _ int64) bool {
-	return t.Attempts < min(mostTry, len(p.servers)) && t.Remaining > 0
+	return t.Attempts < min(mostTry, len(p.servers)) && t.Remaining.Microseconds() > 0
 }
 func (p *before) Back(int64) int64 { return 0 }
 func (p *before) Tick(int64)       {}
--- a/internal/simulator/fleet/core.go
+++ b/internal/simulator/fleet/core.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"math"
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/lifecycle"
@@ -11,6 +12,7 @@
 	"ryepaddle/internal/simulator/dependencies"
 	"ryepaddle/internal/simulator/virtualclock"
 	"ryepaddle/internal/telemetry/logging"
+	"ryepaddle/internal/wallclock"
 )
 
 // inside is a runner in this process: the real core with the real module, on the stage's clock.
@@ -43,13 +45,13 @@
 	p := &inside{l: l, s: s, runs: map[string]*hosted{}, good: true}
 	var err error
 	p.core, err = lifecycle.New(set, day.Mix(s.day.Seed, l.r.spec.Name, l.r.lives), lifecycle.Host{
-		Now:        s.clock.Now,
-		Unix:       func() int64 { return s.unixOrigin + s.now() },
-		After:      l.after,
+		Now:        func() time.Duration { return time.Duration(s.clock.Now()) * time.Microsecond },
+		Unix:       func() wallclock.UnixMicro { return wallclock.UnixMicro(s.unixOrigin + s.now()) },
+		After:      func(d time.Duration, fn func()) func() { return l.after(d.Microseconds(), fn) },
 		Measure:    func(fn func(lifecycle.Gauges)) { l.after(2*linkDelay, func() { fn(p.gauges()) }) },
 		SetHealth:  func(_, good bool) { p.good = good },
 		Advertise:  l.Say,
-		CloseIdle:  func(int64) {}, // connections are not modelled
+		CloseIdle:  func(time.Duration) {}, // connections are not modelled
 		Route:      func(int) lifecycle.Runner { return engine{p} },
 		Dependency: p,
 		Log: func(e *logging.Event, values ...any) {
@@ -95,7 +97,7 @@
 		Class:     j.Class(),
 		Tenant:    tenant,
 		Caller:    j.Caller(),
-		ArrivedAt: j.Arrived(),
+		ArrivedAt: wallclock.UnixMicro(j.Arrived()),
 		SizeKB:    j.SizeKB(),
 		Rank:      j.Rank(),
 		Key:       j.Key(),
@@ -111,7 +113,7 @@
 	case lifecycle.Served:
 		h.j.Answer(Answer{Status: Served})
 	case lifecycle.Rejected:
-		h.j.Answer(Answer{Status: Refused, ComeBack: a.RetryAfter, Last: a.DoNotRetry})
+		h.j.Answer(Answer{Status: Refused, ComeBack: a.RetryAfter.Microseconds(), Last: a.DoNotRetry})
 	default:
 		h.j.Answer(Answer{Status: Failed})
 	}
@@ -127,7 +129,7 @@
 func (p *inside) Check(_ int, done func(good bool)) { done(p.good) }
 
 // Drain implements Process.
-func (p *inside) Drain(stop int64) { p.core.Drain(stop) }
+func (p *inside) Drain(stop int64) { p.core.Drain(time.Duration(stop) * time.Microsecond) }
 
 // Kill implements Process. The back end hears the connections close.
 func (p *inside) Kill() {
@@ -192,7 +194,7 @@
 }
 
 // Call implements lifecycle.Dependency.
-func (p *inside) Call(a *lifecycle.Attempt, _ []byte, patience int64) {
+func (p *inside) Call(a *lifecycle.Attempt, _ []byte, patience time.Duration) {
 	s, h := p.s, p.runs[a.Request.ID]
 	c := &call{began: s.clock.Now()}
 	h.call = c
@@ -202,9 +204,9 @@
 		}
 		c.over, h.call = true, nil
 		c.timer.Stop()
-		p.core.CallEnded(a, o, nil, s.clock.Now()-c.began)
+		p.core.CallEnded(a, o, nil, time.Duration(s.clock.Now()-c.began)*time.Microsecond)
 	}
-	c.timer = s.clock.After(patience, func() {
+	c.timer = s.clock.After(patience.Microseconds(), func() {
 		if !c.over && c.out != nil {
 			s.back.GiveUp(c.out)
 		}
--- a/internal/telemetry/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -163,10 +163,11 @@
 
 func (q *Query) takes(e *Entry) bool {
 	return (q.Name == "" || e.ID == short(q.Name) || e.OriginalID == short(q.Name)) && (q.Key == "" || e.Key == short(q.Key)) &&
-		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Status == q.Kind) && !(q.NotServed && e.Status == lifecycle.Served) &&
+		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Status == q.Kind) &&
+		!(q.NotServed && e.Status == lifecycle.Served) &&
 		(q.Cause == 0 || e.Cause == q.Cause) &&
-		(q.From == 0 || e.AnsweredAt >= q.From) &&
-		(q.To == 0 || e.AnsweredAt <= q.To)
+		(q.From == 0 || int64(e.AnsweredAt) >= q.From) &&
+		(q.To == 0 || int64(e.AnsweredAt) <= q.To)
 }
 
 // Find gives the newest of the requests that are asked for, the newest first. Whoever asks by a
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/wallclock"
 )
 
 const check, handIn = 0, 1
@@ -21,7 +22,7 @@
 		Class:      class,
 		Status:     kind,
 		Cause:      lifecycle.CauseInterrupted,
-		AnsweredAt: int64(n),
+		AnsweredAt: wallclock.UnixMicro(int64(n)),
 	}
 }
 
@@ -47,8 +48,8 @@
 		t.Fatalf("%d refused hand-ins are explained", len(got))
 	}
 	for i, e := range got {
-		if want := 10*r.Capacity() - 50*(i+1); e.AnsweredAt != int64(want) {
-			t.Fatalf("number %d is %d, want %d", i, e.AnsweredAt, want)
+		if want := 10*r.Capacity() - 50*(i+1); int64(e.AnsweredAt) != int64(want) {
+			t.Fatalf("number %d is %d, want %d", i, int64(e.AnsweredAt), want)
 		}
 	}
 	served := r.Find(Query{Class: check, Kind: lifecycle.Served, Limit: 1})
@@ -79,7 +80,8 @@
 			if r.Len() > r.Capacity() {
 				rt.Fatalf("%d of %d", r.Len(), r.Capacity())
 			}
-			if got := r.Find(Query{Name: tr.ID, Class: -1}); tr.Status != lifecycle.Served && r.Capacity() > 8 &&
+			if got := r.Find(Query{Name: tr.ID, Class: -1}); tr.Status != lifecycle.Served &&
+				r.Capacity() > 8 &&
 				len(got) != 1 {
 				rt.Fatalf("the newest is found %d times", len(got))
 			}
@@ -92,7 +94,7 @@
 	r := New(100*EntrySize, keyed, 1)
 	for n := range 3 {
 		tr := trail(7, handIn, lifecycle.Failed)
-		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), int64(100+n)
+		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), wallclock.UnixMicro(int64(100+n))
 		r.Add(tr, 1)
 	}
 	again := trail(8, handIn, lifecycle.Served)
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -60,9 +60,9 @@
 // can be explained.
 func (m *Metrics) Observe(t *lifecycle.Trace) {
 	class, end := m.class(t.Class), m.ends[t.Status]
-	observe(m.took.WithLabelValues(class, end), t.AnsweredAt-t.ArrivedAt, t.ID)
-	if t.StartedAt > 0 {
-		observe(m.waited.WithLabelValues(class), t.StartedAt-t.ArrivedAt, t.ID)
+	observe(m.took.WithLabelValues(class, end), int64(t.AnsweredAt)-int64(t.ArrivedAt), t.ID)
+	if int64(t.StartedAt) > 0 {
+		observe(m.waited.WithLabelValues(class), int64(t.StartedAt)-int64(t.ArrivedAt), t.ID)
 	}
 	if t.Cause != lifecycle.CauseNone {
 		m.causes.WithLabelValues(class, end, t.Cause.String()).Inc()
--- a/internal/telemetry/tracing/traces.go
+++ b/internal/telemetry/tracing/traces.go
@@ -95,7 +95,7 @@
 
 // Record has the spans of a request written, if it is one of those that are chosen. It never waits.
 func (r *Recorder) Record(t *lifecycle.Trace, now int64) {
-	at := r.SpanContext(t.ID, t.ArrivedAt, t.TraceParent)
+	at := r.SpanContext(t.ID, int64(t.ArrivedAt), t.TraceParent)
 	if !r.sampler.Sample(t, at.Sampled, now) {
 		return
 	}
@@ -183,13 +183,13 @@
 			)
 		}
 	}
-	ctx, whole := r.span(ctx, e.at, r.opt.ClassName(e.Class), trace.SpanKindServer, e.ArrivedAt, attrs)
+	ctx, whole := r.span(ctx, e.at, r.opt.ClassName(e.Class), trace.SpanKindServer, int64(e.ArrivedAt), attrs)
 	if e.Status != lifecycle.Served && e.Status != lifecycle.ResultLost {
 		whole.SetStatus(codes.Error, e.Cause.String())
 	}
-	if e.StartedAt > 0 {
-		_, wait := r.span(ctx, e.at.Attempt(1<<15), "wait", trace.SpanKindInternal, e.ArrivedAt, nil)
-		end(wait, e.ArrivedAt, e.StartedAt)
+	if int64(e.StartedAt) > 0 {
+		_, wait := r.span(ctx, e.at.Attempt(1<<15), "wait", trace.SpanKindInternal, int64(e.ArrivedAt), nil)
+		end(wait, int64(e.ArrivedAt), int64(e.StartedAt))
 	}
 	for n, h := range e.Attempts[:min(e.AttemptCount, len(e.Attempts))] {
 		_, try := r.span(
@@ -197,7 +197,7 @@
 			e.at.Attempt(n),
 			"try",
 			trace.SpanKindClient,
-			h.StartedAt,
+			int64(h.StartedAt),
 			[]attribute.KeyValue{attribute.Int("ryepaddle.try", n+1),
 				attribute.String(
 					"ryepaddle.server",
@@ -207,9 +207,9 @@
 		if h.Outcome != lifecycle.Succeeded && h.Outcome != 0 {
 			try.SetStatus(codes.Error, r.opt.OutcomeNames[h.Outcome])
 		}
-		end(try, h.StartedAt, h.StartedAt+h.Duration)
+		end(try, int64(h.StartedAt), int64(h.StartedAt)+h.Duration.Microseconds())
 	}
-	end(whole, e.ArrivedAt, e.AnsweredAt)
+	end(whole, int64(e.ArrivedAt), int64(e.AnsweredAt))
 }
 
 func (r *Recorder) span(
--- a/internal/telemetry/tracing/traces_test.go
+++ b/internal/telemetry/tracing/traces_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/wallclock"
 )
 
 func options(t testing.TB) Options {
@@ -34,7 +35,7 @@
 		AttemptCount: 1,
 		StartedAt:    5_000_000,
 		Attempts: [4]lifecycle.AttemptTrace{
-			{Server: "one", StartedAt: 5_000_000, Duration: -1_000_000, Outcome: lifecycle.Unreachable},
+			{Server: "one", StartedAt: 5_000_000, Duration: -time.Second, Outcome: lifecycle.Unreachable},
 		},
 	}
 }
@@ -154,8 +155,8 @@
 			t.Status, t.AttemptCount = lifecycle.Served, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t.ArrivedAt = int64(i)
-				r.Record(t, t.ArrivedAt)
+				t.ArrivedAt = wallclock.UnixMicro(int64(i))
+				r.Record(t, int64(t.ArrivedAt))
 			}
 			lost, _ := r.Lost()
 			b.ReportMetric(float64(lost.Queue)/float64(b.N), "lost/op")
--- a/internal/testing/daytest/backend.go
+++ b/internal/testing/daytest/backend.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"net/netip"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/simulator/dependencies"
@@ -33,7 +34,7 @@
 		return nil, err
 	}
 	b.addr = b.ln.Addr()
-	l.Every(lookEvery, b.look)
+	l.Every(time.Duration(lookEvery)*time.Microsecond, b.look)
 	return b, nil
 }
 
--- a/internal/testing/daytest/engine.go
+++ b/internal/testing/daytest/engine.go
@@ -37,7 +37,7 @@
 }
 
 func newEngine(l *eventloop.Loop, life *fleet.Life) (e *engine, err error) {
-	e = &engine{loop: l, life: life, born: l.Now()}
+	e = &engine{loop: l, life: life, born: l.Now().Microseconds()}
 	e.ln, err = l.Listen(
 		loopback,
 		16,
@@ -128,7 +128,11 @@
 			e.link.Close(nil)
 		}
 		e.link = k
-		k.Write(encode(message{T: "HELLO", Status: "running", TimeMs: (e.loop.Now() - e.born) / 1000}))
+		k.Write(
+			encode(
+				message{T: "HELLO", Status: "running", TimeMs: (e.loop.Now().Microseconds() - e.born) / 1000},
+			),
+		)
 		first := e.last - int64(len(e.notices)) + 1
 		for i, line := range e.notices {
 			if first+int64(i) > m.No {
--- a/internal/testing/daytest/process.go
+++ b/internal/testing/daytest/process.go
@@ -187,7 +187,7 @@
 	if c == nil {
 		c = p.dial(caller)
 	}
-	x.c, x.sent = c, p.rig.loop.Now()
+	x.c, x.sent = c, p.rig.loop.Now().Microseconds()
 	for c.next++; c.next == 0 || c.open[c.next] != nil; c.next++ {
 	}
 	x.id = c.next
@@ -219,7 +219,11 @@
 	for _, p := range params {
 		pairs = fastcgi.AppendPair(pairs, p[0], p[1])
 	}
-	out := fastcgi.AppendBegin(nil, id, fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true})
+	out := fastcgi.AppendBegin(
+		nil,
+		id,
+		fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true},
+	)
 	out = fastcgi.Append(fastcgi.Append(out, fastcgi.Params, id, pairs), fastcgi.Params, id, nil)
 	if len(body) > 0 {
 		out = fastcgi.Append(out, fastcgi.Stdin, id, body)
@@ -364,7 +368,7 @@
 			x.j.Broke()
 		case errors.As(err, &refused):
 			x.j.Unreachable()
-		case !x.again && p.rig.loop.Now()-x.sent <= crossTime:
+		case !x.again && p.rig.loop.Now().Microseconds()-x.sent <= crossTime:
 			p.send(&exchange{j: x.j, again: true}, x.j.Caller())
 		default:
 			x.j.Lose(fmt.Sprintf("the connection ended without an answer: %v", err))
--- a/internal/testing/daytest/rig.go
+++ b/internal/testing/daytest/rig.go
@@ -36,8 +36,10 @@
 // clock lets the state machines run on the event loop.
 type clock struct{ l *eventloop.Loop }
 
-func (c clock) Now() int64                                  { return c.l.Now() }
-func (c clock) After(d int64, fn func()) virtualclock.Timer { return c.l.After(d, fn) }
+func (c clock) Now() int64 { return c.l.Now().Microseconds() }
+func (c clock) After(d int64, fn func()) virtualclock.Timer {
+	return c.l.After(time.Duration(d)*time.Microsecond, fn)
+}
 
 // Rig is a day under way.
 type Rig struct {
@@ -95,22 +97,22 @@
 	wait = func() {
 		switch {
 		case r.stage.Ready():
-			r.stage.Begin(l.Unix())
-			last := l.Now() + r.stage.Lasts()
+			r.stage.Begin(int64(l.Unix()))
+			last := l.Now().Microseconds() + r.stage.Lasts()
 			var look func()
 			look = func() {
-				if r.stage.Over() || l.Now() >= last {
-					l.After(settleFor, end)
+				if r.stage.Over() || l.Now().Microseconds() >= last {
+					l.After(time.Duration(settleFor)*time.Microsecond, end)
 					return
 				}
-				l.After(100_000, look)
+				l.After(100*time.Millisecond, look)
 			}
 			look()
 		case time.Now().After(deadline):
 			r.err = errors.New("rig: the runners do not come up")
 			l.Stop()
 		default:
-			l.After(20_000, wait)
+			l.After(20*time.Millisecond, wait)
 		}
 	}
 	l.After(0, wait)
@@ -201,8 +203,12 @@
 		admission.IdempotentWithKey: "idempotency_key",
 		admission.NonIdempotent:     "non_idempotent",
 	}
-	says := map[admission.CreditMode]string{admission.CreditNone: "silent", admission.CreditRankThreshold: "floor",
-		admission.CreditPerCaller: "allowance", admission.CreditWeight: "weight"}
+	says := map[admission.CreditMode]string{
+		admission.CreditNone:          "silent",
+		admission.CreditRankThreshold: "floor",
+		admission.CreditPerCaller:     "allowance",
+		admission.CreditWeight:        "weight",
+	}
 	below := map[admission.Dependency]string{
 		admission.DependencyNone:   "silent",
 		admission.DependencyShared: "one_for_all",
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -62,7 +62,7 @@
 	}
 	x.reader = httpmessage.NewResponseReader(x.isHead)
 	g.exchanges[a] = x
-	x.deadline = g.after(micros(a.Deadline)-g.now(), x.deadlinePassed)
+	x.deadline = g.after(a.Deadline-g.now(), x.deadlinePassed)
 	// A connection that was idle may be broken without a sign. A request that may run only once, or
 	// whose body cannot be sent again, gets a new one.
 	if a.Idempotent && a.Request.Upload == nil {
@@ -155,8 +155,8 @@
 		return
 	}
 	a, loop := x.attempt, x.group.loop
-	now, deadline := x.group.now(), micros(a.Deadline)
-	arrivedAt := now - micros(loop.Unix()-a.Request.ArrivedAt)
+	now, deadline := x.group.now(), a.Deadline
+	arrivedAt := now - micros(int64(loop.Unix())-int64(a.Request.ArrivedAt))
 	extended := deadline + (deadline - arrivedAt)
 	if !a.Idempotent && now < extended {
 		x.deadline = x.group.after(extended-now, x.deadlinePassed)
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -59,7 +59,7 @@
 	return &lifecycle.Attempt{
 		Request:    &lifecycle.Request{ID: "1", Key: "k", ArrivedAt: s.Unix()},
 		Idempotent: idempotent,
-		Deadline:   s.Now() + timeout.Microseconds(),
+		Deadline:   time.Duration(s.Now().Microseconds()+timeout.Microseconds()) * time.Microsecond,
 	}
 }
 
--- a/internal/upstream/group.go
+++ b/internal/upstream/group.go
@@ -52,14 +52,14 @@
 		exchanges: map[*lifecycle.Attempt]*exchange{},
 	}
 	g.picker = picker.New(opt.Picker, instance, opt.ClassCount, seed, g.stateChanged)
-	loop.Every(tickInterval.Microseconds(), g.tick)
+	loop.Every(tickInterval, g.tick)
 	return g
 }
 
-func (g *Group) now() time.Duration { return micros(g.loop.Now()) }
+func (g *Group) now() time.Duration { return g.loop.Now() }
 
 func (g *Group) after(d time.Duration, fn func()) *eventloop.Timer {
-	return g.loop.After(d.Microseconds(), fn)
+	return g.loop.After(d, fn)
 }
 
 func (g *Group) stateChanged(s *picker.Server, change endpointhealth.StateChange) {
@@ -164,7 +164,7 @@
 		NeverRan:       c.NeverRan,
 		Attempts:       c.Attempts,
 		MaxAttempts:    min(g.opt.MaxAttempts, g.Size()),
-		TimeLeft:       micros(c.Remaining),
+		TimeLeft:       c.Remaining,
 		TimeNeeded:     g.picker.MinAttemptTime(c.Class),
 	}
 	return g.picker.RetryBudget().Allow(attempt, g.now()) == retry.Allowed
