--- a/internal/balancer/bulkhead/config.go
+++ b/internal/balancer/bulkhead/config.go
@@ -16,8 +16,8 @@
 	Name    string
 	Floor   float64 // share that the pool owns; at least one slot, unless it is 0
 	Ceiling float64 // share that it can have at most; at least one slot
-	// Weight is its part of what is left, beside the weights of the others; 0: only what no other
-	// pool wants.
+	// Weight is its part of the remaining slots, in proportion to the weights of the other pools;
+	// 0: only slots that no other pool wants.
 	Weight  float64
 	Reserve bool          // its floor is never lent
 	Classes []int         // of requests that it takes; nil: all
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// validateAssignment checks that a pool takes each class of each tenant, whoever the caller is.
+// validateAssignment checks that a pool takes each class of each tenant, for any caller.
 func (c *Config) validateAssignment() error {
 	for class := range c.Classes {
 		for tenant := -1; tenant < len(c.Tenants); tenant++ {
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// runSample is how many running requests are looked at to estimate the next free slot.
+	// runSample is the number of running requests by which the time to the next free slot is
+	// estimated.
 	runSample = 64
 	// minSparePerReserve is how many free slots a reserve must have to lend one: one of them stays.
 	minSparePerReserve = 2
 )
 
-// floorSlots returns the floor of a pool in slots. With no more slots than pools that have a floor a
-// small share is none: otherwise what is owed to pools that want nothing, and to a reserve above all,
-// would keep the others out for good.
+// floorSlots returns the floor of a pool in slots. With no more slots than pools that have a floor
+// a small share is none: otherwise what is owed to pools that want nothing, and to a reserve above
+// all, would starve the other pools.
 func (s *Scheduler) floorSlots(p *pool) int {
 	n := int(p.Floor * s.limit.current())
 	if n == 0 && p.Floor > 0 && s.Limit() > s.poolsWithFloor {
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -10,7 +10,7 @@
 const (
 	minWindow         = 500 * time.Millisecond
 	minWindowRequests = 40 // that end in a window
-	// measureInterval is the number of windows after which the best latency is measured anew, and
+	// measureInterval is the number of windows after which the best latency is measured again, and
 	// measureWindows for how many the limit is reduced for that: the first one still sees the queue
 	// from before.
 	measureInterval = 60
@@ -18,20 +18,14 @@
 	measureRatio    = 0.5 // by which the limit is multiplied meanwhile
 	// minClassRequests is how many requests of a class a window must have for a mean.
 	minClassRequests = 5
-	// lowerBestWeight is the number of windows over which a lower latency becomes the best one: a
-	// single window may be low by chance.
-	lowerBestWeight = 4
-	// idleBestWeight is the number of windows over which the best latency follows that of servers
-	// whose slots are not all used, and which therefore have no queue.
-	idleBestWeight = 16
 	// usedRatio of the limit must have been in use for the window to say something about it.
 	usedRatio = 0.8
 	// overloadRatio of failures to successes in a window is a sign of overload, by which the limit
 	// is multiplied with overloadBackoff.
 	overloadRatio   = 0.1
 	overloadBackoff = 0.8
-	// Once a falling limit is down to declineCheck of where it began, the latency ratio must be down
-	// to declineGain: otherwise the latency was not that of a queue.
+	// Once a falling limit is down to declineCheck of where it began, the latency ratio must be
+	// down to declineGain: otherwise the latency was not that of a queue.
 	declineCheck = 0.7
 	declineGain  = 0.85
 	// capacityBackoff is by how much one window may lower the limit towards the capacity.
@@ -46,10 +40,10 @@
 // against the first; against the second it only gets less done. So where a limit that has fallen by
 // a third has not lowered the latency, the current latency becomes the best one.
 type adaptiveLimit struct {
-	limit      float64
-	capacity   float64      // of the servers together; 0: not known
-	bestMicros []float64    // best latency by class; 0: not measured
-	recent     []sampleMean // latencies in this window, by class, in microseconds
+	limit    float64
+	capacity float64        // of the servers together; 0: not known
+	best     []latency.Best // by class
+	recent   []sampleMean   // latencies in this window, by class, in microseconds
 
 	windowStart time.Duration // monotonic; 0: no request has ended yet
 	succeeded   int           // in this window
@@ -74,8 +68,8 @@
 }
 
 func (l *adaptiveLimit) configure(cfg *Config) {
-	for len(l.bestMicros) < len(cfg.Classes) {
-		l.bestMicros, l.recent = append(l.bestMicros, 0), append(l.recent, sampleMean{})
+	for len(l.best) < len(cfg.Classes) {
+		l.best, l.recent = append(l.best, latency.Best{}), append(l.recent, sampleMean{})
 	}
 	if cfg.LimitAlgorithm == FixedLimit {
 		l.limit = cfg.InitialLimit
@@ -125,9 +119,9 @@
 	sum, best, variance := 0.0, 0.0, 0.0
 	for i := range l.recent {
 		mean, standardError := l.recent[i].mean()
-		if n := float64(l.recent[i].count); n > 0 && l.bestMicros[i] > 0 {
+		if n := float64(l.recent[i].count); n > 0 && l.best[i].Micros > 0 {
 			sum += n * mean
-			best += n * l.bestMicros[i]
+			best += n * l.best[i].Micros
 			variance += n * n * standardError * standardError
 		}
 	}
@@ -207,16 +201,8 @@
 // learnBest takes the latencies of a window into the best ones.
 func (l *adaptiveLimit) learnBest(w *limitWindow) {
 	for i := range l.recent {
-		mean, _ := l.recent[i].mean()
-		best := &l.bestMicros[i]
-		switch {
-		case l.recent[i].count < minClassRequests:
-		case *best == 0:
-			*best = mean
-		case mean < *best:
-			*best = latency.Smooth(*best, mean, lowerBestWeight)
-		case !w.isUsed:
-			*best = latency.Smooth(*best, mean, idleBestWeight)
+		if mean, _ := l.recent[i].mean(); l.recent[i].count >= minClassRequests {
+			l.best[i].Learn(mean, w.isUsed)
 		}
 	}
 }
@@ -225,7 +211,7 @@
 func (l *adaptiveLimit) resetBest() {
 	for i := range l.recent {
 		if mean, _ := l.recent[i].mean(); l.recent[i].count >= minClassRequests {
-			l.bestMicros[i] = mean
+			l.best[i].Micros = mean
 		}
 	}
 	l.windows, l.declineFrom, l.demand = 0, 0, [demandWindows]float64{}
--- a/internal/balancer/bulkhead/queue.go
+++ b/internal/balancer/bulkhead/queue.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// burstFactor and minBurst bound what a tenant or caller may have in the queue before it counts
-	// as overuse: what the pool can run at once, so many times, but at least minBurst.
+	// A tenant or caller may have in the queue what the pool can run at once, multiplied by
+	// burstFactor, but at least minBurst, before that counts as overuse.
 	burstFactor = 4
 	minBurst    = 8
 	// minTenantShare bounds the share of a tenant from below.
@@ -38,8 +38,8 @@
 }
 
 // overuseOf returns how many times over their parts of the queue the tenant and the caller of a
-// request are, the larger of both. Parts are of those that wait now: a tenant that is alone may have
-// the whole queue. share is that of the tenant; callers have equal shares.
+// request are, the larger of both. Parts are of those that wait now: a tenant that is alone may
+// have the whole queue. share is that of the tenant; callers have equal shares.
 func (q *waitingQueue) overuseOf(r *Request, share float64, maxLength, slots int) int {
 	if q.byTenant == nil {
 		q.byTenant, q.byCaller = map[int]int{}, map[uint32]int{}
--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -8,7 +8,7 @@
 // whose latency does not rise gets a limit that is higher by the square root of the limit, as long
 // as the limit is used. A rise within the tolerance does not count.
 //
-// The best latency has to be measured anew from time to time: under steady load a queue would
+// The best latency has to be measured again from time to time: under steady load a queue would
 // otherwise come to be taken for the server's own latency. For that the limit is halved for two
 // windows, and the mean latency of the second one, when the queue has drained, is the new best.
 package concurrencylimit
@@ -22,15 +22,16 @@
 
 // Config holds the parameters of a limit.
 type Config struct {
-	Initial          int           // requests; the limit of a server that has not been measured
-	Min              int           // requests; the limit never falls below it
-	Max              int           // requests; the limit never rises above it
-	MinWindow        time.Duration // a window lasts at least this long
-	MinSamples       int           // requests; a window has at least so many
-	LatencyTolerance float64       // a mean latency up to so many times the best one is as good as that
-	BackoffRatio     float64       // the limit is multiplied by it after a window with overload
-	Smoothing        float64       // part of the way to the new limit that one window goes; 0 to 1
-	ProbeInterval    int           // windows after which the best latency is measured anew
+	Initial    int           // requests; the limit of a server that has not been measured
+	Min        int           // requests; the limit never falls below it
+	Max        int           // requests; the limit never rises above it
+	MinWindow  time.Duration // a window lasts at least this long
+	MinSamples int           // requests; a window has at least this number
+	// factor by which a latency may exceed the best one without effect
+	LatencyTolerance float64
+	BackoffRatio     float64 // the limit is multiplied by it after a window with overload
+	Smoothing        float64 // part of the way to the new limit that one window goes; 0 to 1
+	ProbeInterval    int     // windows after which the best latency is measured again
 }
 
 // DefaultConfig returns the default parameters with an upper bound of maxRequests.
@@ -54,25 +55,20 @@
 	measureWindows = 2
 	// measureGiveUp is after how many probe intervals a measurement that got no answer ends.
 	measureGiveUp = 2
-	// lowerBestWeight is the number of windows over which a lower latency becomes the best one: a
-	// single window may be low by chance.
-	lowerBestWeight = 4
-	// idleBestWeight is the number of windows over which the best latency follows that of a server
-	// that is not half used, and therefore has no queue.
-	idleBestWeight = 16
 	// minGradient bounds by how much one window may lower the limit.
 	minGradient = 0.5
-	// overloadDivisor: more than one overloaded request in so many that succeeded lowers the limit.
+	// overloadDivisor: more than one overloaded request for this number of successes lowers the
+	// limit.
 	overloadDivisor = 10
 )
 
 // Limit is the concurrency limit of one server. It is used by one goroutine.
 type Limit struct {
-	limit       float64
-	minimum     int
-	bestLatency float64 // microseconds; 0: not measured
-	measuring   bool    // the limit is halved, to measure the best latency
-	windows     int     // since the best latency was measured
+	limit     float64
+	minimum   int
+	best      latency.Best
+	measuring bool // the limit is halved, to measure the best latency
+	windows   int  // since the best latency was measured
 
 	// Of the current window:
 	windowStart time.Duration // monotonic; 0: no request has ended yet
@@ -138,7 +134,7 @@
 // succeeds for too long.
 func (l *Limit) measure(cfg *Config, mean float64) {
 	if mean > 0 && l.windows >= cfg.ProbeInterval+measureWindows {
-		l.bestLatency, l.measuring, l.windows = mean, false, 0
+		l.best.Micros, l.measuring, l.windows = mean, false, 0
 	} else if l.windows >= measureGiveUp*cfg.ProbeInterval {
 		l.measuring, l.windows = false, 0
 	}
@@ -148,8 +144,8 @@
 func (l *Limit) target(cfg *Config, mean float64) float64 {
 	target := l.limit
 	if mean > 0 {
-		l.learnBest(mean)
-		gradient := min(max(cfg.LatencyTolerance*l.bestLatency/mean, minGradient), 1)
+		l.best.Learn(mean, l.isHalfUsed()) // a limit that is not half used leaves no queue
+		gradient := min(max(cfg.LatencyTolerance*l.best.Micros/mean, minGradient), 1)
 		if target = l.limit * gradient; gradient == 1 {
 			target += math.Sqrt(l.limit)
 		}
@@ -164,18 +160,6 @@
 	return target
 }
 
-// learnBest takes the mean latency of a window into the best one.
-func (l *Limit) learnBest(mean float64) {
-	switch {
-	case l.bestLatency == 0:
-		l.bestLatency = mean
-	case mean < l.bestLatency:
-		l.bestLatency = latency.Smooth(l.bestLatency, mean, lowerBestWeight)
-	case !l.isHalfUsed():
-		l.bestLatency = latency.Smooth(l.bestLatency, mean, idleBestWeight)
-	}
-}
-
 func (l *Limit) isHalfUsed() bool { return float64(l.peak) >= l.limit/2 }
 
 // ApplyBounds keeps the limit within bounds that have changed.
--- a/internal/balancer/concurrencylimit/limit_test.go
+++ b/internal/balancer/concurrencylimit/limit_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// testServer is a server with so many workers: a request waits for a worker, and then takes the time
-// of its work.
+// testServer is a server with a number of workers: a request waits for a worker, and then takes the
+// time of its work.
 type testServer struct {
 	workers int
 	work    time.Duration
 	rand    *rand.Rand
 }
 
-// run keeps the server as busy as its limit allows for so many windows, and returns the limit at the
-// end of each.
+// run keeps the server as busy as its limit allows for a number of windows, and returns the limit
+// at the end of each.
 func (s *testServer) run(l *Limit, cfg *Config, now *time.Duration, windows int) (limits []int) {
 	for range windows {
 		inFlight := l.Current()
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -114,9 +114,9 @@
 	m.setState(e, Ejected, now, fmt.Sprintf("%s, for %d ms", cause, ejectionTime.Milliseconds()))
 }
 
-// NextProbe returns an endpoint that waits for a request to probe it, or nil. retryable says whether
-// the request may be retried if the probe fails; one that may not probes only an endpoint that has
-// waited for MaxProbeWait.
+// NextProbe returns an endpoint that waits for a request to probe it, or nil. retryable says
+// whether the request may be retried if the probe fails; one that may not probes only an endpoint
+// that has waited for MaxProbeWait.
 func (m *Monitor) NextProbe(retryable bool, now time.Duration) *Endpoint {
 	for _, e := range m.probing {
 		if !e.probeSent && (retryable || now-e.StateSince >= m.cfg.MaxProbeWait) {
@@ -207,7 +207,7 @@
 	}
 	e.slowIntervals++
 	if e.slowIntervals >= m.cfg.SlowIntervals && m.mayEject() {
-		e.MeanLatency = 0 // to be measured anew once it has recovered
+		e.MeanLatency = 0 // to be measured again once it has recovered
 		m.eject(e, now, fmt.Sprintf("%.0f ms are too slow beside %.0f of its peers", mean/1000, median/1000))
 	}
 }
--- a/internal/balancer/endpointhealth/monitor_test.go
+++ b/internal/balancer/endpointhealth/monitor_test.go
@@ -37,7 +37,7 @@
 	return p
 }
 
-// list updates the list to so many endpoints.
+// list updates the list to a number of endpoints.
 func (p *monitorTest) list(now time.Duration, servers int) {
 	var list []EndpointSpec
 	for i := range servers {
--- a/internal/balancer/latency/latency.go
+++ b/internal/balancer/latency/latency.go
@@ -1,8 +1,8 @@
 // Package latency holds what the load balancing policies share to measure latencies: the conversion
-// between time.Duration and floating-point microseconds, and moving means.
+// between time.Duration and floating-point microseconds, moving means, and the best latency.
 //
-// Means are kept as float64 microseconds and not as time.Duration, so that small steps of a mean are
-// not cut off.
+// Means are kept as float64 microseconds and not as time.Duration, so that small steps of a mean
+// are not cut off.
 package latency
 
 import "time"
@@ -10,7 +10,7 @@
 // Micros returns d in microseconds.
 func Micros(d time.Duration) float64 { return float64(d / time.Microsecond) }
 
-// FromMicros returns a span of so many microseconds, cut to whole microseconds.
+// FromMicros returns a span of us microseconds, cut to whole microseconds.
 func FromMicros(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
 // AtLeastOne returns d, but at least one microsecond: a latency of zero stands for "not measured".
@@ -26,8 +26,36 @@
 	Count int // values seen, at most the window
 }
 
-// Add takes a value into the mean, with a window of so many values.
+// Add takes a value into the mean. window is a number of values.
 func (m *Mean) Add(value float64, window int) {
 	m.Count = min(m.Count+1, window)
 	m.Value = Smooth(m.Value, value, float64(m.Count))
 }
+
+const (
+	// lowerBestWeight is the number of windows over which a lower latency becomes the best one: a
+	// single window may be low by chance.
+	lowerBestWeight = 4
+	// idleBestWeight is the number of windows over which the best latency follows that of a server
+	// that has no queue.
+	idleBestWeight = 16
+)
+
+// Best is the latency of a server without a queue, by the mean latencies of windows. The zero value
+// has not been measured.
+type Best struct {
+	Micros float64 // 0: not measured
+}
+
+// Learn takes the mean latency of a window in microseconds. hasQueue says that requests may have
+// waited at the server in the window: then a higher latency does not count.
+func (b *Best) Learn(meanMicros float64, hasQueue bool) {
+	switch {
+	case b.Micros == 0:
+		b.Micros = meanMicros
+	case meanMicros < b.Micros:
+		b.Micros = Smooth(b.Micros, meanMicros, lowerBestWeight)
+	case !hasQueue:
+		b.Micros = Smooth(b.Micros, meanMicros, idleBestWeight)
+	}
+}
--- a/internal/balancer/latency/latency_test.go
+++ b/internal/balancer/latency/latency_test.go
@@ -29,3 +29,21 @@
 		t.Errorf("after a fourth: %v of %d, want 30 of 3", m.Value, m.Count)
 	}
 }
+
+func TestBestFollowsHigherLatenciesOnlyWithoutAQueue(t *testing.T) {
+	var b Best
+	for _, c := range []struct {
+		mean     float64
+		hasQueue bool
+		want     float64
+	}{
+		{100, true, 100},
+		{60, true, 90},
+		{250, true, 90},
+		{250, false, 100},
+	} {
+		if b.Learn(c.mean, c.hasQueue); b.Micros != c.want {
+			t.Errorf("after %v (queue: %v): %v, want %v", c.mean, c.hasQueue, b.Micros, c.want)
+		}
+	}
+}
--- a/internal/balancer/picker/alias.go
+++ b/internal/balancer/picker/alias.go
@@ -25,7 +25,7 @@
 		t.keep = t.keep[:0]
 		return false
 	}
-	// Places below the mean are stacked from the left, the others from the right.
+	// Places below the mean are stacked from the left, those above it from the right.
 	small, large := 0, n
 	for i, weight := range weights {
 		t.keep[i], t.alias[i] = weight*float64(n)/sum, int32(i)
--- a/internal/balancer/picker/pacing_test.go
+++ b/internal/balancer/picker/pacing_test.go
@@ -46,7 +46,7 @@
 
 const coldName = "cold"
 
-// newPickerFleet returns so many pickers without the cold server, which tick at different times.
+// newPickerFleet returns pickers without the cold server, which tick at different times.
 func newPickerFleet(cfg Config, processes, servers int, seed uint64) *pickerFleet {
 	f := &pickerFleet{random: rand.New(rand.NewPCG(seed, 1)), now: time.Second, slowFactor: 1}
 	warm := testSpecs(servers-1, "")
@@ -68,8 +68,8 @@
 	}
 }
 
-// play has requests come at a rate per second for a while. A request takes 20 ms, at the cold server
-// slowFactor times that.
+// play has requests come at a rate per second for a while. A request takes 20 ms, at the cold
+// server slowFactor times that.
 func (f *pickerFleet) play(rate float64, lasts time.Duration) {
 	for end := f.now + lasts; f.now < end; {
 		f.now += time.Duration(f.random.ExpFloat64()*1e6/rate) * time.Microsecond
@@ -137,10 +137,11 @@
 	slowFactor      int
 }
 
-// The bound is the server's share of what a warm one gets, or the requests that the operator allows.
-// At least two thirds of it are used where the server is as fast as the others.
+// The bound is the server's share of what a warm one gets, or the requests that the operator
+// allows. At least two thirds of it are used where the server is as fast as the others.
 func TestProcessesTogetherStayWithinTheSlowStart(t *testing.T) {
-	const maxRateOfFewProcesses = 3000 // higher rates take too long with fewer than the most processes
+	// higher rates take too long with fewer than the most processes
+	const maxRateOfFewProcesses = 3000
 	for _, processes := range []int{1, 20, 30} {
 		for _, c := range []warmUpCase{
 			{processes, 100, 0, 1},
--- a/internal/balancer/picker/picker.go
+++ b/internal/balancer/picker/picker.go
@@ -1,14 +1,15 @@
 // Package picker picks a server for each attempt of a request. It implements locality-aware load
-// balancing with the power of several choices: the policies are those of gRPC's weighted round robin
-// and least request balancers (weights, outlier ejection, slow start) and of Envoy's priority levels
-// (overflow to the next zone). It does no I/O: the caller passes endpoint lists, the ends of
+// balancing with the power of several choices: the policies are those of gRPC's weighted round
+// robin and least request balancers (weights, outlier ejection, slow start) and of Envoy's priority
+// levels (overflow to the next zone). It does no I/O: the caller passes endpoint lists, the ends of
 // requests and the time.
 //
 // Servers are grouped by zone, the nearest zone first. A request goes to the server of the least
-// cost in a small zone, or of a few servers that are drawn by weight in a large one. The cost is the
-// server's latency, success rate and load. A zone that is full, or that has lost much of its
-// capacity, passes requests on to the next zone. A server is full by its adaptive concurrency limit;
-// where all are full the least loaded one takes the request, as admission is decided elsewhere.
+// cost in a small zone, or of a few servers that are drawn by weight in a large one. The cost is
+// the server's latency, success rate and load. A zone that is full, or that has lost much of its
+// capacity, passes requests on to the next zone. A server is full by its adaptive concurrency
+// limit; where all are full the least loaded one takes the request, as admission is decided
+// elsewhere.
 //
 // Times are monotonic, whole microseconds and above zero. A picker is used by one goroutine.
 package picker
@@ -71,8 +72,8 @@
 	PickCounts       [NoEndpoint + 1]uint64 // by reason, since the start
 }
 
-// New returns a picker without servers for so many classes. instance is the name of this process,
-// which decides its subset. onChange is called after each change of a server's state.
+// New returns a picker without servers, for a number of classes. instance is the name of this
+// process, which decides its subset. onChange is called after each change of a server's state.
 func New(
 	cfg Config,
 	instance string,
@@ -213,15 +214,15 @@
 	return nil
 }
 
-// overflows reports whether a zone that has lost much of its capacity passes this request on: what
-// is left of it gets a little more than it had, and not the whole of what the others had.
+// overflows reports whether a zone that has lost much of its capacity passes this request on: the
+// healthy servers get a little more than their share, and not the whole load of the zone.
 func (p *Picker) overflows(z *zone) bool {
 	share := z.healthyShare * p.cfg.Overprovisioning
 	return share < 1 && p.random.Float64() >= share
 }
 
 // pickOverloaded returns the least loaded server, where all are full. Where none gets traffic by
-// its health, one of the others is tried all the same.
+// its health, it returns an unhealthy one.
 func (p *Picker) pickOverloaded(q *Query) (*Server, PickReason) {
 	for _, z := range p.zones {
 		if s := z.pickLeastCost(p.random, q, canPick); s != nil {
--- a/internal/balancer/picker/picker_test.go
+++ b/internal/balancer/picker/picker_test.go
@@ -15,7 +15,7 @@
 	return endpointhealth.EndpointSpec{ID: endpointhealth.ID{Name: name, Addr: "a"}, Zone: zone, Weight: 1}
 }
 
-// testSpecs are so many servers, spread over zones.
+// testSpecs returns n servers, spread over zones.
 func testSpecs(n int, zones ...string) (list []endpointhealth.EndpointSpec) {
 	for i := range n {
 		list = append(list, testSpec(fmt.Sprintf("n%04d", i), zones[i%len(zones)]))
@@ -104,8 +104,8 @@
 	}
 }
 
-// sharesOf returns how many requests each of four servers gets, of so many that come each 500 us:
-// about 20 are in flight at once on the fast servers.
+// sharesOf returns how many requests each of four servers gets, if one comes each 500 µs: about 20
+// are in flight at once on the fast servers.
 func sharesOf(weights, tookMs [4]int, requests int) map[string]float64 {
 	var list []endpointhealth.EndpointSpec
 	for i, weight := range weights {
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -111,8 +111,8 @@
 	return c.best
 }
 
-// compareAll compares all servers: one that is drawn first, then the others from a random place on,
-// as otherwise the first in order would get all requests that the drawn one does not get.
+// compareAll compares all servers: first one that is drawn, then all from a random place on.
+// Otherwise the first server would get all requests that the drawn one does not get.
 func (z *zone) compareAll(random *rand.Rand, c *candidate) {
 	c.compare(z.servers[z.drawer.draw(random)])
 	start := random.IntN(len(z.servers))
--- a/internal/balancer/retry/retry.go
+++ b/internal/balancer/retry/retry.go
@@ -102,7 +102,7 @@
 	b.updatedAt = now
 }
 
-// New returns a budget for so many classes.
+// New returns a budget for a number of classes.
 func New(cfg Config, classes int) *Budget {
 	b := &Budget{cfg: cfg, total: tokenBucket{tokens: cfg.MinTokens}}
 	b.Configure(cfg, classes)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -19,8 +19,8 @@
 	packetHeaderBytes = 4
 )
 
-// connection is a connection to a server. It carries one request, or was opened in advance and waits
-// for one.
+// connection is a connection to a server. It carries one request, or was opened in advance and
+// waits for one.
 type connection struct {
 	server      *server
 	conn        *eventloop.Conn
@@ -65,7 +65,7 @@
 	}
 }
 
-// closeSpare closes the connections that were opened in advance, but for so many.
+// closeSpare closes connections that were opened in advance, until keep are left.
 func (s *server) closeSpare(keep int) {
 	for len(s.spare) > keep {
 		c := s.spare[len(s.spare)-1]
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// deadlinePassed ends the attempt at its deadline. One with side effects may go on for as long
-// again: nobody waits for it, but a repeated request gets its result.
+// deadlinePassed ends the attempt at its deadline. One with side effects may take the same time
+// again: its caller has gone, but a repeated request gets its result.
 func (x *exchange) deadlinePassed() {
 	if !x.connection.established {
 		x.unreachable(errConnectDeadline)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -53,7 +53,7 @@
 func (x *exchange) resultOf(head *httpmessage.Head) *lifecycle.Result {
 	result := &lifecycle.Result{Status: head.Status, ContentLength: int64(head.Length)}
 	for _, f := range head.Fields {
-		// The length is stated anew, but for a head alone, where it says what the body would have.
+		// The frontend sets the length itself. The response to a HEAD request keeps it.
 		isRestated := !x.isHead && strings.EqualFold(f.Name, "Content-Length")
 		if !uwsgi.IsHopByHop(f.Name) && !isRestated {
 			result.Fields = append(result.Fields, lifecycle.Field(f))
@@ -112,8 +112,8 @@
 // Pause implements lifecycle.Stream: the server waits for a slow reader.
 func (x *exchange) Pause(on bool) { x.connection.conn.Pause(on) }
 
-// Cancel implements lifecycle.Stream. The response to a request with side effects is read on as long
-// as it is cached.
+// Cancel implements lifecycle.Stream. The response to a request with side effects is read on as
+// long as it is cached.
 func (x *exchange) Cancel() {
 	x.consumer = nil
 	if !x.attempt.Idempotent && x.flow.Caches() {
