--- a/cmd/simulator/verify.go
+++ b/cmd/simulator/verify.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	if len(v.Figures) > 0 || v.Limits != (variant.Limits{}) {
+	if len(v.Parameters) > 0 || v.Limits != (variant.Limits{}) {
 		return badInput{fmt.Errorf("%s: figures and limits cannot be set on real runners", c.With)}
 	}
 	d := day.Draw(s, c.Seed)
--- a/internal/simulator/variant/schema.go
+++ b/internal/simulator/variant/schema.go
@@ -10,28 +10,35 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// Schema describes a file of differences.
+// Schema returns the JSON schema of a variant file, with the names, bounds and defaults of the
+// admission module's parameters.
 func Schema() *jsonschema.Schema {
-	r := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
-	s := r.Reflect(&Variant{})
-	s.Title, s.Required = "Differences to try out on a day of the lab", []string{"name"}
-	figures := &jsonschema.Schema{
+	reflector := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
+	schema := reflector.Reflect(&Variant{})
+	schema.Title, schema.Required = "Differences to try out on a day of the lab", []string{"name"}
+	schema.Properties.Set("figures", parametersSchema())
+	kind := reflector.Reflect(&day.BalancerKind{})
+	kind.Version = ""
+	schema.Properties.Set("balancers", &jsonschema.Schema{Type: "array", Items: kind})
+	return schema
+}
+
+func parametersSchema() *jsonschema.Schema {
+	schema := &jsonschema.Schema{
 		Type:                 "object",
 		Properties:           jsonschema.NewProperties(),
 		AdditionalProperties: jsonschema.FalseSchema,
 	}
-	f := admission.DefaultParameters()
-	for _, g := range f.All() {
-		figures.Properties.Set(
-			g.Name,
-			&jsonschema.Schema{Type: "number", Minimum: number(g.Min), Maximum: number(g.Max),
-				Default: *g.Value},
-		)
+	defaults := admission.DefaultParameters()
+	for _, parameter := range defaults.All() {
+		schema.Properties.Set(parameter.Name, &jsonschema.Schema{
+			Type:    "number",
+			Minimum: number(parameter.Min),
+			Maximum: number(parameter.Max),
+			Default: *parameter.Value,
+		})
 	}
-	s.Properties.Set("figures", figures)
-	kind := r.Reflect(&day.BalancerKind{})
-	kind.Version = ""
-	s.Properties.Set("balancers", &jsonschema.Schema{Type: "array", Items: kind})
-	return s
+	return schema
 }
+
 func number(v float64) json.Number { return json.Number(strconv.FormatFloat(v, 'g', -1, 64)) }
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -1,6 +1,6 @@
-// Package variant reads what is to be tried out: a file of differences to the module's figures, to
-// what runners are told, to the limits of the core and to how balancers route. A day with a variant
-// is the same day.
+// Package variant reads a file of differences to try out in a simulation: parameters of the admission
+// module, settings of the runners, limits of the key table and how balancers route. With a variant
+// the simulated day stays the same otherwise.
 package variant
 
 import (
@@ -20,39 +20,42 @@
 	"ryepaddle/internal/yamldoc"
 )
 
-// Variant is a file of differences. What it does not name stays as the day has it.
+// Variant is a file of differences. Values that it does not name stay as the day has them.
 type Variant struct {
-	Name     string             `yaml:"name" json:"name"`
-	Figures  map[string]float64 `yaml:"figures" json:"figures,omitempty"`
-	Settings Settings           `yaml:"settings" json:"settings"`
-	Limits   Limits             `yaml:"limits" json:"limits"`
-	// fields of each kind of the day, by place
+	Name       string             `yaml:"name" json:"name"`
+	Parameters map[string]float64 `yaml:"figures" json:"figures,omitempty"` // by admission.Parameter.Name
+	Settings   Settings           `yaml:"settings" json:"settings"`
+	Limits     Limits             `yaml:"limits" json:"limits"`
+	// Balancers are fields of each balancer kind of the day, by place.
 	Balancers []yaml.Node `yaml:"balancers" json:"-"`
 	doc       *yamldoc.Document
 }
 
-// Settings are changes of what runners are told. Zero leaves a field alone; "times" multiplies what
-// the day has.
+// Settings are changes of the settings that runners are told. 0 leaves a field alone; a factor
+// multiplies what the day has.
 type Settings struct {
-	Cores         int     `yaml:"cores" json:"cores,omitempty"`
-	Servers       int     `yaml:"servers" json:"servers,omitempty"`
-	MemoryTimes   float64 `yaml:"memory_times" json:"memory_times,omitempty"`
-	KeyTimes      float64 `yaml:"key_times" json:"key_times,omitempty"`
-	CallsOutTimes float64 `yaml:"calls_out_times" json:"calls_out_times,omitempty"`
-	QuotaTimes    float64 `yaml:"quota_times" json:"quota_times,omitempty"`
-	AimTimes      float64 `yaml:"aim_times" json:"aim_times,omitempty"`
-	CrowdLimit    float64 `yaml:"crowd_limit" json:"crowd_limit,omitempty"`
-	MaxStayAwayMs float64 `yaml:"max_stay_away_ms" json:"max_stay_away_ms,omitempty"`
-	NoCredit      bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners advertise nothing
+	Cores                  int     `yaml:"cores" json:"cores,omitempty"`
+	Servers                int     `yaml:"servers" json:"servers,omitempty"`
+	MemoryFactor           float64 `yaml:"memory_times" json:"memory_times,omitempty"`
+	KeyMemoryFactor        float64 `yaml:"key_times" json:"key_times,omitempty"`
+	CallQuotaFactor        float64 `yaml:"calls_out_times" json:"calls_out_times,omitempty"`
+	TenantQuotaFactor      float64 `yaml:"quota_times" json:"quota_times,omitempty"`
+	LatencyObjectiveFactor float64 `yaml:"aim_times" json:"aim_times,omitempty"`
+	MaxRunningPerCore      float64 `yaml:"crowd_limit" json:"crowd_limit,omitempty"`
+	MaxRetryAfterMs        float64 `yaml:"max_stay_away_ms" json:"max_stay_away_ms,omitempty"`
+	NoCredit               bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners advertise nothing
 }
 
-// Limits are those of the core's own tables.
+// Limits are those of a runner's table of idempotency keys; 0 leaves a limit alone.
 type Limits struct {
 	Keys     int     `yaml:"keys" json:"keys,omitempty"`
-	ResultMB float64 `yaml:"result_mb" json:"result_mb,omitempty"`
+	ResultMB float64 `yaml:"result_mb" json:"result_mb,omitempty"` // of remembered results
 }
 
-// Read reads and checks a file. The empty path stands for no differences.
+// bytesPerMB converts Limits.ResultMB.
+const bytesPerMB = 1 << 20
+
+// Read reads and checks a file, and returns its text too. The empty path stands for no differences.
 func Read(path string) (*Variant, []byte, error) {
 	if path == "" {
 		return &Variant{Name: "as it is"}, nil, nil
@@ -65,7 +68,8 @@
 	return v, text, err
 }
 
-// Parse checks what was read from a file.
+// Parse reads and checks the text of a file. Its errors are of package yamldoc, with the line and the
+// field.
 func Parse(path string, text []byte) (*Variant, error) {
 	v := &Variant{}
 	var err error
@@ -75,40 +79,49 @@
 	if v.Name == "" {
 		return nil, v.doc.Errorf("name", "missing")
 	}
-	f := admission.DefaultParameters()
-	for _, name := range slices.Sorted(maps.Keys(v.Figures)) {
-		if err := f.Set(name, v.Figures[name]); err != nil {
+	parameters := admission.DefaultParameters()
+	for _, name := range slices.Sorted(maps.Keys(v.Parameters)) {
+		if err := parameters.Set(name, v.Parameters[name]); err != nil {
 			return nil, v.doc.Errorf("figures."+name, "%v", err)
 		}
 	}
-	s := &v.Settings
-	for _, c := range []struct {
-		field       string
-		v           float64
-		least, most float64
-	}{
-		{"settings.cores", float64(s.Cores), 1, 1024}, {"settings.servers", float64(s.Servers), 1, 2000},
-		{"settings.memory_times", s.MemoryTimes, 0.01, 1000}, {"settings.key_times", s.KeyTimes, 0.01, 1000},
-		{"settings.calls_out_times", s.CallsOutTimes, 0.01, 1000},
-		{"settings.quota_times", s.QuotaTimes, 0.01, 1000},
-		{"settings.aim_times", s.AimTimes, 0.01, 100}, {"settings.crowd_limit", s.CrowdLimit, 1, 1000},
-		{"settings.max_stay_away_ms", s.MaxStayAwayMs, 1, 600_000},
-		{"limits.keys", float64(v.Limits.Keys), 1, 1e7}, {"limits.result_mb", v.Limits.ResultMB, 0.001, 1e5},
-	} {
-		if c.v != 0 && !(c.v >= c.least && c.v <= c.most) {
-			return nil, v.doc.Errorf(c.field, "%v is not from %v to %v", c.v, c.least, c.most)
+	for _, c := range v.bounds() {
+		if c.value != 0 && !(c.value >= c.min && c.value <= c.max) {
+			return nil, v.doc.Errorf(c.field, "%v is not from %v to %v", c.value, c.min, c.max)
 		}
 	}
 	return v, nil
 }
 
-// Options are the variant on a scenario. An error is of the variant: it names what the scenario has
-// no place for.
-func (v *Variant) Options(s *day.Spec) (fleet.Options, error) {
-	o := fleet.Options{
-		Settings: v.apply,
-		Limits:   lifecycle.KeyLimits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * (1 << 20))},
+// bounded is a value of a file with its bounds.
+type bounded struct {
+	field           string
+	value, min, max float64
+}
+
+// bounds lists the values of the file, in the order in which they are checked.
+func (v *Variant) bounds() []bounded {
+	s, limits := &v.Settings, &v.Limits
+	return []bounded{
+		{"settings.cores", float64(s.Cores), 1, 1024},
+		{"settings.servers", float64(s.Servers), 1, 2000},
+		{"settings.memory_times", s.MemoryFactor, 0.01, 1000},
+		{"settings.key_times", s.KeyMemoryFactor, 0.01, 1000},
+		{"settings.calls_out_times", s.CallQuotaFactor, 0.01, 1000},
+		{"settings.quota_times", s.TenantQuotaFactor, 0.01, 1000},
+		{"settings.aim_times", s.LatencyObjectiveFactor, 0.01, 100},
+		{"settings.crowd_limit", s.MaxRunningPerCore, 1, 1000},
+		{"settings.max_stay_away_ms", s.MaxRetryAfterMs, 1, 600_000},
+		{"limits.keys", float64(limits.Keys), 1, 1e7},
+		{"limits.result_mb", limits.ResultMB, 0.001, 1e5},
 	}
+}
+
+// Options are the options of a simulation of the day with the variant. An error names the field of
+// the variant that the day has no place for.
+func (v *Variant) Options(s *day.Spec) (fleet.Options, error) {
+	limits := lifecycle.KeyLimits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * bytesPerMB)}
+	o := fleet.Options{Settings: v.apply, Limits: limits}
 	if len(v.Balancers) == 0 {
 		return o, nil
 	}
@@ -123,47 +136,49 @@
 	return o, nil
 }
 
-func (v *Variant) apply(set *admission.Settings) {
-	set.Parameters = admission.DefaultParameters()
-	for name, value := range v.Figures {
-		if err := set.Parameters.Set(name, value); err != nil {
+// apply makes the differences to the settings of a runner. It copies the lists that it changes.
+func (v *Variant) apply(settings *admission.Settings) {
+	settings.Parameters = admission.DefaultParameters()
+	for name, value := range v.Parameters {
+		if err := settings.Parameters.Set(name, value); err != nil {
 			panic(err) // Parse has checked it
 		}
 	}
 	s := &v.Settings
-	times := func(to *float64, by float64) {
-		if by > 0 {
-			*to *= by
-		}
-	}
 	if s.Cores > 0 {
-		set.Cores = s.Cores
+		settings.Cores = s.Cores
 	}
 	if s.Servers > 0 {
-		set.Servers = s.Servers
-	}
-	times(&set.MemoryKB, s.MemoryTimes)
-	times(&set.KeyMemoryKB, s.KeyTimes)
-	times(&set.CallQuota, s.CallsOutTimes)
-	set.Tenants = slices.Clone(set.Tenants)
-	for i := range set.Tenants {
-		times(&set.Tenants[i].QuotaRate, s.QuotaTimes)
-	}
-	if s.AimTimes > 0 {
-		set.Classes = slices.Clone(set.Classes)
-		for i := range set.Classes {
-			set.Classes[i].LatencyObjective = time.Duration(
-				float64(set.Classes[i].LatencyObjective) * s.AimTimes,
-			)
+		settings.Servers = s.Servers
+	}
+	multiply(&settings.MemoryKB, s.MemoryFactor)
+	multiply(&settings.KeyMemoryKB, s.KeyMemoryFactor)
+	multiply(&settings.CallQuota, s.CallQuotaFactor)
+	settings.Tenants = slices.Clone(settings.Tenants)
+	for i := range settings.Tenants {
+		multiply(&settings.Tenants[i].QuotaRate, s.TenantQuotaFactor)
+	}
+	if s.LatencyObjectiveFactor > 0 {
+		settings.Classes = slices.Clone(settings.Classes)
+		for i := range settings.Classes {
+			objective := &settings.Classes[i].LatencyObjective
+			*objective = time.Duration(float64(*objective) * s.LatencyObjectiveFactor)
 		}
 	}
-	if s.CrowdLimit > 0 {
-		set.MaxRunningPerCore = s.CrowdLimit
+	if s.MaxRunningPerCore > 0 {
+		settings.MaxRunningPerCore = s.MaxRunningPerCore
 	}
-	if s.MaxStayAwayMs > 0 {
-		set.MaxRetryAfter = time.Duration(s.MaxStayAwayMs * float64(time.Millisecond))
+	if s.MaxRetryAfterMs > 0 {
+		settings.MaxRetryAfter = time.Duration(s.MaxRetryAfterMs * float64(time.Millisecond))
 	}
 	if s.NoCredit {
-		set.CreditMode = admission.CreditNone
+		settings.CreditMode = admission.CreditNone
+	}
+}
+
+// multiply multiplies a value by a factor; a factor of 0 leaves it alone.
+func multiply(value *float64, factor float64) {
+	if factor > 0 {
+		*value *= factor
 	}
 }
--- a/internal/simulator/variant/variant_test.go
+++ b/internal/simulator/variant/variant_test.go
@@ -11,6 +11,7 @@
 	"ryepaddle/internal/simulator/day"
 )
 
+// text is a variant file with values of each section.
 const text = `name: tight
 figures:
   target_share: 0.3
@@ -25,22 +26,25 @@
   -
 `
 
+// dayText is a day with two kinds of balancers.
+const dayText = `name: d
+balancers:
+  - {count: 2, choose: round, retry: limitless, heeds: 1}
+  - {choose: two, tries: 5}
+`
+
+// scenario returns the day of dayText.
 func scenario(t *testing.T) *day.Spec {
 	t.Helper()
-	s, err := day.Parse(
-		"day.yaml",
-		[]byte(
-			"name: d\nbalancers:\n  - {count: 2, choose: round, retry: limitless, heeds: 1}\n  - "+
-				"{choose: two, tries: 5}\n",
-		),
-	)
+	s, err := day.Parse("day.yaml", []byte(dayText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func TestOptions(t *testing.T) {
+// Options change what the variant names, and leave the day itself as it is.
+func TestOptionsApplyDifferences(t *testing.T) {
 	v, err := Parse("v.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -50,24 +54,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := admission.Settings{Cores: 6, CallQuota: 4, Tenants: []admission.Tenant{{Name: "a", QuotaRate: 10}}}
-	set := was
-	o.Settings(&set)
-	if set.Cores != 2 || set.CallQuota != 2 || set.Tenants[0].QuotaRate != 20 ||
-		set.MaxRetryAfter != 500*time.Millisecond ||
-		set.Parameters.DelayTargetShare != 0.3 ||
-		set.Parameters.RejectDelayFactor != admission.DefaultParameters().RejectDelayFactor {
-		t.Errorf("%+v", set)
+	original := admission.Settings{Cores: 6, CallQuota: 4, Tenants: []admission.Tenant{{Name: "a", QuotaRate: 10}}}
+	changed := original
+	o.Settings(&changed)
+	if changed.Cores != 2 || changed.CallQuota != 2 || changed.Tenants[0].QuotaRate != 20 ||
+		changed.MaxRetryAfter != 500*time.Millisecond ||
+		changed.Parameters.DelayTargetShare != 0.3 ||
+		changed.Parameters.RejectDelayFactor != admission.DefaultParameters().RejectDelayFactor {
+		t.Errorf("%+v", changed)
 	}
-	if was.Tenants[0].QuotaRate != 10 {
+	if original.Tenants[0].QuotaRate != 10 {
 		t.Error("the day's own settings were changed")
 	}
 	if o.Limits.Keys != 100 || o.Limits.ResultBytes != 0 {
 		t.Errorf("%+v", o.Limits)
 	}
 	if k := o.Kinds[0]; k.Retry != string(balance.Bounded) || k.Tries != 3 || k.Choose != "round" ||
-		k.Count != 2 ||
-		k.Heeds != 1 {
+		k.Count != 2 || k.Heeds != 1 {
 		t.Errorf("%+v", k)
 	}
 	if o.Kinds[1].Tries != 5 || s.Balancers[0].Retry != "limitless" {
@@ -75,7 +78,8 @@
 	}
 }
 
-func TestBadVariants(t *testing.T) {
+// An error names the file, the line and the field.
+func TestInvalidVariantsNameTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"name: tight", "", "variant: v.yaml:1: field name: missing"},
 		{
@@ -106,34 +110,33 @@
 	}
 }
 
-func TestNoVariant(t *testing.T) {
+// Without a file nothing changes.
+func TestEmptyPathChangesNothing(t *testing.T) {
 	v, _, err := Read("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	o, err := v.Options(scenario(t))
-	set := admission.Settings{Cores: 6}
-	o.Settings(&set)
-	if err != nil || o.Kinds != nil || set.Cores != 6 || set.Parameters != admission.DefaultParameters() {
-		t.Errorf("%+v, %v", set, err)
+	settings := admission.Settings{Cores: 6}
+	o.Settings(&settings)
+	if err != nil || o.Kinds != nil || settings.Cores != 6 ||
+		settings.Parameters != admission.DefaultParameters() {
+		t.Errorf("%+v, %v", settings, err)
 	}
 }
 
 // The schemas name each field that the files may have.
-func TestSchemas(t *testing.T) {
+func TestSchemasNameEachField(t *testing.T) {
+	fields := map[string][]string{
+		"day":     {"of_capacity", "thrash_at", "retry_budget", "window_ms", "quota_of_capacity"},
+		"variant": {"call_ahead", "calls_out_times", "result_mb", "copy_after_ms"},
+	}
 	for name, schema := range map[string]any{"day": day.Schema(), "variant": Schema()} {
 		text, err := json.Marshal(schema)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, field := range map[string][]string{"day": {
-			"of_capacity",
-			"thrash_at",
-			"retry_budget",
-			"window_ms",
-			"quota_of_capacity",
-		},
-			"variant": {"call_ahead", "calls_out_times", "result_mb", "copy_after_ms"}}[name] {
+		for _, field := range fields[name] {
 			if !strings.Contains(string(text), `"`+field+`"`) {
 				t.Errorf("the schema of a %s has no %s", name, field)
 			}
