--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -155,10 +155,10 @@
 func TestUsage(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	const hour = 3_600_000_000
+	const hour = 3_600_000_000 // in microseconds
 	set := ledger.Settings{Instance: "n0", Period: hour, Slice: hour / 60, MaxKeys: 10, MaxLines: 10}
 	l := ledger.New(set, "a", 480_000*hour)
-	for n := range int64(3) {
+	for n := range wallclock.UnixMicro(3) {
 		l.Add(
 			ledger.Record{
 				AnsweredAt:   (480_000 + n) * hour,
@@ -266,7 +266,7 @@
 	}
 	p.await(t, "event=usage.disk_failed")
 	p.fileLimit(t, 1<<40)
-	p.await(t, "event=usage.disk_back")
+	p.await(t, "event=usage.disk_recovered")
 	p.Close()
 	keeping(t, server, folder(t), more).await(t, "event=usage.opened")
 	s := ask[ledger.Summary](t, socket, control.Request{Ask: "usage"})
--- a/cmd/runner/usage.go
+++ b/cmd/runner/usage.go
@@ -17,6 +17,7 @@
 	"ryepaddle/internal/config"
 	"ryepaddle/internal/frontend/control"
 	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
 )
 
 type usageCmd struct {
@@ -37,7 +38,9 @@
 }
 
 // at is a time as people write it.
-func at(us int64) string { return time.UnixMicro(us).UTC().Format("2006-01-02T15:04:05Z") }
+func at(instant wallclock.UnixMicro) string {
+	return instant.Time().UTC().Format("2006-01-02T15:04:05Z")
+}
 
 type usageOpenCmd struct{ asking }
 
@@ -306,7 +309,7 @@
 	}
 	for _, n := range b.Lines {
 		row := []string{at(n.Period), n.School, n.Class}
-		for _, v := range []int64{n.Served, n.Duplicates, n.TimedOut, n.Rejected, n.Failed, n.Abandoned, n.Work} {
+		for _, v := range []int64{n.Served, n.Duplicates, n.TimedOut, n.Rejected, n.Failed, n.Abandoned, int64(n.Work)} {
 			row = append(row, strconv.FormatInt(v, 10))
 		}
 		rows = append(rows, append(row, strconv.FormatBool(n.Changed)))
@@ -332,12 +335,12 @@
 	text, err := json.Marshal(
 		ledger.Correction{
 			ID:     c.ID,
-			Period: c.Period.UnixMicro(),
+			Period: wallclock.FromTime(c.Period),
 			School: c.School,
 			Class:  c.Class,
 			Reason: c.Why,
 			Author: c.By,
-			Count:  ledger.Count{Served: c.Served, Duplicates: c.Repeats, Work: c.WorkMs * 1000},
+			Count:  ledger.Count{Served: c.Served, Duplicates: c.Repeats, Work: wallclock.Micros(c.WorkMs) * 1000},
 		},
 	)
 	if err != nil {
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -16,6 +16,7 @@
 	"ryepaddle/internal/upstream"
 	"ryepaddle/internal/usage/ledger"
 	"ryepaddle/internal/usage/metering"
+	"ryepaddle/internal/wallclock"
 )
 
 // startPeers takes part among the runners of the installation, if the operator's file has any.
@@ -185,11 +186,11 @@
 		return
 	}
 	u := ledger.Record{
-		AnsweredAt: int64(a.r.loop.Unix()),
+		AnsweredAt: a.r.loop.Unix(),
 		School:     cmp.Or(k.Tenant, NoSchool),
 		Class:      k.Class,
 		Outcome:    ledger.OutcomeServed,
-		Work:       k.ServerTime.Microseconds(),
+		Work:       wallclock.MicrosOf(k.ServerTime),
 	}
 	a.r.key(&u, class, k.Key)
 	a.open[usedKey{u.Class, u.School, k.Key}] = true
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -8,6 +8,7 @@
 	"ryepaddle/internal/lifecycle"
 	"ryepaddle/internal/usage/ledger"
 	"ryepaddle/internal/usage/metering"
+	"ryepaddle/internal/wallclock"
 )
 
 // usageClose is how long the end of the program waits for the account.
@@ -42,7 +43,7 @@
 func (r *Program) note(t *lifecycle.Trace) {
 	class := &r.cfg.Settings.Classes[t.Class]
 	u := ledger.Record{
-		AnsweredAt:     int64(t.AnsweredAt),
+		AnsweredAt:     t.AnsweredAt,
 		School:         NoSchool,
 		Class:          class.Name,
 		Outcome:        usageEnds[t.Status],
@@ -60,7 +61,7 @@
 		}
 	}
 	for _, h := range t.Attempts[:min(t.AttemptCount, len(t.Attempts))] {
-		u.Work += h.Duration.Microseconds()
+		u.Work += wallclock.MicrosOf(h.Duration)
 	}
 	r.meter.Record(u)
 }
@@ -70,7 +71,7 @@
 	c := &r.cfg.Settings.Classes[class]
 	u.Key = ledger.HashKey(u.School, u.Class, key)
 	// A repeat that came at the end of the window is answered within its deadline, or not at all.
-	u.KeyExpiresAt = u.AnsweredAt + c.IdempotencyWindow.Microseconds() + c.Timeout.Microseconds()
+	u.KeyExpiresAt = u.AnsweredAt.Add(c.IdempotencyWindow).Add(c.Timeout)
 }
 
 // Corrected is the answer to a correction.
--- a/internal/config/usage.go
+++ b/internal/config/usage.go
@@ -2,9 +2,11 @@
 
 import (
 	"strings"
+	"time"
 
 	"ryepaddle/internal/usage/ledger"
 	"ryepaddle/internal/usage/metering"
+	"ryepaddle/internal/wallclock"
 )
 
 // Usage keeps the account of what tenants use.
@@ -44,15 +46,17 @@
 
 // Options returns the options of the meter.
 func (u *Usage) Options(instance string) metering.Options {
-	const second = 1_000_000
+	micros := func(count int64, unit time.Duration) wallclock.Micros {
+		return wallclock.MicrosOf(time.Duration(count) * unit)
+	}
 	return metering.Options{
 		Dir:          u.Dir,
 		RingCapacity: u.Queue,
-		SaveInterval: u.FlushIntervalS * second,
+		SaveInterval: time.Duration(u.FlushIntervalS) * time.Second,
 		Settings: ledger.Settings{Instance: instance,
-			Period:   u.PeriodMin * 60 * second,
-			Slice:    u.SliceS * second,
-			Grace:    u.GraceS * second,
+			Period:   micros(u.PeriodMin, time.Minute),
+			Slice:    micros(u.SliceS, time.Second),
+			Grace:    micros(u.GraceS, time.Second),
 			MaxKeys:  u.Keys,
 			MaxLines: u.Lines},
 	}
--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -12,6 +12,7 @@
 
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
 )
 
 const (
@@ -98,9 +99,9 @@
 func (w *world) settings(r *runner) ledger.Settings {
 	return ledger.Settings{
 		Instance: r.name,
-		Period:   10 * sec,
-		Slice:    5 * sec,
-		Grace:    sec,
+		Period:   10 * wallclock.Micros(sec),
+		Slice:    5 * wallclock.Micros(sec),
+		Grace:    wallclock.Micros(sec),
 		MaxKeys:  40,
 		MaxLines: 30,
 	}
@@ -118,7 +119,7 @@
 		}
 		w.end(r, led)
 	}
-	r.led = ledger.New(w.settings(r), fmt.Sprintf("%s-%d", r.name, r.process), w.now)
+	r.led = ledger.New(w.settings(r), fmt.Sprintf("%s-%d", r.name, r.process), wallclock.UnixMicro(w.now))
 	r.seals, r.uses, r.table = map[uint64]uint64{}, nil, nil
 	r.w = NewPrimary(r.name, r.led.Incarnation(), r.process, w.settings(r), func() []byte { return r.led.Encode(0) })
 	r.shelf = NewStatementStore(r.name, r.process, slices.Sorted(maps.Keys(r.files)))
@@ -286,12 +287,12 @@
 	if w.r.IntN(4) == 0 {
 		w.key++
 		u := ledger.Record{
-			AnsweredAt:   w.now,
+			AnsweredAt:   wallclock.UnixMicro(w.now),
 			School:       r.led.Incarnation(),
 			Class:        "hand-in",
 			Outcome:      ledger.OutcomeServed,
 			Key:          w.key,
-			KeyExpiresAt: w.now + 20*sec,
+			KeyExpiresAt: wallclock.UnixMicro(w.now + 20*sec),
 			Work:         7,
 		}
 		r.led.Add(u)
@@ -302,7 +303,7 @@
 		r.led.AddLost(1)
 		r.w.Append(Operation{LostUses: 1})
 	}
-	if s := r.led.Seal(w.now); s != nil {
+	if s := r.led.Seal(wallclock.UnixMicro(w.now)); s != nil {
 		r.seals[s.Seq] = r.w.Append(Operation{SealDigest: s.Digest(), At: w.now})
 	}
 	if w.r.IntN(20) == 0 { // the disk
--- a/internal/peers/usagereplica/message.go
+++ b/internal/peers/usagereplica/message.go
@@ -13,6 +13,7 @@
 
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
 )
 
 // Operation is one thing that happens to an account; one of its parts is there.
@@ -33,10 +34,10 @@
 	case s.Use != nil:
 		l.Add(*s.Use)
 	case s.Correction != nil:
-		_, err := l.Correct(*s.Correction, s.At)
+		_, err := l.Correct(*s.Correction, wallclock.UnixMicro(s.At))
 		return nil, err == nil
 	case s.SealDigest != "":
-		told = l.Seal(s.At)
+		told = l.Seal(wallclock.UnixMicro(s.At))
 		if told == nil || told.Digest() != s.SealDigest {
 			return nil, false
 		}
--- /dev/null
+++ b/internal/usage/ledger/doc.go
@@ -0,0 +1,9 @@
+// Package ledger keeps the account of what schools use: sums by school, class and period, which are
+// sealed into statements and reconciled with those of other instances into a bill. It does no I/O
+// and reads no clock.
+//
+// A period is settled once, when it is sealed. A record or a correction of a sealed period goes into
+// the next statement, as an amendment of the period that it is about.
+//
+// Instants are Unix time and spans are whole microseconds; both are stored as plain integers.
+package ledger
--- a/internal/usage/ledger/keys.go
+++ b/internal/usage/ledger/keys.go
@@ -7,82 +7,125 @@
 	"fmt"
 	"math"
 	"slices"
+	"time"
+
+	"ryepaddle/internal/wallclock"
 )
 
-// CountedKeys are written packed: a hundred thousand of them in full would be 13 MB of a statement.
+// CountedKey is an idempotency key that was counted as served. Statements list them, so that a bill
+// finds a request that two instances counted.
+type CountedKey struct {
+	Hash          uint64              // HashKey of the key
+	ServedAt      wallclock.UnixMicro // rounded down to a second
+	ExpiresAt     wallclock.UnixMicro // rounded up to a second
+	Work          wallclock.Micros    // up to about an hour
+	School, Class string
+}
+
+// CountedKeys are encoded as JSON in a packed form: in full, a hundred thousand of them take 13 MB of a
+// statement.
 type CountedKeys []CountedKey
 
-// keyGroup are the keys of a school and class: 8 bytes of the key, 4 each of the second it was
-// served in, the seconds after which it cannot come again, and its work in microseconds, in the
-// order in which they were listed.
+// keyGroup is the keys of a school and class, in the order in which they were listed. Each takes
+// packedKeySize bytes, big-endian: 8 of the hash, 4 of the second in which it was served, 4 of the
+// seconds after that until it expires, 4 of its work in microseconds.
 type keyGroup struct {
 	School string `json:"school"`
 	Class  string `json:"class"`
 	Packed []byte `json:"packed"`
 }
 
-const packed = 20
+const (
+	packedKeySize = 20
+	// second is the resolution of the instants of keys.
+	second = wallclock.Micros(time.Second / time.Microsecond)
+)
 
-// rounded is a key as it comes back.
+// rounded returns the key as it is read from its packed form.
 func (k CountedKey) rounded() CountedKey {
-	k.ServedAt = min(max(k.ServedAt/1e6, 0), math.MaxUint32) * 1e6
-	k.ExpiresAt = k.ServedAt + min(max((k.ExpiresAt-k.ServedAt+1e6-1)/1e6, 0), math.MaxUint32)*1e6
+	k.ServedAt = unixSecond(packedSecond(k))
+	k.ExpiresAt = packedLifetime(k).After(k.ServedAt)
 	k.Work = min(max(k.Work, 0), math.MaxUint32)
 	return k
 }
 
+// packedSecond returns the second in which a key was served.
+func packedSecond(k CountedKey) uint32 {
+	return uint32(min(max(int64(k.ServedAt)/int64(second), 0), math.MaxUint32))
+}
+
+// packedLifetime returns the span from when a key was served, in whole seconds, until it expires.
+func packedLifetime(k CountedKey) wallclock.Micros {
+	span := wallclock.Micros(k.ExpiresAt - k.ServedAt)
+	return min(max((span+second-1)/second, 0), math.MaxUint32) * second
+}
+
+func unixSecond(s uint32) wallclock.UnixMicro { return wallclock.UnixMicro(int64(s) * int64(second)) }
+
 // MarshalJSON implements json.Marshaler. Keys of a group keep their order.
-func (k CountedKeys) MarshalJSON() ([]byte, error) {
+func (keys CountedKeys) MarshalJSON() ([]byte, error) {
 	groups := []keyGroup{}
-	at := map[[2]string]int{}
-	for _, one := range k {
-		one = one.rounded()
-		name := [2]string{one.School, one.Class}
-		n, ok := at[name]
+	type groupName struct{ school, class string }
+	index := map[groupName]int{}
+	for _, k := range keys {
+		k = k.rounded()
+		name := groupName{k.School, k.Class}
+		i, ok := index[name]
 		if !ok {
-			n = len(groups)
-			at[name], groups = n, append(groups, keyGroup{School: one.School, Class: one.Class})
+			i = len(groups)
+			index[name] = i
+			groups = append(groups, keyGroup{School: k.School, Class: k.Class})
 		}
-		b := binary.BigEndian.AppendUint64(groups[n].Packed, one.Hash)
-		b = binary.BigEndian.AppendUint32(b, uint32(one.ServedAt/1e6))
-		b = binary.BigEndian.AppendUint32(b, uint32((one.ExpiresAt-one.ServedAt)/1e6))
-		groups[n].Packed = binary.BigEndian.AppendUint32(b, uint32(one.Work))
+		groups[i].Packed = k.appendPacked(groups[i].Packed)
 	}
-	slices.SortFunc(
-		groups,
-		func(a, b keyGroup) int { return cmp.Or(cmp.Compare(a.School, b.School), cmp.Compare(a.Class, b.Class)) },
-	)
+	slices.SortFunc(groups, func(a, b keyGroup) int {
+		return cmp.Or(cmp.Compare(a.School, b.School), cmp.Compare(a.Class, b.Class))
+	})
 	return json.Marshal(groups)
 }
 
+// appendPacked appends the packed form of a key that is rounded.
+func (k CountedKey) appendPacked(b []byte) []byte {
+	b = binary.BigEndian.AppendUint64(b, k.Hash)
+	b = binary.BigEndian.AppendUint32(b, packedSecond(k))
+	b = binary.BigEndian.AppendUint32(b, uint32(packedLifetime(k)/second))
+	return binary.BigEndian.AppendUint32(b, uint32(k.Work))
+}
+
 // UnmarshalJSON implements json.Unmarshaler.
-func (k *CountedKeys) UnmarshalJSON(b []byte) error {
+func (keys *CountedKeys) UnmarshalJSON(b []byte) error {
 	var groups []keyGroup
 	if err := json.Unmarshal(b, &groups); err != nil {
 		return err
 	}
-	*k = nil
+	*keys = nil
 	for _, g := range groups {
-		if len(g.Packed)%packed != 0 {
+		if len(g.Packed)%packedKeySize != 0 {
 			return fmt.Errorf(
 				"keys of %s, %s: %d bytes, not a multiple of %d",
 				g.School,
 				g.Class,
 				len(g.Packed),
-				packed,
+				packedKeySize,
 			)
 		}
-		for one := range slices.Chunk(g.Packed, packed) {
-			n := CountedKey{
-				Hash:     binary.BigEndian.Uint64(one),
-				ServedAt: int64(binary.BigEndian.Uint32(one[8:])) * 1e6,
-				Work:     int64(binary.BigEndian.Uint32(one[16:])),
-				School:   g.School,
-				Class:    g.Class,
-			}
-			n.ExpiresAt = n.ServedAt + int64(binary.BigEndian.Uint32(one[12:]))*1e6
-			*k = append(*k, n)
+		for packed := range slices.Chunk(g.Packed, packedKeySize) {
+			*keys = append(*keys, g.unpack(packed))
 		}
 	}
 	return nil
 }
+
+// unpack returns the key of a packed form.
+func (g *keyGroup) unpack(packed []byte) CountedKey {
+	k := CountedKey{
+		Hash:     binary.BigEndian.Uint64(packed),
+		ServedAt: unixSecond(binary.BigEndian.Uint32(packed[8:])),
+		Work:     wallclock.Micros(binary.BigEndian.Uint32(packed[16:])),
+		School:   g.School,
+		Class:    g.Class,
+	}
+	lifetime := wallclock.Micros(binary.BigEndian.Uint32(packed[12:])) * second
+	k.ExpiresAt = lifetime.After(k.ServedAt)
+	return k
+}
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -5,266 +5,256 @@
 	"fmt"
 	"maps"
 	"slices"
-)
-
-// BillingTerms are what a bill is made by.
-type BillingTerms struct {
-	// Quotas are what schools may use, in requests a second over all instances; a school that is
-	// not in it has no share, and nothing of what it uses is above.
-	Quotas map[string]float64
-	// Instances are those of which statements are expected; empty: of those that there is any of.
-	Instances []string
-}
-
-// Bill is what statements come to together.
-type Bill struct {
-	Periods             []BillPeriod `json:"periods"`
-	Lines               []BillLine   `json:"lines"`
-	Schools             []BillSchool `json:"schools"`
-	Problems            []Problem    `json:"problems,omitempty"`
-	Statements          int          `json:"statements"`       // that it is made of
-	DuplicateStatements int          `json:"copies,omitempty"` // of those, that were there more than once
-	// hand-ins that two instances counted, and are counted once here
-	DeduplicatedRuns int    `json:"twice,omitempty"`
-	Lost             uint64 `json:"lost,omitempty"` // uses that are known to be in no statement
-}
-
-// BillPeriod tells whether all instances have told of a period.
-type BillPeriod struct {
-	Period           int64    `json:"period"`
-	MissingInstances []string `json:"missing,omitempty"` // instances that have not
-}
 
-// BillLine is what a school used of a class in a period.
-type BillLine struct {
-	Period int64  `json:"period"`
-	School string `json:"school"`
-	Class  string `json:"class"`
-	Count
-	Changed bool `json:"changed,omitempty"` // by an amendment or a correction
-}
-
-// BillSchool is what a school used in a period, beside its share.
-type BillSchool struct {
-	Period     int64   `json:"period"`
-	School     string  `json:"school"`
-	Served     int64   `json:"served"`
-	AboveQuota float64 `json:"above"` // of them, beyond its share of the slice that they were served in
-	Work       int64   `json:"work_us"`
-}
-
-// Problem is what keeps a bill from being the whole truth.
-type Problem struct {
-	Instance    string `json:"instance"`
-	Incarnation string `json:"life,omitempty"`
-	Description string `json:"what"`
-}
-
-func (p Problem) String() string {
-	return fmt.Sprintf("%s (account %s): %s", p.Instance, cmp.Or(p.Incarnation, "none"), p.Description)
-}
-
-type account struct{ instance, life string }
+	"ryepaddle/internal/wallclock"
+)
 
-// Reconcile puts statements together: each is counted once however often it is there, in any order.
-// What does not fit is a problem of the bill and no error: the rest is still worth knowing.
-// Statements of different periods cannot be put together.
+// Reconcile makes a bill of statements, which may come in any order and more than once. What does not
+// fit is a problem of the bill and no error. Statements of different periods or slices are an error
+// of kind usage.apart.
 func Reconcile(list []*Statement, terms BillingTerms) (*Bill, error) {
 	r := &reconciler{
-		bill:   &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
-		lines:  map[lineName]*BillLine{},
-		slices: map[schoolName][]int64{},
-		fixes:  map[string]bool{},
+		bill:        &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
+		accounts:    map[accountName]*accountStatements{},
+		lines:       map[lineKey]*BillLine{},
+		slices:      map[schoolPeriod][]int64{},
+		corrections: map[string]bool{},
 	}
-	byAccount := map[account]map[uint64]*Statement{}
-	spoiled := map[account]map[uint64]bool{}
 	for _, s := range list {
-		if r.period == 0 {
-			r.period, r.slice = s.Period, s.Slice
-		}
-		if s.Period != r.period || s.Slice != r.slice {
-			return nil, apart.New(
-				"usage: %s has periods of %d s in slices of %d s, others of %d and %d",
-				s.FileName(),
-				s.Period/1e6,
-				s.Slice/1e6,
-				r.period/1e6,
-				r.slice/1e6,
-			)
-		}
-		a := account{s.Instance, s.Incarnation}
-		if byAccount[a] == nil {
-			byAccount[a], spoiled[a] = map[uint64]*Statement{}, map[uint64]bool{}
-		}
-		switch was := byAccount[a][s.Seq]; {
-		case was == nil:
-			byAccount[a][s.Seq] = s
-		case was.Digest() == s.Digest():
-			r.bill.DuplicateStatements++
-		case was.Final || s.Final: // heirs ended it, as far as each knew it
-			if r.bill.DuplicateStatements++; s.supersedes(was) {
-				byAccount[a][s.Seq] = s
-			}
-		default:
-			spoiled[a][s.Seq] = true
+		if err := r.collect(s); err != nil {
+			return nil, err
 		}
 	}
-	accounts := slices.SortedFunc(maps.Keys(byAccount), func(a, b account) int {
-		return cmp.Or(cmp.Compare(a.instance, b.instance), cmp.Compare(a.life, b.life))
-	})
-	for _, a := range accounts {
-		r.chain(a, byAccount[a], spoiled[a])
+	for _, name := range slices.SortedFunc(maps.Keys(r.accounts), compareAccounts) {
+		r.addAccount(name, r.accounts[name])
 	}
-	r.once()
-	r.shares(terms.Quotas)
-	r.covered(terms.Instances)
-	r.close()
+	r.deduplicateKeys()
+	r.applyQuotas(terms.Quotas)
+	r.checkCoverage(terms.Instances)
+	r.finish()
 	return r.bill, nil
 }
 
-type schoolName struct {
-	period int64
+// accountName is an account of an instance.
+type accountName struct{ instance, incarnation string }
+
+func compareAccounts(a, b accountName) int {
+	return cmp.Or(cmp.Compare(a.instance, b.instance), cmp.Compare(a.incarnation, b.incarnation))
+}
+
+// accountStatements are the statements of an account, by their numbers.
+type accountStatements struct {
+	bySeq       map[uint64]*Statement
+	conflicting map[uint64]bool // numbers of which there are two statements that differ
+}
+
+// schoolPeriod is a period of a school.
+type schoolPeriod struct {
+	period wallclock.UnixMicro
 	school string
 }
 
-type told struct {
+// coverage is a span of periods that an instance has settled.
+type coverage struct {
 	instance string
-	from, to int64
+	from, to wallclock.UnixMicro
 }
 
+// reconciler makes one bill.
 type reconciler struct {
 	bill          *Bill
-	period, slice int64
-	lines         map[lineName]*BillLine
-	slices        map[schoolName][]int64
-	fixes         map[string]bool
+	period, slice wallclock.Micros // of all statements
+	accounts      map[accountName]*accountStatements
+	lines         map[lineKey]*BillLine
+	slices        map[schoolPeriod][]int64 // served requests by slice
+	corrections   map[string]bool          // IDs of those that are counted
 	keys          []CountedKey
-	told          []told
+	settled       []coverage
 }
 
-func (r *reconciler) problem(a account, format string, args ...any) {
-	r.bill.Problems = append(r.bill.Problems, Problem{a.instance, a.life, fmt.Sprintf(format, args...)})
+func (r *reconciler) problem(a accountName, format string, args ...any) {
+	r.bill.Problems = append(r.bill.Problems, Problem{
+		Instance:    a.instance,
+		Incarnation: a.incarnation,
+		Description: fmt.Sprintf(format, args...),
+	})
+}
+
+// collect notes a statement with its account. Of several final statements of a number, which replicas
+// made, the one that supersedes the others counts.
+func (r *reconciler) collect(s *Statement) error {
+	if r.period == 0 {
+		r.period, r.slice = s.Period, s.Slice
+	}
+	if s.Period != r.period || s.Slice != r.slice {
+		return kindIncompatible.New(
+			"usage: %s has periods of %d s in slices of %d s, others of %d and %d",
+			s.FileName(),
+			s.Period/second,
+			s.Slice/second,
+			r.period/second,
+			r.slice/second,
+		)
+	}
+	name := accountName{s.Instance, s.Incarnation}
+	account := r.accounts[name]
+	if account == nil {
+		account = &accountStatements{bySeq: map[uint64]*Statement{}, conflicting: map[uint64]bool{}}
+		r.accounts[name] = account
+	}
+	other := account.bySeq[s.Seq]
+	switch {
+	case other == nil:
+		account.bySeq[s.Seq] = s
+	case other.Digest() == s.Digest():
+		r.bill.DuplicateStatements++
+	case other.Final || s.Final:
+		r.bill.DuplicateStatements++
+		if s.supersedes(other) {
+			account.bySeq[s.Seq] = s
+		}
+	default:
+		account.conflicting[s.Seq] = true
+	}
+	return nil
 }
 
-// chain takes the statements of an account, and tells which are missing and which do not follow the
-// one before.
-func (r *reconciler) chain(a account, bySeq map[uint64]*Statement, spoiled map[uint64]bool) {
-	var before *Statement
+// addAccount counts the statements of an account, and reports those that are missing, that differ
+// from each other, and that do not follow the one before.
+func (r *reconciler) addAccount(name accountName, account *accountStatements) {
+	var previous *Statement
 	next := uint64(1)
-	for _, seq := range slices.Sorted(maps.Keys(bySeq)) {
-		s := bySeq[seq]
+	for _, seq := range slices.Sorted(maps.Keys(account.bySeq)) {
+		s := account.bySeq[seq]
 		switch {
 		case seq == next+1:
-			r.problem(a, "statement %d is missing", next)
+			r.problem(name, "statement %d is missing", next)
 		case seq > next:
-			r.problem(a, "statements %d to %d are missing", next, seq-1)
+			r.problem(name, "statements %d to %d are missing", next, seq-1)
 		}
 		next = seq + 1
-		if spoiled[seq] { // neither is believed
-			r.problem(a, "there are two statements %d, which differ; neither is counted", seq)
-			before = nil
+		if account.conflicting[seq] {
+			r.problem(name, "there are two statements %d, which differ; neither is counted", seq)
+			previous = nil
 			continue
 		}
-		if before != nil && before.Seq == seq-1 && (s.PreviousDigest != before.Digest() || s.From != before.To) {
+		if previous != nil && previous.Seq == seq-1 && !s.follows(previous) {
 			r.problem(
-				a,
+				name,
 				"statement %d does not follow the statement %d that is here; both are counted",
 				seq,
 				seq-1,
 			)
 		}
-		before = s
-		r.take(a, s)
+		previous = s
+		r.addStatement(name, s)
 	}
 }
 
-func (r *reconciler) take(a account, s *Statement) {
+// follows reports whether a statement is the successor of another one.
+func (s *Statement) follows(previous *Statement) bool {
+	return s.PreviousDigest == previous.Digest() && s.From == previous.To
+}
+
+func (r *reconciler) addStatement(name accountName, s *Statement) {
 	r.bill.Statements++
-	if r.bill.Lost += s.Lost; s.Lost > 0 {
-		r.problem(a, "statement %d says that %d uses were lost", s.Seq, s.Lost)
+	r.bill.Lost += s.Lost
+	if s.Lost > 0 {
+		r.problem(name, "statement %d says that %d uses were lost", s.Seq, s.Lost)
 	}
 	if s.UnlistedKeys > 0 {
 		r.problem(
-			a,
+			name,
 			"statement %d does not list the keys of %d uses; other instances may have counted them too",
 			s.Seq,
 			s.UnlistedKeys,
 		)
 	}
-	for _, n := range s.Lines {
-		b := r.line(lineName{n.Period, n.School, n.Class})
-		b.Add(n.Count)
-		b.Changed = b.Changed || n.Period < s.From
-		for i, served := range n.Slices {
-			r.inSlice(schoolName{n.Period, n.School}, i, served)
+	for _, l := range s.Lines {
+		line := r.line(lineKey{l.Period, l.School, l.Class})
+		line.Add(l.Count)
+		line.Changed = line.Changed || l.Period < s.From
+		for i, served := range l.Slices {
+			r.addServed(schoolPeriod{l.Period, l.School}, i, served)
 		}
 	}
 	for _, c := range s.Corrections {
-		if r.fixes[c.ID] { // given to two instances it is still one
-			continue
-		}
-		r.fixes[c.ID] = true
-		b := r.line(lineName{c.Period, c.School, c.Class})
-		b.Add(c.Count)
-		b.Changed = true
+		r.addCorrection(&c)
 	}
 	r.keys = append(r.keys, s.Keys...)
-	r.told = append(r.told, told{s.Instance, s.From, s.To})
+	r.settled = append(r.settled, coverage{s.Instance, s.From, s.To})
 }
 
-func (r *reconciler) line(n lineName) *BillLine {
-	if r.lines[n] == nil {
-		r.lines[n] = &BillLine{Period: n.period, School: n.school, Class: n.class}
+// addCorrection counts a correction. One that was given to two instances is counted once.
+func (r *reconciler) addCorrection(c *Correction) {
+	if r.corrections[c.ID] {
+		return
 	}
-	return r.lines[n]
+	r.corrections[c.ID] = true
+	line := r.line(lineKey{c.Period, c.School, c.Class})
+	line.Add(c.Count)
+	line.Changed = true
 }
 
-func (r *reconciler) inSlice(n schoolName, i int, by int64) {
-	s := r.slices[n]
-	if i >= len(s) {
-		s = append(s, make([]int64, i+1-len(s))...)
+func (r *reconciler) line(k lineKey) *BillLine {
+	if r.lines[k] == nil {
+		r.lines[k] = &BillLine{Period: k.period, School: k.school, Class: k.class}
 	}
-	s[i] += by
-	r.slices[n] = s
+	return r.lines[k]
 }
 
-// once counts a hand-in once that two instances ran: the first stands, as long as the key does.
-func (r *reconciler) once() {
+// addServed adds served requests to a slice of a school's period.
+func (r *reconciler) addServed(p schoolPeriod, slice int, served int64) {
+	r.slices[p] = addToSlice(r.slices[p], slice, served)
+}
+
+// deduplicateKeys counts a request with a key once that two instances ran: the first one counts, and
+// those until the key expires are duplicates.
+func (r *reconciler) deduplicateKeys() {
 	slices.SortFunc(r.keys, func(a, b CountedKey) int {
-		return cmp.Or(cmp.Compare(a.Hash, b.Hash), cmp.Compare(a.ServedAt, b.ServedAt), cmp.Compare(a.Work, b.Work))
+		return cmp.Or(
+			cmp.Compare(a.Hash, b.Hash),
+			cmp.Compare(a.ServedAt, b.ServedAt),
+			cmp.Compare(a.Work, b.Work),
+		)
 	})
 	var first CountedKey
 	for i, k := range r.keys {
-		if i == 0 || k.Hash != first.Hash || k.School != first.School || k.Class != first.Class ||
-			k.ServedAt >= first.ExpiresAt {
+		if i == 0 || !k.duplicates(&first) {
 			first = k
 			continue
 		}
 		r.bill.DeduplicatedRuns++
-		period := k.ServedAt - ((k.ServedAt%r.period)+r.period)%r.period
-		b := r.line(lineName{period, k.School, k.Class})
-		b.Add(Count{Served: -1, Duplicates: 1, Work: -k.Work})
-		r.inSlice(schoolName{period, k.School}, int((k.ServedAt-period)/r.slice), -1)
+		period := Settings{Period: r.period}.PeriodStart(k.ServedAt)
+		line := r.line(lineKey{period, k.School, k.Class})
+		line.Add(Count{Served: -1, Duplicates: 1, Work: -k.Work})
+		slice := int((k.ServedAt - period) / wallclock.UnixMicro(r.slice))
+		r.addServed(schoolPeriod{period, k.School}, slice, -1)
 	}
 }
 
-// shares compares what schools used with their shares, slice by slice.
-func (r *reconciler) shares(shares map[string]float64) {
-	sums := map[schoolName]*BillSchool{}
-	for n, b := range r.lines {
-		name := schoolName{n.period, n.school}
-		if sums[name] == nil {
-			sums[name] = &BillSchool{Period: n.period, School: n.school}
+// duplicates reports whether a key is that of an earlier request and was served before that expired.
+func (k *CountedKey) duplicates(first *CountedKey) bool {
+	return k.Hash == first.Hash && k.School == first.School && k.Class == first.Class &&
+		k.ServedAt < first.ExpiresAt
+}
+
+// applyQuotas compares what schools used with their quotas, slice by slice.
+func (r *reconciler) applyQuotas(quotas map[string]float64) {
+	schools := map[schoolPeriod]*BillSchool{}
+	for k, line := range r.lines {
+		name := schoolPeriod{k.period, k.school}
+		if schools[name] == nil {
+			schools[name] = &BillSchool{Period: k.period, School: k.school}
 		}
-		sums[name].Served = sum(sums[name].Served, b.Served)
-		sums[name].Work = sum(sums[name].Work, b.Work)
+		s := schools[name]
+		s.Served = addSaturating(s.Served, line.Served)
+		s.Work = addSaturating(s.Work, line.Work)
 	}
-	for name, s := range sums {
-		if rate, ok := shares[name.school]; ok {
-			for _, served := range r.slices[name] {
-				s.AboveQuota += max(float64(served)-rate*float64(r.slice)/1e6, 0)
-			}
-			// a correction may have taken some of it back
+	for name, s := range schools {
+		if rate, ok := quotas[name.school]; ok {
+			s.AboveQuota = r.aboveQuota(r.slices[name], rate)
+			// A correction may have taken some of it back.
 			s.AboveQuota = min(s.AboveQuota, float64(max(s.Served, 0)))
 		}
 		r.bill.Schools = append(r.bill.Schools, *s)
@@ -274,54 +264,62 @@
 	})
 }
 
-// covered says of which periods all instances have told.
-func (r *reconciler) covered(instances []string) {
-	seen := map[string]bool{}
-	periods := map[int64]bool{}
-	for _, t := range r.told {
-		seen[t.instance] = true
+// aboveQuota returns the served requests of slices beyond a rate in requests a second.
+func (r *reconciler) aboveQuota(slices []int64, rate float64) (above float64) {
+	for _, served := range slices {
+		above += max(float64(served)-rate*float64(r.slice)/float64(second), 0)
 	}
-	for _, name := range instances {
-		if !seen[name] {
-			r.problem(account{instance: name}, "there is no statement of it")
+	return above
+}
+
+// checkCoverage lists the periods of the bill with the instances that have not settled them.
+// expected are instances of which there are to be statements, beside those that have any.
+func (r *reconciler) checkCoverage(expected []string) {
+	instances := map[string]bool{}
+	for _, c := range r.settled {
+		instances[c.instance] = true
+	}
+	for _, name := range expected {
+		if !instances[name] {
+			r.problem(accountName{instance: name}, "there is no statement of it")
 		}
-		seen[name] = true
+		instances[name] = true
 	}
-	for n := range r.lines {
-		periods[n.period] = true
+	periods := map[wallclock.UnixMicro]bool{}
+	for k := range r.lines {
+		periods[k.period] = true
 	}
-	names := slices.Sorted(maps.Keys(seen))
-	for _, p := range slices.Sorted(maps.Keys(periods)) {
-		b := BillPeriod{Period: p}
+	names := slices.Sorted(maps.Keys(instances))
+	for _, period := range slices.Sorted(maps.Keys(periods)) {
+		p := BillPeriod{Period: period}
 		for _, name := range names {
-			if !slices.ContainsFunc(
-				r.told,
-				func(t told) bool { return t.instance == name && t.from <= p && p < t.to },
-			) {
-				b.MissingInstances = append(b.MissingInstances, name)
+			if !r.hasSettled(name, period) {
+				p.MissingInstances = append(p.MissingInstances, name)
 			}
 		}
-		r.bill.Periods = append(r.bill.Periods, b)
+		r.bill.Periods = append(r.bill.Periods, p)
 	}
 }
 
-func (r *reconciler) close() {
-	for n, b := range r.lines {
-		if b.isBelow() {
-			r.bill.Problems = append(
-				r.bill.Problems,
-				Problem{
-					Instance: "bill",
-					Description: fmt.Sprintf(
-						"%s, %s, period %d: a sum is below nought",
-						n.school,
-						n.class,
-						n.period,
-					),
-				},
+func (r *reconciler) hasSettled(instance string, period wallclock.UnixMicro) bool {
+	return slices.ContainsFunc(r.settled, func(c coverage) bool {
+		return c.instance == instance && c.from <= period && period < c.to
+	})
+}
+
+// finish puts the lines into the bill, and sorts it.
+func (r *reconciler) finish() {
+	for k, line := range r.lines {
+		if line.hasNegative() {
+			r.problem(
+				accountName{instance: "bill"},
+				"%s, %s, period %d: a sum is below nought",
+				k.school,
+				k.class,
+				k.period,
 			)
 		}
-		r.bill.Lines = append(r.bill.Lines, *b)
+		r.bill.Lines = append(r.bill.Lines, *line)
 	}
 	slices.SortFunc(r.bill.Lines, func(a, b BillLine) int {
 		return cmp.Or(
--- a/internal/usage/ledger/reconcile_test.go
+++ b/internal/usage/ledger/reconcile_test.go
@@ -5,22 +5,30 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"ryepaddle/internal/wallclock"
 )
 
-// account makes statements of an instance, one of each hour, with so many served in its first slice
-// and in its second.
-func made(instance string, hours ...[2]int) (out []*Statement) {
+// hourly makes statements of an instance, one of each hour, with numbers of requests served in its
+// first slice and in its second.
+func hourly(instance string, hours ...[2]int) (out []*Statement) {
 	set := settings()
 	set.Instance = instance
-	l := New(set, "a", 480_000*hour)
+	l := New(set, "a", begin)
 	for h, n := range hours {
-		at := (480_000 + int64(h)) * hour
+		at := begin + wallclock.UnixMicro(h)*hour
 		for k := range n[0] + n[1] {
-			u := Record{AnsweredAt: at + sec, School: "north", Class: "check", Outcome: OutcomeServed, Work: 100}
+			r := Record{
+				AnsweredAt: at + sec,
+				School:     "north",
+				Class:      "check",
+				Outcome:    OutcomeServed,
+				Work:       100,
+			}
 			if k >= n[0] {
-				u.AnsweredAt += 60 * sec
+				r.AnsweredAt += 60 * sec
 			}
-			l.Add(u)
+			l.Add(r)
 		}
 		s := l.Seal(at + 2*hour - sec)
 		l.MarkExported(s)
@@ -29,74 +37,165 @@
 	return out
 }
 
-func TestReconcile(t *testing.T) {
-	first := 480_000 * hour
-	handIn := func(instance string, at int64, key uint64, work int64) *Statement {
-		set := settings()
-		set.Instance = instance
-		l := New(set, "a", first)
-		l.Add(
-			Record{
-				AnsweredAt:   at,
-				School:       "north",
-				Class:        "hand-in",
-				Outcome:      OutcomeServed,
-				Key:          key,
-				KeyExpiresAt: at + 20*sec,
-				Work:         work,
-			},
-		)
-		return l.Seal(first + 2*hour)
+// handIn makes the statement of an instance that served one request with a key.
+func handIn(instance string, at wallclock.UnixMicro, key uint64, work wallclock.Micros) *Statement {
+	set := settings()
+	set.Instance = instance
+	l := New(set, "a", begin)
+	l.Add(
+		Record{
+			AnsweredAt:   at,
+			School:       "north",
+			Class:        "hand-in",
+			Outcome:      OutcomeServed,
+			Key:          key,
+			KeyExpiresAt: at + 20*sec,
+			Work:         work,
+		},
+	)
+	return l.Seal(begin + 2*hour)
+}
+
+// corrected makes the statement of an instance that was given one correction twice.
+func corrected(t *testing.T, instance string) *Statement {
+	t.Helper()
+	set := settings()
+	set.Instance = instance
+	l := New(set, "a", begin)
+	c := Correction{
+		ID: "t1", Period: begin, School: "north", Class: "check", Reason: "w", Count: Count{Served: -2},
 	}
-	fixed := func(instance string) *Statement {
-		set := settings()
-		set.Instance = instance
-		l := New(set, "a", first)
-		for range 2 {
-			if _, err := l.Correct(Correction{ID: "t1", Period: first, School: "north", Class: "check", Reason: "w", Count: Count{Served: -2}}, first+sec); err != nil {
-				t.Fatal(err)
-			}
+	for range 2 {
+		if _, err := l.Correct(c, begin+sec); err != nil {
+			t.Fatal(err)
 		}
-		return l.Seal(first + 2*hour)
 	}
-	line := func(period int64, class string, c Count, changed bool) BillLine {
-		return BillLine{first + period*hour, "north", class, c, changed}
+	return l.Seal(begin + 2*hour)
+}
+
+// checks is the line of requests that were served in a period, counted from 0.
+func checks(period, served int64) BillLine {
+	at := begin + wallclock.UnixMicro(period)*hour
+	return BillLine{
+		Period: at, School: "north", Class: "check",
+		Count: Count{Served: served, Work: wallclock.Micros(served) * 100},
 	}
-	n0, n1 := made("n0", [2]int{3, 0}, [2]int{1, 0}, [2]int{2, 0}), made("n1", [2]int{5, 4})
-	other := made("n0", [2]int{3, 0}, [2]int{7, 0})
-	above := func(b *Bill) float64 { return b.Schools[0].AboveQuota }
-	for name, c := range map[string]struct {
-		list     []*Statement
-		terms    BillingTerms
-		lines    []BillLine
-		problems []string
-		missing  string // of the first period
-		more     func(b *Bill) bool
-	}{
-		"of two, some twice, in any order": {list: []*Statement{n0[1], n1[0], n0[0], n0[1]}, missing: "",
-			lines: []BillLine{line(0, "check", Count{Served: 12, Work: 1200}, false), line(1, "check", Count{Served: 1, Work: 100}, false)},
+}
+
+// billCase is a list of statements and the bill that they make.
+type billCase struct {
+	name     string
+	list     []*Statement
+	terms    BillingTerms
+	lines    []BillLine
+	problems []string
+	missing  string // instances of the first period
+	more     func(b *Bill) bool
+}
+
+func aboveQuota(want float64) func(*Bill) bool {
+	return func(b *Bill) bool { return b.Schools[0].AboveQuota == want }
+}
+
+// chainCases are statements of an account that are missing, repeated or in conflict.
+func chainCases() []billCase {
+	n0 := hourly("n0", [2]int{3, 0}, [2]int{1, 0}, [2]int{2, 0})
+	n1 := hourly("n1", [2]int{5, 4})
+	other := hourly("n0", [2]int{3, 0}, [2]int{7, 0})
+	return []billCase{
+		{
+			name:  "of two, some twice, in any order",
+			list:  []*Statement{n0[1], n1[0], n0[0], n0[1]},
+			lines: []BillLine{checks(0, 12), checks(1, 1)},
 			more: func(b *Bill) bool {
-				return b.DuplicateStatements == 1 && b.Statements == 3 && len(b.Periods[1].MissingInstances) == 1
+				return b.DuplicateStatements == 1 && b.Statements == 3 &&
+					len(b.Periods[1].MissingInstances) == 1
+			},
+		},
+		{
+			name:     "a gap",
+			list:     []*Statement{n0[0], n0[2]},
+			problems: []string{"statement 2 is missing"},
+			lines:    []BillLine{checks(0, 3), checks(2, 2)},
+		},
+		{
+			name:     "the first are missing",
+			list:     n0[2:],
+			problems: []string{"statements 1 to 2 are missing"},
+			lines:    []BillLine{checks(2, 2)},
+		},
+		{
+			name:     "two that differ",
+			list:     []*Statement{n0[0], n0[1], other[1]},
+			problems: []string{"there are two statements 2, which differ; neither is counted"},
+			lines:    []BillLine{checks(0, 3)},
+		},
+		{
+			name:     "of another chain",
+			list:     []*Statement{hourly("n0", [2]int{9, 0})[0], n0[1]},
+			problems: []string{"statement 2 does not follow the statement 1 that is here; both are counted"},
+			lines:    []BillLine{checks(0, 9), checks(1, 1)},
+		},
+		{
+			name:     "an instance without statements",
+			list:     n1,
+			terms:    BillingTerms{Instances: []string{"n1", "n2"}},
+			problems: []string{"there is no statement of it"},
+			missing:  "n2",
+			lines:    []BillLine{checks(0, 9)},
+		},
+	}
+}
+
+// sumCases are keys, corrections and quotas over several instances.
+func sumCases(t *testing.T) []billCase {
+	n0, n1 := hourly("n0", [2]int{3, 0}), hourly("n1", [2]int{5, 4})
+	both := []*Statement{n0[0], n1[0]}
+	reduced, negative := checks(0, 3), checks(0, 0)
+	reduced.Served, reduced.Changed = 1, true
+	negative.Served, negative.Changed = -2, true
+	return []billCase{
+		{
+			name: "a request with a key that two ran",
+			list: []*Statement{
+				handIn(
+					"n0",
+					begin+sec,
+					7,
+					30,
+				), handIn("n1", begin+5*sec, 7, 50), handIn("n2", begin+60*sec, 7, 70),
+			},
+			lines: []BillLine{{
+				Period: begin, School: "north", Class: "hand-in",
+				Count: Count{Served: 2, Duplicates: 1, Work: 100},
 			}},
-		"a gap": {list: []*Statement{n0[0], n0[2]}, problems: []string{"statement 2 is missing"},
-			lines: []BillLine{line(0, "check", Count{Served: 3, Work: 300}, false), line(2, "check", Count{Served: 2, Work: 200}, false)}},
-		"the first are missing": {list: n0[2:], problems: []string{"statements 1 to 2 are missing"}, lines: []BillLine{line(2, "check", Count{Served: 2, Work: 200}, false)}},
-		"two that differ": {list: []*Statement{n0[0], n0[1], other[1]}, problems: []string{"there are two statements 2, which differ; neither is counted"},
-			lines: []BillLine{line(0, "check", Count{Served: 3, Work: 300}, false)}},
-		"of another chain": {list: []*Statement{made("n0", [2]int{9, 0})[0], n0[1]}, problems: []string{"statement 2 does not follow the statement 1 that is here; both are counted"},
-			lines: []BillLine{line(0, "check", Count{Served: 9, Work: 900}, false), line(1, "check", Count{Served: 1, Work: 100}, false)}},
-		"an instance of which there is nothing": {list: n1, terms: BillingTerms{Instances: []string{"n1", "n2"}}, problems: []string{"there is no statement of it"}, missing: "n2",
-			lines: []BillLine{line(0, "check", Count{Served: 9, Work: 900}, false)}},
-		"a hand-in that two ran": {list: []*Statement{handIn("n0", first+sec, 7, 30), handIn("n1", first+5*sec, 7, 50), handIn("n2", first+60*sec, 7, 70)},
-			lines: []BillLine{line(0, "hand-in", Count{Served: 2, Duplicates: 1, Work: 100}, false)}, more: func(b *Bill) bool { return b.DeduplicatedRuns == 1 }},
-		"a correction given to two": {list: []*Statement{fixed("n2"), fixed("n3"), n0[0]}, lines: []BillLine{line(0, "check", Count{Served: 1, Work: 300}, true)}},
-		"a correction below nought": {list: []*Statement{fixed("n2")}, problems: []string{"north, check, period 1728000000000000: a sum is below nought"},
-			lines: []BillLine{line(0, "check", Count{Served: -2}, true)}},
-		// 0.1 a second are 6 in a slice: of 8 and 4, 2 are above. Neither instance alone is.
-		"a share over all": {list: []*Statement{n0[0], n1[0]}, terms: BillingTerms{Quotas: map[string]float64{"north": 0.1}}, more: func(b *Bill) bool { return above(b) == 2 },
-			lines: []BillLine{line(0, "check", Count{Served: 12, Work: 1200}, false)}},
-		"no share is told": {list: []*Statement{n0[0], n1[0]}, more: func(b *Bill) bool { return above(b) == 0 }, lines: []BillLine{line(0, "check", Count{Served: 12, Work: 1200}, false)}},
-	} {
+			more: func(b *Bill) bool { return b.DeduplicatedRuns == 1 },
+		},
+		{
+			name:  "a correction given to two",
+			list:  []*Statement{corrected(t, "n2"), corrected(t, "n3"), n0[0]},
+			lines: []BillLine{reduced},
+		},
+		{
+			name:     "a correction below zero",
+			list:     []*Statement{corrected(t, "n2")},
+			problems: []string{"north, check, period 1728000000000000: a sum is below nought"},
+			lines:    []BillLine{negative},
+		},
+		{
+			// 0.1 a second are 6 in a slice: of 8 and 4, 2 are above. Neither instance alone is.
+			name:  "a quota over all instances",
+			list:  both,
+			terms: BillingTerms{Quotas: map[string]float64{"north": 0.1}},
+			more:  aboveQuota(2),
+			lines: []BillLine{checks(0, 12)},
+		},
+		{name: "no quota", list: both, more: aboveQuota(0), lines: []BillLine{checks(0, 12)}},
+	}
+}
+
+func TestReconcile(t *testing.T) {
+	for _, c := range append(chainCases(), sumCases(t)...) {
 		b, err := Reconcile(c.list, c.terms)
 		if err != nil {
 			t.Fatal(err)
@@ -106,15 +205,17 @@
 			problems = append(problems, p.Description)
 		}
 		if diff := cmp.Diff(c.lines, b.Lines) + cmp.Diff(c.problems, problems); diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: %s", c.name, diff)
 		}
-		if got := strings.Join(b.Periods[0].MissingInstances, " "); got != c.missing || c.more != nil && !c.more(b) {
-			t.Errorf("%s: missing %q; %+v", name, got, b)
+		if got := strings.Join(b.Periods[0].MissingInstances, " "); got != c.missing ||
+			c.more != nil && !c.more(b) {
+			t.Errorf("%s: missing %q; %+v", c.name, got, b)
 		}
 	}
-	s := *n0[0]
-	s.Slice = 2 * s.Slice
-	if _, err := Reconcile([]*Statement{n0[0], &s}, BillingTerms{}); err == nil {
-		t.Error("statements of different slices are put together")
+	first := hourly("n0", [2]int{3, 0})[0]
+	other := *first
+	other.Slice = 2 * other.Slice
+	if _, err := Reconcile([]*Statement{first, &other}, BillingTerms{}); err == nil {
+		t.Error("statements of different slices make one bill")
 	}
 }
--- /dev/null
+++ b/internal/usage/ledger/record.go
@@ -0,0 +1,44 @@
+package ledger
+
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"ryepaddle/internal/wallclock"
+)
+
+// Outcome is what became of a request.
+type Outcome uint8
+
+// The outcomes of requests. Their numbers are stored.
+const (
+	OutcomeServed    Outcome = iota + 1 // it ran and was answered; with an idempotency key, for the first time
+	OutcomeDuplicate                    // its idempotency key was counted as served before
+	OutcomeTimedOut                     // it missed its deadline
+	OutcomeRejected                     // it never ran
+	OutcomeFailed                       // it ran, or was tried, without a result
+	OutcomeAbandoned                    // its caller disconnected
+	outcomeCount
+)
+
+// Record is the use of one request that was answered.
+type Record struct {
+	AnsweredAt     wallclock.UnixMicro `cbor:"At"`
+	School         string              `cbor:"School"`
+	Class          string              `cbor:"Class"`
+	Outcome        Outcome             `cbor:"End"`
+	Work           wallclock.Micros    `cbor:"Work"`  // time that servers spent on all its attempts
+	Key            uint64              `cbor:"Key"`   // HashKey of its idempotency key; 0: it has none
+	KeyExpiresAt   wallclock.UnixMicro `cbor:"Until"` // until then the key may be used again
+	KnownDuplicate bool                `cbor:"Again"` // it is known to repeat another request
+}
+
+// HashKey returns the hash that stands for an idempotency key, the same on all instances. It is never
+// zero.
+func HashKey(school, class, key string) uint64 {
+	d := xxhash.New()
+	for _, s := range []string{school, class, key} {
+		_, _ = d.WriteString(s)
+		_, _ = d.Write([]byte{0})
+	}
+	return max(d.Sum64(), 1)
+}
--- a/internal/usage/ledger/ring.go
+++ b/internal/usage/ledger/ring.go
@@ -5,220 +5,254 @@
 	"hash/crc32"
 	"sync/atomic"
 	"unsafe"
+
+	"ryepaddle/internal/wallclock"
 )
 
-// Ring hands uses from the loop to who keeps the account, through memory that outlives the process
-// where it is a file's: what was put into it before a kill is there after it. One goroutine puts,
-// another one takes.
+// Ring passes records from the event loop to the goroutine that keeps the account, through memory
+// that outlives the process where it is mapped from a file: what was put before a kill is there after
+// it. One goroutine calls Put, and another one the methods that read.
 //
-// The memory begins with a header: what it is, whose, how many records it has, how many uses found
-// no room, how many names. Names follow, each with its length, and then records, each with its
-// number, which is written last.
+// The memory begins with a header. The table of names follows, each with its length, and then the
+// records, each with its number, which is written last. All numbers are little-endian.
 type Ring struct {
-	mem     []byte
-	records uint64
-	next    uint64 // number of the next use; the first is 1
-	freed   atomic.Uint64
-	ids     map[string]uint16 // of who puts
-	nameAt  int
-	names   []string // of who takes
-	takenAt int
+	mem      []byte
+	capacity uint64 // in records
+	next     uint64 // number of the next record; the first is 1
+	released atomic.Uint64
+
+	// Names are written by Put, and read into a table of the reader's own.
+	nameIDs    map[string]uint16
+	nameEnd    int // offset behind the last name
+	namesRead  []string
+	nameReadAt int // offset behind the last of namesRead
 }
 
+// Layout of the header, in bytes.
 const (
-	ringMark   = "ryeuse01"
+	ringMagic  = "ryeuse01"
 	headerSize = 64
+
+	incarnationOffset  = 8
+	incarnationSize    = 16
+	capacityOffset     = 24
+	lostOffset         = 32
+	nameCountOffset    = 40
+	startedAfterOffset = 48
+)
+
+// Layout of the names and of a record, in bytes.
+const (
 	namesSize  = 32 << 10
 	recordSize = 64
 
-	lifeAt    = 8 // 16 bytes
-	recordsAt = 24
-	lostAt    = 32
-	countAt   = 40 // of names
-	fromAt    = 48 // behind which use it began
-	lifeSize  = 16
+	numberOffset       = 0 // the number of the record, written last; 0 while the record is written
+	answeredAtOffset   = 8
+	keyExpiresAtOffset = 16
+	keyOffset          = 24
+	workOffset         = 32
+	schoolOffset       = 40
+	classOffset        = 42
+	outcomeOffset      = 44
+	duplicateOffset    = 45
+	checkedNumOffset   = 48 // the number again, under the checksum
+	checksumOffset     = 60
 )
 
-// RingSize is how much memory a ring of so many records takes.
-func RingSize(records int) int { return headerSize + namesSize + records*recordSize }
-
-// ErrForeignRing is that of memory that holds no ring of this account.
-var ErrForeignRing error = ring.New("usage: no ring of this account")
+// RingSize returns the bytes of memory that a ring of a capacity in records takes.
+func RingSize(capacity int) int { return headerSize + namesSize + capacity*recordSize }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// NewRing begins a ring in memory that is all nought, behind the use of number taken.
-func NewRing(mem []byte, life string, taken uint64) *Ring {
+// NewRing begins a ring in memory that is all zero, for the records after number startedAfter.
+func NewRing(mem []byte, incarnation string, startedAfter uint64) *Ring {
 	r := &Ring{
-		mem:     mem,
-		records: uint64(len(mem)-headerSize-namesSize) / recordSize,
-		next:    taken + 1,
-		ids:     map[string]uint16{},
+		mem:        mem,
+		capacity:   uint64(len(mem)-headerSize-namesSize) / recordSize,
+		next:       startedAfter + 1,
+		nameIDs:    map[string]uint16{},
+		nameEnd:    headerSize,
+		nameReadAt: headerSize,
 	}
-	r.nameAt, r.takenAt = headerSize, headerSize
-	r.freed.Store(taken)
-	copy(mem, ringMark)
-	copy(mem[lifeAt:lifeAt+lifeSize], life)
-	binary.LittleEndian.PutUint64(mem[recordsAt:], r.records)
-	binary.LittleEndian.PutUint64(mem[fromAt:], taken)
+	r.released.Store(startedAfter)
+	copy(mem, ringMagic)
+	copy(mem[incarnationOffset:incarnationOffset+incarnationSize], incarnation)
+	binary.LittleEndian.PutUint64(mem[capacityOffset:], r.capacity)
+	binary.LittleEndian.PutUint64(mem[startedAfterOffset:], startedAfter)
 	return r
 }
 
-// OpenRing looks at a ring that an earlier life of the process left. It is only taken from.
-func OpenRing(mem []byte, life string) (*Ring, error) {
-	var name [lifeSize]byte
-	copy(name[:], life)
-	if len(mem) < RingSize(1) || string(mem[:lifeAt]) != ringMark ||
-		string(mem[lifeAt:lifeAt+lifeSize]) != string(name[:]) {
+// OpenRing opens a ring that an earlier process left, for reading. The error is ErrForeignRing.
+func OpenRing(mem []byte, incarnation string) (*Ring, error) {
+	var name [incarnationSize]byte
+	copy(name[:], incarnation)
+	if len(mem) < RingSize(1) || string(mem[:incarnationOffset]) != ringMagic ||
+		string(mem[incarnationOffset:incarnationOffset+incarnationSize]) != string(name[:]) {
 		return nil, ErrForeignRing
 	}
-	n := binary.LittleEndian.Uint64(mem[recordsAt:])
+	n := binary.LittleEndian.Uint64(mem[capacityOffset:])
 	if n == 0 || n > uint64(len(mem)-headerSize-namesSize)/recordSize {
 		return nil, ErrForeignRing
 	}
-	return &Ring{mem: mem, records: n, takenAt: headerSize}, nil
+	return &Ring{mem: mem, capacity: n, nameReadAt: headerSize}, nil
 }
 
-func (r *Ring) word(at int) *atomic.Uint64 { return (*atomic.Uint64)(unsafe.Pointer(&r.mem[at])) }
-
-func (r *Ring) at(number uint64) int {
-	return headerSize + namesSize + int((number-1)%r.records)*recordSize
+// word returns the 8 bytes at an offset, which the two goroutines share.
+func (r *Ring) word(offset int) *atomic.Uint64 {
+	return (*atomic.Uint64)(unsafe.Pointer(&r.mem[offset]))
 }
 
-// Put hands a use over, and reports whether there was room: as long as nothing is freed there is
-// only so much. What found none is counted.
+// slotOffset returns the offset of the slot with an index.
+func slotOffset(index int) int { return headerSize + namesSize + index*recordSize }
+
+// recordOffset returns the offset of the record with a number.
+func (r *Ring) recordOffset(number uint64) int { return slotOffset(int((number - 1) % r.capacity)) }
+
+// Put adds a record, and reports whether there was room. One that found none is counted as lost.
 func (r *Ring) Put(u Record) bool {
-	if r.next-r.freed.Load() > r.records {
-		r.word(lostAt).Add(1)
+	if r.next-r.released.Load() > r.capacity {
+		r.word(lostOffset).Add(1)
 		return false
 	}
-	at := r.at(r.next)
-	b := r.mem[at : at+recordSize]
-	r.word(at).Store(0) // it is none while it is written
+	offset := r.recordOffset(r.next)
+	b := r.mem[offset : offset+recordSize]
+	r.word(offset + numberOffset).Store(0)
 	le := binary.LittleEndian
-	le.PutUint64(b[8:], uint64(u.AnsweredAt))
-	le.PutUint64(b[16:], uint64(u.KeyExpiresAt))
-	le.PutUint64(b[24:], u.Key)
-	le.PutUint64(b[32:], uint64(u.Work))
-	le.PutUint16(b[40:], r.name(u.School))
-	le.PutUint16(b[42:], r.name(u.Class))
-	b[44], b[45] = byte(u.Outcome), 0
+	le.PutUint64(b[answeredAtOffset:], uint64(u.AnsweredAt))
+	le.PutUint64(b[keyExpiresAtOffset:], uint64(u.KeyExpiresAt))
+	le.PutUint64(b[keyOffset:], u.Key)
+	le.PutUint64(b[workOffset:], uint64(u.Work))
+	le.PutUint16(b[schoolOffset:], r.nameID(u.School))
+	le.PutUint16(b[classOffset:], r.nameID(u.Class))
+	b[outcomeOffset], b[duplicateOffset] = byte(u.Outcome), 0
 	if u.KnownDuplicate {
-		b[45] = 1
+		b[duplicateOffset] = 1
 	}
-	le.PutUint64(b[48:], r.next)
-	le.PutUint32(b[60:], check(b))
-	r.word(at).Store(r.next)
+	le.PutUint64(b[checkedNumOffset:], r.next)
+	le.PutUint32(b[checksumOffset:], recordChecksum(b))
+	r.word(offset + numberOffset).Store(r.next)
 	r.next++
 	return true
 }
 
-// check stands for a record with its number in it: a disk may have kept one without the other.
-func check(b []byte) uint32 { return crc32.Checksum(b[8:60], castagnoli) }
+// recordChecksum returns the checksum of a record and its number: a disk may have kept one without
+// the other.
+func recordChecksum(b []byte) uint32 {
+	return crc32.Checksum(b[answeredAtOffset:checksumOffset], castagnoli)
+}
 
-// name is the number of a name. Those for which there is no room are others.
-func (r *Ring) name(s string) uint16 {
-	if id, ok := r.ids[s]; ok {
+// nameID returns the number of a name, which it adds if there is room. The number of other names is
+// 0, that of OtherSchool.
+func (r *Ring) nameID(s string) uint16 {
+	if id, ok := r.nameIDs[s]; ok {
 		return id
 	}
-	if len(r.ids) == 0 && s != OtherSchool {
-		r.name(OtherSchool)
+	if len(r.nameIDs) == 0 && s != OtherSchool {
+		r.nameID(OtherSchool)
 	}
-	s = s[:min(len(s), longestText)]
-	if id, ok := r.ids[s]; ok || r.nameAt+2+len(s) > headerSize+namesSize {
-		return id // nought: Other
+	s = s[:min(len(s), maxTextBytes)]
+	if id, ok := r.nameIDs[s]; ok || r.nameEnd+2+len(s) > headerSize+namesSize {
+		return id
 	}
-	id := uint16(len(r.ids))
-	binary.LittleEndian.PutUint16(r.mem[r.nameAt:], uint16(len(s)))
-	copy(r.mem[r.nameAt+2:], s)
-	r.nameAt += 2 + len(s)
-	r.ids[s] = id
-	r.word(countAt).Store(uint64(len(r.ids)))
+	id := uint16(len(r.nameIDs))
+	binary.LittleEndian.PutUint16(r.mem[r.nameEnd:], uint16(len(s)))
+	copy(r.mem[r.nameEnd+2:], s)
+	r.nameEnd += 2 + len(s)
+	r.nameIDs[s] = id
+	r.word(nameCountOffset).Store(uint64(len(r.nameIDs)))
 	return id
 }
 
-// nameOf is the name of a number.
-func (r *Ring) nameOf(id uint16) (string, bool) {
-	for n := r.word(countAt).Load(); uint64(len(r.names)) < n; {
-		if r.takenAt+2 > headerSize+namesSize {
+// name returns the name of a number.
+func (r *Ring) name(id uint16) (string, bool) {
+	for n := r.word(nameCountOffset).Load(); uint64(len(r.namesRead)) < n; {
+		if r.nameReadAt+2 > headerSize+namesSize {
 			return "", false
 		}
-		size := int(binary.LittleEndian.Uint16(r.mem[r.takenAt:]))
-		end := r.takenAt + 2 + size
+		size := int(binary.LittleEndian.Uint16(r.mem[r.nameReadAt:]))
+		end := r.nameReadAt + 2 + size
 		if end > headerSize+namesSize {
 			return "", false
 		}
-		r.names, r.takenAt = append(r.names, string(r.mem[r.takenAt+2:end])), end
+		r.namesRead = append(r.namesRead, string(r.mem[r.nameReadAt+2:end]))
+		r.nameReadAt = end
 	}
-	if int(id) >= len(r.names) {
+	if int(id) >= len(r.namesRead) {
 		return "", false
 	}
-	return r.names[id], true
+	return r.namesRead[id], true
 }
 
-// Read is the use of a number, if it is there.
+// Read returns the record with a number, if it is there and intact.
 func (r *Ring) Read(number uint64) (Record, bool) {
-	at := r.at(number)
-	if r.word(at).Load() != number {
+	offset := r.recordOffset(number)
+	if r.word(offset+numberOffset).Load() != number {
 		return Record{}, false
 	}
-	b := r.mem[at : at+recordSize]
+	b := r.mem[offset : offset+recordSize]
 	le := binary.LittleEndian
-	if le.Uint64(b[48:]) != number || le.Uint32(b[60:]) != check(b) {
+	if le.Uint64(b[checkedNumOffset:]) != number || le.Uint32(b[checksumOffset:]) != recordChecksum(b) {
 		return Record{}, false
 	}
-	u := Record{
-		AnsweredAt:     int64(le.Uint64(b[8:])),
-		KeyExpiresAt:   int64(le.Uint64(b[16:])),
-		Key:            le.Uint64(b[24:]),
-		Work:           int64(le.Uint64(b[32:])),
-		Outcome:        Outcome(b[44]),
-		KnownDuplicate: b[45] == 1,
-	}
-	var ok, known bool
-	u.School, ok = r.nameOf(le.Uint16(b[40:]))
-	u.Class, known = r.nameOf(le.Uint16(b[42:]))
-	return u, ok && known
+	school, schoolKnown := r.name(le.Uint16(b[schoolOffset:]))
+	class, classKnown := r.name(le.Uint16(b[classOffset:]))
+	return Record{
+		AnsweredAt:     wallclock.UnixMicro(le.Uint64(b[answeredAtOffset:])),
+		KeyExpiresAt:   wallclock.UnixMicro(le.Uint64(b[keyExpiresAtOffset:])),
+		Key:            le.Uint64(b[keyOffset:]),
+		Work:           wallclock.Micros(le.Uint64(b[workOffset:])),
+		School:         school,
+		Class:          class,
+		Outcome:        Outcome(b[outcomeOffset]),
+		KnownDuplicate: b[duplicateOffset] == 1,
+	}, schoolKnown && classKnown
 }
 
-// Final tells up to which number uses were put.
+// Last returns the number of the last record that was put.
 func (r *Ring) Last() uint64 { return r.next - 1 }
 
-// Release gives back the room of uses up to a number: they are kept elsewhere.
-func (r *Ring) Release(number uint64) { r.freed.Store(number) }
+// Release frees the room of the records up to a number, which are stored elsewhere.
+func (r *Ring) Release(number uint64) { r.released.Store(number) }
 
-// AddLost is how many uses found no room.
-func (r *Ring) Lost() uint64 { return r.word(lostAt).Load() }
+// Lost returns the number of records that found no room.
+func (r *Ring) Lost() uint64 { return r.word(lostOffset).Load() }
 
-// StartedAfter tells rings of an account apart, as far as they lost anything: it is behind which use they
-// began.
-func (r *Ring) StartedAfter() uint64 { return binary.LittleEndian.Uint64(r.mem[fromAt:]) }
+// StartedAfter returns the number of the record after which the ring began. It tells the rings of an
+// account from each other.
+func (r *Ring) StartedAfter() uint64 { return binary.LittleEndian.Uint64(r.mem[startedAfterOffset:]) }
 
-// Utilization is which part of the room is taken, seen from who takes at a number.
+// Utilization returns the part of the capacity, from 0 to 1, that is taken by records up to a number
+// and not released.
 func (r *Ring) Utilization(number uint64) float64 {
-	return float64(number-r.freed.Load()) / float64(r.records)
+	return float64(number-r.released.Load()) / float64(r.capacity)
 }
 
-// Recover takes what an earlier life left behind the use of number taken: all that is whole, in the
-// order it was put. Missing is how many lie between that are not. A disk that lost power may have
-// kept any of them.
-func (r *Ring) Recover(taken uint64, take func(Record)) (last, missing uint64) {
-	for n := range r.records {
-		if number := r.word(headerSize + namesSize + int(n)*recordSize).Load(); number > last &&
-			number <= taken+r.records &&
-			r.at(number) == headerSize+namesSize+int(n)*recordSize {
-			if _, ok := r.Read(number); ok {
-				last = number
-			}
-		}
-	}
-	last = max(last, taken)
+// Recover passes on, in order, the records after number taken that an earlier process left intact.
+// last is the number of the last one, and missing how many before it are not intact: a disk that lost
+// power may have kept any of them.
+func (r *Ring) Recover(taken uint64, add func(Record)) (last, missing uint64) {
+	last = max(r.lastIntact(taken), taken)
 	for number := taken + 1; number <= last; number++ {
 		if u, ok := r.Read(number); ok {
-			take(u)
+			add(u)
 		} else {
 			missing++
 		}
 	}
 	return last, missing
 }
+
+// lastIntact returns the highest number of an intact record after number taken; 0: there is none.
+func (r *Ring) lastIntact(taken uint64) (last uint64) {
+	for index := range int(r.capacity) {
+		offset := slotOffset(index)
+		number := r.word(offset + numberOffset).Load()
+		if number <= last || number > taken+r.capacity || r.recordOffset(number) != offset {
+			continue
+		}
+		if _, ok := r.Read(number); ok {
+			last = number
+		}
+	}
+	return last
+}
--- a/internal/usage/ledger/stored_test.go
+++ b/internal/usage/ledger/stored_test.go
@@ -8,6 +8,8 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"ryepaddle/internal/wallclock"
 )
 
 // writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
@@ -15,18 +17,34 @@
 const writeTestdata = "RYEPADDLE_WRITE_TESTDATA"
 
 const (
-	storedDir   = "testdata/stored"
-	storedBegin = 480_000 * hour // when the first period began
-	firstName   = "usage-n0-0011aabbccdd-00000001.json"
-	lastName    = "usage-n0-0011aabbccdd-00000003-last-23.json"
+	storedDir = "testdata/stored"
+	firstName = "usage-n0-0011aabbccdd-00000001.json"
+	lastName  = "usage-n0-0011aabbccdd-00000003-last-23.json"
 )
 
 // storedUses are uses of three periods.
 func storedUses(period int) []Record {
-	at := storedBegin + int64(period)*hour
+	at := begin + wallclock.UnixMicro(period)*hour
 	return []Record{
-		{AnsweredAt: at + 10*sec, School: "north", Class: "hand-in", Outcome: OutcomeServed, Work: 25_000, Key: HashKey("north", "hand-in", "a"), KeyExpiresAt: at + 13*sec},
-		{AnsweredAt: at + 11*sec, School: "north", Class: "hand-in", Outcome: OutcomeServed, Work: 1, Key: HashKey("north", "hand-in", "a"), KeyExpiresAt: at + 14*sec, KnownDuplicate: true},
+		{
+			AnsweredAt:   at + 10*sec,
+			School:       "north",
+			Class:        "hand-in",
+			Outcome:      OutcomeServed,
+			Work:         25_000,
+			Key:          HashKey("north", "hand-in", "a"),
+			KeyExpiresAt: at + 13*sec,
+		},
+		{
+			AnsweredAt:     at + 11*sec,
+			School:         "north",
+			Class:          "hand-in",
+			Outcome:        OutcomeServed,
+			Work:           1,
+			Key:            HashKey("north", "hand-in", "a"),
+			KeyExpiresAt:   at + 14*sec,
+			KnownDuplicate: true,
+		},
 		{AnsweredAt: at + 12*sec, School: "north", Class: "check", Outcome: OutcomeTimedOut, Work: 300},
 		{AnsweredAt: at + 70*sec, School: "south", Class: "check", Outcome: OutcomeServed, Work: 2_000},
 		{AnsweredAt: at + 71*sec, School: "south", Class: "check", Outcome: OutcomeRejected},
@@ -38,8 +56,16 @@
 // storedCorrection is a correction of the first period.
 func storedCorrection(id string) Correction {
 	return Correction{
-		ID: id, Period: storedBegin, School: "north", Class: "hand-in",
-		Count:  Count{Served: -1, Duplicates: 2, TimedOut: 3, Rejected: 4, Failed: 5, Abandoned: 6, Work: -7_000},
+		ID: id, Period: begin, School: "north", Class: "hand-in",
+		Count: Count{
+			Served:     -1,
+			Duplicates: 2,
+			TimedOut:   3,
+			Rejected:   4,
+			Failed:     5,
+			Abandoned:  6,
+			Work:       -7_000,
+		},
 		Reason: "counted twice", Author: "ops",
 	}
 }
@@ -48,25 +74,25 @@
 // first and the last, and a ring of uses.
 func storedFiles(t *testing.T) map[string][]byte {
 	t.Helper()
-	l := New(settings(), "0011aabbccdd", storedBegin)
+	l := New(settings(), "0011aabbccdd", begin)
 	add := func(period int) {
 		for _, u := range storedUses(period) {
 			l.Add(u)
 		}
 	}
 	add(0)
-	if known, err := l.Correct(storedCorrection("c-1"), storedBegin+hour); known || err != nil {
+	if known, err := l.Correct(storedCorrection("c-1"), begin+hour); known || err != nil {
 		t.Fatal(known, err)
 	}
 	l.AddLost(2)
-	first := l.Seal(storedBegin + hour + 10*sec)
+	first := l.Seal(begin + hour + 10*sec)
 	l.MarkRenaming(first)
 	l.MarkExported(first)
 	add(1)
-	second := l.Seal(storedBegin + 2*hour + 10*sec)
+	second := l.Seal(begin + 2*hour + 10*sec)
 	l.MarkRenaming(second)
 	add(2)
-	if known, err := l.Correct(storedCorrection("c-2"), storedBegin+2*hour); known || err != nil {
+	if known, err := l.Correct(storedCorrection("c-2"), begin+2*hour); known || err != nil {
 		t.Fatal(known, err)
 	}
 	files := map[string][]byte{"state": l.Encode(21), firstName: first.Encode()}
@@ -84,29 +110,38 @@
 // allFields are values of what is stored or shown as JSON, with every field set.
 func allFields() map[string]any {
 	count := Count{Served: 1, Duplicates: 2, TimedOut: 3, Rejected: 4, Failed: 5, Abandoned: 6, Work: 7}
-	line := Line{Period: storedBegin, School: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
+	line := Line{Period: begin, School: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
 	keys := CountedKeys{storedKeyOf(0)}
 	statement := Statement{
-		Format: 2, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 3, From: storedBegin, To: storedBegin + hour,
+		Format: 2, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 3, From: begin, To: begin + hour,
 		Period: 3_600_000_000, Slice: 60_000_000, PreviousDigest: "774a", Lines: []Line{line},
-		Corrections: []Correction{storedCorrection("c-1")}, Keys: keys, Lost: 8, UnlistedKeys: 9, Final: true, Steps: 10,
+		Corrections: []Correction{
+			storedCorrection("c-1"),
+		}, Keys: keys, Lost: 8, UnlistedKeys: 9, Final: true, Steps: 10,
 	}
 	return map[string]any{
 		"all-fields-statement.json": statement,
 		"all-fields-state.json": state{
-			Format: 1, Instance: "n0", Life: "0011aabbccdd", PeriodUs: 3_600_000_000, SliceUs: 60_000_000, Taken: 1, Seq: 2,
-			Before: "774a", Through: 3, Newest: 4, Sealed: 5, Lines: []Line{line}, Keys: keys, Listed: keys,
-			Fixes: []Correction{storedCorrection("c-1")}, IDs: []string{"c-1"}, Pending: []*Statement{&statement}, Exports: 6,
-			Naming: 7, Lost: 8, BareTo: 9, RingLost: 10, RingFrom: 11, Bare: 12, Steps: 13, Over: true, Swept: 14, Ahead: 15,
+			Format: 1, Instance: "n0", Incarnation: "0011aabbccdd", Period: 3_600_000_000, Slice: 60_000_000,
+			LastRecord: 1, LastSeq: 2, LastDigest: "774a", SealedThrough: 3, Newest: 4, SealedAt: 5,
+			Lines: []Line{line}, Keys: keys, NewKeys: keys,
+			Corrections: []Correction{storedCorrection("c-1")}, CorrectionIDs: []string{"c-1"},
+			Unwritten: []*Statement{&statement}, Exported: 6, Renaming: 7, Lost: 8, UnlistedUntil: 9, RingLost: 10,
+			RingStart: 11, UnlistedKeys: 12, Steps: 13, Ended: true, SweptAt: 14, Ahead: 15,
 		},
 		"all-fields-summary.json": Summary{
-			Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: 1, Statements: 2, Exported: 3, Keys: 4, Lost: 5, Lines: []Line{line}, Corrections: 6,
+			Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: 1, Statements: 2, Exported: 3,
+			Keys: 4, Lost: 5, Lines: []Line{line}, Corrections: 6,
 		},
 		"all-fields-bill.json": Bill{
-			Periods:    []BillPeriod{{Period: storedBegin, MissingInstances: []string{"n1"}}},
-			Lines:      []BillLine{{Period: storedBegin, School: "north", Class: "hand-in", Count: count, Changed: true}},
-			Schools:    []BillSchool{{Period: storedBegin, School: "north", Served: 1, AboveQuota: 2.5, Work: 3}},
-			Problems:   []Problem{{Instance: "n0", Incarnation: "0011aabbccdd", Description: "a statement is missing"}},
+			Periods: []BillPeriod{{Period: begin, MissingInstances: []string{"n1"}}},
+			Lines: []BillLine{
+				{Period: begin, School: "north", Class: "hand-in", Count: count, Changed: true},
+			},
+			Schools: []BillSchool{{Period: begin, School: "north", Served: 1, AboveQuota: 2.5, Work: 3}},
+			Problems: []Problem{
+				{Instance: "n0", Incarnation: "0011aabbccdd", Description: "a statement is missing"},
+			},
 			Statements: 1, DuplicateStatements: 2, DeduplicatedRuns: 3, Lost: 4,
 		},
 	}
@@ -197,10 +232,16 @@
 
 // storedLines are the lines of the uses of a period.
 func storedLines(period int) []Line {
-	at := storedBegin + int64(period)*hour
+	at := begin + wallclock.UnixMicro(period)*hour
 	return []Line{
 		{Period: at, School: "north", Class: "check", Count: Count{TimedOut: 1, Work: 300}},
-		{Period: at, School: "north", Class: "hand-in", Count: Count{Served: 1, Duplicates: 1, Work: 25_000}, Slices: []int64{1}},
+		{
+			Period: at,
+			School: "north",
+			Class:  "hand-in",
+			Count:  Count{Served: 1, Duplicates: 1, Work: 25_000},
+			Slices: []int64{1},
+		},
 		{
 			Period: at, School: "south", Class: "check",
 			Count:  Count{Served: 1, Rejected: 1, Failed: 1, Abandoned: 1, Work: 2_007},
@@ -211,21 +252,31 @@
 
 // storedKeyOf is the key of the hand-in that was counted in a period.
 func storedKeyOf(period int) CountedKey {
-	at := storedBegin + int64(period)*hour + 10*sec
-	return CountedKey{Hash: 1070329728019876228, ServedAt: at, ExpiresAt: at + 3*sec, Work: 25_000, School: "north", Class: "hand-in"}
+	at := begin + wallclock.UnixMicro(period)*hour + 10*sec
+	return CountedKey{
+		Hash:      1070329728019876228,
+		ServedAt:  at,
+		ExpiresAt: at + 3*sec,
+		Work:      25_000,
+		School:    "north",
+		Class:     "hand-in",
+	}
 }
 
 // The statements of version 1 are read as they were written, the last of an account too.
 func TestReadsStatementsOfVersion1(t *testing.T) {
 	first := &Statement{
 		Format: 1, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 1,
-		From: storedBegin, To: storedBegin + hour, Period: 3_600_000_000, Slice: 60_000_000,
-		Lines: storedLines(0), Corrections: []Correction{storedCorrection("c-1")}, Keys: CountedKeys{storedKeyOf(0)}, Lost: 2,
+		From: begin, To: begin + hour, Period: 3_600_000_000, Slice: 60_000_000,
+		Lines: storedLines(0), Corrections: []Correction{storedCorrection("c-1")},
+		Keys: CountedKeys{storedKeyOf(0)}, Lost: 2,
 	}
 	last := &Statement{
 		Format: 2, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 3,
-		From: storedBegin + 2*hour, To: storedBegin + 3*hour, Period: 3_600_000_000, Slice: 60_000_000,
-		PreviousDigest: "774ab82649a50465ea6e87d0f0964455ae03c7278041f48b9bb74430f6835471", Lines: storedLines(2), Corrections: []Correction{storedCorrection("c-2")}, Keys: CountedKeys{storedKeyOf(2)},
+		From: begin + 2*hour, To: begin + 3*hour, Period: 3_600_000_000, Slice: 60_000_000,
+		PreviousDigest: "774ab82649a50465ea6e87d0f0964455ae03c7278041f48b9bb74430f6835471",
+		Lines:          storedLines(2), Corrections: []Correction{storedCorrection("c-2")},
+		Keys:  CountedKeys{storedKeyOf(2)},
 		Final: true, Steps: 23,
 	}
 	for name, want := range map[string]*Statement{firstName: first, lastName: last} {
@@ -249,16 +300,17 @@
 		t.Fatal(taken, err)
 	}
 	want := Summary{
-		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: storedBegin + 2*hour, Statements: 2, Exported: 1,
+		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: begin + 2*hour, Statements: 2, Exported: 1,
 		Keys: 1, Lines: storedLines(2), Corrections: 1,
 	}
 	if diff := cmp.Diff(want, l.Summary()); diff != "" {
 		t.Errorf("summary (-want +got)\n%s", diff)
 	}
-	if next, naming := l.NextStatement(); !naming || next.Seq != 2 || !reflect.DeepEqual(next.Lines, storedLines(1)) {
+	if next, naming := l.NextStatement(); !naming || next.Seq != 2 ||
+		!reflect.DeepEqual(next.Lines, storedLines(1)) {
 		t.Errorf("the statement to be written is %+v, naming: %v", next, naming)
 	}
-	if known, err := l.Correct(storedCorrection("c-1"), storedBegin+2*hour); !known || err != nil {
+	if known, err := l.Correct(storedCorrection("c-1"), begin+2*hour); !known || err != nil {
 		t.Errorf("a correction of before is known: %v, %v", known, err)
 	}
 	if got, want := l.Finish().Encode(), readStored(t, lastName); string(got) != string(want) {
--- /dev/null
+++ b/internal/usage/metering/files.go
@@ -0,0 +1,36 @@
+package metering
+
+import (
+	"errors"
+	"io/fs"
+
+	"ryepaddle/internal/idempotency/store"
+)
+
+// writeSynced makes a file and syncs it. A file of that name, which an earlier attempt left, is
+// removed first.
+func writeSynced(fsys store.FS, name string, b []byte) error {
+	if err := removeIfExists(fsys, name); err != nil {
+		return err
+	}
+	f, err := fsys.Create(name)
+	if err != nil {
+		return err
+	}
+	if _, err = f.Write(b); err == nil {
+		err = f.Sync()
+	}
+	return errors.Join(err, f.Close())
+}
+
+// renameSynced renames a file and syncs the folder, whether the rename succeeds or not.
+func renameSynced(fsys store.FS, from, to string) error {
+	return errors.Join(fsys.Rename(from, to), fsys.SyncDir())
+}
+
+func removeIfExists(fsys store.FS, name string) error {
+	if err := fsys.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/usage/metering/meter.go
@@ -0,0 +1,215 @@
+package metering
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
+)
+
+// Options are how an account is kept.
+type Options struct {
+	Dir          string
+	Settings     ledger.Settings
+	RingCapacity int           // records in memory that are not saved yet
+	SaveInterval time.Duration // between two saves of the account
+	Replicated   bool          // see StartReplication
+}
+
+const (
+	pollInterval = 100 * time.Millisecond // between two looks into the ring
+	retryBackoff = time.Second            // until a disk that failed is tried again
+	maxQuestions = 16                     // that wait for the goroutine of the account
+	// incarnationBytes is the length of the random name of a new account.
+	incarnationBytes = 6
+)
+
+// Meter keeps the account of a running program. Record, RecordReplicated and StartReplication are
+// called on the event loop, the other methods by any goroutine.
+type Meter struct {
+	name      string
+	dir       store.Dir
+	unlock    func() error // gives the folder back
+	ring      *ledger.Ring
+	mem       []byte // of the ring
+	startedAt time.Time
+
+	questions chan func(*accountStore)
+	closing   chan struct{}
+	done      chan struct{} // closed at the end of the goroutine of the account
+
+	// Replication.
+	replication ReplicationConfig
+	accountBox  *mailbox        // for the goroutine of the account
+	remoteBox   *mailbox        // for that of the other runners' accounts
+	remoteDone  chan struct{}   // closed at its end; nil: it was not started
+	waiting     []waitingRecord // used on the event loop
+	mu          sync.Mutex
+	status      ReplicationStatus
+}
+
+// Start goes on with the account of a folder, or begins one. The error is of kind usage.account for a
+// folder whose files do not fit, or that of the disk or of the lock.
+func Start(opt Options) (*Meter, error) {
+	dir := store.Dir(opt.Dir)
+	unlock, err := dir.Lock()
+	if err != nil {
+		return nil, err
+	}
+	m := &Meter{
+		name:       opt.Settings.Instance,
+		dir:        dir,
+		unlock:     unlock,
+		startedAt:  time.Now(),
+		questions:  make(chan func(*accountStore), maxQuestions),
+		closing:    make(chan struct{}),
+		done:       make(chan struct{}),
+		accountBox: newMailbox(),
+		remoteBox:  newMailbox(),
+	}
+	account, found, err := m.open(opt)
+	if err != nil {
+		return nil, errors.Join(err, unlock())
+	}
+	s := account.ledger.Summary()
+	sealedThrough := s.SealedThrough.Time().Unix()
+	eventOpened.Log(opt.Dir, s.Incarnation, s.Statements, sealedThrough, found.recovered, found.missing)
+	if found.missing > 0 {
+		eventLost.Log(found.missing, "the machine went down before they were on the disk")
+	}
+	if found.ringError != nil {
+		eventLost.Log("unknown", found.ringError)
+	}
+	go (&accountWorker{meter: m, account: account}).run()
+	return m, nil
+}
+
+// open opens the account of the folder and begins a ring.
+func (m *Meter) open(opt Options) (*accountStore, recovery, error) {
+	ringPath, bootPath := filepath.Join(opt.Dir, ringFile), filepath.Join(opt.Dir, bootFile)
+	oldRing, err := os.ReadFile(ringPath)
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, recovery{}, err
+	}
+	bootID, sameBoot := currentBootID(), false
+	if last, err := os.ReadFile(bootPath); err == nil {
+		sameBoot = bootID != "" && strings.TrimSpace(string(last)) == bootID
+	}
+	account, found, err := openAccount(m.dir, openParams{
+		settings:     opt.Settings,
+		saveInterval: opt.SaveInterval,
+		now:          wallclock.FromTime(wallclock.Now()),
+		incarnation:  newIncarnation(),
+		oldRing:      oldRing,
+		sameBoot:     sameBoot,
+		replace:      opt.Replicated,
+	})
+	if err != nil {
+		return nil, found, err
+	}
+	if err := os.WriteFile(bootPath, []byte(bootID+"\n"), 0o600); err != nil {
+		return nil, found, err
+	}
+	return account, found, m.beginRing(account, ringPath, opt.RingCapacity)
+}
+
+// newIncarnation returns a random name for an account.
+func newIncarnation() string {
+	var b [incarnationBytes]byte
+	_, _ = rand.Read(b[:]) // it does not fail
+	return hex.EncodeToString(b[:])
+}
+
+// beginRing puts a new ring in the place of the old one, whose records are saved.
+func (m *Meter) beginRing(account *accountStore, path string, capacity int) (err error) {
+	if m.mem, err = mapNewFile(path+newSuffix, ledger.RingSize(capacity)); err != nil {
+		return err
+	}
+	m.ring = ledger.NewRing(m.mem, account.ledger.Incarnation(), account.lastRecord)
+	if err := os.Rename(path+newSuffix, path); err != nil {
+		return errors.Join(err, unix.Munmap(m.mem))
+	}
+	account.ring = m.ring
+	return nil
+}
+
+// elapsed returns the time since the start, on a monotonic clock.
+func (m *Meter) elapsed() time.Duration { return time.Since(m.startedAt) }
+
+// Record counts a record. It takes less than a microsecond, and the record outlives a kill of the
+// process. Without room in the ring it is counted as lost.
+func (m *Meter) Record(r ledger.Record) { m.ring.Put(r) }
+
+// Inspect calls fn with the account, on the goroutine of the account. The error is ErrBusy.
+func (m *Meter) Inspect(fn func(*ledger.Ledger)) error {
+	return m.enqueue(func(a *accountStore) { fn(a.ledger) })
+}
+
+// Correct takes a correction, and calls done once it is saved, and replicated if the account is; known
+// reports that it was taken before. done is called on the goroutine of the account. The error that
+// Correct returns is ErrBusy; that of done is one of ledger.Correct or of the disk, or
+// ErrNotReplicated.
+func (m *Meter) Correct(c ledger.Correction, done func(known bool, err error)) error {
+	return m.enqueue(func(a *accountStore) {
+		known, err := a.correct(c)
+		if err != nil {
+			done(known, err)
+			return
+		}
+		a.publisher.whenReplicated(m.elapsed()+correctionTimeout, func(err error) { done(known, err) })
+	})
+}
+
+// correct takes and saves a correction. One that is known is saved too: an earlier save may have
+// failed.
+func (a *accountStore) correct(c ledger.Correction) (known bool, err error) {
+	now := wallclock.FromTime(wallclock.Now())
+	known, err = a.ledger.Correct(c, now)
+	if err != nil {
+		return known, err
+	}
+	if !known {
+		a.publisher.publish(usagereplica.Operation{Correction: &c, At: int64(now)})
+	}
+	return known, a.save(now)
+}
+
+// enqueue has fn called with the account, on the goroutine of the account.
+func (m *Meter) enqueue(fn func(*accountStore)) error {
+	select {
+	case m.questions <- fn:
+		return nil
+	default:
+		return ErrBusy
+	}
+}
+
+// Close saves all that was counted. If the disk does not answer in time, or nearly twice that with
+// replication, it returns an error of kind usage.no_room: what was counted is in the ring, and is
+// counted at the next start. Nothing is recorded any more by then.
+func (m *Meter) Close(timeout time.Duration) error {
+	close(m.closing)
+	if m.remoteDone != nil {
+		select {
+		case <-m.remoteDone:
+		case <-time.After(timeout):
+		}
+	}
+	select {
+	case <-m.done:
+		return errors.Join(unix.Munmap(m.mem), m.unlock())
+	case <-time.After(timeout):
+		return errDiskSlow
+	}
+}
--- /dev/null
+++ b/internal/usage/metering/publisher.go
@@ -0,0 +1,106 @@
+package metering
+
+import (
+	"time"
+
+	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
+)
+
+// publisher sends the operations of the account to its replicas. The methods of a nil one, of an
+// account that is not replicated, do nothing. It is used by the goroutine of the account.
+type publisher struct {
+	primary *usagereplica.Primary
+	seals   map[uint64]uint64 // operations that sealed statements, by the statements' numbers
+
+	// Records that are not replicated yet; the oldest first.
+	unreplicated []publishedRecord
+	confirmed    uint64 // number of the last record that was reported as replicated
+
+	waiting []pendingChange
+}
+
+// publishedRecord is a record and the operation that it was published with.
+type publishedRecord struct{ record, operation uint64 }
+
+// pendingChange is a change whose caller waits until it is replicated.
+type pendingChange struct {
+	operation uint64
+	deadline  time.Duration // on the clock of Meter.elapsed
+	done      func(error)
+}
+
+func (p *publisher) publish(op usagereplica.Operation) {
+	if p != nil {
+		p.primary.Append(op)
+	}
+}
+
+func (p *publisher) publishRecord(r *ledger.Record, number uint64) {
+	if p == nil {
+		return
+	}
+	if len(p.unreplicated) >= maxWaitingRecords {
+		// A later record that is replicated confirms the oldest too.
+		p.unreplicated = p.unreplicated[1:]
+	}
+	operation := p.primary.Append(usagereplica.Operation{Use: r})
+	p.unreplicated = append(p.unreplicated, publishedRecord{number, operation})
+}
+
+func (p *publisher) publishSeal(s *ledger.Statement, now wallclock.UnixMicro) {
+	if p != nil {
+		p.seals[s.Seq] = p.primary.Append(usagereplica.Operation{SealDigest: s.Digest(), At: int64(now)})
+	}
+}
+
+// mayExport reports whether a statement may have its name: once the replicas know that its periods
+// are sealed. An earlier one that was collected at once would count in place of the replicas', and
+// what they know beyond it would be in no statement.
+func (p *publisher) mayExport(s *ledger.Statement) bool {
+	return p == nil || p.seals[s.Seq] <= p.primary.ReplicatedSeq()
+}
+
+// whenReplicated calls done once all that was published is replicated, or with ErrNotReplicated after
+// a deadline.
+func (p *publisher) whenReplicated(deadline time.Duration, done func(error)) {
+	if p == nil {
+		done(nil)
+		return
+	}
+	p.waiting = append(p.waiting, pendingChange{p.primary.LastSeq(), deadline, done})
+}
+
+// takeConfirmed returns the number of the last record that is replicated by now, and whether it is
+// another one than at the last call.
+func (p *publisher) takeConfirmed() (record uint64, changed bool) {
+	replicated := p.primary.ReplicatedSeq()
+	record = p.confirmed
+	for len(p.unreplicated) > 0 && p.unreplicated[0].operation <= replicated {
+		record = p.unreplicated[0].record
+		p.unreplicated = p.unreplicated[1:]
+	}
+	changed = record > p.confirmed
+	if changed {
+		p.confirmed = record
+	}
+	return record, changed
+}
+
+// answerWaiting answers the callers whose changes are replicated, or whose deadlines have passed.
+func (p *publisher) answerWaiting(now time.Duration) {
+	replicated := p.primary.ReplicatedSeq()
+	rest := p.waiting[:0]
+	for _, w := range p.waiting {
+		switch {
+		case w.operation <= replicated:
+			w.done(nil)
+		case now >= w.deadline:
+			w.done(ErrNotReplicated)
+		default:
+			rest = append(rest, w)
+		}
+	}
+	p.waiting = rest
+}
--- /dev/null
+++ b/internal/usage/metering/replication.go
@@ -0,0 +1,157 @@
+package metering
+
+import (
+	"strings"
+	"time"
+
+	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/usagereplica"
+	"ryepaddle/internal/usage/ledger"
+)
+
+const (
+	// maxWaitingRecords bounds the records that wait until they are replicated.
+	maxWaitingRecords = 1 << 13
+	// correctionTimeout is how long a correction waits until it is replicated.
+	correctionTimeout = 2 * time.Second
+)
+
+// ReplicationConfig is how an account is replicated among runners.
+type ReplicationConfig struct {
+	Process   uint32                                // of this runner, as the table names it
+	Send      func(messages []usagereplica.Message) // is called from any goroutine
+	RunOnLoop func(fn func())                       // has fn called on the event loop
+}
+
+// ReplicationStatus is how far the account is replicated, and what is known of other runners'.
+type ReplicationStatus struct {
+	Replicas map[string]uint64 `json:"heirs"` // and how many operations each is behind
+	// InSync says that there are replicas, and that all of them have the account.
+	InSync                bool `json:"told"`
+	RemoteAccounts        int  `json:"known"`            // accounts of other runners that are known here
+	ExpiringAccounts      int  `json:"ending,omitempty"` // those of them whose runners are lost
+	UndeliveredStatements int  `json:"short,omitempty"`  // statements that others do not have yet
+}
+
+// FullyReplicated reports whether all that is known here is on as many runners as it should be.
+func (s *ReplicationStatus) FullyReplicated() bool {
+	return s.InSync && s.ExpiringAccounts == 0 && s.UndeliveredStatements == 0
+}
+
+// StartReplication begins to replicate the account, and to keep replicas of other runners' accounts.
+// It is called once, on the event loop. The error is ErrBusy, or that of the folder.
+func (m *Meter) StartReplication(c ReplicationConfig) error {
+	names, err := m.dir.List()
+	if err != nil {
+		return err
+	}
+	var statements []string
+	for _, name := range names {
+		if strings.HasPrefix(name, "usage-") && strings.HasSuffix(name, ".json") {
+			statements = append(statements, name)
+		}
+	}
+	m.replication, m.remoteDone = c, make(chan struct{})
+	if err := m.enqueue(func(a *accountStore) { a.publisher = newPublisher(m.name, c.Process, a) }); err != nil {
+		return err
+	}
+	go newRemoteAccounts(m, statements).run()
+	return nil
+}
+
+func newPublisher(runner string, process uint32, a *accountStore) *publisher {
+	snapshot := func() []byte { return a.ledger.Encode(a.lastRecord) }
+	return &publisher{
+		primary: usagereplica.NewPrimary(runner, a.ledger.Incarnation(), process, a.ledger.Settings(), snapshot),
+		seals:   map[uint64]uint64{},
+	}
+}
+
+// SetTable takes a newer table of the cluster, and this runner's incarnation in it.
+func (m *Meter) SetTable(t *placement.Table, incarnation uint64) {
+	m.accountBox.setView(clusterView{t, incarnation})
+	m.remoteBox.setView(clusterView{t, incarnation})
+}
+
+// Receive takes a message of another runner.
+func (m *Meter) Receive(message *usagereplica.Message) {
+	if message.Type == usagereplica.MsgProgress {
+		m.accountBox.putMessage(*message)
+		return
+	}
+	m.remoteBox.putMessage(*message)
+}
+
+// waitingRecord is a record whose caller waits until it is replicated.
+type waitingRecord struct {
+	number uint64
+	done   func(error)
+}
+
+// RecordReplicated counts a record, and calls done on the event loop once it is replicated. It sets no
+// deadline. The error is of kind usage.no_room, or ErrNotReplicated when later records take the place
+// of the oldest that wait.
+func (m *Meter) RecordReplicated(r ledger.Record, done func(error)) {
+	if !m.ring.Put(r) {
+		done(errNoRoom)
+		return
+	}
+	if len(m.waiting) >= maxWaitingRecords {
+		oldest := m.waiting[0]
+		m.waiting = m.waiting[1:]
+		oldest.done(ErrNotReplicated)
+	}
+	m.waiting = append(m.waiting, waitingRecord{m.ring.Last(), done})
+	m.accountBox.notify()
+}
+
+// confirmRecords answers those who wait for records up to a number.
+func (m *Meter) confirmRecords(number uint64) {
+	n := 0
+	for n < len(m.waiting) && m.waiting[n].number <= number {
+		n++
+	}
+	confirmed := m.waiting[:n]
+	m.waiting = m.waiting[n:]
+	for _, w := range confirmed {
+		w.done(nil)
+	}
+}
+
+// ReplicationStatus returns how far the account is replicated.
+func (m *Meter) ReplicationStatus() ReplicationStatus {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.status
+}
+
+// replicate exchanges messages with the replicas, and answers those who wait for them. tick says that
+// time has passed, so that what had no answer is sent again.
+func (m *Meter) replicate(p *publisher, tick bool) {
+	if p == nil {
+		return
+	}
+	elapsed := m.elapsed()
+	now := elapsed.Microseconds()
+	messages, _, view := m.accountBox.take()
+	if view.table != nil {
+		p.primary.SetTable(view.table, now)
+	}
+	for i := range messages {
+		p.primary.Receive(&messages[i], now)
+	}
+	p.primary.Flush(now)
+	if tick {
+		p.primary.Tick(now)
+		m.mu.Lock()
+		m.status.Replicas, m.status.InSync = p.primary.Lag(), p.primary.FullyReplicated()
+		m.mu.Unlock()
+	}
+	if out := p.primary.TakeMessages(); len(out) > 0 {
+		m.replication.Send(out)
+	}
+	if record, changed := p.takeConfirmed(); changed {
+		m.replication.RunOnLoop(func() { m.confirmRecords(record) })
+	}
+	p.answerWaiting(elapsed)
+}
--- a/internal/usage/metering/stored_test.go
+++ b/internal/usage/metering/stored_test.go
@@ -5,11 +5,13 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/wallclock"
 )
 
 // writeTestdata has the tests write testdata anew instead of reading it. It is set only to keep the
@@ -18,34 +20,42 @@
 
 const storedDir = "testdata/stored"
 
-func storedUse(at int64, key string) ledger.Record {
+func storedRecord(at wallclock.UnixMicro, key string) ledger.Record {
 	return ledger.Record{
-		AnsweredAt: at, School: "north", Class: "hand-in", Outcome: ledger.OutcomeServed, Work: 2_000, Key: ledger.HashKey("north", "hand-in", key),
+		AnsweredAt:   at,
+		School:       "north",
+		Class:        "hand-in",
+		Outcome:      ledger.OutcomeServed,
+		Work:         2_000,
+		Key:          ledger.HashKey("north", "hand-in", key),
 		KeyExpiresAt: at + 100*sec,
 	}
 }
 
-// writeStored has a process count uses of two periods and write the statement of the first, and
-// leaves two uses in its ring as a kill does.
+// writeStored has a process count records of two periods and write the statement of the first, and
+// leaves two records in its ring as a kill does.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
-	d, _, err := openDesk(store.Dir(dir), settings(), 5*sec, start, "0011aabbccdd", nil, false, false)
+	account, _, err := openAccount(
+		store.Dir(dir),
+		openParams{settings: settings(), saveInterval: 5 * time.Second, now: begin, incarnation: "0011aabbccdd"},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	mem := make([]byte, ledger.RingSize(20))
-	d.ring = ledger.NewRing(mem, d.led.Incarnation(), d.taken)
+	account.ring = ledger.NewRing(mem, account.ledger.Incarnation(), account.lastRecord)
 	for _, step := range []struct {
-		at  int64
+		at  wallclock.UnixMicro
 		key string
-	}{{start + sec, "a"}, {start + 2*sec, "b"}, {start + 601*sec, "c"}} {
-		d.ring.Put(storedUse(step.at, step.key))
-		if err := d.step(step.at + 5*sec); err != nil {
+	}{{begin + sec, "a"}, {begin + 2*sec, "b"}, {begin + 601*sec, "c"}} {
+		account.ring.Put(storedRecord(step.at, step.key))
+		if err := account.advance(step.at + 5*sec); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.ring.Put(storedUse(start+602*sec, "d"))
-	d.ring.Put(storedUse(start+603*sec, "e"))
+	account.ring.Put(storedRecord(begin+602*sec, "d"))
+	account.ring.Put(storedRecord(begin+603*sec, "e"))
 	if err := os.WriteFile(filepath.Join(dir, ringFile), mem, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -71,45 +81,60 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, f, err := openDesk(store.Dir(dir), settings(), 5*sec, start+700*sec, "ffffffffffff", old, true, false)
+	account, found, err := openAccount(
+		store.Dir(dir),
+		openParams{
+			settings:     settings(),
+			saveInterval: 5 * time.Second,
+			now:          begin + 700*sec,
+			incarnation:  "ffffffffffff",
+			oldRing:      old,
+			sameBoot:     true,
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(found{Left: 2}, f); diff != "" {
-		t.Errorf("found (-want +got)\n%s", diff)
+	if found != (recovery{recovered: 2}) {
+		t.Errorf("found %+v, want 2 records that were not saved", found)
 	}
-	want := ledger.Summary{
-		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: start + 600*sec, Statements: 1, Exported: 1, Keys: 3,
+	wantSummary := ledger.Summary{
+		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: begin + 600*sec, Statements: 1,
+		Exported: 1, Keys: 3,
 		Lines: []ledger.Line{{
-			Period: start + 600*sec, School: "north", Class: "hand-in", Count: ledger.Count{Served: 3, Work: 6_000},
+			Period: begin + 600*sec, School: "north", Class: "hand-in", Count: ledger.Count{Served: 3, Work: 6_000},
 			Slices: []int64{3},
 		}},
 	}
-	if diff := cmp.Diff(want, d.led.Summary()); diff != "" {
+	if diff := cmp.Diff(wantSummary, account.ledger.Summary()); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	d.ring = ledger.NewRing(make([]byte, ledger.RingSize(20)), d.led.Incarnation(), d.taken)
-	if err := d.step(start + 1300*sec); err != nil {
+	account.ring = ledger.NewRing(make([]byte, ledger.RingSize(20)), account.ledger.Incarnation(), account.lastRecord)
+	if err := account.advance(begin + 1300*sec); err != nil {
 		t.Fatal(err)
 	}
+	names := statementsIn(t, dir)
+	want := []string{"usage-n0-0011aabbccdd-00000001.json", "usage-n0-0011aabbccdd-00000002.json"}
+	if diff := cmp.Diff(want, names); diff != "" {
+		t.Errorf("statements (-want +got)\n%s", diff)
+	}
+}
+
+func statementsIn(t *testing.T, dir string) (statements []string) {
+	t.Helper()
 	names, err := store.Dir(dir).List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var statements []string
 	for _, name := range names {
 		if strings.HasPrefix(name, "usage-") {
 			statements = append(statements, name)
 		}
 	}
-	if diff := cmp.Diff(
-		[]string{"usage-n0-0011aabbccdd-00000001.json", "usage-n0-0011aabbccdd-00000002.json"}, statements,
-	); diff != "" {
-		t.Errorf("statements (-want +got)\n%s", diff)
-	}
+	return statements
 }
 
-// The same uses make the files of version 1, with the same bytes.
+// The same records make the files of version 1, with the same bytes.
 func TestWritesBytesOfVersion1(t *testing.T) {
 	dir := t.TempDir()
 	writeStored(t, dir)
--- /dev/null
+++ b/internal/usage/metering/worker.go
@@ -0,0 +1,92 @@
+package metering
+
+import (
+	"time"
+
+	"ryepaddle/internal/wallclock"
+)
+
+// accountWorker is the goroutine that keeps the account.
+type accountWorker struct {
+	meter   *Meter
+	account *accountStore
+
+	failedAt     time.Time // since when the disk fails; zero: it does not
+	retryAt      time.Time // until then it is left alone
+	reportedLost uint64    // records of the ring whose loss was logged
+}
+
+// run goes on until the meter is closed.
+func (w *accountWorker) run() {
+	m := w.meter
+	defer close(m.done)
+	tick := time.NewTicker(pollInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			w.advanceUnlessBackoff()
+			m.replicate(w.account.publisher, true)
+		case <-m.accountBox.ready:
+			w.account.countRing()
+			m.replicate(w.account.publisher, false)
+		case question := <-m.questions:
+			w.advanceUnlessBackoff()
+			question(w.account)
+			m.replicate(w.account.publisher, false)
+		case <-m.closing:
+			w.finish()
+			return
+		}
+	}
+}
+
+// finish saves what is not saved yet.
+func (w *accountWorker) finish() {
+	w.advance()
+	if !w.account.dirty {
+		return
+	}
+	if err := w.account.save(wallclock.FromTime(wallclock.Now())); err != nil {
+		eventDiskFailed.Log(err)
+	}
+}
+
+// advanceUnlessBackoff advances the account, unless the disk failed a short time ago.
+func (w *accountWorker) advanceUnlessBackoff() {
+	if !time.Now().Before(w.retryAt) {
+		w.advance()
+	}
+}
+
+// advance has the account count, seal, save and export what is due, and logs what became of it.
+func (w *accountWorker) advance() {
+	err := w.account.advance(wallclock.FromTime(wallclock.Now()))
+	for _, name := range w.account.takeExported() {
+		eventExported.Log(name)
+		if w.account.publisher != nil {
+			w.meter.remoteBox.putExported(name)
+		}
+	}
+	if lost := w.account.ringLost; lost != w.reportedLost {
+		eventLost.Log(lost-w.reportedLost, "the disk did not take what was counted before")
+		w.reportedLost = lost
+	}
+	w.noteDisk(err)
+}
+
+// noteDisk logs when the disk begins to fail and when it works again.
+func (w *accountWorker) noteDisk(err error) {
+	if err != nil {
+		if w.failedAt.IsZero() {
+			w.failedAt = time.Now()
+			eventDiskFailed.Log(err)
+		}
+		w.retryAt = time.Now().Add(retryBackoff)
+		return
+	}
+	if !w.failedAt.IsZero() {
+		eventDiskRecovered.Log(time.Since(w.failedAt).Milliseconds())
+		w.failedAt = time.Time{}
+	}
+}
