--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -198,7 +198,7 @@
 	}
 	var among lifecycle.Reservations = claimer{r}
 	if r.peers != nil {
-		kept, among = r.peers.Keeper(kept), r.peers
+		kept, among = r.peers.KeyStore(kept), r.peers
 	}
 	if r.core, err = lifecycle.New(cfg.Settings, cfg.Seed, r.host(kept, among, life)); err != nil {
 		return nil, err
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -32,11 +32,9 @@
 			Listen:        config.MustParseAddr(s.Listen),
 			FullMeshLimit: int(s.MeshSize),
 		},
-		Slots: int(s.Slots),
-		Backups: int(
-			s.Replicas,
-		),
-		ReplicationTimeout: s.TimeoutMs * 1000,
+		Slots:              int(s.Slots),
+		Backups:            int(s.Replicas),
+		ReplicationTimeout: time.Duration(s.TimeoutMs) * time.Millisecond,
 		CatchUpRate:        s.RepairKBPerSecond << 10,
 		Dir:                s.Dir,
 		MaxBytes:           int(cmp.Or(s.MemoryMB, int64(r.cfg.MemoryMB)/4)) << 20,
@@ -45,7 +43,7 @@
 	}
 	cfg.LeaseRules, cfg.CheckedZones = s.LeaseRules()
 	for _, c := range r.cfg.Settings.Classes {
-		cfg.KeyWindow = max(cfg.KeyWindow, c.IdempotencyWindow.Microseconds())
+		cfg.KeyWindow = max(cfg.KeyWindow, c.IdempotencyWindow)
 	}
 	for _, m := range s.Members {
 		if m.Voter {
@@ -119,8 +117,8 @@
 		group,
 		m.Name,
 		m.Zone,
-		interval.Microseconds(),
-		c.r.loop.Now().Microseconds(),
+		interval,
+		c.r.loop.Now(),
 		m.State == endpointhealth.InService || m.State == endpointhealth.WarmingUp,
 		d.Holds,
 	)
@@ -140,7 +138,7 @@
 		group,
 		m.Name,
 		passed,
-		c.r.loop.Now().Microseconds(),
+		c.r.loop.Now(),
 	)
 }
 
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -3,6 +3,7 @@
 import (
 	"net/netip"
 	"reflect"
+	"time"
 
 	"ryepaddle/internal/peers/lease"
 	"ryepaddle/internal/peers/placement"
@@ -64,7 +65,7 @@
 // LeaseRules returns the rules by which the consensus group grants leases, and the zones whose
 // health checks are leased.
 func (p *Peers) LeaseRules() (r lease.Rules, zones []string) {
-	r = lease.Rules{MaxPerMember: int(p.Leases.Each), ExpiryBackoff: int64(p.Leases.AgainS * 1e6)}
+	r = lease.Rules{MaxPerMember: int(p.Leases.Each), ExpiryBackoff: time.Duration(p.Leases.AgainS*1e6) * time.Microsecond}
 	for _, c := range p.Leases.Checks {
 		prefer := c.Prefer
 		if len(prefer) == 0 {
--- a/internal/peers/consensus/errors.go
+++ b/internal/peers/consensus/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// What can go wrong here, and what an operator can do about it.
+// The kinds of errors of this package.
 var (
 	kindUnknownMember = fault.Define("peers.stranger", "No member of the runners that keep copies has the name.",
 		"Look at the names with runner peers; a new runner is added to all files and started first.")
@@ -24,3 +24,15 @@
 	kindConsensusFailed = fault.Define("peers.council", "The consensus group of the runners cannot go on here.",
 		"Start this runner anew; the others go on without it.")
 )
+
+// Errors of SetLeaving.
+var (
+	// ErrUnknownMember is the error for a name that no member has.
+	ErrUnknownMember error = kindUnknownMember.New("consensus: no member has that name")
+	// ErrVersionTooOld is the error while a voter does not understand members that leave.
+	ErrVersionTooOld error = kindVersionTooOld.New(
+		"consensus: a voter is of an older version, which knows nothing of members that leave",
+	)
+	// ErrTooFewMembers is the error if the members that stay could not hold all copies.
+	ErrTooFewMembers error = kindTooFewMembers.New("consensus: too few others are left to hold its copies")
+)
--- a/internal/peers/consensus/logger.go
+++ b/internal/peers/consensus/logger.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// silentLogger has the library say nothing: what matters of it is told by who uses it.
+// silentLogger discards what the Raft library logs. Its fatal errors panic: they are faults of the
+// program.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any) {}
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -15,7 +16,7 @@
 type room struct {
 	t      *testing.T
 	r      *rand.Rand
-	now    int64
+	now    time.Duration
 	all    map[string]*Participant
 	disks  map[string][]DurableRecord
 	away   map[string]bool
@@ -60,11 +61,14 @@
 	r.all[name] = c
 }
 
-// run plays so many milliseconds.
-func (r *room) run(ms int) {
+// stepInterval is the time between two ticks of all runners.
+const stepInterval = 10 * time.Millisecond
+
+// run plays for a while.
+func (r *room) run(d time.Duration) {
 	r.t.Helper()
-	for range ms / 10 {
-		r.now += 10_000
+	for range d / stepInterval {
+		r.now += stepInterval
 		var mail []Message
 		for _, name := range r.names {
 			c := r.all[name]
@@ -133,19 +137,19 @@
 // member, and it comes back with a new vote.
 func TestCouncil(t *testing.T) {
 	r := newRoom(t, 6, 3)
-	r.run(8000)
+	r.run(8 * time.Second)
 	if n := r.in(); n != 6 {
 		t.Fatalf("%d are in", n)
 	}
 	lost := r.leader()
 	delete(r.all, lost)
 	delete(r.disks, lost)
-	r.run(8000)
+	r.run(8 * time.Second)
 	if n := r.in(); n != 5 || r.leader() == lost {
 		t.Fatalf("%d are in after the loss of %s", n, lost)
 	}
 	r.start(lost)
-	r.run(8000)
+	r.run(8 * time.Second)
 	if n := r.in(); n != 6 {
 		t.Fatalf("%d are in once it is back", n)
 	}
@@ -155,7 +159,7 @@
 			delete(r.all, name)
 		}
 	}
-	r.run(8000)
+	r.run(8 * time.Second)
 	if n := r.in(); n != 5 {
 		t.Fatalf("%d are in when two of three voters are there", n)
 	}
@@ -165,40 +169,40 @@
 // agrees on nothing, and does not take the consensus group for heard.
 func TestColdStartAndCut(t *testing.T) {
 	r := newRoom(t, 5, 3)
-	r.run(8000)
+	r.run(8 * time.Second)
 	before := r.agreed().Version
 	for _, name := range r.names {
 		r.start(name)
 	}
-	r.run(8000)
+	r.run(8 * time.Second)
 	if after := r.agreed(); after.Version <= before || r.in() != 5 {
 		t.Fatalf("version %d after %d, %d are in", after.Version, before, r.in())
 	}
 	alone := r.leader()
 	r.away[alone] = true
 	at := r.all[alone].Table().Version
-	r.run(8000)
+	r.run(8 * time.Second)
 	c := r.all[alone]
 	if c.IsLeader() || c.Table().Version != at || r.now-c.LastContact() < 6*QuorumTimeout {
 		t.Errorf(
-			"cut off it leads: %v, version %d after %d, heard %d ms ago",
+			"cut off it leads: %v, version %d after %d, heard %v ago",
 			c.IsLeader(),
 			c.Table().Version,
 			at,
-			(r.now-c.LastContact())/1000,
+			r.now-c.LastContact(),
 		)
 	}
 	if r.in() != 4 {
 		t.Errorf("%d are in", r.in())
 	}
 	delete(r.away, alone)
-	r.run(3000)
+	r.run(3 * time.Second)
 	if !c.DeclaredLost() {
 		t.Error("it does not learn that it was lost")
 	}
 	r.lives++
 	c.Rejoin(r.lives)
-	r.run(5000)
+	r.run(5 * time.Second)
 	if r.in() != 5 {
 		t.Errorf("%d are in once it is back", r.in())
 	}
@@ -208,9 +212,9 @@
 func TestMessages(t *testing.T) {
 	for _, runners := range []int{5, 20, 100} {
 		r := newRoom(t, runners, 3)
-		r.run(20_000)
+		r.run(20 * time.Second)
 		clear(r.sent)
-		r.run(10_000)
+		r.run(10 * time.Second)
 		most := 0
 		for _, name := range r.names[3:] {
 			most = max(most, r.sent[name])
@@ -230,7 +234,7 @@
 // A log that is cut by snapshots is the same table after a start.
 func TestCompacted(t *testing.T) {
 	r := newRoom(t, 1, 1)
-	r.run(3000)
+	r.run(3 * time.Second)
 	c := r.all["n001"]
 	for i := range 3 * compactAfterEntries {
 		c.Propose(
@@ -239,7 +243,7 @@
 			},
 			r.now,
 		)
-		r.run(10)
+		r.run(10 * time.Millisecond)
 	}
 	want := c.Table()
 	if n := len(r.disks["n001"]); n > compactAfterEntries+100 {
@@ -250,7 +254,7 @@
 		r.all["n001"].Table().Version == 0 {
 		t.Error(diff)
 	}
-	r.run(3000)
+	r.run(3 * time.Second)
 	if got := r.agreed(); got.Version < want.Version {
 		t.Errorf("version %d, was %d", got.Version, want.Version)
 	}
@@ -260,22 +264,22 @@
 // before: else two tables would be acted on.
 func TestBegunAnew(t *testing.T) {
 	r := newRoom(t, 6, 3)
-	r.run(8000)
+	r.run(8 * time.Second)
 	for range 20 { // so that the table before is ahead of one that begins
 		r.start(r.names[5])
-		r.run(3000)
+		r.run(3 * time.Second)
 	}
 	for _, name := range r.voters {
 		delete(r.disks, name)
 		r.start(name)
 	}
-	r.run(4000)
+	r.run(4 * time.Second)
 	if r.leader() == "" {
 		t.Fatal("the voters do not begin")
 	}
 	for _, name := range r.names[3:] {
 		if ago := r.now - r.all[name].LastContact(); ago < 2*QuorumTimeout {
-			t.Errorf("%s hears the new consensus group %d ms ago", name, ago/1000)
+			t.Errorf("%s hears the new consensus group %v ago", name, ago)
 		}
 	}
 }
--- a/internal/peers/lease/cluster_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"strings"
 	"testing"
+	"time"
 
 	"ryepaddle/internal/peers/consensus"
 	"ryepaddle/internal/peers/lease"
@@ -88,7 +89,7 @@
 		noted:   map[string]uint64{},
 	}
 	w.Tell = tell
-	w.rules = lease.Rules{MaxPerMember: (duties+runners-1)/runners + 1, ExpiryBackoff: 500 * ms}
+	w.rules = lease.Rules{MaxPerMember: (duties+runners-1)/runners + 1, ExpiryBackoff: 500 * time.Millisecond}
 	for i := range duties {
 		w.rules.Rules = append(
 			w.rules.Rules,
@@ -130,10 +131,7 @@
 		p.log = disk.([]consensus.DurableRecord)
 	}
 	n.Holds = p
-	clock := n.Boot
-	if w.wrong.suspended {
-		clock = n.Mono
-	}
+	clock := p.clock
 	var err error
 	p.c, err = consensus.New(
 		consensus.Config{
@@ -147,13 +145,13 @@
 		},
 		placement.Member{Name: n.Name, Zone: n.Hall, Incarnation: p.life, Process: uint32(n.Life)},
 		p.log,
-		n.Mono(),
+		p.mono(),
 	)
 	if err != nil {
 		panic(err)
 	}
 	p.h = lease.NewHolder(n.Name, p.life)
-	p.c.OnLeaderConfirmed(func(asked int64, version uint64) {
+	p.c.OnLeaderConfirmed(func(asked time.Duration, version uint64) {
 		if w.wrong.fromHeard {
 			asked = clock()
 		}
@@ -163,16 +161,16 @@
 		p.h.ConfirmLeader(asked, version)
 	})
 	n.Every(20*ms, func() {
-		p.c.Tick(n.Mono())
+		p.c.Tick(p.mono())
 		p.flush(clock())
 	})
 	n.Every(60*ms, func() { p.work(clock()) })
 }
 
-func (p *process) flush(clock int64) {
+func (p *process) flush(clock time.Duration) {
 	w := p.w
 	for range 3 {
-		p.c.Propose(p.h.PendingChanges(clock), p.n.Mono())
+		p.c.Propose(p.h.PendingChanges(clock), p.mono())
 		out, kept, err := p.c.Ready()
 		if err != nil {
 			panic(err)
@@ -258,19 +256,26 @@
 			}
 		}
 	}
-	p.c.Receive(&m, p.n.Mono())
+	p.c.Receive(&m, p.mono())
 	p.flush(p.clock())
 }
 
-func (p *process) clock() int64 {
+// clock is the one that leases go by.
+func (p *process) clock() time.Duration {
 	if p.w.wrong.suspended {
-		return p.n.Mono()
+		return p.mono()
 	}
-	return p.n.Boot()
+	return duration(p.n.Boot())
 }
 
+// mono is the clock that stands still while the machine is suspended.
+func (p *process) mono() time.Duration { return duration(p.n.Mono()) }
+
+// duration is a span of the simulated cluster, which counts microseconds.
+func duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
 // believe looks from outside at what this process thinks that it holds.
-func (p *process) believe(clock int64) {
+func (p *process) believe(clock time.Duration) {
 	w, held := p.w, p.h.HeldLeases(clock)
 	for name, b := range w.beliefs { // it may have given it back
 		if b.node == p.n && b.life == p.n.Life &&
@@ -281,9 +286,9 @@
 	}
 	for _, g := range held {
 		// What its clock says in true time: one that stands still only ever makes it later.
-		until := w.Now() + int64(float64(g.ExpiresAt-clock))
+		until := w.Now() + (g.ExpiresAt - clock).Microseconds()
 		if !w.wrong.suspended {
-			until = p.n.True(g.ExpiresAt)
+			until = p.n.True(g.ExpiresAt.Microseconds())
 		}
 		b := w.beliefs[g.Lease]
 		if (b.node != p.n || b.life != p.n.Life) && b.node != nil && b.until > w.Now() &&
@@ -310,7 +315,7 @@
 
 // work looks at what it holds, and acts on it a while later, as a process that is held between its
 // look and its act does.
-func (p *process) work(clock int64) {
+func (p *process) work(clock time.Duration) {
 	w := p.w
 	for _, g := range p.h.HeldLeases(clock) {
 		if p.does[g.Lease] != g.Token {
@@ -434,7 +439,7 @@
 			n.Up,
 			p.life,
 			p.c.IsLeader(),
-			(n.Mono()-p.c.LastContact())/ms,
+			(p.mono() - p.c.LastContact()).Milliseconds(),
 			t.Version,
 			t.BootstrapTime,
 		)
--- a/internal/peers/lease/errors.go
+++ b/internal/peers/lease/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// What can go wrong here, and what an operator can do about it.
+// kindFenced is the kind of errors of a Fence.
 var kindFenced = fault.Define(
 	"peers.fenced",
 	"Something was done for a duty by a runner that had lost it meanwhile, and was not taken.",
--- a/internal/peers/lease/fence.go
+++ b/internal/peers/lease/fence.go
@@ -2,34 +2,33 @@
 
 import "maps"
 
-// maxFenced bounds the duties that a fence knows.
+// maxFenced bounds the leases whose tokens a fence remembers.
 const maxFenced = 1024
 
-// Fence is kept by whatever takes the effects of duties. No lease saves from a holder that stops
-// between its look at the clock and its act; a fence does: it takes no effect under a token that is
-// lower than one that it has seen. Look and effect are one step.
+// Fence rejects acts under a lease whose token is lower than one that it has seen. It is kept by
+// whatever takes the acts; the check and the act are one step there.
 type Fence struct{ tokens map[string]uint64 }
 
-// Check looks at the token of an effect, and remembers it.
-func (f *Fence) Check(duty string, token uint64) error {
-	newest, known := f.tokens[duty]
+// Check rejects an act under an older token, and remembers a newer one.
+func (f *Fence) Check(lease string, token uint64) error {
+	newest, known := f.tokens[lease]
 	switch {
 	case token == 0:
-		return kindFenced.New("lease: an effect of %s without a token", duty)
+		return kindFenced.New("lease: an effect of %s without a token", lease)
 	case token < newest:
-		return kindFenced.New("lease: an effect of %s under token %d, and %d was seen", duty, token, newest)
+		return kindFenced.New("lease: an effect of %s under token %d, and %d was seen", lease, token, newest)
 	case !known && len(f.tokens) >= maxFenced:
-		return kindFenced.New("lease: %s is one more than the %d duties that are known here", duty, maxFenced)
+		return kindFenced.New("lease: %s is one more than the %d duties that are known here", lease, maxFenced)
 	}
 	if f.tokens == nil {
 		f.tokens = map[string]uint64{}
 	}
-	f.tokens[duty] = token
+	f.tokens[lease] = token
 	return nil
 }
 
-// Tokens are the highest tokens by duty, for where they outlive a process.
+// Tokens returns the highest tokens by lease, for a fence that outlives the process.
 func (f *Fence) Tokens() map[string]uint64 { return maps.Clone(f.tokens) }
 
-// Restore takes what was seen before.
-func (f *Fence) Restore(seen map[string]uint64) { f.tokens = maps.Clone(seen) }
+// Restore replaces the tokens by those of an earlier process.
+func (f *Fence) Restore(tokens map[string]uint64) { f.tokens = maps.Clone(tokens) }
--- a/internal/peers/lease/health_report_test.go
+++ b/internal/peers/lease/health_checks_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -13,7 +14,7 @@
 // One runner asks for all; others ask for themselves what they were not told, were told ill or too
 // long ago, and where nobody holds the duty.
 func TestWhoAsks(t *testing.T) {
-	const every = 1_000_000
+	const every = time.Second
 	held := func(duty string) (uint64, bool) { return 7, duty == "checks-h1" }
 	none := func(string) (uint64, bool) { return 0, false }
 	a, b := lease.NewHealthChecks([]string{"h1"}), lease.NewHealthChecks([]string{"h1"})
@@ -26,25 +27,25 @@
 	}
 	a.RecordResult(name, token, "g", "s1", true, 0)
 	a.RecordResult(name, token, "g", "s2", false, 0)
-	tales := a.TakeReports("n1", 500_000, held)
+	tales := a.TakeReports("n1", 500*time.Millisecond, held)
 	if len(tales) != 1 || len(a.TakeReports("n1", 0, held)) != 0 {
 		t.Fatalf("told: %+v", tales)
 	}
-	if err := b.Receive(&tales[0], 10_000_000); err != nil {
+	if err := b.Receive(&tales[0], 10*time.Second); err != nil {
 		t.Error(err)
 	}
 	for _, c := range []struct {
 		what, server string
-		after        int64
+		after        time.Duration
 		sure, ask    bool
-	}{{"told well", "s1", 100_000, true, false}, {"told ill", "s2", 100_000, true, true}, {"told nothing", "s3", 100_000, true, true},
-		{"it is to come back", "s1", 100_000, false, true}, {"two rounds ago", "s1", 2*every - 500_000, true, false}, {"longer ago", "s1", 2*every - 499_999, true, true}} {
-		if ask, _, _ := b.ShouldCheck("g", c.server, "h1", every, 10_000_000+c.after, c.sure, none); ask != c.ask {
+	}{{"told well", "s1", 100 * time.Millisecond, true, false}, {"told ill", "s2", 100 * time.Millisecond, true, true}, {"told nothing", "s3", 100 * time.Millisecond, true, true},
+		{"it is to come back", "s1", 100 * time.Millisecond, false, true}, {"two rounds ago", "s1", 2*every - 500*time.Millisecond, true, false}, {"longer ago", "s1", 2*every - 500*time.Millisecond + time.Microsecond, true, true}} {
+		if ask, _, _ := b.ShouldCheck("g", c.server, "h1", every, 10*time.Second+c.after, c.sure, none); ask != c.ask {
 			t.Errorf("%s: asks %v", c.what, ask)
 		}
 	}
 	tales[0].Token = 6
-	if b.Receive(&tales[0], 11_000_000) == nil || b.Stale != 1 {
+	if b.Receive(&tales[0], 11*time.Second) == nil || b.Stale != 1 {
 		t.Error("a tale of who has lost the duty is taken")
 	}
 	a.RecordResult(name, 7, "g", "s1", true, 0)
@@ -64,7 +65,7 @@
 	for range 4 {
 		all.Go(func() {
 			for last := uint64(0); !done.Load(); {
-				token, ok := b.Holds("d", 5)
+				token, ok := b.Holds("d", 5*time.Microsecond)
 				if ok != (token%2 == 1) || token < last {
 					t.Errorf("token %d after %d, %v", token, last, ok)
 					return
@@ -77,7 +78,7 @@
 		b.Set(
 			[]lease.Grant{
 				{Lease: "other", Token: token},
-				{Lease: "d", Token: token, ExpiresAt: int64(token%2) * 10},
+				{Lease: "d", Token: token, ExpiresAt: time.Duration(token%2) * 10 * time.Microsecond},
 			},
 		)
 	}
@@ -103,8 +104,8 @@
 // swapped, and a lock.
 func BenchmarkLook(b *testing.B) {
 	page := []lease.Grant{
-		{Lease: "checks-hall1", Token: 5, ExpiresAt: 1 << 60},
-		{Lease: "checks-hall2", Token: 6, ExpiresAt: 1 << 60},
+		{Lease: "checks-hall1", Token: 5, ExpiresAt: math.MaxInt64},
+		{Lease: "checks-hall2", Token: 6, ExpiresAt: math.MaxInt64},
 	}
 	book, mu := &lease.Snapshot{}, &sync.RWMutex{}
 	locked := func() (token uint64) {
@@ -119,7 +120,7 @@
 	}
 	book.Set(page)
 	for _, threads := range []int{1, 2, 4, 6} {
-		for name, look := range map[string]func(){"page": func() { book.Holds("checks-hall2", 1) }, "lock": func() { locked() }} {
+		for name, look := range map[string]func(){"page": func() { book.Holds("checks-hall2", time.Microsecond) }, "lock": func() { locked() }} {
 			b.Run(fmt.Sprintf("%s/%d", name, threads), func(b *testing.B) {
 				stop, gone := make(chan bool), make(chan bool)
 				go changes(stop, gone, func() {
--- a/internal/peers/lease/lease_test.go
+++ b/internal/peers/lease/lease_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -35,10 +36,10 @@
 	return p
 }
 
-func asked(string) int64 { return 1000 }
+func asked(string) time.Duration { return time.Millisecond }
 
 // grant has the table take what the granter wants, and tells who holds what.
-func grant(g *lease.Granter, p *placement.Table, now int64) map[string]string {
+func grant(g *lease.Granter, p *placement.Table, now time.Duration) map[string]string {
 	for _, c := range g.Grants(p, now, asked) {
 		p.Apply(c)
 	}
@@ -85,15 +86,15 @@
 // Who loses a duty without giving it back waits longer each time; a name that is back in another
 // life is not relied on before its lease is over.
 func TestPauses(t *testing.T) {
-	const again = 10_000_000
+	const again = 10 * time.Second
 	p := members(t, "n1")
 	g := lease.NewGranter(
 		lease.Rules{MaxPerMember: 1, ExpiryBackoff: again, Rules: []lease.Rule{{Name: "a"}}},
 		7,
 	)
-	now, life := int64(0), uint64(10)
+	now, life := time.Duration(0), uint64(10)
 	grant(g, p, now)
-	for _, pause := range []int64{again, 2 * again, 4 * again} {
+	for _, pause := range []time.Duration{again, 2 * again, 4 * again} {
 		life++
 		p.Apply(
 			placement.Change{
@@ -110,11 +111,11 @@
 		if got := grant(g, p, now); len(got) > 0 {
 			t.Errorf("granted at once: %v", got)
 		}
-		if got := grant(g, p, now+pause-1); len(got) > 0 {
-			t.Errorf("granted before %d: %v", pause, got)
+		if got := grant(g, p, now+pause-time.Microsecond); len(got) > 0 {
+			t.Errorf("granted before %v: %v", pause, got)
 		}
 		if now += pause; len(grant(g, p, now)) == 0 {
-			t.Errorf("not granted after %d", pause)
+			t.Errorf("not granted after %v", pause)
 		}
 	}
 	p = members(t, "n1", "n2")
@@ -129,7 +130,7 @@
 			Member: placement.Member{Name: "n1", Zone: "hall1", Incarnation: 9, Process: 9, LeaseNames: []string{"a"}},
 		},
 	)
-	for now, want := range map[int64]int{0: 0, lease.TTL: 0, lease.TTL + lease.ClockMargin: 1} {
+	for now, want := range map[time.Duration]int{0: 0, lease.TTL: 0, lease.TTL + lease.ClockMargin: 1} {
 		q := p.Clone()
 		h := lease.NewGranter(
 			lease.Rules{MaxPerMember: 1, Rules: []lease.Rule{{Name: "a", Zones: []string{"hall1"}}}},
@@ -137,7 +138,7 @@
 		)
 		grant(h, q, 0)
 		if got := grant(h, q, now); len(got) != want {
-			t.Errorf("after %d us: %v", now, got)
+			t.Errorf("after %v: %v", now, got)
 		}
 	}
 }
@@ -156,24 +157,24 @@
 	)
 	h := lease.NewHolder("n1", 1)
 	h.SetTable(p)
-	until := func(now int64) int64 {
+	until := func(now time.Duration) time.Duration {
 		if held := h.HeldLeases(now); len(held) == 1 {
 			return held[0].ExpiresAt
 		}
 		return 0
 	}
-	if got, want := until(1000), int64(1000+lease.TTL-lease.ClockMargin); got != want || until(want) != 0 {
-		t.Errorf("until %d, and %d is wanted and no longer", got, want)
+	if got, want := until(time.Millisecond), time.Millisecond+lease.TTL-lease.ClockMargin; got != want || until(want) != 0 {
+		t.Errorf("until %v, and %v is wanted and no longer", got, want)
 	}
-	h.ConfirmLeader(500_000, p.Version+1)
-	if got, want := until(1000), int64(1000+lease.TTL-lease.ClockMargin); got != want {
-		t.Errorf("until %d by a word of a leader that knew more", got)
+	h.ConfirmLeader(500*time.Millisecond, p.Version+1)
+	if got, want := until(time.Millisecond), time.Millisecond+lease.TTL-lease.ClockMargin; got != want {
+		t.Errorf("until %v by a word of a leader that knew more", got)
 	}
 	q := p.Clone()
 	q.Version++
 	h.SetTable(q)
-	if got, want := until(1000), int64(500_000+lease.TTL-lease.ClockMargin); got != want {
-		t.Errorf("until %d, and %d is wanted once it knows as much", got, want)
+	if got, want := until(time.Millisecond), 500*time.Millisecond+lease.TTL-lease.ClockMargin; got != want {
+		t.Errorf("until %v, and %v is wanted once it knows as much", got, want)
 	}
 	told := []bool{}
 	done := func(ok bool) { told = append(told, ok) }
@@ -188,7 +189,7 @@
 		t.Errorf("left is %q", q.Lease("a").Handover)
 	}
 	h.Release("a", []byte("3"), done)
-	if until(1000) != 0 {
+	if until(time.Millisecond) != 0 {
 		t.Error("it goes on with what it gave back")
 	}
 	for _, c := range h.PendingChanges(0) {
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -12,132 +12,136 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// What is told to operators.
 var (
-	eventDiskOpened = logging.Define(
-		"peers.disk_opened",
-		slog.LevelInfo,
-		"folder",
-		"records",
-		"slots",
-		"cut",
-		"damaged",
-	)
+	eventDiskOpened = logging.Define("peers.disk_opened", slog.LevelInfo,
+		"folder", "records", "slots", "cut", "damaged")
 	eventDiskFailed    = logging.Define("peers.disk_failed", slog.LevelError, "error")
 	eventDiskRecovered = logging.Define("peers.disk_back", slog.LevelInfo, "ms")
 )
 
 const (
-	slotSaveInterval = 30_000_000 // for each slot that has changed, in microseconds
-	maxQueuedOutputs = 1024       // words that wait for the disk
-	closeTimeout     = time.Second
+	// slotSaveInterval is the least time between two saves of one slot.
+	slotSaveInterval = 30 * time.Second
+	// diskRetryInterval is the time after which a record that could not be written is tried again.
+	diskRetryInterval = time.Second
+	// closeTimeout bounds how long Close waits for the disk.
+	closeTimeout = time.Second
+	// maxQueuedOutputs bounds the outputs that wait for the disk.
+	maxQueuedOutputs = 1024
+	// maxQueuedWork bounds the work that waits for the disk's goroutine.
+	maxQueuedWork = 4
 )
 
-// consensusOutput is what the consensus group said at once: its words, and the table, are good only once its
-// record is on the disk.
+// consensusOutput is one output of the consensus group: its messages may be sent, and its table
+// holds, only once its record is on disk.
 type consensusOutput struct {
 	messages []consensus.Message
-	record   *consensus.DurableRecord // nil: nothing is to be kept
+	record   *consensus.DurableRecord // nil: nothing has to be on disk
 	table    *placement.Table
 }
 
-// localKeeper has what the consensus group keeps on the disk before its words go out, and what is held of
-// slots now and then. Its methods are called on the loop; files are written by a goroutine of its
-// own.
+// disk writes the consensus group's records before its messages go out, and saves slots now and
+// then. Its methods are called on the loop; a goroutine of its own does the writing.
 type disk struct {
 	node        *Node
+	log         *wal.Log // used by the goroutine only
+	work        chan func()
+	stopped     chan struct{} // closed once the goroutine has closed the log
 	queue       []consensusOutput
-	newestTable *placement.Table // of them, or released
+	newestTable *placement.Table // queued or released
 	writing     bool
-	failedSince int64 // since when the disk does; 0: it does not
-	work        chan func()
-	done        chan struct{}
-	nextSlot    int     // whose turn it is to be saved
-	savedAt     []int64 // when each slot was
-	saving      bool    // one is being saved
+	failedSince time.Duration // 0: the disk does not fail
+	nextSlot    int
+	savedAt     []time.Duration // of each slot
+	saving      bool
 }
 
-// openDisk takes a folder.
-func (p *Node) openDisk(
-	dir string,
-) (log []consensus.DurableRecord, saved []replication.SlotSnapshot, err error) {
-	v, found, err := wal.Open(store.Dir(dir))
+// openDisk opens the folder of the log, and returns what is in it.
+func (n *Node) openDisk(dir string) ([]consensus.DurableRecord, []replication.SlotSnapshot, error) {
+	log, recovery, err := wal.Open(store.Dir(dir))
 	if err != nil {
 		return nil, nil, err
 	}
-	eventDiskOpened.Log(dir, len(found.Log), len(found.Slots), found.TruncatedBytes, found.DamagedSlots)
-	d := &disk{node: p, work: make(chan func(), 4), done: make(chan struct{})}
-	go func() {
-		defer close(d.done)
-		for fn := range d.work {
-			fn()
-		}
-		if err := v.Close(); err != nil {
-			eventDiskFailed.Log(err)
-		}
-	}()
-	p.disk, p.log = d, v
-	return found.Log, found.Slots, nil
+	eventDiskOpened.Log(dir, len(recovery.Log), len(recovery.Slots), recovery.TruncatedBytes, recovery.DamagedSlots)
+	d := &disk{node: n, log: log, work: make(chan func(), maxQueuedWork), stopped: make(chan struct{})}
+	go d.run()
+	n.disk = d
+	return recovery.Log, recovery.Slots, nil
+}
+
+// run does the writing until Close closes the work.
+func (d *disk) run() {
+	defer close(d.stopped)
+	for fn := range d.work {
+		fn()
+	}
+	if err := d.log.Close(); err != nil {
+		eventDiskFailed.Log(err)
+	}
 }
 
-// enqueue has words wait for what is to be on the disk before them. Where a disk hangs, words that
-// keep nothing are lost, as others on the way may be.
-func (d *disk) enqueue(h consensusOutput) {
-	if d.newestTable = h.table; len(d.queue) >= maxQueuedOutputs && h.record == nil {
-		d.queue[len(d.queue)-1].table = h.table
+// enqueue releases an output once all before it are released and its record is on disk. While a disk
+// hangs, messages without a record are lost, as others on their way may be.
+func (d *disk) enqueue(output consensusOutput) {
+	d.newestTable = output.table
+	if len(d.queue) >= maxQueuedOutputs && output.record == nil {
+		d.queue[len(d.queue)-1].table = output.table
 		return
 	}
-	d.queue = append(d.queue, h)
+	d.queue = append(d.queue, output)
 	d.writeNext()
 }
 
+// writeNext releases the outputs without a record at the front of the queue, and begins to write the
+// first record.
 func (d *disk) writeNext() {
 	for len(d.queue) > 0 && !d.writing {
-		h := d.queue[0]
-		if h.record == nil {
+		output := d.queue[0]
+		if output.record == nil {
 			d.queue = d.queue[1:]
-			d.node.release(h)
+			d.node.release(output)
 			continue
 		}
 		d.writing = true
 		d.work <- func() {
-			err := d.node.log.Append(h.record)
+			err := d.log.Append(output.record)
 			d.node.loop.Deliver(func() { d.handleWritten(err) })
 		}
 	}
 }
 
-// handleWritten hears that the first of those that wait is on the disk, or is not: then it is tried again,
-// and until it is there this voter says nothing, so that the others go on without it.
+// handleWritten releases the first output of the queue, or tries its record again after a pause. Until
+// that is on disk this voter sends nothing, so that the others go on without it.
 func (d *disk) handleWritten(err error) {
 	d.writing = false
-	now := d.node.loop.Now().Microseconds()
-	switch {
-	case err != nil:
+	now := d.node.loop.Now()
+	if err != nil {
 		if d.failedSince == 0 {
 			d.failedSince = now
 			eventDiskFailed.Log(err)
 		}
 		d.writing = true
-		d.node.loop.After(time.Duration(slotSaveInterval/30)*time.Microsecond, func() {
+		d.node.loop.After(diskRetryInterval, func() {
 			d.writing = false
 			d.writeNext()
 		})
 		return
-	case d.failedSince != 0:
-		eventDiskRecovered.Log((now - d.failedSince) / 1000)
+	}
+	if d.failedSince != 0 {
+		eventDiskRecovered.Log((now - d.failedSince).Milliseconds())
 		d.failedSince = 0
 	}
-	h := d.queue[0]
+	output := d.queue[0]
 	d.queue = d.queue[1:]
-	d.node.release(h)
+	d.node.release(output)
 	d.writeNext()
 	d.node.flush()
 }
 
-// saveNextSlot has the next slot that has changed on the disk, one at a time.
+// saveNextSlot saves the next slot that is due, one at a time. A slot that is not saved is only sent
+// anew by the others.
 func (d *disk) saveNextSlot() {
-	now, slots := d.node.loop.Now().Microseconds(), len(d.node.consensus.Table().Slots)
+	now, slots := d.node.loop.Now(), len(d.node.consensus.Table().Slots)
 	if d.saving || slots == 0 || len(d.work) > 0 {
 		return
 	}
@@ -149,50 +153,46 @@
 		return
 	}
 	d.savedAt[d.nextSlot] = now
-	s := d.node.replica.SnapshotSlot(d.nextSlot, now)
-	if s == nil {
+	snapshot := d.node.replica.SnapshotSlot(d.nextSlot, now)
+	if snapshot == nil {
 		return
 	}
 	d.saving = true
 	d.work <- func() {
-		err := d.node.log.SaveSlot(s)
+		err := d.log.SaveSlot(snapshot)
 		d.node.loop.Deliver(func() {
-			if d.saving = false; err != nil && d.failedSince == 0 {
-				eventDiskFailed.Log(err) // it only saves sending
+			d.saving = false
+			if err != nil && d.failedSince == 0 {
+				eventDiskFailed.Log(err)
 			}
 		})
 	}
 }
 
-var (
-	errDiskClose   error = kindDiskClose.New("node: the disk does not answer; what is there counts")
-	errDiskTimeout error = kindDiskTimeout.New(
-		"node: the disk does not answer in time; other runners have the result",
-	)
-)
-
-// Close gives the folder back, with what is held of slots in it. No more comes from the loop by
-// then.
-func (p *Node) Close() error {
-	if p.disk == nil {
+// Close saves all slots and closes the log. The loop delivers nothing more by then. It fails if the
+// disk does not answer within closeTimeout; what is on disk counts.
+func (n *Node) Close() error {
+	if n.disk == nil {
 		return nil
 	}
-	d := p.disk
-	late := time.After(closeTimeout)
-	for i := range p.consensus.Table().Slots {
-		if s := p.replica.SnapshotSlot(i, p.loop.Now().Microseconds()); s != nil {
-			select {
-			case d.work <- func() { _ = p.log.SaveSlot(s) }: // it only saves sending
-			case <-late:
-				return errDiskClose
-			}
+	d := n.disk
+	timeout := time.After(closeTimeout)
+	for i := range n.consensus.Table().Slots {
+		snapshot := n.replica.SnapshotSlot(i, n.loop.Now())
+		if snapshot == nil {
+			continue
+		}
+		select {
+		case d.work <- func() { _ = d.log.SaveSlot(snapshot) }: // the others send what is not saved
+		case <-timeout:
+			return errDiskClose
 		}
 	}
 	close(d.work)
 	select {
-	case <-d.done:
+	case <-d.stopped:
 		return nil
-	case <-late:
+	case <-timeout:
 		return errDiskClose
 	}
 }
--- a/internal/peers/node/errors.go
+++ b/internal/peers/node/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// What can go wrong here, and what an operator can do about it.
+// The kinds of errors of this package.
 var (
 	kindReplacement = fault.Define(
 		"peers.leaves",
@@ -17,3 +17,10 @@
 	kindDiskClose = fault.Define("peers.unsaved", "The peers' folder did not answer as the program ended.",
 		"See to its disk; what is there counts at the next start, and the others send the rest.")
 )
+
+var (
+	errDiskClose   error = kindDiskClose.New("node: the disk does not answer; what is there counts")
+	errDiskTimeout error = kindDiskTimeout.New(
+		"node: the disk does not answer in time; other runners have the result",
+	)
+)
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"log/slog"
 	"slices"
+	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -12,7 +13,6 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// What is told to operators.
 var (
 	eventLeaseAcquired  = logging.Define("peers.duty_began", slog.LevelInfo, "duty", "token")
 	eventLeaseLost      = logging.Define("peers.duty_ended", slog.LevelInfo, "duty", "token")
@@ -20,157 +20,173 @@
 	eventReportFenced   = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
 )
 
-// BootTime is the clock that duties go by, in microseconds: it counts the time for which the machine
-// was suspended, too.
-func BootTime() int64 {
+// reportTicks is the number of ticks between two health reports to other runners.
+const reportTicks = 10
+
+// BootTime returns the time since the machine booted in whole microseconds, with the time for which
+// it was suspended. Leases go by it. Where it cannot be read it is 0, by which no lease is held.
+func BootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return 0 // no duty is held by it
+		return 0
 	}
-	return t.Nano() / 1000
+	return time.Duration(t.Nano()).Truncate(time.Microsecond)
 }
 
-// Leases is what this runner does of that which only one may do at a time. Its methods are called
-// on the loop, but for Book's.
+// Leases are the leases of this runner and the health checks that go by them. Its methods are called
+// on the loop, but for Holds.
 type Leases struct {
 	node         *Node
 	holder       *lease.Holder
-	Snapshot     lease.Snapshot
+	snapshot     lease.Snapshot
 	HealthChecks *lease.HealthChecks
-	heldTokens   map[string]uint64 // tokens, of those that are held
-	paused       map[string]bool
-	releasing    bool // this runner is about to go
+	heldTokens   map[string]uint64 // by lease, as was logged
+	suspended    map[string]bool   // of those, the ones that this runner may not rely on now
+	releasing    bool              // this runner is about to stop
 }
 
-// reportTicks is how many ticks are between two tales.
-const reportTicks = 10
-
-func (p *Node) startLeases() {
-	d := &Leases{
-		node:         p,
-		holder:       lease.NewHolder(p.cfg.Links.Name, p.cfg.Incarnation),
-		HealthChecks: lease.NewHealthChecks(p.cfg.CheckedZones),
+func (n *Node) startLeases() {
+	n.leases = &Leases{
+		node:         n,
+		holder:       lease.NewHolder(n.cfg.Links.Name, n.cfg.Incarnation),
+		HealthChecks: lease.NewHealthChecks(n.cfg.CheckedZones),
 		heldTokens:   map[string]uint64{},
-		paused:       map[string]bool{},
+		suspended:    map[string]bool{},
 	}
-	p.leases = d
-	p.consensus.OnLeaderConfirmed(d.holder.ConfirmLeader)
+	n.consensus.OnLeaderConfirmed(n.leases.holder.ConfirmLeader)
 }
 
-// Leases are those of this runner.
-func (p *Node) Leases() *Leases { return p.leases }
+// Leases returns the leases of this runner.
+func (n *Node) Leases() *Leases { return n.leases }
 
-// Slots tells whether this runner may do something now, and under which token.
-func (d *Leases) Holds(name string) (token uint64, ok bool) {
-	return d.Snapshot.Holds(name, BootTime())
+// Holds reports whether this runner may rely on a lease now, and its token. Any goroutine may call
+// it.
+func (l *Leases) Holds(name string) (token uint64, ok bool) {
+	return l.snapshot.Holds(name, BootTime())
 }
 
-// update sees what is held, says when that changes, and gives back what this runner is not to do any
-// more.
-func (d *Leases) update() {
+// update publishes what is held now, logs what changed and releases what this runner is not to hold
+// any more.
+func (l *Leases) update() {
 	now := BootTime()
-	held := d.holder.HeldLeases(now)
+	held := l.holder.HeldLeases(now)
 	for _, g := range held {
-		if d.heldTokens[g.Lease] != g.Token {
-			d.heldTokens[g.Lease] = g.Token
+		if l.heldTokens[g.Lease] != g.Token {
+			l.heldTokens[g.Lease] = g.Token
 			eventLeaseAcquired.Log(g.Lease, g.Token)
 		}
-		d.paused[g.Lease] = false
+		l.suspended[g.Lease] = false
+	}
+	l.logLost(held)
+	for _, g := range held {
+		if l.shouldRelease(g.Lease) {
+			l.holder.Release(g.Lease, g.Handover, nil)
+		}
 	}
-	t := d.node.consensus.Table()
-	for name, token := range d.heldTokens {
+	l.snapshot.Set(l.holder.HeldLeases(now))
+}
+
+// logLost logs the leases that were held and are not, or that this runner may not rely on as their
+// time is over or their release is under way.
+func (l *Leases) logLost(held []lease.Grant) {
+	t := l.node.consensus.Table()
+	for name, token := range l.heldTokens {
 		if slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Lease == name }) {
 			continue
 		}
-		// its lease is over, or it gives it back
-		if x := t.Lease(name); x != nil && x.Token == token && x.Holder == d.node.cfg.Links.Name {
-			if !d.paused[name] {
-				d.paused[name] = true
+		current := t.Lease(name)
+		if current != nil && current.Token == token && current.Holder == l.node.cfg.Links.Name {
+			if !l.suspended[name] {
+				l.suspended[name] = true
 				eventLeaseSuspended.Log(name, token)
 			}
 			continue
 		}
-		delete(d.heldTokens, name)
-		delete(d.paused, name)
+		delete(l.heldTokens, name)
+		delete(l.suspended, name)
 		eventLeaseLost.Log(name, token)
 	}
-	me := t.Member(d.node.cfg.Links.Name)
-	for _, g := range held {
-		if d.releasing || me != nil && me.Leaving ||
-			!slices.Contains(d.node.cfg.LeaseRules.NamesFor(d.node.cfg.Links.Name), g.Lease) {
-			d.holder.Release(g.Lease, g.Handover, nil)
-		}
+}
+
+// shouldRelease reports whether this runner is about to stop, leaves, or may not hold the lease by
+// the operator's file any more.
+func (l *Leases) shouldRelease(name string) bool {
+	self := l.node.cfg.Links.Name
+	if m := l.node.consensus.Table().Member(self); l.releasing || m != nil && m.Leaving {
+		return true
 	}
-	d.Snapshot.Set(d.holder.HeldLeases(now))
+	return !slices.Contains(l.node.cfg.LeaseRules.NamesFor(self), name)
 }
 
-// ReleaseAll gives back all that is held, as this runner is about to go.
-func (d *Leases) ReleaseAll() {
-	d.releasing = true
-	d.node.consensus.StopTakingLeases()
-	d.node.loop.Post(d.node.flush)
+// ReleaseAll releases all leases, as this runner is about to stop.
+func (l *Leases) ReleaseAll() {
+	l.releasing = true
+	l.node.consensus.StopTakingLeases()
+	l.node.loop.Post(l.node.flush)
 }
 
-// sendHealthReports tells the others what was seen for them.
-func (d *Leases) sendHealthReports() {
-	for _, tale := range d.HealthChecks.TakeReports(d.node.cfg.Links.Name, d.node.loop.Now().Microseconds(), d.Holds) {
-		for _, m := range d.node.consensus.Table().Members {
-			if m.Incarnation != 0 && m.Name != tale.From {
-				t := tale
-				t.To = m.Name
-				d.node.transport.Send(m.Name, &link.Frame{Health: &t})
+// sendHealthReports sends the other members what this runner saw of servers for them.
+func (l *Leases) sendHealthReports() {
+	for _, report := range l.HealthChecks.TakeReports(l.node.cfg.Links.Name, l.node.loop.Now(), l.Holds) {
+		for _, m := range l.node.consensus.Table().Members {
+			if m.Incarnation != 0 && m.Name != report.From {
+				addressed := report
+				addressed.To = m.Name
+				l.node.transport.Send(m.Name, &link.Frame{Health: &addressed})
 			}
 		}
 	}
 }
 
-func (d *Leases) receiveHealthReport(t *lease.HealthReport) {
-	if err := d.HealthChecks.Receive(t, d.node.loop.Now().Microseconds()); err != nil {
-		eventReportFenced.Log(t.Lease, t.From, err)
+func (l *Leases) receiveHealthReport(report *lease.HealthReport) {
+	if err := l.HealthChecks.Receive(report, l.node.loop.Now()); err != nil {
+		eventReportFenced.Log(report.Lease, report.From, err)
 	}
 }
 
-// SetLeaseRules takes the rules of another file.
-func (p *Node) SetLeaseRules(r lease.Rules, halls []string) {
-	p.cfg.LeaseRules = r
-	p.consensus.SetLeaseRules(r)
-	p.leases.HealthChecks.SetZones(halls)
+// SetLeaseRules replaces the rules of leases and the zones whose servers one runner checks.
+func (n *Node) SetLeaseRules(rules lease.Rules, checkedZones []string) {
+	n.cfg.LeaseRules = rules
+	n.consensus.SetLeaseRules(rules)
+	n.leases.HealthChecks.SetZones(checkedZones)
 }
 
-// LeaseStatus is how a duty stands, as this runner knows it.
+// LeaseStatus is how a lease stands, as this runner knows it.
 type LeaseStatus struct {
 	Name          string `json:"name"`
 	Holder        string `json:"holder,omitempty"`
 	Token         uint64 `json:"token,omitempty"`
-	HeldHere      bool   `json:"here,omitempty"`        // this runner may do it now
-	RemainingMs   int64  `json:"left_ms,omitempty"`     // of its lease, if it is here
-	Expirations   int    `json:"lapses,omitempty"`      // runners that lost it without giving it back
+	HeldHere      bool   `json:"here,omitempty"`        // this runner may rely on it now
+	RemainingMs   int64  `json:"left_ms,omitempty"`     // if it is held here
+	Expirations   int    `json:"lapses,omitempty"`      // members that lost it without releasing it
 	HandoverBytes int    `json:"check_bytes,omitempty"` // left for the next holder
 }
 
-// status are how all duties of the file and of the table stand.
-func (d *Leases) status() (rows []LeaseStatus) {
-	now, t := BootTime(), d.node.consensus.Table()
-	page := d.Snapshot.Grants()
-	for _, r := range d.node.cfg.LeaseRules.Rules {
+// status returns how all leases of the operator's file and of the table stand.
+func (l *Leases) status() (all []LeaseStatus) {
+	now, t := BootTime(), l.node.consensus.Table()
+	for _, r := range l.node.cfg.LeaseRules.Rules {
 		if t.Lease(r.Name) == nil {
-			rows = append(rows, LeaseStatus{Name: r.Name})
+			all = append(all, LeaseStatus{Name: r.Name})
 		}
 	}
+	grants := l.snapshot.Grants()
 	for i := range t.Leases {
-		x := &t.Leases[i]
-		row := LeaseStatus{
-			Name:          x.Name,
-			Holder:        x.Holder,
-			Token:         x.Token,
-			Expirations:   len(x.Expirations),
-			HandoverBytes: len(x.Handover),
+		current := &t.Leases[i]
+		s := LeaseStatus{
+			Name:          current.Name,
+			Holder:        current.Holder,
+			Token:         current.Token,
+			Expirations:   len(current.Expirations),
+			HandoverBytes: len(current.Handover),
 		}
-		if j := slices.IndexFunc(page, func(g lease.Grant) bool { return g.Lease == x.Name && now < g.ExpiresAt }); j >= 0 {
-			row.HeldHere, row.RemainingMs = true, (page[j].ExpiresAt-now)/1000
+		for _, g := range grants {
+			if g.Lease == current.Name && now < g.ExpiresAt {
+				s.HeldHere, s.RemainingMs = true, (g.ExpiresAt - now).Milliseconds()
+			}
 		}
-		rows = append(rows, row)
+		all = append(all, s)
 	}
-	slices.SortFunc(rows, func(a, b LeaseStatus) int { return cmp.Compare(a.Name, b.Name) })
-	return rows
+	slices.SortFunc(all, func(a, b LeaseStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return all
 }
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -3,120 +3,145 @@
 import (
 	"cmp"
 	"slices"
+
+	"ryepaddle/internal/peers/wiretime"
+)
+
+// Bounds of what the table has of leases.
+const (
+	MaxLeases        = 64
+	MaxHandoverBytes = 16 << 10 // that one holder leaves for the next
+	maxExpirations   = 16       // members that are remembered for a lease
 )
 
-// Lease is something that one member does at a time for all.
+// tokenVersionBits are the bits of a token that the table's version takes; the time at which the
+// consensus group began is above them.
+const tokenVersionBits = 32
+
+// Lease is what the table has of one lease: the right to do a task that one member does at a time.
 type Lease struct {
 	Name        string `cbor:"1,keyasint"`
-	Holder      string `cbor:"2,keyasint,omitempty"` // empty: nobody
+	Holder      string `cbor:"2,keyasint,omitempty"` // "": nobody
 	Incarnation uint64 `cbor:"3,keyasint,omitempty"` // of the holder's membership
-	// of the newest grant; it only grows, over all duties and consensus groups
+	// Token is the fencing token of the newest grant. Tokens grow, over all leases and consensus
+	// groups of an installation.
 	Token    uint64 `cbor:"4,keyasint,omitempty"`
 	Handover []byte `cbor:"5,keyasint,omitempty"` // what the holder left for the next one
-	// Abrupt says that the holder's name is back in another life, so that the one before may still
-	// believe for as long as its lease lasts.
-	Abrupt      bool         `cbor:"6,keyasint,omitempty"`
-	Expirations []Expiration `cbor:"7,keyasint,omitempty"` // who lost it without giving it back
-	// by the holder's own clock: it asked then, before it was granted; 0: it is not known
-	AskedAt    int64  `cbor:"8,keyasint,omitempty"`
-	Seq        uint64 `cbor:"9,keyasint,omitempty"`  // of the holder's changes that was the last
-	ReleasedBy string `cbor:"10,keyasint,omitempty"` // who gave it back, until somebody has it
+	// Abrupt says that the holder's name is back in another incarnation, so that the earlier one may
+	// rely on the lease for as long as it lasts.
+	Abrupt bool `cbor:"6,keyasint,omitempty"`
+	// Expirations are the members that lost the lease without releasing it, the newest last.
+	Expirations []Expiration `cbor:"7,keyasint,omitempty"`
+	// AskedAt is when the holder asked before it was granted, by its own clock; 0: not known.
+	AskedAt wiretime.Microseconds `cbor:"8,keyasint,omitempty"`
+	Seq     uint64                `cbor:"9,keyasint,omitempty"` // of the holder's newest change under the token
+	// ReleasedBy is the member that released the lease, until another one holds it.
+	ReleasedBy string `cbor:"10,keyasint,omitempty"`
 }
 
-// Expiration is how often in a row a member lost a duty without giving it back.
+// Expiration is how often in a row a member lost a lease without releasing it.
 type Expiration struct {
 	Name  string `cbor:"1,keyasint"`
 	Count int    `cbor:"2,keyasint"`
 }
 
-// Bounds of what the table has of duties.
-const (
-	MaxLeases        = 64
-	MaxHandoverBytes = 16 << 10 // bytes that one holder leaves for the next
-	maxExpirations   = 16       // members that are remembered for a duty
-)
-
-// Lease is the one of that name; nil: nobody ever held it.
+// Lease returns the lease of that name, or nil if nobody ever held it.
 func (t *Table) Lease(name string) *Lease {
-	i, ok := slices.BinarySearchFunc(
-		t.Leases,
-		name,
-		func(d Lease, name string) int { return cmp.Compare(d.Name, name) },
-	)
+	i, ok := t.searchLease(name)
 	if !ok {
 		return nil
 	}
 	return &t.Leases[i]
 }
 
-// GrantToken is that of a grant in this table. A consensus group that begins anew counts its changes
-// anew, but was born later.
-func (t *Table) GrantToken() uint64 { return t.BootstrapTime<<32 | t.Version&(1<<32-1) }
+// searchLease returns where the lease of that name is or would be inserted, and whether it is there.
+func (t *Table) searchLease(name string) (int, bool) {
+	byName := func(l Lease, name string) int { return cmp.Compare(l.Name, name) }
+	return slices.BinarySearchFunc(t.Leases, name, byName)
+}
 
-// applyLeaseChange takes a change of a duty. One by a member that does not hold it any more, or who knows less
-// of it than the table, changes nothing.
+// GrantToken returns the token of a lease that is granted by the table's newest change. A consensus
+// group that is formed anew counts its changes from 0, but began later.
+func (t *Table) GrantToken() uint64 {
+	return t.BootstrapTime<<tokenVersionBits | t.Version&(1<<tokenVersionBits-1)
+}
+
+// LeaseCount returns how many leases a member holds.
+func (t *Table) LeaseCount(name string) (n int) {
+	for i := range t.Leases {
+		if t.Leases[i].Holder == name {
+			n++
+		}
+	}
+	return n
+}
+
+// applyLeaseChange applies a change of a lease. One by a member that does not hold it any more, or
+// that knows less of it than the table, changes nothing.
 func (t *Table) applyLeaseChange(c Change, m *Member) {
-	d := t.Lease(c.Lease)
 	if c.Kind == ChangeGrantLease {
-		if m == nil || m.Incarnation == 0 || m.Incarnation != c.Member.Incarnation || m.Leaving || t.BootstrapTime == 0 {
-			return
-		}
-		if d == nil {
-			if c.Token != 0 || c.Lease == "" || len(t.Leases) >= MaxLeases {
-				return
-			}
-			i, _ := slices.BinarySearchFunc(
-				t.Leases,
-				c.Lease,
-				func(d Lease, name string) int { return cmp.Compare(d.Name, name) },
-			)
-			t.Leases = slices.Insert(t.Leases, i, Lease{Name: c.Lease})
-			d = &t.Leases[i]
-		}
-		if d.Holder != "" || d.Token != c.Token {
-			return
-		}
-		d.Holder, d.Incarnation, d.Token, d.Abrupt, d.AskedAt, d.Seq, d.ReleasedBy = m.Name, m.Incarnation, t.GrantToken(), false, c.AskedAt, 0, ""
+		t.grantLease(c, m)
+		return
+	}
+	l := t.Lease(c.Lease)
+	if l == nil || l.Holder == "" || l.Holder != c.Member.Name || l.Token != c.Token ||
+		len(c.Handover) > MaxHandoverBytes {
 		return
 	}
-	if d == nil || d.Holder == "" || d.Holder != c.Member.Name || d.Token != c.Token ||
-		len(c.Handover) > MaxHandoverBytes ||
-		c.Epoch <= d.Seq {
-		return // a word that comes late does not take the place of a newer one
+	if c.Epoch <= l.Seq { // a late change does not replace a newer one
+		return
 	}
-	if d.Handover, d.Seq = c.Handover, c.Epoch; c.Kind == ChangeReleaseLease {
-		d.Holder, d.Incarnation, d.ReleasedBy = "", 0, d.Holder
-		d.Expirations = slices.DeleteFunc(
-			slices.Clone(d.Expirations),
-			func(l Expiration) bool { return l.Name == c.Member.Name },
-		)
+	l.Handover, l.Seq = c.Handover, c.Epoch
+	if c.Kind == ChangeReleaseLease {
+		l.Holder, l.Incarnation, l.ReleasedBy = "", 0, l.Holder
+		l.Expirations, _ = withoutExpiration(l.Expirations, c.Member.Name)
 	}
 }
 
-// expireLeases takes all duties from a member that is lost, or whose name is back in another life.
+// grantLease grants a lease that nobody holds to a member.
+func (t *Table) grantLease(c Change, m *Member) {
+	if m == nil || m.Incarnation == 0 || m.Incarnation != c.Member.Incarnation || m.Leaving ||
+		t.BootstrapTime == 0 {
+		return
+	}
+	l := t.Lease(c.Lease)
+	if l == nil {
+		if c.Token != 0 || c.Lease == "" || len(t.Leases) >= MaxLeases {
+			return
+		}
+		i, _ := t.searchLease(c.Lease)
+		t.Leases = slices.Insert(t.Leases, i, Lease{Name: c.Lease})
+		l = &t.Leases[i]
+	}
+	if l.Holder != "" || l.Token != c.Token {
+		return
+	}
+	l.Holder, l.Incarnation, l.Token = m.Name, m.Incarnation, t.GrantToken()
+	l.Abrupt, l.AskedAt, l.Seq, l.ReleasedBy = false, c.AskedAt, 0, ""
+}
+
+// expireLeases takes all leases from a member that is lost, or whose name is back in another
+// incarnation.
 func (t *Table) expireLeases(name string, abrupt bool) {
 	for i := range t.Leases {
-		d := &t.Leases[i]
-		if d.Holder != name {
+		l := &t.Leases[i]
+		if l.Holder != name {
 			continue
 		}
-		d.Holder, d.Incarnation, d.Abrupt = "", 0, abrupt
-		lapses, times := slices.Clone(d.Expirations), 1
-		if j := slices.IndexFunc(lapses, func(l Expiration) bool { return l.Name == name }); j >= 0 {
-			times += lapses[j].Count
-			lapses = slices.Delete(lapses, j, j+1)
-		}
-		lapses = append(lapses, Expiration{name, times})
-		d.Expirations = lapses[max(len(lapses)-maxExpirations, 0):]
+		l.Holder, l.Incarnation, l.Abrupt = "", 0, abrupt
+		rest, before := withoutExpiration(l.Expirations, name)
+		expirations := append(rest, Expiration{name, before + 1})
+		l.Expirations = expirations[max(len(expirations)-maxExpirations, 0):]
 	}
 }
 
-// LeaseCount is how many duties a member holds.
-func (t *Table) LeaseCount(name string) (n int) {
-	for i := range t.Leases {
-		if t.Leases[i].Holder == name {
-			n++
-		}
+// withoutExpiration returns a copy of expirations without that of a member, and its count.
+func withoutExpiration(expirations []Expiration, name string) (rest []Expiration, count int) {
+	rest = slices.Clone(expirations)
+	i := slices.IndexFunc(rest, func(e Expiration) bool { return e.Name == name })
+	if i < 0 {
+		return rest, 0
 	}
-	return n
+	count = rest[i].Count
+	return slices.Delete(rest, i, i+1), count
 }
--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"slices"
 	"strings"
+	"time"
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/consensus"
@@ -18,8 +19,8 @@
 // outside.
 
 const (
-	ms       = int64(1000)
-	second   = 1000 * ms
+	ms       = time.Millisecond
+	second   = time.Second
 	window   = 4 * second
 	lease    = 600 * ms
 	patience = 400 * ms
@@ -27,7 +28,7 @@
 )
 
 type event struct {
-	at int64
+	at time.Duration
 	no int
 	fn func()
 }
@@ -49,7 +50,7 @@
 
 type world struct {
 	r       *rand.Rand
-	now     int64
+	now     time.Duration
 	queue   events
 	no      int
 	nodes   []*node
@@ -76,8 +77,8 @@
 type fact struct {
 	runs   int
 	result string
-	hard   int64 // when it was first served, and kept before
-	since  int64
+	hard   time.Duration // when it was first served, and kept before
+	since  time.Duration
 }
 
 type node struct {
@@ -149,12 +150,12 @@
 	return w
 }
 
-func (w *world) after(d int64, fn func()) {
+func (w *world) after(d time.Duration, fn func()) {
 	w.no++
 	heap.Push(&w.queue, event{w.now + d, w.no, fn})
 }
 
-func (w *world) run(until int64) {
+func (w *world) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
@@ -163,7 +164,13 @@
 	w.now = until
 }
 
-func (w *world) between(a, b int64) int64 { return a + w.r.Int64N(b-a) }
+// between draws a whole number of microseconds from a to below b.
+func (w *world) between(a, b time.Duration) time.Duration {
+	return a + time.Duration(w.r.Int64N((b-a).Microseconds()))*time.Microsecond
+}
+
+// count draws a number from a to below b.
+func (w *world) count(a, b int64) int64 { return a + w.r.Int64N(b-a) }
 
 func (n *node) member() placement.Member {
 	return placement.Member{Name: n.name, Zone: n.hall, Incarnation: n.h.cfg.Incarnation, Process: n.process}
@@ -295,7 +302,7 @@
 		times = 2
 	}
 	for range times {
-		d := w.between(200, 4*ms)
+		d := w.between(200*time.Microsecond, 4*ms)
 		if w.r.IntN(100) == 0 {
 			d = w.between(4*ms, 500*ms)
 		}
@@ -322,7 +329,7 @@
 // node is the one of that name.
 func (w *world) node(name string) *node { return w.named[name] }
 
-func (n *node) stop(d int64) {
+func (n *node) stop(d time.Duration) {
 	if !n.up || n.stopped {
 		return
 	}
@@ -342,7 +349,7 @@
 }
 
 // crash ends the process. Its disk is what it was, older, or empty.
-func (n *node) crash(back int64, how string) {
+func (n *node) crash(back time.Duration, how string) {
 	if !n.up {
 		return
 	}
@@ -364,7 +371,7 @@
 
 // try is one try of a key at a node. Told: served, refused or failed; of a process that is gone
 // nothing is told.
-func (n *node) try(key string, left int64) {
+func (n *node) try(key string, left time.Duration) {
 	w := n.w
 	name := store.KeyName{Class: "hand-in", Key: key}
 	began := w.now
@@ -446,7 +453,7 @@
 
 // judge holds what a caller was told against what callers were told before it asked: of two tries
 // at the same time, either may have been first.
-func (w *world) judge(key, end string, hard bool, began int64) {
+func (w *world) judge(key, end string, hard bool, began time.Duration) {
 	f := w.fact(key)
 	switch {
 	case end == "refused":
@@ -486,7 +493,7 @@
 	for k := range 60 {
 		key := fmt.Sprint("k", k)
 		first := w.between(0, lasts)
-		for range w.between(2, 8) {
+		for range w.count(2, 8) {
 			at := first + w.between(0, window-second)
 			if w.r.IntN(4) == 0 {
 				at = first + w.between(0, 3*ms) // at the same instant
@@ -498,7 +505,7 @@
 			})
 		}
 	}
-	for range w.between(3, 14) {
+	for range w.count(3, 14) {
 		n, o := w.nodes[w.r.IntN(runners)], w.nodes[w.r.IntN(runners)]
 		kind, at, d := w.r.IntN(8), w.between(0, lasts), w.between(20*ms, 4*second)
 		w.after(at, func() {
@@ -530,7 +537,7 @@
 }
 
 // break_ cuts a link for a while, in one direction or both.
-func (w *world) break_(a, b string, d int64, both bool) {
+func (w *world) break_(a, b string, d time.Duration, both bool) {
 	ways := [][2]string{{a, b}}
 	if both {
 		ways = append(ways, [2]string{b, a})
--- /dev/null
+++ b/internal/peers/replication/follower.go
@@ -0,0 +1,68 @@
+package replication
+
+import (
+	"slices"
+
+	"ryepaddle/internal/peers/wiretime"
+)
+
+// handleAppend handles a probe or records of a primary. Those of an older epoch are not answered.
+func (r *Replica) handleAppend(m *Message) {
+	t, s := &r.table.Slots[m.Slot], *r.slotAt(m.Slot)
+	if m.Epoch < t.Epoch || s != nil && m.Epoch < s.epoch {
+		return
+	}
+	if s == nil {
+		s = newSlot()
+		*r.slotAt(m.Slot) = s
+	}
+	if m.Epoch > s.epoch { // the table that says so is on its way
+		s.epoch, s.isPrimary, s.commitWaiters = m.Epoch, false, nil
+	}
+	if s.isPrimary || m.Epoch == t.Epoch && t.Primary() != m.From || s.isStale(m) {
+		return
+	}
+	s.newest.from, s.newest.incarnation, s.newest.serial = m.From, m.Incarnation, m.Serial
+	hasGap := !m.Reset && m.Base > s.lastSeq
+	if m.Type == MsgProbe || hasGap {
+		r.send(Message{
+			Type:  MsgProbeResp,
+			To:    m.From,
+			Slot:  m.Slot,
+			Epoch: s.epoch,
+			Base:  s.lastEpoch,
+			Seq:   s.lastSeq,
+		})
+		return
+	}
+	r.storeEntries(s, m)
+	r.send(Message{Type: MsgAppendResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Seq: s.lastSeq})
+}
+
+// isStale reports whether a message is not newer than the newest of the same primary.
+func (s *slot) isStale(m *Message) bool {
+	return s.newest.from == m.From && s.newest.incarnation == m.Incarnation && s.newest.serial >= m.Serial
+}
+
+// storeEntries stores the records of a MsgAppend that has no gap to those before it.
+func (r *Replica) storeEntries(s *slot, m *Message) {
+	if m.Reset {
+		s.reset()
+	}
+	s.quarantine.until = r.now + m.Quarantine.Duration()
+	for _, e := range m.Entries {
+		if e.Seq > s.lastSeq {
+			s.store(e, r.now+e.Remaining.Duration())
+		}
+	}
+	if m.EpochStarts != nil { // an epoch whose records have all expired has no other trace
+		s.epochStarts = slices.Clone(m.EpochStarts)
+		s.lastEpoch = m.EpochStarts[len(m.EpochStarts)-1].Epoch
+	}
+	s.lastSeq = max(s.lastSeq, m.Seq)
+}
+
+// quarantineLeft returns what a primary tells its followers of the slot's quarantine.
+func (r *Replica) quarantineLeft(s *slot) wiretime.Microseconds {
+	return wiretime.FromDuration(max(s.quarantine.until-r.now, 0))
+}
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strconv"
 	"testing"
+	"time"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -16,6 +17,7 @@
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/grid"
 	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/wiretime"
 )
 
 // No key runs twice and no promise is lost over any mix of lost machines, old disks, stops, cuts
@@ -86,7 +88,7 @@
 			if s := *w.node(m.To).h.slotAt(m.Slot); m.Type == MsgAppend && s != nil && m.Epoch < s.epoch &&
 				w.node(m.To).up {
 				for _, e := range m.Entries {
-					s.store(e, w.now+e.Remaining)
+					s.store(e, w.now+e.Remaining.Duration())
 				}
 				return []Message{
 					{
@@ -139,7 +141,7 @@
 		w.tamper = func(w *world, m *Message) []Message {
 			m.Entries = slices.Clone(m.Entries)
 			for i := range m.Entries {
-				m.Entries[i].Remaining += (int64(m.To[1]) - int64(m.From[1])) * 60 * second
+				m.Entries[i].Remaining += wiretime.FromDuration(time.Duration(int(m.To[1])-int(m.From[1])) * time.Minute)
 			}
 			return []Message{*m}
 		}
@@ -192,7 +194,7 @@
 				},
 			)
 		}
-		h.SetTable(table, 1)
+		h.SetTable(table, time.Microsecond)
 		told := 0
 		for k := range 40 {
 			h.Put(
@@ -202,7 +204,7 @@
 				},
 				second,
 				second,
-				2,
+				2*time.Microsecond,
 				func(Result) { told++ },
 			)
 		}
@@ -217,7 +219,7 @@
 			// of an end, which it did not ask about
 			h.Receive(
 				&Message{Type: MsgPutResp, From: m.To, To: "n2", Slot: m.Slot, RequestID: m.RequestID, Outcome: OutcomeStored},
-				3,
+				3*time.Microsecond,
 			)
 		}
 		if told > 0 {
@@ -256,11 +258,11 @@
 			)
 		}
 		h := New(
-			Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1000 * 1000 * ms, CatchUpRate: rate},
+			Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1000 * second, CatchUpRate: rate},
 			nil,
 			0,
 		)
-		h.SetTable(table, 1)
+		h.SetTable(table, time.Microsecond)
 		for i := range records {
 			h.slots[0].append(
 				&store.Record{
@@ -268,12 +270,12 @@
 					Name:   store.KeyName{Key: strconv.Itoa(i)},
 					Result: &store.Result{Body: make([]byte, size)},
 				},
-				1_000_000*ms,
+				1000*second,
 			)
 		}
-		h.Receive(&Message{Type: MsgProbeResp, From: "n2", Incarnation: 1, Serial: 1, Epoch: h.slots[0].epoch}, 2)
-		held, now, no := uint64(0), int64(2), uint64(1)
-		for ; held < records && now < 60_000*ms; now += 10 * ms {
+		h.Receive(&Message{Type: MsgProbeResp, From: "n2", Incarnation: 1, Serial: 1, Epoch: h.slots[0].epoch}, 2*time.Microsecond)
+		held, now, no := uint64(0), 2*time.Microsecond, uint64(1)
+		for ; held < records && now < 60*second; now += 10 * ms {
 			h.Tick(now)
 			for _, m := range h.TakeMessages() {
 				if m.Type != MsgAppend {
@@ -287,10 +289,10 @@
 				)
 			}
 		}
-		if want := int64(records * (size + 128) * 1000 * ms / rate); held < records ||
+		if want := second * records * (size + 128) / rate; held < records ||
 			joining && (now < want*9/10 || now > want*12/10) ||
-			!joining && now > 1000*ms {
-			t.Errorf("joining %v: it has %d records after %d ms", joining, held, now/ms)
+			!joining && now > second {
+			t.Errorf("joining %v: it has %d records after %v", joining, held, now)
 		}
 	}
 }
@@ -318,8 +320,8 @@
 		},
 	)
 	table.Slots[0].EmptyEpoch = 0
-	h := New(Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1_000_000 * ms, MaxBytes: 10_000}, nil, 0)
-	now, no := int64(1), uint64(0)
+	h := New(Config{Name: "n1", Incarnation: 1, QuorumTimeout: 1000 * second, MaxBytes: 10_000}, nil, 0)
+	now, no := time.Microsecond, uint64(0)
 	h.SetTable(table, now)
 	answer := func() { // the other holder keeps all
 		for _, m := range h.TakeMessages() {
@@ -352,7 +354,7 @@
 		a := put(key, store.RunStarted, 0)
 		if a.Outcome == OutcomeUnavailable {
 			if a.RetryAfter != memoryRetryAfter {
-				t.Errorf("it says to come back after %d", a.RetryAfter)
+				t.Errorf("it says to come back after %v", a.RetryAfter)
 			}
 			break
 		}
@@ -417,7 +419,7 @@
 				most, mean, near = max(most, n.sent), mean+n.sent, max(near, len(n.links))
 			}
 		}
-		each := float64(mean) / float64(max(runners-5, 5)) / float64(over/second)
+		each := float64(mean) / float64(max(runners-5, 5)) / over.Seconds()
 		said, links = append(
 			said,
 			plotter.XY{X: float64(runners), Y: each},
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -5,92 +5,100 @@
 	"iter"
 	"maps"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/placement"
+	"ryepaddle/internal/peers/wiretime"
 )
 
-// item is what is held of one key.
+const (
+	// maxEpochStarts bounds the epochs that a slot remembers. A follower whose newest record is of
+	// an older one is sent all records.
+	maxEpochStarts = 64
+	// recordOverhead is about how many bytes a record takes beside its names and its result.
+	recordOverhead = 128
+)
+
+// item is the record of one key.
 type item struct {
 	record     store.Record
-	expiresAt  int64 // monotonic, here
+	expiresAt  time.Duration // end of the key's window
 	seq, epoch uint64
-	watchers   []watcher // who wait for its end
+	watchers   []watcher // are answered when the run ends
 }
 
-// watcher is an ask that was told Theirs of a run that goes on.
+// watcher is a request that waits for the end of another attempt's run.
 type watcher struct {
 	runner    string
 	requestID uint64
 }
 
-// follower is another holder of a slot, as its primary sees it.
+// follower is another replica of a slot, as the primary sees it.
 type follower struct {
 	incarnation uint64
-	probed      bool
-	ackedSeq    uint64 // it holds all up to this number
-	sentSeq     uint64 // and all up to this one is on its way
-	lastActive  int64  // when it last was told anything
-	// that it has all was said to the consensus group: from then on nothing counts as kept without
-	// it
+	probed      bool          // it has answered the probe of this epoch
+	ackedSeq    uint64        // all records up to this one are stored there
+	sentSeq     uint64        // all records up to this one were sent
+	lastActive  time.Duration // when a message last went to it or came from it
+	// The consensus group was told that it has all records: from then on nothing is committed
+	// without it.
 	caughtUp    bool
-	needsReset  bool // what it has is no beginning of what is held here, and it is yet to be told so
-	needsAppend bool // it is to be sent what it lacks, once there is room for that
+	needsReset  bool // its records are no prefix of the primary's, and it is yet to be told so
+	needsAppend bool // it is to be sent what it lacks once the catch-up budget allows
 }
 
-// commitWaiter is told once all up to a number is kept.
+// commitWaiter is called once all records up to seq are committed.
 type commitWaiter struct {
 	seq uint64
 	fn  func()
 }
 
-// restore is what is held of a part of the keys.
+// slot is what a runner has of one part of the keys.
 type slot struct {
-	epoch       uint64 // older ones are refused
-	lastEpoch   uint64 // the epoch of the newest record
-	lastSeq     uint64 // its number
+	epoch       uint64 // messages of older epochs are rejected
+	lastEpoch   uint64 // of the newest record
+	lastSeq     uint64 // of the newest record
 	epochStarts []EpochStart
 	items       map[store.KeyName]*item
-	bytes       int // of the records, about
-	// the newest word of a primary: one that is said twice or comes late is not taken again
+	bytes       int // about how many its records take
+	// newest is the newest message of a primary: one that comes twice or late is ignored.
 	newest struct {
-		from string
-		life uint64
-		no   uint64
+		from        string
+		incarnation uint64
+		serial      uint64
 	}
+	// quarantine is the time for which a slot that began with nothing accepts no new keys.
 	quarantine struct {
-		epoch uint64 // of the table, that was seen
-		until int64
+		epoch uint64 // the table's EmptyEpoch that began it
+		until time.Duration
 	}
-	// Of a primary:
+
+	// The rest is of the primary only.
 	isPrimary     bool
 	followers     map[string]*follower
 	commitWaiters []commitWaiter
 }
 
-const (
-	maxEpochStarts = 64
-	maxWatchers    = 256 // watchers of one key
-)
-
 func newSlot() *slot { return &slot{items: map[store.KeyName]*item{}} }
 
-// reset forgets what is held.
+// reset forgets all records.
 func (s *slot) reset() {
 	s.items, s.bytes, s.lastEpoch, s.lastSeq, s.epochStarts = map[store.KeyName]*item{}, 0, 0, 0, nil
 }
 
-// enqueuePut takes the next record of a primary.
-func (s *slot) append(r *store.Record, until int64) *item {
+// append stores the next record of a primary.
+func (s *slot) append(record *store.Record, expiresAt time.Duration) *item {
 	s.lastSeq++
-	return s.store(Entry{Seq: s.lastSeq, Epoch: s.epoch, Record: r}, until)
+	return s.store(Entry{Seq: s.lastSeq, Epoch: s.epoch, Record: record}, expiresAt)
 }
 
-// store takes a record with its number. Watchers of its key stay.
-func (s *slot) store(e Entry, until int64) *item {
+// store stores a numbered record. Watchers of its key stay.
+func (s *slot) store(e Entry, expiresAt time.Duration) *item {
 	if e.Epoch != s.lastEpoch {
 		s.lastEpoch = e.Epoch
-		if s.epochStarts = append(s.epochStarts, EpochStart{Epoch: e.Epoch, FirstSeq: e.Seq}); len(s.epochStarts) > maxEpochStarts {
+		s.epochStarts = append(s.epochStarts, EpochStart{Epoch: e.Epoch, FirstSeq: e.Seq})
+		if len(s.epochStarts) > maxEpochStarts {
 			s.epochStarts = s.epochStarts[1:]
 		}
 	}
@@ -102,11 +110,11 @@
 		s.bytes -= recordSize(&it.record)
 	}
 	s.bytes += recordSize(e.Record)
-	it.record, it.expiresAt, it.seq, it.epoch = *e.Record, until, e.Seq, e.Epoch
+	it.record, it.expiresAt, it.seq, it.epoch = *e.Record, expiresAt, e.Seq, e.Epoch
 	return it
 }
 
-// epochAt is the epoch of the record with a number; 0: it is not known.
+// epochAt returns the epoch of the record with a number, or 0 if it is not known.
 func (s *slot) epochAt(seq uint64) (epoch uint64) {
 	for _, e := range s.epochStarts {
 		if e.FirstSeq <= seq {
@@ -116,35 +124,47 @@
 	return epoch
 }
 
-// isPrefix tells whether what a holder has is a beginning of what is held here.
-func (s *slot) isPrefix(last, seq uint64) bool {
-	return seq == 0 || seq <= s.lastSeq && s.epochAt(seq) == last
+// isPrefix reports whether the records of a replica whose newest one has this epoch and number are
+// a prefix of the slot's.
+func (s *slot) isPrefix(lastEpoch, lastSeq uint64) bool {
+	return lastSeq == 0 || lastSeq <= s.lastSeq && s.epochAt(lastSeq) == lastEpoch
 }
 
-// entriesAfter are the items with higher numbers, in their order, at most so many bytes of them; up to
-// which number that is all.
-func (s *slot) entriesAfter(seq uint64, now int64, most int) (out []Entry, upTo uint64) {
-	var later []*item
-	for _, it := range s.items {
-		if it.seq > seq {
-			later = append(later, it)
+// entriesAfter returns the records after a number in their order, at least one and then not more
+// than maxBytes of them, and the number up to which these are all.
+func (s *slot) entriesAfter(seq uint64, now time.Duration, maxBytes int) (entries []Entry, upTo uint64) {
+	size := 0
+	for _, it := range s.itemsInOrder(func(it *item) bool { return it.seq > seq }) {
+		if size += recordSize(&it.record); size > maxBytes && len(entries) > 0 {
+			return entries, entries[len(entries)-1].Seq
 		}
+		record := it.record
+		remaining := wiretime.FromDuration(it.expiresAt - now)
+		entries = append(entries, Entry{Seq: it.seq, Epoch: it.epoch, Remaining: remaining, Record: &record})
 	}
-	slices.SortFunc(later, func(a, b *item) int { return cmp.Compare(a.seq, b.seq) })
-	size := 0
-	for _, it := range later {
-		if size += recordSize(&it.record); size > most && len(out) > 0 {
-			return out, out[len(out)-1].Seq
+	return entries, s.lastSeq
+}
+
+// itemsInOrder returns the items that match, by their numbers: the same events send the same
+// messages.
+func (s *slot) itemsInOrder(match func(*item) bool) (items []*item) {
+	for _, it := range s.items {
+		if match(it) {
+			items = append(items, it)
 		}
-		r := it.record
-		out = append(out, Entry{Seq: it.seq, Epoch: it.epoch, Remaining: it.expiresAt - now, Record: &r})
 	}
-	return out, s.lastSeq
+	slices.SortFunc(items, func(a, b *item) int { return cmp.Compare(a.seq, b.seq) })
+	return items
+}
+
+// watchedItems returns the items with watchers, by their numbers.
+func (s *slot) watchedItems() []*item {
+	return s.itemsInOrder(func(it *item) bool { return len(it.watchers) > 0 })
 }
 
-// recordSize is about how many bytes a record takes.
+// recordSize is about how many bytes a record takes in memory.
 func recordSize(r *store.Record) int {
-	n := 128 + len(r.Name.Class) + len(r.Name.Tenant) + len(r.Name.Key)
+	n := recordOverhead + len(r.Name.Class) + len(r.Name.Tenant) + len(r.Name.Key)
 	if r.Result != nil {
 		n += len(r.Result.Body)
 		for _, f := range r.Result.Fields {
@@ -154,7 +174,7 @@
 	return n
 }
 
-// sortedFollowers are the peers by their names: the same messages are to come of the same.
+// sortedFollowers iterates over the followers by name: the same events send the same messages.
 func (s *slot) sortedFollowers() iter.Seq2[string, *follower] {
 	return func(yield func(string, *follower) bool) {
 		for _, name := range slices.Sorted(maps.Keys(s.followers)) {
@@ -165,44 +185,37 @@
 	}
 }
 
-// watchedItems are the items whose end somebody waits for, in their order.
-func (s *slot) watchedItems() (out []*item) {
-	for _, it := range s.items {
-		if len(it.watchers) > 0 {
-			out = append(out, it)
-		}
-	}
-	slices.SortFunc(out, func(a, b *item) int { return cmp.Compare(a.seq, b.seq) })
-	return out
-}
-
-// requiredFollowers are the peers without which nothing counts as kept.
-func (s *slot) requiredFollowers(t *placement.Slot) (out []*follower) {
-	for name, p := range s.followers {
-		if slices.Contains(t.Replicas, name) || p.caughtUp {
-			out = append(out, p)
+// requiredFollowers returns the followers without which nothing is committed: those of the replica
+// set, and those of which the consensus group was told that they have all records.
+func (s *slot) requiredFollowers(t *placement.Slot) (required []*follower) {
+	for name, f := range s.followers {
+		if slices.Contains(t.Replicas, name) || f.caughtUp {
+			required = append(required, f)
 		}
 	}
-	return out
+	return required
 }
 
-// committed is up to which number all is held by everybody who has to; false: the epoch is not open. It
-// never is for a primary alone, and who is only joining does not make two.
+// committed returns the number up to which all required followers have stored the records. It
+// reports false before each of them has answered the probe, and for a primary without another
+// member of the replica set: a follower that is only catching up does not make two.
 func (s *slot) committed(t *placement.Slot) (uint64, bool) {
 	seq := s.lastSeq
-	for _, p := range s.requiredFollowers(t) {
-		if !p.probed {
+	for _, f := range s.requiredFollowers(t) {
+		if !f.probed {
 			return 0, false
 		}
-		seq = min(seq, p.ackedSeq)
+		seq = min(seq, f.ackedSeq)
 	}
 	return seq, len(t.Replicas) > 1
 }
 
-// removeExpired drops what no repeat can meet any more. A run that goes on is never dropped.
-func (s *slot) removeExpired(now int64, lives func(*store.Record) bool) {
+// removeExpired drops the records that no retry of their key can meet any more: their windows ended
+// before the time given. A run that goes on, and one with watchers, is not dropped.
+func (s *slot) removeExpired(before time.Duration, ownerAlive func(*store.Record) bool) {
 	for name, it := range s.items {
-		if now > it.expiresAt && len(it.watchers) == 0 && (it.record.Kind != store.RunStarted || !lives(&it.record)) {
+		running := it.record.Kind == store.RunStarted && ownerAlive(&it.record)
+		if before > it.expiresAt && len(it.watchers) == 0 && !running {
 			s.bytes -= recordSize(&it.record)
 			delete(s.items, name)
 		}
--- a/internal/peers/replication/snapshot.go
+++ b/internal/peers/replication/snapshot.go
@@ -1,8 +1,12 @@
 package replication
 
-import "slices"
+import (
+	"math"
+	"slices"
+	"time"
+)
 
-// SlotSnapshot is what a disk has of a slot.
+// SlotSnapshot is the stored form of what a runner has of one slot.
 type SlotSnapshot struct {
 	Slot        int          `cbor:"1,keyasint"`
 	LastEpoch   uint64       `cbor:"2,keyasint"`
@@ -11,33 +15,39 @@
 	Entries     []Entry      `cbor:"5,keyasint,omitempty"`
 }
 
-// Snapshot gives what is held, for a disk.
-func (h *Replica) Snapshot(now int64) []SlotSnapshot {
+// Snapshot returns the stored form of all slots that have records.
+func (r *Replica) Snapshot(now time.Duration) []SlotSnapshot {
 	var all []SlotSnapshot
-	for i := range h.slots {
-		if s := h.SnapshotSlot(i, now); s != nil {
+	for i := range r.slots {
+		if s := r.SnapshotSlot(i, now); s != nil {
 			all = append(all, *s)
 		}
 	}
 	return all
 }
 
-// SnapshotSlot gives what is held of one slot; nil: nothing.
-func (h *Replica) SnapshotSlot(i int, now int64) *SlotSnapshot {
-	if i >= len(h.slots) || h.slots[i] == nil || h.slots[i].lastSeq == 0 {
+// SnapshotSlot returns the stored form of one slot, or nil if the runner has no record of it.
+func (r *Replica) SnapshotSlot(i int, now time.Duration) *SlotSnapshot {
+	if i >= len(r.slots) || r.slots[i] == nil || r.slots[i].lastSeq == 0 {
 		return nil
 	}
-	s := h.slots[i]
-	entries, _ := s.entriesAfter(0, now, 1<<62)
-	return &SlotSnapshot{Slot: i, LastEpoch: s.lastEpoch, LastSeq: s.lastSeq, EpochStarts: slices.Clone(s.epochStarts), Entries: entries}
+	s := r.slots[i]
+	entries, _ := s.entriesAfter(0, now, math.MaxInt)
+	return &SlotSnapshot{
+		Slot:        i,
+		LastEpoch:   s.lastEpoch,
+		LastSeq:     s.lastSeq,
+		EpochStarts: slices.Clone(s.epochStarts),
+		Entries:     entries,
+	}
 }
 
-// restore is what was saved. It is at no epoch: its holder counts for nothing until a primary has
-// brought it up.
-func (v *SlotSnapshot) restore(now int64) *slot {
+// restore returns the slot of a snapshot. It is at no epoch: the replica counts for nothing until a
+// primary has brought it up to date.
+func (v *SlotSnapshot) restore(now time.Duration) *slot {
 	s := newSlot()
 	for _, e := range v.Entries {
-		s.store(e, now+e.Remaining)
+		s.store(e, now+e.Remaining.Duration())
 	}
 	s.lastEpoch, s.lastSeq, s.epochStarts = v.LastEpoch, v.LastSeq, slices.Clone(v.EpochStarts)
 	return s
--- a/internal/peers/wal/stored_test.go
+++ b/internal/peers/wal/stored_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
@@ -78,10 +79,10 @@
 			Slots:      4,
 			Backups:    1,
 			StartedAt:  1_700_000_000,
-			LeaseRules: lease.Rules{MaxPerMember: 1, ExpiryBackoff: 1_000_000, Rules: []lease.Rule{{Name: "probe-west"}}},
-			Clock:      func() int64 { return 77_000_000 },
+			LeaseRules: lease.Rules{MaxPerMember: 1, ExpiryBackoff: time.Second, Rules: []lease.Rule{{Name: "probe-west"}}},
+			Clock:      func() time.Duration { return 77 * time.Second },
 		},
-		storedMember(), disk, 1_000_000,
+		storedMember(), disk, time.Second,
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +105,7 @@
 	}
 	c := voter(t, nil)
 	changes := 0
-	for now := int64(1_000_000); now < 6_000_000; now += 50_000 {
+	for now := time.Second; now < 6*time.Second; now += 50 * time.Millisecond {
 		c.Tick(now)
 		// Enough changes for the log to be cut by a snapshot, and some after it. They are of a member
 		// that is not there, so that only the version of the table counts them.
