--- a/internal/peers/consensus/heartbeat.go
+++ b/internal/peers/consensus/heartbeat.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // sendHeartbeat sends this runner's heartbeat: to all other voters while it asks for a voter ID, to
@@ -16,8 +16,8 @@
 		Type:    MsgHeartbeat,
 		From:    c.cfg.Name,
 		Member:  c.self,
-		SentAt:  wiretime.FromDuration(c.now),
-		AskedAt: wiretime.FromDuration(c.cfg.Clock()),
+		SentAt:  wallclock.MicrosOf(c.now),
+		AskedAt: wallclock.MicrosOf(c.cfg.Clock()),
 	}
 	if c.requestedVoterID != 0 {
 		m.RequestedID, m.HasLog = c.requestedVoterID, c.voterID != 0
@@ -78,7 +78,7 @@
 		RequestedID: c.voterID,
 		HasLog:      hasLog,
 		IsReply:     true,
-		SentAt:      wiretime.FromDuration(c.now),
+		SentAt:      wallclock.MicrosOf(c.now),
 	})
 }
 
--- a/internal/peers/consensus/late_test.go
+++ b/internal/peers/consensus/late_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // A word of the process before came late, and took from the one that is there the number that it
@@ -133,7 +133,7 @@
 	c := r.all[r.names[3]]
 	confirmed, heard := 0, c.LastContact()
 	c.OnLeaderConfirmed(func(time.Duration, uint64) { confirmed++ })
-	for _, m := range []Message{{AskedAt: 1 << 50, Member: placement.Member{Incarnation: 999}}, {SentAt: wiretime.FromDuration(r.now) + 1<<50}} {
+	for _, m := range []Message{{AskedAt: 1 << 50, Member: placement.Member{Incarnation: 999}}, {SentAt: wallclock.MicrosOf(r.now) + 1<<50}} {
 		m.Type, m.From, m.To, m.Version = MsgHeartbeatResp, r.leader(), c.cfg.Name, c.Table().Version
 		c.Receive(&m, r.now)
 	}
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -11,7 +11,7 @@
 
 	"ryepaddle/internal/peers/lease"
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // leaderState is what the leader knows of the runners and of its proposals.
@@ -249,7 +249,7 @@
 		Type:    MsgHeartbeatResp,
 		To:      request.name,
 		Member:  placement.Member{Name: request.name, Incarnation: request.incarnation},
-		AskedAt: wiretime.FromDuration(request.askedAt),
+		AskedAt: wallclock.MicrosOf(request.askedAt),
 		Version: c.table.Version,
 	})
 }
--- a/internal/peers/consensus/message.go
+++ b/internal/peers/consensus/message.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // MessageType is what a message is for.
@@ -47,7 +47,7 @@
 	Table   *placement.Table   `cbor:"8,keyasint,omitempty"`
 	Changes []placement.Change `cbor:"9,keyasint,omitempty"` // MsgPropose
 	// MsgHeartbeat: by the sender's monotonic clock; MsgHeartbeatResp returns it
-	SentAt wiretime.Microseconds `cbor:"10,keyasint,omitempty"`
+	SentAt wallclock.Micros `cbor:"10,keyasint,omitempty"`
 	// MsgHeartbeat: the voter ID that a voter without one asks for; MsgHeartbeatResp: it has it now
 	RequestedID uint64 `cbor:"11,keyasint,omitempty"`
 	// MsgHeartbeat with RequestedID: the sender's disk has a log
@@ -58,7 +58,7 @@
 	VoterID uint64 `cbor:"15,keyasint,omitempty"`
 	// MsgHeartbeat: by the sender's clock for leases; MsgHeartbeatResp returns it once a quorum has
 	// confirmed the leader
-	AskedAt wiretime.Microseconds `cbor:"14,keyasint,omitempty"`
+	AskedAt wallclock.Micros `cbor:"14,keyasint,omitempty"`
 }
 
 // DurableRecord has to be on disk before the messages that Ready returned with it are sent. Its
--- a/internal/peers/lease/granter.go
+++ b/internal/peers/lease/granter.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // Granter decides which member is granted which lease, at the consensus group's leader.
@@ -98,7 +98,7 @@
 			Member:  placement.Member{Name: m.Name, Incarnation: m.Incarnation},
 			Lease:   r.Name,
 			Token:   l.Token,
-			AskedAt: wiretime.FromDuration(askedAt(m.Name)),
+			AskedAt: wallclock.MicrosOf(askedAt(m.Name)),
 		})
 	}
 	return changes
--- a/internal/peers/lease/health_checks.go
+++ b/internal/peers/lease/health_checks.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 const (
@@ -28,10 +28,10 @@
 
 // ServerHealth is the result of one server's health check.
 type ServerHealth struct {
-	Group   string                `cbor:"1,keyasint"`
-	Server  string                `cbor:"2,keyasint"`
-	Healthy bool                  `cbor:"3,keyasint,omitempty"`
-	Age     wiretime.Microseconds `cbor:"4,keyasint,omitempty"` // as the report is sent
+	Group   string           `cbor:"1,keyasint"`
+	Server  string           `cbor:"2,keyasint"`
+	Healthy bool             `cbor:"3,keyasint,omitempty"`
+	Age     wallclock.Micros `cbor:"4,keyasint,omitempty"` // as the report is sent
 }
 
 // HealthChecks decides which runner checks the health of which servers. The holder of a zone's lease
@@ -140,7 +140,7 @@
 		}
 		report := HealthReport{From: from, Lease: lease, Token: c.tokens[lease]}
 		for _, o := range observed {
-			o.Age = wiretime.FromDuration(now - o.at)
+			o.Age = wallclock.MicrosOf(now - o.at)
 			report.Servers = append(report.Servers, o.ServerHealth)
 		}
 		reports = append(reports, report)
--- a/internal/peers/placement/change.go
+++ b/internal/peers/placement/change.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // ChangeKind is what a change does to the table.
@@ -85,5 +85,5 @@
 	Token    uint64 `cbor:"6,keyasint,omitempty"`
 	Handover []byte `cbor:"7,keyasint,omitempty"`
 	// AskedAt is when the member that is granted a lease asked, by its own clock.
-	AskedAt wiretime.Microseconds `cbor:"8,keyasint,omitempty"`
+	AskedAt wallclock.Micros `cbor:"8,keyasint,omitempty"`
 }
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // Bounds of what the table has of leases.
@@ -33,8 +33,8 @@
 	// Expirations are the members that lost the lease without releasing it, the newest last.
 	Expirations []Expiration `cbor:"7,keyasint,omitempty"`
 	// AskedAt is when the holder asked before it was granted, by its own clock; 0: not known.
-	AskedAt wiretime.Microseconds `cbor:"8,keyasint,omitempty"`
-	Seq     uint64                `cbor:"9,keyasint,omitempty"` // of the holder's newest change under the token
+	AskedAt wallclock.Micros `cbor:"8,keyasint,omitempty"`
+	Seq     uint64           `cbor:"9,keyasint,omitempty"` // of the holder's newest change under the token
 	// ReleasedBy is the member that released the lease, until another one holds it.
 	ReleasedBy string `cbor:"10,keyasint,omitempty"`
 }
--- a/internal/peers/replication/follower.go
+++ b/internal/peers/replication/follower.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // handleAppend handles a probe or records of a primary. Those of an older epoch are not answered.
@@ -63,6 +63,6 @@
 }
 
 // quarantineLeft returns what a primary tells its followers of the slot's quarantine.
-func (r *Replica) quarantineLeft(s *slot) wiretime.Microseconds {
-	return wiretime.FromDuration(max(s.quarantine.until-r.now, 0))
+func (r *Replica) quarantineLeft(s *slot) wallclock.Micros {
+	return wallclock.MicrosOf(max(s.quarantine.until-r.now, 0))
 }
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ryepaddle/internal/idempotency/store"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // MessageType is what a message is for.
@@ -74,10 +74,10 @@
 // Entry is a record with its place in the order of its slot. Remaining says how much of the key's
 // window is left; the times of the record itself are not used.
 type Entry struct {
-	Seq       uint64                `cbor:"1,keyasint"`
-	Epoch     uint64                `cbor:"2,keyasint"` // in which the primary accepted it
-	Remaining wiretime.Microseconds `cbor:"3,keyasint"`
-	Record    *store.Record         `cbor:"4,keyasint"`
+	Seq       uint64           `cbor:"1,keyasint"`
+	Epoch     uint64           `cbor:"2,keyasint"` // in which the primary accepted it
+	Remaining wallclock.Micros `cbor:"3,keyasint"`
+	Record    *store.Record    `cbor:"4,keyasint"`
 }
 
 // EpochStart is the number of the first record of an epoch.
@@ -101,7 +101,7 @@
 	// MsgPutResp: the process of the run is lost, so that it is not known whether the run ended
 	InDoubt bool `cbor:"8,keyasint,omitempty"`
 	// MsgPutResp: the earliest time for a retry; 0: at any time
-	RetryAfter wiretime.Microseconds `cbor:"9,keyasint,omitempty"`
+	RetryAfter wallclock.Micros `cbor:"9,keyasint,omitempty"`
 	// MsgAppend: the number before the first entry; MsgProbeResp: the epoch of the newest record
 	Base uint64 `cbor:"10,keyasint,omitempty"`
 	// MsgAppend: the entries are all up to this number; MsgProbeResp and MsgAppendResp: the newest
@@ -109,9 +109,9 @@
 	Seq   uint64 `cbor:"11,keyasint,omitempty"`
 	Reset bool   `cbor:"12,keyasint,omitempty"` // MsgAppend: drop what was stored before
 	// MsgAppend: how long the slot accepts no new keys
-	Quarantine  wiretime.Microseconds `cbor:"13,keyasint,omitempty"`
-	EpochStarts []EpochStart          `cbor:"14,keyasint,omitempty"`
-	Entries     []Entry               `cbor:"15,keyasint,omitempty"`
-	Incarnation uint64                `cbor:"16,keyasint,omitempty"` // the sender's
-	Serial      uint64                `cbor:"17,keyasint"`           // counts the sender's messages
+	Quarantine  wallclock.Micros `cbor:"13,keyasint,omitempty"`
+	EpochStarts []EpochStart     `cbor:"14,keyasint,omitempty"`
+	Entries     []Entry          `cbor:"15,keyasint,omitempty"`
+	Incarnation uint64           `cbor:"16,keyasint,omitempty"` // the sender's
+	Serial      uint64           `cbor:"17,keyasint"`           // counts the sender's messages
 }
--- a/internal/peers/replication/primary.go
+++ b/internal/peers/replication/primary.go
@@ -6,7 +6,7 @@
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 const (
@@ -121,7 +121,7 @@
 			Seq:        s.lastSeq,
 			Quarantine: r.quarantineLeft(s),
 			Entries: []Entry{
-				{Seq: it.seq, Epoch: it.epoch, Remaining: wiretime.FromDuration(remaining), Record: record},
+				{Seq: it.seq, Epoch: it.epoch, Remaining: wallclock.MicrosOf(remaining), Record: record},
 			},
 		})
 	}
--- a/internal/peers/replication/put.go
+++ b/internal/peers/replication/put.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ryepaddle/internal/idempotency/store"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 const (
@@ -146,7 +146,7 @@
 		Epoch:      m.Epoch,
 		RequestID:  m.RequestID,
 		Outcome:    outcome,
-		RetryAfter: wiretime.FromDuration(retryAfter),
+		RetryAfter: wallclock.MicrosOf(retryAfter),
 	})
 }
 
@@ -167,7 +167,7 @@
 		Slot:      p.message.Slot,
 		RequestID: p.message.RequestID,
 		Outcome:   OutcomeOwnedByOther,
-		Entries:   []Entry{{Remaining: wiretime.FromDuration(p.remaining), Record: &never}},
+		Entries:   []Entry{{Remaining: wallclock.MicrosOf(p.remaining), Record: &never}},
 	})
 }
 
@@ -181,7 +181,7 @@
 		RequestID: w.requestID,
 		Outcome:   OutcomeOwnedByOther,
 		InDoubt:   record.Kind == store.RunStarted && !r.ownerAlive(&record),
-		Entries:   []Entry{{Remaining: wiretime.FromDuration(it.expiresAt - r.now), Record: &record}},
+		Entries:   []Entry{{Remaining: wallclock.MicrosOf(it.expiresAt - r.now), Record: &record}},
 	})
 }
 
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -17,7 +17,7 @@
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/grid"
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 // No key runs twice and no promise is lost over any mix of lost machines, old disks, stops, cuts
@@ -141,7 +141,7 @@
 		w.tamper = func(w *world, m *Message) []Message {
 			m.Entries = slices.Clone(m.Entries)
 			for i := range m.Entries {
-				m.Entries[i].Remaining += wiretime.FromDuration(time.Duration(int(m.To[1])-int(m.From[1])) * time.Minute)
+				m.Entries[i].Remaining += wallclock.MicrosOf(time.Duration(int(m.To[1])-int(m.From[1])) * time.Minute)
 			}
 			return []Message{*m}
 		}
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ryepaddle/internal/idempotency/store"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 const (
@@ -115,7 +115,7 @@
 		Epoch:     t.Epoch,
 		RequestID: p.id,
 		Outcome:   wanted,
-		Entries:   []Entry{{Remaining: wiretime.FromDuration(p.expiresAt - r.now), Record: p.record}},
+		Entries:   []Entry{{Remaining: wallclock.MicrosOf(p.expiresAt - r.now), Record: p.record}},
 	})
 }
 
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -9,7 +9,7 @@
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/placement"
-	"ryepaddle/internal/peers/wiretime"
+	"ryepaddle/internal/wallclock"
 )
 
 const (
@@ -139,7 +139,7 @@
 			return entries, entries[len(entries)-1].Seq
 		}
 		record := it.record
-		remaining := wiretime.FromDuration(it.expiresAt - now)
+		remaining := wallclock.MicrosOf(it.expiresAt - now)
 		entries = append(entries, Entry{Seq: it.seq, Epoch: it.epoch, Remaining: remaining, Record: &record})
 	}
 	return entries, s.lastSeq
--- a/internal/wallclock/micros_test.go
+++ b/internal/wallclock/micros_test.go
@@ -1,8 +1,12 @@
 package wallclock
 
 import (
+	"bytes"
+	"math"
 	"testing"
 	"time"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
 func TestMicrosIsCutToWholeMicroseconds(t *testing.T) {
@@ -17,3 +21,29 @@
 		t.Errorf("After = %d, want %d", got, want)
 	}
 }
+
+func TestDecodedSpanDoesNotOverflowWithAnInstant(t *testing.T) {
+	const uptime = 100 * 365 * 24 * time.Hour
+	if got := Micros(math.MaxInt64).Duration() + uptime; got < uptime {
+		t.Errorf("the sum with the largest span is %v", got)
+	}
+	if got := Micros(math.MinInt64).Duration() - uptime; got > 0 {
+		t.Errorf("the difference with the smallest span is %v", got)
+	}
+}
+
+func TestMicrosIsEncodedAsAnInteger(t *testing.T) {
+	for _, n := range []int64{0, 23, -1, 600_000, 1 << 40} {
+		plain, err := cbor.Marshal(n)
+		if err != nil {
+			t.Fatal(err)
+		}
+		typed, err := cbor.Marshal(Micros(n))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(plain, typed) {
+			t.Errorf("%d is encoded as %x, want %x", n, typed, plain)
+		}
+	}
+}
