--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -113,7 +113,7 @@
 			Lost:     rec.Lost,
 			Classes:  map[string]int{},
 		}
-		first, further := rec.FirstAttempts(func(int) int64 { return 10_000_000 })
+		first, further := rec.WithoutRetries(func(int) int64 { return 10_000_000 })
 		if s.Further = further; len(first) > 0 {
 			s.Seconds = float64(first[len(first)-1].ArrivedAt-first[0].ArrivedAt) / 1e6
 		}
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -552,7 +552,7 @@
 	for _, x := range r.recent.Strata() {
 		s.Remembered = append(
 			s.Remembered,
-			Remembered{r.cfg.Settings.Classes[x.Class].Name, kindNames[x.Kind], x.Seen, x.Retained},
+			Remembered{r.cfg.Settings.Classes[x.Class].Name, kindNames[x.Status], x.Added, x.Retained},
 		)
 	}
 	return s
@@ -561,7 +561,7 @@
 // explained looks for requests.
 func (r *Program) explained(q control.Request) (any, error) {
 	e := explain.Query{
-		Name:      q.ID,
+		ID:        q.ID,
 		Key:       q.Key,
 		Class:     -1,
 		NotServed: q.NotServed,
@@ -582,7 +582,7 @@
 		found := false
 		for kind, name := range kindNames {
 			if name == q.Kind && kind != 0 {
-				e.Kind, found = kind, true
+				e.Status, found = kind, true
 			}
 		}
 		if !found {
--- a/internal/app/record.go
+++ b/internal/app/record.go
@@ -60,7 +60,7 @@
 			Caller:    q.Caller,
 			SizeKB:    float32(q.SizeKB),
 			Rank:      float32(q.Rank),
-			BodyLen:   uint32(len(q.Body)),
+			BodyBytes: uint32(len(q.Body)),
 		}
 		if len(q.Body) > 0 { // or all that carry none would look like tries of one
 			n.BodyHash = xxhash.Sum64(q.Body)
--- a/internal/app/traces.go
+++ b/internal/app/traces.go
@@ -25,7 +25,7 @@
 		MaxPerSecond: t.MaxPerSecond,
 		Instance:     r.cfg.Name,
 		Version:      buildinfo.Version(),
-		KindNames:    kindNames,
+		StatusNames:  kindNames,
 		OutcomeNames: outcomeNames,
 		ClassName:    r.className,
 	}
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -56,7 +56,7 @@
 		}
 		r.tenants = append(r.tenants, i)
 	}
-	r.requests, r.Further = rec.FirstAttempts(
+	r.requests, r.Further = rec.WithoutRetries(
 		func(class int) int64 { return int64(s.Classes[r.classes[class]].DeadlineMs * 1000) },
 	)
 	r.began = r.requests[0].ArrivedAt
@@ -129,7 +129,7 @@
 			SizeKB:    float32(a.SizeKB),
 			Rank:      float32(a.Rank),
 			BodyHash:  Mix(d.Seed, "body", a.ID),
-			BodyLen:   8,
+			BodyBytes: 8,
 		}
 		if d.Spec.Classes[a.Class].Effect == "keyed" {
 			q.KeyHash = Mix(d.Seed, "key", a.ID)
--- a/internal/telemetry/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	textMost  = 64
-	EntrySize = 900 // bytes of an entry at the most, about, with all its texts and its place
+	textMost      = 64
+	MaxEntryBytes = 900 // bytes of an entry at the most, about, with all its texts and its place
 )
 
 // strand is a class and an end.
@@ -60,7 +60,7 @@
 // New makes a record of at most so many bytes. keyed tells which classes have an effect.
 func New(bytes int, keyed func(class int) bool, seed uint64) *RequestLog {
 	return &RequestLog{
-		most:   max(bytes/EntrySize, 1),
+		most:   max(bytes/MaxEntryBytes, 1),
 		keyed:  keyed,
 		rand:   rand.New(rand.NewPCG(seed, 5)),
 		strata: map[strand]*stratum{},
@@ -152,9 +152,9 @@
 
 // Query says which requests are asked for. What is left at its zero value says nothing.
 type Query struct {
-	Name, Key string
+	ID, Key   string
 	Class     int // -1: any
-	Kind      lifecycle.Status
+	Status    lifecycle.Status
 	NotServed bool
 	Cause     lifecycle.Cause
 	From, To  int64 // Unix time of the answer
@@ -162,8 +162,8 @@
 }
 
 func (q *Query) takes(e *Entry) bool {
-	return (q.Name == "" || e.ID == short(q.Name) || e.OriginalID == short(q.Name)) && (q.Key == "" || e.Key == short(q.Key)) &&
-		(q.Class < 0 || e.Class == q.Class) && (q.Kind == 0 || e.Status == q.Kind) &&
+	return (q.ID == "" || e.ID == short(q.ID) || e.OriginalID == short(q.ID)) && (q.Key == "" || e.Key == short(q.Key)) &&
+		(q.Class < 0 || e.Class == q.Class) && (q.Status == 0 || e.Status == q.Status) &&
 		!(q.NotServed && e.Status == lifecycle.Served) &&
 		(q.Cause == 0 || e.Cause == q.Cause) &&
 		(q.From == 0 || int64(e.AnsweredAt) >= q.From) &&
@@ -194,8 +194,8 @@
 // Stratum is what is known of a class and an end.
 type Stratum struct {
 	Class    int
-	Kind     lifecycle.Status
-	Seen     uint64 // since the start
+	Status   lifecycle.Status
+	Added    uint64 // since the start
 	Retained int
 }
 
@@ -206,7 +206,7 @@
 	}
 	slices.SortFunc(
 		out,
-		func(a, b Stratum) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Kind, b.Kind)) },
+		func(a, b Stratum) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Status, b.Status)) },
 	)
 	return out
 }
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -28,7 +28,7 @@
 
 // A flood of ten times the record's size leaves the last 100 refused hand-ins explained.
 func TestAFlood(t *testing.T) {
-	r := New(1000*EntrySize, keyed, 1)
+	r := New(1000*MaxEntryBytes, keyed, 1)
 	now := int64(1)
 	for n := range 10 * r.Capacity() {
 		now += 10 // 100,000 a second
@@ -43,7 +43,7 @@
 	if r.Len() > r.Capacity() {
 		t.Errorf("%d entries of %d", r.Len(), r.Capacity())
 	}
-	got := r.Find(Query{Class: handIn, Kind: lifecycle.Rejected, Limit: 100})
+	got := r.Find(Query{Class: handIn, Status: lifecycle.Rejected, Limit: 100})
 	if len(got) != 100 {
 		t.Fatalf("%d refused hand-ins are explained", len(got))
 	}
@@ -52,13 +52,13 @@
 			t.Fatalf("number %d is %d, want %d", i, int64(e.AnsweredAt), want)
 		}
 	}
-	served := r.Find(Query{Class: check, Kind: lifecycle.Served, Limit: 1})
+	served := r.Find(Query{Class: check, Status: lifecycle.Served, Limit: 1})
 	if len(served) != 1 || served[0].Represents < 2 {
 		t.Errorf("of a flood of served ones: %+v", served)
 	}
 	for _, s := range r.Strata() {
-		if s.Class == check && s.Kind == lifecycle.Served && s.Seen != uint64(10*r.Capacity()) {
-			t.Errorf("%d are counted", s.Seen)
+		if s.Class == check && s.Status == lifecycle.Served && s.Added != uint64(10*r.Capacity()) {
+			t.Errorf("%d are counted", s.Added)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 // loses none to one with many.
 func TestTheRecordHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := New(rapid.IntRange(0, 60).Draw(rt, "most")*EntrySize, keyed, 1)
+		r := New(rapid.IntRange(0, 60).Draw(rt, "most")*MaxEntryBytes, keyed, 1)
 		now := int64(1)
 		for n := range 300 {
 			now += rapid.Int64Range(-2_000_000, 2_000_000).Draw(rt, "step") // clocks do that
@@ -80,7 +80,7 @@
 			if r.Len() > r.Capacity() {
 				rt.Fatalf("%d of %d", r.Len(), r.Capacity())
 			}
-			if got := r.Find(Query{Name: tr.ID, Class: -1}); tr.Status != lifecycle.Served &&
+			if got := r.Find(Query{ID: tr.ID, Class: -1}); tr.Status != lifecycle.Served &&
 				r.Capacity() > 8 &&
 				len(got) != 1 {
 				rt.Fatalf("the newest is found %d times", len(got))
@@ -91,7 +91,7 @@
 
 // Ids that collide give all that had them, and a first try its repeats.
 func TestFind(t *testing.T) {
-	r := New(100*EntrySize, keyed, 1)
+	r := New(100*MaxEntryBytes, keyed, 1)
 	for n := range 3 {
 		tr := trail(7, handIn, lifecycle.Failed)
 		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), wallclock.UnixMicro(int64(100+n))
@@ -103,7 +103,7 @@
 	for _, c := range []struct {
 		q    Query
 		want int
-	}{{Query{Name: again.OriginalID, Class: -1}, 4}, {Query{Key: strings.Repeat("k", 100), Class: handIn}, 3}, {Query{Class: -1, NotServed: true, From: 101}, 2},
+	}{{Query{ID: again.OriginalID, Class: -1}, 4}, {Query{Key: strings.Repeat("k", 100), Class: handIn}, 3}, {Query{Class: -1, NotServed: true, From: 101}, 2},
 		{Query{Class: check}, 0}, {Query{Class: -1, Cause: lifecycle.CauseInterrupted, To: 100}, 2}, {Query{Class: -1, Limit: 1}, 1}} {
 		if got := r.Find(c.q); len(got) != c.want {
 			t.Errorf("%+v: %d", c.q, len(got))
@@ -114,7 +114,7 @@
 // The bytes of an entry at its largest are within its bound.
 func TestEntrySize(t *testing.T) {
 	const n = 5000
-	r := New(n*EntrySize, keyed, 1)
+	r := New(n*MaxEntryBytes, keyed, 1)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -129,8 +129,8 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if used := int64(after.HeapAlloc) - int64(before.HeapAlloc); used > n*EntrySize {
-		t.Errorf("%d bytes an entry, %d are booked", used/n, EntrySize)
+	if used := int64(after.HeapAlloc) - int64(before.HeapAlloc); used > n*MaxEntryBytes {
+		t.Errorf("%d bytes an entry, %d are booked", used/n, MaxEntryBytes)
 	}
 	runtime.KeepAlive(r)
 }
--- a/internal/telemetry/tracing/traces.go
+++ b/internal/telemetry/tracing/traces.go
@@ -31,7 +31,7 @@
 	Version      string
 	ClassName    func(class int) string // its name; it is asked beside the loop
 	Tenants      []string
-	KindNames    map[lifecycle.Status]string
+	StatusNames  map[lifecycle.Status]string
 	OutcomeNames map[lifecycle.Outcome]string
 }
 
@@ -163,7 +163,7 @@
 		attribute.String("ryepaddle.class", r.opt.ClassName(e.Class)),
 		attribute.String(
 			"ryepaddle.end",
-			r.opt.KindNames[e.Status],
+			r.opt.StatusNames[e.Status],
 		),
 		attribute.Int64("ryepaddle.caller", int64(e.Caller)),
 	}
--- a/internal/telemetry/tracing/traces_test.go
+++ b/internal/telemetry/tracing/traces_test.go
@@ -19,7 +19,7 @@
 		MaxPerSecond: 10,
 		Instance:     "n1",
 		ClassName:    func(i int) string { return []string{"check", "hand-in"}[i] },
-		KindNames:    map[lifecycle.Status]string{lifecycle.Rejected: "refused"},
+		StatusNames:  map[lifecycle.Status]string{lifecycle.Rejected: "refused"},
 	}
 }
 
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -55,7 +55,7 @@
 	Rank      float32
 	KeyHash   uint64 // hash of its dedupe key; 0: none
 	BodyHash  uint64 // hash of its body, by which further tries are told
-	BodyLen   uint32
+	BodyBytes uint32
 }
 
 // Lost counts requests that were not recorded, by why.
--- a/internal/telemetry/traffic/replay.go
+++ b/internal/telemetry/traffic/replay.go
@@ -40,12 +40,12 @@
 	return all, nil
 }
 
-// FirstAttempts gives the requests in the order of their times, without what looks like further tries
+// WithoutRetries gives the requests in the order of their times, without what looks like further tries
 // of one that came before: those with its dedupe key or, where there is none, of the same caller
 // with the same body, within so long of the first, by class. Runners are not told which tries are
 // further ones, so that this is a guess, and equal requests of two clients within that time count
 // as one.
-func (rec *Recording) FirstAttempts(within func(class int) int64) (first []Request, further int) {
+func (rec *Recording) WithoutRetries(within func(class int) int64) (first []Request, further int) {
 	type name struct {
 		class, tenant uint16
 		caller        uint32
--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -29,11 +29,11 @@
 	return []Request{
 		{
 			ArrivedAt: 1_764_576_000_000_100, Class: 1, Tenant: 1, Caller: 77, SizeKB: 1.5, Rank: 0.25, KeyHash: 1<<63 | 3, BodyHash: 1<<62 | 5,
-			BodyLen: 1_536,
+			BodyBytes: 1_536,
 		},
-		{ArrivedAt: 1_764_576_000_250_000, Caller: 78, SizeKB: 0.125, BodyHash: 9, BodyLen: 128},
-		{ArrivedAt: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, KeyHash: 4, BodyHash: 10, BodyLen: 2_048},
-		{ArrivedAt: 1_764_576_001_000_000, Tenant: 1, Caller: 77, SizeKB: 1, BodyHash: 11, BodyLen: 1_024},
+		{ArrivedAt: 1_764_576_000_250_000, Caller: 78, SizeKB: 0.125, BodyHash: 9, BodyBytes: 128},
+		{ArrivedAt: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, KeyHash: 4, BodyHash: 10, BodyBytes: 2_048},
+		{ArrivedAt: 1_764_576_001_000_000, Tenant: 1, Caller: 77, SizeKB: 1, BodyHash: 11, BodyBytes: 1_024},
 	}
 }
 
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -69,7 +69,7 @@
 		Rank:      0.25,
 		KeyHash:   uint64(i % 2 * i),
 		BodyHash:  uint64(i) * 7,
-		BodyLen:   100,
+		BodyBytes: 100,
 	}
 }
 
@@ -129,8 +129,8 @@
 						t,
 						"key",
 					),
-					BodyHash: rapid.Uint64().Draw(t, "body"),
-					BodyLen:  rapid.Uint32().Draw(t, "len"),
+					BodyHash:  rapid.Uint64().Draw(t, "body"),
+					BodyBytes: rapid.Uint32().Draw(t, "len"),
 				},
 			)
 		}
@@ -348,7 +348,7 @@
 		{ArrivedAt: 21 * s, Class: 0, Caller: 1},               // no body to tell it by
 		{ArrivedAt: 22 * s, Class: 0, Caller: 1},
 	}}
-	first, further := rec.FirstAttempts(func(int) int64 { return 9 * s })
+	first, further := rec.WithoutRetries(func(int) int64 { return 9 * s })
 	var at []string
 	for _, q := range first {
 		at = append(at, fmt.Sprint(q.ArrivedAt/s))
