--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -37,10 +37,10 @@
 	}
 	for k := range 5 {
 		r := &store.Record{
-			Kind:  store.RunStarted,
-			Name:  store.KeyName{Class: "hand-in", Key: fmt.Sprint("key", k)},
-			Owner: 1,
-			Until: wallclock.UnixMicro(now + 60_000_000),
+			Kind:      store.RunStarted,
+			Name:      store.KeyName{Class: "hand-in", Key: fmt.Sprint("key", k)},
+			Owner:     1,
+			ExpiresAt: wallclock.UnixMicro(now + 60_000_000),
 		}
 		if err := j.Commit([]*store.Record{r}); err != nil {
 			t.Fatal(err)
--- a/cmd/runner/stored_test.go
+++ b/cmd/runner/stored_test.go
@@ -38,8 +38,8 @@
 	}
 	record := func(kind store.RecordKind, key string) *store.Record {
 		r := &store.Record{
-			Kind: kind, Name: store.KeyName{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, At: wallclock.UnixMicro(now),
-			Until: wallclock.UnixMicro(storedUntil), Body: [32]byte{1, 2, 3},
+			Kind: kind, Name: store.KeyName{Class: "hand-in", Tenant: "north", Key: key}, Owner: 1<<40 | 7, WrittenAt: wallclock.UnixMicro(now),
+			ExpiresAt: wallclock.UnixMicro(storedUntil), BodyHash: [32]byte{1, 2, 3},
 		}
 		if kind == store.RunEnded {
 			r.Result = &store.Result{
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -218,9 +218,9 @@
 }
 
 // host is what the core needs of the program.
-func (r *Program) host(kept lifecycle.KeyStore, among lifecycle.Reservations, life uint64) lifecycle.Host {
+func (r *Program) host(kept lifecycle.KeyStore, among lifecycle.Reservations, life uint64) lifecycle.Environment {
 	l := r.loop
-	return lifecycle.Host{
+	return lifecycle.Environment{
 		Now: l.Now, Unix: l.Unix,
 		After:        func(d time.Duration, fn func()) func() { return l.After(d, fn).Stop },
 		Measure:      r.link.Gauges,
--- a/internal/app/beside.go
+++ b/internal/app/beside.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Ended implements lifecycle.Reservations.
+// AttemptEnded implements lifecycle.Reservations.
 func (c claimer) Ended(k lifecycle.KeyRecord) {
 	if c.r.claims != nil {
 		c.r.claims.Ended(k)
--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -118,15 +118,15 @@
 	return opt
 }
 
-// Began passes the beginnings of results on to the core.
-func (r *Program) Began(a *lifecycle.Attempt, res *lifecycle.Result) bool {
-	return r.core.Began(a, res)
+// ResponseStarted passes the beginnings of results on to the core.
+func (r *Program) ResponseStarted(a *lifecycle.Attempt, res *lifecycle.Result) bool {
+	return r.core.ResponseStarted(a, res)
 }
 
-// Ended passes the ends of attempts on to the core, for groups that may be there before or after
+// AttemptEnded passes the ends of attempts on to the core, for groups that may be there before or after
 // it.
-func (r *Program) Ended(a *lifecycle.Attempt, o lifecycle.Outcome, res *lifecycle.Result) {
-	r.core.Ended(a, o, res)
+func (r *Program) AttemptEnded(a *lifecycle.Attempt, o lifecycle.Outcome, res *lifecycle.Result) {
+	r.core.AttemptEnded(a, o, res)
 }
 
 // again decides whether a request is tried once more: never on the engine, and on the servers of
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -17,8 +17,8 @@
 
 // Sink gets the results of attempts, as the request lifecycle does.
 type Sink interface {
-	Began(*lifecycle.Attempt, *lifecycle.Result) bool
-	Ended(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
+	ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool
+	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
 
 // Environment is what a queue needs of the program.
@@ -131,7 +131,7 @@
 	if d.Reason == bulkhead.QueueFull {
 		a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadFull, d.Wanted, d.Available
 	}
-	q.environment.Post(func() { q.sink.Ended(a, lifecycle.NotStarted, nil) })
+	q.environment.Post(func() { q.sink.AttemptEnded(a, lifecycle.NotStarted, nil) })
 }
 
 func (q *Queue) tick() {
@@ -153,12 +153,12 @@
 		return
 	}
 	delete(q.requests, a)
-	q.environment.Post(func() { q.sink.Ended(a, lifecycle.NotStarted, nil) })
+	q.environment.Post(func() { q.sink.AttemptEnded(a, lifecycle.NotStarted, nil) })
 }
 
-// Began implements Sink.
-func (q *Queue) Began(a *lifecycle.Attempt, result *lifecycle.Result) bool {
-	return q.sink.Began(a, result)
+// ResponseStarted implements Sink.
+func (q *Queue) ResponseStarted(a *lifecycle.Attempt, result *lifecycle.Result) bool {
+	return q.sink.ResponseStarted(a, result)
 }
 
 // outcomeOf returns what the end of an attempt says about the servers. An error response, and the
@@ -177,14 +177,14 @@
 	return bulkhead.Success
 }
 
-// Ended implements Sink. It is the one place where a slot is given back.
-func (q *Queue) Ended(a *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
+// AttemptEnded implements Sink. It is the one place where a slot is given back.
+func (q *Queue) AttemptEnded(a *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
 	r := q.requests[a]
 	if r != nil {
 		delete(q.requests, a)
 		q.scheduler.Done(r, outcomeOf(outcome), q.environment.Now())
 	}
-	q.sink.Ended(a, outcome, result) // before others begin: what it frees counts for them
+	q.sink.AttemptEnded(a, outcome, result) // before others begin: what it frees counts for them
 	if r != nil && q.scheduler != nil {
 		q.applyDecisions()
 	}
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -28,9 +28,9 @@
 	}
 	p.running[a] = true
 }
-func (p *testProgram) Abandon(*lifecycle.Attempt)                       {}
-func (p *testProgram) Began(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
-func (p *testProgram) Ended(a *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
+func (p *testProgram) Abandon(*lifecycle.Attempt)                                 {}
+func (p *testProgram) ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
+func (p *testProgram) AttemptEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
 	if _, twice := p.ended[a]; twice {
 		p.t.Fatal("an attempt ends twice")
 	}
@@ -113,7 +113,7 @@
 	a := r.open[i]
 	delete(r.running, a)
 	r.open = slices.Delete(r.open, i, i+1)
-	r.queue.Ended(a, outcome, nil)
+	r.queue.AttemptEnded(a, outcome, nil)
 }
 
 func (r *randomAttempts) step() {
@@ -207,7 +207,7 @@
 	}
 	first := run(far)
 	p.now += time.Second
-	queue.Ended(first, lifecycle.Succeeded, nil)
+	queue.AttemptEnded(first, lifecycle.Succeeded, nil)
 	run(far)
 	if a := run(p.now + 500*time.Millisecond); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 ||
 		a.Limit != 0.5 {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -47,26 +47,26 @@
 type Conn struct {
 	loop    *Loop
 	fd      int
-	peer    netip.AddrPort // where it was dialled to, or came from
+	remote  netip.AddrPort // where it was dialled to, or came from
 	dialled bool
-	h       Handler
+	handler Handler
 	limits  BufferLimits
 	in, out []byte
 	// Opening: the connect is under way. Ended: the peer sends no more. Leaving: the own side is
 	// shut, what comes is thrown away until the peer closes.
-	opening, ended, leaving, isShut, closed, dirty bool
-	paused, blind                                  bool // blind: taken off epoll while it is paused
-	drain                                          func()
-
-	events  uint32
-	stuck   time.Duration // since when the peer has taken nothing of what is queued; 0: it takes all
-	dropped int           // bytes that came after the connection was left
-	last    *Timer        // the end of a connection that was left
-	onFree  func()
+	connecting, peerClosed, closing, writeShut, closed, dirty bool
+	paused, unwatched                                         bool // blind: taken off epoll while it is paused
+	onFlushed                                                 func()
+
+	events       uint32
+	stalledSince time.Duration // since when the peer has taken nothing of what is queued; 0: it takes all
+	discarded    int           // bytes that came after the connection was left
+	closeTimer   *Timer        // the end of a connection that was left
+	onReleased   func()
 }
 
 func newConn(l *Loop, fd int, limits BufferLimits, opening bool) (*Conn, error) {
-	c := &Conn{loop: l, fd: fd, limits: limits, opening: opening, events: unix.EPOLLIN}
+	c := &Conn{loop: l, fd: fd, limits: limits, connecting: opening, events: unix.EPOLLIN}
 	if opening {
 		c.events = unix.EPOLLOUT
 	}
@@ -87,7 +87,7 @@
 	fam, sa := socketAddr(addr)
 	fd, err := unix.Socket(fam, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return l.stillborn(h, &ConnectionRefusedError{err})
+		return l.failedConn(h, &ConnectionRefusedError{err})
 	}
 	if !addr.IsUnix() {
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
@@ -96,23 +96,23 @@
 		_ = unix.Close(fd)
 		// there it stands at once or not at all: nobody took it, whatever the reason
 		if addr.IsUnix() {
-			return l.stillborn(h, &ConnectionRefusedError{err})
+			return l.failedConn(h, &ConnectionRefusedError{err})
 		}
-		return l.stillborn(h, connectError(err))
+		return l.failedConn(h, connectError(err))
 	}
 	c, err := newConn(l, fd, limits, true)
 	if err != nil {
-		return l.stillborn(h, &ConnectionRefusedError{err})
+		return l.failedConn(h, &ConnectionRefusedError{err})
 	}
-	c.h, c.peer, c.dialled = h, addr.IP, true
+	c.handler, c.remote, c.dialled = h, addr.IP, true
 	return c
 }
 
-// stillborn is a connection that never had a descriptor; its handler learns of it like of any
+// failedConn is a connection that never had a descriptor; its handler learns of it like of any
 // other.
-func (l *Loop) stillborn(h Handler, err error) *Conn {
+func (l *Loop) failedConn(h Handler, err error) *Conn {
 	l.Post(func() { h.Closed(err) })
-	return &Conn{loop: l, fd: -1, h: h, closed: true}
+	return &Conn{loop: l, fd: -1, handler: h, closed: true}
 }
 
 // connectError marks the one error that proves that nobody took the connection.
@@ -124,25 +124,25 @@
 }
 
 func (c *Conn) ready(events uint32) {
-	if c.opening {
+	if c.connecting {
 		c.finishConnect()
 		return
 	}
 	// The ends of a connection are always told. One that is paused would tell them again and again,
 	// and what came before the end would be lost with it.
 	if c.paused && events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && len(c.out) == 0 {
-		c.blind = true
+		c.unwatched = true
 		c.loop.unwatch(c.fd)
 		return
 	}
 	// What a server said before it reset the connection still counts; what a caller asked for
 	// before that does not.
-	if events&unix.EPOLLERR != 0 && (events&unix.EPOLLIN == 0 || c.ended || !c.dialled) {
+	if events&unix.EPOLLERR != 0 && (events&unix.EPOLLIN == 0 || c.peerClosed || !c.dialled) {
 		errno, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		c.Close(fmt.Errorf("connection broke: %w", unix.Errno(errno)))
 		return
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLHUP) != 0 && !c.ended && !c.paused {
+	if events&(unix.EPOLLIN|unix.EPOLLHUP) != 0 && !c.peerClosed && !c.paused {
 		c.read()
 	} else if events&unix.EPOLLHUP != 0 {
 		c.Close(io.EOF) // both sides are down
@@ -161,9 +161,9 @@
 		c.Close(connectError(err))
 		return
 	}
-	c.opening = false
+	c.connecting = false
 	c.rearm()
-	c.h.Connected()
+	c.handler.Connected()
 }
 
 func (c *Conn) read() {
@@ -177,8 +177,8 @@
 	case n == 0:
 		c.peerEnded()
 		return
-	case c.leaving:
-		if c.dropped += n; c.dropped > maxDropped {
+	case c.closing:
+		if c.discarded += n; c.discarded > maxDiscardedBytes {
 			c.Close(ErrInputOverflow)
 		}
 		return
@@ -188,7 +188,7 @@
 		c.in = append(c.in, data...)
 		data = c.in
 	}
-	used, err := c.h.Data(data)
+	used, err := c.handler.Data(data)
 	if c.closed {
 		return
 	}
@@ -209,8 +209,8 @@
 // what is queued for it: its end may be read in the very turn in which its answer was written,
 // before that went out. A connection that was dialled to a server that ends has nobody to wait for.
 func (c *Conn) peerEnded() {
-	c.ended = true
-	wanted := !c.leaving && c.h.End()
+	c.peerClosed = true
+	wanted := !c.closing && c.handler.End()
 	switch {
 	case c.closed:
 	case wanted:
@@ -225,7 +225,7 @@
 
 // Write queues b; it goes out at the end of the turn.
 func (c *Conn) Write(b []byte) {
-	if c.closed || c.leaving {
+	if c.closed || c.closing {
 		return
 	}
 	if len(c.out)+len(b) > c.limits.Out {
@@ -236,12 +236,12 @@
 		return
 	}
 	c.out = append(c.out, b...)
-	c.touch()
+	c.scheduleFlush()
 }
 
-// touch has the connection flushed at the end of the turn.
-func (c *Conn) touch() {
-	if !c.dirty && !c.opening {
+// scheduleFlush has the connection flushed at the end of the turn.
+func (c *Conn) scheduleFlush() {
+	if !c.dirty && !c.connecting {
 		c.dirty = true
 		c.loop.dirty = append(c.loop.dirty, c)
 	}
@@ -252,7 +252,7 @@
 func (c *Conn) Pause(on bool) {
 	if c.paused != on && !c.closed {
 		c.paused = on
-		if !c.opening {
+		if !c.connecting {
 			c.rearm()
 		}
 	}
@@ -265,7 +265,7 @@
 func (c *Conn) Flush() { c.flush() }
 
 // OnFlushed has fn called whenever the peer has taken some of what was queued. It must not write.
-func (c *Conn) OnFlushed(fn func()) { c.drain = fn }
+func (c *Conn) OnFlushed(fn func()) { c.onFlushed = fn }
 
 // Abort ends the connection so that the peer sees that it was cut: what it has been sent must not
 // look whole.
@@ -279,7 +279,7 @@
 
 // IsIdle tells whether the connection stands, and nothing has come on it that was not read.
 func (c *Conn) IsIdle() bool {
-	if c.closed || c.ended || len(c.in) > 0 {
+	if c.closed || c.peerClosed || len(c.in) > 0 {
 		return false
 	}
 	_, err := c.peek()
@@ -289,7 +289,7 @@
 // HasUnreadInput tells whether bytes wait in the system that the loop has not read yet, as they came in
 // this very turn.
 func (c *Conn) HasUnreadInput() bool {
-	if c.closed || c.ended {
+	if c.closed || c.peerClosed {
 		return false
 	}
 	n, _ := c.peek()
@@ -304,7 +304,7 @@
 }
 
 // RemoteAddr is the address that the connection was dialled to or came from; not valid on a unix socket.
-func (c *Conn) RemoteAddr() netip.AddrPort { return c.peer }
+func (c *Conn) RemoteAddr() netip.AddrPort { return c.remote }
 
 // PeerUID is the user whose process connected to a unix socket of ours; false: it is not known.
 func (c *Conn) PeerUID() (uid int, ok bool) {
@@ -317,25 +317,25 @@
 
 // StalledFor is for how long the peer has taken nothing of what is queued for it.
 func (c *Conn) StalledFor() time.Duration {
-	if c.stuck == 0 {
+	if c.stalledSince == 0 {
 		return 0
 	}
-	return c.loop.now - c.stuck
+	return c.loop.now - c.stalledSince
 }
 
 // IsConnecting tells whether a dialled connection does not stand yet, so that nothing was sent on it.
-func (c *Conn) IsConnecting() bool { return c.opening && !c.closed }
+func (c *Conn) IsConnecting() bool { return c.connecting && !c.closed }
 
 // IsClosed tells whether the descriptor has been given back.
 func (c *Conn) IsClosed() bool { return c.closed }
 
 func (c *Conn) flush() {
-	for len(c.out) > 0 && !c.closed && !c.opening {
+	for len(c.out) > 0 && !c.closed && !c.connecting {
 		n, err := unix.SendmsgN(c.fd, c.out, nil, nil, unix.MSG_NOSIGNAL)
 		switch {
 		case err == unix.EAGAIN:
-			if c.stuck == 0 {
-				c.stuck = c.loop.now
+			if c.stalledSince == 0 {
+				c.stalledSince = c.loop.now
 			}
 			c.rearm()
 			return
@@ -344,9 +344,9 @@
 			c.Close(fmt.Errorf("write: %w", err))
 			return
 		default:
-			c.out, c.stuck = c.out[:copy(c.out, c.out[n:])], 0
-			if c.drain != nil {
-				c.drain()
+			c.out, c.stalledSince = c.out[:copy(c.out, c.out[n:])], 0
+			if c.onFlushed != nil {
+				c.onFlushed()
 			}
 		}
 	}
@@ -354,9 +354,9 @@
 		return
 	}
 	c.out = nil
-	if c.leaving && !c.isShut {
-		c.isShut = true
-		c.shut()
+	if c.closing && !c.writeShut {
+		c.writeShut = true
+		c.shutdownWrite()
 	}
 	c.rearm()
 }
@@ -366,17 +366,17 @@
 		return
 	}
 	var events uint32
-	if !c.ended && !c.paused {
+	if !c.peerClosed && !c.paused {
 		events |= unix.EPOLLIN
 	}
 	if len(c.out) > 0 {
 		events |= unix.EPOLLOUT
 	}
-	if c.blind {
+	if c.unwatched {
 		if c.paused {
 			return
 		}
-		c.blind, c.events = false, events
+		c.unwatched, c.events = false, events
 		if err := c.loop.watch(c.fd, events, c); err != nil {
 			c.Close(err)
 		}
@@ -389,58 +389,58 @@
 }
 
 const (
-	flushWithin = 10 * time.Second       // a connection that was left has so long to be rid of what is queued
-	lingerFor   = 500 * time.Millisecond // and its peer so long to close after that
-	maxDropped  = 1 << 20                // a peer that goes on sending is not listened to for as long
+	flushTimeout      = 10 * time.Second       // a connection that was left has so long to be rid of what is queued
+	lingerTimeout     = 500 * time.Millisecond // and its peer so long to close after that
+	maxDiscardedBytes = 1 << 20                // a peer that goes on sending is not listened to for as long
 )
 
 // CloseGracefully sends what is queued, shuts the own side and closes when the peer does, or after a while.
 // Closing at once would reset the connection where the peer has just written, and take answers with
 // it that it has not read.
 func (c *Conn) CloseGracefully() {
-	if c.closed || c.leaving {
+	if c.closed || c.closing {
 		return
 	}
-	if c.opening || c.ended && len(c.out) == 0 {
+	if c.connecting || c.peerClosed && len(c.out) == 0 {
 		c.Close(nil)
 		return
 	}
 	// Reading goes on where it was paused: closed over unread bytes, the connection would be reset.
-	c.leaving, c.paused, c.in = true, false, nil
+	c.closing, c.paused, c.in = true, false, nil
 	c.rearm()
-	c.last = c.loop.After(flushWithin, func() { c.Close(ErrSlowPeer) })
-	c.touch()
+	c.closeTimer = c.loop.After(flushTimeout, func() { c.Close(ErrSlowPeer) })
+	c.scheduleFlush()
 }
 
 // FlushAndShutdown is Leave for a process that ends at once: what the peer takes now of what is queued
 // goes out, the own side is shut, and what has come is read off.
 func (c *Conn) FlushAndShutdown() {
-	if c.closed || c.opening {
+	if c.closed || c.connecting {
 		return
 	}
 	if c.flush(); c.closed {
 		return
 	}
 	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // it fails where the peer has reset the connection
-	for range maxDropped / readChunk {
+	for range maxDiscardedBytes / readChunkBytes {
 		if n, err := unix.Read(c.fd, c.loop.scratch); n <= 0 || err != nil {
 			return
 		}
 	}
 }
 
-// shut ends the own side of a connection that was left and whose last byte is out.
-func (c *Conn) shut() {
-	c.last.Stop()
-	if c.ended || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
+// shutdownWrite ends the own side of a connection that was left and whose last byte is out.
+func (c *Conn) shutdownWrite() {
+	c.closeTimer.Stop()
+	if c.peerClosed || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
 		c.Close(nil)
 		return
 	}
-	c.last = c.loop.After(lingerFor, func() { c.Close(nil) })
+	c.closeTimer = c.loop.After(lingerTimeout, func() { c.Close(nil) })
 }
 
 // IsClosing tells whether the connection was left and only waits for its end.
-func (c *Conn) IsClosing() bool { return c.leaving }
+func (c *Conn) IsClosing() bool { return c.closing }
 
 // Close gives the descriptor back, at once. The handler hears of it later in the turn.
 func (c *Conn) Close(err error) {
@@ -448,13 +448,13 @@
 		return
 	}
 	c.closed = true
-	c.last.Stop()
+	c.closeTimer.Stop()
 	c.loop.release(c.fd)
 	c.in, c.out = nil, nil
 	c.loop.Post(func() {
-		c.h.Closed(err)
-		if c.onFree != nil {
-			c.onFree()
+		c.handler.Closed(err)
+		if c.onReleased != nil {
+			c.onReleased()
 		}
 	})
 }
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -14,7 +14,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// peer is a handler that keeps what comes, or does as the test says.
+// remote is a handler that keeps what comes, or does as the test says.
 type peer struct{ data func([]byte) (int, error) }
 
 func (p *peer) Connected() {}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	acceptsATurn = 64
-	backlog      = 1024                  // connections that wait in the system's queue
-	acceptRest   = 50 * time.Millisecond // after the system ran out of something that an accept needs
-	handshake    = 200 * time.Millisecond
+	maxAcceptsPerTurn = 64
+	listenBacklog     = 1024                  // connections that wait in the system's queue
+	acceptPause       = 50 * time.Millisecond // after the system ran out of something that an accept needs
+	handshakeTime     = 200 * time.Millisecond
 )
 
 // Listener accepts connections, up to a number that may be open at once.
 type Listener struct {
-	loop   *Loop
-	fd     int
-	most   int
-	open   int
-	limits BufferLimits
-	path   string // of a unix socket, which goes with it; empty: it is none
-	accept func(*Conn) Handler
-	paused bool
-	full   func()
-	shared bool // with other processes
-	ending bool // it closes as soon as nobody waits in the queue
+	loop     *Loop
+	fd       int
+	maxOpen  int
+	open     int
+	limits   BufferLimits
+	path     string // of a unix socket, which goes with it; empty: it is none
+	accept   func(*Conn) Handler
+	paused   bool
+	onFull   func()
+	shared   bool // with other processes
+	draining bool // it closes as soon as nobody waits in the queue
 }
 
 // Listen accepts connections on addr. Accept names the handler of each. At most `most` are open at
@@ -57,8 +57,8 @@
 	return l.listen(netaddr.Addr{IP: addr}, true, most, limits, accept, full)
 }
 
-// socketMode lets the owner and the group of a unix socket connect.
-const socketMode = 0o660
+// unixSocketMode lets the owner and the group of a unix socket connect.
+const unixSocketMode = 0o660
 
 // ListenAddr is Listen on any kind of address. The file of a unix socket that nobody listens on any
 // more is replaced.
@@ -85,9 +85,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen %v: %w", addr, err)
 	}
-	ln := &Listener{loop: l, fd: fd, most: most, limits: limits, accept: accept, full: full, shared: shared}
+	ln := &Listener{loop: l, fd: fd, maxOpen: most, limits: limits, accept: accept, onFull: full, shared: shared}
 	if addr.IsUnix() {
-		clearStale(addr.Path)
+		removeStaleSocket(addr.Path)
 	} else {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	}
@@ -96,11 +96,11 @@
 	}
 	if err = unix.Bind(fd, sa); err == nil {
 		if ln.path = addr.Path; ln.path != "" {
-			err = unix.Chmod(ln.path, socketMode)
+			err = unix.Chmod(ln.path, unixSocketMode)
 		}
 	}
 	if err == nil {
-		err = unix.Listen(fd, backlog)
+		err = unix.Listen(fd, listenBacklog)
 	}
 	// what the one before it left behind would lead all connections here, and none to those that go
 	// on
@@ -117,9 +117,9 @@
 	return ln, nil
 }
 
-// clearStale removes the file of a socket that a process left behind which was killed. One that
+// removeStaleSocket removes the file of a socket that a process left behind which was killed. One that
 // still takes connections, and a file that is no socket, stay, and bind fails on them.
-func clearStale(path string) {
+func removeStaleSocket(path string) {
 	var st unix.Stat_t
 	if unix.Lstat(path, &st) != nil || st.Mode&unix.S_IFMT != unix.S_IFSOCK {
 		return
@@ -154,7 +154,7 @@
 	return netip.AddrPort{}
 }
 
-func (ln *Listener) ready(uint32) { ln.acceptUpTo(acceptsATurn) }
+func (ln *Listener) ready(uint32) { ln.acceptUpTo(maxAcceptsPerTurn) }
 
 // acceptUpTo takes in so many of those that wait in the queue, as far as there is room.
 func (ln *Listener) acceptUpTo(most int) {
@@ -162,25 +162,25 @@
 		if ln.fd < 0 {
 			return
 		}
-		if ln.open >= ln.most {
-			if taken > 0 && !ln.ending && !ln.waiting() { // nobody needs room yet
+		if ln.open >= ln.maxOpen {
+			if taken > 0 && !ln.draining && !ln.hasQueued() { // nobody needs room yet
 				return
 			}
 			ln.pause()
-			if ln.full != nil {
-				ln.full()
+			if ln.onFull != nil {
+				ln.onFull()
 				// Nobody may have had to make room now, and nothing else may come to an end by
 				// itself.
-				ln.loop.After(acceptRest, ln.look)
+				ln.loop.After(acceptPause, ln.retryWhenFull)
 			}
 			return
 		}
 		fd, from, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
-			ln.take(fd, from)
+			ln.register(fd, from)
 		case unix.EAGAIN:
-			if ln.ending {
+			if ln.draining {
 				ln.release()
 			}
 			return
@@ -188,24 +188,24 @@
 			// The queue stays readable: without a rest the loop would spin on an accept that cannot
 			// succeed.
 			ln.pause()
-			if ln.full != nil {
-				ln.full()
+			if ln.onFull != nil {
+				ln.onFull()
 			}
-			ln.loop.After(acceptRest, ln.resume)
+			ln.loop.After(acceptPause, ln.resume)
 			return
 		default: // a connection that broke in the queue
 		}
 	}
 }
 
-// waiting tells whether somebody waits in the queue.
-func (ln *Listener) waiting() bool {
+// hasQueued tells whether somebody waits in the queue.
+func (ln *Listener) hasQueued() bool {
 	fds := []unix.PollFd{{Fd: int32(ln.fd), Events: unix.POLLIN}}
 	n, _ := unix.Poll(fds, 0) // where it fails, whoever waits is noticed in the next turn
 	return n > 0
 }
 
-func (ln *Listener) take(fd int, from unix.Sockaddr) {
+func (ln *Listener) register(fd int, from unix.Sockaddr) {
 	if ln.path == "" {
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	}
@@ -214,36 +214,36 @@
 		return
 	}
 	ln.open++
-	c.onFree = func() {
+	c.onReleased = func() {
 		ln.open--
 		ln.resume()
 	}
 	switch sa := from.(type) {
 	case *unix.SockaddrInet4:
-		c.peer = netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
+		c.remote = netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
 	case *unix.SockaddrInet6:
-		c.peer = netip.AddrPortFrom(netip.AddrFrom16(sa.Addr), uint16(sa.Port))
+		c.remote = netip.AddrPortFrom(netip.AddrFrom16(sa.Addr), uint16(sa.Port))
 	}
-	c.h = ln.accept(c)
+	c.handler = ln.accept(c)
 }
 
 // MaxOpen is how many connections may be open at once.
-func (ln *Listener) MaxOpen() int { return ln.most }
+func (ln *Listener) MaxOpen() int { return ln.maxOpen }
 
 // SetMaxOpen says how many connections may be open at once from now on. Those that are open stay.
 func (ln *Listener) SetMaxOpen(most int) {
-	ln.most = most
+	ln.maxOpen = most
 	ln.resume()
 }
 
 // IsOverLimit tells whether more connections are open than may be since SetMaxOpen.
-func (ln *Listener) IsOverLimit() bool { return ln.open > ln.most }
+func (ln *Listener) IsOverLimit() bool { return ln.open > ln.maxOpen }
 
 // SetLimits bounds the buffers of connections that are accepted from now on.
 func (ln *Listener) SetLimits(limits BufferLimits) { ln.limits = limits }
 
-// look asks for room again while others wait for their places.
-func (ln *Listener) look() {
+// retryWhenFull asks for room again while others wait for their places.
+func (ln *Listener) retryWhenFull() {
 	if ln.paused && ln.fd >= 0 {
 		ln.paused = false
 		ln.loop.rewatch(ln.fd, unix.EPOLLIN)
@@ -258,13 +258,13 @@
 }
 
 func (ln *Listener) resume() {
-	if !ln.paused || ln.fd < 0 || ln.open >= ln.most {
+	if !ln.paused || ln.fd < 0 || ln.open >= ln.maxOpen {
 		return
 	}
 	ln.paused = false
 	ln.loop.rewatch(ln.fd, unix.EPOLLIN)
-	if ln.ending { // an empty queue tells nothing by itself
-		ln.acceptUpTo(backlog)
+	if ln.draining { // an empty queue tells nothing by itself
+		ln.acceptUpTo(listenBacklog)
 	}
 }
 
@@ -284,7 +284,7 @@
 		ln.Close()
 		return
 	}
-	ln.loop.After(handshake, ln.Close)
+	ln.loop.After(handshakeTime, ln.Close)
 }
 
 // IsListening tells whether it still takes connections.
@@ -294,11 +294,11 @@
 // they were accepted in their peers' eyes, and closing the listener would reset them. Usually that
 // is now; where as many connections are open as may be, those in the queue wait for their places.
 func (ln *Listener) CloseWhenAccepted(within time.Duration) {
-	if ln.fd < 0 || ln.ending {
+	if ln.fd < 0 || ln.draining {
 		return
 	}
-	ln.ending = true
-	ln.acceptUpTo(backlog)
+	ln.draining = true
+	ln.acceptUpTo(listenBacklog)
 	if ln.fd >= 0 {
 		ln.loop.After(within, ln.Close)
 	}
@@ -309,8 +309,8 @@
 	if ln.fd < 0 {
 		return
 	}
-	ln.ending = true
-	ln.acceptUpTo(backlog)
+	ln.draining = true
+	ln.acceptUpTo(listenBacklog)
 	ln.release()
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	readChunk   = 64 << 10 // bytes read from one connection in one turn
-	eventsATurn = 256
-	clockOrigin = time.Second // what the clock shows at its start, so that 0 can mean "never"
+	readChunkBytes   = 64 << 10 // bytes read from one connection in one turn
+	maxEventsPerTurn = 256
+	clockOrigin      = time.Second // what the clock shows at its start, so that 0 can mean "never"
 )
 
 // source is something that epoll watches.
@@ -26,9 +26,9 @@
 	ready(events uint32)
 }
 
-type watched struct {
-	src source
-	gen int32
+type registration struct {
+	source     source
+	generation int32
 }
 
 // Clock tells the time of day, with its monotonic reading.
@@ -36,22 +36,22 @@
 
 // Loop owns the epoll descriptor, the table of watched descriptors and the timers.
 type Loop struct {
-	ep      int
-	clock   Clock
-	stepped bool // the clock's owner says when time passes, so that no turn waits for it
-	start   time.Time
-	now     time.Duration
-	unix    wallclock.UnixMicro
-	table   map[int]watched
-	gen     int32
-	timers  timerHeap
-	posted  []func()
-	dirty   []*Conn
-	scratch []byte
-	events  [eventsATurn]unix.EpollEvent
-	stopped bool
-
-	wake      int // eventfd: something was delivered
+	epollFD    int
+	clock      Clock
+	stepped    bool // the clock's owner says when time passes, so that no turn waits for it
+	start      time.Time
+	now        time.Duration
+	unix       wallclock.UnixMicro
+	table      map[int]registration
+	generation int32
+	timers     timerHeap
+	posted     []func()
+	dirty      []*Conn
+	scratch    []byte
+	events     [maxEventsPerTurn]unix.EpollEvent
+	stopped    bool
+
+	wakeFD    int // eventfd: something was delivered
 	mu        sync.Mutex
 	delivered []func()
 }
@@ -69,19 +69,19 @@
 		return nil, fmt.Errorf("loop: epoll: %w", err)
 	}
 	l := &Loop{
-		ep:      ep,
+		epollFD: ep,
 		clock:   clock,
 		stepped: stepped,
 		start:   clock(),
-		table:   map[int]watched{},
-		scratch: make([]byte, readChunk),
+		table:   map[int]registration{},
+		scratch: make([]byte, readChunkBytes),
 	}
 	l.readClock()
-	if l.wake, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
+	if l.wakeFD, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
 		_ = unix.Close(ep)
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
-	if err := l.watch(l.wake, unix.EPOLLIN, readyFunc(l.takeDelivered)); err != nil {
+	if err := l.watch(l.wakeFD, unix.EPOLLIN, readyFunc(l.takeDelivered)); err != nil {
 		_ = l.Close()
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 }
 
 // Close gives back the loop's own descriptors.
-func (l *Loop) Close() error { return errors.Join(unix.Close(l.ep), unix.Close(l.wake)) }
+func (l *Loop) Close() error { return errors.Join(unix.Close(l.epollFD), unix.Close(l.wakeFD)) }
 
 // Now returns the monotonic time of this turn, in whole microseconds, since the clock's origin.
 func (l *Loop) Now() time.Duration { return l.now }
@@ -126,17 +126,17 @@
 // first, then descriptors, and what both have put into buffers is written at the end.
 func (l *Loop) Turn() error {
 	l.settle()
-	n, err := unix.EpollWait(l.ep, l.events[:], l.patience())
+	n, err := unix.EpollWait(l.epollFD, l.events[:], l.pollTimeout())
 	if err != nil && err != unix.EINTR {
 		return fmt.Errorf("loop: epoll wait: %w", err)
 	}
 	l.readClock()
-	l.fire()
+	l.fireTimers()
 	for _, event := range l.events[:max(n, 0)] {
 		// A descriptor closed earlier in this turn may have been given out again: the generation
 		// tells.
-		if w, ok := l.table[int(event.Fd)]; ok && w.gen == event.Pad {
-			w.src.ready(event.Events)
+		if w, ok := l.table[int(event.Fd)]; ok && w.generation == event.Pad {
+			w.source.ready(event.Events)
 		}
 	}
 	l.settle()
@@ -147,7 +147,7 @@
 // reports whether there is something. With a stepped clock it lets a test put a timer and a
 // descriptor into the same turn.
 func (l *Loop) AwaitReady(within time.Duration) (bool, error) {
-	fds := []unix.PollFd{{Fd: int32(l.ep), Events: unix.POLLIN}}
+	fds := []unix.PollFd{{Fd: int32(l.epollFD), Events: unix.POLLIN}}
 	for {
 		n, err := unix.Poll(fds, int(within.Milliseconds()))
 		if err != unix.EINTR {
@@ -171,25 +171,25 @@
 	}
 }
 
-// patience is the time until the next timer in milliseconds, rounded up.
-func (l *Loop) patience() int {
+// pollTimeout is the time until the next timer in milliseconds, rounded up.
+func (l *Loop) pollTimeout() int {
 	if l.stopped || l.stepped {
 		return 0
 	}
 	if len(l.timers) == 0 {
 		return 1000
 	}
-	wait := l.timers[0].at - l.now + time.Millisecond - time.Microsecond
+	wait := l.timers[0].dueAt - l.now + time.Millisecond - time.Microsecond
 	return int(min(max(wait, 0).Milliseconds(), 1000))
 }
 
 func (l *Loop) watch(fd int, events uint32, s source) error {
-	l.gen++
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.gen}
-	if err := unix.EpollCtl(l.ep, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+	l.generation++
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.generation}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
 		return fmt.Errorf("loop: watch: %w", err)
 	}
-	l.table[fd] = watched{s, l.gen}
+	l.table[fd] = registration{s, l.generation}
 	return nil
 }
 
@@ -198,16 +198,16 @@
 	if !ok {
 		return
 	}
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: w.gen}
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: w.generation}
 	// It fails only for a descriptor that is not watched, which the table rules out.
-	_ = unix.EpollCtl(l.ep, unix.EPOLL_CTL_MOD, fd, &ev)
+	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &ev)
 }
 
 // unwatch stops watching a descriptor that stays open.
 func (l *Loop) unwatch(fd int) {
 	delete(l.table, fd)
 	// it fails only for one that is not watched
-	_ = unix.EpollCtl(l.ep, unix.EPOLL_CTL_DEL, fd, nil)
+	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
 // release is the one place where a watched descriptor is given back.
@@ -237,13 +237,13 @@
 	l.delivered = append(l.delivered, fn)
 	l.mu.Unlock()
 	// it fails only where a wake-up is under way
-	_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	_, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
 // takeDelivered runs what other goroutines have left.
 func (l *Loop) takeDelivered(uint32) {
 	var b [8]byte
-	_, _ = unix.Read(l.wake, b[:])
+	_, _ = unix.Read(l.wakeFD, b[:])
 	l.mu.Lock()
 	fns := l.delivered
 	l.delivered = nil
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -13,7 +13,7 @@
 
 var any4 = netip.MustParseAddrPort("127.0.0.1:0")
 
-// peer is a handler that the test fills in.
+// remote is a handler that the test fills in.
 type peer struct {
 	up     func()
 	data   func([]byte) (int, error)
@@ -253,7 +253,7 @@
 				}
 			}
 			l.Deliver(func() {
-				l.After(2*handshake, func() {
+				l.After(2*handshakeTime, func() {
 					if first.IsListening() {
 						t.Error("the first goes on listening")
 					}
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -8,14 +8,14 @@
 // Timer is a call to come.
 type Timer struct {
 	loop  *Loop
-	at    time.Duration
+	dueAt time.Duration
 	fn    func()
 	index int // in the heap; -1 when it is not in it
 }
 
 // After calls fn once, after d.
 func (l *Loop) After(d time.Duration, fn func()) *Timer {
-	t := &Timer{loop: l, at: l.now + max(d, 0), fn: fn}
+	t := &Timer{loop: l, dueAt: l.now + max(d, 0), fn: fn}
 	heap.Push(&l.timers, t)
 	return t
 }
@@ -40,10 +40,10 @@
 	}
 }
 
-// fire runs the timers that are due. Those set meanwhile wait for the next turn.
-func (l *Loop) fire() {
+// fireTimers runs the timers that are due. Those set meanwhile wait for the next turn.
+func (l *Loop) fireTimers() {
 	var due []*Timer
-	for len(l.timers) > 0 && l.timers[0].at <= l.now {
+	for len(l.timers) > 0 && l.timers[0].dueAt <= l.now {
 		due = append(due, heap.Pop(&l.timers).(*Timer))
 	}
 	for _, t := range due {
@@ -56,7 +56,7 @@
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -49,7 +49,7 @@
 	}
 	a := r.runs[0]
 	r.runs = r.runs[1:]
-	r.core.Ended(
+	r.core.AttemptEnded(
 		a,
 		lifecycle.Succeeded,
 		&lifecycle.Result{Status: 200, Body: []byte("result of " + a.Request.ID)},
@@ -74,7 +74,7 @@
 		},
 	}
 	var err error
-	r.core, err = lifecycle.New(set, 1, lifecycle.Host{Now: r.Now, Unix: r.Unix,
+	r.core, err = lifecycle.New(set, 1, lifecycle.Environment{Now: r.Now, Unix: r.Unix,
 		After:     func(d time.Duration, fn func()) func() { return r.After(d, fn).Stop },
 		Measure:   func(fn func(lifecycle.Gauges)) { fn(lifecycle.UnknownGauges()) },
 		SetHealth: r.front.SetHealth, Advertise: r.front.SetAdvertisedValue, CloseIdle: func(time.Duration) {},
--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -64,7 +64,7 @@
 func (w *world) start() bool {
 	w.lives++
 	l := &life{w: w, no: w.lives}
-	l.health.stall = l.Timeout()
+	l.health.stallTimeout = l.Timeout()
 	journal, found, err := store.OpenJournal(w.disk, w.unix(), w.opt)
 	if journal == nil {
 		if !errors.Is(err, crashfs.ErrCrashed) {
@@ -102,7 +102,7 @@
 			},
 		},
 	}
-	l.core, err = lifecycle.New(set, w.seed, lifecycle.Host{Now: w.now, Unix: w.unix,
+	l.core, err = lifecycle.New(set, w.seed, lifecycle.Environment{Now: w.now, Unix: w.unix,
 		After:     func(d time.Duration, fn func()) func() { return l.after(d.Microseconds(), fn).Stop },
 		Measure:   func(fn func(lifecycle.Gauges)) { l.after(1, func() { fn(lifecycle.UnknownGauges()) }) },
 		SetHealth: func(bool, bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {}, Log: func(*logging.Event, ...any) {},
@@ -118,7 +118,7 @@
 	}
 	var keys []lifecycle.KeyRecord
 	for _, k := range found.Keys {
-		keys = append(keys, kept(k))
+		keys = append(keys, keyRecord(k))
 	}
 	if strange := l.core.Restore(keys); strange > 0 {
 		w.breaks("%d strange keys", strange)
@@ -151,14 +151,14 @@
 	if l.journal.IsDown() {
 		return 100 * time.Millisecond, "down"
 	}
-	return l.health.closed(l.w.now())
+	return l.health.unavailable(l.w.now())
 }
 func (l *life) Timeout() time.Duration                          { return 50 * time.Millisecond }
 func (l *life) Started(k lifecycle.KeyRecord, done func(error)) { l.put(store.RunStarted, k, done) }
 func (l *life) Ended(k lifecycle.KeyRecord, done func(error))   { l.put(store.RunEnded, k, done) }
 func (l *life) Released(k lifecycle.KeyRecord)                  { l.put(store.KeyReleased, k, func(error) {}) }
 func (l *life) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(error)) {
-	l.health.sent(l.w.now())
+	l.health.recordSent(l.w.now())
 	l.queue = append(l.queue, entry{ToRecord(kind, k, l.w.unix()), done})
 	l.commit()
 }
@@ -195,7 +195,7 @@
 				l.journal.FinishSnapshot(snap)
 			}
 		} else {
-			_ = l.journal.Roll() // it is down then
+			_ = l.journal.RotateSegment() // it is down then
 		}
 		if l.w.disk.IsCrashed() {
 			l.w.crash()
@@ -205,7 +205,7 @@
 			l.after(20_000, l.reopen)
 		}
 		for _, e := range batch {
-			l.health.answered()
+			l.health.recordConfirmed()
 			e.done(err)
 		}
 		l.syncing = false
@@ -228,7 +228,7 @@
 func (l *life) Run(a *lifecycle.Attempt) {
 	w, key := l.w, a.Request.Key
 	if w.rand.IntN(8) == 0 { // it never gets there
-		l.after(100, func() { l.core.Ended(a, lifecycle.Unreachable, nil) })
+		l.after(100, func() { l.core.AttemptEnded(a, lifecycle.Unreachable, nil) })
 		return
 	}
 	if w.ran[key]++; w.ran[key] > 1 {
@@ -238,10 +238,10 @@
 	w.results[key] = result
 	l.after(int64(1000+w.rand.IntN(300_000)), func() {
 		if w.rand.IntN(10) == 0 {
-			l.core.Ended(a, lifecycle.Interrupted, nil)
+			l.core.AttemptEnded(a, lifecycle.Interrupted, nil)
 			return
 		}
-		l.core.Ended(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200, Body: []byte(result)})
+		l.core.AttemptEnded(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200, Body: []byte(result)})
 	})
 }
 
@@ -463,27 +463,27 @@
 
 func TestHealth(t *testing.T) {
 	const ms = time.Millisecond
-	h := health{stall: 100 * ms, reading: true}
+	h := health{stallTimeout: 100 * ms, reading: true}
 	for _, c := range []struct {
 		what string
 		do   func()
 		now  time.Duration
 		back time.Duration
 	}{
-		{"reading", func() {}, 1 * ms, backReading},
+		{"reading", func() {}, 1 * ms, restoringRetryAfter},
 		{"read", func() { h.reading = false }, 2 * ms, 0},
-		{"repaired", func() { h.quiet = 50 * ms }, 10 * ms, 40 * ms},
+		{"repaired", func() { h.closedUntil = 50 * ms }, 10 * ms, 40 * ms},
 		{"long after", func() {}, 50 * ms, 0},
-		{"owed", func() { h.sent(100 * ms); h.sent(150 * ms) }, 199 * ms, 0},
+		{"owed", func() { h.recordSent(100 * ms); h.recordSent(150 * ms) }, 199 * ms, 0},
 		{"owed for long", func() {}, 200 * ms, 100 * ms},
-		{"the first is answered", func() { h.answered() }, 201 * ms, 0},
+		{"the first is answered", func() { h.recordConfirmed() }, 201 * ms, 0},
 		{"the second is owed for long", func() {}, 251 * ms, 100 * ms},
-		{"all are answered", func() { h.answered() }, 900 * ms, 0},
-		{"down", func() { h.down = "no room" }, 901 * ms, backDown},
-		{"back", func() { h.down = "" }, 902 * ms, 0},
+		{"all are answered", func() { h.recordConfirmed() }, 900 * ms, 0},
+		{"down", func() { h.downReason = "no room" }, 901 * ms, downRetryAfter},
+		{"back", func() { h.downReason = "" }, 902 * ms, 0},
 	} {
 		c.do()
-		if back, why := h.closed(c.now); back != c.back || (back > 0) != (why != "") {
+		if back, why := h.unavailable(c.now); back != c.back || (back > 0) != (why != "") {
 			t.Errorf("%s: %v, %q", c.what, back, why)
 		}
 	}
--- a/internal/idempotency/persistence/keeper.go
+++ b/internal/idempotency/persistence/keeper.go
@@ -26,10 +26,10 @@
 		"expired",
 		"cut_bytes",
 	)
-	evRepaired    = logging.Define("store.repaired", slog.LevelWarn, "places", "closed_ms")
-	evClockBehind = logging.Define("store.clock_behind", slog.LevelWarn, "ms")
-	evDiskFailed  = logging.Define("store.disk_failed", slog.LevelError, "error")
-	evDiskBack    = logging.Define("store.disk_back", slog.LevelInfo)
+	evRepaired      = logging.Define("store.repaired", slog.LevelWarn, "places", "closed_ms")
+	evClockBehind   = logging.Define("store.clock_behind", slog.LevelWarn, "ms")
+	evDiskFailed    = logging.Define("store.disk_failed", slog.LevelError, "error")
+	evDiskRecovered = logging.Define("store.disk_back", slog.LevelInfo)
 )
 
 // Loop is what it needs of the event loop.
@@ -68,20 +68,20 @@
 		fs:     fsys,
 		cfg:    cfg,
 		unlock: unlock,
-		health: health{stall: cfg.Timeout, reading: true},
+		health: health{stallTimeout: cfg.Timeout, reading: true},
 		opened: make(chan *store.Store, 1),
 	}, nil
 }
 
-// portion is how many keys are restored in one turn of the loop.
-const portion = 2000
+// restoreBatch is how many keys are restored in one turn of the loop.
+const restoreBatch = 2000
 
 // Restore reads what was kept, beside the loop, and hands it to the core in portions. Until that is
 // done no new keys are taken. failed is told if it cannot be gone by.
 func (k *KeyStore) Restore(restore func([]lifecycle.KeyRecord) (strange int), failed func(error)) {
 	go func() {
 		began := time.Now()
-		s, found, err := store.Open(k.fs, k.unlock, k.cfg.Settings, k.loop.Deliver, k.changed)
+		s, found, err := store.Open(k.fs, k.unlock, k.cfg.Settings, k.loop.Deliver, k.diskStateChanged)
 		if err != nil {
 			k.opened <- nil
 			k.loop.Deliver(func() { failed(err) })
@@ -90,10 +90,10 @@
 		k.opened <- s
 		strange := 0
 		for keys := found.Keys; len(keys) > 0; {
-			n := min(portion, len(keys))
+			n := min(restoreBatch, len(keys))
 			part := make([]lifecycle.KeyRecord, n)
 			for i, key := range keys[:n] {
-				part[i] = kept(key)
+				part[i] = keyRecord(key)
 			}
 			keys = keys[n:]
 			k.loop.Deliver(func() { strange += restore(part) })
@@ -118,7 +118,7 @@
 			if len(found.Damage) > 0 {
 				// What is lost may be of keys whose window is not over. After that no repeat of
 				// them can come.
-				k.health.quiet = k.loop.Now() + k.cfg.Window
+				k.health.closedUntil = k.loop.Now() + k.cfg.Window
 				evRepaired.Log(len(found.Damage), k.cfg.Window.Milliseconds())
 			}
 			if found.NewestAt > k.loop.Unix() {
@@ -128,15 +128,15 @@
 	}()
 }
 
-// changed hears of a disk that fails or is back.
-func (k *KeyStore) changed(down bool, err error) {
+// diskStateChanged hears of a disk that fails or is back.
+func (k *KeyStore) diskStateChanged(down bool, err error) {
 	if down {
 		evDiskFailed.Log(err)
-		k.health.down = err.Error()
+		k.health.downReason = err.Error()
 		return
 	}
-	evDiskBack.Log()
-	k.health.down = ""
+	evDiskRecovered.Log()
+	k.health.downReason = ""
 }
 
 // IsRestored tells whether what was kept is read.
@@ -144,7 +144,7 @@
 
 // Unavailable implements lifecycle.KeyStore.
 func (k *KeyStore) Unavailable() (back time.Duration, why string) {
-	return k.health.closed(k.loop.Now())
+	return k.health.unavailable(k.loop.Now())
 }
 
 // Timeout implements lifecycle.KeyStore.
@@ -164,15 +164,15 @@
 		k.loop.Deliver(func() { done(store.ErrDown) })
 		return
 	}
-	k.health.sent(k.loop.Now())
+	k.health.recordSent(k.loop.Now())
 	k.store.Put(ToRecord(kind, c, k.loop.Unix()), func(err error) {
-		k.health.answered()
+		k.health.recordConfirmed()
 		done(err)
 	})
 }
 
-// closeWithin is how long the end of the program waits for the disk.
-const closeWithin = time.Second
+// closeTimeout is how long the end of the program waits for the disk.
+const closeTimeout = time.Second
 
 // Close keeps what was handed over, and gives the folder back.
 func (k *KeyStore) Close() error {
@@ -181,8 +181,8 @@
 		if s == nil {
 			return nil // it is given back already
 		}
-		return s.Close(closeWithin)
-	case <-time.After(closeWithin):
+		return s.Close(closeTimeout)
+	case <-time.After(closeTimeout):
 		return fmt.Errorf("store: it is still being read")
 	}
 }
@@ -190,17 +190,17 @@
 // ToRecord is what is kept as a record of the store.
 func ToRecord(kind store.RecordKind, c lifecycle.KeyRecord, at wallclock.UnixMicro) *store.Record {
 	r := &store.Record{
-		Kind:  kind,
-		Name:  store.KeyName{Class: c.Class, Tenant: c.Tenant, Key: c.Key},
-		Owner: c.Owner,
-		At:    at,
+		Kind:      kind,
+		Name:      store.KeyName{Class: c.Class, Tenant: c.Tenant, Key: c.Key},
+		Owner:     c.Owner,
+		WrittenAt: at,
 	}
 	if kind == store.KeyReleased {
 		return r
 	}
-	r.Until, r.Body = c.ExpiresAt, c.BodyHash
+	r.ExpiresAt, r.BodyHash = c.ExpiresAt, c.BodyHash
 	if kind == store.RunEnded {
-		r.How = uint8(c.Status)
+		r.Status = uint8(c.Status)
 		if c.Result != nil {
 			r.Result = &store.Result{Status: c.Result.Status, Body: c.Result.Body}
 			for _, f := range c.Result.Fields {
@@ -211,8 +211,8 @@
 	return r
 }
 
-// kept is what was kept of a key.
-func kept(key *store.Key) lifecycle.KeyRecord {
+// keyRecord is what was kept of a key.
+func keyRecord(key *store.Key) lifecycle.KeyRecord {
 	c := lifecycle.KeyRecord{
 		Class:     key.Name.Class,
 		Tenant:    key.Name.Tenant,
@@ -236,14 +236,14 @@
 
 // FromRecord is what a record says of a key.
 func FromRecord(r *store.Record) lifecycle.KeyRecord {
-	return kept(
+	return keyRecord(
 		&store.Key{
 			Name:      r.Name,
 			Owner:     r.Owner,
-			ExpiresAt: r.Until,
-			BodyHash:  r.Body,
+			ExpiresAt: r.ExpiresAt,
+			BodyHash:  r.BodyHash,
 			Ended:     r.Kind == store.RunEnded,
-			Status:    r.How,
+			Status:    r.Status,
 			Result:    r.Result,
 		},
 	)
--- a/internal/idempotency/reservation/bench_test.go
+++ b/internal/idempotency/reservation/bench_test.go
@@ -31,7 +31,7 @@
 					Owner:     1 << 32,
 					ExpiresAt: 10_000_000,
 				}
-				one.ledger.Reserve(k, tryAgain, free, done)
+				one.ledger.Reserve(k, lockRetryInterval, free, done)
 			}
 		})
 	}
--- a/internal/idempotency/reservation/claims.go
+++ b/internal/idempotency/reservation/claims.go
@@ -27,27 +27,27 @@
 
 // What is told to operators.
 var (
-	evJoined = logging.Define("claims.joined", slog.LevelInfo, "process", "lives", "keys")
-	evGone   = logging.Define("claims.gone", slog.LevelInfo, "process")
-	evFailed = logging.Define("claims.failed", slog.LevelError, "error")
+	evProcessFound  = logging.Define("claims.joined", slog.LevelInfo, "process", "lives", "keys")
+	evProcessExited = logging.Define("claims.gone", slog.LevelInfo, "process")
+	evFailed        = logging.Define("claims.failed", slog.LevelError, "error")
 )
 
 const (
-	pollAlone = 50 * time.Millisecond
-	pollOften = 10 * time.Millisecond // while another process lives
+	aloneInterval  = 50 * time.Millisecond
+	sharedInterval = 10 * time.Millisecond // while another process lives
 	// a lock that is held is free within microseconds, unless its holder was not given a core
-	tryAgain   = time.Millisecond
-	openWithin = 2 * time.Second
-	newLogFrom = 256 << 10
-	sweepEvery = 5 * time.Second
-	readPart   = 64 << 10
+	lockRetryInterval = time.Millisecond
+	openTimeout       = 2 * time.Second
+	minCompactBytes   = 256 << 10
+	sweepInterval     = 5 * time.Second
+	readChunkBytes    = 64 << 10
 )
 
 // ErrPeerIncomplete tells that another process could not write what it claimed: its keys are not known.
-var ErrPeerIncomplete error = unwritten.New("claims: another process could not write its claims")
+var ErrPeerIncomplete error = faultPeerIncomplete.New("claims: another process could not write its claims")
 
 // ErrLockHeld tells that the lock was not to be had in time.
-var ErrLockHeld error = held.New("claims: another process holds the lock")
+var ErrLockHeld error = faultLockHeld.New("claims: another process holds the lock")
 
 // Loop is what is needed of the event loop.
 type Loop interface {
@@ -80,36 +80,36 @@
 
 // Coordinator is the claims of one process, and what it has read of the others'.
 type Coordinator struct {
-	loop   Loop
-	cfg    Config
-	table  Table
-	base   string // path of all files, up to what tells them apart
-	lock   *os.File
-	alive  *os.File
-	log    *os.File
-	gen    uint64
-	size   int64 // of the log
-	least  int64 // size from which on it is written anew
-	epoch  uint64
-	peers  map[uint32]*peer
-	told   int
-	serves bool // this process takes connections
-	lost   bool // the log does not hold all claims: there was no room, and nobody to read it
-	swept  time.Duration
-	down   string // why nothing can be claimed, as was told last
-	frame  []byte
+	loop           Loop
+	config         Config
+	table          Table
+	basePath       string // path of all files, up to what tells them apart
+	lock           *os.File
+	aliveLock      *os.File
+	log            *os.File
+	generation     uint64
+	size           int64 // of the log
+	compactBytes   int64 // size from which on it is written anew
+	epoch          uint64
+	processes      map[uint32]*otherProcess
+	reportedLiving int
+	serving        bool // this process takes connections
+	incomplete     bool // the log does not hold all claims: there was no room, and nobody to read it
+	sweptAt        time.Duration
+	loggedError    string // why nothing can be claimed, as was told last
+	frame          []byte
 }
 
-// peer is another process.
-type peer struct {
-	life   uint32
-	gen    uint64
-	log    *os.File
-	alive  *os.File
-	at     int64
-	living bool
-	ready  bool
-	keys   int
+// otherProcess is another process.
+type otherProcess struct {
+	incarnation uint32
+	generation  uint64
+	log         *os.File
+	aliveLock   *os.File
+	offset      int64
+	living      bool
+	serving     bool
+	records     int
 }
 
 // Open takes part among the processes of the runner. What the others have claimed is read before it
@@ -118,40 +118,40 @@
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Runner))
 	g := &Coordinator{
-		loop:  l,
-		cfg:   cfg,
-		table: table,
-		base:  filepath.Join(cfg.Dir, fmt.Sprintf("ryepaddle-%016x", h.Sum64())),
-		peers: map[uint32]*peer{},
-		least: newLogFrom,
-		told:  -1,
+		loop:           l,
+		config:         cfg,
+		table:          table,
+		basePath:       filepath.Join(cfg.Dir, fmt.Sprintf("ryepaddle-%016x", h.Sum64())),
+		processes:      map[uint32]*otherProcess{},
+		compactBytes:   minCompactBytes,
+		reportedLiving: -1,
 	}
 	if err := g.open(); err != nil {
 		g.Close()
-		return nil, folder.New("claims: %w", err)
+		return nil, faultFolder.New("claims: %w", err)
 	}
-	g.tell()
+	g.reportLiving()
 	g.poll()
 	return g, nil
 }
 
 func (g *Coordinator) open() (err error) {
-	if g.lock, err = os.OpenFile(g.base+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	if g.lock, err = os.OpenFile(g.basePath+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return err
 	}
-	for began := time.Now(); !hold(g.lock); time.Sleep(time.Millisecond) {
-		if time.Since(began) > openWithin {
+	for began := time.Now(); !tryLock(g.lock); time.Sleep(time.Millisecond) {
+		if time.Since(began) > openTimeout {
 			return ErrLockHeld
 		}
 	}
-	defer release(g.lock)
-	if g.alive, err = os.OpenFile(g.aliveName(g.cfg.Incarnation), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
+	defer unlock(g.lock)
+	if g.aliveLock, err = os.OpenFile(g.aliveName(g.config.Incarnation), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
 		return err
 	}
-	if !hold(g.alive) {
+	if !tryLock(g.aliveLock) {
 		return ErrLockHeld
 	}
-	if err = g.newLog(nil); err != nil {
+	if err = g.compact(nil); err != nil {
 		return err
 	}
 	// the number is of this process's own making, and tells nothing of what was there before
@@ -160,34 +160,34 @@
 
 // Close gives everything back but the files, which the others go by.
 func (g *Coordinator) Close() {
-	for _, f := range []*os.File{g.lock, g.log, g.alive} {
+	for _, f := range []*os.File{g.lock, g.log, g.aliveLock} {
 		if f != nil {
 			f.Close()
 		}
 	}
-	for _, p := range g.peers {
+	for _, p := range g.processes {
 		p.close()
 	}
 	g.lock = nil
 }
 
-func (p *peer) close() {
+func (p *otherProcess) close() {
 	p.log.Close()
-	if p.alive != nil {
-		p.alive.Close()
+	if p.aliveLock != nil {
+		p.aliveLock.Close()
 	}
 }
 
-// hold takes a kernel lock, if it is free. It goes with the process that has it.
-func hold(f *os.File) bool { return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil }
-func release(f *os.File)   { _ = unix.Flock(int(f.Fd()), unix.LOCK_UN) }
+// tryLock takes a kernel lock, if it is free. It goes with the process that has it.
+func tryLock(f *os.File) bool { return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil }
+func unlock(f *os.File)       { _ = unix.Flock(int(f.Fd()), unix.LOCK_UN) }
 
-// isHeld tells whether another process holds the lock of a file.
-func isHeld(f *os.File) bool {
+// isLocked tells whether another process holds the lock of a file.
+func isLocked(f *os.File) bool {
 	if unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil {
 		return true
 	}
-	release(f)
+	unlock(f)
 	return false
 }
 
@@ -199,76 +199,76 @@
 		done(false, os.ErrClosed)
 		return
 	}
-	if !hold(g.lock) {
-		if within < tryAgain {
+	if !tryLock(g.lock) {
+		if within < lockRetryInterval {
 			done(false, ErrLockHeld)
 			return
 		}
-		g.cfg.After(tryAgain, func() { g.Reserve(k, within-tryAgain, free, done) })
+		g.config.After(lockRetryInterval, func() { g.Reserve(k, within-lockRetryInterval, free, done) })
 		return
 	}
 	mine := false
-	err := g.look()
+	err := g.readOthers()
 	if err == nil {
-		for _, p := range g.peers {
-			if p.at == 0 {
+		for _, p := range g.processes {
+			if p.offset == 0 {
 				err = ErrPeerIncomplete
 			}
 		}
 	}
-	if err == nil && g.size > g.least {
+	if err == nil && g.size > g.compactBytes {
 		// Before the claim and not behind it: the table does not have it yet. The log may stay as
 		// long as it is: that the disk has no room for another is no reason to turn a run away.
-		if e := g.newLog(g.table.EachOwned); e != nil {
-			g.least *= 2
-			g.failed(e)
+		if e := g.compact(g.table.EachOwned); e != nil {
+			g.compactBytes *= 2
+			g.logError(e)
 		}
 	}
 	if err == nil {
 		if mine = free(); mine {
-			err = g.write(k)
+			err = g.appendReservation(k)
 		}
 	}
-	release(g.lock)
-	if !g.lost {
-		g.failed(err)
+	unlock(g.lock)
+	if !g.incomplete {
+		g.logError(err)
 	}
 	done(mine && err == nil, err)
 }
 
-// failed tells of an error that was not there before.
-func (g *Coordinator) failed(err error) {
+// logError tells of an error that was not there before.
+func (g *Coordinator) logError(err error) {
 	why := ""
 	if err != nil {
 		why = err.Error()
 	}
-	if why != g.down && why != "" {
+	if why != g.loggedError && why != "" {
 		evFailed.Log(err)
 	}
-	g.down = why
+	g.loggedError = why
 }
 
 // Ended has an end written, for those who wait for it in other processes.
 func (g *Coordinator) Ended(k lifecycle.KeyRecord) {
 	if g.living() > 0 {
-		g.failed(g.append(g.record(k)))
+		g.logError(g.append(g.record(k)))
 	}
 }
 
 // Released has it written that a run which was claimed never began.
 func (g *Coordinator) Released(k lifecycle.KeyRecord) {
-	g.failed(g.append(persistence.ToRecord(store.KeyReleased, k, g.loop.Unix())))
+	g.logError(g.append(persistence.ToRecord(store.KeyReleased, k, g.loop.Unix())))
 }
 
 // MarkServing has it written that this process takes connections.
 func (g *Coordinator) MarkServing() {
-	g.serves = true
-	g.failed(g.append(&store.Record{Kind: store.SyncMark}))
+	g.serving = true
+	g.logError(g.append(&store.Record{Kind: store.SyncMark}))
 }
 
 // living is how many other processes live.
 func (g *Coordinator) living() (n int) {
-	for _, p := range g.peers {
+	for _, p := range g.processes {
 		if p.living {
 			n++
 		}
@@ -279,11 +279,11 @@
 // OtherProcesses tells how many other processes live now, and whether one of them serves.
 func (g *Coordinator) OtherProcesses() (living int, serves bool) {
 	if g.lock != nil { // what came since the last poll counts
-		g.failed(g.look())
-		g.tell()
+		g.logError(g.readOthers())
+		g.reportLiving()
 	}
-	for _, p := range g.peers {
-		serves = serves || p.living && p.ready
+	for _, p := range g.processes {
+		serves = serves || p.living && p.serving
 	}
 	return g.living(), serves
 }
@@ -293,60 +293,60 @@
 	if g.lock == nil {
 		return
 	}
-	if err := g.look(); err != nil || !g.lost {
-		g.failed(err)
+	if err := g.readOthers(); err != nil || !g.incomplete {
+		g.logError(err)
 	}
-	wait := pollAlone
-	if g.tell(); g.living() > 0 {
-		wait = pollOften
+	wait := aloneInterval
+	if g.reportLiving(); g.living() > 0 {
+		wait = sharedInterval
 	}
-	if now := g.loop.Now(); now > g.swept+sweepEvery && hold(g.lock) {
-		g.swept = now
+	if now := g.loop.Now(); now > g.sweptAt+sweepInterval && tryLock(g.lock) {
+		g.sweptAt = now
 		g.sweep()
-		release(g.lock)
+		unlock(g.lock)
 	}
-	g.cfg.After(wait, g.poll)
+	g.config.After(wait, g.poll)
 }
 
-// tell tells how many others live. To one that is new all that is known is written.
-func (g *Coordinator) tell() {
+// reportLiving tells how many others live. To one that is new all that is known is written.
+func (g *Coordinator) reportLiving() {
 	n := g.living()
-	if n == g.told {
+	if n == g.reportedLiving {
 		return
 	}
-	grown := n > max(g.told, 0) && g.told >= 0
-	if g.told = n; grown {
-		left := g.cfg.MaxResultBytes
+	grown := n > max(g.reportedLiving, 0) && g.reportedLiving >= 0
+	if g.reportedLiving = n; grown {
+		left := g.config.MaxResultBytes
 		g.table.EachOwned(func(k lifecycle.KeyRecord) {
 			if r := g.record(k); k.Ended && left > 0 {
 				if r.Result != nil {
 					left -= int64(len(r.Result.Body))
 				}
-				g.failed(g.append(r))
+				g.logError(g.append(r))
 			}
 		})
 	}
-	if g.cfg.OnProcessesChanged != nil {
-		g.cfg.OnProcessesChanged(n)
+	if g.config.OnProcessesChanged != nil {
+		g.config.OnProcessesChanged(n)
 	}
 }
 
-// look reads what others have written since it was read last.
-func (g *Coordinator) look() error {
+// readOthers reads what others have written since it was read last.
+func (g *Coordinator) readOthers() error {
 	if e := g.readEpoch(); e != g.epoch {
 		if err := g.scan(); err != nil {
 			return err
 		}
 		g.epoch = e
 	}
-	for life, p := range g.peers {
+	for life, p := range g.processes {
 		was := p.living
-		p.living = p.living && isHeld(p.alive)
+		p.living = p.living && isLocked(p.aliveLock)
 		if err := g.read(p); err != nil { // after it was seen to be dead, so that all is read
 			return err
 		}
 		if was && !p.living {
-			evGone.Log(fmt.Sprintf("%08x", life))
+			evProcessExited.Log(fmt.Sprintf("%08x", life))
 			g.table.OwnerDied(life)
 		}
 	}
@@ -355,15 +355,15 @@
 
 // scan finds the logs of others.
 func (g *Coordinator) scan() error {
-	files, err := os.ReadDir(g.cfg.Dir)
+	files, err := os.ReadDir(g.config.Dir)
 	if err != nil {
 		return err
 	}
 	for _, f := range files {
-		name := filepath.Join(g.cfg.Dir, f.Name())
-		life, gen, ok := g.parse(name)
-		p := g.peers[life]
-		if !ok || life == g.cfg.Incarnation || p != nil && p.gen >= gen {
+		name := filepath.Join(g.config.Dir, f.Name())
+		life, gen, ok := g.parseLogName(name)
+		p := g.processes[life]
+		if !ok || life == g.config.Incarnation || p != nil && p.generation >= gen {
 			continue
 		}
 		log, err := os.Open(name)
@@ -379,18 +379,18 @@
 				return err
 			}
 			p.log.Close()
-			p.log, p.gen, p.at = log, gen, 0
+			p.log, p.generation, p.offset = log, gen, 0
 			continue
 		}
-		p = &peer{life: life, gen: gen, log: log}
-		if p.alive, err = os.Open(g.aliveName(life)); err == nil {
-			p.living = isHeld(p.alive)
+		p = &otherProcess{incarnation: life, generation: gen, log: log}
+		if p.aliveLock, err = os.Open(g.aliveName(life)); err == nil {
+			p.living = isLocked(p.aliveLock)
 		}
-		g.peers[life] = p
+		g.processes[life] = p
 		if err := g.read(p); err != nil {
 			return err
 		}
-		if evJoined.Log(fmt.Sprintf("%08x", life), p.living, p.keys); !p.living {
+		if evProcessFound.Log(fmt.Sprintf("%08x", life), p.living, p.records); !p.living {
 			g.table.OwnerDied(life)
 		}
 	}
@@ -400,16 +400,16 @@
 // sweep removes files of the dead of which no key can be asked for any more. The shared lock is
 // held.
 func (g *Coordinator) sweep() {
-	old := time.Now().Add(-g.cfg.Window)
-	for life, p := range g.peers {
+	old := time.Now().Add(-g.config.Window)
+	for life, p := range g.processes {
 		st, err := p.log.Stat()
 		if p.living || err == nil && st.ModTime().After(old) {
 			continue
 		}
 		p.close()
-		delete(g.peers, life)
+		delete(g.processes, life)
 		os.Remove(p.log.Name())
-		os.Remove(g.logName(life, p.gen+1) + ".new") // it was killed as it wrote that
+		os.Remove(g.logName(life, p.generation+1) + ".new") // it was killed as it wrote that
 		os.Remove(g.aliveName(life))
 	}
 }
--- a/internal/idempotency/reservation/claims_test.go
+++ b/internal/idempotency/reservation/claims_test.go
@@ -83,8 +83,8 @@
 
 // claim tries to claim a key and tells what came of it.
 func (p *process) claim(key string) (out string) {
-	k := lifecycle.KeyRecord{Class: "hand-in", Key: key, Owner: uint64(p.ledger.cfg.Incarnation) << 32, ExpiresAt: 10_000_000}
-	p.ledger.Reserve(k, 3*tryAgain, func() bool { return !p.theirs[key] }, func(mine bool, err error) {
+	k := lifecycle.KeyRecord{Class: "hand-in", Key: key, Owner: uint64(p.ledger.config.Incarnation) << 32, ExpiresAt: 10_000_000}
+	p.ledger.Reserve(k, 3*lockRetryInterval, func() bool { return !p.theirs[key] }, func(mine bool, err error) {
 		switch out = "theirs"; {
 		case err != nil:
 			out = err.Error()
@@ -211,11 +211,11 @@
 func TestLockIsHeld(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
-	if !hold(one.ledger.lock) {
+	if !tryLock(one.ledger.lock) {
 		t.Fatal("the lock is held by nobody, and is not free")
 	}
 	two.claims("a", ErrLockHeld.Error())
-	release(one.ledger.lock)
+	unlock(one.ledger.lock)
 	two.claims("a", "mine")
 }
 
@@ -224,13 +224,13 @@
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
 	one.ledger.MarkServing()
-	one.ledger.least = 1000
+	one.ledger.compactBytes = 1000
 	for i := range 40 {
 		one.claims(fmt.Sprint(i), "mine")
 		one.known = one.known[max(len(one.known)-3, 0):] // the windows of others are over
 	}
-	if one.ledger.gen < 2 || one.ledger.size > newLogFrom {
-		t.Errorf("log %d of %d bytes", one.ledger.gen, one.ledger.size)
+	if one.ledger.generation < 2 || one.ledger.size > minCompactBytes {
+		t.Errorf("log %d of %d bytes", one.ledger.generation, one.ledger.size)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(files) != 2 { // one of each
@@ -249,15 +249,15 @@
 	dir := t.TempDir()
 	one := start(t, dir, 1)
 	for i := range uint32(8) {
-		one.ledger.least = 1
+		one.ledger.compactBytes = 1
 		key := fmt.Sprint(i)
 		one.claims(key, "mine")
 		later := start(t, dir, 10+i)
 		later.claims(key, "theirs")
 		later.kill()
 	}
-	if one.ledger.gen < 8 {
-		t.Errorf("log %d: it was not written anew each time", one.ledger.gen)
+	if one.ledger.generation < 8 {
+		t.Errorf("log %d: it was not written anew each time", one.ledger.generation)
 	}
 }
 
@@ -271,8 +271,8 @@
 		t.Fatal(err)
 	}
 	two := start(t, dir, 2)
-	two.ledger.cfg.Window = -time.Second // it is over
-	two.now += 2 * sweepEvery
+	two.ledger.config.Window = -time.Second // it is over
+	two.now += 2 * sweepInterval
 	two.pass()
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil || len(files) != 4 { // the lock, its own two, and what is not ours
@@ -289,11 +289,11 @@
 	full := func(on bool) { // a folder that takes no new files, and a log that takes no more
 		if on {
 			one.ledger.log.Close()
-			one.ledger.log, _ = os.Open(one.ledger.logName(1, one.ledger.gen))
+			one.ledger.log, _ = os.Open(one.ledger.logName(1, one.ledger.generation))
 			return
 		}
 		one.ledger.log.Close()
-		one.ledger.log, _ = os.OpenFile(one.ledger.logName(1, one.ledger.gen), os.O_RDWR, 0)
+		one.ledger.log, _ = os.OpenFile(one.ledger.logName(1, one.ledger.generation), os.O_RDWR, 0)
 	}
 	full(true)
 	if got := one.claim("b"); got == "mine" {
@@ -303,7 +303,7 @@
 	if err := one.ledger.log.Truncate(0); err != nil {
 		t.Fatal(err)
 	}
-	one.ledger.size, one.ledger.lost = 0, true // as after a record that found no room
+	one.ledger.size, one.ledger.incomplete = 0, true // as after a record that found no room
 	two := start(t, dir, 2)
 	two.claims("a", ErrPeerIncomplete.Error())
 	one.pass()
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -15,11 +15,11 @@
 )
 
 func (g *Coordinator) aliveName(life uint32) string {
-	return fmt.Sprintf("%s.%08x.alive", g.base, life)
+	return fmt.Sprintf("%s.%08x.alive", g.basePath, life)
 }
 
 func (g *Coordinator) logName(life uint32, gen uint64) string {
-	return fmt.Sprintf("%s.%08x.%d.log", g.base, life, gen)
+	return fmt.Sprintf("%s.%08x.%d.log", g.basePath, life, gen)
 }
 
 // readEpoch reads the number that grows whenever there are other files than before. It stands in
@@ -36,10 +36,10 @@
 	return err
 }
 
-// newLog begins a log with what is known, in place of the one that there is. The shared lock is
+// compact begins a log with what is known, in place of the one that there is. The shared lock is
 // held.
-func (g *Coordinator) newLog(known func(func(lifecycle.KeyRecord))) error {
-	name := g.logName(g.cfg.Incarnation, g.gen+1)
+func (g *Coordinator) compact(known func(func(lifecycle.KeyRecord))) error {
+	name := g.logName(g.config.Incarnation, g.generation+1)
 	f, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 			}
 		}
 		known(func(k lifecycle.KeyRecord) { add(g.record(k)) })
-		if g.serves {
+		if g.serving {
 			add(&store.Record{Kind: store.SyncMark})
 		}
 	}
@@ -73,21 +73,21 @@
 	}
 	if g.log != nil {
 		g.log.Close()
-		os.Remove(g.logName(g.cfg.Incarnation, g.gen))
+		os.Remove(g.logName(g.config.Incarnation, g.generation))
 	}
 	g.log, g.size = f, int64(len(b))
-	g.gen++
-	g.least, g.lost = max(newLogFrom, 2*g.size), false
+	g.generation++
+	g.compactBytes, g.incomplete = max(minCompactBytes, 2*g.size), false
 	return nil
 }
 
-// write appends a claim. Alone, a process without room goes on: its log is emptied, which takes
+// appendReservation appends a claim. Alone, a process without room goes on: its log is emptied, which takes
 // none, so that one that comes knows that it does not know, and it is written anew once there is
 // room. All that was claimed is in the table.
-func (g *Coordinator) write(k lifecycle.KeyRecord) error {
+func (g *Coordinator) appendReservation(k lifecycle.KeyRecord) error {
 	var err error
-	if g.lost {
-		err = g.newLog(g.table.EachOwned)
+	if g.incomplete {
+		err = g.compact(g.table.EachOwned)
 	}
 	if err == nil {
 		err = g.append(g.record(k))
@@ -95,11 +95,11 @@
 	if err == nil || g.living() > 0 {
 		return err
 	}
-	g.failed(err)
+	g.logError(err)
 	if e := g.log.Truncate(0); e != nil {
 		return e
 	}
-	g.size, g.lost = 0, true
+	g.size, g.incomplete = 0, true
 	return nil
 }
 
@@ -129,8 +129,8 @@
 	return nil
 }
 
-func (g *Coordinator) parse(name string) (life uint32, gen uint64, ok bool) {
-	text, ours := strings.CutPrefix(name, g.base+".")
+func (g *Coordinator) parseLogName(name string) (life uint32, gen uint64, ok bool) {
+	text, ours := strings.CutPrefix(name, g.basePath+".")
 	text, isLog := strings.CutSuffix(text, ".log")
 	if !ours || !isLog {
 		return 0, 0, false
@@ -143,11 +143,11 @@
 
 // read takes the records that a process has written since. One that is not whole yet is read again
 // later; of a process that is dead it never will be.
-func (g *Coordinator) read(p *peer) error {
+func (g *Coordinator) read(p *otherProcess) error {
 	var b []byte
-	part := make([]byte, readPart)
+	part := make([]byte, readChunkBytes)
 	for {
-		n, err := unix.Pread(int(p.log.Fd()), part, p.at+int64(len(b)))
+		n, err := unix.Pread(int(p.log.Fd()), part, p.offset+int64(len(b)))
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.log.Name(), err)
 		}
@@ -159,21 +159,21 @@
 				break
 			}
 			used += size
-			g.take(p, r)
+			g.apply(p, r)
 		}
-		p.at += int64(used)
+		p.offset += int64(used)
 		if b = b[used:]; n < len(part) {
 			return nil
 		}
 	}
 }
 
-func (g *Coordinator) take(p *peer, r *store.Record) {
+func (g *Coordinator) apply(p *otherProcess, r *store.Record) {
 	switch r.Kind {
 	case store.SyncMark:
-		p.ready = true
+		p.serving = true
 	case store.RunStarted, store.RunEnded, store.KeyReleased:
-		p.keys++
+		p.records++
 		g.table.ApplyRemote(persistence.FromRecord(r), r.Kind == store.KeyReleased)
 	}
 }
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -117,7 +117,7 @@
 	if diff := cmp.Diff(want, h, cmp.AllowUnexported(heard{}), cmpopts.IgnoreUnexported(store.Field{})); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	if p := l.peers[8]; p == nil || !p.ready {
+	if p := l.processes[8]; p == nil || !p.serving {
 		t.Errorf("the process that takes connections is known as %+v", p)
 	}
 }
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -42,7 +42,7 @@
 						for k := n; k < b.N; k += at {
 							key, from := fmt.Sprint(k), time.Now()
 							for _, r := range []*store.Record{begun(key, 1), ended(key, 1, body)} {
-								r.Until = wallclock.FromTime(time.Now().Add(-9 * time.Second)) // gone in a second
+								r.ExpiresAt = wallclock.FromTime(time.Now().Add(-9 * time.Second)) // gone in a second
 								s.Put(r, func(err error) { done <- err })
 								if err := <-done; err != nil {
 									b.Error(err)
@@ -82,7 +82,7 @@
 					batch = append(batch, begun(key, 1), ended(key, 1, body))
 				}
 				commit(b, j, batch...)
-				if err := j.Roll(); err != nil {
+				if err := j.RotateSegment(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/idempotency/store/fs.go
+++ b/internal/idempotency/store/fs.go
@@ -32,7 +32,7 @@
 }
 
 // ErrLocked is that of a folder that another process uses.
-var ErrLocked error = locked.New("another process uses it")
+var ErrLocked error = faultLocked.New("another process uses it")
 
 // Dir is the files of a folder of the system's.
 type Dir string
@@ -106,5 +106,5 @@
 // errExists is that of a file that is to be made and is there.
 var errExists = fs.ErrExist
 
-// gone tells whether an error is that there is no such file.
-func gone(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+// isNotExist tells whether an error is that there is no such file.
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -51,7 +51,7 @@
 func segmentName(n uint64) string  { return fmt.Sprintf("journal-%016d", n) }
 func snapshotName(n uint64) string { return fmt.Sprintf("snapshot-%016d", n) }
 
-const unfinished = ".tmp"
+const temporarySuffix = ".tmp"
 
 // numberOf reads the number out of a file's name.
 func numberOf(name, kind string) (uint64, bool) {
@@ -77,23 +77,23 @@
 
 // Journal is the files of a store. It is used by one goroutine, but for Snapshot.Write.
 type Journal struct {
-	fs     FS
-	opt    Options
-	state  *State
-	number uint64 // of the segment that is written, or was last
-	file   File   // nil: there is none, the disk failed
-	size   int64  // of the segment
-	sealed int64  // bytes of the segments before it that a snapshot would free
-	synced int64
-	told   int64 // what the last mark vouched for
-	buf    []byte
+	fs          FS
+	options     Options
+	state       *State
+	segment     uint64 // of the segment that is written, or was last
+	file        File   // nil: there is none, the disk failed
+	size        int64  // of the segment
+	closedBytes int64  // bytes of the segments before it that a snapshot would free
+	syncedBytes int64
+	markedBytes int64 // what the last mark vouched for
+	buf         []byte
 }
 
 // read finds out what the files of a folder hold, without changing them.
 func read(fsys FS, now wallclock.UnixMicro, opt Options) (*State, *Recovery, []uint64, []uint64, error) {
 	names, err := fsys.List()
 	if err != nil {
-		return nil, nil, nil, nil, disk.New("store: %w", err)
+		return nil, nil, nil, nil, faultDisk.New("store: %w", err)
 	}
 	var segments, snapshots []uint64
 	for _, name := range names {
@@ -110,7 +110,7 @@
 	for _, n := range slices.Backward(snapshots) {
 		b, err := fsys.Read(snapshotName(n))
 		if err != nil {
-			return nil, nil, nil, nil, disk.New("store: %w", err)
+			return nil, nil, nil, nil, faultDisk.New("store: %w", err)
 		}
 		s := NewState()
 		if err := loadSnapshot(snapshotName(n), b, n, s); err == nil {
@@ -135,18 +135,18 @@
 		}
 		b, err := fsys.Read(segmentName(n))
 		if err != nil {
-			return nil, nil, nil, nil, disk.New("store: %w", err)
+			return nil, nil, nil, nil, faultDisk.New("store: %w", err)
 		}
-		got, err := scan(segmentName(n), b, n, i == len(segments)-1 || opt.Sync == SyncNone, state)
+		got, err := scanSegment(segmentName(n), b, n, i == len(segments)-1 || opt.Sync == SyncNone, state)
 		if err != nil {
 			return nil, nil, nil, nil, err
 		}
 		f.Segments++
 		f.Records += got.Records
-		f.TornBytes += got.Cut
+		f.TornBytes += got.TornBytes
 		f.Damage = append(f.Damage, got.Damage...)
 	}
-	f.NewestAt = state.newest
+	f.NewestAt = state.newestAt
 	all := state.Len()
 	state.Expire(now.Add(-opt.Retention), true)
 	f.Expired = all - state.Len()
@@ -173,21 +173,21 @@
 		}
 		for _, d := range f.Damage {
 			if d.To > 0 {
-				if err := fsys.Rename(d.File, d.File+".bad"); err != nil && !gone(err) {
-					return nil, nil, disk.New("store: repair: %w", err)
+				if err := fsys.Rename(d.File, d.File+".bad"); err != nil && !isNotExist(err) {
+					return nil, nil, faultDisk.New("store: repair: %w", err)
 				}
 			}
 		}
 		if err := fsys.SyncDir(); err != nil {
-			return nil, nil, disk.New("store: repair: %w", err)
+			return nil, nil, faultDisk.New("store: repair: %w", err)
 		}
 	}
-	j := &Journal{fs: fsys, opt: opt, state: state, number: f.Snapshot}
+	j := &Journal{fs: fsys, options: opt, state: state, segment: f.Snapshot}
 	if len(segments) > 0 {
-		j.number = max(segments[len(segments)-1], f.Snapshot)
+		j.segment = max(segments[len(segments)-1], f.Snapshot)
 	}
 	for _, n := range snapshots { // a number is never used again
-		j.number = max(j.number, n)
+		j.segment = max(j.segment, n)
 	}
 	return j, f, j.Reopen(now)
 }
@@ -200,20 +200,20 @@
 		_ = j.file.Close() // what is in it counts for nothing from here on
 		j.file = nil
 	}
-	snap := j.take(now)
+	snap := j.newSnapshot(now)
 	if err := snap.Write(); err != nil {
 		return err
 	}
-	if err := j.begin(); err != nil {
+	if err := j.createSegment(); err != nil {
 		return err
 	}
 	j.FinishSnapshot(snap)
 	return nil
 }
 
-// begin makes the next segment.
-func (j *Journal) begin() error {
-	name := segmentName(j.number + 1)
+// createSegment makes the next segment.
+func (j *Journal) createSegment() error {
+	name := segmentName(j.segment + 1)
 	f, err := j.fs.Create(name)
 	// left by a start that got no further; nothing was promised of it
 	if err != nil && errors.Is(err, errExists) {
@@ -222,19 +222,19 @@
 		}
 	}
 	if err != nil {
-		return disk.New("store: %w", err)
+		return faultDisk.New("store: %w", err)
 	}
-	head := appendHeader(nil, j.number+1)
-	if _, err = f.Write(head); err == nil && j.opt.Sync != SyncNone {
+	head := appendHeader(nil, j.segment+1)
+	if _, err = f.Write(head); err == nil && j.options.Sync != SyncNone {
 		if err = f.Sync(); err == nil {
 			err = j.fs.SyncDir()
 		}
 	}
 	if err != nil {
-		return errors.Join(disk.New("store: %w", err), f.Close(), j.fs.Remove(name))
+		return errors.Join(faultDisk.New("store: %w", err), f.Close(), j.fs.Remove(name))
 	}
-	j.number++
-	j.file, j.size, j.synced, j.told = f, int64(len(head)), int64(len(head)), 0
+	j.segment++
+	j.file, j.size, j.syncedBytes, j.markedBytes = f, int64(len(head)), int64(len(head)), 0
 	return nil
 }
 
@@ -245,7 +245,7 @@
 func (j *Journal) State() *State { return j.state }
 
 // Size is how many bytes the segments have.
-func (j *Journal) Size() int64 { return j.sealed + j.size }
+func (j *Journal) Size() int64 { return j.closedBytes + j.size }
 
 // Commit writes records and has them kept as the mode says. If it fails none of them may be gone
 // by, and the journal is down. What is known all the same, such as a result, is in the next
@@ -269,8 +269,8 @@
 		return ErrDown
 	}
 	j.buf = j.buf[:0]
-	if j.told < j.synced && j.opt.Sync != SyncNone {
-		if j.buf, err = AppendFrame(j.buf, &Record{Kind: SyncMark, Synced: j.synced}); err != nil {
+	if j.markedBytes < j.syncedBytes && j.options.Sync != SyncNone {
+		if j.buf, err = AppendFrame(j.buf, &Record{Kind: SyncMark, SyncedBytes: j.syncedBytes}); err != nil {
 			return err
 		}
 	}
@@ -281,37 +281,37 @@
 	}
 	n, err := j.file.Write(j.buf)
 	if j.size += int64(n); err != nil {
-		return disk.New("store: %w", err)
+		return faultDisk.New("store: %w", err)
 	}
-	if j.opt.Sync == SyncNone {
+	if j.options.Sync == SyncNone {
 		return nil
 	}
 	if err := j.file.Sync(); err != nil {
-		return disk.New("store: %w", err)
+		return faultDisk.New("store: %w", err)
 	}
-	j.told, j.synced = j.synced, j.size
+	j.markedBytes, j.syncedBytes = j.syncedBytes, j.size
 	return nil
 }
 
-// Roll begins a new segment once this one is large.
-func (j *Journal) Roll() error {
-	if j.file == nil || j.size < j.opt.SegmentBytes {
+// RotateSegment begins a new segment once this one is large.
+func (j *Journal) RotateSegment() error {
+	if j.file == nil || j.size < j.options.SegmentBytes {
 		return nil
 	}
 	err := j.file.Close() // it is synced
 	j.file = nil
 	if err != nil {
-		return disk.New("store: %w", err)
+		return faultDisk.New("store: %w", err)
 	}
-	j.sealed += j.size
+	j.closedBytes += j.size
 	j.size = 0
-	return j.begin()
+	return j.createSegment()
 }
 
 // TornBytes begins a snapshot where one is due; nil: none is. Its Write may run beside; then Finish has
 // to be told.
 func (j *Journal) SnapshotIfDue(now wallclock.UnixMicro) (*Snapshot, error) {
-	if j.file == nil || j.Size() <= 2*j.state.LiveBytes()+j.opt.SlackBytes {
+	if j.file == nil || j.Size() <= 2*j.state.LiveBytes()+j.options.SlackBytes {
 		return nil, nil
 	}
 	return j.BeginSnapshot(now)
@@ -325,44 +325,44 @@
 	err := j.file.Close()
 	j.file = nil
 	if err != nil {
-		return nil, disk.New("store: %w", err)
+		return nil, faultDisk.New("store: %w", err)
 	}
-	j.sealed += j.size
+	j.closedBytes += j.size
 	j.size = 0
-	snap := j.take(now)
-	return snap, j.begin()
+	snap := j.newSnapshot(now)
+	return snap, j.createSegment()
 }
 
 // Snapshot is all that is known at the end of a segment.
 type Snapshot struct {
-	fs     FS
-	covers uint64 // the segment at whose end it stands
-	keys   []*Key
-	at     wallclock.UnixMicro
-	frees  int64
+	fs         FS
+	segment    uint64 // the segment at whose end it stands
+	keys       []*Key
+	takenAt    wallclock.UnixMicro
+	freedBytes int64
 }
 
-// take notes what is known. Keys do not change once they are in the state.
-func (j *Journal) take(now wallclock.UnixMicro) *Snapshot {
-	j.state.Expire(now.Add(-j.opt.Retention), false)
-	return &Snapshot{fs: j.fs, covers: j.number, keys: j.state.Keys(), at: now, frees: j.sealed}
+// newSnapshot notes what is known. Keys do not change once they are in the state.
+func (j *Journal) newSnapshot(now wallclock.UnixMicro) *Snapshot {
+	j.state.Expire(now.Add(-j.options.Retention), false)
+	return &Snapshot{fs: j.fs, segment: j.segment, keys: j.state.Keys(), takenAt: now, freedBytes: j.closedBytes}
 }
 
 // WriteSnapshot writes keys into an empty folder, from which a journal can begin.
 func WriteSnapshot(fsys FS, keys []*Key, now wallclock.UnixMicro) error {
-	return (&Snapshot{fs: fsys, keys: keys, at: now}).Write()
+	return (&Snapshot{fs: fsys, keys: keys, takenAt: now}).Write()
 }
 
 // Write puts it on the disk, whole or not at all. It touches no other file.
 func (s *Snapshot) Write() (err error) {
-	name := snapshotName(s.covers)
-	tmp := name + unfinished
-	if err := s.fs.Remove(tmp); err != nil && !gone(err) {
-		return disk.New("store: %w", err)
+	name := snapshotName(s.segment)
+	tmp := name + temporarySuffix
+	if err := s.fs.Remove(tmp); err != nil && !isNotExist(err) {
+		return faultDisk.New("store: %w", err)
 	}
 	f, err := s.fs.Create(tmp)
 	if err != nil {
-		return disk.New("store: %w", err)
+		return faultDisk.New("store: %w", err)
 	}
 	err = s.write(f)
 	if e := f.Close(); err == nil {
@@ -375,13 +375,13 @@
 		err = s.fs.SyncDir()
 	}
 	if err != nil {
-		return errors.Join(disk.New("store: %w", err), s.fs.Remove(tmp))
+		return errors.Join(faultDisk.New("store: %w", err), s.fs.Remove(tmp))
 	}
 	return nil
 }
 
 func (s *Snapshot) write(f File) (err error) {
-	b := appendHeader(nil, s.covers)
+	b := appendHeader(nil, s.segment)
 	flush := func(least int) error {
 		if len(b) < least {
 			return nil
@@ -398,7 +398,7 @@
 			return err
 		}
 	}
-	if b, err = AppendFrame(b, &Record{Kind: EndOfSnapshot, Count: len(s.keys), At: s.at}); err != nil {
+	if b, err = AppendFrame(b, &Record{Kind: EndOfSnapshot, Count: len(s.keys), WrittenAt: s.takenAt}); err != nil {
 		return err
 	}
 	if err = flush(0); err != nil {
@@ -417,13 +417,13 @@
 	for _, name := range names {
 		n, segment := numberOf(name, "journal")
 		m, snapshot := numberOf(name, "snapshot")
-		stale := strings.HasPrefix(name, "snapshot-") && strings.HasSuffix(name, unfinished) &&
-			name != snapshotName(s.covers)+unfinished
-		if segment && n <= s.covers || snapshot && m < s.covers || stale {
+		stale := strings.HasPrefix(name, "snapshot-") && strings.HasSuffix(name, temporarySuffix) &&
+			name != snapshotName(s.segment)+temporarySuffix
+		if segment && n <= s.segment || snapshot && m < s.segment || stale {
 			_ = j.fs.Remove(name)
 		}
 	}
-	j.sealed = max(j.sealed-s.frees, 0)
+	j.closedBytes = max(j.closedBytes-s.freedBytes, 0)
 }
 
 // Close ends it. What was committed is there.
@@ -433,11 +433,11 @@
 	}
 	f := j.file
 	j.file = nil
-	if j.opt.Sync == SyncNone {
+	if j.options.Sync == SyncNone {
 		return errors.Join(f.Sync(), f.Close())
 	}
 	return f.Close()
 }
 
 // ErrDown is that of a disk that failed and has not come back.
-var ErrDown error = down.New("store: the disk failed, and nothing is kept until it works again")
+var ErrDown error = faultDown.New("store: the disk failed, and nothing is kept until it works again")
--- a/internal/idempotency/store/kinds.go
+++ b/internal/idempotency/store/kinds.go
@@ -4,25 +4,25 @@
 
 // What can go wrong here, and what an operator can do about it.
 var (
-	locked = fault.Define("store.locked", "Another process has the folder of the keys.",
+	faultLocked = fault.Define("store.locked", "Another process has the folder of the keys.",
 		"End that process, or name another folder for this one.")
-	damaged = fault.Define(
+	faultDamaged = fault.Define(
 		"store.damaged",
 		"Files of the store are damaged in a way that no crash explains.",
 		"Look at them with runner store verify; with --repair the program keeps them aside and takes no new keys for a window.",
 	)
-	newer = fault.Define(
+	faultNewerFormat = fault.Define(
 		"store.newer",
 		"Files of the store were written by a newer program.",
 		"Start the newer program again, or give this one an empty folder once the window of the keys is over.",
 	)
-	down = fault.Define(
+	faultDown = fault.Define(
 		"store.down",
 		"The disk of the keys failed and has not come back.",
 		"See to its space, its rights and its health; keyed requests are taken again by themselves once it works.",
 	)
-	slow = fault.Define("store.slow", "The disk of the keys is too slow for what is kept on it.",
+	faultSlow = fault.Define("store.slow", "The disk of the keys is too slow for what is kept on it.",
 		"Give the folder a faster disk, or set store.sync to a mode that waits less.")
-	disk = fault.Define("store.disk", "The folder of the keys cannot be read or written.",
+	faultDisk = fault.Define("store.disk", "The folder of the keys cannot be read or written.",
 		"See that it is there, that the program may write it, and that it has space.")
 )
--- a/internal/idempotency/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -46,10 +46,10 @@
 
 // Result is what a run made.
 type Result struct {
-	Status int     `cbor:"1,keyasint"`
-	Fields []Field `cbor:"2,keyasint,omitempty"`
-	Body   []byte  `cbor:"3,keyasint,omitempty"`
-	Packed bool    `cbor:"4,keyasint,omitempty"` // Body is compressed
+	Status     int     `cbor:"1,keyasint"`
+	Fields     []Field `cbor:"2,keyasint,omitempty"`
+	Body       []byte  `cbor:"3,keyasint,omitempty"`
+	Compressed bool    `cbor:"4,keyasint,omitempty"` // Body is compressed
 }
 
 // Record is one entry of the journal.
@@ -57,40 +57,40 @@
 	Kind RecordKind `cbor:"1,keyasint"`
 	Name KeyName    `cbor:"2,keyasint,omitempty"`
 	// the try that it is about; others of its key are not touched by its end
-	Owner uint64              `cbor:"3,keyasint,omitempty"`
-	At    wallclock.UnixMicro `cbor:"4,keyasint,omitempty"` // when it was written
-	Until wallclock.UnixMicro `cbor:"5,keyasint,omitempty"` // up to which a repeat may arrive
-	Body  [32]byte            `cbor:"6,keyasint,omitempty"` // stands for the request's body
+	Owner     uint64              `cbor:"3,keyasint,omitempty"`
+	WrittenAt wallclock.UnixMicro `cbor:"4,keyasint,omitempty"` // when it was written
+	ExpiresAt wallclock.UnixMicro `cbor:"5,keyasint,omitempty"` // up to which a repeat may arrive
+	BodyHash  [32]byte            `cbor:"6,keyasint,omitempty"` // stands for the request's body
 	// of Ended without a result: how repeats are answered
-	How    uint8   `cbor:"7,keyasint,omitempty"`
-	Result *Result `cbor:"8,keyasint,omitempty"`
-	Synced int64   `cbor:"9,keyasint,omitempty"`  // of Mark: so many bytes
-	Count  int     `cbor:"10,keyasint,omitempty"` // of Last: records before it
+	Status      uint8   `cbor:"7,keyasint,omitempty"`
+	Result      *Result `cbor:"8,keyasint,omitempty"`
+	SyncedBytes int64   `cbor:"9,keyasint,omitempty"`  // of Mark: so many bytes
+	Count       int     `cbor:"10,keyasint,omitempty"` // of Last: records before it
 }
 
 // A frame is a magic number, the length of what follows, its checksum, and the record.
 const (
-	frameMagic = 0x52594531 // "RYE1"
-	frameHead  = 12
-	maxRecord  = 64 << 20
-	packFrom   = 256 // bytes of a body that are worth packing
+	frameMagic       = 0x52594531 // "RYE1"
+	frameHead        = 12
+	maxRecord        = 64 << 20
+	minCompressBytes = 256 // bytes of a body that are worth packing
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	// errShort: the bytes end before the frame does.
-	errShort = errors.New("cut off")
-	// errBad: the bytes are no frame.
-	errBad = errors.New("damaged")
+	// errTruncated: the bytes end before the frame does.
+	errTruncated = errors.New("cut off")
+	// errCorrupt: the bytes are no frame.
+	errCorrupt = errors.New("damaged")
 )
 
 // AppendFrame appends a record as a frame.
 func AppendFrame(b []byte, r *Record) ([]byte, error) {
-	if r.Result != nil && len(r.Result.Body) >= packFrom && !r.Result.Packed {
+	if r.Result != nil && len(r.Result.Body) >= minCompressBytes && !r.Result.Compressed {
 		if packed := s2.Encode(nil, r.Result.Body); len(packed) < len(r.Result.Body) {
 			copied, res := *r, *r.Result
-			res.Body, res.Packed = packed, true
+			res.Body, res.Compressed = packed, true
 			copied.Result = &res
 			r = &copied
 		}
@@ -116,35 +116,35 @@
 	return m
 }()
 
-// ReadFrame reads the record at the front of b. errShort and errBad tell what is wrong.
+// ReadFrame reads the record at the front of b. errTruncated and errCorrupt tell what is wrong.
 func ReadFrame(b []byte) (r *Record, used int, err error) {
 	if len(b) < frameHead {
-		return nil, 0, errShort
+		return nil, 0, errTruncated
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
 	if binary.LittleEndian.Uint32(b) != frameMagic || n > maxRecord {
-		return nil, 0, errBad
+		return nil, 0, errCorrupt
 	}
 	if len(b) < frameHead+n {
-		return nil, 0, errShort
+		return nil, 0, errTruncated
 	}
 	payload := b[frameHead : frameHead+n]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
-		return nil, 0, errBad
+		return nil, 0, errCorrupt
 	}
 	r = &Record{}
 	if err := decoder.Unmarshal(payload, r); err != nil {
-		return nil, 0, errBad
+		return nil, 0, errCorrupt
 	}
-	if res := r.Result; res != nil && res.Packed {
+	if res := r.Result; res != nil && res.Compressed {
 		size, err := s2.DecodedLen(res.Body)
 		if err != nil || size > maxRecord {
-			return nil, 0, errBad
+			return nil, 0, errCorrupt
 		}
 		if res.Body, err = s2.Decode(nil, res.Body); err != nil {
-			return nil, 0, errBad
+			return nil, 0, errCorrupt
 		}
-		res.Packed = false
+		res.Compressed = false
 	}
 	return r, frameHead + n, nil
 }
@@ -167,7 +167,7 @@
 
 // Fault implements fault.Classified.
 func (e *FormatError) Fault() (*fault.Kind, fault.Location) {
-	return newer, fault.Location{File: e.File}
+	return faultNewerFormat, fault.Location{File: e.File}
 }
 
 func (e *FormatError) Error() string {
@@ -188,16 +188,16 @@
 // readHeader checks the header of a file.
 func readHeader(name string, b []byte, number uint64) error {
 	if len(b) < headerSize {
-		return errShort
+		return errTruncated
 	}
 	if [8]byte(b) != fileMagic {
-		return errBad
+		return errCorrupt
 	}
 	if f := binary.LittleEndian.Uint32(b[8:]); f > Format {
 		return &FormatError{name, int(f)}
 	}
 	if binary.LittleEndian.Uint64(b[12:]) != number {
-		return errBad
+		return errCorrupt
 	}
 	return nil
 }
--- a/internal/idempotency/store/recover.go
+++ b/internal/idempotency/store/recover.go
@@ -22,7 +22,7 @@
 
 // Fault implements fault.Classified.
 func (e *DamageError) Fault() (*fault.Kind, fault.Location) {
-	return damaged, fault.Location{File: e.Damage[0].File}
+	return faultDamaged, fault.Location{File: e.Damage[0].File}
 }
 
 func (e *DamageError) Error() string {
@@ -38,34 +38,34 @@
 
 // segmentScan is what a file holds.
 type segmentScan struct {
-	Records int
-	Cut     int64 // bytes at its end that were never promised to be there
-	Damage  []Damage
-	Whole   bool // of a snapshot: its end is there
+	Records   int
+	TornBytes int64 // bytes at its end that were never promised to be there
+	Damage    []Damage
+	Whole     bool // of a snapshot: its end is there
 }
 
-// scan applies the records of a segment. The end of the last one may be missing, torn, or there in
+// scanSegment applies the records of a segment. The end of the last one may be missing, torn, or there in
 // part: what a crash leaves behind a point that was on the disk for sure. Only what a later mark
 // vouches for must be there; and all of a segment that another one follows, if the journal was
 // written with syncs.
-func scan(name string, b []byte, number uint64, last bool, s *State) (segmentScan, error) {
+func scanSegment(name string, b []byte, number uint64, last bool, s *State) (segmentScan, error) {
 	var out segmentScan
 	if err := readHeader(name, b, number); err != nil {
 		var format *FormatError
 		if errors.As(err, &format) {
 			return out, err
 		}
-		if promised(b) > 0 || !last && len(b) > 0 {
+		if markedBytes(b) > 0 || !last && len(b) > 0 {
 			out.Damage = append(out.Damage, Damage{name, 0, min(int64(len(b)), headerSize)})
 		} else {
-			out.Cut = int64(len(b))
+			out.TornBytes = int64(len(b))
 		}
 		if len(b) < headerSize {
 			return out, nil
 		}
 	}
 	at := int64(headerSize)
-	vouched := promised(b)
+	vouched := markedBytes(b)
 	for at < int64(len(b)) {
 		r, n, err := ReadFrame(b[at:])
 		if err == nil {
@@ -74,9 +74,9 @@
 			s.Apply(r)
 			continue
 		}
-		next := resync(b, at+1)
+		next := nextFrame(b, at+1)
 		if last && at >= vouched {
-			out.Cut = int64(len(b)) - at
+			out.TornBytes = int64(len(b)) - at
 			return out, nil
 		}
 		to := next
@@ -89,22 +89,22 @@
 	return out, nil
 }
 
-// promised is up to where a segment's own marks say that it is on the disk.
-func promised(b []byte) (synced int64) {
-	for at := resync(b, 0); at >= 0; {
+// markedBytes is up to where a segment's own marks say that it is on the disk.
+func markedBytes(b []byte) (synced int64) {
+	for at := nextFrame(b, 0); at >= 0; {
 		r, n, err := ReadFrame(b[at:])
 		if err != nil {
-			at = resync(b, at+1)
+			at = nextFrame(b, at+1)
 			continue
 		}
 		if r.Kind == SyncMark {
-			synced = max(synced, r.Synced)
+			synced = max(synced, r.SyncedBytes)
 		}
 		if at += int64(n); at >= int64(len(b)) {
 			break
 		}
 		if !bytes.HasPrefix(b[at:], magicBytes) {
-			at = resync(b, at)
+			at = nextFrame(b, at)
 		}
 	}
 	return synced
@@ -112,8 +112,8 @@
 
 var magicBytes = binary.LittleEndian.AppendUint32(nil, frameMagic)
 
-// resync finds the next whole frame from a place on; -1: there is none.
-func resync(b []byte, from int64) int64 {
+// nextFrame finds the next whole frame from a place on; -1: there is none.
+func nextFrame(b []byte, from int64) int64 {
 	for from < int64(len(b)) {
 		i := bytes.Index(b[from:], magicBytes)
 		if i < 0 {
@@ -142,13 +142,13 @@
 		at += used
 		if r.Kind == EndOfSnapshot {
 			if r.Count != n || at != len(b) {
-				return errBad
+				return errCorrupt
 			}
-			s.newest = max(s.newest, r.At)
+			s.newestAt = max(s.newestAt, r.WrittenAt)
 			return nil
 		}
 		n++
 		s.Apply(r)
 	}
-	return errShort
+	return errTruncated
 }
--- a/internal/idempotency/store/stall_faults.go
+++ b/internal/idempotency/store/stall_faults.go
@@ -18,19 +18,19 @@
 	}
 }
 
-type slowFile struct {
+type stallingFile struct {
 	*os.File
 	dir Dir
 }
 
-func (d Dir) opened(f *os.File) File { return slowFile{f, d} }
+func (d Dir) opened(f *os.File) File { return stallingFile{f, d} }
 
-func (f slowFile) Write(b []byte) (int, error) {
+func (f stallingFile) Write(b []byte) (int, error) {
 	f.dir.stall()
 	return f.File.Write(b)
 }
 
-func (f slowFile) Sync() error {
+func (f stallingFile) Sync() error {
 	f.dir.stall()
 	return f.File.Sync()
 }
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -21,18 +21,18 @@
 
 // record is the key as a snapshot holds it.
 func (k *Key) record() *Record {
-	r := &Record{Kind: RunStarted, Name: k.Name, Owner: k.Owner, Until: k.ExpiresAt, Body: k.BodyHash}
+	r := &Record{Kind: RunStarted, Name: k.Name, Owner: k.Owner, ExpiresAt: k.ExpiresAt, BodyHash: k.BodyHash}
 	if k.Ended {
-		r.Kind, r.How, r.Result = RunEnded, k.Status, k.Result
+		r.Kind, r.Status, r.Result = RunEnded, k.Status, k.Result
 	}
 	return r
 }
 
 // State is what a sequence of records comes to.
 type State struct {
-	keys   map[KeyName]*Key
-	live   int64               // bytes of all keys, about
-	newest wallclock.UnixMicro // time of the newest record
+	keys      map[KeyName]*Key
+	liveBytes int64               // bytes of all keys, about
+	newestAt  wallclock.UnixMicro // time of the newest record
 }
 
 // NewState is that of no records.
@@ -42,19 +42,19 @@
 func (s *State) Len() int { return len(s.keys) }
 
 // LiveBytes is about how many bytes a snapshot takes.
-func (s *State) LiveBytes() int64 { return s.live }
+func (s *State) LiveBytes() int64 { return s.liveBytes }
 
 // Apply takes a record. An end is that of the try it names alone: what a later try of the key began
 // is not touched.
 func (s *State) Apply(r *Record) {
-	s.newest = max(s.newest, r.At)
+	s.newestAt = max(s.newestAt, r.WrittenAt)
 	k := s.keys[r.Name]
 	switch r.Kind {
 	case RunStarted:
 		if k != nil && k.Owner == r.Owner && k.Ended { // told twice
 			return
 		}
-		s.put(&Key{Name: r.Name, Owner: r.Owner, ExpiresAt: r.Until, BodyHash: r.Body})
+		s.put(&Key{Name: r.Name, Owner: r.Owner, ExpiresAt: r.ExpiresAt, BodyHash: r.BodyHash})
 	case RunEnded:
 		// Of a snapshot, or after a repair, it stands alone.
 		if k == nil || k.Owner == r.Owner {
@@ -62,24 +62,24 @@
 				&Key{
 					Name:      r.Name,
 					Owner:     r.Owner,
-					ExpiresAt: r.Until,
-					BodyHash:  r.Body,
+					ExpiresAt: r.ExpiresAt,
+					BodyHash:  r.BodyHash,
 					Ended:     true,
-					Status:    r.How,
+					Status:    r.Status,
 					Result:    r.Result,
 				},
 			)
 		}
 	case KeyReleased:
 		if k != nil && k.Owner == r.Owner && !k.Ended {
-			s.drop(k)
+			s.remove(k)
 		}
 	}
 }
 
 func (s *State) put(k *Key) {
 	if old := s.keys[k.Name]; old != nil {
-		s.drop(old)
+		s.remove(old)
 	}
 	k.size = int64(frameHead + 64 + len(k.Name.Class) + len(k.Name.Tenant) + len(k.Name.Key))
 	if k.Result != nil {
@@ -89,12 +89,12 @@
 		}
 	}
 	s.keys[k.Name] = k
-	s.live += k.size
+	s.liveBytes += k.size
 }
 
-func (s *State) drop(k *Key) {
+func (s *State) remove(k *Key) {
 	delete(s.keys, k.Name)
-	s.live -= k.size
+	s.liveBytes -= k.size
 }
 
 // Expire drops keys that no repeat can meet any more: they ended, or their process did, before that
@@ -102,7 +102,7 @@
 func (s *State) Expire(before wallclock.UnixMicro, begunToo bool) {
 	for _, k := range s.keys {
 		if k.ExpiresAt < before && (k.Ended || begunToo) {
-			s.drop(k)
+			s.remove(k)
 		}
 	}
 }
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -12,8 +12,8 @@
 
 // What is told to operators.
 var (
-	evClosed   = logging.Define("store.close_failed", slog.LevelError, "error")
-	evSnapshot = logging.Define("store.snapshot_failed", slog.LevelError, "error")
+	evCloseFailed    = logging.Define("store.close_failed", slog.LevelError, "error")
+	evSnapshotFailed = logging.Define("store.snapshot_failed", slog.LevelError, "error")
 )
 
 // Settings are how a store is run beside the loop.
@@ -30,40 +30,40 @@
 }
 
 // ErrBusy is that of a record that finds the queue full.
-var ErrBusy error = slow.New("store: too much waits for the disk")
+var ErrBusy error = faultSlow.New("store: too much waits for the disk")
 
 const (
-	retryFirst = 100 * time.Millisecond // after the disk failed
-	retryMost  = 5 * time.Second
+	minReopenBackoff = 100 * time.Millisecond // after the disk failed
+	maxReopenBackoff = 5 * time.Second
 )
 
 // Store is a journal on a goroutine of its own.
 type Store struct {
-	set     Settings
-	deliver func(func())
-	changed func(down bool, err error)
-	journal *Journal
-	unlock  func() error
+	settings    Settings
+	deliver     func(func())
+	onDiskState func(down bool, err error)
+	journal     *Journal
+	unlock      func() error
 
-	mu      sync.Mutex
-	queue   []item
-	closing bool
-	wake    chan struct{}
-	done    chan struct{}
-	cuts    chan cut
-	cutting bool
-	last    int // records of the last sync
-	took    time.Duration
+	mu           sync.Mutex
+	queue        []pending
+	closing      bool
+	wake         chan struct{}
+	done         chan struct{}
+	snapshots    chan writtenSnapshot
+	snapshotting bool
+	lastBatch    int // records of the last sync
+	lastSync     time.Duration
 }
 
-type item struct {
+type pending struct {
 	record *Record
 	done   func(error)
 }
 
-type cut struct {
-	snap *Snapshot
-	err  error
+type writtenSnapshot struct {
+	snapshot *Snapshot
+	err      error
 }
 
 // Open reads the files of a folder that is locked, and begins to keep records; Close unlocks it. It
@@ -81,17 +81,17 @@
 		return nil, nil, errors.Join(err, unlock())
 	}
 	s := &Store{
-		set:     set,
-		deliver: deliver,
-		changed: changed,
-		journal: j,
-		unlock:  unlock,
-		wake:    make(chan struct{}, 1),
-		done:    make(chan struct{}),
-		cuts:    make(chan cut, 1),
+		settings:    set,
+		deliver:     deliver,
+		onDiskState: changed,
+		journal:     j,
+		unlock:      unlock,
+		wake:        make(chan struct{}, 1),
+		done:        make(chan struct{}),
+		snapshots:   make(chan writtenSnapshot, 1),
 	}
 	if err != nil {
-		s.tell(true, err)
+		s.reportDisk(true, err)
 	}
 	go s.run()
 	return s, found, nil
@@ -99,15 +99,15 @@
 
 func now() wallclock.UnixMicro { return wallclock.FromTime(wallclock.Now()) }
 
-func (s *Store) tell(down bool, err error) { s.deliver(func() { s.changed(down, err) }) }
+func (s *Store) reportDisk(down bool, err error) { s.deliver(func() { s.onDiskState(down, err) }) }
 
 // Put hands over a record, and returns at once. done is called on the loop once it is kept, or is
 // known not to be.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
-	full := len(s.queue) >= s.set.MaxQueue && r.Kind == RunStarted || s.closing
+	full := len(s.queue) >= s.settings.MaxQueue && r.Kind == RunStarted || s.closing
 	if !full {
-		s.queue = append(s.queue, item{r, done})
+		s.queue = append(s.queue, pending{r, done})
 	}
 	s.mu.Unlock()
 	if full {
@@ -133,29 +133,29 @@
 	case <-s.done:
 		return nil
 	case <-time.After(within):
-		return slow.New("store: the disk does not answer within %v", within)
+		return faultSlow.New("store: the disk does not answer within %v", within)
 	}
 }
 
 func (s *Store) run() {
 	defer close(s.done)
 	defer func() {
-		if s.cutting {
-			<-s.cuts // it touches files
+		if s.snapshotting {
+			<-s.snapshots // it touches files
 		}
 		if err := errors.Join(s.journal.Close(), s.unlock()); err != nil {
-			evClosed.Log(err)
+			evCloseFailed.Log(err)
 		}
 	}()
-	backoff := retryFirst
+	backoff := minReopenBackoff
 	retry := time.NewTimer(backoff)
 	defer retry.Stop()
 	armed := true // or records that come would put the next try off again and again
 	for {
 		select {
 		case <-s.wake:
-		case c := <-s.cuts:
-			s.cutDone(c)
+		case c := <-s.snapshots:
+			s.finishSnapshot(c)
 			continue
 		case <-retry.C:
 			armed = false
@@ -163,15 +163,15 @@
 				continue
 			}
 			if err := s.journal.Reopen(now()); err != nil {
-				backoff = min(2*backoff, retryMost)
+				backoff = min(2*backoff, maxReopenBackoff)
 				retry.Reset(backoff)
 				armed = true
 				continue
 			}
-			backoff = retryFirst
-			s.tell(false, nil)
+			backoff = minReopenBackoff
+			s.reportDisk(false, nil)
 		}
-		if s.serve() {
+		if s.commitQueued() {
 			return
 		}
 		if s.journal.IsDown() && !armed {
@@ -181,8 +181,8 @@
 	}
 }
 
-// serve keeps what waits, and reports whether that was all there will be.
-func (s *Store) serve() (end bool) {
+// commitQueued keeps what waits, and reports whether that was all there will be.
+func (s *Store) commitQueued() (end bool) {
 	for {
 		s.mu.Lock()
 		n, closing := len(s.queue), s.closing
@@ -193,13 +193,13 @@
 		// What comes while a sync runs shares the next one by itself. To wait for more pays only
 		// where several come at once, and for no longer than a sync takes; on a disk that takes
 		// under a millisecond it never does.
-		if wait := min(s.set.GroupWait, s.took); s.set.Sync == SyncGroup && !closing && n < s.last &&
+		if wait := min(s.settings.GroupWait, s.lastSync); s.settings.Sync == SyncGroup && !closing && n < s.lastBatch &&
 			wait >= time.Millisecond &&
 			!s.journal.IsDown() {
 			time.Sleep(wait)
 		}
-		most := s.set.MaxBatch
-		if s.set.Sync == SyncAlways {
+		most := s.settings.MaxBatch
+		if s.settings.Sync == SyncAlways {
 			most = 1
 		}
 		s.mu.Lock()
@@ -216,7 +216,7 @@
 		}
 		was, began := s.journal.IsDown(), time.Now()
 		err := s.journal.Commit(records)
-		s.last, s.took = n, time.Since(began)
+		s.lastBatch, s.lastSync = n, time.Since(began)
 		s.deliver(func() {
 			for _, it := range batch {
 				it.done(err)
@@ -224,35 +224,35 @@
 		})
 		if err != nil {
 			if !was {
-				s.tell(true, err)
+				s.reportDisk(true, err)
 			}
 			continue
 		}
-		if err := s.tidy(); err != nil {
-			s.tell(true, err)
+		if err := s.maintain(); err != nil {
+			s.reportDisk(true, err)
 		}
 	}
 }
 
-// tidy keeps segments short and the journal in bounds.
-func (s *Store) tidy() error {
-	if err := s.journal.Roll(); err != nil || s.cutting {
+// maintain keeps segments short and the journal in bounds.
+func (s *Store) maintain() error {
+	if err := s.journal.RotateSegment(); err != nil || s.snapshotting {
 		return err
 	}
 	snap, err := s.journal.SnapshotIfDue(now())
 	if snap == nil {
 		return err
 	}
-	s.cutting = true
-	go func() { s.cuts <- cut{snap, snap.Write()} }()
+	s.snapshotting = true
+	go func() { s.snapshots <- writtenSnapshot{snap, snap.Write()} }()
 	return err
 }
 
-func (s *Store) cutDone(c cut) {
-	s.cutting = false
+func (s *Store) finishSnapshot(c writtenSnapshot) {
+	s.snapshotting = false
 	if c.err != nil { // the segments stay, and the next one cuts them
-		evSnapshot.Log(c.err)
+		evSnapshotFailed.Log(c.err)
 		return
 	}
-	s.journal.FinishSnapshot(c.snap)
+	s.journal.FinishSnapshot(c.snapshot)
 }
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -24,12 +24,12 @@
 
 func begun(key string, owner uint64) *store.Record {
 	return &store.Record{
-		Kind:  store.RunStarted,
-		Name:  name(key),
-		Owner: owner,
-		At:    at,
-		Until: at.Add(13 * time.Second),
-		Body:  [32]byte{1, 2},
+		Kind:      store.RunStarted,
+		Name:      name(key),
+		Owner:     owner,
+		WrittenAt: at,
+		ExpiresAt: at.Add(13 * time.Second),
+		BodyHash:  [32]byte{1, 2},
 	}
 }
 
@@ -44,7 +44,7 @@
 }
 
 func forgotten(key string, owner uint64) *store.Record {
-	return &store.Record{Kind: store.KeyReleased, Name: name(key), Owner: owner, At: at}
+	return &store.Record{Kind: store.KeyReleased, Name: name(key), Owner: owner, WrittenAt: at}
 }
 
 func open(t testing.TB, d store.FS, opt store.Options) (*store.Journal, *store.Recovery) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// told is keys in a line each.
+// markedBytes is keys in a line each.
 func told(f *store.Recovery) (out []string) {
 	for _, k := range f.Keys {
 		what := "in doubt"
@@ -84,7 +84,7 @@
 	d := crashfs.New(1)
 	j, _ := open(t, d, store.DefaultOptions())
 	failed := ended("failed", 6, "")
-	failed.Result, failed.How = nil, 3
+	failed.Result, failed.Status = nil, 3
 	commit(
 		t,
 		j,
@@ -115,7 +115,7 @@
 		forgotten("done", 1),
 	)
 	old := begun("old", 9)
-	old.Until = at.Add(-20 * time.Second)
+	old.ExpiresAt = at.Add(-20 * time.Second)
 	commit(t, j, old)
 	// A clock that went back keeps keys for longer, and drops none.
 	if f, err := store.Read(d, at.Add(-time.Hour), store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
@@ -148,7 +148,7 @@
 		t,
 		j,
 		&store.Record{Kind: 200, Name: name("x")},
-		&store.Record{Kind: store.RunStarted, Name: name("bare"), Until: at},
+		&store.Record{Kind: store.RunStarted, Name: name("bare"), ExpiresAt: at},
 	)
 	j.Close()
 	if _, f := open(t, d, store.DefaultOptions()); len(f.Keys) != 1 || f.Keys[0].Owner != 0 {
@@ -264,7 +264,7 @@
 				}
 				delete(alive, key)
 			}
-			if err := j.Roll(); err != nil {
+			if err := j.RotateSegment(); err != nil {
 				rt.Fatal(err)
 			}
 			if snap, err := j.SnapshotIfDue(at); err != nil {
--- a/internal/idempotency/store/stored_test.go
+++ b/internal/idempotency/store/stored_test.go
@@ -21,7 +21,7 @@
 // after it.
 func storedRecords() (before, after []*store.Record) {
 	withoutResult := ended("failed", 6, "")
-	withoutResult.Result, withoutResult.How = nil, 3
+	withoutResult.Result, withoutResult.Status = nil, 3
 	long := make([]byte, 600) // long enough to be compressed
 	for i := range long {
 		long[i] = byte('a' + i%3)
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -9,72 +9,72 @@
 // StartedAt reports a result of which the first part is there. It answers the request, whose run goes
 // on until its end is reported; from now on it can neither fail nor be tried again. It reports
 // whether anybody takes the rest.
-func (c *Manager) Began(a *Attempt, res *Result) bool {
+func (c *Manager) ResponseStarted(a *Attempt, res *Result) bool {
 	r := c.requests[a.id]
 	if a.over || r == nil || r.running != a || r.answered {
 		return false
 	}
-	c.callers.prove(r.Caller, c.host.Now())
-	c.counts[r.Class].Served++
+	c.callers.markProven(r.Caller, c.env.Now())
+	c.stats[r.Class].Served++
 	r.answered = true
-	c.open--
-	c.tellOf(r, Served, 0)
+	c.openCount--
+	c.reportRequest(r, Served, 0)
 	r.Responder.Answer(Answer{Status: Served, Result: res})
 	return true
 }
 
-// Ended reports the end of an attempt. A run that ended well without a result has one that is not
+// AttemptEnded reports the end of an attempt. A run that ended well without a result has one that is not
 // kept.
-func (c *Manager) Ended(a *Attempt, o Outcome, res *Result) {
+func (c *Manager) AttemptEnded(a *Attempt, o Outcome, res *Result) {
 	r := c.requests[a.id]
 	if a.over || r == nil || r.running != a {
 		return
 	}
 	a.over, r.running = true, nil
-	r.trail.ended(a, o, c.host.Unix())
-	c.giveUpCall(r, a)
+	r.trace.attemptEnded(a, o, c.env.Unix())
+	c.cancelCall(r, a)
 	if o == Succeeded {
-		c.callers.prove(r.Caller, c.host.Now())
+		c.callers.markProven(r.Caller, c.env.Now())
 	}
-	if c.again(r, a, o) {
-		c.attempt(r, a)
+	if c.shouldRetry(r, a, o) {
+		c.startAttempt(r, a)
 		return
 	}
-	if own := r.entry != nil && r.entry.owner == r.id; own && c.host.KeyStore != nil {
+	if own := r.keyEntry != nil && r.keyEntry.owner == r.id; own && c.env.KeyStore != nil {
 		if !neverRan(o) {
-			c.hold(r, o, res)
+			c.storeEnd(r, o, res)
 			return
 		}
-		c.host.KeyStore.Released(c.kept(r))
-		c.settleKey(r, o, res)
+		c.env.KeyStore.Released(c.requestRecord(r))
+		c.endKey(r, o, res)
 	} else if own {
-		c.settleKey(r, o, res)
+		c.endKey(r, o, res)
 	}
-	done, answer := verdict(o, res)
+	done, answer := answerOf(o, res)
 	switch {
-	case o == TimedOut && r.stop != nil: // its server's clock came before its front's, which is set to the same time
-		r.trail.because(CauseDeadline, 0, 0)
+	case o == TimedOut && r.stopTimer != nil: // its server's clock came before its front's, which is set to the same time
+		r.trace.setCause(CauseDeadline, 0, 0)
 	case a.Cause != CauseNone:
-		r.trail.because(a.Cause, a.Value, a.Limit)
+		r.trace.setCause(a.Cause, a.Value, a.Limit)
 	case o != Succeeded:
-		r.trail.because(causeOf(o), 0, 0)
+		r.trace.setCause(outcomeCause(o), 0, 0)
 	}
-	if neverRan(o) && o != UnknownRequest && c.host.RetryAfter != nil {
-		answer.RetryAfter = c.host.RetryAfter(r.Class)
+	if neverRan(o) && o != UnknownRequest && c.env.RetryAfter != nil {
+		answer.RetryAfter = c.env.RetryAfter(r.Class)
 	}
 	if o != Canceled { // the module answers what is unanswered
 		c.answer(r, answer)
 	}
-	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
-	c.settle()
-	c.drop(r)
+	c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
+	c.runActions()
+	c.removeIfDone(r)
 }
 
 // neverRan tells whether an outcome proves that nothing ran.
 func neverRan(o Outcome) bool { return o == NotStarted || o == Unreachable || o == UnknownRequest }
 
-// verdict is what the end of a run is to the module, and to its caller.
-func verdict(o Outcome, res *Result) (admission.Outcome, Answer) {
+// answerOf is what the end of a run is to the module, and to its caller.
+func answerOf(o Outcome, res *Result) (admission.Outcome, Answer) {
 	switch o {
 	case Succeeded:
 		return admission.OutcomeOK, Answer{Status: Served, Result: res}
@@ -96,13 +96,13 @@
 	if a.over || r == nil || r.running != a {
 		return
 	}
-	r.wants = body
-	c.callers.prove(r.Caller, c.host.Now())
+	r.callBody = body
+	c.callers.markProven(r.Caller, c.env.Now())
 	if r.answered { // the run is over as far as anybody cares; it ends by itself
 		return
 	}
-	c.gate.report(admission.Event{Kind: admission.EventBlocked, Request: r.id})
-	c.settle()
+	c.admission.report(admission.Event{Kind: admission.EventBlocked, Request: r.id})
+	c.runActions()
 }
 
 var callOutcomes = map[Outcome]admission.Outcome{
@@ -119,17 +119,17 @@
 // CallEnded reports the end of a call that took so long.
 func (c *Manager) CallEnded(a *Attempt, o Outcome, reply []byte, took time.Duration) {
 	r := c.requests[a.id]
-	if a.over || r == nil || r.running != a || !r.calling {
+	if a.over || r == nil || r.running != a || !r.callInFlight {
 		return
 	}
-	r.calling = false
+	r.callInFlight = false
 	if o == Succeeded {
-		r.wants = nil
+		r.callBody = nil
 		if runner, ok := a.runner.(Resumer); ok {
 			runner.Resume(a, reply)
 		}
 	}
-	c.gate.report(
+	c.admission.report(
 		admission.Event{
 			Kind:    admission.EventCallCompleted,
 			Request: r.id,
@@ -137,77 +137,77 @@
 			Elapsed: took,
 		},
 	)
-	c.settle()
+	c.runActions()
 }
 
 // start begins an attempt. It is the one place where something is run, and so the last guard of two
 // rules.
 func (c *Manager) start(r *request) {
-	class := &c.set.Classes[r.Class]
-	if !r.answered && r.entry != nil && r.entry.elsewhere != 0 { // another process was first
-		c.yield(r)
+	class := &c.settings.Classes[r.Class]
+	if !r.answered && r.keyEntry != nil && r.keyEntry.remoteOwner != 0 { // another process was first
+		c.yieldToRemote(r)
 		return
 	}
-	if r.answered || r.running != nil || c.late(r) || class.Idempotency == admission.IdempotentWithKey && !c.keys.mayRun(r) {
-		c.host.Log(evNotRun, class.Name, r.ID)
+	if r.answered || r.running != nil || c.isTooLate(r) || class.Idempotency == admission.IdempotentWithKey && !c.keys.mayRun(r) {
+		c.env.Log(evNotStarted, class.Name, r.ID)
 		c.answer(r, Answer{Status: Failed})
-		c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeFailed})
+		c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeFailed})
 		return
 	}
-	if r.entry != nil {
-		r.entry.run(r.ArrivedAt, class.IdempotencyWindow)
-		if c.host.Reservations != nil {
-			c.claim(r)
+	if r.keyEntry != nil {
+		r.keyEntry.markStarted(r.ArrivedAt, class.IdempotencyWindow)
+		if c.env.Reservations != nil {
+			c.reserve(r)
 			return
 		}
-		if c.host.KeyStore != nil {
-			c.begin(r)
+		if c.env.KeyStore != nil {
+			c.storeStart(r)
 			return
 		}
 	}
-	c.attempt(r, nil)
+	c.startAttempt(r, nil)
 }
 
-// late tells whether a request came too late to begin in a drain.
-func (c *Manager) late(r *request) bool {
-	return c.drainAt != 0 &&
-		c.host.Now()-max(c.host.Unix().Sub(r.ArrivedAt), 0) > c.drainAt+c.set.DrainGrace
+// isTooLate tells whether a request came too late to begin in a drain.
+func (c *Manager) isTooLate(r *request) bool {
+	return c.drainingSince != 0 &&
+		c.env.Now()-max(c.env.Unix().Sub(r.ArrivedAt), 0) > c.drainingSince+c.settings.DrainGrace
 }
 
 func (c *Manager) newAttempt(r *request, before *Attempt) *Attempt {
-	class := &c.set.Classes[r.Class]
+	class := &c.settings.Classes[r.Class]
 	aim := time.Duration(0)
 	if r.FirstSentAt > 0 {
-		aim = min(c.host.Now()-c.host.Unix().Sub(r.FirstSentAt)+class.LatencyObjective, r.due)
+		aim = min(c.env.Now()-c.env.Unix().Sub(r.FirstSentAt)+class.LatencyObjective, r.deadline)
 	}
 	return &Attempt{
 		Request:    r.Request,
 		Class:      class.Name,
-		Deadline:   r.due,
+		Deadline:   r.deadline,
 		Objective:  aim,
 		Idempotent: class.Idempotency == admission.Idempotent,
 		Previous:   before,
 		id:         r.id,
-		runner:     c.host.Route(r.Class),
+		runner:     c.env.Route(r.Class),
 	}
 }
 
-func (c *Manager) attempt(r *request, before *Attempt) {
+func (c *Manager) startAttempt(r *request, before *Attempt) {
 	r.running = c.newAttempt(r, before)
-	c.run(r)
+	c.dispatch(r)
 }
 
-// run hands an attempt to its runner.
-func (c *Manager) run(r *request) {
-	c.counts[r.Class].Attempts++
-	r.trail.tried(c.host.Unix())
+// markStarted hands an attempt to its runner.
+func (c *Manager) dispatch(r *request) {
+	c.stats[r.Class].Attempts++
+	r.trace.attemptStarted(c.env.Unix())
 	r.running.runner.Run(r.running)
 }
 
-// again tells whether a run is tried once more, on another server. One that may have had its effect
+// shouldRetry tells whether a run is tried once more, on another server. One that may have had its effect
 // is sent again only where that is safe; one that never ran always is.
-func (c *Manager) again(r *request, a *Attempt, o Outcome) bool {
-	if r.answered || r.BodyConsumed || c.host.ShouldRetry == nil || o != Unreachable && (o != Interrupted || !a.Idempotent) {
+func (c *Manager) shouldRetry(r *request, a *Attempt, o Outcome) bool {
+	if r.answered || r.BodyConsumed || c.env.ShouldRetry == nil || o != Unreachable && (o != Interrupted || !a.Idempotent) {
 		return false
 	}
 	t := RetryCandidate{
@@ -215,31 +215,31 @@
 		HasSideEffect: !a.Idempotent,
 		NeverRan:      o == Unreachable,
 		Attempts:      1,
-		Remaining:     r.due - lateBy - c.host.Now(),
+		Remaining:     r.deadline - deadlineMargin - c.env.Now(),
 	}
 	for b := a.Previous; b != nil; b = b.Previous {
 		t.Attempts++
 	}
-	return c.host.ShouldRetry(t)
+	return c.env.ShouldRetry(t)
 }
 
-func (c *Manager) call(r *request, patience time.Duration) {
-	if r.running == nil || r.wants == nil || c.host.Dependency == nil {
-		c.gate.report(
+func (c *Manager) startCall(r *request, patience time.Duration) {
+	if r.running == nil || r.callBody == nil || c.env.Dependency == nil {
+		c.admission.report(
 			admission.Event{Kind: admission.EventCallCompleted, Request: r.id, Outcome: admission.OutcomeUnreachable},
 		)
 		return
 	}
 	if patience <= 0 {
-		patience = c.set.Classes[r.Class].Timeout
+		patience = c.settings.Classes[r.Class].Timeout
 	}
-	r.calling = true
-	c.host.Dependency.Call(r.running, r.wants, patience)
+	r.callInFlight = true
+	c.env.Dependency.Call(r.running, r.callBody, patience)
 }
 
-func (c *Manager) giveUpCall(r *request, a *Attempt) {
-	if r.calling {
-		r.calling = false
-		c.host.Dependency.CancelCall(a)
+func (c *Manager) cancelCall(r *request, a *Attempt) {
+	if r.callInFlight {
+		r.callInFlight = false
+		c.env.Dependency.CancelCall(a)
 	}
 }
--- a/internal/lifecycle/claims.go
+++ b/internal/lifecycle/claims.go
@@ -18,81 +18,81 @@
 }
 
 const (
-	claimWithin = 200 * time.Millisecond // a claim that takes longer is given up
-	claimBack   = time.Second            // and its caller stays away for so long
+	reservationTimeout    = 200 * time.Millisecond // a claim that takes longer is given up
+	reservationRetryAfter = time.Second            // and its caller stays away for so long
 )
 
-// claim has a run claimed, and then begins it.
-func (c *Manager) claim(r *request) {
-	a, e := c.newAttempt(r, nil), r.entry
+// reserve has a run claimed, and then begins it.
+func (c *Manager) reserve(r *request) {
+	a, e := c.newAttempt(r, nil), r.keyEntry
 	a.pending, r.running = true, a
-	asked := c.host.Now()
-	c.host.Reservations.Reserve(
-		c.kept(r),
-		claimWithin,
-		func() bool { return e.elsewhere == 0 },
+	asked := c.env.Now()
+	c.env.Reservations.Reserve(
+		c.requestRecord(r),
+		reservationTimeout,
+		func() bool { return e.remoteOwner == 0 },
 		func(mine bool, err error) {
 			a.pending = false
-			r.trail.kept(c.host.Now() - asked)
+			r.trace.addKeyWait(c.env.Now() - asked)
 			switch {
-			case e.elsewhere != 0:
+			case e.remoteOwner != 0:
 				a.over, r.running = true, nil
-				c.yield(r)
+				c.yieldToRemote(r)
 			case err != nil || !mine:
-				c.host.Log(evRunUnkept, a.Class, r.ID, err)
-				cause, back := unkeptBy(err)
-				c.unbegun(r, a, cause, cmp.Or(back, claimBack))
-			case r.answered || c.late(r) || c.host.Now() >= r.due-lateBy:
-				c.unbegun(r, a, CauseNone, 0)
-			case c.host.KeyStore != nil:
-				c.begin(r)
+				c.env.Log(evStartNotDurable, a.Class, r.ID, err)
+				cause, back := storeErrorCause(err)
+				c.cancelStart(r, a, cause, cmp.Or(back, reservationRetryAfter))
+			case r.answered || c.isTooLate(r) || c.env.Now() >= r.deadline-deadlineMargin:
+				c.cancelStart(r, a, CauseNone, 0)
+			case c.env.KeyStore != nil:
+				c.storeStart(r)
 			default:
-				c.run(r)
+				c.dispatch(r)
 			}
-			c.settle()
+			c.runActions()
 		},
 	)
 }
 
-// unbegun ends an attempt that was to begin and did not.
-func (c *Manager) unbegun(r *request, a *Attempt, cause Cause, back time.Duration) {
-	r.trail.because(cause, 0, 0)
-	if c.host.Reservations != nil {
-		c.host.Reservations.Released(c.kept(r))
+// cancelStart ends an attempt that was to begin and did not.
+func (c *Manager) cancelStart(r *request, a *Attempt, cause Cause, back time.Duration) {
+	r.trace.setCause(cause, 0, 0)
+	if c.env.Reservations != nil {
+		c.env.Reservations.Released(c.requestRecord(r))
 	}
 	r.running, a.over = nil, true
-	c.forgetEntry(r.entry)
+	c.releaseEntry(r.keyEntry)
 	c.answer(r, Answer{Status: Rejected, RetryAfter: back})
-	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeNeverStarted})
-	c.settle()
-	c.drop(r)
+	c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeNeverStarted})
+	c.runActions()
+	c.removeIfDone(r)
 }
 
-// yield has a request that was to run here wait for the run of another process. To the module it is
+// yieldToRemote has a request that was to run here wait for the run of another process. To the module it is
 // over.
-func (c *Manager) yield(r *request) {
-	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeNeverStarted})
+func (c *Manager) yieldToRemote(r *request) {
+	c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeNeverStarted})
 	if !r.answered {
-		c.await(r)
+		c.awaitRemote(r)
 	}
-	c.settle()
-	c.drop(r)
+	c.runActions()
+	c.removeIfDone(r)
 }
 
-// await answers a request once the run of another process is known to have ended, or in time.
-func (c *Manager) await(r *request) {
-	e := r.entry
+// awaitRemote answers a request once the run of another process is known to have ended, or in time.
+func (c *Manager) awaitRemote(r *request) {
+	e := r.keyEntry
 	if e.ended {
-		c.finishReuse(r, e)
+		c.answerFromEntry(r, e)
 		return
 	}
-	r.waits = true
+	r.awaitsOriginal = true
 	e.waiters = append(e.waiters, r)
-	c.host.After(max(r.due-lateBy-c.host.Now(), 0), func() {
+	c.env.After(max(r.deadline-deadlineMargin-c.env.Now(), 0), func() {
 		if !r.answered {
-			r.trail.because(Cause(admission.CauseDeadlinePassed), 0, 0)
+			r.trace.setCause(Cause(admission.CauseDeadlinePassed), 0, 0)
 			c.answer(r, Answer{Status: Expired})
-			c.drop(r)
+			c.removeIfDone(r)
 		}
 	})
 }
@@ -105,98 +105,98 @@
 		tenant, ok = c.Tenant(k.Tenant)
 	}
 	if !ok { // the other may have read settings that this one is about to read
-		if len(c.strange) < c.keys.most.Keys {
-			c.strange = append(c.strange, strangeKey{k, forgotten})
+		if len(c.unknownClassKeys) < c.keys.limits.Keys {
+			c.unknownClassKeys = append(c.unknownClassKeys, unknownClassKey{k, forgotten})
 		}
 		return
 	}
 	name := keyName{class, tenant, k.Key}
-	e := c.keys.byName[name]
+	e := c.keys.entries[name]
 	switch {
-	case e != nil && e.elsewhere == 0 && e.ran && !c.toBegin(e) && !(e.ended && k.ExpiresAt > e.until):
+	case e != nil && e.remoteOwner == 0 && e.started && !c.isReserving(e) && !(e.ended && k.ExpiresAt > e.expiresAt):
 		// it is ours, and by the lock not another's before its window is over; or it was kept in an
 		// earlier life
 		return
-	case e != nil && e.elsewhere != 0 && e.owner != k.Owner && k.ExpiresAt < e.until:
+	case e != nil && e.remoteOwner != 0 && e.owner != k.Owner && k.ExpiresAt < e.expiresAt:
 		return // it is older than what is known
-	case forgotten && (e == nil || e.owner != k.Owner || e.elsewhere == 0 || e.ended):
+	case forgotten && (e == nil || e.owner != k.Owner || e.remoteOwner == 0 || e.ended):
 		return
 	case forgotten:
-		c.forgetEntry(e)
-		c.settle()
+		c.releaseEntry(e)
+		c.runActions()
 		return
 	case e == nil:
-		e = &entry{name: name}
-		c.keys.byName[name] = e
-	case e.elsewhere != 0 && e.owner == k.Owner && e.ended:
+		e = &keyEntry{name: name}
+		c.keys.entries[name] = e
+	case e.remoteOwner != 0 && e.owner == k.Owner && e.ended:
 		return // it is told again
 	}
 	if e.owner != k.Owner && e.result != nil { // an older run, whose window is over
-		c.keys.bytes -= e.result.size()
+		c.keys.resultBytes -= e.result.size()
 		e.result = nil
 	}
-	e.elsewhere, e.owner, e.restored, e.ran, e.ended = uint32(k.Owner>>32), k.Owner, true, true, false
-	e.body, e.until = k.BodyHash, max(k.ExpiresAt, e.until)
+	e.remoteOwner, e.owner, e.restored, e.started, e.ended = uint32(k.Owner>>32), k.Owner, true, true, false
+	e.bodyHash, e.expiresAt = k.BodyHash, max(k.ExpiresAt, e.expiresAt)
 	if k.Ended {
-		c.endElsewhere(e, k.Status, k.Result, false)
+		c.endRemote(e, k.Status, k.Result, false)
 	}
 }
 
-// strangeKey is what was heard of a key of a class that there was not.
-type strangeKey struct {
+// unknownClassKey is what was heard of a key of a class that there was not.
+type unknownClassKey struct {
 	KeyRecord
-	forgotten bool
+	released bool
 }
 
-// hearAgain takes what was heard before the settings had its class.
-func (c *Manager) hearAgain() {
-	heard := c.strange
-	c.strange = nil
+// applyUnknownClassKeys takes what was heard before the settings had its class.
+func (c *Manager) applyUnknownClassKeys() {
+	heard := c.unknownClassKeys
+	c.unknownClassKeys = nil
 	for _, k := range heard {
-		if c.host.Unix() <= k.ExpiresAt.Add(lateRead) {
-			c.ApplyRemote(k.KeyRecord, k.forgotten)
+		if c.env.Unix() <= k.ExpiresAt.Add(maxReadDelay) {
+			c.ApplyRemote(k.KeyRecord, k.released)
 		}
 	}
 }
 
-// toBegin tells whether the run of a key waits for its claim.
-func (c *Manager) toBegin(e *entry) bool {
+// isReserving tells whether the run of a key waits for its claim.
+func (c *Manager) isReserving(e *keyEntry) bool {
 	r := c.requests[e.owner]
-	return r != nil && r.entry == e && r.running != nil && r.running.pending
+	return r != nil && r.keyEntry == e && r.running != nil && r.running.pending
 }
 
-// endElsewhere notes how a run in another process ended, and answers those who wait for it.
-func (c *Manager) endElsewhere(e *entry, how Status, res *Result, doubt bool) {
-	e.ended, e.failed, e.doubt = true, how, doubt
-	if res != nil && c.keys.bytes+res.size() <= c.keys.most.ResultBytes {
+// endRemote notes how a run in another process ended, and answers those who wait for it.
+func (c *Manager) endRemote(e *keyEntry, how Status, res *Result, doubt bool) {
+	e.ended, e.status, e.inDoubt = true, how, doubt
+	if res != nil && c.keys.resultBytes+res.size() <= c.keys.limits.ResultBytes {
 		e.result = res
-		c.keys.bytes += res.size()
+		c.keys.resultBytes += res.size()
 	} else if res != nil {
-		e.failed = ResultLost
+		e.status = ResultLost
 	}
 	waiters := e.waiters
 	e.waiters = nil
 	for _, w := range waiters {
-		c.finishReuse(w, e)
+		c.answerFromEntry(w, e)
 	}
-	c.settle()
+	c.runActions()
 }
 
 // OwnerDied tells that a process is dead. What it has not told the end of may have run.
 func (c *Manager) OwnerDied(life uint32) {
-	for _, e := range c.keys.byName {
-		if e.elsewhere == life && !e.ended {
-			c.endElsewhere(e, Failed, nil, true)
+	for _, e := range c.keys.entries {
+		if e.remoteOwner == life && !e.ended {
+			c.endRemote(e, Failed, nil, true)
 		}
 	}
 }
 
 // EachOwned gives what is known of keys whose runs were begun here, and whose window is not over.
 func (c *Manager) EachOwned(fn func(KeyRecord)) {
-	now := c.host.Unix()
-	for _, e := range c.keys.byName {
-		if e.elsewhere == 0 && e.ran && !c.toBegin(e) && now <= e.until.Add(lateRead) {
-			fn(c.keptOf(e))
+	now := c.env.Unix()
+	for _, e := range c.keys.entries {
+		if e.remoteOwner == 0 && e.started && !c.isReserving(e) && now <= e.expiresAt.Add(maxReadDelay) {
+			fn(c.entryRecord(e))
 		}
 	}
 }
--- a/internal/lifecycle/claims_test.go
+++ b/internal/lifecycle/claims_test.go
@@ -65,7 +65,7 @@
 	m.catchUp()
 	switch {
 	case m.fail:
-		done(false, errSlow)
+		done(false, errStoreTimeout)
 	case !free():
 		done(false, nil)
 	default:
@@ -196,7 +196,7 @@
 func TestClaimOfAClassThatComesLater(t *testing.T) {
 	b := &logbook{}
 	one, two := b.join(t, time.Second), b.join(t, time.Second)
-	more := one.set
+	more := one.settings
 	more.Classes = append(
 		slices.Clone(more.Classes),
 		admission.Class{Name: "late-hand-in", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 3,
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -19,15 +19,15 @@
 
 // What is told to operators, through the host.
 var (
-	evRefused      = logging.Define("core.refused", slog.LevelWarn, "class", "cause", "requests")
-	evModule       = logging.Define("core.module", slog.LevelInfo, "text")
-	evNotRun       = logging.Define("core.not_run", slog.LevelWarn, "class", "request")
-	evRunUnkept    = logging.Define("core.run_not_kept", slog.LevelWarn, "class", "request", "error")
-	evResultUnkept = logging.Define("core.result_not_kept", slog.LevelWarn, "class", "request", "error")
+	evRejected         = logging.Define("core.refused", slog.LevelWarn, "class", "cause", "requests")
+	evAdmission        = logging.Define("core.module", slog.LevelInfo, "text")
+	evNotStarted       = logging.Define("core.not_run", slog.LevelWarn, "class", "request")
+	evStartNotDurable  = logging.Define("core.run_not_kept", slog.LevelWarn, "class", "request", "error")
+	evResultNotDurable = logging.Define("core.result_not_kept", slog.LevelWarn, "class", "request", "error")
 )
 
-// Host is what the core needs from the program round it.
-type Host struct {
+// Environment is what the core needs from the program round it.
+type Environment struct {
 	Now       func() time.Duration // monotonic, above 0
 	Unix      func() wallclock.UnixMicro
 	After     func(d time.Duration, fn func()) (stop func())
@@ -60,50 +60,50 @@
 	ResultBytes int // of kept results; 24 MB
 }
 
-const fullFor = time.Second // how long a caller stays away from a full table
+const keyTableFullRetryAfter = time.Second // how long a caller stays away from a full table
 
 // request is the core's own record. It is kept until it is answered and nothing of it runs.
 type request struct {
 	*Request
-	id       uint64
-	due      time.Duration // monotonic
-	answered bool
-	running  *Attempt
-	wants    []byte // body of the call that the run waits for
-	calling  bool
-	entry    *entry // of its key
-	waits    bool   // for the result of another try
-	held     bool   // it ended, and its answer waits until that is kept
-	trail    *Trace // nil: nobody takes them
-	stop     func() // ends the timer of its front's deadline, which would hold all of it until then
+	id             uint64
+	deadline       time.Duration // monotonic
+	answered       bool
+	running        *Attempt
+	callBody       []byte // body of the call that the run waits for
+	callInFlight   bool
+	keyEntry       *keyEntry // of its key
+	awaitsOriginal bool      // for the result of another try
+	awaitsStore    bool      // it ended, and its answer waits until that is kept
+	trace          *Trace    // nil: nobody takes them
+	stopTimer      func()    // ends the timer of its front's deadline, which would hold all of it until then
 }
 
 // Manager is the request table.
 type Manager struct {
-	host     Host
-	set      admission.Settings
-	gate     gate
-	requests map[uint64]*request
-	names    map[string]struct{} // of all in requests
-	callers  callerTable
-	lastID   uint64
-	open     int // not yet answered
-	keys     keyTable
-	settling bool
-	drainAt  time.Duration // monotonic; 0: not draining
-	stopAt   time.Duration // monotonic; when a drain has to be over
-	counts   []Stats       // by class
+	env           Environment
+	settings      admission.Settings
+	admission     admissionQueue
+	requests      map[uint64]*request
+	openIDs       map[string]struct{} // of all in requests
+	callers       provenCallers
+	lastID        uint64
+	openCount     int // not yet answered
+	keys          keyTable
+	carryingOut   bool
+	drainingSince time.Duration // monotonic; 0: not draining
+	stopAt        time.Duration // monotonic; when a drain has to be over
+	stats         []Stats       // by class
 	// Monotonic times since when classes are not in the settings any more.
-	droppedAt []time.Duration
-	strange   []strangeKey // heard of other processes, of classes that there are not
+	removedAt        []time.Duration
+	unknownClassKeys []unknownClassKey // heard of other processes, of classes that there are not
 
-	refused   int // for their keys, since that was told
-	refusedAt time.Duration
+	unloggedRejections int // for their keys, since that was told
+	rejectionLoggedAt  time.Duration
 }
 
 // New makes the table round a fresh module.
-func New(set admission.Settings, seed uint64, host Host) (*Manager, error) {
-	set = usable(set)
+func New(set admission.Settings, seed uint64, host Environment) (*Manager, error) {
+	set = usableSettings(set)
 	module, err := admission.New(set, seed)
 	if err != nil {
 		return nil, err
@@ -111,26 +111,26 @@
 	if host.Log == nil {
 		host.Log = (*logging.Event).Log
 	}
-	c := &Manager{host: host, set: set, requests: map[uint64]*request{}, names: map[string]struct{}{},
-		callers: callerTable{
-			last: map[uint32]time.Duration{},
-		}, keys: newKeyTable(host.KeyLimits), counts: make([]Stats, len(set.Classes)),
-		droppedAt: make([]time.Duration, len(set.Classes))}
-	c.gate = gate{module: module, now: host.Now}
+	c := &Manager{env: host, settings: set, requests: map[uint64]*request{}, openIDs: map[string]struct{}{},
+		callers: provenCallers{
+			lastRunAt: map[uint32]time.Duration{},
+		}, keys: newKeyTable(host.KeyLimits), stats: make([]Stats, len(set.Classes)),
+		removedAt: make([]time.Duration, len(set.Classes))}
+	c.admission = admissionQueue{module: module, now: host.Now}
 	return c, nil
 }
 
 // Start lets the module begin.
 func (c *Manager) Start() {
-	c.gate.report(admission.Event{})
-	c.settle()
+	c.admission.report(admission.Event{})
+	c.runActions()
 }
 
 // IsIdle tells whether nothing is open, and nothing runs.
 func (c *Manager) IsIdle() bool { return len(c.requests) == 0 }
 
 // OpenRequests is how many requests are owed an answer.
-func (c *Manager) OpenRequests() int { return c.open }
+func (c *Manager) OpenRequests() int { return c.openCount }
 
 // Ticket names a request that was handed in.
 type Ticket uint64
@@ -139,125 +139,125 @@
 func (c *Manager) Submit(q *Request) Ticket {
 	// A second request by a name would be taken for the first by whoever runs them, and get its
 	// result.
-	if _, taken := c.names[q.ID]; taken {
-		return c.misused(q, DuplicateID)
+	if _, taken := c.openIDs[q.ID]; taken {
+		return c.answerConflict(q, DuplicateID)
 	}
 	c.lastID++
-	queued := max(c.host.Unix().Sub(q.ArrivedAt), 0)
-	r := &request{Request: q, id: c.lastID, trail: c.trail(q)}
-	class := &c.set.Classes[q.Class]
-	arrival := c.arrivalOf(r, queued)
-	r.due = c.host.Now() - queued + class.Timeout
+	queued := max(c.env.Unix().Sub(q.ArrivedAt), 0)
+	r := &request{Request: q, id: c.lastID, trace: c.newTrace(q)}
+	class := &c.settings.Classes[q.Class]
+	arrival := c.arrivalEvent(r, queued)
+	r.deadline = c.env.Now() - queued + class.Timeout
 	keyed := class.Idempotency == admission.IdempotentWithKey
 	if keyed {
-		if r.entry = c.keys.find(q); r.entry != nil {
-			if c.answersAtOnce(r) {
+		if r.keyEntry = c.keys.find(q); r.keyEntry != nil {
+			if c.answerDuplicateAtOnce(r) {
 				return 0
 			}
-			arrival.PriorRequest = r.entry.owner
+			arrival.PriorRequest = r.keyEntry.owner
 		}
 	}
-	c.takeIn(r, queued)
+	c.accept(r, queued)
 	switch {
-	case r.entry != nil && r.entry.elsewhere != 0: // nothing runs here, so that the module need not hear of it
-		c.await(r)
-	case keyed && r.entry == nil && c.refusesNewKey(r):
+	case r.keyEntry != nil && r.keyEntry.remoteOwner != 0: // nothing runs here, so that the module need not hear of it
+		c.awaitRemote(r)
+	case keyed && r.keyEntry == nil && c.rejectNewKey(r):
 	default:
-		c.gate.report(arrival)
-		c.settle()
+		c.admission.report(arrival)
+		c.runActions()
 	}
 	return Ticket(r.id)
 }
 
-// arrivalOf is what the module hears of a request.
-func (c *Manager) arrivalOf(r *request, queued time.Duration) admission.Event {
+// arrivalEvent is what the module hears of a request.
+func (c *Manager) arrivalEvent(r *request, queued time.Duration) admission.Event {
 	return admission.Event{Kind: admission.EventRequest, Request: r.id, Class: r.Class, Tenant: r.Tenant,
-		Caller: c.callers.number(
+		Caller: c.callers.admissionNumber(
 			r.Caller,
 		), SizeKB: r.SizeKB, Rank: r.Rank, Key: r.Entity, QueueingDelay: queued,
-		Write: c.set.Classes[r.Class].Idempotency != admission.Idempotent}
+		Write: c.settings.Classes[r.Class].Idempotency != admission.Idempotent}
 }
 
-// answersAtOnce answers a request that repeats another, where nothing has to be waited for: it
+// answerDuplicateAtOnce answers a request that repeats another, where nothing has to be waited for: it
 // carries another body, or the other ran in an earlier life. Else it counts as a repeat.
-func (c *Manager) answersAtOnce(r *request) bool {
+func (c *Manager) answerDuplicateAtOnce(r *request) bool {
 	// All tries of one request carry one body. What comes with another must not get a stranger's
 	// result.
-	if r.entry.body != bodyOf(r.Request) {
-		c.misused(r.Request, KeyReused)
+	if r.keyEntry.bodyHash != hashBody(r.Request) {
+		c.answerConflict(r.Request, KeyReused)
 		return true
 	}
-	if r.entry.restored && r.entry.ended {
-		c.recall(r.Request, r.entry)
+	if r.keyEntry.restored && r.keyEntry.ended {
+		c.answerRestored(r.Request, r.keyEntry)
 		return true
 	}
-	if r.trail != nil {
-		r.trail.OriginalID = r.entry.first
+	if r.trace != nil {
+		r.trace.OriginalID = r.keyEntry.originalID
 	}
-	c.counts[r.Class].Repeats++
+	c.stats[r.Class].Repeats++
 	return false
 }
 
-// takeIn has a request in the table, where it is owed an answer.
-func (c *Manager) takeIn(r *request, queued time.Duration) {
-	c.requests[r.id], c.names[r.ID] = r, struct{}{}
-	c.open++
-	c.counts[r.Class].Read++
-	if c.host.OnAccepted != nil {
-		c.host.OnAccepted(r.Request)
+// accept has a request in the table, where it is owed an answer.
+func (c *Manager) accept(r *request, queued time.Duration) {
+	c.requests[r.id], c.openIDs[r.ID] = r, struct{}{}
+	c.openCount++
+	c.stats[r.Class].Read++
+	if c.env.OnAccepted != nil {
+		c.env.OnAccepted(r.Request)
 	}
 	if r.Timeout > 0 {
 		// The module takes the time that is left for a sign of the try's age, and shorter ones for
 		// further tries. It goes by the class's deadline, and the shorter one is kept here.
-		now := c.host.Now()
-		r.due = min(r.due, now-queued+r.Timeout)
-		r.stop = c.host.After(r.due-now, func() { c.expire(r) })
+		now := c.env.Now()
+		r.deadline = min(r.deadline, now-queued+r.Timeout)
+		r.stopTimer = c.env.After(r.deadline-now, func() { c.expire(r) })
 	}
 }
 
-// refusesNewKey turns a request away whose key cannot be kept.
-func (c *Manager) refusesNewKey(r *request) bool {
-	if c.keys.full() {
-		r.trail.because(CauseKeyTableFull, float64(len(c.keys.byName)), float64(c.keys.most.Keys))
-		c.turnAway(r, "the table of keys is full", fullFor)
+// rejectNewKey turns a request away whose key cannot be kept.
+func (c *Manager) rejectNewKey(r *request) bool {
+	if c.keys.isFull() {
+		r.trace.setCause(CauseKeyTableFull, float64(len(c.keys.entries)), float64(c.keys.limits.Keys))
+		c.reject(r, "the table of keys is full", keyTableFullRetryAfter)
 		return true
 	}
-	if c.host.KeyStore == nil {
+	if c.env.KeyStore == nil {
 		return false
 	}
-	back, why := c.host.KeyStore.Unavailable()
+	back, why := c.env.KeyStore.Unavailable()
 	if back <= 0 {
 		return false
 	}
-	r.trail.because(c.shutBy(), 0, 0)
-	c.turnAway(r, why, back)
+	r.trace.setCause(c.storeCause(), 0, 0)
+	c.reject(r, why, back)
 	return true
 }
 
-// turnAway refuses a request of which the module has not heard, and says when to come back.
-func (c *Manager) turnAway(r *request, why string, back time.Duration) {
-	c.unkept(c.set.Classes[r.Class].Name, why)
+// reject refuses a request of which the module has not heard, and says when to come back.
+func (c *Manager) reject(r *request, why string, back time.Duration) {
+	c.logRejection(c.settings.Classes[r.Class].Name, why)
 	c.answer(r, Answer{Status: Rejected, RetryAfter: back})
-	c.drop(r)
+	c.removeIfDone(r)
 }
 
-// unkept tells that a request is refused since its key cannot be kept: once a second, for such
+// logRejection tells that a request is refused since its key cannot be kept: once a second, for such
 // troubles come to many.
-func (c *Manager) unkept(class, why string) {
-	c.refused++
-	if now := c.host.Now(); now >= c.refusedAt+time.Second || c.refusedAt == 0 {
-		c.host.Log(evRefused, class, why, c.refused)
-		c.refused, c.refusedAt = 0, now
+func (c *Manager) logRejection(class, why string) {
+	c.unloggedRejections++
+	if now := c.env.Now(); now >= c.rejectionLoggedAt+time.Second || c.rejectionLoggedAt == 0 {
+		c.env.Log(evRejected, class, why, c.unloggedRejections)
+		c.unloggedRejections, c.rejectionLoggedAt = 0, now
 	}
 }
 
-// misused answers a request that is not taken in. The module never hears of it.
-func (c *Manager) misused(q *Request, why Reason) Ticket {
-	c.counts[q.Class].Read++
-	c.counts[q.Class].ended(Conflict)
-	t := c.trail(q)
-	t.because(CauseDuplicateID+Cause(why-DuplicateID), 0, 0)
-	c.tell(t, Conflict, 0)
+// answerConflict answers a request that is not taken in. The module never hears of it.
+func (c *Manager) answerConflict(q *Request, why Reason) Ticket {
+	c.stats[q.Class].Read++
+	c.stats[q.Class].ended(Conflict)
+	t := c.newTrace(q)
+	t.setCause(CauseDuplicateID+Cause(why-DuplicateID), 0, 0)
+	c.report(t, Conflict, 0)
 	q.Responder.Answer(Answer{Status: Conflict, Reason: why})
 	return 0
 }
@@ -267,7 +267,7 @@
 	if r.answered {
 		return
 	}
-	r.trail.because(CauseDeadline, 0, 0)
+	r.trace.setCause(CauseDeadline, 0, 0)
 	c.answer(r, Answer{Status: Expired})
 	c.release(r)
 }
@@ -276,7 +276,7 @@
 // remembered.
 func (c *Manager) Abandon(t Ticket) {
 	if r := c.requests[uint64(t)]; r != nil && !r.answered {
-		c.counts[r.Class].Abandoned++
+		c.stats[r.Class].Abandoned++
 		c.abandon(r)
 	}
 }
@@ -285,57 +285,57 @@
 // request is over: without a result, which callers take for a failure.
 func (c *Manager) Withdraw(t Ticket) {
 	if r := c.requests[uint64(t)]; r != nil && !r.answered {
-		c.counts[r.Class].Withdrawn++
+		c.stats[r.Class].Withdrawn++
 		c.abandon(r)
 	}
 }
 
 func (c *Manager) abandon(r *request) {
-	r.trail.because(CauseCallerGone, 0, 0)
-	c.tellOf(r, 0, 0)
-	c.close(r)
+	r.trace.setCause(CauseCallerGone, 0, 0)
+	c.reportRequest(r, 0, 0)
+	c.closeRequest(r)
 	c.release(r)
 }
 
 // release tells the module that an answer is no longer owed.
 func (c *Manager) release(r *request) {
-	if r.held { // it knows
-		c.drop(r)
+	if r.awaitsStore { // it knows
+		c.removeIfDone(r)
 		return
 	}
-	c.gate.report(admission.Event{Kind: admission.EventAbandoned, Request: r.id})
-	c.settle()
-	c.drop(r)
+	c.admission.report(admission.Event{Kind: admission.EventAbandoned, Request: r.id})
+	c.runActions()
+	c.removeIfDone(r)
 }
 
 // KeyCount is how many keys are remembered.
-func (c *Manager) KeyCount() int { return len(c.keys.byName) }
+func (c *Manager) KeyCount() int { return len(c.keys.entries) }
 
 // Drain tells that the process is stopped after so long.
 func (c *Manager) Drain(stop time.Duration) {
-	if c.drainAt != 0 {
+	if c.drainingSince != 0 {
 		return
 	}
-	c.drainAt = c.host.Now()
-	c.stopAt = c.drainAt + stop
+	c.drainingSince = c.env.Now()
+	c.stopAt = c.drainingSince + stop
 	for _, r := range c.requests {
-		if r.held && !r.answered {
-			c.boundReplication(r)
+		if r.awaitsStore && !r.answered {
+			c.boundReplicationWait(r)
 		}
 	}
-	c.gate.report(admission.Event{Kind: admission.EventDrain, Deadline: c.stopAt})
-	c.settle()
+	c.admission.report(admission.Event{Kind: admission.EventDrain, Deadline: c.stopAt})
+	c.runActions()
 }
 
-// settle carries out decisions until there are none. What it does may report more.
-func (c *Manager) settle() {
-	if c.settling {
+// runActions carries out decisions until there are none. What it does may report more.
+func (c *Manager) runActions() {
+	if c.carryingOut {
 		return
 	}
-	c.settling = true
-	defer func() { c.settling = false }()
+	c.carryingOut = true
+	defer func() { c.carryingOut = false }()
 	for {
-		d, ok := c.gate.pick()
+		d, ok := c.admission.pick()
 		if !ok {
 			return
 		}
@@ -346,19 +346,19 @@
 func (c *Manager) carryOut(d decision) {
 	switch d.verb {
 	case doHealth:
-		c.host.SetHealth(d.stored, d.good)
+		c.env.SetHealth(d.stored, d.good)
 		return
 	case doAdvertise:
-		c.host.Advertise(d.value)
+		c.env.Advertise(d.value)
 		return
 	case doTrim:
-		c.host.CloseIdle(d.span)
+		c.env.CloseIdle(d.span)
 		return
 	case doTick:
-		c.host.After(d.span, c.tick)
+		c.env.After(d.span, c.tick)
 		return
 	case doLog:
-		c.host.Log(evModule, d.text)
+		c.env.Log(evAdmission, d.text)
 		return
 	}
 	r := c.requests[d.id]
@@ -369,49 +369,49 @@
 	case doStart:
 		c.start(r)
 	case doRefuse:
-		r.trail.because(Cause(d.cause), d.value, d.limit)
+		r.trace.setCause(Cause(d.cause), d.value, d.limit)
 		c.answer(r, Answer{Status: Rejected, RetryAfter: d.span, DoNotRetry: d.last})
 	case doFail:
-		r.trail.because(Cause(d.cause), d.value, d.limit)
+		r.trace.setCause(Cause(d.cause), d.value, d.limit)
 		c.fail(r)
 	case doCall:
-		c.call(r, d.span)
+		c.startCall(r, d.span)
 	case doKeep:
-		c.keys.keep(r, c.host.Unix().Add(d.span))
+		c.keys.put(r, c.env.Unix().Add(d.span))
 	case doForget:
-		c.forget(r)
+		c.releaseKey(r)
 	case doReuse:
-		c.reuse(r)
+		c.answerDuplicate(r)
 	}
-	c.drop(r)
+	c.removeIfDone(r)
 }
 
 // tick measures the machine and lets the module look round.
 func (c *Manager) tick() {
-	c.host.Measure(func(v Gauges) {
-		c.keys.expire(c.host.Unix())
-		c.callers.expire(c.host.Now())
-		c.strange = slices.DeleteFunc(
-			c.strange,
-			func(k strangeKey) bool { return c.host.Unix() > k.ExpiresAt.Add(lateRead) },
+	c.env.Measure(func(v Gauges) {
+		c.keys.expire(c.env.Unix())
+		c.callers.expire(c.env.Now())
+		c.unknownClassKeys = slices.DeleteFunc(
+			c.unknownClassKeys,
+			func(k unknownClassKey) bool { return c.env.Unix() > k.ExpiresAt.Add(maxReadDelay) },
 		)
-		c.gate.tick(v)
-		c.settle()
+		c.admission.tick(v)
+		c.runActions()
 	})
 }
 
-// comeBack is the least time that a caller is told to stay away after a refusal.
-const comeBack = 20 * time.Millisecond
+// minRetryAfter is the least time that a caller is told to stay away after a refusal.
+const minRetryAfter = 20 * time.Millisecond
 
-// errSlow is that of a keeper that does not answer in time.
-var errSlow = errors.New("the disk does not answer in time")
+// errStoreTimeout is that of a keeper that does not answer in time.
+var errStoreTimeout = errors.New("the disk does not answer in time")
 
-// lateBy is how close to its due time a failure counts as want of time.
-const lateBy = 40 * time.Millisecond
+// deadlineMargin is how close to its due time a failure counts as want of time.
+const deadlineMargin = 40 * time.Millisecond
 
 func (c *Manager) fail(r *request) {
 	kind := Failed
-	if c.host.Now() >= r.due-lateBy {
+	if c.env.Now() >= r.deadline-deadlineMargin {
 		kind = Expired
 	}
 	c.answer(r, Answer{Status: kind})
@@ -422,38 +422,38 @@
 	if r.answered {
 		return
 	}
-	c.counts[r.Class].ended(a.Status)
+	c.stats[r.Class].ended(a.Status)
 	if a.Status == Rejected {
-		if a.RetryAfter = max(a.RetryAfter, comeBack); c.set.NoRetryAfter {
+		if a.RetryAfter = max(a.RetryAfter, minRetryAfter); c.settings.NoRetryAfter {
 			a.RetryAfter = 0
 		}
 	}
-	c.close(r)
-	c.tellOf(r, a.Status, a.RetryAfter)
+	c.closeRequest(r)
+	c.reportRequest(r, a.Status, a.RetryAfter)
 	r.Responder.Answer(a)
 }
 
-// close ends what is owed: the request is answered or nobody waits for it.
-func (c *Manager) close(r *request) {
+// closeRequest ends what is owed: the request is answered or nobody waits for it.
+func (c *Manager) closeRequest(r *request) {
 	r.answered = true
-	c.open--
-	if r.waits {
-		r.waits = false
-		r.entry.leave(r)
+	c.openCount--
+	if r.awaitsOriginal {
+		r.awaitsOriginal = false
+		r.keyEntry.removeWaiter(r)
 	}
 	if a := r.running; a != nil && !a.pending {
-		c.giveUpCall(r, a)
+		c.cancelCall(r, a)
 		a.runner.Abandon(a)
 	}
 }
 
-// drop forgets a request that is answered and of which nothing runs.
-func (c *Manager) drop(r *request) {
+// removeIfDone forgets a request that is answered and of which nothing runs.
+func (c *Manager) removeIfDone(r *request) {
 	if r.answered && r.running == nil {
 		delete(c.requests, r.id)
-		delete(c.names, r.ID)
-		if r.stop != nil {
-			r.stop()
+		delete(c.openIDs, r.ID)
+		if r.stopTimer != nil {
+			r.stopTimer()
 		}
 	}
 }
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -103,7 +103,7 @@
 	case "gone":
 		t.Manager.Abandon(t.ids[w[1]])
 	case "end":
-		t.Ended(t.runs[w[1]], outcomes[w[2]], &Result{Body: []byte(w[3])})
+		t.AttemptEnded(t.runs[w[1]], outcomes[w[2]], &Result{Body: []byte(w[3])})
 	case "need":
 		t.NeedsCall(t.runs[w[1]], []byte("body"))
 	case "called":
@@ -193,7 +193,7 @@
 func TestSettingsChangeDuringADrain(t *testing.T) {
 	c := newTableAt(t, func(s *admission.Settings) { s.DrainGrace = time.Second })
 	c.Drain(5 * time.Second)
-	set := c.set
+	set := c.settings
 	set.DrainGrace = 4 * time.Second
 	if _, err := c.Configure(set); err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 	c.Manager, err = New(
 		s,
 		1,
-		Host{Now: clock, Unix: c.unix, SetHealth: func(_, _ bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {},
+		Environment{Now: clock, Unix: c.unix, SetHealth: func(_, _ bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {},
 			After:   c.after,
 			Measure: func(fn func(Gauges)) { fn(UnknownGauges()) },
 			Route:   func(int) Runner { return c }, ShouldRetry: func(t RetryCandidate) bool { return t.Attempts < tries && t.Remaining > 0 }, Dependency: c, Log: func(e *logging.Event, values ...any) { t.Log(e.FormatLine(values...)) },
@@ -408,8 +408,8 @@
 				}
 			}
 			// Each request has a timer of the front's deadline at most, beside the one look round.
-			if len(c.timers) > 1+len(c.requests) || len(c.names) != len(c.requests) {
-				t.Errorf("%d timers, %d names, %d requests", len(c.timers), len(c.names), len(c.requests))
+			if len(c.timers) > 1+len(c.requests) || len(c.openIDs) != len(c.requests) {
+				t.Errorf("%d timers, %d names, %d requests", len(c.timers), len(c.openIDs), len(c.requests))
 			}
 			if open != c.OpenRequests() {
 				t.Errorf("%d requests are open, %d by the count", open, c.OpenRequests())
@@ -464,9 +464,9 @@
 // more keys than the table holds keep new ones out.
 func TestRestore(t *testing.T) {
 	c := newTable(t, 1)
-	c.keys.most.Keys = 4
+	c.keys.limits.Keys = 4
 	key := func(class, name string) KeyRecord {
-		return KeyRecord{Class: class, Key: name, ExpiresAt: c.unix().Add(5 * time.Second), BodyHash: bodyOf(&Request{})}
+		return KeyRecord{Class: class, Key: name, ExpiresAt: c.unix().Add(5 * time.Second), BodyHash: hashBody(&Request{})}
 	}
 	served, failed, doubt := key("hand-in", "served"), key("hand-in", "failed"), key("hand-in", "doubt")
 	served.Ended, served.Result = true, &Result{Status: 200, Body: []byte("kept")}
--- a/internal/lifecycle/counts.go
+++ b/internal/lifecycle/counts.go
@@ -18,7 +18,7 @@
 	Conflicts int64 `json:"Misused"`
 }
 
-// ended counts the one final answer to a request.
+// attemptEnded counts the one final answer to a request.
 func (s *Stats) ended(k Status) {
 	switch k {
 	case Served:
@@ -71,11 +71,11 @@
 
 // StatsByClass gives the counts of each class by its name, also of those that there are not any more.
 func (c *Manager) StatsByClass() map[string]Stats {
-	out := make(map[string]Stats, len(c.counts))
-	for i := range c.counts {
-		s := out[c.set.Classes[i].Name]
-		s.add(c.counts[i])
-		out[c.set.Classes[i].Name] = s
+	out := make(map[string]Stats, len(c.stats))
+	for i := range c.stats {
+		s := out[c.settings.Classes[i].Name]
+		s.add(c.stats[i])
+		out[c.settings.Classes[i].Name] = s
 	}
 	return out
 }
--- a/internal/lifecycle/counts_test.go
+++ b/internal/lifecycle/counts_test.go
@@ -19,15 +19,15 @@
 			t.Fatal(err)
 		}
 	}
-	next := c.set
-	next.Classes = slices.Clone(c.set.Classes[1:])
+	next := c.settings
+	next.Classes = slices.Clone(c.settings.Classes[1:])
 	if _, err := c.Configure(next); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := c.Class("check"); !ok || !c.IsDroppedClass("check") {
 		t.Error("a class that was dropped just now is not taken")
 	}
-	c.pass(droppedFor)
+	c.pass(removedClassGrace)
 	if _, ok := c.Class("check"); ok || !c.IsDroppedClass("check") || c.IsDroppedClass("never was") {
 		t.Error("a class that was dropped a while ago is taken")
 	}
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -46,9 +46,9 @@
 	limit        float64
 }
 
-// gate stands before the module: it is told what happened and hands out what to do, one decision at
+// admission stands before the module: it is told what happened and hands out what to do, one decision at
 // a time.
-type gate struct {
+type admissionQueue struct {
 	module *admission.Controller
 	now    func() time.Duration
 	events []admission.Event
@@ -57,27 +57,27 @@
 }
 
 // report tells the module one thing that happened. The module hears it at the next pick.
-func (g *gate) report(e admission.Event) { g.events = append(g.events, e) }
+func (q *admissionQueue) report(e admission.Event) { q.events = append(q.events, e) }
 
 // tick tells the module that the time it asked for has come.
-func (g *gate) tick(v Gauges) {
-	g.report(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges(v)})
+func (q *admissionQueue) tick(v Gauges) {
+	q.report(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges(v)})
 }
 
 // pick is the next thing to do; there is none when all that happened has been dealt with.
-func (g *gate) pick() (decision, bool) {
-	if g.next == len(g.ready) {
-		if len(g.events) == 0 {
+func (q *admissionQueue) pick() (decision, bool) {
+	if q.next == len(q.ready) {
+		if len(q.events) == 0 {
 			return decision{}, false
 		}
-		g.ready, g.next = g.module.Handle(g.now(), g.events, g.ready[:0]), 0
-		g.events = g.events[:0]
-		if len(g.ready) == 0 {
+		q.ready, q.next = q.module.Handle(q.now(), q.events, q.ready[:0]), 0
+		q.events = q.events[:0]
+		if len(q.ready) == 0 {
 			return decision{}, false
 		}
 	}
-	a := &g.ready[g.next]
-	g.next++
+	a := &q.ready[q.next]
+	q.next++
 	return decision{
 		verb:   verbs[a.Kind],
 		id:     a.Request,
--- a/internal/lifecycle/keeper.go
+++ b/internal/lifecycle/keeper.go
@@ -57,8 +57,8 @@
 // Unwrap gives what went wrong.
 func (e *ReplicationError) Unwrap() error { return e.Err }
 
-// unkeptBy is why a key is not kept, and when to come back; nought: not known.
-func unkeptBy(err error) (Cause, time.Duration) {
+// storeErrorCause is why a key is not kept, and when to come back; nought: not known.
+func storeErrorCause(err error) (Cause, time.Duration) {
 	if copies := (*ReplicationError)(nil); errors.As(err, &copies) {
 		return CauseReplicas, copies.RetryAfter
 	}
@@ -79,203 +79,203 @@
 			strange++
 			continue
 		}
-		e := &entry{
-			name:     keyName{class, tenant, k.Key},
-			body:     k.BodyHash,
-			until:    k.ExpiresAt,
-			ran:      true,
-			ended:    true,
-			restored: true,
-			failed:   k.Status,
-			result:   k.Result,
+		e := &keyEntry{
+			name:      keyName{class, tenant, k.Key},
+			bodyHash:  k.BodyHash,
+			expiresAt: k.ExpiresAt,
+			started:   true,
+			ended:     true,
+			restored:  true,
+			status:    k.Status,
+			result:    k.Result,
 		}
 		if !k.Ended {
-			e.failed, e.doubt = Failed, true
+			e.status, e.inDoubt = Failed, true
 		}
-		if c.keys.byName[e.name] != nil { // one that is known now is of this life
+		if c.keys.entries[e.name] != nil { // one that is known now is of this life
 			continue
 		}
-		c.keys.byName[e.name] = e
+		c.keys.entries[e.name] = e
 		if e.result != nil {
-			c.keys.bytes += e.result.size()
+			c.keys.resultBytes += e.result.size()
 		}
 	}
 	return strange
 }
 
-// recall answers a repeat of a request that ran in an earlier life. Nothing runs, so that the
+// answerRestored answers a repeat of a request that ran in an earlier life. Nothing runs, so that the
 // module need not hear of it.
-func (c *Manager) recall(q *Request, e *entry) {
-	a := Answer{Status: e.failed}
+func (c *Manager) answerRestored(q *Request, e *keyEntry) {
+	a := Answer{Status: e.status}
 	switch {
 	case e.result != nil:
 		a = Answer{Status: Served, Result: e.result}
-	case e.doubt:
+	case e.inDoubt:
 		a.Reason = InDoubt
 	}
-	n := &c.counts[q.Class]
+	n := &c.stats[q.Class]
 	n.Read++
 	n.Repeats++
 	n.ended(a.Status)
-	if t := c.trail(q); t != nil {
-		if t.OriginalID = e.first; e.doubt {
-			t.because(CauseInDoubt, 0, 0)
+	if t := c.newTrace(q); t != nil {
+		if t.OriginalID = e.originalID; e.inDoubt {
+			t.setCause(CauseInDoubt, 0, 0)
 		}
-		t.because(CauseDuplicate, 0, 0)
-		c.tell(t, a.Status, 0)
+		t.setCause(CauseDuplicate, 0, 0)
+		c.report(t, a.Status, 0)
 	}
 	q.Responder.Answer(a)
 }
 
-// kept is what is to be kept of a request's key.
-func (c *Manager) kept(r *request) KeyRecord {
-	k := c.keptOf(r.entry)
-	k.Owner = c.host.Incarnation<<32 | r.id&(1<<32-1)
+// requestRecord is what is to be kept of a request's key.
+func (c *Manager) requestRecord(r *request) KeyRecord {
+	k := c.entryRecord(r.keyEntry)
+	k.Owner = c.env.Incarnation<<32 | r.id&(1<<32-1)
 	return k
 }
 
-// keptOf is what there is to be kept of a key.
-func (c *Manager) keptOf(e *entry) KeyRecord {
+// entryRecord is what there is to be kept of a key.
+func (c *Manager) entryRecord(e *keyEntry) KeyRecord {
 	k := KeyRecord{
-		Class:     c.set.Classes[e.name.class].Name,
+		Class:     c.settings.Classes[e.name.class].Name,
 		Key:       e.name.key,
-		Owner:     c.host.Incarnation<<32 | e.owner&(1<<32-1),
-		ExpiresAt: e.until,
-		BodyHash:  e.body,
+		Owner:     c.env.Incarnation<<32 | e.owner&(1<<32-1),
+		ExpiresAt: e.expiresAt,
+		BodyHash:  e.bodyHash,
 		Ended:     e.ended,
-		Status:    e.failed,
+		Status:    e.status,
 		Result:    e.result,
 	}
 	if e.name.tenant >= 0 {
-		k.Tenant = c.set.Tenants[e.name.tenant].Name
+		k.Tenant = c.settings.Tenants[e.name.tenant].Name
 	}
 	return k
 }
 
-// begin has it kept that a run begins, and then begins it. A disk that does not answer in time is
+// storeStart has it kept that a run begins, and then begins it. A disk that does not answer in time is
 // not waited for: the request is refused, and that it never ran is kept behind its beginning.
-func (c *Manager) begin(r *request) {
+func (c *Manager) storeStart(r *request) {
 	a := c.newAttempt(r, nil)
 	r.running = a
-	k := c.kept(r)
+	k := c.requestRecord(r)
 	// it has waited in the hold since that was not so
-	if back, why := c.host.KeyStore.Unavailable(); back > 0 {
-		c.begun(r, a, k, errors.New(why))
+	if back, why := c.env.KeyStore.Unavailable(); back > 0 {
+		c.startStored(r, a, k, errors.New(why))
 		return
 	}
 	a.pending = true
 	var stop func()
-	asked := c.host.Now()
+	asked := c.env.Now()
 	settle := func(err error) {
 		if !a.pending {
 			return
 		}
-		r.trail.kept(c.host.Now() - asked)
+		r.trace.addKeyWait(c.env.Now() - asked)
 		a.pending = false
 		stop()
-		c.begun(r, a, k, err)
+		c.startStored(r, a, k, err)
 	}
-	stop = c.host.After(
-		min(c.host.KeyStore.Timeout(), max(r.due-lateBy-c.host.Now(), 0)),
-		func() { settle(errSlow) },
+	stop = c.env.After(
+		min(c.env.KeyStore.Timeout(), max(r.deadline-deadlineMargin-c.env.Now(), 0)),
+		func() { settle(errStoreTimeout) },
 	)
-	c.host.KeyStore.Started(k, settle)
+	c.env.KeyStore.Started(k, settle)
 }
 
-// begun goes on with a run of which it is kept that it begins, unless that failed or the run has
+// startStored goes on with a run of which it is kept that it begins, unless that failed or the run has
 // become needless.
-func (c *Manager) begun(r *request, a *Attempt, k KeyRecord, err error) {
+func (c *Manager) startStored(r *request, a *Attempt, k KeyRecord, err error) {
 	switch {
 	case err != nil:
-		c.host.Log(evRunUnkept, a.Class, r.ID, err)
-	case r.answered || c.late(r) || c.host.Now() >= r.due-lateBy:
+		c.env.Log(evStartNotDurable, a.Class, r.ID, err)
+	case r.answered || c.isTooLate(r) || c.env.Now() >= r.deadline-deadlineMargin:
 	default:
-		c.run(r)
+		c.dispatch(r)
 		return
 	}
-	c.host.KeyStore.Released(k)
-	back, _ := c.host.KeyStore.Unavailable()
-	c.unbegun(r, a, c.shutBy(), back)
+	c.env.KeyStore.Released(k)
+	back, _ := c.env.KeyStore.Unavailable()
+	c.cancelStart(r, a, c.storeCause(), back)
 }
 
-// shutBy is why the keeper takes no new keys.
-func (c *Manager) shutBy() Cause {
-	if s, ok := c.host.KeyStore.(ReplicatedKeyStore); ok && s.MissingReplicas() {
+// storeCause is why the keeper takes no new keys.
+func (c *Manager) storeCause() Cause {
+	if s, ok := c.env.KeyStore.(ReplicatedKeyStore); ok && s.MissingReplicas() {
 		return CauseReplicas
 	}
 	return CauseKeyStore
 }
 
-// hold has the end of a run kept, and then answers it and its repeats. The module hears at once
+// storeEnd has the end of a run kept, and then answers it and its repeats. The module hears at once
 // that the run is over; the answer waits, but not for a disk that does not answer, and not beyond
 // its due time.
-func (c *Manager) hold(r *request, o Outcome, res *Result) {
-	done, answer := verdict(o, res)
-	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
-	r.held = true
+func (c *Manager) storeEnd(r *request, o Outcome, res *Result) {
+	done, answer := answerOf(o, res)
+	c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
+	r.awaitsStore = true
 	if o != Succeeded {
-		r.trail.because(causeOf(o), 0, 0)
+		r.trace.setCause(outcomeCause(o), 0, 0)
 	}
-	k := c.kept(r)
-	k.Ended, k.Result, k.ServerTime, k.HasWaiter = true, res, r.trail.work(), !r.answered
+	k := c.requestRecord(r)
+	k.Ended, k.Result, k.ServerTime, k.HasWaiter = true, res, r.trace.serverTime(), !r.answered
 	if o != Succeeded || res == nil {
-		k.Result, k.Status = nil, howOf(o)
+		k.Result, k.Status = nil, duplicateStatus(o)
 	}
 	var stop func()
-	over, asked := false, c.host.Now()
+	over, asked := false, c.env.Now()
 	finish := func(err error) {
 		if over {
 			return
 		}
 		over = true
-		r.trail.kept(c.host.Now() - asked)
+		r.trace.addKeyWait(c.env.Now() - asked)
 		stop()
 		if err != nil {
-			c.host.Log(evResultUnkept, k.Class, r.ID, err)
+			c.env.Log(evResultNotDurable, k.Class, r.ID, err)
 		}
-		c.settleKey(r, o, res)
+		c.endKey(r, o, res)
 		c.answer(r, answer)
-		c.settle()
-		c.drop(r)
+		c.runActions()
+		c.removeIfDone(r)
 	}
-	if _, shared := c.host.KeyStore.(ReplicatedKeyStore); shared && o == Succeeded {
+	if _, shared := c.env.KeyStore.(ReplicatedKeyStore); shared && o == Succeeded {
 		// no repeat can come any more
-		stop = c.host.After(max(k.ExpiresAt.Sub(c.host.Unix()), 0), func() { finish(errSlow) })
-		c.host.KeyStore.Ended(k, finish)
-		c.boundReplication(r)
-		c.settle()
+		stop = c.env.After(max(k.ExpiresAt.Sub(c.env.Unix()), 0), func() { finish(errStoreTimeout) })
+		c.env.KeyStore.Ended(k, finish)
+		c.boundReplicationWait(r)
+		c.runActions()
 		return
 	}
-	wait := min(c.host.KeyStore.Timeout(), r.due-lateBy-c.host.Now())
+	wait := min(c.env.KeyStore.Timeout(), r.deadline-deadlineMargin-c.env.Now())
 	if r.answered { // only repeats wait
-		wait = c.host.KeyStore.Timeout()
+		wait = c.env.KeyStore.Timeout()
 	}
-	stop = c.host.After(max(wait, 0), func() { finish(errSlow) })
-	c.host.KeyStore.Ended(k, finish)
+	stop = c.env.After(max(wait, 0), func() { finish(errStoreTimeout) })
+	c.env.KeyStore.Ended(k, finish)
 	if wait <= 0 && !r.answered { // it is late already, which is no fault of the disk
 		finish(nil)
 	}
-	c.settle()
+	c.runActions()
 }
 
-// boundReplication answers a request whose result other runners have not confirmed while there was
+// boundReplicationWait answers a request whose result other runners have not confirmed while there was
 // time for it. It must not be given out without their word: should this process be taken for lost,
 // they tell repeats that the run is in doubt. The key stays open until they confirm.
-func (c *Manager) boundReplication(r *request) {
-	wait := r.due - lateBy - c.host.Now()
-	if c.drainAt != 0 {
-		wait = min(wait, c.stopAt-replicationSpare-c.host.Now())
+func (c *Manager) boundReplicationWait(r *request) {
+	wait := r.deadline - deadlineMargin - c.env.Now()
+	if c.drainingSince != 0 {
+		wait = min(wait, c.stopAt-replicationDrainMargin-c.env.Now())
 	}
-	c.host.After(max(wait, 0), func() {
+	c.env.After(max(wait, 0), func() {
 		if r.answered {
 			return
 		}
-		r.trail.because(CauseReplicas, 0, 0)
+		r.trace.setCause(CauseReplicas, 0, 0)
 		c.answer(r, Answer{Status: Expired})
-		c.drop(r)
+		c.removeIfDone(r)
 	})
 }
 
-// replicationSpare is how long before the process is stopped a result that is not confirmed is
+// replicationDrainMargin is how long before the process is stopped a result that is not confirmed is
 // given up.
-const replicationSpare = 300 * time.Millisecond
+const replicationDrainMargin = 300 * time.Millisecond
--- a/internal/lifecycle/keeper_test.go
+++ b/internal/lifecycle/keeper_test.go
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &replicas{table: newTable(t, 1)}
-			p.host.KeyStore = p
+			p.env.KeyStore = p
 			scenario.Play(t, script, map[string]scenario.Actor{"core": p})
 		})
 	}
--- a/internal/lifecycle/keys.go
+++ b/internal/lifecycle/keys.go
@@ -15,96 +15,98 @@
 	key           string
 }
 
-// entry is what is remembered of a key.
-type entry struct {
-	name    keyName
-	first   string // the name of the try that is kept
-	owner   uint64 // the try that is kept, and that runs if any does
-	body    bodySum
-	until   wallclock.UnixMicro // Unix time up to which a repeat may arrive
-	ran     bool
-	ended   bool
-	failed  Status  // of an end without a result
-	result  *Result // of an end with one
-	waiters []*request
+// keyEntry is what is remembered of a key.
+type keyEntry struct {
+	name       keyName
+	originalID string // the name of the try that is kept
+	owner      uint64 // the try that is kept, and that runs if any does
+	bodyHash   bodyHash
+	expiresAt  wallclock.UnixMicro // Unix time up to which a repeat may arrive
+	started    bool
+	ended      bool
+	status     Status  // of an end without a result
+	result     *Result // of an end with one
+	waiters    []*request
 	// Of one that was kept in an earlier life of the program:
 	restored bool
-	doubt    bool // it had begun, and did not end
+	inDoubt  bool // it had begun, and did not end
 	// The life of the process that runs it, where that is another of this runner; 0: this one.
-	elsewhere uint32
+	remoteOwner uint32
 }
 
 // keyTable remembers keyed requests for both fronts.
 type keyTable struct {
-	byName map[keyName]*entry
-	bytes  int
-	swept  wallclock.UnixMicro
-	most   KeyLimits
+	entries     map[keyName]*keyEntry
+	resultBytes int
+	sweptAt     wallclock.UnixMicro
+	limits      KeyLimits
 }
 
 func newKeyTable(most KeyLimits) keyTable {
 	most.Keys = cmp.Or(most.Keys, 20_000)
 	most.ResultBytes = cmp.Or(most.ResultBytes, 24<<20)
-	return keyTable{byName: map[keyName]*entry{}, most: most}
+	return keyTable{entries: map[keyName]*keyEntry{}, limits: most}
 }
 
-// lateRead is how long after its arrival a repeat may be read; it still meets the entry that stood
+// maxReadDelay is how long after its arrival a repeat may be read; it still meets the entry that stood
 // when it came.
-const lateRead = 10 * time.Second
+const maxReadDelay = 10 * time.Second
 
-// sweepEvery bounds the work of looking through the table.
-const sweepEvery = 500 * time.Millisecond
+// sweepInterval bounds the work of looking through the table.
+const sweepInterval = 500 * time.Millisecond
 
-// bodySum stands for a body, of which all tries carry the same.
-type bodySum [sha256.Size]byte
+// bodyHash stands for a body, of which all tries carry the same.
+type bodyHash [sha256.Size]byte
 
-func bodyOf(q *Request) bodySum { return sha256.Sum256(q.Body) }
+func hashBody(q *Request) bodyHash { return sha256.Sum256(q.Body) }
 
-func nameOf(q *Request) keyName { return keyName{q.Class, q.Tenant, q.Key} }
+func keyNameOf(q *Request) keyName { return keyName{q.Class, q.Tenant, q.Key} }
 
 // find is the entry that a request repeats, if it came while that stood.
-func (t *keyTable) find(q *Request) *entry {
-	e := t.byName[nameOf(q)]
+func (t *keyTable) find(q *Request) *keyEntry {
+	e := t.entries[keyNameOf(q)]
 	// one that is held or runs stands, however long that takes
-	if e != nil && (q.ArrivedAt <= e.until || !e.ended) {
+	if e != nil && (q.ArrivedAt <= e.expiresAt || !e.ended) {
 		return e
 	}
 	return nil
 }
 
-// keep remembers a request's key up to a Unix time, in place of an older try whose time is over.
-func (t *keyTable) keep(r *request, until wallclock.UnixMicro) {
-	e := t.byName[nameOf(r.Request)]
+// put remembers a request's key up to a Unix time, in place of an older try whose time is over.
+func (t *keyTable) put(r *request, until wallclock.UnixMicro) {
+	e := t.entries[keyNameOf(r.Request)]
 	// another process was first, since r was read
-	if e != nil && e.elsewhere != 0 && r.ArrivedAt <= e.until {
-		r.entry = e
+	if e != nil && e.remoteOwner != 0 && r.ArrivedAt <= e.expiresAt {
+		r.keyEntry = e
 		return
 	}
 	if e == nil || e.owner != r.id {
 		t.remove(e)
-		e = &entry{name: nameOf(r.Request), owner: r.id, first: r.ID, body: bodyOf(r.Request)}
-		t.byName[e.name] = e
+		e = &keyEntry{name: keyNameOf(r.Request), owner: r.id, originalID: r.ID, bodyHash: hashBody(r.Request)}
+		t.entries[e.name] = e
 	}
-	e.until = max(e.until, until)
-	r.entry = e
+	e.expiresAt = max(e.expiresAt, until)
+	r.keyEntry = e
 }
 
 // mayRun tells whether r is the try that its key stands for, and the first of them to run.
 func (t *keyTable) mayRun(r *request) bool {
-	e := r.entry
-	return e != nil && t.byName[e.name] == e && e.owner == r.id && !e.ran
+	e := r.keyEntry
+	return e != nil && t.entries[e.name] == e && e.owner == r.id && !e.started
 }
 
-// full tells whether the table has no room for another key. What ran is never dropped for room.
-func (t *keyTable) full() bool { return len(t.byName) >= t.most.Keys || t.bytes >= t.most.ResultBytes }
+// isFull tells whether the table has no room for another key. What ran is never dropped for room.
+func (t *keyTable) isFull() bool {
+	return len(t.entries) >= t.limits.Keys || t.resultBytes >= t.limits.ResultBytes
+}
 
-// run opens the window: it counts from the arrival of the try that runs.
-func (e *entry) run(arrived wallclock.UnixMicro, window time.Duration) {
-	e.ran = true
-	e.until = max(e.until, arrived.Add(window))
+// markStarted opens the window: it counts from the arrival of the try that runs.
+func (e *keyEntry) markStarted(arrived wallclock.UnixMicro, window time.Duration) {
+	e.started = true
+	e.expiresAt = max(e.expiresAt, arrived.Add(window))
 }
 
-func (e *entry) leave(r *request) {
+func (e *keyEntry) removeWaiter(r *request) {
 	for i, w := range e.waiters {
 		if w == r {
 			e.waiters = append(e.waiters[:i], e.waiters[i+1:]...)
@@ -114,11 +116,11 @@
 }
 
 // remove takes an entry out of the table and gives its memory back.
-func (t *keyTable) remove(e *entry) {
-	if e != nil && t.byName[e.name] == e {
-		delete(t.byName, e.name)
+func (t *keyTable) remove(e *keyEntry) {
+	if e != nil && t.entries[e.name] == e {
+		delete(t.entries, e.name)
 		if e.result != nil {
-			t.bytes -= e.result.size()
+			t.resultBytes -= e.result.size()
 		}
 	}
 }
@@ -133,44 +135,44 @@
 
 // expire drops the entries that no repeat can meet any more.
 func (t *keyTable) expire(now wallclock.UnixMicro) {
-	if now < t.swept.Add(sweepEvery) {
+	if now < t.sweptAt.Add(sweepInterval) {
 		return
 	}
-	t.swept = now
-	for _, e := range t.byName {
-		if now > e.until.Add(lateRead) && (e.ended || !e.ran || e.elsewhere != 0) && len(e.waiters) == 0 {
+	t.sweptAt = now
+	for _, e := range t.entries {
+		if now > e.expiresAt.Add(maxReadDelay) && (e.ended || !e.started || e.remoteOwner != 0) && len(e.waiters) == 0 {
 			t.remove(e)
 		}
 	}
 }
 
-// settleKey notes how the run of a key ended and answers the repeats that wait for it.
-func (c *Manager) settleKey(r *request, o Outcome, res *Result) {
-	e := r.entry
+// endKey notes how the run of a key ended and answers the repeats that wait for it.
+func (c *Manager) endKey(r *request, o Outcome, res *Result) {
+	e := r.keyEntry
 	if neverRan(o) { // proof that nothing ran: another try may
-		if c.host.Reservations != nil {
-			c.host.Reservations.Released(c.keptOf(e))
+		if c.env.Reservations != nil {
+			c.env.Reservations.Released(c.entryRecord(e))
 		}
-		c.forgetEntry(e)
+		c.releaseEntry(e)
 		return
 	}
-	e.ended, e.failed = true, howOf(o)
+	e.ended, e.status = true, duplicateStatus(o)
 	if o == Succeeded && res != nil {
 		e.result = res
-		c.keys.bytes += res.size()
+		c.keys.resultBytes += res.size()
 	}
-	if c.host.Reservations != nil {
-		c.host.Reservations.Ended(c.keptOf(e))
+	if c.env.Reservations != nil {
+		c.env.Reservations.Ended(c.entryRecord(e))
 	}
 	waiters := e.waiters
 	e.waiters = nil
 	for _, w := range waiters {
-		c.finishReuse(w, e)
+		c.answerFromEntry(w, e)
 	}
 }
 
-// howOf is how repeats of a run are answered that has no result to give.
-func howOf(o Outcome) Status {
+// duplicateStatus is how repeats of a run are answered that has no result to give.
+func duplicateStatus(o Outcome) Status {
 	switch o {
 	case TimedOut:
 		return Expired
@@ -180,56 +182,56 @@
 	return Failed
 }
 
-// forget drops the key of a request that did not run.
-func (c *Manager) forget(r *request) {
-	if r.entry != nil && r.entry.owner == r.id && !r.entry.ran {
-		c.forgetEntry(r.entry)
+// releaseKey drops the key of a request that did not run.
+func (c *Manager) releaseKey(r *request) {
+	if r.keyEntry != nil && r.keyEntry.owner == r.id && !r.keyEntry.started {
+		c.releaseEntry(r.keyEntry)
 	}
 }
 
-// forgetEntry drops a key whose try never ran. Nor did those that wait for it, and they may be
+// releaseEntry drops a key whose try never ran. Nor did those that wait for it, and they may be
 // tried again.
-func (c *Manager) forgetEntry(e *entry) {
+func (c *Manager) releaseEntry(e *keyEntry) {
 	c.keys.remove(e)
 	waiters := e.waiters
 	e.waiters = nil
 	for _, w := range waiters {
-		w.waits = false
-		w.trail.because(CauseOriginalNotRun, 0, 0)
+		w.awaitsOriginal = false
+		w.trace.setCause(CauseOriginalNotRun, 0, 0)
 		c.answer(w, Answer{Status: Rejected})
-		c.reuseOver(w, admission.OutcomeFailed)
+		c.endDuplicate(w, admission.OutcomeFailed)
 	}
 }
 
-// reuse answers a repeat with the result of the try that ran, now or when there is one.
-func (c *Manager) reuse(r *request) {
-	switch e := r.entry; {
-	case e == nil || c.keys.byName[e.name] != e && !e.ended:
-		r.trail.because(CauseOriginalNotRun, 0, 0)
+// answerDuplicate answers a repeat with the result of the try that ran, now or when there is one.
+func (c *Manager) answerDuplicate(r *request) {
+	switch e := r.keyEntry; {
+	case e == nil || c.keys.entries[e.name] != e && !e.ended:
+		r.trace.setCause(CauseOriginalNotRun, 0, 0)
 		c.answer(r, Answer{Status: Rejected}) // what it repeats was dropped without having run
-		c.reuseOver(r, admission.OutcomeFailed)
+		c.endDuplicate(r, admission.OutcomeFailed)
 	case e.ended:
-		c.finishReuse(r, e)
+		c.answerFromEntry(r, e)
 	default:
-		r.waits = true
+		r.awaitsOriginal = true
 		e.waiters = append(e.waiters, r)
 	}
 }
 
-// finishReuse answers a repeat from an entry that has ended.
-func (c *Manager) finishReuse(r *request, e *entry) {
-	r.waits = false
-	r.trail.because(CauseDuplicate, 0, 0)
+// answerFromEntry answers a repeat from an entry that has ended.
+func (c *Manager) answerFromEntry(r *request, e *keyEntry) {
+	r.awaitsOriginal = false
+	r.trace.setCause(CauseDuplicate, 0, 0)
 	if e.result != nil {
 		c.answer(r, Answer{Status: Served, Result: e.result})
-		c.reuseOver(r, admission.OutcomeOK)
+		c.endDuplicate(r, admission.OutcomeOK)
 		return
 	}
-	c.answer(r, Answer{Status: e.failed})
-	c.reuseOver(r, admission.OutcomeFailed)
+	c.answer(r, Answer{Status: e.status})
+	c.endDuplicate(r, admission.OutcomeFailed)
 }
 
-func (c *Manager) reuseOver(r *request, o admission.Outcome) {
-	c.gate.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: o})
-	c.drop(r)
+func (c *Manager) endDuplicate(r *request, o admission.Outcome) {
+	c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: o})
+	c.removeIfDone(r)
 }
--- a/internal/lifecycle/trail.go
+++ b/internal/lifecycle/trail.go
@@ -68,8 +68,8 @@
 	Outcome   Outcome // nought: it is not over
 }
 
-// mostHops is how many tries a trail tells of.
-const mostHops = 4
+// maxTracedAttempts is how many tries a trail tells of.
+const maxTracedAttempts = 4
 
 // Trace is what became of a request, and why.
 type Trace struct {
@@ -86,15 +86,15 @@
 	Cause         Cause
 	Value, Limit  float64
 	RetryAfter    time.Duration
-	Attempts      [mostHops]AttemptTrace
+	Attempts      [maxTracedAttempts]AttemptTrace
 	AttemptCount  int // those beyond the hops are counted alone
 	// time that it waited until its key was kept, on the disk or on other runners
 	KeyWait time.Duration
 }
 
-// trail begins one, where anybody takes them.
-func (c *Manager) trail(q *Request) *Trace {
-	if c.host.OnAnswered == nil {
+// trace begins one, where anybody takes them.
+func (c *Manager) newTrace(q *Request) *Trace {
+	if c.env.OnAnswered == nil {
 		return nil
 	}
 	return &Trace{
@@ -105,45 +105,45 @@
 		Tenant:      q.Tenant,
 		Caller:      q.Caller,
 		ArrivedAt:   q.ArrivedAt,
-		ReadAt:      c.host.Unix(),
+		ReadAt:      c.env.Unix(),
 	}
 }
 
-// because notes why an answer is about to be given. What was said first stands: a cause that is
+// setCause notes why an answer is about to be given. What was said first stands: a cause that is
 // nearer to it.
-func (t *Trace) because(cause Cause, value, limit float64) {
+func (t *Trace) setCause(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause, t.Value, t.Limit = cause, value, limit
 	}
 }
 
-// tell hands a trail over, once.
-func (c *Manager) tell(t *Trace, kind Status, comeBack time.Duration) {
+// report hands a trail over, once.
+func (c *Manager) report(t *Trace, kind Status, comeBack time.Duration) {
 	if t == nil || t.AnsweredAt != 0 {
 		return
 	}
-	t.Status, t.RetryAfter, t.AnsweredAt = kind, comeBack, c.host.Unix()
-	c.host.OnAnswered(t)
+	t.Status, t.RetryAfter, t.AnsweredAt = kind, comeBack, c.env.Unix()
+	c.env.OnAnswered(t)
 }
 
-// tellOf is tell for a request that may still run.
-func (c *Manager) tellOf(r *request, kind Status, comeBack time.Duration) {
-	if t, a := r.trail, r.running; t != nil && a != nil && t.AttemptCount > 0 && t.AttemptCount <= mostHops {
+// reportRequest is tell for a request that may still run.
+func (c *Manager) reportRequest(r *request, kind Status, comeBack time.Duration) {
+	if t, a := r.trace, r.running; t != nil && a != nil && t.AttemptCount > 0 && t.AttemptCount <= maxTracedAttempts {
 		h := &t.Attempts[t.AttemptCount-1]
-		h.Server, h.Duration = a.Server, c.host.Unix().Sub(h.StartedAt)
+		h.Server, h.Duration = a.Server, c.env.Unix().Sub(h.StartedAt)
 		if kind == Expired {
 			h.Outcome = TimedOut
 		}
 	}
-	c.tell(r.trail, kind, comeBack)
+	c.report(r.trace, kind, comeBack)
 }
 
-// tried notes a try that begins, and ended one that is over.
-func (t *Trace) tried(now wallclock.UnixMicro) {
+// attemptStarted notes a try that begins, and ended one that is over.
+func (t *Trace) attemptStarted(now wallclock.UnixMicro) {
 	if t == nil {
 		return
 	}
-	if t.AttemptCount < mostHops {
+	if t.AttemptCount < maxTracedAttempts {
 		t.Attempts[t.AttemptCount] = AttemptTrace{StartedAt: now}
 	}
 	if t.AttemptCount++; t.StartedAt == 0 {
@@ -151,23 +151,23 @@
 	}
 }
 
-func (t *Trace) ended(a *Attempt, o Outcome, now wallclock.UnixMicro) {
-	if t == nil || t.AttemptCount == 0 || t.AttemptCount > mostHops {
+func (t *Trace) attemptEnded(a *Attempt, o Outcome, now wallclock.UnixMicro) {
+	if t == nil || t.AttemptCount == 0 || t.AttemptCount > maxTracedAttempts {
 		return
 	}
 	h := &t.Attempts[t.AttemptCount-1]
 	h.Server, h.Outcome, h.Duration = a.Server, o, now.Sub(h.StartedAt)
 }
 
-// kept notes a wait for its key to be kept.
-func (t *Trace) kept(d time.Duration) {
+// requestRecord notes a wait for its key to be kept.
+func (t *Trace) addKeyWait(d time.Duration) {
 	if t != nil {
 		t.KeyWait += d
 	}
 }
 
-// work is the time that servers spent, of the tries that it tells of.
-func (t *Trace) work() (sum time.Duration) {
+// serverTime is the time that servers spent, of the tries that it tells of.
+func (t *Trace) serverTime() (sum time.Duration) {
 	if t == nil {
 		return 0
 	}
@@ -177,8 +177,8 @@
 	return sum
 }
 
-// causeOf is why a run that ended like that has no result.
-func causeOf(o Outcome) Cause {
+// outcomeCause is why a run that ended like that has no result.
+func outcomeCause(o Outcome) Cause {
 	switch o {
 	case Succeeded:
 		return CauseNone
--- a/internal/peers/link/stored_test.go
+++ b/internal/peers/link/stored_test.go
@@ -26,21 +26,21 @@
 // sampleRecord has every field of a record set.
 func sampleRecord() *store.Record {
 	return &store.Record{
-		Kind:  store.RunEnded,
-		Name:  store.KeyName{Class: "hand-in", Tenant: "north", Key: "key-1"},
-		Owner: 1<<40 | 7,
-		At:    1_700_000_000_000_001,
-		Until: 1_700_000_013_000_002,
-		Body:  [32]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32},
-		How:   3,
+		Kind:      store.RunEnded,
+		Name:      store.KeyName{Class: "hand-in", Tenant: "north", Key: "key-1"},
+		Owner:     1<<40 | 7,
+		WrittenAt: 1_700_000_000_000_001,
+		ExpiresAt: 1_700_000_013_000_002,
+		BodyHash:  [32]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32},
+		Status:    3,
 		Result: &store.Result{
-			Status: 201,
-			Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "X-Seat", Value: "4"}},
-			Body:   []byte("handed in"),
-			Packed: true,
+			Status:     201,
+			Fields:     []store.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "X-Seat", Value: "4"}},
+			Body:       []byte("handed in"),
+			Compressed: true,
 		},
-		Synced: 4096,
-		Count:  12,
+		SyncedBytes: 4096,
+		Count:       12,
 	}
 }
 
--- a/internal/peers/node/keys.go
+++ b/internal/peers/node/keys.go
@@ -66,9 +66,9 @@
 // applyRemote tells the lifecycle of another attempt's run. One whose process is lost may have run.
 func (n *Node) applyRemote(result replication.Result) {
 	record := *result.Record
-	record.Until = n.loop.Unix().Add(result.Remaining)
+	record.ExpiresAt = n.loop.Unix().Add(result.Remaining)
 	if result.InDoubt {
-		record.Kind, record.How = store.RunEnded, uint8(lifecycle.Failed)
+		record.Kind, record.Status = store.RunEnded, uint8(lifecycle.Failed)
 	}
 	n.keys.ApplyRemote(persistence.FromRecord(&record), record.Kind == store.KeyReleased)
 }
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -43,7 +43,7 @@
 
 // Sink gets what the engine reports.
 type Sink interface {
-	Ended(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
+	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 	NeedsCall(*lifecycle.Attempt, []byte)
 }
 
@@ -192,7 +192,7 @@
 		if k.loop.Now().Microseconds() > r.attempt.Deadline.Microseconds()+after {
 			evRunLost.Log(id)
 			delete(k.runs, id)
-			k.sink.Ended(r.attempt, lifecycle.Faulted, nil)
+			k.sink.AttemptEnded(r.attempt, lifecycle.Faulted, nil)
 		}
 	}
 }
@@ -340,7 +340,7 @@
 		evCommandRefused.Log(m.Status, m.Rid)
 		if r := k.runs[m.Rid]; r != nil && m.Status == "RUN" {
 			delete(k.runs, m.Rid)
-			k.sink.Ended(r.attempt, lifecycle.UnknownRequest, nil)
+			k.sink.AttemptEnded(r.attempt, lifecycle.UnknownRequest, nil)
 		}
 	}
 	return nil
@@ -367,7 +367,7 @@
 	if o == lifecycle.Succeeded {
 		res = &lifecycle.Result{Status: 200, Body: m.B64}
 	}
-	k.sink.Ended(r.attempt, o, res)
+	k.sink.AttemptEnded(r.attempt, o, res)
 }
 
 // stats takes the gauges, and with them the proof that the engine has read the commands before the
@@ -419,7 +419,7 @@
 // Run implements lifecycle.Runner.
 func (k *Link) Run(a *lifecycle.Attempt) {
 	if k.runs[a.Request.ID] != nil { // the engine would take it for the one that runs
-		k.loop.Post(func() { k.sink.Ended(a, lifecycle.Faulted, nil) })
+		k.loop.Post(func() { k.sink.AttemptEnded(a, lifecycle.Faulted, nil) })
 		return
 	}
 	k.runs[a.Request.ID] = &run{attempt: a}
--- a/internal/platform/engine/engine_test.go
+++ b/internal/platform/engine/engine_test.go
@@ -16,7 +16,7 @@
 	got  lifecycle.Outcome
 }
 
-func (e *endings) Ended(_ *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
+func (e *endings) AttemptEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
 	e.got = o
 	e.loop.Stop()
 }
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -142,7 +142,7 @@
 		run = p.hold
 	}
 	var err error
-	if p.core, err = lifecycle.New(p.settings(way), seed, lifecycle.Host{
+	if p.core, err = lifecycle.New(p.settings(way), seed, lifecycle.Environment{
 		Now:         func() time.Duration { return time.Duration(p.sched.Now()) * time.Microsecond },
 		Unix:        func() wallclock.UnixMicro { return wallclock.UnixMicro(p.sched.Now() + 1e15) },
 		After:       func(d time.Duration, fn func()) func() { return p.sched.After(d.Microseconds(), fn).Stop },
@@ -413,18 +413,20 @@
 
 func (p *play) ended(a *lifecycle.Attempt, o lifecycle.Outcome, res *lifecycle.Result) {
 	if p.hold != nil {
-		p.hold.Ended(a, o, res)
+		p.hold.AttemptEnded(a, o, res)
 		return
 	}
-	p.core.Ended(a, o, res)
+	p.core.AttemptEnded(a, o, res)
 }
 
 // sink is the core, which is there after the runner before which it stands.
 type sink struct{ p *play }
 
-func (s sink) Began(a *lifecycle.Attempt, res *lifecycle.Result) bool { return s.p.core.Began(a, res) }
-func (s sink) Ended(a *lifecycle.Attempt, o lifecycle.Outcome, res *lifecycle.Result) {
-	s.p.core.Ended(a, o, res)
+func (s sink) ResponseStarted(a *lifecycle.Attempt, res *lifecycle.Result) bool {
+	return s.p.core.ResponseStarted(a, res)
+}
+func (s sink) AttemptEnded(a *lifecycle.Attempt, o lifecycle.Outcome, res *lifecycle.Result) {
+	s.p.core.AttemptEnded(a, o, res)
 }
 
 // struck are the servers that a trouble is for.
--- a/internal/simulator/fleet/core.go
+++ b/internal/simulator/fleet/core.go
@@ -44,7 +44,7 @@
 	s := l.r.s
 	p := &inside{l: l, s: s, runs: map[string]*hosted{}, good: true}
 	var err error
-	p.core, err = lifecycle.New(set, day.Mix(s.day.Seed, l.r.spec.Name, l.r.lives), lifecycle.Host{
+	p.core, err = lifecycle.New(set, day.Mix(s.day.Seed, l.r.spec.Name, l.r.lives), lifecycle.Environment{
 		Now:        func() time.Duration { return time.Duration(s.clock.Now()) * time.Microsecond },
 		Unix:       func() wallclock.UnixMicro { return wallclock.UnixMicro(s.unixOrigin + s.now()) },
 		After:      func(d time.Duration, fn func()) func() { return l.after(d.Microseconds(), fn) },
@@ -156,9 +156,9 @@
 		a := h.attempt
 		h.attempt = nil
 		if e == dependencies.RunSucceeded {
-			p.core.Ended(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200})
+			p.core.AttemptEnded(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200})
 		} else {
-			p.core.Ended(a, lifecycle.Canceled, nil)
+			p.core.AttemptEnded(a, lifecycle.Canceled, nil)
 		}
 	})
 }
@@ -173,7 +173,7 @@
 	p.l.after(linkDelay, func() {
 		if !p.l.Run(h.j.Name) {
 			h.attempt = nil
-			p.core.Ended(a, lifecycle.NotStarted, nil)
+			p.core.AttemptEnded(a, lifecycle.NotStarted, nil)
 		}
 	})
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -237,7 +237,7 @@
 		now := g.now()
 		g.picker.Done(s.Server, x.attempt.Request.Class, endpointOutcome(outcome), now-x.startedAt, now)
 	}
-	g.sink.Ended(x.attempt, outcome, result)
+	g.sink.AttemptEnded(x.attempt, outcome, result)
 }
 
 // endpointOutcome returns what the end of an attempt says about its server.
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -23,8 +23,8 @@
 	results  []string
 }
 
-func (r *recorder) Began(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
-func (r *recorder) Ended(_ *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
+func (r *recorder) ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
+func (r *recorder) AttemptEnded(_ *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
 	r.outcomes = append(r.outcomes, outcome)
 	if result != nil {
 		r.results = append(r.results, string(result.Body))
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -90,7 +90,7 @@
 	x.streaming = true
 	result := *x.result
 	result.Body, result.Stream = x.body, x
-	isRead := x.group.sink.Began(x.attempt, &result)
+	isRead := x.group.sink.ResponseStarted(x.attempt, &result)
 	if !isRead && x.attempt.Idempotent {
 		x.end(lifecycle.Canceled, nil)
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -57,9 +57,9 @@
 // Sink gets the results of attempts, as the request lifecycle does.
 type Sink interface {
 	// Began reports a result that is still coming. It returns whether anyone reads the rest.
-	Began(*lifecycle.Attempt, *lifecycle.Result) bool
+	ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool
 	// Ended reports the end of an attempt, once.
-	Ended(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
+	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
 
 // micros converts a time of the event loop or of package lifecycle, in microseconds.
