--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -45,7 +45,7 @@
 
 	granted []*Request
 	dropped []Dropped
-	Counts  Counts
+	Counts  Counts // since the start
 }
 
 // Counts are numbers of requests since the start.
--- a/internal/balancer/endpointhealth/config.go
+++ b/internal/balancer/endpointhealth/config.go
@@ -35,7 +35,7 @@
 	// MaxProbeWait is how long an endpoint waits for a request that may be retried to probe it.
 	// After that any request may; default 5 s.
 	MaxProbeWait time.Duration
-	HealthChecks HealthChecks
+	HealthChecks HealthChecks // default: none
 }
 
 // HealthChecks holds the parameters of active health checks. Checks that pass return an endpoint to
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -34,11 +34,11 @@
 	list             *EndpointList
 	byID             map[ID]*Endpoint // listed and draining ones
 	onChange         func(*Endpoint, StateChange)
-	ejected          int         // listed ones that are ejected or probing
-	probing          []*Endpoint // in the order in which their ejections ended
-	peerLatencies    []float64   // microseconds, ascending; at the last tick
-	failureRate      float64     // of all requests, at the last tick
-	TransitionCounts [Gone + 1]uint64
+	ejected          int              // listed ones that are ejected or probing
+	probing          []*Endpoint      // in the order in which their ejections ended
+	peerLatencies    []float64        // microseconds, ascending; at the last tick
+	failureRate      float64          // of all requests, at the last tick
+	TransitionCounts [Gone + 1]uint64 // changes into each state, since the start
 }
 
 // New returns a monitor without endpoints. onChange is called after each change of a state.
--- a/internal/balancer/picker/latency.go
+++ b/internal/balancer/picker/latency.go
@@ -25,15 +25,15 @@
 // as the share of a slow class grows.
 func (p *Picker) learnLatency(class int, took time.Duration) time.Duration {
 	value := latency.Micros(latency.AtLeastOne(took))
-	if p.MeanLatency == 0 {
-		p.MeanLatency, p.referenceLatency, p.typicalLatency = value, value, value
+	if p.meanLatency == 0 {
+		p.meanLatency, p.referenceLatency, p.typicalLatency = value, value, value
 	}
 	c := &p.classes[class]
 	if c.recent == 0 {
 		c.recent = value
 	}
 	c.recent = latency.Smooth(c.recent, value, smoothing)
-	p.MeanLatency = latency.Smooth(p.MeanLatency, value, smoothing)
+	p.meanLatency = latency.Smooth(p.meanLatency, value, smoothing)
 	c.baseline.Add(value, classBaselineWindow)
 	normalized := value / c.baseline.Value * p.referenceLatency
 	p.typicalLatency = latency.Smooth(p.typicalLatency, normalized, smoothing)
--- a/internal/balancer/picker/picker.go
+++ b/internal/balancer/picker/picker.go
@@ -56,7 +56,7 @@
 // Picker balances the load over the servers of a group.
 type Picker struct {
 	cfg         Config
-	instance    string
+	instance    string // name of this process
 	health      *endpointhealth.Monitor
 	retryBudget *retry.Budget
 	random      *rand.Rand
@@ -64,11 +64,13 @@
 	servers     []*Server
 	ring        *ring
 	onChange    func(*Server, endpointhealth.StateChange)
-	MeanLatency float64 // moving mean of all successes, in microseconds; 0: not measured
 	classes     []classLatency
-	// Latencies of a typical class, in microseconds: of the first request, and a moving mean.
-	referenceLatency float64
+	// Moving means of all successes, in microseconds; 0: not measured. typicalLatency is of requests
+	// as if all were of a typical class, whose latency is that of the first request,
+	// referenceLatency.
+	meanLatency      float64
 	typicalLatency   float64
+	referenceLatency float64
 	PickCounts       [NoEndpoint + 1]uint64 // by reason, since the start
 }
 
@@ -292,7 +294,7 @@
 // first ejected server may be probed, if none gets traffic; otherwise when a request ends, by the
 // mean latency. It is between 20 ms and 10 s.
 func (p *Picker) RetryAfter(now time.Duration) time.Duration {
-	wait := latency.FromMicros(p.MeanLatency)
+	wait := latency.FromMicros(p.meanLatency)
 	withoutTraffic := 0
 	for _, s := range p.servers {
 		if s.trafficShare(now) == 0 {
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -83,6 +83,11 @@
 	}
 }
 
+// drawMicros draws a span of up to a number of microseconds.
+func drawMicros(t *rapid.T, most int64, label string) time.Duration {
+	return time.Duration(rapid.Int64Range(0, most).Draw(t, label)) * time.Microsecond
+}
+
 // randomAttempts drives a queue by random attempts, ends and configurations.
 type randomAttempts struct {
 	*testProgram
@@ -93,11 +98,9 @@
 
 func (r *randomAttempts) begin() {
 	a := &lifecycle.Attempt{
-		Request: &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(r.t, "class")},
-		Deadline: time.Duration(
-			r.now.Microseconds()+rapid.Int64Range(0, 2_000_000).Draw(r.t, "due"),
-		) * time.Microsecond,
-		Idempotent: rapid.Bool().Draw(r.t, "safe"),
+		Request:    &lifecycle.Request{Class: rapid.IntRange(0, 1).Draw(r.t, "class")},
+		Deadline:   r.now + drawMicros(r.t, 2_000_000, "deadline"),
+		Idempotent: rapid.Bool().Draw(r.t, "idempotent"),
 	}
 	r.open = append(r.open, a)
 	r.count++
@@ -117,7 +120,7 @@
 }
 
 func (r *randomAttempts) step() {
-	r.now += time.Duration(rapid.Int64Range(0, 300_000).Draw(r.t, "time")) * time.Microsecond
+	r.now += drawMicros(r.t, 300_000, "time")
 	switch rapid.IntRange(0, 6).Draw(r.t, "what") {
 	case 0, 1, 2:
 		r.begin()
--- a/internal/frontend/uwsgi/conn.go
+++ b/internal/frontend/uwsgi/conn.go
@@ -164,7 +164,7 @@
 		q.Upload, q.ContentLength = c, r.Length
 		f.ids++
 		c.uploadID = f.ids
-		f.flows.AddReader(c.uploadID, f.now())
+		f.flows.AddReader(c.uploadID, f.loop.Now())
 		c.patient()
 		c.submit()
 	}
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -62,9 +62,9 @@
 	mostLine   = 8 << 10   // of a chunked body's framing
 	onePart    = 128 << 10 // of a response that streams, beside what may wait
 	sweepEvery = 500_000
-	takeWithin = 10_000_000 // a reader of one takes something within so long
-	maxExtra   = 64 << 10   // bytes behind a request that are thrown away
-	youngFor   = 100_000    // a connection that was just taken does not have to make room
+	takeWithin = 10 * time.Second // a reader of one takes something within so long
+	maxExtra   = 64 << 10         // bytes behind a request that are thrown away
+	youngFor   = 100_000          // a connection that was just taken does not have to make room
 	// what was taken from the queue as the front left brings its request by then
 	firstWithin = 300_000
 	roomFor     = 16 // connections that are closed at once when others wait
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -10,11 +10,6 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// now returns the monotonic time.
-func (f *Frontend) now() time.Duration {
-	return time.Duration(f.loop.Now().Microseconds()) * time.Microsecond
-}
-
 // patient gives the caller its time to send more; while it waits for the server it need not.
 func (c *conn) patient() {
 	c.timer.Stop()
@@ -80,7 +75,7 @@
 
 // SetBacklog implements lifecycle.Upload: the caller waits for a slow server, and nobody else does.
 func (c *conn) SetBacklog(n int) {
-	c.waits = c.front.flows.SetQueued(c.uploadID, n, c.front.now())
+	c.waits = c.front.flows.SetQueued(c.uploadID, n, c.front.loop.Now())
 	c.Pause(c.waits)
 }
 
@@ -104,7 +99,7 @@
 	c.answered = true
 	f.ids++
 	c.id, c.stream = f.ids, res.Stream
-	f.flows.AddReader(c.id, f.now())
+	f.flows.AddReader(c.id, f.loop.Now())
 	fields := make([]httpmessage.Field, 0, len(res.Fields))
 	for _, x := range res.Fields {
 		fields = append(fields, httpmessage.Field(x))
@@ -132,7 +127,7 @@
 // look sees how much waits for the reader, and has the server wait for it.
 func (c *conn) look() {
 	if c.stream != nil && !c.IsClosed() {
-		c.stream.Pause(c.front.flows.SetQueued(c.id, c.QueuedBytes(), c.front.now()))
+		c.stream.Pause(c.front.flows.SetQueued(c.id, c.QueuedBytes(), c.front.loop.Now()))
 	}
 }
 
@@ -177,7 +172,7 @@
 
 // sweep cuts off readers that take nothing.
 func (f *Frontend) sweep() {
-	for _, id := range f.flows.Stalled(f.now(), takeWithin*time.Microsecond) {
+	for _, id := range f.flows.Stalled(f.loop.Now(), takeWithin) {
 		f.cut(id, "its reader takes nothing")
 	}
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -31,7 +31,7 @@
 
 // dial opens a connection to a server.
 func (g *Group) dial(s *server) *connection {
-	c := &connection{server: s, dialedAt: g.now()}
+	c := &connection{server: s, dialedAt: g.loop.Now()}
 	limits := eventloop.BufferLimits{
 		In: httpmessage.MaxHeadBytes + 1,
 		Out: uwsgi.MaxVariablesBytes + packetHeaderBytes + maxBodyPart +
@@ -47,7 +47,7 @@
 	for len(s.spare) > 0 && s.spare[0].established {
 		c := s.spare[0]
 		s.spare = s.spare[1:]
-		if g.now()-c.dialedAt <= maxSpareAge && c.conn.IsIdle() {
+		if g.loop.Now()-c.dialedAt <= maxSpareAge && c.conn.IsIdle() {
 			return c
 		}
 		c.conn.Close(nil)
@@ -58,7 +58,7 @@
 // preconnect opens connections in advance, within what the server may have.
 func (g *Group) preconnect(s *server) {
 	for len(s.spare) < g.opt.Preconnect && s.ActiveRequests+len(s.spare) < g.opt.Picker.MaxRequests {
-		if g.picker.Health().TrafficShare(s.Endpoint, g.now()) == 0 {
+		if g.picker.Health().TrafficShare(s.Endpoint, g.loop.Now()) == 0 {
 			return
 		}
 		s.spare = append(s.spare, g.dial(s))
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -38,7 +38,7 @@
 
 // Run implements lifecycle.Runner.
 func (g *Group) Run(a *lifecycle.Attempt) {
-	now := g.now()
+	now := g.loop.Now()
 	s := g.pick(a, now)
 	packet, err := packetFor(a, &g.opt)
 	if s == nil || err != nil {
@@ -62,7 +62,7 @@
 	}
 	x.reader = httpmessage.NewResponseReader(x.isHead)
 	g.exchanges[a] = x
-	x.deadline = g.after(a.Deadline-g.now(), x.deadlinePassed)
+	x.deadline = g.loop.After(a.Deadline-g.loop.Now(), x.deadlinePassed)
 	// A connection that was idle may be broken without a sign. A request that may run only once, or
 	// whose body cannot be sent again, gets a new one.
 	if a.Idempotent && a.Request.Upload == nil {
@@ -113,7 +113,7 @@
 	if c.established {
 		x.connected()
 	} else {
-		x.connecting = g.after(g.opt.ConnectTimeout, func() { x.fail(errConnectTimeout) })
+		x.connecting = g.loop.After(g.opt.ConnectTimeout, func() { x.fail(errConnectTimeout) })
 	}
 	g.preconnect(x.server)
 }
@@ -155,11 +155,11 @@
 		return
 	}
 	a, loop := x.attempt, x.group.loop
-	now, deadline := x.group.now(), a.Deadline
-	arrivedAt := now - micros(int64(loop.Unix())-int64(a.Request.ArrivedAt))
-	extended := deadline + (deadline - arrivedAt)
+	now := loop.Now()
+	arrivedAt := now - loop.Unix().Sub(a.Request.ArrivedAt)
+	extended := a.Deadline + (a.Deadline - arrivedAt)
 	if !a.Idempotent && now < extended {
-		x.deadline = x.group.after(extended-now, x.deadlinePassed)
+		x.deadline = loop.After(extended-now, x.deadlinePassed)
 		return
 	}
 	x.end(lifecycle.TimedOut, nil)
@@ -234,7 +234,7 @@
 	x.deadline.Stop()
 	if s := x.server; s != nil {
 		x.connection.conn.Close(nil)
-		now := g.now()
+		now := g.loop.Now()
 		g.picker.Done(s.Server, x.attempt.Request.Class, endpointOutcome(outcome), now-x.startedAt, now)
 	}
 	g.sink.AttemptEnded(x.attempt, outcome, result)
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -59,7 +59,7 @@
 	return &lifecycle.Attempt{
 		Request:    &lifecycle.Request{ID: "1", Key: "k", ArrivedAt: s.Unix()},
 		Idempotent: idempotent,
-		Deadline:   time.Duration(s.Now().Microseconds()+timeout.Microseconds()) * time.Microsecond,
+		Deadline:   s.Now() + timeout,
 	}
 }
 
--- a/internal/upstream/group.go
+++ b/internal/upstream/group.go
@@ -56,12 +56,6 @@
 	return g
 }
 
-func (g *Group) now() time.Duration { return g.loop.Now() }
-
-func (g *Group) after(d time.Duration, fn func()) *eventloop.Timer {
-	return g.loop.After(d, fn)
-}
-
 func (g *Group) stateChanged(s *picker.Server, change endpointhealth.StateChange) {
 	// At the start there would be a line for each of thousands of servers.
 	if g.tickedAt > 0 || change.Cause != firstListCause {
@@ -82,7 +76,7 @@
 
 // tick moves the states of the servers by time, and starts the health checks that are due.
 func (g *Group) tick() {
-	now := g.now()
+	now := g.loop.Now()
 	if now-g.tickedAt >= endpointhealth.TickInterval {
 		g.tickedAt = now
 		g.picker.Tick(now)
@@ -122,7 +116,7 @@
 		specs = append(specs, endpointhealth.EndpointSpec{ID: id, Zone: s.Zone, Weight: s.Weight})
 	}
 	version := g.picker.Health().EndpointList().Version + 1
-	g.picker.UpdateEndpoints(specs, g.now())
+	g.picker.UpdateEndpoints(specs, g.loop.Now())
 	for _, s := range g.picker.Servers() {
 		own, _ := s.Attachment.(*server)
 		if own == nil {
@@ -154,7 +148,7 @@
 func (g *Group) Picker() *picker.Picker { return g.picker }
 
 // Capacity returns how many requests the servers may have in flight together.
-func (g *Group) Capacity() int { return g.picker.Capacity(g.now()) }
+func (g *Group) Capacity() int { return g.picker.Capacity(g.loop.Now()) }
 
 // AllowRetry decides whether a request whose attempt failed is retried on another server.
 func (g *Group) AllowRetry(c lifecycle.RetryCandidate) bool {
@@ -167,8 +161,8 @@
 		TimeLeft:       c.Remaining,
 		TimeNeeded:     g.picker.MinAttemptTime(c.Class),
 	}
-	return g.picker.RetryBudget().Allow(attempt, g.now()) == retry.Allowed
+	return g.picker.RetryBudget().Allow(attempt, g.loop.Now()) == retry.Allowed
 }
 
 // RetryAfter returns after how long a caller whose request was rejected should try again.
-func (g *Group) RetryAfter() time.Duration { return g.picker.RetryAfter(g.now()) }
+func (g *Group) RetryAfter() time.Duration { return g.picker.RetryAfter(g.loop.Now()) }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -66,7 +66,7 @@
 	}
 	limits := eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: len(packet)}
 	c.conn = g.loop.DialAddr(s.Attachment.(*server).addr, limits, c)
-	c.timer = g.after(g.opt.HealthCheck.Timeout, func() { c.end(false) })
+	c.timer = g.loop.After(g.opt.HealthCheck.Timeout, func() { c.end(false) })
 	c.conn.Write(packet)
 }
 
@@ -105,7 +105,7 @@
 		c.conn.Close(nil)
 	}
 	g := c.group
-	g.picker.Health().HealthCheckDone(c.server.Endpoint, passed, g.now())
+	g.picker.Health().HealthCheckDone(c.server.Endpoint, passed, g.loop.Now())
 	if c.lease.Token != 0 && g.opt.HealthCheckCoordinator != nil {
 		g.opt.HealthCheckCoordinator.CheckDone(g.name, c.server.Endpoint, c.lease, passed)
 	}
--- a/internal/upstream/status.go
+++ b/internal/upstream/status.go
@@ -122,7 +122,7 @@
 
 func (g *Group) statusOf(e *endpointhealth.Endpoint) ServerStatus {
 	const microsPerMs = 1000
-	now := g.now()
+	now := g.loop.Now()
 	return ServerStatus{
 		Group:          g.name,
 		Name:           e.Name,
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -61,6 +61,3 @@
 	// Ended reports the end of an attempt, once.
 	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
-
-// micros converts a time of the event loop or of package lifecycle, in microseconds.
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
