--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// accept starts or ends an instance, or keeps its event for the end of the batch. It reports whether
-// the instance is known.
+// accept starts or ends an instance, or keeps its event for the end of the batch. It reports
+// whether the instance is known.
 func (h *host) accept(record *simwire.Record) bool {
 	id := record.Instance
 	if record.Start {
--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -12,7 +12,7 @@
 	ActionReject                 // final answer: rejected, it never ran
 	ActionFail                   // final answer: an error, without a promise of whether it ran
 	ActionCancel                 // cancel a run
-	ActionPlaceCall              // place the call that the request waits for; it ends after Duration
+	ActionPlaceCall              // place the awaited call, which ends after Duration
 	ActionOmitCall               // go on without the call
 	ActionRememberKey            // remember the request's key for Duration
 	ActionForgetKey              // drop the remembered key
@@ -31,13 +31,13 @@
 // The causes.
 const (
 	CauseNone                 Cause = iota
-	CauseDraining                   // it arrived after the drain's grace; seconds since the drain began
+	CauseDraining                   // arrived after the drain's grace; seconds since its begin
 	CauseMemory                     // no memory to queue it; kB
-	CauseDeadlineTooNear            // its deadline has passed or is too near when it is read; seconds left
-	CauseCallQueue                  // too many requests wait for calls; seconds of expected wait
+	CauseDeadlineTooNear            // its deadline was too near when it was read; seconds left
+	CauseCallQueue                  // too many wait for calls; seconds of expected wait
 	CauseQueueingDelay              // queueing delay is past what is accepted; seconds
 	CauseObjectiveUnreachable       // its latency objective cannot be met any more
-	CauseQuota                      // beyond its tenant's quota while requests queue; seconds of delay
+	CauseQuota                      // beyond its tenant's quota; seconds of queueing delay
 	CauseKeyMemory                  // no memory for its idempotency key; kB
 	CauseDeadlinePassed             // its deadline came while it was queued or ran
 	CauseCallFailed                 // its call failed, and there is no answer without it
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -36,13 +36,13 @@
 	}
 }
 
-// onArrival decides on a request that was just read: reject it, answer it from the result of another
-// request, or queue it.
+// onArrival decides on a request that was just read: reject it, answer it from the result of
+// another request, or queue it.
 func (c *Controller) onArrival(e *Event) {
 	if c.requests[e.Request] != nil {
 		return
 	}
-	c.callers.heard(e.Caller, c.now)
+	c.callers.recordRequest(e.Caller, c.now)
 	r := c.newRequest(e)
 	c.requests[r.id] = r
 	c.memoryKB += r.sizeKB
@@ -115,15 +115,15 @@
 		target = c.retryDelayTarget(target)
 	}
 	saturated := c.saturated(r.class)
-	maxDelay := c.parameters.RejectDelayFactor * float64(target) // nanoseconds
 	switch {
 	case c.callQueueTooLong(r):
 		// The dependency is the same for all servers, so that a retry elsewhere does not help.
-		// Requests that need no call are still welcome: callers are not told to stay away.
+		// Requests that need no call are still accepted, so that there is no
+		// Retry-After beyond the least.
 		class := &c.settings.Classes[r.class]
 		c.reject(r, 0, true, reason{CauseCallQueue, c.estimatedCallWait(r.class).Seconds(),
 			c.parameters.CallQueueShare * class.LatencyObjective.Seconds()})
-	case saturated && float64(delay) > maxDelay:
+	case saturated && float64(delay) > c.parameters.RejectDelayFactor*float64(target):
 		c.reject(r, delay-target, c.othersLikelyFull(r), reason{CauseQueueingDelay, delay.Seconds(),
 			c.parameters.RejectDelayFactor * target.Seconds()})
 	case saturated && c.missesObjective(r, c.queueWait(r)):
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A rejected request is told when to come back; otherwise its client would retry at once.
+// A rejected request carries Retry-After; otherwise its client would retry at once.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	late := h.arrival(1, 0)
--- a/internal/admission/answer.go
+++ b/internal/admission/answer.go
@@ -63,7 +63,8 @@
 		c.remove(r)
 	case running:
 		if c.settings.Cancel != CancelNone && r.waiters == 0 {
-			// Without runs that are cancelled for being long, the mean would fall with each of them.
+			// Without runs that are cancelled for being long, the mean would fall with each of
+			// them.
 			c.recordRunTime(r)
 			c.emit(Action{Kind: ActionCancel, Request: r.id})
 		}
@@ -73,8 +74,8 @@
 	}
 }
 
-// answerExpired answers requests that have run out of time, and cancels runs that are no longer
-// worth their cores. It iterates over copies, since an answer moves the requests that wait for its
+// answerExpired answers requests that have run out of time, and cancels runs that are to give
+// up their cores. It iterates over copies, since an answer moves the requests that wait for its
 // result.
 func (c *Controller) answerExpired() {
 	for i := range c.queues {
@@ -101,8 +102,8 @@
 	if r.state != running || c.settings.Cancel == CancelNone || !c.saturated(r.class) {
 		return false
 	}
-	worthless := c.settings.Classes[r.class].LateWeightFraction == 0 && r.objectiveAt <= c.now
-	return c.overrunsFor(r, next) || worthless
+	earnsNothing := c.settings.Classes[r.class].LateWeightFraction == 0 && r.objectiveAt <= c.now
+	return c.overrunsFor(r, next) || earnsNothing
 }
 
 // overrunsFor reports whether r, under overload, is to make room for next. A run far beyond the
--- a/internal/admission/call_limit.go
+++ b/internal/admission/call_limit.go
@@ -112,11 +112,12 @@
 	bestSeconds     float64
 }
 
-// record takes in a call that lasted so many seconds.
+// record adds a call that lasted took seconds.
 //
 // The lowest mean of a few short calls is one of chance, beside which the usual looks slow. So the
-// best time is the lowest upper bound of the long mean, by how much calls differ. It grows with each
-// call by the given factor, and not with time, so that it is forgotten as new calls replace it.
+// best time is the lowest upper bound of the long mean, by how much calls differ. It grows with
+// each call by the given factor, and not with time, so that it is forgotten as new calls replace
+// it.
 func (t *callTimes) record(took, growth float64) {
 	t.completed++
 	t.meanSeconds += max(callTimeWeight, 1/t.completed) * (took - t.meanSeconds)
--- a/internal/admission/call_limit_test.go
+++ b/internal/admission/call_limit_test.go
@@ -40,7 +40,7 @@
 }
 
 // A low mean of a few calls by chance is not the best time. Beside it usual calls would look slow,
-// and a server with few calls a second would hold them back for good.
+// and a server with few calls a second would limit them for good.
 func TestBestCallTimeIgnoresRandomLows(t *testing.T) {
 	limited := 0
 	for seed := range uint64(40) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// Calls that are rejected at once say nothing of how long a call takes.
+// Calls that are rejected at once do not show how long calls take.
 func TestRejectedCallDoesNotCountAsFast(t *testing.T) {
 	h := newHarness(t, nil)
 	for id := uint64(1); id <= 20; id++ {
@@ -149,7 +149,7 @@
 	return busy
 }
 
-// maxMean is the largest mean of so many values in a row.
+// maxMean is the largest mean of window values in a row.
 func maxMean(values []float64, window int) (most float64) {
 	for i := range len(values) - window {
 		sum := 0.0
--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -5,34 +5,34 @@
 const (
 	// callerActiveTime is how long a caller shares the credit pool after a request.
 	callerActiveTime = time.Second
-	// callerTableSize is the number of callers told apart; callers whose numbers are equal modulo it
-	// count as one.
+	// callerTableSize is the number of callers that are distinguished; callers whose numbers are
+	// equal modulo it count as one.
 	callerTableSize = 2048
-	// callerSlots is the number of control periods in which an active caller was last heard.
+	// callerSlots is the number of control periods in which an active caller was last seen.
 	callerSlots = int(callerActiveTime/controlPeriod) + 1
 )
 
-// callerTracker counts the callers that sent a request within callerActiveTime, to the resolution of
-// a control period.
+// callerTracker counts the callers that sent a request within callerActiveTime, to the resolution
+// of a control period.
 type callerTracker struct {
-	lastHeard   [callerTableSize]time.Duration
-	heardInSlot [callerSlots]int // callers by the control period in which they were last heard
+	lastSeen    [callerTableSize]time.Duration
+	seenInSlot  [callerSlots]int // callers by the control period in which they were last seen
 	currentSlot int              // the number of the current control period
-	active      int              // the sum of heardInSlot
-	// returningShare is the share of arrivals whose caller was heard within defaultIdleTimeout.
+	active      int              // the sum of seenInSlot
+	// returningShare is the share of arrivals whose caller was seen within defaultIdleTimeout.
 	returningShare float64
 }
 
-// heard counts a request of a caller.
-func (t *callerTracker) heard(caller uint32, now time.Duration) {
-	last := t.lastHeard[caller%callerTableSize]
-	t.lastHeard[caller%callerTableSize] = now
+// recordRequest counts a request of a caller as a sign that it is active.
+func (t *callerTracker) recordRequest(caller uint32, now time.Duration) {
+	last := t.lastSeen[caller%callerTableSize]
+	t.lastSeen[caller%callerTableSize] = now
 	t.expire(now)
 	if slot := int(last / controlPeriod); last > 0 && slot > t.currentSlot-callerSlots {
-		t.heardInSlot[slot%callerSlots]--
+		t.seenInSlot[slot%callerSlots]--
 		t.active--
 	}
-	t.heardInSlot[t.currentSlot%callerSlots]++
+	t.seenInSlot[t.currentSlot%callerSlots]++
 	t.active++
 	t.returningShare *= 1 - arrivalWeight
 	if last > 0 && now-last < defaultIdleTimeout {
@@ -40,13 +40,13 @@
 	}
 }
 
-// expire drops callers that have not been heard for callerActiveTime.
+// expire drops callers that have not been seen for callerActiveTime.
 func (t *callerTracker) expire(now time.Duration) {
 	slot := int(now / controlPeriod)
 	t.currentSlot = max(t.currentSlot, slot-callerSlots)
 	for t.currentSlot < slot {
 		t.currentSlot++
-		t.active -= t.heardInSlot[t.currentSlot%callerSlots]
-		t.heardInSlot[t.currentSlot%callerSlots] = 0
+		t.active -= t.seenInSlot[t.currentSlot%callerSlots]
+		t.seenInSlot[t.currentSlot%callerSlots] = 0
 	}
 }
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// nextCall is the place in the queue of the call to be placed next; -1: none is worth it.
+// nextCall is the place in the queue of the call to be placed next; -1: no call has any weight.
 func (c *Controller) nextCall() int {
 	next, most := -1, 0.0
 	for i, r := range c.calls.queue {
@@ -88,8 +88,8 @@
 }
 
 // callWeight is the weight of a request that waits for a call: that of its class if the call would
-// be in time for the objective, and less otherwise. Of late requests the one with the most time left
-// goes first.
+// be in time for the objective, and less otherwise. Of late requests the one with the most time
+// left goes first.
 func (c *Controller) callWeight(r *request) float64 {
 	class, end := &c.settings.Classes[r.class], c.now+seconds(c.calls.times.meanSeconds)
 	if end <= r.objectiveAt {
@@ -103,8 +103,8 @@
 	return class.PriorityWeight*class.LateWeightFraction + c.parameters.LateCallWeight*(1+secondsLeft)
 }
 
-// placeCall places one call. It may last until the request's deadline, or until it is better to go
-// on without the call.
+// placeCall places one call. It may last until the request's deadline, or until it is better to
+// go on without the call.
 func (c *Controller) placeCall(r *request) {
 	end := r.deadline - answerMargin
 	if c.settings.Classes[r.class].DegradedWeightFraction > 0 {
@@ -123,8 +123,8 @@
 	c.emit(Action{Kind: ActionPlaceCall, Request: r.id, Duration: end - c.now})
 }
 
-// continueWithoutCall lets r go on without its call where that is worth something, and fails it
-// otherwise.
+// continueWithoutCall lets r go on without its call where a degraded answer has any weight, and
+// fails it otherwise.
 func (c *Controller) continueWithoutCall(r *request) {
 	if c.settings.Classes[r.class].DegradedWeightFraction <= 0 {
 		c.fail(r, reason{cause: CauseCallFailed})
--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -107,7 +107,8 @@
 		h.advance(0, h.arrival(id, 2))
 		h.advance(0, blocked(id))
 	}
-	h.advance(0, h.arrival(11, 0), h.arrival(12, 0), h.arrival(13, 0), h.arrival(14, 0)) // takes the cores
+	// takes the cores
+	h.advance(0, h.arrival(11, 0), h.arrival(12, 0), h.arrival(13, 0), h.arrival(14, 0))
 	h.advance(0, h.arrival(25, 2), h.arrival(26, 0))
 	h.runTimers(2*callCongestionDelay, 0.5, 4)
 	h.requireAction(h.advance(ms, completed(11)), ActionStart, 26)
--- a/internal/admission/checker_rules_test.go
+++ b/internal/admission/checker_rules_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// answered notes the final answer of a request and checks that it is the first and in time.
+// answered records the final answer of a request and checks that it is the first and in time.
 func (k *checker) answered(s *observedRequest, rejected bool) {
 	if s.answered {
 		k.violate(ruleOneAnswer, "request %d answered twice", s.id)
--- a/internal/admission/checker_test.go
+++ b/internal/admission/checker_test.go
@@ -28,8 +28,8 @@
 	priorRequest             uint64
 }
 
-// checker feeds a controller legal events and holds its actions against the rules of the service. It
-// has no speeds, queues or scores: what ends, and when, is drawn at random.
+// checker feeds a controller legal events and holds its actions against the rules of the service.
+// It has no speeds, queues or scores: what ends, and when, is drawn at random.
 type checker struct {
 	settings  Settings
 	ctl       *Controller
@@ -187,7 +187,7 @@
 		QueueingDelay: delay,
 		Retry:         k.rng.IntN(4) == 0,
 	}
-	if !k.settings.ReportsAbandoned { // such a server is told no deadline either
+	if !k.settings.ReportsAbandoned { // such a server knows no deadlines either
 		e.Deadline, s.deadline = 0, s.arrivedAt+k.settings.Classes[class].Timeout
 	}
 	s.deadline = max(s.deadline, k.now)
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -26,8 +26,8 @@
 }
 
 // MergeClasses returns s with its classes in the places that they have in current, the settings in
-// force. Open requests, learned times and remembered keys refer to classes by place. A class that is
-// no longer configured keeps its place, marked as Removed; one that comes back with its name and
+// force. Open requests, learned times and remembered keys refer to classes by place. A class that
+// is no longer configured keeps its place, marked as Removed; one that comes back with its name and
 // idempotency takes its place again; others come after. It returns a DuplicateClassError or a
 // TooManyClassesError.
 func (s Settings) MergeClasses(current Settings) (Settings, error) {
@@ -52,7 +52,8 @@
 	return s, nil
 }
 
-// isDuplicate reports whether a class before the one at place i has its name, both being configured.
+// isDuplicate reports whether a class before the one at place i has its name, both being
+// configured.
 func (s *Settings) isDuplicate(i int) bool {
 	class := &s.Classes[i]
 	for j := range s.Classes[:i] {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -29,9 +29,9 @@
 	now         time.Duration // of the events that are being handled
 	periodStart time.Duration // when the last control period began
 
-	requests  map[uint64]*request // all that are queued, run or wait for an answer
+	requests  map[uint64]*request // all that are queued or in progress
 	queues    []classQueue        // one for each class
-	executing []*request          // all requests that are not queued, in the order in which they started
+	executing []*request          // the others, in the order in which they left the queue
 	occupancy occupancy
 	load      serverLoad
 	memoryKB  float64 // taken by requests and remembered keys
@@ -46,7 +46,7 @@
 
 	drain       drainState
 	unhealthy   bool          // health checks fail because requests are read too late
-	idleTimeout time.Duration // that was last told for idle connections
+	idleTimeout time.Duration // for idle connections, as the host knows it
 
 	actions []Action // of the events that are being handled
 }
@@ -58,14 +58,15 @@
 	reusing int // reads that are being answered from another's result
 }
 
-// serverLoad is what the last gauges told of the cores.
+// serverLoad is the load of the cores by the last gauges.
 type serverLoad struct {
 	cpu      float64 // busy fraction of the cores
 	runnable float64 // requests that want a core, kept up to date between timers
 }
 
 // New returns a controller for a server that starts now. It returns a SettingError for a setting
-// that is missing or out of range, and a ParameterError for a parameter out of its bounds.
+// that is missing or out of range, and a ParameterError for a parameter out of its bounds. The seed
+// is not used, since no decision is random.
 func New(s Settings, _ uint64) (*Controller, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
--- a/internal/admission/credit.go
+++ b/internal/admission/credit.go
@@ -5,18 +5,19 @@
 // notAdvertised stands for the value that callers know before the first was advertised.
 const notAdvertised = -1
 
-// creditPool is Breakwater's pool of credits, C_total: the number of requests that may run, of which
-// callers are told their parts.
+// creditPool is Breakwater's pool of credits, C_total: the number of requests that may run. Each
+// caller is advertised its part.
 type creditPool struct {
 	size       float64 // credits
 	advertised float64 // the value that was last advertised
 	overloaded bool    // queueing delay passed its target and capacity is still short
 }
 
-// delayReading is what the classes' queueing delays say at the end of a control period.
+// delayReading compares the classes' queueing delays with their targets at the end of a control
+// period.
 type delayReading struct {
-	// excess is the largest relative excess of a saturated class over its target, (d_m - d_t) / d_t;
-	// negative: no saturated class is over its target.
+	// excess is the largest relative excess of a saturated class over its target, (d_m - d_t) /
+	// d_t; negative: no saturated class is over its target.
 	excess        float64
 	saturated     bool    // capacity is short for some class
 	longestTarget float64 // nanoseconds
@@ -36,8 +37,8 @@
 	return reading
 }
 
-// updateCredit moves the pool at the end of a control period: it grows while queueing delay is under
-// its target and is cut by the excess otherwise (Breakwater, section 3.2.1).
+// updateCredit moves the pool at the end of a control period: it grows while queueing delay is
+// under its target and is cut by the excess otherwise (Breakwater, section 3.2.1).
 func (c *Controller) updateCredit(delay delayReading) {
 	if delay.excess >= 0 {
 		c.credit.size = c.decreasedCredit(delay.excess)
@@ -48,9 +49,9 @@
 		"overload entered: queueing delay over target, credit cut", "overload left: capacity no longer full")
 }
 
-// increasedCredit is equation (1) of Breakwater, with A = max(alpha n_c, 1) by equation (3), section
-// 3.2.2. The pool stays within what the server can run and within twice its use: credit that nobody
-// used would all be drawn at once when load comes.
+// increasedCredit is equation (1) of Breakwater, with A = max(alpha n_c, 1) by equation (3),
+// section 3.2.2. The pool stays within what the server can run and within twice its use: credit
+// that nobody used would all be drawn at once when load comes.
 func (c *Controller) increasedCredit() float64 {
 	increase := max(c.parameters.AdditiveIncrease*float64(max(c.callers.active, 1)), 1)
 	use := float64(c.occupancy.onCores + c.occupancy.atCalls + c.settings.Cores)
@@ -101,8 +102,8 @@
 	return 0
 }
 
-// creditedCallers is the number of callers that share the pool, Breakwater's n_c. Just after a start
-// it includes the callers that were not heard yet.
+// creditedCallers is the number of callers that share the pool, Breakwater's n_c. Just after a
+// start it includes the callers that were not seen yet.
 func (c *Controller) creditedCallers() int {
 	callers := max(c.callers.active, 1)
 	if c.settings.WarmingUp && c.now < c.startedAt+callerActiveTime {
--- a/internal/admission/credit_test.go
+++ b/internal/admission/credit_test.go
@@ -46,8 +46,8 @@
 }
 
 // A server that warms up offers all its callers together no more than its pool, also before it has
-// heard them. Once warm it keeps nothing back.
-func TestWarmingUpCreditCountsUnheardCallers(t *testing.T) {
+// seen them. Once warm it offers the whole pool.
+func TestWarmingUpCreditCountsUnseenCallers(t *testing.T) {
 	const callers = 30
 	h := newHarness(t, func(s *Settings) { s.WarmingUp, s.Callers = true, callers })
 	sum, advertised := 0.0, h.ctl.credit.advertised
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -9,11 +9,11 @@
 type drainState struct {
 	active    bool
 	startedAt time.Duration
-	stopAt    time.Duration // when the process is stopped from outside; 0: not told
+	stopAt    time.Duration // when the process is stopped from outside; 0: unknown
 }
 
 // onDrain begins the graceful shutdown: health checks fail, callers get no credit, requests that
-// arrive after Settings.DrainGrace are rejected, and all are answered before the stop.
+// arrive after Settings.DrainGrace are rejected, and all requests are answered before the stop.
 func (c *Controller) onDrain(e *Event) {
 	if c.drain.active {
 		return
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -10,10 +10,10 @@
 	EventNone          EventKind = iota
 	EventRequest                 // a request was read; it is owed exactly one answer
 	EventCompleted               // a run, or an answer from another's result, ended
-	EventBlocked                 // a running request waits for its call to be placed, omitted or failed
+	EventBlocked                 // a running request waits for its call
 	EventCallCompleted           // a call ended
 	EventAbandoned               // nobody waits for this request any longer
-	EventDrain                   // graceful shutdown begins; the process is stopped at Event.Deadline
+	EventDrain                   // graceful shutdown begins and ends at Event.Deadline
 	EventTimer                   // a timer is due; carries the gauges
 )
 
@@ -57,9 +57,9 @@
 	Tenant int    // place in Settings.Tenants; others: no quota applies
 	Caller uint32 // number of the caller
 	// Deadline is when the caller stops waiting, or when the draining process is stopped, by the
-	// clock of Controller.Handle; 0: not told.
+	// clock of Controller.Handle; 0: unknown.
 	Deadline      time.Duration
-	ExpectedWork  time.Duration // on a standard core; 0: not told
+	ExpectedWork  time.Duration // on a standard core; 0: unknown
 	SizeKB        float64       // memory of the request while it is queued
 	Rank          float64       // position by priority weight, from 0 to under 1
 	Key           uint64        // subject of the request; 0: none
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -36,7 +36,7 @@
 	return h.ctl.Handle(h.now, events, nil)
 }
 
-// retryAge is the age that the retry detector estimates for a request with so much time left.
+// retryAge is the age that the retry detector estimates for a request with this time left.
 func (h *harness) retryAge(class int, left time.Duration) time.Duration {
 	return h.ctl.retries.age(left, h.ctl.settings.Classes[class].Timeout)
 }
@@ -63,7 +63,7 @@
 	return last
 }
 
-// completeCalls plays n requests, one a control period, with a call each that takes so long.
+// completeCalls plays n requests, one a control period, with a call each that lasts took.
 func (h *harness) completeCalls(first, n uint64, took time.Duration) {
 	for id := first; id < first+n; id++ {
 		h.advance(0, h.arrival(id, 0))
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -31,7 +31,8 @@
 // they are rejected.
 func (c *Controller) readsTooLate(target float64) bool {
 	arrivals := &c.arrivals
-	usual := arrivals.total * float64(controlPeriod) / float64(c.now-c.startedAt) // arrivals a period
+	// arrivals a period
+	usual := arrivals.total * float64(controlPeriod) / float64(c.now-c.startedAt)
 	return arrivals.readDelay > c.parameters.RejectDelayFactor*target &&
 		arrivals.retryShare < c.parameters.FewRetriesShare &&
 		runTimeWeight*arrivals.recent <= usual
--- a/internal/admission/idempotency.go
+++ b/internal/admission/idempotency.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// forgetKey drops r's key. The host is told only where the key has not expired by itself: for a
-// shareable read, and for a request that did not start.
+// forgetKey drops r's key. The host needs to know only where the key has not expired by itself: for
+// a shareable read, and for a request that did not start.
 func (c *Controller) forgetKey(r *request) {
 	if !r.keyRemembered {
 		return
--- a/internal/admission/idle_connections.go
+++ b/internal/admission/idle_connections.go
@@ -14,7 +14,7 @@
 
 // updateIdleTimeout sets how long idle connections are kept. They are closed soon where callers
 // return too late to use them, since many callers would fill the connection table. Where requests
-// wait long to be read a full table is better: it keeps out handshakes. The target is the longest
+// wait long to be read a full table is better: it prevents handshakes. The target is the longest
 // delay target, in nanoseconds.
 func (c *Controller) updateIdleTimeout(target float64) {
 	timeout := defaultIdleTimeout
--- a/internal/admission/idle_connections_test.go
+++ b/internal/admission/idle_connections_test.go
@@ -39,7 +39,8 @@
 // While requests wait long to be read, a full connection table is better than more handshakes.
 func TestIdleTimeoutIsLongWhileReadsAreLate(t *testing.T) {
 	h := newHarness(t, nil)
-	for i, want := range []time.Duration{shortIdleTimeout, defaultIdleTimeout} { // read at once, then late
+	// read at once, then late
+	for i, want := range []time.Duration{shortIdleTimeout, defaultIdleTimeout} {
 		if last := h.idleTimeoutAfter(1+uint64(i)*150, 150, 1000, time.Duration(i)*900*ms, 0); last != want {
 			t.Fatalf("part %d: idle connections are kept for %v, want %v", i, last, want)
 		}
--- a/internal/admission/parameters.go
+++ b/internal/admission/parameters.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Parameters are the adjustable constants of the module's decisions. The platform sets none of them;
-// a trial of a change may. Their values and reasons are listed in docs/capacity.md.
+// Parameters are the adjustable constants of the module's decisions. The platform sets none of
+// them; a trial of a change may. Their values and reasons are listed in docs/capacity.md.
 type Parameters struct {
 	AdditiveIncrease       float64 // credits for each caller and control period; Breakwater's alpha
 	MultiplicativeDecrease float64 // of the relative excess of queueing delay; Breakwater's beta
 	MinCutFactor           float64 // of the pool that a cut leaves at least
-	DelayTargetShare       float64 // of what the latency objective leaves beside the run: the delay target
+	DelayTargetShare       float64 // of the objective without the run: the delay target
 	MinDelayTargetShare    float64 // the same while no requests are rejected
 	RejectDelayFactor      float64 // delay targets from which arrivals are rejected
 	BusyCPU                float64 // CPU gauge above which the cores count as busy
 	MinCredit              float64 // credits that cuts leave while the cores are busy
 	RetryTargetShare       float64 // of the delay target that a marked retry gets
-	RetryStormShare        float64 // retries as a share of arrivals at which retries get no delay target
-	FewRetriesShare        float64 // retries as a share of arrivals below which other servers have room
+	RetryStormShare        float64 // of arrivals: with as many retries they get no delay target
+	FewRetriesShare        float64 // of arrivals: with fewer retries other servers have room
 	OverrunFactor          float64 // expected run times after which a run gives way under overload
 	StartMarginFactor      float64 // expected run times left for a start that cannot be cancelled
 	RunningLimitShare      float64 // of Settings.MaxRunningPerCore that is used
@@ -27,11 +27,11 @@
 	CallQuotaShare         float64 // of the call quota that is spent steadily at most
 	MinCallQuotaShare      float64 // of the call quota that is spent steadily at least
 	SlowCallFactor         float64 // best call times past which the dependency is congested
-	CallLimitDecrease      float64 // factor of the call limit for each control period with congestion
+	CallLimitDecrease      float64 // factor of the call limit for each congested control period
 	BestCallTimeGrowth     float64 // factor of the best call time for each call
 	LateCallWeight         float64 // priority weight for each second that a late request has left
 	CallQueueShare         float64 // of the latency objective: the longest accepted wait for a call
-	IdleCreditPerCore      float64 // credits for each core that cuts leave while the cores are not busy
+	IdleCreditPerCore      float64 // credits for each core that cuts leave at idle cores
 	MinCallLimitShare      float64 // of the call quota: calls that the dependency works on at once
 	AdvertiseStep          float64 // of the advertised credit: smaller changes are not advertised
 }
@@ -144,7 +144,8 @@
 	return ErrUnknownParameter
 }
 
-// orDefault returns p, or defaults if p is the zero value. It reports a parameter out of its bounds.
+// orDefault returns p, or defaults if p is the zero value. It returns a ParameterError for a
+// parameter out of its bounds.
 func (p Parameters) orDefault(defaults Parameters) (Parameters, error) {
 	if p == (Parameters{}) {
 		return defaults, nil
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,7 +10,8 @@
 const maxExpectedSeconds = 1e6
 
 // queueingDelay is the queueing delay of a class, Breakwater's d_m: the age of its oldest queued
-// request, including the time before it was read, and the wait for a call where the class makes one.
+// request, including the time before it was read, and the wait for a call where the class makes
+// one.
 func (c *Controller) queueingDelay(class int) (delay time.Duration) {
 	if c.settings.Classes[class].CallsDependency {
 		delay = c.callQueueDelay()
@@ -32,7 +33,8 @@
 	return time.Duration(share * float64(max(objective-run, objective/4)))
 }
 
-// expectedRunTime is how long r is expected to run, from the runs of its class and its expected work.
+// expectedRunTime is how long r is expected to run, from the runs of its class and its expected
+// work.
 func (c *Controller) expectedRunTime(r *request) time.Duration {
 	queue := &c.queues[r.class]
 	run := queue.meanRunSeconds
@@ -64,7 +66,7 @@
 }
 
 // missesObjective reports whether r, after waiting for so long, cannot be answered while its answer
-// is worth something. Without saturation only the deadline counts, since an estimate must not turn
+// has any weight. Without saturation only the deadline counts, since an estimate must not turn
 // requests away while there is room.
 func (c *Controller) missesObjective(r *request, wait time.Duration) bool {
 	if !c.saturated(r.class) {
@@ -75,7 +77,8 @@
 		end = min(end, r.objectiveAt)
 	}
 	run := float64(c.expectedRunTime(r))
-	if c.settings.Cancel == CancelNone { // a run that turns out to be late keeps its core to the end
+	// a run that turns out to be late keeps its core to the end
+	if c.settings.Cancel == CancelNone {
 		run *= c.parameters.StartMarginFactor
 	}
 	return c.now+wait+time.Duration(run) > end
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -19,23 +19,24 @@
 
 // request is what the controller knows of one request until its run is over.
 type request struct {
-	id           uint64
-	class        int
-	state        requestState
-	arrivedAt    time.Duration // when the server could have read it first
-	deadline     time.Duration // when it must have been answered
-	objectiveAt  time.Duration // the end of its latency objective
-	startedAt    time.Duration // when its run started
-	expectedWork time.Duration // on a standard core; 0: not told
-	sizeKB       float64       // of memory while it is queued
+	id    uint64
+	class int
+	state requestState
 
 	answered      bool // or abandoned, so that nobody waits for it
 	retried       bool // a retry or a hedged request
 	mayHaveRun    bool // it was started, or repeats a request that may have been
 	keyRemembered bool
-	keyExpiresAt  time.Duration
+	shareable     bool // a read whose result others may reuse
+
+	arrivedAt    time.Duration // when the server could have read it first
+	deadline     time.Duration // when it must have been answered
+	objectiveAt  time.Duration // the end of its latency objective
+	startedAt    time.Duration // when its run started
+	expectedWork time.Duration // on a standard core; 0: unknown
+	sizeKB       float64       // of memory while it is queued
 
-	shareable    bool     // a read whose result others may reuse
+	keyExpiresAt time.Duration
 	resultSource *request // whose result it waits for or reuses
 	waiters      int      // requests that wait for its result
 
--- a/internal/admission/retry_detector_test.go
+++ b/internal/admission/retry_detector_test.go
@@ -6,7 +6,7 @@
 )
 
 // Callers that limit single attempts must not make first attempts look like retries, and a retry is
-// recognized although no caller is heard twice. One class tells about another.
+// recognized although no caller is seen twice. The waits of one class count for the others.
 func TestRetryDetectorEstimatesAgeFromTimeLeft(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MarksRetries = false })
 	if got := h.retryAge(0, 700*ms); got != 0 {
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -8,8 +8,8 @@
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // it may run any number of times
-	IdempotentWithKey                    // it may arrive again within Class.IdempotencyWindow and must run once
-	NonIdempotent                        // it must never run twice, and its result is never reused
+	IdempotentWithKey                    // it runs once in Class.IdempotencyWindow
+	NonIdempotent                        // it never runs twice, and its result is never reused
 )
 
 // CreditMode says how callers read the value of ActionAdvertise.
@@ -18,8 +18,8 @@
 // The forms of the advertised credit.
 const (
 	CreditNone          CreditMode = iota // callers read no value, and none may be advertised
-	CreditRankThreshold                   // callers keep back requests whose Event.Rank is below the value
-	CreditPerCaller                       // requests in flight for each caller; a fraction is a probability
+	CreditRankThreshold                   // callers do not send requests of a lower Event.Rank
+	CreditPerCaller                       // requests in flight for each caller; a fraction is a chance
 	CreditWeight                          // probability, 0 to 1, with which a caller picks this server
 )
 
@@ -30,7 +30,7 @@
 const (
 	CancelNone    CancelMode = iota // runs cannot be cancelled
 	CancelDiscard                   // the work done so far is lost
-	CancelSuspend                   // the run keeps its progress and its memory until it is started again
+	CancelSuspend                   // the run keeps its progress and memory until it starts again
 )
 
 // Dependency says what requests call while they run.
@@ -51,7 +51,7 @@
 	LatencyObjective time.Duration
 	// ObjectiveWorkFactor times a request's own expected work is added to its objective.
 	ObjectiveWorkFactor float64
-	// Timeout is how long a client waits in all. It is the deadline of requests that tell none.
+	// Timeout is how long a client waits in all. It gives the deadline of requests without one.
 	Timeout time.Duration
 	// IdempotencyWindow is how long after its arrival a request may arrive again, for
 	// IdempotentWithKey.
@@ -102,11 +102,11 @@
 	// as a mean over CallQuotaWindow.
 	CallQuota                 float64
 	CallQuotaWindow           time.Duration
-	AbandonedCallTime         time.Duration // how long the dependency works on an abandoned call at most
+	AbandonedCallTime         time.Duration // longest time that an abandoned call goes on
 	DeepHealthChecks          bool
 	ReportsAbandoned          bool // the host reports EventAbandoned
 	MarksRetries              bool // callers set Event.Retry
-	EndpointListFollowsHealth bool // callers' endpoint list drops servers whose health checks fail
+	EndpointListFollowsHealth bool // callers drop servers whose health checks fail
 	IdleConnectionTimeout     time.Duration
 	MaxRetryAfter             time.Duration // the longest Retry-After that callers observe
 	NoRetryAfter              bool          // Retry-After is not passed on
@@ -123,7 +123,7 @@
 	// MaxRunningWindow, that a server can take which is not warming up.
 	MaxRunningPerCore  float64
 	MaxRunningWindow   time.Duration
-	WarmUpInitialShare float64       // speed of a server that just started, as a share of its full speed
+	WarmUpInitialShare float64       // speed at the start, as a share of the full speed
 	WarmUpTime         time.Duration // time until the full speed
 
 	Parameters Parameters // of the module itself; the zero value stands for DefaultParameters
--- a/internal/admission/validate.go
+++ b/internal/admission/validate.go
@@ -38,8 +38,8 @@
 func finite(v float64) bool   { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 func fraction(v float64) bool { return v >= 0 && v <= 1 }
 
-// Validate returns a SettingError for the first setting that a controller cannot work with. Settings
-// that it makes no use of are not checked.
+// Validate returns a SettingError for the first setting that a controller cannot work with.
+// Settings that it makes no use of are not checked.
 func (s *Settings) Validate() error {
 	if err := s.validateServer(); err != nil {
 		return err
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -22,8 +22,9 @@
 
 // Variant is a file of differences. Values that it does not name stay as the day has them.
 type Variant struct {
-	Name       string             `yaml:"name" json:"name"`
-	Parameters map[string]float64 `yaml:"figures" json:"figures,omitempty"` // by admission.Parameter.Name
+	Name string `yaml:"name" json:"name"`
+	// Parameters are by admission.Parameter.Name.
+	Parameters map[string]float64 `yaml:"figures" json:"figures,omitempty"`
 	Settings   Settings           `yaml:"settings" json:"settings"`
 	Limits     Limits             `yaml:"limits" json:"limits"`
 	// Balancers are fields of each balancer kind of the day, by place.
@@ -43,7 +44,7 @@
 	LatencyObjectiveFactor float64 `yaml:"aim_times" json:"aim_times,omitempty"`
 	MaxRunningPerCore      float64 `yaml:"crowd_limit" json:"crowd_limit,omitempty"`
 	MaxRetryAfterMs        float64 `yaml:"max_stay_away_ms" json:"max_stay_away_ms,omitempty"`
-	NoCredit               bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners advertise nothing
+	NoCredit               bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners do not advertise
 }
 
 // Limits are those of a runner's table of idempotency keys; 0 leaves a limit alone.
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -51,8 +51,8 @@
 // Len is the number of events in the batch.
 func (b *Batch) Len() int { return len(b.records) / eventSize }
 
-// ReadBatch reads one frame, into buf where that is large enough, and returns the buffer for the next
-// call. It returns io.EOF at the end of the input between frames, and a FrameError otherwise.
+// ReadBatch reads one frame, into buf where that is large enough, and returns the buffer for the
+// next call. It returns io.EOF at the end of the input between frames, and a FrameError otherwise.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -65,9 +65,9 @@
 }
 
 // DecodeSettings reads start-up settings by their paths on the wire, and the order in which timers
-// carry the gauges. Unknown paths are skipped. It returns a MalformedSettingError for the first value
-// that cannot be read, or an admission.SettingError, which names the path, for a setting that is
-// missing or out of range.
+// carry the gauges. Unknown paths are skipped. It returns a MalformedSettingError for the first
+// value that cannot be read, or an admission.SettingError, which names the path, for a setting that
+// is missing or out of range.
 func DecodeSettings(values map[string]string) (admission.Settings, []Gauge, error) {
 	r := &settingsReader{values: values}
 	s := r.server()
@@ -249,7 +249,8 @@
 	return v
 }
 
-// Paths on the wire of the settings that Settings.Validate may report, by their names in the module.
+// Paths on the wire of the settings that Settings.Validate may report, by their names in the
+// module.
 var (
 	settingPaths = map[string]string{
 		"Classes":             "RequestClasses",
