--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -15,6 +15,7 @@
 	"ryepaddle/internal/telemetry/metrics"
 	"ryepaddle/internal/upstream"
 	"ryepaddle/internal/usage/metering"
+	"ryepaddle/internal/wallclock"
 )
 
 // trails has what became of requests counted, remembered and written, as far as the operator's file
@@ -33,13 +34,13 @@
 		r.figures = metrics.New(r.className, kindNames, r.gauges)
 		all = append(
 			all,
-			func(t *lifecycle.Trace) { r.recent.Add(t, int64(r.loop.Unix())) },
+			func(t *lifecycle.Trace) { r.recent.Add(t, r.loop.Unix()) },
 			r.figures.Observe,
 			r.tellAnswered,
 		)
 	}
 	if r.spans != nil {
-		all = append(all, func(t *lifecycle.Trace) { r.spans.Record(t, int64(r.loop.Unix())) })
+		all = append(all, func(t *lifecycle.Trace) { r.spans.Record(t, r.loop.Unix()) })
 	}
 	if len(all) == 0 {
 		return nil
@@ -565,8 +566,8 @@
 		Key:       q.Key,
 		Class:     -1,
 		NotServed: q.NotServed,
-		From:      q.From * 1000,
-		To:        q.To * 1000,
+		From:      wallclock.UnixMicro(q.From * 1000),
+		To:        wallclock.UnixMicro(q.To * 1000),
 		Limit:     q.Most,
 	}
 	if q.Most < 0 || q.Most > 1000 {
--- a/internal/app/traces.go
+++ b/internal/app/traces.go
@@ -43,7 +43,7 @@
 		n++
 	}
 	q := a.Request
-	return r.spans.SpanContext(q.ID, int64(q.ArrivedAt), q.TraceParent).Attempt(n).String()
+	return r.spans.SpanContext(q.ID, q.ArrivedAt, q.TraceParent).Attempt(n).String()
 }
 
 // tellSpans tells of spans that were lost since it was told last.
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/request_log_test.go
@@ -16,28 +16,28 @@
 
 func keyed(class int) bool { return class == handIn }
 
-func trail(n, class int, kind lifecycle.Status) *lifecycle.Trace {
+func trace(n, class int, status lifecycle.Status) *lifecycle.Trace {
 	return &lifecycle.Trace{
 		ID:         fmt.Sprintf("%016x", n),
 		Class:      class,
-		Status:     kind,
+		Status:     status,
 		Cause:      lifecycle.CauseInterrupted,
-		AnsweredAt: wallclock.UnixMicro(int64(n)),
+		AnsweredAt: wallclock.UnixMicro(n),
 	}
 }
 
-// A flood of ten times the record's size leaves the last 100 refused hand-ins explained.
-func TestAFlood(t *testing.T) {
+// A flood of ten times the capacity leaves the last 100 rejected hand-ins.
+func TestFloodLeavesRareRequests(t *testing.T) {
 	r := New(1000*MaxEntryBytes, keyed, 1)
-	now := int64(1)
+	now := wallclock.UnixMicro(1)
 	for n := range 10 * r.Capacity() {
 		now += 10 // 100,000 a second
-		r.Add(trail(n, check, lifecycle.Served), now)
+		r.Add(trace(n, check, lifecycle.Served), now)
 		if n%5 == 0 {
-			r.Add(trail(n, check, lifecycle.Rejected), now)
+			r.Add(trace(n, check, lifecycle.Rejected), now)
 		}
 		if n%50 == 0 {
-			r.Add(trail(n, handIn, lifecycle.Rejected), now)
+			r.Add(trace(n, handIn, lifecycle.Rejected), now)
 		}
 	}
 	if r.Len() > r.Capacity() {
@@ -45,16 +45,16 @@
 	}
 	got := r.Find(Query{Class: handIn, Status: lifecycle.Rejected, Limit: 100})
 	if len(got) != 100 {
-		t.Fatalf("%d refused hand-ins are explained", len(got))
+		t.Fatalf("%d rejected hand-ins are found", len(got))
 	}
 	for i, e := range got {
-		if want := 10*r.Capacity() - 50*(i+1); int64(e.AnsweredAt) != int64(want) {
-			t.Fatalf("number %d is %d, want %d", i, int64(e.AnsweredAt), want)
+		if want := 10*r.Capacity() - 50*(i+1); e.AnsweredAt != wallclock.UnixMicro(want) {
+			t.Fatalf("number %d is %d, want %d", i, e.AnsweredAt, want)
 		}
 	}
 	served := r.Find(Query{Class: check, Status: lifecycle.Served, Limit: 1})
 	if len(served) != 1 || served[0].Represents < 2 {
-		t.Errorf("of a flood of served ones: %+v", served)
+		t.Errorf("of a flood of served requests: %+v", served)
 	}
 	for _, s := range r.Strata() {
 		if s.Class == check && s.Status == lifecycle.Served && s.Added != uint64(10*r.Capacity()) {
@@ -63,15 +63,15 @@
 	}
 }
 
-// Whatever comes, the record keeps to its bound, finds what is new, and a kind with few entries
-// loses none to one with many.
-func TestTheRecordHolds(t *testing.T) {
+// Whatever comes, the log keeps to its bound and finds the newest request, and a status with few
+// entries loses none to one with many.
+func TestLogIsBoundedAndFindsNewest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := New(rapid.IntRange(0, 60).Draw(rt, "most")*MaxEntryBytes, keyed, 1)
-		now := int64(1)
+		now := wallclock.UnixMicro(1)
 		for n := range 300 {
-			now += rapid.Int64Range(-2_000_000, 2_000_000).Draw(rt, "step") // clocks do that
-			tr := trail(
+			now += wallclock.UnixMicro(rapid.Int64Range(-2_000_000, 2_000_000).Draw(rt, "step")) // clocks do that
+			tr := trace(
 				n,
 				rapid.IntRange(0, 1).Draw(rt, "class"),
 				lifecycle.Status(rapid.IntRange(0, 3).Draw(rt, "kind")),
@@ -89,58 +89,64 @@
 	})
 }
 
-// Ids that collide give all that had them, and a first try its repeats.
-func TestFind(t *testing.T) {
+// A query by ID finds all requests that had it, and the duplicates of the first.
+func TestFindSelectsByQuery(t *testing.T) {
 	r := New(100*MaxEntryBytes, keyed, 1)
 	for n := range 3 {
-		tr := trail(7, handIn, lifecycle.Failed)
-		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), wallclock.UnixMicro(int64(100+n))
+		tr := trace(7, handIn, lifecycle.Failed)
+		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), wallclock.UnixMicro(100+n)
 		r.Add(tr, 1)
 	}
-	again := trail(8, handIn, lifecycle.Served)
+	again := trace(8, handIn, lifecycle.Served)
 	again.OriginalID = fmt.Sprintf("%016x", 7)
 	r.Add(again, 1)
 	for _, c := range []struct {
 		q    Query
 		want int
-	}{{Query{ID: again.OriginalID, Class: -1}, 4}, {Query{Key: strings.Repeat("k", 100), Class: handIn}, 3}, {Query{Class: -1, NotServed: true, From: 101}, 2},
-		{Query{Class: check}, 0}, {Query{Class: -1, Cause: lifecycle.CauseInterrupted, To: 100}, 2}, {Query{Class: -1, Limit: 1}, 1}} {
+	}{
+		{Query{ID: again.OriginalID, Class: -1}, 4},
+		{Query{Key: strings.Repeat("k", 100), Class: handIn}, 3},
+		{Query{Class: -1, NotServed: true, From: 101}, 2},
+		{Query{Class: check}, 0},
+		{Query{Class: -1, Cause: lifecycle.CauseInterrupted, To: 100}, 2},
+		{Query{Class: -1, Limit: 1}, 1},
+	} {
 		if got := r.Find(c.q); len(got) != c.want {
 			t.Errorf("%+v: %d", c.q, len(got))
 		}
 	}
 }
 
-// The bytes of an entry at its largest are within its bound.
-func TestEntrySize(t *testing.T) {
+// An entry at its largest takes no more memory than its bound.
+func TestEntryIsWithinMaxEntryBytes(t *testing.T) {
 	const n = 5000
 	r := New(n*MaxEntryBytes, keyed, 1)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 4 * n {
-		tr := trail(i, handIn, lifecycle.Rejected)
+		tr := trace(i, handIn, lifecycle.Rejected)
 		tr.ID += strings.Repeat("n", 100)
 		tr.Key, tr.OriginalID = strings.Repeat("k", 1000), strings.Repeat("f", 1000)
 		for h := range tr.Attempts {
 			tr.Attempts[h].Server = strings.Repeat("s", 100)
 		}
-		r.Add(tr, int64(i))
+		r.Add(tr, wallclock.UnixMicro(i))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if used := int64(after.HeapAlloc) - int64(before.HeapAlloc); used > n*MaxEntryBytes {
-		t.Errorf("%d bytes an entry, %d are booked", used/n, MaxEntryBytes)
+		t.Errorf("%d bytes an entry, %d are allowed", used/n, MaxEntryBytes)
 	}
 	runtime.KeepAlive(r)
 }
 
 func BenchmarkAdd(b *testing.B) {
 	r := New(4<<20, keyed, 1)
-	tr := trail(1, handIn, lifecycle.Rejected)
+	tr := trace(1, handIn, lifecycle.Rejected)
 	tr.Attempts[0].Server = "runner-01"
 	b.ReportAllocs()
-	now := int64(0)
+	now := wallclock.UnixMicro(0)
 	for b.Loop() {
 		now += 100
 		r.Add(tr, now)
--- a/internal/telemetry/logging/logs_test.go
+++ b/internal/telemetry/logging/logging_test.go
@@ -15,38 +15,38 @@
 )
 
 var (
-	evBad = Define("test.bad", slog.LevelWarn, "peer", "state")
+	eventBad = Define("test.bad", slog.LevelWarn, "peer", "state")
 	// of a test with a clock of its own
-	evPlain = Define("test.plain", slog.LevelWarn, "peer", "state")
-	evQuiet = Define("test.quiet", slog.LevelDebug)
+	eventPlain = Define("test.plain", slog.LevelWarn, "peer", "state")
+	eventQuiet = Define("test.quiet", slog.LevelDebug)
 )
 
 type state int
 
 func (state) String() string { return "in service" }
 
-func written(t *testing.T, format string, do func()) string {
+func logged(t *testing.T, format string, do func()) string {
 	// the clock of the test before may have been a later one
-	for _, e := range []*Event{evBad, evPlain} {
-		e.since, e.passed, e.left = time.Time{}, 0, 0
+	for _, e := range []*Event{eventBad, eventPlain} {
+		e.since, e.passed, e.suppressed = time.Time{}, 0, 0
 	}
 	var out bytes.Buffer
-	use(handler(&out, format))
-	defer use(handler(os.Stderr, FormatText))
+	setOutput(newHandler(&out, format))
+	defer setOutput(newHandler(os.Stderr, FormatText))
 	do()
 	return out.String()
 }
 
-// A bad client that sent the same again as soon as it was turned away wrote 4,800 lines in 25 s.
-func TestFloodOfLinesIsCutShort(t *testing.T) {
+// A client that repeats a bad request as soon as it is rejected does not flood the log.
+func TestFloodOfLinesIsSuppressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := written(t, FormatText, func() {
+		out := logged(t, FormatText, func() {
 			for range 100 {
-				evBad.Log(1, 2)
+				eventBad.Log(1, 2)
 			}
 			time.Sleep(time.Second)
 			for range 15 {
-				evBad.Log(1, 2)
+				eventBad.Log(1, 2)
 			}
 			ReportSuppressed()
 			ReportSuppressed()
@@ -54,36 +54,41 @@
 		if n := strings.Count(out, "event=test.bad peer=1 state=2\n"); n != 20 {
 			t.Errorf("%d lines", n)
 		}
-		for _, want := range []string{"event=log.cut of=test.bad lines=90\n", "event=log.cut of=test.bad lines=5\n"} {
+		for _, want := range []string{
+			"event=log.suppressed of=test.bad lines=90\n",
+			"event=log.suppressed of=test.bad lines=5\n",
+		} {
 			if strings.Count(out, want) != 1 {
-				t.Errorf("%q is not told once:\n%s", want, out)
+				t.Errorf("%q is not logged once:\n%s", want, out)
 			}
 		}
 	})
 }
 
-func TestFormats(t *testing.T) {
+func TestLinesHaveTheFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for format, want := range map[string]string{
-			FormatText: "time=2000-01-01T00:00:00.000Z level=WARN event=test.plain peer=127.0.0.1:80 state=\"in service\"\n",
-			FormatJSON: `{"time":"2000-01-01T00:00:00Z","level":"WARN","event":"test.plain","peer":"127.0.0.1:80","state":"in service"}` + "\n",
+			FormatText: "time=2000-01-01T00:00:00.000Z level=WARN event=test.plain peer=127.0.0.1:80 " +
+				"state=\"in service\"\n",
+			FormatJSON: `{"time":"2000-01-01T00:00:00Z","level":"WARN","event":"test.plain",` +
+				`"peer":"127.0.0.1:80","state":"in service"}` + "\n",
 		} {
-			got := written(
+			got := logged(
 				t,
 				format,
-				func() { evPlain.Log(netip.MustParseAddrPort("127.0.0.1:80"), state(1)) },
+				func() { eventPlain.Log(netip.MustParseAddrPort("127.0.0.1:80"), state(1)) },
 			)
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Error(diff)
 			}
 		}
 	})
-	if got := evBad.FormatLine("x", state(1)); got != "test.bad peer=x state=in service" {
+	if got := eventBad.FormatLine("x", state(1)); got != "test.bad peer=x state=in service" {
 		t.Error(got)
 	}
 }
 
-func TestLevels(t *testing.T) {
+func TestLevelsAreSetByArea(t *testing.T) {
 	defer SetLevels(map[string]slog.Level{"all": slog.LevelInfo})
 	for _, c := range []struct {
 		words, err string
@@ -101,20 +106,20 @@
 			t.Errorf("%s: %v", c.words, err)
 		}
 		SetLevels(l)
-		if evBad.Enabled() != c.bad || evQuiet.Enabled() != c.quiet {
+		if eventBad.Enabled() != c.bad || eventQuiet.Enabled() != c.quiet {
 			t.Errorf("%s: %v", c.words, Levels())
 		}
 	}
 }
 
-// A reader of the log that stood still stopped the loop with it.
+// A reader of the log that stands still does not hold up the program.
 func TestWriterDoesNotWaitForItsReader(t *testing.T) {
 	r, w := io.Pipe() // nobody reads
 	defer r.Close()
-	l := newWriter(w, handler(w, FormatText))
+	l := newWriter(w, newHandler(w, FormatText))
 	done := make(chan struct{})
 	go func() {
-		for range 10 * backlog {
+		for range 10 * maxQueuedLines {
 			l.Write([]byte("line\n"))
 		}
 		close(done)
@@ -124,10 +129,10 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("writing waits")
 	}
-	if n := len(l.lines); n < backlog-1 { // one may be in hand
+	if n := len(l.lines); n < maxQueuedLines-1 { // one may be in hand
 		t.Errorf("%d lines wait, and nothing was read", n)
 	}
-	// Once it reads, it is told.
+	// Once it reads, it learns how many lines were dropped.
 	go l.Close()
 	text, buf := "", make([]byte, 1000)
 	for !strings.Contains(text, "event=log.dropped lines=") {
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -1,9 +1,10 @@
-// Package metrics counts what becomes of requests, and how the program and its servers stand, in
-// the form of Prometheus.
+// Package metrics counts what becomes of requests, and collects the state of the program and its
+// servers, in the OpenMetrics format of Prometheus.
 package metrics
 
 import (
 	"bytes"
+	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
@@ -11,100 +12,122 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// Sample is a figure of the moment.
+// Sample is a value at the time of a scrape.
 type Sample struct {
 	Name, Help string
 	Labels     map[string]string
 	Value      float64
-	Monotonic  bool // it only grows
+	Monotonic  bool // it is a counter, and no gauge
 }
 
-// Metrics are the figures of one program. They are used on the loop.
+// Metrics are the metrics of one program. They are used on the event loop.
 type Metrics struct {
 	registry *prometheus.Registry
-	took     *prometheus.HistogramVec
-	waited   *prometheus.HistogramVec
+	latency  *prometheus.HistogramVec
+	wait     *prometheus.HistogramVec
 	causes   *prometheus.CounterVec
-	tries    *prometheus.CounterVec
-	class    func(int) string
-	ends     map[lifecycle.Status]string
-	now      func() []Sample
+	attempts *prometheus.CounterVec
+
+	className   func(class int) string
+	statusNames map[lifecycle.Status]string
+	samples     func() []Sample
 }
 
-// seconds are the bounds of latencies: a few milliseconds to the longest deadlines.
-var seconds = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2, 4, 8, 16}
+// latencyBuckets are bounds in seconds, from a few milliseconds to the longest deadlines.
+var latencyBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2, 4, 8, 16}
 
-// New makes the figures of a program. class names the class at a place. now gives those of the
-// moment.
-func New(class func(int) string, ends map[lifecycle.Status]string, now func() []Sample) *Metrics {
-	m := &Metrics{registry: prometheus.NewRegistry(), class: class, ends: ends, now: now}
-	m.took = prometheus.NewHistogramVec(
-		prometheus.HistogramOpts{Name: "ryepaddle_request_seconds", Buckets: seconds,
-			Help: "Time from a request's arrival to its answer."},
+// New returns the metrics of a program. className names a class by its index, and samples returns the
+// values at the time of a scrape.
+func New(
+	className func(class int) string,
+	statusNames map[lifecycle.Status]string,
+	samples func() []Sample,
+) *Metrics {
+	m := &Metrics{
+		registry:    prometheus.NewRegistry(),
+		className:   className,
+		statusNames: statusNames,
+		samples:     samples,
+	}
+	m.latency = prometheus.NewHistogramVec(
+		prometheus.HistogramOpts{
+			Name:    "ryepaddle_request_seconds",
+			Help:    "Time from a request's arrival to its answer.",
+			Buckets: latencyBuckets,
+		},
 		[]string{"class", "end"},
 	)
-	m.waited = prometheus.NewHistogramVec(
-		prometheus.HistogramOpts{Name: "ryepaddle_wait_seconds", Buckets: seconds,
-			Help: "Time from a request's arrival to the beginning of its run."},
+	m.wait = prometheus.NewHistogramVec(
+		prometheus.HistogramOpts{
+			Name:    "ryepaddle_wait_seconds",
+			Help:    "Time from a request's arrival to the beginning of its run.",
+			Buckets: latencyBuckets,
+		},
+		[]string{"class"},
+	)
+	m.causes = prometheus.NewCounterVec(
+		prometheus.CounterOpts{Name: "ryepaddle_causes_total", Help: "Requests by the cause of their answer."},
+		[]string{"class", "end", "cause"},
+	)
+	m.attempts = prometheus.NewCounterVec(
+		prometheus.CounterOpts{Name: "ryepaddle_tries_total", Help: "Tries on servers or the engine."},
 		[]string{"class"},
 	)
-	m.causes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "ryepaddle_causes_total",
-		Help: "Requests by the cause of their answer."}, []string{"class", "end", "cause"})
-	m.tries = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "ryepaddle_tries_total",
-		Help: "Tries on servers or the engine."}, []string{"class"})
-	m.registry.MustRegister(m.took, m.waited, m.causes, m.tries, moment{m})
+	m.registry.MustRegister(m.latency, m.wait, m.causes, m.attempts, sampleCollector{m})
 	return m
 }
 
-// Observe counts a request that was answered. Its id goes with the latency as an exemplar, by which it
-// can be explained.
+// Observe counts a request that was answered. Its ID goes with the latency as an exemplar.
 func (m *Metrics) Observe(t *lifecycle.Trace) {
-	class, end := m.class(t.Class), m.ends[t.Status]
-	observe(m.took.WithLabelValues(class, end), int64(t.AnsweredAt)-int64(t.ArrivedAt), t.ID)
-	if int64(t.StartedAt) > 0 {
-		observe(m.waited.WithLabelValues(class), int64(t.StartedAt)-int64(t.ArrivedAt), t.ID)
+	class, status := m.className(t.Class), m.statusNames[t.Status]
+	observe(m.latency.WithLabelValues(class, status), t.AnsweredAt.Sub(t.ArrivedAt), t.ID)
+	if t.StartedAt > 0 {
+		observe(m.wait.WithLabelValues(class), t.StartedAt.Sub(t.ArrivedAt), t.ID)
 	}
 	if t.Cause != lifecycle.CauseNone {
-		m.causes.WithLabelValues(class, end, t.Cause.String()).Inc()
+		m.causes.WithLabelValues(class, status, t.Cause.String()).Inc()
 	}
-	m.tries.WithLabelValues(class).Add(float64(t.AttemptCount))
+	m.attempts.WithLabelValues(class).Add(float64(t.AttemptCount))
 }
 
-// exemplarMost is the longest id that an exemplar may hold, by the OpenMetrics format, beside the
-// name of its label.
-const exemplarMost = 120
+// maxExemplarID is the most bytes that the OpenMetrics format allows for the ID of an exemplar, beside
+// the name of its label.
+const maxExemplarID = 120
 
-func observe(o prometheus.Observer, us int64, id string) {
-	v := float64(max(us, 0)) / 1e6 // the clock may step
-	if e, ok := o.(prometheus.ExemplarObserver); ok && id != "" && len(id) <= exemplarMost {
-		e.ObserveWithExemplar(v, prometheus.Labels{"id": id})
+// observe adds a latency to a histogram. One that is negative, as the clock was set back, counts as 0.
+func observe(o prometheus.Observer, latency time.Duration, id string) {
+	seconds := float64(max(latency, 0).Microseconds()) / 1e6
+	if e, ok := o.(prometheus.ExemplarObserver); ok && id != "" && len(id) <= maxExemplarID {
+		e.ObserveWithExemplar(seconds, prometheus.Labels{"id": id})
 		return
 	}
-	o.Observe(v)
+	o.Observe(seconds)
 }
 
-// moment collects the gauges when they are asked for.
-type moment struct{ m *Metrics }
+// sampleCollector collects the samples at each scrape.
+type sampleCollector struct{ metrics *Metrics }
 
-// Describe implements prometheus.Collector: what there is differs from time to time.
-func (moment) Describe(chan<- *prometheus.Desc) {}
+// Describe implements prometheus.Collector. It describes nothing, as samples differ between scrapes.
+func (sampleCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
-func (c moment) Collect(ch chan<- prometheus.Metric) {
-	for _, g := range c.m.now() {
+func (c sampleCollector) Collect(out chan<- prometheus.Metric) {
+	for _, s := range c.metrics.samples() {
 		kind := prometheus.GaugeValue
-		if g.Monotonic {
+		if s.Monotonic {
 			kind = prometheus.CounterValue
 		}
 		var names, values []string
-		for name, value := range g.Labels {
+		for name, value := range s.Labels {
 			names, values = append(names, name), append(values, value)
 		}
-		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc(g.Name, g.Help, names, nil), kind, g.Value, values...)
+		desc := prometheus.NewDesc(s.Name, s.Help, names, nil)
+		out <- prometheus.MustNewConstMetric(desc, kind, s.Value, values...)
 	}
 }
 
-// Text gives all of them in the OpenMetrics format.
+// Text returns all metrics in the OpenMetrics format. The error is that of a sample that does not fit
+// the others.
 func (m *Metrics) Text() (string, error) {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/telemetry/tracing/file.go
+++ b/internal/telemetry/tracing/file.go
@@ -2,53 +2,67 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 )
 
-// file is one of bounded size: when it is full it becomes FILE.1, in place of an older one, and
-// begins anew.
-type file struct {
-	path string
-	most int64
-	f    *os.File
-	size int64
+// rotatingFile is a file of bounded size. When it is full it is renamed to FILE.1, in place of an older
+// one, and a new one begins.
+type rotatingFile struct {
+	path     string
+	maxBytes int64
+	file     *os.File // nil: the last rotation failed
+	size     int64
 }
 
-func openFile(path string, most int64) (*file, error) {
-	w := &file{path: path, most: most}
-	return w, w.begin()
+func openFile(path string, maxBytes int64) (*rotatingFile, error) {
+	f := &rotatingFile{path: path, maxBytes: maxBytes}
+	return f, f.begin()
 }
 
-func (w *file) begin() error {
-	if info, err := os.Stat(w.path); err == nil && info.Size() > 0 {
-		if err := os.Rename(w.path, w.path+".1"); err != nil {
+// begin begins a new file.
+func (f *rotatingFile) begin() error {
+	if info, err := os.Stat(f.path); err == nil && info.Size() > 0 {
+		if err := os.Rename(f.path, f.path+".1"); err != nil {
 			return fmt.Errorf("traces: %w", err)
 		}
 	}
-	f, err := os.OpenFile(w.path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+	file, err := os.OpenFile(f.path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return fmt.Errorf("traces: %w", err)
 	}
-	w.f, w.size = f, 0
+	f.file, f.size = file, 0
 	return nil
 }
 
-// write adds all of b or nothing, so that what stands in the file is whole lines.
-func (w *file) write(b []byte) error {
-	if w.f != nil && w.size > 0 && w.size+int64(len(b)) > w.most {
-		w.f.Close()
-		w.f = nil
+// write adds all of b or nothing, so that the file holds complete lines.
+func (f *rotatingFile) write(b []byte) error {
+	if f.file != nil && f.size > 0 && f.size+int64(len(b)) > f.maxBytes {
+		_ = f.file.Close() // what was written is in it
+		f.file = nil
 	}
-	if w.f == nil {
-		if err := w.begin(); err != nil {
+	if f.file == nil {
+		if err := f.begin(); err != nil {
 			return err
 		}
 	}
-	if _, err := w.f.Write(b); err != nil {
-		w.f.Truncate(w.size)
-		w.f.Seek(w.size, 0)
+	if _, err := f.file.Write(b); err != nil {
+		f.cutBack()
 		return fmt.Errorf("traces: %w", err)
 	}
-	w.size += int64(len(b))
+	f.size += int64(len(b))
 	return nil
 }
+
+// cutBack removes what a failed write left. The error of the write is the one to report.
+func (f *rotatingFile) cutBack() {
+	_ = f.file.Truncate(f.size)
+	_, _ = f.file.Seek(f.size, io.SeekStart)
+}
+
+// close closes the file, if it is open.
+func (f *rotatingFile) close() {
+	if f.file != nil {
+		_ = f.file.Close() // there is nowhere to report it: the recorder ends
+	}
+}
--- a/internal/telemetry/tracing/traces_test.go
+++ b/internal/telemetry/tracing/recorder_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func refused() *lifecycle.Trace {
+func rejected() *lifecycle.Trace {
 	return &lifecycle.Trace{
 		ID:           "x",
 		Class:        1,
@@ -40,30 +40,37 @@
 	}
 }
 
-// What is served and nobody chose is passed over, and a flood of one end leaves room for others.
-func TestSampler(t *testing.T) {
+// A request that was served and whose trace is not sampled is passed over, and a flood of one status
+// leaves room for others.
+func TestSamplerLimitsEachStatus(t *testing.T) {
 	s := NewSampler(10)
-	keep := func(kind lifecycle.Status, chosen bool, n int, now int64) (kept int) {
+	keep := func(status lifecycle.Status, sampled bool, n int, now wallclock.UnixMicro) (kept int) {
 		for range n {
-			if s.Sample(&lifecycle.Trace{Status: kind}, chosen, now) {
+			if s.Sample(&lifecycle.Trace{Status: status}, sampled, now) {
 				kept++
 			}
 		}
 		return kept
 	}
 	for _, c := range []struct {
-		kind   lifecycle.Status
-		chosen bool
-		now    int64
-		want   int
-	}{{lifecycle.Served, false, 0, 0}, {lifecycle.Rejected, false, 0, 10}, {lifecycle.Failed, false, 0, 10}, {lifecycle.Served, true, 0, 10}, {lifecycle.Rejected, false, 500_000, 5}} {
-		if got := keep(c.kind, c.chosen, 1000, c.now+1_000_000_000); got != c.want {
+		status  lifecycle.Status
+		sampled bool
+		now     wallclock.UnixMicro
+		want    int
+	}{
+		{lifecycle.Served, false, 0, 0},
+		{lifecycle.Rejected, false, 0, 10},
+		{lifecycle.Failed, false, 0, 10},
+		{lifecycle.Served, true, 0, 10},
+		{lifecycle.Rejected, false, 500_000, 5},
+	} {
+		if got := keep(c.status, c.sampled, 1000, c.now+1_000_000_000); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
 }
 
-// The file is bounded, and whole lines stand in it. A clock that was set back makes no span of
+// The file is bounded and holds complete lines. A clock that was set back makes no span of
 // negative length.
 func TestFileIsBounded(t *testing.T) {
 	opt := options(t)
@@ -73,7 +80,7 @@
 		t.Fatal(err)
 	}
 	for range 100 {
-		r.Record(refused(), 0)
+		r.Record(rejected(), 0)
 	}
 	r.Close(10 * time.Second)
 	if lost, err := r.Lost(); lost != (Lost{}) || err != nil {
@@ -91,8 +98,8 @@
 	}
 }
 
-// A disk that fails costs spans, which are counted, and once it works again they go on.
-func TestADiskThatFails(t *testing.T) {
+// A disk that fails costs spans, which are counted; once it works again spans are written.
+func TestFailingDiskCostsSpansThatAreCounted(t *testing.T) {
 	opt := options(t)
 	w, err := openFile(opt.Path, 100)
 	if err != nil {
@@ -105,7 +112,7 @@
 	if err := os.Rename(dir, dir+"-away"); err != nil {
 		t.Fatal(err)
 	}
-	long := []byte(strings.Repeat("x", 99) + "\n") // it has to begin anew
+	long := []byte(strings.Repeat("x", 99) + "\n") // a new file has to begin
 	if err := w.write(long); err == nil {
 		t.Error("written to nowhere")
 	}
@@ -122,41 +129,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.out.f.Close() // whatever is written fails
-	r.Record(refused(), 0)
+	r.out.file.Close() // each write fails
+	r.Record(rejected(), 0)
 	r.Close(10 * time.Second)
 	if lost, err := r.Lost(); lost != (Lost{Errors: 1}) || err == nil {
 		t.Errorf("%+v, %v", lost, err)
 	}
 }
 
-// What nobody writes does not pile up.
+// Requests whose spans are not written are bounded.
 func TestQueueIsBounded(t *testing.T) {
 	opt := options(t)
-	r := &Recorder{opt: opt, sampler: NewSampler(1000), queue: make(chan entry, opt.QueueSize)}
+	r := &Recorder{opt: opt, sampler: NewSampler(1000), queue: make(chan sampledRequest, opt.QueueSize)}
 	for range 100 {
-		r.Record(refused(), 0)
+		r.Record(rejected(), 0)
 	}
 	if lost, _ := r.Lost(); lost.Queue != 96 {
 		t.Errorf("%+v", lost)
 	}
 }
 
-func BenchmarkAdd(b *testing.B) {
-	for name, share := range map[string]float64{"passed over": 0, "written": 1} {
+func BenchmarkRecord(b *testing.B) {
+	for name, ratio := range map[string]float64{"passed over": 0, "written": 1} {
 		b.Run(name, func(b *testing.B) {
 			opt := options(b)
-			opt.SampleRatio, opt.MaxPerSecond, opt.QueueSize, opt.MaxBytes = share, 1_000_000_000, 1024, 64<<20
+			opt.SampleRatio, opt.MaxPerSecond, opt.QueueSize, opt.MaxBytes = ratio, 1_000_000_000, 1024, 64<<20
 			r, err := Start(opt)
 			if err != nil {
 				b.Fatal(err)
 			}
-			t := refused()
+			t := rejected()
 			t.Status, t.AttemptCount = lifecycle.Served, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t.ArrivedAt = wallclock.UnixMicro(int64(i))
-				r.Record(t, int64(t.ArrivedAt))
+				t.ArrivedAt = wallclock.UnixMicro(i)
+				r.Record(t, t.ArrivedAt)
 			}
 			lost, _ := r.Lost()
 			b.ReportMetric(float64(lost.Queue)/float64(b.N), "lost/op")
