--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"strings"
 	"testing"
+	"time"
 
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/usage/ledger"
@@ -16,8 +17,8 @@
 )
 
 const (
-	ms  = int64(1000)
-	sec = 1000 * ms
+	ms  = time.Millisecond
+	sec = time.Second
 )
 
 // runner is one machine: a process with its account, what it knows of others, and a disk with
@@ -47,7 +48,7 @@
 	duties  bool       // one runner passes on the statements of those that are lost
 	t       *testing.T
 	r       *rand.Rand
-	now     int64
+	now     time.Duration // since the Unix epoch
 	all     []*runner
 	tables  []*placement.Table
 	way     []letter
@@ -59,7 +60,7 @@
 }
 
 type letter struct {
-	at int64
+	at time.Duration
 	m  Message
 }
 
@@ -88,6 +89,9 @@
 	return w
 }
 
+// unix is the time of day.
+func (w *world) unix() wallclock.UnixMicro { return wallclock.UnixMicro(w.now.Microseconds()) }
+
 func (w *world) table() *placement.Table { return w.tables[len(w.tables)-1] }
 
 func (w *world) change(c placement.Change) {
@@ -99,9 +103,9 @@
 func (w *world) settings(r *runner) ledger.Settings {
 	return ledger.Settings{
 		Instance: r.name,
-		Period:   10 * wallclock.Micros(sec),
-		Slice:    5 * wallclock.Micros(sec),
-		Grace:    wallclock.Micros(sec),
+		Period:   wallclock.MicrosOf(10 * sec),
+		Slice:    wallclock.MicrosOf(5 * sec),
+		Grace:    wallclock.MicrosOf(sec),
 		MaxKeys:  40,
 		MaxLines: 30,
 	}
@@ -119,7 +123,7 @@
 		}
 		w.end(r, led)
 	}
-	r.led = ledger.New(w.settings(r), fmt.Sprintf("%s-%d", r.name, r.process), wallclock.UnixMicro(w.now))
+	r.led = ledger.New(w.settings(r), fmt.Sprintf("%s-%d", r.name, r.process), w.unix())
 	r.seals, r.uses, r.table = map[uint64]uint64{}, nil, nil
 	r.w = NewPrimary(r.name, r.led.Incarnation(), r.process, w.settings(r), func() []byte { return r.led.Encode(0) })
 	r.shelf = NewStatementStore(r.name, r.process, slices.Sorted(maps.Keys(r.files)))
@@ -187,7 +191,7 @@
 			continue
 		}
 		for range 1 + w.r.IntN(20)/19 {
-			w.way = append(w.way, letter{w.now + int64(w.r.IntN(30))*ms*int64(1+w.r.IntN(20)/19*20), m})
+			w.way = append(w.way, letter{w.now + time.Duration(w.r.IntN(30))*ms*time.Duration(1+w.r.IntN(20)/19*20), m})
 		}
 	}
 }
@@ -287,12 +291,12 @@
 	if w.r.IntN(4) == 0 {
 		w.key++
 		u := ledger.Record{
-			AnsweredAt:   wallclock.UnixMicro(w.now),
+			AnsweredAt:   w.unix(),
 			School:       r.led.Incarnation(),
 			Class:        "hand-in",
 			Outcome:      ledger.OutcomeServed,
 			Key:          w.key,
-			KeyExpiresAt: wallclock.UnixMicro(w.now + 20*sec),
+			KeyExpiresAt: w.unix().Add(20 * sec),
 			Work:         7,
 		}
 		r.led.Add(u)
@@ -303,8 +307,8 @@
 		r.led.AddLost(1)
 		r.w.Append(Operation{LostUses: 1})
 	}
-	if s := r.led.Seal(wallclock.UnixMicro(w.now)); s != nil {
-		r.seals[s.Seq] = r.w.Append(Operation{SealDigest: s.Digest(), At: w.now})
+	if s := r.led.Seal(w.unix()); s != nil {
+		r.seals[s.Seq] = r.w.Append(Operation{SealDigest: s.Digest(), At: w.unix()})
 	}
 	if w.r.IntN(20) == 0 { // the disk
 		r.old = r.led.Encode(0)
--- a/internal/peers/usagereplica/primary.go
+++ b/internal/peers/usagereplica/primary.go
@@ -3,257 +3,300 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/usage/ledger"
 )
 
-// replicaProgress is one of those who are told, as the runner sees it.
+const (
+	// resendInterval is the time after which an unanswered message is sent again.
+	resendInterval = 200 * time.Millisecond
+	// dropInterval is the time between two MsgDrop to a former replica.
+	dropInterval = 5 * resendInterval
+	// dropAttempts is how often a former replica is told to forget the ledger.
+	dropAttempts = 5
+	// snapshotPartBytes bounds the bytes of a ledger in one message.
+	snapshotPartBytes = 128 << 10
+	// maxOperationsPerMessage bounds the operations in one message.
+	maxOperationsPerMessage = 256
+	// maxInFlight bounds the operations that were sent to a replica and not acknowledged.
+	maxInFlight = 4096
+	// maxRetainedOperations bounds the operations that are kept for replicas that are behind. One
+	// that is further behind is sent the ledger.
+	maxRetainedOperations = 1 << 14
+)
+
+// replicaProgress is what the primary knows of one replica.
 type replicaProgress struct {
 	incarnation uint64
-	ackedSeq    uint64 // it knows all up to this step
-	sentSeq     uint64 // and all up to this one is on its way
-	lastSent    int64  // when it was last said anything
-	caughtUp    bool   // it has the account, and is told steps
-	snapshot    []byte // that it is sent
-	snapshotSeq uint64 // up to which step that goes
-	nextPart    int    // pieces of it that it has
-	snapshotID  uint64 // which giving of the account that is
+	ackedSeq    uint64 // it has all operations up to this one
+	sentSeq     uint64 // all operations up to this one were sent
+	lastSent    time.Duration
+	caughtUp    bool   // it has the ledger, and is sent operations
+	snapshot    []byte // the ledger that it is sent
+	snapshotSeq uint64 // the last operation of that
+	nextPart    int    // of the snapshot
+	snapshotID  uint64
 }
 
-// Primary tells one account to its heirs. The account itself is its owner's.
+// Primary replicates one ledger, which its owner changes. Operations are numbered from 2 on: 1 is
+// the ledger as it began, and 0 the progress of a replica that does not know it.
 type Primary struct {
 	name         string
 	ledger       string
 	process      uint32
 	settings     ledger.Settings
-	encodeLedger func() []byte // the account as it stands
-	operations   []Operation
-	base         uint64 // the number before the first of them
+	encodeLedger func() []byte // the ledger as it stands
+	operations   []Operation   // the newest ones, after baseSeq
+	baseSeq      uint64
 	replicas     map[string]*replicaProgress
-	order        []string       // their names, sorted: the same messages are to come of the same
-	former       map[string]int // and how often they are still told to let go
-	version      uint64
-	snapshots    uint64 // how often the account was given to anybody
-	lastDrop     int64
+	order        []string       // names of the replicas, sorted: the same events send the same messages
+	former       map[string]int // how often former replicas are still told to forget the ledger
+	tableVersion uint64
+	snapshots    uint64 // how often the ledger was sent to any replica
+	lastDrop     time.Duration
 	outbox       []Message
 }
 
-// NewPrimary begins to tell an account that nobody else knows. Its steps count from 1, so that 0 is
-// the word of who does not know it.
-func NewPrimary(name, account string, process uint32, set ledger.Settings, state func() []byte) *Primary {
+// NewPrimary returns the primary of a ledger that nobody else has.
+func NewPrimary(
+	name, ledgerName string,
+	process uint32,
+	settings ledger.Settings,
+	encode func() []byte,
+) *Primary {
 	return &Primary{
 		name:         name,
-		ledger:       account,
+		ledger:       ledgerName,
 		process:      process,
-		settings:     set,
-		encodeLedger: state,
-		base:         1,
+		settings:     settings,
+		encodeLedger: encode,
+		baseSeq:      1,
 		replicas:     map[string]*replicaProgress{},
 		former:       map[string]int{},
 	}
 }
 
-// Append has a step told, and gives its number. The account has taken it already.
-func (w *Primary) Append(s Operation) uint64 {
-	w.operations = append(w.operations, s)
-	return w.seq()
+// Append adds an operation that the ledger has applied already, and returns its number.
+func (p *Primary) Append(op Operation) uint64 {
+	p.operations = append(p.operations, op)
+	return p.LastSeq()
 }
 
-// LastSeq is the number of the last step.
-func (w *Primary) LastSeq() uint64 { return w.seq() }
+// LastSeq returns the number of the last operation.
+func (p *Primary) LastSeq() uint64 { return p.baseSeq + uint64(len(p.operations)) }
 
-func (w *Primary) seq() uint64 { return w.base + uint64(len(w.operations)) }
-
-// ReplicatedSeq is up to which step all heirs know the account. Where there is nobody else there is nobody
-// to wait for.
-func (w *Primary) ReplicatedSeq() uint64 {
-	seq := w.seq()
-	for _, h := range w.replicas {
-		if !h.caughtUp {
+// ReplicatedSeq returns the number up to which all replicas have the ledger, or 0 if one of them does
+// not have it. Without replicas there is nobody to wait for.
+func (p *Primary) ReplicatedSeq() uint64 {
+	seq := p.LastSeq()
+	for _, r := range p.replicas {
+		if !r.caughtUp {
 			return 0
 		}
-		seq = min(seq, h.ackedSeq)
+		seq = min(seq, r.ackedSeq)
 	}
 	return seq
 }
 
-// SetTable takes a newer table.
-func (w *Primary) SetTable(t *placement.Table, now int64) {
-	if t.Version <= w.version {
+// SetTable takes a newer table. A replica in another incarnation may have lost the ledger.
+func (p *Primary) SetTable(t *placement.Table, now time.Duration) {
+	if t.Version <= p.tableVersion {
 		return
 	}
-	w.version = t.Version
+	p.tableVersion = t.Version
 	want := map[string]uint64{}
-	for _, m := range ReplicasOf(t, w.name) {
+	for _, m := range ReplicasOf(t, p.name) {
 		want[m.Name] = m.Incarnation
 	}
-	for name := range w.replicas {
+	for name := range p.replicas {
 		if _, ok := want[name]; !ok {
-			delete(w.replicas, name)
-			w.former[name] = dropAttempts
+			delete(p.replicas, name)
+			p.former[name] = dropAttempts
 		}
 	}
-	w.order = slices.Sorted(maps.Keys(want))
-	for _, name := range w.order {
-		delete(w.former, name)
-		// what an earlier life knew may have gone with it
-		if h := w.replicas[name]; h == nil || h.incarnation != want[name] {
-			w.replicas[name] = &replicaProgress{incarnation: want[name]}
-			w.sendSnapshot(name, w.replicas[name], now)
+	p.order = slices.Sorted(maps.Keys(want))
+	for _, name := range p.order {
+		delete(p.former, name)
+		if r := p.replicas[name]; r == nil || r.incarnation != want[name] {
+			p.replicas[name] = &replicaProgress{incarnation: want[name]}
+			p.sendSnapshot(name, p.replicas[name], now)
 		}
 	}
-	w.trim()
+	p.trim()
 }
 
-// sendSnapshot sends the account as it stands, the first piece of it.
-func (w *Primary) sendSnapshot(name string, h *replicaProgress, now int64) {
-	w.snapshots++
-	h.caughtUp, h.snapshot, h.snapshotSeq, h.nextPart, h.ackedSeq, h.snapshotID = false, w.encodeLedger(), w.seq(), 0, 0, w.snapshots
-	w.sendSnapshotPart(name, h, now)
+// sendSnapshot begins to send a replica the ledger as it stands.
+func (p *Primary) sendSnapshot(name string, r *replicaProgress, now time.Duration) {
+	p.snapshots++
+	r.snapshot, r.snapshotSeq, r.snapshotID = p.encodeLedger(), p.LastSeq(), p.snapshots
+	r.caughtUp, r.nextPart, r.ackedSeq = false, 0, 0
+	p.sendSnapshotPart(name, r, now)
 }
 
-func (h *replicaProgress) parts() int {
-	return max((len(h.snapshot)+snapshotPartBytes-1)/snapshotPartBytes, 1)
+// parts returns the number of parts of the snapshot.
+func (r *replicaProgress) parts() int {
+	return max((len(r.snapshot)+snapshotPartBytes-1)/snapshotPartBytes, 1)
 }
 
-func (w *Primary) sendSnapshotPart(name string, h *replicaProgress, now int64) {
-	h.lastSent = now
-	from := h.nextPart * snapshotPartBytes
-	w.send(
-		Message{
-			Type:       MsgSnapshot,
-			To:         name,
-			Seq:        h.snapshotSeq,
-			Part:       h.nextPart,
-			Parts:      h.parts(),
-			Bytes:      h.snapshot[from:min(from+snapshotPartBytes, len(h.snapshot))],
-			Settings:   w.settings,
-			SnapshotID: h.snapshotID,
-		},
-	)
+func (p *Primary) sendSnapshotPart(name string, r *replicaProgress, now time.Duration) {
+	r.lastSent = now
+	from := r.nextPart * snapshotPartBytes
+	to := min(from+snapshotPartBytes, len(r.snapshot))
+	p.send(Message{
+		Type:       MsgSnapshot,
+		To:         name,
+		Seq:        r.snapshotSeq,
+		Part:       r.nextPart,
+		Parts:      r.parts(),
+		Bytes:      r.snapshot[from:to],
+		Settings:   p.settings,
+		SnapshotID: r.snapshotID,
+	})
 }
 
-func (w *Primary) send(m Message) {
-	m.From, m.Ledger, m.Process = w.name, w.ledger, w.process
-	w.outbox = append(w.outbox, m)
+func (p *Primary) send(m Message) {
+	m.From, m.Ledger, m.Process = p.name, p.ledger, p.process
+	p.outbox = append(p.outbox, m)
 }
 
-// Receive takes the word of an heir.
-func (w *Primary) Receive(m *Message, now int64) {
-	h := w.replicas[m.From]
-	if m.Type != MsgProgress || m.Ledger != w.ledger {
+// Receive handles the progress of a replica. Progress of an earlier incarnation, or with an earlier
+// snapshot, may be of a ledger that the replica does not have any more.
+func (p *Primary) Receive(m *Message, now time.Duration) {
+	if m.Type != MsgProgress || m.Ledger != p.ledger {
 		return
 	}
-	if h == nil {
+	r := p.replicas[m.From]
+	if r == nil {
 		if m.Seq == 0 {
-			delete(w.former, m.From)
+			delete(p.former, m.From)
 		}
 		return
 	}
-	if m.Incarnation != h.incarnation || m.SnapshotID != h.snapshotID { // it may have forgotten what it says
+	if m.Incarnation != r.incarnation || m.SnapshotID != r.snapshotID {
 		return
 	}
 	switch {
-	case !h.caughtUp && m.Seq == h.snapshotSeq && m.Part > h.nextPart && m.Part < h.parts():
-		h.nextPart = m.Part
-		w.sendSnapshotPart(m.From, h, now)
-	case !h.caughtUp && m.Parts == 0 && m.Seq >= h.snapshotSeq && m.Seq <= w.seq():
-		h.caughtUp, h.snapshot, h.ackedSeq, h.sentSeq = true, nil, m.Seq, m.Seq
-	case h.caughtUp && m.Seq > h.ackedSeq && m.Seq <= w.seq():
-		h.ackedSeq = m.Seq
-	case h.caughtUp && m.Seq == 0: // it does not know the account
-		w.sendSnapshot(m.From, h, now)
+	case !r.caughtUp && m.Seq == r.snapshotSeq && m.Part > r.nextPart && m.Part < r.parts():
+		r.nextPart = m.Part
+		p.sendSnapshotPart(m.From, r, now)
+	case !r.caughtUp && m.Parts == 0 && m.Seq >= r.snapshotSeq && m.Seq <= p.LastSeq():
+		r.caughtUp, r.snapshot, r.ackedSeq, r.sentSeq = true, nil, m.Seq, m.Seq
+	case r.caughtUp && m.Seq > r.ackedSeq && m.Seq <= p.LastSeq():
+		r.ackedSeq = m.Seq
+	case r.caughtUp && m.Seq == 0: // it does not know the ledger
+		p.sendSnapshot(m.From, r, now)
 	}
-	w.trim()
-	w.Flush(now)
+	p.trim()
+	p.Flush(now)
 }
 
-// Flush tells heirs what they have not been told.
-func (w *Primary) Flush(now int64) {
-	for _, name := range w.order {
-		h := w.replicas[name]
-		for h.caughtUp && h.sentSeq < w.seq() && h.sentSeq-h.ackedSeq < maxInFlight {
-			if h.sentSeq < w.base {
-				w.sendSnapshot(name, h, now)
+// Flush sends replicas the operations that they were not sent yet.
+func (p *Primary) Flush(now time.Duration) {
+	for _, name := range p.order {
+		r := p.replicas[name]
+		for r.caughtUp && r.sentSeq < p.LastSeq() && r.sentSeq-r.ackedSeq < maxInFlight {
+			if r.sentSeq < p.baseSeq {
+				p.sendSnapshot(name, r, now)
 				break
 			}
-			steps := w.operations[h.sentSeq-w.base:]
-			steps = steps[:min(len(steps), maxOperationsPerMessage)]
-			w.send(Message{Type: MsgAppend, To: name, Seq: h.sentSeq, Operations: slices.Clone(steps), SnapshotID: h.snapshotID})
-			h.sentSeq += uint64(len(steps))
-			h.lastSent = now
+			p.sendOperations(name, r, now)
 		}
 	}
 }
 
-// Tick says again what had no answer.
-func (w *Primary) Tick(now int64) {
-	for _, name := range w.order {
-		switch h := w.replicas[name]; {
-		case now-h.lastSent < resendInterval:
-		case !h.caughtUp:
-			w.sendSnapshotPart(name, h, now)
-		case h.ackedSeq < h.sentSeq:
-			h.sentSeq = h.ackedSeq
+// sendOperations sends a replica the next operations, as many as one message takes.
+func (p *Primary) sendOperations(name string, r *replicaProgress, now time.Duration) {
+	ops := p.operations[r.sentSeq-p.baseSeq:]
+	ops = ops[:min(len(ops), maxOperationsPerMessage)]
+	p.send(Message{
+		Type:       MsgAppend,
+		To:         name,
+		Seq:        r.sentSeq,
+		Operations: slices.Clone(ops),
+		SnapshotID: r.snapshotID,
+	})
+	r.sentSeq += uint64(len(ops))
+	r.lastSent = now
+}
+
+// Tick resends what had no answer, and has former replicas forget the ledger.
+func (p *Primary) Tick(now time.Duration) {
+	for _, name := range p.order {
+		switch r := p.replicas[name]; {
+		case now-r.lastSent < resendInterval:
+		case !r.caughtUp:
+			p.sendSnapshotPart(name, r, now)
+		case r.ackedSeq < r.sentSeq:
+			r.sentSeq = r.ackedSeq
 		}
 	}
-	if now-w.lastDrop >= 5*resendInterval {
-		w.lastDrop = now
-		for _, name := range slices.Sorted(maps.Keys(w.former)) {
-			if w.ReplicatedSeq() < w.seq() { // it may still be the only one
-				break
-			}
-			w.send(Message{Type: MsgDrop, To: name})
-			if w.former[name]--; w.former[name] <= 0 {
-				delete(w.former, name)
-			}
+	if now-p.lastDrop >= dropInterval {
+		p.lastDrop = now
+		p.sendDrops()
+	}
+	p.Flush(now)
+}
+
+// sendDrops tells former replicas to forget the ledger, once the present ones have all of it: before
+// that a former one may be the only one.
+func (p *Primary) sendDrops() {
+	if p.ReplicatedSeq() < p.LastSeq() {
+		return
+	}
+	for _, name := range slices.Sorted(maps.Keys(p.former)) {
+		p.send(Message{Type: MsgDrop, To: name})
+		if p.former[name]--; p.former[name] <= 0 {
+			delete(p.former, name)
 		}
 	}
-	w.Flush(now)
 }
 
-// trim forgets the steps that nobody needs any more.
-func (w *Primary) trim() {
-	least := w.seq()
-	for _, h := range w.replicas {
-		if h.caughtUp {
-			least = min(least, h.ackedSeq)
+// trim forgets the operations that all replicas have, and the oldest ones beyond
+// maxRetainedOperations.
+func (p *Primary) trim() {
+	last := p.LastSeq()
+	needed := last
+	for _, r := range p.replicas {
+		if r.caughtUp {
+			needed = min(needed, r.ackedSeq)
 		} else {
-			least = min(least, h.snapshotSeq)
+			needed = min(needed, r.snapshotSeq)
 		}
 	}
-	if w.seq() > maxRetainedOperations {
-		least = max(least, w.seq()-maxRetainedOperations)
+	if last > maxRetainedOperations {
+		needed = max(needed, last-maxRetainedOperations)
 	}
-	if least > w.base {
-		w.operations = slices.Clone(w.operations[least-w.base:])
-		w.base = least
+	if needed > p.baseSeq {
+		p.operations = slices.Clone(p.operations[needed-p.baseSeq:])
+		p.baseSeq = needed
 	}
 }
 
-// TakeMessages gives what is to be sent.
-func (w *Primary) TakeMessages() []Message {
-	out := w.outbox
-	w.outbox = nil
-	return out
+// TakeMessages returns the messages to send, and forgets them.
+func (p *Primary) TakeMessages() []Message {
+	messages := p.outbox
+	p.outbox = nil
+	return messages
 }
 
-// FullyReplicated tells whether there are heirs, and each has the account and is told what is new.
-func (w *Primary) FullyReplicated() bool {
-	for _, h := range w.replicas {
-		if !h.caughtUp {
+// FullyReplicated reports whether there are replicas and each of them has the ledger and is sent
+// operations.
+func (p *Primary) FullyReplicated() bool {
+	for _, r := range p.replicas {
+		if !r.caughtUp {
 			return false
 		}
 	}
-	return len(w.replicas) > 0
+	return len(p.replicas) > 0
 }
 
-// ReplicasOf tells who knows the account, and how many steps each is behind.
-func (w *Primary) Lag() map[string]uint64 {
-	all := map[string]uint64{}
-	for name, h := range w.replicas {
-		all[name] = w.seq() - h.ackedSeq
+// Lag returns the number of operations that each replica has not acknowledged, by its name.
+func (p *Primary) Lag() map[string]uint64 {
+	lag := map[string]uint64{}
+	for name, r := range p.replicas {
+		lag[name] = p.LastSeq() - r.ackedSeq
 	}
-	return all
+	return lag
 }
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -1,255 +1,282 @@
 package usagereplica
 
 import (
-	"errors"
+	"fmt"
 	"maps"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/usage/ledger"
 )
 
-// ErrDiverged is that of an account that came to something else than its runner's did. It is asked
-// for anew.
-var ErrDiverged = errors.New("accounts: it differs from its runner's")
+const (
+	// endDelay is the time after the loss of a runner before its ledgers are finished.
+	endDelay = 2 * time.Second
+	// maxSnapshotParts bounds the parts of a ledger.
+	maxSnapshotParts = 256
+	// maxLedgersPerRunner bounds the ledgers of one runner: one that goes on, and those of earlier
+	// processes that are about to be finished.
+	maxLedgersPerRunner = 3
+)
 
-// replicatedLedger is an account of another runner.
+// replicatedLedger is the ledger of another runner.
 type replicatedLedger struct {
 	owner      string
 	process    uint32
-	ledger     *ledger.Ledger // nil: it is still on its way
-	seq        uint64
-	parts      [][]byte
-	partsID    uint64 // which giving of it they are of
-	snapshotID uint64 // which giving it was, or was found to be
-	lostSince  int64  // since when its runner is; 0: it is there
+	ledger     *ledger.Ledger // nil: its snapshot is not complete yet
+	seq        uint64         // of the last operation
+	snapshotID uint64         // the newest snapshot that it was, or was found to be
+	parts      [][]byte       // of a snapshot that is not complete
+	partsID    uint64         // the snapshot that they are of
+	lostSince  time.Duration  // 0: its process is a member
 }
 
-// OwnedStatement is a statement that is to be written, and the process whose it was.
+// OwnedStatement is a statement to store, and the runner and process whose ledger made it.
 type OwnedStatement struct {
 	Owner   string
 	Process uint32
 	*ledger.Statement
 }
 
-// Replica knows accounts of others.
+// Replica has the ledgers of other runners.
 type Replica struct {
 	name        string
 	incarnation uint64
-	table       *placement.Table
-	ledgers     map[string]*replicatedLedger // by the names of the accounts
+	table       *placement.Table             // nil: none is known yet
+	ledgers     map[string]*replicatedLedger // by the incarnations of the ledgers
 	outbox      []Message
 	statements  []OwnedStatement
 	errs        []error
 }
 
-// NewReplica is one that knows none yet.
+// NewReplica returns a replica without ledgers.
 func NewReplica(name string) *Replica {
 	return &Replica{name: name, ledgers: map[string]*replicatedLedger{}}
 }
 
-// SetTable takes a newer table, and the life of this runner's membership.
-func (h *Replica) SetTable(t *placement.Table, life uint64, now int64) {
-	h.table, h.incarnation = t, life
-	h.markLost(now)
+// SetTable takes a newer table, and the incarnation of this runner's membership.
+func (r *Replica) SetTable(t *placement.Table, incarnation uint64, now time.Duration) {
+	r.table, r.incarnation = t, incarnation
+	r.markLost(now)
 }
 
-// markLost notes whose process is not in the table. A word of it may have come after that.
-func (h *Replica) markLost(now int64) {
-	if h.table == nil {
+// markLost notes the ledgers whose processes are no members. A message of such a process may come
+// after the table.
+func (r *Replica) markLost(now time.Duration) {
+	if r.table == nil {
 		return
 	}
-	for _, e := range h.ledgers {
-		if m := h.table.Member(e.owner); m != nil && m.Incarnation != 0 && m.Process == e.process {
-			e.lostSince = 0
-		} else if e.lostSince == 0 {
-			e.lostSince = now
+	for _, l := range r.ledgers {
+		if m := r.table.Member(l.owner); m != nil && m.Incarnation != 0 && m.Process == l.process {
+			l.lostSince = 0
+		} else if l.lostSince == 0 {
+			l.lostSince = now
 		}
 	}
 }
 
-// Receive takes the word of a runner.
-func (h *Replica) Receive(m *Message) {
+// Receive handles a message of a primary, or a statement of another runner.
+func (r *Replica) Receive(m *Message) {
 	switch m.Type {
 	case MsgSnapshot:
-		h.receiveSnapshotPart(m)
+		r.receiveSnapshotPart(m)
 	case MsgAppend:
-		h.applyOperations(m)
+		r.applyOperations(m)
 	case MsgStatement:
-		s, err := ledger.ParseStatement(m.Name, m.Bytes)
-		if err == nil && s.FileName() != m.Name {
-			err = errors.New("accounts: " + m.Name + " is " + s.FileName())
-		}
-		if err != nil {
-			h.errs = append(h.errs, err)
-			return
-		}
-		h.statements = append(h.statements, OwnedStatement{m.From, m.Process, s})
+		r.receiveStatement(m)
 	case MsgDrop:
-		if e := h.ledgers[m.Ledger]; e != nil && e.owner == m.From && e.lostSince == 0 {
-			delete(h.ledgers, m.Ledger)
+		if l := r.ledgers[m.Ledger]; l != nil && l.owner == m.From && l.lostSince == 0 {
+			delete(r.ledgers, m.Ledger)
 		}
-		h.sendProgress(m, 0, 0, 0)
-	}
-}
-
-func (h *Replica) sendProgress(m *Message, seq uint64, part, parts int) {
-	h.outbox = append(
-		h.outbox,
-		Message{
-			Type:        MsgProgress,
-			From:        h.name,
-			To:          m.From,
-			Ledger:      m.Ledger,
-			Incarnation: h.incarnation,
-			Seq:         seq,
-			Part:        part,
-			Parts:       parts,
-			SnapshotID:  m.SnapshotID,
-		},
-	)
-}
-
-// operations plays what is new. Where something is missing in between, or the account is not known, it
-// says so.
-func (h *Replica) applyOperations(m *Message) {
-	e := h.ledgers[m.Ledger]
-	if e == nil || e.owner != m.From || e.ledger == nil || e.snapshotID != m.SnapshotID {
-		h.sendProgress(m, 0, 0, 0)
+		r.sendProgress(m, 0)
+	}
+}
+
+func (r *Replica) fail(err error) { r.errs = append(r.errs, err) }
+
+func (r *Replica) receiveStatement(m *Message) {
+	s, err := ledger.ParseStatement(m.Name, m.Bytes)
+	if err == nil && s.FileName() != m.Name {
+		err = fmt.Errorf("%w: %s is %s", ErrWrongName, m.Name, s.FileName())
+	}
+	if err != nil {
+		r.fail(err)
+		return
+	}
+	r.statements = append(r.statements, OwnedStatement{m.From, m.Process, s})
+}
+
+// sendProgress answers a message with the last operation that is here; 0: the ledger is not known.
+func (r *Replica) sendProgress(m *Message, seq uint64) { r.sendPartProgress(m, seq, 0, 0) }
+
+// sendPartProgress answers a part of a snapshot with the number of parts that are here.
+func (r *Replica) sendPartProgress(m *Message, seq uint64, part, parts int) {
+	r.outbox = append(r.outbox, Message{
+		Type:        MsgProgress,
+		From:        r.name,
+		To:          m.From,
+		Ledger:      m.Ledger,
+		Incarnation: r.incarnation,
+		Seq:         seq,
+		Part:        part,
+		Parts:       parts,
+		SnapshotID:  m.SnapshotID,
+	})
+}
+
+// applyOperations applies the operations that are new. If there is a gap before them, or the ledger
+// is not known, the answer says so.
+func (r *Replica) applyOperations(m *Message) {
+	l := r.ledgers[m.Ledger]
+	if l == nil || l.owner != m.From || l.ledger == nil || l.snapshotID != m.SnapshotID {
+		r.sendProgress(m, 0)
 		return
 	}
-	if m.Seq <= e.seq {
-		for _, s := range m.Operations[min(e.seq-m.Seq, uint64(len(m.Operations))):] {
-			told, same := s.apply(e.ledger)
+	if m.Seq <= l.seq {
+		known := min(l.seq-m.Seq, uint64(len(m.Operations)))
+		for i := range m.Operations[known:] {
+			sealed, same := m.Operations[known:][i].apply(l.ledger)
 			if !same {
-				h.errs = append(h.errs, ErrDiverged)
-				delete(h.ledgers, m.Ledger)
-				h.sendProgress(m, 0, 0, 0)
+				r.fail(ErrDiverged)
+				delete(r.ledgers, m.Ledger)
+				r.sendProgress(m, 0)
 				return
 			}
-			if e.seq++; told != nil {
-				h.statements = append(h.statements, OwnedStatement{e.owner, e.process, told})
+			if l.seq++; sealed != nil {
+				r.statements = append(r.statements, OwnedStatement{l.owner, l.process, sealed})
 			}
 		}
 	}
-	h.sendProgress(m, e.seq, 0, 0)
+	r.sendProgress(m, l.seq)
+}
+
+// isValidPart reports whether the numbers of a MsgSnapshot are possible.
+func isValidPart(m *Message) bool {
+	return m.Parts >= 1 && m.Parts <= maxSnapshotParts && m.Part >= 0 && m.Part < m.Parts &&
+		len(m.Bytes) <= snapshotPartBytes && m.Settings.Period > 0 && m.Settings.Slice > 0
 }
 
-// encodeLedger puts an account together that comes in pieces.
-func (h *Replica) receiveSnapshotPart(m *Message) {
-	if m.Parts < 1 || m.Parts > maxSnapshotParts || m.Part < 0 || m.Part >= m.Parts || len(m.Bytes) > snapshotPartBytes ||
-		m.Settings.Period <= 0 ||
-		m.Settings.Slice <= 0 {
-		h.errs = append(h.errs, errors.New("accounts: a piece of an account that cannot be"))
+// receiveSnapshotPart takes a part of a ledger, and the ledger with the last one.
+func (r *Replica) receiveSnapshotPart(m *Message) {
+	if !isValidPart(m) {
+		r.fail(ErrInvalidPart)
 		return
 	}
-	e := h.ledgers[m.Ledger]
+	l := r.ledgers[m.Ledger]
 	switch {
-	case e == nil && h.countOf(m.From) >= maxLedgersPerRunner:
-		return // those before it are ended soon
-	case e == nil:
-		e = &replicatedLedger{owner: m.From, process: m.Process}
-		h.ledgers[m.Ledger] = e
-	case e.owner != m.From:
+	case l == nil && r.countOf(m.From) >= maxLedgersPerRunner:
+		return // earlier ones are finished soon; the primary sends it again
+	case l == nil:
+		l = &replicatedLedger{owner: m.From, process: m.Process}
+		r.ledgers[m.Ledger] = l
+	case l.owner != m.From:
 		return
 	}
-	if e.ledger != nil && m.Seq <= e.seq { // it is said again, or what is here goes further
-		e.snapshotID = m.SnapshotID
-		h.sendProgress(m, e.seq, 0, 0)
+	if l.ledger != nil && m.Seq <= l.seq { // the ledger here has all of the snapshot
+		l.snapshotID = m.SnapshotID
+		r.sendProgress(m, l.seq)
 		return
 	}
-	if e.partsID != m.SnapshotID || m.Part == 0 {
-		e.parts, e.partsID = nil, m.SnapshotID
+	if l.partsID != m.SnapshotID || m.Part == 0 {
+		l.parts, l.partsID = nil, m.SnapshotID
 	}
-	if m.Part == len(e.parts) {
-		e.parts = append(e.parts, m.Bytes)
+	if m.Part == len(l.parts) {
+		l.parts = append(l.parts, m.Bytes)
 	}
-	if len(e.parts) < m.Parts {
-		h.sendProgress(m, m.Seq, len(e.parts), m.Parts)
+	if len(l.parts) < m.Parts {
+		r.sendPartProgress(m, m.Seq, len(l.parts), m.Parts)
 		return
 	}
-	led, _, err := ledger.Decode(m.Settings, slices.Concat(e.parts...))
-	e.parts = nil
-	if err == nil && (led.Incarnation() != m.Ledger || m.Settings.Instance != m.From) {
-		err = errors.New("accounts: an account of " + m.Settings.Instance + " from " + m.From)
+	r.installSnapshot(l, m)
+}
+
+// installSnapshot takes a ledger whose parts are all here. Its statements may not be stored by its
+// runner, and are stored here too.
+func (r *Replica) installSnapshot(l *replicatedLedger, m *Message) {
+	decoded, _, err := ledger.Decode(m.Settings, slices.Concat(l.parts...))
+	l.parts = nil
+	if err == nil && (decoded.Incarnation() != m.Ledger || m.Settings.Instance != m.From) {
+		err = fmt.Errorf("%w: of %s from %s", ErrWrongOwner, m.Settings.Instance, m.From)
 	}
 	if err != nil {
-		h.errs = append(h.errs, err)
+		r.fail(err)
 		return
 	}
-	e.ledger, e.seq, e.snapshotID = led, m.Seq, m.SnapshotID
-	for s, _ := led.NextStatement(); s != nil; s, _ = led.NextStatement() { // they may not have their names there
-		h.statements = append(h.statements, OwnedStatement{e.owner, e.process, s})
-		led.MarkExported(s)
+	l.ledger, l.seq, l.snapshotID = decoded, m.Seq, m.SnapshotID
+	for s, _ := decoded.NextStatement(); s != nil; s, _ = decoded.NextStatement() {
+		r.statements = append(r.statements, OwnedStatement{l.owner, l.process, s})
+		decoded.MarkExported(s)
 	}
-	h.sendProgress(m, e.seq, 0, 0)
+	r.sendProgress(m, l.seq)
 }
 
-// countOf is how many accounts of a runner are known.
-func (h *Replica) countOf(owner string) (n int) {
-	for _, e := range h.ledgers {
-		if e.owner == owner {
+// countOf returns how many ledgers of a runner are here.
+func (r *Replica) countOf(owner string) (n int) {
+	for _, l := range r.ledgers {
+		if l.owner == owner {
 			n++
 		}
 	}
 	return n
 }
 
-// Tick ends the accounts of those who have been lost for long enough.
-func (h *Replica) Tick(now int64) {
-	h.markLost(now)
-	h.endLost(now - endDelay)
+// Tick finishes the ledgers of the processes that have been lost for endDelay.
+func (r *Replica) Tick(now time.Duration) {
+	r.markLost(now)
+	r.finishLost(now - endDelay)
 }
 
-// Close ends the accounts of all who are lost, as this runner is about to go.
-func (h *Replica) Close(now int64) { h.endLost(now) }
+// Close finishes the ledgers of all lost processes, as this runner is about to stop.
+func (r *Replica) Close(now time.Duration) { r.finishLost(now) }
 
-func (h *Replica) endLost(before int64) {
-	for _, name := range slices.Sorted(maps.Keys(h.ledgers)) {
-		e := h.ledgers[name]
-		if e.lostSince == 0 || e.lostSince > before {
+// finishLost finishes the ledgers of the processes that were lost by then.
+func (r *Replica) finishLost(by time.Duration) {
+	for _, name := range slices.Sorted(maps.Keys(r.ledgers)) {
+		l := r.ledgers[name]
+		if l.lostSince == 0 || l.lostSince > by {
 			continue
 		}
-		delete(h.ledgers, name)
-		if e.ledger == nil {
+		delete(r.ledgers, name)
+		if l.ledger == nil {
 			continue
 		}
-		if s := e.ledger.Finish(); s != nil {
-			h.statements = append(h.statements, OwnedStatement{e.owner, e.process, s})
+		if s := l.ledger.Finish(); s != nil {
+			r.statements = append(r.statements, OwnedStatement{l.owner, l.process, s})
 		}
 	}
 }
 
-// TakeMessages gives what is to be sent.
-func (h *Replica) TakeMessages() []Message {
-	out := h.outbox
-	h.outbox = nil
-	return out
+// TakeMessages returns the messages to send, and forgets them.
+func (r *Replica) TakeMessages() []Message {
+	messages := r.outbox
+	r.outbox = nil
+	return messages
 }
 
-// TakeStatements gives the statements that are to be written.
-func (h *Replica) TakeStatements() []OwnedStatement {
-	told := h.statements
-	h.statements = nil
-	return told
+// TakeStatements returns the statements to store, and forgets them.
+func (r *Replica) TakeStatements() []OwnedStatement {
+	statements := r.statements
+	r.statements = nil
+	return statements
 }
 
-// TakeErrors gives what went wrong.
-func (h *Replica) TakeErrors() []error {
-	errs := h.errs
-	h.errs = nil
+// TakeErrors returns what went wrong, and forgets it.
+func (r *Replica) TakeErrors() []error {
+	errs := r.errs
+	r.errs = nil
 	return errs
 }
 
-// PendingEnds tells how many accounts are of runners that are lost, and are to be ended.
-func (h *Replica) PendingEnds() (n int) {
-	for _, e := range h.ledgers {
-		if e.lostSince != 0 {
+// PendingEnds returns how many ledgers are of lost processes and not finished yet.
+func (r *Replica) PendingEnds() (n int) {
+	for _, l := range r.ledgers {
+		if l.lostSince != 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Len tells how many accounts of others are known here.
-func (h *Replica) Len() int { return len(h.ledgers) }
+// Len returns the number of ledgers of other runners.
+func (r *Replica) Len() int { return len(r.ledgers) }
--- a/internal/peers/usagereplica/statement_store.go
+++ b/internal/peers/usagereplica/statement_store.go
@@ -3,169 +3,185 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/peers/placement"
 )
 
-// StatementsLease is that of passing on the statements of lost runners.
+// StatementsLease is the name of the lease to pass on the statements of lost runners.
 const StatementsLease = "statements"
 
-// StatementStore decides who else is to have the statements that lie in this runner's folder. Those of its
-// own accounts are its to pass on; those that it has of another one are, once that one's process is
-// lost: whoever else was told of the account may know less of it. Where the table has a holder for
-// that, others give such statements to it alone, and it passes them on; without one they wait,
-// where they lie.
+// checksPerTick bounds the statements that one tick looks at, and with them what is asked at once.
+const checksPerTick = 64
+
+// StatementStore decides which other runners are to have the statements in this runner's folder. A
+// runner passes on the statements of its own ledgers, and those of a lost process: other replicas
+// may know less of its ledger. Where a member holds StatementsLease, the others pass the statements
+// of lost processes to it alone, and it passes them on; without a holder they wait where they are.
 type StatementStore struct {
 	name        string
-	process     uint32 // of this process
+	process     uint32 // this one
 	incarnation uint64
-	table       *placement.Table
+	table       *placement.Table // nil: none is known yet
 	replicas    []placement.Member
-	statements  map[string]*storedStatement
-	order       []string // their names, sorted
-	nextCheck   int      // where the next look begins
+	statements  map[string]*storedStatement // by file name
+	order       []string                    // their names, sorted
+	nextCheck   int                         // where the next tick begins
 	outbox      []Message
 }
 
-// storedStatement is a statement that lies here, or lay here until somebody took it away.
+// storedStatement is a statement that is in the folder, or was until somebody took it away.
 type storedStatement struct {
-	origin   placement.Member // whom it is of; this runner: the zero
-	holders  map[string]uint64
-	lastSent int64
+	origin   placement.Member  // whose ledger made it; the zero member: this runner's
+	holders  map[string]uint64 // runners that have it, and their incarnations
+	lastSent time.Duration
 }
 
-// NewStatementStore is that of a folder with these statements. Nobody else is known to have them.
-func NewStatementStore(name string, process uint32, names []string) *StatementStore {
+// isHeldBy reports whether a member has the statement in its present incarnation.
+func (s *storedStatement) isHeldBy(m placement.Member) bool {
+	incarnation, ok := s.holders[m.Name]
+	return ok && incarnation == m.Incarnation
+}
+
+// NewStatementStore returns the store of a folder with statements of this runner. Nobody else is
+// known to have them.
+func NewStatementStore(name string, process uint32, statements []string) *StatementStore {
 	s := &StatementStore{name: name, process: process, statements: map[string]*storedStatement{}}
-	for _, n := range names {
-		s.add(n, placement.Member{})
+	for _, statement := range statements {
+		s.AddOwn(statement)
 	}
 	return s
 }
 
-// AddOwn notes a statement of this runner that lies in its folder now.
+// AddOwn notes a statement of this runner's ledger that is in the folder now.
 func (s *StatementStore) AddOwn(name string) { s.add(name, placement.Member{}) }
 
-// Owner notes a statement that a runner's process gave, or that came of playing its account.
-func (s *StatementStore) AddReplicated(p *OwnedStatement) {
-	s.add(p.FileName(), placement.Member{Name: p.Owner, Process: p.Process})
+// AddReplicated notes a statement of another runner that is in the folder now.
+func (s *StatementStore) AddReplicated(statement *OwnedStatement) {
+	s.add(statement.FileName(), placement.Member{Name: statement.Owner, Process: statement.Process})
 }
 
-func (s *StatementStore) add(name string, giver placement.Member) {
+func (s *StatementStore) add(name string, origin placement.Member) {
 	if s.statements[name] != nil {
 		return
 	}
-	s.statements[name] = &storedStatement{origin: giver, holders: map[string]uint64{}}
+	s.statements[name] = &storedStatement{origin: origin, holders: map[string]uint64{}}
 	i, _ := slices.BinarySearch(s.order, name)
 	s.order = slices.Insert(s.order, i, name)
 }
 
-// SetTable takes a newer table, and the life of this runner's membership.
-func (s *StatementStore) SetTable(t *placement.Table, life uint64) {
-	s.table, s.incarnation, s.replicas = t, life, ReplicasOf(t, s.name)
+// SetTable takes a newer table, and the incarnation of this runner's membership.
+func (s *StatementStore) SetTable(t *placement.Table, incarnation uint64) {
+	s.table, s.incarnation, s.replicas = t, incarnation, ReplicasOf(t, s.name)
 }
 
-// processGone tells whether the process of a member is not there any more.
-func (s *StatementStore) processGone(m placement.Member) bool {
-	now := s.table.Member(m.Name)
-	return now == nil || now.Incarnation == 0 || now.Process != m.Process
+// isLost reports whether the process of a member is not in the table any more.
+func (s *StatementStore) isLost(m placement.Member) bool {
+	current := s.table.Member(m.Name)
+	return current == nil || current.Incarnation == 0 || current.Process != m.Process
 }
 
-// recipients is whom this runner is to pass a statement on to.
-func (s *StatementStore) recipients(p *storedStatement) []placement.Member {
-	switch d := s.table.Lease(StatementsLease); {
-	case p.origin.Name == "":
+// recipients returns the members that this runner is to pass a statement on to.
+func (s *StatementStore) recipients(statement *storedStatement) []placement.Member {
+	switch l := s.table.Lease(StatementsLease); {
+	case statement.origin.Name == "":
 		return s.replicas
-	case !s.processGone(p.origin):
+	case !s.isLost(statement.origin):
 		return nil
-	case d == nil || d.Holder == s.name:
+	case l == nil || l.Holder == s.name:
 		return s.replicas
 	default:
-		if m := s.table.Member(d.Holder); m != nil && m.Incarnation != 0 && m.KeepsUsage {
+		if m := s.table.Member(l.Holder); m != nil && m.Incarnation != 0 && m.KeepsUsage {
 			return []placement.Member{*m}
 		}
 		return nil
 	}
 }
 
-// checksPerTick bounds the work of one look, and what is asked at once.
-const checksPerTick = 64
-
-// Tick asks heirs whether they have what is to be passed on.
-func (s *StatementStore) Tick(now int64) {
+// Tick asks recipients whether they have the statements that are to be passed on.
+func (s *StatementStore) Tick(now time.Duration) {
 	if s.table == nil || len(s.order) == 0 {
 		return
 	}
 	for range min(checksPerTick, len(s.order)) {
 		s.nextCheck = (s.nextCheck + 1) % len(s.order)
 		name := s.order[s.nextCheck]
-		p := s.statements[name]
-		if now-p.lastSent < resendInterval {
+		statement := s.statements[name]
+		if now-statement.lastSent < resendInterval {
 			continue
 		}
-		for _, h := range s.recipients(p) {
-			if life, ok := p.holders[h.Name]; !ok || life != h.Incarnation {
-				p.lastSent = now
-				s.outbox = append(s.outbox, Message{Type: MsgStatement, From: s.name, To: h.Name, Name: name})
+		for _, m := range s.recipients(statement) {
+			if !statement.isHeldBy(m) {
+				statement.lastSent = now
+				s.outbox = append(s.outbox, Message{Type: MsgStatement, From: s.name, To: m.Name, Name: name})
 			}
 		}
 	}
 }
 
-// Receive takes a word about a statement: whether it is here, or what an heir has or wants of it.
-// Wanted is the name of one that is to be read and given with Give.
+// Receive handles a message about a statement. It returns the name of a statement that the sender
+// wants, which the caller reads and gives to Send, or "".
 func (s *StatementStore) Receive(m *Message) (wanted string) {
-	p := s.statements[m.Name]
+	statement := s.statements[m.Name]
 	switch {
-	case m.Type == MsgStatement && p != nil:
+	case m.Type == MsgStatement && statement != nil:
 		s.respond(m, MsgStatementStored)
 	case m.Type == MsgStatement && len(m.Bytes) == 0:
 		s.respond(m, MsgStatementWanted)
-	case m.Type == MsgStatementStored && p != nil:
-		p.holders[m.From] = m.Incarnation
-	case m.Type == MsgStatementWanted && p != nil:
+	case m.Type == MsgStatementStored && statement != nil:
+		statement.holders[m.From] = m.Incarnation
+	case m.Type == MsgStatementWanted && statement != nil:
 		return m.Name
 	}
 	return ""
 }
 
-func (s *StatementStore) respond(m *Message, k MessageType) {
-	s.outbox = append(s.outbox, Message{Type: k, From: s.name, To: m.From, Name: m.Name, Incarnation: s.incarnation})
+func (s *StatementStore) respond(m *Message, t MessageType) {
+	response := Message{Type: t, From: s.name, To: m.From, Name: m.Name, Incarnation: s.incarnation}
+	s.outbox = append(s.outbox, response)
 }
 
-// Send gives an heir what it wants. One that was taken away is not passed on any more.
-func (s *StatementStore) Send(to, name string, b []byte) {
-	if len(b) > 0 {
-		s.outbox = append(
-			s.outbox,
-			Message{Type: MsgStatement, From: s.name, To: to, Process: s.process, Name: name, Bytes: b},
-		)
+// Send sends a statement that a runner wants. One without bytes was taken away from the folder, and
+// is not passed on any more.
+func (s *StatementStore) Send(to, name string, data []byte) {
+	if len(data) > 0 {
+		s.outbox = append(s.outbox, Message{
+			Type:    MsgStatement,
+			From:    s.name,
+			To:      to,
+			Process: s.process,
+			Name:    name,
+			Bytes:   data,
+		})
 		return
 	}
-	if p := s.statements[name]; p != nil && s.table != nil {
-		for _, h := range append(s.recipients(p), s.replicas...) {
-			p.holders[h.Name] = h.Incarnation
-		}
+	statement := s.statements[name]
+	if statement == nil || s.table == nil {
+		return
+	}
+	for _, m := range slices.Concat(s.recipients(statement), s.replicas) {
+		statement.holders[m.Name] = m.Incarnation
 	}
 }
 
-// Unreplicated tells how many statements are to be passed on to somebody who does not have them.
+// Unreplicated returns how many statements a recipient does not have.
 func (s *StatementStore) Unreplicated() (n int) {
 	if s.table == nil {
 		return 0
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.statements)) {
-		p := s.statements[name]
-		if slices.ContainsFunc(s.recipients(p), func(h placement.Member) bool { return p.holders[h.Name] != h.Incarnation }) {
+		statement := s.statements[name]
+		missing := func(m placement.Member) bool { return statement.holders[m.Name] != m.Incarnation }
+		if slices.ContainsFunc(s.recipients(statement), missing) {
 			n++
 		}
 	}
 	return n
 }
 
-// TakeMessages gives what is to be sent.
+// TakeMessages returns the messages to send, and forgets them.
 func (s *StatementStore) TakeMessages() []Message {
-	out := s.outbox
+	messages := s.outbox
 	s.outbox = nil
-	return out
+	return messages
 }
--- a/internal/usage/metering/meter.go
+++ b/internal/usage/metering/meter.go
@@ -180,7 +180,7 @@
 		return known, err
 	}
 	if !known {
-		a.publisher.publish(usagereplica.Operation{Correction: &c, At: int64(now)})
+		a.publisher.publish(usagereplica.Operation{Correction: &c, At: now})
 	}
 	return known, a.save(now)
 }
--- a/internal/usage/metering/publisher.go
+++ b/internal/usage/metering/publisher.go
@@ -51,7 +51,7 @@
 
 func (p *publisher) publishSeal(s *ledger.Statement, now wallclock.UnixMicro) {
 	if p != nil {
-		p.seals[s.Seq] = p.primary.Append(usagereplica.Operation{SealDigest: s.Digest(), At: int64(now)})
+		p.seals[s.Seq] = p.primary.Append(usagereplica.Operation{SealDigest: s.Digest(), At: now})
 	}
 }
 
--- a/internal/usage/metering/remote.go
+++ b/internal/usage/metering/remote.go
@@ -87,10 +87,10 @@
 	m := r.meter
 	select {
 	case <-m.closing:
-		r.replica.Close(m.elapsed().Microseconds())
+		r.replica.Close(m.elapsed())
 		return true
 	case <-tick:
-		now := m.elapsed().Microseconds()
+		now := m.elapsed()
 		r.replica.Tick(now)
 		r.statements.Tick(now)
 		r.updateStatus()
@@ -117,7 +117,7 @@
 		r.statements.AddOwn(name)
 	}
 	if view.table != nil {
-		r.replica.SetTable(view.table, view.incarnation, r.meter.elapsed().Microseconds())
+		r.replica.SetTable(view.table, view.incarnation, r.meter.elapsed())
 		r.statements.SetTable(view.table, view.incarnation)
 	}
 	for i := range messages {
--- a/internal/usage/metering/replication.go
+++ b/internal/usage/metering/replication.go
@@ -131,8 +131,7 @@
 	if p == nil {
 		return
 	}
-	elapsed := m.elapsed()
-	now := elapsed.Microseconds()
+	now := m.elapsed()
 	messages, _, view := m.accountBox.take()
 	if view.table != nil {
 		p.primary.SetTable(view.table, now)
@@ -153,5 +152,5 @@
 	if record, changed := p.takeConfirmed(); changed {
 		m.replication.RunOnLoop(func() { m.confirmRecords(record) })
 	}
-	p.answerWaiting(elapsed)
+	p.answerWaiting(now)
 }
