--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -40,9 +40,8 @@
 	return a
 }
 
-// A reply that never came held its call to the request's due time, and its place in the share of
-// the back end with it.
-func TestCallThatOthersOvertakeIsGivenUp(t *testing.T) {
+// A lost reply must not hold its call, and its share of the back end, until the deadline.
+func TestOvertakenCallIsGivenUp(t *testing.T) {
 	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +64,7 @@
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if c.got != lifecycle.Interrupted || c.n < overtakenBy {
+	if c.got != lifecycle.Interrupted || c.n < overtakenLimit {
 		t.Errorf("outcome %v after %d calls", c.got, c.n)
 	}
 }
--- a/internal/platform/backend/crossing_test.go
+++ b/internal/platform/backend/crossing_test.go
@@ -16,9 +16,9 @@
 	e.outcomes = append(e.outcomes, o)
 }
 
-// Nothing was sent on a connection that never stood. A call on one ends as a call that nobody took,
-// as the back end moves or its time is up: one with an effect may then be placed again.
-func TestCallOnAConnectionThatDoesNotStand(t *testing.T) {
+// Nothing was sent on a connection that was never established, so that a call that may not be made twice
+// may be placed again.
+func TestCallOnAnUnestablishedConnectionIsUnreachable(t *testing.T) {
 	for name, cross := range map[string]func(*scenario.SteppedLoop, *Pool){
 		"the back end moves": func(_ *scenario.SteppedLoop, p *Pool) {
 			p.SetAddress(
--- a/internal/platform/engine/crossing_test.go
+++ b/internal/platform/engine/crossing_test.go
@@ -9,9 +9,9 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// The engine moves, and moves again while the link to its first new address is still being opened:
-// that one is given up, and the link attaches at the second, with what is open.
-func TestEngineMovesTwiceWhileALinkIsOpened(t *testing.T) {
+// The connection to the first new address is given up, and the link attaches at the second one with all
+// open runs.
+func TestEngineMovesTwiceWhileDialing(t *testing.T) {
 	s, stand := scenario.NewSteppedLoop(t), scenario.NewEngine(t)
 	k := New(
 		s.Loop,
@@ -25,13 +25,13 @@
 	expect(t, stand, "ATTACH 0", "RUN 1 check")
 	k.SetAddress(scenario.UnresponsiveServer(t))
 	s.Pass(0)
-	if !k.IsConnected() || k.next == nil {
+	if !k.IsConnected() || k.dialing == nil {
 		t.Fatal("the link that stands is given up before the new one stands")
 	}
 	last := netip.MustParseAddrPort(stand.Elsewhere(t))
 	k.SetAddress(last)
-	s.Until(func() bool { return k.IsConnected() && k.conn.conn.RemoteAddr() == last })
-	if k.next != nil {
+	s.Until(func() bool { return k.IsConnected() && k.current.conn.RemoteAddr() == last })
+	if k.dialing != nil {
 		t.Error("a second link is still being opened")
 	}
 	expect(t, stand, "ATTACH 0")
--- a/internal/platform/engine/engine_test.go
+++ b/internal/platform/engine/engine_test.go
@@ -54,20 +54,19 @@
 	}
 }
 
-// A run whose end was in notices that the engine no longer had kept its place among the running for
-// good.
-func TestRunOfWhichNothingIsHeardIsBuried(t *testing.T) {
+// The end of a run may be in notices that the engine no longer has.
+func TestRunWithoutAnEndIsReportedAsFaulted(t *testing.T) {
 	got := link(t, func(l *eventloop.Loop, k *Link, _ *scenario.Engine) {
 		k.Run(attempt(l, "1"))
-		l.After(50*time.Millisecond, func() { k.bury(10_000) })
+		l.After(50*time.Millisecond, func() { k.endLostRuns(10 * time.Millisecond) })
 	})
 	if got != lifecycle.Faulted {
 		t.Fatalf("outcome %v", got)
 	}
 }
 
-// Gauges that do not come must not hold up the module's look round, with which due times are kept.
-func TestLookRoundDoesNotWaitForADeafEngine(t *testing.T) {
+// The admission module keeps deadlines when it gets gauges, so that it must not wait for them.
+func TestMeasurementDoesNotWaitForASilentEngine(t *testing.T) {
 	looks := 0
 	link(t, func(l *eventloop.Loop, k *Link, stand *scenario.Engine) {
 		l.After(100*time.Millisecond, func() {
@@ -85,8 +84,7 @@
 	}
 }
 
-// Two attempts by one name would be one to the engine.
-func TestSecondAttemptByTheSameNameIsFailed(t *testing.T) {
+func TestSecondAttemptWithTheSameIDFails(t *testing.T) {
 	got := link(t, func(l *eventloop.Loop, k *Link, _ *scenario.Engine) {
 		k.Run(attempt(l, "1"))
 		k.Run(attempt(l, "1"))
--- a/internal/platform/registry/roster_test.go
+++ b/internal/platform/registry/registry_test.go
@@ -55,8 +55,7 @@
 	}
 }
 
-// A start without a descriptor for the reports goes on, and they begin as soon as there is one.
-func TestStartWithoutDescriptors(t *testing.T) {
+func TestReportsBeginOnceADescriptorIsFree(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	c, addr := registry(t)
 	var r *Reporter
@@ -66,13 +65,12 @@
 			t.Errorf("reporter %v, error %v", r, err)
 		}
 	})
-	s.Pass(every * time.Microsecond)
+	s.Pass(reportInterval * time.Microsecond)
 	expect(t, c, "HERE n3 on")
 }
 
-// The roster moves while no descriptor can be had: reports go on to where it was, and to its new
-// address as soon as there is one. The way out is told to both.
-func TestMoveWithoutDescriptors(t *testing.T) {
+// While no descriptor is free, reports go to the former address of the registry, and then to the new one.
+func TestOldAddressIsUsedUntilADescriptorIsFree(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	first, addr := registry(t)
 	second, next := registry(t)
@@ -87,7 +85,7 @@
 		}
 	})
 	expect(t, first, "HERE n3 on")
-	s.Pass(every * time.Microsecond)
+	s.Pass(reportInterval * time.Microsecond)
 	expect(t, second, "HERE n3 on")
 	r.SetAvailable(false)
 	expect(t, second, "HERE n3 off")
