--- a/internal/peers/grid/grid.go
+++ b/internal/peers/grid/grid.go
@@ -1,22 +1,22 @@
-// Package grid bounds with how many others a runner of a large installation has links. Runners
-// stand in rows and columns, in the order of their names; each has links with those of its row and
-// of its column, and reaches any other over one of two relays: who stands in its row and the
-// other's column, or in its column and the other's row. It is free of I/O; the same names give the
-// same grid everywhere.
+// Package grid bounds the links of a runner in a large installation. Runners stand in rows and
+// columns in the order of their names; each has links with those of its row and of its column, and
+// reaches any other by one of two relays: the runner in its row and the other's column, or the one in
+// its column and the other's row. The package does no I/O; the same names give the same grid
+// everywhere.
 package grid
 
 import "slices"
 
-// Grid is how the runners of an installation stand.
+// Grid is the arrangement of the runners of an installation.
 type Grid struct {
 	names []string // sorted
 	width int      // of a row; 0: all have links with all
 }
 
-// New is the grid of these names. Up to so many of them all have links with all.
-func New(names []string, mesh int) *Grid {
+// New returns the grid of these runners. Up to fullMeshLimit of them all have links with all.
+func New(names []string, fullMeshLimit int) *Grid {
 	g := &Grid{names: slices.Compact(slices.Sorted(slices.Values(names)))}
-	if len(g.names) > mesh {
+	if len(g.names) > fullMeshLimit {
 		for g.width = 1; g.width*g.width < len(g.names); {
 			g.width++
 		}
@@ -24,6 +24,7 @@
 	return g
 }
 
+// position returns the row and column of a runner, and whether it is in the grid.
 func (g *Grid) position(name string) (row, column int, ok bool) {
 	i, ok := slices.BinarySearch(g.names, name)
 	if g.width == 0 {
@@ -32,6 +33,7 @@
 	return i / g.width, i % g.width, ok
 }
 
+// at returns the runner at a position, or "" if the last row is too short.
 func (g *Grid) at(row, column int) string {
 	if g.width == 0 {
 		return g.names[column]
@@ -39,38 +41,38 @@
 	if i := row*g.width + column; i < len(g.names) {
 		return g.names[i]
 	}
-	return "" // the last row may be short
+	return ""
 }
 
-// Linked tells whether two runners have a link.
+// Linked reports whether two runners have a link.
 func (g *Grid) Linked(a, b string) bool {
-	ar, ac, ok := g.position(a)
-	br, bc, known := g.position(b)
-	return ok && known && (g.width == 0 || ar == br || ac == bc)
+	rowA, columnA, okA := g.position(a)
+	rowB, columnB, okB := g.position(b)
+	return okA && okB && (g.width == 0 || rowA == rowB || columnA == columnB)
 }
 
-// Neighbors are with whom a runner has links.
-func (g *Grid) Neighbors(name string) (out []string) {
+// Neighbors returns the runners with which a runner has links.
+func (g *Grid) Neighbors(name string) (neighbors []string) {
 	for _, other := range g.names {
 		if other != name && g.Linked(name, other) {
-			out = append(out, other)
+			neighbors = append(neighbors, other)
 		}
 	}
-	return out
+	return neighbors
 }
 
-// Relays are over whom a runner reaches another that it has no link with; none: it has one, or one
-// of them is not known.
-func (g *Grid) Relays(from, to string) (out []string) {
-	fr, fc, ok := g.position(from)
-	tr, tc, known := g.position(to)
-	if !ok || !known || g.Linked(from, to) {
+// Relays returns the runners by which one reaches another that it has no link with. There are none
+// if it has one, or if one of the two is not in the grid.
+func (g *Grid) Relays(from, to string) (relays []string) {
+	fromRow, fromColumn, okFrom := g.position(from)
+	toRow, toColumn, okTo := g.position(to)
+	if !okFrom || !okTo || g.Linked(from, to) {
 		return nil
 	}
-	for _, name := range []string{g.at(fr, tc), g.at(tr, fc)} {
+	for _, name := range []string{g.at(fromRow, toColumn), g.at(toRow, fromColumn)} {
 		if name != "" {
-			out = append(out, name)
+			relays = append(relays, name)
 		}
 	}
-	return out
+	return relays
 }
--- a/internal/peers/link/crossing_test.go
+++ b/internal/peers/link/crossing_test.go
@@ -28,7 +28,7 @@
 	n.Send("n2", frame())
 	first := n.outbound["n2"].conn
 	s.Pass(0)
-	if s.Pass((connectTimeout - 1) * time.Microsecond); n.outbound["n2"].conn != first {
+	if s.Pass(connectTimeout - time.Microsecond); n.outbound["n2"].conn != first {
 		t.Fatal("it was given up before its time")
 	}
 	if s.Pass(time.Microsecond); n.Connections() != 0 || !first.IsClosed() {
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -11,6 +11,7 @@
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/framing"
 	"ryepaddle/internal/peers/replication"
 )
 
@@ -67,7 +68,7 @@
 	}
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < headerSize || used > len(b)) {
+		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < framing.HeaderSize || used > len(b)) {
 			t.Errorf("%d of %d bytes are used", used, len(b))
 		}
 	})
@@ -92,7 +93,7 @@
 				return
 			}
 			if heard = append(heard, f.Consensus.Version); len(heard) == 3 {
-				l.After(time.Duration(2*helloTimeout)*time.Microsecond, l.Stop)
+				l.After(2*helloTimeout, l.Stop)
 			}
 		},
 	)
@@ -186,16 +187,13 @@
 	say(1)
 	nets["n2"].Send("n4", &Frame{Consensus: &consensus.Message{Version: 9}, To: "n4", From: "n7"})
 	var passed []int64
-	step := func(d int64, fn func()) {
-		l.After(
-			time.Duration(d)*time.Microsecond,
-			func() { passed = append(passed, nets["n2"].Relayed, nets["n3"].Relayed); fn() },
-		)
+	step := func(d time.Duration, fn func()) {
+		l.After(d, func() { passed = append(passed, nets["n2"].Relayed, nets["n3"].Relayed); fn() })
 	}
-	step(400_000, func() { one.SetUnavailable(map[string]bool{"n2": true}); say(2) })
-	step(800_000, func() { one.SetUnavailable(map[string]bool{"n3": true}); say(3) })
-	step(1_200_000, func() { one.SetUnavailable(map[string]bool{"n2": true, "n3": true}); say(4) })
-	step(1_600_000, l.Stop)
+	step(400*time.Millisecond, func() { one.SetUnavailable(map[string]bool{"n2": true}); say(2) })
+	step(800*time.Millisecond, func() { one.SetUnavailable(map[string]bool{"n3": true}); say(3) })
+	step(1200*time.Millisecond, func() { one.SetUnavailable(map[string]bool{"n2": true, "n3": true}); say(4) })
+	step(1600*time.Millisecond, l.Stop)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -1,187 +1,197 @@
-// Package wal is a runner's part among its peers on its disk: the consensus group's log, which is
-// there before what depends on it is said, and what is held of each slot now and then, which only
-// saves sending. It blocks, and is used beside the loop by one goroutine.
+// Package wal keeps on disk what a runner needs among its peers: the consensus group's log, which is
+// written ahead of the messages that depend on it, and snapshots of slots of keys, which only save
+// sending. Its calls block; one goroutine uses it.
 package wal
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io/fs"
+	"math"
 	"strings"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/peers/consensus"
+	"ryepaddle/internal/peers/framing"
 	"ryepaddle/internal/peers/replication"
 )
 
+// Names of files, which folders of earlier versions have.
 const (
 	logFile    = "council"
 	slotPrefix = "slot-"
 	tempSuffix = ".new"
-	magic      = 0x52594356 // "RYCV"
-	headerSize = 12
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+const magic = 0x52594356 // "RYCV"
 
-// Log is the files of a folder.
+// Log has the files of a folder. Close unlocks it.
 type Log struct {
 	dir     store.FS
-	file    store.File // nil: it has to be begun anew
+	file    store.File // the consensus group's log; nil: it has to be written anew
 	records []consensus.DurableRecord
 	unlock  func() error
 }
 
 // Recovery is what a folder has.
 type Recovery struct {
-	Log            []consensus.DurableRecord
-	Slots          []replication.SlotSnapshot
-	TruncatedBytes int // bytes at the end of the log that are not whole: nobody was told of them
-	DamagedSlots   int // slots whose files are damaged, and count for nothing
+	Log   []consensus.DurableRecord
+	Slots []replication.SlotSnapshot
+	// TruncatedBytes are those at the end of the log that are no complete record. Nothing was sent
+	// that depends on them.
+	TruncatedBytes int
+	DamagedSlots   int // snapshots that cannot be read
 }
 
-// Open takes a folder, which no other process uses.
-func Open(fsys store.FS) (*Log, *Recovery, error) {
-	lock, err := fsys.Lock()
+// Open opens and locks a folder, which no other process may use.
+func Open(dir store.FS) (*Log, *Recovery, error) {
+	unlock, err := dir.Lock()
 	if err != nil {
 		return nil, nil, err
 	}
-	v := &Log{dir: fsys, unlock: lock}
-	f, err := v.load()
+	l := &Log{dir: dir, unlock: unlock}
+	recovery, err := l.load()
 	if err != nil {
-		return nil, nil, errors.Join(err, lock())
+		return nil, nil, errors.Join(err, unlock())
 	}
-	return v, f, nil
+	return l, recovery, nil
 }
 
-func (v *Log) load() (*Recovery, error) {
-	f := &Recovery{}
-	b, err := v.dir.Read(logFile)
-	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (l *Log) load() (*Recovery, error) {
+	recovery := &Recovery{}
+	if err := l.loadLog(recovery); err != nil {
+		return nil, err
+	}
+	if err := l.loadSlots(recovery); err != nil {
 		return nil, err
 	}
+	return recovery, nil
+}
+
+// loadLog reads the records up to the first one that is not complete.
+func (l *Log) loadLog(recovery *Recovery) error {
+	b, err := l.dir.Read(logFile)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
 	for len(b) > 0 {
-		var k consensus.DurableRecord
-		used, err := readFrame(b, &k)
+		var record consensus.DurableRecord
+		used, err := decode(b, &record)
 		if err != nil {
-			f.TruncatedBytes = len(b)
+			recovery.TruncatedBytes = len(b)
 			break
 		}
-		v.records, b = append(v.records, k), b[used:]
+		l.records, b = append(l.records, record), b[used:]
 	}
-	f.Log = v.records
-	names, err := v.dir.List()
+	recovery.Log = l.records
+	return nil
+}
+
+// loadSlots reads the snapshots that are complete.
+func (l *Log) loadSlots(recovery *Recovery) error {
+	names, err := l.dir.List()
 	if err != nil {
-		return nil, err
+		return err
 	}
 	for _, name := range names {
 		if !strings.HasPrefix(name, slotPrefix) || strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
-		b, err := v.dir.Read(name)
+		b, err := l.dir.Read(name)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		var s replication.SlotSnapshot
-		if _, err := readFrame(b, &s); err != nil {
-			f.DamagedSlots++
+		var snapshot replication.SlotSnapshot
+		if _, err := decode(b, &snapshot); err != nil {
+			recovery.DamagedSlots++
 			continue
 		}
-		f.Slots = append(f.Slots, s)
+		recovery.Slots = append(recovery.Slots, snapshot)
 	}
-	return f, nil
+	return nil
 }
 
-// appendFrame is a value with its length and checksum.
-func appendFrame(b []byte, value any) ([]byte, error) {
+// encode appends a value in a frame.
+func encode(b []byte, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	b = binary.LittleEndian.AppendUint32(b, magic)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(payload, castagnoli))
-	return append(b, payload...), nil
+	return framing.Append(b, magic, payload), nil
 }
 
-var errDamaged error = kindDamaged.New("wal: it is not whole")
-
-// readFrame reads the value at the front of b.
-func readFrame(b []byte, value any) (used int, err error) {
-	if len(b) < headerSize || binary.LittleEndian.Uint32(b) != magic {
-		return 0, errDamaged
-	}
-	n := int(binary.LittleEndian.Uint32(b[4:]))
-	if n > len(b)-headerSize || crc32.Checksum(b[headerSize:headerSize+n], castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
-		return 0, errDamaged
-	}
-	if err := cbor.Unmarshal(b[headerSize:headerSize+n], value); err != nil {
+// decode reads the value at the front of b, and returns the number of bytes that it takes.
+func decode(b []byte, value any) (used int, err error) {
+	payload, used, err := framing.Next(b, magic, math.MaxUint32)
+	if err != nil {
 		return 0, kindDamaged.New("wal: %w", err)
 	}
-	return headerSize + n, nil
+	if err := cbor.Unmarshal(payload, value); err != nil {
+		return 0, kindDamaged.New("wal: decode a record: %w", err)
+	}
+	return used, nil
 }
 
-// Append has a record of the consensus group on the disk once it returns nil. After an error all of
-// the log is written anew.
-func (v *Log) Append(k *consensus.DurableRecord) error {
-	if k.VoterID != 0 { // it begins anew with this one
-		v.records = nil
-		v.closeFile()
+// Append has a record of the consensus group on disk once it returns nil. After an error the record
+// is to be appended again, and the log is written anew.
+func (l *Log) Append(record *consensus.DurableRecord) error {
+	if record.VoterID != 0 { // the log begins with this record
+		l.records = nil
+		l.closeFile()
 	}
-	v.records = append(v.records, *k)
-	if v.file == nil {
-		return v.rewrite()
+	l.records = append(l.records, *record)
+	err := l.appendLast()
+	if err != nil {
+		l.records = l.records[:len(l.records)-1]
+		l.closeFile()
 	}
-	b, err := appendFrame(nil, k)
-	if err == nil {
-		if _, err = v.file.Write(b); err == nil {
-			err = v.file.Sync()
-		}
+	return err
+}
+
+// appendLast writes the last record, with all before it if there is no open file.
+func (l *Log) appendLast() error {
+	if l.file == nil {
+		return l.rewrite()
 	}
+	b, err := encode(nil, &l.records[len(l.records)-1])
 	if err != nil {
-		v.records = v.records[:len(v.records)-1] // it is given again
-		v.closeFile()
+		return err
 	}
-	return err
+	if _, err := l.file.Write(b); err != nil {
+		return err
+	}
+	return l.file.Sync()
 }
 
-// rewrite writes all of the log beside the old one, in whose place it comes whole.
-func (v *Log) rewrite() (err error) {
-	defer func() {
-		if err != nil {
-			v.records = v.records[:len(v.records)-1]
-			v.closeFile()
-		}
-	}()
+// rewrite replaces the log by a new one with all records.
+func (l *Log) rewrite() (err error) {
 	var b []byte
-	for i := range v.records {
-		if b, err = appendFrame(b, &v.records[i]); err != nil {
+	for i := range l.records {
+		if b, err = encode(b, &l.records[i]); err != nil {
 			return err
 		}
 	}
-	if v.file, err = v.replaceFile(logFile, b); err != nil {
-		return err
-	}
-	return nil
+	l.file, err = l.replaceFile(logFile, b)
+	return err
 }
 
-// replaceFile has a file on the disk, whole, and leaves it open.
-func (v *Log) replaceFile(name string, b []byte) (f store.File, err error) {
-	if err := v.dir.Remove(name + tempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+// replaceFile replaces a file as a whole, and returns it open.
+func (l *Log) replaceFile(name string, b []byte) (store.File, error) {
+	temp := name + tempSuffix
+	if err := l.dir.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	if f, err = v.dir.Create(name + tempSuffix); err != nil {
+	f, err := l.dir.Create(temp)
+	if err != nil {
 		return nil, err
 	}
 	if _, err = f.Write(b); err == nil {
 		err = f.Sync()
 	}
 	if err == nil {
-		err = errors.Join(v.dir.Rename(name+tempSuffix, name), v.dir.SyncDir())
+		err = errors.Join(l.dir.Rename(temp, name), l.dir.SyncDir())
 	}
 	if err != nil {
 		return nil, errors.Join(err, f.Close())
@@ -189,28 +199,28 @@
 	return f, nil
 }
 
-func (v *Log) closeFile() {
-	if v.file != nil {
-		_ = v.file.Close() // what was synced is there
-		v.file = nil
+func (l *Log) closeFile() {
+	if l.file != nil {
+		_ = l.file.Close() // what was synced is on disk
+		l.file = nil
 	}
 }
 
-// SaveSlot has what is held of a slot on the disk.
-func (v *Log) SaveSlot(s *replication.SlotSnapshot) error {
-	b, err := appendFrame(nil, s)
+// SaveSlot replaces the snapshot of a slot.
+func (l *Log) SaveSlot(snapshot *replication.SlotSnapshot) error {
+	b, err := encode(nil, snapshot)
 	if err != nil {
 		return err
 	}
-	f, err := v.replaceFile(fmt.Sprintf("%s%04d", slotPrefix, s.Slot), b)
+	f, err := l.replaceFile(fmt.Sprintf("%s%04d", slotPrefix, snapshot.Slot), b)
 	if err != nil {
 		return err
 	}
 	return f.Close()
 }
 
-// Close gives the folder back.
-func (v *Log) Close() error {
-	v.closeFile()
-	return v.unlock()
+// Close closes the log and unlocks the folder.
+func (l *Log) Close() error {
+	l.closeFile()
+	return l.unlock()
 }
