--- a/cmd/runner/record_test.go
+++ b/cmd/runner/record_test.go
@@ -4,6 +4,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -58,7 +59,7 @@
 	if diff := cmp.Diff([]string{"quick-check", "hand-in", "hand-in"}, classes); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	first, further := rec.WithoutRetries(func(int) int64 { return 4_300_000 })
+	first, further := rec.WithoutRetries(func(int) time.Duration { return 4300 * time.Millisecond })
 	if len(first) != 2 || further != 1 || rec.Requests[1].KeyHash == 0 || rec.Requests[0].BodyHash == 0 {
 		t.Errorf("%d first tries, %d further, %+v", len(first), further, rec.Requests)
 	}
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -107,13 +107,13 @@
 		s := shown{
 			File:     path,
 			Runner:   rec.Runner,
-			Began:    time.UnixMicro(rec.StartedAt).UTC().Format(time.RFC3339),
+			Began:    rec.StartedAt.Time().UTC().Format(time.RFC3339),
 			Requests: len(rec.Requests),
 			Backward: rec.OutOfOrder,
 			Lost:     rec.Lost,
 			Classes:  map[string]int{},
 		}
-		first, further := rec.WithoutRetries(func(int) int64 { return 10_000_000 })
+		first, further := rec.WithoutRetries(func(int) time.Duration { return 10 * time.Second })
 		if s.Further = further; len(first) > 0 {
 			s.Seconds = float64(first[len(first)-1].ArrivedAt-first[0].ArrivedAt) / 1e6
 		}
--- a/internal/app/record.go
+++ b/internal/app/record.go
@@ -20,7 +20,7 @@
 	if r.op == nil || r.op.TrafficRecording.Dir == "" {
 		return nil
 	}
-	h := traffic.Header{Runner: r.cfg.Name, StartedAt: int64(r.loop.Unix())}
+	h := traffic.Header{Runner: r.cfg.Name, StartedAt: r.loop.Unix()}
 	for _, c := range r.cfg.Settings.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -54,7 +54,7 @@
 			return
 		}
 		n := traffic.Request{
-			ArrivedAt: int64(q.ArrivedAt),
+			ArrivedAt: q.ArrivedAt,
 			Class:     uint16(q.Class),
 			Tenant:    uint16(max(q.Tenant, 0)),
 			Caller:    q.Caller,
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -5,14 +5,16 @@
 	"fmt"
 	"math"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/telemetry/traffic"
+	"ryepaddle/internal/wallclock"
 )
 
 // Replay is recorded traffic in place of what a scenario would draw.
 type Replay struct {
 	requests []traffic.Request // first tries, in order
-	began    int64
+	began    wallclock.UnixMicro
 	classes  []int // of the recording to those of the scenario
 	tenants  []int
 	rate     float64
@@ -57,7 +59,9 @@
 		r.tenants = append(r.tenants, i)
 	}
 	r.requests, r.Further = rec.WithoutRetries(
-		func(class int) int64 { return int64(s.Classes[r.classes[class]].DeadlineMs * 1000) },
+		func(class int) time.Duration {
+			return time.Duration(s.Classes[r.classes[class]].DeadlineMs*1000) * time.Microsecond
+		},
 	)
 	r.began = r.requests[0].ArrivedAt
 	out := *s
@@ -80,12 +84,12 @@
 		copies := int(r.rate + Unit(d.Seed, "copies", uint64(i)))
 		for k := range copies {
 			id++
-			at := q.ArrivedAt - r.began
+			at := int64(q.ArrivedAt - r.began)
 			if k > 0 {
 				at += int64((2*Unit(d.Seed, "jitter", id) - 1) * jitter)
 			}
 			if at < 0 || at >= d.Length {
-				at = q.ArrivedAt - r.began
+				at = int64(q.ArrivedAt - r.began)
 			}
 			a := Arrival{
 				At:       at,
@@ -113,7 +117,7 @@
 // Record gives the traffic of a day as a recording, as if one runner had read it all without
 // further tries.
 func (d *Day) Record(began int64) (h traffic.Header, requests []traffic.Request) {
-	h = traffic.Header{Runner: d.Spec.Name, StartedAt: began}
+	h = traffic.Header{Runner: d.Spec.Name, StartedAt: wallclock.UnixMicro(began)}
 	for _, c := range d.Spec.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -122,7 +126,7 @@
 	}
 	for _, a := range d.Arrivals {
 		q := traffic.Request{
-			ArrivedAt: began + a.At,
+			ArrivedAt: wallclock.UnixMicro(began + a.At),
 			Class:     uint16(a.Class),
 			Tenant:    uint16(a.Tenant),
 			Caller:    uint32(a.Balancer),
--- /dev/null
+++ b/internal/telemetry/traffic/decode.go
@@ -0,0 +1,167 @@
+package traffic
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/klauspost/compress/s2"
+
+	"ryepaddle/internal/wallclock"
+)
+
+// Errors of a file that cannot be used at all.
+var (
+	ErrNotRecording = errors.New("this is no recorded traffic")
+	ErrNewerVersion = errors.New("a later version wrote it")
+)
+
+// Recording is what a file holds.
+type Recording struct {
+	Header
+	Requests   []Request
+	Lost       Lost
+	Truncation error // why the file ends early; nil: it is complete
+	OutOfOrder int   // requests that arrived before the one in front of them
+}
+
+// decoder bounds what it decodes, as the files are not trusted.
+var decoder = func() cbor.DecMode {
+	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
+	if err != nil {
+		panic(err) // the options are constants
+	}
+	return m
+}()
+
+// Decode reads a file. What is cut off or damaged ends it, and Truncation says where; the blocks before
+// that are complete. The error is ErrNotRecording or ErrNewerVersion.
+func Decode(r io.Reader) (*Recording, error) {
+	if err := readStart(r); err != nil {
+		return nil, err
+	}
+	rec := &Recording{}
+	kind, payload, err := readFrame(r)
+	if err != nil || kind != frameHeader || decoder.Unmarshal(payload, &rec.Header) != nil {
+		return nil, fmt.Errorf("%w: its head cannot be read", ErrNotRecording)
+	}
+	offset := int64(startSize + frameHeadSize + len(payload))
+	for {
+		kind, payload, err := readFrame(r)
+		if errors.Is(err, io.EOF) {
+			rec.Truncation = fmt.Errorf("at byte %d: it was not finished", offset)
+			return rec, nil
+		}
+		if err == nil {
+			err = rec.addFrame(kind, payload)
+		}
+		if err != nil {
+			rec.Truncation = fmt.Errorf("at byte %d: %w", offset, err)
+			return rec, nil
+		}
+		if kind == frameTrailer {
+			return rec, nil
+		}
+		offset += int64(frameHeadSize + len(payload))
+	}
+}
+
+// startSize is the length of the magic and the version.
+const startSize = len(magic) + 2
+
+// readStart reads and checks the magic and the version.
+func readStart(r io.Reader) error {
+	var start [startSize]byte
+	if _, err := io.ReadFull(r, start[:]); err != nil || string(start[:len(magic)]) != magic {
+		return ErrNotRecording
+	}
+	v := binary.LittleEndian.Uint16(start[len(magic):])
+	if v > Version {
+		return fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, v, Version)
+	}
+	if v == 0 {
+		return ErrNotRecording
+	}
+	return nil
+}
+
+// readFrame reads a frame and checks it. The error is io.EOF where the file ends between two frames.
+func readFrame(r io.Reader) (kind byte, payload []byte, err error) {
+	var head [frameHeadSize]byte
+	if _, err := io.ReadFull(r, head[:]); err != nil {
+		return 0, nil, err
+	}
+	n := binary.LittleEndian.Uint32(head[frameLengthOffset:])
+	if n > maxPayload {
+		return 0, nil, fmt.Errorf("a frame of %d bytes", n)
+	}
+	if payload, err = io.ReadAll(io.LimitReader(r, int64(n))); err != nil {
+		return 0, nil, err
+	}
+	if len(payload) < int(n) {
+		return 0, nil, io.ErrUnexpectedEOF
+	}
+	kind = head[0]
+	if checksum(kind, payload) != binary.LittleEndian.Uint64(head[frameChecksumOffset:]) {
+		return 0, nil, errors.New("a frame with a wrong checksum")
+	}
+	return kind, payload, nil
+}
+
+// addFrame adds what a frame holds.
+func (rec *Recording) addFrame(kind byte, payload []byte) error {
+	switch kind {
+	case frameBlock:
+		return rec.addBlock(payload)
+	case frameTrailer:
+		return rec.addTrailer(payload)
+	default:
+		return fmt.Errorf("a frame of an unknown kind %q", kind)
+	}
+}
+
+func (rec *Recording) addBlock(payload []byte) error {
+	n, err := s2.DecodedLen(payload)
+	if err != nil || n > maxPayload {
+		return errors.New("a block that does not unpack")
+	}
+	plain, err := s2.Decode(nil, payload)
+	if err != nil {
+		return fmt.Errorf("a block that does not unpack: %w", err)
+	}
+	var block []Request
+	if err := decoder.Unmarshal(plain, &block); err != nil {
+		return fmt.Errorf("a block that cannot be read: %w", err)
+	}
+	previous := wallclock.UnixMicro(0)
+	for _, q := range block {
+		if int(q.Class) >= len(rec.Classes) || int(q.Tenant) >= len(rec.Tenants) {
+			return fmt.Errorf(
+				"a request of class %d and tenant %d, which the head does not name",
+				q.Class,
+				q.Tenant,
+			)
+		}
+		q.ArrivedAt += previous
+		previous = q.ArrivedAt
+		if n := len(rec.Requests); n > 0 && q.ArrivedAt < rec.Requests[n-1].ArrivedAt {
+			rec.OutOfOrder++
+		}
+		rec.Requests = append(rec.Requests, q)
+	}
+	return nil
+}
+
+func (rec *Recording) addTrailer(payload []byte) error {
+	var t Trailer
+	if err := decoder.Unmarshal(payload, &t); err != nil {
+		return fmt.Errorf("an end that cannot be read: %w", err)
+	}
+	rec.Lost = t.Lost
+	if t.Requests != int64(len(rec.Requests)) {
+		return fmt.Errorf("%d requests, and its end tells of %d", len(rec.Requests), t.Requests)
+	}
+	return nil
+}
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -1,247 +1,129 @@
-// Package traffic records what came to a runner, and reads it again for the simulator. A file is
-// compact, carries its version, and has a checksum on each block, so that what was cut off or
-// spoilt is noticed and the rest still serves.
+// Package traffic records the requests that a runner received, and reads recordings for the simulator.
 //
-// A file is the magic, the version, and then frames: a kind, the length of what follows, its
-// checksum, and that. The first frame is the head; blocks of requests follow, compressed; the last
-// is the end, with what was lost. Numbers are little-endian.
+// A recording is the magic, the version, and frames: a kind, the length of the payload, its checksum
+// and the payload, with numbers in little-endian. The first frame is the header, blocks of requests
+// follow, compressed, and the last is the trailer with what was lost. What was cut off or damaged is
+// recognized, and the blocks before it are read.
 package traffic
 
 import (
 	"encoding/binary"
-	"errors"
-	"fmt"
-	"io"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/s2"
+
+	"ryepaddle/internal/wallclock"
 )
 
-// Version of the format that is written. Older ones would be read as well; there are none yet.
+// Version is that of the format that is written. Newer ones are refused.
 const Version = 1
 
 const magic = "RYETRAF\n"
 
-// The kinds of frame.
+// Kinds of frames.
 const (
-	frameHead  = 'H'
-	frameBlock = 'B'
-	frameEnd   = 'E'
+	frameHeader  = 'H'
+	frameBlock   = 'B'
+	frameTrailer = 'E'
 )
 
+// Layout of a frame before its payload, in bytes.
 const (
-	frameLen  = 1 + 4 + 8 // kind, length, checksum
-	mostFrame = 16 << 20  // a longer one is taken for noise
+	frameLengthOffset   = 1
+	frameChecksumOffset = 5
+	frameHeadSize       = 13
 )
 
-// Header says whose traffic it is.
+// maxPayload is the most bytes of a payload. A longer one is taken for damage.
+const maxPayload = 16 << 20
+
+// Header says whose traffic it is. As the other values of a file it is stored as an array: the order
+// of its fields is part of the format.
 type Header struct {
 	_         struct{} `cbor:",toarray"`
 	Runner    string
-	StartedAt int64 // Unix time, microseconds
+	StartedAt wallclock.UnixMicro
 	Classes   []string
 	Tenants   []string
 }
 
-// Request is one try that a runner read.
+// Request is an attempt of a request that a runner received.
 type Request struct {
-	_         struct{} `cbor:",toarray"`
-	ArrivedAt int64    // Unix time at which it reached the machine; in a file, since the one before
-	Class     uint16   // of the head's
-	Tenant    uint16
+	_         struct{}            `cbor:",toarray"`
+	ArrivedAt wallclock.UnixMicro // at the machine; in a file, since the one before
+	Class     uint16              // index into the classes of the header
+	Tenant    uint16              // index into its tenants
 	Caller    uint32
 	SizeKB    float32
 	Rank      float32
-	KeyHash   uint64 // hash of its dedupe key; 0: none
-	BodyHash  uint64 // hash of its body, by which further tries are told
+	KeyHash   uint64 // of its idempotency key; 0: it has none
+	BodyHash  uint64 // by which retries are recognized; 0: it has no body
 	BodyBytes uint32
 }
 
-// Lost counts requests that were not recorded, by why.
+// Lost counts requests that were not recorded, by reason.
 type Lost struct {
 	_      struct{} `cbor:",toarray"`
 	Queue  int64    `json:"Queue"`  // the writer was too slow
 	Bytes  int64    `json:"Bytes"`  // the file had reached its bound
-	Errors int64    `json:"Errors"` // the disk took no more
+	Errors int64    `json:"Errors"` // the disk failed
 }
 
-// Any tells whether anything was lost.
+// Any reports whether anything was lost.
 func (l Lost) Any() bool { return l.Queue+l.Bytes+l.Errors > 0 }
 
-// Trailer closes a file that was finished.
+// add adds what another recording lost.
+func (l *Lost) add(other Lost) {
+	l.Queue += other.Queue
+	l.Bytes += other.Bytes
+	l.Errors += other.Errors
+}
+
+// Trailer ends a complete file.
 type Trailer struct {
 	_        struct{} `cbor:",toarray"`
-	Requests int64
+	Requests int64    // in the file
 	Lost     Lost
 }
 
-// appendFrame adds a frame that holds a value.
+// appendFrame appends a frame with a value.
 func appendFrame(to []byte, kind byte, v any) ([]byte, error) {
-	text, err := cbor.Marshal(v)
+	payload, err := cbor.Marshal(v)
 	if err != nil {
 		return to, err
 	}
 	if kind == frameBlock {
-		text = s2.Encode(nil, text)
+		payload = s2.Encode(nil, payload)
 	}
 	to = append(to, kind)
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(text)))
-	to = binary.LittleEndian.AppendUint64(to, sum(kind, text))
-	return append(to, text...), nil
+	to = binary.LittleEndian.AppendUint32(to, uint32(len(payload)))
+	to = binary.LittleEndian.AppendUint64(to, checksum(kind, payload))
+	return append(to, payload...), nil
 }
 
-// sum covers the kind and the length too: a frame that was cut and one that was swapped are both
-// noticed.
-func sum(kind byte, text []byte) uint64 {
-	d := xxhash.NewWithSeed(uint64(kind)<<32 | uint64(len(text)))
-	d.Write(text)
+// checksum returns the checksum of a payload, which covers its kind and length too.
+func checksum(kind byte, payload []byte) uint64 {
+	d := xxhash.NewWithSeed(uint64(kind)<<32 | uint64(len(payload)))
+	_, _ = d.Write(payload) // a hash does not fail
 	return d.Sum64()
 }
 
-// appendBlock adds a frame of requests, with times as differences.
+// appendBlock appends a frame of requests, with their arrivals as differences.
 func appendBlock(to []byte, requests []Request) ([]byte, error) {
 	block := make([]Request, len(requests))
-	last := int64(0)
+	previous := wallclock.UnixMicro(0)
 	for i, q := range requests {
 		block[i] = q
-		block[i].ArrivedAt = q.ArrivedAt - last
-		last = q.ArrivedAt
+		block[i].ArrivedAt = q.ArrivedAt - previous
+		previous = q.ArrivedAt
 	}
 	return appendFrame(to, frameBlock, block)
 }
 
-// appendStart begins a file.
+// appendStart appends what a file begins with.
 func appendStart(to []byte, h Header) ([]byte, error) {
 	to = append(to, magic...)
 	to = binary.LittleEndian.AppendUint16(to, Version)
-	return appendFrame(to, frameHead, h)
-}
-
-// Recording is what a file holds.
-type Recording struct {
-	Header
-	Requests   []Request
-	Lost       Lost
-	Truncation error // why the file ends early; nil: it was finished
-	OutOfOrder int   // times that came before the one in front of them
-}
-
-// Errors of a file that cannot be used at all.
-var (
-	ErrNotRecording = errors.New("this is no recorded traffic")
-	ErrNewerVersion = errors.New("a later version wrote it")
-)
-
-// decoding is strict about sizes: a file is somebody else's word.
-var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
-	if err != nil {
-		panic(err)
-	}
-	return m
-}()
-
-// Decode reads a file. What is cut off or spoilt ends it, and Cut says where; the blocks before
-// that are whole.
-func Decode(r io.Reader) (*Recording, error) {
-	var start [len(magic) + 2]byte
-	if _, err := io.ReadFull(r, start[:]); err != nil || string(start[:len(magic)]) != magic {
-		return nil, ErrNotRecording
-	}
-	if v := binary.LittleEndian.Uint16(start[len(magic):]); v > Version {
-		return nil, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, v, Version)
-	} else if v == 0 {
-		return nil, ErrNotRecording
-	}
-	rec, at := &Recording{}, int64(len(start))
-	kind, text, err := readFrame(r)
-	if err != nil || kind != frameHead || decoding.Unmarshal(text, &rec.Header) != nil {
-		return nil, fmt.Errorf("%w: its head cannot be read", ErrNotRecording)
-	}
-	at += frameLen + int64(len(text))
-	for {
-		kind, text, err := readFrame(r)
-		if err == nil {
-			err = rec.take(kind, text)
-		}
-		switch {
-		case err == io.EOF:
-			rec.Truncation = fmt.Errorf("at byte %d: it was not finished", at)
-		case err != nil:
-			rec.Truncation = fmt.Errorf("at byte %d: %w", at, err)
-		case kind != frameEnd:
-			at += frameLen + int64(len(text))
-			continue
-		}
-		return rec, nil
-	}
-}
-
-func readFrame(r io.Reader) (kind byte, text []byte, err error) {
-	var head [frameLen]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return 0, nil, err
-	}
-	n := binary.LittleEndian.Uint32(head[1:])
-	if n > mostFrame {
-		return 0, nil, fmt.Errorf("a frame of %d bytes", n)
-	}
-	if text, err = io.ReadAll(io.LimitReader(r, int64(n))); err != nil {
-		return 0, nil, err
-	}
-	if len(text) < int(n) {
-		return 0, nil, io.ErrUnexpectedEOF
-	}
-	if sum(head[0], text) != binary.LittleEndian.Uint64(head[5:]) {
-		return 0, nil, errors.New("a frame with a wrong checksum")
-	}
-	return head[0], text, nil
-}
-
-// take adds what a frame holds.
-func (rec *Recording) take(kind byte, text []byte) error {
-	switch kind {
-	case frameBlock:
-		n, err := s2.DecodedLen(text)
-		if err != nil || n > mostFrame {
-			return errors.New("a block that does not unpack")
-		}
-		plain, err := s2.Decode(nil, text)
-		if err != nil {
-			return fmt.Errorf("a block that does not unpack: %w", err)
-		}
-		var block []Request
-		if err := decoding.Unmarshal(plain, &block); err != nil {
-			return fmt.Errorf("a block that cannot be read: %w", err)
-		}
-		last := int64(0)
-		for i := range block {
-			q := &block[i]
-			if int(q.Class) >= len(rec.Classes) || int(q.Tenant) >= len(rec.Tenants) {
-				return fmt.Errorf(
-					"a request of class %d and tenant %d, which the head does not name",
-					q.Class,
-					q.Tenant,
-				)
-			}
-			q.ArrivedAt += last
-			last = q.ArrivedAt
-			if n := len(rec.Requests); n > 0 && q.ArrivedAt < rec.Requests[n-1].ArrivedAt {
-				rec.OutOfOrder++
-			}
-			rec.Requests = append(rec.Requests, *q)
-		}
-	case frameEnd:
-		var e Trailer
-		if err := decoding.Unmarshal(text, &e); err != nil {
-			return fmt.Errorf("an end that cannot be read: %w", err)
-		}
-		if rec.Lost = e.Lost; e.Requests != int64(len(rec.Requests)) {
-			return fmt.Errorf("%d requests, and its end tells of %d", len(rec.Requests), e.Requests)
-		}
-	default:
-		return fmt.Errorf("a frame of an unknown kind %q", kind)
-	}
-	return nil
+	return appendFrame(to, frameHeader, h)
 }
--- a/internal/telemetry/traffic/read.go
+++ b/internal/telemetry/traffic/read.go
@@ -5,23 +5,19 @@
 	"fmt"
 	"os"
 	"slices"
+	"time"
+
+	"ryepaddle/internal/wallclock"
 )
 
-// Read reads recordings of several runners as one. They must be of the same classes and tenants.
+// Read reads recordings of several runners as one. They must be of the same classes and tenants. The
+// error names the file.
 func Read(paths ...string) (*Recording, error) {
 	var all *Recording
 	for _, path := range paths {
-		f, err := os.Open(path)
-		if err != nil {
-			return nil, fmt.Errorf("traffic: %w", err)
-		}
-		rec, err := Decode(f)
-		f.Close()
+		rec, err := readFile(path)
 		if err != nil {
-			return nil, fmt.Errorf("traffic: %s: %w", path, err)
-		}
-		if rec.Truncation != nil {
-			rec.Truncation = fmt.Errorf("traffic: %s: %w", path, rec.Truncation)
+			return nil, err
 		}
 		if all == nil {
 			all = rec
@@ -30,45 +26,78 @@
 		if !slices.Equal(all.Classes, rec.Classes) || !slices.Equal(all.Tenants, rec.Tenants) {
 			return nil, fmt.Errorf("traffic: %s: other classes or tenants than %s has", path, paths[0])
 		}
-		all.Runner += ", " + rec.Runner
-		all.StartedAt = min(all.StartedAt, rec.StartedAt)
-		all.Requests = append(all.Requests, rec.Requests...)
-		all.Lost.Queue, all.Lost.Bytes, all.Lost.Errors = all.Lost.Queue+rec.Lost.Queue, all.Lost.Bytes+rec.Lost.Bytes, all.Lost.Errors+rec.Lost.Errors
-		all.OutOfOrder += rec.OutOfOrder
-		all.Truncation = cmp.Or(all.Truncation, rec.Truncation)
+		all.merge(rec)
 	}
 	return all, nil
 }
 
-// WithoutRetries gives the requests in the order of their times, without what looks like further tries
-// of one that came before: those with its dedupe key or, where there is none, of the same caller
-// with the same body, within so long of the first, by class. Runners are not told which tries are
-// further ones, so that this is a guess, and equal requests of two clients within that time count
-// as one.
-func (rec *Recording) WithoutRetries(within func(class int) int64) (first []Request, further int) {
-	type name struct {
-		class, tenant uint16
-		caller        uint32
-		key, body     uint64
+func readFile(path string) (*Recording, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("traffic: %w", err)
+	}
+	defer f.Close()
+	rec, err := Decode(f)
+	if err != nil {
+		return nil, fmt.Errorf("traffic: %s: %w", path, err)
+	}
+	if rec.Truncation != nil {
+		rec.Truncation = fmt.Errorf("traffic: %s: %w", path, rec.Truncation)
+	}
+	return rec, nil
+}
+
+// merge adds another runner's recording.
+func (rec *Recording) merge(other *Recording) {
+	rec.Runner += ", " + other.Runner
+	rec.StartedAt = min(rec.StartedAt, other.StartedAt)
+	rec.Requests = append(rec.Requests, other.Requests...)
+	rec.Lost.add(other.Lost)
+	rec.OutOfOrder += other.OutOfOrder
+	rec.Truncation = cmp.Or(rec.Truncation, other.Truncation)
+}
+
+// identity is what retries of a request have in common: its idempotency key or, without one, its
+// caller and body.
+type identity struct {
+	class, tenant uint16
+	caller        uint32
+	key, body     uint64
+}
+
+// identityOf returns the identity of a request; false: it has neither key nor body.
+func identityOf(q *Request) (identity, bool) {
+	id := identity{class: q.Class, tenant: q.Tenant}
+	if q.KeyHash != 0 {
+		id.key = q.KeyHash
+		return id, true
 	}
+	id.caller, id.body = q.Caller, q.BodyHash
+	return id, q.BodyHash != 0
+}
+
+// WithoutRetries returns the requests in the order of their arrivals, without those that look like
+// retries, and how many these are. A request looks like a retry if an earlier one has its idempotency
+// key or, without a key, its caller and body, and arrived within the retry window of its class.
+// Runners do not learn which attempts are retries, so that this is an estimate: equal requests of two
+// clients count as one.
+func (rec *Recording) WithoutRetries(window func(class int) time.Duration) (first []Request, retries int) {
 	sorted := slices.Clone(rec.Requests)
 	slices.SortStableFunc(sorted, func(a, b Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
-	seen := map[name]int64{}
+	seen := map[identity]wallclock.UnixMicro{}
 	for _, q := range sorted {
-		n := name{class: q.Class, tenant: q.Tenant, key: q.KeyHash}
-		if q.KeyHash == 0 {
-			if q.BodyHash == 0 {
-				first = append(first, q)
-				continue
-			}
-			n.caller, n.body = q.Caller, q.BodyHash
+		id, ok := identityOf(&q)
+		if !ok {
+			first = append(first, q)
+			continue
 		}
-		if at, ok := seen[n]; ok && q.ArrivedAt-at <= within(int(q.Class)) {
-			further++
+		at, known := seen[id]
+		if known && wallclock.Micros(q.ArrivedAt-at) <= wallclock.MicrosOf(window(int(q.Class))) {
+			retries++
 			continue
 		}
-		seen[n] = q.ArrivedAt
+		seen[id] = q.ArrivedAt
 		first = append(first, q)
 	}
-	return first, further
+	return first, retries
 }
--- a/internal/telemetry/traffic/recorder.go
+++ b/internal/telemetry/traffic/recorder.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -20,31 +21,36 @@
 // Options bound a recorder.
 type Options struct {
 	MaxBytes      int64         // of the file
-	QueueSize     int           // requests in memory that are not yet written
-	BlockSize     int           // requests in one block; 0: 512
-	FlushInterval time.Duration // a block is written after so long at the latest; 0: 1 s
+	QueueSize     int           // requests in memory that are not written yet
+	BlockSize     int           // requests in a block; 0: 512
+	FlushInterval time.Duration // after which a block is written that is not full; 0: 1 s
 }
 
-// Recorder writes requests to a file beside whoever notes them: a full disk or a slow one costs
-// records, which are counted, and never keeps a request waiting.
+const (
+	defaultBlockSize     = 512
+	defaultFlushInterval = time.Second
+	// trailerRoom is the bytes that are kept free in a file for its trailer.
+	trailerRoom = 256
+)
+
+// Recorder writes requests to a file, on a goroutine of its own: a slow or full disk costs records,
+// which are counted, and delays no request.
 type Recorder struct {
 	opt    Options
 	file   File
 	queue  chan Request
-	done   chan struct{}
+	done   chan struct{} // closed at the end of the goroutine
 	closed sync.Once
-	size   int64 // of what is whole in the file
-	wrote  int64
-	full   bool // the file has reached its bound
-	torn   bool // behind what is whole stands a part of a block
+
+	size       int64 // of what is complete in the file
+	written    int64 // requests in the file
+	full       bool  // the file has reached its bound
+	incomplete bool  // a part of a block stands behind what is complete
 
 	lostQueue, lostBytes, lostErrors atomic.Int64
 }
 
-// endRoom is kept free in the file for its last frame.
-const endRoom = 256
-
-// Create begins a file. One that is there already is not overwritten.
+// Create begins a file. It does not overwrite one that is there: the error is then os.ErrExist.
 func Create(path string, h Header, opt Options) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -52,25 +58,25 @@
 	}
 	r, err := NewRecorder(f, h, opt)
 	if err != nil {
-		f.Close()
-		os.Remove(path)
+		return nil, errors.Join(err, f.Close(), os.Remove(path))
 	}
-	return r, err
+	return r, nil
 }
 
-// NewRecorder begins to write to a file, which it closes in the end.
+// NewRecorder begins to write to a file, which it closes in the end. The error is that of the file, or
+// of a bound that leaves no room for requests.
 func NewRecorder(f File, h Header, opt Options) (*Recorder, error) {
 	if opt.BlockSize <= 0 {
-		opt.BlockSize = 512
+		opt.BlockSize = defaultBlockSize
 	}
 	if opt.FlushInterval <= 0 {
-		opt.FlushInterval = time.Second
+		opt.FlushInterval = defaultFlushInterval
 	}
 	start, err := appendStart(nil, h)
 	if err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
-	if opt.MaxBytes < int64(len(start)+endRoom) {
+	if opt.MaxBytes < int64(len(start)+trailerRoom) {
 		return nil, fmt.Errorf("traffic: a file of %d bytes holds nothing", opt.MaxBytes)
 	}
 	if _, err := f.Write(start); err != nil {
@@ -96,19 +102,19 @@
 	}
 }
 
-// Lost is what was lost so far.
+// Lost returns what was lost so far.
 func (r *Recorder) Lost() Lost {
 	return Lost{Queue: r.lostQueue.Load(), Bytes: r.lostBytes.Load(), Errors: r.lostErrors.Load()}
 }
 
-// Close writes what is left and the end, and waits for that, but no longer than it is told: a disk
-// that hangs must not hold up the end of the program.
-func (r *Recorder) Close(within time.Duration) error {
+// Close writes what is queued and the trailer. After the timeout it returns an error, and the disk that
+// hangs does not hold up the end of the program; Close may then be called again.
+func (r *Recorder) Close(timeout time.Duration) error {
 	r.closed.Do(func() { close(r.queue) })
 	select {
 	case <-r.done:
 		return nil
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return errors.New("traffic: the disk takes too long, the file is not finished")
 	}
 }
@@ -123,67 +129,71 @@
 		select {
 		case q, more := <-r.queue:
 			if !more {
-				r.block(block)
-				r.end()
+				r.writeBlock(block)
+				r.finish()
 				return
 			}
-			if block = append(block, q); len(block) == cap(block) {
-				r.block(block)
+			block = append(block, q)
+			if len(block) == cap(block) {
+				r.writeBlock(block)
 				block = block[:0]
 			}
 		case <-tick.C:
-			r.block(block)
+			r.writeBlock(block)
 			block = block[:0]
 		}
 	}
 }
 
-func (r *Recorder) block(block []Request) {
+// writeBlock writes a block, or counts its requests as lost. Once a block found no room in the file,
+// smaller ones that would still fit are lost too, so that the file has no gaps.
+func (r *Recorder) writeBlock(block []Request) {
 	if len(block) == 0 {
 		return
 	}
-	text, err := appendBlock(nil, block)
+	n := int64(len(block))
+	frame, err := appendBlock(nil, block)
 	switch {
 	case err != nil:
-		r.lostErrors.Add(int64(len(block)))
-	case r.full || r.size+int64(len(text))+endRoom > r.opt.MaxBytes:
-		// smaller blocks that would still fit are not let in: the file would have gaps
+		r.lostErrors.Add(n)
+	case r.full || r.size+int64(len(frame))+trailerRoom > r.opt.MaxBytes:
 		r.full = true
-		r.lostBytes.Add(int64(len(block)))
-	case r.write(text) != nil:
-		r.lostErrors.Add(int64(len(block)))
+		r.lostBytes.Add(n)
+	case r.write(frame) != nil:
+		r.lostErrors.Add(n)
 	default:
-		r.wrote += int64(len(block))
+		r.written += n
 	}
 }
 
-// write adds a frame. What was written of one that failed is taken off again, before anything else
-// is written.
-func (r *Recorder) write(text []byte) error {
-	if r.torn {
+// write adds a frame. It first removes what an earlier write that failed has left.
+func (r *Recorder) write(frame []byte) error {
+	if r.incomplete {
 		if err := r.file.Truncate(r.size); err != nil {
 			return err
 		}
-		if _, err := r.file.Seek(r.size, 0); err != nil {
+		if _, err := r.file.Seek(r.size, io.SeekStart); err != nil {
 			return err
 		}
-		r.torn = false
+		r.incomplete = false
 	}
-	if _, err := r.file.Write(text); err != nil {
-		r.torn = true
+	if _, err := r.file.Write(frame); err != nil {
+		r.incomplete = true
 		return err
 	}
-	r.size += int64(len(text))
+	r.size += int64(len(frame))
 	return nil
 }
 
-func (r *Recorder) end() {
-	text, err := appendFrame(nil, frameEnd, Trailer{Requests: r.wrote, Lost: r.Lost()})
+// finish writes the trailer and closes the file. Without the trailer a reader reports that the file is
+// not complete, as is the case.
+func (r *Recorder) finish() {
+	frame, err := appendFrame(nil, frameTrailer, Trailer{Requests: r.written, Lost: r.Lost()})
 	if err == nil {
-		err = r.write(text)
+		err = r.write(frame)
 	}
-	if err != nil && r.torn {
-		r.file.Truncate(r.size) // a reader then says that it was not finished, which is so
+	if err != nil && r.incomplete {
+		_ = r.file.Truncate(r.size)
 	}
-	r.file.Close()
+	_ = r.file.Close() // there is nowhere to report it: the program ends
 }
--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -28,11 +28,14 @@
 func storedRequests() []Request {
 	return []Request{
 		{
-			ArrivedAt: 1_764_576_000_000_100, Class: 1, Tenant: 1, Caller: 77, SizeKB: 1.5, Rank: 0.25, KeyHash: 1<<63 | 3, BodyHash: 1<<62 | 5,
-			BodyBytes: 1_536,
+			ArrivedAt: 1_764_576_000_000_100, Class: 1, Tenant: 1, Caller: 77, SizeKB: 1.5, Rank: 0.25,
+			KeyHash: 1<<63 | 3, BodyHash: 1<<62 | 5, BodyBytes: 1_536,
 		},
 		{ArrivedAt: 1_764_576_000_250_000, Caller: 78, SizeKB: 0.125, BodyHash: 9, BodyBytes: 128},
-		{ArrivedAt: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, KeyHash: 4, BodyHash: 10, BodyBytes: 2_048},
+		{
+			ArrivedAt: 1_764_576_000_200_000, Class: 1, Caller: 79, SizeKB: 2, Rank: 3, KeyHash: 4, BodyHash: 10,
+			BodyBytes: 2_048,
+		},
 		{ArrivedAt: 1_764_576_001_000_000, Tenant: 1, Caller: 77, SizeKB: 1, BodyHash: 11, BodyBytes: 1_024},
 	}
 }
@@ -40,7 +43,8 @@
 // writeStored records the requests in blocks of three.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
-	r, err := Create(path, storedHead(), Options{MaxBytes: 1 << 20, QueueSize: 10, BlockSize: 3, FlushInterval: time.Hour})
+	opt := Options{MaxBytes: 1 << 20, QueueSize: 10, BlockSize: 3, FlushInterval: time.Hour}
+	r, err := Create(path, storedHead(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +91,8 @@
 }
 
 // What was lost is in the last frame of a file; the figures keep their order.
-func TestEndFrameKeepsItsBytes(t *testing.T) {
-	got, err := appendFrame(nil, frameEnd, Trailer{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
+func TestTrailerKeepsItsBytes(t *testing.T) {
+	got, err := appendFrame(nil, frameTrailer, Trailer{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -15,6 +15,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
+
+	"ryepaddle/internal/wallclock"
 )
 
 var head = Header{
@@ -61,7 +63,7 @@
 
 func request(i int) Request {
 	return Request{
-		ArrivedAt: head.StartedAt + int64(i)*1000,
+		ArrivedAt: head.StartedAt + wallclock.UnixMicro(i)*1000,
 		Class:     uint16(i % 2),
 		Tenant:    uint16(i / 2 % 2),
 		Caller:    uint32(i),
@@ -103,36 +105,26 @@
 	return rec
 }
 
-// What was noted is read again, whatever it was and however it fell into blocks.
-func TestThereAndBack(t *testing.T) {
+func drawRequest(t *rapid.T) Request {
+	return Request{
+		ArrivedAt: wallclock.UnixMicro(rapid.Int64Range(0, math.MaxInt64/4).Draw(t, "at")),
+		Class:     uint16(rapid.IntRange(0, 1).Draw(t, "class")),
+		Tenant:    uint16(rapid.IntRange(0, 1).Draw(t, "tenant")),
+		Caller:    rapid.Uint32().Draw(t, "caller"),
+		SizeKB:    rapid.Float32Range(0, 2000).Draw(t, "size"),
+		Rank:      rapid.Float32Range(0, 1).Draw(t, "rank"),
+		KeyHash:   rapid.Uint64().Draw(t, "key"),
+		BodyHash:  rapid.Uint64().Draw(t, "body"),
+		BodyBytes: rapid.Uint32().Draw(t, "len"),
+	}
+}
+
+// What was recorded is read again, whatever it was and however it fell into blocks.
+func TestRecordedRequestsAreReadAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []Request
 		for range rapid.IntRange(0, 60).Draw(t, "n") {
-			want = append(
-				want,
-				Request{
-					ArrivedAt: rapid.Int64Range(0, math.MaxInt64/4).Draw(t, "at"),
-					Class:     uint16(rapid.IntRange(0, 1).Draw(t, "class")),
-					Tenant: uint16(
-						rapid.IntRange(0, 1).Draw(t, "tenant"),
-					),
-					Caller: rapid.Uint32().Draw(t, "caller"),
-					SizeKB: rapid.Float32Range(
-						0,
-						2000,
-					).Draw(
-						t,
-						"size",
-					),
-					Rank: rapid.Float32Range(0, 1).Draw(t, "rank"),
-					KeyHash: rapid.Uint64().Draw(
-						t,
-						"key",
-					),
-					BodyHash:  rapid.Uint64().Draw(t, "body"),
-					BodyBytes: rapid.Uint32().Draw(t, "len"),
-				},
-			)
+			want = append(want, drawRequest(t))
 		}
 		d := &disk{room: -1}
 		r, err := NewRecorder(
@@ -162,11 +154,11 @@
 	})
 }
 
-// A file that ends anywhere gives the blocks that are whole, says that it was cut, and where.
-func TestCutAnywhere(t *testing.T) {
+// A file that ends anywhere gives its complete blocks, and says where it ends.
+func TestTruncatedFileGivesCompleteBlocks(t *testing.T) {
 	d := &disk{room: -1}
 	written(t, d, 50, Options{BlockSize: 10})
-	whole := decode(t, d.text)
+	complete := decode(t, d.text)
 	for n := range len(d.text) {
 		rec, err := Decode(bytes.NewReader(d.text[:n]))
 		if err != nil {
@@ -178,47 +170,49 @@
 		if rec.Truncation == nil || len(rec.Requests)%10 != 0 {
 			t.Fatalf("cut at %d: %d requests, %v", n, len(rec.Requests), rec.Truncation)
 		}
-		if diff := cmp.Diff(whole.Requests[:len(rec.Requests)], rec.Requests, cmp.AllowUnexported(Request{})); diff != "" &&
-			len(rec.Requests) > 0 {
+		diff := cmp.Diff(complete.Requests[:len(rec.Requests)], rec.Requests, cmp.AllowUnexported(Request{}))
+		if diff != "" && len(rec.Requests) > 0 {
 			t.Fatalf("cut at %d (-want +got)\n%s", n, diff)
 		}
 	}
-	if whole.Truncation != nil || len(whole.Requests) != 50 {
-		t.Fatalf("%d requests, %v", len(whole.Requests), whole.Truncation)
+	if complete.Truncation != nil || len(complete.Requests) != 50 {
+		t.Fatalf("%d requests, %v", len(complete.Requests), complete.Truncation)
 	}
 }
 
-// A flipped bit is noticed wherever it is, and never changes a request.
-func TestSpoiltAnywhere(t *testing.T) {
+// A flipped bit is recognized wherever it is, and never changes a request.
+func TestDamageIsRecognizedAnywhere(t *testing.T) {
 	d := &disk{room: -1}
 	written(t, d, 30, Options{BlockSize: 10})
-	whole := decode(t, d.text)
+	complete := decode(t, d.text)
 	for i := range d.text {
-		spoilt := bytes.Clone(d.text)
-		spoilt[i] ^= 0x10
-		rec, err := Decode(bytes.NewReader(spoilt))
+		damaged := bytes.Clone(d.text)
+		damaged[i] ^= 0x10
+		rec, err := Decode(bytes.NewReader(damaged))
 		if err != nil {
 			continue
 		}
 		if rec.Truncation == nil {
-			t.Fatalf("byte %d: not noticed", i)
+			t.Fatalf("byte %d: not recognized", i)
 		}
 		for k, q := range rec.Requests {
-			if q != whole.Requests[k] {
+			if q != complete.Requests[k] {
 				t.Fatalf("byte %d: request %d is %+v", i, k, q)
 			}
 		}
 	}
 }
 
-func TestOtherFiles(t *testing.T) {
-	later := append([]byte(magic), 9, 0)
+func TestOtherFilesAreRejected(t *testing.T) {
+	newer := append([]byte(magic), 9, 0)
 	for _, c := range []struct {
 		name string
 		text []byte
 		want error
 	}{
-		{"empty", nil, ErrNotRecording}, {"text", []byte("name,address\na,b\n"), ErrNotRecording}, {"later", later, ErrNewerVersion},
+		{"empty", nil, ErrNotRecording},
+		{"text", []byte("name,address\na,b\n"), ErrNotRecording},
+		{"newer", newer, ErrNewerVersion},
 		{"no head", append([]byte(magic), 1, 0), ErrNotRecording},
 	} {
 		if _, err := Decode(bytes.NewReader(c.text)); !errors.Is(err, c.want) {
@@ -244,8 +238,8 @@
 	}
 }
 
-// A slow disk costs records, counted, and never keeps whoever notes a request waiting.
-func TestASlowDisk(t *testing.T) {
+// A slow disk costs records, which are counted, and delays no request.
+func TestSlowDiskDelaysNothing(t *testing.T) {
 	d := &disk{room: -1, gate: make(chan struct{})}
 	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 50, BlockSize: 10})
 	if err != nil {
@@ -271,20 +265,20 @@
 	}
 }
 
-// A full disk costs records; when there is room again, recording goes on, and the file holds whole
+// A full disk costs records; when there is room again recording goes on, and the file holds complete
 // blocks only.
-func TestAFullDisk(t *testing.T) {
+func TestFullDiskCostsRecordsThatAreCounted(t *testing.T) {
 	d := &disk{room: 400}
 	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 1000, BlockSize: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
-	note := func(from, to int) {
+	record := func(from, to int) {
 		for i := from; i < to; i++ {
 			r.Record(request(i))
 		}
 	}
-	note(0, 100)
+	record(0, 100)
 	for deadline := time.Now().Add(10 * time.Second); r.Lost().Errors == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("nothing is lost on a full disk")
@@ -294,7 +288,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	d.setRoom(-1)
-	note(100, 200)
+	record(100, 200)
 	if err := r.Close(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -309,7 +303,7 @@
 	}
 }
 
-func TestTheFileIsBounded(t *testing.T) {
+func TestFileIsBounded(t *testing.T) {
 	d := &disk{room: -1}
 	r := written(t, d, 5000, Options{MaxBytes: 4000, BlockSize: 10})
 	rec := decode(t, d.text)
@@ -322,7 +316,7 @@
 	}
 }
 
-func TestOpenKeepsWhatIsThere(t *testing.T) {
+func TestCreateKeepsAnExistingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traffic")
 	if err := os.WriteFile(path, []byte("dear"), 0o644); err != nil {
 		t.Fatal(err)
@@ -335,30 +329,30 @@
 	}
 }
 
-func TestFirstTries(t *testing.T) {
-	const s = 1_000_000
+func TestRetriesAreLeftOut(t *testing.T) {
+	const s = 1_000_000 // in microseconds
 	rec := &Recording{Header: head, Requests: []Request{
-		{ArrivedAt: 5 * s, Class: 0, Caller: 1, BodyHash: 70},  // the clock went back behind this one
+		{ArrivedAt: 5 * s, Class: 0, Caller: 1, BodyHash: 70},  // the clock was set back after this one
 		{ArrivedAt: 1 * s, Class: 0, Caller: 1, BodyHash: 10},  //
 		{ArrivedAt: 2 * s, Class: 0, Caller: 1, BodyHash: 10},  // again
-		{ArrivedAt: 2 * s, Class: 0, Caller: 2, BodyHash: 10},  // somebody else's
+		{ArrivedAt: 2 * s, Class: 0, Caller: 2, BodyHash: 10},  // another caller's
 		{ArrivedAt: 3 * s, Class: 1, Caller: 1, KeyHash: 9},    //
 		{ArrivedAt: 4 * s, Class: 1, Caller: 2, KeyHash: 9},    // again, through another balancer
 		{ArrivedAt: 20 * s, Class: 0, Caller: 1, BodyHash: 10}, // long after
-		{ArrivedAt: 21 * s, Class: 0, Caller: 1},               // no body to tell it by
+		{ArrivedAt: 21 * s, Class: 0, Caller: 1},               // no body to compare
 		{ArrivedAt: 22 * s, Class: 0, Caller: 1},
 	}}
-	first, further := rec.WithoutRetries(func(int) int64 { return 9 * s })
+	first, retries := rec.WithoutRetries(func(int) time.Duration { return 9 * time.Second })
 	var at []string
 	for _, q := range first {
 		at = append(at, fmt.Sprint(q.ArrivedAt/s))
 	}
-	if got := strings.Join(at, " "); got != "1 2 3 5 20 21 22" || further != 2 {
-		t.Errorf("%s, %d further", got, further)
+	if got := strings.Join(at, " "); got != "1 2 3 5 20 21 22" || retries != 2 {
+		t.Errorf("%s, %d retries", got, retries)
 	}
 }
 
-// Decoding takes any bytes: it neither fails in itself nor takes more memory than they warrant.
+// Decoding takes any bytes: it does not panic, and requests are of classes and tenants that there are.
 func FuzzDecode(f *testing.F) {
 	d := &disk{room: -1}
 	written(f, d, 20, Options{BlockSize: 7})
@@ -378,7 +372,7 @@
 	})
 }
 
-func BenchmarkNote(b *testing.B) {
+func BenchmarkRecord(b *testing.B) {
 	r, err := NewRecorder(&disk{room: -1}, head, Options{MaxBytes: 1 << 40, QueueSize: 4096})
 	if err != nil {
 		b.Fatal(err)
