--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,66 +8,62 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"ryepaddle/internal/netaddr"
 )
 
-// The ends of a connection that are not errors of the system.
+// The reasons for which a connection is closed that are not errors of the system.
 var (
-	ErrSlowPeer      = errors.New("peer does not read")
+	// ErrSlowPeer reports a peer that does not read what is sent to it.
+	ErrSlowPeer = errors.New("peer does not read")
+	// ErrInputOverflow reports a peer that sends more than the input buffer may hold.
 	ErrInputOverflow = errors.New("peer sends more than fits the buffer")
 )
 
-// ConnectionRefusedError tells that a connection was refused, or could not even be tried for want of a
-// descriptor. Either proves that nothing was sent on it.
-type ConnectionRefusedError struct{ Err error }
-
-func (e *ConnectionRefusedError) Error() string { return "connect refused: " + e.Err.Error() }
-
-// Unwrap returns the system's error.
-func (e *ConnectionRefusedError) Unwrap() error { return e.Err }
-
-// Handler is told what happens on a connection.
+// Handler receives the events of one connection. All methods are called on the loop.
 type Handler interface {
-	// Connected is called once on a dialled connection that stands.
+	// Connected is called once when a dialled connection is established.
 	Connected()
-	// Data gets all that is unread so far and returns how much of it is used up.
-	// An error closes the connection.
+	// Data receives all input that is not consumed so far, and returns how many bytes of it it has
+	// consumed. An error closes the connection.
 	Data(b []byte) (int, error)
-	// End is called once when the peer has closed its side. Returning true keeps the own side open.
+	// End is called once when the peer has closed its side. Returning true keeps this side open.
 	End() bool
-	// Closed is called once, last, when the descriptor has been given back.
+	// Closed is called once, last, after the descriptor was closed. err is the reason.
 	Closed(err error)
 }
 
-// BufferLimits bound the buffers of a connection in bytes.
+// BufferLimits bound the buffers of a connection, in bytes.
 type BufferLimits struct{ In, Out int }
 
-// Conn is one stream connection. It owns its descriptor and gives it back in Close.
+// Conn is one stream connection. It owns its descriptor, which Close closes.
 type Conn struct {
 	loop    *Loop
 	fd      int
-	remote  netip.AddrPort // where it was dialled to, or came from
+	remote  netip.AddrPort // the address dialled or accepted from
 	dialled bool
 	handler Handler
 	limits  BufferLimits
 	in, out []byte
-	// Opening: the connect is under way. Ended: the peer sends no more. Leaving: the own side is
-	// shut, what comes is thrown away until the peer closes.
-	connecting, peerClosed, closing, writeShut, closed, dirty bool
-	paused, unwatched                                         bool // blind: taken off epoll while it is paused
-	onFlushed                                                 func()
 
-	events       uint32
-	stalledSince time.Duration // since when the peer has taken nothing of what is queued; 0: it takes all
-	discarded    int           // bytes that came after the connection was left
-	closeTimer   *Timer        // the end of a connection that was left
-	onReleased   func()
+	connecting bool // the connect is in progress
+	peerClosed bool // the peer sends no more
+	closing    bool // closed gracefully: input is discarded until the peer closes
+	writeShut  bool // this side was shut down
+	closed     bool // the descriptor is closed
+	dirty      bool // listed to be flushed at the end of the turn
+	paused     bool // reading is paused
+	unwatched  bool // removed from epoll while it is paused
+
+	events       uint32        // that epoll waits for
+	stalledSince time.Duration // when the peer stopped taking output; 0: it takes all
+	discarded    int           // bytes read while closing
+	closeTimer   *Timer        // bounds a graceful close
+	onFlushed    func()        // called when the peer has taken output
+	onReleased   func()        // called after Handler.Closed
 }
 
-func newConn(l *Loop, fd int, limits BufferLimits, opening bool) (*Conn, error) {
-	c := &Conn{loop: l, fd: fd, limits: limits, connecting: opening, events: unix.EPOLLIN}
-	if opening {
+func newConn(l *Loop, fd int, limits BufferLimits, connecting bool) (*Conn, error) {
+	c := &Conn{loop: l, fd: fd, limits: limits, connecting: connecting, events: unix.EPOLLIN}
+	if connecting {
 		c.events = unix.EPOLLOUT
 	}
 	if err := l.watch(fd, c.events, c); err != nil {
@@ -77,66 +73,21 @@
 	return c, nil
 }
 
-// Dial begins a connection to addr. The outcome reaches the handler, never before Dial returns.
-func (l *Loop) Dial(addr netip.AddrPort, limits BufferLimits, h Handler) *Conn {
-	return l.DialAddr(netaddr.Addr{IP: addr}, limits, h)
-}
-
-// DialAddr is Dial to any kind of address.
-func (l *Loop) DialAddr(addr netaddr.Addr, limits BufferLimits, h Handler) *Conn {
-	fam, sa := socketAddr(addr)
-	fd, err := unix.Socket(fam, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return l.failedConn(h, &ConnectionRefusedError{err})
-	}
-	if !addr.IsUnix() {
-		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	}
-	if err := unix.Connect(fd, sa); err != nil && err != unix.EINPROGRESS {
-		_ = unix.Close(fd)
-		// there it stands at once or not at all: nobody took it, whatever the reason
-		if addr.IsUnix() {
-			return l.failedConn(h, &ConnectionRefusedError{err})
-		}
-		return l.failedConn(h, connectError(err))
-	}
-	c, err := newConn(l, fd, limits, true)
-	if err != nil {
-		return l.failedConn(h, &ConnectionRefusedError{err})
-	}
-	c.handler, c.remote, c.dialled = h, addr.IP, true
-	return c
-}
-
-// failedConn is a connection that never had a descriptor; its handler learns of it like of any
-// other.
-func (l *Loop) failedConn(h Handler, err error) *Conn {
-	l.Post(func() { h.Closed(err) })
-	return &Conn{loop: l, fd: -1, handler: h, closed: true}
-}
-
-// connectError marks the one error that proves that nobody took the connection.
-func connectError(err error) error {
-	if err == unix.ECONNREFUSED {
-		return &ConnectionRefusedError{err}
-	}
-	return fmt.Errorf("connect: %w", err)
-}
-
+// ready handles the events that epoll reported.
 func (c *Conn) ready(events uint32) {
 	if c.connecting {
 		c.finishConnect()
 		return
 	}
-	// The ends of a connection are always told. One that is paused would tell them again and again,
-	// and what came before the end would be lost with it.
+	// Epoll reports the end of a connection whatever it is asked to wait for. For a paused one it
+	// would do so in every turn, and closing it would lose the input that came before the end.
 	if c.paused && events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && len(c.out) == 0 {
 		c.unwatched = true
 		c.loop.unwatch(c.fd)
 		return
 	}
-	// What a server said before it reset the connection still counts; what a caller asked for
-	// before that does not.
+	// Input that a server sent before it reset the connection is still delivered; that of a client
+	// is not.
 	if events&unix.EPOLLERR != 0 && (events&unix.EPOLLIN == 0 || c.peerClosed || !c.dialled) {
 		errno, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		c.Close(fmt.Errorf("connection broke: %w", unix.Errno(errno)))
@@ -183,7 +134,11 @@
 		}
 		return
 	}
-	data := c.loop.scratch[:n]
+	c.deliver(c.loop.scratch[:n])
+}
+
+// deliver passes input to the handler and buffers what that does not consume.
+func (c *Conn) deliver(data []byte) {
 	if len(c.in) > 0 {
 		c.in = append(c.in, data...)
 		data = c.in
@@ -196,7 +151,7 @@
 		c.Close(err)
 		return
 	}
-	// What is left over is kept in a buffer of the connection's own; one that is idle keeps none.
+	// The rest is copied to a buffer of the connection itself; an idle connection holds none.
 	if c.in = append(c.in[:0], data[used:]...); len(c.in) == 0 {
 		c.in = nil
 	}
@@ -205,9 +160,9 @@
 	}
 }
 
-// peerEnded deals with the end of what the peer sends. A peer that only stopped sending still gets
-// what is queued for it: its end may be read in the very turn in which its answer was written,
-// before that went out. A connection that was dialled to a server that ends has nobody to wait for.
+// peerEnded handles the end of the peer's input. A client that only stopped sending still gets the
+// queued output: its end may be read in the same turn in which its response was written, before that
+// was flushed. A server that ends has nothing more to wait for.
 func (c *Conn) peerEnded() {
 	c.peerClosed = true
 	wanted := !c.closing && c.handler.End()
@@ -223,13 +178,14 @@
 	}
 }
 
-// Write queues b; it goes out at the end of the turn.
+// Write queues b, which is sent at the end of the turn. If the output buffer overflows, the
+// connection is closed with ErrSlowPeer.
 func (c *Conn) Write(b []byte) {
 	if c.closed || c.closing {
 		return
 	}
 	if len(c.out)+len(b) > c.limits.Out {
-		c.flush() // much may have been written in one turn: what the peer takes now does not count
+		c.flush() // what the peer takes at once does not count against the limit
 	}
 	if len(c.out)+len(b) > c.limits.Out {
 		c.Close(ErrSlowPeer)
@@ -239,7 +195,7 @@
 	c.scheduleFlush()
 }
 
-// scheduleFlush has the connection flushed at the end of the turn.
+// scheduleFlush lists the connection to be flushed at the end of the turn.
 func (c *Conn) scheduleFlush() {
 	if !c.dirty && !c.connecting {
 		c.dirty = true
@@ -247,8 +203,8 @@
 	}
 }
 
-// Pause stops reading, or goes on. What the peer has sent waits in the system's buffers, and then
-// at the peer.
+// Pause stops or resumes reading. Meanwhile input waits in the system's buffers, and then at the
+// peer.
 func (c *Conn) Pause(on bool) {
 	if c.paused != on && !c.closed {
 		c.paused = on
@@ -258,36 +214,26 @@
 	}
 }
 
-// QueuedBytes is how much waits for the peer to take it.
+// QueuedBytes returns the size of the output that the peer has not taken yet.
 func (c *Conn) QueuedBytes() int { return len(c.out) }
 
-// Flush writes what is queued as far as the peer takes it, now and not at the end of the turn.
+// Flush sends the queued output as far as the peer takes it, without waiting for the end of the turn.
 func (c *Conn) Flush() { c.flush() }
 
-// OnFlushed has fn called whenever the peer has taken some of what was queued. It must not write.
+// OnFlushed sets fn to be called whenever the peer has taken queued output. fn must not write.
 func (c *Conn) OnFlushed(fn func()) { c.onFlushed = fn }
 
-// Abort ends the connection so that the peer sees that it was cut: what it has been sent must not
-// look whole.
-func (c *Conn) Abort(err error) {
-	if !c.closed {
-		// An error of it leaves an ordinary end, which a stated length still shows for what it is.
-		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-		c.Close(err)
-	}
-}
-
-// IsIdle tells whether the connection stands, and nothing has come on it that was not read.
+// IsIdle reports whether the connection is open and has no input that was not consumed.
 func (c *Conn) IsIdle() bool {
 	if c.closed || c.peerClosed || len(c.in) > 0 {
 		return false
 	}
 	_, err := c.peek()
-	return err == unix.EAGAIN
+	return errors.Is(err, unix.EAGAIN)
 }
 
-// HasUnreadInput tells whether bytes wait in the system that the loop has not read yet, as they came in
-// this very turn.
+// HasUnreadInput reports whether the system holds input that the loop has not read yet, as it came
+// in this very turn.
 func (c *Conn) HasUnreadInput() bool {
 	if c.closed || c.peerClosed {
 		return false
@@ -296,26 +242,26 @@
 	return n > 0
 }
 
-// peek looks at the next byte without taking it.
+// peek reads the next byte without consuming it.
 func (c *Conn) peek() (n int, err error) {
 	var b [1]byte
 	n, _, err = unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n, err
 }
 
-// RemoteAddr is the address that the connection was dialled to or came from; not valid on a unix socket.
+// RemoteAddr returns the address dialled or accepted from. It is not valid for a unix socket.
 func (c *Conn) RemoteAddr() netip.AddrPort { return c.remote }
 
-// PeerUID is the user whose process connected to a unix socket of ours; false: it is not known.
+// PeerUID returns the user of the process that connected to a unix socket; false if it is not known.
 func (c *Conn) PeerUID() (uid int, ok bool) {
-	u, err := unix.GetsockoptUcred(c.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
+	credentials, err := unix.GetsockoptUcred(c.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
 		return 0, false
 	}
-	return int(u.Uid), true
+	return int(credentials.Uid), true
 }
 
-// StalledFor is for how long the peer has taken nothing of what is queued for it.
+// StalledFor returns for how long the peer has taken none of the queued output.
 func (c *Conn) StalledFor() time.Duration {
 	if c.stalledSince == 0 {
 		return 0
@@ -323,12 +269,13 @@
 	return c.loop.now - c.stalledSince
 }
 
-// IsConnecting tells whether a dialled connection does not stand yet, so that nothing was sent on it.
+// IsConnecting reports whether a dialled connection is not established yet, so that nothing was sent.
 func (c *Conn) IsConnecting() bool { return c.connecting && !c.closed }
 
-// IsClosed tells whether the descriptor has been given back.
+// IsClosed reports whether the descriptor was closed.
 func (c *Conn) IsClosed() bool { return c.closed }
 
+// flush sends the queued output as far as the peer takes it.
 func (c *Conn) flush() {
 	for len(c.out) > 0 && !c.closed && !c.connecting {
 		n, err := unix.SendmsgN(c.fd, c.out, nil, nil, unix.MSG_NOSIGNAL)
@@ -361,6 +308,7 @@
 	c.rearm()
 }
 
+// rearm makes epoll wait for the events that the state of the connection calls for.
 func (c *Conn) rearm() {
 	if c.closed {
 		return
@@ -388,98 +336,5 @@
 	}
 }
 
-const (
-	flushTimeout      = 10 * time.Second       // a connection that was left has so long to be rid of what is queued
-	lingerTimeout     = 500 * time.Millisecond // and its peer so long to close after that
-	maxDiscardedBytes = 1 << 20                // a peer that goes on sending is not listened to for as long
-)
-
-// CloseGracefully sends what is queued, shuts the own side and closes when the peer does, or after a while.
-// Closing at once would reset the connection where the peer has just written, and take answers with
-// it that it has not read.
-func (c *Conn) CloseGracefully() {
-	if c.closed || c.closing {
-		return
-	}
-	if c.connecting || c.peerClosed && len(c.out) == 0 {
-		c.Close(nil)
-		return
-	}
-	// Reading goes on where it was paused: closed over unread bytes, the connection would be reset.
-	c.closing, c.paused, c.in = true, false, nil
-	c.rearm()
-	c.closeTimer = c.loop.After(flushTimeout, func() { c.Close(ErrSlowPeer) })
-	c.scheduleFlush()
-}
-
-// FlushAndShutdown is Leave for a process that ends at once: what the peer takes now of what is queued
-// goes out, the own side is shut, and what has come is read off.
-func (c *Conn) FlushAndShutdown() {
-	if c.closed || c.connecting {
-		return
-	}
-	if c.flush(); c.closed {
-		return
-	}
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // it fails where the peer has reset the connection
-	for range maxDiscardedBytes / readChunkBytes {
-		if n, err := unix.Read(c.fd, c.loop.scratch); n <= 0 || err != nil {
-			return
-		}
-	}
-}
-
-// shutdownWrite ends the own side of a connection that was left and whose last byte is out.
-func (c *Conn) shutdownWrite() {
-	c.closeTimer.Stop()
-	if c.peerClosed || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
-		c.Close(nil)
-		return
-	}
-	c.closeTimer = c.loop.After(lingerTimeout, func() { c.Close(nil) })
-}
-
-// IsClosing tells whether the connection was left and only waits for its end.
-func (c *Conn) IsClosing() bool { return c.closing }
-
-// Close gives the descriptor back, at once. The handler hears of it later in the turn.
-func (c *Conn) Close(err error) {
-	if c.closed {
-		return
-	}
-	c.closed = true
-	c.closeTimer.Stop()
-	c.loop.release(c.fd)
-	c.in, c.out = nil, nil
-	c.loop.Post(func() {
-		c.handler.Closed(err)
-		if c.onReleased != nil {
-			c.onReleased()
-		}
-	})
-}
-
-// socketAddr is an address as the system takes it.
-func socketAddr(a netaddr.Addr) (fam int, sa unix.Sockaddr) {
-	if a.IsUnix() {
-		return unix.AF_UNIX, &unix.SockaddrUnix{Name: a.Path}
-	}
-	return family(a.IP), sockaddr(a.IP)
-}
-
-func family(a netip.AddrPort) int {
-	if a.Addr().Is4() {
-		return unix.AF_INET
-	}
-	return unix.AF_INET6
-}
-
-func sockaddr(a netip.AddrPort) unix.Sockaddr {
-	if a.Addr().Is4() {
-		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}
-	}
-	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
-}
-
-// Buffered is what has come and is not used up.
+// Buffered returns the input that was received and is not consumed yet.
 func (c *Conn) Buffered() []byte { return c.in }
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -9,12 +9,12 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// acceptsInOneTurn is as many as a listener takes in one turn.
+// acceptsInOneTurn is how many connections a listener accepts in one turn.
 const acceptsInOneTurn = 64
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// remote is a handler that keeps what comes, or does as the test says.
+// peer is a handler that buffers its input, or handles it as the test says.
 type peer struct{ data func([]byte) (int, error) }
 
 func (p *peer) Connected() {}
@@ -27,8 +27,7 @@
 func (p *peer) End() bool    { return false }
 func (p *peer) Closed(error) {}
 
-// expect turns the loop until the peer has read to the end, which has to be in order and to bring
-// all of the text.
+// expect runs the loop until the peer has read to an orderly end, and compares what it read.
 func expect(t testing.TB, s *scenario.SteppedLoop, got <-chan scenario.Ended, want string) {
 	t.Helper()
 	if r := s.AwaitEnd(got); r.Err != nil || r.Text != want {
@@ -36,18 +35,18 @@
 	}
 }
 
-// accepting listens and gives the connections that are taken, oldest first.
+// accepting listens and returns the accepted connections, oldest first.
 func accepting(
 	t testing.TB,
 	l *eventloop.Loop,
-	most int,
+	maxOpen int,
 	h func(*eventloop.Conn) eventloop.Handler,
 ) (*eventloop.Listener, *[]*eventloop.Conn) {
 	t.Helper()
 	taken := &[]*eventloop.Conn{}
 	ln, err := l.Listen(
 		loopback,
-		most,
+		maxOpen,
 		eventloop.BufferLimits{In: 1 << 10, Out: 8 << 20},
 		func(c *eventloop.Conn) eventloop.Handler {
 			*taken = append(*taken, c)
@@ -61,9 +60,9 @@
 	return ln, taken
 }
 
-// A peer that stops sending is read to its end in the turn in which its answer is written: the
-// answer still goes out.
-func TestEndOfPeerInTheTurnOfItsAnswer(t *testing.T) {
+// The end of a peer's input is read in the turn in which its response is written: the response is
+// still sent.
+func TestOutputIsSentWhenPeerClosesInSameTurn(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
@@ -78,8 +77,8 @@
 	expect(t, s, got, "answer")
 }
 
-// The same with an answer that the system does not take at once, on a connection that was left.
-func TestEndOfPeerThatReadsSlowly(t *testing.T) {
+// The same with a response that the system does not take at once, on a connection that is closing.
+func TestOutputIsSentToSlowPeerThatClosed(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
@@ -98,9 +97,9 @@
 	expect(t, s, scenario.ReadToEnd(c), string(large))
 }
 
-// A connection that is left while it is paused reads what still comes: closed over it, it would be
-// reset and take the answer along.
-func TestLeftWhilePaused(t *testing.T) {
+// A connection that is closed gracefully while it is paused reads the input that still comes: a close
+// with unread input would reset it, and the response would be lost.
+func TestGracefulCloseResumesPausedReading(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "")
@@ -117,11 +116,14 @@
 	expect(t, s, scenario.ReadToEnd(c), "answer")
 }
 
-// What waits in the queue when a listener closes was accepted in its peer's eyes: all of it is
-// taken in, however much it is.
-func TestQueueIsTakenAsTheListenerCloses(t *testing.T) {
+// Connections that wait in the queue when a listener closes are established to their peers: all of
+// them are accepted, however many they are.
+func TestClosingListenerAcceptsItsQueue(t *testing.T) {
 	const many = 3 * acceptsInOneTurn
-	for name, end := range map[string]func(*eventloop.Listener){"close": (*eventloop.Listener).Close, "when taken": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(time.Second) }} {
+	for name, end := range map[string]func(*eventloop.Listener){
+		"close":      (*eventloop.Listener).Close,
+		"when taken": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(time.Second) },
+	} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario.NewSteppedLoop(t)
 			ln, taken := accepting(
@@ -141,9 +143,9 @@
 	}
 }
 
-// Those in the queue that have no place yet get theirs as others go, and only then the listener
-// closes.
-func TestQueueWaitsForPlaces(t *testing.T) {
+// Connections in the queue for which there is no room are accepted as others close, and only then the
+// listener closes.
+func TestClosingListenerWaitsForRoom(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
 		return &peer{data: func(b []byte) (int, error) {
@@ -158,21 +160,21 @@
 	}
 	ln.CloseWhenAccepted(time.Hour)
 	if !ln.IsListening() {
-		t.Fatal("closed while peers wait for their places")
+		t.Fatal("closed while peers wait for room")
 	}
 	for _, got := range answers {
 		expect(t, s, got, "call")
 	}
-	s.Pass(time.Second) // the last one's place is given back
+	s.Pass(time.Second) // the last connection closes
 	s.Pass(0)
 	if len(*taken) != 3 || ln.IsListening() {
 		t.Fatalf("%d taken, listens: %t", len(*taken), ln.IsListening())
 	}
 }
 
-// As the process ends, its connections are closed at once: bytes that were not read must not take
-// along an answer that the peer has not read yet.
-func TestUnreadBytesAsTheProcessEnds(t *testing.T) {
+// As the process ends its connections are closed at once: unread input must not reset one whose peer
+// has not read the response yet.
+func TestShutdownKeepsResponseBeforeUnreadInput(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "")
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,6 @@
-// Package loop is the program's one event loop: epoll, timers, the clock, connection buffers with
-// limits, and signals. Everything on it runs on the goroutine that called Run.
+// Package eventloop implements the program's single-threaded event loop on epoll: timers, a clock that
+// is read once a turn, stream connections with bounded buffers, listeners, and signals. All callbacks
+// run on the goroutine that calls Run; other goroutines enter through Deliver.
 package eventloop
 
 import (
@@ -16,22 +17,28 @@
 )
 
 const (
-	readChunkBytes   = 64 << 10 // bytes read from one connection in one turn
+	// readChunkBytes bounds what is read from one connection in one turn.
+	readChunkBytes = 64 << 10
+	// maxEventsPerTurn bounds the descriptors that are served in one turn.
 	maxEventsPerTurn = 256
-	clockOrigin      = time.Second // what the clock shows at its start, so that 0 can mean "never"
+	// maxPollTimeout is the longest wait of a turn without a timer that is due.
+	maxPollTimeout = time.Second
+	clockOrigin    = time.Second // what the clock shows at its start, so that 0 can mean "never"
 )
 
-// source is something that epoll watches.
+// source is a descriptor's owner, which handles the events of epoll.
 type source interface {
 	ready(events uint32)
 }
 
+// registration is a watched descriptor. Its generation tells it from an earlier one of the same
+// number.
 type registration struct {
 	source     source
 	generation int32
 }
 
-// Clock tells the time of day, with its monotonic reading.
+// Clock returns the time of day with its monotonic reading.
 type Clock func() time.Time
 
 // Loop owns the epoll descriptor, the table of watched descriptors and the timers.
@@ -56,11 +63,11 @@
 	delivered []func()
 }
 
-// New makes a loop that goes by the system's clock. Close gives it back.
+// New returns a loop that goes by the system's clock. The caller must Close it.
 func New() (*Loop, error) { return newLoop(wallclock.Now, false) }
 
-// NewStepped makes a loop for tests: it goes by a clock that its owner steps, and its turns deal
-// with what is ready and due without waiting.
+// NewStepped returns a loop for tests: it goes by a clock that its owner steps, and its turns serve
+// what is ready and due without waiting.
 func NewStepped(clock Clock) (*Loop, error) { return newLoop(clock, true) }
 
 func newLoop(clock Clock, stepped bool) (*Loop, error) {
@@ -88,7 +95,7 @@
 	return l, nil
 }
 
-// Close gives back the loop's own descriptors.
+// Close closes the loop's own descriptors.
 func (l *Loop) Close() error { return errors.Join(unix.Close(l.epollFD), unix.Close(l.wakeFD)) }
 
 // Now returns the monotonic time of this turn, in whole microseconds, since the clock's origin.
@@ -97,21 +104,22 @@
 // Unix returns the system's Unix time of this turn.
 func (l *Loop) Unix() wallclock.UnixMicro { return l.unix }
 
+// readClock reads the clock for the turn that begins.
 func (l *Loop) readClock() {
 	t := l.clock()
 	l.now, l.unix = t.Sub(l.start).Truncate(time.Microsecond)+clockOrigin, wallclock.FromTime(t)
 }
 
-// Post runs fn later in this turn, after what is being done now.
+// Post calls fn later in this turn, after the current callback.
 func (l *Loop) Post(fn func()) { l.posted = append(l.posted, fn) }
 
 // Stop ends Run after this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// IsStopped tells whether Stop was called.
+// IsStopped reports whether Stop was called.
 func (l *Loop) IsStopped() bool { return l.stopped }
 
-// Run turns the loop until Stop.
+// Run runs turns until Stop is called. It returns an error of epoll.
 func (l *Loop) Run() error {
 	for !l.stopped {
 		if err := l.Turn(); err != nil {
@@ -122,8 +130,8 @@
 	return nil
 }
 
-// Turn waits until something is ready or the next timer is due, and deals with all of it: timers
-// first, then descriptors, and what both have put into buffers is written at the end.
+// Turn waits until a descriptor is ready or the next timer is due. It fires the timers that are due,
+// then serves the descriptors, and flushes the output of both at the end.
 func (l *Loop) Turn() error {
 	l.settle()
 	n, err := unix.EpollWait(l.epollFD, l.events[:], l.pollTimeout())
@@ -133,19 +141,18 @@
 	l.readClock()
 	l.fireTimers()
 	for _, event := range l.events[:max(n, 0)] {
-		// A descriptor closed earlier in this turn may have been given out again: the generation
-		// tells.
-		if w, ok := l.table[int(event.Fd)]; ok && w.generation == event.Pad {
-			w.source.ready(event.Events)
+		// The number of a descriptor that was closed earlier in this turn may be in use again, by
+		// another generation.
+		if r, ok := l.table[int(event.Fd)]; ok && r.generation == event.Pad {
+			r.source.ready(event.Events)
 		}
 	}
 	l.settle()
 	return nil
 }
 
-// AwaitReady waits until the next turn will find something ready, without dealing with it, and
-// reports whether there is something. With a stepped clock it lets a test put a timer and a
-// descriptor into the same turn.
+// AwaitReady waits up to the given time until a descriptor is ready, and reports whether one is. It
+// does not serve it. With a stepped clock a test can so put a timer and a descriptor into one turn.
 func (l *Loop) AwaitReady(within time.Duration) (bool, error) {
 	fds := []unix.PollFd{{Fd: int32(l.epollFD), Events: unix.POLLIN}}
 	for {
@@ -156,7 +163,7 @@
 	}
 }
 
-// settle runs what was posted and writes what the turn has put into buffers.
+// settle runs posted functions and flushes the output of the turn.
 func (l *Loop) settle() {
 	for len(l.posted) > 0 || len(l.dirty) > 0 {
 		posted, dirty := l.posted, l.dirty
@@ -171,18 +178,19 @@
 	}
 }
 
-// pollTimeout is the time until the next timer in milliseconds, rounded up.
+// pollTimeout returns the milliseconds until the next timer is due, rounded up.
 func (l *Loop) pollTimeout() int {
 	if l.stopped || l.stepped {
 		return 0
 	}
 	if len(l.timers) == 0 {
-		return 1000
+		return int(maxPollTimeout.Milliseconds())
 	}
-	wait := l.timers[0].dueAt - l.now + time.Millisecond - time.Microsecond
-	return int(min(max(wait, 0).Milliseconds(), 1000))
+	roundedUp := l.timers[0].dueAt - l.now + time.Millisecond - time.Microsecond
+	return int(min(max(roundedUp, 0), maxPollTimeout).Milliseconds())
 }
 
+// watch registers a descriptor for events.
 func (l *Loop) watch(fd int, events uint32, s source) error {
 	l.generation++
 	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.generation}
@@ -193,32 +201,33 @@
 	return nil
 }
 
+// rewatch changes the events of a watched descriptor.
 func (l *Loop) rewatch(fd int, events uint32) {
-	w, ok := l.table[fd]
+	r, ok := l.table[fd]
 	if !ok {
 		return
 	}
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: w.generation}
-	// It fails only for a descriptor that is not watched, which the table rules out.
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: r.generation}
+	// fails only for a descriptor that is not watched, which the table rules out
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &ev)
 }
 
-// unwatch stops watching a descriptor that stays open.
+// unwatch removes a descriptor that stays open from epoll.
 func (l *Loop) unwatch(fd int) {
 	delete(l.table, fd)
-	// it fails only for one that is not watched
+	// fails only for a descriptor that is not watched
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// release is the one place where a watched descriptor is given back.
+// release closes a watched descriptor. It is the only place that does.
 func (l *Loop) release(fd int) {
 	delete(l.table, fd)
-	_ = unix.Close(fd) // closing also ends the watch; there is nothing to be done about an error
+	_ = unix.Close(fd) // also removes it from epoll; an error leaves nothing to do
 }
 
-// Signals calls fn on the loop for each of the signals. Those of one kind that come together count
-// once, so that a flood of one neither blocks nor crowds out another. They are caught from the
-// moment of this call on, and for good.
+// Signals calls fn on the loop for each of the signals. Signals of one kind that come together count
+// once, so that a flood of one neither blocks nor displaces another. They are caught from this call
+// on until the program ends.
 func (l *Loop) Signals(fn func(os.Signal), signals ...os.Signal) {
 	for _, s := range signals {
 		ch := make(chan os.Signal, 1)
@@ -231,16 +240,16 @@
 	}
 }
 
-// Deliver has fn called on the loop. It is the one way in from other goroutines.
+// Deliver calls fn on the loop. It is the only method for other goroutines.
 func (l *Loop) Deliver(fn func()) {
 	l.mu.Lock()
 	l.delivered = append(l.delivered, fn)
 	l.mu.Unlock()
-	// it fails only where a wake-up is under way
+	// fails only while a wake-up is pending
 	_, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-// takeDelivered runs what other goroutines have left.
+// takeDelivered runs the functions that other goroutines delivered.
 func (l *Loop) takeDelivered(uint32) {
 	var b [8]byte
 	_, _ = unix.Read(l.wakeFD, b[:])
@@ -253,6 +262,7 @@
 	}
 }
 
+// readyFunc is a source that is a function.
 type readyFunc func(events uint32)
 
 func (f readyFunc) ready(events uint32) { f(events) }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -13,7 +13,7 @@
 
 var any4 = netip.MustParseAddrPort("127.0.0.1:0")
 
-// remote is a handler that the test fills in.
+// peer is a handler that the test fills in.
 type peer struct {
 	up     func()
 	data   func([]byte) (int, error)
@@ -38,7 +38,7 @@
 	}
 }
 
-// run turns a new loop until the test stops it.
+// run runs a new loop until the test stops it.
 func run(t *testing.T, begin func(*Loop)) *Loop {
 	t.Helper()
 	l, err := New()
@@ -47,7 +47,7 @@
 	}
 	defer l.Close()
 	l.After(10*time.Second, func() {
-		t.Error("the test does not come to its end")
+		t.Error("the test does not end")
 		l.Stop()
 	})
 	begin(l)
@@ -66,8 +66,8 @@
 	return ln
 }
 
-// A peer that does not read must cost no more than its buffer.
-func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
+// A peer that does not read must not cost more than its output buffer.
+func TestSlowPeerIsClosed(t *testing.T) {
 	var got error
 	run(t, func(l *Loop) {
 		var c *Conn
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestFloodIsClosedAndRefusalIsTold(t *testing.T) {
+func TestInputOverflowAndRefusedConnectReachHandler(t *testing.T) {
 	var flood, refused error
 	run(t, func(l *Loop) {
 		end := func() {
@@ -120,9 +120,9 @@
 	}
 }
 
-// An accept that fails for want of descriptors leaves the listener readable: the loop must rest,
-// not spin on it.
-func TestNoSpinWithoutDescriptors(t *testing.T) {
+// An accept that fails for lack of descriptors leaves the listener readable: the loop must pause, not
+// spin on it.
+func TestAcceptPausesWithoutDescriptors(t *testing.T) {
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
@@ -155,8 +155,8 @@
 	}
 }
 
-// At its most the listener leaves callers in the queue, and takes them as others go.
-func TestListenerAtItsMost(t *testing.T) {
+// At its limit the listener leaves connections in the queue, and accepts them as others close.
+func TestFullListenerAcceptsAsConnectionsClose(t *testing.T) {
 	taken, fulls := 0, 0
 	run(t, func(l *Loop) {
 		var first *Conn
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestTimersInOrderAndStopped(t *testing.T) {
+func TestTimersFireInOrderUnlessStopped(t *testing.T) {
 	var got []int
 	run(t, func(l *Loop) {
 		for _, d := range []int{30, 10, 20} {
@@ -187,8 +187,7 @@
 		stopped := l.After(15*time.Millisecond, func() { got = append(got, -1) })
 		stopped.Stop()
 		stopped.Stop()
-		// Two that are due in one turn: the first stops the second, which must not fire from the
-		// turn's list.
+		// Of two timers that are due in one turn the first stops the second, which must not fire.
 		var second *Timer
 		l.After(0, func() { second.Stop() })
 		second = l.After(time.Microsecond, func() { got = append(got, -2) })
@@ -200,75 +199,89 @@
 	}
 }
 
-// Of two that listen on one address the first hands over while peers connect: each connection is
-// taken by one of them, none is reset, and none goes to the first once it has handed over.
-func TestHandOver(t *testing.T) {
-	const each = 400
-	taken := make([]int, 2)
-	var addr netip.AddrPort
-	handed, late := false, 0
-	run(t, func(l *Loop) {
-		var first *Listener
-		for i := range taken {
-			at := any4
-			if i == 1 {
-				at = addr
-			}
-			ln, err := l.ListenShared(at, 10*each, BufferLimits{In: 64, Out: 64}, func(c *Conn) Handler {
-				taken[i]++
-				if i == 0 && handed {
-					late++
-				}
-				return &peer{data: func(b []byte) (int, error) {
-					c.Write([]byte("."))
-					return len(b), nil
-				}}
-			}, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if i == 0 {
-				first, addr = ln, ln.Addr()
+// handOver is a test in which two listeners share an address and the first hands over to the second.
+type handOver struct {
+	t          *testing.T
+	loop       *Loop
+	listeners  [2]*Listener
+	accepted   [2]int
+	handedOver bool
+	late       int // connections that the first accepted after it handed over
+}
+
+// listen opens both listeners, whose connections echo each byte as a dot.
+func (h *handOver) listen(maxOpen int) {
+	addr := any4
+	for i := range h.listeners {
+		ln, err := h.loop.ListenShared(addr, maxOpen, BufferLimits{In: 64, Out: 64}, func(c *Conn) Handler {
+			h.accepted[i]++
+			if i == 0 && h.handedOver {
+				h.late++
 			}
+			return &peer{data: func(b []byte) (int, error) {
+				c.Write([]byte("."))
+				return len(b), nil
+			}}
+		}, nil)
+		if err != nil {
+			h.t.Fatal(err)
 		}
-		failed := make(chan error, each)
-		go func() {
-			for n := range each {
-				failed <- echo(addr)
-				if n == each/4 {
-					l.Deliver(func() {
-						first.HandOver()
-						if handed = true; !first.IsListening() {
-							t.Error("handshakes that go on are reset")
-						}
-					})
+		h.listeners[i], addr = ln, ln.Addr()
+	}
+}
+
+// connect dials the address count times, one after the other, and hands over after a quarter of them.
+func (h *handOver) connect(addr netip.AddrPort, count int, failed chan<- error) {
+	for n := range count {
+		failed <- echo(addr)
+		if n == count/4 {
+			h.loop.Deliver(func() {
+				h.listeners[0].HandOver()
+				if h.handedOver = true; !h.listeners[0].IsListening() {
+					h.t.Error("pending handshakes are reset")
 				}
-			}
-			close(failed)
-		}()
+			})
+		}
+	}
+	close(failed)
+}
+
+// finish stops the loop once the first listener must have closed.
+func (h *handOver) finish() {
+	h.loop.After(2*handshakeTime, func() {
+		if h.listeners[0].IsListening() {
+			h.t.Error("the first listener is still listening")
+		}
+		h.loop.Stop()
+	})
+}
+
+// The first of two listeners on one address hands over while peers connect: each connection is
+// accepted by one of them, none is reset, and none goes to the first once it has handed over.
+func TestHandOverResetsNoConnection(t *testing.T) {
+	const each = 400
+	h := &handOver{t: t}
+	run(t, func(l *Loop) {
+		h.loop = l
+		h.listen(10 * each)
+		addr, failed := h.listeners[0].Addr(), make(chan error, each)
+		go h.connect(addr, each, failed)
 		go func() {
 			for err := range failed {
 				if err != nil {
 					t.Error(err)
 				}
 			}
-			l.Deliver(func() {
-				l.After(2*handshakeTime, func() {
-					if first.IsListening() {
-						t.Error("the first goes on listening")
-					}
-					l.Stop()
-				})
-			})
+			l.Deliver(h.finish)
 		}()
 	})
-	// One that was led here before the hand-over may be taken after it.
-	if taken[0]+taken[1] != each || taken[0] == 0 || late > 1 {
-		t.Errorf("%v of %d are taken, %d late", taken, each, late)
+	// One that was led to the first before the hand-over may be accepted after it.
+	if h.accepted[0]+h.accepted[1] != each || h.accepted[0] == 0 || h.late > 1 {
+		t.Errorf("%v of %d are accepted, %d late", h.accepted, each, h.late)
 	}
 }
 
-// echo is one byte there and back on a connection of its own.
+// echo sends one byte and receives one on a connection of its own.
 func echo(addr netip.AddrPort) error {
 	c, err := net.Dial("tcp", addr.String())
 	if err != nil {
@@ -282,9 +295,9 @@
 	return err
 }
 
-// Small writes go out at once on connections that were accepted and on those that were dialled:
-// what the system held back would be lost with a reset.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+// Small writes are sent at once on accepted and on dialled connections: what the system held back
+// would be lost with a reset.
+func TestSocketsHaveNoDelay(t *testing.T) {
 	noDelay := map[string]int{}
 	look := func(l *Loop, name string, c *Conn) {
 		value, err := unix.GetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Timer is a call to come.
+// Timer is a scheduled call.
 type Timer struct {
 	loop  *Loop
 	dueAt time.Duration
 	fn    func()
-	index int // in the heap; -1 when it is not in it
+	index int // in the heap; -1: not in it
 }
 
 // After calls fn once, after d.
@@ -28,8 +28,8 @@
 	})
 }
 
-// Stop cancels the call, also when it is due in this very turn. It may be called on a nil timer,
-// and again.
+// Stop cancels the call, also if it is due in this very turn. It may be called on a nil timer and
+// more than once.
 func (t *Timer) Stop() {
 	if t == nil {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// fireTimers runs the timers that are due. Those set meanwhile wait for the next turn.
+// fireTimers calls the timers that are due. Those set meanwhile wait for the next turn.
 func (l *Loop) fireTimers() {
 	var due []*Timer
 	for len(l.timers) > 0 && l.timers[0].dueAt <= l.now {
@@ -53,6 +53,7 @@
 	}
 }
 
+// timerHeap orders timers by the time at which they are due.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -62,14 +63,14 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Flush implements heap.Interface.
+// Push adds a timer, as heap.Interface requires.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.index = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop implements heap.Interface.
+// Pop removes the last timer, as heap.Interface requires.
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
