--- a/internal/peers/consensus/errors.go
+++ b/internal/peers/consensus/errors.go
@@ -4,25 +4,31 @@
 
 // The kinds of errors of this package.
 var (
-	kindUnknownMember = fault.Define("peers.stranger", "No member of the runners that keep copies has the name.",
-		"Look at the names with runner peers; a new runner is added to all files and started first.")
+	kindUnknownMember = fault.Define(
+		"peers.unknown_member",
+		"No member has the name.",
+		"Look at the names with runner peers; a new runner is added to all files and started first.",
+	)
 	kindVersionTooOld = fault.Define(
-		"peers.older",
-		"A voter is of an older version, which does not know what was asked for.",
-		"Bring the voters up to one version, one after the other, and ask again.",
+		"peers.voter_too_old",
+		"A voter is of an older version, which does not support the request.",
+		"Upgrade the voters to one version, one after the other, and repeat the request.",
 	)
 	kindTooFewMembers = fault.Define(
-		"peers.nobody",
-		"Too few other runners are left to hold the copies of one that leaves.",
-		"Add a runner first, or wait until one that was lost is back.",
+		"peers.too_few_members",
+		"The members that stay are too few to replicate the slots of one that leaves.",
+		"Add a runner first, or wait until a lost one is back.",
 	)
 	kindVoters = fault.Define(
-		"peers.voters",
-		"The voters of the file, or what the disk has of this one, cannot be.",
+		"peers.invalid_voters",
+		"The voters of the operator's file, or this voter's log, are not valid.",
 		"Correct peers.members: an odd number of voters; a voter keeps its name and its folder.",
 	)
-	kindConsensusFailed = fault.Define("peers.council", "The consensus group of the runners cannot go on here.",
-		"Start this runner anew; the others go on without it.")
+	kindConsensusFailed = fault.Define(
+		"peers.consensus",
+		"This runner's part in the consensus group has failed.",
+		"Restart this runner; the others go on without it.",
+	)
 )
 
 // Errors of SetLeaving.
--- a/internal/peers/link/errors.go
+++ b/internal/peers/link/errors.go
@@ -5,8 +5,8 @@
 // kindLink is the kind of errors by which links are closed.
 var kindLink = fault.Define(
 	"peers.link",
-	"A link between runners was closed, for what came on it or for want of use.",
-	"Nothing, if it is dialled again; else see that both ends are of this fleet and of one version.",
+	"A link between runners was closed: an invalid message came on it, or it was idle.",
+	"Nothing, if it is up again soon; else check that both runners are of this installation and version.",
 )
 
 var (
--- a/internal/peers/link/transport.go
+++ b/internal/peers/link/transport.go
@@ -14,7 +14,7 @@
 var (
 	eventLinkUp       = logging.Define("peers.link_up", slog.LevelInfo, "peer")
 	eventLinkDown     = logging.Define("peers.link_down", slog.LevelWarn, "peer", "error")
-	eventPeerRejected = logging.Define("peers.turned_away", slog.LevelWarn, "from", "name", "reason")
+	eventPeerRejected = logging.Define("peers.connection_rejected", slog.LevelWarn, "from", "name", "reason")
 )
 
 const (
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -16,7 +16,7 @@
 	eventDiskOpened = logging.Define("peers.disk_opened", slog.LevelInfo,
 		"folder", "records", "slots", "cut", "damaged")
 	eventDiskFailed    = logging.Define("peers.disk_failed", slog.LevelError, "error")
-	eventDiskRecovered = logging.Define("peers.disk_back", slog.LevelInfo, "ms")
+	eventDiskRecovered = logging.Define("peers.disk_recovered", slog.LevelInfo, "ms")
 )
 
 const (
--- a/internal/peers/node/errors.go
+++ b/internal/peers/node/errors.go
@@ -5,17 +5,20 @@
 // The kinds of errors of this package.
 var (
 	kindReplacement = fault.Define(
-		"peers.leaves",
-		"The runner in whose favour another is to leave is not in, or leaves itself.",
+		"peers.invalid_replacement",
+		"The runner that is to replace another one is no member, or is leaving itself.",
 		"Add it to all files and start it first, or name another one.",
 	)
 	kindDiskTimeout = fault.Define(
-		"peers.disk_hangs",
-		"The disk of the keys did not take a result in time, which other runners have.",
-		"See to its disk; the result is not lost, and repeats get it.",
+		"peers.disk_timeout",
+		"The disk of the keys did not store a result in time; other runners have it.",
+		"Check the disk; the result is not lost, and retries get it.",
+	)
+	kindDiskClose = fault.Define(
+		"peers.close_timeout",
+		"The peers' folder did not answer as the program stopped.",
+		"Check its disk; what is stored counts at the next start, and the others send the rest.",
 	)
-	kindDiskClose = fault.Define("peers.unsaved", "The peers' folder did not answer as the program ended.",
-		"See to its disk; what is there counts at the next start, and the others send the rest.")
 )
 
 var (
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	eventLeaseAcquired  = logging.Define("peers.duty_began", slog.LevelInfo, "duty", "token")
-	eventLeaseLost      = logging.Define("peers.duty_ended", slog.LevelInfo, "duty", "token")
-	eventLeaseSuspended = logging.Define("peers.duty_paused", slog.LevelWarn, "duty", "token")
-	eventReportFenced   = logging.Define("peers.duty_fenced", slog.LevelWarn, "duty", "from", "error")
+	eventLeaseAcquired  = logging.Define("peers.lease_acquired", slog.LevelInfo, "duty", "token")
+	eventLeaseLost      = logging.Define("peers.lease_lost", slog.LevelInfo, "duty", "token")
+	eventLeaseSuspended = logging.Define("peers.lease_suspended", slog.LevelWarn, "duty", "token")
+	eventReportFenced   = logging.Define("peers.report_fenced", slog.LevelWarn, "duty", "from", "error")
 )
 
 // reportTicks is the number of ticks between two health reports to other runners.
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -18,8 +18,8 @@
 var (
 	eventTable = logging.Define("peers.table", slog.LevelInfo,
 		"version", "members", "whole", "slots", "leads")
-	eventDeclaredLost    = logging.Define("peers.held_for_lost", slog.LevelWarn, "version")
-	eventConsensusFailed = logging.Define("peers.council_failed", slog.LevelError, "error")
+	eventDeclaredLost    = logging.Define("peers.declared_lost", slog.LevelWarn, "version")
+	eventConsensusFailed = logging.Define("peers.consensus_failed", slog.LevelError, "error")
 )
 
 const (
--- a/internal/peers/replication/errors.go
+++ b/internal/peers/replication/errors.go
@@ -4,15 +4,21 @@
 
 // The kinds of errors of this package.
 var (
-	kindTimeout = fault.Define("peers.slow", "The copies of a key were not to be had in time.",
-		"See which runners hold them with runner peers key, and whether their links are up.")
+	kindTimeout = fault.Define(
+		"peers.replication_timeout",
+		"The replicas of a key did not answer in time.",
+		"See which runners they are with runner peers key, and whether their links are up.",
+	)
 	kindUnavailable = fault.Define(
-		"peers.shut",
-		"No new keys are taken, as there are not enough copies or no word of the consensus group.",
-		"See with runner peers which runners are not heard of; it ends by itself once a majority hears each other.",
+		"peers.unavailable",
+		"No new keys are accepted: there are too few replicas, or the consensus group is not heard.",
+		"See with runner peers which runners are lost; it ends by itself once a majority is connected.",
+	)
+	kindConflict = fault.Define(
+		"peers.key_conflict",
+		"The record of another attempt of the key is stored, at this runner or another.",
+		"Nothing: the caller gets the result of the first attempt when it retries.",
 	)
-	kindConflict = fault.Define("peers.denied", "Another try of the key is kept, at this runner or another.",
-		"Nothing: the caller gets the result of the first try when it repeats.")
 )
 
 // Errors of a request.
--- a/internal/testing/cluster/hard_test.go
+++ b/internal/testing/cluster/hard_test.go
@@ -148,7 +148,7 @@
 		func() error { return errors.Join(c.Play(faults, nil), c.Repair(), c.Ready(60*time.Second)) },
 	)
 	logged(t, c.Nodes[1], "peers.disk_failed")
-	logged(t, c.Nodes[1], "peers.disk_back")
+	logged(t, c.Nodes[1], "peers.disk_recovered")
 	c.billed(t)
 }
 
