--- a/internal/usage/ledger/keys.go
+++ b/internal/usage/ledger/keys.go
@@ -22,8 +22,7 @@
 	School, Class string
 }
 
-// CountedKeys are encoded as JSON in a packed form: in full, a hundred thousand of them take 13 MB of a
-// statement.
+// CountedKeys are encoded as JSON in a packed form, which bounds the size of statements.
 type CountedKeys []CountedKey
 
 // keyGroup is the keys of a school and class, in the order in which they were listed. Each takes
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -7,7 +7,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Settings are how an account is kept. Period and Slice do not change while there is one.
+// Settings configure an account. Period and Slice do not change while there is one.
 type Settings struct {
 	Instance string           `cbor:"Instance"`
 	Period   wallclock.Micros `cbor:"Period"`
@@ -33,7 +33,7 @@
 // Ledger is the account of one instance. It is used by one goroutine.
 type Ledger struct {
 	settings    Settings
-	incarnation string // tells this account from another one of an instance of the same name
+	incarnation string // a name that no other account of the instance has
 
 	// Statements.
 	lastSeq       uint64
@@ -93,10 +93,10 @@
 	return l
 }
 
-// Settings returns how the account is kept.
+// Settings returns the settings of the account.
 func (l *Ledger) Settings() Settings { return l.settings }
 
-// Incarnation tells the account from another one of an instance of the same name.
+// Incarnation returns the name that no other account of the instance has.
 func (l *Ledger) Incarnation() string { return l.incarnation }
 
 // Ended reports whether Finish was called.
--- a/internal/usage/ledger/ring.go
+++ b/internal/usage/ledger/ring.go
@@ -217,8 +217,8 @@
 // Lost returns the number of records that found no room.
 func (r *Ring) Lost() uint64 { return r.word(lostOffset).Load() }
 
-// StartedAfter returns the number of the record after which the ring began. It tells the rings of an
-// account from each other.
+// StartedAfter returns the number of the record after which the ring began. It differs between the
+// rings of an account.
 func (r *Ring) StartedAfter() uint64 { return binary.LittleEndian.Uint64(r.mem[startedAfterOffset:]) }
 
 // Utilization returns the part of the capacity, from 0 to 1, that is taken by records up to a number
--- a/internal/usage/ledger/statement.go
+++ b/internal/usage/ledger/statement.go
@@ -87,7 +87,7 @@
 	return b
 }
 
-// Marks before the digest, which tell a statement from a state.
+// Marks before the digest, which distinguish a statement from a state.
 const (
 	statementMark = "sha256 "
 	stateMark     = "state sha256 "
--- a/internal/usage/metering/account_store.go
+++ b/internal/usage/metering/account_store.go
@@ -157,8 +157,8 @@
 }
 
 // checkRenamed looks whether a statement is there after the machine lost power while it was renamed.
-// The disk may have kept neither of its names; then it is written again, and whoever collected it
-// already knows it by its number.
+// The disk may have neither of its names; then it is written again, and a collector that has it
+// already recognizes its number.
 func (a *accountStore) checkRenamed(s *ledger.Statement) error {
 	for _, name := range []string{s.FileName(), s.FileName() + partSuffix} {
 		b, err := a.fs.Read(name)
--- a/internal/usage/metering/doc.go
+++ b/internal/usage/metering/doc.go
@@ -3,6 +3,6 @@
 // and its statements to a disk. A slow or failing disk delays no answer to a request, and records
 // that are not counted for it are reported as lost.
 //
-// With replication, other runners keep replicas of the account, and this one keeps replicas of theirs:
-// where a runner is lost, its replicas write its last statement.
+// With replication, other runners hold replicas of the account, and this one holds replicas of theirs.
+// Where a runner is lost, its replicas write its last statement.
 package metering
--- a/internal/usage/metering/meter.go
+++ b/internal/usage/metering/meter.go
@@ -18,7 +18,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Options are how an account is kept.
+// Options configure a Meter.
 type Options struct {
 	Dir          string
 	Settings     ledger.Settings
@@ -147,8 +147,8 @@
 // elapsed returns the time since the start, on a monotonic clock.
 func (m *Meter) elapsed() time.Duration { return time.Since(m.startedAt) }
 
-// Record counts a record. It takes less than a microsecond, and the record outlives a kill of the
-// process. Without room in the ring it is counted as lost.
+// Record counts a record. It does not wait, and the record outlives a kill of the process. Without
+// room in the ring the record is counted as lost.
 func (m *Meter) Record(r ledger.Record) { m.ring.Put(r) }
 
 // Inspect calls fn with the account, on the goroutine of the account. The error is ErrBusy.
--- a/internal/usage/metering/meter_test.go
+++ b/internal/usage/metering/meter_test.go
@@ -89,7 +89,7 @@
 			break
 		}
 		if served > 30 || time.Now().After(deadline) {
-			t.Fatalf("%d of 30 are told", served)
+			t.Fatalf("%d of 30 are in statements", served)
 		}
 	}
 }
--- a/internal/usage/metering/remote.go
+++ b/internal/usage/metering/remote.go
@@ -16,8 +16,9 @@
 	maxDiskResults = 16
 )
 
-// remoteAccounts keeps replicas of other runners' accounts, and their statements. Files are written
-// and read by a goroutine of their own, so that a disk that hangs holds up no answer to other runners.
+// remoteAccounts holds replicas of other runners' accounts, and stores their statements. Files are
+// written and read by a goroutine of their own, so that a disk that hangs delays no answer to other
+// runners.
 type remoteAccounts struct {
 	meter      *Meter
 	replica    *usagereplica.Replica
--- a/internal/usage/metering/ring_file.go
+++ b/internal/usage/metering/ring_file.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// currentBootID returns what tells one run of the machine from another; empty: it is not known.
+// currentBootID returns the ID of the current run of the machine; empty: it is not known.
 func currentBootID() string {
 	b, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(b))
