--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -14,11 +14,12 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// BenchmarkStore is how long a key takes from being put to being kept, beginning and end of one
-// after the other, with so many of them at once.
+// BenchmarkStore measures how long the start and the end of a run take to be durable, one after the
+// other, for each sync mode and number of concurrent keys.
 func BenchmarkStore(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 50) // about 1 kB
-	for mode, name := range map[store.SyncMode]string{store.SyncAlways: "always", store.SyncGroup: "group", store.SyncNone: "none"} {
+	modes := map[store.SyncMode]string{store.SyncAlways: "always", store.SyncGroup: "group", store.SyncNone: "none"}
+	for mode, name := range modes {
 		for _, at := range []int{1, 16, 128} {
 			b.Run(fmt.Sprintf("%s/%d", name, at), func(b *testing.B) {
 				set := store.DefaultSettings()
@@ -41,8 +42,9 @@
 						done := make(chan error)
 						for k := n; k < b.N; k += at {
 							key, from := fmt.Sprint(k), time.Now()
-							for _, r := range []*store.Record{begun(key, 1), ended(key, 1, body)} {
-								r.ExpiresAt = wallclock.FromTime(time.Now().Add(-9 * time.Second)) // gone in a second
+							for _, r := range []*store.Record{started(key, 1), ended(key, 1, body)} {
+								// removed within a second
+								r.ExpiresAt = wallclock.FromTime(time.Now().Add(-9 * time.Second))
 								s.Put(r, func(err error) { done <- err })
 								if err := <-done; err != nil {
 									b.Error(err)
@@ -66,8 +68,8 @@
 	}
 }
 
-// BenchmarkRecovery is a start with so many keys in the journal: read, cut into a snapshot, and
-// begun anew.
+// BenchmarkRecovery measures opening a journal with that many keys: reading it, writing a snapshot and
+// creating a segment.
 func BenchmarkRecovery(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 10)
 	for _, n := range []int{1_000, 10_000, 100_000} {
@@ -79,7 +81,7 @@
 				var batch []*store.Record
 				for i := range 100 {
 					key := fmt.Sprintf("0123456789abcdef-%d", k+i)
-					batch = append(batch, begun(key, 1), ended(key, 1, body))
+					batch = append(batch, started(key, 1), ended(key, 1, body))
 				}
 				commit(b, j, batch...)
 				if err := j.RotateSegment(); err != nil {
--- a/internal/idempotency/store/kinds.go
+++ b/internal/idempotency/store/faults.go
@@ -2,14 +2,15 @@
 
 import "ryepaddle/internal/fault"
 
-// What can go wrong here, and what an operator can do about it.
+// The kinds of error of this package, with what an operator can do about each.
 var (
 	faultLocked = fault.Define("store.locked", "Another process has the folder of the keys.",
 		"End that process, or name another folder for this one.")
 	faultDamaged = fault.Define(
 		"store.damaged",
 		"Files of the store are damaged in a way that no crash explains.",
-		"Look at them with runner store verify; with --repair the program keeps them aside and takes no new keys for a window.",
+		"Look at them with runner store verify; "+
+			"with --repair the program keeps them aside and takes no new keys for a window.",
 	)
 	faultNewerFormat = fault.Define(
 		"store.newer",
--- /dev/null
+++ b/internal/idempotency/store/files.go
@@ -0,0 +1,47 @@
+package store
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+const (
+	segmentPrefix   = "journal-"
+	snapshotPrefix  = "snapshot-"
+	temporarySuffix = ".tmp" // of a snapshot that is being written
+	damagedSuffix   = ".bad" // of a damaged file that was kept
+	numberDigits    = 16
+)
+
+func segmentName(number uint64) string  { return fmt.Sprintf("%s%016d", segmentPrefix, number) }
+func snapshotName(number uint64) string { return fmt.Sprintf("%s%016d", snapshotPrefix, number) }
+
+// numberOf returns the number in the name of a segment or snapshot; false for any other name.
+func numberOf(name, prefix string) (uint64, bool) {
+	digits, ok := strings.CutPrefix(name, prefix)
+	if !ok || len(digits) != numberDigits {
+		return 0, false
+	}
+	number, err := strconv.ParseUint(digits, 10, 64)
+	return number, err == nil
+}
+
+// listFiles returns the numbers of the segments and snapshots of a folder, in ascending order.
+func listFiles(fsys FS) (segments, snapshots []uint64, err error) {
+	names, err := fsys.List()
+	if err != nil {
+		return nil, nil, faultDisk.New("store: %w", err)
+	}
+	for _, name := range names {
+		if number, ok := numberOf(name, segmentPrefix); ok {
+			segments = append(segments, number)
+		} else if number, ok := numberOf(name, snapshotPrefix); ok {
+			snapshots = append(snapshots, number)
+		}
+	}
+	slices.Sort(segments)
+	slices.Sort(snapshots)
+	return segments, snapshots, nil
+}
--- a/internal/idempotency/store/fs.go
+++ b/internal/idempotency/store/fs.go
@@ -10,31 +10,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the files of one folder, as the store uses them.
+// FS gives access to the files of one folder.
 type FS interface {
-	// Create makes a file that must not be there.
+	// Create creates a file. It fails with fs.ErrExist if there is one.
 	Create(name string) (File, error)
 	Read(name string) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	List() ([]string, error)
-	// SyncDir has the names on the disk that were made, changed and removed.
+	// SyncDir makes created, renamed and removed names durable.
 	SyncDir() error
-	// Lock keeps other processes out until it is closed.
+	// Lock keeps other processes out until unlock is called. It fails with ErrLocked if one is in.
 	Lock() (unlock func() error, err error)
 }
 
-// File is one that is appended to.
+// File is a file that is appended to.
 type File interface {
 	Write(b []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// ErrLocked is that of a folder that another process uses.
+// ErrLocked reports a folder that another process uses.
 var ErrLocked error = faultLocked.New("another process uses it")
 
-// Dir is the files of a folder of the system's.
+// Dir is the FS of a folder of the operating system.
 type Dir string
 
 // Create implements FS.
@@ -87,7 +87,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock implements FS. The lock is the process's and ends with it.
+// Lock implements FS. The lock ends with the process.
 func (d Dir) Lock() (func() error, error) {
 	f, err := os.OpenFile(filepath.Join(string(d), "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -103,8 +103,8 @@
 	return f.Close, nil
 }
 
-// errExists is that of a file that is to be made and is there.
+// errExists is the error of Create for a file that exists.
 var errExists = fs.ErrExist
 
-// isNotExist tells whether an error is that there is no such file.
+// isNotExist reports whether an error is that a file does not exist.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/idempotency/store/weigh/weigh_test.go
+++ b/internal/idempotency/store/librarybench/bench_test.go
@@ -1,7 +1,7 @@
-// Package weigh holds the journal of internal/idempotency/store against two libraries that keep
-// keys and values on a disk, for the design note. It is a module of its own, so that the program
-// does not depend on them: run it in this folder.
-package weigh
+// Package librarybench measures two libraries that keep keys and values on a disk, for comparison with
+// the journal of internal/idempotency/store (docs/design-store.md). It is a module of its own, so
+// that the program does not depend on them: run it in this folder.
+package librarybench
 
 import (
 	"fmt"
@@ -14,13 +14,13 @@
 	"go.etcd.io/bbolt"
 )
 
-// batch is how many callers put a key at once, each of about this size, with the beginning and the
-// end of it one after the other.
+// size is the size of a value in bytes. Each caller puts a key twice, as the start and the end of a
+// run.
 const size = 300
 
 func value(n int) []byte { return fmt.Appendf(make([]byte, 0, size), "%*d", size-40, n) }
 
-// run has so many callers put keys, by a function that keeps one on the disk.
+// run has callers put keys at once, by a function that makes one durable.
 func run(b *testing.B, callers int, put func(key, value []byte) error, path string) {
 	var all sync.WaitGroup
 	for c := range callers {
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -7,19 +7,25 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Key is what is known of one.
+// Estimates of the encoding beside the texts, in bytes.
+const (
+	recordOverhead = 64
+	fieldOverhead  = 4
+)
+
+// Key is the state of an idempotency key.
 type Key struct {
 	Name      KeyName
 	Owner     uint64
 	ExpiresAt wallclock.UnixMicro
 	BodyHash  [32]byte
-	Ended     bool // else its run had begun: it is in doubt once the process is gone
+	Ended     bool // else its run has begun, and is in doubt once its process is gone
 	Status    uint8
 	Result    *Result
-	size      int64 // of its records in a snapshot, about
+	size      int64 // estimated, of its record in a snapshot
 }
 
-// record is the key as a snapshot holds it.
+// record returns the key as a snapshot holds it.
 func (k *Key) record() *Record {
 	r := &Record{Kind: RunStarted, Name: k.Name, Owner: k.Owner, ExpiresAt: k.ExpiresAt, BodyHash: k.BodyHash}
 	if k.Ended {
@@ -28,35 +34,35 @@
 	return r
 }
 
-// State is what a sequence of records comes to.
+// State holds the keys that a sequence of records results in.
 type State struct {
 	keys      map[KeyName]*Key
-	liveBytes int64               // bytes of all keys, about
-	newestAt  wallclock.UnixMicro // time of the newest record
+	liveBytes int64               // estimated size of all keys in a snapshot
+	newestAt  wallclock.UnixMicro // when the newest record was written
 }
 
-// NewState is that of no records.
+// NewState returns a state without keys.
 func NewState() *State { return &State{keys: map[KeyName]*Key{}} }
 
-// Len is how many keys there are.
+// Len returns the number of keys.
 func (s *State) Len() int { return len(s.keys) }
 
-// LiveBytes is about how many bytes a snapshot takes.
+// LiveBytes returns the estimated size of a snapshot, in bytes.
 func (s *State) LiveBytes() int64 { return s.liveBytes }
 
-// Apply takes a record. An end is that of the try it names alone: what a later try of the key began
-// is not touched.
+// Apply applies a record. An end affects only the attempt that it names, not a later one of the same
+// key.
 func (s *State) Apply(r *Record) {
 	s.newestAt = max(s.newestAt, r.WrittenAt)
 	k := s.keys[r.Name]
 	switch r.Kind {
 	case RunStarted:
-		if k != nil && k.Owner == r.Owner && k.Ended { // told twice
+		if k != nil && k.Owner == r.Owner && k.Ended { // repeated
 			return
 		}
 		s.put(&Key{Name: r.Name, Owner: r.Owner, ExpiresAt: r.ExpiresAt, BodyHash: r.BodyHash})
 	case RunEnded:
-		// Of a snapshot, or after a repair, it stands alone.
+		// In a snapshot and after a repair the end comes without the start.
 		if k == nil || k.Owner == r.Owner {
 			s.put(
 				&Key{
@@ -81,11 +87,11 @@
 	if old := s.keys[k.Name]; old != nil {
 		s.remove(old)
 	}
-	k.size = int64(frameHead + 64 + len(k.Name.Class) + len(k.Name.Tenant) + len(k.Name.Key))
+	k.size = int64(frameHeaderSize + recordOverhead + len(k.Name.Class) + len(k.Name.Tenant) + len(k.Name.Key))
 	if k.Result != nil {
 		k.size += int64(len(k.Result.Body))
 		for _, f := range k.Result.Fields {
-			k.size += int64(len(f.Name) + len(f.Value) + 4)
+			k.size += int64(len(f.Name) + len(f.Value) + fieldOverhead)
 		}
 	}
 	s.keys[k.Name] = k
@@ -97,17 +103,17 @@
 	s.liveBytes -= k.size
 }
 
-// Expire drops keys that no repeat can meet any more: they ended, or their process did, before that
-// time.
-func (s *State) Expire(before wallclock.UnixMicro, begunToo bool) {
+// Expire removes the keys that expired before a time and that ended; with startedToo also those whose
+// run has not ended, as of a process that is gone.
+func (s *State) Expire(before wallclock.UnixMicro, startedToo bool) {
 	for _, k := range s.keys {
-		if k.ExpiresAt < before && (k.Ended || begunToo) {
+		if k.ExpiresAt < before && (k.Ended || startedToo) {
 			s.remove(k)
 		}
 	}
 }
 
-// Keys are all of them, in the order of their names.
+// Keys returns all keys, ordered by name.
 func (s *State) Keys() []*Key {
 	out := make([]*Key, 0, len(s.keys))
 	for _, k := range s.keys {
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -10,34 +10,33 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// What is told to operators.
 var (
 	evCloseFailed    = logging.Define("store.close_failed", slog.LevelError, "error")
 	evSnapshotFailed = logging.Define("store.snapshot_failed", slog.LevelError, "error")
 )
 
-// Settings are how a store is run beside the loop.
+// Settings configure a store.
 type Settings struct {
 	Options
-	GroupWait time.Duration // Group: how long records wait at the most for others to share a sync with
-	MaxBatch  int           // records of one sync at the most
-	MaxQueue  int           // records that wait for the disk at the most
+	GroupWait time.Duration // SyncGroup: how long records wait at most for others to share a sync
+	MaxBatch  int           // records of one sync
+	MaxQueue  int           // records that wait for the disk
 }
 
-// DefaultSettings are the settings that are usual.
+// DefaultSettings returns the settings that hold where the operator sets none.
 func DefaultSettings() Settings {
 	return Settings{Options: DefaultOptions(), GroupWait: 2 * time.Millisecond, MaxBatch: 256, MaxQueue: 20_000}
 }
 
-// ErrBusy is that of a record that finds the queue full.
+// ErrBusy reports a record that was not accepted because the queue is full.
 var ErrBusy error = faultSlow.New("store: too much waits for the disk")
 
-const (
-	minReopenBackoff = 100 * time.Millisecond // after the disk failed
-	maxReopenBackoff = 5 * time.Second
-)
+// minGroupWait is the shortest wait for more records: on a disk that syncs faster, waiting does not
+// pay.
+const minGroupWait = time.Millisecond
 
-// Store is a journal on a goroutine of its own.
+// Store is a journal that is written by a goroutine of its own. It owns the journal and the lock of
+// the folder.
 type Store struct {
 	settings    Settings
 	deliver     func(func())
@@ -45,46 +44,52 @@
 	journal     *Journal
 	unlock      func() error
 
-	mu           sync.Mutex
-	queue        []pending
-	closing      bool
-	wake         chan struct{}
-	done         chan struct{}
-	snapshots    chan writtenSnapshot
+	mu      sync.Mutex
+	queue   []pendingRecord
+	closing bool
+
+	wake      chan struct{}        // the queue or closing has changed
+	done      chan struct{}        // closed when the goroutine has ended
+	snapshots chan writtenSnapshot // snapshots whose writing has ended
+
+	// Of the goroutine alone:
 	snapshotting bool
-	lastBatch    int // records of the last sync
-	lastSync     time.Duration
+	lastBatch    int           // records of the last sync
+	lastSync     time.Duration // how long it took
 }
 
-type pending struct {
+// pendingRecord is a record that waits for the disk.
+type pendingRecord struct {
 	record *Record
 	done   func(error)
 }
 
+// writtenSnapshot is a snapshot whose writing has ended.
 type writtenSnapshot struct {
 	snapshot *Snapshot
 	err      error
 }
 
-// Open reads the files of a folder that is locked, and begins to keep records; Close unlocks it. It
-// takes as long as that takes, and is not for the loop. deliver calls functions on the loop: what
-// becomes of records, and changed, when the disk fails and when it is back.
+// Open reads the files of a folder, which the caller has locked, and starts to accept records. Close
+// unlocks it, as does Open if it fails. Open blocks while it reads and must not be called on the
+// loop. deliver calls functions on the loop: the done functions of records, and onDiskState
+// whenever the disk fails or recovers.
 func Open(
 	fsys FS,
 	unlock func() error,
-	set Settings,
+	settings Settings,
 	deliver func(func()),
-	changed func(down bool, err error),
+	onDiskState func(down bool, err error),
 ) (*Store, *Recovery, error) {
-	j, found, err := OpenJournal(fsys, now(), set.Options)
-	if j == nil {
+	journal, recovery, err := OpenJournal(fsys, now(), settings.Options)
+	if journal == nil {
 		return nil, nil, errors.Join(err, unlock())
 	}
 	s := &Store{
-		settings:    set,
+		settings:    settings,
 		deliver:     deliver,
-		onDiskState: changed,
-		journal:     j,
+		onDiskState: onDiskState,
+		journal:     journal,
 		unlock:      unlock,
 		wake:        make(chan struct{}, 1),
 		done:        make(chan struct{}),
@@ -94,136 +99,106 @@
 		s.reportDisk(true, err)
 	}
 	go s.run()
-	return s, found, nil
+	return s, recovery, nil
 }
 
 func now() wallclock.UnixMicro { return wallclock.FromTime(wallclock.Now()) }
 
 func (s *Store) reportDisk(down bool, err error) { s.deliver(func() { s.onDiskState(down, err) }) }
 
-// Put hands over a record, and returns at once. done is called on the loop once it is kept, or is
-// known not to be.
+// Put queues a record and returns at once. done is called on the loop once the record is kept as the
+// sync mode says, or with an error: ErrBusy if the queue is full or the store is closing.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
 	full := len(s.queue) >= s.settings.MaxQueue && r.Kind == RunStarted || s.closing
 	if !full {
-		s.queue = append(s.queue, pending{r, done})
+		s.queue = append(s.queue, pendingRecord{r, done})
 	}
 	s.mu.Unlock()
 	if full {
 		s.deliver(func() { done(ErrBusy) })
 		return
 	}
+	s.wakeUp()
+}
+
+// wakeUp makes the goroutine look at the queue.
+func (s *Store) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
-	default:
+	default: // it is about to
 	}
 }
 
-// Close keeps what was handed over, and gives the files back. A disk that hangs is not waited for.
-func (s *Store) Close(within time.Duration) error {
+// Close writes the queued records, closes the files and unlocks the folder. It returns an error if the
+// disk does not answer in time; the goroutine then goes on to close when it does.
+func (s *Store) Close(timeout time.Duration) error {
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
+	s.wakeUp()
 	select {
 	case <-s.done:
 		return nil
-	case <-time.After(within):
-		return faultSlow.New("store: the disk does not answer within %v", within)
+	case <-time.After(timeout):
+		return faultSlow.New("store: the disk does not answer within %v", timeout)
 	}
 }
 
+// run is the goroutine of the store.
 func (s *Store) run() {
 	defer close(s.done)
-	defer func() {
-		if s.snapshotting {
-			<-s.snapshots // it touches files
-		}
-		if err := errors.Join(s.journal.Close(), s.unlock()); err != nil {
-			evCloseFailed.Log(err)
-		}
-	}()
-	backoff := minReopenBackoff
-	retry := time.NewTimer(backoff)
-	defer retry.Stop()
-	armed := true // or records that come would put the next try off again and again
+	defer s.closeFiles()
+	reopen := newReopenTimer()
+	defer reopen.timer.Stop()
 	for {
 		select {
 		case <-s.wake:
-		case c := <-s.snapshots:
-			s.finishSnapshot(c)
+		case written := <-s.snapshots:
+			s.finishSnapshot(written)
 			continue
-		case <-retry.C:
-			armed = false
+		case <-reopen.timer.C:
+			reopen.armed = false
 			if !s.journal.IsDown() {
 				continue
 			}
 			if err := s.journal.Reopen(now()); err != nil {
-				backoff = min(2*backoff, maxReopenBackoff)
-				retry.Reset(backoff)
-				armed = true
+				reopen.failed()
 				continue
 			}
-			backoff = minReopenBackoff
+			reopen.succeeded()
 			s.reportDisk(false, nil)
 		}
 		if s.commitQueued() {
 			return
 		}
-		if s.journal.IsDown() && !armed {
-			retry.Reset(backoff)
-			armed = true
+		if s.journal.IsDown() {
+			reopen.arm()
 		}
 	}
 }
 
-// commitQueued keeps what waits, and reports whether that was all there will be.
-func (s *Store) commitQueued() (end bool) {
+// closeFiles closes the journal and unlocks the folder, once no snapshot is being written.
+func (s *Store) closeFiles() {
+	if s.snapshotting {
+		<-s.snapshots
+	}
+	if err := errors.Join(s.journal.Close(), s.unlock()); err != nil {
+		evCloseFailed.Log(err)
+	}
+}
+
+// commitQueued commits the queued records in batches until the queue is empty, and reports whether the
+// store is closing.
+func (s *Store) commitQueued() (closing bool) {
 	for {
-		s.mu.Lock()
-		n, closing := len(s.queue), s.closing
-		s.mu.Unlock()
-		if n == 0 {
+		batch, closing := s.takeBatch()
+		if len(batch) == 0 {
 			return closing
 		}
-		// What comes while a sync runs shares the next one by itself. To wait for more pays only
-		// where several come at once, and for no longer than a sync takes; on a disk that takes
-		// under a millisecond it never does.
-		if wait := min(s.settings.GroupWait, s.lastSync); s.settings.Sync == SyncGroup && !closing && n < s.lastBatch &&
-			wait >= time.Millisecond &&
-			!s.journal.IsDown() {
-			time.Sleep(wait)
-		}
-		most := s.settings.MaxBatch
-		if s.settings.Sync == SyncAlways {
-			most = 1
-		}
-		s.mu.Lock()
-		n = min(len(s.queue), most)
-		batch := s.queue[:n:n]
-		s.queue = s.queue[n:]
-		if len(s.queue) == 0 {
-			s.queue = nil // or its memory is kept for good
-		}
-		s.mu.Unlock()
-		records := make([]*Record, n)
-		for i, it := range batch {
-			records[i] = it.record
-		}
-		was, began := s.journal.IsDown(), time.Now()
-		err := s.journal.Commit(records)
-		s.lastBatch, s.lastSync = n, time.Since(began)
-		s.deliver(func() {
-			for _, it := range batch {
-				it.done(err)
-			}
-		})
-		if err != nil {
-			if !was {
+		wasDown := s.journal.IsDown()
+		if err := s.commit(batch); err != nil {
+			if !wasDown {
 				s.reportDisk(true, err)
 			}
 			continue
@@ -234,25 +209,79 @@
 	}
 }
 
-// maintain keeps segments short and the journal in bounds.
+// takeBatch removes the next batch from the queue, after a wait for more records where that pays.
+func (s *Store) takeBatch() (batch []pendingRecord, closing bool) {
+	s.mu.Lock()
+	waiting, closing := len(s.queue), s.closing
+	s.mu.Unlock()
+	if waiting == 0 {
+		return nil, closing
+	}
+	if !closing {
+		s.waitForGroup(waiting)
+	}
+	limit := s.settings.MaxBatch
+	if s.settings.Sync == SyncAlways {
+		limit = 1
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := min(len(s.queue), limit)
+	batch, s.queue = s.queue[:n:n], s.queue[n:]
+	if len(s.queue) == 0 {
+		s.queue = nil // frees the memory of the queue
+	}
+	return batch, closing
+}
+
+// waitForGroup waits for more records to share the next sync. Records that come while a sync runs share
+// the next one anyway. Waiting for more pays only if fewer are queued than the last sync had, and for
+// no longer than a sync takes.
+func (s *Store) waitForGroup(waiting int) {
+	wait := min(s.settings.GroupWait, s.lastSync)
+	if s.settings.Sync == SyncGroup && waiting < s.lastBatch && wait >= minGroupWait && !s.journal.IsDown() {
+		time.Sleep(wait)
+	}
+}
+
+// commit commits a batch and delivers its outcome.
+func (s *Store) commit(batch []pendingRecord) error {
+	records := make([]*Record, len(batch))
+	for i, p := range batch {
+		records[i] = p.record
+	}
+	began := time.Now()
+	err := s.journal.Commit(records)
+	s.lastBatch, s.lastSync = len(batch), time.Since(began)
+	s.deliver(func() {
+		for _, p := range batch {
+			p.done(err)
+		}
+	})
+	return err
+}
+
+// maintain rotates the segment and begins a snapshot where one is due.
 func (s *Store) maintain() error {
 	if err := s.journal.RotateSegment(); err != nil || s.snapshotting {
 		return err
 	}
-	snap, err := s.journal.SnapshotIfDue(now())
-	if snap == nil {
+	snapshot, err := s.journal.SnapshotIfDue(now())
+	if snapshot == nil {
 		return err
 	}
 	s.snapshotting = true
-	go func() { s.snapshots <- writtenSnapshot{snap, snap.Write()} }()
+	go func() { s.snapshots <- writtenSnapshot{snapshot, snapshot.Write()} }()
 	return err
 }
 
-func (s *Store) finishSnapshot(c writtenSnapshot) {
+// finishSnapshot removes what a snapshot makes superfluous. If it could not be written, the segments
+// stay until the next snapshot.
+func (s *Store) finishSnapshot(w writtenSnapshot) {
 	s.snapshotting = false
-	if c.err != nil { // the segments stay, and the next one cuts them
-		evSnapshotFailed.Log(c.err)
+	if w.err != nil {
+		evSnapshotFailed.Log(w.err)
 		return
 	}
-	s.journal.FinishSnapshot(c.snapshot)
+	s.journal.FinishSnapshot(w.snapshot)
 }
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -16,25 +16,25 @@
 	"ryepaddle/internal/wallclock"
 )
 
-const at = wallclock.UnixMicro(1_700_000_000_000_000)
+const now = wallclock.UnixMicro(1_700_000_000_000_000)
 
-func name(key string) store.KeyName {
+func keyName(key string) store.KeyName {
 	return store.KeyName{Class: "hand-in", Tenant: "north", Key: key}
 }
 
-func begun(key string, owner uint64) *store.Record {
+func started(key string, owner uint64) *store.Record {
 	return &store.Record{
 		Kind:      store.RunStarted,
-		Name:      name(key),
+		Name:      keyName(key),
 		Owner:     owner,
-		WrittenAt: at,
-		ExpiresAt: at.Add(13 * time.Second),
+		WrittenAt: now,
+		ExpiresAt: now.Add(13 * time.Second),
 		BodyHash:  [32]byte{1, 2},
 	}
 }
 
 func ended(key string, owner uint64, body string) *store.Record {
-	r := begun(key, owner)
+	r := started(key, owner)
 	r.Kind, r.Result = store.RunEnded, &store.Result{
 		Status: 200,
 		Fields: []store.Field{{Name: "Content-Type", Value: "text/plain"}},
@@ -43,13 +43,13 @@
 	return r
 }
 
-func forgotten(key string, owner uint64) *store.Record {
-	return &store.Record{Kind: store.KeyReleased, Name: name(key), Owner: owner, WrittenAt: at}
+func released(key string, owner uint64) *store.Record {
+	return &store.Record{Kind: store.KeyReleased, Name: keyName(key), Owner: owner, WrittenAt: now}
 }
 
 func open(t testing.TB, d store.FS, opt store.Options) (*store.Journal, *store.Recovery) {
 	t.Helper()
-	j, f, err := store.OpenJournal(d, at, opt)
+	j, f, err := store.OpenJournal(d, now, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 }
 
 // markedBytes is keys in a line each.
-func told(f *store.Recovery) (out []string) {
+func describe(f *store.Recovery) (out []string) {
 	for _, k := range f.Keys {
 		what := "in doubt"
 		if k.Ended {
@@ -78,8 +78,8 @@
 	return out
 }
 
-// What records of one key come to, whoever they are of.
-func TestRecords(t *testing.T) {
+// Records of one key give its state, whichever attempt they are of.
+func TestRecordsGiveStateOfKeys(t *testing.T) {
 	long := strings.Repeat("result ", 1000)
 	d := crashfs.New(1)
 	j, _ := open(t, d, store.DefaultOptions())
@@ -88,38 +88,38 @@
 	commit(
 		t,
 		j,
-		begun("done", 1),
-		begun("doubt", 2),
-		begun("never", 3),
-		begun("again", 4),
-		begun("failed", 6),
-		begun("long", 7),
+		started("done", 1),
+		started("doubt", 2),
+		started("never", 3),
+		started("again", 4),
+		started("failed", 6),
+		started("long", 7),
 	)
 	commit(
 		t,
 		j,
 		ended("done", 1, "ok"),
-		forgotten("never", 3),
-		forgotten("again", 4),
-		begun("again", 5),
+		released("never", 3),
+		released("again", 4),
+		started("again", 5),
 		failed,
 		ended("long", 7, long),
 	)
-	// An end that comes late is that of its own try: what the second one began stands.
+	// An end that comes late affects its own attempt alone, not the second one.
 	commit(
 		t,
 		j,
-		forgotten("again", 4),
+		released("again", 4),
 		ended("again", 4, "of another"),
-		begun("done", 1),
-		forgotten("done", 1),
+		started("done", 1),
+		released("done", 1),
 	)
-	old := begun("old", 9)
-	old.ExpiresAt = at.Add(-20 * time.Second)
+	old := started("old", 9)
+	old.ExpiresAt = now.Add(-20 * time.Second)
 	commit(t, j, old)
-	// A clock that went back keeps keys for longer, and drops none.
-	if f, err := store.Read(d, at.Add(-time.Hour), store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
-		f.NewestAt != at {
+	// A clock that was set back keeps keys for longer, and removes none.
+	if f, err := store.Read(d, now.Add(-time.Hour), store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
+		f.NewestAt != now {
 		t.Errorf("an hour earlier: %d keys, %v", len(f.Keys), err)
 	}
 	want := []string{"again in doubt", "done 200 ok", "doubt in doubt", "failed how 3", "long 200 " + long}
@@ -129,7 +129,7 @@
 		}
 		var f *store.Recovery
 		j, f = open(t, d, store.DefaultOptions())
-		if diff := cmp.Diff(want, told(f)); diff != "" {
+		if diff := cmp.Diff(want, describe(f)); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
 		if f.Keys[1].BodyHash != [32]byte{1, 2} || f.Keys[1].Owner != 1 ||
@@ -139,16 +139,16 @@
 	}
 }
 
-// A file of a newer format is refused, and left as it is; records of kinds that are not known are
-// skipped, and fields that an older one lacks are nought.
-func TestFormats(t *testing.T) {
+// A file of a newer format is rejected and left unchanged. Records of unknown kinds are skipped, and
+// fields that an older record lacks are zero.
+func TestNewerFormatIsRejected(t *testing.T) {
 	d := crashfs.New(1)
 	j, _ := open(t, d, store.DefaultOptions())
 	commit(
 		t,
 		j,
-		&store.Record{Kind: 200, Name: name("x")},
-		&store.Record{Kind: store.RunStarted, Name: name("bare"), ExpiresAt: at},
+		&store.Record{Kind: 200, Name: keyName("x")},
+		&store.Record{Kind: store.RunStarted, Name: keyName("bare"), ExpiresAt: now},
 	)
 	j.Close()
 	if _, f := open(t, d, store.DefaultOptions()); len(f.Keys) != 1 || f.Keys[0].Owner != 0 {
@@ -164,8 +164,8 @@
 		t.Fatal(err)
 	}
 	opt := store.DefaultOptions()
-	opt.Repair = true // that mends nothing here
-	_, _, err = store.OpenJournal(d, at, opt)
+	opt.Repair = true // makes no difference
+	_, _, err = store.OpenJournal(d, now, opt)
 	var format *store.FormatError
 	if !errors.As(err, &format) || format.Format != 2 {
 		t.Errorf("%v", err)
@@ -175,77 +175,94 @@
 	}
 }
 
-// Cut off at any byte, a journal gives what was whole before; changed at any byte, it is refused
-// where something was promised of it, and repaired it gives the rest.
-func TestEveryByte(t *testing.T) {
-	build := func() (*crashfs.Disk, string) {
-		d := crashfs.New(1)
-		j, _ := open(t, d, store.DefaultOptions())
-		for k := range 6 {
-			commit(t, j, begun(fmt.Sprint("k", k), uint64(k+1)))
-		}
-		return d, "journal-0000000000000001"
+// sixKeys returns a disk with a journal of six keys, and the name of its segment.
+func sixKeys(t *testing.T) (*crashfs.Disk, string) {
+	d := crashfs.New(1)
+	j, _ := open(t, d, store.DefaultOptions())
+	for k := range 6 {
+		commit(t, j, started(fmt.Sprint("k", k), uint64(k+1)))
 	}
-	d, file := build()
-	whole, err := d.Read(file)
+	return d, "journal-0000000000000001"
+}
+
+// Truncated at any byte, a journal yields the records that are complete before it.
+func TestTruncatedJournalYieldsItsPrefix(t *testing.T) {
+	d, file := sixKeys(t)
+	content, err := d.Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	last := 0
-	for n := range whole {
+	for n := range content {
 		d := crashfs.New(1)
 		w, _ := d.Create(file)
-		if _, err := w.Write(whole[:n]); err != nil {
+		if _, err := w.Write(content[:n]); err != nil {
 			t.Fatal(err)
 		}
-		_, f, err := store.OpenJournal(d, at, store.DefaultOptions())
+		_, f, err := store.OpenJournal(d, now, store.DefaultOptions())
 		var damage *store.DamageError
-		if errors.As(err, &damage) { // the cut is before a mark's promise: no crash does that
-			t.Fatalf("cut at %d: %v", n, err)
+		if errors.As(err, &damage) { // no crash truncates what a mark confirms
+			t.Fatalf("truncated at %d: %v", n, err)
 		}
 		if len(f.Keys) < last || len(f.Keys) > 6 {
-			t.Fatalf("cut at %d: %d keys, with less of it %d", n, len(f.Keys), last)
+			t.Fatalf("truncated at %d: %d keys, with less of it %d", n, len(f.Keys), last)
 		}
 		last = len(f.Keys)
 	}
 	if last != 5 {
 		t.Errorf("one byte short there are %d keys", last)
 	}
-	refused := 0
-	for n := range whole {
-		d, file := build()
+}
+
+// Changed at any byte, a journal is rejected if a mark confirms the byte, and a repair yields the
+// other records.
+func TestCorruptByteIsDetectedAndRepaired(t *testing.T) {
+	d, file := sixKeys(t)
+	content, err := d.Read(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rejected := 0
+	for n := range content {
+		d, file := sixKeys(t)
 		d.Rot(file, n)
-		_, f, err := store.OpenJournal(d, at, store.DefaultOptions())
+		_, f, err := store.OpenJournal(d, now, store.DefaultOptions())
 		var damage *store.DamageError
 		var format *store.FormatError
 		switch {
 		case errors.As(err, &format):
 			continue
 		case errors.As(err, &damage):
-			refused++
-			opt := store.DefaultOptions()
-			opt.Repair = true
-			_, f, err = store.OpenJournal(d, at, opt)
-			if err != nil || len(f.Damage) == 0 || len(f.Keys) < 4 {
-				t.Fatalf("byte %d repaired: %v, %+v", n, err, f)
-			}
-			if names, _ := d.List(); !strings.Contains(fmt.Sprint(names), file+".bad") {
-				t.Fatalf("byte %d: the bad file is not kept: %q", n, names)
-			}
+			rejected++
+			checkRepair(t, d, file, n)
 		case err != nil:
 			t.Fatalf("byte %d: %v", n, err)
-		case len(f.Keys) < 5: // only what nothing vouches for may go without a word
-			t.Fatalf("byte %d: %d keys, and nobody is told", n, len(f.Keys))
+		case len(f.Keys) < 5: // only what no mark confirms may be lost without an error
+			t.Fatalf("byte %d: %d keys, without an error", n, len(f.Keys))
 		}
 	}
-	if refused < len(whole)/2 {
-		t.Errorf("%d of %d bytes are refused", refused, len(whole))
+	if rejected < len(content)/2 {
+		t.Errorf("%d of %d bytes are detected", rejected, len(content))
+	}
+}
+
+// checkRepair opens a journal that is corrupt at a byte with the repair option.
+func checkRepair(t *testing.T, d *crashfs.Disk, file string, n int) {
+	t.Helper()
+	options := store.DefaultOptions()
+	options.Repair = true
+	_, f, err := store.OpenJournal(d, now, options)
+	if err != nil || len(f.Damage) == 0 || len(f.Keys) < 4 {
+		t.Fatalf("byte %d repaired: %v, %+v", n, err, f)
+	}
+	if names, _ := d.List(); !strings.Contains(fmt.Sprint(names), file+".bad") {
+		t.Fatalf("byte %d: the damaged file is not kept: %q", n, names)
 	}
 }
 
-// Whatever is put in, the journal stays within twice what is alive and its slack, and nothing alive
-// is lost by a snapshot, also one that cannot be written.
-func TestSpaceIsBounded(t *testing.T) {
+// Whatever is written, the journal stays within twice its live bytes and its slack, and no snapshot
+// loses a live key, even one that cannot be written.
+func TestJournalSizeIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := crashfs.New(1)
 		opt := store.DefaultOptions()
@@ -255,11 +272,11 @@
 		alive := map[string]bool{}
 		for k := range rapid.IntRange(50, 300).Draw(rt, "records") {
 			key := fmt.Sprint("k", k)
-			if err := j.Commit([]*store.Record{begun(key, uint64(k+1))}); err != nil {
+			if err := j.Commit([]*store.Record{started(key, uint64(k+1))}); err != nil {
 				rt.Fatal(err)
 			}
 			if alive[key] = true; rapid.IntRange(0, 9).Draw(rt, "forget") > 0 {
-				if err := j.Commit([]*store.Record{forgotten(key, uint64(k+1))}); err != nil {
+				if err := j.Commit([]*store.Record{released(key, uint64(k+1))}); err != nil {
 					rt.Fatal(err)
 				}
 				delete(alive, key)
@@ -267,7 +284,7 @@
 			if err := j.RotateSegment(); err != nil {
 				rt.Fatal(err)
 			}
-			if snap, err := j.SnapshotIfDue(at); err != nil {
+			if snap, err := j.SnapshotIfDue(now); err != nil {
 				rt.Fatal(err)
 			} else if snap != nil {
 				if fails && k%2 == 0 {
@@ -283,7 +300,7 @@
 			rt.Fatalf("%d bytes, with %d alive", j.Size(), j.State().LiveBytes())
 		}
 		j.Close()
-		_, f, err := store.OpenJournal(d, at, opt)
+		_, f, err := store.OpenJournal(d, now, opt)
 		if err != nil || len(f.Keys) != len(alive) {
 			rt.Fatalf("%d keys of %d: %v", len(f.Keys), len(alive), err)
 		}
@@ -291,31 +308,31 @@
 }
 
 // hung is a disk whose syncs hang.
-type hung struct {
+type hangingDisk struct {
 	store.FS
 	hang chan struct{}
 }
 
-type hungFile struct {
+type hangingFile struct {
 	store.File
 	hang chan struct{}
 }
 
-func (h hung) Create(name string) (store.File, error) {
+func (h hangingDisk) Create(name string) (store.File, error) {
 	f, err := h.FS.Create(name)
-	return hungFile{f, h.hang}, err
+	return hangingFile{f, h.hang}, err
 }
 
-func (f hungFile) Sync() error {
+func (f hangingFile) Sync() error {
 	<-f.hang
 	return f.File.Sync()
 }
 
-// A disk that hangs holds up neither whoever puts records nor the end; what it was given is
-// answered when it goes on.
-func TestHungDisk(t *testing.T) {
-	h := hung{store.Dir(t.TempDir()), make(chan struct{}, 100)}
-	for range 2 { // for the start
+// A disk that hangs blocks neither Put nor Close; the records it was given are answered when it goes
+// on.
+func TestHangingDiskBlocksNeitherPutNorClose(t *testing.T) {
+	h := hangingDisk{store.Dir(t.TempDir()), make(chan struct{}, 100)}
+	for range 2 { // the syncs of Open
 		h.hang <- struct{}{}
 	}
 	unlock, err := h.Lock()
@@ -332,10 +349,10 @@
 		t.Fatal(err)
 	}
 	done := make(chan error, 20)
-	s.Put(begun("first", 1), func(err error) { done <- err })
+	s.Put(started("first", 1), func(err error) { done <- err })
 	time.Sleep(20 * time.Millisecond) // it hangs on that one
 	for k := range 8 {
-		s.Put(begun(fmt.Sprint(k), 1), func(err error) { done <- err })
+		s.Put(started(fmt.Sprint(k), 1), func(err error) { done <- err })
 	}
 	for range 3 {
 		if err := <-done; !errors.Is(err, store.ErrBusy) {
@@ -357,13 +374,12 @@
 	}
 }
 
-// Whatever bytes are in a file, reading it ends, and a start from it loses nothing of what was
-// read.
+// Whatever a file contains, reading it ends, and opening it loses nothing of what was read.
 func FuzzRead(f *testing.F) {
 	d := crashfs.New(1)
 	j, _ := open(f, d, store.DefaultOptions())
-	commit(f, j, begun("a", 1), ended("a", 1, strings.Repeat("x", 600)))
-	commit(f, j, begun("b", 2))
+	commit(f, j, started("a", 1), ended("a", 1, strings.Repeat("x", 600)))
+	commit(f, j, started("b", 2))
 	seed, err := d.Read("journal-0000000000000001")
 	if err != nil {
 		f.Fatal(err)
@@ -379,20 +395,19 @@
 		if _, err := w.Write(b); err != nil {
 			t.Fatal(err)
 		}
-		found, err := store.Read(d, at, store.DefaultOptions())
+		found, err := store.Read(d, now, store.DefaultOptions())
 		if err != nil {
 			return
 		}
-		// Whoever goes on from it, with a repair or without, keeps just what was read, once and
-		// again.
+		// Opening it with a repair keeps exactly what was read, also the second time.
 		opt := store.DefaultOptions()
 		opt.Repair = true
 		for range 2 {
-			j, again, err := store.OpenJournal(d, at, opt)
+			j, again, err := store.OpenJournal(d, now, opt)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(told(found), told(again)); diff != "" {
+			if diff := cmp.Diff(describe(found), describe(again)); diff != "" {
 				t.Fatalf("(-read +opened)\n%s", diff)
 			}
 			if err := j.Close(); err != nil {
--- a/internal/idempotency/store/stored_test.go
+++ b/internal/idempotency/store/stored_test.go
@@ -27,10 +27,13 @@
 		long[i] = byte('a' + i%3)
 	}
 	before = []*store.Record{
-		begun("open", 5), begun("failed", 6), withoutResult, begun("done", 1<<40|7), ended("done", 1<<40|7, "handed in"),
-		begun("never-ran", 8), forgotten("never-ran", 8),
+		started(
+			"open",
+			5,
+		), started("failed", 6), withoutResult, started("done", 1<<40|7), ended("done", 1<<40|7, "handed in"),
+		started("never-ran", 8), released("never-ran", 8),
 	}
-	after = []*store.Record{begun("long", 9), ended("long", 9, string(long)), begun("open-2", 10)}
+	after = []*store.Record{started("long", 9), ended("long", 9, string(long)), started("open-2", 10)}
 	return before, after
 }
 
@@ -40,7 +43,7 @@
 	j, _ := open(t, store.Dir(dir), store.DefaultOptions())
 	before, after := storedRecords()
 	commit(t, j, before...)
-	snapshot, err := j.BeginSnapshot(at)
+	snapshot, err := j.BeginSnapshot(now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,11 +98,11 @@
 		}
 		writeStored(t, storedDir)
 	}
-	found, err := store.Read(store.Dir(storedDir), at, store.DefaultOptions())
+	found, err := store.Read(store.Dir(storedDir), now, store.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &store.Recovery{Keys: storedKeys(), Snapshot: 1, Segments: 1, Records: 5, NewestAt: at}
+	want := &store.Recovery{Keys: storedKeys(), Snapshot: 1, Segments: 1, Records: 5, NewestAt: now}
 	if diff := cmp.Diff(want, found, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
