--- a/internal/peers/consensus/logger.go
+++ b/internal/peers/consensus/logger.go
@@ -2,32 +2,42 @@
 
 import "fmt"
 
-// silentLogger discards what the Raft library logs. Its fatal errors panic: they are faults of the
-// program.
+// silentLogger discards what the Raft library logs: what matters of it is in the errors of Ready and
+// in the table. Its fatal errors panic, as they are faults of the program.
 type silentLogger struct{}
 
+// Debug implements raft.Logger.
 func (silentLogger) Debug(...any) {}
 
+// Debugf implements raft.Logger.
 func (silentLogger) Debugf(string, ...any) {}
 
+// Error implements raft.Logger.
 func (silentLogger) Error(...any) {}
 
+// Errorf implements raft.Logger.
 func (silentLogger) Errorf(string, ...any) {}
 
+// Info implements raft.Logger.
 func (silentLogger) Info(...any) {}
 
+// Infof implements raft.Logger.
 func (silentLogger) Infof(string, ...any) {}
 
+// Warning implements raft.Logger.
 func (silentLogger) Warning(...any) {}
 
+// Warningf implements raft.Logger.
 func (silentLogger) Warningf(string, ...any) {}
 
+// Fatal implements raft.Logger.
 func (silentLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (silentLogger) Fatalf(f string, v ...any) {
-	panic(fmt.Sprintf(f, v...))
-}
+// Fatalf implements raft.Logger.
+func (silentLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
+// Panic implements raft.Logger.
 func (silentLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+// Panicf implements raft.Logger.
+func (silentLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
