--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -226,7 +226,7 @@
 		Measure:      r.link.Gauges,
 		SetHealth:    r.health,
 		Advertise:    r.front.SetAdvertisedValue,
-		CloseIdle:    func(idle time.Duration) { r.front.SetIdleTimeout(idle.Microseconds()) },
+		CloseIdle:    func(idle time.Duration) { r.front.SetIdleTimeout(idle) },
 		Route:        func(class int) lifecycle.Runner { return r.routes[class] },
 		ShouldRetry:  r.again,
 		RetryAfter:   r.backOf,
--- /dev/null
+++ b/internal/frontend/control/client.go
@@ -0,0 +1,62 @@
+package control
+
+import (
+	"bufio"
+	"encoding/json"
+	"net"
+	"time"
+
+	"ryepaddle/internal/fault"
+)
+
+// maxLineBuffer is the first size of the buffer for a reply, in bytes.
+const maxLineBuffer = 64 << 10
+
+// Ask sends a request to the program that listens on the socket at path, and decodes its reply into v,
+// which may be nil. Errors have a kind: that of the program's error if it rejected the request.
+func Ask(path string, request Request, timeout time.Duration, v any) error {
+	c, err := net.DialTimeout("unix", path, timeout)
+	if err != nil {
+		return unreachableKind.New("control: %w", err)
+	}
+	defer c.Close()
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return unreachableKind.New("control: %w", err)
+	}
+	text, err := json.Marshal(request)
+	if err != nil {
+		return unreachableKind.New("control: %w", err)
+	}
+	if _, err := c.Write(append(text, '\n')); err != nil {
+		return unreachableKind.New("control: %w", err)
+	}
+	line, err := bufio.NewReaderSize(c, maxLineBuffer).ReadBytes('\n')
+	if err != nil {
+		return unreachableKind.New("control: no answer: %w", err)
+	}
+	return decodeReply(line, v)
+}
+
+// decodeReply decodes a line of the program.
+func decodeReply(line []byte, v any) error {
+	var r struct {
+		OK     json.RawMessage `json:"ok"`
+		Error  string          `json:"error"`
+		Kind   string          `json:"kind"`
+		Remedy string          `json:"do"`
+	}
+	if err := json.Unmarshal(line, &r); err != nil {
+		return unreachableKind.New("control: %w", err)
+	}
+	if r.Error != "" {
+		kind := rejectedKind
+		if r.Kind != "" {
+			kind = &fault.Kind{Name: r.Kind, Remedy: r.Remedy}
+		}
+		return kind.New("%s", r.Error)
+	}
+	if v == nil || len(r.OK) == 0 {
+		return nil
+	}
+	return json.Unmarshal(r.OK, v)
+}
--- a/internal/frontend/control/kinds.go
+++ b/internal/frontend/control/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// What can go wrong here, and what an operator can do about it.
+// Kinds of errors.
 var (
 	unreachableKind = fault.Define("control.unreachable", "No program answers on the control socket.",
 		"See that it runs and that its operator's file names this socket under control.")
--- a/internal/frontend/control/control.go
+++ b/internal/frontend/control/server.go
@@ -1,11 +1,11 @@
-// Package control is the way to ask a running program something: a unix socket on the loop, on
-// which whoever may asks by a line of JSON and is answered by another.
+// Package control is the control socket for commands to a running program: a Unix socket on which a
+// request and its reply are one line of JSON each.
 //
 //	{"ask":"explain","class":"hand-in","not_served":true}
 //	{"ok":{"entries":[...]}}
 //	{"error":"unknown class \"handin\""}
 //
-// A client that sends much, reads nothing or stays is closed; it costs nobody anything.
+// A client that sends too much, does not read, or is idle is closed.
 package control
 
 import (
@@ -19,24 +19,25 @@
 	"ryepaddle/internal/netaddr"
 )
 
-// Request is what is asked.
+// Request is a command with its arguments.
 type Request struct {
 	Command    string          `json:"ask"`
 	ID         string          `json:"id,omitempty"`
 	Key        string          `json:"key,omitempty"`
 	Class      string          `json:"class,omitempty"`
 	Tenant     string          `json:"tenant,omitempty"`
-	Successor  string          `json:"by,omitempty"` // the member in whose favour another one leaves
+	Successor  string          `json:"by,omitempty"` // member that replaces the one that leaves
 	Kind       string          `json:"kind,omitempty"`
 	Cause      string          `json:"cause,omitempty"`
 	NotServed  bool            `json:"not_served,omitempty"`
-	FromMs     int64           `json:"from_ms,omitempty"` // Unix time
+	FromMs     int64           `json:"from_ms,omitempty"` // Unix time in ms
 	ToMs       int64           `json:"to_ms,omitempty"`
 	Limit      int             `json:"most,omitempty"`
 	Levels     []string        `json:"levels,omitempty"` // AREA=LEVEL
 	Correction json.RawMessage `json:"correct,omitempty"`
 }
 
+// reply is the reply to a request: either OK or Error is set.
 type reply struct {
 	OK     any    `json:"ok,omitempty"`
 	Error  string `json:"error,omitempty"`
@@ -44,7 +45,7 @@
 	Remedy string `json:"do,omitempty"`   // what an operator can do about it
 }
 
-// errorReply is the answer to a question that came to nothing.
+// errorReply returns the reply with an error.
 func errorReply(err error) reply {
 	r := reply{Error: err.Error()}
 	if f := fault.Find(err); f != nil {
@@ -53,34 +54,36 @@
 	return r
 }
 
+// Bounds of the socket.
 const (
 	maxConnections = 8
 	maxLineBytes   = 4 << 10
 	maxReplyBytes  = 4 << 20
-	idleTimeout    = 60_000_000 // microseconds without a question
-	// minReplyInterval is the least time between two answers, over all clients. An answer of a thousand requests
-	// takes the loop 2 ms: asked without end it halved what the program served.
-	minReplyInterval = 50_000
+	idleTimeout    = time.Minute // without a request
+	// minReplyInterval is the least time between two replies to all clients. A reply with a thousand
+	// requests takes the event loop milliseconds, and must not take them from the service.
+	minReplyInterval = 50 * time.Millisecond
 )
 
-// Server answers.
+// Server owns the socket and its connections. All methods are to be called on the event loop.
 type Server struct {
 	loop        *eventloop.Loop
 	listener    *eventloop.Listener
 	answer      func(q Request, reply func(any, error))
 	connections map[*connection]bool
-	nextReplyAt int64 // when the next question may be answered
+	nextReplyAt time.Duration // when the next request may be answered
 }
 
+// connection is the connection of one client. It implements eventloop.Handler.
 type connection struct {
 	server      *Server
 	conn        *eventloop.Conn
 	timer       *eventloop.Timer
-	awaitsReply bool // an answer
+	awaitsReply bool // a request has no reply yet
 }
 
-// Listen opens the socket. Each question is replied to once, at once or on a later turn of the
-// loop. Its file is the owner's and the group's; who may ask is the same user and root.
+// Listen opens the socket at path. answer is called for each request and has to call reply once, at once or
+// later on the event loop. Only the program's user and root may send requests.
 func Listen(l *eventloop.Loop, path string, answer func(q Request, reply func(any, error))) (*Server, error) {
 	s := &Server{loop: l, answer: answer, connections: map[*connection]bool{}}
 	var err error
@@ -94,7 +97,7 @@
 	return s, err
 }
 
-// Close ends it. Those that are connected are closed.
+// Close closes the socket and all connections.
 func (s *Server) Close() {
 	s.listener.Close()
 	for c := range s.connections {
@@ -102,6 +105,7 @@
 	}
 }
 
+// accept returns the handler of a new connection, and rejects other users.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
 	s.connections[c] = true
@@ -113,16 +117,17 @@
 	return c
 }
 
-// resetIdleTimer closes a client that asks nothing for long.
+// resetIdleTimer starts the idle timeout of a connection.
 func (c *connection) resetIdleTimer() {
 	c.timer.Stop()
-	c.timer = c.server.loop.After(time.Duration(idleTimeout)*time.Microsecond, func() { c.conn.Close(nil) })
+	c.timer = c.server.loop.After(idleTimeout, func() { c.conn.Close(nil) })
 }
 
+// send sends a reply.
 func (c *connection) send(r reply) {
 	text, err := json.Marshal(r)
 	if err != nil {
-		text, _ = json.Marshal(errorReply(err)) // a text alone is always one
+		text, _ = json.Marshal(errorReply(err)) // a text can always be encoded
 	}
 	if len(text) >= maxReplyBytes {
 		text, _ = json.Marshal(errorReply(questionKind.New("the answer is too long: ask for less")))
@@ -130,11 +135,11 @@
 	c.conn.Write(append(text, '\n'))
 }
 
-// Connected implements loop.Handler.
+// Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements loop.Handler. A client that asks again before it is answered would hold up the
-// loop with many questions at once.
+// Data implements eventloop.Handler. A request before the last reply is an error, so that a client cannot
+// keep the event loop busy.
 func (c *connection) Data(b []byte) (int, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
@@ -147,37 +152,42 @@
 		return 0, questionKind.New("control: a question came before the last was answered")
 	}
 	c.resetIdleTimer()
-	var q Request
-	d := json.NewDecoder(bytes.NewReader(b[:i]))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&q); err != nil {
+	var request Request
+	decoder := json.NewDecoder(bytes.NewReader(b[:i]))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
 		c.send(errorReply(questionKind.New("the question cannot be read: %w", err)))
 		return i + 1, nil
 	}
 	c.awaitsReply = true
-	at := max(c.server.loop.Now().Microseconds(), c.server.nextReplyAt)
+	now := c.server.loop.Now()
+	at := max(now, c.server.nextReplyAt)
 	c.server.nextReplyAt = at + minReplyInterval
-	c.server.loop.After(time.Duration(at-c.server.loop.Now().Microseconds())*time.Microsecond, func() {
-		if c.conn.IsClosed() {
-			return
+	c.server.loop.After(at-now, func() { c.answer(request) })
+	return i + 1, nil
+}
+
+// answer has the program answer a request.
+func (c *connection) answer(request Request) {
+	if c.conn.IsClosed() {
+		return
+	}
+	c.server.answer(request, func(ok any, err error) {
+		c.awaitsReply = false
+		switch {
+		case c.conn.IsClosed():
+		case err != nil:
+			c.send(errorReply(err))
+		default:
+			c.send(reply{OK: ok})
 		}
-		c.server.answer(q, func(ok any, err error) {
-			switch c.awaitsReply = false; {
-			case c.conn.IsClosed():
-			case err != nil:
-				c.send(errorReply(err))
-			default:
-				c.send(reply{OK: ok})
-			}
-		})
 	})
-	return i + 1, nil
 }
 
-// End implements loop.Handler.
+// End implements eventloop.Handler.
 func (c *connection) End() bool { return false }
 
-// Closed implements loop.Handler.
+// Closed implements eventloop.Handler.
 func (c *connection) Closed(error) {
 	c.timer.Stop()
 	delete(c.server.connections, c)
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -86,7 +86,7 @@
 	if err := r.front.Listen(netip.MustParseAddrPort("127.0.0.1:0"), 100, r.core); err != nil {
 		t.Fatal(err)
 	}
-	r.front.SetIdleTimeout(idle.Microseconds())
+	r.front.SetIdleTimeout(idle)
 	return r
 }
 
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -4,27 +4,46 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/lifecycle"
 	"ryepaddle/internal/protocol/fastcgi"
 )
 
-// exchange is one request on a connection, from its begin to its end.
+// Header fields of answers, by the names of the operators' pages.
+const (
+	headerAdvertisedValue = "X-Pressure"
+	headerRetryAfterMs    = "X-Come-Back-Ms"
+	headerNoRetry         = "X-No-Failover"
+)
+
+// Errors of requests that are rejected.
+var (
+	errParamsTooLong  = errors.New("parameters over their limit")
+	errBodyTooLong    = errors.New("body over its limit")
+	errUnknownRequest = errors.New("nobody here knows this request")
+	errNoKey          = errors.New("no X-Dedupe-Key in a keyed class")
+	errRemovedClass   = errors.New("the class is not served any more")
+)
+
+// exchange is one request on a connection, from its BeginRequest to its EndRequest. It implements
+// lifecycle.Responder.
 type exchange struct {
 	conn           *connection
 	id             uint16
 	keepConnection bool
 	params         []byte
 	body           []byte
-	paramsComplete bool // the parameters are
-	submitted      bool // it was handed to the core
-	beganAt        int64
+	paramsComplete bool
+	submitted      bool // it was handed to the request lifecycle, or rejected
+	beganAt        time.Duration
 	ticket         lifecycle.Ticket
 }
 
-// releaseIncomplete gives back the parts of a request.
+// release releases the buffers of the request.
 func (x *exchange) release() {
 	n := len(x.params) + len(x.body)
 	x.params, x.body = nil, nil
@@ -32,14 +51,37 @@
 	x.conn.frontend.incompleteBytes -= n
 }
 
-// appendPart takes a further part of a request.
-func (x *exchange) appendPart(to *[]byte, part []byte) {
-	*to = append(*to, part...)
+// appendPart appends a part of the request to one of its buffers.
+func (x *exchange) appendPart(buffer *[]byte, part []byte) {
+	*buffer = append(*buffer, part...)
 	x.conn.incompleteBytes += len(part)
 	x.conn.frontend.countIncomplete(len(part))
 }
 
-// abort ends a request for which nobody waits. What runs goes on; the core keeps its key.
+// addParams appends to the parameters. An empty part completes them.
+func (x *exchange) addParams(part []byte) error {
+	x.paramsComplete = len(part) == 0
+	if len(x.params)+len(part) > maxParamsBytes {
+		return errParamsTooLong
+	}
+	x.appendPart(&x.params, part)
+	return nil
+}
+
+// addBody appends to the body. An empty part completes the request.
+func (x *exchange) addBody(part []byte) {
+	switch {
+	case len(part) == 0:
+		x.submit()
+	case len(x.body)+len(part) > maxBodyBytes: // its end may never arrive
+		x.submitted = true
+		x.reject(http.StatusRequestEntityTooLarge, errBodyTooLong)
+	default:
+		x.appendPart(&x.body, part)
+	}
+}
+
+// abort ends a request whose caller aborted it. A run goes on, and its key is kept.
 func (x *exchange) abort() {
 	if x.submitted {
 		x.conn.frontend.manager.Withdraw(x.ticket)
@@ -47,35 +89,35 @@
 	x.finish(nil, fastcgi.RequestComplete)
 }
 
-// finish writes the last records of a request and forgets it.
-func (x *exchange) finish(out []byte, protocolStatus uint8) {
+// finish writes the given records and an EndRequest, and drops the request.
+func (x *exchange) finish(records []byte, protocolStatus uint8) {
 	c := x.conn
 	if c.open[x.id] != x {
 		return
 	}
 	x.release()
 	delete(c.open, x.id)
-	c.usedAt = c.frontend.loop.Now().Microseconds()
-	c.Write(fastcgi.AppendEnd(out, x.id, 0, protocolStatus))
+	c.usedAt = c.frontend.loop.Now()
+	c.Write(fastcgi.AppendEnd(records, x.id, 0, protocolStatus))
 	if !x.keepConnection {
 		c.advanceTo(stateFinishing)
 	}
 	c.closeIfDone()
 }
 
-// respond writes a whole answer. Fields come in pairs of name and value.
+// respond writes a complete answer. fields are pairs of name and value.
 func (x *exchange) respond(status int, body []byte, fields ...string) {
 	out := make([]byte, 0, 256+len(body))
 	out = append(out, "Status: "+strconv.Itoa(status)+"\r\n"...)
-	if p := x.conn.frontend.advertisedValue; p != "" {
-		fields = append(fields, "X-Pressure", p)
+	if value := x.conn.frontend.advertisedValue; value != "" {
+		fields = append(fields, headerAdvertisedValue, value)
 	}
 	for i := 0; i < len(fields); i += 2 {
 		out = append(out, fields[i]+": "+fields[i+1]+"\r\n"...)
 	}
 	out = append(append(out, "\r\n"...), body...)
-	recs := fastcgi.Append(make([]byte, 0, len(out)+64), fastcgi.Stdout, x.id, out)
-	x.finish(fastcgi.Append(recs, fastcgi.Stdout, x.id, nil), fastcgi.RequestComplete)
+	records := fastcgi.Append(make([]byte, 0, len(out)+64), fastcgi.Stdout, x.id, out)
+	x.finish(fastcgi.Append(records, fastcgi.Stdout, x.id, nil), fastcgi.RequestComplete)
 }
 
 // Answer implements lifecycle.Responder.
@@ -88,97 +130,109 @@
 		}
 		x.respond(a.Result.Status, a.Result.Body, fields...)
 	case lifecycle.Rejected:
-		var fields []string
-		if a.RetryAfter.Microseconds() > 0 {
-			fields = append(
-				fields,
-				"X-Come-Back-Ms",
-				strconv.FormatInt((a.RetryAfter.Microseconds()+999)/1000, 10),
-			)
-		}
-		if a.DoNotRetry {
-			fields = append(fields, "X-No-Failover", "1")
-		}
-		x.respond(503, nil, fields...)
+		x.respond(http.StatusServiceUnavailable, nil, rejectionFields(a)...)
 	case lifecycle.Expired:
-		x.respond(504, nil)
+		x.respond(http.StatusGatewayTimeout, nil)
 	case lifecycle.Conflict:
-		x.reject(422, errors.New(a.Reason.String()))
+		x.reject(http.StatusUnprocessableEntity, errors.New(a.Reason.String()))
 	case lifecycle.ResultLost:
-		x.respond(409, []byte("it ran, and its result was not kept\n"), "Content-Type", "text/plain")
+		x.respondText(http.StatusConflict, "it ran, and its result was not kept")
 	case lifecycle.NotFound:
-		x.reject(404, errors.New("nobody here knows this request"))
+		x.reject(http.StatusNotFound, errUnknownRequest)
 	default:
-		x.respond(500, nil)
+		x.respond(http.StatusInternalServerError, nil)
 	}
 }
 
-// submit takes over a request whose last byte has come.
+// rejectionFields returns the header fields of a rejection. The time to stay away is rounded up to whole
+// milliseconds.
+func rejectionFields(a lifecycle.Answer) (fields []string) {
+	if a.RetryAfter.Microseconds() > 0 {
+		ms := (a.RetryAfter.Microseconds() + 999) / 1000
+		fields = append(fields, headerRetryAfterMs, strconv.FormatInt(ms, 10))
+	}
+	if a.DoNotRetry {
+		fields = append(fields, headerNoRetry, "1")
+	}
+	return fields
+}
+
+// submit hands a complete request to the request lifecycle, or answers it at once.
 func (x *exchange) submit() {
 	x.submitted, x.conn.hasRequested = true, true
 	f := x.conn.frontend
-	p := map[string]string{}
-	var meta []lifecycle.Field
-	var twice error
-	err := fastcgi.ReadPairs(x.params, func(name, value string) {
-		// The core goes by one value, and a server behind might go by the other.
-		if old, known := p[name]; known {
-			if old != value {
-				twice = fmt.Errorf("%s is given twice, as %q and %q", name, old, value)
-			}
-			return
-		}
-		p[name] = value
-		meta = append(meta, lifecycle.Field{Name: name, Value: value})
-	})
-	if err = cmp.Or(err, twice); err != nil {
-		x.reject(400, err)
+	params, metadata, err := readParams(x.params)
+	if err != nil {
+		x.reject(http.StatusBadRequest, err)
 		return
 	}
 	body := x.body
 	x.release()
-	path := p["SCRIPT_NAME"]
+	path := params["SCRIPT_NAME"]
 	if path == healthPath {
-		x.answerHealthCheck(p["QUERY_STRING"])
+		x.answerHealthCheck(params["QUERY_STRING"])
 		return
 	}
-	q, err := f.parseRequest(p, path)
+	request, err := f.parseRequest(params, path)
+	length := params["CONTENT_LENGTH"]
 	switch {
-	case errors.Is(
-		err,
-		errRemovedClass,
-	): // its balancer has not heard of it yet, and its other requests are as good as ever
-		x.respond(404, []byte(err.Error()+"\n"), "Content-Type", "text/plain")
+	case errors.Is(err, errRemovedClass):
+		// The balancer has not heard of the removal yet; its other requests are valid.
+		x.respondText(http.StatusNotFound, err.Error())
 	case err != nil:
-		x.reject(400, err)
-	case p["CONTENT_LENGTH"] != "" && p["CONTENT_LENGTH"] != strconv.Itoa(len(body)):
-		x.reject(400, fmt.Errorf("CONTENT_LENGTH %q, and a body of %d bytes", p["CONTENT_LENGTH"], len(body)))
+		x.reject(http.StatusBadRequest, err)
+	case length != "" && length != strconv.Itoa(len(body)):
+		x.reject(http.StatusBadRequest, fmt.Errorf("CONTENT_LENGTH %q, and a body of %d bytes", length, len(body)))
 	default:
-		q.Body, q.Metadata, q.Responder = body, meta, x
-		x.ticket = f.manager.Submit(q)
+		request.Body, request.Metadata, request.Responder = body, metadata, x
+		x.ticket = f.manager.Submit(request)
 	}
 }
 
-// reject answers what can't be taken for a request of a balancer. Its connection takes no more: the
-// next would be as bad, and a peer that sends the same again as soon as it is answered would keep
-// the loop busy with nothing else.
+// readParams decodes the parameters, also as a list in their order. Two different values of one name are an
+// error, since a server might use the other one.
+func readParams(content []byte) (params map[string]string, metadata []lifecycle.Field, err error) {
+	params = map[string]string{}
+	var conflict error
+	err = fastcgi.ReadPairs(content, func(name, value string) {
+		old, known := params[name]
+		if !known {
+			params[name] = value
+			metadata = append(metadata, lifecycle.Field{Name: name, Value: value})
+			return
+		}
+		if old != value {
+			conflict = fmt.Errorf("%s is given twice, as %q and %q", name, old, value)
+		}
+	})
+	return params, metadata, cmp.Or(err, conflict)
+}
+
+// reject answers a malformed request. Its connection accepts no more: a peer that sends the same again as
+// soon as it is answered would keep the event loop busy.
 func (x *exchange) reject(status int, err error) {
 	x.conn.advanceTo(stateFinishing)
 	eventBadRequest.Log(status, err)
-	x.respond(status, []byte(err.Error()+"\n"), "Content-Type", "text/plain")
+	x.respondText(status, err.Error())
+}
+
+// respondText writes an answer with a line of text.
+func (x *exchange) respondText(status int, text string) {
+	x.respond(status, []byte(text+"\n"), "Content-Type", "text/plain")
 }
 
+// answerHealthCheck answers a health check; thorough=1 in the query asks for a deep one.
 func (x *exchange) answerHealthCheck(query string) {
 	f := x.conn.frontend
 	answer := func(good bool) {
 		if good {
-			x.respond(200, nil)
+			x.respond(http.StatusOK, nil)
 		} else {
-			x.respond(503, nil)
+			x.respond(http.StatusServiceUnavailable, nil)
 		}
 	}
-	v, _ := url.ParseQuery(query) // what can't be read sets nothing
-	if f.healthStored || f.healthChecker == nil || v.Get("thorough") != "1" {
+	values, _ := url.ParseQuery(query) // a malformed part sets nothing
+	if f.healthStored || f.healthChecker == nil || values.Get("thorough") != "1" {
 		answer(f.healthy)
 		return
 	}
--- /dev/null
+++ b/internal/frontend/platform/frontend.go
@@ -0,0 +1,333 @@
+// Package platform is the frontend for the platform's balancers. It translates FastCGI requests to the
+// request lifecycle and answers back, and bounds what a connection may hold. It takes no decisions
+// about requests.
+package platform
+
+import (
+	"cmp"
+	"log/slog"
+	"net/netip"
+	"slices"
+	"strconv"
+	"time"
+
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/telemetry/logging"
+)
+
+// Log events.
+var (
+	eventNoRequest  = logging.Define("platform.no_request", slog.LevelWarn)
+	eventUnfinished = logging.Define("platform.unfinished", slog.LevelWarn, "bytes")
+	eventBadRecord  = logging.Define("platform.bad_record", slog.LevelWarn, "error")
+	eventSlowReader = logging.Define("platform.slow_reader", slog.LevelWarn, "open", "error")
+	eventBadRequest = logging.Define("platform.bad_request", slog.LevelWarn, "status", "error")
+)
+
+// Bounds of a connection.
+const (
+	maxParamsBytes           = 8 << 10
+	maxBodyBytes             = 2 << 10
+	maxRequestsPerConnection = 32 // the platform's balancers open no more
+	// maxQueuedBytes bounds the answers that a peer has not read, beside largeAnswersQueued of the
+	// largest size.
+	maxQueuedBytes     = 256 << 10
+	largeAnswersQueued = 8
+	// maxRecordBytes bounds a record, so that many peers that leave one incomplete cannot take all
+	// memory. No balancer needs longer ones.
+	maxRecordBytes = recordHeaderBytes + maxParamsBytes + maxRecordPadding
+	// maxIncompleteBytes bounds the parts of incomplete requests on all connections together.
+	maxIncompleteBytes = 2 << 20
+)
+
+// Parts of a FastCGI record beside its content, in bytes.
+const (
+	recordHeaderBytes = 8
+	maxRecordPadding  = 255
+)
+
+// Times of a connection.
+const (
+	sweepInterval       = 100 * time.Millisecond
+	firstRequestTimeout = 2 * time.Second  // for the first complete request
+	readTimeout         = 2 * time.Second  // for a request that has begun to arrive
+	writeTimeout        = 10 * time.Second // for a peer to read what it is sent
+	minConnectionAge    = 100 * time.Millisecond
+	minReceivingAge     = 500 * time.Millisecond // with a first request that has begun to arrive
+)
+
+// Times of a drain, from its start.
+const (
+	drainRequestTimeout = 300 * time.Millisecond // for the request of a connection that was just accepted
+	drainAcceptTime     = 300 * time.Millisecond // the listener stays open while callers wait in its queue
+	drainQuietTime      = time.Second            // before it, a connection with unread input is not closed
+)
+
+// closedAtOnce is how many connections are closed when others wait for their places. Closing one at a
+// time would have each of them depend on a slow peer.
+const closedAtOnce = 16
+
+// Paths of requests.
+const (
+	classPrefix = "/ops/"
+	healthPath  = "/alive"
+)
+
+// DeepHealthChecker performs deep health checks.
+type DeepHealthChecker interface {
+	// Check calls done once with the result.
+	Check(done func(good bool))
+}
+
+// Frontend owns the listener of the platform and its connections. All methods are to be called on the
+// event loop.
+type Frontend struct {
+	loop          *eventloop.Loop
+	manager       *lifecycle.Manager
+	healthChecker DeepHealthChecker // nil: none
+	listener      *eventloop.Listener
+	connections   map[*connection]struct{}
+
+	maxQueuedBytes  int           // of one connection
+	idleTimeout     time.Duration // 0: none
+	incompleteBytes int           // of incomplete requests on all connections
+
+	draining      bool
+	drainingSince time.Duration
+	replaced      bool // another process serves in its place
+
+	advertisedValue string // sent with each answer; empty: none
+	healthStored    bool   // health checks are answered with healthy, also deep ones
+	healthy         bool
+}
+
+// New returns a frontend; Listen opens it. checker may be nil. maxResponse is the size of a large answer in
+// bytes, of which a few may be queued on a connection.
+func New(l *eventloop.Loop, checker DeepHealthChecker, maxResponse int) *Frontend {
+	f := &Frontend{loop: l, healthChecker: checker, connections: map[*connection]struct{}{}, healthy: true}
+	f.SetMaxResponse(maxResponse)
+	return f
+}
+
+// SetMaxResponse sets the size of a large answer in bytes, for new connections.
+func (f *Frontend) SetMaxResponse(size int) {
+	f.maxQueuedBytes = maxQueuedBytes + largeAnswersQueued*size
+	if f.listener != nil {
+		f.listener.SetLimits(f.limits())
+	}
+}
+
+// SetMaxConnections bounds the connections that are open at once.
+func (f *Frontend) SetMaxConnections(n int) {
+	if f.listener != nil {
+		f.listener.SetMaxOpen(n)
+	}
+}
+
+// MaxConnections returns the bound of the connections that are open at once.
+func (f *Frontend) MaxConnections() int { return f.listener.MaxOpen() }
+
+// limits returns the bounds of the buffers of a connection.
+func (f *Frontend) limits() eventloop.BufferLimits {
+	return eventloop.BufferLimits{In: maxRecordBytes, Out: f.maxQueuedBytes}
+}
+
+// Listen accepts connections for the manager, at most maxConnections at once. Several processes may listen
+// on the address.
+func (f *Frontend) Listen(addr netip.AddrPort, maxConnections int, m *lifecycle.Manager) (err error) {
+	f.manager = m
+	f.listener, err = f.loop.ListenShared(addr, maxConnections, f.limits(), f.accept, f.makeRoom)
+	if err == nil {
+		f.loop.Every(sweepInterval, f.sweep)
+	}
+	return err
+}
+
+// Addr returns the address of the listener.
+func (f *Frontend) Addr() netip.AddrPort { return f.listener.Addr() }
+
+// SetHealth sets the answer to health checks. If stored is set, deep checks get the same answer without a
+// check.
+func (f *Frontend) SetHealth(stored, good bool) { f.healthStored, f.healthy = stored, good }
+
+// SetAdvertisedValue sets the value of admission control that is sent with each answer.
+func (f *Frontend) SetAdvertisedValue(v float64) {
+	if !f.replaced {
+		f.advertisedValue = strconv.FormatFloat(v, 'f', 4, 64)
+	}
+}
+
+// SetIdleTimeout sets after which time idle connections are closed; 0: never.
+func (f *Frontend) SetIdleTimeout(d time.Duration) { f.idleTimeout = d }
+
+// Drain stops listening, and closes each connection when it has no open request.
+func (f *Frontend) Drain() {
+	f.draining, f.drainingSince = true, f.loop.Now()
+	f.listener.CloseWhenAccepted(drainAcceptTime)
+	f.sweep()
+}
+
+// closesAtOnce reports whether connections are closed even with unread input: a peer that keeps sending has
+// to be closed some time.
+func (f *Frontend) closesAtOnce() bool {
+	return f.draining && f.loop.Now()-f.drainingSince > drainQuietTime
+}
+
+// Close ends all connections before the process ends. Queued answers are written as far as the peers take
+// them, and input is read and dropped: closing over unread input would reset the connection and lose
+// answers that the peer has not read.
+func (f *Frontend) Close() {
+	for c := range f.connections {
+		c.FlushAndShutdown()
+	}
+}
+
+// IsListening reports whether connections are accepted.
+func (f *Frontend) IsListening() bool { return f.listener != nil && f.listener.IsListening() }
+
+// HandOver is Drain for a process that another one replaces: the listener is handed over, and no value is
+// advertised, since it would not be that of the other process.
+func (f *Frontend) HandOver() {
+	f.replaced = true
+	f.advertisedValue = ""
+	f.draining, f.drainingSince = true, f.loop.Now()
+	f.listener.HandOver()
+	f.sweep()
+}
+
+// Connections returns how many connections are open.
+func (f *Frontend) Connections() int { return len(f.connections) }
+
+// accept returns the handler of a new connection.
+func (f *Frontend) accept(conn *eventloop.Conn) eventloop.Handler {
+	now := f.loop.Now()
+	c := &connection{
+		frontend:   f,
+		Conn:       conn,
+		open:       map[uint16]*exchange{},
+		acceptedAt: now,
+		usedAt:     now,
+	}
+	f.connections[c] = struct{}{}
+	return c
+}
+
+// sweep closes connections that are idle, on which a request does not arrive completely, or whose peer
+// does not read its answers.
+func (f *Frontend) sweep() {
+	now := f.loop.Now()
+	if !f.draining && f.listener.IsOverLimit() { // the limit was lowered
+		f.makeRoom()
+	}
+	for c := range f.connections {
+		switch {
+		case c.IsClosed() || c.IsClosing(): // closing has a timeout of its own
+		case c.StalledFor() > writeTimeout:
+			c.Close(eventloop.ErrSlowPeer)
+		case c.isOverdue(now):
+			f.stopReceiving(c)
+		case f.isIdle(c, now) && !c.HasUnreadInput(): // input of this moment is read first
+			c.CloseGracefully()
+		}
+	}
+}
+
+// isIdle reports whether a connection has no request and is to be closed.
+func (f *Frontend) isIdle(c *connection, now time.Duration) bool {
+	if len(c.open) > 0 || c.partialRecordSince != 0 {
+		return false
+	}
+	if f.draining && (c.hasRequested || now-c.acceptedAt > drainRequestTimeout) {
+		return true
+	}
+	return f.idleTimeout > 0 && now-c.usedAt > f.idleTimeout
+}
+
+// stopReceiving gives up the incomplete requests of a connection. Its other requests get their answers.
+func (f *Frontend) stopReceiving(c *connection) {
+	if !c.owesAnswer() {
+		eventNoRequest.Log()
+		c.Close(nil)
+		return
+	}
+	if c.state != stateDiscarding && c.isReceiving() {
+		eventNoRequest.Log()
+		c.rejectIncomplete()
+		c.discard()
+	}
+}
+
+// makeRoom closes connections as others wait for their places: first those without any request, then those
+// with an incomplete first one, then those that were idle for longest.
+func (f *Frontend) makeRoom() {
+	now := f.loop.Now()
+	var idle []*connection
+	for c := range f.connections {
+		if !c.IsClosing() && !c.IsClosed() && mayClose(c, now) {
+			idle = append(idle, c)
+		}
+	}
+	slices.SortFunc(idle, func(a, b *connection) int {
+		return cmp.Or(
+			cmp.Compare(btoi(a.hasRequested), btoi(b.hasRequested)),
+			cmp.Compare(btoi(a.isReceiving()), btoi(b.isReceiving())),
+			cmp.Compare(a.usedAt, b.usedAt),
+		)
+	})
+	closed := 0
+	for _, c := range idle {
+		if closed == closedAtOnce {
+			return
+		}
+		if !c.isReceiving() && c.HasUnreadInput() { // a request arrived in this moment
+			continue
+		}
+		closed++
+		if c.hasRequested {
+			c.CloseGracefully()
+		} else {
+			c.Close(nil)
+		}
+	}
+}
+
+// mayClose reports whether a connection may be closed to make room for another one.
+func mayClose(c *connection, now time.Duration) bool {
+	switch {
+	case c.hasRequested:
+		return len(c.open) == 0 && c.partialRecordSince == 0
+	case c.isReceiving():
+		return now-c.acceptedAt > minReceivingAge
+	}
+	return now-c.acceptedAt > minConnectionAge
+}
+
+// btoi returns 1 for true.
+func btoi(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+// countIncomplete adds bytes of incomplete requests. If they exceed their bound on all connections together,
+// the incomplete requests of the connection with the most of them are rejected.
+func (f *Frontend) countIncomplete(n int) {
+	f.incompleteBytes += n
+	if f.incompleteBytes <= maxIncompleteBytes {
+		return
+	}
+	var largest *connection
+	for c := range f.connections {
+		if !c.IsClosed() && (largest == nil || c.incompleteBytes > largest.incompleteBytes) {
+			largest = c
+		}
+	}
+	if largest != nil {
+		eventUnfinished.Log(largest.incompleteBytes)
+		largest.rejectIncomplete()
+		largest.advanceTo(stateFinishing)
+		largest.closeIfDone()
+	}
+}
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -1,67 +1,98 @@
 package platform
 
 import (
-	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"ryepaddle/internal/lifecycle"
 	"ryepaddle/internal/wallclock"
 )
 
-// errRemovedClass is that of a request of a class that was dropped a while ago.
-var errRemovedClass = errors.New("the class is not served any more")
+// maxClockSkew is by how much a balancer's clock may be ahead.
+const maxClockSkew = time.Second
 
-const maxClockSkewMs = 1000 // milliseconds by which a balancer's clock may be ahead
+// maxRequestKB bounds the stated size of a request.
+const maxRequestKB = 2000
 
-// parseRequest reads the fields of a request.
-func (f *Frontend) parseRequest(p map[string]string, path string) (*lifecycle.Request, error) {
-	q := &lifecycle.Request{ID: p["HTTP_X_CALL_ID"], Key: p["HTTP_X_DEDUPE_KEY"]}
+// parseRequest parses the parameters of a request, by the names of the operators' pages.
+func (f *Frontend) parseRequest(params map[string]string, path string) (*lifecycle.Request, error) {
+	r := &lifecycle.Request{ID: params["HTTP_X_CALL_ID"], Key: params["HTTP_X_DEDUPE_KEY"]}
+	if err := f.parseClass(r, path); err != nil {
+		return nil, err
+	}
+	if params["REQUEST_METHOD"] != http.MethodPost {
+		return nil, fmt.Errorf("method %q", params["REQUEST_METHOD"])
+	}
+	if _, err := strconv.ParseUint(r.ID, 16, 64); err != nil || len(r.ID) != 16 {
+		return nil, fmt.Errorf("X-Call-Id %q is not 16 hex digits", r.ID)
+	}
 	var ok bool
-	if q.Class, ok = f.manager.Class(strings.TrimPrefix(path, classPrefix)); !ok ||
-		!strings.HasPrefix(path, classPrefix) {
-		if f.manager.IsDroppedClass(strings.TrimPrefix(path, classPrefix)) {
-			return nil, errRemovedClass
-		}
-		return nil, fmt.Errorf("no class at %q", path)
+	if r.Tenant, ok = f.manager.Tenant(params["HTTP_X_CUSTOMER"]); !ok {
+		return nil, fmt.Errorf("unknown X-Customer %q", params["HTTP_X_CUSTOMER"])
 	}
-	if p["REQUEST_METHOD"] != "POST" {
-		return nil, fmt.Errorf("method %q", p["REQUEST_METHOD"])
+	if f.manager.IsKeyed(r.Class) && r.Key == "" {
+		return nil, errNoKey
 	}
-	if _, err := strconv.ParseUint(q.ID, 16, 64); err != nil || len(q.ID) != 16 {
-		return nil, fmt.Errorf("X-Call-Id %q is not 16 hex digits", q.ID)
+	if err := f.parseArrival(r, params["HTTP_X_QUEUE_START"]); err != nil {
+		return nil, err
 	}
-	if q.Tenant, ok = f.manager.Tenant(p["HTTP_X_CUSTOMER"]); !ok {
-		return nil, fmt.Errorf("unknown X-Customer %q", p["HTTP_X_CUSTOMER"])
+	if err := parseSource(r, params); err != nil {
+		return nil, err
 	}
-	if f.manager.IsKeyed(q.Class) && q.Key == "" {
-		return nil, errors.New("no X-Dedupe-Key in a keyed class")
+	return r, nil
+}
+
+// parseClass sets the class by the path.
+func (f *Frontend) parseClass(r *lifecycle.Request, path string) (err error) {
+	name := strings.TrimPrefix(path, classPrefix)
+	var ok bool
+	r.Class, ok = f.manager.Class(name)
+	switch {
+	case ok && strings.HasPrefix(path, classPrefix):
+		return nil
+	case f.manager.IsDroppedClass(name):
+		return errRemovedClass
 	}
-	ms, err := strconv.ParseInt(p["HTTP_X_QUEUE_START"], 10, 64)
-	// A key is remembered for its window from that time on: one far ahead would be remembered for
-	// ever.
-	if err != nil || ms <= 0 || ms > int64(f.loop.Unix())/1000+maxClockSkewMs {
-		return nil, fmt.Errorf("X-Queue-Start %q", p["HTTP_X_QUEUE_START"])
+	return fmt.Errorf("no class at %q", path)
+}
+
+// parseArrival sets when the request arrived at the machine, a Unix time in milliseconds. A key is kept for
+// its window from then on, so that a time far ahead would keep it for ever.
+func (f *Frontend) parseArrival(r *lifecycle.Request, text string) error {
+	ms, err := strconv.ParseInt(text, 10, 64)
+	latest := int64(f.loop.Unix())/1000 + maxClockSkew.Milliseconds()
+	if err != nil || ms <= 0 || ms > latest {
+		return fmt.Errorf("X-Queue-Start %q", text)
 	}
-	q.ArrivedAt = wallclock.UnixMicro(ms * 1000)
-	source, err := strconv.ParseUint(p["HTTP_X_SOURCE"], 10, 32)
+	r.ArrivedAt = wallclock.UnixMicro(ms * 1000)
+	return nil
+}
+
+// parseSource sets the caller, and what it states of the request's size, rank and entity.
+func parseSource(r *lifecycle.Request, params map[string]string) error {
+	source, err := strconv.ParseUint(params["HTTP_X_SOURCE"], 10, 32)
 	if err != nil {
-		return nil, fmt.Errorf("X-Source %q", p["HTTP_X_SOURCE"])
+		return fmt.Errorf("X-Source %q", params["HTTP_X_SOURCE"])
+	}
+	r.Caller = uint32(source)
+	r.SizeKB, err = strconv.ParseFloat(params["HTTP_X_HEAP_KB"], 64)
+	if err != nil || !(r.SizeKB > 0 && r.SizeKB < maxRequestKB) {
+		return fmt.Errorf("X-Heap-Kb %q", params["HTTP_X_HEAP_KB"])
 	}
-	q.Caller = uint32(source)
-	if q.SizeKB, err = strconv.ParseFloat(p["HTTP_X_HEAP_KB"], 64); err != nil ||
-		!(q.SizeKB > 0 && q.SizeKB < 2000) {
-		return nil, fmt.Errorf("X-Heap-Kb %q", p["HTTP_X_HEAP_KB"])
+	r.Rank, err = strconv.ParseFloat(params["HTTP_X_IMPORTANCE"], 64)
+	if err != nil || !(r.Rank >= 0 && r.Rank < 1) {
+		return fmt.Errorf("X-Importance %q", params["HTTP_X_IMPORTANCE"])
 	}
-	if q.Rank, err = strconv.ParseFloat(p["HTTP_X_IMPORTANCE"], 64); err != nil ||
-		!(q.Rank >= 0 && q.Rank < 1) {
-		return nil, fmt.Errorf("X-Importance %q", p["HTTP_X_IMPORTANCE"])
+	entity := params["HTTP_X_ENTITY"]
+	if entity == "" {
+		return nil
 	}
-	if e := p["HTTP_X_ENTITY"]; e != "" {
-		if q.Entity, err = strconv.ParseUint(e, 16, 64); err != nil {
-			return nil, fmt.Errorf("X-Entity %q", e)
-		}
+	r.Entity, err = strconv.ParseUint(entity, 16, 64)
+	if err != nil {
+		return fmt.Errorf("X-Entity %q", entity)
 	}
-	return q, nil
+	return nil
 }
