--- a/cmd/simulator/run.go
+++ b/cmd/simulator/run.go
@@ -2,11 +2,13 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ryepaddle/internal/simulator/compare"
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/fleet"
 	"ryepaddle/internal/simulator/report"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 type runCmd struct {
@@ -33,8 +35,8 @@
 		if c.Days > 1 {
 			return badInput{fmt.Errorf("--log is for one day")}
 		}
-		opt.Log = func(at int64, runner, text string) {
-			fmt.Fprintf(l.err, "%9.3f %s %s\n", float64(at)/1e6, runner, text)
+		opt.Log = func(at time.Duration, runner, text string) {
+			fmt.Fprintf(l.err, "%9.3f %s %s\n", virtualclock.Micros(at)/1e6, runner, text)
 		}
 	}
 	runs, err := playAll(l, c.Workers, c.Days, func(i int) (*fleet.Run, error) {
--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -103,8 +103,8 @@
 		},
 	}
 	l.core, err = lifecycle.New(set, w.seed, lifecycle.Environment{Now: w.now, Unix: w.unix,
-		After:     func(d time.Duration, fn func()) func() { return l.after(d.Microseconds(), fn).Stop },
-		Measure:   func(fn func(lifecycle.Gauges)) { l.after(1, func() { fn(lifecycle.UnknownGauges()) }) },
+		After:     func(d time.Duration, fn func()) func() { return l.after(d, fn).Stop },
+		Measure:   func(fn func(lifecycle.Gauges)) { l.after(time.Microsecond, func() { fn(lifecycle.UnknownGauges()) }) },
 		SetHealth: func(bool, bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {}, Log: func(*logging.Event, ...any) {},
 		Route: func(int) lifecycle.Runner { return l }, KeyStore: l, Incarnation: w.lives,
 		OnAnswered: func(t *lifecycle.Trace) {
@@ -128,16 +128,16 @@
 	return true
 }
 
-func (w *world) unix() wallclock.UnixMicro { return wallclock.UnixMicro(w.sched.Now() + 1e15) }
+func (w *world) unix() wallclock.UnixMicro { return wallclock.UnixMicro(1e15).Add(w.sched.Now()) }
 
-func (w *world) now() time.Duration { return time.Duration(w.sched.Now()) * time.Microsecond }
+func (w *world) now() time.Duration { return w.sched.Now() }
 
 func (w *world) breaks(format string, v ...any) {
 	w.broken = append(w.broken, fmt.Sprintf(format, v...))
 }
 
 // after calls back, unless the life is over by then.
-func (l *life) after(d int64, fn func()) virtualclock.Timer {
+func (l *life) after(d time.Duration, fn func()) virtualclock.Timer {
 	return l.w.sched.After(d, func() {
 		if !l.dead {
 			fn()
@@ -169,9 +169,9 @@
 	}
 	l.syncing = true
 	// Now and then the disk takes longer than anybody waits.
-	d := int64(1000 + l.w.rand.IntN(5000))
+	d := time.Duration(1000+l.w.rand.IntN(5000)) * time.Microsecond
 	if l.w.rand.IntN(10) == 0 && !l.w.calm {
-		d = 80_000
+		d = 80 * time.Millisecond
 	}
 	if l.w.stuck {
 		return
@@ -189,7 +189,7 @@
 			return
 		}
 		if err != nil {
-			l.after(20_000, l.reopen)
+			l.after(20*time.Millisecond, l.reopen)
 		} else if l.w.rand.IntN(6) == 0 {
 			if snap, err := l.journal.BeginSnapshot(l.w.unix()); err == nil && snap.Write() == nil {
 				l.journal.FinishSnapshot(snap)
@@ -202,7 +202,7 @@
 			return
 		}
 		if l.journal.IsDown() && err == nil {
-			l.after(20_000, l.reopen)
+			l.after(20*time.Millisecond, l.reopen)
 		}
 		for _, e := range batch {
 			l.health.recordConfirmed()
@@ -220,7 +220,7 @@
 	if err := l.journal.Reopen(l.w.unix()); l.w.disk.IsCrashed() {
 		l.w.crash()
 	} else if err != nil {
-		l.after(20_000, l.reopen)
+		l.after(20*time.Millisecond, l.reopen)
 	}
 }
 
@@ -228,7 +228,7 @@
 func (l *life) Run(a *lifecycle.Attempt) {
 	w, key := l.w, a.Request.Key
 	if w.rand.IntN(8) == 0 { // it never gets there
-		l.after(100, func() { l.core.AttemptEnded(a, lifecycle.Unreachable, nil) })
+		l.after(100*time.Microsecond, func() { l.core.AttemptEnded(a, lifecycle.Unreachable, nil) })
 		return
 	}
 	if w.ran[key]++; w.ran[key] > 1 {
@@ -236,7 +236,7 @@
 	}
 	result := fmt.Sprintf("%s in life %d", key, l.no)
 	w.results[key] = result
-	l.after(int64(1000+w.rand.IntN(300_000)), func() {
+	l.after(time.Duration(1000+w.rand.IntN(300_000))*time.Microsecond, func() {
 		if w.rand.IntN(10) == 0 {
 			l.core.AttemptEnded(a, lifecycle.Interrupted, nil)
 			return
@@ -254,7 +254,7 @@
 		w.life.dead, w.life = true, nil
 	}
 	w.disk.Crash()
-	w.sched.After(int64(10_000+w.rand.IntN(200_000)), w.restart)
+	w.sched.After(time.Duration(10_000+w.rand.IntN(200_000))*time.Microsecond, w.restart)
 }
 
 func (w *world) restart() {
@@ -271,15 +271,15 @@
 type client struct {
 	w     *world
 	key   string
-	first int64
+	first time.Duration
 	no    int
 	life  uint64
 }
 
 func (c *client) send() {
 	w := c.w
-	again := func() { w.sched.After(int64(1000+w.rand.IntN(400_000)), c.send) }
-	if w.sched.Now() > c.first+window.Microseconds()-400_000 || c.no > 12 {
+	again := func() { w.sched.After(time.Duration(1000+w.rand.IntN(400_000))*time.Microsecond, c.send) }
+	if w.sched.Now() > c.first+window-400*time.Millisecond || c.no > 12 {
 		return
 	}
 	if c.no++; w.life == nil {
@@ -326,7 +326,7 @@
 		}
 	}
 	if w.rand.IntN(4) > 0 {
-		w.sched.After(int64(1000+w.rand.IntN(400_000)), c.send)
+		w.sched.After(time.Duration(1000+w.rand.IntN(400_000))*time.Microsecond, c.send)
 	}
 }
 
@@ -359,12 +359,12 @@
 	}
 	for k := range 40 {
 		c := &client{w: w, key: fmt.Sprint("key", k)}
-		w.sched.After(int64(w.rand.IntN(3_000_000)), func() {
+		w.sched.After(time.Duration(w.rand.IntN(3_000_000))*time.Microsecond, func() {
 			c.first = w.sched.Now()
 			c.send()
 		})
 	}
-	w.sched.RunUntil(virtualclock.Origin + 8_000_000)
+	w.sched.RunUntil(virtualclock.Origin + 8*time.Second)
 	return w
 }
 
@@ -420,7 +420,7 @@
 	if !w.start() {
 		t.Fatal("it does not start")
 	}
-	ask := func(key string, kind lifecycle.Status, within int64) {
+	ask := func(key string, kind lifecycle.Status, within time.Duration) {
 		at := w.sched.Now()
 		w.life.core.Submit(
 			&lifecycle.Request{
@@ -434,24 +434,24 @@
 				Responder: asker(func(a lifecycle.Answer) {
 					w.answers++
 					if past := w.sched.Now() - at; a.Status != kind || past > within {
-						t.Errorf("%s: kind %d after %d ms", key, a.Status, past/1000)
+						t.Errorf("%s: kind %d after %d ms", key, a.Status, past.Milliseconds())
 					}
 				}),
 			},
 		)
 	}
-	ask("before", lifecycle.Served, 400_000)
-	w.sched.RunUntil(virtualclock.Origin + 1_000_000)
+	ask("before", lifecycle.Served, 400*time.Millisecond)
+	w.sched.RunUntil(virtualclock.Origin + time.Second)
 	if w.answers == 0 { // the witness breaks some
 		t.Fatal("no answer")
 	}
 	w.stuck = true
 	for k := range 20 {
 		// once one has waited in vain, others do not
-		ask(fmt.Sprint("stuck", k), lifecycle.Rejected, 60_000)
+		ask(fmt.Sprint("stuck", k), lifecycle.Rejected, 60*time.Millisecond)
 	}
-	w.sched.After(20_000, func() { w.life.core.Drain(1500 * time.Millisecond) })
-	w.sched.RunUntil(virtualclock.Origin + 4_000_000)
+	w.sched.After(20*time.Millisecond, func() { w.life.core.Drain(1500 * time.Millisecond) })
+	w.sched.RunUntil(virtualclock.Origin + 4*time.Second)
 	if w.answers != 21 || w.life.core.OpenRequests() != 0 || len(w.ran) != 1 {
 		t.Errorf("%d answers, %d open, %d ran", w.answers, w.life.core.OpenRequests(), len(w.ran))
 	}
--- a/internal/peers/lease/cluster_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -57,7 +57,7 @@
 	node  *simcluster.Node
 	life  uint64
 	token uint64
-	until int64
+	until time.Duration
 }
 
 // process is a runner's.
@@ -76,7 +76,7 @@
 func (w *world) wrongIs(format string, a ...any) {
 	w.broken = append(
 		w.broken,
-		fmt.Sprintf("%.3f ", float64(w.Now())/float64(second))+fmt.Sprintf(format, a...),
+		fmt.Sprintf("%.3f ", w.Now().Seconds())+fmt.Sprintf(format, a...),
 	)
 }
 
@@ -265,14 +265,11 @@
 	if p.w.wrong.suspended {
 		return p.mono()
 	}
-	return duration(p.n.BootTime())
+	return p.n.BootTime()
 }
 
 // mono is the clock that stands still while the machine is suspended.
-func (p *process) mono() time.Duration { return duration(p.n.Monotonic()) }
-
-// duration is a span of the simulated cluster, which counts microseconds.
-func duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func (p *process) mono() time.Duration { return p.n.Monotonic() }
 
 // believe looks from outside at what this process thinks that it holds.
 func (p *process) believe(clock time.Duration) {
@@ -286,9 +283,9 @@
 	}
 	for _, g := range held {
 		// What its clock says in true time: one that stands still only ever makes it later.
-		until := w.Now() + (g.ExpiresAt - clock).Microseconds()
+		until := w.Now() + (g.ExpiresAt - clock).Truncate(time.Microsecond)
 		if !w.wrong.suspended {
-			until = p.n.TrueTime(g.ExpiresAt.Microseconds())
+			until = p.n.TrueTime(g.ExpiresAt)
 		}
 		b := w.beliefs[g.Lease]
 		if (b.node != p.n || b.life != p.n.Incarnation) && b.node != nil && b.until > w.Now() &&
@@ -301,7 +298,7 @@
 				g.Token,
 				b.node.Name,
 				b.token,
-				(b.until-w.Now())/ms,
+				(b.until - w.Now()).Milliseconds(),
 			)
 		}
 		if b.token <= g.Token {
@@ -324,7 +321,7 @@
 			if w.Tell != nil {
 				w.Tell(
 					"%.3f %s begins %s under %d at %d, table %d",
-					float64(w.Now())/1e6,
+					w.Now().Seconds(),
 					p.n.Name,
 					g.Lease,
 					g.Token,
@@ -347,7 +344,7 @@
 		case 0, 1:
 			p.n.After(w.Between(0, 300*ms), func() {
 				// on its way to the far end nothing is held
-				w.After(w.Between(200, 20*ms), func() { w.take(g) })
+				w.After(w.Between(200*time.Microsecond, 20*ms), func() { w.take(g) })
 			})
 		case 2, 3:
 			p.count[g.Lease]++
@@ -357,7 +354,7 @@
 					if w.Tell != nil {
 						w.Tell(
 							"%.3f %s noted %d for %s under %d, table %d, seq %d check %s",
-							float64(w.Now())/1e6,
+							w.Now().Seconds(),
 							p.n.Name,
 							n,
 							g.Lease,
@@ -380,7 +377,7 @@
 					if w.Tell != nil {
 						w.Tell(
 							"%.3f %s yielded %d for %s under %d, table %d %+v",
-							float64(w.Now())/1e6,
+							w.Now().Seconds(),
 							p.n.Name,
 							n,
 							g.Lease,
@@ -463,7 +460,7 @@
 func play(seed uint64, runners, duties int, bad wrong, tell func(string, ...any)) *world {
 	w := newWorld(seed, runners, duties, bad, tell)
 	w.Run(3 * second)
-	for range w.Between(4, 14) {
+	for range 4 + w.Rand.Int64N(10) {
 		w.After(w.Between(0, 12*second), w.Fault)
 	}
 	for range 240 { // the rest of a day on which something is wrong tells nothing more
--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -118,14 +118,16 @@
 
 // now is the time since the cluster began.
 func (c *cluster) now() time.Duration {
-	return time.Duration(c.scheduler.Now()-virtualclock.Origin) * time.Microsecond
+	return c.scheduler.Now() - virtualclock.Origin
 }
 
 // after calls fn after a while.
-func (c *cluster) after(d time.Duration, fn func()) { c.scheduler.After(d.Microseconds(), fn) }
+func (c *cluster) after(d time.Duration, fn func()) { c.scheduler.After(d, fn) }
 
 // run plays for a while.
-func (c *cluster) run(d time.Duration) { c.scheduler.RunUntil(c.scheduler.Now() + d.Microseconds()) }
+func (c *cluster) run(d time.Duration) {
+	c.scheduler.RunUntil(c.scheduler.Now() + d.Truncate(virtualclock.Resolution))
+}
 
 // between draws a whole number of microseconds from a to below b.
 func (c *cluster) between(a, b time.Duration) time.Duration {
--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -10,6 +10,7 @@
 
 import (
 	"math"
+	"time"
 
 	"ryepaddle/internal/simulator/virtualclock"
 )
@@ -59,7 +60,7 @@
 
 type pending struct {
 	*Request
-	began  int64
+	began  time.Duration
 	tries  int
 	open   []*Attempt
 	tried  map[int]bool // in this round of the list
@@ -76,10 +77,10 @@
 	weight   float64
 	out      int
 	value    float64
-	valueAt  int64
-	away     int64
+	valueAt  time.Duration
+	away     time.Duration
 	fails    int
-	ejected  int64
+	ejected  time.Duration
 	bad      int // checks in a row
 	latency  float64
 	load     float64
@@ -100,16 +101,18 @@
 	tokens   float64
 	asked    float64 // decayed counts of Throttle
 	taken    float64
-	countsAt int64
+	countsAt time.Duration
 	willing  []int // scratch
 	Stats    Stats
 }
 
 const (
-	badChecks   = 2
-	latencyPart = 0.2
-	mostTokens  = 10.0
-	countsFor   = 10_000_000.0
+	badChecks         = 2
+	latencyPart       = 0.2
+	mostTokens        = 10.0
+	countsFor         = 10 * time.Second
+	minRetryPause     = time.Millisecond
+	minFailureLatency = time.Second
 )
 
 // New makes a balancer before n servers, none of which is listed yet. name tells subsets apart.
@@ -141,7 +144,7 @@
 	}
 	if habit.HealthCheckInterval > 0 {
 		for i := range b.servers {
-			b.clock.After(int64(float64(habit.HealthCheckInterval)*b.draw(name, i, drawFirst)), func() { b.check(i) })
+			b.clock.After(scale(habit.HealthCheckInterval, b.draw(name, i, drawFirst)), func() { b.check(i) })
 		}
 	}
 	return b
@@ -206,7 +209,7 @@
 		return false
 	}
 	now := b.clock.Now()
-	fade := math.Exp(-float64(now-b.countsAt) / countsFor)
+	fade := math.Exp(-virtualclock.Micros(now-b.countsAt) / virtualclock.Micros(countsFor))
 	b.asked, b.taken, b.countsAt = b.asked*fade+1, b.taken*fade, now
 	return b.draw(r.ID, 0, drawThrottle) < (b.asked-b.habit.ThrottleFactor*b.taken-1)/(b.asked+1)
 }
@@ -228,7 +231,7 @@
 	p.open = append(p.open, t)
 	b.Stats.Attempts++
 	b.servers[i].out++
-	if wait := int64(b.habit.AttemptTimeout * float64(p.Deadline)); b.habit.AttemptTimeout < 1 &&
+	if wait := scale(p.Deadline, b.habit.AttemptTimeout); b.habit.AttemptTimeout < 1 &&
 		now+wait < p.began+p.Deadline {
 		t.timer = b.clock.After(wait, func() { b.timedOut(t) })
 	}
@@ -259,7 +262,7 @@
 		return
 	}
 	clear(p.tried)
-	p.paused = b.clock.After(max(b.habit.RetryPause, 1000), func() { b.try(p, false) })
+	p.paused = b.clock.After(max(b.habit.RetryPause, minRetryPause), func() { b.try(p, false) })
 }
 
 // timedOut ends a try that took too long.
@@ -291,7 +294,7 @@
 	case Served:
 		s.fails = 0
 		b.taken++
-		b.learn(s, float64(now-t.SentAt))
+		b.learn(s, virtualclock.Micros(now-t.SentAt))
 		b.finish(p, EndServed, t)
 		return
 	case Rejected:
@@ -328,7 +331,7 @@
 func (b *Balancer) failed(t *Attempt) {
 	s := &b.servers[t.Server]
 	s.fails++
-	b.learn(s, float64(max(b.clock.Now()-t.SentAt, 1_000_000)))
+	b.learn(s, virtualclock.Micros(max(b.clock.Now()-t.SentAt, minFailureLatency)))
 	if b.habit.EjectAfterFailures > 0 && s.fails >= b.habit.EjectAfterFailures {
 		s.fails = 0
 		s.ejected = b.clock.Now() + b.habit.EjectionTime
@@ -368,7 +371,7 @@
 	switch b.habit.Retry {
 	case RetryUnlimited:
 		if failed && p.same >= 0 {
-			p.paused = b.clock.After(max(b.habit.RetryPause, 1000), func() { b.try(p, false) })
+			p.paused = b.clock.After(max(b.habit.RetryPause, minRetryPause), func() { b.try(p, false) })
 			return
 		}
 		b.try(p, false)
@@ -405,5 +408,10 @@
 	b.wire.Finish(p.Request, e, by)
 }
 
+// scale returns d times a factor, in whole microseconds.
+func scale(d time.Duration, factor float64) time.Duration {
+	return virtualclock.FromMicros(virtualclock.Micros(d) * factor)
+}
+
 // Outstanding is how many tries are out at a server.
 func (b *Balancer) Outstanding(i int) int { return b.servers[i].out }
--- a/internal/simulator/balance/balance_test.go
+++ b/internal/simulator/balance/balance_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
@@ -14,7 +15,7 @@
 type tape struct {
 	clock  *virtualclock.Scheduler
 	b      *Balancer
-	answer func(t *Attempt) (Answer, int64) // and after how long; negative: never
+	answer func(t *Attempt) (Answer, time.Duration) // and after how long; negative: never
 	sent   []*Attempt
 	aborts int
 	ends   map[uint64][]Outcome
@@ -41,7 +42,7 @@
 	return float64(score(request*31+uint64(no), what)>>11) / (1 << 53)
 }
 
-func setUp(n int, h Behavior, answer func(*Attempt) (Answer, int64)) *tape {
+func setUp(n int, h Behavior, answer func(*Attempt) (Answer, time.Duration)) *tape {
 	w := &tape{clock: virtualclock.New(), answer: answer, ends: map[uint64][]Outcome{}}
 	if h.AttemptTimeout == 0 {
 		h.AttemptTimeout = 1
@@ -54,31 +55,29 @@
 	return w
 }
 
-func always(k Kind, after int64) func(*Attempt) (Answer, int64) {
-	return func(*Attempt) (Answer, int64) { return Answer{Kind: k, AdvertisedValue: -1}, after }
+func always(k Kind, after time.Duration) func(*Attempt) (Answer, time.Duration) {
+	return func(*Attempt) (Answer, time.Duration) { return Answer{Kind: k, AdvertisedValue: -1}, after }
 }
 
-const second = 1_000_000
-
 // submit sends n requests, 10 ms apart.
 func (w *tape) submit(n int, r Request) {
 	for i := range n {
 		q := r
 		q.ID = uint64(i + 1)
 		if q.Deadline == 0 {
-			q.Deadline = second
+			q.Deadline = time.Second
 		}
 		w.b.Submit(&q)
-		w.clock.RunUntil(w.clock.Now() + 10_000)
+		w.clock.RunUntil(w.clock.Now() + 10*time.Millisecond)
 	}
 }
 
 func TestChoices(t *testing.T) {
-	slow := func(t *Attempt) (Answer, int64) { // server 0 is slow
+	slow := func(t *Attempt) (Answer, time.Duration) { // server 0 is slow
 		if t.Server == 0 {
-			return Answer{Kind: Served, AdvertisedValue: -1}, 400_000
+			return Answer{Kind: Served, AdvertisedValue: -1}, 400 * time.Millisecond
 		}
-		return Answer{Kind: Served, AdvertisedValue: -1}, 1000
+		return Answer{Kind: Served, AdvertisedValue: -1}, time.Millisecond
 	}
 	for _, c := range []struct {
 		choose Policy
@@ -115,9 +114,9 @@
 // A limitless balancer goes down its list after refusals, and round again until its client's time
 // is over.
 func TestLimitlessWalks(t *testing.T) {
-	w := setUp(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, RetryPause: 50_000}, always(Rejected, 1000))
-	w.b.Submit(&Request{ID: 1, Deadline: 200_000})
-	w.clock.RunUntil(virtualclock.Origin + second)
+	w := setUp(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, RetryPause: 50 * time.Millisecond}, always(Rejected, time.Millisecond))
+	w.b.Submit(&Request{ID: 1, Deadline: 200 * time.Millisecond})
+	w.clock.RunUntil(virtualclock.Origin + time.Second)
 	if diff := cmp.Diff([]int{0, 1, 2}, w.where()[:3]); diff != "" {
 		t.Errorf("first round (-want +got)\n%s", diff)
 	}
@@ -130,15 +129,15 @@
 }
 
 func TestBoundedTriesAndBudget(t *testing.T) {
-	w := setUp(4, Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryPause: 1000}, always(Failed, 1000))
+	w := setUp(4, Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryPause: time.Millisecond}, always(Failed, time.Millisecond))
 	w.submit(1, Request{Idempotent: true})
 	if len(w.sent) != 3 || w.ends[1][0] != EndFailed {
 		t.Fatalf("%d tries, ends %v", len(w.sent), w.ends)
 	}
 	w = setUp(
 		4,
-		Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryBudget: 0.1, RetryPause: 1000},
-		always(Failed, 1000),
+		Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryBudget: 0.1, RetryPause: time.Millisecond},
+		always(Failed, time.Millisecond),
 	)
 	w.submit(200, Request{Idempotent: true})
 	// a tenth of 200, and the ten it begins with
@@ -166,7 +165,7 @@
 			w := setUp(
 				4,
 				Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, Sticky: c.stick},
-				always(c.kind, 1000),
+				always(c.kind, time.Millisecond),
 			)
 			w.submit(1, c.r)
 			if diff := cmp.Diff(c.want, w.where()); diff != "" {
@@ -178,9 +177,9 @@
 
 // A hasty balancer gives its tries little time; each that it leaves is taken back.
 func TestHasty(t *testing.T) {
-	w := setUp(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, AttemptTimeout: 0.1}, always(Served, 150_000))
-	w.submit(1, Request{Idempotent: true, Deadline: second})
-	w.clock.RunUntil(virtualclock.Origin + 2*second)
+	w := setUp(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, AttemptTimeout: 0.1}, always(Served, 150*time.Millisecond))
+	w.submit(1, Request{Idempotent: true, Deadline: time.Second})
+	w.clock.RunUntil(virtualclock.Origin + 2*time.Second)
 	if len(w.sent) < 9 || w.aborts != len(w.sent) || w.ends[1][0] != EndTimedOut {
 		t.Fatalf("%d tries, %d taken back, ends %v", len(w.sent), w.aborts, w.ends)
 	}
@@ -188,28 +187,28 @@
 
 // A second copy goes to another server, the first answer counts, and the other copy is taken back.
 func TestCopies(t *testing.T) {
-	w := setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20_000}, func(t *Attempt) (Answer, int64) {
+	w := setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20 * time.Millisecond}, func(t *Attempt) (Answer, time.Duration) {
 		if t.Server == 0 {
-			return Answer{Kind: Served, AdvertisedValue: -1}, 500_000
+			return Answer{Kind: Served, AdvertisedValue: -1}, 500 * time.Millisecond
 		}
-		return Answer{Kind: Served, AdvertisedValue: -1}, 10_000
+		return Answer{Kind: Served, AdvertisedValue: -1}, 10 * time.Millisecond
 	})
 	w.submit(1, Request{Idempotent: true})
-	w.clock.RunUntil(virtualclock.Origin + second)
+	w.clock.RunUntil(virtualclock.Origin + time.Second)
 	if diff := cmp.Diff([]int{0, 1}, w.where()); diff != "" || w.aborts != 1 || len(w.ends[1]) != 1 {
 		t.Fatalf("aborts %d, ends %v (-want +got)\n%s", w.aborts, w.ends, diff)
 	}
-	w = setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20_000}, always(Served, 50_000))
+	w = setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20 * time.Millisecond}, always(Served, 50*time.Millisecond))
 	w.submit(1, Request{Keyed: true})
-	if w.clock.RunUntil(virtualclock.Origin + second); len(w.sent) != 1 {
+	if w.clock.RunUntil(virtualclock.Origin + time.Second); len(w.sent) != 1 {
 		t.Fatalf("a keyed request went out %d times", len(w.sent))
 	}
 }
 
 func TestHeeds(t *testing.T) {
 	t.Run("stays away", func(t *testing.T) {
-		w := setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true}, func(*Attempt) (Answer, int64) {
-			return Answer{Kind: Rejected, RetryAfter: 45_000, AdvertisedValue: -1}, 1000
+		w := setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true}, func(*Attempt) (Answer, time.Duration) {
+			return Answer{Kind: Rejected, RetryAfter: 45 * time.Millisecond, AdvertisedValue: -1}, time.Millisecond
 		})
 		w.submit(5, Request{Idempotent: true})
 		if len(w.sent) != 1 || w.ends[2][0] != EndUnsent {
@@ -224,9 +223,9 @@
 		for _, heeds := range []bool{true, false} {
 			w := setUp(
 				3,
-				Behavior{Policy: RoundRobin, Retry: RetryUnlimited, FollowsAdvice: heeds, RetryPause: second},
-				func(*Attempt) (Answer, int64) {
-					return Answer{Kind: Rejected, DoNotRetry: true, AdvertisedValue: -1}, 1000
+				Behavior{Policy: RoundRobin, Retry: RetryUnlimited, FollowsAdvice: heeds, RetryPause: time.Second},
+				func(*Attempt) (Answer, time.Duration) {
+					return Answer{Kind: Rejected, DoNotRetry: true, AdvertisedValue: -1}, time.Millisecond
 				},
 			)
 			w.submit(1, Request{Idempotent: true})
@@ -238,15 +237,15 @@
 	t.Run("keeps to the free value", func(t *testing.T) {
 		w := setUp(
 			1,
-			Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true, CreditTTL: second},
-			always(Served, 400_000),
+			Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true, CreditTTL: time.Second},
+			always(Served, 400*time.Millisecond),
 		)
 		w.b.Answered(&Attempt{over: true, p: &pending{}}, Answer{Kind: Served, AdvertisedValue: 2.5})
 		w.submit(30, Request{Idempotent: true})
 		if out := w.b.Outstanding(0); out < 2 || out > 3 {
 			t.Fatalf("%d out at a free value of 2.5", out)
 		}
-		w.clock.RunUntil(w.clock.Now() + 2*second) // what it heard is too old
+		w.clock.RunUntil(w.clock.Now() + 2*time.Second) // what it heard is too old
 		w.submit(10, Request{Idempotent: true})
 		if out := w.b.Outstanding(0); out != 10 {
 			t.Fatalf("%d out long after the value was heard, want all 10", out)
@@ -256,17 +255,17 @@
 
 // Servers that fail are avoided for a while; when all are, none is.
 func TestEjects(t *testing.T) {
-	fails := func(bad ...int) func(*Attempt) (Answer, int64) {
-		return func(t *Attempt) (Answer, int64) {
+	fails := func(bad ...int) func(*Attempt) (Answer, time.Duration) {
+		return func(t *Attempt) (Answer, time.Duration) {
 			for _, i := range bad {
 				if t.Server == i {
-					return Answer{Kind: Unreachable, AdvertisedValue: -1}, 1000
+					return Answer{Kind: Unreachable, AdvertisedValue: -1}, time.Millisecond
 				}
 			}
-			return Answer{Kind: Served, AdvertisedValue: -1}, 1000
+			return Answer{Kind: Served, AdvertisedValue: -1}, time.Millisecond
 		}
 	}
-	h := Behavior{Policy: RoundRobin, Retry: RetryNever, EjectAfterFailures: 5, EjectionTime: 10 * second}
+	h := Behavior{Policy: RoundRobin, Retry: RetryNever, EjectAfterFailures: 5, EjectionTime: 10 * time.Second}
 	w := setUp(2, h, fails(0))
 	w.submit(100, Request{Idempotent: true})
 	if n := len(w.ends); n != 100 || w.b.Stats.Ejections != 1 {
@@ -289,9 +288,9 @@
 }
 
 func TestChecks(t *testing.T) {
-	w := setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HealthCheckInterval: 100_000}, always(Served, 1000))
+	w := setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HealthCheckInterval: 100 * time.Millisecond}, always(Served, time.Millisecond))
 	for range 4 {
-		w.clock.RunUntil(w.clock.Now() + 100_000)
+		w.clock.RunUntil(w.clock.Now() + 100*time.Millisecond)
 		for _, i := range w.checks {
 			w.b.Checked(i, i == 1)
 		}
@@ -306,12 +305,12 @@
 }
 
 func TestThrottle(t *testing.T) {
-	w := setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, always(Rejected, 1000))
+	w := setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, always(Rejected, time.Millisecond))
 	w.submit(300, Request{Idempotent: true})
 	if n := len(w.sent); n > 60 {
 		t.Fatalf("%d of 300 sent to a server that takes none", n)
 	}
-	w = setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, always(Served, 1000))
+	w = setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, always(Served, time.Millisecond))
 	w.submit(300, Request{Idempotent: true})
 	if n := len(w.sent); n != 300 {
 		t.Fatalf("%d of 300 sent to a server that takes all", n)
@@ -321,12 +320,12 @@
 // When one of ten servers leaves, only what it had moves.
 func TestHashMovesLittle(t *testing.T) {
 	at := func(gone int) map[uint64]int {
-		w := setUp(10, Behavior{Policy: ConsistentHash, Retry: RetryNever}, always(Served, 1000))
+		w := setUp(10, Behavior{Policy: ConsistentHash, Retry: RetryNever}, always(Served, time.Millisecond))
 		if gone >= 0 {
 			w.b.SetListed(gone, false)
 		}
 		for k := range uint64(400) {
-			w.b.Submit(&Request{ID: k, Key: k, Deadline: second, Idempotent: true})
+			w.b.Submit(&Request{ID: k, Key: k, Deadline: time.Second, Idempotent: true})
 		}
 		got := map[uint64]int{}
 		for _, try := range w.sent {
@@ -353,26 +352,21 @@
 			t,
 			"tries",
 		), RetryBudget: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "budget"),
-		RetryPause: rapid.Int64Range(
-			0,
-			60_000,
-		).Draw(
-			t,
-			"pause",
-		), AttemptTimeout: rapid.SampledFrom([]float64{0.05, 0.4, 1}).Draw(t, "patience"),
+		RetryPause:     time.Duration(rapid.Int64Range(0, 60_000).Draw(t, "pause")) * time.Microsecond,
+		AttemptTimeout: rapid.SampledFrom([]float64{0.05, 0.4, 1}).Draw(t, "patience"),
 		HedgeDelay: rapid.SampledFrom(
-			[]int64{0, 5000},
+			[]time.Duration{0, 5 * time.Millisecond},
 		).Draw(
 			t,
 			"copy",
-		), FollowsAdvice: rapid.Bool().Draw(t, "heeds"), CreditTTL: second,
+		), FollowsAdvice: rapid.Bool().Draw(t, "heeds"), CreditTTL: time.Second,
 		HealthCheckInterval: rapid.SampledFrom(
-			[]int64{0, 70_000},
+			[]time.Duration{0, 70 * time.Millisecond},
 		).Draw(
 			t,
 			"checks",
 		), EjectAfterFailures: rapid.IntRange(0, 2).Draw(t, "eject"),
-		EjectionTime: 300_000, ThrottleFactor: rapid.SampledFrom([]float64{0, 2}).Draw(t, "throttle"),
+		EjectionTime: 300 * time.Millisecond, ThrottleFactor: rapid.SampledFrom([]float64{0, 2}).Draw(t, "throttle"),
 		SubsetSize: rapid.IntRange(0, 3).Draw(t, "subset"), Sticky: rapid.Bool().Draw(t, "stick")}
 }
 
@@ -391,7 +385,7 @@
 		)
 		silent := rapid.IntRange(-1, n-1).Draw(t, "silent")
 		var w *tape
-		w = setUp(n, h, func(try *Attempt) (Answer, int64) {
+		w = setUp(n, h, func(try *Attempt) (Answer, time.Duration) {
 			if !w.b.servers[try.Server].listed {
 				t.Fatalf("a try at server %d, which is not listed", try.Server)
 			}
@@ -403,9 +397,9 @@
 			}
 			a := Answer{Kind: kinds[try.Server], AdvertisedValue: float64(try.Number%3) - 1, DoNotRetry: try.Number%4 == 3}
 			if try.Server%2 == 1 {
-				a.RetryAfter = 30_000
+				a.RetryAfter = 30 * time.Millisecond
 			}
-			return a, int64(try.Server+1) * 2000
+			return a, time.Duration(try.Server+1) * 2 * time.Millisecond
 		})
 		count := rapid.IntRange(1, 25).Draw(t, "requests")
 		for i := range count {
@@ -419,12 +413,12 @@
 					Key:        uint64(i % 4),
 					Idempotent: effect == 0,
 					Keyed:      effect == 1,
-					Deadline:   200_000,
+					Deadline:   200 * time.Millisecond,
 				},
 			)
-			w.clock.RunUntil(w.clock.Now() + 5000)
+			w.clock.RunUntil(w.clock.Now() + 5*time.Millisecond)
 		}
-		w.clock.RunUntil(w.clock.Now() + 200_000)
+		w.clock.RunUntil(w.clock.Now() + 200*time.Millisecond)
 		for i := range count {
 			if ends := w.ends[uint64(i+1)]; len(ends) != 1 {
 				t.Fatalf("request %d was finished %d times: %v", i+1, len(ends), ends)
@@ -440,11 +434,11 @@
 
 func ExampleBalancer() {
 	clock := virtualclock.New()
-	w := &tape{clock: clock, answer: always(Served, 2000), ends: map[uint64][]Outcome{}}
+	w := &tape{clock: clock, answer: always(Served, 2*time.Millisecond), ends: map[uint64][]Outcome{}}
 	w.b = New(1, 1, Behavior{Policy: LeastRequests, Retry: RetryNever, AttemptTimeout: 1}, clock, w, even)
 	w.b.SetListed(0, true)
-	w.b.Submit(&Request{ID: 1, Deadline: second})
-	clock.RunUntil(virtualclock.Origin + second)
+	w.b.Submit(&Request{ID: 1, Deadline: time.Second})
+	clock.RunUntil(virtualclock.Origin + time.Second)
 	fmt.Println(w.ends[1][0] == EndServed)
 	// Output: true
 }
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -1,6 +1,10 @@
 package balance
 
-import "ryepaddle/internal/simulator/virtualclock"
+import (
+	"time"
+
+	"ryepaddle/internal/simulator/virtualclock"
+)
 
 // Policy is how a server is chosen among those that are willing.
 type Policy string
@@ -11,21 +15,21 @@
 // Retry is what follows a try that brought no result.
 type Retry string
 
-// Behavior is how a balancer behaves. Times are microseconds.
+// Behavior is how a balancer behaves.
 type Behavior struct {
 	Policy      Policy
 	Retry       Retry
-	MaxAttempts int     // of Bounded, in all
-	RetryBudget float64 // of Bounded: retries for each first try; 0: no such bound
-	RetryPause  int64   // before the list is gone through once more, and between bounded tries
+	MaxAttempts int           // of Bounded, in all
+	RetryBudget float64       // of Bounded: retries for each first try; 0: no such bound
+	RetryPause  time.Duration // before the list is gone through once more, and between bounded tries
 	// the share of the class's deadline that one try waits; 1: as long as the client
 	AttemptTimeout      float64
-	HedgeDelay          int64 // a safe request that is slow gets a second copy then; 0: none
-	FollowsAdvice       bool  // the free value, advice to stay away and the wish not to try elsewhere
-	CreditTTL           int64 // how long the free value is remembered
-	HealthCheckInterval int64 // 0: no health checks
-	EjectAfterFailures  int   // failures in a row after which a server is avoided; 0: never
-	EjectionTime        int64
+	HedgeDelay          time.Duration // a safe request that is slow gets a second copy then; 0: none
+	FollowsAdvice       bool          // the free value, advice to stay away and the wish not to try elsewhere
+	CreditTTL           time.Duration // how long the free value is remembered
+	HealthCheckInterval time.Duration // 0: no health checks
+	EjectAfterFailures  int           // failures in a row after which a server is avoided; 0: never
+	EjectionTime        time.Duration
 	ThrottleFactor      float64 // keeps requests back when fewer than one in so many is taken; 0: never
 	SubsetSize          int     // how many servers it keeps to; 0: all
 	Sticky              bool    // a keyed request whose try may have run goes to the same server again
@@ -37,7 +41,7 @@
 	Key        uint64 // of Hash
 	Idempotent bool
 	Keyed      bool
-	Deadline   int64 // how long its client waits in all
+	Deadline   time.Duration // how long its client waits in all
 }
 
 // Kind is how a try was answered.
@@ -46,9 +50,9 @@
 // Answer is what came back of a try.
 type Answer struct {
 	Kind            Kind
-	RetryAfter      int64   // of Refused: advice to stay away
-	DoNotRetry      bool    // of Refused: the wish that nobody else is tried
-	AdvertisedValue float64 // the free value; negative: none came
+	RetryAfter      time.Duration // of Refused: advice to stay away
+	DoNotRetry      bool          // of Refused: the wish that nobody else is tried
+	AdvertisedValue float64       // the free value; negative: none came
 }
 
 // Outcome is how a first try ended for its client.
@@ -59,7 +63,7 @@
 	Request *Request
 	Server  int
 	Number  int // from 0
-	SentAt  int64
+	SentAt  time.Duration
 	Hedged  bool
 	p       *pending
 	timer   virtualclock.Timer
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -40,15 +40,23 @@
 }
 
 const (
-	window   = 10_000_000 // of the worst stretch
-	backMost = 4          // tries of a client that is refused
+	window = 10 * time.Second // of the worst stretch
+	// settleTime is how long after the last request a day goes on.
+	settleTime = 15 * time.Second
+	// unixOrigin is the Unix time at the origin of the virtual clock.
+	unixOrigin wallclock.UnixMicro = 1e15
+	backMost                       = 4 // tries of a client that is refused
 )
 
+// millis and seconds convert the figures of a specification, cut to whole microseconds.
+func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
+func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * 1e6) }
+
 // ask is one request of a client, with all its comings back.
 type ask struct {
 	p        *play
 	class    int
-	at       int64
+	at       time.Duration
 	work     float64
 	key      string
 	name     string
@@ -87,7 +95,7 @@
 type trip struct {
 	job   *job
 	to    string
-	began int64
+	began time.Duration
 	timer virtualclock.Timer
 }
 
@@ -104,7 +112,7 @@
 		ran:    map[string]int{},
 		hist:   hdrhistogram.New(1, 60_000_000, 3),
 	}
-	n := int(math.Ceil(spec.Seconds*1e6/window)) + 1
+	n := int(math.Ceil(spec.Seconds*1e6/virtualclock.Micros(window))) + 1
 	p.worth, p.got = make([]float64, n), make([]float64, n)
 	for i := range spec.Servers {
 		s := newServer(p.sched, spec, seed, i, func(key string) {
@@ -129,9 +137,9 @@
 	if cfg := poolsOf(way, spec); cfg != nil {
 		p.hold = waitqueue.New(
 			waitqueue.Environment{
-				Now:      func() time.Duration { return micros(p.sched.Now()) },
+				Now:      p.sched.Now,
 				Post:     func(fn func()) { p.sched.After(0, fn) },
-				After:    func(d time.Duration, fn func()) { p.sched.After(d.Microseconds(), fn) },
+				After:    func(d time.Duration, fn func()) { p.sched.After(d, fn) },
 				Capacity: func() int { return p.picker.(*routed).room(p.sched.Now()) },
 			},
 			sink{p},
@@ -143,9 +151,9 @@
 	}
 	var err error
 	if p.core, err = lifecycle.New(p.settings(way), seed, lifecycle.Environment{
-		Now:         func() time.Duration { return time.Duration(p.sched.Now()) * time.Microsecond },
-		Unix:        func() wallclock.UnixMicro { return wallclock.UnixMicro(p.sched.Now() + 1e15) },
-		After:       func(d time.Duration, fn func()) func() { return p.sched.After(d.Microseconds(), fn).Stop },
+		Now:         p.sched.Now,
+		Unix:        func() wallclock.UnixMicro { return unixOrigin.Add(p.sched.Now()) },
+		After:       func(d time.Duration, fn func()) func() { return p.sched.After(d, fn).Stop },
 		Measure:     func(fn func(lifecycle.Gauges)) { p.sched.After(wire, func() { fn(lifecycle.UnknownGauges()) }) },
 		SetHealth:   func(bool, bool) {},
 		Advertise:   func(float64) {},
@@ -154,7 +162,7 @@
 		Route:       func(int) lifecycle.Runner { return run },
 		ShouldRetry: func(t lifecycle.RetryCandidate) bool { return p.picker.Again(t, p.sched.Now()) },
 		RetryAfter: func(class int) time.Duration {
-			back := time.Duration(p.picker.Back(p.sched.Now())) * time.Microsecond
+			back := p.picker.Back(p.sched.Now())
 			if p.hold != nil {
 				return max(back, p.hold.RetryAfter(class))
 			}
@@ -165,16 +173,16 @@
 		return nil, err
 	}
 	p.core.Start()
-	p.every(endpointhealth.TickInterval.Microseconds(), func() { p.picker.Tick(p.sched.Now()) })
+	p.every(endpointhealth.TickInterval, func() { p.picker.Tick(p.sched.Now()) })
 	for _, t := range spec.Faults {
 		p.trouble(t)
 	}
 	p.arrive(day.Stream(seed, "arrivals", 0))
-	p.sched.RunUntil(virtualclock.Origin + int64(spec.Seconds*1e6) + 15_000_000)
+	p.sched.RunUntil(virtualclock.Origin + seconds(spec.Seconds) + settleTime)
 	return p.settle(), nil
 }
 
-func (p *play) every(d int64, fn func()) {
+func (p *play) every(d time.Duration, fn func()) {
 	p.sched.After(d, func() {
 		fn()
 		p.every(d, fn)
@@ -183,7 +191,7 @@
 
 // at does something so many seconds into the day.
 func (p *play) at(sec float64, fn func()) {
-	p.sched.After(virtualclock.Origin+int64(sec*1e6)-p.sched.Now(), fn)
+	p.sched.After(virtualclock.Origin+seconds(sec)-p.sched.Now(), fn)
 }
 
 func (p *play) settings(way string) admission.Settings {
@@ -235,7 +243,7 @@
 	rate := p.spec.Load * float64(p.spec.Servers*p.spec.Workers) / mean() // a microsecond
 	var next func()
 	next = func() {
-		if p.sched.Now()-virtualclock.Origin >= int64(p.spec.Seconds*1e6) {
+		if p.sched.Now()-virtualclock.Origin >= seconds(p.spec.Seconds) {
 			return
 		}
 		u, class := r.Float64(), 0
@@ -243,7 +251,7 @@
 			u -= classes[class].Share
 		}
 		p.ask(class, r)
-		p.sched.After(int64(r.ExpFloat64()/rate)+1, next)
+		p.sched.After(virtualclock.FromMicros(r.ExpFloat64()/rate)+virtualclock.Resolution, next)
 	}
 	next()
 }
@@ -270,11 +278,11 @@
 	rate := t.Share * float64(p.spec.Servers*p.spec.Workers) / (classes[t.Class].Work * 1000)
 	var next func()
 	next = func() {
-		if float64(p.sched.Now()-virtualclock.Origin) >= t.To*1e6 {
+		if virtualclock.Micros(p.sched.Now()-virtualclock.Origin) >= t.To*1e6 {
 			return
 		}
 		p.ask(t.Class, r)
-		p.sched.After(int64(r.ExpFloat64()/rate)+1, next)
+		p.sched.After(virtualclock.FromMicros(r.ExpFloat64()/rate)+virtualclock.Resolution, next)
 	}
 	p.at(t.From, next)
 }
@@ -287,19 +295,19 @@
 	a.comings++
 	p.names++
 	a.name = fmt.Sprint("r", p.names)
-	left := int64(classes[a.class].Deadline*1000) - (p.sched.Now() - a.at)
-	first := int64(0)
+	left := millis(classes[a.class].Deadline) - (p.sched.Now() - a.at)
+	first := wallclock.UnixMicro(0)
 	if p.aims {
-		first = a.at + 1e15
+		first = unixOrigin.Add(a.at)
 	}
 	p.core.Submit(
 		&lifecycle.Request{
 			ID:          a.name,
-			FirstSentAt: wallclock.UnixMicro(first),
+			FirstSentAt: first,
 			Class:       a.class,
 			Caller:      uint32(1 + p.names%4),
-			ArrivedAt:   wallclock.UnixMicro(p.sched.Now() + 1e15),
-			Timeout:     time.Duration(left) * time.Microsecond,
+			ArrivedAt:   unixOrigin.Add(p.sched.Now()),
+			Timeout:     left,
 			SizeKB:      1,
 			Rank:        0.5,
 			Key:         a.key,
@@ -320,21 +328,22 @@
 		panic("farm: a request is answered twice")
 	case v.Status == lifecycle.Served:
 		worth := c.PriorityWeight
-		if float64(past) > c.LatencyObjective*1000 {
+		if virtualclock.Micros(past) > c.LatencyObjective*1000 {
 			worth *= c.LateWeightFraction
 		}
 		p.got[p.windowOf(a)] += worth
 		if c.Keyed {
 			p.handIns[0] += worth
 		}
-		_ = p.hist.RecordValue(max(past, 1)) // deadlines are within its range
-		if a.class == reserveClass && float64(past) <= c.LatencyObjective*1000 {
+		_ = p.hist.RecordValue(max(past.Microseconds(), 1)) // deadlines are within its range
+		if a.class == reserveClass && virtualclock.Micros(past) <= c.LatencyObjective*1000 {
 			p.inTime[0]++
 		}
 	case v.Status == lifecycle.Rejected:
 		p.refusals++
-		wait := v.RetryAfter.Microseconds() + int64(p.rand.Float64()*float64(v.RetryAfter.Microseconds()))
-		if a.comings < backMost && past+wait+int64(c.Work*1000) < int64(c.Deadline*1000) {
+		wait := v.RetryAfter.Truncate(virtualclock.Resolution) +
+			virtualclock.FromMicros(p.rand.Float64()*virtualclock.Micros(v.RetryAfter))
+		if a.comings < backMost && past+wait+millis(c.Work) < millis(c.Deadline) {
 			p.sched.After(wait, a.submit)
 			return
 		}
@@ -362,7 +371,7 @@
 	t := &trip{to: name, began: now}
 	p.out[a] = t
 	t.job = &job{work: workOf(a), key: a.Request.Key, ended: func(o lifecycle.Outcome) { p.end(a, o) }}
-	t.timer = p.sched.After(a.Deadline.Microseconds()-now, func() { p.outOfTime(a) })
+	t.timer = p.sched.After(a.Deadline-now, func() { p.outOfTime(a) })
 	p.byName[name].take(t.job)
 }
 
@@ -378,9 +387,10 @@
 	if t == nil {
 		return
 	}
-	if whole := a.Deadline.Microseconds() - (t.began - 0); !a.Idempotent &&
-		p.sched.Now() < a.Deadline.Microseconds()+whole {
-		t.timer = p.sched.After(a.Deadline.Microseconds()+whole-p.sched.Now(), func() { p.outOfTime(a) })
+	deadline := a.Deadline.Truncate(virtualclock.Resolution)
+	if whole := deadline - t.began; !a.Idempotent &&
+		p.sched.Now() < deadline+whole {
+		t.timer = p.sched.After(deadline+whole-p.sched.Now(), func() { p.outOfTime(a) })
 		return
 	}
 	p.end(a, lifecycle.TimedOut)
@@ -512,7 +522,7 @@
 			r.Worst = min(r.Worst, p.got[i]/p.worth[i])
 		}
 	}
-	if m := int(p.spec.Seconds * 1e6 / 2 / window); p.worth[m] > 0 {
+	if m := int(p.spec.Seconds * 1e6 / 2 / virtualclock.Micros(window)); p.worth[m] > 0 {
 		r.Middle = p.got[m] / p.worth[m]
 	}
 	n := float64(max(r.Asked, 1))
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -8,16 +8,17 @@
 	"ryepaddle/internal/balancer/picker"
 	"ryepaddle/internal/balancer/retry"
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // Picker chooses servers, in one way or another.
 type Picker interface {
-	List(list []endpointhealth.EndpointSpec, now int64)
-	Pick(a *lifecycle.Attempt, now int64) (name string, ok bool)
-	Done(name string, class int, o lifecycle.Outcome, took, now int64)
-	Again(t lifecycle.RetryCandidate, now int64) bool
-	Back(now int64) int64
-	Tick(now int64)
+	List(list []endpointhealth.EndpointSpec, now time.Duration)
+	Pick(a *lifecycle.Attempt, now time.Duration) (name string, ok bool)
+	Done(name string, class int, o lifecycle.Outcome, took, now time.Duration)
+	Again(t lifecycle.RetryCandidate, now time.Duration) bool
+	Back(now time.Duration) time.Duration
+	Tick(now time.Duration)
 }
 
 // RoutingModes are the ways of routing by name; the first is the baseline.
@@ -62,9 +63,6 @@
 	mostTry  = 2  // servers that one request may be sent to
 )
 
-// micros is a time or a span of so many microseconds.
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
-
 // routed is the routing of the program.
 type routed struct {
 	r       *picker.Picker
@@ -84,15 +82,15 @@
 	return p
 }
 
-func (p *routed) List(list []endpointhealth.EndpointSpec, now int64) {
-	p.r.UpdateEndpoints(list, micros(now))
+func (p *routed) List(list []endpointhealth.EndpointSpec, now time.Duration) {
+	p.r.UpdateEndpoints(list, now)
 }
 
-func (p *routed) Pick(a *lifecycle.Attempt, now int64) (string, bool) {
+func (p *routed) Pick(a *lifecycle.Attempt, now time.Duration) (string, bool) {
 	if a.Previous == nil {
-		p.r.RetryBudget().RecordFirstAttempt(a.Request.Class, micros(now))
+		p.r.RetryBudget().RecordFirstAttempt(a.Request.Class, now)
 	}
-	p.query = picker.Query{Idempotent: a.Idempotent, Retry: a.Previous != nil, Attempts: a, Now: micros(now)}
+	p.query = picker.Query{Idempotent: a.Idempotent, Retry: a.Previous != nil, Attempts: a, Now: now}
 	s, _ := p.r.Pick(&p.query)
 	if s == nil {
 		return "", false
@@ -110,11 +108,11 @@
 	lifecycle.Canceled:    endpointhealth.Inconclusive,
 }
 
-func (p *routed) Done(name string, class int, o lifecycle.Outcome, took, now int64) {
-	p.r.Done(p.servers[name], class, outcomes[o], micros(took), micros(now))
+func (p *routed) Done(name string, class int, o lifecycle.Outcome, took, now time.Duration) {
+	p.r.Done(p.servers[name], class, outcomes[o], took, now)
 }
 
-func (p *routed) Again(t lifecycle.RetryCandidate, now int64) bool {
+func (p *routed) Again(t lifecycle.RetryCandidate, now time.Duration) bool {
 	return p.r.RetryBudget().Allow(
 		retry.FailedAttempt{
 			Class:          t.Class,
@@ -125,14 +123,16 @@
 			TimeLeft:       t.Remaining,
 			TimeNeeded:     p.r.MinAttemptTime(t.Class),
 		},
-		micros(now),
+		now,
 	) == retry.Allowed
 }
 
-func (p *routed) room(now int64) int { return p.r.Capacity(micros(now)) }
+func (p *routed) room(now time.Duration) int { return p.r.Capacity(now) }
 
-func (p *routed) Back(now int64) int64 { return p.r.RetryAfter(micros(now)).Microseconds() }
-func (p *routed) Tick(now int64)       { p.r.Tick(micros(now)) }
+func (p *routed) Back(now time.Duration) time.Duration {
+	return p.r.RetryAfter(now).Truncate(virtualclock.Resolution)
+}
+func (p *routed) Tick(now time.Duration) { p.r.Tick(now) }
 
 // before is the picker that stood before there was routing: the least busy server gets the request,
 // one that failed three times in a row rests for 5 s, and each request is tried twice.
@@ -142,12 +142,12 @@
 	name  string
 	open  int
 	fails int
-	until int64
+	until time.Duration
 }
 
 const (
 	failsInARow = 3
-	restFor     = 5_000_000
+	restFor     = 5 * time.Second
 )
 
 func (p *before) find(name string) *resting {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (p *before) List(list []endpointhealth.EndpointSpec, _ int64) {
+func (p *before) List(list []endpointhealth.EndpointSpec, _ time.Duration) {
 	var next []*resting
 	for _, l := range list {
 		s := p.find(l.Name)
@@ -171,7 +171,7 @@
 	p.servers = next
 }
 
-func (p *before) Pick(a *lifecycle.Attempt, now int64) (string, bool) {
+func (p *before) Pick(a *lifecycle.Attempt, now time.Duration) (string, bool) {
 	var best *resting
 	least := math.Inf(1)
 	for _, s := range p.servers {
@@ -193,7 +193,7 @@
 	return best.name, true
 }
 
-func (p *before) Done(name string, _ int, o lifecycle.Outcome, _, now int64) {
+func (p *before) Done(name string, _ int, o lifecycle.Outcome, _, now time.Duration) {
 	s := p.find(name)
 	if s == nil {
 		return
@@ -209,8 +209,8 @@
 	}
 }
 
-func (p *before) Again(t lifecycle.RetryCandidate, _ int64) bool {
-	return t.Attempts < min(mostTry, len(p.servers)) && t.Remaining.Microseconds() > 0
+func (p *before) Again(t lifecycle.RetryCandidate, _ time.Duration) bool {
+	return t.Attempts < min(mostTry, len(p.servers)) && t.Remaining >= virtualclock.Resolution
 }
-func (p *before) Back(int64) int64 { return 0 }
-func (p *before) Tick(int64)       {}
+func (p *before) Back(time.Duration) time.Duration { return 0 }
+func (p *before) Tick(time.Duration)               {}
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/lifecycle"
@@ -12,10 +13,10 @@
 )
 
 const (
-	wire      = 200       // microseconds one way
-	connectIn = 1_000_000 // after which the hop gives up a connection
-	backlog   = 128       // requests that wait for a worker; with more there is no connection
-	faultIn   = 1000      // a server that fails at once takes so long
+	wire      = 200 * time.Microsecond // one way
+	connectIn = time.Second            // after which the hop gives up a connection
+	backlog   = 128                    // requests that wait for a worker; with more there is no connection
+	faultIn   = time.Millisecond       // a server that fails at once takes so long
 )
 
 // job is one try on a server.
@@ -41,7 +42,7 @@
 	clock   virtualclock.Clock
 	spec    *Spec
 	rand    *rand.Rand
-	born    int64 // since when it warms up; 0: it is warm
+	born    time.Duration // since when it warms up; 0: it is warm
 	slow    float64
 	dead    bool
 	cut     bool
@@ -72,7 +73,7 @@
 func (s *server) times() float64 {
 	t := s.slow
 	if s.born > 0 {
-		past := float64(s.clock.Now()-s.born) / (s.spec.WarmUpTime * 1e6)
+		past := virtualclock.Micros(s.clock.Now()-s.born) / (s.spec.WarmUpTime * 1e6)
 		t *= max(1, s.spec.WarmUpSlowdown-(s.spec.WarmUpSlowdown-1)*past)
 	}
 	return t
@@ -107,7 +108,7 @@
 		s.busy++
 		s.running = append(s.running, j)
 		s.ran(j.key)
-		s.clock.After(int64(j.work*s.times()), func() {
+		s.clock.After(virtualclock.FromMicros(j.work*s.times()), func() {
 			i := slices.Index(s.running, j)
 			if i < 0 { // it was killed meanwhile
 				return
--- a/internal/simulator/day/day_test.go
+++ b/internal/simulator/day/day_test.go
@@ -4,6 +4,7 @@
 	"math"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
@@ -94,7 +95,7 @@
 		if n < 10 || n > 17 || d.Rate < 0.5*d.Capacity || d.Rate > 0.7*d.Capacity {
 			t.Errorf("seed %d: %d runners, %v of %v", seed, n, d.Rate, d.Capacity)
 		}
-		if at := d.Events[0].At; at < 10e6 || at > 20e6 ||
+		if at := d.Events[0].At; at < 10*time.Second || at > 20*time.Second ||
 			len(d.Events[0].Runners) != int(math.Round(0.2*float64(n))) {
 			t.Errorf("seed %d: %+v of %d runners", seed, d.Events[0], n)
 		}
@@ -121,15 +122,15 @@
 	for seed := range uint64(5) {
 		d = Draw(s, seed)
 		want += d.Rate * (30*1.5 + 30*2)
-		last := int64(0)
+		last := time.Duration(0)
 		for _, a := range d.Arrivals {
 			if a.At < last || a.At >= d.Length {
-				t.Fatalf("arrival at %d behind %d", a.At, last)
+				t.Fatalf("arrival at %v behind %v", a.At, last)
 			}
 			last = a.At
-			if a.At < 10e6 {
+			if a.At < 10*time.Second {
 				early++
-			} else if a.At >= 50e6 {
+			} else if a.At >= 50*time.Second {
 				late++
 			}
 			byClass[a.Class]++
@@ -168,7 +169,7 @@
 		d := Draw(s, 1)
 		n := make([]float64, 800)
 		for _, a := range d.Arrivals {
-			n[a.At/250_000]++
+			n[a.At/(250*time.Millisecond)]++
 		}
 		mean, sum := float64(len(d.Arrivals))/800, 0.0
 		for _, v := range n {
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -10,17 +10,23 @@
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/simulator/dependencies"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 const (
-	second     = 1_000_000
-	creditLife = second // how long balancers keep the free value in mind
-	stayAway   = second // the longest advice that they observe
+	creditLife = time.Second // how long balancers keep the free value in mind
+	stayAway   = time.Second // the longest advice that they observe
 )
 
+const microsPerSecond = 1e6
+
+// millis and seconds convert the figures of a scenario, cut to whole microseconds.
+func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
+func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * microsPerSecond) }
+
 // Arrival is one first try.
 type Arrival struct {
-	At       int64 // from the start of the day
+	At       time.Duration // from the start of the day
 	Class    int
 	Tenant   int
 	Balancer int
@@ -49,7 +55,7 @@
 // Event is one trouble, settled.
 type Event struct {
 	Kind    string
-	At, For int64
+	At, For time.Duration
 	Runners []int
 	Times   float64
 	Hall    int
@@ -59,7 +65,7 @@
 type Day struct {
 	Spec      *Spec
 	Seed      uint64
-	Length    int64
+	Length    time.Duration
 	Runners   []Runner
 	Balancers []Balancer
 	BackEnd   dependencies.BackendSpec
@@ -81,7 +87,7 @@
 
 // Draw settles a day. The same scenario and seed give the same day.
 func Draw(s *Spec, seed uint64) *Day {
-	d := &Day{Spec: s, Seed: seed, Length: int64(s.LengthS * second)}
+	d := &Day{Spec: s, Seed: seed, Length: seconds(s.LengthS)}
 	d.drawFleet()
 	d.drawBackEnd()
 	d.drawBalancers()
@@ -117,12 +123,12 @@
 		Backlog:           f.Backlog,
 		RunFactor:         f.RunFactor,
 		ConcurrencyLimit:  f.CrowdLimit,
-		ConcurrencyWindow: int64(f.CrowdMs * 1000),
+		ConcurrencyWindow: millis(f.CrowdMs),
 		WarmUpSpeed: pick(
 			r,
 			f.ColdFrom,
 		),
-		WarmUpTime:       int64(pick(r, f.ColdS) * second),
+		WarmUpTime:       seconds(pick(r, f.ColdS)),
 		WarmUpCallFactor: pick(r, f.ColdCalls),
 	}
 	m.MemoryKB = pick(r, f.MemoryRuns) * float64(f.Cores) * f.RunFactor * d.HoldKB
@@ -138,7 +144,7 @@
 			Runner{Name: "n" + strconv.Itoa(i+1), Hall: i % len(f.Halls), Spec: one},
 		)
 	}
-	d.Capacity = fleet * second / (mean + read)
+	d.Capacity = fleet * microsPerSecond / (mean + read)
 	d.Rate = pick(r, d.Spec.Load.OfCapacity) * d.Capacity
 	if d.Spec.Load.RateS > 0 {
 		d.Rate = d.Spec.Load.RateS
@@ -165,14 +171,12 @@
 		Thrash:          pick(r, b.Thrash),
 		RejectsOverload: b.Sheds,
 		CrashFactor:     b.Fall,
-		CrashWindow: int64(
-			b.FallMs * 1000,
-		),
-		RestartTime:  int64(pick(r, b.DownS) * second),
-		CancelLinger: int64(b.LingerMs * 1000),
+		CrashWindow:     millis(b.FallMs),
+		RestartTime:     seconds(pick(r, b.DownS)),
+		CancelLinger:    millis(b.LingerMs),
 	}
 	if rate := pick(r, b.Headroom) * d.Capacity * calls / shares; rate > 0 {
-		d.CallWork = d.BackEnd.Slots / rate * second
+		d.CallWork = d.BackEnd.Slots / rate * microsPerSecond
 	}
 }
 
@@ -191,8 +195,8 @@
 		r := Stream(d.Seed, "trouble", uint64(i))
 		e := Event{
 			Kind:  t.Kind,
-			At:    int64(pick(r, t.AtS) * second),
-			For:   int64(pick(r, t.ForS) * second),
+			At:    seconds(pick(r, t.AtS)),
+			For:   seconds(pick(r, t.ForS)),
 			Times: pick(r, t.Times),
 			Hall:  -1,
 		}
@@ -217,10 +221,10 @@
 }
 
 // times is the rate curve at a time, with the bursts.
-func (d *Day) times(at int64) float64 {
+func (d *Day) times(at time.Duration) float64 {
 	v, curve := 1.0, d.Spec.Load.Curve
 	for i, p := range curve {
-		x := float64(at) / second
+		x := virtualclock.Micros(at) / microsPerSecond
 		switch {
 		case i == 0 && x <= p.AtS || i == len(curve)-1 && x >= p.AtS:
 			v = p.Times
@@ -260,15 +264,15 @@
 func (d *Day) drawArrivals() {
 	spec, src := d.Spec, Stream(d.Seed, "arrivals", 0)
 	most := 0.0
-	for at := int64(0); at <= d.Length; at += second / 10 {
+	for at := time.Duration(0); at <= d.Length; at += 100 * time.Millisecond {
 		most = max(most, d.times(at))
 	}
 	if most*d.Rate <= 0 {
 		return
 	}
 	burst := pick(Stream(d.Seed, "burstiness", 0), spec.Load.Burstiness)
-	const levelFor, levelMost = second / 4, 4.0
-	level := func(at int64) float64 {
+	const levelFor, levelMost = 250 * time.Millisecond, 4.0
+	level := func(at time.Duration) float64 {
 		return min(lognormal(1, burst, Stream(d.Seed, "level", uint64(at/levelFor))), levelMost)
 	}
 	top := most * d.Rate
@@ -280,12 +284,12 @@
 		classes[i] = c.Share
 	}
 	ranks := d.ranks()
-	gap := distuv.Exponential{Rate: top / second, Src: src}
+	gap := distuv.Exponential{Rate: top / microsPerSecond, Src: src}
 	share := d.newShares()
-	now, lastLevel, levelAt := 0.0, 1.0, int64(-1)
+	now, lastLevel, levelAt := 0.0, 1.0, time.Duration(-1)
 	for id := uint64(1); ; {
 		now += gap.Rand()
-		at := int64(now)
+		at := virtualclock.FromMicros(now)
 		if at >= d.Length {
 			return
 		}
@@ -324,7 +328,7 @@
 // shares tells which first tries are within their tenants' shares, whatever is done with them.
 type shares struct {
 	quotas, tokens []float64
-	last           int64
+	last           time.Duration
 }
 
 func (d *Day) newShares() *shares {
@@ -338,7 +342,7 @@
 // count takes the next first try, in the order of time.
 func (s *shares) count(a *Arrival) {
 	for i := range s.tokens {
-		s.tokens[i] = min(s.tokens[i]+s.quotas[i]*float64(a.At-s.last)/second, quotaBurst*s.quotas[i])
+		s.tokens[i] = min(s.tokens[i]+s.quotas[i]*virtualclock.Micros(a.At-s.last)/microsPerSecond, quotaBurst*s.quotas[i])
 	}
 	s.last = a.At
 	if a.InShare = s.tokens[a.Tenant] >= 1 || s.quotas[a.Tenant] <= 0; a.InShare {
@@ -398,7 +402,6 @@
 // drawSettings is what a runner is told of all this.
 func (d *Day) drawSettings() {
 	f, g := &d.Spec.Fleet, &d.Spec.Goal
-	us := func(ms float64) time.Duration { return time.Duration(ms*1000) * time.Microsecond }
 	m := d.Runners[0].Spec
 	set := admission.Settings{
 		Servers:               len(d.Runners),
@@ -408,24 +411,24 @@
 		RunningMemoryFactor:   f.RunFactor,
 		KeyMemoryKB:           d.KeyKB,
 		CreditMode:            admission.CreditPerCaller,
-		CreditLifetime:        creditLife * time.Microsecond,
+		CreditLifetime:        creditLife,
 		DeepHealthChecks:      true,
 		ReportsAbandoned:      true,
 		IdleConnectionTimeout: 30 * time.Second,
-		MaxRetryAfter:         stayAway * time.Microsecond,
+		MaxRetryAfter:         stayAway,
 		OverQuotaWeight:       g.OverWorth,
-		DeadlineGrace:         us(f.SlackMs),
-		DrainGrace:            us(f.DrainMs),
+		DeadlineGrace:         millis(f.SlackMs),
+		DrainGrace:            millis(f.DrainMs),
 		MaxRunningPerCore:     f.CrowdLimit,
-		MaxRunningWindow:      us(f.CrowdMs),
+		MaxRunningWindow:      millis(f.CrowdMs),
 		WarmUpInitialShare:    f.ColdFrom.Lo,
-		WarmUpTime:            us(f.ColdS.Hi * 1000),
+		WarmUpTime:            millis(f.ColdS.Hi * 1000),
 	}
 	for i, c := range d.Spec.Classes {
 		set.Classes = append(
 			set.Classes,
-			admission.Class{Name: c.Name, LatencyObjective: us(c.AimMs), Timeout: us(c.DeadlineMs),
-				IdempotencyWindow: us(
+			admission.Class{Name: c.Name, LatencyObjective: millis(c.AimMs), Timeout: millis(c.DeadlineMs),
+				IdempotencyWindow: millis(
 					c.WindowMs,
 				), Idempotency: effects[c.Effect],
 				PriorityWeight:     c.Worth,
@@ -438,8 +441,8 @@
 	}
 	if set.Dependency == admission.DependencyShared {
 		set.CallQuota = d.BackEnd.CrashFactor * d.BackEnd.Slots / float64(len(d.Runners))
-		set.CallQuotaWindow = time.Duration(d.BackEnd.CrashWindow) * time.Microsecond
-		set.AbandonedCallTime = time.Duration(d.BackEnd.CancelLinger) * time.Microsecond
+		set.CallQuotaWindow = d.BackEnd.CrashWindow
+		set.AbandonedCallTime = d.BackEnd.CancelLinger
 	}
 	all := pick(Stream(d.Seed, "quota", 0), g.QuotaOf) * d.Capacity
 	shares := 0.0
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"ryepaddle/internal/simulator/virtualclock"
 	"ryepaddle/internal/telemetry/traffic"
 	"ryepaddle/internal/wallclock"
 )
@@ -23,7 +24,7 @@
 
 // jitter is how far a copy of a request is moved when the rate is scaled up, or copies would come
 // in pairs.
-const jitter = 250_000
+const jitter = 250 * time.Millisecond
 
 // WithTraffic gives the scenario with recorded traffic, at so many times its rate. The day is as
 // long as the recording; fleet, troubles, work and sizes stay the scenario's, for a recording knows
@@ -60,13 +61,13 @@
 	}
 	r.requests, r.Further = rec.WithoutRetries(
 		func(class int) time.Duration {
-			return time.Duration(s.Classes[r.classes[class]].DeadlineMs*1000) * time.Microsecond
+			return millis(s.Classes[r.classes[class]].DeadlineMs)
 		},
 	)
 	r.began = r.requests[0].ArrivedAt
 	out := *s
 	out.replay = r
-	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.began+1) / second)
+	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.began+1) / microsPerSecond)
 	if out.LengthS > 86_400 {
 		return nil, nil, fmt.Errorf("day: the recording spans %.0f s, more than a day", out.LengthS)
 	}
@@ -84,12 +85,12 @@
 		copies := int(r.rate + Unit(d.Seed, "copies", uint64(i)))
 		for k := range copies {
 			id++
-			at := int64(q.ArrivedAt - r.began)
+			at := q.ArrivedAt.Sub(r.began)
 			if k > 0 {
-				at += int64((2*Unit(d.Seed, "jitter", id) - 1) * jitter)
+				at += virtualclock.FromMicros((2*Unit(d.Seed, "jitter", id) - 1) * virtualclock.Micros(jitter))
 			}
 			if at < 0 || at >= d.Length {
-				at = int64(q.ArrivedAt - r.began)
+				at = q.ArrivedAt.Sub(r.began)
 			}
 			a := Arrival{
 				At:       at,
@@ -116,8 +117,8 @@
 
 // Record gives the traffic of a day as a recording, as if one runner had read it all without
 // further tries.
-func (d *Day) Record(began int64) (h traffic.Header, requests []traffic.Request) {
-	h = traffic.Header{Runner: d.Spec.Name, StartedAt: wallclock.UnixMicro(began)}
+func (d *Day) Record(began wallclock.UnixMicro) (h traffic.Header, requests []traffic.Request) {
+	h = traffic.Header{Runner: d.Spec.Name, StartedAt: began}
 	for _, c := range d.Spec.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -126,7 +127,7 @@
 	}
 	for _, a := range d.Arrivals {
 		q := traffic.Request{
-			ArrivedAt: wallclock.UnixMicro(began + a.At),
+			ArrivedAt: began.Add(a.At),
 			Class:     uint16(a.Class),
 			Tenant:    uint16(a.Tenant),
 			Caller:    uint32(a.Balancer),
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -4,6 +4,7 @@
 	"math"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -60,10 +61,10 @@
 		if got := float64(len(d.Arrivals)) / float64(len(rec.Requests)); math.Abs(got/rate-1) > 0.03 {
 			t.Errorf("%.3f times the traffic, want %v", got, rate)
 		}
-		ids, last, pairs := map[uint64]bool{}, int64(0), 0
+		ids, last, pairs := map[uint64]bool{}, time.Duration(0), 0
 		for _, a := range d.Arrivals {
 			if ids[a.ID] || a.At < last || a.At >= d.Length {
-				t.Fatalf("rate %v: %+v behind %d", rate, a, last)
+				t.Fatalf("rate %v: %+v behind %v", rate, a, last)
 			}
 			if a.At == last {
 				pairs++
@@ -82,7 +83,7 @@
 	rec := recording(t, s)
 	n := len(rec.Requests)
 	for _, q := range rec.Requests[:n/2] { // each of the first half is tried again a second later
-		q.ArrivedAt += second
+		q.ArrivedAt = q.ArrivedAt.Add(time.Second)
 		rec.Requests = append(rec.Requests, q)
 	}
 	again, r, err := s.WithTraffic(rec, 1)
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -330,24 +330,23 @@
 
 // Habit is how balancers of the kind behave; one that heeds or one that does not.
 func (k *BalancerKind) Habit(heeds bool) balance.Behavior {
-	us := func(ms float64) int64 { return int64(ms * 1000) }
 	return balance.Behavior{
 		Policy:      balance.Policy(k.Choose),
 		Retry:       balance.Retry(k.Retry),
 		MaxAttempts: k.Tries,
 		RetryBudget: k.Budget,
-		RetryPause: us(
+		RetryPause: millis(
 			k.PauseMs,
 		),
 		AttemptTimeout: k.Patience,
-		HedgeDelay:     us(k.CopyAfterMs),
+		HedgeDelay:     millis(k.CopyAfterMs),
 		FollowsAdvice:  heeds,
 		CreditTTL:      creditLife,
-		HealthCheckInterval: us(
+		HealthCheckInterval: millis(
 			k.CheckEveryMs,
 		),
 		EjectAfterFailures: k.EjectAfter,
-		EjectionTime:       us(k.EjectMs),
+		EjectionTime:       millis(k.EjectMs),
 		ThrottleFactor:     k.Throttle,
 		SubsetSize:         k.Subset,
 		Sticky:             k.Stick,
--- a/internal/simulator/dependencies/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -1,16 +1,20 @@
 package dependencies
 
-import "ryepaddle/internal/simulator/virtualclock"
+import (
+	"time"
+
+	"ryepaddle/internal/simulator/virtualclock"
+)
 
 // BackendSpec is what the shared back end is like.
 type BackendSpec struct {
-	Slots           float64 // calls that it works on at full speed
-	Thrash          float64 // loss for each further multiple of the slots
-	RejectsOverload bool    // it turns calls away while it holds more than twice its slots
-	CrashFactor     float64 // it dies of holding so many times its slots
-	CrashWindow     int64   // as a mean over so long
-	RestartTime     int64
-	CancelLinger    int64 // longest stay of a call that was given up
+	Slots           float64       // calls that it works on at full speed
+	Thrash          float64       // loss for each further multiple of the slots
+	RejectsOverload bool          // it turns calls away while it holds more than twice its slots
+	CrashFactor     float64       // it dies of holding so many times its slots
+	CrashWindow     time.Duration // as a mean over so long
+	RestartTime     time.Duration
+	CancelLinger    time.Duration // longest stay of a call that was given up
 }
 
 // CallOutcome is how a call ended.
@@ -53,7 +57,7 @@
 		thrash: spec.Thrash,
 		crowd:  spec.Slots,
 		speed:  1,
-		at:     float64(clock.Now()),
+		at:     virtualclock.Micros(clock.Now()),
 	}
 	clock.After(sampleEvery, b.sample)
 	return b
@@ -117,8 +121,8 @@
 	for len(b.order) > 0 && b.order[0].job == nil {
 		b.order = b.order[1:]
 	}
-	if b.down || b.spec.CrashFactor <= 0 || int64(n)*sampleEvery < b.spec.CrashWindow ||
-		held/float64(b.spec.CrashWindow) <= b.spec.CrashFactor*b.spec.Slots {
+	if b.down || b.spec.CrashFactor <= 0 || time.Duration(n)*sampleEvery < b.spec.CrashWindow ||
+		held/virtualclock.Micros(b.spec.CrashWindow) <= b.spec.CrashFactor*b.spec.Slots {
 		return
 	}
 	b.down = true
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ryepaddle/internal/simulator/virtualclock"
 )
@@ -15,12 +16,12 @@
 	ReadWork          float64 // of reading one request
 	Backlog           int     // unread requests for each core; with more there is no connection
 	MemoryKB          float64
-	RunFactor         float64 // memory of a running request over that of a held one
-	ConcurrencyLimit  float64 // running requests on the cores, for each core, that it outlives as a mean
-	ConcurrencyWindow int64   // the time of that mean
-	WarmUpSpeed       float64 // the share of its speed with which it starts
-	WarmUpTime        int64   // it is warm after this
-	WarmUpCallFactor  float64 // by how much more a cold one calls
+	RunFactor         float64       // memory of a running request over that of a held one
+	ConcurrencyLimit  float64       // running requests on the cores, for each core, that it outlives as a mean
+	ConcurrencyWindow time.Duration // the time of that mean
+	WarmUpSpeed       float64       // the share of its speed with which it starts
+	WarmUpTime        time.Duration // it is warm after this
+	WarmUpCallFactor  float64       // by how much more a cold one calls
 }
 
 // Work is one request as the engine sees it.
@@ -47,9 +48,9 @@
 }
 
 const (
-	sampleEvery = 100_000 // of gauges, memory and crowd
+	sampleEvery = 100 * time.Millisecond // of gauges, memory and crowd
 	// a held request counts against the memory so long after it was written (PROTOCOL)
-	bookAfter  = 100_000
+	bookAfter  = 100 * time.Millisecond
 	cpuSamples = 5 // half a second
 )
 
@@ -64,7 +65,7 @@
 type held struct {
 	id   string
 	size float64
-	at   int64
+	at   time.Duration
 }
 
 // Machine is one runner's cores, memory and engine.
@@ -73,7 +74,7 @@
 	clock   virtualclock.Clock
 	tenant  MachineObserver
 	cores   share
-	born    int64
+	born    time.Duration
 	cold    bool
 	slow    float64 // times slower than usual; 1: not
 	frozen  bool
@@ -85,7 +86,7 @@
 	held    map[string]float64
 	memory  float64
 	crowd   float64 // running requests on the cores, integrated
-	crowdAt int64
+	crowdAt time.Duration
 	onCores int
 	cpuWin  window
 	crowds  window
@@ -109,7 +110,7 @@
 		crowds:  newWindow(max(int(spec.ConcurrencyWindow/sampleEvery), 1)),
 	}
 	m.cores = share{clock: clock, places: float64(spec.Cores), thrash: spec.Thrash,
-		crowd: max(spec.ThrashAt, 0.1) * float64(spec.Cores), at: float64(clock.Now())}
+		crowd: max(spec.ThrashAt, 0.1) * float64(spec.Cores), at: virtualclock.Micros(clock.Now())}
 	m.cores.speed = m.speed()
 	clock.After(sampleEvery, m.sample)
 	return m
@@ -120,7 +121,7 @@
 	if !m.cold {
 		return 1
 	}
-	past := float64(m.clock.Now()-m.born) / float64(m.spec.WarmUpTime)
+	past := virtualclock.Micros(m.clock.Now()-m.born) / virtualclock.Micros(m.spec.WarmUpTime)
 	return min(m.spec.WarmUpSpeed+(1-m.spec.WarmUpSpeed)*past, 1)
 }
 
@@ -229,7 +230,7 @@
 // count keeps the integral of running requests on the cores.
 func (m *Machine) count(d int) {
 	now := m.clock.Now()
-	m.crowd += float64(m.onCores) * float64(now-m.crowdAt)
+	m.crowd += float64(m.onCores) * virtualclock.Micros(now-m.crowdAt)
 	m.crowdAt = now
 	m.onCores += d
 }
@@ -268,7 +269,7 @@
 	m.cores.setSpeed(m.speed())
 	m.cores.advance()
 	if busy, n := m.cpuWin.add(m.cores.busy); n > 0 {
-		m.cpu = busy / float64(int64(n)*sampleEvery) / float64(m.spec.Cores)
+		m.cpu = busy / virtualclock.Micros(time.Duration(n)*sampleEvery) / float64(m.spec.Cores)
 	}
 	m.count(0)
 	crowd, n := m.crowds.add(m.crowd)
@@ -278,13 +279,13 @@
 		limit = float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warm())
 	}
 	switch {
-	case int64(n)*sampleEvery >= m.spec.ConcurrencyWindow && crowd/float64(m.spec.ConcurrencyWindow) > limit:
+	case time.Duration(n)*sampleEvery >= m.spec.ConcurrencyWindow && crowd/virtualclock.Micros(m.spec.ConcurrencyWindow) > limit:
 		m.Kill(
 			fmt.Sprintf(
 				"crowd: %.1f running requests a core in the mean of %d ms",
-				crowd/float64(m.spec.ConcurrencyWindow)/
+				crowd/virtualclock.Micros(m.spec.ConcurrencyWindow)/
 					float64(m.spec.Cores),
-				m.spec.ConcurrencyWindow/1000,
+				m.spec.ConcurrencyWindow.Milliseconds(),
 			),
 		)
 	case m.memory > m.spec.MemoryKB:
--- a/internal/simulator/dependencies/roster.go
+++ b/internal/simulator/dependencies/roster.go
@@ -1,9 +1,13 @@
 package dependencies
 
-import "ryepaddle/internal/simulator/virtualclock"
+import (
+	"time"
+
+	"ryepaddle/internal/simulator/virtualclock"
+)
 
 // lapse is how long after the last report an entry stays listed (PROTOCOL).
-const lapse = 3_000_000
+const lapse = 3 * time.Second
 
 // Registry lists runners while they report. Watchers hear of a change late.
 type Registry struct {
@@ -18,7 +22,7 @@
 }
 
 type watcher struct {
-	late func() int64
+	late func() time.Duration
 	tell func(name string, listed bool)
 }
 
@@ -29,7 +33,7 @@
 
 // Watch tells of each change after a delay that is asked for each time. Changes overtake each other
 // no more than the delays allow; of one name, the state at the time of telling counts.
-func (r *Registry) Watch(late func() int64, tell func(name string, listed bool)) {
+func (r *Registry) Watch(late func() time.Duration, tell func(name string, listed bool)) {
 	r.watch = append(r.watch, watcher{late, tell})
 }
 
--- a/internal/simulator/dependencies/share.go
+++ b/internal/simulator/dependencies/share.go
@@ -6,6 +6,7 @@
 
 import (
 	"container/heap"
+	"time"
 
 	"ryepaddle/internal/simulator/virtualclock"
 )
@@ -70,7 +71,7 @@
 // advance brings the attained service up to now. A job that was done meanwhile left the cores then,
 // however late the timer comes: on sockets it may be a millisecond.
 func (s *share) advance() {
-	now := float64(s.clock.Now())
+	now := virtualclock.Micros(s.clock.Now())
 	for s.at < now {
 		n, r, d := float64(len(s.jobs)), s.rate(), now-s.at
 		done := r > 0 && s.attained+r*d >= s.jobs[0].tag
@@ -114,7 +115,7 @@
 	if r <= 0 {
 		return
 	}
-	s.timer = s.clock.After(int64((s.jobs[0].tag-s.attained)/r)+1, s.fire)
+	s.timer = s.clock.After(virtualclock.FromMicros((s.jobs[0].tag-s.attained)/r)+time.Microsecond, s.fire)
 }
 
 func (s *share) fire() {
--- a/internal/simulator/dependencies/world_test.go
+++ b/internal/simulator/dependencies/world_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
@@ -11,20 +12,20 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-const second = 1_000_000
+const workPerSecond = 1e6 // of a core of speed 1
 
 // diary is a tenant that notes what it is told, and places no calls.
 type diary struct {
 	clock *virtualclock.Scheduler
 	lines []string
-	ends  map[string]int64
+	ends  map[string]time.Duration
 	died  string
 }
 
 func (d *diary) note(format string, v ...any) {
 	d.lines = append(
 		d.lines,
-		fmt.Sprintf("%d ", (d.clock.Now()-virtualclock.Origin)/1000)+fmt.Sprintf(format, v...),
+		fmt.Sprintf("%d ", (d.clock.Now()-virtualclock.Origin).Milliseconds())+fmt.Sprintf(format, v...),
 	)
 }
 func (d *diary) Needs(id string) { d.note("%s needs", id) }
@@ -44,13 +45,13 @@
 		MemoryKB:          1e6,
 		RunFactor:         8,
 		ConcurrencyLimit:  6,
-		ConcurrencyWindow: 2 * second,
+		ConcurrencyWindow: 2 * time.Second,
 	}
 }
 
 func machine(s MachineSpec, cold bool) (*Machine, *diary, *virtualclock.Scheduler) {
 	c := virtualclock.New()
-	d := &diary{clock: c, ends: map[string]int64{}}
+	d := &diary{clock: c, ends: map[string]time.Duration{}}
 	return NewMachine(c, s, cold, d), d, c
 }
 
@@ -74,9 +75,9 @@
 			for i := range c.runs {
 				m.Run(Work{ID: fmt.Sprint(i), Parts: []float64{100_000}})
 			}
-			clock.RunUntil(virtualclock.Origin + 5*second)
+			clock.RunUntil(virtualclock.Origin + 5*time.Second)
 			for id, at := range d.ends {
-				if got := (at - virtualclock.Origin + 500) / 1000; got != c.want {
+				if got := (at - virtualclock.Origin + 500*time.Microsecond).Milliseconds(); got != c.want {
 					t.Errorf("run %s took %d ms, want %d", id, got, c.want)
 				}
 			}
@@ -98,7 +99,7 @@
 	if room != 10 { // two at once and eight unread
 		t.Errorf("%d of 20 had room", room)
 	}
-	clock.RunUntil(virtualclock.Origin + second)
+	clock.RunUntil(virtualclock.Origin + time.Second)
 	if d.lines[0] != "10 read 0" || d.lines[9] != "50 read 9" {
 		t.Errorf("%v", d.lines)
 	}
@@ -108,11 +109,11 @@
 	m, d, clock := machine(spec(), false)
 	m.Run(Work{ID: "a", Parts: []float64{10_000, 20_000}})
 	m.Run(Work{ID: "b", Parts: []float64{10_000, 20_000}})
-	clock.RunUntil(virtualclock.Origin + 100_000)
+	clock.RunUntil(virtualclock.Origin + 100*time.Millisecond)
 	m.Resume("a")
 	m.Resume("a") // it goes on once
 	m.Stop("b")   // at a call it ends
-	clock.RunUntil(virtualclock.Origin + second)
+	clock.RunUntil(virtualclock.Origin + time.Second)
 	want := []string{"10 a needs", "10 b needs", "100 b ended 2", "120 a ended 1"}
 	if diff := cmp.Diff(want, d.lines); diff != "" || m.memory != 0 {
 		t.Fatalf("memory %v (-want +got)\n%s", m.memory, diff)
@@ -139,7 +140,7 @@
 			"cold",
 			8,
 			true,
-			func(s *MachineSpec) { s.WarmUpSpeed, s.WarmUpTime = 0.2, 18*second },
+			func(s *MachineSpec) { s.WarmUpSpeed, s.WarmUpTime = 0.2, 18*time.Second },
 			"crowd: 4.0 running requests a core in the mean of 2000 ms",
 		},
 		{"memory", 4, false, func(s *MachineSpec) { s.MemoryKB = 900 }, "memory: 960 of 900 kB"},
@@ -151,7 +152,7 @@
 			for i := range c.runs {
 				m.Run(Work{ID: fmt.Sprint(i), SizeKB: 30, Parts: []float64{1e9}})
 			}
-			clock.RunUntil(virtualclock.Origin + 3*second)
+			clock.RunUntil(virtualclock.Origin + 3*time.Second)
 			if d.died != c.want {
 				t.Fatalf("died of %q, want %q", d.died, c.want)
 			}
@@ -167,29 +168,29 @@
 	m.ReserveMemory("b", 50)
 	m.ReserveMemory("c", 50)
 	m.ReleaseMemory("c")
-	at := func(ms int64, want float64) {
+	at := func(after time.Duration, want float64) {
 		t.Helper()
-		if clock.RunUntil(virtualclock.Origin + ms*1000); m.Gauges().Memory*1e6 != want {
-			t.Errorf("at %d ms %v kB are booked, want %v", ms, m.Gauges().Memory*1e6, want)
+		if clock.RunUntil(virtualclock.Origin + after); m.Gauges().Memory*1e6 != want {
+			t.Errorf("at %v %v kB are booked, want %v", after, m.Gauges().Memory*1e6, want)
 		}
 	}
-	at(99, 0)
-	at(100, 100)
+	at(99*time.Millisecond, 0)
+	at(100*time.Millisecond, 100)
 	m.Run(Work{ID: "a", SizeKB: 50, Parts: []float64{100_000}})
-	at(150, 450)
+	at(150*time.Millisecond, 450)
 	m.ReleaseMemory("b")
-	at(160, 400)
-	at(300, 0)
+	at(160*time.Millisecond, 400)
+	at(300*time.Millisecond, 0)
 }
 
 func TestPausesAndSlowness(t *testing.T) {
 	m, d, clock := machine(spec(), false)
 	m.Run(Work{ID: "a", Parts: []float64{100_000}})
-	clock.After(50_000, func() { m.SetFrozen(true) })
-	clock.After(150_000, func() { m.SetFrozen(false); m.SetSlowdown(4) })
-	clock.RunUntil(virtualclock.Origin + second)
+	clock.After(50*time.Millisecond, func() { m.SetFrozen(true) })
+	clock.After(150*time.Millisecond, func() { m.SetFrozen(false); m.SetSlowdown(4) })
+	clock.RunUntil(virtualclock.Origin + time.Second)
 	// 50, paused for 100, 50 at a quarter of the speed
-	if got := (d.ends["a"] - virtualclock.Origin) / 1000; got != 350 {
+	if got := (d.ends["a"] - virtualclock.Origin).Milliseconds(); got != 350 {
 		t.Fatalf("ended after %d ms", got)
 	}
 	if cpu := m.Gauges().CPU; cpu != 0 {
@@ -199,11 +200,11 @@
 
 func TestColdSpeedRises(t *testing.T) {
 	s := spec()
-	s.WarmUpSpeed, s.WarmUpTime = 0.25, 4*second
+	s.WarmUpSpeed, s.WarmUpTime = 0.25, 4*time.Second
 	m, d, clock := machine(s, true)
-	m.Run(Work{ID: "a", Parts: []float64{2.5 * second}}) // the mean of 0.25 and 1 over four seconds
-	clock.RunUntil(virtualclock.Origin + 10*second)
-	if got := float64(d.ends["a"]-virtualclock.Origin) / second; math.Abs(got-4) > 0.1 {
+	m.Run(Work{ID: "a", Parts: []float64{2.5 * workPerSecond}}) // the mean of 0.25 and 1 over four seconds
+	clock.RunUntil(virtualclock.Origin + 10*time.Second)
+	if got := (d.ends["a"] - virtualclock.Origin).Seconds(); math.Abs(got-4) > 0.1 {
 		t.Fatalf("took %.2f s", got)
 	}
 	if m.IsWarmingUp() {
@@ -225,15 +226,15 @@
 			want += work
 			if rapid.IntRange(0, 3).Draw(t, "odd") == 0 {
 				m.SetFrozen(true)
-				clock.After(5000, func() { m.SetFrozen(false) })
+				clock.After(5*time.Millisecond, func() { m.SetFrozen(false) })
 				m.Stop(fmt.Sprint(i))
 			}
 			if m.Read(func() {}) {
 				want += s.ReadWork
 			}
-			clock.RunUntil(clock.Now() + rapid.Int64Range(0, 20_000).Draw(t, "wait"))
+			clock.RunUntil(clock.Now() + time.Duration(rapid.Int64Range(0, 20_000).Draw(t, "wait"))*time.Microsecond)
 		}
-		clock.RunUntil(clock.Now() + 10*second)
+		clock.RunUntil(clock.Now() + 10*time.Second)
 		if len(m.runs) != 0 || len(d.ends) == 0 || m.memory != 0 {
 			t.Fatalf("%d runs left, memory %v", len(m.runs), m.memory)
 		}
@@ -248,9 +249,9 @@
 		Slots:        2,
 		Thrash:       0.5,
 		CrashFactor:  5,
-		CrashWindow:  5 * second,
-		RestartTime:  2 * second,
-		CancelLinger: 200_000,
+		CrashWindow:  5 * time.Second,
+		RestartTime:  2 * time.Second,
+		CancelLinger: 200 * time.Millisecond,
 	}
 	type end struct {
 		At    int64
@@ -262,7 +263,7 @@
 		return b, clock, got, func(work float64) *Call {
 			return b.Call(
 				work,
-				func(r CallOutcome) { *got = append(*got, end{(clock.Now() - virtualclock.Origin) / 1000, r}) },
+				func(r CallOutcome) { *got = append(*got, end{(clock.Now() - virtualclock.Origin).Milliseconds(), r}) },
 			)
 		}
 	}
@@ -270,9 +271,9 @@
 		b, clock, got, call := set(BackendSpec{Slots: 2})
 		c := call(10_000)
 		b.slots.timer.Stop() // its own timer comes a microsecond after it is done
-		clock.RunUntil(virtualclock.Origin + 10_001)
+		clock.RunUntil(virtualclock.Origin + 10_001*time.Microsecond)
 		b.Cancel(c)
-		clock.RunUntil(virtualclock.Origin + second)
+		clock.RunUntil(virtualclock.Origin + time.Second)
 		if len(*got) != 0 || b.InFlight() != 0 {
 			t.Errorf("%v, %d held", *got, b.InFlight())
 		}
@@ -282,7 +283,7 @@
 		for range 4 {
 			call(10_000)
 		}
-		clock.RunUntil(virtualclock.Origin + second)
+		clock.RunUntil(virtualclock.Origin + time.Second)
 		// twice its slots: half the speed, and half as long again
 		want := []end{{30, 1}, {30, 1}, {30, 1}, {30, 1}}
 		if diff := cmp.Diff(want, *got); diff != "" {
@@ -302,10 +303,10 @@
 	})
 	t.Run("given up calls linger", func(t *testing.T) {
 		b, clock, got, call := set(be)
-		b.Cancel(call(second))
-		clock.RunUntil(virtualclock.Origin + 199_000)
+		b.Cancel(call(workPerSecond))
+		clock.RunUntil(virtualclock.Origin + 199*time.Millisecond)
 		held := b.InFlight()
-		clock.RunUntil(virtualclock.Origin + 2*second)
+		clock.RunUntil(virtualclock.Origin + 2*time.Second)
 		if held != 1 || b.InFlight() != 0 || len(*got) != 0 {
 			t.Fatalf("held %d, then %d; told %v", held, b.InFlight(), *got)
 		}
@@ -315,7 +316,7 @@
 		for range 11 {
 			call(1e9)
 		}
-		clock.RunUntil(virtualclock.Origin + 6*second)
+		clock.RunUntil(virtualclock.Origin + 6*time.Second)
 		if !b.IsDown() || b.Crashes != 1 || len(*got) != 11 || (*got)[0].Reply != CallInterrupted {
 			t.Fatalf("down %v, falls %d, told %v", b.IsDown(), b.Crashes, *got)
 		}
@@ -323,9 +324,9 @@
 		if last := (*got)[11]; last.Reply != CallUnreachable {
 			t.Fatalf("a call while it is down: %v", last)
 		}
-		clock.RunUntil(virtualclock.Origin + 9*second)
+		clock.RunUntil(virtualclock.Origin + 9*time.Second)
 		call(1000)
-		clock.RunUntil(virtualclock.Origin + 10*second)
+		clock.RunUntil(virtualclock.Origin + 10*time.Second)
 		if last := (*got)[12]; last.Reply != CallSucceeded || b.Crashes != 1 {
 			t.Fatalf("a call after it is back: %v", last)
 		}
@@ -334,9 +335,9 @@
 		b, clock, got, call := set(be)
 		b.SetSlowdown(5)
 		call(10_000)
-		clock.RunUntil(virtualclock.Origin + 25_000)
+		clock.RunUntil(virtualclock.Origin + 25*time.Millisecond)
 		b.SetSlowdown(1)
-		clock.RunUntil(virtualclock.Origin + second)
+		clock.RunUntil(virtualclock.Origin + time.Second)
 		if diff := cmp.Diff([]end{{30, 1}}, *got); diff != "" {
 			t.Fatal(diff)
 		}
@@ -347,17 +348,17 @@
 	clock := virtualclock.New()
 	r := NewRegistry(clock)
 	var got []string
-	r.Watch(func() int64 { return 2 * second }, func(name string, on bool) {
-		got = append(got, fmt.Sprintf("%d %s %v", (clock.Now()-virtualclock.Origin)/second, name, on))
+	r.Watch(func() time.Duration { return 2 * time.Second }, func(name string, on bool) {
+		got = append(got, fmt.Sprintf("%d %s %v", (clock.Now()-virtualclock.Origin)/time.Second, name, on))
 	})
 	r.Report("n1")
 	for range 4 {
-		clock.RunUntil(clock.Now() + second)
+		clock.RunUntil(clock.Now() + time.Second)
 		r.Report("n1")
 	}
 	r.Report("n2")
 	r.Deregister("n2")
-	clock.RunUntil(virtualclock.Origin + 20*second)
+	clock.RunUntil(virtualclock.Origin + 20*time.Second)
 	// n2 was on and off before anybody heard; n1 lapses 3 s after its last report, heard 2 s later.
 	want := []string{"2 n1 true", "6 n2 false", "6 n2 false", "9 n1 false"}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -369,8 +370,8 @@
 // do.
 type late struct{ *virtualclock.Scheduler }
 
-func (l late) After(d int64, fn func()) virtualclock.Timer {
-	return l.Scheduler.After((l.Now()+d+999)/1000*1000-l.Now(), fn)
+func (l late) After(d time.Duration, fn func()) virtualclock.Timer {
+	return l.Scheduler.After((l.Now()+d+time.Millisecond-time.Microsecond).Truncate(time.Millisecond)-l.Now(), fn)
 }
 
 // A late timer makes nothing longer for others, and no work that was not asked for.
@@ -381,15 +382,15 @@
 		if lateBy {
 			clock = late{sched}
 		}
-		d := &diary{clock: sched, ends: map[string]int64{}}
+		d := &diary{clock: sched, ends: map[string]time.Duration{}}
 		m := NewMachine(clock, spec(), false, d)
 		want := 0.0
 		for i := range 200 {
 			work := float64(1000 + 371*(i%17))
-			sched.After(int64(i)*2357, func() { m.Run(Work{ID: fmt.Sprint(i), Parts: []float64{work}}) })
+			sched.After(time.Duration(i)*2357*time.Microsecond, func() { m.Run(Work{ID: fmt.Sprint(i), Parts: []float64{work}}) })
 			want += work
 		}
-		sched.RunUntil(virtualclock.Origin + 5*second)
+		sched.RunUntil(virtualclock.Origin + 5*time.Second)
 		if got := m.WorkDone(); math.Abs(got-want) > 300 || len(d.ends) != 200 {
 			t.Errorf("late %v: the cores did %.0f of %.0f, %d runs ended", lateBy, got, want, len(d.ends))
 		}
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -2,6 +2,7 @@
 
 import (
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/simulator/balance"
 	"ryepaddle/internal/simulator/day"
@@ -44,10 +45,10 @@
 	}
 	b.b = balance.New(uint64(i)+1, len(s.runners), kind.Habit(heeds), s.clock, b, draw)
 	notice := s.day.Spec.Roster.NoticeS
-	s.roster.Watch(func() int64 {
+	s.roster.Watch(func() time.Duration {
 		b.late++
 		u := day.Unit(s.day.Seed, "notice"+strconv.Itoa(i), b.late)
-		return int64((notice.Lo + (notice.Hi-notice.Lo)*u) * 1e6)
+		return seconds(notice.Lo + (notice.Hi-notice.Lo)*u)
 	}, func(name string, listed bool) {
 		for _, r := range s.runners {
 			if r.spec.Name == name {
@@ -63,7 +64,7 @@
 	b.open[a.ID] = a
 	b.b.Submit(
 		&balance.Request{ID: a.ID, Key: a.ID, Idempotent: class.Effect == "safe", Keyed: class.Effect == "keyed",
-			Deadline: int64(class.DeadlineMs * 1000)},
+			Deadline: millis(class.DeadlineMs)},
 	)
 }
 
@@ -94,7 +95,7 @@
 		return
 	}
 	late := f.TellsGoneMs.Lo + (f.TellsGoneMs.Hi-f.TellsGoneMs.Lo)*u
-	b.s.clock.After(int64(late*1000), j.gone)
+	b.s.clock.After(millis(late), j.gone)
 }
 
 // Check asks a runner how it is.
--- a/internal/simulator/fleet/core.go
+++ b/internal/simulator/fleet/core.go
@@ -35,7 +35,7 @@
 type call struct {
 	out   *dependencies.Call
 	timer virtualclock.Timer
-	began int64
+	began time.Duration
 	over  bool
 }
 
@@ -45,9 +45,9 @@
 	p := &inside{l: l, s: s, runs: map[string]*hosted{}, good: true}
 	var err error
 	p.core, err = lifecycle.New(set, day.Mix(s.day.Seed, l.r.spec.Name, l.r.lives), lifecycle.Environment{
-		Now:        func() time.Duration { return time.Duration(s.clock.Now()) * time.Microsecond },
-		Unix:       func() wallclock.UnixMicro { return wallclock.UnixMicro(s.unixOrigin + s.now()) },
-		After:      func(d time.Duration, fn func()) func() { return l.after(d.Microseconds(), fn) },
+		Now:        s.clock.Now,
+		Unix:       func() wallclock.UnixMicro { return s.unixOrigin.Add(s.now()) },
+		After:      func(d time.Duration, fn func()) func() { return l.after(d, fn) },
 		Measure:    func(fn func(lifecycle.Gauges)) { l.after(2*linkDelay, func() { fn(p.gauges()) }) },
 		SetHealth:  func(_, good bool) { p.good = good },
 		Advertise:  l.Advertise,
@@ -97,7 +97,7 @@
 		Class:     j.Class(),
 		Tenant:    tenant,
 		Caller:    j.Caller(),
-		ArrivedAt: wallclock.UnixMicro(j.Arrived()),
+		ArrivedAt: j.Arrived(),
 		SizeKB:    j.SizeKB(),
 		Rank:      j.Rank(),
 		Key:       j.Key(),
@@ -113,7 +113,7 @@
 	case lifecycle.Served:
 		h.j.Answer(Answer{Status: Served})
 	case lifecycle.Rejected:
-		h.j.Answer(Answer{Status: Rejected, RetryAfter: a.RetryAfter.Microseconds(), DoNotRetry: a.DoNotRetry})
+		h.j.Answer(Answer{Status: Rejected, RetryAfter: a.RetryAfter.Truncate(time.Microsecond), DoNotRetry: a.DoNotRetry})
 	default:
 		h.j.Answer(Answer{Status: Failed})
 	}
@@ -129,7 +129,7 @@
 func (p *inside) Check(_ int, done func(good bool)) { done(p.good) }
 
 // Drain implements Process.
-func (p *inside) Drain(stop int64) { p.core.Drain(time.Duration(stop) * time.Microsecond) }
+func (p *inside) Drain(stop time.Duration) { p.core.Drain(stop) }
 
 // Kill implements Process. The back end hears the connections close.
 func (p *inside) Kill() {
@@ -204,9 +204,9 @@
 		}
 		c.over, h.call = true, nil
 		c.timer.Stop()
-		p.core.CallEnded(a, o, nil, time.Duration(s.clock.Now()-c.began)*time.Microsecond)
+		p.core.CallEnded(a, o, nil, s.clock.Now()-c.began)
 	}
-	c.timer = s.clock.After(patience.Microseconds(), func() {
+	c.timer = s.clock.After(patience, func() {
 		if !c.over && c.out != nil {
 			s.back.Cancel(c.out)
 		}
--- a/internal/simulator/fleet/fleet.go
+++ b/internal/simulator/fleet/fleet.go
@@ -7,6 +7,7 @@
 import (
 	"fmt"
 	"strconv"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/lifecycle"
@@ -14,6 +15,7 @@
 	"ryepaddle/internal/simulator/dependencies"
 	"ryepaddle/internal/simulator/ledger"
 	"ryepaddle/internal/simulator/virtualclock"
+	"ryepaddle/internal/wallclock"
 )
 
 // Version names what the model does. Results of different versions are not compared.
@@ -27,7 +29,7 @@
 	Limits        lifecycle.KeyLimits // of the cores' tables
 	// another one draws balancers' choices anew, with the day as it was
 	BalancerSeed uint64
-	Log          func(at int64, runner, text string)
+	Log          func(at time.Duration, runner, text string)
 }
 
 // Run is a day that was played.
@@ -41,18 +43,18 @@
 }
 
 // unixOrigin is the Unix time at which a day in virtual time begins; any will do.
-const unixOrigin = 1_764_576_000_000_000
+const unixOrigin wallclock.UnixMicro = 1_764_576_000_000_000
 
 const (
-	reportEvery  = 1_000_000 // of a runner to the roster
-	loadEvery    = 500_000   // of measured loads to balancers
+	reportEvery  = time.Second            // of a runner to the roster
+	loadEvery    = 500 * time.Millisecond // of measured loads to balancers
 	loadNoise    = 0.1
-	connectTime  = 1_000_000 // after which a connection that nobody takes is given up
-	linkDelay    = 50        // between a runner and its engine
-	backendDelay = 300       // between a runner and the back end, one way
-	checkTime    = 1_000_000 // a health check that takes longer is bad
+	connectTime  = time.Second            // after which a connection that nobody takes is given up
+	linkDelay    = 50 * time.Microsecond  // between a runner and its engine
+	backendDelay = 300 * time.Microsecond // between a runner and the back end, one way
+	checkTime    = time.Second            // a health check that takes longer is bad
 	// of the rules' time limits, as on sockets (PROTOCOL grants 50 ms and the reading of answers)
-	spareTime = 100_000
+	spareTime = 100 * time.Millisecond
 )
 
 // Simulation is a day on which the parts of a fleet meet: machines, back end, roster, balancers, and
@@ -63,8 +65,8 @@
 	clock      virtualclock.Clock
 	launch     Launch
 	listens    bool // runners report to the roster by themselves
-	origin     int64
-	unixOrigin int64
+	origin     time.Duration
+	unixOrigin wallclock.UnixMicro
 	book       *ledger.Ledger
 	back       *dependencies.Backend
 	roster     *dependencies.Registry
@@ -106,7 +108,7 @@
 		origin:  clock.Now(),
 	}
 	if opt.Log == nil {
-		s.opt.Log = func(int64, string, string) {}
+		s.opt.Log = func(time.Duration, string, string) {}
 	}
 	s.openBook()
 	s.back = dependencies.NewBackend(s.clock, d.BackEnd)
@@ -141,7 +143,7 @@
 }
 
 // Begin begins the day at a Unix time.
-func (s *Simulation) Begin(unix int64) {
+func (s *Simulation) Begin(unix wallclock.UnixMicro) {
 	s.origin, s.unixOrigin = s.clock.Now(), unix
 	for _, r := range s.runners {
 		for _, b := range s.balancers { // all know the fleet as the day begins
@@ -156,12 +158,12 @@
 }
 
 // Duration is how long after its beginning the last request of the day is over.
-func (s *Simulation) Duration() int64 {
+func (s *Simulation) Duration() time.Duration {
 	last := 0.0
 	for _, c := range s.day.Spec.Classes {
 		last = max(last, c.DeadlineMs)
 	}
-	return s.day.Length + int64((last+s.day.Spec.Fleet.SlackMs)*1000) + 2*connectTime
+	return s.day.Length + millis(last+s.day.Spec.Fleet.SlackMs) + 2*connectTime
 }
 
 // Backend is the back end that all share.
@@ -196,7 +198,7 @@
 	for _, c := range spec.Classes {
 		classes = append(
 			classes,
-			ledger.Class{Name: c.Name, LatencyObjective: int64(c.AimMs * 1000), Deadline: int64(c.DeadlineMs * 1000),
+			ledger.Class{Name: c.Name, LatencyObjective: millis(c.AimMs), Deadline: millis(c.DeadlineMs),
 				PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth},
 		)
 	}
@@ -209,7 +211,7 @@
 		tenants,
 		ledger.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass,
 			WorstTenant: g.WorstTenant, OverWorth: g.OverWorth, Waste: g.Waste, LateFail: g.LateFail,
-			Window: int64(spec.WindowS * 1e6)},
+			Window: seconds(spec.WindowS)},
 		d.Length,
 	)
 }
@@ -234,8 +236,12 @@
 	return &Run{Result: res, Seed: s.day.Seed, RequestRate: s.day.Rate, Capacity: s.day.Capacity, AttemptsRead: s.read}, nil
 }
 
+// millis and seconds convert the figures of scenarios, cut to whole microseconds.
+func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
+func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * 1e6) }
+
 // now is the time since the day began.
-func (s *Simulation) now() int64 { return s.clock.Now() - s.origin }
+func (s *Simulation) now() time.Duration { return s.clock.Now() - s.origin }
 
 // askNext lets the client of the next first try ask.
 func (s *Simulation) askNext(i int) {
@@ -262,7 +268,7 @@
 func (s *Simulation) readWork() float64 { return s.day.Runners[0].Spec.ReadWork }
 
 // delay is how long a message takes between halls, and whether it arrives at all.
-func (s *Simulation) delay(from, to int) (int64, bool) {
+func (s *Simulation) delay(from, to int) (time.Duration, bool) {
 	if from != to && (from == s.cut || to == s.cut) {
 		return 0, false
 	}
@@ -271,7 +277,7 @@
 	if from != to {
 		d = s.day.CrossUs
 	}
-	return int64(d * (0.9 + 0.2*day.Unit(s.day.Seed^s.opt.BalancerSeed, "net", s.messages))), true
+	return virtualclock.FromMicros(d * (0.9 + 0.2*day.Unit(s.day.Seed^s.opt.BalancerSeed, "net", s.messages))), true
 }
 
 // strike begins a trouble and sees to its end.
@@ -298,9 +304,9 @@
 		each(func(r *runner) { r.pause(true) })
 		after(func() { each(func(r *runner) { r.pause(false) }) })
 	case day.Drain:
-		step := e.For / int64(max(len(e.Runners), 1))
+		step := (e.For / time.Duration(max(len(e.Runners), 1))).Truncate(virtualclock.Resolution)
 		for k, i := range e.Runners {
-			s.clock.After(int64(k)*step, s.runners[i].drain)
+			s.clock.After(time.Duration(k)*step, s.runners[i].drain)
 		}
 	case day.CutHall:
 		s.cut = e.Hall
@@ -317,7 +323,7 @@
 		}
 		for _, r := range s.runners {
 			if r.life != nil {
-				n := day.Unit(s.day.Seed^s.opt.BalancerSeed, "load"+strconv.Itoa(r.no), uint64(s.now()))
+				n := day.Unit(s.day.Seed^s.opt.BalancerSeed, "load"+strconv.Itoa(r.no), uint64(s.now().Microseconds()))
 				g := r.life.machine.Gauges()
 				b.b.Report(r.no, (g.CPU+g.Runnable/float64(r.spec.Spec.Cores))*(1+loadNoise*(2*n-1)))
 			}
--- a/internal/simulator/fleet/fleet_test.go
+++ b/internal/simulator/fleet/fleet_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -165,9 +166,9 @@
 func TestAFifthDies(t *testing.T) {
 	var log []string
 	s := small(t, "load: {of_capacity: 0.45}\ntroubles:\n  - {kind: crash, at_s: 5, for_s: 3, part: 0.2}")
-	r := play(t, s, 2, Options{Log: func(at int64, runner, text string) {
+	r := play(t, s, 2, Options{Log: func(at time.Duration, runner, text string) {
 		if strings.HasPrefix(text, "ended") {
-			log = append(log, fmt.Sprintf("%d %s", at/1_000_000, text))
+			log = append(log, fmt.Sprintf("%d %s", at/time.Second, text))
 		}
 	}})
 	calm := play(t, small(t, "load: {of_capacity: 0.45}"), 2, Options{})
@@ -248,11 +249,11 @@
 func TestRunsAreChecked(t *testing.T) {
 	f := newProbe(t, day.Draw(small(t, ""), 1))
 	f.run(3, 0)
-	f.run(3, 5_000_000) // within the window of 13 s
+	f.run(3, 5*time.Second) // within the window of 13 s
 	f.run(4, 0)
-	f.life.drainAt = 1
-	f.run(5, 1_700_000)
-	f.run(6, 2_000_000)
+	f.life.drainAt = time.Microsecond
+	f.run(5, 1700*time.Millisecond)
+	f.run(6, 2*time.Second)
 	res := f.close()
 	if res.Rules["duplicate"] != 1 || res.Rules["drain"] != 1 {
 		t.Fatalf("rules %v: %v", res.Rules, res.Notes)
--- a/internal/simulator/fleet/job.go
+++ b/internal/simulator/fleet/job.go
@@ -2,10 +2,12 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ryepaddle/internal/simulator/balance"
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/ledger"
+	"ryepaddle/internal/wallclock"
 )
 
 // Status is how a runner answered.
@@ -14,8 +16,8 @@
 // Answer is a runner's answer to a try.
 type Answer struct {
 	Status     Status
-	RetryAfter int64 // of Refused
-	DoNotRetry bool  // of Refused
+	RetryAfter time.Duration // of Refused
+	DoNotRetry bool          // of Refused
 }
 
 // Attempt is one try from its sending to its answer.
@@ -26,10 +28,10 @@
 	t        *balance.Attempt
 	a        *day.Arrival
 	r        *runner
-	l        *Incarnation // the one that read it
-	came     int64        // when it reached the machine
-	readAt   int64        // when it was read
-	stood    int64        // pauses of the machine before that
+	l        *Incarnation  // the one that read it
+	came     time.Duration // when it reached the machine
+	readAt   time.Duration // when it was read
+	stood    time.Duration // pauses of the machine before that
 	calls    []float64
 	call     int
 	runs     bool
@@ -50,7 +52,7 @@
 func (j *Attempt) Caller() uint32 { return uint32(j.b.no + 1) }
 
 // Arrived is the Unix time at which it reached the machine.
-func (j *Attempt) Arrived() int64 { return j.s.unixOrigin + j.came }
+func (j *Attempt) Arrived() wallclock.UnixMicro { return j.s.unixOrigin.Add(j.came) }
 
 // SizeKB is the memory that is booked while it is held.
 func (j *Attempt) SizeKB() float64 { return j.a.SizeKB }
@@ -152,8 +154,8 @@
 // owed one at once.
 func (j *Attempt) late(what string) {
 	class := &j.s.day.Spec.Classes[j.a.Class]
-	due := max(j.came+int64(class.DeadlineMs*1000), j.readAt) + j.l.standing() - j.stood
-	over := j.s.now() - due - int64(j.s.day.Spec.Fleet.SlackMs*1000) - spareTime
+	due := max(j.came+millis(class.DeadlineMs), j.readAt) + j.l.standing() - j.stood
+	over := j.s.now() - due - millis(j.s.day.Spec.Fleet.SlackMs) - spareTime
 	if over > 0 && !j.told {
 		j.s.book.AddViolation(
 			ledger.Lost,
@@ -162,7 +164,7 @@
 			j.r.spec.Name,
 			class.Name,
 			what,
-			over/1000,
+			over.Milliseconds(),
 		)
 	}
 }
--- a/internal/simulator/fleet/probe_test.go
+++ b/internal/simulator/fleet/probe_test.go
@@ -3,6 +3,7 @@
 import (
 	"strconv"
 	"testing"
+	"time"
 
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/ledger"
@@ -26,7 +27,7 @@
 }
 
 // run tells the engine to run a hand-in that came at a time.
-func (p *probe) run(id uint64, came int64) {
+func (p *probe) run(id uint64, came time.Duration) {
 	class := -1
 	for i, c := range p.s.day.Spec.Classes {
 		if c.Effect == "keyed" {
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/simulator/balance"
@@ -22,7 +23,7 @@
 	Check(caller int, done func(bool))           // a health check; done may never be called
 	Needs(j *Attempt)                            // a run waits for its call
 	Ended(j *Attempt, e dependencies.RunOutcome) // a run is over
-	Drain(stop int64)                            // it is to leave, and is stopped after so long
+	Drain(stop time.Duration)                    // it is to leave, and is stopped after so long
 	Kill()                                       // it ends at once
 }
 
@@ -48,13 +49,13 @@
 	dead     bool
 	left     bool // takes no more connections
 	pressure float64
-	drainAt  int64 // 0: not told to leave
-	stopAt   int64
+	drainAt  time.Duration // 0: not told to leave
+	stopAt   time.Duration
 	jobs     map[string]*Attempt // read, and not yet answered with their runs over
 	conns    map[*Attempt]struct{}
-	ran      map[uint64]int64 // first try to the end of its window
-	stopped  int64            // how long the machine has stood still in all
-	stoodAt  int64            // since when it stands still; 0: it does not
+	ran      map[uint64]time.Duration // first try to the end of its window
+	stopped  time.Duration            // how long the machine has stood still in all
+	stoodAt  time.Duration            // since when it stands still; 0: it does not
 	queue    []heldBack
 }
 
@@ -73,7 +74,7 @@
 		pressure: -1,
 		jobs:     map[string]*Attempt{},
 		conns:    map[*Attempt]struct{}{},
-		ran:      map[uint64]int64{},
+		ran:      map[uint64]time.Duration{},
 	}
 	l.machine = dependencies.NewMachine(s.clock, r.spec.Spec, cold, l)
 	if r.slowed > 1 {
@@ -98,7 +99,7 @@
 }
 
 // after calls back unless the process has ended by then.
-func (l *Incarnation) after(d int64, fn func()) (stop func()) {
+func (l *Incarnation) after(d time.Duration, fn func()) (stop func()) {
 	return l.r.s.clock.After(d, func() {
 		if !l.dead {
 			fn()
@@ -146,7 +147,7 @@
 }
 
 // restart begins a cold life after a while.
-func (r *runner) restart(after int64) {
+func (r *runner) restart(after time.Duration) {
 	r.s.clock.After(after, func() {
 		if r.life == nil && !r.s.closed {
 			if err := r.start(true); err != nil {
@@ -184,7 +185,7 @@
 }
 
 // standing is how long the machine has stood still so far.
-func (l *Incarnation) standing() int64 {
+func (l *Incarnation) standing() time.Duration {
 	if l.stoodAt != 0 {
 		return l.stopped + l.r.s.clock.Now() - l.stoodAt
 	}
@@ -206,12 +207,12 @@
 	if l == nil || l.drainAt != 0 {
 		return
 	}
-	stop := int64(f.StopMs * 1000)
+	stop := millis(f.StopMs)
 	l.drainAt = s.now()
 	l.stopAt = l.drainAt + stop
 	s.roster.Deregister(r.spec.Name)
 	l.proc.Drain(stop)
-	grace := min(int64(f.DrainMs*1000)+spareTime, stop/2)
+	grace := min(millis(f.DrainMs)+spareTime, stop/2)
 	l.after(grace, func() { l.left = true })
 	var look func()
 	look = func() {
@@ -221,7 +222,7 @@
 		}
 		l.unanswered("when it was stopped")
 		l.machine.Kill("stopped")
-		r.restart(int64(f.RestartS.Lo * 1e6))
+		r.restart(seconds(f.RestartS.Lo))
 	}
 	look()
 }
@@ -262,7 +263,7 @@
 	if why != "killed" && why != "stopped" {
 		s.book.AddViolation(ledger.RunnerCrash, s.now(), "%s: %s", r.spec.Name, why)
 		f := s.day.Spec.Fleet.RestartS
-		r.restart(int64((f.Lo + (f.Hi-f.Lo)*day.Unit(s.day.Seed, "restart"+r.spec.Name, r.lives)) * 1e6))
+		r.restart(seconds(f.Lo + (f.Hi-f.Lo)*day.Unit(s.day.Seed, "restart"+r.spec.Name, r.lives)))
 	}
 	for _, h := range l.queue { // what stood in the machine goes with it
 		h.j.reply(balance.Answer{Kind: balance.Failed, AdvertisedValue: -1})
@@ -298,11 +299,11 @@
 		if until, ran := l.ran[j.a.ID]; ran && (class.Effect == "unsafe" || j.came <= until) {
 			s.book.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", l.r.spec.Name, class.Name)
 		}
-		l.ran[j.a.ID] = j.came + int64(class.WindowMs*1000)
+		l.ran[j.a.ID] = j.came + millis(class.WindowMs)
 	}
-	if over := j.came - l.drainAt - int64(s.day.Spec.Fleet.DrainMs*1000) - spareTime; l.drainAt != 0 &&
+	if over := j.came - l.drainAt - millis(s.day.Spec.Fleet.DrainMs) - spareTime; l.drainAt != 0 &&
 		over > 0 {
-		s.book.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late", l.r.spec.Name, over/1000)
+		s.book.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late", l.r.spec.Name, over.Milliseconds())
 	}
 	j.runs = true
 	l.machine.Run(dependencies.Work{ID: name, SizeKB: j.a.SizeKB, Parts: l.parts(j)})
--- a/internal/simulator/ledger/ledger.go
+++ b/internal/simulator/ledger/ledger.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -55,7 +56,7 @@
 // Class is what the ledger needs to know of one.
 type Class struct {
 	Name                       string
-	LatencyObjective, Deadline int64
+	LatencyObjective, Deadline time.Duration
 	PriorityWeight             float64
 	LateWeightFraction         float64
 }
@@ -65,12 +66,12 @@
 	Whole, WorstWindow, WorstClass, WorstTenant float64
 	OverWorth                                   float64 // of a request beyond its tenant's share
 	Waste, LateFail                             float64
-	Window                                      int64
+	Window                                      time.Duration
 }
 
 // Request is a first try.
 type Request struct {
-	At      int64 // from the start of the day
+	At      time.Duration // from the start of the day
 	Class   int
 	Tenant  int
 	InShare bool
@@ -89,7 +90,7 @@
 	classes []Class
 	tenants []string
 	goal    Goal
-	length  int64
+	length  time.Duration
 	firsts  map[uint64]*first
 	order   []uint64
 	times   []*hdrhistogram.Histogram // of answers in time to use them, by class
@@ -102,18 +103,24 @@
 }
 
 const (
-	leastUs, mostUs, digits = 100, 3_600_000_000, 3
-	maxNotes                = 20
-	bucket                  = 1_000_000 // of the series
+	minLatency, maxLatency = 100 * time.Microsecond, time.Hour // of the histograms
+	digits                 = 3                                 // significant, of the histograms
+	maxNotes               = 20
+	bucket                 = time.Second // of the series
 	// a stretch asked for less than so much of the mean is no worst one
 	thin = 0.2
 )
 
+// newHistogram is one of latencies in microseconds.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), digits)
+}
+
 // New opens an account.
-func New(classes []Class, tenants []string, goal Goal, length int64) *Ledger {
+func New(classes []Class, tenants []string, goal Goal, length time.Duration) *Ledger {
 	l := &Ledger{classes: classes, tenants: tenants, goal: goal, length: length, firsts: map[uint64]*first{}}
 	for range classes {
-		l.times = append(l.times, hdrhistogram.New(leastUs, mostUs, digits))
+		l.times = append(l.times, newHistogram())
 	}
 	return l
 }
@@ -129,7 +136,7 @@
 }
 
 // EndRequest enters how a first try ended, so long after it was asked. Served is Late past the aim.
-func (l *Ledger) EndRequest(id uint64, c Cause, took int64) {
+func (l *Ledger) EndRequest(id uint64, c Cause, took time.Duration) {
 	f := l.firsts[id]
 	if f == nil || f.cause != Open {
 		l.twice++
@@ -140,7 +147,7 @@
 	}
 	f.pastAim = took > l.classes[f.Class].LatencyObjective
 	if f.cause = c; c == WithinObjective || c == Late {
-		l.times[f.Class].RecordValue(min(max(took, leastUs), mostUs))
+		l.times[f.Class].RecordValue(min(max(took, minLatency), maxLatency).Microseconds())
 	}
 }
 
@@ -151,12 +158,12 @@
 func (l *Ledger) AddUsefulWork(work float64) { l.usedFor += work }
 
 // AddViolation enters a broken rule.
-func (l *Ledger) AddViolation(r Rule, at int64, format string, v ...any) {
+func (l *Ledger) AddViolation(r Rule, at time.Duration, format string, v ...any) {
 	l.broken[r]++
 	if len(l.notes) < maxNotes {
 		l.notes = append(
 			l.notes,
-			fmt.Sprintf("%.3f s: %v: %s", float64(at)/1e6, r, fmt.Sprintf(format, v...)),
+			fmt.Sprintf("%.3f s: %v: %s", float64(at.Microseconds())/1e6, r, fmt.Sprintf(format, v...)),
 		)
 	}
 }
@@ -297,7 +304,7 @@
 	if math.Abs(sum-r.All.Asked) > 1e-6*max(sum, 1) {
 		return nil, fmt.Errorf("ledger: causes come to %v of %v asked", sum, r.All.Asked)
 	}
-	all := hdrhistogram.New(leastUs, mostUs, digits)
+	all := newHistogram()
 	for i := range r.Classes {
 		all.Merge(l.times[i])
 		r.Classes[i].close(l.times[i])
@@ -339,7 +346,7 @@
 
 // worst is the least share served in any stretch of the window's length, from the first second on.
 // Stretches in which hardly anything was asked for do not count.
-func (r *Result) worst(window int64) float64 {
+func (r *Result) worst(window time.Duration) float64 {
 	n := int(window / bucket)
 	if len(r.Series) < n+1 || n < 1 {
 		return r.All.Served
--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -4,13 +4,14 @@
 	"math"
 	"strings"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 )
 
-const ms = 1000
+const ms = time.Millisecond
 
-func account(length int64) *Ledger {
+func account(length time.Duration) *Ledger {
 	return New(
 		[]Class{
 			{"check", 100 * ms, 500 * ms, 1, 0.2},
@@ -22,7 +23,7 @@
 			"south",
 		},
 		Goal{Whole: 0.45, WorstWindow: 0.15, WorstClass: 0.3, WorstTenant: 0.1, OverWorth: 0.05,
-			Waste: 0.05, LateFail: 0.044, Window: 2_000_000},
+			Waste: 0.05, LateFail: 0.044, Window: 2 * time.Second},
 		length,
 	)
 }
@@ -35,9 +36,9 @@
 }
 
 func TestWorth(t *testing.T) {
-	l := account(4_000_000)
+	l := account(4 * time.Second)
 	at := func(s float64, class, tenant int, in bool) Request {
-		return Request{At: int64(s * 1e6), Class: class, Tenant: tenant, InShare: in, Work: 1000}
+		return Request{At: time.Duration(s * float64(time.Second)), Class: class, Tenant: tenant, InShare: in, Work: 1000}
 	}
 	l.AddRequest(1, at(0.5, 0, 0, true))
 	l.EndRequest(1, WithinObjective, 100*ms)
@@ -68,10 +69,10 @@
 }
 
 func TestABrokenRuleMakesTheDay0(t *testing.T) {
-	l := account(4_000_000)
+	l := account(4 * time.Second)
 	l.AddRequest(1, Request{InShare: true})
-	l.EndRequest(1, WithinObjective, 1)
-	l.AddViolation(Duplicate, 1_500_000, "hand-in %d", 7)
+	l.EndRequest(1, WithinObjective, time.Microsecond)
+	l.AddViolation(Duplicate, 1500*ms, "hand-in %d", 7)
 	r, err := l.Close(0)
 	if err != nil || r.Score != 0 || r.Worth < 0.9 || r.Rules["duplicate"] != 1 ||
 		r.Notes[0] != "1.500 s: duplicate: hand-in 7" {
@@ -80,20 +81,20 @@
 }
 
 func TestAnEmptyDay(t *testing.T) {
-	r, err := account(4_000_000).Close(0)
+	r, err := account(4 * time.Second).Close(0)
 	if err != nil || math.Abs(r.Worth-1) > 1e-9 || math.IsNaN(r.Score) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 }
 
 func TestFaultsOfTheModelAreReported(t *testing.T) {
-	l := account(4_000_000)
+	l := account(4 * time.Second)
 	l.AddRequest(1, Request{})
 	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "has no end") {
 		t.Errorf("a first try without an end: %v", err)
 	}
-	l.EndRequest(1, Failed, 1)
-	l.EndRequest(1, WithinObjective, 1)
+	l.EndRequest(1, Failed, time.Microsecond)
+	l.EndRequest(1, WithinObjective, time.Microsecond)
 	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "1 ends of what had ended") {
 		t.Errorf("a first try that ends twice: %v", err)
 	}
@@ -102,16 +103,16 @@
 // PriorityWeight asked for is worth served and lost, by cause, class and tenant alike.
 func TestConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := account(10_000_000)
+		l := account(10 * time.Second)
 		n := rapid.IntRange(0, 200).Draw(t, "n")
 		for i := range n {
 			id := uint64(i)
-			l.AddRequest(id, Request{At: int64(i) * 50_000, Class: rapid.IntRange(0, 2).Draw(t, "class"),
+			l.AddRequest(id, Request{At: time.Duration(i) * 50 * ms, Class: rapid.IntRange(0, 2).Draw(t, "class"),
 				Tenant: rapid.IntRange(0, 1).Draw(t, "tenant"), InShare: rapid.Bool().Draw(t, "in")})
 			l.EndRequest(
 				id,
 				Cause(rapid.IntRange(int(WithinObjective), int(causes)-1).Draw(t, "cause")),
-				rapid.Int64Range(0, 200*ms).Draw(t, "took"),
+				time.Duration(rapid.Int64Range(0, 200_000).Draw(t, "took"))*time.Microsecond,
 			)
 		}
 		r, err := l.Close(0)
--- a/internal/testing/daytest/backend.go
+++ b/internal/testing/daytest/backend.go
@@ -17,7 +17,7 @@
 )
 
 // lookEvery is how soon connections are refused once the back end has fallen over.
-const lookEvery = 50_000
+const lookEvery = 50 * time.Millisecond
 
 // backend is the shared back end behind a socket.
 type backend struct {
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	b.addr = b.ln.Addr()
-	l.Every(time.Duration(lookEvery)*time.Microsecond, b.look)
+	l.Every(lookEvery, b.look)
 	return b, nil
 }
 
--- a/internal/testing/daytest/engine.go
+++ b/internal/testing/daytest/engine.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"time"
 
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/simulator/fleet"
@@ -30,14 +31,14 @@
 	life    *fleet.Incarnation
 	ln      *eventloop.Listener
 	link    *link // that stands; nil: none
-	born    int64
+	born    time.Duration
 	last    int64 // number of the last notice
 	notices [][]byte
 	closed  bool
 }
 
 func newEngine(l *eventloop.Loop, life *fleet.Incarnation) (e *engine, err error) {
-	e = &engine{loop: l, life: life, born: l.Now().Microseconds()}
+	e = &engine{loop: l, life: life, born: l.Now()}
 	e.ln, err = l.Listen(
 		loopback,
 		16,
@@ -130,7 +131,7 @@
 		e.link = k
 		k.Write(
 			encode(
-				message{T: "HELLO", Status: "running", TimeMs: (e.loop.Now().Microseconds() - e.born) / 1000},
+				message{T: "HELLO", Status: "running", TimeMs: (e.loop.Now() - e.born).Milliseconds()},
 			),
 		)
 		first := e.last - int64(len(e.notices)) + 1
--- a/internal/testing/daytest/process.go
+++ b/internal/testing/daytest/process.go
@@ -14,17 +14,19 @@
 	"strconv"
 	"strings"
 	"syscall"
+	"time"
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/eventloop"
 	"ryepaddle/internal/protocol/fastcgi"
 	"ryepaddle/internal/simulator/dependencies"
 	"ryepaddle/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 const (
-	mostOpen  = 32     // requests on one connection (PROTOCOL)
-	crossTime = 50_000 // a request that crosses a close is sent again, once
+	mostOpen  = 32                    // requests on one connection (PROTOCOL)
+	crossTime = 50 * time.Millisecond // a request that crosses a close is sent again, once
 	bufferIn  = 1 << 20
 	bufferOut = 4 << 20
 )
@@ -127,7 +129,7 @@
 func (p *process) Forget(*fleet.Attempt) {}
 
 // Drain implements fleet.Process.
-func (p *process) Drain(int64) { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
+func (p *process) Drain(time.Duration) { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Kill implements fleet.Process.
 func (p *process) Kill() {
@@ -167,7 +169,7 @@
 	j      *fleet.Attempt
 	c      *conn
 	id     uint16
-	sent   int64
+	sent   time.Duration
 	again  bool
 	stdout []byte
 	check  func(good bool) // of a health check, in place of j
@@ -187,7 +189,7 @@
 	if c == nil {
 		c = p.dial(caller)
 	}
-	x.c, x.sent = c, p.rig.loop.Now().Microseconds()
+	x.c, x.sent = c, p.rig.loop.Now()
 	for c.next++; c.next == 0 || c.open[c.next] != nil; c.next++ {
 	}
 	x.id = c.next
@@ -200,7 +202,7 @@
 		{"HTTP_X_CALL_ID", j.Name},
 		{
 			"HTTP_X_QUEUE_START",
-			strconv.FormatInt(j.Arrived()/1000, 10),
+			strconv.FormatInt(int64(j.Arrived()/1000), 10),
 		},
 		{"HTTP_X_SOURCE", strconv.Itoa(int(j.Caller()))},
 		{"HTTP_X_CUSTOMER", j.TenantName()},
@@ -325,7 +327,7 @@
 			}
 		case "X-Come-Back-Ms":
 			if ms, err := strconv.ParseFloat(value, 64); err == nil {
-				a.RetryAfter = int64(ms * 1000)
+				a.RetryAfter = virtualclock.FromMicros(ms * 1000)
 			}
 		case "X-No-Failover":
 			a.DoNotRetry = value == "1"
@@ -368,7 +370,7 @@
 			x.j.ConnectionBroke()
 		case errors.As(err, &refused):
 			x.j.Unreachable()
-		case !x.again && p.rig.loop.Now().Microseconds()-x.sent <= crossTime:
+		case !x.again && p.rig.loop.Now()-x.sent <= crossTime:
 			p.send(&exchange{j: x.j, again: true}, x.j.Caller())
 		default:
 			x.j.Lost(fmt.Sprintf("the connection ended without an answer: %v", err))
--- a/internal/testing/daytest/rig.go
+++ b/internal/testing/daytest/rig.go
@@ -31,14 +31,14 @@
 
 // settleFor is how long the day goes on once all first tries have ended: runners still owe answers
 // that nobody waits for.
-const settleFor = 500_000
+const settleFor = 500 * time.Millisecond
 
 // clock lets the state machines run on the event loop.
 type clock struct{ l *eventloop.Loop }
 
-func (c clock) Now() int64 { return c.l.Now().Microseconds() }
-func (c clock) After(d int64, fn func()) virtualclock.Timer {
-	return c.l.After(time.Duration(d)*time.Microsecond, fn)
+func (c clock) Now() time.Duration { return c.l.Now().Truncate(virtualclock.Resolution) }
+func (c clock) After(d time.Duration, fn func()) virtualclock.Timer {
+	return c.l.After(d, fn)
 }
 
 // Harness is a day under way.
@@ -97,12 +97,12 @@
 	wait = func() {
 		switch {
 		case r.stage.IsReady():
-			r.stage.Begin(int64(l.Unix()))
-			last := l.Now().Microseconds() + r.stage.Duration()
+			r.stage.Begin(l.Unix())
+			last := l.Now() + r.stage.Duration()
 			var look func()
 			look = func() {
-				if r.stage.IsOver() || l.Now().Microseconds() >= last {
-					l.After(time.Duration(settleFor)*time.Microsecond, end)
+				if r.stage.IsOver() || l.Now() >= last {
+					l.After(settleFor, end)
 					return
 				}
 				l.After(100*time.Millisecond, look)
@@ -134,12 +134,12 @@
 // beatEvery is how often the loop looks at its timers. By itself it sleeps in whole milliseconds,
 // which a request meets half a dozen times on its way; the fleet that is stood in for does not wait
 // so.
-const beatEvery = 200_000 // nanoseconds
+const beatEvery = 200 * time.Microsecond
 
 // beat wakes the loop until the day is over.
 func (r *Harness) beat() {
 	for !r.over.Load() {
-		t := unix.NsecToTimespec(beatEvery)
+		t := unix.NsecToTimespec(beatEvery.Nanoseconds())
 		_ = unix.Nanosleep(&t, nil) // a signal may end it early, which does no harm
 		r.loop.Deliver(func() {})
 	}
--- a/internal/testing/simcluster/simcluster.go
+++ b/internal/testing/simcluster/simcluster.go
@@ -3,21 +3,22 @@
 // repeat and cut, and disks that are kept, old or empty when a process is back. What the processes
 // do is the test's. The same seed plays the same, as far as what it plays does.
 //
-// Times are microseconds of true time, which no process is told.
+// Times are true times, which no process can read: it has only the clocks of its Node.
 package simcluster
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // Spans of time.
 const (
-	Ms     = int64(1000)
-	Second = 1000 * Ms
+	Ms     = time.Millisecond
+	Second = time.Second
 )
 
 // Options say what is played.
@@ -55,9 +56,9 @@
 	stopped     int    // how many faults hold it
 	held        []func()
 	rate        float64
-	mono, boot  int64 // what is added to the clocks
-	asleep      int64 // since when the machine is suspended; 0: it is not
-	slept       int64
+	mono, boot  time.Duration // what is added to the clocks
+	asleep      time.Duration // since when the machine is suspended; 0: it is not
+	slept       time.Duration
 	disk, old   any
 	replaced    bool
 }
@@ -93,18 +94,20 @@
 	}
 }
 
-// Between draws a number from a to below b.
-func (w *Cluster) Between(a, b int64) int64 { return a + w.Rand.Int64N(b-a) }
+// Between draws a duration from a to below b, in whole microseconds.
+func (w *Cluster) Between(a, b time.Duration) time.Duration {
+	return a + time.Duration(w.Rand.Int64N((b-a).Microseconds()))*time.Microsecond
+}
 
 // Run plays for a while.
-func (w *Cluster) Run(d int64) { w.RunUntil(w.Now() + d) }
+func (w *Cluster) Run(d time.Duration) { w.RunUntil(w.Now() + d) }
 
 // Node is the one of that name; nil: there is none.
 func (w *Cluster) Node(name string) *Node { return w.named[name] }
 
 func (w *Cluster) tell(format string, a ...any) {
 	if w.opt.Log != nil {
-		w.opt.Log("%.3f "+format, append([]any{float64(w.Now()) / float64(Second)}, a...)...)
+		w.opt.Log("%.3f "+format, append([]any{virtualclock.Micros(w.Now()) / 1e6}, a...)...)
 	}
 }
 
@@ -115,19 +118,23 @@
 }
 
 // Monotonic is the machine's clock that stands still while it is suspended.
-func (n *Node) Monotonic() int64 {
+func (n *Node) Monotonic() time.Duration {
 	at := n.Cluster.Now()
 	if n.asleep != 0 {
 		at = n.asleep
 	}
-	return n.mono + int64(float64(at-n.slept)*n.rate)
+	return n.mono + virtualclock.FromMicros(virtualclock.Micros(at-n.slept)*n.rate)
 }
 
 // BootTime is the machine's clock that goes on while it is suspended.
-func (n *Node) BootTime() int64 { return n.boot + int64(float64(n.Cluster.Now())*n.rate) }
+func (n *Node) BootTime() time.Duration {
+	return n.boot + virtualclock.FromMicros(virtualclock.Micros(n.Cluster.Now())*n.rate)
+}
 
 // TrueTime is the true time of one by the machine's clock that goes on.
-func (n *Node) TrueTime(boot int64) int64 { return int64(float64(boot-n.boot) / n.rate) }
+func (n *Node) TrueTime(boot time.Duration) time.Duration {
+	return virtualclock.FromMicros(virtualclock.Micros(boot-n.boot) / n.rate)
+}
 
 // Do has the process do something: now, when it is let go on, or never if it ends before that.
 func (n *Node) Do(fn func()) {
@@ -141,7 +148,7 @@
 }
 
 // After has this process do something after a while.
-func (n *Node) After(d int64, fn func()) {
+func (n *Node) After(d time.Duration, fn func()) {
 	life := n.Incarnation
 	n.Cluster.After(d, func() {
 		if n.Incarnation == life {
@@ -152,7 +159,7 @@
 
 // Every has this process do something again and again. What it misses while it is held it does
 // once.
-func (n *Node) Every(d int64, fn func()) {
+func (n *Node) Every(d time.Duration, fn func()) {
 	life, waits := n.Incarnation, false
 	var tick func()
 	tick = func() {
@@ -181,7 +188,7 @@
 		times = 2
 	}
 	for range times {
-		d := w.Between(200, 4*Ms)
+		d := w.Between(200*time.Microsecond, 4*Ms)
 		if w.Rand.IntN(100) == 0 {
 			d = w.Between(4*Ms, 500*Ms)
 		}
@@ -194,17 +201,17 @@
 }
 
 // Stop holds the process for a while, as SIGSTOP does. What comes in waits.
-func (n *Node) Stop(d int64) { n.hold(d, false) }
+func (n *Node) Stop(d time.Duration) { n.hold(d, false) }
 
 // Suspend holds the machine for a while: one of its clocks stands still.
-func (n *Node) Suspend(d int64) { n.hold(d, true) }
+func (n *Node) Suspend(d time.Duration) { n.hold(d, true) }
 
-func (n *Node) hold(d int64, asleep bool) {
+func (n *Node) hold(d time.Duration, asleep bool) {
 	if !n.Up || n.stopped > 0 {
 		return
 	}
 	life := n.Incarnation
-	n.Cluster.tell("%s is held for %d ms, suspended %v", n.Name, d/Ms, asleep)
+	n.Cluster.tell("%s is held for %d ms, suspended %v", n.Name, d.Milliseconds(), asleep)
 	if n.stopped++; asleep {
 		n.asleep = n.Cluster.Now()
 	}
@@ -236,11 +243,11 @@
 )
 
 // Crash ends the process. Another one begins after a while.
-func (n *Node) Crash(back int64, disk Disk) {
+func (n *Node) Crash(back time.Duration, disk Disk) {
 	if !n.Up {
 		return
 	}
-	n.Cluster.tell("%s crashes, back in %d ms with disk %d", n.Name, back/Ms, disk)
+	n.Cluster.tell("%s crashes, back in %d ms with disk %d", n.Name, back.Milliseconds(), disk)
 	n.old, n.disk = n.disk, n.Cluster.opt.Save(n)
 	n.Up, n.held = false, nil
 	n.Cluster.After(back, func() {
@@ -268,7 +275,7 @@
 }
 
 // Cut cuts what goes from a to b for a while, or both ways.
-func (w *Cluster) Cut(a, b string, d int64, both bool) {
+func (w *Cluster) Cut(a, b string, d time.Duration, both bool) {
 	if a == b {
 		return
 	}
@@ -280,8 +287,8 @@
 }
 
 // CutOff cuts a runner from all, or has it be heard by nobody.
-func (n *Node) CutOff(d int64, both bool) {
-	n.Cluster.tell("%s is cut off for %d ms, both ways %v", n.Name, d/Ms, both)
+func (n *Node) CutOff(d time.Duration, both bool) {
+	n.Cluster.tell("%s is cut off for %d ms, both ways %v", n.Name, d.Milliseconds(), both)
 	for _, o := range n.Cluster.Nodes {
 		n.Cluster.Cut(n.Name, o.Name, d, both)
 	}
@@ -303,12 +310,12 @@
 	case 3:
 		n.Suspend(d)
 	case 4:
-		w.tell("%s and %s are cut for %d ms", n.Name, o.Name, d/Ms)
+		w.tell("%s and %s are cut for %d ms", n.Name, o.Name, d.Milliseconds())
 		w.Cut(n.Name, o.Name, d, w.Rand.IntN(2) == 0)
 	case 5, 6:
 		n.CutOff(d, w.Rand.IntN(3) > 0)
 	case 7:
-		w.tell("%s is cut off for %d ms", n.Zone, d/Ms)
+		w.tell("%s is cut off for %d ms", n.Zone, d.Milliseconds())
 		for _, a := range w.Nodes {
 			for _, b := range w.Nodes {
 				if a.Zone == n.Zone && b.Zone != n.Zone {
@@ -321,7 +328,7 @@
 			n.Replace()
 		}
 	case 9: // half of the fleet from the other one
-		w.tell("the fleet is cut in two for %d ms", d/Ms)
+		w.tell("the fleet is cut in two for %d ms", d.Milliseconds())
 		for i, a := range w.Nodes {
 			for _, b := range w.Nodes[:i] {
 				if a.Name[len(a.Name)-1]%2 != b.Name[len(b.Name)-1]%2 {
