--- a/internal/app/routes.go
+++ b/internal/app/routes.go
@@ -97,7 +97,7 @@
 		MaxConnectionsPerAddress: op.Limits.PerAddress,
 		MaxVariablesBytes:        op.Limits.VarsKB << 10,
 		Flow:                     op.Limits.Flow(),
-		ReadTimeout:              op.Limits.ReadMs * 1000,
+		ReadTimeout:              time.Duration(op.Limits.ReadMs) * time.Millisecond,
 		Matcher:                  op.Matcher,
 		HealthPath:               op.HealthPath,
 		TenantVariable:           op.Tenant.Variable,
@@ -110,7 +110,7 @@
 		class := r.cfg.Settings.ClassIndex(p.Class)
 		opt.Routes = append(
 			opt.Routes,
-			uwsgi.Route{Prefix: p.Path, Class: class, Deadline: p.DeadlineMs * 1000, Key: p.KeyExpression,
+			uwsgi.Route{Prefix: p.Path, Class: class, Deadline: time.Duration(p.DeadlineMs) * time.Millisecond, Key: p.KeyExpression,
 				Idempotent: class >= 0 &&
 					r.cfg.Settings.Classes[class].Idempotency == admission.Idempotent, Proxied: p.Group != ""},
 		)
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -64,68 +64,77 @@
 	return string(got)
 }
 
-func TestCalls(t *testing.T) {
-	well, unwell := open(t, &program{}), open(t, &program{why: "it leaves"})
-	for _, x := range []struct {
-		name, addr, call, status, body string
-	}{
-		{"ready", well, "GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n", "200 OK", `{"ready":true}`},
-		{
-			"not ready",
-			unwell,
-			"GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n",
-			"503 Service Unavailable",
-			`{"error":"it leaves"}`,
-		},
-		{"figures", well, "GET /ops/stats HTTP/1.1\r\n\r\n", "200 OK", `{"open_requests":14}`},
-		{
-			"figures of one that leaves",
-			unwell,
-			"GET /ops/stats HTTP/1.1\r\n\r\n",
-			"200 OK",
-			`{"open_requests":14}`,
-		},
-		{"query", well, "GET /ops/stats?pretty=1 HTTP/1.0\r\n\r\n", "200 OK", `{"open_requests":14}`},
-		{
-			"another path",
-			well,
-			"GET /ops HTTP/1.1\r\n\r\n",
-			"404 Not Found",
-			`{"error":"no such call: there are /ops/readiness and /ops/stats"}`,
-		},
-		{
-			"another method",
-			well,
-			"POST /ops/stats HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
-			"405 Method Not Allowed",
-			`{"error":"the method is GET"}`,
-		},
-		{"no HTTP", well, "hello\r\n\r\n", "400 Bad Request", `{"error":"malformed HTTP request \"hello\""}`},
-		{
-			"another version",
-			well,
-			"GET /ops/stats HTTP/3\r\n\r\n",
-			"400 Bad Request",
-			`{"error":"malformed HTTP version \"HTTP/3\""}`,
-		},
-		{
-			"a bad header",
-			well,
-			"GET /ops/stats HTTP/1.1\r\nbad header\r\n\r\n",
-			"400 Bad Request",
-			`{"error":"malformed MIME header: missing colon: \"bad header\""}`,
-		},
-		{
-			"a second call",
-			well,
-			"GET /ops/stats HTTP/1.1\r\n\r\nGET /ops/readiness HTTP/1.1\r\n\r\n",
-			"200 OK",
-			`{"open_requests":14}`,
-		},
-	} {
+// requestCases are requests to a program that can serve, or that drains, with what they get.
+var requestCases = []struct {
+	name               string
+	draining           bool
+	call, status, body string
+}{
+	{"ready", false, "GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n", "200 OK", `{"ready":true}`},
+	{
+		"not ready",
+		true,
+		"GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n",
+		"503 Service Unavailable",
+		`{"error":"it leaves"}`,
+	},
+	{"figures", false, "GET /ops/stats HTTP/1.1\r\n\r\n", "200 OK", `{"open_requests":14}`},
+	{
+		"figures of one that leaves",
+		true,
+		"GET /ops/stats HTTP/1.1\r\n\r\n",
+		"200 OK",
+		`{"open_requests":14}`,
+	},
+	{"query", false, "GET /ops/stats?pretty=1 HTTP/1.0\r\n\r\n", "200 OK", `{"open_requests":14}`},
+	{
+		"another path",
+		false,
+		"GET /ops HTTP/1.1\r\n\r\n",
+		"404 Not Found",
+		`{"error":"no such call: there are /ops/readiness and /ops/stats"}`,
+	},
+	{
+		"another method",
+		false,
+		"POST /ops/stats HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
+		"405 Method Not Allowed",
+		`{"error":"the method is GET"}`,
+	},
+	{"no HTTP", false, "hello\r\n\r\n", "400 Bad Request", `{"error":"malformed HTTP request \"hello\""}`},
+	{
+		"another version",
+		false,
+		"GET /ops/stats HTTP/3\r\n\r\n",
+		"400 Bad Request",
+		`{"error":"malformed HTTP version \"HTTP/3\""}`,
+	},
+	{
+		"a bad header",
+		false,
+		"GET /ops/stats HTTP/1.1\r\nbad header\r\n\r\n",
+		"400 Bad Request",
+		`{"error":"malformed MIME header: missing colon: \"bad header\""}`,
+	},
+	{
+		"a second call",
+		false,
+		"GET /ops/stats HTTP/1.1\r\n\r\nGET /ops/readiness HTTP/1.1\r\n\r\n",
+		"200 OK",
+		`{"open_requests":14}`,
+	},
+}
+
+func TestRequestsGetStatusAndBody(t *testing.T) {
+	serving, draining := open(t, &program{}), open(t, &program{why: "it leaves"})
+	for _, x := range requestCases {
+		addr := serving
+		if x.draining {
+			addr = draining
+		}
 		t.Run(x.name, func(t *testing.T) {
 			for _, pieces := range [][]string{{x.call}, strings.SplitAfter(x.call, "/")} {
-				head, body, _ := strings.Cut(ask(t, x.addr, pieces...), "\r\n\r\n")
+				head, body, _ := strings.Cut(ask(t, addr, pieces...), "\r\n\r\n")
 				status, fields, _ := strings.Cut(head, "\r\n")
 				if diff := cmp.Diff(
 					[]string{"HTTP/1.1 " + x.status, x.body},
@@ -144,7 +153,7 @@
 	}
 }
 
-func TestLongCall(t *testing.T) {
+func TestHeadOverItsLimitIsRejected(t *testing.T) {
 	got := ask(t, open(t, &program{}), "GET /ops/stats HTTP/1.1\r\nX: "+strings.Repeat("a", maxHeadBytes))
 	if !strings.HasPrefix(got, "HTTP/1.1 431 ") {
 		t.Errorf("a head over its limit gets %q", got)
@@ -152,7 +161,7 @@
 }
 
 // Callers that send nothing take no place from those that ask.
-func TestSilentCallers(t *testing.T) {
+func TestSilentCallersMakeRoom(t *testing.T) {
 	addr := open(t, &program{})
 	var silent []net.Conn
 	for range 4 * maxConnections {
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -77,8 +77,10 @@
 	r.core, err = lifecycle.New(set, 1, lifecycle.Environment{Now: r.Now, Unix: r.Unix,
 		After:     func(d time.Duration, fn func()) func() { return r.After(d, fn).Stop },
 		Measure:   func(fn func(lifecycle.Gauges)) { fn(lifecycle.UnknownGauges()) },
-		SetHealth: r.front.SetHealth, Advertise: r.front.SetAdvertisedValue, CloseIdle: func(time.Duration) {},
-		Route: func(int) lifecycle.Runner { return r }})
+		SetHealth: r.front.SetHealth,
+		Advertise: r.front.SetAdvertisedValue,
+		CloseIdle: func(time.Duration) {},
+		Route:     func(int) lifecycle.Runner { return r }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +176,7 @@
 }
 
 // A request that comes in the very turn in which its connection would be closed as idle is served.
-func TestRequestAsItsIdleConnectionIsClosed(t *testing.T) {
+func TestRequestCrossesTheCloseOfItsIdleConnection(t *testing.T) {
 	r := newRunner(t, idleFor)
 	c := r.connect(r.request(1))
 	r.serve(1)
@@ -189,7 +191,7 @@
 
 // A request that comes in pieces on a connection that has rested is not taken for one that never
 // ends, nor its connection for an idle one.
-func TestPiecesOnARestedConnection(t *testing.T) {
+func TestRequestInPiecesOnAnIdleConnectionIsServed(t *testing.T) {
 	for name, idle := range map[string]time.Duration{"that may rest": longIdle, "that is trimmed": idleFor} {
 		t.Run(name, func(t *testing.T) {
 			r := newRunner(t, idle)
@@ -215,7 +217,7 @@
 }
 
 // Half a request as the front leaves: the rest may still come, and gets its answer.
-func TestHalfARequestAsTheFrontLeaves(t *testing.T) {
+func TestHalfARequestIsReadDuringADrain(t *testing.T) {
 	for _, cut := range []int{3, midRecord} {
 		r := newRunner(t, longIdle)
 		c := r.connect(r.request(1))
@@ -233,7 +235,7 @@
 
 // The answer to one request must not end a connection on which another has begun to come, or has
 // come in the same moment.
-func TestAnswerAsAnotherRequestComes(t *testing.T) {
+func TestAnswerCrossesAnotherRequest(t *testing.T) {
 	for name, cut := range map[string]int{"begun": midRecord, "unread": 0} {
 		t.Run(name, func(t *testing.T) {
 			r := newRunner(t, longIdle)
@@ -256,7 +258,7 @@
 
 // A balancer gives up a request whose answer is on its way, and then uses its number again: the
 // abort is about nothing any more, and the new request is served.
-func TestNumberIsUsedAgainAsAnAbortCrossesTheAnswer(t *testing.T) {
+func TestRequestIDIsReusedAsAnAbortCrossesTheAnswer(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1))
 	r.serve(1)
@@ -277,7 +279,7 @@
 }
 
 // What cannot be read ends a connection, but not the requests that were read on it before.
-func TestSpoiltBytesBehindARequest(t *testing.T) {
+func TestMalformedInputAfterARequestKeepsItsAnswer(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1) + r.request(2)[:midRecord] + strings.Repeat("\xff", 9000))
 	r.serve(1)
@@ -286,7 +288,7 @@
 
 // A request whose rest does not come in time is turned away alone: the others on its connection get
 // their answers.
-func TestRequestThatDoesNotGoOn(t *testing.T) {
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1) + r.request(2)[:midRecord])
 	r.Until(func() bool { return len(r.runs) == 1 })
@@ -297,7 +299,7 @@
 
 // A bad request ends its connection after the others on it: one that has begun is still read, and a
 // new one is turned away.
-func TestBadRequestBesideOthers(t *testing.T) {
+func TestMalformedRequestKeepsTheAnswersOfOthers(t *testing.T) {
 	r := newRunner(t, longIdle)
 	bad := bytes.Replace([]byte(r.request(3)), []byte("/ops/check"), []byte("/ops/chalk"), 1)
 	rest := r.request(2)
@@ -308,7 +310,7 @@
 
 // Idle connections make room for others, the oldest first, but not one on which a request has just
 // come.
-func TestRoomIsMadeByIdleConnections(t *testing.T) {
+func TestIdleConnectionsMakeRoom(t *testing.T) {
 	r := newRunner(t, longIdle)
 	r.front.SetMaxConnections(3)
 	var resting []*net.TCPConn
@@ -334,7 +336,7 @@
 
 // A peer that rests until the process ends does not hold it up, and one that always sends is left
 // some time.
-func TestPeersThatStayAsTheFrontLeaves(t *testing.T) {
+func TestPeersThatStayAreClosedAfterADrain(t *testing.T) {
 	r := newRunner(t, longIdle)
 	rests, sends := r.connect(r.request(1)), r.connect(r.request(2))
 	r.serve(2)
@@ -372,7 +374,7 @@
 
 // A flood of parts on many connections costs the largest of them its parts, and not the answer that
 // it is owed.
-func TestFloodOfPartsBesideARequest(t *testing.T) {
+func TestFloodOfIncompleteRequestsKeepsOwedAnswers(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1))
 	r.Until(func() bool { return len(r.runs) == 1 })
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -182,7 +182,10 @@
 	case err != nil:
 		x.reject(http.StatusBadRequest, err)
 	case length != "" && length != strconv.Itoa(len(body)):
-		x.reject(http.StatusBadRequest, fmt.Errorf("CONTENT_LENGTH %q, and a body of %d bytes", length, len(body)))
+		x.reject(
+			http.StatusBadRequest,
+			fmt.Errorf("CONTENT_LENGTH %q, and a body of %d bytes", length, len(body)),
+		)
 	default:
 		request.Body, request.Metadata, request.Responder = body, metadata, x
 		x.ticket = f.manager.Submit(request)
--- a/internal/frontend/uwsgi/crossing_test.go
+++ b/internal/frontend/uwsgi/crossing_test.go
@@ -20,8 +20,10 @@
 	s := scenario.NewSteppedLoop(t)
 	f := front.New(
 		s.Loop,
-		front.Options{Listen: netaddr.Addr{IP: netip.MustParseAddrPort("127.0.0.1:0")}, MaxConnections: connections,
-			MaxVariablesBytes: 4 << 10, HealthPath: "/alive", ReadTimeout: time.Minute.Microseconds()},
+		front.Options{Listen: netaddr.Addr{
+			IP: netip.MustParseAddrPort("127.0.0.1:0"),
+		}, MaxConnections: connections,
+			MaxVariablesBytes: 4 << 10, HealthPath: "/alive", ReadTimeout: time.Minute},
 	)
 	if err := f.Listen(nil); err != nil {
 		t.Fatal(err)
@@ -35,7 +37,10 @@
 	packet, err := uwsgi.Append(
 		nil,
 		&uwsgi.Request{
-			Variables: []uwsgi.Variable{{Name: "REQUEST_METHOD", Value: "GET"}, {Name: "PATH_INFO", Value: "/alive"}},
+			Variables: []uwsgi.Variable{
+				{Name: "REQUEST_METHOD", Value: "GET"},
+				{Name: "PATH_INFO", Value: "/alive"},
+			},
 		},
 	)
 	if err != nil {
@@ -53,7 +58,7 @@
 
 // What waits in the queue as the front leaves has been accepted in its caller's eyes, and its
 // request is read and answered; one that comes a little later as well.
-func TestRequestInTheQueueAsTheFrontLeaves(t *testing.T) {
+func TestQueuedRequestIsServedDuringADrain(t *testing.T) {
 	s, f := newFront(t, 8)
 	asked := s.DialAddr(f.Addr().String(), health(t))
 	silent := s.DialAddr(f.Addr().String(), "")
@@ -69,7 +74,7 @@
 }
 
 // Silent connections make room for others, but not one whose request has just come.
-func TestRoomIsMadeBySilentConnections(t *testing.T) {
+func TestSilentConnectionsMakeRoom(t *testing.T) {
 	s, f := newFront(t, 2)
 	var rest []*net.TCPConn
 	for n := 1; n <= 2; n++ {
--- /dev/null
+++ b/internal/frontend/uwsgi/frontend.go
@@ -0,0 +1,233 @@
+// Package uwsgi is the frontend for uwsgi callers. It translates one request on each connection to the
+// request lifecycle and the answer back, streams bodies and responses, and bounds what a connection may
+// hold. It takes no decisions about requests.
+package uwsgi
+
+import (
+	"cmp"
+	"log/slog"
+	"net/http"
+	"net/netip"
+	"slices"
+	"time"
+
+	"ryepaddle/internal/eventloop"
+	"ryepaddle/internal/flowcontrol"
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/match"
+	"ryepaddle/internal/netaddr"
+	"ryepaddle/internal/protocol/httpmessage"
+	"ryepaddle/internal/telemetry/logging"
+)
+
+// Log events.
+var (
+	eventTooManyConnections = logging.Define("uwsgi.too_many", slog.LevelWarn, "address", "most")
+	eventUnfinished         = logging.Define("uwsgi.unfinished", slog.LevelWarn)
+	eventSlowReader         = logging.Define("uwsgi.slow_reader", slog.LevelWarn, "error")
+	eventBadRequest         = logging.Define("uwsgi.bad_request", slog.LevelWarn, "status", "error")
+	eventBodyTruncated      = logging.Define("uwsgi.body_cut", slog.LevelWarn, "cause")
+	eventResponseTruncated  = logging.Define("uwsgi.response_cut", slog.LevelWarn, "untaken", "cause")
+)
+
+// Route assigns the requests that it matches to a class.
+type Route struct {
+	Prefix string // of the path
+	Class  int
+	// Deadline is how long a caller waits; 0: the class's own time.
+	Deadline time.Duration
+	// Key is the idempotency key of a request; nil: the variable that the options name holds it.
+	Key        *match.Expression
+	Idempotent bool // requests of the class may be repeated
+	Proxied    bool // requests run on servers of the inventory
+}
+
+// Options configure a frontend.
+type Options struct {
+	Listen         netaddr.Addr
+	MaxConnections int
+	// MaxConnectionsPerAddress bounds the connections of one IP address; 0: no bound.
+	MaxConnectionsPerAddress int
+	MaxVariablesBytes        int
+	Flow                     flowcontrol.Limits // of bodies and responses
+	ReadTimeout              time.Duration      // for a complete request
+	Routes                   []Route
+	Matcher                  match.Matcher // finds the index of a request's route
+	HealthPath               string        // empty: no health checks
+	TenantVariable           string        // variable with the tenant
+	KeyVariable              string        // variable with the idempotency key
+	// FirstAttemptVariable is the variable with the time of the first attempt, in Unix milliseconds;
+	// empty: none.
+	FirstAttemptVariable string
+	SizeKB               float64 // memory that a request is assumed to take
+	Seed                 uint64  // of request IDs
+}
+
+// Bounds of a connection, in bytes.
+const (
+	maxFramingBytes = 8 << 10   // of a line of a chunked body
+	maxPartBytes    = 128 << 10 // of a streamed response, beside what may be queued
+	maxExcessBytes  = 64 << 10  // after the request, which are dropped
+)
+
+// Times of a connection.
+const (
+	sweepInterval       = 500 * time.Millisecond
+	readerTimeout       = 10 * time.Second // a reader of a streamed response that reads nothing
+	minConnectionAge    = 100 * time.Millisecond
+	drainRequestTimeout = 300 * time.Millisecond // for the request of a connection that was just accepted
+)
+
+// closedAtOnce is how many connections are closed when others wait for their places.
+const closedAtOnce = 16
+
+// Frontend owns the listener of uwsgi callers and its connections. All methods are to be called on the
+// event loop.
+type Frontend struct {
+	loop                 *eventloop.Loop
+	manager              *lifecycle.Manager
+	options              Options
+	listener             *eventloop.Listener
+	connections          map[*connection]struct{}
+	connectionsByAddress map[netip.Addr]int
+	lastID               uint64 // of a request
+	healthy              bool
+	readers              *flowcontrol.ReaderWindows // of streamed bodies and responses
+	lastReader           flowcontrol.ReaderID
+}
+
+// New returns a frontend; Listen opens it.
+func New(l *eventloop.Loop, options Options) *Frontend {
+	return &Frontend{
+		loop:                 l,
+		options:              options,
+		connections:          map[*connection]struct{}{},
+		connectionsByAddress: map[netip.Addr]int{},
+		lastID:               options.Seed,
+		healthy:              true,
+		readers:              flowcontrol.NewReaderWindows(options.Flow),
+	}
+}
+
+// Listen accepts connections for the manager.
+func (f *Frontend) Listen(m *lifecycle.Manager) (err error) {
+	f.manager = m
+	f.listener, err = f.loop.ListenAddr(
+		f.options.Listen,
+		f.options.MaxConnections,
+		f.limits(),
+		f.accept,
+		f.makeRoom,
+	)
+	if err == nil {
+		f.loop.Every(sweepInterval, f.sweep)
+	}
+	return err
+}
+
+// Addr returns the address of the listener.
+func (f *Frontend) Addr() netaddr.Addr { return f.listener.LocalAddr() }
+
+// Connections returns how many connections are open.
+func (f *Frontend) Connections() int { return len(f.connections) }
+
+// SetOptions sets the options for new requests. The address of the listener does not change.
+func (f *Frontend) SetOptions(options Options) {
+	options.Listen = f.options.Listen
+	f.options = options
+	f.listener.SetMaxOpen(options.MaxConnections)
+	f.listener.SetLimits(f.limits())
+	f.readers.SetLimits(options.Flow)
+}
+
+// limits returns the bounds of the buffers of a connection.
+func (f *Frontend) limits() eventloop.BufferLimits {
+	return eventloop.BufferLimits{
+		In: 4 + f.options.MaxVariablesBytes + maxFramingBytes,
+		Out: max(
+			f.options.Flow.MaxBuffered,
+			f.options.Flow.MaxCached,
+		) + f.options.Flow.MaxQueued + maxPartBytes + httpmessage.MaxHeadBytes,
+	}
+}
+
+// SetHealth sets the answer to health checks.
+func (f *Frontend) SetHealth(good bool) { f.healthy = good }
+
+// Drain stops listening. Requests that have begun to arrive are read and answered. A connection without
+// input is closed, one that was just accepted after a while, as its request may be on the way.
+func (f *Frontend) Drain() {
+	f.listener.CloseWhenAccepted(drainRequestTimeout)
+	f.closeSilent(drainRequestTimeout)
+	f.loop.After(2*drainRequestTimeout, func() { f.closeSilent(0) })
+}
+
+// closeSilent closes the connections that are older than minAge and without any input.
+func (f *Frontend) closeSilent(minAge time.Duration) {
+	for c := range f.connections {
+		if c.submitted || c.request != nil || len(c.Buffered()) > 0 {
+			continue
+		}
+		if f.loop.Unix().Sub(c.acceptedAt) > minAge && !c.HasUnreadInput() {
+			c.CloseGracefully()
+		}
+	}
+}
+
+// makeRoom closes connections without a complete request, the oldest first, as others wait for their
+// places. Else silent peers could keep all callers out for the read timeout.
+func (f *Frontend) makeRoom() {
+	var silent []*connection
+	for c := range f.connections {
+		if !c.submitted && !c.answered && f.loop.Unix().Sub(c.acceptedAt) > minConnectionAge {
+			silent = append(silent, c)
+		}
+	}
+	slices.SortFunc(silent, func(a, b *connection) int { return cmp.Compare(a.acceptedAt, b.acceptedAt) })
+	closed := 0
+	for _, c := range silent {
+		if closed == closedAtOnce {
+			return
+		}
+		if !c.HasUnreadInput() { // a request may have arrived in this moment
+			closed++
+			c.Close(nil)
+		}
+	}
+}
+
+// accept returns the handler of a new connection.
+func (f *Frontend) accept(conn *eventloop.Conn) eventloop.Handler {
+	c := &connection{frontend: f, Conn: conn, acceptedAt: f.loop.Unix()}
+	c.timer = f.loop.After(f.options.ReadTimeout, func() {
+		c.reject(http.StatusRequestTimeout, errRequestTimeout)
+	})
+	f.connections[c] = struct{}{}
+	if conn.RemoteAddr().IsValid() {
+		f.countAddress(c)
+	}
+	return c
+}
+
+// countAddress counts a connection for its address, and closes it if there are too many. Nothing of it ran,
+// so that the caller may try again.
+func (f *Frontend) countAddress(c *connection) {
+	c.callerAddr = c.RemoteAddr().Addr()
+	f.connectionsByAddress[c.callerAddr]++
+	limit := f.options.MaxConnectionsPerAddress
+	if limit > 0 && f.connectionsByAddress[c.callerAddr] > limit {
+		eventTooManyConnections.Log(c.callerAddr, limit)
+		f.loop.Post(func() { c.Close(nil) })
+	}
+}
+
+// uncountAddress takes back countAddress.
+func (f *Frontend) uncountAddress(c *connection) {
+	if !c.callerAddr.IsValid() {
+		return
+	}
+	f.connectionsByAddress[c.callerAddr]--
+	if f.connectionsByAddress[c.callerAddr] == 0 {
+		delete(f.connectionsByAddress, c.callerAddr)
+	}
+}
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -13,84 +14,118 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// arrived is when the request came: as a front end before this one stamped it, if that can be, or
-// when its connection was taken.
-func (f *Frontend) arrived(r *cgi.Request, began int64) int64 {
-	ms, err := strconv.ParseInt(r.Get("HTTP_X_QUEUE_START"), 10, 64)
-	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > int64(f.loop.Unix()) ||
-		ms*1000 < int64(f.loop.Unix())-maxQueued {
-		return began
-	}
-	return ms * 1000
-}
+const (
+	// maxStatedDelay is the oldest time that a caller may state for a request.
+	maxStatedDelay = time.Minute
+	// maxStatedMs bounds a stated time in Unix milliseconds, so that it can be converted.
+	maxStatedMs = 1 << 50
+	// defaultCaller is the number of callers that state none; the platform numbers its balancers from
+	// 0.
+	defaultCaller = 1 << 16
+	// idIncrement is odd, so that no request ID recurs.
+	idIncrement = 0x9e3779b97f4a7c15
+)
 
-// first is when the request was asked for first, as its caller says, if that can be: one that was
-// turned away and comes back looks like a new one else. Nought: nobody says.
-func (f *Frontend) first(r *cgi.Request) int64 {
-	if f.opt.FirstAttemptVariable == "" {
-		return 0
-	}
-	ms, err := strconv.ParseInt(r.Get(f.opt.FirstAttemptVariable), 10, 64)
-	if err != nil || ms <= 0 || ms > 1<<50 || ms*1000 > int64(f.loop.Unix()) ||
-		ms*1000 < int64(f.loop.Unix())-maxQueued {
-		return 0
-	}
-	return ms * 1000
+// requestError is a request that is rejected with a status.
+type requestError struct {
+	status int
+	reason string
 }
 
-// maxQueued is the longest wait before this hop that is believed.
-const maxQueued = 60_000_000
+// Error implements error.
+func (e *requestError) Error() string { return e.reason }
 
-// request makes what the core gets of a request, but for its body, and tells which route it takes.
-func (f *Frontend) request(r *cgi.Request) (*lifecycle.Request, *Route, int, error) {
-	q := &lifecycle.Request{
+// requestErrorf returns a requestError.
+func requestErrorf(status int, format string, args ...any) *requestError {
+	return &requestError{status: status, reason: fmt.Sprintf(format, args...)}
+}
+
+// parseRequest returns the request as the request lifecycle takes it, without its body, and its route.
+func (f *Frontend) parseRequest(r *cgi.Request) (*lifecycle.Request, *Route, *requestError) {
+	request := &lifecycle.Request{
 		AcceptsStream: true,
-		SizeKB:        f.opt.SizeKB,
-		Key:           r.Get(f.opt.KeyVariable),
+		SizeKB:        f.options.SizeKB,
+		Key:           r.Get(f.options.KeyVariable),
 		TraceParent:   r.Get(traceparent.Variable),
-		Caller:        maxPlatformCaller,
+		Caller:        defaultCaller,
 	}
-	m := r.MatchRequest()
-	n := f.opt.Matcher.Match(m)
-	if n < 0 {
-		return nil, nil, 404, fmt.Errorf("no class at %q", r.Path)
+	subject := r.MatchRequest()
+	index := f.options.Matcher.Match(subject)
+	if index < 0 {
+		return nil, nil, requestErrorf(http.StatusNotFound, "no class at %q", r.Path)
 	}
-	route := &f.opt.Routes[n]
-	q.Class, q.Timeout = route.Class, time.Duration(route.Deadline)*time.Microsecond
+	route := &f.options.Routes[index]
+	request.Class, request.Timeout = route.Class, route.Deadline
 	var ok bool
-	if q.Tenant, ok = f.core.Tenant(m.School); !ok {
-		return nil, nil, 403, fmt.Errorf("unknown tenant %q", m.School)
+	if request.Tenant, ok = f.manager.Tenant(subject.School); !ok {
+		return nil, nil, requestErrorf(http.StatusForbidden, "unknown tenant %q", subject.School)
 	}
 	if route.Key != nil {
-		// What was written in percent signs may hold what no variable may.
-		if q.Key = route.Key.Text(m); strings.ContainsFunc(q.Key, unicode.IsControl) {
-			return nil, nil, 400, fmt.Errorf("the key %q holds a control character", q.Key)
+		// A key that was decoded from percent signs may hold what no variable may.
+		request.Key = route.Key.Text(subject)
+		if strings.ContainsFunc(request.Key, unicode.IsControl) {
+			return nil, nil, requestErrorf(
+				http.StatusBadRequest,
+				"the key %q holds a control character",
+				request.Key,
+			)
 		}
 	}
-	if f.core.IsKeyed(q.Class) && q.Key == "" {
-		return nil, nil, 400, fmt.Errorf("no %s in a keyed class", f.keyFrom(route))
+	if f.manager.IsKeyed(request.Class) && request.Key == "" {
+		return nil, nil, requestErrorf(http.StatusBadRequest, "no %s in a keyed class", f.keySource(route))
 	}
 	if source, err := strconv.ParseUint(r.Get("HTTP_X_SOURCE"), 10, 32); err == nil {
-		q.Caller = uint32(source)
+		request.Caller = uint32(source)
 	}
-	q.FirstSentAt = wallclock.UnixMicro(f.first(r))
-	q.Metadata = make([]lifecycle.Field, 0, len(r.Variables))
+	request.FirstSentAt = f.firstSentAt(r)
+	request.Metadata = make([]lifecycle.Field, 0, len(r.Variables))
 	for _, v := range r.Variables {
-		q.Metadata = append(q.Metadata, lifecycle.Field(v))
+		request.Metadata = append(request.Metadata, lifecycle.Field(v))
+	}
+	f.lastID += idIncrement
+	request.ID = fmt.Sprintf("%016x", f.lastID)
+	return request, route, nil
+}
+
+// arrivedAt returns when the request arrived: the time that a proxy before this one states, or when its
+// connection was accepted.
+func (f *Frontend) arrivedAt(r *cgi.Request, acceptedAt wallclock.UnixMicro) wallclock.UnixMicro {
+	stated, ok := f.parseTime(r.Get("HTTP_X_QUEUE_START"))
+	if !ok {
+		return acceptedAt
+	}
+	return stated
+}
+
+// firstSentAt returns when the caller sent the first attempt of the request, as it states, or 0. Without it
+// a retry of a rejected request looks like a new one.
+func (f *Frontend) firstSentAt(r *cgi.Request) wallclock.UnixMicro {
+	if f.options.FirstAttemptVariable == "" {
+		return 0
 	}
-	f.names += 0x9e3779b97f4a7c15 // odd, so that no name comes twice
-	q.ID = fmt.Sprintf("%016x", f.names)
-	return q, route, 0, nil
+	stated, _ := f.parseTime(r.Get(f.options.FirstAttemptVariable))
+	return stated
 }
 
-// keyFrom is where a route has its keys from.
-func (f *Frontend) keyFrom(r *Route) string {
-	if r.Key != nil {
-		return r.Key.String()
+// parseTime parses a stated time in Unix milliseconds. It may not be in the future, nor older than
+// maxStatedDelay.
+func (f *Frontend) parseTime(text string) (at wallclock.UnixMicro, ok bool) {
+	ms, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || ms <= 0 || ms > maxStatedMs {
+		return 0, false
+	}
+	now := f.loop.Unix()
+	at = wallclock.UnixMicro(ms * 1000)
+	if at > now || at < now.Add(-maxStatedDelay) {
+		return 0, false
 	}
-	return f.opt.KeyVariable
+	return at, true
 }
 
-// maxPlatformCaller is the number of callers that give none; the platform numbers its balancers
-// from 0.
-const maxPlatformCaller = 1 << 16
+// keySource returns where the idempotency keys of a route come from, for errors.
+func (f *Frontend) keySource(route *Route) string {
+	if route.Key != nil {
+		return route.Key.String()
+	}
+	return f.options.KeyVariable
+}
