--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -14,11 +14,11 @@
 // of kind usage.apart.
 func Reconcile(list []*Statement, terms BillingTerms) (*Bill, error) {
 	r := &reconciler{
-		bill:        &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
-		accounts:    map[accountName]*accountStatements{},
-		lines:       map[lineKey]*BillLine{},
-		slices:      map[schoolPeriod][]int64{},
-		corrections: map[string]bool{},
+		bill:          &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
+		accounts:      map[accountName]*accountStatements{},
+		lines:         map[lineKey]*BillLine{},
+		servedBySlice: map[schoolPeriod][]int64{},
+		corrections:   map[string]bool{},
 	}
 	for _, s := range list {
 		if err := r.collect(s); err != nil {
@@ -66,8 +66,8 @@
 	period, slice wallclock.Micros // of all statements
 	accounts      map[accountName]*accountStatements
 	lines         map[lineKey]*BillLine
-	slices        map[schoolPeriod][]int64 // served requests by slice
-	corrections   map[string]bool          // IDs of those that are counted
+	servedBySlice map[schoolPeriod][]int64
+	corrections   map[string]bool // IDs of those that are counted
 	keys          []CountedKey
 	settled       []coverage
 }
@@ -205,7 +205,7 @@
 
 // addServed adds served requests to a slice of a school's period.
 func (r *reconciler) addServed(p schoolPeriod, slice int, served int64) {
-	r.slices[p] = addToSlice(r.slices[p], slice, served)
+	r.servedBySlice[p] = addToSlice(r.servedBySlice[p], slice, served)
 }
 
 // deduplicateKeys counts a request with a key once that two instances ran: the first one counts, and
@@ -253,7 +253,7 @@
 	}
 	for name, s := range schools {
 		if rate, ok := quotas[name.school]; ok {
-			s.AboveQuota = r.aboveQuota(r.slices[name], rate)
+			s.AboveQuota = r.aboveQuota(r.servedBySlice[name], rate)
 			// A correction may have taken some of it back.
 			s.AboveQuota = min(s.AboveQuota, float64(max(s.Served, 0)))
 		}
@@ -265,8 +265,8 @@
 }
 
 // aboveQuota returns the served requests of slices beyond a rate in requests a second.
-func (r *reconciler) aboveQuota(slices []int64, rate float64) (above float64) {
-	for _, served := range slices {
+func (r *reconciler) aboveQuota(servedBySlice []int64, rate float64) (above float64) {
+	for _, served := range servedBySlice {
 		above += max(float64(served)-rate*float64(r.slice)/float64(second), 0)
 	}
 	return above
