--- a/internal/peers/lease/cluster_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -19,8 +19,8 @@
 // and a judge that sees true time.
 
 const (
-	ms     = simcluster.Ms
-	second = simcluster.Second
+	ms     = time.Millisecond
+	second = time.Second
 )
 
 // wrong is what a version of the program that is broken does otherwise.
--- a/internal/simulator/cluster/cluster.go
+++ b/internal/simulator/cluster/cluster.go
@@ -45,9 +45,11 @@
 	settleTime = 15 * time.Second
 	// unixOrigin is the Unix time at the origin of the virtual clock.
 	unixOrigin wallclock.UnixMicro = 1e15
-	backMost                       = 4 // tries of a client that is refused
 )
 
+// backMost bounds the attempts of a client that is rejected.
+const backMost = 4
+
 // millis and seconds convert the figures of a specification, cut to whole microseconds.
 func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
 func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * 1e6) }
--- a/internal/testing/simcluster/simcluster.go
+++ b/internal/testing/simcluster/simcluster.go
@@ -15,12 +15,6 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// Spans of time.
-const (
-	Ms     = time.Millisecond
-	Second = time.Second
-)
-
 // Options say what is played.
 type Options struct {
 	Runners int
@@ -78,8 +72,8 @@
 			Zone:    fmt.Sprintf("hall%d", i%max(opt.Zones, 1)+1),
 			Cluster: w,
 			rate:    1 + opt.Drift*(2*w.Rand.Float64()-1),
-			mono:    w.Between(Second, 1000*Second),
-			boot:    w.Between(1000*Second, 5000*Second),
+			mono:    w.Between(time.Second, 1000*time.Second),
+			boot:    w.Between(1000*time.Second, 5000*time.Second),
 		}
 		w.Nodes = append(w.Nodes, n)
 		w.named[n.Name] = n
@@ -188,9 +182,9 @@
 		times = 2
 	}
 	for range times {
-		d := w.Between(200*time.Microsecond, 4*Ms)
+		d := w.Between(200*time.Microsecond, 4*time.Millisecond)
 		if w.Rand.IntN(100) == 0 {
-			d = w.Between(4*Ms, 500*Ms)
+			d = w.Between(4*time.Millisecond, 500*time.Millisecond)
 		}
 		w.After(d, func() {
 			if to := w.named[to]; to != nil && w.cut[way] == 0 {
@@ -265,8 +259,8 @@
 		Zone:    n.Zone,
 		Cluster: w,
 		rate:    n.rate,
-		mono:    w.Between(Second, 1000*Second),
-		boot:    w.Between(1000*Second, 5000*Second),
+		mono:    w.Between(time.Second, 1000*time.Second),
+		boot:    w.Between(1000*time.Second, 5000*time.Second),
 	}
 	n.replaced = true
 	w.named[n.Name] = next
@@ -299,11 +293,11 @@
 // Fault does one that is drawn.
 func (w *Cluster) Fault() {
 	n, o := w.Nodes[w.Rand.IntN(len(w.Nodes))], w.Nodes[w.Rand.IntN(len(w.Nodes))]
-	d := w.Between(20*Ms, 4*Second)
+	d := w.Between(20*time.Millisecond, 4*time.Second)
 	switch w.Rand.IntN(10) {
 	case 0, 1:
 		if w.may(n) {
-			n.Crash(w.Between(50*Ms, 3*Second), Disk(w.Rand.IntN(3)))
+			n.Crash(w.Between(50*time.Millisecond, 3*time.Second), Disk(w.Rand.IntN(3)))
 		}
 	case 2:
 		n.Stop(d)
