--- a/internal/ci/pages_test.go
+++ b/internal/ci/pages_test.go
@@ -15,7 +15,7 @@
 
 const root = "../.."
 
-// declared are the names of all functions, methods and types of the repository, tests among them.
+// declared returns the names of all functions, methods and types of the repository, tests among them.
 func declared(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -49,8 +49,8 @@
 	return names
 }
 
-// The pages that lead through the code name functions and tests that there are.
-func TestPagesNameWhatThereIs(t *testing.T) {
+// The pages that lead through the code name functions and tests that exist.
+func TestPagesNameExistingFunctions(t *testing.T) {
 	names := declared(t)
 	code := regexp.MustCompile("`([A-Za-z]+(?:\\.[A-Za-z]+)*)(?:/[^`]*)?`")
 	for page, wants := range map[string]func(name string) bool{
@@ -70,7 +70,7 @@
 				continue // a setting, an event, a folder
 			}
 			if found++; !names[name] {
-				t.Errorf("%s names %s, which there is not", page, m[1])
+				t.Errorf("%s names %s, which does not exist", page, m[1])
 			}
 		}
 		if found < 10 {
