--- /dev/null
+++ b/internal/peers/placement/properties_test.go
@@ -0,0 +1,78 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+)
+
+// drawChange draws a change, which often fits the table.
+func drawChange(t *rapid.T, table *Table) Change {
+	c := Change{
+		Kind: ChangeKind(rapid.IntRange(0, 10).Draw(t, "kind")),
+		Slot: rapid.IntRange(-1, 8).Draw(t, "slot"),
+		Member: Member{
+			Name:        rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "name"),
+			Incarnation: uint64(rapid.IntRange(0, 3).Draw(t, "incarnation")),
+		},
+	}
+	c.Member.Zone = c.Member.Name[:1]
+	m := table.Member(c.Member.Name)
+	if m != nil && c.Kind != ChangeJoin && rapid.Bool().Draw(t, "present incarnation") {
+		c.Member.Incarnation = m.Incarnation
+	}
+	if c.Slot >= 0 && c.Slot < len(table.Slots) && rapid.IntRange(0, 3).Draw(t, "present epoch") > 0 {
+		c.Epoch = table.Slots[c.Slot].Epoch
+	}
+	return c
+}
+
+// checkSlot checks what a change did to a slot.
+func checkSlot(t *rapid.T, table *Table, c Change, i int, old Slot) {
+	s := table.Slots[i]
+	if s.Epoch < old.Epoch || s.Epoch == old.Epoch && !slices.Equal(s.Replicas, old.Replicas) {
+		t.Fatalf("%+v: slot %d went from %+v to %+v", c, i, old, s)
+	}
+	wasReplica := func(name string) bool { return slices.Contains(old.Replicas, name) }
+	if len(s.Replicas) > 0 && !slices.ContainsFunc(s.Replicas, wasReplica) && s.EmptyEpoch != s.Epoch {
+		t.Fatalf("%+v: slot %d began with no records and does not say so: %+v to %+v", c, i, old, s)
+	}
+	seen := map[string]bool{}
+	for _, name := range append(slices.Clone(s.Replicas), s.Joining...) {
+		if m := table.Member(name); seen[name] || m == nil || m.Incarnation == 0 {
+			t.Fatalf("%+v: slot %d is at %q in %+v", c, i, name, s)
+		}
+		seen[name] = true
+	}
+	if len(s.Replicas) > 1+table.Backups {
+		t.Fatalf("%+v: slot %d has too many replicas: %+v", c, i, s)
+	}
+}
+
+// Whatever changes come: epochs never go back, and rise whenever the replicas change; replicas are
+// members that are not lost, each once; a slot that lost its last replica says that it began with no
+// records; the same changes give the same table.
+func TestAnyChangesKeepTheInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		slots, backups := rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(1, 2).Draw(t, "backups")
+		table, err := New(slots, backups)
+		if err != nil {
+			t.Fatal(err)
+		}
+		twin := table.Clone()
+		for range rapid.IntRange(1, 60).Draw(t, "changes") {
+			c := drawChange(t, table)
+			before := table.Clone()
+			table.Apply(c)
+			twin.Apply(c)
+			for i := range table.Slots {
+				checkSlot(t, table, c, i, before.Slots[i])
+			}
+		}
+		if diff := cmp.Diff(table, twin); diff != "" {
+			t.Fatal(diff)
+		}
+	})
+}
--- /dev/null
+++ b/internal/peers/placement/spread_test.go
@@ -0,0 +1,120 @@
+package placement
+
+import (
+	"fmt"
+	"testing"
+)
+
+// newSettledTable returns a table of so many runners in so many zones, once all slots are replicated
+// and spread.
+func newSettledTable(t testing.TB, runners, zones, slots, backups int) *Table {
+	t.Helper()
+	table, err := New(slots, backups)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range runners {
+		table.Apply(Change{
+			Kind: ChangeJoin,
+			Member: Member{
+				Name:        fmt.Sprintf("n%03d", i),
+				Zone:        fmt.Sprint("hall", i%zones),
+				Incarnation: uint64(i + 1),
+				Process:     uint32(i + 1),
+			},
+		})
+	}
+	settle(table)
+	return table
+}
+
+// settle has all joining replicas catch up and the table rebalanced until nothing is left to do.
+func settle(t *Table) {
+	for range 100_000 {
+		c, ok := nextStep(t)
+		if !ok {
+			return
+		}
+		t.Apply(c)
+	}
+}
+
+// nextStep returns the change by which a joining replica has caught up or, if there is none, that of
+// Rebalance.
+func nextStep(t *Table) (Change, bool) {
+	for i, s := range t.Slots {
+		if len(s.Joining) > 0 {
+			return Change{Kind: ChangeCaughtUp, Slot: i, Epoch: s.Epoch, Member: *t.Member(s.Joining[0])}, true
+		}
+	}
+	return t.Rebalance()
+}
+
+// Of any number of runners, the replicas of a slot are in as many zones as there are, and slots and
+// primaries are spread over the members.
+func TestSlotsAreSpreadOverZonesAndMembers(t *testing.T) {
+	for _, tt := range []struct{ runners, zones, slots, backups int }{
+		{3, 3, 64, 2},
+		{5, 3, 64, 2},
+		{9, 3, 64, 1},
+		{17, 3, 128, 2},
+		{300, 5, 512, 2},
+	} {
+		table := newSettledTable(t, tt.runners, tt.zones, tt.slots, tt.backups)
+		for i, s := range table.Slots {
+			zones := map[string]bool{}
+			for _, name := range s.Replicas {
+				zones[table.Member(name).Zone] = true
+			}
+			if len(s.Replicas) != 1+tt.backups || len(zones) != min(1+tt.backups, tt.zones) {
+				t.Errorf("%+v: slot %d is at %v", tt, i, s.Replicas)
+			}
+		}
+		fewest, most := tt.slots, 0
+		for _, n := range table.slotCounts() {
+			fewest, most = min(fewest, n), max(most, n)
+		}
+		if len(table.slotCounts()) != tt.runners ||
+			most > 2*tt.slots*(1+tt.backups)/tt.runners+maxImbalance {
+			t.Errorf("%+v: %d hold from %d to %d slots", tt, len(table.slotCounts()), fewest, most)
+		}
+		for name, n := range table.primaryCounts() {
+			if n > 3*tt.slots/tt.runners+maxImbalance+1 {
+				t.Errorf("%+v: %s is the primary of %d slots", tt, name, n)
+			}
+		}
+	}
+}
+
+// A leaving member comes to hold nothing, one slot after the other, and no slot ever has fewer
+// replicas; where the others are too few, it keeps what it has.
+func TestLeavingMemberGivesUpItsSlotsOneByOne(t *testing.T) {
+	table := newSettledTable(t, 5, 3, 64, 2)
+	for _, name := range []string{"n001", "n003"} {
+		table.Apply(Change{Kind: ChangeLeave, Member: Member{Name: name}})
+		for step := 0; ; step++ {
+			c, ok := nextStep(table)
+			if !ok {
+				break
+			}
+			if table.Apply(c); table.FullyReplicatedSlots() < 64 || step > 10_000 {
+				full := table.FullyReplicatedSlots()
+				t.Fatalf("after %d steps, by %+v, %d slots are fully replicated", step, c, full)
+			}
+		}
+		if n := table.SlotCount(name); n != 0 {
+			t.Errorf("%s holds %d", name, n)
+		}
+	}
+	before := table.SlotCount("n000")
+	table.Apply(Change{Kind: ChangeLeave, Member: Member{Name: "n000"}})
+	settle(table)
+	if n := table.SlotCount("n000"); !table.NeedsLeavingMembers() || n != before {
+		t.Errorf("too few others are there, and it went from %d to %d slots", before, n)
+	}
+	table.Apply(Change{Kind: ChangeStay, Member: Member{Name: "n001"}})
+	settle(table)
+	if left, took := table.SlotCount("n000"), table.SlotCount("n001"); left != 0 || took == 0 {
+		t.Errorf("n000 holds %d, n001 %d", left, took)
+	}
+}
