--- /dev/null
+++ b/internal/peers/link/frame_test.go
@@ -0,0 +1,69 @@
+package link
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ryepaddle/internal/idempotency/store"
+	"ryepaddle/internal/peers/framing"
+	"ryepaddle/internal/peers/replication"
+)
+
+// sampleFrame returns a message with a record.
+func sampleFrame() *Frame {
+	return &Frame{
+		Replication: &replication.Message{
+			Type:  replication.MsgAppend,
+			From:  "n2",
+			To:    "n1",
+			Slot:  3,
+			Epoch: 7,
+			Entries: []replication.Entry{{Seq: 9, Remaining: 5,
+				Record: &store.Record{
+					Kind:   store.RunEnded,
+					Name:   store.KeyName{Class: "hand-in", Key: "a"},
+					Result: &store.Result{Status: 200, Body: []byte("fine")},
+				}}},
+		},
+	}
+}
+
+// A frame is read as it was written, at whichever byte the data is cut; one that was changed at any
+// byte is rejected, or not complete.
+func TestFrameIsReadAsItWasWritten(t *testing.T) {
+	b, err := AppendFrame(nil, sampleFrame())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for cut := range len(b) {
+		if f, used, err := ReadFrame(b[:cut]); f != nil || used != 0 || err != nil {
+			t.Fatalf("of %d bytes %d are read: %v", cut, used, err)
+		}
+		bad := append([]byte(nil), b...)
+		bad[cut] ^= 0x40
+		if f, _, err := ReadFrame(bad); f != nil && err == nil {
+			t.Fatalf("changed at byte %d it is read", cut)
+		}
+	}
+	f, used, err := ReadFrame(append(b, b...))
+	if err != nil || used != len(b) {
+		t.Fatal(used, err)
+	}
+	if diff := cmp.Diff(sampleFrame(), f); diff != "" {
+		t.Error(diff)
+	}
+}
+
+func FuzzReadFrame(f *testing.F) {
+	b, err := AppendFrame(nil, sampleFrame())
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(b)
+	f.Fuzz(func(t *testing.T, b []byte) {
+		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < framing.HeaderSize || used > len(b)) {
+			t.Errorf("%d of %d bytes are used", used, len(b))
+		}
+	})
+}
--- a/internal/peers/link/crossing_test.go
+++ b/internal/peers/link/outbound_test.go
@@ -7,17 +7,16 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// A connection that does not stand in time is given up, so that a peer whose machine is back is
-// reached by the next message and not as late as the system tries again. What stands late is
-// nobody's.
-func TestLinkThatDoesNotStand(t *testing.T) {
+// A connection that is not established in time is closed, so that a peer whose machine is back is
+// reached by the next message and not as late as the system tries again.
+func TestConnectionThatIsNotEstablishedInTimeIsClosed(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	n, err := Open(
 		s.Loop,
 		Config{
 			Installation: "i",
 			Name:         "n1",
-			Listen:       any4,
+			Listen:       anyPort,
 			Peers:        []Peer{{Name: "n2", Addr: scenario.UnresponsiveServer(t)}},
 		},
 		func(string, *Frame) {},
@@ -25,17 +24,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Send("n2", frame())
+	n.Send("n2", sampleFrame())
 	first := n.outbound["n2"].conn
 	s.Pass(0)
 	if s.Pass(connectTimeout - time.Microsecond); n.outbound["n2"].conn != first {
-		t.Fatal("it was given up before its time")
+		t.Fatal("it was closed before its time")
 	}
 	if s.Pass(time.Microsecond); n.Connections() != 0 || !first.IsClosed() {
-		t.Fatalf("%d links, the first closed %v", n.Connections(), first.IsClosed())
+		t.Fatalf("%d connections, the first closed %v", n.Connections(), first.IsClosed())
 	}
-	n.Send("n2", frame())
+	n.Send("n2", sampleFrame())
 	if n.Connections() != 1 {
-		t.Error("the next message opens no other")
+		t.Error("the next message opens no other one")
 	}
 }
