--- a/internal/idempotency/persistence/health.go
+++ b/internal/idempotency/persistence/health.go
@@ -5,41 +5,47 @@
 	"time"
 )
 
-// health decides whether new keys can be taken. It is free of I/O: it is told what waits for the
-// disk and what became of it.
-type health struct {
-	stallTimeout time.Duration // a disk that has owed an answer for so long is too slow
-	reading      bool          // what was kept in earlier lives
-	closedUntil  time.Duration // until then nothing is taken: what may have run is not known
-	downReason   string
-	unconfirmed  []time.Duration // when what waits was handed over, the oldest first
-}
-
 const (
+	// restoringRetryAfter is how long a caller stays away while keys are restored.
 	restoringRetryAfter = 200 * time.Millisecond
-	downRetryAfter      = time.Second
+	// downRetryAfter is how long a caller stays away while the disk has failed.
+	downRetryAfter = time.Second
 )
 
-// recordSent notes a record that was handed over, and answered one that is not owed any more.
+// health decides whether new keys can be accepted, from the records that wait for the disk. It does no
+// I/O.
+type health struct {
+	stallTimeout time.Duration   // a disk that does not confirm a record for so long is stalled
+	restoring    bool            // the keys are being restored
+	closedUntil  time.Duration   // monotonic; until then it is not known what may have run
+	failure      string          // of the disk; empty: none
+	unconfirmed  []time.Duration // when the records that wait were sent, the oldest first
+}
+
+// recordSent notes a record that was passed to the store.
 func (h *health) recordSent(now time.Duration) { h.unconfirmed = append(h.unconfirmed, now) }
 
+// recordConfirmed notes that the oldest record is answered.
 func (h *health) recordConfirmed() {
 	if h.unconfirmed = h.unconfirmed[1:]; len(h.unconfirmed) == 0 {
-		h.unconfirmed = nil // or its memory is kept for good
+		h.unconfirmed = nil // frees the memory of the queue
 	}
 }
 
-// unavailable tells for how long no key can be taken, and why; 0: they can.
-func (h *health) unavailable(now time.Duration) (back time.Duration, why string) {
+// unavailable returns for how long no key can be accepted, and why; zero if keys can be.
+func (h *health) unavailable(now time.Duration) (retryAfter time.Duration, why string) {
 	switch {
-	case h.reading:
+	case h.restoring:
 		return restoringRetryAfter, "the keys of earlier lives are being read"
 	case now < h.closedUntil:
 		return h.closedUntil - now, "after a repair it is not known what may have run"
-	case h.downReason != "":
-		return downRetryAfter, "the disk failed: " + h.downReason
-	case len(h.unconfirmed) > 0 && now-h.unconfirmed[0] >= h.stallTimeout:
-		return h.stallTimeout, fmt.Sprintf("the disk has not answered for %d ms", (now - h.unconfirmed[0]).Milliseconds())
+	case h.failure != "":
+		return downRetryAfter, "the disk failed: " + h.failure
+	}
+	if len(h.unconfirmed) > 0 {
+		if waiting := now - h.unconfirmed[0]; waiting >= h.stallTimeout {
+			return h.stallTimeout, fmt.Sprintf("the disk has not answered for %d ms", waiting.Milliseconds())
+		}
 	}
 	return 0, ""
 }
--- /dev/null
+++ b/internal/idempotency/persistence/health_test.go
@@ -0,0 +1,35 @@
+package persistence
+
+import (
+	"testing"
+	"time"
+)
+
+// New keys are rejected while it is not known what may have run, or the disk does not answer.
+func TestHealthRejectsKeysWhileDiskIsUnusable(t *testing.T) {
+	const ms = time.Millisecond
+	h := health{stallTimeout: 100 * ms, restoring: true}
+	for _, c := range []struct {
+		name       string
+		do         func()
+		now        time.Duration
+		retryAfter time.Duration
+	}{
+		{"restoring", func() {}, 1 * ms, restoringRetryAfter},
+		{"restored", func() { h.restoring = false }, 2 * ms, 0},
+		{"repaired", func() { h.closedUntil = 50 * ms }, 10 * ms, 40 * ms},
+		{"long after", func() {}, 50 * ms, 0},
+		{"a record is sent", func() { h.recordSent(100 * ms); h.recordSent(150 * ms) }, 199 * ms, 0},
+		{"the record waits for long", func() {}, 200 * ms, 100 * ms},
+		{"the first is confirmed", func() { h.recordConfirmed() }, 201 * ms, 0},
+		{"the second waits for long", func() {}, 251 * ms, 100 * ms},
+		{"all are confirmed", func() { h.recordConfirmed() }, 900 * ms, 0},
+		{"down", func() { h.failure = "no room" }, 901 * ms, downRetryAfter},
+		{"recovered", func() { h.failure = "" }, 902 * ms, 0},
+	} {
+		c.do()
+		if got, why := h.unavailable(c.now); got != c.retryAfter || (got > 0) != (why != "") {
+			t.Errorf("%s: %v, %q", c.name, got, why)
+		}
+	}
+}
--- a/internal/idempotency/reservation/bench_test.go
+++ b/internal/idempotency/reservation/bench_test.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// BenchmarkClaim is what a claim costs the loop: alone, and beside a process that lives.
-func BenchmarkClaim(b *testing.B) {
+// BenchmarkReserve measures what a reservation costs the loop, alone and beside another process.
+func BenchmarkReserve(b *testing.B) {
 	for _, processes := range []int{1, 2} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
 			dir := b.TempDir()
@@ -31,7 +31,7 @@
 					Owner:     1 << 32,
 					ExpiresAt: 10_000_000,
 				}
-				one.ledger.Reserve(k, lockRetryInterval, free, done)
+				one.coordinator.Reserve(k, lockRetryInterval, free, done)
 			}
 		})
 	}
--- a/internal/idempotency/reservation/kinds.go
+++ b/internal/idempotency/reservation/faults.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// What can go wrong here, and what an operator can do about it.
+// The kinds of error of this package, with what an operator can do about each.
 var (
 	faultPeerIncomplete = fault.Define(
 		"claims.unwritten",
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -12,168 +12,206 @@
 	"ryepaddle/internal/idempotency/persistence"
 	"ryepaddle/internal/idempotency/store"
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/wallclock"
 )
 
-func (g *Coordinator) aliveName(life uint32) string {
-	return fmt.Sprintf("%s.%08x.alive", g.basePath, life)
+const (
+	// minCompactBytes is the smallest size of a log that is compacted.
+	minCompactBytes = 256 << 10
+	// readChunkBytes is how much of a log is read at once.
+	readChunkBytes = 64 << 10
+	logSuffix      = ".log"
+	newLogSuffix   = ".new" // of a log that is being written
+	logPermissions = 0o600
+)
+
+func (c *Coordinator) aliveName(incarnation uint32) string {
+	return fmt.Sprintf("%s.%08x.alive", c.basePath, incarnation)
+}
+
+func (c *Coordinator) logName(incarnation uint32, generation uint64) string {
+	return fmt.Sprintf("%s.%08x.%d%s", c.basePath, incarnation, generation, logSuffix)
 }
 
-func (g *Coordinator) logName(life uint32, gen uint64) string {
-	return fmt.Sprintf("%s.%08x.%d.log", g.basePath, life, gen)
+// parseLogName returns the numbers in the path of a log of this runner; false for any other path.
+func (c *Coordinator) parseLogName(name string) (incarnation uint32, generation uint64, ok bool) {
+	text, hasBase := strings.CutPrefix(name, c.basePath+".")
+	text, isLog := strings.CutSuffix(text, logSuffix)
+	if !hasBase || !isLog {
+		return 0, 0, false
+	}
+	first, second, ok := strings.Cut(text, ".")
+	number, err := strconv.ParseUint(first, 16, 32)
+	if !ok || err != nil {
+		return 0, 0, false
+	}
+	generation, err = strconv.ParseUint(second, 10, 64)
+	return uint32(number), generation, err == nil
 }
 
-// readEpoch reads the number that grows whenever there are other files than before. It stands in
-// the shared lock's file.
-func (g *Coordinator) readEpoch() uint64 {
+// readEpoch reads the number that grows whenever a log appears. It is kept in the file of the shared
+// lock.
+func (c *Coordinator) readEpoch() uint64 {
 	var b [8]byte
-	_, _ = unix.Pread(int(g.lock.Fd()), b[:], 0) // one that was never written is nought
+	_, _ = unix.Pread(int(c.lock.Fd()), b[:], 0) // zero if it was never written
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-func (g *Coordinator) bumpEpoch() error {
-	g.epoch = g.readEpoch() + 1
-	_, err := g.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, g.epoch), 0)
+// bumpEpoch makes other processes look for new logs.
+func (c *Coordinator) bumpEpoch() error {
+	c.epoch = c.readEpoch() + 1
+	_, err := c.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, c.epoch), 0)
 	return err
 }
 
-// compact begins a log with what is known, in place of the one that there is. The shared lock is
-// held.
-func (g *Coordinator) compact(known func(func(lifecycle.KeyRecord))) error {
-	name := g.logName(g.config.Incarnation, g.generation+1)
-	f, err := os.OpenFile(name+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+// compact replaces the log by a new one with the keys that eachOwned yields; none if it is nil. The
+// caller holds the shared lock.
+func (c *Coordinator) compact(eachOwned func(func(lifecycle.KeyRecord))) error {
+	name := c.logName(c.config.Incarnation, c.generation+1)
+	log, err := os.OpenFile(name+newLogSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, logPermissions)
 	if err != nil {
 		return err
 	}
-	// one that holds nothing is one that was given up
-	b, err := store.AppendFrame(nil, &store.Record{Kind: store.EndOfSnapshot})
-	if known != nil {
-		add := func(r *store.Record) {
-			if err == nil {
-				b, err = store.AppendFrame(b, r)
-			}
-		}
-		known(func(k lifecycle.KeyRecord) { add(g.record(k)) })
-		if g.serving {
-			add(&store.Record{Kind: store.SyncMark})
-		}
-	}
+	content, err := c.encodeLog(eachOwned)
 	if err == nil {
-		_, err = f.WriteAt(b, 0)
+		_, err = log.WriteAt(content, 0)
 	}
 	if err == nil {
-		err = os.Rename(name+".new", name)
+		err = os.Rename(name+newLogSuffix, name)
 	}
 	if err == nil {
-		err = g.bumpEpoch()
+		err = c.bumpEpoch()
 	}
 	if err != nil {
-		f.Close()
-		os.Remove(name + ".new")
+		log.Close()
+		os.Remove(name + newLogSuffix)
 		return err
 	}
-	if g.log != nil {
-		g.log.Close()
-		os.Remove(g.logName(g.config.Incarnation, g.generation))
+	if c.log != nil {
+		c.log.Close()
+		os.Remove(c.logName(c.config.Incarnation, c.generation))
 	}
-	g.log, g.size = f, int64(len(b))
-	g.generation++
-	g.compactBytes, g.incomplete = max(minCompactBytes, 2*g.size), false
+	c.log, c.size = log, int64(len(content))
+	c.generation++
+	c.compactBytes, c.incomplete = max(minCompactBytes, 2*c.size), false
 	return nil
 }
 
-// appendReservation appends a claim. Alone, a process without room goes on: its log is emptied, which takes
-// none, so that one that comes knows that it does not know, and it is written anew once there is
-// room. All that was claimed is in the table.
-func (g *Coordinator) appendReservation(k lifecycle.KeyRecord) error {
+// encodeLog returns the content of a new log. It has at least one record: an empty log is one that is
+// incomplete.
+func (c *Coordinator) encodeLog(eachOwned func(func(lifecycle.KeyRecord))) ([]byte, error) {
+	content, err := store.AppendFrame(nil, &store.Record{Kind: store.EndOfSnapshot})
+	if eachOwned == nil {
+		return content, err
+	}
+	add := func(r *store.Record) {
+		if err == nil {
+			content, err = store.AppendFrame(content, r)
+		}
+	}
+	eachOwned(func(k lifecycle.KeyRecord) { add(c.record(k)) })
+	if c.serving {
+		add(servingRecord())
+	}
+	return content, err
+}
+
+// appendReservation appends a reservation. A process that is alone goes on if there is no room: it
+// truncates its log, which needs none, so that a process that comes knows that the log is
+// incomplete, and writes it anew once there is room. All reservations are in the table.
+func (c *Coordinator) appendReservation(k lifecycle.KeyRecord) error {
 	var err error
-	if g.incomplete {
-		err = g.compact(g.table.EachOwned)
+	if c.incomplete {
+		err = c.compact(c.table.EachOwned)
 	}
 	if err == nil {
-		err = g.append(g.record(k))
+		err = c.append(c.record(k))
 	}
-	if err == nil || g.living() > 0 {
+	if err == nil || c.living() > 0 {
 		return err
 	}
-	g.logError(err)
-	if e := g.log.Truncate(0); e != nil {
-		return e
+	c.logError(err)
+	if err := c.log.Truncate(0); err != nil {
+		return err
 	}
-	g.size, g.incomplete = 0, true
+	c.size, c.incomplete = 0, true
 	return nil
 }
 
-// record is what is written of a key. Results are for others: alone, nobody reads them.
-func (g *Coordinator) record(k lifecycle.KeyRecord) *store.Record {
+// record returns the record of a key. Results are written only while another process lives to read
+// them.
+func (c *Coordinator) record(k lifecycle.KeyRecord) *store.Record {
 	kind := store.RunStarted
-	if k.Ended && g.living() > 0 {
+	if k.Ended && c.living() > 0 {
 		kind = store.RunEnded
 	}
-	return persistence.ToRecord(kind, k, g.loop.Unix())
+	return persistence.ToRecord(kind, k, c.clock.Unix())
+}
+
+// releasedRecord says that the run of a key never began.
+func releasedRecord(k lifecycle.KeyRecord, at wallclock.UnixMicro) *store.Record {
+	return persistence.ToRecord(store.KeyReleased, k, at)
 }
 
-func (g *Coordinator) append(r *store.Record) error {
-	if g.lock == nil {
+// servingRecord says that the process accepts connections.
+func servingRecord() *store.Record { return &store.Record{Kind: store.SyncMark} }
+
+// append appends a record to the log.
+func (c *Coordinator) append(r *store.Record) error {
+	if c.lock == nil {
 		return os.ErrClosed
 	}
 	var err error
-	if g.frame, err = store.AppendFrame(g.frame[:0], r); err != nil {
+	if c.frame, err = store.AppendFrame(c.frame[:0], r); err != nil {
 		return err
 	}
-	// At its place and not at the end: what a full disk took half of is written over.
-	if _, err = g.log.WriteAt(g.frame, g.size); err != nil {
-		_ = g.log.Truncate(g.size)
+	// At the known size, not at the end of the file: this overwrites a record that a full disk took
+	// in part.
+	if _, err = c.log.WriteAt(c.frame, c.size); err != nil {
+		_ = c.log.Truncate(c.size)
 		return err
 	}
-	g.size += int64(len(g.frame))
+	c.size += int64(len(c.frame))
 	return nil
 }
 
-func (g *Coordinator) parseLogName(name string) (life uint32, gen uint64, ok bool) {
-	text, ours := strings.CutPrefix(name, g.basePath+".")
-	text, isLog := strings.CutSuffix(text, ".log")
-	if !ours || !isLog {
-		return 0, 0, false
-	}
-	a, b, ok := strings.Cut(text, ".")
-	l, err := strconv.ParseUint(a, 16, 32)
-	n, err2 := strconv.ParseUint(b, 10, 64)
-	return uint32(l), n, ok && err == nil && err2 == nil
-}
-
-// read takes the records that a process has written since. One that is not whole yet is read again
-// later; of a process that is dead it never will be.
-func (g *Coordinator) read(p *otherProcess) error {
-	var b []byte
-	part := make([]byte, readChunkBytes)
+// read applies the records that a process has written since the last time. A record that is not
+// complete yet is read again later; the last one of a process that was killed never will be.
+func (c *Coordinator) read(p *otherProcess) error {
+	var unread []byte
+	chunk := make([]byte, readChunkBytes)
 	for {
-		n, err := unix.Pread(int(p.log.Fd()), part, p.offset+int64(len(b)))
+		n, err := unix.Pread(int(p.log.Fd()), chunk, p.offset+int64(len(unread)))
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.log.Name(), err)
 		}
-		b = append(b, part[:n]...)
-		used := 0
-		for {
-			r, size, err := store.ReadFrame(b[used:])
-			if err != nil {
-				break
-			}
-			used += size
-			g.apply(p, r)
-		}
+		unread = append(unread, chunk[:n]...)
+		used := c.applyFrames(p, unread)
 		p.offset += int64(used)
-		if b = b[used:]; n < len(part) {
+		if unread = unread[used:]; n < len(chunk) {
 			return nil
 		}
 	}
 }
 
-func (g *Coordinator) apply(p *otherProcess, r *store.Record) {
+// applyFrames applies the complete frames at the front of b and returns their size.
+func (c *Coordinator) applyFrames(p *otherProcess, b []byte) (used int) {
+	for {
+		r, size, err := store.ReadFrame(b[used:])
+		if err != nil {
+			return used
+		}
+		used += size
+		c.apply(p, r)
+	}
+}
+
+func (c *Coordinator) apply(p *otherProcess, r *store.Record) {
 	switch r.Kind {
 	case store.SyncMark:
 		p.serving = true
 	case store.RunStarted, store.RunEnded, store.KeyReleased:
 		p.records++
-		g.table.ApplyRemote(persistence.FromRecord(r), r.Kind == store.KeyReleased)
+		c.table.ApplyRemote(persistence.FromRecord(r), r.Kind == store.KeyReleased)
 	}
 }
--- /dev/null
+++ b/internal/idempotency/reservation/poll.go
@@ -0,0 +1,163 @@
+package reservation
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"ryepaddle/internal/lifecycle"
+)
+
+// poll reads what others write, again and again until the coordinator is closed.
+func (c *Coordinator) poll() {
+	if c.lock == nil {
+		return
+	}
+	if err := c.readOthers(); err != nil || !c.incomplete {
+		c.logError(err)
+	}
+	interval := aloneInterval
+	if c.reportLiving(); c.living() > 0 {
+		interval = sharedInterval
+	}
+	if now := c.clock.Now(); now > c.sweptAt+sweepInterval && tryLock(c.lock) {
+		c.sweptAt = now
+		c.sweep()
+		unlock(c.lock)
+	}
+	c.config.After(interval, c.poll)
+}
+
+// reportLiving reports a change of the number of living processes. When it grows, all known results
+// are written for the new process.
+func (c *Coordinator) reportLiving() {
+	living := c.living()
+	if living == c.reportedLiving {
+		return
+	}
+	grown := living > max(c.reportedLiving, 0) && c.reportedLiving >= 0
+	c.reportedLiving = living
+	if grown {
+		c.writeResults()
+	}
+	if c.config.OnProcessesChanged != nil {
+		c.config.OnProcessesChanged(living)
+	}
+}
+
+// writeResults writes the ended runs of this process, up to the configured size of their results.
+func (c *Coordinator) writeResults() {
+	left := c.config.MaxResultBytes
+	c.table.EachOwned(func(k lifecycle.KeyRecord) {
+		if !k.Ended || left <= 0 {
+			return
+		}
+		r := c.record(k)
+		if r.Result != nil {
+			left -= int64(len(r.Result.Body))
+		}
+		c.logError(c.append(r))
+	})
+}
+
+// readOthers reads what others have written since the last time.
+func (c *Coordinator) readOthers() error {
+	if epoch := c.readEpoch(); epoch != c.epoch {
+		if err := c.scan(); err != nil {
+			return err
+		}
+		c.epoch = epoch
+	}
+	for _, p := range c.processes {
+		wasLiving := p.living
+		p.living = p.living && isLocked(p.aliveLock)
+		if err := c.read(p); err != nil { // after it was found dead, so that its log is complete
+			return err
+		}
+		if wasLiving && !p.living {
+			evProcessExited.Log(formatIncarnation(p.incarnation))
+			c.table.OwnerDied(p.incarnation)
+		}
+	}
+	return nil
+}
+
+// scan finds new logs of other processes and reads them.
+func (c *Coordinator) scan() error {
+	files, err := os.ReadDir(c.config.Dir)
+	if err != nil {
+		return err
+	}
+	for _, f := range files {
+		name := filepath.Join(c.config.Dir, f.Name())
+		incarnation, generation, ok := c.parseLogName(name)
+		known := c.processes[incarnation]
+		if !ok || incarnation == c.config.Incarnation || known != nil && known.generation >= generation {
+			continue
+		}
+		log, err := os.Open(name)
+		if errors.Is(err, os.ErrNotExist) { // compacted just now; the new log is found as well
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		if known != nil {
+			err = c.switchLog(known, log, generation)
+		} else {
+			err = c.addProcess(&otherProcess{incarnation: incarnation, generation: generation, log: log})
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// switchLog reads the rest of a process's log and goes on with its compacted one.
+func (c *Coordinator) switchLog(p *otherProcess, log *os.File, generation uint64) error {
+	if err := c.read(p); err != nil {
+		log.Close()
+		return err
+	}
+	p.log.Close()
+	p.log, p.generation, p.offset = log, generation, 0
+	return nil
+}
+
+// addProcess adds a process whose log was found, and reads that.
+func (c *Coordinator) addProcess(p *otherProcess) (err error) {
+	if p.aliveLock, err = os.Open(c.aliveName(p.incarnation)); err == nil {
+		p.living = isLocked(p.aliveLock)
+	}
+	c.processes[p.incarnation] = p
+	if err := c.read(p); err != nil {
+		return err
+	}
+	evProcessFound.Log(formatIncarnation(p.incarnation), p.living, p.records)
+	if !p.living {
+		c.table.OwnerDied(p.incarnation)
+	}
+	return nil
+}
+
+func formatIncarnation(incarnation uint32) string { return fmt.Sprintf("%08x", incarnation) }
+
+// sweep removes the files of exited processes whose keys have all expired. The caller holds the shared
+// lock.
+func (c *Coordinator) sweep() {
+	expired := time.Now().Add(-c.config.Window)
+	for incarnation, p := range c.processes {
+		info, err := p.log.Stat()
+		if p.living || err == nil && info.ModTime().After(expired) {
+			continue
+		}
+		p.close()
+		delete(c.processes, incarnation)
+		os.Remove(p.log.Name())
+		os.Remove(c.logName(incarnation, p.generation+1) + newLogSuffix) // if it was killed while compacting
+		os.Remove(c.aliveName(incarnation))
+	}
+}
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -14,21 +14,21 @@
 
 const storedDir = "testdata/stored"
 
-// storedKey is a key that the process of a life has reserved in testdata.
-func storedKey(name string, life uint32) lifecycle.KeyRecord {
+// storedKey is a key that a process has reserved in testdata.
+func storedKey(name string, incarnation uint32) lifecycle.KeyRecord {
 	return lifecycle.KeyRecord{
 		Class:     "hand-in",
 		Tenant:    "north",
 		Key:       name,
-		Owner:     uint64(life)<<32 | 5,
+		Owner:     uint64(incarnation)<<32 | 5,
 		ExpiresAt: 10_000_000,
 		BodyHash:  [32]byte{1, 2, 31: 3},
 	}
 }
 
 // storedEnd is a key whose run has ended with a result.
-func storedEnd(name string, life uint32) lifecycle.KeyRecord {
-	k := storedKey(name, life)
+func storedEnd(name string, incarnation uint32) lifecycle.KeyRecord {
+	k := storedKey(name, incarnation)
 	k.Ended = true
 	k.Result = &lifecycle.Result{
 		Status: 201,
@@ -43,7 +43,7 @@
 	t.Helper()
 	first, second := start(t, dir, 7), start(t, dir, 8)
 	claim := func(p *process, k lifecycle.KeyRecord) {
-		p.ledger.Reserve(k, 0, func() bool { return true }, func(mine bool, err error) {
+		p.coordinator.Reserve(k, 0, func() bool { return true }, func(mine bool, err error) {
 			if !mine || err != nil {
 				t.Fatal(mine, err)
 			}
@@ -53,34 +53,34 @@
 	claim(first, storedKey("a", 7))
 	claim(second, storedKey("b", 8))
 	claim(first, storedKey("c", 7))
-	first.ledger.Ended(storedEnd("a", 7))
-	first.ledger.Released(storedKey("c", 7))
-	second.ledger.MarkServing()
+	first.coordinator.Ended(storedEnd("a", 7))
+	first.coordinator.Released(storedKey("c", 7))
+	second.coordinator.MarkServing()
 	first.kill()
 	second.kill()
 }
 
-// heard is a table of keys that notes what it is told of other processes.
-type heard struct {
-	keys      []lifecycle.KeyRecord
-	forgotten []string
-	orphaned  []uint32
+// recordingTable is a table of keys that records what it is told about other processes.
+type recordingTable struct {
+	keys     []lifecycle.KeyRecord
+	released []string
+	died     []uint32
 }
 
-func (h *heard) ApplyRemote(k lifecycle.KeyRecord, forgotten bool) {
-	if forgotten {
-		h.forgotten = append(h.forgotten, k.Key)
+func (h *recordingTable) ApplyRemote(k lifecycle.KeyRecord, released bool) {
+	if released {
+		h.released = append(h.released, k.Key)
 		return
 	}
 	h.keys = append(h.keys, k)
 }
-func (h *heard) OwnerDied(life uint32)               { h.orphaned = append(h.orphaned, life) }
-func (h *heard) EachOwned(func(lifecycle.KeyRecord)) {}
+func (h *recordingTable) OwnerDied(incarnation uint32)        { h.died = append(h.died, incarnation) }
+func (h *recordingTable) EachOwned(func(lifecycle.KeyRecord)) {}
 
 // What two processes of version 1 have reserved is read by a process that starts after them.
 func TestReadsFilesOfVersion1(t *testing.T) {
 	dir := golden.Copy(t, storedDir)
-	h := &heard{}
+	h := &recordingTable{}
 	l, err := Open(
 		&process{t: t, now: time.Second},
 		Config{
@@ -93,12 +93,18 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	want := &heard{
-		keys:      []lifecycle.KeyRecord{storedKey("a", 7), storedKey("c", 7), storedEnd("a", 7), storedKey("b", 8)},
-		forgotten: []string{"c"},
-		orphaned:  []uint32{7, 8},
+	want := &recordingTable{
+		keys: []lifecycle.KeyRecord{
+			storedKey("a", 7),
+			storedKey("c", 7),
+			storedEnd("a", 7),
+			storedKey("b", 8),
+		},
+		released: []string{"c"},
+		died:     []uint32{7, 8},
 	}
-	if diff := cmp.Diff(want, h, cmp.AllowUnexported(heard{}), cmpopts.IgnoreUnexported(store.Field{})); diff != "" {
+	options := cmp.Options{cmp.AllowUnexported(recordingTable{}), cmpopts.IgnoreUnexported(store.Field{})}
+	if diff := cmp.Diff(want, h, options); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 	if p := l.processes[8]; p == nil || !p.serving {
