--- a/cmd/runner/conform_test.go
+++ b/cmd/runner/conform_test.go
@@ -55,12 +55,12 @@
 			)
 			s := conformance.New(
 				conformance.Gateway{
-					Front:   strings.TrimPrefix(p.listen["uwsgi"], "unix:"),
-					Safe:    "/ops/quick-check",
-					Keyed:   "/ops/hand-in",
-					KeyVar:  "HTTP_X_DEDUPE_KEY",
-					Tenant:  [2]string{"HTTP_X_CUSTOMER", "north"},
-					Patient: patience,
+					FrontendAddr:   strings.TrimPrefix(p.listen["uwsgi"], "unix:"),
+					IdempotentPath: "/ops/quick-check",
+					KeyedPath:      "/ops/hand-in",
+					KeyVariable:    "HTTP_X_DEDUPE_KEY",
+					Tenant:         [2]string{"HTTP_X_CUSTOMER", "north"},
+					Timeout:        patience,
 				},
 				ln,
 			)
--- a/cmd/runner/keep_test.go
+++ b/cmd/runner/keep_test.go
@@ -187,7 +187,7 @@
 			counted.Keys,
 		)
 	}
-	for key, n := range l.Ran() {
+	for key, n := range l.Runs() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
@@ -196,7 +196,7 @@
 		"%d kills: %d hand-ins ran, %d served, %d of them after a repeat, %d may have run, %d tries "+
 			"lost or refused",
 		kills,
-		len(l.Ran()),
+		len(l.Runs()),
 		served.Load(),
 		again.Load(),
 		doubt.Load(),
@@ -284,7 +284,7 @@
 			t.Fatal("the damaged file is not kept aside")
 		}
 	}
-	for key, n := range l.Ran() {
+	for key, n := range l.Runs() {
 		if n != 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
@@ -322,8 +322,8 @@
 	}
 	limit(1 << 40)
 	p.await(t, "event=store.disk_recovered")
-	if status, _ := p.ask("/ops/hand-in", "full0"); status != 200 || l.Ran()["full0"] != 1 {
-		t.Errorf("once there is room: %d, it ran %d times", status, l.Ran()["full0"])
+	if status, _ := p.ask("/ops/hand-in", "full0"); status != 200 || l.Runs()["full0"] != 1 {
+		t.Errorf("once there is room: %d, it ran %d times", status, l.Runs()["full0"])
 	}
 }
 
--- a/cmd/runner/pools_test.go
+++ b/cmd/runner/pools_test.go
@@ -114,7 +114,7 @@
 	if measured() && inTime.Load()*100 < cheap.Load()*99 {
 		t.Errorf("%d of %d cheap calls in time", inTime.Load(), cheap.Load())
 	}
-	for key, n := range server.Ran() {
+	for key, n := range server.Runs() {
 		if n != 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
@@ -135,7 +135,7 @@
 		served.Load(),
 		inTime.Load(),
 		cheap.Load(),
-		len(server.Ran()),
+		len(server.Runs()),
 		s.Pools[0].Limit,
 	)
 }
--- a/cmd/runner/translate_test.go
+++ b/cmd/runner/translate_test.go
@@ -29,7 +29,7 @@
 		}
 		h.runs.Add(1)
 		_, _ = c.Write([]byte(says.Load().Server))
-		if says.Load().Then == "hold" {
+		if says.Load().AfterResponse == "hold" {
 			_, _ = c.Read(make([]byte, 1)) // until the hop closes
 		}
 	})
@@ -43,7 +43,7 @@
 	)
 	played := 0
 	for i, c := range cases {
-		if c.Server == "" && c.Then != "hold" || c.Raw != "" {
+		if c.Server == "" && c.AfterResponse != "hold" || c.Raw != "" {
 			continue
 		}
 		says.Store(&c)
--- a/cmd/simulator/conform.go
+++ b/cmd/simulator/conform.go
@@ -51,12 +51,12 @@
 	defer ln.Close()
 	s := conformance.New(
 		conformance.Gateway{
-			Front:   c.Front,
-			Safe:    c.Safe,
-			Keyed:   c.Keyed,
-			KeyVar:  c.KeyVar,
-			Tenant:  [2]string{name, value},
-			Patient: c.Within,
+			FrontendAddr:   c.Front,
+			IdempotentPath: c.Safe,
+			KeyedPath:      c.Keyed,
+			KeyVariable:    c.KeyVar,
+			Tenant:         [2]string{name, value},
+			Timeout:        c.Within,
 		},
 		ln,
 	)
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -65,7 +65,10 @@
 // LeaseRules returns the rules by which the consensus group grants leases, and the zones whose
 // health checks are leased.
 func (p *Peers) LeaseRules() (r lease.Rules, zones []string) {
-	r = lease.Rules{MaxPerMember: int(p.Leases.Each), ExpiryBackoff: time.Duration(p.Leases.AgainS*1e6) * time.Microsecond}
+	r = lease.Rules{
+		MaxPerMember:  int(p.Leases.Each),
+		ExpiryBackoff: time.Duration(p.Leases.AgainS*1e6) * time.Microsecond,
+	}
 	for _, c := range p.Leases.Checks {
 		prefer := c.Prefer
 		if len(prefer) == 0 {
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -225,7 +225,7 @@
 	rejected := 0
 	for n := range content {
 		d, file := sixKeys(t)
-		d.Rot(file, n)
+		d.CorruptByte(file, n)
 		_, f, err := store.OpenJournal(d, now, store.DefaultOptions())
 		var damage *store.DamageError
 		var format *store.FormatError
--- a/internal/testing/benchserver/benchserver.go
+++ b/internal/testing/benchserver/benchserver.go
@@ -1,5 +1,5 @@
-// Package benchserver plays the callers of a hop and the server behind it in a process of its own,
-// so that what they allocate is not counted with the hop.
+// Package benchserver runs the callers of a gateway and the server behind it in a process of their own, so
+// that their allocations are not counted with the gateway's.
 package benchserver
 
 import (
@@ -11,9 +11,9 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// Play prints where its server listens, which answers with so many bytes, and then asks as many
-// requests as each line of its input says, at the address that comes before. It prints how many
-// were served, and ends with its input.
+// Play starts a server whose responses have size bytes, and writes its address to out. Each line of in has an
+// address and a number of requests, which are sent there; the number of complete responses is written to
+// out. Play returns at the end of in.
 func Play(size int, in io.Reader, out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,7 +23,7 @@
 	response := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, size))
 	go scenario.Serve(ln, func(c net.Conn) {
 		if _, err := c.Read(make([]byte, 4096)); err == nil {
-			_, _ = c.Write(response) // whoever asked may be gone
+			_, _ = c.Write(response) // the caller may have closed the connection
 		}
 	})
 	fmt.Fprintln(out, ln.Addr())
@@ -39,7 +39,7 @@
 		var addr string
 		var n int
 		if _, err := fmt.Fscanln(in, &addr, &n); err != nil {
-			return nil // whoever asked for it has done
+			return nil // the end of the input
 		}
 		served := 0
 		for range n {
@@ -47,7 +47,7 @@
 			if err != nil {
 				return err
 			}
-			_, _ = c.Write(packet) // what fails is not served
+			_, _ = c.Write(packet) // a failure shows in the response
 			if got, _ := io.Copy(io.Discard, c); got > int64(size) {
 				served++
 			}
--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -368,7 +368,7 @@
 func (c *Cluster) Ran() map[string]int {
 	all := map[string]int{}
 	for _, s := range c.Servers {
-		for key, n := range s.Ran() {
+		for key, n := range s.Runs() {
 			all[key] += n
 		}
 	}
@@ -402,7 +402,7 @@
 		told.Result = body
 	}
 	c.History.Add(
-		historychecker.Record{Key: key, At: n.Name, Asked: asked, Ended: time.Since(c.began), Response: told},
+		historychecker.Record{Key: key, Runner: n.Name, SentAt: asked, EndedAt: time.Since(c.began), Response: told},
 	)
 	return told
 }
--- a/internal/testing/cluster/duties.go
+++ b/internal/testing/cluster/duties.go
@@ -14,7 +14,7 @@
 // them.
 func (c *Cluster) Effects() (effects []historychecker.LeaseEffect) {
 	for _, s := range c.Servers {
-		for _, k := range s.Checks() {
+		for _, k := range s.HealthChecks() {
 			if k.Lease != "" {
 				effects = append(
 					effects,
--- a/internal/testing/cluster/duties_test.go
+++ b/internal/testing/cluster/duties_test.go
@@ -71,7 +71,7 @@
 		from := time.Now()
 		time.Sleep(d)
 		for _, s := range c.Servers {
-			for _, k := range s.Checks() {
+			for _, k := range s.HealthChecks() {
 				switch {
 				case k.At.Before(from):
 				case k.Lease == "":
--- a/internal/testing/cluster/view.go
+++ b/internal/testing/cluster/view.go
@@ -36,7 +36,7 @@
 
 // Rows are how all runners stand.
 func (c *Cluster) Rows() []Row {
-	by := c.History.CountAt()
+	by := c.History.CountByRunner()
 	rows := make([]Row, 0, len(c.Nodes))
 	for _, n := range c.Nodes {
 		r := Row{Name: n.Name, Zone: n.Zone, State: n.state(), Tries: by[n.Name]}
--- a/internal/testing/conformance/conform.go
+++ b/internal/testing/conformance/suite.go
@@ -1,6 +1,6 @@
-// Package conform holds the conformance suite of the uwsgi side: cases as data, and one runner that
-// plays them against a hop at any address. It is the caller in front of the hop and the server
-// behind it, so that it sees what passes both ways.
+// Package conformance is a conformance suite for uwsgi gateways: cases as data, and a Suite that runs them
+// against a gateway at any address. The suite is the caller in front of the gateway and the server
+// behind it, so that it sees both directions.
 package conformance
 
 import (
@@ -26,36 +26,36 @@
 //go:embed clauses.yaml
 var clausesText []byte
 
-// Clause is what a description says.
+// Clause is one requirement of a specification.
 type Clause struct {
 	ID     string `yaml:"id"`
 	Source string `yaml:"source"`
 	Text   string `yaml:"text"`
 }
 
-// Case is bytes in and what is expected out.
+// Case is a request with what the server responds, and what each side has to receive.
 type Case struct {
-	Name    string      `yaml:"name"`
-	Clauses []string    `yaml:"clauses"`
-	To      string      `yaml:"to"` // safe, the default, or keyed
-	Vars    [][2]string `yaml:"vars"`
-	Body    string      `yaml:"body"`
-	Raw     string      `yaml:"raw"`
-	Shut    bool        `yaml:"shut"` // the caller closes its side behind what it sends
-	Sees    *ServerSees `yaml:"sees"`
-	Server  string      `yaml:"server"`
-	Then    string      `yaml:"then"` // end, the default, or hold: the server keeps the connection
-	Want    Want        `yaml:"want"`
+	Name          string      `yaml:"name"`
+	Clauses       []string    `yaml:"clauses"`
+	Class         string      `yaml:"to"` // safe, the default, or keyed
+	Vars          [][2]string `yaml:"vars"`
+	Body          string      `yaml:"body"`
+	Raw           string      `yaml:"raw"`
+	CloseWrite    bool        `yaml:"shut"` // the caller closes its side behind what it sends
+	ServerSees    *ServerSees `yaml:"sees"`
+	Server        string      `yaml:"server"`
+	AfterResponse string      `yaml:"then"` // end, the default, or hold: the server keeps the connection
+	Want          Want        `yaml:"want"`
 }
 
-// ServerSees is what the server must have seen.
+// ServerSees is what the server has to receive.
 type ServerSees struct {
 	Body   string            `yaml:"body"`
 	Vars   map[string]string `yaml:"vars"`
 	Absent []string          `yaml:"absent"`
 }
 
-// Want is what the caller must get.
+// Want is what the caller has to receive.
 type Want struct {
 	Status   int               `yaml:"status"`
 	Body     string            `yaml:"body"`
@@ -66,7 +66,7 @@
 	HeadOnly bool              `yaml:"headOnly"`
 }
 
-// Load reads the suite.
+// Load returns the cases and the clauses that they cover.
 func Load() (cases []Case, clauses []Clause, err error) {
 	strict := func(text []byte, v any) error {
 		d := yaml.NewDecoder(bytes.NewReader(text))
@@ -74,92 +74,94 @@
 		return d.Decode(v)
 	}
 	if err := strict(clausesText, &clauses); err != nil {
-		return nil, nil, fmt.Errorf("conform: clauses: %w", err)
+		return nil, nil, fmt.Errorf("conformance: clauses: %w", err)
 	}
 	if err := strict(casesText, &cases); err != nil {
-		return nil, nil, fmt.Errorf("conform: cases: %w", err)
+		return nil, nil, fmt.Errorf("conformance: cases: %w", err)
 	}
 	return cases, clauses, nil
 }
 
-// Gateway is what is examined, and how it is set up.
+// Gateway is the gateway under test.
 type Gateway struct {
-	Front   string // network address of its uwsgi front; a path is a unix socket
-	Safe    string // path of a class that is safe to repeat, and leads to the server alone
-	Keyed   string // path of a keyed class that does, too
-	KeyVar  string
-	Tenant  [2]string // variable and value
-	Patient time.Duration
+	FrontendAddr   string // network address of its uwsgi front; a path is a unix socket
+	IdempotentPath string // path of a class that is safe to repeat, and leads to the server alone
+	KeyedPath      string // path of a keyed class that does, too
+	KeyVariable    string
+	Tenant         [2]string // variable and value
+	Timeout        time.Duration
 }
 
-// Suite plays cases.
+// Suite runs cases. It is not safe for concurrent use.
 type Suite struct {
-	hop  Gateway
-	ln   net.Listener
-	seen chan seen
-	now  chan play // the case that the server plays next
-	run  int64
+	gateway  Gateway
+	listener net.Listener
+	received chan receivedRequest
+	current  chan currentCase // the case that the server plays next
+	lastRun  int64
 }
 
-type play struct {
-	c    *Case
-	byte bool
-	over chan struct{} // closed when the server need not hold its connection any longer
+// currentCase is the case that the server responds to.
+type currentCase struct {
+	testCase *Case
+	bytewise bool
+	done     chan struct{} // closed when the server need not hold its connection any longer
 }
 
-type seen struct {
-	r   *uwsgi.Request
-	err error
+// receivedRequest is a request that the server received.
+type receivedRequest struct {
+	request *uwsgi.Request
+	err     error
 }
 
-// New makes a suite whose server answers on a listener, which the hop under examination knows of.
+// New returns a suite whose server accepts connections of the gateway on a listener.
 func New(hop Gateway, server net.Listener) *Suite {
 	s := &Suite{
-		hop:  hop,
-		ln:   server,
-		seen: make(chan seen, 16),
-		now:  make(chan play, 1),
-		run:  time.Now().UnixNano(),
+		gateway:  hop,
+		listener: server,
+		received: make(chan receivedRequest, 16),
+		current:  make(chan currentCase, 1),
+		lastRun:  time.Now().UnixNano(),
 	}
 	go s.serve()
 	return s
 }
 
-// Run plays a case, whole or a byte at a time, and says what was not as expected.
+// Run runs a case, with its bytes at once or one at a time, and returns what was not as expected.
 func (s *Suite) Run(c *Case, bytewise bool) error {
-	s.run++
-	key := fmt.Sprintf("conform-%d", s.run)
-	path := s.hop.Safe
-	if c.To == "keyed" {
-		path = s.hop.Keyed
+	s.lastRun++
+	key := fmt.Sprintf("conform-%d", s.lastRun)
+	path := s.gateway.IdempotentPath
+	if c.Class == "keyed" {
+		path = s.gateway.KeyedPath
 	}
 	expand := strings.NewReplacer("$KEY", key, "$PATH", path).Replace
-	for len(s.seen) > 0 {
-		<-s.seen
+	for len(s.received) > 0 {
+		<-s.received
 	}
-	p := play{c: c, byte: bytewise, over: make(chan struct{})}
-	defer close(p.over)
+	p := currentCase{testCase: c, bytewise: bytewise, done: make(chan struct{})}
+	defer close(p.done)
 	select {
-	case <-s.now:
+	case <-s.current:
 	default:
 	}
-	s.now <- p
-	packet, err := s.packet(c, path, key, expand)
+	s.current <- p
+	packet, err := s.encodeRequest(c, path, key, expand)
 	if err != nil {
 		return err
 	}
-	got, err := s.ask(packet, bytewise, c.Shut)
+	got, err := s.exchange(packet, bytewise, c.CloseWrite)
 	if err != nil {
 		return err
 	}
 	if err := c.Want.check(got); err != nil {
 		return fmt.Errorf("%w (got %.300q)", err, got)
 	}
-	return s.checkSeen(c, expand)
+	return s.checkReceived(c, expand)
 }
 
-// packet is what the caller sends.
-func (s *Suite) packet(c *Case, path, key string, expand func(string) string) ([]byte, error) {
+// encodeRequest returns what the caller sends.
+func (s *Suite) encodeRequest(c *Case, path, key string, expand func(string) string) ([]byte, error) {
 	if c.Raw != "" {
 		return []byte(c.Raw), nil
 	}
@@ -170,13 +172,13 @@
 	r.Variables = append(
 		r.Variables,
 		uwsgi.Variable{Name: "PATH_INFO", Value: path},
-		uwsgi.Variable{Name: s.hop.Tenant[0], Value: s.hop.Tenant[1]},
+		uwsgi.Variable{Name: s.gateway.Tenant[0], Value: s.gateway.Tenant[1]},
 	)
 	if !given("REQUEST_METHOD") {
 		r.Variables = append(r.Variables, uwsgi.Variable{Name: "REQUEST_METHOD", Value: "POST"})
 	}
-	if c.To == "keyed" {
-		r.Variables = append(r.Variables, uwsgi.Variable{Name: s.hop.KeyVar, Value: key})
+	if c.Class == "keyed" {
+		r.Variables = append(r.Variables, uwsgi.Variable{Name: s.gateway.KeyVariable, Value: key})
 	}
 	if !given("CONTENT_LENGTH") && !given("HTTP_TRANSFER_ENCODING") && c.Body != "" {
 		r.Variables = append(r.Variables, uwsgi.Variable{Name: "CONTENT_LENGTH", Value: strconv.Itoa(len(c.Body))})
@@ -184,29 +186,29 @@
 	for _, v := range c.Vars {
 		name := v[0]
 		if name == "HTTP_X_DEDUPE_KEY" {
-			name = s.hop.KeyVar
+			name = s.gateway.KeyVariable
 		}
 		r.Variables = append(r.Variables, uwsgi.Variable{Name: name, Value: expand(v[1])})
 	}
 	return uwsgi.Append(nil, r)
 }
 
-// ask sends a packet and reads until the hop closes.
-func (s *Suite) ask(packet []byte, bytewise, shut bool) ([]byte, error) {
+// exchange sends a packet and returns all that is received until the gateway closes the connection.
+func (s *Suite) exchange(packet []byte, bytewise, shut bool) ([]byte, error) {
 	network := "tcp"
-	if strings.HasPrefix(s.hop.Front, "/") {
+	if strings.HasPrefix(s.gateway.FrontendAddr, "/") {
 		network = "unix"
 	}
-	conn, err := net.DialTimeout(network, s.hop.Front, s.hop.Patient)
+	conn, err := net.DialTimeout(network, s.gateway.FrontendAddr, s.gateway.Timeout)
 	if err != nil {
-		return nil, fmt.Errorf("conform: %w", err)
+		return nil, fmt.Errorf("conformance: %w", err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(s.hop.Patient)) // an error of it shows in the next call
+	_ = conn.SetDeadline(time.Now().Add(s.gateway.Timeout)) // an error shows in the next call
 	go func() {
 		send(conn, packet, bytewise)
 		if half, ok := conn.(interface{ CloseWrite() error }); shut && ok {
-			_ = half.CloseWrite() // an error of it shows in what comes back
+			_ = half.CloseWrite() // an error shows in the response
 		}
 	}()
 	got, err := io.ReadAll(conn)
@@ -216,7 +218,7 @@
 	return got, nil
 }
 
-// send writes all of it at once or a byte at a time. What is not taken shows in what comes back.
+// send writes a text at once or one byte at a time. A failure shows in the response.
 func send(conn net.Conn, text []byte, bytewise bool) {
 	if !bytewise {
 		_, _ = conn.Write(text)
@@ -229,10 +231,10 @@
 	}
 }
 
-// serve is the server behind the hop.
+// serve is the server behind the gateway.
 func (s *Suite) serve() {
 	for {
-		conn, err := s.ln.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return // the listener was closed
 		}
@@ -240,9 +242,10 @@
 	}
 }
 
+// answer reads one request and responds as the current case says.
 func (s *Suite) answer(conn net.Conn) {
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(s.hop.Patient))
+	_ = conn.SetDeadline(time.Now().Add(s.gateway.Timeout))
 	var in []byte
 	buf := make([]byte, 32<<10)
 	for {
@@ -253,22 +256,22 @@
 			continue
 		}
 		if bad == nil && used == 0 {
-			return // it was only a connection
+			return // a connection without a request
 		}
-		s.seen <- seen{r, bad}
+		s.received <- receivedRequest{r, bad}
 		break
 	}
 	select {
-	case p := <-s.now:
-		send(conn, []byte(p.c.Server), p.byte)
-		if p.c.Then == "hold" {
-			<-p.over
+	case p := <-s.current:
+		send(conn, []byte(p.testCase.Server), p.bytewise)
+		if p.testCase.AfterResponse == "hold" {
+			<-p.done
 		}
-	default: // nobody plays: a case that was over has been tried again
+	default: // a retry of a case that has ended
 	}
 }
 
-// check holds what came back against what is wanted.
+// check compares what the caller received with what is wanted.
 func (w *Want) check(got []byte) error {
 	if w.Bytes != "" {
 		if string(got) != w.Bytes {
@@ -325,43 +328,43 @@
 	return nil
 }
 
-// checkSeen holds what the server saw against what it must have.
-func (s *Suite) checkSeen(c *Case, expand func(string) string) error {
-	if c.Sees == nil {
+// checkReceived compares what the server received with what it has to receive.
+func (s *Suite) checkReceived(c *Case, expand func(string) string) error {
+	if c.ServerSees == nil {
 		select {
-		case v := <-s.seen:
-			return fmt.Errorf("the server saw a request that is to be refused: %+v", v.r)
+		case v := <-s.received:
+			return fmt.Errorf("the server saw a request that is to be refused: %+v", v.request)
 		default:
 			return nil
 		}
 	}
-	var v seen
+	var v receivedRequest
 	select {
-	case v = <-s.seen:
-	case <-time.After(s.hop.Patient):
+	case v = <-s.received:
+	case <-time.After(s.gateway.Timeout):
 		return fmt.Errorf("the server saw nothing")
 	}
 	if v.err != nil {
 		return fmt.Errorf("the server got what it cannot read: %w", v.err)
 	}
-	if string(v.r.Body) != c.Sees.Body {
-		return fmt.Errorf("the server saw the body %q, want %q", v.r.Body, c.Sees.Body)
+	if string(v.request.Body) != c.ServerSees.Body {
+		return fmt.Errorf("the server saw the body %q, want %q", v.request.Body, c.ServerSees.Body)
 	}
 	names := map[string]int{}
-	for _, x := range v.r.Variables {
+	for _, x := range v.request.Variables {
 		if names[x.Name]++; names[x.Name] > 1 {
 			return fmt.Errorf("the server saw %s twice", x.Name)
 		}
 	}
-	for name, want := range c.Sees.Vars {
+	for name, want := range c.ServerSees.Vars {
 		if name == "HTTP_X_DEDUPE_KEY" {
-			name = s.hop.KeyVar
+			name = s.gateway.KeyVariable
 		}
-		if got := v.r.Get(name); got != expand(want) {
+		if got := v.request.Get(name); got != expand(want) {
 			return fmt.Errorf("the server saw %s as %q, want %q", name, got, expand(want))
 		}
 	}
-	for _, name := range c.Sees.Absent {
+	for _, name := range c.ServerSees.Absent {
 		if names[name] > 0 {
 			return fmt.Errorf("the server saw %s", name)
 		}
--- a/internal/testing/crashfs/crashfs.go
+++ b/internal/testing/crashfs/crashfs.go
@@ -1,5 +1,5 @@
-// Package crashfs is a disk that crashes: files in memory, of which a crash keeps what was synced,
-// and of the rest what chance leaves, torn and out of order. It can fail by script as well.
+// Package crashfs is an in-memory implementation of store.FS with crashes and faults. A crash keeps what was
+// synced, and a random part of the rest, torn and out of order.
 package crashfs
 
 import (
@@ -13,36 +13,38 @@
 	"ryepaddle/internal/idempotency/store"
 )
 
-// ErrCrashed is that of all that is done after the crash.
+// ErrCrashed is the error of each operation after a crash.
 var ErrCrashed = errors.New("crashfs: the machine is gone")
 
-// ErrLocked is that of a second lock.
+// ErrLocked is the error of a second lock.
 var ErrLocked = errors.New("crashfs: locked")
 
-const sector = 64 // bytes that a crash keeps or loses together; small, so that records are torn
+// sectorBytes are kept or lost together in a crash. They are few, so that records are torn.
+const sectorBytes = 64
 
+// inode is the content of a file.
 type inode struct {
 	synced []byte
-	data   []byte // as the running program sees it
+	data   []byte // as the program sees it
 }
 
-// Disk is the files of one folder. It is used by one goroutine.
+// Disk is one folder of files. It is not safe for concurrent use.
 type Disk struct {
-	// Fail is asked before each step; an error is what the step comes to. A write that fails may
-	// have been made in part.
+	// Fail is called before each operation and may return its error. A write that fails may have been
+	// made in part.
 	Fail func(op, name string) error
-	// CrashAt is the step at which the machine goes: 1 is the first; 0: never.
+	// CrashAt is the number of the operation, from 1, at which the machine crashes; 0: never.
 	CrashAt int
 
-	Steps   int
+	Steps   int // operations so far
 	rand    *rand.Rand
-	names   map[string]*inode // as the running program sees them
-	durable map[string]*inode // after the last SyncDir
+	names   map[string]*inode // as the program sees them
+	durable map[string]*inode // as of the last SyncDir
 	locked  bool
 	crashed bool
 }
 
-// New makes an empty disk whose chances are drawn from a seed.
+// New returns an empty disk. seed determines what crashes keep.
 func New(seed uint64) *Disk {
 	return &Disk{
 		rand:    rand.New(rand.NewPCG(seed, 77)),
@@ -51,12 +53,13 @@
 	}
 }
 
-// step counts one, and tells whether it is done.
+// step counts an operation and returns its error.
 func (d *Disk) step(op, name string) error {
 	if d.crashed {
 		return ErrCrashed
 	}
-	if d.Steps++; d.Steps == d.CrashAt {
+	d.Steps++
+	if d.Steps == d.CrashAt {
 		d.crashed = true
 		return ErrCrashed
 	}
@@ -66,16 +69,16 @@
 	return nil
 }
 
-// IsCrashed tells whether the machine is gone.
+// IsCrashed reports whether the machine has crashed.
 func (d *Disk) IsCrashed() bool { return d.crashed }
 
-// Kill ends the process that uses the disk, and not the machine: all that was done stands.
+// Kill ends the process that uses the disk, but not the machine: all operations are kept.
 func (d *Disk) Kill() { d.locked, d.crashed, d.CrashAt = false, false, 0 }
 
-// Crash has the power go. What comes back is what a disk may hold after that.
+// Crash simulates a loss of power. The disk then holds a possible state after it.
 func (d *Disk) Crash() {
 	after := map[string]*inode{}
-	// Each change of a name since the last sync of the folder is there, or is not.
+	// Each change of a name since the last SyncDir is kept or lost.
 	for name := range union(d.names, d.durable) {
 		now, was := d.names[name], d.durable[name]
 		if now != was && d.rand.IntN(2) == 0 {
@@ -86,7 +89,7 @@
 		}
 	}
 	seen := map[*inode]bool{}
-	// in order, or chance would not be a seed's
+	// In a fixed order, so that the seed determines the result.
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		if f := after[name]; !seen[f] {
 			seen[f] = true
@@ -97,6 +100,7 @@
 	d.locked, d.crashed, d.CrashAt = false, false, 0
 }
 
+// union returns the names of both maps.
 func union(a, b map[string]*inode) map[string]bool {
 	all := map[string]bool{}
 	for _, m := range []map[string]*inode{a, b} {
@@ -107,17 +111,17 @@
 	return all
 }
 
-// tear keeps of a file what was synced, and of later sectors some: the length may be there without
-// what was in it.
+// tear keeps what was synced of a file and a random part of what follows: sectors may be lost although the
+// length is kept.
 func (d *Disk) tear(f *inode) {
 	out := slices.Clone(f.synced)
-	long := len(f.synced) + d.rand.IntN(len(f.data)-len(f.synced)+1)
-	for at := len(f.synced); at < long; {
-		end := min(at-at%sector+sector, long)
+	length := len(f.synced) + d.rand.IntN(len(f.data)-len(f.synced)+1)
+	for at := len(f.synced); at < length; {
+		end := min(at-at%sectorBytes+sectorBytes, length)
 		switch d.rand.IntN(3) {
-		case 0: // it never reached the disk
+		case 0: // not written
 			out = append(out, make([]byte, end-at)...)
-		case 1: // what stood there before
+		case 1: // former contents
 			for range end - at {
 				out = append(out, byte(d.rand.UintN(256)))
 			}
@@ -129,10 +133,11 @@
 	f.synced, f.data = out, slices.Clone(out)
 }
 
+// file is an open file.
 type file struct {
-	d    *Disk
-	name string
-	node *inode
+	disk  *Disk
+	name  string
+	inode *inode
 }
 
 // Create implements store.FS.
@@ -212,36 +217,35 @@
 
 // Write implements store.File.
 func (f *file) Write(b []byte) (int, error) {
-	if err := f.d.step("write", f.name); err != nil {
-		n := f.d.rand.IntN(len(b) + 1)
-		f.node.data = append(f.node.data, b[:n]...)
+	if err := f.disk.step("write", f.name); err != nil {
+		n := f.disk.rand.IntN(len(b) + 1)
+		f.inode.data = append(f.inode.data, b[:n]...)
 		return n, err
 	}
-	f.node.data = append(f.node.data, b...)
+	f.inode.data = append(f.inode.data, b...)
 	return len(b), nil
 }
 
-// Sync implements store.File. One that fails has lost what it should have kept, whatever the next
-// one says.
+// Sync implements store.File. A sync that fails has lost data, even if the next one succeeds.
 func (f *file) Sync() error {
-	if err := f.d.step("sync", f.name); err != nil {
-		if !f.d.crashed {
-			f.d.tear(f.node)
-			f.node.synced = f.node.synced[:0:0]
-			f.node.synced = append(f.node.synced, f.node.data...)
+	if err := f.disk.step("sync", f.name); err != nil {
+		if !f.disk.crashed {
+			f.disk.tear(f.inode)
+			f.inode.synced = f.inode.synced[:0:0]
+			f.inode.synced = append(f.inode.synced, f.inode.data...)
 		}
 		return err
 	}
-	f.node.synced = slices.Clone(f.node.data)
+	f.inode.synced = slices.Clone(f.inode.data)
 	return nil
 }
 
 // Close implements store.File.
 func (f *file) Close() error { return nil }
 
-// Rot changes a byte of a file that is on the disk.
-func (d *Disk) Rot(name string, at int) {
+// CorruptByte changes the byte of a file at an offset.
+func (d *Disk) CorruptByte(name string, offset int) {
 	f := d.names[name]
-	f.data[at] ^= 0x55
+	f.data[offset] ^= 0x55
 	f.synced = slices.Clone(f.data)
 }
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -1,6 +1,5 @@
-// Package deployment draws deployments: what a runner may be told, each field over all values that
-// the settings allow, and a short day of a small fleet on which runners that are told so are
-// played. Nothing in it is of one deployment.
+// Package deployment draws random deployments: settings with each field over all values that are allowed,
+// and a short day of a small fleet that is played under them. It is independent of any real deployment.
 package deployment
 
 import (
@@ -15,25 +14,25 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// Deployment is one that was drawn.
+// Deployment is a deployment that was drawn.
 type Deployment struct {
 	Spec *day.Spec
 	Seed uint64
-	// ChangeSettings changes what runners are told into what this deployment tells.
+	// ChangeSettings changes the settings of a runner to those of this deployment.
 	ChangeSettings func(*admission.Settings)
 }
 
-// Limits bound what is drawn: a fleet on processes plays in real time.
+// Limits bound what is drawn.
 type Limits struct {
 	Classes, Tenants, Cores, Runners int
 	WorkMs                           [2]float64
 	DeadlineMs                       [2]int
 	LengthS                          float64
-	Rate                             float64 // first tries a second at the most
+	Rate                             float64 // most requests a second
 	Faults                           []string
 }
 
-// Wide is what a day in virtual time bears.
+// Wide are the limits of a day in virtual time.
 var Wide = Limits{
 	Classes:    12,
 	Tenants:    40,
@@ -46,7 +45,8 @@
 	Faults:     day.Kinds,
 }
 
-// Real is what a day on processes bears, whose figures must not go by how fast the machine is.
+// Real are the limits of a day with real processes, whose results must not depend on the speed of the
+// machine.
 var Real = Limits{
 	Classes:    5,
 	Tenants:    5,
@@ -59,9 +59,11 @@
 	Faults:     []string{day.Crash, day.Drain, day.Crawl},
 }
 
-type doc = map[string]any
+// object is a mapping of a day's file.
+type object = map[string]any
 
-func between(t *rapid.T, what string, low, high float64) float64 {
+// drawNumber draws a number; its bounds are drawn more often than others.
+func drawNumber(t *rapid.T, what string, low, high float64) float64 {
 	if odd := rapid.IntRange(0, 9).Draw(t, what+" end"); odd == 0 {
 		return low
 	} else if odd == 1 {
@@ -70,85 +72,92 @@
 	return rapid.Float64Range(low, high).Draw(t, what)
 }
 
-func yes(t *rapid.T, what string) bool { return rapid.Bool().Draw(t, what) }
+// drawBool draws a boolean.
+func drawBool(t *rapid.T, what string) bool { return rapid.Bool().Draw(t, what) }
 
 // Draw draws a deployment.
 func Draw(t *rapid.T, l Limits) *Deployment {
 	d := &Deployment{Seed: rapid.Uint64Range(1, 1<<40).Draw(t, "seed")}
-	classes := rapid.SliceOfN(
-		rapid.Custom(func(t *rapid.T) doc { return drawClass(t, l) }),
-		1,
-		l.Classes,
-	).Draw(
-		t,
-		"classes",
-	)
-	for i := range classes {
-		classes[i]["name"] = fmt.Sprintf("class/%d", i)
-	}
-	// a day has one; what is told of tenants is another matter
-	tenants := []doc{{"name": "nobody", "share": 1}}
-	none := rapid.IntRange(0, 3).Draw(t, "no tenants") == 0
-	if n := rapid.IntRange(1, l.Tenants).Draw(t, "tenants"); !none {
-		tenants = nil
-		for i := range n {
-			tenants = append(
-				tenants,
-				doc{"name": fmt.Sprintf("tenant %d", i), "share": between(t, "tenant's share", 0.001, 1)},
-			)
-		}
-	}
-	fall, tier := between(t, "fall", 1.5, 20), rapid.IntRange(0, 3).Draw(t, "tier") == 0
-	if tier { // a further tier looks after itself
-		fall = 1e6
+	classes := drawClasses(t, l)
+	tenants, none := drawTenants(t, l)
+	crashFactor := drawNumber(t, "fall", 1.5, 20)
+	tier := rapid.IntRange(0, 3).Draw(t, "tier") == 0
+	if tier { // a further tier of servers protects itself
+		crashFactor = 1e6
 	}
-	text, err := yaml.Marshal(doc{
-		"name": "drawn", "length_s": l.LengthS, "window_s": 1, "classes": classes, "tenants": tenants,
-		"load":  doc{"rate_s": between(t, "rate", 1, l.Rate), "burstiness": between(t, "burstiness", 0, 2)},
-		"fleet": drawFleet(t, l),
-		"backend": doc{
-			"slots":    between(t, "slots", 0.5, 200),
-			"headroom": between(t, "headroom", 1, 5),
-			"sheds":    yes(t, "sheds"),
-			"fall":     fall,
-			"fall_ms": rapid.IntRange(
-				200,
-				20_000,
-			).Draw(
-				t,
-				"fall over",
-			),
-			"linger_ms": between(t, "linger", 0, 2000),
-		},
+	load := object{"rate_s": drawNumber(t, "rate", 1, l.Rate), "burstiness": drawNumber(t, "burstiness", 0, 2)}
+	text, err := yaml.Marshal(object{
+		"name":      "drawn",
+		"length_s":  l.LengthS,
+		"window_s":  1,
+		"classes":   classes,
+		"tenants":   tenants,
+		"load":      load,
+		"fleet":     drawFleet(t, l),
+		"backend":   drawBackend(t, crashFactor),
 		"balancers": rapid.SliceOfN(rapid.Custom(drawBalancers), 1, 3).Draw(t, "balancers"),
-		"troubles": rapid.SliceOfN(
-			rapid.Custom(func(t *rapid.T) doc { return drawTrouble(t, l) }),
-			0,
-			3,
-		).Draw(
-			t,
-			"troubles",
-		),
-		"goal": doc{
-			"over_share_worth":  between(t, "over share", 0, 1),
-			"quota_of_capacity": between(t, "quota", 0, 2),
+		"troubles":  drawFaults(t, l),
+		"goal": object{
+			"over_share_worth":  drawNumber(t, "over share", 0, 1),
+			"quota_of_capacity": drawNumber(t, "quota", 0, 2),
 		},
 	})
 	if err == nil {
 		d.Spec, err = day.Parse("drawn", text)
 	}
 	if err != nil {
-		t.Fatalf("the generator draws what is no day: %v\n%s", err, text)
+		t.Fatalf("the generator draws an invalid day: %v\n%s", err, text)
 	}
-	d.bear()
-	d.ChangeSettings = drawTold(t, none, tier)
+	d.relaxBackend()
+	d.ChangeSettings = drawSettings(t, none, tier)
 	return d
 }
 
-// bear lets the back end bear what no runner can know beforehand: that each of them has one call
-// out which takes long and is then given up. A share in which there is no room for that would be
-// kept by not calling at all.
-func (d *Deployment) bear() {
+// drawClasses draws the classes.
+func drawClasses(t *rapid.T, l Limits) []object {
+	draw := rapid.Custom(func(t *rapid.T) object { return drawClass(t, l) })
+	classes := rapid.SliceOfN(draw, 1, l.Classes).Draw(t, "classes")
+	for i := range classes {
+		classes[i]["name"] = fmt.Sprintf("class/%d", i)
+	}
+	return classes
+}
+
+// drawTenants draws the tenants. none tells that the settings have none; a day has at least one.
+func drawTenants(t *rapid.T, l Limits) (tenants []object, none bool) {
+	none = rapid.IntRange(0, 3).Draw(t, "no tenants") == 0
+	n := rapid.IntRange(1, l.Tenants).Draw(t, "tenants")
+	if none {
+		return []object{{"name": "nobody", "share": 1}}, true
+	}
+	for i := range n {
+		share := drawNumber(t, "tenant's share", 0.001, 1)
+		tenants = append(tenants, object{"name": fmt.Sprintf("tenant %d", i), "share": share})
+	}
+	return tenants, false
+}
+
+// drawBackend draws the back end.
+func drawBackend(t *rapid.T, crashFactor float64) object {
+	return object{
+		"slots":     drawNumber(t, "slots", 0.5, 200),
+		"headroom":  drawNumber(t, "headroom", 1, 5),
+		"sheds":     drawBool(t, "sheds"),
+		"fall":      crashFactor,
+		"fall_ms":   rapid.IntRange(200, 20_000).Draw(t, "fall over"),
+		"linger_ms": drawNumber(t, "linger", 0, 2000),
+	}
+}
+
+// drawFaults draws the faults of the day.
+func drawFaults(t *rapid.T, l Limits) []object {
+	draw := rapid.Custom(func(t *rapid.T) object { return drawFault(t, l) })
+	return rapid.SliceOfN(draw, 0, 3).Draw(t, "troubles")
+}
+
+// relaxBackend lets the back end survive one long, cancelled call of each runner, which no runner can
+// foresee: a smaller quota could be kept only by making no calls.
+func (d *Deployment) relaxBackend() {
 	drawn := day.Draw(d.Spec, d.Seed)
 	b := &d.Spec.BackEnd
 	if most := drawn.Settings.CallQuota * b.FallMs; most > 0 {
@@ -156,83 +165,60 @@
 	}
 }
 
-func drawClass(t *rapid.T, l Limits) doc {
+// drawClass draws a class.
+func drawClass(t *rapid.T, l Limits) object {
 	deadline := rapid.IntRange(l.DeadlineMs[0], l.DeadlineMs[1]).Draw(t, "deadline")
-	if yes(t, "impatient") {
+	if drawBool(t, "impatient") {
 		deadline = min(deadline, 2*l.DeadlineMs[0])
 	}
-	c := doc{
-		"share":       between(t, "share", 0.01, 1),
-		"work_ms":     between(t, "work", l.WorkMs[0], l.WorkMs[1]),
-		"cv":          between(t, "cv", 0, 1.5),
+	c := object{
+		"share":       drawNumber(t, "share", 0.01, 1),
+		"work_ms":     drawNumber(t, "work", l.WorkMs[0], l.WorkMs[1]),
+		"cv":          drawNumber(t, "cv", 0, 1.5),
 		"deadline_ms": deadline,
-		"aim_ms":      max(1, int(float64(deadline)*between(t, "aim", 0.05, 1))),
-		"worth":       between(t, "worth", 0.01, 100),
-		"late_worth": between(
-			t,
-			"late worth",
-			0,
-			1,
-		),
-		"effect":    rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "effect"),
-		"window_ms": rapid.IntRange(20, 180_000).Draw(t, "window"),
-		"calls":     0,
+		"aim_ms":      max(1, int(float64(deadline)*drawNumber(t, "aim", 0.05, 1))),
+		"worth":       drawNumber(t, "worth", 0.01, 100),
+		"late_worth":  drawNumber(t, "late worth", 0, 1),
+		"effect":      rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "effect"),
+		"window_ms":   rapid.IntRange(20, 180_000).Draw(t, "window"),
+		"calls":       0,
 	}
-	if yes(t, "calls") {
-		c["calls"] = between(t, "calls", 0.1, 3)
+	if drawBool(t, "calls") {
+		c["calls"] = drawNumber(t, "calls", 0.1, 3)
 	}
 	return c
 }
 
-func drawFleet(t *rapid.T, l Limits) doc {
+// drawFleet draws the fleet.
+func drawFleet(t *rapid.T, l Limits) object {
 	grace := rapid.IntRange(20, 5000).Draw(t, "drain grace")
-	return doc{
-		"runners": rapid.IntRange(1, l.Runners).Draw(t, "runners"),
-		"halls":   []string{"one", "two"},
-		"cores":   rapid.IntRange(1, l.Cores).Draw(t, "cores"),
-		"speed": between(
-			t,
-			"speed",
-			0.3,
-			3,
-		),
-		"read_share":  between(t, "read share", 0.01, 0.3),
-		"memory_runs": between(t, "memory", 1, 60),
-		"run_factor": between(
-			t,
-			"run factor",
-			1,
-			30,
-		),
-		"hold_kb":  between(t, "hold", 0.5, 1500),
-		"key_room": between(t, "key room", 0.005, 0.9),
-		"cold_from": between(
-			t,
-			"cold from",
-			0.1,
-			1,
-		),
-		"cold_s":      between(t, "cold for", 0, 60),
-		"cold_calls":  between(t, "cold calls", 0, 2),
-		"restart_s":   0.3,
-		"crowd_limit": between(t, "crowd", 2, 20),
-		"crowd_ms":    rapid.IntRange(200, 10_000).Draw(t, "crowd over"),
-		"slack_ms": rapid.IntRange(
-			30,
-			2000,
-		).Draw(
-			t,
-			"slack",
-		),
+	return object{
+		"runners":        rapid.IntRange(1, l.Runners).Draw(t, "runners"),
+		"halls":          []string{"one", "two"},
+		"cores":          rapid.IntRange(1, l.Cores).Draw(t, "cores"),
+		"speed":          drawNumber(t, "speed", 0.3, 3),
+		"read_share":     drawNumber(t, "read share", 0.01, 0.3),
+		"memory_runs":    drawNumber(t, "memory", 1, 60),
+		"run_factor":     drawNumber(t, "run factor", 1, 30),
+		"hold_kb":        drawNumber(t, "hold", 0.5, 1500),
+		"key_room":       drawNumber(t, "key room", 0.005, 0.9),
+		"cold_from":      drawNumber(t, "cold from", 0.1, 1),
+		"cold_s":         drawNumber(t, "cold for", 0, 60),
+		"cold_calls":     drawNumber(t, "cold calls", 0, 2),
+		"restart_s":      0.3,
+		"crowd_limit":    drawNumber(t, "crowd", 2, 20),
+		"crowd_ms":       rapid.IntRange(200, 10_000).Draw(t, "crowd over"),
+		"slack_ms":       rapid.IntRange(30, 2000).Draw(t, "slack"),
 		"drain_grace_ms": grace,
 		"stop_ms":        2*grace + 2000,
-		"tells_gone_ms":  between(t, "tells gone", 1, 500),
-		"gone_lost":      between(t, "gone lost", 0, 1),
+		"tells_gone_ms":  drawNumber(t, "tells gone", 1, 500),
+		"gone_lost":      drawNumber(t, "gone lost", 0, 1),
 	}
 }
 
-func drawBalancers(t *rapid.T) doc {
-	return doc{
+// drawBalancers draws a kind of balancer.
+func drawBalancers(t *rapid.T) object {
+	return object{
 		"count":  rapid.IntRange(1, 4).Draw(t, "count"),
 		"choose": rapid.SampledFrom(balance.Policies).Draw(t, "choose"),
 		"retry": rapid.SampledFrom(
@@ -241,25 +227,21 @@
 			t,
 			"retry",
 		),
-		"pause_ms": rapid.IntRange(5, 200).Draw(t, "pause"),
-		"heeds": between(
-			t,
-			"heeds",
-			0,
-			1,
-		),
-		"patience":       between(t, "patience", 0.2, 1),
+		"pause_ms":       rapid.IntRange(5, 200).Draw(t, "pause"),
+		"heeds":          drawNumber(t, "heeds", 0, 1),
+		"patience":       drawNumber(t, "patience", 0.2, 1),
 		"check_every_ms": rapid.SampledFrom([]int{0, 300, 2000}).Draw(t, "checks"),
 	}
 }
 
-func drawTrouble(t *rapid.T, l Limits) doc {
-	k := doc{
+// drawFault draws a fault of the day.
+func drawFault(t *rapid.T, l Limits) object {
+	k := object{
 		"kind":  rapid.SampledFrom(l.Faults).Draw(t, "kind"),
-		"at_s":  between(t, "at", 0, l.LengthS),
-		"for_s": between(t, "for", 0.05, l.LengthS),
-		"part":  between(t, "part", 0.1, 1),
-		"times": between(t, "times", 1, 10),
+		"at_s":  drawNumber(t, "at", 0, l.LengthS),
+		"for_s": drawNumber(t, "for", 0.05, l.LengthS),
+		"part":  drawNumber(t, "part", 0.1, 1),
+		"times": drawNumber(t, "times", 1, 10),
 	}
 	if k["kind"] == day.CutHall {
 		k["hall"] = "two"
@@ -267,75 +249,34 @@
 	return k
 }
 
-// drawTold draws what the model of a day does not act on, and a runner is told all the same.
-func drawTold(t *rapid.T, none, tier bool) func(*admission.Settings) {
-	us := func(what string, low, high int) time.Duration {
-		return time.Duration(rapid.IntRange(low, high).Draw(t, what)) * time.Microsecond
-	}
-	var told admission.Settings
-	told.Cancel = rapid.SampledFrom(
-		[]admission.CancelMode{admission.CancelNone, admission.CancelDiscard, admission.CancelSuspend},
-	).Draw(
-		t,
-		"halt",
-	)
-	told.CreditMode = rapid.SampledFrom(
-		[]admission.CreditMode{
-			admission.CreditNone,
-			admission.CreditRankThreshold,
-			admission.CreditPerCaller,
-			admission.CreditWeight,
-		},
-	).Draw(
-		t,
-		"say",
-	)
-	told.ResultMaxAge, told.CreditLifetime = us("fresh", 0, 5_000_000), us("heeded", 0, 60_000_000)
-	told.IdleConnectionTimeout = us("idle", 10_000, 300_000_000)
-	told.NoRetryAfter = yes(t, "no advice to stay away")
-	told.MaxRetryAfter = us("stay away", 0, 60_000_000)
-	told.DeepHealthChecks, told.ReportsAbandoned, told.MarksRetries, told.EndpointListFollowsHealth = yes(
-		t,
-		"deep checks",
-	), yes(
-		t,
-		"tells gone",
-	), yes(
-		t,
-		"marks retries",
-	), yes(
-		t,
-		"list follows",
-	)
-	told.WeightPerWork, told.HandshakeCost = yes(t, "worth by work"), between(t, "handshake", 0, 1)
-	omit, stretch, upstreams := between(
-		t,
-		"skip worth",
-		0,
-		1,
-	), between(
-		t,
-		"stretch",
-		0,
-		3,
-	), rapid.IntRange(
-		0,
-		1000,
-	).Draw(
-		t,
-		"upstreams",
-	)
+// drawSettings draws settings that the model of a day ignores and a runner gets all the same.
+func drawSettings(t *rapid.T, noTenants, tier bool) func(*admission.Settings) {
+	drawn := drawRunnerSettings(t)
+	degraded := drawNumber(t, "skip worth", 0, 1)
+	workFactor := drawNumber(t, "stretch", 0, 3)
+	callers := rapid.IntRange(0, 1000).Draw(t, "upstreams")
 	return func(s *admission.Settings) {
-		s.Cancel, s.CreditMode, s.ResultMaxAge, s.CreditLifetime, s.IdleConnectionTimeout = told.Cancel, told.CreditMode, told.ResultMaxAge, told.CreditLifetime, told.IdleConnectionTimeout
-		s.MaxRetryAfter, s.NoRetryAfter, s.DeepHealthChecks, s.ReportsAbandoned, s.MarksRetries = told.MaxRetryAfter, told.NoRetryAfter, told.DeepHealthChecks, told.ReportsAbandoned, told.MarksRetries
-		s.EndpointListFollowsHealth, s.WeightPerWork, s.HandshakeCost, s.Callers = told.EndpointListFollowsHealth, told.WeightPerWork, told.HandshakeCost, upstreams
-		if none {
+		s.Cancel = drawn.Cancel
+		s.CreditMode = drawn.CreditMode
+		s.ResultMaxAge = drawn.ResultMaxAge
+		s.CreditLifetime = drawn.CreditLifetime
+		s.IdleConnectionTimeout = drawn.IdleConnectionTimeout
+		s.MaxRetryAfter = drawn.MaxRetryAfter
+		s.NoRetryAfter = drawn.NoRetryAfter
+		s.DeepHealthChecks = drawn.DeepHealthChecks
+		s.ReportsAbandoned = drawn.ReportsAbandoned
+		s.MarksRetries = drawn.MarksRetries
+		s.EndpointListFollowsHealth = drawn.EndpointListFollowsHealth
+		s.WeightPerWork = drawn.WeightPerWork
+		s.HandshakeCost = drawn.HandshakeCost
+		s.Callers = callers
+		if noTenants {
 			s.Tenants = nil
 		}
 		for i := range s.Classes {
-			s.Classes[i].ObjectiveWorkFactor = stretch
+			s.Classes[i].ObjectiveWorkFactor = workFactor
 			if s.Classes[i].CallsDependency {
-				s.Classes[i].DegradedWeightFraction = omit
+				s.Classes[i].DegradedWeightFraction = degraded
 			}
 		}
 		if tier && s.Dependency == admission.DependencyShared {
@@ -343,3 +284,33 @@
 		}
 	}
 }
+
+// drawRunnerSettings draws the settings that do not depend on classes, tenants or callers.
+func drawRunnerSettings(t *rapid.T) (s admission.Settings) {
+	microseconds := func(what string, low, high int) time.Duration {
+		return time.Duration(rapid.IntRange(low, high).Draw(t, what)) * time.Microsecond
+	}
+	s.Cancel = rapid.SampledFrom([]admission.CancelMode{
+		admission.CancelNone,
+		admission.CancelDiscard,
+		admission.CancelSuspend,
+	}).Draw(t, "halt")
+	s.CreditMode = rapid.SampledFrom([]admission.CreditMode{
+		admission.CreditNone,
+		admission.CreditRankThreshold,
+		admission.CreditPerCaller,
+		admission.CreditWeight,
+	}).Draw(t, "say")
+	s.ResultMaxAge = microseconds("fresh", 0, 5_000_000)
+	s.CreditLifetime = microseconds("heeded", 0, 60_000_000)
+	s.IdleConnectionTimeout = microseconds("idle", 10_000, 300_000_000)
+	s.NoRetryAfter = drawBool(t, "no advice to stay away")
+	s.MaxRetryAfter = microseconds("stay away", 0, 60_000_000)
+	s.DeepHealthChecks = drawBool(t, "deep checks")
+	s.ReportsAbandoned = drawBool(t, "tells gone")
+	s.MarksRetries = drawBool(t, "marks retries")
+	s.EndpointListFollowsHealth = drawBool(t, "list follows")
+	s.WeightPerWork = drawBool(t, "worth by work")
+	s.HandshakeCost = drawNumber(t, "handshake", 0, 1)
+	return s
+}
--- a/internal/testing/faultlink/faultlink.go
+++ b/internal/testing/faultlink/faultlink.go
@@ -1,8 +1,9 @@
-// Package faultlink is a stand-in for the network between two parties: TCP links on loopback that
-// forward bytes until they are told to fail, in one direction or both, at any byte.
+// Package faultlink simulates network faults between two parties: TCP proxies on loopback that forward bytes,
+// and delay, stall, slow down or reset them on request, in one or both directions.
 package faultlink
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -13,38 +14,38 @@
 // Direction is a direction of a link, or both.
 type Direction uint8
 
-// The directions. There is from whom connects to whom listens.
+// Directions. ToServer leads from the party that connects to the one that listens.
 const (
 	ToServer Direction = 1 << iota
 	ToClient
 	BothDirections = ToServer | ToClient
 )
 
-// Fault is what a direction of a link does to bytes. The zero value forwards them.
+// Fault is what happens to bytes in a direction. The zero value forwards them.
 type Fault struct {
-	Stall           bool          // nothing passes, and nothing breaks: bytes go on once it is over
-	Delay           time.Duration // each piece is late by so much
-	BytesPerSecond  int           // bytes a second; 0: no bound
-	ResetAfterBytes int64         // the connection is reset once so many more bytes have passed; 0: it is not
+	Stall           bool          // bytes are held until the fault ends
+	Delay           time.Duration // of each piece
+	BytesPerSecond  int           // 0: no bound
+	ResetAfterBytes int64         // further bytes after which the connection is reset; 0: none
 }
 
-// Link is one way to reach a listener. Its methods may be called from any goroutine.
+// Link is a proxy to one listener. Its methods are safe for concurrent use.
 type Link struct {
-	ln net.Listener
-
-	mu     sync.Mutex
-	target string
-	cut    bool
-	faults [2]Fault
-	change chan struct{} // closed and made anew with each change
-	open   map[*pipe]struct{}
-	closed bool
+	listener net.Listener
+
+	mu      sync.Mutex
+	target  string
+	cut     bool
+	faults  [2]Fault
+	changed chan struct{} // closed and replaced at each change of target, cut or faults
+	pipes   map[*pipe]struct{}
+	closed  bool
 }
 
+// pipe is one forwarded connection.
 type pipe struct{ from, to net.Conn }
 
-// reset ends both connections as a host does that is gone: with a reset, not with an end of what
-// was sent.
+// reset resets both connections, as the loss of a host does.
 func (p *pipe) reset() {
 	for _, c := range []net.Conn{p.from, p.to} {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -54,81 +55,83 @@
 	}
 }
 
-// New opens a link to an address, which may be told or changed later with SetTarget.
+// New opens a link to a target address, which may be empty until SetTarget.
 func New(target string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("wire: %w", err)
+		return nil, fmt.Errorf("faultlink: %w", err)
 	}
-	l := &Link{ln: ln, target: target, change: make(chan struct{}), open: map[*pipe]struct{}{}}
+	l := &Link{listener: ln, target: target, changed: make(chan struct{}), pipes: map[*pipe]struct{}{}}
 	go l.serve()
 	return l, nil
 }
 
-// Addr is where the link is reached.
-func (l *Link) Addr() string { return l.ln.Addr().String() }
+// Addr returns the address of the link.
+func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// SetTarget says where new connections lead.
-func (l *Link) SetTarget(addr string) { l.set(func() { l.target = addr }) }
+// SetTarget sets where new connections are forwarded.
+func (l *Link) SetTarget(addr string) { l.update(func() { l.target = addr }) }
 
-// Set gives one direction or both a fault.
-func (l *Link) Set(w Direction, f Fault) {
-	l.set(func() {
+// Set sets the fault of one direction or both.
+func (l *Link) Set(direction Direction, f Fault) {
+	l.update(func() {
 		for i := range l.faults {
-			if w&(1<<i) != 0 {
+			if direction&(1<<i) != 0 {
 				l.faults[i] = f
 			}
 		}
 	})
 }
 
-// Cut resets what is open and whatever comes, until Heal.
+// Cut resets all connections, and new ones until Heal.
 func (l *Link) Cut() {
-	l.set(func() { l.cut = true })
+	l.update(func() { l.cut = true })
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.open {
+	for p := range l.pipes {
 		p.reset()
 	}
 }
 
-// Heal ends all faults.
-func (l *Link) Heal() { l.set(func() { l.cut, l.faults = false, [2]Fault{} }) }
+// Heal ends all faults and cuts.
+func (l *Link) Heal() { l.update(func() { l.cut, l.faults = false, [2]Fault{} }) }
 
-// Open is how many connections there are.
+// Open returns the number of open connections.
 func (l *Link) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open)
+	return len(l.pipes)
 }
 
-// Close ends the link and all that is open.
+// Close closes the link and resets its connections.
 func (l *Link) Close() {
-	_ = l.ln.Close()
-	l.set(func() { l.closed = true })
+	_ = l.listener.Close()
+	l.update(func() { l.closed = true })
 	l.Cut()
 }
 
-func (l *Link) set(fn func()) {
+// update changes the state of the link and wakes what waits for a change.
+func (l *Link) update(fn func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fn()
-	close(l.change)
-	l.change = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
+// serve accepts connections until the listener is closed.
 func (l *Link) serve() {
 	for {
-		c, err := l.ln.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return // it was closed
 		}
-		go l.join(c)
+		go l.connect(c)
 	}
 }
 
-// join leads one connection on.
-func (l *Link) join(from net.Conn) {
+// connect forwards one connection until both sides end.
+func (l *Link) connect(from net.Conn) {
 	l.mu.Lock()
 	target, cut := l.target, l.cut
 	l.mu.Unlock()
@@ -144,46 +147,47 @@
 		p.reset()
 		return
 	}
-	l.open[p] = struct{}{}
+	l.pipes[p] = struct{}{}
 	l.mu.Unlock()
 	var both sync.WaitGroup
 	both.Go(func() { l.forward(p, p.from, p.to, 0) })
 	both.Go(func() { l.forward(p, p.to, p.from, 1) })
 	both.Wait()
 	l.mu.Lock()
-	delete(l.open, p)
+	delete(l.pipes, p)
 	l.mu.Unlock()
 	_ = from.Close()
 	_ = p.to.Close()
 }
 
-const piece = 16 << 10
+// bufferBytes is the largest piece that is forwarded at once.
+const bufferBytes = 16 << 10
 
-// forward leads one direction of a connection on, by what its faults are at each piece.
+// forward forwards one direction of a connection, under the faults at each piece.
 func (l *Link) forward(p *pipe, from, to net.Conn, way int) {
-	buf := make([]byte, piece)
+	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
 		for rest := buf[:n]; len(rest) > 0; {
-			f, ok := l.pass(way)
+			f, ok := l.awaitPassage(way)
 			if !ok {
 				p.reset()
 				return
 			}
-			step, pause := f.step(len(rest))
+			step, pause := f.nextStep(len(rest))
 			time.Sleep(pause)
 			if _, err := to.Write(rest[:step]); err != nil {
 				p.reset()
 				return
 			}
 			rest = rest[step:]
-			if l.spent(way, int64(step)) {
+			if l.countBytes(way, int64(step)) {
 				p.reset()
 				return
 			}
 		}
-		if err == io.EOF { // one side has no more to say; the other may
-			if _, ok := l.pass(way); !ok {
+		if errors.Is(err, io.EOF) { // the other direction may stay open
+			if _, ok := l.awaitPassage(way); !ok {
 				p.reset()
 			} else if t, ok := to.(*net.TCPConn); ok {
 				_ = t.CloseWrite()
@@ -197,14 +201,14 @@
 	}
 }
 
-// dripStep is how often a byte drips at the most.
-const dripStep = 10 * time.Millisecond
+// rateInterval is the time between two pieces under a bound of the rate.
+const rateInterval = 10 * time.Millisecond
 
-// step is how much of so many bytes passes next, and after which pause.
-func (f Fault) step(n int) (step int, pause time.Duration) {
+// nextStep returns how many of n bytes are forwarded next, and after which pause.
+func (f Fault) nextStep(n int) (step int, pause time.Duration) {
 	step, pause = n, f.Delay
 	if f.BytesPerSecond > 0 {
-		step = min(n, max(int(float64(f.BytesPerSecond)*dripStep.Seconds()), 1))
+		step = min(n, max(int(float64(f.BytesPerSecond)*rateInterval.Seconds()), 1))
 		pause += time.Duration(float64(step) / float64(f.BytesPerSecond) * float64(time.Second))
 	}
 	if f.ResetAfterBytes > 0 {
@@ -213,12 +217,12 @@
 	return step, pause
 }
 
-// pass waits while a direction is held, and gives what its faults are then; false: the link is
-// closed or cut.
-func (l *Link) pass(way int) (Fault, bool) {
+// awaitPassage waits while a direction is stalled and returns its fault; ok is false if the link is closed or
+// cut.
+func (l *Link) awaitPassage(way int) (Fault, bool) {
 	for {
 		l.mu.Lock()
-		f, over, change := l.faults[way], l.closed || l.cut, l.change
+		f, over, change := l.faults[way], l.closed || l.cut, l.changed
 		l.mu.Unlock()
 		if over || !f.Stall {
 			return f, !over
@@ -227,8 +231,8 @@
 	}
 }
 
-// spent counts bytes that passed, and tells whether they were the last ones.
-func (l *Link) spent(way int, n int64) bool {
+// countBytes counts forwarded bytes, and reports whether the connection is to be reset.
+func (l *Link) countBytes(way int, n int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := &l.faults[way]
--- a/internal/testing/historychecker/checker_test.go
+++ b/internal/testing/historychecker/checker_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			var h History
 			for i, told := range x.told {
-				h.Add(Record{Key: "k", At: "n1", Asked: ms(2 * i), Ended: ms(2*i + 1), Response: told})
+				h.Add(Record{Key: "k", Runner: "n1", SentAt: ms(2 * i), EndedAt: ms(2*i + 1), Response: told})
 			}
 			v := h.Check(map[string]int{"k": x.ran})
 			if (len(v) == 0) != (x.want == "") || !strings.Contains(v.String(), x.want) {
@@ -38,8 +38,8 @@
 		})
 	}
 	var h History // two at once have some order
-	h.Add(Record{Key: "k", Asked: ms(0), Ended: ms(9), Response: Response{Outcome: Failed}})
-	h.Add(Record{Key: "k", Asked: ms(1), Ended: ms(5), Response: served("a")})
+	h.Add(Record{Key: "k", SentAt: ms(0), EndedAt: ms(9), Response: Response{Outcome: Failed}})
+	h.Add(Record{Key: "k", SentAt: ms(1), EndedAt: ms(5), Response: served("a")})
 	if v := h.Check(map[string]int{"k": 1}); len(v) > 0 {
 		t.Error(v)
 	}
--- a/internal/testing/historychecker/leases.go
+++ b/internal/testing/historychecker/leases.go
@@ -6,70 +6,70 @@
 	"time"
 )
 
-// LeaseEffect is something that was done for a duty, as a far end saw it.
+// LeaseEffect is an effect of a lease holder, as a server saw it.
 type LeaseEffect struct {
-	Server   string // who saw it
+	Server   string // that saw it
 	At       time.Time
 	Lease    string
 	Token    uint64
 	Holder   string
-	Accepted bool // the far end took it
+	Accepted bool // by the server
 }
 
-// CheckLeases is what is wrong with the effects of duties: a token that two runners used, an effect that
-// was taken by a far end after one under a higher token, and holders whose effects cross at
-// different far ends, which no far end can see, by more than a while that effects are on their way.
-func CheckLeases(effects []LeaseEffect, way time.Duration) (v Verdict) {
-	all := slices.Clone(effects)
-	slices.SortFunc(all, func(a, b LeaseEffect) int { return a.At.Compare(b.At) })
-	holders := map[uint64]string{}
-	newest := map[[2]string]uint64{}
-	type first struct {
-		token uint64
-		at    time.Time
+// leaseStart is the first accepted effect under the highest token of a lease.
+type leaseStart struct {
+	token uint64
+	at    time.Time
+}
+
+// leaseCheck is the state of CheckLeases.
+type leaseCheck struct {
+	holders  map[uint64]string    // by token
+	accepted map[[2]string]uint64 // highest accepted token by server and lease
+	started  map[string]leaseStart
+}
+
+// CheckLeases returns what is wrong with the effects of lease holders: a token that two runners used, an
+// effect that a server accepted after one under a higher token, and holders whose effects overlap at
+// different servers by more than delay, the time for which an effect may be on its way.
+func CheckLeases(effects []LeaseEffect, delay time.Duration) (v Verdict) {
+	ordered := slices.Clone(effects)
+	slices.SortFunc(ordered, func(a, b LeaseEffect) int { return a.At.Compare(b.At) })
+	check := leaseCheck{
+		holders:  map[uint64]string{},
+		accepted: map[[2]string]uint64{},
+		started:  map[string]leaseStart{},
+	}
+	for i := range ordered {
+		v = append(v, check.add(&ordered[i], delay)...)
+	}
+	return v
+}
+
+// add checks one more effect.
+func (c *leaseCheck) add(e *LeaseEffect, delay time.Duration) (v Verdict) {
+	if holder, ok := c.holders[e.Token]; ok && holder != e.Holder {
+		v = append(v, fmt.Sprintf("token %d of %s was used by %s and by %s", e.Token, e.Lease, holder, e.Holder))
+	}
+	c.holders[e.Token] = e.Holder
+	if !e.Accepted {
+		return v
+	}
+	at := [2]string{e.Server, e.Lease}
+	if highest := c.accepted[at]; e.Token < highest {
+		v = append(v, fmt.Sprintf("%s took an effect of %s under %d after one under %d",
+			e.Server, e.Lease, e.Token, highest))
+	} else {
+		c.accepted[at] = e.Token
 	}
-	begun := map[string]first{}
-	for _, e := range all {
-		if h, ok := holders[e.Token]; ok && h != e.Holder {
-			v = append(
-				v,
-				fmt.Sprintf("token %d of %s was used by %s and by %s", e.Token, e.Lease, h, e.Holder),
-			)
-		}
-		holders[e.Token] = e.Holder
-		if !e.Accepted {
-			continue
-		}
-		if at := [2]string{e.Server, e.Lease}; e.Token < newest[at] {
-			v = append(
-				v,
-				fmt.Sprintf(
-					"%s took an effect of %s under %d after one under %d",
-					e.Server,
-					e.Lease,
-					e.Token,
-					newest[at],
-				),
-			)
-		} else {
-			newest[at] = e.Token
-		}
-		switch b := begun[e.Lease]; {
-		case e.Token > b.token:
-			begun[e.Lease] = first{e.Token, e.At}
-		case e.Token < b.token && e.At.Sub(b.at) > way:
-			v = append(
-				v,
-				fmt.Sprintf(
-					"%s: %s acted under %d for %v after %d had begun",
-					e.Lease,
-					e.Holder,
-					e.Token,
-					e.At.Sub(b.at),
-					b.token,
-				),
-			)
-		}
+	start := c.started[e.Lease]
+	late := e.At.Sub(start.at)
+	switch {
+	case e.Token > start.token:
+		c.started[e.Lease] = leaseStart{token: e.Token, at: e.At}
+	case e.Token < start.token && late > delay:
+		v = append(v, fmt.Sprintf("%s: %s acted under %d for %v after %d had begun",
+			e.Lease, e.Holder, e.Token, late, start.token))
 	}
 	return v
 }
