--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -58,33 +58,33 @@
 	drawThrottle = 1 << 20
 )
 
-type pending struct {
+type pendingRequest struct {
 	*Request
-	began  time.Duration
-	tries  int
-	open   []*Attempt
-	tried  map[int]bool // in this round of the list
-	last   Outcome
-	timer  virtualclock.Timer
-	copied bool
-	paused virtualclock.Timer
-	same   int // the server to go to again; -1: any
+	startedAt     time.Duration
+	attempts      int
+	active        []*Attempt
+	tried         map[int]bool // in this round of the list
+	lastOutcome   Outcome
+	deadlineTimer virtualclock.Timer
+	hedged        bool
+	retryTimer    virtualclock.Timer
+	sameServer    int // the server to go to again; -1: any
 }
 
 type server struct {
-	listed   bool
-	inSubset bool
-	weight   float64
-	out      int
-	value    float64
-	valueAt  time.Duration
-	away     time.Duration
-	fails    int
-	ejected  time.Duration
-	bad      int // checks in a row
-	latency  float64
-	load     float64
-	checking bool
+	listed       bool
+	inSubset     bool
+	weight       float64
+	outstanding  int
+	credit       float64
+	creditAt     time.Duration
+	avoidUntil   time.Duration
+	failures     int
+	ejectedUntil time.Duration
+	failedChecks int // checks in a row
+	latency      float64
+	load         float64
+	checking     bool
 }
 
 // Stats counts what a balancer did.
@@ -92,40 +92,40 @@
 
 // Balancer is one of them.
 type Balancer struct {
-	habit    Behavior
-	clock    virtualclock.Clock
-	wire     Transport
-	draw     Draw
-	servers  []server
-	next     int
-	tokens   float64
-	asked    float64 // decayed counts of Throttle
-	taken    float64
-	countsAt time.Duration
-	willing  []int // scratch
-	Stats    Stats
+	behavior       Behavior
+	clock          virtualclock.Clock
+	transport      Transport
+	draw           Draw
+	servers        []server
+	nextServer     int
+	retryTokens    float64
+	recentRequests float64 // decayed counts of Throttle
+	recentServed   float64
+	decayedAt      time.Duration
+	eligible       []int // scratch
+	Stats          Stats
 }
 
 const (
-	badChecks         = 2
-	latencyPart       = 0.2
-	mostTokens        = 10.0
-	countsFor         = 10 * time.Second
-	minRetryPause     = time.Millisecond
-	minFailureLatency = time.Second
+	unhealthyAfterChecks = 2
+	latencyWeight        = 0.2
+	maxRetryTokens       = 10.0
+	throttleDecay        = 10 * time.Second
+	minRetryPause        = time.Millisecond
+	minFailureLatency    = time.Second
 )
 
 // New makes a balancer before n servers, none of which is listed yet. name tells subsets apart.
 func New(name uint64, n int, habit Behavior, clock virtualclock.Clock, wire Transport, draw Draw) *Balancer {
 	b := &Balancer{
-		habit:    habit,
-		clock:    clock,
-		wire:     wire,
-		draw:     draw,
-		servers:  make([]server, n),
-		tokens:   mostTokens,
-		countsAt: clock.Now(),
-		next:     int(score(name, 0) % uint64(max(n, 1))),
+		behavior:    habit,
+		clock:       clock,
+		transport:   wire,
+		draw:        draw,
+		servers:     make([]server, n),
+		retryTokens: maxRetryTokens,
+		decayedAt:   clock.Now(),
+		nextServer:  int(rendezvousScore(name, 0) % uint64(max(n, 1))),
 	}
 	for i := range b.servers {
 		b.servers[i].weight = 1
@@ -135,7 +135,7 @@
 		for i := range b.servers {
 			above := 0
 			for j := range b.servers {
-				if score(name, j) > score(name, i) {
+				if rendezvousScore(name, j) > rendezvousScore(name, i) {
 					above++
 				}
 			}
@@ -144,7 +144,7 @@
 	}
 	if habit.HealthCheckInterval > 0 {
 		for i := range b.servers {
-			b.clock.After(scale(habit.HealthCheckInterval, b.draw(name, i, drawFirst)), func() { b.check(i) })
+			b.clock.After(scale(habit.HealthCheckInterval, b.draw(name, i, drawFirst)), func() { b.startCheck(i) })
 		}
 	}
 	return b
@@ -153,7 +153,7 @@
 // SetListed takes a change of the list. What is out at a server that went goes on.
 func (b *Balancer) SetListed(i int, on bool) {
 	if s := &b.servers[i]; s.listed != on {
-		*s = server{listed: on, inSubset: s.inSubset, weight: s.weight, out: s.out, checking: s.checking}
+		*s = server{listed: on, inSubset: s.inSubset, weight: s.weight, outstanding: s.outstanding, checking: s.checking}
 	}
 }
 
@@ -168,244 +168,244 @@
 	s := &b.servers[i]
 	s.checking = false
 	if good {
-		s.bad = 0
+		s.failedChecks = 0
 	} else {
-		s.bad++
+		s.failedChecks++
 	}
 }
 
-func (b *Balancer) check(i int) {
-	b.clock.After(b.habit.HealthCheckInterval, func() { b.check(i) })
+func (b *Balancer) startCheck(i int) {
+	b.clock.After(b.behavior.HealthCheckInterval, func() { b.startCheck(i) })
 	s := &b.servers[i]
 	if !s.listed || !s.inSubset {
 		return
 	}
 	if s.checking { // the one before has not come back
-		s.bad++
+		s.failedChecks++
 		return
 	}
 	s.checking = true
-	b.wire.Check(i)
+	b.transport.Check(i)
 }
 
 // Submit takes over a first try.
 func (b *Balancer) Submit(r *Request) {
 	now := b.clock.Now()
-	p := &pending{Request: r, began: now, tried: map[int]bool{}, same: -1}
+	p := &pendingRequest{Request: r, startedAt: now, tried: map[int]bool{}, sameServer: -1}
 	b.Stats.Requests++
-	b.tokens = min(b.tokens+b.habit.RetryBudget, mostTokens)
-	p.timer = b.clock.After(r.Deadline, func() { b.finish(p, EndTimedOut, nil) })
-	if b.throttled(r) {
+	b.retryTokens = min(b.retryTokens+b.behavior.RetryBudget, maxRetryTokens)
+	p.deadlineTimer = b.clock.After(r.Deadline, func() { b.finish(p, EndTimedOut, nil) })
+	if b.isThrottled(r) {
 		b.Stats.Throttled++
 		b.finish(p, EndUnsent, nil)
 		return
 	}
-	b.try(p, false)
+	b.send(p, false)
 }
 
-// throttled keeps a request back in proportion to how much is turned away of late.
-func (b *Balancer) throttled(r *Request) bool {
-	if b.habit.ThrottleFactor <= 0 {
+// isThrottled keeps a request back in proportion to how much is turned away of late.
+func (b *Balancer) isThrottled(r *Request) bool {
+	if b.behavior.ThrottleFactor <= 0 {
 		return false
 	}
 	now := b.clock.Now()
-	fade := math.Exp(-virtualclock.Micros(now-b.countsAt) / virtualclock.Micros(countsFor))
-	b.asked, b.taken, b.countsAt = b.asked*fade+1, b.taken*fade, now
-	return b.draw(r.ID, 0, drawThrottle) < (b.asked-b.habit.ThrottleFactor*b.taken-1)/(b.asked+1)
+	fade := math.Exp(-virtualclock.Micros(now-b.decayedAt) / virtualclock.Micros(throttleDecay))
+	b.recentRequests, b.recentServed, b.decayedAt = b.recentRequests*fade+1, b.recentServed*fade, now
+	return b.draw(r.ID, 0, drawThrottle) < (b.recentRequests-b.behavior.ThrottleFactor*b.recentServed-1)/(b.recentRequests+1)
 }
 
-// try sends one more try, if there is a server for it.
-func (b *Balancer) try(p *pending, second bool) {
+// send sends one more try, if there is a server for it.
+func (b *Balancer) send(p *pendingRequest, second bool) {
 	i := b.choose(p)
 	if i < 0 {
 		if !second {
-			b.noServer(p)
+			b.handleNoServer(p)
 		}
 		return
 	}
 	now := b.clock.Now()
-	t := &Attempt{Request: p.Request, Server: i, Number: p.tries, SentAt: now, Hedged: second, p: p}
-	p.tries++
+	t := &Attempt{Request: p.Request, Server: i, Number: p.attempts, SentAt: now, Hedged: second, pending: p}
+	p.attempts++
 	p.tried[i] = true
-	p.same = -1
-	p.open = append(p.open, t)
+	p.sameServer = -1
+	p.active = append(p.active, t)
 	b.Stats.Attempts++
-	b.servers[i].out++
-	if wait := scale(p.Deadline, b.habit.AttemptTimeout); b.habit.AttemptTimeout < 1 &&
-		now+wait < p.began+p.Deadline {
-		t.timer = b.clock.After(wait, func() { b.timedOut(t) })
+	b.servers[i].outstanding++
+	if wait := scale(p.Deadline, b.behavior.AttemptTimeout); b.behavior.AttemptTimeout < 1 &&
+		now+wait < p.startedAt+p.Deadline {
+		t.timer = b.clock.After(wait, func() { b.attemptTimedOut(t) })
 	}
-	if b.habit.HedgeDelay > 0 && p.Idempotent && !p.copied {
-		p.copied = true
-		b.clock.After(b.habit.HedgeDelay, func() {
-			if p.timer != nil && len(p.open) == 1 && !p.open[0].over {
+	if b.behavior.HedgeDelay > 0 && p.Idempotent && !p.hedged {
+		p.hedged = true
+		b.clock.After(b.behavior.HedgeDelay, func() {
+			if p.deadlineTimer != nil && len(p.active) == 1 && !p.active[0].closed {
 				b.Stats.Hedged++
-				b.try(p, true)
+				b.send(p, true)
 			}
 		})
 	}
-	b.wire.Send(t)
+	b.transport.Send(t)
 }
 
-// noServer deals with a request for which no server is left in this round.
-func (b *Balancer) noServer(p *pending) {
+// handleNoServer deals with a request for which no server is left in this round.
+func (b *Balancer) handleNoServer(p *pendingRequest) {
 	if len(p.tried) == 0 {
-		if p.last == 0 {
+		if p.lastOutcome == 0 {
 			b.Stats.Unsent++
-			p.last = EndUnsent
+			p.lastOutcome = EndUnsent
 		}
-		b.finish(p, p.last, nil)
+		b.finish(p, p.lastOutcome, nil)
 		return
 	}
-	if b.habit.Retry != RetryUnlimited {
-		b.finish(p, p.last, nil)
+	if b.behavior.Retry != RetryUnlimited {
+		b.finish(p, p.lastOutcome, nil)
 		return
 	}
 	clear(p.tried)
-	p.paused = b.clock.After(max(b.habit.RetryPause, minRetryPause), func() { b.try(p, false) })
+	p.retryTimer = b.clock.After(max(b.behavior.RetryPause, minRetryPause), func() { b.send(p, false) })
 }
 
-// timedOut ends a try that took too long.
-func (b *Balancer) timedOut(t *Attempt) {
-	if t.over {
+// attemptTimedOut ends a try that took too long.
+func (b *Balancer) attemptTimedOut(t *Attempt) {
+	if t.closed {
 		return
 	}
-	b.failed(t)
-	b.close(t)
+	b.recordFailure(t)
+	b.closeAttempt(t)
 	b.Stats.Aborted++
-	b.wire.Abort(t)
-	t.p.last = EndFailed
-	b.again(t, true, true)
+	b.transport.Abort(t)
+	t.pending.lastOutcome = EndFailed
+	b.retry(t, true, true)
 }
 
 // Answered takes what came back of a try. What nobody waits for any more is passed over, but for
 // the free value.
 func (b *Balancer) Answered(t *Attempt, a Answer) {
 	s, now := &b.servers[t.Server], b.clock.Now()
-	if a.AdvertisedValue >= 0 && b.habit.FollowsAdvice {
-		s.value, s.valueAt = a.AdvertisedValue, now
+	if a.AdvertisedValue >= 0 && b.behavior.FollowsAdvice {
+		s.credit, s.creditAt = a.AdvertisedValue, now
 	}
-	if t.over {
+	if t.closed {
 		return
 	}
-	b.close(t)
-	p := t.p
+	b.closeAttempt(t)
+	p := t.pending
 	switch a.Kind {
 	case Served:
-		s.fails = 0
-		b.taken++
-		b.learn(s, virtualclock.Micros(now-t.SentAt))
+		s.failures = 0
+		b.recentServed++
+		b.observeLatency(s, virtualclock.Micros(now-t.SentAt))
 		b.finish(p, EndServed, t)
 		return
 	case Rejected:
-		if b.habit.FollowsAdvice && a.RetryAfter > 0 {
-			s.away = now + a.RetryAfter
+		if b.behavior.FollowsAdvice && a.RetryAfter > 0 {
+			s.avoidUntil = now + a.RetryAfter
 		}
-		p.last = EndRejected
-		if b.habit.FollowsAdvice && a.DoNotRetry {
-			if len(p.open) == 0 {
+		p.lastOutcome = EndRejected
+		if b.behavior.FollowsAdvice && a.DoNotRetry {
+			if len(p.active) == 0 {
 				b.finish(p, EndRejected, nil)
 			}
 			return
 		}
-		b.again(t, false, false)
+		b.retry(t, false, false)
 	case Unreachable:
-		b.failed(t)
-		p.last = EndFailed
-		b.again(t, true, false)
+		b.recordFailure(t)
+		p.lastOutcome = EndFailed
+		b.retry(t, true, false)
 	default:
-		b.failed(t)
-		p.last = EndFailed
-		b.again(t, true, true)
+		b.recordFailure(t)
+		p.lastOutcome = EndFailed
+		b.retry(t, true, true)
 	}
 }
 
-func (b *Balancer) learn(s *server, took float64) {
+func (b *Balancer) observeLatency(s *server, took float64) {
 	if s.latency == 0 {
 		s.latency = took
 	}
-	s.latency += latencyPart * (took - s.latency)
+	s.latency += latencyWeight * (took - s.latency)
 }
 
-// failed counts against a server that brought no answer of its own.
-func (b *Balancer) failed(t *Attempt) {
+// recordFailure counts against a server that brought no answer of its own.
+func (b *Balancer) recordFailure(t *Attempt) {
 	s := &b.servers[t.Server]
-	s.fails++
-	b.learn(s, virtualclock.Micros(max(b.clock.Now()-t.SentAt, minFailureLatency)))
-	if b.habit.EjectAfterFailures > 0 && s.fails >= b.habit.EjectAfterFailures {
-		s.fails = 0
-		s.ejected = b.clock.Now() + b.habit.EjectionTime
+	s.failures++
+	b.observeLatency(s, virtualclock.Micros(max(b.clock.Now()-t.SentAt, minFailureLatency)))
+	if b.behavior.EjectAfterFailures > 0 && s.failures >= b.behavior.EjectAfterFailures {
+		s.failures = 0
+		s.ejectedUntil = b.clock.Now() + b.behavior.EjectionTime
 		b.Stats.Ejections++
 	}
 }
 
-// close takes a try off the books.
-func (b *Balancer) close(t *Attempt) {
-	t.over = true
-	b.servers[t.Server].out--
+// closeAttempt takes a try off the books.
+func (b *Balancer) closeAttempt(t *Attempt) {
+	t.closed = true
+	b.servers[t.Server].outstanding--
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	for i, o := range t.p.open {
+	for i, o := range t.pending.active {
 		if o == t {
-			t.p.open = append(t.p.open[:i], t.p.open[i+1:]...)
+			t.pending.active = append(t.pending.active[:i], t.pending.active[i+1:]...)
 			break
 		}
 	}
 }
 
-// again decides what follows a try without a result. One that may have had an effect is sent again
+// retry decides what follows a try without a result. One that may have had an effect is sent again
 // only under its key.
-func (b *Balancer) again(t *Attempt, failed, mayHaveRun bool) {
-	p := t.p
-	if len(p.open) > 0 || p.timer == nil { // its copy may still bring one
+func (b *Balancer) retry(t *Attempt, failed, mayHaveRun bool) {
+	p := t.pending
+	if len(p.active) > 0 || p.deadlineTimer == nil { // its copy may still bring one
 		return
 	}
 	if mayHaveRun && !p.Idempotent && !p.Keyed {
-		b.finish(p, p.last, nil)
+		b.finish(p, p.lastOutcome, nil)
 		return
 	}
-	if mayHaveRun && p.Keyed && b.habit.Sticky {
-		p.same = t.Server
+	if mayHaveRun && p.Keyed && b.behavior.Sticky {
+		p.sameServer = t.Server
 	}
-	switch b.habit.Retry {
+	switch b.behavior.Retry {
 	case RetryUnlimited:
-		if failed && p.same >= 0 {
-			p.paused = b.clock.After(max(b.habit.RetryPause, minRetryPause), func() { b.try(p, false) })
+		if failed && p.sameServer >= 0 {
+			p.retryTimer = b.clock.After(max(b.behavior.RetryPause, minRetryPause), func() { b.send(p, false) })
 			return
 		}
-		b.try(p, false)
+		b.send(p, false)
 	case RetryBounded:
-		if p.tries >= b.habit.MaxAttempts || b.habit.RetryBudget > 0 && b.tokens < 1 {
-			b.finish(p, p.last, nil)
+		if p.attempts >= b.behavior.MaxAttempts || b.behavior.RetryBudget > 0 && b.retryTokens < 1 {
+			b.finish(p, p.lastOutcome, nil)
 			return
 		}
-		if b.habit.RetryBudget > 0 {
-			b.tokens--
+		if b.behavior.RetryBudget > 0 {
+			b.retryTokens--
 		}
-		p.paused = b.clock.After(b.habit.RetryPause, func() { b.try(p, false) })
+		p.retryTimer = b.clock.After(b.behavior.RetryPause, func() { b.send(p, false) })
 	default:
-		b.finish(p, p.last, nil)
+		b.finish(p, p.lastOutcome, nil)
 	}
 }
 
 // finish ends a request for its client, once, and takes back what is still out.
-func (b *Balancer) finish(p *pending, e Outcome, by *Attempt) {
-	if p.timer == nil {
+func (b *Balancer) finish(p *pendingRequest, e Outcome, by *Attempt) {
+	if p.deadlineTimer == nil {
 		return
 	}
-	p.timer.Stop()
-	p.timer = nil
-	if p.paused != nil {
-		p.paused.Stop()
+	p.deadlineTimer.Stop()
+	p.deadlineTimer = nil
+	if p.retryTimer != nil {
+		p.retryTimer.Stop()
 	}
-	for len(p.open) > 0 {
-		t := p.open[0]
-		b.close(t)
+	for len(p.active) > 0 {
+		t := p.active[0]
+		b.closeAttempt(t)
 		b.Stats.Aborted++
-		b.wire.Abort(t)
+		b.transport.Abort(t)
 	}
-	b.wire.Finish(p.Request, e, by)
+	b.transport.Finish(p.Request, e, by)
 }
 
 // scale returns d times a factor, in whole microseconds.
@@ -414,4 +414,4 @@
 }
 
 // Outstanding is how many tries are out at a server.
-func (b *Balancer) Outstanding(i int) int { return b.servers[i].out }
+func (b *Balancer) Outstanding(i int) int { return b.servers[i].outstanding }
--- a/internal/simulator/balance/balance_test.go
+++ b/internal/simulator/balance/balance_test.go
@@ -11,63 +11,65 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// tape is a wire that keeps what it is told and answers by script.
-type tape struct {
-	clock  *virtualclock.Scheduler
-	b      *Balancer
-	answer func(t *Attempt) (Answer, time.Duration) // and after how long; negative: never
-	sent   []*Attempt
-	aborts int
-	ends   map[uint64][]Outcome
-	checks []int
+// scriptedTransport is a wire that keeps what it is told and answers by script.
+type scriptedTransport struct {
+	clock    *virtualclock.Scheduler
+	balancer *Balancer
+	answer   func(t *Attempt) (Answer, time.Duration) // and after how long; negative: never
+	sent     []*Attempt
+	aborts   int
+	outcomes map[uint64][]Outcome
+	checks   []int
 }
 
-func (w *tape) Send(t *Attempt) {
+func (w *scriptedTransport) Send(t *Attempt) {
 	w.sent = append(w.sent, t)
 	if a, after := w.answer(t); after >= 0 {
-		w.clock.After(after, func() { w.b.Answered(t, a) })
+		w.clock.After(after, func() { w.balancer.Answered(t, a) })
 	}
 }
-func (w *tape) Abort(*Attempt)                           { w.aborts++ }
-func (w *tape) Check(i int)                              { w.checks = append(w.checks, i) }
-func (w *tape) Finish(r *Request, e Outcome, _ *Attempt) { w.ends[r.ID] = append(w.ends[r.ID], e) }
-func (w *tape) where() (at []int) {
+func (w *scriptedTransport) Abort(*Attempt) { w.aborts++ }
+func (w *scriptedTransport) Check(i int)    { w.checks = append(w.checks, i) }
+func (w *scriptedTransport) Finish(r *Request, e Outcome, _ *Attempt) {
+	w.outcomes[r.ID] = append(w.outcomes[r.ID], e)
+}
+func (w *scriptedTransport) servers() (at []int) {
 	for _, t := range w.sent {
 		at = append(at, t.Server)
 	}
 	return at
 }
 
-func even(request uint64, no, what int) float64 {
-	return float64(score(request*31+uint64(no), what)>>11) / (1 << 53)
+func hashDraw(request uint64, no, what int) float64 {
+	return float64(rendezvousScore(request*31+uint64(no), what)>>11) / (1 << 53)
 }
 
-func setUp(n int, h Behavior, answer func(*Attempt) (Answer, time.Duration)) *tape {
-	w := &tape{clock: virtualclock.New(), answer: answer, ends: map[uint64][]Outcome{}}
+func newBalancerWithServers(n int, h Behavior, answer func(*Attempt) (Answer, time.Duration)) *scriptedTransport {
+	w := &scriptedTransport{clock: virtualclock.New(), answer: answer, outcomes: map[uint64][]Outcome{}}
 	if h.AttemptTimeout == 0 {
 		h.AttemptTimeout = 1
 	}
-	w.b = New(7, n, h, w.clock, w, even)
-	w.b.next = 0
+	w.balancer = New(7, n, h, w.clock, w, hashDraw)
+	w.balancer.nextServer = 0
 	for i := range n {
-		w.b.SetListed(i, true)
+		w.balancer.SetListed(i, true)
 	}
 	return w
 }
 
-func always(k Kind, after time.Duration) func(*Attempt) (Answer, time.Duration) {
+func answerWith(k Kind, after time.Duration) func(*Attempt) (Answer, time.Duration) {
 	return func(*Attempt) (Answer, time.Duration) { return Answer{Kind: k, AdvertisedValue: -1}, after }
 }
 
 // submit sends n requests, 10 ms apart.
-func (w *tape) submit(n int, r Request) {
+func (w *scriptedTransport) submit(n int, r Request) {
 	for i := range n {
 		q := r
 		q.ID = uint64(i + 1)
 		if q.Deadline == 0 {
 			q.Deadline = time.Second
 		}
-		w.b.Submit(&q)
+		w.balancer.Submit(&q)
 		w.clock.RunUntil(w.clock.Now() + 10*time.Millisecond)
 	}
 }
@@ -92,16 +94,16 @@
 		{ConsistentHash, func(n []int) bool { return n[0] == 60 || n[1] == 60 || n[2] == 60 }},
 	} {
 		t.Run(string(c.choose), func(t *testing.T) {
-			w := setUp(3, Behavior{Policy: c.choose, Retry: RetryNever}, slow)
-			w.b.SetWeight(0, 1)
-			w.b.SetWeight(1, 3)
-			w.b.SetWeight(2, 0)
-			w.b.Report(0, 0.9)
-			w.b.Report(1, 0.2)
-			w.b.Report(2, 0.5)
+			w := newBalancerWithServers(3, Behavior{Policy: c.choose, Retry: RetryNever}, slow)
+			w.balancer.SetWeight(0, 1)
+			w.balancer.SetWeight(1, 3)
+			w.balancer.SetWeight(2, 0)
+			w.balancer.Report(0, 0.9)
+			w.balancer.Report(1, 0.2)
+			w.balancer.Report(2, 0.5)
 			w.submit(60, Request{Idempotent: true, Key: 99})
 			counts := make([]int, 3)
-			for _, i := range w.where() {
+			for _, i := range w.servers() {
 				counts[i]++
 			}
 			if !c.first(counts) {
@@ -114,30 +116,30 @@
 // A limitless balancer goes down its list after refusals, and round again until its client's time
 // is over.
 func TestLimitlessWalks(t *testing.T) {
-	w := setUp(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, RetryPause: 50 * time.Millisecond}, always(Rejected, time.Millisecond))
-	w.b.Submit(&Request{ID: 1, Deadline: 200 * time.Millisecond})
+	w := newBalancerWithServers(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, RetryPause: 50 * time.Millisecond}, answerWith(Rejected, time.Millisecond))
+	w.balancer.Submit(&Request{ID: 1, Deadline: 200 * time.Millisecond})
 	w.clock.RunUntil(virtualclock.Origin + time.Second)
-	if diff := cmp.Diff([]int{0, 1, 2}, w.where()[:3]); diff != "" {
+	if diff := cmp.Diff([]int{0, 1, 2}, w.servers()[:3]); diff != "" {
 		t.Errorf("first round (-want +got)\n%s", diff)
 	}
 	if n := len(w.sent); n < 10 || n > 12 {
 		t.Errorf("%d tries in four rounds of three", n)
 	}
-	if diff := cmp.Diff([]Outcome{EndTimedOut}, w.ends[1]); diff != "" {
+	if diff := cmp.Diff([]Outcome{EndTimedOut}, w.outcomes[1]); diff != "" {
 		t.Errorf("ends (-want +got)\n%s", diff)
 	}
 }
 
 func TestBoundedTriesAndBudget(t *testing.T) {
-	w := setUp(4, Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryPause: time.Millisecond}, always(Failed, time.Millisecond))
+	w := newBalancerWithServers(4, Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryPause: time.Millisecond}, answerWith(Failed, time.Millisecond))
 	w.submit(1, Request{Idempotent: true})
-	if len(w.sent) != 3 || w.ends[1][0] != EndFailed {
-		t.Fatalf("%d tries, ends %v", len(w.sent), w.ends)
+	if len(w.sent) != 3 || w.outcomes[1][0] != EndFailed {
+		t.Fatalf("%d tries, ends %v", len(w.sent), w.outcomes)
 	}
-	w = setUp(
+	w = newBalancerWithServers(
 		4,
 		Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, RetryBudget: 0.1, RetryPause: time.Millisecond},
-		always(Failed, time.Millisecond),
+		answerWith(Failed, time.Millisecond),
 	)
 	w.submit(200, Request{Idempotent: true})
 	// a tenth of 200, and the ten it begins with
@@ -162,13 +164,13 @@
 		{"neither goes on where it never ran", Request{}, Rejected, true, []int{0, 1, 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := setUp(
+			w := newBalancerWithServers(
 				4,
 				Behavior{Policy: RoundRobin, Retry: RetryBounded, MaxAttempts: 3, Sticky: c.stick},
-				always(c.kind, time.Millisecond),
+				answerWith(c.kind, time.Millisecond),
 			)
 			w.submit(1, c.r)
-			if diff := cmp.Diff(c.want, w.where()); diff != "" {
+			if diff := cmp.Diff(c.want, w.servers()); diff != "" {
 				t.Fatalf("(-want +got)\n%s", diff)
 			}
 		})
@@ -177,17 +179,17 @@
 
 // A hasty balancer gives its tries little time; each that it leaves is taken back.
 func TestHasty(t *testing.T) {
-	w := setUp(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, AttemptTimeout: 0.1}, always(Served, 150*time.Millisecond))
+	w := newBalancerWithServers(3, Behavior{Policy: RoundRobin, Retry: RetryUnlimited, AttemptTimeout: 0.1}, answerWith(Served, 150*time.Millisecond))
 	w.submit(1, Request{Idempotent: true, Deadline: time.Second})
 	w.clock.RunUntil(virtualclock.Origin + 2*time.Second)
-	if len(w.sent) < 9 || w.aborts != len(w.sent) || w.ends[1][0] != EndTimedOut {
-		t.Fatalf("%d tries, %d taken back, ends %v", len(w.sent), w.aborts, w.ends)
+	if len(w.sent) < 9 || w.aborts != len(w.sent) || w.outcomes[1][0] != EndTimedOut {
+		t.Fatalf("%d tries, %d taken back, ends %v", len(w.sent), w.aborts, w.outcomes)
 	}
 }
 
 // A second copy goes to another server, the first answer counts, and the other copy is taken back.
 func TestCopies(t *testing.T) {
-	w := setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20 * time.Millisecond}, func(t *Attempt) (Answer, time.Duration) {
+	w := newBalancerWithServers(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20 * time.Millisecond}, func(t *Attempt) (Answer, time.Duration) {
 		if t.Server == 0 {
 			return Answer{Kind: Served, AdvertisedValue: -1}, 500 * time.Millisecond
 		}
@@ -195,10 +197,10 @@
 	})
 	w.submit(1, Request{Idempotent: true})
 	w.clock.RunUntil(virtualclock.Origin + time.Second)
-	if diff := cmp.Diff([]int{0, 1}, w.where()); diff != "" || w.aborts != 1 || len(w.ends[1]) != 1 {
-		t.Fatalf("aborts %d, ends %v (-want +got)\n%s", w.aborts, w.ends, diff)
+	if diff := cmp.Diff([]int{0, 1}, w.servers()); diff != "" || w.aborts != 1 || len(w.outcomes[1]) != 1 {
+		t.Fatalf("aborts %d, ends %v (-want +got)\n%s", w.aborts, w.outcomes, diff)
 	}
-	w = setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20 * time.Millisecond}, always(Served, 50*time.Millisecond))
+	w = newBalancerWithServers(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HedgeDelay: 20 * time.Millisecond}, answerWith(Served, 50*time.Millisecond))
 	w.submit(1, Request{Keyed: true})
 	if w.clock.RunUntil(virtualclock.Origin + time.Second); len(w.sent) != 1 {
 		t.Fatalf("a keyed request went out %d times", len(w.sent))
@@ -207,12 +209,12 @@
 
 func TestHeeds(t *testing.T) {
 	t.Run("stays away", func(t *testing.T) {
-		w := setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true}, func(*Attempt) (Answer, time.Duration) {
+		w := newBalancerWithServers(1, Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true}, func(*Attempt) (Answer, time.Duration) {
 			return Answer{Kind: Rejected, RetryAfter: 45 * time.Millisecond, AdvertisedValue: -1}, time.Millisecond
 		})
 		w.submit(5, Request{Idempotent: true})
-		if len(w.sent) != 1 || w.ends[2][0] != EndUnsent {
-			t.Fatalf("%d sent, ends %v", len(w.sent), w.ends)
+		if len(w.sent) != 1 || w.outcomes[2][0] != EndUnsent {
+			t.Fatalf("%d sent, ends %v", len(w.sent), w.outcomes)
 		}
 		w.submit(1, Request{Idempotent: true})
 		if len(w.sent) != 2 {
@@ -221,7 +223,7 @@
 	})
 	t.Run("tries nobody else", func(t *testing.T) {
 		for _, heeds := range []bool{true, false} {
-			w := setUp(
+			w := newBalancerWithServers(
 				3,
 				Behavior{Policy: RoundRobin, Retry: RetryUnlimited, FollowsAdvice: heeds, RetryPause: time.Second},
 				func(*Attempt) (Answer, time.Duration) {
@@ -235,19 +237,19 @@
 		}
 	})
 	t.Run("keeps to the free value", func(t *testing.T) {
-		w := setUp(
+		w := newBalancerWithServers(
 			1,
 			Behavior{Policy: RoundRobin, Retry: RetryNever, FollowsAdvice: true, CreditTTL: time.Second},
-			always(Served, 400*time.Millisecond),
+			answerWith(Served, 400*time.Millisecond),
 		)
-		w.b.Answered(&Attempt{over: true, p: &pending{}}, Answer{Kind: Served, AdvertisedValue: 2.5})
+		w.balancer.Answered(&Attempt{closed: true, pending: &pendingRequest{}}, Answer{Kind: Served, AdvertisedValue: 2.5})
 		w.submit(30, Request{Idempotent: true})
-		if out := w.b.Outstanding(0); out < 2 || out > 3 {
+		if out := w.balancer.Outstanding(0); out < 2 || out > 3 {
 			t.Fatalf("%d out at a free value of 2.5", out)
 		}
 		w.clock.RunUntil(w.clock.Now() + 2*time.Second) // what it heard is too old
 		w.submit(10, Request{Idempotent: true})
-		if out := w.b.Outstanding(0); out != 10 {
+		if out := w.balancer.Outstanding(0); out != 10 {
 			t.Fatalf("%d out long after the value was heard, want all 10", out)
 		}
 	})
@@ -266,13 +268,13 @@
 		}
 	}
 	h := Behavior{Policy: RoundRobin, Retry: RetryNever, EjectAfterFailures: 5, EjectionTime: 10 * time.Second}
-	w := setUp(2, h, fails(0))
+	w := newBalancerWithServers(2, h, fails(0))
 	w.submit(100, Request{Idempotent: true})
-	if n := len(w.ends); n != 100 || w.b.Stats.Ejections != 1 {
-		t.Fatalf("%d ends, %d ejections", n, w.b.Stats.Ejections)
+	if n := len(w.outcomes); n != 100 || w.balancer.Stats.Ejections != 1 {
+		t.Fatalf("%d ends, %d ejections", n, w.balancer.Stats.Ejections)
 	}
 	lost := 0
-	for _, e := range w.ends {
+	for _, e := range w.outcomes {
 		if e[0] != EndServed {
 			lost++
 		}
@@ -280,7 +282,7 @@
 	if lost != 5 {
 		t.Fatalf("%d lost at a server that is avoided after five", lost)
 	}
-	w = setUp(2, h, fails(0, 1))
+	w = newBalancerWithServers(2, h, fails(0, 1))
 	w.submit(40, Request{Idempotent: true})
 	if len(w.sent) != 40 {
 		t.Fatalf("%d of 40 sent with all servers avoided", len(w.sent))
@@ -288,29 +290,29 @@
 }
 
 func TestChecks(t *testing.T) {
-	w := setUp(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HealthCheckInterval: 100 * time.Millisecond}, always(Served, time.Millisecond))
+	w := newBalancerWithServers(2, Behavior{Policy: RoundRobin, Retry: RetryNever, HealthCheckInterval: 100 * time.Millisecond}, answerWith(Served, time.Millisecond))
 	for range 4 {
 		w.clock.RunUntil(w.clock.Now() + 100*time.Millisecond)
 		for _, i := range w.checks {
-			w.b.Checked(i, i == 1)
+			w.balancer.Checked(i, i == 1)
 		}
 		w.checks = nil
 	}
 	w.submit(10, Request{Idempotent: true})
-	for _, i := range w.where() {
+	for _, i := range w.servers() {
 		if i != 1 {
-			t.Fatalf("requests at %v though server 0 fails its checks", w.where())
+			t.Fatalf("requests at %v though server 0 fails its checks", w.servers())
 		}
 	}
 }
 
 func TestThrottle(t *testing.T) {
-	w := setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, always(Rejected, time.Millisecond))
+	w := newBalancerWithServers(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, answerWith(Rejected, time.Millisecond))
 	w.submit(300, Request{Idempotent: true})
 	if n := len(w.sent); n > 60 {
 		t.Fatalf("%d of 300 sent to a server that takes none", n)
 	}
-	w = setUp(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, always(Served, time.Millisecond))
+	w = newBalancerWithServers(1, Behavior{Policy: RoundRobin, Retry: RetryNever, ThrottleFactor: 2}, answerWith(Served, time.Millisecond))
 	w.submit(300, Request{Idempotent: true})
 	if n := len(w.sent); n != 300 {
 		t.Fatalf("%d of 300 sent to a server that takes all", n)
@@ -320,12 +322,12 @@
 // When one of ten servers leaves, only what it had moves.
 func TestHashMovesLittle(t *testing.T) {
 	at := func(gone int) map[uint64]int {
-		w := setUp(10, Behavior{Policy: ConsistentHash, Retry: RetryNever}, always(Served, time.Millisecond))
+		w := newBalancerWithServers(10, Behavior{Policy: ConsistentHash, Retry: RetryNever}, answerWith(Served, time.Millisecond))
 		if gone >= 0 {
-			w.b.SetListed(gone, false)
+			w.balancer.SetListed(gone, false)
 		}
 		for k := range uint64(400) {
-			w.b.Submit(&Request{ID: k, Key: k, Deadline: time.Second, Idempotent: true})
+			w.balancer.Submit(&Request{ID: k, Key: k, Deadline: time.Second, Idempotent: true})
 		}
 		got := map[uint64]int{}
 		for _, try := range w.sent {
@@ -341,8 +343,8 @@
 	}
 }
 
-// habits draws any habit.
-func habits(t *rapid.T) Behavior {
+// drawBehavior draws any habit.
+func drawBehavior(t *rapid.T) Behavior {
 	return Behavior{Policy: rapid.SampledFrom(Policies).Draw(t, "choose"),
 		Retry: rapid.SampledFrom([]Retry{RetryNever, RetryBounded, RetryUnlimited}).Draw(t, "retry"),
 		MaxAttempts: rapid.IntRange(
@@ -374,7 +376,7 @@
 // in its time, no unlisted server gets a try, bounds hold, and in the end nothing is out.
 func TestEachRequestIsFinishedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, n := habits(t), rapid.IntRange(1, 5).Draw(t, "servers")
+		h, n := drawBehavior(t), rapid.IntRange(1, 5).Draw(t, "servers")
 		kinds := rapid.SliceOfN(
 			rapid.SampledFrom([]Kind{Served, Rejected, Failed, Unreachable}),
 			n,
@@ -384,9 +386,9 @@
 			"kinds",
 		)
 		silent := rapid.IntRange(-1, n-1).Draw(t, "silent")
-		var w *tape
-		w = setUp(n, h, func(try *Attempt) (Answer, time.Duration) {
-			if !w.b.servers[try.Server].listed {
+		var w *scriptedTransport
+		w = newBalancerWithServers(n, h, func(try *Attempt) (Answer, time.Duration) {
+			if !w.balancer.servers[try.Server].listed {
 				t.Fatalf("a try at server %d, which is not listed", try.Server)
 			}
 			if h.Retry == RetryBounded && try.Number >= h.MaxAttempts+1 { // and one copy
@@ -404,10 +406,10 @@
 		count := rapid.IntRange(1, 25).Draw(t, "requests")
 		for i := range count {
 			if rapid.IntRange(0, 5).Draw(t, "move") == 0 {
-				w.b.SetListed(rapid.IntRange(0, n-1).Draw(t, "which"), rapid.Bool().Draw(t, "on"))
+				w.balancer.SetListed(rapid.IntRange(0, n-1).Draw(t, "which"), rapid.Bool().Draw(t, "on"))
 			}
 			effect := rapid.IntRange(0, 2).Draw(t, "effect")
-			w.b.Submit(
+			w.balancer.Submit(
 				&Request{
 					ID:         uint64(i + 1),
 					Key:        uint64(i % 4),
@@ -420,13 +422,13 @@
 		}
 		w.clock.RunUntil(w.clock.Now() + 200*time.Millisecond)
 		for i := range count {
-			if ends := w.ends[uint64(i+1)]; len(ends) != 1 {
+			if ends := w.outcomes[uint64(i+1)]; len(ends) != 1 {
 				t.Fatalf("request %d was finished %d times: %v", i+1, len(ends), ends)
 			}
 		}
 		for i := range n {
-			if w.b.Outstanding(i) != 0 {
-				t.Fatalf("%d out at server %d in the end", w.b.Outstanding(i), i)
+			if w.balancer.Outstanding(i) != 0 {
+				t.Fatalf("%d out at server %d in the end", w.balancer.Outstanding(i), i)
 			}
 		}
 	})
@@ -434,11 +436,11 @@
 
 func ExampleBalancer() {
 	clock := virtualclock.New()
-	w := &tape{clock: clock, answer: always(Served, 2*time.Millisecond), ends: map[uint64][]Outcome{}}
-	w.b = New(1, 1, Behavior{Policy: LeastRequests, Retry: RetryNever, AttemptTimeout: 1}, clock, w, even)
-	w.b.SetListed(0, true)
-	w.b.Submit(&Request{ID: 1, Deadline: time.Second})
+	w := &scriptedTransport{clock: clock, answer: answerWith(Served, 2*time.Millisecond), outcomes: map[uint64][]Outcome{}}
+	w.balancer = New(1, 1, Behavior{Policy: LeastRequests, Retry: RetryNever, AttemptTimeout: 1}, clock, w, hashDraw)
+	w.balancer.SetListed(0, true)
+	w.balancer.Submit(&Request{ID: 1, Deadline: time.Second})
 	clock.RunUntil(virtualclock.Origin + time.Second)
-	fmt.Println(w.ends[1][0] == EndServed)
+	fmt.Println(w.outcomes[1][0] == EndServed)
 	// Output: true
 }
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -65,9 +65,9 @@
 	Number  int // from 0
 	SentAt  time.Duration
 	Hedged  bool
-	p       *pending
+	pending *pendingRequest
 	timer   virtualclock.Timer
-	over    bool
+	closed  bool
 }
 
 // Transport carries out what a balancer decides. It reports back through Answered and Checked, never
--- a/internal/simulator/cluster/pools.go
+++ b/internal/simulator/cluster/bulkheads.go
@@ -10,23 +10,23 @@
 // reserveClass is that of the cheapest calls.
 const reserveClass = 0
 
-// wideCores is how many times the workers that there are the module is told of where something
+// reportedCoresFactor is how many times the workers that there are the module is told of where something
 // behind it says how many run. Told of the workers alone it holds what is more, by worth, and pools
 // have nothing to share. The way "wide" is that without pools.
-const wideCores = 32
+const reportedCoresFactor = 32
 
-func isWide(way string) bool { return way == "wide" || strings.HasPrefix(way, "pools-") }
+func reportsMoreCores(way string) bool { return way == "wide" || strings.HasPrefix(way, "pools-") }
 
-// aims is the way in which callers say when they asked first.
-const aims = "aims"
+// sendsFirstSentAt is the way in which callers say when they asked first.
+const objectiveMode = "aims"
 
-// poolsOf are the pools of a way of routing that has some, over those of the routed way.
-func poolsOf(way string, spec *Spec) *bulkhead.Config {
+// bulkheadConfig are the pools of a way of routing that has some, over those of the routed way.
+func bulkheadConfig(way string, spec *Spec) *bulkhead.Config {
 	name, ok := strings.CutPrefix(way, "pools-")
 	if !ok {
 		return nil
 	}
-	if name == aims {
+	if name == objectiveMode {
 		name = bulkhead.GradientLimit
 	}
 	cfg := &bulkhead.Config{
--- a/internal/simulator/cluster/cluster_test.go
+++ b/internal/simulator/cluster/cluster_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// short is a day of that kind that is over soon, with troubles that begin early.
-func short(t *testing.T, name string) Spec {
+// shortSpec is a day of that kind that is over soon, with troubles that begin early.
+func shortSpec(t *testing.T, name string) Spec {
 	t.Helper()
 	s, ok := Named(name)
 	if !ok {
@@ -26,13 +26,13 @@
 // and a seed gives the same day again.
 func TestRulesHoldOnAllDays(t *testing.T) {
 	for _, kind := range Specs() {
-		s := short(t, kind.Name)
+		s := shortSpec(t, kind.Name)
 		if s.Servers > 50 {
 			s.Servers = 50
 		}
 		for _, way := range RoutingModes {
 			// Pools and the days for them, each with some of the others.
-			pooled, made := isWide(
+			pooled, made := reportsMoreCores(
 				way,
 			), slices.Contains(
 				[]string{"load-80", "load-110", "load-150", "flood", "crawl", "crawl-fifth"},
@@ -68,7 +68,7 @@
 // What routing is for: a server that fails at once loses little, where the picker before it lost
 // much; and it costs nothing on a calm day. Workers do not change what comes out.
 func TestRoutingIsWorthIt(t *testing.T) {
-	s := short(t, "fast-failer")
+	s := shortSpec(t, "fast-failer")
 	one, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 1, func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	if diff := cmp.Diff(one, eight); err != nil || diff != "" {
 		t.Errorf("%v (-1 worker +8)\n%s", err, diff)
 	}
-	s = short(t, "calm")
+	s = shortSpec(t, "calm")
 	c, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 8, func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 // What a reserve is for: at half as much again as the servers can do the cheapest calls are
 // answered within their aim, and without pools they are not.
 func TestReserveKeepsTheCheapest(t *testing.T) {
-	s := short(t, "load-150")
+	s := shortSpec(t, "load-150")
 	c, err := Compare(context.Background(), &s, "routed", "pools-gradient", 1, 3, 8, func() {})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -17,7 +17,7 @@
 	DaysB     []*Result          `json:"days_b"`
 }
 
-var figures = []struct {
+var metrics = []struct {
 	name, unit string
 	more       int
 	of         func(*Result) float64
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, f := range figures {
+	for _, f := range metrics {
 		var va, vb []float64
 		for i := range days {
 			va, vb = append(va, f.of(c.DaysA[i])), append(vb, f.of(c.DaysB[i]))
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	wire      = 200 * time.Microsecond // one way
-	connectIn = time.Second            // after which the hop gives up a connection
-	backlog   = 128                    // requests that wait for a worker; with more there is no connection
-	faultIn   = time.Millisecond       // a server that fails at once takes so long
+	networkDelay   = 200 * time.Microsecond // one way
+	connectTimeout = time.Second            // after which the hop gives up a connection
+	backlog        = 128                    // requests that wait for a worker; with more there is no connection
+	failureTime    = time.Millisecond       // a server that fails at once takes so long
 )
 
-// job is one try on a server.
-type job struct {
-	work  float64 // microseconds of a warm worker
-	key   string
-	ended func(lifecycle.Outcome)
-	over  bool // whoever asked has gone: it is not begun
-	timer virtualclock.Timer
+// request is one try on a server.
+type serverRequest struct {
+	work   float64 // microseconds of a warm worker
+	key    string
+	onEnd  func(lifecycle.Outcome)
+	closed bool // whoever asked has gone: it is not begun
+	timer  virtualclock.Timer
 }
 
-func (j *job) end(o lifecycle.Outcome) {
-	if !j.over {
-		j.over = true
+func (j *serverRequest) end(o lifecycle.Outcome) {
+	if !j.closed {
+		j.closed = true
 		j.timer.Stop()
-		j.ended(o)
+		j.onEnd(o)
 	}
 }
 
 // server is one of the simulated cluster: workers, and a queue before them.
 type server struct {
 	endpointhealth.EndpointSpec
-	clock   virtualclock.Clock
-	spec    *Spec
-	rand    *rand.Rand
-	born    time.Duration // since when it warms up; 0: it is warm
-	slow    float64
-	dead    bool
-	cut     bool
-	faults  bool
-	busy    int
-	queue   []*job
-	running []*job           // in the order in which they were begun
-	ran     func(key string) // hears of each that is begun
+	clock     virtualclock.Clock
+	spec      *Spec
+	rand      *rand.Rand
+	startedAt time.Duration // since when it warms up; 0: it is warm
+	slowdown  float64
+	dead      bool
+	cut       bool
+	failing   bool
+	busy      int
+	queue     []*serverRequest
+	running   []*serverRequest // in the order in which they were begun
+	onStart   func(key string) // hears of each that is begun
 }
 
 func newServer(clock virtualclock.Clock, spec *Spec, seed uint64, n int, ran func(string)) *server {
@@ -61,64 +61,64 @@
 			Zone:   spec.Zones[n%len(spec.Zones)],
 			Weight: 1,
 		},
-		clock: clock,
-		spec:  spec,
-		rand:  day.Stream(seed, "server", uint64(n)),
-		slow:  1,
-		ran:   ran,
+		clock:    clock,
+		spec:     spec,
+		rand:     day.Stream(seed, "server", uint64(n)),
+		slowdown: 1,
+		onStart:  ran,
 	}
 }
 
-// times is how many times longer than usual work takes now.
-func (s *server) times() float64 {
-	t := s.slow
-	if s.born > 0 {
-		past := virtualclock.Micros(s.clock.Now()-s.born) / (s.spec.WarmUpTime * 1e6)
+// workFactor is how many times longer than usual work takes now.
+func (s *server) workFactor() float64 {
+	t := s.slowdown
+	if s.startedAt > 0 {
+		past := virtualclock.Micros(s.clock.Now()-s.startedAt) / (s.spec.WarmUpTime * 1e6)
 		t *= max(1, s.spec.WarmUpSlowdown-(s.spec.WarmUpSlowdown-1)*past)
 	}
 	return t
 }
 
-// take is a connection with a request on it.
-func (s *server) take(j *job) {
-	j.timer = s.clock.After(wire, func() {
+// accept is a connection with a request on it.
+func (s *server) accept(j *serverRequest) {
+	j.timer = s.clock.After(networkDelay, func() {
 		switch {
 		case s.cut || !s.dead && len(s.queue) >= backlog:
-			j.timer = s.clock.After(connectIn-wire, func() { j.end(lifecycle.Interrupted) })
+			j.timer = s.clock.After(connectTimeout-networkDelay, func() { j.end(lifecycle.Interrupted) })
 		case s.dead:
-			j.timer = s.clock.After(wire, func() { j.end(lifecycle.Unreachable) })
-		case s.faults:
-			j.timer = s.clock.After(faultIn+wire, func() { j.end(lifecycle.Faulted) })
+			j.timer = s.clock.After(networkDelay, func() { j.end(lifecycle.Unreachable) })
+		case s.failing:
+			j.timer = s.clock.After(failureTime+networkDelay, func() { j.end(lifecycle.Faulted) })
 		default:
 			s.queue = append(s.queue, j)
-			s.next()
+			s.startRequests()
 		}
 	})
 }
 
-// next gives work to workers that have none. What was begun is done to its end, whether anybody
+// startRequests gives work to workers that have none. What was begun is done to its end, whether anybody
 // waits for it or not.
-func (s *server) next() {
+func (s *server) startRequests() {
 	for s.busy < s.spec.Workers && len(s.queue) > 0 {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
-		if j.over {
+		if j.closed {
 			continue
 		}
 		s.busy++
 		s.running = append(s.running, j)
-		s.ran(j.key)
-		s.clock.After(virtualclock.FromMicros(j.work*s.times()), func() {
+		s.onStart(j.key)
+		s.clock.After(virtualclock.FromMicros(j.work*s.workFactor()), func() {
 			i := slices.Index(s.running, j)
 			if i < 0 { // it was killed meanwhile
 				return
 			}
 			s.running = slices.Delete(s.running, i, i+1)
 			s.busy--
-			if !j.over {
-				j.timer = s.clock.After(wire, func() { j.end(lifecycle.Succeeded) })
+			if !j.closed {
+				j.timer = s.clock.After(networkDelay, func() { j.end(lifecycle.Succeeded) })
 			}
-			s.next()
+			s.startRequests()
 		})
 	}
 }
@@ -130,7 +130,7 @@
 		j.end(lifecycle.Interrupted)
 	}
 	for _, j := range s.running {
-		s.clock.After(wire, func() { j.end(lifecycle.Interrupted) })
+		s.clock.After(networkDelay, func() { j.end(lifecycle.Interrupted) })
 	}
 	s.queue, s.running, s.busy = nil, nil, 0
 }
@@ -140,6 +140,6 @@
 
 // start has it back, cold.
 func (s *server) start() {
-	s.dead, s.born = false, s.clock.Now()
-	s.next()
+	s.dead, s.startedAt = false, s.clock.Now()
+	s.startRequests()
 }
--- a/internal/simulator/cluster/spec.go
+++ b/internal/simulator/cluster/spec.go
@@ -49,7 +49,7 @@
 	Faults         []Fault
 }
 
-func base(name, about string, load float64, troubles ...Fault) Spec {
+func newSpec(name, about string, load float64, troubles ...Fault) Spec {
 	return Spec{
 		Name:           name,
 		About:          about,
@@ -66,14 +66,14 @@
 
 // Specs are the days that are built in, by name.
 func Specs() []Spec {
-	big := base(
+	big := newSpec(
 		"large",
 		"200 servers in four halls, of which a fifth dies",
 		0.65,
 		Fault{Kind: "dead", From: 20, Share: 0.2},
 	)
 	big.Servers, big.Zones, big.Seconds = 200, []string{"a", "b", "c", "d"}, 40
-	cut := base(
+	cut := newSpec(
 		"hall-cut",
 		"one of two halls does not answer for 20 s",
 		0.45,
@@ -81,44 +81,44 @@
 	)
 	cut.Zones = []string{"haninge", "solna"}
 	all := []Spec{big, cut,
-		base("calm", "nothing happens", 0.65),
-		base(
+		newSpec("calm", "nothing happens", 0.65),
+		newSpec(
 			"dead-fifth",
 			"a fifth of the servers dies at once and stays away",
 			0.65,
 			Fault{Kind: "dead", From: 20, Share: 0.2},
 		),
-		base(
+		newSpec(
 			"fast-failer",
 			"one server answers 500 in a millisecond",
 			0.65,
 			Fault{Kind: "faults", From: 20, Share: 0.06},
 		),
-		base(
+		newSpec(
 			"slow-fifth",
 			"a fifth of the servers is four times slower",
 			0.55,
 			Fault{Kind: "slow", From: 20, Share: 0.2, Times: 4},
 		),
-		base(
+		newSpec(
 			"release",
 			"one server after the other is stopped for 2 s and comes back cold",
 			0.6,
 			Fault{Kind: "release", From: 5, To: 56},
 		),
-		base(
+		newSpec(
 			"scale-out",
 			"a third of the servers joins cold at 20 s, under load",
 			0.6,
 			Fault{Kind: "join", From: 20, Share: 0.34},
 		),
-		base(
+		newSpec(
 			"flapping",
 			"two servers die and come back each 3 s",
 			0.6,
 			Fault{Kind: "flap", From: 10, Share: 0.12},
 		),
-		base(
+		newSpec(
 			"overload",
 			"a fifth dies at nine tenths of the load that all could carry",
 			0.9,
@@ -139,17 +139,17 @@
 	}
 	all = append(
 		all,
-		base("load-80", "four fifths of what the servers can do", 0.8),
-		base("load-110", "a tenth more than they can do", 1.1),
-		base("load-150", "half as much again", 1.5),
-		base(
+		newSpec("load-80", "four fifths of what the servers can do", 0.8),
+		newSpec("load-110", "a tenth more than they can do", 1.1),
+		newSpec("load-150", "half as much again", 1.5),
+		newSpec(
 			"flood",
 			"full checks flood in at deadline time, three fifths of the capacity beside the rest",
 			0.6,
 			Fault{Kind: "flood", From: 20, To: 50, Share: 0.6, Class: 1},
 		),
-		base("crawl", "all servers are two and a half times slower for 20 s", 0.6, crawl),
-		base("crawl-fifth", "likewise, and a fifth is four times slower from then on", 0.6, crawl, fifth),
+		newSpec("crawl", "all servers are two and a half times slower for 20 s", 0.6, crawl),
+		newSpec("crawl-fifth", "likewise, and a fifth is four times slower from then on", 0.6, crawl, fifth),
 	)
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	return all
@@ -165,8 +165,8 @@
 	return Spec{}, false
 }
 
-// mean is the mean work of a request, in microseconds.
-func mean() (us float64) {
+// meanWork is the mean work of a request, in microseconds.
+func meanWork() (us float64) {
 	for _, c := range classes {
 		us += c.Share * c.Work * 1000
 	}
--- a/internal/simulator/day/day_test.go
+++ b/internal/simulator/day/day_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-const plain = `name: plain
+const plainDay = `name: plain
 length_s: 60
 load:
   of_capacity: [0.5, 0.7]
@@ -70,9 +70,9 @@
 			"tenants: [{name: a, share: 1}, {name: a, share: 1}]\ntroubles:",
 			`field tenants.1.name: "a" is empty or stands twice`,
 		},
-		{plain, "", "day: day.yaml: empty"},
+		{plainDay, "", "day: day.yaml: empty"},
 	} {
-		_, err := Parse("day.yaml", []byte(strings.Replace(plain, c.old, c.new, 1)))
+		_, err := Parse("day.yaml", []byte(strings.Replace(plainDay, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %s", c.new, err, c.want)
 		}
@@ -81,7 +81,7 @@
 
 // The same seed gives the same day, and other seeds other figures within the ranges.
 func TestDraw(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	opts := []cmp.Option{cmpopts.IgnoreUnexported(Spec{})}
 	if diff := cmp.Diff(Draw(s, 7), Draw(s, 7), opts...); diff != "" {
 		t.Fatalf("one seed, two days:\n%s", diff)
@@ -108,7 +108,7 @@
 
 // Traffic follows the curve, and classes, tenants and balancers get their parts of it.
 func TestArrivals(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	s.Troubles = nil
 	early, late, byClass, byBalancer, work, calls := 0.0, 0.0, make(
 		[]float64,
@@ -161,7 +161,7 @@
 
 // Bursts of arrivals keep their mean.
 func TestBurstiness(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	s.Troubles, s.Load.Curve = nil, nil
 	s.LengthS = 200
 	variance := func(b float64) float64 {
@@ -186,7 +186,7 @@
 }
 
 func TestQuotas(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	s.Goal.QuotaOf = Range{0.3, 0.3} // of the capacity, at up to 1.4 of it asked
 	d := Draw(s, 1)
 	in := 0
@@ -201,7 +201,7 @@
 }
 
 func TestRanks(t *testing.T) {
-	d := Draw(parse(t, plain), 1)
+	d := Draw(parse(t, plainDay), 1)
 	for _, a := range d.Arrivals {
 		if lo := float64(a.Class) / 3; a.Rank < lo-1e-9 || a.Rank >= lo+1.0/3+1e-9 {
 			t.Fatalf("class %d has rank %v", a.Class, a.Rank)
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	creditLife = time.Second // how long balancers keep the free value in mind
-	stayAway   = time.Second // the longest advice that they observe
+	creditTTL     = time.Second // how long balancers keep the free value in mind
+	maxRetryAfter = time.Second // the longest advice that they observe
 )
 
 const microsPerSecond = 1e6
@@ -83,7 +83,7 @@
 	Settings  admission.Settings // of a warm runner
 }
 
-func pick(r *rand.Rand, v Range) float64 { return v.Lo + (v.Hi-v.Lo)*r.Float64() }
+func drawFrom(r *rand.Rand, v Range) float64 { return v.Lo + (v.Hi-v.Lo)*r.Float64() }
 
 // Draw settles a day. The same scenario and seed give the same day.
 func Draw(s *Spec, seed uint64) *Day {
@@ -106,38 +106,38 @@
 	classes := Stream(d.Seed, "classes", 0)
 	mean, shares := 0.0, 0.0
 	for _, c := range d.Spec.Classes {
-		work := pick(classes, c.WorkMs)
+		work := drawFrom(classes, c.WorkMs)
 		d.WorkMs = append(d.WorkMs, work)
-		d.CallMean = append(d.CallMean, pick(classes, c.Calls))
+		d.CallMean = append(d.CallMean, drawFrom(classes, c.Calls))
 		mean += c.Share * work * 1000
 		shares += c.Share
 	}
 	mean /= shares
-	read := pick(r, f.ReadShare) * mean
-	d.HoldKB = pick(r, f.HoldKB)
+	read := drawFrom(r, f.ReadShare) * mean
+	d.HoldKB = drawFrom(r, f.HoldKB)
 	m := dependencies.MachineSpec{
 		Cores:             f.Cores,
-		Thrash:            pick(r, f.Thrash),
-		ThrashAt:          pick(r, f.ThrashAt),
+		Thrash:            drawFrom(r, f.Thrash),
+		ThrashAt:          drawFrom(r, f.ThrashAt),
 		ReadWork:          read,
 		Backlog:           f.Backlog,
 		RunFactor:         f.RunFactor,
 		ConcurrencyLimit:  f.CrowdLimit,
 		ConcurrencyWindow: millis(f.CrowdMs),
-		WarmUpSpeed: pick(
+		WarmUpSpeed: drawFrom(
 			r,
 			f.ColdFrom,
 		),
-		WarmUpTime:       seconds(pick(r, f.ColdS)),
-		WarmUpCallFactor: pick(r, f.ColdCalls),
+		WarmUpTime:       seconds(drawFrom(r, f.ColdS)),
+		WarmUpCallFactor: drawFrom(r, f.ColdCalls),
 	}
-	m.MemoryKB = pick(r, f.MemoryRuns) * float64(f.Cores) * f.RunFactor * d.HoldKB
-	d.CrossUs = pick(r, f.CrossMs) * 1000
-	n := int(math.Round(pick(r, f.Runners)))
+	m.MemoryKB = drawFrom(r, f.MemoryRuns) * float64(f.Cores) * f.RunFactor * d.HoldKB
+	d.CrossUs = drawFrom(r, f.CrossMs) * 1000
+	n := int(math.Round(drawFrom(r, f.Runners)))
 	fleet := 0.0
 	for i := range n {
 		one := m
-		one.Speed = pick(Stream(d.Seed, "speed", uint64(i)), f.Speed)
+		one.Speed = drawFrom(Stream(d.Seed, "speed", uint64(i)), f.Speed)
 		fleet += one.Speed * float64(f.Cores)
 		d.Runners = append(
 			d.Runners,
@@ -145,7 +145,7 @@
 		)
 	}
 	d.Capacity = fleet * microsPerSecond / (mean + read)
-	d.Rate = pick(r, d.Spec.Load.OfCapacity) * d.Capacity
+	d.Rate = drawFrom(r, d.Spec.Load.OfCapacity) * d.Capacity
 	if d.Spec.Load.RateS > 0 {
 		d.Rate = d.Spec.Load.RateS
 	}
@@ -156,7 +156,7 @@
 			window = max(window, c.WindowMs/1000)
 		}
 	}
-	d.KeyKB = pick(r, f.KeyRoom) * m.MemoryKB / max(d.Capacity/float64(n)*keyed*window, 1)
+	d.KeyKB = drawFrom(r, f.KeyRoom) * m.MemoryKB / max(d.Capacity/float64(n)*keyed*window, 1)
 }
 
 func (d *Day) drawBackEnd() {
@@ -167,15 +167,15 @@
 		shares += c.Share
 	}
 	d.BackEnd = dependencies.BackendSpec{
-		Slots:           pick(r, b.Slots),
-		Thrash:          pick(r, b.Thrash),
+		Slots:           drawFrom(r, b.Slots),
+		Thrash:          drawFrom(r, b.Thrash),
 		RejectsOverload: b.Sheds,
 		CrashFactor:     b.Fall,
 		CrashWindow:     millis(b.FallMs),
-		RestartTime:     seconds(pick(r, b.DownS)),
+		RestartTime:     seconds(drawFrom(r, b.DownS)),
 		CancelLinger:    millis(b.LingerMs),
 	}
-	if rate := pick(r, b.Headroom) * d.Capacity * calls / shares; rate > 0 {
+	if rate := drawFrom(r, b.Headroom) * d.Capacity * calls / shares; rate > 0 {
 		d.CallWork = d.BackEnd.Slots / rate * microsPerSecond
 	}
 }
@@ -195,9 +195,9 @@
 		r := Stream(d.Seed, "trouble", uint64(i))
 		e := Event{
 			Kind:  t.Kind,
-			At:    seconds(pick(r, t.AtS)),
-			For:   seconds(pick(r, t.ForS)),
-			Times: pick(r, t.Times),
+			At:    seconds(drawFrom(r, t.AtS)),
+			For:   seconds(drawFrom(r, t.ForS)),
+			Times: drawFrom(r, t.Times),
 			Hall:  -1,
 		}
 		for h, name := range d.Spec.Fleet.Halls {
@@ -212,7 +212,7 @@
 			}
 		}
 		r.Shuffle(len(in), func(a, b int) { in[a], in[b] = in[b], in[a] })
-		n := int(math.Round(pick(r, t.Part) * float64(len(d.Runners))))
+		n := int(math.Round(drawFrom(r, t.Part) * float64(len(d.Runners))))
 		e.Runners = in[:min(n, len(in))]
 		if t.Odds == 0 || r.Float64() < t.Odds {
 			d.Events = append(d.Events, e)
@@ -220,8 +220,8 @@
 	}
 }
 
-// times is the rate curve at a time, with the bursts.
-func (d *Day) times(at time.Duration) float64 {
+// rateFactor is the rate curve at a time, with the bursts.
+func (d *Day) rateFactor(at time.Duration) float64 {
 	v, curve := 1.0, d.Spec.Load.Curve
 	for i, p := range curve {
 		x := virtualclock.Micros(at) / microsPerSecond
@@ -250,7 +250,7 @@
 	return distuv.LogNormal{Mu: math.Log(mean) - s2/2, Sigma: math.Sqrt(s2), Src: src}.Rand()
 }
 
-func weights(n int, of func(i int) float64, src rand.Source) distuv.Categorical {
+func categorical(n int, of func(i int) float64, src rand.Source) distuv.Categorical {
 	w := make([]float64, n)
 	for i := range w {
 		w[i] = of(i)
@@ -265,12 +265,12 @@
 	spec, src := d.Spec, Stream(d.Seed, "arrivals", 0)
 	most := 0.0
 	for at := time.Duration(0); at <= d.Length; at += 100 * time.Millisecond {
-		most = max(most, d.times(at))
+		most = max(most, d.rateFactor(at))
 	}
 	if most*d.Rate <= 0 {
 		return
 	}
-	burst := pick(Stream(d.Seed, "burstiness", 0), spec.Load.Burstiness)
+	burst := drawFrom(Stream(d.Seed, "burstiness", 0), spec.Load.Burstiness)
 	const levelFor, levelMost = 250 * time.Millisecond, 4.0
 	level := func(at time.Duration) float64 {
 		return min(lognormal(1, burst, Stream(d.Seed, "level", uint64(at/levelFor))), levelMost)
@@ -279,13 +279,13 @@
 	if burst > 0 {
 		top *= levelMost
 	}
-	classes, cvs := make([]float64, len(spec.Classes)), d.variations()
+	classes, cvs := make([]float64, len(spec.Classes)), d.drawVariations()
 	for i, c := range spec.Classes {
 		classes[i] = c.Share
 	}
-	ranks := d.ranks()
+	ranks := d.classRanks()
 	gap := distuv.Exponential{Rate: top / microsPerSecond, Src: src}
-	share := d.newShares()
+	share := d.newQuotas()
 	now, lastLevel, levelAt := 0.0, 1.0, time.Duration(-1)
 	for id := uint64(1); ; {
 		now += gap.Rand()
@@ -293,7 +293,7 @@
 		if at >= d.Length {
 			return
 		}
-		rate := d.times(at) * d.Rate
+		rate := d.rateFactor(at) * d.Rate
 		if burst > 0 {
 			if at/levelFor != levelAt {
 				levelAt, lastLevel = at/levelFor, level(at)
@@ -306,18 +306,18 @@
 		a := Arrival{At: at, ID: id}
 		id++
 		r := Stream(d.Seed, "request", a.ID)
-		a.Class = int(weights(len(classes), func(i int) float64 { return classes[i] }, r).Rand())
+		a.Class = int(categorical(len(classes), func(i int) float64 { return classes[i] }, r).Rand())
 		a.Tenant = int(
-			weights(len(spec.Tenants), func(i int) float64 { return spec.Tenants[i].asks() }, r).Rand(),
+			categorical(len(spec.Tenants), func(i int) float64 { return spec.Tenants[i].trafficShare() }, r).Rand(),
 		)
 		a.Balancer = int(
-			weights(
+			categorical(
 				len(d.Balancers),
 				func(i int) float64 { return spec.Balancers[d.Balancers[i].Kind].Share },
 				r,
 			).Rand(),
 		)
-		d.fill(&a, r, cvs, ranks)
+		d.drawRequest(&a, r, cvs, ranks)
 		share.count(&a)
 		d.Arrivals = append(d.Arrivals, a)
 	}
@@ -325,42 +325,42 @@
 
 const quotaBurst = 2 // seconds of a share that may come at once
 
-// shares tells which first tries are within their tenants' shares, whatever is done with them.
-type shares struct {
-	quotas, tokens []float64
-	last           time.Duration
+// quotaBuckets tells which first tries are within their tenants' shares, whatever is done with them.
+type quotaBuckets struct {
+	rates, tokens []float64
+	refilledAt    time.Duration
 }
 
-func (d *Day) newShares() *shares {
-	s := &shares{quotas: d.Quotas, tokens: make([]float64, len(d.Quotas))}
-	for i, q := range s.quotas {
+func (d *Day) newQuotas() *quotaBuckets {
+	s := &quotaBuckets{rates: d.Quotas, tokens: make([]float64, len(d.Quotas))}
+	for i, q := range s.rates {
 		s.tokens[i] = quotaBurst * q
 	}
 	return s
 }
 
 // count takes the next first try, in the order of time.
-func (s *shares) count(a *Arrival) {
+func (s *quotaBuckets) count(a *Arrival) {
 	for i := range s.tokens {
-		s.tokens[i] = min(s.tokens[i]+s.quotas[i]*virtualclock.Micros(a.At-s.last)/microsPerSecond, quotaBurst*s.quotas[i])
+		s.tokens[i] = min(s.tokens[i]+s.rates[i]*virtualclock.Micros(a.At-s.refilledAt)/microsPerSecond, quotaBurst*s.rates[i])
 	}
-	s.last = a.At
-	if a.InShare = s.tokens[a.Tenant] >= 1 || s.quotas[a.Tenant] <= 0; a.InShare {
+	s.refilledAt = a.At
+	if a.InShare = s.tokens[a.Tenant] >= 1 || s.rates[a.Tenant] <= 0; a.InShare {
 		s.tokens[a.Tenant] = max(s.tokens[a.Tenant]-1, 0)
 	}
 }
 
-// variations draws how much the work of each class varies.
-func (d *Day) variations() []float64 {
+// drawVariations draws how much the work of each class varies.
+func (d *Day) drawVariations() []float64 {
 	cvs, r := make([]float64, len(d.Spec.Classes)), Stream(d.Seed, "cv", 0)
 	for i, c := range d.Spec.Classes {
-		cvs[i] = pick(r, c.CV)
+		cvs[i] = drawFrom(r, c.CV)
 	}
 	return cvs
 }
 
-// fill draws what a request is beside its class, tenant and balancer.
-func (d *Day) fill(a *Arrival, r *rand.Rand, cvs []float64, ranks []float64) {
+// drawRequest draws what a request is beside its class, tenant and balancer.
+func (d *Day) drawRequest(a *Arrival, r *rand.Rand, cvs []float64, ranks []float64) {
 	a.Work = lognormal(d.WorkMs[a.Class]*1000, cvs[a.Class], r)
 	calls := 0
 	if m := d.CallMean[a.Class]; m > 0 {
@@ -374,8 +374,8 @@
 	a.Rank = min(ranks[a.Class]+r.Float64()/n, 1-1e-9)
 }
 
-// ranks is where each class begins in the order of worth.
-func (d *Day) ranks() []float64 {
+// classRanks is where each class begins in the order of worth.
+func (d *Day) classRanks() []float64 {
 	out := make([]float64, len(d.Spec.Classes))
 	for i, c := range d.Spec.Classes {
 		for j, o := range d.Spec.Classes {
@@ -411,11 +411,11 @@
 		RunningMemoryFactor:   f.RunFactor,
 		KeyMemoryKB:           d.KeyKB,
 		CreditMode:            admission.CreditPerCaller,
-		CreditLifetime:        creditLife,
+		CreditLifetime:        creditTTL,
 		DeepHealthChecks:      true,
 		ReportsAbandoned:      true,
 		IdleConnectionTimeout: 30 * time.Second,
-		MaxRetryAfter:         stayAway,
+		MaxRetryAfter:         maxRetryAfter,
 		OverQuotaWeight:       g.OverWorth,
 		DeadlineGrace:         millis(f.SlackMs),
 		DrainGrace:            millis(f.DrainMs),
@@ -444,7 +444,7 @@
 		set.CallQuotaWindow = d.BackEnd.CrashWindow
 		set.AbandonedCallTime = d.BackEnd.CancelLinger
 	}
-	all := pick(Stream(d.Seed, "quota", 0), g.QuotaOf) * d.Capacity
+	all := drawFrom(Stream(d.Seed, "quota", 0), g.QuotaOf) * d.Capacity
 	shares := 0.0
 	for _, t := range d.Spec.Tenants {
 		shares += t.Share
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -14,12 +14,12 @@
 
 // Replay is recorded traffic in place of what a scenario would draw.
 type Replay struct {
-	requests []traffic.Request // first tries, in order
-	began    wallclock.UnixMicro
-	classes  []int // of the recording to those of the scenario
-	tenants  []int
-	rate     float64
-	Further  int // tries that were taken for further ones
+	requests  []traffic.Request // first tries, in order
+	startedAt wallclock.UnixMicro
+	classes   []int // of the recording to those of the scenario
+	tenants   []int
+	rate      float64
+	Further   int // tries that were taken for further ones
 }
 
 // jitter is how far a copy of a request is moved when the rate is scaled up, or copies would come
@@ -64,10 +64,10 @@
 			return millis(s.Classes[r.classes[class]].DeadlineMs)
 		},
 	)
-	r.began = r.requests[0].ArrivedAt
+	r.startedAt = r.requests[0].ArrivedAt
 	out := *s
 	out.replay = r
-	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.began+1) / microsPerSecond)
+	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.startedAt+1) / microsPerSecond)
 	if out.LengthS > 86_400 {
 		return nil, nil, fmt.Errorf("day: the recording spans %.0f s, more than a day", out.LengthS)
 	}
@@ -79,18 +79,18 @@
 // little apart; at a lower one some are left out. Which, and what they ask of the cores, is drawn
 // anew for each day.
 func (d *Day) replayArrivals() {
-	r, cvs, ranks := d.Spec.replay, d.variations(), d.ranks()
+	r, cvs, ranks := d.Spec.replay, d.drawVariations(), d.classRanks()
 	id := uint64(0)
 	for i, q := range r.requests {
 		copies := int(r.rate + Unit(d.Seed, "copies", uint64(i)))
 		for k := range copies {
 			id++
-			at := q.ArrivedAt.Sub(r.began)
+			at := q.ArrivedAt.Sub(r.startedAt)
 			if k > 0 {
 				at += virtualclock.FromMicros((2*Unit(d.Seed, "jitter", id) - 1) * virtualclock.Micros(jitter))
 			}
 			if at < 0 || at >= d.Length {
-				at = q.ArrivedAt.Sub(r.began)
+				at = q.ArrivedAt.Sub(r.startedAt)
 			}
 			a := Arrival{
 				At:       at,
@@ -99,7 +99,7 @@
 				Tenant:   r.tenants[q.Tenant],
 				Balancer: int(q.Caller) % len(d.Balancers),
 			}
-			d.fill(&a, Stream(d.Seed, "request", id), cvs, ranks)
+			d.drawRequest(&a, Stream(d.Seed, "request", id), cvs, ranks)
 			a.SizeKB, a.Rank = float64(q.SizeKB), float64(q.Rank)
 			if !(a.SizeKB > 0) {
 				a.SizeKB = d.HoldKB
@@ -108,7 +108,7 @@
 		}
 	}
 	slices.SortStableFunc(d.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	share := d.newShares()
+	share := d.newQuotas()
 	for i := range d.Arrivals {
 		share.count(&d.Arrivals[i])
 	}
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -20,7 +20,7 @@
 // Recorded traffic comes again as it was: times, classes, tenants, balancers, sizes and ranks. Its
 // work is drawn.
 func TestReplay(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	was := Draw(s, 1).Arrivals
 	again, r, err := s.WithTraffic(recording(t, s), 1)
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 func TestReplayAtAnotherRate(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	rec := recording(t, s)
 	for _, rate := range []float64{0.25, 0.8, 1.5, 3} {
 		again, _, err := s.WithTraffic(rec, rate)
@@ -79,7 +79,7 @@
 
 // Clocks that go back, and tries that repeat others.
 func TestReplayOfAnOddRecording(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	rec := recording(t, s)
 	n := len(rec.Requests)
 	for _, q := range rec.Requests[:n/2] { // each of the first half is tried again a second later
@@ -93,7 +93,7 @@
 }
 
 func TestReplayRefused(t *testing.T) {
-	s := parse(t, plain)
+	s := parse(t, plainDay)
 	for _, c := range []struct {
 		change func(*traffic.Recording)
 		rate   float64
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -212,8 +212,8 @@
 	Odds  float64 `yaml:"odds" json:"odds"`   // on so many days of all; 0: on each
 }
 
-// standard is what a scenario need not say: the operators' figures for their fleet.
-func standard() *Spec {
+// defaultSpec is what a scenario need not say: the operators' figures for their fleet.
+func defaultSpec() *Spec {
 	return &Spec{LengthS: 60, WindowS: 10,
 		Load: Load{OfCapacity: Range{0.65, 0.65}},
 		Fleet: Fleet{
@@ -261,8 +261,8 @@
 			QuotaOf: Range{0.61, 0.99}, Waste: 0.05, LateFail: 0.044}}
 }
 
-// standardClasses and standardTenants stand for a scenario that names none.
-func standardClasses() []Class {
+// defaultClasses and defaultTenants stand for a scenario that names none.
+func defaultClasses() []Class {
 	return []Class{
 		{
 			Name:       "quick-check",
@@ -302,25 +302,25 @@
 	}
 }
 
-func standardTenants() []Tenant {
+func defaultTenants() []Tenant {
 	return []Tenant{{Name: "malarskolan", Share: 0.3}, {Name: "ostra-gymnasiet", Share: 0.28},
 		{Name: "bergvik-kommun", Share: 0.24}, {Name: "lindby-skola", Share: 0.19}}
 }
 
 // Parse checks a scenario that was read from a file.
 func Parse(path string, text []byte) (*Spec, error) {
-	s := standard()
+	s := defaultSpec()
 	var err error
 	if s.doc, err = yamldoc.Decode("day", path, text, s); err != nil {
 		return nil, err
 	}
 	if len(s.Classes) == 0 {
-		s.Classes = standardClasses()
+		s.Classes = defaultClasses()
 	}
 	if len(s.Tenants) == 0 {
-		s.Tenants = standardTenants()
+		s.Tenants = defaultTenants()
 	}
-	for _, check := range []func() error{s.checkFigures, s.checkBalancers, s.checkClasses, s.checkTroubles} {
+	for _, check := range []func() error{s.checkNumbers, s.checkBalancers, s.checkClasses, s.checkTroubles} {
 		if err := check(); err != nil {
 			return nil, err
 		}
@@ -341,7 +341,7 @@
 		AttemptTimeout: k.Patience,
 		HedgeDelay:     millis(k.CopyAfterMs),
 		FollowsAdvice:  heeds,
-		CreditTTL:      creditLife,
+		CreditTTL:      creditTTL,
 		HealthCheckInterval: millis(
 			k.CheckEveryMs,
 		),
@@ -353,7 +353,7 @@
 	}
 }
 
-func (t *Tenant) asks() float64 {
+func (t *Tenant) trafficShare() float64 {
 	if t.Asks > 0 {
 		return t.Asks
 	}
--- a/internal/simulator/dependencies/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -36,37 +36,37 @@
 
 // Backend is the system that all runners share.
 type Backend struct {
-	spec    BackendSpec
-	clock   virtualclock.Clock
-	slots   share
-	window  window
-	calls   map[*job]*Call
-	order   []*Call // as they came, for the order in which a fall breaks them
-	slow    float64
-	down    bool
-	Crashes int
+	spec     BackendSpec
+	clock    virtualclock.Clock
+	slots    sharedProcessor
+	window   slidingWindow
+	calls    map[*job]*Call
+	order    []*Call // as they came, for the order in which a fall breaks them
+	slowdown float64
+	down     bool
+	Crashes  int
 }
 
 // NewBackend starts it.
 func NewBackend(clock virtualclock.Clock, spec BackendSpec) *Backend {
-	b := &Backend{spec: spec, clock: clock, slow: 1, calls: map[*job]*Call{},
-		window: newWindow(max(int(spec.CrashWindow/sampleEvery), 1))}
-	b.slots = share{
-		clock:  clock,
-		places: spec.Slots,
-		thrash: spec.Thrash,
-		crowd:  spec.Slots,
-		speed:  1,
-		at:     virtualclock.Micros(clock.Now()),
+	b := &Backend{spec: spec, clock: clock, slowdown: 1, calls: map[*job]*Call{},
+		window: newSlidingWindow(max(int(spec.CrashWindow/sampleInterval), 1))}
+	b.slots = sharedProcessor{
+		clock:          clock,
+		parallelism:    spec.Slots,
+		contentionLoss: spec.Thrash,
+		contentionFrom: spec.Slots,
+		speed:          1,
+		advancedTo:     virtualclock.Micros(clock.Now()),
 	}
-	clock.After(sampleEvery, b.sample)
+	clock.After(sampleInterval, b.sample)
 	return b
 }
 
 // SetSlowdown makes it so many times slower than usual.
 func (b *Backend) SetSlowdown(times float64) {
-	b.slow = max(times, 1)
-	b.slots.setSpeed(1 / b.slow)
+	b.slowdown = max(times, 1)
+	b.slots.setSpeed(1 / b.slowdown)
 }
 
 // InFlight is how many calls are in its hands.
@@ -96,7 +96,7 @@
 	if c.job == nil {
 		return
 	}
-	b.slots.drop(c.job)
+	b.slots.remove(c.job)
 	delete(b.calls, c.job)
 	c.job = nil
 	if done := c.done; done != nil {
@@ -115,13 +115,13 @@
 }
 
 func (b *Backend) sample() {
-	b.clock.After(sampleEvery, b.sample)
+	b.clock.After(sampleInterval, b.sample)
 	b.slots.advance()
-	held, n := b.window.add(b.slots.present)
+	held, n := b.window.add(b.slots.jobTime)
 	for len(b.order) > 0 && b.order[0].job == nil {
 		b.order = b.order[1:]
 	}
-	if b.down || b.spec.CrashFactor <= 0 || time.Duration(n)*sampleEvery < b.spec.CrashWindow ||
+	if b.down || b.spec.CrashFactor <= 0 || time.Duration(n)*sampleInterval < b.spec.CrashWindow ||
 		held/virtualclock.Micros(b.spec.CrashWindow) <= b.spec.CrashFactor*b.spec.Slots {
 		return
 	}
@@ -132,6 +132,6 @@
 	for _, c := range order {
 		b.finish(c, CallInterrupted)
 	}
-	b.window = newWindow(len(b.window.ring))
+	b.window = newSlidingWindow(len(b.window.samples))
 	b.clock.After(b.spec.RestartTime, func() { b.down = false })
 }
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -48,80 +48,80 @@
 }
 
 const (
-	sampleEvery = 100 * time.Millisecond // of gauges, memory and crowd
+	sampleInterval = 100 * time.Millisecond // of gauges, memory and crowd
 	// a held request counts against the memory so long after it was written (PROTOCOL)
-	bookAfter  = 100 * time.Millisecond
-	cpuSamples = 5 // half a second
+	reservationDelay = 100 * time.Millisecond
+	cpuSamples       = 5 // half a second
 )
 
 type run struct {
 	Work
-	part    int
-	job     *job // on the cores
-	waiting bool // for a call
-	over    bool // nobody wants it; it ends at the next call
+	part         int
+	job          *job // on the cores
+	waitsForCall bool // for a call
+	stopped      bool // nobody wants it; it ends at the next call
 }
 
-type held struct {
-	id   string
-	size float64
-	at   time.Duration
+type reservation struct {
+	id         string
+	sizeKB     float64
+	countsFrom time.Duration
 }
 
 // Machine is one runner's cores, memory and engine.
 type Machine struct {
-	spec    MachineSpec
-	clock   virtualclock.Clock
-	tenant  MachineObserver
-	cores   share
-	born    time.Duration
-	cold    bool
-	slow    float64 // times slower than usual; 1: not
-	frozen  bool
-	reading int
-	unread  []func()
-	runs    map[string]*run
-	atCalls int
-	unbook  []held // written, not yet counted
-	held    map[string]float64
-	memory  float64
-	crowd   float64 // running requests on the cores, integrated
-	crowdAt time.Duration
-	onCores int
-	cpuWin  window
-	crowds  window
-	cpu     float64
-	dead    bool
+	spec          MachineSpec
+	clock         virtualclock.Clock
+	observer      MachineObserver
+	cores         sharedProcessor
+	startedAt     time.Duration
+	cold          bool
+	slowdown      float64 // times slower than usual; 1: not
+	frozen        bool
+	reading       int
+	unread        []func()
+	runs          map[string]*run
+	atCalls       int
+	unbooked      []reservation // written, not yet counted
+	reserved      map[string]float64
+	memory        float64
+	runningTime   float64 // running requests on the cores, integrated
+	countedAt     time.Duration
+	running       int
+	cpuWindow     slidingWindow
+	runningWindow slidingWindow
+	cpu           float64
+	dead          bool
 }
 
 // NewMachine starts a machine, cold or warm.
 func NewMachine(clock virtualclock.Clock, spec MachineSpec, cold bool, tenant MachineObserver) *Machine {
 	m := &Machine{
-		spec:    spec,
-		clock:   clock,
-		tenant:  tenant,
-		born:    clock.Now(),
-		cold:    cold && spec.WarmUpTime > 0,
-		slow:    1,
-		runs:    map[string]*run{},
-		held:    map[string]float64{},
-		crowdAt: clock.Now(),
-		cpuWin:  newWindow(cpuSamples),
-		crowds:  newWindow(max(int(spec.ConcurrencyWindow/sampleEvery), 1)),
+		spec:          spec,
+		clock:         clock,
+		observer:      tenant,
+		startedAt:     clock.Now(),
+		cold:          cold && spec.WarmUpTime > 0,
+		slowdown:      1,
+		runs:          map[string]*run{},
+		reserved:      map[string]float64{},
+		countedAt:     clock.Now(),
+		cpuWindow:     newSlidingWindow(cpuSamples),
+		runningWindow: newSlidingWindow(max(int(spec.ConcurrencyWindow/sampleInterval), 1)),
 	}
-	m.cores = share{clock: clock, places: float64(spec.Cores), thrash: spec.Thrash,
-		crowd: max(spec.ThrashAt, 0.1) * float64(spec.Cores), at: virtualclock.Micros(clock.Now())}
+	m.cores = sharedProcessor{clock: clock, parallelism: float64(spec.Cores), contentionLoss: spec.Thrash,
+		contentionFrom: max(spec.ThrashAt, 0.1) * float64(spec.Cores), advancedTo: virtualclock.Micros(clock.Now())}
 	m.cores.speed = m.speed()
-	clock.After(sampleEvery, m.sample)
+	clock.After(sampleInterval, m.sample)
 	return m
 }
 
-// warm is the share of its speed that it has.
-func (m *Machine) warm() float64 {
+// warmShare is the share of its speed that it has.
+func (m *Machine) warmShare() float64 {
 	if !m.cold {
 		return 1
 	}
-	past := virtualclock.Micros(m.clock.Now()-m.born) / virtualclock.Micros(m.spec.WarmUpTime)
+	past := virtualclock.Micros(m.clock.Now()-m.startedAt) / virtualclock.Micros(m.spec.WarmUpTime)
 	return min(m.spec.WarmUpSpeed+(1-m.spec.WarmUpSpeed)*past, 1)
 }
 
@@ -129,15 +129,15 @@
 	if m.frozen {
 		return 0
 	}
-	return m.spec.Speed * m.warm() / m.slow
+	return m.spec.Speed * m.warmShare() / m.slowdown
 }
 
 // IsWarmingUp tells whether it is still slow from its start, and so calls more.
-func (m *Machine) IsWarmingUp() bool { return m.warm() < 1 }
+func (m *Machine) IsWarmingUp() bool { return m.warmShare() < 1 }
 
 // SetSlowdown makes it so many times slower than usual.
 func (m *Machine) SetSlowdown(times float64) {
-	m.slow = max(times, 1)
+	m.slowdown = max(times, 1)
 	m.cores.setSpeed(m.speed())
 }
 
@@ -174,15 +174,15 @@
 
 // ReserveMemory books memory for a request that was written to the runner, a little after that.
 func (m *Machine) ReserveMemory(id string, sizeKB float64) {
-	m.unbook = append(m.unbook, held{id, sizeKB, m.clock.Now() + bookAfter})
-	m.held[id] = 0
+	m.unbooked = append(m.unbooked, reservation{id, sizeKB, m.clock.Now() + reservationDelay})
+	m.reserved[id] = 0
 }
 
 // ReleaseMemory gives back what is booked for a held request that is answered or given up. What runs keeps
 // its memory.
 func (m *Machine) ReleaseMemory(id string) {
-	m.memory -= m.held[id]
-	delete(m.held, id)
+	m.memory -= m.reserved[id]
+	delete(m.reserved, id)
 }
 
 // Run starts the work of a request. One that runs already is left alone.
@@ -194,68 +194,68 @@
 	r := &run{Work: w}
 	m.runs[w.ID] = r
 	m.memory += r.SizeKB * m.spec.RunFactor
-	m.next(r)
+	m.startPart(r)
 }
 
-// next puts the next part of a run on the cores.
-func (m *Machine) next(r *run) {
+// startPart puts the next part of a run on the cores.
+func (m *Machine) startPart(r *run) {
 	work := 0.0
 	if r.part < len(r.Parts) {
 		work = r.Parts[r.part]
 	}
-	m.count(1)
+	m.countRunning(1)
 	r.job = m.cores.add(work, func() {
 		r.job = nil
-		m.count(-1)
+		m.countRunning(-1)
 		r.part++
 		switch {
 		case r.part >= len(r.Parts):
-			m.end(r, RunSucceeded)
-		case r.over:
-			m.end(r, RunInterrupted)
+			m.endRun(r, RunSucceeded)
+		case r.stopped:
+			m.endRun(r, RunInterrupted)
 		default:
-			r.waiting = true
+			r.waitsForCall = true
 			m.atCalls++
-			m.tenant.Needs(r.ID)
+			m.observer.Needs(r.ID)
 		}
 	})
 }
 
-func (m *Machine) end(r *run, e RunOutcome) {
+func (m *Machine) endRun(r *run, e RunOutcome) {
 	delete(m.runs, r.ID)
 	m.memory -= r.SizeKB * m.spec.RunFactor
-	m.tenant.Ended(r.ID, e)
+	m.observer.Ended(r.ID, e)
 }
 
-// count keeps the integral of running requests on the cores.
-func (m *Machine) count(d int) {
+// countRunning keeps the integral of running requests on the cores.
+func (m *Machine) countRunning(d int) {
 	now := m.clock.Now()
-	m.crowd += float64(m.onCores) * virtualclock.Micros(now-m.crowdAt)
-	m.crowdAt = now
-	m.onCores += d
+	m.runningTime += float64(m.running) * virtualclock.Micros(now-m.countedAt)
+	m.countedAt = now
+	m.running += d
 }
 
 // Resume lets a run go on that waited for a call.
 func (m *Machine) Resume(id string) {
-	if r := m.runs[id]; !m.dead && r != nil && r.waiting {
-		r.waiting = false
+	if r := m.runs[id]; !m.dead && r != nil && r.waitsForCall {
+		r.waitsForCall = false
 		m.atCalls--
-		m.next(r)
+		m.startPart(r)
 	}
 }
 
 // Stop tells that nobody wants a run. On the cores it goes on; at a call it ends.
 func (m *Machine) Stop(id string) {
 	r := m.runs[id]
-	if m.dead || r == nil || r.over {
+	if m.dead || r == nil || r.stopped {
 		return
 	}
-	if r.over = true; r.waiting {
+	if r.stopped = true; r.waitsForCall {
 		m.atCalls--
-		r.waiting = false
+		r.waitsForCall = false
 		m.clock.After(0, func() {
 			if !m.dead && m.runs[id] == r {
-				m.end(r, RunInterrupted)
+				m.endRun(r, RunInterrupted)
 			}
 		})
 	}
@@ -268,18 +268,18 @@
 	}
 	m.cores.setSpeed(m.speed())
 	m.cores.advance()
-	if busy, n := m.cpuWin.add(m.cores.busy); n > 0 {
-		m.cpu = busy / virtualclock.Micros(time.Duration(n)*sampleEvery) / float64(m.spec.Cores)
+	if busy, n := m.cpuWindow.add(m.cores.busyTime); n > 0 {
+		m.cpu = busy / virtualclock.Micros(time.Duration(n)*sampleInterval) / float64(m.spec.Cores)
 	}
-	m.count(0)
-	crowd, n := m.crowds.add(m.crowd)
-	m.book()
+	m.countRunning(0)
+	crowd, n := m.runningWindow.add(m.runningTime)
+	m.bookMemory()
 	limit := m.spec.ConcurrencyLimit * float64(m.spec.Cores)
 	if m.cold {
-		limit = float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warm())
+		limit = float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warmShare())
 	}
 	switch {
-	case time.Duration(n)*sampleEvery >= m.spec.ConcurrencyWindow && crowd/virtualclock.Micros(m.spec.ConcurrencyWindow) > limit:
+	case time.Duration(n)*sampleInterval >= m.spec.ConcurrencyWindow && crowd/virtualclock.Micros(m.spec.ConcurrencyWindow) > limit:
 		m.Kill(
 			fmt.Sprintf(
 				"crowd: %.1f running requests a core in the mean of %d ms",
@@ -291,21 +291,21 @@
 	case m.memory > m.spec.MemoryKB:
 		m.Kill(fmt.Sprintf("memory: %.0f of %.0f kB", m.memory, m.spec.MemoryKB))
 	default:
-		m.clock.After(sampleEvery, m.sample)
+		m.clock.After(sampleInterval, m.sample)
 	}
 }
 
-// book counts held requests whose time has come.
-func (m *Machine) book() {
+// bookMemory counts held requests whose time has come.
+func (m *Machine) bookMemory() {
 	i := 0
-	for ; i < len(m.unbook) && m.unbook[i].at <= m.clock.Now(); i++ {
-		h := m.unbook[i]
-		if _, still := m.held[h.id]; still {
-			m.held[h.id] = h.size
-			m.memory += h.size
+	for ; i < len(m.unbooked) && m.unbooked[i].countsFrom <= m.clock.Now(); i++ {
+		h := m.unbooked[i]
+		if _, still := m.reserved[h.id]; still {
+			m.reserved[h.id] = h.sizeKB
+			m.memory += h.sizeKB
 		}
 	}
-	m.unbook = m.unbook[i:]
+	m.unbooked = m.unbooked[i:]
 }
 
 // Kill ends the machine and all on it. Its tenant is told, once.
@@ -316,7 +316,7 @@
 	m.dead = true
 	m.cores.clear()
 	m.unread, m.runs = nil, map[string]*run{}
-	m.tenant.Died(why)
+	m.observer.Died(why)
 }
 
 // Gauges are the machine's own measurements.
@@ -324,7 +324,7 @@
 
 // Gauges reads them.
 func (m *Machine) Gauges() Gauges {
-	m.book()
+	m.bookMemory()
 	return Gauges{
 		CPU:      min(m.cpu, 1),
 		Runnable: float64(len(m.cores.jobs) + len(m.unread)),
@@ -335,5 +335,5 @@
 // WorkDone is the work that its cores have done, in microseconds at speed 1.
 func (m *Machine) WorkDone() float64 {
 	m.cores.advance()
-	return m.cores.work
+	return m.cores.workDone
 }
--- a/internal/simulator/dependencies/roster.go
+++ b/internal/simulator/dependencies/registry.go
@@ -6,14 +6,14 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// lapse is how long after the last report an entry stays listed (PROTOCOL).
-const lapse = 3 * time.Second
+// reportLifetime is how long after the last report an entry stays listed (PROTOCOL).
+const reportLifetime = 3 * time.Second
 
 // Registry lists runners while they report. Watchers hear of a change late.
 type Registry struct {
-	clock   virtualclock.Clock
-	entries map[string]*entry
-	watch   []watcher
+	clock    virtualclock.Clock
+	entries  map[string]*entry
+	watchers []watcher
 }
 
 type entry struct {
@@ -22,8 +22,8 @@
 }
 
 type watcher struct {
-	late func() time.Duration
-	tell func(name string, listed bool)
+	delay  func() time.Duration
+	notify func(name string, listed bool)
 }
 
 // NewRegistry starts one with nobody listed.
@@ -34,7 +34,7 @@
 // Watch tells of each change after a delay that is asked for each time. Changes overtake each other
 // no more than the delays allow; of one name, the state at the time of telling counts.
 func (r *Registry) Watch(late func() time.Duration, tell func(name string, listed bool)) {
-	r.watch = append(r.watch, watcher{late, tell})
+	r.watchers = append(r.watchers, watcher{late, tell})
 }
 
 // Report takes word of a runner that is there; whether it is leaving changes nothing here.
@@ -47,7 +47,7 @@
 	if e.timer != nil {
 		e.timer.Stop()
 	}
-	e.timer = r.clock.After(lapse, func() { r.set(name, e, false) })
+	e.timer = r.clock.After(reportLifetime, func() { r.set(name, e, false) })
 	r.set(name, e, true)
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	e.listed = listed
-	for _, w := range r.watch {
-		r.clock.After(w.late(), func() { w.tell(name, r.IsListed(name)) })
+	for _, w := range r.watchers {
+		r.clock.After(w.delay(), func() { w.notify(name, r.IsListed(name)) })
 	}
 }
--- a/internal/simulator/dependencies/world_test.go
+++ b/internal/simulator/dependencies/world_test.go
@@ -14,28 +14,28 @@
 
 const workPerSecond = 1e6 // of a core of speed 1
 
-// diary is a tenant that notes what it is told, and places no calls.
-type diary struct {
+// recordingObserver is a tenant that notes what it is told, and places no calls.
+type recordingObserver struct {
 	clock *virtualclock.Scheduler
 	lines []string
 	ends  map[string]time.Duration
 	died  string
 }
 
-func (d *diary) note(format string, v ...any) {
+func (d *recordingObserver) record(format string, v ...any) {
 	d.lines = append(
 		d.lines,
 		fmt.Sprintf("%d ", (d.clock.Now()-virtualclock.Origin).Milliseconds())+fmt.Sprintf(format, v...),
 	)
 }
-func (d *diary) Needs(id string) { d.note("%s needs", id) }
-func (d *diary) Ended(id string, e RunOutcome) {
-	d.note("%s ended %d", id, e)
+func (d *recordingObserver) Needs(id string) { d.record("%s needs", id) }
+func (d *recordingObserver) Ended(id string, e RunOutcome) {
+	d.record("%s ended %d", id, e)
 	d.ends[id] = d.clock.Now()
 }
-func (d *diary) Died(why string) { d.died = why }
+func (d *recordingObserver) Died(why string) { d.died = why }
 
-func spec() MachineSpec {
+func testSpec() MachineSpec {
 	return MachineSpec{
 		Cores:             2,
 		Speed:             1,
@@ -49,9 +49,9 @@
 	}
 }
 
-func machine(s MachineSpec, cold bool) (*Machine, *diary, *virtualclock.Scheduler) {
+func newTestMachine(s MachineSpec, cold bool) (*Machine, *recordingObserver, *virtualclock.Scheduler) {
 	c := virtualclock.New()
-	d := &diary{clock: c, ends: map[string]time.Duration{}}
+	d := &recordingObserver{clock: c, ends: map[string]time.Duration{}}
 	return NewMachine(c, s, cold, d), d, c
 }
 
@@ -69,9 +69,9 @@
 		{"past the crowd", 8, func(s *MachineSpec) { s.ThrashAt, s.Thrash = 2, 0.5 }, 600},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := spec()
+			s := testSpec()
 			c.with(&s)
-			m, d, clock := machine(s, false)
+			m, d, clock := newTestMachine(s, false)
 			for i := range c.runs {
 				m.Run(Work{ID: fmt.Sprint(i), Parts: []float64{100_000}})
 			}
@@ -89,10 +89,10 @@
 }
 
 func TestReadingCostsWorkAndWaits(t *testing.T) {
-	m, d, clock := machine(spec(), false)
+	m, d, clock := newTestMachine(testSpec(), false)
 	room := 0
 	for i := range 20 {
-		if m.Read(func() { d.note("read %d", i) }) {
+		if m.Read(func() { d.record("read %d", i) }) {
 			room++
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 func TestCallsLeaveTheCores(t *testing.T) {
-	m, d, clock := machine(spec(), false)
+	m, d, clock := newTestMachine(testSpec(), false)
 	m.Run(Work{ID: "a", Parts: []float64{10_000, 20_000}})
 	m.Run(Work{ID: "b", Parts: []float64{10_000, 20_000}})
 	clock.RunUntil(virtualclock.Origin + 100*time.Millisecond)
@@ -146,9 +146,9 @@
 		{"memory", 4, false, func(s *MachineSpec) { s.MemoryKB = 900 }, "memory: 960 of 900 kB"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := spec()
+			s := testSpec()
 			c.with(&s)
-			m, d, clock := machine(s, c.cold)
+			m, d, clock := newTestMachine(s, c.cold)
 			for i := range c.runs {
 				m.Run(Work{ID: fmt.Sprint(i), SizeKB: 30, Parts: []float64{1e9}})
 			}
@@ -163,7 +163,7 @@
 // A held request counts from 0.1 s after it was written, one that runs eight times from then on,
 // and all is given back.
 func TestMemoryIsBooked(t *testing.T) {
-	m, _, clock := machine(spec(), false)
+	m, _, clock := newTestMachine(testSpec(), false)
 	m.ReserveMemory("a", 50)
 	m.ReserveMemory("b", 50)
 	m.ReserveMemory("c", 50)
@@ -184,7 +184,7 @@
 }
 
 func TestPausesAndSlowness(t *testing.T) {
-	m, d, clock := machine(spec(), false)
+	m, d, clock := newTestMachine(testSpec(), false)
 	m.Run(Work{ID: "a", Parts: []float64{100_000}})
 	clock.After(50*time.Millisecond, func() { m.SetFrozen(true) })
 	clock.After(150*time.Millisecond, func() { m.SetFrozen(false); m.SetSlowdown(4) })
@@ -199,9 +199,9 @@
 }
 
 func TestColdSpeedRises(t *testing.T) {
-	s := spec()
+	s := testSpec()
 	s.WarmUpSpeed, s.WarmUpTime = 0.25, 4*time.Second
-	m, d, clock := machine(s, true)
+	m, d, clock := newTestMachine(s, true)
 	m.Run(Work{ID: "a", Parts: []float64{2.5 * workPerSecond}}) // the mean of 0.25 and 1 over four seconds
 	clock.RunUntil(virtualclock.Origin + 10*time.Second)
 	if got := (d.ends["a"] - virtualclock.Origin).Seconds(); math.Abs(got-4) > 0.1 {
@@ -216,9 +216,9 @@
 // runs and reading took.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := spec()
+		s := testSpec()
 		s.Thrash, s.ThrashAt = rapid.Float64Range(0, 1).Draw(t, "thrash"), 1.5
-		m, d, clock := machine(s, false)
+		m, d, clock := newTestMachine(s, false)
 		want := 0.0
 		for i := range rapid.IntRange(1, 20).Draw(t, "runs") {
 			work := float64(rapid.IntRange(0, 60_000).Draw(t, "work"))
@@ -366,11 +366,11 @@
 	}
 }
 
-// late is a clock whose timers come up to a millisecond after their time, as those of an event loop
+// delay is a clock whose timers come up to a millisecond after their time, as those of an event loop
 // do.
-type late struct{ *virtualclock.Scheduler }
+type coarseClock struct{ *virtualclock.Scheduler }
 
-func (l late) After(d time.Duration, fn func()) virtualclock.Timer {
+func (l coarseClock) After(d time.Duration, fn func()) virtualclock.Timer {
 	return l.Scheduler.After((l.Now()+d+time.Millisecond-time.Microsecond).Truncate(time.Millisecond)-l.Now(), fn)
 }
 
@@ -380,10 +380,10 @@
 		sched := virtualclock.New()
 		var clock virtualclock.Clock = sched
 		if lateBy {
-			clock = late{sched}
+			clock = coarseClock{sched}
 		}
-		d := &diary{clock: sched, ends: map[string]time.Duration{}}
-		m := NewMachine(clock, spec(), false, d)
+		d := &recordingObserver{clock: sched, ends: map[string]time.Duration{}}
+		m := NewMachine(clock, testSpec(), false, d)
 		want := 0.0
 		for i := range 200 {
 			work := float64(1000 + 371*(i%17))
--- a/internal/simulator/fleet/fleet.go
+++ b/internal/simulator/fleet/fleet.go
@@ -46,43 +46,43 @@
 const unixOrigin wallclock.UnixMicro = 1_764_576_000_000_000
 
 const (
-	reportEvery  = time.Second            // of a runner to the roster
-	loadEvery    = 500 * time.Millisecond // of measured loads to balancers
-	loadNoise    = 0.1
-	connectTime  = time.Second            // after which a connection that nobody takes is given up
-	linkDelay    = 50 * time.Microsecond  // between a runner and its engine
-	backendDelay = 300 * time.Microsecond // between a runner and the back end, one way
-	checkTime    = time.Second            // a health check that takes longer is bad
+	reportInterval     = time.Second            // of a runner to the roster
+	loadReportInterval = 500 * time.Millisecond // of measured loads to balancers
+	loadNoise          = 0.1
+	connectTimeout     = time.Second            // after which a connection that nobody takes is given up
+	linkDelay          = 50 * time.Microsecond  // between a runner and its engine
+	backendDelay       = 300 * time.Microsecond // between a runner and the back end, one way
+	checkTimeout       = time.Second            // a health check that takes longer is bad
 	// of the rules' time limits, as on sockets (PROTOCOL grants 50 ms and the reading of answers)
-	spareTime = 100 * time.Millisecond
+	measuringTolerance = 100 * time.Millisecond
 )
 
 // Simulation is a day on which the parts of a fleet meet: machines, back end, roster, balancers, and
 // runners behind Process.
 type Simulation struct {
-	day        *day.Day
-	opt        Options
-	clock      virtualclock.Clock
-	launch     Launch
-	listens    bool // runners report to the roster by themselves
-	origin     time.Duration
-	unixOrigin wallclock.UnixMicro
-	book       *ledger.Ledger
-	back       *dependencies.Backend
-	roster     *dependencies.Registry
-	runners    []*runner
-	balancers  []*balancer
-	cut        int // hall that is cut off; -1: none
-	read       int
-	messages   uint64
-	names      uint64
-	closed     bool
+	day           *day.Day
+	options       Options
+	clock         virtualclock.Clock
+	launch        Launch
+	reportsItself bool // runners report to the roster by themselves
+	origin        time.Duration
+	unixOrigin    wallclock.UnixMicro
+	account       *ledger.Ledger
+	backend       *dependencies.Backend
+	registry      *dependencies.Registry
+	runners       []*runner
+	balancers     []*balancer
+	cutZone       int // hall that is cut off; -1: none
+	attemptsRead  int
+	messages      uint64
+	attemptsNamed uint64
+	closed        bool
 }
 
 // Play plays a day to its end, in virtual time, with runners in this process.
 func Play(d *day.Day, opt Options) (*Run, error) {
 	clock := virtualclock.New()
-	s := NewSimulation(d, opt, clock, launchInside, false)
+	s := NewSimulation(d, opt, clock, launchInProcess, false)
 	if err := s.Start(); err != nil {
 		return nil, err
 	}
@@ -99,22 +99,22 @@
 // NewSimulation sets up a day on a clock. Where runners listen, they report to the roster by themselves.
 func NewSimulation(d *day.Day, opt Options, clock virtualclock.Clock, launch Launch, listens bool) *Simulation {
 	s := &Simulation{
-		day:     d,
-		opt:     opt,
-		clock:   clock,
-		launch:  launch,
-		listens: listens,
-		cut:     -1,
-		origin:  clock.Now(),
+		day:           d,
+		options:       opt,
+		clock:         clock,
+		launch:        launch,
+		reportsItself: listens,
+		cutZone:       -1,
+		origin:        clock.Now(),
 	}
 	if opt.Log == nil {
-		s.opt.Log = func(time.Duration, string, string) {}
+		s.options.Log = func(time.Duration, string, string) {}
 	}
-	s.openBook()
-	s.back = dependencies.NewBackend(s.clock, d.BackEnd)
-	s.roster = dependencies.NewRegistry(s.clock)
+	s.openAccount()
+	s.backend = dependencies.NewBackend(s.clock, d.BackEnd)
+	s.registry = dependencies.NewRegistry(s.clock)
 	for i := range d.Runners {
-		s.runners = append(s.runners, &runner{s: s, no: i, spec: &d.Runners[i]})
+		s.runners = append(s.runners, &runner{simulation: s, index: i, spec: &d.Runners[i]})
 	}
 	for i := range d.Balancers {
 		s.balancers = append(s.balancers, s.newBalancer(i))
@@ -135,7 +135,7 @@
 // IsReady tells whether all of them take requests.
 func (s *Simulation) IsReady() bool {
 	for _, r := range s.runners {
-		if r.life == nil || !r.life.proc.IsReady() {
+		if r.incarnation == nil || !r.incarnation.process.IsReady() {
 			return false
 		}
 	}
@@ -147,13 +147,13 @@
 	s.origin, s.unixOrigin = s.clock.Now(), unix
 	for _, r := range s.runners {
 		for _, b := range s.balancers { // all know the fleet as the day begins
-			b.b.SetListed(r.no, true)
+			b.policy.SetListed(r.index, true)
 		}
 	}
-	s.askNext(0)
+	s.scheduleArrival(0)
 	s.reportLoads()
 	for _, e := range s.day.Events {
-		s.clock.After(e.At, func() { s.strike(e) })
+		s.clock.After(e.At, func() { s.startFault(e) })
 	}
 }
 
@@ -163,17 +163,17 @@
 	for _, c := range s.day.Spec.Classes {
 		last = max(last, c.DeadlineMs)
 	}
-	return s.day.Length + millis(last+s.day.Spec.Fleet.SlackMs) + 2*connectTime
+	return s.day.Length + millis(last+s.day.Spec.Fleet.SlackMs) + 2*connectTimeout
 }
 
 // Backend is the back end that all share.
-func (s *Simulation) Backend() *dependencies.Backend { return s.back }
+func (s *Simulation) Backend() *dependencies.Backend { return s.backend }
 
 // Find finds a try that a runner has read, and the runner.
 func (s *Simulation) Find(name string) *Attempt {
 	for _, r := range s.runners {
-		if r.life != nil {
-			if j := r.life.jobs[name]; j != nil {
+		if r.incarnation != nil {
+			if j := r.incarnation.attempts[name]; j != nil {
 				return j
 			}
 		}
@@ -185,13 +185,13 @@
 func (s *Simulation) Incarnation(name string) *Incarnation {
 	for _, r := range s.runners {
 		if r.spec.Name == name {
-			return r.life
+			return r.incarnation
 		}
 	}
 	return nil
 }
 
-func (s *Simulation) openBook() {
+func (s *Simulation) openAccount() {
 	spec, d := s.day.Spec, s.day
 	var classes []ledger.Class
 	var tenants []string
@@ -206,7 +206,7 @@
 		tenants = append(tenants, t.Name)
 	}
 	g := spec.Goal
-	s.book = ledger.New(
+	s.account = ledger.New(
 		classes,
 		tenants,
 		ledger.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass,
@@ -221,19 +221,19 @@
 	s.closed = true
 	worked := 0.0
 	for _, r := range s.runners {
-		if worked += r.worked; r.life != nil {
-			worked += r.life.machine.WorkDone()
-			r.life.unanswered("at the end of the day")
+		if worked += r.workDone; r.incarnation != nil {
+			worked += r.incarnation.machine.WorkDone()
+			r.incarnation.recordUnanswered("at the end of the day")
 		}
 	}
-	for range s.back.Crashes {
-		s.book.AddViolation(ledger.BackendCrash, s.now(), "the back end fell over")
+	for range s.backend.Crashes {
+		s.account.AddViolation(ledger.BackendCrash, s.now(), "the back end fell over")
 	}
-	res, err := s.book.Close(worked)
+	res, err := s.account.Close(worked)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: day %d: %w", s.day.Seed, err)
 	}
-	return &Run{Result: res, Seed: s.day.Seed, RequestRate: s.day.Rate, Capacity: s.day.Capacity, AttemptsRead: s.read}, nil
+	return &Run{Result: res, Seed: s.day.Seed, RequestRate: s.day.Rate, Capacity: s.day.Capacity, AttemptsRead: s.attemptsRead}, nil
 }
 
 // millis and seconds convert the figures of scenarios, cut to whole microseconds.
@@ -243,14 +243,14 @@
 // now is the time since the day began.
 func (s *Simulation) now() time.Duration { return s.clock.Now() - s.origin }
 
-// askNext lets the client of the next first try ask.
-func (s *Simulation) askNext(i int) {
+// scheduleArrival lets the client of the next first try ask.
+func (s *Simulation) scheduleArrival(i int) {
 	if i == len(s.day.Arrivals) {
 		return
 	}
 	a := &s.day.Arrivals[i]
 	s.clock.After(a.At-s.now(), func() {
-		s.book.AddRequest(
+		s.account.AddRequest(
 			a.ID,
 			ledger.Request{
 				At:      a.At,
@@ -260,16 +260,16 @@
 				Work:    a.Work + s.readWork(),
 			},
 		)
-		s.balancers[a.Balancer].ask(a)
-		s.askNext(i + 1)
+		s.balancers[a.Balancer].submit(a)
+		s.scheduleArrival(i + 1)
 	})
 }
 
 func (s *Simulation) readWork() float64 { return s.day.Runners[0].Spec.ReadWork }
 
-// delay is how long a message takes between halls, and whether it arrives at all.
-func (s *Simulation) delay(from, to int) (time.Duration, bool) {
-	if from != to && (from == s.cut || to == s.cut) {
+// networkDelay is how long a message takes between halls, and whether it arrives at all.
+func (s *Simulation) networkDelay(from, to int) (time.Duration, bool) {
+	if from != to && (from == s.cutZone || to == s.cutZone) {
 		return 0, false
 	}
 	s.messages++
@@ -277,11 +277,11 @@
 	if from != to {
 		d = s.day.CrossUs
 	}
-	return virtualclock.FromMicros(d * (0.9 + 0.2*day.Unit(s.day.Seed^s.opt.BalancerSeed, "net", s.messages))), true
+	return virtualclock.FromMicros(d * (0.9 + 0.2*day.Unit(s.day.Seed^s.options.BalancerSeed, "net", s.messages))), true
 }
 
-// strike begins a trouble and sees to its end.
-func (s *Simulation) strike(e day.Event) {
+// startFault begins a trouble and sees to its end.
+func (s *Simulation) startFault(e day.Event) {
 	each := func(do func(r *runner)) {
 		for _, i := range e.Runners {
 			do(s.runners[i])
@@ -291,41 +291,41 @@
 	switch e.Kind {
 	case day.Crash:
 		each(func(r *runner) {
-			r.end("killed")
+			r.kill("killed")
 			r.restart(e.For)
 		})
 	case day.Slow:
-		each(func(r *runner) { r.slow(e.Times) })
-		after(func() { each(func(r *runner) { r.slow(1) }) })
+		each(func(r *runner) { r.setSlowdown(e.Times) })
+		after(func() { each(func(r *runner) { r.setSlowdown(1) }) })
 	case day.Crawl:
-		s.back.SetSlowdown(e.Times)
-		after(func() { s.back.SetSlowdown(1) })
+		s.backend.SetSlowdown(e.Times)
+		after(func() { s.backend.SetSlowdown(1) })
 	case day.Pause:
-		each(func(r *runner) { r.pause(true) })
-		after(func() { each(func(r *runner) { r.pause(false) }) })
+		each(func(r *runner) { r.setFrozen(true) })
+		after(func() { each(func(r *runner) { r.setFrozen(false) }) })
 	case day.Drain:
 		step := (e.For / time.Duration(max(len(e.Runners), 1))).Truncate(virtualclock.Resolution)
 		for k, i := range e.Runners {
 			s.clock.After(time.Duration(k)*step, s.runners[i].drain)
 		}
 	case day.CutHall:
-		s.cut = e.Hall
-		after(func() { s.cut = -1 })
+		s.cutZone = e.Hall
+		after(func() { s.cutZone = -1 })
 	}
 }
 
 // reportLoads gives balancers that go by measured load what was measured, a little noisy.
 func (s *Simulation) reportLoads() {
-	s.clock.After(loadEvery, s.reportLoads)
+	s.clock.After(loadReportInterval, s.reportLoads)
 	for _, b := range s.balancers {
-		if !b.told {
+		if !b.usesLoadReports {
 			continue
 		}
 		for _, r := range s.runners {
-			if r.life != nil {
-				n := day.Unit(s.day.Seed^s.opt.BalancerSeed, "load"+strconv.Itoa(r.no), uint64(s.now().Microseconds()))
-				g := r.life.machine.Gauges()
-				b.b.Report(r.no, (g.CPU+g.Runnable/float64(r.spec.Spec.Cores))*(1+loadNoise*(2*n-1)))
+			if r.incarnation != nil {
+				n := day.Unit(s.day.Seed^s.options.BalancerSeed, "load"+strconv.Itoa(r.index), uint64(s.now().Microseconds()))
+				g := r.incarnation.machine.Gauges()
+				b.policy.Report(r.index, (g.CPU+g.Runnable/float64(r.spec.Spec.Cores))*(1+loadNoise*(2*n-1)))
 			}
 		}
 	}
@@ -347,7 +347,7 @@
 		return false
 	}
 	for _, b := range s.balancers {
-		if len(b.open) > 0 {
+		if len(b.arrivals) > 0 {
 			return false
 		}
 	}
--- a/internal/simulator/fleet/fleet_test.go
+++ b/internal/simulator/fleet/fleet_test.go
@@ -15,8 +15,8 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// small is a day that is played in some milliseconds. more is added to it.
-func small(t testing.TB, more string) *day.Spec {
+// smallDay is a day that is played in some milliseconds. more is added to it.
+func smallDay(t testing.TB, more string) *day.Spec {
 	t.Helper()
 	text := "name: small\nlength_s: 12\nwindow_s: 4\nfleet: {runners: 5, restart_s: 2, cold_s: 6}\n" + more
 	if !strings.Contains(more, "load:") {
@@ -41,7 +41,7 @@
 	return r
 }
 
-func inJSON(t testing.TB, r *Run) string {
+func marshalRun(t testing.TB, r *Run) string {
 	t.Helper()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -63,15 +63,15 @@
 
 // A day is the same to the byte each time, whatever else is played beside it, troubles and all.
 func TestADayIsTheSameEachTime(t *testing.T) {
-	s := small(t, troubles)
+	s := smallDay(t, troubles)
 	want := make([]string, 4)
 	for i := range want {
-		want[i] = inJSON(t, play(t, s, uint64(i), Options{}))
+		want[i] = marshalRun(t, play(t, s, uint64(i), Options{}))
 	}
 	var wg sync.WaitGroup
 	got := make([]string, 4*len(want))
 	for i := range got {
-		wg.Go(func() { got[i] = inJSON(t, play(t, s, uint64(i%len(want)), Options{})) })
+		wg.Go(func() { got[i] = marshalRun(t, play(t, s, uint64(i%len(want)), Options{})) })
 	}
 	wg.Wait()
 	for i := range got {
@@ -97,7 +97,7 @@
 		"{count: 3, choose: weighted, retry: bounded, tries: 4, pause_ms: 5, heeds: 1}",
 	} {
 		t.Run(b, func(t *testing.T) {
-			r := play(t, small(t, "load: {of_capacity: 0.9}\nbalancers:\n  - "+b+troubles), 3, Options{})
+			r := play(t, smallDay(t, "load: {of_capacity: 0.9}\nbalancers:\n  - "+b+troubles), 3, Options{})
 			if r.Broken != 0 {
 				t.Errorf("rules %v: %v", r.Rules, r.Notes)
 			}
@@ -117,8 +117,8 @@
 balancers:
   - {count: 3, choose: round, retry: RETRY, tries: 2, retry_budget: 0.1, pause_ms: 20, patience: 0.5}
 `
-	storm := play(t, long(t, strings.Replace(text, "RETRY", "limitless", 1)), 1, Options{})
-	calm := play(t, long(t, strings.Replace(text, "RETRY", "bounded", 1)), 1, Options{})
+	storm := play(t, longDay(t, strings.Replace(text, "RETRY", "limitless", 1)), 1, Options{})
+	calm := play(t, longDay(t, strings.Replace(text, "RETRY", "bounded", 1)), 1, Options{})
 	if storm.Retries < 3*calm.Retries || storm.Retries < 0.5 {
 		t.Errorf("retries a request: %.2f without limit, %.2f with one", storm.Retries, calm.Retries)
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-func long(t testing.TB, more string) *day.Spec {
+func longDay(t testing.TB, more string) *day.Spec {
 	t.Helper()
 	s, err := day.Parse("long.yaml", []byte("name: long\nlength_s: 40\nfleet: {runners: 4}\n"+more))
 	if err != nil {
@@ -165,13 +165,13 @@
 // and they come back.
 func TestAFifthDies(t *testing.T) {
 	var log []string
-	s := small(t, "load: {of_capacity: 0.45}\ntroubles:\n  - {kind: crash, at_s: 5, for_s: 3, part: 0.2}")
+	s := smallDay(t, "load: {of_capacity: 0.45}\ntroubles:\n  - {kind: crash, at_s: 5, for_s: 3, part: 0.2}")
 	r := play(t, s, 2, Options{Log: func(at time.Duration, runner, text string) {
 		if strings.HasPrefix(text, "ended") {
 			log = append(log, fmt.Sprintf("%d %s", at/time.Second, text))
 		}
 	}})
-	calm := play(t, small(t, "load: {of_capacity: 0.45}"), 2, Options{})
+	calm := play(t, smallDay(t, "load: {of_capacity: 0.45}"), 2, Options{})
 	if diff := cmp.Diff([]string{"5 ended: killed"}, log); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
@@ -188,7 +188,7 @@
 }
 
 func TestADayWithoutAClass(t *testing.T) {
-	r := play(t, small(t, `
+	r := play(t, smallDay(t, `
 classes:
   - {name: check, share: 1, work_ms: 200, aim_ms: 2700, deadline_ms: 9000, worth: 1, effect: safe}
   - {name: never, share: 0, work_ms: 200, aim_ms: 2700, deadline_ms: 9000, worth: 5, effect: keyed, window_ms: 9000}`), 1,
@@ -196,14 +196,14 @@
 	if r.Classes[1].First != 0 || r.Classes[1].Served != 1 || r.WorstClass < 0.9 {
 		t.Errorf("%+v, worst class %v", r.Classes, r.WorstClass)
 	}
-	if r := play(t, small(t, "load: {of_capacity: 0}"), 1, Options{}); r.All.First != 0 || r.Broken != 0 {
+	if r := play(t, smallDay(t, "load: {of_capacity: 0}"), 1, Options{}); r.All.First != 0 || r.Broken != 0 {
 		t.Errorf("a day without traffic: %+v", r.Result)
 	}
 }
 
 // The checks of the rules are the model's own: a core that runs what it must not is found out.
 func TestRulesAreChecked(t *testing.T) {
-	s := small(t, "")
+	s := smallDay(t, "")
 	for _, c := range []struct {
 		name string
 		opt  Options
@@ -247,11 +247,11 @@
 
 // A run of a key that has run is a broken rule, and so is one of what came too late for a drain.
 func TestRunsAreChecked(t *testing.T) {
-	f := newProbe(t, day.Draw(small(t, ""), 1))
+	f := newRuleProbe(t, day.Draw(smallDay(t, ""), 1))
 	f.run(3, 0)
 	f.run(3, 5*time.Second) // within the window of 13 s
 	f.run(4, 0)
-	f.life.drainAt = time.Microsecond
+	f.incarnation.drainAt = time.Microsecond
 	f.run(5, 1700*time.Millisecond)
 	f.run(6, 2*time.Second)
 	res := f.close()
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -32,105 +32,105 @@
 
 // runner is one place of the fleet, with one life after the other.
 type runner struct {
-	s      *Simulation
-	no     int
-	spec   *day.Runner
-	life   *Incarnation // nil while it is down
-	lives  uint64
-	slowed float64
-	worked float64 // by lives that have ended
+	simulation   *Simulation
+	index        int
+	spec         *day.Runner
+	incarnation  *Incarnation // nil while it is down
+	incarnations uint64
+	slowdown     float64
+	workDone     float64 // by lives that have ended
 }
 
 // Incarnation is a runner from its start to its end: a process on a machine of its own.
 type Incarnation struct {
-	r        *runner
-	proc     Process
-	machine  *dependencies.Machine
-	dead     bool
-	left     bool // takes no more connections
-	pressure float64
-	drainAt  time.Duration // 0: not told to leave
-	stopAt   time.Duration
-	jobs     map[string]*Attempt // read, and not yet answered with their runs over
-	conns    map[*Attempt]struct{}
-	ran      map[uint64]time.Duration // first try to the end of its window
-	stopped  time.Duration            // how long the machine has stood still in all
-	stoodAt  time.Duration            // since when it stands still; 0: it does not
-	queue    []heldBack
+	runner      *runner
+	process     Process
+	machine     *dependencies.Machine
+	dead        bool
+	closed      bool // takes no more connections
+	advertised  float64
+	drainAt     time.Duration // 0: not told to leave
+	stopAt      time.Duration
+	attempts    map[string]*Attempt // read, and not yet answered with their runs over
+	connections map[*Attempt]struct{}
+	ranUntil    map[uint64]time.Duration // first try to the end of its window
+	frozenTotal time.Duration            // how long the machine has stood still in all
+	frozenSince time.Duration            // since when it stands still; 0: it does not
+	heldAnswers []heldAnswer
 }
 
-// heldBack is an answer that waits for its machine to move.
-type heldBack struct {
-	j *Attempt
-	a balance.Answer
+// heldAnswer is an answer that waits for its machine to move.
+type heldAnswer struct {
+	attempt *Attempt
+	answer  balance.Answer
 }
 
 // start begins a life.
 func (r *runner) start(cold bool) error {
-	s := r.s
-	r.lives++
+	s := r.simulation
+	r.incarnations++
 	l := &Incarnation{
-		r:        r,
-		pressure: -1,
-		jobs:     map[string]*Attempt{},
-		conns:    map[*Attempt]struct{}{},
-		ran:      map[uint64]time.Duration{},
+		runner:      r,
+		advertised:  -1,
+		attempts:    map[string]*Attempt{},
+		connections: map[*Attempt]struct{}{},
+		ranUntil:    map[uint64]time.Duration{},
 	}
 	l.machine = dependencies.NewMachine(s.clock, r.spec.Spec, cold, l)
-	if r.slowed > 1 {
-		l.machine.SetSlowdown(r.slowed)
+	if r.slowdown > 1 {
+		l.machine.SetSlowdown(r.slowdown)
 	}
 	set := s.day.Settings
 	set.Classes = slices.Clone(set.Classes)
 	set.WarmingUp = cold
-	if s.opt.Settings != nil {
-		s.opt.Settings(&set)
+	if s.options.Settings != nil {
+		s.options.Settings(&set)
 	}
 	var err error
-	if l.proc, err = s.launch(l, set); err != nil {
+	if l.process, err = s.launch(l, set); err != nil {
 		return err
 	}
-	r.life = l
-	if s.listens { // processes report by themselves
+	r.incarnation = l
+	if s.reportsItself { // processes report by themselves
 		return nil
 	}
-	l.report()
+	l.reportPeriodically()
 	return nil
 }
 
 // after calls back unless the process has ended by then.
 func (l *Incarnation) after(d time.Duration, fn func()) (stop func()) {
-	return l.r.s.clock.After(d, func() {
+	return l.runner.simulation.clock.After(d, func() {
 		if !l.dead {
 			fn()
 		}
 	}).Stop
 }
 
-// report tells the roster that the runner is there.
-func (l *Incarnation) report() {
+// reportPeriodically tells the roster that the runner is there.
+func (l *Incarnation) reportPeriodically() {
 	l.Report()
-	l.after(reportEvery, l.report)
+	l.after(reportInterval, l.reportPeriodically)
 }
 
 // Report takes a report to the roster.
 func (l *Incarnation) Report() {
-	if !l.dead && l.drainAt == 0 && l.r.s.cut != l.r.spec.Hall {
-		l.r.s.roster.Report(l.r.spec.Name)
+	if !l.dead && l.drainAt == 0 && l.runner.simulation.cutZone != l.runner.spec.Hall {
+		l.runner.simulation.registry.Report(l.runner.spec.Name)
 	}
 }
 
 // Name is the runner's, the same in each of its lives.
-func (l *Incarnation) Name() string { return l.r.spec.Name }
+func (l *Incarnation) Name() string { return l.runner.spec.Name }
 
 // Machine is what it runs on.
 func (l *Incarnation) Machine() *dependencies.Machine { return l.machine }
 
 // Attempt finds a try that was read here, and is not over.
-func (l *Incarnation) Attempt(name string) *Attempt { return l.jobs[name] }
+func (l *Incarnation) Attempt(name string) *Attempt { return l.attempts[name] }
 
 // Advertise takes the free value that goes with every answer from now on.
-func (l *Incarnation) Advertise(v float64) { l.pressure = v }
+func (l *Incarnation) Advertise(v float64) { l.advertised = v }
 
 // Lost takes word that the process ended though nobody ended it.
 func (l *Incarnation) Lost(why string) {
@@ -139,230 +139,230 @@
 	}
 }
 
-// end ends the process and its machine at once. What was out breaks.
-func (r *runner) end(why string) {
-	if r.life != nil {
-		r.life.machine.Kill(why) // it calls Died
+// kill ends the process and its machine at once. What was out breaks.
+func (r *runner) kill(why string) {
+	if r.incarnation != nil {
+		r.incarnation.machine.Kill(why) // it calls Died
 	}
 }
 
 // restart begins a cold life after a while.
 func (r *runner) restart(after time.Duration) {
-	r.s.clock.After(after, func() {
-		if r.life == nil && !r.s.closed {
+	r.simulation.clock.After(after, func() {
+		if r.incarnation == nil && !r.simulation.closed {
 			if err := r.start(true); err != nil {
-				r.s.opt.Log(r.s.now(), r.spec.Name, err.Error())
+				r.simulation.options.Log(r.simulation.now(), r.spec.Name, err.Error())
 			}
 		}
 	})
 }
 
-func (r *runner) slow(times float64) {
-	if r.slowed = times; r.life != nil {
-		r.life.machine.SetSlowdown(times)
+func (r *runner) setSlowdown(times float64) {
+	if r.slowdown = times; r.incarnation != nil {
+		r.incarnation.machine.SetSlowdown(times)
 	}
 }
 
-// pause lets the machine stand still, or go on: nothing is written to the runner, and nothing it
+// setFrozen lets the machine stand still, or go on: nothing is written to the runner, and nothing it
 // writes is read.
-func (r *runner) pause(on bool) {
-	l := r.life
-	if l == nil || on == (l.stoodAt != 0) {
+func (r *runner) setFrozen(on bool) {
+	l := r.incarnation
+	if l == nil || on == (l.frozenSince != 0) {
 		return
 	}
 	l.machine.SetFrozen(on)
 	if on {
-		l.stoodAt = r.s.clock.Now()
+		l.frozenSince = r.simulation.clock.Now()
 		return
 	}
-	l.stopped += r.s.clock.Now() - l.stoodAt
-	l.stoodAt = 0
-	queue := l.queue
-	l.queue = nil
+	l.frozenTotal += r.simulation.clock.Now() - l.frozenSince
+	l.frozenSince = 0
+	queue := l.heldAnswers
+	l.heldAnswers = nil
 	for _, h := range queue {
-		h.j.reply(h.a)
+		h.attempt.answerBalancer(h.answer)
 	}
 }
 
-// standing is how long the machine has stood still so far.
-func (l *Incarnation) standing() time.Duration {
-	if l.stoodAt != 0 {
-		return l.stopped + l.r.s.clock.Now() - l.stoodAt
+// frozenTime is how long the machine has stood still so far.
+func (l *Incarnation) frozenTime() time.Duration {
+	if l.frozenSince != 0 {
+		return l.frozenTotal + l.runner.simulation.clock.Now() - l.frozenSince
 	}
-	return l.stopped
+	return l.frozenTotal
 }
 
-// send sends an answer once the machine moves.
-func (l *Incarnation) send(j *Attempt, a balance.Answer) {
-	if l.stoodAt != 0 {
-		l.queue = append(l.queue, heldBack{j, a})
+// sendAnswer sends an answer once the machine moves.
+func (l *Incarnation) sendAnswer(j *Attempt, a balance.Answer) {
+	if l.frozenSince != 0 {
+		l.heldAnswers = append(l.heldAnswers, heldAnswer{j, a})
 		return
 	}
-	j.reply(a)
+	j.answerBalancer(a)
 }
 
 // drain tells the runner to leave. It is stopped later, and comes back cold.
 func (r *runner) drain() {
-	l, f, s := r.life, &r.s.day.Spec.Fleet, r.s
+	l, f, s := r.incarnation, &r.simulation.day.Spec.Fleet, r.simulation
 	if l == nil || l.drainAt != 0 {
 		return
 	}
 	stop := millis(f.StopMs)
 	l.drainAt = s.now()
 	l.stopAt = l.drainAt + stop
-	s.roster.Deregister(r.spec.Name)
-	l.proc.Drain(stop)
-	grace := min(millis(f.DrainMs)+spareTime, stop/2)
-	l.after(grace, func() { l.left = true })
+	s.registry.Deregister(r.spec.Name)
+	l.process.Drain(stop)
+	grace := min(millis(f.DrainMs)+measuringTolerance, stop/2)
+	l.after(grace, func() { l.closed = true })
 	var look func()
 	look = func() {
-		if l.owed() > 0 && s.now() < l.stopAt || !l.left {
-			l.after(spareTime, look)
+		if l.unansweredCount() > 0 && s.now() < l.stopAt || !l.closed {
+			l.after(measuringTolerance, look)
 			return
 		}
-		l.unanswered("when it was stopped")
+		l.recordUnanswered("when it was stopped")
 		l.machine.Kill("stopped")
 		r.restart(seconds(f.RestartS.Lo))
 	}
 	look()
 }
 
-// owed is how many answers are.
-func (l *Incarnation) owed() (n int) {
-	for _, j := range l.jobs {
-		if !j.answered && !j.told {
+// unansweredCount is how many answers are.
+func (l *Incarnation) unansweredCount() (n int) {
+	for _, j := range l.attempts {
+		if !j.answered && !j.abandoned {
 			n++
 		}
 	}
 	return n
 }
 
-// unanswered enters what a process leaves unanswered.
-func (l *Incarnation) unanswered(when string) {
-	s := l.r.s
-	for _, j := range inOrder(l.jobs, func(_ string, j *Attempt) *Attempt { return j }) {
-		if j.answered || j.told {
+// recordUnanswered enters what a process leaves unanswered.
+func (l *Incarnation) recordUnanswered(when string) {
+	s := l.runner.simulation
+	for _, j := range sortedAttempts(l.attempts, func(_ string, j *Attempt) *Attempt { return j }) {
+		if j.answered || j.abandoned {
 			continue
 		}
 		if l.drainAt != 0 {
-			s.book.AddViolation(ledger.Drain, s.now(), "%s left a request unanswered %s", l.r.spec.Name, when)
+			s.account.AddViolation(ledger.Drain, s.now(), "%s left a request unanswered %s", l.runner.spec.Name, when)
 		} else {
-			j.late("open")
+			j.checkDeadline("open")
 		}
 	}
 }
 
 // Died takes the end of the machine, whatever it was.
 func (l *Incarnation) Died(why string) {
-	r, s := l.r, l.r.s
+	r, s := l.runner, l.runner.simulation
 	l.dead = true
-	r.life = nil
-	r.worked += l.machine.WorkDone()
-	s.roster.Deregister(r.spec.Name)
-	s.opt.Log(s.now(), r.spec.Name, "ended: "+why)
+	r.incarnation = nil
+	r.workDone += l.machine.WorkDone()
+	s.registry.Deregister(r.spec.Name)
+	s.options.Log(s.now(), r.spec.Name, "ended: "+why)
 	if why != "killed" && why != "stopped" {
-		s.book.AddViolation(ledger.RunnerCrash, s.now(), "%s: %s", r.spec.Name, why)
+		s.account.AddViolation(ledger.RunnerCrash, s.now(), "%s: %s", r.spec.Name, why)
 		f := s.day.Spec.Fleet.RestartS
-		r.restart(seconds(f.Lo + (f.Hi-f.Lo)*day.Unit(s.day.Seed, "restart"+r.spec.Name, r.lives)))
+		r.restart(seconds(f.Lo + (f.Hi-f.Lo)*day.Unit(s.day.Seed, "restart"+r.spec.Name, r.incarnations)))
 	}
-	for _, h := range l.queue { // what stood in the machine goes with it
-		h.j.reply(balance.Answer{Kind: balance.Failed, AdvertisedValue: -1})
+	for _, h := range l.heldAnswers { // what stood in the machine goes with it
+		h.attempt.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: -1})
 	}
-	l.queue = nil
-	for _, j := range inOrder(l.conns, func(j *Attempt, _ struct{}) *Attempt { return j }) {
+	l.heldAnswers = nil
+	for _, j := range sortedAttempts(l.connections, func(j *Attempt, _ struct{}) *Attempt { return j }) {
 		j.ConnectionBroke()
 	}
-	l.proc.Kill()
+	l.process.Kill()
 }
 
-// settle forgets a job that is answered and of which nothing runs.
-func (l *Incarnation) settle(j *Attempt) {
-	if (j.answered || j.told) && !j.runs {
-		delete(l.jobs, j.Name)
-		delete(l.conns, j)
-		l.proc.Forget(j)
+// forgetIfDone forgets a job that is answered and of which nothing runs.
+func (l *Incarnation) forgetIfDone(j *Attempt) {
+	if (j.answered || j.abandoned) && !j.running {
+		delete(l.attempts, j.Name)
+		delete(l.connections, j)
+		l.process.Forget(j)
 	}
 }
 
 // Run starts a run on the engine. It is where the rules about running are checked, by other means
 // than the runner's. It reports whether there is such a request, which is not over.
 func (l *Incarnation) Run(name string) bool {
-	s, j := l.r.s, l.jobs[name]
-	if j == nil || l.dead || !j.runs && (j.answered || j.told) {
+	s, j := l.runner.simulation, l.attempts[name]
+	if j == nil || l.dead || !j.running && (j.answered || j.abandoned) {
 		return false
 	}
-	if j.runs {
+	if j.running {
 		return true
 	}
-	class := &s.day.Spec.Classes[j.a.Class]
+	class := &s.day.Spec.Classes[j.arrival.Class]
 	if class.Effect != "safe" {
-		if until, ran := l.ran[j.a.ID]; ran && (class.Effect == "unsafe" || j.came <= until) {
-			s.book.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", l.r.spec.Name, class.Name)
+		if until, ran := l.ranUntil[j.arrival.ID]; ran && (class.Effect == "unsafe" || j.arrivedAt <= until) {
+			s.account.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", l.runner.spec.Name, class.Name)
 		}
-		l.ran[j.a.ID] = j.came + millis(class.WindowMs)
+		l.ranUntil[j.arrival.ID] = j.arrivedAt + millis(class.WindowMs)
 	}
-	if over := j.came - l.drainAt - millis(s.day.Spec.Fleet.DrainMs) - spareTime; l.drainAt != 0 &&
+	if over := j.arrivedAt - l.drainAt - millis(s.day.Spec.Fleet.DrainMs) - measuringTolerance; l.drainAt != 0 &&
 		over > 0 {
-		s.book.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late", l.r.spec.Name, over.Milliseconds())
+		s.account.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late", l.runner.spec.Name, over.Milliseconds())
 	}
-	j.runs = true
-	l.machine.Run(dependencies.Work{ID: name, SizeKB: j.a.SizeKB, Parts: l.parts(j)})
+	j.running = true
+	l.machine.Run(dependencies.Work{ID: name, SizeKB: j.arrival.SizeKB, Parts: l.workParts(j)})
 	return true
 }
 
-// parts divides the work of a run by its calls. A cold runner calls more.
-func (l *Incarnation) parts(j *Attempt) []float64 {
-	d := l.r.s.day
-	j.calls = append([]float64(nil), j.a.Calls...)
-	if extra := l.r.spec.Spec.WarmUpCallFactor; extra > 0 && l.machine.IsWarmingUp() {
-		for k := range j.a.Calls {
-			if chance, work := d.CallExtra(j.a.ID, l.r.no, k); chance < extra {
+// workParts divides the work of a run by its calls. A cold runner calls more.
+func (l *Incarnation) workParts(j *Attempt) []float64 {
+	d := l.runner.simulation.day
+	j.calls = append([]float64(nil), j.arrival.Calls...)
+	if extra := l.runner.spec.Spec.WarmUpCallFactor; extra > 0 && l.machine.IsWarmingUp() {
+		for k := range j.arrival.Calls {
+			if chance, work := d.CallExtra(j.arrival.ID, l.runner.index, k); chance < extra {
 				j.calls = append(j.calls, work)
 			}
 		}
 	}
 	parts := make([]float64, len(j.calls)+1)
 	for i := range parts {
-		parts[i] = j.a.Work / float64(len(parts))
+		parts[i] = j.arrival.Work / float64(len(parts))
 	}
 	return parts
 }
 
 // Resume lets a run go on behind its call, and reports whether there is such a request.
 func (l *Incarnation) Resume(name string) bool {
-	j := l.jobs[name]
+	j := l.attempts[name]
 	if j == nil || l.dead {
 		return false
 	}
-	j.call++
+	j.callsDone++
 	l.machine.Resume(name)
 	return true
 }
 
 // Needs takes word from the machine that a run waits for a call.
 func (l *Incarnation) Needs(id string) {
-	if j := l.jobs[id]; j != nil {
-		l.proc.Needs(j)
+	if j := l.attempts[id]; j != nil {
+		l.process.Needs(j)
 	}
 }
 
 // Ended takes word from the machine that a run is over.
 func (l *Incarnation) Ended(id string, e dependencies.RunOutcome) {
-	if j := l.jobs[id]; j != nil {
-		j.runs = false
-		l.proc.Ended(j, e)
-		l.settle(j)
+	if j := l.attempts[id]; j != nil {
+		j.running = false
+		l.process.Ended(j, e)
+		l.forgetIfDone(j)
 	}
 }
 
-// inOrder gives the jobs of a table in an order that is the same each time.
-func inOrder[K comparable, V any](table map[K]V, of func(K, V) *Attempt) []*Attempt {
+// sortedAttempts gives the jobs of a table in an order that is the same each time.
+func sortedAttempts[K comparable, V any](table map[K]V, of func(K, V) *Attempt) []*Attempt {
 	out := make([]*Attempt, 0, len(table))
 	for k, v := range table {
 		out = append(out, of(k, v))
 	}
 	slices.SortFunc(out, func(a, b *Attempt) int {
-		return cmp.Or(cmp.Compare(a.came, b.came), cmp.Compare(a.a.ID, b.a.ID), cmp.Compare(a.t.Number, b.t.Number))
+		return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.arrival.ID, b.arrival.ID), cmp.Compare(a.sent.Number, b.sent.Number))
 	})
 	return out
 }
--- a/internal/simulator/ledger/ledger.go
+++ b/internal/simulator/ledger/ledger.go
@@ -25,10 +25,10 @@
 	Failed                       // an error, or a broken connection
 	TimedOut                     // its client gave up
 	Unsent                       // no server was willing
-	causes
+	causeCount
 )
 
-var causeNames = [causes]string{"open", "in_aim", "late", "refused", "failed", "timed_out", "unsent"}
+var causeNames = [causeCount]string{"open", "in_aim", "late", "refused", "failed", "timed_out", "unsent"}
 
 func (c Cause) String() string { return causeNames[c] }
 
@@ -43,10 +43,10 @@
 	Drain
 	RunnerCrash  // a runner died of its crowd or memory
 	BackendCrash // the back end died of its calls
-	rules
+	ruleCount
 )
 
-var ruleNames = [rules]string{"lost", "duplicate", "drain", "fall-over", "backend"}
+var ruleNames = [ruleCount]string{"lost", "duplicate", "drain", "fall-over", "backend"}
 
 func (r Rule) String() string { return ruleNames[r] }
 
@@ -78,37 +78,37 @@
 	Work    float64 // that it asks of the cores
 }
 
-type first struct {
+type entry struct {
 	Request
-	worth   float64
-	cause   Cause
-	pastAim bool // it ended after that
+	weight        float64
+	cause         Cause
+	pastObjective bool // it ended after that
 }
 
 // Ledger is the account of one day.
 type Ledger struct {
-	classes []Class
-	tenants []string
-	goal    Goal
-	length  time.Duration
-	firsts  map[uint64]*first
-	order   []uint64
-	times   []*hdrhistogram.Histogram // of answers in time to use them, by class
-	broken  [rules]int
-	notes   []string
-	tries   int
-	refused int
-	usedFor float64 // work that served somebody
-	twice   int     // ends of what had ended
+	classes      []Class
+	tenants      []string
+	goal         Goal
+	length       time.Duration
+	entries      map[uint64]*entry
+	order        []uint64
+	latencies    []*hdrhistogram.Histogram // of answers in time to use them, by class
+	violations   [ruleCount]int
+	notes        []string
+	attempts     int
+	rejections   int
+	usefulWork   float64 // work that served somebody
+	repeatedEnds int     // ends of what had ended
 }
 
 const (
 	minLatency, maxLatency = 100 * time.Microsecond, time.Hour // of the histograms
 	digits                 = 3                                 // significant, of the histograms
 	maxNotes               = 20
-	bucket                 = time.Second // of the series
+	seriesStep             = time.Second // of the series
 	// a stretch asked for less than so much of the mean is no worst one
-	thin = 0.2
+	minWindowLoad = 0.2
 )
 
 // newHistogram is one of latencies in microseconds.
@@ -118,9 +118,9 @@
 
 // New opens an account.
 func New(classes []Class, tenants []string, goal Goal, length time.Duration) *Ledger {
-	l := &Ledger{classes: classes, tenants: tenants, goal: goal, length: length, firsts: map[uint64]*first{}}
+	l := &Ledger{classes: classes, tenants: tenants, goal: goal, length: length, entries: map[uint64]*entry{}}
 	for range classes {
-		l.times = append(l.times, newHistogram())
+		l.latencies = append(l.latencies, newHistogram())
 	}
 	return l
 }
@@ -131,35 +131,35 @@
 	if !a.InShare {
 		worth *= l.goal.OverWorth
 	}
-	l.firsts[id] = &first{Request: a, worth: worth}
+	l.entries[id] = &entry{Request: a, weight: worth}
 	l.order = append(l.order, id)
 }
 
 // EndRequest enters how a first try ended, so long after it was asked. Served is Late past the aim.
 func (l *Ledger) EndRequest(id uint64, c Cause, took time.Duration) {
-	f := l.firsts[id]
+	f := l.entries[id]
 	if f == nil || f.cause != Open {
-		l.twice++
+		l.repeatedEnds++
 		return
 	}
 	if c == WithinObjective && took > l.classes[f.Class].LatencyObjective {
 		c = Late
 	}
-	f.pastAim = took > l.classes[f.Class].LatencyObjective
+	f.pastObjective = took > l.classes[f.Class].LatencyObjective
 	if f.cause = c; c == WithinObjective || c == Late {
-		l.times[f.Class].RecordValue(min(max(took, minLatency), maxLatency).Microseconds())
+		l.latencies[f.Class].RecordValue(min(max(took, minLatency), maxLatency).Microseconds())
 	}
 }
 
 // CountAttempt counts a try that went out, Refuse one that was turned away, and Useful the work of one that
 // served.
-func (l *Ledger) CountAttempt()              { l.tries++ }
-func (l *Ledger) CountRejection()            { l.refused++ }
-func (l *Ledger) AddUsefulWork(work float64) { l.usedFor += work }
+func (l *Ledger) CountAttempt()              { l.attempts++ }
+func (l *Ledger) CountRejection()            { l.rejections++ }
+func (l *Ledger) AddUsefulWork(work float64) { l.usefulWork += work }
 
 // AddViolation enters a broken rule.
 func (l *Ledger) AddViolation(r Rule, at time.Duration, format string, v ...any) {
-	l.broken[r]++
+	l.violations[r]++
 	if len(l.notes) < maxNotes {
 		l.notes = append(
 			l.notes,
@@ -215,30 +215,30 @@
 	Series      []Second        `json:"series"`
 }
 
-func (f *first) got(classes []Class) float64 {
+func (f *entry) earned(classes []Class) float64 {
 	switch f.cause {
 	case WithinObjective:
-		return f.worth
+		return f.weight
 	case Late:
-		return f.worth * classes[f.Class].LateWeightFraction
+		return f.weight * classes[f.Class].LateWeightFraction
 	}
 	return 0
 }
 
-func (p *Share) add(f *first, got float64) {
+func (p *Share) add(f *entry, got float64) {
 	p.First++
-	p.Asked += f.worth
+	p.Asked += f.weight
 	p.Got += got
 }
 
 func (p *Share) close(times *hdrhistogram.Histogram) {
-	p.Served = share(p.Got, p.Asked)
+	p.Served = servedShare(p.Got, p.Asked)
 	if times != nil && times.TotalCount() > 0 {
 		p.P50Ms, p.P99Ms = float64(times.ValueAtQuantile(50))/1000, float64(times.ValueAtQuantile(99))/1000
 	}
 }
 
-func share(got, asked float64) float64 {
+func servedShare(got, asked float64) float64 {
 	if asked <= 0 {
 		return 1
 	}
@@ -254,9 +254,9 @@
 		Causes: map[string]Loss{},
 		Rules:  map[string]int{},
 		Notes:  l.notes,
-		Tries:  l.tries,
+		Tries:  l.attempts,
 	}
-	r.Series = make([]Second, int(l.length/bucket)+1)
+	r.Series = make([]Second, int(l.length/seriesStep)+1)
 	for _, c := range l.classes {
 		r.Classes = append(r.Classes, Share{Name: c.Name})
 	}
@@ -266,11 +266,11 @@
 	inShare := make([]Share, len(l.tenants))
 	work, lateFail, ended := 0.0, 0.0, 0
 	for _, id := range l.order {
-		f := l.firsts[id]
+		f := l.entries[id]
 		if f.cause == Open {
 			return nil, fmt.Errorf("ledger: first try %d has no end", id)
 		}
-		got := f.got(l.classes)
+		got := f.earned(l.classes)
 		r.All.add(f, got)
 		r.Classes[f.Class].add(f, got)
 		r.Tenants[f.Tenant].add(f, got)
@@ -278,23 +278,23 @@
 			inShare[f.Tenant].add(f, got)
 		}
 		c := r.Causes[f.cause.String()]
-		r.Causes[f.cause.String()] = Loss{c.Count + 1, c.Worth + f.worth, c.Got + got}
-		if s := f.At / bucket; s >= 0 && int(s) < len(r.Series) {
-			r.Series[s].Asked += f.worth
+		r.Causes[f.cause.String()] = Loss{c.Count + 1, c.Worth + f.weight, c.Got + got}
+		if s := f.At / seriesStep; s >= 0 && int(s) < len(r.Series) {
+			r.Series[s].Asked += f.weight
 			r.Series[s].Got += got
 		}
-		if f.pastAim && f.cause != Late {
-			lateFail += f.worth
+		if f.pastObjective && f.cause != Late {
+			lateFail += f.weight
 		}
 		work += f.Work
 		ended++
 	}
-	if l.twice > 0 || ended != len(l.firsts) {
+	if l.repeatedEnds > 0 || ended != len(l.entries) {
 		return nil, fmt.Errorf(
 			"ledger: %d ends of what had ended, %d first tries of %d",
-			l.twice,
+			l.repeatedEnds,
 			ended,
-			len(l.firsts),
+			len(l.entries),
 		)
 	}
 	sum := 0.0
@@ -306,8 +306,8 @@
 	}
 	all := newHistogram()
 	for i := range r.Classes {
-		all.Merge(l.times[i])
-		r.Classes[i].close(l.times[i])
+		all.Merge(l.latencies[i])
+		r.Classes[i].close(l.latencies[i])
 	}
 	r.All.close(all)
 	r.WorstClass, r.WorstTenant = r.All.Served, r.All.Served
@@ -322,9 +322,9 @@
 			r.WorstTenant = min(r.WorstTenant, p.Got/p.Asked)
 		}
 	}
-	r.Whole, r.WorstWindow = r.All.Served, r.worst(l.goal.Window)
-	r.Waste = min(max(worked-l.usedFor, 0)/max(work, 1), 1)
-	r.LateFail = share(lateFail, r.All.Asked)
+	r.Whole, r.WorstWindow = r.All.Served, r.worstWindow(l.goal.Window)
+	r.Waste = min(max(worked-l.usefulWork, 0)/max(work, 1), 1)
+	r.LateFail = servedShare(lateFail, r.All.Asked)
 	if r.All.Asked == 0 {
 		r.LateFail = 0
 	}
@@ -332,9 +332,9 @@
 	r.Worth = g.Whole*r.Whole + g.WorstWindow*r.WorstWindow + g.WorstClass*r.WorstClass + g.WorstTenant*r.WorstTenant -
 		g.Waste*r.Waste - g.LateFail*r.LateFail
 	if n := float64(r.All.First); n > 0 {
-		r.Refusals, r.Retries = float64(l.refused)/n, max(float64(l.tries)/n-1, 0)
+		r.Refusals, r.Retries = float64(l.rejections)/n, max(float64(l.attempts)/n-1, 0)
 	}
-	for i, n := range l.broken {
+	for i, n := range l.violations {
 		r.Rules[ruleNames[i]] = n
 		r.Broken += n
 	}
@@ -344,10 +344,10 @@
 	return r, nil
 }
 
-// worst is the least share served in any stretch of the window's length, from the first second on.
+// worstWindow is the least share served in any stretch of the window's length, from the first second on.
 // Stretches in which hardly anything was asked for do not count.
-func (r *Result) worst(window time.Duration) float64 {
-	n := int(window / bucket)
+func (r *Result) worstWindow(window time.Duration) float64 {
+	n := int(window / seriesStep)
 	if len(r.Series) < n+1 || n < 1 {
 		return r.All.Served
 	}
@@ -358,7 +358,7 @@
 		for _, s := range r.Series[i : i+n] {
 			asked, got = asked+s.Asked, got+s.Got
 		}
-		if asked > thin*usual {
+		if asked > minWindowLoad*usual {
 			least = min(least, got/asked)
 		}
 	}
@@ -369,7 +369,7 @@
 }
 
 // Cause tells how a first try ended.
-func (l *Ledger) Cause(id uint64) Cause { return l.firsts[id].cause }
+func (l *Ledger) Cause(id uint64) Cause { return l.entries[id].cause }
 
 // CauseNames are the names of the causes that an ended first try can have.
 func CauseNames() []string { return slices.Clone(causeNames[WithinObjective:]) }
--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-func account(length time.Duration) *Ledger {
+func newTestLedger(length time.Duration) *Ledger {
 	return New(
 		[]Class{
 			{"check", 100 * ms, 500 * ms, 1, 0.2},
@@ -28,7 +28,7 @@
 	)
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func checkNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("%s is %v, want %v", what, got, want)
@@ -36,7 +36,7 @@
 }
 
 func TestWorth(t *testing.T) {
-	l := account(4 * time.Second)
+	l := newTestLedger(4 * time.Second)
 	at := func(s float64, class, tenant int, in bool) Request {
 		return Request{At: time.Duration(s * float64(time.Second)), Class: class, Tenant: tenant, InShare: in, Work: 1000}
 	}
@@ -54,22 +54,22 @@
 		t.Fatal(err)
 	}
 	asked := 1 + 1 + 3 + 0.15
-	near(t, "whole", r.Whole, (1+0.2+3)/asked)
-	near(t, "worst class", r.WorstClass, 1.2/2) // the class without traffic does not count
+	checkNear(t, "whole", r.Whole, (1+0.2+3)/asked)
+	checkNear(t, "worst class", r.WorstClass, 1.2/2) // the class without traffic does not count
 	// what is over the share of the other does not count
-	near(t, "worst tenant", r.WorstTenant, 1.2/2)
-	near(t, "worst window", r.WorstWindow, 3.2/4) // of 1 to 3 s and 2 to 4 s
-	near(t, "waste", r.Waste, 0.5)
-	near(t, "late fail", r.LateFail, 0.15/asked)
-	near(t, "worth", r.Worth, 0.45*4.2/asked+0.15*0.8+0.3*0.6+0.1*0.6-0.05*0.5-0.044*0.15/asked)
-	near(t, "served of nothing", r.Classes[2].Served, 1)
+	checkNear(t, "worst tenant", r.WorstTenant, 1.2/2)
+	checkNear(t, "worst window", r.WorstWindow, 3.2/4) // of 1 to 3 s and 2 to 4 s
+	checkNear(t, "waste", r.Waste, 0.5)
+	checkNear(t, "late fail", r.LateFail, 0.15/asked)
+	checkNear(t, "worth", r.Worth, 0.45*4.2/asked+0.15*0.8+0.3*0.6+0.1*0.6-0.05*0.5-0.044*0.15/asked)
+	checkNear(t, "served of nothing", r.Classes[2].Served, 1)
 	if r.Score != r.Worth || r.Classes[0].P50Ms < 99 || r.Classes[0].P50Ms > 102 {
 		t.Errorf("score %v, p50 %v", r.Score, r.Classes[0].P50Ms)
 	}
 }
 
 func TestABrokenRuleMakesTheDay0(t *testing.T) {
-	l := account(4 * time.Second)
+	l := newTestLedger(4 * time.Second)
 	l.AddRequest(1, Request{InShare: true})
 	l.EndRequest(1, WithinObjective, time.Microsecond)
 	l.AddViolation(Duplicate, 1500*ms, "hand-in %d", 7)
@@ -81,14 +81,14 @@
 }
 
 func TestAnEmptyDay(t *testing.T) {
-	r, err := account(4 * time.Second).Close(0)
+	r, err := newTestLedger(4 * time.Second).Close(0)
 	if err != nil || math.Abs(r.Worth-1) > 1e-9 || math.IsNaN(r.Score) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 }
 
 func TestFaultsOfTheModelAreReported(t *testing.T) {
-	l := account(4 * time.Second)
+	l := newTestLedger(4 * time.Second)
 	l.AddRequest(1, Request{})
 	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "has no end") {
 		t.Errorf("a first try without an end: %v", err)
@@ -103,7 +103,7 @@
 // PriorityWeight asked for is worth served and lost, by cause, class and tenant alike.
 func TestConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := account(10 * time.Second)
+		l := newTestLedger(10 * time.Second)
 		n := rapid.IntRange(0, 200).Draw(t, "n")
 		for i := range n {
 			id := uint64(i)
@@ -111,7 +111,7 @@
 				Tenant: rapid.IntRange(0, 1).Draw(t, "tenant"), InShare: rapid.Bool().Draw(t, "in")})
 			l.EndRequest(
 				id,
-				Cause(rapid.IntRange(int(WithinObjective), int(causes)-1).Draw(t, "cause")),
+				Cause(rapid.IntRange(int(WithinObjective), int(causeCount)-1).Draw(t, "cause")),
 				time.Duration(rapid.Int64Range(0, 200_000).Draw(t, "took"))*time.Microsecond,
 			)
 		}
