--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -1,126 +1,94 @@
-// Package balance is what stands before the runners: a balancer with habits of its own. It chooses
-// a server for each try, waits, tries again, avoids and checks servers, and heeds what they tell
-// it, or does none of that. It is a state machine free of I/O: the simulator's model plays it in
-// virtual time, and its rig puts it on sockets.
+// Package balance models the load balancers in front of the runners: it chooses a server for each
+// attempt, times attempts out, retries and hedges, ejects and checks servers, and observes their
+// advice, as far as its Behavior says so. It does no I/O: the simulator runs it in virtual time, and
+// the daytest package on sockets.
 //
-// Each request that is submitted is finished exactly once. Retries and copies belong to its first
-// try. A balancer knows of a server only what the list, its own checks, reports and that server's
-// answers told it.
+// Each submitted request is finished exactly once. A balancer knows of a server only what the
+// endpoint list, its own health checks, load reports and the server's answers tell it.
 package balance
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// The ways of choosing.
-const (
-	RoundRobin        Policy = "round"    // one after the other
-	LeastRequests     Policy = "least"    // the fewest requests out from here
-	PowerOfTwoChoices Policy = "two"      // the better of two drawn at random, by requests out
-	WeightedRandom    Policy = "weighted" // at random by fixed weights
-	LeastReportedLoad Policy = "told"     // the lowest measured load that was reported
-	ConsistentHash    Policy = "hash"     // by the request's key, with little change when the list does
-	LeastLatency      Policy = "fastest"  // the lowest mean time of answers
-)
-
-// The ways of trying again.
-const (
-	RetryNever     Retry = "never"
-	RetryBounded   Retry = "bounded"   // so many tries, and retries only as a share of first tries
-	RetryUnlimited Retry = "limitless" // down the list, and round again, until the client's time is over
-)
-
-// The kinds of answer.
-const (
-	Served Kind = iota + 1
-	Rejected
-	Failed      // it may have run
-	Unreachable // no connection: it never ran
-)
-
-// The ends.
-const (
-	EndServed Outcome = iota + 1
-	EndRejected
-	EndFailed
-	EndTimedOut // the client's time was over
-	EndUnsent   // no server was willing, and none was tried
-)
-
-const (
-	drawFirst = iota
-	drawSecond
-	drawWeight
-	drawAllow
-	drawThrottle = 1 << 20
-)
-
+// pendingRequest is a request that is not finished.
 type pendingRequest struct {
 	*Request
 	startedAt     time.Duration
 	attempts      int
 	active        []*Attempt
-	tried         map[int]bool // in this round of the list
-	lastOutcome   Outcome
-	deadlineTimer virtualclock.Timer
+	tried         map[int]bool       // servers, in this round of the list
+	lastOutcome   Outcome            // of the attempts so far
+	deadlineTimer virtualclock.Timer // nil: it is finished
 	hedged        bool
 	retryTimer    virtualclock.Timer
-	sameServer    int // the server to go to again; -1: any
+	sameServer    int // to which the next attempt goes; anyServer: any
 }
 
+const anyServer = -1
+
+// server is what a balancer knows of a server.
 type server struct {
 	listed       bool
 	inSubset     bool
 	weight       float64
 	outstanding  int
 	credit       float64
-	creditAt     time.Duration
+	creditAt     time.Duration // 0: it never advertised any
 	avoidUntil   time.Duration
-	failures     int
+	failures     int // consecutive
 	ejectedUntil time.Duration
-	failedChecks int // checks in a row
-	latency      float64
-	load         float64
+	failedChecks int     // consecutive
+	latency      float64 // moving average in microseconds; 0: unknown
+	load         float64 // as reported
 	checking     bool
 }
 
 // Stats counts what a balancer did.
 type Stats struct{ Requests, Attempts, Hedged, Aborted, Ejections, Unsent, Throttled int }
 
-// Balancer is one of them.
+// Balancer is a load balancer. It is not safe for concurrent use.
 type Balancer struct {
 	behavior       Behavior
 	clock          virtualclock.Clock
 	transport      Transport
 	draw           Draw
 	servers        []server
-	nextServer     int
+	nextServer     int // of RoundRobin
 	retryTokens    float64
-	recentRequests float64 // decayed counts of Throttle
-	recentServed   float64
+	recentRequests float64 // decaying count, for the throttle
+	recentServed   float64 // likewise
 	decayedAt      time.Duration
-	eligible       []int // scratch
+	eligible       []int // scratch space of choose
 	Stats          Stats
 }
 
 const (
-	unhealthyAfterChecks = 2
-	latencyWeight        = 0.2
+	unhealthyAfterChecks = 2   // consecutive failed health checks
+	latencyWeight        = 0.2 // of the newest sample in the moving average
 	maxRetryTokens       = 10.0
-	throttleDecay        = 10 * time.Second
+	throttleDecay        = 10 * time.Second // time constant of the counts
 	minRetryPause        = time.Millisecond
-	minFailureLatency    = time.Second
+	minFailureLatency    = time.Second // a failed attempt counts as at least this slow
 )
 
-// New makes a balancer before n servers, none of which is listed yet. name tells subsets apart.
-func New(name uint64, n int, habit Behavior, clock virtualclock.Clock, wire Transport, draw Draw) *Balancer {
+// New returns a balancer for n servers, none of which is listed. The name selects its subset.
+func New(
+	name uint64,
+	n int,
+	behavior Behavior,
+	clock virtualclock.Clock,
+	transport Transport,
+	draw Draw,
+) *Balancer {
 	b := &Balancer{
-		behavior:    habit,
+		behavior:    behavior,
 		clock:       clock,
-		transport:   wire,
+		transport:   transport,
 		draw:        draw,
 		servers:     make([]server, n),
 		retryTokens: maxRetryTokens,
@@ -131,56 +99,76 @@
 		b.servers[i].weight = 1
 		b.servers[i].inSubset = true
 	}
-	if habit.SubsetSize > 0 && habit.SubsetSize < n {
+	b.chooseSubset(name)
+	if behavior.HealthCheckInterval > 0 {
 		for i := range b.servers {
-			above := 0
-			for j := range b.servers {
-				if rendezvousScore(name, j) > rendezvousScore(name, i) {
-					above++
-				}
-			}
-			b.servers[i].inSubset = above < habit.SubsetSize
+			delay := scale(behavior.HealthCheckInterval, b.draw(name, i, drawFirst))
+			b.clock.After(delay, func() { b.startCheck(i) })
 		}
 	}
-	if habit.HealthCheckInterval > 0 {
-		for i := range b.servers {
-			b.clock.After(scale(habit.HealthCheckInterval, b.draw(name, i, drawFirst)), func() { b.startCheck(i) })
+	return b
+}
+
+// chooseSubset restricts the balancer to the servers with the highest scores for its name.
+func (b *Balancer) chooseSubset(name uint64) {
+	if b.behavior.SubsetSize <= 0 || b.behavior.SubsetSize >= len(b.servers) {
+		return
+	}
+	for i := range b.servers {
+		better := 0
+		for other := range b.servers {
+			if rendezvousScore(name, other) > rendezvousScore(name, i) {
+				better++
+			}
 		}
+		b.servers[i].inSubset = better < b.behavior.SubsetSize
 	}
-	return b
 }
 
-// SetListed takes a change of the list. What is out at a server that went goes on.
-func (b *Balancer) SetListed(i int, on bool) {
-	if s := &b.servers[i]; s.listed != on {
-		*s = server{listed: on, inSubset: s.inSubset, weight: s.weight, outstanding: s.outstanding, checking: s.checking}
+// SetListed adds server i to the endpoint list or removes it. Its attempts go on.
+func (b *Balancer) SetListed(i int, listed bool) {
+	s := &b.servers[i]
+	if s.listed == listed {
+		return
+	}
+	*s = server{
+		listed:      listed,
+		inSubset:    s.inSubset,
+		weight:      s.weight,
+		outstanding: s.outstanding,
+		checking:    s.checking,
 	}
 }
 
-// SetWeight sets the weight of a server.
-func (b *Balancer) SetWeight(i int, w float64) { b.servers[i].weight = max(w, 0) }
+// SetWeight sets the weight of server i for WeightedRandom.
+func (b *Balancer) SetWeight(i int, weight float64) { b.servers[i].weight = max(weight, 0) }
 
-// Report takes a measured load.
+// Report takes a load report of server i.
 func (b *Balancer) Report(i int, load float64) { b.servers[i].load = load }
 
-// Checked takes the end of a health check.
-func (b *Balancer) Checked(i int, good bool) {
+// Outstanding returns the number of attempts at server i that are not answered.
+func (b *Balancer) Outstanding(i int) int { return b.servers[i].outstanding }
+
+// Checked takes the result of a health check of server i.
+func (b *Balancer) Checked(i int, healthy bool) {
 	s := &b.servers[i]
 	s.checking = false
-	if good {
+	if healthy {
 		s.failedChecks = 0
 	} else {
 		s.failedChecks++
 	}
 }
 
+// startCheck starts a health check of server i and schedules the next one. A check that has not
+// ended by then has failed.
 func (b *Balancer) startCheck(i int) {
 	b.clock.After(b.behavior.HealthCheckInterval, func() { b.startCheck(i) })
 	s := &b.servers[i]
 	if !s.listed || !s.inSubset {
 		return
 	}
-	if s.checking { // the one before has not come back
+	if s.checking {
 		s.failedChecks++
 		return
 	}
@@ -188,10 +176,9 @@
 	b.transport.Check(i)
 }
 
-// Submit takes over a first try.
+// Submit takes over a request.
 func (b *Balancer) Submit(r *Request) {
-	now := b.clock.Now()
-	p := &pendingRequest{Request: r, startedAt: now, tried: map[int]bool{}, sameServer: -1}
+	p := &pendingRequest{Request: r, startedAt: b.clock.Now(), tried: map[int]bool{}, sameServer: anyServer}
 	b.Stats.Requests++
 	b.retryTokens = min(b.retryTokens+b.behavior.RetryBudget, maxRetryTokens)
 	p.deadlineTimer = b.clock.After(r.Deadline, func() { b.finish(p, EndTimedOut, nil) })
@@ -203,51 +190,72 @@
 	b.send(p, false)
 }
 
-// isThrottled keeps a request back in proportion to how much is turned away of late.
+// isThrottled drops requests with a probability that grows with the share not served of late.
 func (b *Balancer) isThrottled(r *Request) bool {
 	if b.behavior.ThrottleFactor <= 0 {
 		return false
 	}
 	now := b.clock.Now()
-	fade := math.Exp(-virtualclock.Micros(now-b.decayedAt) / virtualclock.Micros(throttleDecay))
-	b.recentRequests, b.recentServed, b.decayedAt = b.recentRequests*fade+1, b.recentServed*fade, now
-	return b.draw(r.ID, 0, drawThrottle) < (b.recentRequests-b.behavior.ThrottleFactor*b.recentServed-1)/(b.recentRequests+1)
+	decay := math.Exp(-virtualclock.Micros(now-b.decayedAt) / virtualclock.Micros(throttleDecay))
+	b.recentRequests = b.recentRequests*decay + 1
+	b.recentServed *= decay
+	b.decayedAt = now
+	excess := b.recentRequests - b.behavior.ThrottleFactor*b.recentServed - 1
+	return b.draw(r.ID, 0, drawThrottle) < excess/(b.recentRequests+1)
 }
 
-// send sends one more try, if there is a server for it.
-func (b *Balancer) send(p *pendingRequest, second bool) {
+// send sends an attempt, if a server is eligible. hedged marks the second of two at the same time.
+func (b *Balancer) send(p *pendingRequest, hedged bool) {
 	i := b.choose(p)
 	if i < 0 {
-		if !second {
+		if !hedged {
 			b.handleNoServer(p)
 		}
 		return
 	}
-	now := b.clock.Now()
-	t := &Attempt{Request: p.Request, Server: i, Number: p.attempts, SentAt: now, Hedged: second, pending: p}
+	t := &Attempt{
+		Request: p.Request,
+		Server:  i,
+		Number:  p.attempts,
+		SentAt:  b.clock.Now(),
+		Hedged:  hedged,
+		pending: p,
+	}
 	p.attempts++
 	p.tried[i] = true
-	p.sameServer = -1
+	p.sameServer = anyServer
 	p.active = append(p.active, t)
 	b.Stats.Attempts++
 	b.servers[i].outstanding++
-	if wait := scale(p.Deadline, b.behavior.AttemptTimeout); b.behavior.AttemptTimeout < 1 &&
-		now+wait < p.startedAt+p.Deadline {
-		t.timer = b.clock.After(wait, func() { b.attemptTimedOut(t) })
-	}
-	if b.behavior.HedgeDelay > 0 && p.Idempotent && !p.hedged {
-		p.hedged = true
-		b.clock.After(b.behavior.HedgeDelay, func() {
-			if p.deadlineTimer != nil && len(p.active) == 1 && !p.active[0].closed {
-				b.Stats.Hedged++
-				b.send(p, true)
-			}
-		})
-	}
+	b.startTimeout(t)
+	b.startHedging(p)
 	b.transport.Send(t)
 }
 
-// handleNoServer deals with a request for which no server is left in this round.
+// startTimeout starts the timeout of an attempt, if it ends before the request's deadline.
+func (b *Balancer) startTimeout(t *Attempt) {
+	p := t.pending
+	timeout := scale(p.Deadline, b.behavior.AttemptTimeout)
+	if b.behavior.AttemptTimeout < 1 && t.SentAt+timeout < p.startedAt+p.Deadline {
+		t.timer = b.clock.After(timeout, func() { b.attemptTimedOut(t) })
+	}
+}
+
+// startHedging schedules the hedged attempt of an idempotent request, once.
+func (b *Balancer) startHedging(p *pendingRequest) {
+	if b.behavior.HedgeDelay <= 0 || !p.Idempotent || p.hedged {
+		return
+	}
+	p.hedged = true
+	b.clock.After(b.behavior.HedgeDelay, func() {
+		if p.deadlineTimer != nil && len(p.active) == 1 && !p.active[0].closed {
+			b.Stats.Hedged++
+			b.send(p, true)
+		}
+	})
+}
+
+// handleNoServer deals with a request for which no server is left in this round of the list.
 func (b *Balancer) handleNoServer(p *pendingRequest) {
 	if len(p.tried) == 0 {
 		if p.lastOutcome == 0 {
@@ -262,24 +270,27 @@
 		return
 	}
 	clear(p.tried)
-	p.retryTimer = b.clock.After(max(b.behavior.RetryPause, minRetryPause), func() { b.send(p, false) })
+	b.sendAfter(p, max(b.behavior.RetryPause, minRetryPause))
+}
+
+// sendAfter sends the next attempt after a pause.
+func (b *Balancer) sendAfter(p *pendingRequest, pause time.Duration) {
+	p.retryTimer = b.clock.After(pause, func() { b.send(p, false) })
 }
 
-// attemptTimedOut ends a try that took too long.
+// attemptTimedOut ends an attempt whose timeout has passed.
 func (b *Balancer) attemptTimedOut(t *Attempt) {
 	if t.closed {
 		return
 	}
 	b.recordFailure(t)
-	b.closeAttempt(t)
-	b.Stats.Aborted++
-	b.transport.Abort(t)
+	b.abort(t)
 	t.pending.lastOutcome = EndFailed
-	b.retry(t, true, true)
+	b.retry(t, Failed)
 }
 
-// Answered takes what came back of a try. What nobody waits for any more is passed over, but for
-// the free value.
+// Answered takes the answer to an attempt. Of an attempt that was aborted only the advertised credit
+// counts.
 func (b *Balancer) Answered(t *Attempt, a Answer) {
 	s, now := &b.servers[t.Server], b.clock.Now()
 	if a.AdvertisedValue >= 0 && b.behavior.FollowsAdvice {
@@ -289,76 +300,82 @@
 		return
 	}
 	b.closeAttempt(t)
-	p := t.pending
 	switch a.Kind {
 	case Served:
 		s.failures = 0
 		b.recentServed++
-		b.observeLatency(s, virtualclock.Micros(now-t.SentAt))
-		b.finish(p, EndServed, t)
-		return
+		s.observeLatency(now - t.SentAt)
+		b.finish(t.pending, EndServed, t)
 	case Rejected:
-		if b.behavior.FollowsAdvice && a.RetryAfter > 0 {
-			s.avoidUntil = now + a.RetryAfter
-		}
-		p.lastOutcome = EndRejected
-		if b.behavior.FollowsAdvice && a.DoNotRetry {
-			if len(p.active) == 0 {
-				b.finish(p, EndRejected, nil)
-			}
-			return
-		}
-		b.retry(t, false, false)
-	case Unreachable:
-		b.recordFailure(t)
-		p.lastOutcome = EndFailed
-		b.retry(t, true, false)
+		b.rejected(t, a)
 	default:
 		b.recordFailure(t)
-		p.lastOutcome = EndFailed
-		b.retry(t, true, true)
+		t.pending.lastOutcome = EndFailed
+		b.retry(t, a.Kind)
 	}
 }
 
-func (b *Balancer) observeLatency(s *server, took float64) {
+// rejected deals with an attempt that its server rejected.
+func (b *Balancer) rejected(t *Attempt, a Answer) {
+	p := t.pending
+	if b.behavior.FollowsAdvice && a.RetryAfter > 0 {
+		b.servers[t.Server].avoidUntil = b.clock.Now() + a.RetryAfter
+	}
+	p.lastOutcome = EndRejected
+	if b.behavior.FollowsAdvice && a.DoNotRetry {
+		if len(p.active) == 0 {
+			b.finish(p, EndRejected, nil)
+		}
+		return
+	}
+	b.retry(t, Rejected)
+}
+
+// observeLatency adds a sample to the moving average.
+func (s *server) observeLatency(latency time.Duration) {
+	sample := virtualclock.Micros(latency)
 	if s.latency == 0 {
-		s.latency = took
+		s.latency = sample
 	}
-	s.latency += latencyWeight * (took - s.latency)
+	s.latency += latencyWeight * (sample - s.latency)
 }
 
-// recordFailure counts against a server that brought no answer of its own.
+// recordFailure counts a failed attempt against its server, and ejects the server after enough.
 func (b *Balancer) recordFailure(t *Attempt) {
-	s := &b.servers[t.Server]
+	s, now := &b.servers[t.Server], b.clock.Now()
 	s.failures++
-	b.observeLatency(s, virtualclock.Micros(max(b.clock.Now()-t.SentAt, minFailureLatency)))
+	s.observeLatency(max(now-t.SentAt, minFailureLatency))
 	if b.behavior.EjectAfterFailures > 0 && s.failures >= b.behavior.EjectAfterFailures {
 		s.failures = 0
-		s.ejectedUntil = b.clock.Now() + b.behavior.EjectionTime
+		s.ejectedUntil = now + b.behavior.EjectionTime
 		b.Stats.Ejections++
 	}
 }
 
-// closeAttempt takes a try off the books.
+// closeAttempt removes an attempt from its request and its server.
 func (b *Balancer) closeAttempt(t *Attempt) {
 	t.closed = true
 	b.servers[t.Server].outstanding--
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	for i, o := range t.pending.active {
-		if o == t {
-			t.pending.active = append(t.pending.active[:i], t.pending.active[i+1:]...)
-			break
-		}
+	if i := slices.Index(t.pending.active, t); i >= 0 {
+		t.pending.active = slices.Delete(t.pending.active, i, i+1)
 	}
 }
 
-// retry decides what follows a try without a result. One that may have had an effect is sent again
-// only under its key.
-func (b *Balancer) retry(t *Attempt, failed, mayHaveRun bool) {
-	p := t.pending
-	if len(p.active) > 0 || p.deadlineTimer == nil { // its copy may still bring one
+// abort closes an attempt that has no answer.
+func (b *Balancer) abort(t *Attempt) {
+	b.closeAttempt(t)
+	b.Stats.Aborted++
+	b.transport.Abort(t)
+}
+
+// retry decides what follows an attempt that was not served. After a failure the request may have
+// run: it is then retried only if it is idempotent, by itself or by its key.
+func (b *Balancer) retry(t *Attempt, kind Kind) {
+	p, mayHaveRun := t.pending, kind == Failed
+	if len(p.active) > 0 || p.deadlineTimer == nil { // the hedged attempt may still be served
 		return
 	}
 	if mayHaveRun && !p.Idempotent && !p.Keyed {
@@ -370,27 +387,39 @@
 	}
 	switch b.behavior.Retry {
 	case RetryUnlimited:
-		if failed && p.sameServer >= 0 {
-			p.retryTimer = b.clock.After(max(b.behavior.RetryPause, minRetryPause), func() { b.send(p, false) })
+		if kind != Rejected && p.sameServer >= 0 {
+			b.sendAfter(p, max(b.behavior.RetryPause, minRetryPause))
 			return
 		}
 		b.send(p, false)
 	case RetryBounded:
-		if p.attempts >= b.behavior.MaxAttempts || b.behavior.RetryBudget > 0 && b.retryTokens < 1 {
+		if !b.takeRetryToken(p) {
 			b.finish(p, p.lastOutcome, nil)
 			return
 		}
-		if b.behavior.RetryBudget > 0 {
-			b.retryTokens--
-		}
-		p.retryTimer = b.clock.After(b.behavior.RetryPause, func() { b.send(p, false) })
+		b.sendAfter(p, b.behavior.RetryPause)
 	default:
 		b.finish(p, p.lastOutcome, nil)
 	}
 }
 
-// finish ends a request for its client, once, and takes back what is still out.
-func (b *Balancer) finish(p *pendingRequest, e Outcome, by *Attempt) {
+// takeRetryToken reports whether a bounded retry is allowed, and takes it from the budget.
+func (b *Balancer) takeRetryToken(p *pendingRequest) bool {
+	if p.attempts >= b.behavior.MaxAttempts {
+		return false
+	}
+	if b.behavior.RetryBudget <= 0 {
+		return true
+	}
+	if b.retryTokens < 1 {
+		return false
+	}
+	b.retryTokens--
+	return true
+}
+
+// finish ends a request for its client, once, and aborts its attempts.
+func (b *Balancer) finish(p *pendingRequest, outcome Outcome, by *Attempt) {
 	if p.deadlineTimer == nil {
 		return
 	}
@@ -400,18 +429,12 @@
 		p.retryTimer.Stop()
 	}
 	for len(p.active) > 0 {
-		t := p.active[0]
-		b.closeAttempt(t)
-		b.Stats.Aborted++
-		b.transport.Abort(t)
+		b.abort(p.active[0])
 	}
-	b.transport.Finish(p.Request, e, by)
+	b.transport.Finish(p.Request, outcome, by)
 }
 
-// scale returns d times a factor, in whole microseconds.
+// scale returns d times a factor, cut to whole microseconds.
 func scale(d time.Duration, factor float64) time.Duration {
 	return virtualclock.FromMicros(virtualclock.Micros(d) * factor)
 }
-
-// Outstanding is how many tries are out at a server.
-func (b *Balancer) Outstanding(i int) int { return b.servers[i].outstanding }
--- a/internal/simulator/balance/policy.go
+++ b/internal/simulator/balance/policy.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rendezvousScore is the rank of a server for a key, by which either changes little when servers come and go.
+// rendezvousScore is the score of a server for a key. The server with the highest score has the key,
+// so that few keys move when servers come and go.
 func rendezvousScore(key uint64, server int) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], key)
@@ -15,15 +16,16 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// choose is the server for the next try; -1: none is willing.
+// choose returns the server of the next attempt; -1: none is eligible. If no server is healthy,
+// health does not count.
 func (b *Balancer) choose(p *pendingRequest) int {
 	if i := p.sameServer; i >= 0 && b.servers[i].listed {
 		return i
 	}
 	b.eligible = b.eligible[:0]
-	for _, avoid := range []bool{true, false} { // with all avoided, none is
+	for _, healthyOnly := range []bool{true, false} {
 		for i := range b.servers {
-			if !p.tried[i] && b.isAvailable(i, avoid) && b.hasCapacity(i, p) {
+			if !p.tried[i] && b.isAvailable(i, healthyOnly) && b.hasCapacity(i, p) {
 				b.eligible = append(b.eligible, i)
 			}
 		}
@@ -37,14 +39,14 @@
 	return b.pick(p)
 }
 
-// isAvailable tells whether a server is listed and, where it avoids any, neither ejected nor failing its
-// checks.
-func (b *Balancer) isAvailable(i int, avoid bool) bool {
+// isAvailable reports whether server i is listed, in the subset and, with healthyOnly, neither
+// ejected nor failing its health checks.
+func (b *Balancer) isAvailable(i int, healthyOnly bool) bool {
 	s := &b.servers[i]
 	if !s.listed || !s.inSubset {
 		return false
 	}
-	return !avoid || s.failedChecks < unhealthyAfterChecks && s.ejectedUntil <= b.clock.Now()
+	return !healthyOnly || s.failedChecks < unhealthyAfterChecks && s.ejectedUntil <= b.clock.Now()
 }
 
 func (b *Balancer) anyHealthy() bool {
@@ -56,8 +58,8 @@
 	return false
 }
 
-// hasCapacity tells whether a server has room for one more from here, as far as this balancer heeds
-// that. A fraction of a credit counts by chance.
+// hasCapacity reports whether server i takes one more request, by the advice that this balancer
+// follows. The fraction of a credit is the probability of one more.
 func (b *Balancer) hasCapacity(i int, p *pendingRequest) bool {
 	s, now := &b.servers[i], b.clock.Now()
 	if !b.behavior.FollowsAdvice {
@@ -73,61 +75,88 @@
 	if float64(s.outstanding) < whole {
 		return true
 	}
-	return float64(s.outstanding) == whole && b.draw(p.ID, p.attempts, drawAllow+i) < s.credit-whole
+	return float64(s.outstanding) == whole && b.draw(p.ID, p.attempts, drawCredit+i) < s.credit-whole
 }
 
-// pick chooses among the willing.
+// pick applies the policy to the eligible servers.
 func (b *Balancer) pick(p *pendingRequest) int {
-	n := len(b.eligible)
-	least := func(of func(s *server) float64) int {
-		start, best := int(b.draw(p.ID, p.attempts, drawFirst)*float64(n)), -1
-		for k := range n {
-			if i := b.eligible[(start+k)%n]; best < 0 || of(&b.servers[i]) < of(&b.servers[best]) {
-				best = i
-			}
-		}
-		return best
-	}
 	switch b.behavior.Policy {
 	case LeastRequests:
-		return least(func(s *server) float64 { return float64(s.outstanding) })
+		return b.pickLeast(p, func(s *server) float64 { return float64(s.outstanding) })
 	case LeastReportedLoad:
-		return least(func(s *server) float64 { return s.load })
+		return b.pickLeast(p, func(s *server) float64 { return s.load })
 	case LeastLatency:
-		return least(func(s *server) float64 { return s.latency })
+		return b.pickLeast(p, func(s *server) float64 { return s.latency })
 	case PowerOfTwoChoices:
-		first := int(b.draw(p.ID, p.attempts, drawFirst) * float64(n))
-		second := first
-		if n > 1 {
-			second = (first + 1 + int(b.draw(p.ID, p.attempts, drawSecond)*float64(n-1))) % n
-		}
-		if i, j := b.eligible[first], b.eligible[second]; b.servers[j].outstanding < b.servers[i].outstanding {
-			return j
-		}
-		return b.eligible[first]
+		return b.pickOfTwo(p)
 	case WeightedRandom:
-		sum := 0.0
-		for _, i := range b.eligible {
-			sum += b.servers[i].weight
+		return b.pickWeighted(p)
+	case ConsistentHash:
+		return b.pickByKey(p)
+	default:
+		return b.pickNext()
+	}
+}
+
+// pickLeast returns the server with the lowest value; ties are broken from a random start.
+func (b *Balancer) pickLeast(p *pendingRequest, value func(s *server) float64) int {
+	count := len(b.eligible)
+	start := int(b.draw(p.ID, p.attempts, drawFirst) * float64(count))
+	best := -1
+	for k := range count {
+		i := b.eligible[(start+k)%count]
+		if best < 0 || value(&b.servers[i]) < value(&b.servers[best]) {
+			best = i
 		}
-		at := b.draw(p.ID, p.attempts, drawWeight) * sum
-		for _, i := range b.eligible {
-			if at -= b.servers[i].weight; at < 0 {
-				return i
-			}
+	}
+	return best
+}
+
+// pickOfTwo returns the one of two random servers that has fewer outstanding requests.
+func (b *Balancer) pickOfTwo(p *pendingRequest) int {
+	count := len(b.eligible)
+	first := int(b.draw(p.ID, p.attempts, drawFirst) * float64(count))
+	second := first
+	if count > 1 {
+		second = (first + 1 + int(b.draw(p.ID, p.attempts, drawSecond)*float64(count-1))) % count
+	}
+	i, j := b.eligible[first], b.eligible[second]
+	if b.servers[j].outstanding < b.servers[i].outstanding {
+		return j
+	}
+	return i
+}
+
+// pickWeighted draws a server by the weights.
+func (b *Balancer) pickWeighted(p *pendingRequest) int {
+	sum := 0.0
+	for _, i := range b.eligible {
+		sum += b.servers[i].weight
+	}
+	at := b.draw(p.ID, p.attempts, drawWeight) * sum
+	for _, i := range b.eligible {
+		if at -= b.servers[i].weight; at < 0 {
+			return i
 		}
-		return b.eligible[n-1]
-	case ConsistentHash:
-		best := b.eligible[0]
-		for _, i := range b.eligible[1:] {
-			if rendezvousScore(p.Key, i) > rendezvousScore(p.Key, best) {
-				best = i
-			}
+	}
+	return b.eligible[len(b.eligible)-1]
+}
+
+// pickByKey returns the server with the highest score for the request's key.
+func (b *Balancer) pickByKey(p *pendingRequest) int {
+	best := b.eligible[0]
+	for _, i := range b.eligible[1:] {
+		if rendezvousScore(p.Key, i) > rendezvousScore(p.Key, best) {
+			best = i
 		}
-		return best
 	}
+	return best
+}
+
+// pickNext returns the next server in the order of the list.
+func (b *Balancer) pickNext() int {
 	best := b.eligible[0]
-	for _, i := range b.eligible { // the first at or behind the hand
+	for _, i := range b.eligible {
 		if i >= b.nextServer {
 			best = i
 			break
