--- a/internal/simulator/dependencies/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -6,21 +6,21 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// BackendSpec is what the shared back end is like.
+// BackendSpec describes the shared back end.
 type BackendSpec struct {
-	Slots           float64       // calls that it works on at full speed
-	Thrash          float64       // loss for each further multiple of the slots
-	RejectsOverload bool          // it turns calls away while it holds more than twice its slots
-	CrashFactor     float64       // it dies of holding so many times its slots
-	CrashWindow     time.Duration // as a mean over so long
+	Slots           float64       // calls that it processes at full speed
+	Thrash          float64       // relative loss of speed for each further multiple of Slots
+	RejectsOverload bool          // it rejects calls while more than twice Slots are in flight
+	CrashFactor     float64       // calls in flight, in multiples of Slots, beyond which it crashes; 0: never
+	CrashWindow     time.Duration // over which the mean of the calls in flight is taken
 	RestartTime     time.Duration
-	CancelLinger    time.Duration // longest stay of a call that was given up
+	CancelLinger    time.Duration // how long a canceled call stays in flight
 }
 
-// CallOutcome is how a call ended.
+// CallOutcome says how a call ended.
 type CallOutcome uint8
 
-// The replies. TurnedAway and Down prove that the call never ran.
+// The outcomes of calls. CallRejected and CallUnreachable prove that the call never ran.
 const (
 	CallSucceeded CallOutcome = iota + 1
 	CallRejected
@@ -28,29 +28,37 @@
 	CallInterrupted
 )
 
-// Call is one call in the back end's hands.
+// overloadFactor is the multiple of its slots from which a back end rejects calls, if it does.
+const overloadFactor = 2
+
+// Call is a call of a run to the back end.
 type Call struct {
-	job  *job
+	job  *job // nil: it is not in flight
 	done func(CallOutcome)
 }
 
-// Backend is the system that all runners share.
+// Backend models the back end that all runners share.
 type Backend struct {
 	spec     BackendSpec
 	clock    virtualclock.Clock
 	slots    sharedProcessor
-	window   slidingWindow
+	window   slidingWindow // of the calls in flight
 	calls    map[*job]*Call
-	order    []*Call // as they came, for the order in which a fall breaks them
+	order    []*Call // in the order of their arrival, in which a crash interrupts them
 	slowdown float64
 	down     bool
-	Crashes  int
+	Crashes  int // so far
 }
 
-// NewBackend starts it.
+// NewBackend starts a back end.
 func NewBackend(clock virtualclock.Clock, spec BackendSpec) *Backend {
-	b := &Backend{spec: spec, clock: clock, slowdown: 1, calls: map[*job]*Call{},
-		window: newSlidingWindow(max(int(spec.CrashWindow/sampleInterval), 1))}
+	b := &Backend{
+		spec:     spec,
+		clock:    clock,
+		slowdown: 1,
+		calls:    map[*job]*Call{},
+		window:   newSlidingWindow(max(int(spec.CrashWindow/sampleInterval), 1)),
+	}
 	b.slots = sharedProcessor{
 		clock:          clock,
 		parallelism:    spec.Slots,
@@ -63,26 +71,27 @@
 	return b
 }
 
-// SetSlowdown makes it so many times slower than usual.
-func (b *Backend) SetSlowdown(times float64) {
-	b.slowdown = max(times, 1)
+// SetSlowdown makes the back end slower by a factor of at least 1.
+func (b *Backend) SetSlowdown(factor float64) {
+	b.slowdown = max(factor, 1)
 	b.slots.setSpeed(1 / b.slowdown)
 }
 
-// InFlight is how many calls are in its hands.
+// InFlight returns the number of calls in flight, with canceled ones that linger.
 func (b *Backend) InFlight() int { return len(b.slots.jobs) }
 
-// IsDown tells whether it refuses connections.
+// IsDown reports whether the back end has crashed and refuses connections.
 func (b *Backend) IsDown() bool { return b.down }
 
-// Call places a call of so much work. done may be called before Call returns, if it never ran.
+// Call starts a call of so much work, in microseconds of a slot at full speed. done gets its outcome;
+// it is called before Call returns if the call never runs.
 func (b *Backend) Call(work float64, done func(CallOutcome)) *Call {
 	c := &Call{done: done}
 	switch {
 	case b.down:
 		done(CallUnreachable)
 		return c
-	case b.spec.RejectsOverload && float64(b.InFlight()) >= 2*b.spec.Slots:
+	case b.spec.RejectsOverload && float64(b.InFlight()) >= overloadFactor*b.spec.Slots:
 		done(CallRejected)
 		return c
 	}
@@ -92,7 +101,7 @@
 	return c
 }
 
-func (b *Backend) finish(c *Call, r CallOutcome) {
+func (b *Backend) finish(c *Call, outcome CallOutcome) {
 	if c.job == nil {
 		return
 	}
@@ -101,12 +110,12 @@
 	c.job = nil
 	if done := c.done; done != nil {
 		c.done = nil
-		done(r)
+		done(outcome)
 	}
 }
 
-// Cancel drops a call: nothing is told of it any more, and it leaves the back end's hands a little
-// later.
+// Cancel gives up a call. Its done is not called any more, and it leaves the back end after
+// CancelLinger.
 func (b *Backend) Cancel(c *Call) {
 	c.done = nil
 	if c.job != nil {
@@ -114,17 +123,25 @@
 	}
 }
 
+// sample measures the calls in flight, and crashes the back end if there are too many.
 func (b *Backend) sample() {
 	b.clock.After(sampleInterval, b.sample)
 	b.slots.advance()
-	held, n := b.window.add(b.slots.jobTime)
+	jobTime, samples := b.window.add(b.slots.jobTime)
 	for len(b.order) > 0 && b.order[0].job == nil {
 		b.order = b.order[1:]
 	}
-	if b.down || b.spec.CrashFactor <= 0 || time.Duration(n)*sampleInterval < b.spec.CrashWindow ||
-		held/virtualclock.Micros(b.spec.CrashWindow) <= b.spec.CrashFactor*b.spec.Slots {
+	if b.down || b.spec.CrashFactor <= 0 || time.Duration(samples)*sampleInterval < b.spec.CrashWindow {
 		return
 	}
+	mean := jobTime / virtualclock.Micros(b.spec.CrashWindow)
+	if mean > b.spec.CrashFactor*b.spec.Slots {
+		b.crash()
+	}
+}
+
+// crash interrupts all calls. The back end is back after its restart time.
+func (b *Backend) crash() {
 	b.down = true
 	b.Crashes++
 	order := b.order
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -1,3 +1,7 @@
+// Package dependencies models what a fleet of runners depends on: the machine of each runner with
+// its engine, the back end that all runners share, and the registry. The models are state machines
+// without I/O, which the simulator runs in virtual time and the daytest package behind sockets. They
+// decide nothing about requests.
 package dependencies
 
 import (
@@ -7,99 +11,103 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// MachineSpec is what one runner's machine is like. Work is in microseconds on a core of speed 1.
+// MachineSpec describes the machine of a runner. Work is in microseconds of a core of speed 1.
 type MachineSpec struct {
 	Cores             int
 	Speed             float64
-	Thrash            float64 // loss of all that runs for each further multiple of ThrashAt
-	ThrashAt          float64 // jobs a core past which they slow each other down; the runner is not told
-	ReadWork          float64 // of reading one request
-	Backlog           int     // unread requests for each core; with more there is no connection
-	MemoryKB          float64
-	RunFactor         float64       // memory of a running request over that of a held one
-	ConcurrencyLimit  float64       // running requests on the cores, for each core, that it outlives as a mean
-	ConcurrencyWindow time.Duration // the time of that mean
-	WarmUpSpeed       float64       // the share of its speed with which it starts
-	WarmUpTime        time.Duration // it is warm after this
-	WarmUpCallFactor  float64       // by how much more a cold one calls
+	Thrash            float64       // relative loss of speed for each further multiple of ThrashAt
+	ThrashAt          float64       // jobs per core beyond which they slow each other down
+	ReadWork          float64       // work of reading one request
+	Backlog           int           // unread requests per core; with more, connections are refused
+	MemoryKB          float64       // beyond which the machine crashes
+	RunFactor         float64       // memory of a running request, in multiples of a queued one
+	ConcurrencyLimit  float64       // mean of running requests per core beyond which the machine crashes
+	ConcurrencyWindow time.Duration // over which that mean is taken
+	WarmUpSpeed       float64       // share of Speed at the start
+	WarmUpTime        time.Duration // until Speed is reached
+	WarmUpCallFactor  float64       // further calls per call while it warms up
 }
 
-// Work is one request as the engine sees it.
+// Work is a request as the engine sees it.
 type Work struct {
 	ID     string
 	SizeKB float64
-	Parts  []float64 // work before, between and behind its calls
+	Parts  []float64 // work before, between and after its calls
 }
 
-// RunOutcome is how a run ended.
+// RunOutcome says how a run ended.
 type RunOutcome uint8
 
-// The endings of runs.
+// The outcomes of runs.
 const (
 	RunSucceeded RunOutcome = iota + 1
 	RunInterrupted
 )
 
-// MachineObserver of a machine is told what happens on it.
+// MachineObserver is notified of what happens on a machine.
 type MachineObserver interface {
-	Needs(id string)               // a run waits for a call
-	Ended(id string, e RunOutcome) // a run is over
-	Died(why string)               // the machine fell over; nothing more is told
+	// Needs says that a run waits for a call.
+	Needs(id string)
+	// Ended says that a run has ended.
+	Ended(id string, outcome RunOutcome)
+	// Died says that the machine crashed or was killed. Nothing follows.
+	Died(why string)
 }
 
 const (
-	sampleInterval = 100 * time.Millisecond // of gauges, memory and crowd
-	// a held request counts against the memory so long after it was written (PROTOCOL)
-	reservationDelay = 100 * time.Millisecond
-	cpuSamples       = 5 // half a second
+	sampleInterval   = 100 * time.Millisecond // of gauges and of the limits on memory and concurrency
+	reservationDelay = 100 * time.Millisecond // until a queued request counts against the memory
+	cpuSamples       = 5                      // of the window of Gauges.CPU
+	minThrashAt      = 0.1
 )
 
+// run is a request that runs.
 type run struct {
 	Work
-	part         int
-	job          *job // on the cores
-	waitsForCall bool // for a call
-	stopped      bool // nobody wants it; it ends at the next call
+	part         int  // index of the part that runs or runs next
+	job          *job // of that part; nil: it is not on the cores
+	waitsForCall bool
+	stopped      bool // nobody waits for its result: it ends at the next call
 }
 
+// reservation is the memory of a queued request that does not count yet.
 type reservation struct {
 	id         string
 	sizeKB     float64
 	countsFrom time.Duration
 }
 
-// Machine is one runner's cores, memory and engine.
+// Machine models the cores, the memory and the engine of a runner.
 type Machine struct {
 	spec          MachineSpec
 	clock         virtualclock.Clock
 	observer      MachineObserver
 	cores         sharedProcessor
 	startedAt     time.Duration
-	cold          bool
-	slowdown      float64 // times slower than usual; 1: not
+	cold          bool // it warms up from startedAt on
+	slowdown      float64
 	frozen        bool
 	reading       int
 	unread        []func()
 	runs          map[string]*run
-	atCalls       int
-	unbooked      []reservation // written, not yet counted
+	unbooked      []reservation // in the order of countsFrom
 	reserved      map[string]float64
-	memory        float64
-	runningTime   float64 // running requests on the cores, integrated
+	memory        float64 // in KB
+	running       int     // runs on the cores
+	runningTime   float64 // integral of running, up to countedAt
 	countedAt     time.Duration
-	running       int
 	cpuWindow     slidingWindow
 	runningWindow slidingWindow
 	cpu           float64
 	dead          bool
 }
 
-// NewMachine starts a machine, cold or warm.
-func NewMachine(clock virtualclock.Clock, spec MachineSpec, cold bool, tenant MachineObserver) *Machine {
+// NewMachine starts a machine, cold or warmed up.
+func NewMachine(clock virtualclock.Clock, spec MachineSpec, cold bool, observer MachineObserver) *Machine {
 	m := &Machine{
 		spec:          spec,
 		clock:         clock,
-		observer:      tenant,
+		observer:      observer,
 		startedAt:     clock.Now(),
 		cold:          cold && spec.WarmUpTime > 0,
 		slowdown:      1,
@@ -109,22 +117,28 @@
 		cpuWindow:     newSlidingWindow(cpuSamples),
 		runningWindow: newSlidingWindow(max(int(spec.ConcurrencyWindow/sampleInterval), 1)),
 	}
-	m.cores = sharedProcessor{clock: clock, parallelism: float64(spec.Cores), contentionLoss: spec.Thrash,
-		contentionFrom: max(spec.ThrashAt, 0.1) * float64(spec.Cores), advancedTo: virtualclock.Micros(clock.Now())}
+	m.cores = sharedProcessor{
+		clock:          clock,
+		parallelism:    float64(spec.Cores),
+		contentionLoss: spec.Thrash,
+		contentionFrom: max(spec.ThrashAt, minThrashAt) * float64(spec.Cores),
+		advancedTo:     virtualclock.Micros(clock.Now()),
+	}
 	m.cores.speed = m.speed()
 	clock.After(sampleInterval, m.sample)
 	return m
 }
 
-// warmShare is the share of its speed that it has.
+// warmShare returns the share of its speed that the machine has reached.
 func (m *Machine) warmShare() float64 {
 	if !m.cold {
 		return 1
 	}
-	past := virtualclock.Micros(m.clock.Now()-m.startedAt) / virtualclock.Micros(m.spec.WarmUpTime)
-	return min(m.spec.WarmUpSpeed+(1-m.spec.WarmUpSpeed)*past, 1)
+	elapsed := virtualclock.Micros(m.clock.Now()-m.startedAt) / virtualclock.Micros(m.spec.WarmUpTime)
+	return min(m.spec.WarmUpSpeed+(1-m.spec.WarmUpSpeed)*elapsed, 1)
 }
 
+// speed returns the present speed of a core.
 func (m *Machine) speed() float64 {
 	if m.frozen {
 		return 0
@@ -132,23 +146,23 @@
 	return m.spec.Speed * m.warmShare() / m.slowdown
 }
 
-// IsWarmingUp tells whether it is still slow from its start, and so calls more.
+// IsWarmingUp reports whether the machine has not reached its speed since its start.
 func (m *Machine) IsWarmingUp() bool { return m.warmShare() < 1 }
 
-// SetSlowdown makes it so many times slower than usual.
-func (m *Machine) SetSlowdown(times float64) {
-	m.slowdown = max(times, 1)
+// SetSlowdown makes the machine slower by a factor of at least 1.
+func (m *Machine) SetSlowdown(factor float64) {
+	m.slowdown = max(factor, 1)
 	m.cores.setSpeed(m.speed())
 }
 
-// SetFrozen lets all stand still, or go on.
-func (m *Machine) SetFrozen(on bool) {
-	m.frozen = on
+// SetFrozen stops all work on the machine, or lets it go on.
+func (m *Machine) SetFrozen(frozen bool) {
+	m.frozen = frozen
 	m.cores.setSpeed(m.speed())
 }
 
-// Read reads a request that has come to the machine, which takes work: one a core at a time, the
-// others wait unread. It reports whether there was room.
+// Read reads a request that has arrived: one per core at a time, the others wait in the backlog. It
+// reports whether the backlog had room; done is called once the request is read.
 func (m *Machine) Read(done func()) bool {
 	if m.dead || len(m.unread) >= m.spec.Backlog*m.spec.Cores {
 		return false
@@ -172,20 +186,20 @@
 	}
 }
 
-// ReserveMemory books memory for a request that was written to the runner, a little after that.
+// ReserveMemory reserves memory for a queued request. It counts after a short delay.
 func (m *Machine) ReserveMemory(id string, sizeKB float64) {
 	m.unbooked = append(m.unbooked, reservation{id, sizeKB, m.clock.Now() + reservationDelay})
 	m.reserved[id] = 0
 }
 
-// ReleaseMemory gives back what is booked for a held request that is answered or given up. What runs keeps
-// its memory.
+// ReleaseMemory releases the memory of a queued request that is answered or abandoned. A running
+// request keeps its memory.
 func (m *Machine) ReleaseMemory(id string) {
 	m.memory -= m.reserved[id]
 	delete(m.reserved, id)
 }
 
-// Run starts the work of a request. One that runs already is left alone.
+// Run starts a request. It does nothing if the request runs already.
 func (m *Machine) Run(w Work) {
 	if m.dead || m.runs[w.ID] != nil {
 		return
@@ -204,90 +218,85 @@
 		work = r.Parts[r.part]
 	}
 	m.countRunning(1)
-	r.job = m.cores.add(work, func() {
-		r.job = nil
-		m.countRunning(-1)
-		r.part++
-		switch {
-		case r.part >= len(r.Parts):
-			m.endRun(r, RunSucceeded)
-		case r.stopped:
-			m.endRun(r, RunInterrupted)
-		default:
-			r.waitsForCall = true
-			m.atCalls++
-			m.observer.Needs(r.ID)
-		}
-	})
+	r.job = m.cores.add(work, func() { m.endPart(r) })
 }
 
-func (m *Machine) endRun(r *run, e RunOutcome) {
+// endPart ends a run, or has it wait for its next call.
+func (m *Machine) endPart(r *run) {
+	r.job = nil
+	m.countRunning(-1)
+	r.part++
+	switch {
+	case r.part >= len(r.Parts):
+		m.endRun(r, RunSucceeded)
+	case r.stopped:
+		m.endRun(r, RunInterrupted)
+	default:
+		r.waitsForCall = true
+		m.observer.Needs(r.ID)
+	}
+}
+
+func (m *Machine) endRun(r *run, outcome RunOutcome) {
 	delete(m.runs, r.ID)
 	m.memory -= r.SizeKB * m.spec.RunFactor
-	m.observer.Ended(r.ID, e)
+	m.observer.Ended(r.ID, outcome)
 }
 
-// countRunning keeps the integral of running requests on the cores.
-func (m *Machine) countRunning(d int) {
+// countRunning changes the number of runs on the cores, and brings its integral up to now.
+func (m *Machine) countRunning(change int) {
 	now := m.clock.Now()
 	m.runningTime += float64(m.running) * virtualclock.Micros(now-m.countedAt)
 	m.countedAt = now
-	m.running += d
+	m.running += change
 }
 
-// Resume lets a run go on that waited for a call.
+// Resume continues a run whose call has ended.
 func (m *Machine) Resume(id string) {
 	if r := m.runs[id]; !m.dead && r != nil && r.waitsForCall {
 		r.waitsForCall = false
-		m.atCalls--
 		m.startPart(r)
 	}
 }
 
-// Stop tells that nobody wants a run. On the cores it goes on; at a call it ends.
+// Stop says that nobody waits for the result of a run. It ends at its next call, or at once if it
+// waits for one.
 func (m *Machine) Stop(id string) {
 	r := m.runs[id]
 	if m.dead || r == nil || r.stopped {
 		return
 	}
-	if r.stopped = true; r.waitsForCall {
-		m.atCalls--
-		r.waitsForCall = false
-		m.clock.After(0, func() {
-			if !m.dead && m.runs[id] == r {
-				m.endRun(r, RunInterrupted)
-			}
-		})
+	r.stopped = true
+	if !r.waitsForCall {
+		return
 	}
+	r.waitsForCall = false
+	m.clock.After(0, func() {
+		if !m.dead && m.runs[id] == r {
+			m.endRun(r, RunInterrupted)
+		}
+	})
 }
 
-// sample looks at the gauges and at what makes a machine fall over.
+// sample measures the gauges, and crashes the machine if a limit is exceeded.
 func (m *Machine) sample() {
 	if m.dead {
 		return
 	}
 	m.cores.setSpeed(m.speed())
 	m.cores.advance()
-	if busy, n := m.cpuWindow.add(m.cores.busyTime); n > 0 {
-		m.cpu = busy / virtualclock.Micros(time.Duration(n)*sampleInterval) / float64(m.spec.Cores)
+	if busyTime, samples := m.cpuWindow.add(m.cores.busyTime); samples > 0 {
+		elapsed := virtualclock.Micros(time.Duration(samples) * sampleInterval)
+		m.cpu = busyTime / elapsed / float64(m.spec.Cores)
 	}
 	m.countRunning(0)
-	crowd, n := m.runningWindow.add(m.runningTime)
+	runningTime, samples := m.runningWindow.add(m.runningTime)
 	m.bookMemory()
-	limit := m.spec.ConcurrencyLimit * float64(m.spec.Cores)
-	if m.cold {
-		limit = float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warmShare())
-	}
+	meanRunning := runningTime / virtualclock.Micros(m.spec.ConcurrencyWindow)
 	switch {
-	case time.Duration(n)*sampleInterval >= m.spec.ConcurrencyWindow && crowd/virtualclock.Micros(m.spec.ConcurrencyWindow) > limit:
-		m.Kill(
-			fmt.Sprintf(
-				"crowd: %.1f running requests a core in the mean of %d ms",
-				crowd/virtualclock.Micros(m.spec.ConcurrencyWindow)/
-					float64(m.spec.Cores),
-				m.spec.ConcurrencyWindow.Milliseconds(),
-			),
-		)
+	case time.Duration(samples)*sampleInterval >= m.spec.ConcurrencyWindow && meanRunning > m.maxRunning():
+		m.Kill(fmt.Sprintf("crowd: %.1f running requests a core in the mean of %d ms",
+			meanRunning/float64(m.spec.Cores), m.spec.ConcurrencyWindow.Milliseconds()))
 	case m.memory > m.spec.MemoryKB:
 		m.Kill(fmt.Sprintf("memory: %.0f of %.0f kB", m.memory, m.spec.MemoryKB))
 	default:
@@ -295,20 +304,29 @@
 	}
 }
 
-// bookMemory counts held requests whose time has come.
+// maxRunning returns the mean of running requests that the machine survives. It rises from one per
+// core while the machine warms up.
+func (m *Machine) maxRunning() float64 {
+	if m.cold {
+		return float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warmShare())
+	}
+	return m.spec.ConcurrencyLimit * float64(m.spec.Cores)
+}
+
+// bookMemory counts the reservations whose time has come.
 func (m *Machine) bookMemory() {
-	i := 0
-	for ; i < len(m.unbooked) && m.unbooked[i].countsFrom <= m.clock.Now(); i++ {
-		h := m.unbooked[i]
-		if _, still := m.reserved[h.id]; still {
-			m.reserved[h.id] = h.sizeKB
-			m.memory += h.sizeKB
+	due := 0
+	for ; due < len(m.unbooked) && m.unbooked[due].countsFrom <= m.clock.Now(); due++ {
+		r := m.unbooked[due]
+		if _, queued := m.reserved[r.id]; queued {
+			m.reserved[r.id] = r.sizeKB
+			m.memory += r.sizeKB
 		}
 	}
-	m.unbooked = m.unbooked[i:]
+	m.unbooked = m.unbooked[due:]
 }
 
-// Kill ends the machine and all on it. Its tenant is told, once.
+// Kill ends the machine and all that runs on it. Its observer is notified once.
 func (m *Machine) Kill(why string) {
 	if m.dead {
 		return
@@ -319,10 +337,14 @@
 	m.observer.Died(why)
 }
 
-// Gauges are the machine's own measurements.
-type Gauges struct{ CPU, Runnable, Memory float64 }
+// Gauges are measurements of a machine.
+type Gauges struct {
+	CPU      float64 // share of the cores in use, 0 to 1
+	Runnable float64 // jobs on the cores and requests in the backlog
+	Memory   float64 // share of the memory in use
+}
 
-// Gauges reads them.
+// Gauges returns the present measurements.
 func (m *Machine) Gauges() Gauges {
 	m.bookMemory()
 	return Gauges{
@@ -332,7 +354,7 @@
 	}
 }
 
-// WorkDone is the work that its cores have done, in microseconds at speed 1.
+// WorkDone returns the work that the cores have done so far, in microseconds at speed 1.
 func (m *Machine) WorkDone() float64 {
 	m.cores.advance()
 	return m.cores.workDone
--- a/internal/simulator/dependencies/processor.go
+++ b/internal/simulator/dependencies/processor.go
@@ -1,7 +1,3 @@
-// Package world holds what a fleet of runners stands on, as state machines free of I/O: the machine
-// of one runner with its engine, the back end that all share, and the roster. The simulator's model
-// plays them in virtual time, and its rig puts the same ones behind sockets. None of them decides
-// about requests; that is the runner's.
 package dependencies
 
 import (
@@ -11,22 +7,32 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// job is work that shares cores with other work.
+// job is work that shares a processor with other work.
 type job struct {
-	finishAt float64 // the attained service at which it is done
-	seq      uint64
-	index    int // in the heap; -1: not on the cores
+	finishAt float64 // attained service at which it is done, in microseconds of work
+	seq      uint64  // order among jobs that are done at once
+	index    int     // in the heap; -1: it is off the processor
 	done     func()
 }
 
+// jobHeap orders jobs by their end.
 type jobHeap []*job
 
+// Len implements heap.Interface.
 func (h jobHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h jobHeap) Less(i, j int) bool {
 	return h[i].finishAt < h[j].finishAt || h[i].finishAt == h[j].finishAt && h[i].seq < h[j].seq
 }
+
+// Swap implements heap.Interface.
 func (h jobHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
-func (h *jobHeap) Push(x any)   { j := x.(*job); j.index = len(*h); *h = append(*h, j) }
+
+// Push implements heap.Interface.
+func (h *jobHeap) Push(x any) { j := x.(*job); j.index = len(*h); *h = append(*h, j) }
+
+// Pop implements heap.Interface.
 func (h *jobHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
@@ -35,27 +41,27 @@
 	return j
 }
 
-// sharedProcessor is processor sharing: all jobs get on at one rate. Since that is so, a job is done when the
-// service that each has attained passes its tag, and one timer for the least tag is enough for any
-// number of them.
+// sharedProcessor models processor sharing: all jobs progress at one rate. A job is therefore done
+// once the service that each job has attained passes its finishAt, and one timer for the least of
+// them is enough for any number of jobs. Times and work are in microseconds.
 type sharedProcessor struct {
 	clock           virtualclock.Clock
-	parallelism     float64 // how many get on at full speed
-	contentionLoss  float64 // loss for each further multiple of crowd
-	contentionFrom  float64 // jobs past which they slow each other down
-	speed           float64 // of one job with a place; 0 stops all
-	attainedService float64
-	advancedTo      float64 // up to which it is counted
+	parallelism     float64 // jobs that progress at full speed
+	contentionLoss  float64 // relative loss for each further multiple of contentionFrom
+	contentionFrom  float64 // jobs beyond which they slow each other down
+	speed           float64 // of a job at full speed, in work per time; 0 stops all
+	attainedService float64 // work done for each job since the start
+	advancedTo      float64 // time up to which the state is computed
 	jobs            jobHeap
-	finished        []*job // done, and not yet told
+	finished        []*job // done, and not yet notified
 	seq             uint64
 	timer           virtualclock.Timer
-	busyTime        float64 // places in use, integrated over time
-	jobTime         float64 // jobs, integrated over time
-	workDone        float64 // done in all
+	busyTime        float64 // integral of the parallelism in use
+	jobTime         float64 // integral of the number of jobs
+	workDone        float64
 }
 
-// rate is how fast each job gets on.
+// rate returns the work per time that each job progresses.
 func (s *sharedProcessor) rate() float64 {
 	n := float64(len(s.jobs))
 	if n == 0 {
@@ -68,21 +74,21 @@
 	return r
 }
 
-// advance brings the attained service up to now. A job that was done meanwhile left the cores then,
-// however late the timer comes: on sockets it may be a millisecond.
+// advance computes the state at the present. A job that was done in the meantime left the processor
+// at its time, however late the timer fires: on sockets it may be a millisecond late.
 func (s *sharedProcessor) advance() {
 	now := virtualclock.Micros(s.clock.Now())
 	for s.advancedTo < now {
-		n, r, d := float64(len(s.jobs)), s.rate(), now-s.advancedTo
-		done := r > 0 && s.attainedService+r*d >= s.jobs[0].finishAt
+		n, rate, elapsed := float64(len(s.jobs)), s.rate(), now-s.advancedTo
+		done := rate > 0 && s.attainedService+rate*elapsed >= s.jobs[0].finishAt
 		if done {
-			d = max((s.jobs[0].finishAt-s.attainedService)/r, 0)
+			elapsed = max((s.jobs[0].finishAt-s.attainedService)/rate, 0)
 		}
-		s.attainedService += r * d
-		s.workDone += r * d * n
-		s.jobTime += n * d
-		s.busyTime += min(n, s.parallelism) * d
-		s.advancedTo += d
+		s.attainedService += rate * elapsed
+		s.workDone += rate * elapsed * n
+		s.jobTime += n * elapsed
+		s.busyTime += min(n, s.parallelism) * elapsed
+		s.advancedTo += elapsed
 		if !done {
 			s.advancedTo = now
 			break
@@ -94,7 +100,7 @@
 	}
 }
 
-// finishNext takes the job that is done off the cores.
+// finishNext takes the job that is done first off the processor.
 func (s *sharedProcessor) finishNext() {
 	j := heap.Pop(&s.jobs).(*job)
 	s.attainedService = max(s.attainedService, j.finishAt)
@@ -111,19 +117,21 @@
 		s.timer = s.clock.After(0, s.onTimer)
 		return
 	}
-	r := s.rate()
-	if r <= 0 {
+	rate := s.rate()
+	if rate <= 0 {
 		return
 	}
-	s.timer = s.clock.After(virtualclock.FromMicros((s.jobs[0].finishAt-s.attainedService)/r)+time.Microsecond, s.onTimer)
+	remaining := virtualclock.FromMicros((s.jobs[0].finishAt - s.attainedService) / rate)
+	s.timer = s.clock.After(remaining+time.Microsecond, s.onTimer)
 }
 
+// onTimer notifies the jobs that are done.
 func (s *sharedProcessor) onTimer() {
 	s.timer = nil
 	s.advance()
-	over := s.finished
+	finished := s.finished
 	s.finished = nil
-	for _, j := range over {
+	for _, j := range finished {
 		if j.done != nil {
 			j.done()
 		}
@@ -131,7 +139,7 @@
 	s.schedule()
 }
 
-// add puts a job of so much work, in microseconds at speed 1, on the cores.
+// add starts a job and returns it. done is called once it is done.
 func (s *sharedProcessor) add(work float64, done func()) *job {
 	s.advance()
 	s.seq++
@@ -141,28 +149,28 @@
 	return j
 }
 
-// remove takes a job off before it is done.
+// remove takes a job off the processor without notifying it. A job that is done just now is not
+// notified either.
 func (s *sharedProcessor) remove(j *job) {
 	j.done = nil
-	if s.advance(); j.index < 0 { // it is done by now, too
-		s.schedule()
-		return
+	s.advance()
+	if j.index >= 0 {
+		heap.Remove(&s.jobs, j.index)
 	}
-	heap.Remove(&s.jobs, j.index)
 	s.schedule()
 }
 
 // setSpeed changes the speed from now on.
-func (s *sharedProcessor) setSpeed(v float64) {
-	if v == s.speed {
+func (s *sharedProcessor) setSpeed(speed float64) {
+	if speed == s.speed {
 		return
 	}
 	s.advance()
-	s.speed = v
+	s.speed = speed
 	s.schedule()
 }
 
-// clear drops all jobs and stands still until more are added.
+// clear removes all jobs.
 func (s *sharedProcessor) clear() {
 	s.advance()
 	for _, j := range s.jobs {
@@ -171,30 +179,3 @@
 	s.jobs, s.finished = nil, nil
 	s.schedule()
 }
-
-// slidingWindow is a mean over the last part of an integral that is sampled at even times.
-type slidingWindow struct {
-	samples []float64
-	next    int
-	added   int
-}
-
-func newSlidingWindow(samples int) slidingWindow {
-	return slidingWindow{samples: make([]float64, samples)}
-}
-
-// add takes a sample and gives the growth over the window, with how many samples back it reaches.
-func (w *slidingWindow) add(v float64) (growth float64, samples int) {
-	old := w.samples[w.next]
-	if w.added < len(w.samples) {
-		old = w.samples[0]
-	}
-	samples = min(w.added, len(w.samples))
-	if w.added == 0 {
-		old = v
-	}
-	w.samples[w.next] = v
-	w.next = (w.next + 1) % len(w.samples)
-	w.added++
-	return v - old, samples
-}
--- a/internal/simulator/dependencies/registry.go
+++ b/internal/simulator/dependencies/registry.go
@@ -6,10 +6,10 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// reportLifetime is how long after the last report an entry stays listed (PROTOCOL).
+// reportLifetime is how long a runner stays listed after its last report.
 const reportLifetime = 3 * time.Second
 
-// Registry lists runners while they report. Watchers hear of a change late.
+// Registry lists runners as long as they report. Its watchers learn of a change after a delay.
 type Registry struct {
 	clock    virtualclock.Clock
 	entries  map[string]*entry
@@ -18,7 +18,7 @@
 
 type entry struct {
 	listed bool
-	timer  virtualclock.Timer
+	timer  virtualclock.Timer // of the report's lifetime
 }
 
 type watcher struct {
@@ -26,18 +26,18 @@
 	notify func(name string, listed bool)
 }
 
-// NewRegistry starts one with nobody listed.
+// NewRegistry returns a registry that lists no runner.
 func NewRegistry(clock virtualclock.Clock) *Registry {
 	return &Registry{clock: clock, entries: map[string]*entry{}}
 }
 
-// Watch tells of each change after a delay that is asked for each time. Changes overtake each other
-// no more than the delays allow; of one name, the state at the time of telling counts.
-func (r *Registry) Watch(late func() time.Duration, tell func(name string, listed bool)) {
-	r.watchers = append(r.watchers, watcher{late, tell})
+// Watch calls notify for each change of the list, after a delay that is asked for each time. notify
+// gets the state at the time of the call, not of the change.
+func (r *Registry) Watch(delay func() time.Duration, notify func(name string, listed bool)) {
+	r.watchers = append(r.watchers, watcher{delay, notify})
 }
 
-// Report takes word of a runner that is there; whether it is leaving changes nothing here.
+// Report lists a runner for the lifetime of a report.
 func (r *Registry) Report(name string) {
 	e := r.entries[name]
 	if e == nil {
@@ -51,7 +51,7 @@
 	r.set(name, e, true)
 }
 
-// Deregister unlists a runner whose engine has gone.
+// Deregister removes a runner from the list.
 func (r *Registry) Deregister(name string) {
 	if e := r.entries[name]; e != nil {
 		e.timer.Stop()
@@ -59,8 +59,11 @@
 	}
 }
 
-// IsListed tells whether a runner is on the list.
-func (r *Registry) IsListed(name string) bool { e := r.entries[name]; return e != nil && e.listed }
+// IsListed reports whether a runner is on the list.
+func (r *Registry) IsListed(name string) bool {
+	e := r.entries[name]
+	return e != nil && e.listed
+}
 
 func (r *Registry) set(name string, e *entry, listed bool) {
 	if e.listed == listed {
--- /dev/null
+++ b/internal/simulator/dependencies/window.go
@@ -0,0 +1,30 @@
+package dependencies
+
+// slidingWindow keeps the last samples of an integral, taken at a fixed interval, and gives its
+// growth over them.
+type slidingWindow struct {
+	samples []float64 // ring buffer
+	next    int
+	added   int // samples so far
+}
+
+func newSlidingWindow(samples int) slidingWindow {
+	return slidingWindow{samples: make([]float64, samples)}
+}
+
+// add takes a sample. It returns the growth since the oldest sample of the window, and how many
+// samples ago that was.
+func (w *slidingWindow) add(value float64) (growth float64, samples int) {
+	oldest := w.samples[w.next]
+	if w.added < len(w.samples) {
+		oldest = w.samples[0]
+	}
+	samples = min(w.added, len(w.samples))
+	if w.added == 0 {
+		oldest = value
+	}
+	w.samples[w.next] = value
+	w.next = (w.next + 1) % len(w.samples)
+	w.added++
+	return value - oldest, samples
+}
