--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -35,15 +35,21 @@
 	}
 }
 
-func TestWorth(t *testing.T) {
+func TestScoreWeighsSharesAndPrices(t *testing.T) {
 	l := newTestLedger(4 * time.Second)
 	at := func(s float64, class, tenant int, in bool) Request {
-		return Request{At: time.Duration(s * float64(time.Second)), Class: class, Tenant: tenant, InShare: in, Work: 1000}
+		return Request{
+			At:      time.Duration(s * float64(time.Second)),
+			Class:   class,
+			Tenant:  tenant,
+			InShare: in,
+			Work:    1000,
+		}
 	}
 	l.AddRequest(1, at(0.5, 0, 0, true))
 	l.EndRequest(1, WithinObjective, 100*ms)
 	l.AddRequest(2, at(1.5, 0, 0, true))
-	l.EndRequest(2, WithinObjective, 101*ms) // past its aim
+	l.EndRequest(2, WithinObjective, 101*ms) // past its objective
 	l.AddRequest(3, at(2.5, 1, 1, true))
 	l.EndRequest(3, WithinObjective, 50*ms)
 	l.AddRequest(4, at(3.5, 1, 1, false))
@@ -55,20 +61,20 @@
 	}
 	asked := 1 + 1 + 3 + 0.15
 	checkNear(t, "whole", r.Whole, (1+0.2+3)/asked)
-	checkNear(t, "worst class", r.WorstClass, 1.2/2) // the class without traffic does not count
-	// what is over the share of the other does not count
+	checkNear(t, "worst class", r.WorstClass, 1.2/2) // the class without requests does not count
+	// what is over the quota of the other does not count
 	checkNear(t, "worst tenant", r.WorstTenant, 1.2/2)
 	checkNear(t, "worst window", r.WorstWindow, 3.2/4) // of 1 to 3 s and 2 to 4 s
 	checkNear(t, "waste", r.Waste, 0.5)
 	checkNear(t, "late fail", r.LateFail, 0.15/asked)
 	checkNear(t, "worth", r.Worth, 0.45*4.2/asked+0.15*0.8+0.3*0.6+0.1*0.6-0.05*0.5-0.044*0.15/asked)
-	checkNear(t, "served of nothing", r.Classes[2].Served, 1)
+	checkNear(t, "served share without requests", r.Classes[2].Served, 1)
 	if r.Score != r.Worth || r.Classes[0].P50Ms < 99 || r.Classes[0].P50Ms > 102 {
 		t.Errorf("score %v, p50 %v", r.Score, r.Classes[0].P50Ms)
 	}
 }
 
-func TestABrokenRuleMakesTheDay0(t *testing.T) {
+func TestViolationMakesTheScoreZero(t *testing.T) {
 	l := newTestLedger(4 * time.Second)
 	l.AddRequest(1, Request{InShare: true})
 	l.EndRequest(1, WithinObjective, time.Microsecond)
@@ -80,34 +86,35 @@
 	}
 }
 
-func TestAnEmptyDay(t *testing.T) {
+func TestDayWithoutRequestsScoresOne(t *testing.T) {
 	r, err := newTestLedger(4 * time.Second).Close(0)
 	if err != nil || math.Abs(r.Worth-1) > 1e-9 || math.IsNaN(r.Score) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 }
 
-func TestFaultsOfTheModelAreReported(t *testing.T) {
+func TestInconsistentAccountIsAnError(t *testing.T) {
 	l := newTestLedger(4 * time.Second)
 	l.AddRequest(1, Request{})
 	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "has no end") {
-		t.Errorf("a first try without an end: %v", err)
+		t.Errorf("a request without an end: %v", err)
 	}
 	l.EndRequest(1, Failed, time.Microsecond)
 	l.EndRequest(1, WithinObjective, time.Microsecond)
 	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "1 ends of what had ended") {
-		t.Errorf("a first try that ends twice: %v", err)
+		t.Errorf("a request that ends twice: %v", err)
 	}
 }
 
-// PriorityWeight asked for is worth served and lost, by cause, class and tenant alike.
-func TestConservation(t *testing.T) {
+func TestSumsByClassTenantCauseAndSecondAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newTestLedger(10 * time.Second)
 		n := rapid.IntRange(0, 200).Draw(t, "n")
 		for i := range n {
 			id := uint64(i)
-			l.AddRequest(id, Request{At: time.Duration(i) * 50 * ms, Class: rapid.IntRange(0, 2).Draw(t, "class"),
+			l.AddRequest(id, Request{At: time.Duration(
+				i,
+			) * 50 * ms, Class: rapid.IntRange(0, 2).Draw(t, "class"),
 				Tenant: rapid.IntRange(0, 1).Draw(t, "tenant"), InShare: rapid.Bool().Draw(t, "in")})
 			l.EndRequest(
 				id,
@@ -139,11 +146,11 @@
 			"seconds": bySecond,
 		} {
 			if math.Abs(v-r.All.Asked) > 1e-6 {
-				t.Fatalf("%s come to %v, asked was %v", what, v, r.All.Asked)
+				t.Fatalf("%s sum up to %v, all to %v", what, v, r.All.Asked)
 			}
 		}
 		if math.Abs(got-r.All.Got) > 1e-6 || int(count) != n {
-			t.Fatalf("got %v by cause, %v in all; %v of %d", got, r.All.Got, count, n)
+			t.Fatalf("earned %v by cause, %v in all; %v of %d", got, r.All.Got, count, n)
 		}
 	})
 }
