--- a/internal/simulator/day/day_test.go
+++ b/internal/simulator/day/day_test.go
@@ -92,8 +92,8 @@
 		d := Draw(s, seed)
 		n := len(d.Runners)
 		seen[n] = true
-		if n < 10 || n > 17 || d.Rate < 0.5*d.Capacity || d.Rate > 0.7*d.Capacity {
-			t.Errorf("seed %d: %d runners, %v of %v", seed, n, d.Rate, d.Capacity)
+		if n < 10 || n > 17 || d.RequestRate < 0.5*d.Capacity || d.RequestRate > 0.7*d.Capacity {
+			t.Errorf("seed %d: %d runners, %v of %v", seed, n, d.RequestRate, d.Capacity)
 		}
 		if at := d.Events[0].At; at < 10*time.Second || at > 20*time.Second ||
 			len(d.Events[0].Runners) != int(math.Round(0.2*float64(n))) {
@@ -121,7 +121,7 @@
 	want := 0.0
 	for seed := range uint64(5) {
 		d = Draw(s, seed)
-		want += d.Rate * (30*1.5 + 30*2)
+		want += d.RequestRate * (30*1.5 + 30*2)
 		last := time.Duration(0)
 		for _, a := range d.Arrivals {
 			if a.At < last || a.At >= d.Length {
@@ -136,7 +136,7 @@
 			byClass[a.Class]++
 			byBalancer[a.Balancer]++
 			if a.Class == 1 {
-				work += a.Work / 1000 / d.WorkMs[1]
+				work += a.Work / 1000 / d.MeanWorkMs[1]
 				calls += float64(len(a.Calls))
 			}
 		}
@@ -175,8 +175,8 @@
 		for _, v := range n {
 			sum += (v - mean) * (v - mean)
 		}
-		if math.Abs(mean*4/d.Rate-1) > 0.08 {
-			t.Errorf("burstiness %v: %.1f a second, want %.1f", b, mean*4, d.Rate)
+		if math.Abs(mean*4/d.RequestRate-1) > 0.08 {
+			t.Errorf("burstiness %v: %.1f a second, want %.1f", b, mean*4, d.RequestRate)
 		}
 		return sum / 800 / mean
 	}
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -41,46 +41,46 @@
 // Runner is one runner of the fleet.
 type Runner struct {
 	Name string
-	Hall int
+	Zone int
 	Spec dependencies.MachineSpec
 }
 
 // Balancer is one balancer.
 type Balancer struct {
-	Kind  int
-	Hall  int
-	Heeds bool
+	Kind          int
+	Zone          int
+	FollowsAdvice bool
 }
 
 // Event is one trouble, settled.
 type Event struct {
-	Kind    string
-	At, For time.Duration
-	Runners []int
-	Times   float64
-	Hall    int
+	Kind         string
+	At, Duration time.Duration
+	Runners      []int
+	Factor       float64
+	Zone         int
 }
 
 // Day is one draw of a scenario.
 type Day struct {
-	Spec      *Spec
-	Seed      uint64
-	Length    time.Duration
-	Runners   []Runner
-	Balancers []Balancer
-	BackEnd   dependencies.BackendSpec
-	CallWork  float64 // of one call, on an idle back end
-	Arrivals  []Arrival
-	Events    []Event
-	CrossUs   float64
-	Rate      float64   // first tries a second, at times 1 of the curve
-	Capacity  float64   // requests a second that the cores can do
-	Quotas    []float64 // requests a second in each tenant's share
-	KeyKB     float64
-	HoldKB    float64
-	WorkMs    []float64 // mean of each class
-	CallMean  []float64
-	Settings  admission.Settings // of a warm runner
+	Spec            *Spec
+	Seed            uint64
+	Length          time.Duration
+	Runners         []Runner
+	Balancers       []Balancer
+	Backend         dependencies.BackendSpec
+	CallWork        float64 // of one call, on an idle back end
+	Arrivals        []Arrival
+	Events          []Event
+	CrossZoneMicros float64
+	RequestRate     float64   // first tries a second, at times 1 of the curve
+	Capacity        float64   // requests a second that the cores can do
+	Quotas          []float64 // requests a second in each tenant's share
+	KeyKB           float64
+	HoldKB          float64
+	MeanWorkMs      []float64 // mean of each class
+	MeanCalls       []float64
+	Settings        admission.Settings // of a warm runner
 }
 
 func drawFrom(r *rand.Rand, v Range) float64 { return v.Lo + (v.Hi-v.Lo)*r.Float64() }
@@ -107,8 +107,8 @@
 	mean, shares := 0.0, 0.0
 	for _, c := range d.Spec.Classes {
 		work := drawFrom(classes, c.WorkMs)
-		d.WorkMs = append(d.WorkMs, work)
-		d.CallMean = append(d.CallMean, drawFrom(classes, c.Calls))
+		d.MeanWorkMs = append(d.MeanWorkMs, work)
+		d.MeanCalls = append(d.MeanCalls, drawFrom(classes, c.Calls))
 		mean += c.Share * work * 1000
 		shares += c.Share
 	}
@@ -132,7 +132,7 @@
 		WarmUpCallFactor: drawFrom(r, f.ColdCalls),
 	}
 	m.MemoryKB = drawFrom(r, f.MemoryRuns) * float64(f.Cores) * f.RunFactor * d.HoldKB
-	d.CrossUs = drawFrom(r, f.CrossMs) * 1000
+	d.CrossZoneMicros = drawFrom(r, f.CrossMs) * 1000
 	n := int(math.Round(drawFrom(r, f.Runners)))
 	fleet := 0.0
 	for i := range n {
@@ -141,13 +141,13 @@
 		fleet += one.Speed * float64(f.Cores)
 		d.Runners = append(
 			d.Runners,
-			Runner{Name: "n" + strconv.Itoa(i+1), Hall: i % len(f.Halls), Spec: one},
+			Runner{Name: "n" + strconv.Itoa(i+1), Zone: i % len(f.Halls), Spec: one},
 		)
 	}
 	d.Capacity = fleet * microsPerSecond / (mean + read)
-	d.Rate = drawFrom(r, d.Spec.Load.OfCapacity) * d.Capacity
+	d.RequestRate = drawFrom(r, d.Spec.Load.OfCapacity) * d.Capacity
 	if d.Spec.Load.RateS > 0 {
-		d.Rate = d.Spec.Load.RateS
+		d.RequestRate = d.Spec.Load.RateS
 	}
 	keyed, window := 0.0, 0.0
 	for _, c := range d.Spec.Classes {
@@ -163,10 +163,10 @@
 	b, r := &d.Spec.BackEnd, Stream(d.Seed, "backend", 0)
 	calls, shares := 0.0, 0.0
 	for i, c := range d.Spec.Classes {
-		calls += c.Share * d.CallMean[i]
+		calls += c.Share * d.MeanCalls[i]
 		shares += c.Share
 	}
-	d.BackEnd = dependencies.BackendSpec{
+	d.Backend = dependencies.BackendSpec{
 		Slots:           drawFrom(r, b.Slots),
 		Thrash:          drawFrom(r, b.Thrash),
 		RejectsOverload: b.Sheds,
@@ -176,7 +176,7 @@
 		CancelLinger:    millis(b.LingerMs),
 	}
 	if rate := drawFrom(r, b.Headroom) * d.Capacity * calls / shares; rate > 0 {
-		d.CallWork = d.BackEnd.Slots / rate * microsPerSecond
+		d.CallWork = d.Backend.Slots / rate * microsPerSecond
 	}
 }
 
@@ -184,8 +184,8 @@
 	r := Stream(d.Seed, "balancers", 0)
 	for k, kind := range d.Spec.Balancers {
 		for range kind.Count {
-			d.Balancers = append(d.Balancers, Balancer{Kind: k, Hall: r.IntN(len(d.Spec.Fleet.Halls)),
-				Heeds: r.Float64() < kind.Heeds})
+			d.Balancers = append(d.Balancers, Balancer{Kind: k, Zone: r.IntN(len(d.Spec.Fleet.Halls)),
+				FollowsAdvice: r.Float64() < kind.Heeds})
 		}
 	}
 }
@@ -194,20 +194,20 @@
 	for i, t := range d.Spec.Troubles {
 		r := Stream(d.Seed, "trouble", uint64(i))
 		e := Event{
-			Kind:  t.Kind,
-			At:    seconds(drawFrom(r, t.AtS)),
-			For:   seconds(drawFrom(r, t.ForS)),
-			Times: drawFrom(r, t.Times),
-			Hall:  -1,
+			Kind:     t.Kind,
+			At:       seconds(drawFrom(r, t.AtS)),
+			Duration: seconds(drawFrom(r, t.ForS)),
+			Factor:   drawFrom(r, t.Times),
+			Zone:     -1,
 		}
 		for h, name := range d.Spec.Fleet.Halls {
 			if name == t.Hall {
-				e.Hall = h
+				e.Zone = h
 			}
 		}
 		var in []int
 		for i, one := range d.Runners {
-			if e.Hall < 0 || one.Hall == e.Hall {
+			if e.Zone < 0 || one.Zone == e.Zone {
 				in = append(in, i)
 			}
 		}
@@ -234,8 +234,8 @@
 		}
 	}
 	for _, e := range d.Events {
-		if e.Kind == Burst && at >= e.At && at < e.At+e.For {
-			v *= e.Times
+		if e.Kind == Burst && at >= e.At && at < e.At+e.Duration {
+			v *= e.Factor
 		}
 	}
 	return v
@@ -267,7 +267,7 @@
 	for at := time.Duration(0); at <= d.Length; at += 100 * time.Millisecond {
 		most = max(most, d.rateFactor(at))
 	}
-	if most*d.Rate <= 0 {
+	if most*d.RequestRate <= 0 {
 		return
 	}
 	burst := drawFrom(Stream(d.Seed, "burstiness", 0), spec.Load.Burstiness)
@@ -275,7 +275,7 @@
 	level := func(at time.Duration) float64 {
 		return min(lognormal(1, burst, Stream(d.Seed, "level", uint64(at/levelFor))), levelMost)
 	}
-	top := most * d.Rate
+	top := most * d.RequestRate
 	if burst > 0 {
 		top *= levelMost
 	}
@@ -293,7 +293,7 @@
 		if at >= d.Length {
 			return
 		}
-		rate := d.rateFactor(at) * d.Rate
+		rate := d.rateFactor(at) * d.RequestRate
 		if burst > 0 {
 			if at/levelFor != levelAt {
 				levelAt, lastLevel = at/levelFor, level(at)
@@ -361,9 +361,9 @@
 
 // drawRequest draws what a request is beside its class, tenant and balancer.
 func (d *Day) drawRequest(a *Arrival, r *rand.Rand, cvs []float64, ranks []float64) {
-	a.Work = lognormal(d.WorkMs[a.Class]*1000, cvs[a.Class], r)
+	a.Work = lognormal(d.MeanWorkMs[a.Class]*1000, cvs[a.Class], r)
 	calls := 0
-	if m := d.CallMean[a.Class]; m > 0 {
+	if m := d.MeanCalls[a.Class]; m > 0 {
 		calls = int(distuv.Poisson{Lambda: m, Src: r}.Rand())
 	}
 	for range calls {
@@ -433,16 +433,16 @@
 				), Idempotency: effects[c.Effect],
 				PriorityWeight:     c.Worth,
 				LateWeightFraction: c.LateWorth,
-				CallsDependency:    d.CallMean[i] > 0},
+				CallsDependency:    d.MeanCalls[i] > 0},
 		)
-		if d.CallMean[i] > 0 {
+		if d.MeanCalls[i] > 0 {
 			set.Dependency = admission.DependencyShared
 		}
 	}
 	if set.Dependency == admission.DependencyShared {
-		set.CallQuota = d.BackEnd.CrashFactor * d.BackEnd.Slots / float64(len(d.Runners))
-		set.CallQuotaWindow = d.BackEnd.CrashWindow
-		set.AbandonedCallTime = d.BackEnd.CancelLinger
+		set.CallQuota = d.Backend.CrashFactor * d.Backend.Slots / float64(len(d.Runners))
+		set.CallQuotaWindow = d.Backend.CrashWindow
+		set.AbandonedCallTime = d.Backend.CancelLinger
 	}
 	all := drawFrom(Stream(d.Seed, "quota", 0), g.QuotaOf) * d.Capacity
 	shares := 0.0
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -112,7 +112,7 @@
 	for i := range d.Arrivals {
 		share.count(&d.Arrivals[i])
 	}
-	d.Rate = float64(len(d.Arrivals)) / d.Spec.LengthS
+	d.RequestRate = float64(len(d.Arrivals)) / d.Spec.LengthS
 }
 
 // Record gives the traffic of a day as a recording, as if one runner had read it all without
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -112,7 +112,7 @@
 	GoneLost float64 `yaml:"gone_lost" json:"gone_lost"`
 }
 
-// BackEnd is what the shared back end is like.
+// Backend is what the shared back end is like.
 type BackEnd struct {
 	Slots Range `yaml:"slots" json:"slots"`
 	// its capacity over the calls of a full fleet
@@ -167,6 +167,13 @@
 	Calls      Range   `yaml:"calls" json:"calls"`   // mean calls of one request
 }
 
+// The values of Class.Effect.
+const (
+	EffectSafe   = "safe"   // idempotent
+	EffectKeyed  = "keyed"  // idempotent by an idempotency key
+	EffectUnsafe = "unsafe" // not idempotent
+)
+
 // Tenant is one customer.
 type Tenant struct {
 	Name  string  `yaml:"name" json:"name"`
@@ -328,8 +335,8 @@
 	return s, nil
 }
 
-// Habit is how balancers of the kind behave; one that heeds or one that does not.
-func (k *BalancerKind) Habit(heeds bool) balance.Behavior {
+// Behavior is how balancers of the kind behave; one that heeds or one that does not.
+func (k *BalancerKind) Behavior(heeds bool) balance.Behavior {
 	return balance.Behavior{
 		Policy:      balance.Policy(k.Choose),
 		Retry:       balance.Retry(k.Retry),
--- a/internal/simulator/fleet/attempt.go
+++ b/internal/simulator/fleet/attempt.go
@@ -10,206 +10,200 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Status is how a runner answered.
-type Status uint8
-
-// Answer is a runner's answer to a try.
-type Answer struct {
-	Status     Status
-	RetryAfter time.Duration // of Refused
-	DoNotRetry bool          // of Refused
-}
-
-// Attempt is one try from its sending to its answer.
+// Attempt is an attempt from its sending to its answer.
 type Attempt struct {
-	Name         string // of the try, once it was read: 16 hex digits
+	Name         string // set once it is read: 16 hexadecimal digits
 	simulation   *Simulation
 	balancer     *balancer
 	sent         *balance.Attempt
 	arrival      *day.Arrival
 	runner       *runner
 	incarnation  *Incarnation  // the one that read it
-	arrivedAt    time.Duration // when it reached the machine
-	readAt       time.Duration // when it was read
-	frozenBefore time.Duration // pauses of the machine before that
-	calls        []float64
+	arrivedAt    time.Duration // at the machine
+	readAt       time.Duration
+	frozenBefore time.Duration // frozen time of the machine before readAt
+	calls        []float64     // work of the calls of its run
 	callsDone    int
 	running      bool
 	answered     bool
-	abandoned    bool // its balancer has given it up, and its runner knows
+	abandoned    bool // by its balancer, and the runner has learned of it
 }
 
-// Class is the number of its class.
-func (j *Attempt) Class() int { return j.arrival.Class }
+// class returns the class of its request.
+func (a *Attempt) class() *day.Class { return &a.simulation.day.Spec.Classes[a.arrival.Class] }
+
+// isClosed reports whether no answer is owed any more.
+func (a *Attempt) isClosed() bool { return a.answered || a.abandoned }
+
+// Class returns the index of its class.
+func (a *Attempt) Class() int { return a.arrival.Class }
 
-// ClassName is the name of its class.
-func (j *Attempt) ClassName() string { return j.simulation.day.Spec.Classes[j.arrival.Class].Name }
+// ClassName returns the name of its class.
+func (a *Attempt) ClassName() string { return a.class().Name }
 
-// TenantName is the name of its tenant.
-func (j *Attempt) TenantName() string { return j.simulation.day.Spec.Tenants[j.arrival.Tenant].Name }
+// TenantName returns the name of its tenant.
+func (a *Attempt) TenantName() string { return a.simulation.day.Spec.Tenants[a.arrival.Tenant].Name }
 
-// Caller is the number of its balancer, from 1.
-func (j *Attempt) Caller() uint32 { return uint32(j.balancer.index + 1) }
+// Caller returns the number of its balancer, from 1.
+func (a *Attempt) Caller() uint32 { return uint32(a.balancer.index + 1) }
 
-// Arrived is the Unix time at which it reached the machine.
-func (j *Attempt) Arrived() wallclock.UnixMicro { return j.simulation.unixOrigin.Add(j.arrivedAt) }
+// Arrived returns when it arrived at the machine.
+func (a *Attempt) Arrived() wallclock.UnixMicro { return a.simulation.unixOrigin.Add(a.arrivedAt) }
 
-// SizeKB is the memory that is booked while it is held.
-func (j *Attempt) SizeKB() float64 { return j.arrival.SizeKB }
+// SizeKB returns the memory that it takes while it is queued.
+func (a *Attempt) SizeKB() float64 { return a.arrival.SizeKB }
 
-// Rank is its place by worth.
-func (j *Attempt) Rank() float64 { return j.arrival.Rank }
+// Rank returns its rank by priority weight, in [0, 1).
+func (a *Attempt) Rank() float64 { return a.arrival.Rank }
 
-// Body is the same for all tries of a request.
-func (j *Attempt) Body() []byte { return requestBody(j.arrival.ID) }
+// Body returns the body, which is the same for all attempts of a request.
+func (a *Attempt) Body() []byte { return requestBody(a.arrival.ID) }
 
-// Key is its dedupe key; empty where its class has none.
-func (j *Attempt) Key() string {
-	if j.simulation.day.Spec.Classes[j.arrival.Class].Effect != "keyed" {
+// Key returns the idempotency key, or "" if the class has none.
+func (a *Attempt) Key() string {
+	if a.class().Effect != day.EffectKeyed {
 		return ""
 	}
-	return fmt.Sprintf("%032x", j.arrival.ID)
+	return fmt.Sprintf("%032x", a.arrival.ID)
 }
 
-// CallWork is the work of the call that its run waits for.
-func (j *Attempt) CallWork() float64 {
-	if j.callsDone < len(j.calls) {
-		return j.calls[j.callsDone]
+// CallWork returns the work of the call for which its run waits.
+func (a *Attempt) CallWork() float64 {
+	if a.callsDone < len(a.calls) {
+		return a.calls[a.callsDone]
 	}
-	return j.simulation.day.CallWork
+	return a.simulation.day.CallWork
 }
 
-// IsRunning tells whether its run is under way.
-func (j *Attempt) IsRunning() bool { return j.running }
+// IsRunning reports whether its run is under way.
+func (a *Attempt) IsRunning() bool { return a.running }
 
-// arrive brings the try to its runner's machine.
-func (j *Attempt) arrive() {
-	l := j.runner.incarnation
+// arrive brings the attempt to its runner's machine.
+func (a *Attempt) arrive() {
+	l := a.runner.incarnation
 	if l == nil || l.closed || !l.process.IsReady() {
-		j.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: -1})
+		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
 		return
 	}
-	j.incarnation, j.arrivedAt = l, j.simulation.now()
-	if !l.machine.Read(j.read) {
-		j.incarnation = nil
-		j.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: -1})
+	a.incarnation, a.arrivedAt = l, a.simulation.now()
+	if !l.machine.Read(a.read) {
+		a.incarnation = nil
+		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
 		return
 	}
-	l.connections[j] = struct{}{}
+	l.connections[a] = struct{}{}
 }
 
-// attemptsRead hands the request to the runner.
-func (j *Attempt) read() {
-	l, s := j.incarnation, j.simulation
-	if l.dead || j.abandoned {
-		delete(l.connections, j)
+// read gives the request to the runner.
+func (a *Attempt) read() {
+	l, s := a.incarnation, a.simulation
+	if l.dead || a.abandoned {
+		delete(l.connections, a)
 		return
 	}
 	s.attemptsRead++
-	j.readAt, j.frozenBefore = s.now(), l.frozenTime()
+	a.readAt, a.frozenBefore = s.now(), l.frozenTime()
 	s.attemptsNamed++
-	j.Name = attemptName(s.attemptsNamed)
-	l.attempts[j.Name] = j
-	l.machine.ReserveMemory(j.Name, j.arrival.SizeKB)
-	l.process.Submit(j)
+	a.Name = attemptName(s.attemptsNamed)
+	l.attempts[a.Name] = a
+	l.machine.ReserveMemory(a.Name, a.arrival.SizeKB)
+	l.process.Submit(a)
 }
 
-// abandon tells the runner that nobody waits.
-func (j *Attempt) abandon() {
-	if j.abandoned = true; j.incarnation == nil || j.incarnation.dead || j.Name == "" || j.answered {
+// abandon tells the runner that the balancer does not wait any more.
+func (a *Attempt) abandon() {
+	a.abandoned = true
+	if a.incarnation == nil || a.incarnation.dead || a.Name == "" || a.answered {
 		return
 	}
-	j.incarnation.machine.ReleaseMemory(j.Name)
-	j.incarnation.process.Abandon(j)
-	j.incarnation.machine.Stop(j.Name)
-	j.incarnation.forgetIfDone(j)
+	a.incarnation.machine.ReleaseMemory(a.Name)
+	a.incarnation.process.Abandon(a)
+	a.incarnation.machine.Stop(a.Name)
+	a.incarnation.forgetIfDone(a)
 }
 
-// Answer takes the one final answer of the runner.
-func (j *Attempt) Answer(a Answer) {
-	l := j.incarnation
-	if j.answered {
-		j.simulation.account.AddViolation(ledger.Duplicate, j.simulation.now(), "%s answered a request twice", j.runner.spec.Name)
+// Answer takes the final answer of the runner. A second one is a violation.
+func (a *Attempt) Answer(answer Answer) {
+	l := a.incarnation
+	if a.answered {
+		a.addViolation(ledger.Duplicate, "%s answered a request twice", l.Name())
 		return
 	}
-	j.answered = true
-	l.machine.ReleaseMemory(j.Name)
-	l.machine.Stop(j.Name)
-	j.checkDeadline("answered")
-	l.forgetIfDone(j)
+	a.answered = true
+	l.machine.ReleaseMemory(a.Name)
+	l.machine.Stop(a.Name)
+	a.checkDeadline("answered")
+	l.forgetIfDone(a)
 	out := balance.Answer{AdvertisedValue: l.advertised}
-	switch a.Status {
+	switch answer.Status {
 	case Served:
 		out.Kind = balance.Served
 	case Rejected:
-		out.Kind, out.RetryAfter, out.DoNotRetry = balance.Rejected, a.RetryAfter, a.DoNotRetry
-		j.simulation.account.CountRejection()
+		out.Kind, out.RetryAfter, out.DoNotRetry = balance.Rejected, answer.RetryAfter, answer.DoNotRetry
+		a.simulation.account.CountRejection()
 	default:
 		out.Kind = balance.Failed
 	}
-	l.sendAnswer(j, out)
+	l.sendAnswer(a, out)
 }
 
-// checkDeadline enters a request that is past its due time without an answer. One that was read past it is
-// owed one at once.
-func (j *Attempt) checkDeadline(what string) {
-	class := &j.simulation.day.Spec.Classes[j.arrival.Class]
-	due := max(j.arrivedAt+millis(class.DeadlineMs), j.readAt) + j.incarnation.frozenTime() - j.frozenBefore
-	over := j.simulation.now() - due - millis(j.simulation.day.Spec.Fleet.SlackMs) - measuringTolerance
-	if over > 0 && !j.abandoned {
-		j.simulation.account.AddViolation(
-			ledger.Lost,
-			j.simulation.now(),
-			"%s: a %s was %s %d ms past its due time",
-			j.runner.spec.Name,
-			class.Name,
-			what,
-			over.Milliseconds(),
-		)
+// checkDeadline records a violation if the answer is later than the rules allow. A request that is
+// read after its deadline is to be answered at once.
+func (a *Attempt) checkDeadline(state string) {
+	class, s := a.class(), a.simulation
+	deadline := max(a.arrivedAt+millis(class.DeadlineMs), a.readAt)
+	deadline += a.incarnation.frozenTime() - a.frozenBefore
+	late := s.now() - deadline - millis(s.day.Spec.Fleet.SlackMs) - measuringTolerance
+	if late > 0 && !a.abandoned {
+		a.addViolation(ledger.Lost, "%s: a %s was %s %d ms past its due time",
+			a.runner.spec.Name, class.Name, state, late.Milliseconds())
 	}
 }
 
-// answerBalancer sends an answer to the balancer.
-func (j *Attempt) answerBalancer(a balance.Answer) {
-	if d, arrives := j.simulation.networkDelay(j.runner.spec.Hall, j.balancer.zone); arrives {
-		j.simulation.clock.After(d, func() { j.deliver(a) })
-		return
+func (a *Attempt) addViolation(rule ledger.Rule, format string, v ...any) {
+	a.simulation.account.AddViolation(rule, a.simulation.now(), format, v...)
+}
+
+// answerBalancer sends an answer over the network. If the network is cut, the connection times out.
+func (a *Attempt) answerBalancer(answer balance.Answer) {
+	delay, arrives := a.simulation.networkDelay(a.runner.spec.Zone, a.balancer.zone)
+	if !arrives {
+		delay, answer = connectTimeout, balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit}
 	}
-	j.simulation.clock.After(connectTimeout, func() { j.deliver(balance.Answer{Kind: balance.Failed, AdvertisedValue: -1}) })
+	a.simulation.clock.After(delay, func() { a.deliver(answer) })
 }
 
-// backend hands an answer to the balancer, if it still waits for one.
-func (j *Attempt) deliver(a balance.Answer) {
-	if j.balancer.attempts[j.sent] == j {
-		delete(j.balancer.attempts, j.sent)
-		j.balancer.policy.Answered(j.sent, a)
+// deliver gives an answer to the balancer, if it still waits for one.
+func (a *Attempt) deliver(answer balance.Answer) {
+	if a.balancer.attempts[a.sent] == a {
+		delete(a.balancer.attempts, a.sent)
+		a.balancer.policy.Answered(a.sent, answer)
 	}
 }
 
-// ConnectionBroke tells that the connection broke before there was an answer.
-func (j *Attempt) ConnectionBroke() {
-	if !j.answered {
-		j.answered = true
-		j.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: -1})
+// ConnectionBroke says that the connection broke before there was an answer.
+func (a *Attempt) ConnectionBroke() {
+	if !a.answered {
+		a.answered = true
+		a.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit})
 	}
 }
 
-// Unreachable tells that the runner took no connection, which proves that nothing ran.
-func (j *Attempt) Unreachable() {
-	if !j.answered {
-		j.answered = true
-		j.incarnation.machine.ReleaseMemory(j.Name)
-		j.incarnation.forgetIfDone(j)
-		j.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: -1})
+// Unreachable says that the runner refused the connection, which proves that nothing ran.
+func (a *Attempt) Unreachable() {
+	if !a.answered {
+		a.answered = true
+		a.incarnation.machine.ReleaseMemory(a.Name)
+		a.incarnation.forgetIfDone(a)
+		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
 	}
 }
 
-// Lost tells that the request is lost by the rules: its connection ended without a whole answer, or
-// with a wrong one.
-func (j *Attempt) Lost(why string) {
-	if !j.answered {
-		j.simulation.account.AddViolation(ledger.Lost, j.simulation.now(), "%s: a %s: %s", j.runner.spec.Name, j.ClassName(), why)
-		j.ConnectionBroke()
-		j.incarnation.forgetIfDone(j)
+// Lost records a violation: the connection ended without a complete answer, or with a wrong one.
+func (a *Attempt) Lost(why string) {
+	if !a.answered {
+		a.addViolation(ledger.Lost, "%s: a %s: %s", a.runner.spec.Name, a.ClassName(), why)
+		a.ConnectionBroke()
+		a.incarnation.forgetIfDone(a)
 	}
 }
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -9,131 +9,151 @@
 	"ryepaddle/internal/simulator/ledger"
 )
 
-// balancer puts one of package balance into the model.
+// balancer connects a balancer of package balance to the simulation. It implements
+// balance.Transport.
 type balancer struct {
 	simulation      *Simulation
 	index           int
 	zone            int
 	usesLoadReports bool
 	policy          *balance.Balancer
-	arrivals        map[uint64]*day.Arrival
-	attempts        map[*balance.Attempt]*Attempt // what is out
-	notices         uint64
+	arrivals        map[uint64]*day.Arrival       // not finished
+	attempts        map[*balance.Attempt]*Attempt // not answered
+	notices         uint64                        // of the registry so far
 }
 
 func (s *Simulation) newBalancer(i int) *balancer {
-	at := s.day.Balancers[i]
-	kind := s.day.Spec.Balancers[at.Kind]
-	if s.options.BalancerKinds != nil {
-		kind = s.options.BalancerKinds[at.Kind]
+	drawn := s.day.Balancers[i]
+	kind, followsAdvice := s.day.Spec.Balancers[drawn.Kind], drawn.FollowsAdvice
+	if s.options.BalancerKinds != nil { // the draw stays that of the day, with another share
+		kind = s.options.BalancerKinds[drawn.Kind]
+		followsAdvice = day.Unit(s.day.Seed, "heeds", uint64(i)) < kind.Heeds
 	}
 	b := &balancer{
 		simulation:      s,
 		index:           i,
-		zone:            at.Hall,
+		zone:            drawn.Zone,
 		usesLoadReports: kind.Choose == string(balance.LeastReportedLoad),
 		arrivals:        map[uint64]*day.Arrival{},
 		attempts:        map[*balance.Attempt]*Attempt{},
 	}
 	seed := s.day.Seed ^ s.options.BalancerSeed
-	heeds := at.Heeds
-	if s.options.BalancerKinds != nil { // the draw is the day's, the share may be another
-		heeds = day.Unit(s.day.Seed, "heeds", uint64(i)) < kind.Heeds
+	draw := func(request uint64, number, purpose int) float64 {
+		return day.Unit(seed, "choice", request<<24^uint64(number)<<14^uint64(purpose))
 	}
-	draw := func(request uint64, no, what int) float64 {
-		return day.Unit(seed, "choice", request<<24^uint64(no)<<14^uint64(what))
-	}
-	b.policy = balance.New(uint64(i)+1, len(s.runners), kind.Habit(heeds), s.clock, b, draw)
+	b.policy = balance.New(uint64(i)+1, len(s.runners), kind.Behavior(followsAdvice), s.clock, b, draw)
+	b.watchRegistry()
+	return b
+}
+
+// watchRegistry has the balancer learn of changes of the list after drawn delays.
+func (b *balancer) watchRegistry() {
+	s := b.simulation
 	notice := s.day.Spec.Roster.NoticeS
-	s.registry.Watch(func() time.Duration {
+	delay := func() time.Duration {
 		b.notices++
-		u := day.Unit(s.day.Seed, "notice"+strconv.Itoa(i), b.notices)
+		u := day.Unit(s.day.Seed, "notice"+strconv.Itoa(b.index), b.notices)
 		return seconds(notice.Lo + (notice.Hi-notice.Lo)*u)
-	}, func(name string, listed bool) {
+	}
+	s.registry.Watch(delay, func(name string, listed bool) {
 		for _, r := range s.runners {
 			if r.spec.Name == name {
 				b.policy.SetListed(r.index, listed)
 			}
 		}
 	})
-	return b
 }
 
-func (b *balancer) submit(a *day.Arrival) {
-	class := &b.simulation.day.Spec.Classes[a.Class]
-	b.arrivals[a.ID] = a
-	b.policy.Submit(
-		&balance.Request{ID: a.ID, Key: a.ID, Idempotent: class.Effect == "safe", Keyed: class.Effect == "keyed",
-			Deadline: millis(class.DeadlineMs)},
-	)
+// submit starts the request of a client.
+func (b *balancer) submit(arrival *day.Arrival) {
+	class := &b.simulation.day.Spec.Classes[arrival.Class]
+	b.arrivals[arrival.ID] = arrival
+	b.policy.Submit(&balance.Request{
+		ID:         arrival.ID,
+		Key:        arrival.ID,
+		Idempotent: class.Effect == day.EffectSafe,
+		Keyed:      class.Effect == day.EffectKeyed,
+		Deadline:   millis(class.DeadlineMs),
+	})
 }
 
-// Send puts a try on the network.
+// Send implements balance.Transport.
 func (b *balancer) Send(t *balance.Attempt) {
 	s := b.simulation
 	s.account.CountAttempt()
 	r := s.runners[t.Server]
-	j := &Attempt{simulation: s, balancer: b, sent: t, arrival: b.arrivals[t.Request.ID], runner: r}
-	b.attempts[t] = j
-	d, arrives := s.networkDelay(b.zone, r.spec.Hall)
+	a := &Attempt{simulation: s, balancer: b, sent: t, arrival: b.arrivals[t.Request.ID], runner: r}
+	b.attempts[t] = a
+	delay, arrives := s.networkDelay(b.zone, r.spec.Zone)
 	if !arrives {
-		s.clock.After(connectTimeout, func() { j.deliver(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: -1}) })
+		s.clock.After(connectTimeout, func() {
+			a.deliver(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
+		})
 		return
 	}
-	s.clock.After(d, j.arrive)
+	s.clock.After(delay, a.arrive)
 }
 
-// Abort takes a try back. The runner hears of it late, or never.
+// Abort implements balance.Transport. The runner learns of it after a delay, or never.
 func (b *balancer) Abort(t *balance.Attempt) {
-	j := b.attempts[t]
+	s, a := b.simulation, b.attempts[t]
 	delete(b.attempts, t)
-	if j == nil {
+	if a == nil {
 		return
 	}
-	f, u := &b.simulation.day.Spec.Fleet, day.Unit(b.simulation.day.Seed^b.simulation.options.BalancerSeed, "gone", t.Request.ID<<8^uint64(t.Number))
-	if u < f.GoneLost {
+	spec := &s.day.Spec.Fleet
+	u := day.Unit(s.day.Seed^s.options.BalancerSeed, "gone", t.Request.ID<<8^uint64(t.Number))
+	if u < spec.GoneLost {
 		return
 	}
-	late := f.TellsGoneMs.Lo + (f.TellsGoneMs.Hi-f.TellsGoneMs.Lo)*u
-	b.simulation.clock.After(millis(late), j.abandon)
+	delay := millis(spec.TellsGoneMs.Lo + (spec.TellsGoneMs.Hi-spec.TellsGoneMs.Lo)*u)
+	s.clock.After(delay, a.abandon)
 }
 
-// Check asks a runner how it is.
-func (b *balancer) Check(i int) {
-	r := b.simulation.runners[i]
-	done := false
-	tell := func(good bool) {
-		if !done {
-			done = true
-			b.policy.Checked(i, good)
+// Check implements balance.Transport. A check is read by the machine like a request.
+func (b *balancer) Check(server int) {
+	s, r := b.simulation, b.simulation.runners[server]
+	ended := false
+	end := func(healthy bool) {
+		if !ended {
+			ended = true
+			b.policy.Checked(server, healthy)
 		}
 	}
-	b.simulation.clock.After(checkTimeout, func() { tell(false) })
-	d, arrives := b.simulation.networkDelay(b.zone, r.spec.Hall)
+	s.clock.After(checkTimeout, func() { end(false) })
+	delay, arrives := s.networkDelay(b.zone, r.spec.Zone)
 	if !arrives {
 		return
 	}
-	b.simulation.clock.After(d, func() {
+	s.clock.After(delay, func() {
 		l := r.incarnation
 		if l == nil || l.closed || !l.process.IsReady() {
-			b.simulation.clock.After(d, func() { tell(false) })
+			s.clock.After(delay, func() { end(false) })
 			return
 		}
-		l.machine.Read(func() { // a check is read like a request
-			l.process.Check(b.index+1, func(good bool) { b.simulation.clock.After(d, func() { tell(good && !l.dead) }) })
+		l.machine.Read(func() {
+			l.process.Check(b.index+1, func(healthy bool) {
+				s.clock.After(delay, func() { end(healthy && !l.dead) })
+			})
 		})
 	})
 }
 
-var causes = map[balance.Outcome]ledger.Cause{balance.EndServed: ledger.WithinObjective, balance.EndRejected: ledger.Rejected,
-	balance.EndFailed: ledger.Failed, balance.EndTimedOut: ledger.TimedOut, balance.EndUnsent: ledger.Unsent}
+// causes maps the outcomes of requests to the causes of the account.
+var causes = map[balance.Outcome]ledger.Cause{
+	balance.EndServed:   ledger.WithinObjective,
+	balance.EndRejected: ledger.Rejected,
+	balance.EndFailed:   ledger.Failed,
+	balance.EndTimedOut: ledger.TimedOut,
+	balance.EndUnsent:   ledger.Unsent,
+}
 
-// Finish ends a first try.
-func (b *balancer) Finish(r *balance.Request, e balance.Outcome, by *balance.Attempt) {
-	a := b.arrivals[r.ID]
+// Finish implements balance.Transport.
+func (b *balancer) Finish(r *balance.Request, outcome balance.Outcome, _ *balance.Attempt) {
+	s, arrival := b.simulation, b.arrivals[r.ID]
 	delete(b.arrivals, r.ID)
-	b.simulation.account.EndRequest(r.ID, causes[e], b.simulation.now()-a.At)
-	if e == balance.EndServed {
-		b.simulation.account.AddUsefulWork(a.Work + b.simulation.readWork())
+	s.account.EndRequest(r.ID, causes[outcome], s.now()-arrival.At)
+	if outcome == balance.EndServed {
+		s.account.AddUsefulWork(arrival.Work + s.readWork())
 	}
 }
--- a/internal/simulator/fleet/bench_test.go
+++ b/internal/simulator/fleet/bench_test.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// BenchmarkDay plays a minute of fleets of up to 200 runners at 10 requests a second each, and
-// tells the events played a second and what is allocated for one. The day itself is drawn ahead.
+// BenchmarkDay simulates a minute of fleets of up to 200 runners at 10 requests per second each. It
+// reports the events per second. The day is drawn beforehand.
 func BenchmarkDay(b *testing.B) {
 	for _, n := range []int{12, 25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
--- a/internal/simulator/fleet/inprocess.go
+++ b/internal/simulator/fleet/inprocess.go
@@ -15,53 +15,50 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// inProcessRunner is a runner in this process: the real core with the real module, on the stage's clock.
+// inProcessRunner is a runner in this process: the program's own request lifecycle and admission on
+// the clock of the simulation.
 type inProcessRunner struct {
 	incarnation *Incarnation
 	simulation  *Simulation
 	manager     *lifecycle.Manager
-	requests    map[string]*hostedRequest
+	requests    map[string]*hostedRequest // by the name of the attempt
 	healthy     bool
 }
 
-// hostedRequest is what inside keeps of one job.
+// hostedRequest is an attempt in an inProcessRunner.
 type hostedRequest struct {
 	attempt *Attempt
 	ticket  lifecycle.Ticket
-	run     *lifecycle.Attempt
-	call    *dependencyCall
+	run     *lifecycle.Attempt // nil: it does not run
+	call    *dependencyCall    // nil: its run makes none
 }
 
+// dependencyCall is a call of a run to the back end.
 type dependencyCall struct {
-	backendCall *dependencies.Call
-	timer       virtualclock.Timer
+	backendCall *dependencies.Call // nil: it has not arrived there
+	timer       virtualclock.Timer // of its timeout
 	startedAt   time.Duration
 	ended       bool
 }
 
-// launchInProcess starts a runner in this process.
-func launchInProcess(l *Incarnation, set admission.Settings) (Process, error) {
+// launchInProcess implements Launch.
+func launchInProcess(l *Incarnation, settings admission.Settings) (Process, error) {
 	s := l.runner.simulation
 	p := &inProcessRunner{incarnation: l, simulation: s, requests: map[string]*hostedRequest{}, healthy: true}
+	seed := day.Mix(s.day.Seed, l.Name(), l.runner.incarnations)
 	var err error
-	p.manager, err = lifecycle.New(set, day.Mix(s.day.Seed, l.runner.spec.Name, l.runner.incarnations), lifecycle.Environment{
+	p.manager, err = lifecycle.New(settings, seed, lifecycle.Environment{
 		Now:        s.clock.Now,
 		Unix:       func() wallclock.UnixMicro { return s.unixOrigin.Add(s.now()) },
-		After:      func(d time.Duration, fn func()) func() { return l.after(d, fn) },
+		After:      func(d time.Duration, fn func()) func() { return l.after(d, fn).Stop },
 		Measure:    func(fn func(lifecycle.Gauges)) { l.after(2*linkDelay, func() { fn(p.gauges()) }) },
-		SetHealth:  func(_, good bool) { p.healthy = good },
+		SetHealth:  func(_, healthy bool) { p.healthy = healthy },
 		Advertise:  l.Advertise,
 		CloseIdle:  func(time.Duration) {}, // connections are not modelled
 		Route:      func(int) lifecycle.Runner { return engineLink{p} },
 		Dependency: p,
-		Log: func(e *logging.Event, values ...any) {
-			s.options.Log(
-				s.now(),
-				l.runner.spec.Name,
-				e.FormatLine(values...),
-			)
-		},
-		KeyLimits: s.options.Limits,
+		Log:        func(e *logging.Event, values ...any) { s.log(l.runner, e.FormatLine(values...)) },
+		KeyLimits:  s.options.Limits,
 	})
 	if err != nil {
 		return nil, err
@@ -70,7 +67,7 @@
 	return p, nil
 }
 
-// gauges are what the module is told of the machine.
+// gauges returns the measurements of the machine.
 func (p *inProcessRunner) gauges() lifecycle.Gauges {
 	g := p.incarnation.machine.Gauges()
 	if math.IsNaN(g.CPU) {
@@ -88,23 +85,22 @@
 func (p *inProcessRunner) IsReady() bool { return true }
 
 // Submit implements Process.
-func (p *inProcessRunner) Submit(j *Attempt) {
-	h := &hostedRequest{attempt: j}
-	p.requests[j.Name] = h
-	tenant, _ := p.manager.Tenant(j.TenantName())
-	q := &lifecycle.Request{
-		ID:        j.Name,
-		Class:     j.Class(),
+func (p *inProcessRunner) Submit(a *Attempt) {
+	h := &hostedRequest{attempt: a}
+	p.requests[a.Name] = h
+	tenant, _ := p.manager.Tenant(a.TenantName())
+	h.ticket = p.manager.Submit(&lifecycle.Request{
+		ID:        a.Name,
+		Class:     a.Class(),
 		Tenant:    tenant,
-		Caller:    j.Caller(),
-		ArrivedAt: j.Arrived(),
-		SizeKB:    j.SizeKB(),
-		Rank:      j.Rank(),
-		Key:       j.Key(),
-		Body:      j.Body(),
+		Caller:    a.Caller(),
+		ArrivedAt: a.Arrived(),
+		SizeKB:    a.SizeKB(),
+		Rank:      a.Rank(),
+		Key:       a.Key(),
+		Body:      a.Body(),
 		Responder: h,
-	}
-	h.ticket = p.manager.Submit(q)
+	})
 }
 
 // Answer implements lifecycle.Responder.
@@ -113,79 +109,81 @@
 	case lifecycle.Served:
 		h.attempt.Answer(Answer{Status: Served})
 	case lifecycle.Rejected:
-		h.attempt.Answer(Answer{Status: Rejected, RetryAfter: a.RetryAfter.Truncate(time.Microsecond), DoNotRetry: a.DoNotRetry})
+		retryAfter := a.RetryAfter.Truncate(virtualclock.Resolution)
+		h.attempt.Answer(Answer{Status: Rejected, RetryAfter: retryAfter, DoNotRetry: a.DoNotRetry})
 	default:
 		h.attempt.Answer(Answer{Status: Failed})
 	}
 }
 
 // Abandon implements Process.
-func (p *inProcessRunner) Abandon(j *Attempt) { p.manager.Abandon(p.requests[j.Name].ticket) }
+func (p *inProcessRunner) Abandon(a *Attempt) { p.manager.Abandon(p.requests[a.Name].ticket) }
 
 // Forget implements Process.
-func (p *inProcessRunner) Forget(j *Attempt) { delete(p.requests, j.Name) }
+func (p *inProcessRunner) Forget(a *Attempt) { delete(p.requests, a.Name) }
 
 // Check implements Process.
-func (p *inProcessRunner) Check(_ int, done func(good bool)) { done(p.healthy) }
+func (p *inProcessRunner) Check(_ int, done func(healthy bool)) { done(p.healthy) }
 
 // Drain implements Process.
-func (p *inProcessRunner) Drain(stop time.Duration) { p.manager.Drain(stop) }
+func (p *inProcessRunner) Drain(timeout time.Duration) { p.manager.Drain(timeout) }
 
-// Kill implements Process. The back end hears the connections close.
+// Kill implements Process. Its calls are canceled at the back end, whose connections break.
 func (p *inProcessRunner) Kill() {
-	for _, j := range sortedAttempts(p.requests, func(_ string, h *hostedRequest) *Attempt { return h.attempt }) {
-		if c := p.requests[j.Name].call; c != nil {
+	for _, a := range sortedAttempts(p.requests, func(_ string, h *hostedRequest) *Attempt { return h.attempt }) {
+		if c := p.requests[a.Name].call; c != nil {
 			c.cancel(p.simulation.backend)
 		}
 	}
 }
 
 // Needs implements Process.
-func (p *inProcessRunner) Needs(j *Attempt) {
+func (p *inProcessRunner) Needs(a *Attempt) {
 	p.incarnation.after(linkDelay, func() {
-		if h := p.requests[j.Name]; h != nil && h.run != nil {
-			p.manager.NeedsCall(h.run, []byte(j.Name))
+		if h := p.requests[a.Name]; h != nil && h.run != nil {
+			p.manager.NeedsCall(h.run, []byte(a.Name))
 		}
 	})
 }
 
 // Ended implements Process.
-func (p *inProcessRunner) Ended(j *Attempt, e dependencies.RunOutcome) {
-	h := p.requests[j.Name] // it may be forgotten by then, and the core is still to hear of the end
+func (p *inProcessRunner) Ended(a *Attempt, outcome dependencies.RunOutcome) {
+	h := p.requests[a.Name] // may be forgotten before the manager learns of the end
 	p.incarnation.after(linkDelay, func() {
-		a := h.run
+		run := h.run
 		h.run = nil
-		if e == dependencies.RunSucceeded {
-			p.manager.AttemptEnded(a, lifecycle.Succeeded, &lifecycle.Result{Status: 200})
+		if outcome == dependencies.RunSucceeded {
+			p.manager.AttemptEnded(run, lifecycle.Succeeded, &lifecycle.Result{Status: 200})
 		} else {
-			p.manager.AttemptEnded(a, lifecycle.Canceled, nil)
+			p.manager.AttemptEnded(run, lifecycle.Canceled, nil)
 		}
 	})
 }
 
-// engineLink is the link to the machine's engine, as the core knows it.
+// engineLink is the link between an inProcessRunner and the engine of its machine.
 type engineLink struct{ *inProcessRunner }
 
 // Run implements lifecycle.Runner.
-func (p engineLink) Run(a *lifecycle.Attempt) {
-	h := p.requests[a.Request.ID]
-	h.run = a
+func (p engineLink) Run(run *lifecycle.Attempt) {
+	h := p.requests[run.Request.ID]
+	h.run = run
 	p.incarnation.after(linkDelay, func() {
 		if !p.incarnation.Run(h.attempt.Name) {
 			h.run = nil
-			p.manager.AttemptEnded(a, lifecycle.NotStarted, nil)
+			p.manager.AttemptEnded(run, lifecycle.NotStarted, nil)
 		}
 	})
 }
 
-// Abandon implements lifecycle.Runner: the engine knows by itself that the request is over.
+// Abandon implements lifecycle.Runner. The engine learns by itself that the request is over.
 func (p engineLink) Abandon(*lifecycle.Attempt) {}
 
 // Resume implements lifecycle.Resumer.
-func (p engineLink) Resume(a *lifecycle.Attempt, _ []byte) {
-	p.incarnation.after(linkDelay, func() { p.incarnation.Resume(a.Request.ID) })
+func (p engineLink) Resume(run *lifecycle.Attempt, _ []byte) {
+	p.incarnation.after(linkDelay, func() { p.incarnation.Resume(run.Request.ID) })
 }
 
+// callOutcomes maps outcomes of the back end to those of the request lifecycle.
 var callOutcomes = map[dependencies.CallOutcome]lifecycle.Outcome{
 	dependencies.CallSucceeded:   lifecycle.Succeeded,
 	dependencies.CallRejected:    lifecycle.CallRejected,
@@ -194,44 +192,44 @@
 }
 
 // Call implements lifecycle.Dependency.
-func (p *inProcessRunner) Call(a *lifecycle.Attempt, _ []byte, patience time.Duration) {
-	s, h := p.simulation, p.requests[a.Request.ID]
+func (p *inProcessRunner) Call(run *lifecycle.Attempt, _ []byte, timeout time.Duration) {
+	s, h := p.simulation, p.requests[run.Request.ID]
 	c := &dependencyCall{startedAt: s.clock.Now()}
 	h.call = c
-	finish := func(o lifecycle.Outcome) {
+	end := func(outcome lifecycle.Outcome) {
 		if c.ended || p.incarnation.dead {
 			return
 		}
 		c.ended, h.call = true, nil
 		c.timer.Stop()
-		p.manager.CallEnded(a, o, nil, s.clock.Now()-c.startedAt)
+		p.manager.CallEnded(run, outcome, nil, s.clock.Now()-c.startedAt)
 	}
-	c.timer = s.clock.After(patience, func() {
+	c.timer = s.clock.After(timeout, func() {
 		if !c.ended && c.backendCall != nil {
 			s.backend.Cancel(c.backendCall)
 		}
-		finish(lifecycle.TimedOut)
+		end(lifecycle.TimedOut)
 	})
 	work := h.attempt.CallWork()
 	s.clock.After(backendDelay, func() {
-		if !c.ended {
-			c.backendCall = s.backend.Call(
-				work,
-				func(r dependencies.CallOutcome) { s.clock.After(backendDelay, func() { finish(callOutcomes[r]) }) },
-			)
+		if c.ended {
+			return
 		}
+		c.backendCall = s.backend.Call(work, func(outcome dependencies.CallOutcome) {
+			s.clock.After(backendDelay, func() { end(callOutcomes[outcome]) })
+		})
 	})
 }
 
 // CancelCall implements lifecycle.Dependency.
-func (p *inProcessRunner) CancelCall(a *lifecycle.Attempt) {
-	if h := p.requests[a.Request.ID]; h != nil && h.call != nil {
+func (p *inProcessRunner) CancelCall(run *lifecycle.Attempt) {
+	if h := p.requests[run.Request.ID]; h != nil && h.call != nil {
 		h.call.cancel(p.simulation.backend)
 		h.call = nil
 	}
 }
 
-// cancel ends a call of which nothing is to be heard any more.
+// cancel gives up a call, whose outcome is not reported any more.
 func (c *dependencyCall) cancel(b *dependencies.Backend) {
 	c.ended = true
 	c.timer.Stop()
@@ -240,8 +238,8 @@
 	}
 }
 
-// requestBody is the body of all tries of a request, which tells it from others.
+// requestBody returns the body of all attempts of a request, which is unlike that of any other.
 func requestBody(id uint64) []byte { return binary.LittleEndian.AppendUint64(nil, id) }
 
-// attemptName is the id of a try: 16 hex digits.
+// attemptName returns the name of the n-th attempt: 16 hexadecimal digits.
 func attemptName(n uint64) string { return strconv.FormatUint(1<<60|n, 16) }
--- a/internal/simulator/fleet/ruleprobe_test.go
+++ b/internal/simulator/fleet/ruleprobe_test.go
@@ -10,7 +10,7 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// ruleProbe is a model with one runner, whose engine is told to run what a faulty core might.
+// ruleProbe is a simulation in which a test runs what a faulty runner might.
 type ruleProbe struct {
 	t           testing.TB
 	simulation  *Simulation
@@ -26,25 +26,25 @@
 	return &ruleProbe{t: t, simulation: s, incarnation: s.runners[0].incarnation}
 }
 
-// run tells the engine to run a hand-in that came at a time.
-func (p *ruleProbe) run(id uint64, came time.Duration) {
+// run has the engine run a keyed request that arrived at a time.
+func (p *ruleProbe) run(id uint64, arrivedAt time.Duration) {
 	class := -1
 	for i, c := range p.simulation.day.Spec.Classes {
-		if c.Effect == "keyed" {
+		if c.Effect == day.EffectKeyed {
 			class = i
 		}
 	}
 	p.runs++
-	j := &Attempt{
+	a := &Attempt{
 		simulation:  p.simulation,
 		arrival:     &day.Arrival{ID: id, Class: class, Work: 1000},
 		runner:      p.incarnation.runner,
 		incarnation: p.incarnation,
-		arrivedAt:   came,
+		arrivedAt:   arrivedAt,
 		Name:        strconv.Itoa(p.runs),
 	}
-	p.incarnation.attempts[j.Name] = j
-	p.incarnation.Run(j.Name)
+	p.incarnation.attempts[a.Name] = a
+	p.incarnation.Run(a.Name)
 }
 
 func (p *ruleProbe) close() *ledger.Result {
--- a/internal/simulator/fleet/fleet_test.go
+++ b/internal/simulator/fleet/simulation_test.go
@@ -15,7 +15,7 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// smallDay is a day that is played in some milliseconds. more is added to it.
+// smallDay is a day that takes milliseconds to simulate, with more appended to its text.
 func smallDay(t testing.TB, more string) *day.Spec {
 	t.Helper()
 	text := "name: small\nlength_s: 12\nwindow_s: 4\nfleet: {runners: 5, restart_s: 2, cold_s: 6}\n" + more
@@ -61,8 +61,8 @@
   - {kind: cut, at_s: 8, for_s: 1.5, hall: solna}
 `
 
-// A day is the same to the byte each time, whatever else is played beside it, troubles and all.
-func TestADayIsTheSameEachTime(t *testing.T) {
+// The result is the same to the byte, whatever else is simulated at the same time.
+func TestDayIsDeterministic(t *testing.T) {
 	s := smallDay(t, troubles)
 	want := make([]string, 4)
 	for i := range want {
@@ -84,9 +84,8 @@
 	}
 }
 
-// Each habit of balancers gets through a troubled day with every first try ended once (Play reports
-// what does not add up) and with the rules kept.
-func TestAllHabitsKeepTheAccount(t *testing.T) {
+// Play returns an error if a request does not end exactly once.
+func TestRulesHoldWithAllBehaviorsOfBalancers(t *testing.T) {
 	for _, b := range []string{
 		"{count: 3, choose: round, retry: limitless, pause_ms: 20}",
 		"{count: 3, choose: least, retry: bounded, tries: 3, retry_budget: 0.2, heeds: 1, eject_after: 5}",
@@ -102,18 +101,25 @@
 				t.Errorf("rules %v: %v", r.Rules, r.Notes)
 			}
 			if r.All.First < 300 || r.Worth < 0.1 || r.Tries < r.All.First/2 {
-				t.Errorf("%d first tries, %d tries, worth %.3f", r.All.First, r.Tries, r.Worth)
+				t.Errorf("%d requests, %d attempts, worth %.3f", r.All.First, r.Tries, r.Worth)
 			}
 		})
 	}
 }
 
-// Retries that feed on themselves: balancers that heed nothing and try on without limit. A burst
-// starts a storm that is many tries deep while it lasts and for a while after, and ends when the
-// load is low again.
-func TestAStormAppearsLastsAndEnds(t *testing.T) {
+// Balancers that follow no advice retry without limit. A burst starts a retry storm, which outlasts
+// the burst and ends when the load is low again.
+func TestRetryStormAppearsLastsAndEnds(t *testing.T) {
 	text := `
-load: {of_capacity: 0.5, curve: [{at_s: 0, times: 1}, {at_s: 5.9, times: 1}, {at_s: 6, times: 4}, {at_s: 14, times: 4}, {at_s: 14.1, times: 1}, {at_s: 40, times: 1}]}
+load:
+  of_capacity: 0.5
+  curve:
+    - {at_s: 0, times: 1}
+    - {at_s: 5.9, times: 1}
+    - {at_s: 6, times: 4}
+    - {at_s: 14, times: 4}
+    - {at_s: 14.1, times: 1}
+    - {at_s: 40, times: 1}
 balancers:
   - {count: 3, choose: round, retry: RETRY, tries: 2, retry_budget: 0.1, pause_ms: 20, patience: 0.5}
 `
@@ -129,8 +135,7 @@
 		}
 		return got / asked
 	}
-	// The burst is over at 14 s; from then on the load is what it was before, at which all were
-	// served.
+	// The burst ends at 14 s. From then on the load is that of before, at which all were served.
 	for _, c := range []struct {
 		what        string
 		from, to    int
@@ -161,9 +166,8 @@
 	return s
 }
 
-// A fifth dies in mid-run: what was out there breaks and is tried elsewhere, the rest takes over,
-// and they come back.
-func TestAFifthDies(t *testing.T) {
+// The attempts at the crashed runners break and are retried elsewhere.
+func TestFleetServesThroughACrashOfAFifth(t *testing.T) {
 	var log []string
 	s := smallDay(t, "load: {of_capacity: 0.45}\ntroubles:\n  - {kind: crash, at_s: 5, for_s: 3, part: 0.2}")
 	r := play(t, s, 2, Options{Log: func(at time.Duration, runner, text string) {
@@ -177,7 +181,7 @@
 	}
 	if r.Broken != 0 || r.Tries <= calm.Tries || r.Worth > calm.Worth || r.Worth < calm.Worth-0.15 {
 		t.Errorf(
-			"worth %.3f with %d tries, without the trouble %.3f with %d; rules %v",
+			"worth %.3f with %d attempts, without the fault %.3f with %d; rules %v",
 			r.Worth,
 			r.Tries,
 			calm.Worth,
@@ -187,33 +191,33 @@
 	}
 }
 
-func TestADayWithoutAClass(t *testing.T) {
+func TestClassWithoutRequestsDoesNotCount(t *testing.T) {
 	r := play(t, smallDay(t, `
 classes:
   - {name: check, share: 1, work_ms: 200, aim_ms: 2700, deadline_ms: 9000, worth: 1, effect: safe}
-  - {name: never, share: 0, work_ms: 200, aim_ms: 2700, deadline_ms: 9000, worth: 5, effect: keyed, window_ms: 9000}`), 1,
-		Options{})
+  - {name: never, share: 0, work_ms: 200, aim_ms: 2700, deadline_ms: 9000, worth: 5, effect: keyed,
+     window_ms: 9000}`), 1, Options{})
 	if r.Classes[1].First != 0 || r.Classes[1].Served != 1 || r.WorstClass < 0.9 {
 		t.Errorf("%+v, worst class %v", r.Classes, r.WorstClass)
 	}
 	if r := play(t, smallDay(t, "load: {of_capacity: 0}"), 1, Options{}); r.All.First != 0 || r.Broken != 0 {
-		t.Errorf("a day without traffic: %+v", r.Result)
+		t.Errorf("a day without requests: %+v", r.Result)
 	}
 }
 
-// The checks of the rules are the model's own: a core that runs what it must not is found out.
-func TestRulesAreChecked(t *testing.T) {
+// The rules are checked by the model itself: it finds a runner that runs too much.
+func TestViolationsByACrashAreFound(t *testing.T) {
 	s := smallDay(t, "")
 	for _, c := range []struct {
 		name string
 		opt  Options
 		rule string
 	}{
-		{"a crowd", Options{Settings: func(set *admission.Settings) {
+		{"concurrency", Options{Settings: func(set *admission.Settings) {
 			set.Cores, set.MaxRunningPerCore, set.MemoryKB, set.Parameters.RunningLimitShare = 200, 1000, 1e12, 1
 		}}, "fall-over"},
 		{
-			"calls without bound",
+			"calls without limit",
 			Options{Settings: func(set *admission.Settings) { set.CallQuota = 1000 }},
 			"backend",
 		},
@@ -226,7 +230,7 @@
 			}
 			over := *s
 			over.Load.OfCapacity = day.Range{Lo: 2, Hi: 2}
-			over.Fleet.ReadShare = day.Range{} // or reading alone keeps the crowd out
+			over.Fleet.ReadShare = day.Range{} // or reading alone limits the concurrency
 			over.Classes = slices.Clone(s.Classes)
 			for i := range over.Classes {
 				if c.rule != "backend" {
@@ -245,8 +249,9 @@
 	}
 }
 
-// A run of a key that has run is a broken rule, and so is one of what came too late for a drain.
-func TestRunsAreChecked(t *testing.T) {
+// A second run of a key within its window is a violation, and so is a run of a request that arrived
+// too late in a drain.
+func TestViolationsByARunAreFound(t *testing.T) {
 	f := newRuleProbe(t, day.Draw(smallDay(t, ""), 1))
 	f.run(3, 0)
 	f.run(3, 5*time.Second) // within the window of 13 s
--- a/internal/testing/daytest/process.go
+++ b/internal/testing/daytest/process.go
@@ -67,7 +67,7 @@
 		"backend":  r.backend.addr.String(),
 		"roster":   r.roster.LocalAddr().String(),
 		"seed":     fmt.Sprintf("%016x", r.starts),
-		"stop_ms":  r.stage.StopMs(),
+		"stop_ms":  virtualclock.Micros(r.stage.StopTimeout()) / 1000,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings": Settings(&set),
 	}
