--- a/cmd/runner/beside_test.go
+++ b/cmd/runner/beside_test.go
@@ -326,7 +326,7 @@
 func TestClassesChangeUnderLoad(t *testing.T) {
 	t.Parallel()
 	p := newPair(t)
-	r := p.start(scenario.NewCountingServer(t, 3*time.Millisecond, &scenario.Runs{}).Listener.Addr().String())
+	r := p.start(scenario.NewCountingEngine(t, 3*time.Millisecond, &scenario.RunCounts{}).Listener.Addr().String())
 	var ids atomic.Int64
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -339,7 +339,7 @@
 				default:
 				}
 				id := fmt.Sprintf("%016x", ids.Add(1))
-				status, body, err := scenario.Try(p.addr, id, class, id)
+				status, body, err := scenario.SendRequest(p.addr, id, class, id)
 				switch {
 				case err != nil:
 					t.Errorf("%s: %v", class, err)
@@ -379,9 +379,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newPair(t)
-			runs := &scenario.Runs{}
+			runs := &scenario.RunCounts{}
 			engine := func() string {
-				return scenario.NewCountingServer(
+				return scenario.NewCountingEngine(
 					t,
 					3*time.Millisecond,
 					runs,
@@ -448,7 +448,7 @@
 }
 
 func (p *pair) tryKey(ids, served, broken *atomic.Int64, key string) {
-	status, body, err := scenario.Try(p.addr, fmt.Sprintf("%016x", ids.Add(1)), "hand-in", key)
+	status, body, err := scenario.SendRequest(p.addr, fmt.Sprintf("%016x", ids.Add(1)), "hand-in", key)
 	switch {
 	case err != nil:
 		broken.Add(1)
--- a/cmd/runner/crossing_test.go
+++ b/cmd/runner/crossing_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	p.elsewhere = map[string]any{
-		"engine":  engine.Elsewhere(t),
+		"engine":  engine.NewAddress(t),
 		"backend": after.Listener.Addr().String(),
 		"roster":  nobody(t),
 	}
--- a/cmd/runner/main_test.go
+++ b/cmd/runner/main_test.go
@@ -339,7 +339,7 @@
 		"two": two.Listener.Addr().String(),
 		"bad": "nowhere",
 	}
-	p.elsewhere = map[string]any{"engine": engine.Elsewhere(t), "backend": after.Listener.Addr().String()}
+	p.elsewhere = map[string]any{"engine": engine.NewAddress(t), "backend": after.Listener.Addr().String()}
 	actors := map[string]scenario.Actor{
 		"runner":  p,
 		"engine":  engine,
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -74,7 +74,7 @@
 // passUntilStopped lets time pass until the loop has stopped, or for limit.
 func passUntilStopped(s *scenario.SteppedLoop, limit time.Duration) {
 	for end := s.Now() + limit; !s.IsStopped() && s.Now() < end; {
-		s.Pass(drainPollInterval)
+		s.Advance(drainPollInterval)
 	}
 }
 
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -28,7 +28,7 @@
 func (p *peer) Closed(error) {}
 
 // expect runs the loop until the peer has read to an orderly end, and compares what it read.
-func expect(t testing.TB, s *scenario.SteppedLoop, got <-chan scenario.Ended, want string) {
+func expect(t testing.TB, s *scenario.SteppedLoop, got <-chan scenario.Received, want string) {
 	t.Helper()
 	if r := s.AwaitEnd(got); r.Err != nil || r.Text != want {
 		t.Fatalf("the peer got %d bytes (%v), want %d", len(r.Text), r.Err, len(want))
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	got := scenario.ReadToEnd(c)
-	s.Together(time.Millisecond)
+	s.AwaitAndPass(time.Millisecond)
 	expect(t, s, got, "answer")
 }
 
@@ -90,7 +90,7 @@
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	s.Together(0)
+	s.AwaitAndPass(0)
 	if (*taken)[0].IsClosed() {
 		t.Fatal("closed with a part of the answer still queued")
 	}
@@ -154,7 +154,7 @@
 			return len(b), nil
 		}}
 	})
-	var answers []<-chan scenario.Ended
+	var answers []<-chan scenario.Received
 	for range 3 {
 		answers = append(answers, scenario.ReadToEnd(s.Dial(ln, "call")))
 	}
@@ -165,8 +165,8 @@
 	for _, got := range answers {
 		expect(t, s, got, "call")
 	}
-	s.Pass(time.Second) // the last connection closes
-	s.Pass(0)
+	s.Advance(time.Second) // the last connection closes
+	s.Advance(0)
 	if len(*taken) != 3 || ln.IsListening() {
 		t.Fatalf("%d taken, listens: %t", len(*taken), ln.IsListening())
 	}
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -172,7 +172,7 @@
 		r.Until(func() bool { return len(r.runs) > 0 })
 		r.end()
 	}
-	r.Pass(0)
+	r.Advance(0)
 }
 
 // A request that comes in the very turn in which its connection would be closed as idle is served.
@@ -181,7 +181,7 @@
 	c := r.connect(r.request(1))
 	r.serve(1)
 	r.Send(c, r.request(2))
-	r.Together(idleFor + sweep)
+	r.AwaitAndPass(idleFor + sweep)
 	r.serve(1)
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -197,13 +197,13 @@
 			r := newRunner(t, idle)
 			c := r.connect(r.request(1))
 			r.serve(1)
-			r.Pass(idle - sweep/2)
+			r.Advance(idle - sweep/2)
 			whole := r.request(2)
 			// in the head of the first record, and in the second one
 			for _, cut := range []int{3, midRecord} {
 				r.Send(c, whole[:cut])
-				r.Together(0)
-				r.Pass(2 * sweep)
+				r.AwaitAndPass(0)
+				r.Advance(2 * sweep)
 				whole = whole[cut:]
 			}
 			r.Send(c, whole)
@@ -224,9 +224,9 @@
 		r.serve(1)
 		whole := r.request(2)
 		r.Send(c, whole[:cut])
-		r.Together(0)
+		r.AwaitAndPass(0)
 		r.front.Drain()
-		r.Pass(2 * sweep)
+		r.Advance(2 * sweep)
 		r.Send(c, whole[cut:])
 		r.serve(1)
 		r.expect(c, map[int]string{1: "200", 2: "200"})
@@ -245,11 +245,11 @@
 			whole := r.request(2)
 			if cut > 0 {
 				r.Send(c, whole[:cut])
-				r.Together(0)
+				r.AwaitAndPass(0)
 			}
 			r.After(time.Millisecond, r.end) // in the turn in which the rest is there
 			r.Send(c, whole[cut:])
-			r.Together(time.Millisecond)
+			r.AwaitAndPass(time.Millisecond)
 			r.serve(1)
 			r.expect(c, map[int]string{1: "200", 2: "200"})
 		})
@@ -292,7 +292,7 @@
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1) + r.request(2)[:midRecord])
 	r.Until(func() bool { return len(r.runs) == 1 })
-	r.Pass(2*time.Second + sweep)
+	r.Advance(2*time.Second + sweep)
 	r.serve(1)
 	r.expect(c, map[int]string{1: "200", 2: "overloaded"})
 }
@@ -317,13 +317,13 @@
 	for id := 1; id <= 3; id++ {
 		resting = append(resting, r.connect(r.request(id)))
 		r.serve(1)
-		r.Pass(time.Millisecond)
+		r.Advance(time.Millisecond)
 	}
 	late := r.DialAddr(r.front.Addr().String(), r.request(5)) // the listener is ready first
 	// it has rested longest, and is idle no more
 	r.Send(resting[0], r.request(4))
 	r.serve(1)
-	r.Pass(time.Second) // those that were left are gone
+	r.Advance(time.Second) // those that were left are gone
 	r.serve(1)
 	for _, c := range []*net.TCPConn{late, resting[0]} {
 		if err := c.CloseWrite(); err != nil {
@@ -353,7 +353,7 @@
 		for len(r.runs) > 0 {
 			r.end() // with the next one unread
 		}
-		r.Pass(time.Millisecond)
+		r.Advance(time.Millisecond)
 	}
 	r.expect(rests, map[int]string{1: "200"})
 }
@@ -401,7 +401,7 @@
 			}
 			return
 		case <-time.After(time.Millisecond):
-			r.Pass(0)
+			r.Advance(0)
 		}
 	}
 }
--- a/internal/frontend/uwsgi/crossing_test.go
+++ b/internal/frontend/uwsgi/crossing_test.go
@@ -65,10 +65,10 @@
 	f.Drain()
 	expectGood(t, s, asked)
 	s.Send(silent, health(t))
-	s.Together(0)
+	s.AwaitAndPass(0)
 	expectGood(t, s, silent)
-	s.Pass(time.Second)
-	if s.Pass(time.Second); f.Connections() != 0 {
+	s.Advance(time.Second)
+	if s.Advance(time.Second); f.Connections() != 0 {
 		t.Fatalf("%d connections stay open", f.Connections())
 	}
 }
@@ -80,11 +80,11 @@
 	for n := 1; n <= 2; n++ {
 		rest = append(rest, s.DialAddr(f.Addr().String(), ""))
 		s.Until(func() bool { return f.Connections() == n })
-		s.Pass(time.Second)
+		s.Advance(time.Second)
 	}
 	late := s.DialAddr(f.Addr().String(), health(t))
 	s.Send(rest[0], health(t)) // it has been silent for longest
-	s.Together(0)
+	s.AwaitAndPass(0)
 	expectGood(t, s, rest[0])
 	expectGood(t, s, late)
 }
--- a/internal/peers/link/outbound_test.go
+++ b/internal/peers/link/outbound_test.go
@@ -26,11 +26,11 @@
 	}
 	n.Send("n2", sampleFrame())
 	first := n.outbound["n2"].conn
-	s.Pass(0)
-	if s.Pass(connectTimeout - time.Microsecond); n.outbound["n2"].conn != first {
+	s.Advance(0)
+	if s.Advance(connectTimeout - time.Microsecond); n.outbound["n2"].conn != first {
 		t.Fatal("it was closed before its time")
 	}
-	if s.Pass(time.Microsecond); n.Connections() != 0 || !first.IsClosed() {
+	if s.Advance(time.Microsecond); n.Connections() != 0 || !first.IsClosed() {
 		t.Fatalf("%d connections, the first closed %v", n.Connections(), first.IsClosed())
 	}
 	n.Send("n2", sampleFrame())
--- a/internal/platform/backend/crossing_test.go
+++ b/internal/platform/backend/crossing_test.go
@@ -25,7 +25,7 @@
 				netip.MustParseAddrPort("127.0.0.1:9"),
 			)
 		},
-		"its time is up": func(s *scenario.SteppedLoop, _ *Pool) { s.Pass(time.Second) },
+		"its time is up": func(s *scenario.SteppedLoop, _ *Pool) { s.Advance(time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, sink := scenario.NewSteppedLoop(t), &ended{}
@@ -36,12 +36,12 @@
 				nil,
 				time.Second,
 			)
-			s.Pass(0)
+			s.Advance(0)
 			cross(s, p)
 			if len(sink.outcomes) != 1 || sink.outcomes[0] != lifecycle.Unreachable {
 				t.Fatalf("outcomes %v", sink.outcomes)
 			}
-			s.Pass(time.Second)
+			s.Advance(time.Second)
 			if len(sink.outcomes) != 1 || p.open != 0 {
 				t.Fatalf("outcomes %v, %d connections", sink.outcomes, p.open)
 			}
--- a/internal/platform/engine/crossing_test.go
+++ b/internal/platform/engine/crossing_test.go
@@ -21,14 +21,14 @@
 	k.Start(&endings{loop: s.Loop})
 	s.Until(k.IsConnected)
 	k.Run(attempt(s.Loop, "1"))
-	s.Pass(0)
+	s.Advance(0)
 	expect(t, stand, "ATTACH 0", "RUN 1 check")
 	k.SetAddress(scenario.UnresponsiveServer(t))
-	s.Pass(0)
+	s.Advance(0)
 	if !k.IsConnected() || k.dialing == nil {
 		t.Fatal("the link that stands is given up before the new one stands")
 	}
-	last := netip.MustParseAddrPort(stand.Elsewhere(t))
+	last := netip.MustParseAddrPort(stand.NewAddress(t))
 	k.SetAddress(last)
 	s.Until(func() bool { return k.IsConnected() && k.current.conn.RemoteAddr() == last })
 	if k.dialing != nil {
--- /dev/null
+++ b/internal/testing/scenario/engine.go
@@ -0,0 +1,129 @@
+package scenario
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// Engine is a test double of the platform's engine. It observes `RUN ID CLASS BODY`, `FEED ID BODY` and
+// `ATTACH NO`, sends `done ID STATUS RESULT`, `need ID BODY`, `no ID COMMAND` and `lost` before a
+// notice that is kept but not written, and answers gauges by itself: 0.1 of its cores are busy, or
+// the share set by `cpu SHARE`. Close breaks the connection; `deaf` drops all input until then.
+type Engine struct {
+	*Observations
+	Listener net.Listener
+	mu       sync.Mutex
+	conn     net.Conn
+	notices  []string
+	deaf     bool
+	cpu      string
+	started  map[string]bool
+}
+
+// NewEngine listens for a runner.
+func NewEngine(t testing.TB) *Engine {
+	e := &Engine{Observations: newObservations(), Listener: listenLoopback(t), cpu: "0.1", started: map[string]bool{}}
+	go acceptLoop(e.Listener, e.serve)
+	return e
+}
+
+// NewAddress returns a further address of the engine.
+func (e *Engine) NewAddress(t testing.TB) string {
+	ln := listenLoopback(t)
+	go acceptLoop(ln, e.serve)
+	return ln.Addr().String()
+}
+
+// Close implements Actor.
+func (e *Engine) Close() error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.deaf = false
+	return e.conn.Close()
+}
+
+// Send implements Actor.
+func (e *Engine) Send(words []string) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	m := map[string]any{"no": len(e.notices) + 1}
+	lost := words[0] == "lost"
+	if lost {
+		words = words[1:]
+	}
+	switch words[0] {
+	case "no":
+		_, err := fmt.Fprintf(e.conn, `{"t":"NO","status":%q,"rid":%q}`+"\n", words[2], CallID(words[1]))
+		return err
+	case "cpu":
+		e.cpu = words[1]
+		return nil
+	case "deaf":
+		e.deaf = true
+		return nil
+	case "again": // a notice that the runner has read
+		_, err := io.WriteString(e.conn, e.notices[len(e.notices)-1])
+		return err
+	case "done":
+		m["t"], m["status"] = "DONE", words[2]
+		m["b64"] = []byte(strings.Join(words[3:], " "))
+	case "need":
+		m["t"], m["b64"] = "NEED", []byte(strings.Join(words[2:], " "))
+	}
+	m["rid"] = CallID(words[1])
+	line, err := json.Marshal(m)
+	if err != nil {
+		return err
+	}
+	e.notices = append(e.notices, string(line)+"\n")
+	if !e.deaf && !lost {
+		_, err = io.WriteString(e.conn, e.notices[len(e.notices)-1])
+	}
+	return err
+}
+
+// serve serves one connection of a runner.
+func (e *Engine) serve(c net.Conn) {
+	defer c.Close()
+	for r := bufio.NewScanner(c); r.Scan(); {
+		var m struct {
+			T     string `json:"t"`
+			Rid   string `json:"rid"`
+			Route string `json:"route"`
+			Mark  string `json:"mark"`
+			No    int    `json:"no"`
+			B64   []byte `json:"b64"`
+		}
+		if json.Unmarshal(r.Bytes(), &m) != nil {
+			e.Note("not JSON: %s", r.Bytes())
+			return
+		}
+		id := strings.TrimLeft(m.Rid, "0")
+		e.mu.Lock()
+		switch {
+		case m.T == "ATTACH":
+			e.conn = c
+			e.Note("ATTACH %d", m.No)
+			io.WriteString(
+				c,
+				`{"t":"HELLO","status":"running","time_ms":1}`+"\n"+strings.Join(e.notices[m.No:], ""),
+			)
+		case e.deaf:
+		case m.T == "STAT":
+			fmt.Fprintf(c, `{"t":"STATS","mark":%q,"v":[%s,0,0,0]}`+"\n", m.Mark, e.cpu)
+		case m.T == "RUN" && e.started[m.Rid]: // repeated on a new connection: it runs already
+		case m.T == "RUN":
+			e.started[m.Rid] = true
+			e.Note("RUN %s %s %s", id, m.Route, m.B64)
+		default:
+			e.Note("%s %s %s", m.T, id, m.B64)
+		}
+		e.mu.Unlock()
+	}
+}
--- a/internal/testing/scenario/raw.go
+++ b/internal/testing/scenario/http.go
@@ -10,15 +10,7 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// Serve hands each connection to serve, and closes it after that, until the listener is closed.
-func Serve(ln net.Listener, fn func(c net.Conn)) {
-	serve(ln, func(c net.Conn) {
-		defer c.Close()
-		fn(c)
-	})
-}
-
-// ReadHead reads the variables of a request, and what has come of its body.
+// ReadHead reads the variables of a uwsgi request, and the part of its body that has arrived.
 func ReadHead(c net.Conn) (path string, body []byte, err error) {
 	var in []byte
 	buf := make([]byte, 64<<10)
@@ -38,9 +30,9 @@
 	}
 }
 
-// ReadAnswer reads an answer. It is whole if it is as long as it says, or says nothing and ends
-// without a reset.
-func ReadAnswer(c io.Reader) (status int, body []byte, whole bool) {
+// ReadAnswer reads an answer. It is complete if it has its stated length, or states none and ends without a
+// reset.
+func ReadAnswer(c io.Reader) (status int, body []byte, complete bool) {
 	all, err := io.ReadAll(c)
 	head, n, bad := httpmessage.Read(all)
 	if bad != nil || n == 0 {
@@ -50,7 +42,10 @@
 	return head.Status, body, err == nil && (head.Length < 0 || head.Length == len(body))
 }
 
-// Respond answers with a body: with its length, or in chunks.
+// responsePartBytes is the size of the pieces in which Respond writes.
+const responsePartBytes = 50_000
+
+// Respond sends a response with its length stated or in chunks.
 func Respond(c net.Conn, body []byte, length bool) error {
 	if length {
 		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)); err != nil {
@@ -63,7 +58,7 @@
 		return err
 	}
 	for at := 0; at < len(body); {
-		n := min(50_000, len(body)-at)
+		n := min(responsePartBytes, len(body)-at)
 		part := body[at : at+n]
 		if !length {
 			part = httpmessage.AppendChunk(nil, part)
--- a/internal/testing/scenario/scenario.go
+++ b/internal/testing/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario is the helper of the project's tests: a small language of lines, and stand-ins
-// for all that the runner speaks to, which the lines name.
+// Package scenario supports tests of the runner: test doubles for all peers that it talks to, and a small
+// language whose lines drive them.
 //
 //	balancer send 1 hand-in key=a body=code
 //	engine expect RUN 1 hand-in code
@@ -11,6 +11,7 @@
 package scenario
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"sync"
@@ -20,17 +21,20 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// patience is how long an expected thing may take. No test waits for it unless it fails.
-const patience = 10 * time.Second
+// expectTimeout is how long an expectation may take. Only a failing test waits for it.
+const expectTimeout = 10 * time.Second
 
-// Actor is somebody whom the lines of a scenario name.
+// Actor is a test double that the lines of a script name.
 type Actor interface {
+	// Send performs an action.
 	Send(words []string) error
-	Next(within time.Duration) (string, bool) // what it has seen next
+	// Next returns the next observation, waiting up to timeout; ok is false if there is none.
+	Next(timeout time.Duration) (observation string, ok bool)
 	Close() error
 }
 
-// Play carries out the lines of a script. Blank lines and those that begin with # are skipped.
+// Play executes the lines of a script. Blank lines and those that begin with # are skipped. It fails the
+// test at the first line that does not hold.
 func Play(t testing.TB, script string, actors map[string]Actor) {
 	t.Helper()
 	for n, line := range strings.Split(strings.TrimSpace(script), "\n") {
@@ -38,13 +42,14 @@
 		if len(words) == 0 || words[0] == "#" {
 			continue
 		}
-		if err := play(words, actors); err != nil {
+		if err := playLine(words, actors); err != nil {
 			t.Fatalf("line %d, %q: %v", n+1, strings.TrimSpace(line), err)
 		}
 	}
 }
 
-func play(words []string, actors map[string]Actor) error {
+// playLine executes one line.
+func playLine(words []string, actors map[string]Actor) error {
 	if words[0] == "wait" {
 		d, err := time.ParseDuration(words[1])
 		time.Sleep(d)
@@ -52,7 +57,7 @@
 	}
 	a := actors[words[0]]
 	if a == nil || len(words) < 2 {
-		return fmt.Errorf("no such actor or verb")
+		return errors.New("no such actor or verb")
 	}
 	switch rest := strings.Join(words[2:], " "); words[1] {
 	case "send":
@@ -60,11 +65,11 @@
 	case "close":
 		return a.Close()
 	case "expect":
-		within := patience
+		timeout := expectTimeout
 		if rest == "nothing" {
-			within = 0
+			timeout = 0
 		}
-		got, ok := a.Next(within)
+		got, ok := a.Next(timeout)
 		if !ok {
 			got = "nothing"
 		}
@@ -76,16 +81,17 @@
 	return fmt.Errorf("unknown verb %q", words[1])
 }
 
-// Observations is the queue of what an actor has seen.
+// Observations is a queue of what an actor observed. It is safe for concurrent use.
 type Observations struct {
 	mu    sync.Mutex
 	lines []string
-	more  chan struct{}
+	more  chan struct{} // signals that lines were added
 }
 
-func newSeen() *Observations { return &Observations{more: make(chan struct{}, 1)} }
+// newObservations returns an empty queue.
+func newObservations() *Observations { return &Observations{more: make(chan struct{}, 1)} }
 
-// Note adds what was seen.
+// Note adds an observation.
 func (s *Observations) Note(format string, v ...any) {
 	s.mu.Lock()
 	s.lines = append(s.lines, strings.TrimSpace(fmt.Sprintf(format, v...)))
@@ -97,8 +103,8 @@
 }
 
 // Next implements Actor.
-func (s *Observations) Next(within time.Duration) (string, bool) {
-	for late := time.After(within); ; {
+func (s *Observations) Next(timeout time.Duration) (string, bool) {
+	for expired := time.After(timeout); ; {
 		s.mu.Lock()
 		if len(s.lines) > 0 {
 			line := s.lines[0]
@@ -107,19 +113,19 @@
 			return line, true
 		}
 		s.mu.Unlock()
-		if within == 0 {
+		if timeout == 0 {
 			return "", false
 		}
 		select {
 		case <-s.more:
-		case <-late:
+		case <-expired:
 			return "", false
 		}
 	}
 }
 
-// options reads words of the form name=value.
-func options(words []string) map[string]string {
+// parseOptions parses words of the form name=value.
+func parseOptions(words []string) map[string]string {
 	m := map[string]string{}
 	for _, w := range words {
 		name, value, _ := strings.Cut(w, "=")
--- a/internal/testing/scenario/stepped.go
+++ b/internal/testing/scenario/steppedloop.go
@@ -9,18 +9,18 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// steppedFor is how long a stepped loop waits for what a peer on loopback has sent already.
-const steppedFor = 10 * time.Second
+// readyTimeout bounds the wait for what a peer on loopback has sent.
+const readyTimeout = 10 * time.Second
 
-// SteppedLoop is a loop whose clock and turns the test steps, so that it says which events meet in one
-// turn.
+// SteppedLoop is an event loop whose clock and turns are controlled by the test, which so decides which
+// events happen in one turn.
 type SteppedLoop struct {
 	*eventloop.Loop
 	t   testing.TB
 	now time.Time
 }
 
-// NewSteppedLoop makes one.
+// NewSteppedLoop returns a loop that is closed when the test ends.
 func NewSteppedLoop(t testing.TB) *SteppedLoop {
 	t.Helper()
 	s := &SteppedLoop{t: t, now: time.Unix(1_700_000_000, 0)}
@@ -33,35 +33,34 @@
 	return s
 }
 
-// Together waits until a descriptor is ready, lets the time pass, and then deals with both in one
-// turn.
-func (s *SteppedLoop) Together(passes time.Duration) {
+// AwaitAndPass waits until a descriptor is ready, advances the clock, and handles both in one turn.
+func (s *SteppedLoop) AwaitAndPass(d time.Duration) {
 	s.t.Helper()
-	ready, err := s.AwaitReady(steppedFor)
+	ready, err := s.AwaitReady(readyTimeout)
 	if err != nil || !ready {
 		s.t.Fatalf("nothing gets ready: %v", err)
 	}
-	s.Pass(passes)
+	s.Advance(d)
 }
 
-// Pass lets the time pass and takes one turn.
-func (s *SteppedLoop) Pass(passes time.Duration) {
+// Advance advances the clock and takes one turn.
+func (s *SteppedLoop) Advance(d time.Duration) {
 	s.t.Helper()
-	s.now = s.now.Add(passes)
+	s.now = s.now.Add(d)
 	if err := s.Turn(); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// Until takes turns until done, with the clock at a stand.
+// Until takes turns until done, without advancing the clock.
 func (s *SteppedLoop) Until(done func() bool) {
 	s.t.Helper()
 	for !done() {
-		s.Together(0)
+		s.AwaitAndPass(0)
 	}
 }
 
-// Dial connects to a listener of the loop and sends so much.
+// Dial connects to a listener of the loop and sends a text.
 func (s *SteppedLoop) Dial(ln *eventloop.Listener, send string) *net.TCPConn {
 	s.t.Helper()
 	return s.DialAddr(ln.Addr().String(), send)
@@ -87,31 +86,31 @@
 	}
 }
 
-// Ended is what a peer has read to the end of its connection; a reset is an error.
-type Ended struct {
+// Received is what a peer read to the end of its connection; a reset is an error.
+type Received struct {
 	Text string
 	Err  error
 }
 
 // ReadToEnd reads a connection to its end, beside the loop.
-func ReadToEnd(c net.Conn) <-chan Ended {
-	got := make(chan Ended, 1)
+func ReadToEnd(c net.Conn) <-chan Received {
+	got := make(chan Received, 1)
 	go func() {
 		b, err := io.ReadAll(c)
-		got <- Ended{string(b), err}
+		got <- Received{string(b), err}
 	}()
 	return got
 }
 
 // AwaitEnd takes turns, a millisecond each, until the peer has read to the end.
-func (s *SteppedLoop) AwaitEnd(got <-chan Ended) Ended {
+func (s *SteppedLoop) AwaitEnd(got <-chan Received) Received {
 	s.t.Helper()
 	for {
 		select {
 		case r := <-got:
 			return r
 		case <-time.After(time.Millisecond):
-			s.Pass(time.Millisecond)
+			s.Advance(time.Millisecond)
 		}
 	}
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -75,12 +75,12 @@
 				s, sink := scenario.NewSteppedLoop(t), &recorder{}
 				g := newTestGroup(s, sink, scenario.UnresponsiveServer(t), c.connectTimeout)
 				g.Run(newTestAttempt(s, idempotent, c.timeout))
-				s.Pass(0)
-				s.Pass(c.passes)
+				s.Advance(0)
+				s.Advance(c.passes)
 				if diff := cmp.Diff([]lifecycle.Outcome{lifecycle.Unreachable}, sink.outcomes); diff != "" {
 					t.Fatalf("idempotent %v: outcomes (-want +got)\n%s", idempotent, diff)
 				}
-				s.Pass(3 * time.Second)
+				s.Advance(3 * time.Second)
 				if active := g.picker.Servers()[0].ActiveRequests; len(sink.outcomes) != 1 || active != 0 {
 					t.Errorf("outcomes %v, %d in flight", sink.outcomes, active)
 				}
@@ -103,7 +103,7 @@
 }
 
 func pass(d time.Duration) func(*scenario.SteppedLoop, *Group, *lifecycle.Attempt) {
-	return func(s *scenario.SteppedLoop, _ *Group, _ *lifecycle.Attempt) { s.Together(d) }
+	return func(s *scenario.SteppedLoop, _ *Group, _ *lifecycle.Attempt) { s.AwaitAndPass(d) }
 }
 
 func abandon(_ *scenario.SteppedLoop, g *Group, a *lifecycle.Attempt) { g.Abandon(a) }
