--- /dev/null
+++ b/internal/ci/references_test.go
@@ -0,0 +1,157 @@
+package ci
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var (
+	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
+	testName      = regexp.MustCompile(`^Test[A-Z]\w*`)
+	sourcePath    = regexp.MustCompile(`^(?:internal|cmd)/[\w./*{},-]+$`)
+	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)+$`)
+	alternatives  = regexp.MustCompile(`^(.*)\{([^}]*)\}(.*)$`)
+	formerNameRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| `[^`]+` \\|$")
+)
+
+// All pages name tests, folders, files and code that exist.
+func TestPagesReferToExistingCode(t *testing.T) {
+	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	if err != nil || len(pages) < 20 {
+		t.Fatalf("%d pages, %v", len(pages), err)
+	}
+	index := newCodeIndex(t)
+	former := formerNames(t)
+	found := 0
+	for _, page := range pages {
+		text := readPage(t, page)
+		for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
+			isReference, err := checkReference(index, former, span[1])
+			if err != nil {
+				t.Errorf("%s: %v", filepath.Base(page), err)
+			}
+			if isReference {
+				found++
+			}
+		}
+	}
+	if found < 150 {
+		t.Errorf("the pages refer to code %d times: the check does not read them", found)
+	}
+}
+
+// The check of the pages finds names that do not exist.
+func TestReferencesToMissingCodeAreFound(t *testing.T) {
+	index := newCodeIndex(t)
+	former := nameSet{"store.formerevent": true}
+	for _, span := range []string{
+		"TestNoSuchTest",
+		"TestNoSuchTest/a row",
+		"internal/nosuchpackage",
+		"internal/{app,nosuchpackage}",
+		"internal/nosuchfolder/*",
+		"cmd/runner/nosuchfile.go",
+		"eventloop.NoSuchFunction",
+		"eventloop.Conn.noSuchMethod",
+		"store.nosuchkey",
+		"Controller.noSuchMethod",
+	} {
+		if _, err := checkReference(index, former, span); err == nil {
+			t.Errorf("%s is taken for a name that exists", span)
+		}
+	}
+	for _, span := range []string{
+		"TestPagesReferToExistingCode",
+		"internal/{app,ci}",
+		"internal/peers/*",
+		"eventloop.Conn.CloseGracefully",
+		"store.dir",
+		"store.formerevent",
+		"Controller.admit",
+	} {
+		if isReference, err := checkReference(index, former, span); err != nil || !isReference {
+			t.Errorf("%s: a reference %v, %v", span, isReference, err)
+		}
+	}
+}
+
+// checkReference returns an error if a text in code style names a test, a path or a declaration that does
+// not exist. isReference is false for other texts.
+func checkReference(index *codeIndex, former nameSet, span string) (isReference bool, err error) {
+	switch {
+	case testName.MatchString(span):
+		if name := testName.FindString(span); !index.declared[name] {
+			return true, fmt.Errorf("there is no test %s", name)
+		}
+		return true, nil
+	case sourcePath.MatchString(span):
+		return true, checkPath(span)
+	case qualifiedName.MatchString(span):
+		return checkName(index, former, span)
+	}
+	return false, nil
+}
+
+// checkPath returns an error if a path, of which one part may be a list of alternatives, does not exist.
+func checkPath(path string) error {
+	if m := alternatives.FindStringSubmatch(path); m != nil {
+		for part := range strings.SplitSeq(m[2], ",") {
+			if err := checkPath(m[1] + part + m[3]); err != nil {
+				return err
+			}
+		}
+		return nil
+	}
+	matches, err := filepath.Glob(filepath.Join(root, path))
+	if err == nil && len(matches) == 0 {
+		err = fmt.Errorf("there is no %s", path)
+	}
+	return err
+}
+
+// checkName returns an error if a qualified name whose first part is a package or a type of the repository
+// is not declared there, and is no file, key of a setting, log event or kind of error either.
+func checkName(index *codeIndex, former nameSet, name string) (isReference bool, err error) {
+	parts := strings.Split(name, ".")
+	scope := index.scope(parts[0])
+	if len(scope) == 0 {
+		return false, nil
+	}
+	if index.files[name] || index.strings[name] || index.isKeyPath(parts) || former[name] {
+		return true, nil
+	}
+	for _, part := range parts[1:] {
+		if !scope[part] {
+			return true, fmt.Errorf("%s: %s has no %s", name, parts[0], part)
+		}
+	}
+	return true, nil
+}
+
+// formerNames returns the former names of log events and kinds of errors, which pages may still mention.
+func formerNames(t *testing.T) nameSet {
+	t.Helper()
+	former := nameSet{}
+	text := readPage(t, filepath.Join(root, "docs", "log-events.md"))
+	for _, row := range formerNameRow.FindAllStringSubmatch(text, -1) {
+		former[row[1]] = true
+	}
+	if len(former) < 20 {
+		t.Fatalf("log-events.md lists %d former names: the check does not read it", len(former))
+	}
+	return former
+}
+
+// readPage returns the text of a page.
+func readPage(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
