--- a/internal/simulator/day/day_test.go
+++ b/internal/simulator/day/day_test.go
@@ -36,8 +36,7 @@
 	return s
 }
 
-// What is wrong is told with file, line and field.
-func TestBadDays(t *testing.T) {
+func TestParseErrorsNameLineAndField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"name: plain", "nam: plain", "day: day.yaml:1: field nam: unknown"},
 		{"name: plain", "", "day: day.yaml:1: field name: missing"},
@@ -79,8 +78,7 @@
 	}
 }
 
-// The same seed gives the same day, and other seeds other figures within the ranges.
-func TestDraw(t *testing.T) {
+func TestDrawIsDeterministicAndWithinRanges(t *testing.T) {
 	s := parse(t, plainDay)
 	opts := []cmp.Option{cmpopts.IgnoreUnexported(Spec{})}
 	if diff := cmp.Diff(Draw(s, 7), Draw(s, 7), opts...); diff != "" {
@@ -106,17 +104,11 @@
 	}
 }
 
-// Traffic follows the curve, and classes, tenants and balancers get their parts of it.
-func TestArrivals(t *testing.T) {
+func TestArrivalsFollowCurveAndShares(t *testing.T) {
 	s := parse(t, plainDay)
 	s.Troubles = nil
-	early, late, byClass, byBalancer, work, calls := 0.0, 0.0, make(
-		[]float64,
-		3,
-	), make(
-		[]float64,
-		3,
-	), 0.0, 0.0
+	byClass, byBalancer := make([]float64, 3), make([]float64, 3)
+	early, late, work, calls := 0.0, 0.0, 0.0, 0.0
 	var d *Day
 	want := 0.0
 	for seed := range uint64(5) {
@@ -159,8 +151,7 @@
 	}
 }
 
-// Bursts of arrivals keep their mean.
-func TestBurstiness(t *testing.T) {
+func TestBurstsKeepTheMeanRate(t *testing.T) {
 	s := parse(t, plainDay)
 	s.Troubles, s.Load.Curve = nil, nil
 	s.LengthS = 200
@@ -185,7 +176,7 @@
 	}
 }
 
-func TestQuotas(t *testing.T) {
+func TestQuotasBoundRequestsInShare(t *testing.T) {
 	s := parse(t, plainDay)
 	s.Goal.QuotaOf = Range{0.3, 0.3} // of the capacity, at up to 1.4 of it asked
 	d := Draw(s, 1)
@@ -200,7 +191,7 @@
 	}
 }
 
-func TestRanks(t *testing.T) {
+func TestRanksFollowPriorityWeights(t *testing.T) {
 	d := Draw(parse(t, plainDay), 1)
 	for _, a := range d.Arrivals {
 		if lo := float64(a.Class) / 3; a.Rank < lo-1e-9 || a.Rank >= lo+1.0/3+1e-9 {
--- a/internal/simulator/day/named.go
+++ b/internal/simulator/day/named.go
@@ -11,7 +11,7 @@
 //go:embed scenarios/*.yaml
 var scenarios embed.FS
 
-// Names are the scenarios that are built in.
+// Names returns the names of the built-in scenarios.
 func Names() (names []string) {
 	entries, err := scenarios.ReadDir("scenarios")
 	if err != nil {
@@ -23,7 +23,8 @@
 	return names
 }
 
-// Read reads a scenario: one that is built in, by its name, or a file.
+// Read reads a scenario, by the name of a built-in one or by the path of a file. It returns its text
+// too.
 func Read(name string) (*Spec, []byte, error) {
 	text, err := scenarios.ReadFile(path.Join("scenarios", name+".yaml"))
 	if err != nil {
--- /dev/null
+++ b/internal/simulator/day/override.go
@@ -0,0 +1,76 @@
+package day
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"go.yaml.in/yaml/v3"
+
+	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/yamldoc"
+)
+
+// Behavior returns the behavior of balancers of this kind that follow advice, or do not.
+func (k *BalancerKind) Behavior(followsAdvice bool) balance.Behavior {
+	return balance.Behavior{
+		Policy:              balance.Policy(k.Choose),
+		Retry:               balance.Retry(k.Retry),
+		MaxAttempts:         k.Tries,
+		RetryBudget:         k.Budget,
+		RetryPause:          millis(k.PauseMs),
+		AttemptTimeout:      k.Patience,
+		HedgeDelay:          millis(k.CopyAfterMs),
+		FollowsAdvice:       followsAdvice,
+		CreditTTL:           creditTTL,
+		HealthCheckInterval: millis(k.CheckEveryMs),
+		EjectAfterFailures:  k.EjectAfter,
+		EjectionTime:        millis(k.EjectMs),
+		ThrottleFactor:      k.Throttle,
+		SubsetSize:          k.Subset,
+		Sticky:              k.Stick,
+	}
+}
+
+// OverrideError reports a wrong change of a kind of balancer.
+type OverrideError struct {
+	Place int    // index of the kind
+	Field string // may be empty
+	What  string
+}
+
+// Error implements error.
+func (e *OverrideError) Error() string {
+	return fmt.Sprintf("balancers.%d.%s: %s", e.Place, e.Field, e.What)
+}
+
+// Override returns the kinds of balancers of the scenario with some fields changed. Their numbers and
+// shares of the traffic belong to the day and cannot be changed.
+func (s *Spec) Override(changes []yaml.Node) ([]BalancerKind, *OverrideError) {
+	kinds := slices.Clone(s.Balancers)
+	for i := range changes {
+		kind := &kinds[i]
+		text, err := yaml.Marshal(&changes[i])
+		if err != nil {
+			return nil, &OverrideError{i, "", err.Error()}
+		}
+		if changes[i].Tag == "!!null" {
+			continue
+		}
+		before := *kind
+		var fieldError *yamldoc.Error
+		doc, err := yamldoc.Decode("variant", "", text, kind)
+		if err == nil {
+			err = kind.check("", doc)
+		}
+		if errors.As(err, &fieldError) {
+			return nil, &OverrideError{i, fieldError.Field, fieldError.Reason}
+		} else if err != nil {
+			return nil, &OverrideError{i, "", err.Error()}
+		}
+		if kind.Count != before.Count || kind.Share != before.Share {
+			return nil, &OverrideError{i, "count", "how many there are, and their share, belong to the day"}
+		}
+	}
+	return kinds, nil
+}
--- /dev/null
+++ b/internal/simulator/day/quota.go
@@ -0,0 +1,37 @@
+package day
+
+import (
+	"time"
+
+	"ryepaddle/internal/simulator/virtualclock"
+)
+
+// quotaBurstS is how many seconds of its quota a tenant may use at once.
+const quotaBurstS = 2
+
+// quotaBuckets are token buckets that tell which requests are within the quotas of their tenants.
+type quotaBuckets struct {
+	rates, tokens []float64 // by tenant; rates are requests per second
+	refilledAt    time.Duration
+}
+
+func (d *Day) newQuotas() *quotaBuckets {
+	b := &quotaBuckets{rates: d.Quotas, tokens: make([]float64, len(d.Quotas))}
+	for i, rate := range b.rates {
+		b.tokens[i] = quotaBurstS * rate
+	}
+	return b
+}
+
+// count sets InShare of the next request, in the order of time. A tenant without a quota has no limit.
+func (b *quotaBuckets) count(a *Arrival) {
+	elapsed := virtualclock.Micros(a.At - b.refilledAt)
+	for i := range b.tokens {
+		b.tokens[i] = min(b.tokens[i]+b.rates[i]*elapsed/microsPerSecond, quotaBurstS*b.rates[i])
+	}
+	b.refilledAt = a.At
+	a.InShare = b.tokens[a.Tenant] >= 1 || b.rates[a.Tenant] <= 0
+	if a.InShare {
+		b.tokens[a.Tenant] = max(b.tokens[a.Tenant]-1, 0)
+	}
+}
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -12,23 +12,21 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Replay is recorded traffic in place of what a scenario would draw.
+// Replay is recorded traffic in place of drawn requests.
 type Replay struct {
-	requests  []traffic.Request // first tries, in order
+	requests  []traffic.Request // without retries, in the order of time
 	startedAt wallclock.UnixMicro
-	classes   []int // of the recording to those of the scenario
-	tenants   []int
-	rate      float64
-	Further   int // tries that were taken for further ones
+	classes   []int   // indices in the scenario of the classes of the recording
+	tenants   []int   // likewise
+	rate      float64 // factor of the recorded rate
+	Further   int     // recorded attempts that were taken for retries
 }
 
-// jitter is how far a copy of a request is moved when the rate is scaled up, or copies would come
-// in pairs.
+// jitter is the most by which the copy of a request is moved: copies at one time would be bursts.
 const jitter = 250 * time.Millisecond
 
-// WithTraffic gives the scenario with recorded traffic, at so many times its rate. The day is as
-// long as the recording; fleet, troubles, work and sizes stay the scenario's, for a recording knows
-// nothing of the work.
+// WithTraffic returns the scenario with recorded traffic at a factor of its rate. The day is as long as
+// the recording. Fleet, faults and work stay those of the scenario, as a recording has no work.
 func (s *Spec) WithTraffic(rec *traffic.Recording, rate float64) (*Spec, *Replay, error) {
 	if !(rate > 0 && rate <= 100) {
 		return nil, nil, fmt.Errorf("day: a rate of %v times the recorded one", rate)
@@ -40,22 +38,14 @@
 	for _, name := range rec.Classes {
 		i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 		if i < 0 {
-			return nil, nil, fmt.Errorf(
-				"day: the recording has a class %q, which %s does not name",
-				name,
-				s.Name,
-			)
+			return nil, nil, fmt.Errorf("day: the recording has a class %q, which %s does not name", name, s.Name)
 		}
 		r.classes = append(r.classes, i)
 	}
 	for _, name := range rec.Tenants {
 		i := slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if i < 0 {
-			return nil, nil, fmt.Errorf(
-				"day: the recording has a tenant %q, which %s does not name",
-				name,
-				s.Name,
-			)
+			return nil, nil, fmt.Errorf("day: the recording has a tenant %q, which %s does not name", name, s.Name)
 		}
 		r.tenants = append(r.tenants, i)
 	}
@@ -75,59 +65,66 @@
 	return &out, r, nil
 }
 
-// replayArrivals takes first tries from a recording. At a higher rate some come twice or more, a
-// little apart; at a lower one some are left out. Which, and what they ask of the cores, is drawn
-// anew for each day.
+// replayArrivals takes the requests from a recording. At a higher rate some are copied, with some
+// jitter; at a lower one some are left out. Which ones, and their work, is drawn for each day.
 func (d *Day) replayArrivals() {
-	r, cvs, ranks := d.Spec.replay, d.drawVariations(), d.classRanks()
+	replay, draws := d.Spec.replay, d.newRequestDraws()
 	id := uint64(0)
-	for i, q := range r.requests {
-		copies := int(r.rate + Unit(d.Seed, "copies", uint64(i)))
-		for k := range copies {
+	for i := range replay.requests {
+		copies := int(replay.rate + Unit(d.Seed, "copies", uint64(i)))
+		for copied := range copies {
 			id++
-			at := q.ArrivedAt.Sub(r.startedAt)
-			if k > 0 {
-				at += virtualclock.FromMicros((2*Unit(d.Seed, "jitter", id) - 1) * virtualclock.Micros(jitter))
-			}
-			if at < 0 || at >= d.Length {
-				at = q.ArrivedAt.Sub(r.startedAt)
-			}
-			a := Arrival{
-				At:       at,
-				ID:       id,
-				Class:    r.classes[q.Class],
-				Tenant:   r.tenants[q.Tenant],
-				Balancer: int(q.Caller) % len(d.Balancers),
-			}
-			d.drawRequest(&a, Stream(d.Seed, "request", id), cvs, ranks)
-			a.SizeKB, a.Rank = float64(q.SizeKB), float64(q.Rank)
-			if !(a.SizeKB > 0) {
-				a.SizeKB = d.HoldKB
-			}
-			d.Arrivals = append(d.Arrivals, a)
+			d.Arrivals = append(d.Arrivals, d.replayArrival(&replay.requests[i], id, copied > 0, draws))
 		}
 	}
 	slices.SortStableFunc(d.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	share := d.newQuotas()
+	quotas := d.newQuotas()
 	for i := range d.Arrivals {
-		share.count(&d.Arrivals[i])
+		quotas.count(&d.Arrivals[i])
 	}
 	d.RequestRate = float64(len(d.Arrivals)) / d.Spec.LengthS
 }
 
-// Record gives the traffic of a day as a recording, as if one runner had read it all without
-// further tries.
-func (d *Day) Record(began wallclock.UnixMicro) (h traffic.Header, requests []traffic.Request) {
-	h = traffic.Header{Runner: d.Spec.Name, StartedAt: began}
+// replayArrival returns a recorded request, or a copy of it at another time.
+func (d *Day) replayArrival(recorded *traffic.Request, id uint64, jittered bool, draws *requestDraws) Arrival {
+	replay := d.Spec.replay
+	recordedAt := recorded.ArrivedAt.Sub(replay.startedAt)
+	at := recordedAt
+	if jittered {
+		u := 2*Unit(d.Seed, "jitter", id) - 1
+		at += virtualclock.FromMicros(u * virtualclock.Micros(jitter))
+	}
+	if at < 0 || at >= d.Length {
+		at = recordedAt
+	}
+	a := Arrival{
+		At:       at,
+		ID:       id,
+		Class:    replay.classes[recorded.Class],
+		Tenant:   replay.tenants[recorded.Tenant],
+		Balancer: int(recorded.Caller) % len(d.Balancers),
+	}
+	draws.draw(&a, Stream(d.Seed, "request", id))
+	a.SizeKB, a.Rank = float64(recorded.SizeKB), float64(recorded.Rank)
+	if !(a.SizeKB > 0) {
+		a.SizeKB = d.HoldKB
+	}
+	return a
+}
+
+// Record returns the requests of a day as the recording of one runner that read them all, without
+// retries.
+func (d *Day) Record(startedAt wallclock.UnixMicro) (header traffic.Header, requests []traffic.Request) {
+	header = traffic.Header{Runner: d.Spec.Name, StartedAt: startedAt}
 	for _, c := range d.Spec.Classes {
-		h.Classes = append(h.Classes, c.Name)
+		header.Classes = append(header.Classes, c.Name)
 	}
 	for _, t := range d.Spec.Tenants {
-		h.Tenants = append(h.Tenants, t.Name)
+		header.Tenants = append(header.Tenants, t.Name)
 	}
 	for _, a := range d.Arrivals {
 		q := traffic.Request{
-			ArrivedAt: began.Add(a.At),
+			ArrivedAt: startedAt.Add(a.At),
 			Class:     uint16(a.Class),
 			Tenant:    uint16(a.Tenant),
 			Caller:    uint32(a.Balancer),
@@ -136,10 +133,10 @@
 			BodyHash:  Mix(d.Seed, "body", a.ID),
 			BodyBytes: 8,
 		}
-		if d.Spec.Classes[a.Class].Effect == "keyed" {
+		if d.Spec.Classes[a.Class].Effect == EffectKeyed {
 			q.KeyHash = Mix(d.Seed, "key", a.ID)
 		}
 		requests = append(requests, q)
 	}
-	return h, requests
+	return header, requests
 }
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -17,9 +17,8 @@
 	return &traffic.Recording{Header: h, Requests: requests}
 }
 
-// Recorded traffic comes again as it was: times, classes, tenants, balancers, sizes and ranks. Its
-// work is drawn.
-func TestReplay(t *testing.T) {
+// Times, classes, tenants, balancers, sizes and ranks are those of the recording. The work is drawn.
+func TestReplayRepeatsRecordedRequests(t *testing.T) {
 	s := parse(t, plainDay)
 	was := Draw(s, 1).Arrivals
 	again, r, err := s.WithTraffic(recording(t, s), 1)
@@ -49,7 +48,7 @@
 	}
 }
 
-func TestReplayAtAnotherRate(t *testing.T) {
+func TestReplayScalesTheRate(t *testing.T) {
 	s := parse(t, plainDay)
 	rec := recording(t, s)
 	for _, rate := range []float64{0.25, 0.8, 1.5, 3} {
@@ -77,12 +76,11 @@
 	}
 }
 
-// Clocks that go back, and tries that repeat others.
-func TestReplayOfAnOddRecording(t *testing.T) {
+func TestReplayOmitsRetries(t *testing.T) {
 	s := parse(t, plainDay)
 	rec := recording(t, s)
 	n := len(rec.Requests)
-	for _, q := range rec.Requests[:n/2] { // each of the first half is tried again a second later
+	for _, q := range rec.Requests[:n/2] { // each of the first half is retried a second later
 		q.ArrivedAt = q.ArrivedAt.Add(time.Second)
 		rec.Requests = append(rec.Requests, q)
 	}
@@ -92,7 +90,7 @@
 	}
 }
 
-func TestReplayRefused(t *testing.T) {
+func TestReplayRejectsUnfitRecordings(t *testing.T) {
 	s := parse(t, plainDay)
 	for _, c := range []struct {
 		change func(*traffic.Recording)
--- a/internal/simulator/day/schema.go
+++ b/internal/simulator/day/schema.go
@@ -6,14 +6,14 @@
 	"github.com/invopop/jsonschema"
 )
 
-// JSONSchema describes a range: a number, or the least and the most.
+// JSONSchema implements the interface of package jsonschema: a number, or a list of both ends.
 func (Range) JSONSchema() *jsonschema.Schema {
 	two := uint64(2)
 	return &jsonschema.Schema{OneOf: []*jsonschema.Schema{{Type: "number"},
 		{Type: "array", Items: &jsonschema.Schema{Type: "number"}, MinItems: &two, MaxItems: &two}}}
 }
 
-// MarshalJSON gives a range as it stands in a scenario.
+// MarshalJSON implements json.Marshaler: a range as in a scenario file.
 func (r Range) MarshalJSON() ([]byte, error) {
 	v, err := r.MarshalYAML()
 	if err != nil {
@@ -22,7 +22,7 @@
 	return json.Marshal(v)
 }
 
-// Schema describes a scenario. All of it may be left out but the name and the balancers.
+// Schema returns the JSON schema of a scenario. Only the name and the balancers are required.
 func Schema() *jsonschema.Schema {
 	r := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
 	s := r.Reflect(&Spec{})
--- /dev/null
+++ b/internal/simulator/day/settings.go
@@ -0,0 +1,89 @@
+package day
+
+import (
+	"time"
+
+	"ryepaddle/internal/admission"
+)
+
+const (
+	creditTTL             = time.Second // for which balancers observe a credit
+	maxRetryAfter         = time.Second // longest Retry-After that balancers observe
+	idleConnectionTimeout = 30 * time.Second
+)
+
+// idempotencyOf maps the values of Class.Effect.
+var idempotencyOf = map[string]admission.Idempotency{
+	EffectSafe:   admission.Idempotent,
+	EffectKeyed:  admission.IdempotentWithKey,
+	EffectUnsafe: admission.NonIdempotent,
+}
+
+// drawSettings sets the settings of the runners. It draws the quotas of the tenants.
+func (d *Day) drawSettings() {
+	fleet, machine := &d.Spec.Fleet, d.Runners[0].Spec
+	d.Settings = admission.Settings{
+		Servers:               len(d.Runners),
+		Callers:               len(d.Balancers),
+		Cores:                 fleet.Cores,
+		MemoryKB:              machine.MemoryKB,
+		RunningMemoryFactor:   fleet.RunFactor,
+		KeyMemoryKB:           d.KeyKB,
+		CreditMode:            admission.CreditPerCaller,
+		CreditLifetime:        creditTTL,
+		DeepHealthChecks:      true,
+		ReportsAbandoned:      true,
+		IdleConnectionTimeout: idleConnectionTimeout,
+		MaxRetryAfter:         maxRetryAfter,
+		OverQuotaWeight:       d.Spec.Goal.OverWorth,
+		DeadlineGrace:         millis(fleet.SlackMs),
+		DrainGrace:            millis(fleet.DrainMs),
+		MaxRunningPerCore:     fleet.CrowdLimit,
+		MaxRunningWindow:      millis(fleet.CrowdMs),
+		WarmUpInitialShare:    fleet.ColdFrom.Lo,
+		WarmUpTime:            millis(fleet.ColdS.Hi * 1000),
+	}
+	d.addClasses(&d.Settings)
+	d.addTenants(&d.Settings)
+}
+
+// addClasses adds the classes and, if one of them calls, the limits on calls.
+func (d *Day) addClasses(settings *admission.Settings) {
+	for i, c := range d.Spec.Classes {
+		settings.Classes = append(settings.Classes, admission.Class{
+			Name:               c.Name,
+			LatencyObjective:   millis(c.AimMs),
+			Timeout:            millis(c.DeadlineMs),
+			IdempotencyWindow:  millis(c.WindowMs),
+			Idempotency:        idempotencyOf[c.Effect],
+			PriorityWeight:     c.Worth,
+			LateWeightFraction: c.LateWorth,
+			CallsDependency:    d.MeanCalls[i] > 0,
+		})
+		if d.MeanCalls[i] > 0 {
+			settings.Dependency = admission.DependencyShared
+		}
+	}
+	if settings.Dependency == admission.DependencyShared {
+		settings.CallQuota = d.Backend.CrashFactor * d.Backend.Slots / float64(len(d.Runners))
+		settings.CallQuotaWindow = d.Backend.CrashWindow
+		settings.AbandonedCallTime = d.Backend.CancelLinger
+	}
+}
+
+// addTenants draws the quotas and adds the tenants.
+func (d *Day) addTenants(settings *admission.Settings) {
+	total := drawFrom(Stream(d.Seed, "quota", 0), d.Spec.Goal.QuotaOf) * d.Capacity
+	shares := 0.0
+	for _, t := range d.Spec.Tenants {
+		shares += t.Share
+	}
+	for _, t := range d.Spec.Tenants {
+		quota := 0.0
+		if shares > 0 {
+			quota = total * t.Share / shares
+		}
+		d.Quotas = append(d.Quotas, quota)
+		settings.Tenants = append(settings.Tenants, admission.Tenant{Name: t.Name, QuotaRate: quota})
+	}
+}
