--- /dev/null
+++ b/internal/simulator/cluster/attempts.go
@@ -0,0 +1,95 @@
+package cluster
+
+import (
+	"fmt"
+	"time"
+
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/simulator/virtualclock"
+)
+
+// inFlightAttempt is an attempt at a server.
+type inFlightAttempt struct {
+	request   *serverRequest
+	server    string
+	startedAt time.Duration
+	timer     virtualclock.Timer // of its timeout
+}
+
+// Run implements lifecycle.Runner.
+func (s *simulation) Run(a *lifecycle.Attempt) {
+	now := s.scheduler.Now()
+	name, ok := s.picker.Pick(a, now)
+	if !ok {
+		s.scheduler.After(0, func() { s.reportEnd(a, lifecycle.NotStarted, nil) })
+		return
+	}
+	a.Server = name
+	s.stats.attempts++
+	attempt := &inFlightAttempt{server: name, startedAt: now}
+	s.inFlight[a] = attempt
+	attempt.request = &serverRequest{
+		work:  workOf(a),
+		key:   a.Request.Key,
+		onEnd: func(o lifecycle.Outcome) { s.endAttempt(a, o) },
+	}
+	attempt.timer = s.scheduler.After(a.Deadline-now, func() { s.attemptTimedOut(a) })
+	s.byName[name].accept(attempt.request)
+}
+
+// workOf returns the work that submit has put into the metadata.
+func workOf(a *lifecycle.Attempt) (work float64) {
+	_, _ = fmt.Sscan(a.Request.Metadata[0].Value, &work)
+	return work
+}
+
+// attemptTimedOut ends an attempt at its deadline. One that is not idempotent goes on for as long
+// again, so that a retry of its key gets its result.
+func (s *simulation) attemptTimedOut(a *lifecycle.Attempt) {
+	attempt := s.inFlight[a]
+	if attempt == nil {
+		return
+	}
+	deadline := a.Deadline.Truncate(virtualclock.Resolution)
+	extended := deadline + (deadline - attempt.startedAt)
+	if now := s.scheduler.Now(); !a.Idempotent && now < extended {
+		attempt.timer = s.scheduler.After(extended-now, func() { s.attemptTimedOut(a) })
+		return
+	}
+	s.endAttempt(a, lifecycle.TimedOut)
+}
+
+// Abandon implements lifecycle.Runner.
+func (s *simulation) Abandon(a *lifecycle.Attempt) {
+	if a.Idempotent {
+		s.scheduler.After(0, func() { s.endAttempt(a, lifecycle.Canceled) })
+	}
+}
+
+// endAttempt ends an attempt, once.
+func (s *simulation) endAttempt(a *lifecycle.Attempt, outcome lifecycle.Outcome) {
+	attempt := s.inFlight[a]
+	if attempt == nil {
+		return
+	}
+	delete(s.inFlight, a)
+	attempt.timer.Stop()
+	attempt.request.closed = true
+	attempt.request.timer.Stop()
+	now := s.scheduler.Now()
+	s.picker.Done(attempt.server, a.Request.Class, outcome, now-attempt.startedAt, now)
+	var result *lifecycle.Result
+	if outcome == lifecycle.Succeeded {
+		result = &lifecycle.Result{Status: 200}
+	}
+	s.reportEnd(a, outcome, result)
+}
+
+// reportEnd reports the end of an attempt to what is in front of the servers.
+func (s *simulation) reportEnd(a *lifecycle.Attempt, o lifecycle.Outcome, result *lifecycle.Result) {
+	if s.queue != nil {
+		s.queue.AttemptEnded(a, o, result)
+		return
+	}
+	s.manager.AttemptEnded(a, o, result)
+}
--- /dev/null
+++ b/internal/simulator/cluster/clients.go
@@ -0,0 +1,155 @@
+package cluster
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/virtualclock"
+	"ryepaddle/internal/wallclock"
+)
+
+const (
+	maxSubmissions  = 4 // of a request by its client
+	clientAddresses = 4
+)
+
+// clientRequest is a request of a client, which submits it again after a rejection.
+type clientRequest struct {
+	simulation  *simulation
+	class       int
+	firstSentAt time.Duration
+	work        float64 // microseconds of a warm worker
+	key         string
+	submissions int
+	answered    bool
+}
+
+// startArrivals starts the requests of the day, a Poisson process.
+func (s *simulation) startArrivals() {
+	r := day.Stream(s.seed, "arrivals", 0)
+	rate := s.spec.Load * float64(s.spec.workers()) / meanWork() // per microsecond
+	s.arriveUntil(r, rate, func() bool {
+		return s.scheduler.Now()-virtualclock.Origin >= seconds(s.spec.Seconds)
+	}, drawClass)
+}
+
+// startFlood starts further requests of one class.
+func (s *simulation) startFlood(fault Fault) {
+	r := day.Stream(s.seed, "flood", uint64(fault.Class))
+	rate := fault.Share * float64(s.spec.workers()) / (classes[fault.Class].Work * 1000) // per microsecond
+	s.at(fault.From, func() {
+		s.arriveUntil(r, rate, func() bool {
+			return virtualclock.Micros(s.scheduler.Now()-virtualclock.Origin) >= fault.To*1e6
+		}, func(*rand.Rand) int { return fault.Class })
+	})
+}
+
+// arriveUntil starts requests at a rate per microsecond until ended reports true.
+func (s *simulation) arriveUntil(
+	r *rand.Rand,
+	rate float64,
+	ended func() bool,
+	class func(r *rand.Rand) int,
+) {
+	var arrive func()
+	arrive = func() {
+		if ended() {
+			return
+		}
+		s.newRequest(class(r), r)
+		gap := virtualclock.FromMicros(r.ExpFloat64()/rate) + virtualclock.Resolution
+		s.scheduler.After(gap, arrive)
+	}
+	arrive()
+}
+
+// drawClass draws a class by the shares.
+func drawClass(r *rand.Rand) int {
+	u, class := r.Float64(), 0
+	for ; class < len(classes)-1 && u >= classes[class].Share; class++ {
+		u -= classes[class].Share
+	}
+	return class
+}
+
+// newRequest draws a request of a class and submits it.
+func (s *simulation) newRequest(class int, r *rand.Rand) {
+	request := &clientRequest{
+		simulation:  s,
+		class:       class,
+		firstSentAt: s.scheduler.Now(),
+		work:        classes[class].Work * 1000 * math.Exp(0.5*r.NormFloat64()-0.125),
+	}
+	if classes[class].Keyed {
+		request.key = fmt.Sprint("key", s.stats.requests)
+	}
+	s.stats.countRequest(request)
+	request.submit()
+}
+
+// submit submits the request, for the first time or again.
+func (r *clientRequest) submit() {
+	s := r.simulation
+	r.submissions++
+	s.submissions++
+	now := s.scheduler.Now()
+	firstSentAt := wallclock.UnixMicro(0)
+	if s.sendsFirstSentAt {
+		firstSentAt = unixOrigin.Add(r.firstSentAt)
+	}
+	s.manager.Submit(&lifecycle.Request{
+		ID:          fmt.Sprint("r", s.submissions),
+		FirstSentAt: firstSentAt,
+		Class:       r.class,
+		Caller:      uint32(1 + s.submissions%clientAddresses),
+		ArrivedAt:   unixOrigin.Add(now),
+		Timeout:     millis(classes[r.class].Deadline) - (now - r.firstSentAt),
+		SizeKB:      1,
+		Rank:        0.5,
+		Key:         r.key,
+		Entity:      uint64(s.submissions),
+		Body:        []byte(r.key),
+		Metadata:    []lifecycle.Field{{Name: "work", Value: fmt.Sprint(r.work)}},
+		Responder:   r,
+	})
+}
+
+// Answer implements lifecycle.Responder.
+func (r *clientRequest) Answer(answer lifecycle.Answer) {
+	if r.answered {
+		panic("cluster: a request is answered twice")
+	}
+	s := r.simulation
+	latency := s.scheduler.Now() - r.firstSentAt
+	switch answer.Status {
+	case lifecycle.Served:
+		s.stats.countServed(r, latency)
+	case lifecycle.Rejected:
+		s.stats.rejections++
+		if r.submitAgain(answer.RetryAfter, latency) {
+			return
+		}
+		s.stats.failed++
+	default:
+		s.stats.failed++
+	}
+	r.answered = true
+	s.stats.countEnd(r)
+}
+
+// submitAgain submits a rejected request again after a jittered Retry-After. It reports whether there
+// is time for that.
+func (r *clientRequest) submitAgain(retryAfter, elapsed time.Duration) bool {
+	s, c := r.simulation, &classes[r.class]
+	jitter := virtualclock.FromMicros(s.clients.Float64() * virtualclock.Micros(retryAfter))
+	wait := retryAfter.Truncate(virtualclock.Resolution) + jitter
+	if r.submissions >= maxSubmissions || elapsed+wait+millis(c.Work) >= millis(c.Deadline) {
+		return false
+	}
+	s.scheduler.After(wait, r.submit)
+	return true
+}
--- a/internal/simulator/cluster/cluster_test.go
+++ b/internal/simulator/cluster/cluster_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// shortSpec is a day of that kind that is over soon, with troubles that begin early.
+// shortSpec is a short day of a kind, with faults that begin early.
 func shortSpec(t *testing.T, name string) Spec {
 	t.Helper()
 	s, ok := Named(name)
@@ -22,31 +22,30 @@
 	return s
 }
 
-// On any kind of day, in any way of routing: each request has one answer, no hand-in runs twice,
-// and a seed gives the same day again.
-func TestRulesHoldOnAllDays(t *testing.T) {
+// bulkheadDays are the kinds of day that are made for bulkheads.
+var bulkheadDays = []string{"load-80", "load-110", "load-150", "flood", "crawl", "crawl-fifth"}
+
+// On any kind of day, in any routing mode, each request has one answer, no key runs twice, and a seed
+// gives the same result again.
+func TestRulesHoldOnAllKindsOfDay(t *testing.T) {
 	for _, kind := range Specs() {
 		s := shortSpec(t, kind.Name)
 		if s.Servers > 50 {
 			s.Servers = 50
 		}
-		for _, way := range RoutingModes {
-			// Pools and the days for them, each with some of the others.
-			pooled, made := reportsMoreCores(
-				way,
-			), slices.Contains(
-				[]string{"load-80", "load-110", "load-150", "flood", "crawl", "crawl-fifth"},
-				kind.Name,
-			)
-			if pooled != made && !(pooled && kind.Name == "flapping") && !(made && way == "routed") {
+		for _, mode := range RoutingModes {
+			// Modes with bulkheads, the days for them, and each with some of the others.
+			bulkheads, daysForThem := reportsMoreCores(mode), slices.Contains(bulkheadDays, kind.Name)
+			if bulkheads != daysForThem && !(bulkheads && kind.Name == "flapping") &&
+				!(daysForThem && mode == modeRouted) {
 				continue
 			}
-			if s.Seconds = 8; made {
+			if s.Seconds = 8; daysForThem {
 				s.Seconds = 6
 			}
-			t.Run(s.Name+"/"+way, func(t *testing.T) {
+			t.Run(s.Name+"/"+mode, func(t *testing.T) {
 				t.Parallel()
-				r, err := Play(&s, 5, way)
+				r, err := Play(&s, 5, mode)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -56,7 +55,7 @@
 					r.Tries <= 0 {
 					t.Errorf("%+v", *r)
 				}
-				again, err := Play(&s, 5, way)
+				again, err := Play(&s, 5, mode)
 				if diff := cmp.Diff(r, again); err != nil || diff != "" {
 					t.Errorf("the same day again: %v (-first +second)\n%s", err, diff)
 				}
@@ -65,9 +64,9 @@
 	}
 }
 
-// What routing is for: a server that fails at once loses little, where the picker before it lost
-// much; and it costs nothing on a calm day. Workers do not change what comes out.
-func TestRoutingIsWorthIt(t *testing.T) {
+// A server that fails at once costs little, unlike with the baseline, and routing costs nothing on a
+// calm day. The number of workers does not change the result.
+func TestRoutingEarnsMoreThanTheBaseline(t *testing.T) {
 	s := shortSpec(t, "fast-failer")
 	one, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 1, func() {})
 	if err != nil {
@@ -90,9 +89,9 @@
 	}
 }
 
-// What a reserve is for: at half as much again as the servers can do the cheapest calls are
-// answered within their aim, and without pools they are not.
-func TestReserveKeepsTheCheapest(t *testing.T) {
+// At one and a half times the capacity the cheapest requests are served within their objective with
+// bulkheads, and without them they are not.
+func TestReserveServesTheCheapestInTime(t *testing.T) {
 	s := shortSpec(t, "load-150")
 	c, err := Compare(context.Background(), &s, "routed", "pools-gradient", 1, 3, 8, func() {})
 	if err != nil {
@@ -100,7 +99,7 @@
 	}
 	for i := range c.DaysB {
 		if a, b := c.DaysA[i].Cheap, c.DaysB[i].Cheap; b < 0.99 || a > 0.9 {
-			t.Errorf("day %d: %.3f of the cheapest calls are in time without pools, %.3f with them", i, a, b)
+			t.Errorf("day %d: %.3f of the cheapest requests are in time without bulkheads, %.3f with them", i, a, b)
 		}
 	}
 }
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/simulator/compare"
 )
 
-// Comparison is one kind of day routed in two ways, over many seeds.
+// Comparison compares two routing modes on days of one kind.
 type Comparison struct {
 	Day       string             `json:"day"`
 	About     string             `json:"about"`
@@ -17,11 +17,17 @@
 	DaysB     []*Result          `json:"days_b"`
 }
 
-var metrics = []struct {
+// significance is the probability of an error of each estimate.
+const significance = 0.05
+
+// metric is a figure of a day.
+type metric struct {
 	name, unit string
-	more       int
+	sign       int // 1: more is better; -1: less is
 	of         func(*Result) float64
-}{
+}
+
+var metrics = []metric{
 	{"worth", "", 1, func(r *Result) float64 { return r.Worth }},
 	{"worst 10 s", "", 1, func(r *Result) float64 { return r.Worst }},
 	{"10 s from the middle", "", 1, func(r *Result) float64 { return r.Middle }},
@@ -35,15 +41,16 @@
 	{"broken rules", "a day", -1, func(r *Result) float64 { return float64(r.Twice + r.Unasked) }},
 }
 
-// Compare plays the days from a seed on in both ways, on so many workers, and estimates the
-// differences B - A at 95%. What comes out does not depend on the workers.
+// Compare simulates days with both modes, on so many workers, and estimates the differences B - A.
+// The first day has the given seed, the next ones count on. done is called after each simulation. The
+// result does not depend on the number of workers.
 func Compare(
 	ctx context.Context,
 	spec *Spec,
 	a, b string,
 	seed uint64,
 	days, workers int,
-	tell func(),
+	done func(),
 ) (*Comparison, error) {
 	c := &Comparison{
 		Day:   spec.Name,
@@ -54,23 +61,23 @@
 		DaysB: make([]*Result, days),
 	}
 	err := compare.ParallelEach(ctx, workers, 2*days, func(i int) (err error) {
-		way, into := a, c.DaysA
+		mode, results := a, c.DaysA
 		if i%2 == 1 {
-			way, into = b, c.DaysB
+			mode, results = b, c.DaysB
 		}
-		into[i/2], err = Play(spec, seed+uint64(i/2), way)
-		tell()
+		results[i/2], err = Play(spec, seed+uint64(i/2), mode)
+		done()
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	for _, f := range metrics {
-		var va, vb []float64
+	for _, m := range metrics {
+		var valuesA, valuesB []float64
 		for i := range days {
-			va, vb = append(va, f.of(c.DaysA[i])), append(vb, f.of(c.DaysB[i]))
+			valuesA, valuesB = append(valuesA, m.of(c.DaysA[i])), append(valuesB, m.of(c.DaysB[i]))
 		}
-		c.Estimates = append(c.Estimates, compare.Paired(f.name, f.unit, f.more, va, vb, 0.05))
+		c.Estimates = append(c.Estimates, compare.Paired(m.name, m.unit, m.sign, valuesA, valuesB, significance))
 	}
 	return c, nil
 }
--- /dev/null
+++ b/internal/simulator/cluster/faults.go
@@ -0,0 +1,91 @@
+package cluster
+
+import (
+	"math"
+
+	"ryepaddle/internal/balancer/endpointhealth"
+)
+
+// The kinds of fault.
+const (
+	FaultDead    = "dead"    // servers crash and start again
+	FaultCut     = "cut"     // servers do not answer
+	FaultFailing = "faults"  // servers answer every request with an error at once
+	FaultSlow    = "slow"    // servers are slower by a factor
+	FaultFlap    = "flap"    // servers crash and start again every few seconds
+	FaultRelease = "release" // all servers are restarted one after the other
+	FaultJoin    = "join"    // servers join that were not listed before
+	FaultFlood   = "flood"   // further requests of one class
+)
+
+const (
+	flapDownS    = 3 // seconds that a flapping server is down
+	flapPeriodS  = 6
+	releaseDownS = 2 // seconds that a server is down in a release
+)
+
+// affected returns the servers that a fault hits.
+func (s *simulation) affected(fault Fault) (affected []*server) {
+	count := int(math.Round(fault.Share * float64(len(s.servers))))
+	for i, server := range s.servers {
+		if fault.Zone != "" && server.Zone == fault.Zone || fault.Zone == "" && i < count {
+			affected = append(affected, server)
+		}
+	}
+	return affected
+}
+
+// scheduleFault schedules a fault and its end.
+func (s *simulation) scheduleFault(fault Fault) {
+	each := func(second float64, do func(*server)) {
+		s.at(second, func() {
+			for _, server := range s.affected(fault) {
+				do(server)
+			}
+		})
+	}
+	toggle := func(begin, end func(*server)) {
+		each(fault.From, begin)
+		if fault.To > 0 {
+			each(fault.To, end)
+		}
+	}
+	switch fault.Kind {
+	case FaultFlood:
+		s.startFlood(fault)
+	case FaultDead:
+		toggle((*server).kill, (*server).start)
+	case FaultCut:
+		toggle(func(v *server) { v.cut = true }, func(v *server) { v.cut = false })
+	case FaultFailing:
+		toggle(func(v *server) { v.failing = true }, func(v *server) { v.failing = false })
+	case FaultSlow:
+		toggle(func(v *server) { v.slowdown = fault.Times }, func(v *server) { v.slowdown = 1 })
+	case FaultFlap:
+		for second := fault.From; second < s.spec.Seconds; second += flapPeriodS {
+			each(second, (*server).kill)
+			each(second+flapDownS, (*server).start)
+		}
+	case FaultRelease:
+		for i, server := range s.servers {
+			second := fault.From + (fault.To-fault.From)*float64(i)/float64(len(s.servers))
+			s.at(second, server.stop)
+			s.at(second+releaseDownS, server.start)
+		}
+	case FaultJoin:
+		s.at(fault.From, s.join)
+	}
+}
+
+// join starts the servers that are not listed, and lists all.
+func (s *simulation) join() {
+	for _, server := range s.servers[:len(s.servers)-len(s.listed)] {
+		server.start()
+	}
+	var all []endpointhealth.EndpointSpec
+	for _, server := range s.servers {
+		all = append(all, server.EndpointSpec)
+	}
+	s.listed = all
+	s.picker.SetEndpoints(all, s.scheduler.Now())
+}
--- a/internal/simulator/cluster/replaced.go
+++ b/internal/simulator/cluster/replaced.go
@@ -10,47 +10,48 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// replacedMode is the way in which the routing is replaced in the middle of the day by one that knows
-// nothing, as when an instance is.
+// replacedMode is the routing mode in which the picker is replaced in the middle of the day by one
+// without any knowledge, as when an instance of the program is replaced.
 const replacedMode = "new-blind"
 
-// replacedPicker is that. What it does worse than routing that stays is what knowledge from before is
-// worth.
+// replacedPicker is the picker of replacedMode.
 type replacedPicker struct {
 	*productionPicker
-	cfg       picker.Config
+	config    picker.Config
 	seed      uint64
-	replaceAt time.Duration // when it is replaced
+	replaceAt time.Duration
 	replaced  bool
 	listed    []endpointhealth.EndpointSpec
-	oldActive map[string]int // requests of the one before that are open
+	oldActive map[string]int // requests of the replaced picker, by server
 }
 
-func newReplacedPicker(cfg picker.Config, spec *Spec, seed uint64) *replacedPicker {
+func newReplacedPicker(config picker.Config, spec *Spec, seed uint64) *replacedPicker {
 	return &replacedPicker{
-		productionPicker: newProductionPicker(cfg, seed),
-		cfg:              cfg,
+		productionPicker: newProductionPicker(config, seed),
+		config:           config,
 		seed:             seed,
 		replaceAt:        virtualclock.FromMicros(spec.Seconds * 1e6 / 2),
 		oldActive:        map[string]int{},
 	}
 }
 
+// SetEndpoints implements Picker.
 func (p *replacedPicker) SetEndpoints(list []endpointhealth.EndpointSpec, now time.Duration) {
 	p.listed = slices.Clone(list)
 	p.productionPicker.SetEndpoints(list, now)
 }
 
-// Done keeps the ends of what the one before had sent from the new one. Of one server they are
-// taken to end first.
-func (p *replacedPicker) Done(name string, class int, o lifecycle.Outcome, took, now time.Duration) {
+// Done implements Picker. The new picker does not learn of requests of the replaced one, which are
+// taken to end first at each server.
+func (p *replacedPicker) Done(name string, class int, o lifecycle.Outcome, latency, now time.Duration) {
 	if p.oldActive[name] > 0 {
 		p.oldActive[name]--
 		return
 	}
-	p.productionPicker.Done(name, class, o, took, now)
+	p.productionPicker.Done(name, class, o, latency, now)
 }
 
+// Tick implements Picker. It replaces the picker once it is time.
 func (p *replacedPicker) Tick(now time.Duration) {
 	if p.replaced || now < p.replaceAt {
 		p.productionPicker.Tick(now)
@@ -61,7 +62,7 @@
 		p.oldActive[s.Name] = s.ActiveRequests
 	}
 	changes := p.changes
-	p.productionPicker = newProductionPicker(p.cfg, p.seed+1)
+	p.productionPicker = newProductionPicker(p.config, p.seed+1)
 	p.productionPicker.SetEndpoints(p.listed, now)
 	p.changes += changes
 }
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -2,58 +2,56 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"ryepaddle/internal/balancer/endpointhealth"
 	"ryepaddle/internal/lifecycle"
-	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
 const (
 	networkDelay   = 200 * time.Microsecond // one way
-	connectTimeout = time.Second            // after which the hop gives up a connection
-	backlog        = 128                    // requests that wait for a worker; with more there is no connection
-	failureTime    = time.Millisecond       // a server that fails at once takes so long
+	connectTimeout = time.Second
+	backlog        = 128              // waiting requests of a server; with more, connections time out
+	failureTime    = time.Millisecond // of the answer of a failing server
 )
 
-// request is one try on a server.
+// serverRequest is an attempt as a server sees it.
 type serverRequest struct {
 	work   float64 // microseconds of a warm worker
 	key    string
 	onEnd  func(lifecycle.Outcome)
-	closed bool // whoever asked has gone: it is not begun
-	timer  virtualclock.Timer
+	closed bool               // nobody waits for it: it is not started any more
+	timer  virtualclock.Timer // of the next message
 }
 
-func (j *serverRequest) end(o lifecycle.Outcome) {
-	if !j.closed {
-		j.closed = true
-		j.timer.Stop()
-		j.onEnd(o)
+// end ends the request, once.
+func (r *serverRequest) end(outcome lifecycle.Outcome) {
+	if !r.closed {
+		r.closed = true
+		r.timer.Stop()
+		r.onEnd(outcome)
 	}
 }
 
-// server is one of the simulated cluster: workers, and a queue before them.
+// server is a simulated uwsgi server: workers and a queue.
 type server struct {
 	endpointhealth.EndpointSpec
 	clock     virtualclock.Clock
 	spec      *Spec
-	rand      *rand.Rand
-	startedAt time.Duration // since when it warms up; 0: it is warm
+	startedAt time.Duration // of the last start, from which it warms up; 0: it is warm
 	slowdown  float64
 	dead      bool
-	cut       bool
-	failing   bool
-	busy      int
+	cut       bool // it does not answer
+	failing   bool // it answers with errors
+	busy      int  // workers
 	queue     []*serverRequest
-	running   []*serverRequest // in the order in which they were begun
-	onStart   func(key string) // hears of each that is begun
+	running   []*serverRequest // in the order of their starts
+	onStart   func(key string) // called with each request that is started
 }
 
-func newServer(clock virtualclock.Clock, spec *Spec, seed uint64, n int, ran func(string)) *server {
+func newServer(clock virtualclock.Clock, spec *Spec, n int, onStart func(key string)) *server {
 	name := fmt.Sprintf("runner-%03d", n+1)
 	return &server{
 		EndpointSpec: endpointhealth.EndpointSpec{
@@ -63,82 +61,84 @@
 		},
 		clock:    clock,
 		spec:     spec,
-		rand:     day.Stream(seed, "server", uint64(n)),
 		slowdown: 1,
-		onStart:  ran,
+		onStart:  onStart,
 	}
 }
 
-// workFactor is how many times longer than usual work takes now.
+// workFactor returns by how much longer work takes now.
 func (s *server) workFactor() float64 {
-	t := s.slowdown
+	factor := s.slowdown
 	if s.startedAt > 0 {
-		past := virtualclock.Micros(s.clock.Now()-s.startedAt) / (s.spec.WarmUpTime * 1e6)
-		t *= max(1, s.spec.WarmUpSlowdown-(s.spec.WarmUpSlowdown-1)*past)
+		warm := virtualclock.Micros(s.clock.Now()-s.startedAt) / (s.spec.WarmUpTime * 1e6)
+		factor *= max(1, s.spec.WarmUpSlowdown-(s.spec.WarmUpSlowdown-1)*warm)
 	}
-	return t
+	return factor
 }
 
-// accept is a connection with a request on it.
-func (s *server) accept(j *serverRequest) {
-	j.timer = s.clock.After(networkDelay, func() {
+// accept takes a connection with a request.
+func (s *server) accept(r *serverRequest) {
+	r.timer = s.clock.After(networkDelay, func() {
 		switch {
 		case s.cut || !s.dead && len(s.queue) >= backlog:
-			j.timer = s.clock.After(connectTimeout-networkDelay, func() { j.end(lifecycle.Interrupted) })
+			r.timer = s.clock.After(connectTimeout-networkDelay, func() { r.end(lifecycle.Interrupted) })
 		case s.dead:
-			j.timer = s.clock.After(networkDelay, func() { j.end(lifecycle.Unreachable) })
+			r.timer = s.clock.After(networkDelay, func() { r.end(lifecycle.Unreachable) })
 		case s.failing:
-			j.timer = s.clock.After(failureTime+networkDelay, func() { j.end(lifecycle.Faulted) })
+			r.timer = s.clock.After(failureTime+networkDelay, func() { r.end(lifecycle.Faulted) })
 		default:
-			s.queue = append(s.queue, j)
+			s.queue = append(s.queue, r)
 			s.startRequests()
 		}
 	})
 }
 
-// startRequests gives work to workers that have none. What was begun is done to its end, whether anybody
-// waits for it or not.
+// startRequests starts queued requests on idle workers.
 func (s *server) startRequests() {
 	for s.busy < s.spec.Workers && len(s.queue) > 0 {
-		j := s.queue[0]
+		r := s.queue[0]
 		s.queue = s.queue[1:]
-		if j.closed {
+		if r.closed {
 			continue
 		}
 		s.busy++
-		s.running = append(s.running, j)
-		s.onStart(j.key)
-		s.clock.After(virtualclock.FromMicros(j.work*s.workFactor()), func() {
-			i := slices.Index(s.running, j)
-			if i < 0 { // it was killed meanwhile
-				return
-			}
-			s.running = slices.Delete(s.running, i, i+1)
-			s.busy--
-			if !j.closed {
-				j.timer = s.clock.After(networkDelay, func() { j.end(lifecycle.Succeeded) })
-			}
-			s.startRequests()
-		})
+		s.running = append(s.running, r)
+		s.onStart(r.key)
+		s.clock.After(virtualclock.FromMicros(r.work*s.workFactor()), func() { s.finish(r) })
+	}
+}
+
+// finish answers a request whose work is done. A started request is worked on to its end, whether or
+// not anybody waits for it.
+func (s *server) finish(r *serverRequest) {
+	i := slices.Index(s.running, r)
+	if i < 0 { // the server was killed in the meantime
+		return
+	}
+	s.running = slices.Delete(s.running, i, i+1)
+	s.busy--
+	if !r.closed {
+		r.timer = s.clock.After(networkDelay, func() { r.end(lifecycle.Succeeded) })
 	}
+	s.startRequests()
 }
 
-// kill ends it as a crash does.
+// kill ends the server as a crash does.
 func (s *server) kill() {
 	s.dead = true
-	for _, j := range s.queue {
-		j.end(lifecycle.Interrupted)
+	for _, r := range s.queue {
+		r.end(lifecycle.Interrupted)
 	}
-	for _, j := range s.running {
-		s.clock.After(networkDelay, func() { j.end(lifecycle.Interrupted) })
+	for _, r := range s.running {
+		s.clock.After(networkDelay, func() { r.end(lifecycle.Interrupted) })
 	}
 	s.queue, s.running, s.busy = nil, nil, 0
 }
 
-// stop lets it finish what it has, and take nothing more.
+// stop lets the server finish what it has, and take nothing more.
 func (s *server) stop() { s.dead = true }
 
-// start has it back, cold.
+// start starts the server again, cold.
 func (s *server) start() {
 	s.dead, s.startedAt = false, s.clock.Now()
 	s.startRequests()
