--- a/internal/testing/daytest/backend.go
+++ b/internal/testing/daytest/backend.go
@@ -16,127 +16,148 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// lookEvery is how soon connections are refused once the back end has fallen over.
-const lookEvery = 50 * time.Millisecond
+const (
+	// backendPollInterval is how soon connections are refused once the back end is down.
+	backendPollInterval = 50 * time.Millisecond
+	// backendBacklog is the listen queue of the back end, in connections.
+	backendBacklog = 4096
+)
+
+// The end of a request's header, and the header of an answer to a call that never ran.
+const (
+	headerEnd       = "\r\n\r\n"
+	notAcceptedLine = "Turned-Away: 1\r\n"
+)
 
-// backend is the shared back end behind a socket.
+// backend is the shared dependency behind a socket. It speaks HTTP/1.1.
 type backend struct {
-	loop  *eventloop.Loop
-	stage *fleet.Simulation
-	addr  netip.AddrPort
-	ln    *eventloop.Listener // nil while it is down
-	conns map[*caller]struct{}
+	loop       *eventloop.Loop
+	simulation *fleet.Simulation
+	addr       netip.AddrPort
+	listener   *eventloop.Listener // nil while it is down
 }
 
-func newBackend(l *eventloop.Loop, s *fleet.Simulation) (*backend, error) {
-	b := &backend{loop: l, stage: s, addr: loopback, conns: map[*caller]struct{}{}}
+func newBackend(loop *eventloop.Loop, simulation *fleet.Simulation) (*backend, error) {
+	b := &backend{loop: loop, simulation: simulation, addr: loopback}
 	if err := b.listen(); err != nil {
 		return nil, err
 	}
-	b.addr = b.ln.Addr()
-	l.Every(lookEvery, b.look)
+	b.addr = b.listener.Addr()
+	loop.Every(backendPollInterval, b.poll)
 	return b, nil
 }
 
 func (b *backend) listen() (err error) {
-	b.ln, err = b.loop.Listen(
+	b.listener, err = b.loop.Listen(
 		b.addr,
-		4096,
-		eventloop.BufferLimits{In: bufferIn, Out: bufferOut},
-		func(c *eventloop.Conn) eventloop.Handler {
-			k := &caller{Conn: c, b: b}
-			b.conns[k] = struct{}{}
-			return k
-		},
+		backendBacklog,
+		bufferLimits,
+		func(c *eventloop.Conn) eventloop.Handler { return &backendConn{Conn: c, backend: b} },
 		nil,
 	)
 	return err
 }
 
-// look closes the door while the back end is down, and opens it when it is back.
-func (b *backend) look() {
-	down := b.stage.Backend().IsDown()
-	if down && b.ln != nil {
-		b.ln.Close()
-		b.ln = nil
-	} else if !down && b.ln == nil {
-		_ = b.listen() // the address is its own; if it cannot be had yet, the next look tries again
+// poll closes the listener while the model is down and opens it when the model is back.
+func (b *backend) poll() {
+	down := b.simulation.Backend().IsDown()
+	switch {
+	case down && b.listener != nil:
+		b.listener.Close()
+		b.listener = nil
+	case !down && b.listener == nil:
+		_ = b.listen() // the address is its own; if it cannot be had yet, the next poll tries again
 	}
 }
 
-// caller is a connection of a runner, with one call at a time.
-type caller struct {
+// backendConn is a connection of a runner to the back end, with one call at a time.
+type backendConn struct {
 	*eventloop.Conn
-	b    *backend
-	call *dependencies.Call
-	busy bool
+	backend  *backend
+	call     *dependencies.Call
+	isActive bool // a call is in flight
 }
 
-// Connected implements loop.Handler.
-func (k *caller) Connected() {}
+// Connected implements eventloop.Handler.
+func (c *backendConn) Connected() {}
 
-// End implements loop.Handler. Closing gives up the call.
-func (k *caller) End() bool { return false }
+// End implements eventloop.Handler. Closing cancels the call.
+func (c *backendConn) End() bool { return false }
 
-// Closed implements loop.Handler.
-func (k *caller) Closed(error) {
-	delete(k.b.conns, k)
-	if k.busy && k.call != nil {
-		k.b.stage.Backend().Cancel(k.call)
+// Closed implements eventloop.Handler.
+func (c *backendConn) Closed(error) {
+	if c.isActive && c.call != nil {
+		c.backend.simulation.Backend().Cancel(c.call)
 	}
 }
 
-// Data implements loop.Handler.
-func (k *caller) Data(b []byte) (int, error) {
-	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if k.busy || end < 0 {
+// Data implements eventloop.Handler.
+func (c *backendConn) Data(b []byte) (int, error) {
+	if c.isActive {
 		return 0, nil
 	}
-	req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
-	if err != nil {
+	callID, body, n, err := readCall(b)
+	if err != nil || n == 0 {
 		return 0, err
 	}
-	n := end + 4 + int(req.ContentLength)
-	if len(b) < n {
-		return 0, nil
+	attempt := c.backend.simulation.Find(callID)
+	if attempt == nil || !attempt.IsRunning() || string(body) != attempt.Name {
+		c.reply(http.StatusConflict, notAcceptedLine, nil)
+		return n, nil
+	}
+	c.isActive = true
+	c.call = c.backend.simulation.Backend().Call(attempt.CallWork(), func(o dependencies.CallOutcome) {
+		c.complete(o, body)
+	})
+	return n, nil
+}
+
+// readCall decodes a whole call: the ID of the request that makes it, its body and its length in
+// bytes. The length is 0 while bytes are missing.
+func readCall(b []byte) (callID string, body []byte, n int, err error) {
+	end := bytes.Index(b, []byte(headerEnd))
+	if end < 0 {
+		return "", nil, 0, nil
 	}
-	body, err := io.ReadAll(req.Body)
+	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 	if err != nil {
-		return 0, err
+		return "", nil, 0, err
 	}
-	if req.Method != http.MethodPost || req.URL.Path != "/rpc/call" {
-		return 0, errors.New("no call")
+	n = end + len(headerEnd) + int(request.ContentLength)
+	if len(b) < n {
+		return "", nil, 0, nil
 	}
-	j := k.b.stage.Find(req.Header.Get("Parent-Call"))
-	if j == nil || !j.IsRunning() || string(body) != j.Name {
-		k.reply(409, "Turned-Away: 1\r\n", nil)
-		return n, nil
+	if body, err = io.ReadAll(request.Body); err != nil {
+		return "", nil, 0, err
 	}
-	k.busy = true
-	k.call = k.b.stage.Backend().Call(j.CallWork(), func(r dependencies.CallOutcome) {
-		k.busy = false
-		switch r {
-		case dependencies.CallSucceeded:
-			k.reply(200, "", slices.Concat([]byte("reply to "), body))
-		case dependencies.CallRejected:
-			k.reply(503, "Turned-Away: 1\r\n", nil)
-		default:
-			k.Close(nil)
-		}
-	})
-	return n, nil
+	if request.Method != http.MethodPost || request.URL.Path != "/rpc/call" {
+		return "", nil, 0, errors.New("daytest: not a call")
+	}
+	return request.Header.Get("Parent-Call"), body, n, nil
 }
 
-func (k *caller) reply(status int, fields string, body []byte) {
-	k.Write(
-		fmt.Appendf(
-			nil,
-			"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
-			status,
-			http.StatusText(status),
-			fields,
-			len(body),
-			body,
-		),
-	)
+// complete answers the call in flight.
+func (c *backendConn) complete(outcome dependencies.CallOutcome, body []byte) {
+	c.isActive = false
+	switch outcome {
+	case dependencies.CallSucceeded:
+		c.reply(http.StatusOK, "", slices.Concat([]byte("reply to "), body))
+	case dependencies.CallRejected:
+		c.reply(http.StatusServiceUnavailable, notAcceptedLine, nil)
+	default:
+		c.Close(nil)
+	}
+}
+
+// reply writes an answer. header is empty or whole header lines.
+func (c *backendConn) reply(status int, header string, body []byte) {
+	c.Write(fmt.Appendf(
+		nil,
+		"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status,
+		http.StatusText(status),
+		header,
+		len(body),
+		body,
+	))
 }
--- a/internal/testing/daytest/engine.go
+++ b/internal/testing/daytest/engine.go
@@ -9,68 +9,102 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// keepNotices is how many the engine keeps (PROTOCOL).
-const keepNotices = 4000
+const (
+	// maxNotices is how many notices the engine keeps for a link that comes back.
+	maxNotices = 4000
+	// engineBacklog is the listen queue of an engine, in connections.
+	engineBacklog = 16
+)
+
+// The types of messages, by the platform's names.
+const (
+	typeAttach  = "ATTACH"
+	typeHello   = "HELLO"
+	typeRun     = "RUN"
+	typeFeed    = "FEED"
+	typeStat    = "STAT"
+	typeStats   = "STATS"
+	typeTest    = "TEST"
+	typeTested  = "TESTED"
+	typeNeed    = "NEED"
+	typeDone    = "DONE"
+	typeRefused = "NO"
+)
+
+// The statuses of messages, by the platform's names.
+const (
+	statusRunning = "running"
+	statusSuccess = "fine"
+	statusLate    = "late"
+	statusAborted = "broken_off"
+)
 
-// message is one line of the link, either way.
+// message is one line of the link, in either direction.
 type message struct {
-	T      string    `json:"t"`
-	No     int64     `json:"no,omitempty"`
-	Rid    string    `json:"rid,omitempty"`
-	Route  string    `json:"route,omitempty"`
-	Status string    `json:"status,omitempty"`
-	Mark   string    `json:"mark,omitempty"`
-	V      []float64 `json:"v,omitempty"`
-	B64    []byte    `json:"b64,omitempty"`
-	TimeMs int64     `json:"time_ms"`
+	Type      string    `json:"t"`
+	Number    int64     `json:"no,omitempty"`
+	RequestID string    `json:"rid,omitempty"`
+	Route     string    `json:"route,omitempty"`
+	Status    string    `json:"status,omitempty"`
+	Mark      string    `json:"mark,omitempty"`
+	Values    []float64 `json:"v,omitempty"`
+	Body      []byte    `json:"b64,omitempty"`
+	TimeMs    int64     `json:"time_ms"`
+}
+
+func (m message) encode() []byte {
+	line, err := json.Marshal(m)
+	if err != nil {
+		panic(err) // a message holds nothing that cannot be encoded
+	}
+	return append(line, '\n')
 }
 
-// engine is the link of one runner's machine.
+// engine is the engine on the machine of one incarnation.
 type engine struct {
-	loop    *eventloop.Loop
-	life    *fleet.Incarnation
-	ln      *eventloop.Listener
-	link    *link // that stands; nil: none
-	born    time.Duration
-	last    int64 // number of the last notice
-	notices [][]byte
-	closed  bool
+	loop        *eventloop.Loop
+	incarnation *fleet.Incarnation
+	listener    *eventloop.Listener
+	link        *engineLink // the attached link; nil: none
+	started     time.Duration
+	lastNumber  int64    // of the last notice
+	notices     [][]byte // the last ones, encoded
+	isClosed    bool
 }
 
-func newEngine(l *eventloop.Loop, life *fleet.Incarnation) (e *engine, err error) {
-	e = &engine{loop: l, life: life, born: l.Now()}
-	e.ln, err = l.Listen(
+func newEngine(loop *eventloop.Loop, incarnation *fleet.Incarnation) (e *engine, err error) {
+	e = &engine{loop: loop, incarnation: incarnation, started: loop.Now()}
+	e.listener, err = loop.Listen(
 		loopback,
-		16,
-		eventloop.BufferLimits{In: bufferIn, Out: bufferOut},
-		func(c *eventloop.Conn) eventloop.Handler {
-			return &link{Conn: c, engine: e}
-		},
+		engineBacklog,
+		bufferLimits,
+		func(c *eventloop.Conn) eventloop.Handler { return &engineLink{Conn: c, engine: e} },
 		nil,
 	)
 	return e, err
 }
 
-func (e *engine) up() bool { return e.link != nil }
+func (e *engine) isAttached() bool { return e.link != nil }
 
 func (e *engine) close() {
-	if e.closed {
+	if e.isClosed {
 		return
 	}
-	e.closed = true
-	e.ln.Close()
+	e.isClosed = true
+	e.listener.Close()
 	if e.link != nil {
 		e.link.Close(nil)
 		e.link = nil
 	}
 }
 
-// notice sends what happened, and keeps it for a link that may come.
-func (e *engine) notice(m message) {
-	e.last++
-	m.No = e.last
-	line := encode(m)
-	if e.notices = append(e.notices, line); len(e.notices) > keepNotices {
+// notify sends a notice, and keeps it for a link that may attach later.
+func (e *engine) notify(m message) {
+	e.lastNumber++
+	m.Number = e.lastNumber
+	line := m.encode()
+	e.notices = append(e.notices, line)
+	if len(e.notices) > maxNotices {
 		e.notices = e.notices[1:]
 	}
 	if e.link != nil {
@@ -78,35 +112,27 @@
 	}
 }
 
-func encode(m message) []byte {
-	line, err := json.Marshal(m)
-	if err != nil {
-		panic(err) // a message holds nothing that cannot be written
-	}
-	return append(line, '\n')
-}
-
-// link is one connection of the runner.
-type link struct {
+// engineLink is one connection of the runner to its engine.
+type engineLink struct {
 	*eventloop.Conn
 	engine *engine
 }
 
-// Connected implements loop.Handler.
-func (k *link) Connected() {}
+// Connected implements eventloop.Handler.
+func (k *engineLink) Connected() {}
 
-// End implements loop.Handler.
-func (k *link) End() bool { return false }
+// End implements eventloop.Handler.
+func (k *engineLink) End() bool { return false }
 
-// Closed implements loop.Handler.
-func (k *link) Closed(error) {
+// Closed implements eventloop.Handler.
+func (k *engineLink) Closed(error) {
 	if k.engine.link == k {
 		k.engine.link = nil
 	}
 }
 
-// Data implements loop.Handler.
-func (k *link) Data(b []byte) (used int, err error) {
+// Data implements eventloop.Handler. A line that is no message closes the link.
+func (k *engineLink) Data(b []byte) (used int, err error) {
 	for {
 		line, _, ok := bytes.Cut(b[used:], []byte("\n"))
 		if !ok {
@@ -115,45 +141,63 @@
 		used += len(line) + 1
 		var m message
 		if err := json.Unmarshal(line, &m); err != nil {
-			return used, err // what is no command closes the link
+			return used, err
 		}
-		k.command(m)
+		k.handle(m)
 	}
 }
 
-func (k *link) command(m message) {
-	e := k.engine
-	switch m.T {
-	case "ATTACH":
-		if e.link != nil && e.link != k {
-			e.link.Close(nil)
-		}
-		e.link = k
-		k.Write(
-			encode(
-				message{T: "HELLO", Status: "running", TimeMs: (e.loop.Now() - e.born).Milliseconds()},
-			),
-		)
-		first := e.last - int64(len(e.notices)) + 1
-		for i, line := range e.notices {
-			if first+int64(i) > m.No {
-				k.Write(line)
-			}
-		}
-	case "RUN":
-		if j := e.life.Attempt(m.Rid); j != nil && (m.Route != j.ClassName() || !bytes.Equal(m.B64, j.Body())) {
-			k.Write(encode(message{T: "NO", Status: "RUN", Rid: m.Rid}))
-		} else if !e.life.Run(m.Rid) {
-			e.notice(message{T: "DONE", Rid: m.Rid, Status: "late"})
+func (k *engineLink) send(m message) { k.Write(m.encode()) }
+
+// handle carries out a command of the runner.
+func (k *engineLink) handle(m message) {
+	switch m.Type {
+	case typeAttach:
+		k.attach(m.Number)
+	case typeRun:
+		k.run(m)
+	case typeFeed:
+		if !k.engine.incarnation.Resume(m.RequestID) {
+			k.send(message{Type: typeRefused, Status: typeFeed, RequestID: m.RequestID})
 		}
-	case "FEED":
-		if !e.life.Resume(m.Rid) {
-			k.Write(encode(message{T: "NO", Status: "FEED", Rid: m.Rid}))
+	case typeStat:
+		gauges := k.engine.incarnation.Machine().Gauges()
+		values := []float64{gauges.CPU, gauges.Runnable, gauges.Memory, 0}
+		k.send(message{Type: typeStats, Mark: m.Mark, Values: values})
+	case typeTest:
+		k.engine.incarnation.Machine().Read(func() {
+			k.send(message{Type: typeTested, Mark: m.Mark, Status: statusSuccess})
+		})
+	}
+}
+
+// attach makes k the link that stands, in place of one before, and sends the notices after the
+// given number.
+func (k *engineLink) attach(after int64) {
+	e := k.engine
+	if e.link != nil && e.link != k {
+		e.link.Close(nil)
+	}
+	e.link = k
+	uptime := e.loop.Now() - e.started
+	k.send(message{Type: typeHello, Status: statusRunning, TimeMs: uptime.Milliseconds()})
+	first := e.lastNumber - int64(len(e.notices)) + 1
+	for i, line := range e.notices {
+		if first+int64(i) > after {
+			k.Write(line)
 		}
-	case "STAT":
-		g := e.life.Machine().Gauges()
-		k.Write(encode(message{T: "STATS", Mark: m.Mark, V: []float64{g.CPU, g.Runnable, g.Memory, 0}}))
-	case "TEST":
-		e.life.Machine().Read(func() { k.Write(encode(message{T: "TESTED", Mark: m.Mark, Status: "fine"})) })
+	}
+}
+
+// run starts a request, unless it is not the one that the balancer sent.
+func (k *engineLink) run(m message) {
+	incarnation := k.engine.incarnation
+	attempt := incarnation.Attempt(m.RequestID)
+	if attempt != nil && (m.Route != attempt.ClassName() || !bytes.Equal(m.Body, attempt.Body())) {
+		k.send(message{Type: typeRefused, Status: typeRun, RequestID: m.RequestID})
+		return
+	}
+	if !incarnation.Run(m.RequestID) {
+		k.engine.notify(message{Type: typeDone, RequestID: m.RequestID, Status: statusLate})
 	}
 }
--- a/internal/testing/daytest/rig_test.go
+++ b/internal/testing/daytest/harness_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -16,20 +17,20 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-var runner string
+var runnerBinary string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "rig-test")
+	dir, err := os.MkdirTemp("", "daytest")
 	if err != nil {
 		panic(err)
 	}
-	runner = filepath.Join(dir, "ryepaddle")
+	runnerBinary = filepath.Join(dir, "ryepaddle")
 	if out, err := exec.Command(
 		"go",
 		"build",
 		"-race",
 		"-o",
-		runner,
+		runnerBinary,
 		"../../../cmd/runner",
 	).CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
@@ -40,9 +41,9 @@
 	os.Exit(code)
 }
 
-// patient is a day whose clients wait for long, so that nothing in it goes by the machine's speed:
-// what is asked is served in the end, whatever happens, or the account says why not.
-const patient = `
+// patientDay is a day whose clients wait so long that its outcome does not depend on the speed of the
+// machine: each request is served in the end, or the accounts say why not.
+const patientDay = `
 name: patient
 length_s: 7
 window_s: 2
@@ -50,7 +51,8 @@
 fleet: {runners: 3, restart_s: 0.3, stop_ms: 9000, tells_gone_ms: 5}
 classes:
   - {name: check, share: 2, work_ms: 20, aim_ms: 50000, deadline_ms: 60000, worth: 1, effect: safe, calls: 0.5}
-  - {name: hand-in, share: 1, work_ms: 20, aim_ms: 50000, deadline_ms: 60000, window_ms: 70000, worth: 3, effect: keyed, calls: 1}
+  - {name: hand-in, share: 1, work_ms: 20, aim_ms: 50000, deadline_ms: 60000,
+     window_ms: 70000, worth: 3, effect: keyed, calls: 1}
 balancers:
   - {count: 1, choose: round, retry: limitless, pause_ms: 20, heeds: 1, check_every_ms: 500}
   - {count: 1, choose: two, retry: limitless, pause_ms: 20}
@@ -60,22 +62,22 @@
   - {kind: drain, at_s: 3, for_s: 0.1, part: 0.34}
 `
 
-func play(t *testing.T, text string, ctx context.Context) (*fleet.Run, string, error) {
+func play(ctx context.Context, t *testing.T, text string) (*fleet.Run, string, error) {
 	t.Helper()
 	s, err := day.Parse("patient.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	run, err := Play(ctx, day.Draw(s, 1), fleet.Options{}, runner, &log)
+	run, err := Play(ctx, day.Draw(s, 1), fleet.Options{}, runnerBinary, &log)
 	return run, log.String(), err
 }
 
-// A day on real processes, through a crash, a crawl and a release: each first try ends once (the
-// account is refused if not), no rule is broken, and nearly all is served. What may not be is a
-// hand-in whose connection broke with its run.
-func TestADayOnRealProcesses(t *testing.T) {
-	run, log, err := play(t, patient, context.Background())
+// A day with a crash, a slow runner and a drain: each first attempt ends once (the accounts do not
+// close otherwise), no rule is broken, and nearly all requests are served. A keyed request whose
+// connection broke during its run may fail.
+func TestDayWithFaultsOnRealProcesses(t *testing.T) {
+	run, log, err := play(context.Background(), t, patientDay)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log)
 	}
@@ -97,29 +99,29 @@
 			t.Errorf("no runner logged %q", want)
 		}
 	}
-	// three, one after the crash, one after the release
+	// Three at first, one after the crash, one after the drain.
 	if starts := strings.Count(log, "event=start.listens name=n"); starts != 5 {
 		t.Errorf("%d starts", starts)
 	}
 }
 
-// A runner that ends by itself has fallen over, and the day goes on.
-func TestARunnerThatCrashes(t *testing.T) {
-	script := filepath.Join(t.TempDir(), "frail")
-	// It serves for a second and is gone.
+// A runner that ends by itself counts as crashed, and the day goes on.
+func TestRunnerCrash(t *testing.T) {
+	script := filepath.Join(t.TempDir(), "crashing")
+	// It serves for a second and dies.
 	if err := os.WriteFile(
 		script,
-		[]byte("#!/bin/sh\n"+runner+" &\npid=$!\nsleep 1\nkill -9 $pid\nwait\n"),
+		[]byte("#!/bin/sh\n"+runnerBinary+" &\npid=$!\nsleep 1\nkill -9 $pid\nwait\n"),
 		0o755,
 	); err != nil {
 		t.Fatal(err)
 	}
-	s, err := day.Parse("patient.yaml", []byte(strings.Replace(patient, "length_s: 7", "length_s: 3", 1)))
+	s, err := day.Parse("patient.yaml", []byte(strings.Replace(patientDay, "length_s: 7", "length_s: 3", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Troubles = nil
-	for i := range s.Classes { // or clients would wait for a fleet that never comes back for good
+	for i := range s.Classes { // or clients would wait for a fleet that stays down
 		s.Classes[i].DeadlineMs, s.Classes[i].AimMs = 1500, 1000
 	}
 	var log bytes.Buffer
@@ -132,34 +134,26 @@
 	}
 }
 
-// A day that is called off ends at once and leaves no process behind.
-func TestCalledOff(t *testing.T) {
+// A day whose context is cancelled ends at once and leaves no process behind.
+func TestCancelLeavesNoProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(500*time.Millisecond, cancel)
-	if _, _, err := play(t, patient, ctx); !errors.Is(err, context.Canceled) {
+	if _, _, err := play(ctx, t, patientDay); !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
-	out, _ := exec.Command("pgrep", "-f", runner).Output()
+	out, _ := exec.Command("pgrep", "-f", runnerBinary).Output()
 	if len(bytes.TrimSpace(out)) > 0 {
 		t.Errorf("processes are left: %s", out)
 	}
 }
 
-func TestNoSuchRunner(t *testing.T) {
-	s, err := day.Parse("patient.yaml", []byte(patient))
+func TestMissingBinary(t *testing.T) {
+	s, err := day.Parse("patient.yaml", []byte(patientDay))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Play(
-		context.Background(),
-		day.Draw(s, 1),
-		fleet.Options{},
-		"/nowhere/ryepaddle",
-		&bytes.Buffer{},
-	); !errors.Is(
-		err,
-		os.ErrNotExist,
-	) {
+	_, err = Play(context.Background(), day.Draw(s, 1), fleet.Options{}, "/nowhere/ryepaddle", io.Discard)
+	if !errors.Is(err, os.ErrNotExist) {
 		t.Fatal(err)
 	}
 }
