--- a/internal/app/answers.go
+++ b/internal/app/answers.go
@@ -114,7 +114,7 @@
 	lifecycle.Faulted:        "fault",
 	lifecycle.Interrupted:    "broken off",
 	lifecycle.TimedOut:       "out of time",
-	lifecycle.Canceled:       "stopped",
+	lifecycle.Cancelled:      "stopped",
 	lifecycle.NotStarted:     "not run",
 	lifecycle.CallRejected:   "turned away",
 	lifecycle.Unreachable:    "unreachable",
--- a/internal/app/telemetry.go
+++ b/internal/app/telemetry.go
@@ -49,7 +49,7 @@
 
 // startRequestLog creates what the control socket answers from.
 func (p *Program) startRequestLog() {
-	isKeyed := func(class int) bool { return p.requests.IsKeyed(class) }
+	isKeyed := func(class int) bool { return p.requests.RequiresKey(class) }
 	p.telemetry.requestLog = explain.New(p.operator.Control.ExplainKB<<10, isKeyed, p.config.Seed)
 	p.telemetry.metrics = metrics.New(p.className, statusNames, p.gauges)
 }
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -66,7 +66,7 @@
 	if trace.Tenant >= 0 && trace.Tenant < len(settings.Tenants) {
 		record.School = settings.Tenants[trace.Tenant].Name
 	}
-	if trace.Key != "" && p.requests.IsKeyed(trace.Class) {
+	if trace.Key != "" && p.requests.RequiresKey(trace.Class) {
 		p.setUsageKey(&record, trace.Class, trace.Key)
 		key := usedKey{record.Class, record.School, trace.Key}
 		if !record.KnownDuplicate && p.usage.counted[key] { // with the end of its run
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -165,7 +165,7 @@
 // end of an attempt whose request is over, say nothing.
 func outcomeOf(outcome lifecycle.Outcome) bulkhead.Outcome {
 	switch outcome {
-	case lifecycle.Faulted, lifecycle.Canceled, lifecycle.UnknownRequest:
+	case lifecycle.Faulted, lifecycle.Cancelled, lifecycle.UnknownRequest:
 		return bulkhead.Inconclusive
 	case lifecycle.Interrupted,
 		lifecycle.TimedOut,
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -132,7 +132,7 @@
 			lifecycle.TimedOut,
 			lifecycle.NotStarted,
 			lifecycle.Unreachable,
-			lifecycle.Canceled,
+			lifecycle.Cancelled,
 		}).Draw(r.t, "outcome"))
 	case 4:
 		if len(r.open) > 0 {
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -33,7 +33,7 @@
 	if r.Tenant, ok = f.manager.Tenant(params["HTTP_X_CUSTOMER"]); !ok {
 		return nil, fmt.Errorf("unknown X-Customer %q", params["HTTP_X_CUSTOMER"])
 	}
-	if f.manager.IsKeyed(r.Class) && r.Key == "" {
+	if f.manager.RequiresKey(r.Class) && r.Key == "" {
 		return nil, errNoKey
 	}
 	if err := f.parseArrival(r, params["HTTP_X_QUEUE_START"]); err != nil {
@@ -53,7 +53,7 @@
 	switch {
 	case ok && strings.HasPrefix(path, classPrefix):
 		return nil
-	case f.manager.IsDroppedClass(name):
+	case f.manager.IsRemovedClass(name):
 		return errRemovedClass
 	}
 	return fmt.Errorf("no class at %q", path)
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -71,7 +71,7 @@
 			)
 		}
 	}
-	if f.manager.IsKeyed(request.Class) && request.Key == "" {
+	if f.manager.RequiresKey(request.Class) && request.Key == "" {
 		return nil, nil, requestErrorf(http.StatusBadRequest, "no %s in a keyed class", f.keySource(route))
 	}
 	if source, err := strconv.ParseUint(r.Get("HTTP_X_SOURCE"), 10, 32); err == nil {
--- /dev/null
+++ b/internal/lifecycle/answer.go
@@ -0,0 +1,103 @@
+package lifecycle
+
+import "ryepaddle/internal/admission"
+
+// answer gives a request its final answer, if it has none.
+func (m *Manager) answer(r *request, a Answer) {
+	if r.answered {
+		return
+	}
+	m.stats[r.Class].countAnswer(a.Status)
+	if a.Status == Rejected {
+		a.RetryAfter = max(a.RetryAfter, minRetryAfter)
+		if m.settings.NoRetryAfter {
+			a.RetryAfter = 0
+		}
+	}
+	m.closeRequest(r)
+	m.reportRequest(r, a.Status, a.RetryAfter)
+	r.Responder.Answer(a)
+}
+
+// fail answers a request without a result: as expired if its deadline is near.
+func (m *Manager) fail(r *request) {
+	status := Failed
+	if m.isDeadlineNear(r) {
+		status = Expired
+	}
+	m.answer(r, Answer{Status: status})
+}
+
+// isDeadlineNear reports whether an answer would come too late.
+func (m *Manager) isDeadlineNear(r *request) bool {
+	return m.env.Now() >= r.deadline-deadlineMargin
+}
+
+// closeRequest ends what a request waits for: it is answered, or its caller is gone.
+func (m *Manager) closeRequest(r *request) {
+	r.answered = true
+	m.openCount--
+	if r.awaitsOriginal {
+		r.awaitsOriginal = false
+		r.keyEntry.removeWaiter(r)
+	}
+	if a := r.running; a != nil && !a.pending {
+		m.cancelCall(r, a)
+		a.runner.Abandon(a)
+	}
+}
+
+// removeIfDone removes a request that is answered and has no running attempt.
+func (m *Manager) removeIfDone(r *request) {
+	if !r.answered || r.running != nil {
+		return
+	}
+	delete(m.requests, r.id)
+	delete(m.openIDs, r.ID)
+	if r.stopTimer != nil {
+		r.stopTimer()
+	}
+}
+
+// expire answers a request whose frontend set a shorter timeout than its class has.
+func (m *Manager) expire(r *request) {
+	if r.answered {
+		return
+	}
+	r.trace.setCause(CauseDeadline, 0, 0)
+	m.answer(r, Answer{Status: Expired})
+	m.releaseAnswer(r)
+}
+
+// Abandon says that the caller of a request is gone. Its run goes on, and its key stays remembered.
+func (m *Manager) Abandon(t Ticket) {
+	if r := m.requests[uint64(t)]; r != nil && !r.answered {
+		m.stats[r.Class].Abandoned++
+		m.abandon(r)
+	}
+}
+
+// Withdraw is Abandon for a caller that is still there, to which the frontend confirms the end of the
+// request without a result: callers take that for a failure.
+func (m *Manager) Withdraw(t Ticket) {
+	if r := m.requests[uint64(t)]; r != nil && !r.answered {
+		m.stats[r.Class].Withdrawn++
+		m.abandon(r)
+	}
+}
+
+func (m *Manager) abandon(r *request) {
+	r.trace.setCause(CauseCallerGone, 0, 0)
+	m.reportRequest(r, 0, 0)
+	m.closeRequest(r)
+	m.releaseAnswer(r)
+}
+
+// releaseAnswer tells the decision module that an answer is not owed any more.
+func (m *Manager) releaseAnswer(r *request) {
+	if !r.awaitsStore { // else it was told that the run has ended
+		m.admission.report(admission.Event{Kind: admission.EventAbandoned, Request: r.id})
+		m.runActions()
+	}
+	m.removeIfDone(r)
+}
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -6,240 +6,188 @@
 	"ryepaddle/internal/admission"
 )
 
-// StartedAt reports a result of which the first part is there. It answers the request, whose run goes
-// on until its end is reported; from now on it can neither fail nor be tried again. It reports
-// whether anybody takes the rest.
-func (c *Manager) ResponseStarted(a *Attempt, res *Result) bool {
-	r := c.requests[a.id]
-	if a.over || r == nil || r.running != a || r.answered {
-		return false
-	}
-	c.callers.markProven(r.Caller, c.env.Now())
-	c.stats[r.Class].Served++
-	r.answered = true
-	c.openCount--
-	c.reportRequest(r, Served, 0)
-	r.Responder.Answer(Answer{Status: Served, Result: res})
-	return true
-}
-
-// AttemptEnded reports the end of an attempt. A run that ended well without a result has one that is not
-// kept.
-func (c *Manager) AttemptEnded(a *Attempt, o Outcome, res *Result) {
-	r := c.requests[a.id]
-	if a.over || r == nil || r.running != a {
+// start begins the run of an admitted request. As the only place where runs begin it checks once more
+// that the request may run: not answered, not too late in a drain, and the first of its key.
+func (m *Manager) start(r *request) {
+	class := &m.settings.Classes[r.Class]
+	if !r.answered && r.keyEntry != nil && r.keyEntry.remoteOwner != 0 { // another process was first
+		m.yieldToRemote(r)
 		return
 	}
-	a.over, r.running = true, nil
-	r.trace.attemptEnded(a, o, c.env.Unix())
-	c.cancelCall(r, a)
-	if o == Succeeded {
-		c.callers.markProven(r.Caller, c.env.Now())
-	}
-	if c.shouldRetry(r, a, o) {
-		c.startAttempt(r, a)
+	needsKey := class.Idempotency == admission.IdempotentWithKey
+	if r.answered || r.running != nil || m.isTooLate(r) || needsKey && !m.keys.mayRun(r) {
+		m.env.Log(evStartCancelled, class.Name, r.ID)
+		m.answer(r, Answer{Status: Failed})
+		m.complete(r, admission.OutcomeFailed)
 		return
 	}
-	if own := r.keyEntry != nil && r.keyEntry.owner == r.id; own && c.env.KeyStore != nil {
-		if !neverRan(o) {
-			c.storeEnd(r, o, res)
-			return
-		}
-		c.env.KeyStore.Released(c.requestRecord(r))
-		c.endKey(r, o, res)
-	} else if own {
-		c.endKey(r, o, res)
+	if r.keyEntry == nil {
+		m.startAttempt(r, nil)
+		return
 	}
-	done, answer := answerOf(o, res)
+	r.keyEntry.markStarted(r.ArrivedAt, class.IdempotencyWindow)
 	switch {
-	case o == TimedOut && r.stopTimer != nil: // its server's clock came before its front's, which is set to the same time
-		r.trace.setCause(CauseDeadline, 0, 0)
-	case a.Cause != CauseNone:
-		r.trace.setCause(a.Cause, a.Value, a.Limit)
-	case o != Succeeded:
-		r.trace.setCause(outcomeCause(o), 0, 0)
-	}
-	if neverRan(o) && o != UnknownRequest && c.env.RetryAfter != nil {
-		answer.RetryAfter = c.env.RetryAfter(r.Class)
-	}
-	if o != Canceled { // the module answers what is unanswered
-		c.answer(r, answer)
+	case m.env.Reservations != nil:
+		m.reserve(r)
+	case m.env.KeyStore != nil:
+		m.storeStart(r)
+	default:
+		m.startAttempt(r, nil)
 	}
-	c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: done})
-	c.runActions()
-	c.removeIfDone(r)
 }
 
-// neverRan tells whether an outcome proves that nothing ran.
-func neverRan(o Outcome) bool { return o == NotStarted || o == Unreachable || o == UnknownRequest }
-
-// answerOf is what the end of a run is to the module, and to its caller.
-func answerOf(o Outcome, res *Result) (admission.Outcome, Answer) {
-	switch o {
-	case Succeeded:
-		return admission.OutcomeOK, Answer{Status: Served, Result: res}
-	case Canceled:
-		return admission.OutcomeCancelled, Answer{Status: Failed}
-	case NotStarted, Unreachable:
-		return admission.OutcomeNeverStarted, Answer{Status: Rejected}
-	case TimedOut:
-		return admission.OutcomeFailed, Answer{Status: Expired}
-	case UnknownRequest: // not a refusal: to try it elsewhere is in vain
-		return admission.OutcomeNeverStarted, Answer{Status: NotFound}
+// isTooLate reports whether a request arrived too late in a drain to be started.
+func (m *Manager) isTooLate(r *request) bool {
+	if m.drainingSince == 0 {
+		return false
 	}
-	return admission.OutcomeFailed, Answer{Status: Failed}
+	arrived := m.env.Now() - max(m.env.Unix().Sub(r.ArrivedAt), 0)
+	return arrived > m.drainingSince+m.settings.DrainGrace
 }
 
-// NeedsCall reports that a run waits for a call with this body.
-func (c *Manager) NeedsCall(a *Attempt, body []byte) {
-	r := c.requests[a.id]
-	if a.over || r == nil || r.running != a {
-		return
+// mayStart reports whether a run that waited for its reservation or the key store may still begin.
+func (m *Manager) mayStart(r *request) bool {
+	return !r.answered && !m.isTooLate(r) && !m.isDeadlineNear(r)
+}
+
+func (m *Manager) newAttempt(r *request, previous *Attempt) *Attempt {
+	class := &m.settings.Classes[r.Class]
+	objective := time.Duration(0)
+	if r.FirstSentAt > 0 {
+		sent := m.env.Now() - m.env.Unix().Sub(r.FirstSentAt)
+		objective = min(sent+class.LatencyObjective, r.deadline)
 	}
-	r.callBody = body
-	c.callers.markProven(r.Caller, c.env.Now())
-	if r.answered { // the run is over as far as anybody cares; it ends by itself
-		return
+	return &Attempt{
+		Request:    r.Request,
+		Class:      class.Name,
+		Deadline:   r.deadline,
+		Objective:  objective,
+		Idempotent: class.Idempotency == admission.Idempotent,
+		Previous:   previous,
+		id:         r.id,
+		runner:     m.env.Route(r.Class),
 	}
-	c.admission.report(admission.Event{Kind: admission.EventBlocked, Request: r.id})
-	c.runActions()
 }
 
-var callOutcomes = map[Outcome]admission.Outcome{
-	Succeeded:    admission.OutcomeOK,
-	Faulted:      admission.OutcomeFailed,
-	Interrupted:  admission.OutcomeConnectionLost,
-	TimedOut:     admission.OutcomeTimedOut,
-	Canceled:     admission.OutcomeTimedOut,
-	NotStarted:   admission.OutcomeNeverStarted,
-	CallRejected: admission.OutcomeRejected,
-	Unreachable:  admission.OutcomeUnreachable,
+func (m *Manager) startAttempt(r *request, previous *Attempt) {
+	r.running = m.newAttempt(r, previous)
+	m.dispatch(r)
 }
 
-// CallEnded reports the end of a call that took so long.
-func (c *Manager) CallEnded(a *Attempt, o Outcome, reply []byte, took time.Duration) {
-	r := c.requests[a.id]
-	if a.over || r == nil || r.running != a || !r.callInFlight {
-		return
+// dispatch passes an attempt to its runner.
+func (m *Manager) dispatch(r *request) {
+	m.stats[r.Class].Attempts++
+	r.trace.attemptStarted(m.env.Unix())
+	r.running.runner.Run(r.running)
+}
+
+// requestOf returns the request of an attempt that runs; nil if the attempt has ended.
+func (m *Manager) requestOf(a *Attempt) *request {
+	r := m.requests[a.id]
+	if a.over || r == nil || r.running != a {
+		return nil
 	}
-	r.callInFlight = false
-	if o == Succeeded {
-		r.callBody = nil
-		if runner, ok := a.runner.(Resumer); ok {
-			runner.Resume(a, reply)
-		}
+	return r
+}
+
+// ResponseStarted reports a result whose body is still coming. It answers the request, whose run goes on
+// until AttemptEnded; from now on the request can neither fail nor be retried. It reports whether
+// the rest of the body is consumed.
+func (m *Manager) ResponseStarted(a *Attempt, result *Result) bool {
+	r := m.requestOf(a)
+	if r == nil || r.answered {
+		return false
 	}
-	c.admission.report(
-		admission.Event{
-			Kind:    admission.EventCallCompleted,
-			Request: r.id,
-			Outcome: callOutcomes[o],
-			Elapsed: took,
-		},
-	)
-	c.runActions()
+	m.callers.markProven(r.Caller, m.env.Now())
+	m.stats[r.Class].Served++
+	r.answered = true
+	m.openCount--
+	m.reportRequest(r, Served, 0)
+	r.Responder.Answer(Answer{Status: Served, Result: result})
+	return true
 }
 
-// start begins an attempt. It is the one place where something is run, and so the last guard of two
-// rules.
-func (c *Manager) start(r *request) {
-	class := &c.settings.Classes[r.Class]
-	if !r.answered && r.keyEntry != nil && r.keyEntry.remoteOwner != 0 { // another process was first
-		c.yieldToRemote(r)
+// AttemptEnded reports the end of an attempt. A run that succeeded without a result has one that cannot
+// be cached.
+func (m *Manager) AttemptEnded(a *Attempt, outcome Outcome, result *Result) {
+	r := m.requestOf(a)
+	if r == nil {
 		return
 	}
-	if r.answered || r.running != nil || c.isTooLate(r) || class.Idempotency == admission.IdempotentWithKey && !c.keys.mayRun(r) {
-		c.env.Log(evNotStarted, class.Name, r.ID)
-		c.answer(r, Answer{Status: Failed})
-		c.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: admission.OutcomeFailed})
+	a.over, r.running = true, nil
+	r.trace.attemptEnded(a, outcome, m.env.Unix())
+	m.cancelCall(r, a)
+	if outcome == Succeeded {
+		m.callers.markProven(r.Caller, m.env.Now())
+	}
+	if m.shouldRetry(r, a, outcome) {
+		m.startAttempt(r, a)
 		return
 	}
-	if r.keyEntry != nil {
-		r.keyEntry.markStarted(r.ArrivedAt, class.IdempotencyWindow)
-		if c.env.Reservations != nil {
-			c.reserve(r)
+	if r.keyEntry != nil && r.keyEntry.owner == r.id {
+		if m.env.KeyStore != nil && !outcome.neverRan() {
+			m.storeEnd(r, outcome, result)
 			return
 		}
-		if c.env.KeyStore != nil {
-			c.storeStart(r)
-			return
+		if m.env.KeyStore != nil {
+			m.env.KeyStore.Released(m.requestRecord(r))
 		}
+		m.endKey(r, outcome, result)
 	}
-	c.startAttempt(r, nil)
+	m.answerAttempt(r, a, outcome, result)
 }
 
-// isTooLate tells whether a request came too late to begin in a drain.
-func (c *Manager) isTooLate(r *request) bool {
-	return c.drainingSince != 0 &&
-		c.env.Now()-max(c.env.Unix().Sub(r.ArrivedAt), 0) > c.drainingSince+c.settings.DrainGrace
-}
-
-func (c *Manager) newAttempt(r *request, before *Attempt) *Attempt {
-	class := &c.settings.Classes[r.Class]
-	aim := time.Duration(0)
-	if r.FirstSentAt > 0 {
-		aim = min(c.env.Now()-c.env.Unix().Sub(r.FirstSentAt)+class.LatencyObjective, r.deadline)
+// answerAttempt answers a request whose last attempt has ended.
+func (m *Manager) answerAttempt(r *request, a *Attempt, outcome Outcome, result *Result) {
+	admissionOutcome, answer := answerOf(outcome, result)
+	switch {
+	case outcome == TimedOut && r.stopTimer != nil: // the frontend's timer was set to the same time
+		r.trace.setCause(CauseDeadline, 0, 0)
+	case a.Cause != CauseNone:
+		r.trace.setCause(a.Cause, a.Value, a.Limit)
+	case outcome != Succeeded:
+		r.trace.setCause(outcomeCause(outcome), 0, 0)
 	}
-	return &Attempt{
-		Request:    r.Request,
-		Class:      class.Name,
-		Deadline:   r.deadline,
-		Objective:  aim,
-		Idempotent: class.Idempotency == admission.Idempotent,
-		Previous:   before,
-		id:         r.id,
-		runner:     c.env.Route(r.Class),
+	if outcome.neverRan() && outcome != UnknownRequest && m.env.RetryAfter != nil {
+		answer.RetryAfter = m.env.RetryAfter(r.Class)
 	}
+	if outcome != Cancelled { // the decision module answers a request that it has cancelled
+		m.answer(r, answer)
+	}
+	m.complete(r, admissionOutcome)
+	m.runActions()
+	m.removeIfDone(r)
 }
 
-func (c *Manager) startAttempt(r *request, before *Attempt) {
-	r.running = c.newAttempt(r, before)
-	c.dispatch(r)
-}
-
-// markStarted hands an attempt to its runner.
-func (c *Manager) dispatch(r *request) {
-	c.stats[r.Class].Attempts++
-	r.trace.attemptStarted(c.env.Unix())
-	r.running.runner.Run(r.running)
+// answerOf returns what the end of a run is to the decision module and to its caller.
+func answerOf(o Outcome, result *Result) (admission.Outcome, Answer) {
+	switch o {
+	case Succeeded:
+		return admission.OutcomeOK, Answer{Status: Served, Result: result}
+	case Cancelled:
+		return admission.OutcomeCancelled, Answer{Status: Failed}
+	case NotStarted, Unreachable:
+		return admission.OutcomeNeverStarted, Answer{Status: Rejected}
+	case TimedOut:
+		return admission.OutcomeFailed, Answer{Status: Expired}
+	case UnknownRequest: // not a rejection: a retry elsewhere would be in vain
+		return admission.OutcomeNeverStarted, Answer{Status: NotFound}
+	}
+	return admission.OutcomeFailed, Answer{Status: Failed}
 }
 
-// shouldRetry tells whether a run is tried once more, on another server. One that may have had its effect
-// is sent again only where that is safe; one that never ran always is.
-func (c *Manager) shouldRetry(r *request, a *Attempt, o Outcome) bool {
-	if r.answered || r.BodyConsumed || c.env.ShouldRetry == nil || o != Unreachable && (o != Interrupted || !a.Idempotent) {
+// shouldRetry decides whether an attempt is retried on another server: one that was interrupted only if
+// that is safe, one that never ran in any case.
+func (m *Manager) shouldRetry(r *request, a *Attempt, outcome Outcome) bool {
+	mayRetry := outcome == Unreachable || outcome == Interrupted && a.Idempotent
+	if r.answered || r.BodyConsumed || m.env.ShouldRetry == nil || !mayRetry {
 		return false
 	}
-	t := RetryCandidate{
+	return m.env.ShouldRetry(RetryCandidate{
 		Class:         r.Class,
 		HasSideEffect: !a.Idempotent,
-		NeverRan:      o == Unreachable,
-		Attempts:      1,
-		Remaining:     r.deadline - deadlineMargin - c.env.Now(),
-	}
-	for b := a.Previous; b != nil; b = b.Previous {
-		t.Attempts++
-	}
-	return c.env.ShouldRetry(t)
-}
-
-func (c *Manager) startCall(r *request, patience time.Duration) {
-	if r.running == nil || r.callBody == nil || c.env.Dependency == nil {
-		c.admission.report(
-			admission.Event{Kind: admission.EventCallCompleted, Request: r.id, Outcome: admission.OutcomeUnreachable},
-		)
-		return
-	}
-	if patience <= 0 {
-		patience = c.settings.Classes[r.Class].Timeout
-	}
-	r.callInFlight = true
-	c.env.Dependency.Call(r.running, r.callBody, patience)
-}
-
-func (c *Manager) cancelCall(r *request, a *Attempt) {
-	if r.callInFlight {
-		r.callInFlight = false
-		c.env.Dependency.CancelCall(a)
-	}
+		NeverRan:      outcome == Unreachable,
+		Attempts:      a.count(),
+		Remaining:     r.deadline - deadlineMargin - m.env.Now(),
+	})
 }
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -2,44 +2,47 @@
 
 import "time"
 
-// provenCallers knows the callers of whose requests one has lately run. Credit is shared among those
-// that are heard: if any number that a stranger makes up counted as a caller, a flood of them would
-// leave the others none.
-type provenCallers struct {
-	lastRunAt map[uint32]time.Duration
-	sweptAt   time.Duration
-}
-
 const (
-	provenLifetime   = 10 * time.Second
+	// provenLifetime is how long a caller counts after its last run.
+	provenLifetime = 10 * time.Second
+	// maxProvenCallers bounds the callers that are counted.
 	maxProvenCallers = 4096
-	unprovenCaller   = 1<<32 - 1 // what the module is told for all strangers together
+	// unprovenCaller is the caller number of all other callers together.
+	unprovenCaller = 1<<32 - 1
 )
 
-// markProven notes that a request of the caller has run.
-func (t *provenCallers) markProven(number uint32, now time.Duration) {
-	if _, known := t.lastRunAt[number]; known || len(t.lastRunAt) < maxProvenCallers {
-		t.lastRunAt[number] = now
+// provenCallers holds the callers of which a request has run lately. The decision module divides its
+// credit among the callers it hears of: if any number that a request carries counted as a caller, a
+// flood of made-up numbers would leave no credit for the others.
+type provenCallers struct {
+	lastRunAt map[uint32]time.Duration // monotonic, by caller number
+	sweptAt   time.Duration
+}
+
+// markProven notes that a request of a caller has run.
+func (p *provenCallers) markProven(caller uint32, now time.Duration) {
+	if _, known := p.lastRunAt[caller]; known || len(p.lastRunAt) < maxProvenCallers {
+		p.lastRunAt[caller] = now
 	}
 }
 
-// admissionNumber is what the module is told of a caller.
-func (t *provenCallers) admissionNumber(number uint32) uint32 {
-	if _, known := t.lastRunAt[number]; known {
-		return number
+// admissionNumber returns the caller number for the decision module.
+func (p *provenCallers) admissionNumber(caller uint32) uint32 {
+	if _, known := p.lastRunAt[caller]; known {
+		return caller
 	}
 	return unprovenCaller
 }
 
-// expire forgets callers that were not heard for long: their numbers are ever new.
-func (t *provenCallers) expire(now time.Duration) {
-	if now < t.sweptAt+sweepInterval {
+// expire removes callers whose last run is long ago.
+func (p *provenCallers) expire(now time.Duration) {
+	if now < p.sweptAt+sweepInterval {
 		return
 	}
-	t.sweptAt = now
-	for number, last := range t.lastRunAt {
+	p.sweptAt = now
+	for caller, last := range p.lastRunAt {
 		if now-last > provenLifetime {
-			delete(t.lastRunAt, number)
+			delete(p.lastRunAt, caller)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lifecycle/cause.go
@@ -0,0 +1,150 @@
+package lifecycle
+
+import "ryepaddle/internal/admission"
+
+// Cause is why a request was answered as it was. Values below firstOwnCause are causes of the decision
+// module.
+type Cause uint8
+
+// CauseNone is the cause of an answer that needs none.
+const CauseNone Cause = 0
+
+// firstOwnCause is the first cause that is not of the decision module.
+const firstOwnCause Cause = 65
+
+// The causes that are not of the decision module. Where a comment says so, Value and Limit of the trace
+// are what was compared.
+const (
+	CauseKeyTableFull   = firstOwnCause + iota // no room for its key; keys, and the limit
+	CauseKeyStore                              // its key cannot be made durable now
+	CauseDuplicateID                           // another request with its ID is open
+	CauseKeyReused                             // its key was used with another body
+	CauseInDoubt                               // it duplicates one that had begun before a restart
+	CauseDuplicate                             // it got the answer of the request that it duplicates
+	CauseOriginalNotRun                        // the request that it duplicates never ran
+	CauseNoServer                              // no server took it
+	CauseServerFault                           // its server failed it
+	CauseInterrupted                           // its run was interrupted, and may not be retried
+	CauseRunTimeout                            // its run did not end by its deadline
+	CauseUnknownRequest                        // the runner does not know such a request
+	CauseDeadline                              // the deadline that its frontend set has passed
+	CauseCallerGone                            // its caller was gone
+	CauseRunRejected                           // its run was rejected, and nothing ran
+	CauseBulkheadWait                          // no slot in time; seconds it would wait, and that are left
+	CauseBulkheadFull                          // the queue of its bulkhead was full; requests, and the limit
+	CauseReplicas                              // no replicas for its key
+	firstUnusedCause
+)
+
+// String returns the text by which operators know the cause; empty for an unknown cause.
+func (c Cause) String() string {
+	if c < firstOwnCause {
+		return admissionCauseText(admission.Cause(c))
+	}
+	return c.ownText()
+}
+
+// admissionCauseText returns the text of a cause of the decision module.
+func admissionCauseText(c admission.Cause) string {
+	switch c {
+	case admission.CauseNone:
+		return "none"
+	case admission.CauseDraining:
+		return "drain"
+	case admission.CauseMemory:
+		return "no memory to hold it"
+	case admission.CauseDeadlineTooNear:
+		return "too little time left"
+	case admission.CauseCallQueue:
+		return "no room for its call"
+	case admission.CauseQueueingDelay:
+		return "queueing delay"
+	case admission.CauseObjectiveUnreachable:
+		return "held until its aim was out of reach"
+	case admission.CauseQuota:
+		return "beyond its tenant's share"
+	case admission.CauseKeyMemory:
+		return "no memory for its key"
+	case admission.CauseDeadlinePassed:
+		return "due time came"
+	case admission.CauseCallFailed:
+		return "its call failed"
+	case admission.CauseCancelled:
+		return "its run was stopped"
+	}
+	return ""
+}
+
+// ownText returns the text of a cause that is not of the decision module.
+func (c Cause) ownText() string {
+	switch c {
+	case CauseKeyTableFull:
+		return "table of keys full"
+	case CauseKeyStore:
+		return "key cannot be kept"
+	case CauseDuplicateID:
+		return "its name is open"
+	case CauseKeyReused:
+		return "its key stands for another body"
+	case CauseInDoubt:
+		return "in doubt after a restart"
+	case CauseDuplicate:
+		return "repeats another try"
+	case CauseOriginalNotRun:
+		return "what it repeats never ran"
+	case CauseNoServer:
+		return "no server took it"
+	case CauseServerFault:
+		return "its server failed it"
+	case CauseInterrupted:
+		return "its run was cut off"
+	case CauseRunTimeout:
+		return "its run took too long"
+	case CauseUnknownRequest:
+		return "nobody knows it"
+	case CauseDeadline:
+		return "its deadline came"
+	case CauseCallerGone:
+		return "its caller went"
+	case CauseRunRejected:
+		return "its run was refused"
+	case CauseBulkheadWait:
+		return "no slot of its pool in time"
+	case CauseBulkheadFull:
+		return "line of its pool full"
+	case CauseReplicas:
+		return "its copies were not to be had"
+	}
+	return ""
+}
+
+// AllCauses returns all causes, in ascending order.
+func AllCauses() (all []Cause) {
+	for c := CauseNone; c < firstUnusedCause; c++ {
+		if c.String() != "" {
+			all = append(all, c)
+		}
+	}
+	return all
+}
+
+// outcomeCause returns why a run with that outcome has no result.
+func outcomeCause(o Outcome) Cause {
+	switch o {
+	case Succeeded:
+		return CauseNone
+	case NotStarted:
+		return CauseRunRejected
+	case Unreachable:
+		return CauseNoServer
+	case TimedOut:
+		return CauseRunTimeout
+	case UnknownRequest:
+		return CauseUnknownRequest
+	case Interrupted:
+		return CauseInterrupted
+	case Cancelled:
+		return CauseCallerGone
+	}
+	return CauseServerFault
+}
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -75,7 +75,7 @@
 func (t *table) Close() error { return nil }
 
 var outcomes = map[string]Outcome{"fine": Succeeded, "fault": Faulted, "broken": Interrupted, "out-of-time": TimedOut,
-	"stopped": Canceled, "not-run": NotStarted, "away": CallRejected, "refused": Unreachable}
+	"stopped": Cancelled, "not-run": NotStarted, "away": CallRejected, "refused": Unreachable}
 
 // Send implements scenario.Actor.
 func (t *table) Send(w []string) error {
--- a/internal/lifecycle/counts_test.go
+++ b/internal/lifecycle/counts_test.go
@@ -24,11 +24,11 @@
 	if _, err := c.Configure(next); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := c.Class("check"); !ok || !c.IsDroppedClass("check") {
+	if _, ok := c.Class("check"); !ok || !c.IsRemovedClass("check") {
 		t.Error("a class that was dropped just now is not taken")
 	}
 	c.pass(removedClassGrace)
-	if _, ok := c.Class("check"); ok || !c.IsDroppedClass("check") || c.IsDroppedClass("never was") {
+	if _, ok := c.Class("check"); ok || !c.IsRemovedClass("check") || c.IsRemovedClass("never was") {
 		t.Error("a class that was dropped a while ago is taken")
 	}
 	if diff := cmp.Diff(Stats{Read: 1, Served: 1, Attempts: 1}, c.StatsByClass()["check"]); diff != "" {
--- /dev/null
+++ b/internal/lifecycle/durability.go
@@ -0,0 +1,133 @@
+package lifecycle
+
+import (
+	"errors"
+	"time"
+)
+
+// replicationDrainMargin is how long before the process is stopped a result that is not replicated is
+// given up.
+const replicationDrainMargin = 300 * time.Millisecond
+
+// storeStart makes the start of a run durable and then begins it. A store that does not answer in time
+// is not waited for: the request is rejected, and the release of its key is stored after the start.
+func (m *Manager) storeStart(r *request) {
+	attempt := m.newAttempt(r, nil)
+	r.running = attempt
+	record := m.requestRecord(r)
+	// The store may have become unavailable while the request was queued.
+	if retryAfter, why := m.env.KeyStore.Unavailable(); retryAfter > 0 {
+		m.startStored(r, attempt, record, errors.New(why))
+		return
+	}
+	attempt.pending = true
+	asked := m.env.Now()
+	var stopTimer func()
+	finish := func(err error) {
+		if !attempt.pending { // it was given up
+			return
+		}
+		r.trace.addKeyWait(m.env.Now() - asked)
+		attempt.pending = false
+		stopTimer()
+		m.startStored(r, attempt, record, err)
+	}
+	timeout := min(m.env.KeyStore.Timeout(), max(r.deadline-deadlineMargin-asked, 0))
+	stopTimer = m.env.After(timeout, func() { finish(errStoreTimeout) })
+	m.env.KeyStore.Started(record, finish)
+}
+
+// startStored begins a run whose start is durable, unless that failed or the run may not begin any
+// more.
+func (m *Manager) startStored(r *request, a *Attempt, record KeyRecord, err error) {
+	if err == nil && m.mayStart(r) {
+		m.dispatch(r)
+		return
+	}
+	if err != nil {
+		m.env.Log(evStartNotDurable, a.Class, r.ID, err)
+	}
+	m.env.KeyStore.Released(record)
+	retryAfter, _ := m.env.KeyStore.Unavailable()
+	m.cancelStart(r, a, m.storeCause(), retryAfter)
+}
+
+// storeEnd makes the end of a run durable, and then answers the request and its duplicates. The decision
+// module is told at once that the run has ended. The answer waits, but not for a store that does not
+// answer, and not beyond the deadline.
+func (m *Manager) storeEnd(r *request, outcome Outcome, result *Result) {
+	admissionOutcome, answer := answerOf(outcome, result)
+	m.complete(r, admissionOutcome)
+	r.awaitsStore = true
+	if outcome != Succeeded {
+		r.trace.setCause(outcomeCause(outcome), 0, 0)
+	}
+	record := m.endRecord(r, outcome, result)
+	asked := m.env.Now()
+	finished := false
+	var stopTimer func()
+	finish := func(err error) {
+		if finished {
+			return
+		}
+		finished = true
+		r.trace.addKeyWait(m.env.Now() - asked)
+		stopTimer()
+		if err != nil {
+			m.env.Log(evResultNotDurable, record.Class, r.ID, err)
+		}
+		m.endKey(r, outcome, result)
+		m.answer(r, answer)
+		m.runActions()
+		m.removeIfDone(r)
+	}
+	timeOut := func() { finish(errStoreTimeout) }
+	if _, replicated := m.env.KeyStore.(ReplicatedKeyStore); replicated && outcome == Succeeded {
+		// No duplicate can come after the expiry of the key.
+		stopTimer = m.env.After(max(record.ExpiresAt.Sub(m.env.Unix()), 0), timeOut)
+		m.env.KeyStore.Ended(record, finish)
+		m.boundReplicationWait(r)
+		m.runActions()
+		return
+	}
+	timeout := m.env.KeyStore.Timeout()
+	if !r.answered {
+		timeout = min(timeout, r.deadline-deadlineMargin-asked)
+	}
+	stopTimer = m.env.After(max(timeout, 0), timeOut)
+	m.env.KeyStore.Ended(record, finish)
+	if timeout <= 0 && !r.answered { // it is late already, which is no fault of the store
+		finish(nil)
+	}
+	m.runActions()
+}
+
+// endRecord returns the record of a run that has ended.
+func (m *Manager) endRecord(r *request, outcome Outcome, result *Result) KeyRecord {
+	record := m.requestRecord(r)
+	record.Ended, record.Result = true, result
+	record.ServerTime, record.HasWaiter = r.trace.serverTime(), !r.answered
+	if outcome != Succeeded || result == nil {
+		record.Result, record.Status = nil, duplicateStatus(outcome)
+	}
+	return record
+}
+
+// boundReplicationWait answers a request as expired if its result is not replicated in time. The result
+// must not be sent before: if this process is then taken for lost, the other runners answer
+// duplicates as in doubt. The key waits on until the result is replicated.
+func (m *Manager) boundReplicationWait(r *request) {
+	now := m.env.Now()
+	wait := r.deadline - deadlineMargin - now
+	if m.drainingSince != 0 {
+		wait = min(wait, m.stopAt-replicationDrainMargin-now)
+	}
+	m.env.After(max(wait, 0), func() {
+		if r.answered {
+			return
+		}
+		r.trace.setCause(CauseReplicas, 0, 0)
+		m.answer(r, Answer{Status: Expired})
+		m.removeIfDone(r)
+	})
+}
--- /dev/null
+++ b/internal/lifecycle/manager.go
@@ -0,0 +1,149 @@
+// Package lifecycle owns every request from the moment it is read to its one final answer: the attempts
+// to run it, idempotency keys and cached results, deadlines and the drain. It knows no wire protocol.
+// Frontends submit requests and receive answers; runners receive attempts and report outcomes;
+// package admission decides what is run, queued or rejected.
+//
+// A Manager is used by one goroutine.
+package lifecycle
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"ryepaddle/internal/admission"
+	"ryepaddle/internal/telemetry/logging"
+)
+
+var (
+	evRejected         = logging.Define("core.rejected", slog.LevelWarn, "class", "cause", "requests")
+	evAdmission        = logging.Define("core.admission", slog.LevelInfo, "text")
+	evStartCancelled   = logging.Define("core.start_cancelled", slog.LevelWarn, "class", "request")
+	evStartNotDurable  = logging.Define("core.start_not_durable", slog.LevelWarn, "class", "request", "error")
+	evResultNotDurable = logging.Define("core.result_not_durable", slog.LevelWarn, "class", "request", "error")
+)
+
+const (
+	// minRetryAfter is the shortest time for which a rejected caller is told to stay away.
+	minRetryAfter = 20 * time.Millisecond
+	// keyTableFullRetryAfter is how long callers stay away while the table of keys is full.
+	keyTableFullRetryAfter = time.Second
+	// deadlineMargin is how close to its deadline a request is answered as expired: the answer has to
+	// reach the caller in time.
+	deadlineMargin = 40 * time.Millisecond
+	// rejectionLogInterval is how often rejections for lack of room for keys are logged.
+	rejectionLogInterval = time.Second
+)
+
+// request is the record of an accepted request. It is kept until the request is answered and no
+// attempt of it runs.
+type request struct {
+	*Request
+	id             uint64
+	deadline       time.Duration // monotonic
+	answered       bool
+	running        *Attempt
+	callBody       []byte // of the call that the run waits for
+	callInFlight   bool
+	keyEntry       *keyEntry
+	awaitsOriginal bool   // it duplicates a request whose run has not ended
+	awaitsStore    bool   // its run has ended, and its answer waits until that is durable
+	trace          *Trace // nil: traces are not wanted
+	stopTimer      func() // stops the timer of a timeout set by the frontend; nil: there is none
+}
+
+// Manager is the table of requests.
+type Manager struct {
+	env       Environment
+	settings  admission.Settings
+	admission admissionQueue
+
+	requests  map[uint64]*request
+	openIDs   map[string]struct{} // of the requests
+	lastID    uint64
+	openCount int // requests that are not answered
+	callers   provenCallers
+	keys      keyTable
+	// unknownClassKeys are keys of other processes whose class is not in the settings.
+	unknownClassKeys []unknownClassKey
+
+	carryingOut   bool          // guards runActions against itself
+	drainingSince time.Duration // monotonic; 0: not draining
+	stopAt        time.Duration // monotonic; when the drain must have ended
+
+	stats     []Stats         // by class
+	removedAt []time.Duration // by class: when it left the settings, monotonic
+
+	unloggedRejections int
+	rejectionLoggedAt  time.Duration // monotonic
+}
+
+// New returns a manager with a decision module of its own. The caller must call Start. It fails if the
+// settings are invalid.
+func New(settings admission.Settings, seed uint64, env Environment) (*Manager, error) {
+	settings = usableSettings(settings)
+	controller, err := admission.New(settings, seed)
+	if err != nil {
+		return nil, err
+	}
+	if env.Log == nil {
+		env.Log = (*logging.Event).Log
+	}
+	return &Manager{
+		env:       env,
+		settings:  settings,
+		admission: admissionQueue{controller: controller, now: env.Now},
+		requests:  map[uint64]*request{},
+		openIDs:   map[string]struct{}{},
+		callers:   provenCallers{lastRunAt: map[uint32]time.Duration{}},
+		keys:      newKeyTable(env.KeyLimits),
+		stats:     make([]Stats, len(settings.Classes)),
+		removedAt: make([]time.Duration, len(settings.Classes)),
+	}, nil
+}
+
+// Start starts the decision module.
+func (m *Manager) Start() {
+	m.admission.report(admission.Event{})
+	m.runActions()
+}
+
+// IsIdle reports whether no request is open and no attempt runs.
+func (m *Manager) IsIdle() bool { return len(m.requests) == 0 }
+
+// OpenRequests returns how many requests are not answered.
+func (m *Manager) OpenRequests() int { return m.openCount }
+
+// KeyCount returns how many idempotency keys are remembered.
+func (m *Manager) KeyCount() int { return len(m.keys.entries) }
+
+// Drain begins a graceful shutdown of a process that is stopped after so long. Further calls have no
+// effect.
+func (m *Manager) Drain(stopAfter time.Duration) {
+	if m.drainingSince != 0 {
+		return
+	}
+	m.drainingSince = m.env.Now()
+	m.stopAt = m.drainingSince + stopAfter
+	for _, r := range m.requests {
+		if r.awaitsStore && !r.answered {
+			m.boundReplicationWait(r)
+		}
+	}
+	m.admission.report(admission.Event{Kind: admission.EventDrain, Deadline: m.stopAt})
+	m.runActions()
+}
+
+// tick measures the machine, expires what has been remembered for long enough, and lets the decision
+// module run its periodic work.
+func (m *Manager) tick() {
+	m.env.Measure(func(gauges Gauges) {
+		m.keys.expire(m.env.Unix())
+		m.callers.expire(m.env.Now())
+		m.unknownClassKeys = slices.DeleteFunc(m.unknownClassKeys, func(k unknownClassKey) bool {
+			return m.env.Unix() > k.ExpiresAt.Add(maxReadDelay)
+		})
+		m.admission.report(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges(gauges)})
+		m.runActions()
+	})
+}
--- /dev/null
+++ b/internal/lifecycle/remote_keys.go
@@ -0,0 +1,113 @@
+package lifecycle
+
+// unknownClassKey is a key of another process whose class or tenant is not in the settings.
+type unknownClassKey struct {
+	KeyRecord
+	released bool
+}
+
+// ApplyRemote applies what another process has written about a key. With released, its run never began.
+func (m *Manager) ApplyRemote(k KeyRecord, released bool) {
+	name, ok := m.keyNameOfRecord(k)
+	if !ok { // the other process may have read settings that this one is about to read
+		if len(m.unknownClassKeys) < m.keys.limits.Keys {
+			m.unknownClassKeys = append(m.unknownClassKeys, unknownClassKey{k, released})
+		}
+		return
+	}
+	entry := m.keys.entries[name]
+	if m.isOutdated(entry, k) {
+		return
+	}
+	if released {
+		m.applyRelease(entry, k)
+		return
+	}
+	if entry == nil {
+		entry = &keyEntry{name: name}
+		m.keys.entries[name] = entry
+	}
+	if entry.remoteOwner != 0 && entry.owner == k.Owner && entry.ended {
+		return // repeated
+	}
+	if entry.owner != k.Owner { // the window of the earlier run is over
+		m.keys.setResult(entry, nil)
+	}
+	entry.remoteOwner, entry.owner = ownerIncarnation(k.Owner), k.Owner
+	entry.restored, entry.started, entry.ended = true, true, false
+	entry.bodyHash, entry.expiresAt = k.BodyHash, max(k.ExpiresAt, entry.expiresAt)
+	if k.Ended {
+		m.endRemote(entry, k.Status, k.Result, false)
+	}
+}
+
+// isOutdated reports whether a record of another process is older than what is known of its key.
+func (m *Manager) isOutdated(entry *keyEntry, k KeyRecord) bool {
+	if entry == nil {
+		return false
+	}
+	if entry.remoteOwner != 0 {
+		return entry.owner != k.Owner && k.ExpiresAt < entry.expiresAt
+	}
+	// The key ran here or in an earlier process. Under the lock no other process can have reserved it
+	// before its window is over.
+	return entry.started && !m.isReserving(entry) && !(entry.ended && k.ExpiresAt > entry.expiresAt)
+}
+
+// applyRelease releases a key whose run in another process never began.
+func (m *Manager) applyRelease(entry *keyEntry, k KeyRecord) {
+	if entry == nil || entry.owner != k.Owner || entry.remoteOwner == 0 || entry.ended {
+		return
+	}
+	m.releaseEntry(entry)
+	m.runActions()
+}
+
+// applyUnknownClassKeys applies records again that came before the settings had their classes.
+func (m *Manager) applyUnknownClassKeys() {
+	keys := m.unknownClassKeys
+	m.unknownClassKeys = nil
+	for _, k := range keys {
+		if m.env.Unix() <= k.ExpiresAt.Add(maxReadDelay) {
+			m.ApplyRemote(k.KeyRecord, k.released)
+		}
+	}
+}
+
+// isReserving reports whether the run of a key waits for its reservation or the key store.
+func (m *Manager) isReserving(entry *keyEntry) bool {
+	r := m.requests[entry.owner]
+	return r != nil && r.keyEntry == entry && r.running != nil && r.running.pending
+}
+
+// endRemote notes how a run in another process ended, and answers the requests that wait for it.
+func (m *Manager) endRemote(entry *keyEntry, status Status, result *Result, inDoubt bool) {
+	entry.ended, entry.status, entry.inDoubt = true, status, inDoubt
+	if result != nil && m.keys.hasRoomFor(result) {
+		m.keys.setResult(entry, result)
+	} else if result != nil {
+		entry.status = ResultLost
+	}
+	m.answerWaiters(entry)
+	m.runActions()
+}
+
+// OwnerDied reports that another process has exited. Its runs whose end is not known may have run.
+func (m *Manager) OwnerDied(incarnation uint32) {
+	for _, entry := range m.keys.entries {
+		if entry.remoteOwner == incarnation && !entry.ended {
+			m.endRemote(entry, Failed, nil, true)
+		}
+	}
+}
+
+// EachOwned calls fn for each key whose run has begun in this process and that has not expired.
+func (m *Manager) EachOwned(fn func(KeyRecord)) {
+	now := m.env.Unix()
+	for _, entry := range m.keys.entries {
+		expired := now > entry.expiresAt.Add(maxReadDelay)
+		if entry.remoteOwner == 0 && entry.started && !m.isReserving(entry) && !expired {
+			fn(m.entryRecord(entry))
+		}
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/request.go
@@ -0,0 +1,114 @@
+package lifecycle
+
+import (
+	"time"
+
+	"ryepaddle/internal/wallclock"
+)
+
+// Request is a request as a frontend submits it.
+type Request struct {
+	ID     string // unique among the open requests
+	Class  int    // index in the settings
+	Tenant int    // index in the settings, or NoTenant
+	Caller uint32
+	// ArrivedAt is when the request reached the machine.
+	ArrivedAt wallclock.UnixMicro
+	// Timeout is how long after its arrival the caller waits; 0: the timeout of the class.
+	Timeout time.Duration
+	// FirstSentAt is when the caller first sent the request; 0: not known.
+	FirstSentAt wallclock.UnixMicro
+	SizeKB      float64
+	Rank        float64
+	Key         string // idempotency key; required in classes that are idempotent with a key
+	Entity      uint64 // what the request is about: reads of one entity may share a result
+	TraceParent string // the caller's trace context, as received
+	Body        []byte
+	Metadata    []Field // received beside the body, for runners that forward it
+	// AcceptsStream says that the frontend takes a result whose body is still coming.
+	AcceptsStream bool
+	// Upload is the rest of a body that is still coming; nil: Body is complete.
+	Upload Upload
+	// ContentLength is the size of the whole body if Upload is not nil.
+	ContentLength int64
+	// BodyConsumed says that a server has begun to take the upload, which cannot be repeated.
+	BodyConsumed bool
+	Responder    Responder
+}
+
+// Field is a named value that goes with a request or a result.
+type Field struct{ Name, Value string }
+
+// Upload is the rest of a request's body that is still coming.
+type Upload interface {
+	// Attach sets who consumes the rest. From then on BodyConsumed is set.
+	Attach(UploadConsumer)
+	// SetBacklog reports how many bytes the consumer has not passed on yet.
+	SetBacklog(n int)
+	// Detach ends the consumption; the rest is discarded.
+	Detach()
+}
+
+// UploadConsumer consumes the rest of a request's body.
+type UploadConsumer interface{ ConsumeBody(part []byte) }
+
+// Responder receives the answer to a request. Answer is called once, unless the request is abandoned
+// before.
+type Responder interface{ Answer(Answer) }
+
+// Answer is the final answer to a request.
+type Answer struct {
+	Status Status
+	Result *Result // of Served
+	// RetryAfter of Rejected says how long the caller should stay away; 0: not to be said.
+	RetryAfter time.Duration
+	DoNotRetry bool   // of Rejected: the caller should not retry elsewhere
+	Reason     Reason // of Conflict, and of a Failed that is in doubt
+}
+
+// Status is how a request was answered. Its values are stored in the records of keys.
+type Status uint8
+
+// The ways in which a request is answered.
+const (
+	Served     Status = iota + 1 // with the result of a run
+	Rejected                     // this attempt of the caller never ran
+	Failed                       // without a promise of whether it ran
+	Expired                      // failed, as its deadline passed
+	Conflict                     // failed, as it uses the ID or key of another request; see Reason
+	NotFound                     // failed, as its runner does not know such a request
+	ResultLost                   // it duplicates a request that ran and whose result is not available
+)
+
+// Reason is why a request is answered with Conflict, or why a failure is in doubt.
+type Reason uint8
+
+// The reasons.
+const (
+	DuplicateID Reason = iota + 1 // another request with its ID is open
+	KeyReused                     // its key was used with another body
+	InDoubt                       // it duplicates one that had begun before a restart, and may have run
+)
+
+func (r Reason) String() string {
+	switch r {
+	case DuplicateID:
+		return "a request by this id is open"
+	case KeyReused:
+		return "the dedupe key stands for another body"
+	case InDoubt:
+		return "it had begun before a restart, and may have run"
+	}
+	return ""
+}
+
+// cause returns the cause that the trace of a request shows for a reason.
+func (r Reason) cause() Cause {
+	switch r {
+	case DuplicateID:
+		return CauseDuplicateID
+	case KeyReused:
+		return CauseKeyReused
+	}
+	return CauseInDoubt
+}
--- /dev/null
+++ b/internal/lifecycle/reservation.go
@@ -0,0 +1,107 @@
+package lifecycle
+
+import (
+	"cmp"
+	"time"
+
+	"ryepaddle/internal/admission"
+)
+
+// Reservations decides among the processes of one runner which of them runs a key.
+type Reservations interface {
+	// Reserve reserves a key for a run that is about to begin. Once all that other processes have
+	// written is applied, it asks free whether the key is still available. It calls done once, now or
+	// later: mine reports whether the key is reserved; after an error nothing may run.
+	Reserve(k KeyRecord, within time.Duration, free func() bool, done func(mine bool, err error))
+	// Ended says that the run of a key has ended.
+	Ended(k KeyRecord)
+	// Released says that the run of a reserved key never began.
+	Released(k KeyRecord)
+}
+
+const (
+	// reservationTimeout bounds how long a run waits for its reservation.
+	reservationTimeout = 200 * time.Millisecond
+	// reservationRetryAfter is how long a caller stays away after a reservation failed.
+	reservationRetryAfter = time.Second
+)
+
+// reserve reserves the key of a request and then begins its run.
+func (m *Manager) reserve(r *request) {
+	attempt, entry := m.newAttempt(r, nil), r.keyEntry
+	attempt.pending, r.running = true, attempt
+	asked := m.env.Now()
+	m.env.Reservations.Reserve(
+		m.requestRecord(r),
+		reservationTimeout,
+		func() bool { return entry.remoteOwner == 0 },
+		func(mine bool, err error) {
+			attempt.pending = false
+			r.trace.addKeyWait(m.env.Now() - asked)
+			m.startReserved(r, attempt, entry, mine, err)
+			m.runActions()
+		},
+	)
+}
+
+// startReserved goes on after the reservation of a key succeeded or failed.
+func (m *Manager) startReserved(r *request, a *Attempt, entry *keyEntry, mine bool, err error) {
+	switch {
+	case entry.remoteOwner != 0:
+		a.over, r.running = true, nil
+		m.yieldToRemote(r)
+	case err != nil || !mine:
+		m.env.Log(evStartNotDurable, a.Class, r.ID, err)
+		cause, retryAfter := storeErrorCause(err)
+		m.cancelStart(r, a, cause, cmp.Or(retryAfter, reservationRetryAfter))
+	case !m.mayStart(r):
+		m.cancelStart(r, a, CauseNone, 0)
+	case m.env.KeyStore != nil:
+		m.storeStart(r)
+	default:
+		m.dispatch(r)
+	}
+}
+
+// cancelStart rejects a request whose run was about to begin and did not.
+func (m *Manager) cancelStart(r *request, a *Attempt, cause Cause, retryAfter time.Duration) {
+	r.trace.setCause(cause, 0, 0)
+	if m.env.Reservations != nil {
+		m.env.Reservations.Released(m.requestRecord(r))
+	}
+	r.running, a.over = nil, true
+	m.releaseEntry(r.keyEntry)
+	m.answer(r, Answer{Status: Rejected, RetryAfter: retryAfter})
+	m.complete(r, admission.OutcomeNeverStarted)
+	m.runActions()
+	m.removeIfDone(r)
+}
+
+// yieldToRemote makes a request that was to run here wait for the run in another process. To the
+// decision module it has ended.
+func (m *Manager) yieldToRemote(r *request) {
+	m.complete(r, admission.OutcomeNeverStarted)
+	if !r.answered {
+		m.awaitRemote(r)
+	}
+	m.runActions()
+	m.removeIfDone(r)
+}
+
+// awaitRemote answers a request when the run of its key in another process has ended, at the latest
+// shortly before its deadline.
+func (m *Manager) awaitRemote(r *request) {
+	entry := r.keyEntry
+	if entry.ended {
+		m.answerFromEntry(r, entry)
+		return
+	}
+	entry.addWaiter(r)
+	m.env.After(max(r.deadline-deadlineMargin-m.env.Now(), 0), func() {
+		if !r.answered {
+			r.trace.setCause(Cause(admission.CauseDeadlinePassed), 0, 0)
+			m.answer(r, Answer{Status: Expired})
+			m.removeIfDone(r)
+		}
+	})
+}
--- /dev/null
+++ b/internal/lifecycle/runner.go
@@ -0,0 +1,110 @@
+package lifecycle
+
+import (
+	"math"
+	"time"
+
+	"ryepaddle/internal/admission"
+)
+
+// Outcome is how an attempt or a call ended.
+type Outcome uint8
+
+// The outcomes. NotStarted, CallRejected, Unreachable and UnknownRequest prove that nothing ran.
+const (
+	Succeeded      Outcome = iota + 1
+	Faulted                // the server failed it
+	Interrupted            // the connection broke; it may have had its effect
+	TimedOut               // likewise
+	Cancelled              // its request is over
+	NotStarted             // the run was not begun
+	CallRejected           // the call was rejected
+	Unreachable            // no server took it
+	UnknownRequest         // the runner does not know such a request
+)
+
+// neverRan reports whether the outcome of an attempt proves that nothing ran.
+func (o Outcome) neverRan() bool {
+	return o == NotStarted || o == Unreachable || o == UnknownRequest
+}
+
+// Attempt is an attempt to run a request.
+type Attempt struct {
+	Request *Request
+	Class   string
+	// Deadline is the monotonic time after which the answer is worthless.
+	Deadline time.Duration
+	// Objective is the monotonic time after which the answer is worth less; 0: not known.
+	Objective  time.Duration
+	Idempotent bool     // it may be sent again
+	Server     string   // that took it, set by runners with several servers
+	Previous   *Attempt // the failed attempt that this one retries
+	// Cause is why it was not run, if the runner knows more than the outcome says, with what was
+	// compared.
+	Cause        Cause
+	Value, Limit float64
+
+	id      uint64
+	runner  Runner // it was sent to; routes may change while it runs
+	over    bool
+	pending bool // it waits for its reservation or for the key store
+}
+
+// Tried reports whether an earlier attempt of the request was sent to a server.
+func (a *Attempt) Tried(server string) bool {
+	for previous := a.Previous; previous != nil; previous = previous.Previous {
+		if previous.Server == server {
+			return true
+		}
+	}
+	return false
+}
+
+// count returns how many attempts the request has had, this one included.
+func (a *Attempt) count() int {
+	n := 1
+	for previous := a.Previous; previous != nil; previous = previous.Previous {
+		n++
+	}
+	return n
+}
+
+// RetryCandidate is a failed attempt that may be retried.
+type RetryCandidate struct {
+	Class         int
+	HasSideEffect bool // running it twice would do harm
+	NeverRan      bool // it is proven that it did not run
+	Attempts      int  // that the request has had
+	Remaining     time.Duration
+}
+
+// Runner runs requests. It reports the end of each attempt once, with Manager.AttemptEnded, never from
+// within Run.
+type Runner interface {
+	Run(a *Attempt)
+	// Abandon says that the result of an attempt is not needed any more. Its end is still reported.
+	Abandon(a *Attempt)
+}
+
+// Dependency places the calls of runs and reports their ends with Manager.CallEnded, never from within
+// Call.
+type Dependency interface {
+	Call(a *Attempt, body []byte, timeout time.Duration)
+	// CancelCall drops a call in flight; its end is not reported.
+	CancelCall(a *Attempt)
+}
+
+// Resumer is a Runner whose attempts make calls.
+type Resumer interface {
+	Runner
+	// Resume continues an attempt with the reply to its call.
+	Resume(a *Attempt, reply []byte)
+}
+
+// Gauges are measurements of the machine; NaN stands for a value that is not available.
+type Gauges admission.Gauges
+
+// UnknownGauges returns gauges without a value: the decision module uses its own counts.
+func UnknownGauges() Gauges {
+	return Gauges{CPU: math.NaN(), Runnable: math.NaN(), Memory: math.NaN(), Connections: math.NaN()}
+}
--- /dev/null
+++ b/internal/lifecycle/submit.go
@@ -0,0 +1,145 @@
+package lifecycle
+
+import (
+	"time"
+
+	"ryepaddle/internal/admission"
+)
+
+// Ticket identifies a submitted request.
+type Ticket uint64
+
+// Submit takes over a request that has been read. It may be answered before Submit returns.
+func (m *Manager) Submit(q *Request) Ticket {
+	// Runners identify requests by ID: a second one with the same would get the result of the first.
+	if _, open := m.openIDs[q.ID]; open {
+		return m.answerConflict(q, DuplicateID)
+	}
+	m.lastID++
+	queued := max(m.env.Unix().Sub(q.ArrivedAt), 0)
+	r := &request{Request: q, id: m.lastID, trace: m.newTrace(q)}
+	class := &m.settings.Classes[q.Class]
+	arrival := m.arrivalEvent(r, queued)
+	r.deadline = m.env.Now() - queued + class.Timeout
+	hasKey := class.Idempotency == admission.IdempotentWithKey
+	if hasKey {
+		if r.keyEntry = m.keys.find(q); r.keyEntry != nil {
+			if m.answerDuplicateAtOnce(r) {
+				return 0
+			}
+			arrival.PriorRequest = r.keyEntry.owner
+		}
+	}
+	m.accept(r, queued)
+	switch {
+	case r.keyEntry != nil && r.keyEntry.remoteOwner != 0: // runs in another process: nothing to admit
+		m.awaitRemote(r)
+	case hasKey && r.keyEntry == nil && m.rejectNewKey(r):
+	default:
+		m.admission.report(arrival)
+		m.runActions()
+	}
+	return Ticket(r.id)
+}
+
+// arrivalEvent is the event of a new request.
+func (m *Manager) arrivalEvent(r *request, queued time.Duration) admission.Event {
+	return admission.Event{
+		Kind:          admission.EventRequest,
+		Request:       r.id,
+		Class:         r.Class,
+		Tenant:        r.Tenant,
+		Caller:        m.callers.admissionNumber(r.Caller),
+		SizeKB:        r.SizeKB,
+		Rank:          r.Rank,
+		Key:           r.Entity,
+		QueueingDelay: queued,
+		Write:         m.settings.Classes[r.Class].Idempotency != admission.Idempotent,
+	}
+}
+
+// answerDuplicateAtOnce answers a duplicate that need not wait, and reports whether it did: one with
+// another body, and one of a request that ran in an earlier process. Any other is counted.
+func (m *Manager) answerDuplicateAtOnce(r *request) bool {
+	// All attempts of a caller carry the same body. A request with another one must not get the
+	// result.
+	if r.keyEntry.bodyHash != hashBody(r.Request) {
+		m.answerConflict(r.Request, KeyReused)
+		return true
+	}
+	if r.keyEntry.restored && r.keyEntry.ended {
+		m.answerRestored(r.Request, r.keyEntry)
+		return true
+	}
+	if r.trace != nil {
+		r.trace.OriginalID = r.keyEntry.originalID
+	}
+	m.stats[r.Class].Repeats++
+	return false
+}
+
+// accept adds a request to the table. From now on it is owed an answer.
+func (m *Manager) accept(r *request, queued time.Duration) {
+	m.requests[r.id], m.openIDs[r.ID] = r, struct{}{}
+	m.openCount++
+	m.stats[r.Class].Read++
+	if m.env.OnAccepted != nil {
+		m.env.OnAccepted(r.Request)
+	}
+	if r.Timeout > 0 {
+		// The decision module goes by the timeout of the class, from which it also estimates the age
+		// of a retry. A shorter one is enforced here.
+		now := m.env.Now()
+		r.deadline = min(r.deadline, now-queued+r.Timeout)
+		r.stopTimer = m.env.After(r.deadline-now, func() { m.expire(r) })
+	}
+}
+
+// rejectNewKey rejects a request whose key cannot be remembered, and reports whether it did.
+func (m *Manager) rejectNewKey(r *request) bool {
+	if m.keys.isFull() {
+		r.trace.setCause(CauseKeyTableFull, float64(len(m.keys.entries)), float64(m.keys.limits.Keys))
+		m.reject(r, "the table of keys is full", keyTableFullRetryAfter)
+		return true
+	}
+	if m.env.KeyStore == nil {
+		return false
+	}
+	retryAfter, why := m.env.KeyStore.Unavailable()
+	if retryAfter <= 0 {
+		return false
+	}
+	r.trace.setCause(m.storeCause(), 0, 0)
+	m.reject(r, why, retryAfter)
+	return true
+}
+
+// reject rejects a request that the decision module does not know.
+func (m *Manager) reject(r *request, why string, retryAfter time.Duration) {
+	m.logRejection(m.settings.Classes[r.Class].Name, why)
+	m.answer(r, Answer{Status: Rejected, RetryAfter: retryAfter})
+	m.removeIfDone(r)
+}
+
+// logRejection logs a rejection for lack of room for its key, with the number of those that were not
+// logged since the last time.
+func (m *Manager) logRejection(class, why string) {
+	m.unloggedRejections++
+	now := m.env.Now()
+	if m.rejectionLoggedAt != 0 && now < m.rejectionLoggedAt+rejectionLogInterval {
+		return
+	}
+	m.env.Log(evRejected, class, why, m.unloggedRejections)
+	m.unloggedRejections, m.rejectionLoggedAt = 0, now
+}
+
+// answerConflict answers a request that is not accepted. The decision module does not hear of it.
+func (m *Manager) answerConflict(q *Request, reason Reason) Ticket {
+	m.stats[q.Class].Read++
+	m.stats[q.Class].countAnswer(Conflict)
+	trace := m.newTrace(q)
+	trace.setCause(reason.cause(), 0, 0)
+	m.reportTrace(trace, Conflict, 0)
+	q.Responder.Answer(Answer{Status: Conflict, Reason: reason})
+	return 0
+}
--- a/internal/platform/engine/messages.go
+++ b/internal/platform/engine/messages.go
@@ -61,7 +61,7 @@
 	case statusFine:
 		return lifecycle.Succeeded
 	case "broken_off":
-		return lifecycle.Canceled
+		return lifecycle.Cancelled
 	case "late":
 		return lifecycle.NotStarted
 	}
--- a/internal/simulator/cluster/attempts.go
+++ b/internal/simulator/cluster/attempts.go
@@ -62,7 +62,7 @@
 // Abandon implements lifecycle.Runner.
 func (s *simulation) Abandon(a *lifecycle.Attempt) {
 	if a.Idempotent {
-		s.scheduler.After(0, func() { s.endAttempt(a, lifecycle.Canceled) })
+		s.scheduler.After(0, func() { s.endAttempt(a, lifecycle.Cancelled) })
 	}
 }
 
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -129,7 +129,7 @@
 	lifecycle.Interrupted: endpointhealth.Aborted,
 	lifecycle.TimedOut:    endpointhealth.TimedOut,
 	lifecycle.Unreachable: endpointhealth.Unreachable,
-	lifecycle.Canceled:    endpointhealth.Inconclusive,
+	lifecycle.Cancelled:   endpointhealth.Inconclusive,
 }
 
 // Done implements Picker.
--- a/internal/simulator/fleet/inprocess.go
+++ b/internal/simulator/fleet/inprocess.go
@@ -155,7 +155,7 @@
 		if outcome == dependencies.RunSucceeded {
 			p.manager.AttemptEnded(run, lifecycle.Succeeded, &lifecycle.Result{Status: 200})
 		} else {
-			p.manager.AttemptEnded(run, lifecycle.Canceled, nil)
+			p.manager.AttemptEnded(run, lifecycle.Cancelled, nil)
 		}
 	})
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -98,7 +98,7 @@
 // result can be cached.
 func (g *Group) Abandon(a *lifecycle.Attempt) {
 	if x := g.exchanges[a]; x != nil && a.Idempotent {
-		g.loop.Post(func() { x.end(lifecycle.Canceled, nil) })
+		g.loop.Post(func() { x.end(lifecycle.Cancelled, nil) })
 	}
 }
 
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -136,7 +136,7 @@
 			want: lifecycle.Succeeded, results: result,
 		},
 		"complete, as its caller goes, idempotent": {
-			response: completeResponse, idempotent: true, crosses: abandon, want: lifecycle.Canceled,
+			response: completeResponse, idempotent: true, crosses: abandon, want: lifecycle.Cancelled,
 		},
 		"complete, as its caller goes": {
 			response: completeResponse, crosses: abandon, want: lifecycle.Succeeded, results: result,
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -92,7 +92,7 @@
 	result.Body, result.Stream = x.body, x
 	isRead := x.group.sink.ResponseStarted(x.attempt, &result)
 	if !isRead && x.attempt.Idempotent {
-		x.end(lifecycle.Canceled, nil)
+		x.end(lifecycle.Cancelled, nil)
 	}
 }
 
@@ -120,7 +120,7 @@
 		x.connection.conn.Pause(false)
 		return
 	}
-	outcome := lifecycle.Canceled
+	outcome := lifecycle.Cancelled
 	if !x.attempt.Idempotent { // it ran, whatever becomes of the rest
 		outcome = lifecycle.Succeeded
 	}
