--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -10,82 +10,86 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// Player plays days. It is used by several goroutines at once.
+// Player simulates days. It is safe for concurrent use.
 type Player interface {
+	// Play simulates the day of a seed. The noise draws the choices of balancers anew.
 	Play(ctx context.Context, seed, noise uint64) (*fleet.Run, error)
 }
 
-// Local plays a scenario in this process.
+// Local simulates the days of a scenario in this process.
 type Local struct {
 	Spec    *day.Spec
 	Options fleet.Options
 }
 
-// Play draws the day of a seed and plays it.
+// Play implements Player.
 func (l Local) Play(_ context.Context, seed, noise uint64) (*fleet.Run, error) {
-	o := l.Options
-	o.BalancerSeed = noise
-	return fleet.Play(day.Draw(l.Spec, seed), o)
+	options := l.Options
+	options.BalancerSeed = noise
+	return fleet.Play(day.Draw(l.Spec, seed), options)
 }
 
-// Plan is how a comparison is made.
+// Plan configures a comparison.
 type Plan struct {
-	Seed    uint64  // the first day's; the others count on
-	Days    int     // the most that are drawn
-	Width   float64 // half a width of the score's interval that is narrow enough
-	Alpha   float64 // 0: 0.05
-	Workers int
-	// Independent draws the choices of the two sides apart from each other. Days stay paired, but
-	// chance no longer drops out: a thing compared with itself then shows how often chance passes
-	// for a difference.
+	Seed    uint64  // of the first day; the next ones count on
+	Days    int     // at most
+	Width   float64 // half the width of the score's interval at which the comparison stops
+	Alpha   float64 // probability of an error; 0: 0.05
+	Workers int     // days simulated at once
+	// Independent draws the choices of the balancers apart for both sides. Days stay paired, but
+	// chance does not drop out any more: a comparison of a side with itself then shows how often
+	// chance passes for a difference.
 	Independent bool
-	Progress    func(done, most int)
+	// Progress is called after each simulation; nil: it is not.
+	Progress func(done, most int)
 }
 
-// Pair is one day on both sides.
+// Pair is a day on both sides.
 type Pair struct {
 	Seed uint64     `json:"seed"`
 	A    *fleet.Run `json:"a"`
 	B    *fleet.Run `json:"b"`
 }
 
-// Outcome is what a comparison came to.
+// Outcome is the result of a comparison.
 type Outcome struct {
-	Model int    `json:"model"`
-	Seed  uint64 `json:"seed"`
-	Days  int    `json:"days"`
-	// of the intervals; over 0.95, since the looks share what may go wrong
-	Level     float64    `json:"level"`
+	Model     int        `json:"model"` // version of the model
+	Seed      uint64     `json:"seed"`
+	Days      int        `json:"days"`
+	Level     float64    `json:"level"` // of the intervals; the looks share Plan.Alpha
 	Verdict   string     `json:"verdict"`
-	Stopped   string     `json:"stopped"` // why no more days were drawn
+	Stopped   string     `json:"stopped"` // why no more days were simulated
 	Estimates []Estimate `json:"estimates"`
 	Pairs     []Pair     `json:"-"`
 }
 
-// near is the part of an estimate within which its interval is narrow enough, however wide.
-const near = 0.25
+const (
+	defaultAlpha = 0.05
+	// narrowShare is the share of the difference at which its interval is narrow enough.
+	narrowShare = 0.25
+)
 
-// Run compares B with A.
+// Run compares B with A. Its outcome does not depend on the number of workers.
 func Run(ctx context.Context, plan Plan, a, b Player) (*Outcome, error) {
 	if plan.Alpha == 0 {
-		plan.Alpha = 0.05
+		plan.Alpha = defaultAlpha
 	}
-	at, spend := looks(max(plan.Days, 1), plan.Alpha)
+	days, alphas := looks(max(plan.Days, 1), plan.Alpha)
 	out := &Outcome{Model: fleet.Version, Seed: plan.Seed}
-	for k, n := range at {
-		more, err := play(ctx, plan, len(out.Pairs), n, a, b)
+	for k, count := range days {
+		pairs, err := play(ctx, plan, len(out.Pairs), count, a, b)
 		if err != nil {
 			return nil, err
 		}
-		out.Pairs = append(out.Pairs, more...)
-		out.Days, out.Level = n, 1-spend[k]
+		out.Pairs = append(out.Pairs, pairs...)
+		out.Days, out.Level = count, 1-alphas[k]
 		out.Estimates = nil
 		for _, m := range Metrics(out.Pairs[0].A) {
-			out.Estimates = append(out.Estimates, estimate(m, out.Pairs, spend[k]))
+			out.Estimates = append(out.Estimates, estimate(m, out.Pairs, alphas[k]))
 		}
-		first := out.Estimates[0]
-		out.Verdict = first.Shown
-		if half := (first.Hi - first.Lo) / 2; half <= max(plan.Width, near*math.Abs(first.Diff)) {
+		score := out.Estimates[0]
+		out.Verdict = score.Shown
+		if half := (score.Hi - score.Lo) / 2; half <= max(plan.Width, narrowShare*math.Abs(score.Diff)) {
 			out.Stopped = "the interval is narrow enough"
 			return out, nil
 		}
@@ -94,63 +98,55 @@
 	return out, nil
 }
 
-// play plays the days from one number to another, on both sides. Its result does not depend on the
-// number of workers.
+// play simulates the days from one index to below another, on both sides.
 func play(ctx context.Context, plan Plan, from, to int, a, b Player) ([]Pair, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	pairs := make([]Pair, to-from)
-	errs := make([]error, 2*len(pairs))
-	next := make(chan int)
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	done := 2 * from
-	for range max(plan.Workers, 1) {
-		wg.Go(func() {
-			for i := range next {
-				seed, noise := plan.Seed+uint64(from+i/2), uint64(0)
-				p := &pairs[i/2]
-				if i%2 == 0 {
-					p.Seed = seed
-					p.A, errs[i] = a.Play(ctx, seed, noise)
-				} else {
-					if plan.Independent {
-						noise = day.Mix(seed, "independent", 1)
-					}
-					p.B, errs[i] = b.Play(ctx, seed, noise)
-				}
-				if errs[i] != nil {
-					cancel()
-				}
-				mu.Lock()
-				done++
-				if plan.Progress != nil {
-					plan.Progress(done/2, plan.Days)
-				}
-				mu.Unlock()
-			}
-		})
-	}
-	for i := range 2 * len(pairs) {
-		if ctx.Err() != nil {
-			break
+	progress := progressOf(plan, 2*from)
+	err := ParallelEach(ctx, max(plan.Workers, 1), 2*len(pairs), func(i int) (err error) {
+		pair, seed := &pairs[i/2], plan.Seed+uint64(from+i/2)
+		if i%2 == 0 {
+			pair.Seed = seed
+			pair.A, err = a.Play(ctx, seed, 0)
+		} else {
+			pair.B, err = b.Play(ctx, seed, noise(plan, seed))
 		}
-		next <- i
-	}
-	close(next)
-	wg.Wait()
-	for i, err := range errs {
+		progress()
 		if err != nil {
-			return nil, fmt.Errorf(
-				"compare: day %d, side %c: %w",
-				plan.Seed+uint64(from+i/2),
-				'A'+rune(i%2),
-				err,
-			)
+			cancel()
+			return fmt.Errorf("compare: day %d, side %c: %w", seed, 'A'+rune(i%2), err)
 		}
+		return nil
+	})
+	if err == nil {
+		err = ctx.Err()
 	}
-	if err := ctx.Err(); err != nil {
+	if err != nil {
 		return nil, err
 	}
 	return pairs, nil
 }
+
+// noise returns the noise of side B on a day.
+func noise(plan Plan, seed uint64) uint64 {
+	if plan.Independent {
+		return day.Mix(seed, "independent", 1)
+	}
+	return 0
+}
+
+// progressOf returns a function that counts a simulation and calls Plan.Progress. done is the number
+// of simulations so far.
+func progressOf(plan Plan, done int) func() {
+	if plan.Progress == nil {
+		return func() {}
+	}
+	var mu sync.Mutex
+	return func() {
+		mu.Lock()
+		defer mu.Unlock()
+		done++
+		plan.Progress(done/2, plan.Days)
+	}
+}
--- a/internal/simulator/compare/compare_test.go
+++ b/internal/simulator/compare/compare_test.go
@@ -66,8 +66,7 @@
 	return o
 }
 
-// The same seeds give the same bytes, however many workers there are.
-func TestWorkersDoNotMatter(t *testing.T) {
+func TestOutcomeDoesNotDependOnWorkers(t *testing.T) {
 	var want []byte
 	for _, workers := range []int{1, 8, 3} {
 		o := compare(
@@ -92,8 +91,7 @@
 	}
 }
 
-// A thing compared with itself on the same numbers does not differ at all.
-func TestAThingAndItself(t *testing.T) {
+func TestSideDoesNotDifferFromItself(t *testing.T) {
 	o := compare(t, Plan{Seed: 1, Days: 8, Workers: 4}, local(t, ""), local(t, ""))
 	for _, e := range o.Estimates {
 		if e.Diff != 0 || e.Lo != 0 || e.Hi != 0 || e.Shown != None {
@@ -105,9 +103,8 @@
 	}
 }
 
-// With the choices of both sides drawn apart, a thing compared with itself differs by chance on
-// each day, and that passes for a difference no more often than the level says: of 40 comparisons
-// at 95%, in five at the most.
+// With independent choices a side differs from itself by chance on each day. That passes for a
+// difference no more often than the level says: in at most five of 40 comparisons at 95%.
 func TestChanceDoesNotPassForADifference(t *testing.T) {
 	if testing.Short() {
 		t.Skip("640 days")
@@ -129,15 +126,14 @@
 	}
 	t.Logf("a difference was shown in %d of 40 comparisons", shown)
 	if shown > 5 {
-		t.Errorf("a difference was shown in %d of 40 comparisons of a thing with itself", shown)
+		t.Errorf("a difference was shown in %d of 40 comparisons of a side with itself", shown)
 	}
 	if differ < 35 {
-		t.Errorf("only in %d of 40 did chance make any difference: the test proves nothing", differ)
+		t.Errorf("only in %d of 40 did chance make a difference: the test proves nothing", differ)
 	}
 }
 
-// A runner held to the work in progress of one core is found worse within eight days.
-func TestOneCoreOfWorkIsWorse(t *testing.T) {
+func TestLimitedRunnersAreFoundWorse(t *testing.T) {
 	o := compare(
 		t,
 		Plan{Seed: 1, Days: 8, Workers: 4},
@@ -157,7 +153,7 @@
 	}
 }
 
-// made plays figures that a test makes up.
+// made returns scores that a test makes up.
 type made func(seed uint64) float64
 
 func (m made) Play(_ context.Context, seed, _ uint64) (*fleet.Run, error) {
@@ -201,9 +197,8 @@
 	}
 }
 
-// The intervals hold what they say: of a true difference, under looks that stop early, at least 95
-// in 100 contain it.
-func TestCoverage(t *testing.T) {
+// Under looks that stop early at least 95 in 100 intervals contain the true difference.
+func TestIntervalsCoverTheTrueDifference(t *testing.T) {
 	missed := 0
 	for set := range uint64(400) {
 		b := made(func(seed uint64) float64 {
@@ -241,7 +236,7 @@
 	}
 }
 
-func TestADayThatFailsEndsTheComparison(t *testing.T) {
+func TestFailedDayEndsTheComparison(t *testing.T) {
 	bad := made(func(seed uint64) float64 {
 		if seed == 12 {
 			return math.NaN()
@@ -259,7 +254,7 @@
 	}
 }
 
-// TestMain lets this test's own binary stand in for other builds of the simulator.
+// TestMain lets the test's own binary act as other builds of the simulator.
 func TestMain(m *testing.M) {
 	switch os.Getenv("COMPARE_TEST_WORKER") {
 	case "":
@@ -285,8 +280,8 @@
 	}
 }
 
-// standIn is a script that runs this binary as a build of one kind.
-func standIn(t *testing.T, kind string) string {
+// fakeBuild writes a script that runs this binary as a build of a kind.
+func fakeBuild(t *testing.T, kind string) string {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -303,9 +298,9 @@
 	return path
 }
 
-func TestVersions(t *testing.T) {
+func TestVersionOfAnotherBuild(t *testing.T) {
 	t.Run("the same", func(t *testing.T) {
-		v, err := StartVersion(standIn(t, "good"), nil, 3)
+		v, err := StartVersion(fakeBuild(t, "good"), nil, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -322,14 +317,14 @@
 		{"mute", "is no worker of the lab: EOF: what worker?"},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
-			if _, err := StartVersion(standIn(t, c.kind), nil, 2); err == nil ||
+			if _, err := StartVersion(fakeBuild(t, c.kind), nil, 2); err == nil ||
 				!strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %s", err, c.want)
 			}
 		})
 	}
 	t.Run("dies", func(t *testing.T) {
-		v, err := StartVersion(standIn(t, "dies"), nil, 1)
+		v, err := StartVersion(fakeBuild(t, "dies"), nil, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -346,7 +341,7 @@
 	}
 }
 
-func TestServeRefusesNonsense(t *testing.T) {
+func TestServeRejectsInvalidTasks(t *testing.T) {
 	var out bytes.Buffer
 	if err := Serve(
 		strings.NewReader(`{"seed":1}`+"\nnonsense\n"),
@@ -361,9 +356,9 @@
 	}
 }
 
-// A real run inside what the model says is told from one that is not; a further run of the model is
-// inside as often as the level says, and a fleet that is told otherwise is found out.
-func TestHold(t *testing.T) {
+// A further simulation lies inside the interval as often as the level says, and a fleet with other
+// settings outside.
+func TestValidationTellsModelsApart(t *testing.T) {
 	play := func(l Local, noise uint64) *fleet.Run {
 		t.Helper()
 		r, err := l.Play(context.Background(), 3, noise)
--- a/internal/simulator/compare/estimate.go
+++ b/internal/simulator/compare/estimate.go
@@ -1,6 +1,6 @@
-// Package compare sets two settings, or two versions of the program, side by side on the same days,
-// and says how much better one is, with an interval, and whether that is more than chance. Days are
-// drawn until the interval is narrow enough or a limit is reached.
+// Package compare compares two settings, or two versions of the program, on the same simulated days. It
+// estimates how much better one is, with a confidence interval, and reports whether that is more than
+// chance. Days are added until the interval is narrow enough or a limit is reached.
 package compare
 
 import (
@@ -16,13 +16,13 @@
 type Metric struct {
 	Name string
 	Unit string // "" for shares
-	More int    // 1: more is better, -1: less is
+	More int    // 1: more is better; -1: less is
 	Of   func(*fleet.Run) float64
 }
 
-// Metrics are the figures that are compared, of days like this one.
+// Metrics returns the figures that are compared, for days with the classes and tenants of a run.
 func Metrics(like *fleet.Run) []Metric {
-	m := []Metric{
+	metrics := []Metric{
 		{"score", "", 1, func(r *fleet.Run) float64 { return r.Score }},
 		{"worth", "", 1, func(r *fleet.Run) float64 { return r.Worth }},
 		{"whole", "", 1, func(r *fleet.Run) float64 { return r.Whole }},
@@ -31,18 +31,14 @@
 		{"worst school", "", 1, func(r *fleet.Run) float64 { return r.WorstTenant }},
 	}
 	for i, c := range like.Classes {
-		m = append(
-			m,
-			Metric{"class " + c.Name, "", 1, func(r *fleet.Run) float64 { return r.Classes[i].Served }},
-		)
+		served := func(r *fleet.Run) float64 { return r.Classes[i].Served }
+		metrics = append(metrics, Metric{"class " + c.Name, "", 1, served})
 	}
 	for i, t := range like.Tenants {
-		m = append(
-			m,
-			Metric{"school " + t.Name, "", 1, func(r *fleet.Run) float64 { return r.Tenants[i].Served }},
-		)
+		served := func(r *fleet.Run) float64 { return r.Tenants[i].Served }
+		metrics = append(metrics, Metric{"school " + t.Name, "", 1, served})
 	}
-	return append(m,
+	return append(metrics,
 		Metric{"p50", "ms", -1, func(r *fleet.Run) float64 { return r.All.P50Ms }},
 		Metric{"p99", "ms", -1, func(r *fleet.Run) float64 { return r.All.P99Ms }},
 		Metric{"refusals", "a request", -1, func(r *fleet.Run) float64 { return r.Refusals }},
@@ -52,7 +48,8 @@
 	)
 }
 
-// Estimate is what a figure came to on both sides, and the difference B - A with its interval.
+// Estimate holds the means of a figure on both sides, and the difference B - A with its confidence
+// interval from Lo to Hi.
 type Estimate struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit,omitempty"`
@@ -61,17 +58,17 @@
 	Diff  float64 `json:"diff"`
 	Lo    float64 `json:"lo"`
 	Hi    float64 `json:"hi"`
-	Shown string  `json:"shown"` // better, worse or "no difference shown"
+	Shown string  `json:"shown"` // Better, Worse or None
 }
 
-// The words of a verdict.
+// The verdicts.
 const (
 	Better = "B is better"
 	Worse  = "B is worse"
 	None   = "no difference shown"
 )
 
-// estimate pairs the days.
+// estimate estimates the difference of a figure over the pairs.
 func estimate(m Metric, pairs []Pair, alpha float64) Estimate {
 	a, b := make([]float64, len(pairs)), make([]float64, len(pairs))
 	for i, p := range pairs {
@@ -80,17 +77,17 @@
 	return Paired(m.Name, m.Unit, m.More, a, b, alpha)
 }
 
-// Paired estimates the difference of a figure between the sides of pairs: what they have in common
-// drops out. The interval is Student's, at a level of 1 - alpha. more is 1 if more is better, and
-// -1 if less is.
+// Paired estimates the difference of a figure from pairs of values, so that what both have in common
+// drops out. The interval is Student's, at a level of 1 - alpha. more is 1 if more is better, and -1
+// if less is.
 func Paired(name, unit string, more int, a, b []float64, alpha float64) Estimate {
-	d := make([]float64, len(a))
+	differences := make([]float64, len(a))
 	for i := range a {
-		d[i] = b[i] - a[i]
+		differences[i] = b[i] - a[i]
 	}
 	e := Estimate{Name: name, Unit: unit, A: stat.Mean(a, nil), B: stat.Mean(b, nil)}
 	var half float64
-	if e.Diff, half = interval(d, alpha); math.IsInf(half, 1) {
+	if e.Diff, half = interval(differences, alpha); math.IsInf(half, 1) {
 		half = math.MaxFloat64 // JSON has no infinity
 	}
 	e.Lo, e.Hi = e.Diff-half, e.Diff+half
@@ -98,17 +95,17 @@
 	return e
 }
 
-// interval gives the mean and half the width of its interval.
-func interval(d []float64, alpha float64) (mean, half float64) {
-	mean, sd := stat.MeanStdDev(d, nil)
-	if len(d) < 2 {
+// interval returns the mean of samples and half the width of its interval.
+func interval(samples []float64, alpha float64) (mean, half float64) {
+	mean, sd := stat.MeanStdDev(samples, nil)
+	if len(samples) < 2 {
 		return mean, math.Inf(1)
 	}
 	if sd == 0 {
 		return mean, 0
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(d) - 1)}.Quantile(1 - alpha/2)
-	return mean, t * sd / math.Sqrt(float64(len(d)))
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(samples) - 1)}.Quantile(1 - alpha/2)
+	return mean, t * sd / math.Sqrt(float64(len(samples)))
 }
 
 func verdict(e Estimate, more int) string {
@@ -121,25 +118,26 @@
 	return Worse
 }
 
-// looks are the numbers of days at which the interval is looked at, up to a limit, and how much of
-// alpha each look may spend. Whoever looks again and again and stops when the interval pleases is
-// wrong more often than alpha, so that the looks share it: half for the first, half of the rest for
-// the next, and what is left for the last.
-func looks(most int, alpha float64) (at []int, spend []float64) {
-	for n := min(8, most); ; n = min(2*n, most) {
-		at = append(at, n)
-		if n == most {
-			break
-		}
+// firstLook is the number of days after which the interval is looked at first.
+const firstLook = 8
+
+// looks returns the numbers of days after which the interval is looked at, up to a limit, and the alpha
+// of each look. A comparison that stops at the first look that shows something would err more often
+// than alpha: so the looks share it. The first takes half, each next one half of the rest, and the
+// last one all that is left.
+func looks(limit int, alpha float64) (days []int, alphas []float64) {
+	for n := min(firstLook, limit); n < limit; n = min(2*n, limit) {
+		days = append(days, n)
 	}
-	left := alpha
-	for i := range at {
-		s := left / 2
-		if i == len(at)-1 {
-			s = left
+	days = append(days, limit)
+	rest := alpha
+	for i := range days {
+		own := rest / 2
+		if i == len(days)-1 {
+			own = rest
 		}
-		spend = append(spend, s)
-		left -= s
+		alphas = append(alphas, own)
+		rest -= own
 	}
-	return at, spend
+	return days, alphas
 }
--- a/internal/simulator/compare/parallel.go
+++ b/internal/simulator/compare/parallel.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// ParallelEach does n things on so many workers, and gives the first error by number. What is begun when
-// the context ends is finished.
+// ParallelEach calls do with 0 to n-1 on so many workers. It returns the error of the lowest index, or
+// that of the context. Calls that have begun when the context ends are finished.
 func ParallelEach(ctx context.Context, workers, n int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int)
--- a/internal/simulator/compare/validate.go
+++ b/internal/simulator/compare/validate.go
@@ -9,7 +9,7 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// Validation is a figure of a real fleet against what the model says of the same day.
+// Validation compares a figure of a real fleet with simulations of the same day.
 type Validation struct {
 	Name   string  `json:"name"`
 	Unit   string  `json:"unit,omitempty"`
@@ -20,23 +20,30 @@
 	Inside bool    `json:"inside"`
 }
 
-// Validate says for each figure of a day whether a real run lies in the model's interval: where one
-// further run of the model would lie at a level of 1 - alpha, going by runs of the same day that
-// differ in chance alone. The interval is Student's for a new observation.
-func Validate(real *fleet.Run, model []*fleet.Run, alpha float64) []Validation {
+// Validate reports for each figure of a day whether a real run lies in the prediction interval of the
+// model: where a further simulation would lie with a probability of 1 - alpha, judged by simulations
+// of the same day that differ in chance alone. The interval is Student's for a new observation.
+func Validate(measured *fleet.Run, model []*fleet.Run, alpha float64) []Validation {
 	var out []Validation
 	n := float64(len(model))
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - alpha/2)
-	for _, m := range Metrics(real) {
+	for _, m := range Metrics(measured) {
 		values := make([]float64, len(model))
 		for i, r := range model {
 			values[i] = m.Of(r)
 		}
 		mean, sd := stat.MeanStdDev(values, nil)
 		half := t * sd * math.Sqrt(1+1/n)
-		h := Validation{Name: m.Name, Unit: m.Unit, Real: m.Of(real), Mean: mean, Lo: mean - half, Hi: mean + half}
-		h.Inside = h.Real >= h.Lo && h.Real <= h.Hi
-		out = append(out, h)
+		v := Validation{
+			Name: m.Name,
+			Unit: m.Unit,
+			Real: m.Of(measured),
+			Mean: mean,
+			Lo:   mean - half,
+			Hi:   mean + half,
+		}
+		v.Inside = v.Real >= v.Lo && v.Real <= v.Hi
+		out = append(out, v)
 	}
 	return out
 }
--- a/internal/simulator/compare/worker.go
+++ b/internal/simulator/compare/worker.go
@@ -14,7 +14,8 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// The worker's protocol: one JSON value a line. It says hello first; then each task gets one reply.
+// The protocol of a worker has one JSON value on each line. The worker sends hello first; then it
+// answers each task with a reply.
 type (
 	hello struct {
 		Model int `json:"model"`
@@ -29,7 +30,7 @@
 	}
 )
 
-// Serve answers tasks until there are no more: it is the worker's side.
+// Serve is the side of the worker: it answers tasks until the end of the input.
 func Serve(r io.Reader, w io.Writer, p Player) error {
 	out := json.NewEncoder(w)
 	if err := out.Encode(hello{fleet.Version}); err != nil {
@@ -38,29 +39,30 @@
 	in := json.NewDecoder(r)
 	for {
 		var t task
-		if err := in.Decode(&t); err == io.EOF {
+		if err := in.Decode(&t); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("compare: worker: %w", err)
 		}
-		var rep reply
 		run, err := p.Play(context.Background(), t.Seed, t.Noise)
-		if rep.Run = run; err != nil {
-			rep = reply{Error: err.Error()}
+		answer := reply{Run: run}
+		if err != nil {
+			answer = reply{Error: err.Error()}
 		}
-		if err := out.Encode(rep); err != nil {
+		if err := out.Encode(answer); err != nil {
 			return err
 		}
 	}
 }
 
-// Version plays days in processes of another build of the simulator.
+// Version simulates days in worker processes of another build of the simulator. Close ends them.
 type Version struct {
 	path string
 	idle chan *process
 	all  []*process
 }
 
+// process is a worker process.
 type process struct {
 	cmd    *exec.Cmd
 	in     io.WriteCloser
@@ -68,8 +70,19 @@
 	stderr *bytes.Buffer
 }
 
-// StartVersion starts so many workers of a build. One whose model is another is refused: what
-// differs would be the model, and not what is compared.
+// VersionError reports a build whose days are not comparable, as its model has another version.
+type VersionError struct {
+	Path  string
+	Model int
+}
+
+// Error implements error.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("compare: %s plays version %d of the model, this is %d: their days are not alike",
+		e.Path, e.Model, fleet.Version)
+}
+
+// StartVersion starts so many workers of a build. It returns a VersionError if the model is another.
 func StartVersion(path string, args []string, workers int) (*Version, error) {
 	v := &Version{path: path, idle: make(chan *process, workers)}
 	for range workers {
@@ -101,16 +114,11 @@
 	p.out = bufio.NewReader(out)
 	var h hello
 	if err := p.read(&h); err != nil {
-		return nil, fmt.Errorf("compare: %s is no worker of the lab: %w", path, p.why(err))
+		return nil, fmt.Errorf("compare: %s is no worker of the lab: %w", path, p.failure(err))
 	}
 	if h.Model != fleet.Version {
 		p.stop()
-		return nil, fmt.Errorf(
-			"compare: %s plays version %d of the model, this is %d: their days are not alike",
-			path,
-			h.Model,
-			fleet.Version,
-		)
+		return nil, &VersionError{path, h.Model}
 	}
 	return p, nil
 }
@@ -123,22 +131,23 @@
 	return json.Unmarshal(line, v)
 }
 
-// why ends the process and adds what it said.
-func (p *process) why(err error) error {
+// failure ends the process and adds its error output to an error.
+func (p *process) failure(err error) error {
 	p.stop()
-	if said := strings.TrimSpace(p.stderr.String()); said != "" {
-		return fmt.Errorf("%w: %s", err, said)
+	if output := strings.TrimSpace(p.stderr.String()); output != "" {
+		return fmt.Errorf("%w: %s", err, output)
 	}
 	return err
 }
 
 func (p *process) stop() {
-	p.in.Close()
-	p.cmd.Process.Kill()
-	p.cmd.Wait()
+	// it may have ended by itself, and ends with a signal otherwise
+	_ = p.in.Close()
+	_ = p.cmd.Process.Kill()
+	_ = p.cmd.Wait()
 }
 
-// Play has a worker play a day.
+// Play implements Player: an idle worker simulates the day.
 func (v *Version) Play(ctx context.Context, seed, noise uint64) (*fleet.Run, error) {
 	var p *process
 	select {
@@ -147,22 +156,22 @@
 		return nil, ctx.Err()
 	}
 	defer func() { v.idle <- p }()
-	end := context.AfterFunc(ctx, func() { p.cmd.Process.Kill() })
-	defer end()
+	stop := context.AfterFunc(ctx, func() { _ = p.cmd.Process.Kill() }) // it may have ended
+	defer stop()
 	if err := json.NewEncoder(p.in).Encode(task{seed, noise}); err != nil {
-		return nil, fmt.Errorf("%s: %w", v.path, p.why(err))
+		return nil, fmt.Errorf("%s: %w", v.path, p.failure(err))
 	}
-	var rep reply
-	if err := p.read(&rep); err != nil {
-		return nil, fmt.Errorf("%s: its worker ended: %w", v.path, p.why(err))
+	var answer reply
+	if err := p.read(&answer); err != nil {
+		return nil, fmt.Errorf("%s: its worker ended: %w", v.path, p.failure(err))
 	}
-	if rep.Error != "" {
-		return nil, errors.New(rep.Error)
+	if answer.Error != "" {
+		return nil, errors.New(answer.Error)
 	}
-	return rep.Run, nil
+	return answer.Run, nil
 }
 
-// Close ends the workers.
+// Close ends all workers.
 func (v *Version) Close() {
 	for _, p := range v.all {
 		p.stop()
--- a/internal/simulator/report/charts.go
+++ b/internal/simulator/report/charts.go
@@ -13,24 +13,29 @@
 	"ryepaddle/internal/simulator/ledger"
 )
 
+// chart is a chart of a comparison.
 type chart struct {
 	Name, Title string
 	make        func(c *Comparison, p *plot.Plot) error
 }
 
-// charts are those that a comparison gets, each as PNG and SVG.
+// charts lists the charts of a comparison.
 var charts = []chart{
-	{"differences", "Score of B less that of A, day by day", differences},
-	{"shares", "Shares served: differences and their intervals", shares},
-	{"seconds", "Served of what was asked, second by second, over all days", seconds},
+	{"differences", "Score of B less that of A, day by day", drawDifferences},
+	{"shares", "Shares served: differences and their intervals", drawShares},
+	{"seconds", "Served of what was asked, second by second, over all days", drawSeconds},
 }
 
+// formats lists the formats of the files of a chart.
+var formats = []string{"png", "svg"}
+
 var (
 	blue   = color.RGBA{R: 31, G: 119, B: 180, A: 255}
 	orange = color.RGBA{R: 255, G: 127, B: 14, A: 255}
 	grey   = color.RGBA{R: 130, G: 130, B: 130, A: 255}
 )
 
+// render renders a chart in a format of package plot.
 func render(p *plot.Plot, format string) ([]byte, error) {
 	w, err := p.WriterTo(18*vg.Centimeter, 9*vg.Centimeter, format)
 	if err != nil {
@@ -41,6 +46,7 @@
 	return out.Bytes(), err
 }
 
+// drawCharts renders the charts of a comparison. It returns the files by name.
 func drawCharts(c *Comparison) (map[string][]byte, error) {
 	files := map[string][]byte{}
 	for _, ch := range charts {
@@ -50,13 +56,14 @@
 		if err := ch.make(c, p); err != nil {
 			return nil, err
 		}
-		if err := both(files, ch.Name, p); err != nil {
+		if err := renderAll(files, ch.Name, p); err != nil {
 			return nil, err
 		}
 	}
 	return files, nil
 }
 
+// line adds a line; an empty legend adds none.
 func line(p *plot.Plot, pts plotter.XYs, c color.Color, dashed bool, legend string) error {
 	l, err := plotter.NewLine(pts)
 	if err != nil {
@@ -73,7 +80,8 @@
 	return nil
 }
 
-func differences(c *Comparison, p *plot.Plot) error {
+// drawDifferences draws the difference of the scores of each day, and the mean with its interval.
+func drawDifferences(c *Comparison, p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "day", "B - A"
 	var pts plotter.XYs
 	for _, pair := range c.Outcome.Pairs {
@@ -102,13 +110,14 @@
 	return line(p, flat(e.Hi), orange, true, "")
 }
 
-// bars are points with intervals, side by side.
+// bars implements plotter.XYer and plotter.YErrorer: points with intervals, side by side.
 type bars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-func shares(c *Comparison, p *plot.Plot) error {
+// drawShares draws the differences of all shares with their intervals.
+func drawShares(c *Comparison, p *plot.Plot) error {
 	p.Y.Label.Text = "B - A"
 	var all []Bar
 	for _, e := range c.Outcome.Estimates {
@@ -125,6 +134,7 @@
 	Mean, Lo, Hi float64
 }
 
+// drawBars adds figures with their intervals to a chart.
 func drawBars(all []Bar, p *plot.Plot) error {
 	if len(all) == 0 {
 		return nil
@@ -152,7 +162,7 @@
 	return line(p, plotter.XYs{{X: -0.5, Y: 0}, {X: float64(len(names)) - 0.5, Y: 0}}, grey, false, "")
 }
 
-// Bars draws figures with their intervals, as files of that name in two formats.
+// Bars draws figures with their intervals. It returns the files of the chart by name.
 func Bars(name, title string, all []Bar) (map[string][]byte, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -161,12 +171,12 @@
 		return nil, err
 	}
 	files := map[string][]byte{}
-	return files, both(files, name, p)
+	return files, renderAll(files, name, p)
 }
 
-// both renders a chart in two formats.
-func both(files map[string][]byte, name string, p *plot.Plot) error {
-	for _, format := range []string{"png", "svg"} {
+// renderAll renders a chart in all formats into files.
+func renderAll(files map[string][]byte, name string, p *plot.Plot) error {
+	for _, format := range formats {
 		text, err := render(p, format)
 		if err != nil {
 			return err
@@ -176,26 +186,27 @@
 	return nil
 }
 
-// series is what was served of what was asked in each second of all days together.
+// series returns the share served in each second, over all days.
 func series(pairs []compare.Pair, of func(compare.Pair) []ledger.Second) (pts plotter.XYs) {
-	var asked, got []float64
+	var asked, earned []float64
 	for _, p := range pairs {
 		for i, s := range of(p) {
 			if i == len(asked) {
-				asked, got = append(asked, 0), append(got, 0)
+				asked, earned = append(asked, 0), append(earned, 0)
 			}
-			asked[i], got[i] = asked[i]+s.Asked, got[i]+s.Got
+			asked[i], earned[i] = asked[i]+s.Asked, earned[i]+s.Got
 		}
 	}
 	for i := range asked {
 		if asked[i] > 0 {
-			pts = append(pts, plotter.XY{X: float64(i), Y: got[i] / asked[i]})
+			pts = append(pts, plotter.XY{X: float64(i), Y: earned[i] / asked[i]})
 		}
 	}
 	return pts
 }
 
-func seconds(c *Comparison, p *plot.Plot) error {
+// drawSeconds draws the share served in each second of the day.
+func drawSeconds(c *Comparison, p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "second of the day in which it was asked", "share served"
 	p.Y.Min, p.Y.Max = 0, 1
 	a := series(c.Outcome.Pairs, func(p compare.Pair) []ledger.Second { return p.A.Series })
--- a/internal/simulator/report/report.go
+++ b/internal/simulator/report/report.go
@@ -1,6 +1,5 @@
-// Package report writes what the simulator found: tables, charts and a page, into a folder that
-// also holds the inputs, the seeds and the raw days, so that whoever finds it can see what was
-// compared and play it again.
+// Package report writes the results of the simulator: tables, charts and a page, in a folder that also
+// holds the inputs, the seeds and the simulated days, so that they can be repeated.
 package report
 
 import (
@@ -9,6 +8,7 @@
 	"encoding/json"
 	"fmt"
 	"html/template"
+	"maps"
 	"math"
 	"os"
 	"path/filepath"
@@ -24,13 +24,13 @@
 //go:embed page.html
 var page string
 
-// Input is a file that a result depends on.
+// Input is a file on which a result depends.
 type Input struct {
 	Name string // in the folder
 	Text []byte
 }
 
-// Comparison is all that is kept of one.
+// Comparison is a comparison with its inputs.
 type Comparison struct {
 	Title   string           `json:"title"`
 	A       string           `json:"a"`
@@ -43,34 +43,55 @@
 	Inputs  []Input          `json:"-"`
 }
 
-// FormatFigure gives one with as many places as it is worth.
-func FormatFigure(v float64, unit string) string {
+// FormatFigure formats a figure with as many digits as its unit deserves; "-" for an infinite one.
+func FormatFigure(value float64, unit string) string {
 	switch {
-	case math.Abs(v) >= math.MaxFloat64/2:
+	case math.Abs(value) >= math.MaxFloat64/2: // stands for infinity, as JSON has none
 		return "-"
 	case unit == "ms":
-		return strconv.FormatFloat(v, 'f', 0, 64)
+		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
-	return strconv.FormatFloat(v, 'f', 3, 64)
+	return strconv.FormatFloat(value, 'f', 3, 64)
 }
 
-// Table is the figures of a comparison.
-func Table(c *Comparison) table.Writer {
+// formatMs formats a time in milliseconds; 0 is one that was not measured.
+func formatMs(value float64) string {
+	if value == 0 {
+		return ""
+	}
+	return FormatFigure(value, "ms")
+}
+
+// newTable returns a table in the style of all reports.
+func newTable(header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"figure", "A", "B", "B - A", "interval", ""})
+	t.AppendHeader(header)
+	return t
+}
+
+// Table returns the estimates of a comparison.
+func Table(c *Comparison) table.Writer {
+	t := newTable("figure", "A", "B", "B - A", "interval", "")
 	for _, e := range c.Outcome.Estimates {
 		name := e.Name
 		if e.Unit != "" {
 			name += " (" + e.Unit + ")"
 		}
-		t.AppendRow(table.Row{name, FormatFigure(e.A, e.Unit), FormatFigure(e.B, e.Unit), FormatFigure(e.Diff, e.Unit),
-			fmt.Sprintf("%s to %s", FormatFigure(e.Lo, e.Unit), FormatFigure(e.Hi, e.Unit)), e.Shown})
+		interval := FormatFigure(e.Lo, e.Unit) + " to " + FormatFigure(e.Hi, e.Unit)
+		t.AppendRow(table.Row{
+			name,
+			FormatFigure(e.A, e.Unit),
+			FormatFigure(e.B, e.Unit),
+			FormatFigure(e.Diff, e.Unit),
+			interval,
+			e.Shown,
+		})
 	}
 	return t
 }
 
-// Summary is the outcome in a few lines.
+// Summary returns the outcome in a few lines.
 func Summary(c *Comparison) string {
 	o := c.Outcome
 	broken := [2]int{}
@@ -82,16 +103,16 @@
 			broken[1]++
 		}
 	}
-	e := o.Estimates[0]
+	score := o.Estimates[0]
 	return fmt.Sprintf(
 		"%s: the score goes from %s to %s, by %s (%s to %s at %.4g%%) over %d days; %s.\nDays with a "+
 			"broken rule: A %d, B %d.",
 		o.Verdict,
-		FormatFigure(e.A, ""),
-		FormatFigure(e.B, ""),
-		FormatFigure(e.Diff, ""),
-		FormatFigure(e.Lo, ""),
-		FormatFigure(e.Hi, ""),
+		FormatFigure(score.A, ""),
+		FormatFigure(score.B, ""),
+		FormatFigure(score.Diff, ""),
+		FormatFigure(score.Lo, ""),
+		FormatFigure(score.Hi, ""),
 		100*o.Level,
 		o.Days,
 		o.Stopped,
@@ -100,104 +121,90 @@
 	)
 }
 
-// Days is a table of days that were played.
+// Days returns a table of simulated days.
 func Days(runs []*fleet.Run) table.Writer {
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(
-		table.Row{
-			"day",
-			"score",
-			"worth",
-			"whole",
-			"worst stretch",
-			"worst class",
-			"worst school",
-			"p50 ms",
-			"p99 ms",
-			"asked/s",
-			"refusals",
-			"retries",
-			"broken rules",
-		},
-	)
+	t := newTable("day", "score", "worth", "whole", "worst stretch", "worst class", "worst school",
+		"p50 ms", "p99 ms", "asked/s", "refusals", "retries", "broken rules")
 	for _, r := range runs {
-		t.AppendRow(
-			table.Row{
-				r.Seed,
-				FormatFigure(r.Score, ""),
-				FormatFigure(r.Worth, ""),
-				FormatFigure(r.Whole, ""),
-				FormatFigure(r.WorstWindow, ""),
-				FormatFigure(
-					r.WorstClass,
-					"",
-				),
-				FormatFigure(r.WorstTenant, ""),
-				FormatFigure(r.All.P50Ms, "ms"),
-				FormatFigure(r.All.P99Ms, "ms"),
-				strconv.FormatFloat(
-					r.RequestRate,
-					'f',
-					0,
-					64,
-				),
-				FormatFigure(r.Refusals, ""),
-				FormatFigure(r.Retries, ""),
-				r.Broken,
-			},
-		)
+		t.AppendRow(table.Row{
+			r.Seed,
+			FormatFigure(r.Score, ""),
+			FormatFigure(r.Worth, ""),
+			FormatFigure(r.Whole, ""),
+			FormatFigure(r.WorstWindow, ""),
+			FormatFigure(r.WorstClass, ""),
+			FormatFigure(r.WorstTenant, ""),
+			FormatFigure(r.All.P50Ms, "ms"),
+			FormatFigure(r.All.P99Ms, "ms"),
+			strconv.FormatFloat(r.RequestRate, 'f', 0, 64),
+			FormatFigure(r.Refusals, ""),
+			FormatFigure(r.Retries, ""),
+			r.Broken,
+		})
 	}
 	return t
 }
 
-// Parts is a table of the classes and tenants of one day, and what became of its requests.
+// Parts returns a table of the classes, the tenants and the causes of a day.
 func Parts(r *fleet.Run) table.Writer {
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"", "first tries", "asked", "served", "share", "p50 ms", "p99 ms"})
-	for _, parts := range [][]ledger.Share{r.Classes, r.Tenants} {
-		for _, p := range parts {
-			t.AppendRow(
-				table.Row{
-					p.Name,
-					p.First,
-					FormatFigure(p.Asked, "ms"),
-					FormatFigure(p.Got, "ms"),
-					FormatFigure(p.Served, ""),
-					ms(p.P50Ms),
-					ms(p.P99Ms),
-				},
-			)
+	t := newTable("", "first tries", "asked", "served", "share", "p50 ms", "p99 ms")
+	for _, shares := range [][]ledger.Share{r.Classes, r.Tenants} {
+		for _, s := range shares {
+			t.AppendRow(table.Row{
+				s.Name,
+				s.First,
+				FormatFigure(s.Asked, "ms"),
+				FormatFigure(s.Got, "ms"),
+				FormatFigure(s.Served, ""),
+				formatMs(s.P50Ms),
+				formatMs(s.P99Ms),
+			})
 		}
 		t.AppendSeparator()
 	}
 	for _, name := range ledger.CauseNames() {
 		if c := r.Causes[name]; c.Count > 0 {
-			t.AppendRow(table.Row{name, c.Count, FormatFigure(c.Worth, "ms"), FormatFigure(c.Got, "ms"), "", "", ""})
+			t.AppendRow(table.Row{
+				name, c.Count, FormatFigure(c.Worth, "ms"), FormatFigure(c.Got, "ms"), "", "", "",
+			})
 		}
 	}
 	return t
 }
 
-// Save writes a comparison into a folder, which is made if need be.
+// Save writes a comparison into a folder, which it creates: the inputs, the estimates, the days, the
+// charts and a page.
 func Save(dir string, c *Comparison) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
+	files, err := filesOf(c)
+	if err != nil {
+		return fmt.Errorf("report: %w", err)
+	}
+	for name, text := range files {
+		if err := os.WriteFile(filepath.Join(dir, name), text, 0o644); err != nil {
+			return fmt.Errorf("report: %w", err)
+		}
+	}
+	return nil
+}
+
+// filesOf returns the files of a comparison by name.
+func filesOf(c *Comparison) (map[string][]byte, error) {
 	files := map[string][]byte{}
 	for _, in := range c.Inputs {
 		files[in.Name] = in.Text
 	}
 	var err error
 	if files["comparison.json"], err = json.MarshalIndent(c, "", "  "); err != nil {
-		return err
+		return nil, err
 	}
 	var days bytes.Buffer
-	enc := json.NewEncoder(&days)
-	for _, p := range c.Outcome.Pairs {
-		if err := enc.Encode(p); err != nil {
-			return err
+	encoder := json.NewEncoder(&days)
+	for _, pair := range c.Outcome.Pairs {
+		if err := encoder.Encode(pair); err != nil {
+			return nil, err
 		}
 	}
 	files["days.jsonl"] = days.Bytes()
@@ -206,23 +213,15 @@
 	files["table.txt"] = []byte(Summary(c) + "\n\n" + t.Render() + "\n")
 	drawn, err := drawCharts(c)
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
-	}
-	for name, text := range drawn {
-		files[name] = text
-	}
-	if files["index.html"], err = html(c); err != nil {
-		return fmt.Errorf("report: %w", err)
-	}
-	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(dir, name), text, 0o644); err != nil {
-			return fmt.Errorf("report: %w", err)
-		}
+		return nil, err
 	}
-	return nil
+	maps.Copy(files, drawn)
+	files["index.html"], err = renderPage(c)
+	return files, err
 }
 
-func html(c *Comparison) ([]byte, error) {
+// renderPage renders the page of a comparison.
+func renderPage(c *Comparison) ([]byte, error) {
 	t, err := template.New("page").Funcs(template.FuncMap{"text": FormatFigure}).Parse(page)
 	if err != nil {
 		return nil, err
@@ -235,11 +234,3 @@
 	}{c, Summary(c), charts})
 	return out.Bytes(), err
 }
-
-// ms gives a time; 0 is one that is not kept.
-func ms(v float64) string {
-	if v == 0 {
-		return ""
-	}
-	return FormatFigure(v, "ms")
-}
--- a/internal/simulator/report/report_test.go
+++ b/internal/simulator/report/report_test.go
@@ -50,17 +50,17 @@
 	}
 }
 
-// A folder holds all that is needed to see what was compared, and the same comparison makes the
-// same folder.
-func TestKeep(t *testing.T) {
-	c := comparison(t)
+// saveTwice saves a comparison into two folders. It returns a function that reads a file, which must be
+// the same in both.
+func saveTwice(t *testing.T, c *Comparison) (read func(name string) []byte) {
+	t.Helper()
 	dirs := []string{filepath.Join(t.TempDir(), "a", "b"), t.TempDir()}
 	for _, dir := range dirs {
 		if err := Save(dir, c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	read := func(name string) []byte {
+	return func(name string) []byte {
 		t.Helper()
 		text, err := os.ReadFile(filepath.Join(dirs[0], name))
 		if err != nil {
@@ -72,6 +72,11 @@
 		}
 		return text
 	}
+}
+
+func TestSaveWritesTablesChartsAndPage(t *testing.T) {
+	c := comparison(t)
+	read := saveTwice(t, c)
 	for _, ch := range charts {
 		img, err := png.Decode(bytes.NewReader(read(ch.Name + ".png")))
 		if err != nil || img.Bounds().Dx() < 300 {
@@ -96,6 +101,13 @@
 	if rows := strings.Count(string(read("table.csv")), "\n"); rows != len(c.Outcome.Estimates)+1 {
 		t.Errorf("%d rows of %d figures", rows, len(c.Outcome.Estimates))
 	}
+	read("table.txt")
+	read("day.yaml")
+}
+
+func TestSaveWritesTheDays(t *testing.T) {
+	c := comparison(t)
+	read := saveTwice(t, c)
 	var pairs []compare.Pair
 	days := bufio.NewScanner(bytes.NewReader(read("days.jsonl")))
 	days.Buffer(nil, 1<<20)
@@ -107,18 +119,15 @@
 		pairs = append(pairs, p)
 	}
 	if diff := cmp.Diff(c.Outcome.Pairs, pairs); diff != "" {
-		t.Errorf("the raw days (-want +got)\n%s", diff)
+		t.Errorf("the days (-want +got)\n%s", diff)
 	}
-	read("table.txt")
-	read("day.yaml")
 	var back Comparison
 	if err := json.Unmarshal(read("comparison.json"), &back); err != nil || back.Outcome.Days != 4 {
 		t.Errorf("%+v, %v", back, err)
 	}
 }
 
-// One day gives no interval, and still a folder.
-func TestOneDay(t *testing.T) {
+func TestComparisonOfOneDayHasNoInterval(t *testing.T) {
 	c := comparison(t)
 	s := compare.Plan{Seed: 3, Days: 1}
 	made := c.Outcome.Pairs[0]
@@ -135,7 +144,7 @@
 	}
 }
 
-func TestDays(t *testing.T) {
+func TestTablesOfADay(t *testing.T) {
 	c := comparison(t)
 	if out := Days([]*fleet.Run{c.Outcome.Pairs[0].A}).Render(); !strings.Contains(out, "WORST STRETCH") {
 		t.Error(out)
@@ -146,7 +155,7 @@
 	}
 }
 
-// given plays one side of a pair that was played before.
+// given returns one side of a pair that was simulated before.
 type given struct {
 	pair  compare.Pair
 	sideA bool
