--- a/cmd/runner/keep_test.go
+++ b/cmd/runner/keep_test.go
@@ -87,7 +87,7 @@
 
 // ask sends a request, and tells what came back; status 0: nothing did.
 func (p *program) ask(path, key string) (status int, body string) {
-	return cluster.Ask(p.listen["uwsgi"], path, key, time.Minute)
+	return cluster.SendRequest(p.listen["uwsgi"], path, key, time.Minute)
 }
 
 // fileLimit bounds the files that the program writes. One that becomes too large is the same to it
--- a/cmd/simulator/up.go
+++ b/cmd/simulator/up.go
@@ -64,12 +64,12 @@
 	defer remove()
 	fleet, err := cluster.Start(
 		cluster.Options{
-			Bin:      bin,
+			Binary:   bin,
 			Dir:      c.Logs,
 			Runners:  c.Runners,
 			Zones:    3,
 			Servers:  c.Servers,
-			Work:     5 * time.Millisecond,
+			RunTime:  5 * time.Millisecond,
 			Window:   c.window(),
 			Timeout:  10 * time.Second,
 			Replicas: c.Copies,
@@ -81,14 +81,14 @@
 	defer fleet.Close()
 	if c.Copies > 0 {
 		fmt.Fprintln(l.err, "copies are made; sets that begin with nothing take no hand-ins for a window")
-		if err := fleet.Ready(30 * time.Second); err != nil {
+		if err := fleet.WaitUntilReplicated(30 * time.Second); err != nil {
 			return err
 		}
-		if err := fleet.Taking(30 * time.Second); err != nil {
+		if err := fleet.WaitUntilAccepting(30 * time.Second); err != nil {
 			return err
 		}
 	}
-	load := &cluster.Load{Callers: c.Callers, Roam: c.Roam, Repeats: 1, Within: c.window() / 2}
+	load := &cluster.Load{Callers: c.Callers, SwitchRunners: c.Roam, Repeats: 1, RepeatFor: c.window() / 2}
 	load.Start(fleet)
 	began := time.Now()
 	var last atomic.Value
@@ -137,7 +137,7 @@
 	if err != nil || c.Random <= 0 {
 		return faults, err
 	}
-	for _, f := range cluster.Draw(c.Seed, c.Random, c.For, c.Runners, c.Servers, c.Wipe, c.Copies > 0) {
+	for _, f := range cluster.RandomFaults(c.Seed, c.Random, c.For, c.Runners, c.Servers, c.Wipe, c.Copies > 0) {
 		text += "\n" + f.String()
 	}
 	return cluster.ParseScript(text)
@@ -193,7 +193,7 @@
 			fmt.Fprintln(l.err, head)
 			continue
 		}
-		text := head + "\n" + rows(fleet.Rows()) + "\n"
+		text := head + "\n" + rows(fleet.States()) + "\n"
 		fmt.Fprintf(l.err, "\x1b[%dA\x1b[J%s", lines, text)
 		if lines == 0 {
 			fmt.Fprintf(l.err, "\x1b[J")
@@ -202,7 +202,7 @@
 	}
 }
 
-func rows(all []cluster.Row) string {
+func rows(all []cluster.NodeState) string {
 	t := table.NewWriter()
 	t.AppendHeader(
 		table.Row{
@@ -218,21 +218,21 @@
 		},
 	)
 	for _, r := range all {
-		keys := fmt.Sprint(r.Keys)
-		if r.State != "up" || r.Silent {
+		keys := fmt.Sprint(r.KeysHeld)
+		if r.Process != "up" || r.Unresponsive {
 			keys = "?"
 		}
 		t.AppendRow(
 			table.Row{
 				r.Name,
 				r.Zone,
-				r.State,
-				r.Tries[historychecker.Served],
-				r.Tries[historychecker.Rejected],
-				r.Tries[historychecker.Failed],
-				r.Tries[historychecker.Unknown],
+				r.Process,
+				r.Responses[historychecker.Served],
+				r.Responses[historychecker.Rejected],
+				r.Responses[historychecker.Failed],
+				r.Responses[historychecker.Unknown],
 				keys,
-				r.Copied,
+				r.ReplicatedSlots,
 			},
 		)
 	}
@@ -241,11 +241,11 @@
 
 // verdict tells how it ended. A broken promise is told with the command that plays it again.
 func (c *upCmd) verdict(l *lab, fleet *cluster.Cluster) error {
-	v, all := fleet.Check(), fleet.Rows()
+	v, all := fleet.Check(), fleet.States()
 	var bill *ledger.Bill
 	// drawn faults may take more machines at once than there are copies
 	if c.Copies > 0 && !(c.Random > 0 && c.Wipe) {
-		its, b, err := fleet.Billed()
+		its, b, err := fleet.ReconcileUsage()
 		if err != nil {
 			return err
 		}
@@ -253,13 +253,13 @@
 	}
 	if c.JSON {
 		err := l.json(struct {
-			Runners []cluster.Row          `json:"runners"`
+			Runners []cluster.NodeState    `json:"runners"`
 			Tries   map[string]int         `json:"tries"`
 			Ran     int                    `json:"keys_run"`
 			Broken  historychecker.Verdict `json:"broken"`
 			Bill    *ledger.Bill           `json:"bill,omitempty"`
 			Seed    uint64                 `json:"seed"`
-		}{all, named(fleet.History.Count()), len(fleet.Ran()), v, bill, c.Seed})
+		}{all, named(fleet.History.Count()), len(fleet.RunCounts()), v, bill, c.Seed})
 		if err != nil {
 			return err
 		}
--- a/internal/testing/cluster/bench_test.go
+++ b/internal/testing/cluster/bench_test.go
@@ -32,7 +32,7 @@
 					fmt.Sprintf("copies=%d/billed=%v/callers=%d%s", how.copies, how.billed, callers, path),
 					func(b *testing.B) {
 						opt := Options{
-							Bin:      program,
+							Binary:   program,
 							Runners:  3,
 							Zones:    3,
 							Servers:  3,
@@ -50,7 +50,7 @@
 							b.Fatal(err)
 						}
 						defer c.Close()
-						if err := c.Taking(30 * time.Second); err != nil {
+						if err := c.WaitUntilAccepting(30 * time.Second); err != nil {
 							b.Fatal(err)
 						}
 						measure(b, c, path, callers)
@@ -80,8 +80,8 @@
 		all.Go(func() {
 			for k := next.Add(1); k <= int64(b.N); k = next.Add(1) {
 				began := time.Now()
-				if status, _ := Ask(
-					c.Nodes[0].door.Addr(),
+				if status, _ := SendRequest(
+					c.Nodes[0].clientLink.Addr(),
 					path,
 					fmt.Sprint("key", k),
 					20*time.Second,
@@ -105,7 +105,7 @@
 // cpu is the processor time of all runners, in seconds.
 func (c *Cluster) cpu() (sum float64) {
 	for _, n := range c.Nodes {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.cmd.Process.Pid))
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.command.Process.Pid))
 		if err != nil {
 			continue
 		}
@@ -130,7 +130,7 @@
 		t.Skip("RYEPADDLE_REPAIR and RYEPADDLE_BIN say that it is wanted")
 	}
 	opt := Options{
-		Bin:      program,
+		Binary:   program,
 		Runners:  5,
 		Zones:    3,
 		Servers:  3,
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := errors.Join(c.Ready(30*time.Second), c.Taking(150*time.Second)); err != nil {
+	if err := errors.Join(c.WaitUntilReplicated(30*time.Second), c.WaitUntilAccepting(150*time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range c.Servers {
@@ -184,8 +184,8 @@
 					}
 					at := time.Now()
 					node := c.Nodes[[]int{0, 2, 3, 4}[k%4]] // those that stay
-					if status, _ := Ask(
-						node.door.Addr(),
+					if status, _ := SendRequest(
+						node.clientLink.Addr(),
 						path,
 						fmt.Sprint(what, k),
 						20*time.Second,
@@ -205,12 +205,12 @@
 	watch("meanwhile", func() {
 		began := time.Now()
 		if err := c.Play(
-			[]Fault{{Verb: "kill", Who: []string{"n2"}, Wipe: true, Back: 100 * time.Millisecond}},
+			[]Fault{{Action: "kill", Targets: []string{"n2"}, WipeDisk: true, RestartAfter: 100 * time.Millisecond}},
 			nil,
 		); err != nil {
 			t.Error(err)
 		}
-		if err := c.Ready(90 * time.Second); err != nil {
+		if err := c.WaitUntilReplicated(90 * time.Second); err != nil {
 			t.Error(err)
 		}
 		t.Logf("whole after %.1f s", time.Since(began).Seconds())
@@ -222,7 +222,7 @@
 
 // resident is the memory of a runner's process.
 func (n *Node) resident() int {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", n.cmd.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", n.command.Process.Pid))
 	if fields := strings.Fields(string(text)); err == nil && len(fields) > 1 {
 		pages, _ := strconv.Atoi(fields[1])
 		return pages * os.Getpagesize()
--- a/internal/testing/cluster/bill.go
+++ b/internal/testing/cluster/bill.go
@@ -11,15 +11,15 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// account is the folder of a runner's account of usage.
-func (n *Node) account() string { return filepath.Join(n.disk(), "usage") }
+// usageDir is the folder of a runner's account of usage.
+func (n *Node) usageDir() string { return filepath.Join(n.disk(), "usage") }
 
-// vault is the folder of a runner's part among its peers.
-func (n *Node) vault() string { return filepath.Join(n.disk(), "peers") }
+// peersDir is the folder of a runner's part among its peers.
+func (n *Node) peersDir() string { return filepath.Join(n.disk(), "peers") }
 
-// Billed drains all runners, puts together what their folders have of uses, and holds it against
+// ReconcileUsage drains all runners, puts together what their folders have of uses, and holds it against
 // what callers saw.
-func (c *Cluster) Billed() (historychecker.Verdict, *ledger.Bill, error) {
+func (c *Cluster) ReconcileUsage() (historychecker.Verdict, *ledger.Bill, error) {
 	var list []*ledger.Statement
 	for _, n := range c.Nodes {
 		if err := n.Drain(); err != nil {
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, n := range c.Nodes {
-		its, err := statements(n.account())
+		its, err := readStatements(n.usageDir())
 		if err != nil {
 			return nil, nil, err
 		}
@@ -41,13 +41,13 @@
 		"hand-in",
 		b,
 		list,
-		c.Ran(),
+		c.RunCounts(),
 		func(key string) uint64 { return ledger.HashKey("north", "hand-in", key) },
 	), b, nil
 }
 
-// statements are those of a folder, and the one that its account would be ended with.
-func statements(dir string) (list []*ledger.Statement, err error) {
+// readStatements are those of a folder, and the one that its account would be ended with.
+func readStatements(dir string) (list []*ledger.Statement, err error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -25,23 +25,23 @@
 
 // Options say what is started.
 type Options struct {
-	Bin      string // the runner's program
-	Dir      string // a folder of its own; empty: a new one, which goes with the cluster
-	Runners  int
-	Zones    int           // over which runners and servers are spread
-	Servers  int           // uwsgi servers; each has a link from each runner
-	Work     time.Duration // that a run takes
-	Window   time.Duration // in which a key may be repeated
-	Timeout  time.Duration // for a start, a drain or an answer
-	Replicas int           // that peers keep beside the first; 0: runners do not talk
-	Mesh     int           // up to so many have links with all; 0: as it is without being said
-	Leases   bool          // one runner asks the servers of each hall for their health
+	Binary      string // the runner's program
+	Dir         string // a folder of its own; empty: a new one, which goes with the cluster
+	Runners     int
+	Zones       int           // over which runners and servers are spread
+	Servers     int           // uwsgi servers; each has a link from each runner
+	RunTime     time.Duration // that a run takes
+	Window      time.Duration // in which a key may be repeated
+	Timeout     time.Duration // for a start, a drain or an answer
+	Replicas    int           // that peers keep beside the first; 0: runners do not talk
+	MaxFullMesh int           // up to so many have links with all; 0: as it is without being said
+	Leases      bool          // one runner asks the servers of each hall for their health
 	// runners, the last ones, that are not started and in nobody's file before Belong
-	Late     int
+	Joining  int
 	Operator func(n *Node) (string, error)
-	Bins     map[string]string // programs of runners that have another one than Bin
+	Binaries map[string]string // programs of runners that have another one than Bin
 	// by how much those of runners are ahead; their programs are built with the tag faults
-	Clocks map[string]time.Duration
+	ClockOffsets map[string]time.Duration
 }
 
 // Server is a stand-in that runs hand-ins, and counts by key what it ran.
@@ -52,16 +52,16 @@
 
 // Cluster is a number of runners and all that they speak to.
 type Cluster struct {
-	Nodes   []*Node
-	Servers []*Server
-	History historychecker.History
-	opt     Options
-	began   time.Time
-	temp    string
-	again   sync.WaitGroup // faults that end by themselves
-	mu      sync.Mutex
-	err     error // of one of them
-	belong  map[string]bool
+	Nodes      []*Node
+	Servers    []*Server
+	History    historychecker.History
+	opt        Options
+	started    time.Time
+	tempDir    string
+	background sync.WaitGroup // faults that end by themselves
+	mu         sync.Mutex
+	err        error // of one of them
+	members    map[string]bool
 }
 
 func (c *Cluster) fail(err error) {
@@ -72,13 +72,13 @@
 
 // Start starts all runners and waits until they listen.
 func Start(opt Options) (*Cluster, error) {
-	c := &Cluster{opt: opt, began: time.Now(), belong: map[string]bool{}}
+	c := &Cluster{opt: opt, started: time.Now(), members: map[string]bool{}}
 	if opt.Dir == "" {
 		dir, err := os.MkdirTemp("", "cluster")
 		if err != nil {
 			return nil, err
 		}
-		c.temp, c.opt.Dir = dir, dir
+		c.tempDir, c.opt.Dir = dir, dir
 	}
 	if c.opt.Operator == nil {
 		c.opt.Operator = WithStore
@@ -92,7 +92,7 @@
 	var all sync.WaitGroup
 	errs := make([]error, len(c.Nodes))
 	for i, n := range c.Nodes {
-		if c.belong[n.Name] {
+		if c.members[n.Name] {
 			all.Go(func() { errs[i] = n.Start() })
 		}
 	}
@@ -106,7 +106,7 @@
 func (c *Cluster) build() error {
 	hall := func(i int) string { return fmt.Sprintf("hall%d", i%max(c.opt.Zones, 1)+1) }
 	for i := range c.opt.Servers {
-		g, err := uwsgiserver.Start(0, func(string) time.Duration { return c.opt.Work })
+		g, err := uwsgiserver.Start(0, func(string) time.Duration { return c.opt.RunTime })
 		if err != nil {
 			return err
 		}
@@ -122,12 +122,12 @@
 		}
 		n.dir = filepath.Join(c.opt.Dir, n.Name)
 		c.Nodes = append(c.Nodes, n)
-		c.belong[n.Name] = i < c.opt.Runners-c.opt.Late
+		c.members[n.Name] = i < c.opt.Runners-c.opt.Joining
 		if err := os.MkdirAll(n.disk(), 0o700); err != nil {
 			return err
 		}
 		var err error
-		if n.door, err = faultlink.New(""); err != nil {
+		if n.clientLink, err = faultlink.New(""); err != nil {
 			return err
 		}
 		for _, s := range c.Servers {
@@ -172,7 +172,7 @@
 	lines := []string{text}
 	c := n.cluster
 	voters := 3
-	if len(c.Nodes)-c.opt.Late >= 5 {
+	if len(c.Nodes)-c.opt.Joining >= 5 {
 		voters = 5
 	}
 	lines = append(
@@ -180,13 +180,13 @@
 		fmt.Sprintf(
 			"peers:\n  installation: harness\n  listen: 127.0.0.1:0\n  dir: %s\n  copies: %d\n  slots: "+
 				"16\n  mesh: %d\n  members:\n",
-			n.vault(),
+			n.peersDir(),
 			c.opt.Replicas,
-			cmp.Or(c.opt.Mesh, 32),
+			cmp.Or(c.opt.MaxFullMesh, 32),
 		),
 	)
 	for i, o := range c.Nodes {
-		if !c.belongs(o) {
+		if !c.isMember(o) {
 			continue
 		}
 		at := "127.0.0.1:1" // of its own it says nothing
@@ -213,24 +213,24 @@
 	return strings.Join(
 			append(
 				lines,
-				fmt.Sprintf("usage: {dir: %s, period_min: 1, grace_s: 1, queue: 4096}\n", n.account()),
+				fmt.Sprintf("usage: {dir: %s, period_min: 1, grace_s: 1, queue: 4096}\n", n.usageDir()),
 			),
 			"",
 		), errors.Join(
-			os.MkdirAll(n.account(), 0o700),
-			os.MkdirAll(n.vault(), 0o700),
+			os.MkdirAll(n.usageDir(), 0o700),
+			os.MkdirAll(n.peersDir(), 0o700),
 		)
 }
 
-// Ready waits until every runner is there and all copies are made.
-func (c *Cluster) Ready(within time.Duration) error {
+// WaitUntilReplicated waits until every runner is there and all copies are made.
+func (c *Cluster) WaitUntilReplicated(within time.Duration) error {
 	for deadline := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
 		whole, all := 0, 0
-		for i, r := range c.Rows() {
-			if r.Whole {
+		for i, r := range c.States() {
+			if r.FullyReplicated {
 				whole++
 			}
-			if c.belongs(c.Nodes[i]) {
+			if c.isMember(c.Nodes[i]) {
 				all++
 			}
 		}
@@ -243,33 +243,33 @@
 	}
 }
 
-func (c *Cluster) belongs(n *Node) bool {
+func (c *Cluster) isMember(n *Node) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.belong[n.Name]
+	return c.members[n.Name]
 }
 
-// Belong has a runner be in the files of all, or in none but its own, and those that run told so.
-func (c *Cluster) Belong(n *Node, in bool) error {
+// SetMember has a runner be in the files of all, or in none but its own, and those that run told so.
+func (c *Cluster) SetMember(n *Node, in bool) error {
 	c.mu.Lock()
-	c.belong[n.Name] = in
+	c.members[n.Name] = in
 	c.mu.Unlock()
 	var errs []error
 	for _, o := range c.Nodes {
-		if o != n && o.Up() {
+		if o != n && o.IsRunning() {
 			errs = append(errs, o.Reload())
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// Holding is how many slots the runners say that a member holds which is leaving; -1: they do not
+// LeavingSlots is how many slots the runners say that a member holds which is leaving; -1: they do not
 // say that it is.
-func (c *Cluster) Holding(name string) int {
+func (c *Cluster) LeavingSlots(name string) int {
 	for _, n := range c.Nodes {
 		var s app.Status
-		if n.Name == name || !n.Up() ||
-			control.Ask(n.file("control"), control.Request{Command: "status"}, askWithin, &s) != nil ||
+		if n.Name == name || !n.IsRunning() ||
+			control.Ask(n.file("control"), control.Request{Command: "status"}, controlTimeout, &s) != nil ||
 			s.Peers == nil {
 			continue
 		}
@@ -282,15 +282,15 @@
 	return -1
 }
 
-// Ask tells a runner something over its control socket.
-func (n *Node) Ask(q control.Request, v any) error {
+// SendRequest tells a runner something over its control socket.
+func (n *Node) Control(q control.Request, v any) error {
 	return control.Ask(n.file("control"), q, n.cluster.opt.Timeout, v)
 }
 
-// Taking waits until hand-ins are taken: sets that begin with nothing are quiet for a window.
-func (c *Cluster) Taking(within time.Duration) error {
+// WaitUntilAccepting waits until hand-ins are taken: sets that begin with nothing are quiet for a window.
+func (c *Cluster) WaitUntilAccepting(within time.Duration) error {
 	for k, deadline := 1, time.Now().Add(within); ; k++ {
-		told := c.HandIn(c.Nodes[0], fmt.Sprint("first-", k))
+		told := c.SendKeyed(c.Nodes[0], fmt.Sprint("first-", k))
 		if told.Outcome == historychecker.Served {
 			return nil
 		}
@@ -301,8 +301,8 @@
 	}
 }
 
-// CheckEvery is how often servers are asked for their health, where one runner does so for all.
-const CheckEvery = 250 * time.Millisecond
+// HealthCheckInterval is how often servers are asked for their health, where one runner does so for all.
+const HealthCheckInterval = 250 * time.Millisecond
 
 // WithStore is an operator's file for a runner that leads hand-ins to the servers and keeps its keys
 // on its disk.
@@ -316,7 +316,7 @@
 		checked = fmt.Sprintf(
 			", check: {path: %s, every_ms: %d, within_ms: 1000}",
 			uwsgiserver.HealthPath,
-			CheckEvery.Milliseconds(),
+			HealthCheckInterval.Milliseconds(),
 		)
 	}
 	return fmt.Sprintf(`listen: 127.0.0.1:0
@@ -334,22 +334,22 @@
 
 // Close ends all processes and gives everything back.
 func (c *Cluster) Close() error {
-	c.again.Wait()
+	c.background.Wait()
 	var errs []error
 	for _, n := range c.Nodes {
 		errs = append(errs, n.Resume(), n.Kill())
 		for _, l := range n.links {
 			l.Close()
 		}
-		if n.door != nil {
-			n.door.Close()
+		if n.clientLink != nil {
+			n.clientLink.Close()
 		}
 	}
 	for _, s := range c.Servers {
 		errs = append(errs, s.Listener.Close())
 	}
-	if c.temp != "" {
-		errs = append(errs, os.RemoveAll(c.temp))
+	if c.tempDir != "" {
+		errs = append(errs, os.RemoveAll(c.tempDir))
 	}
 	return errors.Join(errs...)
 }
@@ -364,8 +364,8 @@
 	return nil, fmt.Errorf("no runner has the name %q", name)
 }
 
-// Ran is how often the servers began to run each key.
-func (c *Cluster) Ran() map[string]int {
+// RunCounts is how often the servers began to run each key.
+func (c *Cluster) RunCounts() map[string]int {
 	all := map[string]int{}
 	for _, s := range c.Servers {
 		for key, n := range s.Runs() {
@@ -377,7 +377,7 @@
 
 // Judge says what is wrong with all that was seen, and which runners ended by themselves.
 func (c *Cluster) Check() historychecker.Verdict {
-	v := c.History.Check(c.Ran())
+	v := c.History.Check(c.RunCounts())
 	c.mu.Lock()
 	if c.err != nil {
 		v = append(v, c.err.Error())
@@ -393,22 +393,22 @@
 	return v
 }
 
-// HandIn sends one try of a key to a runner, and notes what became of it.
-func (c *Cluster) HandIn(n *Node, key string) historychecker.Response {
-	asked := time.Since(c.began)
-	status, body := Ask(n.door.Addr(), "/ops/hand-in", key, c.opt.Timeout)
+// SendKeyed sends one try of a key to a runner, and notes what became of it.
+func (c *Cluster) SendKeyed(n *Node, key string) historychecker.Response {
+	asked := time.Since(c.started)
+	status, body := SendRequest(n.clientLink.Addr(), "/ops/hand-in", key, c.opt.Timeout)
 	told := historychecker.Response{Outcome: historychecker.OutcomeOf(status), Status: status}
 	if told.Outcome == historychecker.Served {
 		told.Result = body
 	}
 	c.History.Add(
-		historychecker.Record{Key: key, Runner: n.Name, SentAt: asked, EndedAt: time.Since(c.began), Response: told},
+		historychecker.Record{Key: key, Runner: n.Name, SentAt: asked, EndedAt: time.Since(c.started), Response: told},
 	)
 	return told
 }
 
-// Ask sends one request to a second front, and tells what came back; status 0: nothing whole did.
-func Ask(addr, path, key string, within time.Duration) (status int, body string) {
+// SendRequest sends one request to a second front, and tells what came back; status 0: nothing whole did.
+func SendRequest(addr, path, key string, within time.Duration) (status int, body string) {
 	conn, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return 0, ""
--- a/internal/testing/cluster/cluster_test.go
+++ b/internal/testing/cluster/cluster_test.go
@@ -95,7 +95,7 @@
 
 func start(t *testing.T, opt Options) *Cluster {
 	t.Helper()
-	opt.Bin, opt.Work, opt.Timeout = bin, 2*time.Millisecond, 20*time.Second
+	opt.Binary, opt.RunTime, opt.Timeout = bin, 2*time.Millisecond, 20*time.Second
 	c, err := Start(opt)
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 			t.Parallel()
 			c := begin(t, 3)
 			l := &Load{Callers: 8, Repeats: 1}
-			soak(t, c, l, seed, Draw(seed, 16, 2*time.Second, len(c.Nodes), len(c.Servers), false, false))
+			soak(t, c, l, seed, RandomFaults(seed, 16, 2*time.Second, len(c.Nodes), len(c.Servers), false, false))
 		})
 	}
 }
@@ -143,7 +143,7 @@
 			n := c.Nodes[0]
 			hand := func(want historychecker.Outcome) {
 				for told := (historychecker.Response{}); told.Outcome != want; {
-					if told = c.HandIn(n, "a"); told.Outcome == historychecker.Failed {
+					if told = c.SendKeyed(n, "a"); told.Outcome == historychecker.Failed {
 						t.Fatalf("%v", told)
 					}
 				}
@@ -187,7 +187,7 @@
 		"4s delay n1 s1 50ms\n4s drip n1 s1 100\n4s chop n3 clients 90\n5s heal n1 s1\n6s start n2 " +
 		"--old\n7s drain n3 --back 0s\n9s wait"
 	all := script(t, "# faults\n\n"+text)
-	for _, f := range Draw(7, 100, time.Minute, 5, 3, true, true) {
+	for _, f := range RandomFaults(7, 100, time.Minute, 5, 3, true, true) {
 		all = append(all, script(t, f.String())...)
 	}
 	var lines []string
--- a/internal/testing/cluster/config.go
+++ b/internal/testing/cluster/config.go
@@ -9,9 +9,9 @@
 	"ryepaddle/internal/testing/daytest"
 )
 
-// dueWithin is the deadline of each class: what is due is the harness's matter, not that of a
+// requestTimeout is the deadline of each class: what is due is the harness's matter, not that of a
 // machine which is busy with all of it.
-const dueWithin = 8 * time.Second
+const requestTimeout = 8 * time.Second
 
 // config is the platform's file of a runner. There is room for all that is asked: what is refused
 // is refused for a fault.
@@ -20,7 +20,7 @@
 		return admission.Class{
 			Name:              name,
 			LatencyObjective:  time.Second,
-			Timeout:           dueWithin,
+			Timeout:           requestTimeout,
 			IdempotencyWindow: c.opt.Window,
 			Idempotency:       effect,
 			PriorityWeight:    worth,
--- a/internal/testing/cluster/copies_test.go
+++ b/internal/testing/cluster/copies_test.go
@@ -22,10 +22,10 @@
 func peers(t *testing.T, runners, copies int) *Cluster {
 	t.Helper()
 	c := start(t, Options{Runners: runners, Zones: 2, Servers: 2, Window: shortWindow, Replicas: copies})
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Taking(30 * time.Second); err != nil {
+	if err := c.WaitUntilAccepting(30 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	return c
@@ -40,8 +40,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			c := peers(t, 5, 2)
-			l := &Load{Callers: 6, Roam: true, Repeats: 2, Within: shortWindow / 2}
-			soak(t, c, l, seed, Draw(seed, 14, 4*time.Second, len(c.Nodes), len(c.Servers), true, true))
+			l := &Load{Callers: 6, SwitchRunners: true, Repeats: 2, RepeatFor: shortWindow / 2}
+			soak(t, c, l, seed, RandomFaults(seed, 14, 4*time.Second, len(c.Nodes), len(c.Servers), true, true))
 		})
 	}
 }
@@ -66,7 +66,7 @@
 func loseMachines(t *testing.T, rounds int) {
 	t.Helper()
 	c := peers(t, 4, 1)
-	l := &Load{Callers: 6, Roam: true, Repeats: 2, Within: shortWindow / 2}
+	l := &Load{Callers: 6, SwitchRunners: true, Repeats: 2, RepeatFor: shortWindow / 2}
 	l.Start(c)
 	for i := range rounds * len(c.Nodes) {
 		n := c.Nodes[i%len(c.Nodes)]
@@ -74,7 +74,7 @@
 		if err := c.Play(script(t, "0s kill "+n.Name+" --wipe --back 100ms"), nil); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Ready(60 * time.Second); err != nil {
+		if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -93,7 +93,7 @@
 // billed ends all runners and looks whether each key that was served is billed once.
 func (c *Cluster) billed(t *testing.T) {
 	t.Helper()
-	v, b, err := c.Billed()
+	v, b, err := c.ReconcileUsage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 func (c *Cluster) until(t *testing.T, n *Node, key string, want historychecker.Outcome) historychecker.Response {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		told := c.HandIn(n, key)
+		told := c.SendKeyed(n, key)
 		if told.Outcome == want {
 			return told
 		}
@@ -141,10 +141,10 @@
 	time.Sleep(time.Second) // its lease is over
 	began := time.Now()
 	for k := range 5 {
-		if told := c.HandIn(one, fmt.Sprint("cut-", k)); told.Outcome != historychecker.Rejected {
+		if told := c.SendKeyed(one, fmt.Sprint("cut-", k)); told.Outcome != historychecker.Rejected {
 			t.Errorf("cut off it says %v", told)
 		}
-		if status, _ := Ask(one.door.Addr(), "/ops/quick-check", "", time.Minute); status != 200 {
+		if status, _ := SendRequest(one.clientLink.Addr(), "/ops/quick-check", "", time.Minute); status != 200 {
 			t.Errorf("cut off a check gets %d", status)
 		}
 	}
@@ -168,14 +168,14 @@
 	if err := c.Repair(); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	c.until(t, one, "after", historychecker.Served)
 	if err := c.Play(script(t, "0s stop n2 3s"), nil); err != nil { // held for lost after 1.5 s
 		t.Fatal(err)
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	c.until(t, two, "stopped", historychecker.Served)
@@ -200,34 +200,34 @@
 // served is lost, each is billed once, and what left is forgotten.
 func TestMembersComeAndGo(t *testing.T) {
 	t.Parallel()
-	c := start(t, Options{Runners: 5, Late: 1, Zones: 2, Servers: 2, Window: shortWindow, Replicas: 1})
-	for _, err := range []error{c.Ready(60 * time.Second), c.Taking(30 * time.Second)} {
+	c := start(t, Options{Runners: 5, Joining: 1, Zones: 2, Servers: 2, Window: shortWindow, Replicas: 1})
+	for _, err := range []error{c.WaitUntilReplicated(60 * time.Second), c.WaitUntilAccepting(30 * time.Second)} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
 	one, old, fresh := c.Nodes[0], c.Nodes[3], c.Nodes[4]
-	if err := one.Ask(control.Request{Command: "peers-replace", ID: "n4", Successor: "n5"}, nil); err == nil {
+	if err := one.Control(control.Request{Command: "peers-replace", ID: "n4", Successor: "n5"}, nil); err == nil {
 		t.Error("it is replaced by one that is not there")
 	}
-	l := &Load{Callers: 4, Roam: true, Repeats: 1, Within: shortWindow / 2}
+	l := &Load{Callers: 4, SwitchRunners: true, Repeats: 1, RepeatFor: shortWindow / 2}
 	l.Start(c)
-	if err := c.Belong(fresh, true); err != nil {
+	if err := c.SetMember(fresh, true); err != nil {
 		t.Fatal(err)
 	}
 	if err := fresh.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if err := one.Ask(control.Request{Command: "peers-replace", ID: "n4", Successor: "n5"}, nil); err != nil {
+	if err := one.Control(control.Request{Command: "peers-replace", ID: "n4", Successor: "n5"}, nil); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "n4 holds nothing", func() bool { return c.Holding("n4") == 0 })
+	wait(t, "n4 holds nothing", func() bool { return c.LeavingSlots("n4") == 0 })
 	var key node.KeyStatus
 	told := c.until(t, fresh, "a key", historychecker.Served)
-	if err := one.Ask(
+	if err := one.Control(
 		control.Request{Command: "peers-key", Class: "hand-in", Tenant: "north", Key: "a key"},
 		&key,
 	); err != nil ||
@@ -237,7 +237,7 @@
 	}
 	for _, n := range c.Nodes {
 		if slices.Contains(key.Replicas, n.Name) {
-			if err := n.Ask(
+			if err := n.Control(
 				control.Request{Command: "peers-key", Class: "hand-in", Tenant: "north", Key: "a key"},
 				&key,
 			); err != nil ||
@@ -250,15 +250,15 @@
 	if err := old.Drain(); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Belong(old, false); err != nil {
+	if err := c.SetMember(old, false); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "n4 is forgotten", func() bool { return c.Holding("n4") == -1 })
+	wait(t, "n4 is forgotten", func() bool { return c.LeavingSlots("n4") == -1 })
 	for _, n := range c.Nodes {
 		if n == old {
 			continue
 		}
-		if err := c.Ready(60 * time.Second); err != nil {
+		if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 		if err := n.Drain(); err != nil {
@@ -268,7 +268,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	l.Stop()
@@ -286,8 +286,8 @@
 	for seed := first; seed < first+uint64(count); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := start(t, Options{Runners: 9, Zones: 3, Servers: 2, Window: shortWindow, Replicas: 2, Mesh: 4})
-			for _, err := range []error{c.Ready(30 * time.Second), c.Taking(30 * time.Second)} {
+			c := start(t, Options{Runners: 9, Zones: 3, Servers: 2, Window: shortWindow, Replicas: 2, MaxFullMesh: 4})
+			for _, err := range []error{c.WaitUntilReplicated(30 * time.Second), c.WaitUntilAccepting(30 * time.Second)} {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -296,7 +296,7 @@
 				few = true
 				for _, n := range c.Nodes {
 					var s app.Status
-					if n.Ask(control.Request{Command: "status"}, &s) != nil || s.Peers.Links > most {
+					if n.Control(control.Request{Command: "status"}, &s) != nil || s.Peers.Links > most {
 						few = false
 						continue
 					}
@@ -306,8 +306,8 @@
 			}
 			// of the start, when no relay was there
 			wait(t, "nobody has links beside the grid", func() bool { _, few := links(4); return few })
-			l := &Load{Callers: 6, Roam: true, Repeats: 2, Within: shortWindow / 2}
-			soak(t, c, l, seed, Draw(seed, 14, 4*time.Second, len(c.Nodes), len(c.Servers), true, true))
+			l := &Load{Callers: 6, SwitchRunners: true, Repeats: 2, RepeatFor: shortWindow / 2}
+			soak(t, c, l, seed, RandomFaults(seed, 14, 4*time.Second, len(c.Nodes), len(c.Servers), true, true))
 			passed, _ := links(8)
 			if passed == 0 {
 				t.Error("nobody passes anything on")
@@ -325,7 +325,7 @@
 	copied := func() (sum int64) {
 		for _, n := range c.Nodes[:2] {
 			var s app.Status
-			if err := n.Ask(control.Request{Command: "status"}, &s); err != nil {
+			if err := n.Control(control.Request{Command: "status"}, &s); err != nil {
 				t.Fatal(err)
 			}
 			sum += s.Peers.CatchUpBytes
@@ -343,9 +343,9 @@
 		}
 		wait(t, "n3 is back", func() bool {
 			var s app.Status
-			return last.Ask(control.Request{Command: "status"}, &s) == nil && s.Peers.IsMember
+			return last.Control(control.Request{Command: "status"}, &s) == nil && s.Peers.IsMember
 		})
-		if err := c.Ready(60 * time.Second); err != nil {
+		if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 		sent[i] = copied() - was
@@ -371,7 +371,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	c.until(t, c.Nodes[3], "after", historychecker.Served)
@@ -391,12 +391,12 @@
 			Runners:  5,
 			Zones:    3,
 			Servers:  3,
-			Work:     150 * time.Millisecond,
+			RunTime:  150 * time.Millisecond,
 			Window:   15 * time.Second,
 			Replicas: 2,
 		},
 	)
-	for _, err := range []error{c.Ready(60 * time.Second), c.Taking(60 * time.Second)} {
+	for _, err := range []error{c.WaitUntilReplicated(60 * time.Second), c.WaitUntilAccepting(60 * time.Second)} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -409,11 +409,11 @@
 		for at, later := range []time.Duration{0, 0, 50 * time.Millisecond} {
 			all.Go(func() {
 				time.Sleep(later)
-				told := c.HandIn(c.Nodes[(k+at)%5], fmt.Sprint("at-once-", k))
+				told := c.SendKeyed(c.Nodes[(k+at)%5], fmt.Sprint("at-once-", k))
 				// its slot is just changing hands
 				for try := 0; told.Outcome == historychecker.Rejected && try < 200; try++ {
 					time.Sleep(20 * time.Millisecond)
-					told = c.HandIn(c.Nodes[(k+at)%5], fmt.Sprint("at-once-", k))
+					told = c.SendKeyed(c.Nodes[(k+at)%5], fmt.Sprint("at-once-", k))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -427,7 +427,7 @@
 			t.Errorf("of key %d callers are told %v", k, r)
 		}
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range []string{"0s kill n1 --wipe", "0s kill n4 --wipe"} { // both of hall1
@@ -450,7 +450,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	if v := c.Check(); len(v) > 0 {
--- a/internal/testing/cluster/duties.go
+++ b/internal/testing/cluster/duties.go
@@ -10,9 +10,9 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// Effects are the questions for their health that servers were asked under a duty, as they saw
+// LeaseEffects are the questions for their health that servers were asked under a duty, as they saw
 // them.
-func (c *Cluster) Effects() (effects []historychecker.LeaseEffect) {
+func (c *Cluster) LeaseEffects() (effects []historychecker.LeaseEffect) {
 	for _, s := range c.Servers {
 		for _, k := range s.HealthChecks() {
 			if k.Lease != "" {
@@ -33,14 +33,14 @@
 	return effects
 }
 
-// Holder is who holds a duty by the newest table that any runner which answers knows, and under
+// LeaseHolder is who holds a duty by the newest table that any runner which answers knows, and under
 // which token; empty: nobody.
-func (c *Cluster) Holder(duty string) (name string, token uint64) {
+func (c *Cluster) LeaseHolder(duty string) (name string, token uint64) {
 	newest := uint64(0)
 	for _, n := range c.Nodes {
 		var s app.Status
-		if n.state() != "up" ||
-			control.Ask(n.file("control"), control.Request{Command: "status"}, askWithin, &s) != nil ||
+		if n.processState() != "up" ||
+			control.Ask(n.file("control"), control.Request{Command: "status"}, controlTimeout, &s) != nil ||
 			s.Peers == nil ||
 			s.Peers.Version < newest {
 			continue
@@ -55,32 +55,32 @@
 	return name, token
 }
 
-// CutOff cuts a runner from all others for a while, both ways.
-func (c *Cluster) CutOff(n *Node, d time.Duration) (faults []Fault) {
+// PartitionFaults cuts a runner from all others for a while, both ways.
+func (c *Cluster) PartitionFaults(n *Node, d time.Duration) (faults []Fault) {
 	for _, o := range c.Nodes {
 		if o != n {
 			faults = append(
 				faults,
-				Fault{Verb: "cut", Who: []string{n.Name, o.Name}, Value: d.String(), Back: -1},
-				Fault{Verb: "cut", Who: []string{o.Name, n.Name}, Value: d.String(), Back: -1},
+				Fault{Action: "cut", Targets: []string{n.Name, o.Name}, Value: d.String(), RestartAfter: -1},
+				Fault{Action: "cut", Targets: []string{o.Name, n.Name}, Value: d.String(), RestartAfter: -1},
 			)
 		}
 	}
 	return faults
 }
 
-// Losses are the ways in which a holder is lost, or gives its duty back.
-var Losses = []string{"kill", "stop", "cut", "drain"}
+// HolderLosses are the ways in which a holder is lost, or gives its duty back.
+var HolderLosses = []string{"kill", "stop", "cut", "drain"}
 
-// Lose has the holder of a duty lost in some way, and tells how long it took until a server saw the
+// LoseHolder has the holder of a duty lost in some way, and tells how long it took until a server saw the
 // next one's first effect.
-func (c *Cluster) Lose(duty, way string, within time.Duration) (time.Duration, error) {
+func (c *Cluster) LoseHolder(duty, way string, within time.Duration) (time.Duration, error) {
 	deadline := time.Now().Add(within)
 	var n *Node
 	var token uint64
 	for n == nil {
-		name, of := c.Holder(duty)
-		if o, err := c.Node(name); err == nil && c.acted(duty, of) != nil {
+		name, of := c.LeaseHolder(duty)
+		if o, err := c.Node(name); err == nil && c.firstEffect(duty, of) != nil {
 			n, token = o, of
 		} else if time.Sleep(20 * time.Millisecond); time.Now().After(deadline) {
 			return 0, fmt.Errorf("nobody holds %s and acts: %q under %d", duty, name, of)
@@ -89,19 +89,19 @@
 	var faults []Fault
 	switch way {
 	case "kill":
-		faults = []Fault{{Verb: "kill", Who: []string{n.Name}, Back: 100 * time.Millisecond}}
+		faults = []Fault{{Action: "kill", Targets: []string{n.Name}, RestartAfter: 100 * time.Millisecond}}
 	case "stop":
-		faults = []Fault{{Verb: "stop", Who: []string{n.Name}, Value: "2500ms", Back: -1}}
+		faults = []Fault{{Action: "stop", Targets: []string{n.Name}, Value: "2500ms", RestartAfter: -1}}
 	case "cut":
-		faults = c.CutOff(n, 2500*time.Millisecond)
+		faults = c.PartitionFaults(n, 2500*time.Millisecond)
 	case "drain":
-		faults = []Fault{{Verb: "drain", Who: []string{n.Name}, Back: 100 * time.Millisecond}}
+		faults = []Fault{{Action: "drain", Targets: []string{n.Name}, RestartAfter: 100 * time.Millisecond}}
 	}
 	began := time.Now()
 	done := make(chan error, 1)
 	go func() { done <- c.Play(faults, nil) }()
 	for {
-		if e := c.acted(duty, token+1); e != nil {
+		if e := c.firstEffect(duty, token+1); e != nil {
 			return e.At.Sub(began), errors.Join(<-done, c.Repair())
 		}
 		if time.Now().After(deadline) {
@@ -115,9 +115,9 @@
 	}
 }
 
-// acted is the first effect under a token or a higher one; nil: there is none yet.
-func (c *Cluster) acted(duty string, least uint64) (first *historychecker.LeaseEffect) {
-	for _, e := range c.Effects() {
+// firstEffect is the first effect under a token or a higher one; nil: there is none yet.
+func (c *Cluster) firstEffect(duty string, least uint64) (first *historychecker.LeaseEffect) {
+	for _, e := range c.LeaseEffects() {
 		if e.Lease == duty && e.Token >= least && (first == nil || e.At.Before(first.At)) {
 			first = &e
 		}
--- a/internal/testing/cluster/duties_test.go
+++ b/internal/testing/cluster/duties_test.go
@@ -21,28 +21,28 @@
 // servers are asked by one runner. RYEPADDLE_HOLDERS says how often, for a long run by hand.
 func TestHolders(t *testing.T) {
 	t.Parallel()
-	rounds := len(Losses)
+	rounds := len(HolderLosses)
 	if n, err := strconv.Atoi(os.Getenv("RYEPADDLE_HOLDERS")); err == nil {
 		rounds = n
 	}
 	c := start(t, Options{Runners: 5, Zones: 2, Servers: 2, Window: shortWindow, Replicas: 1, Leases: true})
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	took := map[string][]time.Duration{}
 	for i := range rounds {
-		way := Losses[i%len(Losses)]
-		d, err := c.Lose(
-			lease.HealthCheckLease([]string{"hall1", "hall2"}[i/len(Losses)%2]),
+		way := HolderLosses[i%len(HolderLosses)]
+		d, err := c.LoseHolder(
+			lease.HealthCheckLease([]string{"hall1", "hall2"}[i/len(HolderLosses)%2]),
 			way,
 			60*time.Second,
 		)
-		if err := errors.Join(err, c.Ready(60*time.Second)); err != nil {
+		if err := errors.Join(err, c.WaitUntilReplicated(60*time.Second)); err != nil {
 			t.Fatalf("round %d: %v", i, err)
 		}
 		took[way] = append(took[way], d)
 	}
-	effects := c.Effects()
+	effects := c.LeaseEffects()
 	if v := append(c.Check(), historychecker.CheckLeases(effects, onWay)...); len(v) > 0 {
 		t.Error(v)
 	}
@@ -64,7 +64,7 @@
 func TestChecksAreMadeByOne(t *testing.T) {
 	t.Parallel()
 	c := start(t, Options{Runners: 5, Zones: 2, Servers: 2, Window: shortWindow, Replicas: 1, Leases: true})
-	if err := c.Ready(60 * time.Second); err != nil {
+	if err := c.WaitUntilReplicated(60 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	count := func(d time.Duration) (own, duty int) {
@@ -85,7 +85,7 @@
 	}
 	own, under := 0, 0
 	for range 10 { // tales may be late on a machine that is busy
-		if own, under = count(8 * CheckEvery); under > 0 && own <= under {
+		if own, under = count(8 * HealthCheckInterval); under > 0 && own <= under {
 			break
 		}
 	}
@@ -99,13 +99,13 @@
 		)
 	}
 	for _, n := range c.Nodes[1:] { // no consensus group: leases end, and each asks for itself
-		if err := n.Stop(); err != nil {
+		if err := n.Suspend(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	time.Sleep(lease.TTL * time.Microsecond)
 	for range 10 {
-		if own, under = count(8 * CheckEvery); own > 0 && under == 0 {
+		if own, under = count(8 * HealthCheckInterval); own > 0 && under == 0 {
 			return
 		}
 	}
--- a/internal/testing/cluster/hard_test.go
+++ b/internal/testing/cluster/hard_test.go
@@ -25,11 +25,11 @@
 	}{
 		{
 			"full and hanging disks",
-			oneOption(Options{Bins: map[string]string{"n3": faulty, "n4": faulty}}),
+			oneOption(Options{Binaries: map[string]string{"n3": faulty, "n4": faulty}}),
 			playFullAndHangingDisks,
 		},
-		{"clocks apart", oneOption(Options{Bins: map[string]string{"n2": faulty, "n3": faulty},
-			Clocks: map[string]time.Duration{
+		{"clocks apart", oneOption(Options{Binaries: map[string]string{"n2": faulty, "n3": faulty},
+			ClockOffsets: map[string]time.Duration{
 				"n2": 7 * time.Minute,
 				"n3": -5 * time.Minute,
 			}}), playClocksApart},
@@ -70,9 +70,9 @@
 			return
 		}
 		opt.Runners, opt.Zones, opt.Servers, opt.Window, opt.Replicas = 4, 2, 2, shortWindow, 1
-		opt.Bin, opt.Work, opt.Timeout = bin, 2*time.Millisecond, 20*time.Second
+		opt.Binary, opt.RunTime, opt.Timeout = bin, 2*time.Millisecond, 20*time.Second
 		if k.cluster, k.err = Start(opt); k.err == nil {
-			k.err = errors.Join(k.cluster.Ready(60*time.Second), k.cluster.Taking(60*time.Second))
+			k.err = errors.Join(k.cluster.WaitUntilReplicated(60*time.Second), k.cluster.WaitUntilAccepting(60*time.Second))
 		}
 	}()
 	t.Cleanup(func() { k.end(t) })
@@ -107,7 +107,7 @@
 // nothing that was served is lost.
 func judged(t *testing.T, c *Cluster, happens func() error) {
 	t.Helper()
-	l := &Load{Callers: 3, Roam: true, Repeats: 2, Within: shortWindow / 2}
+	l := &Load{Callers: 3, SwitchRunners: true, Repeats: 2, RepeatFor: shortWindow / 2}
 	l.Start(c)
 	if err := happens(); err != nil {
 		t.Error(err)
@@ -125,7 +125,7 @@
 // logged looks for an event in a runner's log.
 func logged(t *testing.T, n *Node, event string) {
 	t.Helper()
-	if !strings.Contains(n.Log(keptLines), "event="+event) {
+	if !strings.Contains(n.Log(maxLogLines), "event="+event) {
 		t.Errorf("%s has not told %s", n.Name, event)
 	}
 }
@@ -145,7 +145,9 @@
 	judged(
 		t,
 		c,
-		func() error { return errors.Join(c.Play(faults, nil), c.Repair(), c.Ready(60*time.Second)) },
+		func() error {
+			return errors.Join(c.Play(faults, nil), c.Repair(), c.WaitUntilReplicated(60*time.Second))
+		},
 	)
 	logged(t, c.Nodes[1], "peers.disk_failed")
 	logged(t, c.Nodes[1], "peers.disk_recovered")
@@ -163,7 +165,7 @@
 			time.Sleep(200 * time.Millisecond)
 			if err := errors.Join(
 				c.Play(script(t, "0s kill "+n.Name+" --wipe --back 100ms"), nil),
-				c.Ready(60*time.Second),
+				c.WaitUntilReplicated(60*time.Second),
 			); err != nil {
 				return err
 			}
@@ -198,13 +200,13 @@
 		return Options{}, fmt.Errorf("%s cannot be built: %w\n%s", before, err, out)
 	}
 	old := filepath.Join(dir, "old")
-	return Options{Bins: map[string]string{"n1": old, "n2": old, "n3": old, "n4": old}}, nil
+	return Options{Binaries: map[string]string{"n1": old, "n2": old, "n3": old, "n4": old}}, nil
 }
 
 // Runners of two versions are one fleet: each goes over to the new one while the others serve, and
 // one goes back.
 func playTwoVersions(t *testing.T, c *Cluster) {
-	old := c.opt.Bins["n1"]
+	old := c.opt.Binaries["n1"]
 	judged(t, c, func() error {
 		for _, to := range []struct{ name, bin string }{{"n4", bin}, {"n1", bin}, {"n1", old}, {"n2", bin}} {
 			n, err := c.Node(to.name)
@@ -212,8 +214,8 @@
 				err = n.Drain()
 			}
 			if err == nil {
-				c.opt.Bins[to.name] = to.bin
-				err = errors.Join(n.Start(), c.Ready(60*time.Second))
+				c.opt.Binaries[to.name] = to.bin
+				err = errors.Join(n.Start(), c.WaitUntilReplicated(60*time.Second))
 			}
 			if err != nil {
 				return fmt.Errorf("%s: %w", to.name, err)
--- a/internal/testing/cluster/node.go
+++ b/internal/testing/cluster/node.go
@@ -23,23 +23,23 @@
 	Name, Zone string
 	cluster    *Cluster
 	dir        string
-	door       *faultlink.Link // clients come through it
+	clientLink *faultlink.Link // clients come through it
 	links      map[string]*faultlink.Link
 
-	life  sync.Mutex // held while a fault is done to it
-	mu    sync.Mutex
-	cmd   *exec.Cmd // nil: there is no process
-	gone  chan struct{}
-	lines []string
-	want  bool // it is to be up
-	held  bool // it is stopped
-	err   error
+	faultMu   sync.Mutex // held while a fault is done to it
+	mu        sync.Mutex
+	command   *exec.Cmd // nil: there is no process
+	exited    chan struct{}
+	logLines  []string
+	expected  bool // it is to be up
+	suspended bool // it is stopped
+	err       error
 }
 
-// keptLines bounds what is kept of a log.
-const keptLines = 4000
+// maxLogLines bounds what is kept of a log.
+const maxLogLines = 4000
 
-var listens = regexp.MustCompile(`event=start.listens name=(\S+) address=(\S+)`)
+var listenEvent = regexp.MustCompile(`event=start.listens name=(\S+) address=(\S+)`)
 
 // disk is the folder that outlives the node's processes.
 func (n *Node) disk() string { return filepath.Join(n.dir, "disk") }
@@ -47,25 +47,25 @@
 // Start starts a process and waits until it listens.
 func (n *Node) Start() error {
 	n.mu.Lock()
-	if n.cmd != nil {
+	if n.command != nil {
 		n.mu.Unlock()
 		return fmt.Errorf("%s runs", n.Name)
 	}
 	operator, err := n.cluster.opt.Operator(n)
 	if err == nil {
-		err = n.write(operator)
+		err = n.writeFiles(operator)
 	}
 	if err != nil {
 		n.mu.Unlock()
 		return err
 	}
 	tmp := filepath.Join(n.dir, "tmp") // empty at each start, as the platform's is
-	if err := wipe(tmp); err != nil {
+	if err := emptyDir(tmp); err != nil {
 		n.mu.Unlock()
 		return err
 	}
 	cmd := exec.Command(
-		cmp.Or(n.cluster.opt.Bins[n.Name], n.cluster.opt.Bin),
+		cmp.Or(n.cluster.opt.Binaries[n.Name], n.cluster.opt.Binary),
 		"-operator",
 		n.file("operator.yaml"),
 	)
@@ -73,7 +73,7 @@
 		os.Environ(),
 		"ROUTER_CONFIG="+n.file("config.json"),
 		"TMPDIR="+tmp,
-		"RYEPADDLE_CLOCK="+n.cluster.opt.Clocks[n.Name].String(),
+		"RYEPADDLE_CLOCK="+n.cluster.opt.ClockOffsets[n.Name].String(),
 	)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	errs, err := cmd.StderrPipe()
@@ -85,9 +85,9 @@
 		return fmt.Errorf("%s: %w", n.Name, err)
 	}
 	gone, up := make(chan struct{}), make(chan struct{})
-	n.cmd, n.gone, n.want, n.held = cmd, gone, true, false
+	n.command, n.exited, n.expected, n.suspended = cmd, gone, true, false
 	n.mu.Unlock()
-	go n.follow(cmd, bufio.NewScanner(errs), gone, up)
+	go n.readLog(cmd, bufio.NewScanner(errs), gone, up)
 	select {
 	case <-up:
 		return nil
@@ -100,8 +100,8 @@
 
 func (n *Node) file(name string) string { return filepath.Join(n.dir, name) }
 
-// write writes what the process is told.
-func (n *Node) write(operator string) error {
+// writeFiles writes what the process is told.
+func (n *Node) writeFiles(operator string) error {
 	config, err := json.Marshal(n.cluster.config(n))
 	if err != nil {
 		return err
@@ -123,32 +123,32 @@
 	return b.String()
 }
 
-// follow reads the log of a process, learns where it listens, and waits for its end.
-func (n *Node) follow(cmd *exec.Cmd, log *bufio.Scanner, gone, up chan struct{}) {
+// readLog reads the log of a process, learns where it listens, and waits for its end.
+func (n *Node) readLog(cmd *exec.Cmd, log *bufio.Scanner, gone, up chan struct{}) {
 	for log.Scan() {
 		line := log.Text()
 		n.mu.Lock()
-		if n.lines = append(n.lines, line); len(n.lines) > keptLines {
-			n.lines = n.lines[keptLines/2:]
+		if n.logLines = append(n.logLines, line); len(n.logLines) > maxLogLines {
+			n.logLines = n.logLines[maxLogLines/2:]
 		}
 		n.mu.Unlock()
-		if m := listens.FindStringSubmatch(line); m != nil && m[1] == "peers" {
+		if m := listenEvent.FindStringSubmatch(line); m != nil && m[1] == "peers" {
 			for _, o := range n.cluster.Nodes {
 				if l := o.links[n.Name]; l != nil {
 					l.SetTarget(m[2])
 				}
 			}
 		} else if m != nil && m[1] == "uwsgi" {
-			n.door.SetTarget(m[2])
+			n.clientLink.SetTarget(m[2])
 			close(up)
 		}
 	}
 	err := cmd.Wait()
 	n.mu.Lock()
-	if n.want { // nobody asked it to end
+	if n.expected { // nobody asked it to end
 		n.err = fmt.Errorf("%s ended by itself: %v", n.Name, err)
 	}
-	n.cmd = nil
+	n.command = nil
 	n.mu.Unlock()
 	close(gone)
 }
@@ -158,7 +158,7 @@
 	n.mu.Lock()
 	operator, err := n.cluster.opt.Operator(n)
 	if err == nil {
-		err = n.write(operator)
+		err = n.writeFiles(operator)
 	}
 	n.mu.Unlock()
 	if err != nil {
@@ -170,7 +170,7 @@
 // Kill ends the process as a loss of the machine does, and waits until it is gone. What was open to
 // it is reset.
 func (n *Node) Kill() error {
-	cmd, gone := n.process()
+	cmd, gone := n.expectExit()
 	if cmd == nil {
 		return nil
 	}
@@ -179,17 +179,17 @@
 	return nil
 }
 
-// process is the process that there is, which is from now on allowed to end.
-func (n *Node) process() (*exec.Cmd, chan struct{}) {
+// expectExit is the process that there is, which is from now on allowed to end.
+func (n *Node) expectExit() (*exec.Cmd, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.want = false
-	return n.cmd, n.gone
+	n.expected = false
+	return n.command, n.exited
 }
 
 // Drain asks the process to leave, and waits until it has.
 func (n *Node) Drain() error {
-	cmd, gone := n.process()
+	cmd, gone := n.expectExit()
 	if cmd == nil {
 		return nil
 	}
@@ -204,8 +204,8 @@
 	}
 }
 
-// Stop holds the process; Go lets it go on.
-func (n *Node) Stop() error { return n.signal(syscall.SIGSTOP) }
+// Suspend holds the process; Go lets it go on.
+func (n *Node) Suspend() error { return n.signal(syscall.SIGSTOP) }
 
 // Resume lets a process go on that was stopped.
 func (n *Node) Resume() error { return n.signal(syscall.SIGCONT) }
@@ -213,36 +213,36 @@
 func (n *Node) signal(s syscall.Signal) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cmd == nil {
+	if n.command == nil {
 		return nil
 	}
-	n.held = s == syscall.SIGSTOP || n.held && s == syscall.SIGHUP
-	return n.cmd.Process.Signal(s)
+	n.suspended = s == syscall.SIGSTOP || n.suspended && s == syscall.SIGHUP
+	return n.command.Process.Signal(s)
 }
 
-// state tells whether it is up, stopped or gone.
-func (n *Node) state() string {
+// processState tells whether it is up, stopped or gone.
+func (n *Node) processState() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.cmd == nil:
+	case n.command == nil:
 		return "gone"
-	case n.held:
+	case n.suspended:
 		return "stopped"
 	}
 	return "up"
 }
 
-// Up tells whether there is a process.
-func (n *Node) Up() bool {
+// IsRunning tells whether there is a process.
+func (n *Node) IsRunning() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cmd != nil
+	return n.command != nil
 }
 
 // Log is the last lines that its processes logged.
 func (n *Node) Log(most int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return strings.Join(n.lines[max(len(n.lines)-most, 0):], "\n")
+	return strings.Join(n.logLines[max(len(n.logLines)-most, 0):], "\n")
 }
--- a/internal/testing/cluster/script.go
+++ b/internal/testing/cluster/script.go
@@ -33,32 +33,32 @@
 //
 // A runner's callers are `clients`. A link to another runner, `n1 n2`, is what n1 says to n2.
 type Fault struct {
-	At    time.Duration
-	Verb  string
-	Who   []string
-	Value string
-	Wipe  bool
-	Old   bool
-	Back  time.Duration // after which it is started again; negative: it is not
-	Way   faultlink.Direction
+	At            time.Duration
+	Action        string
+	Targets       []string
+	Value         string
+	WipeDisk      bool
+	RestoreBackup bool
+	RestartAfter  time.Duration // after which it is started again; negative: it is not
+	Direction     faultlink.Direction
 }
 
 // String is the fault as a line.
 func (f Fault) String() string {
-	words := append([]string{f.At.String(), f.Verb}, f.Who...)
+	words := append([]string{f.At.String(), f.Action}, f.Targets...)
 	if f.Value != "" {
 		words = append(words, f.Value)
 	}
-	if f.Wipe {
+	if f.WipeDisk {
 		words = append(words, "--wipe")
 	}
-	if f.Old {
+	if f.RestoreBackup {
 		words = append(words, "--old")
 	}
-	if f.Back >= 0 {
-		words = append(words, "--back", f.Back.String())
+	if f.RestartAfter >= 0 {
+		words = append(words, "--back", f.RestartAfter.String())
 	}
-	switch f.Way {
+	switch f.Direction {
 	case faultlink.ToServer:
 		words = append(words, "--there")
 	case faultlink.ToClient:
@@ -94,26 +94,26 @@
 
 // ParseFault reads one line.
 func ParseFault(line string) (Fault, error) {
-	f := Fault{Back: -1, Way: faultlink.BothDirections}
+	f := Fault{RestartAfter: -1, Direction: faultlink.BothDirections}
 	fail := func(why string) (Fault, error) { return f, fmt.Errorf("%q: %s", line, why) }
 	var words []string
 	in := strings.Fields(line)
 	for i := 0; i < len(in); i++ {
 		switch in[i] {
 		case "--wipe":
-			f.Wipe = true
+			f.WipeDisk = true
 		case "--old":
-			f.Old = true
+			f.RestoreBackup = true
 		case "--there":
-			f.Way = faultlink.ToServer
+			f.Direction = faultlink.ToServer
 		case "--back-way":
-			f.Way = faultlink.ToClient
+			f.Direction = faultlink.ToClient
 		case "--back":
 			var err error
 			if i++; i < len(in) {
-				f.Back, err = time.ParseDuration(in[i])
+				f.RestartAfter, err = time.ParseDuration(in[i])
 			}
-			if i == len(in) || err != nil || f.Back < 0 {
+			if i == len(in) || err != nil || f.RestartAfter < 0 {
 				return fail("--back needs a time")
 			}
 		default:
@@ -130,29 +130,29 @@
 	if f.At, err = time.ParseDuration(words[0]); err != nil || f.At < 0 {
 		return fail("it does not begin with a time")
 	}
-	f.Verb = words[1]
-	v, ok := verbs[f.Verb]
+	f.Action = words[1]
+	v, ok := verbs[f.Action]
 	if !ok {
-		return fail("unknown verb " + f.Verb)
+		return fail("unknown verb " + f.Action)
 	}
 	rest := words[2:]
 	if len(rest) < v.parties {
-		return fail(fmt.Sprintf("%s needs %d names", f.Verb, v.parties))
+		return fail(fmt.Sprintf("%s needs %d names", f.Action, v.parties))
 	}
-	f.Who, rest = rest[:v.parties], rest[v.parties:]
+	f.Targets, rest = rest[:v.parties], rest[v.parties:]
 	if len(rest) > 0 {
 		f.Value, rest = rest[0], rest[1:]
 	}
 	switch {
 	case len(rest) > 0 || v.value == "none" && f.Value != "":
-		return fail("there is more than " + f.Verb + " takes")
+		return fail("there is more than " + f.Action + " takes")
 	case v.value == "duration" || v.value == "maybe" && f.Value != "":
 		if d, err := time.ParseDuration(f.Value); err != nil || d <= 0 {
-			return fail(f.Verb + " needs a time")
+			return fail(f.Action + " needs a time")
 		}
 	case v.value == "number":
 		if n, err := strconv.Atoi(f.Value); err != nil || n <= 0 {
-			return fail(f.Verb + " needs a number above 0")
+			return fail(f.Action + " needs a number above 0")
 		}
 	}
 	return f, nil
@@ -178,42 +178,42 @@
 	return all, errors.Join(errs...)
 }
 
-// Draw draws so many faults within a time, by a seed. Runners come back, and links heal; no disk is
+// RandomFaults draws so many faults within a time, by a seed. Runners come back, and links heal; no disk is
 // lost unless wipe says so, and links between runners are met only if they are peers.
-func Draw(seed uint64, count int, within time.Duration, runners, servers int, wipe, peers bool) []Fault {
+func RandomFaults(seed uint64, count int, within time.Duration, runners, servers int, wipe, peers bool) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0x6661756c7473))
 	some := func(from, to int) time.Duration { return time.Duration(from+r.IntN(to-from)) * time.Millisecond }
 	all := make([]Fault, 0, count)
 	for range count {
 		n, s := fmt.Sprintf("n%d", r.IntN(runners)+1), fmt.Sprintf("s%d", r.IntN(servers)+1)
 		f := Fault{
-			At:   time.Duration(r.Int64N(int64(within))).Round(time.Millisecond),
-			Who:  []string{n, s},
-			Back: -1,
-			Way:  faultlink.BothDirections,
+			At:           time.Duration(r.Int64N(int64(within))).Round(time.Millisecond),
+			Targets:      []string{n, s},
+			RestartAfter: -1,
+			Direction:    faultlink.BothDirections,
 		}
 		if r.IntN(3) == 0 {
-			f.Who[1] = "clients"
+			f.Targets[1] = "clients"
 		}
 		if o := fmt.Sprintf("n%d", r.IntN(runners)+1); peers && o != n && r.IntN(2) == 0 {
-			f.Who[1] = o
+			f.Targets[1] = o
 		}
 		switch r.IntN(9) {
 		case 0, 1, 2:
-			f.Verb, f.Who, f.Back = "kill", f.Who[:1], some(20, 300)
-			f.Wipe = wipe && r.IntN(2) == 0
+			f.Action, f.Targets, f.RestartAfter = "kill", f.Targets[:1], some(20, 300)
+			f.WipeDisk = wipe && r.IntN(2) == 0
 		case 3:
-			f.Verb, f.Who, f.Value = "stop", f.Who[:1], some(50, 800).String()
+			f.Action, f.Targets, f.Value = "stop", f.Targets[:1], some(50, 800).String()
 		case 4:
-			f.Verb, f.Who, f.Back = "drain", f.Who[:1], some(20, 300)
+			f.Action, f.Targets, f.RestartAfter = "drain", f.Targets[:1], some(20, 300)
 		case 5:
-			f.Verb, f.Value = "cut", some(50, 500).String()
+			f.Action, f.Value = "cut", some(50, 500).String()
 		case 6:
-			f.Verb, f.Value, f.Way = "hold", some(50, 800).String(), faultlink.Direction(1+r.IntN(3))
+			f.Action, f.Value, f.Direction = "hold", some(50, 800).String(), faultlink.Direction(1+r.IntN(3))
 		case 7:
-			f.Verb, f.Value = "delay", some(1, 60).String()
+			f.Action, f.Value = "delay", some(1, 60).String()
 		case 8:
-			f.Verb, f.Value = "chop", strconv.Itoa(1+r.IntN(600))
+			f.Action, f.Value = "chop", strconv.Itoa(1+r.IntN(600))
 		}
 		all = append(all, f)
 	}
@@ -228,7 +228,7 @@
 		return nil, err
 	}
 	if who[1] == "clients" {
-		return n.door, nil
+		return n.clientLink, nil
 	}
 	if l := n.links[who[1]]; l != nil {
 		return l, nil
@@ -236,93 +236,93 @@
 	return nil, fmt.Errorf("%s has no link to %q", who[0], who[1])
 }
 
-// CheckFault tells whether a fault names only whom there is.
-func (c *Cluster) CheckFault(f Fault) (err error) {
-	switch len(f.Who) {
+// Validate tells whether a fault names only whom there is.
+func (c *Cluster) Validate(f Fault) (err error) {
+	switch len(f.Targets) {
 	case 1:
-		_, err = c.Node(f.Who[0])
+		_, err = c.Node(f.Targets[0])
 	case 2:
-		_, err = c.link(f.Who)
+		_, err = c.link(f.Targets)
 	}
 	return err
 }
 
-// Do carries a fault out. What ends by itself, or comes back, does so beside it.
-func (c *Cluster) Do(f Fault) error {
+// Apply carries a fault out. What ends by itself, or comes back, does so beside it.
+func (c *Cluster) Apply(f Fault) error {
 	d, _ := time.ParseDuration(f.Value) // a number is none
 	count, _ := strconv.Atoi(f.Value)
-	if len(f.Who) == 2 {
-		l, err := c.link(f.Who)
+	if len(f.Targets) == 2 {
+		l, err := c.link(f.Targets)
 		if err != nil {
 			return err
 		}
 		heal := l.Heal
-		switch f.Verb {
+		switch f.Action {
 		case "cut":
 			l.Cut()
 		case "hold":
-			l.Set(f.Way, faultlink.Fault{Stall: true})
+			l.Set(f.Direction, faultlink.Fault{Stall: true})
 		case "delay":
-			l.Set(f.Way, faultlink.Fault{Delay: d})
+			l.Set(f.Direction, faultlink.Fault{Delay: d})
 			d = 0
 		case "drip":
-			l.Set(f.Way, faultlink.Fault{BytesPerSecond: count})
+			l.Set(f.Direction, faultlink.Fault{BytesPerSecond: count})
 		case "chop":
-			l.Set(f.Way, faultlink.Fault{ResetAfterBytes: int64(count)})
+			l.Set(f.Direction, faultlink.Fault{ResetAfterBytes: int64(count)})
 		case "heal":
 			heal()
 		}
 		if d > 0 {
-			c.later(d, func() error { heal(); return nil })
+			c.runAfter(d, func() error { heal(); return nil })
 		}
 		return nil
 	}
-	if f.Verb == "wait" {
+	if f.Action == "wait" {
 		return nil
 	}
-	n, err := c.Node(f.Who[0])
+	n, err := c.Node(f.Targets[0])
 	if err != nil {
 		return err
 	}
-	n.life.Lock() // faults of one runner come one after the other
-	defer n.life.Unlock()
-	switch f.Verb {
+	n.faultMu.Lock() // faults of one runner come one after the other
+	defer n.faultMu.Unlock()
+	switch f.Action {
 	case "kill":
 		err = n.Kill()
 	case "drain":
 		err = n.Drain()
 	case "stop":
-		if err = n.Stop(); err == nil {
-			c.later(d, n.Resume)
+		if err = n.Suspend(); err == nil {
+			c.runAfter(d, n.Resume)
 		}
 	case "full":
-		if err = n.limitFiles(1); err == nil {
-			c.later(d, func() error { return n.limitFiles(unix.RLIM_INFINITY) })
+		if err = n.limitFileSize(1); err == nil {
+			c.runAfter(d, func() error { return n.limitFileSize(unix.RLIM_INFINITY) })
 		}
 	case "hang":
-		if err = n.hang(true); err == nil {
-			c.later(d, func() error { return n.hang(false) })
+		if err = n.setDiskHang(true); err == nil {
+			c.runAfter(d, func() error { return n.setDiskHang(false) })
 		}
 	case "aside":
-		err = keepAside(n.disk())
+		err = backUp(n.disk())
 	case "start":
-		if f.Old {
-			if err = putBack(n.disk()); err != nil {
+		if f.RestoreBackup {
+			if err = restore(n.disk()); err != nil {
 				return err
 			}
 		}
-		if !n.Up() {
+		if !n.IsRunning() {
 			err = n.Start()
 		}
 	}
-	if f.Wipe && err == nil {
-		err = wipe(n.disk())
+	if f.WipeDisk && err == nil {
+		err = emptyDir(n.disk())
 	}
-	if f.Back >= 0 && err == nil {
-		c.later(f.Back, func() error {
-			n.life.Lock()
-			defer n.life.Unlock()
-			if n.Up() { // another fault has brought it back
+	if f.RestartAfter >= 0 && err == nil {
+		c.runAfter(f.RestartAfter, func() error {
+			n.faultMu.Lock()
+			defer n.faultMu.Unlock()
+			if n.IsRunning() { // another fault has brought it back
 				return nil
 			}
 			return n.Start()
@@ -331,9 +331,9 @@
 	return err
 }
 
-// later does something beside the run, which does not end before.
-func (c *Cluster) later(d time.Duration, fn func() error) {
-	c.again.Go(func() {
+// runAfter does something beside the run, which does not end before.
+func (c *Cluster) runAfter(d time.Duration, fn func() error) {
+	c.background.Go(func() {
 		time.Sleep(d)
 		if err := fn(); err != nil {
 			c.fail(err)
@@ -344,7 +344,7 @@
 // Play carries faults out at their times, and returns once the last one is over and has come back.
 func (c *Cluster) Play(faults []Fault, told func(Fault)) error {
 	for _, f := range faults {
-		if err := c.CheckFault(f); err != nil {
+		if err := c.Validate(f); err != nil {
 			return fmt.Errorf("%v: %w", f, err)
 		}
 	}
@@ -354,25 +354,25 @@
 		if told != nil {
 			told(f)
 		}
-		if err := c.Do(f); err != nil {
+		if err := c.Apply(f); err != nil {
 			return fmt.Errorf("%v: %w", f, err)
 		}
 	}
-	c.again.Wait()
+	c.background.Wait()
 	return nil
 }
 
 // Repair ends all faults: links heal, and every runner is up.
 func (c *Cluster) Repair() error {
-	c.again.Wait()
+	c.background.Wait()
 	var errs []error
 	for _, n := range c.Nodes {
-		n.door.Heal()
+		n.clientLink.Heal()
 		for _, l := range n.links {
 			l.Heal()
 		}
 		errs = append(errs, n.Resume())
-		if !n.Up() {
+		if !n.IsRunning() {
 			errs = append(errs, n.Start())
 		}
 	}
--- a/internal/testing/cluster/view.go
+++ b/internal/testing/cluster/view.go
@@ -9,38 +9,38 @@
 	"ryepaddle/internal/usage/metering"
 )
 
-// Row is how one runner stands, as its callers and the runner itself say.
-type Row struct {
-	Name   string                         `json:"name"`
-	Zone   string                         `json:"hall"`
-	State  string                         `json:"state"` // up, stopped, gone
-	Tries  map[historychecker.Outcome]int `json:"-"`
-	Keys   int                            `json:"keys"` // that it remembers
-	Silent bool                           `json:"silent,omitempty"`
-	Whole  bool                           `json:"copies_whole"` // as it knows; without peers never
-	Copied string                         `json:"copies,omitempty"`
+// NodeState is how one runner stands, as its callers and the runner itself say.
+type NodeState struct {
+	Name            string                         `json:"name"`
+	Zone            string                         `json:"hall"`
+	Process         string                         `json:"state"` // up, stopped, gone
+	Responses       map[historychecker.Outcome]int `json:"-"`
+	KeysHeld        int                            `json:"keys"` // that it remembers
+	Unresponsive    bool                           `json:"silent,omitempty"`
+	FullyReplicated bool                           `json:"copies_whole"` // as it knows; without peers never
+	ReplicatedSlots string                         `json:"copies,omitempty"`
 }
 
-// askWithin bounds the wait for a runner that is stopped or busy.
-const askWithin = 200 * time.Millisecond
+// controlTimeout bounds the wait for a runner that is stopped or busy.
+const controlTimeout = 200 * time.Millisecond
 
-// size is how many runners belong.
-func (c *Cluster) size() (n int) {
+// memberCount is how many runners belong.
+func (c *Cluster) memberCount() (n int) {
 	for _, o := range c.Nodes {
-		if c.belongs(o) {
+		if c.isMember(o) {
 			n++
 		}
 	}
 	return n
 }
 
-// Rows are how all runners stand.
-func (c *Cluster) Rows() []Row {
+// States are how all runners stand.
+func (c *Cluster) States() []NodeState {
 	by := c.History.CountByRunner()
-	rows := make([]Row, 0, len(c.Nodes))
+	rows := make([]NodeState, 0, len(c.Nodes))
 	for _, n := range c.Nodes {
-		r := Row{Name: n.Name, Zone: n.Zone, State: n.state(), Tries: by[n.Name]}
-		if r.State == "up" {
+		r := NodeState{Name: n.Name, Zone: n.Zone, Process: n.processState(), Responses: by[n.Name]}
+		if r.Process == "up" {
 			var s struct {
 				Keys  int `json:"keys_held"`
 				Peers *struct {
@@ -52,12 +52,12 @@
 				} `json:"peers"`
 				Accounts *metering.ReplicationStatus `json:"accounts"`
 			}
-			r.Silent = control.Ask(n.file("control"), control.Request{Command: "status"}, askWithin, &s) != nil
-			r.Keys = s.Keys
+			r.Unresponsive = control.Ask(n.file("control"), control.Request{Command: "status"}, controlTimeout, &s) != nil
+			r.KeysHeld = s.Keys
 			if p := s.Peers; p != nil {
-				r.Whole = p.In && p.Closed == "" && p.Whole == p.Slots && len(p.Members) == c.size() &&
+				r.FullyReplicated = p.In && p.Closed == "" && p.Whole == p.Slots && len(p.Members) == c.memberCount() &&
 					(s.Accounts == nil || s.Accounts.FullyReplicated())
-				r.Copied = fmt.Sprintf("%d of %d", p.Whole, p.Slots)
+				r.ReplicatedSlots = fmt.Sprintf("%d of %d", p.Whole, p.Slots)
 			}
 		}
 		rows = append(rows, r)
