--- a/internal/testing/cluster/duties_test.go
+++ b/internal/testing/cluster/duties_test.go
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(lease.TTL * time.Microsecond)
+	time.Sleep(lease.TTL)
 	for range 10 {
 		if own, under = count(8 * HealthCheckInterval); own > 0 && under == 0 {
 			return
