--- a/internal/lifecycle/answer.go
+++ b/internal/lifecycle/answer.go
@@ -19,7 +19,7 @@
 	r.Responder.Answer(a)
 }
 
-// fail answers a request without a result: as expired if its deadline is near.
+// diskFails answers a request without a result: as expired if its deadline is near.
 func (m *Manager) fail(r *request) {
 	status := Failed
 	if m.isDeadlineNear(r) {
--- a/internal/lifecycle/callers_test.go
+++ b/internal/lifecycle/callers_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Numbers that strangers made up each took a part of the credit, and were kept for good.
-func TestCallersCountOnceARequestHasRun(t *testing.T) {
+// Made-up caller numbers get no part of the credit, and callers are forgotten after a while.
+func TestCallersCountOnceRequestHasRun(t *testing.T) {
 	c := provenCallers{lastRunAt: map[uint32]time.Duration{}}
 	c.markProven(7, time.Microsecond)
 	got := []uint32{c.admissionNumber(7), c.admissionNumber(8), c.admissionNumber(9)}
--- a/internal/lifecycle/keeper_test.go
+++ b/internal/lifecycle/replication_test.go
@@ -7,34 +7,34 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// replicas stands in for other runners that keep keys: a run may begin at once, and its result is
-// confirmed when the test says so. It sends `confirm`.
-type replicas struct {
-	*table
+// testReplicas is a key store with replicas: a run may begin at once, and its result is confirmed when the
+// test says so. It is sent `confirm`.
+type testReplicas struct {
+	*testManager
 	confirm func(error)
 }
 
-func (*replicas) Unavailable() (time.Duration, string)  { return 0, "" }
-func (*replicas) MissingReplicas() bool                 { return false }
-func (*replicas) Timeout() time.Duration                { return 500 * time.Millisecond }
-func (*replicas) Started(_ KeyRecord, done func(error)) { done(nil) }
-func (p *replicas) Ended(_ KeyRecord, done func(error)) { p.confirm = done }
-func (*replicas) Released(KeyRecord)                    {}
+func (*testReplicas) Unavailable() (time.Duration, string)  { return 0, "" }
+func (*testReplicas) MissingReplicas() bool                 { return false }
+func (*testReplicas) Timeout() time.Duration                { return 500 * time.Millisecond }
+func (*testReplicas) Started(_ KeyRecord, done func(error)) { done(nil) }
+func (p *testReplicas) Ended(_ KeyRecord, done func(error)) { p.confirm = done }
+func (*testReplicas) Released(KeyRecord)                    {}
 
 // Send implements scenario.Actor.
-func (p *replicas) Send(words []string) error {
+func (p *testReplicas) Send(words []string) error {
 	if words[0] == "confirm" {
 		p.confirm(nil)
 		return nil
 	}
-	return p.table.Send(words)
+	return p.testManager.Send(words)
 }
 
-// The result of a run is not given out before other runners have confirmed it, however long that
-// takes: they would tell repeats that the run is in doubt.
+// The result of a run is not sent before other runners have confirmed it, however long that takes: they
+// would answer duplicates as in doubt.
 func TestResultWaitsForItsReplicas(t *testing.T) {
 	for name, script := range map[string]string{
-		"confirmed after the patience": `
+		"confirmed after the store's timeout": `
 			core send ask 1 hand-in k1
 			core expect run 1
 			core send end 1 fine result
@@ -42,7 +42,7 @@
 			core expect nothing
 			core send confirm
 			core expect answer 1 served result`,
-		"not confirmed in time, and then for a repeat": `
+		"not confirmed in time, and then for a duplicate": `
 			core send ask 1 hand-in k1
 			core expect run 1
 			core send end 1 fine result
@@ -71,7 +71,7 @@
 			core send end 1 fine result
 			core send pass 710
 			core expect answer 1 late`,
-		"a failure waits for its patience alone": `
+		"a failure waits for the store's timeout alone": `
 			core send ask 1 hand-in k1
 			core expect run 1
 			core send end 1 fault
@@ -79,7 +79,7 @@
 			core expect answer 1 failed`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &replicas{table: newTable(t, 1)}
+			p := &testReplicas{testManager: newTestManager(t, 1)}
 			p.env.KeyStore = p
 			scenario.Play(t, script, map[string]scenario.Actor{"core": p})
 		})
--- /dev/null
+++ b/internal/lifecycle/reservation_test.go
@@ -0,0 +1,304 @@
+package lifecycle
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"ryepaddle/internal/admission"
+)
+
+// sharedLog is what all processes of a runner have written, in order. A process reads it to its end
+// when it reserves a key, and else when the test says so.
+type sharedLog struct {
+	records      []sharedRecord
+	processes    []*testProcess
+	incarnations uint64
+}
+
+type sharedRecord struct {
+	incarnation uint64
+	key         KeyRecord
+	released    bool
+}
+
+// testProcess is one process. It implements Reservations on the shared log.
+type testProcess struct {
+	*testManager
+	log         *sharedLog
+	incarnation uint64
+	read        int
+	dead        bool
+	diskFails   bool // reservations fail
+}
+
+func (b *sharedLog) join(t *testing.T, now time.Duration) *testProcess {
+	b.incarnations++
+	m := &testProcess{log: b, incarnation: b.incarnations}
+	m.testManager = newTestProcess(t, 1, m, m.incarnation)
+	m.pass(now - m.now)
+	m.catchUp()
+	for _, o := range b.processes {
+		if o.dead {
+			m.OwnerDied(uint32(o.incarnation))
+		}
+	}
+	b.processes = append(b.processes, m)
+	return m
+}
+
+func (m *testProcess) catchUp() {
+	for ; m.read < len(m.log.records); m.read++ {
+		if l := m.log.records[m.read]; l.incarnation != m.incarnation {
+			m.ApplyRemote(l.key, l.released)
+		}
+	}
+}
+
+func (m *testProcess) Reserve(k KeyRecord, _ time.Duration, free func() bool, done func(bool, error)) {
+	m.catchUp()
+	switch {
+	case m.diskFails:
+		done(false, errStoreTimeout)
+	case !free():
+		done(false, nil)
+	default:
+		m.write(k, false)
+		done(true, nil)
+	}
+}
+
+func (m *testProcess) write(k KeyRecord, released bool) {
+	m.log.records = append(m.log.records, sharedRecord{m.incarnation, k, released})
+}
+func (m *testProcess) Ended(k KeyRecord)    { m.write(k, false) }
+func (m *testProcess) Released(k KeyRecord) { m.write(k, true) }
+
+// twoProcesses are two processes of a runner with random requests, and what the test knows of them.
+type twoProcesses struct {
+	t        *testing.T
+	rt       *rapid.T
+	log      *sharedLog
+	one, two *testProcess
+	ran      map[string]time.Duration // when a key ran last
+	answered map[string]bool          // by request
+	keys     map[string]string        // by request
+	lastID   int
+}
+
+func (p *twoProcesses) each(fn func(m *testProcess)) {
+	for _, m := range []*testProcess{p.one, p.two} {
+		fn(m)
+	}
+}
+
+// pick draws one of the processes.
+func (p *twoProcesses) pick(rt *rapid.T) *testProcess {
+	if rapid.Bool().Draw(rt, "second") {
+		return p.two
+	}
+	return p.one
+}
+
+func (p *twoProcesses) send(m *testProcess, words ...string) {
+	if err := m.Send(words); err != nil {
+		p.rt.Fatal(err)
+	}
+	p.check()
+}
+
+// check checks what the processes have done since the last time.
+func (p *twoProcesses) check() {
+	p.each(func(m *testProcess) {
+		for _, line := range m.seen {
+			w := append(strings.Fields(line), "", "")
+			switch key := p.keys[w[1]]; w[0] {
+			case "run":
+				if at, before := p.ran[key]; before && m.now < at+13020*time.Millisecond {
+					p.rt.Fatalf("key %s runs at %v and at %v", key, at, m.now)
+				}
+				p.ran[key] = m.now
+			case "answer":
+				if p.answered[w[1]] {
+					p.rt.Fatalf("a second answer: %s", line)
+				}
+				if p.answered[w[1]] = true; w[2] == "served" && w[3] != key {
+					p.rt.Fatalf("%s is served with %q", key, w[3])
+				}
+			}
+		}
+		m.seen = nil
+	})
+}
+
+func (p *twoProcesses) ask(rt *rapid.T) {
+	p.lastID++
+	id, key := strconv.Itoa(p.lastID), rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key")
+	p.keys[id] = key
+	p.send(p.pick(rt), "ask", id, "hand-in", key)
+}
+
+func (p *twoProcesses) end(rt *rapid.T) {
+	m := p.pick(rt)
+	if len(m.runs) == 0 {
+		return
+	}
+	id := rapid.SampledFrom(slices.Sorted(maps.Keys(m.runs))).Draw(rt, "id")
+	outcome := rapid.SampledFrom([]string{"fine", "fault", "not-run"}).Draw(rt, "outcome")
+	if outcome == "not-run" && !m.runs[id].over {
+		delete(p.ran, p.keys[id])
+	}
+	p.send(m, "end", id, outcome, p.keys[id])
+}
+
+func (p *twoProcesses) leave(rt *rapid.T) {
+	if m := p.pick(rt); len(m.tickets) > 0 {
+		p.send(m, "gone", rapid.SampledFrom(slices.Sorted(maps.Keys(m.tickets))).Draw(rt, "id"))
+	}
+}
+
+func (p *twoProcesses) read(rt *rapid.T) {
+	p.pick(rt).catchUp()
+	p.check()
+}
+
+func (p *twoProcesses) pass(rt *rapid.T) {
+	ms := strconv.Itoa(rapid.IntRange(1, 6000).Draw(rt, "ms"))
+	p.each(func(m *testProcess) { p.send(m, "pass", ms) })
+}
+
+func (p *twoProcesses) failDisk(rt *rapid.T) { m := p.pick(rt); m.diskFails = !m.diskFails }
+
+// kill kills the first process, and starts another one.
+func (p *twoProcesses) kill(rt *rapid.T) {
+	if rapid.IntRange(0, 9).Draw(rt, "odds") > 0 {
+		return
+	}
+	p.one.dead = true
+	p.two.catchUp()
+	p.two.OwnerDied(uint32(p.one.incarnation))
+	p.one, p.two = p.two, p.log.join(p.t, p.two.now)
+	p.check()
+}
+
+// Whatever two processes read at what time, and whichever of them is killed, a key runs once within its
+// window, each request has one answer, and what is served is the result of the one run.
+func TestKeysRunOnceInTwoProcesses(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		log := &sharedLog{}
+		p := &twoProcesses{
+			t:        t,
+			rt:       rt,
+			log:      log,
+			one:      log.join(t, time.Second),
+			two:      log.join(t, time.Second),
+			ran:      map[string]time.Duration{},
+			answered: map[string]bool{},
+			keys:     map[string]string{},
+		}
+		rt.Repeat(map[string]func(*rapid.T){
+			"ask":  p.ask,
+			"end":  p.end,
+			"gone": p.leave,
+			"read": p.read,
+			"pass": p.pass,
+			"disk": p.failDisk,
+			"kill": p.kill,
+			"": func(rt *rapid.T) {
+				p.each(func(m *testProcess) {
+					if n := m.OpenRequests(); n < 0 {
+						rt.Fatalf("%d open", n)
+					}
+				})
+			},
+		})
+		// all open requests are answered by their deadlines, whatever the other process does
+		p.each(func(m *testProcess) {
+			p.send(m, "pass", "3000")
+			if n := m.OpenRequests(); n > 0 {
+				rt.Fatalf("%d are still open", n)
+			}
+		})
+	})
+}
+
+// One process has read settings with a class that the other does not know yet.
+func TestReservationOfClassAddedLater(t *testing.T) {
+	b := &sharedLog{}
+	one, two := b.join(t, time.Second), b.join(t, time.Second)
+	more := one.settings
+	more.Classes = append(
+		slices.Clone(more.Classes),
+		admission.Class{
+			Name:              "late-hand-in",
+			LatencyObjective:  time.Second,
+			Timeout:           2 * time.Second,
+			PriorityWeight:    3,
+			Idempotency:       admission.IdempotentWithKey,
+			IdempotencyWindow: 13 * time.Second,
+		},
+	)
+	configure := func(m *testProcess) {
+		if _, err := m.Configure(more); err != nil {
+			t.Fatal(err)
+		}
+	}
+	configure(one)
+	if err := one.Send([]string{"ask", "1", "late-hand-in", "a"}); err != nil {
+		t.Fatal(err)
+	}
+	two.catchUp()
+	configure(two)
+	if err := two.Send([]string{"ask", "2", "late-hand-in", "a"}); err != nil {
+		t.Fatal(err)
+	}
+	if got := fmt.Sprint(one.seen, two.seen); got != "[run 1] []" {
+		t.Errorf("a key of a class that was added later: %s", got)
+	}
+}
+
+// What a duplicate of a run in the other process gets, step by step.
+func TestDuplicateOfRunInOtherProcess(t *testing.T) {
+	b := &sharedLog{}
+	one, two := b.join(t, time.Second), b.join(t, time.Second)
+	step := func(m *testProcess, words string, want ...string) {
+		t.Helper()
+		m.seen = nil
+		if words == "read" {
+			m.catchUp()
+		} else if err := m.Send(strings.Fields(words)); err != nil {
+			t.Fatal(err)
+		}
+		if got := fmt.Sprint(m.seen); got != fmt.Sprint(want) {
+			t.Errorf("%s: %s, want %s", words, got, want)
+		}
+	}
+	step(one, "ask 1 hand-in a", "run 1")
+	step(two, "ask 2 hand-in a") // it was to run, and the other process reserved the key first
+	step(two, "ask 3 hand-in a")
+	step(two, "gone 3")
+	step(one, "end 1 fine graded", "answer 1 served graded")
+	step(two, "read", "answer 2 served graded")
+	step(two, "ask 4 hand-in a", "answer 4 served graded")
+	step(two, "ask 5 hand-in b", "run 5")
+	step(one, "ask 6 hand-in b")
+	step(two, "end 5 not-run", "answer 5 refused")
+	step(one, "read", "answer 6 refused") // it never ran
+	step(one, "ask 7 hand-in b", "run 7")
+	step(two, "ask 8 hand-in b")
+	one.dead = true
+	two.seen = nil
+	if two.OwnerDied(uint32(one.incarnation)); fmt.Sprint(two.seen) != "[answer 8 failed]" {
+		t.Errorf("after the process that ran it has died: %v", two.seen)
+	}
+	two.diskFails = true
+	step(two, "ask 9 hand-in c", "answer 9 refused")
+	two.diskFails = false
+	step(two, "ask 10 hand-in c", "run 10")
+}
