--- a/internal/peers/consensus/storage.go
+++ b/internal/peers/consensus/storage.go
@@ -86,11 +86,11 @@
 	record := &DurableRecord{}
 	for c.rawNode.HasReady() {
 		if err := c.advanceOnce(record); err != nil {
-			return nil, err
+			return nil, kindConsensusFailed.Wrap(err)
 		}
 	}
 	if err := c.compactLog(record); err != nil {
-		return nil, err
+		return nil, kindConsensusFailed.Wrap(err)
 	}
 	if record.isEmpty() {
 		return nil, nil
--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -188,6 +188,11 @@
 			return errDiskClose
 		}
 	}
+	return d.close(timeout)
+}
+
+// close has the goroutine close the log once its work is done, and waits for that.
+func (d *disk) close(timeout <-chan time.Time) error {
 	close(d.work)
 	select {
 	case <-d.stopped:
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"log/slog"
 	"time"
 
@@ -98,6 +99,18 @@
 			return nil, err
 		}
 	}
+	if err := n.open(log, slots); err != nil {
+		if n.disk != nil {
+			err = errors.Join(err, n.disk.close(time.After(closeTimeout)))
+		}
+		return nil, err
+	}
+	return n, nil
+}
+
+// open begins the parts of the node with what its disk has, and listens.
+func (n *Node) open(log []consensus.DurableRecord, slots []replication.SlotSnapshot) error {
+	cfg := &n.cfg
 	n.replica = replication.New(
 		replication.Config{
 			Name:          cfg.Links.Name,
@@ -112,11 +125,11 @@
 	)
 	var err error
 	if n.consensus, err = n.newParticipant(log); err != nil {
-		return nil, err
+		return err
 	}
 	n.startLeases()
-	n.transport, err = link.Open(loop, cfg.Links, n.receive)
-	return n, err
+	n.transport, err = link.Open(n.loop, cfg.Links, n.receive)
+	return err
 }
 
 func (n *Node) newParticipant(log []consensus.DurableRecord) (*consensus.Participant, error) {
--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -209,8 +209,8 @@
 		}
 		for range 1 + c.random.IntN(20)/19 {
 			delay := time.Duration(c.random.IntN(30)) * ms
-			slowdown := time.Duration(1 + c.random.IntN(20)/19*20)
-			c.inFlight = append(c.inFlight, delayedMessage{c.now + delay*slowdown, m})
+			slowdown := 1 + c.random.IntN(20)/19*20
+			c.inFlight = append(c.inFlight, delayedMessage{c.now + delay*time.Duration(slowdown), m})
 		}
 	}
 }
--- a/internal/platform/registry/registry_test.go
+++ b/internal/platform/registry/registry_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("reporter %v, error %v", r, err)
 		}
 	})
-	s.Advance(reportInterval * time.Microsecond)
+	s.Advance(reportInterval)
 	expect(t, c, "HERE n3 on")
 }
 
@@ -85,7 +85,7 @@
 		}
 	})
 	expect(t, first, "HERE n3 on")
-	s.Advance(reportInterval * time.Microsecond)
+	s.Advance(reportInterval)
 	expect(t, second, "HERE n3 on")
 	r.SetAvailable(false)
 	expect(t, second, "HERE n3 off")
