--- a/internal/ci/references_test.go
+++ b/internal/ci/references_test.go
@@ -11,7 +11,7 @@
 
 var (
 	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
-	testName      = regexp.MustCompile(`^Test[A-Z]\w*`)
+	testName      = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
 	sourcePath    = regexp.MustCompile(`^(?:internal|cmd)/[\w./*{},-]+$`)
 	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)+$`)
 	alternatives  = regexp.MustCompile(`^(.*)\{([^}]*)\}(.*)$`)
@@ -51,6 +51,7 @@
 	for _, span := range []string{
 		"TestNoSuchTest",
 		"TestNoSuchTest/a row",
+		"BenchmarkNoSuchBenchmark",
 		"internal/nosuchpackage",
 		"internal/{app,nosuchpackage}",
 		"internal/nosuchfolder/*",
@@ -85,7 +86,7 @@
 	switch {
 	case testName.MatchString(span):
 		if name := testName.FindString(span); !index.declared[name] {
-			return true, fmt.Errorf("there is no test %s", name)
+			return true, fmt.Errorf("there is no %s", name)
 		}
 		return true, nil
 	case sourcePath.MatchString(span):
