--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -175,12 +175,3 @@
 	p.watching, p.answered, p.abandonAt = true, true, p.expiresAt
 	p.done(result)
 }
-
-// CancelWatch ends the wait for the end of another attempt's run of a key.
-func (r *Replica) CancelWatch(name store.KeyName) {
-	for id, p := range r.pending {
-		if p.watching && p.record.Name == name {
-			delete(r.pending, id)
-		}
-	}
-}
