--- a/cmd/simulator/compare.go
+++ b/cmd/simulator/compare.go
@@ -16,7 +16,7 @@
 )
 
 type compareCmd struct {
-	A           string  `arg:"" help:"What B is compared with: a file of differences, a build of simulator, or - for this build as it is."`
+	A           string  `arg:"" help:"${help_side_a}"`
 	B           string  `arg:"" help:"What may be better, in the same forms."`
 	Day         string  `default:"sunday" help:"The scenario: a file, or the name of one that is built in."`
 	Seed        uint64  `default:"1" help:"Seed of the first day."`
@@ -24,66 +24,92 @@
 	Width       float64 `default:"0.01" help:"Half the width of the score's interval that is narrow enough."`
 	Workers     int     `default:"${workers}" help:"Days played at once. It does not change the result."`
 	Independent bool    `help:"Draw the balancers' choices of the two sides apart, to see what chance does."`
-	scenario
+	scenarioFlags
 	Out  string `placeholder:"DIR" help:"Keep inputs, raw days, tables, charts and a page in this folder."`
 	JSON bool   `help:"Print the outcome as JSON."`
 }
 
-// side is one of the two that are compared.
+// side is one of the two sides of a comparison.
 type side struct {
 	name   string
 	player compare.Player
-	input  *report.Input
-	build  string
+	input  *report.Input // nil: it has no file
+	build  string        // checksum of the build; empty: it is this one
 	close  func()
 }
 
 // Run compares B with A.
-func (c *compareCmd) Run(l *lab) error {
+func (c *compareCmd) Run(console *console) error {
 	if c.Days < 2 || c.Workers < 1 || !(c.Width >= 0) {
-		return badInput{fmt.Errorf("--days is at least 2, --workers at least 1 and --width not negative")}
+		return badInput("--days is at least 2, --workers at least 1 and --width not negative")
 	}
-	s, text, err := c.read(l, c.Day)
+	spec, text, err := c.read(console, c.Day)
 	if err != nil {
 		return err
 	}
-	tmp, err := os.MkdirTemp("", "simulator")
+	dir, err := os.MkdirTemp("", "simulator")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(tmp)
-	// both versions play the same file, whatever they have built in
-	file := filepath.Join(tmp, "day.yaml")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
+	defer os.RemoveAll(dir)
+	// both versions read this file, whatever is built in
+	dayFile := filepath.Join(dir, "day.yaml")
+	if err := os.WriteFile(dayFile, text, 0o600); err != nil {
 		return err
 	}
 	var sides [2]*side
 	for i, name := range []string{c.A, c.B} {
-		if sides[i], err = c.side(name, "ab"[i:i+1], s, file); err != nil {
+		if sides[i], err = c.openSide(name, "ab"[i:i+1], spec, dayFile); err != nil {
 			return err
 		}
 		defer sides[i].close()
 	}
-	tell, finish := l.progress("days, up to", c.Days)
-	last := 0
-	o, err := compare.Run(l.ctx, compare.Plan{Seed: c.Seed, Days: c.Days, Width: c.Width, Workers: c.Workers,
-		Independent: c.Independent, Progress: func(done, _ int) {
-			for ; last < done; last++ {
-				tell()
-			}
-		}}, sides[0].player, sides[1].player)
-	finish()
+	outcome, err := c.compare(console, sides)
 	if err != nil {
 		return err
 	}
+	comparison, err := c.report(spec, text, sides, outcome)
+	if err != nil {
+		return err
+	}
+	return c.show(console, comparison)
+}
+
+// compare runs the comparison and shows its progress.
+func (c *compareCmd) compare(console *console, sides [2]*side) (*compare.Outcome, error) {
+	step, finish := console.progress("days, up to", c.Days)
+	defer finish()
+	shown := 0
+	plan := compare.Plan{
+		Seed:        c.Seed,
+		Days:        c.Days,
+		Width:       c.Width,
+		Workers:     c.Workers,
+		Independent: c.Independent,
+		Progress: func(done, _ int) {
+			for ; shown < done; shown++ {
+				step()
+			}
+		},
+	}
+	return compare.Run(console.ctx, plan, sides[0].player, sides[1].player)
+}
+
+// report returns the comparison with its inputs.
+func (c *compareCmd) report(
+	spec *day.Spec,
+	dayText []byte,
+	sides [2]*side,
+	outcome *compare.Outcome,
+) (*report.Comparison, error) {
 	r := &report.Comparison{
-		Title:   s.Name + ": " + sides[1].name + " against " + sides[0].name,
+		Title:   spec.Name + ": " + sides[1].name + " against " + sides[0].name,
 		A:       sides[0].name,
 		B:       sides[1].name,
 		Day:     c.Day,
 		Build:   buildinfo.Version(),
-		Outcome: o,
-		Inputs:  []report.Input{{Name: "day.yaml", Text: text}},
+		Outcome: outcome,
+		Inputs:  []report.Input{{Name: "day.yaml", Text: dayText}},
 	}
 	for _, s := range sides {
 		if s.input != nil {
@@ -94,61 +120,80 @@
 		}
 	}
 	for _, name := range c.Traffic {
-		sum, err := hash(name)
+		sum, err := checksum(name)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		r.Traffic = append(r.Traffic, fmt.Sprintf("%s, %g times its rate", sum, c.Rate))
 	}
+	return r, nil
+}
+
+// show saves and prints the comparison.
+func (c *compareCmd) show(console *console, r *report.Comparison) error {
 	if c.Out != "" {
 		if err := report.Save(c.Out, r); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		return l.json(r)
+		return console.printJSON(r)
 	}
-	fmt.Fprintf(l.out, "A: %s\nB: %s\n%s\n%s\n", r.A, r.B, report.Table(r).Render(), report.Summary(r))
+	fmt.Fprintf(console.stdout, "A: %s\nB: %s\n%s\n%s\n",
+		r.A, r.B, report.Table(r).Render(), report.Summary(r))
 	return nil
 }
 
-// side finds out what is compared and makes it ready to play.
-func (c *compareCmd) side(name, letter string, s *day.Spec, file string) (*side, error) {
+// openSide prepares a side: a build of the simulator, or a file of differences. "-" is this build as
+// it is. The letter names the side's file in the report.
+func (c *compareCmd) openSide(name, letter string, spec *day.Spec, dayFile string) (*side, error) {
 	if name == "-" {
 		name = ""
 	}
-	if info, err := os.Stat(name); err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0 &&
-		!strings.HasSuffix(name, ".yaml") {
-		path, err := filepath.Abs(name)
-		if err != nil {
-			return nil, err
-		}
-		sum, err := hash(path)
-		if err != nil {
-			return nil, err
-		}
-		v, err := compare.StartVersion(path, c.args(file), c.Workers)
-		if err != nil {
-			return nil, badInput{err}
-		}
-		return &side{name: name, player: v, build: sum, close: v.Close}, nil
+	if isProgram(name) {
+		return c.openBuild(name, dayFile)
 	}
 	v, text, err := variant.Read(name)
 	if err != nil {
 		return nil, err
 	}
-	opt, err := v.Options(s)
+	options, err := v.Options(spec)
 	if err != nil {
 		return nil, err
 	}
-	out := &side{name: v.Name, player: compare.Local{Spec: s, Options: opt}, close: func() {}}
+	s := &side{name: v.Name, player: compare.Local{Spec: spec, Options: options}, close: func() {}}
 	if text != nil {
-		out.input = &report.Input{Name: letter + ".yaml", Text: text}
+		s.input = &report.Input{Name: letter + ".yaml", Text: text}
+	}
+	return s, nil
+}
+
+// isProgram reports whether a path is that of an executable file and not of a YAML file.
+func isProgram(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0 &&
+		!strings.HasSuffix(path, ".yaml")
+}
+
+// openBuild starts the workers of another build.
+func (c *compareCmd) openBuild(name, dayFile string) (*side, error) {
+	path, err := filepath.Abs(name)
+	if err != nil {
+		return nil, err
+	}
+	sum, err := checksum(path)
+	if err != nil {
+		return nil, err
+	}
+	version, err := compare.StartVersion(path, c.workerArgs(dayFile), c.Workers)
+	if err != nil {
+		return nil, inputError{err}
 	}
-	return out, nil
+	return &side{name: name, player: version, build: sum, close: version.Close}, nil
 }
 
-func hash(path string) (string, error) {
+// checksum returns the name and the checksum of a file.
+func checksum(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -164,14 +209,14 @@
 type workerCmd struct {
 	Day  string `required:"" help:"The scenario."`
 	With string `placeholder:"FILE" help:"A file of differences."`
-	scenario
+	scenarioFlags
 }
 
 // Run answers tasks on standard input.
-func (c *workerCmd) Run(l *lab) error {
-	s, _, opt, err := c.open(l, c.Day, c.With)
+func (c *workerCmd) Run(console *console) error {
+	spec, _, options, err := c.open(console, c.Day, c.With)
 	if err != nil {
 		return err
 	}
-	return compare.Serve(l.in, l.out, compare.Local{Spec: s, Options: opt})
+	return compare.Serve(console.stdin, console.stdout, compare.Local{Spec: spec, Options: options})
 }
--- a/cmd/simulator/conform.go
+++ b/cmd/simulator/conform.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net"
+	"slices"
 	"strings"
 	"time"
 
@@ -12,19 +14,19 @@
 )
 
 type conformCmd struct {
-	Front   string        `placeholder:"ADDR" help:"The uwsgi front under examination: IP:PORT, or the path of a unix socket."`
-	Server  string        `placeholder:"ADDR" help:"Where this suite's server listens; the front's inventory must lead both classes to it alone."`
+	Front   string        `placeholder:"ADDR" help:"${help_front}"`
+	Server  string        `placeholder:"ADDR" help:"${help_server}"`
 	Safe    string        `default:"/ops/quick-check" help:"Path of a class that is safe to repeat."`
 	Keyed   string        `default:"/ops/hand-in" help:"Path of a keyed class."`
 	KeyVar  string        `default:"HTTP_X_DEDUPE_KEY" help:"The variable with the dedupe key."`
-	Tenant  string        `default:"HTTP_X_CUSTOMER=north" help:"The variable that names the tenant, and one that is known."`
+	Tenant  string        `default:"HTTP_X_CUSTOMER=north" help:"${help_tenant}"`
 	Within  time.Duration `default:"10s" help:"How long one case may take."`
 	Clauses bool          `help:"List the clauses and the cases that show each, and play nothing."`
 	JSON    bool          `help:"Print it as JSON."`
 }
 
-// result is what became of a case.
-type result struct {
+// caseResult is the result of a case that was played in one way.
+type caseResult struct {
 	Case    string   `json:"case"`
 	Clauses []string `json:"clauses"`
 	How     string   `json:"how"` // whole, or a byte at a time
@@ -32,90 +34,100 @@
 }
 
 // Run plays the suite.
-func (c *conformCmd) Run(l *lab) error {
+func (c *conformCmd) Run(console *console) error {
 	cases, clauses, err := conformance.Load()
 	if err != nil {
 		return err
 	}
 	if c.Clauses {
-		return c.list(l, cases, clauses)
+		return c.list(console, cases, clauses)
 	}
 	name, value, ok := strings.Cut(c.Tenant, "=")
 	if c.Front == "" || c.Server == "" || !ok || c.Within <= 0 {
-		return badInput{fmt.Errorf("--front and --server name two addresses, --tenant is VARIABLE=NAME")}
+		return badInput("--front and --server name two addresses, --tenant is VARIABLE=NAME")
 	}
-	ln, err := net.Listen("tcp", c.Server)
+	listener, err := net.Listen("tcp", c.Server)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	defer ln.Close()
-	s := conformance.New(
-		conformance.Gateway{
-			FrontendAddr:   c.Front,
-			IdempotentPath: c.Safe,
-			KeyedPath:      c.Keyed,
-			KeyVariable:    c.KeyVar,
-			Tenant:         [2]string{name, value},
-			Timeout:        c.Within,
-		},
-		ln,
-	)
-	var all []result
-	failed := 0
+	defer listener.Close()
+	suite := conformance.New(conformance.Gateway{
+		FrontendAddr:   c.Front,
+		IdempotentPath: c.Safe,
+		KeyedPath:      c.Keyed,
+		KeyVariable:    c.KeyVar,
+		Tenant:         [2]string{name, value},
+		Timeout:        c.Within,
+	}, listener)
+	results, err := playCases(console.ctx, suite, cases)
+	if err != nil {
+		return err
+	}
+	return c.show(console, results, len(cases))
+}
+
+// playCases plays each case with its request in one write and a byte at a time.
+func playCases(ctx context.Context, suite *conformance.Suite, cases []conformance.Case) ([]caseResult, error) {
+	var results []caseResult
 	for i := range cases {
 		for _, bytewise := range []bool{false, true} {
-			if l.ctx.Err() != nil {
-				return l.ctx.Err()
+			if ctx.Err() != nil {
+				return nil, ctx.Err()
 			}
-			r := result{
-				Case:    cases[i].Name,
-				Clauses: cases[i].Clauses,
-				How:     map[bool]string{false: "whole", true: "a byte at a time"}[bytewise],
+			r := caseResult{Case: cases[i].Name, Clauses: cases[i].Clauses, How: "whole"}
+			if bytewise {
+				r.How = "a byte at a time"
 			}
-			if err := s.Run(&cases[i], bytewise); err != nil {
+			if err := suite.Run(&cases[i], bytewise); err != nil {
 				r.Fault = err.Error()
-				failed++
 			}
-			all = append(all, r)
+			results = append(results, r)
+		}
+	}
+	return results, nil
+}
+
+// show prints the results. It returns an error if a case failed.
+func (c *conformCmd) show(console *console, results []caseResult, cases int) error {
+	var failed []caseResult
+	for _, r := range results {
+		if r.Fault != "" {
+			failed = append(failed, r)
 		}
 	}
 	if c.JSON {
-		if err := l.json(all); err != nil {
+		if err := console.printJSON(results); err != nil {
 			return err
 		}
 	} else {
-		for _, r := range all {
-			if r.Fault != "" {
-				fmt.Fprintf(l.out, "%s, %s (%s): %s\n", r.Case, r.How, strings.Join(r.Clauses, ", "), r.Fault)
-			}
+		for _, r := range failed {
+			fmt.Fprintf(console.stdout, "%s, %s (%s): %s\n",
+				r.Case, r.How, strings.Join(r.Clauses, ", "), r.Fault)
 		}
-		fmt.Fprintf(l.out, "%d of %d plays of %d cases hold\n", len(all)-failed, len(all), len(cases))
+		fmt.Fprintf(console.stdout, "%d of %d plays of %d cases hold\n",
+			len(results)-len(failed), len(results), cases)
 	}
-	if failed > 0 {
-		return fmt.Errorf("%d plays do not hold", failed)
+	if len(failed) > 0 {
+		return fmt.Errorf("%d plays do not hold", len(failed))
 	}
 	return nil
 }
 
-// list prints what is shown by what.
-func (c *conformCmd) list(l *lab, cases []conformance.Case, clauses []conformance.Clause) error {
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"clause", "source", "what it says", "cases"})
-	for _, k := range clauses {
-		var shown []string
-		for _, one := range cases {
-			for _, id := range one.Clauses {
-				if id == k.ID {
-					shown = append(shown, one.Name)
-				}
+// list prints the clauses, each with the cases that show it.
+func (c *conformCmd) list(console *console, cases []conformance.Case, clauses []conformance.Clause) error {
+	if c.JSON {
+		return console.printJSON(clauses)
+	}
+	t := newTable("clause", "source", "what it says", "cases")
+	for _, clause := range clauses {
+		var names []string
+		for _, played := range cases {
+			if slices.Contains(played.Clauses, clause.ID) {
+				names = append(names, played.Name)
 			}
 		}
-		t.AppendRow(table.Row{k.ID, k.Source, k.Text, strings.Join(shown, "; ")})
-	}
-	if c.JSON {
-		return l.json(clauses)
+		t.AppendRow(table.Row{clause.ID, clause.Source, clause.Text, strings.Join(names, "; ")})
 	}
-	fmt.Fprintln(l.out, t.RenderMarkdown())
+	fmt.Fprintln(console.stdout, t.RenderMarkdown())
 	return nil
 }
--- a/cmd/simulator/lists.go
+++ b/cmd/simulator/lists.go
@@ -14,11 +14,11 @@
 	Name string `arg:"" optional:"" help:"The scenario to print."`
 }
 
-// Run lists scenarios or prints one, as a beginning for one's own.
-func (c *daysCmd) Run(l *lab) error {
+// Run lists the built-in scenarios, or prints one.
+func (c *daysCmd) Run(console *console) error {
 	if c.Name == "" {
 		for _, name := range day.Names() {
-			fmt.Fprintln(l.out, name)
+			fmt.Fprintln(console.stdout, name)
 		}
 		return nil
 	}
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = l.out.Write(text)
+	_, err = console.stdout.Write(text)
 	return err
 }
 
@@ -34,34 +34,32 @@
 	Of string `arg:"" enum:"day,differences" help:"day or differences."`
 }
 
-// Run prints a schema.
-func (c *schemaCmd) Run(l *lab) error {
+// Run prints a JSON schema.
+func (c *schemaCmd) Run(console *console) error {
 	if c.Of == "day" {
-		return l.json(day.Schema())
+		return console.printJSON(day.Schema())
 	}
-	return l.json(variant.Schema())
+	return console.printJSON(variant.Schema())
 }
 
 type figuresCmd struct {
 	JSON bool `help:"Print them as JSON."`
 }
 
-// Run lists the module's figures.
-func (c *figuresCmd) Run(l *lab) error {
-	f := admission.DefaultParameters()
+// Run lists the parameters of the admission module.
+func (c *figuresCmd) Run(console *console) error {
+	parameters := admission.DefaultParameters()
 	if c.JSON {
 		values := map[string]float64{}
-		for _, g := range f.All() {
-			values[g.Name] = *g.Value
+		for _, p := range parameters.All() {
+			values[p.Name] = *p.Value
 		}
-		return l.json(values)
+		return console.printJSON(values)
 	}
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"figure", "value", "least", "most"})
-	for _, g := range f.All() {
-		t.AppendRow(table.Row{g.Name, *g.Value, g.Min, g.Max})
+	t := newTable("figure", "value", "least", "most")
+	for _, p := range parameters.All() {
+		t.AppendRow(table.Row{p.Name, *p.Value, p.Min, p.Max})
 	}
-	fmt.Fprintln(l.out, t.Render())
+	fmt.Fprintln(console.stdout, t.Render())
 	return nil
 }
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,5 +1,5 @@
-// Command simulator is the simulator: it plays days of a fleet on a model, and compares settings
-// and versions on them.
+// Command simulator simulates days of a fleet and compares settings and versions of the program on
+// them. Three of its commands run real processes instead: up, verify and conform.
 package main
 
 import (
@@ -11,128 +11,128 @@
 	"io/fs"
 	"os"
 	"os/signal"
-	"runtime"
-	"strings"
 	"syscall"
 
 	"github.com/alecthomas/kong"
+	"github.com/jedib0t/go-pretty/v6/table"
 
-	"ryepaddle/internal/simulator/cluster"
 	"ryepaddle/internal/yamldoc"
 )
 
-// lab is what the sub-commands share.
-type lab struct {
-	ctx    context.Context
-	in     io.Reader
-	out    io.Writer
-	err    io.Writer
-	screen bool // err is a terminal
+// console is what all commands share: a context that signals end, and the standard streams.
+type console struct {
+	ctx      context.Context
+	stdin    io.Reader
+	stdout   io.Writer
+	stderr   io.Writer
+	terminal bool // stderr is one
 }
 
-type cli struct {
-	Up      upCmd      `cmd:"" help:"Bring up a fleet of real runners with servers, send hand-ins, put faults between them, and judge what callers saw."`
+// The exit statuses.
+const (
+	exitDone     = 0
+	exitFailed   = 1
+	exitBadInput = 2
+)
+
+// commandLine is the command line. Texts of help in ${} are those of helpTexts.
+type commandLine struct {
+	Up      upCmd      `cmd:"" help:"${help_up}"`
 	Run     runCmd     `cmd:"" help:"Play days of a scenario on the model and tell what was served."`
 	Compare compareCmd `cmd:"" help:"Compare two settings, or two versions of the program, on the same days."`
-	Routes  routesCmd  `cmd:"" help:"Compare two ways of routing to many uwsgi servers that are slow, cold, dead or cut off."`
+	Routes  routesCmd  `cmd:"" help:"${help_routes}"`
 	Traffic trafficCmd `cmd:"" help:"Recorded traffic: tell what files hold, or make one."`
-	Verify  verifyCmd  `cmd:"" help:"Play a day on real runner processes, and say whether its figures lie in the model's intervals."`
+	Verify  verifyCmd  `cmd:"" help:"${help_verify}"`
 	Conform conformCmd `cmd:"" help:"Play the conformance suite against a uwsgi front, in front of it and behind it."`
 	Days    daysCmd    `cmd:"" help:"List the scenarios that are built in, or print one."`
 	Schema  schemaCmd  `cmd:"" help:"Print the JSON schema of a scenario or of a file of differences."`
 	Figures figuresCmd `cmd:"" help:"List the module's figures that a file of differences can change."`
-	Worker  workerCmd  `cmd:"" hidden:"" help:"Play the days that are asked for on standard input, for a comparison of versions."`
+	Worker  workerCmd  `cmd:"" hidden:"" help:"${help_worker}"`
 }
 
-const about = `simulator plays days of a fleet on a model: the real core and decision module of the runner, in virtual time, on
-modelled machines, behind modelled balancers. Only up, verify and
-conform open sockets.
-
-Examples:
-  simulator up
-  simulator up --fault "2s kill n2 --back 1s" --fault "4s cut n1 s1 2s" --fault "5s stop n3 2s"
-  simulator run sunday --days 4
-  simulator run example/lab/tuesday.yaml --seed 7 --json
-  simulator run sunday --traffic n1-1764576000.traffic --rate 1.2
-  simulator compare - example/lab/tight.yaml --day sunday --out results/tight
-  simulator compare bin/simulator-old bin/simulator --day crawl
-  simulator routes dead-fifth slow-fifth --count 16 --out results/routes
-  simulator verify small --bin bin/runner
-
-Exit status: 0 done, 1 failed, 2 the command or a file that it was given is wrong.`
-
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	screen := false
+	terminal := false
 	if info, err := os.Stderr.Stat(); err == nil {
-		screen = info.Mode()&os.ModeCharDevice != 0
+		terminal = info.Mode()&os.ModeCharDevice != 0
 	}
-	os.Exit(start(&lab{ctx, os.Stdin, os.Stdout, os.Stderr, screen}, os.Args[1:]))
+	os.Exit(execute(&console{ctx, os.Stdin, os.Stdout, os.Stderr, terminal}, os.Args[1:]))
 }
 
-// start carries out a command line and gives the exit status.
-func start(l *lab, args []string) int {
-	var c cli
-	done := -1
+// execute runs a command line and returns the exit status.
+func execute(c *console, args []string) int {
+	var line commandLine
+	helped := -1 // exit status after a help text
 	parser, err := kong.New(
-		&c,
+		&line,
 		kong.Name("simulator"),
-		kong.Description(about),
+		kong.Description(description),
 		kong.UsageOnError(),
-		kong.Writers(l.out, l.err),
-		kong.Exit(
-			func(code int) { done = code },
-		),
-		kong.Vars{"workers": fmt.Sprint(runtime.GOMAXPROCS(0)), "ways": strings.Join(cluster.RoutingModes, ", ")},
+		kong.Writers(c.stdout, c.stderr),
+		kong.Exit(func(status int) { helped = status }),
+		helpTexts(),
 		kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}),
 	)
 	if err != nil {
-		fmt.Fprintln(l.err, "simulator:", err)
-		return 1
+		fmt.Fprintln(c.stderr, "simulator:", err)
+		return exitFailed
 	}
-	call, err := parser.Parse(args)
-	if done >= 0 { // help was asked for
-		return done
+	command, err := parser.Parse(args)
+	if helped >= 0 {
+		return helped
 	}
 	if err == nil {
-		err = call.Run(l)
+		err = command.Run(c)
 	}
 	if err == nil {
-		return 0
+		return exitDone
 	}
-	fmt.Fprintln(l.err, "simulator:", err)
-	if wrong(err) {
-		return 2
+	fmt.Fprintln(c.stderr, "simulator:", err)
+	if isBadInput(err) {
+		return exitBadInput
 	}
-	return 1
+	return exitFailed
 }
 
-// badInput is an error of what the command was given.
-type badInput struct{ error }
+// inputError is an error in the arguments of a command.
+type inputError struct{ error }
+
+// Unwrap returns the error itself.
+func (e inputError) Unwrap() error { return e.error }
 
-func (b badInput) Unwrap() error { return b.error }
+// badInput returns an inputError with a text.
+func badInput(format string, a ...any) error { return inputError{fmt.Errorf(format, a...)} }
 
-// wrong tells whether an error is of the command line or of a file that it names.
-func wrong(err error) bool {
+// isBadInput reports whether an error is in the command line or in a file that it names.
+func isBadInput(err error) bool {
 	var parse *kong.ParseError
 	var doc *yamldoc.Error
 	var path *fs.PathError
-	var bad badInput
+	var input inputError
 	return errors.As(err, &parse) || errors.As(err, &doc) ||
 		errors.As(err, &path) && errors.Is(err, fs.ErrNotExist) ||
-		errors.As(err, &bad)
+		errors.As(err, &input)
 }
 
-func (l *lab) json(v any) error {
-	text, err := marshal(v)
+// printJSON prints a value.
+func (c *console) printJSON(v any) error {
+	text, err := marshalIndented(v)
 	if err == nil {
-		_, err = l.out.Write(text)
+		_, err = c.stdout.Write(text)
 	}
 	return err
 }
 
-func marshal(v any) ([]byte, error) {
+func marshalIndented(v any) ([]byte, error) {
 	text, err := json.MarshalIndent(v, "", "  ")
 	return append(text, '\n'), err
 }
+
+// newTable returns a table in the style of all commands.
+func newTable(header ...any) table.Writer {
+	t := table.NewWriter()
+	t.SetStyle(table.StyleLight)
+	t.AppendHeader(header)
+	return t
+}
--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -14,11 +14,11 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// run carries out a command line.
+// run runs a command line.
 func run(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
-	status = start(&lab{context.Background(), strings.NewReader(""), &o, &e, false}, args)
+	status = execute(&console{context.Background(), strings.NewReader(""), &o, &e, false}, args)
 	return status, o.String(), e.String()
 }
 
@@ -34,7 +34,7 @@
 const tiny = "name: tiny\nlength_s: 4\nwindow_s: 2\nload: {of_capacity: 0.8}\nfleet: {runners: " +
 	"2}\nbalancers:\n  - {choose: two, retry: limitless}\n"
 
-func TestRun(t *testing.T) {
+func TestRunDoesNotDependOnWorkers(t *testing.T) {
 	day := write(t, "day.yaml", tiny)
 	var want string
 	for _, workers := range []string{"1", "8"} {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Bad input ends with status 2 and names file, line and field; help and what works with 0.
-func TestBadInput(t *testing.T) {
+// Bad input ends with status 2 and names file, line and field; help ends with status 0.
+func TestBadInputIsReportedWithItsPlace(t *testing.T) {
 	day := write(t, "day.yaml", tiny)
 	bad := write(t, "bad.yaml", strings.Replace(tiny, "two", "both", 1))
 	odd := write(t, "odd.yaml", "name: odd\nfigures: {target_share: 7}\n")
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestCompareTwoSettings(t *testing.T) {
+func TestCompareFindsWorseSettings(t *testing.T) {
 	day, dir := write(t, "day.yaml", tiny), filepath.Join(t.TempDir(), "kept")
 	status, out, errs := run(
 		t,
@@ -153,8 +153,8 @@
 	}
 }
 
-// Two builds play the same day file as workers; here both are this one.
-func TestCompareTwoVersions(t *testing.T) {
+// Two builds simulate the same days as workers; here both are this one.
+func TestCompareOfTwoBuilds(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "simulator")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -177,7 +177,6 @@
 	}
 }
 
-// The examples and what is built in play, and the lists say what there is.
 func TestExamplesAndLists(t *testing.T) {
 	_, names, _ := run(t, "days")
 	for _, name := range append(strings.Fields(names), "../../example/lab/tuesday.yaml") {
@@ -214,14 +213,18 @@
 	}
 }
 
-// Traffic is written, shown and played again; a file that is cut off is played as far as it goes,
-// with a word.
-func TestTraffic(t *testing.T) {
-	day, dir := write(t, "day.yaml", tiny), t.TempDir()
-	file := filepath.Join(dir, "a.traffic")
+// makeTraffic writes the traffic of a small day. It returns the files of the day and of the traffic.
+func makeTraffic(t *testing.T) (day, file string) {
+	t.Helper()
+	day, file = write(t, "day.yaml", tiny), filepath.Join(t.TempDir(), "a.traffic")
 	if status, _, errs := run(t, "traffic", "make", day, "--out", file); status != 0 {
 		t.Fatal(errs)
 	}
+	return day, file
+}
+
+func TestTrafficIsMadeAndReplayed(t *testing.T) {
+	day, file := makeTraffic(t)
 	if status, _, errs := run(t, "traffic", "make", day, "--out", file); status != 2 ||
 		!strings.Contains(errs, "file exists") {
 		t.Errorf("over what is there: %d, %s", status, errs)
@@ -237,6 +240,16 @@
 		errs != "" {
 		t.Fatalf("%d, %v: %s", status, err, errs)
 	}
+	if status, _, errs := run(t, "compare", "-", "../../example/lab/tight.yaml", "--day", day,
+		"--traffic", file, "--rate", "2", "--days", "2"); status != 0 {
+		t.Errorf("%d, %s", status, errs)
+	}
+}
+
+// A truncated recording is shown and replayed as far as it goes, with a warning.
+func TestDamagedTrafficIsReported(t *testing.T) {
+	day, file := makeTraffic(t)
+	dir := t.TempDir()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -263,25 +276,9 @@
 			t.Errorf("%s: %d, %s", c.file, status, errs)
 		}
 	}
-	if status, _, errs := run(
-		t,
-		"compare",
-		"-",
-		"../../example/lab/tight.yaml",
-		"--day",
-		day,
-		"--traffic",
-		file,
-		"--rate",
-		"2",
-		"--days",
-		"2",
-	); status != 0 {
-		t.Errorf("%d, %s", status, errs)
-	}
 }
 
-func TestRoutes(t *testing.T) {
+func TestRoutesSavesItsResults(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	status, out, errs := run(t, "routes", "flapping", "--count", "2", "--out", dir)
 	if status != 0 || !strings.Contains(out, "broken rules") || !strings.Contains(out, "flapping") {
@@ -304,9 +301,8 @@
 	}
 }
 
-// A fleet comes up, is played with, and is judged: well, broken (a disk is lost, and nothing is
-// copied), and told wrongly.
-func TestUp(t *testing.T) {
+// A fleet passes its check, and fails it where repeats go to another runner without replicas.
+func TestUpChecksAFleet(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "ryepaddle")
 	if out, err := exec.Command(
 		"go",
--- a/cmd/simulator/progress.go
+++ b/cmd/simulator/progress.go
@@ -6,22 +6,27 @@
 	"github.com/jedib0t/go-pretty/v6/progress"
 )
 
-// progress shows how far long work has come, if somebody is looking. tell counts one step; finish
-// ends it.
-func (l *lab) progress(what string, steps int) (tell, finish func()) {
-	if !l.screen || steps < 2 {
+const (
+	progressInterval = 200 * time.Millisecond
+	// lastDrawing is the time that the last drawing of a progress bar needs.
+	lastDrawing = 250 * time.Millisecond
+)
+
+// progress shows a progress bar on a terminal. step counts one of the steps; finish removes it.
+func (c *console) progress(what string, steps int) (step, finish func()) {
+	if !c.terminal || steps < 2 {
 		return func() {}, func() {}
 	}
 	w := progress.NewWriter()
-	w.SetOutputWriter(l.err)
-	w.SetUpdateFrequency(200 * time.Millisecond)
+	w.SetOutputWriter(c.stderr)
+	w.SetUpdateFrequency(progressInterval)
 	w.SetAutoStop(false)
-	t := &progress.Tracker{Message: what, Total: int64(steps)}
-	w.AppendTracker(t)
+	tracker := &progress.Tracker{Message: what, Total: int64(steps)}
+	w.AppendTracker(tracker)
 	go w.Render()
-	return func() { t.Increment(1) }, func() {
-		t.MarkAsDone()
-		time.Sleep(250 * time.Millisecond) // or its last line is not drawn
+	return func() { tracker.Increment(1) }, func() {
+		tracker.MarkAsDone()
+		time.Sleep(lastDrawing)
 		w.Stop()
 	}
 }
--- a/cmd/simulator/routes.go
+++ b/cmd/simulator/routes.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,6 +10,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"ryepaddle/internal/simulator/cluster"
+	"ryepaddle/internal/simulator/compare"
 	"ryepaddle/internal/simulator/report"
 )
 
@@ -25,43 +25,16 @@
 	Out     string   `placeholder:"DIR" help:"Keep the tables, the days and a chart in this folder."`
 }
 
-// Run compares two ways of routing to uwsgi servers on the model.
-func (c *routesCmd) Run(l *lab) error {
-	if c.Count < 2 || c.Workers < 1 {
-		return badInput{errors.New("--count is at least 2, for an interval, and --workers at least 1")}
-	}
-	for _, way := range []string{c.A, c.B} {
-		if !slices.Contains(cluster.RoutingModes, way) {
-			return badInput{
-				fmt.Errorf(
-					"unknown way of routing %q: want one of %s",
-					way,
-					strings.Join(cluster.RoutingModes, ", "),
-				),
-			}
-		}
-	}
-	var specs []cluster.Spec
-	for _, name := range c.Days {
-		s, ok := cluster.Named(name)
-		if !ok {
-			var names []string
-			for _, s := range cluster.Specs() {
-				names = append(names, s.Name)
-			}
-			return badInput{
-				fmt.Errorf("unknown kind of day %q: want one of %s", name, strings.Join(names, ", ")),
-			}
-		}
-		specs = append(specs, s)
-	}
-	if len(specs) == 0 {
-		specs = cluster.Specs()
+// Run compares two routing modes on simulated clusters of uwsgi servers.
+func (c *routesCmd) Run(console *console) error {
+	specs, err := c.check()
+	if err != nil {
+		return err
 	}
-	tell, finish := l.progress("days", 2*c.Count*len(specs))
+	step, finish := console.progress("days", 2*c.Count*len(specs))
 	var all []*cluster.Comparison
 	for i := range specs {
-		r, err := cluster.Compare(l.ctx, &specs[i], c.A, c.B, c.Seed, c.Count, c.Workers, tell)
+		r, err := cluster.Compare(console.ctx, &specs[i], c.A, c.B, c.Seed, c.Count, c.Workers, step)
 		if err != nil {
 			return err
 		}
@@ -69,45 +42,78 @@
 	}
 	finish()
 	if c.Out != "" {
-		if err := keepRoutes(c.Out, all); err != nil {
+		if err := saveRoutes(c.Out, all); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		return l.json(all)
+		return console.printJSON(all)
 	}
-	fmt.Fprintln(l.out, routesTable(all).Render())
+	fmt.Fprintln(console.stdout, routesTable(all).Render())
 	return nil
 }
 
+// check checks the arguments and returns the kinds of day.
+func (c *routesCmd) check() ([]cluster.Spec, error) {
+	if c.Count < 2 || c.Workers < 1 {
+		return nil, badInput("--count is at least 2, for an interval, and --workers at least 1")
+	}
+	for _, mode := range []string{c.A, c.B} {
+		if !slices.Contains(cluster.RoutingModes, mode) {
+			return nil, badInput("unknown way of routing %q: want one of %s",
+				mode, strings.Join(cluster.RoutingModes, ", "))
+		}
+	}
+	if len(c.Days) == 0 {
+		return cluster.Specs(), nil
+	}
+	var specs []cluster.Spec
+	for _, name := range c.Days {
+		spec, ok := cluster.Named(name)
+		if !ok {
+			var names []string
+			for _, known := range cluster.Specs() {
+				names = append(names, known.Name)
+			}
+			return nil, badInput("unknown kind of day %q: want one of %s", name, strings.Join(names, ", "))
+		}
+		specs = append(specs, spec)
+	}
+	return specs, nil
+}
+
+// routesTable returns the estimates of all kinds of day.
 func routesTable(all []*cluster.Comparison) table.Writer {
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"day", "figure", all[0].A, all[0].B, "difference", "95% interval", ""})
+	t := newTable("day", "figure", all[0].A, all[0].B, "difference", "95% interval", "")
 	for i, c := range all {
 		if i > 0 {
 			t.AppendSeparator()
 		}
-		for k, e := range c.Estimates {
-			day := ""
+		for k := range c.Estimates {
+			name := ""
 			if k == 0 {
-				day = c.Day
-			}
-			name, f := e.Name, func(v float64) string { return fmt.Sprintf("%.4f", v) }
-			if e.Unit != "" {
-				name += " (" + e.Unit + ")"
+				name = c.Day
 			}
-			if e.Unit == "ms" {
-				f = func(v float64) string { return report.FormatFigure(v, "ms") }
-			}
-			t.AppendRow(table.Row{day, name, f(e.A), f(e.B), f(e.Diff), f(e.Lo) + " to " + f(e.Hi), e.Shown})
+			t.AppendRow(routesRow(name, &c.Estimates[k]))
 		}
 	}
 	return t
 }
 
-// keepRoutes writes the folder of results.
-func keepRoutes(dir string, all []*cluster.Comparison) error {
+func routesRow(day string, e *compare.Estimate) table.Row {
+	name, format := e.Name, func(v float64) string { return fmt.Sprintf("%.4f", v) }
+	if e.Unit != "" {
+		name += " (" + e.Unit + ")"
+	}
+	if e.Unit == "ms" {
+		format = func(v float64) string { return report.FormatFigure(v, "ms") }
+	}
+	interval := format(e.Lo) + " to " + format(e.Hi)
+	return table.Row{day, name, format(e.A), format(e.B), format(e.Diff), interval, e.Shown}
+}
+
+// saveRoutes writes the results into a folder, which it creates.
+func saveRoutes(dir string, all []*cluster.Comparison) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -120,15 +126,12 @@
 	if err != nil {
 		return err
 	}
-	text, err := marshal(all)
-	if err != nil {
+	if files["days.json"], err = marshalIndented(all); err != nil {
 		return err
 	}
-	files["days.json"], files["table.txt"], files["table.csv"] = text, []byte(
-		routesTable(all).Render()+"\n",
-	), []byte(
-		routesTable(all).RenderCSV()+"\n",
-	)
+	t := routesTable(all)
+	files["table.txt"] = []byte(t.Render() + "\n")
+	files["table.csv"] = []byte(t.RenderCSV() + "\n")
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), text, 0o644); err != nil {
 			return err
--- a/cmd/simulator/run.go
+++ b/cmd/simulator/run.go
@@ -17,62 +17,66 @@
 	Days    int    `default:"1" help:"How many days to play."`
 	With    string `placeholder:"FILE" help:"A file of differences to play them with."`
 	Workers int    `default:"${workers}" help:"Days played at once. It does not change the result."`
-	scenario
+	scenarioFlags
 	JSON bool `help:"Print the days as JSON."`
 	Log  bool `help:"Print what the runners log, for one day."`
 }
 
-// Run plays the days.
-func (c *runCmd) Run(l *lab) error {
+// Run simulates the days.
+func (c *runCmd) Run(console *console) error {
 	if c.Days < 1 || c.Workers < 1 {
-		return badInput{fmt.Errorf("--days and --workers are at least 1")}
+		return badInput("--days and --workers are at least 1")
 	}
-	s, _, opt, err := c.open(l, c.Day, c.With)
+	spec, _, options, err := c.open(console, c.Day, c.With)
 	if err != nil {
 		return err
 	}
 	if c.Log {
 		if c.Days > 1 {
-			return badInput{fmt.Errorf("--log is for one day")}
+			return badInput("--log is for one day")
 		}
-		opt.Log = func(at time.Duration, runner, text string) {
-			fmt.Fprintf(l.err, "%9.3f %s %s\n", virtualclock.Micros(at)/1e6, runner, text)
+		options.Log = func(at time.Duration, runner, text string) {
+			fmt.Fprintf(console.stderr, "%9.3f %s %s\n", virtualclock.Micros(at)/1e6, runner, text)
 		}
 	}
-	runs, err := playAll(l, c.Workers, c.Days, func(i int) (*fleet.Run, error) {
-		return fleet.Play(day.Draw(s, c.Seed+uint64(i)), opt)
+	runs, err := simulateAll(console, c.Workers, c.Days, func(i int) (*fleet.Run, error) {
+		return fleet.Play(day.Draw(spec, c.Seed+uint64(i)), options)
 	})
 	if err != nil {
 		return err
 	}
-	return l.show(runs, c.JSON)
+	if c.JSON {
+		return console.printJSON(runs)
+	}
+	showDays(console, runs)
+	return nil
 }
 
-// show prints days that were played.
-func (l *lab) show(runs []*fleet.Run, asJSON bool) error {
-	if asJSON {
-		return l.json(runs)
-	}
-	fmt.Fprintln(l.out, report.Days(runs).Render())
+// showDays prints the tables and the violations of simulated days.
+func showDays(console *console, runs []*fleet.Run) {
+	fmt.Fprintln(console.stdout, report.Days(runs).Render())
 	if len(runs) == 1 {
-		fmt.Fprintln(l.out, report.Parts(runs[0]).Render())
+		fmt.Fprintln(console.stdout, report.Parts(runs[0]).Render())
 	}
 	for _, r := range runs {
-		for _, n := range r.Notes {
-			fmt.Fprintf(l.out, "day %d: %s\n", r.Seed, n)
+		for _, note := range r.Notes {
+			fmt.Fprintf(console.stdout, "day %d: %s\n", r.Seed, note)
 		}
 	}
-	return nil
 }
 
-// playAll plays n days on so many workers, in the order of their numbers.
-func playAll(l *lab, workers, n int, play func(i int) (*fleet.Run, error)) ([]*fleet.Run, error) {
+// simulateAll simulates n days on so many workers. It returns them by number.
+func simulateAll(
+	console *console,
+	workers, n int,
+	simulate func(i int) (*fleet.Run, error),
+) ([]*fleet.Run, error) {
 	runs := make([]*fleet.Run, n)
-	tell, finish := l.progress("days", n)
+	step, finish := console.progress("days", n)
 	defer finish()
-	err := compare.ParallelEach(l.ctx, workers, n, func(i int) (err error) {
-		runs[i], err = play(i)
-		tell()
+	err := compare.ParallelEach(console.ctx, workers, n, func(i int) (err error) {
+		runs[i], err = simulate(i)
+		step()
 		return err
 	})
 	if err != nil {
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -10,48 +10,52 @@
 	"ryepaddle/internal/simulator/fleet"
 	"ryepaddle/internal/simulator/variant"
 	"ryepaddle/internal/telemetry/traffic"
+	"ryepaddle/internal/wallclock"
 )
 
-// scenario is the day that a command plays: a scenario, and recorded traffic in place of its own if
-// there is any.
-type scenario struct {
-	Traffic []string `placeholder:"FILE" sep:"none" help:"Recorded traffic in place of the scenario's; given again for each runner's file."`
+// scenarioFlags are the flags of commands that simulate days of a scenario, with recorded traffic in
+// place of its own if there is any.
+type scenarioFlags struct {
+	Traffic []string `placeholder:"FILE" sep:"none" help:"${help_traffic}"`
 	Rate    float64  `default:"1" help:"Times the rate of the recorded traffic."`
 }
 
-// read reads a scenario, with the text of its file.
-func (c *scenario) read(l *lab, name string) (*day.Spec, []byte, error) {
-	s, text, err := day.Read(name)
-	if err != nil || len(c.Traffic) == 0 {
-		return s, text, err
+// read reads a scenario and the text of its file.
+func (f *scenarioFlags) read(console *console, name string) (*day.Spec, []byte, error) {
+	spec, text, err := day.Read(name)
+	if err != nil || len(f.Traffic) == 0 {
+		return spec, text, err
 	}
-	rec, err := traffic.Read(c.Traffic...)
+	recording, err := traffic.Read(f.Traffic...)
 	if err != nil {
-		return nil, nil, badInput{err}
+		return nil, nil, inputError{err}
 	}
-	if rec.Truncation != nil {
-		fmt.Fprintf(l.err, "simulator: %v; what came before that is played\n", rec.Truncation)
+	if recording.Truncation != nil {
+		fmt.Fprintf(console.stderr, "simulator: %v; what came before that is played\n", recording.Truncation)
 	}
-	if rec.Lost.Any() {
+	if lost := recording.Lost; lost.Any() {
 		fmt.Fprintf(
-			l.err,
+			console.stderr,
 			"simulator: the recording lacks requests: %d for a slow disk, %d for its bound, %d for "+
 				"errors of the disk\n",
-			rec.Lost.Queue,
-			rec.Lost.Bytes,
-			rec.Lost.Errors,
+			lost.Queue,
+			lost.Bytes,
+			lost.Errors,
 		)
 	}
-	s, _, err = s.WithTraffic(rec, c.Rate)
+	spec, _, err = spec.WithTraffic(recording, f.Rate)
 	if err != nil {
-		return nil, nil, badInput{err}
+		return nil, nil, inputError{err}
 	}
-	return s, text, nil
+	return spec, text, nil
 }
 
-// open reads a scenario and a file of differences to play it with.
-func (c *scenario) open(l *lab, name, with string) (*day.Spec, *variant.Variant, fleet.Options, error) {
-	s, _, err := c.read(l, name)
+// open reads a scenario and a file of differences.
+func (f *scenarioFlags) open(
+	console *console,
+	name, with string,
+) (*day.Spec, *variant.Variant, fleet.Options, error) {
+	spec, _, err := f.read(console, name)
 	if err != nil {
 		return nil, nil, fleet.Options{}, err
 	}
@@ -59,15 +63,15 @@
 	if err != nil {
 		return nil, nil, fleet.Options{}, err
 	}
-	opt, err := v.Options(s)
-	return s, v, opt, err
+	options, err := v.Options(spec)
+	return spec, v, options, err
 }
 
-// args are the same for a worker.
-func (c *scenario) args(file string) []string {
-	args := []string{"worker", "--day", file, "--rate", fmt.Sprint(c.Rate)}
-	for _, t := range c.Traffic {
-		args = append(args, "--traffic", t)
+// workerArgs returns the command line of a worker that simulates the same days.
+func (f *scenarioFlags) workerArgs(dayFile string) []string {
+	args := []string{"worker", "--day", dayFile, "--rate", fmt.Sprint(f.Rate)}
+	for _, file := range f.Traffic {
+		args = append(args, "--traffic", file)
 	}
 	return args
 }
@@ -82,110 +86,117 @@
 	JSON  bool     `help:"Print it as JSON."`
 }
 
-// shown is what is told of one file.
-type shown struct {
+// trafficSummary is what is shown of a file.
+type trafficSummary struct {
 	File     string         `json:"file"`
 	Runner   string         `json:"runner"`
 	Began    string         `json:"began"`
 	Seconds  float64        `json:"seconds"`
 	Requests int            `json:"requests"`
-	Further  int            `json:"further"` // that look like further tries, within 10 s
+	Further  int            `json:"further"` // that look like retries
 	Backward int            `json:"backward"`
 	Lost     traffic.Lost   `json:"lost"`
 	Cut      string         `json:"cut,omitempty"`
 	Classes  map[string]int `json:"Classes"`
 }
 
-// Run tells of each file.
-func (c *trafficShowCmd) Run(l *lab) error {
-	var all []shown
+// assumedDeadline is the time within which equal requests are taken for retries.
+const assumedDeadline = 10 * time.Second
+
+// Run shows the files.
+func (c *trafficShowCmd) Run(console *console) error {
+	var all []trafficSummary
 	for _, path := range c.Files {
-		rec, err := traffic.Read(path)
+		recording, err := traffic.Read(path)
 		if err != nil {
-			return badInput{err}
-		}
-		s := shown{
-			File:     path,
-			Runner:   rec.Runner,
-			Began:    rec.StartedAt.Time().UTC().Format(time.RFC3339),
-			Requests: len(rec.Requests),
-			Backward: rec.OutOfOrder,
-			Lost:     rec.Lost,
-			Classes:  map[string]int{},
-		}
-		first, further := rec.WithoutRetries(func(int) time.Duration { return 10 * time.Second })
-		if s.Further = further; len(first) > 0 {
-			s.Seconds = float64(first[len(first)-1].ArrivedAt-first[0].ArrivedAt) / 1e6
+			return inputError{err}
 		}
-		if rec.Truncation != nil {
-			s.Cut = rec.Truncation.Error()
-		}
-		for _, q := range rec.Requests {
-			s.Classes[rec.Classes[q.Class]]++
-		}
-		all = append(all, s)
+		all = append(all, summarize(path, recording))
 	}
 	if c.JSON {
-		return l.json(all)
+		return console.printJSON(all)
 	}
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(
-		table.Row{"file", "runner", "began", "s", "requests", "further tries", "clock back", "lost", ""},
-	)
+	t := newTable("file", "runner", "began", "s", "requests", "further tries", "clock back", "lost", "")
 	for _, s := range all {
-		t.AppendRow(
-			table.Row{
-				s.File,
-				s.Runner,
-				s.Began,
-				fmt.Sprintf("%.1f", s.Seconds),
-				s.Requests,
-				s.Further,
-				s.Backward,
-				s.Lost.Queue + s.Lost.Bytes + s.Lost.Errors,
-				s.Cut,
-			},
-		)
-	}
-	fmt.Fprintln(l.out, t.Render())
+		t.AppendRow(table.Row{
+			s.File,
+			s.Runner,
+			s.Began,
+			fmt.Sprintf("%.1f", s.Seconds),
+			s.Requests,
+			s.Further,
+			s.Backward,
+			s.Lost.Queue + s.Lost.Bytes + s.Lost.Errors,
+			s.Cut,
+		})
+	}
+	fmt.Fprintln(console.stdout, t.Render())
 	return nil
 }
 
+func summarize(path string, recording *traffic.Recording) trafficSummary {
+	s := trafficSummary{
+		File:     path,
+		Runner:   recording.Runner,
+		Began:    recording.StartedAt.Time().UTC().Format(time.RFC3339),
+		Requests: len(recording.Requests),
+		Backward: recording.OutOfOrder,
+		Lost:     recording.Lost,
+		Classes:  map[string]int{},
+	}
+	first, retries := recording.WithoutRetries(func(int) time.Duration { return assumedDeadline })
+	s.Further = retries
+	if len(first) > 0 {
+		s.Seconds = float64(first[len(first)-1].ArrivedAt-first[0].ArrivedAt) / 1e6
+	}
+	if recording.Truncation != nil {
+		s.Cut = recording.Truncation.Error()
+	}
+	for _, r := range recording.Requests {
+		s.Classes[recording.Classes[r.Class]]++
+	}
+	return s
+}
+
 type trafficMakeCmd struct {
 	Day  string `arg:"" help:"The scenario."`
 	Out  string `required:"" placeholder:"FILE" help:"The file, which must not be there yet."`
 	Seed uint64 `default:"1" help:"Seed of the day."`
 }
 
-// unixBegin is the time from which made recordings count; any will do, and one that is fixed makes
-// the same bytes.
-const unixBegin = 1_764_576_000_000_000
+// recordingStart is the Unix time at which made recordings start: a fixed one makes the same bytes.
+const recordingStart wallclock.UnixMicro = 1_764_576_000_000_000
+
+const (
+	maxRecordingBytes = 1 << 40
+	closeTimeout      = time.Minute
+)
 
 // Run writes the file.
-func (c *trafficMakeCmd) Run(l *lab) error {
-	s, _, err := day.Read(c.Day)
+func (c *trafficMakeCmd) Run(console *console) error {
+	spec, _, err := day.Read(c.Day)
 	if err != nil {
 		return err
 	}
-	h, requests := day.Draw(s, c.Seed).Record(unixBegin)
-	r, err := traffic.Create(
-		c.Out,
-		h,
-		traffic.Options{MaxBytes: 1 << 40, QueueSize: len(requests) + 1, FlushInterval: time.Hour},
-	)
+	header, requests := day.Draw(spec, c.Seed).Record(recordingStart)
+	options := traffic.Options{
+		MaxBytes:      maxRecordingBytes,
+		QueueSize:     len(requests) + 1,
+		FlushInterval: time.Hour,
+	}
+	recorder, err := traffic.Create(c.Out, header, options)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	for _, q := range requests {
-		r.Record(q)
+	for _, r := range requests {
+		recorder.Record(r)
 	}
-	if err := r.Close(time.Minute); err != nil {
+	if err := recorder.Close(closeTimeout); err != nil {
 		return err
 	}
-	if lost := r.Lost(); lost.Any() {
+	if lost := recorder.Lost(); lost.Any() {
 		return fmt.Errorf("%s: %d requests could not be written", c.Out, lost.Errors+lost.Bytes+lost.Queue)
 	}
-	fmt.Fprintf(l.out, "%s: %d requests\n", c.Out, len(requests))
+	fmt.Fprintf(console.stdout, "%s: %d requests\n", c.Out, len(requests))
 	return nil
 }
--- a/cmd/simulator/up.go
+++ b/cmd/simulator/up.go
@@ -22,100 +22,111 @@
 	Servers int           `default:"3" help:"uwsgi servers behind them."`
 	Callers int           `default:"6" help:"Callers that hand in at once."`
 	Copies  int           `help:"Runners are peers and keep so many copies beside the first, in place of a disk."`
-	Roam    bool          `help:"A repeat goes to another runner than the try before it; without copies that runs keys twice."`
+	Roam    bool          `help:"${help_roam}"`
 	For     time.Duration `default:"10s" help:"How long callers hand in, or as long as the faults take."`
 	Script  string        `placeholder:"FILE" help:"Faults, a line each, such as: 2s kill n2 --back 1s"`
 	Fault   []string      `sep:"none" placeholder:"LINE" help:"One fault; may be given more than once."`
 	Random  int           `help:"So many faults, drawn by the seed."`
 	Wipe    bool          `help:"Some of them take the disk as well."`
 	Seed    uint64        `default:"1" help:"Of the faults that are drawn."`
-	Logs    string        `placeholder:"FOLDER" help:"Where the runners' files and folders stay; else they go with the fleet."`
+	Logs    string        `placeholder:"FOLDER" help:"${help_logs}"`
 	JSON    bool          `help:"Print the end of it as JSON."`
 }
 
-// broken is the error of a run in which a promise was broken.
-type broken struct{ historychecker.Verdict }
+// violationError is the error of a run in which a guarantee was violated.
+type violationError struct{ historychecker.Verdict }
 
-func (b broken) Error() string { return b.String() }
+// Error implements error.
+func (e violationError) Error() string { return e.String() }
 
-// lookEvery is how often the table is drawn anew.
-const lookEvery = 500 * time.Millisecond
+const (
+	drawInterval  = 500 * time.Millisecond // of the states of the runners
+	runTime       = 5 * time.Millisecond   // of a keyed request at a server
+	zones         = 3
+	answerTimeout = 10 * time.Second
+	readyTimeout  = 30 * time.Second
+	maxProcesses  = 64 // runners, and servers
+)
 
-// Run brings a fleet up, sends traffic, plays faults, and ends with the checker's verdict.
-func (c *upCmd) Run(l *lab) error {
+// Run starts a fleet, sends keyed requests, injects faults and checks what the callers saw.
+func (c *upCmd) Run(console *console) error {
 	faults, err := c.faults()
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	if c.Runners < 1 || c.Runners > 64 || c.Servers < 1 || c.Servers > 64 || c.Callers < 1 || c.For <= 0 ||
-		c.Copies < 0 ||
-		c.Copies >= c.Runners {
-		return badInput{
-			fmt.Errorf(
-				"--runners and --servers are 1 to 64, --callers at least 1, --for above 0, --copies " +
-					"fewer than runners",
-			),
-		}
+	if err := c.check(); err != nil {
+		return err
 	}
-	bin, remove, err := c.program(l)
+	binary, remove, err := c.program(console)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	fleet, err := cluster.Start(
-		cluster.Options{
-			Binary:   bin,
-			Dir:      c.Logs,
-			Runners:  c.Runners,
-			Zones:    3,
-			Servers:  c.Servers,
-			RunTime:  5 * time.Millisecond,
-			Window:   c.window(),
-			Timeout:  10 * time.Second,
-			Replicas: c.Copies,
-		},
-	)
+	fleet, err := cluster.Start(cluster.Options{
+		Binary:   binary,
+		Dir:      c.Logs,
+		Runners:  c.Runners,
+		Zones:    zones,
+		Servers:  c.Servers,
+		RunTime:  runTime,
+		Window:   c.window(),
+		Timeout:  answerTimeout,
+		Replicas: c.Copies,
+	})
 	if err != nil {
 		return err
 	}
 	defer fleet.Close()
 	if c.Copies > 0 {
-		fmt.Fprintln(l.err, "copies are made; sets that begin with nothing take no hand-ins for a window")
-		if err := fleet.WaitUntilReplicated(30 * time.Second); err != nil {
-			return err
-		}
-		if err := fleet.WaitUntilAccepting(30 * time.Second); err != nil {
+		if err := waitForReplicas(console, fleet); err != nil {
 			return err
 		}
 	}
+	if err := c.injectFaults(console, fleet, faults); err != nil {
+		return err
+	}
+	return c.verdict(console, fleet)
+}
+
+func (c *upCmd) check() error {
+	if c.Runners < 1 || c.Runners > maxProcesses || c.Servers < 1 || c.Servers > maxProcesses ||
+		c.Callers < 1 || c.For <= 0 || c.Copies < 0 || c.Copies >= c.Runners {
+		return badInput("--runners and --servers are 1 to %d, --callers at least 1, --for above 0, --copies "+
+			"fewer than runners", maxProcesses)
+	}
+	return nil
+}
+
+// waitForReplicas waits until the replicas are complete and keyed requests are admitted.
+func waitForReplicas(console *console, fleet *cluster.Cluster) error {
+	fmt.Fprintln(console.stderr, "copies are made; sets that begin with nothing take no hand-ins for a window")
+	if err := fleet.WaitUntilReplicated(readyTimeout); err != nil {
+		return err
+	}
+	return fleet.WaitUntilAccepting(readyTimeout)
+}
+
+// injectFaults plays the faults under load, and shows the states of the runners meanwhile. In the end
+// all faults are repaired.
+func (c *upCmd) injectFaults(console *console, fleet *cluster.Cluster, faults []cluster.Fault) error {
 	load := &cluster.Load{Callers: c.Callers, SwitchRunners: c.Roam, Repeats: 1, RepeatFor: c.window() / 2}
 	load.Start(fleet)
-	began := time.Now()
-	var last atomic.Value
-	over, drawn := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(drawn)
-		c.draw(l, fleet, began, &last, over)
-	}()
-	err = fleet.Play(faults, func(f cluster.Fault) { last.Store(f.String()) })
+	display := startDisplay(console, fleet)
+	err := fleet.Play(faults, display.setLastFault)
 	select {
-	case <-time.After(time.Until(began.Add(c.For))):
-	case <-l.ctx.Done():
+	case <-time.After(time.Until(display.startedAt.Add(c.For))):
+	case <-console.ctx.Done():
 	}
 	if err == nil {
 		err = fleet.Repair()
 	}
 	load.Stop()
-	close(over)
-	<-drawn
-	if err != nil {
-		return err
-	}
-	return c.verdict(l, fleet)
+	display.stop()
+	return err
 }
 
-// window is that of hand-ins. Sets that begin with nothing take no keys for as long: with peers it
-// is short.
+// window returns the window of the idempotency keys. With replicas it is short, as a fleet without any
+// state admits no keyed requests for a window.
 func (c *upCmd) window() time.Duration {
 	if c.Copies > 0 {
 		return 3 * time.Second
@@ -123,7 +134,7 @@
 	return 10 * time.Minute
 }
 
-// faults are those of the script, of the flags, and those that are drawn.
+// faults returns the faults of the script and of the flags, and those that are drawn.
 func (c *upCmd) faults() ([]cluster.Fault, error) {
 	text := strings.Join(c.Fault, "\n")
 	if c.Script != "" {
@@ -137,17 +148,19 @@
 	if err != nil || c.Random <= 0 {
 		return faults, err
 	}
-	for _, f := range cluster.RandomFaults(c.Seed, c.Random, c.For, c.Runners, c.Servers, c.Wipe, c.Copies > 0) {
+	drawn := cluster.RandomFaults(c.Seed, c.Random, c.For, c.Runners, c.Servers, c.Wipe, c.Copies > 0)
+	for _, f := range drawn {
 		text += "\n" + f.String()
 	}
 	return cluster.ParseScript(text)
 }
 
-// program is the runner's, which is built if none was named.
-func (c *upCmd) program(l *lab) (bin string, remove func(), err error) {
+// program returns the path of the runner's program, which it builds if none was named. remove removes
+// what was built.
+func (c *upCmd) program(console *console) (path string, remove func(), err error) {
 	if c.Bin != "" {
 		if _, err := os.Stat(c.Bin); err != nil {
-			return "", nil, badInput{err}
+			return "", nil, inputError{err}
 		}
 		return c.Bin, func() {}, nil
 	}
@@ -155,152 +168,153 @@
 	if err != nil {
 		return "", nil, err
 	}
-	bin = filepath.Join(dir, "ryepaddle")
-	if out, err := exec.CommandContext(
-		l.ctx,
-		"go",
-		"build",
-		"-o",
-		bin,
-		"ryepaddle/cmd/runner",
-	).CombinedOutput(); err != nil {
-		os.RemoveAll(dir)
-		return "", nil, badInput{
-			fmt.Errorf("no --bin, and the program cannot be built here: %w\n%s", err, out),
-		}
+	remove = func() { _ = os.RemoveAll(dir) }
+	path = filepath.Join(dir, "ryepaddle")
+	build := exec.CommandContext(console.ctx, "go", "build", "-o", path, "ryepaddle/cmd/runner")
+	if output, err := build.CombinedOutput(); err != nil {
+		remove()
+		return "", nil, badInput("no --bin, and the program cannot be built here: %w\n%s", err, output)
 	}
-	return bin, func() { os.RemoveAll(dir) }, nil
+	return path, remove, nil
 }
 
-// draw shows how the fleet stands until it is over: a table in place on a screen, a line a second
-// elsewhere.
-func (c *upCmd) draw(
-	l *lab,
-	fleet *cluster.Cluster,
-	began time.Time,
-	last *atomic.Value,
-	over chan struct{},
-) {
+// display shows the states of the runners at an interval: a table in place on a terminal, otherwise
+// one line each time.
+type display struct {
+	console   *console
+	fleet     *cluster.Cluster
+	startedAt time.Time
+	lastFault atomic.Value // string
+	stopping  chan struct{}
+	stopped   chan struct{}
+}
+
+func startDisplay(console *console, fleet *cluster.Cluster) *display {
+	d := &display{
+		console:   console,
+		fleet:     fleet,
+		startedAt: time.Now(),
+		stopping:  make(chan struct{}),
+		stopped:   make(chan struct{}),
+	}
+	go d.run()
+	return d
+}
+
+func (d *display) setLastFault(f cluster.Fault) { d.lastFault.Store(f.String()) }
+
+// stop ends the display and waits for that.
+func (d *display) stop() {
+	close(d.stopping)
+	<-d.stopped
+}
+
+func (d *display) run() {
+	defer close(d.stopped)
 	for lines := 0; ; {
 		select {
-		case <-over:
+		case <-d.stopping:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(drawInterval):
 		}
-		fault, _ := last.Load().(string)
-		head := fmt.Sprintf("%4.1fs  %v  last fault: %s", time.Since(began).Seconds(), fleet, fault)
-		if !l.screen {
-			fmt.Fprintln(l.err, head)
+		fault, _ := d.lastFault.Load().(string)
+		head := fmt.Sprintf("%4.1fs  %v  last fault: %s", time.Since(d.startedAt).Seconds(), d.fleet, fault)
+		if !d.console.terminal {
+			fmt.Fprintln(d.console.stderr, head)
 			continue
 		}
-		text := head + "\n" + rows(fleet.States()) + "\n"
-		fmt.Fprintf(l.err, "\x1b[%dA\x1b[J%s", lines, text)
+		text := head + "\n" + renderStates(d.fleet.States()) + "\n"
+		// up by the lines of the last drawing, and clear to the end of the screen
+		fmt.Fprintf(d.console.stderr, "\x1b[%dA\x1b[J%s", lines, text)
 		if lines == 0 {
-			fmt.Fprintf(l.err, "\x1b[J")
+			fmt.Fprintf(d.console.stderr, "\x1b[J")
 		}
 		lines = strings.Count(text, "\n")
 	}
 }
 
-func rows(all []cluster.NodeState) string {
+// renderStates returns a table of the states of the runners.
+func renderStates(states []cluster.NodeState) string {
 	t := table.NewWriter()
-	t.AppendHeader(
-		table.Row{
-			"runner",
-			"hall",
-			"state",
-			"served",
-			"refused",
-			"failed",
-			"broken",
-			"keys held",
-			"slots whole",
-		},
-	)
-	for _, r := range all {
-		keys := fmt.Sprint(r.KeysHeld)
-		if r.Process != "up" || r.Unresponsive {
+	t.AppendHeader(table.Row{
+		"runner", "hall", "state", "served", "refused", "failed", "broken", "keys held", "slots whole",
+	})
+	for _, s := range states {
+		keys := fmt.Sprint(s.KeysHeld)
+		if s.Process != "up" || s.Unresponsive {
 			keys = "?"
 		}
-		t.AppendRow(
-			table.Row{
-				r.Name,
-				r.Zone,
-				r.Process,
-				r.Responses[historychecker.Served],
-				r.Responses[historychecker.Rejected],
-				r.Responses[historychecker.Failed],
-				r.Responses[historychecker.Unknown],
-				keys,
-				r.ReplicatedSlots,
-			},
-		)
+		t.AppendRow(table.Row{
+			s.Name,
+			s.Zone,
+			s.Process,
+			s.Responses[historychecker.Served],
+			s.Responses[historychecker.Rejected],
+			s.Responses[historychecker.Failed],
+			s.Responses[historychecker.Unknown],
+			keys,
+			s.ReplicatedSlots,
+		})
 	}
 	return t.Render()
 }
 
-// verdict tells how it ended. A broken promise is told with the command that plays it again.
-func (c *upCmd) verdict(l *lab, fleet *cluster.Cluster) error {
-	v, all := fleet.Check(), fleet.States()
-	var bill *ledger.Bill
-	// drawn faults may take more machines at once than there are copies
+// fleetResult is the end of a run as JSON.
+type fleetResult struct {
+	Runners []cluster.NodeState    `json:"runners"`
+	Tries   map[string]int         `json:"tries"`
+	Ran     int                    `json:"keys_run"`
+	Broken  historychecker.Verdict `json:"broken"`
+	Bill    *ledger.Bill           `json:"bill,omitempty"`
+	Seed    uint64                 `json:"seed"`
+}
+
+// verdict prints the end of a run. After a violation it prints the command that repeats the run, and
+// returns a violationError.
+func (c *upCmd) verdict(console *console, fleet *cluster.Cluster) error {
+	result := fleetResult{Broken: fleet.Check(), Runners: fleet.States(), Seed: c.Seed}
+	// drawn faults may take more disks at once than there are replicas
 	if c.Copies > 0 && !(c.Random > 0 && c.Wipe) {
-		its, b, err := fleet.ReconcileUsage()
+		violations, bill, err := fleet.ReconcileUsage()
 		if err != nil {
 			return err
 		}
-		v, bill = append(v, its...), b
+		result.Broken, result.Bill = append(result.Broken, violations...), bill
 	}
-	if c.JSON {
-		err := l.json(struct {
-			Runners []cluster.NodeState    `json:"runners"`
-			Tries   map[string]int         `json:"tries"`
-			Ran     int                    `json:"keys_run"`
-			Broken  historychecker.Verdict `json:"broken"`
-			Bill    *ledger.Bill           `json:"bill,omitempty"`
-			Seed    uint64                 `json:"seed"`
-		}{all, named(fleet.History.Count()), len(fleet.RunCounts()), v, bill, c.Seed})
-		if err != nil {
-			return err
-		}
-	} else {
-		fmt.Fprintf(l.out, "%s\n%v\n", rows(all), fleet)
-		if bill != nil {
-			served := int64(0)
-			for _, line := range bill.Lines {
-				served += line.Served
-			}
-			fmt.Fprintf(l.out, "%d hand-ins billed, by %d statements\n", served, bill.Statements)
-		}
-		fmt.Fprintf(l.out, "%v\n", v)
+	if err := c.show(console, fleet, &result); err != nil {
+		return err
 	}
-	if len(v) > 0 {
-		fmt.Fprintf(l.err, "again with: simulator up %s\n", c.again())
-		return broken{v}
+	if len(result.Broken) > 0 {
+		fmt.Fprintf(console.stderr, "again with: simulator up %s\n", c.arguments())
+		return violationError{result.Broken}
 	}
 	return nil
 }
 
-func named(n map[historychecker.Outcome]int) map[string]int {
-	out := map[string]int{}
-	for end, count := range n {
-		out[end.String()] = count
+func (c *upCmd) show(console *console, fleet *cluster.Cluster, result *fleetResult) error {
+	if c.JSON {
+		result.Tries, result.Ran = map[string]int{}, len(fleet.RunCounts())
+		for outcome, count := range fleet.History.Count() {
+			result.Tries[outcome.String()] = count
+		}
+		return console.printJSON(result)
+	}
+	fmt.Fprintf(console.stdout, "%s\n%v\n", renderStates(result.Runners), fleet)
+	if bill := result.Bill; bill != nil {
+		served := int64(0)
+		for _, line := range bill.Lines {
+			served += line.Served
+		}
+		fmt.Fprintf(console.stdout, "%d hand-ins billed, by %d statements\n", served, bill.Statements)
 	}
-	return out
+	fmt.Fprintf(console.stdout, "%v\n", result.Broken)
+	return nil
 }
 
-// again is the command line that plays the same faults.
-func (c *upCmd) again() string {
-	words := []string{
-		fmt.Sprintf(
-			"--runners %d --servers %d --callers %d --for %v --seed %d",
-			c.Runners,
-			c.Servers,
-			c.Callers,
-			c.For,
-			c.Seed,
-		),
-	}
+// arguments returns the arguments that repeat the run.
+func (c *upCmd) arguments() string {
+	words := []string{fmt.Sprintf("--runners %d --servers %d --callers %d --for %v --seed %d",
+		c.Runners, c.Servers, c.Callers, c.For, c.Seed)}
 	if c.Copies > 0 {
 		words = append(words, fmt.Sprintf("--copies %d", c.Copies))
 	}
--- a/cmd/simulator/verify.go
+++ b/cmd/simulator/verify.go
@@ -20,17 +20,17 @@
 	Day     string  `arg:"" default:"small" help:"The scenario; it is played in real time, with one process a runner."`
 	Bin     string  `default:"bin/runner" help:"The built runner."`
 	Seed    uint64  `default:"1" help:"Seed of the day."`
-	With    string  `placeholder:"FILE" help:"A file of differences, for the real fleet and the model alike. Figures of the module and limits of the core cannot be set on real runners."`
+	With    string  `placeholder:"FILE" help:"${help_with}"`
 	Runs    int     `default:"40" help:"Runs of the model on the same day, which differ in chance alone."`
 	Level   float64 `default:"0.95" help:"Of the model's intervals."`
 	Workers int     `default:"${workers}" help:"Days played at once."`
-	scenario
+	scenarioFlags
 	Log  string `placeholder:"FILE" help:"Write what the real runners log to this file."`
 	JSON bool   `help:"Print the outcome as JSON."`
 }
 
-// verified is what is told of a day.
-type verified struct {
+// verification is the result of a day on real processes beside that of the model.
+type verification struct {
 	Day   string               `json:"day"`
 	Seed  uint64               `json:"seed"`
 	Held  []compare.Validation `json:"held"`
@@ -38,84 +38,100 @@
 	Model []*fleet.Run         `json:"model"`
 }
 
-// Run plays a day on real processes and holds it against the model.
-func (c *verifyCmd) Run(l *lab) error {
+// loggedBytes is how much of the runners' log goes into an error.
+const loggedBytes = 2000
+
+// Run plays a day on real processes and compares it with the model.
+func (c *verifyCmd) Run(console *console) error {
 	if c.Runs < 3 || c.Workers < 1 || !(c.Level > 0 && c.Level < 1) {
-		return badInput{fmt.Errorf("--runs is at least 3, --workers at least 1, and --level between 0 and 1")}
+		return badInput("--runs is at least 3, --workers at least 1, and --level between 0 and 1")
 	}
 	if _, err := os.Stat(c.Bin); err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	s, v, opt, err := c.open(l, c.Day, c.With)
+	spec, v, options, err := c.open(console, c.Day, c.With)
 	if err != nil {
 		return err
 	}
 	if len(v.Parameters) > 0 || v.Limits != (variant.Limits{}) {
-		return badInput{fmt.Errorf("%s: figures and limits cannot be set on real runners", c.With)}
+		return badInput("%s: figures and limits cannot be set on real runners", c.With)
 	}
-	d := day.Draw(s, c.Seed)
-	model, err := playAll(l, c.Workers, c.Runs, func(i int) (*fleet.Run, error) {
-		o := opt
-		o.BalancerSeed = day.Mix(c.Seed, "verify", uint64(i)+1)
-		return fleet.Play(d, o)
+	d := day.Draw(spec, c.Seed)
+	model, err := simulateAll(console, c.Workers, c.Runs, func(i int) (*fleet.Run, error) {
+		own := options
+		own.BalancerSeed = day.Mix(c.Seed, "verify", uint64(i)+1)
+		return fleet.Play(d, own)
 	})
 	if err != nil {
 		return err
 	}
-	var log bytes.Buffer
-	var to io.Writer = &log
+	options.BalancerSeed = day.Mix(c.Seed, "verify", 0)
+	measured, err := c.playProcesses(console, d, options)
+	if err != nil {
+		return err
+	}
+	return c.show(console, &verification{
+		Day:   spec.Name,
+		Seed:  c.Seed,
+		Held:  compare.Validate(measured, model, 1-c.Level),
+		Real:  measured,
+		Model: model,
+	})
+}
+
+// playProcesses plays the day on real processes. An error ends with the last lines of their log.
+func (c *verifyCmd) playProcesses(console *console, d *day.Day, options fleet.Options) (*fleet.Run, error) {
+	var kept bytes.Buffer
+	var log io.Writer = &kept
 	if c.Log != "" {
 		f, err := os.Create(c.Log)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		defer f.Close()
-		to = f
+		log = f
 	}
-	if l.screen {
-		fmt.Fprintf(l.err, "playing %s on %d processes for %.0f s\n", s.Name, len(d.Runners), s.LengthS)
+	if console.terminal {
+		fmt.Fprintf(console.stderr, "playing %s on %d processes for %.0f s\n",
+			d.Spec.Name, len(d.Runners), d.Spec.LengthS)
 	}
-	opt.BalancerSeed = day.Mix(c.Seed, "verify", 0)
-	real, err := daytest.Play(l.ctx, d, opt, c.Bin, to)
+	run, err := daytest.Play(console.ctx, d, options, c.Bin, log)
 	if err != nil {
-		return fmt.Errorf("%w\n%s", err, tail(log.Bytes(), 2000))
-	}
-	out := verified{
-		Day:   s.Name,
-		Seed:  c.Seed,
-		Held:  compare.Validate(real, model, 1-c.Level),
-		Real:  real,
-		Model: model,
+		text := kept.Bytes()
+		return nil, fmt.Errorf("%w\n%s", err, text[max(len(text)-loggedBytes, 0):])
 	}
+	return run, nil
+}
+
+// show prints the figures of the real fleet beside the intervals of the model.
+func (c *verifyCmd) show(console *console, v *verification) error {
 	if c.JSON {
-		return l.json(out)
+		return console.printJSON(v)
 	}
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"figure", "real fleet", "model", "interval", ""})
+	t := newTable("figure", "real fleet", "model", "interval", "")
 	inside := 0
-	for _, h := range out.Held {
+	for _, h := range v.Held {
 		word := "OUTSIDE"
 		if h.Inside {
 			word = "inside"
 			inside++
 		}
-		t.AppendRow(table.Row{h.Name, report.FormatFigure(h.Real, h.Unit), report.FormatFigure(h.Mean, h.Unit),
-			report.FormatFigure(h.Lo, h.Unit) + " to " + report.FormatFigure(h.Hi, h.Unit), word})
+		interval := report.FormatFigure(h.Lo, h.Unit) + " to " + report.FormatFigure(h.Hi, h.Unit)
+		t.AppendRow(table.Row{
+			h.Name, report.FormatFigure(h.Real, h.Unit), report.FormatFigure(h.Mean, h.Unit), interval, word,
+		})
 	}
 	fmt.Fprintf(
-		l.out,
+		console.stdout,
 		"%s\n%d of %d figures lie inside; at a level of %g one in %.0f would lie outside by chance\n",
 		t.Render(),
 		inside,
-		len(out.Held),
+		len(v.Held),
 		c.Level,
 		1/(1-c.Level),
 	)
-	for _, n := range real.Notes {
-		fmt.Fprintln(l.out, "real fleet:", n)
+	for _, n := range v.Real.Notes {
+		fmt.Fprintln(console.stdout, "real fleet:", n)
 	}
 	return nil
 }
-
-func tail(b []byte, n int) []byte { return b[max(len(b)-n, 0):] }
