--- a/internal/app/stored_test.go
+++ b/internal/app/stored_test.go
@@ -21,7 +21,7 @@
 		Name: "n0", Version: "1.2.3", Draining: true, Open: 4, Connections: 5,
 		Stats: lifecycle.Stats{
 			Read: 100, Served: 60, Rejected: 10, Failed: 5, Expired: 4, Abandoned: 3, Withdrawn: 2,
-			Attempts: 70, Repeats: 6, Conflicts: 1,
+			Attempts: 70, Duplicates: 6, Conflicts: 1,
 		},
 		Groups: []string{"teachers: 1 of 2 in service"},
 		Servers: []upstream.ServerStatus{{
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -42,7 +42,7 @@
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
 	first, second := start(t, dir, 7), start(t, dir, 8)
-	claim := func(p *process, k lifecycle.KeyRecord) {
+	reserve := func(p *process, k lifecycle.KeyRecord) {
 		p.coordinator.Reserve(k, 0, func() bool { return true }, func(mine bool, err error) {
 			if !mine || err != nil {
 				t.Fatal(mine, err)
@@ -50,9 +50,9 @@
 		})
 	}
 	first.pass() // it sees the second
-	claim(first, storedKey("a", 7))
-	claim(second, storedKey("b", 8))
-	claim(first, storedKey("c", 7))
+	reserve(first, storedKey("a", 7))
+	reserve(second, storedKey("b", 8))
+	reserve(first, storedKey("c", 7))
 	first.coordinator.Ended(storedEnd("a", 7))
 	first.coordinator.Released(storedKey("c", 7))
 	second.coordinator.MarkServing()
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// minRetryAfter is the shortest time for which a rejected caller is told to stay away.
+	// minRetryAfter is the shortest Retry-After of a rejection.
 	minRetryAfter = 20 * time.Millisecond
 	// keyTableFullRetryAfter is how long callers stay away while the table of keys is full.
 	keyTableFullRetryAfter = time.Second
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -18,21 +18,21 @@
 		},
 	)
 	scenario.Play(t, `
-		core send ask 1 check
-		core expect run 1
-		core send ask 2 hand-in key
-		core send pass 1010
-		core send ask 3 hand-in key
-		core send pass 140
-		core send ask 4 hand-in key
-		core send end 1 fine checked
-		core expect answer 1 served checked
-		core expect run 2
-		core send end 2 fine graded
-		core expect answer 3 served graded
-		core expect answer 4 served graded
-		core expect answer 2 served graded
-		core expect nothing`, map[string]scenario.Actor{"core": c})
+		manager send ask 1 check
+		manager expect run 1
+		manager send ask 2 hand-in key
+		manager send pass 1010
+		manager send ask 3 hand-in key
+		manager send pass 140
+		manager send ask 4 hand-in key
+		manager send end 1 fine checked
+		manager expect answer 1 served checked
+		manager expect run 2
+		manager send end 2 fine graded
+		manager expect answer 3 served graded
+		manager expect answer 4 served graded
+		manager expect answer 2 served graded
+		manager expect nothing`, map[string]scenario.Actor{"manager": c})
 }
 
 // Changed settings do not lengthen the grace under which a drain began.
@@ -45,146 +45,146 @@
 		t.Fatal(err)
 	}
 	scenario.Play(t, `
-		core send pass 900
-		core send ask 1 check
-		core expect run 1
-		core send pass 200
-		core send ask 2 check
-		core expect answer 2 refused`, map[string]scenario.Actor{"core": c})
+		manager send pass 900
+		manager send ask 1 check
+		manager expect run 1
+		manager send pass 200
+		manager send ask 2 check
+		manager expect answer 2 refused`, map[string]scenario.Actor{"manager": c})
 }
 
 // requestsAreAnsweredOnceCases are cases of TestRequestsAreAnsweredOnce.
 var requestsAreAnsweredOnceCases = map[string]struct {
-	tries  int
-	script string
+	maxAttempts int
+	script      string
 }{
 	"one answer": {1, `
-			core send ask 1 check
-			core expect run 1
-			core send end 1 fine ok
-			core expect answer 1 served ok
-			core send end 1 fine again
-			core send gone 1
-			core expect nothing`},
+			manager send ask 1 check
+			manager expect run 1
+			manager send end 1 fine ok
+			manager expect answer 1 served ok
+			manager send end 1 fine again
+			manager send gone 1
+			manager expect nothing`},
 	"answered by its deadline though it runs on": {1, `
-			core send ask 1 check
-			core expect run 1
-			core send pass 3000
-			core expect answer 1 late
-			core send end 1 fine ok
-			core expect nothing`},
+			manager send ask 1 check
+			manager expect run 1
+			manager send pass 3000
+			manager expect answer 1 late
+			manager send end 1 fine ok
+			manager expect nothing`},
 	// The decision module does not know of the shorter deadline: it would take the request for an
 	// old retry.
 	"a shorter deadline of the frontend is enforced": {1, `
-			core send ask 1 check - 500
-			core expect run 1
-			core send pass 400
-			core expect nothing
-			core send pass 100
-			core expect answer 1 late
-			core send end 1 fine ok
-			core send ask 2 hand-in k 500
-			core expect run 2
-			core send pass 500
-			core expect answer 2 late
-			core send ask 3 hand-in k 500
-			core send end 2 fine ok
-			core expect answer 3 served ok
-			core expect nothing`},
+			manager send ask 1 check - 500
+			manager expect run 1
+			manager send pass 400
+			manager expect nothing
+			manager send pass 100
+			manager expect answer 1 late
+			manager send end 1 fine ok
+			manager send ask 2 hand-in k 500
+			manager expect run 2
+			manager send pass 500
+			manager expect answer 2 late
+			manager send ask 3 hand-in k 500
+			manager send end 2 fine ok
+			manager expect answer 3 served ok
+			manager expect nothing`},
 	// The window counts from the arrival of the request that ran, not from its end.
 	"a key is remembered for its window and no longer": {1, `
-			core send ask 1 hand-in k
-			core expect run 1
-			core send end 1 fine ok
-			core expect answer 1 served ok
-			core send pass 13000
-			core send ask 2 hand-in k
-			core expect answer 2 served ok
-			core send pass 11000
-			core send ask 3 hand-in k
-			core expect run 3`},
+			manager send ask 1 hand-in k
+			manager expect run 1
+			manager send end 1 fine ok
+			manager expect answer 1 served ok
+			manager send pass 13000
+			manager send ask 2 hand-in k
+			manager expect answer 2 served ok
+			manager send pass 11000
+			manager send ask 3 hand-in k
+			manager expect run 3`},
 	"a failed run is remembered too": {1, `
-			core send ask 1 hand-in k
-			core expect run 1
-			core send ask 2 hand-in k
-			core send end 1 fault
-			core expect answer 2 failed
-			core expect answer 1 failed
-			core send ask 3 hand-in k
-			core expect answer 3 failed`},
+			manager send ask 1 hand-in k
+			manager expect run 1
+			manager send ask 2 hand-in k
+			manager send end 1 fault
+			manager expect answer 2 failed
+			manager expect answer 1 failed
+			manager send ask 3 hand-in k
+			manager expect answer 3 failed`},
 	"a late run still serves its duplicates": {1, `
-			core send ask 1 hand-in k
-			core expect run 1
-			core send gone 1
-			core send pass 2000
-			core send ask 2 hand-in k
-			core send end 1 fine ok
-			core expect answer 2 served ok`},
+			manager send ask 1 hand-in k
+			manager expect run 1
+			manager send gone 1
+			manager send pass 2000
+			manager send ask 2 hand-in k
+			manager send end 1 fine ok
+			manager expect answer 2 served ok`},
 	"an abandoned duplicate is not answered": {1, `
-			core send ask 1 hand-in k
-			core expect run 1
-			core send ask 2 hand-in k
-			core send gone 2
-			core send end 1 fine ok
-			core expect answer 1 served ok
-			core expect nothing`},
+			manager send ask 1 hand-in k
+			manager expect run 1
+			manager send ask 2 hand-in k
+			manager send gone 2
+			manager send end 1 fine ok
+			manager expect answer 1 served ok
+			manager expect nothing`},
 	"a key whose run never began may be used again": {1, `
-			core send ask 1 hand-in k
-			core expect run 1
-			core send ask 2 hand-in k
-			core send end 1 refused
-			core expect answer 2 refused
-			core expect answer 1 refused
-			core send ask 3 hand-in k
-			core expect run 3`},
+			manager send ask 1 hand-in k
+			manager expect run 1
+			manager send ask 2 hand-in k
+			manager send end 1 refused
+			manager expect answer 2 refused
+			manager expect answer 1 refused
+			manager send ask 3 hand-in k
+			manager expect run 3`},
 	"an interrupted attempt is retried only if it is idempotent": {3, `
-			core send ask 1 hand-in k
-			core expect run 1
-			core send end 1 refused
-			core expect run 1
-			core send end 1 broken
-			core expect answer 1 failed
-			core send ask 2 check
-			core expect run 2
-			core send end 2 broken
-			core expect run 2
-			core send end 2 broken
-			core expect run 2
-			core send end 2 broken
-			core expect answer 2 failed
-			core expect nothing`},
+			manager send ask 1 hand-in k
+			manager expect run 1
+			manager send end 1 refused
+			manager expect run 1
+			manager send end 1 broken
+			manager expect answer 1 failed
+			manager send ask 2 check
+			manager expect run 2
+			manager send end 2 broken
+			manager expect run 2
+			manager send end 2 broken
+			manager expect run 2
+			manager send end 2 broken
+			manager expect answer 2 failed
+			manager expect nothing`},
 	"a call is cancelled with its request": {1, `
-			core send ask 1 check
-			core expect run 1
-			core send need 1
-			core expect call 1
-			core send gone 1
-			core expect give-up 1
-			core send called 1 fine
-			core send end 1 stopped
-			core expect nothing`},
+			manager send ask 1 check
+			manager expect run 1
+			manager send need 1
+			manager expect call 1
+			manager send gone 1
+			manager expect give-up 1
+			manager send called 1 fine
+			manager send end 1 stopped
+			manager expect nothing`},
 	"a request that arrives late in a drain is rejected": {1, `
-			core send ask 1 check
-			core expect run 1
-			core send drain 3200
-			core send pass 1700
-			core send ask 2 check
-			core expect run 2
-			core send pass 200
-			core send ask 3 check
-			core expect answer 3 refused
-			core send end 2 fine ok
-			core expect answer 2 served ok
-			core send pass 1100
-			core expect answer 1 late
-			core expect nothing`},
+			manager send ask 1 check
+			manager expect run 1
+			manager send drain 3200
+			manager send pass 1700
+			manager send ask 2 check
+			manager expect run 2
+			manager send pass 200
+			manager send ask 3 check
+			manager expect answer 3 refused
+			manager send end 2 fine ok
+			manager expect answer 2 served ok
+			manager send pass 1100
+			manager expect answer 1 late
+			manager expect nothing`},
 }
 
 func TestRequestsAreAnsweredOnce(t *testing.T) {
 	for name, s := range requestsAreAnsweredOnceCases {
 		t.Run(name, func(t *testing.T) {
-			c := newTestManager(t, s.tries)
-			scenario.Play(t, s.script, map[string]scenario.Actor{"core": c})
+			c := newTestManager(t, s.maxAttempts)
+			scenario.Play(t, s.script, map[string]scenario.Actor{"manager": c})
 			open := 0
 			for _, r := range c.requests {
 				if !r.answered {
@@ -217,28 +217,28 @@
 		t.Run(name, func(t *testing.T) {
 			c := newTestManagerWith(t, change)
 			scenario.Play(t, `
-				core send ask 1 check
-				core send ask 2 hand-in k
-				core expect run 1
-				core expect run 2
-				core send need 1
-				core expect call 1
-				core send called 1 fault
-				core send pass 60
-				core expect call 1
-				core send called 1 fine
-				core send end 1 fine one
-				core expect answer 1 served one
-				core send ask 3 hand-in k
-				core send end 2 fine two
-				core expect answer 3 served two
-				core expect answer 2 served two
-				core send ask 4 check
-				core expect run 4
-				core send pass 3000
-				core expect answer 4 late
-				core send end 4 fine ok
-				core expect nothing`, map[string]scenario.Actor{"core": c})
+				manager send ask 1 check
+				manager send ask 2 hand-in k
+				manager expect run 1
+				manager expect run 2
+				manager send need 1
+				manager expect call 1
+				manager send called 1 fault
+				manager send pass 60
+				manager expect call 1
+				manager send called 1 fine
+				manager send end 1 fine one
+				manager expect answer 1 served one
+				manager send ask 3 hand-in k
+				manager send end 2 fine two
+				manager expect answer 3 served two
+				manager expect answer 2 served two
+				manager send ask 4 check
+				manager expect run 4
+				manager send pass 3000
+				manager expect answer 4 late
+				manager send end 4 fine ok
+				manager expect nothing`, map[string]scenario.Actor{"manager": c})
 		})
 	}
 }
@@ -258,11 +258,11 @@
 		}
 	}
 	served, failed, doubt := key("hand-in", "served"), key("hand-in", "failed"), key("hand-in", "doubt")
-	served.Ended, served.Result = true, &Result{Status: 200, Body: []byte("kept")}
+	served.Ended, served.Result = true, &Result{Status: 200, Body: []byte("cached")}
 	failed.Ended, failed.Status = true, Expired
-	stranger := key("hand-in", "x")
-	stranger.Tenant = "nobody"
-	stored := []KeyRecord{served, failed, doubt, key("gone", "x"), stranger, key("hand-in", "fourth")}
+	unknownTenant := key("hand-in", "x")
+	unknownTenant.Tenant = "nobody"
+	stored := []KeyRecord{served, failed, doubt, key("gone", "x"), unknownTenant, key("hand-in", "fourth")}
 	if unknown := c.Restore(stored); unknown != 2 {
 		t.Errorf("%d are unknown", unknown)
 	}
@@ -284,7 +284,7 @@
 			},
 		)
 		if got.Status != want.kind || got.Reason != want.reason ||
-			got.Status == Served && string(got.Result.Body) != "kept" {
+			got.Status == Served && string(got.Result.Body) != "cached" {
 			t.Errorf("%s: %+v", want.key, got)
 		}
 	}
@@ -293,12 +293,12 @@
 // The timers of the server and of the frontend are set to one time: whichever fires first, the cause is
 // the same.
 func TestFrontendDeadlineIsCauseOfTimeout(t *testing.T) {
-	for _, script := range []string{"core send pass 500", "core send end 1 out-of-time"} {
+	for _, script := range []string{"manager send pass 500", "manager send end 1 out-of-time"} {
 		c := newTestManager(t, 1)
 		scenario.Play(
 			t,
-			"core send ask 1 check - 500\ncore expect run 1\n"+script+"\ncore expect answer 1 late",
-			map[string]scenario.Actor{"core": c},
+			"manager send ask 1 check - 500\nmanager expect run 1\n"+script+"\nmanager expect answer 1 late",
+			map[string]scenario.Actor{"manager": c},
 		)
 		if len(c.traces) != 1 || c.traces[0].Cause != CauseDeadline ||
 			c.traces[0].Attempts[0].Outcome != TimedOut {
@@ -312,8 +312,8 @@
 	c := newTestManager(t, 1)
 	scenario.Play(
 		t,
-		"core send drain 5000\ncore send pass 1900\ncore send ask 1 check\ncore expect answer 1 refused",
-		map[string]scenario.Actor{"core": c},
+		"manager send drain 5000\nmanager send pass 1900\nmanager send ask 1 check\nmanager expect answer 1 refused",
+		map[string]scenario.Actor{"manager": c},
 	)
 	if len(c.traces) != 1 || c.traces[0].Cause != Cause(admission.CauseDraining) ||
 		c.traces[0].Value <= c.traces[0].Limit {
--- a/internal/lifecycle/replication_test.go
+++ b/internal/lifecycle/replication_test.go
@@ -35,53 +35,53 @@
 func TestResultWaitsForItsReplicas(t *testing.T) {
 	for name, script := range map[string]string{
 		"confirmed after the store's timeout": `
-			core send ask 1 hand-in k1
-			core expect run 1
-			core send end 1 fine result
-			core send pass 1500
-			core expect nothing
-			core send confirm
-			core expect answer 1 served result`,
+			manager send ask 1 hand-in k1
+			manager expect run 1
+			manager send end 1 fine result
+			manager send pass 1500
+			manager expect nothing
+			manager send confirm
+			manager expect answer 1 served result`,
 		"not confirmed in time, and then for a duplicate": `
-			core send ask 1 hand-in k1
-			core expect run 1
-			core send end 1 fine result
-			core send pass 2000
-			core send ask 2 hand-in k1
-			core expect nothing
-			core send pass 470
-			core expect answer 1 late
-			core send confirm
-			core expect answer 2 served result
-			core send ask 3 hand-in k1
-			core expect answer 3 served result`,
+			manager send ask 1 hand-in k1
+			manager expect run 1
+			manager send end 1 fine result
+			manager send pass 2000
+			manager send ask 2 hand-in k1
+			manager expect nothing
+			manager send pass 470
+			manager expect answer 1 late
+			manager send confirm
+			manager expect answer 2 served result
+			manager send ask 3 hand-in k1
+			manager expect answer 3 served result`,
 		"a drain begins before it is confirmed": `
-			core send ask 1 hand-in k1
-			core expect run 1
-			core send end 1 fine result
-			core send drain 1000
-			core send pass 690
-			core expect nothing
-			core send pass 20
-			core expect answer 1 late`,
+			manager send ask 1 hand-in k1
+			manager expect run 1
+			manager send end 1 fine result
+			manager send drain 1000
+			manager send pass 690
+			manager expect nothing
+			manager send pass 20
+			manager expect answer 1 late`,
 		"its run ends in a drain": `
-			core send ask 1 hand-in k1
-			core expect run 1
-			core send drain 1000
-			core send end 1 fine result
-			core send pass 710
-			core expect answer 1 late`,
+			manager send ask 1 hand-in k1
+			manager expect run 1
+			manager send drain 1000
+			manager send end 1 fine result
+			manager send pass 710
+			manager expect answer 1 late`,
 		"a failure waits for the store's timeout alone": `
-			core send ask 1 hand-in k1
-			core expect run 1
-			core send end 1 fault
-			core send pass 510
-			core expect answer 1 failed`,
+			manager send ask 1 hand-in k1
+			manager expect run 1
+			manager send end 1 fault
+			manager send pass 510
+			manager expect answer 1 failed`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &testReplicas{testManager: newTestManager(t, 1)}
 			p.env.KeyStore = p
-			scenario.Play(t, script, map[string]scenario.Actor{"core": p})
+			scenario.Play(t, script, map[string]scenario.Actor{"manager": p})
 		})
 	}
 }
--- a/internal/lifecycle/restore.go
+++ b/internal/lifecycle/restore.go
@@ -43,7 +43,7 @@
 	}
 	stats := &m.stats[q.Class]
 	stats.Read++
-	stats.Repeats++
+	stats.Duplicates++
 	stats.countAnswer(answer.Status)
 	if trace := m.newTrace(q); trace != nil {
 		trace.OriginalID = entry.originalID
--- a/internal/lifecycle/stats.go
+++ b/internal/lifecycle/stats.go
@@ -6,16 +6,16 @@
 // or is open: Read = Served + Rejected + Failed + Expired + Conflicts + Abandoned + Withdrawn + open
 // requests.
 type Stats struct {
-	Read      int64 `json:"Read"`
-	Served    int64 `json:"Served"`
-	Rejected  int64 `json:"Refused"`
-	Failed    int64 `json:"Failed"`
-	Expired   int64 `json:"Late"`
-	Abandoned int64 `json:"Gone"`      // their callers were gone
-	Withdrawn int64 `json:"Withdrawn"` // withdrawn by their callers
-	Attempts  int64 `json:"Started"`   // attempts passed to runners
-	Repeats   int64 `json:"Repeats"`   // of those read, the duplicates
-	Conflicts int64 `json:"Misused"`
+	Read       int64 `json:"Read"`
+	Served     int64 `json:"Served"`
+	Rejected   int64 `json:"Refused"`
+	Failed     int64 `json:"Failed"`
+	Expired    int64 `json:"Late"`
+	Abandoned  int64 `json:"Gone"`      // their callers were gone
+	Withdrawn  int64 `json:"Withdrawn"` // withdrawn by their callers
+	Attempts   int64 `json:"Started"`   // attempts passed to runners
+	Duplicates int64 `json:"Repeats"`   // of those read, the duplicates
+	Conflicts  int64 `json:"Misused"`
 }
 
 // countAnswer counts the final answer to a request.
@@ -46,7 +46,7 @@
 	s.Abandoned += o.Abandoned
 	s.Withdrawn += o.Withdrawn
 	s.Attempts += o.Attempts
-	s.Repeats += o.Repeats
+	s.Duplicates += o.Duplicates
 	s.Conflicts += o.Conflicts
 }
 
@@ -61,7 +61,7 @@
 		slog.Int64("gone", s.Abandoned),
 		slog.Int64("withdrawn", s.Withdrawn),
 		slog.Int64("started", s.Attempts),
-		slog.Int64("repeats", s.Repeats),
+		slog.Int64("repeats", s.Duplicates),
 		slog.Int64("misused", s.Conflicts),
 	)
 }
--- a/internal/lifecycle/stats_test.go
+++ b/internal/lifecycle/stats_test.go
@@ -142,16 +142,16 @@
 		sum.add(s)
 	}
 	want := Stats{
-		Read:      c.submitted,
-		Served:    c.answers["served"],
-		Rejected:  c.answers["refused"],
-		Failed:    c.answers["failed"],
-		Expired:   c.answers["late"],
-		Conflicts: c.answers["conflict"],
-		Abandoned: c.abandoned,
-		Withdrawn: c.withdrawn,
-		Attempts:  sum.Attempts,
-		Repeats:   sum.Repeats,
+		Read:       c.submitted,
+		Served:     c.answers["served"],
+		Rejected:   c.answers["refused"],
+		Failed:     c.answers["failed"],
+		Expired:    c.answers["late"],
+		Conflicts:  c.answers["conflict"],
+		Abandoned:  c.abandoned,
+		Withdrawn:  c.withdrawn,
+		Attempts:   sum.Attempts,
+		Duplicates: sum.Duplicates,
 	}
 	if diff := cmp.Diff(want, c.Stats()); diff != "" {
 		c.t.Fatalf("(-want +got)\n%s", diff)
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -74,7 +74,7 @@
 	if r.trace != nil {
 		r.trace.OriginalID = r.keyEntry.originalID
 	}
-	m.stats[r.Class].Repeats++
+	m.stats[r.Class].Duplicates++
 	return false
 }
 
@@ -133,7 +133,7 @@
 	m.unloggedRejections, m.rejectionLoggedAt = 0, now
 }
 
-// answerConflict answers a request that is not accepted. The decision module does not hear of it.
+// answerConflict answers a request that is not accepted. The decision module is not involved.
 func (m *Manager) answerConflict(q *Request, reason Reason) Ticket {
 	m.stats[q.Class].Read++
 	m.stats[q.Class].countAnswer(Conflict)
