--- a/internal/app/statistics.go
+++ b/internal/app/statistics.go
@@ -11,7 +11,7 @@
 	ReloadsRejected int64            `json:"cfg_invalid"`
 }
 
-// Statistics implements admin.Program.
+// Statistics implements admin.StatusSource.
 func (p *Program) Statistics() any {
 	s := Statistics{
 		Served:          map[string]int64{},
@@ -30,7 +30,7 @@
 	return s
 }
 
-// Ready implements admin.Program.
+// Ready implements admin.StatusSource.
 func (p *Program) Ready() (reason string, ok bool) {
 	switch {
 	case p.state.draining:
