--- a/internal/ci/codeindex_test.go
+++ b/internal/ci/codeindex_test.go
@@ -8,11 +8,15 @@
 	"maps"
 	"path/filepath"
 	"reflect"
+	"regexp"
 	"strconv"
 	"strings"
 	"testing"
 )
 
+// majorVersion is the last part of an import path that names a version.
+var majorVersion = regexp.MustCompile(`^v\d+$`)
+
 // nameSet is a set of names.
 type nameSet map[string]bool
 
@@ -23,6 +27,7 @@
 	types    map[string]nameSet // names of the packages that declare a type of that name
 	strings  nameSet            // string literals outside tests: log events, kinds of errors, paths of settings
 	keys     nameSet            // keys of YAML and JSON, by the tags of fields
+	imports  nameSet            // names of imported packages, by their paths
 	files    nameSet            // base names of Go files
 }
 
@@ -41,6 +46,7 @@
 		types:    map[string]nameSet{},
 		strings:  nameSet{},
 		keys:     nameSet{},
+		imports:  nameSet{},
 		files:    nameSet{},
 	}
 	folders := map[string]*folder{}
@@ -65,6 +71,7 @@
 		f.packageName = strings.TrimSuffix(file.Name.Name, "_test")
 		f.addDeclarations(file)
 		index.files[entry.Name()] = true
+		index.addImports(file)
 		if !strings.HasSuffix(path, "_test.go") {
 			index.addStrings(file)
 		}
@@ -88,6 +95,21 @@
 	maps.Copy(index.declared, f.names)
 }
 
+// addImports adds the names of the packages that a file imports.
+func (index *codeIndex) addImports(file *ast.File) {
+	for _, spec := range file.Imports {
+		path, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			continue
+		}
+		name := path[strings.LastIndex(path, "/")+1:]
+		if majorVersion.MatchString(name) {
+			name = filepath.Base(filepath.Dir(path))
+		}
+		index.imports[name] = true
+	}
+}
+
 // addStrings adds the string literals of a file, and the keys in the tags of fields.
 func (index *codeIndex) addStrings(file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
--- a/internal/ci/references_test.go
+++ b/internal/ci/references_test.go
@@ -14,6 +14,7 @@
 	testName      = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
 	sourcePath    = regexp.MustCompile(`^(?:internal|cmd)/[\w./*{},-]+$`)
 	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)+$`)
+	exportedName  = regexp.MustCompile(`^[a-z][a-z0-9]*\.[A-Z]`)
 	alternatives  = regexp.MustCompile(`^(.*)\{([^}]*)\}(.*)$`)
 	formerNameRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| `[^`]+` \\|$")
 )
@@ -60,6 +61,7 @@
 		"eventloop.Conn.noSuchMethod",
 		"store.nosuchkey",
 		"Controller.noSuchMethod",
+		"nosuchpackage.Clock",
 	} {
 		if _, err := checkReference(index, former, span); err == nil {
 			t.Errorf("%s is taken for a name that exists", span)
@@ -80,6 +82,29 @@
 	}
 }
 
+// The page on races names code that exists in the column of where each is decided, also without a package.
+func TestRacesNameTheCodeThatDecides(t *testing.T) {
+	const column = 5
+	index := newCodeIndex(t)
+	found := 0
+	for line := range strings.Lines(readPage(t, filepath.Join(root, "docs", "crossings.md"))) {
+		cells := strings.Split(line, "|")
+		if len(cells) <= column {
+			continue
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(cells[column], -1) {
+			parts := strings.Split(span[1], ".")
+			name := parts[len(parts)-1]
+			if found++; !index.declared[name] && len(index.packages[name]) == 0 {
+				t.Errorf("crossings.md names %s, which does not exist", span[1])
+			}
+		}
+	}
+	if found < 60 {
+		t.Errorf("crossings.md names code %d times: the check does not read it", found)
+	}
+}
+
 // checkReference returns an error if a text in code style names a test, a path or a declaration that does
 // not exist. isReference is false for other texts.
 func checkReference(index *codeIndex, former nameSet, span string) (isReference bool, err error) {
@@ -120,6 +145,9 @@
 	parts := strings.Split(name, ".")
 	scope := index.scope(parts[0])
 	if len(scope) == 0 {
+		if exportedName.MatchString(name) && !index.imports[parts[0]] {
+			return true, fmt.Errorf("%s: there is no package %s", name, parts[0])
+		}
 		return false, nil
 	}
 	if index.files[name] || index.strings[name] || index.isKeyPath(parts) || former[name] {
