--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -161,8 +161,8 @@
 }
 
 // peerEnded handles the end of the peer's input. A client that only stopped sending still gets the
-// queued output: its end may be read in the same turn in which its response was written, before that
-// was flushed. A server that ends has nothing more to wait for.
+// queued output: its end may be read in the same turn in which its response was written, before
+// that was flushed. A server that ends has nothing more to wait for.
 func (c *Conn) peerEnded() {
 	c.peerClosed = true
 	wanted := !c.closing && c.handler.End()
@@ -217,7 +217,8 @@
 // QueuedBytes returns the size of the output that the peer has not taken yet.
 func (c *Conn) QueuedBytes() int { return len(c.out) }
 
-// Flush sends the queued output as far as the peer takes it, without waiting for the end of the turn.
+// Flush sends the queued output as far as the peer takes it, without waiting for the end of the
+// turn.
 func (c *Conn) Flush() { c.flush() }
 
 // OnFlushed sets fn to be called whenever the peer has taken queued output. fn must not write.
@@ -252,7 +253,8 @@
 // RemoteAddr returns the address dialled or accepted from. It is not valid for a unix socket.
 func (c *Conn) RemoteAddr() netip.AddrPort { return c.remote }
 
-// PeerUID returns the user of the process that connected to a unix socket; false if it is not known.
+// PeerUID returns the user of the process that connected to a unix socket; false if it is not
+// known.
 func (c *Conn) PeerUID() (uid int, ok bool) {
 	credentials, err := unix.GetsockoptUcred(c.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	if err != nil {
@@ -269,7 +271,8 @@
 	return c.loop.now - c.stalledSince
 }
 
-// IsConnecting reports whether a dialled connection is not established yet, so that nothing was sent.
+// IsConnecting reports whether a dialled connection is not established yet, so that nothing was
+// sent.
 func (c *Conn) IsConnecting() bool { return c.connecting && !c.closed }
 
 // IsClosed reports whether the descriptor was closed.
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -97,8 +97,8 @@
 	expect(t, s, scenario.ReadToEnd(c), string(large))
 }
 
-// A connection that is closed gracefully while it is paused reads the input that still comes: a close
-// with unread input would reset it, and the response would be lost.
+// A connection that is closed gracefully while it is paused reads the input that still comes: a
+// close with unread input would reset it, and the response would be lost.
 func TestGracefulCloseResumesPausedReading(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
@@ -143,8 +143,8 @@
 	}
 }
 
-// Connections in the queue for which there is no room are accepted as others close, and only then the
-// listener closes.
+// Connections in the queue for which there is no room are accepted as others close, and only then
+// the listener closes.
 func TestClosingListenerWaitsForRoom(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
@@ -172,8 +172,8 @@
 	}
 }
 
-// As the process ends its connections are closed at once: unread input must not reset one whose peer
-// has not read the response yet.
+// As the process ends its connections are closed at once: unread input must not reset one whose
+// peer has not read the response yet.
 func TestShutdownKeepsResponseBeforeUnreadInput(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -22,9 +22,9 @@
 	handshakeTime = 200 * time.Millisecond
 )
 
-// Listen accepts connections on addr; accept returns the handler of each. At most maxOpen are open at
-// once. The others wait in the system's queue, and onFull is called so that the owner can close an
-// idle connection to make room.
+// Listen accepts connections on addr; accept returns the handler of each. At most maxOpen are open
+// at once. The others wait in the system's queue, and onFull is called so that the owner can close
+// an idle connection to make room.
 func (l *Loop) Listen(
 	addr netip.AddrPort,
 	maxOpen int,
@@ -35,8 +35,8 @@
 	return l.ListenAddr(netaddr.Addr{IP: addr}, maxOpen, limits, accept, onFull)
 }
 
-// ListenShared is Listen on an address on which other processes of the same user may listen too. The
-// system spreads connections over all of them.
+// ListenShared is Listen on an address on which other processes of the same user may listen too.
+// The system spreads connections over all of them.
 func (l *Loop) ListenShared(
 	addr netip.AddrPort,
 	maxOpen int,
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// HandOver makes the system lead new connections to the process that began to listen after this one,
-// and closes the listener once the handshakes that it was led before are over: closing it at once
-// would reset them. If the system cannot do so, the listener closes at once.
+// HandOver makes the system lead new connections to the process that began to listen after this
+// one, and closes the listener once the handshakes that it was led before are over: closing it at
+// once would reset them. If the system cannot do so, the listener closes at once.
 func (ln *Listener) HandOver() {
 	if ln.fd < 0 {
 		return
@@ -184,10 +184,10 @@
 // IsListening reports whether it still accepts connections.
 func (ln *Listener) IsListening() bool { return ln.fd >= 0 }
 
-// CloseWhenAccepted closes the listener once all connections in the queue are accepted, at the latest
-// after within: to their peers they are established, and closing the listener would reset them.
-// Usually that is at once; if the limit of open connections is reached, those in the queue wait for
-// room.
+// CloseWhenAccepted closes the listener once all connections in the queue are accepted, at the
+// latest after within: to their peers they are established, and closing the listener would reset
+// them. Usually that is at once; if the limit of open connections is reached, those in the queue
+// wait for room.
 func (ln *Listener) CloseWhenAccepted(within time.Duration) {
 	if ln.fd < 0 || ln.draining {
 		return
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package eventloop implements the program's single-threaded event loop on epoll: timers, a clock that
-// is read once a turn, stream connections with bounded buffers, listeners, and signals. All callbacks
-// run on the goroutine that calls Run; other goroutines enter through Deliver.
+// Package eventloop implements the program's single-threaded event loop on epoll: timers, a clock
+// that is read once a turn, stream connections with bounded buffers, listeners, and signals. All
+// callbacks run on the goroutine that calls Run; other goroutines enter through Deliver.
 package eventloop
 
 import (
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// Turn waits until a descriptor is ready or the next timer is due. It fires the timers that are due,
-// then serves the descriptors, and flushes the output of both at the end.
+// Turn waits until a descriptor is ready or the next timer is due. It fires the timers that are
+// due, then serves the descriptors, and flushes the output of both at the end.
 func (l *Loop) Turn() error {
 	l.settle()
 	n, err := unix.EpollWait(l.epollFD, l.events[:], l.pollTimeout())
@@ -225,9 +225,9 @@
 	_ = unix.Close(fd) // also removes it from epoll; an error leaves nothing to do
 }
 
-// Signals calls fn on the loop for each of the signals. Signals of one kind that come together count
-// once, so that a flood of one neither blocks nor displaces another. They are caught from this call
-// on until the program ends.
+// Signals calls fn on the loop for each of the signals. Signals of one kind that come together
+// count once, so that a flood of one neither blocks nor displaces another. They are caught from
+// this call on until the program ends.
 func (l *Loop) Signals(fn func(os.Signal), signals ...os.Signal) {
 	for _, s := range signals {
 		ch := make(chan os.Signal, 1)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// An accept that fails for lack of descriptors leaves the listener readable: the loop must pause, not
-// spin on it.
+// An accept that fails for lack of descriptors leaves the listener readable: the loop must pause,
+// not spin on it.
 func TestAcceptPausesWithoutDescriptors(t *testing.T) {
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
@@ -199,7 +199,8 @@
 	}
 }
 
-// handOver is a test in which two listeners share an address and the first hands over to the second.
+// handOver is a test in which two listeners share an address and the first hands over to the
+// second.
 type handOver struct {
 	t          *testing.T
 	loop       *Loop
@@ -230,7 +231,8 @@
 	}
 }
 
-// connect dials the address count times, one after the other, and hands over after a quarter of them.
+// connect dials the address count times, one after the other, and hands over after a quarter of
+// them.
 func (h *handOver) connect(addr netip.AddrPort, count int, failed chan<- error) {
 	for n := range count {
 		failed <- echo(addr)
--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -16,9 +16,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// machine is a machine whose disk crashes, on which one process of the program follows another, with
-// clients that repeat their requests through all of them. It also is the checker: what ran and who got
-// which answer is recorded here, outside the processes.
+// machine is a machine whose disk crashes, on which one process of the program follows another,
+// with clients that repeat their requests through all of them. It also is the checker: what ran and
+// who got which answer is recorded here, outside the processes.
 type machine struct {
 	t            *testing.T
 	seed         uint64
@@ -148,8 +148,8 @@
 	})
 }
 
-// The methods of lifecycle.KeyStore: a commit takes a while, and records that come meanwhile wait for
-// the next one.
+// The methods of lifecycle.KeyStore: a commit takes a while, and records that come meanwhile wait
+// for the next one.
 
 func (p *process) Unavailable() (time.Duration, string) {
 	if p.journal.IsDown() {
@@ -333,7 +333,8 @@
 	}
 }
 
-// play plays forty requests in some seconds, with crashes at steps of the disk that the seed chooses.
+// play plays forty requests in some seconds, with crashes at steps of the disk that the seed
+// chooses.
 func play(t *testing.T, seed uint64, mode store.SyncMode, fail bool) *machine {
 	m := &machine{
 		t:       t,
@@ -370,8 +371,8 @@
 	return m
 }
 
-// Over many plays with a crash at each step of the disk, which loses, tears and reorders what was not
-// synced and fails by chance, no key runs twice, and no client gets the result of another key.
+// Over many plays with a crash at each step of the disk, which loses, tears and reorders what was
+// not synced and fails by chance, no key runs twice, and no client gets the result of another key.
 func TestNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	runs := 1500
 	if testing.Short() {
@@ -406,8 +407,8 @@
 	}
 }
 
-// While the disk hangs, and in a drain meanwhile, each request gets its answer in time, and nothing runs
-// whose start is not durable.
+// While the disk hangs, and in a drain meanwhile, each request gets its answer in time, and nothing
+// runs whose start is not durable.
 func TestDrainWithHangingDiskAnswersInTime(t *testing.T) {
 	m := &machine{
 		t:       t,
--- a/internal/idempotency/persistence/health.go
+++ b/internal/idempotency/persistence/health.go
@@ -12,8 +12,8 @@
 	downRetryAfter = time.Second
 )
 
-// health decides whether new keys can be accepted, from the records that wait for the disk. It does no
-// I/O.
+// health decides whether new keys can be accepted, from the records that wait for the disk. It does
+// no I/O.
 type health struct {
 	stallTimeout time.Duration   // a disk that does not confirm a record for so long is stalled
 	restoring    bool            // the keys are being restored
--- a/internal/idempotency/persistence/key_store.go
+++ b/internal/idempotency/persistence/key_store.go
@@ -1,6 +1,6 @@
 // Package persistence implements lifecycle.KeyStore on the store of package store: it converts
-// idempotency keys to records and back, restores them at the start, and decides when the disk is too
-// unhealthy for new keys.
+// idempotency keys to records and back, restores them at the start, and decides when the disk is
+// too unhealthy for new keys.
 package persistence
 
 import (
@@ -68,8 +68,8 @@
 	opened chan *store.Store // receives the store once it is read; nil: that failed
 }
 
-// Open locks a folder. It fails with store.ErrLocked if another process uses it. The caller must call
-// Restore, and Close at the end.
+// Open locks a folder. It fails with store.ErrLocked if another process uses it. The caller must
+// call Restore, and Close at the end.
 func Open(loop Loop, fsys store.FS, config Config) (*KeyStore, error) {
 	unlock, err := fsys.Lock()
 	if err != nil {
@@ -85,9 +85,9 @@
 	}, nil
 }
 
-// Restore reads the folder beside the loop and passes the keys to restore, on the loop and in batches;
-// restore returns how many of them are of unknown classes or tenants. No new keys are accepted until
-// that is done. If the folder cannot be read, failed is called on the loop.
+// Restore reads the folder beside the loop and passes the keys to restore, on the loop and in
+// batches; restore returns how many of them are of unknown classes or tenants. No new keys are
+// accepted until that is done. If the folder cannot be read, failed is called on the loop.
 func (k *KeyStore) Restore(restore func([]lifecycle.KeyRecord) (unknown int), failed func(error)) {
 	go func() {
 		began := time.Now()
@@ -114,8 +114,8 @@
 	}()
 }
 
-// reportRecovery logs what was found. After a repair no new keys are accepted for a window: what was
-// lost may be of keys that have not expired.
+// reportRecovery logs what was found. After a repair no new keys are accepted for a window: what
+// was lost may be of keys that have not expired.
 func (k *KeyStore) reportRecovery(recovery *store.Recovery, unknown int, elapsed time.Duration) {
 	inDoubt := 0
 	for _, key := range recovery.Keys {
@@ -184,8 +184,8 @@
 	})
 }
 
-// Close writes the queued records and unlocks the folder. It blocks for up to closeTimeout, and returns
-// an error if the disk does not answer by then.
+// Close writes the queued records and unlocks the folder. It blocks for up to closeTimeout, and
+// returns an error if the disk does not answer by then.
 func (k *KeyStore) Close() error {
 	select {
 	case opened := <-k.opened:
--- a/internal/idempotency/persistence/records.go
+++ b/internal/idempotency/persistence/records.go
@@ -46,8 +46,8 @@
 	)
 }
 
-// keyRecord converts a stored key. The end of a run without a result and with a status that is not one
-// of a failure, as another version may have written it, counts as failed.
+// keyRecord converts a stored key. The end of a run without a result and with a status that is not
+// one of a failure, as another version may have written it, counts as failed.
 func keyRecord(key *store.Key) lifecycle.KeyRecord {
 	k := lifecycle.KeyRecord{
 		Class:     key.Name.Class,
--- a/internal/idempotency/reservation/coordinator.go
+++ b/internal/idempotency/reservation/coordinator.go
@@ -1,9 +1,10 @@
-// Package reservation decides among the processes of one runner which of them runs an idempotency key.
-// A new process is started beside the one that it replaces; they share only a folder and the kernel.
-// Each appends its reservations to a log of its own, and holds a kernel lock on a file of its own as
-// long as it lives. A reservation is made under a lock that all share: the process reads what the
-// others have written, and then, unless one of them has the key, writes the reservation. Records
-// carry checksums: one that its writer was killed over is not read, and its run never began.
+// Package reservation decides among the processes of one runner which of them runs an idempotency
+// key. A new process is started beside the one that it replaces; they share only a folder and the
+// kernel. Each appends its reservations to a log of its own, and holds a kernel lock on a file of
+// its own as long as it lives. A reservation is made under a lock that all share: the process reads
+// what the others have written, and then, unless one of them has the key, writes the reservation.
+// Records carry checksums: one that its writer was killed over is not read, and its run never
+// began.
 package reservation
 
 import (
@@ -57,8 +58,8 @@
 	// ApplyRemote takes what another process has written about a key. With released, the run never
 	// began.
 	ApplyRemote(k lifecycle.KeyRecord, released bool)
-	// OwnerDied reports that the process of an incarnation has exited. Its runs whose end it has not
-	// written may have run.
+	// OwnerDied reports that the process of an incarnation has exited. Its runs whose end it has
+	// not written may have run.
 	OwnerDied(incarnation uint32)
 	// EachOwned calls fn for each key whose run this process has begun and that has not expired.
 	EachOwned(fn func(lifecycle.KeyRecord))
@@ -79,8 +80,8 @@
 	After              func(d time.Duration, fn func()) // the loop's timer
 }
 
-// Coordinator holds the reservations of one process, and reads those of the others. It owns its files.
-// Its methods are called on the loop.
+// Coordinator holds the reservations of one process, and reads those of the others. It owns its
+// files. Its methods are called on the loop.
 type Coordinator struct {
 	clock     Clock
 	config    Config
@@ -187,9 +188,9 @@
 }
 
 // Reserve reserves a key for a run that is about to begin. Under the shared lock, after it has read
-// what others have written, it asks free whether the key is still available. It calls done once, now or
-// later: mine reports whether the key is reserved. After an error that is not known, and nothing
-// may run. within bounds the wait for the lock.
+// what others have written, it asks free whether the key is still available. It calls done once,
+// now or later: mine reports whether the key is reserved. After an error that is not known, and
+// nothing may run. within bounds the wait for the lock.
 func (c *Coordinator) Reserve(
 	k lifecycle.KeyRecord,
 	within time.Duration,
@@ -233,9 +234,9 @@
 	return mine, err
 }
 
-// compactIfLarge compacts the log. It is called before a reservation is written, as the table does not
-// hold that yet. A disk without room for another log is no reason to reject the run: the log may stay
-// as large as it is.
+// compactIfLarge compacts the log. It is called before a reservation is written, as the table does
+// not hold that yet. A disk without room for another log is no reason to reject the run: the log
+// may stay as large as it is.
 func (c *Coordinator) compactIfLarge() {
 	if c.size <= c.compactBytes {
 		return
--- a/internal/idempotency/reservation/coordinator_test.go
+++ b/internal/idempotency/reservation/coordinator_test.go
@@ -15,8 +15,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// process is one of several processes of one runner, with a clock of the test. Its table records what
-// it is called with.
+// process is one of several processes of one runner, with a clock of the test. Its table records
+// what it is called with.
 type process struct {
 	t                testing.TB
 	now              time.Duration
@@ -221,8 +221,8 @@
 	}
 }
 
-// A process that is stopped while it holds the lock makes the reservations of others fail, and does not
-// block their loops.
+// A process that is stopped while it holds the lock makes the reservations of others fail, and does
+// not block their loops.
 func TestHeldLockRejectsReservation(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
@@ -295,8 +295,8 @@
 	}
 }
 
-// A process that is alone goes on when its disk takes nothing. A process that comes knows that it does
-// not know what ran, until that is written.
+// A process that is alone goes on when its disk takes nothing. A process that comes knows that it
+// does not know what ran, until that is written.
 func TestProcessAloneGoesOnWithoutRoom(t *testing.T) {
 	dir := t.TempDir()
 	one := start(t, dir, 1)
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -49,8 +49,8 @@
 	return uint32(number), generation, err == nil
 }
 
-// readEpoch reads the number that grows whenever a log appears. It is kept in the file of the shared
-// lock.
+// readEpoch reads the number that grows whenever a log appears. It is kept in the file of the
+// shared lock.
 func (c *Coordinator) readEpoch() uint64 {
 	var b [8]byte
 	_, _ = unix.Pread(int(c.lock.Fd()), b[:], 0) // zero if it was never written
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// encodeLog returns the content of a new log. It has at least one record: an empty log is one that is
-// incomplete.
+// encodeLog returns the content of a new log. It has at least one record: an empty log is one that
+// is incomplete.
 func (c *Coordinator) encodeLog(eachOwned func(func(lifecycle.KeyRecord))) ([]byte, error) {
 	content, err := store.AppendFrame(nil, &store.Record{Kind: store.EndOfSnapshot})
 	if eachOwned == nil {
--- a/internal/idempotency/reservation/poll.go
+++ b/internal/idempotency/reservation/poll.go
@@ -145,8 +145,8 @@
 
 func formatIncarnation(incarnation uint32) string { return fmt.Sprintf("%08x", incarnation) }
 
-// sweep removes the files of exited processes whose keys have all expired. The caller holds the shared
-// lock.
+// sweep removes the files of exited processes whose keys have all expired. The caller holds the
+// shared lock.
 func (c *Coordinator) sweep() {
 	expired := time.Now().Add(-c.config.Window)
 	for incarnation, p := range c.processes {
@@ -157,7 +157,8 @@
 		p.close()
 		delete(c.processes, incarnation)
 		os.Remove(p.log.Name())
-		os.Remove(c.logName(incarnation, p.generation+1) + newLogSuffix) // if it was killed while compacting
+		// if it was killed while compacting
+		os.Remove(c.logName(incarnation, p.generation+1) + newLogSuffix)
 		os.Remove(c.aliveName(incarnation))
 	}
 }
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkRecovery measures opening a journal with that many keys: reading it, writing a snapshot and
-// creating a segment.
+// BenchmarkRecovery measures opening a journal with that many keys: reading it, writing a snapshot
+// and creating a segment.
 func BenchmarkRecovery(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 10)
 	for _, n := range []int{1_000, 10_000, 100_000} {
--- a/internal/idempotency/store/frame.go
+++ b/internal/idempotency/store/frame.go
@@ -10,8 +10,8 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// A frame is a magic number, the length of the record, its checksum, and the encoded record. Numbers
-// are little-endian and have four bytes.
+// A frame is a magic number, the length of the record, its checksum, and the encoded record.
+// Numbers are little-endian and have four bytes.
 const (
 	frameMagic       = 0x52594531 // "RYE1"
 	frameHeaderSize  = 12
--- a/internal/idempotency/store/header.go
+++ b/internal/idempotency/store/header.go
@@ -5,8 +5,8 @@
 // A file begins with a header: a magic text, the format and the number of the file.
 const (
 	headerSize = 20
-	// Format is the format of the files that are written. Newer ones are rejected; fields that older
-	// ones lack are zero.
+	// Format is the format of the files that are written. Newer ones are rejected; fields that
+	// older ones lack are zero.
 	Format = 1
 )
 
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -45,8 +45,8 @@
 }
 
 // Reopen starts again at the start or after the disk failed, with a snapshot of all keys and a new
-// segment. What the end of the old segment holds is not known, so that nothing is ever appended to it,
-// and a sync that failed is not tried again.
+// segment. What the end of the old segment holds is not known, so that nothing is ever appended to
+// it, and a sync that failed is not tried again.
 func (j *Journal) Reopen(now wallclock.UnixMicro) error {
 	if j.file != nil {
 		_ = j.file.Close() // the snapshot replaces what it holds
--- a/internal/idempotency/store/librarybench/bench_test.go
+++ b/internal/idempotency/store/librarybench/bench_test.go
@@ -1,6 +1,6 @@
-// Package librarybench measures two libraries that keep keys and values on a disk, for comparison with
-// the journal of internal/idempotency/store (docs/design-store.md). It is a module of its own, so
-// that the program does not depend on them: run it in this folder.
+// Package librarybench measures two libraries that keep keys and values on a disk, for comparison
+// with the journal of internal/idempotency/store (docs/design-store.md). It is a module of its own,
+// so that the program does not depend on them: run it in this folder.
 package librarybench
 
 import (
--- a/internal/idempotency/store/scan.go
+++ b/internal/idempotency/store/scan.go
@@ -13,9 +13,9 @@
 	damage    []Damage
 }
 
-// scanSegment applies the records of a segment to a state. The end of a segment that may be torn can
-// be missing or incomplete after a crash, behind the last point that a mark confirms to be on the
-// disk. All else must be readable.
+// scanSegment applies the records of a segment to a state. The end of a segment that may be torn
+// can be missing or incomplete after a crash, behind the last point that a mark confirms to be on
+// the disk. All else must be readable.
 func scanSegment(name string, content []byte, number uint64, mayBeTorn bool, s *State) (segmentScan, error) {
 	var found segmentScan
 	size := int64(len(content))
--- a/internal/idempotency/store/snapshot.go
+++ b/internal/idempotency/store/snapshot.go
@@ -28,8 +28,8 @@
 	return j.BeginSnapshot(now)
 }
 
-// BeginSnapshot begins a snapshot whatever the size of the journal. It fails with ErrDown if the disk
-// failed.
+// BeginSnapshot begins a snapshot whatever the size of the journal. It fails with ErrDown if the
+// disk failed.
 func (j *Journal) BeginSnapshot(now wallclock.UnixMicro) (*Snapshot, error) {
 	if j.file == nil {
 		return nil, ErrDown
--- a/internal/idempotency/store/stall_faults.go
+++ b/internal/idempotency/store/stall_faults.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// stall simulates a disk that hangs: it blocks as long as a file named like the folder with the suffix
-// .hangs exists beside it.
+// stall simulates a disk that hangs: it blocks as long as a file named like the folder with the
+// suffix .hangs exists beside it.
 func (d Dir) stall() {
 	for {
 		if _, err := os.Stat(string(d) + ".hangs"); err != nil {
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -50,8 +50,8 @@
 // LiveBytes returns the estimated size of a snapshot, in bytes.
 func (s *State) LiveBytes() int64 { return s.liveBytes }
 
-// Apply applies a record. An end affects only the attempt that it names, not a later one of the same
-// key.
+// Apply applies a record. An end affects only the attempt that it names, not a later one of the
+// same key.
 func (s *State) Apply(r *Record) {
 	s.newestAt = max(s.newestAt, r.WrittenAt)
 	k := s.keys[r.Name]
@@ -103,8 +103,8 @@
 	s.liveBytes -= k.size
 }
 
-// Expire removes the keys that expired before a time and that ended; with startedToo also those whose
-// run has not ended, as of a process that is gone.
+// Expire removes the keys that expired before a time and that ended; with startedToo also those
+// whose run has not ended, as of a process that is gone.
 func (s *State) Expire(before wallclock.UnixMicro, startedToo bool) {
 	for _, k := range s.keys {
 		if k.ExpiresAt < before && (k.Ended || startedToo) {
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -70,9 +70,9 @@
 	err      error
 }
 
-// Open reads the files of a folder, which the caller has locked, and starts to accept records. Close
-// unlocks it, as does Open if it fails. Open blocks while it reads and must not be called on the
-// loop. deliver calls functions on the loop: the done functions of records, and onDiskState
+// Open reads the files of a folder, which the caller has locked, and starts to accept records.
+// Close unlocks it, as does Open if it fails. Open blocks while it reads and must not be called on
+// the loop. deliver calls functions on the loop: the done functions of records, and onDiskState
 // whenever the disk fails or recovers.
 func Open(
 	fsys FS,
@@ -106,8 +106,8 @@
 
 func (s *Store) reportDisk(down bool, err error) { s.deliver(func() { s.onDiskState(down, err) }) }
 
-// Put queues a record and returns at once. done is called on the loop once the record is kept as the
-// sync mode says, or with an error: ErrBusy if the queue is full or the store is closing.
+// Put queues a record and returns at once. done is called on the loop once the record is kept as
+// the sync mode says, or with an error: ErrBusy if the queue is full or the store is closing.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
 	full := len(s.queue) >= s.settings.MaxQueue && r.Kind == RunStarted || s.closing
@@ -130,8 +130,8 @@
 	}
 }
 
-// Close writes the queued records, closes the files and unlocks the folder. It returns an error if the
-// disk does not answer in time; the goroutine then goes on to close when it does.
+// Close writes the queued records, closes the files and unlocks the folder. It returns an error if
+// the disk does not answer in time; the goroutine then goes on to close when it does.
 func (s *Store) Close(timeout time.Duration) error {
 	s.mu.Lock()
 	s.closing = true
@@ -188,8 +188,8 @@
 	}
 }
 
-// commitQueued commits the queued records in batches until the queue is empty, and reports whether the
-// store is closing.
+// commitQueued commits the queued records in batches until the queue is empty, and reports whether
+// the store is closing.
 func (s *Store) commitQueued() (closing bool) {
 	for {
 		batch, closing := s.takeBatch()
@@ -234,9 +234,9 @@
 	return batch, closing
 }
 
-// waitForGroup waits for more records to share the next sync. Records that come while a sync runs share
-// the next one anyway. Waiting for more pays only if fewer are queued than the last sync had, and for
-// no longer than a sync takes.
+// waitForGroup waits for more records to share the next sync. Records that come while a sync runs
+// share the next one anyway. Waiting for more pays only if fewer are queued than the last sync had,
+// and for no longer than a sync takes.
 func (s *Store) waitForGroup(waiting int) {
 	wait := min(s.settings.GroupWait, s.lastSync)
 	if s.settings.Sync == SyncGroup && waiting < s.lastBatch && wait >= minGroupWait && !s.journal.IsDown() {
@@ -275,8 +275,8 @@
 	return err
 }
 
-// finishSnapshot removes what a snapshot makes superfluous. If it could not be written, the segments
-// stay until the next snapshot.
+// finishSnapshot removes what a snapshot makes superfluous. If it could not be written, the
+// segments stay until the next snapshot.
 func (s *Store) finishSnapshot(w writtenSnapshot) {
 	s.snapshotting = false
 	if w.err != nil {
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// A file of a newer format is rejected and left unchanged. Records of unknown kinds are skipped, and
-// fields that an older record lacks are zero.
+// A file of a newer format is rejected and left unchanged. Records of unknown kinds are skipped,
+// and fields that an older record lacks are zero.
 func TestNewerFormatIsRejected(t *testing.T) {
 	d := crashfs.New(1)
 	j, _ := open(t, d, store.DefaultOptions())
@@ -328,8 +328,8 @@
 	return f.File.Sync()
 }
 
-// A disk that hangs blocks neither Put nor Close; the records it was given are answered when it goes
-// on.
+// A disk that hangs blocks neither Put nor Close; the records it was given are answered when it
+// goes on.
 func TestHangingDiskBlocksNeitherPutNorClose(t *testing.T) {
 	h := hangingDisk{store.Dir(t.TempDir()), make(chan struct{}, 100)}
 	for range 2 { // the syncs of Open
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -18,8 +18,8 @@
 // report adds an event. The decision module handles it when the next action is asked for.
 func (q *admissionQueue) report(e admission.Event) { q.events = append(q.events, e) }
 
-// nextAction returns the next action; false if all events are handled and their actions carried out.
-// Its duration is in whole microseconds.
+// nextAction returns the next action; false if all events are handled and their actions carried
+// out. Its duration is in whole microseconds.
 func (q *admissionQueue) nextAction() (admission.Action, bool) {
 	if q.next == len(q.actions) {
 		if len(q.events) == 0 {
--- a/internal/lifecycle/answer.go
+++ b/internal/lifecycle/answer.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Withdraw is Abandon for a caller that is still there, to which the frontend confirms the end of the
-// request without a result: callers take that for a failure.
+// Withdraw is Abandon for a caller that is still there, to which the frontend confirms the end of
+// the request without a result: callers take that for a failure.
 func (m *Manager) Withdraw(t Ticket) {
 	if r := m.requests[uint64(t)]; r != nil && !r.answered {
 		m.stats[r.Class].Withdrawn++
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -6,11 +6,12 @@
 	"ryepaddle/internal/admission"
 )
 
-// start begins the run of an admitted request. As the only place where runs begin it checks once more
-// that the request may run: not answered, not too late in a drain, and the first of its key.
+// start begins the run of an admitted request. As the only place where runs begin it checks once
+// more that the request may run: not answered, not too late in a drain, and the first of its key.
 func (m *Manager) start(r *request) {
 	class := &m.settings.Classes[r.Class]
-	if !r.answered && r.keyEntry != nil && r.keyEntry.remoteOwner != 0 { // another process was first
+	// another process was first
+	if !r.answered && r.keyEntry != nil && r.keyEntry.remoteOwner != 0 {
 		m.yieldToRemote(r)
 		return
 	}
@@ -90,9 +91,9 @@
 	return r
 }
 
-// ResponseStarted reports a result whose body is still coming. It answers the request, whose run goes on
-// until AttemptEnded; from now on the request can neither fail nor be retried. It reports whether
-// the rest of the body is consumed.
+// ResponseStarted reports a result whose body is still coming. It answers the request, whose run
+// goes on until AttemptEnded; from now on the request can neither fail nor be retried. It reports
+// whether the rest of the body is consumed.
 func (m *Manager) ResponseStarted(a *Attempt, result *Result) bool {
 	r := m.requestOf(a)
 	if r == nil || r.answered {
@@ -107,8 +108,8 @@
 	return true
 }
 
-// AttemptEnded reports the end of an attempt. A run that succeeded without a result has one that cannot
-// be cached.
+// AttemptEnded reports the end of an attempt. A run that succeeded without a result has one that
+// cannot be cached.
 func (m *Manager) AttemptEnded(a *Attempt, outcome Outcome, result *Result) {
 	r := m.requestOf(a)
 	if r == nil {
@@ -176,8 +177,8 @@
 	return admission.OutcomeFailed, Answer{Status: Failed}
 }
 
-// shouldRetry decides whether an attempt is retried on another server: one that was interrupted only if
-// that is safe, one that never ran in any case.
+// shouldRetry decides whether an attempt is retried on another server: one that was interrupted
+// only if that is safe, one that never ran in any case.
 func (m *Manager) shouldRetry(r *request, a *Attempt, outcome Outcome) bool {
 	mayRetry := outcome == Unreachable || outcome == Interrupted && a.Idempotent
 	if r.answered || r.BodyConsumed || m.env.ShouldRetry == nil || !mayRetry {
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -11,9 +11,9 @@
 	unprovenCaller = 1<<32 - 1
 )
 
-// provenCallers holds the callers of which a request has run lately. The decision module divides its
-// credit among the callers that it knows: if any number that a request carries counted as a caller, a
-// flood of made-up numbers would leave no credit for the others.
+// provenCallers holds the callers of which a request has run lately. The decision module divides
+// its credit among the callers that it knows: if any number that a request carries counted as a
+// caller, a flood of made-up numbers would leave no credit for the others.
 type provenCallers struct {
 	lastRunAt map[uint32]time.Duration // monotonic, by caller number
 	sweptAt   time.Duration
--- a/internal/lifecycle/cause.go
+++ b/internal/lifecycle/cause.go
@@ -2,8 +2,8 @@
 
 import "ryepaddle/internal/admission"
 
-// Cause is why a request was answered as it was. Values below firstOwnCause are causes of the decision
-// module.
+// Cause is why a request was answered as it was. Values below firstOwnCause are causes of the
+// decision module.
 type Cause uint8
 
 // CauseNone is the cause of an answer that needs none.
@@ -12,15 +12,16 @@
 // firstOwnCause is the first cause that is not of the decision module.
 const firstOwnCause Cause = 65
 
-// The causes that are not of the decision module. Where a comment says so, Value and Limit of the trace
-// are what was compared.
+// The causes that are not of the decision module. Where a comment says so, Value and Limit of the
+// trace are what was compared.
 const (
 	CauseKeyTableFull   = firstOwnCause + iota // no room for its key; keys, and the limit
 	CauseKeyStore                              // its key cannot be made durable now
 	CauseDuplicateID                           // another request with its ID is open
 	CauseKeyReused                             // its key was used with another body
 	CauseInDoubt                               // it duplicates one that had begun before a restart
-	CauseDuplicate                             // it got the answer of the request that it duplicates
+	// it got the answer of the request that it duplicates
+	CauseDuplicate
 	CauseOriginalNotRun                        // the request that it duplicates never ran
 	CauseNoServer                              // no server took it
 	CauseServerFault                           // its server failed it
@@ -30,8 +31,10 @@
 	CauseDeadline                              // the deadline that its frontend set has passed
 	CauseCallerGone                            // its caller was gone
 	CauseRunRejected                           // its run was rejected, and nothing ran
-	CauseBulkheadWait                          // no slot in time; seconds it would wait, and that are left
-	CauseBulkheadFull                          // the queue of its bulkhead was full; requests, and the limit
+	// no slot in time; seconds it would wait, and that are left
+	CauseBulkheadWait
+	// the queue of its bulkhead was full; requests, and the limit
+	CauseBulkheadFull
 	CauseReplicas                              // no replicas for its key
 	firstUnusedCause
 )
--- a/internal/lifecycle/duplicates.go
+++ b/internal/lifecycle/duplicates.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// releaseEntry removes a key whose run never began, and rejects the duplicates that wait for it: they
-// did not run either, and may be sent again.
+// releaseEntry removes a key whose run never began, and rejects the duplicates that wait for it:
+// they did not run either, and may be sent again.
 func (m *Manager) releaseEntry(entry *keyEntry) {
 	m.keys.remove(entry)
 	for _, waiter := range entry.takeWaiters() {
--- a/internal/lifecycle/durability.go
+++ b/internal/lifecycle/durability.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// replicationDrainMargin is how long before the process is stopped a result that is not replicated is
-// given up.
+// replicationDrainMargin is how long before the process is stopped a result that is not replicated
+// is given up.
 const replicationDrainMargin = 300 * time.Millisecond
 
-// storeStart makes the start of a run durable and then begins it. A store that does not answer in time
-// is not waited for: the request is rejected, and the release of its key is stored after the start.
+// storeStart makes the start of a run durable and then begins it. A store that does not answer in
+// time is not waited for: the request is rejected, and the release of its key is stored after the
+// start.
 func (m *Manager) storeStart(r *request) {
 	attempt := m.newAttempt(r, nil)
 	r.running = attempt
@@ -52,9 +53,9 @@
 	m.cancelStart(r, a, m.storeCause(), retryAfter)
 }
 
-// storeEnd makes the end of a run durable, and then answers the request and its duplicates. The decision
-// module is told at once that the run has ended. The answer waits, but not for a store that does not
-// answer, and not beyond the deadline.
+// storeEnd makes the end of a run durable, and then answers the request and its duplicates. The
+// decision module is told at once that the run has ended. The answer waits, but not for a store
+// that does not answer, and not beyond the deadline.
 func (m *Manager) storeEnd(r *request, outcome Outcome, result *Result) {
 	admissionOutcome, answer := answerOf(outcome, result)
 	m.complete(r, admissionOutcome)
@@ -113,8 +114,8 @@
 	return record
 }
 
-// boundReplicationWait answers a request as expired if its result is not replicated in time. The result
-// must not be sent before: if this process is then taken for lost, the other runners answer
+// boundReplicationWait answers a request as expired if its result is not replicated in time. The
+// result must not be sent before: if this process is then taken for lost, the other runners answer
 // duplicates as in doubt. The key waits on until the result is replicated.
 func (m *Manager) boundReplicationWait(r *request) {
 	now := m.env.Now()
--- a/internal/lifecycle/environment.go
+++ b/internal/lifecycle/environment.go
@@ -30,8 +30,8 @@
 	Route func(class int) Runner
 	// ShouldRetry decides whether a failed attempt is retried. nil: never.
 	ShouldRetry func(RetryCandidate) bool
-	// RetryAfter returns how long callers stay away from a class whose request no server took. nil: for
-	// the shortest time.
+	// RetryAfter returns how long callers stay away from a class whose request no server took. nil:
+	// for the shortest time.
 	RetryAfter func(class int) time.Duration
 	// Dependency places the calls of runs. nil: runs make no calls.
 	Dependency Dependency
--- a/internal/lifecycle/helpers_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -13,9 +13,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// testManager is a manager with a clock, a runner and callers of the test. It is sent `ask ID CLASS [KEY
-// [TIMEOUT-MS]]`, `gone ID`, `end ID OUTCOME [RESULT]`, `need ID`, `called ID OUTCOME`, `drain MS` and
-// `pass MS`; it expects `run ID`, `answer ID STATUS [RESULT]`, `call ID` and `give-up ID`.
+// testManager is a manager with a clock, a runner and callers of the test. It is sent `ask ID CLASS
+// [KEY [TIMEOUT-MS]]`, `gone ID`, `end ID OUTCOME [RESULT]`, `need ID`, `called ID OUTCOME`, `drain
+// MS` and `pass MS`; it expects `run ID`, `answer ID STATUS [RESULT]`, `call ID` and `give-up ID`.
 type testManager struct {
 	*Manager
 	now       time.Duration
--- a/internal/lifecycle/key_store.go
+++ b/internal/lifecycle/key_store.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// KeyRecord is what is remembered of an idempotency key outside the process. Classes and tenants go by
-// name.
+// KeyRecord is what is remembered of an idempotency key outside the process. Classes and tenants go
+// by name.
 type KeyRecord struct {
 	Class, Tenant, Key string
 	// Owner identifies the attempt that the record is about among those of all processes: the
@@ -24,8 +24,8 @@
 	HasWaiter  bool          // of an end: a caller waits for the answer
 }
 
-// KeyStore makes keys durable. A run begins once its start is durable, and its answer is sent once its
-// result is. Records of one key are stored in the order of the calls.
+// KeyStore makes keys durable. A run begins once its start is durable, and its answer is sent once
+// its result is. Records of one key are stored in the order of the calls.
 type KeyStore interface {
 	// Unavailable returns for how long no new key can be accepted, and why; zero if keys can be.
 	Unavailable() (retryAfter time.Duration, why string)
@@ -40,8 +40,8 @@
 	Timeout() time.Duration
 }
 
-// ReplicatedKeyStore is a KeyStore that replicates keys to other runners. The result of a run is sent
-// only once it is replicated.
+// ReplicatedKeyStore is a KeyStore that replicates keys to other runners. The result of a run is
+// sent only once it is replicated.
 type ReplicatedKeyStore interface {
 	KeyStore
 	// MissingReplicas reports whether keys are unavailable for lack of replicas.
@@ -62,7 +62,8 @@
 // errStoreTimeout reports a key store that did not answer in time.
 var errStoreTimeout = errors.New("the disk does not answer in time")
 
-// storeErrorCause returns the cause of a key that could not be stored, and when to retry; 0: not known.
+// storeErrorCause returns the cause of a key that could not be stored, and when to retry; 0: not
+// known.
 func storeErrorCause(err error) (cause Cause, retryAfter time.Duration) {
 	if replication := (*ReplicationError)(nil); errors.As(err, &replication) {
 		return CauseReplicas, replication.RetryAfter
@@ -114,7 +115,8 @@
 	return k
 }
 
-// keyNameOfRecord returns the name of a record's key; false if the settings lack its class or tenant.
+// keyNameOfRecord returns the name of a record's key; false if the settings lack its class or
+// tenant.
 func (m *Manager) keyNameOfRecord(k KeyRecord) (keyName, bool) {
 	class, ok := m.Class(k.Class)
 	tenant := NoTenant
--- a/internal/lifecycle/key_table.go
+++ b/internal/lifecycle/key_table.go
@@ -69,7 +69,8 @@
 	return waiters
 }
 
-// markStarted notes that the run begins. The window of the key counts from the arrival of its request.
+// markStarted notes that the run begins. The window of the key counts from the arrival of its
+// request.
 func (e *keyEntry) markStarted(arrivedAt wallclock.UnixMicro, window time.Duration) {
 	e.started = true
 	e.expiresAt = max(e.expiresAt, arrivedAt.Add(window))
@@ -89,8 +90,8 @@
 	return keyTable{entries: map[keyName]*keyEntry{}, limits: limits}
 }
 
-// find returns the entry that a request duplicates, if the request arrived before it expired; nil if
-// there is none. An entry whose run has not ended does not expire.
+// find returns the entry that a request duplicates, if the request arrived before it expired; nil
+// if there is none. An entry whose run has not ended does not expire.
 func (t *keyTable) find(q *Request) *keyEntry {
 	entry := t.entries[keyNameOf(q)]
 	if entry != nil && (q.ArrivedAt <= entry.expiresAt || !entry.ended) {
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -1,7 +1,7 @@
-// Package lifecycle owns every request from the moment it is read to its one final answer: the attempts
-// to run it, idempotency keys and cached results, deadlines and the drain. It knows no wire protocol.
-// Frontends submit requests and receive answers; runners receive attempts and report outcomes;
-// package admission decides what is run, queued or rejected.
+// Package lifecycle owns every request from the moment it is read to its one final answer: the
+// attempts to run it, idempotency keys and cached results, deadlines and the drain. It knows no
+// wire protocol. Frontends submit requests and receive answers; runners receive attempts and report
+// outcomes; package admission decides what is run, queued or rejected.
 //
 // A Manager is used by one goroutine.
 package lifecycle
@@ -28,8 +28,8 @@
 	minRetryAfter = 20 * time.Millisecond
 	// keyTableFullRetryAfter is how long callers stay away while the table of keys is full.
 	keyTableFullRetryAfter = time.Second
-	// deadlineMargin is how close to its deadline a request is answered as expired: the answer has to
-	// reach the caller in time.
+	// deadlineMargin is how close to its deadline a request is answered as expired: the answer has
+	// to reach the caller in time.
 	deadlineMargin = 40 * time.Millisecond
 	// rejectionLogInterval is how often rejections for lack of room for keys are logged.
 	rejectionLogInterval = time.Second
@@ -78,8 +78,8 @@
 	rejectionLoggedAt  time.Duration // monotonic
 }
 
-// New returns a manager with a decision module of its own. The caller must call Start. It fails if the
-// settings are invalid.
+// New returns a manager with a decision module of its own. The caller must call Start. It fails if
+// the settings are invalid.
 func New(settings admission.Settings, seed uint64, env Environment) (*Manager, error) {
 	settings = usableSettings(settings)
 	controller, err := admission.New(settings, seed)
@@ -117,8 +117,8 @@
 // KeyCount returns how many idempotency keys are remembered.
 func (m *Manager) KeyCount() int { return len(m.keys.entries) }
 
-// Drain begins a graceful shutdown of a process that is stopped after so long. Further calls have no
-// effect.
+// Drain begins a graceful shutdown of a process that is stopped after so long. Further calls have
+// no effect.
 func (m *Manager) Drain(stopAfter time.Duration) {
 	if m.drainingSince != 0 {
 		return
@@ -134,8 +134,8 @@
 	m.runActions()
 }
 
-// tick measures the machine, expires what has been remembered for long enough, and lets the decision
-// module run its periodic work.
+// tick measures the machine, expires what has been remembered for long enough, and lets the
+// decision module run its periodic work.
 func (m *Manager) tick() {
 	m.env.Measure(func(gauges Gauges) {
 		m.keys.expire(m.env.Unix())
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// A request that is queued for longer than its window keeps its key: it runs, and a duplicate that comes
-// meanwhile waits for it.
+// A request that is queued for longer than its window keeps its key: it runs, and a duplicate that
+// comes meanwhile waits for it.
 func TestKeyOutlivesQueueingBeyondWindow(t *testing.T) {
 	c := newTestManagerWith(
 		t,
@@ -202,8 +202,8 @@
 	}
 }
 
-// Settings that allow more than this program can do are accepted: an engine that can stop work, and calls
-// that may be omitted.
+// Settings that allow more than this program can do are accepted: an engine that can stop work, and
+// calls that may be omitted.
 func TestSettingsThatAllowMoreAreAccepted(t *testing.T) {
 	for name, change := range map[string]func(*admission.Settings){
 		"runs may be cancelled": func(s *admission.Settings) { s.Cancel = admission.CancelDiscard },
@@ -243,9 +243,9 @@
 	}
 }
 
-// Duplicates of runs in earlier processes are answered from memory: a result, an end without one, and
-// doubt. Keys of unknown classes and tenants are left out, and a table with more keys than its limit
-// accepts no new ones.
+// Duplicates of runs in earlier processes are answered from memory: a result, an end without one,
+// and doubt. Keys of unknown classes and tenants are left out, and a table with more keys than its
+// limit accepts no new ones.
 func TestRestoredKeysAreAnsweredFromMemory(t *testing.T) {
 	c := newTestManager(t, 1)
 	c.keys.limits.Keys = 4
@@ -290,8 +290,8 @@
 	}
 }
 
-// The timers of the server and of the frontend are set to one time: whichever fires first, the cause is
-// the same.
+// The timers of the server and of the frontend are set to one time: whichever fires first, the
+// cause is the same.
 func TestFrontendDeadlineIsCauseOfTimeout(t *testing.T) {
 	for _, script := range []string{"manager send pass 500", "manager send end 1 out-of-time"} {
 		c := newTestManager(t, 1)
--- a/internal/lifecycle/remote_keys.go
+++ b/internal/lifecycle/remote_keys.go
@@ -6,7 +6,8 @@
 	released bool
 }
 
-// ApplyRemote applies what another process has written about a key. With released, its run never began.
+// ApplyRemote applies what another process has written about a key. With released, its run never
+// began.
 func (m *Manager) ApplyRemote(k KeyRecord, released bool) {
 	name, ok := m.keyNameOfRecord(k)
 	if !ok { // the other process may have read settings that this one is about to read
@@ -49,8 +50,8 @@
 	if entry.remoteOwner != 0 {
 		return entry.owner != k.Owner && k.ExpiresAt < entry.expiresAt
 	}
-	// The key ran here or in an earlier process. Under the lock no other process can have reserved it
-	// before its window is over.
+	// The key ran here or in an earlier process. Under the lock no other process can have reserved
+	// it before its window is over.
 	return entry.started && !m.isReserving(entry) && !(entry.ended && k.ExpiresAt > entry.expiresAt)
 }
 
--- a/internal/lifecycle/replication_test.go
+++ b/internal/lifecycle/replication_test.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// testReplicas is a key store with replicas: a run may begin at once, and its result is confirmed when the
-// test says so. It is sent `confirm`.
+// testReplicas is a key store with replicas: a run may begin at once, and its result is confirmed
+// when the test says so. It is sent `confirm`.
 type testReplicas struct {
 	*testManager
 	confirm func(error)
@@ -30,8 +30,8 @@
 	return p.testManager.Send(words)
 }
 
-// The result of a run is not sent before other runners have confirmed it, however long that takes: they
-// would answer duplicates as in doubt.
+// The result of a run is not sent before other runners have confirmed it, however long that takes:
+// they would answer duplicates as in doubt.
 func TestResultWaitsForItsReplicas(t *testing.T) {
 	for name, script := range map[string]string{
 		"confirmed after the store's timeout": `
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -52,8 +52,8 @@
 // UploadConsumer consumes the rest of a request's body.
 type UploadConsumer interface{ ConsumeBody(part []byte) }
 
-// Responder receives the answer to a request. Answer is called once, unless the request is abandoned
-// before.
+// Responder receives the answer to a request. Answer is called once, unless the request is
+// abandoned before.
 type Responder interface{ Answer(Answer) }
 
 // Answer is the final answer to a request.
@@ -77,7 +77,8 @@
 	Expired                      // failed, as its deadline passed
 	Conflict                     // failed, as it uses the ID or key of another request; see Reason
 	NotFound                     // failed, as its runner does not know such a request
-	ResultLost                   // it duplicates a request that ran and whose result is not available
+	// it duplicates a request that ran and whose result is not available
+	ResultLost
 )
 
 // Reason is why a request is answered with Conflict, or why a failure is in doubt.
@@ -87,7 +88,8 @@
 const (
 	DuplicateID Reason = iota + 1 // another request with its ID is open
 	KeyReused                     // its key was used with another body
-	InDoubt                       // it duplicates one that had begun before a restart, and may have run
+	// it duplicates one that had begun before a restart, and may have run
+	InDoubt
 )
 
 func (r Reason) String() string {
--- a/internal/lifecycle/reservation.go
+++ b/internal/lifecycle/reservation.go
@@ -10,8 +10,8 @@
 // Reservations decides among the processes of one runner which of them runs a key.
 type Reservations interface {
 	// Reserve reserves a key for a run that is about to begin. Once all that other processes have
-	// written is applied, it asks free whether the key is still available. It calls done once, now or
-	// later: mine reports whether the key is reserved; after an error nothing may run.
+	// written is applied, it asks free whether the key is still available. It calls done once, now
+	// or later: mine reports whether the key is reserved; after an error nothing may run.
 	Reserve(k KeyRecord, within time.Duration, free func() bool, done func(mine bool, err error))
 	// Ended says that the run of a key has ended.
 	Ended(k KeyRecord)
--- a/internal/lifecycle/reservation_test.go
+++ b/internal/lifecycle/reservation_test.go
@@ -187,8 +187,8 @@
 	p.check()
 }
 
-// Whatever two processes read at what time, and whichever of them is killed, a key runs once within its
-// window, each request has one answer, and what is served is the result of the one run.
+// Whatever two processes read at what time, and whichever of them is killed, a key runs once within
+// its window, each request has one answer, and what is served is the result of the one run.
 func TestKeysRunOnceInTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := &sharedLog{}
--- a/internal/lifecycle/restore.go
+++ b/internal/lifecycle/restore.go
@@ -1,7 +1,7 @@
 package lifecycle
 
-// Restore adds the keys of earlier processes. A run that had begun and not ended is in doubt: it may
-// have run, and is never run again. It returns how many keys are of classes or tenants that the
+// Restore adds the keys of earlier processes. A run that had begun and not ended is in doubt: it
+// may have run, and is never run again. It returns how many keys are of classes or tenants that the
 // settings lack.
 func (m *Manager) Restore(keys []KeyRecord) (unknown int) {
 	for _, k := range keys {
@@ -31,8 +31,8 @@
 	return unknown
 }
 
-// answerRestored answers a duplicate of a request that ran in an earlier process. Nothing runs, so that
-// the decision module is not told.
+// answerRestored answers a duplicate of a request that ran in an earlier process. Nothing runs, so
+// that the decision module is not told.
 func (m *Manager) answerRestored(q *Request, entry *keyEntry) {
 	answer := Answer{Status: entry.status}
 	switch {
--- a/internal/lifecycle/runner.go
+++ b/internal/lifecycle/runner.go
@@ -78,16 +78,16 @@
 	Remaining     time.Duration
 }
 
-// Runner runs requests. It reports the end of each attempt once, with Manager.AttemptEnded, never from
-// within Run.
+// Runner runs requests. It reports the end of each attempt once, with Manager.AttemptEnded, never
+// from within Run.
 type Runner interface {
 	Run(a *Attempt)
 	// Abandon says that the result of an attempt is not needed any more. Its end is still reported.
 	Abandon(a *Attempt)
 }
 
-// Dependency places the calls of runs and reports their ends with Manager.CallEnded, never from within
-// Call.
+// Dependency places the calls of runs and reports their ends with Manager.CallEnded, never from
+// within Call.
 type Dependency interface {
 	Call(a *Attempt, body []byte, timeout time.Duration)
 	// CancelCall drops a call in flight; its end is not reported.
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -11,11 +11,12 @@
 // callers learn of that late.
 const removedClassGrace = 5 * time.Second
 
-// NoTenant is the tenant index of requests without a tenant, which all are if the settings have none.
+// NoTenant is the tenant index of requests without a tenant, which all are if the settings have
+// none.
 const NoTenant = -1
 
-// Configure applies changed settings. It returns them as they are in force, with the indexes of removed
-// classes kept. After an error the old settings stay in force.
+// Configure applies changed settings. It returns them as they are in force, with the indexes of
+// removed classes kept. After an error the old settings stay in force.
 func (m *Manager) Configure(settings admission.Settings) (admission.Settings, error) {
 	settings, err := usableSettings(settings).MergeClasses(m.settings)
 	if err != nil {
@@ -60,8 +61,8 @@
 	})
 }
 
-// Tenant returns the index of a tenant, and false if there is none of that name. Without tenants in the
-// settings any name gives NoTenant.
+// Tenant returns the index of a tenant, and false if there is none of that name. Without tenants in
+// the settings any name gives NoTenant.
 func (m *Manager) Tenant(name string) (int, bool) {
 	if len(m.settings.Tenants) == 0 {
 		return NoTenant, true
@@ -79,9 +80,9 @@
 	return m.settings.Classes[class].Idempotency == admission.IdempotentWithKey
 }
 
-// usableSettings restricts the settings to what this program can do; settings that allow more are no
-// reason not to serve. The engine's protocol can neither cancel a run nor go on without a call, and
-// reads do not share results, as an answer carries the result of its own run.
+// usableSettings restricts the settings to what this program can do; settings that allow more are
+// no reason not to serve. The engine's protocol can neither cancel a run nor go on without a call,
+// and reads do not share results, as an answer carries the result of its own run.
 func usableSettings(settings admission.Settings) admission.Settings {
 	settings.Cancel, settings.ResultMaxAge = admission.CancelNone, 0
 	settings.Classes = slices.Clone(settings.Classes)
--- a/internal/lifecycle/stats.go
+++ b/internal/lifecycle/stats.go
@@ -2,9 +2,9 @@
 
 import "log/slog"
 
-// Stats counts what became of requests since the start. Each request that was read has one of the ends
-// or is open: Read = Served + Rejected + Failed + Expired + Conflicts + Abandoned + Withdrawn + open
-// requests.
+// Stats counts what became of requests since the start. Each request that was read has one of the
+// ends or is open: Read = Served + Rejected + Failed + Expired + Conflicts + Abandoned + Withdrawn
+// + open requests.
 type Stats struct {
 	Read       int64 `json:"Read"`
 	Served     int64 `json:"Served"`
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -11,7 +11,8 @@
 
 // Submit takes over a request that has been read. It may be answered before Submit returns.
 func (m *Manager) Submit(q *Request) Ticket {
-	// Runners identify requests by ID: a second one with the same would get the result of the first.
+	// Runners identify requests by ID: a second one with the same would get the result of the
+	// first.
 	if _, open := m.openIDs[q.ID]; open {
 		return m.answerConflict(q, DuplicateID)
 	}
@@ -58,8 +59,8 @@
 	}
 }
 
-// answerDuplicateAtOnce answers a duplicate that need not wait, and reports whether it did: one with
-// another body, and one of a request that ran in an earlier process. Any other is counted.
+// answerDuplicateAtOnce answers a duplicate that need not wait, and reports whether it did: one
+// with another body, and one of a request that ran in an earlier process. Any other is counted.
 func (m *Manager) answerDuplicateAtOnce(r *request) bool {
 	// All attempts of a caller carry the same body. A request with another one must not get the
 	// result.
@@ -87,8 +88,8 @@
 		m.env.OnAccepted(r.Request)
 	}
 	if r.Timeout > 0 {
-		// The decision module goes by the timeout of the class, from which it also estimates the age
-		// of a retry. A shorter one is enforced here.
+		// The decision module goes by the timeout of the class, from which it also estimates the
+		// age of a retry. A shorter one is enforced here.
 		now := m.env.Now()
 		r.deadline = min(r.deadline, now-queued+r.Timeout)
 		r.stopTimer = m.env.After(r.deadline-now, func() { m.expire(r) })
@@ -121,8 +122,8 @@
 	m.removeIfDone(r)
 }
 
-// logRejection logs a rejection for lack of room for its key, with the number of those that were not
-// logged since the last time.
+// logRejection logs a rejection for lack of room for its key, with the number of those that were
+// not logged since the last time.
 func (m *Manager) logRejection(class, why string) {
 	m.unloggedRejections++
 	now := m.env.Now()
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -39,8 +39,8 @@
 	KeyWait time.Duration
 }
 
-// newTrace returns the trace of a request; nil if traces are not wanted. The methods of a nil trace do
-// nothing.
+// newTrace returns the trace of a request; nil if traces are not wanted. The methods of a nil trace
+// do nothing.
 func (m *Manager) newTrace(q *Request) *Trace {
 	if m.env.OnAnswered == nil {
 		return nil
@@ -57,8 +57,8 @@
 	}
 }
 
-// setCause sets why an answer is about to be given. The first cause stands, as the one nearest to the
-// reason.
+// setCause sets why an answer is about to be given. The first cause stands, as the one nearest to
+// the reason.
 func (t *Trace) setCause(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause, t.Value, t.Limit = cause, value, limit
