--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -44,16 +44,14 @@
 ) (*eventloop.Listener, *[]*eventloop.Conn) {
 	t.Helper()
 	taken := &[]*eventloop.Conn{}
-	ln, err := l.Listen(
-		loopback,
-		maxOpen,
-		eventloop.BufferLimits{In: 1 << 10, Out: 8 << 20},
-		func(c *eventloop.Conn) eventloop.Handler {
+	ln, err := l.Listen(loopback, eventloop.ListenConfig{
+		MaxOpen: maxOpen,
+		Limits:  eventloop.BufferLimits{In: 1 << 10, Out: 8 << 20},
+		Accept: func(c *eventloop.Conn) eventloop.Handler {
 			*taken = append(*taken, c)
 			return h(c)
 		},
-		nil,
-	)
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -22,55 +22,48 @@
 	handshakeTime = 200 * time.Millisecond
 )
 
-// Listen accepts connections on addr; accept returns the handler of each. At most maxOpen are open
-// at once. The others wait in the system's queue, and onFull is called so that the owner can close
-// an idle connection to make room.
-func (l *Loop) Listen(
-	addr netip.AddrPort,
-	maxOpen int,
-	limits BufferLimits,
-	accept func(*Conn) Handler,
-	onFull func(),
-) (*Listener, error) {
-	return l.ListenAddr(netaddr.Addr{IP: addr}, maxOpen, limits, accept, onFull)
+// unixSocketMode lets the owner and the group of a unix socket connect.
+const unixSocketMode = 0o660
+
+// ListenConfig configures a listener.
+type ListenConfig struct {
+	// MaxOpen is how many connections may be open at once. The others wait in the system's queue.
+	MaxOpen int
+	// Limits bound the buffers of the connections.
+	Limits BufferLimits
+	// Accept returns the handler of a new connection.
+	Accept func(*Conn) Handler
+	// OnFull is called when a connection waits and MaxOpen are open, so that the owner can close an
+	// idle one; may be nil.
+	OnFull func()
+}
+
+// Listen accepts connections on an IP address.
+func (l *Loop) Listen(addr netip.AddrPort, config ListenConfig) (*Listener, error) {
+	return l.ListenAddr(netaddr.Addr{IP: addr}, config)
 }
 
 // ListenShared is Listen on an address on which other processes of the same user may listen too.
 // The system spreads connections over all of them.
-func (l *Loop) ListenShared(
-	addr netip.AddrPort,
-	maxOpen int,
-	limits BufferLimits,
-	accept func(*Conn) Handler,
-	onFull func(),
-) (*Listener, error) {
-	return l.listen(netaddr.Addr{IP: addr}, true, maxOpen, limits, accept, onFull)
+func (l *Loop) ListenShared(addr netip.AddrPort, config ListenConfig) (*Listener, error) {
+	return l.listen(netaddr.Addr{IP: addr}, true, config)
 }
 
-// unixSocketMode lets the owner and the group of a unix socket connect.
-const unixSocketMode = 0o660
-
 // ListenAddr is Listen on an IP address or a unix socket. The file of a unix socket on which no
 // process listens any more is replaced.
-func (l *Loop) ListenAddr(
-	addr netaddr.Addr,
-	maxOpen int,
-	limits BufferLimits,
-	accept func(*Conn) Handler,
-	onFull func(),
-) (*Listener, error) {
-	return l.listen(addr, false, maxOpen, limits, accept, onFull)
+func (l *Loop) ListenAddr(addr netaddr.Addr, config ListenConfig) (*Listener, error) {
+	return l.listen(addr, false, config)
 }
 
-func (l *Loop) listen(
-	addr netaddr.Addr,
-	shared bool,
-	maxOpen int,
-	limits BufferLimits,
-	accept func(*Conn) Handler,
-	onFull func(),
-) (*Listener, error) {
-	ln := &Listener{loop: l, maxOpen: maxOpen, limits: limits, accept: accept, onFull: onFull, shared: shared}
+func (l *Loop) listen(addr netaddr.Addr, shared bool, config ListenConfig) (*Listener, error) {
+	ln := &Listener{
+		loop:    l,
+		maxOpen: config.MaxOpen,
+		limits:  config.Limits,
+		accept:  config.Accept,
+		onFull:  config.OnFull,
+		shared:  shared,
+	}
 	if err := ln.open(addr); err != nil {
 		return nil, fmt.Errorf("listen %v: %w", addr, err)
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -57,9 +57,15 @@
 	return l
 }
 
-func listen(t *testing.T, l *Loop, most int, limits BufferLimits, h Handler, full func()) *Listener {
+func listen(t *testing.T, l *Loop, maxOpen int, limits BufferLimits, h Handler, onFull func()) *Listener {
 	t.Helper()
-	ln, err := l.Listen(any4, most, limits, func(*Conn) Handler { return h }, full)
+	config := ListenConfig{
+		MaxOpen: maxOpen,
+		Limits:  limits,
+		Accept:  func(*Conn) Handler { return h },
+		OnFull:  onFull,
+	}
+	ln, err := l.Listen(any4, config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,10 +77,13 @@
 	var got error
 	run(t, func(l *Loop) {
 		var c *Conn
-		ln, err := l.Listen(any4, 8, BufferLimits{1 << 10, 1 << 20}, func(a *Conn) Handler {
-			c = a
-			return &peer{closed: func(err error) { got = err; l.Stop() }}
-		}, nil)
+		ln, err := l.Listen(
+			any4,
+			ListenConfig{MaxOpen: 8, Limits: BufferLimits{1 << 10, 1 << 20}, Accept: func(a *Conn) Handler {
+				c = a
+				return &peer{closed: func(err error) { got = err; l.Stop() }}
+			}},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +111,14 @@
 				l.Stop()
 			}
 		}
-		ln := listen(t, l, 8, BufferLimits{100, 100}, &peer{closed: func(err error) { flood = err; end() }}, nil)
+		ln := listen(
+			t,
+			l,
+			8,
+			BufferLimits{100, 100},
+			&peer{closed: func(err error) { flood = err; end() }},
+			nil,
+		)
 		var c *Conn
 		c = l.Dial(
 			ln.Addr(),
@@ -160,13 +176,16 @@
 	taken, fulls := 0, 0
 	run(t, func(l *Loop) {
 		var first *Conn
-		ln, err := l.Listen(any4, 1, BufferLimits{10, 10}, func(c *Conn) Handler {
-			if taken++; taken == 2 {
-				l.Stop()
-			}
-			first = c
-			return &peer{}
-		}, func() { fulls++; first.CloseGracefully() })
+		ln, err := l.Listen(
+			any4,
+			ListenConfig{MaxOpen: 1, Limits: BufferLimits{10, 10}, Accept: func(c *Conn) Handler {
+				if taken++; taken == 2 {
+					l.Stop()
+				}
+				first = c
+				return &peer{}
+			}, OnFull: func() { fulls++; first.CloseGracefully() }},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,16 +233,23 @@
 func (h *handOver) listen(maxOpen int) {
 	addr := any4
 	for i := range h.listeners {
-		ln, err := h.loop.ListenShared(addr, maxOpen, BufferLimits{In: 64, Out: 64}, func(c *Conn) Handler {
-			h.accepted[i]++
-			if i == 0 && h.handedOver {
-				h.late++
-			}
-			return &peer{data: func(b []byte) (int, error) {
-				c.Write([]byte("."))
-				return len(b), nil
-			}}
-		}, nil)
+		ln, err := h.loop.ListenShared(
+			addr,
+			ListenConfig{
+				MaxOpen: maxOpen,
+				Limits:  BufferLimits{In: 64, Out: 64},
+				Accept: func(c *Conn) Handler {
+					h.accepted[i]++
+					if i == 0 && h.handedOver {
+						h.late++
+					}
+					return &peer{data: func(b []byte) (int, error) {
+						c.Write([]byte("."))
+						return len(b), nil
+					}}
+				},
+			},
+		)
 		if err != nil {
 			h.t.Fatal(err)
 		}
@@ -311,10 +337,13 @@
 		}
 	}
 	run(t, func(l *Loop) {
-		ln, err := l.Listen(any4, 8, BufferLimits{100, 100}, func(c *Conn) Handler {
-			l.Post(func() { look(l, "accepted", c) })
-			return &peer{}
-		}, nil)
+		ln, err := l.Listen(
+			any4,
+			ListenConfig{MaxOpen: 8, Limits: BufferLimits{100, 100}, Accept: func(c *Conn) Handler {
+				l.Post(func() { look(l, "accepted", c) })
+				return &peer{}
+			}},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -72,13 +72,12 @@
 func Listen(l *eventloop.Loop, addr netip.AddrPort, source StatusSource) (*Server, error) {
 	s := &Server{loop: l, source: source}
 	var err error
-	s.listener, err = l.Listen(
-		addr,
-		maxConnections,
-		eventloop.BufferLimits{In: maxHeadBytes + len(headEnd), Out: maxQueuedBytes},
-		s.accept,
-		s.makeRoom,
-	)
+	s.listener, err = l.Listen(addr, eventloop.ListenConfig{
+		MaxOpen: maxConnections,
+		Limits:  eventloop.BufferLimits{In: maxHeadBytes + len(headEnd), Out: maxQueuedBytes},
+		Accept:  s.accept,
+		OnFull:  s.makeRoom,
+	})
 	return s, err
 }
 
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -87,13 +87,12 @@
 func Listen(l *eventloop.Loop, path string, answer func(q Request, reply func(any, error))) (*Server, error) {
 	s := &Server{loop: l, answer: answer, connections: map[*connection]bool{}}
 	var err error
-	s.listener, err = l.ListenAddr(
-		netaddr.Addr{Path: path},
-		maxConnections,
-		eventloop.BufferLimits{In: maxLineBytes, Out: maxReplyBytes},
-		s.accept,
-		func() {},
-	)
+	s.listener, err = l.ListenAddr(netaddr.Addr{Path: path}, eventloop.ListenConfig{
+		MaxOpen: maxConnections,
+		Limits:  eventloop.BufferLimits{In: maxLineBytes, Out: maxReplyBytes},
+		Accept:  s.accept,
+		OnFull:  func() {},
+	})
 	return s, err
 }
 
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -137,7 +137,12 @@
 // on the address.
 func (f *Frontend) Listen(addr netip.AddrPort, maxConnections int, m *lifecycle.Manager) (err error) {
 	f.manager = m
-	f.listener, err = f.loop.ListenShared(addr, maxConnections, f.limits(), f.accept, f.makeRoom)
+	f.listener, err = f.loop.ListenShared(addr, eventloop.ListenConfig{
+		MaxOpen: maxConnections,
+		Limits:  f.limits(),
+		Accept:  f.accept,
+		OnFull:  f.makeRoom,
+	})
 	if err == nil {
 		f.loop.Every(sweepInterval, f.sweep)
 	}
--- a/internal/frontend/uwsgi/frontend.go
+++ b/internal/frontend/uwsgi/frontend.go
@@ -112,13 +112,12 @@
 // Listen accepts connections for the manager.
 func (f *Frontend) Listen(m *lifecycle.Manager) (err error) {
 	f.manager = m
-	f.listener, err = f.loop.ListenAddr(
-		f.options.Listen,
-		f.options.MaxConnections,
-		f.limits(),
-		f.accept,
-		f.makeRoom,
-	)
+	f.listener, err = f.loop.ListenAddr(f.options.Listen, eventloop.ListenConfig{
+		MaxOpen: f.options.MaxConnections,
+		Limits:  f.limits(),
+		Accept:  f.accept,
+		OnFull:  f.makeRoom,
+	})
 	if err == nil {
 		f.loop.Every(sweepInterval, f.sweep)
 	}
--- a/internal/lifecycle/cause.go
+++ b/internal/lifecycle/cause.go
@@ -15,27 +15,27 @@
 // The causes that are not of the decision module. Where a comment says so, Value and Limit of the
 // trace are what was compared.
 const (
-	CauseKeyTableFull   = firstOwnCause + iota // no room for its key; keys, and the limit
-	CauseKeyStore                              // its key cannot be made durable now
-	CauseDuplicateID                           // another request with its ID is open
-	CauseKeyReused                             // its key was used with another body
-	CauseInDoubt                               // it duplicates one that had begun before a restart
+	CauseKeyTableFull = firstOwnCause + iota // no room for its key; keys, and the limit
+	CauseKeyStore                            // its key cannot be made durable now
+	CauseDuplicateID                         // another request with its ID is open
+	CauseKeyReused                           // its key was used with another body
+	CauseInDoubt                             // it duplicates one that had begun before a restart
 	// it got the answer of the request that it duplicates
 	CauseDuplicate
-	CauseOriginalNotRun                        // the request that it duplicates never ran
-	CauseNoServer                              // no server took it
-	CauseServerFault                           // its server failed it
-	CauseInterrupted                           // its run was interrupted, and may not be retried
-	CauseRunTimeout                            // its run did not end by its deadline
-	CauseUnknownRequest                        // the runner does not know such a request
-	CauseDeadline                              // the deadline that its frontend set has passed
-	CauseCallerGone                            // its caller was gone
-	CauseRunRejected                           // its run was rejected, and nothing ran
+	CauseOriginalNotRun // the request that it duplicates never ran
+	CauseNoServer       // no server took it
+	CauseServerFault    // its server failed it
+	CauseInterrupted    // its run was interrupted, and may not be retried
+	CauseRunTimeout     // its run did not end by its deadline
+	CauseUnknownRequest // the runner does not know such a request
+	CauseDeadline       // the deadline that its frontend set has passed
+	CauseCallerGone     // its caller was gone
+	CauseRunRejected    // its run was rejected, and nothing ran
 	// no slot in time; seconds it would wait, and that are left
 	CauseBulkheadWait
 	// the queue of its bulkhead was full; requests, and the limit
 	CauseBulkheadFull
-	CauseReplicas                              // no replicas for its key
+	CauseReplicas // no replicas for its key
 	firstUnusedCause
 )
 
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -71,12 +71,12 @@
 
 // The ways in which a request is answered.
 const (
-	Served     Status = iota + 1 // with the result of a run
-	Rejected                     // this attempt of the caller never ran
-	Failed                       // without a promise of whether it ran
-	Expired                      // failed, as its deadline passed
-	Conflict                     // failed, as it uses the ID or key of another request; see Reason
-	NotFound                     // failed, as its runner does not know such a request
+	Served   Status = iota + 1 // with the result of a run
+	Rejected                   // this attempt of the caller never ran
+	Failed                     // without a promise of whether it ran
+	Expired                    // failed, as its deadline passed
+	Conflict                   // failed, as it uses the ID or key of another request; see Reason
+	NotFound                   // failed, as its runner does not know such a request
 	// it duplicates a request that ran and whose result is not available
 	ResultLost
 )
--- a/internal/peers/link/transport.go
+++ b/internal/peers/link/transport.go
@@ -86,13 +86,11 @@
 	loop.Every(idleTimeout/2, t.closeIdle)
 	var err error
 	// Each peer has one connection; a new one may come before the end of the last is seen.
-	t.listener, err = loop.Listen(
-		cfg.Listen,
-		2*len(cfg.Peers)+4,
-		eventloop.BufferLimits{In: framing.HeaderSize + maxFrameBytes, Out: minBufferBytes},
-		t.accept,
-		nil,
-	)
+	t.listener, err = loop.Listen(cfg.Listen, eventloop.ListenConfig{
+		MaxOpen: 2*len(cfg.Peers) + 4,
+		Limits:  eventloop.BufferLimits{In: framing.HeaderSize + maxFrameBytes, Out: minBufferBytes},
+		Accept:  t.accept,
+	})
 	return t, err
 }
 
--- a/internal/testing/daytest/backend.go
+++ b/internal/testing/daytest/backend.go
@@ -48,13 +48,11 @@
 }
 
 func (b *backend) listen() (err error) {
-	b.listener, err = b.loop.Listen(
-		b.addr,
-		backendBacklog,
-		bufferLimits,
-		func(c *eventloop.Conn) eventloop.Handler { return &backendConn{Conn: c, backend: b} },
-		nil,
-	)
+	b.listener, err = b.loop.Listen(b.addr, eventloop.ListenConfig{
+		MaxOpen: backendBacklog,
+		Limits:  bufferLimits,
+		Accept:  func(c *eventloop.Conn) eventloop.Handler { return &backendConn{Conn: c, backend: b} },
+	})
 	return err
 }
 
--- a/internal/testing/daytest/engine.go
+++ b/internal/testing/daytest/engine.go
@@ -74,13 +74,11 @@
 
 func newEngine(loop *eventloop.Loop, incarnation *fleet.Incarnation) (e *engine, err error) {
 	e = &engine{loop: loop, incarnation: incarnation, started: loop.Now()}
-	e.listener, err = loop.Listen(
-		loopback,
-		engineBacklog,
-		bufferLimits,
-		func(c *eventloop.Conn) eventloop.Handler { return &engineLink{Conn: c, engine: e} },
-		nil,
-	)
+	e.listener, err = loop.Listen(loopback, eventloop.ListenConfig{
+		MaxOpen: engineBacklog,
+		Limits:  bufferLimits,
+		Accept:  func(c *eventloop.Conn) eventloop.Handler { return &engineLink{Conn: c, engine: e} },
+	})
 	return e, err
 }
 
