--- a/internal/ci/references_test.go
+++ b/internal/ci/references_test.go
@@ -5,12 +5,15 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
 
 var (
-	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
+	codeSpan      = regexp.MustCompile("`([^`]+)`")
+	codeBlock     = regexp.MustCompile("(?ms)^ *```.*?^ *```$")
+	paragraphEnd  = regexp.MustCompile(`\n\s*\n|\n(?:[#|]|\s*[-*] )`)
 	testName      = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
 	sourcePath    = regexp.MustCompile(`^(?:internal|cmd)/[\w./*{},-]+$`)
 	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)+$`)
@@ -29,9 +32,8 @@
 	former := formerNames(t)
 	found := 0
 	for _, page := range pages {
-		text := readPage(t, page)
-		for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
-			isReference, err := checkReference(index, former, span[1])
+		for _, span := range codeSpans(readPage(t, page)) {
+			isReference, err := checkReference(index, former, span)
 			if err != nil {
 				t.Errorf("%s: %v", filepath.Base(page), err)
 			}
@@ -92,11 +94,11 @@
 		if len(cells) <= column {
 			continue
 		}
-		for _, span := range codeSpan.FindAllStringSubmatch(cells[column], -1) {
-			parts := strings.Split(span[1], ".")
+		for _, span := range codeSpans(cells[column]) {
+			parts := strings.Split(span, ".")
 			name := parts[len(parts)-1]
 			if found++; !index.declared[name] && len(index.packages[name]) == 0 {
-				t.Errorf("crossings.md names %s, which does not exist", span[1])
+				t.Errorf("crossings.md names %s, which does not exist", span)
 			}
 		}
 	}
@@ -105,6 +107,26 @@
 	}
 }
 
+// codeSpans returns the texts in code style of a page, without blocks of code. A text that is wrapped counts
+// as one line.
+func codeSpans(page string) (spans []string) {
+	for _, paragraph := range paragraphEnd.Split(codeBlock.ReplaceAllString(page, ""), -1) {
+		for _, span := range codeSpan.FindAllStringSubmatch(paragraph, -1) {
+			spans = append(spans, strings.Join(strings.Fields(span[1]), " "))
+		}
+	}
+	return spans
+}
+
+// Texts in code style are found beside blocks of code, in tables and over the end of a line.
+func TestCodeSpansArePaired(t *testing.T) {
+	page := "One `a.B` and `two\n  words`.\n\n```\n`block\n```\n\n| `c` | `d` |\n| an open ` mark |\n- `e`\n"
+	want := []string{"a.B", "two words", "c", "d", "e"}
+	if got := codeSpans(page); !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
 // checkReference returns an error if a text in code style names a test, a path or a declaration that does
 // not exist. isReference is false for other texts.
 func checkReference(index *codeIndex, former nameSet, span string) (isReference bool, err error) {
