--- /dev/null
+++ b/internal/testing/simcluster/node.go
@@ -0,0 +1,204 @@
+package simcluster
+
+import (
+	"slices"
+	"time"
+
+	"ryepaddle/internal/simulator/virtualclock"
+)
+
+// Node is the machine of a runner, and its process if there is one.
+type Node struct {
+	Name, Zone  string
+	Cluster     *Cluster
+	Up          bool   // there is a process
+	Incarnation uint64 // of the process
+	State       any    // of the process, for the test
+
+	stops           int      // faults that hold the process
+	heldCalls       []func() // meanwhile
+	clockRate       float64
+	monotonicOffset time.Duration // of Monotonic
+	bootOffset      time.Duration // of BootTime
+	suspendedSince  time.Duration // 0: the machine is not suspended
+	suspendedTotal  time.Duration // in earlier suspensions
+	savedDisk       any           // at the last crash
+	previousDisk    any           // at the crash before
+	replaced        bool          // another machine has its name: nobody hears it
+}
+
+func (c *Cluster) newNode(name, zone string, clockRate float64) *Node {
+	return &Node{
+		Name:            name,
+		Zone:            zone,
+		Cluster:         c,
+		clockRate:       clockRate,
+		monotonicOffset: c.Between(time.Second, 1000*time.Second),
+		bootOffset:      c.Between(1000*time.Second, 5000*time.Second),
+	}
+}
+
+// start starts a process.
+func (n *Node) start(disk any) {
+	n.Cluster.incarnations++
+	n.Up, n.Incarnation, n.stops, n.heldCalls = true, n.Cluster.incarnations, 0, nil
+	n.Cluster.options.Start(n, disk)
+}
+
+// Monotonic reads the clock of the machine that stands still while the machine is suspended.
+func (n *Node) Monotonic() time.Duration {
+	at := n.Cluster.Now()
+	if n.suspendedSince != 0 {
+		at = n.suspendedSince
+	}
+	return n.monotonicOffset + virtualclock.FromMicros(virtualclock.Micros(at-n.suspendedTotal)*n.clockRate)
+}
+
+// BootTime reads the clock of the machine that goes on while the machine is suspended.
+func (n *Node) BootTime() time.Duration {
+	return n.bootOffset + virtualclock.FromMicros(virtualclock.Micros(n.Cluster.Now())*n.clockRate)
+}
+
+// TrueTime returns the true time at which BootTime reads a value.
+func (n *Node) TrueTime(bootTime time.Duration) time.Duration {
+	return virtualclock.FromMicros(virtualclock.Micros(bootTime-n.bootOffset) / n.clockRate)
+}
+
+// Do calls fn in the process: at once, when the process is not held any more, or never if it ends
+// before that.
+func (n *Node) Do(fn func()) {
+	switch {
+	case !n.Up:
+	case n.stops > 0:
+		n.heldCalls = append(n.heldCalls, fn)
+	default:
+		fn()
+	}
+}
+
+// After calls fn in this process after a time.
+func (n *Node) After(d time.Duration, fn func()) {
+	incarnation := n.Incarnation
+	n.Cluster.After(d, func() {
+		if n.Incarnation == incarnation {
+			n.Do(fn)
+		}
+	})
+}
+
+// Every calls fn in this process at an interval. Of the calls that fall into a time in which the process
+// is held, one is made afterwards.
+func (n *Node) Every(interval time.Duration, fn func()) {
+	incarnation, pending := n.Incarnation, false
+	var tick func()
+	tick = func() {
+		if n.Incarnation != incarnation || !n.Up {
+			return
+		}
+		if !pending {
+			pending = true
+			n.Do(func() { pending = false; fn() })
+		}
+		n.Cluster.After(interval, tick)
+	}
+	n.Cluster.After(n.Cluster.Between(0, interval), tick)
+}
+
+// Send sends a message to the process of another runner, which deliver gives to it.
+func (n *Node) Send(to string, deliver func(to *Node)) {
+	n.Cluster.Sent++
+	if !n.replaced {
+		n.Cluster.send(link{n.Name, to}, deliver)
+	}
+}
+
+// Stop holds the process for a time, as SIGSTOP does. Messages wait.
+func (n *Node) Stop(d time.Duration) { n.pause(d, false) }
+
+// Suspend holds the machine for a time: Monotonic stands still too.
+func (n *Node) Suspend(d time.Duration) { n.pause(d, true) }
+
+func (n *Node) pause(d time.Duration, suspend bool) {
+	if !n.Up || n.stops > 0 {
+		return
+	}
+	incarnation := n.Incarnation
+	n.Cluster.log("%s is held for %d ms, suspended %v", n.Name, d.Milliseconds(), suspend)
+	n.stops++
+	if suspend {
+		n.suspendedSince = n.Cluster.Now()
+	}
+	n.Cluster.After(d, func() {
+		if suspend {
+			n.suspendedTotal += n.Cluster.Now() - n.suspendedSince
+			n.suspendedSince = 0
+		}
+		if n.Incarnation == incarnation && n.Up {
+			n.resume()
+		}
+	})
+}
+
+// resume makes the calls that were held.
+func (n *Node) resume() {
+	n.stops--
+	calls := n.heldCalls
+	n.heldCalls = nil
+	for _, fn := range calls {
+		n.Do(fn)
+	}
+}
+
+// Disk is the state in which a restarted process finds its disk.
+type Disk int
+
+// The states of a disk.
+const (
+	DiskIntact Disk = iota // as it was at the crash
+	DiskStale              // as it was at the crash before
+	DiskEmpty
+	diskCount
+)
+
+// Crash ends the process. Another one starts after a time.
+func (n *Node) Crash(restartAfter time.Duration, disk Disk) {
+	if !n.Up {
+		return
+	}
+	n.Cluster.log("%s crashes, back in %d ms with disk %d", n.Name, restartAfter.Milliseconds(), disk)
+	n.previousDisk, n.savedDisk = n.savedDisk, n.Cluster.options.Save(n)
+	n.Up, n.heldCalls = false, nil
+	n.Cluster.After(restartAfter, func() { n.start(n.diskIn(disk)) })
+}
+
+// diskIn returns the contents of the disk in a state; nil: it is empty.
+func (n *Node) diskIn(state Disk) any {
+	switch state {
+	case DiskIntact:
+		return n.savedDisk
+	case DiskStale:
+		return n.previousDisk
+	default:
+		return nil
+	}
+}
+
+// Replace starts a process with the name of the runner on another, empty machine. The process on this
+// one goes on, but nobody hears it any more.
+func (n *Node) Replace() {
+	c := n.Cluster
+	c.log("%s is replaced by another machine", n.Name)
+	next := c.newNode(n.Name, n.Zone, n.clockRate)
+	n.replaced = true
+	c.byName[n.Name] = next
+	c.Nodes[slices.Index(c.Nodes, n)] = next
+	next.start(nil)
+}
+
+// CutOff cuts the links to all other runners for a time, or both ways.
+func (n *Node) CutOff(d time.Duration, both bool) {
+	n.Cluster.log("%s is cut off for %d ms, both ways %v", n.Name, d.Milliseconds(), both)
+	for _, other := range n.Cluster.Nodes {
+		n.Cluster.Cut(n.Name, other.Name, d, both)
+	}
+}
