--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -60,20 +60,9 @@
 
 const window = 3 * time.Second
 
-// start starts a process with what the disk holds, and reports whether it starts.
-func (m *machine) start() bool {
-	m.incarnations++
-	p := &process{machine: m, incarnation: m.incarnations}
-	p.health.stallTimeout = p.Timeout()
-	journal, found, err := store.OpenJournal(m.disk, m.unix(), m.options)
-	if journal == nil {
-		if !errors.Is(err, crashfs.ErrCrashed) {
-			m.violated("process %d does not start: %v", p.incarnation, err)
-		}
-		return false
-	}
-	p.journal = journal
-	set := admission.Settings{
+// crashTestSettings are settings with one class, which is idempotent with a key.
+func crashTestSettings() admission.Settings {
+	return admission.Settings{
 		Servers:               1,
 		Callers:               1,
 		Cores:                 8,
@@ -102,20 +91,47 @@
 			},
 		},
 	}
-	p.manager, err = lifecycle.New(set, m.seed, lifecycle.Environment{Now: m.now, Unix: m.unix,
+}
+
+// environment returns what the manager of a process needs.
+func (m *machine) environment(p *process) lifecycle.Environment {
+	return lifecycle.Environment{
+		Now:   m.now,
+		Unix:  m.unix,
 		After: func(d time.Duration, fn func()) func() { return p.after(d, fn).Stop },
 		Measure: func(fn func(lifecycle.Gauges)) {
 			p.after(time.Microsecond, func() { fn(lifecycle.UnknownGauges()) })
 		},
-		SetHealth: func(bool, bool) {}, Advertise: func(float64) {}, CloseIdle: func(time.Duration) {},
-		Log:   func(*logging.Event, ...any) {},
-		Route: func(int) lifecycle.Runner { return p }, KeyStore: p, Incarnation: m.incarnations,
+		SetHealth:   func(bool, bool) {},
+		Advertise:   func(float64) {},
+		CloseIdle:   func(time.Duration) {},
+		Log:         func(*logging.Event, ...any) {},
+		Route:       func(int) lifecycle.Runner { return p },
+		KeyStore:    p,
+		Incarnation: m.incarnations,
 		OnAnswered: func(t *lifecycle.Trace) {
 			if m.traces++; t.Status != lifecycle.Served && t.Cause == lifecycle.CauseNone ||
 				t.Status == lifecycle.Served && t.OriginalID != "" && t.Cause != lifecycle.CauseDuplicate {
 				m.violated("%s has no cause: %+v", t.ID, *t)
 			}
-		}})
+		},
+	}
+}
+
+// start starts a process with what the disk holds, and reports whether it starts.
+func (m *machine) start() bool {
+	m.incarnations++
+	p := &process{machine: m, incarnation: m.incarnations}
+	p.health.stallTimeout = p.Timeout()
+	journal, found, err := store.OpenJournal(m.disk, m.unix(), m.options)
+	if journal == nil {
+		if !errors.Is(err, crashfs.ErrCrashed) {
+			m.violated("process %d does not start: %v", p.incarnation, err)
+		}
+		return false
+	}
+	p.journal = journal
+	p.manager, err = lifecycle.New(crashTestSettings(), m.seed, m.environment(p))
 	if err != nil {
 		m.t.Fatal(err)
 	}
