--- a/internal/ci/codeindex_test.go
+++ b/internal/ci/codeindex_test.go
@@ -130,6 +130,16 @@
 	})
 }
 
+// declaresPrefix reports whether a declared name begins with a prefix.
+func (index *codeIndex) declaresPrefix(prefix string) bool {
+	for name := range index.declared {
+		if strings.HasPrefix(name, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
 // isKeyPath reports whether all parts of a name are keys of YAML or JSON.
 func (index *codeIndex) isKeyPath(parts []string) bool {
 	for _, part := range parts {
--- a/internal/ci/references_test.go
+++ b/internal/ci/references_test.go
@@ -1,6 +1,7 @@
 package ci
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -16,6 +17,8 @@
 	paragraphEnd  = regexp.MustCompile(`\n\s*\n|\n(?:[#|]|\s*[-*] )`)
 	testName      = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
 	sourcePath    = regexp.MustCompile(`^(?:internal|cmd)/[\w./*{},-]+$`)
+	commandPath   = regexp.MustCompile(`(?:^| )\./((?:internal|cmd|example)/[\w/-]+)`)
+	commandTest   = regexp.MustCompile(`-(?:run|bench) ((?:Test|Benchmark|Fuzz)\w+)`)
 	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)+$`)
 	exportedName  = regexp.MustCompile(`^[a-z][a-z0-9]*\.[A-Z]`)
 	alternatives  = regexp.MustCompile(`^(.*)\{([^}]*)\}(.*)$`)
@@ -24,10 +27,7 @@
 
 // All pages name tests, folders, files and code that exist.
 func TestPagesReferToExistingCode(t *testing.T) {
-	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
-	if err != nil || len(pages) < 20 {
-		t.Fatalf("%d pages, %v", len(pages), err)
-	}
+	pages := pagePaths(t)
 	index := newCodeIndex(t)
 	former := formerNames(t)
 	found := 0
@@ -35,7 +35,7 @@
 		for _, span := range codeSpans(readPage(t, page)) {
 			isReference, err := checkReference(index, former, span)
 			if err != nil {
-				t.Errorf("%s: %v", filepath.Base(page), err)
+				t.Errorf("%s: %v", page, err)
 			}
 			if isReference {
 				found++
@@ -47,6 +47,22 @@
 	}
 }
 
+// pagePaths returns the pages and those on results.
+func pagePaths(t *testing.T) (pages []string) {
+	t.Helper()
+	for _, pattern := range []string{"docs/*.md", "docs/results/*/*.md"} {
+		paths, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil {
+			t.Fatal(err)
+		}
+		pages = append(pages, paths...)
+	}
+	if len(pages) < 30 {
+		t.Fatalf("%d pages: the check does not find them", len(pages))
+	}
+	return pages
+}
+
 // The check of the pages finds names that do not exist.
 func TestReferencesToMissingCodeAreFound(t *testing.T) {
 	index := newCodeIndex(t)
@@ -64,6 +80,8 @@
 		"store.nosuchkey",
 		"Controller.noSuchMethod",
 		"nosuchpackage.Clock",
+		"go test -run TestNoSuchTest ./internal/ci",
+		"go test -run TestPagesReferToExistingCode ./internal/nosuchpackage",
 	} {
 		if _, err := checkReference(index, former, span); err == nil {
 			t.Errorf("%s is taken for a name that exists", span)
@@ -77,6 +95,7 @@
 		"store.dir",
 		"store.formerevent",
 		"Controller.admit",
+		"go test -run TestPagesRefer ./internal/ci",
 	} {
 		if isReference, err := checkReference(index, former, span); err != nil || !isReference {
 			t.Errorf("%s: a reference %v, %v", span, isReference, err)
@@ -140,10 +159,26 @@
 		return true, checkPath(span)
 	case qualifiedName.MatchString(span):
 		return checkName(index, former, span)
+	case strings.Contains(span, " "):
+		return checkCommand(index, span)
 	}
 	return false, nil
 }
 
+// checkCommand returns an error if a command names a folder that does not exist, or runs no test.
+func checkCommand(index *codeIndex, command string) (isReference bool, err error) {
+	for _, m := range commandPath.FindAllStringSubmatch(command, -1) {
+		isReference, err = true, errors.Join(err, checkPath(m[1]))
+	}
+	for _, m := range commandTest.FindAllStringSubmatch(command, -1) {
+		isReference = true
+		if !index.declaresPrefix(m[1]) {
+			err = errors.Join(err, fmt.Errorf("there is no %s", m[1]))
+		}
+	}
+	return isReference, err
+}
+
 // checkPath returns an error if a path, of which one part may be a list of alternatives, does not exist.
 func checkPath(path string) error {
 	if m := alternatives.FindStringSubmatch(path); m != nil {
