--- a/internal/testing/cluster/cluster_test.go
+++ b/internal/testing/cluster/cluster_test.go
@@ -64,7 +64,7 @@
 	if v := c.Check(); len(v) > 0 {
 		name, _, _ := strings.Cut(t.Name(), "/")
 		t.Errorf(
-			"%v\nagain with: RYEPADDLE_SEED=%d go test -race -run %s ./internal/standin/cluster\n%v",
+			"%v\nagain with: RYEPADDLE_SEED=%d go test -race -run %s ./internal/testing/cluster\n%v",
 			v,
 			seed,
 			name,
--- a/internal/testing/deployment/deployment_test.go
+++ b/internal/testing/deployment/deployment_test.go
@@ -20,7 +20,7 @@
 )
 
 // Whatever the settings say, a runner starts with them, each request gets its one answer in time,
-// and no rule is broken. By hand: go test ./internal/standin/deployment -run Everywhere
+// and no rule is broken. By hand: go test ./internal/testing/deployment -run Everywhere
 // -rapid.checks=20000
 func TestEverywhere(t *testing.T) {
 	t.Parallel()
