--- a/internal/simulator/cluster/clients.go
+++ b/internal/simulator/cluster/clients.go
@@ -33,7 +33,7 @@
 	r := day.Stream(s.seed, "arrivals", 0)
 	rate := s.spec.Load * float64(s.spec.workers()) / meanWork() // per microsecond
 	s.arriveUntil(r, rate, func() bool {
-		return s.scheduler.Now()-virtualclock.Origin >= seconds(s.spec.Seconds)
+		return s.scheduler.Now()-virtualclock.Origin >= virtualclock.FromSeconds(s.spec.Seconds)
 	}, drawClass)
 }
 
@@ -107,7 +107,7 @@
 		Class:       r.class,
 		Caller:      uint32(1 + s.submissions%clientAddresses),
 		ArrivedAt:   unixOrigin.Add(now),
-		Timeout:     millis(classes[r.class].Deadline) - (now - r.firstSentAt),
+		Timeout:     virtualclock.FromMillis(classes[r.class].Deadline) - (now - r.firstSentAt),
 		SizeKB:      1,
 		Rank:        0.5,
 		Key:         r.key,
@@ -147,7 +147,8 @@
 	s, c := r.simulation, &classes[r.class]
 	jitter := virtualclock.FromMicros(s.clients.Float64() * virtualclock.Micros(retryAfter))
 	wait := retryAfter.Truncate(virtualclock.Resolution) + jitter
-	if r.submissions >= maxSubmissions || elapsed+wait+millis(c.Work) >= millis(c.Deadline) {
+	enoughTime := elapsed+wait+virtualclock.FromMillis(c.Work) < virtualclock.FromMillis(c.Deadline)
+	if r.submissions >= maxSubmissions || !enoughTime {
 		return false
 	}
 	s.scheduler.After(wait, r.submit)
--- a/internal/simulator/cluster/simulation.go
+++ b/internal/simulator/cluster/simulation.go
@@ -22,10 +22,6 @@
 	unixOrigin wallclock.UnixMicro = 1e15
 )
 
-// millis and seconds convert the numbers of a specification, cut to whole microseconds.
-func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
-func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * 1e6) }
-
 // simulation is a day that is simulated. It implements lifecycle.Runner over the simulated servers.
 type simulation struct {
 	spec      *Spec
@@ -70,7 +66,7 @@
 		s.scheduleFault(fault)
 	}
 	s.startArrivals()
-	s.scheduler.RunUntil(virtualclock.Origin + seconds(spec.Seconds) + settleTime)
+	s.scheduler.RunUntil(virtualclock.Origin + virtualclock.FromSeconds(spec.Seconds) + settleTime)
 	return s.stats.result(seed, s.picker), nil
 }
 
@@ -184,8 +180,8 @@
 	for _, c := range classes {
 		class := admission.Class{
 			Name:               c.Name,
-			LatencyObjective:   millis(c.LatencyObjective),
-			Timeout:            millis(c.Deadline),
+			LatencyObjective:   virtualclock.FromMillis(c.LatencyObjective),
+			Timeout:            virtualclock.FromMillis(c.Deadline),
 			PriorityWeight:     c.PriorityWeight,
 			LateWeightFraction: c.LateWeightFraction,
 			Idempotency:        admission.Idempotent,
@@ -208,5 +204,5 @@
 
 // at calls fn so many seconds into the day.
 func (s *simulation) at(second float64, fn func()) {
-	s.scheduler.After(virtualclock.Origin+seconds(second)-s.scheduler.Now(), fn)
+	s.scheduler.After(virtualclock.Origin+virtualclock.FromSeconds(second)-s.scheduler.Now(), fn)
 }
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -15,10 +15,6 @@
 
 const microsPerSecond = 1e6
 
-// millis and seconds convert the numbers of a scenario, cut to whole microseconds.
-func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
-func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * microsPerSecond) }
-
 // Arrival is a request of a client.
 type Arrival struct {
 	At       time.Duration // from the start of the day
@@ -83,7 +79,7 @@
 
 // Draw draws a day of a scenario. The same scenario and seed give the same day.
 func Draw(s *Spec, seed uint64) *Day {
-	d := &Day{Spec: s, Seed: seed, Length: seconds(s.LengthS)}
+	d := &Day{Spec: s, Seed: seed, Length: virtualclock.FromSeconds(s.LengthS)}
 	d.drawFleet()
 	d.drawBackend()
 	d.drawBalancers()
@@ -148,9 +144,9 @@
 		Backlog:           spec.Backlog,
 		RunFactor:         spec.RunFactor,
 		ConcurrencyLimit:  spec.CrowdLimit,
-		ConcurrencyWindow: millis(spec.CrowdMs),
+		ConcurrencyWindow: virtualclock.FromMillis(spec.CrowdMs),
 		WarmUpSpeed:       drawFrom(r, spec.ColdFrom),
-		WarmUpTime:        seconds(drawFrom(r, spec.ColdS)),
+		WarmUpTime:        virtualclock.FromSeconds(drawFrom(r, spec.ColdS)),
 		WarmUpCallFactor:  drawFrom(r, spec.ColdCalls),
 	}
 	m.MemoryKB = drawFrom(r, spec.MemoryRuns) * float64(spec.Cores) * spec.RunFactor * d.HoldKB
@@ -186,9 +182,9 @@
 		Thrash:          drawFrom(r, spec.Thrash),
 		RejectsOverload: spec.Sheds,
 		CrashFactor:     spec.Fall,
-		CrashWindow:     millis(spec.FallMs),
-		RestartTime:     seconds(drawFrom(r, spec.DownS)),
-		CancelLinger:    millis(spec.LingerMs),
+		CrashWindow:     virtualclock.FromMillis(spec.FallMs),
+		RestartTime:     virtualclock.FromSeconds(drawFrom(r, spec.DownS)),
+		CancelLinger:    virtualclock.FromMillis(spec.LingerMs),
 	}
 	if callRate := drawFrom(r, spec.Headroom) * d.Capacity * calls / shares; callRate > 0 {
 		d.CallWork = d.Backend.Slots / callRate * microsPerSecond
@@ -213,8 +209,8 @@
 		r := Stream(d.Seed, "trouble", uint64(i))
 		e := Event{
 			Kind:     t.Kind,
-			At:       seconds(drawFrom(r, t.AtS)),
-			Duration: seconds(drawFrom(r, t.ForS)),
+			At:       virtualclock.FromSeconds(drawFrom(r, t.AtS)),
+			Duration: virtualclock.FromSeconds(drawFrom(r, t.ForS)),
 			Factor:   drawFrom(r, t.Times),
 			Zone:     -1,
 		}
--- a/internal/simulator/day/override.go
+++ b/internal/simulator/day/override.go
@@ -8,6 +8,7 @@
 	"go.yaml.in/yaml/v3"
 
 	"ryepaddle/internal/simulator/balance"
+	"ryepaddle/internal/simulator/virtualclock"
 	"ryepaddle/internal/yamldoc"
 )
 
@@ -18,14 +19,14 @@
 		Retry:               balance.Retry(k.Retry),
 		MaxAttempts:         k.Tries,
 		RetryBudget:         k.Budget,
-		RetryPause:          millis(k.PauseMs),
+		RetryPause:          virtualclock.FromMillis(k.PauseMs),
 		AttemptTimeout:      k.Patience,
-		HedgeDelay:          millis(k.CopyAfterMs),
+		HedgeDelay:          virtualclock.FromMillis(k.CopyAfterMs),
 		FollowsAdvice:       followsAdvice,
 		CreditTTL:           creditTTL,
-		HealthCheckInterval: millis(k.CheckEveryMs),
+		HealthCheckInterval: virtualclock.FromMillis(k.CheckEveryMs),
 		EjectAfterFailures:  k.EjectAfter,
-		EjectionTime:        millis(k.EjectMs),
+		EjectionTime:        virtualclock.FromMillis(k.EjectMs),
 		ThrottleFactor:      k.Throttle,
 		SubsetSize:          k.Subset,
 		Sticky:              k.Stick,
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -25,33 +25,44 @@
 // jitter is the most by which the copy of a request is moved: copies at one time would be bursts.
 const jitter = 250 * time.Millisecond
 
+// RecordingError reports a recording that a scenario cannot replay.
+type RecordingError struct{ Reason string }
+
+// Error implements error.
+func (e *RecordingError) Error() string { return "day: " + e.Reason }
+
+func recordingErrorf(format string, v ...any) error {
+	return &RecordingError{fmt.Sprintf(format, v...)}
+}
+
 // WithTraffic returns the scenario with recorded traffic at a factor of its rate. The day is as long as
-// the recording. Fleet, faults and work stay those of the scenario, as a recording has no work.
+// the recording. Fleet, faults and work stay those of the scenario, as a recording has no work. It
+// returns a RecordingError if the scenario lacks a class or a tenant, or the recording is unfit.
 func (s *Spec) WithTraffic(rec *traffic.Recording, rate float64) (*Spec, *Replay, error) {
 	if !(rate > 0 && rate <= 100) {
-		return nil, nil, fmt.Errorf("day: a rate of %v times the recorded one", rate)
+		return nil, nil, recordingErrorf("a rate of %v times the recorded one", rate)
 	}
 	if len(rec.Requests) == 0 {
-		return nil, nil, fmt.Errorf("day: the recording of %s holds no requests", rec.Runner)
+		return nil, nil, recordingErrorf("the recording of %s holds no requests", rec.Runner)
 	}
 	r := &Replay{rate: rate}
 	for _, name := range rec.Classes {
 		i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 		if i < 0 {
-			return nil, nil, fmt.Errorf("day: the recording has a class %q, which %s does not name", name, s.Name)
+			return nil, nil, recordingErrorf("the recording has a class %q, which %s does not name", name, s.Name)
 		}
 		r.classes = append(r.classes, i)
 	}
 	for _, name := range rec.Tenants {
 		i := slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if i < 0 {
-			return nil, nil, fmt.Errorf("day: the recording has a tenant %q, which %s does not name", name, s.Name)
+			return nil, nil, recordingErrorf("the recording has a tenant %q, which %s does not name", name, s.Name)
 		}
 		r.tenants = append(r.tenants, i)
 	}
 	r.requests, r.Further = rec.WithoutRetries(
 		func(class int) time.Duration {
-			return millis(s.Classes[r.classes[class]].DeadlineMs)
+			return virtualclock.FromMillis(s.Classes[r.classes[class]].DeadlineMs)
 		},
 	)
 	r.startedAt = r.requests[0].ArrivedAt
@@ -59,7 +70,7 @@
 	out.replay = r
 	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.startedAt+1) / microsPerSecond)
 	if out.LengthS > 86_400 {
-		return nil, nil, fmt.Errorf("day: the recording spans %.0f s, more than a day", out.LengthS)
+		return nil, nil, recordingErrorf("the recording spans %.0f s, more than a day", out.LengthS)
 	}
 	out.WindowS = min(out.WindowS, out.LengthS)
 	return &out, r, nil
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -1,6 +1,7 @@
 package day
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -110,7 +111,9 @@
 	} {
 		rec := recording(t, s)
 		c.change(rec)
-		if _, _, err := s.WithTraffic(rec, c.rate); err == nil || !strings.Contains(err.Error(), c.want) {
+		var unfit *RecordingError
+		_, _, err := s.WithTraffic(rec, c.rate)
+		if !errors.As(err, &unfit) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %s", err, c.want)
 		}
 	}
--- a/internal/simulator/day/settings.go
+++ b/internal/simulator/day/settings.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ryepaddle/internal/admission"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 const (
@@ -36,12 +37,12 @@
 		IdleConnectionTimeout: idleConnectionTimeout,
 		MaxRetryAfter:         maxRetryAfter,
 		OverQuotaWeight:       d.Spec.Goal.OverWorth,
-		DeadlineGrace:         millis(fleet.SlackMs),
-		DrainGrace:            millis(fleet.DrainMs),
+		DeadlineGrace:         virtualclock.FromMillis(fleet.SlackMs),
+		DrainGrace:            virtualclock.FromMillis(fleet.DrainMs),
 		MaxRunningPerCore:     fleet.CrowdLimit,
-		MaxRunningWindow:      millis(fleet.CrowdMs),
+		MaxRunningWindow:      virtualclock.FromMillis(fleet.CrowdMs),
 		WarmUpInitialShare:    fleet.ColdFrom.Lo,
-		WarmUpTime:            millis(fleet.ColdS.Hi * 1000),
+		WarmUpTime:            virtualclock.FromMillis(fleet.ColdS.Hi * 1000),
 	}
 	d.addClasses(&d.Settings)
 	d.addTenants(&d.Settings)
@@ -52,9 +53,9 @@
 	for i, c := range d.Spec.Classes {
 		settings.Classes = append(settings.Classes, admission.Class{
 			Name:               c.Name,
-			LatencyObjective:   millis(c.AimMs),
-			Timeout:            millis(c.DeadlineMs),
-			IdempotencyWindow:  millis(c.WindowMs),
+			LatencyObjective:   virtualclock.FromMillis(c.AimMs),
+			Timeout:            virtualclock.FromMillis(c.DeadlineMs),
+			IdempotencyWindow:  virtualclock.FromMillis(c.WindowMs),
 			Idempotency:        idempotencyOf[c.Effect],
 			PriorityWeight:     c.Worth,
 			LateWeightFraction: c.LateWorth,
--- a/internal/simulator/fleet/attempt.go
+++ b/internal/simulator/fleet/attempt.go
@@ -7,6 +7,7 @@
 	"ryepaddle/internal/simulator/balance"
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/virtualclock"
 	"ryepaddle/internal/wallclock"
 )
 
@@ -151,9 +152,9 @@
 // read after its deadline is to be answered at once.
 func (a *Attempt) checkDeadline(state string) {
 	class, s := a.class(), a.simulation
-	deadline := max(a.arrivedAt+millis(class.DeadlineMs), a.readAt)
+	deadline := max(a.arrivedAt+virtualclock.FromMillis(class.DeadlineMs), a.readAt)
 	deadline += a.incarnation.frozenTime() - a.frozenBefore
-	late := s.now() - deadline - millis(s.day.Spec.Fleet.SlackMs) - measuringTolerance
+	late := s.now() - deadline - virtualclock.FromMillis(s.day.Spec.Fleet.SlackMs) - measuringTolerance
 	if late > 0 && !a.abandoned {
 		a.addViolation(ledger.Lost, "%s: a %s was %s %d ms past its due time",
 			a.runner.spec.Name, class.Name, state, late.Milliseconds())
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -7,6 +7,7 @@
 	"ryepaddle/internal/simulator/balance"
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/ledger"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // balancer connects a balancer of package balance to the simulation. It implements
@@ -53,7 +54,7 @@
 	delay := func() time.Duration {
 		b.notices++
 		u := day.Unit(s.day.Seed, "notice"+strconv.Itoa(b.index), b.notices)
-		return seconds(notice.Lo + (notice.Hi-notice.Lo)*u)
+		return virtualclock.FromSeconds(notice.Lo + (notice.Hi-notice.Lo)*u)
 	}
 	s.registry.Watch(delay, func(name string, listed bool) {
 		for _, r := range s.runners {
@@ -73,7 +74,7 @@
 		Key:        arrival.ID,
 		Idempotent: class.Effect == day.EffectSafe,
 		Keyed:      class.Effect == day.EffectKeyed,
-		Deadline:   millis(class.DeadlineMs),
+		Deadline:   virtualclock.FromMillis(class.DeadlineMs),
 	})
 }
 
@@ -106,7 +107,7 @@
 	if u < spec.GoneLost {
 		return
 	}
-	delay := millis(spec.TellsGoneMs.Lo + (spec.TellsGoneMs.Hi-spec.TellsGoneMs.Lo)*u)
+	delay := virtualclock.FromMillis(spec.TellsGoneMs.Lo + (spec.TellsGoneMs.Hi-spec.TellsGoneMs.Lo)*u)
 	s.clock.After(delay, a.abandon)
 }
 
--- a/internal/simulator/fleet/incarnation.go
+++ b/internal/simulator/fleet/incarnation.go
@@ -136,7 +136,7 @@
 	if why != reasonKilled && why != reasonStopped {
 		s.account.AddViolation(ledger.RunnerCrash, s.now(), "%s: %s", l.Name(), why)
 		restart, u := s.day.Spec.Fleet.RestartS, day.Unit(s.day.Seed, "restart"+l.Name(), r.incarnations)
-		r.restartAfter(seconds(restart.Lo + (restart.Hi-restart.Lo)*u))
+		r.restartAfter(virtualclock.FromSeconds(restart.Lo + (restart.Hi-restart.Lo)*u))
 	}
 	for _, held := range l.heldAnswers {
 		held.attempt.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit})
@@ -183,9 +183,9 @@
 		if ran && (class.Effect == day.EffectUnsafe || a.arrivedAt <= until) {
 			s.account.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", l.Name(), class.Name)
 		}
-		l.ranUntil[a.arrival.ID] = a.arrivedAt + millis(class.WindowMs)
+		l.ranUntil[a.arrival.ID] = a.arrivedAt + virtualclock.FromMillis(class.WindowMs)
 	}
-	late := a.arrivedAt - l.drainAt - millis(s.day.Spec.Fleet.DrainMs) - measuringTolerance
+	late := a.arrivedAt - l.drainAt - virtualclock.FromMillis(s.day.Spec.Fleet.DrainMs) - measuringTolerance
 	if l.drainAt != 0 && late > 0 {
 		s.account.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late",
 			l.Name(), late.Milliseconds())
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -7,6 +7,7 @@
 	"ryepaddle/internal/simulator/balance"
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/dependencies"
+	"ryepaddle/internal/simulator/virtualclock"
 )
 
 // runner is one place of the fleet, with one incarnation after the other.
@@ -112,7 +113,7 @@
 	l.stopAt = l.drainAt + timeout
 	s.registry.Deregister(r.spec.Name)
 	l.process.Drain(timeout)
-	grace := min(millis(spec.DrainMs)+measuringTolerance, timeout/2)
+	grace := min(virtualclock.FromMillis(spec.DrainMs)+measuringTolerance, timeout/2)
 	l.after(grace, func() { l.closed = true })
 	var stopWhenDone func()
 	stopWhenDone = func() {
@@ -122,7 +123,7 @@
 		}
 		l.recordUnanswered("when it was stopped")
 		l.machine.Kill(reasonStopped)
-		r.restartAfter(seconds(spec.RestartS.Lo))
+		r.restartAfter(virtualclock.FromSeconds(spec.RestartS.Lo))
 	}
 	stopWhenDone()
 }
--- a/internal/simulator/fleet/simulation.go
+++ b/internal/simulator/fleet/simulation.go
@@ -136,8 +136,8 @@
 	for _, c := range d.Spec.Classes {
 		classes = append(classes, ledger.Class{
 			Name:               c.Name,
-			LatencyObjective:   millis(c.AimMs),
-			Deadline:           millis(c.DeadlineMs),
+			LatencyObjective:   virtualclock.FromMillis(c.AimMs),
+			Deadline:           virtualclock.FromMillis(c.DeadlineMs),
 			PriorityWeight:     c.Worth,
 			LateWeightFraction: c.LateWorth,
 		})
@@ -155,7 +155,7 @@
 		OverWorth:   g.OverWorth,
 		Waste:       g.Waste,
 		LateFail:    g.LateFail,
-		Window:      seconds(d.Spec.WindowS),
+		Window:      virtualclock.FromSeconds(d.Spec.WindowS),
 	}, d.Length)
 }
 
@@ -200,7 +200,7 @@
 	for _, c := range s.day.Spec.Classes {
 		deadlineMs = max(deadlineMs, c.DeadlineMs)
 	}
-	return s.day.Length + millis(deadlineMs+s.day.Spec.Fleet.SlackMs) + 2*connectTimeout
+	return s.day.Length + virtualclock.FromMillis(deadlineMs+s.day.Spec.Fleet.SlackMs) + 2*connectTimeout
 }
 
 // IsOver reports whether all requests of the day have arrived and ended.
@@ -247,7 +247,9 @@
 func (s *Simulation) Backend() *dependencies.Backend { return s.backend }
 
 // StopTimeout returns how long after the start of a drain a runner is stopped.
-func (s *Simulation) StopTimeout() time.Duration { return millis(s.day.Spec.Fleet.StopMs) }
+func (s *Simulation) StopTimeout() time.Duration {
+	return virtualclock.FromMillis(s.day.Spec.Fleet.StopMs)
+}
 
 // Find returns the attempt with a name that a runner has read and that is not done, or nil.
 func (s *Simulation) Find(name string) *Attempt {
@@ -271,10 +273,6 @@
 	return nil
 }
 
-// millis and seconds convert the numbers of a scenario, cut to whole microseconds.
-func millis(ms float64) time.Duration { return virtualclock.FromMicros(ms * 1000) }
-func seconds(s float64) time.Duration { return virtualclock.FromMicros(s * 1e6) }
-
 // now returns the time since the day began.
 func (s *Simulation) now() time.Duration { return s.clock.Now() - s.origin }
 
--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -1,6 +1,7 @@
 package ledger
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -96,12 +97,14 @@
 func TestInconsistentAccountIsAnError(t *testing.T) {
 	l := newTestLedger(4 * time.Second)
 	l.AddRequest(1, Request{})
-	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "has no end") {
+	var inconsistent *InconsistencyError
+	if _, err := l.Close(0); !errors.As(err, &inconsistent) || !strings.Contains(err.Error(), "has no end") {
 		t.Errorf("a request without an end: %v", err)
 	}
 	l.EndRequest(1, Failed, time.Microsecond)
 	l.EndRequest(1, WithinObjective, time.Microsecond)
-	if _, err := l.Close(0); err == nil || !strings.Contains(err.Error(), "1 ends of what had ended") {
+	if _, err := l.Close(0); !errors.As(err, &inconsistent) ||
+		!strings.Contains(err.Error(), "1 ends of what had ended") {
 		t.Errorf("a request that ends twice: %v", err)
 	}
 }
--- a/internal/simulator/virtualclock/scheduler.go
+++ b/internal/simulator/virtualclock/scheduler.go
@@ -29,6 +29,12 @@
 // FromMicros returns the duration of us microseconds, cut to whole ones.
 func FromMicros(us float64) time.Duration { return time.Duration(int64(us)) * time.Microsecond }
 
+// FromMillis returns the duration of ms milliseconds, cut to whole microseconds.
+func FromMillis(ms float64) time.Duration { return FromMicros(ms * 1000) }
+
+// FromSeconds returns the duration of s seconds, cut to whole microseconds.
+func FromSeconds(s float64) time.Duration { return FromMicros(s * 1e6) }
+
 // event is a timer of a Scheduler.
 type event struct {
 	scheduler *Scheduler
--- a/internal/testing/daytest/balancer.go
+++ b/internal/testing/daytest/balancer.go
@@ -232,7 +232,7 @@
 			}
 		case "X-Come-Back-Ms":
 			if ms, err := strconv.ParseFloat(value, 64); err == nil {
-				answer.RetryAfter = virtualclock.FromMicros(ms * 1000)
+				answer.RetryAfter = virtualclock.FromMillis(ms)
 			}
 		case "X-No-Failover":
 			answer.DoNotRetry = value == "1"
