--- a/cmd/runner/replacement_test.go
+++ b/cmd/runner/replacement_test.go
@@ -265,7 +265,7 @@
 // launchUnready starts a process of which only the admin listener listens.
 func launchUnready(t *testing.T, p *processPair, engine string) *program {
 	t.Helper()
-	// The front's line never comes; the door's is the one that is waited for.
+	// Only the admin listener's address is awaited: the frontend never listens.
 	return launch(
 		t,
 		map[string]any{
@@ -304,7 +304,7 @@
 		scenario.NewEngine(t).Listener.Addr().String(),
 		scenario.NewEngine(t).Listener.Addr().String(),
 	}
-	down := unusedUDPAddr(t) // a start does not wait for a roster that is down
+	down := unusedUDPAddr(t) // a start does not wait for a registry that is down
 	old := p.startWith(engines[0], roster.LocalAddr().String())
 	if got := hear(); got != "HERE n0 on" {
 		t.Errorf("it says %q", got)
