--- a/internal/testing/cluster/bench_test.go
+++ b/internal/testing/cluster/bench_test.go
@@ -14,96 +14,111 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkHandIn is hand-ins, and checks without a key, at one of three runners that keep none,
-// one or two copies on others, with an account of usage or without. Run it with -benchtime 3000x
-// and RYEPADDLE_BIN, a program without the race detector.
-func BenchmarkHandIn(b *testing.B) {
+// readPath is the path of requests without a key.
+const readPath = "/ops/quick-check"
+
+// maxLatency is the largest latency that a histogram tells, in microseconds.
+const maxLatency = 60_000_000
+
+// clockTicks is the unit of processor times in /proc, in ticks a second.
+const clockTicks = 100
+
+// replicationCase is how keys and usage are kept.
+type replicationCase struct {
+	replicas  int
+	withUsage bool
+}
+
+// BenchmarkKeyedRequests measures keyed requests, and reads without a key, at one of three runners
+// that keep no, one or two further copies, with and without an account of usage. Run it with
+// -benchtime 3000x, and with RYEPADDLE_BIN, a program without the race detector.
+func BenchmarkKeyedRequests(b *testing.B) {
 	program := os.Getenv("RYEPADDLE_BIN")
 	if program == "" {
 		b.Skip("RYEPADDLE_BIN names no program")
 	}
-	for _, how := range []struct {
-		copies int
-		billed bool
-	}{{0, false}, {1, false}, {1, true}, {2, false}, {2, true}} {
+	for _, rc := range []replicationCase{{0, false}, {1, false}, {1, true}, {2, false}, {2, true}} {
 		for _, callers := range []int{1, 16} {
-			for _, path := range []string{"/ops/hand-in", "/ops/quick-check"} {
-				b.Run(
-					fmt.Sprintf("copies=%d/billed=%v/callers=%d%s", how.copies, how.billed, callers, path),
-					func(b *testing.B) {
-						opt := Options{
-							Binary:   program,
-							Runners:  3,
-							Zones:    3,
-							Servers:  3,
-							Window:   2 * time.Second,
-							Timeout:  20 * time.Second,
-							Replicas: how.copies,
-						}
-						if how.copies == 0 {
-							opt.Operator = WithoutStore
-						} else if !how.billed {
-							opt.Operator = unbilled
-						}
-						c, err := Start(opt)
-						if err != nil {
-							b.Fatal(err)
-						}
-						defer c.Close()
-						if err := c.WaitUntilAccepting(30 * time.Second); err != nil {
-							b.Fatal(err)
-						}
-						measure(b, c, path, callers)
-					},
-				)
+			for _, path := range []string{keyedPath, readPath} {
+				name := fmt.Sprintf("replicas=%d/usage=%v/callers=%d%s", rc.replicas, rc.withUsage, callers, path)
+				b.Run(name, func(b *testing.B) {
+					measureRequests(b, startForBenchmark(b, program, rc), path, callers)
+				})
 			}
 		}
 	}
 }
 
-// unbilled is Copying without an account of usage.
-func unbilled(n *Node) (string, error) {
+func startForBenchmark(b *testing.B, program string, rc replicationCase) *Cluster {
+	b.Helper()
+	opt := Options{
+		Binary:   program,
+		Runners:  3,
+		Zones:    3,
+		Servers:  3,
+		Window:   2 * time.Second,
+		Timeout:  20 * time.Second,
+		Replicas: rc.replicas,
+	}
+	switch {
+	case rc.replicas == 0:
+		opt.Operator = WithoutStore
+	case !rc.withUsage:
+		opt.Operator = withoutUsage
+	}
+	c, err := Start(opt)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { c.Close() })
+	if err := c.WaitUntilAccepting(acceptTimeout); err != nil {
+		b.Fatal(err)
+	}
+	return c
+}
+
+// withoutUsage is WithReplicas without an account of usage.
+func withoutUsage(n *Node) (string, error) {
 	text, err := WithReplicas(n)
 	text, _, _ = strings.Cut(text, "usage:")
 	return text, err
 }
 
-func measure(b *testing.B, c *Cluster, path string, callers int) {
+// measureRequests sends b.N requests to the first runner.
+func measureRequests(b *testing.B, c *Cluster, path string, callers int) {
 	b.Helper()
 	var next, failed atomic.Int64
 	var mu sync.Mutex
-	times := hdrhistogram.New(1, 60_000_000, 3)
-	before := c.cpu()
-	var all sync.WaitGroup
+	latencies := hdrhistogram.New(1, maxLatency, 3)
+	before := c.processorTime()
+	var running sync.WaitGroup
 	b.ResetTimer()
 	for range callers {
-		all.Go(func() {
+		running.Go(func() {
 			for k := next.Add(1); k <= int64(b.N); k = next.Add(1) {
-				began := time.Now()
-				if status, _ := SendRequest(
-					c.Nodes[0].clientLink.Addr(),
-					path,
-					fmt.Sprint("key", k),
-					20*time.Second,
-				); status != 200 {
+				started := time.Now()
+				status, _ := SendRequest(c.Nodes[0].clientLink.Addr(), path, fmt.Sprint("key", k), sendTimeout)
+				if status != 200 {
 					failed.Add(1)
 				}
 				mu.Lock()
-				_ = times.RecordValue(time.Since(began).Microseconds())
+				_ = latencies.RecordValue(time.Since(started).Microseconds()) // far below the maximum
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	b.StopTimer()
-	b.ReportMetric(float64(times.ValueAtQuantile(50))/1000, "p50-ms")
-	b.ReportMetric(float64(times.ValueAtQuantile(99))/1000, "p99-ms")
-	b.ReportMetric((c.cpu()-before)/float64(b.N)*1000, "cpu-ms/op")
+	b.ReportMetric(milliseconds(latencies.ValueAtQuantile(50)), "p50-ms")
+	b.ReportMetric(milliseconds(latencies.ValueAtQuantile(99)), "p99-ms")
+	b.ReportMetric((c.processorTime()-before)/float64(b.N)*1000, "cpu-ms/op")
 	b.ReportMetric(float64(failed.Load()), "failed")
 }
 
-// cpu is the processor time of all runners, in seconds.
-func (c *Cluster) cpu() (sum float64) {
+func milliseconds(us int64) float64 { return float64(us) / 1000 }
+
+// processorTime returns the processor time of all runners, in seconds.
+func (c *Cluster) processorTime() (sum float64) {
 	for _, n := range c.Nodes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.command.Process.Pid))
 		if err != nil {
@@ -111,24 +126,43 @@
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		fields := strings.Fields(rest)
-		for _, f := range fields[11:13] { // user and system, in ticks of 10 ms
-			ticks, _ := strconv.ParseFloat(f, 64)
-			sum += ticks / 100
+		for _, field := range fields[11:13] { // user and system
+			ticks, _ := strconv.ParseFloat(field, 64)
+			sum += ticks / clockTicks
 		}
 	}
 	return sum
 }
 
 // TestRepairBesideService is for a run by hand: RYEPADDLE_REPAIR keys with 1.2 KB of result each
-// are kept by five runners with one copy, one of which is lost with its disk and comes back, and
-// RYEPADDLE_BIN is a program without the race detector. It tells how long it takes until copies are
-// whole, and what hand-ins and checks took and lost before and meanwhile.
+// are kept by five runners with one copy. One runner is lost with its disk and starts again. The
+// test logs how long it takes until copies are complete, and the latencies and failures of keyed
+// requests and reads before and meanwhile. RYEPADDLE_BIN is a program without the race detector,
+// RYEPADDLE_RATE the bound of repair_kb.
 func TestRepairBesideService(t *testing.T) {
 	keys, err := strconv.Atoi(os.Getenv("RYEPADDLE_REPAIR"))
 	program := os.Getenv("RYEPADDLE_BIN")
 	if err != nil || program == "" {
-		t.Skip("RYEPADDLE_REPAIR and RYEPADDLE_BIN say that it is wanted")
+		t.Skip("RYEPADDLE_REPAIR and RYEPADDLE_BIN are not set")
 	}
+	c := startForRepair(t, program)
+	for _, s := range c.Servers {
+		s.SetResultSize(1200)
+	}
+	load := &Load{Callers: 16, Keys: keys, MaxAttempts: 100}
+	started := time.Now()
+	load.Start(c)
+	load.Wait()
+	t.Logf("%d keys in %.1f s; %v", keys, time.Since(started).Seconds(), c)
+	logLatenciesDuring(t, c, "before", func() { time.Sleep(5 * time.Second) })
+	logLatenciesDuring(t, c, "meanwhile", func() { loseAndRepair(t, c) })
+	for _, n := range c.Nodes {
+		t.Logf("%s: %d MB resident", n.Name, n.residentBytes()>>20)
+	}
+}
+
+func startForRepair(t *testing.T, program string) *Cluster {
+	t.Helper()
 	opt := Options{
 		Binary:   program,
 		Runners:  5,
@@ -148,84 +182,77 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	t.Cleanup(func() { c.Close() })
 	if err := errors.Join(c.WaitUntilReplicated(30*time.Second), c.WaitUntilAccepting(150*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range c.Servers {
-		s.SetResultSize(1200)
+	return c
+}
+
+// loseAndRepair loses the second runner with its disk and waits until copies are complete.
+func loseAndRepair(t *testing.T, c *Cluster) {
+	t.Helper()
+	started := time.Now()
+	if err := c.Play(parseScript(t, "0s kill n2 --wipe --back 100ms"), nil); err != nil {
+		t.Error(err)
 	}
-	full := &Load{Callers: 16, Keys: keys, MaxAttempts: 100}
-	began := time.Now()
-	full.Start(c)
-	full.Wait()
-	t.Logf("%d keys in %.1f s; %v", keys, time.Since(began).Seconds(), c)
-	watch := func(what string, while func()) {
-		over := make(chan struct{})
-		var all sync.WaitGroup
-		for _, path := range []string{"/ops/hand-in", "/ops/quick-check"} {
-			times, failed, n := hdrhistogram.New(1, 60_000_000, 3), 0, 0
-			all.Go(func() {
-				for k := 0; ; k++ {
-					select {
-					case <-over:
-						t.Logf(
-							"%s, %s: %d asked, %d not served, p50 %.1f ms, p99 %.1f ms, longest %.0f ms",
-							what,
-							path,
-							n,
-							failed,
-							float64(times.ValueAtQuantile(50))/1000,
-							float64(times.ValueAtQuantile(99))/1000,
-							float64(times.Max())/1000,
-						)
-						return
-					case <-time.After(5 * time.Millisecond):
-					}
-					at := time.Now()
-					node := c.Nodes[[]int{0, 2, 3, 4}[k%4]] // those that stay
-					if status, _ := SendRequest(
-						node.clientLink.Addr(),
-						path,
-						fmt.Sprint(what, k),
-						20*time.Second,
-					); status != 200 {
-						failed++
-					}
-					n++
-					_ = times.RecordValue(time.Since(at).Microseconds())
-				}
-			})
-		}
-		while()
-		close(over)
-		all.Wait()
-	}
-	watch("before", func() { time.Sleep(5 * time.Second) })
-	watch("meanwhile", func() {
-		began := time.Now()
-		if err := c.Play(
-			[]Fault{{Action: "kill", Targets: []string{"n2"}, WipeDisk: true, RestartAfter: 100 * time.Millisecond}},
-			nil,
-		); err != nil {
-			t.Error(err)
+	if err := c.WaitUntilReplicated(90 * time.Second); err != nil {
+		t.Error(err)
+	}
+	t.Logf("complete after %.1f s", time.Since(started).Seconds())
+}
+
+// logLatenciesDuring sends keyed requests and reads during a phase, and logs their latencies.
+func logLatenciesDuring(t *testing.T, c *Cluster, phase string, during func()) {
+	t.Helper()
+	done := make(chan struct{})
+	var running sync.WaitGroup
+	for _, path := range []string{keyedPath, readPath} {
+		running.Go(func() {
+			t.Logf("%s, %s: %s", phase, path, sendUntilClosed(c, phase, path, done))
+		})
+	}
+	during()
+	close(done)
+	running.Wait()
+}
+
+// sendUntilClosed sends a request every 5 ms, in turn to the runners that are not lost, until done is
+// closed. It returns what was seen.
+func sendUntilClosed(c *Cluster, phase, path string, done chan struct{}) string {
+	latencies := hdrhistogram.New(1, maxLatency, 3)
+	remaining := []int{0, 2, 3, 4}
+	failed := 0
+	for k := 0; ; k++ {
+		select {
+		case <-done:
+			return fmt.Sprintf(
+				"%d sent, %d not served, p50 %.1f ms, p99 %.1f ms, longest %.0f ms",
+				k,
+				failed,
+				milliseconds(latencies.ValueAtQuantile(50)),
+				milliseconds(latencies.ValueAtQuantile(99)),
+				milliseconds(latencies.Max()),
+			)
+		case <-time.After(5 * time.Millisecond):
 		}
-		if err := c.WaitUntilReplicated(90 * time.Second); err != nil {
-			t.Error(err)
+		started := time.Now()
+		node := c.Nodes[remaining[k%len(remaining)]]
+		status, _ := SendRequest(node.clientLink.Addr(), path, fmt.Sprint(phase, k), sendTimeout)
+		if status != 200 {
+			failed++
 		}
-		t.Logf("whole after %.1f s", time.Since(began).Seconds())
-	})
-	for _, n := range c.Nodes {
-		t.Logf("%s: %d MB resident", n.Name, n.resident()>>20)
+		_ = latencies.RecordValue(time.Since(started).Microseconds()) // far below the maximum
 	}
 }
 
-// resident is the memory of a runner's process.
-func (n *Node) resident() int {
+// residentBytes returns the resident memory of a runner's process; 0: not known.
+func (n *Node) residentBytes() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", n.command.Process.Pid))
-	if fields := strings.Fields(string(text)); err == nil && len(fields) > 1 {
-		pages, _ := strconv.Atoi(fields[1])
-		return pages * os.Getpagesize()
+	fields := strings.Fields(string(text))
+	if err != nil || len(fields) < 2 {
+		return 0
 	}
-	return 0
+	pages, _ := strconv.Atoi(fields[1])
+	return pages * os.Getpagesize()
 }
--- a/internal/testing/cluster/config.go
+++ b/internal/testing/cluster/config.go
@@ -9,33 +9,40 @@
 	"ryepaddle/internal/testing/daytest"
 )
 
-// requestTimeout is the deadline of each class: what is due is the harness's matter, not that of a
-// machine which is busy with all of it.
+// requestTimeout is the deadline of each class. It is long, as the machine may be busy with all the
+// processes.
 const requestTimeout = 8 * time.Second
 
-// config is the platform's file of a runner. There is room for all that is asked: what is refused
-// is refused for a fault.
-func (c *Cluster) config(n *Node) map[string]any {
-	class := func(name string, effect admission.Idempotency, worth float64) admission.Class {
-		return admission.Class{
-			Name:              name,
-			LatencyObjective:  time.Second,
-			Timeout:           requestTimeout,
-			IdempotencyWindow: c.opt.Window,
-			Idempotency:       effect,
-			PriorityWeight:    worth,
-		}
+// runnerLimits are the limits of each runner.
+var runnerLimits = daytest.PlatformLimits{Cores: 1, MemoryMB: 192, Sockets: 4096}
+
+// config returns the platform's file of a runner.
+func (c *Cluster) config(n *Node) daytest.PlatformConfig {
+	settings := c.settings()
+	seed := fnv.New64a()
+	_, _ = seed.Write([]byte(n.Name + c.opt.Dir)) // a hash never returns an error
+	return daytest.PlatformConfig{
+		Name:     n.Name,
+		Listen:   "127.0.0.1:0",
+		Seed:     fmt.Sprintf("%016x", seed.Sum64()),
+		StopMs:   float64(c.opt.Timeout.Milliseconds()),
+		Limits:   runnerLimits,
+		Settings: daytest.Settings(&settings),
 	}
-	set := admission.Settings{
+}
+
+// settings are the settings of all runners. They leave room for all requests, so that a request is
+// refused only because of a fault.
+func (c *Cluster) settings() admission.Settings {
+	return admission.Settings{
 		Classes: []admission.Class{
-			class("quick-check", admission.Idempotent, 1),
-			class("full-check", admission.Idempotent, 1),
-			class("hand-in", admission.IdempotentWithKey, 3),
+			c.class("quick-check", admission.Idempotent, 1),
+			c.class("full-check", admission.Idempotent, 1),
+			c.class(keyedClass, admission.IdempotentWithKey, 3),
 		},
-		Tenants: []admission.Tenant{{Name: "north", QuotaRate: 1e6}},
-		Servers: len(
-			c.Nodes,
-		), Callers: 1,
+		Tenants:               []admission.Tenant{{Name: tenantName, QuotaRate: 1e6}},
+		Servers:               len(c.Nodes),
+		Callers:               1,
 		Cores:                 400,
 		MemoryKB:              1e8,
 		RunningMemoryFactor:   8,
@@ -52,14 +59,18 @@
 		MaxRunningPerCore:     6,
 		MaxRunningWindow:      2 * time.Second,
 		WarmUpInitialShare:    1,
-		WarmUpTime:            time.Second}
-	seed := fnv.New64a()
-	seed.Write([]byte(n.Name + c.opt.Dir)) // a hash takes all
-	return map[string]any{"name": n.Name, "listen": "127.0.0.1:0", "engine": "", "backend": "", "roster": "",
-		"seed": fmt.Sprintf(
-			"%016x",
-			seed.Sum64(),
-		), "stop_ms": c.opt.Timeout.Milliseconds(),
-		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 4096},
-		"settings": daytest.Settings(&set)}
+		WarmUpTime:            time.Second,
+	}
+}
+
+// class returns the settings of a class.
+func (c *Cluster) class(name string, idempotency admission.Idempotency, weight float64) admission.Class {
+	return admission.Class{
+		Name:              name,
+		LatencyObjective:  time.Second,
+		Timeout:           requestTimeout,
+		IdempotencyWindow: c.opt.Window,
+		Idempotency:       idempotency,
+		PriorityWeight:    weight,
+	}
 }
--- a/internal/testing/cluster/disk.go
+++ b/internal/testing/cluster/disk.go
@@ -4,15 +4,14 @@
 	"errors"
 	"io/fs"
 	"os"
-	"path/filepath"
 
 	"golang.org/x/sys/unix"
 )
 
-// A disk is a folder of a runner's that outlives its processes. It can be lost, kept aside and put
-// back.
+// errNoBackup is the error of a restore without a backup.
+var errNoBackup = errors.New("there is no backup of the disk")
 
-// emptyDir empties a disk.
+// emptyDir removes all that is in a directory, which is created if it does not exist.
 func emptyDir(dir string) error {
 	if err := os.RemoveAll(dir); err != nil {
 		return err
@@ -20,10 +19,10 @@
 	return os.MkdirAll(dir, 0o700)
 }
 
-// backupOf is where what was kept aside of a disk lies.
+// backupOf returns the directory of the backup of a disk.
 func backupOf(dir string) string { return dir + ".aside" }
 
-// backUp copies a disk, in place of an earlier copy.
+// backUp copies a disk, in place of an earlier backup.
 func backUp(dir string) error {
 	if err := os.RemoveAll(backupOf(dir)); err != nil {
 		return err
@@ -31,10 +30,10 @@
 	return os.CopyFS(backupOf(dir), os.DirFS(dir))
 }
 
-// restore has a disk be what was kept aside.
+// restore replaces a disk by its backup.
 func restore(dir string) error {
 	if _, err := os.Stat(backupOf(dir)); errors.Is(err, fs.ErrNotExist) {
-		return errors.New("nothing was kept aside")
+		return errNoBackup
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		return err
@@ -42,33 +41,35 @@
 	return os.CopyFS(dir, os.DirFS(backupOf(dir)))
 }
 
-// limitFileSize bounds the files that the runner's process may write: beyond so many bytes its disk
-// has no room. A process that has ended is none, and the next one has no bound.
+// limitFileSize bounds the size of the files that the runner's process may write, in bytes: beyond
+// it the disk is full. It has no effect on a process that has ended, or on the next one.
 func (n *Node) limitFileSize(bytes uint64) error {
-	cmd, _ := n.expectExit()
-	if cmd == nil {
+	command, _ := n.expectExit()
+	if command == nil {
 		return nil
 	}
-	err := unix.Prlimit(
-		cmd.Process.Pid,
-		unix.RLIMIT_FSIZE,
-		&unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY},
-		nil,
-	)
+	limit := &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
+	err := unix.Prlimit(command.Process.Pid, unix.RLIMIT_FSIZE, limit, nil)
 	if errors.Is(err, unix.ESRCH) {
 		return nil
 	}
 	return err
 }
 
-// setDiskHang has the runner's folders not answer, or answer again.
-func (n *Node) setDiskHang(on bool) (err error) {
-	for _, dir := range []string{n.peersDir(), filepath.Join(n.disk(), "keys")} {
-		if mark := dir + ".hangs"; on {
-			err = errors.Join(err, os.WriteFile(mark, nil, 0o600))
-		} else if e := os.Remove(mark); !errors.Is(e, fs.ErrNotExist) {
-			err = errors.Join(err, e)
+// setDiskHang has operations on the runner's directories block, or complete again. The program needs
+// the build tag faults.
+func (n *Node) setDiskHang(isHanging bool) error {
+	var errs []error
+	for _, dir := range []string{n.peersDir(), n.keysDir()} {
+		marker := dir + ".hangs"
+		if isHanging {
+			errs = append(errs, os.WriteFile(marker, nil, 0o600))
+			continue
+		}
+		err := os.Remove(marker)
+		if !errors.Is(err, fs.ErrNotExist) {
+			errs = append(errs, err)
 		}
 	}
-	return err
+	return errors.Join(errs...)
 }
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -10,16 +10,24 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// Load is a number of callers, each of which hands in one key after another, and repeats it until
-// it is served or has failed.
+// retryDelay is the time between two attempts of a key that was not served.
+const retryDelay = 5 * time.Millisecond
+
+// Load is a number of callers. Each sends one key after another, and repeats it until it is served
+// or has failed.
 type Load struct {
+	// Callers is the number of callers.
 	Callers int
-	Keys    int // after which it ends; 0: it goes on until Stop
-	// a repeat goes to another runner than the try before it; else a key keeps to its runner
+	// Keys is the number of keys after which the load ends. 0: it goes on until Stop.
+	Keys int
+	// SwitchRunners sends each repeat to another runner than the attempt before it. Otherwise a key
+	// stays at its runner.
 	SwitchRunners bool
-	Repeats       int // repeats after a key was served, which are to give the same
-	MaxAttempts   int // of a key at the most; 0: any number
-	// for so long a key is repeated, as long as its window holds; 0: until it is served
+	// Repeats is the number of repeats after a key was served, which should return the same result.
+	Repeats int
+	// MaxAttempts bounds the attempts of a key. 0: no bound.
+	MaxAttempts int
+	// RepeatFor bounds the time in which a key is repeated. 0: until it is served.
 	RepeatFor time.Duration
 
 	cluster *Cluster
@@ -28,57 +36,70 @@
 	callers sync.WaitGroup
 }
 
-// retryDelay is between two tries of a key that was refused.
-const retryDelay = 5 * time.Millisecond
-
-// Start has the callers begin.
+// Start starts the callers.
 func (l *Load) Start(c *Cluster) {
 	l.cluster = c
 	for range l.Callers {
-		l.callers.Go(func() {
-			for !l.stop.Load() {
-				k := int(l.lastKey.Add(1))
-				if l.Keys > 0 && k > l.Keys {
-					return
-				}
-				l.sendUntilDone(k)
-			}
-		})
+		l.callers.Go(l.sendKeys)
 	}
 }
 
+// sendKeys sends keys until the load ends.
+func (l *Load) sendKeys() {
+	for !l.stop.Load() {
+		k := int(l.lastKey.Add(1))
+		if l.Keys > 0 && k > l.Keys {
+			return
+		}
+		l.sendUntilDone(k)
+	}
+}
+
+// sendUntilDone sends the k-th key until its repeats are served, it has failed, or a bound is
+// reached.
 func (l *Load) sendUntilDone(k int) {
-	key, again, began := "key-"+strconv.Itoa(k), l.Repeats, time.Now()
-	at := k
-	for try := 1; ; try++ {
-		told := l.cluster.SendKeyed(l.cluster.Nodes[at%len(l.cluster.Nodes)], key)
-		if told.Outcome == historychecker.Failed || l.MaxAttempts > 0 && try >= l.MaxAttempts ||
-			l.RepeatFor > 0 && time.Since(began) > l.RepeatFor {
+	key := "key-" + strconv.Itoa(k)
+	repeats := l.Repeats
+	runner := k
+	started := time.Now()
+	for attempt := 1; ; attempt++ {
+		nodes := l.cluster.Nodes
+		outcome := l.cluster.SendKeyed(nodes[runner%len(nodes)], key).Outcome
+		if outcome == historychecker.Failed || l.isBoundReached(attempt, started) {
 			return
 		}
-		if told.Outcome == historychecker.Served {
-			if again--; again < 0 {
+		if outcome == historychecker.Served {
+			repeats--
+			if repeats < 0 {
+				return
+			}
+		} else {
+			time.Sleep(retryDelay)
+			if l.stop.Load() {
 				return
 			}
-		} else if time.Sleep(retryDelay); l.stop.Load() {
-			return
 		}
 		if l.SwitchRunners {
-			at++
+			runner++
 		}
 	}
 }
 
-// Suspend has the callers end, and waits for them.
+func (l *Load) isBoundReached(attempts int, started time.Time) bool {
+	return l.MaxAttempts > 0 && attempts >= l.MaxAttempts ||
+		l.RepeatFor > 0 && time.Since(started) > l.RepeatFor
+}
+
+// Stop ends the load and waits for the callers.
 func (l *Load) Stop() {
 	l.stop.Store(true)
 	l.callers.Wait()
 }
 
-// Wait waits until all keys are through.
+// Wait waits until all keys are done.
 func (l *Load) Wait() { l.callers.Wait() }
 
-// String tells what callers saw so far.
+// String tells what callers have seen so far.
 func (c *Cluster) String() string {
 	n := c.History.Count()
 	return fmt.Sprintf(
--- a/internal/testing/cluster/node.go
+++ b/internal/testing/cluster/node.go
@@ -18,90 +18,117 @@
 	"ryepaddle/internal/testing/faultlink"
 )
 
-// Node is one runner: a process now and then, a disk, and the links by which others reach it.
+const (
+	// maxLogLines bounds the log lines that are kept of a runner.
+	maxLogLines = 4000
+	// errorLogLines is the number of log lines in an error of a start.
+	errorLogLines = 5
+)
+
+// listenEvent matches the log line that tells the address of a listener.
+var listenEvent = regexp.MustCompile(`event=start.listens name=(\S+) address=(\S+)`)
+
+// The names of listeners in listenEvent.
+const (
+	uwsgiListener = "uwsgi"
+	peersListener = "peers"
+)
+
+// Node is one runner: a process at times, a disk, and the links to it and from it.
 type Node struct {
 	Name, Zone string
 	cluster    *Cluster
 	dir        string
-	clientLink *faultlink.Link // clients come through it
-	links      map[string]*faultlink.Link
+	clientLink *faultlink.Link            // from the clients
+	links      map[string]*faultlink.Link // to servers and peers, by name
 
-	faultMu   sync.Mutex // held while a fault is done to it
-	mu        sync.Mutex
-	command   *exec.Cmd // nil: there is no process
+	faultMu sync.Mutex // held while a fault is applied
+
+	mu        sync.Mutex // guards what follows
+	command   *exec.Cmd  // nil: there is no process
 	exited    chan struct{}
 	logLines  []string
-	expected  bool // it is to be up
-	suspended bool // it is stopped
-	err       error
+	expected  bool // the process should be up
+	suspended bool
+	err       error // of a process that ended by itself
 }
 
-// maxLogLines bounds what is kept of a log.
-const maxLogLines = 4000
-
-var listenEvent = regexp.MustCompile(`event=start.listens name=(\S+) address=(\S+)`)
-
-// disk is the folder that outlives the node's processes.
+// disk is the directory that outlives the runner's processes.
 func (n *Node) disk() string { return filepath.Join(n.dir, "disk") }
 
-// Start starts a process and waits until it listens.
+// file returns the path of one of the runner's files.
+func (n *Node) file(name string) string { return filepath.Join(n.dir, name) }
+
+// Start starts a process and waits until it listens. It returns an error if it does not within the
+// timeout of the options.
 func (n *Node) Start() error {
+	listening := make(chan struct{})
+	exited, err := n.startProcess(listening)
+	if err != nil {
+		return err
+	}
+	select {
+	case <-listening:
+		return nil
+	case <-exited:
+		return fmt.Errorf("%s ended as it started: %s", n.Name, n.Log(errorLogLines))
+	case <-time.After(n.cluster.opt.Timeout):
+		return fmt.Errorf("%s does not listen: %s", n.Name, n.Log(errorLogLines))
+	}
+}
+
+// startProcess starts a process, which closes listening once it listens, and exited at its end.
+func (n *Node) startProcess(listening chan struct{}) (exited chan struct{}, err error) {
 	n.mu.Lock()
+	defer n.mu.Unlock()
 	if n.command != nil {
-		n.mu.Unlock()
-		return fmt.Errorf("%s runs", n.Name)
+		return nil, fmt.Errorf("%s runs", n.Name)
 	}
-	operator, err := n.cluster.opt.Operator(n)
-	if err == nil {
-		err = n.writeFiles(operator)
+	if err := n.writeFiles(); err != nil {
+		return nil, err
 	}
-	if err != nil {
-		n.mu.Unlock()
-		return err
+	temp := filepath.Join(n.dir, "tmp")
+	if err := emptyDir(temp); err != nil {
+		return nil, err
 	}
-	tmp := filepath.Join(n.dir, "tmp") // empty at each start, as the platform's is
-	if err := emptyDir(tmp); err != nil {
-		n.mu.Unlock()
-		return err
-	}
-	cmd := exec.Command(
-		cmp.Or(n.cluster.opt.Binaries[n.Name], n.cluster.opt.Binary),
-		"-operator",
-		n.file("operator.yaml"),
-	)
-	cmd.Env = append(
-		os.Environ(),
-		"ROUTER_CONFIG="+n.file("config.json"),
-		"TMPDIR="+tmp,
-		"RYEPADDLE_CLOCK="+n.cluster.opt.ClockOffsets[n.Name].String(),
-	)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	errs, err := cmd.StderrPipe()
+	command := n.newCommand(temp)
+	stderr, err := command.StderrPipe()
 	if err == nil {
-		err = cmd.Start()
+		err = command.Start()
 	}
 	if err != nil {
-		n.mu.Unlock()
-		return fmt.Errorf("%s: %w", n.Name, err)
-	}
-	gone, up := make(chan struct{}), make(chan struct{})
-	n.command, n.exited, n.expected, n.suspended = cmd, gone, true, false
-	n.mu.Unlock()
-	go n.readLog(cmd, bufio.NewScanner(errs), gone, up)
-	select {
-	case <-up:
-		return nil
-	case <-gone:
-		return fmt.Errorf("%s ended as it started: %s", n.Name, n.Log(5))
-	case <-time.After(n.cluster.opt.Timeout):
-		return fmt.Errorf("%s does not listen: %s", n.Name, n.Log(5))
+		return nil, fmt.Errorf("%s: %w", n.Name, err)
 	}
+	exited = make(chan struct{})
+	n.command = command
+	n.exited = exited
+	n.expected = true
+	n.suspended = false
+	go n.readLog(command, bufio.NewScanner(stderr), exited, listening)
+	return exited, nil
 }
 
-func (n *Node) file(name string) string { return filepath.Join(n.dir, name) }
+// newCommand returns the command of a process, which does not outlive this one.
+func (n *Node) newCommand(temp string) *exec.Cmd {
+	opt := &n.cluster.opt
+	binary := cmp.Or(opt.Binaries[n.Name], opt.Binary)
+	command := exec.Command(binary, "-operator", n.file("operator.yaml"))
+	command.Env = append(
+		os.Environ(),
+		"ROUTER_CONFIG="+n.file("config.json"),
+		"TMPDIR="+temp,
+		"RYEPADDLE_CLOCK="+opt.ClockOffsets[n.Name].String(),
+	)
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	return command
+}
 
-// writeFiles writes what the process is told.
-func (n *Node) writeFiles(operator string) error {
+// writeFiles writes the files that the process reads. The caller must hold n.mu.
+func (n *Node) writeFiles() error {
+	operator, err := n.cluster.opt.Operator(n)
+	if err != nil {
+		return err
+	}
 	config, err := json.Marshal(n.cluster.config(n))
 	if err != nil {
 		return err
@@ -113,7 +140,7 @@
 	)
 }
 
-// inventory lists the servers by the links that this node reaches them by.
+// inventory returns a list of the servers by the addresses of the runner's links to them.
 func (n *Node) inventory() string {
 	var b strings.Builder
 	b.WriteString("name,address,group,hall\n")
@@ -123,43 +150,55 @@
 	return b.String()
 }
 
-// readLog reads the log of a process, learns where it listens, and waits for its end.
-func (n *Node) readLog(cmd *exec.Cmd, log *bufio.Scanner, gone, up chan struct{}) {
+// readLog keeps what a process logs, learns its addresses from it, and waits for its end.
+func (n *Node) readLog(command *exec.Cmd, log *bufio.Scanner, exited, listening chan struct{}) {
 	for log.Scan() {
 		line := log.Text()
-		n.mu.Lock()
-		if n.logLines = append(n.logLines, line); len(n.logLines) > maxLogLines {
-			n.logLines = n.logLines[maxLogLines/2:]
+		n.addLogLine(line)
+		match := listenEvent.FindStringSubmatch(line)
+		if match == nil {
+			continue
 		}
-		n.mu.Unlock()
-		if m := listenEvent.FindStringSubmatch(line); m != nil && m[1] == "peers" {
-			for _, o := range n.cluster.Nodes {
-				if l := o.links[n.Name]; l != nil {
-					l.SetTarget(m[2])
-				}
-			}
-		} else if m != nil && m[1] == "uwsgi" {
-			n.clientLink.SetTarget(m[2])
-			close(up)
+		switch listener, addr := match[1], match[2]; listener {
+		case peersListener:
+			n.setPeerAddress(addr)
+		case uwsgiListener:
+			n.clientLink.SetTarget(addr)
+			close(listening)
 		}
 	}
-	err := cmd.Wait()
+	err := command.Wait()
 	n.mu.Lock()
-	if n.expected { // nobody asked it to end
-		n.err = fmt.Errorf("%s ended by itself: %v", n.Name, err)
+	if n.expected {
+		n.err = fmt.Errorf("%s ended by itself: %w", n.Name, err)
 	}
 	n.command = nil
 	n.mu.Unlock()
-	close(gone)
+	close(exited)
 }
 
-// Reload writes its files anew and has it read them.
-func (n *Node) Reload() error {
+func (n *Node) addLogLine(line string) {
 	n.mu.Lock()
-	operator, err := n.cluster.opt.Operator(n)
-	if err == nil {
-		err = n.writeFiles(operator)
+	defer n.mu.Unlock()
+	n.logLines = append(n.logLines, line)
+	if len(n.logLines) > maxLogLines {
+		n.logLines = n.logLines[maxLogLines/2:]
 	}
+}
+
+// setPeerAddress points the links from all other runners to the runner's listener.
+func (n *Node) setPeerAddress(addr string) {
+	for _, other := range n.cluster.Nodes {
+		if link := other.links[n.Name]; link != nil {
+			link.SetTarget(addr)
+		}
+	}
+}
+
+// Reload writes the runner's files anew and has it read them.
+func (n *Node) Reload() error {
+	n.mu.Lock()
+	err := n.writeFiles()
 	n.mu.Unlock()
 	if err != nil {
 		return err
@@ -167,82 +206,91 @@
 	return n.signal(syscall.SIGHUP)
 }
 
-// Kill ends the process as a loss of the machine does, and waits until it is gone. What was open to
-// it is reset.
+// Kill ends the process as the loss of its machine does, and waits for its end. Its connections are
+// reset.
 func (n *Node) Kill() error {
-	cmd, gone := n.expectExit()
-	if cmd == nil {
+	command, exited := n.expectExit()
+	if command == nil {
 		return nil
 	}
-	_ = cmd.Process.Kill() // it may have ended by itself
-	<-gone
+	_ = command.Process.Kill() // it may have ended by itself
+	<-exited
 	return nil
 }
 
-// expectExit is the process that there is, which is from now on allowed to end.
-func (n *Node) expectExit() (*exec.Cmd, chan struct{}) {
+// expectExit returns the process, if there is one, whose end is no failure from now on.
+func (n *Node) expectExit() (command *exec.Cmd, exited chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.expected = false
 	return n.command, n.exited
 }
 
-// Drain asks the process to leave, and waits until it has.
+// Drain shuts the process down gracefully and waits for its end. A process that does not end within
+// the timeout of the options is killed.
 func (n *Node) Drain() error {
-	cmd, gone := n.expectExit()
-	if cmd == nil {
+	command, exited := n.expectExit()
+	if command == nil {
 		return nil
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return nil
 	case <-time.After(n.cluster.opt.Timeout):
-		return errors.Join(fmt.Errorf("%s does not come to the end of its drain", n.Name), n.Kill())
+		return errors.Join(fmt.Errorf("%s does not end its drain", n.Name), n.Kill())
 	}
 }
 
-// Suspend holds the process; Go lets it go on.
+// Suspend suspends the process until Resume.
 func (n *Node) Suspend() error { return n.signal(syscall.SIGSTOP) }
 
-// Resume lets a process go on that was stopped.
+// Resume continues a process that was suspended.
 func (n *Node) Resume() error { return n.signal(syscall.SIGCONT) }
 
+// signal sends a signal to the process, if there is one.
 func (n *Node) signal(s syscall.Signal) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command == nil {
 		return nil
 	}
-	n.suspended = s == syscall.SIGSTOP || n.suspended && s == syscall.SIGHUP
+	switch s {
+	case syscall.SIGSTOP:
+		n.suspended = true
+	case syscall.SIGCONT:
+		n.suspended = false
+	}
 	return n.command.Process.Signal(s)
 }
 
-// processState tells whether it is up, stopped or gone.
-func (n *Node) processState() string {
+func (n *Node) processState() ProcessState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
 	case n.command == nil:
-		return "gone"
+		return ProcessDown
 	case n.suspended:
-		return "stopped"
+		return ProcessSuspended
 	}
-	return "up"
+	return ProcessUp
 }
 
-// IsRunning tells whether there is a process.
-func (n *Node) IsRunning() bool {
+// IsRunning reports whether there is a process, which may be suspended.
+func (n *Node) IsRunning() bool { return n.processState() != ProcessDown }
+
+// failure returns why a process ended by itself, if one did.
+func (n *Node) failure() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.command != nil
+	return n.err
 }
 
-// Log is the last lines that its processes logged.
-func (n *Node) Log(most int) string {
+// Log returns the last lines, at most maxLines, that the runner's processes logged.
+func (n *Node) Log(maxLines int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return strings.Join(n.logLines[max(len(n.logLines)-most, 0):], "\n")
+	return strings.Join(n.logLines[max(len(n.logLines)-maxLines, 0):], "\n")
 }
--- a/internal/testing/daytest/process.go
+++ b/internal/testing/daytest/process.go
@@ -71,7 +71,7 @@
 // writeConfig writes the platform's file of the process.
 func (p *process) writeConfig(path string, set *admission.Settings) error {
 	h := p.harness
-	text, err := json.Marshal(platformConfig{
+	text, err := json.Marshal(PlatformConfig{
 		Name:     p.incarnation.Name(),
 		Listen:   loopback.String(),
 		Engine:   p.engine.listener.Addr().String(),
--- a/internal/testing/daytest/settings.go
+++ b/internal/testing/daytest/settings.go
@@ -193,8 +193,8 @@
 	return out
 }
 
-// platformConfig is the platform's file of one runner.
-type platformConfig struct {
+// PlatformConfig is the platform's file of one runner.
+type PlatformConfig struct {
 	Name     string           `json:"name"`
 	Listen   string           `json:"listen"`
 	Engine   string           `json:"engine"`
@@ -202,16 +202,16 @@
 	Roster   string           `json:"roster"`
 	Seed     string           `json:"seed"`
 	StopMs   float64          `json:"stop_ms"`
-	Limits   platformLimits   `json:"limits"`
+	Limits   PlatformLimits   `json:"limits"`
 	Settings PlatformSettings `json:"settings"`
 }
 
-// platformLimits are the resources of one runner's machine.
-type platformLimits struct {
+// PlatformLimits are the resources of one runner's machine.
+type PlatformLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
 // runnerLimits are the limits of each runner of a day.
-var runnerLimits = platformLimits{Cores: 1, MemoryMB: 192, Sockets: 1024}
+var runnerLimits = PlatformLimits{Cores: 1, MemoryMB: 192, Sockets: 1024}
