--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// arrivalWeight is the weight of one arrival in the shares of arrivals, which so cover about the
-// last 50.
+// arrivalWeight is the weight of one arrival in the shares of arrivals. The moving averages so cover
+// about the last 50 arrivals.
 const arrivalWeight = 0.02
 
 // fullRejectedShare is the share of rejected arrivals from which all servers count as full.
@@ -51,8 +51,9 @@
 	// A repeat of a request that may have run is neither started nor rejected.
 	r.mayHaveRun = e.PriorRequest != 0 && class.Idempotency == IdempotentWithKey
 	r.shareable = class.Idempotency == Idempotent && e.Key != 0 && !e.Write && c.settings.ResultMaxAge > 0
-	if why, unacceptable := c.unacceptable(r); unacceptable {
-		c.reject(r, 0, false, why)
+	why, unacceptable := c.unacceptable(r)
+	if unacceptable {
+		c.reject(r, retryHint{}, why)
 		return
 	}
 	switch {
@@ -74,17 +75,18 @@
 	c.arrivals.readDelay += runTimeWeight * (float64(c.now-r.arrivedAt) - c.arrivals.readDelay)
 	r.deadline = c.now // a request of no known class is rejected for its deadline
 	if e.Class >= 0 && e.Class < len(c.queues) {
-		r.class, r.deadline = e.Class, e.Deadline
+		r.class = e.Class
+		r.deadline = e.Deadline
 	}
 	class := &c.settings.Classes[r.class]
 	if r.deadline <= 0 {
 		r.deadline = r.arrivedAt + class.Timeout
 	}
 	age := c.retries.age(r.deadline-r.arrivedAt, class.Timeout)
-	r.retried = e.Retry || !c.settings.MarksRetries && age > 0
+	r.isRetry = e.Retry || !c.settings.MarksRetries && age > 0
 	r.objectiveAt = r.arrivedAt + class.LatencyObjective +
 		time.Duration(class.ObjectiveWorkFactor*float64(r.expectedWork))
-	if r.retried { // the objective counts from the first attempt
+	if r.isRetry { // the objective counts from the first attempt
 		r.objectiveAt -= age
 	}
 	r.objectiveAt = min(r.objectiveAt, r.deadline)
@@ -109,7 +111,8 @@
 // that is accepted, cannot meet its objective, or is beyond its tenant's quota. Rejection past a
 // multiple of the delay target is the AQM of Breakwater, section 3.2.3.
 func (c *Controller) admit(r *request, e *Event) {
-	delay, target := max(c.queueingDelay(r.class), c.now-r.arrivedAt), c.delayTarget(r.class)
+	delay := max(c.queueingDelay(r.class), c.now-r.arrivedAt)
+	target := c.delayTarget(r.class)
 	c.countArrival(r)
 	if e.Retry {
 		target = c.retryDelayTarget(target)
@@ -118,18 +121,18 @@
 	switch {
 	case c.callQueueTooLong(r):
 		// The dependency is the same for all servers, so that a retry elsewhere does not help.
-		// Requests that need no call are still accepted, so that there is no
-		// Retry-After beyond the least.
+		// Requests that need no call are still accepted, so that Retry-After is the shortest one.
 		class := &c.settings.Classes[r.class]
-		c.reject(r, 0, true, reason{CauseCallQueue, c.estimatedCallWait(r.class).Seconds(),
+		c.reject(r, retryHint{noRetry: true}, reason{CauseCallQueue, c.estimatedCallWait(r.class).Seconds(),
 			c.parameters.CallQueueShare * class.LatencyObjective.Seconds()})
 	case saturated && float64(delay) > c.parameters.RejectDelayFactor*float64(target):
-		c.reject(r, delay-target, c.othersLikelyFull(r), reason{CauseQueueingDelay, delay.Seconds(),
+		hint := retryHint{after: delay - target, noRetry: c.othersLikelyFull(r)}
+		c.reject(r, hint, reason{CauseQueueingDelay, delay.Seconds(),
 			c.parameters.RejectDelayFactor * target.Seconds()})
 	case saturated && c.missesObjective(r, c.queueWait(r)):
-		c.reject(r, 0, c.othersLikelyFull(r), reason{cause: CauseObjectiveUnreachable})
+		c.reject(r, retryHint{noRetry: c.othersLikelyFull(r)}, reason{cause: CauseObjectiveUnreachable})
 	case !c.takeQuotaToken(e.Tenant) && saturated && delay > target:
-		c.reject(r, 0, true, reason{CauseQuota, delay.Seconds(), target.Seconds()})
+		c.reject(r, retryHint{noRetry: true}, reason{CauseQuota, delay.Seconds(), target.Seconds()})
 	default:
 		c.rememberKey(r)
 	}
@@ -140,7 +143,7 @@
 func (c *Controller) countArrival(r *request) {
 	c.arrivals.retryShare *= 1 - arrivalWeight
 	c.arrivals.rejectedShare *= 1 - arrivalWeight
-	if r.retried {
+	if r.isRetry {
 		c.arrivals.retryShare += arrivalWeight
 	}
 }
@@ -164,7 +167,7 @@
 // othersLikelyFull reports whether r, rejected here, would probably be rejected elsewhere too, so
 // that its caller is asked not to retry.
 func (c *Controller) othersLikelyFull(r *request) bool {
-	return r.retried || c.arrivals.retryShare > c.parameters.FewRetriesShare || c.arrivals.fleetSaturation >= 1
+	return r.isRetry || c.arrivals.retryShare > c.parameters.FewRetriesShare || c.arrivals.fleetSaturation >= 1
 }
 
 // saturated reports a lack of capacity for a class: busy cores, or a queue for the dependency.
--- a/internal/admission/answer.go
+++ b/internal/admission/answer.go
@@ -16,7 +16,14 @@
 	value, limit float64
 }
 
-// answer is the one place that gives a final answer. It drops a request that does not run.
+// retryHint is the advice on retries that the caller of a rejected request gets.
+type retryHint struct {
+	after   time.Duration // Retry-After, within tickInterval and Settings.MaxRetryAfter
+	noRetry bool          // do not retry at another server
+}
+
+// answer emits the final answer of a request; all answers pass through it. It drops a request that
+// does not run.
 func (c *Controller) answer(r *request, a Action) {
 	if r.answered {
 		return
@@ -26,10 +33,9 @@
 	c.release(r)
 }
 
-// reject answers a queued request that never ran. Its caller is asked to come back after retryAfter
-// at the earliest and, with noRetry, not to retry elsewhere. A request that may have run fails
-// instead: a rejection promises that nothing ran.
-func (c *Controller) reject(r *request, retryAfter time.Duration, noRetry bool, why reason) {
+// reject answers a queued request that never ran. A request that may have run fails instead: a
+// rejection promises that nothing ran.
+func (c *Controller) reject(r *request, hint retryHint, why reason) {
 	if r.state != queued || r.mayHaveRun {
 		c.fail(r, why)
 		return
@@ -37,8 +43,8 @@
 	c.arrivals.rejectedShare += arrivalWeight
 	c.answer(r, Action{
 		Kind:     ActionReject,
-		Duration: min(max(retryAfter, tickInterval), c.settings.MaxRetryAfter),
-		NoRetry:  noRetry,
+		Duration: min(max(hint.after, tickInterval), c.settings.MaxRetryAfter),
+		NoRetry:  hint.noRetry,
 		Cause:    why.cause,
 		Value:    why.value,
 		Limit:    why.limit,
@@ -63,8 +69,7 @@
 		c.remove(r)
 	case running:
 		if c.settings.Cancel != CancelNone && r.waiters == 0 {
-			// Without runs that are cancelled for being long, the mean would fall with each of
-			// them.
+			// Long runs are the ones that are cancelled: without them the mean would be too low.
 			c.recordRunTime(r)
 			c.emit(Action{Kind: ActionCancel, Request: r.id})
 		}
@@ -81,7 +86,7 @@
 	for i := range c.queues {
 		for _, r := range slices.Clone(c.queues[i].requests) {
 			if c.deadlineNear(r) || c.missesObjective(r, 0) {
-				c.reject(r, 0, c.retryIsFutile(r), reason{cause: CauseObjectiveUnreachable})
+				c.reject(r, retryHint{noRetry: c.retryIsFutile(r)}, reason{cause: CauseObjectiveUnreachable})
 			}
 		}
 	}
@@ -97,16 +102,17 @@
 func (c *Controller) deadlineNear(r *request) bool { return r.deadline <= c.now+answerMargin }
 
 // notWorthRunning reports whether r, which runs and can be cancelled, is to give up its core: it
-// has run far longer than expected while next waits, or it is late and earns nothing any more.
+// has run far longer than expected while next waits, or it is late and its answer has no weight any
+// more.
 func (c *Controller) notWorthRunning(r, next *request) bool {
 	if r.state != running || c.settings.Cancel == CancelNone || !c.saturated(r.class) {
 		return false
 	}
-	earnsNothing := c.settings.Classes[r.class].LateWeightFraction == 0 && r.objectiveAt <= c.now
-	return c.overrunsFor(r, next) || earnsNothing
+	isWorthless := c.settings.Classes[r.class].LateWeightFraction == 0 && r.objectiveAt <= c.now
+	return c.overrunsFor(r, next) || isWorthless
 }
 
-// overrunsFor reports whether r, under overload, is to make room for next. A run far beyond the
+// overrunsFor reports whether r, under overload, is to give up its core to next. A run far beyond the
 // expected time is likely to go on for long.
 func (c *Controller) overrunsFor(r, next *request) bool {
 	if !c.credit.overloaded || next == nil {
--- a/internal/admission/call_limit.go
+++ b/internal/admission/call_limit.go
@@ -12,6 +12,8 @@
 	callTimeWeight = 0.1
 	// longCallTimeWeight is the same in the long mean, from which the best time is taken.
 	longCallTimeWeight = 0.03
+	// upperBoundErrors is the number of standard errors between the long mean and its upper bound.
+	upperBoundErrors = 2
 )
 
 // dependencyCalls is this server's use of the dependency. Calls are limited by their number and by
@@ -35,13 +37,15 @@
 // newDependencyCalls derives the limits of calls from the quota. What the mean limit leaves of the
 // quota is saved up for calls that take long.
 func newDependencyCalls(s *Settings, p *Parameters) dependencyCalls {
-	objective, window := 0.0, s.CallQuotaWindow.Seconds()
+	objective := 0.0
+	window := s.CallQuotaWindow.Seconds()
 	for _, class := range s.Classes {
 		if !class.Removed {
 			objective = max(objective, class.LatencyObjective.Seconds())
 		}
 	}
-	mean := max(min(s.CallQuota-objective/window, p.CallQuotaShare*s.CallQuota), p.MinCallQuotaShare*s.CallQuota)
+	highest := min(s.CallQuota-objective/window, p.CallQuotaShare*s.CallQuota)
+	mean := max(highest, p.MinCallQuotaShare*s.CallQuota)
 	return dependencyCalls{
 		meanLimit:        mean,
 		limit:            max(mean, 1),
@@ -106,25 +110,26 @@
 // beside it means that the dependency is congested.
 type callTimes struct {
 	completed       float64 // calls
-	meanSeconds     float64 // of late
-	longMeanSeconds float64
+	meanSeconds     float64 // moving mean of the last calls
+	longMeanSeconds float64 // moving mean of more calls
 	longVariance    float64 // seconds squared
 	bestSeconds     float64
 }
 
 // record adds a call that lasted took seconds.
 //
-// The lowest mean of a few short calls is one of chance, beside which the usual looks slow. So the
-// best time is the lowest upper bound of the long mean, by how much calls differ. It grows with
-// each call by the given factor, and not with time, so that it is forgotten as new calls replace
-// it.
+// The lowest mean of a few short calls is low by chance, and usual calls would look slow beside it.
+// So the best time is the lowest upper bound (by the standard error) of the long mean. It grows by
+// the factor growth with each call, and not with time, so that it expires as new calls replace it.
 func (t *callTimes) record(took, growth float64) {
 	t.completed++
 	t.meanSeconds += max(callTimeWeight, 1/t.completed) * (took - t.meanSeconds)
 	weight := max(longCallTimeWeight, 1/t.completed)
 	t.longMeanSeconds += weight * (took - t.longMeanSeconds)
-	t.longVariance += weight * ((took-t.longMeanSeconds)*(took-t.longMeanSeconds) - t.longVariance)
-	upper := t.longMeanSeconds + 2*math.Sqrt(t.longVariance/min(t.completed, 2/longCallTimeWeight))
+	deviation := took - t.longMeanSeconds
+	t.longVariance += weight * (deviation*deviation - t.longVariance)
+	samples := min(t.completed, 2/longCallTimeWeight) // those that a moving average amounts to
+	upper := t.longMeanSeconds + upperBoundErrors*math.Sqrt(t.longVariance/samples)
 	t.bestSeconds = min(t.bestSeconds*growth, upper)
 	if t.completed <= minCallSamples {
 		t.bestSeconds = upper
--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -23,7 +23,7 @@
 	returningShare float64
 }
 
-// recordRequest counts a request of a caller as a sign that it is active.
+// recordRequest marks a caller as active by a request.
 func (t *callerTracker) recordRequest(caller uint32, now time.Duration) {
 	last := t.lastSeen[caller%callerTableSize]
 	t.lastSeen[caller%callerTableSize] = now
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -23,7 +23,9 @@
 	}
 	c.leaveCores()
 	c.occupancy.atCalls++
-	r.state, r.callAttempts, r.nextCallAt = awaitingCall, 0, c.now
+	r.state = awaitingCall
+	r.callAttempts = 0
+	r.nextCallAt = c.now
 	c.calls.queue = append(c.calls.queue, r)
 }
 
@@ -45,7 +47,8 @@
 
 // estimatedCallWait is how long a call of the class would wait behind those that go before it.
 func (c *Controller) estimatedCallWait(class int) time.Duration {
-	ahead, weight := 0, c.settings.Classes[class].PriorityWeight
+	ahead := 0
+	weight := c.settings.Classes[class].PriorityWeight
 	for _, r := range c.calls.queue {
 		if c.awaitsCallInTime(r) && c.settings.Classes[r.class].PriorityWeight >= weight {
 			ahead++
@@ -80,8 +83,8 @@
 func (c *Controller) nextCall() int {
 	next, most := -1, 0.0
 	for i, r := range c.calls.queue {
-		if w := c.callWeight(r); r.nextCallAt <= c.now && w > most {
-			next, most = i, w
+		if weight := c.callWeight(r); r.nextCallAt <= c.now && weight > most {
+			next, most = i, weight
 		}
 	}
 	return next
@@ -91,7 +94,8 @@
 // be in time for the objective, and less otherwise. Of late requests the one with the most time
 // left goes first.
 func (c *Controller) callWeight(r *request) float64 {
-	class, end := &c.settings.Classes[r.class], c.now+seconds(c.calls.times.meanSeconds)
+	class := &c.settings.Classes[r.class]
+	end := c.now + seconds(c.calls.times.meanSeconds)
 	if end <= r.objectiveAt {
 		return class.PriorityWeight
 	}
@@ -134,15 +138,14 @@
 	c.emit(Action{Kind: ActionOmitCall, Request: r.id})
 }
 
-// onCallCompleted ends an attempt of a call. It is repeated only where that cannot have an effect
-// twice.
+// onCallCompleted ends an attempt of a call. The call is retried only where that cannot have an
+// effect twice.
 func (c *Controller) onCallCompleted(r *request, e *Event) {
 	if r.state != inCall {
 		return
 	}
 	neverRan := e.Outcome.neverRan()
-	// A call that was rejected at once is not a fast one, and one whose connection broke does not
-	// tell how long calls take.
+	// A rejection at once, or a connection that broke, does not show how long calls take.
 	if !neverRan && e.Outcome != OutcomeConnectionLost {
 		c.calls.times.record(e.Elapsed.Seconds(), c.parameters.BestCallTimeGrowth)
 	}
@@ -155,8 +158,8 @@
 	}
 	c.calls.inFlight--
 	r.state = awaitingCall
-	repeatable := neverRan || c.settings.Classes[r.class].Idempotency == Idempotent
-	if r.callAttempts >= maxCallAttempts || !repeatable || e.Outcome == OutcomeTimedOut {
+	isRetryable := neverRan || c.settings.Classes[r.class].Idempotency == Idempotent
+	if r.callAttempts >= maxCallAttempts || !isRetryable || e.Outcome == OutcomeTimedOut {
 		c.continueWithoutCall(r)
 		return
 	}
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -1,6 +1,9 @@
 package admission
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // MaxClasses is the number of places for classes, including those of removed classes.
 const MaxClasses = 256
@@ -33,10 +36,11 @@
 func (s Settings) MergeClasses(current Settings) (Settings, error) {
 	places := make([]Class, len(current.Classes), len(current.Classes)+len(s.Classes))
 	for i, class := range current.Classes {
-		places[i], places[i].Removed = class, true
+		class.Removed = true
+		places[i] = class
 	}
 	for i, class := range s.Classes {
-		if s.isDuplicate(i) {
+		if class.sharesNameWith(s.Classes[:i]) {
 			return s, &DuplicateClassError{Index: i, Name: class.Name}
 		}
 		if at := placeOf(class, current.Classes); at >= 0 {
@@ -52,16 +56,14 @@
 	return s, nil
 }
 
-// isDuplicate reports whether a class before the one at place i has its name, both being
-// configured.
-func (s *Settings) isDuplicate(i int) bool {
-	class := &s.Classes[i]
-	for j := range s.Classes[:i] {
-		if other := &s.Classes[j]; other.Name == class.Name && !other.Removed && !class.Removed {
-			return true
-		}
+// sharesNameWith reports whether one of the others has the name of c, both being configured.
+func (c *Class) sharesNameWith(others []Class) bool {
+	if c.Removed {
+		return false
 	}
-	return false
+	return slices.ContainsFunc(others, func(other Class) bool {
+		return other.Name == c.Name && !other.Removed
+	})
 }
 
 // placeOf is the last place of a class with the name and idempotency of class; -1: there is none.
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -31,7 +31,7 @@
 
 	requests  map[uint64]*request // all that are queued or in progress
 	queues    []classQueue        // one for each class
-	executing []*request          // the others, in the order in which they left the queue
+	executing []*request          // those that left their queue, in the order in which they did
 	occupancy occupancy
 	load      serverLoad
 	memoryKB  float64 // taken by requests and remembered keys
@@ -94,7 +94,8 @@
 // Handle takes the events up to now, in the order in which they happened, and appends the actions
 // to be carried out to out.
 func (c *Controller) Handle(now time.Duration, events []Event, out []Action) []Action {
-	c.actions, c.now = out, max(now, c.now)
+	c.actions = out
+	c.now = max(now, c.now)
 	c.updateCallBudget()
 	if !c.started {
 		c.onStart()
@@ -122,8 +123,10 @@
 	added := len(s.Classes) - len(c.queues)
 	c.queues = append(c.queues, make([]classQueue, added)...)
 	s.WarmingUp = c.settings.WarmingUp // it describes the start of the process
-	c.settings, c.parameters = s, updated.parameters
-	c.calls.meanLimit, c.calls.maxBudgetSeconds = updated.calls.meanLimit, updated.calls.maxBudgetSeconds
+	c.settings = s
+	c.parameters = updated.parameters
+	c.calls.meanLimit = updated.calls.meanLimit
+	c.calls.maxBudgetSeconds = updated.calls.maxBudgetSeconds
 	return nil
 }
 
@@ -171,11 +174,14 @@
 	}
 }
 
+// onStart emits the first actions: health, idle timeout, credit and the first timer.
 func (c *Controller) onStart() {
-	c.started, c.startedAt, c.periodStart = true, c.now, c.now
+	c.started = true
+	c.startedAt = c.now
+	c.periodStart = c.now
 	c.callers.returningShare = 1
 	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: true})
-	c.updateIdleTimeout(1)
+	c.updateIdleTimeout(c.readDelays().longestTarget)
 	c.advertise()
 	c.emit(Action{Kind: ActionTimer, Duration: tickInterval})
 }
@@ -183,11 +189,7 @@
 // onTimer reads the gauges, answers requests whose time is over, and ends the control period when it
 // is due.
 func (c *Controller) onTimer(e *Event) {
-	c.load = serverLoad{cpu: e.Gauges.CPU, runnable: e.Gauges.Runnable}
-	if !(c.load.cpu >= 0 && c.load.runnable >= 0) { // no gauges: the running requests stand for them
-		running := float64(c.occupancy.onCores)
-		c.load = serverLoad{cpu: running / float64(c.settings.Cores), runnable: running}
-	}
+	c.load = c.measuredLoad(&e.Gauges)
 	c.updateFleetSaturation()
 	c.expireKeys()
 	c.answerExpired()
@@ -198,7 +200,19 @@
 	c.emit(Action{Kind: ActionTimer, Duration: tickInterval})
 }
 
-// endPeriod moves the controlled quantities at the end of a control period that took elapsed.
+// measuredLoad returns the load by the gauges. Where the host has none the running requests are
+// counted instead.
+func (c *Controller) measuredLoad(gauges *Gauges) serverLoad {
+	hasGauges := gauges.CPU >= 0 && gauges.Runnable >= 0 // false for NaN
+	if hasGauges {
+		return serverLoad{cpu: gauges.CPU, runnable: gauges.Runnable}
+	}
+	running := float64(c.occupancy.onCores)
+	return serverLoad{cpu: running / float64(c.settings.Cores), runnable: running}
+}
+
+// endPeriod updates credit, limits, health and quotas at the end of a control period, which lasted
+// for elapsed.
 func (c *Controller) endPeriod(elapsed time.Duration) {
 	delay := c.readDelays()
 	c.callers.expire(c.now)
--- a/internal/admission/credit.go
+++ b/internal/admission/credit.go
@@ -5,6 +5,9 @@
 // notAdvertised stands for the value that callers know before the first was advertised.
 const notAdvertised = -1
 
+// maxCreditPerUse bounds the growth of the credit pool, by the capacity in use.
+const maxCreditPerUse = 2
+
 // creditPool is Breakwater's pool of credits, C_total: the number of requests that may run. Each
 // caller is advertised its part.
 type creditPool struct {
@@ -50,12 +53,12 @@
 }
 
 // increasedCredit is equation (1) of Breakwater, with A = max(alpha n_c, 1) by equation (3),
-// section 3.2.2. The pool stays within what the server can run and within twice its use: credit
-// that nobody used would all be drawn at once when load comes.
+// section 3.2.2. The pool stays within what the server can run and within maxCreditPerUse times its
+// use: credit that nobody used would all be drawn at once when load comes.
 func (c *Controller) increasedCredit() float64 {
 	increase := max(c.parameters.AdditiveIncrease*float64(max(c.callers.active, 1)), 1)
 	use := float64(c.occupancy.onCores + c.occupancy.atCalls + c.settings.Cores)
-	return min(c.credit.size+increase, c.runningLimit(), max(c.credit.size, 2*use))
+	return min(c.credit.size+increase, c.runningLimit(), max(c.credit.size, maxCreditPerUse*use))
 }
 
 // decreasedCredit is equation (2) of Breakwater, section 3.2.1. A minimum remains, so that the
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -8,14 +8,15 @@
 // effect happens twice, a drain leaves nothing unanswered, and the server stays within its memory,
 // its cores and its quota of calls.
 //
-// The host owns time, threads and I/O. It calls [Controller.Handle] from one goroutine at a time,
-// with a clock that never goes back, reports every event in the order in which it happened, and
-// carries out the actions in the order written. The package owns no goroutine, no clock and no
-// global state, and uses no randomness: the same events give the same actions.
+// The host is internal/lifecycle in the runner, and a model of a server in the simulator. It owns
+// time, threads and I/O. It calls [Controller.Handle] from one goroutine at a time, with a clock
+// that never goes back, reports every event in the order in which it happened, and carries out the
+// actions in the order written. The package owns no goroutine, no clock and no global state, and
+// uses no randomness: the same events give the same actions.
 //
-// The host owes the controller one EventCompleted for each ActionStart and ActionReuseResult that
-// took effect, one EventCallCompleted for each ActionPlaceCall unless EventCompleted comes first,
-// and one EventTimer for each ActionTimer.
+// The host reports to the controller one EventCompleted for each ActionStart and ActionReuseResult
+// that took effect, one EventCallCompleted for each ActionPlaceCall unless EventCompleted comes
+// first, and one EventTimer for each ActionTimer.
 //
 // Times are durations since the host's clock began. Numbers of seconds are named as such.
 package admission
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// arrivedAfterDrain reports whether r came after the grace of a drain, so that it must not start. A
-// repeat of a request that may have run is answered all the same, since it does not start.
+// arrivedAfterDrain reports whether r arrived after Settings.DrainGrace of a drain, so that it must
+// not start. A repeat of a request that may have run is exempt: its answer starts nothing.
 func (c *Controller) arrivedAfterDrain(r *request) bool {
 	return c.drain.active && !r.mayHaveRun && r.arrivedAt > c.drain.startedAt+c.settings.DrainGrace
 }
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -4,10 +4,14 @@
 // server that the endpoint list no longer names reads nothing, and returns as the delay fades.
 const readDelayDecay = 0.98
 
+// recoveryDivisor: an unhealthy server is healthy again once the mean delay before reading is down
+// to this part of the longest delay target.
+const recoveryDivisor = 2
+
 // updateHealth makes health checks fail while this server alone reads requests too late to answer
-// them, as a low share of retries tells. Callers that forget its credit follow the endpoint list.
-// While it reads more than usual all servers may be overloaded, and it stays healthy. The target is
-// the longest delay target, in nanoseconds.
+// them; a low share of retries shows that it is alone. Callers that no longer know its credit then
+// drop it with the endpoint list. While it reads more than usual all servers may be overloaded, and
+// it stays healthy. The target is the longest delay target, in nanoseconds.
 func (c *Controller) updateHealth(target float64) {
 	arrivals := &c.arrivals
 	arrivals.readDelay *= readDelayDecay
@@ -16,7 +20,7 @@
 		return
 	}
 	if c.unhealthy {
-		if arrivals.readDelay > target/2 {
+		if arrivals.readDelay > target/recoveryDivisor {
 			return
 		}
 	} else if !c.readsTooLate(target) {
@@ -31,9 +35,8 @@
 // they are rejected.
 func (c *Controller) readsTooLate(target float64) bool {
 	arrivals := &c.arrivals
-	// arrivals a period
-	usual := arrivals.total * float64(controlPeriod) / float64(c.now-c.startedAt)
+	usualPerPeriod := arrivals.total * float64(controlPeriod) / float64(c.now-c.startedAt)
 	return arrivals.readDelay > c.parameters.RejectDelayFactor*target &&
 		arrivals.retryShare < c.parameters.FewRetriesShare &&
-		runTimeWeight*arrivals.recent <= usual
+		runTimeWeight*arrivals.recent <= usualPerPeriod
 }
--- a/internal/admission/idempotency.go
+++ b/internal/admission/idempotency.go
@@ -9,7 +9,7 @@
 	keyed := c.settings.Classes[r.class].Idempotency == IdempotentWithKey
 	scarce := c.memoryKB+c.settings.KeyMemoryKB > c.runMemoryLimitKB()
 	if keyed && scarce {
-		c.reject(r, 0, false, reason{CauseKeyMemory, c.memoryKB, c.runMemoryLimitKB()})
+		c.reject(r, retryHint{}, reason{CauseKeyMemory, c.memoryKB, c.runMemoryLimitKB()})
 		return
 	}
 	if !keyed && (!r.shareable || scarce) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,6 +6,9 @@
 // arrival in the mean delay before it is read.
 const runTimeWeight = 0.1
 
+// minQueueTimeDivisor: at least this part of a latency objective counts as left beside the run.
+const minQueueTimeDivisor = 4
+
 // maxExpectedSeconds bounds the expected time of a run, so that it fits a duration.
 const maxExpectedSeconds = 1e6
 
@@ -24,13 +27,13 @@
 
 // delayTarget is the target of a class's queueing delay, Breakwater's d_t: a share of what its
 // latency objective leaves beside the run. The share is smaller while other servers probably have
-// room, since an early cut sends requests there.
+// capacity, since an early cut sends requests there.
 func (c *Controller) delayTarget(class int) time.Duration {
 	objective := c.settings.Classes[class].LatencyObjective
 	run := seconds(c.queues[class].meanRunSeconds)
 	least := c.parameters.MinDelayTargetShare
 	share := least + (c.parameters.DelayTargetShare-least)*c.arrivals.fleetSaturation
-	return time.Duration(share * float64(max(objective-run, objective/4)))
+	return time.Duration(share * float64(max(objective-run, objective/minQueueTimeDivisor)))
 }
 
 // expectedRunTime is how long r is expected to run, from the runs of its class and its expected
@@ -47,12 +50,15 @@
 
 // recordRunTime takes the run of r, which ends now, into the means of its class.
 func (c *Controller) recordRunTime(r *request) {
-	queue, run := &c.queues[r.class], (c.now - r.startedAt).Seconds()
+	queue := &c.queues[r.class]
+	run := (c.now - r.startedAt).Seconds()
+	expected := r.expectedWork.Seconds()
 	if queue.meanRunSeconds == 0 {
-		queue.meanRunSeconds, queue.meanExpectedSeconds = run, r.expectedWork.Seconds()
+		queue.meanRunSeconds = run
+		queue.meanExpectedSeconds = expected
 	}
 	queue.meanRunSeconds += runTimeWeight * (run - queue.meanRunSeconds)
-	queue.meanExpectedSeconds += runTimeWeight * (r.expectedWork.Seconds() - queue.meanExpectedSeconds)
+	queue.meanExpectedSeconds += runTimeWeight * (expected - queue.meanExpectedSeconds)
 }
 
 // queueWait is how long the other queued requests take to start.
@@ -66,8 +72,8 @@
 }
 
 // missesObjective reports whether r, after waiting for so long, cannot be answered while its answer
-// has any weight. Without saturation only the deadline counts, since an estimate must not turn
-// requests away while there is room.
+// has any weight. Without saturation only the deadline counts, since requests must not be rejected by an
+// estimate while there is capacity.
 func (c *Controller) missesObjective(r *request, wait time.Duration) bool {
 	if !c.saturated(r.class) {
 		return c.deadlineNear(r)
@@ -77,7 +83,7 @@
 		end = min(end, r.objectiveAt)
 	}
 	run := float64(c.expectedRunTime(r))
-	// a run that turns out to be late keeps its core to the end
+	// A run that turns out to be late keeps its core to the end.
 	if c.settings.Cancel == CancelNone {
 		run *= c.parameters.StartMarginFactor
 	}
@@ -100,10 +106,10 @@
 			return
 		}
 		if c.missesObjective(r, 0) {
-			c.reject(r, 0, c.retryIsFutile(r), reason{cause: CauseObjectiveUnreachable})
+			c.reject(r, retryHint{noRetry: c.retryIsFutile(r)}, reason{cause: CauseObjectiveUnreachable})
 			continue
 		}
-		if !c.hasRoom() || !c.startRun(r) {
+		if !c.hasCapacity() || !c.startRun(r) {
 			return
 		}
 	}
@@ -119,21 +125,22 @@
 		if len(queue) == 0 || c.callsCongested(i) {
 			continue
 		}
-		if w := float64(c.now-queue[0].arrivedAt) * c.settings.Classes[i].PriorityWeight; w > most {
-			next, most = queue[0], w
+		age := float64(c.now - queue[0].arrivedAt)
+		if weight := age * c.settings.Classes[i].PriorityWeight; weight > most {
+			next, most = queue[0], weight
 		}
 	}
 	return next
 }
 
-// hasRoom reports whether one more request may run: up to the number of cores always, and up to the
+// hasCapacity reports whether one more request may run: up to the number of cores always, and up to the
 // credit pool while a core is free.
-func (c *Controller) hasRoom() bool {
+func (c *Controller) hasCapacity() bool {
 	limit := c.runningLimit()
 	onCores := float64(c.occupancy.onCores + c.occupancy.reusing + 1)
 	// Requests at calls may all come back at once.
-	all := float64(c.occupancy.onCores + c.occupancy.atCalls + c.occupancy.reusing + 1)
-	if onCores > limit || all > limit/c.parameters.RunningLimitShare {
+	withCalls := onCores + float64(c.occupancy.atCalls)
+	if onCores > limit || withCalls > limit/c.parameters.RunningLimitShare {
 		return false
 	}
 	coreFree := c.load.runnable < float64(c.settings.Cores)
@@ -153,7 +160,7 @@
 	return max(float64(c.settings.Cores)*perCore*c.parameters.RunningLimitShare, 1)
 }
 
-// startRun is the one place that starts a request. It reports whether it did.
+// startRun starts a queued request, and reports whether it did; all starts pass through it.
 func (c *Controller) startRun(r *request) bool {
 	memoryKB := c.memoryKB + r.sizeKB*(c.settings.RunningMemoryFactor-1)
 	if r.state != queued || r.mayHaveRun || r.answered || c.arrivedAfterDrain(r) ||
@@ -162,7 +169,9 @@
 	}
 	c.dequeue(r)
 	c.memoryKB = memoryKB
-	r.state, r.mayHaveRun, r.startedAt = running, true, c.now
+	r.state = running
+	r.mayHaveRun = true
+	r.startedAt = c.now
 	c.executing = append(c.executing, r)
 	c.enterCores()
 	c.emit(Action{Kind: ActionStart, Request: r.id})
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// requestState is where a request stands between its arrival and the end of its run.
+// requestState is the phase of a request between its arrival and the end of its run.
 type requestState uint8
 
 const (
 	queued         requestState = iota
 	running                     // on the cores, or waiting for the disk
-	awaitingCall                // stands at a call that is not placed yet
+	awaitingCall                // waits for a call that is not placed yet
 	inCall                      // its call is in flight
 	awaitingResult              // a read that waits for the run of another read of the same subject
 	reusingResult               // answered from the result of another request
@@ -23,8 +23,8 @@
 	class int
 	state requestState
 
-	answered      bool // or abandoned, so that nobody waits for it
-	retried       bool // a retry or a hedged request
+	answered      bool // or abandoned: nobody waits for it
+	isRetry       bool // a retry or a hedged request
 	mayHaveRun    bool // it was started, or repeats a request that may have been
 	keyRemembered bool
 	shareable     bool // a read whose result others may reuse
--- a/internal/admission/retry_detector.go
+++ b/internal/admission/retry_detector.go
@@ -19,11 +19,11 @@
 // and how often it was seen lately. The weight fades with arrivals.
 type commonWait struct{ fraction, weight float64 }
 
-// retryDetector tells retries from first attempts where callers do not mark them, by the time that
-// they are willing to wait. First attempts wait the same fraction of the timeout at all callers of
-// one configuration, so that few fractions come again and again. A retry has a little less than one
-// of these or, where callers limit single attempts, what is left of the client's patience. Where
-// waits vary by themselves none is common, and no request is taken for a retry.
+// retryDetector distinguishes retries from first attempts where callers do not mark them, by the
+// time for which they wait. First attempts wait the same fraction of the timeout at all callers of
+// one configuration, so that few fractions are common. A retry waits a little less than one of these
+// or, where callers limit single attempts, what is left of the client's timeout. Where waits vary at
+// random none is common, and no request is taken for a retry.
 type retryDetector struct {
 	waits [commonWaitSlots]commonWait
 }
@@ -32,9 +32,11 @@
 // the wait.
 func (d *retryDetector) age(wait, timeout time.Duration) time.Duration {
 	limit := float64(timeout)
-	tolerance, fraction := float64(waitTolerance)/limit, float64(wait)/limit
+	tolerance := float64(waitTolerance) / limit
+	fraction := float64(wait) / limit
 	match, least := -1, 0
-	anyCommon, above := false, math.Inf(1) // above: the common fraction next above this one
+	anyCommon := false
+	nextCommon := math.Inf(1) // the least common fraction above this one
 	for i := range d.waits {
 		w := &d.waits[i]
 		w.weight *= 1 - arrivalWeight
@@ -47,7 +49,7 @@
 		if w.weight >= commonWaitMinWeight {
 			anyCommon = true
 			if w.fraction > fraction {
-				above = min(above, w.fraction)
+				nextCommon = min(nextCommon, w.fraction)
 			}
 		}
 	}
@@ -59,5 +61,6 @@
 	if !anyCommon || d.waits[match].weight >= commonWaitMinWeight {
 		return 0
 	}
-	return time.Duration((min(above, max(fraction, 1)) - fraction) * limit)
+	firstFraction := min(nextCommon, max(fraction, 1)) // of the first attempt
+	return time.Duration((firstFraction - fraction) * limit)
 }
--- a/internal/admission/reuse.go
+++ b/internal/admission/reuse.go
@@ -14,14 +14,15 @@
 }
 
 // joinRun lets a read wait for the result of the prior read of the same subject, and reports
-// whether there is one. It costs no run, so that queueing delay does not reject it.
+// whether there is one. The read needs no run of its own, so it is not rejected for queueing delay.
 func (c *Controller) joinRun(r *request, prior uint64) bool {
 	source := cmp.Or(c.requests[prior], c.reusable[prior])
 	if source == nil || !source.keyRemembered || source.class != r.class {
 		return false
 	}
 	c.dequeue(r)
-	r.state, r.resultSource = awaitingResult, source
+	r.state = awaitingResult
+	r.resultSource = source
 	source.waiters++
 	c.executing = append(c.executing, r)
 	return true
@@ -35,7 +36,8 @@
 			continue
 		}
 		removeFrom(&c.executing, r)
-		r.state, r.resultSource = queued, nil
+		r.state = queued
+		r.resultSource = nil
 		queue := &c.queues[r.class]
 		queue.requests = slices.Insert(queue.requests, 0, r)
 		c.rememberKey(r)
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -33,7 +33,7 @@
 	CancelSuspend                   // the run keeps its progress and memory until it starts again
 )
 
-// Dependency says what requests call while they run.
+// Dependency says which kind of service requests call while they run.
 type Dependency uint8
 
 // The kinds of dependency.
@@ -110,14 +110,14 @@
 	IdleConnectionTimeout     time.Duration
 	MaxRetryAfter             time.Duration // the longest Retry-After that callers observe
 	NoRetryAfter              bool          // Retry-After is not passed on
-	// HandshakeCost is what a new connection takes off the result, in parts of the priority weight
-	// of all requests.
+	// HandshakeCost is the cost of a new connection, as a fraction of the priority weight of all
+	// requests.
 	HandshakeCost   float64
 	WeightPerWork   bool    // priority weights count for each unit of work, not for each request
 	OverQuotaWeight float64 // weight of a request beyond its tenant's quota
 
 	DeadlineGrace time.Duration // time after a deadline in which an answer still counts
-	// DrainGrace is the time after the begin of a drain from which arrivals must not start.
+	// DrainGrace is how long after the begin of a drain arrivals may still start.
 	DrainGrace time.Duration
 	// MaxRunningPerCore is the number of running requests for each core, as a mean over
 	// MaxRunningWindow, that a server can take which is not warming up.
--- a/internal/admission/validate.go
+++ b/internal/admission/validate.go
@@ -98,10 +98,8 @@
 	if err != nil {
 		return err
 	}
-	for i := range others {
-		if other := &others[i]; other.Name == c.Name && !other.Removed && !c.Removed {
-			return &SettingError{"Name", c.Name, "a name that no other class has"}
-		}
+	if c.sharesNameWith(others) {
+		return &SettingError{"Name", c.Name, "a name that no other class has"}
 	}
 	return nil
 }
