--- a/cmd/runner/explain_test.go
+++ b/cmd/runner/explain_test.go
@@ -189,7 +189,7 @@
 	return entries[0], true
 }
 
-// Each cause of the decision module comes in the end, as requests are sent again and again until it
+// Each cause of the admission controller comes in the end, as requests are sent again and again until it
 // does.
 func TestExplainAdmissionCauses(t *testing.T) {
 	t.Parallel()
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// admissionQueue collects events for the decision module and yields its actions one at a time.
+// admissionQueue collects events for the admission controller and yields its actions one at a time.
 type admissionQueue struct {
 	controller *admission.Controller
 	now        func() time.Duration
@@ -15,17 +15,18 @@
 	next       int                // index of the next action
 }
 
-// report adds an event. The decision module handles it when the next action is asked for.
+// report adds an event. The admission controller handles it when the next action is asked for.
 func (q *admissionQueue) report(e admission.Event) { q.events = append(q.events, e) }
 
-// nextAction returns the next action; false if all events are handled and their actions carried
-// out. Its duration is in whole microseconds.
+// nextAction returns the next action; false if all events are handled and their actions
+// executed. Its duration is in whole microseconds.
 func (q *admissionQueue) nextAction() (admission.Action, bool) {
 	if q.next == len(q.actions) {
 		if len(q.events) == 0 {
 			return admission.Action{}, false
 		}
-		q.actions, q.next = q.controller.Handle(q.now(), q.events, q.actions[:0]), 0
+		q.actions = q.controller.Handle(q.now(), q.events, q.actions[:0])
+		q.next = 0
 		q.events = q.events[:0]
 		if len(q.actions) == 0 {
 			return admission.Action{}, false
@@ -37,24 +38,24 @@
 	return action, true
 }
 
-// runActions carries out actions until there are none. Carrying out one may report more events.
+// runActions executes actions until there are none. Executing one may report more events.
 func (m *Manager) runActions() {
-	if m.carryingOut {
+	if m.runningActions {
 		return
 	}
-	m.carryingOut = true
-	defer func() { m.carryingOut = false }()
+	m.runningActions = true
+	defer func() { m.runningActions = false }()
 	for {
 		action, ok := m.admission.nextAction()
 		if !ok {
 			return
 		}
-		m.carryOut(action)
+		m.execute(action)
 	}
 }
 
-// carryOut carries out an action that concerns no request, or passes it on.
-func (m *Manager) carryOut(a admission.Action) {
+// execute executes an action. Those that concern a request are passed to executeForRequest.
+func (m *Manager) execute(a admission.Action) {
 	switch a.Kind {
 	case admission.ActionSetHealth:
 		m.env.SetHealth(a.Static, a.Healthy)
@@ -68,22 +69,22 @@
 		m.env.Log(evAdmission, a.Text)
 	default:
 		if r := m.requests[a.Request]; r != nil {
-			m.carryOutRequest(r, a)
+			m.executeForRequest(r, a)
 			m.removeIfDone(r)
 		}
 	}
 }
 
-// carryOutRequest carries out an action that concerns a request.
-func (m *Manager) carryOutRequest(r *request, a admission.Action) {
+// executeForRequest executes an action that concerns a request.
+func (m *Manager) executeForRequest(r *request, a admission.Action) {
 	switch a.Kind {
 	case admission.ActionStart:
 		m.start(r)
 	case admission.ActionReject:
-		r.trace.setCause(Cause(a.Cause), a.Value, a.Limit)
+		r.trace.setComparison(Cause(a.Cause), a.Value, a.Limit)
 		m.answer(r, Answer{Status: Rejected, RetryAfter: a.Duration, DoNotRetry: a.NoRetry})
 	case admission.ActionFail:
-		r.trace.setCause(Cause(a.Cause), a.Value, a.Limit)
+		r.trace.setComparison(Cause(a.Cause), a.Value, a.Limit)
 		m.fail(r)
 	case admission.ActionPlaceCall:
 		m.startCall(r, a.Duration)
@@ -96,7 +97,7 @@
 	}
 }
 
-// complete tells the decision module that a request has ended.
+// complete notifies the admission controller that a request has ended.
 func (m *Manager) complete(r *request, outcome admission.Outcome) {
 	m.admission.report(admission.Event{Kind: admission.EventCompleted, Request: r.id, Outcome: outcome})
 }
--- a/internal/lifecycle/answer.go
+++ b/internal/lifecycle/answer.go
@@ -19,7 +19,7 @@
 	r.Responder.Answer(a)
 }
 
-// diskFails answers a request without a result: as expired if its deadline is near.
+// fail answers a request without a result: as expired if its deadline is near.
 func (m *Manager) fail(r *request) {
 	status := Failed
 	if m.isDeadlineNear(r) {
@@ -64,7 +64,7 @@
 	if r.answered {
 		return
 	}
-	r.trace.setCause(CauseDeadline, 0, 0)
+	r.trace.setCause(CauseDeadline)
 	m.answer(r, Answer{Status: Expired})
 	m.releaseAnswer(r)
 }
@@ -87,15 +87,15 @@
 }
 
 func (m *Manager) abandon(r *request) {
-	r.trace.setCause(CauseCallerGone, 0, 0)
+	r.trace.setCause(CauseCallerGone)
 	m.reportRequest(r, 0, 0)
 	m.closeRequest(r)
 	m.releaseAnswer(r)
 }
 
-// releaseAnswer tells the decision module that an answer is not owed any more.
+// releaseAnswer notifies the admission controller that a request needs no answer any more.
 func (m *Manager) releaseAnswer(r *request) {
-	if !r.awaitsStore { // else it was told that the run has ended
+	if !r.awaitsStore { // otherwise storeEnd has reported the end of the run
 		m.admission.report(admission.Event{Kind: admission.EventAbandoned, Request: r.id})
 		m.runActions()
 	}
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -10,13 +10,14 @@
 // more that the request may run: not answered, not too late in a drain, and the first of its key.
 func (m *Manager) start(r *request) {
 	class := &m.settings.Classes[r.Class]
-	// another process was first
-	if !r.answered && r.keyEntry != nil && r.keyEntry.remoteOwner != 0 {
+	runsElsewhere := r.keyEntry != nil && r.keyEntry.remoteOwner != 0
+	if runsElsewhere && !r.answered {
 		m.yieldToRemote(r)
 		return
 	}
 	needsKey := class.Idempotency == admission.IdempotentWithKey
-	if r.answered || r.running != nil || m.isTooLate(r) || needsKey && !m.keys.mayRun(r) {
+	isDuplicate := needsKey && !m.keys.mayRun(r)
+	if r.answered || r.running != nil || isDuplicate || m.isTooLate(r) {
 		m.env.Log(evStartCancelled, class.Name, r.ID)
 		m.answer(r, Answer{Status: Failed})
 		m.complete(r, admission.OutcomeFailed)
@@ -85,7 +86,7 @@
 // requestOf returns the request of an attempt that runs; nil if the attempt has ended.
 func (m *Manager) requestOf(a *Attempt) *request {
 	r := m.requests[a.id]
-	if a.over || r == nil || r.running != a {
+	if a.ended || r == nil || r.running != a {
 		return nil
 	}
 	return r
@@ -115,7 +116,8 @@
 	if r == nil {
 		return
 	}
-	a.over, r.running = true, nil
+	a.ended = true
+	r.running = nil
 	r.trace.attemptEnded(a, outcome, m.env.Unix())
 	m.cancelCall(r, a)
 	if outcome == Succeeded {
@@ -143,16 +145,16 @@
 	admissionOutcome, answer := answerOf(outcome, result)
 	switch {
 	case outcome == TimedOut && r.stopTimer != nil: // the frontend's timer was set to the same time
-		r.trace.setCause(CauseDeadline, 0, 0)
+		r.trace.setCause(CauseDeadline)
 	case a.Cause != CauseNone:
-		r.trace.setCause(a.Cause, a.Value, a.Limit)
+		r.trace.setComparison(a.Cause, a.Value, a.Limit)
 	case outcome != Succeeded:
-		r.trace.setCause(outcomeCause(outcome), 0, 0)
+		r.trace.setCause(outcomeCause(outcome))
 	}
 	if outcome.neverRan() && outcome != UnknownRequest && m.env.RetryAfter != nil {
 		answer.RetryAfter = m.env.RetryAfter(r.Class)
 	}
-	if outcome != Cancelled { // the decision module answers a request that it has cancelled
+	if outcome != Cancelled { // the admission controller answers a request that it has cancelled
 		m.answer(r, answer)
 	}
 	m.complete(r, admissionOutcome)
@@ -160,7 +162,7 @@
 	m.removeIfDone(r)
 }
 
-// answerOf returns what the end of a run is to the decision module and to its caller.
+// answerOf returns what the end of a run is to the admission controller and to its caller.
 func answerOf(o Outcome, result *Result) (admission.Outcome, Answer) {
 	switch o {
 	case Succeeded:
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -11,9 +11,9 @@
 	unprovenCaller = 1<<32 - 1
 )
 
-// provenCallers holds the callers of which a request has run lately. The decision module divides
-// its credit among the callers that it knows: if any number that a request carries counted as a
-// caller, a flood of made-up numbers would leave no credit for the others.
+// provenCallers holds the callers of which a request has run lately. The admission controller
+// divides its credit among the callers that it knows: if any number that a request carries counted
+// as a caller, a flood of made-up numbers would leave no credit for the others.
 type provenCallers struct {
 	lastRunAt map[uint32]time.Duration // monotonic, by caller number
 	sweptAt   time.Duration
@@ -26,7 +26,7 @@
 	}
 }
 
-// admissionNumber returns the caller number for the decision module.
+// admissionNumber returns the caller number for the admission controller.
 func (p *provenCallers) admissionNumber(caller uint32) uint32 {
 	if _, known := p.lastRunAt[caller]; known {
 		return caller
--- a/internal/lifecycle/calls.go
+++ b/internal/lifecycle/calls.go
@@ -43,7 +43,7 @@
 	m.runActions()
 }
 
-// callOutcome returns the end of a call as the decision module counts it.
+// callOutcome returns the end of a call as the admission controller counts it.
 func callOutcome(o Outcome) admission.Outcome {
 	switch o {
 	case Succeeded:
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// startCall places the call that a run waits for. Without a timeout the one of the class holds.
+// startCall places the call that a run waits for. Without a timeout, that of the class applies.
 func (m *Manager) startCall(r *request, timeout time.Duration) {
 	if r.running == nil || r.callBody == nil || m.env.Dependency == nil {
 		m.admission.report(admission.Event{
--- a/internal/lifecycle/cause.go
+++ b/internal/lifecycle/cause.go
@@ -2,36 +2,39 @@
 
 import "ryepaddle/internal/admission"
 
-// Cause is why a request was answered as it was. Values below firstOwnCause are causes of the
-// decision module.
+// Cause is why a request was answered as it was. Values below firstLifecycleCause are causes of the
+// admission controller.
 type Cause uint8
 
 // CauseNone is the cause of an answer that needs none.
 const CauseNone Cause = 0
 
-// firstOwnCause is the first cause that is not of the decision module.
-const firstOwnCause Cause = 65
+// firstLifecycleCause is the first cause that is not of the admission controller.
+const firstLifecycleCause Cause = 65
 
-// The causes that are not of the decision module. Where a comment says so, Value and Limit of the
-// trace are what was compared.
+// The causes that are not of the admission controller. Where a comment says so, Value and Limit of
+// the trace are what was compared.
 const (
-	CauseKeyTableFull = firstOwnCause + iota // no room for its key; keys, and the limit
-	CauseKeyStore                            // its key cannot be made durable now
-	CauseDuplicateID                         // another request with its ID is open
-	CauseKeyReused                           // its key was used with another body
-	CauseInDoubt                             // it duplicates one that had begun before a restart
+	CauseKeyTableFull = firstLifecycleCause + iota // no room for its key; keys, and the limit
+	CauseKeyStore                                  // its key cannot be made durable now
+	CauseDuplicateID                               // another request with its ID is open
+	CauseKeyReused                                 // its key was used with another body
+	// it duplicates one that had begun before a restart
+	CauseInDoubt
 	// it got the answer of the request that it duplicates
 	CauseDuplicate
 	CauseOriginalNotRun // the request that it duplicates never ran
 	CauseNoServer       // no server took it
 	CauseServerFault    // its server failed it
-	CauseInterrupted    // its run was interrupted, and may not be retried
+	// its run was interrupted, and may not be retried
+	CauseInterrupted
 	CauseRunTimeout     // its run did not end by its deadline
 	CauseUnknownRequest // the runner does not know such a request
-	CauseDeadline       // the deadline that its frontend set has passed
-	CauseCallerGone     // its caller was gone
-	CauseRunRejected    // its run was rejected, and nothing ran
-	// no slot in time; seconds it would wait, and that are left
+	// the deadline that its frontend set has passed
+	CauseDeadline
+	CauseCallerGone  // its caller was gone
+	CauseRunRejected // its run was rejected, and nothing ran
+	// no slot in time; seconds of the wait, and seconds left
 	CauseBulkheadWait
 	// the queue of its bulkhead was full; requests, and the limit
 	CauseBulkheadFull
@@ -41,13 +44,13 @@
 
 // String returns the text by which operators know the cause; empty for an unknown cause.
 func (c Cause) String() string {
-	if c < firstOwnCause {
+	if c < firstLifecycleCause {
 		return admissionCauseText(admission.Cause(c))
 	}
-	return c.ownText()
+	return c.lifecycleText()
 }
 
-// admissionCauseText returns the text of a cause of the decision module.
+// admissionCauseText returns the text of a cause of the admission controller.
 func admissionCauseText(c admission.Cause) string {
 	switch c {
 	case admission.CauseNone:
@@ -78,8 +81,8 @@
 	return ""
 }
 
-// ownText returns the text of a cause that is not of the decision module.
-func (c Cause) ownText() string {
+// lifecycleText returns the text of a cause that is not of the admission controller.
+func (c Cause) lifecycleText() string {
 	switch c {
 	case CauseKeyTableFull:
 		return "table of keys full"
--- a/internal/lifecycle/duplicates.go
+++ b/internal/lifecycle/duplicates.go
@@ -12,7 +12,8 @@
 		m.releaseEntry(entry)
 		return
 	}
-	entry.ended, entry.status = true, duplicateStatus(outcome)
+	entry.ended = true
+	entry.status = duplicateStatus(outcome)
 	if outcome == Succeeded && result != nil {
 		m.keys.setResult(entry, result)
 	}
@@ -52,7 +53,7 @@
 
 // rejectDuplicate rejects a duplicate whose original never ran.
 func (m *Manager) rejectDuplicate(r *request) {
-	r.trace.setCause(CauseOriginalNotRun, 0, 0)
+	r.trace.setCause(CauseOriginalNotRun)
 	m.answer(r, Answer{Status: Rejected})
 	m.endDuplicate(r, admission.OutcomeFailed)
 }
@@ -80,7 +81,7 @@
 // answerFromEntry answers a duplicate of a run that has ended.
 func (m *Manager) answerFromEntry(r *request, entry *keyEntry) {
 	r.awaitsOriginal = false
-	r.trace.setCause(CauseDuplicate, 0, 0)
+	r.trace.setCause(CauseDuplicate)
 	if entry.result != nil {
 		m.answer(r, Answer{Status: Served, Result: entry.result})
 		m.endDuplicate(r, admission.OutcomeOK)
@@ -90,7 +91,7 @@
 	m.endDuplicate(r, admission.OutcomeFailed)
 }
 
-// endDuplicate tells the decision module that a duplicate is answered.
+// endDuplicate notifies the admission controller that a duplicate is answered.
 func (m *Manager) endDuplicate(r *request, outcome admission.Outcome) {
 	m.complete(r, outcome)
 	m.removeIfDone(r)
--- a/internal/lifecycle/durability.go
+++ b/internal/lifecycle/durability.go
@@ -6,7 +6,7 @@
 )
 
 // replicationDrainMargin is how long before the process is stopped a result that is not replicated
-// is given up.
+// is abandoned.
 const replicationDrainMargin = 300 * time.Millisecond
 
 // storeStart makes the start of a run durable and then begins it. A store that does not answer in
@@ -22,18 +22,18 @@
 		return
 	}
 	attempt.pending = true
-	asked := m.env.Now()
+	requestedAt := m.env.Now()
 	var stopTimer func()
 	finish := func(err error) {
-		if !attempt.pending { // it was given up
+		if !attempt.pending { // it timed out
 			return
 		}
-		r.trace.addKeyWait(m.env.Now() - asked)
+		r.trace.addKeyWait(m.env.Now() - requestedAt)
 		attempt.pending = false
 		stopTimer()
 		m.startStored(r, attempt, record, err)
 	}
-	timeout := min(m.env.KeyStore.Timeout(), max(r.deadline-deadlineMargin-asked, 0))
+	timeout := min(m.env.KeyStore.Timeout(), max(r.deadline-deadlineMargin-requestedAt, 0))
 	stopTimer = m.env.After(timeout, func() { finish(errStoreTimeout) })
 	m.env.KeyStore.Started(record, finish)
 }
@@ -54,17 +54,17 @@
 }
 
 // storeEnd makes the end of a run durable, and then answers the request and its duplicates. The
-// decision module is told at once that the run has ended. The answer waits, but not for a store
-// that does not answer, and not beyond the deadline.
+// admission controller is notified at once that the run has ended. The answer waits, but not for a
+// store that does not answer, and not beyond the deadline.
 func (m *Manager) storeEnd(r *request, outcome Outcome, result *Result) {
 	admissionOutcome, answer := answerOf(outcome, result)
 	m.complete(r, admissionOutcome)
 	r.awaitsStore = true
 	if outcome != Succeeded {
-		r.trace.setCause(outcomeCause(outcome), 0, 0)
+		r.trace.setCause(outcomeCause(outcome))
 	}
 	record := m.endRecord(r, outcome, result)
-	asked := m.env.Now()
+	requestedAt := m.env.Now()
 	finished := false
 	var stopTimer func()
 	finish := func(err error) {
@@ -72,7 +72,7 @@
 			return
 		}
 		finished = true
-		r.trace.addKeyWait(m.env.Now() - asked)
+		r.trace.addKeyWait(m.env.Now() - requestedAt)
 		stopTimer()
 		if err != nil {
 			m.env.Log(evResultNotDurable, record.Class, r.ID, err)
@@ -93,11 +93,11 @@
 	}
 	timeout := m.env.KeyStore.Timeout()
 	if !r.answered {
-		timeout = min(timeout, r.deadline-deadlineMargin-asked)
+		timeout = min(timeout, r.deadline-deadlineMargin-requestedAt)
 	}
 	stopTimer = m.env.After(max(timeout, 0), timeOut)
 	m.env.KeyStore.Ended(record, finish)
-	if timeout <= 0 && !r.answered { // it is late already, which is no fault of the store
+	if timeout <= 0 && !r.answered { // the deadline has passed; the store did not fail
 		finish(nil)
 	}
 	m.runActions()
@@ -115,8 +115,8 @@
 }
 
 // boundReplicationWait answers a request as expired if its result is not replicated in time. The
-// result must not be sent before: if this process is then taken for lost, the other runners answer
-// duplicates as in doubt. The key waits on until the result is replicated.
+// result must not be sent before: if this process then seems to have failed, the other runners
+// answer duplicates as in doubt. The key waits on until the result is replicated.
 func (m *Manager) boundReplicationWait(r *request) {
 	now := m.env.Now()
 	wait := r.deadline - deadlineMargin - now
@@ -127,7 +127,7 @@
 		if r.answered {
 			return
 		}
-		r.trace.setCause(CauseReplicas, 0, 0)
+		r.trace.setCause(CauseReplicas)
 		m.answer(r, Answer{Status: Expired})
 		m.removeIfDone(r)
 	})
--- a/internal/lifecycle/key_table.go
+++ b/internal/lifecycle/key_table.go
@@ -139,7 +139,8 @@
 	if entry.result != nil {
 		t.resultBytes -= entry.result.size()
 	}
-	if entry.result = result; result != nil {
+	entry.result = result
+	if result != nil {
 		t.resultBytes += result.size()
 	}
 }
@@ -162,8 +163,8 @@
 	}
 	t.sweptAt = now
 	for _, entry := range t.entries {
-		runs := entry.started && !entry.ended && entry.remoteOwner == 0
-		if now > entry.expiresAt.Add(maxReadDelay) && !runs && len(entry.waiters) == 0 {
+		isRunning := entry.started && !entry.ended && entry.remoteOwner == 0
+		if now > entry.expiresAt.Add(maxReadDelay) && !isRunning && len(entry.waiters) == 0 {
 			t.remove(entry)
 		}
 	}
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -35,7 +35,7 @@
 	rejectionLogInterval = time.Second
 )
 
-// request is the record of an accepted request. It is kept until the request is answered and no
+// request is the record of an accepted request. It is removed once the request is answered and no
 // attempt of it runs.
 type request struct {
 	*Request
@@ -44,7 +44,7 @@
 	answered       bool
 	running        *Attempt
 	callBody       []byte // of the call that the run waits for
-	callInFlight   bool
+	callInFlight   bool   // the back end has not replied to the call
 	keyEntry       *keyEntry
 	awaitsOriginal bool   // it duplicates a request whose run has not ended
 	awaitsStore    bool   // its run has ended, and its answer waits until that is durable
@@ -67,9 +67,9 @@
 	// unknownClassKeys are keys of other processes whose class is not in the settings.
 	unknownClassKeys []unknownClassKey
 
-	carryingOut   bool          // guards runActions against itself
-	drainingSince time.Duration // monotonic; 0: not draining
-	stopAt        time.Duration // monotonic; when the drain must have ended
+	runningActions bool          // guards runActions against recursion
+	drainingSince  time.Duration // monotonic; 0: not draining
+	stopAt         time.Duration // monotonic; when the drain must have ended
 
 	stats     []Stats         // by class
 	removedAt []time.Duration // by class: when it left the settings, monotonic
@@ -78,8 +78,8 @@
 	rejectionLoggedAt  time.Duration // monotonic
 }
 
-// New returns a manager with a decision module of its own. The caller must call Start. It fails if
-// the settings are invalid.
+// New returns a manager with an admission controller of its own. The caller must call Start. It
+// fails if the settings are invalid.
 func New(settings admission.Settings, seed uint64, env Environment) (*Manager, error) {
 	settings = usableSettings(settings)
 	controller, err := admission.New(settings, seed)
@@ -102,7 +102,7 @@
 	}, nil
 }
 
-// Start starts the decision module.
+// Start starts the admission controller.
 func (m *Manager) Start() {
 	m.admission.report(admission.Event{})
 	m.runActions()
@@ -135,7 +135,7 @@
 }
 
 // tick measures the machine, expires what has been remembered for long enough, and lets the
-// decision module run its periodic work.
+// admission controller run its periodic work.
 func (m *Manager) tick() {
 	m.env.Measure(func(gauges Gauges) {
 		m.keys.expire(m.env.Unix())
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -73,7 +73,7 @@
 			manager expect answer 1 late
 			manager send end 1 fine ok
 			manager expect nothing`},
-	// The decision module does not know of the shorter deadline: it would take the request for an
+	// The admission controller does not know of the shorter deadline: it would take the request for an
 	// old retry.
 	"a shorter deadline of the frontend is enforced": {1, `
 			manager send ask 1 check - 500
--- a/internal/lifecycle/remote_keys.go
+++ b/internal/lifecycle/remote_keys.go
@@ -34,11 +34,16 @@
 	if entry.owner != k.Owner { // the window of the earlier run is over
 		m.keys.setResult(entry, nil)
 	}
-	entry.remoteOwner, entry.owner = ownerIncarnation(k.Owner), k.Owner
-	entry.restored, entry.started, entry.ended = true, true, false
-	entry.bodyHash, entry.expiresAt = k.BodyHash, max(k.ExpiresAt, entry.expiresAt)
+	entry.remoteOwner = ownerIncarnation(k.Owner)
+	entry.owner = k.Owner
+	entry.restored = true
+	entry.started = true
+	entry.ended = false
+	entry.bodyHash = k.BodyHash
+	entry.expiresAt = max(k.ExpiresAt, entry.expiresAt)
 	if k.Ended {
-		m.endRemote(entry, k.Status, k.Result, false)
+		entry.inDoubt = false
+		m.endRemote(entry, k.Status, k.Result)
 	}
 }
 
@@ -82,8 +87,9 @@
 }
 
 // endRemote notes how a run in another process ended, and answers the requests that wait for it.
-func (m *Manager) endRemote(entry *keyEntry, status Status, result *Result, inDoubt bool) {
-	entry.ended, entry.status, entry.inDoubt = true, status, inDoubt
+func (m *Manager) endRemote(entry *keyEntry, status Status, result *Result) {
+	entry.ended = true
+	entry.status = status
 	if result != nil && m.keys.hasRoomFor(result) {
 		m.keys.setResult(entry, result)
 	} else if result != nil {
@@ -97,7 +103,8 @@
 func (m *Manager) OwnerDied(incarnation uint32) {
 	for _, entry := range m.keys.entries {
 		if entry.remoteOwner == incarnation && !entry.ended {
-			m.endRemote(entry, Failed, nil, true)
+			entry.inDoubt = true
+			m.endRemote(entry, Failed, nil)
 		}
 	}
 }
--- a/internal/lifecycle/reservation.go
+++ b/internal/lifecycle/reservation.go
@@ -10,9 +10,10 @@
 // Reservations decides among the processes of one runner which of them runs a key.
 type Reservations interface {
 	// Reserve reserves a key for a run that is about to begin. Once all that other processes have
-	// written is applied, it asks free whether the key is still available. It calls done once, now
-	// or later: mine reports whether the key is reserved; after an error nothing may run.
-	Reserve(k KeyRecord, within time.Duration, free func() bool, done func(mine bool, err error))
+	// written is applied, it calls isFree, which reports whether the key is still available. It
+	// calls done once, now or later: reserved reports whether the key is reserved; after an error
+	// nothing may run.
+	Reserve(k KeyRecord, within time.Duration, isFree func() bool, done func(reserved bool, err error))
 	// Ended says that the run of a key has ended.
 	Ended(k KeyRecord)
 	// Released says that the run of a reserved key never began.
@@ -28,29 +29,32 @@
 
 // reserve reserves the key of a request and then begins its run.
 func (m *Manager) reserve(r *request) {
-	attempt, entry := m.newAttempt(r, nil), r.keyEntry
-	attempt.pending, r.running = true, attempt
-	asked := m.env.Now()
+	entry := r.keyEntry
+	attempt := m.newAttempt(r, nil)
+	attempt.pending = true
+	r.running = attempt
+	requestedAt := m.env.Now()
 	m.env.Reservations.Reserve(
 		m.requestRecord(r),
 		reservationTimeout,
 		func() bool { return entry.remoteOwner == 0 },
-		func(mine bool, err error) {
+		func(reserved bool, err error) {
 			attempt.pending = false
-			r.trace.addKeyWait(m.env.Now() - asked)
-			m.startReserved(r, attempt, entry, mine, err)
+			r.trace.addKeyWait(m.env.Now() - requestedAt)
+			m.startReserved(r, attempt, entry, reserved, err)
 			m.runActions()
 		},
 	)
 }
 
 // startReserved goes on after the reservation of a key succeeded or failed.
-func (m *Manager) startReserved(r *request, a *Attempt, entry *keyEntry, mine bool, err error) {
+func (m *Manager) startReserved(r *request, a *Attempt, entry *keyEntry, reserved bool, err error) {
 	switch {
 	case entry.remoteOwner != 0:
-		a.over, r.running = true, nil
+		a.ended = true
+		r.running = nil
 		m.yieldToRemote(r)
-	case err != nil || !mine:
+	case err != nil || !reserved:
 		m.env.Log(evStartNotDurable, a.Class, r.ID, err)
 		cause, retryAfter := storeErrorCause(err)
 		m.cancelStart(r, a, cause, cmp.Or(retryAfter, reservationRetryAfter))
@@ -65,11 +69,12 @@
 
 // cancelStart rejects a request whose run was about to begin and did not.
 func (m *Manager) cancelStart(r *request, a *Attempt, cause Cause, retryAfter time.Duration) {
-	r.trace.setCause(cause, 0, 0)
+	r.trace.setCause(cause)
 	if m.env.Reservations != nil {
 		m.env.Reservations.Released(m.requestRecord(r))
 	}
-	r.running, a.over = nil, true
+	a.ended = true
+	r.running = nil
 	m.releaseEntry(r.keyEntry)
 	m.answer(r, Answer{Status: Rejected, RetryAfter: retryAfter})
 	m.complete(r, admission.OutcomeNeverStarted)
@@ -78,7 +83,7 @@
 }
 
 // yieldToRemote makes a request that was to run here wait for the run in another process. To the
-// decision module it has ended.
+// admission controller it has ended.
 func (m *Manager) yieldToRemote(r *request) {
 	m.complete(r, admission.OutcomeNeverStarted)
 	if !r.answered {
@@ -99,7 +104,7 @@
 	entry.addWaiter(r)
 	m.env.After(max(r.deadline-deadlineMargin-m.env.Now(), 0), func() {
 		if !r.answered {
-			r.trace.setCause(Cause(admission.CauseDeadlinePassed), 0, 0)
+			r.trace.setCause(Cause(admission.CauseDeadlinePassed))
 			m.answer(r, Answer{Status: Expired})
 			m.removeIfDone(r)
 		}
--- a/internal/lifecycle/reservation_test.go
+++ b/internal/lifecycle/reservation_test.go
@@ -151,7 +151,7 @@
 	}
 	id := rapid.SampledFrom(slices.Sorted(maps.Keys(m.runs))).Draw(rt, "id")
 	outcome := rapid.SampledFrom([]string{"fine", "fault", "not-run"}).Draw(rt, "outcome")
-	if outcome == "not-run" && !m.runs[id].over {
+	if outcome == "not-run" && !m.runs[id].ended {
 		delete(p.ran, p.keys[id])
 	}
 	p.send(m, "end", id, outcome, p.keys[id])
--- a/internal/lifecycle/restore.go
+++ b/internal/lifecycle/restore.go
@@ -23,7 +23,8 @@
 			status:    k.Status,
 		}
 		if !k.Ended {
-			entry.status, entry.inDoubt = Failed, true
+			entry.status = Failed
+			entry.inDoubt = true
 		}
 		m.keys.entries[name] = entry
 		m.keys.setResult(entry, k.Result)
@@ -32,7 +33,7 @@
 }
 
 // answerRestored answers a duplicate of a request that ran in an earlier process. Nothing runs, so
-// that the decision module is not told.
+// that the admission controller is not notified.
 func (m *Manager) answerRestored(q *Request, entry *keyEntry) {
 	answer := Answer{Status: entry.status}
 	switch {
@@ -48,9 +49,9 @@
 	if trace := m.newTrace(q); trace != nil {
 		trace.OriginalID = entry.originalID
 		if entry.inDoubt {
-			trace.setCause(CauseInDoubt, 0, 0)
+			trace.setCause(CauseInDoubt)
 		}
-		trace.setCause(CauseDuplicate, 0, 0)
+		trace.setCause(CauseDuplicate)
 		m.reportTrace(trace, answer.Status, 0)
 	}
 	q.Responder.Answer(answer)
--- a/internal/lifecycle/runner.go
+++ b/internal/lifecycle/runner.go
@@ -15,8 +15,8 @@
 	Succeeded      Outcome = iota + 1
 	Faulted                // the server failed it
 	Interrupted            // the connection broke; it may have had its effect
-	TimedOut               // likewise
-	Cancelled              // its request is over
+	TimedOut               // it has no answer by its deadline; it may have had its effect
+	Cancelled              // its request was answered or abandoned before
 	NotStarted             // the run was not begun
 	CallRejected           // the call was rejected
 	Unreachable            // no server took it
@@ -45,8 +45,8 @@
 	Value, Limit float64
 
 	id      uint64
-	runner  Runner // it was sent to; routes may change while it runs
-	over    bool
+	runner  Runner // that it was sent to; routes may change while it runs
+	ended   bool
 	pending bool // it waits for its reservation or for the key store
 }
 
@@ -104,7 +104,7 @@
 // Gauges are measurements of the machine; NaN stands for a value that is not available.
 type Gauges admission.Gauges
 
-// UnknownGauges returns gauges without a value: the decision module uses its own counts.
+// UnknownGauges returns gauges without a value: the admission controller uses its own counts.
 func UnknownGauges() Gauges {
 	return Gauges{CPU: math.NaN(), Runnable: math.NaN(), Memory: math.NaN(), Connections: math.NaN()}
 }
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return settings, err
 	}
-	if m.drainingSince != 0 { // the grace under which the drain began holds
+	if m.drainingSince != 0 { // the drain keeps the grace that it began with
 		settings.DrainGrace = m.settings.DrainGrace
 	}
 	if err := m.admission.controller.Configure(settings); err != nil {
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -81,15 +81,16 @@
 
 // accept adds a request to the table. From now on it is owed an answer.
 func (m *Manager) accept(r *request, queued time.Duration) {
-	m.requests[r.id], m.openIDs[r.ID] = r, struct{}{}
+	m.requests[r.id] = r
+	m.openIDs[r.ID] = struct{}{}
 	m.openCount++
 	m.stats[r.Class].Read++
 	if m.env.OnAccepted != nil {
 		m.env.OnAccepted(r.Request)
 	}
 	if r.Timeout > 0 {
-		// The decision module goes by the timeout of the class, from which it also estimates the
-		// age of a retry. A shorter one is enforced here.
+		// The admission controller goes by the timeout of the class, from which it also estimates
+		// the age of a retry. A shorter one is enforced here.
 		now := m.env.Now()
 		r.deadline = min(r.deadline, now-queued+r.Timeout)
 		r.stopTimer = m.env.After(r.deadline-now, func() { m.expire(r) })
@@ -99,7 +100,7 @@
 // rejectNewKey rejects a request whose key cannot be remembered, and reports whether it did.
 func (m *Manager) rejectNewKey(r *request) bool {
 	if m.keys.isFull() {
-		r.trace.setCause(CauseKeyTableFull, float64(len(m.keys.entries)), float64(m.keys.limits.Keys))
+		r.trace.setComparison(CauseKeyTableFull, float64(len(m.keys.entries)), float64(m.keys.limits.Keys))
 		m.reject(r, "the table of keys is full", keyTableFullRetryAfter)
 		return true
 	}
@@ -110,12 +111,12 @@
 	if retryAfter <= 0 {
 		return false
 	}
-	r.trace.setCause(m.storeCause(), 0, 0)
+	r.trace.setCause(m.storeCause())
 	m.reject(r, why, retryAfter)
 	return true
 }
 
-// reject rejects a request that the decision module does not know.
+// reject rejects a request that the admission controller does not know.
 func (m *Manager) reject(r *request, why string, retryAfter time.Duration) {
 	m.logRejection(m.settings.Classes[r.Class].Name, why)
 	m.answer(r, Answer{Status: Rejected, RetryAfter: retryAfter})
@@ -131,15 +132,16 @@
 		return
 	}
 	m.env.Log(evRejected, class, why, m.unloggedRejections)
-	m.unloggedRejections, m.rejectionLoggedAt = 0, now
+	m.unloggedRejections = 0
+	m.rejectionLoggedAt = now
 }
 
-// answerConflict answers a request that is not accepted. The decision module is not involved.
+// answerConflict answers a request that is not accepted. The admission controller is not involved.
 func (m *Manager) answerConflict(q *Request, reason Reason) Ticket {
 	m.stats[q.Class].Read++
 	m.stats[q.Class].countAnswer(Conflict)
 	trace := m.newTrace(q)
-	trace.setCause(reason.cause(), 0, 0)
+	trace.setCause(reason.cause())
 	m.reportTrace(trace, Conflict, 0)
 	q.Responder.Answer(Answer{Status: Conflict, Reason: reason})
 	return 0
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -57,9 +57,12 @@
 	}
 }
 
-// setCause sets why an answer is about to be given. The first cause stands, as the one nearest to
-// the reason.
-func (t *Trace) setCause(cause Cause, value, limit float64) {
+// setCause sets why an answer is about to be given, where nothing was compared.
+func (t *Trace) setCause(cause Cause) { t.setComparison(cause, 0, 0) }
+
+// setComparison is setCause with the value and the limit that were compared. The first cause that
+// is set is kept, as it is the nearest to the reason.
+func (t *Trace) setComparison(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause, t.Value, t.Limit = cause, value, limit
 	}
@@ -70,14 +73,17 @@
 	if t == nil || t.AnsweredAt != 0 {
 		return
 	}
-	t.Status, t.RetryAfter, t.AnsweredAt = status, retryAfter, m.env.Unix()
+	t.Status = status
+	t.RetryAfter = retryAfter
+	t.AnsweredAt = m.env.Unix()
 	m.env.OnAnswered(t)
 }
 
 // reportRequest is reportTrace for a request of which an attempt may still run.
 func (m *Manager) reportRequest(r *request, status Status, retryAfter time.Duration) {
 	if attempt := r.trace.lastAttempt(); attempt != nil && r.running != nil {
-		attempt.Server, attempt.Duration = r.running.Server, m.env.Unix().Sub(attempt.StartedAt)
+		attempt.Server = r.running.Server
+		attempt.Duration = m.env.Unix().Sub(attempt.StartedAt)
 		if status == Expired {
 			attempt.Outcome = TimedOut
 		}
@@ -101,7 +107,8 @@
 	if t.AttemptCount < maxTracedAttempts {
 		t.Attempts[t.AttemptCount] = AttemptTrace{StartedAt: now}
 	}
-	if t.AttemptCount++; t.StartedAt == 0 {
+	t.AttemptCount++
+	if t.StartedAt == 0 {
 		t.StartedAt = now
 	}
 }
@@ -109,7 +116,9 @@
 // attemptEnded notes the end of the last attempt.
 func (t *Trace) attemptEnded(a *Attempt, outcome Outcome, now wallclock.UnixMicro) {
 	if attempt := t.lastAttempt(); attempt != nil {
-		attempt.Server, attempt.Outcome, attempt.Duration = a.Server, outcome, now.Sub(attempt.StartedAt)
+		attempt.Server = a.Server
+		attempt.Outcome = outcome
+		attempt.Duration = now.Sub(attempt.StartedAt)
 	}
 }
 
