--- a/internal/idempotency/persistence/health.go
+++ b/internal/idempotency/persistence/health.go
@@ -25,9 +25,10 @@
 // recordSent notes a record that was passed to the store.
 func (h *health) recordSent(now time.Duration) { h.unconfirmed = append(h.unconfirmed, now) }
 
-// recordConfirmed notes that the oldest record is answered.
+// recordConfirmed notes that the store has reported the outcome of the oldest record.
 func (h *health) recordConfirmed() {
-	if h.unconfirmed = h.unconfirmed[1:]; len(h.unconfirmed) == 0 {
+	h.unconfirmed = h.unconfirmed[1:]
+	if len(h.unconfirmed) == 0 {
 		h.unconfirmed = nil // frees the memory of the queue
 	}
 }
--- a/internal/idempotency/persistence/key_store.go
+++ b/internal/idempotency/persistence/key_store.go
@@ -85,7 +85,7 @@
 	}, nil
 }
 
-// Restore reads the folder beside the loop and passes the keys to restore, on the loop and in
+// Restore reads the folder on a goroutine of its own and passes the keys to restore, on the loop and in
 // batches; restore returns how many of them are of unknown classes or tenants. No new keys are
 // accepted until that is done. If the folder cannot be read, failed is called on the loop.
 func (k *KeyStore) Restore(restore func([]lifecycle.KeyRecord) (unknown int), failed func(error)) {
@@ -108,7 +108,8 @@
 			k.loop.Deliver(func() { unknown += restore(batch) })
 		}
 		k.loop.Deliver(func() {
-			k.store, k.health.restoring = opened, false
+			k.store = opened
+			k.health.restoring = false
 			k.reportRecovery(recovery, unknown, time.Since(began))
 		})
 	}()
--- a/internal/idempotency/reservation/coordinator.go
+++ b/internal/idempotency/reservation/coordinator.go
@@ -3,8 +3,8 @@
 // kernel. Each appends its reservations to a log of its own, and holds a kernel lock on a file of
 // its own as long as it lives. A reservation is made under a lock that all share: the process reads
 // what the others have written, and then, unless one of them has the key, writes the reservation.
-// Records carry checksums: one that its writer was killed over is not read, and its run never
-// began.
+// Records carry checksums: one that is incomplete because its writer was killed is ignored, and its
+// run never began.
 package reservation
 
 import (
@@ -144,7 +144,7 @@
 
 // open opens the files of this process and reads those of the others, under the shared lock.
 func (c *Coordinator) open() (err error) {
-	if c.lock, err = os.OpenFile(c.basePath+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	if c.lock, err = os.OpenFile(c.basePath+".lock", os.O_RDWR|os.O_CREATE, filePermissions); err != nil {
 		return err
 	}
 	for began := time.Now(); !tryLock(c.lock); time.Sleep(lockRetryInterval) {
@@ -154,7 +154,7 @@
 	}
 	defer unlock(c.lock)
 	name := c.aliveName(c.config.Incarnation)
-	if c.aliveLock, err = os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
+	if c.aliveLock, err = os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_EXCL, filePermissions); err != nil {
 		return err
 	}
 	if !tryLock(c.aliveLock) {
@@ -163,7 +163,7 @@
 	if err = c.compact(nil); err != nil {
 		return err
 	}
-	// compact has just set the epoch, which tells nothing about the files of earlier processes
+	// compact has just set the epoch, which therefore does not show files of earlier processes
 	return c.scan()
 }
 
@@ -188,14 +188,14 @@
 }
 
 // Reserve reserves a key for a run that is about to begin. Under the shared lock, after it has read
-// what others have written, it asks free whether the key is still available. It calls done once,
-// now or later: mine reports whether the key is reserved. After an error that is not known, and
-// nothing may run. within bounds the wait for the lock.
+// what others have written, it calls isFree, which reports whether the key is still available. It
+// calls done once, now or later: reserved reports whether the key is reserved. After an error that
+// is not known, and nothing may run. within bounds the wait for the lock.
 func (c *Coordinator) Reserve(
 	k lifecycle.KeyRecord,
 	within time.Duration,
-	free func() bool,
-	done func(mine bool, err error),
+	isFree func() bool,
+	done func(reserved bool, err error),
 ) {
 	if c.lock == nil {
 		done(false, os.ErrClosed)
@@ -206,32 +206,32 @@
 			done(false, ErrLockHeld)
 			return
 		}
-		c.config.After(lockRetryInterval, func() { c.Reserve(k, within-lockRetryInterval, free, done) })
+		c.config.After(lockRetryInterval, func() { c.Reserve(k, within-lockRetryInterval, isFree, done) })
 		return
 	}
-	mine, err := c.reserveLocked(k, free)
+	reserved, err := c.reserveLocked(k, isFree)
 	unlock(c.lock)
 	if !c.incomplete {
 		c.logError(err)
 	}
-	done(mine && err == nil, err)
+	done(reserved && err == nil, err)
 }
 
 // reserveLocked is Reserve under the shared lock.
-func (c *Coordinator) reserveLocked(k lifecycle.KeyRecord, free func() bool) (mine bool, err error) {
+func (c *Coordinator) reserveLocked(k lifecycle.KeyRecord, isFree func() bool) (reserved bool, err error) {
 	if err := c.readOthers(); err != nil {
 		return false, err
 	}
 	for _, p := range c.processes {
-		if p.offset == 0 {
+		if p.offset == 0 { // even an empty log has a first record
 			return false, ErrPeerIncomplete
 		}
 	}
 	c.compactIfLarge()
-	if mine = free(); mine {
-		err = c.appendReservation(k)
+	if !isFree() {
+		return false, nil
 	}
-	return mine, err
+	return true, c.appendReservation(k)
 }
 
 // compactIfLarge compacts the log. It is called before a reservation is written, as the table does
@@ -261,7 +261,7 @@
 
 // Ended writes the end of a run, for duplicates that wait for it in other processes.
 func (c *Coordinator) Ended(k lifecycle.KeyRecord) {
-	if c.living() > 0 {
+	if c.livingCount() > 0 {
 		c.logError(c.append(c.record(k)))
 	}
 }
@@ -287,11 +287,11 @@
 	for _, p := range c.processes {
 		serving = serving || p.living && p.serving
 	}
-	return c.living(), serving
+	return c.livingCount(), serving
 }
 
-// living returns how many other processes live.
-func (c *Coordinator) living() (n int) {
+// livingCount returns how many other processes live.
+func (c *Coordinator) livingCount() (n int) {
 	for _, p := range c.processes {
 		if p.living {
 			n++
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -19,10 +19,10 @@
 	// minCompactBytes is the smallest size of a log that is compacted.
 	minCompactBytes = 256 << 10
 	// readChunkBytes is how much of a log is read at once.
-	readChunkBytes = 64 << 10
-	logSuffix      = ".log"
-	newLogSuffix   = ".new" // of a log that is being written
-	logPermissions = 0o600
+	readChunkBytes  = 64 << 10
+	logSuffix       = ".log"
+	newLogSuffix    = ".new" // of a log that is being written
+	filePermissions = 0o600
 )
 
 func (c *Coordinator) aliveName(incarnation uint32) string {
@@ -68,7 +68,7 @@
 // caller holds the shared lock.
 func (c *Coordinator) compact(eachOwned func(func(lifecycle.KeyRecord))) error {
 	name := c.logName(c.config.Incarnation, c.generation+1)
-	log, err := os.OpenFile(name+newLogSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, logPermissions)
+	log, err := os.OpenFile(name+newLogSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, filePermissions)
 	if err != nil {
 		return err
 	}
@@ -93,12 +93,13 @@
 	}
 	c.log, c.size = log, int64(len(content))
 	c.generation++
-	c.compactBytes, c.incomplete = max(minCompactBytes, 2*c.size), false
+	c.compactBytes = max(minCompactBytes, 2*c.size)
+	c.incomplete = false
 	return nil
 }
 
-// encodeLog returns the content of a new log. It has at least one record: an empty log is one that
-// is incomplete.
+// encodeLog returns the content of a new log. It has at least one record, of a kind that readers
+// skip: an empty log is one that is incomplete.
 func (c *Coordinator) encodeLog(eachOwned func(func(lifecycle.KeyRecord))) ([]byte, error) {
 	content, err := store.AppendFrame(nil, &store.Record{Kind: store.EndOfSnapshot})
 	if eachOwned == nil {
@@ -116,9 +117,9 @@
 	return content, err
 }
 
-// appendReservation appends a reservation. A process that is alone goes on if there is no room: it
-// truncates its log, which needs none, so that a process that comes knows that the log is
-// incomplete, and writes it anew once there is room. All reservations are in the table.
+// appendReservation appends a reservation. A process that is alone goes on if the disk is full: it
+// truncates its log, which needs no space, so that a process that starts sees that the log is
+// incomplete. It writes the log again once there is space, as all reservations are in the table.
 func (c *Coordinator) appendReservation(k lifecycle.KeyRecord) error {
 	var err error
 	if c.incomplete {
@@ -127,14 +128,15 @@
 	if err == nil {
 		err = c.append(c.record(k))
 	}
-	if err == nil || c.living() > 0 {
+	if err == nil || c.livingCount() > 0 {
 		return err
 	}
 	c.logError(err)
 	if err := c.log.Truncate(0); err != nil {
 		return err
 	}
-	c.size, c.incomplete = 0, true
+	c.size = 0
+	c.incomplete = true
 	return nil
 }
 
@@ -142,7 +144,7 @@
 // them.
 func (c *Coordinator) record(k lifecycle.KeyRecord) *store.Record {
 	kind := store.RunStarted
-	if k.Ended && c.living() > 0 {
+	if k.Ended && c.livingCount() > 0 {
 		kind = store.RunEnded
 	}
 	return persistence.ToRecord(kind, k, c.clock.Unix())
@@ -153,7 +155,8 @@
 	return persistence.ToRecord(store.KeyReleased, k, at)
 }
 
-// servingRecord says that the process accepts connections.
+// servingRecord says that the process accepts connections. A log of reservations has no use for the
+// SyncMark of a store's segment, and gives its kind this meaning.
 func servingRecord() *store.Record { return &store.Record{Kind: store.SyncMark} }
 
 // append appends a record to the log.
--- a/internal/idempotency/reservation/poll.go
+++ b/internal/idempotency/reservation/poll.go
@@ -19,7 +19,7 @@
 		c.logError(err)
 	}
 	interval := aloneInterval
-	if c.reportLiving(); c.living() > 0 {
+	if c.reportLiving(); c.livingCount() > 0 {
 		interval = sharedInterval
 	}
 	if now := c.clock.Now(); now > c.sweptAt+sweepInterval && tryLock(c.lock) {
@@ -33,13 +33,13 @@
 // reportLiving reports a change of the number of living processes. When it grows, all known results
 // are written for the new process.
 func (c *Coordinator) reportLiving() {
-	living := c.living()
+	living := c.livingCount()
 	if living == c.reportedLiving {
 		return
 	}
-	grown := living > max(c.reportedLiving, 0) && c.reportedLiving >= 0
+	hasGrown := c.reportedLiving >= 0 && living > c.reportedLiving
 	c.reportedLiving = living
-	if grown {
+	if hasGrown {
 		c.writeResults()
 	}
 	if c.config.OnProcessesChanged != nil {
--- a/internal/idempotency/store/files.go
+++ b/internal/idempotency/store/files.go
@@ -12,11 +12,17 @@
 	snapshotPrefix  = "snapshot-"
 	temporarySuffix = ".tmp" // of a snapshot that is being written
 	damagedSuffix   = ".bad" // of a damaged file that was kept
-	numberDigits    = 16
+	numberDigits    = 16     // of the number in a file name, with leading zeros
+	lockName        = "lock"
+	filePermissions = 0o600
 )
 
-func segmentName(number uint64) string  { return fmt.Sprintf("%s%016d", segmentPrefix, number) }
-func snapshotName(number uint64) string { return fmt.Sprintf("%s%016d", snapshotPrefix, number) }
+func segmentName(number uint64) string {
+	return fmt.Sprintf("%s%0*d", segmentPrefix, numberDigits, number)
+}
+func snapshotName(number uint64) string {
+	return fmt.Sprintf("%s%0*d", snapshotPrefix, numberDigits, number)
+}
 
 // numberOf returns the number in the name of a segment or snapshot; false for any other name.
 func numberOf(name, prefix string) (uint64, bool) {
--- a/internal/idempotency/store/frame.go
+++ b/internal/idempotency/store/frame.go
@@ -15,6 +15,8 @@
 const (
 	frameMagic       = 0x52594531 // "RYE1"
 	frameHeaderSize  = 12
+	lengthOffset     = 4
+	checksumOffset   = 8
 	maxRecordBytes   = 64 << 20
 	minCompressBytes = 256 // a shorter body is not compressed
 )
@@ -74,7 +76,7 @@
 	if len(b) < frameHeaderSize {
 		return nil, 0, errTruncated
 	}
-	n := int(binary.LittleEndian.Uint32(b[4:]))
+	n := int(binary.LittleEndian.Uint32(b[lengthOffset:]))
 	if binary.LittleEndian.Uint32(b) != frameMagic || n > maxRecordBytes {
 		return nil, 0, errCorrupt
 	}
@@ -82,7 +84,7 @@
 		return nil, 0, errTruncated
 	}
 	payload := b[frameHeaderSize : frameHeaderSize+n]
-	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
+	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[checksumOffset:]) {
 		return nil, 0, errCorrupt
 	}
 	r = &Record{}
--- a/internal/idempotency/store/fs.go
+++ b/internal/idempotency/store/fs.go
@@ -20,7 +20,8 @@
 	List() ([]string, error)
 	// SyncDir makes created, renamed and removed names durable.
 	SyncDir() error
-	// Lock keeps other processes out until unlock is called. It fails with ErrLocked if one is in.
+	// Lock locks the folder against other processes until unlock is called. It fails with ErrLocked if
+	// another process holds the lock.
 	Lock() (unlock func() error, err error)
 }
 
@@ -43,7 +44,7 @@
 	f, err := os.OpenFile(
 		filepath.Join(string(d), name),
 		os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND,
-		0o600,
+		filePermissions,
 	)
 	if err != nil {
 		return nil, err
@@ -68,13 +69,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []string
+	var names []string
 	for _, e := range entries {
 		if e.Type().IsRegular() {
-			out = append(out, e.Name())
+			names = append(names, e.Name())
 		}
 	}
-	return out, nil
+	return names, nil
 }
 
 // SyncDir implements FS.
@@ -89,7 +90,7 @@
 
 // Lock implements FS. The lock ends with the process.
 func (d Dir) Lock() (func() error, error) {
-	f, err := os.OpenFile(filepath.Join(string(d), "lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(string(d), lockName), os.O_RDWR|os.O_CREATE, filePermissions)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/idempotency/store/header.go
+++ b/internal/idempotency/store/header.go
@@ -4,7 +4,9 @@
 
 // A file begins with a header: a magic text, the format and the number of the file.
 const (
-	headerSize = 20
+	headerSize   = 20
+	formatOffset = 8
+	numberOffset = 12
 	// Format is the format of the files that are written. Newer ones are rejected; fields that
 	// older ones lack are zero.
 	Format = 1
@@ -27,10 +29,10 @@
 	if [8]byte(b) != fileMagic {
 		return errCorrupt
 	}
-	if f := binary.LittleEndian.Uint32(b[8:]); f > Format {
-		return &FormatError{name, int(f)}
+	if format := binary.LittleEndian.Uint32(b[formatOffset:]); format > Format {
+		return &FormatError{name, int(format)}
 	}
-	if binary.LittleEndian.Uint64(b[12:]) != number {
+	if binary.LittleEndian.Uint64(b[numberOffset:]) != number {
 		return errCorrupt
 	}
 	return nil
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -81,13 +81,16 @@
 	if err != nil {
 		return errors.Join(faultDisk.New("store: %w", err), file.Close(), j.fs.Remove(name))
 	}
-	j.segment, j.file, j.size = number, file, int64(len(header))
-	j.syncedBytes, j.markedBytes = j.size, 0
+	j.segment = number
+	j.file = file
+	j.size = int64(len(header))
+	j.syncedBytes = j.size
+	j.markedBytes = 0
 	return nil
 }
 
-// createFile creates a file, in place of one that a start which got no further left behind: nothing
-// in it was ever confirmed.
+// createFile creates a file. It replaces one that an interrupted start left behind, of which nothing
+// was ever confirmed.
 func (j *Journal) createFile(name string) (File, error) {
 	file, err := j.fs.Create(name)
 	if err == nil || !errors.Is(err, errExists) {
@@ -114,7 +117,7 @@
 func (j *Journal) Commit(records []*Record) error {
 	err := j.write(records)
 	for _, r := range records {
-		if err == nil || r.Kind != RunStarted { // a run whose start is not kept is not begun
+		if err == nil || r.Kind != RunStarted { // a run whose start is not durable does not begin
 			j.state.Apply(r)
 		}
 	}
@@ -142,7 +145,8 @@
 		}
 	}
 	n, err := j.file.Write(j.buf)
-	if j.size += int64(n); err != nil {
+	j.size += int64(n)
+	if err != nil {
 		return faultDisk.New("store: %w", err)
 	}
 	if j.options.Sync == SyncNone {
@@ -151,7 +155,8 @@
 	if err := j.file.Sync(); err != nil {
 		return faultDisk.New("store: %w", err)
 	}
-	j.markedBytes, j.syncedBytes = j.syncedBytes, j.size
+	j.markedBytes = j.syncedBytes
+	j.syncedBytes = j.size
 	return nil
 }
 
--- a/internal/idempotency/store/recovery.go
+++ b/internal/idempotency/store/recovery.go
@@ -52,7 +52,7 @@
 	}
 	f.recovery.NewestAt = f.state.newestAt
 	all := f.state.Len()
-	f.state.Expire(now.Add(-options.Retention), true)
+	f.state.ExpireAll(now.Add(-options.Retention))
 	f.recovery.Expired = all - f.state.Len()
 	f.recovery.Keys = f.state.Keys()
 	return f, nil
--- a/internal/idempotency/store/scan.go
+++ b/internal/idempotency/store/scan.go
@@ -66,7 +66,8 @@
 		if record.Kind == SyncMark {
 			synced = max(synced, record.SyncedBytes)
 		}
-		if at += int64(n); at >= int64(len(content)) {
+		at += int64(n)
+		if at >= int64(len(content)) {
 			break
 		}
 		if !bytes.HasPrefix(content[at:], magicBytes) {
--- a/internal/idempotency/store/snapshot.go
+++ b/internal/idempotency/store/snapshot.go
@@ -10,6 +10,10 @@
 // snapshotChunkBytes is how much of a snapshot is encoded before it is written.
 const snapshotChunkBytes = 256 << 10
 
+// snapshotGrowthFactor is how many times the size of the live keys the journal may have, beside
+// Options.SlackBytes, before a snapshot is due.
+const snapshotGrowthFactor = 2
+
 // Snapshot holds all keys as of the end of a segment.
 type Snapshot struct {
 	fs         FS
@@ -22,7 +26,8 @@
 // SnapshotIfDue begins a snapshot if the journal has grown over its limit, and returns nil if not.
 // The caller writes it, on any goroutine, and then calls FinishSnapshot.
 func (j *Journal) SnapshotIfDue(now wallclock.UnixMicro) (*Snapshot, error) {
-	if j.file == nil || j.Size() <= 2*j.state.LiveBytes()+j.options.SlackBytes {
+	maxSize := snapshotGrowthFactor*j.state.LiveBytes() + j.options.SlackBytes
+	if j.file == nil || j.Size() <= maxSize {
 		return nil, nil
 	}
 	return j.BeginSnapshot(now)
@@ -43,7 +48,7 @@
 
 // newSnapshot collects the keys. Keys do not change once they are in the state.
 func (j *Journal) newSnapshot(now wallclock.UnixMicro) *Snapshot {
-	j.state.Expire(now.Add(-j.options.Retention), false)
+	j.state.ExpireEnded(now.Add(-j.options.Retention))
 	return &Snapshot{
 		fs:         j.fs,
 		segment:    j.segment,
--- a/internal/idempotency/store/stall_faults.go
+++ b/internal/idempotency/store/stall_faults.go
@@ -7,6 +7,9 @@
 	"time"
 )
 
+// stallPollInterval is how often a simulated hang checks whether it is over.
+const stallPollInterval = 2 * time.Millisecond
+
 // stall simulates a disk that hangs: it blocks as long as a file named like the folder with the
 // suffix .hangs exists beside it.
 func (d Dir) stall() {
@@ -14,7 +17,7 @@
 		if _, err := os.Stat(string(d) + ".hangs"); err != nil {
 			return
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(stallPollInterval)
 	}
 }
 
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -103,11 +103,20 @@
 	s.liveBytes -= k.size
 }
 
-// Expire removes the keys that expired before a time and that ended; with startedToo also those
-// whose run has not ended, as of a process that is gone.
-func (s *State) Expire(before wallclock.UnixMicro, startedToo bool) {
+// ExpireEnded removes the keys that expired before a time and whose run has ended.
+func (s *State) ExpireEnded(before wallclock.UnixMicro) {
 	for _, k := range s.keys {
-		if k.ExpiresAt < before && (k.Ended || startedToo) {
+		if k.Ended && k.ExpiresAt < before {
+			s.remove(k)
+		}
+	}
+}
+
+// ExpireAll removes the keys that expired before a time. Runs that have not ended are those of a
+// process that has exited.
+func (s *State) ExpireAll(before wallclock.UnixMicro) {
+	for _, k := range s.keys {
+		if k.ExpiresAt < before {
 			s.remove(k)
 		}
 	}
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -106,16 +106,18 @@
 
 func (s *Store) reportDisk(down bool, err error) { s.deliver(func() { s.onDiskState(down, err) }) }
 
-// Put queues a record and returns at once. done is called on the loop once the record is kept as
-// the sync mode says, or with an error: ErrBusy if the queue is full or the store is closing.
+// Put queues a record and returns at once. done is called on the loop once the record is stored as
+// the sync mode requires, or with an error: ErrBusy if the queue is full or the store is closing.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
-	full := len(s.queue) >= s.settings.MaxQueue && r.Kind == RunStarted || s.closing
-	if !full {
+	// Ends and releases are accepted beyond the limit: their runs were accepted before.
+	isFull := r.Kind == RunStarted && len(s.queue) >= s.settings.MaxQueue
+	isRejected := isFull || s.closing
+	if !isRejected {
 		s.queue = append(s.queue, pendingRecord{r, done})
 	}
 	s.mu.Unlock()
-	if full {
+	if isRejected {
 		s.deliver(func() { done(ErrBusy) })
 		return
 	}
@@ -126,7 +128,7 @@
 func (s *Store) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // it is about to
+	default: // a wake-up is pending
 	}
 }
 
@@ -227,7 +229,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(s.queue), limit)
-	batch, s.queue = s.queue[:n:n], s.queue[n:]
+	batch = s.queue[:n:n]
+	s.queue = s.queue[n:]
 	if len(s.queue) == 0 {
 		s.queue = nil // frees the memory of the queue
 	}
