--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -8,7 +8,7 @@
 // effect happens twice, a drain leaves nothing unanswered, and the server stays within its memory,
 // its cores and its quota of calls.
 //
-// The host is internal/lifecycle in the runner, and a model of a server in the simulator. It owns
+// The host is internal/lifecycle, in the runner and in the simulator, or cmd/simadapter. It owns
 // time, threads and I/O. It calls [Controller.Handle] from one goroutine at a time, with a clock
 // that never goes back, reports every event in the order in which it happened, and carries out the
 // actions in the order written. The package owns no goroutine, no clock and no global state, and
--- a/internal/balancer/bulkhead/config.go
+++ b/internal/balancer/bulkhead/config.go
@@ -11,6 +11,12 @@
 // never get a slot if it takes longer than the reclaim time.
 const minUnreserved = 0.1
 
+// NoTenant is the number of the tenant of requests without one.
+const NoTenant = -1
+
+// unknownCaller is outside of all ranges of callers.
+const unknownCaller = -1
+
 // Pool holds the parameters of one pool. Shares are of all slots, 0 to 1.
 type Pool struct {
 	Name    string
@@ -69,7 +75,7 @@
 
 func (e *ConfigError) Error() string { return e.Problem }
 
-// NoPoolError reports a class of a tenant (-1: of requests without one) that no pool takes.
+// NoPoolError reports a class of a tenant (or NoTenant) that no pool takes.
 type NoPoolError struct{ Class, Tenant int }
 
 func (e *NoPoolError) Error() string {
@@ -118,8 +124,8 @@
 // validateAssignment checks that a pool takes each class of each tenant, for any caller.
 func (c *Config) validateAssignment() error {
 	for class := range c.Classes {
-		for tenant := -1; tenant < len(c.Tenants); tenant++ {
-			takes := func(p Pool) bool { return p.takes(class, tenant, -1) }
+		for tenant := NoTenant; tenant < len(c.Tenants); tenant++ {
+			takes := func(p Pool) bool { return p.takes(class, tenant, unknownCaller) }
 			if !slices.ContainsFunc(c.Pools, takes) {
 				return &NoPoolError{class, tenant}
 			}
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -16,8 +16,8 @@
 )
 
 // floorSlots returns the floor of a pool in slots. With no more slots than pools that have a floor
-// a small share is none: otherwise what is owed to pools that want nothing, and to a reserve above
-// all, would starve the other pools.
+// a small share is none: otherwise the floors of idle pools, and above all those of reserves, would
+// starve the other pools.
 func (s *Scheduler) floorSlots(p *pool) int {
 	n := int(p.Floor * s.limit.current())
 	if n == 0 && p.Floor > 0 && s.Limit() > s.poolsWithFloor {
@@ -114,7 +114,8 @@
 	return best
 }
 
-// advanceIdlePools takes from pools that want nothing the claim to slots of that time.
+// advanceIdlePools brings the pass of pools without waiting requests up to the least pass of the
+// others: a pool must not save up slot time while it is idle.
 func (s *Scheduler) advanceIdlePools() {
 	least := math.Inf(1)
 	for _, p := range s.pools {
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -69,7 +69,8 @@
 
 func (l *adaptiveLimit) configure(cfg *Config) {
 	for len(l.best) < len(cfg.Classes) {
-		l.best, l.recent = append(l.best, latency.Best{}), append(l.recent, sampleMean{})
+		l.best = append(l.best, latency.Best{})
+		l.recent = append(l.recent, sampleMean{})
 	}
 	if cfg.LimitAlgorithm == FixedLimit {
 		l.limit = cfg.InitialLimit
@@ -108,7 +109,10 @@
 	}
 	l.update(cfg, l.summarize(now))
 	clear(l.recent)
-	l.windowStart, l.succeeded, l.failed, l.peak = now, 0, 0, 0
+	l.windowStart = now
+	l.succeeded = 0
+	l.failed = 0
+	l.peak = 0
 }
 
 func (l *adaptiveLimit) summarize(now time.Duration) *limitWindow {
@@ -159,13 +163,13 @@
 		l.resetBest()
 		return
 	}
-	if l.capacity > 0 { // or it would grow where only the servers' own limits hold it
+	if l.capacity > 0 { // otherwise it would grow while only the servers' own limits apply
 		target = min(target, max(l.capacity, l.limit*capacityBackoff))
 	}
 	l.limit = min(max(target, cfg.MinLimit), cfg.MaxLimit)
 }
 
-// target returns the limit that a window speaks for.
+// target returns the limit that follows from a window.
 func (l *adaptiveLimit) target(cfg *Config, w *limitWindow) float64 {
 	target := l.limit
 	if w.ratio > 0 {
@@ -181,7 +185,7 @@
 	return target
 }
 
-// declineWasInVain follows a falling limit, and reports whether its fall has not lowered the
+// declineWasInVain keeps track of a falling limit, and reports whether its fall has not lowered the
 // latency.
 func (l *adaptiveLimit) declineWasInVain(target float64, w *limitWindow) bool {
 	isChecked := l.limit <= l.declineFrom*declineCheck
@@ -214,7 +218,9 @@
 			l.best[i].Micros = mean
 		}
 	}
-	l.windows, l.declineFrom, l.demand = 0, 0, [demandWindows]float64{}
+	l.windows = 0
+	l.declineFrom = 0
+	l.demand = [demandWindows]float64{}
 }
 
 // sampleMean holds the sums of samples for their mean and its uncertainty.
--- a/internal/balancer/bulkhead/queue.go
+++ b/internal/balancer/bulkhead/queue.go
@@ -80,11 +80,15 @@
 		i++
 	}
 	q.order = slices.Delete(q.order, i, i+1)
-	if q.byTenant[r.Tenant]--; q.byTenant[r.Tenant] == 0 {
-		delete(q.byTenant, r.Tenant)
-	}
-	if q.byCaller[r.Caller]--; q.byCaller[r.Caller] == 0 {
-		delete(q.byCaller, r.Caller)
+	decrement(q.byTenant, r.Tenant)
+	decrement(q.byCaller, r.Caller)
+}
+
+// decrement lowers a count, and drops it when it is 0.
+func decrement[K comparable](counts map[K]int, key K) {
+	counts[key]--
+	if counts[key] == 0 {
+		delete(counts, key)
 	}
 }
 
--- a/internal/balancer/bulkhead/request.go
+++ b/internal/balancer/bulkhead/request.go
@@ -9,7 +9,7 @@
 // request until it is granted and done, or dropped.
 type Request struct {
 	Class    int
-	Tenant   int // -1: none
+	Tenant   int // or NoTenant
 	Caller   uint32
 	Deadline time.Duration // monotonic; its result is worth nothing after that
 	// Objective is the monotonic time after which its result is worth less; 0: not known.
--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -141,7 +141,10 @@
 func (s *Scheduler) Enqueue(r *Request, now time.Duration) {
 	s.now = now
 	p := s.poolOf(r.Class, r.Tenant, int64(r.Caller))
-	r.pool, r.state, r.missesObjective, r.previous, r.next = p, stateWaiting, false, nil, nil
+	r.pool = p
+	r.state = stateWaiting
+	r.missesObjective = false
+	r.previous, r.next = nil, nil
 	r.overuse = p.queue.overuseOf(r, s.tenantShare(r.Tenant), s.cfg.MaxQueueLength, s.ceilingSlots(p))
 	p.queue.add(r)
 	if p.queue.length() > s.cfg.MaxQueueLength {
--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -27,7 +27,7 @@
 	Max        int           // requests; the limit never rises above it
 	MinWindow  time.Duration // a window lasts at least this long
 	MinSamples int           // requests; a window has at least this number
-	// factor by which a latency may exceed the best one without effect
+	// LatencyTolerance is the factor by which a latency may exceed the best one without effect.
 	LatencyTolerance float64
 	BackoffRatio     float64 // the limit is multiplied by it after a window with overload
 	Smoothing        float64 // part of the way to the new limit that one window goes; 0 to 1
@@ -53,7 +53,7 @@
 	// measureWindows is for how many windows the limit is halved to measure the best latency. The
 	// first one still sees the queue from before.
 	measureWindows = 2
-	// measureGiveUp is after how many probe intervals a measurement that got no answer ends.
+	// measureGiveUp is after how many probe intervals a measurement without a success ends.
 	measureGiveUp = 2
 	// minGradient bounds by how much one window may lower the limit.
 	minGradient = 0.5
@@ -92,24 +92,39 @@
 // Sent reports a request that was sent, and how many are in flight with it.
 func (l *Limit) Sent(inFlight int) { l.peak = max(l.peak, inFlight) }
 
-// Done reports the end of a request at the monotonic time now. A request that ended by overload (a
-// timeout or a broken connection) counts against the limit; its latency is not used.
-func (l *Limit) Done(cfg *Config, took time.Duration, overload bool, now time.Duration) {
+// Succeeded reports at the monotonic time now a request that succeeded, and its latency.
+func (l *Limit) Succeeded(cfg *Config, took, now time.Duration) {
+	l.latencySum += latency.Micros(latency.AtLeastOne(took))
+	l.succeeded++
+	l.requestEnded(cfg, now)
+}
+
+// Overloaded reports at the monotonic time now a request that ended by overload: a timeout or a
+// broken connection. It counts against the limit.
+func (l *Limit) Overloaded(cfg *Config, now time.Duration) {
+	l.overloaded++
+	l.requestEnded(cfg, now)
+}
+
+// requestEnded ends the window if it is long enough and has enough samples.
+func (l *Limit) requestEnded(cfg *Config, now time.Duration) {
 	if l.windowStart == 0 {
 		l.windowStart = now
 	}
-	if overload {
-		l.overloaded++
-	} else {
-		l.latencySum += latency.Micros(latency.AtLeastOne(took))
-		l.succeeded++
-	}
 	if now-l.windowStart >= cfg.MinWindow && l.succeeded+l.overloaded >= cfg.MinSamples {
 		l.endWindow(cfg)
-		l.windowStart, l.latencySum, l.succeeded, l.overloaded, l.peak = now, 0, 0, 0, 0
+		l.startWindow(now)
 	}
 }
 
+func (l *Limit) startWindow(now time.Duration) {
+	l.windowStart = now
+	l.latencySum = 0
+	l.succeeded = 0
+	l.overloaded = 0
+	l.peak = 0
+}
+
 // endWindow moves the limit by what the window showed.
 func (l *Limit) endWindow(cfg *Config) {
 	mean := 0.0
@@ -134,19 +149,26 @@
 // succeeds for too long.
 func (l *Limit) measure(cfg *Config, mean float64) {
 	if mean > 0 && l.windows >= cfg.ProbeInterval+measureWindows {
-		l.best.Micros, l.measuring, l.windows = mean, false, 0
+		l.best.Micros = mean
+		l.stopMeasuring()
 	} else if l.windows >= measureGiveUp*cfg.ProbeInterval {
-		l.measuring, l.windows = false, 0
+		l.stopMeasuring()
 	}
 }
 
-// target returns the limit that a window with a mean latency (microseconds; 0: none) speaks for.
+func (l *Limit) stopMeasuring() {
+	l.measuring = false
+	l.windows = 0
+}
+
+// target returns the limit that follows from a window with a mean latency (microseconds; 0: none).
 func (l *Limit) target(cfg *Config, mean float64) float64 {
 	target := l.limit
 	if mean > 0 {
 		l.best.Learn(mean, l.isHalfUsed()) // a limit that is not half used leaves no queue
 		gradient := min(max(cfg.LatencyTolerance*l.best.Micros/mean, minGradient), 1)
-		if target = l.limit * gradient; gradient == 1 {
+		target = l.limit * gradient
+		if gradient == 1 {
 			target += math.Sqrt(l.limit)
 		}
 	}
--- a/internal/balancer/concurrencylimit/limit_test.go
+++ b/internal/balancer/concurrencylimit/limit_test.go
@@ -24,10 +24,10 @@
 		l.Sent(inFlight)
 		took := s.work.Seconds() * max(1, float64(inFlight)/float64(s.workers))
 		for range cfg.MinSamples {
-			l.Done(cfg, seconds(took*(0.7+0.6*s.rand.Float64())), false, *now)
+			l.Succeeded(cfg, seconds(took*(0.7+0.6*s.rand.Float64())), *now)
 		}
 		*now += cfg.MinWindow
-		l.Done(cfg, seconds(took), false, *now)
+		l.Succeeded(cfg, seconds(took), *now)
 		limits = append(limits, l.Current())
 	}
 	return limits
@@ -75,7 +75,7 @@
 	r := rand.New(rand.NewPCG(3, 4))
 	for now := time.Microsecond; now < 100*cfg.MinWindow; now += cfg.MinWindow / 20 {
 		l.Sent(8)
-		l.Done(&cfg, seconds(r.ExpFloat64()*0.01), false, now)
+		l.Succeeded(&cfg, seconds(r.ExpFloat64()*0.01), now)
 	}
 	if l.Current() < 8 {
 		t.Errorf("the limit is %d", l.Current())
@@ -93,12 +93,12 @@
 			if !idle {
 				l.Sent(rapid.IntRange(0, 60).Draw(rt, "in flight"))
 			}
-			l.Done(
-				&cfg,
-				drawDuration(rt, -5*time.Microsecond, time.Second, "took"),
-				rapid.Bool().Draw(rt, "overload"),
-				now,
-			)
+			took := drawDuration(rt, -5*time.Microsecond, time.Second, "took")
+			if rapid.Bool().Draw(rt, "overload") {
+				l.Overloaded(&cfg, now)
+			} else {
+				l.Succeeded(&cfg, took, now)
+			}
 			if l.Current() < cfg.Min || l.Current() > cfg.Max || idle && l.Current() > before {
 				rt.Fatalf("%d after %d", l.Current(), before)
 			}
@@ -111,7 +111,7 @@
 	l := New(&cfg)
 	for now := time.Microsecond; now < 40*cfg.MinWindow; now += cfg.MinWindow / 20 {
 		l.Sent(l.Current())
-		l.Done(&cfg, time.Millisecond, true, now)
+		l.Overloaded(&cfg, now)
 	}
 	if l.Current() != cfg.Min {
 		t.Errorf("after overload alone the limit is %d", l.Current())
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -20,6 +20,7 @@
 	// of an endpoint that stays down costs one request, an endpoint that recovers and fails again
 	// costs many.
 	probesPerBackoff = 4
+	microsPerMs      = 1000
 	// maxBackoffDoublings bounds the exponent of the ejection time.
 	maxBackoffDoublings = 20
 )
@@ -59,7 +60,8 @@
 // record takes an outcome into the measurements of the endpoint.
 func (e *Endpoint) record(outcome Outcome, took, now time.Duration) {
 	if outcome != Inconclusive {
-		if e.Requests++; now-e.LastOutcomeAt > MeasurementLifetime {
+		e.Requests++
+		if now-e.LastOutcomeAt > MeasurementLifetime {
 			e.MeanLatency, e.SuccessRate = 0, 1
 		}
 		e.LastOutcomeAt = now
@@ -72,11 +74,11 @@
 		}
 		e.MeanLatency = latency.Smooth(e.MeanLatency, micros, smoothing)
 		e.SuccessRate = latency.Smooth(e.SuccessRate, 1, smoothing)
-		e.window.add(now, false)
+		e.window.addSuccess(now)
 	case ErrorResponse, Aborted, TimedOut, Unreachable:
 		e.Failures++
 		e.SuccessRate = latency.Smooth(e.SuccessRate, 0, smoothing)
-		e.window.add(now, true)
+		e.window.addFailure(now)
 	}
 }
 
@@ -110,7 +112,9 @@
 	doublings := min(e.repeatedEjections+e.failedProbes/probesPerBackoff, maxBackoffDoublings)
 	ejectionTime := min(m.cfg.BaseEjectionTime<<doublings, m.cfg.MaxEjectionTime)
 	e.ejectedUntil = now + ejectionTime
-	e.consecutiveFailures, e.probeSent, e.recovered = 0, false, false
+	e.consecutiveFailures = 0
+	e.probeSent = false
+	e.recovered = false
 	m.setState(e, Ejected, now, fmt.Sprintf("%s, for %d ms", cause, ejectionTime.Milliseconds()))
 }
 
@@ -151,7 +155,9 @@
 
 // recover lets an endpoint that was ejected warm up.
 func (m *Monitor) recover(e *Endpoint, now time.Duration, cause string) {
-	e.consecutiveFailures, e.failedProbes, e.recovered = 0, 0, true
+	e.consecutiveFailures = 0
+	e.failedProbes = 0
+	e.recovered = true
 	m.setState(e, WarmingUp, now, cause)
 }
 
@@ -208,6 +214,7 @@
 	e.slowIntervals++
 	if e.slowIntervals >= m.cfg.SlowIntervals && m.mayEject() {
 		e.MeanLatency = 0 // to be measured again once it has recovered
-		m.eject(e, now, fmt.Sprintf("%.0f ms are too slow beside %.0f of its peers", mean/1000, median/1000))
+		m.eject(e, now, fmt.Sprintf("%.0f ms are too slow beside %.0f of its peers",
+			mean/microsPerMs, median/microsPerMs))
 	}
 }
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -25,6 +25,9 @@
 // TickInterval is how often Tick is to be called.
 const TickInterval = time.Second
 
+// CauseFirstList is the cause of the state changes by the first endpoint list.
+const CauseFirstList = "it is in the first list"
+
 // minWarmUpShare bounds the share of an endpoint that warms up from below.
 const minWarmUpShare = 0.01
 
@@ -114,7 +117,7 @@
 		}
 		m.byID[spec.ID] = e
 		if isFirst {
-			m.setState(e, InService, now, "it is in the first list")
+			m.setState(e, InService, now, CauseFirstList)
 		} else {
 			m.setState(e, m.initialState(), now, "it is new in the list")
 		}
--- a/internal/balancer/endpointhealth/window.go
+++ b/internal/balancer/endpointhealth/window.go
@@ -28,14 +28,9 @@
 	return w.newest % outlierBuckets
 }
 
-func (w *outcomeWindow) add(now time.Duration, failed bool) {
-	bucket := w.advance(now)
-	if failed {
-		w.failures[bucket]++
-	} else {
-		w.successes[bucket]++
-	}
-}
+func (w *outcomeWindow) addSuccess(now time.Duration) { w.successes[w.advance(now)]++ }
+
+func (w *outcomeWindow) addFailure(now time.Duration) { w.failures[w.advance(now)]++ }
 
 // outcomeCounts is the sum over a window.
 type outcomeCounts struct{ successes, failures int }
--- a/internal/balancer/picker/endpoints.go
+++ b/internal/balancer/picker/endpoints.go
@@ -27,7 +27,8 @@
 	for _, e := range p.health.DrainingEndpoints() {
 		e.Attachment.(*Server).zone = nil // its requests count for no zone any more
 	}
-	if p.ring = (&ring{}); p.cfg.KeyAffinity && len(p.servers) > 0 {
+	p.ring = &ring{}
+	if p.cfg.KeyAffinity && len(p.servers) > 0 {
 		p.ring = newRing(p.servers)
 	}
 }
--- a/internal/balancer/picker/picker.go
+++ b/internal/balancer/picker/picker.go
@@ -33,10 +33,10 @@
 	// slowly, and a zone would queue up to them while the next one idles.
 	betterZoneFactor = 1.5
 	// randomStream is the second word of the seed of a picker's random numbers.
-	randomStream = 0x9e3779b97f4a7c15
+	randomStream = goldenGamma
 )
 
-// Attempts tells of the attempts that a request has had.
+// Attempts knows the servers to which a request was sent before.
 type Attempts interface {
 	// Tried reports whether a server of that name has had an attempt.
 	Tried(server string) bool
@@ -65,9 +65,8 @@
 	ring        *ring
 	onChange    func(*Server, endpointhealth.StateChange)
 	classes     []classLatency
-	// Moving means of all successes, in microseconds; 0: not measured. typicalLatency is of requests
-	// as if all were of a typical class, whose latency is that of the first request,
-	// referenceLatency.
+	// Moving means of all successes, in microseconds; 0: not measured. For typicalLatency latencies
+	// are normalized to a class whose latency is referenceLatency, that of the first request.
 	meanLatency      float64
 	typicalLatency   float64
 	referenceLatency float64
@@ -102,8 +101,8 @@
 		s = &Server{Endpoint: e, limit: concurrencylimit.New(&p.cfg.ConcurrencyLimit), picker: p}
 		e.Attachment = s
 	}
-	startsCold := change.To == endpointhealth.WarmingUp && change.From != endpointhealth.Probing
-	if change.To == endpointhealth.Ejected || startsCold {
+	startsSlow := change.To == endpointhealth.WarmingUp && change.From != endpointhealth.Probing
+	if change.To == endpointhealth.Ejected || startsSlow {
 		s.pacer.Reset(p.random.Float64(), p.random.Float64(), change.At)
 	}
 	if s.zone != nil {
@@ -190,7 +189,7 @@
 	if s == nil {
 		return nil, NoEndpoint
 	}
-	if s.ActiveRequests*2 >= s.limit.Current() {
+	if s.isHalfFull() {
 		if better := p.pickBetter(s, p.zones[place+1:], q); better != nil {
 			return better, Overflow
 		}
@@ -205,7 +204,8 @@
 // there is none.
 func (p *Picker) pickBetter(than *Server, zones []*zone, q *Query) *Server {
 	for _, z := range zones {
-		if z.refresh(p.health, q.Now); z.isFull() {
+		z.refresh(p.health, q.Now)
+		if z.isFull() {
 			continue
 		}
 		s := z.pickLeastCost(p.random, q, canPickBelowLimit)
@@ -268,9 +268,9 @@
 	switch outcome {
 	case endpointhealth.Success:
 		took = p.learnLatency(class, took)
-		s.limit.Done(&p.cfg.ConcurrencyLimit, took, false, now)
+		s.limit.Succeeded(&p.cfg.ConcurrencyLimit, took, now)
 	case endpointhealth.Aborted, endpointhealth.TimedOut:
-		s.limit.Done(&p.cfg.ConcurrencyLimit, took, true, now)
+		s.limit.Overloaded(&p.cfg.ConcurrencyLimit, now)
 	}
 	if s.zone != nil && s.trafficShare(now) > 0 {
 		s.zone.capacity += s.limit.Current() - before
--- a/internal/balancer/picker/ring.go
+++ b/internal/balancer/picker/ring.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"math/bits"
 	"slices"
 
@@ -20,6 +21,8 @@
 	maxRingSteps = 16
 	// goldenGamma is the increment of SplitMix64.
 	goldenGamma = 0x9e3779b97f4a7c15
+	// mantissaBits is how many of the bits of a hash a float64 holds exactly.
+	mantissaBits = 53
 )
 
 // ring maps keys to servers by multi-probe consistent hashing (Appleton and O'Reilly, 2015): few
@@ -55,7 +58,8 @@
 	})
 	r := &ring{}
 	for _, p := range points {
-		r.positions, r.servers = append(r.positions, p.position), append(r.servers, p.server)
+		r.positions = append(r.positions, p.position)
+		r.servers = append(r.servers, p.server)
 	}
 	return r
 }
@@ -88,7 +92,7 @@
 
 // find returns the point that has a key.
 func (r *ring) find(key uint64) int {
-	nearest, least := 0, ^uint64(0)
+	nearest, least := 0, uint64(math.MaxUint64)
 	for i := range uint64(keyProbes) {
 		position := mix(key ^ i*goldenGamma)
 		point := r.next(position)
@@ -122,5 +126,5 @@
 
 // keyFraction maps a key to a number from 0 up to 1 that is fixed for the server.
 func keyFraction(key uint64, s *Server) float64 {
-	return float64(mix(key^hashOf(s.ID))>>11) / (1 << 53)
+	return float64(mix(key^hashOf(s.ID))>>(64-mantissaBits)) / (1 << mantissaBits)
 }
--- a/internal/balancer/picker/server.go
+++ b/internal/balancer/picker/server.go
@@ -39,11 +39,15 @@
 // isFull reports whether the server has as many requests as its concurrency limit allows.
 func (s *Server) isFull() bool { return s.ActiveRequests >= s.limit.Current() }
 
+// isHalfFull reports whether half of the concurrency limit of the server is used.
+func (s *Server) isHalfFull() bool { return 2*s.ActiveRequests >= s.limit.Current() }
+
 // cost returns how unfavourable it is to send a request to the server: it rises with the latency
 // and the failures of the server, and with its requests in flight for its weight and traffic share.
 // Where no server has a request in flight, weights do not count: servers are drawn by them already.
 func (s *Server) cost(q *Query) float64 {
-	latencyMicros, successRate := max(latencyTolerance*s.picker.typicalLatency, minLatency), 1.0
+	latencyMicros := max(latencyTolerance*s.picker.typicalLatency, minLatency)
+	successRate := 1.0
 	if q.Now-s.LastOutcomeAt <= endpointhealth.MeasurementLifetime {
 		// A server that fails fast must not look like the fastest.
 		latencyMicros = max(latencyMicros, s.MeanLatency)
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -45,8 +45,11 @@
 	if z.refreshedAt != 0 && (unchanged || now-z.refreshedAt < zoneRefreshInterval) {
 		return
 	}
-	z.refreshedAt, z.stale = now, false
-	z.warmingUp, z.warmWeight, z.capacity = z.warmingUp[:0], 0, 0
+	z.refreshedAt = now
+	z.stale = false
+	z.warmingUp = z.warmingUp[:0]
+	z.warmWeight = 0
+	z.capacity = 0
 	total, healthy := 0.0, 0.0
 	z.weights = z.weights[:0]
 	for _, s := range z.servers {
@@ -55,7 +58,7 @@
 		z.weights = append(z.weights, weight*share)
 		total += weight
 		healthy += weight * share
-		if s.State == endpointhealth.Suspected { // it counts whole: it is still there
+		if s.State == endpointhealth.Suspected { // its whole weight counts as healthy
 			healthy += weight * (1 - share)
 		}
 		if s.State == endpointhealth.WarmingUp {
@@ -130,7 +133,8 @@
 // picked, it takes the first one that may be from a random place on.
 func (z *zone) compareDrawn(random *rand.Rand, c *candidate) {
 	for range maxDraws {
-		if c.compare(z.servers[z.drawer.draw(random)]); c.found == drawnCandidates {
+		c.compare(z.servers[z.drawer.draw(random)])
+		if c.found == drawnCandidates {
 			return
 		}
 	}
@@ -139,7 +143,8 @@
 	}
 	start := random.IntN(len(z.servers))
 	for i := range z.servers {
-		if c.compare(z.servers[(start+i)%len(z.servers)]); c.best != nil {
+		c.compare(z.servers[(start+i)%len(z.servers)])
+		if c.best != nil {
 			return
 		}
 	}
--- a/internal/balancer/retry/retry.go
+++ b/internal/balancer/retry/retry.go
@@ -1,7 +1,7 @@
 // Package retry decides whether a request whose attempt failed is retried on another server. The
 // policy is a retry budget, as in Finagle and in the retry throttling of gRPC (gRFC A6): each first
-// attempt earns a part of a retry, for its class and for the total. Where a budget is exhausted the
-// fault is one that more attempts would make worse. The package does no I/O.
+// attempt earns a part of a retry, for its class and for the total. Where so many attempts fail that
+// a budget is exhausted, more of them would add to an overload. The package does no I/O.
 //
 // A request that may have run and has side effects is never retried, nor one for which too little
 // time is left.
@@ -70,7 +70,7 @@
 // FailedAttempt describes a request whose attempt failed.
 type FailedAttempt struct {
 	Class          int
-	HasSideEffects bool          // running it twice does harm
+	HasSideEffects bool          // it must not run twice
 	NeverRan       bool          // it is certain that the attempt did not run
 	Attempts       int           // that it has had
 	MaxAttempts    int           // that it may have
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -1,6 +1,7 @@
 // Package waitqueue implements the runner that stands before a group of servers where the group has
 // bulkheads: attempts wait here for a slot of their pool (package bulkhead) before they go to the
-// runner behind it. It is the one place where slots are taken and given back.
+// runner behind it. All slots are taken and given back here. The application (internal/app) puts a
+// queue between the request lifecycle and each group of package upstream.
 package waitqueue
 
 import (
@@ -26,7 +27,7 @@
 	Now      func() time.Duration             // monotonic
 	Post     func(fn func())                  // calls fn soon, and not from within Post
 	After    func(d time.Duration, fn func()) // calls fn after d
-	Capacity func() int                       // requests that the servers can take; 0: not known
+	Capacity func() int                       // requests that the servers can have in flight; 0: not known
 }
 
 // Queue is a lifecycle.Runner before another runner, whose Sink it is. It is used by one goroutine.
@@ -36,7 +37,7 @@
 	next          lifecycle.Runner
 	scheduler     *bulkhead.Scheduler // nil: no bulkheads, attempts go on at once
 	requests      map[*lifecycle.Attempt]*bulkhead.Request
-	tickIsPlanned bool
+	tickScheduled bool
 }
 
 // New returns a queue without bulkheads. SetNext must follow before attempts come.
@@ -116,26 +117,30 @@
 	for _, d := range dropped {
 		q.endDropped(d)
 	}
-	if q.scheduler.Waiting() > 0 && !q.tickIsPlanned {
-		q.tickIsPlanned = true
+	if q.scheduler.Waiting() > 0 && !q.tickScheduled {
+		q.tickScheduled = true
 		q.environment.After(tickInterval, q.tick)
 	}
 }
 
-// endDropped ends a dropped attempt, with what was compared: seconds, or for a full queue lengths.
+// endDropped ends a dropped attempt. Value and Limit are what was compared: seconds, or for a full
+// queue the numbers of requests.
 func (q *Queue) endDropped(d bulkhead.Dropped) {
 	const microsPerSecond = 1e6
 	a := d.Attachment.(*lifecycle.Attempt)
 	delete(q.requests, a)
-	a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadWait, d.Wanted/microsPerSecond, d.Available/microsPerSecond
 	if d.Reason == bulkhead.QueueFull {
 		a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadFull, d.Wanted, d.Available
+	} else {
+		a.Cause = lifecycle.CauseBulkheadWait
+		a.Value = d.Wanted / microsPerSecond
+		a.Limit = d.Available / microsPerSecond
 	}
 	q.environment.Post(func() { q.sink.AttemptEnded(a, lifecycle.NotStarted, nil) })
 }
 
 func (q *Queue) tick() {
-	q.tickIsPlanned = false
+	q.tickScheduled = false
 	if q.scheduler == nil {
 		return
 	}
@@ -177,7 +182,7 @@
 	return bulkhead.Success
 }
 
-// AttemptEnded implements Sink. It is the one place where a slot is given back.
+// AttemptEnded implements Sink. It gives the slot of the attempt back.
 func (q *Queue) AttemptEnded(a *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
 	r := q.requests[a]
 	if r != nil {
@@ -196,5 +201,5 @@
 	if q.scheduler == nil {
 		return 0
 	}
-	return q.scheduler.RetryAfter(class, -1)
+	return q.scheduler.RetryAfter(class, bulkhead.NoTenant)
 }
--- a/internal/upstream/group.go
+++ b/internal/upstream/group.go
@@ -16,9 +16,6 @@
 // tickInterval is how often a group looks for health checks that are due.
 const tickInterval = 250 * time.Millisecond
 
-// firstListCause is the cause of the state changes by the first endpoint list.
-const firstListCause = "it is in the first list"
-
 // Group is a group of servers that run the requests of some classes. It owns the connections to
 // them. It implements lifecycle.Runner.
 type Group struct {
@@ -58,7 +55,7 @@
 
 func (g *Group) stateChanged(s *picker.Server, change endpointhealth.StateChange) {
 	// At the start there would be a line for each of thousands of servers.
-	if g.tickedAt > 0 || change.Cause != firstListCause {
+	if g.tickedAt > 0 || change.Cause != endpointhealth.CauseFirstList {
 		evEndpointState.Log(
 			g.name,
 			change.Endpoint.Name,
