--- a/internal/usage/ledger/bill.go
+++ b/internal/usage/ledger/bill.go
@@ -7,12 +7,12 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// BillingTerms are what a bill is made by.
+// BillingTerms are the parameters of a bill.
 type BillingTerms struct {
 	// Quotas are the requests a second that schools may have served, over all instances. A school
 	// without one has no limit.
 	Quotas map[string]float64
-	// Instances are those of which statements are expected; empty: those that have any.
+	// Instances are those of which statements are expected, beside those that have any.
 	Instances []string
 }
 
@@ -22,7 +22,7 @@
 	Lines               []BillLine   `json:"lines"`
 	Schools             []BillSchool `json:"schools"`
 	Problems            []Problem    `json:"problems,omitempty"`
-	Statements          int          `json:"statements"`       // that it is made of
+	Statements          int          `json:"statements"`       // that it was made from
 	DuplicateStatements int          `json:"copies,omitempty"` // that were given more than once
 	// DeduplicatedRuns are the requests with a key that two instances counted; they are counted once.
 	DeduplicatedRuns int    `json:"twice,omitempty"`
@@ -31,22 +31,24 @@
 
 // BillPeriod says which instances have no statement of a period.
 type BillPeriod struct {
-	Period           wallclock.UnixMicro `json:"period"` // its begin
+	Period           wallclock.UnixMicro `json:"period"` // its start
 	MissingInstances []string            `json:"missing,omitempty"`
 }
 
 // BillLine is what a school used of a class in a period.
 type BillLine struct {
-	Period wallclock.UnixMicro `json:"period"` // its begin
+	Period wallclock.UnixMicro `json:"period"` // its start
 	School string              `json:"school"`
 	Class  string              `json:"class"`
 	Count
 	Changed bool `json:"changed,omitempty"` // by an amendment or a correction
 }
 
+func (l BillLine) key() lineKey { return lineKey{l.Period, l.School, l.Class} }
+
 // BillSchool compares what a school used in a period with its quota.
 type BillSchool struct {
-	Period     wallclock.UnixMicro `json:"period"` // its begin
+	Period     wallclock.UnixMicro `json:"period"` // its start
 	School     string              `json:"school"`
 	Served     int64               `json:"served"`
 	AboveQuota float64             `json:"above"` // served requests beyond the quota of their slice
--- a/internal/usage/ledger/count.go
+++ b/internal/usage/ledger/count.go
@@ -19,8 +19,8 @@
 	Work       wallclock.Micros `json:"work_us,omitempty"` // time that servers spent
 }
 
-// of returns the sum of an outcome.
-func (c *Count) of(o Outcome) *int64 {
+// counter returns a pointer to the sum of an outcome.
+func (c *Count) counter(o Outcome) *int64 {
 	sums := [outcomeCount]*int64{
 		OutcomeServed:    &c.Served,
 		OutcomeDuplicate: &c.Duplicates,
@@ -35,37 +35,38 @@
 // Add adds the sums of another count. A sum that would overflow stays at its bound.
 func (c *Count) Add(other Count) {
 	for o := OutcomeServed; o < outcomeCount; o++ {
-		n := c.of(o)
-		*n = addSaturating(*n, *other.of(o))
+		sum := c.counter(o)
+		*sum = addSaturating(*sum, *other.counter(o))
 	}
 	c.Work = addSaturating(c.Work, other.Work)
 }
 
 // addSaturating returns a+b, or the bound of its type where that overflows.
 func addSaturating[T ~int64](a, b T) T {
-	switch n := a + b; {
-	case a > 0 && b > 0 && n < 0:
+	sum := a + b
+	switch {
+	case a > 0 && b > 0 && sum < 0:
 		return math.MaxInt64
-	case a < 0 && b < 0 && n >= 0:
+	case a < 0 && b < 0 && sum >= 0:
 		return math.MinInt64
 	default:
-		return n
+		return sum
 	}
 }
 
 // Requests returns the number of requests of all outcomes.
 func (c Count) Requests() int64 {
-	n := int64(0)
+	total := int64(0)
 	for o := OutcomeServed; o < outcomeCount; o++ {
-		n = addSaturating(n, *c.of(o))
+		total = addSaturating(total, *c.counter(o))
 	}
-	return n
+	return total
 }
 
 // hasNegative reports whether a sum is negative, which only a correction makes it.
 func (c Count) hasNegative() bool {
 	for o := OutcomeServed; o < outcomeCount; o++ {
-		if *c.of(o) < 0 {
+		if *c.counter(o) < 0 {
 			return true
 		}
 	}
@@ -74,7 +75,7 @@
 
 // Line is what a school used of a class in a period.
 type Line struct {
-	Period wallclock.UnixMicro `json:"period"` // its begin
+	Period wallclock.UnixMicro `json:"period"` // its start
 	School string              `json:"school"`
 	Class  string              `json:"class"`
 	Count
@@ -83,14 +84,10 @@
 	Slices []int64 `json:"slices,omitempty"`
 }
 
-// compareLines orders lines by period, school and class.
-func compareLines(a, b Line) int {
-	return cmp.Or(
-		cmp.Compare(a.Period, b.Period),
-		cmp.Compare(a.School, b.School),
-		cmp.Compare(a.Class, b.Class),
-	)
-}
+func (l Line) key() lineKey { return lineKey{l.Period, l.School, l.Class} }
+
+// compareLines orders lines by their keys.
+func compareLines(a, b Line) int { return compareLineKeys(a.key(), b.key()) }
 
 func (l Line) clone() Line {
 	l.Slices = slices.Clone(l.Slices)
@@ -111,3 +108,12 @@
 	period        wallclock.UnixMicro
 	school, class string
 }
+
+// compareLineKeys orders keys by period, school and class.
+func compareLineKeys(a, b lineKey) int {
+	return cmp.Or(
+		cmp.Compare(a.period, b.period),
+		cmp.Compare(a.school, b.school),
+		cmp.Compare(a.class, b.class),
+	)
+}
--- a/internal/usage/ledger/keys.go
+++ b/internal/usage/ledger/keys.go
@@ -27,7 +27,8 @@
 
 // keyGroup is the keys of a school and class, in the order in which they were listed. Each takes
 // packedKeySize bytes, big-endian: 8 of the hash, 4 of the second in which it was served, 4 of the
-// seconds after that until it expires, 4 of its work in microseconds.
+// seconds after that until it expires, 4 of its work in microseconds. The order of the fields is part
+// of the format.
 type keyGroup struct {
 	School string `json:"school"`
 	Class  string `json:"class"`
@@ -35,7 +36,11 @@
 }
 
 const (
-	packedKeySize = 20
+	packedServedAtOffset = 8
+	packedLifetimeOffset = 12
+	packedWorkOffset     = 16
+	packedKeySize        = 20
+
 	// second is the resolution of the instants of keys.
 	second = wallclock.Micros(time.Second / time.Microsecond)
 )
@@ -119,12 +124,12 @@
 func (g *keyGroup) unpack(packed []byte) CountedKey {
 	k := CountedKey{
 		Hash:     binary.BigEndian.Uint64(packed),
-		ServedAt: unixSecond(binary.BigEndian.Uint32(packed[8:])),
-		Work:     wallclock.Micros(binary.BigEndian.Uint32(packed[16:])),
+		ServedAt: unixSecond(binary.BigEndian.Uint32(packed[packedServedAtOffset:])),
+		Work:     wallclock.Micros(binary.BigEndian.Uint32(packed[packedWorkOffset:])),
 		School:   g.School,
 		Class:    g.Class,
 	}
-	lifetime := wallclock.Micros(binary.BigEndian.Uint32(packed[12:])) * second
+	lifetime := wallclock.Micros(binary.BigEndian.Uint32(packed[packedLifetimeOffset:])) * second
 	k.ExpiresAt = lifetime.After(k.ServedAt)
 	return k
 }
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -7,7 +7,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Settings configure an account. Period and Slice do not change while there is one.
+// Settings configure an account. Period and Slice are fixed for its lifetime.
 type Settings struct {
 	Instance string           `cbor:"Instance"`
 	Period   wallclock.Micros `cbor:"Period"`
@@ -46,7 +46,7 @@
 
 	// Open periods.
 	newest           wallclock.UnixMicro // instant of the latest record
-	ahead            int                 // records in a row from a time that is not believed
+	consecutiveAhead int                 // latest records in a row that were beyond maxOpenPeriods
 	lines            map[lineKey]*Line
 	steps            uint64 // records and corrections that were taken
 	ended            bool
@@ -125,11 +125,12 @@
 	}
 	// A record of a sealed period keeps its period: its line is an amendment.
 	line := l.line(lineKey{l.settings.PeriodStart(at), r.School, r.Class})
-	n := line.of(r.Outcome)
-	*n = addSaturating(*n, 1)
+	sum := line.counter(r.Outcome)
+	*sum = addSaturating(*sum, 1)
 	line.Work = addSaturating(line.Work, max(r.Work, 0))
 	if r.Outcome == OutcomeServed {
-		line.Slices = addToSlice(line.Slices, int((at-line.Period)/wallclock.UnixMicro(l.settings.Slice)), 1)
+		slice := int((at - line.Period) / wallclock.UnixMicro(l.settings.Slice))
+		line.Slices = addToSlice(line.Slices, slice, 1)
 	}
 }
 
@@ -137,7 +138,8 @@
 // record becomes a duplicate: its result was cached, and it did not run a second time.
 //
 // A duplicate of a request that was not counted, as the process was killed before it answered, is
-// counted here. While keys find no room it may be a duplicate of one of those, and is taken for one.
+// counted here. While some keys are not listed, as the table was full, it may be a duplicate of one of
+// those, and is counted as one.
 func (l *Ledger) countKey(r *Record, at wallclock.UnixMicro) {
 	l.sweepKeys(at)
 	known, ok := l.keys[r.Key]
@@ -163,15 +165,17 @@
 
 // plausibleTime returns the instant at which a record is counted. One from beyond the periods that
 // may be open is counted with the newest, as a clock that was wrong for a moment must not open
-// periods of another year. After maxAheadRecords of them in a row the clock is believed.
+// periods of another year. After maxAheadRecords of them in a row the clock is taken to be right.
 func (l *Ledger) plausibleTime(at wallclock.UnixMicro) wallclock.UnixMicro {
 	last := max(l.newest, l.sealedThrough)
 	if at > (maxOpenPeriods * l.settings.Period).After(last) {
-		if l.ahead++; l.ahead < maxAheadRecords {
+		l.consecutiveAhead++
+		if l.consecutiveAhead < maxAheadRecords {
 			return last
 		}
 	}
-	l.newest, l.ahead = max(l.newest, at), 0
+	l.newest = max(l.newest, at)
+	l.consecutiveAhead = 0
 	return at
 }
 
@@ -190,8 +194,8 @@
 	maps.DeleteFunc(l.keys, func(_ uint64, k CountedKey) bool { return now >= k.ExpiresAt })
 }
 
-// line returns the line of a key. Where there is no room for another one it is that of OtherSchool,
-// of which one a period is made beyond the bound.
+// line returns the line of a key, which it adds if there is none. Beyond Settings.MaxLines it returns
+// the line of OtherSchool, which each period may have in addition.
 func (l *Ledger) line(k lineKey) *Line {
 	if line := l.lines[k]; line != nil {
 		return line
@@ -214,10 +218,12 @@
 	if l.ringStartedAfter == r.StartedAfter() {
 		counted = l.ringLost
 	}
-	if n := r.Lost(); n > counted {
-		lost = n - counted
+	total := r.Lost()
+	if total > counted {
+		lost = total - counted
 		l.lost += lost
-		l.ringLost, l.ringStartedAfter = n, r.StartedAfter()
+		l.ringLost = total
+		l.ringStartedAfter = r.StartedAfter()
 	}
 	return lost
 }
--- a/internal/usage/ledger/ledger_test.go
+++ b/internal/usage/ledger/ledger_test.go
@@ -106,7 +106,7 @@
 			Work:       5,
 		},
 	)
-	*r.want.of(outcome)++
+	*r.want.counter(outcome)++
 	r.want.Work += 5
 }
 
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -171,7 +171,7 @@
 		)
 	}
 	for _, l := range s.Lines {
-		line := r.line(lineKey{l.Period, l.School, l.Class})
+		line := r.line(l.key())
 		line.Add(l.Count)
 		line.Changed = line.Changed || l.Period < s.From
 		for i, served := range l.Slices {
@@ -321,13 +321,7 @@
 		}
 		r.bill.Lines = append(r.bill.Lines, *line)
 	}
-	slices.SortFunc(r.bill.Lines, func(a, b BillLine) int {
-		return cmp.Or(
-			cmp.Compare(a.Period, b.Period),
-			cmp.Compare(a.School, b.School),
-			cmp.Compare(a.Class, b.Class),
-		)
-	})
+	slices.SortFunc(r.bill.Lines, func(a, b BillLine) int { return compareLineKeys(a.key(), b.key()) })
 	slices.SortFunc(r.bill.Problems, func(a, b Problem) int {
 		return cmp.Or(
 			cmp.Compare(a.Instance, b.Instance),
--- a/internal/usage/ledger/ring.go
+++ b/internal/usage/ledger/ring.go
@@ -43,8 +43,9 @@
 
 // Layout of the names and of a record, in bytes.
 const (
-	namesSize  = 32 << 10
-	recordSize = 64
+	namesSize      = 32 << 10
+	nameLengthSize = 2 // of the length before each name
+	recordSize     = 64
 
 	numberOffset       = 0 // the number of the record, written last; 0 while the record is written
 	answeredAtOffset   = 8
@@ -109,7 +110,7 @@
 func (r *Ring) recordOffset(number uint64) int { return slotOffset(int((number - 1) % r.capacity)) }
 
 // Put adds a record, and reports whether there was room. One that found none is counted as lost.
-func (r *Ring) Put(u Record) bool {
+func (r *Ring) Put(record Record) bool {
 	if r.next-r.released.Load() > r.capacity {
 		r.word(lostOffset).Add(1)
 		return false
@@ -118,14 +119,15 @@
 	b := r.mem[offset : offset+recordSize]
 	r.word(offset + numberOffset).Store(0)
 	le := binary.LittleEndian
-	le.PutUint64(b[answeredAtOffset:], uint64(u.AnsweredAt))
-	le.PutUint64(b[keyExpiresAtOffset:], uint64(u.KeyExpiresAt))
-	le.PutUint64(b[keyOffset:], u.Key)
-	le.PutUint64(b[workOffset:], uint64(u.Work))
-	le.PutUint16(b[schoolOffset:], r.nameID(u.School))
-	le.PutUint16(b[classOffset:], r.nameID(u.Class))
-	b[outcomeOffset], b[duplicateOffset] = byte(u.Outcome), 0
-	if u.KnownDuplicate {
+	le.PutUint64(b[answeredAtOffset:], uint64(record.AnsweredAt))
+	le.PutUint64(b[keyExpiresAtOffset:], uint64(record.KeyExpiresAt))
+	le.PutUint64(b[keyOffset:], record.Key)
+	le.PutUint64(b[workOffset:], uint64(record.Work))
+	le.PutUint16(b[schoolOffset:], r.nameID(record.School))
+	le.PutUint16(b[classOffset:], r.nameID(record.Class))
+	b[outcomeOffset] = byte(record.Outcome)
+	b[duplicateOffset] = 0
+	if record.KnownDuplicate {
 		b[duplicateOffset] = 1
 	}
 	le.PutUint64(b[checkedNumOffset:], r.next)
@@ -151,13 +153,13 @@
 		r.nameID(OtherSchool)
 	}
 	s = s[:min(len(s), maxTextBytes)]
-	if id, ok := r.nameIDs[s]; ok || r.nameEnd+2+len(s) > headerSize+namesSize {
+	if id, ok := r.nameIDs[s]; ok || r.nameEnd+nameLengthSize+len(s) > headerSize+namesSize {
 		return id
 	}
 	id := uint16(len(r.nameIDs))
 	binary.LittleEndian.PutUint16(r.mem[r.nameEnd:], uint16(len(s)))
-	copy(r.mem[r.nameEnd+2:], s)
-	r.nameEnd += 2 + len(s)
+	copy(r.mem[r.nameEnd+nameLengthSize:], s)
+	r.nameEnd += nameLengthSize + len(s)
 	r.nameIDs[s] = id
 	r.word(nameCountOffset).Store(uint64(len(r.nameIDs)))
 	return id
@@ -166,15 +168,15 @@
 // name returns the name of a number.
 func (r *Ring) name(id uint16) (string, bool) {
 	for n := r.word(nameCountOffset).Load(); uint64(len(r.namesRead)) < n; {
-		if r.nameReadAt+2 > headerSize+namesSize {
+		if r.nameReadAt+nameLengthSize > headerSize+namesSize {
 			return "", false
 		}
 		size := int(binary.LittleEndian.Uint16(r.mem[r.nameReadAt:]))
-		end := r.nameReadAt + 2 + size
+		end := r.nameReadAt + nameLengthSize + size
 		if end > headerSize+namesSize {
 			return "", false
 		}
-		r.namesRead = append(r.namesRead, string(r.mem[r.nameReadAt+2:end]))
+		r.namesRead = append(r.namesRead, string(r.mem[r.nameReadAt+nameLengthSize:end]))
 		r.nameReadAt = end
 	}
 	if int(id) >= len(r.namesRead) {
@@ -227,14 +229,15 @@
 	return float64(number-r.released.Load()) / float64(r.capacity)
 }
 
-// Recover passes on, in order, the records after number taken that an earlier process left intact.
-// last is the number of the last one, and missing how many before it are not intact: a disk that lost
-// power may have kept any of them.
-func (r *Ring) Recover(taken uint64, add func(Record)) (last, missing uint64) {
-	last = max(r.lastIntact(taken), taken)
-	for number := taken + 1; number <= last; number++ {
-		if u, ok := r.Read(number); ok {
-			add(u)
+// Recover calls add, in order, with the intact records that an earlier process left after the last one
+// that was counted.
+// It returns the number of the last one, and how many before it are not intact: a disk that lost power
+// may have kept any of them.
+func (r *Ring) Recover(lastCounted uint64, add func(Record)) (last, missing uint64) {
+	last = max(r.lastIntact(lastCounted), lastCounted)
+	for number := lastCounted + 1; number <= last; number++ {
+		if record, ok := r.Read(number); ok {
+			add(record)
 		} else {
 			missing++
 		}
@@ -242,12 +245,12 @@
 	return last, missing
 }
 
-// lastIntact returns the highest number of an intact record after number taken; 0: there is none.
-func (r *Ring) lastIntact(taken uint64) (last uint64) {
+// lastIntact returns the highest number of an intact record after lastCounted; 0: there is none.
+func (r *Ring) lastIntact(lastCounted uint64) (last uint64) {
 	for index := range int(r.capacity) {
 		offset := slotOffset(index)
 		number := r.word(offset + numberOffset).Load()
-		if number <= last || number > taken+r.capacity || r.recordOffset(number) != offset {
+		if number <= last || number > lastCounted+r.capacity || r.recordOffset(number) != offset {
 			continue
 		}
 		if _, ok := r.Read(number); ok {
--- a/internal/usage/ledger/seal.go
+++ b/internal/usage/ledger/seal.go
@@ -43,8 +43,9 @@
 	return s
 }
 
-// Finish ends the account with a final statement of all that it holds, also of open periods; nil: all
-// is in statements. Several replicas may finish one account, each as far as it knew it.
+// Finish ends the account with a final statement of all that it holds, also of open periods. It
+// returns nil if earlier statements hold everything. Several replicas may finish one account, each
+// with the records that it has received.
 func (l *Ledger) Finish() *Statement {
 	if l.ended {
 		return nil
@@ -91,15 +92,20 @@
 	slices.SortFunc(s.Keys, func(a, b CountedKey) int {
 		return cmp.Or(cmp.Compare(a.ServedAt, b.ServedAt), cmp.Compare(a.Hash, b.Hash))
 	})
-	l.lastSeq, l.lastDigest, l.sealedThrough = s.Seq, s.Digest(), to
-	l.newKeys, l.corrections, l.lost, l.unlistedKeys = nil, nil, 0, 0
+	l.lastSeq = s.Seq
+	l.lastDigest = s.Digest()
+	l.sealedThrough = to
 	l.unwritten = append(l.unwritten, s)
+	l.newKeys = nil
+	l.unlistedKeys = 0
+	l.corrections = nil
+	l.lost = 0
 	return s
 }
 
 // NextStatement returns the statement that is to be written now; nil: none. renaming reports that its
-// file was being renamed when that was stored last: if the file it is renamed from is gone, it has
-// its name, or had it and was collected.
+// file was about to be renamed when the state was last saved: if the file that it is renamed from is
+// gone, the rename is done, and a collector may have taken the renamed file.
 func (l *Ledger) NextStatement() (s *Statement, renaming bool) {
 	if len(l.unwritten) == 0 {
 		return nil, false
@@ -117,9 +123,11 @@
 	}
 }
 
-// MarkExported notes that a statement has its name.
+// MarkExported notes that the file of a statement has its final name.
 func (l *Ledger) MarkExported(s *Statement) {
 	if len(l.unwritten) > 0 && l.unwritten[0].Seq == s.Seq {
-		l.unwritten, l.exported, l.renaming = l.unwritten[1:], s.Seq, 0
+		l.unwritten = l.unwritten[1:]
+		l.exported = s.Seq
+		l.renaming = 0
 	}
 }
--- a/internal/usage/ledger/state.go
+++ b/internal/usage/ledger/state.go
@@ -69,7 +69,7 @@
 		Steps:         l.steps,
 		Ended:         l.ended,
 		SweptAt:       l.sweptAt,
-		Ahead:         l.ahead,
+		Ahead:         l.consecutiveAhead,
 	}
 	for _, hash := range slices.Sorted(maps.Keys(l.keys)) {
 		s.Keys = append(s.Keys, l.keys[hash])
@@ -137,15 +137,30 @@
 	}
 	settings.Period, settings.Slice = s.Period, s.Slice
 	l := New(settings, s.Incarnation, 0)
-	l.lastSeq, l.lastDigest = s.LastSeq, s.LastDigest
-	l.sealedThrough, l.sealedAt, l.newest = s.SealedThrough, s.SealedAt, s.Newest
-	l.unwritten, l.exported, l.renaming = s.Unwritten, s.Exported, s.Renaming
-	l.lost, l.ringLost, l.ringStartedAfter = s.Lost, s.RingLost, s.RingStart
-	l.newKeys, l.unlistedKeys, l.unlistedUntil = s.NewKeys, s.UnlistedKeys, s.UnlistedUntil
-	l.steps, l.ended, l.sweptAt, l.ahead = s.Steps, s.Ended, s.SweptAt, s.Ahead
+	l.lastSeq = s.LastSeq
+	l.lastDigest = s.LastDigest
+	l.sealedThrough = s.SealedThrough
+	l.sealedAt = s.SealedAt
+	l.unwritten = s.Unwritten
+	l.exported = s.Exported
+	l.renaming = s.Renaming
+
+	l.newest = s.Newest
+	l.consecutiveAhead = s.Ahead
+	l.steps = s.Steps
+	l.ended = s.Ended
+	l.lost = s.Lost
+	l.ringLost = s.RingLost
+	l.ringStartedAfter = s.RingStart
+
+	l.newKeys = s.NewKeys
+	l.unlistedKeys = s.UnlistedKeys
+	l.unlistedUntil = s.UnlistedUntil
+	l.sweptAt = s.SweptAt
+
 	l.corrections = s.Corrections
 	for _, line := range s.Lines {
-		l.lines[lineKey{line.Period, line.School, line.Class}] = &line
+		l.lines[line.key()] = &line
 	}
 	for _, k := range s.Keys {
 		l.keys[k.Hash] = k
--- a/internal/usage/ledger/statement.go
+++ b/internal/usage/ledger/statement.go
@@ -11,11 +11,11 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Versions of the format of statements and of the state. Newer ones are refused.
+// Versions of the format of statements and of the state. Newer ones are rejected.
 const (
 	FormatVersion = 1
-	// finalFormatVersion is that of a final statement: an older program would take it for one of two
-	// statements that differ.
+	// finalFormatVersion is that of a final statement. It is a newer one, as an older program would
+	// report a final statement and its successor of the same number as a conflict.
 	finalFormatVersion = 2
 )
 
@@ -54,7 +54,8 @@
 }
 
 // supersedes reports whether a statement counts in place of another one of its account and number:
-// one that the account went on from in place of a final one, and of final ones the one that knew most.
+// one after which the account continued replaces a final one, and of final ones the one with the most
+// records and corrections counts.
 func (s *Statement) supersedes(other *Statement) bool {
 	switch {
 	case s.Final != other.Final:
--- a/internal/usage/metering/account_store.go
+++ b/internal/usage/metering/account_store.go
@@ -20,7 +20,7 @@
 	ringFile    = "ring"
 	bootFile    = "boot"  // the boot ID of the machine when the folder was opened last
 	newSuffix   = ".new"  // of a file that is not complete yet
-	partSuffix  = ".part" // of a statement that is complete and does not have its name yet
+	partSuffix  = ".part" // of a statement that is complete and does not have its final name yet
 	maxRingUsed = 0.5     // part of the ring that records may take before the account is saved
 )
 
@@ -50,8 +50,8 @@
 	// sameBoot says that the machine has run on since the process before: its files are as that one
 	// left them, and not as the disk kept them over a loss of power.
 	sameBoot bool
-	// replace has the account ended and another one begun, as its replicas may have ended it.
-	replace bool
+	// mustReplace ends the account and begins another one, as its replicas may have ended it.
+	mustReplace bool
 }
 
 // recovery is what was found when an account was opened.
@@ -80,7 +80,7 @@
 	if err := a.save(p.now); err != nil {
 		return a, found, err
 	}
-	if found.newAccount || !p.replace && !a.ledger.Ended() {
+	if found.newAccount || !p.mustReplace && !a.ledger.Ended() {
 		return a, found, nil
 	}
 	return a, found, a.replaceAccount(p)
@@ -93,7 +93,8 @@
 		if err := a.refuseOldStatements(p.settings.Instance); err != nil {
 			return err
 		}
-		a.ledger, found.newAccount = ledger.New(p.settings, p.incarnation, p.now), true
+		a.ledger = ledger.New(p.settings, p.incarnation, p.now)
+		found.newAccount = true
 		return nil
 	}
 	if err != nil {
@@ -113,7 +114,8 @@
 		return
 	}
 	last, missing := ring.Recover(a.lastRecord, a.ledger.Add)
-	found.recovered, found.missing = last-a.lastRecord-missing, missing
+	found.recovered = last - a.lastRecord - missing
+	found.missing = missing
 	a.lastRecord = last
 	a.ledger.AddLost(missing)
 	a.ledger.AddRingLost(ring)
@@ -209,7 +211,8 @@
 	}
 	if lost := a.ring.Lost(); lost != a.ringLost {
 		a.publisher.publish(usagereplica.Operation{LostUses: a.ledger.AddRingLost(a.ring)})
-		a.ringLost, a.dirty = lost, true
+		a.ringLost = lost
+		a.dirty = true
 	}
 }
 
@@ -226,7 +229,8 @@
 	if a.ring != nil {
 		a.ring.Release(a.lastRecord)
 	}
-	a.dirty, a.savedAt = false, now
+	a.dirty = false
+	a.savedAt = now
 	return nil
 }
 
@@ -244,8 +248,8 @@
 }
 
 // exportStatement writes a statement under its name, once: the state says that the file is about to be
-// renamed before it is, and the file that it was renamed from is gone after that, whatever became of
-// the name.
+// renamed before it is, and the file that it was renamed from is gone afterwards, even if a collector
+// has taken the renamed one.
 func (a *accountStore) exportStatement(s *ledger.Statement, renaming bool, now wallclock.UnixMicro) error {
 	name, part := s.FileName(), s.FileName()+partSuffix
 	if !renaming {
--- a/internal/usage/metering/account_store_test.go
+++ b/internal/usage/metering/account_store_test.go
@@ -58,7 +58,7 @@
 		incarnation:  incarnation,
 		oldRing:      p.mem,
 		sameBoot:     sameBoot,
-		replace:      p.replace,
+		mustReplace:  p.replace,
 	})
 	if err != nil {
 		return err
--- a/internal/usage/metering/mailbox.go
+++ b/internal/usage/metering/mailbox.go
@@ -17,7 +17,7 @@
 
 	mu       sync.Mutex
 	messages []usagereplica.Message
-	exported []string // own statements that have their names since the last take
+	exported []string // own statements that were exported since the last take
 	view     clusterView
 }
 
--- a/internal/usage/metering/meter.go
+++ b/internal/usage/metering/meter.go
@@ -28,9 +28,9 @@
 }
 
 const (
-	pollInterval = 100 * time.Millisecond // between two looks into the ring
-	retryBackoff = time.Second            // until a disk that failed is tried again
-	maxQuestions = 16                     // that wait for the goroutine of the account
+	pollInterval   = 100 * time.Millisecond // of the ring, the mailboxes and what is due
+	retryBackoff   = time.Second            // after a failure of the disk
+	maxQueuedCalls = 16                     // that wait for the goroutine of the account; more are ErrBusy
 	// incarnationBytes is the length of the random name of a new account.
 	incarnationBytes = 6
 )
@@ -40,14 +40,14 @@
 type Meter struct {
 	name      string
 	dir       store.Dir
-	unlock    func() error // gives the folder back
+	unlock    func() error // releases the lock on the folder
 	ring      *ledger.Ring
 	mem       []byte // of the ring
 	startedAt time.Time
 
-	questions chan func(*accountStore)
-	closing   chan struct{}
-	done      chan struct{} // closed at the end of the goroutine of the account
+	calls   chan func(*accountStore) // run on the goroutine of the account
+	closing chan struct{}
+	done    chan struct{} // closed at the end of the goroutine of the account
 
 	// Replication.
 	replication ReplicationConfig
@@ -72,7 +72,7 @@
 		dir:        dir,
 		unlock:     unlock,
 		startedAt:  time.Now(),
-		questions:  make(chan func(*accountStore), maxQuestions),
+		calls:      make(chan func(*accountStore), maxQueuedCalls),
 		closing:    make(chan struct{}),
 		done:       make(chan struct{}),
 		accountBox: newMailbox(),
@@ -97,12 +97,14 @@
 
 // open opens the account of the folder and begins a ring.
 func (m *Meter) open(opt Options) (*accountStore, recovery, error) {
-	ringPath, bootPath := filepath.Join(opt.Dir, ringFile), filepath.Join(opt.Dir, bootFile)
+	ringPath := filepath.Join(opt.Dir, ringFile)
+	bootPath := filepath.Join(opt.Dir, bootFile)
 	oldRing, err := os.ReadFile(ringPath)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, recovery{}, err
 	}
-	bootID, sameBoot := currentBootID(), false
+	bootID := currentBootID()
+	sameBoot := false
 	if last, err := os.ReadFile(bootPath); err == nil {
 		sameBoot = bootID != "" && strings.TrimSpace(string(last)) == bootID
 	}
@@ -113,7 +115,7 @@
 		incarnation:  newIncarnation(),
 		oldRing:      oldRing,
 		sameBoot:     sameBoot,
-		replace:      opt.Replicated,
+		mustReplace:  opt.Replicated,
 	})
 	if err != nil {
 		return nil, found, err
@@ -188,7 +190,7 @@
 // enqueue has fn called with the account, on the goroutine of the account.
 func (m *Meter) enqueue(fn func(*accountStore)) error {
 	select {
-	case m.questions <- fn:
+	case m.calls <- fn:
 		return nil
 	default:
 		return ErrBusy
--- a/internal/usage/metering/publisher.go
+++ b/internal/usage/metering/publisher.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// mayExport reports whether a statement may have its name: once the replicas know that its periods
-// are sealed. An earlier one that was collected at once would count in place of the replicas', and
-// what they know beyond it would be in no statement.
+// mayExport reports whether the file of a statement may get its final name, as the replicas know that
+// its periods are sealed. A file that was collected before that would supersede the statements of the
+// replicas, and the records that only they have would be in no statement.
 func (p *publisher) mayExport(s *ledger.Statement) bool {
 	return p == nil || p.seals[s.Seq] <= p.primary.ReplicatedSeq()
 }
@@ -72,8 +72,8 @@
 	p.waiting = append(p.waiting, pendingChange{p.primary.LastSeq(), deadline, done})
 }
 
-// takeConfirmed returns the number of the last record that is replicated by now, and whether it is
-// another one than at the last call.
+// takeConfirmed returns the number of the last record that is replicated by now, and whether it has
+// changed since the last call.
 func (p *publisher) takeConfirmed() (record uint64, changed bool) {
 	replicated := p.primary.ReplicatedSeq()
 	record = p.confirmed
--- a/internal/usage/metering/remote.go
+++ b/internal/usage/metering/remote.go
@@ -25,16 +25,16 @@
 	statements *usagereplica.StatementStore
 
 	jobs    chan diskJob
-	results chan func() // what is to be done after a job
+	results chan func() // handle the results of jobs
 	stop    chan struct{}
 	disk    sync.WaitGroup
 }
 
-// diskJob reads or writes a file. It returns what is to be done about it by the goroutine of
+// diskJob reads or writes a file. It returns a function that handles the result on the goroutine of
 // remoteAccounts.
 type diskJob func() (then func())
 
-// newRemoteAccounts is given the names of the statements that lie in the folder.
+// newRemoteAccounts returns the replicas of a runner whose folder has the named statements.
 func newRemoteAccounts(m *Meter, statements []string) *remoteAccounts {
 	return &remoteAccounts{
 		meter:      m,
@@ -73,7 +73,7 @@
 	}
 }
 
-// enqueue has a job done, and reports whether there was room for it.
+// enqueue adds a job for the goroutine of the disk, and reports whether there was room for it.
 func (r *remoteAccounts) enqueue(job diskJob) bool {
 	select {
 	case r.jobs <- job:
@@ -151,8 +151,8 @@
 	return func() { r.statements.Send(runner, name, b) }
 }
 
-// storeStatements has the statements written that accounts of other runners came to. While the disk
-// hangs they are dropped: other replicas of the account have them.
+// storeStatements enqueues the writing of the statements that were sealed for accounts of other
+// runners. While the disk hangs they are dropped: other replicas of the account have them.
 func (r *remoteAccounts) storeStatements() {
 	for _, s := range r.replica.TakeStatements() {
 		if !r.enqueue(func() func() { return r.storeStatement(&s) }) {
--- a/internal/usage/metering/replication.go
+++ b/internal/usage/metering/replication.go
@@ -105,7 +105,7 @@
 	m.accountBox.notify()
 }
 
-// confirmRecords answers those who wait for records up to a number.
+// confirmRecords answers the callers that wait for records up to a number.
 func (m *Meter) confirmRecords(number uint64) {
 	n := 0
 	for n < len(m.waiting) && m.waiting[n].number <= number {
@@ -125,9 +125,16 @@
 	return m.status
 }
 
-// replicate exchanges messages with the replicas, and answers those who wait for them. tick says that
-// time has passed, so that what had no answer is sent again.
-func (m *Meter) replicate(p *publisher, tick bool) {
+// replicationTrigger is the reason for an exchange with the replicas.
+type replicationTrigger uint8
+
+const (
+	triggerEvent replicationTrigger = iota // there are records, corrections or messages
+	triggerTick                            // pollInterval has passed: unanswered messages are sent again
+)
+
+// replicate exchanges messages with the replicas, and answers the callers that wait for them.
+func (m *Meter) replicate(p *publisher, trigger replicationTrigger) {
 	if p == nil {
 		return
 	}
@@ -140,10 +147,11 @@
 		p.primary.Receive(&messages[i], now)
 	}
 	p.primary.Flush(now)
-	if tick {
+	if trigger == triggerTick {
 		p.primary.Tick(now)
 		m.mu.Lock()
-		m.status.Replicas, m.status.InSync = p.primary.Lag(), p.primary.FullyReplicated()
+		m.status.Replicas = p.primary.Lag()
+		m.status.InSync = p.primary.FullyReplicated()
 		m.mu.Unlock()
 	}
 	if out := p.primary.TakeMessages(); len(out) > 0 {
--- a/internal/usage/metering/worker.go
+++ b/internal/usage/metering/worker.go
@@ -11,8 +11,8 @@
 	meter   *Meter
 	account *accountStore
 
-	failedAt     time.Time // since when the disk fails; zero: it does not
-	retryAt      time.Time // until then it is left alone
+	failedAt     time.Time // of the first failure of the disk; zero: it works
+	retryAt      time.Time // end of the backoff after a failure
 	reportedLost uint64    // records of the ring whose loss was logged
 }
 
@@ -26,14 +26,14 @@
 		select {
 		case <-tick.C:
 			w.advanceUnlessBackoff()
-			m.replicate(w.account.publisher, true)
+			m.replicate(w.account.publisher, triggerTick)
 		case <-m.accountBox.ready:
 			w.account.countRing()
-			m.replicate(w.account.publisher, false)
-		case question := <-m.questions:
+			m.replicate(w.account.publisher, triggerEvent)
+		case call := <-m.calls:
 			w.advanceUnlessBackoff()
-			question(w.account)
-			m.replicate(w.account.publisher, false)
+			call(w.account)
+			m.replicate(w.account.publisher, triggerEvent)
 		case <-m.closing:
 			w.finish()
 			return
@@ -59,7 +59,7 @@
 	}
 }
 
-// advance has the account count, seal, save and export what is due, and logs what became of it.
+// advance counts, seals, saves and exports what is due of the account, and logs the results.
 func (w *accountWorker) advance() {
 	err := w.account.advance(wallclock.FromTime(wallclock.Now()))
 	for _, name := range w.account.takeExported() {
@@ -72,11 +72,11 @@
 		eventLost.Log(lost-w.reportedLost, "the disk did not take what was counted before")
 		w.reportedLost = lost
 	}
-	w.noteDisk(err)
+	w.logDiskChange(err)
 }
 
-// noteDisk logs when the disk begins to fail and when it works again.
-func (w *accountWorker) noteDisk(err error) {
+// logDiskChange logs the first failure of the disk and its recovery, and sets the backoff.
+func (w *accountWorker) logDiskChange(err error) {
 	if err != nil {
 		if w.failedAt.IsZero() {
 			w.failedAt = time.Now()
