--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter hosts one admission.Controller for each server of a simulation. It reads
 // batches of events from standard input and writes the actions to standard output, in the frames of
-// package simwire. It decides nothing.
+// package simwire. All decisions are the controllers'.
 package main
 
 import (
@@ -27,7 +27,8 @@
 // serve answers every batch of r on w until the input ends. It returns a simwire.FrameError for a
 // frame that it cannot read or write.
 func serve(r io.Reader, w io.Writer) error {
-	in, out := bufio.NewReaderSize(r, ioBufferSize), bufio.NewWriterSize(w, ioBufferSize)
+	in := bufio.NewReaderSize(r, ioBufferSize)
+	out := bufio.NewWriterSize(w, ioBufferSize)
 	h := &host{instances: map[uint32]*instance{}}
 	var buf []byte
 	for {
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -17,6 +17,13 @@
 	actionSize      = 24
 )
 
+// Layout of the header of a batch, in bytes.
+const (
+	batchSizeOffset  = 0 // of what follows the header
+	batchCountOffset = 4 // of the events
+	batchNowOffset   = 8
+)
+
 // maxMicros is the longest time that a time.Duration holds, in microseconds.
 const maxMicros = math.MaxInt64 / 1000
 
@@ -61,8 +68,9 @@
 		}
 		return Batch{}, buf, &FrameError{Part: "batch header", Err: err}
 	}
-	size, count := littleEndian.Uint32(header[0:]), littleEndian.Uint32(header[4:])
-	now := littleEndian.Uint64(header[8:])
+	size := littleEndian.Uint32(header[batchSizeOffset:])
+	count := littleEndian.Uint32(header[batchCountOffset:])
+	now := littleEndian.Uint64(header[batchNowOffset:])
 	if err := checkHeader(size, count, now); err != nil {
 		return Batch{}, buf, err
 	}
@@ -73,8 +81,8 @@
 	if n, err := io.ReadFull(r, buf); err != nil {
 		return Batch{}, buf, frameErrorf("batch", "%d of %d bytes: %w", n, size, io.ErrUnexpectedEOF)
 	}
-	cut := int(count) * eventSize
-	return Batch{Now: micros(now), records: buf[:cut], tail: buf[cut:]}, buf, nil
+	tailStart := int(count) * eventSize
+	return Batch{Now: micros(now), records: buf[:tailStart], tail: buf[tailStart:]}, buf, nil
 }
 
 // checkHeader checks a batch's size in bytes, number of records and time in microseconds.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,20 +8,52 @@
 
 // Codes of the events on the wire.
 const (
-	codeNewInstance = 1
-	codeAsk         = 2
-	codeRunOver     = 3
-	codeBlocked     = 4
-	codeDownstream  = 5
-	codeSigterm     = 6
-	codeHangup      = 7
-	codeWakeup      = 8
-	codeKilled      = 9
+	codeNewInstance   = 1
+	codeRequest       = 2
+	codeCompleted     = 3
+	codeBlocked       = 4
+	codeCallCompleted = 5
+	codeDrain         = 6
+	codeAbandoned     = 7
+	codeTimer         = 8
+	codeKilled        = 9
 )
 
-// Flags of an arrival on the wire.
+// Layout of an event, in bytes. The fields after the request depend on the event's code; a request is
+// at the offset of a drain's deadline, a timer's token and a start's seed.
 const (
-	flagExpectedWork = 1 << iota // the record tells the expected work
+	eventCodeOffset     = 0
+	eventInstanceOffset = 2
+	eventRequestOffset  = 6
+
+	completedOutcomeOffset = 14
+	completedElapsedOffset = 16
+
+	callElapsedOffset = 14
+	callOutcomeOffset = 18
+
+	timerGaugeCountOffset = 14
+	timerGaugesOffset     = 15
+
+	startSettingsOffset = 14 // of the text in the tail: where it begins
+	startLengthOffset   = 18
+
+	requestClassOffset         = 14
+	requestTenantOffset        = 15
+	requestKeyOffset           = 19
+	requestDeadlineOffset      = 27
+	requestExpectedWorkOffset  = 35
+	requestSizeOffset          = 39
+	requestRankOffset          = 43
+	requestFlagsOffset         = 47
+	requestCallerOffset        = 48
+	requestQueueingDelayOffset = 52
+	requestPriorRequestOffset  = 56
+)
+
+// Flags of a request on the wire.
+const (
+	flagExpectedWork = 1 << iota // the record has the expected work
 	flagRetry
 	flagWrite
 )
@@ -50,39 +82,42 @@
 }
 
 // Record decodes event i. The gauges of a timer follow names, the order that the settings of the
-// instance told. It returns a FrameError for a record that is malformed or of an unknown kind.
+// instance give. It returns a FrameError for a record that is malformed or of an unknown kind.
 func (b *Batch) Record(i int, names func(instance uint32) []Gauge) (Record, error) {
 	r := b.records[i*eventSize : (i+1)*eventSize]
-	rec := Record{Instance: littleEndian.Uint32(r[2:])}
+	rec := Record{Instance: littleEndian.Uint32(r[eventInstanceOffset:])}
 	ev := &rec.Event
-	ev.Request = littleEndian.Uint64(r[6:])
-	switch code := littleEndian.Uint16(r); code {
+	ev.Request = littleEndian.Uint64(r[eventRequestOffset:])
+	switch code := littleEndian.Uint16(r[eventCodeOffset:]); code {
 	case codeNewInstance:
 		err := b.decodeStart(i, r, &rec)
 		return rec, err
-	case codeAsk:
+	case codeRequest:
 		decodeArrival(r, ev)
-	case codeRunOver:
+	case codeCompleted:
 		ev.Kind = admission.EventCompleted
-		ev.Outcome = outcomes[littleEndian.Uint16(r[14:])]
-		ev.Elapsed = micros(uint64(littleEndian.Uint32(r[16:])))
+		ev.Outcome = outcomes[littleEndian.Uint16(r[completedOutcomeOffset:])]
+		ev.Elapsed = micros(uint64(littleEndian.Uint32(r[completedElapsedOffset:])))
 	case codeBlocked:
 		ev.Kind = admission.EventBlocked
-	case codeDownstream:
+	case codeCallCompleted:
 		ev.Kind = admission.EventCallCompleted
-		ev.Elapsed = micros(uint64(littleEndian.Uint32(r[14:])))
-		ev.Outcome = outcomes[littleEndian.Uint16(r[18:])]
-	case codeSigterm:
-		ev.Kind, ev.Deadline = admission.EventDrain, micros(littleEndian.Uint64(r[6:]))
-	case codeHangup:
+		ev.Elapsed = micros(uint64(littleEndian.Uint32(r[callElapsedOffset:])))
+		ev.Outcome = outcomes[littleEndian.Uint16(r[callOutcomeOffset:])]
+	case codeDrain:
+		ev.Kind = admission.EventDrain
+		ev.Deadline = micros(ev.Request)
+	case codeAbandoned:
 		ev.Kind = admission.EventAbandoned
-	case codeWakeup:
-		ev.Kind, ev.Token = admission.EventTimer, littleEndian.Uint64(r[6:])
-		n := int(r[14])
-		if 15+4*n > eventSize {
-			return rec, recordErrorf(i, "%d gauges exceed the record", n)
+	case codeTimer:
+		ev.Kind = admission.EventTimer
+		ev.Token = ev.Request
+		count := int(r[timerGaugeCountOffset])
+		gaugesEnd := timerGaugesOffset + count*gaugeSize
+		if gaugesEnd > eventSize {
+			return rec, recordErrorf(i, "%d gauges exceed the record", count)
 		}
-		ev.Gauges = decodeGauges(r[15:15+4*n], names(rec.Instance))
+		ev.Gauges = decodeGauges(r[timerGaugesOffset:gaugesEnd], names(rec.Instance))
 	case codeKilled:
 		rec.Killed = true
 	default:
@@ -91,10 +126,12 @@
 	return rec, nil
 }
 
-// decodeStart decodes the start of an instance, whose settings stand in the tail.
+// decodeStart decodes the start of an instance, whose settings are in the tail.
 func (b *Batch) decodeStart(i int, r []byte, rec *Record) error {
-	rec.Start, rec.Seed = true, littleEndian.Uint64(r[6:])
-	offset, length := uint64(littleEndian.Uint32(r[14:])), uint64(littleEndian.Uint32(r[18:]))
+	rec.Start = true
+	rec.Seed = rec.Event.Request
+	offset := uint64(littleEndian.Uint32(r[startSettingsOffset:]))
+	length := uint64(littleEndian.Uint32(r[startLengthOffset:]))
 	if offset+length > uint64(len(b.tail)) {
 		return recordErrorf(i, "tail range %d+%d exceeds %d bytes", offset, length, len(b.tail))
 	}
@@ -104,20 +141,22 @@
 
 // decodeArrival decodes a request that was read.
 func decodeArrival(r []byte, ev *admission.Event) {
-	flags := r[47]
+	flags := r[requestFlagsOffset]
 	ev.Kind = admission.EventRequest
-	ev.Class = int(r[14])
-	ev.Tenant = int(littleEndian.Uint32(r[15:]))
-	ev.Key = littleEndian.Uint64(r[19:])
-	ev.Deadline = micros(littleEndian.Uint64(r[27:]))
+	ev.Class = int(r[requestClassOffset])
+	ev.Tenant = int(littleEndian.Uint32(r[requestTenantOffset:]))
+	ev.Key = littleEndian.Uint64(r[requestKeyOffset:])
+	ev.Deadline = micros(littleEndian.Uint64(r[requestDeadlineOffset:]))
 	if flags&flagExpectedWork != 0 {
-		ev.ExpectedWork = micros(uint64(littleEndian.Uint32(r[35:])))
+		ev.ExpectedWork = micros(uint64(littleEndian.Uint32(r[requestExpectedWorkOffset:])))
 	}
-	ev.SizeKB, ev.Rank = float(r[39:]), float(r[43:])
-	ev.Retry, ev.Write = flags&flagRetry != 0, flags&flagWrite != 0
-	ev.Caller = littleEndian.Uint32(r[48:])
-	ev.QueueingDelay = micros(uint64(littleEndian.Uint32(r[52:])))
-	ev.PriorRequest = littleEndian.Uint64(r[56:])
+	ev.SizeKB = float(r[requestSizeOffset:])
+	ev.Rank = float(r[requestRankOffset:])
+	ev.Retry = flags&flagRetry != 0
+	ev.Write = flags&flagWrite != 0
+	ev.Caller = littleEndian.Uint32(r[requestCallerOffset:])
+	ev.QueueingDelay = micros(uint64(littleEndian.Uint32(r[requestQueueingDelayOffset:])))
+	ev.PriorRequest = littleEndian.Uint64(r[requestPriorRequestOffset:])
 }
 
 // recordErrorf makes a FrameError of record i.
--- a/internal/simwire/gauges.go
+++ b/internal/simwire/gauges.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 
 	"ryepaddle/internal/admission"
 )
@@ -17,6 +18,9 @@
 	gaugeConnections
 )
 
+// gaugeSize is the size in bytes of a gauge of an event.
+const gaugeSize = 4
+
 // gaugeNames are the gauges by their names on the wire.
 var gaugeNames = map[string]Gauge{
 	"cpu_busy": gaugeCPU,
@@ -26,9 +30,9 @@
 }
 
 func decodeGauges(b []byte, names []Gauge) admission.Gauges {
-	values := make([]float64, 0, 4)
-	for ; len(b) >= 4; b = b[4:] {
-		values = append(values, float(b))
+	values := make([]float64, 0, len(b)/gaugeSize)
+	for encoded := range slices.Chunk(b, gaugeSize) {
+		values = append(values, float(encoded))
 	}
 	return ArrangeGauges(values, names)
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,8 +8,21 @@
 	"ryepaddle/internal/admission"
 )
 
-// codeBroken is the code on the wire that reports a fault of an instance.
-const codeBroken = 77
+// codeFault is the code on the wire that reports a fault of an instance.
+const codeFault = 77
+
+// Layout of an action, in bytes. The fields after the instance depend on the action.
+const (
+	actionCodeOffset       = 0
+	actionInstanceOffset   = 2
+	actionRequestOffset    = 6 // or a value, an idle time or a token
+	actionStaticOffset     = 6
+	actionHealthyOffset    = 7
+	actionDurationOffset   = 14
+	actionNoRetryOffset    = 18
+	actionTextOffset       = 6 // where the text begins in the tail
+	actionTextLengthOffset = 10
+)
 
 // actionCodes are the codes of the actions on the wire, by kind.
 var actionCodes = [...]uint16{
@@ -41,23 +54,24 @@
 // Add appends an instance's action.
 func (p *Reply) Add(instance uint32, a *admission.Action) {
 	r := p.addRecord(actionCodes[a.Kind], instance)
-	littleEndian.PutUint64(r[6:], a.Request)
+	littleEndian.PutUint64(r[actionRequestOffset:], a.Request)
 	switch a.Kind {
 	case admission.ActionReject:
-		littleEndian.PutUint32(r[14:], toMicros(a.Duration))
-		r[18] = toByte(a.NoRetry)
+		littleEndian.PutUint32(r[actionDurationOffset:], toMicros(a.Duration))
+		r[actionNoRetryOffset] = toByte(a.NoRetry)
 	case admission.ActionPlaceCall, admission.ActionRememberKey:
-		littleEndian.PutUint32(r[14:], toMicros(a.Duration))
+		littleEndian.PutUint32(r[actionDurationOffset:], toMicros(a.Duration))
 	case admission.ActionSetHealth:
-		littleEndian.PutUint64(r[6:], 0)
-		r[6], r[7] = toByte(a.Static), toByte(a.Healthy)
+		littleEndian.PutUint64(r[actionRequestOffset:], 0)
+		r[actionStaticOffset] = toByte(a.Static)
+		r[actionHealthyOffset] = toByte(a.Healthy)
 	case admission.ActionAdvertise:
-		littleEndian.PutUint64(r[6:], uint64(math.Float32bits(float32(a.Value))))
+		littleEndian.PutUint64(r[actionRequestOffset:], uint64(math.Float32bits(float32(a.Value))))
 	case admission.ActionCloseIdle:
-		littleEndian.PutUint64(r[6:], uint64(toMicros(a.Duration)))
+		littleEndian.PutUint64(r[actionRequestOffset:], uint64(toMicros(a.Duration)))
 	case admission.ActionTimer:
-		littleEndian.PutUint64(r[6:], a.Token)
-		littleEndian.PutUint32(r[14:], toMicros(a.Duration))
+		littleEndian.PutUint64(r[actionRequestOffset:], a.Token)
+		littleEndian.PutUint32(r[actionDurationOffset:], toMicros(a.Duration))
 	case admission.ActionLog:
 		p.addText(r, a.Text)
 	}
@@ -65,7 +79,7 @@
 
 // Fault reports that an instance's decisions have failed.
 func (p *Reply) Fault(instance uint32, text string) {
-	p.addText(p.addRecord(codeBroken, instance), text)
+	p.addText(p.addRecord(codeFault, instance), text)
 }
 
 func (p *Reply) addRecord(code uint16, instance uint32) []byte {
@@ -73,15 +87,15 @@
 	var zero [actionSize]byte
 	p.records = append(p.records, zero[:]...)
 	r := p.records[n:]
-	littleEndian.PutUint16(r, code)
-	littleEndian.PutUint32(r[2:], instance)
+	littleEndian.PutUint16(r[actionCodeOffset:], code)
+	littleEndian.PutUint32(r[actionInstanceOffset:], instance)
 	return r
 }
 
 // addText puts a record's text into the tail.
 func (p *Reply) addText(r []byte, text string) {
-	littleEndian.PutUint32(r[6:], uint32(len(p.tail)))
-	littleEndian.PutUint32(r[10:], uint32(len(text)))
+	littleEndian.PutUint32(r[actionTextOffset:], uint32(len(p.tail)))
+	littleEndian.PutUint32(r[actionTextLengthOffset:], uint32(len(text)))
 	p.tail = append(p.tail, text...)
 }
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,7 +11,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// maxCount is the largest count that a setting may tell.
+// maxCount is the largest count that a setting may have.
 const maxCount = 1 << 20
 
 // MalformedSettingError is a setting whose text is no value of its kind.
@@ -126,8 +126,8 @@
 	}
 }
 
-// classes reads the classes. What they call, and what their answers earn without it, stand in lists
-// beside them.
+// classes reads the classes. Whether they call the dependency, and the weight of an answer that omits
+// the call, are in lists of their own.
 func (r *settingsReader) classes() (classes []admission.Class) {
 	const callsPath, degradedPath = "Specifics.CallsByClass", "Specifics.ClassSkipWorth"
 	calls, degraded := r.list(callsPath), r.list(degradedPath)
@@ -221,8 +221,8 @@
 	return false
 }
 
-// listLength reads the number of objects in a list. Each of them has a path, so that a list cannot
-// have more objects than there are paths.
+// listLength reads the number of objects in a list. Each of them has a path, so that a valid length is
+// at most the number of paths.
 func (r *settingsReader) listLength(path string) int {
 	n := r.count(path)
 	if n > len(r.values) {
