--- a/internal/telemetry/explain/request_log.go
+++ b/internal/telemetry/explain/request_log.go
@@ -1,8 +1,8 @@
-// Package explain remembers, in bounded memory, what became of recent requests and why. It does no
-// I/O.
+// Package explain keeps recent requests in bounded memory, with their statuses and causes, for queries
+// by the control command "explain". It does no I/O.
 //
-// It is a stratified sample: entries stand in strata, one for each class and status. Once the memory
-// is full, the stratum that is furthest over its part gives up its oldest entry, so that a flood of
+// It is a stratified sample with a stratum for each class and status. Once the memory is full, the
+// stratum that is furthest over its part drops its oldest entry, so that a flood of
 // one kind drops its own entries. Rarer and worse outcomes have a larger part. Of a flood of served
 // requests only a sample is remembered, and the others are counted.
 package explain
@@ -37,6 +37,8 @@
 	maxServedPerSecond = 100
 	// defaultLimit is the most entries that a query without a limit returns.
 	defaultLimit = 20
+	// maxSpareEntries is the unused capacity of a stratum, beyond twice its length, that is not freed.
+	maxSpareEntries = 64
 	// randomStream is the second seed of the sampling.
 	randomStream = 5
 )
@@ -119,7 +121,8 @@
 	r.lastSeq++
 	s.entries = append(s.entries, newEntry(t, r.lastSeq, s.skipped+1))
 	s.skipped = 0
-	if r.len++; r.len > r.capacity {
+	r.len++
+	if r.len > r.capacity {
 		r.dropOldest()
 	}
 }
@@ -155,15 +158,16 @@
 
 func newEntry(t *lifecycle.Trace, seq uint64, represents int) *Entry {
 	e := &Entry{Trace: *t, Seq: seq, Represents: represents}
-	e.ID, e.Key, e.OriginalID = cut(e.ID), cut(e.Key), cut(e.OriginalID)
+	e.ID, e.Key, e.OriginalID = truncateText(e.ID), truncateText(e.Key), truncateText(e.OriginalID)
 	for i := range e.Attempts {
-		e.Attempts[i].Server = cut(e.Attempts[i].Server)
+		e.Attempts[i].Server = truncateText(e.Attempts[i].Server)
 	}
 	return e
 }
 
-// cut bounds a text, and copies it: a part of a received packet would keep all of the packet.
-func cut(s string) string { return strings.Clone(s[:min(len(s), maxTextBytes)]) }
+// truncateText bounds a text, and copies it: a substring of a received packet would keep all of the
+// packet in memory.
+func truncateText(s string) string { return strings.Clone(s[:min(len(s), maxTextBytes)]) }
 
 // dropOldest drops the oldest entry of the stratum that is furthest over its part.
 func (r *RequestLog) dropOldest() {
@@ -181,9 +185,9 @@
 
 // dropFirst drops the oldest entry, and frees memory once much of it is unused.
 func (s *stratum) dropFirst() {
-	const slack = 64
 	s.entries[0] = nil
-	if s.entries = s.entries[1:]; cap(s.entries) > 2*len(s.entries)+slack {
+	s.entries = s.entries[1:]
+	if cap(s.entries) > 2*len(s.entries)+maxSpareEntries {
 		s.entries = slices.Clone(s.entries)
 	}
 }
@@ -196,11 +200,11 @@
 	NotServed bool
 	Cause     lifecycle.Cause
 	From, To  wallclock.UnixMicro // bounds of the time of the answer
-	Limit     int                 // most entries; 0: 20
+	Limit     int                 // most entries; 0: defaultLimit
 }
 
 func (q *Query) matches(e *Entry) bool {
-	id, key := cut(q.ID), cut(q.Key)
+	id, key := truncateText(q.ID), truncateText(q.Key)
 	switch {
 	case id != "" && e.ID != id && e.OriginalID != id,
 		key != "" && e.Key != key,
--- a/internal/telemetry/logging/event.go
+++ b/internal/telemetry/logging/event.go
@@ -12,7 +12,7 @@
 	"ryepaddle/internal/fault"
 )
 
-// defaultRateLimit is the lines of an event that are written in a second.
+// defaultRateLimit is the number of lines of an event that are written in a second.
 const defaultRateLimit = 10
 
 // Event is a kind of log line. Its name and those of its fields are stable: operators search for them.
@@ -31,7 +31,8 @@
 	suppressed int64     // lines that were not written, and not reported yet
 }
 
-// SetRateLimit has a number of lines written in a second, in place of 10. Further ones are counted.
+// SetRateLimit sets how many lines are written in a second, in place of defaultRateLimit. Further ones
+// are suppressed and counted.
 func (e *Event) SetRateLimit(linesPerSecond int) *Event {
 	e.rateLimit = linesPerSecond
 	return e
@@ -47,7 +48,7 @@
 		return
 	}
 	now := time.Now()
-	suppressed, ok := e.pass(now)
+	suppressed, ok := e.allow(now)
 	if suppressed > 0 {
 		eventSuppressed.write(now, e.Name, suppressed)
 	}
@@ -56,16 +57,17 @@
 	}
 }
 
-// pass counts a line, and reports whether it is within the rate limit. suppressed is how many lines
-// before this second were not, if that was not reported yet.
-func (e *Event) pass(now time.Time) (suppressed int64, ok bool) {
+// allow counts a line, and reports whether it is within the rate limit. suppressed is the number of
+// lines before this second that were not, if that was not reported yet.
+func (e *Event) allow(now time.Time) (suppressed int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now.Sub(e.since) >= time.Second {
 		suppressed = e.suppressed
 		e.since, e.passed, e.suppressed = now, 0, 0
 	}
-	if e.passed++; e.passed > e.rateLimit {
+	e.passed++
+	if e.passed > e.rateLimit {
 		e.suppressed++
 		return suppressed, false
 	}
@@ -117,12 +119,15 @@
 	return out
 }
 
+// surplusField is the name of a value for which an event has no field.
+const surplusField = "surplus"
+
 // fieldName returns the name of the field at an index.
 func (e *Event) fieldName(i int) string {
 	if i < len(e.Fields) {
 		return e.Fields[i]
 	}
-	return "surplus"
+	return surplusField
 }
 
 // printable returns the text of a value that has one, unless the handler knows how to write it.
--- a/internal/telemetry/logging/writer.go
+++ b/internal/telemetry/logging/writer.go
@@ -58,8 +58,8 @@
 	done    chan struct{}
 }
 
-// Start has events written to w in a format, by a goroutine. Before that they are written to the
-// standard error output.
+// Start begins to write events to w in a format, on a goroutine of its own. Until then they are written
+// to the standard error output.
 func Start(w io.Writer, format string) *Writer {
 	l := newWriter(w, newHandler(w, format))
 	setOutput(newHandler(l, format))
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -90,8 +90,8 @@
 	m.attempts.WithLabelValues(class).Add(float64(t.AttemptCount))
 }
 
-// maxExemplarID is the most bytes that the OpenMetrics format allows for the ID of an exemplar, beside
-// the name of its label.
+// maxExemplarID is the length in bytes that the OpenMetrics format allows for the ID of an exemplar, in
+// addition to the name of its label.
 const maxExemplarID = 120
 
 // observe adds a latency to a histogram. One that is negative, as the clock was set back, counts as 0.
--- a/internal/telemetry/tracing/file.go
+++ b/internal/telemetry/tracing/file.go
@@ -47,15 +47,16 @@
 		}
 	}
 	if _, err := f.file.Write(b); err != nil {
-		f.cutBack()
+		f.truncate()
 		return fmt.Errorf("traces: %w", err)
 	}
 	f.size += int64(len(b))
 	return nil
 }
 
-// cutBack removes what a failed write left. The error of the write is the one to report.
-func (f *rotatingFile) cutBack() {
+// truncate removes what a failed write left. Its errors are ignored: the caller reports that of the
+// write.
+func (f *rotatingFile) truncate() {
 	_ = f.file.Truncate(f.size)
 	_, _ = f.file.Seek(f.size, io.SeekStart)
 }
--- a/internal/telemetry/tracing/recorder.go
+++ b/internal/telemetry/tracing/recorder.go
@@ -1,6 +1,6 @@
 // Package tracing writes what became of requests as OpenTelemetry spans to a file: one span for a
-// request, one for its wait, one for each attempt. A goroutine makes and writes them; a slow or full
-// disk costs spans, which are counted.
+// request, one for its wait, one for each attempt. A goroutine makes and writes them; with a slow or
+// full disk spans are dropped and counted. Package app records the requests of the program.
 package tracing
 
 import (
@@ -23,7 +23,7 @@
 // Options are what is written, and where.
 type Options struct {
 	Path         string
-	MaxBytes     int64   // of the file; the one before it is kept beside it
+	MaxBytes     int64   // of the file; one older file of this size is kept
 	QueueSize    int     // requests whose spans are not written yet
 	SampleRatio  float64 // part, from 0 to 1, of the requests about which no caller decided
 	MaxPerSecond int     // requests of a class and status
@@ -95,7 +95,8 @@
 	return r, nil
 }
 
-// Record has the spans of a request written that was answered now, if it is sampled. It never waits.
+// Record enqueues a request that was answered now for the writing of its spans, if it is sampled. It
+// never waits.
 func (r *Recorder) Record(t *lifecycle.Trace, now wallclock.UnixMicro) {
 	span := r.SpanContext(t.ID, t.ArrivedAt, t.TraceParent)
 	if !r.sampler.Sample(t, span.Sampled, now) {
--- a/internal/telemetry/tracing/spans.go
+++ b/internal/telemetry/tracing/spans.go
@@ -112,7 +112,7 @@
 // spanIDKey is the key of a context's value that has the ID of the span to start.
 type spanIDKey struct{}
 
-// contextIDs gives spans the IDs of their contexts: servers were told them with the request.
+// contextIDs gives spans the IDs in their contexts, which servers have received with the request.
 type contextIDs struct{}
 
 // NewIDs implements sdk.IDGenerator.
