--- a/internal/match/fields.go
+++ b/internal/match/fields.go
@@ -4,19 +4,26 @@
 	"net/netip"
 )
 
+// Lengths in bytes that the cost of an expression assumes for the short fields.
+const (
+	maxMethodBytes = 64
+	maxSchemeBytes = 8
+	maxNameBytes   = 256 // of a host or a school
+)
+
 // fields are the properties of a request that expressions can name. host has no port.
 var fields = map[string]*node{
-	"method": textField(64, func(r *Request) string { return r.Method }),
+	"method": textField(maxMethodBytes, func(r *Request) string { return r.Method }),
 	"path":   textField(maxFieldBytes, func(r *Request) string { return r.Path }),
 	"query":  textField(maxFieldBytes, func(r *Request) string { return r.Query }),
-	"host":   textField(256, func(r *Request) string { return r.Host }),
-	"scheme": textField(8, func(r *Request) string { return r.Scheme }),
-	"school": textField(256, func(r *Request) string { return r.School }),
+	"host":   textField(maxNameBytes, func(r *Request) string { return r.Host }),
+	"scheme": textField(maxSchemeBytes, func(r *Request) string { return r.Scheme }),
+	"school": textField(maxNameBytes, func(r *Request) string { return r.School }),
 	"length": {resultType: Int, cost: 1, evalInt: func(r *Request) int64 { return r.Length }},
 	"remote": {resultType: Addr, cost: 1, evalAddr: func(r *Request) netip.Addr { return r.Remote }},
 }
 
 // textField returns a node for a text property of at most maxLength bytes.
-func textField(long int, get func(*Request) string) *node {
-	return &node{resultType: Text, cost: 1, maxLength: long, evalText: get}
+func textField(maxLength int, get func(*Request) string) *node {
+	return &node{resultType: Text, cost: 1, maxLength: maxLength, evalText: get}
 }
--- a/internal/match/functions.go
+++ b/internal/match/functions.go
@@ -11,19 +11,23 @@
 
 // Bounds and costs of the functions.
 const (
-	variableLookupCost = 16 // steps to find a variable among the most that a request can have
-	maxArgumentBytes   = 1024
-	maxArguments       = 256 // arguments of a query that are looked at
-	maxFoldBytes       = 512
+	variableLookupCost = 16   // steps to find a variable among the most that a request can have
+	maxArgumentBytes   = 1024 // of the value of a query argument, decoded
+	maxArguments       = 256  // of a query; further ones are ignored
+	argumentCost       = 8    // steps to split off and compare a query argument
+	maxFoldBytes       = 512  // of a text whose case is changed
 	maxPartIndex       = 1000
+	partCost           = 2 // steps to split off a part
 	maxBuckets         = 1_000_000
 	maxNumberBytes     = 20 // digits and sign of the longest 64-bit number
+	// maxEncodedLength is the most bytes that encode one byte of a query argument: %XX.
+	maxEncodedLength = 3
 )
 
-// parameter is what a function takes at one place.
+// parameter describes one parameter of a function.
 type parameter struct {
 	resultType Type
-	constant   bool // it has to be a literal
+	constant   bool // the argument has to be a literal
 }
 
 var (
@@ -100,7 +104,7 @@
 	name := arguments[0].evalText(nil)
 	n.resultType, n.maxLength, n.maxAllocated = Text, maxArgumentBytes, maxArgumentBytes
 	n.evalText = func(r *Request) string { return queryArgument(r.Query, name) }
-	return scanCost(maxFieldBytes) + 8*maxArguments, nil
+	return scanCost(maxFieldBytes) + argumentCost*maxArguments, nil
 }
 
 // buildDefault is default(a, b): the first text, or the second one if the first is empty.
@@ -155,7 +159,7 @@
 	}
 	n.resultType, n.maxLength = Text, text.maxLength
 	n.evalText = func(r *Request) string { return nthPart(text.evalText(r), separator, int(index)) }
-	return scanCost(text.maxLength) + 2*int(index), nil
+	return scanCost(text.maxLength) + partCost*int(index), nil
 }
 
 // buildLength is len(text): the length of a text in bytes.
@@ -210,8 +214,8 @@
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
 		key, value, _ := strings.Cut(pair, "=")
-		// Decoding never makes a text longer, and a byte takes three at the most when encoded.
-		if len(key) > 3*maxArgumentBytes || len(value) > maxArgumentBytes {
+		// Decoding never makes a text longer.
+		if len(key) > maxEncodedLength*maxArgumentBytes || len(value) > maxArgumentBytes {
 			continue
 		}
 		if k, err := url.QueryUnescape(key); err != nil || k != name {
--- a/internal/match/lexer.go
+++ b/internal/match/lexer.go
@@ -32,12 +32,12 @@
 	tokenOperator // an operator or a bracket
 )
 
-// token is one word of the source.
+// token is one lexical element of the source.
 type token struct {
 	kind   tokenKind
-	offset int
-	text   string // of a text: what it stands for
-	number int64
+	offset int    // byte of the source at which it begins
+	text   string // as in the source; of a tokenText the value without quotes and escapes
+	number int64  // value of a tokenNumber
 }
 
 func (t token) String() string {
@@ -77,55 +77,78 @@
 	if !utf8.ValidString(s) {
 		return nil, errorAt(0, "it is not valid UTF-8")
 	}
-	var out []token
+	var tokens []token
 	for i := 0; i < len(s); {
-		c, from := s[i], i
-		switch {
-		case c == ' ' || c == '\t' || c == '\n' || c == '\r':
+		if isSpace(s[i]) {
 			i++
 			continue
-		case c == '"' || c == '\'':
-			text, n, err := lexString(s[i:])
-			if err != nil {
-				return nil, errorAt(i, "%v", err)
-			}
-			i += n
-			out = append(out, token{tokenText, from, text, 0})
-			continue
-		case isDigit(c):
-			for i < len(s) && (isDigit(s[i]) || isLetter(s[i])) {
-				i++
-			}
-			n, err := strconv.ParseInt(s[from:i], 10, 64)
-			if err != nil {
-				return nil, errorAt(from, "%s is no whole number", s[from:i])
-			}
-			out = append(out, token{tokenNumber, from, s[from:i], n})
-			continue
-		case isLetter(c):
-			for i < len(s) && (isDigit(s[i]) || isLetter(s[i])) {
-				i++
-			}
-			kind := tokenName
-			if operatorWords[s[from:i]] {
-				kind = tokenOperator
-			}
-			out = append(out, token{kind, from, s[from:i], 0})
-			continue
 		}
-		n := 1
-		if i+1 < len(s) && s[i+1] == '=' && strings.IndexByte("=!<>", c) >= 0 {
-			n = 2
-		} else if strings.IndexByte("<>()[],+-", c) < 0 {
-			r, _ := utf8.DecodeRuneInString(s[i:])
-			return nil, errorAt(i, "%q means nothing here", r)
+		t, length, err := lexToken(s, i)
+		if err != nil {
+			return nil, err
 		}
-		i += n
-		out = append(out, token{tokenOperator, from, s[from:i], 0})
+		tokens = append(tokens, t)
+		i += length
 	}
-	return append(out, token{tokenEnd, len(s), "", 0}), nil
+	return append(tokens, token{kind: tokenEnd, offset: len(s)}), nil
 }
 
+// lexToken reads the token at an offset, and returns it with its length in the source.
+func lexToken(s string, offset int) (t token, length int, err error) {
+	rest := s[offset:]
+	switch c := rest[0]; {
+	case c == '"' || c == '\'':
+		text, length, err := lexString(rest)
+		if err != nil {
+			return token{}, 0, errorAt(offset, "%v", err)
+		}
+		return token{kind: tokenText, offset: offset, text: text}, length, nil
+	case isDigit(c):
+		digits := lexWord(rest)
+		number, err := strconv.ParseInt(digits, 10, 64)
+		if err != nil {
+			return token{}, 0, errorAt(offset, "%s is no whole number", digits)
+		}
+		return token{tokenNumber, offset, digits, number}, len(digits), nil
+	case isLetter(c):
+		word := lexWord(rest)
+		kind := tokenName
+		if operatorWords[word] {
+			kind = tokenOperator
+		}
+		return token{kind: kind, offset: offset, text: word}, len(word), nil
+	}
+	operator := lexOperator(rest)
+	if operator == "" {
+		r, _ := utf8.DecodeRuneInString(rest)
+		return token{}, 0, errorAt(offset, "%q means nothing here", r)
+	}
+	return token{kind: tokenOperator, offset: offset, text: operator}, len(operator), nil
+}
+
+// lexWord returns the letters and digits at the front of s.
+func lexWord(s string) string {
+	n := 0
+	for n < len(s) && (isDigit(s[n]) || isLetter(s[n])) {
+		n++
+	}
+	return s[:n]
+}
+
+// lexOperator returns the operator or bracket at the front of s, or an empty string.
+func lexOperator(s string) string {
+	if len(s) > 1 && s[1] == '=' && strings.IndexByte("=!<>", s[0]) >= 0 {
+		return s[:2]
+	}
+	if strings.IndexByte("<>()[],+-", s[0]) >= 0 {
+		return s[:1]
+	}
+	return ""
+}
+
+// isSpace reports whether c separates tokens.
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
+
 // isDigit reports whether c is a decimal digit.
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
--- a/internal/match/operators.go
+++ b/internal/match/operators.go
@@ -8,9 +8,15 @@
 	"strings"
 )
 
-// comparisons tells for each comparison whether it holds where the left side is less than, equal to
+// comparison tells whether a comparison operator holds where the left side is less than, equal to
 // and greater than the right side.
-var comparisons = map[string]*[3]bool{
+type comparison [3]bool
+
+// holds evaluates the operator for an order as cmp.Compare returns it: -1, 0 or 1.
+func (c *comparison) holds(order int) bool { return c[1+order] }
+
+// comparisons are the comparison operators.
+var comparisons = map[string]*comparison{
 	"==": {false, true, false},
 	"!=": {true, false, true},
 	"<":  {true, false, false},
@@ -20,17 +26,19 @@
 }
 
 // compareValues compiles a comparison of two numbers or two texts.
-func compareValues(t token, a, b *node, holds *[3]bool) (*node, error) {
+func compareValues(t token, a, b *node, operator *comparison) (*node, error) {
 	if a.resultType != b.resultType {
 		return nil, errorAt(t.offset, "%v is compared with %v", a.resultType, b.resultType)
 	}
 	n := &node{offset: t.offset, resultType: Bool}
 	switch a.resultType {
 	case Int:
-		n.evalBool = func(r *Request) bool { return holds[1+cmp.Compare(a.evalInt(r), b.evalInt(r))] }
+		n.evalBool = func(r *Request) bool { return operator.holds(cmp.Compare(a.evalInt(r), b.evalInt(r))) }
 		return n.withCost(1, a, b)
 	case Text:
-		n.evalBool = func(r *Request) bool { return holds[1+strings.Compare(a.evalText(r), b.evalText(r))] }
+		n.evalBool = func(r *Request) bool {
+			return operator.holds(strings.Compare(a.evalText(r), b.evalText(r)))
+		}
 		return n.withCost(scanCost(min(a.maxLength, b.maxLength)), a, b)
 	}
 	return nil, errorAt(t.offset, "%s does not compare %v", t.text, a.resultType)
@@ -103,20 +111,28 @@
 	if b.resultType != Text || !b.constant {
 		return nil, errorAt(b.offset, "the network has to be written out, as a text")
 	}
-	net, err := netip.ParsePrefix(b.evalText(nil))
+	network, err := netip.ParsePrefix(b.evalText(nil))
 	if err != nil {
 		return nil, errorAt(b.offset, "%q is no network, such as 10.0.0.0/8", b.evalText(nil))
 	}
-	if net != net.Masked() {
-		return nil, errorAt(b.offset, "%v has bits behind its length: is %v meant?", net, net.Masked())
+	if network != network.Masked() {
+		return nil, errorAt(
+			b.offset,
+			"%v has bits behind its length: is %v meant?",
+			network,
+			network.Masked(),
+		)
 	}
 	n := &node{offset: t.offset, resultType: Bool, evalBool: func(r *Request) bool {
 		addr := a.evalAddr(r)
-		return addr.IsValid() && net.Contains(addr.Unmap())
+		return addr.IsValid() && network.Contains(addr.Unmap())
 	}}
-	return n.withCost(2, a, b)
+	return n.withCost(withinCost, a, b)
 }
 
+// withinCost is the cost of testing whether an address belongs to a network, in steps.
+const withinCost = 2
+
 // addValues compiles the sum or difference of two numbers, which saturates at the limits of int64,
 // or the concatenation of two texts.
 func addValues(t token, a, b *node) (*node, error) {
@@ -133,22 +149,21 @@
 	n.evalInt = func(r *Request) int64 {
 		x, y := a.evalInt(r), b.evalInt(r)
 		if t.text == "-" {
-			if y == math.MinInt64 {
-				y++
-			}
-			y = -y
-		}
-		switch s := x + y; {
-		case x > 0 && y > 0 && s < 0:
-			return math.MaxInt64
-		case x < 0 && y < 0 && s >= 0:
-			return math.MinInt64
-		default:
-			return s
+			y = -max(y, -math.MaxInt64) // the smallest number has no negation
 		}
+		return addSaturating(x, y)
 	}
 	return n.withCost(1, a, b)
 }
 
-// maxListLength bounds the values of a list.
-const maxListLength = 256
+// addSaturating adds two numbers; a sum beyond the limits of int64 is the nearest limit.
+func addSaturating(x, y int64) int64 {
+	sum := x + y
+	switch {
+	case x > 0 && y > 0 && sum < 0:
+		return math.MaxInt64
+	case x < 0 && y < 0 && sum >= 0:
+		return math.MinInt64
+	}
+	return sum
+}
--- a/internal/match/parser.go
+++ b/internal/match/parser.go
@@ -12,8 +12,8 @@
 	unavailable []string         // fields that may not be used
 	compiled    map[string]*node // definitions that were used before
 	expanding   map[string]bool  // definitions that are being compiled, to find cycles
-	tokens      []token          // what is left of the source
-	depth       int
+	tokens      []token          // rest of the source
+	depth       int              // levels of nesting, as enter counts them
 }
 
 // newParser returns a parser that has no source yet.
@@ -139,14 +139,12 @@
 		if err := a.expectType(Bool, `what follows "not"`); err != nil {
 			return nil, err
 		}
-		return (&node{
+		negation := &node{
 			offset:     t.offset,
 			resultType: Bool,
 			evalBool:   func(r *Request) bool { return !a.evalBool(r) },
-		}).withCost(
-			1,
-			a,
-		)
+		}
+		return negation.withCost(1, a)
 	}
 	return p.parseComparison()
 }
@@ -172,9 +170,9 @@
 		}
 		return p.parseMembership(t.offset, a, true)
 	}
-	ordered, equal := comparisons[t.text]
-	search, found := textSearches[t.text]
-	if !equal && !found && t.text != "within" {
+	operator, isComparison := comparisons[t.text]
+	search, isSearch := textSearches[t.text]
+	if !isComparison && !isSearch && t.text != "within" {
 		return a, nil
 	}
 	p.next()
@@ -186,10 +184,10 @@
 	switch {
 	case t.text == "within":
 		n, err = withinNetwork(t, a, b)
-	case found:
+	case isSearch:
 		n, err = searchText(t, a, b, search)
 	default:
-		n, err = compareValues(t, a, b, ordered)
+		n, err = compareValues(t, a, b, operator)
 	}
 	if err != nil {
 		return nil, err
@@ -302,14 +300,12 @@
 			return nil, err
 		}
 		want := f.parameters[len(arguments)]
-		if err := a.expectType(
-			want.resultType,
-			fmt.Sprintf("value %d of %s", len(arguments)+1, t.text),
-		); err != nil {
+		place := fmt.Sprintf("value %d of %s", len(arguments)+1, t.text)
+		if err := a.expectType(want.resultType, place); err != nil {
 			return nil, err
 		}
 		if want.constant && !a.constant {
-			return nil, errorAt(a.offset, "value %d of %s has to be written out", len(arguments)+1, t.text)
+			return nil, errorAt(a.offset, "%s has to be written out", place)
 		}
 		arguments = append(arguments, a)
 	}
@@ -329,48 +325,3 @@
 	}
 	return n.withCost(own, arguments...)
 }
-
-// parseMembership parses the list behind in or not in, and compiles the test whether a value is one
-// of it.
-func (p *parser) parseMembership(offset int, a *node, negated bool) (*node, error) {
-	if a.resultType != Int && a.resultType != Text {
-		return nil, errorAt(a.offset, "%v is in no list", a.resultType)
-	}
-	if err := p.expect("["); err != nil {
-		return nil, err
-	}
-	texts, numbers := map[string]bool{}, map[int64]bool{}
-	for !p.accept("]") {
-		if len(texts)+len(numbers) > 0 {
-			if err := p.expect(","); err != nil {
-				return nil, err
-			}
-		}
-		b, err := p.parseValue()
-		if err != nil {
-			return nil, err
-		}
-		switch {
-		case !b.constant || b.resultType != a.resultType:
-			return nil, errorAt(b.offset, "the list is of %v each, written out", a.resultType)
-		case b.resultType == Text && texts[b.evalText(nil)], b.resultType == Int && numbers[b.evalInt(nil)]:
-			return nil, errorAt(b.offset, "it stands twice in the list")
-		case len(texts)+len(numbers) >= maxListLength:
-			return nil, errorAt(b.offset, "the list has more than %d", maxListLength)
-		case b.resultType == Text:
-			texts[b.evalText(nil)] = true
-		default:
-			numbers[b.evalInt(nil)] = true
-		}
-	}
-	if len(texts)+len(numbers) == 0 {
-		return nil, errorAt(offset, "the list is empty")
-	}
-	n := &node{offset: offset, resultType: Bool}
-	if a.resultType == Int {
-		n.evalBool = func(r *Request) bool { return numbers[a.evalInt(r)] != negated }
-		return n.withCost(2, a)
-	}
-	n.evalBool = func(r *Request) bool { return texts[a.evalText(r)] != negated }
-	return n.withCost(scanCost(a.maxLength), a)
-}
--- a/internal/match/rules.go
+++ b/internal/match/rules.go
@@ -7,6 +7,9 @@
 	"strings"
 )
 
+// noRule is the index that is returned where no rule applies.
+const noRule = -1
+
 // Rule selects the requests below a path prefix for which a condition holds.
 type Rule struct {
 	Prefix    string
@@ -43,7 +46,9 @@
 			MaxCost,
 		)
 	}
-	slices.SortStableFunc(t.order, func(a, b int) int { return len(rules[b].Prefix) - len(rules[a].Prefix) })
+	slices.SortStableFunc(t.order, func(a, b int) int {
+		return cmp.Compare(len(rules[b].Prefix), len(rules[a].Prefix)) // descending
+	})
 	return t, nil
 }
 
@@ -70,17 +75,18 @@
 // Cost returns the worst-case cost of a rule's condition in steps.
 func (t *RuleTable) Cost(rule int) int { return t.rules[rule].Condition.Cost() }
 
-// UnreachableRuleError reports a rule that stands behind one that applies to all of its requests.
+// UnreachableRuleError reports a rule that never applies, as an earlier one with the same prefix
+// applies to all of its requests.
 type UnreachableRuleError struct {
 	Rule   int // index of the rule
-	Before int // index of the rule that takes its requests
+	Before int // index of the earlier rule
 }
 
 // Error implements error.
-func (u *UnreachableRuleError) Error() string {
+func (e *UnreachableRuleError) Error() string {
 	return fmt.Sprintf(
 		"no request comes to it: the one of the same path before it, no. %d, takes all",
-		u.Before+1,
+		e.Before+1,
 	)
 }
 
@@ -88,18 +94,23 @@
 // holds, the first one with the longest prefix.
 func (t *RuleTable) Find(r *Request) int {
 	for _, i := range t.order {
-		if rule := &t.rules[i]; hasPathPrefix(
-			r.Path,
-			rule.Prefix,
-		) && (rule.Condition == nil || rule.Condition.Matches(r)) {
+		if t.rules[i].matches(r) {
 			return i
 		}
 	}
-	return -1
+	return noRule
+}
+
+// matches reports whether a request is below the prefix and meets the condition.
+func (r *Rule) matches(request *Request) bool {
+	if !hasPathPrefix(request.Path, r.Prefix) {
+		return false
+	}
+	return r.Condition == nil || r.Condition.Matches(request)
 }
 
 // hasPathPrefix reports whether path is prefix or lies below it.
 func hasPathPrefix(path, prefix string) bool {
-	stem := strings.TrimSuffix(prefix, "/")
-	return path == prefix || len(path) > len(stem) && path[len(stem)] == '/' && path[:len(stem)] == stem
+	rest, found := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
+	return path == prefix || found && strings.HasPrefix(rest, "/")
 }
