--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -44,14 +44,14 @@
 	limits  BufferLimits
 	in, out []byte
 
-	connecting bool // the connect is in progress
-	peerClosed bool // the peer sends no more
-	closing    bool // closed gracefully: input is discarded until the peer closes
-	writeShut  bool // this side was shut down
-	closed     bool // the descriptor is closed
-	dirty      bool // listed to be flushed at the end of the turn
-	paused     bool // reading is paused
-	unwatched  bool // removed from epoll while it is paused
+	connecting  bool // the connect is in progress
+	peerClosed  bool // the peer sends no more
+	closing     bool // closed gracefully: input is discarded until the peer closes
+	writeShut   bool // this side was shut down
+	closed      bool // the descriptor is closed
+	flushQueued bool // listed in Loop.unflushed
+	paused      bool // reading is paused
+	unwatched   bool // removed from epoll while it is paused
 
 	events       uint32        // that epoll waits for
 	stalledSince time.Duration // when the peer stopped taking output; 0: it takes all
@@ -61,16 +61,25 @@
 	onReleased   func()        // called after Handler.Closed
 }
 
-func newConn(l *Loop, fd int, limits BufferLimits, connecting bool) (*Conn, error) {
-	c := &Conn{loop: l, fd: fd, limits: limits, connecting: connecting, events: unix.EPOLLIN}
-	if connecting {
-		c.events = unix.EPOLLOUT
-	}
-	if err := l.watch(fd, c.events, c); err != nil {
-		_ = unix.Close(fd)
-		return nil, err
+// newConn returns an established connection. It takes over the descriptor, also on an error.
+func newConn(l *Loop, fd int, limits BufferLimits) (*Conn, error) {
+	c := &Conn{loop: l, fd: fd, limits: limits, events: unix.EPOLLIN}
+	return c, c.watch()
+}
+
+// newConnecting is newConn for a descriptor whose connect is in progress.
+func newConnecting(l *Loop, fd int, limits BufferLimits) (*Conn, error) {
+	c := &Conn{loop: l, fd: fd, limits: limits, events: unix.EPOLLOUT, connecting: true}
+	return c, c.watch()
+}
+
+// watch has epoll watch a new connection, and closes its descriptor if that fails.
+func (c *Conn) watch() error {
+	err := c.loop.watch(c.fd, c.events, c)
+	if err != nil {
+		_ = unix.Close(c.fd)
 	}
-	return c, nil
+	return err
 }
 
 // ready handles the events that epoll reported.
@@ -118,7 +127,7 @@
 }
 
 func (c *Conn) read() {
-	n, err := unix.Read(c.fd, c.loop.scratch)
+	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 		return
@@ -129,12 +138,13 @@
 		c.peerEnded()
 		return
 	case c.closing:
-		if c.discarded += n; c.discarded > maxDiscardedBytes {
+		c.discarded += n
+		if c.discarded > maxDiscardedBytes {
 			c.Close(ErrInputOverflow)
 		}
 		return
 	}
-	c.deliver(c.loop.scratch[:n])
+	c.deliver(c.loop.readBuffer[:n])
 }
 
 // deliver passes input to the handler and buffers what that does not consume.
@@ -152,7 +162,8 @@
 		return
 	}
 	// The rest is copied to a buffer of the connection itself; an idle connection holds none.
-	if c.in = append(c.in[:0], data[used:]...); len(c.in) == 0 {
+	c.in = append(c.in[:0], data[used:]...)
+	if len(c.in) == 0 {
 		c.in = nil
 	}
 	if len(c.in) > c.limits.In {
@@ -165,10 +176,10 @@
 // that was flushed. A server that ends has nothing more to wait for.
 func (c *Conn) peerEnded() {
 	c.peerClosed = true
-	wanted := !c.closing && c.handler.End()
+	keepOpen := !c.closing && c.handler.End()
 	switch {
 	case c.closed:
-	case wanted:
+	case keepOpen:
 		c.rearm()
 	case c.dialled || len(c.out) == 0:
 		c.Close(io.EOF)
@@ -197,9 +208,9 @@
 
 // scheduleFlush lists the connection to be flushed at the end of the turn.
 func (c *Conn) scheduleFlush() {
-	if !c.dirty && !c.connecting {
-		c.dirty = true
-		c.loop.dirty = append(c.loop.dirty, c)
+	if !c.flushQueued && !c.connecting {
+		c.flushQueued = true
+		c.loop.unflushed = append(c.loop.unflushed, c)
 	}
 }
 
@@ -214,6 +225,9 @@
 	}
 }
 
+// Buffered returns the input that was received and is not consumed yet.
+func (c *Conn) Buffered() []byte { return c.in }
+
 // QueuedBytes returns the size of the output that the peer has not taken yet.
 func (c *Conn) QueuedBytes() int { return len(c.out) }
 
@@ -294,7 +308,9 @@
 			c.Close(fmt.Errorf("write: %w", err))
 			return
 		default:
-			c.out, c.stalledSince = c.out[:copy(c.out, c.out[n:])], 0
+			remaining := copy(c.out, c.out[n:])
+			c.out = c.out[:remaining]
+			c.stalledSince = 0
 			if c.onFlushed != nil {
 				c.onFlushed()
 			}
@@ -327,7 +343,8 @@
 		if c.paused {
 			return
 		}
-		c.unwatched, c.events = false, events
+		c.unwatched = false
+		c.events = events
 		if err := c.loop.watch(c.fd, events, c); err != nil {
 			c.Close(err)
 		}
@@ -338,6 +355,3 @@
 		c.loop.rewatch(c.fd, events)
 	}
 }
-
-// Buffered returns the input that was received and is not consumed yet.
-func (c *Conn) Buffered() []byte { return c.in }
--- a/internal/eventloop/conn_close.go
+++ b/internal/eventloop/conn_close.go
@@ -27,7 +27,9 @@
 		return
 	}
 	// Reading resumes if it was paused: a close with unread input would reset the connection.
-	c.closing, c.paused, c.in = true, false, nil
+	c.closing = true
+	c.paused = false
+	c.in = nil
 	c.rearm()
 	c.closeTimer = c.loop.After(flushTimeout, func() { c.Close(ErrSlowPeer) })
 	c.scheduleFlush()
@@ -39,12 +41,13 @@
 	if c.closed || c.connecting {
 		return
 	}
-	if c.flush(); c.closed {
+	c.flush()
+	if c.closed {
 		return
 	}
 	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails where the peer has reset the connection
 	for range maxDiscardedBytes / readChunkBytes {
-		if n, err := unix.Read(c.fd, c.loop.scratch); n <= 0 || err != nil {
+		if n, err := unix.Read(c.fd, c.loop.readBuffer); n <= 0 || err != nil {
 			return
 		}
 	}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -30,11 +30,13 @@
 	if err != nil {
 		return l.failedConn(h, err)
 	}
-	c, err := newConn(l, fd, limits, true)
+	c, err := newConnecting(l, fd, limits)
 	if err != nil {
 		return l.failedConn(h, &ConnectionRefusedError{err})
 	}
-	c.handler, c.remote, c.dialled = h, addr.IP, true
+	c.handler = h
+	c.remote = addr.IP
+	c.dialled = true
 	return c
 }
 
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -15,7 +15,7 @@
 	maxAcceptsPerTurn = 64
 	// listenBacklog is how many connections may wait in the system's queue.
 	listenBacklog = 1024
-	// acceptPause is how long accepting rests after the system ran out of a resource.
+	// acceptPause is how long no connection is accepted after the system ran out of a resource.
 	acceptPause = 50 * time.Millisecond
 	// handshakeTime is how long a handshake that has begun is given to end before its listener
 	// closes.
@@ -46,24 +46,29 @@
 // ListenShared is Listen on an address on which other processes of the same user may listen too.
 // The system spreads connections over all of them.
 func (l *Loop) ListenShared(addr netip.AddrPort, config ListenConfig) (*Listener, error) {
-	return l.listen(netaddr.Addr{IP: addr}, true, config)
+	ln := l.newListener(config)
+	ln.shared = true
+	return ln.listenOn(netaddr.Addr{IP: addr})
 }
 
 // ListenAddr is Listen on an IP address or a unix socket. The file of a unix socket on which no
 // process listens any more is replaced.
 func (l *Loop) ListenAddr(addr netaddr.Addr, config ListenConfig) (*Listener, error) {
-	return l.listen(addr, false, config)
+	return l.newListener(config).listenOn(addr)
 }
 
-func (l *Loop) listen(addr netaddr.Addr, shared bool, config ListenConfig) (*Listener, error) {
-	ln := &Listener{
+func (l *Loop) newListener(config ListenConfig) *Listener {
+	return &Listener{
 		loop:    l,
 		maxOpen: config.MaxOpen,
 		limits:  config.Limits,
 		accept:  config.Accept,
 		onFull:  config.OnFull,
-		shared:  shared,
 	}
+}
+
+// listenOn opens the listener on an address.
+func (ln *Listener) listenOn(addr netaddr.Addr) (*Listener, error) {
 	if err := ln.open(addr); err != nil {
 		return nil, fmt.Errorf("listen %v: %w", addr, err)
 	}
@@ -101,7 +106,8 @@
 	if err := unix.Bind(ln.fd, sockaddr); err != nil {
 		return err
 	}
-	if ln.path = addr.Path; ln.path != "" {
+	ln.path = addr.Path
+	if ln.path != "" {
 		if err := unix.Chmod(ln.path, unixSocketMode); err != nil {
 			return err
 		}
@@ -110,8 +116,8 @@
 		return err
 	}
 	if ln.shared {
-		// A filter that a replaced process attached to the address would lead all connections here,
-		// and none to the processes that go on.
+		// HandOver of a replaced process attached a filter to the address, which would route all
+		// connections to this process alone.
 		_ = unix.SetsockoptInt(ln.fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0)
 	}
 	return nil
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -21,8 +21,8 @@
 	accept    func(*Conn) Handler
 	onFull    func()
 	paused    bool // epoll does not watch the queue
-	shared    bool // with other processes
-	draining  bool // closes when the queue is empty
+	shared    bool // other processes may listen on the address too
+	draining  bool // it closes when the queue is empty
 }
 
 // LocalAddr returns the address it listens on.
@@ -108,7 +108,7 @@
 	if ln.path == "" {
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	}
-	c, err := newConn(ln.loop, fd, ln.limits, false)
+	c, err := newConn(ln.loop, fd, ln.limits)
 	if err != nil {
 		return
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-// HandOver makes the system lead new connections to the process that began to listen after this
-// one, and closes the listener once the handshakes that it was led before are over: closing it at
+// HandOver makes the system route new connections to the process that began to listen after this
+// one, and closes the listener once the handshakes that were routed to it are over: closing it at
 // once would reset them. If the system cannot do so, the listener closes at once.
 func (ln *Listener) HandOver() {
 	if ln.fd < 0 {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -4,6 +4,7 @@
 package eventloop
 
 import (
+	"encoding/binary"
 	"errors"
 	"fmt"
 	"os"
@@ -23,7 +24,8 @@
 	maxEventsPerTurn = 256
 	// maxPollTimeout is the longest wait of a turn without a timer that is due.
 	maxPollTimeout = time.Second
-	clockOrigin    = time.Second // what the clock shows at its start, so that 0 can mean "never"
+	// clockOrigin is the clock's time at the start of the loop, so that 0 can mean "never".
+	clockOrigin = time.Second
 )
 
 // source is a descriptor's owner, which handles the events of epoll.
@@ -31,8 +33,8 @@
 	ready(events uint32)
 }
 
-// registration is a watched descriptor. Its generation tells it from an earlier one of the same
-// number.
+// registration is a watched descriptor. Its generation distinguishes it from an earlier one
+// of the same number.
 type registration struct {
 	source     source
 	generation int32
@@ -45,7 +47,7 @@
 type Loop struct {
 	epollFD    int
 	clock      Clock
-	stepped    bool // the clock's owner says when time passes, so that no turn waits for it
+	stepped    bool // a test advances the clock, so that no turn waits for time to pass
 	start      time.Time
 	now        time.Duration
 	unix       wallclock.UnixMicro
@@ -53,8 +55,8 @@
 	generation int32
 	timers     timerHeap
 	posted     []func()
-	dirty      []*Conn
-	scratch    []byte
+	unflushed  []*Conn // connections with output that was queued in this turn
+	readBuffer []byte  // shared by all connections
 	events     [maxEventsPerTurn]unix.EpollEvent
 	stopped    bool
 
@@ -63,29 +65,35 @@
 	delivered []func()
 }
 
-// New returns a loop that goes by the system's clock. The caller must Close it.
-func New() (*Loop, error) { return newLoop(wallclock.Now, false) }
+// New returns a loop that uses the system's clock. The caller must Close it.
+func New() (*Loop, error) { return newLoop(wallclock.Now) }
 
-// NewStepped returns a loop for tests: it goes by a clock that its owner steps, and its turns serve
+// NewStepped returns a loop for tests: it uses a clock that the test advances, and its turns serve
 // what is ready and due without waiting.
-func NewStepped(clock Clock) (*Loop, error) { return newLoop(clock, true) }
+func NewStepped(clock Clock) (*Loop, error) {
+	l, err := newLoop(clock)
+	if err != nil {
+		return nil, err
+	}
+	l.stepped = true
+	return l, nil
+}
 
-func newLoop(clock Clock, stepped bool) (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+func newLoop(clock Clock) (*Loop, error) {
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("loop: epoll: %w", err)
 	}
 	l := &Loop{
-		epollFD: ep,
-		clock:   clock,
-		stepped: stepped,
-		start:   clock(),
-		table:   map[int]registration{},
-		scratch: make([]byte, readChunkBytes),
+		epollFD:    epollFD,
+		clock:      clock,
+		start:      clock(),
+		table:      map[int]registration{},
+		readBuffer: make([]byte, readChunkBytes),
 	}
 	l.readClock()
 	if l.wakeFD, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
-		_ = unix.Close(ep)
+		_ = unix.Close(epollFD)
 		return nil, fmt.Errorf("loop: eventfd: %w", err)
 	}
 	if err := l.watch(l.wakeFD, unix.EPOLLIN, readyFunc(l.takeDelivered)); err != nil {
@@ -107,7 +115,8 @@
 // readClock reads the clock for the turn that begins.
 func (l *Loop) readClock() {
 	t := l.clock()
-	l.now, l.unix = t.Sub(l.start).Truncate(time.Microsecond)+clockOrigin, wallclock.FromTime(t)
+	l.now = clockOrigin + t.Sub(l.start).Truncate(time.Microsecond)
+	l.unix = wallclock.FromTime(t)
 }
 
 // Post calls fn later in this turn, after the current callback.
@@ -152,7 +161,8 @@
 }
 
 // AwaitReady waits up to the given time until a descriptor is ready, and reports whether one is. It
-// does not serve it. With a stepped clock a test can so put a timer and a descriptor into one turn.
+// does not serve it. A test with a stepped clock uses it to have a timer and a descriptor served in
+// one turn.
 func (l *Loop) AwaitReady(within time.Duration) (bool, error) {
 	fds := []unix.PollFd{{Fd: int32(l.epollFD), Events: unix.POLLIN}}
 	for {
@@ -165,14 +175,16 @@
 
 // settle runs posted functions and flushes the output of the turn.
 func (l *Loop) settle() {
-	for len(l.posted) > 0 || len(l.dirty) > 0 {
-		posted, dirty := l.posted, l.dirty
-		l.posted, l.dirty = nil, nil
+	for len(l.posted) > 0 || len(l.unflushed) > 0 {
+		posted := l.posted
+		unflushed := l.unflushed
+		l.posted = nil
+		l.unflushed = nil
 		for _, fn := range posted {
 			fn()
 		}
-		for _, c := range dirty {
-			c.dirty = false
+		for _, c := range unflushed {
+			c.flushQueued = false
 			c.flush()
 		}
 	}
@@ -240,13 +252,16 @@
 	}
 }
 
+// eventfdIncrement makes an eventfd readable: the number 1 in 64 bits.
+var eventfdIncrement = binary.NativeEndian.AppendUint64(nil, 1)
+
 // Deliver calls fn on the loop. It is the only method for other goroutines.
 func (l *Loop) Deliver(fn func()) {
 	l.mu.Lock()
 	l.delivered = append(l.delivered, fn)
 	l.mu.Unlock()
 	// fails only while a wake-up is pending
-	_, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	_, _ = unix.Write(l.wakeFD, eventfdIncrement)
 }
 
 // takeDelivered runs the functions that other goroutines delivered.
