--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -21,9 +21,12 @@
 
 // Idle connections.
 const (
+	// maxIdleConnections bounds the connections that are kept for further calls.
 	maxIdleConnections = 8
-	// idleTimeout is below the back end's own of 10 s, so that few calls cross its close.
-	idleTimeout       = 2 * time.Second
+	// idleTimeout is below that of the back end, which is 10 s, so that the back end rarely closes
+	// a connection while a call is sent on it.
+	idleTimeout = 2 * time.Second
+	// idleSweepInterval is how often idle connections are checked for idleTimeout.
 	idleSweepInterval = 500 * time.Millisecond
 )
 
@@ -40,8 +43,8 @@
 	CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took time.Duration)
 }
 
-// Pool owns the connections to the back end. It implements lifecycle.Dependency. All methods are to be
-// called on the event loop.
+// Pool owns the connections to the back end. It implements lifecycle.Dependency. All methods are to
+// be called on the event loop.
 type Pool struct {
 	loop           *eventloop.Loop
 	addr           netip.AddrPort
@@ -61,7 +64,7 @@
 	startedAt time.Duration
 	overtaken int // later calls whose replies came before its own
 	timer     *eventloop.Timer
-	conn      *connection // nil: it was rejected for want of a connection
+	conn      *connection // nil: it was rejected, as no connection was available
 }
 
 // New returns a pool for the back end at addr.
@@ -74,7 +77,8 @@
 	}
 }
 
-// SetMaxConnections bounds the connections that are open at once, up to MaxConnections. Open ones stay.
+// SetMaxConnections bounds the connections that are open at once, up to MaxConnections. Open ones
+// stay.
 func (p *Pool) SetMaxConnections(n int) { p.maxConnections = min(n, MaxConnections) }
 
 // Start sets where the ends of calls are reported.
@@ -91,8 +95,9 @@
 	}
 }
 
-// SetAddress sets the address of the back end. Calls in flight may end on their connections, which carry
-// no further call. A call whose connection is not established was not sent, and ends as unreachable.
+// SetAddress sets the address of the back end. Calls in flight may end on their connections, which
+// carry no further call. A call whose connection is not established was not sent, and ends as
+// unreachable.
 func (p *Pool) SetAddress(addr netip.AddrPort) {
 	if addr == p.addr {
 		return
@@ -129,8 +134,9 @@
 	p.end(c, lifecycle.TimedOut, nil)
 }
 
-// Call implements lifecycle.Dependency. A call that may not be made twice gets a new connection: an idle
-// one may have been closed by the back end, and its break would not prove that the call never ran.
+// Call implements lifecycle.Dependency. A call that may not be made twice gets a new connection: an
+// idle one may have been closed by the back end, and its break would not prove that the call never
+// ran.
 func (p *Pool) Call(a *lifecycle.Attempt, body []byte, timeout time.Duration) {
 	p.CancelCall(a)
 	p.lastNumber++
@@ -165,8 +171,8 @@
 	return c
 }
 
-// takeIdle returns the most recently used idle connection, or nil. A connection on which anything was
-// received since the last reply is closed: it would be taken for the next reply.
+// takeIdle returns the most recently used idle connection, or nil. A connection on which anything
+// was received since the last reply is closed: it would be taken for the next reply.
 func (p *Pool) takeIdle() *connection {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
@@ -179,7 +185,8 @@
 	return nil
 }
 
-// closeOldestIdle closes the connection that was idle for longest, if any. Its place is free at once.
+// closeOldestIdle closes the connection that was idle for longest, if any. Its place is free at
+// once.
 func (p *Pool) closeOldestIdle() {
 	if len(p.idle) == 0 {
 		return
--- a/internal/platform/backend/connection.go
+++ b/internal/platform/backend/connection.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// readReply reads the reply to the call. The connection is kept only if nothing is left on it, since the
-// rest would be read as the next reply.
+// readReply reads the reply to the call. The connection is kept only if nothing is left on it,
+// since the rest would be read as the next reply.
 func (c *connection) readReply(b []byte, end bool) (used int, err error) {
 	if c.call == nil {
 		return 0, errUnexpectedReply
@@ -72,7 +72,7 @@
 		c.conn.Close(nil)
 	}
 	p.end(call, outcomeOf(r), r.body)
-	p.giveUpOvertaken(call)
+	p.abandonOvertaken(call)
 	return used, nil
 }
 
--- a/internal/platform/backend/overtaken.go
+++ b/internal/platform/backend/overtaken.go
@@ -2,19 +2,23 @@
 
 import "ryepaddle/internal/lifecycle"
 
-// A call whose reply is lost would hold its share of the back end until its timeout, while later calls
-// wait. It is given up when enough later calls have been replied to and it takes far longer than usual.
-// If the back end itself is slow, later calls are as slow, and none is overtaken.
+// A call whose reply is lost would occupy the back end's capacity until its timeout, while later
+// calls wait. It is abandoned when enough later calls have been replied to and it takes far longer
+// than the mean. If the back end itself is slow, later calls are as slow, and none is overtaken.
 const (
-	overtakenLimit      = 8 // replies to later calls
-	latencyFactor       = 8 // mean durations of a call
-	nonIdempotentFactor = 2 // on both limits, for a call that may not be made again
-	meanGain            = 0.05
+	// overtakenLimit is how many later calls have been replied to before a call is abandoned.
+	overtakenLimit = 8
+	// latencyFactor is how many times the mean latency a call takes before it is abandoned.
+	latencyFactor = 8
+	// nonIdempotentFactor multiplies both limits for a call that may not be made again.
+	nonIdempotentFactor = 2
+	// meanGain is the weight of a new duration in the moving mean.
+	meanGain = 0.05
 )
 
-// giveUpOvertaken records that a call was replied to, and ends the earlier calls whose replies must have
-// been lost. They may have run.
-func (p *Pool) giveUpOvertaken(by *call) {
+// abandonOvertaken records that a call was replied to, and ends the earlier calls whose replies
+// must have been lost. They may have run.
+func (p *Pool) abandonOvertaken(by *call) {
 	now := p.loop.Now()
 	took := float64((now - by.startedAt).Microseconds())
 	if p.meanLatency == 0 {
@@ -32,8 +36,9 @@
 			factor = nonIdempotentFactor
 		}
 		c.overtaken++
-		overdue := float64((now - c.startedAt).Microseconds()) > p.meanLatency*float64(latencyFactor*factor)
-		if c.overtaken >= overtakenLimit*factor && overdue {
+		elapsed := float64((now - c.startedAt).Microseconds())
+		isOverdue := elapsed > p.meanLatency*float64(latencyFactor*factor)
+		if c.overtaken >= overtakenLimit*factor && isOverdue {
 			lost = append(lost, c)
 		}
 	}
--- a/internal/platform/backend/reply.go
+++ b/internal/platform/backend/reply.go
@@ -22,8 +22,8 @@
 // errBodyTooLong reports a reply of more than maxBodyBytes.
 var errBodyTooLong = errors.New("body over its limit")
 
-// parseReply decodes a response from the front of b and returns how many bytes it takes, or 0 if b holds
-// only a part of it. A body without a stated length ends with the stream, which end reports.
+// parseReply decodes a response from the front of b and returns how many bytes it takes, or 0 if b
+// holds only a part of it. A body without a stated length ends with the stream, which end reports.
 func parseReply(b []byte, end bool) (reply, int, error) {
 	head, headSize, err := httpmessage.Read(b)
 	if err != nil || headSize == 0 {
--- a/internal/platform/engine/connection.go
+++ b/internal/platform/engine/connection.go
@@ -9,8 +9,8 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// connection is one connection to the engine. There are two while a new one is dialed beside the current
-// one. It implements eventloop.Handler.
+// connection is one connection to the engine. There are two while a new one is dialed beside the
+// current one. It implements eventloop.Handler.
 type connection struct {
 	link      *Link
 	conn      *eventloop.Conn
@@ -18,66 +18,69 @@
 }
 
 // Connected implements eventloop.Handler.
-func (w *connection) Connected() {
-	k := w.link
-	if k.dialing != w {
-		w.conn.Close(nil)
+func (c *connection) Connected() {
+	link := c.link
+	if link.dialing != c {
+		c.conn.Close(nil)
 		return
 	}
-	old := k.current
-	k.current, k.dialing, w.startedAt = w, nil, k.loop.Now()
+	old := link.current
+	link.current = c
+	link.dialing = nil
+	c.startedAt = link.loop.Now()
 	if old != nil { // its unread notices are sent again on the new connection
 		old.conn.Close(nil)
-		k.connectionLost()
+		link.connectionLost()
 	}
-	k.state = stateAttaching
-	k.write(attachCommand{Type: typeAttach, LastNotice: k.lastNotice})
+	link.state = stateAttaching
+	link.write(attachCommand{Type: typeAttach, LastNotice: link.lastNotice})
 }
 
 // End implements eventloop.Handler.
-func (w *connection) End() bool { return false }
+func (c *connection) End() bool { return false }
 
 // Closed implements eventloop.Handler.
-func (w *connection) Closed(err error) {
-	k := w.link
-	switch w {
-	case k.current:
+func (c *connection) Closed(err error) {
+	link := c.link
+	switch c {
+	case link.current:
 		eventLinkLost.Log(err)
-		k.current, k.state = nil, stateDown
-		k.connectionLost()
+		link.current = nil
+		link.state = stateDown
+		link.connectionLost()
 		// A connection that was established is replaced at once, since runs of the engine wait for
 		// their calls; one that broke at once is dialed again after a delay.
-		if k.loop.Now()-w.startedAt > redialDelay {
-			k.loop.Post(k.redial)
+		if link.loop.Now()-c.startedAt > redialDelay {
+			link.loop.Post(link.redial)
 		} else {
-			k.loop.After(redialDelay, k.redial)
+			link.loop.After(redialDelay, link.redial)
 		}
-	case k.dialing:
-		k.dialing = nil
-		k.loop.After(redialDelay, k.redial)
+	case link.dialing:
+		link.dialing = nil
+		link.loop.After(redialDelay, link.redial)
 	}
 }
 
 // Data implements eventloop.Handler.
-func (w *connection) Data(b []byte) (used int, err error) {
-	k := w.link
+func (c *connection) Data(b []byte) (used int, err error) {
+	link := c.link
 	for {
 		i := bytes.IndexByte(b[used:], '\n')
-		if i < 0 || w.conn.IsClosed() || k.current != w {
+		if i < 0 || c.conn.IsClosed() || link.current != c {
 			return used, nil
 		}
 		line := b[used : used+i]
 		used += i + 1
 		var m notice
 		if err := json.Unmarshal(line, &m); err != nil {
-			if k.unreadableAfter == k.lastNotice { // it recurs on a new connection
-				eventNoticeUnread.Log(k.lastNotice, err)
+			if link.unreadableAfter == link.lastNotice { // it recurs on a new connection
+				eventNoticeInvalid.Log(link.lastNotice, err)
 				continue
 			}
-			k.unreadableAfter = k.lastNotice
+			link.unreadableAfter = link.lastNotice
 			return used, fmt.Errorf("notice: %w", err)
 		}
-		if err := k.handle(&m); err != nil {
+		if err := link.handle(&m); err != nil {
 			return used, err
 		}
 	}
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -1,7 +1,8 @@
-// Package engine is the link to the platform's engine, which runs requests of the platform's frontend.
-// The protocol is one JSON object a line (operators' protocol page, "engine"). The link may break and
-// be replaced at any time: notices of the engine are numbered, and a new connection attaches after the
-// last one that was handled; commands are kept until the engine is known to have read them.
+// Package engine is the link to the platform's engine, which runs requests of the platform's
+// frontend. The protocol is one JSON object a line (operators' protocol page, "engine"). The link
+// may break and be replaced at any time: notices of the engine are numbered, and a new connection
+// attaches after the last one that was handled; commands are kept until the engine is known to have
+// read them.
 package engine
 
 import (
@@ -23,7 +24,7 @@
 	eventLinkUp          = logging.Define("engine.link_up", slog.LevelInfo, "status", "last_notice", "pending")
 	eventLinkLost        = logging.Define("engine.link_lost", slog.LevelWarn, "error")
 	eventRunLost         = logging.Define("engine.run_lost", slog.LevelWarn, "request")
-	eventNoticeUnread    = logging.Define("engine.notice_invalid", slog.LevelWarn, "after", "error")
+	eventNoticeInvalid   = logging.Define("engine.notice_invalid", slog.LevelWarn, "after", "error")
 	eventNoticesMissing  = logging.Define("engine.notices_missing", slog.LevelWarn, "first", "last")
 	eventCommandRejected = logging.Define("engine.command_rejected", slog.LevelWarn, "command", "request")
 )
@@ -43,7 +44,7 @@
 	gaugesTimeout   = 10 * time.Millisecond  // a measurement waits no longer for an answer
 	checkTimeout    = 5 * time.Second        // of a deep health check
 	runLostAfter    = time.Minute            // after its deadline a silent run is lost
-	sweepInterval   = responseTimeout / 6    // of all of these timeouts
+	sweepInterval   = responseTimeout / 6    // how often these timeouts are checked
 )
 
 // Errors with which the link closes connections.
@@ -62,18 +63,22 @@
 	NeedsCall(*lifecycle.Attempt, []byte)
 }
 
+// noNotice is below the number of every notice.
+const noNotice = -1
+
 // linkState is the state of the current connection.
 type linkState uint8
 
 const (
-	stateDown       linkState = iota // there is none
-	stateAttaching                   // ATTACH was sent
-	stateCatchingUp                  // HELLO was received; the answer to a probe follows all kept notices
-	stateLive                        // commands are sent
+	stateDown      linkState = iota // there is none
+	stateAttaching                  // ATTACH was sent
+	// HELLO was received; the answer to a probe follows all kept notices
+	stateCatchingUp
+	stateLive // commands are sent
 )
 
-// Link owns the connections to the engine. It implements lifecycle.Resumer. All methods are to be called
-// on the event loop.
+// Link owns the connections to the engine. It implements lifecycle.Resumer. All methods are to be
+// called on the event loop.
 type Link struct {
 	loop         *eventloop.Loop
 	addr         netip.AddrPort
@@ -83,11 +88,12 @@
 	current *connection // the engine is attached on it; nil: none
 	dialing *connection // nil: none
 	state   linkState
-	everUp  bool
+	everUp  bool // an engine has answered since the start
 
 	lastNotice int64 // number of the last notice that was handled
-	// gapAfter is the notice after which numbers were missing, and unreadableAfter the one after which
-	// a line could not be decoded; -1: none. What recurs on a new connection is skipped.
+	// gapAfter is the notice after which numbers were missing, and unreadableAfter the one after
+	// which a line could not be decoded; noNotice: none. What recurs on a new connection is
+	// skipped.
 	gapAfter        int64
 	unreadableAfter int64
 
@@ -110,8 +116,8 @@
 		loop:            l,
 		addr:            addr,
 		decodeGauges:    decodeGauges,
-		gapAfter:        -1,
-		unreadableAfter: -1,
+		gapAfter:        noNotice,
+		unreadableAfter: noNotice,
 		runs:            map[string]*run{},
 		gauges:          lifecycle.UnknownGauges(),
 		checks:          map[string]func(bool){},
@@ -119,71 +125,72 @@
 }
 
 // Start connects, and reconnects from then on.
-func (k *Link) Start(sink Sink) {
-	k.sink = sink
-	k.dial()
-	k.loop.Every(sweepInterval, k.checkTimeouts)
+func (link *Link) Start(sink Sink) {
+	link.sink = sink
+	link.dial()
+	link.loop.Every(sweepInterval, link.checkTimeouts)
 }
 
 // checkTimeouts closes connections on which the engine is silent, and ends lost runs.
-func (k *Link) checkTimeouts() {
-	now := k.loop.Now()
-	probeOverdue := k.probeSentAt != 0 && now-k.probeSentAt > responseTimeout
+func (link *Link) checkTimeouts() {
+	now := link.loop.Now()
+	probeOverdue := link.probeSentAt != 0 && now-link.probeSentAt > responseTimeout
 	switch {
-	case k.state >= stateCatchingUp && probeOverdue:
-		k.current.conn.Close(errNoAnswer)
+	case link.state >= stateCatchingUp && probeOverdue:
+		link.current.conn.Close(errNoAnswer)
 	// An engine that starts may take long to answer; one that was up before has no reason to.
-	case k.state == stateAttaching && k.everUp && now-k.current.startedAt > responseTimeout:
-		k.current.conn.Close(errNoHello)
+	case link.state == stateAttaching && link.everUp && now-link.current.startedAt > responseTimeout:
+		link.current.conn.Close(errNoHello)
 	}
-	if k.dialing != nil && now-k.dialing.startedAt > dialTimeout {
-		k.dialing.conn.Close(errNoConnection)
+	if link.dialing != nil && now-link.dialing.startedAt > dialTimeout {
+		link.dialing.conn.Close(errNoConnection)
 	}
-	k.endLostRuns(runLostAfter)
+	link.endLostRuns(runLostAfter)
 }
 
 // IsConnected reports whether the engine takes commands.
-func (k *Link) IsConnected() bool { return k.state == stateLive }
+func (link *Link) IsConnected() bool { return link.state == stateLive }
 
-// SetAddress sets the engine's address. The current connection serves until one to the new address is
-// established; notices and commands continue there.
-func (k *Link) SetAddress(addr netip.AddrPort) {
-	if addr == k.addr {
+// SetAddress sets the engine's address. The current connection serves until one to the new address
+// is established; notices and commands continue there.
+func (link *Link) SetAddress(addr netip.AddrPort) {
+	if addr == link.addr {
 		return
 	}
-	k.addr = addr
-	if old := k.dialing; old != nil {
-		k.dialing = nil
+	link.addr = addr
+	if old := link.dialing; old != nil {
+		link.dialing = nil
 		old.conn.Close(errMoved)
 	}
-	k.dial()
+	link.dial()
 }
 
 // dial opens a connection unless one is being opened.
-func (k *Link) dial() {
-	if k.dialing != nil {
+func (link *Link) dial() {
+	if link.dialing != nil {
 		return
 	}
 	limits := eventloop.BufferLimits{In: maxLineBytes, Out: maxQueuedBytes}
-	k.dialing = &connection{link: k, startedAt: k.loop.Now()}
-	k.dialing.conn = k.loop.Dial(k.addr, limits, k.dialing)
+	link.dialing = &connection{link: link, startedAt: link.loop.Now()}
+	link.dialing.conn = link.loop.Dial(link.addr, limits, link.dialing)
 }
 
 // redial dials unless the current connection leads to the engine's address.
-func (k *Link) redial() {
-	if k.current == nil || k.current.conn.RemoteAddr() != k.addr {
-		k.dial()
+func (link *Link) redial() {
+	if link.current == nil || link.current.conn.RemoteAddr() != link.addr {
+		link.dial()
 	}
 }
 
-// connectionLost ends what waits for an answer on a lost connection. Commands wait for the next one.
-func (k *Link) connectionLost() {
-	k.probeSentAt = 0
-	k.deliverGauges()
+// connectionLost ends what waits for an answer on a lost connection. Commands wait for the next
+// one.
+func (link *Link) connectionLost() {
+	link.probeSentAt = 0
+	link.deliverGauges()
 }
 
 // write sends an object on the current connection.
-func (k *Link) write(v any) { k.current.conn.Write(encode(v)) }
+func (link *Link) write(v any) { link.current.conn.Write(encode(v)) }
 
 // encode returns a line of the protocol.
 func encode(v any) []byte {
@@ -194,61 +201,64 @@
 	return append(line, '\n')
 }
 
-// sendProbe asks for the engine's gauges. Its answer proves that the engine has read the commands before
-// it.
-func (k *Link) sendProbe() {
-	if k.probeSentAt == 0 {
-		k.probeSentAt = k.loop.Now()
+// sendProbe asks for the engine's gauges. Its answer proves that the engine has read the commands
+// before it.
+func (link *Link) sendProbe() {
+	if link.probeSentAt == 0 {
+		link.probeSentAt = link.loop.Now()
 	}
-	k.write(probe{Type: typeStat, Mark: strconv.FormatInt(k.lastSequence, 10)})
+	link.write(probe{Type: typeStat, Mark: strconv.FormatInt(link.lastSequence, 10)})
 }
 
-// handle handles one line of the engine. On an error the connection is closed, and the engine sends again
-// on the next one what was not handled.
-func (k *Link) handle(m *notice) error {
+// handle handles one line of the engine. On an error the connection is closed, and the engine sends
+// again on the next one what was not handled.
+func (link *Link) handle(m *notice) error {
 	if m.Number != 0 {
-		if m.Number <= k.lastNotice {
+		if m.Number <= link.lastNotice {
 			return nil // it was handled before
 		}
-		if err := k.countNotice(m.Number); err != nil {
+		if err := link.countNotice(m.Number); err != nil {
 			return err
 		}
 	}
 	switch m.Type {
 	case typeHello:
-		eventLinkUp.Log(m.Status, k.lastNotice, len(k.pending))
-		k.state, k.everUp = stateCatchingUp, true
-		k.sendProbe()
+		eventLinkUp.Log(m.Status, link.lastNotice, len(link.pending))
+		link.state = stateCatchingUp
+		link.everUp = true
+		link.sendProbe()
 	case typeDone:
-		k.runEnded(m)
+		link.runEnded(m)
 	case typeNeed:
-		if r := k.runs[m.RequestID]; r != nil {
+		if r := link.runs[m.RequestID]; r != nil {
 			r.callsNeeded++
-			k.sink.NeedsCall(r.attempt, notNil(m.Body))
+			link.sink.NeedsCall(r.attempt, notNil(m.Body))
 		}
 	case typeStats:
-		k.takeGauges(m)
+		link.takeGauges(m)
 	case typeTested:
-		if done := k.checks[m.Mark]; done != nil {
-			delete(k.checks, m.Mark)
+		if done := link.checks[m.Mark]; done != nil {
+			delete(link.checks, m.Mark)
 			done(m.Status == statusFine)
 		}
 	case typeNo:
-		k.commandRejected(m)
+		link.commandRejected(m)
 	}
 	return nil
 }
 
-// countNotice records the number of the next notice. Missing numbers are an error once: the engine keeps
-// notices for the next connection, and what it does not send there is lost.
-func (k *Link) countNotice(number int64) error {
-	if number != k.lastNotice+1 {
-		if k.gapAfter != k.lastNotice {
-			k.gapAfter = k.lastNotice
-			return fmt.Errorf("notice %d follows %d", number, k.lastNotice)
+// countNotice records the number of the next notice. The first time that numbers are missing is an
+// error, so that the engine sends them again on the next connection. What it does not send there is
+// lost.
+func (link *Link) countNotice(number int64) error {
+	if number != link.lastNotice+1 {
+		if link.gapAfter != link.lastNotice {
+			link.gapAfter = link.lastNotice
+			return fmt.Errorf("notice %d follows %d", number, link.lastNotice)
 		}
-		eventNoticesMissing.Log(k.lastNotice+1, number-1)
+		eventNoticesMissing.Log(link.lastNotice+1, number-1)
 	}
-	k.lastNotice, k.gapAfter = number, -1
+	link.lastNotice = number
+	link.gapAfter = noNotice
 	return nil
 }
--- a/internal/platform/engine/gauges.go
+++ b/internal/platform/engine/gauges.go
@@ -8,64 +8,65 @@
 
 // Gauges measures the machine and calls fn once: with the engine's answer, with gauges of at most
 // maxGaugesAge if it is late, or with unknown gauges.
-func (k *Link) Gauges(fn func(lifecycle.Gauges)) {
-	if k.state != stateLive {
+func (link *Link) Gauges(fn func(lifecycle.Gauges)) {
+	if link.state != stateLive {
 		fn(lifecycle.UnknownGauges())
 		return
 	}
-	k.onGauges = func() {
-		if k.loop.Now()-k.gaugesAt > maxGaugesAge {
+	link.onGauges = func() {
+		if link.loop.Now()-link.gaugesAt > maxGaugesAge {
 			fn(lifecycle.UnknownGauges())
 			return
 		}
-		fn(k.gauges)
+		fn(link.gauges)
 	}
-	k.sendProbe()
-	k.gaugesTimer = k.loop.After(gaugesTimeout, k.deliverGauges)
+	link.sendProbe()
+	link.gaugesTimer = link.loop.After(gaugesTimeout, link.deliverGauges)
 }
 
 // deliverGauges completes the measurement that waits, if there is one.
-func (k *Link) deliverGauges() {
-	if fn := k.onGauges; fn != nil {
-		k.onGauges = nil
-		k.gaugesTimer.Stop()
+func (link *Link) deliverGauges() {
+	if fn := link.onGauges; fn != nil {
+		link.onGauges = nil
+		link.gaugesTimer.Stop()
 		fn()
 	}
 }
 
 // takeGauges handles the answer to a probe: the gauges, and the proof that the engine has read the
 // commands before it.
-func (k *Link) takeGauges(m *notice) {
-	k.probeSentAt = 0
-	k.gauges, k.gaugesAt = k.decodeGauges(m.Gauges), k.loop.Now()
+func (link *Link) takeGauges(m *notice) {
+	link.probeSentAt = 0
+	link.gauges = link.decodeGauges(m.Gauges)
+	link.gaugesAt = link.loop.Now()
 	if sequence, err := strconv.ParseInt(m.Mark, 10, 64); err == nil {
-		for len(k.pending) > 0 && k.pending[0].sequence <= sequence && k.state == stateLive {
-			k.pending = k.pending[1:]
+		for len(link.pending) > 0 && link.pending[0].sequence <= sequence && link.state == stateLive {
+			link.pending = link.pending[1:]
 		}
 	}
-	if k.state == stateCatchingUp {
-		k.state = stateLive
-		k.resendPending()
-		for mark := range k.checks { // these may be lost as well
-			k.write(probe{Type: typeTest, Mark: mark})
+	if link.state == stateCatchingUp {
+		link.state = stateLive
+		link.resendPending()
+		for mark := range link.checks { // these may be lost as well
+			link.write(probe{Type: typeTest, Mark: mark})
 		}
 	}
-	k.deliverGauges()
+	link.deliverGauges()
 }
 
 // Check performs a deep health check and calls done once with its result.
-func (k *Link) Check(done func(good bool)) {
-	if k.state != stateLive {
+func (link *Link) Check(done func(healthy bool)) {
+	if link.state != stateLive {
 		done(false)
 		return
 	}
-	k.lastCheck++
-	mark := "check" + strconv.FormatInt(k.lastCheck, 10)
-	k.checks[mark] = done
-	k.write(probe{Type: typeTest, Mark: mark})
-	k.loop.After(checkTimeout, func() {
-		if done := k.checks[mark]; done != nil {
-			delete(k.checks, mark)
+	link.lastCheck++
+	mark := "check" + strconv.FormatInt(link.lastCheck, 10)
+	link.checks[mark] = done
+	link.write(probe{Type: typeTest, Mark: mark})
+	link.loop.After(checkTimeout, func() {
+		if done := link.checks[mark]; done != nil {
+			delete(link.checks, mark)
 			done(false)
 		}
 	})
--- a/internal/platform/engine/messages.go
+++ b/internal/platform/engine/messages.go
@@ -21,8 +21,12 @@
 	typeNo     = "NO" // a command was rejected
 )
 
-// statusFine is the status of a run or a check that succeeded.
-const statusFine = "fine"
+// Statuses of a run or, for statusFine, of a check that succeeded.
+const (
+	statusFine      = "fine"
+	statusBrokenOff = "broken_off" // it was cancelled
+	statusLate      = "late"       // it was not begun
+)
 
 // notice is a message of the engine. Its fields have the names of the protocol page.
 type notice struct {
@@ -60,9 +64,9 @@
 	switch status {
 	case statusFine:
 		return lifecycle.Succeeded
-	case "broken_off":
+	case statusBrokenOff:
 		return lifecycle.Cancelled
-	case "late":
+	case statusLate:
 		return lifecycle.NotStarted
 	}
 	return lifecycle.Faulted
--- a/internal/platform/engine/runs.go
+++ b/internal/platform/engine/runs.go
@@ -2,8 +2,9 @@
 
 import (
 	"net/http"
-	"ryepaddle/internal/lifecycle"
 	"time"
+
+	"ryepaddle/internal/lifecycle"
 )
 
 // pendingCommand is a command that the engine may not have read.
@@ -21,13 +22,13 @@
 }
 
 // Run implements lifecycle.Runner.
-func (k *Link) Run(a *lifecycle.Attempt) {
-	if k.runs[a.Request.ID] != nil { // the engine would confuse the two
-		k.loop.Post(func() { k.sink.AttemptEnded(a, lifecycle.Faulted, nil) })
+func (link *Link) Run(a *lifecycle.Attempt) {
+	if link.runs[a.Request.ID] != nil { // the engine identifies runs by their request IDs
+		link.loop.Post(func() { link.sink.AttemptEnded(a, lifecycle.Faulted, nil) })
 		return
 	}
-	k.runs[a.Request.ID] = &run{attempt: a}
-	k.send(runCommand{
+	link.runs[a.Request.ID] = &run{attempt: a}
+	link.send(runCommand{
 		Type:      typeRun,
 		RequestID: a.Request.ID,
 		Route:     a.Class,
@@ -35,76 +36,78 @@
 	}, 0)
 }
 
-// Abandon implements lifecycle.Runner. A run cannot be stopped; the engine ends it at its next call.
-func (k *Link) Abandon(*lifecycle.Attempt) {}
+// Abandon implements lifecycle.Runner. A run cannot be stopped; the engine ends it at its next
+// call.
+func (link *Link) Abandon(*lifecycle.Attempt) {}
 
 // Resume implements lifecycle.Resumer.
-func (k *Link) Resume(a *lifecycle.Attempt, reply []byte) {
-	if r := k.runs[a.Request.ID]; r != nil {
-		k.send(runCommand{Type: typeFeed, RequestID: a.Request.ID, Body: notNil(reply)}, r.callsNeeded)
+func (link *Link) Resume(a *lifecycle.Attempt, reply []byte) {
+	if r := link.runs[a.Request.ID]; r != nil {
+		link.send(runCommand{Type: typeFeed, RequestID: a.Request.ID, Body: notNil(reply)}, r.callsNeeded)
 	}
 }
 
-// endLostRuns ends runs whose end was not reported within a time after their deadline, as when notices
-// are missing.
-func (k *Link) endLostRuns(after time.Duration) {
-	for id, r := range k.runs {
-		if k.loop.Now() > r.attempt.Deadline+after {
+// endLostRuns ends runs whose end was not reported within a time after their deadline, as when
+// notices are missing.
+func (link *Link) endLostRuns(after time.Duration) {
+	for id, r := range link.runs {
+		if link.loop.Now() > r.attempt.Deadline+after {
 			eventRunLost.Log(id)
-			delete(k.runs, id)
-			k.sink.AttemptEnded(r.attempt, lifecycle.Faulted, nil)
+			delete(link.runs, id)
+			link.sink.AttemptEnded(r.attempt, lifecycle.Faulted, nil)
 		}
 	}
 }
 
 // runEnded reports the end of a run.
-func (k *Link) runEnded(m *notice) {
-	r := k.runs[m.RequestID]
+func (link *Link) runEnded(m *notice) {
+	r := link.runs[m.RequestID]
 	if r == nil {
 		return
 	}
-	delete(k.runs, m.RequestID)
+	delete(link.runs, m.RequestID)
 	outcome := outcomeOf(m.Status)
 	var result *lifecycle.Result
 	if outcome == lifecycle.Succeeded {
 		result = &lifecycle.Result{Status: http.StatusOK, Body: m.Body}
 	}
-	k.sink.AttemptEnded(r.attempt, outcome, result)
+	link.sink.AttemptEnded(r.attempt, outcome, result)
 }
 
 // commandRejected handles NO: the engine did not carry out a command.
-func (k *Link) commandRejected(m *notice) {
+func (link *Link) commandRejected(m *notice) {
 	eventCommandRejected.Log(m.Status, m.RequestID)
-	if r := k.runs[m.RequestID]; r != nil && m.Status == typeRun {
-		delete(k.runs, m.RequestID)
-		k.sink.AttemptEnded(r.attempt, lifecycle.UnknownRequest, nil)
+	if r := link.runs[m.RequestID]; r != nil && m.Status == typeRun {
+		delete(link.runs, m.RequestID)
+		link.sink.AttemptEnded(r.attempt, lifecycle.UnknownRequest, nil)
 	}
 }
 
 // send sends a command, now or when the link is live. callsNeeded is the count of its run.
-func (k *Link) send(c runCommand, callsNeeded int) {
+func (link *Link) send(c runCommand, callsNeeded int) {
 	line := encode(c)
-	k.lastSequence++
-	k.pending = append(k.pending, pendingCommand{
-		sequence:    k.lastSequence,
+	link.lastSequence++
+	link.pending = append(link.pending, pendingCommand{
+		sequence:    link.lastSequence,
 		requestID:   c.RequestID,
 		callsNeeded: callsNeeded,
 		line:        line,
 	})
-	if k.state == stateLive {
-		k.current.conn.Write(line)
+	if link.state == stateLive {
+		link.current.conn.Write(line)
 	}
 }
 
-// resendPending sends the commands again that the engine may not have read on the last connection. All
-// its notices were handled, so that a command of a run that has reported anything since was read.
-func (k *Link) resendPending() {
-	unread := k.pending[:0]
-	for _, c := range k.pending {
-		if r := k.runs[c.requestID]; r != nil && r.callsNeeded == c.callsNeeded {
+// resendPending sends the commands again that the engine may not have read on the last connection.
+// All its notices were handled, so that a command of a run that has reported anything since was
+// read.
+func (link *Link) resendPending() {
+	unread := link.pending[:0]
+	for _, c := range link.pending {
+		if r := link.runs[c.requestID]; r != nil && r.callsNeeded == c.callsNeeded {
 			unread = append(unread, c)
-			k.current.conn.Write(c.line)
+			link.current.conn.Write(c.line)
 		}
 	}
-	k.pending = unread
+	link.pending = unread
 }
--- a/internal/platform/registry/registry.go
+++ b/internal/platform/registry/registry.go
@@ -9,10 +9,13 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// reportInterval is the time between two reports. A registration expires 3 s after the last report that
-// arrives, and a quarter of the reports may be lost.
+// reportInterval is the time between two reports. A registration expires 3 s after the last report
+// that arrives, and a quarter of the reports may be lost.
 const reportInterval = 250 * time.Millisecond
 
+// A report is a datagram of reportPrefix, the runner's name, a space and its state.
+const reportPrefix = "HERE "
+
 // States of a report.
 const (
 	stateOn  = "on"
@@ -24,15 +27,15 @@
 	loop           *eventloop.Loop
 	addr           netip.AddrPort
 	socket         *eventloop.Datagram // nil: it could not be opened yet
-	addressChanged bool                // the socket leads to the former address
+	addressChanged bool                // the socket still sends to the former address
 	name           string
 	state          string
 	closed         bool
 }
 
-// Start sends reports at once and at the interval. If the socket cannot be opened, as without a route or a
-// descriptor, the error is returned and each report tries again: a runner serves without its
-// registration.
+// Start sends reports at once and at the interval. If the socket cannot be opened, as without a
+// route or a descriptor, the error is returned and each report tries again: a runner serves without
+// its registration.
 func Start(l *eventloop.Loop, addr netip.AddrPort, name string) (*Reporter, error) {
 	r := &Reporter{loop: l, addr: addr, name: name, state: stateOn}
 	err := r.open()
@@ -41,10 +44,11 @@
 	return r, err
 }
 
-// SetAddress sets the address of the registry. If a socket to it cannot be opened, the error is returned
-// and the former one is used until a report can open it.
+// SetAddress sets the address of the registry. If a socket to it cannot be opened, the error is
+// returned and the former one is used until a report can open it.
 func (r *Reporter) SetAddress(addr netip.AddrPort) error {
-	r.addr, r.addressChanged = addr, r.socket != nil
+	r.addr = addr
+	r.addressChanged = r.socket != nil
 	err := r.open()
 	r.report()
 	return err
@@ -59,14 +63,15 @@
 	if r.socket != nil {
 		r.socket.Close()
 	}
-	r.socket, r.addressChanged = s, false
+	r.socket = s
+	r.addressChanged = false
 	return nil
 }
 
 // SetAvailable sets the state that is reported, and reports a change at once.
-func (r *Reporter) SetAvailable(on bool) {
+func (r *Reporter) SetAvailable(available bool) {
 	state := stateOff
-	if on {
+	if available {
 		state = stateOn
 	}
 	if state != r.state {
@@ -87,6 +92,6 @@
 		_ = r.open() // the first failure was returned; the next report tries again
 	}
 	if r.socket != nil {
-		_ = r.socket.Send([]byte("HERE " + r.name + " " + r.state))
+		_ = r.socket.Send([]byte(reportPrefix + r.name + " " + r.state))
 	}
 }
