--- a/internal/flowcontrol/flowcontrol_test.go
+++ b/internal/flowcontrol/flowcontrol_test.go
@@ -33,7 +33,7 @@
 		{"keyed and empty", true, true, nil, nil, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := NewResponse(testLimits, c.keyed, c.streamable)
+			r := NewResponse(testLimits, ResponseOptions{Keyed: c.keyed, Streamable: c.streamable})
 			var got []ResponseStep
 			for _, n := range c.parts {
 				got = append(got, r.Add(n))
@@ -150,17 +150,19 @@
 		{true, false, false, 11, RejectTooLarge},
 		{true, true, true, -1, BufferBody},
 	} {
-		if got := l.PlanBody(c.idempotent, c.remote, c.length, c.chunked); got != c.want {
+		body := RequestBody{Idempotent: c.idempotent, Remote: c.remote, Length: c.length, Chunked: c.chunked}
+		if got := l.PlanBody(body); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if l.PlanOversizedChunked(true, true) != RequireLength ||
-		l.PlanOversizedChunked(false, true) != RejectTooLarge ||
-		l.PlanOversizedChunked(true, false) != RejectTooLarge {
+	streamable := RequestBody{Idempotent: true, Remote: true, Length: 11}
+	if l.PlanOversizedChunked(streamable) != RequireLength ||
+		l.PlanOversizedChunked(RequestBody{Remote: true}) != RejectTooLarge ||
+		l.PlanOversizedChunked(RequestBody{Idempotent: true}) != RejectTooLarge {
 		t.Error("bodies in chunks that are too large")
 	}
-	if off := (Limits{MaxBufferedBody: 10}); off.PlanBody(true, true, 11, false) != RejectTooLarge ||
-		off.PlanOversizedChunked(true, true) != RejectTooLarge {
+	if off := (Limits{MaxBufferedBody: 10}); off.PlanBody(streamable) != RejectTooLarge ||
+		off.PlanOversizedChunked(streamable) != RejectTooLarge {
 		t.Error("streaming is off, and a body streams")
 	}
 }
--- a/internal/flowcontrol/readers.go
+++ b/internal/flowcontrol/readers.go
@@ -7,7 +7,8 @@
 
 const (
 	// lowWatermarkDivisor: a server that waits for its reader goes on once the reader's queue is
-	// down to this part of its window. At the window itself it would stop and go with each packet.
+	// down to this part of its window. With the window itself as the low watermark it would be
+	// paused and resumed with each packet.
 	lowWatermarkDivisor = 2
 	// sharedDivisor: the windows of all readers together are this part of MaxQueuedTotal, the rest
 	// is left for what is in flight.
@@ -17,11 +18,14 @@
 // ReaderID names a reader.
 type ReaderID uint64
 
+// reader is a client that reads a response that streams.
 type reader struct {
-	id         ReaderID
-	queued     int           // bytes
-	progressAt time.Duration // monotonic; when it last took something, or got something to take
-	paused     bool          // its server waits
+	id     ReaderID
+	queued int // bytes
+	// progressAt is the monotonic time at which it last read something, or its empty queue got
+	// something.
+	progressAt time.Duration
+	isPaused   bool // the server that sends its response waits
 }
 
 // ReaderWindows bounds the bytes that wait for all readers together. It is used by one goroutine.
@@ -63,8 +67,8 @@
 	return max(min(w.limits.MaxQueued, share), 1)
 }
 
-// SetQueued reports at the monotonic time now that n bytes wait for a reader. It returns whether the
-// reader's server has to wait: from the window on, until half of the window is reached.
+// SetQueued reports at the monotonic time now that n bytes wait for a reader. It returns whether
+// the reader's server has to wait: from the window on, until half of the window is reached.
 func (w *ReaderWindows) SetQueued(id ReaderID, n int, now time.Duration) (wait bool) {
 	r := w.readers[id]
 	if r == nil {
@@ -76,8 +80,8 @@
 	w.queued += n - r.queued
 	r.queued = n
 	window := w.window()
-	r.paused = n >= window || r.paused && n > window/lowWatermarkDivisor
-	return r.paused
+	r.isPaused = n >= window || r.isPaused && n > window/lowWatermarkDivisor
+	return r.isPaused
 }
 
 // Victim returns the reader to drop, while more than MaxQueuedTotal is queued: the one without
--- a/internal/frontend/uwsgi/connection.go
+++ b/internal/frontend/uwsgi/connection.go
@@ -122,7 +122,12 @@
 		case err != nil:
 			c.reject(http.StatusBadRequest, err)
 		case len(c.body)+len(data) > flow.MaxBufferedBody:
-			plan := flow.PlanOversizedChunked(c.route.Idempotent, c.route.Proxied)
+			plan := flow.PlanOversizedChunked(flowcontrol.RequestBody{
+				Idempotent: c.route.Idempotent,
+				Remote:     c.route.Proxied,
+				Length:     -1,
+				Chunked:    true,
+			})
 			if plan == flowcontrol.RequireLength {
 				c.reject(http.StatusLengthRequired, errLengthRequired)
 			} else {
@@ -160,7 +165,12 @@
 		c.reject(err.status, err)
 		return false
 	}
-	plan := f.options.Flow.PlanBody(route.Idempotent, route.Proxied, r.Length, r.Chunked)
+	plan := f.options.Flow.PlanBody(flowcontrol.RequestBody{
+		Idempotent: route.Idempotent,
+		Remote:     route.Proxied,
+		Length:     r.Length,
+		Chunked:    r.Chunked,
+	})
 	if plan == flowcontrol.RejectTooLarge {
 		c.reject(http.StatusRequestEntityTooLarge, fmt.Errorf("%w: %d bytes", uwsgi.ErrBodyTooLong, r.Length))
 		return false
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxSpareAge is how long a connection that was opened in advance is used: servers close those
-	// on which nothing comes.
-	maxSpareAge = 2 * time.Second
+	// maxPreconnectedAge is how long a connection that was opened in advance is used: servers close
+	// those on which nothing comes.
+	maxPreconnectedAge = 2 * time.Second
 	// maxBodyPart is the size of one part of a request body that streams, in bytes.
 	maxBodyPart = 128 << 10
 	// packetHeaderBytes is the size of the header of a uwsgi packet.
@@ -35,19 +35,19 @@
 	limits := eventloop.BufferLimits{
 		In: httpmessage.MaxHeadBytes + 1,
 		Out: uwsgi.MaxVariablesBytes + packetHeaderBytes + maxBodyPart +
-			g.opt.FlowControl.MaxBufferedBody + g.opt.FlowControl.MaxQueued,
+			g.options.FlowControl.MaxBufferedBody + g.options.FlowControl.MaxQueued,
 	}
 	c.conn = g.loop.DialAddr(s.addr, limits, c)
 	return c
 }
 
-// takeSpare returns a connection that was opened in advance and can still be used; nil: there is
-// none.
-func (g *Group) takeSpare(s *server) *connection {
-	for len(s.spare) > 0 && s.spare[0].established {
-		c := s.spare[0]
-		s.spare = s.spare[1:]
-		if g.loop.Now()-c.dialedAt <= maxSpareAge && c.conn.IsIdle() {
+// takePreconnected returns a connection that was opened in advance and can still be used; nil:
+// there is none.
+func (g *Group) takePreconnected(s *server) *connection {
+	for len(s.preconnected) > 0 && s.preconnected[0].established {
+		c := s.preconnected[0]
+		s.preconnected = s.preconnected[1:]
+		if g.loop.Now()-c.dialedAt <= maxPreconnectedAge && c.conn.IsIdle() {
 			return c
 		}
 		c.conn.Close(nil)
@@ -57,26 +57,31 @@
 
 // preconnect opens connections in advance, within what the server may have.
 func (g *Group) preconnect(s *server) {
-	for len(s.spare) < g.opt.Preconnect && s.ActiveRequests+len(s.spare) < g.opt.Picker.MaxRequests {
+	for len(s.preconnected) < g.options.Preconnect {
+		isAtLimit := s.ActiveRequests+len(s.preconnected) >= g.options.Picker.MaxRequests
+		if isAtLimit {
+			return
+		}
 		if g.picker.Health().TrafficShare(s.Endpoint, g.loop.Now()) == 0 {
 			return
 		}
-		s.spare = append(s.spare, g.dial(s))
+		s.preconnected = append(s.preconnected, g.dial(s))
 	}
 }
 
-// closeSpare closes connections that were opened in advance, until keep are left.
-func (s *server) closeSpare(keep int) {
-	for len(s.spare) > keep {
-		c := s.spare[len(s.spare)-1]
-		s.spare = s.spare[:len(s.spare)-1]
+// closePreconnected closes connections that were opened in advance, until keep are left.
+func (s *server) closePreconnected(keep int) {
+	for len(s.preconnected) > keep {
+		c := s.preconnected[len(s.preconnected)-1]
+		s.preconnected = s.preconnected[:len(s.preconnected)-1]
 		c.conn.Close(nil)
 	}
 }
 
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {
-	if c.established = true; c.exchange != nil {
+	c.established = true
+	if c.exchange != nil {
 		c.exchange.connected()
 	}
 }
@@ -103,5 +108,6 @@
 		c.exchange.connectionClosed(err)
 		return
 	}
-	c.server.spare = slices.DeleteFunc(c.server.spare, func(other *connection) bool { return other == c })
+	isThis := func(other *connection) bool { return other == c }
+	c.server.preconnected = slices.DeleteFunc(c.server.preconnected, isThis)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,31 +16,31 @@
 // exchange is one attempt on one server. It implements lifecycle.UploadConsumer for a request body
 // that streams, and lifecycle.Stream for a response that does.
 type exchange struct {
-	group      *Group
-	server     *server // nil: no server was found
-	attempt    *lifecycle.Attempt
-	packet     []byte // the request, as it is sent
-	startedAt  time.Duration
-	connection *connection
-	isSpare    bool             // the connection was opened in advance
-	connecting *eventloop.Timer // until the connection is established
-	deadline   *eventloop.Timer
-	upload     lifecycle.Upload // the rest of a request body that streams; nil: there is none
+	group          *Group
+	server         *server // nil: no server was found
+	attempt        *lifecycle.Attempt
+	packet         []byte // the request, as it is sent
+	startedAt      time.Duration
+	connection     *connection
+	isPreconnected bool             // the connection was opened in advance
+	connecting     *eventloop.Timer // until the connection is established
+	deadline       *eventloop.Timer
+	upload         lifecycle.Upload // the rest of a request body that streams; nil: there is none
 
-	isHead    bool // of the response only the head is wanted
-	reader    *httpmessage.ResponseReader
-	flow      *flowcontrol.Response
-	result    *lifecycle.Result // nil: the head of the response has not come
-	body      []byte            // buffered, or to be cached
-	streaming bool
-	consumer  lifecycle.StreamConsumer // of a response that streams; nil: none
+	isHead      bool // the method is HEAD: the response has no body
+	reader      *httpmessage.ResponseReader
+	flow        *flowcontrol.Response
+	result      *lifecycle.Result        // nil: the head of the response has not come
+	body        []byte                   // buffered, or to be cached
+	isStreaming bool                     // the response is forwarded as it comes
+	consumer    lifecycle.StreamConsumer // of a response that streams; nil: none
 }
 
 // Run implements lifecycle.Runner.
 func (g *Group) Run(a *lifecycle.Attempt) {
 	now := g.loop.Now()
 	s := g.pick(a, now)
-	packet, err := packetFor(a, &g.opt)
+	packet, err := packetFor(a, &g.options)
 	if s == nil || err != nil {
 		evNoEndpoint.Log(g.name, a.Request.ID, s != nil, withoutRequestKind(err))
 		x := &exchange{group: g, attempt: a}
@@ -48,31 +48,34 @@
 		g.loop.Post(func() { x.end(lifecycle.NotStarted, nil) })
 		return
 	}
-	own := s.Attachment.(*server)
+	target := s.Attachment.(*server)
 	a.Server = s.Name
 	g.picker.Sent(s)
 	x := &exchange{
 		group:     g,
-		server:    own,
+		server:    target,
 		attempt:   a,
 		packet:    packet,
 		startedAt: now,
 		isHead:    methodOf(a) == "HEAD",
-		flow:      flowcontrol.NewResponse(g.opt.FlowControl, !a.Idempotent, a.Request.AcceptsStream),
+		flow: flowcontrol.NewResponse(g.options.FlowControl, flowcontrol.ResponseOptions{
+			Keyed:      !a.Idempotent,
+			Streamable: a.Request.AcceptsStream,
+		}),
 	}
 	x.reader = httpmessage.NewResponseReader(x.isHead)
 	g.exchanges[a] = x
 	x.deadline = g.loop.After(a.Deadline-g.loop.Now(), x.deadlinePassed)
-	// A connection that was idle may be broken without a sign. A request that may run only once, or
-	// whose body cannot be sent again, gets a new one.
+	// An idle connection may be broken without having been reset. A request that may run only once,
+	// or whose body cannot be sent again, gets a new one.
 	if a.Idempotent && a.Request.Upload == nil {
-		if c := g.takeSpare(own); c != nil {
-			x.isSpare = true
+		if c := g.takePreconnected(target); c != nil {
+			x.isPreconnected = true
 			x.send(c)
 			return
 		}
 	}
-	x.send(g.dial(own))
+	x.send(g.dial(target))
 }
 
 // pick returns a server for an attempt; nil: there is none.
@@ -108,12 +111,13 @@
 // send sends the request on a connection, and opens others in advance for the next ones.
 func (x *exchange) send(c *connection) {
 	g := x.group
-	c.exchange, x.connection = x, c
+	c.exchange = x
+	x.connection = c
 	c.conn.Write(x.packet)
 	if c.established {
 		x.connected()
 	} else {
-		x.connecting = g.loop.After(g.opt.ConnectTimeout, func() { x.fail(errConnectTimeout) })
+		x.connecting = g.loop.After(g.options.ConnectTimeout, func() { x.fail(errConnectTimeout) })
 	}
 	g.preconnect(x.server)
 }
@@ -125,7 +129,8 @@
 	if request.Upload == nil || !x.isOpen() {
 		return
 	}
-	request.BodyConsumed, x.upload = true, request.Upload
+	request.BodyConsumed = true
+	x.upload = request.Upload
 	x.connection.conn.OnFlushed(x.reportBacklog)
 	request.Upload.Attach(x)
 }
@@ -140,15 +145,15 @@
 	}
 }
 
-// reportBacklog tells the sender of the body how much of it the server has not taken.
+// reportBacklog reports to the sender of the body how many bytes the server has not read.
 func (x *exchange) reportBacklog() {
 	if x.upload != nil {
 		x.upload.SetBacklog(x.connection.conn.QueuedBytes())
 	}
 }
 
-// deadlinePassed ends the attempt at its deadline. One with side effects may take the same time
-// again: its caller has gone, but a repeated request gets its result.
+// deadlinePassed ends the attempt at its deadline. One with side effects gets the same time once
+// more: its caller has gone, but a retry of the request gets its result.
 func (x *exchange) deadlinePassed() {
 	if !x.connection.established {
 		x.unreachable(errConnectDeadline)
@@ -175,8 +180,9 @@
 	if !x.isOpen() {
 		return
 	}
-	if x.isSpare && x.reader.Head() == nil {
-		x.isSpare, x.connection.exchange = false, nil
+	if x.isPreconnected && x.reader.Head() == nil {
+		x.isPreconnected = false
+		x.connection.exchange = nil
 		x.connection.conn.Close(nil)
 		x.reader = httpmessage.NewResponseReader(x.isHead)
 		x.send(x.group.dial(x.server))
@@ -220,7 +226,8 @@
 	g := x.group
 	delete(g.exchanges, x.attempt)
 	if consumer := x.consumer; consumer != nil {
-		if x.consumer = nil; outcome == lifecycle.Succeeded {
+		x.consumer = nil
+		if outcome == lifecycle.Succeeded {
 			consumer.Completed()
 		} else {
 			consumer.Truncated()
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -108,7 +108,7 @@
 
 func abandon(_ *scenario.SteppedLoop, g *Group, a *lifecycle.Attempt) { g.Abandon(a) }
 
-func unlistAll(_ *scenario.SteppedLoop, g *Group, _ *lifecycle.Attempt) { g.Update(nil, g.opt) }
+func unlistAll(_ *scenario.SteppedLoop, g *Group, _ *lifecycle.Attempt) { g.Update(nil, g.options) }
 
 // The outcome goes by what came first. An attempt whose response was truncated may have run, and one
 // with side effects goes on for the repeats of its request.
--- a/internal/upstream/group.go
+++ b/internal/upstream/group.go
@@ -22,7 +22,7 @@
 	name        string
 	loop        *eventloop.Loop
 	sink        Sink
-	opt         Options
+	options     Options
 	picker      *picker.Picker
 	query       picker.Query // reused, so that a pick allocates nothing
 	exchanges   map[*lifecycle.Attempt]*exchange
@@ -34,21 +34,21 @@
 // server is what the group keeps of a server.
 type server struct {
 	*picker.Server
-	addr  netaddr.Addr
-	spare []*connection // opened in advance, the oldest first
+	addr         netaddr.Addr
+	preconnected []*connection // opened in advance, the oldest first
 }
 
 // New returns a group without servers. instance is the name of this process, which decides its
 // subset of the servers; the sink gets the results of attempts.
-func New(loop *eventloop.Loop, name, instance string, seed uint64, sink Sink, opt Options) *Group {
+func New(loop *eventloop.Loop, name, instance string, seed uint64, sink Sink, options Options) *Group {
 	g := &Group{
 		name:      name,
 		loop:      loop,
 		sink:      sink,
-		opt:       opt,
+		options:   options,
 		exchanges: map[*lifecycle.Attempt]*exchange{},
 	}
-	g.picker = picker.New(opt.Picker, instance, opt.ClassCount, seed, g.stateChanged)
+	g.picker = picker.New(options.Picker, instance, options.ClassCount, seed, g.stateChanged)
 	loop.Every(tickInterval, g.tick)
 	return g
 }
@@ -67,7 +67,7 @@
 	}
 	own, ok := s.Attachment.(*server)
 	if ok && g.picker.Health().TrafficShare(s.Endpoint, change.At) == 0 {
-		own.closeSpare(0)
+		own.closePreconnected(0)
 	}
 }
 
@@ -86,12 +86,13 @@
 
 // checkOrSkip checks a server, unless another runner has done that and found it healthy.
 func (g *Group) checkOrSkip(e *endpointhealth.Endpoint, now time.Duration) {
-	lease, check := CheckLease{}, true
-	if coordinator := g.opt.HealthCheckCoordinator; coordinator != nil {
-		lease, check = coordinator.ShouldCheck(g.name, e, g.opt.Picker.Health.HealthChecks.Interval)
+	lease := CheckLease{}
+	shouldCheck := true
+	if coordinator := g.options.HealthCheckCoordinator; coordinator != nil {
+		lease, shouldCheck = coordinator.ShouldCheck(g.name, e, g.options.Picker.Health.HealthChecks.Interval)
 	}
-	if check {
-		g.check(e.Attachment.(*picker.Server), lease)
+	if shouldCheck {
+		g.startCheck(e.Attachment.(*picker.Server), lease)
 		return
 	}
 	g.picker.Health().HealthCheckDone(e, true, now)
@@ -99,9 +100,9 @@
 
 // Update takes the servers of an inventory that belong to the group, and other options. A server
 // that stays keeps what is known of it; requests in flight at one that goes end there.
-func (g *Group) Update(all []inventory.Server, opt Options) {
-	g.opt = opt
-	g.picker.Configure(opt.Picker, opt.ClassCount)
+func (g *Group) Update(all []inventory.Server, options Options) {
+	g.options = options
+	g.picker.Configure(options.Picker, options.ClassCount)
 	var specs []endpointhealth.EndpointSpec
 	addrs := map[endpointhealth.ID]netaddr.Addr{}
 	for _, s := range all {
@@ -120,7 +121,7 @@
 			own = &server{Server: s, addr: addrs[s.ID]}
 			s.Attachment = own
 		}
-		own.closeSpare(opt.Preconnect)
+		own.closePreconnected(options.Preconnect)
 		g.preconnect(own)
 	}
 	g.reportEmptyZones(specs)
@@ -130,9 +131,9 @@
 // reportEmptyZones reports the configured zones without a server: they may be switched off, or
 // misspelt.
 func (g *Group) reportEmptyZones(specs []endpointhealth.EndpointSpec) {
-	for _, zone := range g.opt.Picker.Zones {
-		isIn := func(spec endpointhealth.EndpointSpec) bool { return spec.Zone == zone }
-		if !slices.ContainsFunc(specs, isIn) {
+	for _, zone := range g.options.Picker.Zones {
+		isInZone := func(spec endpointhealth.EndpointSpec) bool { return spec.Zone == zone }
+		if !slices.ContainsFunc(specs, isInZone) {
 			evZoneEmpty.Log(g.name, zone)
 		}
 	}
@@ -154,7 +155,7 @@
 		HasSideEffects: c.HasSideEffect,
 		NeverRan:       c.NeverRan,
 		Attempts:       c.Attempts,
-		MaxAttempts:    min(g.opt.MaxAttempts, g.Size()),
+		MaxAttempts:    min(g.options.MaxAttempts, g.Size()),
 		TimeLeft:       c.Remaining,
 		TimeNeeded:     g.picker.MinAttemptTime(c.Class),
 	}
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -13,7 +13,8 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// HealthCheck holds what an active health check asks. Package endpointhealth says when one is due.
+// HealthCheck holds the parameters of active health checks. Package endpointhealth says when one is
+// due.
 type HealthCheck struct {
 	Path    string        // empty: no checks
 	Timeout time.Duration // for the whole check
@@ -56,22 +57,22 @@
 	ended  bool
 }
 
-// check starts a health check of a server.
-func (g *Group) check(s *picker.Server, lease CheckLease) {
+// startCheck starts a health check of a server.
+func (g *Group) startCheck(s *picker.Server, lease CheckLease) {
 	c := &check{group: g, server: s, lease: lease, reader: httpmessage.NewResponseReader(false)}
 	packet, err := uwsgi.Append(nil, g.checkRequest(lease))
-	if err != nil { // a path that is too long is refused with the operator's file
+	if err != nil { // a path that is too long is rejected with the operator's file
 		g.loop.Post(func() { c.end(false) })
 		return
 	}
 	limits := eventloop.BufferLimits{In: httpmessage.MaxHeadBytes + 1, Out: len(packet)}
 	c.conn = g.loop.DialAddr(s.Attachment.(*server).addr, limits, c)
-	c.timer = g.loop.After(g.opt.HealthCheck.Timeout, func() { c.end(false) })
+	c.timer = g.loop.After(g.options.HealthCheck.Timeout, func() { c.end(false) })
 	c.conn.Write(packet)
 }
 
 func (g *Group) checkRequest(lease CheckLease) *uwsgi.Request {
-	path := g.opt.HealthCheck.Path
+	path := g.options.HealthCheck.Path
 	r := &uwsgi.Request{
 		Variables: []uwsgi.Variable{
 			{Name: "REQUEST_METHOD", Value: "GET"},
@@ -88,7 +89,7 @@
 			r.Variables,
 			uwsgi.Variable{Name: leaseVariable, Value: lease.Name},
 			uwsgi.Variable{Name: tokenVariable, Value: strconv.FormatUint(lease.Token, 10)},
-			uwsgi.Variable{Name: holderVariable, Value: g.opt.RunnerName},
+			uwsgi.Variable{Name: holderVariable, Value: g.options.RunnerName},
 		)
 	}
 	return r
@@ -106,8 +107,8 @@
 	}
 	g := c.group
 	g.picker.Health().HealthCheckDone(c.server.Endpoint, passed, g.loop.Now())
-	if c.lease.Token != 0 && g.opt.HealthCheckCoordinator != nil {
-		g.opt.HealthCheckCoordinator.CheckDone(g.name, c.server.Endpoint, c.lease, passed)
+	if c.lease.Token != 0 && g.options.HealthCheckCoordinator != nil {
+		g.options.HealthCheckCoordinator.CheckDone(g.name, c.server.Endpoint, c.lease, passed)
 	}
 }
 
@@ -131,7 +132,7 @@
 
 // End implements eventloop.Handler.
 func (c *check) End() bool {
-	_, _ = c.read(c.conn.Buffered(), true) // what cannot be read is a failed check all the same
+	_, _ = c.read(c.conn.Buffered(), true) // a response that cannot be parsed fails the check below
 	c.end(false)
 	return false
 }
--- a/internal/upstream/packet.go
+++ b/internal/upstream/packet.go
@@ -11,8 +11,8 @@
 
 const defaultMethod = "POST"
 
-// isDropped reports whether a variable of the caller is not sent on: those about the caller's own
-// connection, and HTTP_PROXY, which a server takes for a setting of its own.
+// isDropped reports whether a variable of the caller is not forwarded: those about the caller's own
+// connection, and HTTP_PROXY, which a server may take for its own proxy setting (httpoxy).
 func isDropped(name string) bool {
 	switch name {
 	case "CONTENT_LENGTH", "HTTP_CONTENT_LENGTH", "HTTP_CONNECTION", "HTTP_TRANSFER_ENCODING",
@@ -32,9 +32,9 @@
 }
 
 // packetFor returns the uwsgi packet of an attempt: the caller's variables, those that the runner
-// sets, and the part of the body that is there.
-func packetFor(a *lifecycle.Attempt, opt *Options) ([]byte, error) {
-	own := ownVariables(a, opt)
+// sets, and the part of the body that has been read.
+func packetFor(a *lifecycle.Attempt, options *Options) ([]byte, error) {
+	own := runnerVariables(a, options)
 	r := &uwsgi.Request{Body: a.Request.Body}
 	for _, f := range a.Request.Metadata {
 		isOwn := slices.ContainsFunc(own, func(v uwsgi.Variable) bool { return v.Name == f.Name })
@@ -66,15 +66,15 @@
 	return packet, requestKind.Wrap(err)
 }
 
-// ownVariables returns the variables by which a server learns the key, the tenant and the trace that
-// the runner has used for the request, whatever the caller sent under these names.
-func ownVariables(a *lifecycle.Attempt, opt *Options) []uwsgi.Variable {
-	own := []uwsgi.Variable{{Name: opt.KeyVariable, Value: a.Request.Key}}
-	if t := a.Request.Tenant; t >= 0 && t < len(opt.Tenants) {
-		own = append(own, uwsgi.Variable{Name: opt.TenantVariable, Value: opt.Tenants[t]})
+// runnerVariables returns the variables for the idempotency key, the tenant and the trace context
+// that the runner uses for the request. They replace what the caller sent under these names.
+func runnerVariables(a *lifecycle.Attempt, options *Options) []uwsgi.Variable {
+	own := []uwsgi.Variable{{Name: options.KeyVariable, Value: a.Request.Key}}
+	if t := a.Request.Tenant; t >= 0 && t < len(options.Tenants) {
+		own = append(own, uwsgi.Variable{Name: options.TenantVariable, Value: options.Tenants[t]})
 	}
-	if opt.TraceParent != nil {
-		own = append(own, uwsgi.Variable{Name: traceparent.Variable, Value: opt.TraceParent(a)})
+	if options.TraceParent != nil {
+		own = append(own, uwsgi.Variable{Name: traceparent.Variable, Value: options.TraceParent(a)})
 	}
 	return slices.DeleteFunc(own, func(v uwsgi.Variable) bool { return v.Name == "" || v.Value == "" })
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,7 +14,7 @@
 // minErrorStatus is the lowest status that counts as an error of the server.
 const minErrorStatus = 500
 
-// read reads what it can of the response, and returns how many bytes it has used.
+// read parses the part of the response that has come, and returns how many bytes it has used.
 func (x *exchange) read(b []byte, isEnd bool) (used int, err error) {
 	for x.isOpen() {
 		event, n, err := x.reader.Next(b[used:], isEnd)
@@ -54,8 +54,8 @@
 	result := &lifecycle.Result{Status: head.Status, ContentLength: int64(head.Length)}
 	for _, f := range head.Fields {
 		// The frontend sets the length itself. The response to a HEAD request keeps it.
-		isRestated := !x.isHead && strings.EqualFold(f.Name, "Content-Length")
-		if !uwsgi.IsHopByHop(f.Name) && !isRestated {
+		isReplaced := !x.isHead && strings.EqualFold(f.Name, "Content-Length")
+		if !uwsgi.IsHopByHop(f.Name) && !isReplaced {
 			result.Fields = append(result.Fields, lifecycle.Field(f))
 		}
 	}
@@ -68,7 +68,7 @@
 	if step == flowcontrol.Reject {
 		return uwsgi.ErrBodyTooLong
 	}
-	if !x.streaming || x.flow.Caches() {
+	if !x.isStreaming || x.flow.Caches() {
 		x.body = append(x.body, data...)
 	}
 	switch {
@@ -77,7 +77,7 @@
 	case step == flowcontrol.Forward && x.consumer != nil:
 		x.consumer.Consume(data)
 	}
-	if x.streaming && !x.flow.Caches() {
+	if x.isStreaming && !x.flow.Caches() {
 		x.body = nil
 		if x.consumer == nil && !x.attempt.Idempotent { // it ran, and the rest is not needed
 			x.end(lifecycle.Succeeded, nil)
@@ -87,18 +87,18 @@
 }
 
 func (x *exchange) startStreaming() {
-	x.streaming = true
+	x.isStreaming = true
 	result := *x.result
 	result.Body, result.Stream = x.body, x
-	isRead := x.group.sink.ResponseStarted(x.attempt, &result)
-	if !isRead && x.attempt.Idempotent {
+	hasReader := x.group.sink.ResponseStarted(x.attempt, &result)
+	if !hasReader && x.attempt.Idempotent {
 		x.end(lifecycle.Cancelled, nil)
 	}
 }
 
 // complete ends a complete response. One that streamed has a result only if it is cached.
 func (x *exchange) complete() {
-	if x.streaming && !x.flow.Caches() {
+	if x.isStreaming && !x.flow.Caches() {
 		x.end(lifecycle.Succeeded, nil)
 		return
 	}
@@ -112,8 +112,8 @@
 // Pause implements lifecycle.Stream: the server waits for a slow reader.
 func (x *exchange) Pause(on bool) { x.connection.conn.Pause(on) }
 
-// Cancel implements lifecycle.Stream. The response to a request with side effects is read on as
-// long as it is cached.
+// Cancel implements lifecycle.Stream. The response to a request with side effects is read to its
+// end if it is to be cached.
 func (x *exchange) Cancel() {
 	x.consumer = nil
 	if !x.attempt.Idempotent && x.flow.Caches() {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,7 +1,8 @@
-// Package upstream implements the runner that sends attempts to a group of uwsgi servers, as a
-// reverse proxy does: one request a connection, with connections opened in advance, active health
-// checks, streaming in both directions and backpressure. Package picker decides which server gets an
-// attempt. Closing its connection cancels a request.
+// Package upstream implements a lifecycle.Runner that sends attempts to a group of uwsgi servers,
+// as a reverse proxy does: one request a connection, with connections opened in advance, active
+// health checks, streaming in both directions and backpressure. Package picker decides which server
+// gets an attempt. A request is cancelled by closing its connection. The application (internal/app)
+// makes the groups, each behind a queue of package waitqueue.
 //
 // A group and all that belongs to it is used on the goroutine of its event loop alone.
 package upstream
@@ -38,14 +39,14 @@
 type Options struct {
 	ConnectTimeout time.Duration
 	FlowControl    flowcontrol.Limits
-	Preconnect     int // connections to each server that are opened before requests come; 0: none
+	Preconnect     int // connections that are opened in advance to each server; 0: none
 	Picker         picker.Config
 	ClassCount     int
 	MaxAttempts    int // servers that one request may be sent to
 	HealthCheck    HealthCheck
 	// HealthCheckCoordinator says which runner checks a server; nil: each runner checks all.
 	HealthCheckCoordinator HealthCheckCoordinator
-	RunnerName             string // told to servers that are checked under a lease
+	RunnerName             string // sent to servers that are checked under a lease
 	// Names of the variables by which a server gets the idempotency key and the tenant; empty: it
 	// gets none. What the caller sent under these names is replaced.
 	KeyVariable, TenantVariable string
@@ -56,8 +57,9 @@
 
 // Sink gets the results of attempts, as the request lifecycle does.
 type Sink interface {
-	// Began reports a result that is still coming. It returns whether anyone reads the rest.
+	// ResponseStarted reports a result that is still coming. It returns whether anyone reads the
+	// rest.
 	ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool
-	// Ended reports the end of an attempt, once.
+	// AttemptEnded reports the end of an attempt, once.
 	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
