--- a/internal/protocol/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -20,6 +20,7 @@
 	"strings"
 
 	"ryepaddle/internal/match"
+	"ryepaddle/internal/protocol/httpmessage"
 )
 
 // Variable is one variable of a request, under its CGI name.
@@ -200,13 +201,6 @@
 	return nil
 }
 
-// isToken reports whether s is a token (RFC 9110, 5.6.2).
-func isToken(s string) bool {
-	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
-		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
-	})
-}
-
 // set changes or adds a variable.
 func (r *Request) set(name, value string) {
 	for i := range r.Variables {
@@ -226,7 +220,7 @@
 // readMethod sets the method and the scheme.
 func (r *Request) readMethod() error {
 	r.Method = cmp.Or(r.Get("REQUEST_METHOD"), "POST")
-	if !isToken(r.Method) {
+	if !httpmessage.IsToken(r.Method) {
 		return badRequest("REQUEST_METHOD %q", r.Method)
 	}
 	if r.Method == "CONNECT" {
@@ -258,6 +252,11 @@
 	if strings.ContainsAny(r.Query, " \t#") {
 		return badRequest("QUERY_STRING %q", r.Query)
 	}
+	return r.readURI()
+}
+
+// readURI replaces a REQUEST_URI that differs from the path and the query.
+func (r *Request) readURI() error {
 	uri := r.Get("REQUEST_URI")
 	if uri == "" {
 		return nil
@@ -278,7 +277,7 @@
 }
 
 // cleanPath returns a decoded path without empty and dot segments. A path that leads above the root
-// is an error, as its writer meant another place.
+// is an error: without its dot segments it would name another resource.
 func cleanPath(p string) (string, error) {
 	if !strings.HasPrefix(p, "/") {
 		return "", errors.New("does not begin with /")
@@ -309,6 +308,16 @@
 // readBody decides how the body is framed. Two framings at once are an error, since they would
 // allow request smuggling.
 func (r *Request) readBody() error {
+	for _, read := range []func() error{r.readLength, r.readTransferEncoding, r.readExpect} {
+		if err := read(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// readLength sets the stated length of the body.
+func (r *Request) readLength() error {
 	length := r.Get("CONTENT_LENGTH")
 	if also := r.Get("HTTP_CONTENT_LENGTH"); also != "" {
 		if length != "" && length != also {
@@ -316,27 +325,39 @@
 		}
 		length = also
 	}
-	if length != "" {
-		n, err := strconv.ParseUint(length, 10, 62)
-		if err != nil || length[0] == '+' {
-			return badRequest("bad CONTENT_LENGTH: %q", length)
-		}
-		r.Length = int64(n)
+	if length == "" {
+		return nil
+	}
+	n, err := strconv.ParseUint(length, 10, 62)
+	if err != nil || length[0] == '+' {
+		return badRequest("bad CONTENT_LENGTH: %q", length)
 	}
-	switch te := strings.ToLower(strings.Trim(r.Get("HTTP_TRANSFER_ENCODING"), " \t")); {
-	case te == "":
-	case te == "identity":
-		r.UntilClose = length == ""
-	case te != "chunked":
+	r.Length = int64(n)
+	return nil
+}
+
+// readTransferEncoding sets the framing of a body by its transfer coding.
+func (r *Request) readTransferEncoding() error {
+	hasLength := r.Length >= 0
+	switch coding := strings.ToLower(strings.Trim(r.Get("HTTP_TRANSFER_ENCODING"), " \t")); {
+	case coding == "":
+	case coding == "identity":
+		r.UntilClose = !hasLength
+	case coding != "chunked":
 		return &Error{
 			Status: http.StatusNotImplemented,
-			Reason: fmt.Sprintf("HTTP_TRANSFER_ENCODING %q", te),
+			Reason: fmt.Sprintf("HTTP_TRANSFER_ENCODING %q", coding),
 		}
-	case length != "":
+	case hasLength:
 		return badRequest("a body both of a stated length and in chunks")
 	default:
 		r.Chunked = true
 	}
+	return nil
+}
+
+// readExpect notes whether the caller waits for an interim response before it sends the body.
+func (r *Request) readExpect() error {
 	switch expect := strings.ToLower(r.Get("HTTP_EXPECT")); {
 	case expect == "":
 	case expect != "100-continue":
--- a/internal/protocol/fastcgi/fastcgi.go
+++ b/internal/protocol/fastcgi/fastcgi.go
@@ -43,13 +43,27 @@
 	maxContent = 65535
 	maxPadding = 255
 	bodySize   = 8 // of a BeginRequest and an EndRequest
+	alignment  = 8 // to which the content of a record is padded
 	// MaxRecord is the largest size of a record.
 	MaxRecord = headerSize + maxContent + maxPadding
 )
 
+// Offsets in the header of a record, and in the bodies of a BeginRequest and an EndRequest.
+const (
+	typeOffset           = 1
+	idOffset             = 2
+	contentLengthOffset  = 4
+	paddingLengthOffset  = 6
+	beginFlagsOffset     = 2
+	protocolStatusOffset = 4
+)
+
 // version is the protocol version of a record.
 const version = 1
 
+// reserved is the last byte of a record's header.
+const reserved = 0
+
 // Lengths of names and values take one byte up to maxShortLength, and else four bytes with the
 // highest bit set.
 const (
@@ -81,8 +95,8 @@
 	if len(b) < headerSize {
 		return Record{}, 0, nil
 	}
-	contentLength := int(binary.BigEndian.Uint16(b[4:]))
-	paddingLength := int(b[6])
+	contentLength := int(binary.BigEndian.Uint16(b[contentLengthOffset:]))
+	paddingLength := int(b[paddingLengthOffset])
 	size := headerSize + contentLength + paddingLength
 	if size > maxSize {
 		return Record{}, 0, fmt.Errorf("%w: %d bytes", ErrRecordTooLong, size)
@@ -91,8 +105,8 @@
 		return Record{}, 0, nil
 	}
 	return Record{
-		Type:    b[1],
-		ID:      binary.BigEndian.Uint16(b[2:]),
+		Type:    b[typeOffset],
+		ID:      binary.BigEndian.Uint16(b[idOffset:]),
 		Content: b[headerSize : headerSize+contentLength],
 	}, size, nil
 }
@@ -103,10 +117,13 @@
 	for first := true; first || len(content) > 0; first = false {
 		part := content[:min(len(content), maxContent)]
 		content = content[len(part):]
-		pad := -len(part) & 7
-		b = append(b, version, typ, byte(id>>8), byte(id), byte(len(part)>>8), byte(len(part)), byte(pad), 0)
+		paddingLength := -len(part) & (alignment - 1)
+		b = append(b, version, typ)
+		b = binary.BigEndian.AppendUint16(b, id)
+		b = binary.BigEndian.AppendUint16(b, uint16(len(part)))
+		b = append(b, byte(paddingLength), reserved)
 		b = append(b, part...)
-		b = append(b, make([]byte, pad)...)
+		b = append(b, make([]byte, paddingLength)...)
 	}
 	return b
 }
@@ -124,7 +141,7 @@
 	}
 	return BeginRequestBody{
 		Role:           binary.BigEndian.Uint16(content),
-		KeepConnection: content[2]&KeepConnection != 0,
+		KeepConnection: content[beginFlagsOffset]&KeepConnection != 0,
 	}, nil
 }
 
@@ -133,7 +150,7 @@
 	content := make([]byte, bodySize)
 	binary.BigEndian.PutUint16(content, body.Role)
 	if body.KeepConnection {
-		content[2] = KeepConnection
+		content[beginFlagsOffset] = KeepConnection
 	}
 	return Append(b, BeginRequest, id, content)
 }
@@ -142,7 +159,7 @@
 func AppendEnd(b []byte, id uint16, appStatus uint32, protocolStatus uint8) []byte {
 	content := make([]byte, bodySize)
 	binary.BigEndian.PutUint32(content, appStatus)
-	content[4] = protocolStatus
+	content[protocolStatusOffset] = protocolStatus
 	return Append(b, EndRequest, id, content)
 }
 
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"strings"
 )
 
 // Errors of malformed bodies.
@@ -20,6 +21,9 @@
 	maxSizeDigits     = 15 // hexadecimal digits that fit into an int64
 )
 
+// crlf ends each line and the data of each chunk.
+const crlf = "\r\n"
+
 // framing is how the end of a body is found.
 type framing uint8
 
@@ -119,7 +123,8 @@
 	if err != nil {
 		return 0, err
 	}
-	r.remaining, r.state = size, chunkData
+	r.remaining = size
+	r.state = chunkData
 	if size == 0 {
 		r.state = trailerSection
 	}
@@ -128,14 +133,15 @@
 
 // readDataEnd decodes the line end after a chunk's data.
 func (r *Body) readDataEnd(b []byte) (used int, err error) {
-	if len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n' {
+	isPrefix := strings.HasPrefix(crlf, string(b[:min(len(b), len(crlf))]))
+	if !isPrefix {
 		return 0, fmt.Errorf("%w: it is longer than its size", ErrChunk)
 	}
-	if len(b) < 2 {
+	if len(b) < len(crlf) {
 		return 0, nil
 	}
 	r.state = chunkSizeLine
-	return 2, nil
+	return len(crlf), nil
 }
 
 // readTrailerLine decodes one line of the trailer section, which ends with an empty line. Fields
@@ -194,5 +200,6 @@
 // AppendChunk appends a chunk to b. An empty chunk ends the body.
 func AppendChunk(b, data []byte) []byte {
 	b = fmt.Appendf(b, "%x\r\n", len(data))
-	return append(append(b, data...), '\r', '\n')
+	b = append(b, data...)
+	return append(b, crlf...)
 }
--- a/internal/protocol/httpmessage/head.go
+++ b/internal/protocol/httpmessage/head.go
@@ -6,6 +6,7 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
@@ -52,24 +53,35 @@
 	return ""
 }
 
+// isInterim reports whether the response is interim (1xx), with a final one to follow.
+func (h *Head) isInterim() bool { return h.Status < http.StatusOK }
+
+// hasNoBody reports whether a response of that status never has a body (RFC 9112, 6.3).
+func (h *Head) hasNoBody() bool {
+	return h.Status == http.StatusNoContent || h.Status == http.StatusNotModified
+}
+
+// headEnd is the end of the last line of a head, and its empty line.
+var headEnd = []byte("\r\n\r\n")
+
 // Read decodes the head of a final response from the front of b and returns how many bytes it takes
 // with the interim responses before it, or 0 if b holds only a part of it. Lines have to end with
 // CRLF, and transfer codings are not accepted.
 func Read(b []byte) (*Head, int, error) {
 	for used := 0; ; {
-		head, _, ok := bytes.Cut(b[used:], []byte("\r\n\r\n"))
+		head, _, ok := bytes.Cut(b[used:], headEnd)
 		if len(head) > MaxHeadBytes {
 			return nil, 0, ErrHeadTooLong
 		}
 		if !ok {
 			return nil, 0, nil
 		}
-		used += len(head) + 4
+		used += len(head) + len(headEnd)
 		h, err := parse(string(head))
 		if err != nil {
 			return nil, 0, err
 		}
-		if h.Status >= 200 {
+		if !h.isInterim() {
 			return h, used, nil
 		}
 	}
@@ -87,17 +99,20 @@
 			return nil, err
 		}
 	}
-	if h.Status == 204 || h.Status == 304 {
+	if h.hasNoBody() {
 		h.Length = 0
 	}
 	return h, nil
 }
 
+// isSpaceControlOrNonASCII reports whether a character is a space, a control character or not in
+// ASCII.
+func isSpaceControlOrNonASCII(r rune) bool { return r <= ' ' || r >= 0x7f }
+
 // parseStrictField adds a header field. The body has to be framed by its length alone.
 func (h *Head) parseStrictField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
-	badName := func(r rune) bool { return r <= ' ' || r >= 0x7f }
-	if !ok || name == "" || strings.ContainsFunc(name, badName) {
+	if !ok || name == "" || strings.ContainsFunc(name, isSpaceControlOrNonASCII) {
 		return &SyntaxError{"header", line}
 	}
 	f := Field{Name: name, Value: strings.Trim(value, " \t")}
--- a/internal/protocol/httpmessage/response.go
+++ b/internal/protocol/httpmessage/response.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,6 +14,16 @@
 // maxInterim bounds the interim (1xx) responses before the final one.
 const maxInterim = 16
 
+// Status codes have statusDigits digits, from minStatus to maxStatus.
+const (
+	statusDigits = 3
+	minStatus    = 100
+	maxStatus    = 599
+)
+
+// protoCGI is the Head.Proto of a head without a status line.
+const protoCGI = "CGI"
+
 // Errors of responses.
 var (
 	ErrTooManyInterim     = errors.New("too many interim responses")
@@ -57,16 +68,17 @@
 			return Event{}, 0, io.ErrUnexpectedEOF
 		case n == 0:
 			return Event{}, 0, nil
-		case h.Status == 101:
+		case h.Status == http.StatusSwitchingProtocols:
 			return Event{}, 0, ErrSwitchingProtocols
-		case h.Status < 200:
+		case h.isInterim():
 			r.interim++
 			if r.interim > maxInterim {
 				return Event{}, 0, ErrTooManyInterim
 			}
 			return Event{}, n, nil
 		}
-		r.head, r.body = h, r.frame(h)
+		r.head = h
+		r.body = r.frame(h)
 		return Event{Head: h}, n, nil
 	}
 	data, used, done, err := r.body.Next(b, end)
@@ -76,7 +88,7 @@
 // frame decides where the body ends (RFC 9112, 6.3).
 func (r *ResponseReader) frame(h *Head) *Body {
 	switch {
-	case r.headOnly || h.Status == 204 || h.Status == 304:
+	case r.headOnly || h.hasNoBody():
 		return BodyOfLength(0)
 	case h.Chunked:
 		return ChunkedBody()
@@ -116,7 +128,7 @@
 	if len(lines) == 0 {
 		return nil, &SyntaxError{Part: "an empty head"}
 	}
-	h := &Head{Length: -1, Proto: "CGI"}
+	h := &Head{Length: -1, Proto: protoCGI}
 	if strings.HasPrefix(lines[0], "HTTP/") {
 		if err := h.parseStatusLine(lines[0]); err != nil {
 			return nil, err
@@ -136,9 +148,9 @@
 		return nil, &SyntaxError{Part: "a body both of a stated length and in chunks"}
 	}
 	if h.Status == 0 { // RFC 3875, 6.2 and 6.3.3
-		h.Status = 200
+		h.Status = http.StatusOK
 		if h.Get("Location") != "" {
-			h.Status = 302
+			h.Status = http.StatusFound
 		}
 	}
 	return h, nil
@@ -151,7 +163,8 @@
 	if !ok || proto != "HTTP/1.0" && proto != "HTTP/1.1" {
 		return &SyntaxError{"status line", line}
 	}
-	h.Proto, h.Status = proto, status
+	h.Proto = proto
+	h.Status = status
 	return nil
 }
 
@@ -159,7 +172,7 @@
 func parseStatus(text string) (status int, ok bool) {
 	code, _, _ := strings.Cut(text, " ")
 	n, err := strconv.Atoi(code)
-	return n, err == nil && len(code) == 3 && n >= 100 && n <= 599
+	return n, err == nil && len(code) == statusDigits && n >= minStatus && n <= maxStatus
 }
 
 // parseField decodes one header field.
@@ -174,9 +187,14 @@
 
 // Valid reports whether a header field can be written so that it is read as the same field.
 func (f Field) Valid() bool {
-	return f.Name != "" && !strings.ContainsFunc(f.Name, func(r rune) bool {
-		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
-	}) && !strings.ContainsAny(f.Value, "\r\n\x00")
+	return IsToken(f.Name) && !strings.ContainsAny(f.Value, "\r\n\x00")
+}
+
+// IsToken reports whether s is a token (RFC 9110, 5.6.2), as names of fields and methods are.
+func IsToken(s string) bool {
+	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
+		return isSpaceControlOrNonASCII(r) || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
+	})
 }
 
 // add adds a header field and applies what it says about the body. Fields that state the same twice
@@ -203,7 +221,7 @@
 		default:
 			return &SyntaxError{"Transfer-Encoding", f.Value}
 		}
-	case h.Proto == "CGI" && strings.EqualFold(f.Name, "Status"):
+	case h.Proto == protoCGI && strings.EqualFold(f.Name, "Status"):
 		n, ok := parseStatus(f.Value)
 		if !ok || h.Status != 0 && h.Status != n {
 			return &SyntaxError{"field Status", f.Value}
--- a/internal/protocol/traceparent/traceparent.go
+++ b/internal/protocol/traceparent/traceparent.go
@@ -49,7 +49,7 @@
 }
 
 // New returns the span of a request: in the trace of its caller, if parent is a valid header, or in
-// a trace of its own. Of these the share sampleRatio, from 0 to 1, is sampled. The name of a
+// a new trace. Of new traces the ratio sampleRatio, from 0 to 1, is sampled. The name of a
 // request is unique together with its instance and arrival, a Unix time in microseconds.
 func New(instance, name string, arrived int64, parent string, sampleRatio float64) Context {
 	var d xxhash.Digest
@@ -64,12 +64,19 @@
 		low := d.Sum64()
 		binary.BigEndian.PutUint64(c.Trace[:], span)
 		binary.BigEndian.PutUint64(c.Trace[8:], low)
-		c.Sampled = float64(low>>11)/(1<<53) < sampleRatio
+		c.Sampled = unitFraction(low) < sampleRatio
 	}
 	c.setSpan(span)
 	return c
 }
 
+// unitFraction maps a uniformly distributed number to [0, 1), by as many of its bits as a float64
+// holds exactly.
+func unitFraction(n uint64) float64 {
+	const bits = 53
+	return float64(n>>(64-bits)) / (1 << bits)
+}
+
 // Attempt returns the span of the n-th attempt of a request, from 0.
 func (c Context) Attempt(n int) Context {
 	c.setSpan(xxhash.Sum64(append(c.Span[:], byte(n), byte(n>>8))))
--- a/internal/protocol/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -18,10 +18,18 @@
 // Sizes in bytes.
 const (
 	headerSize = 4
+	lengthSize = 2 // of the length before a name or a value
 	// MaxVariablesBytes is the largest size of the variables of one packet.
 	MaxVariablesBytes = 65535
 )
 
+// Offsets in the header of a packet.
+const (
+	modifier1Offset = 0
+	sizeOffset      = 1
+	modifier2Offset = 3
+)
+
 // Errors of malformed packets.
 var (
 	ErrModifier          = errors.New("uwsgi: not a request packet")
@@ -73,16 +81,20 @@
 // holds only a part of it. A packet of another kind, or whose variables exceed maxVariables bytes,
 // is an error as soon as its header is there.
 func ReadHead(b []byte, maxVariables int) (*Head, int, error) {
-	if len(b) > 0 && b[0] != ModifierRequest && b[0] != ModifierPing {
-		return nil, 0, fmt.Errorf("%w: modifier %d", ErrModifier, b[0])
+	if len(b) == 0 {
+		return nil, 0, nil
+	}
+	modifier := b[modifier1Offset]
+	if modifier != ModifierRequest && modifier != ModifierPing {
+		return nil, 0, fmt.Errorf("%w: modifier %d", ErrModifier, modifier)
 	}
 	if len(b) < headerSize {
 		return nil, 0, nil
 	}
-	size := int(binary.LittleEndian.Uint16(b[1:]))
-	if b[0] == ModifierPing {
+	size := int(binary.LittleEndian.Uint16(b[sizeOffset:]))
+	if modifier == ModifierPing {
 		switch {
-		case b[3] != pingRequest:
+		case b[modifier2Offset] != pingRequest:
 			return nil, 0, fmt.Errorf("%w: an unsolicited answer to a ping", ErrModifier)
 		case size != 0:
 			return nil, 0, ErrPing
@@ -163,22 +175,22 @@
 	return variables, nil
 }
 
-// readString decodes a string with its length in two bytes before it.
+// readString decodes a string, which follows its length.
 func readString(b []byte) (s string, rest []byte, ok bool) {
-	if len(b) < 2 {
+	if len(b) < lengthSize {
 		return "", nil, false
 	}
-	end := 2 + int(binary.LittleEndian.Uint16(b))
+	end := lengthSize + int(binary.LittleEndian.Uint16(b))
 	if len(b) < end {
 		return "", nil, false
 	}
-	return string(b[2:end]), b[end:], true
+	return string(b[lengthSize:end]), b[end:], true
 }
 
 // Append appends a request to b. Variables that exceed a packet are ErrVariablesTooLong.
 func Append(b []byte, r *Request) ([]byte, error) {
 	start := len(b)
-	b = append(b, 0, 0, 0, 0)
+	b = append(b, make([]byte, headerSize)...)
 	for _, v := range r.Variables {
 		if len(v.Name) > MaxVariablesBytes || len(v.Value) > MaxVariablesBytes {
 			return nil, ErrVariablesTooLong
@@ -192,7 +204,7 @@
 	if size > MaxVariablesBytes {
 		return nil, ErrVariablesTooLong
 	}
-	binary.LittleEndian.PutUint16(b[start+1:], uint16(size))
+	binary.LittleEndian.PutUint16(b[start+sizeOffset:], uint16(size))
 	return append(b, r.Body...), nil
 }
 
@@ -238,7 +250,7 @@
 // AppendResponse appends a response to b. headOnly leaves the body and its length out.
 func AppendResponse(b []byte, r *Response, headOnly bool) []byte {
 	length := int64(len(r.Body))
-	if headOnly || r.Status == 204 || r.Status == 304 {
+	if headOnly || r.Status == http.StatusNoContent || r.Status == http.StatusNotModified {
 		length = -1
 	}
 	b = AppendHead(b, r.Status, r.Fields, length)
