--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -1,10 +1,10 @@
 // Package balance models the load balancers in front of the runners: it chooses a server for each
 // attempt, times attempts out, retries and hedges, ejects and checks servers, and observes their
-// advice, as far as its Behavior says so. It does no I/O: the simulator runs it in virtual time, and
-// the daytest package on sockets.
+// advice, as its Behavior configures. It does no I/O: package fleet runs it in virtual time, and
+// package daytest on sockets.
 //
-// Each submitted request is finished exactly once. A balancer knows of a server only what the
-// endpoint list, its own health checks, load reports and the server's answers tell it.
+// Each submitted request is finished exactly once. The state of a server comes from the endpoint list,
+// the balancer's own health checks, load reports and the server's answers alone.
 package balance
 
 import (
@@ -29,7 +29,11 @@
 	sameServer    int // to which the next attempt goes; anyServer: any
 }
 
-const anyServer = -1
+// Values in place of the index of a server.
+const (
+	anyServer = -1 // no particular one is required
+	noServer  = -1 // none is eligible
+)
 
 // server is what a balancer knows of a server.
 type server struct {
@@ -187,10 +191,11 @@
 		b.finish(p, EndUnsent, nil)
 		return
 	}
-	b.send(p, false)
+	b.send(p)
 }
 
-// isThrottled drops requests with a probability that grows with the share not served of late.
+// isThrottled reports whether a request is dropped, with a probability that grows with the share of
+// recent requests that were not served.
 func (b *Balancer) isThrottled(r *Request) bool {
 	if b.behavior.ThrottleFactor <= 0 {
 		return false
@@ -204,40 +209,57 @@
 	return b.draw(r.ID, 0, drawThrottle) < excess/(b.recentRequests+1)
 }
 
-// send sends an attempt, if a server is eligible. hedged marks the second of two at the same time.
-func (b *Balancer) send(p *pendingRequest, hedged bool) {
+// send sends the next attempt of a request, or handles that no server is eligible.
+func (b *Balancer) send(p *pendingRequest) {
 	i := b.choose(p)
-	if i < 0 {
-		if !hedged {
-			b.handleNoServer(p)
-		}
+	if i == noServer {
+		b.handleNoServer(p)
+		return
+	}
+	b.sendAttempt(b.newAttempt(p, i))
+}
+
+// sendHedged sends an attempt beside the one that is active, if a server is eligible.
+func (b *Balancer) sendHedged(p *pendingRequest) {
+	i := b.choose(p)
+	if i == noServer {
 		return
 	}
-	t := &Attempt{
+	attempt := b.newAttempt(p, i)
+	attempt.Hedged = true
+	b.sendAttempt(attempt)
+}
+
+// newAttempt returns the next attempt of a request, at server i.
+func (b *Balancer) newAttempt(p *pendingRequest, i int) *Attempt {
+	return &Attempt{
 		Request: p.Request,
 		Server:  i,
 		Number:  p.attempts,
 		SentAt:  b.clock.Now(),
-		Hedged:  hedged,
 		pending: p,
 	}
+}
+
+func (b *Balancer) sendAttempt(attempt *Attempt) {
+	p := attempt.pending
 	p.attempts++
-	p.tried[i] = true
+	p.tried[attempt.Server] = true
 	p.sameServer = anyServer
-	p.active = append(p.active, t)
+	p.active = append(p.active, attempt)
 	b.Stats.Attempts++
-	b.servers[i].outstanding++
-	b.startTimeout(t)
+	b.servers[attempt.Server].outstanding++
+	b.startTimeout(attempt)
 	b.startHedging(p)
-	b.transport.Send(t)
+	b.transport.Send(attempt)
 }
 
 // startTimeout starts the timeout of an attempt, if it ends before the request's deadline.
-func (b *Balancer) startTimeout(t *Attempt) {
-	p := t.pending
+func (b *Balancer) startTimeout(attempt *Attempt) {
+	p := attempt.pending
 	timeout := scale(p.Deadline, b.behavior.AttemptTimeout)
-	if b.behavior.AttemptTimeout < 1 && t.SentAt+timeout < p.startedAt+p.Deadline {
-		t.timer = b.clock.After(timeout, func() { b.attemptTimedOut(t) })
+	if b.behavior.AttemptTimeout < 1 && attempt.SentAt+timeout < p.startedAt+p.Deadline {
+		attempt.timer = b.clock.After(timeout, func() { b.attemptTimedOut(attempt) })
 	}
 }
 
@@ -250,7 +272,7 @@
 	b.clock.After(b.behavior.HedgeDelay, func() {
 		if p.deadlineTimer != nil && len(p.active) == 1 && !p.active[0].closed {
 			b.Stats.Hedged++
-			b.send(p, true)
+			b.sendHedged(p)
 		}
 	})
 }
@@ -275,51 +297,52 @@
 
 // sendAfter sends the next attempt after a pause.
 func (b *Balancer) sendAfter(p *pendingRequest, pause time.Duration) {
-	p.retryTimer = b.clock.After(pause, func() { b.send(p, false) })
+	p.retryTimer = b.clock.After(pause, func() { b.send(p) })
 }
 
 // attemptTimedOut ends an attempt whose timeout has passed.
-func (b *Balancer) attemptTimedOut(t *Attempt) {
-	if t.closed {
+func (b *Balancer) attemptTimedOut(attempt *Attempt) {
+	if attempt.closed {
 		return
 	}
-	b.recordFailure(t)
-	b.abort(t)
-	t.pending.lastOutcome = EndFailed
-	b.retry(t, Failed)
+	b.recordFailure(attempt)
+	b.abort(attempt)
+	attempt.pending.lastOutcome = EndFailed
+	b.retry(attempt, Failed)
 }
 
 // Answered takes the answer to an attempt. Of an attempt that was aborted only the advertised credit
 // counts.
-func (b *Balancer) Answered(t *Attempt, a Answer) {
-	s, now := &b.servers[t.Server], b.clock.Now()
+func (b *Balancer) Answered(attempt *Attempt, a Answer) {
+	s, now := &b.servers[attempt.Server], b.clock.Now()
 	if a.AdvertisedValue >= 0 && b.behavior.FollowsAdvice {
-		s.credit, s.creditAt = a.AdvertisedValue, now
+		s.credit = a.AdvertisedValue
+		s.creditAt = now
 	}
-	if t.closed {
+	if attempt.closed {
 		return
 	}
-	b.closeAttempt(t)
+	b.closeAttempt(attempt)
 	switch a.Kind {
 	case Served:
 		s.failures = 0
 		b.recentServed++
-		s.observeLatency(now - t.SentAt)
-		b.finish(t.pending, EndServed, t)
+		s.observeLatency(now - attempt.SentAt)
+		b.finish(attempt.pending, EndServed, attempt)
 	case Rejected:
-		b.rejected(t, a)
+		b.rejected(attempt, a)
 	default:
-		b.recordFailure(t)
-		t.pending.lastOutcome = EndFailed
-		b.retry(t, a.Kind)
+		b.recordFailure(attempt)
+		attempt.pending.lastOutcome = EndFailed
+		b.retry(attempt, a.Kind)
 	}
 }
 
 // rejected deals with an attempt that its server rejected.
-func (b *Balancer) rejected(t *Attempt, a Answer) {
-	p := t.pending
+func (b *Balancer) rejected(attempt *Attempt, a Answer) {
+	p := attempt.pending
 	if b.behavior.FollowsAdvice && a.RetryAfter > 0 {
-		b.servers[t.Server].avoidUntil = b.clock.Now() + a.RetryAfter
+		b.servers[attempt.Server].avoidUntil = b.clock.Now() + a.RetryAfter
 	}
 	p.lastOutcome = EndRejected
 	if b.behavior.FollowsAdvice && a.DoNotRetry {
@@ -328,7 +351,7 @@
 		}
 		return
 	}
-	b.retry(t, Rejected)
+	b.retry(attempt, Rejected)
 }
 
 // observeLatency adds a sample to the moving average.
@@ -341,10 +364,10 @@
 }
 
 // recordFailure counts a failed attempt against its server, and ejects the server after enough.
-func (b *Balancer) recordFailure(t *Attempt) {
-	s, now := &b.servers[t.Server], b.clock.Now()
+func (b *Balancer) recordFailure(attempt *Attempt) {
+	s, now := &b.servers[attempt.Server], b.clock.Now()
 	s.failures++
-	s.observeLatency(max(now-t.SentAt, minFailureLatency))
+	s.observeLatency(max(now-attempt.SentAt, minFailureLatency))
 	if b.behavior.EjectAfterFailures > 0 && s.failures >= b.behavior.EjectAfterFailures {
 		s.failures = 0
 		s.ejectedUntil = now + b.behavior.EjectionTime
@@ -353,28 +376,29 @@
 }
 
 // closeAttempt removes an attempt from its request and its server.
-func (b *Balancer) closeAttempt(t *Attempt) {
-	t.closed = true
-	b.servers[t.Server].outstanding--
-	if t.timer != nil {
-		t.timer.Stop()
+func (b *Balancer) closeAttempt(attempt *Attempt) {
+	attempt.closed = true
+	b.servers[attempt.Server].outstanding--
+	if attempt.timer != nil {
+		attempt.timer.Stop()
 	}
-	if i := slices.Index(t.pending.active, t); i >= 0 {
-		t.pending.active = slices.Delete(t.pending.active, i, i+1)
+	if i := slices.Index(attempt.pending.active, attempt); i >= 0 {
+		attempt.pending.active = slices.Delete(attempt.pending.active, i, i+1)
 	}
 }
 
 // abort closes an attempt that has no answer.
-func (b *Balancer) abort(t *Attempt) {
-	b.closeAttempt(t)
+func (b *Balancer) abort(attempt *Attempt) {
+	b.closeAttempt(attempt)
 	b.Stats.Aborted++
-	b.transport.Abort(t)
+	b.transport.Abort(attempt)
 }
 
 // retry decides what follows an attempt that was not served. After a failure the request may have
 // run: it is then retried only if it is idempotent, by itself or by its key.
-func (b *Balancer) retry(t *Attempt, kind Kind) {
-	p, mayHaveRun := t.pending, kind == Failed
+func (b *Balancer) retry(attempt *Attempt, kind Kind) {
+	p := attempt.pending
+	mayHaveRun := kind == Failed
 	if len(p.active) > 0 || p.deadlineTimer == nil { // the hedged attempt may still be served
 		return
 	}
@@ -383,7 +407,7 @@
 		return
 	}
 	if mayHaveRun && p.Keyed && b.behavior.Sticky {
-		p.sameServer = t.Server
+		p.sameServer = attempt.Server
 	}
 	switch b.behavior.Retry {
 	case RetryUnlimited:
@@ -391,7 +415,7 @@
 			b.sendAfter(p, max(b.behavior.RetryPause, minRetryPause))
 			return
 		}
-		b.send(p, false)
+		b.send(p)
 	case RetryBounded:
 		if !b.takeRetryToken(p) {
 			b.finish(p, p.lastOutcome, nil)
--- a/internal/simulator/balance/policy.go
+++ b/internal/simulator/balance/policy.go
@@ -16,7 +16,7 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// choose returns the server of the next attempt; -1: none is eligible. If no server is healthy,
+// choose returns the server of the next attempt, or noServer. If no server is healthy,
 // health does not count.
 func (b *Balancer) choose(p *pendingRequest) int {
 	if i := p.sameServer; i >= 0 && b.servers[i].listed {
@@ -34,7 +34,7 @@
 		}
 	}
 	if len(b.eligible) == 0 {
-		return -1
+		return noServer
 	}
 	return b.pick(p)
 }
@@ -61,7 +61,8 @@
 // hasCapacity reports whether server i takes one more request, by the advice that this balancer
 // follows. The fraction of a credit is the probability of one more.
 func (b *Balancer) hasCapacity(i int, p *pendingRequest) bool {
-	s, now := &b.servers[i], b.clock.Now()
+	s := &b.servers[i]
+	now := b.clock.Now()
 	if !b.behavior.FollowsAdvice {
 		return true
 	}
@@ -135,7 +136,8 @@
 	}
 	at := b.draw(p.ID, p.attempts, drawWeight) * sum
 	for _, i := range b.eligible {
-		if at -= b.servers[i].weight; at < 0 {
+		at -= b.servers[i].weight
+		if at < 0 {
 			return i
 		}
 	}
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -91,7 +91,7 @@
 // Answer is the answer to an attempt.
 type Answer struct {
 	Kind            Kind
-	RetryAfter      time.Duration // of Rejected: how long to stay away from the server; 0: not given
+	RetryAfter      time.Duration // of Rejected: until this server is to be tried again; 0: not given
 	DoNotRetry      bool          // of Rejected: no other server is to be tried
 	AdvertisedValue float64       // credit for this balancer, in requests; negative: none
 }
@@ -124,17 +124,17 @@
 // Balancer.Checked, never from within one of its methods.
 type Transport interface {
 	// Send sends an attempt to its server.
-	Send(t *Attempt)
+	Send(attempt *Attempt)
 	// Abort cancels an attempt whose answer nobody waits for. No answer is needed any more.
-	Abort(t *Attempt)
+	Abort(attempt *Attempt)
 	// Check starts a health check of a server.
 	Check(server int)
 	// Finish ends a request for its client. by is the attempt that served it, or nil.
 	Finish(r *Request, e Outcome, by *Attempt)
 }
 
-// Draw returns a number in [0, 1) that depends on its arguments alone, so that two runs of a day
-// draw alike whatever else differs between them.
+// Draw returns a number in [0, 1) that depends on its arguments alone, so that two simulations of a day
+// make the same draws, whatever else differs between them.
 type Draw func(request uint64, number, purpose int) float64
 
 // The purposes of draws. That of a fractional credit is drawCredit plus the server's index.
--- a/internal/simulator/cluster/bulkheads.go
+++ b/internal/simulator/cluster/bulkheads.go
@@ -8,11 +8,11 @@
 )
 
 // reserveClass is the class of the cheapest requests, which have a reserved bulkhead.
-const reserveClass = 0
+const reserveClass = quickCheckClass
 
-// reportedCoresFactor is by how much more cores than workers the admission is told of where a queue
-// behind it limits the concurrency: with the workers alone it would queue the rest itself, and the
-// bulkheads would have nothing to share.
+// reportedCoresFactor is the ratio of cores in the settings of the admission to workers, where a queue
+// behind the admission limits the concurrency. With as many cores as workers the admission would queue
+// all further requests itself, and the bulkheads would have none to share.
 const reportedCoresFactor = 32
 
 const (
@@ -45,7 +45,7 @@
 		DeadlineMargin: 30 * time.Millisecond,
 		Tenants:        []float64{1},
 		Pools: []bulkhead.Pool{
-			{Name: "hand-ins", Floor: 0.3, Ceiling: 1, Weight: 3, Classes: []int{2}},
+			{Name: "hand-ins", Floor: 0.3, Ceiling: 1, Weight: 3, Classes: []int{handInClass}},
 			{Name: "checks", Floor: 0.15, Ceiling: 1, Weight: 2, Reserve: true, Classes: []int{reserveClass}},
 			{Name: "rest", Floor: 0.1, Ceiling: 0.85, Weight: 1},
 		},
--- a/internal/simulator/cluster/clients.go
+++ b/internal/simulator/cluster/clients.go
@@ -15,6 +15,7 @@
 const (
 	maxSubmissions  = 4 // of a request by its client
 	clientAddresses = 4
+	workSigma       = 0.5 // of the lognormal work of requests, whose mean is that of the class
 )
 
 // clientRequest is a request of a client, which submits it again after a rejection.
@@ -82,7 +83,7 @@
 		simulation:  s,
 		class:       class,
 		firstSentAt: s.scheduler.Now(),
-		work:        classes[class].Work * 1000 * math.Exp(0.5*r.NormFloat64()-0.125),
+		work:        classes[class].Work * 1000 * math.Exp(workSigma*r.NormFloat64()-workSigma*workSigma/2),
 	}
 	if classes[class].Keyed {
 		request.key = fmt.Sprint("key", s.stats.requests)
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -23,22 +23,22 @@
 // metric is a figure of a day.
 type metric struct {
 	name, unit string
-	sign       int // 1: more is better; -1: less is
+	direction  compare.Direction
 	of         func(*Result) float64
 }
 
 var metrics = []metric{
-	{"worth", "", 1, func(r *Result) float64 { return r.Worth }},
-	{"worst 10 s", "", 1, func(r *Result) float64 { return r.Worst }},
-	{"10 s from the middle", "", 1, func(r *Result) float64 { return r.Middle }},
-	{"cheapest in time", "", 1, func(r *Result) float64 { return r.Cheap }},
-	{"hand-ins", "", 1, func(r *Result) float64 { return r.HandIns }},
-	{"failed", "", -1, func(r *Result) float64 { return r.Failed }},
-	{"p50", "ms", -1, func(r *Result) float64 { return r.P50Ms }},
-	{"p99", "ms", -1, func(r *Result) float64 { return r.P99Ms }},
-	{"tries", "a request", -1, func(r *Result) float64 { return r.Tries }},
-	{"refusals", "a request", -1, func(r *Result) float64 { return r.Refusals }},
-	{"broken rules", "a day", -1, func(r *Result) float64 { return float64(r.Twice + r.Unasked) }},
+	{"worth", "", compare.HigherIsBetter, func(r *Result) float64 { return r.Worth }},
+	{"worst 10 s", "", compare.HigherIsBetter, func(r *Result) float64 { return r.Worst }},
+	{"10 s from the middle", "", compare.HigherIsBetter, func(r *Result) float64 { return r.Middle }},
+	{"cheapest in time", "", compare.HigherIsBetter, func(r *Result) float64 { return r.Cheap }},
+	{"hand-ins", "", compare.HigherIsBetter, func(r *Result) float64 { return r.HandIns }},
+	{"failed", "", compare.LowerIsBetter, func(r *Result) float64 { return r.Failed }},
+	{"p50", "ms", compare.LowerIsBetter, func(r *Result) float64 { return r.P50Ms }},
+	{"p99", "ms", compare.LowerIsBetter, func(r *Result) float64 { return r.P99Ms }},
+	{"tries", "a request", compare.LowerIsBetter, func(r *Result) float64 { return r.Tries }},
+	{"refusals", "a request", compare.LowerIsBetter, func(r *Result) float64 { return r.Refusals }},
+	{"broken rules", "a day", compare.LowerIsBetter, func(r *Result) float64 { return float64(r.Twice + r.Unasked) }},
 }
 
 // Compare simulates days with both modes, on so many workers, and estimates the differences B - A.
@@ -77,7 +77,7 @@
 		for i := range days {
 			valuesA, valuesB = append(valuesA, m.of(c.DaysA[i])), append(valuesB, m.of(c.DaysB[i]))
 		}
-		c.Estimates = append(c.Estimates, compare.Paired(m.name, m.unit, m.sign, valuesA, valuesB, significance))
+		c.Estimates = append(c.Estimates, compare.Paired(m.name, m.unit, m.direction, valuesA, valuesB, significance))
 	}
 	return c, nil
 }
--- a/internal/simulator/cluster/replaced.go
+++ b/internal/simulator/cluster/replaced.go
@@ -30,7 +30,7 @@
 		productionPicker: newProductionPicker(config, seed),
 		config:           config,
 		seed:             seed,
-		replaceAt:        virtualclock.FromMicros(spec.Seconds * 1e6 / 2),
+		replaceAt:        virtualclock.FromSeconds(spec.Seconds / 2),
 		oldActive:        map[string]int{},
 	}
 }
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// workFactor returns by how much longer work takes now.
+// workFactor returns the present factor of the time that work takes.
 func (s *server) workFactor() float64 {
 	factor := s.slowdown
 	if s.startedAt > 0 {
@@ -132,14 +132,17 @@
 	for _, r := range s.running {
 		s.clock.After(networkDelay, func() { r.end(lifecycle.Interrupted) })
 	}
-	s.queue, s.running, s.busy = nil, nil, 0
+	s.queue = nil
+	s.running = nil
+	s.busy = 0
 }
 
-// stop lets the server finish what it has, and take nothing more.
+// stop makes the server refuse new requests, and finish those that it has.
 func (s *server) stop() { s.dead = true }
 
 // start starts the server again, cold.
 func (s *server) start() {
-	s.dead, s.startedAt = false, s.clock.Now()
+	s.dead = false
+	s.startedAt = s.clock.Now()
 	s.startRequests()
 }
--- a/internal/simulator/cluster/spec.go
+++ b/internal/simulator/cluster/spec.go
@@ -16,8 +16,15 @@
 	Keyed              bool    // idempotent by an idempotency key
 }
 
+// Indices of the classes.
+const (
+	quickCheckClass = iota
+	fullCheckClass
+	handInClass
+)
+
 var classes = []Class{
-	{
+	quickCheckClass: {
 		Name:               "quick-check",
 		Share:              0.5,
 		Work:               40,
@@ -26,7 +33,7 @@
 		PriorityWeight:     1,
 		LateWeightFraction: 0.2,
 	},
-	{
+	fullCheckClass: {
 		Name:               "full-check",
 		Share:              0.3,
 		Work:               300,
@@ -35,7 +42,7 @@
 		PriorityWeight:     1,
 		LateWeightFraction: 0,
 	},
-	{
+	handInClass: {
 		Name:               "hand-in",
 		Share:              0.2,
 		Work:               120,
--- a/internal/simulator/cluster/specs.go
+++ b/internal/simulator/cluster/specs.go
@@ -32,7 +32,9 @@
 func zoneSpecs() []Spec {
 	large := newSpec("large", "200 servers in four halls, of which a fifth dies", 0.65,
 		Fault{Kind: FaultDead, From: 20, Share: 0.2})
-	large.Servers, large.Zones, large.Seconds = 200, []string{"a", "b", "c", "d"}, 40
+	large.Servers = 200
+	large.Zones = []string{"a", "b", "c", "d"}
+	large.Seconds = 40
 	cut := newSpec("hall-cut", "one of two halls does not answer for 20 s", 0.45,
 		Fault{Kind: FaultCut, From: 20, To: 40, Zone: "haninge"})
 	cut.Zones = []string{"haninge", "solna"}
@@ -69,7 +71,7 @@
 		newSpec("load-110", "a tenth more than they can do", 1.1),
 		newSpec("load-150", "half as much again", 1.5),
 		newSpec("flood", "full checks flood in at deadline time, three fifths of the capacity beside the rest", 0.6,
-			Fault{Kind: FaultFlood, From: 20, To: 50, Share: 0.6, Class: 1}),
+			Fault{Kind: FaultFlood, From: 20, To: 50, Share: 0.6, Class: fullCheckClass}),
 		newSpec("crawl", "all servers are two and a half times slower for 20 s", 0.6, crawl),
 		newSpec("crawl-fifth", "likewise, and a fifth is four times slower from then on", 0.6, crawl, slowFifth),
 	}
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -32,7 +32,7 @@
 // Plan configures a comparison.
 type Plan struct {
 	Seed    uint64  // of the first day; the next ones count on
-	Days    int     // at most
+	Days    int     // at most, on each side
 	Width   float64 // half the width of the score's interval at which the comparison stops
 	Alpha   float64 // probability of an error; 0: 0.05
 	Workers int     // days simulated at once
@@ -56,7 +56,7 @@
 	Model     int        `json:"model"` // version of the model
 	Seed      uint64     `json:"seed"`
 	Days      int        `json:"days"`
-	Level     float64    `json:"level"` // of the intervals; the looks share Plan.Alpha
+	Level     float64    `json:"level"` // of the intervals; the interim analyses share Plan.Alpha
 	Verdict   string     `json:"verdict"`
 	Stopped   string     `json:"stopped"` // why no more days were simulated
 	Estimates []Estimate `json:"estimates"`
@@ -74,7 +74,7 @@
 	if plan.Alpha == 0 {
 		plan.Alpha = defaultAlpha
 	}
-	days, alphas := looks(max(plan.Days, 1), plan.Alpha)
+	days, alphas := interimAnalyses(max(plan.Days, 1), plan.Alpha)
 	out := &Outcome{Model: fleet.Version, Seed: plan.Seed}
 	for k, count := range days {
 		pairs, err := play(ctx, plan, len(out.Pairs), count, a, b)
@@ -82,7 +82,8 @@
 			return nil, err
 		}
 		out.Pairs = append(out.Pairs, pairs...)
-		out.Days, out.Level = count, 1-alphas[k]
+		out.Days = count
+		out.Level = 1 - alphas[k]
 		out.Estimates = nil
 		for _, m := range Metrics(out.Pairs[0].A) {
 			out.Estimates = append(out.Estimates, estimate(m, out.Pairs, alphas[k]))
--- a/internal/simulator/compare/compare_test.go
+++ b/internal/simulator/compare/compare_test.go
@@ -225,7 +225,7 @@
 
 func TestLooksShareTheLevel(t *testing.T) {
 	for _, most := range []int{1, 5, 8, 9, 64, 1000} {
-		at, spend := looks(most, 0.05)
+		at, spend := interimAnalyses(most, 0.05)
 		sum := 0.0
 		for _, s := range spend {
 			sum += s
--- a/internal/simulator/compare/estimate.go
+++ b/internal/simulator/compare/estimate.go
@@ -12,39 +12,48 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
+// Direction says which values of a metric are better.
+type Direction int
+
+// The directions.
+const (
+	HigherIsBetter Direction = 1
+	LowerIsBetter  Direction = -1
+)
+
 // Metric is a figure of a day.
 type Metric struct {
-	Name string
-	Unit string // "" for shares
-	More int    // 1: more is better; -1: less is
-	Of   func(*fleet.Run) float64
+	Name      string
+	Unit      string // "" for shares
+	Direction Direction
+	Of        func(*fleet.Run) float64
 }
 
 // Metrics returns the figures that are compared, for days with the classes and tenants of a run.
 func Metrics(like *fleet.Run) []Metric {
 	metrics := []Metric{
-		{"score", "", 1, func(r *fleet.Run) float64 { return r.Score }},
-		{"worth", "", 1, func(r *fleet.Run) float64 { return r.Worth }},
-		{"whole", "", 1, func(r *fleet.Run) float64 { return r.Whole }},
-		{"worst window", "", 1, func(r *fleet.Run) float64 { return r.WorstWindow }},
-		{"worst class", "", 1, func(r *fleet.Run) float64 { return r.WorstClass }},
-		{"worst school", "", 1, func(r *fleet.Run) float64 { return r.WorstTenant }},
+		{"score", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.Score }},
+		{"worth", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.Worth }},
+		{"whole", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.Whole }},
+		{"worst window", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.WorstWindow }},
+		{"worst class", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.WorstClass }},
+		{"worst school", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.WorstTenant }},
 	}
 	for i, c := range like.Classes {
 		served := func(r *fleet.Run) float64 { return r.Classes[i].Served }
-		metrics = append(metrics, Metric{"class " + c.Name, "", 1, served})
+		metrics = append(metrics, Metric{"class " + c.Name, "", HigherIsBetter, served})
 	}
 	for i, t := range like.Tenants {
 		served := func(r *fleet.Run) float64 { return r.Tenants[i].Served }
-		metrics = append(metrics, Metric{"school " + t.Name, "", 1, served})
+		metrics = append(metrics, Metric{"school " + t.Name, "", HigherIsBetter, served})
 	}
 	return append(metrics,
-		Metric{"p50", "ms", -1, func(r *fleet.Run) float64 { return r.All.P50Ms }},
-		Metric{"p99", "ms", -1, func(r *fleet.Run) float64 { return r.All.P99Ms }},
-		Metric{"refusals", "a request", -1, func(r *fleet.Run) float64 { return r.Refusals }},
-		Metric{"retries", "a request", -1, func(r *fleet.Run) float64 { return r.Retries }},
-		Metric{"waste", "", -1, func(r *fleet.Run) float64 { return r.Waste }},
-		Metric{"broken rules", "a day", -1, func(r *fleet.Run) float64 { return float64(r.Broken) }},
+		Metric{"p50", "ms", LowerIsBetter, func(r *fleet.Run) float64 { return r.All.P50Ms }},
+		Metric{"p99", "ms", LowerIsBetter, func(r *fleet.Run) float64 { return r.All.P99Ms }},
+		Metric{"refusals", "a request", LowerIsBetter, func(r *fleet.Run) float64 { return r.Refusals }},
+		Metric{"retries", "a request", LowerIsBetter, func(r *fleet.Run) float64 { return r.Retries }},
+		Metric{"waste", "", LowerIsBetter, func(r *fleet.Run) float64 { return r.Waste }},
+		Metric{"broken rules", "a day", LowerIsBetter, func(r *fleet.Run) float64 { return float64(r.Broken) }},
 	)
 }
 
@@ -74,24 +83,24 @@
 	for i, p := range pairs {
 		a[i], b[i] = m.Of(p.A), m.Of(p.B)
 	}
-	return Paired(m.Name, m.Unit, m.More, a, b, alpha)
+	return Paired(m.Name, m.Unit, m.Direction, a, b, alpha)
 }
 
 // Paired estimates the difference of a figure from pairs of values, so that what both have in common
-// drops out. The interval is Student's, at a level of 1 - alpha. more is 1 if more is better, and -1
-// if less is.
-func Paired(name, unit string, more int, a, b []float64, alpha float64) Estimate {
+// drops out. The interval is Student's, at a level of 1 - alpha.
+func Paired(name, unit string, direction Direction, a, b []float64, alpha float64) Estimate {
 	differences := make([]float64, len(a))
 	for i := range a {
 		differences[i] = b[i] - a[i]
 	}
 	e := Estimate{Name: name, Unit: unit, A: stat.Mean(a, nil), B: stat.Mean(b, nil)}
 	var half float64
-	if e.Diff, half = interval(differences, alpha); math.IsInf(half, 1) {
+	e.Diff, half = interval(differences, alpha)
+	if math.IsInf(half, 1) {
 		half = math.MaxFloat64 // JSON has no infinity
 	}
 	e.Lo, e.Hi = e.Diff-half, e.Diff+half
-	e.Shown = verdict(e, more)
+	e.Shown = verdict(e, direction)
 	return e
 }
 
@@ -108,25 +117,25 @@
 	return mean, t * sd / math.Sqrt(float64(len(samples)))
 }
 
-func verdict(e Estimate, more int) string {
+func verdict(e Estimate, direction Direction) string {
 	switch {
 	case e.Lo <= 0 && e.Hi >= 0:
 		return None
-	case (e.Diff > 0) == (more > 0):
+	case (e.Diff > 0) == (direction == HigherIsBetter):
 		return Better
 	}
 	return Worse
 }
 
-// firstLook is the number of days after which the interval is looked at first.
-const firstLook = 8
+// firstAnalysisDays is the number of days before the first interim analysis.
+const firstAnalysisDays = 8
 
-// looks returns the numbers of days after which the interval is looked at, up to a limit, and the alpha
-// of each look. A comparison that stops at the first look that shows something would err more often
-// than alpha: so the looks share it. The first takes half, each next one half of the rest, and the
-// last one all that is left.
-func looks(limit int, alpha float64) (days []int, alphas []float64) {
-	for n := min(firstLook, limit); n < limit; n = min(2*n, limit) {
+// interimAnalyses returns the numbers of days after which the interval is computed, up to a limit, and
+// the alpha of each of these analyses. A comparison that stops at the first significant one would err
+// more often than alpha, so that they share it (alpha spending): the first takes half, each next one
+// half of the rest, and the last one all that is left.
+func interimAnalyses(limit int, alpha float64) (days []int, alphas []float64) {
+	for n := min(firstAnalysisDays, limit); n < limit; n = min(2*n, limit) {
 		days = append(days, n)
 	}
 	days = append(days, limit)
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -43,13 +43,16 @@
 	FollowsAdvice bool
 }
 
+// AllZones is the zone of an event that is not limited to one.
+const AllZones = -1
+
 // Event is a fault of the day.
 type Event struct {
 	Kind         string
 	At, Duration time.Duration
 	Runners      []int   // that it hits
 	Factor       float64 // of the slowdown or of the traffic
-	Zone         int     // -1: all
+	Zone         int     // or AllZones
 }
 
 // Day is a day that was drawn from a scenario.
@@ -212,7 +215,7 @@
 			At:       virtualclock.FromSeconds(drawFrom(r, t.AtS)),
 			Duration: virtualclock.FromSeconds(drawFrom(r, t.ForS)),
 			Factor:   drawFrom(r, t.Times),
-			Zone:     -1,
+			Zone:     AllZones,
 		}
 		for zone, name := range d.Spec.Fleet.Halls {
 			if name == t.Hall {
@@ -221,7 +224,7 @@
 		}
 		var candidates []int
 		for index, runner := range d.Runners {
-			if e.Zone < 0 || runner.Zone == e.Zone {
+			if e.Zone == AllZones || runner.Zone == e.Zone {
 				candidates = append(candidates, index)
 			}
 		}
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -22,8 +22,12 @@
 	Further   int     // recorded attempts that were taken for retries
 }
 
-// jitter is the most by which the copy of a request is moved: copies at one time would be bursts.
-const jitter = 250 * time.Millisecond
+// maxJitter bounds the time by which the copy of a request is moved, earlier or later, as copies at
+// one time would be bursts.
+const maxJitter = 250 * time.Millisecond
+
+// requestBodyBytes is the size of the body of a request, its ID.
+const requestBodyBytes = 8
 
 // RecordingError reports a recording that a scenario cannot replay.
 type RecordingError struct{ Reason string }
@@ -103,7 +107,7 @@
 	at := recordedAt
 	if jittered {
 		u := 2*Unit(d.Seed, "jitter", id) - 1
-		at += virtualclock.FromMicros(u * virtualclock.Micros(jitter))
+		at += virtualclock.FromMicros(u * virtualclock.Micros(maxJitter))
 	}
 	if at < 0 || at >= d.Length {
 		at = recordedAt
@@ -142,7 +146,7 @@
 			SizeKB:    float32(a.SizeKB),
 			Rank:      float32(a.Rank),
 			BodyHash:  Mix(d.Seed, "body", a.ID),
-			BodyBytes: 8,
+			BodyBytes: requestBodyBytes,
 		}
 		if d.Spec.Classes[a.Class].Effect == EffectKeyed {
 			q.KeyHash = Mix(d.Seed, "key", a.ID)
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -1,7 +1,7 @@
 // Package dependencies models what a fleet of runners depends on: the machine of each runner with
 // its engine, the back end that all runners share, and the registry. The models are state machines
-// without I/O, which the simulator runs in virtual time and the daytest package behind sockets. They
-// decide nothing about requests.
+// without I/O, which package fleet runs in virtual time and package daytest behind sockets. They make
+// no decisions about requests.
 package dependencies
 
 import (
@@ -79,27 +79,27 @@
 
 // Machine models the cores, the memory and the engine of a runner.
 type Machine struct {
-	spec          MachineSpec
-	clock         virtualclock.Clock
-	observer      MachineObserver
-	cores         sharedProcessor
-	startedAt     time.Duration
-	cold          bool // it warms up from startedAt on
-	slowdown      float64
-	frozen        bool
-	reading       int
-	unread        []func()
-	runs          map[string]*run
-	unbooked      []reservation // in the order of countsFrom
-	reserved      map[string]float64
-	memory        float64 // in KB
-	running       int     // runs on the cores
-	runningTime   float64 // integral of running, up to countedAt
-	countedAt     time.Duration
-	cpuWindow     slidingWindow
-	runningWindow slidingWindow
-	cpu           float64
-	dead          bool
+	spec                MachineSpec
+	clock               virtualclock.Clock
+	observer            MachineObserver
+	cores               sharedProcessor
+	startedAt           time.Duration
+	cold                bool // it warms up from startedAt on
+	slowdown            float64
+	frozen              bool
+	reading             int
+	unread              []func()
+	runs                map[string]*run
+	pendingReservations []reservation // in the order of countsFrom
+	reserved            map[string]float64
+	memory              float64 // in KB
+	running             int     // runs on the cores
+	runningTime         float64 // integral of running, up to countedAt
+	countedAt           time.Duration
+	cpuWindow           slidingWindow
+	runningWindow       slidingWindow
+	cpu                 float64
+	dead                bool
 }
 
 // NewMachine starts a machine, cold or warmed up.
@@ -188,7 +188,7 @@
 
 // ReserveMemory reserves memory for a queued request. It counts after a short delay.
 func (m *Machine) ReserveMemory(id string, sizeKB float64) {
-	m.unbooked = append(m.unbooked, reservation{id, sizeKB, m.clock.Now() + reservationDelay})
+	m.pendingReservations = append(m.pendingReservations, reservation{id, sizeKB, m.clock.Now() + reservationDelay})
 	m.reserved[id] = 0
 }
 
@@ -259,8 +259,7 @@
 	}
 }
 
-// Stop says that nobody waits for the result of a run. It ends at its next call, or at once if it
-// waits for one.
+// Stop cancels a run. It ends at its next call, or at once if it waits for one.
 func (m *Machine) Stop(id string) {
 	r := m.runs[id]
 	if m.dead || r == nil || r.stopped {
@@ -291,7 +290,7 @@
 	}
 	m.countRunning(0)
 	runningTime, samples := m.runningWindow.add(m.runningTime)
-	m.bookMemory()
+	m.countReservations()
 	meanRunning := runningTime / virtualclock.Micros(m.spec.ConcurrencyWindow)
 	switch {
 	case time.Duration(samples)*sampleInterval >= m.spec.ConcurrencyWindow && meanRunning > m.maxRunning():
@@ -313,17 +312,17 @@
 	return m.spec.ConcurrencyLimit * float64(m.spec.Cores)
 }
 
-// bookMemory counts the reservations whose time has come.
-func (m *Machine) bookMemory() {
+// countReservations counts the reservations whose time has come.
+func (m *Machine) countReservations() {
 	due := 0
-	for ; due < len(m.unbooked) && m.unbooked[due].countsFrom <= m.clock.Now(); due++ {
-		r := m.unbooked[due]
+	for ; due < len(m.pendingReservations) && m.pendingReservations[due].countsFrom <= m.clock.Now(); due++ {
+		r := m.pendingReservations[due]
 		if _, queued := m.reserved[r.id]; queued {
 			m.reserved[r.id] = r.sizeKB
 			m.memory += r.sizeKB
 		}
 	}
-	m.unbooked = m.unbooked[due:]
+	m.pendingReservations = m.pendingReservations[due:]
 }
 
 // Kill ends the machine and all that runs on it. Its observer is notified once.
@@ -346,7 +345,7 @@
 
 // Gauges returns the present measurements.
 func (m *Machine) Gauges() Gauges {
-	m.bookMemory()
+	m.countReservations()
 	return Gauges{
 		CPU:      min(m.cpu, 1),
 		Runnable: float64(len(m.cores.jobs) + len(m.unread)),
--- a/internal/simulator/dependencies/processor.go
+++ b/internal/simulator/dependencies/processor.go
@@ -27,17 +27,27 @@
 }
 
 // Swap implements heap.Interface.
-func (h jobHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
+func (h jobHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index = i
+	h[j].index = j
+}
 
 // Push implements heap.Interface.
-func (h *jobHeap) Push(x any) { j := x.(*job); j.index = len(*h); *h = append(*h, j) }
+func (h *jobHeap) Push(x any) {
+	j := x.(*job)
+	j.index = len(*h)
+	*h = append(*h, j)
+}
 
 // Pop implements heap.Interface.
 func (h *jobHeap) Pop() any {
 	old := *h
-	j := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h, j.index = old[:len(old)-1], -1
+	last := len(old) - 1
+	j := old[last]
+	j.index = -1
+	old[last] = nil
+	*h = old[:last]
 	return j
 }
 
@@ -67,11 +77,11 @@
 	if n == 0 {
 		return 0
 	}
-	r := s.speed * min(1, s.parallelism/n)
+	rate := s.speed * min(1, s.parallelism/n)
 	if n > s.contentionFrom {
-		r /= 1 + s.contentionLoss*(n/s.contentionFrom-1)
+		rate /= 1 + s.contentionLoss*(n/s.contentionFrom-1)
 	}
-	return r
+	return rate
 }
 
 // advance computes the state at the present. A job that was done in the meantime left the processor
--- a/internal/simulator/fleet/attempt.go
+++ b/internal/simulator/fleet/attempt.go
@@ -33,7 +33,7 @@
 // class returns the class of its request.
 func (a *Attempt) class() *day.Class { return &a.simulation.day.Spec.Classes[a.arrival.Class] }
 
-// isClosed reports whether no answer is owed any more.
+// isClosed reports whether the runner does not have to answer any more.
 func (a *Attempt) isClosed() bool { return a.answered || a.abandoned }
 
 // Class returns the index of its class.
@@ -81,34 +81,36 @@
 
 // arrive brings the attempt to its runner's machine.
 func (a *Attempt) arrive() {
-	l := a.runner.incarnation
-	if l == nil || l.closed || !l.process.IsReady() {
+	incarnation := a.runner.incarnation
+	if incarnation == nil || incarnation.closed || !incarnation.process.IsReady() {
 		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
 		return
 	}
-	a.incarnation, a.arrivedAt = l, a.simulation.now()
-	if !l.machine.Read(a.read) {
+	a.incarnation = incarnation
+	a.arrivedAt = a.simulation.now()
+	if !incarnation.machine.Read(a.read) {
 		a.incarnation = nil
 		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
 		return
 	}
-	l.connections[a] = struct{}{}
+	incarnation.connections[a] = struct{}{}
 }
 
 // read gives the request to the runner.
 func (a *Attempt) read() {
-	l, s := a.incarnation, a.simulation
-	if l.dead || a.abandoned {
-		delete(l.connections, a)
+	incarnation, s := a.incarnation, a.simulation
+	if incarnation.dead || a.abandoned {
+		delete(incarnation.connections, a)
 		return
 	}
 	s.attemptsRead++
-	a.readAt, a.frozenBefore = s.now(), l.frozenTime()
+	a.readAt = s.now()
+	a.frozenBefore = incarnation.frozenTime()
 	s.attemptsNamed++
 	a.Name = attemptName(s.attemptsNamed)
-	l.attempts[a.Name] = a
-	l.machine.ReserveMemory(a.Name, a.arrival.SizeKB)
-	l.process.Submit(a)
+	incarnation.attempts[a.Name] = a
+	incarnation.machine.ReserveMemory(a.Name, a.arrival.SizeKB)
+	incarnation.process.Submit(a)
 }
 
 // abandon tells the runner that the balancer does not wait any more.
@@ -125,27 +127,29 @@
 
 // Answer takes the final answer of the runner. A second one is a violation.
 func (a *Attempt) Answer(answer Answer) {
-	l := a.incarnation
+	incarnation := a.incarnation
 	if a.answered {
-		a.addViolation(ledger.Duplicate, "%s answered a request twice", l.Name())
+		a.addViolation(ledger.Duplicate, "%s answered a request twice", incarnation.Name())
 		return
 	}
 	a.answered = true
-	l.machine.ReleaseMemory(a.Name)
-	l.machine.Stop(a.Name)
+	incarnation.machine.ReleaseMemory(a.Name)
+	incarnation.machine.Stop(a.Name)
 	a.checkDeadline("answered")
-	l.forgetIfDone(a)
-	out := balance.Answer{AdvertisedValue: l.advertised}
+	incarnation.forgetIfDone(a)
+	out := balance.Answer{AdvertisedValue: incarnation.advertised}
 	switch answer.Status {
 	case Served:
 		out.Kind = balance.Served
 	case Rejected:
-		out.Kind, out.RetryAfter, out.DoNotRetry = balance.Rejected, answer.RetryAfter, answer.DoNotRetry
+		out.Kind = balance.Rejected
+		out.RetryAfter = answer.RetryAfter
+		out.DoNotRetry = answer.DoNotRetry
 		a.simulation.account.CountRejection()
 	default:
 		out.Kind = balance.Failed
 	}
-	l.sendAnswer(a, out)
+	incarnation.sendAnswer(a, out)
 }
 
 // checkDeadline records a violation if the answer is later than the rules allow. A request that is
@@ -169,7 +173,8 @@
 func (a *Attempt) answerBalancer(answer balance.Answer) {
 	delay, arrives := a.simulation.networkDelay(a.runner.spec.Zone, a.balancer.zone)
 	if !arrives {
-		delay, answer = connectTimeout, balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit}
+		delay = connectTimeout
+		answer = balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit}
 	}
 	a.simulation.clock.After(delay, func() { a.deliver(answer) })
 }
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -113,7 +113,8 @@
 
 // Check implements balance.Transport. A check is read by the machine like a request.
 func (b *balancer) Check(server int) {
-	s, r := b.simulation, b.simulation.runners[server]
+	s := b.simulation
+	r := s.runners[server]
 	ended := false
 	end := func(healthy bool) {
 		if !ended {
@@ -127,14 +128,14 @@
 		return
 	}
 	s.clock.After(delay, func() {
-		l := r.incarnation
-		if l == nil || l.closed || !l.process.IsReady() {
+		incarnation := r.incarnation
+		if incarnation == nil || incarnation.closed || !incarnation.process.IsReady() {
 			s.clock.After(delay, func() { end(false) })
 			return
 		}
-		l.machine.Read(func() {
-			l.process.Check(b.index+1, func(healthy bool) {
-				s.clock.After(delay, func() { end(healthy && !l.dead) })
+		incarnation.machine.Read(func() {
+			incarnation.process.Check(b.index+1, func(healthy bool) {
+				s.clock.After(delay, func() { end(healthy && !incarnation.dead) })
 			})
 		})
 	})
--- a/internal/simulator/fleet/incarnation.go
+++ b/internal/simulator/fleet/incarnation.go
@@ -12,7 +12,7 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// The reasons of an end that is no crash.
+// The reasons of an end that is not a crash.
 const (
 	reasonKilled  = "killed"
 	reasonStopped = "stopped"
@@ -43,66 +43,66 @@
 }
 
 // after calls fn after a delay unless the process has ended by then.
-func (l *Incarnation) after(d time.Duration, fn func()) virtualclock.Timer {
-	return l.runner.simulation.clock.After(d, func() {
-		if !l.dead {
+func (in *Incarnation) after(d time.Duration, fn func()) virtualclock.Timer {
+	return in.runner.simulation.clock.After(d, func() {
+		if !in.dead {
 			fn()
 		}
 	})
 }
 
-func (l *Incarnation) reportPeriodically() {
-	l.Report()
-	l.after(reportInterval, l.reportPeriodically)
+func (in *Incarnation) reportPeriodically() {
+	in.Report()
+	in.after(reportInterval, in.reportPeriodically)
 }
 
 // Report registers the runner, unless it is draining or its zone is cut off.
-func (l *Incarnation) Report() {
-	s := l.runner.simulation
-	if !l.dead && l.drainAt == 0 && s.cutZone != l.runner.spec.Zone {
-		s.registry.Report(l.Name())
+func (in *Incarnation) Report() {
+	s := in.runner.simulation
+	if !in.dead && in.drainAt == 0 && s.cutZone != in.runner.spec.Zone {
+		s.registry.Report(in.Name())
 	}
 }
 
 // Name returns the name of the runner, which all its incarnations share.
-func (l *Incarnation) Name() string { return l.runner.spec.Name }
+func (in *Incarnation) Name() string { return in.runner.spec.Name }
 
 // Machine returns the machine on which it runs.
-func (l *Incarnation) Machine() *dependencies.Machine { return l.machine }
+func (in *Incarnation) Machine() *dependencies.Machine { return in.machine }
 
 // Attempt returns the attempt with a name that was read here and is not done, or nil.
-func (l *Incarnation) Attempt(name string) *Attempt { return l.attempts[name] }
+func (in *Incarnation) Attempt(name string) *Attempt { return in.attempts[name] }
 
 // Advertise sets the credit that goes with every answer from now on.
-func (l *Incarnation) Advertise(credit float64) { l.advertised = credit }
+func (in *Incarnation) Advertise(credit float64) { in.advertised = credit }
 
 // Lost says that the process ended by itself.
-func (l *Incarnation) Lost(why string) {
-	if !l.dead && l.drainAt == 0 {
-		l.machine.Kill(why)
+func (in *Incarnation) Lost(why string) {
+	if !in.dead && in.drainAt == 0 {
+		in.machine.Kill(why)
 	}
 }
 
 // frozenTime returns how long the machine has been frozen so far.
-func (l *Incarnation) frozenTime() time.Duration {
-	if l.frozenSince != 0 {
-		return l.frozenTotal + l.runner.simulation.clock.Now() - l.frozenSince
+func (in *Incarnation) frozenTime() time.Duration {
+	if in.frozenSince != 0 {
+		return in.frozenTotal + in.runner.simulation.clock.Now() - in.frozenSince
 	}
-	return l.frozenTotal
+	return in.frozenTotal
 }
 
 // sendAnswer sends an answer once the machine is not frozen.
-func (l *Incarnation) sendAnswer(a *Attempt, answer balance.Answer) {
-	if l.frozenSince != 0 {
-		l.heldAnswers = append(l.heldAnswers, heldAnswer{a, answer})
+func (in *Incarnation) sendAnswer(a *Attempt, answer balance.Answer) {
+	if in.frozenSince != 0 {
+		in.heldAnswers = append(in.heldAnswers, heldAnswer{a, answer})
 		return
 	}
 	a.answerBalancer(answer)
 }
 
-// unansweredCount returns the number of answers that are owed.
-func (l *Incarnation) unansweredCount() (count int) {
-	for _, a := range l.attempts {
+// unansweredCount returns the number of attempts that wait for an answer.
+func (in *Incarnation) unansweredCount() (count int) {
+	for _, a := range in.attempts {
 		if !a.isClosed() {
 			count++
 		}
@@ -110,15 +110,15 @@
 	return count
 }
 
-// recordUnanswered records as violations the answers that are owed.
-func (l *Incarnation) recordUnanswered(when string) {
-	s := l.runner.simulation
-	for _, a := range sortedAttempts(l.attempts, func(_ string, a *Attempt) *Attempt { return a }) {
+// recordUnanswered records the attempts that wait for an answer as violations.
+func (in *Incarnation) recordUnanswered(when string) {
+	s := in.runner.simulation
+	for _, a := range sortedAttempts(in.attempts, func(_ string, a *Attempt) *Attempt { return a }) {
 		if a.isClosed() {
 			continue
 		}
-		if l.drainAt != 0 {
-			s.account.AddViolation(ledger.Drain, s.now(), "%s left a request unanswered %s", l.Name(), when)
+		if in.drainAt != 0 {
+			s.account.AddViolation(ledger.Drain, s.now(), "%s left a request unanswered %s", in.Name(), when)
 		} else {
 			a.checkDeadline("open")
 		}
@@ -126,79 +126,79 @@
 }
 
 // Died implements dependencies.MachineObserver: the incarnation is over, and its connections break.
-func (l *Incarnation) Died(why string) {
-	r, s := l.runner, l.runner.simulation
-	l.dead = true
+func (in *Incarnation) Died(why string) {
+	r, s := in.runner, in.runner.simulation
+	in.dead = true
 	r.incarnation = nil
-	r.workDone += l.machine.WorkDone()
-	s.registry.Deregister(l.Name())
+	r.workDone += in.machine.WorkDone()
+	s.registry.Deregister(in.Name())
 	s.log(r, "ended: "+why)
 	if why != reasonKilled && why != reasonStopped {
-		s.account.AddViolation(ledger.RunnerCrash, s.now(), "%s: %s", l.Name(), why)
-		restart, u := s.day.Spec.Fleet.RestartS, day.Unit(s.day.Seed, "restart"+l.Name(), r.incarnations)
+		s.account.AddViolation(ledger.RunnerCrash, s.now(), "%s: %s", in.Name(), why)
+		restart, u := s.day.Spec.Fleet.RestartS, day.Unit(s.day.Seed, "restart"+in.Name(), r.incarnations)
 		r.restartAfter(virtualclock.FromSeconds(restart.Lo + (restart.Hi-restart.Lo)*u))
 	}
-	for _, held := range l.heldAnswers {
+	for _, held := range in.heldAnswers {
 		held.attempt.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit})
 	}
-	l.heldAnswers = nil
-	for _, a := range sortedAttempts(l.connections, func(a *Attempt, _ struct{}) *Attempt { return a }) {
+	in.heldAnswers = nil
+	for _, a := range sortedAttempts(in.connections, func(a *Attempt, _ struct{}) *Attempt { return a }) {
 		a.ConnectionBroke()
 	}
-	l.process.Kill()
+	in.process.Kill()
 }
 
 // forgetIfDone forgets an attempt that is answered or abandoned and does not run.
-func (l *Incarnation) forgetIfDone(a *Attempt) {
+func (in *Incarnation) forgetIfDone(a *Attempt) {
 	if a.isClosed() && !a.running {
-		delete(l.attempts, a.Name)
-		delete(l.connections, a)
-		l.process.Forget(a)
+		delete(in.attempts, a.Name)
+		delete(in.connections, a)
+		in.process.Forget(a)
 	}
 }
 
 // Run starts the run of an attempt on the engine. It reports false if there is no such attempt, or if
 // it is closed. It checks the rules on runs, independently of the runner's own checks.
-func (l *Incarnation) Run(name string) bool {
-	a := l.attempts[name]
-	if a == nil || l.dead || !a.running && a.isClosed() {
+func (in *Incarnation) Run(name string) bool {
+	a := in.attempts[name]
+	if a == nil || in.dead || !a.running && a.isClosed() {
 		return false
 	}
 	if a.running {
 		return true
 	}
-	l.checkRun(a)
+	in.checkRun(a)
 	a.running = true
-	l.machine.Run(dependencies.Work{ID: name, SizeKB: a.arrival.SizeKB, Parts: l.workParts(a)})
+	in.machine.Run(dependencies.Work{ID: name, SizeKB: a.arrival.SizeKB, Parts: in.workParts(a)})
 	return true
 }
 
 // checkRun records as violations a second run of a request with an effect, and a run of a request
 // that arrived after the grace of a drain.
-func (l *Incarnation) checkRun(a *Attempt) {
-	s := l.runner.simulation
+func (in *Incarnation) checkRun(a *Attempt) {
+	s := in.runner.simulation
 	class := a.class()
 	if class.Effect != day.EffectSafe {
-		until, ran := l.ranUntil[a.arrival.ID]
+		until, ran := in.ranUntil[a.arrival.ID]
 		if ran && (class.Effect == day.EffectUnsafe || a.arrivedAt <= until) {
-			s.account.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", l.Name(), class.Name)
+			s.account.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", in.Name(), class.Name)
 		}
-		l.ranUntil[a.arrival.ID] = a.arrivedAt + virtualclock.FromMillis(class.WindowMs)
+		in.ranUntil[a.arrival.ID] = a.arrivedAt + virtualclock.FromMillis(class.WindowMs)
 	}
-	late := a.arrivedAt - l.drainAt - virtualclock.FromMillis(s.day.Spec.Fleet.DrainMs) - measuringTolerance
-	if l.drainAt != 0 && late > 0 {
+	late := a.arrivedAt - in.drainAt - virtualclock.FromMillis(s.day.Spec.Fleet.DrainMs) - measuringTolerance
+	if in.drainAt != 0 && late > 0 {
 		s.account.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late",
-			l.Name(), late.Milliseconds())
+			in.Name(), late.Milliseconds())
 	}
 }
 
 // workParts divides the work of a run by its calls. A runner that warms up makes more calls.
-func (l *Incarnation) workParts(a *Attempt) []float64 {
-	d := l.runner.simulation.day
+func (in *Incarnation) workParts(a *Attempt) []float64 {
+	d := in.runner.simulation.day
 	a.calls = append([]float64(nil), a.arrival.Calls...)
-	if extra := l.runner.spec.Spec.WarmUpCallFactor; extra > 0 && l.machine.IsWarmingUp() {
+	if extra := in.runner.spec.Spec.WarmUpCallFactor; extra > 0 && in.machine.IsWarmingUp() {
 		for k := range a.arrival.Calls {
-			if chance, work := d.CallExtra(a.arrival.ID, l.runner.index, k); chance < extra {
+			if chance, work := d.CallExtra(a.arrival.ID, in.runner.index, k); chance < extra {
 				a.calls = append(a.calls, work)
 			}
 		}
@@ -211,29 +211,29 @@
 }
 
 // Resume continues the run of an attempt after its call. It reports whether there is such an attempt.
-func (l *Incarnation) Resume(name string) bool {
-	a := l.attempts[name]
-	if a == nil || l.dead {
+func (in *Incarnation) Resume(name string) bool {
+	a := in.attempts[name]
+	if a == nil || in.dead {
 		return false
 	}
 	a.callsDone++
-	l.machine.Resume(name)
+	in.machine.Resume(name)
 	return true
 }
 
 // Needs implements dependencies.MachineObserver.
-func (l *Incarnation) Needs(id string) {
-	if a := l.attempts[id]; a != nil {
-		l.process.Needs(a)
+func (in *Incarnation) Needs(id string) {
+	if a := in.attempts[id]; a != nil {
+		in.process.Needs(a)
 	}
 }
 
 // Ended implements dependencies.MachineObserver.
-func (l *Incarnation) Ended(id string, outcome dependencies.RunOutcome) {
-	if a := l.attempts[id]; a != nil {
+func (in *Incarnation) Ended(id string, outcome dependencies.RunOutcome) {
+	if a := in.attempts[id]; a != nil {
 		a.running = false
-		l.process.Ended(a, outcome)
-		l.forgetIfDone(a)
+		in.process.Ended(a, outcome)
+		in.forgetIfDone(a)
 	}
 }
 
--- a/internal/simulator/fleet/inprocess.go
+++ b/internal/simulator/fleet/inprocess.go
@@ -42,22 +42,22 @@
 }
 
 // launchInProcess implements Launch.
-func launchInProcess(l *Incarnation, settings admission.Settings) (Process, error) {
-	s := l.runner.simulation
-	p := &inProcessRunner{incarnation: l, simulation: s, requests: map[string]*hostedRequest{}, healthy: true}
-	seed := day.Mix(s.day.Seed, l.Name(), l.runner.incarnations)
+func launchInProcess(incarnation *Incarnation, settings admission.Settings) (Process, error) {
+	s := incarnation.runner.simulation
+	p := &inProcessRunner{incarnation: incarnation, simulation: s, requests: map[string]*hostedRequest{}, healthy: true}
+	seed := day.Mix(s.day.Seed, incarnation.Name(), incarnation.runner.incarnations)
 	var err error
 	p.manager, err = lifecycle.New(settings, seed, lifecycle.Environment{
 		Now:        s.clock.Now,
 		Unix:       func() wallclock.UnixMicro { return s.unixOrigin.Add(s.now()) },
-		After:      func(d time.Duration, fn func()) func() { return l.after(d, fn).Stop },
-		Measure:    func(fn func(lifecycle.Gauges)) { l.after(2*linkDelay, func() { fn(p.gauges()) }) },
+		After:      func(d time.Duration, fn func()) func() { return incarnation.after(d, fn).Stop },
+		Measure:    func(fn func(lifecycle.Gauges)) { incarnation.after(2*linkDelay, func() { fn(p.gauges()) }) },
 		SetHealth:  func(_, healthy bool) { p.healthy = healthy },
-		Advertise:  l.Advertise,
+		Advertise:  incarnation.Advertise,
 		CloseIdle:  func(time.Duration) {}, // connections are not modelled
 		Route:      func(int) lifecycle.Runner { return engineLink{p} },
 		Dependency: p,
-		Log:        func(e *logging.Event, values ...any) { s.log(l.runner, e.FormatLine(values...)) },
+		Log:        func(e *logging.Event, values ...any) { s.log(incarnation.runner, e.FormatLine(values...)) },
 		KeyLimits:  s.options.Limits,
 	})
 	if err != nil {
@@ -200,7 +200,8 @@
 		if c.ended || p.incarnation.dead {
 			return
 		}
-		c.ended, h.call = true, nil
+		c.ended = true
+		h.call = nil
 		c.timer.Stop()
 		p.manager.CallEnded(run, outcome, nil, s.clock.Now()-c.startedAt)
 	}
@@ -238,7 +239,7 @@
 	}
 }
 
-// requestBody returns the body of all attempts of a request, which is unlike that of any other.
+// requestBody returns the body of all attempts of a request, which no other request has.
 func requestBody(id uint64) []byte { return binary.LittleEndian.AppendUint64(nil, id) }
 
 // attemptName returns the name of the n-th attempt: 16 hexadecimal digits.
--- a/internal/simulator/fleet/process.go
+++ b/internal/simulator/fleet/process.go
@@ -31,7 +31,7 @@
 }
 
 // Launch starts the process of an incarnation with its settings.
-type Launch func(l *Incarnation, set admission.Settings) (Process, error)
+type Launch func(incarnation *Incarnation, settings admission.Settings) (Process, error)
 
 // Status says how a runner answered.
 type Status uint8
@@ -46,6 +46,6 @@
 // Answer is the answer of a runner to an attempt.
 type Answer struct {
 	Status     Status
-	RetryAfter time.Duration // of Rejected: how long to stay away; 0: not given
+	RetryAfter time.Duration // of Rejected: until this runner is to be tried again; 0: not given
 	DoNotRetry bool          // of Rejected: no other runner is to be tried
 }
--- a/internal/simulator/fleet/ruleprobe_test.go
+++ b/internal/simulator/fleet/ruleprobe_test.go
@@ -19,7 +19,7 @@
 }
 
 func newRuleProbe(t testing.TB, d *day.Day) *ruleProbe {
-	s := NewSimulation(d, Options{}, virtualclock.New(), launchInProcess, false)
+	s := NewSimulation(d, Options{}, virtualclock.New(), launchInProcess, RegisteredBySimulation)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -21,20 +21,25 @@
 	workDone     float64 // by incarnations that have ended, in microseconds at speed 1
 }
 
-// start begins an incarnation.
+// startWarm begins an incarnation that has warmed up.
+func (r *runner) startWarm() error { return r.start(false) }
+
+// startCold begins an incarnation that warms up.
+func (r *runner) startCold() error { return r.start(true) }
+
 func (r *runner) start(cold bool) error {
 	s := r.simulation
 	r.incarnations++
-	l := &Incarnation{
+	incarnation := &Incarnation{
 		runner:      r,
 		advertised:  balance.NoCredit,
 		attempts:    map[string]*Attempt{},
 		connections: map[*Attempt]struct{}{},
 		ranUntil:    map[uint64]time.Duration{},
 	}
-	l.machine = dependencies.NewMachine(s.clock, r.spec.Spec, cold, l)
+	incarnation.machine = dependencies.NewMachine(s.clock, r.spec.Spec, cold, incarnation)
 	if r.slowdown > 1 {
-		l.machine.SetSlowdown(r.slowdown)
+		incarnation.machine.SetSlowdown(r.slowdown)
 	}
 	settings := s.day.Settings
 	settings.Classes = slices.Clone(settings.Classes)
@@ -43,12 +48,12 @@
 		s.options.Settings(&settings)
 	}
 	var err error
-	if l.process, err = s.launch(l, settings); err != nil {
+	if incarnation.process, err = s.launch(incarnation, settings); err != nil {
 		return err
 	}
-	r.incarnation = l
-	if !s.reportsItself {
-		l.reportPeriodically()
+	r.incarnation = incarnation
+	if s.registration == RegisteredBySimulation {
+		incarnation.reportPeriodically()
 	}
 	return nil
 }
@@ -66,7 +71,7 @@
 		if r.incarnation != nil || r.simulation.closed {
 			return
 		}
-		if err := r.start(true); err != nil {
+		if err := r.startCold(); err != nil {
 			r.simulation.log(r, err.Error())
 		}
 	})
@@ -83,46 +88,48 @@
 // setFrozen freezes the machine, or lets it go on: meanwhile nothing is written to the runner, and
 // nothing that it writes is read.
 func (r *runner) setFrozen(frozen bool) {
-	l := r.incarnation
-	if l == nil || frozen == (l.frozenSince != 0) {
+	incarnation := r.incarnation
+	if incarnation == nil || frozen == (incarnation.frozenSince != 0) {
 		return
 	}
-	l.machine.SetFrozen(frozen)
+	incarnation.machine.SetFrozen(frozen)
 	if frozen {
-		l.frozenSince = r.simulation.clock.Now()
+		incarnation.frozenSince = r.simulation.clock.Now()
 		return
 	}
-	l.frozenTotal += r.simulation.clock.Now() - l.frozenSince
-	l.frozenSince = 0
-	held := l.heldAnswers
-	l.heldAnswers = nil
+	incarnation.frozenTotal += r.simulation.clock.Now() - incarnation.frozenSince
+	incarnation.frozenSince = 0
+	held := incarnation.heldAnswers
+	incarnation.heldAnswers = nil
 	for _, h := range held {
 		h.attempt.answerBalancer(h.answer)
 	}
 }
 
-// drain starts a graceful shutdown. The runner is stopped once it owes no answer or its time is over,
-// and restarts cold.
+// drain starts a graceful shutdown. The runner is stopped once all requests are answered or the timeout
+// has passed, and restarts cold.
 func (r *runner) drain() {
-	l, spec, s := r.incarnation, &r.simulation.day.Spec.Fleet, r.simulation
-	if l == nil || l.drainAt != 0 {
+	s := r.simulation
+	spec := &s.day.Spec.Fleet
+	incarnation := r.incarnation
+	if incarnation == nil || incarnation.drainAt != 0 {
 		return
 	}
 	timeout := s.StopTimeout()
-	l.drainAt = s.now()
-	l.stopAt = l.drainAt + timeout
+	incarnation.drainAt = s.now()
+	incarnation.stopAt = incarnation.drainAt + timeout
 	s.registry.Deregister(r.spec.Name)
-	l.process.Drain(timeout)
+	incarnation.process.Drain(timeout)
 	grace := min(virtualclock.FromMillis(spec.DrainMs)+measuringTolerance, timeout/2)
-	l.after(grace, func() { l.closed = true })
+	incarnation.after(grace, func() { incarnation.closed = true })
 	var stopWhenDone func()
 	stopWhenDone = func() {
-		if l.unansweredCount() > 0 && s.now() < l.stopAt || !l.closed {
-			l.after(measuringTolerance, stopWhenDone)
+		if incarnation.unansweredCount() > 0 && s.now() < incarnation.stopAt || !incarnation.closed {
+			incarnation.after(measuringTolerance, stopWhenDone)
 			return
 		}
-		l.recordUnanswered("when it was stopped")
-		l.machine.Kill(reasonStopped)
+		incarnation.recordUnanswered("when it was stopped")
+		incarnation.machine.Kill(reasonStopped)
 		r.restartAfter(virtualclock.FromSeconds(spec.RestartS.Lo))
 	}
 	stopWhenDone()
--- a/internal/simulator/fleet/simulation.go
+++ b/internal/simulator/fleet/simulation.go
@@ -1,6 +1,8 @@
 // Package fleet simulates a day of a fleet in virtual time. Each runner is the program's own request
 // lifecycle and admission on a machine of package dependencies; the balancers are those of package
-// balance. No decision is modelled a second time. A day depends on its draw and on nothing else.
+// balance, so that all decisions are those of the program itself. The result depends on nothing but
+// the drawn day and the Options. Package compare and cmd/simulator call it; package daytest runs the
+// same simulation with processes behind sockets.
 package fleet
 
 import (
@@ -53,22 +55,22 @@
 	checkTimeout       = time.Second            // of a health check
 	linkDelay          = 50 * time.Microsecond  // between a runner and its engine
 	backendDelay       = 300 * time.Microsecond // between a runner and the back end, one way
-	// measuringTolerance is added to the time limits of the rules, as behind sockets the reading of
-	// answers takes time.
+	// measuringTolerance is added to the time limits of the rules: with runners behind sockets, reading
+	// an answer takes time.
 	measuringTolerance = 100 * time.Millisecond
 )
 
 // noZone is the value of cutZone while no zone is cut off.
 const noZone = -1
 
-// Simulation is a day on which the parts of a fleet meet: machines, back end, registry, balancers
-// and runners. It is not safe for concurrent use.
+// Simulation is a day of a fleet, with its machines, back end, registry, balancers and runners. It is not
+// safe for concurrent use.
 type Simulation struct {
 	day           *day.Day
 	options       Options
 	clock         virtualclock.Clock
 	launch        Launch
-	reportsItself bool // processes report to the registry by themselves
+	registration  Registration
 	origin        time.Duration
 	unixOrigin    wallclock.UnixMicro
 	account       *ledger.Ledger
@@ -86,7 +88,7 @@
 // Play simulates a day to its end, in virtual time, with runners in this process.
 func Play(d *day.Day, options Options) (*Run, error) {
 	clock := virtualclock.New()
-	s := NewSimulation(d, options, clock, launchInProcess, false)
+	s := NewSimulation(d, options, clock, launchInProcess, RegisteredBySimulation)
 	if err := s.Start(); err != nil {
 		return nil, err
 	}
@@ -100,24 +102,33 @@
 	return r, nil
 }
 
-// NewSimulation prepares a day on a clock. With reportsItself the processes report to the registry by
-// themselves, through Incarnation.Report.
+// Registration says who reports runners to the registry.
+type Registration uint8
+
+const (
+	// RegisteredBySimulation makes the simulation report them at an interval.
+	RegisteredBySimulation Registration = iota
+	// SelfRegistered leaves it to their processes, through Incarnation.Report.
+	SelfRegistered
+)
+
+// NewSimulation prepares a day on a clock, with runners that launch starts.
 func NewSimulation(
 	d *day.Day,
 	options Options,
 	clock virtualclock.Clock,
 	launch Launch,
-	reportsItself bool,
+	registration Registration,
 ) *Simulation {
 	s := &Simulation{
-		day:           d,
-		options:       options,
-		clock:         clock,
-		launch:        launch,
-		reportsItself: reportsItself,
-		cutZone:       noZone,
-		origin:        clock.Now(),
-		account:       newAccount(d),
+		day:          d,
+		options:      options,
+		clock:        clock,
+		launch:       launch,
+		registration: registration,
+		cutZone:      noZone,
+		origin:       clock.Now(),
+		account:      newAccount(d),
 	}
 	s.backend = dependencies.NewBackend(s.clock, d.Backend)
 	s.registry = dependencies.NewRegistry(s.clock)
@@ -162,7 +173,7 @@
 // Start starts the runners.
 func (s *Simulation) Start() error {
 	for _, r := range s.runners {
-		if err := r.start(false); err != nil {
+		if err := r.startWarm(); err != nil {
 			return err
 		}
 	}
--- a/internal/simulator/ledger/result.go
+++ b/internal/simulator/ledger/result.go
@@ -126,7 +126,8 @@
 		return nil, err
 	}
 	l.closeShares(r, &s)
-	r.Whole, r.WorstWindow = r.All.Served, r.worstWindow(l.goal.Window)
+	r.Whole = r.All.Served
+	r.WorstWindow = r.worstWindow(l.goal.Window)
 	r.Waste = min(max(worked-l.usefulWork, 0)/max(s.work, 1), 1)
 	if r.All.Asked > 0 {
 		r.LateFail = s.lateFail / r.All.Asked
--- a/internal/testing/daytest/harness.go
+++ b/internal/testing/daytest/harness.go
@@ -86,7 +86,7 @@
 	defer os.RemoveAll(dir)
 	h := &harness{loop: loop, binary: binary, dir: dir, log: log}
 	defer h.close()
-	h.simulation = fleet.NewSimulation(d, opt, loopClock{loop}, h.launch, true)
+	h.simulation = fleet.NewSimulation(d, opt, loopClock{loop}, h.launch, fleet.SelfRegistered)
 	if err := h.openStandIns(); err != nil {
 		return nil, err
 	}
