--- a/internal/discovery/difference.go
+++ b/internal/discovery/difference.go
@@ -7,7 +7,8 @@
 	"ryepaddle/internal/inventory"
 )
 
-// Difference counts how a list of servers differs from an earlier one. Disabled servers do not count.
+// Difference counts how a list of servers differs from an earlier one. Disabled servers do not
+// count.
 type Difference struct {
 	Added   int
 	Removed int
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -1,13 +1,16 @@
-// Package discovery decides when a changed inventory is read, and whether the list that was read is
-// accepted. The Validator does no I/O; the Watcher applies it to files.
+// Package discovery watches the inventory of servers for the program, and validates the lists that
+// it reads: it decides when changed files are read, and whether the list is accepted. The Validator
+// does no I/O; the Watcher applies it to files, and runner inventory check to two files of an
+// operator.
 //
-// The files are read when they have not changed for a settle time, so that a file is not read while it
-// is written, or after some settle times if they keep changing. A list is accepted as a whole or not
-// at all. A list that is invalid, or that lacks many of the accepted servers, is rejected once, with
-// the reason, and the accepted list stays; SIGHUP confirms a loss that is intended.
+// The files are read when they have not changed for a settle time, so that a file is not read while
+// it is written, or after some settle times if they keep changing. A list is accepted as a whole or
+// not at all. A list that is invalid, or that lacks many of the accepted servers, is rejected once,
+// with the reason, and the accepted list stays; SIGHUP confirms a loss that is intended.
 package discovery
 
 import (
+	"cmp"
 	"fmt"
 	"time"
 
@@ -28,23 +31,24 @@
 // Fingerprint identifies the contents of an inventory's files; 0: they cannot be read.
 type Fingerprint uint64
 
-// Validator is the state of an inventory's files. Times are monotonic and above 0. It is not safe for
-// concurrent use.
+// Validator is the state machine that decides when the files are read and which lists are accepted.
+// Times are monotonic and above 0. It is not safe for concurrent use.
 type Validator struct {
 	config     Config
 	observed   Fingerprint // of the last observation
 	observedAt time.Duration
-	// unsettledSince is when the files began to differ from what was accepted or rejected; 0: they do
-	// not.
+	// unsettledSince is when the files began to differ from what was accepted or rejected; 0: they
+	// do not.
 	unsettledSince time.Duration
 
 	acceptedFingerprint Fingerprint
 	accepted            []inventory.Server
 	rejectedFingerprint Fingerprint
 	rejectReason        string
-	pending             Fingerprint // of a list that was handed over and is neither accepted nor rejected
-	version             int         // of the accepted list
-	readVersion         int         // version when the files were last found to be due
+	// of a list that was handed over and is neither accepted nor rejected
+	pending     Fingerprint
+	version     int // of the accepted list
+	readVersion int // version when the files were last found to be due
 }
 
 // New returns a Validator with an accepted list.
@@ -58,7 +62,7 @@
 }
 
 // Observe records the fingerprint of the files, and reports whether they are to be read now.
-func (v *Validator) Observe(fingerprint Fingerprint, now time.Duration) (read bool) {
+func (v *Validator) Observe(fingerprint Fingerprint, now time.Duration) (due bool) {
 	if fingerprint != v.observed {
 		v.observed, v.observedAt = fingerprint, now
 	}
@@ -96,8 +100,8 @@
 var ErrShrunk error = shrunkKind.New("a HUP confirms it, if it is meant")
 
 // Validate decides about a list that was read, or could not be read because of err, between two
-// fingerprints of the files. A list that was accepted since the files were found to be due may be newer
-// than this one, so that they are read again.
+// fingerprints of the files. A list that was accepted since the files were found to be due may be
+// newer than this one, so that they are read again.
 func (v *Validator) Validate(
 	before, after Fingerprint,
 	servers []inventory.Server,
@@ -119,30 +123,30 @@
 	return Accept, nil
 }
 
-// checkShrink returns an error if a list lacks too many of the accepted servers. Disabled servers do not
-// count.
+// checkShrink returns an error if a list lacks too many of the accepted servers. Disabled servers
+// do not count.
 func (v *Validator) checkShrink(servers []inventory.Server) error {
 	enabled := make(map[string]bool, len(servers))
-	for _, s := range servers {
-		enabled[s.Name] = s.Weight > 0
+	for _, server := range servers {
+		enabled[server.Name] = server.Weight > 0
 	}
-	total, lost, firstLost := 0, 0, ""
-	for _, s := range v.accepted {
-		if s.Weight == 0 {
+	total := 0
+	missing := 0
+	firstMissing := ""
+	for _, server := range v.accepted {
+		if server.Weight == 0 {
 			continue
 		}
 		total++
-		if enabled[s.Name] {
+		if enabled[server.Name] {
 			continue
 		}
-		lost++
-		if firstLost == "" {
-			firstLost = s.Name
-		}
+		missing++
+		firstMissing = cmp.Or(firstMissing, server.Name)
 	}
-	if float64(lost) > v.config.MaxShrink*float64(total) {
+	if float64(missing) > v.config.MaxShrink*float64(total) {
 		return fmt.Errorf("%d of %d servers are gone from it at once, %s the first of them: %w",
-			lost, total, firstLost, ErrShrunk)
+			missing, total, firstMissing, ErrShrunk)
 	}
 	return nil
 }
@@ -166,8 +170,8 @@
 	v.pending = 0
 }
 
-// IsPending reports whether a list that was handed over is still to be accepted or rejected. A SIGHUP may
-// have brought a newer one.
+// IsPending reports whether a list that was handed over is still to be accepted or rejected. A
+// SIGHUP may have brought a newer one.
 func (v *Validator) IsPending(fingerprint Fingerprint) bool {
 	return v.pending == fingerprint && fingerprint != 0
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,18 +15,24 @@
 
 // Log events.
 var (
+	// eventPolled reports that the system notifies of no changes, so that the files are only
+	// polled.
 	eventPolled      = logging.Define("inventory.polled", slog.LevelWarn, "every", "error")
 	eventWatchFailed = logging.Define("inventory.watch_failed", slog.LevelWarn, "error")
 	// EventRejected reports a list that is not accepted; the accepted list stays in force.
 	EventRejected = logging.Define("inventory.rejected", slog.LevelError, "error")
 )
 
-// minDebounce is the least time between a notification of the system and a check of the files.
-const minDebounce = 10 * time.Millisecond
+// A notification of the system is followed by a check of the files after a share of the settle
+// time, so that several changes in a row are checked once.
+const (
+	debounceShare = 4 // settle time / debounce time
+	minDebounce   = 10 * time.Millisecond
+)
 
-// Watcher checks an inventory's files on a goroutine of its own: when the system notifies of a change, and
-// at an interval, since not all file systems notify. It hands an accepted list to a callback, whose
-// owner answers with Accepted or Rejected. Its methods are safe for concurrent use.
+// Watcher checks an inventory's files on a goroutine of its own: when the system notifies of a
+// change, and at an interval, since not all file systems notify. It hands an accepted list to a
+// callback, whose owner answers with Accepted or Rejected. Its methods are safe for concurrent use.
 type Watcher struct {
 	path      string
 	interval  time.Duration
@@ -113,8 +119,8 @@
 	}
 	timer := time.NewTimer(w.interval)
 	defer timer.Stop()
-	debounce := min(max(settleTime/4, minDebounce), w.interval)
-	checkSoon := false // the timer runs for the debounce time
+	debounce := min(max(settleTime/debounceShare, minDebounce), w.interval)
+	checkSoon := false // whether the timer runs for the debounce time, not for the interval
 	for {
 		select {
 		case <-w.stop:
@@ -132,18 +138,19 @@
 		case <-timer.C:
 			checkSoon = w.check()
 			if notifier != nil {
-				w.watchFolders(notifier) // there may be new ones
+				w.watchFolders(notifier) // the check may have found new folders
 			}
+			nextCheck := w.interval
 			if checkSoon {
-				timer.Reset(debounce)
-			} else {
-				timer.Reset(w.interval)
+				nextCheck = debounce
 			}
+			timer.Reset(nextCheck)
 		}
 	}
 }
 
-// watchFolders has the system notify of the folders of the files: files are replaced, folders stay.
+// watchFolders has the system notify of changes in the folders of the files. The files themselves
+// are not watched, since a file that is replaced would not be watched any more.
 func (w *Watcher) watchFolders(notifier *fsnotify.Watcher) {
 	folders := []string{filepath.Dir(w.path)}
 	if files, err := inventory.Files(w.path); err == nil {
@@ -163,15 +170,15 @@
 	}
 }
 
-// check observes the files, and reads them if they are due. It reports whether they have to be checked
-// again soon.
+// check observes the files, and reads them if they are due. It reports whether they have to be
+// checked again soon.
 func (w *Watcher) check() (checkSoon bool) {
 	before := w.fingerprint()
 	w.mu.Lock()
-	read := w.validator.Observe(before, w.now())
+	due := w.validator.Observe(before, w.now())
 	unsettled := w.validator.unsettledSince != 0
 	w.mu.Unlock()
-	if !read {
+	if !due {
 		return unsettled
 	}
 	servers, err := inventory.Read(w.path)
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -10,7 +10,7 @@
 )
 
 // requiredColumns have to be in the header and have a value in each row.
-var requiredColumns = []string{"name", "address", "group"}
+var requiredColumns = []string{columnName, columnAddress, columnGroup}
 
 // csvRow is one row of a table with a header.
 type csvRow struct {
@@ -27,13 +27,13 @@
 	return strings.TrimSpace(r.fields[i])
 }
 
-// readCSV reads a table with a header row. Columns may be in any order, unknown ones are ignored, and #
-// begins a comment.
+// readCSV reads a table with a header row. Columns may be in any order, unknown ones are ignored,
+// and # begins a comment.
 func (t *table) readCSV(text []byte) error {
 	reader := csv.NewReader(bytes.NewReader(text))
 	reader.Comment = '#'
 	reader.TrimLeadingSpace = true
-	reader.FieldsPerRecord = -1
+	reader.FieldsPerRecord = -1 // rows may be shorter than the header
 	var columns map[string]int
 	for {
 		fields, err := reader.Read()
@@ -78,14 +78,15 @@
 	return columns, nil
 }
 
-// addCSVRow adds the server of a row. Its name has to stand for one host, as the row has one address.
+// addCSVRow adds the server of a row. Its name has to stand for one host, as the row has one
+// address.
 func (t *table) addCSVRow(line int, row *csvRow) error {
 	for _, name := range requiredColumns {
 		if row.get(name) == "" {
 			return t.errorAt(line, fmt.Errorf("column %s is empty or missing", name))
 		}
 	}
-	name := row.get("name")
+	name := row.get(columnName)
 	hosts, err := expand(name)
 	if err != nil {
 		return t.errorAt(line, err)
@@ -95,10 +96,10 @@
 	}
 	return t.addRow(line, serverRow{
 		name:    name,
-		address: row.get("address"),
-		groups:  []string{row.get("group")},
-		zone:    row.get("hall"),
-		weight:  row.get("weight"),
-		state:   row.get("state"),
+		address: row.get(columnAddress),
+		groups:  []string{row.get(columnGroup)},
+		zone:    row.get(columnZone),
+		weight:  row.get(columnWeight),
+		state:   row.get(columnState),
 	})
 }
--- a/internal/inventory/fingerprint.go
+++ b/internal/inventory/fingerprint.go
@@ -10,21 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Files returns the paths of all files that an inventory is read from: the file or those of the folder,
-// and the variables beside it.
+// Files returns the paths of all files that an inventory is read from: the file or those of the
+// folder, and the variables beside it.
 func Files(path string) ([]string, error) {
-	info, err := os.Stat(path)
+	files, dir, err := mainFiles(path)
 	if err != nil {
 		return nil, err
 	}
-	files, dir := []string{path}, filepath.Dir(path)
-	if info.IsDir() {
-		dir = path
-		if files, err = listFiles(path); err != nil {
-			return nil, err
-		}
-	}
-	for _, name := range []string{"group_vars", "host_vars"} {
+	for _, name := range []string{groupVariablesDir, hostVariablesDir} {
 		err := filepath.WalkDir(filepath.Join(dir, name), func(p string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() {
 				return err
--- a/internal/inventory/hierarchy.go
+++ b/internal/inventory/hierarchy.go
@@ -143,12 +143,12 @@
 	return added
 }
 
-// setHostVariables sets variables of a host. Two different values of a variable are an error: Ansible
-// would take the last one, which depends on the order of files.
+// setHostVariables sets variables of a host. Two different values of a variable are an error:
+// Ansible would take the last one, which depends on the order of files.
 func (h *hierarchy) setHostVariables(host *host, own variables) error {
 	for name, v := range own {
 		old, known := host.variables[name]
-		if known && old.text != v.text && isMeaningful(name) {
+		if known && old.text != v.text && isServerVariable(name) {
 			return h.errorAt(v.line, fmt.Errorf("server %s has another %s on line %d of %s",
 				host.name, name, old.line, filepath.Base(old.file)))
 		}
@@ -157,46 +157,48 @@
 	return nil
 }
 
-// isMeaningful reports whether this program uses a variable.
-func isMeaningful(name string) bool {
-	return slices.Contains([]string{"address", "ansible_host", "uwsgi_port", "hall", "weight", "state"}, name)
+// isServerVariable reports whether a variable describes a server. Others are for other programs.
+func isServerVariable(name string) bool {
+	switch name {
+	case columnAddress, variableIP, variablePort, columnZone, columnWeight, columnState:
+		return true
+	}
+	return false
 }
 
 // readVariables reads the scalars of a mapping; other values are for other programs.
-func (h *hierarchy) readVariables(mapping *yaml.Node, into variables) error {
+func (h *hierarchy) readVariables(mapping *yaml.Node, target variables) error {
 	return h.eachPair(mapping, "vars", func(key, value *yaml.Node) error {
 		if value.Kind == yaml.AliasNode {
 			value = value.Alias
 		}
 		if value.Kind == yaml.ScalarNode {
-			into[key.Value] = variable{text: value.Value, file: h.file, line: key.Line}
+			target[key.Value] = variable{text: value.Value, file: h.file, line: key.Line}
 		}
 		return nil
 	})
 }
 
-// readVariableFolders reads host_vars and group_vars in a folder. They override the variables that the
-// inventory sets for the same host or group.
+// readVariableFolders reads host_vars and group_vars in a folder. They override the variables that
+// the inventory sets for the same host or group.
 func (h *hierarchy) readVariableFolders(dir string) error {
 	for _, g := range h.groupOrder {
-		if err := h.readVariableFiles(filepath.Join(dir, "group_vars"), g.name, g.variables); err != nil {
+		if err := h.readVariableFiles(filepath.Join(dir, groupVariablesDir), g.name, g.variables); err != nil {
 			return err
 		}
 	}
 	for _, host := range h.hostOrder {
-		if err := h.readVariableFiles(
-			filepath.Join(dir, "host_vars"),
-			host.name,
-			host.variables,
-		); err != nil {
+		err := h.readVariableFiles(filepath.Join(dir, hostVariablesDir), host.name, host.variables)
+		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readVariableFiles reads DIR/NAME.yaml, .yml or .json, or DIR/NAME, which may be a folder of files.
-func (h *hierarchy) readVariableFiles(dir, name string, into variables) error {
+// readVariableFiles reads DIR/NAME.yaml, .yml or .json, or DIR/NAME, which may be a folder of
+// files.
+func (h *hierarchy) readVariableFiles(dir, name string, target variables) error {
 	if strings.ContainsAny(name, "/\x00") || name == "." || name == ".." {
 		return nil
 	}
@@ -214,7 +216,7 @@
 			return listKind.New("inventory: %w", err)
 		}
 		for _, file := range files {
-			if err := h.readVariableFile(file, into); err != nil {
+			if err := h.readVariableFile(file, target); err != nil {
 				return err
 			}
 		}
@@ -223,14 +225,14 @@
 }
 
 // readVariableFile reads the variables of one file.
-func (h *hierarchy) readVariableFile(path string, into variables) error {
+func (h *hierarchy) readVariableFile(path string, target variables) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return listKind.New("inventory: %w", err)
 	}
-	outer := h.file
+	inventoryFile := h.file
 	h.file = path
-	defer func() { h.file = outer }()
+	defer func() { h.file = inventoryFile }()
 	var document yaml.Node
 	if err := yaml.Unmarshal(text, &document); err != nil {
 		return h.errorAt(yamlLine(err), err)
@@ -238,5 +240,5 @@
 	if len(document.Content) == 0 {
 		return nil
 	}
-	return h.readVariables(document.Content[0], into)
+	return h.readVariables(document.Content[0], target)
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,6 @@
-// Package inventory reads lists of servers in the formats of configuration tools: a CSV table with a
-// header row, or YAML in the layout of an Ansible inventory, with groups of hosts and variables.
+// Package inventory reads lists of servers in the formats of configuration tools: a CSV table with
+// a header row, or YAML in the layout of an Ansible inventory, with groups of hosts and variables.
+// The configuration reads it at the start and at SIGHUP, package discovery when the files change.
 package inventory
 
 import (
@@ -17,8 +18,31 @@
 )
 
 const (
-	maxWeight   = 1000
-	defaultPort = "3031" // of uwsgi
+	maxWeight     = 1000
+	defaultWeight = 1
+	defaultPort   = "3031" // of uwsgi
+)
+
+// Columns of a CSV file. Those after group are variables of a YAML file too.
+const (
+	columnName    = "name"
+	columnGroup   = "group"
+	columnAddress = "address"
+	columnZone    = "hall"
+	columnWeight  = "weight"
+	columnState   = "state"
+)
+
+// Variables of a YAML file that name the address of a host where it has no columnAddress.
+const (
+	variableIP   = "ansible_host"
+	variablePort = "uwsgi_port"
+)
+
+// Folders of variables beside a YAML file, as Ansible names them.
+const (
+	groupVariablesDir = "group_vars"
+	hostVariablesDir  = "host_vars"
 )
 
 // Server is one server of the inventory.
@@ -59,21 +83,14 @@
 // errNotDir is the error of the system for a path below a file.
 var errNotDir = syscall.ENOTDIR
 
-// Read reads an inventory: a file, whose format follows from its extension .csv, .yaml or .yml, or a
-// folder of such files. For YAML, the folders host_vars and group_vars beside the file or in the
+// Read reads an inventory: a file, whose format follows from its extension .csv, .yaml or .yml, or
+// a folder of such files. For YAML, the folders host_vars and group_vars beside the file or in the
 // folder are read as Ansible reads them. All errors have the kind inventory.list.
 func Read(path string) ([]Server, error) {
-	info, err := os.Stat(path)
+	files, dir, err := mainFiles(path)
 	if err != nil {
 		return nil, listKind.New("inventory: %w", err)
 	}
-	files, dir := []string{path}, filepath.Dir(path)
-	if info.IsDir() {
-		dir = path
-		if files, err = listFiles(path); err != nil {
-			return nil, listKind.New("inventory: %w", err)
-		}
-	}
 	t := newTable()
 	groups := newHierarchy(t)
 	for _, file := range files {
@@ -91,6 +108,20 @@
 	return t.finish(path, groups)
 }
 
+// mainFiles returns the files of an inventory without its variable folders, and the folder that
+// these are in.
+func mainFiles(path string) (files []string, dir string, err error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, "", err
+	}
+	if !info.IsDir() {
+		return []string{path}, filepath.Dir(path), nil
+	}
+	files, err = listFiles(path)
+	return files, path, err
+}
+
 // ignoredExtensions are the extensions of copies that editors and tools leave in a folder.
 var ignoredExtensions = []string{".bak", ".orig", ".swp", ".tmp", ".rpmsave", ".cfg", ".retry"}
 
@@ -100,16 +131,16 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []string
-	for _, e := range entries {
-		name := e.Name()
+	var files []string
+	for _, entry := range entries {
+		name := entry.Name()
 		hidden := strings.HasPrefix(name, ".") || strings.HasSuffix(name, "~")
 		ignored := slices.Contains(ignoredExtensions, filepath.Ext(name))
-		if !hidden && !ignored && !e.IsDir() {
-			out = append(out, filepath.Join(dir, name))
+		if !hidden && !ignored && !entry.IsDir() {
+			files = append(files, filepath.Join(dir, name))
 		}
 	}
-	return out, nil
+	return files, nil
 }
 
 // Parse parses the text of a single file. Its format follows from the extension of path.
--- a/internal/inventory/ranges.go
+++ b/internal/inventory/ranges.go
@@ -9,9 +9,9 @@
 // maxHosts bounds the hosts of one pattern.
 const maxHosts = 10_000
 
-// expand returns the hosts of a pattern as Ansible expands it: runner-[01:17].example.org is runner-01 to
-// runner-17, [a:f] are letters, and a third number is a step. Several ranges give all combinations. A
-// bracket that is no range is an error.
+// expand returns the hosts of a pattern as Ansible expands it: runner-[01:17].example.org is
+// runner-01 to runner-17, [a:f] are letters, and a third number is a step. Several ranges give all
+// combinations. A bracket that is no range is an error.
 func expand(name string) ([]string, error) {
 	open := strings.IndexByte(name, '[')
 	if open < 0 {
@@ -28,20 +28,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("name %q: %w", name, err)
 	}
-	rest, err := expand(name[open+end+1:])
+	suffixes, err := expand(name[open+end+1:])
 	if err != nil {
 		return nil, err
 	}
-	if len(values)*len(rest) > maxHosts {
+	if len(values)*len(suffixes) > maxHosts {
 		return nil, fmt.Errorf("name %q: over %d hosts", name, maxHosts)
 	}
-	var out []string
-	for _, v := range values {
-		for _, r := range rest {
-			out = append(out, name[:open]+v+r)
+	var hosts []string
+	for _, value := range values {
+		for _, suffix := range suffixes {
+			hosts = append(hosts, name[:open]+value+suffix)
 		}
 	}
-	return out, nil
+	return hosts, nil
 }
 
 // expandRange returns the values of a range, including both ends.
@@ -76,7 +76,8 @@
 	return letters, nil
 }
 
-// expandNumbers returns the numbers of a range. A first number with leading zeros sets the width of all.
+// expandNumbers returns the numbers of a range. A first number with leading zeros sets the width of
+// all.
 func expandNumbers(text, first, last string, step int) ([]string, error) {
 	from, fromErr := strconv.ParseUint(first, 10, 31)
 	to, toErr := strconv.ParseUint(last, 10, 31)
--- a/internal/inventory/resolve.go
+++ b/internal/inventory/resolve.go
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// resolve adds the servers of all hosts. A host has the variables of its groups, the outermost group
-// first and at one depth by name, then its own; it belongs to each group that it is in or below.
+// resolve adds the servers of all hosts. A host has the variables of its groups, the outermost
+// group first and at one depth by name, then its own; it belongs to each group that it is in or
+// below.
 func (h *hierarchy) resolve() error {
 	for _, g := range h.groupOrder {
 		g.depth = g.maxDepth()
@@ -31,8 +32,9 @@
 	return nil
 }
 
-// mergeVariables returns the variables of a host with those of its groups. Two groups that set different
-// zones are an error unless one is below the other: Ansible would take the last one by name.
+// mergeVariables returns the variables of a host with those of its groups. Two groups that set
+// different zones are an error unless one is below the other: Ansible would take the last one by
+// name.
 func (h *hierarchy) mergeVariables(host *host, groups []*group) (variables, error) {
 	ordered := slices.Clone(groups)
 	slices.SortStableFunc(ordered, func(a, b *group) int {
@@ -40,9 +42,10 @@
 	})
 	merged := variables{}
 	for _, g := range ordered {
-		before, zone := merged["hall"], g.variables["hall"]
+		before := merged[columnZone]
+		zone := g.variables[columnZone]
 		differs := before.text != "" && zone.text != "" && before.text != zone.text
-		if differs && host.variables["hall"].text == "" && !g.overrides(before, ordered) {
+		if differs && host.variables[columnZone].text == "" && !g.overrides(before, ordered) {
 			h.file = zone.file
 			return nil, h.errorAt(zone.line, fmt.Errorf(
 				"server %s is in hall %q by group %s, and in %q on line %d of %s",
@@ -57,7 +60,7 @@
 // overrides reports whether a group is below the one that sets a zone.
 func (g *group) overrides(zone variable, groups []*group) bool {
 	return slices.ContainsFunc(groups, func(other *group) bool {
-		return other != g && other.variables["hall"] == zone && g.isWithin(other)
+		return other != g && other.variables[columnZone] == zone && g.isWithin(other)
 	})
 }
 
@@ -81,20 +84,12 @@
 	return groups
 }
 
-// addServer adds the server of a host. Its address is the variable address, or ansible_host with the
-// port uwsgi_port.
+// addServer adds the server of a host.
 func (h *hierarchy) addServer(host *host, v variables, groups []*group) error {
 	h.file = host.file
-	address := v["address"].text
+	address := v.address()
 	if address == "" {
-		ip := v["ansible_host"].text
-		if ip == "" {
-			return h.errorAt(host.line, fmt.Errorf("server %s: missing address or ansible_host", host.name))
-		}
-		if strings.Contains(ip, ":") {
-			ip = "[" + strings.Trim(ip, "[]") + "]"
-		}
-		address = ip + ":" + cmp.Or(v["uwsgi_port"].text, defaultPort)
+		return h.errorAt(host.line, fmt.Errorf("server %s: missing address or ansible_host", host.name))
 	}
 	names := make([]string, len(groups))
 	for i, g := range groups {
@@ -104,8 +99,24 @@
 		name:    host.name,
 		address: address,
 		groups:  names,
-		zone:    v["hall"].text,
-		weight:  v["weight"].text,
-		state:   v["state"].text,
+		zone:    v[columnZone].text,
+		weight:  v[columnWeight].text,
+		state:   v[columnState].text,
 	})
 }
+
+// address returns the address of a host: columnAddress, or variableIP with the port variablePort.
+// It is empty where the host has neither.
+func (v variables) address() string {
+	if address := v[columnAddress].text; address != "" {
+		return address
+	}
+	ip := v[variableIP].text
+	if ip == "" {
+		return ""
+	}
+	if strings.Contains(ip, ":") { // IPv6
+		ip = "[" + strings.Trim(ip, "[]") + "]"
+	}
+	return ip + ":" + cmp.Or(v[variablePort].text, defaultPort)
+}
--- a/internal/inventory/table.go
+++ b/internal/inventory/table.go
@@ -13,7 +13,7 @@
 type table struct {
 	file      string // that is being read, for errors
 	servers   []Server
-	byName    map[string]int
+	byName    map[string]int // indexes of servers
 	byAddress map[netaddr.Addr]int
 }
 
@@ -27,7 +27,7 @@
 	name, address string
 	groups        []string
 	zone          string
-	weight        string // empty: 1
+	weight        string // empty: defaultWeight
 	state         string // empty: enabled
 }
 
@@ -54,7 +54,7 @@
 
 // parseRow parses the fields of a server.
 func parseRow(row serverRow) (Server, error) {
-	s := Server{Name: row.name, Groups: row.groups, Zone: row.zone, Weight: 1}
+	s := Server{Name: row.name, Groups: row.groups, Zone: row.zone, Weight: defaultWeight}
 	if s.Name == "" {
 		return Server{}, errors.New("column name is empty")
 	}
@@ -88,8 +88,8 @@
 	return s, nil
 }
 
-// checkUnique returns an error if the name or the address of a server is taken. One process under two
-// names would get twice its share, and could run a request with an idempotency key twice.
+// checkUnique returns an error if the name or the address of a server is taken. One process under
+// two names would get twice its share, and could run a request with an idempotency key twice.
 func (t *table) checkUnique(s *Server) error {
 	if i, known := t.byName[s.Name]; known {
 		other := &t.servers[i]
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -8,15 +8,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// yamlLine returns the line in the text of an error of the YAML library, or 1.
+// yamlLine returns the line that the text of an error of the YAML library names, as in "yaml: line
+// 3: ", or 1.
 func yamlLine(err error) int {
 	_, rest, _ := strings.Cut(err.Error(), "line ")
-	n, _ := strconv.Atoi(strings.TrimRight(strings.SplitN(rest+" ", " ", 2)[0], ":"))
-	return max(n, 1)
+	word, _, _ := strings.Cut(rest, " ")
+	line, _ := strconv.Atoi(strings.TrimRight(word, ":")) // 0 where it is no number
+	return max(line, 1)
 }
 
-// eachPair calls fn for the pairs of a mapping. A duplicate key is an error. what names the mapping in
-// errors.
+// eachPair calls fn for the pairs of a mapping. A duplicate key is an error. what names the mapping
+// in errors.
 func (t *table) eachPair(n *yaml.Node, what string, fn func(key, value *yaml.Node) error) error {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
@@ -27,14 +29,14 @@
 	if n.Kind != yaml.MappingNode {
 		return t.errorAt(n.Line, fmt.Errorf("%s is not a mapping", what))
 	}
-	seen := map[string]int{}
+	firstLines := map[string]int{} // by key
 	for i := 0; i+1 < len(n.Content); i += 2 {
-		k := n.Content[i]
-		if first := seen[k.Value]; first > 0 {
-			return t.errorAt(k.Line, fmt.Errorf("duplicate name %s, first on line %d", k.Value, first))
+		key, value := n.Content[i], n.Content[i+1]
+		if first := firstLines[key.Value]; first > 0 {
+			return t.errorAt(key.Line, fmt.Errorf("duplicate name %s, first on line %d", key.Value, first))
 		}
-		seen[k.Value] = k.Line
-		if err := fn(k, n.Content[i+1]); err != nil {
+		firstLines[key.Value] = key.Line
+		if err := fn(key, value); err != nil {
 			return err
 		}
 	}
