--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -58,6 +58,9 @@
 	reusing int // reads that are being answered from another's result
 }
 
+// onCoresWithOneMore is how many requests would use the cores if one more did.
+func (o *occupancy) onCoresWithOneMore() float64 { return float64(o.onCores + o.reusing + 1) }
+
 // serverLoad is the load of the cores by the last gauges.
 type serverLoad struct {
 	cpu      float64 // busy fraction of the cores
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -137,7 +137,7 @@
 // credit pool while a core is free.
 func (c *Controller) hasCapacity() bool {
 	limit := c.runningLimit()
-	onCores := float64(c.occupancy.onCores + c.occupancy.reusing + 1)
+	onCores := c.occupancy.onCoresWithOneMore()
 	// Requests at calls may all come back at once.
 	withCalls := onCores + float64(c.occupancy.atCalls)
 	if onCores > limit || withCalls > limit/c.parameters.RunningLimitShare {
--- a/internal/admission/retry_detector.go
+++ b/internal/admission/retry_detector.go
@@ -34,33 +34,69 @@
 	limit := float64(timeout)
 	tolerance := float64(waitTolerance) / limit
 	fraction := float64(wait) / limit
-	match, least := -1, 0
-	anyCommon := false
-	nextCommon := math.Inf(1) // the least common fraction above this one
+	d.fade()
+	nextCommon, hasCommon := d.nextCommon(fraction)
+	recorded := d.record(fraction, tolerance)
+	if !hasCommon || recorded.weight >= commonWaitMinWeight {
+		return 0
+	}
+	firstFraction := min(nextCommon, max(fraction, 1)) // of the first attempt
+	return time.Duration((firstFraction - fraction) * limit)
+}
+
+// fade lowers the weights of all waits for one more arrival.
+func (d *retryDetector) fade() {
 	for i := range d.waits {
-		w := &d.waits[i]
-		w.weight *= 1 - arrivalWeight
-		if w.weight < d.waits[least].weight {
-			least = i
-		}
-		if math.Abs(w.fraction-fraction) < tolerance && (match < 0 || w.weight > d.waits[match].weight) {
-			match = i
+		d.waits[i].weight *= 1 - arrivalWeight
+	}
+}
+
+// nextCommon returns the least common fraction above the given one (infinity: there is none), and
+// whether any fraction is common.
+func (d *retryDetector) nextCommon(fraction float64) (next float64, hasCommon bool) {
+	next = math.Inf(1)
+	for _, wait := range d.waits {
+		if wait.weight < commonWaitMinWeight {
+			continue
 		}
-		if w.weight >= commonWaitMinWeight {
-			anyCommon = true
-			if w.fraction > fraction {
-				nextCommon = min(nextCommon, w.fraction)
-			}
+		hasCommon = true
+		if wait.fraction > fraction {
+			next = min(next, wait.fraction)
 		}
 	}
-	if match < 0 { // a new wait takes the place of the rarest
-		match = least
-		d.waits[least] = commonWait{fraction: fraction}
+	return next, hasCommon
+}
+
+// record counts a wait. A new one takes the place of the rarest.
+func (d *retryDetector) record(fraction, tolerance float64) *commonWait {
+	wait := d.find(fraction, tolerance)
+	if wait == nil {
+		wait = d.rarest()
+		*wait = commonWait{fraction: fraction}
+	}
+	wait.weight++
+	return wait
+}
+
+// find returns the wait of the largest weight that is the given one within the tolerance, or nil.
+func (d *retryDetector) find(fraction, tolerance float64) (found *commonWait) {
+	for i := range d.waits {
+		wait := &d.waits[i]
+		isSame := math.Abs(wait.fraction-fraction) < tolerance
+		if isSame && (found == nil || wait.weight > found.weight) {
+			found = wait
+		}
 	}
-	d.waits[match].weight++
-	if !anyCommon || d.waits[match].weight >= commonWaitMinWeight {
-		return 0
+	return found
+}
+
+// rarest returns the wait of the least weight.
+func (d *retryDetector) rarest() *commonWait {
+	rarest := &d.waits[0]
+	for i := range d.waits {
+		if d.waits[i].weight < rarest.weight {
+			rarest = &d.waits[i]
+		}
 	}
-	firstFraction := min(nextCommon, max(fraction, 1)) // of the first attempt
-	return time.Duration((firstFraction - fraction) * limit)
+	return rarest
 }
--- a/internal/admission/reuse.go
+++ b/internal/admission/reuse.go
@@ -62,7 +62,7 @@
 		return
 	}
 	for _, r := range c.executing {
-		if float64(c.occupancy.onCores+c.occupancy.reusing+1) > c.runningLimit() {
+		if c.occupancy.onCoresWithOneMore() > c.runningLimit() {
 			return
 		}
 		if r.state != awaitingResult || c.reusable[r.resultSource.id] == nil ||
--- a/internal/balancer/bulkhead/borrowing.go
+++ b/internal/balancer/bulkhead/borrowing.go
@@ -47,9 +47,10 @@
 		return false
 	}
 	returned := 0
-	for _, q := range s.pools {
-		borrowed, returning := q.running-s.floorSlots(q), s.returningRuns(q)
-		if q == p {
+	for _, other := range s.pools {
+		borrowed := other.running - s.floorSlots(other)
+		returning := s.returningRuns(other)
+		if other == p {
 			borrowed++
 			if s.longestRun(p.queue.head()) <= s.cfg.ReclaimTime {
 				returning++
@@ -57,8 +58,8 @@
 		}
 		returned += min(max(borrowed, 0), returning)
 	}
-	for _, q := range s.removed {
-		returned += s.returningRuns(q)
+	for _, removed := range s.removed {
+		returned += s.returningRuns(removed)
 	}
 	return free-1+returned >= s.owedSlots()
 }
@@ -84,7 +85,9 @@
 // never too high.
 func (s *Scheduler) returningRuns(p *pool) int {
 	if p.countedLongest != s.longestChanges {
-		p.countedLongest, p.firstLate, p.returning = s.longestChanges, p.first, 0
+		p.countedLongest = s.longestChanges
+		p.firstLate = p.first
+		p.returning = 0
 	}
 	for p.firstLate != nil {
 		remaining := p.firstLate.startedAt + s.longestRun(p.firstLate) - s.now
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -31,9 +31,9 @@
 // expectedSlots returns how many slots a pool can count on while it has work.
 func (s *Scheduler) expectedSlots(p *pool) int {
 	weights := 0.0
-	for _, q := range s.pools {
-		if q == p || q.queue.length() > 0 || q.running > s.floorSlots(q) {
-			weights += q.Weight
+	for _, other := range s.pools {
+		if other == p || other.queue.length() > 0 || other.running > s.floorSlots(other) {
+			weights += other.Weight
 		}
 	}
 	part := 0
--- a/internal/balancer/bulkhead/limit_algorithms.go
+++ b/internal/balancer/bulkhead/limit_algorithms.go
@@ -1,6 +1,10 @@
 package bulkhead
 
-import "math"
+import (
+	"math"
+
+	"ryepaddle/internal/balancer/concurrencylimit"
+)
 
 // The algorithms by which the limit follows the latency, by their names in the operator's file. All
 // of them use the same windows.
@@ -34,8 +38,7 @@
 	aimdIncrease = 1.0 // slots
 	aimdBackoff  = 0.9
 
-	minGradient     = 0.5
-	minLatencyRatio = 0.01
+	minLatencyRatio = 0.01 // bounds the ratio by which the gradient is divided
 
 	// The Vegas step is the decimal logarithm of the limit (at least vegasMinLimit) times
 	// vegasStepFactor. The limit grows while fewer than vegasLow steps of requests wait, and falls
@@ -74,11 +77,8 @@
 }
 
 func (l *adaptiveLimit) gradientTarget(ratio float64) float64 {
-	gradient := min(max(latencyTolerance/max(ratio, minLatencyRatio), minGradient), 1)
-	target := l.limit * gradient
-	if gradient == 1 {
-		target += math.Sqrt(l.limit)
-	}
+	gradient := latencyTolerance / max(ratio, minLatencyRatio)
+	target := concurrencylimit.GradientTarget(l.limit, gradient)
 	return l.limit + (target-l.limit)*smoothing
 }
 
--- a/internal/balancer/bulkhead/pool.go
+++ b/internal/balancer/bulkhead/pool.go
@@ -62,7 +62,7 @@
 }
 
 // isBeforeFirstLate reports whether a run is among those that count as returning. Runs that started
-// at the same time are told apart by their places.
+// at the same time are distinguished by their places in the list.
 func (p *pool) isBeforeFirstLate(r *Request) bool {
 	if p.firstLate == nil {
 		return true
@@ -70,8 +70,8 @@
 	if r.startedAt != p.firstLate.startedAt {
 		return r.startedAt < p.firstLate.startedAt
 	}
-	for x := p.firstLate.previous; x != nil && x.startedAt == r.startedAt; x = x.previous {
-		if x == r {
+	for run := p.firstLate.previous; run != nil && run.startedAt == r.startedAt; run = run.previous {
+		if run == r {
 			return true
 		}
 	}
--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -166,11 +166,7 @@
 	target := l.limit
 	if mean > 0 {
 		l.best.Learn(mean, l.isHalfUsed()) // a limit that is not half used leaves no queue
-		gradient := min(max(cfg.LatencyTolerance*l.best.Micros/mean, minGradient), 1)
-		target = l.limit * gradient
-		if gradient == 1 {
-			target += math.Sqrt(l.limit)
-		}
+		target = GradientTarget(l.limit, cfg.LatencyTolerance*l.best.Micros/mean)
 	}
 	if l.overloaded*overloadDivisor > l.succeeded {
 		target = min(target, l.limit*cfg.BackoffRatio)
@@ -182,6 +178,18 @@
 	return target
 }
 
+// GradientTarget returns the limit of the gradient algorithm after a window. The gradient is the
+// ratio of the accepted latency to the mean latency of the window, and is cut to 0.5 to 1. At 1 the
+// limit grows by its square root.
+func GradientTarget(limit, gradient float64) float64 {
+	gradient = min(max(gradient, minGradient), 1)
+	target := limit * gradient
+	if gradient == 1 {
+		target += math.Sqrt(limit)
+	}
+	return target
+}
+
 func (l *Limit) isHalfUsed() bool { return float64(l.peak) >= l.limit/2 }
 
 // ApplyBounds keeps the limit within bounds that have changed.
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -144,7 +144,7 @@
 func (m *Monitor) probeDone(e *Endpoint, outcome Outcome, now time.Duration) {
 	switch outcome {
 	case Success:
-		m.recover(e, now, "its probe went well")
+		m.startRecovery(e, now, "its probe went well")
 	case Inconclusive:
 		e.probeSent = false // another request may probe it
 	default:
@@ -153,8 +153,8 @@
 	}
 }
 
-// recover lets an endpoint that was ejected warm up.
-func (m *Monitor) recover(e *Endpoint, now time.Duration, cause string) {
+// startRecovery lets an endpoint that was ejected warm up.
+func (m *Monitor) startRecovery(e *Endpoint, now time.Duration, cause string) {
 	e.consecutiveFailures = 0
 	e.failedProbes = 0
 	e.recovered = true
--- a/internal/balancer/endpointhealth/endpoint.go
+++ b/internal/balancer/endpointhealth/endpoint.go
@@ -33,10 +33,10 @@
 	StateCause     string        // for operators
 	ActiveRequests int           // in flight
 	MeanLatency    float64       // moving mean of its successes, in microseconds; 0: not measured
-	Requests       uint64        // that ended with an outcome that says something
+	Requests       uint64        // that ended, other than with Inconclusive
 	Failures       uint64        // those of them that failed
 	SuccessRate    float64       // moving mean, 0 to 1
-	LastOutcomeAt  time.Duration // monotonic; when a request last ended that says something
+	LastOutcomeAt  time.Duration // monotonic; when the last of these requests ended
 	StateChanges   int
 	Attachment     any // state that a user of the monitor keeps with the endpoint
 
@@ -45,7 +45,7 @@
 	ejectedUntil        time.Duration // monotonic
 	repeatedEjections   int           // since the endpoint was last in service for EjectionResetAfter
 	failedProbes        int           // in a row
-	recovered           bool          // it came back from an ejection, and is not forgiven yet
+	recovered           bool          // from an ejection, and not in service for EjectionResetAfter yet
 	probeSent           bool
 	slowIntervals       int           // ticks in a row at which it was a latency outlier
 	checkStreak         int           // checks in a row that passed; negative: that failed
--- a/internal/balancer/endpointhealth/healthcheck.go
+++ b/internal/balancer/endpointhealth/healthcheck.go
@@ -44,7 +44,7 @@
 	case e.State == Checking && isHealthy:
 		m.setState(e, WarmingUp, now, fmt.Sprintf("%d checks passed", e.checkStreak))
 	case e.State == Probing && !e.probeSent && isHealthy:
-		m.recover(e, now, fmt.Sprintf("%d checks passed", e.checkStreak))
+		m.startRecovery(e, now, fmt.Sprintf("%d checks passed", e.checkStreak))
 	case e.State == Probing && !e.probeSent && !passed:
 		e.failedProbes++
 		m.eject(e, now, "a check failed")
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -57,15 +57,15 @@
 
 func (m *Monitor) setState(e *Endpoint, to State, now time.Duration, cause string) {
 	change := StateChange{Endpoint: e.ID, From: e.State, To: to, At: now, Cause: cause}
-	if e.State.isOut() && !e.unlisted {
+	if e.State.countsAsEjected() && !e.unlisted {
 		m.ejected--
 	}
 	if e.State == Probing {
-		m.probing = slices.DeleteFunc(m.probing, func(o *Endpoint) bool { return o == e })
+		m.probing = slices.DeleteFunc(m.probing, func(other *Endpoint) bool { return other == e })
 	}
 	e.State, e.StateSince, e.StateCause = to, now, cause
 	e.slowIntervals, e.checkStreak = 0, 0
-	if to.isOut() {
+	if to.countsAsEjected() {
 		m.ejected++
 	}
 	if to == Probing {
@@ -76,9 +76,9 @@
 	m.onChange(e, change)
 }
 
-// Update takes a new endpoint list, with each ID once, and returns it. The endpoints of the first
-// list are in service at once, as no others can carry the traffic while they warm up. An endpoint
-// that stays listed keeps what is known of it.
+// Update replaces the endpoint list and returns the new one. Each ID may occur once. The endpoints
+// of the first list are in service at once, as no others can carry the traffic while they warm up.
+// An endpoint that stays listed keeps its state and measurements.
 func (m *Monitor) Update(specs []EndpointSpec, now time.Duration) *EndpointList {
 	isFirst := len(m.byID) == 0
 	listed := make(map[ID]bool, len(specs))
@@ -96,15 +96,15 @@
 		Endpoints: make([]*Endpoint, 0, len(specs)),
 	}
 	for _, spec := range specs {
-		next.Endpoints = append(next.Endpoints, m.take(spec, isFirst, now))
+		next.Endpoints = append(next.Endpoints, m.endpointFor(spec, isFirst, now))
 	}
 	sortByID(next.Endpoints)
 	m.list = next
 	return next
 }
 
-// take returns the endpoint of a spec, a new one if it is not known.
-func (m *Monitor) take(spec EndpointSpec, isFirst bool, now time.Duration) *Endpoint {
+// endpointFor returns the endpoint of a spec, a new one if it is not known.
+func (m *Monitor) endpointFor(spec EndpointSpec, isFirst bool, now time.Duration) *Endpoint {
 	e := m.byID[spec.ID]
 	switch {
 	case e == nil:
@@ -122,7 +122,9 @@
 			m.setState(e, m.initialState(), now, "it is new in the list")
 		}
 	case e.unlisted:
-		e.unlisted, e.consecutiveFailures, e.failedProbes = false, 0, 0
+		e.unlisted = false
+		e.consecutiveFailures = 0
+		e.failedProbes = 0
 		m.setState(e, m.initialState(), now, "it is listed again")
 	}
 	e.EndpointSpec = spec
--- a/internal/balancer/endpointhealth/state.go
+++ b/internal/balancer/endpointhealth/state.go
@@ -48,13 +48,13 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// isOut reports whether the endpoint counts as ejected for MaxEjectedShare.
-func (s State) isOut() bool { return s == Ejected || s == Probing }
+// countsAsEjected reports whether the endpoint counts as ejected for MaxEjectedShare.
+func (s State) countsAsEjected() bool { return s == Ejected || s == Probing }
 
 // takesRequests reports whether the endpoint gets requests by its traffic share.
 func (s State) takesRequests() bool { return s == InService || s == Suspected || s == WarmingUp }
 
-// Outcome is how a request ended, as far as that says something about its endpoint.
+// Outcome is how a request ended, with regard to the health of its endpoint.
 type Outcome uint8
 
 // The outcomes.
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -18,7 +18,10 @@
 
 // Sink gets the results of attempts, as the request lifecycle does.
 type Sink interface {
+	// ResponseStarted reports a result that is still coming. It returns whether anyone reads the
+	// rest.
 	ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool
+	// AttemptEnded reports the end of an attempt, once.
 	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -43,20 +43,32 @@
 	packet, err := packetFor(a, &g.options)
 	if s == nil || err != nil {
 		evNoEndpoint.Log(g.name, a.Request.ID, s != nil, withoutRequestKind(err))
-		x := &exchange{group: g, attempt: a}
-		g.exchanges[a] = x
-		g.loop.Post(func() { x.end(lifecycle.NotStarted, nil) })
+		g.endWithoutServer(a)
 		return
 	}
 	target := s.Attachment.(*server)
 	a.Server = s.Name
 	g.picker.Sent(s)
+	x := g.newExchange(a, target, packet)
+	g.exchanges[a] = x
+	x.deadline = g.loop.After(a.Deadline-now, x.deadlinePassed)
+	x.send(x.openConnection())
+}
+
+// endWithoutServer ends an attempt that cannot be sent to any server.
+func (g *Group) endWithoutServer(a *lifecycle.Attempt) {
+	x := &exchange{group: g, attempt: a}
+	g.exchanges[a] = x
+	g.loop.Post(func() { x.end(lifecycle.NotStarted, nil) })
+}
+
+func (g *Group) newExchange(a *lifecycle.Attempt, target *server, packet []byte) *exchange {
 	x := &exchange{
 		group:     g,
 		server:    target,
 		attempt:   a,
 		packet:    packet,
-		startedAt: now,
+		startedAt: g.loop.Now(),
 		isHead:    methodOf(a) == "HEAD",
 		flow: flowcontrol.NewResponse(g.options.FlowControl, flowcontrol.ResponseOptions{
 			Keyed:      !a.Idempotent,
@@ -64,18 +76,20 @@
 		}),
 	}
 	x.reader = httpmessage.NewResponseReader(x.isHead)
-	g.exchanges[a] = x
-	x.deadline = g.loop.After(a.Deadline-g.loop.Now(), x.deadlinePassed)
-	// An idle connection may be broken without having been reset. A request that may run only once,
-	// or whose body cannot be sent again, gets a new one.
-	if a.Idempotent && a.Request.Upload == nil {
-		if c := g.takePreconnected(target); c != nil {
+	return x
+}
+
+// openConnection returns a connection that was opened in advance, or a new one. An idle connection
+// may be broken without having been reset: a request that may run only once, or whose body cannot
+// be sent again, gets a new one.
+func (x *exchange) openConnection() *connection {
+	if x.attempt.Idempotent && x.attempt.Request.Upload == nil {
+		if c := x.group.takePreconnected(x.server); c != nil {
 			x.isPreconnected = true
-			x.send(c)
-			return
+			return c
 		}
 	}
-	x.send(g.dial(target))
+	return x.group.dial(x.server)
 }
 
 // pick returns a server for an attempt; nil: there is none.
