--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -214,11 +214,11 @@
 	}
 }
 
-// Pause stops or resumes reading. Meanwhile input waits in the system's buffers, and then at the
-// peer.
-func (c *Conn) Pause(on bool) {
-	if c.paused != on && !c.closed {
-		c.paused = on
+// SetPaused stops or resumes reading. While it is paused, input waits in the system's buffers, and
+// then at the peer.
+func (c *Conn) SetPaused(paused bool) {
+	if c.paused != paused && !c.closed {
+		c.paused = paused
 		if !c.connecting {
 			c.rearm()
 		}
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -103,7 +103,7 @@
 	c := s.Dial(ln, "")
 	s.Until(func() bool { return len(*taken) == 1 })
 	lc := (*taken)[0]
-	lc.Pause(true)
+	lc.SetPaused(true)
 	s.Send(c, "more")
 	lc.Write([]byte("answer"))
 	lc.CloseGracefully()
--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -41,7 +41,7 @@
 // discard stops reading. Further input stays in the buffers of the system until the connection is closed.
 func (c *connection) discard() {
 	c.advanceTo(stateDiscarding)
-	c.Pause(true)
+	c.SetPaused(true)
 }
 
 // releaseIncomplete releases the buffers of incomplete requests.
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -48,7 +48,7 @@
 		return
 	}
 	f := c.frontend
-	c.responseStream.Pause(f.readers.SetQueued(c.responseReader, c.QueuedBytes(), f.loop.Now()))
+	c.responseStream.SetPaused(f.readers.SetQueued(c.responseReader, c.QueuedBytes(), f.loop.Now()))
 }
 
 // Completed implements lifecycle.StreamConsumer.
--- a/internal/frontend/uwsgi/upload.go
+++ b/internal/frontend/uwsgi/upload.go
@@ -88,7 +88,7 @@
 // SetBacklog implements lifecycle.Upload. Reading from the caller is paused while its server is slow.
 func (c *connection) SetBacklog(n int) {
 	c.uploadPaused = c.frontend.readers.SetQueued(c.uploadReader, n, c.frontend.loop.Now())
-	c.Pause(c.uploadPaused)
+	c.SetPaused(c.uploadPaused)
 }
 
 // Detach implements lifecycle.Upload. The rest of the body is dropped.
@@ -102,5 +102,5 @@
 	c.uploadConsumer, c.pendingUpload = nil, nil
 	c.frontend.readers.RemoveReader(c.uploadReader)
 	c.uploadPaused = false
-	c.Pause(false)
+	c.SetPaused(false)
 }
--- a/internal/lifecycle/result.go
+++ b/internal/lifecycle/result.go
@@ -23,8 +23,8 @@
 type Stream interface {
 	// Attach sets who consumes the rest. It is called from within Responder.Answer or never.
 	Attach(StreamConsumer)
-	// Pause pauses or resumes the stream.
-	Pause(on bool)
+	// SetPaused pauses or resumes the stream.
+	SetPaused(paused bool)
 	// Cancel ends the stream, as its consumer is gone.
 	Cancel()
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -109,15 +109,15 @@
 // Attach implements lifecycle.Stream.
 func (x *exchange) Attach(consumer lifecycle.StreamConsumer) { x.consumer = consumer }
 
-// Pause implements lifecycle.Stream: the server waits for a slow reader.
-func (x *exchange) Pause(on bool) { x.connection.conn.Pause(on) }
+// SetPaused implements lifecycle.Stream: the server waits for a slow reader.
+func (x *exchange) SetPaused(paused bool) { x.connection.conn.SetPaused(paused) }
 
 // Cancel implements lifecycle.Stream. The response to a request with side effects is read to its
 // end if it is to be cached.
 func (x *exchange) Cancel() {
 	x.consumer = nil
 	if !x.attempt.Idempotent && x.flow.Caches() {
-		x.connection.conn.Pause(false)
+		x.connection.conn.SetPaused(false)
 		return
 	}
 	outcome := lifecycle.Cancelled
