--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -94,7 +94,8 @@
 	return c
 }
 
-// makeRoom closes the oldest connections without a complete request, as others wait for their places.
+// makeRoom closes the oldest connections without a complete request, as the limit is reached and
+// new ones wait.
 func (s *Server) makeRoom() {
 	closed := 0
 	for _, c := range s.connections {
@@ -121,7 +122,8 @@
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements eventloop.Handler. There is one request on a connection; what follows it is dropped.
+// Data implements eventloop.Handler. There is one request on a connection; what follows it is
+// dropped.
 func (c *connection) Data(b []byte) (int, error) {
 	if c.replied {
 		return len(b), nil
--- a/internal/frontend/control/client.go
+++ b/internal/frontend/control/client.go
@@ -12,8 +12,8 @@
 // maxLineBuffer is the first size of the buffer for a reply, in bytes.
 const maxLineBuffer = 64 << 10
 
-// Ask sends a request to the program that listens on the socket at path, and decodes its reply into v,
-// which may be nil. Errors have a kind: that of the program's error if it rejected the request.
+// Ask sends a request to the program that listens on the socket at path, and decodes its reply into
+// v, which may be nil. Errors have a kind: that of the program's error if it rejected the request.
 func Ask(path string, request Request, timeout time.Duration, v any) error {
 	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -60,8 +60,8 @@
 	maxLineBytes   = 4 << 10
 	maxReplyBytes  = 4 << 20
 	idleTimeout    = time.Minute // without a request
-	// minReplyInterval is the least time between two replies to all clients. A reply with a thousand
-	// requests takes the event loop milliseconds, and must not take them from the service.
+	// minReplyInterval is the least time between two replies, over all clients. A long reply takes
+	// milliseconds on the event loop, which also serves the requests of callers.
 	minReplyInterval = 50 * time.Millisecond
 )
 
@@ -69,8 +69,8 @@
 type Server struct {
 	loop        *eventloop.Loop
 	listener    *eventloop.Listener
-	answer      func(q Request, reply func(any, error))
-	connections map[*connection]bool
+	answer      AnswerFunc
+	connections map[*connection]struct{}
 	nextReplyAt time.Duration // when the next request may be answered
 }
 
@@ -82,10 +82,14 @@
 	awaitsReply bool // a request has no reply yet
 }
 
-// Listen opens the socket at path. answer is called for each request and has to call reply once, at once or
-// later on the event loop. Only the program's user and root may send requests.
-func Listen(l *eventloop.Loop, path string, answer func(q Request, reply func(any, error))) (*Server, error) {
-	s := &Server{loop: l, answer: answer, connections: map[*connection]bool{}}
+// AnswerFunc answers a request. It calls reply exactly once, before it returns or later on the
+// event loop, with a value that is encoded as JSON or with an error.
+type AnswerFunc func(request Request, reply func(value any, err error))
+
+// Listen opens the socket at path. answer is called for each request. Only the program's user and
+// root may send requests.
+func Listen(l *eventloop.Loop, path string, answer AnswerFunc) (*Server, error) {
+	s := &Server{loop: l, answer: answer, connections: map[*connection]struct{}{}}
 	var err error
 	s.listener, err = l.ListenAddr(netaddr.Addr{Path: path}, eventloop.ListenConfig{
 		MaxOpen: maxConnections,
@@ -107,7 +111,7 @@
 // accept returns the handler of a new connection, and rejects other users.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
-	s.connections[c] = true
+	s.connections[c] = struct{}{}
 	c.resetIdleTimer()
 	if uid, ok := conn.PeerUID(); !ok || uid != 0 && uid != os.Geteuid() {
 		c.send(errorReply(forbiddenKind.New("only the program's own user and root may ask")))
@@ -137,33 +141,38 @@
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements eventloop.Handler. A request before the last reply is an error, so that a client cannot
-// keep the event loop busy.
+// Data implements eventloop.Handler. A request before the last reply is an error, so that a client
+// cannot keep the event loop busy.
 func (c *connection) Data(b []byte) (int, error) {
-	i := bytes.IndexByte(b, '\n')
-	if i < 0 {
+	lineLength := bytes.IndexByte(b, '\n')
+	if lineLength < 0 {
 		if len(b) >= maxLineBytes-1 {
 			return 0, questionKind.New("control: a line is too long")
 		}
 		return 0, nil
 	}
-	if c.awaitsReply || len(b) > i+1 {
+	if c.awaitsReply || len(b) > lineLength+1 {
 		return 0, questionKind.New("control: a question came before the last was answered")
 	}
 	c.resetIdleTimer()
+	c.readRequest(b[:lineLength])
+	return lineLength + 1, nil
+}
+
+// readRequest decodes a request, and has it answered when the interval between replies allows.
+func (c *connection) readRequest(line []byte) {
 	var request Request
-	decoder := json.NewDecoder(bytes.NewReader(b[:i]))
+	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&request); err != nil {
 		c.send(errorReply(questionKind.New("the question cannot be read: %w", err)))
-		return i + 1, nil
+		return
 	}
 	c.awaitsReply = true
 	now := c.server.loop.Now()
-	at := max(now, c.server.nextReplyAt)
-	c.server.nextReplyAt = at + minReplyInterval
-	c.server.loop.After(at-now, func() { c.answer(request) })
-	return i + 1, nil
+	replyAt := max(now, c.server.nextReplyAt)
+	c.server.nextReplyAt = replyAt + minReplyInterval
+	c.server.loop.After(replyAt-now, func() { c.answer(request) })
 }
 
 // answer has the program answer a request.
@@ -171,14 +180,14 @@
 	if c.conn.IsClosed() {
 		return
 	}
-	c.server.answer(request, func(ok any, err error) {
+	c.server.answer(request, func(value any, err error) {
 		c.awaitsReply = false
 		switch {
 		case c.conn.IsClosed():
 		case err != nil:
 			c.send(errorReply(err))
 		default:
-			c.send(reply{OK: ok})
+			c.send(reply{OK: value})
 		}
 	})
 }
--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -32,13 +32,14 @@
 	partialRecordSince time.Duration
 	hasRequested       bool // a complete request arrived
 	peerClosed         bool // the peer sends no more
-	inData             bool // records are being read
+	readingRecords     bool // Data is running, which calls closeIfDone itself
 }
 
 // advanceTo moves to a state that accepts less.
 func (c *connection) advanceTo(state connectionState) { c.state = max(c.state, state) }
 
-// discard stops reading. Further input stays in the buffers of the system until the connection is closed.
+// discard stops reading. Further input stays in the buffers of the system until the connection is
+// closed.
 func (c *connection) discard() {
 	c.advanceTo(stateDiscarding)
 	c.SetPaused(true)
@@ -83,21 +84,21 @@
 
 // isReceiving reports whether a request or a record has begun to arrive and is incomplete.
 func (c *connection) isReceiving() bool {
-	return c.partialRecordSince != 0 || len(c.open) > 0 && !c.allSubmitted()
+	return c.partialRecordSince != 0 || c.hasIncomplete()
 }
 
-// allSubmitted reports whether all open requests are complete.
-func (c *connection) allSubmitted() bool {
+// hasIncomplete reports whether an open request is incomplete.
+func (c *connection) hasIncomplete() bool {
 	for _, x := range c.open {
 		if !x.submitted {
-			return false
+			return true
 		}
 	}
-	return true
+	return false
 }
 
-// isOverdue reports whether the first request is missing for too long, or one that has begun to arrive is
-// incomplete for too long. Bytes that arrive now and then do not extend these times.
+// isOverdue reports whether the first request is missing for too long, or one that has begun to
+// arrive is incomplete for too long. Bytes that arrive now and then do not extend these times.
 func (c *connection) isOverdue(now time.Duration) bool {
 	age := now - c.acceptedAt
 	if !c.hasRequested && age > firstRequestTimeout {
@@ -116,16 +117,16 @@
 	return false
 }
 
-// closeIfDone closes the connection once it is of no further use. Owed answers are sent before, and a
-// request that has begun to arrive may still be completed, unless the peer cannot send the rest.
+// closeIfDone closes the connection once it is of no further use. Owed answers are sent before, and
+// a request that has begun to arrive may still be completed, unless the peer cannot send the rest.
 func (c *connection) closeIfDone() {
-	if c.inData || c.owesAnswer() || c.IsClosing() || c.IsClosed() {
+	if c.readingRecords || c.owesAnswer() || c.IsClosing() || c.IsClosed() {
 		return
 	}
 	switch {
 	case c.state == stateDiscarding || c.peerClosed:
 		c.CloseGracefully()
-	case len(c.open) > 0:
+	case len(c.open) > 0: // a request may still be completed
 	case c.state == stateFinishing:
 		c.CloseGracefully()
 	case c.frontend.draining:
@@ -141,9 +142,9 @@
 
 // Data implements eventloop.Handler.
 func (c *connection) Data(b []byte) (used int, err error) {
-	c.inData = true
+	c.readingRecords = true
 	used = c.readRecords(b)
-	c.inData = false
+	c.readingRecords = false
 	if c.IsClosed() {
 		return used, nil
 	}
@@ -172,7 +173,7 @@
 			c.usedAt = c.frontend.loop.Now()
 			err = c.handleRecord(record)
 		}
-		// Complete requests that came before are owed their answers all the same.
+		// Requests that were complete before the error are still answered.
 		if err != nil {
 			eventBadRecord.Log(err)
 			c.dropIncomplete()
@@ -226,10 +227,11 @@
 	return nil
 }
 
-// handleManagement answers a record that concerns the connection. Unknown types get an UnknownType record.
+// handleManagement answers a record that concerns the connection. Unknown types get an UnknownType
+// record.
 func (c *connection) handleManagement(record fastcgi.Record) error {
 	if record.Type != fastcgi.GetValues {
-		content := []byte{record.Type, 0, 0, 0, 0, 0, 0, 0}
+		content := []byte{record.Type, 0, 0, 0, 0, 0, 0, 0} // the type, and 7 reserved bytes
 		c.Write(fastcgi.Append(nil, fastcgi.UnknownType, 0, content))
 		return nil
 	}
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -38,17 +38,17 @@
 	params         []byte
 	body           []byte
 	paramsComplete bool
-	submitted      bool // it was handed to the request lifecycle, or rejected
-	beganAt        time.Duration
+	submitted      bool          // it was handed to the request lifecycle, or rejected
+	beganAt        time.Duration // monotonic time of its BeginRequest
 	ticket         lifecycle.Ticket
 }
 
 // release releases the buffers of the request.
 func (x *exchange) release() {
-	n := len(x.params) + len(x.body)
+	released := len(x.params) + len(x.body)
 	x.params, x.body = nil, nil
-	x.conn.incompleteBytes -= n
-	x.conn.frontend.incompleteBytes -= n
+	x.conn.incompleteBytes -= released
+	x.conn.frontend.incompleteBytes -= released
 }
 
 // appendPart appends a part of the request to one of its buffers.
@@ -73,8 +73,8 @@
 	switch {
 	case len(part) == 0:
 		x.submit()
-	case len(x.body)+len(part) > maxBodyBytes: // its end may never arrive
-		x.submitted = true
+	case len(x.body)+len(part) > maxBodyBytes:
+		x.submitted = true // the end of the body, which would submit it, may never arrive
 		x.reject(http.StatusRequestEntityTooLarge, errBodyTooLong)
 	default:
 		x.appendPart(&x.body, part)
@@ -105,30 +105,41 @@
 	c.closeIfDone()
 }
 
-// respond writes a complete answer. fields are pairs of name and value.
-func (x *exchange) respond(status int, body []byte, fields ...string) {
-	out := make([]byte, 0, 256+len(body))
-	out = append(out, "Status: "+strconv.Itoa(status)+"\r\n"...)
-	if value := x.conn.frontend.advertisedValue; value != "" {
-		fields = append(fields, headerAdvertisedValue, value)
+// Sizes in bytes that are allocated at first for an answer; it may have more.
+const (
+	typicalHeadBytes = 256
+	recordsOverhead  = 64 // headers and padding of the records around a head and a body
+)
+
+// respond writes a complete answer.
+func (x *exchange) respond(status int, body []byte, fields ...lifecycle.Field) {
+	response := make([]byte, 0, typicalHeadBytes+len(body))
+	response = appendHeaderField(response, "Status", strconv.Itoa(status))
+	for _, field := range fields {
+		response = appendHeaderField(response, field.Name, field.Value)
 	}
-	for i := 0; i < len(fields); i += 2 {
-		out = append(out, fields[i]+": "+fields[i+1]+"\r\n"...)
+	if value := x.conn.frontend.advertisedValue; value != "" {
+		response = appendHeaderField(response, headerAdvertisedValue, value)
 	}
-	out = append(append(out, "\r\n"...), body...)
-	records := fastcgi.Append(make([]byte, 0, len(out)+64), fastcgi.Stdout, x.id, out)
-	x.finish(fastcgi.Append(records, fastcgi.Stdout, x.id, nil), fastcgi.RequestComplete)
+	response = append(response, "\r\n"...)
+	response = append(response, body...)
+
+	records := make([]byte, 0, len(response)+recordsOverhead)
+	records = fastcgi.Append(records, fastcgi.Stdout, x.id, response)
+	records = fastcgi.Append(records, fastcgi.Stdout, x.id, nil) // ends the stream
+	x.finish(records, fastcgi.RequestComplete)
+}
+
+// appendHeaderField appends a line of a response's head.
+func appendHeaderField(head []byte, name, value string) []byte {
+	return append(head, name+": "+value+"\r\n"...)
 }
 
 // Answer implements lifecycle.Responder.
 func (x *exchange) Answer(a lifecycle.Answer) {
 	switch a.Status {
 	case lifecycle.Served:
-		fields := make([]string, 0, 2*len(a.Result.Fields)+2)
-		for _, f := range a.Result.Fields {
-			fields = append(fields, f.Name, f.Value)
-		}
-		x.respond(a.Result.Status, a.Result.Body, fields...)
+		x.respond(a.Result.Status, a.Result.Body, a.Result.Fields...)
 	case lifecycle.Rejected:
 		x.respond(http.StatusServiceUnavailable, nil, rejectionFields(a)...)
 	case lifecycle.Expired:
@@ -144,15 +155,13 @@
 	}
 }
 
-// rejectionFields returns the header fields of a rejection. The time to stay away is rounded up to whole
-// milliseconds.
-func rejectionFields(a lifecycle.Answer) (fields []string) {
-	if a.RetryAfter.Microseconds() > 0 {
-		ms := (a.RetryAfter.Microseconds() + 999) / 1000
-		fields = append(fields, headerRetryAfterMs, strconv.FormatInt(ms, 10))
+// rejectionFields returns the header fields of a rejection.
+func rejectionFields(a lifecycle.Answer) (fields []lifecycle.Field) {
+	if ms := a.RetryAfterMs(); ms > 0 {
+		fields = append(fields, lifecycle.Field{Name: headerRetryAfterMs, Value: strconv.FormatInt(ms, 10)})
 	}
 	if a.DoNotRetry {
-		fields = append(fields, headerNoRetry, "1")
+		fields = append(fields, lifecycle.Field{Name: headerNoRetry, Value: "1"})
 	}
 	return fields
 }
@@ -192,8 +201,8 @@
 	}
 }
 
-// readParams decodes the parameters, also as a list in their order. Two different values of one name are an
-// error, since a server might use the other one.
+// readParams decodes the parameters, also as a list in their order. Two different values of one
+// name are an error, since a server might use the other one.
 func readParams(content []byte) (params map[string]string, metadata []lifecycle.Field, err error) {
 	params = map[string]string{}
 	var conflict error
@@ -211,8 +220,8 @@
 	return params, metadata, cmp.Or(err, conflict)
 }
 
-// reject answers a malformed request. Its connection accepts no more: a peer that sends the same again as
-// soon as it is answered would keep the event loop busy.
+// reject answers a malformed request. Its connection accepts no more: a peer that sends the same
+// again as soon as it is answered would keep the event loop busy.
 func (x *exchange) reject(status int, err error) {
 	x.conn.advanceTo(stateFinishing)
 	eventBadRequest.Log(status, err)
@@ -221,18 +230,19 @@
 
 // respondText writes an answer with a line of text.
 func (x *exchange) respondText(status int, text string) {
-	x.respond(status, []byte(text+"\n"), "Content-Type", "text/plain")
+	x.respond(status, []byte(text+"\n"), lifecycle.Field{Name: "Content-Type", Value: "text/plain"})
 }
 
-// answerHealthCheck answers a health check; thorough=1 in the query asks for a deep one.
+// answerHealthCheck answers a health check. thorough=1 in the query asks for a deep one, which the
+// health checker performs.
 func (x *exchange) answerHealthCheck(query string) {
 	f := x.conn.frontend
-	answer := func(good bool) {
-		if good {
-			x.respond(http.StatusOK, nil)
-		} else {
-			x.respond(http.StatusServiceUnavailable, nil)
+	answer := func(healthy bool) {
+		status := http.StatusServiceUnavailable
+		if healthy {
+			status = http.StatusOK
 		}
+		x.respond(status, nil)
 	}
 	values, _ := url.ParseQuery(query) // a malformed part sets nothing
 	if f.healthStored || f.healthChecker == nil || values.Get("thorough") != "1" {
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,5 +1,6 @@
-// Package platform is the frontend for the platform's balancers. It translates FastCGI requests to the
-// request lifecycle and answers back, and bounds what a connection may hold. It takes no decisions
+// Package platform is the frontend for the platform's balancers. It listens for FastCGI
+// connections, hands their requests to the request lifecycle, writes its answers, and bounds the
+// memory and the time that a connection may take. Package app creates it; it takes no decisions
 // about requests.
 package platform
 
@@ -30,8 +31,8 @@
 	maxParamsBytes           = 8 << 10
 	maxBodyBytes             = 2 << 10
 	maxRequestsPerConnection = 32 // the platform's balancers open no more
-	// maxQueuedBytes bounds the answers that a peer has not read, beside largeAnswersQueued of the
-	// largest size.
+	// maxQueuedBytes bounds the answers that a peer has not read; largeAnswersQueued of the largest
+	// size may be queued in addition.
 	maxQueuedBytes     = 256 << 10
 	largeAnswersQueued = 8
 	// maxRecordBytes bounds a record, so that many peers that leave one incomplete cannot take all
@@ -59,13 +60,16 @@
 
 // Times of a drain, from its start.
 const (
-	drainRequestTimeout = 300 * time.Millisecond // for the request of a connection that was just accepted
-	drainAcceptTime     = 300 * time.Millisecond // the listener stays open while callers wait in its queue
-	drainQuietTime      = time.Second            // before it, a connection with unread input is not closed
+	// for the request of a connection that was just accepted
+	drainRequestTimeout = 300 * time.Millisecond
+	// the listener stays open while callers wait in its queue
+	drainAcceptTime = 300 * time.Millisecond
+	// before it, a connection with unread input is not closed
+	drainQuietTime = time.Second
 )
 
-// closedAtOnce is how many connections are closed when others wait for their places. Closing one at a
-// time would have each of them depend on a slow peer.
+// closedAtOnce is the most connections that are closed at once when new ones wait. If it were one,
+// a single slow peer could delay all new connections.
 const closedAtOnce = 16
 
 // Paths of requests.
@@ -77,11 +81,11 @@
 // DeepHealthChecker performs deep health checks.
 type DeepHealthChecker interface {
 	// Check calls done once with the result.
-	Check(done func(good bool))
+	Check(done func(healthy bool))
 }
 
-// Frontend owns the listener of the platform and its connections. All methods are to be called on the
-// event loop.
+// Frontend owns the listener of the platform and its connections. All methods are to be called on
+// the event loop.
 type Frontend struct {
 	loop          *eventloop.Loop
 	manager       *lifecycle.Manager
@@ -90,7 +94,7 @@
 	connections   map[*connection]struct{}
 
 	maxQueuedBytes  int           // of one connection
-	idleTimeout     time.Duration // 0: none
+	idleTimeout     time.Duration // after which a connection without requests is closed; 0: never
 	incompleteBytes int           // of incomplete requests on all connections
 
 	draining      bool
@@ -102,8 +106,8 @@
 	healthy         bool
 }
 
-// New returns a frontend; Listen opens it. checker may be nil. maxResponse is the size of a large answer in
-// bytes, of which a few may be queued on a connection.
+// New returns a frontend; Listen opens it. checker may be nil. maxResponse is the size of a large
+// answer in bytes, of which a few may be queued on a connection.
 func New(l *eventloop.Loop, checker DeepHealthChecker, maxResponse int) *Frontend {
 	f := &Frontend{loop: l, healthChecker: checker, connections: map[*connection]struct{}{}, healthy: true}
 	f.SetMaxResponse(maxResponse)
@@ -133,8 +137,8 @@
 	return eventloop.BufferLimits{In: maxRecordBytes, Out: f.maxQueuedBytes}
 }
 
-// Listen accepts connections for the manager, at most maxConnections at once. Several processes may listen
-// on the address.
+// Listen accepts connections for the manager, at most maxConnections at once. Several processes may
+// listen on the address.
 func (f *Frontend) Listen(addr netip.AddrPort, maxConnections int, m *lifecycle.Manager) (err error) {
 	f.manager = m
 	f.listener, err = f.loop.ListenShared(addr, eventloop.ListenConfig{
@@ -152,9 +156,12 @@
 // Addr returns the address of the listener.
 func (f *Frontend) Addr() netip.AddrPort { return f.listener.Addr() }
 
-// SetHealth sets the answer to health checks. If stored is set, deep checks get the same answer without a
-// check.
-func (f *Frontend) SetHealth(stored, good bool) { f.healthStored, f.healthy = stored, good }
+// SetHealth sets the answer to health checks. If stored is set, deep checks get the same answer
+// without a check.
+func (f *Frontend) SetHealth(stored, healthy bool) {
+	f.healthStored = stored
+	f.healthy = healthy
+}
 
 // SetAdvertisedValue sets the value of admission control that is sent with each answer.
 func (f *Frontend) SetAdvertisedValue(v float64) {
@@ -168,20 +175,20 @@
 
 // Drain stops listening, and closes each connection when it has no open request.
 func (f *Frontend) Drain() {
-	f.draining, f.drainingSince = true, f.loop.Now()
+	f.startDraining()
 	f.listener.CloseWhenAccepted(drainAcceptTime)
 	f.sweep()
 }
 
-// closesAtOnce reports whether connections are closed even with unread input: a peer that keeps sending has
-// to be closed some time.
+// closesAtOnce reports whether connections are closed even with unread input: a peer that keeps
+// sending has to be closed some time.
 func (f *Frontend) closesAtOnce() bool {
 	return f.draining && f.loop.Now()-f.drainingSince > drainQuietTime
 }
 
-// Close ends all connections before the process ends. Queued answers are written as far as the peers take
-// them, and input is read and dropped: closing over unread input would reset the connection and lose
-// answers that the peer has not read.
+// Close ends all connections before the process ends. Queued answers are written as far as the
+// peers take them, and input is read and dropped: closing over unread input would reset the
+// connection and lose answers that the peer has not read.
 func (f *Frontend) Close() {
 	for c := range f.connections {
 		c.FlushAndShutdown()
@@ -191,16 +198,22 @@
 // IsListening reports whether connections are accepted.
 func (f *Frontend) IsListening() bool { return f.listener != nil && f.listener.IsListening() }
 
-// HandOver is Drain for a process that another one replaces: the listener is handed over, and no value is
-// advertised, since it would not be that of the other process.
+// HandOver is Drain for a process that another one replaces: the listener is handed over, and no
+// value is advertised, since it would not be that of the other process.
 func (f *Frontend) HandOver() {
 	f.replaced = true
 	f.advertisedValue = ""
-	f.draining, f.drainingSince = true, f.loop.Now()
+	f.startDraining()
 	f.listener.HandOver()
 	f.sweep()
 }
 
+// startDraining begins a graceful shutdown.
+func (f *Frontend) startDraining() {
+	f.draining = true
+	f.drainingSince = f.loop.Now()
+}
+
 // Connections returns how many connections are open.
 func (f *Frontend) Connections() int { return len(f.connections) }
 
@@ -218,8 +231,8 @@
 	return c
 }
 
-// sweep closes connections that are idle, on which a request does not arrive completely, or whose peer
-// does not read its answers.
+// sweep closes connections that are idle, on which a request does not arrive completely, or whose
+// peer does not read its answers.
 func (f *Frontend) sweep() {
 	now := f.loop.Now()
 	if !f.draining && f.listener.IsOverLimit() { // the limit was lowered
@@ -249,7 +262,8 @@
 	return f.idleTimeout > 0 && now-c.usedAt > f.idleTimeout
 }
 
-// stopReceiving gives up the incomplete requests of a connection. Its other requests get their answers.
+// stopReceiving gives up the incomplete requests of a connection. Its other requests get their
+// answers.
 func (f *Frontend) stopReceiving(c *connection) {
 	if !c.owesAnswer() {
 		eventNoRequest.Log()
@@ -263,25 +277,25 @@
 	}
 }
 
-// makeRoom closes connections as others wait for their places: first those without any request, then those
-// with an incomplete first one, then those that were idle for longest.
+// makeRoom closes connections, as the limit is reached and new ones wait: first those without any
+// request, then those with an incomplete first one, then those that were idle for longest.
 func (f *Frontend) makeRoom() {
 	now := f.loop.Now()
-	var idle []*connection
+	var candidates []*connection
 	for c := range f.connections {
 		if !c.IsClosing() && !c.IsClosed() && mayClose(c, now) {
-			idle = append(idle, c)
+			candidates = append(candidates, c)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *connection) int {
+	slices.SortFunc(candidates, func(a, b *connection) int {
 		return cmp.Or(
-			cmp.Compare(btoi(a.hasRequested), btoi(b.hasRequested)),
-			cmp.Compare(btoi(a.isReceiving()), btoi(b.isReceiving())),
+			compareBools(a.hasRequested, b.hasRequested),
+			compareBools(a.isReceiving(), b.isReceiving()),
 			cmp.Compare(a.usedAt, b.usedAt),
 		)
 	})
 	closed := 0
-	for _, c := range idle {
+	for _, c := range candidates {
 		if closed == closedAtOnce {
 			return
 		}
@@ -308,16 +322,19 @@
 	return now-c.acceptedAt > minConnectionAge
 }
 
-// btoi returns 1 for true.
-func btoi(b bool) int {
-	if b {
-		return 1
+// compareBools orders false before true, as cmp.Compare orders numbers.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
 	}
-	return 0
+	return 1
 }
 
-// countIncomplete adds bytes of incomplete requests. If they exceed their bound on all connections together,
-// the incomplete requests of the connection with the most of them are rejected.
+// countIncomplete adds bytes of incomplete requests. If they exceed their bound on all connections
+// together, the incomplete requests of the connection with the most of them are rejected.
 func (f *Frontend) countIncomplete(n int) {
 	f.incompleteBytes += n
 	if f.incompleteBytes <= maxIncompleteBytes {
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -14,9 +14,12 @@
 // maxClockSkew is by how much a balancer's clock may be ahead.
 const maxClockSkew = time.Second
 
-// maxRequestKB bounds the stated size of a request.
+// maxRequestKB is the bound, in kB, below which the stated size of a request has to be.
 const maxRequestKB = 2000
 
+// idLength is the length of a request ID in hex digits.
+const idLength = 16
+
 // parseRequest parses the parameters of a request, by the names of the operators' pages.
 func (f *Frontend) parseRequest(params map[string]string, path string) (*lifecycle.Request, error) {
 	r := &lifecycle.Request{ID: params["HTTP_X_CALL_ID"], Key: params["HTTP_X_DEDUPE_KEY"]}
@@ -26,8 +29,8 @@
 	if params["REQUEST_METHOD"] != http.MethodPost {
 		return nil, fmt.Errorf("method %q", params["REQUEST_METHOD"])
 	}
-	if _, err := strconv.ParseUint(r.ID, 16, 64); err != nil || len(r.ID) != 16 {
-		return nil, fmt.Errorf("X-Call-Id %q is not 16 hex digits", r.ID)
+	if _, err := strconv.ParseUint(r.ID, 16, 64); err != nil || len(r.ID) != idLength {
+		return nil, fmt.Errorf("X-Call-Id %q is not %d hex digits", r.ID, idLength)
 	}
 	var ok bool
 	if r.Tenant, ok = f.manager.Tenant(params["HTTP_X_CUSTOMER"]); !ok {
@@ -46,7 +49,7 @@
 }
 
 // parseClass sets the class by the path.
-func (f *Frontend) parseClass(r *lifecycle.Request, path string) (err error) {
+func (f *Frontend) parseClass(r *lifecycle.Request, path string) error {
 	name := strings.TrimPrefix(path, classPrefix)
 	var ok bool
 	r.Class, ok = f.manager.Class(name)
@@ -59,8 +62,8 @@
 	return fmt.Errorf("no class at %q", path)
 }
 
-// parseArrival sets when the request arrived at the machine, a Unix time in milliseconds. A key is kept for
-// its window from then on, so that a time far ahead would keep it for ever.
+// parseArrival sets when the request arrived at the machine, a Unix time in milliseconds. A key is
+// kept for its window from then on, so that a time far ahead would keep it for ever.
 func (f *Frontend) parseArrival(r *lifecycle.Request, text string) error {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	latest := int64(f.loop.Unix())/1000 + maxClockSkew.Milliseconds()
--- a/internal/frontend/uwsgi/connection.go
+++ b/internal/frontend/uwsgi/connection.go
@@ -61,8 +61,8 @@
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements eventloop.Handler. There is one request on a connection; what follows it is dropped, up
-// to a bound.
+// Data implements eventloop.Handler. There is one request on a connection; what follows it is
+// dropped, up to a bound.
 func (c *connection) Data(b []byte) (int, error) {
 	if c.bodyStreams {
 		return c.readUpload(b)
@@ -76,8 +76,8 @@
 	}
 	used := 0
 	if c.request == nil {
-		n, more := c.readHead(b)
-		if !more {
+		n, bodyFollows := c.readHead(b)
+		if !bodyFollows {
 			return n, nil
 		}
 		used = n
@@ -89,9 +89,9 @@
 	return c.readBody(b, used), nil
 }
 
-// readHead reads the variables of the request and returns how many bytes are used. more reports that the
-// body is to be read.
-func (c *connection) readHead(b []byte) (used int, more bool) {
+// readHead reads the variables of the request and returns how many bytes are used. bodyFollows
+// reports that they are complete and the body is to be read.
+func (c *connection) readHead(b []byte) (used int, bodyFollows bool) {
 	head, n, err := uwsgi.ReadHead(b, c.frontend.options.MaxVariablesBytes)
 	switch {
 	case err != nil:
@@ -111,8 +111,8 @@
 	return n, true
 }
 
-// readBody reads a body that is buffered from b[used:], and submits the request when it is complete. It
-// returns how many bytes of b are used.
+// readBody reads a body that is buffered from b[used:], and submits the request when it is
+// complete. It returns how many bytes of b are used.
 func (c *connection) readBody(b []byte, used int) int {
 	flow := &c.frontend.options.Flow
 	for {
@@ -147,8 +147,8 @@
 	}
 }
 
-// beginRequest takes the variables of the request, and reports whether its body is to be read. A request
-// that can be answered without it is answered.
+// beginRequest takes the variables of the request, and reports whether its body is to be read. A
+// request that can be answered without it is answered.
 func (c *connection) beginRequest(head *uwsgi.Head) bool {
 	f := c.frontend
 	r, ok := c.normalize(head)
@@ -172,7 +172,10 @@
 		Chunked:    r.Chunked,
 	})
 	if plan == flowcontrol.RejectTooLarge {
-		c.reject(http.StatusRequestEntityTooLarge, fmt.Errorf("%w: %d bytes", uwsgi.ErrBodyTooLong, r.Length))
+		c.reject(
+			http.StatusRequestEntityTooLarge,
+			fmt.Errorf("%w: %d bytes", uwsgi.ErrBodyTooLong, r.Length),
+		)
 		return false
 	}
 	c.request, c.route = request, route
@@ -226,9 +229,11 @@
 
 // submit hands the request to the request lifecycle.
 func (c *connection) submit() {
-	c.request.Body, c.request.Responder = c.body, c
+	c.request.Body = c.body
+	c.request.Responder = c
 	c.body = nil
-	c.submitted, c.excessBytes = true, 0
+	c.submitted = true
+	c.excessBytes = 0
 	c.ticket = c.frontend.manager.Submit(c.request)
 }
 
@@ -243,8 +248,8 @@
 	return http.StatusBadRequest
 }
 
-// End implements eventloop.Handler. A caller that closes its side before the answer cancels the request,
-// unless that ends the body.
+// End implements eventloop.Handler. A caller that closes its side before the answer cancels the
+// request, unless that ends the body.
 func (c *connection) End() bool {
 	if c.bodyUntilClose && !c.answered {
 		if !c.submitted {
@@ -341,14 +346,16 @@
 	return out
 }
 
-// retryAfterFields returns when a rejected caller may come back: Retry-After in whole seconds, at least 1,
-// and the same in milliseconds, both rounded up. There are none if the answer does not say it.
+// retryAfterFields returns the header fields that tell a rejected caller when to retry: Retry-After
+// in whole seconds and the same in milliseconds, both rounded up. There are none if the answer does
+// not say it.
 func retryAfterFields(a lifecycle.Answer) []httpmessage.Field {
-	ms := (a.RetryAfter.Microseconds() + 999) / 1000
-	if ms <= 0 {
+	ms := a.RetryAfterMs()
+	if ms == 0 {
 		return nil
 	}
-	seconds := max((ms+999)/1000, 1)
+	const msPerSecond = 1000
+	seconds := (ms + msPerSecond - 1) / msPerSecond
 	return []httpmessage.Field{
 		{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)},
 		{Name: "X-Come-Back-Ms", Value: strconv.FormatInt(ms, 10)},
--- a/internal/frontend/uwsgi/frontend.go
+++ b/internal/frontend/uwsgi/frontend.go
@@ -1,6 +1,7 @@
-// Package uwsgi is the frontend for uwsgi callers. It translates one request on each connection to the
-// request lifecycle and the answer back, streams bodies and responses, and bounds what a connection may
-// hold. It takes no decisions about requests.
+// Package uwsgi is the frontend for callers that speak the uwsgi protocol, such as nginx. It hands
+// the one request of each connection to the request lifecycle, writes the answer, streams bodies
+// and responses, and bounds the memory and the time that a connection may take. Package app creates
+// it; it takes no decisions about requests.
 package uwsgi
 
 import (
@@ -56,8 +57,8 @@
 	HealthPath               string        // empty: no health checks
 	TenantVariable           string        // variable with the tenant
 	KeyVariable              string        // variable with the idempotency key
-	// FirstAttemptVariable is the variable with the time of the first attempt, in Unix milliseconds;
-	// empty: none.
+	// FirstAttemptVariable is the variable with the time of the first attempt, in Unix
+	// milliseconds; empty: none.
 	FirstAttemptVariable string
 	SizeKB               float64 // memory that a request is assumed to take
 	Seed                 uint64  // of request IDs
@@ -65,24 +66,26 @@
 
 // Bounds of a connection, in bytes.
 const (
-	maxFramingBytes = 8 << 10   // of a line of a chunked body
-	maxPartBytes    = 128 << 10 // of a streamed response, beside what may be queued
-	maxExcessBytes  = 64 << 10  // after the request, which are dropped
+	packetHeaderBytes = 4         // before the variables of a request
+	maxFramingBytes   = 8 << 10   // of a line of a chunked body
+	maxPartBytes      = 128 << 10 // of a streamed response, beside what may be queued
+	maxExcessBytes    = 64 << 10  // after the request, which are dropped
 )
 
 // Times of a connection.
 const (
-	sweepInterval       = 500 * time.Millisecond
-	readerTimeout       = 10 * time.Second // a reader of a streamed response that reads nothing
-	minConnectionAge    = 100 * time.Millisecond
-	drainRequestTimeout = 300 * time.Millisecond // for the request of a connection that was just accepted
+	sweepInterval    = 500 * time.Millisecond
+	readerTimeout    = 10 * time.Second // a reader of a streamed response that reads nothing
+	minConnectionAge = 100 * time.Millisecond
+	// for the request of a connection that was just accepted
+	drainRequestTimeout = 300 * time.Millisecond
 )
 
-// closedAtOnce is how many connections are closed when others wait for their places.
+// closedAtOnce is the most connections that are closed at once when new ones wait.
 const closedAtOnce = 16
 
-// Frontend owns the listener of uwsgi callers and its connections. All methods are to be called on the
-// event loop.
+// Frontend owns the listener of uwsgi callers and its connections. All methods are to be called on
+// the event loop.
 type Frontend struct {
 	loop                 *eventloop.Loop
 	manager              *lifecycle.Manager
@@ -141,20 +144,20 @@
 
 // limits returns the bounds of the buffers of a connection.
 func (f *Frontend) limits() eventloop.BufferLimits {
+	flow := &f.options.Flow
+	maxBody := max(flow.MaxBuffered, flow.MaxCached)
 	return eventloop.BufferLimits{
-		In: 4 + f.options.MaxVariablesBytes + maxFramingBytes,
-		Out: max(
-			f.options.Flow.MaxBuffered,
-			f.options.Flow.MaxCached,
-		) + f.options.Flow.MaxQueued + maxPartBytes + httpmessage.MaxHeadBytes,
+		In:  packetHeaderBytes + f.options.MaxVariablesBytes + maxFramingBytes,
+		Out: httpmessage.MaxHeadBytes + maxBody + flow.MaxQueued + maxPartBytes,
 	}
 }
 
 // SetHealth sets the answer to health checks.
-func (f *Frontend) SetHealth(good bool) { f.healthy = good }
+func (f *Frontend) SetHealth(healthy bool) { f.healthy = healthy }
 
-// Drain stops listening. Requests that have begun to arrive are read and answered. A connection without
-// input is closed, one that was just accepted after a while, as its request may be on the way.
+// Drain stops listening. Requests that have begun to arrive are read and answered. Connections
+// without input are closed; those that were just accepted only after drainRequestTimeout, as their
+// requests may be on the way.
 func (f *Frontend) Drain() {
 	f.listener.CloseWhenAccepted(drainRequestTimeout)
 	f.closeSilent(drainRequestTimeout)
@@ -173,25 +176,27 @@
 	}
 }
 
-// makeRoom closes connections without a complete request, the oldest first, as others wait for their
-// places. Else silent peers could keep all callers out for the read timeout.
+// makeRoom closes connections without a complete request, the oldest first, as the limit is reached
+// and new ones wait. Otherwise peers that send nothing could block all callers for the read
+// timeout.
 func (f *Frontend) makeRoom() {
-	var silent []*connection
+	var candidates []*connection
 	for c := range f.connections {
 		if !c.submitted && !c.answered && f.loop.Unix().Sub(c.acceptedAt) > minConnectionAge {
-			silent = append(silent, c)
+			candidates = append(candidates, c)
 		}
 	}
-	slices.SortFunc(silent, func(a, b *connection) int { return cmp.Compare(a.acceptedAt, b.acceptedAt) })
+	slices.SortFunc(candidates, func(a, b *connection) int { return cmp.Compare(a.acceptedAt, b.acceptedAt) })
 	closed := 0
-	for _, c := range silent {
+	for _, c := range candidates {
 		if closed == closedAtOnce {
 			return
 		}
-		if !c.HasUnreadInput() { // a request may have arrived in this moment
-			closed++
-			c.Close(nil)
+		if c.HasUnreadInput() { // a request arrived in this moment
+			continue
 		}
+		closed++
+		c.Close(nil)
 	}
 }
 
@@ -208,8 +213,8 @@
 	return c
 }
 
-// countAddress counts a connection for its address, and closes it if there are too many. Nothing of it ran,
-// so that the caller may try again.
+// countAddress counts a connection for its address, and closes it if there are too many. Nothing of
+// it ran, so that the caller may try again.
 func (f *Frontend) countAddress(c *connection) {
 	c.callerAddr = c.RemoteAddr().Addr()
 	f.connectionsByAddress[c.callerAddr]++
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -17,10 +17,10 @@
 const (
 	// maxStatedDelay is the oldest time that a caller may state for a request.
 	maxStatedDelay = time.Minute
-	// maxStatedMs bounds a stated time in Unix milliseconds, so that it can be converted.
+	// maxStatedMs bounds a stated time in Unix milliseconds, so that its microseconds fit an int64.
 	maxStatedMs = 1 << 50
-	// defaultCaller is the number of callers that state none; the platform numbers its balancers from
-	// 0.
+	// defaultCaller is the number of callers that state none; the platform numbers its balancers
+	// from 0.
 	defaultCaller = 1 << 16
 	// idIncrement is odd, so that no request ID recurs.
 	idIncrement = 0x9e3779b97f4a7c15
@@ -40,7 +40,8 @@
 	return &requestError{status: status, reason: fmt.Sprintf(format, args...)}
 }
 
-// parseRequest returns the request as the request lifecycle takes it, without its body, and its route.
+// parseRequest returns the request as the request lifecycle takes it, without its body, and its
+// route.
 func (f *Frontend) parseRequest(r *cgi.Request) (*lifecycle.Request, *Route, *requestError) {
 	request := &lifecycle.Request{
 		AcceptsStream: true,
@@ -61,7 +62,7 @@
 		return nil, nil, requestErrorf(http.StatusForbidden, "unknown tenant %q", subject.School)
 	}
 	if route.Key != nil {
-		// A key that was decoded from percent signs may hold what no variable may.
+		// A key that was percent-decoded may have characters that a variable cannot have.
 		request.Key = route.Key.Text(subject)
 		if strings.ContainsFunc(request.Key, unicode.IsControl) {
 			return nil, nil, requestErrorf(
@@ -87,8 +88,8 @@
 	return request, route, nil
 }
 
-// arrivedAt returns when the request arrived: the time that a proxy before this one states, or when its
-// connection was accepted.
+// arrivedAt returns when the request arrived: the time that a proxy before this one states, or when
+// its connection was accepted.
 func (f *Frontend) arrivedAt(r *cgi.Request, acceptedAt wallclock.UnixMicro) wallclock.UnixMicro {
 	stated, ok := f.parseTime(r.Get("HTTP_X_QUEUE_START"))
 	if !ok {
@@ -97,8 +98,8 @@
 	return stated
 }
 
-// firstSentAt returns when the caller sent the first attempt of the request, as it states, or 0. Without it
-// a retry of a rejected request looks like a new one.
+// firstSentAt returns when the caller sent the first attempt of the request, as it states, or 0.
+// Without it a retry of a rejected request looks like a new one.
 func (f *Frontend) firstSentAt(r *cgi.Request) wallclock.UnixMicro {
 	if f.options.FirstAttemptVariable == "" {
 		return 0
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -14,13 +14,14 @@
 	causeStalled = "its reader takes nothing"
 )
 
-// beginStream sends the head and the first part of a response that streams. From then on it can only be
-// completed or truncated.
+// beginStream sends the head and the first part of a response that streams. From then on it can
+// only be completed or truncated.
 func (c *connection) beginStream(result *lifecycle.Result) {
 	f := c.frontend
 	c.answered = true
 	f.lastReader++
-	c.responseReader, c.responseStream = f.lastReader, result.Stream
+	c.responseReader = f.lastReader
+	c.responseStream = result.Stream
 	f.readers.AddReader(c.responseReader, f.loop.Now())
 	c.OnFlushed(c.updateQueued)
 	c.Write(uwsgi.AppendHead(nil, result.Status, responseFields(result.Fields), result.ContentLength))
@@ -57,8 +58,8 @@
 	c.CloseGracefully()
 }
 
-// Truncated implements lifecycle.StreamConsumer. The connection is reset, as a response without a stated
-// length would look complete after an ordinary end.
+// Truncated implements lifecycle.StreamConsumer. The connection is reset, as a response without a
+// stated length would look complete after an ordinary end.
 func (c *connection) Truncated() {
 	c.endResponseStream()
 	c.Abort(errTruncated)
--- a/internal/frontend/uwsgi/upload.go
+++ b/internal/frontend/uwsgi/upload.go
@@ -6,8 +6,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// beginUpload submits the request, whose body follows as it arrives. length is the stated length of the
-// body in bytes, or -1.
+// beginUpload submits the request, whose body follows as it arrives. length is the stated length of
+// the body in bytes, or -1.
 func (c *connection) beginUpload(length int64) {
 	f := c.frontend
 	c.bodyStreams = true
@@ -19,13 +19,13 @@
 	c.submit()
 }
 
-// resetReadTimer gives the caller the read timeout to send more. It does not run out while the caller waits
-// for the server.
+// resetReadTimer gives the caller the read timeout to send more. It does not run out while the
+// caller waits for the server.
 func (c *connection) resetReadTimer() {
 	c.timer.Stop()
 	c.timer = c.frontend.loop.After(c.frontend.options.ReadTimeout, func() {
 		switch {
-		case !c.bodyStreams:
+		case !c.bodyStreams: // the body has ended
 		case c.uploadPaused:
 			c.resetReadTimer()
 		case c.answered:
@@ -85,7 +85,8 @@
 	}
 }
 
-// SetBacklog implements lifecycle.Upload. Reading from the caller is paused while its server is slow.
+// SetBacklog implements lifecycle.Upload. Reading from the caller is paused while its server is
+// slow.
 func (c *connection) SetBacklog(n int) {
 	c.uploadPaused = c.frontend.readers.SetQueued(c.uploadReader, n, c.frontend.loop.Now())
 	c.SetPaused(c.uploadPaused)
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -66,6 +66,12 @@
 	Reason     Reason // of Conflict, and of a Failed that is in doubt
 }
 
+// RetryAfterMs returns RetryAfter in milliseconds, rounded up; 0: not to be said.
+func (a *Answer) RetryAfterMs() int64 {
+	const microsPerMilli = 1000
+	return (max(a.RetryAfter.Microseconds(), 0) + microsPerMilli - 1) / microsPerMilli
+}
+
 // Status is how a request was answered. Its values are stored in the records of keys.
 type Status uint8
 
