--- a/internal/platform/backend/connection.go
+++ b/internal/platform/backend/connection.go
@@ -25,7 +25,7 @@
 func (c *connection) Connected() {}
 
 // Data implements eventloop.Handler.
-func (c *connection) Data(b []byte) (int, error) { return c.readReply(b, false) }
+func (c *connection) Data(b []byte) (int, error) { return c.readReply(b) }
 
 // End implements eventloop.Handler.
 func (c *connection) End() bool { return false }
@@ -54,11 +54,11 @@
 
 // readReply reads the reply to the call. The connection is kept only if nothing is left on it,
 // since the rest would be read as the next reply.
-func (c *connection) readReply(b []byte, end bool) (used int, err error) {
+func (c *connection) readReply(b []byte) (used int, err error) {
 	if c.call == nil {
 		return 0, errUnexpectedReply
 	}
-	r, used, err := parseReply(b, end)
+	r, used, err := parseReply(b)
 	if err != nil || used == 0 {
 		return 0, err
 	}
--- a/internal/platform/backend/reply.go
+++ b/internal/platform/backend/reply.go
@@ -23,24 +23,25 @@
 var errBodyTooLong = errors.New("body over its limit")
 
 // parseReply decodes a response from the front of b and returns how many bytes it takes, or 0 if b
-// holds only a part of it. A body without a stated length ends with the stream, which end reports.
-func parseReply(b []byte, end bool) (reply, int, error) {
+// holds only a part of it. A reply that does not state the length of its body is never complete: its
+// call ends with the connection.
+func parseReply(b []byte) (reply, int, error) {
 	head, headSize, err := httpmessage.Read(b)
 	if err != nil || headSize == 0 {
 		return reply{}, 0, err
 	}
-	r := reply{status: head.Status, rejected: head.Get("Turned-Away") == "1"}
-	r.keepAlive = head.Proto == "HTTP/1.1" && head.Length >= 0 && !strings.EqualFold(head.Get("Connection"), "close")
-	length := head.Length
-	if length < 0 && end {
-		length = len(b) - headSize
-	}
-	if length > maxBodyBytes {
+	if head.Length > maxBodyBytes {
 		return reply{}, 0, errBodyTooLong
 	}
-	if length < 0 || len(b) < headSize+length {
+	size := headSize + head.Length
+	if head.Length < 0 || len(b) < size {
 		return reply{}, 0, nil
 	}
-	r.body = bytes.Clone(b[headSize : headSize+length])
-	return r, headSize + length, nil
+	isClosed := strings.EqualFold(head.Get("Connection"), "close")
+	return reply{
+		status:    head.Status,
+		rejected:  head.Get("Turned-Away") == "1",
+		keepAlive: head.Proto == "HTTP/1.1" && !isClosed,
+		body:      bytes.Clone(b[headSize:size]),
+	}, size, nil
 }
--- a/internal/platform/backend/reply_test.go
+++ b/internal/platform/backend/reply_test.go
@@ -63,7 +63,7 @@
 func TestRepliesAreParsed(t *testing.T) {
 	for name, c := range replyCases {
 		t.Run(name, func(t *testing.T) {
-			r, used, err := parseReply([]byte(c.text), false)
+			r, used, err := parseReply([]byte(c.text))
 			var o lifecycle.Outcome
 			if used > 0 {
 				o = outcomeOf(r)
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -72,7 +72,7 @@
 const (
 	stateDown      linkState = iota // there is none
 	stateAttaching                  // ATTACH was sent
-	// HELLO was received; the answer to a probe follows all kept notices
+	// HELLO was received; the answer to a probe follows all notices that were kept for it
 	stateCatchingUp
 	stateLive // commands are sent
 )
@@ -175,7 +175,7 @@
 	link.dialing.conn = link.loop.Dial(link.addr, limits, link.dialing)
 }
 
-// redial dials unless the current connection leads to the engine's address.
+// redial dials unless the current connection is to the engine's address.
 func (link *Link) redial() {
 	if link.current == nil || link.current.conn.RemoteAddr() != link.addr {
 		link.dial()
