--- a/internal/eventloop/conn_close.go
+++ b/internal/eventloop/conn_close.go
@@ -11,7 +11,7 @@
 	flushTimeout = 10 * time.Second
 	// lingerTimeout bounds how long it then waits for the peer to close.
 	lingerTimeout = 500 * time.Millisecond
-	// maxDiscardedBytes bounds how much input it reads meanwhile.
+	// maxDiscardedBytes bounds how much input it reads and discards until then.
 	maxDiscardedBytes = 1 << 20
 )
 
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// Stop cancels the call, also if it is due in this very turn. It may be called on a nil timer and
+// Stop cancels the call, even if it is due in this turn. It may be called on a nil timer and
 // more than once.
 func (t *Timer) Stop() {
 	if t == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// fireTimers calls the timers that are due. Those set meanwhile wait for the next turn.
+// fireTimers calls the timers that are due. Timers that these calls set wait for the next turn.
 func (l *Loop) fireTimers() {
 	var due []*Timer
 	for len(l.timers) > 0 && l.timers[0].dueAt <= l.now {
--- a/internal/idempotency/reservation/coordinator.go
+++ b/internal/idempotency/reservation/coordinator.go
@@ -1,10 +1,10 @@
 // Package reservation decides among the processes of one runner which of them runs an idempotency
 // key. A new process is started beside the one that it replaces; they share only a folder and the
 // kernel. Each appends its reservations to a log of its own, and holds a kernel lock on a file of
-// its own as long as it lives. A reservation is made under a lock that all share: the process reads
-// what the others have written, and then, unless one of them has the key, writes the reservation.
-// Records carry checksums: one that is incomplete because its writer was killed is ignored, and its
-// run never began.
+// its own as long as it is alive. A reservation is made under a lock that all share: the process
+// reads what the others have written, and then, unless one of them has the key, writes the
+// reservation. Records carry checksums: one that is incomplete because its writer was killed is
+// ignored, and its run never began.
 package reservation
 
 import (
@@ -28,7 +28,7 @@
 
 const (
 	// aloneInterval and sharedInterval are how often the logs of others are read: while no other
-	// process lives, and while one does.
+	// process is alive, and while one is.
 	aloneInterval  = 50 * time.Millisecond
 	sharedInterval = 10 * time.Millisecond
 	// lockRetryInterval is the wait for the shared lock, which is held for microseconds unless its
@@ -74,9 +74,9 @@
 	Window time.Duration
 	// MaxResultBytes bounds the results that are written when another process appears.
 	MaxResultBytes int64
-	// OnProcessesChanged is called with the number of other living processes whenever it changes;
-	// may be nil.
-	OnProcessesChanged func(living int)
+	// OnProcessesChanged is called with the number of other processes that are alive whenever it
+	// changes; may be nil.
+	OnProcessesChanged func(alive int)
 	After              func(d time.Duration, fn func()) // the loop's timer
 }
 
@@ -88,17 +88,17 @@
 	table     Table
 	basePath  string   // the common beginning of the paths of all files
 	lock      *os.File // shared by all processes; nil once closed
-	aliveLock *os.File // locked as long as this process lives
+	aliveLock *os.File // locked as long as this process is alive
 	log       *os.File
 	// generation is the number of the log, which grows when it is compacted.
 	generation   uint64
 	size         int64 // of the log
 	compactBytes int64 // size from which on the log is compacted
 	// epoch is the number in the lock's file that grows whenever a log appears.
-	epoch          uint64
-	processes      map[uint32]*otherProcess // by incarnation
-	reportedLiving int                      // -1: none was reported
-	serving        bool                     // this process accepts connections
+	epoch         uint64
+	processes     map[uint32]*otherProcess // by incarnation
+	reportedAlive int                      // -1: none was reported
+	serving       bool                     // this process accepts connections
 	// incomplete says that the log lacks reservations: there was no room for them, and no other
 	// process to read them.
 	incomplete  bool
@@ -114,7 +114,7 @@
 	log         *os.File
 	aliveLock   *os.File // nil: the file is gone, and so is the process
 	offset      int64    // in the log, up to which it is read
-	living      bool
+	alive       bool
 	serving     bool // it accepts connections
 	records     int
 }
@@ -125,19 +125,19 @@
 	runnerHash := fnv.New64a()
 	runnerHash.Write([]byte(config.Runner))
 	c := &Coordinator{
-		clock:          clock,
-		config:         config,
-		table:          table,
-		basePath:       filepath.Join(config.Dir, fmt.Sprintf("ryepaddle-%016x", runnerHash.Sum64())),
-		processes:      map[uint32]*otherProcess{},
-		compactBytes:   minCompactBytes,
-		reportedLiving: -1,
+		clock:         clock,
+		config:        config,
+		table:         table,
+		basePath:      filepath.Join(config.Dir, fmt.Sprintf("ryepaddle-%016x", runnerHash.Sum64())),
+		processes:     map[uint32]*otherProcess{},
+		compactBytes:  minCompactBytes,
+		reportedAlive: -1,
 	}
 	if err := c.open(); err != nil {
 		c.Close()
 		return nil, faultFolder.New("claims: %w", err)
 	}
-	c.reportLiving()
+	c.reportAlive()
 	c.poll()
 	return c, nil
 }
@@ -261,7 +261,7 @@
 
 // Ended writes the end of a run, for duplicates that wait for it in other processes.
 func (c *Coordinator) Ended(k lifecycle.KeyRecord) {
-	if c.livingCount() > 0 {
+	if c.aliveCount() > 0 {
 		c.logError(c.append(c.record(k)))
 	}
 }
@@ -277,23 +277,25 @@
 	c.logError(c.append(servingRecord()))
 }
 
-// OtherProcesses returns how many other processes live now, and whether one of them accepts
+// OtherProcesses returns how many other processes are alive, and whether one of them accepts
 // connections.
-func (c *Coordinator) OtherProcesses() (living int, serving bool) {
+func (c *Coordinator) OtherProcesses() (alive int, serving bool) {
 	if c.lock != nil { // what was written since the last poll counts
 		c.logError(c.readOthers())
-		c.reportLiving()
+		c.reportAlive()
 	}
 	for _, p := range c.processes {
-		serving = serving || p.living && p.serving
+		if p.alive && p.serving {
+			serving = true
+		}
 	}
-	return c.livingCount(), serving
+	return c.aliveCount(), serving
 }
 
-// livingCount returns how many other processes live.
-func (c *Coordinator) livingCount() (n int) {
+// aliveCount returns how many other processes are alive.
+func (c *Coordinator) aliveCount() (n int) {
 	for _, p := range c.processes {
-		if p.living {
+		if p.alive {
 			n++
 		}
 	}
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -128,7 +128,7 @@
 	if err == nil {
 		err = c.append(c.record(k))
 	}
-	if err == nil || c.livingCount() > 0 {
+	if err == nil || c.aliveCount() > 0 {
 		return err
 	}
 	c.logError(err)
@@ -140,11 +140,11 @@
 	return nil
 }
 
-// record returns the record of a key. Results are written only while another process lives to read
-// them.
+// record returns the record of a key. Results are written only while another process is alive to
+// read them.
 func (c *Coordinator) record(k lifecycle.KeyRecord) *store.Record {
 	kind := store.RunStarted
-	if k.Ended && c.livingCount() > 0 {
+	if k.Ended && c.aliveCount() > 0 {
 		kind = store.RunEnded
 	}
 	return persistence.ToRecord(kind, k, c.clock.Unix())
--- a/internal/idempotency/reservation/poll.go
+++ b/internal/idempotency/reservation/poll.go
@@ -18,8 +18,9 @@
 	if err := c.readOthers(); err != nil || !c.incomplete {
 		c.logError(err)
 	}
+	c.reportAlive()
 	interval := aloneInterval
-	if c.reportLiving(); c.livingCount() > 0 {
+	if c.aliveCount() > 0 {
 		interval = sharedInterval
 	}
 	if now := c.clock.Now(); now > c.sweptAt+sweepInterval && tryLock(c.lock) {
@@ -30,20 +31,20 @@
 	c.config.After(interval, c.poll)
 }
 
-// reportLiving reports a change of the number of living processes. When it grows, all known results
-// are written for the new process.
-func (c *Coordinator) reportLiving() {
-	living := c.livingCount()
-	if living == c.reportedLiving {
+// reportAlive reports a change of the number of processes that are alive. When it grows, all known
+// results are written for the new process.
+func (c *Coordinator) reportAlive() {
+	alive := c.aliveCount()
+	if alive == c.reportedAlive {
 		return
 	}
-	hasGrown := c.reportedLiving >= 0 && living > c.reportedLiving
-	c.reportedLiving = living
+	hasGrown := c.reportedAlive >= 0 && alive > c.reportedAlive
+	c.reportedAlive = alive
 	if hasGrown {
 		c.writeResults()
 	}
 	if c.config.OnProcessesChanged != nil {
-		c.config.OnProcessesChanged(living)
+		c.config.OnProcessesChanged(alive)
 	}
 }
 
@@ -71,12 +72,12 @@
 		c.epoch = epoch
 	}
 	for _, p := range c.processes {
-		wasLiving := p.living
-		p.living = p.living && isLocked(p.aliveLock)
+		wasAlive := p.alive
+		p.alive = p.alive && isLocked(p.aliveLock)
 		if err := c.read(p); err != nil { // after it was found dead, so that its log is complete
 			return err
 		}
-		if wasLiving && !p.living {
+		if wasAlive && !p.alive {
 			evProcessExited.Log(formatIncarnation(p.incarnation))
 			c.table.OwnerDied(p.incarnation)
 		}
@@ -130,14 +131,14 @@
 // addProcess adds a process whose log was found, and reads that.
 func (c *Coordinator) addProcess(p *otherProcess) (err error) {
 	if p.aliveLock, err = os.Open(c.aliveName(p.incarnation)); err == nil {
-		p.living = isLocked(p.aliveLock)
+		p.alive = isLocked(p.aliveLock)
 	}
 	c.processes[p.incarnation] = p
 	if err := c.read(p); err != nil {
 		return err
 	}
-	evProcessFound.Log(formatIncarnation(p.incarnation), p.living, p.records)
-	if !p.living {
+	evProcessFound.Log(formatIncarnation(p.incarnation), p.alive, p.records)
+	if !p.alive {
 		c.table.OwnerDied(p.incarnation)
 	}
 	return nil
@@ -148,10 +149,11 @@
 // sweep removes the files of exited processes whose keys have all expired. The caller holds the
 // shared lock.
 func (c *Coordinator) sweep() {
-	expired := time.Now().Add(-c.config.Window)
+	windowStart := time.Now().Add(-c.config.Window)
 	for incarnation, p := range c.processes {
 		info, err := p.log.Stat()
-		if p.living || err == nil && info.ModTime().After(expired) {
+		mayHaveValidKeys := err == nil && info.ModTime().After(windowStart)
+		if p.alive || mayHaveValidKeys {
 			continue
 		}
 		p.close()
--- a/internal/idempotency/store/damage.go
+++ b/internal/idempotency/store/damage.go
@@ -13,8 +13,8 @@
 	To   int64  `json:"To"`   // offset behind its last byte; 0: the file is missing
 }
 
-// DamageError reports damaged files. A store is not opened over them unless it is told to repair
-// them.
+// DamageError reports damaged files. A store is not opened with them unless Options.Repair is
+// set.
 type DamageError struct{ Damage []Damage }
 
 // Fault implements fault.Classified.
--- a/internal/idempotency/store/files.go
+++ b/internal/idempotency/store/files.go
@@ -11,7 +11,7 @@
 	segmentPrefix   = "journal-"
 	snapshotPrefix  = "snapshot-"
 	temporarySuffix = ".tmp" // of a snapshot that is being written
-	damagedSuffix   = ".bad" // of a damaged file that was kept
+	damagedSuffix   = ".bad" // of a damaged file that was put aside
 	numberDigits    = 16     // of the number in a file name, with leading zeros
 	lockName        = "lock"
 	filePermissions = 0o600
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// createFile creates a file. It replaces one that an interrupted start left behind, of which nothing
-// was ever confirmed.
+// createFile creates a file. It replaces one that an interrupted start left behind, of which
+// nothing was ever confirmed.
 func (j *Journal) createFile(name string) (File, error) {
 	file, err := j.fs.Create(name)
 	if err == nil || !errors.Is(err, errExists) {
@@ -102,7 +102,7 @@
 	return j.fs.Create(name)
 }
 
-// IsDown reports whether the disk failed, and nothing is kept until Reopen succeeds.
+// IsDown reports whether the disk failed, so that nothing is stored until Reopen succeeds.
 func (j *Journal) IsDown() bool { return j.file == nil }
 
 // State returns the keys, including what could not be written.
--- a/internal/idempotency/store/options.go
+++ b/internal/idempotency/store/options.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SyncMode says what must hold for a record before Store.Put reports it as kept.
+// SyncMode says what must hold for a record before Store.Put reports it as stored.
 type SyncMode uint8
 
 // The modes.
@@ -32,12 +32,13 @@
 type Options struct {
 	Sync         SyncMode
 	SegmentBytes int64 // size from which on the next segment is created
-	// A snapshot is due when the journal has more than twice the bytes of the live keys and
-	// SlackBytes.
+	// A snapshot is due when the journal has more than SlackBytes and snapshotGrowthFactor times
+	// the bytes of the live keys.
 	SlackBytes int64
-	// Retention is how long a key is kept beyond its expiry: a duplicate may be read that late.
+	// Retention is how long a key is stored after its expiry, since a duplicate that arrived in
+	// time may be read later.
 	Retention time.Duration
-	Repair    bool // go on with damaged files, which are renamed and kept
+	Repair    bool // open the store despite damaged files, which are renamed and not removed
 }
 
 // DefaultOptions returns the options that hold where the operator sets none.
--- a/internal/idempotency/store/reopen.go
+++ b/internal/idempotency/store/reopen.go
@@ -8,8 +8,8 @@
 	maxReopenBackoff = 5 * time.Second
 )
 
-// reopenTimer schedules attempts to reopen the journal, with exponential backoff. An attempt that
-// is scheduled is not put off by records that come meanwhile.
+// reopenTimer schedules attempts to reopen the journal, with exponential backoff. Records that
+// come before a scheduled attempt do not delay it.
 type reopenTimer struct {
 	timer   *time.Timer
 	armed   bool // an attempt is scheduled
--- a/internal/idempotency/store/scan.go
+++ b/internal/idempotency/store/scan.go
@@ -6,7 +6,7 @@
 	"errors"
 )
 
-// segmentScan is what a segment holds, beside its records.
+// segmentScan is what was found in a segment, without the records themselves.
 type segmentScan struct {
 	records   int
 	tornBytes int64 // at its end, never confirmed to be on the disk
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -7,7 +7,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Estimates of the encoding beside the texts, in bytes.
+// Estimated bytes of an encoded record and an encoded field, without their texts.
 const (
 	recordOverhead = 64
 	fieldOverhead  = 4
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -173,7 +173,7 @@
 		return admission.OutcomeNeverStarted, Answer{Status: Rejected}
 	case TimedOut:
 		return admission.OutcomeFailed, Answer{Status: Expired}
-	case UnknownRequest: // not a rejection: a retry elsewhere would be in vain
+	case UnknownRequest: // not a rejection: a retry elsewhere would fail as well
 		return admission.OutcomeNeverStarted, Answer{Status: NotFound}
 	}
 	return admission.OutcomeFailed, Answer{Status: Failed}
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -24,12 +24,12 @@
 	Entity      uint64 // what the request is about: reads of one entity may share a result
 	TraceParent string // the caller's trace context, as received
 	Body        []byte
-	Metadata    []Field // received beside the body, for runners that forward it
+	Metadata    []Field // received with the body, for runners that forward it
 	// AcceptsStream says that the frontend takes a result whose body is still coming.
 	AcceptsStream bool
 	// Upload is the rest of a body that is still coming; nil: Body is complete.
 	Upload Upload
-	// ContentLength is the size of the whole body if Upload is not nil.
+	// ContentLength is the size of the complete body if Upload is not nil.
 	ContentLength int64
 	// BodyConsumed says that a server has begun to take the upload, which cannot be repeated.
 	BodyConsumed bool
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -16,7 +16,7 @@
 const NoTenant = -1
 
 // Configure applies changed settings. It returns them as they are in force, with the indexes of
-// removed classes kept. After an error the old settings stay in force.
+// removed classes kept. After an error the old settings remain in force.
 func (m *Manager) Configure(settings admission.Settings) (admission.Settings, error) {
 	settings, err := usableSettings(settings).MergeClasses(m.settings)
 	if err != nil {
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -79,7 +79,7 @@
 	return false
 }
 
-// accept adds a request to the table. From now on it is owed an answer.
+// accept adds a request to the table. From now on it must be answered.
 func (m *Manager) accept(r *request, queued time.Duration) {
 	m.requests[r.id] = r
 	m.openIDs[r.ID] = struct{}{}
@@ -89,7 +89,7 @@
 		m.env.OnAccepted(r.Request)
 	}
 	if r.Timeout > 0 {
-		// The admission controller goes by the timeout of the class, from which it also estimates
+		// The admission controller uses the timeout of the class, from which it also estimates
 		// the age of a retry. A shorter one is enforced here.
 		now := m.env.Now()
 		r.deadline = min(r.deadline, now-queued+r.Timeout)
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -61,7 +61,7 @@
 func (t *Trace) setCause(cause Cause) { t.setComparison(cause, 0, 0) }
 
 // setComparison is setCause with the value and the limit that were compared. The first cause that
-// is set is kept, as it is the nearest to the reason.
+// is set remains, as it is the nearest to the reason.
 func (t *Trace) setComparison(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause, t.Value, t.Limit = cause, value, limit
--- a/internal/protocol/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -59,8 +59,8 @@
 	Variables       []Variable // each name once
 }
 
-// identifying are the variables that may have one value only, beside those that the caller of Read
-// names.
+// identifying are the variables that may have one value only, in addition to those that the caller
+// of Read names.
 var identifying = []string{
 	"REQUEST_METHOD",
 	"PATH_INFO",
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -79,7 +79,7 @@
 		data, used, done, err = r.nextChunkPart(b)
 	}
 	r.done = done
-	// The stream may also end within a chunk's line, with input left that is not a whole line.
+	// The stream may also end within a chunk's line, with input left that is not a complete line.
 	if err == nil && !done && end && (used == 0 || used == len(b)) {
 		err = io.ErrUnexpectedEOF
 	}
