--- a/cmd/simulator/compare.go
+++ b/cmd/simulator/compare.go
@@ -58,8 +58,9 @@
 		return err
 	}
 	var sides [2]*side
+	letters := [2]string{"a", "b"}
 	for i, name := range []string{c.A, c.B} {
-		if sides[i], err = c.openSide(name, "ab"[i:i+1], spec, dayFile); err != nil {
+		if sides[i], err = c.openSide(name, letters[i], spec, dayFile); err != nil {
 			return err
 		}
 		defer sides[i].close()
@@ -144,10 +145,13 @@
 	return nil
 }
 
-// openSide prepares a side: a build of the simulator, or a file of differences. "-" is this build as
-// it is. The letter names the side's file in the report.
+// thisBuild is the argument for this build of the simulator, without differences.
+const thisBuild = "-"
+
+// openSide prepares a side: a build of the simulator, a file of differences, or thisBuild. The letter
+// names the side's file in the report.
 func (c *compareCmd) openSide(name, letter string, spec *day.Spec, dayFile string) (*side, error) {
-	if name == "-" {
+	if name == thisBuild {
 		name = ""
 	}
 	if isProgram(name) {
--- a/cmd/simulator/conform.go
+++ b/cmd/simulator/conform.go
@@ -10,6 +10,7 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
+	"ryepaddle/internal/simulator/report"
 	"ryepaddle/internal/testing/conformance"
 )
 
@@ -29,10 +30,16 @@
 type caseResult struct {
 	Case    string   `json:"case"`
 	Clauses []string `json:"clauses"`
-	How     string   `json:"how"` // whole, or a byte at a time
+	How     string   `json:"how"` // sentWhole or sentBytewise
 	Fault   string   `json:"fault,omitempty"`
 }
 
+// The ways in which the request of a case is sent.
+const (
+	sentWhole    = "whole"
+	sentBytewise = "a byte at a time"
+)
+
 // Run plays the suite.
 func (c *conformCmd) Run(console *console) error {
 	cases, clauses, err := conformance.Load()
@@ -74,9 +81,9 @@
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			r := caseResult{Case: cases[i].Name, Clauses: cases[i].Clauses, How: "whole"}
+			r := caseResult{Case: cases[i].Name, Clauses: cases[i].Clauses, How: sentWhole}
 			if bytewise {
-				r.How = "a byte at a time"
+				r.How = sentBytewise
 			}
 			if err := suite.Run(&cases[i], bytewise); err != nil {
 				r.Fault = err.Error()
@@ -118,7 +125,7 @@
 	if c.JSON {
 		return console.printJSON(clauses)
 	}
-	t := newTable("clause", "source", "what it says", "cases")
+	t := report.NewTable("clause", "source", "what it says", "cases")
 	for _, clause := range clauses {
 		var names []string
 		for _, played := range cases {
--- a/cmd/simulator/lists.go
+++ b/cmd/simulator/lists.go
@@ -7,6 +7,7 @@
 
 	"ryepaddle/internal/admission"
 	"ryepaddle/internal/simulator/day"
+	"ryepaddle/internal/simulator/report"
 	"ryepaddle/internal/simulator/variant"
 )
 
@@ -56,7 +57,7 @@
 		}
 		return console.printJSON(values)
 	}
-	t := newTable("figure", "value", "least", "most")
+	t := report.NewTable("figure", "value", "least", "most")
 	for _, p := range parameters.All() {
 		t.AppendRow(table.Row{p.Name, *p.Value, p.Min, p.Max})
 	}
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -14,12 +14,11 @@
 	"syscall"
 
 	"github.com/alecthomas/kong"
-	"github.com/jedib0t/go-pretty/v6/table"
 
 	"ryepaddle/internal/yamldoc"
 )
 
-// console is what all commands share: a context that signals end, and the standard streams.
+// console holds what all commands share: a context that ends with a signal, and the standard streams.
 type console struct {
 	ctx      context.Context
 	stdin    io.Reader
@@ -63,14 +62,15 @@
 // execute runs a command line and returns the exit status.
 func execute(c *console, args []string) int {
 	var line commandLine
-	helped := -1 // exit status after a help text
+	const notHelped = -1
+	helpStatus := notHelped // exit status after a help text
 	parser, err := kong.New(
 		&line,
 		kong.Name("simulator"),
 		kong.Description(description),
 		kong.UsageOnError(),
 		kong.Writers(c.stdout, c.stderr),
-		kong.Exit(func(status int) { helped = status }),
+		kong.Exit(func(status int) { helpStatus = status }),
 		helpTexts(),
 		kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}),
 	)
@@ -79,8 +79,8 @@
 		return exitFailed
 	}
 	command, err := parser.Parse(args)
-	if helped >= 0 {
-		return helped
+	if helpStatus != notHelped {
+		return helpStatus
 	}
 	if err == nil {
 		err = command.Run(c)
@@ -128,11 +128,3 @@
 	text, err := json.MarshalIndent(v, "", "  ")
 	return append(text, '\n'), err
 }
-
-// newTable returns a table in the style of all commands.
-func newTable(header ...any) table.Writer {
-	t := table.NewWriter()
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(header)
-	return t
-}
--- a/cmd/simulator/progress.go
+++ b/cmd/simulator/progress.go
@@ -8,8 +8,8 @@
 
 const (
 	progressInterval = 200 * time.Millisecond
-	// lastDrawing is the time that the last drawing of a progress bar needs.
-	lastDrawing = 250 * time.Millisecond
+	// finalRenderTime is the time that the last drawing of a progress bar needs.
+	finalRenderTime = 250 * time.Millisecond
 )
 
 // progress shows a progress bar on a terminal. step counts one of the steps; finish removes it.
@@ -26,7 +26,7 @@
 	go w.Render()
 	return func() { tracker.Increment(1) }, func() {
 		tracker.MarkAsDone()
-		time.Sleep(lastDrawing)
+		time.Sleep(finalRenderTime)
 		w.Stop()
 	}
 }
--- a/cmd/simulator/routes.go
+++ b/cmd/simulator/routes.go
@@ -84,7 +84,7 @@
 
 // routesTable returns the estimates of all kinds of day.
 func routesTable(all []*cluster.Comparison) table.Writer {
-	t := newTable("day", "figure", all[0].A, all[0].B, "difference", "95% interval", "")
+	t := report.NewTable("day", "figure", all[0].A, all[0].B, "difference", "95% interval", "")
 	for i, c := range all {
 		if i > 0 {
 			t.AppendSeparator()
@@ -101,7 +101,8 @@
 }
 
 func routesRow(day string, e *compare.Estimate) table.Row {
-	name, format := e.Name, func(v float64) string { return fmt.Sprintf("%.4f", v) }
+	name := e.Name
+	format := func(v float64) string { return fmt.Sprintf("%.4f", v) }
 	if e.Unit != "" {
 		name += " (" + e.Unit + ")"
 	}
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -8,6 +8,7 @@
 
 	"ryepaddle/internal/simulator/day"
 	"ryepaddle/internal/simulator/fleet"
+	"ryepaddle/internal/simulator/report"
 	"ryepaddle/internal/simulator/variant"
 	"ryepaddle/internal/telemetry/traffic"
 	"ryepaddle/internal/wallclock"
@@ -116,7 +117,7 @@
 	if c.JSON {
 		return console.printJSON(all)
 	}
-	t := newTable("file", "runner", "began", "s", "requests", "further tries", "clock back", "lost", "")
+	t := report.NewTable("file", "runner", "began", "s", "requests", "further tries", "clock back", "lost", "")
 	for _, s := range all {
 		t.AppendRow(table.Row{
 			s.File,
@@ -126,7 +127,7 @@
 			s.Requests,
 			s.Further,
 			s.Backward,
-			s.Lost.Queue + s.Lost.Bytes + s.Lost.Errors,
+			s.Lost.Total(),
 			s.Cut,
 		})
 	}
@@ -195,7 +196,7 @@
 		return err
 	}
 	if lost := recorder.Lost(); lost.Any() {
-		return fmt.Errorf("%s: %d requests could not be written", c.Out, lost.Errors+lost.Bytes+lost.Queue)
+		return fmt.Errorf("%s: %d requests could not be written", c.Out, lost.Total())
 	}
 	fmt.Fprintf(console.stdout, "%s: %d requests\n", c.Out, len(requests))
 	return nil
--- a/cmd/simulator/up.go
+++ b/cmd/simulator/up.go
@@ -40,12 +40,16 @@
 func (e violationError) Error() string { return e.String() }
 
 const (
-	drawInterval  = 500 * time.Millisecond // of the states of the runners
-	runTime       = 5 * time.Millisecond   // of a keyed request at a server
-	zones         = 3
-	answerTimeout = 10 * time.Second
-	readyTimeout  = 30 * time.Second
-	maxProcesses  = 64 // runners, and servers
+	displayInterval = 500 * time.Millisecond // of the states of the runners
+	runTime         = 5 * time.Millisecond   // of a keyed request at a server
+	zones           = 3
+	answerTimeout   = 10 * time.Second
+	readyTimeout    = 30 * time.Second
+	maxProcesses    = 64 // runners, and servers
+
+	// windows of idempotency keys, with a disk and with replicas
+	keyWindow           = 10 * time.Minute
+	replicatedKeyWindow = 3 * time.Second
 )
 
 // Run starts a fleet, sends keyed requests, injects faults and checks what the callers saw.
@@ -129,9 +133,9 @@
 // state admits no keyed requests for a window.
 func (c *upCmd) window() time.Duration {
 	if c.Copies > 0 {
-		return 3 * time.Second
+		return replicatedKeyWindow
 	}
-	return 10 * time.Minute
+	return keyWindow
 }
 
 // faults returns the faults of the script and of the flags, and those that are drawn.
@@ -215,7 +219,7 @@
 		select {
 		case <-d.stopping:
 			return
-		case <-time.After(drawInterval):
+		case <-time.After(displayInterval):
 		}
 		fault, _ := d.lastFault.Load().(string)
 		head := fmt.Sprintf("%4.1fs  %v  last fault: %s", time.Since(d.startedAt).Seconds(), d.fleet, fault)
@@ -279,7 +283,8 @@
 		if err != nil {
 			return err
 		}
-		result.Broken, result.Bill = append(result.Broken, violations...), bill
+		result.Broken = append(result.Broken, violations...)
+		result.Bill = bill
 	}
 	if err := c.show(console, fleet, &result); err != nil {
 		return err
@@ -293,7 +298,8 @@
 
 func (c *upCmd) show(console *console, fleet *cluster.Cluster, result *fleetResult) error {
 	if c.JSON {
-		result.Tries, result.Ran = map[string]int{}, len(fleet.RunCounts())
+		result.Tries = map[string]int{}
+		result.Ran = len(fleet.RunCounts())
 		for outcome, count := range fleet.History.Count() {
 			result.Tries[outcome.String()] = count
 		}
--- a/cmd/simulator/verify.go
+++ b/cmd/simulator/verify.go
@@ -38,8 +38,8 @@
 	Model []*fleet.Run         `json:"model"`
 }
 
-// loggedBytes is how much of the runners' log goes into an error.
-const loggedBytes = 2000
+// maxErrorLogBytes is how much of the runners' log goes into an error.
+const maxErrorLogBytes = 2000
 
 // Run plays a day on real processes and compares it with the model.
 func (c *verifyCmd) Run(console *console) error {
@@ -98,7 +98,7 @@
 	run, err := daytest.Play(console.ctx, d, options, c.Bin, log)
 	if err != nil {
 		text := kept.Bytes()
-		return nil, fmt.Errorf("%w\n%s", err, text[max(len(text)-loggedBytes, 0):])
+		return nil, fmt.Errorf("%w\n%s", err, text[max(len(text)-maxErrorLogBytes, 0):])
 	}
 	return run, nil
 }
@@ -108,7 +108,7 @@
 	if c.JSON {
 		return console.printJSON(v)
 	}
-	t := newTable("figure", "real fleet", "model", "interval", "")
+	t := report.NewTable("figure", "real fleet", "model", "interval", "")
 	inside := 0
 	for _, h := range v.Held {
 		word := "OUTSIDE"
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -46,8 +46,8 @@
 // Spec is a scenario. Times are in the units that the names end with; work is on a core of speed 1.
 type Spec struct {
 	Name      string         `yaml:"name" json:"name"`
-	LengthS   float64        `yaml:"length_s" json:"length_s"`
-	WindowS   float64        `yaml:"window_s" json:"window_s"`
+	LengthS   float64        `yaml:"length_s" json:"length_s"` // of the day
+	WindowS   float64        `yaml:"window_s" json:"window_s"` // of Goal.WorstWindow
 	Load      Load           `yaml:"load" json:"load"`
 	Fleet     Fleet          `yaml:"fleet" json:"fleet"`
 	BackEnd   BackEnd        `yaml:"backend" json:"backend"`
@@ -66,60 +66,63 @@
 	OfCapacity Range   `yaml:"of_capacity" json:"of_capacity"`
 	RateS      float64 `yaml:"rate_s" json:"rate_s"` // requests per second; in place of a share
 	// factor of the load, linear between points
-	Curve      []Point `yaml:"curve" json:"curve"`
-	Burstiness Range   `yaml:"burstiness" json:"burstiness"`
+	Curve []Point `yaml:"curve" json:"curve"`
+	// coefficient of variation of the rate between periods of 250 ms; 0: a steady rate
+	Burstiness Range `yaml:"burstiness" json:"burstiness"`
 }
 
 // Point is a point of the rate curve.
 type Point struct {
-	AtS   float64 `yaml:"at_s" json:"at_s"`
+	AtS   float64 `yaml:"at_s" json:"at_s"` // of the day
 	Times float64 `yaml:"times" json:"times"`
 }
 
-// Fleet describes the runners and their machines.
+// Fleet describes the runners and their machines. dependencies.MachineSpec explains the values that are
+// only drawn here.
 type Fleet struct {
 	Runners  Range    `yaml:"runners" json:"runners"`
 	Halls    []string `yaml:"halls" json:"halls"`
 	CrossMs  Range    `yaml:"cross_ms" json:"cross_ms"` // between zones, one way
 	NearMs   float64  `yaml:"near_ms" json:"near_ms"`   // within a zone
-	Cores    int      `yaml:"cores" json:"cores"`
-	Speed    Range    `yaml:"speed" json:"speed"`
+	Cores    int      `yaml:"cores" json:"cores"`       // of each machine
+	Speed    Range    `yaml:"speed" json:"speed"`       // of a core
 	Thrash   Range    `yaml:"thrash" json:"thrash"`
 	ThrashAt Range    `yaml:"thrash_at" json:"thrash_at"`
 	// work of reading a request, as a share of the mean work
 	ReadShare Range `yaml:"read_share" json:"read_share"`
-	Backlog   int   `yaml:"backlog_per_core" json:"backlog_per_core"`
+	Backlog   int   `yaml:"backlog_per_core" json:"backlog_per_core"` // unread requests
 	// running requests per core that fill the memory
 	MemoryRuns Range   `yaml:"memory_runs" json:"memory_runs"`
-	RunFactor  float64 `yaml:"run_factor" json:"run_factor"`
-	HoldKB     Range   `yaml:"hold_kb" json:"hold_kb"`
+	RunFactor  float64 `yaml:"run_factor" json:"run_factor"` // as of MachineSpec.RunFactor
+	HoldKB     Range   `yaml:"hold_kb" json:"hold_kb"`       // mean memory of a queued request
 	// share of the memory for idempotency keys at full load
 	KeyRoom     Range   `yaml:"key_room" json:"key_room"`
-	ColdFrom    Range   `yaml:"cold_from" json:"cold_from"`
-	ColdS       Range   `yaml:"cold_s" json:"cold_s"`
+	ColdFrom    Range   `yaml:"cold_from" json:"cold_from"` // share of the speed at the start of a warm-up
+	ColdS       Range   `yaml:"cold_s" json:"cold_s"`       // length of the warm-up
 	ColdCalls   Range   `yaml:"cold_calls" json:"cold_calls"`
-	RestartS    Range   `yaml:"restart_s" json:"restart_s"` // after a crash
-	CrowdLimit  float64 `yaml:"crowd_limit" json:"crowd_limit"`
-	CrowdMs     float64 `yaml:"crowd_ms" json:"crowd_ms"`
-	SlackMs     float64 `yaml:"slack_ms" json:"slack_ms"`
-	DrainMs     float64 `yaml:"drain_grace_ms" json:"drain_grace_ms"`
-	StopMs      float64 `yaml:"stop_ms" json:"stop_ms"`
-	TellsGoneMs Range   `yaml:"tells_gone_ms" json:"tells_gone_ms"`
+	RestartS    Range   `yaml:"restart_s" json:"restart_s"`           // after a crash
+	CrowdLimit  float64 `yaml:"crowd_limit" json:"crowd_limit"`       // mean running requests per core that crash it
+	CrowdMs     float64 `yaml:"crowd_ms" json:"crowd_ms"`             // over which that mean is taken
+	SlackMs     float64 `yaml:"slack_ms" json:"slack_ms"`             // that an answer may be late
+	DrainMs     float64 `yaml:"drain_grace_ms" json:"drain_grace_ms"` // that a draining runner takes requests
+	StopMs      float64 `yaml:"stop_ms" json:"stop_ms"`               // until a draining runner is stopped
+	TellsGoneMs Range   `yaml:"tells_gone_ms" json:"tells_gone_ms"`   // until a runner learns of an abort
 	// share of aborted attempts of which the runner never learns
 	GoneLost float64 `yaml:"gone_lost" json:"gone_lost"`
 }
 
-// BackEnd describes the shared back end.
+// BackEnd describes the shared back end. dependencies.BackendSpec explains the values that are only
+// drawn here.
 type BackEnd struct {
 	Slots Range `yaml:"slots" json:"slots"`
 	// its capacity, in multiples of the calls of the fleet at capacity
 	Headroom Range   `yaml:"headroom" json:"headroom"`
 	Thrash   Range   `yaml:"thrash" json:"thrash"`
-	Sheds    bool    `yaml:"sheds" json:"sheds"`
-	Fall     float64 `yaml:"fall" json:"fall"` // calls in flight that crash it, in multiples of the slots
-	FallMs   float64 `yaml:"fall_ms" json:"fall_ms"`
-	DownS    Range   `yaml:"down_s" json:"down_s"`
-	LingerMs float64 `yaml:"linger_ms" json:"linger_ms"`
+	Sheds    bool    `yaml:"sheds" json:"sheds"`         // it rejects calls under overload
+	Fall     float64 `yaml:"fall" json:"fall"`           // calls in flight that crash it, in multiples of the slots
+	FallMs   float64 `yaml:"fall_ms" json:"fall_ms"`     // over which the mean of the calls in flight is taken
+	DownS    Range   `yaml:"down_s" json:"down_s"`       // after a crash
+	LingerMs float64 `yaml:"linger_ms" json:"linger_ms"` // that a canceled call stays in flight
 	CV       float64 `yaml:"cv" json:"cv"`
 }
 
@@ -128,7 +131,7 @@
 	NoticeS Range `yaml:"notice_s" json:"notice_s"`
 }
 
-// BalancerKind is a number of balancers with one behavior.
+// BalancerKind is a number of balancers with one behavior; balance.Behavior explains its fields.
 type BalancerKind struct {
 	Count       int     `yaml:"count" json:"count"`
 	Choose      string  `yaml:"choose" json:"choose"`
--- a/internal/simulator/report/charts.go
+++ b/internal/simulator/report/charts.go
@@ -16,7 +16,7 @@
 // chart is a chart of a comparison.
 type chart struct {
 	Name, Title string
-	make        func(c *Comparison, p *plot.Plot) error
+	draw        func(c *Comparison, p *plot.Plot) error
 }
 
 // charts lists the charts of a comparison.
@@ -26,6 +26,22 @@
 	{"seconds", "Served of what was asked, second by second, over all days", drawSeconds},
 }
 
+const (
+	chartWidth    = 18 * vg.Centimeter
+	chartHeight   = 9 * vg.Centimeter
+	labelRotation = 0.5 // radians
+	// minLineLength is the extent of the horizontal lines of a chart of one day.
+	minLineLength = 1e-3
+)
+
+// lineStyle is the style of a line of a chart.
+type lineStyle uint8
+
+const (
+	solid lineStyle = iota
+	dashed
+)
+
 // formats lists the formats of the files of a chart.
 var formats = []string{"png", "svg"}
 
@@ -37,7 +53,7 @@
 
 // render renders a chart in a format of package plot.
 func render(p *plot.Plot, format string) ([]byte, error) {
-	w, err := p.WriterTo(18*vg.Centimeter, 9*vg.Centimeter, format)
+	w, err := p.WriterTo(chartWidth, chartHeight, format)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +69,7 @@
 		p := plot.New()
 		p.Title.Text = ch.Title
 		p.Add(plotter.NewGrid())
-		if err := ch.make(c, p); err != nil {
+		if err := ch.draw(c, p); err != nil {
 			return nil, err
 		}
 		if err := renderAll(files, ch.Name, p); err != nil {
@@ -63,14 +79,14 @@
 	return files, nil
 }
 
-// line adds a line; an empty legend adds none.
-func line(p *plot.Plot, pts plotter.XYs, c color.Color, dashed bool, legend string) error {
+// line adds a line to a chart. An empty legend is not shown.
+func line(p *plot.Plot, pts plotter.XYs, c color.Color, style lineStyle, legend string) error {
 	l, err := plotter.NewLine(pts)
 	if err != nil {
 		return err
 	}
 	l.Color = c
-	if dashed {
+	if style == dashed {
 		l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	}
 	p.Add(l)
@@ -82,7 +98,8 @@
 
 // drawDifferences draws the difference of the scores of each day, and the mean with its interval.
 func drawDifferences(c *Comparison, p *plot.Plot) error {
-	p.X.Label.Text, p.Y.Label.Text = "day", "B - A"
+	p.X.Label.Text = "day"
+	p.Y.Label.Text = "B - A"
 	var pts plotter.XYs
 	for _, pair := range c.Outcome.Pairs {
 		pts = append(pts, plotter.XY{X: float64(pair.Seed), Y: pair.B.Score - pair.A.Score})
@@ -93,21 +110,23 @@
 	}
 	s.GlyphStyle = draw.GlyphStyle{Color: blue, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
 	p.Add(s)
-	first, last, e := pts[0].X, pts[len(pts)-1].X+1e-3, c.Outcome.Estimates[0]
+	first := pts[0].X
+	last := pts[len(pts)-1].X + minLineLength
+	score := c.Outcome.Estimates[0]
 	flat := func(y float64) plotter.XYs { return plotter.XYs{{X: first, Y: y}, {X: last, Y: y}} }
-	if err := line(p, flat(0), grey, false, ""); err != nil {
+	if err := line(p, flat(0), grey, solid, ""); err != nil {
 		return err
 	}
-	if err := line(p, flat(e.Diff), orange, false, "mean"); err != nil {
+	if err := line(p, flat(score.Diff), orange, solid, "mean"); err != nil {
 		return err
 	}
 	if len(pts) < 2 {
 		return nil
 	}
-	if err := line(p, flat(e.Lo), orange, true, "interval"); err != nil {
+	if err := line(p, flat(score.Lo), orange, dashed, "interval"); err != nil {
 		return err
 	}
-	return line(p, flat(e.Hi), orange, true, "")
+	return line(p, flat(score.Hi), orange, dashed, "")
 }
 
 // bars implements plotter.XYer and plotter.YErrorer: points with intervals, side by side.
@@ -158,8 +177,10 @@
 	bar.Color = blue
 	p.Add(s, bar)
 	p.NominalX(names...)
-	p.X.Tick.Label.Rotation, p.X.Tick.Label.XAlign, p.X.Tick.Label.YAlign = 0.5, draw.XRight, draw.YCenter
-	return line(p, plotter.XYs{{X: -0.5, Y: 0}, {X: float64(len(names)) - 0.5, Y: 0}}, grey, false, "")
+	p.X.Tick.Label.Rotation = labelRotation
+	p.X.Tick.Label.XAlign = draw.XRight
+	p.X.Tick.Label.YAlign = draw.YCenter
+	return line(p, plotter.XYs{{X: -0.5, Y: 0}, {X: float64(len(names)) - 0.5, Y: 0}}, grey, solid, "")
 }
 
 // Bars draws figures with their intervals. It returns the files of the chart by name.
@@ -192,9 +213,11 @@
 	for _, p := range pairs {
 		for i, s := range of(p) {
 			if i == len(asked) {
-				asked, earned = append(asked, 0), append(earned, 0)
+				asked = append(asked, 0)
+				earned = append(earned, 0)
 			}
-			asked[i], earned[i] = asked[i]+s.Asked, earned[i]+s.Got
+			asked[i] += s.Asked
+			earned[i] += s.Got
 		}
 	}
 	for i := range asked {
@@ -207,15 +230,17 @@
 
 // drawSeconds draws the share served in each second of the day.
 func drawSeconds(c *Comparison, p *plot.Plot) error {
-	p.X.Label.Text, p.Y.Label.Text = "second of the day in which it was asked", "share served"
-	p.Y.Min, p.Y.Max = 0, 1
+	p.X.Label.Text = "second of the day in which it was asked"
+	p.Y.Label.Text = "share served"
+	p.Y.Min = 0
+	p.Y.Max = 1
 	a := series(c.Outcome.Pairs, func(p compare.Pair) []ledger.Second { return p.A.Series })
 	b := series(c.Outcome.Pairs, func(p compare.Pair) []ledger.Second { return p.B.Series })
 	if len(a) == 0 || len(b) == 0 {
 		return nil
 	}
-	if err := line(p, a, blue, false, "A"); err != nil {
+	if err := line(p, a, blue, solid, "A"); err != nil {
 		return err
 	}
-	return line(p, b, orange, true, "B")
+	return line(p, b, orange, dashed, "B")
 }
--- a/internal/simulator/report/report.go
+++ b/internal/simulator/report/report.go
@@ -43,7 +43,7 @@
 	Inputs  []Input          `json:"-"`
 }
 
-// FormatFigure formats a figure with as many digits as its unit deserves; "-" for an infinite one.
+// FormatFigure formats a figure: whole milliseconds, or three decimals; "-" for an infinite one.
 func FormatFigure(value float64, unit string) string {
 	switch {
 	case math.Abs(value) >= math.MaxFloat64/2: // stands for infinity, as JSON has none
@@ -62,8 +62,8 @@
 	return FormatFigure(value, "ms")
 }
 
-// newTable returns a table in the style of all reports.
-func newTable(header ...any) table.Writer {
+// NewTable returns a table with a header, in the style of all reports and commands.
+func NewTable(header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(header)
@@ -72,7 +72,7 @@
 
 // Table returns the estimates of a comparison.
 func Table(c *Comparison) table.Writer {
-	t := newTable("figure", "A", "B", "B - A", "interval", "")
+	t := NewTable("figure", "A", "B", "B - A", "interval", "")
 	for _, e := range c.Outcome.Estimates {
 		name := e.Name
 		if e.Unit != "" {
@@ -123,7 +123,7 @@
 
 // Days returns a table of simulated days.
 func Days(runs []*fleet.Run) table.Writer {
-	t := newTable("day", "score", "worth", "whole", "worst stretch", "worst class", "worst school",
+	t := NewTable("day", "score", "worth", "whole", "worst stretch", "worst class", "worst school",
 		"p50 ms", "p99 ms", "asked/s", "refusals", "retries", "broken rules")
 	for _, r := range runs {
 		t.AppendRow(table.Row{
@@ -147,7 +147,7 @@
 
 // Parts returns a table of the classes, the tenants and the causes of a day.
 func Parts(r *fleet.Run) table.Writer {
-	t := newTable("", "first tries", "asked", "served", "share", "p50 ms", "p99 ms")
+	t := NewTable("", "first tries", "asked", "served", "share", "p50 ms", "p99 ms")
 	for _, shares := range [][]ledger.Share{r.Classes, r.Tenants} {
 		for _, s := range shares {
 			t.AppendRow(table.Row{
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -71,7 +71,10 @@
 }
 
 // Any reports whether anything was lost.
-func (l Lost) Any() bool { return l.Queue+l.Bytes+l.Errors > 0 }
+func (l Lost) Any() bool { return l.Total() > 0 }
+
+// Total returns the number of lost requests.
+func (l Lost) Total() int64 { return l.Queue + l.Bytes + l.Errors }
 
 // add adds what another recording lost.
 func (l *Lost) add(other Lost) {
