--- a/internal/admission/credit.go
+++ b/internal/admission/credit.go
@@ -81,7 +81,7 @@
 	}
 	value := c.advertisedCredit()
 	change := math.Abs(value - c.credit.advertised)
-	if change > c.parameters.AdvertiseStep*c.credit.advertised || c.credit.advertised < 0 {
+	if change > c.parameters.AdvertiseStep*c.credit.advertised || c.credit.advertised == notAdvertised {
 		c.credit.advertised = value
 		c.emit(Action{Kind: ActionAdvertise, Value: value})
 	}
--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -74,9 +74,27 @@
 // number. Running requests go on, and waiting ones move to the pool that takes them now.
 func (s *Scheduler) Configure(cfg Config, now time.Duration) {
 	s.now = now
+	moved := s.replacePools(cfg.Pools)
+	s.cfg = cfg
+	s.limit.configure(&s.cfg)
+	for len(s.classes) < len(cfg.Classes) {
+		s.classes = append(s.classes, classStats{})
+	}
+	for _, r := range moved {
+		r.state = stateIdle
+		s.Enqueue(r, now)
+	}
+	s.grantSlots()
+}
+
+// replacePools sets the pools, and returns the requests that waited in the former ones. A pool that
+// is no longer configured remains while requests of it run.
+func (s *Scheduler) replacePools(configured []Pool) (waiting []*Request) {
 	former := append(s.pools, s.removed...)
-	s.pools, s.removed = nil, nil
-	for _, parameters := range cfg.Pools {
+	s.pools = nil
+	s.removed = nil
+	s.poolsWithFloor = 0
+	for _, parameters := range configured {
 		next := &pool{Pool: parameters}
 		hasName := func(p *pool) bool { return p.Name == parameters.Name }
 		if i := slices.IndexFunc(former, hasName); i >= 0 {
@@ -85,31 +103,19 @@
 			former = append(former[:i:i], former[i+1:]...)
 		}
 		s.pools = append(s.pools, next)
+		if parameters.Floor > 0 {
+			s.poolsWithFloor++
+		}
 	}
 	for _, p := range former {
 		if p.running > 0 {
 			s.removed = append(s.removed, p)
 		}
 	}
-	var moved []*Request
 	for _, p := range append(s.pools, former...) {
-		moved = append(moved, p.queue.clear()...)
+		waiting = append(waiting, p.queue.clear()...)
 	}
-	s.cfg, s.poolsWithFloor = cfg, 0
-	for _, p := range cfg.Pools {
-		if p.Floor > 0 {
-			s.poolsWithFloor++
-		}
-	}
-	s.limit.configure(&s.cfg)
-	for len(s.classes) < len(cfg.Classes) {
-		s.classes = append(s.classes, classStats{})
-	}
-	for _, r := range moved {
-		r.state = stateIdle
-		s.Enqueue(r, now)
-	}
-	s.grantSlots()
+	return waiting
 }
 
 // Limit returns the current number of slots.
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -161,9 +161,19 @@
 	m.setState(e, WarmingUp, now, cause)
 }
 
-// ejectOutliers compares each endpoint with its peers by what the window holds.
+// ejectOutliers compares each endpoint with its peers by the outcomes in the window.
 func (m *Monitor) ejectOutliers(now time.Duration) {
-	var all outcomeCounts
+	all := m.measurePeers(now)
+	for _, e := range m.list.Endpoints {
+		if e.State.takesRequests() {
+			m.judgeOutlier(e, all, now)
+		}
+	}
+}
+
+// measurePeers updates the failure rate and the latencies of all endpoints, and returns the
+// outcomes of all of them.
+func (m *Monitor) measurePeers(now time.Duration) (all outcomeCounts) {
 	m.peerLatencies = m.peerLatencies[:0]
 	for _, e := range m.list.Endpoints {
 		own := e.window.sum(now)
@@ -175,23 +185,24 @@
 	}
 	slices.Sort(m.peerLatencies)
 	m.failureRate = all.failureRate()
-	for _, e := range m.list.Endpoints {
-		if !e.State.takesRequests() {
-			continue
-		}
-		own := e.window.sum(now)
-		if own.total() < m.cfg.MinRequests {
-			e.slowIntervals = 0
-			continue
-		}
-		peers := outcomeCounts{all.successes - own.successes, all.failures - own.failures}
-		if m.isFailureOutlier(own, peers) && m.mayEject() {
-			m.eject(e, now, fmt.Sprintf("%d of its %d requests failed, %.0f%% of its peers'",
-				own.failures, own.total(), 100*peers.failureRate()))
-			continue
-		}
-		m.judgeLatency(e, now)
+	return all
+}
+
+// judgeOutlier ejects an endpoint that is an outlier by failures or by latency. all are the outcomes
+// of all endpoints.
+func (m *Monitor) judgeOutlier(e *Endpoint, all outcomeCounts, now time.Duration) {
+	own := e.window.sum(now)
+	if own.total() < m.cfg.MinRequests {
+		e.slowIntervals = 0
+		return
+	}
+	peers := outcomeCounts{all.successes - own.successes, all.failures - own.failures}
+	if m.isFailureOutlier(own, peers) && m.mayEject() {
+		m.eject(e, now, fmt.Sprintf("%d of its %d requests failed, %.0f%% of its peers'",
+			own.failures, own.total(), 100*peers.failureRate()))
+		return
 	}
+	m.judgeLatency(e, now)
 }
 
 func (m *Monitor) isFailureOutlier(own, peers outcomeCounts) bool {
