--- a/internal/balancer/bulkhead/config.go
+++ b/internal/balancer/bulkhead/config.go
@@ -53,10 +53,10 @@
 
 // Config holds the parameters of a scheduler.
 type Config struct {
-	Pools          []Pool        // a request goes to the first one that takes it
-	Classes        []Class       // by number of the class
-	Tenants        []float64     // shares, by number of the tenant; their sum is 1
-	LimitAlgorithm string        // one of LimitAlgorithms
+	Pools          []Pool    // a request goes to the first one that takes it
+	Classes        []Class   // by number of the class
+	Tenants        []float64 // shares, by number of the tenant; their sum is 1
+	LimitAlgorithm LimitAlgorithm
 	InitialLimit   float64       // slots of a group that has not been measured
 	MinLimit       float64       // slots
 	MaxLimit       float64       // slots
--- a/internal/balancer/bulkhead/limit_algorithms.go
+++ b/internal/balancer/bulkhead/limit_algorithms.go
@@ -6,26 +6,29 @@
 	"ryepaddle/internal/balancer/concurrencylimit"
 )
 
-// The algorithms by which the limit follows the latency, by their names in the operator's file. All
-// of them use the same windows.
+// LimitAlgorithm is an algorithm by which the limit follows the latency, by its name in the
+// operator's file.
+type LimitAlgorithm string
+
+// The algorithms. All of them use the same windows.
 const (
 	// FixedLimit stays at InitialLimit.
-	FixedLimit = "fixed"
+	FixedLimit LimitAlgorithm = "fixed"
 	// AIMDLimit increases additively and decreases multiplicatively, as the congestion control of
 	// TCP does.
-	AIMDLimit = "additive"
+	AIMDLimit LimitAlgorithm = "additive"
 	// GradientLimit multiplies the limit by the ratio of the best latency to the current one, and
 	// adds its square root (Netflix concurrency-limits).
-	GradientLimit = "gradient"
+	GradientLimit LimitAlgorithm = "gradient"
 	// VegasLimit estimates how many requests wait at the servers, as TCP Vegas does for packets.
-	VegasLimit = "queue"
+	VegasLimit LimitAlgorithm = "queue"
 	// ThroughputLimit is what the best recent throughput needs at the best latency, and a part
 	// more (Little's law).
-	ThroughputLimit = "rate"
+	ThroughputLimit LimitAlgorithm = "rate"
 )
 
-// LimitAlgorithms lists the names of all algorithms.
-var LimitAlgorithms = []string{FixedLimit, AIMDLimit, GradientLimit, VegasLimit, ThroughputLimit}
+// LimitAlgorithms lists all algorithms.
+var LimitAlgorithms = []LimitAlgorithm{FixedLimit, AIMDLimit, GradientLimit, VegasLimit, ThroughputLimit}
 
 const (
 	// latencyTolerance is how many times the best latency is still as good as the best.
@@ -54,7 +57,7 @@
 
 // targetByAlgorithm returns where an algorithm moves the limit after a window with a known latency
 // ratio. Latency counts as higher only beyond its uncertainty.
-func (l *adaptiveLimit) targetByAlgorithm(algorithm string, w *limitWindow) float64 {
+func (l *adaptiveLimit) targetByAlgorithm(algorithm LimitAlgorithm, w *limitWindow) float64 {
 	ratio := w.ratio - errorBounds*w.ratioError
 	switch algorithm {
 	case AIMDLimit:
--- a/internal/balancer/bulkhead/limit_test.go
+++ b/internal/balancer/bulkhead/limit_test.go
@@ -40,7 +40,7 @@
 // returns the limits, one each second.
 func limitsUnderLoad(
 	t *testing.T,
-	algorithm string,
+	algorithm LimitAlgorithm,
 	seed uint64,
 	seconds int,
 	change func(sec int, s *testServers),
--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -67,7 +67,7 @@
 		return nil
 	}
 	c := &bulkhead.Config{
-		LimitAlgorithm: cmp.Or(set.Mode, bulkhead.GradientLimit),
+		LimitAlgorithm: cmp.Or(bulkhead.LimitAlgorithm(set.Mode), bulkhead.GradientLimit),
 		InitialLimit:   cmp.Or(set.First, defaultInitialLimit),
 		MinLimit:       cmp.Or(set.Minimum, defaultMinLimit),
 		MaxLimit:       cmp.Or(set.Maximum, defaultMaxLimit),
@@ -196,9 +196,9 @@
 			return o.document.Errorf(at+"."+f.name, "%v is not from %v to %v", f.value, f.min, f.max)
 		}
 	}
-	if set.Mode != "" && !slices.Contains(bulkhead.LimitAlgorithms, set.Mode) {
-		return o.document.Errorf(at+".way", "%q is none of %s",
-			set.Mode, strings.Join(bulkhead.LimitAlgorithms, ", "))
+	algorithm := bulkhead.LimitAlgorithm(set.Mode)
+	if algorithm != "" && !slices.Contains(bulkhead.LimitAlgorithms, algorithm) {
+		return o.document.Errorf(at+".way", "%q is none of %s", algorithm, limitAlgorithmNames())
 	}
 	return nil
 }
@@ -252,3 +252,12 @@
 		"requests of class %s are in no pool, for some tenants or callers at least: a last pool without "+
 			"classes takes the rest", class)
 }
+
+// limitAlgorithmNames lists the algorithms for an error message.
+func limitAlgorithmNames() string {
+	var names []string
+	for _, algorithm := range bulkhead.LimitAlgorithms {
+		names = append(names, string(algorithm))
+	}
+	return strings.Join(names, ", ")
+}
--- a/internal/simulator/cluster/bulkheads.go
+++ b/internal/simulator/cluster/bulkheads.go
@@ -28,11 +28,12 @@
 
 // bulkheadConfig returns the bulkheads of a routing mode, or nil if it has none.
 func bulkheadConfig(mode string, spec *Spec) *bulkhead.Config {
-	algorithm, ok := strings.CutPrefix(mode, bulkheadPrefix)
+	name, ok := strings.CutPrefix(mode, bulkheadPrefix)
 	if !ok {
 		return nil
 	}
-	if algorithm == objectiveMode {
+	algorithm := bulkhead.LimitAlgorithm(name)
+	if name == objectiveMode {
 		algorithm = bulkhead.GradientLimit
 	}
 	config := &bulkhead.Config{
