--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -55,8 +55,7 @@
 	defaultMaxLimit     = 1000 // requests
 	defaultReclaimMs    = 500
 	defaultQueueLength  = 200 // requests
-	// deadlineMargin is how long before its deadline a waiting request is
-	// rejected.
+	// deadlineMargin is how long before its deadline a waiting request is rejected.
 	deadlineMargin = 30 * time.Millisecond
 )
 
@@ -163,13 +162,8 @@
 			return o.document.Errorf(at, "no pool is listed")
 		}
 		for i := range set.List {
-			if err := o.checkBulkhead(
-				at+".list."+strconv.Itoa(i),
-				group,
-				set.List[:i],
-				&set.List[i],
-				p,
-			); err != nil {
+			field := at + ".list." + strconv.Itoa(i)
+			if err := o.checkBulkhead(field, group, set.List[:i], &set.List[i], p); err != nil {
 				return err
 			}
 		}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -44,6 +44,25 @@
 	Attempts int `yaml:"tries"`
 }
 
+// defaultLimits returns the limits where a file is silent.
+func defaultLimits() Limits {
+	return Limits{
+		Connections:       128,
+		ServerConnections: 64,
+		VarsKB:            16,
+		BodyKB:            64,
+		ResponseKB:        64,
+		CachedResultKB:    128,
+		UploadMB:          64,
+		StreamKB:          128,
+		StreamMB:          4,
+		RequestKB:         32,
+		ReadMs:            2500,
+		ConnectMs:         1000,
+		Attempts:          2,
+	}
+}
+
 // Flow returns the limits of flow control, in bytes.
 func (l *Limits) Flow() flowcontrol.Limits {
 	return flowcontrol.Limits{
@@ -59,13 +78,15 @@
 // checkLimits compares the limits with the memory and the descriptors that the platform allows.
 func (o *Operator) checkLimits(p *Platform) error {
 	l := &o.Limits
-	// Each caller may have a request, its body, and a response in both directions.
-	need := l.Connections * (l.VarsKB + 2*l.BodyKB + 2*max(l.ResponseKB, l.CachedResultKB/2)) / 1024
-	if need > p.MemoryMB/4 {
+	// The variables of a request are held once, its body and its response both as received and as
+	// sent.
+	connectionKB := l.VarsKB + 2*l.BodyKB + 2*max(l.ResponseKB, l.CachedResultKB/2)
+	needMB := l.Connections * connectionKB / 1024
+	if needMB > p.MemoryMB/4 {
 		return o.document.Errorf(
 			"limits",
 			"connections of that size may need %d MB, over a quarter of memory_mb",
-			need,
+			needMB,
 		)
 	}
 	if l.StreamMB > p.MemoryMB/8 {
--- a/internal/config/match.go
+++ b/internal/config/match.go
@@ -35,7 +35,8 @@
 	}
 	rules := make([]match.Rule, len(o.Routes))
 	for i := range o.Routes {
-		r, at := &o.Routes[i], "routes."+strconv.Itoa(i)
+		r := &o.Routes[i]
+		at := "routes." + strconv.Itoa(i)
 		rules[i].Prefix = r.Path
 		if rules[i].Condition, err = compile(at+".when", r.Condition, match.Bool); err != nil {
 			return err
@@ -45,9 +46,9 @@
 		}
 	}
 	if o.Matcher.Rules, err = match.NewRuleTable(rules); err != nil {
-		var behind *match.UnreachableRuleError
-		if errors.As(err, &behind) {
-			return o.document.Errorf("routes."+strconv.Itoa(behind.Rule)+".path", "%v", err)
+		var unreachable *match.UnreachableRuleError
+		if errors.As(err, &unreachable) {
+			return o.document.Errorf("routes."+strconv.Itoa(unreachable.Rule)+".path", "%v", err)
 		}
 		return o.document.Errorf("routes", "%v", err)
 	}
--- a/internal/config/observability.go
+++ b/internal/config/observability.go
@@ -46,9 +46,7 @@
 	if t.File == "" {
 		return nil
 	}
-	if !filepath.IsAbs(t.File) {
-		t.File = filepath.Join(filepath.Dir(o.file), t.File)
-	}
+	t.File = o.resolvePath(t.File)
 	dir := filepath.Dir(t.File)
 	return o.resolveFolder("traces.file", &dir)
 }
@@ -70,18 +68,16 @@
 	if c.Socket == "" {
 		return nil
 	}
-	if !filepath.IsAbs(c.Socket) {
-		c.Socket = filepath.Join(filepath.Dir(o.file), c.Socket)
-	}
+	c.Socket = o.resolvePath(c.Socket)
 	if _, err := netaddr.Parse("unix:" + c.Socket); err != nil {
 		return o.document.Errorf("control.socket", "%v", err)
 	}
-	if c.ExplainKB > p.MemoryMB<<10/8 {
+	if maxKB := p.MemoryMB << 10 / 8; c.ExplainKB > maxKB {
 		return o.document.Errorf(
 			"control.explain_kb",
 			"%d is over an eighth of memory_mb, %d",
 			c.ExplainKB,
-			p.MemoryMB<<10/8,
+			maxKB,
 		)
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -22,7 +22,8 @@
 	HealthPath  string      `yaml:"health_path"`
 	Tenant      tenantRules `yaml:"tenant"`
 	KeyVariable string      `yaml:"key_var"`
-	// the time at which a request was asked for first, as Unix milliseconds; empty: nobody says
+	// FirstAttemptVariable is the variable with the time of a request's first attempt, in Unix
+	// milliseconds; empty: none.
 	FirstAttemptVariable string               `yaml:"first_var"`
 	Limits               Limits               `yaml:"limits"`
 	Inventory            string               `yaml:"inventory"`
@@ -37,19 +38,21 @@
 	Bulkheads            map[string]Bulkheads `yaml:"pools"` // by group
 	Usage                Usage                `yaml:"usage"`
 	Peers                Peers                `yaml:"peers"`
-	// by the names under which others use them
+	// Expressions are the sources of named expressions, which other expressions may use by name.
 	Expressions map[string]string `yaml:"expressions"`
-	Matcher     match.Matcher     `yaml:"-"` // to the routes
-	file        string
-	document    *yamldoc.Document
-	ListenAddr  netaddr.Addr       `yaml:"-"`
-	Servers     []inventory.Server `yaml:"-"`
-	// where the inventory is; empty: there is none
-	InventoryPath string `yaml:"-"`
-	// of the inventory's files, as they were read
+
+	// What follows is derived from the fields above when the file is checked.
+
+	Matcher       match.Matcher      `yaml:"-"` // finds the route of a request
+	ListenAddr    netaddr.Addr       `yaml:"-"` // Listen, parsed
+	Servers       []inventory.Server `yaml:"-"`
+	InventoryPath string             `yaml:"-"` // absolute; empty: there is no inventory
+	// InventoryFingerprint identifies the contents of the inventory that Servers was read from.
 	InventoryFingerprint discovery.Fingerprint `yaml:"-"`
-	// class name to group, for classes that run on uwsgi servers
+	// GroupByClass has the group of each class that runs on uwsgi servers, by the class's name.
 	GroupByClass map[string]string `yaml:"-"`
+	file         string
+	document     *yamldoc.Document
 }
 
 // tenantRules derive the tenant of a request.
@@ -59,11 +62,18 @@
 	Expression string `yaml:"from"`    // expression for the tenant; empty: Variable holds it
 }
 
-// resolveFolder makes a path absolute, relative to the file, and checks that it is a folder.
-func (o *Operator) resolveFolder(field string, path *string) error {
-	if !filepath.IsAbs(*path) {
-		*path = filepath.Join(filepath.Dir(o.file), *path)
+// resolvePath returns an absolute path. A relative one is relative to the folder of the operator's
+// file.
+func (o *Operator) resolvePath(path string) string {
+	if filepath.IsAbs(path) {
+		return path
 	}
+	return filepath.Join(filepath.Dir(o.file), path)
+}
+
+// resolveFolder resolves a path in place, and checks that it is a folder.
+func (o *Operator) resolveFolder(field string, path *string) error {
+	*path = o.resolvePath(*path)
 	info, err := os.Stat(*path)
 	switch {
 	case err != nil:
@@ -96,38 +106,21 @@
 
 // defaultOperator returns the values of an empty file.
 func defaultOperator() *Operator {
-	return &Operator{KeyVariable: "HTTP_X_DEDUPE_KEY", Tenant: tenantRules{Variable: "HTTP_X_CUSTOMER"},
-		Limits: Limits{
-			Connections:       128,
-			ServerConnections: 64,
-			VarsKB:            16,
-			BodyKB:            64,
-			ResponseKB:        64,
-			CachedResultKB:    128,
-			UploadMB:          64,
-			StreamKB:          128,
-			StreamMB:          4,
-			RequestKB:         32,
-			ReadMs:            2500,
-			ConnectMs:         1000,
-			Attempts:          2,
-		}, TrafficRecording: TrafficRecording{MaxMB: 64, Queue: 4096}, Routing: defaultRouting(),
-		Control: Control{
-			ExplainKB: 1024,
-		}, Traces: Traces{MaxMB: 64, SampleRatio: 0.01, MaxPerSecond: 100, Queue: 1024},
-		Log:   Log{Format: logging.FormatText, Levels: "all=info"},
-		Store: Store{Mode: "group", WaitMs: 2, TimeoutMs: 500, SegmentMB: 8, SlackMB: 16},
-		Usage: defaultUsage(),
-		Peers: Peers{
-			Replicas:          2,
-			Slots:             64,
-			TimeoutMs:         500,
-			RepairKBPerSecond: 4096,
-			MeshSize:          32,
-			Leases:            Leases{Each: 4, AgainS: 10},
-		},
-		InventoryWatch: InventoryWatch{IntervalS: 5, SettleMs: 1000, MaxShrink: 0.5},
-		GroupByClass:   map[string]string{}}
+	return &Operator{
+		KeyVariable:      "HTTP_X_DEDUPE_KEY",
+		Tenant:           tenantRules{Variable: "HTTP_X_CUSTOMER"},
+		Limits:           defaultLimits(),
+		TrafficRecording: TrafficRecording{MaxMB: 64, Queue: 4096},
+		Routing:          defaultRouting(),
+		Control:          Control{ExplainKB: 1024},
+		Traces:           Traces{MaxMB: 64, SampleRatio: 0.01, MaxPerSecond: 100, Queue: 1024},
+		Log:              Log{Format: logging.FormatText, Levels: "all=info"},
+		Store:            Store{Mode: "group", WaitMs: 2, TimeoutMs: 500, SegmentMB: 8, SlackMB: 16},
+		Usage:            defaultUsage(),
+		Peers:            defaultPeers(),
+		InventoryWatch:   InventoryWatch{IntervalS: 5, SettleMs: 1000, MaxShrink: 0.5},
+		GroupByClass:     map[string]string{},
+	}
 }
 
 // parseOperator decodes and checks the text of an operator's file.
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -3,20 +3,19 @@
 import (
 	"net/netip"
 	"reflect"
-	"time"
 
 	"ryepaddle/internal/peers/lease"
 	"ryepaddle/internal/peers/placement"
 	"ryepaddle/internal/peers/usagereplica"
 )
 
-// Peers replicates what this runner promises to other runners of its installation.
+// Peers replicates idempotency keys and usage ledgers on other runners of the installation.
 type Peers struct {
 	// Installation is the name that all runners of the installation share.
 	Installation string `yaml:"installation"`
 	// Listen is the address for connections of peers; empty: nothing is replicated.
 	Listen string `yaml:"listen"`
-	// Dir is a folder on a lasting disk; empty: none.
+	// Dir is a folder whose files outlive a restart of the machine; empty: none.
 	Dir string `yaml:"dir"`
 	// Replicas is how many replicas a key has beside its owner; default 2.
 	Replicas int64 `yaml:"copies"`
@@ -67,7 +66,7 @@
 func (p *Peers) LeaseRules() (r lease.Rules, zones []string) {
 	r = lease.Rules{
 		MaxPerMember:  int(p.Leases.Each),
-		ExpiryBackoff: time.Duration(p.Leases.AgainS*1e6) * time.Microsecond,
+		ExpiryBackoff: secondsOf(p.Leases.AgainS),
 	}
 	for _, c := range p.Leases.Checks {
 		prefer := c.Prefer
@@ -98,6 +97,18 @@
 	Addr    netip.AddrPort `yaml:"-"`
 }
 
+// defaultPeers returns the peers where a file is silent.
+func defaultPeers() Peers {
+	return Peers{
+		Replicas:          2,
+		Slots:             64,
+		TimeoutMs:         500,
+		RepairKBPerSecond: 4096,
+		MeshSize:          32,
+		Leases:            Leases{Each: 4, AgainS: 10},
+	}
+}
+
 const (
 	maxPeers  = 300
 	maxVoters = 7 // of the consensus group
@@ -109,13 +120,18 @@
 // MustParseAddr parses an address that was checked with the file, and panics on another one.
 func MustParseAddr(s string) netip.AddrPort { return netip.MustParseAddrPort(s) }
 
-// EqualExceptMembers reports whether two files differ in nothing but members without a vote and
+// EqualExceptMembers reports whether two files are equal except for members without a vote and
 // leases, which can change at SIGHUP.
-func (p *Peers) EqualExceptMembers(o *Peers) bool {
-	a, b := *p, *o
-	a.Members, b.Members = a.voters(), b.voters()
-	a.Leases, b.Leases = Leases{}, Leases{}
-	return reflect.DeepEqual(a, b)
+func (p *Peers) EqualExceptMembers(other *Peers) bool {
+	return reflect.DeepEqual(p.withoutReloadable(), other.withoutReloadable())
+}
+
+// withoutReloadable returns a copy without what can change at SIGHUP.
+func (p *Peers) withoutReloadable() Peers {
+	fixed := *p
+	fixed.Members = p.voters()
+	fixed.Leases = Leases{}
+	return fixed
 }
 
 // voters returns the members with a vote, by name alone.
@@ -160,8 +176,8 @@
 	return o.checkLeases(names)
 }
 
-// parseMembers parses the addresses of the members and returns their names. Names and addresses have
-// to be unique.
+// parseMembers parses the addresses of the members and returns their names. Names and addresses
+// have to be unique.
 func (o *Operator) parseMembers() (names map[string]bool, err error) {
 	names = map[string]bool{}
 	addresses := map[netip.AddrPort]string{}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -79,6 +79,12 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
+// The smallest limits of the process with which the program starts.
+const (
+	minDescriptors = 32
+	minMemoryMB    = 16
+)
+
 // platformLimits are the limits of the process.
 type platformLimits struct {
 	MemoryMB       float64 `json:"memory_mb"`
@@ -108,11 +114,8 @@
 	p.file = path
 	if address := os.Getenv(adminAddressVariable); address != "" && !p.Admin.IsValid() {
 		if p.Admin, err = netip.ParseAddrPort(address); err != nil {
-			return nil, fieldKind.New("config: %s: %w", adminAddressVariable, err).At(
-				"",
-				0,
-				adminAddressVariable,
-			)
+			invalid := fieldKind.New("config: %s: %w", adminAddressVariable, err)
+			return nil, invalid.At("", 0, adminAddressVariable)
 		}
 	}
 	return p, nil
@@ -133,25 +136,8 @@
 	if p.Name == "" {
 		return nil, fieldError(text, "name", "missing")
 	}
-	for _, a := range []struct {
-		name, text string
-		to         *netip.AddrPort
-		must       bool
-	}{
-		{"listen", f.Listen, &p.Listen, true},
-		{"engine", f.Engine, &p.Engine, false},
-		{"roster", f.Roster, &p.Registry, false},
-		{"backend", f.Backend, &p.Backend, false},
-		{"ops", f.Ops, &p.Admin, false},
-	} {
-		if a.text == "" && !a.must {
-			continue
-		}
-		addr, err := netip.ParseAddrPort(a.text)
-		if err != nil {
-			return nil, fieldError(text, a.name, err.Error())
-		}
-		*a.to = addr
+	if err := p.parseAddresses(text, &f); err != nil {
+		return nil, err
 	}
 	if f.Seed != "" {
 		seed, err := strconv.ParseUint(f.Seed, 16, 64)
@@ -163,8 +149,9 @@
 	if !(f.StopMs > 0) {
 		return nil, fieldError(text, "stop_ms", "not above 0")
 	}
-	if p.MaxDescriptors < 32 || p.MemoryMB < 16 {
-		return nil, fieldError(text, "limits", "sockets under 32 or memory_mb under 16")
+	if p.MaxDescriptors < minDescriptors || p.MemoryMB < minMemoryMB {
+		reason := fmt.Sprintf("sockets under %d or memory_mb under %d", minDescriptors, minMemoryMB)
+		return nil, fieldError(text, "limits", reason)
 	}
 	err := json.Unmarshal(text, &p.decoded)
 	if err != nil {
@@ -177,6 +164,33 @@
 	return p, nil
 }
 
+// parseAddresses parses the addresses of a platform's file. All but that of the listener may be
+// missing.
+func (p *Platform) parseAddresses(text []byte, f *platformFile) error {
+	for _, field := range []struct {
+		name     string
+		address  string
+		target   *netip.AddrPort
+		required bool
+	}{
+		{"listen", f.Listen, &p.Listen, true},
+		{"engine", f.Engine, &p.Engine, false},
+		{"roster", f.Roster, &p.Registry, false},
+		{"backend", f.Backend, &p.Backend, false},
+		{"ops", f.Ops, &p.Admin, false},
+	} {
+		if field.address == "" && !field.required {
+			continue
+		}
+		addr, err := netip.ParseAddrPort(field.address)
+		if err != nil {
+			return fieldError(text, field.name, err.Error())
+		}
+		*field.target = addr
+	}
+	return nil
+}
+
 // jsonError adds the line to an error of the JSON decoder.
 func jsonError(text []byte, err error) error {
 	at := int64(-1)
@@ -196,12 +210,12 @@
 }
 
 // fieldError returns an error for a field, with its line if the text has the field.
-func fieldError(text []byte, name, what string) error {
+func fieldError(text []byte, name, reason string) error {
 	if i := bytes.Index(text, []byte(`"`+name+`"`)); i >= 0 {
 		line := lineOf(text, i)
-		return fieldKind.New("line %d: field %s: %s", line, name, what).At("", line, name)
+		return fieldKind.New("line %d: field %s: %s", line, name, reason).At("", line, name)
 	}
-	return fieldKind.New("field %s: %s", name, what).At("", 0, name)
+	return fieldKind.New("field %s: %s", name, reason).At("", 0, name)
 }
 
 // lineOf returns the line, from 1, of a byte of the text.
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -72,6 +72,9 @@
 	HealthyThreshold int `yaml:"passes"`
 }
 
+// maxHealthPathBytes bounds the path of health checks.
+const maxHealthPathBytes = 1000
+
 // RetryBudget bounds retries over all requests, beside limits.tries for each of them.
 type RetryBudget struct {
 	// Ratio is the most retries for each first attempt.
@@ -118,7 +121,8 @@
 // PickerConfig returns the configuration of the picker of a group. runners is how many runners the
 // platform's settings name.
 func (o *Operator) PickerConfig(runners int) picker.Config {
-	r, c := &o.Routing, picker.DefaultConfig(o.Limits.ServerConnections)
+	r := &o.Routing
+	c := picker.DefaultConfig(o.Limits.ServerConnections)
 	c.Zones = r.Zones
 	c.SubsetSize = r.Subset
 	c.KeyAffinity = r.Affinity
@@ -141,15 +145,14 @@
 // setHealth sets the rules of warm-up, ejection and health checks.
 func (o *Operator) setHealth(health *endpointhealth.Config) {
 	r := &o.Routing
-	seconds := func(s float64) time.Duration { return time.Duration(s*1e6) * time.Microsecond }
-	health.WarmUpWindow = seconds(r.WarmUpS)
+	health.WarmUpWindow = secondsOf(r.WarmUpS)
 	health.WarmUpMinShare = r.WarmUpFrom
 	health.ConsecutiveFailures = r.OutlierEjection.ConsecutiveFailures
 	health.FailureRateThreshold = r.OutlierEjection.FailureRate
 	health.LatencyFactor = r.OutlierEjection.LatencyFactor
 	health.MaxEjectedShare = r.OutlierEjection.MaxRatio
-	health.BaseEjectionTime = seconds(r.OutlierEjection.BaseTimeS)
-	health.MaxEjectionTime = seconds(r.OutlierEjection.MaxTimeS)
+	health.BaseEjectionTime = secondsOf(r.OutlierEjection.BaseTimeS)
+	health.MaxEjectionTime = secondsOf(r.OutlierEjection.MaxTimeS)
 	health.HealthChecks.UnhealthyThreshold = r.HealthCheck.UnhealthyThreshold
 	health.HealthChecks.HealthyThreshold = r.HealthCheck.HealthyThreshold
 	if r.HealthCheck.Path != "" {
@@ -157,6 +160,11 @@
 	}
 }
 
+// secondsOf returns a number of seconds as a duration, in whole microseconds.
+func secondsOf(seconds float64) time.Duration {
+	return time.Duration(seconds*1e6) * time.Microsecond
+}
+
 // checkRouting checks the values that depend on each other.
 func (o *Operator) checkRouting(*Platform) error {
 	r := &o.Routing
@@ -176,14 +184,13 @@
 			r.ConcurrencyLimit.First,
 		)
 	}
-	if r.HealthCheck.Path != "" && (!strings.HasPrefix(
-		r.HealthCheck.Path,
-		"/",
-	) || len(r.HealthCheck.Path) > 1000) {
+	path := r.HealthCheck.Path
+	if path != "" && (!strings.HasPrefix(path, "/") || len(path) > maxHealthPathBytes) {
 		return o.document.Errorf(
 			"routing.check.path",
-			"%q does not begin with /, or is over 1000 characters",
-			r.HealthCheck.Path,
+			"%q does not begin with /, or is over %d characters",
+			path,
+			maxHealthPathBytes,
 		)
 	}
 	for i, zone := range r.Zones {
--- a/internal/config/samekeys.go
+++ b/internal/config/samekeys.go
@@ -10,48 +10,48 @@
 // CheckSameKeys returns an error for a key that the file in force has and p lacks, or whose value
 // has another kind. The platform writes all keys each time: a file that lacks one was truncated, or
 // belongs to another runner.
-func (p *Platform) CheckSameKeys(was *Platform) error {
-	if was.decoded == nil { // it was not read from a file
+func (p *Platform) CheckSameKeys(previous *Platform) error {
+	if previous.decoded == nil { // it was not read from a file
 		return nil
 	}
-	if err := checkContains(p.decoded, was.decoded, ""); err != nil {
+	if err := checkContains(p.decoded, previous.decoded, ""); err != nil {
 		return changedKind.New("config: %s: %w", p.file, err).At(p.file, 0, "")
 	}
 	return nil
 }
 
-// checkContains returns an error for a key at or below path that was has and is lacks, or whose
-// value has another kind.
-func checkContains(is, was any, path string) error {
-	if was == nil {
+// checkContains returns an error for a key at or below path that the previous value has and the
+// next one lacks, or whose value has another kind.
+func checkContains(next, previous any, path string) error {
+	if previous == nil {
 		return nil
 	}
-	if kindOf(is) != kindOf(was) {
-		return fmt.Errorf("field %s: %s, where there was %s", path, kindOf(is), kindOf(was))
+	if kindOf(next) != kindOf(previous) {
+		return fmt.Errorf("field %s: %s, where there was %s", path, kindOf(next), kindOf(previous))
 	}
-	switch was := was.(type) {
+	switch previous := previous.(type) {
 	case map[string]any:
-		is := is.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(was)) {
+		next := next.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(previous)) {
 			at := key
 			if path != "" {
 				at = path + "." + key
 			}
-			v, ok := is[key]
+			value, ok := next[key]
 			if !ok {
 				return fmt.Errorf("field %s: missing", at)
 			}
-			if err := checkContains(v, was[key], at); err != nil {
+			if err := checkContains(value, previous[key], at); err != nil {
 				return err
 			}
 		}
 	case []any:
-		all := commonKeys(was)
-		if all == nil {
+		common := commonKeys(previous)
+		if common == nil {
 			return nil
 		}
-		for i, v := range is.([]any) {
-			if err := checkContains(v, all, path+"."+strconv.Itoa(i)); err != nil {
+		for i, entry := range next.([]any) {
+			if err := checkContains(entry, common, path+"."+strconv.Itoa(i)); err != nil {
 				return err
 			}
 		}
@@ -77,15 +77,15 @@
 		}
 		return list[0]
 	}
-	all := maps.Clone(first)
-	for _, v := range list[1:] {
-		m, _ := v.(map[string]any)
-		maps.DeleteFunc(all, func(key string, one any) bool {
-			other, ok := m[key]
-			return !ok || kindOf(other) != kindOf(one)
+	common := maps.Clone(first)
+	for _, entry := range list[1:] {
+		object, _ := entry.(map[string]any) // nil: it has no keys
+		maps.DeleteFunc(common, func(key string, value any) bool {
+			other, ok := object[key]
+			return !ok || kindOf(other) != kindOf(value)
 		})
 	}
-	return all
+	return common
 }
 
 // kindOf returns the kind of a decoded JSON value, as error texts name it.
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -2,13 +2,13 @@
 
 import (
 	"errors"
-	"path/filepath"
 
 	"ryepaddle/internal/discovery"
 	"ryepaddle/internal/inventory"
 )
 
-// InventoryWatch decides how a changed inventory is taken while the program runs.
+// InventoryWatch configures how changes of the inventory are found and applied while the program
+// runs.
 type InventoryWatch struct {
 	// IntervalS is the time in s between two checks of the files, beside the notifications of the
 	// system; default 5, 0: the inventory is read at SIGHUP only.
@@ -25,10 +25,7 @@
 	if o.Inventory == "" {
 		return nil
 	}
-	path := o.Inventory
-	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(o.file), path)
-	}
+	path := o.resolvePath(o.Inventory)
 	o.InventoryPath = path
 	if o.InventoryFingerprint, err = discovery.FingerprintOf(path); err != nil {
 		return o.document.Errorf("inventory", "%v", err)
@@ -50,7 +47,9 @@
 	p *Platform,
 ) (*Operator, error) {
 	next := *o
-	next.InventoryFingerprint, next.Servers, next.GroupByClass = fingerprint, servers, map[string]string{}
+	next.InventoryFingerprint = fingerprint
+	next.Servers = servers
+	next.GroupByClass = map[string]string{} // checkRoutes fills it
 	if err := next.checkRoutes(p); err != nil {
 		return nil, err
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,33 +17,34 @@
 	if len(raw) == 0 {
 		return admission.Settings{}, nil, fmt.Errorf("missing")
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
-	var v any
-	if err := d.Decode(&v); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
+	var settings any
+	if err := decoder.Decode(&settings); err != nil {
 		return admission.Settings{}, nil, err
 	}
-	pairs := map[string]string{}
-	flatten(pairs, "", v)
-	return simwire.DecodeSettings(pairs)
+	values := map[string]string{} // by dotted path
+	flatten(values, "", settings)
+	return simwire.DecodeSettings(values)
 }
 
-// flatten adds the scalars below v to out by their dotted paths.
+// flatten adds the scalars below v to out by their dotted paths. A list of scalars is one value,
+// with commas; a list of objects has its length at path.count and each object at path.INDEX.
 func flatten(out map[string]string, path string, v any) {
-	join := func(k string) string { return strings.TrimPrefix(path+"."+k, ".") }
+	join := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch v := v.(type) {
 	case map[string]any:
-		for k, x := range v {
-			flatten(out, join(k), x)
+		for key, value := range v {
+			flatten(out, join(key), value)
 		}
 	case []any:
 		plain := make([]string, 0, len(v))
-		for i, x := range v {
-			if _, ok := x.(map[string]any); ok {
+		for i, entry := range v {
+			if _, isObject := entry.(map[string]any); isObject {
 				out[join("count")] = strconv.Itoa(len(v))
-				flatten(out, join(strconv.Itoa(i)), x)
+				flatten(out, join(strconv.Itoa(i)), entry)
 			} else {
-				plain = append(plain, scalar(x))
+				plain = append(plain, scalar(entry))
 			}
 		}
 		if len(plain) > 0 {
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -26,11 +26,13 @@
 
 // Settings returns the settings of the store. repair lets it start from damaged files.
 func (s *Store) Settings(repair bool) store.Settings {
-	set := store.DefaultSettings()
-	set.Sync, _ = store.ParseSyncMode(s.Mode) // checked with the file
-	set.GroupWait = time.Duration(s.WaitMs * float64(time.Millisecond))
-	set.SegmentBytes, set.SlackBytes, set.Repair = s.SegmentMB<<20, s.SlackMB<<20, repair
-	return set
+	settings := store.DefaultSettings()
+	settings.Sync, _ = store.ParseSyncMode(s.Mode) // checked with the file
+	settings.GroupWait = time.Duration(s.WaitMs * float64(time.Millisecond))
+	settings.SegmentBytes = s.SegmentMB << 20
+	settings.SlackBytes = s.SlackMB << 20
+	settings.Repair = repair
+	return settings
 }
 
 // checkStore checks the mode and resolves the folder.
--- a/internal/config/usage.go
+++ b/internal/config/usage.go
@@ -9,7 +9,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Usage keeps the account of what tenants use.
+// Usage configures the usage ledger, called account in the file: what tenants use is counted in it
+// and reported in statements.
 type Usage struct {
 	// Dir is the folder of the account; empty: off.
 	Dir string `yaml:"dir"`
@@ -62,18 +63,31 @@
 	}
 }
 
+// maxSlices is the most slices of a period.
+const maxSlices = 1440
+
+// Estimated memory of the account in bytes.
+const (
+	accountKeyBytes   = 400 // of a key in memory, in a list of keys and in the file
+	accountLineBytes  = 300 // of a line without its slices; a line is copied once to be written
+	sliceBytes        = 8   // of one slice of a line
+	queuedRecordBytes = 64  // of a request that waits to be accounted
+)
+
 // checkUsage checks the periods and bounds the memory of the account, and resolves its folder.
 func (o *Operator) checkUsage(p *Platform) error {
 	u := &o.Usage
 	if u.Dir == "" {
 		return nil
 	}
-	if period := u.PeriodMin * 60; period%u.SliceS != 0 || period/u.SliceS > 1440 {
+	periodS := u.PeriodMin * 60
+	if periodS%u.SliceS != 0 || periodS/u.SliceS > maxSlices {
 		return o.document.Errorf(
 			"usage.slice_s",
-			"%d does not divide a period of %d s, or makes more than 1440 of it",
+			"%d does not divide a period of %d s, or makes more than %d of it",
 			u.SliceS,
-			period,
+			periodS,
+			maxSlices,
 		)
 	}
 	if strings.ContainsAny(p.Name, "/\x00") {
@@ -83,8 +97,8 @@
 			p.Name,
 		)
 	}
-	// Bytes: a key is held, listed and written; a line has its slices, and is copied to be written.
-	need := u.Keys*400 + u.Lines*2*(300+8*int(u.PeriodMin*60/u.SliceS)) + u.Queue*64
+	lineBytes := accountLineBytes + sliceBytes*int(periodS/u.SliceS)
+	need := u.Keys*accountKeyBytes + u.Lines*2*lineBytes + u.Queue*queuedRecordBytes
 	if need > p.MemoryMB<<20/8 {
 		return o.document.Errorf(
 			"usage",
