--- a/internal/eventloop/conn_close.go
+++ b/internal/eventloop/conn_close.go
@@ -74,7 +74,8 @@
 	c.closed = true
 	c.closeTimer.Stop()
 	c.loop.release(c.fd)
-	c.in, c.out = nil, nil
+	c.in = nil
+	c.out = nil
 	c.loop.Post(func() {
 		c.handler.Closed(err)
 		if c.onReleased != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,7 @@
 // Package eventloop implements the program's single-threaded event loop on epoll: timers, a clock
 // that is read once a turn, stream connections with bounded buffers, listeners, and signals. All
-// callbacks run on the goroutine that calls Run; other goroutines enter through Deliver.
+// callbacks run on the goroutine that calls Run; other goroutines enter through Deliver. Frontends,
+// upstream, the platform's adapters and the links to peers do their I/O on it.
 package eventloop
 
 import (
--- a/internal/idempotency/persistence/records.go
+++ b/internal/idempotency/persistence/records.go
@@ -17,7 +17,8 @@
 	if kind == store.KeyReleased {
 		return r
 	}
-	r.ExpiresAt, r.BodyHash = k.ExpiresAt, k.BodyHash
+	r.ExpiresAt = k.ExpiresAt
+	r.BodyHash = k.BodyHash
 	if kind != store.RunEnded {
 		return r
 	}
--- a/internal/idempotency/reservation/coordinator.go
+++ b/internal/idempotency/reservation/coordinator.go
@@ -1,10 +1,10 @@
 // Package reservation decides among the processes of one runner which of them runs an idempotency
-// key. A new process is started beside the one that it replaces; they share only a folder and the
-// kernel. Each appends its reservations to a log of its own, and holds a kernel lock on a file of
-// its own as long as it is alive. A reservation is made under a lock that all share: the process
-// reads what the others have written, and then, unless one of them has the key, writes the
-// reservation. Records carry checksums: one that is incomplete because its writer was killed is
-// ignored, and its run never began.
+// key, for the lifecycle.Reservations of the application. A new process is started beside the one
+// that it replaces; they share only a folder and the kernel. Each appends its reservations to a log
+// of its own, and holds a kernel lock on a file of its own as long as it is alive. A reservation is
+// made under a lock that all share: the process reads what the others have written, and then,
+// unless one of them has the key, writes the reservation. Records carry checksums: one that is
+// incomplete because its writer was killed is ignored, and its run never began.
 package reservation
 
 import (
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -91,7 +91,8 @@
 		c.log.Close()
 		os.Remove(c.logName(c.config.Incarnation, c.generation))
 	}
-	c.log, c.size = log, int64(len(content))
+	c.log = log
+	c.size = int64(len(content))
 	c.generation++
 	c.compactBytes = max(minCompactBytes, 2*c.size)
 	c.incomplete = false
@@ -191,7 +192,8 @@
 		unread = append(unread, chunk[:n]...)
 		used := c.applyFrames(p, unread)
 		p.offset += int64(used)
-		if unread = unread[used:]; n < len(chunk) {
+		unread = unread[used:]
+		if n < len(chunk) {
 			return nil
 		}
 	}
--- a/internal/idempotency/store/frame.go
+++ b/internal/idempotency/store/frame.go
@@ -55,8 +55,10 @@
 	if len(body) >= len(r.Result.Body) {
 		return r
 	}
-	record, result := *r, *r.Result
-	result.Body, result.Compressed = body, true
+	result := *r.Result
+	result.Body = body
+	result.Compressed = true
+	record := *r
 	record.Result = &result
 	return &record
 }
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -74,9 +74,10 @@
 	header := appendHeader(nil, number)
 	_, err = file.Write(header)
 	if err == nil && j.options.Sync != SyncNone {
-		if err = file.Sync(); err == nil {
-			err = j.fs.SyncDir()
-		}
+		err = file.Sync()
+	}
+	if err == nil && j.options.Sync != SyncNone {
+		err = j.fs.SyncDir()
 	}
 	if err != nil {
 		return errors.Join(faultDisk.New("store: %w", err), file.Close(), j.fs.Remove(name))
@@ -135,7 +136,8 @@
 	}
 	j.buf = j.buf[:0]
 	if j.markedBytes < j.syncedBytes && j.options.Sync != SyncNone {
-		if j.buf, err = AppendFrame(j.buf, &Record{Kind: SyncMark, SyncedBytes: j.syncedBytes}); err != nil {
+		mark := &Record{Kind: SyncMark, SyncedBytes: j.syncedBytes}
+		if j.buf, err = AppendFrame(j.buf, mark); err != nil {
 			return err
 		}
 	}
--- a/internal/idempotency/store/record.go
+++ b/internal/idempotency/store/record.go
@@ -1,7 +1,8 @@
-// Package store keeps idempotency keys on a disk so that they survive a crash: an append-only
-// journal in segments, and snapshots that allow segments to be removed. The files of a folder are
-// reached through FS, so that all decisions (what a sequence of records means, which damage a crash
-// explains, when a snapshot is due, what follows a disk failure) are free of I/O.
+// Package store stores idempotency keys on a disk so that they survive a crash: an append-only
+// journal in segments, and snapshots that allow segments to be removed. Package persistence
+// connects it to the request lifecycle; the reservations use its records and frames. The files of a
+// folder are reached through FS, so that all decisions (what a sequence of records means, which
+// damage a crash explains, when a snapshot is due, what follows a disk failure) are free of I/O.
 package store
 
 import "ryepaddle/internal/wallclock"
--- a/internal/idempotency/store/recovery.go
+++ b/internal/idempotency/store/recovery.go
@@ -70,7 +70,8 @@
 		state := NewState()
 		err = loadSnapshot(name, content, number, state)
 		if err == nil {
-			f.state, f.recovery.Snapshot = state, number
+			f.state = state
+			f.recovery.Snapshot = number
 			return nil
 		}
 		if newer := (*FormatError)(nil); errors.As(err, &newer) {
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -255,7 +255,8 @@
 	}
 	began := time.Now()
 	err := s.journal.Commit(records)
-	s.lastBatch, s.lastSync = len(batch), time.Since(began)
+	s.lastBatch = len(batch)
+	s.lastSync = time.Since(began)
 	s.deliver(func() {
 		for _, p := range batch {
 			p.done(err)
--- a/internal/lifecycle/durability.go
+++ b/internal/lifecycle/durability.go
@@ -106,10 +106,13 @@
 // endRecord returns the record of a run that has ended.
 func (m *Manager) endRecord(r *request, outcome Outcome, result *Result) KeyRecord {
 	record := m.requestRecord(r)
-	record.Ended, record.Result = true, result
-	record.ServerTime, record.HasWaiter = r.trace.serverTime(), !r.answered
+	record.Ended = true
+	record.Result = result
+	record.ServerTime = r.trace.serverTime()
+	record.HasWaiter = !r.answered
 	if outcome != Succeeded || result == nil {
-		record.Result, record.Status = nil, duplicateStatus(outcome)
+		record.Result = nil
+		record.Status = duplicateStatus(outcome)
 	}
 	return record
 }
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -84,7 +84,8 @@
 // no reason not to serve. The engine's protocol can neither cancel a run nor go on without a call,
 // and reads do not share results, as an answer carries the result of its own run.
 func usableSettings(settings admission.Settings) admission.Settings {
-	settings.Cancel, settings.ResultMaxAge = admission.CancelNone, 0
+	settings.Cancel = admission.CancelNone
+	settings.ResultMaxAge = 0
 	settings.Classes = slices.Clone(settings.Classes)
 	for i := range settings.Classes {
 		settings.Classes[i].DegradedWeightFraction = 0
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -24,7 +24,8 @@
 	r.deadline = m.env.Now() - queued + class.Timeout
 	hasKey := class.Idempotency == admission.IdempotentWithKey
 	if hasKey {
-		if r.keyEntry = m.keys.find(q); r.keyEntry != nil {
+		r.keyEntry = m.keys.find(q)
+		if r.keyEntry != nil {
 			if m.answerDuplicateAtOnce(r) {
 				return 0
 			}
--- a/internal/protocol/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -1,6 +1,6 @@
 // Package cgi normalizes the variables of a request (RFC 3875) before any other part uses them, so
 // that the runner and the server behind it cannot disagree about which of two values counts. It
-// does no I/O.
+// does no I/O. The uwsgi frontend uses it.
 //
 // Variables that identify a request (its method, path, length, tenant, key) have one value; a
 // second, different one is an error. Other variables of one name are joined (RFC 3875, 4.1.18). The
--- a/internal/protocol/fastcgi/fastcgi.go
+++ b/internal/protocol/fastcgi/fastcgi.go
@@ -1,5 +1,5 @@
 // Package fastcgi implements the record layer of the FastCGI 1.0 specification. It does no I/O: it
-// decodes records from bytes and appends records to bytes.
+// decodes records from bytes and appends records to bytes. The platform's frontend uses it.
 package fastcgi
 
 import (
--- a/internal/protocol/httpmessage/head.go
+++ b/internal/protocol/httpmessage/head.go
@@ -1,5 +1,6 @@
 // Package httpmessage reads HTTP/1.x responses (RFC 9112) and CGI responses (RFC 3875, 6), as the
 // back end and uwsgi servers send them, and message bodies of both directions. It does no I/O.
+// Packages backend and upstream read responses with it, and the uwsgi frontend bodies of requests.
 package httpmessage
 
 import (
--- a/internal/protocol/traceparent/traceparent.go
+++ b/internal/protocol/traceparent/traceparent.go
@@ -1,6 +1,6 @@
 // Package traceparent implements the traceparent header of W3C Trace Context, level 1. It derives
-// span ids from what identifies a request, so that every part that knows the request can compute
-// them.
+// span IDs from what identifies a request, so that every part that knows the request can compute
+// them. Package tracing derives the spans, and package upstream sends them to servers.
 package traceparent
 
 import (
@@ -10,6 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 	"go.opentelemetry.io/otel/propagation"
 	"go.opentelemetry.io/otel/trace"
+
+	"ryepaddle/internal/wallclock"
 )
 
 // Context is a position in a trace.
@@ -50,10 +52,10 @@
 
 // New returns the span of a request: in the trace of its caller, if parent is a valid header, or in
 // a new trace. Of new traces the ratio sampleRatio, from 0 to 1, is sampled. The name of a
-// request is unique together with its instance and arrival, a Unix time in microseconds.
-func New(instance, name string, arrived int64, parent string, sampleRatio float64) Context {
+// request is unique together with its instance and arrival.
+func New(instance, name string, arrivedAt wallclock.UnixMicro, parent string, sampleRatio float64) Context {
 	var d xxhash.Digest
-	d.ResetWithSeed(uint64(arrived))
+	d.ResetWithSeed(uint64(arrivedAt))
 	d.WriteString(instance)
 	d.WriteString("\n")
 	d.WriteString(name)
@@ -83,7 +85,7 @@
 	return c
 }
 
-// setSpan sets the span id. Zero is not a valid id.
+// setSpan sets the span ID. Zero is not a valid ID.
 func (c *Context) setSpan(span uint64) {
 	binary.BigEndian.PutUint64(c.Span[:], max(span, 1))
 }
--- a/internal/protocol/traceparent/traceparent_test.go
+++ b/internal/protocol/traceparent/traceparent_test.go
@@ -4,6 +4,8 @@
 	"strings"
 	"testing"
 
+	"ryepaddle/internal/wallclock"
+
 	"pgregory.net/rapid"
 )
 
@@ -35,7 +37,8 @@
 // lives.
 func TestIDsFollowFromWhatIdentifiesARequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		name, at := rapid.String().Draw(t, "name"), rapid.Int64().Draw(t, "arrived")
+		name := rapid.String().Draw(t, "name")
+		at := wallclock.UnixMicro(rapid.Int64().Draw(t, "arrived"))
 		c := New("n1", name, at, sample, 0)
 		seen := map[[8]byte]bool{c.Span: true}
 		for _, other := range []Context{
@@ -62,7 +65,7 @@
 // The share that is sampled is the one that was asked for.
 func TestSampleRatioIsKept(t *testing.T) {
 	n := 0
-	for i := range int64(10_000) {
+	for i := range wallclock.UnixMicro(10_000) {
 		if New("n1", "x", i, "", 0.1).Sampled {
 			n++
 		}
--- a/internal/protocol/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -1,5 +1,6 @@
 // Package uwsgi implements the packets of the uwsgi protocol, and the HTTP-style responses that
-// follow them. It does no I/O: it decodes messages from bytes and appends messages to bytes.
+// follow them. It does no I/O: it decodes messages from bytes and appends messages to bytes. The
+// uwsgi frontend uses it as a server, and package upstream as a client.
 package uwsgi
 
 import (
--- a/internal/telemetry/tracing/recorder.go
+++ b/internal/telemetry/tracing/recorder.go
@@ -114,7 +114,7 @@
 // SpanContext returns the span of a request, by its ID, its arrival and the traceparent header of its
 // caller.
 func (r *Recorder) SpanContext(id string, arrivedAt wallclock.UnixMicro, parent string) traceparent.Context {
-	return traceparent.New(r.opt.Instance, id, int64(arrivedAt), parent, r.opt.SampleRatio)
+	return traceparent.New(r.opt.Instance, id, arrivedAt, parent, r.opt.SampleRatio)
 }
 
 // Lost returns what was lost so far, and the last error of the file.
