--- a/internal/balancer/bulkhead/dropping.go
+++ b/internal/balancer/bulkhead/dropping.go
@@ -2,6 +2,7 @@
 
 import "ryepaddle/internal/balancer/latency"
 
+// drop drops a waiting request. wanted and available are what was compared, see Dropped.
 func (s *Scheduler) drop(r *Request, reason DropReason, wanted, available float64) {
 	r.pool.queue.remove(r)
 	r.state = stateIdle
@@ -42,21 +43,31 @@
 // it for its share, of the caller that has most of that, the least valuable. Requests are compared
 // by what their tenants have now and not by their overuse, which was none while no others waited.
 func (s *Scheduler) dropFromFullQueue(p *pool) {
-	tenantUse := func(r *Request) float64 {
-		return float64(p.queue.byTenant[r.Tenant]) / max(s.tenantShare(r.Tenant), minTenantShare)
-	}
 	worst := p.queue.order[0]
 	for _, r := range p.queue.order[1:] {
-		use, worstUse := tenantUse(r), tenantUse(worst)
-		calls, worstCalls := p.queue.byCaller[r.Caller], p.queue.byCaller[worst.Caller]
-		if use > worstUse || use == worstUse &&
-			(calls > worstCalls || calls == worstCalls && s.isLessValuable(r, worst)) {
+		if s.isDroppedBefore(p, r, worst) {
 			worst = r
 		}
 	}
 	s.drop(worst, QueueFull, float64(p.queue.length()), float64(s.cfg.MaxQueueLength))
 }
 
+// isDroppedBefore reports whether a is to be dropped from a full queue rather than b.
+func (s *Scheduler) isDroppedBefore(p *pool, a, b *Request) bool {
+	if useA, useB := s.tenantUse(p, a.Tenant), s.tenantUse(p, b.Tenant); useA != useB {
+		return useA > useB
+	}
+	if queuedA, queuedB := p.queue.byCaller[a.Caller], p.queue.byCaller[b.Caller]; queuedA != queuedB {
+		return queuedA > queuedB
+	}
+	return s.isLessValuable(a, b)
+}
+
+// tenantUse returns how many requests of a tenant wait, for its share.
+func (s *Scheduler) tenantUse(p *pool, tenant int) float64 {
+	return float64(p.queue.byTenant[tenant]) / max(s.tenantShare(tenant), minTenantShare)
+}
+
 // dropHopeless walks a queue in its order, and makes each request be in time by the requests ahead
 // of it: where one is not, the least valuable of those up to it is dropped. This is the rule of
 // Moore and Hodgson for the fewest late jobs, with value over slot time in place of length. The
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	minWindow         = 500 * time.Millisecond
-	minWindowRequests = 40 // that end in a window
+	minWindow         = 500 * time.Millisecond // that a window lasts at least
+	minWindowRequests = 40                     // that end in a window at least
 	// measureInterval is the number of windows after which the best latency is measured again, and
 	// measureWindows for how many the limit is reduced for that: the first one still sees the queue
 	// from before.
--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -1,7 +1,7 @@
 // Package bulkhead implements bulkheads: it decides which of the admitted requests get a slot at a
 // group of servers now, and which wait. The policy is weighted fair queueing (stride scheduling,
 // Waldspurger 1995) with guaranteed minimum shares and borrowing. It does no I/O: the caller reports
-// requests, their ends and the time, and takes the decisions.
+// requests, their ends and the time, and takes the decisions. Package waitqueue is that caller.
 //
 // A Scheduler shares the slots of one group of servers among pools. It finds the number of slots
 // itself, by an adaptive limit (limit.go). A pool has a floor that it owns, a ceiling, and a weight
@@ -189,7 +189,7 @@
 		return
 	}
 	s.now = now
-	took := latency.AtLeastOne(now - r.startedAt)
+	took := latency.AtLeastOneMicrosecond(now - r.startedAt)
 	s.Counts.Completed++
 	r.pool.removeRun(r)
 	r.pool.charge(latency.Micros(took) - r.chargedMicros)
--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -1,7 +1,8 @@
 // Package concurrencylimit implements an adaptive concurrency limit for one server: it finds how
 // many requests the server can work on at once. The policy is the gradient algorithm of Netflix's
 // concurrency-limits library (GradientLimit) and of Envoy's adaptive concurrency filter. It does no
-// I/O; callers report the latency and the end of each request.
+// I/O; package picker, which keeps a limit for each server, reports the latency and the end of each
+// request.
 //
 // At the end of each window the limit is multiplied by the ratio of the best latency to the mean
 // latency of the window. A server whose latency rises with its load gets a lower limit. A server
@@ -94,7 +95,7 @@
 
 // Succeeded reports at the monotonic time now a request that succeeded, and its latency.
 func (l *Limit) Succeeded(cfg *Config, took, now time.Duration) {
-	l.latencySum += latency.Micros(latency.AtLeastOne(took))
+	l.latencySum += latency.Micros(latency.AtLeastOneMicrosecond(took))
 	l.succeeded++
 	l.requestEnded(cfg, now)
 }
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -68,7 +68,7 @@
 	}
 	switch outcome {
 	case Success:
-		micros := latency.Micros(latency.AtLeastOne(took))
+		micros := latency.Micros(latency.AtLeastOneMicrosecond(took))
 		if e.MeanLatency == 0 {
 			e.MeanLatency = micros
 		}
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -2,7 +2,7 @@
 // ejection as in gRPC (gRFC A50) and Envoy, with active health checks beside it, and slow start of
 // endpoints that are new or have recovered. It does no I/O: the caller passes endpoint lists, the
 // outcomes of requests and checks, and the time, and asks which share of the traffic an endpoint
-// gets.
+// gets. Package picker is that caller; package upstream makes the health checks.
 //
 // An endpoint that fails is suspected, then ejected for a while; never more than a share of all
 // endpoints is ejected at once. After that a request or a health check probes it. If the probe
@@ -185,7 +185,7 @@
 	case Suspected:
 		return m.cfg.SuspectShare
 	case WarmingUp:
-		window := latency.Micros(latency.AtLeastOne(m.cfg.WarmUpWindow))
+		window := latency.Micros(latency.AtLeastOneMicrosecond(m.cfg.WarmUpWindow))
 		elapsed := latency.Micros(now-e.StateSince) / window
 		share := m.cfg.WarmUpMinShare + (1-m.cfg.WarmUpMinShare)*elapsed
 		return max(min(share, 1), minWarmUpShare)
--- a/internal/balancer/latency/latency.go
+++ b/internal/balancer/latency/latency.go
@@ -13,8 +13,8 @@
 // FromMicros returns a span of us microseconds, cut to whole microseconds.
 func FromMicros(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// AtLeastOne returns d, but at least one microsecond: a latency of zero stands for "not measured".
-func AtLeastOne(d time.Duration) time.Duration { return max(d, time.Microsecond) }
+// AtLeastOneMicrosecond returns d, but at least one microsecond: a latency of zero stands for "not measured".
+func AtLeastOneMicrosecond(d time.Duration) time.Duration { return max(d, time.Microsecond) }
 
 // Smooth returns an exponentially weighted moving mean after one more value, which counts 1/n.
 func Smooth(mean, value, n float64) float64 { return mean + (value-mean)/n }
--- a/internal/balancer/latency/latency_test.go
+++ b/internal/balancer/latency/latency_test.go
@@ -12,8 +12,8 @@
 	if got := FromMicros(1500.9); got != 1500*time.Microsecond {
 		t.Errorf("FromMicros: %v, want 1.5ms", got)
 	}
-	if got := AtLeastOne(0); got != time.Microsecond {
-		t.Errorf("AtLeastOne(0): %v, want 1µs", got)
+	if got := AtLeastOneMicrosecond(0); got != time.Microsecond {
+		t.Errorf("AtLeastOneMicrosecond(0): %v, want 1µs", got)
 	}
 }
 
--- a/internal/balancer/picker/latency.go
+++ b/internal/balancer/picker/latency.go
@@ -24,7 +24,7 @@
 // class is its mean over many requests; by the mean of all classes a server would look slow as soon
 // as the share of a slow class grows.
 func (p *Picker) learnLatency(class int, took time.Duration) time.Duration {
-	value := latency.Micros(latency.AtLeastOne(took))
+	value := latency.Micros(latency.AtLeastOneMicrosecond(took))
 	if p.meanLatency == 0 {
 		p.meanLatency, p.referenceLatency, p.typicalLatency = value, value, value
 	}
@@ -37,7 +37,7 @@
 	c.baseline.Add(value, classBaselineWindow)
 	normalized := value / c.baseline.Value * p.referenceLatency
 	p.typicalLatency = latency.Smooth(p.typicalLatency, normalized, smoothing)
-	return latency.AtLeastOne(latency.FromMicros(normalized))
+	return latency.AtLeastOneMicrosecond(latency.FromMicros(normalized))
 }
 
 // MinAttemptTime returns how long an attempt of a class takes at least, by what is known: half of
--- a/internal/balancer/picker/picker.go
+++ b/internal/balancer/picker/picker.go
@@ -1,8 +1,8 @@
 // Package picker picks a server for each attempt of a request. It implements locality-aware load
 // balancing with the power of several choices: the policies are those of gRPC's weighted round
 // robin and least request balancers (weights, outlier ejection, slow start) and of Envoy's priority
-// levels (overflow to the next zone). It does no I/O: the caller passes endpoint lists, the ends of
-// requests and the time.
+// levels (overflow to the next zone). It does no I/O: package upstream passes endpoint lists, the
+// ends of requests and the time.
 //
 // Servers are grouped by zone, the nearest zone first. A request goes to the server of the least
 // cost in a small zone, or of a few servers that are drawn by weight in a large one. The cost is
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -1,7 +1,6 @@
 package picker
 
 import (
-	"cmp"
 	"math/rand/v2"
 	"time"
 
@@ -119,12 +118,10 @@
 func (z *zone) compareAll(random *rand.Rand, c *candidate) {
 	c.compare(z.servers[z.drawer.draw(random)])
 	start := random.IntN(len(z.servers))
-	if start > 0 {
-		for _, s := range z.servers[start:] {
-			c.compare(s)
-		}
+	for _, s := range z.servers[start:] {
+		c.compare(s)
 	}
-	for _, s := range z.servers[:cmp.Or(start, len(z.servers))] {
+	for _, s := range z.servers[:start] {
 		c.compare(s)
 	}
 }
--- a/internal/balancer/retry/retry.go
+++ b/internal/balancer/retry/retry.go
@@ -1,7 +1,8 @@
 // Package retry decides whether a request whose attempt failed is retried on another server. The
 // policy is a retry budget, as in Finagle and in the retry throttling of gRPC (gRFC A6): each first
 // attempt earns a part of a retry, for its class and for the total. Where so many attempts fail that
-// a budget is exhausted, more of them would add to an overload. The package does no I/O.
+// a budget is exhausted, more of them would add to an overload. The package does no I/O. Package
+// picker keeps a budget for each group of servers, and package upstream asks it.
 //
 // A request that may have run and has side effects is never retried, nor one for which too little
 // time is left.
@@ -97,7 +98,7 @@
 func (b *tokenBucket) decay(cfg *Config, now time.Duration) {
 	if excess := b.tokens - cfg.MinTokens; excess > 0 && now > b.updatedAt {
 		age := latency.Micros(now - b.updatedAt)
-		b.tokens = cfg.MinTokens + excess*math.Exp(-age/latency.Micros(latency.AtLeastOne(cfg.DecayTime)))
+		b.tokens = cfg.MinTokens + excess*math.Exp(-age/latency.Micros(latency.AtLeastOneMicrosecond(cfg.DecayTime)))
 	}
 	b.updatedAt = now
 }
--- a/internal/balancer/slowstart/pacer.go
+++ b/internal/balancer/slowstart/pacer.go
@@ -1,6 +1,7 @@
 // Package slowstart limits what one of several independent processes sends to a server that is
 // warming up, so that the sum over all processes stays within what the server is to get. It does no
-// I/O: the caller reports what was sent, passes the time, and asks whether one more request may go.
+// I/O: package picker reports what was sent, passes the time, and asks whether one more request may
+// go.
 //
 // A request needs one permit from each of two token buckets: one earns by what warm servers are
 // sent, the other by the clock. Whole permits are spent and the fraction stays. The caller draws the
@@ -43,7 +44,7 @@
 // permitRate returns how many permits per microsecond the clock earns one process, once the share
 // of the server has grown by the factor growth since its start.
 func (c *Config) permitRate(growth float64) float64 {
-	window := latency.Micros(latency.AtLeastOne(c.Window))
+	window := latency.Micros(latency.AtLeastOneMicrosecond(c.Window))
 	return utilization * c.InitialRequests * growth / float64(max(c.Processes, 1)) / window
 }
 
