--- a/internal/simulator/cluster/clients.go
+++ b/internal/simulator/cluster/clients.go
@@ -70,9 +70,11 @@
 
 // drawClass draws a class by the shares.
 func drawClass(r *rand.Rand) int {
-	u, class := r.Float64(), 0
-	for ; class < len(classes)-1 && u >= classes[class].Share; class++ {
+	u := r.Float64()
+	class := 0
+	for class < len(classes)-1 && u >= classes[class].Share {
 		u -= classes[class].Share
+		class++
 	}
 	return class
 }
--- a/internal/simulator/cluster/result.go
+++ b/internal/simulator/cluster/result.go
@@ -54,7 +54,7 @@
 }
 
 func newStats(spec *Spec) *stats {
-	windows := int(math.Ceil(spec.Seconds*1e6/virtualclock.Micros(resultWindow))) + 1
+	windows := int(math.Ceil(spec.Seconds/resultWindow.Seconds())) + 1
 	return &stats{
 		seconds:       spec.Seconds,
 		runsByKey:     map[string]int{},
@@ -86,7 +86,8 @@
 
 // countServed counts a request that was served, and its latency.
 func (s *stats) countServed(r *clientRequest, latency time.Duration) {
-	c, weight := &classes[r.class], classes[r.class].PriorityWeight
+	c := &classes[r.class]
+	weight := c.PriorityWeight
 	inTime := virtualclock.Micros(latency) <= c.LatencyObjective*1000
 	if !inTime {
 		weight *= c.LateWeightFraction
@@ -109,7 +110,7 @@
 	}
 }
 
-// result sums the day up.
+// result returns the figures of the day.
 func (s *stats) result(seed uint64, picker Picker) *Result {
 	requests := float64(max(s.requests, 1))
 	r := &Result{
@@ -128,13 +129,14 @@
 	}
 	offered, earned := 0.0, 0.0
 	for i, weight := range s.offeredWeight {
-		offered, earned = offered+weight, earned+s.earnedWeight[i]
+		offered += weight
+		earned += s.earnedWeight[i]
 		if weight > 0 {
 			r.Worst = min(r.Worst, s.earnedWeight[i]/weight)
 		}
 	}
 	r.Worth = earned / max(offered, 1)
-	middle := int(s.seconds * 1e6 / 2 / virtualclock.Micros(resultWindow))
+	middle := int(s.seconds / 2 / resultWindow.Seconds())
 	if s.offeredWeight[middle] > 0 {
 		r.Middle = s.earnedWeight[middle] / s.offeredWeight[middle]
 	}
--- a/internal/simulator/day/arrivals.go
+++ b/internal/simulator/day/arrivals.go
@@ -22,15 +22,17 @@
 
 // rateFactor returns the factor of the request rate at a time, by the load curve and the events.
 func (d *Day) rateFactor(at time.Duration) float64 {
-	factor, curve := 1.0, d.Spec.Load.Curve
+	factor := 1.0
+	curve := d.Spec.Load.Curve
 	for i, point := range curve {
 		second := virtualclock.Micros(at) / microsPerSecond
 		switch {
 		case i == 0 && second <= point.AtS || i == len(curve)-1 && second >= point.AtS:
 			factor = point.Times
 		case i > 0 && second >= curve[i-1].AtS && second < point.AtS:
-			last := curve[i-1]
-			factor = last.Times + (point.Times-last.Times)*(second-last.AtS)/(point.AtS-last.AtS)
+			previous := curve[i-1]
+			change := point.Times - previous.Times
+			factor = previous.Times + change*(second-previous.AtS)/(point.AtS-previous.AtS)
 		}
 	}
 	for _, e := range d.Events {
@@ -92,9 +94,11 @@
 	if maxRate <= 0 {
 		return
 	}
-	source, bursts, draws := Stream(d.Seed, "arrivals", 0), d.newBurstLevels(), d.newRequestDraws()
+	bursts := d.newBurstLevels()
 	maxRate *= bursts.max()
+	source := Stream(d.Seed, "arrivals", 0)
 	gap := distuv.Exponential{Rate: maxRate / microsPerSecond, Src: source}
+	draws := d.newRequestDraws()
 	quotas := d.newQuotas()
 	now := 0.0 // microseconds
 	for id := uint64(1); ; {
@@ -103,8 +107,7 @@
 		if at >= d.Length {
 			return
 		}
-		rate := d.rateFactor(at) * d.RequestRate
-		rate *= bursts.at(at)
+		rate := d.rateFactor(at) * d.RequestRate * bursts.at(at)
 		if source.Float64()*maxRate >= rate { // thinning of a process with the highest rate
 			continue
 		}
@@ -137,7 +140,7 @@
 	return int(distuv.NewCategorical(weights, source).Rand())
 }
 
-// requestDraws holds what the draws of all requests of a day have in common.
+// requestDraws holds the parameters that the draws of all requests of a day share.
 type requestDraws struct {
 	day        *Day
 	variations []float64 // of the work, by class
@@ -150,7 +153,8 @@
 
 // drawVariations draws the coefficient of variation of the work of each class.
 func (d *Day) drawVariations() []float64 {
-	variations, r := make([]float64, len(d.Spec.Classes)), Stream(d.Seed, "cv", 0)
+	variations := make([]float64, len(d.Spec.Classes))
+	r := Stream(d.Seed, "cv", 0)
 	for i, c := range d.Spec.Classes {
 		variations[i] = drawFrom(r, c.CV)
 	}
@@ -173,7 +177,7 @@
 // draw draws the work, the calls, the size and the rank of a request.
 func (q *requestDraws) draw(a *Arrival, r *rand.Rand) {
 	d := q.day
-	a.Work = lognormal(d.MeanWorkMs[a.Class]*1000, q.variations[a.Class], r)
+	a.Work = lognormal(d.MeanWorkMs[a.Class]*microsPerMilli, q.variations[a.Class], r)
 	calls := 0
 	if mean := d.MeanCalls[a.Class]; mean > 0 {
 		calls = int(distuv.Poisson{Lambda: mean, Src: r}.Rand())
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -13,7 +13,11 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-const microsPerSecond = 1e6
+const (
+	microsPerMilli  = 1e3
+	microsPerSecond = 1e6
+	millisPerSecond = 1e3
+)
 
 // Arrival is a request of a client.
 type Arrival struct {
@@ -98,12 +102,13 @@
 
 // drawFleet draws the work of the classes, the machines, the load and the memory of keys.
 func (d *Day) drawFleet() {
-	spec, r := &d.Spec.Fleet, Stream(d.Seed, "fleet", 0)
+	spec := &d.Spec.Fleet
+	r := Stream(d.Seed, "fleet", 0)
 	meanWork := d.drawClasses()
 	readWork := drawFrom(r, spec.ReadShare) * meanWork
 	d.HoldKB = drawFrom(r, spec.HoldKB)
 	machine := d.drawMachine(r, readWork)
-	d.CrossZoneMicros = drawFrom(r, spec.CrossMs) * 1000
+	d.CrossZoneMicros = drawFrom(r, spec.CrossMs) * microsPerMilli
 	count := int(math.Round(drawFrom(r, spec.Runners)))
 	speed := 0.0
 	for i := range count {
@@ -125,12 +130,13 @@
 // drawClasses draws the mean work and calls of each class. It returns the mean work of a request, in
 // microseconds.
 func (d *Day) drawClasses() (meanWork float64) {
-	r, shares := Stream(d.Seed, "classes", 0), 0.0
+	r := Stream(d.Seed, "classes", 0)
+	shares := 0.0
 	for _, c := range d.Spec.Classes {
 		workMs := drawFrom(r, c.WorkMs)
 		d.MeanWorkMs = append(d.MeanWorkMs, workMs)
 		d.MeanCalls = append(d.MeanCalls, drawFrom(r, c.Calls))
-		meanWork += c.Share * workMs * 1000
+		meanWork += c.Share * workMs * microsPerMilli
 		shares += c.Share
 	}
 	return meanWork / shares
@@ -166,7 +172,7 @@
 	for _, c := range d.Spec.Classes {
 		if c.Effect == EffectKeyed {
 			keyedShare += c.Share / shares
-			windowS = max(windowS, c.WindowMs/1000)
+			windowS = max(windowS, c.WindowMs/millisPerSecond)
 		}
 	}
 	return d.Capacity / float64(runners) * keyedShare * windowS
@@ -174,7 +180,8 @@
 
 // drawBackend draws the back end, and the work of a call from its headroom.
 func (d *Day) drawBackend() {
-	spec, r := &d.Spec.BackEnd, Stream(d.Seed, "backend", 0)
+	spec := &d.Spec.BackEnd
+	r := Stream(d.Seed, "backend", 0)
 	calls, shares := 0.0, 0.0
 	for i, c := range d.Spec.Classes {
 		calls += c.Share * d.MeanCalls[i]
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -73,7 +73,7 @@
 	out := *s
 	out.replay = r
 	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.startedAt+1) / microsPerSecond)
-	if out.LengthS > 86_400 {
+	if out.LengthS > maxLengthS {
 		return nil, nil, recordingErrorf("the recording spans %.0f s, more than a day", out.LengthS)
 	}
 	out.WindowS = min(out.WindowS, out.LengthS)
@@ -83,7 +83,8 @@
 // replayArrivals takes the requests from a recording. At a higher rate some are copied, with some
 // jitter; at a lower one some are left out. Which ones, and their work, is drawn for each day.
 func (d *Day) replayArrivals() {
-	replay, draws := d.Spec.replay, d.newRequestDraws()
+	replay := d.Spec.replay
+	draws := d.newRequestDraws()
 	id := uint64(0)
 	for i := range replay.requests {
 		copies := int(replay.rate + Unit(d.Seed, "copies", uint64(i)))
--- a/internal/simulator/day/settings.go
+++ b/internal/simulator/day/settings.go
@@ -22,7 +22,8 @@
 
 // drawSettings sets the settings of the runners. It draws the quotas of the tenants.
 func (d *Day) drawSettings() {
-	fleet, machine := &d.Spec.Fleet, d.Runners[0].Spec
+	fleet := &d.Spec.Fleet
+	machine := d.Runners[0].Spec
 	d.Settings = admission.Settings{
 		Servers:               len(d.Runners),
 		Callers:               len(d.Balancers),
@@ -42,7 +43,7 @@
 		MaxRunningPerCore:     fleet.CrowdLimit,
 		MaxRunningWindow:      virtualclock.FromMillis(fleet.CrowdMs),
 		WarmUpInitialShare:    fleet.ColdFrom.Lo,
-		WarmUpTime:            virtualclock.FromMillis(fleet.ColdS.Hi * 1000),
+		WarmUpTime:            virtualclock.FromMillis(fleet.ColdS.Hi * millisPerSecond),
 	}
 	d.addClasses(&d.Settings)
 	d.addTenants(&d.Settings)
--- a/internal/simulator/day/validate.go
+++ b/internal/simulator/day/validate.go
@@ -9,6 +9,9 @@
 	"ryepaddle/internal/yamldoc"
 )
 
+// maxLengthS is the longest day and the longest fault, in seconds.
+const maxLengthS = 86_400
+
 // boundedField is a field of a scenario with its bounds.
 type boundedField struct {
 	field    string
@@ -48,7 +51,7 @@
 		return err
 	}
 	err := checkBounds(s.doc, "",
-		number("length_s", s.LengthS, 1, 86_400),
+		number("length_s", s.LengthS, 1, maxLengthS),
 		number("window_s", s.WindowS, 1, s.LengthS),
 	)
 	if err != nil {
@@ -196,7 +199,7 @@
 	}
 }
 
-// check sets the defaults of a kind of balancer and checks its fields.
+// check fills in the defaults of a kind of balancer and checks its fields.
 func (k *BalancerKind) check(prefix string, doc *yamldoc.Document) error {
 	k.setDefaults()
 	if !slices.Contains(balance.Policies, balance.Policy(k.Choose)) {
@@ -303,7 +306,7 @@
 		}
 		err := checkBounds(s.doc, prefix,
 			boundedField{"at_s", t.AtS, 0, s.LengthS},
-			boundedField{"for_s", t.ForS, 0, 86_400},
+			boundedField{"for_s", t.ForS, 0, maxLengthS},
 			boundedField{"part", t.Part, 0, 1},
 			boundedField{"times", t.Times, 1, 1000},
 			number("odds", t.Odds, 0, 1),
--- a/internal/simulator/ledger/ledger.go
+++ b/internal/simulator/ledger/ledger.go
@@ -1,7 +1,7 @@
 // Package ledger keeps the account of a simulated day: which requests were made, how each ended, and
-// which rules were violated. Each request is entered once and ends once; its retries belong to it.
-// The score weighs, as the operators do, all requests, the worst window, the worst class and the
-// worst tenant within its quota.
+// which rules were violated. Each request is added once and ends once; its retries belong to it.
+// The score is a weighted sum of the shares served of all requests, of the worst window, of the worst
+// class and of the worst tenant within its quota. Package fleet fills the account.
 package ledger
 
 import (
@@ -23,7 +23,7 @@
 type Goal struct {
 	Whole, WorstWindow, WorstClass, WorstTenant float64
 	OverWorth                                   float64       // of the weight of a request over its tenant's quota
-	Waste, LateFail                             float64       // prices that come off
+	Waste, LateFail                             float64       // subtracted: factors of wasted work, of late failures
 	Window                                      time.Duration // of WorstWindow
 }
 
--- a/internal/simulator/ledger/result.go
+++ b/internal/simulator/ledger/result.go
@@ -43,7 +43,7 @@
 // Result is the result of a day.
 type Result struct {
 	Score       float64         `json:"score"` // Worth, or 0 after a violation
-	Worth       float64         `json:"worth"` // weighed by the goal, less the prices
+	Worth       float64         `json:"worth"` // weighted by the goal
 	Whole       float64         `json:"whole"`
 	WorstWindow float64         `json:"worst_window"`
 	WorstClass  float64         `json:"worst_class"`
@@ -110,9 +110,9 @@
 	lateFail float64 // weight that failed after the objective
 }
 
-// Close sums the account up. worked is the work of all cores, in microseconds at speed 1. It returns
-// an InconsistencyError if the account does not add up.
-func (l *Ledger) Close(worked float64) (*Result, error) {
+// Close computes the result of the day. workDone is the work of all cores, in microseconds at speed 1.
+// It returns an InconsistencyError if the account does not add up.
+func (l *Ledger) Close(workDone float64) (*Result, error) {
 	r := l.newResult()
 	s := sums{inQuota: make([]Share, len(l.tenants))}
 	for _, id := range l.order {
@@ -128,7 +128,7 @@
 	l.closeShares(r, &s)
 	r.Whole = r.All.Served
 	r.WorstWindow = r.worstWindow(l.goal.Window)
-	r.Waste = min(max(worked-l.usefulWork, 0)/max(s.work, 1), 1)
+	r.Waste = min(max(workDone-l.usefulWork, 0)/max(s.work, 1), 1)
 	if r.All.Asked > 0 {
 		r.LateFail = s.lateFail / r.All.Asked
 	}
@@ -197,7 +197,8 @@
 		r.Classes[i].close(l.latencies[i])
 	}
 	r.All.close(all)
-	r.WorstClass, r.WorstTenant = r.All.Served, r.All.Served
+	r.WorstClass = r.All.Served
+	r.WorstTenant = r.All.Served
 	for i := range r.Classes {
 		if r.Classes[i].Asked > 0 {
 			r.WorstClass = min(r.WorstClass, r.Classes[i].Served)
@@ -241,7 +242,8 @@
 	for i := 1; i+n <= len(r.Series); i++ {
 		asked, earned := 0.0, 0.0
 		for _, s := range r.Series[i : i+n] {
-			asked, earned = asked+s.Asked, earned+s.Got
+			asked += s.Asked
+			earned += s.Got
 		}
 		if asked > minWindowLoad*mean {
 			worst = min(worst, earned/asked)
