--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -35,7 +35,7 @@
 	noServer  = -1 // none is eligible
 )
 
-// server is what a balancer knows of a server.
+// server is the state of a server as this balancer sees it.
 type server struct {
 	listed       bool
 	inSubset     bool
--- a/internal/simulator/cluster/result.go
+++ b/internal/simulator/cluster/result.go
@@ -35,7 +35,7 @@
 	Changes  int     `json:"changes"`  // of the states of servers
 }
 
-// stats counts what becomes of the requests of a day.
+// stats counts the requests of a day and their outcomes.
 type stats struct {
 	seconds       float64 // length of the day
 	requests      int
--- a/internal/simulator/dependencies/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Cancel gives up a call. Its done is not called any more, and it leaves the back end after
+// Cancel cancels a call. Its done is not called any more, and it leaves the back end after
 // CancelLinger.
 func (b *Backend) Cancel(c *Call) {
 	c.done = nil
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -221,7 +221,7 @@
 	r.job = m.cores.add(work, func() { m.endPart(r) })
 }
 
-// endPart ends a run, or has it wait for its next call.
+// endPart ends a run, or makes it wait for its next call.
 func (m *Machine) endPart(r *run) {
 	r.job = nil
 	m.countRunning(-1)
--- a/internal/simulator/fleet/inprocess.go
+++ b/internal/simulator/fleet/inprocess.go
@@ -230,7 +230,7 @@
 	}
 }
 
-// cancel gives up a call, whose outcome is not reported any more.
+// cancel cancels a call, whose outcome is not reported any more.
 func (c *dependencyCall) cancel(b *dependencies.Backend) {
 	c.ended = true
 	c.timer.Stop()
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -32,8 +32,8 @@
 	doc       *yamldoc.Document
 }
 
-// Settings are changes of the settings that runners are told. 0 leaves a field alone; a factor
-// multiplies what the day has.
+// Settings are changes of the settings that runners get. 0 does not change a field; a factor
+// multiplies the value of the day.
 type Settings struct {
 	Cores                  int     `yaml:"cores" json:"cores,omitempty"`
 	Servers                int     `yaml:"servers" json:"servers,omitempty"`
@@ -47,7 +47,7 @@
 	NoCredit               bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners do not advertise
 }
 
-// Limits are those of a runner's table of idempotency keys; 0 leaves a limit alone.
+// Limits are those of a runner's table of idempotency keys; 0 does not change a limit.
 type Limits struct {
 	Keys     int     `yaml:"keys" json:"keys,omitempty"`
 	ResultMB float64 `yaml:"result_mb" json:"result_mb,omitempty"` // of remembered results
@@ -177,7 +177,7 @@
 	}
 }
 
-// multiply multiplies a value by a factor; a factor of 0 leaves it alone.
+// multiply multiplies a value by a factor, unless the factor is 0.
 func multiply(value *float64, factor float64) {
 	if factor > 0 {
 		*value *= factor
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -40,7 +40,7 @@
 
 func (e *FrameError) Error() string { return "simwire: " + e.Part + ": " + e.Err.Error() }
 
-// Unwrap returns the error that the part was found to have.
+// Unwrap returns the error of the part.
 func (e *FrameError) Unwrap() error { return e.Err }
 
 // frameErrorf makes a FrameError of a part.
--- a/internal/telemetry/logging/registry.go
+++ b/internal/telemetry/logging/registry.go
@@ -43,7 +43,7 @@
 	)
 }
 
-// allAreas stands for all areas that are not named, in SetLevels and ParseLevels.
+// allAreas names, in SetLevels and ParseLevels, the areas that have no level of their own there.
 const allAreas = "all"
 
 // Levels returns the levels of the areas.
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics counts what becomes of requests, and collects the state of the program and its
-// servers, in the OpenMetrics format of Prometheus.
+// Package metrics counts answered requests by class, status and cause, and collects the state of the
+// program and its servers at each scrape, in the OpenMetrics format of Prometheus. Package app fills
+// and serves them.
 package metrics
 
 import (
--- a/internal/telemetry/tracing/recorder.go
+++ b/internal/telemetry/tracing/recorder.go
@@ -1,4 +1,4 @@
-// Package tracing writes what became of requests as OpenTelemetry spans to a file: one span for a
+// Package tracing writes answered requests as OpenTelemetry spans to a file: one span for a
 // request, one for its wait, one for each attempt. A goroutine makes and writes them; with a slow or
 // full disk spans are dropped and counted. Package app records the requests of the program.
 package tracing
--- a/internal/telemetry/traffic/recorder.go
+++ b/internal/telemetry/traffic/recorder.go
@@ -45,7 +45,7 @@
 	size       int64 // of what is complete in the file
 	written    int64 // requests in the file
 	full       bool  // the file has reached its bound
-	incomplete bool  // a part of a block stands behind what is complete
+	incomplete bool  // a failed write left a part of a block after size
 
 	lostQueue, lostBytes, lostErrors atomic.Int64
 }
--- a/internal/usage/ledger/record.go
+++ b/internal/usage/ledger/record.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Outcome is what became of a request.
+// Outcome is how a request ended.
 type Outcome uint8
 
 // The outcomes of requests. Their numbers are stored.
@@ -32,8 +32,7 @@
 	KnownDuplicate bool                `cbor:"Again"` // it is known to repeat another request
 }
 
-// HashKey returns the hash that stands for an idempotency key, the same on all instances. It is never
-// zero.
+// HashKey returns the hash of an idempotency key, which is the same on all instances and never zero.
 func HashKey(school, class, key string) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{school, class, key} {
--- a/internal/usage/metering/account_store.go
+++ b/internal/usage/metering/account_store.go
@@ -54,7 +54,7 @@
 	mustReplace bool
 }
 
-// recovery is what was found when an account was opened.
+// recovery says what openAccount has recovered after the process before.
 type recovery struct {
 	newAccount bool
 	recovered  uint64 // records of the ring that the process before had not saved
