--- a/internal/app/answers.go
+++ b/internal/app/answers.go
@@ -19,13 +19,13 @@
 	Groups      []string                `json:"groups,omitempty"`
 	Servers     []upstream.ServerStatus `json:"servers,omitempty"`
 	Pools       []PoolStatus            `json:"pools,omitempty"`
-	// why the inventory's files are not applied
+	// InventoryRejected is why the inventory's files are not applied; empty: they are.
 	InventoryRejected string `json:"inventory_refused,omitempty"`
-	// why new keys are rejected
+	// KeysRejected is why new keys are rejected; empty: they are not.
 	KeysRejected string       `json:"keys_refused,omitempty"`
 	KeyCount     int          `json:"keys_held"`
 	Peers        *node.Status `json:"peers,omitempty"`
-	// how the usage ledger is replicated on peers
+	// UsageReplication is how the usage ledger is replicated on peers; nil: it is not.
 	UsageReplication *metering.ReplicationStatus `json:"accounts,omitempty"`
 	Retained         []RetainedRequests          `json:"remembered,omitempty"`
 }
@@ -55,26 +55,27 @@
 type ExplainedRequest struct {
 	ID  string `json:"id"`
 	Key string `json:"key,omitempty"`
-	// of the request with the same key that it repeats
-	OriginalID   string             `json:"repeats,omitempty"`
-	Class        string             `json:"class"`
-	Tenant       string             `json:"tenant,omitempty"`
-	Caller       uint32             `json:"caller"`
-	ArrivedMs    int64              `json:"arrived_ms"` // Unix time
-	WaitedMs     float64            `json:"waited_ms"`  // from then until it ran, or was answered
-	TookMs       float64            `json:"took_ms"`    // until it was answered
+	// OriginalID is the ID of the first request with the same key; empty: it is the first.
+	OriginalID string `json:"repeats,omitempty"`
+	Class      string `json:"class"`
+	Tenant     string `json:"tenant,omitempty"`
+	Caller     uint32 `json:"caller"`
+	ArrivedMs  int64  `json:"arrived_ms"` // Unix time
+	// from its arrival until it ran, or was answered
+	WaitedMs     float64            `json:"waited_ms"`
+	TookMs       float64            `json:"took_ms"` // from its arrival until it was answered
 	Status       string             `json:"end"`
 	Cause        string             `json:"cause,omitempty"`
 	Value        float64            `json:"value,omitempty"` // that was compared with Limit
 	Limit        float64            `json:"limit,omitempty"`
 	RetryAfterMs int64              `json:"come_back_ms,omitempty"`
 	Attempts     []ExplainedAttempt `json:"tries,omitempty"`
-	MoreAttempts int                `json:"more_tries,omitempty"` // which are not listed
-	// for which it waited until its key was durable
+	MoreAttempts int                `json:"more_tries,omitempty"` // beyond those in Attempts
+	// KeyWaitMs is how long it waited until its key was durable.
 	KeyWaitMs float64 `json:"kept_ms,omitempty"`
-	// KeyStoredOnPeers or KeyStoredOnDisk
+	// KeyStoredOn is KeyStoredOnPeers or KeyStoredOnDisk; empty: it did not wait.
 	KeyStoredOn string `json:"kept_by,omitempty"`
-	// similar requests, of which one is retained
+	// Represents is how many similar requests it stands for, as only a sample is retained; 0: one.
 	Represents int `json:"stands_for,omitempty"`
 }
 
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,5 +1,6 @@
-// Package app puts the program together from its parts: it starts, reloads and drains them, and
-// answers on the control socket and the admin listener.
+// Package app is the program: it creates the frontends, the request lifecycle, the groups of
+// servers and the stores, starts, reloads and drains them, and answers the control socket and the
+// admin listener. The command runner calls it, and tests that run a whole program.
 package app
 
 import (
@@ -42,7 +43,7 @@
 	}
 	defer loop.Close()
 	// Signals are caught before anything else: a HUP that arrives while the files are read must not
-	// kill the process. They are handled once the loop runs, when the program is there.
+	// kill the process. They are handled when the loop runs, and p is set by then.
 	var p *Program
 	loop.Signals(
 		func(signal os.Signal) { p.handleSignal(signal) },
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -83,15 +83,16 @@
 	)
 }
 
-// setLevels sets levels of logging, if any are given, and returns all of them. They are in force
-// until the next start, or until a HUP finds others in the operator's file.
-func setLevels(words []string) (any, error) {
-	levels, err := logging.ParseLevels(words)
+// setLevels sets levels of logging, given as AREA=LEVEL, and returns those of all areas. They are
+// in force until the next start, or until a HUP finds others in the operator's file.
+func setLevels(settings []string) (any, error) {
+	levels, err := logging.ParseLevels(settings)
 	if err != nil {
 		return nil, err
 	}
-	if logging.SetLevels(levels); len(words) > 0 {
-		eventLevels.Log(strings.Join(words, " "))
+	logging.SetLevels(levels)
+	if len(settings) > 0 {
+		eventLevels.Log(strings.Join(settings, " "))
 	}
 	answer := LevelsAnswer{map[string]string{}}
 	for area, level := range logging.Levels() {
--- a/internal/app/descriptors.go
+++ b/internal/app/descriptors.go
@@ -6,9 +6,9 @@
 	"ryepaddle/internal/platform/backend"
 )
 
-// descriptorShares is how many descriptors may be opened on behalf of others. The rest is reserved
-// for the links to the engine, the registry and operators, which have to work while callers open
-// all that they may.
+// descriptorShares bounds the file descriptors that balancers and requests may open. The rest is
+// reserved for the links to the engine, the registry and operators, so that these work while
+// callers have opened all that they may.
 type descriptorShares struct {
 	balancers int // connections of the platform's frontend
 	backend   int // connections to the back end
@@ -34,11 +34,13 @@
 	if operator != nil && operator.HasUWSGIFrontend() {
 		reserved += descriptorsPerUWSGIConnection * operator.Limits.Connections
 	}
-	half, most := c.MaxDescriptors/2, c.MaxDescriptors*5/8
-	balancers := min(most, max(half, c.MaxDescriptors-reserved-backend.MaxConnections))
-	left := c.MaxDescriptors - reserved - balancers
+	minBalancers := c.MaxDescriptors / 2
+	maxBalancers := c.MaxDescriptors * 5 / 8
+	besideBackend := c.MaxDescriptors - reserved - backend.MaxConnections
+	balancers := min(maxBalancers, max(minBalancers, besideBackend))
+	remaining := c.MaxDescriptors - reserved - balancers
 	return descriptorShares{
 		balancers: balancers,
-		backend:   min(max(left, minBackendDescriptors), backend.MaxConnections),
+		backend:   min(max(remaining, minBackendDescriptors), backend.MaxConnections),
 	}
 }
--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	drainPollInterval = 20 * time.Millisecond // between looks whether the process can end
-	// from the end of the process to the time at which it is killed
+	// drainPollInterval is the time between two checks whether the process can end.
+	drainPollInterval = 20 * time.Millisecond
+	// exitMargin is how long before the platform kills the process it ends by itself.
 	exitMargin = 150 * time.Millisecond
-	// listenGrace is from the end of the time in which a drain answers what arrives late to the
-	// time when the listeners are closed.
+	// listenGrace is how long the listeners stay open after the time in which a drain still answers
+	// late requests.
 	listenGrace = 100 * time.Millisecond
 )
 
@@ -22,8 +23,8 @@
 		return
 	}
 	p.state.draining = true
-	// a HUP during the drain does not move the time at which the process is killed
-	began, stopTimeout := p.loop.Now(), p.config.StopTimeout
+	startedAt := p.loop.Now()
+	stopTimeout := p.config.StopTimeout // a HUP during the drain does not extend it
 	eventDrainStarted.Log(p.requests.OpenRequests())
 	p.requests.Drain(stopTimeout)
 	if p.peers != nil {
@@ -34,7 +35,7 @@
 	}
 	grace := min(p.config.Settings.DrainGrace+listenGrace, stopTimeout/2)
 	p.loop.After(grace, p.drainFrontends)
-	p.exitWhen(began, func(elapsed time.Duration) bool {
+	p.exitWhen(startedAt, func(elapsed time.Duration) bool {
 		idle := p.connections() == 0 && elapsed > grace && !p.platform.frontend.IsListening()
 		return idle || elapsed > stopTimeout-exitMargin
 	})
@@ -50,18 +51,18 @@
 	}
 }
 
-// exitWhen ends the program once done reports true for the time since it began to leave.
-func (p *Program) exitWhen(began time.Duration, done func(elapsed time.Duration) bool) {
-	elapsed := p.loop.Now() - began
+// exitWhen ends the program once done reports true for the time since startedAt.
+func (p *Program) exitWhen(startedAt time.Duration, done func(elapsed time.Duration) bool) {
+	elapsed := p.loop.Now() - startedAt
 	if done(elapsed) {
 		p.exit(elapsed)
 		return
 	}
-	p.loop.After(drainPollInterval, func() { p.exitWhen(began, done) })
+	p.loop.After(drainPollInterval, func() { p.exitWhen(startedAt, done) })
 }
 
-// exit ends the program, elapsed after the notice: open connections are shut down in order, and
-// requests without an answer are logged.
+// exit ends the program: open connections are flushed and shut down, and requests without an answer
+// are logged. elapsed is the time since the shutdown began.
 func (p *Program) exit(elapsed time.Duration) {
 	p.platform.frontend.Close()
 	eventDrained.Log(elapsed.Milliseconds(), p.requests.OpenRequests(), p.requests.Stats())
--- a/internal/app/explain.go
+++ b/internal/app/explain.go
@@ -73,13 +73,12 @@
 
 // causeByName finds the cause of a text, or CauseNone.
 func causeByName(text string) lifecycle.Cause {
-	found := lifecycle.CauseNone
 	for _, cause := range lifecycle.AllCauses() {
 		if cause.String() == text {
-			found = cause
+			return cause
 		}
 	}
-	return found
+	return lifecycle.CauseNone
 }
 
 // explainRequest is what is answered of a request.
@@ -103,7 +102,8 @@
 	if entry.Tenant >= 0 && entry.Tenant < len(settings.Tenants) {
 		e.Tenant = settings.Tenants[entry.Tenant].Name
 	}
-	if e.WaitedMs = e.TookMs; entry.StartedAt > 0 {
+	e.WaitedMs = e.TookMs // where it never ran
+	if entry.StartedAt > 0 {
 		e.WaitedMs = milliseconds(entry.StartedAt.Sub(entry.ArrivedAt))
 	}
 	if entry.KeyWait >= time.Microsecond {
--- a/internal/app/inventory.go
+++ b/internal/app/inventory.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/inventory"
 )
 
-// watchInventory watches the inventory's files as the operator's file says, in place of those that
-// were watched.
+// watchInventory watches the inventory's files as the operator's file says, and stops watching
+// those of the previous one.
 func (p *Program) watchInventory(next *config.Operator) {
 	if p.uwsgi.inventory != nil && sameInventory(p.operator, next) {
 		p.uwsgi.inventory.Accepted(next.InventoryFingerprint, next.Servers)
@@ -17,7 +17,7 @@
 	}
 	if watcher := p.uwsgi.inventory; watcher != nil {
 		p.uwsgi.inventory = nil
-		go watcher.Stop() // it may be reading
+		go watcher.Stop() // it waits for a read that is in progress
 	}
 	if next == nil || next.InventoryPath == "" || next.InventoryWatch.IntervalS == 0 {
 		return
--- a/internal/app/keystore.go
+++ b/internal/app/keystore.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// openKeyStore takes the lock of the store's folder. Its contents are read once the request
-// lifecycle is there.
+// openKeyStore takes the lock of the store's folder. Its contents are read after the request
+// lifecycle was created. Without a folder it returns nil.
 func (p *Program) openKeyStore(repair bool) (lifecycle.KeyStore, error) {
 	if p.operator == nil || p.operator.Store.Dir == "" {
 		return nil, nil
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -7,14 +7,14 @@
 	"ryepaddle/internal/config"
 )
 
-// onProcessesChanged adopts the number of other processes that are this runner too.
+// onProcessesChanged is called with the number of other processes of this runner.
 func (p *Program) onProcessesChanged(others int) {
 	p.keys.processes = others + 1
 	p.applyLimits()
 }
 
-// applyLimits gives this process its share of the limits: together the processes of a runner have
-// what one has.
+// applyLimits gives this process its share of the limits, which the processes of a runner divide
+// equally.
 func (p *Program) applyLimits() {
 	limitMemory(p.config, p.keys.processes)
 	p.applyDescriptorLimits()
@@ -40,9 +40,11 @@
 	return s
 }
 
-// limitMemory sets the memory limit of the Go heap for one of the processes of a runner. Half of
-// the platform's limit is left for stacks, the runtime's own and what the system accounts to
-// sockets.
+// heapDivisor divides the platform's memory limit to get that of the Go runtime. The rest is left
+// for what the runtime does not count, such as the buffers of sockets.
+const heapDivisor = 2
+
+// limitMemory sets the memory limit of the Go runtime for one of the processes of a runner.
 func limitMemory(c *config.Platform, processes int) {
-	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 / 2 / int64(processes))
+	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 / heapDivisor / int64(processes))
 }
--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/frontend/admin"
 )
 
-// enginePollInterval is between looks whether the engine is connected.
+// enginePollInterval is the time between two checks whether the engine is connected.
 const enginePollInterval = 10 * time.Millisecond
 
 // startListening opens the listeners, that of the platform's frontend last: from then on the
@@ -88,10 +88,11 @@
 	return p.platform.frontend.Connections()
 }
 
-// setHealth sets how the frontends answer health checks.
-func (p *Program) setHealth(stored, good bool) {
-	p.platform.frontend.SetHealth(stored, good)
+// setHealth sets how the frontends answer health checks. If stored is set, the platform's deep
+// checks get the same answer.
+func (p *Program) setHealth(stored, healthy bool) {
+	p.platform.frontend.SetHealth(stored, healthy)
 	if p.uwsgi.frontend != nil {
-		p.uwsgi.frontend.SetHealth(good)
+		p.uwsgi.frontend.SetHealth(healthy)
 	}
 }
--- a/internal/app/peergauges.go
+++ b/internal/app/peergauges.go
@@ -61,15 +61,16 @@
 	if p.usage.meter == nil {
 		return nil
 	}
-	status, lag := p.usage.meter.ReplicationStatus(), uint64(0)
-	for _, behind := range status.Replicas {
-		lag = max(lag, behind)
+	status := p.usage.meter.ReplicationStatus()
+	var maxLag uint64
+	for _, lag := range status.Replicas {
+		maxLag = max(maxLag, lag)
 	}
 	return []metrics.Sample{
 		gauge("ryepaddle_accounts_heirs", "Runners that are told this one's account of usage.",
 			float64(len(status.Replicas)), nil),
 		gauge("ryepaddle_accounts_behind", "Steps that the one furthest behind does not know.",
-			float64(lag), nil),
+			float64(maxLag), nil),
 		gauge("ryepaddle_accounts_known", "Accounts of other runners that are known here.",
 			float64(status.RemoteAccounts), nil),
 		gauge("ryepaddle_accounts_statements_short", "Statements that are to be passed on to peers.",
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -13,9 +13,13 @@
 	"ryepaddle/internal/usage/metering"
 )
 
-// peersMemoryShare is the share of the memory limit that the keys of peers take where the
-// operator's file does not say.
-const peersMemoryShare = 4
+// peersMemoryDivisor divides the memory limit to get the bound of the replicas' memory where the
+// operator's file has none.
+const peersMemoryDivisor = 4
+
+// incarnationShift leaves the low bits of a node's incarnation free, which the node counts up
+// itself.
+const incarnationShift = 20
 
 // startPeers joins the runners of the installation, if the operator's file has any.
 func (p *Program) startPeers(incarnation uint64) error {
@@ -28,7 +32,8 @@
 		nodeConfig.UsageReplicas = usageReplicas{p}
 	}
 	var err error
-	if p.peers, err = node.Start(p.loop, nodeConfig); err != nil || p.usage.meter == nil {
+	p.peers, err = node.Start(p.loop, nodeConfig)
+	if err != nil || p.usage.meter == nil {
 		return err
 	}
 	return p.usage.meter.StartReplication(metering.ReplicationConfig{
@@ -41,6 +46,7 @@
 // peersConfig is the configuration of this runner's node.
 func (p *Program) peersConfig(incarnation uint64) node.Config {
 	settings := &p.operator.Peers
+	memoryMB := cmp.Or(settings.MemoryMB, int64(p.config.MemoryMB)/peersMemoryDivisor)
 	c := node.Config{
 		Links: link.Config{
 			Installation:  settings.Installation,
@@ -54,9 +60,9 @@
 		CatchUpRate:        settings.RepairKBPerSecond << 10,
 		KeyWindow:          p.longestWindow(),
 		Dir:                settings.Dir,
-		MaxBytes:           int(cmp.Or(settings.MemoryMB, int64(p.config.MemoryMB)/peersMemoryShare)) << 20,
+		MaxBytes:           int(memoryMB) << 20,
 		Process:            uint32(incarnation),
-		Incarnation:        incarnation<<20 | 1,
+		Incarnation:        incarnation<<incarnationShift | 1,
 	}
 	c.LeaseRules, c.CheckedZones = settings.LeaseRules()
 	for _, member := range settings.Members {
@@ -71,7 +77,7 @@
 	return c
 }
 
-// closePeers gives the peers' folder back.
+// closePeers closes the node and releases its folder.
 func (p *Program) closePeers() {
 	if p.peers == nil {
 		return
@@ -82,21 +88,24 @@
 }
 
 // peersOf returns the other members of a file, and the names of all.
-func peersOf(settings *config.Peers, self string) (others []link.Peer, known []string) {
+func peersOf(settings *config.Peers, self string) (others []link.Peer, names []string) {
 	for _, member := range settings.Members {
-		if known = append(known, member.Name); member.Name != self {
+		names = append(names, member.Name)
+		if member.Name != self {
 			others = append(others, link.Peer{Name: member.Name, Addr: member.Addr})
 		}
 	}
-	return others, known
+	return others, names
 }
 
 // applyPeers adopts the members of another file at a HUP. All other changes need a restart.
 func (p *Program) applyPeers(settings *config.Peers) {
-	if p.peers == nil || !settings.Enabled() {
-		if p.peers != nil || settings.Enabled() {
-			eventRestartNeeded.Log("peers")
-		}
+	running := p.peers != nil
+	if running != settings.Enabled() {
+		eventRestartNeeded.Log("peers")
+		return
+	}
+	if !running {
 		return
 	}
 	if !settings.EqualExceptMembers(&p.operator.Peers) {
--- a/internal/app/program.go
+++ b/internal/app/program.go
@@ -32,18 +32,17 @@
 	admin     *admin.Server // nil without an admin listener
 	state     processState
 
-	// classNames has the names of the classes by index. Goroutines that write beside the loop read
-	// it too.
+	// classNames has the names of the classes by index. Goroutines other than the loop's read it.
 	classNames atomic.Pointer[[]string]
 }
 
-// processState is where the process is between its start and its end.
+// processState is the phase of the process and of its reloads.
 type processState struct {
-	listening   bool  // for balancers
-	draining    bool  // or replaced by another process
-	reloading   bool  // the files are being read
-	reloadAgain bool  // and were asked for once more meanwhile
-	err         error // why the program ends
+	listening   bool  // the platform's frontend accepts connections
+	draining    bool  // the process shuts down, or another one has replaced it
+	reloading   bool  // a goroutine reads the configuration files
+	reloadAgain bool  // another reload was requested while the files are read
+	err         error // why the program ends; nil: it was requested
 
 	reloadsAccepted, reloadsRejected int64
 }
@@ -130,8 +129,9 @@
 	}
 }
 
-// Close waits for what is written beside the loop, each part within a time of its own, and closes
-// it. The loop has ended by then. It returns why the program ended, if that was an error.
+// Close closes the stores and recorders, and waits for their last writes, each for a bounded time.
+// It is to be called after the loop has ended, and returns why the program ended, if that was an
+// error.
 func (p *Program) Close() error {
 	err := p.closeKeyStore()
 	p.closePeers()
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -22,9 +22,8 @@
 	return platform, operator, config.CheckComplete(platform, operator)
 }
 
-// reload reads the configuration files again, and applies them if all of them are valid. A restart
-// instead would lose the keys and fail open requests. The files are read in a goroutine, so that
-// the loop goes on meanwhile.
+// reload reads the configuration files again, and applies them if all of them are valid. The files
+// are read in a goroutine, so that the loop is not blocked.
 func (p *Program) reload() {
 	if p.state.reloading {
 		p.state.reloadAgain = true
@@ -37,8 +36,8 @@
 	}()
 }
 
-// reloaded applies files that were read, and reads them again if a HUP came meanwhile: what was
-// read may be older than that.
+// reloaded applies files that were read, and reads them again if a HUP came in the meantime, since
+// they may have changed after they were read.
 func (p *Program) reloaded(platform *config.Platform, operator *config.Operator, err error) {
 	p.state.reloading = false
 	if err == nil {
@@ -80,8 +79,7 @@
 	return nil
 }
 
-// checkUnchanged reports what a new configuration must not change: runs, keys and what the decision
-// module has learned belong to classes and tenants, and links are never added or removed.
+// checkUnchanged returns an error for a field that cannot change while the program runs.
 func (p *Program) checkUnchanged(next *config.Platform) error {
 	switch {
 	case next.Name != p.config.Name:
--- a/internal/app/reservations.go
+++ b/internal/app/reservations.go
@@ -14,11 +14,12 @@
 // runner. They share $TMPDIR, where each logs the idempotency keys that it reserves.
 
 const (
-	// resultsMemoryShare is the share of the memory limit that results may take that are handed to
-	// another process of the runner.
-	resultsMemoryShare = 16
-	maxKeyDelay        = 10 * time.Second       // after its window in which a key may be asked for
-	lockRetryInterval  = 100 * time.Millisecond // while another process holds the lock
+	// resultsMemoryDivisor divides the memory limit to get the bound of the results that are handed
+	// to another process of the runner.
+	resultsMemoryDivisor = 16
+	// maxKeyDelay is how long after its window a key is kept for retries that arrive late.
+	maxKeyDelay       = 10 * time.Second
+	lockRetryInterval = 100 * time.Millisecond // while another process holds the lock
 )
 
 // idempotencyKeys are the parts that keep idempotency keys outside the process.
@@ -26,7 +27,7 @@
 	store        *persistence.KeyStore    // nil where keys are not stored on a disk
 	reservations *reservation.Coordinator // nil where no other process can be this runner
 	lockPending  bool                     // reservations wait for a lock that another process holds
-	processes    int                      // that are this runner, with this one
+	processes    int                      // of this runner, this one included; at least 1
 }
 
 // reserver passes reservations on to the coordinator, which may be opened later.
@@ -73,7 +74,8 @@
 	}
 	var err error
 	p.keys.reservations, err = reservation.Open(p.loop, p.reservationConfig(dir, incarnation), p.requests)
-	if p.keys.lockPending = errors.Is(err, reservation.ErrLockHeld); p.keys.lockPending {
+	p.keys.lockPending = errors.Is(err, reservation.ErrLockHeld)
+	if p.keys.lockPending {
 		p.loop.After(lockRetryInterval, func() { p.openReservations(incarnation) })
 	}
 	if err != nil {
@@ -87,7 +89,7 @@
 		Runner:             p.config.Name + " " + p.config.Listen.String(),
 		Incarnation:        uint32(incarnation),
 		Window:             p.longestWindow() + maxKeyDelay,
-		MaxResultBytes:     int64(p.config.MemoryMB) << 20 / resultsMemoryShare,
+		MaxResultBytes:     int64(p.config.MemoryMB) << 20 / resultsMemoryDivisor,
 		OnProcessesChanged: p.onProcessesChanged,
 		After:              func(d time.Duration, fn func()) { p.loop.After(d, fn) },
 	}
@@ -102,7 +104,7 @@
 	return longest
 }
 
-// isReplaced reports whether another process serves as this runner.
+// isReplaced reports whether another process of this runner accepts requests.
 func (p *Program) isReplaced() bool {
 	if p.keys.reservations == nil {
 		return false
--- a/internal/app/retire.go
+++ b/internal/app/retire.go
@@ -7,15 +7,18 @@
 	"ryepaddle/internal/config"
 )
 
-// A process that is replaced ends the longest deadline after the notice, or maxRetirement if that
-// is shorter, and retirementMargin. For the last retirementDrain it rejects what still arrives.
+// Times of a process that another one replaces.
 const (
-	maxRetirement    = 3 * time.Second
+	// maxRetirement bounds the time for which requests that were read may still run.
+	maxRetirement = 3 * time.Second
+	// retirementMargin is the time after that in which the last answers are sent.
 	retirementMargin = 700 * time.Millisecond
-	retirementDrain  = time.Second
+	// retirementDrain is the time before the end in which requests that still arrive are rejected.
+	retirementDrain = time.Second
 )
 
-// retirementTime is for how long a process lives once it is replaced.
+// retirementTime is how long a process runs after it is replaced: the longest timeout of a class,
+// up to maxRetirement, and retirementMargin.
 func retirementTime(c *config.Platform) time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
@@ -31,7 +34,8 @@
 // until the time runs out, and each connection is closed once it has no open request.
 func (p *Program) retire() {
 	p.state.draining = true
-	began, limit := p.loop.Now(), retirementTime(p.config)
+	startedAt := p.loop.Now()
+	limit := retirementTime(p.config)
 	if p.platform.registry != nil {
 		p.platform.registry.Close()
 	}
@@ -43,7 +47,7 @@
 	}
 	eventReplaced.Log(p.requests.OpenRequests(), limit.Milliseconds())
 	p.loop.After(limit-retirementDrain, p.drainRetired)
-	p.exitWhen(began, func(elapsed time.Duration) bool {
+	p.exitWhen(startedAt, func(elapsed time.Duration) bool {
 		idle := p.connections() == 0 && p.requests.IsIdle() && !p.platform.frontend.IsListening()
 		return idle || elapsed > limit-exitMargin
 	})
--- a/internal/app/telemetry.go
+++ b/internal/app/telemetry.go
@@ -11,20 +11,21 @@
 
 // telemetry is what is recorded of requests, and reported to operators.
 type telemetry struct {
-	control    *control.Server     // nil without a control socket, as are the next two
-	metrics    *metrics.Metrics    // by class and outcome
-	requestLog *explain.RequestLog // recent requests, which can be explained
+	control    *control.Server     // nil without a control socket
+	metrics    *metrics.Metrics    // by class and outcome; nil without a control socket
+	requestLog *explain.RequestLog // recent requests; nil without a control socket
 	traffic    *traffic.Recorder   // nil where traffic is not recorded
 	traces     *tracing.Recorder   // nil where no traces are written
 
-	// what was logged last
+	// values that were last logged, so that only changes are logged
+
 	reportedStats lifecycle.Stats
 	trafficLost   traffic.Lost
 	tracesLost    tracing.Lost
 }
 
-// answerObserver returns what is called with each answered request, to count, remember and record
-// it as the operator's file says, or nil.
+// answerObserver returns the function that counts, logs and traces each answered request, as the
+// operator's file says; nil if it says nothing.
 func (p *Program) answerObserver() func(*lifecycle.Trace) {
 	var observers []func(*lifecycle.Trace)
 	if p.usage.meter != nil {
@@ -47,7 +48,7 @@
 	}
 }
 
-// startRequestLog creates what the control socket answers from.
+// startRequestLog creates the request log and the metrics, which the control socket reports.
 func (p *Program) startRequestLog() {
 	isKeyed := func(class int) bool { return p.requests.RequiresKey(class) }
 	p.telemetry.requestLog = explain.New(p.operator.Control.ExplainKB<<10, isKeyed, p.config.Seed)
--- a/internal/app/traces.go
+++ b/internal/app/traces.go
@@ -34,7 +34,7 @@
 	return err
 }
 
-// traceParent is the traceparent header of an attempt, for its server.
+// traceParent is the traceparent header that the server of an attempt is sent.
 func (p *Program) traceParent(attempt *lifecycle.Attempt) string {
 	index := 0
 	for previous := attempt.Previous; previous != nil; previous = previous.Previous {
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -43,6 +43,7 @@
 	return err
 }
 
+// usageOutcomes are the outcomes of the usage ledger by the status of a request.
 var usageOutcomes = map[lifecycle.Status]ledger.Outcome{
 	0:                    ledger.OutcomeAbandoned,
 	lifecycle.Served:     ledger.OutcomeServed,
@@ -70,7 +71,8 @@
 	if trace.Key != "" && p.requests.RequiresKey(trace.Class) {
 		p.setUsageKey(&record, trace.Class, trace.Key)
 		key := usedKey{record.Class, record.School, trace.Key}
-		if !record.KnownDuplicate && p.usage.counted[key] { // with the end of its run
+		// Replicate counted it when its run ended
+		if !record.KnownDuplicate && p.usage.counted[key] {
 			delete(p.usage.counted, key)
 			return
 		}
--- a/internal/app/uwsgi.go
+++ b/internal/app/uwsgi.go
@@ -54,7 +54,8 @@
 		if p.uwsgi.groups[name] == nil {
 			p.addGroup(name, options)
 		}
-		p.uwsgi.runnerByClass[i], p.uwsgi.groupByClass[i] = p.uwsgi.queues[name], p.uwsgi.groups[name]
+		p.uwsgi.runnerByClass[i] = p.uwsgi.queues[name]
+		p.uwsgi.groupByClass[i] = p.uwsgi.groups[name]
 	}
 	for name, queue := range p.uwsgi.queues {
 		queue.Configure(operator.BulkheadsOf(name, p.config))
@@ -68,13 +69,15 @@
 // are.
 func (p *Program) routeToEngine() {
 	classes := p.config.Settings.Classes
-	runners, groups := p.uwsgi.runnerByClass, p.uwsgi.groupByClass
+	previousRunners := p.uwsgi.runnerByClass
+	previousGroups := p.uwsgi.groupByClass
 	p.uwsgi.runnerByClass = make([]lifecycle.Runner, len(classes))
 	p.uwsgi.groupByClass = make([]*upstream.Group, len(classes))
 	for i := range classes {
 		p.uwsgi.runnerByClass[i] = p.platform.engine
 		if classes[i].Removed {
-			p.uwsgi.runnerByClass[i], p.uwsgi.groupByClass[i] = runners[i], groups[i]
+			p.uwsgi.runnerByClass[i] = previousRunners[i]
+			p.uwsgi.groupByClass[i] = previousGroups[i]
 		}
 	}
 }
@@ -90,7 +93,8 @@
 	queue := waitqueue.New(environment, p)
 	group := upstream.New(p.loop, name, p.config.Name, p.config.Seed, queue, options)
 	queue.SetNext(group)
-	p.uwsgi.groups[name], p.uwsgi.queues[name] = group, queue
+	p.uwsgi.groups[name] = group
+	p.uwsgi.queues[name] = queue
 }
 
 // upstreamOptions are the options of all groups of servers.
@@ -114,7 +118,8 @@
 		options.TraceParent = p.traceParent
 	}
 	if operator.Peers.Enabled() && len(operator.Peers.Leases.Checks) > 0 {
-		options.HealthCheckCoordinator, options.RunnerName = checkCoordinator{p}, p.config.Name
+		options.HealthCheckCoordinator = checkCoordinator{p}
+		options.RunnerName = p.config.Name
 	}
 	return options
 }
@@ -197,7 +202,7 @@
 	return group != nil && group.AllowRetry(candidate)
 }
 
-// retryAfter is how long a caller stays away whose request no server could take; 0 on the engine.
+// retryAfter is the Retry-After of a request that no server could take; 0 on the engine.
 func (p *Program) retryAfter(class int) time.Duration {
 	group := p.uwsgi.groupByClass[class]
 	if group == nil {
