--- a/internal/idempotency/persistence/key_store.go
+++ b/internal/idempotency/persistence/key_store.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// diskStateChanged is called when the disk fails and when it recovers.
-func (k *KeyStore) diskStateChanged(down bool, err error) {
-	if down {
+// diskStateChanged is called with the error when the disk fails, and with nil when it recovers.
+func (k *KeyStore) diskStateChanged(err error) {
+	if err != nil {
 		evDiskFailed.Log(err)
 		k.health.failure = err.Error()
 		return
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -29,7 +29,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s, _, err := store.Open(dir, unlock, set, func(fn func()) { fn() }, func(bool, error) {})
+				s, _, err := store.Open(dir, unlock, set, func(fn func()) { fn() }, func(error) {})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -40,7 +40,7 @@
 type Store struct {
 	settings    Settings
 	deliver     func(func())
-	onDiskState func(down bool, err error)
+	onDiskState func(err error)
 	journal     *Journal
 	unlock      func() error
 
@@ -73,13 +73,13 @@
 // Open reads the files of a folder, which the caller has locked, and starts to accept records.
 // Close unlocks it, as does Open if it fails. Open blocks while it reads and must not be called on
 // the loop. deliver calls functions on the loop: the done functions of records, and onDiskState
-// whenever the disk fails or recovers.
+// with the error when the disk fails, and with nil when it recovers.
 func Open(
 	fsys FS,
 	unlock func() error,
 	settings Settings,
 	deliver func(func()),
-	onDiskState func(down bool, err error),
+	onDiskState func(err error),
 ) (*Store, *Recovery, error) {
 	journal, recovery, err := OpenJournal(fsys, now(), settings.Options)
 	if journal == nil {
@@ -96,7 +96,7 @@
 		snapshots:   make(chan writtenSnapshot, 1),
 	}
 	if err != nil {
-		s.reportDisk(true, err)
+		s.reportDiskFailure(err)
 	}
 	go s.run()
 	return s, recovery, nil
@@ -104,7 +104,10 @@
 
 func now() wallclock.UnixMicro { return wallclock.FromTime(wallclock.Now()) }
 
-func (s *Store) reportDisk(down bool, err error) { s.deliver(func() { s.onDiskState(down, err) }) }
+// reportDiskFailure and reportDiskRecovery report the state of the disk on the loop.
+func (s *Store) reportDiskFailure(err error) { s.deliver(func() { s.onDiskState(err) }) }
+
+func (s *Store) reportDiskRecovery() { s.deliver(func() { s.onDiskState(nil) }) }
 
 // Put queues a record and returns at once. done is called on the loop once the record is stored as
 // the sync mode requires, or with an error: ErrBusy if the queue is full or the store is closing.
@@ -169,7 +172,7 @@
 				continue
 			}
 			reopen.succeeded()
-			s.reportDisk(false, nil)
+			s.reportDiskRecovery()
 		}
 		if s.commitQueued() {
 			return
@@ -201,12 +204,12 @@
 		wasDown := s.journal.IsDown()
 		if err := s.commit(batch); err != nil {
 			if !wasDown {
-				s.reportDisk(true, err)
+				s.reportDiskFailure(err)
 			}
 			continue
 		}
 		if err := s.maintain(); err != nil {
-			s.reportDisk(true, err)
+			s.reportDiskFailure(err)
 		}
 	}
 }
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -344,7 +344,7 @@
 	}
 	set := store.DefaultSettings()
 	set.MaxQueue = 5
-	s, _, err := store.Open(h, unlock, set, func(fn func()) { fn() }, func(bool, error) {})
+	s, _, err := store.Open(h, unlock, set, func(fn func()) { fn() }, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
