--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// arrivalWeight is the weight of one arrival in the shares of arrivals. The moving averages so cover
-// about the last 50 arrivals.
+// arrivalWeight is the weight of one arrival in the shares of arrivals. The moving averages so
+// cover about the last 50 arrivals.
 const arrivalWeight = 0.02
 
 // fullRejectedShare is the share of rejected arrivals from which all servers count as full.
@@ -73,7 +73,7 @@
 		r.sizeKB = e.SizeKB
 	}
 	c.arrivals.readDelay += runTimeWeight * (float64(c.now-r.arrivedAt) - c.arrivals.readDelay)
-	r.deadline = c.now // a request of no known class is rejected for its deadline
+	r.deadline = c.now // a request of an unknown class is rejected for its deadline
 	if e.Class >= 0 && e.Class < len(c.queues) {
 		r.class = e.Class
 		r.deadline = e.Deadline
@@ -149,11 +149,11 @@
 }
 
 // retryDelayTarget is the delay target of a marked retry: a part of its class's target that shrinks
-// to nothing in a retry storm. A retry may have failed because it takes long, and a storm must not
-// crowd out first attempts.
+// to 0 in a retry storm. A retry may have failed because it takes long, and retries must not
+// displace first attempts.
 func (c *Controller) retryDelayTarget(target time.Duration) time.Duration {
-	calm := max(1-c.arrivals.retryShare/c.parameters.RetryStormShare, 0)
-	return time.Duration(c.parameters.RetryTargetShare * calm * float64(target))
+	belowStorm := max(1-c.arrivals.retryShare/c.parameters.RetryStormShare, 0)
+	return time.Duration(c.parameters.RetryTargetShare * belowStorm * float64(target))
 }
 
 // callQueueTooLong reports whether r would wait for the dependency for too large a part of its
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -99,7 +99,8 @@
 	if end <= r.objectiveAt {
 		return class.PriorityWeight
 	}
-	// With a quota so small that no usual call fits, one that ends after the deadline is tried too.
+	// With a quota so small that no usual call fits, calls that may end after the deadline are
+	// placed too.
 	if end > r.deadline-answerMargin && c.calls.times.meanSeconds < c.calls.maxBudgetSeconds {
 		return 0
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -13,8 +13,8 @@
 	controlPeriod = 100 * time.Millisecond
 )
 
-// ErrRestartRequired reports settings that a running controller cannot take: its queues and what it
-// has learned depend on those that differ.
+// ErrRestartRequired reports settings that a running controller cannot take: its queues and the
+// measured times depend on those that differ.
 var ErrRestartRequired = errors.New(
 	"admission: other classes, tenants, cores or another way of working need a restart")
 
--- a/internal/admission/parameters.go
+++ b/internal/admission/parameters.go
@@ -5,8 +5,9 @@
 	"fmt"
 )
 
-// Parameters are the adjustable constants of the module's decisions. The platform sets none of
-// them; a trial of a change may. Their values and reasons are listed in docs/capacity.md.
+// Parameters are the constants of the controller's decisions. A share is a fraction of 1. The default
+// values are in defaultParameters, and their reasons in docs/capacity.md. The platform sets none of
+// them; the simulator may.
 type Parameters struct {
 	AdditiveIncrease       float64 // credits for each caller and control period; Breakwater's alpha
 	MultiplicativeDecrease float64 // of the relative excess of queueing delay; Breakwater's beta
@@ -17,15 +18,15 @@
 	BusyCPU                float64 // CPU gauge above which the cores count as busy
 	MinCredit              float64 // credits that cuts leave while the cores are busy
 	RetryTargetShare       float64 // of the delay target that a marked retry gets
-	RetryStormShare        float64 // of arrivals: with as many retries they get no delay target
-	FewRetriesShare        float64 // of arrivals: with fewer retries other servers have room
+	RetryStormShare        float64 // of arrivals: with as many retries their delay target is 0
+	FewRetriesShare        float64 // of arrivals: with fewer retries other servers have capacity
 	OverrunFactor          float64 // expected run times after which a run gives way under overload
 	StartMarginFactor      float64 // expected run times left for a start that cannot be cancelled
 	RunningLimitShare      float64 // of Settings.MaxRunningPerCore that is used
 	RunMemoryShare         float64 // of the memory below which runs start and keys are remembered
 	QueueMemoryShare       float64 // of the memory past which arrivals are rejected
-	CallQuotaShare         float64 // of the call quota that is spent steadily at most
-	MinCallQuotaShare      float64 // of the call quota that is spent steadily at least
+	CallQuotaShare         float64 // of the call quota: upper bound of the mean calls in flight
+	MinCallQuotaShare      float64 // of the call quota: lower bound of the mean calls in flight
 	SlowCallFactor         float64 // best call times past which the dependency is congested
 	CallLimitDecrease      float64 // factor of the call limit for each congested control period
 	BestCallTimeGrowth     float64 // factor of the best call time for each call
@@ -128,8 +129,8 @@
 	}
 }
 
-// Set gives one parameter another value. It returns ErrUnknownParameter for a name that there is
-// not, and a ParameterError for a value out of bounds.
+// Set changes the value of one parameter. It returns ErrUnknownParameter for an unknown name, and a
+// ParameterError for a value out of bounds.
 func (p *Parameters) Set(name string, value float64) error {
 	for _, parameter := range p.All() {
 		if parameter.Name != name {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -72,8 +72,8 @@
 }
 
 // missesObjective reports whether r, after waiting for so long, cannot be answered while its answer
-// has any weight. Without saturation only the deadline counts, since requests must not be rejected by an
-// estimate while there is capacity.
+// has any weight. Without saturation only the deadline counts, since requests must not be
+// rejected by an estimate while there is capacity.
 func (c *Controller) missesObjective(r *request, wait time.Duration) bool {
 	if !c.saturated(r.class) {
 		return c.deadlineNear(r)
@@ -133,8 +133,8 @@
 	return next
 }
 
-// hasCapacity reports whether one more request may run: up to the number of cores always, and up to the
-// credit pool while a core is free.
+// hasCapacity reports whether one more request may run: up to the number of cores always, and up to
+// the credit pool while a core is free.
 func (c *Controller) hasCapacity() bool {
 	limit := c.runningLimit()
 	onCores := c.occupancy.onCoresWithOneMore()
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// mayEject reports whether MaxEjectedShare leaves room for one more ejection. With too many ejected
+// mayEject reports whether MaxEjectedShare allows one more ejection. With too many ejected
 // the rest would be overloaded and fail in turn.
 func (m *Monitor) mayEject() bool {
 	return float64(m.ejected+1) <= m.cfg.MaxEjectedShare*float64(len(m.list.Endpoints))
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -1,7 +1,7 @@
-// Package waitqueue implements the runner that stands before a group of servers where the group has
-// bulkheads: attempts wait here for a slot of their pool (package bulkhead) before they go to the
-// runner behind it. All slots are taken and given back here. The application (internal/app) puts a
-// queue between the request lifecycle and each group of package upstream.
+// Package waitqueue implements the lifecycle.Runner in front of a group of servers where the group
+// has bulkheads: attempts wait here for a slot of their pool (package bulkhead) before they go to
+// the runner behind it. All slots are taken and given back here. The application (internal/app)
+// puts a queue between the request lifecycle and each group of package upstream.
 package waitqueue
 
 import (
@@ -27,10 +27,11 @@
 
 // Environment is what a queue needs of the program.
 type Environment struct {
-	Now      func() time.Duration             // monotonic
-	Post     func(fn func())                  // calls fn soon, and not from within Post
-	After    func(d time.Duration, fn func()) // calls fn after d
-	Capacity func() int                       // requests that the servers can have in flight; 0: not known
+	Now   func() time.Duration             // monotonic
+	Post  func(fn func())                  // calls fn soon, and not from within Post
+	After func(d time.Duration, fn func()) // calls fn after d
+	// requests that the servers can have in flight; 0: not known
+	Capacity func() int
 }
 
 // Queue is a lifecycle.Runner before another runner, whose Sink it is. It is used by one goroutine.
