--- a/internal/simulator/day/override.go
+++ b/internal/simulator/day/override.go
@@ -35,14 +35,14 @@
 
 // OverrideError reports a wrong change of a kind of balancer.
 type OverrideError struct {
-	Place int    // index of the kind
-	Field string // may be empty
-	What  string
+	Index  int    // index of the kind
+	Field  string // may be empty
+	Reason string
 }
 
 // Error implements error.
 func (e *OverrideError) Error() string {
-	return fmt.Sprintf("balancers.%d.%s: %s", e.Place, e.Field, e.What)
+	return fmt.Sprintf("balancers.%d.%s: %s", e.Index, e.Field, e.Reason)
 }
 
 // Override returns the kinds of balancers of the scenario with some fields changed. Their numbers and
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -19,7 +19,7 @@
 	classes   []int   // indices in the scenario of the classes of the recording
 	tenants   []int   // likewise
 	rate      float64 // factor of the recorded rate
-	Further   int     // recorded attempts that were taken for retries
+	Retries   int     // recorded attempts that were taken for retries
 }
 
 // maxJitter bounds the time by which the copy of a request is moved, earlier or later, as copies at
@@ -64,7 +64,7 @@
 		}
 		r.tenants = append(r.tenants, i)
 	}
-	r.requests, r.Further = rec.WithoutRetries(
+	r.requests, r.Retries = rec.WithoutRetries(
 		func(class int) time.Duration {
 			return virtualclock.FromMillis(s.Classes[r.classes[class]].DeadlineMs)
 		},
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	got := Draw(again, 9)
-	if len(got.Arrivals) != len(was) || r.Further != 0 || again.LengthS != 60 {
-		t.Fatalf("%d of %d, %d further, %v s", len(got.Arrivals), len(was), r.Further, again.LengthS)
+	if len(got.Arrivals) != len(was) || r.Retries != 0 || again.LengthS != 60 {
+		t.Fatalf("%d of %d, %d further, %v s", len(got.Arrivals), len(was), r.Retries, again.LengthS)
 	}
 	same := 0
 	for i, a := range got.Arrivals {
@@ -86,8 +86,8 @@
 		rec.Requests = append(rec.Requests, q)
 	}
 	again, r, err := s.WithTraffic(rec, 1)
-	if err != nil || r.Further != n/2 || len(Draw(again, 1).Arrivals) != n {
-		t.Errorf("%v, %d of %d further", err, r.Further, n/2)
+	if err != nil || r.Retries != n/2 || len(Draw(again, 1).Arrivals) != n {
+		t.Errorf("%v, %d of %d further", err, r.Retries, n/2)
 	}
 }
 
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -131,7 +131,7 @@
 	}
 	kinds, err := s.Override(v.Balancers)
 	if err != nil {
-		return o, v.doc.Errorf("balancers."+strconv.Itoa(err.Place)+"."+err.Field, "%s", err.What)
+		return o, v.doc.Errorf("balancers."+strconv.Itoa(err.Index)+"."+err.Field, "%s", err.Reason)
 	}
 	o.BalancerKinds = kinds
 	return o, nil
