--- a/cmd/runner/servers_test.go
+++ b/cmd/runner/servers_test.go
@@ -10,6 +10,7 @@
 	"path/filepath"
 	"regexp"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -19,42 +20,92 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
+// idleServer is a server that can break the connections on which no request has come yet.
+type idleServer struct {
+	round atomic.Int64 // of requests
+	fails atomic.Bool  // connections of earlier rounds are reset when a request comes
+	open  atomic.Int64
+	most  atomic.Int64 // open connections at the same time
+	used  atomic.Int64 // connections that were opened in an earlier round than their request
+
+	mu   sync.Mutex
+	idle map[net.Conn]bool // guarded by mu
+}
+
+// serve answers one request.
+func (s *idleServer) serve(t *testing.T, c net.Conn) {
+	openedIn := s.round.Load()
+	if n := s.open.Add(1); n > s.most.Load() {
+		s.most.Store(n)
+	}
+	defer s.open.Add(-1)
+	s.setIdle(c, true)
+	head := make([]byte, 4096)
+	n, err := c.Read(head)
+	if !s.setIdle(c, false) || err != nil || n == 0 {
+		return
+	}
+	if openedIn < s.round.Load() {
+		s.used.Add(1)
+		if bytes.Contains(head[:n], []byte("/ops/hand-in")) {
+			t.Error("a keyed request came on a connection that had been opened in advance")
+		}
+		if s.fails.Load() {
+			return
+		}
+	}
+	scenario.Respond(c, []byte("ok"), true)
+}
+
+// setIdle notes whether a connection has no request, and reports whether it had none.
+func (s *idleServer) setIdle(c net.Conn, isIdle bool) (wasIdle bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	wasIdle = s.idle[c]
+	if isIdle {
+		s.idle[c] = true
+	} else {
+		delete(s.idle, c)
+	}
+	return wasIdle
+}
+
+// closeIdle closes all connections without a request.
+func (s *idleServer) closeIdle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.idle {
+		c.Close()
+	}
+	clear(s.idle)
+}
+
 // Connections that were opened in advance and are dead by now cost no request: an idempotent one
-// goes on a new connection, and a hand-in never goes on an idle one. No more are open than
+// goes on a new connection, and a keyed one never goes on an idle one. No more are open than
 // configured.
 func TestPreopenedConnections(t *testing.T) {
 	t.Parallel()
-	var open, most, idle atomic.Int64
-	h := newHopRaw(t, "server_ahead: 3, server_connections: 16", func(c net.Conn) {
-		if n := open.Add(1); n > most.Load() {
-			most.Store(n)
-		}
-		defer open.Add(-1)
-		began := time.Now()
-		c.SetReadDeadline(time.Now().Add(30 * time.Millisecond)) // it does not wait for long
-		n, err := c.Read(make([]byte, 4096))
-		if err != nil || n == 0 {
-			return
-		}
-		if time.Since(began) > 5*time.Millisecond {
-			idle.Add(1)
-		}
-		scenario.Respond(c, []byte("ok"), true)
-	})
+	server := &idleServer{idle: map[net.Conn]bool{}}
+	h := newHopRaw(t, "server_ahead: 3, server_connections: 16", func(c net.Conn) { server.serve(t, c) })
 	for i := range 40 {
 		key, path := "", "/ops/quick-check"
 		if i%4 == 3 {
 			key, path = fmt.Sprint("k", i), "/ops/hand-in"
 		}
+		server.round.Add(1)
+		server.fails.Store(i%5 == 1)
+		if i%5 > 1 {
+			server.closeIdle()
+		}
 		if status, got, whole := h.ask(path, key); status != 200 || string(got) != "ok" || !whole {
 			t.Errorf("request %d: status %d, %q", i, status, got)
 		}
-		time.Sleep(time.Duration(i%5) * 15 * time.Millisecond)
+		time.Sleep(time.Duration(i%5) * 15 * time.Millisecond) // a new one may be opened meanwhile
 	}
-	if idle.Load() == 0 {
-		t.Error("no request went on a connection that had been opened ahead")
+	if server.used.Load() == 0 {
+		t.Error("no request went on a connection that had been opened in advance")
 	}
-	if n := most.Load(); n > 12 { // three, the one in use, and those that are just being closed
+	if n := server.most.Load(); n > 12 { // three, the one in use, and those that are just being closed
 		t.Errorf("%d connections at once", n)
 	}
 }
