--- a/cmd/runner/bill.go
+++ b/cmd/runner/bill.go
@@ -22,7 +22,8 @@
 	JSON      bool     `help:"Print all of it as JSON."`
 }
 
-// Run makes a bill from usage statements. It is printed also where it is incomplete, with an error.
+// Run makes a bill from usage statements and prints it. An incomplete bill is printed too, and is
+// an error.
 func (c *usageBillCmd) Run(s *streams) error {
 	bill, err := c.reconcile()
 	if err != nil {
@@ -78,17 +79,16 @@
 
 // incompletePeriods counts the periods of which statements are missing.
 func incompletePeriods(bill *ledger.Bill) int {
-	n := 0
+	count := 0
 	for _, period := range bill.Periods {
 		if len(period.MissingInstances) > 0 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// readStatements reads statements from files, and from the files of folders that are named as
-// statements.
+// readStatements reads the statements of files and folders.
 func readStatements(paths []string) ([]*ledger.Statement, error) {
 	var statements []*ledger.Statement
 	for _, path := range paths {
@@ -111,14 +111,17 @@
 	return statements, nil
 }
 
-// statementFiles is a file itself, or the statements of a folder.
+// statementPattern matches the names of statements in a folder.
+const statementPattern = "usage-*.json"
+
+// statementFiles returns the path of a file, or the paths of the statements in a folder.
 func statementFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.IsDir() {
-		return filepath.Glob(filepath.Join(path, "usage-*.json"))
+		return filepath.Glob(filepath.Join(path, statementPattern))
 	}
 	return []string{path}, nil
 }
@@ -162,11 +165,12 @@
 	rows := [][]string{header}
 	for _, line := range bill.Lines {
 		row := []string{formatTime(line.Period), line.School, line.Class}
-		for _, n := range []int64{
+		numbers := []int64{
 			line.Served, line.Duplicates, line.TimedOut, line.Rejected, line.Failed, line.Abandoned,
 			int64(line.Work),
-		} {
-			row = append(row, strconv.FormatInt(n, 10))
+		}
+		for _, number := range numbers {
+			row = append(row, strconv.FormatInt(number, 10))
 		}
 		rows = append(rows, append(row, strconv.FormatBool(line.Changed)))
 	}
--- a/cmd/runner/explain.go
+++ b/cmd/runner/explain.go
@@ -59,6 +59,17 @@
 	return request
 }
 
+// describeStorage describes what makes a key durable.
+func describeStorage(keyStoredOn string) string {
+	switch keyStoredOn {
+	case app.KeyStoredOnPeers:
+		return "copies"
+	case app.KeyStoredOnDisk:
+		return "the disk"
+	}
+	return ""
+}
+
 // describe describes a request in a few lines.
 func describe(e *app.ExplainedRequest) string {
 	var b strings.Builder
@@ -105,8 +116,7 @@
 		fmt.Fprintf(b, "; on %s: %s after %.1f ms", server, attempt.Outcome, attempt.Ms)
 	}
 	if e.KeyStoredOn != "" {
-		storage := map[string]string{app.KeyStoredOnPeers: "copies", app.KeyStoredOnDisk: "the disk"}[e.KeyStoredOn]
-		fmt.Fprintf(b, "; waited for %s %.1f ms", storage, e.KeyWaitMs)
+		fmt.Fprintf(b, "; waited for %s %.1f ms", describeStorage(e.KeyStoredOn), e.KeyWaitMs)
 	}
 	if e.MoreAttempts > 0 {
 		fmt.Fprintf(b, "; and %d tries more", e.MoreAttempts)
--- a/cmd/runner/inventory.go
+++ b/cmd/runner/inventory.go
@@ -45,7 +45,12 @@
 	var rows []inventoryRow
 	for _, server := range servers {
 		rows = append(rows, inventoryRow{
-			server.Name, server.Addr.String(), server.Groups, server.Zone, server.Weight, server.Line,
+			Name:    server.Name,
+			Address: server.Addr.String(),
+			Groups:  server.Groups,
+			Zone:    server.Zone,
+			Weight:  server.Weight,
+			Line:    server.Line,
 		})
 	}
 	if c.JSON {
@@ -67,9 +72,11 @@
 	if err != nil {
 		return err
 	}
-	const fingerprint = 1 // of any files: they do not change here
+	// The validator compares fingerprints to find files that change while they are read. Here the
+	// list has been read, and two equal fingerprints say that it did not change.
+	const unchanged discovery.Fingerprint = 1
 	validator := discovery.New(discovery.Config{MaxShrink: c.Shrink}, 0, previous)
-	if _, err := validator.Validate(fingerprint, fingerprint, servers, nil, 0); err != nil {
+	if _, err := validator.Validate(unchanged, unchanged, servers, nil, 0); err != nil {
 		return fmt.Errorf("%s beside %s: %w", c.File, c.Against, err)
 	}
 	fmt.Fprintf(s.err, "beside %s: %v\n", c.Against, discovery.Diff(previous, servers))
--- a/cmd/runner/main.go
+++ b/cmd/runner/main.go
@@ -1,4 +1,7 @@
-// Command runner runs the program, and asks a running one what operators want to know.
+// Command runner is the program and the tool of its operators. Without a command it serves
+// requests; other commands check configuration files, query and control a running program over its
+// control socket, and read the files that it writes. Each command is a type with a Run method,
+// called by kong.
 package main
 
 import (
@@ -25,7 +28,7 @@
 	exitUsage  = 2 // the command, or a file that it was given, is wrong
 )
 
-// cli are the commands. Their help stands in help.go.
+// cli declares the commands. Their help texts are in help.go.
 type cli struct {
 	Serve      serveCmd                     `cmd:"" default:"withargs" help:"${serve}"`
 	Check      checkCmd                     `cmd:"" help:"${check}"`
@@ -49,8 +52,8 @@
 
 // run carries out a command line and returns the exit status.
 func run(s *streams, args []string) int {
-	const running = -1
-	status := running
+	const noExit = -1 // kong has not asked to exit
+	status := noExit
 	parser, err := newParser(s, func(code int) { status = code })
 	if err != nil {
 		fmt.Fprintln(s.err, "runner:", err)
@@ -58,16 +61,16 @@
 	}
 	kongplete.Complete(parser, kongplete.WithPredictor("file", complete.PredictFiles("*")))
 	command, err := parser.Parse(expandOldFlags(args))
-	if status != running { // help was asked for
+	if status != noExit { // kong has printed help
 		return status
 	}
 	if err == nil {
 		err = command.Run(s)
 	}
-	if err == nil {
-		return exitOK
+	if err != nil {
+		return reportError(s, err)
 	}
-	return reportError(s, err)
+	return exitOK
 }
 
 func newParser(s *streams, exit func(int)) (*kong.Kong, error) {
@@ -97,7 +100,8 @@
 	return exitFailed
 }
 
-// expandOldFlags accepts flags as they were written before there were commands, with one dash.
+// expandOldFlags gives the flags -operator and -repair a second dash. They had one before the
+// program had commands, and start-up scripts still use it.
 func expandOldFlags(args []string) []string {
 	expanded := make([]string, len(args))
 	for i, arg := range args {
@@ -109,7 +113,8 @@
 	return expanded
 }
 
-// inputError is an error of what the command was given.
+// inputError is an error of the arguments, or of a file that they name. Its exit status is
+// exitUsage.
 type inputError struct{ error }
 
 // Unwrap returns the error itself.
--- a/cmd/runner/output.go
+++ b/cmd/runner/output.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"time"
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
@@ -11,9 +12,9 @@
 
 // printJSON prints a value as indented JSON.
 func printJSON(s *streams, v any) error {
-	e := json.NewEncoder(s.out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(s.out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
 // newTable creates a table with a header.
@@ -26,8 +27,11 @@
 
 // formatTime formats an instant for tables, in UTC.
 func formatTime(instant wallclock.UnixMicro) string {
-	return instant.Time().UTC().Format("2006-01-02T15:04:05Z")
+	return instant.Time().UTC().Format(time.RFC3339)
 }
 
+// secondsOfMs converts milliseconds to seconds.
+func secondsOfMs(ms int64) float64 { return float64(ms) / 1000 }
+
 // formatSeconds formats an amount of work in seconds.
 func formatSeconds(work wallclock.Micros) string { return fmt.Sprintf("%.3f", float64(work)/1e6) }
--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -51,10 +51,15 @@
 	return nil
 }
 
+// isFullyReplicated reports whether keys and usage ledgers have all their replicas and new keys are
+// accepted.
 func isFullyReplicated(status *app.Status) bool {
-	peers, usage := status.Peers, status.UsageReplication
-	return peers.Unavailable == "" && peers.FullyReplicated >= peers.Slots &&
-		(usage == nil || usage.FullyReplicated())
+	peers := status.Peers
+	if peers.Unavailable != "" || peers.FullyReplicated < peers.Slots {
+		return false
+	}
+	usage := status.UsageReplication
+	return usage == nil || usage.FullyReplicated()
 }
 
 // printPeers prints the state of the peers as text.
@@ -113,14 +118,14 @@
 		}
 		replicas = append(replicas, name)
 	}
-	known := "nobody else"
+	holders := "nobody else"
 	if len(replicas) > 0 {
-		known = strings.Join(replicas, ", ")
+		holders = strings.Join(replicas, ", ")
 	}
 	return fmt.Sprintf(
 		"its account of usage is known to %s; it knows those of %d others, is about to end %d of them, and has %d "+
 			"statements to pass on\n",
-		known,
+		holders,
 		status.RemoteAccounts,
 		status.ExpiringAccounts,
 		status.UndeliveredStatements,
@@ -156,16 +161,16 @@
 	}
 	if key.QuarantineMs > 0 {
 		fmt.Fprintf(s.out, "it began with nothing, and takes no new keys for %.1f s\n",
-			float64(key.QuarantineMs)/1000)
+			secondsOfMs(key.QuarantineMs))
 	}
 	switch key.State {
-	case "not held":
+	case node.KeyNotHeld:
 		fmt.Fprintln(s.out, "this runner has no copy; ask one of those")
-	case "unknown":
+	case node.KeyUnknown:
 		fmt.Fprintln(s.out, "this runner has a copy of the slot, and nothing of the key")
 	default:
 		fmt.Fprintf(s.out, "%s by %s, %d bytes of result, %.1f s left of its window\n",
-			key.State, key.Owner, key.ResultBytes, float64(key.RemainingMs)/1000)
+			key.State, key.Owner, key.ResultBytes, secondsOfMs(key.RemainingMs))
 	}
 }
 
@@ -184,7 +189,7 @@
 	Name string `arg:"" help:"The runner."`
 }
 
-// Run has a member stay that was to leave.
+// Run cancels the leaving of a member.
 func (c *peersStayCmd) Run(*streams) error {
 	return c.ask(control.Request{Command: app.CommandPeersStay, ID: c.Name}, nil)
 }
--- a/cmd/runner/serve.go
+++ b/cmd/runner/serve.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"cmp"
 	"fmt"
 	"strings"
 
@@ -56,10 +55,12 @@
 // Run reads and checks the files, and prints a summary of them.
 func (c *checkCmd) Run(s *streams) error {
 	platform, operator, err := app.Check(app.Options{PlatformFile: c.Config, OperatorFile: c.Operator})
-	if err != nil && c.JSON {
-		return inputError{cmp.Or(printJSON(s, newCheckFailure(err)), err)}
-	}
 	if err != nil {
+		if c.JSON {
+			if printErr := printJSON(s, newCheckFailure(err)); printErr != nil {
+				return inputError{printErr}
+			}
+		}
 		return inputError{err}
 	}
 	summary := newCheckSummary(platform, operator)
@@ -81,8 +82,11 @@
 func newCheckFailure(err error) checkFailure {
 	failure := checkFailure{Error: err.Error()}
 	if f := fault.Find(err); f != nil {
-		failure.Kind, failure.Remedy = f.Kind.Name, f.Kind.Remedy
-		failure.File, failure.Line, failure.Field = f.Location.File, f.Location.Line, f.Location.Field
+		failure.Kind = f.Kind.Name
+		failure.Remedy = f.Kind.Remedy
+		failure.File = f.Location.File
+		failure.Line = f.Location.Line
+		failure.Field = f.Location.Field
 	}
 	return failure
 }
@@ -93,8 +97,10 @@
 		summary.Classes = append(summary.Classes, class.Name)
 	}
 	if operator != nil {
-		summary.Listen, summary.Servers = operator.Listen, len(operator.Servers)
-		summary.Store, summary.Control = operator.Store.Dir, operator.Control.Socket
+		summary.Listen = operator.Listen
+		summary.Servers = len(operator.Servers)
+		summary.Store = operator.Store.Dir
+		summary.Control = operator.Control.Socket
 	}
 	return summary
 }
--- a/cmd/runner/status.go
+++ b/cmd/runner/status.go
@@ -22,27 +22,29 @@
 // Run prints the state of a running program, once or repeatedly.
 func (c *statusCmd) Run(s *streams) error {
 	for {
-		var status app.Status
-		if err := c.ask(control.Request{Command: app.CommandStatus}, &status); err != nil {
+		if err := c.printOnce(s); err != nil || c.Every <= 0 {
 			return err
 		}
-		if c.Every > 0 {
-			fmt.Fprint(s.out, clearScreen)
-		}
-		if c.JSON {
-			if err := printJSON(s, &status); err != nil {
-				return err
-			}
-		} else {
-			printStatus(s, &status)
-		}
-		if c.Every <= 0 {
-			return nil
-		}
 		time.Sleep(c.Every)
 	}
 }
 
+// printOnce asks for the state and prints it.
+func (c *statusCmd) printOnce(s *streams) error {
+	var status app.Status
+	if err := c.ask(control.Request{Command: app.CommandStatus}, &status); err != nil {
+		return err
+	}
+	if c.Every > 0 {
+		fmt.Fprint(s.out, clearScreen)
+	}
+	if c.JSON {
+		return printJSON(s, &status)
+	}
+	printStatus(s, &status)
+	return nil
+}
+
 // printStatus prints the state of a program as text.
 func printStatus(s *streams, status *app.Status) {
 	state := "in service"
@@ -62,8 +64,9 @@
 	if len(status.Servers) > 0 {
 		fmt.Fprintln(s.out, serverTable(status.Servers))
 	}
-	for _, r := range status.Retained {
-		fmt.Fprintf(s.out, "%s, %s: %d, of which %d can be explained\n", r.Class, r.Status, r.Total, r.Retained)
+	for _, requests := range status.Retained {
+		fmt.Fprintf(s.out, "%s, %s: %d, of which %d can be explained\n",
+			requests.Class, requests.Status, requests.Total, requests.Retained)
 	}
 }
 
--- a/cmd/runner/store.go
+++ b/cmd/runner/store.go
@@ -13,7 +13,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// maxReadAttempts is how often a folder is read that changes meanwhile.
+// maxReadAttempts is how often a folder is read whose files are deleted in the meantime.
 const maxReadAttempts = 20
 
 // shownHashBytes are the bytes of a body's hash that are printed.
@@ -26,8 +26,8 @@
 	Copy    storeCopyCmd    `cmd:"" help:"${store_copy}"`
 }
 
-// readStore reads a folder that may be in use: a new snapshot makes older files unnecessary, which
-// are deleted.
+// readStore reads a folder that may be in use. A running program deletes files when it has written
+// a new snapshot, so that a file may vanish before it is read; then the folder is read again.
 func readStore(dir string) (*store.Recovery, error) {
 	info, err := os.Stat(dir)
 	if err != nil {
--- a/cmd/runner/usage.go
+++ b/cmd/runner/usage.go
@@ -12,6 +12,7 @@
 	"ryepaddle/internal/app"
 	"ryepaddle/internal/frontend/control"
 	"ryepaddle/internal/usage/ledger"
+	"ryepaddle/internal/usage/metering"
 	"ryepaddle/internal/wallclock"
 )
 
@@ -41,16 +42,16 @@
 // Run prints the usage ledger of a folder. What a running program has counted since it wrote the
 // ledger is missing.
 func (c *usageShowCmd) Run(s *streams) error {
-	path := filepath.Join(c.Dir, "state")
+	path := filepath.Join(c.Dir, metering.StateFile)
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return inputError{err}
 	}
-	l, err := ledger.Inspect(b)
+	usageLedger, err := ledger.Inspect(b)
 	if err != nil {
 		return inputError{fmt.Errorf("%s: %w", path, err)}
 	}
-	summary := l.Summary()
+	summary := usageLedger.Summary()
 	return printUsage(s, &summary, c.JSON)
 }
 
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// usageColumns are the columns of usage by period, school and class, and more.
+// usageColumns returns the columns of usageRow, followed by more.
 func usageColumns(more ...any) []any {
 	columns := []any{"period", "school", "class", "served", "repeats", "late", "refused", "failed", "gone"}
 	return append(columns, more...)
--- a/internal/peers/node/status.go
+++ b/internal/peers/node/status.go
@@ -14,13 +14,19 @@
 	Joining  []string `json:"joining,omitempty"`
 	// QuarantineMs is for how long the slot accepts no new keys, as far as is known here.
 	QuarantineMs int64 `json:"quiet_ms,omitempty"`
-	// State is begun, ended, forgotten, not held, or unknown to this replica.
+	// State is begun, ended, forgotten, KeyNotHeld or KeyUnknown.
 	State       string `json:"here"`
 	Owner       string `json:"by,omitempty"`      // the runner whose process runs it, or ran it
 	RemainingMs int64  `json:"left_ms,omitempty"` // of its window
 	ResultBytes int    `json:"bytes,omitempty"`
 }
 
+// States of a key that this node has no record of.
+const (
+	KeyNotHeld = "not held" // this node is no replica of the key's slot
+	KeyUnknown = "unknown"  // this node is a replica of the slot, and has no record of the key
+)
+
 // KeyStatus returns where a key is replicated.
 func (n *Node) KeyStatus(name store.KeyName) *KeyStatus {
 	t := n.consensus.Table()
@@ -28,7 +34,7 @@
 	s := &KeyStatus{
 		Slot:         info.Slot,
 		QuarantineMs: info.Quarantine.Milliseconds(),
-		State:        "not held",
+		State:        KeyNotHeld,
 		RemainingMs:  info.Remaining.Milliseconds(),
 	}
 	if info.Slot < len(t.Slots) {
@@ -42,7 +48,7 @@
 			s.ResultBytes = len(record.Result.Body)
 		}
 	case info.Held:
-		s.State = "unknown"
+		s.State = KeyUnknown
 	}
 	return s
 }
--- a/internal/usage/metering/account_store.go
+++ b/internal/usage/metering/account_store.go
@@ -14,9 +14,11 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// The files of a folder, beside the statements.
+// StateFile is the name of the file with the usage ledger in its folder.
+const StateFile = "state"
+
+// The other files of a folder, beside the statements.
 const (
-	stateFile   = "state"
 	ringFile    = "ring"
 	bootFile    = "boot"  // the boot ID of the machine when the folder was opened last
 	newSuffix   = ".new"  // of a file that is not complete yet
@@ -88,7 +90,7 @@
 
 // load reads the state, or begins an account where there is none.
 func (a *accountStore) load(p openParams, found *recovery) error {
-	b, err := a.fs.Read(stateFile)
+	b, err := a.fs.Read(StateFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		if err := a.refuseOldStatements(p.settings.Instance); err != nil {
 			return err
@@ -101,7 +103,7 @@
 		return err
 	}
 	if a.ledger, a.lastRecord, err = ledger.Decode(p.settings, b); err != nil {
-		return kindAccount.New("usage: %s: %w", stateFile, err)
+		return kindAccount.New("usage: %s: %w", StateFile, err)
 	}
 	return nil
 }
@@ -154,7 +156,7 @@
 	return kindAccount.New(
 		"usage: there is %s and no %s: move the statements away to begin a new account",
 		names[i],
-		stateFile,
+		StateFile,
 	)
 }
 
@@ -220,10 +222,10 @@
 // state is as it was.
 func (a *accountStore) save(now wallclock.UnixMicro) error {
 	a.dirty = true
-	if err := writeSynced(a.fs, stateFile+newSuffix, a.ledger.Encode(a.lastRecord)); err != nil {
+	if err := writeSynced(a.fs, StateFile+newSuffix, a.ledger.Encode(a.lastRecord)); err != nil {
 		return err
 	}
-	if err := renameSynced(a.fs, stateFile+newSuffix, stateFile); err != nil {
+	if err := renameSynced(a.fs, StateFile+newSuffix, StateFile); err != nil {
 		return err
 	}
 	if a.ring != nil {
--- a/internal/usage/metering/account_store_test.go
+++ b/internal/usage/metering/account_store_test.go
@@ -350,7 +350,7 @@
 	if err := p.account.advance(p.now); err != nil || len(p.account.takeExported()) != 1 {
 		t.Fatal(err)
 	}
-	if err := p.disk.Remove(stateFile); err != nil {
+	if err := p.disk.Remove(StateFile); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.start(true); err == nil || !strings.Contains(err.Error(), "move the statements away") {
