--- a/internal/app/gauges.go
+++ b/internal/app/gauges.go
@@ -11,17 +11,19 @@
 // labels are the labels of a metric.
 type labels = map[string]string
 
-func gauge(name, help string, value float64, l labels) metrics.Sample {
-	return metrics.Sample{Name: name, Help: help, Labels: l, Value: value}
+// gauge returns a sample of a value that may fall.
+func gauge(name, help string, value float64, attributes labels) metrics.Sample {
+	return metrics.Sample{Name: name, Help: help, Labels: attributes, Value: value}
 }
 
-func counter(name, help string, value float64, l labels) metrics.Sample {
-	return metrics.Sample{Name: name, Help: help, Labels: l, Value: value, Monotonic: true}
+// counter returns a sample of a value that only grows.
+func counter(name, help string, value float64, attributes labels) metrics.Sample {
+	return metrics.Sample{Name: name, Help: help, Labels: attributes, Value: value, Monotonic: true}
 }
 
-// flag is the value of a gauge that tells whether a state holds.
-func flag(set bool) float64 {
-	if set {
+// boolValue returns the value of a gauge for a condition: 1 if it holds.
+func boolValue(holds bool) float64 {
+	if holds {
 		return 1
 	}
 	return 0
@@ -44,7 +46,7 @@
 	return []metrics.Sample{
 		gauge("ryepaddle_open", "Requests that are owed an answer.", float64(p.requests.OpenRequests()), nil),
 		gauge("ryepaddle_connections", "Connections of callers.", float64(p.connections()), nil),
-		gauge("ryepaddle_draining", "1: the program leaves.", flag(p.state.draining), nil),
+		gauge("ryepaddle_draining", "1: the program leaves.", boolValue(p.state.draining), nil),
 		counter(reloads, reloadsHelp, float64(p.state.reloadsAccepted), labels{"what": "taken"}),
 		counter(reloads, reloadsHelp, float64(p.state.reloadsRejected), labels{"what": "turned down"}),
 	}
@@ -134,10 +136,10 @@
 				float64(n), labels{"group": group, "what": what}))
 		}
 		for _, pool := range scheduler.PoolStatuses() {
-			l := labels{"group": group, "pool": pool.Name}
+			ofPool := labels{"group": group, "pool": pool.Name}
 			samples = append(samples,
-				gauge("ryepaddle_pool_running", "Slots that a pool has.", float64(pool.Running), l),
-				gauge("ryepaddle_pool_waiting", "Requests that wait in a pool.", float64(pool.Waiting), l))
+				gauge("ryepaddle_pool_running", "Slots that a pool has.", float64(pool.Running), ofPool),
+				gauge("ryepaddle_pool_waiting", "Requests that wait in a pool.", float64(pool.Waiting), ofPool))
 		}
 	}
 	return samples
@@ -149,6 +151,6 @@
 	}
 	retryAfter, _ := p.keys.store.Unavailable()
 	return []metrics.Sample{
-		gauge("ryepaddle_keys_closed", "1: no new keys are taken.", flag(retryAfter > 0), nil),
+		gauge("ryepaddle_keys_closed", "1: no new keys are taken.", boolValue(retryAfter > 0), nil),
 	}
 }
--- a/internal/app/inventory.go
+++ b/internal/app/inventory.go
@@ -53,7 +53,7 @@
 }
 
 // applyFound applies an endpoint list that a watcher has found, unless the watcher was replaced or
-// a HUP has brought a newer list meanwhile.
+// a HUP has applied a newer list in the meantime.
 func (p *Program) applyFound(
 	watcher *discovery.Watcher,
 	fingerprint discovery.Fingerprint,
--- a/internal/app/peergauges.go
+++ b/internal/app/peergauges.go
@@ -16,7 +16,7 @@
 		samples = append(samples, gauge(
 			"ryepaddle_peers_duty_here",
 			"1: this runner may do what only one does at a time.",
-			flag(lease.HeldHere),
+			boolValue(lease.HeldHere),
 			labels{"duty": lease.Name},
 		))
 	}
@@ -33,7 +33,7 @@
 func replicationSamples(status *node.Status) []metrics.Sample {
 	return []metrics.Sample{
 		gauge("ryepaddle_peers_closed", "1: no new keys are taken, as peers do not keep them.",
-			flag(status.Unavailable != ""), nil),
+			boolValue(status.Unavailable != ""), nil),
 		gauge("ryepaddle_peers_members", "Runners that are in the table.", float64(len(status.Members)), nil),
 		gauge("ryepaddle_peers_slots", "Parts of the keys.", float64(status.Slots), nil),
 		gauge("ryepaddle_peers_slots_whole", "Parts of the keys that have all their copies.",
--- a/internal/config/bounds.go
+++ b/internal/config/bounds.go
@@ -81,8 +81,9 @@
 func (o *Operator) checkBounds(*Platform) error {
 	for _, b := range bounds {
 		// The condition also rejects NaN.
-		if v := numberAt(reflect.ValueOf(o).Elem(), b.field); !(v >= b.min && v <= b.max) {
-			return o.document.Errorf(b.field, "%v is not from %v to %v", v, b.min, b.max)
+		value := numberAt(reflect.ValueOf(o).Elem(), b.field)
+		if !(value >= b.min && value <= b.max) {
+			return o.document.Errorf(b.field, "%v is not from %v to %v", value, b.min, b.max)
 		}
 	}
 	return nil
--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -176,7 +176,7 @@
 
 // checkBulkheadLimits checks the limits of a group by themselves.
 func (o *Operator) checkBulkheadLimits(at string, set *Bulkheads) error {
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name            string
 		value, min, max float64
 	}{
@@ -186,8 +186,16 @@
 		{"call_back_ms", float64(set.ReclaimMs), 1, 60_000},
 		{"line", float64(set.QueueLength), 1, 10_000},
 	} {
-		if f.value != 0 && !(f.value >= f.min && f.value <= f.max) {
-			return o.document.Errorf(at+"."+f.name, "%v is not from %v to %v", f.value, f.min, f.max)
+		isDefault := field.value == 0
+		// also rejects NaN
+		if !isDefault && !(field.value >= field.min && field.value <= field.max) {
+			return o.document.Errorf(
+				at+"."+field.name,
+				"%v is not from %v to %v",
+				field.value,
+				field.min,
+				field.max,
+			)
 		}
 	}
 	algorithm := bulkhead.LimitAlgorithm(set.Mode)
@@ -197,7 +205,7 @@
 	return nil
 }
 
-// checkBulkhead checks one bulkhead of a group beside those listed before it.
+// checkBulkhead checks one bulkhead of a group. before are those that are listed before it.
 func (o *Operator) checkBulkhead(at, group string, before []Bulkhead, b *Bulkhead, p *Platform) error {
 	sameName := func(other Bulkhead) bool { return other.Name == b.Name }
 	if b.Name == "" || slices.ContainsFunc(before, sameName) {
@@ -231,14 +239,14 @@
 			c.MinLimit, c.InitialLimit, c.MaxLimit)
 	}
 	err := c.Validate()
-	var without *bulkhead.NoPoolError
+	var noPool *bulkhead.NoPoolError
 	switch {
 	case err == nil:
 		return nil
-	case !errors.As(err, &without):
+	case !errors.As(err, &noPool):
 		return o.document.Errorf(at+".list", "%v", err)
 	}
-	class := p.Settings.Classes[without.Class].Name
+	class := p.Settings.Classes[noPool.Class].Name
 	if o.GroupByClass[class] != group {
 		return nil // its requests run elsewhere
 	}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,7 @@
 // Package fault classifies errors for operators: each has a kind with a stable name and a remedy, a
-// location, and a cause. A package defines its kinds once, at package level; Find returns the
-// classified error inside a wrapped one.
+// location, and a cause. A package that returns errors to operators defines its kinds once, at
+// package level. The log, the control socket and the commands print the kind and the remedy; Find
+// returns the classified error inside a wrapped one.
 package fault
 
 import (
@@ -109,9 +110,9 @@
 	if errors.As(classified, &own) && Classified(own) == classified {
 		return own
 	}
-	e := &Error{Err: classified}
-	e.Kind, e.Location = classified.Fault()
-	return e
+	// Another type of error, such as *inventory.Error.
+	kind, location := classified.Fault()
+	return &Error{Kind: kind, Location: location, Err: classified}
 }
 
 // Is reports whether err is of the kind.
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -26,8 +26,8 @@
 	Key        string          `json:"key,omitempty"`
 	Class      string          `json:"class,omitempty"`
 	Tenant     string          `json:"tenant,omitempty"`
-	Successor  string          `json:"by,omitempty"` // member that replaces the one that leaves
-	Kind       string          `json:"kind,omitempty"`
+	Successor  string          `json:"by,omitempty"`   // member that replaces the one that leaves
+	Kind       string          `json:"kind,omitempty"` // how requests ended, such as refused
 	Cause      string          `json:"cause,omitempty"`
 	NotServed  bool            `json:"not_served,omitempty"`
 	FromMs     int64           `json:"from_ms,omitempty"` // Unix time in ms
--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -16,7 +16,7 @@
 const (
 	stateAccepting  connectionState = iota // any request
 	stateFinishing                         // no new request; begun ones are read and answered
-	stateDiscarding                        // nothing: input was malformed; owed answers are sent
+	stateDiscarding                        // nothing: input was malformed; answers are still sent
 )
 
 // connection is one connection of a balancer. It implements eventloop.Handler.
@@ -52,7 +52,7 @@
 	}
 }
 
-// dropIncomplete drops the incomplete requests. No answer is owed to them.
+// dropIncomplete drops the incomplete requests without an answer.
 func (c *connection) dropIncomplete() {
 	for id, x := range c.open {
 		if !x.submitted {
@@ -72,8 +72,8 @@
 	}
 }
 
-// owesAnswer reports whether a request on the connection awaits its answer.
-func (c *connection) owesAnswer() bool {
+// hasUnanswered reports whether a request on the connection awaits its answer.
+func (c *connection) hasUnanswered() bool {
 	for _, x := range c.open {
 		if x.submitted {
 			return true
@@ -98,7 +98,7 @@
 }
 
 // isOverdue reports whether the first request is missing for too long, or one that has begun to
-// arrive is incomplete for too long. Bytes that arrive now and then do not extend these times.
+// arrive is incomplete for too long. Further bytes do not extend these times.
 func (c *connection) isOverdue(now time.Duration) bool {
 	age := now - c.acceptedAt
 	if !c.hasRequested && age > firstRequestTimeout {
@@ -120,7 +120,7 @@
 // closeIfDone closes the connection once it is of no further use. Owed answers are sent before, and
 // a request that has begun to arrive may still be completed, unless the peer cannot send the rest.
 func (c *connection) closeIfDone() {
-	if c.readingRecords || c.owesAnswer() || c.IsClosing() || c.IsClosed() {
+	if c.readingRecords || c.hasUnanswered() || c.IsClosing() || c.IsClosed() {
 		return
 	}
 	switch {
@@ -186,7 +186,7 @@
 // End implements eventloop.Handler. A peer may stop sending and still wait for its answers.
 func (c *connection) End() bool {
 	c.peerClosed = true
-	return c.owesAnswer()
+	return c.hasUnanswered()
 }
 
 // Closed implements eventloop.Handler.
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -265,7 +265,7 @@
 // stopReceiving gives up the incomplete requests of a connection. Its other requests get their
 // answers.
 func (f *Frontend) stopReceiving(c *connection) {
-	if !c.owesAnswer() {
+	if !c.hasUnanswered() {
 		eventNoRequest.Log()
 		c.Close(nil)
 		return
