--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -177,13 +177,13 @@
 	}
 	body := x.body
 	x.release()
-	path := params["SCRIPT_NAME"]
+	path := params[paramPath]
 	if path == healthPath {
-		x.answerHealthCheck(params["QUERY_STRING"])
+		x.answerHealthCheck(params[paramQuery])
 		return
 	}
 	request, err := f.parseRequest(params, path)
-	length := params["CONTENT_LENGTH"]
+	length := params[paramLength]
 	switch {
 	case errors.Is(err, errRemovedClass):
 		// The balancer has not heard of the removal yet; its other requests are valid.
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -11,6 +11,22 @@
 	"ryepaddle/internal/wallclock"
 )
 
+// Parameters of a request, by the names of the operators' pages.
+const (
+	paramID        = "HTTP_X_CALL_ID"
+	paramKey       = "HTTP_X_DEDUPE_KEY" // idempotency key
+	paramMethod    = "REQUEST_METHOD"
+	paramTenant    = "HTTP_X_CUSTOMER"
+	paramArrivedAt = "HTTP_X_QUEUE_START" // in Unix milliseconds
+	paramCaller    = "HTTP_X_SOURCE"      // number of the balancer
+	paramSizeKB    = "HTTP_X_HEAP_KB"     // memory that the request takes
+	paramRank      = "HTTP_X_IMPORTANCE"  // from 0 up to 1
+	paramEntity    = "HTTP_X_ENTITY"      // in hex
+	paramPath      = "SCRIPT_NAME"
+	paramQuery     = "QUERY_STRING"
+	paramLength    = "CONTENT_LENGTH" // bytes of the body
+)
+
 // maxClockSkew is by how much a balancer's clock may be ahead.
 const maxClockSkew = time.Second
 
@@ -22,24 +38,24 @@
 
 // parseRequest parses the parameters of a request, by the names of the operators' pages.
 func (f *Frontend) parseRequest(params map[string]string, path string) (*lifecycle.Request, error) {
-	r := &lifecycle.Request{ID: params["HTTP_X_CALL_ID"], Key: params["HTTP_X_DEDUPE_KEY"]}
+	r := &lifecycle.Request{ID: params[paramID], Key: params[paramKey]}
 	if err := f.parseClass(r, path); err != nil {
 		return nil, err
 	}
-	if params["REQUEST_METHOD"] != http.MethodPost {
-		return nil, fmt.Errorf("method %q", params["REQUEST_METHOD"])
+	if params[paramMethod] != http.MethodPost {
+		return nil, fmt.Errorf("method %q", params[paramMethod])
 	}
 	if _, err := strconv.ParseUint(r.ID, 16, 64); err != nil || len(r.ID) != idLength {
 		return nil, fmt.Errorf("X-Call-Id %q is not %d hex digits", r.ID, idLength)
 	}
 	var ok bool
-	if r.Tenant, ok = f.manager.Tenant(params["HTTP_X_CUSTOMER"]); !ok {
-		return nil, fmt.Errorf("unknown X-Customer %q", params["HTTP_X_CUSTOMER"])
+	if r.Tenant, ok = f.manager.Tenant(params[paramTenant]); !ok {
+		return nil, fmt.Errorf("unknown X-Customer %q", params[paramTenant])
 	}
 	if f.manager.RequiresKey(r.Class) && r.Key == "" {
 		return nil, errNoKey
 	}
-	if err := f.parseArrival(r, params["HTTP_X_QUEUE_START"]); err != nil {
+	if err := f.parseArrival(r, params[paramArrivedAt]); err != nil {
 		return nil, err
 	}
 	if err := parseSource(r, params); err != nil {
@@ -76,20 +92,20 @@
 
 // parseSource sets the caller, and what it states of the request's size, rank and entity.
 func parseSource(r *lifecycle.Request, params map[string]string) error {
-	source, err := strconv.ParseUint(params["HTTP_X_SOURCE"], 10, 32)
+	source, err := strconv.ParseUint(params[paramCaller], 10, 32)
 	if err != nil {
-		return fmt.Errorf("X-Source %q", params["HTTP_X_SOURCE"])
+		return fmt.Errorf("X-Source %q", params[paramCaller])
 	}
 	r.Caller = uint32(source)
-	r.SizeKB, err = strconv.ParseFloat(params["HTTP_X_HEAP_KB"], 64)
+	r.SizeKB, err = strconv.ParseFloat(params[paramSizeKB], 64)
 	if err != nil || !(r.SizeKB > 0 && r.SizeKB < maxRequestKB) {
-		return fmt.Errorf("X-Heap-Kb %q", params["HTTP_X_HEAP_KB"])
+		return fmt.Errorf("X-Heap-Kb %q", params[paramSizeKB])
 	}
-	r.Rank, err = strconv.ParseFloat(params["HTTP_X_IMPORTANCE"], 64)
+	r.Rank, err = strconv.ParseFloat(params[paramRank], 64)
 	if err != nil || !(r.Rank >= 0 && r.Rank < 1) {
-		return fmt.Errorf("X-Importance %q", params["HTTP_X_IMPORTANCE"])
+		return fmt.Errorf("X-Importance %q", params[paramRank])
 	}
-	entity := params["HTTP_X_ENTITY"]
+	entity := params[paramEntity]
 	if entity == "" {
 		return nil
 	}
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -9,6 +9,7 @@
 	"unicode"
 
 	"ryepaddle/internal/lifecycle"
+	"ryepaddle/internal/match"
 	"ryepaddle/internal/protocol/cgi"
 	"ryepaddle/internal/protocol/traceparent"
 	"ryepaddle/internal/wallclock"
@@ -26,6 +27,13 @@
 	idIncrement = 0x9e3779b97f4a7c15
 )
 
+// Variables of a request, by the names of the operators' pages.
+const (
+	sourceVariable = "HTTP_X_SOURCE" // number of the caller
+	// when a proxy received the request, in Unix milliseconds
+	arrivalVariable = "HTTP_X_QUEUE_START"
+)
+
 // requestError is a request that is rejected with a status.
 type requestError struct {
 	status int
@@ -61,21 +69,10 @@
 	if request.Tenant, ok = f.manager.Tenant(subject.School); !ok {
 		return nil, nil, requestErrorf(http.StatusForbidden, "unknown tenant %q", subject.School)
 	}
-	if route.Key != nil {
-		// A key that was percent-decoded may have characters that a variable cannot have.
-		request.Key = route.Key.Text(subject)
-		if strings.ContainsFunc(request.Key, unicode.IsControl) {
-			return nil, nil, requestErrorf(
-				http.StatusBadRequest,
-				"the key %q holds a control character",
-				request.Key,
-			)
-		}
-	}
-	if f.manager.RequiresKey(request.Class) && request.Key == "" {
-		return nil, nil, requestErrorf(http.StatusBadRequest, "no %s in a keyed class", f.keySource(route))
+	if err := f.setKey(request, route, subject); err != nil {
+		return nil, nil, err
 	}
-	if source, err := strconv.ParseUint(r.Get("HTTP_X_SOURCE"), 10, 32); err == nil {
+	if source, err := strconv.ParseUint(r.Get(sourceVariable), 10, 32); err == nil {
 		request.Caller = uint32(source)
 	}
 	request.FirstSentAt = f.firstSentAt(r)
@@ -88,10 +85,26 @@
 	return request, route, nil
 }
 
+// setKey sets the idempotency key from the route's expression, if it has one, and checks that a
+// class that requires a key gets one.
+func (f *Frontend) setKey(request *lifecycle.Request, route *Route, subject *match.Request) *requestError {
+	if route.Key != nil {
+		// A key that was percent-decoded may have characters that a variable cannot have.
+		request.Key = route.Key.Text(subject)
+		if strings.ContainsFunc(request.Key, unicode.IsControl) {
+			return requestErrorf(http.StatusBadRequest, "the key %q holds a control character", request.Key)
+		}
+	}
+	if f.manager.RequiresKey(request.Class) && request.Key == "" {
+		return requestErrorf(http.StatusBadRequest, "no %s in a keyed class", f.keySource(route))
+	}
+	return nil
+}
+
 // arrivedAt returns when the request arrived: the time that a proxy before this one states, or when
 // its connection was accepted.
 func (f *Frontend) arrivedAt(r *cgi.Request, acceptedAt wallclock.UnixMicro) wallclock.UnixMicro {
-	stated, ok := f.parseTime(r.Get("HTTP_X_QUEUE_START"))
+	stated, ok := f.parseTime(r.Get(arrivalVariable))
 	if !ok {
 		return acceptedAt
 	}
