--- a/cmd/runner/store.go
+++ b/cmd/runner/store.go
@@ -118,7 +118,8 @@
 	}
 	switch {
 	case key.Result != nil:
-		row.State, row.Bytes = fmt.Sprintf("ended, status %d", key.Result.Status), len(key.Result.Body)
+		row.State = fmt.Sprintf("ended, status %d", key.Result.Status)
+		row.Bytes = len(key.Result.Body)
 	case key.Ended:
 		row.State = "ended without a result"
 	}
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -81,10 +81,12 @@
 
 // nextCall is the place in the queue of the call to be placed next; -1: no call has any weight.
 func (c *Controller) nextCall() int {
-	next, most := -1, 0.0
+	next := -1
+	most := 0.0
 	for i, r := range c.calls.queue {
 		if weight := c.callWeight(r); r.nextCallAt <= c.now && weight > most {
-			next, most = i, weight
+			next = i
+			most = weight
 		}
 	}
 	return next
--- a/internal/admission/idempotency.go
+++ b/internal/admission/idempotency.go
@@ -37,7 +37,8 @@
 // still queued begins anew.
 func (c *Controller) expireKeys() {
 	for i := range c.queues {
-		queue, window := &c.queues[i], c.settings.Classes[i].IdempotencyWindow
+		queue := &c.queues[i]
+		window := c.settings.Classes[i].IdempotencyWindow
 		for len(queue.keyExpiry) > 0 && queue.keyExpiry[0].keyExpiresAt < c.now-tickInterval {
 			r := queue.keyExpiry[0]
 			queue.keyExpiry = queue.keyExpiry[1:]
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -127,7 +127,8 @@
 		}
 		age := float64(c.now - queue[0].arrivedAt)
 		if weight := age * c.settings.Classes[i].PriorityWeight; weight > most {
-			next, most = queue[0], weight
+			next = queue[0]
+			most = weight
 		}
 	}
 	return next
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -69,7 +69,8 @@
 	list := &c.executing
 	switch r.state {
 	case queued:
-		list, memoryKB = &c.queues[r.class].requests, r.sizeKB
+		list = &c.queues[r.class].requests
+		memoryKB = r.sizeKB
 	case awaitingResult:
 		memoryKB = r.sizeKB
 	case reusingResult:
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -61,7 +61,8 @@
 	if p, err = New(loop, platformConfig, operator, options.RepairStore); err != nil {
 		return err
 	}
-	p.files, p.log = files, log
+	p.files = files
+	p.log = log
 	p.logListeners()
 	p.watchInventory(operator)
 	err = loop.Run()
--- a/internal/app/gauges.go
+++ b/internal/app/gauges.go
@@ -101,11 +101,15 @@
 	}
 	switch metric.Kind {
 	case upstream.ServersInState:
-		sample.Name, sample.Help, sample.Monotonic = "ryepaddle_servers", "Servers in a state.", false
+		sample.Name = "ryepaddle_servers"
+		sample.Help = "Servers in a state."
+		sample.Monotonic = false
 	case upstream.StateTransitions:
-		sample.Name, sample.Help = "ryepaddle_server_changes_total", "Changes of servers into a state."
+		sample.Name = "ryepaddle_server_changes_total"
+		sample.Help = "Changes of servers into a state."
 	case upstream.Picks:
-		sample.Name, sample.Help = "ryepaddle_chosen_total", "How servers were chosen."
+		sample.Name = "ryepaddle_chosen_total"
+		sample.Help = "How servers were chosen."
 	case upstream.RetryDecisions:
 		sample.Name = "ryepaddle_retries_total"
 		sample.Help = "What was said when a request might have been tried again."
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -58,7 +58,8 @@
 	p.queue.remove(r)
 	r.chargedMicros = max(s.classes[r.Class].meanMicros.Value, 1)
 	p.charge(r.chargedMicros)
-	r.state, r.startedAt = stateGranted, s.now
+	r.state = stateGranted
+	r.startedAt = s.now
 	p.addRun(r)
 	p.grantedAt = s.now
 	s.running++
@@ -165,7 +166,8 @@
 // timeToNextSlot returns how long the next slot may take to come free: the mean run time by the
 // number of running requests.
 func (s *Scheduler) timeToNextSlot() time.Duration {
-	sumMicros, n := 0.0, 0
+	sumMicros := 0.0
+	n := 0
 	for _, p := range s.pools {
 		for r := p.first; r != nil && n < runSample; r = r.next {
 			sumMicros += s.classes[r.Class].meanMicros.Value
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -120,7 +120,9 @@
 		isUsed:       float64(l.peak) >= usedRatio*math.Floor(l.current()),
 		isOverloaded: float64(l.failed) > overloadRatio*float64(l.succeeded),
 	}
-	sum, best, variance := 0.0, 0.0, 0.0
+	sum := 0.0
+	best := 0.0
+	variance := 0.0
 	for i := range l.recent {
 		mean, standardError := l.recent[i].mean()
 		if n := float64(l.recent[i].count); n > 0 && l.best[i].Micros > 0 {
@@ -154,7 +156,8 @@
 		return
 	}
 	if l.windows >= measureInterval && w.isUsed {
-		l.reducedFrom, l.windows = l.limit, 0
+		l.reducedFrom = l.limit
+		l.windows = 0
 		l.limit = max(l.limit*measureRatio, cfg.MinLimit)
 		return
 	}
@@ -193,11 +196,13 @@
 	case target >= l.limit:
 		l.declineFrom = 0
 	case l.declineFrom == 0:
-		l.declineFrom, l.declineRatio = l.limit, w.ratio
+		l.declineFrom = l.limit
+		l.declineRatio = w.ratio
 	case isChecked && w.ratio > l.declineRatio*declineGain:
 		return true
 	case isChecked:
-		l.declineFrom, l.declineRatio = l.limit, w.ratio
+		l.declineFrom = l.limit
+		l.declineRatio = w.ratio
 	}
 	return false
 }
--- a/internal/balancer/bulkhead/pool.go
+++ b/internal/balancer/bulkhead/pool.go
@@ -27,7 +27,8 @@
 
 // addRun appends a request to the running ones.
 func (p *pool) addRun(r *Request) {
-	r.previous, r.next = p.last, nil
+	r.previous = p.last
+	r.next = nil
 	if p.last != nil {
 		p.last.next = r
 	} else {
@@ -57,7 +58,8 @@
 	} else {
 		p.last = r.previous
 	}
-	r.previous, r.next = nil, nil
+	r.previous = nil
+	r.next = nil
 	p.running--
 }
 
--- a/internal/balancer/bulkhead/queue.go
+++ b/internal/balancer/bulkhead/queue.go
@@ -42,7 +42,8 @@
 // have the whole queue. share is that of the tenant; callers have equal shares.
 func (q *waitingQueue) overuseOf(r *Request, share float64, maxLength, slots int) int {
 	if q.byTenant == nil {
-		q.byTenant, q.byCaller = map[int]int{}, map[uint32]int{}
+		q.byTenant = map[int]int{}
+		q.byCaller = map[uint32]int{}
 	}
 	part := func(others int, share float64) float64 {
 		if others == 0 {
--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -139,7 +139,8 @@
 // TakeDecisions returns the requests that were granted and dropped since the last call.
 func (s *Scheduler) TakeDecisions() (granted []*Request, dropped []Dropped) {
 	granted, dropped = s.granted, s.dropped
-	s.granted, s.dropped = nil, nil
+	s.granted = nil
+	s.dropped = nil
 	return granted, dropped
 }
 
@@ -150,7 +151,8 @@
 	r.pool = p
 	r.state = stateWaiting
 	r.missesObjective = false
-	r.previous, r.next = nil, nil
+	r.previous = nil
+	r.next = nil
 	r.overuse = p.queue.overuseOf(r, s.tenantShare(r.Tenant), s.cfg.MaxQueueLength, s.ceilingSlots(p))
 	p.queue.add(r)
 	if p.queue.length() > s.cfg.MaxQueueLength {
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -62,7 +62,8 @@
 	if outcome != Inconclusive {
 		e.Requests++
 		if now-e.LastOutcomeAt > MeasurementLifetime {
-			e.MeanLatency, e.SuccessRate = 0, 1
+			e.MeanLatency = 0
+			e.SuccessRate = 1
 		}
 		e.LastOutcomeAt = now
 	}
--- a/internal/balancer/endpointhealth/healthcheck.go
+++ b/internal/balancer/endpointhealth/healthcheck.go
@@ -19,7 +19,8 @@
 		case e.nextCheckAt == 0 && e.State == InService:
 			e.nextCheckAt = now + (interval * time.Duration(i) / count).Truncate(time.Microsecond)
 		case now >= e.nextCheckAt:
-			e.nextCheckAt, e.checkInFlight = now+interval, true
+			e.nextCheckAt = now + interval
+			e.checkInFlight = true
 			due = append(due, e)
 		}
 	}
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -63,8 +63,11 @@
 	if e.State == Probing {
 		m.probing = slices.DeleteFunc(m.probing, func(other *Endpoint) bool { return other == e })
 	}
-	e.State, e.StateSince, e.StateCause = to, now, cause
-	e.slowIntervals, e.checkStreak = 0, 0
+	e.State = to
+	e.StateSince = now
+	e.StateCause = cause
+	e.slowIntervals = 0
+	e.checkStreak = 0
 	if to.countsAsEjected() {
 		m.ejected++
 	}
@@ -217,6 +220,7 @@
 		m.setState(e, WarmingUp, now, "there are no checks any more")
 	}
 	if e.State == InService && e.recovered && now-e.StateSince >= m.cfg.EjectionResetAfter {
-		e.repeatedEjections, e.recovered = 0, false
+		e.repeatedEjections = 0
+		e.recovered = false
 	}
 }
--- a/internal/balancer/endpointhealth/window.go
+++ b/internal/balancer/endpointhealth/window.go
@@ -23,7 +23,8 @@
 	}
 	for ; w.newest < current; w.newest++ {
 		next := (w.newest + 1) % outlierBuckets
-		w.successes[next], w.failures[next] = 0, 0
+		w.successes[next] = 0
+		w.failures[next] = 0
 	}
 	return w.newest % outlierBuckets
 }
--- a/internal/balancer/picker/alias.go
+++ b/internal/balancer/picker/alias.go
@@ -14,7 +14,9 @@
 func (t *aliasTable) build(weights []float64) bool {
 	n := len(weights)
 	if cap(t.keep) < n {
-		t.keep, t.alias, t.stack = make([]float64, n), make([]int32, n), make([]int32, n)
+		t.keep = make([]float64, n)
+		t.alias = make([]int32, n)
+		t.stack = make([]int32, n)
 	}
 	t.keep, t.alias, t.stack = t.keep[:n], t.alias[:n], t.stack[:n]
 	sum := 0.0
@@ -26,9 +28,11 @@
 		return false
 	}
 	// Places below the mean are stacked from the left, those above it from the right.
-	small, large := 0, n
+	small := 0
+	large := n
 	for i, weight := range weights {
-		t.keep[i], t.alias[i] = weight*float64(n)/sum, int32(i)
+		t.keep[i] = weight * float64(n) / sum
+		t.alias[i] = int32(i)
 		if t.keep[i] < 1 {
 			t.stack[small] = int32(i)
 			small++
@@ -38,7 +42,8 @@
 		}
 	}
 	for small > 0 && large < n {
-		below, above := t.stack[small-1], t.stack[large]
+		below := t.stack[small-1]
+		above := t.stack[large]
 		small--
 		t.alias[below] = above
 		t.keep[above] -= 1 - t.keep[below]
--- a/internal/balancer/picker/endpoints.go
+++ b/internal/balancer/picker/endpoints.go
@@ -53,7 +53,8 @@
 
 // placeServers puts the servers of a new list into new zones.
 func (p *Picker) placeServers(endpoints []*endpointhealth.Endpoint, zoneNames []string) {
-	p.zones, p.servers = nil, nil
+	p.zones = nil
+	p.servers = nil
 	zones := map[string]*zone{}
 	for _, name := range zoneNames {
 		zones[name] = &zone{name: name}
--- a/internal/balancer/picker/latency.go
+++ b/internal/balancer/picker/latency.go
@@ -26,7 +26,9 @@
 func (p *Picker) learnLatency(class int, took time.Duration) time.Duration {
 	value := latency.Micros(latency.AtLeastOneMicrosecond(took))
 	if p.meanLatency == 0 {
-		p.meanLatency, p.referenceLatency, p.typicalLatency = value, value, value
+		p.meanLatency = value
+		p.referenceLatency = value
+		p.typicalLatency = value
 	}
 	c := &p.classes[class]
 	if c.recent == 0 {
--- a/internal/balancer/picker/ring.go
+++ b/internal/balancer/picker/ring.go
@@ -33,7 +33,8 @@
 }
 
 func newRing(servers []*Server) *ring {
-	maxWeight, sameWeights := 1, true
+	maxWeight := 1
+	sameWeights := true
 	for _, s := range servers {
 		maxWeight = max(maxWeight, s.Weight)
 		sameWeights = sameWeights && s.Weight == servers[0].Weight
@@ -92,12 +93,14 @@
 
 // find returns the point that has a key.
 func (r *ring) find(key uint64) int {
-	nearest, least := 0, uint64(math.MaxUint64)
+	nearest := 0
+	least := uint64(math.MaxUint64)
 	for i := range uint64(keyProbes) {
 		position := mix(key ^ i*goldenGamma)
 		point := r.next(position)
 		if distance := r.positions[point] - position; distance < least { // modulo 2^64
-			nearest, least = point, distance
+			nearest = point
+			least = distance
 		}
 	}
 	return nearest
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -49,7 +49,8 @@
 	z.warmingUp = z.warmingUp[:0]
 	z.warmWeight = 0
 	z.capacity = 0
-	total, healthy := 0.0, 0.0
+	total := 0.0
+	healthy := 0.0
 	z.weights = z.weights[:0]
 	for _, s := range z.servers {
 		share := health.TrafficShare(s.Endpoint, now)
@@ -94,7 +95,8 @@
 	}
 	c.found++
 	if cost := s.cost(c.query); c.best == nil || cost < c.cost {
-		c.best, c.cost = s, cost
+		c.best = s
+		c.cost = cost
 	}
 }
 
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -73,7 +73,8 @@
 
 func (q *Queue) removeBulkheads() {
 	requests := q.requests
-	q.scheduler, q.requests = nil, map[*lifecycle.Attempt]*bulkhead.Request{}
+	q.scheduler = nil
+	q.requests = map[*lifecycle.Attempt]*bulkhead.Request{}
 	var waiting []*lifecycle.Attempt
 	for a, r := range requests {
 		if !r.IsGranted() {
@@ -134,7 +135,9 @@
 	a := d.Attachment.(*lifecycle.Attempt)
 	delete(q.requests, a)
 	if d.Reason == bulkhead.QueueFull {
-		a.Cause, a.Value, a.Limit = lifecycle.CauseBulkheadFull, d.Wanted, d.Available
+		a.Cause = lifecycle.CauseBulkheadFull
+		a.Value = d.Wanted
+		a.Limit = d.Available
 	} else {
 		a.Cause = lifecycle.CauseBulkheadWait
 		a.Value = d.Wanted / microsPerSecond
--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -151,7 +151,8 @@
 func (o *Operator) checkBulkheads(p *Platform) error {
 	groups := slices.Sorted(maps.Values(o.GroupByClass))
 	for _, group := range slices.Sorted(maps.Keys(o.Bulkheads)) {
-		set, at := o.Bulkheads[group], "pools."+group
+		set := o.Bulkheads[group]
+		at := "pools." + group
 		if !slices.Contains(groups, group) {
 			return o.document.Errorf(at, "no class of routes runs on this group")
 		}
--- a/internal/config/match.go
+++ b/internal/config/match.go
@@ -29,7 +29,8 @@
 		return e, nil
 	}
 	var err error
-	o.Matcher.SchoolVariable, o.Matcher.DefaultSchool = o.Tenant.Variable, o.Tenant.Default
+	o.Matcher.SchoolVariable = o.Tenant.Variable
+	o.Matcher.DefaultSchool = o.Tenant.Default
 	if o.Matcher.School, err = compile("tenant.from", o.Tenant.Expression, match.Text, "school"); err != nil {
 		return err
 	}
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -64,7 +64,8 @@
 // Observe records the fingerprint of the files, and reports whether they are to be read now.
 func (v *Validator) Observe(fingerprint Fingerprint, now time.Duration) (due bool) {
 	if fingerprint != v.observed {
-		v.observed, v.observedAt = fingerprint, now
+		v.observed = fingerprint
+		v.observedAt = now
 	}
 	if v.isSettled(fingerprint) {
 		v.unsettledSince = 0
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -114,7 +114,8 @@
 		eventPolled.Log(w.interval, err)
 	} else {
 		defer notifier.Close()
-		events, failures = notifier.Events, notifier.Errors
+		events = notifier.Events
+		failures = notifier.Errors
 		w.watchFolders(notifier)
 	}
 	timer := time.NewTimer(w.interval)
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -60,7 +60,8 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].index = i
+	h[j].index = j
 }
 
 // Push adds a timer, as heap.Interface requires.
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -185,7 +185,8 @@
 	c.timer.Stop()
 	body, err := json.Marshal(v)
 	if err != nil {
-		status, body = http.StatusInternalServerError, nil
+		status = http.StatusInternalServerError
+		body = nil
 	}
 	response := http.Response{
 		StatusCode:    status,
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -49,7 +49,8 @@
 func errorReply(err error) reply {
 	r := reply{Error: err.Error()}
 	if f := fault.Find(err); f != nil {
-		r.Kind, r.Remedy = f.Kind.Name, f.Kind.Remedy
+		r.Kind = f.Kind.Name
+		r.Remedy = f.Kind.Remedy
 	}
 	return r
 }
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -46,7 +46,8 @@
 // release releases the buffers of the request.
 func (x *exchange) release() {
 	released := len(x.params) + len(x.body)
-	x.params, x.body = nil, nil
+	x.params = nil
+	x.body = nil
 	x.conn.incompleteBytes -= released
 	x.conn.frontend.incompleteBytes -= released
 }
@@ -168,7 +169,8 @@
 
 // submit hands a complete request to the request lifecycle, or answers it at once.
 func (x *exchange) submit() {
-	x.submitted, x.conn.hasRequested = true, true
+	x.submitted = true
+	x.conn.hasRequested = true
 	f := x.conn.frontend
 	params, metadata, err := readParams(x.params)
 	if err != nil {
@@ -196,7 +198,9 @@
 			fmt.Errorf("CONTENT_LENGTH %q, and a body of %d bytes", length, len(body)),
 		)
 	default:
-		request.Body, request.Metadata, request.Responder = body, metadata, x
+		request.Body = body
+		request.Metadata = metadata
+		request.Responder = x
 		x.ticket = f.manager.Submit(request)
 	}
 }
--- a/internal/frontend/uwsgi/connection.go
+++ b/internal/frontend/uwsgi/connection.go
@@ -178,7 +178,8 @@
 		)
 		return false
 	}
-	c.request, c.route = request, route
+	c.request = request
+	c.route = route
 	c.frameBody(r)
 	request.ArrivedAt = f.arrivedAt(r, c.acceptedAt)
 	if r.ExpectsContinue {
@@ -221,7 +222,8 @@
 	case r.Chunked:
 		c.framing = httpmessage.ChunkedBody()
 	case r.UntilClose:
-		c.framing, c.bodyUntilClose = httpmessage.BodyUntilClose(), true
+		c.framing = httpmessage.BodyUntilClose()
+		c.bodyUntilClose = true
 	default:
 		c.framing = httpmessage.BodyOfLength(max(r.Length, 0))
 	}
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -64,7 +64,8 @@
 		return nil, nil, requestErrorf(http.StatusNotFound, "no class at %q", r.Path)
 	}
 	route := &f.options.Routes[index]
-	request.Class, request.Timeout = route.Class, route.Deadline
+	request.Class = route.Class
+	request.Timeout = route.Deadline
 	var ok bool
 	if request.Tenant, ok = f.manager.Tenant(subject.School); !ok {
 		return nil, nil, requestErrorf(http.StatusForbidden, "unknown tenant %q", subject.School)
--- a/internal/frontend/uwsgi/upload.go
+++ b/internal/frontend/uwsgi/upload.go
@@ -11,7 +11,8 @@
 func (c *connection) beginUpload(length int64) {
 	f := c.frontend
 	c.bodyStreams = true
-	c.request.Upload, c.request.ContentLength = c, length
+	c.request.Upload = c
+	c.request.ContentLength = length
 	f.lastReader++
 	c.uploadReader = f.lastReader
 	f.readers.AddReader(c.uploadReader, f.loop.Now())
@@ -100,7 +101,8 @@
 
 // endUpload releases what the body holds.
 func (c *connection) endUpload() {
-	c.uploadConsumer, c.pendingUpload = nil, nil
+	c.uploadConsumer = nil
+	c.pendingUpload = nil
 	c.frontend.readers.RemoveReader(c.uploadReader)
 	c.uploadPaused = false
 	c.SetPaused(false)
--- a/internal/idempotency/reservation/poll.go
+++ b/internal/idempotency/reservation/poll.go
@@ -124,7 +124,9 @@
 		return err
 	}
 	p.log.Close()
-	p.log, p.generation, p.offset = log, generation, 0
+	p.log = log
+	p.generation = generation
+	p.offset = 0
 	return nil
 }
 
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -29,7 +29,9 @@
 func (k *Key) record() *Record {
 	r := &Record{Kind: RunStarted, Name: k.Name, Owner: k.Owner, ExpiresAt: k.ExpiresAt, BodyHash: k.BodyHash}
 	if k.Ended {
-		r.Kind, r.Status, r.Result = RunEnded, k.Status, k.Result
+		r.Kind = RunEnded
+		r.Status = k.Status
+		r.Result = k.Result
 	}
 	return r
 }
--- a/internal/inventory/ranges.go
+++ b/internal/inventory/ranges.go
@@ -57,7 +57,8 @@
 			return nil, fmt.Errorf("range [%s]: bad step", text)
 		}
 	}
-	first, last := parts[0], parts[1]
+	first := parts[0]
+	last := parts[1]
 	if isLetter(first) && isLetter(last) {
 		return expandLetters(text, first[0], last[0], step)
 	}
--- a/internal/inventory/yaml.go
+++ b/internal/inventory/yaml.go
@@ -31,7 +31,8 @@
 	}
 	firstLines := map[string]int{} // by key
 	for i := 0; i+1 < len(n.Content); i += 2 {
-		key, value := n.Content[i], n.Content[i+1]
+		key := n.Content[i]
+		value := n.Content[i+1]
 		if first := firstLines[key.Value]; first > 0 {
 			return t.errorAt(key.Line, fmt.Errorf("duplicate name %s, first on line %d", key.Value, first))
 		}
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -64,7 +64,9 @@
 // is set remains, as it is the nearest to the reason.
 func (t *Trace) setComparison(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
-		t.Cause, t.Value, t.Limit = cause, value, limit
+		t.Cause = cause
+		t.Value = value
+		t.Limit = limit
 	}
 }
 
--- a/internal/match/functions.go
+++ b/internal/match/functions.go
@@ -79,7 +79,8 @@
 // buildVariable is var(name): the value of a variable of the request, or an empty text.
 func buildVariable(n *node, arguments []*node) (int, error) {
 	name := arguments[0].evalText(nil)
-	n.resultType, n.maxLength = Text, maxFieldBytes
+	n.resultType = Text
+	n.maxLength = maxFieldBytes
 	n.evalText = func(r *Request) string {
 		value, _ := r.Var(name)
 		return value
@@ -102,15 +103,19 @@
 // there is none among the first maxArguments or it cannot be decoded.
 func buildArgument(n *node, arguments []*node) (int, error) {
 	name := arguments[0].evalText(nil)
-	n.resultType, n.maxLength, n.maxAllocated = Text, maxArgumentBytes, maxArgumentBytes
+	n.resultType = Text
+	n.maxLength = maxArgumentBytes
+	n.maxAllocated = maxArgumentBytes
 	n.evalText = func(r *Request) string { return queryArgument(r.Query, name) }
 	return scanCost(maxFieldBytes) + argumentCost*maxArguments, nil
 }
 
 // buildDefault is default(a, b): the first text, or the second one if the first is empty.
 func buildDefault(n *node, arguments []*node) (int, error) {
-	value, fallback := arguments[0], arguments[1]
-	n.resultType, n.maxLength = Text, max(value.maxLength, fallback.maxLength)
+	value := arguments[0]
+	fallback := arguments[1]
+	n.resultType = Text
+	n.maxLength = max(value.maxLength, fallback.maxLength)
 	n.evalText = func(r *Request) string { return cmp.Or(value.evalText(r), fallback.evalText(r)) }
 	return 1, nil
 }
@@ -120,7 +125,8 @@
 func buildFold(fold func(string) string) func(*node, []*node) (int, error) {
 	return func(n *node, arguments []*node) (int, error) {
 		text := arguments[0]
-		n.resultType, n.maxLength = Text, text.maxLength
+		n.resultType = Text
+		n.maxLength = text.maxLength
 		n.maxAllocated = min(text.maxLength, maxFoldBytes)
 		n.evalText = func(r *Request) string {
 			s := text.evalText(r)
@@ -139,7 +145,8 @@
 	if limit < 0 || limit > maxFieldBytes {
 		return 0, errorAt(arguments[1].offset, "%d is not from 0 to %d", limit, maxFieldBytes)
 	}
-	n.resultType, n.maxLength = Text, min(int(limit), text.maxLength)
+	n.resultType = Text
+	n.maxLength = min(int(limit), text.maxLength)
 	n.evalText = func(r *Request) string {
 		s := text.evalText(r)
 		return s[:min(len(s), int(limit))]
@@ -157,7 +164,8 @@
 	if index < 0 || index > maxPartIndex {
 		return 0, errorAt(arguments[2].offset, "%d is not from 0 to %d", index, maxPartIndex)
 	}
-	n.resultType, n.maxLength = Text, text.maxLength
+	n.resultType = Text
+	n.maxLength = text.maxLength
 	n.evalText = func(r *Request) string { return nthPart(text.evalText(r), separator, int(index)) }
 	return scanCost(text.maxLength) + partCost*int(index), nil
 }
@@ -171,7 +179,8 @@
 
 // buildNumber is number(text, fallback): the decimal number that a text spells, or the fallback.
 func buildNumber(n *node, arguments []*node) (int, error) {
-	text, fallback := arguments[0], arguments[1]
+	text := arguments[0]
+	fallback := arguments[1]
 	n.resultType = Int
 	n.evalInt = func(r *Request) int64 {
 		s := text.evalText(r)
--- a/internal/peers/consensus/heartbeat.go
+++ b/internal/peers/consensus/heartbeat.go
@@ -20,7 +20,8 @@
 		AskedAt: wallclock.MicrosOf(c.cfg.Clock()),
 	}
 	if c.requestedVoterID != 0 {
-		m.RequestedID, m.HasLog = c.requestedVoterID, c.voterID != 0
+		m.RequestedID = c.requestedVoterID
+		m.HasLog = c.voterID != 0
 		for _, voter := range c.cfg.Voters {
 			if voter != c.cfg.Name {
 				m.To = voter
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -63,7 +63,8 @@
 		c.beginTerm()
 	}
 	if c.isLeader = isLeader; !isLeader {
-		c.pendingConfirmations, c.readIndexRequests = nil, nil
+		c.pendingConfirmations = nil
+		c.readIndexRequests = nil
 		clear(c.snapshotPendingSince)
 		return
 	}
@@ -180,7 +181,8 @@
 		return nil
 	}
 	return c.granter.Grants(c.table, c.now, func(name string) time.Duration {
-		m, request := c.table.Member(name), c.leaseRequests[name]
+		m := c.table.Member(name)
+		request := c.leaseRequests[name]
 		if m == nil || request.incarnation != m.Incarnation {
 			return 0
 		}
@@ -241,7 +243,8 @@
 			c.sendConfirmation(request)
 		}
 	}
-	c.readIndexRequests, c.readIndex = nil, 0
+	c.readIndexRequests = nil
+	c.readIndex = 0
 }
 
 func (c *Participant) sendConfirmation(request leaseRequest) {
--- a/internal/peers/consensus/storage.go
+++ b/internal/peers/consensus/storage.go
@@ -151,7 +151,8 @@
 	if !c.voterIDUnsaved {
 		return nil
 	}
-	c.voterIDUnsaved, record.VoterID = false, c.voterID
+	c.voterIDUnsaved = false
+	record.VoterID = c.voterID
 	if c.bootstrapSnapshot == nil {
 		return nil
 	}
@@ -170,7 +171,8 @@
 		if err != nil {
 			return err
 		}
-		record.Snapshot, record.Entries = data, nil
+		record.Snapshot = data
+		record.Entries = nil
 		if err := c.applySnapshot(ready.Snapshot); err != nil {
 			return kindConsensusFailed.New("consensus: apply a snapshot: %w", err)
 		}
@@ -254,7 +256,8 @@
 	if err != nil {
 		return err
 	}
-	record.VoterID, record.Entries = c.voterID, nil
+	record.VoterID = c.voterID
+	record.Entries = nil
 	return c.persistUnapplied(record)
 }
 
--- a/internal/peers/consensus/voter.go
+++ b/internal/peers/consensus/voter.go
@@ -98,13 +98,16 @@
 	if err := c.applySnapshot(first); err != nil {
 		return err
 	}
-	c.voterID, c.bootstrapSnapshot, c.voterIDUnsaved = c.voterPosition(c.cfg.Name), first, true
+	c.voterID = c.voterPosition(c.cfg.Name)
+	c.bootstrapSnapshot = first
+	c.voterIDUnsaved = true
 	return c.startRaft()
 }
 
 // startRaft begins to vote under voterID.
 func (c *Participant) startRaft() error {
-	c.requestedVoterID, c.lastTick = 0, c.now
+	c.requestedVoterID = 0
+	c.lastTick = c.now
 	node, err := raft.NewRawNode(
 		&raft.Config{
 			ID:                        c.voterID,
@@ -168,7 +171,10 @@
 
 // resetLog begins an empty log under a voter ID.
 func (c *Participant) resetLog(voterID uint64) {
-	c.voterID, c.appliedIndex, c.snapshotIndex, c.confState = voterID, 0, 0, nil
+	c.voterID = voterID
+	c.appliedIndex = 0
+	c.snapshotIndex = 0
+	c.confState = nil
 	c.storage = raft.NewMemoryStorage()
 }
 
@@ -178,7 +184,10 @@
 		return
 	}
 	c.voterIDRequests++
-	c.rawNode, c.isLeader, c.bootstrapSnapshot, c.restartedFromDisk = nil, false, nil, false
+	c.rawNode = nil
+	c.isLeader = false
+	c.bootstrapSnapshot = nil
+	c.restartedFromDisk = false
 	c.requestedVoterID = uint64(c.voterIDRequests)<<voterIDRequestsShift |
 		c.self.Incarnation<<positionBits&incarnationMask |
 		c.voterPosition(c.cfg.Name)
--- a/internal/peers/lease/granter.go
+++ b/internal/peers/lease/granter.go
@@ -156,7 +156,8 @@
 			hashRank(r.Name, m.Name),
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
-			best, bestRank = m, rank
+			best = m
+			bestRank = rank
 		}
 	}
 	return best
--- a/internal/peers/lease/health_checks.go
+++ b/internal/peers/lease/health_checks.go
@@ -116,7 +116,8 @@
 	now time.Duration,
 ) {
 	if c.tokens[lease] != token {
-		c.unsent[lease], c.tokens[lease] = nil, token
+		c.unsent[lease] = nil
+		c.tokens[lease] = token
 	}
 	if len(c.unsent[lease]) >= maxReportServers {
 		return
--- a/internal/peers/lease/holder.go
+++ b/internal/peers/lease/holder.go
@@ -72,7 +72,9 @@
 
 // Renew begins another incarnation of this runner's membership.
 func (h *Holder) Renew(incarnation uint64) {
-	h.incarnation, h.confirmedAt, h.confirmations = incarnation, never, nil
+	h.incarnation = incarnation
+	h.confirmedAt = never
+	h.confirmations = nil
 	h.SetTable(h.table)
 }
 
--- a/internal/peers/link/outbound.go
+++ b/internal/peers/link/outbound.go
@@ -68,7 +68,9 @@
 
 // Connected implements eventloop.Handler.
 func (l *outboundLink) Connected() {
-	l.connected, l.downLogged, l.failed = true, false, false
+	l.connected = true
+	l.downLogged = false
+	l.failed = false
 	eventLinkUp.Log(l.peer.Name)
 }
 
--- a/internal/peers/link/transport.go
+++ b/internal/peers/link/transport.go
@@ -208,7 +208,8 @@
 		link.send(f)
 	default:
 		relayed := *f
-		relayed.To, relayed.From = to, t.cfg.Name
+		relayed.To = to
+		relayed.From = t.cfg.Name
 		route.send(&relayed)
 	}
 }
--- a/internal/peers/node/keys.go
+++ b/internal/peers/node/keys.go
@@ -15,7 +15,8 @@
 // more at once.
 func (n *Node) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(replication.Result)) {
 	now := n.loop.Unix()
-	remaining, timeout := k.ExpiresAt.Sub(now), n.cfg.ReplicationTimeout
+	remaining := k.ExpiresAt.Sub(now)
+	timeout := n.cfg.ReplicationTimeout
 	if kind == store.RunEnded { // the lifecycle bounds how long an answer waits for this
 		timeout = max(timeout, remaining)
 	}
--- a/internal/peers/node/status.go
+++ b/internal/peers/node/status.go
@@ -39,7 +39,9 @@
 	}
 	if info.Slot < len(t.Slots) {
 		slot := &t.Slots[info.Slot]
-		s.Epoch, s.Replicas, s.Joining = slot.Epoch, slot.Replicas, slot.Joining
+		s.Epoch = slot.Epoch
+		s.Replicas = slot.Replicas
+		s.Joining = slot.Joining
 	}
 	switch record := info.Record; {
 	case record != nil:
--- a/internal/peers/placement/apply.go
+++ b/internal/peers/placement/apply.go
@@ -54,7 +54,9 @@
 	}
 	// A voter of an older version may have proposed the member without these.
 	if m.Incarnation == c.Member.Incarnation && m.Incarnation != 0 {
-		m.NewestChange, m.KeepsUsage, m.LeaseNames = c.Member.NewestChange, c.Member.KeepsUsage, c.Member.LeaseNames
+		m.NewestChange = c.Member.NewestChange
+		m.KeepsUsage = c.Member.KeepsUsage
+		m.LeaseNames = c.Member.LeaseNames
 	}
 	if m.Incarnation == c.Member.Incarnation || c.Member.Incarnation == 0 ||
 		c.Member.Incarnation == m.PrevIncarnation {
@@ -62,12 +64,14 @@
 	}
 	t.expireLeases(m.Name, m.Incarnation != 0)
 	t.removeFromSlots(m.Name)
-	previous, leaving := m.PrevIncarnation, m.Leaving
+	previous := m.PrevIncarnation
+	leaving := m.Leaving
 	if m.Incarnation != 0 {
 		previous = m.Incarnation
 	}
 	*m = c.Member
-	m.PrevIncarnation, m.Leaving = previous, leaving
+	m.PrevIncarnation = previous
+	m.Leaving = leaving
 	return true
 }
 
@@ -162,7 +166,8 @@
 			s.Joining = nil
 			if name := t.bestReplica(i, counts); name != "" {
 				s.Epoch++
-				s.Replicas, s.EmptyEpoch = []string{name}, s.Epoch
+				s.Replicas = []string{name}
+				s.EmptyEpoch = s.Epoch
 				counts[name]++
 			}
 		}
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -91,7 +91,8 @@
 	if c.Epoch <= l.Seq { // a late change does not replace a newer one
 		return
 	}
-	l.Handover, l.Seq = c.Handover, c.Epoch
+	l.Handover = c.Handover
+	l.Seq = c.Epoch
 	if c.Kind == ChangeReleaseLease {
 		l.Holder, l.Incarnation, l.ReleasedBy = "", 0, l.Holder
 		l.Expirations, _ = withoutExpiration(l.Expirations, c.Member.Name)
@@ -117,7 +118,10 @@
 		return
 	}
 	l.Holder, l.Incarnation, l.Token = m.Name, m.Incarnation, t.GrantToken()
-	l.Abrupt, l.AskedAt, l.Seq, l.ReleasedBy = false, c.AskedAt, 0, ""
+	l.Abrupt = false
+	l.AskedAt = c.AskedAt
+	l.Seq = 0
+	l.ReleasedBy = ""
 }
 
 // expireLeases takes all leases from a member that is lost, or whose name is back in another
@@ -128,7 +132,9 @@
 		if l.Holder != name {
 			continue
 		}
-		l.Holder, l.Incarnation, l.Abrupt = "", 0, abrupt
+		l.Holder = ""
+		l.Incarnation = 0
+		l.Abrupt = abrupt
 		rest, before := withoutExpiration(l.Expirations, name)
 		expirations := append(rest, Expiration{name, before + 1})
 		l.Expirations = expirations[max(len(expirations)-maxExpirations, 0):]
--- a/internal/peers/placement/spread.go
+++ b/internal/peers/placement/spread.go
@@ -26,7 +26,8 @@
 			hashRank(slot, m.Name),
 		}
 		if best == "" || slices.Compare(rank[:], bestRank[:]) < 0 {
-			best, bestRank = m.Name, rank
+			best = m.Name
+			bestRank = rank
 		}
 	}
 	return best
--- a/internal/peers/replication/follower.go
+++ b/internal/peers/replication/follower.go
@@ -17,12 +17,16 @@
 		*r.slotAt(m.Slot) = s
 	}
 	if m.Epoch > s.epoch { // the table that says so is on its way
-		s.epoch, s.isPrimary, s.commitWaiters = m.Epoch, false, nil
+		s.epoch = m.Epoch
+		s.isPrimary = false
+		s.commitWaiters = nil
 	}
 	if s.isPrimary || m.Epoch == t.Epoch && t.Primary() != m.From || s.isStale(m) {
 		return
 	}
-	s.newest.from, s.newest.incarnation, s.newest.serial = m.From, m.Incarnation, m.Serial
+	s.newest.from = m.From
+	s.newest.incarnation = m.Incarnation
+	s.newest.serial = m.Serial
 	hasGap := !m.Reset && m.Base > s.lastSeq
 	if m.Type == MsgProbe || hasGap {
 		r.send(Message{
--- a/internal/peers/replication/primary.go
+++ b/internal/peers/replication/primary.go
@@ -34,7 +34,8 @@
 		if isPrefix {
 			f.ackedSeq = m.Seq
 		}
-		f.probed, f.sentSeq = true, f.ackedSeq
+		f.probed = true
+		f.sentSeq = f.ackedSeq
 		f.needsReset = f.needsReset || !isPrefix
 		f.needsAppend = f.needsAppend || isFirst
 		r.catchUp(m.Slot, s, m.From, f)
@@ -79,7 +80,10 @@
 		}
 	}
 	r.countCatchUp(entries, joins)
-	f.sentSeq, f.lastActive, f.needsReset, f.needsAppend = upTo, r.now, false, false
+	f.sentSeq = upTo
+	f.lastActive = r.now
+	f.needsReset = false
+	f.needsAppend = false
 	r.send(m)
 }
 
@@ -111,7 +115,8 @@
 		if !f.probed || f.sentSeq != s.lastSeq-1 {
 			continue
 		}
-		f.sentSeq, f.lastActive = s.lastSeq, r.now
+		f.sentSeq = s.lastSeq
+		f.lastActive = r.now
 		r.send(Message{
 			Type:       MsgAppend,
 			To:         name,
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -120,7 +120,9 @@
 	r.cfg.Incarnation = incarnation
 	for _, s := range r.slots {
 		if s != nil {
-			s.isPrimary, s.followers, s.commitWaiters = false, nil, nil
+			s.isPrimary = false
+			s.followers = nil
+			s.commitWaiters = nil
 		}
 	}
 }
@@ -180,7 +182,8 @@
 	}
 	info.Held, info.Quarantine = true, max(s.remainingQuarantine(now), 0)
 	if it := s.items[name]; it != nil {
-		info.Record, info.Remaining = &it.record, it.expiresAt-now
+		info.Record = &it.record
+		info.Remaining = it.expiresAt - now
 	}
 	return info
 }
@@ -193,7 +196,9 @@
 // send sends a message. One to this runner itself is handled by drainLoopback.
 func (r *Replica) send(m Message) {
 	r.lastSerial++
-	m.From, m.Incarnation, m.Serial = r.cfg.Name, r.cfg.Incarnation, r.lastSerial
+	m.From = r.cfg.Name
+	m.Incarnation = r.cfg.Incarnation
+	m.Serial = r.lastSerial
 	if m.To == r.cfg.Name {
 		r.loopback = append(r.loopback, m)
 		return
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -98,9 +98,11 @@
 
 // sendPut sends a request to the slot's primary, if there is one.
 func (r *Replica) sendPut(p *pendingPut) {
-	wanted, interval := OutcomeGranted, resendInterval
+	wanted := OutcomeGranted
+	interval := resendInterval
 	if p.watching {
-		wanted, interval = OutcomeOwnedByOther, watchInterval
+		wanted = OutcomeOwnedByOther
+		interval = watchInterval
 	}
 	p.nextSend = r.now + interval
 	t := &r.table.Slots[p.slot]
@@ -172,6 +174,8 @@
 	if p.watching || p.answered {
 		return
 	}
-	p.watching, p.answered, p.abandonAt = true, true, p.expiresAt
+	p.watching = true
+	p.answered = true
+	p.abandonAt = p.expiresAt
 	p.done(result)
 }
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -84,7 +84,11 @@
 
 // reset forgets all records.
 func (s *slot) reset() {
-	s.items, s.bytes, s.lastEpoch, s.lastSeq, s.epochStarts = map[store.KeyName]*item{}, 0, 0, 0, nil
+	s.items = map[store.KeyName]*item{}
+	s.bytes = 0
+	s.lastEpoch = 0
+	s.lastSeq = 0
+	s.epochStarts = nil
 }
 
 // append stores the next record of a primary.
@@ -110,7 +114,10 @@
 		s.bytes -= recordSize(&it.record)
 	}
 	s.bytes += recordSize(e.Record)
-	it.record, it.expiresAt, it.seq, it.epoch = *e.Record, expiresAt, e.Seq, e.Epoch
+	it.record = *e.Record
+	it.expiresAt = expiresAt
+	it.seq = e.Seq
+	it.epoch = e.Epoch
 	return it
 }
 
--- a/internal/peers/usagereplica/primary.go
+++ b/internal/peers/usagereplica/primary.go
@@ -131,7 +131,9 @@
 func (p *Primary) sendSnapshot(name string, r *replicaProgress, now time.Duration) {
 	p.snapshots++
 	r.snapshot, r.snapshotSeq, r.snapshotID = p.encodeLedger(), p.LastSeq(), p.snapshots
-	r.caughtUp, r.nextPart, r.ackedSeq = false, 0, 0
+	r.caughtUp = false
+	r.nextPart = 0
+	r.ackedSeq = 0
 	p.sendSnapshotPart(name, r, now)
 }
 
@@ -157,7 +159,9 @@
 }
 
 func (p *Primary) send(m Message) {
-	m.From, m.Ledger, m.Process = p.name, p.ledger, p.process
+	m.From = p.name
+	m.Ledger = p.ledger
+	m.Process = p.process
 	p.outbox = append(p.outbox, m)
 }
 
@@ -182,7 +186,10 @@
 		r.nextPart = m.Part
 		p.sendSnapshotPart(m.From, r, now)
 	case !r.caughtUp && m.Parts == 0 && m.Seq >= r.snapshotSeq && m.Seq <= p.LastSeq():
-		r.caughtUp, r.snapshot, r.ackedSeq, r.sentSeq = true, nil, m.Seq, m.Seq
+		r.caughtUp = true
+		r.snapshot = nil
+		r.ackedSeq = m.Seq
+		r.sentSeq = m.Seq
 	case r.caughtUp && m.Seq > r.ackedSeq && m.Seq <= p.LastSeq():
 		r.ackedSeq = m.Seq
 	case r.caughtUp && m.Seq == 0: // it does not know the ledger
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -57,7 +57,8 @@
 
 // SetTable takes a newer table, and the incarnation of this runner's membership.
 func (r *Replica) SetTable(t *placement.Table, incarnation uint64, now time.Duration) {
-	r.table, r.incarnation = t, incarnation
+	r.table = t
+	r.incarnation = incarnation
 	r.markLost(now)
 }
 
@@ -179,7 +180,8 @@
 		return
 	}
 	if l.partsID != m.SnapshotID || m.Part == 0 {
-		l.parts, l.partsID = nil, m.SnapshotID
+		l.parts = nil
+		l.partsID = m.SnapshotID
 	}
 	if m.Part == len(l.parts) {
 		l.parts = append(l.parts, m.Bytes)
@@ -203,7 +205,9 @@
 		r.fail(err)
 		return
 	}
-	l.ledger, l.seq, l.snapshotID = decoded, m.Seq, m.SnapshotID
+	l.ledger = decoded
+	l.seq = m.Seq
+	l.snapshotID = m.SnapshotID
 	for s, _ := decoded.NextStatement(); s != nil; s, _ = decoded.NextStatement() {
 		r.statements = append(r.statements, OwnedStatement{l.owner, l.process, s})
 		decoded.MarkExported(s)
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -72,9 +72,12 @@
 	switch r.framing {
 	case framedByLength:
 		data = r.take(b)
-		used, done = len(data), r.remaining == 0
+		used = len(data)
+		done = r.remaining == 0
 	case framedByClose:
-		data, used, done = b, len(b), end
+		data = b
+		used = len(b)
+		done = end
 	default:
 		data, used, done, err = r.nextChunkPart(b)
 	}
--- a/internal/simulator/balance/policy.go
+++ b/internal/simulator/balance/policy.go
@@ -121,7 +121,8 @@
 	if count > 1 {
 		second = (first + 1 + int(b.draw(p.ID, p.attempts, drawSecond)*float64(count-1))) % count
 	}
-	i, j := b.eligible[first], b.eligible[second]
+	i := b.eligible[first]
+	j := b.eligible[second]
 	if b.servers[j].outstanding < b.servers[i].outstanding {
 		return j
 	}
--- a/internal/simulator/cluster/clients.go
+++ b/internal/simulator/cluster/clients.go
@@ -147,7 +147,8 @@
 // submitAgain submits a rejected request again after a jittered Retry-After. It reports whether there
 // is time for that.
 func (r *clientRequest) submitAgain(retryAfter, elapsed time.Duration) bool {
-	s, c := r.simulation, &classes[r.class]
+	s := r.simulation
+	c := &classes[r.class]
 	jitter := virtualclock.FromMicros(s.clients.Float64() * virtualclock.Micros(retryAfter))
 	wait := retryAfter.Truncate(virtualclock.Resolution) + jitter
 	enoughTime := elapsed+wait+virtualclock.FromMillis(c.Work) < virtualclock.FromMillis(c.Deadline)
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -61,9 +61,11 @@
 		DaysB: make([]*Result, days),
 	}
 	err := compare.ParallelEach(ctx, workers, 2*days, func(i int) (err error) {
-		mode, results := a, c.DaysA
+		mode := a
+		results := c.DaysA
 		if i%2 == 1 {
-			mode, results = b, c.DaysB
+			mode = b
+			results = c.DaysB
 		}
 		results[i/2], err = Play(spec, seed+uint64(i/2), mode)
 		done()
--- a/internal/simulator/cluster/leastbusy.go
+++ b/internal/simulator/cluster/leastbusy.go
@@ -61,7 +61,8 @@
 			load += avoidPenalty
 		}
 		if load < least {
-			best, least = s, load
+			best = s
+			least = load
 		}
 	}
 	if best == nil {
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -73,7 +73,8 @@
 		config.ConcurrencyLimit.Initial = maxRequestsPerServer
 		config.ConcurrencyLimit.Min = maxRequestsPerServer
 	case modeNoBudget:
-		config.Retry.Ratio, config.Retry.MinTokens = 1, 1e9
+		config.Retry.Ratio = 1
+		config.Retry.MinTokens = 1e9
 	case modeNoLatency:
 		config.Health.LatencyFactor = 0
 	case replacedMode:
--- a/internal/simulator/cluster/result.go
+++ b/internal/simulator/cluster/result.go
@@ -127,7 +127,8 @@
 		Changes:  picker.StateChanges(),
 		Worst:    1,
 	}
-	offered, earned := 0.0, 0.0
+	offered := 0.0
+	earned := 0.0
 	for i, weight := range s.offeredWeight {
 		offered += weight
 		earned += s.earnedWeight[i]
--- a/internal/simulator/cluster/simulation.go
+++ b/internal/simulator/cluster/simulation.go
@@ -187,7 +187,8 @@
 			Idempotency:        admission.Idempotent,
 		}
 		if c.Keyed {
-			class.Idempotency, class.IdempotencyWindow = admission.IdempotentWithKey, 13*time.Second
+			class.Idempotency = admission.IdempotentWithKey
+			class.IdempotencyWindow = 13 * time.Second
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -106,7 +106,8 @@
 	pairs := make([]Pair, to-from)
 	progress := progressOf(plan, 2*from)
 	err := ParallelEach(ctx, max(plan.Workers, 1), 2*len(pairs), func(i int) (err error) {
-		pair, seed := &pairs[i/2], plan.Seed+uint64(from+i/2)
+		pair := &pairs[i/2]
+		seed := plan.Seed + uint64(from+i/2)
 		if i%2 == 0 {
 			pair.Seed = seed
 			pair.A, err = a.Play(ctx, seed, 0)
--- a/internal/simulator/compare/estimate.go
+++ b/internal/simulator/compare/estimate.go
@@ -79,7 +79,8 @@
 
 // estimate estimates the difference of a figure over the pairs.
 func estimate(m Metric, pairs []Pair, alpha float64) Estimate {
-	a, b := make([]float64, len(pairs)), make([]float64, len(pairs))
+	a := make([]float64, len(pairs))
+	b := make([]float64, len(pairs))
 	for i, p := range pairs {
 		a[i], b[i] = m.Of(p.A), m.Of(p.B)
 	}
@@ -99,7 +100,8 @@
 	if math.IsInf(half, 1) {
 		half = math.MaxFloat64 // JSON has no infinity
 	}
-	e.Lo, e.Hi = e.Diff-half, e.Diff+half
+	e.Lo = e.Diff - half
+	e.Hi = e.Diff + half
 	e.Shown = verdict(e, direction)
 	return e
 }
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -168,7 +168,8 @@
 	for _, c := range d.Spec.Classes {
 		shares += c.Share
 	}
-	keyedShare, windowS := 0.0, 0.0
+	keyedShare := 0.0
+	windowS := 0.0
 	for _, c := range d.Spec.Classes {
 		if c.Effect == EffectKeyed {
 			keyedShare += c.Share / shares
@@ -182,7 +183,8 @@
 func (d *Day) drawBackend() {
 	spec := &d.Spec.BackEnd
 	r := Stream(d.Seed, "backend", 0)
-	calls, shares := 0.0, 0.0
+	calls := 0.0
+	shares := 0.0
 	for i, c := range d.Spec.Classes {
 		calls += c.Share * d.MeanCalls[i]
 		shares += c.Share
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -121,7 +121,8 @@
 		Balancer: int(recorded.Caller) % len(d.Balancers),
 	}
 	draws.draw(&a, Stream(d.Seed, "request", id))
-	a.SizeKB, a.Rank = float64(recorded.SizeKB), float64(recorded.Rank)
+	a.SizeKB = float64(recorded.SizeKB)
+	a.Rank = float64(recorded.Rank)
 	if !(a.SizeKB > 0) {
 		a.SizeKB = d.HoldKB
 	}
--- a/internal/simulator/day/schema.go
+++ b/internal/simulator/day/schema.go
@@ -26,6 +26,7 @@
 func Schema() *jsonschema.Schema {
 	r := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
 	s := r.Reflect(&Spec{})
-	s.Title, s.Required = "A day of the lab", []string{"name", "balancers"}
+	s.Title = "A day of the lab"
+	s.Required = []string{"name", "balancers"}
 	return s
 }
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -24,14 +24,16 @@
 		if len(two) != 2 || two[0] > two[1] {
 			return fmt.Errorf("line %d: a range is [least, most]", n.Line)
 		}
-		r.Lo, r.Hi = two[0], two[1]
+		r.Lo = two[0]
+		r.Hi = two[1]
 		return nil
 	}
 	var v float64
 	if err := n.Decode(&v); err != nil {
 		return err
 	}
-	r.Lo, r.Hi = v, v
+	r.Lo = v
+	r.Hi = v
 	return nil
 }
 
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -332,7 +332,8 @@
 	}
 	m.dead = true
 	m.cores.clear()
-	m.unread, m.runs = nil, map[string]*run{}
+	m.unread = nil
+	m.runs = map[string]*run{}
 	m.observer.Died(why)
 }
 
--- a/internal/simulator/dependencies/processor.go
+++ b/internal/simulator/dependencies/processor.go
@@ -186,6 +186,7 @@
 	for _, j := range s.jobs {
 		j.index = -1
 	}
-	s.jobs, s.finished = nil, nil
+	s.jobs = nil
+	s.finished = nil
 	s.schedule()
 }
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -25,7 +25,8 @@
 
 func (s *Simulation) newBalancer(i int) *balancer {
 	drawn := s.day.Balancers[i]
-	kind, followsAdvice := s.day.Spec.Balancers[drawn.Kind], drawn.FollowsAdvice
+	kind := s.day.Spec.Balancers[drawn.Kind]
+	followsAdvice := drawn.FollowsAdvice
 	if s.options.BalancerKinds != nil { // the draw stays that of the day, with another share
 		kind = s.options.BalancerKinds[drawn.Kind]
 		followsAdvice = day.Unit(s.day.Seed, "heeds", uint64(i)) < kind.Heeds
@@ -97,7 +98,8 @@
 
 // Abort implements balance.Transport. The runner learns of it after a delay, or never.
 func (b *balancer) Abort(t *balance.Attempt) {
-	s, a := b.simulation, b.attempts[t]
+	s := b.simulation
+	a := b.attempts[t]
 	delete(b.attempts, t)
 	if a == nil {
 		return
@@ -152,7 +154,8 @@
 
 // Finish implements balance.Transport.
 func (b *balancer) Finish(r *balance.Request, outcome balance.Outcome, _ *balance.Attempt) {
-	s, arrival := b.simulation, b.arrivals[r.ID]
+	s := b.simulation
+	arrival := b.arrivals[r.ID]
 	delete(b.arrivals, r.ID)
 	s.account.EndRequest(r.ID, causes[outcome], s.now()-arrival.At)
 	if outcome == balance.EndServed {
--- a/internal/simulator/fleet/incarnation.go
+++ b/internal/simulator/fleet/incarnation.go
@@ -127,7 +127,8 @@
 
 // Died implements dependencies.MachineObserver: the incarnation is over, and its connections break.
 func (in *Incarnation) Died(why string) {
-	r, s := in.runner, in.runner.simulation
+	r := in.runner
+	s := in.runner.simulation
 	in.dead = true
 	r.incarnation = nil
 	r.workDone += in.machine.WorkDone()
--- a/internal/simulator/fleet/inprocess.go
+++ b/internal/simulator/fleet/inprocess.go
@@ -193,7 +193,8 @@
 
 // Call implements lifecycle.Dependency.
 func (p *inProcessRunner) Call(run *lifecycle.Attempt, _ []byte, timeout time.Duration) {
-	s, h := p.simulation, p.requests[run.Request.ID]
+	s := p.simulation
+	h := p.requests[run.Request.ID]
 	c := &dependencyCall{startedAt: s.clock.Now()}
 	h.call = c
 	end := func(outcome lifecycle.Outcome) {
--- a/internal/simulator/fleet/simulation.go
+++ b/internal/simulator/fleet/simulation.go
@@ -192,7 +192,8 @@
 
 // Begin begins the day at a Unix time, with all runners listed.
 func (s *Simulation) Begin(at wallclock.UnixMicro) {
-	s.origin, s.unixOrigin = s.clock.Now(), at
+	s.origin = s.clock.Now()
+	s.unixOrigin = at
 	for _, r := range s.runners {
 		for _, b := range s.balancers {
 			b.policy.SetListed(r.index, true)
--- a/internal/simulator/ledger/result.go
+++ b/internal/simulator/ledger/result.go
@@ -240,7 +240,8 @@
 	mean := r.All.Asked / float64(len(r.Series)) * float64(n)
 	worst := math.Inf(1)
 	for i := 1; i+n <= len(r.Series); i++ {
-		asked, earned := 0.0, 0.0
+		asked := 0.0
+		earned := 0.0
 		for _, s := range r.Series[i : i+n] {
 			asked += s.Asked
 			earned += s.Got
--- a/internal/simulator/variant/schema.go
+++ b/internal/simulator/variant/schema.go
@@ -15,7 +15,8 @@
 func Schema() *jsonschema.Schema {
 	reflector := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
 	schema := reflector.Reflect(&Variant{})
-	schema.Title, schema.Required = "Differences to try out on a day of the lab", []string{"name"}
+	schema.Title = "Differences to try out on a day of the lab"
+	schema.Required = []string{"name"}
 	schema.Properties.Set("figures", parametersSchema())
 	kind := reflector.Reflect(&day.BalancerKind{})
 	kind.Version = ""
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -102,7 +102,8 @@
 
 // bounds lists the values of the file, in the order in which they are checked.
 func (v *Variant) bounds() []bounded {
-	s, limits := &v.Settings, &v.Limits
+	s := &v.Settings
+	limits := &v.Limits
 	return []bounded{
 		{"settings.cores", float64(s.Cores), 1, 1024},
 		{"settings.servers", float64(s.Servers), 1, 2000},
--- a/internal/simulator/virtualclock/scheduler.go
+++ b/internal/simulator/virtualclock/scheduler.go
@@ -135,11 +135,15 @@
 	s.put(i, e)
 }
 
-func (s *Scheduler) put(i int, e *event) { s.heap[i], e.index = e, i }
+func (s *Scheduler) put(i int, e *event) {
+	s.heap[i] = e
+	e.index = i
+}
 
 // remove takes the event at index i out of the heap.
 func (s *Scheduler) remove(i int) {
-	removed, last := s.heap[i], len(s.heap)-1
+	removed := s.heap[i]
+	last := len(s.heap) - 1
 	moved := s.heap[last]
 	s.heap[last] = nil
 	s.heap = s.heap[:last]
--- a/internal/telemetry/explain/request_log.go
+++ b/internal/telemetry/explain/request_log.go
@@ -75,7 +75,8 @@
 		if elapsed >= 2*time.Second || clockSetBack {
 			m.previous = 0
 		}
-		m.since, m.count = now, 0
+		m.since = now
+		m.count = 0
 	}
 	m.count++
 	return max(m.previous, m.count)
@@ -176,7 +177,8 @@
 	for _, s := range r.order {
 		use := float64(len(s.entries)) / s.weight
 		if len(s.entries) > 0 && (worst == nil || use > highest) {
-			worst, highest = s, use
+			worst = s
+			highest = use
 		}
 	}
 	worst.dropFirst()
--- a/internal/telemetry/logging/event.go
+++ b/internal/telemetry/logging/event.go
@@ -64,7 +64,9 @@
 	defer e.mu.Unlock()
 	if now.Sub(e.since) >= time.Second {
 		suppressed = e.suppressed
-		e.since, e.passed, e.suppressed = now, 0, 0
+		e.since = now
+		e.passed = 0
+		e.suppressed = 0
 	}
 	e.passed++
 	if e.passed > e.rateLimit {
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -80,7 +80,8 @@
 
 // Observe counts a request that was answered. Its ID goes with the latency as an exemplar.
 func (m *Metrics) Observe(t *lifecycle.Trace) {
-	class, status := m.className(t.Class), m.statusNames[t.Status]
+	class := m.className(t.Class)
+	status := m.statusNames[t.Status]
 	observe(m.latency.WithLabelValues(class, status), t.AnsweredAt.Sub(t.ArrivedAt), t.ID)
 	if t.StartedAt > 0 {
 		observe(m.wait.WithLabelValues(class), t.StartedAt.Sub(t.ArrivedAt), t.ID)
--- a/internal/telemetry/tracing/file.go
+++ b/internal/telemetry/tracing/file.go
@@ -31,7 +31,8 @@
 	if err != nil {
 		return fmt.Errorf("traces: %w", err)
 	}
-	f.file, f.size = file, 0
+	f.file = file
+	f.size = 0
 	return nil
 }
 
--- a/internal/telemetry/traffic/read.go
+++ b/internal/telemetry/traffic/read.go
@@ -72,7 +72,8 @@
 		id.key = q.KeyHash
 		return id, true
 	}
-	id.caller, id.body = q.Caller, q.BodyHash
+	id.caller = q.Caller
+	id.body = q.BodyHash
 	return id, q.BodyHash != 0
 }
 
--- a/internal/testing/crashfs/crashfs.go
+++ b/internal/testing/crashfs/crashfs.go
@@ -73,14 +73,19 @@
 func (d *Disk) IsCrashed() bool { return d.crashed }
 
 // Kill ends the process that uses the disk, but not the machine: all operations are kept.
-func (d *Disk) Kill() { d.locked, d.crashed, d.CrashAt = false, false, 0 }
+func (d *Disk) Kill() {
+	d.locked = false
+	d.crashed = false
+	d.CrashAt = 0
+}
 
 // Crash simulates a loss of power. The disk then holds a possible state after it.
 func (d *Disk) Crash() {
 	after := map[string]*inode{}
 	// Each change of a name since the last SyncDir is kept or lost.
 	for name := range union(d.names, d.durable) {
-		now, was := d.names[name], d.durable[name]
+		now := d.names[name]
+		was := d.durable[name]
 		if now != was && d.rand.IntN(2) == 0 {
 			now = was
 		}
@@ -97,7 +102,9 @@
 		}
 	}
 	d.names, d.durable = after, maps.Clone(after)
-	d.locked, d.crashed, d.CrashAt = false, false, 0
+	d.locked = false
+	d.crashed = false
+	d.CrashAt = 00
 }
 
 // union returns the names of both maps.
--- a/internal/testing/faultlink/faultlink.go
+++ b/internal/testing/faultlink/faultlink.go
@@ -94,7 +94,12 @@
 }
 
 // Heal ends all faults and cuts.
-func (l *Link) Heal() { l.update(func() { l.cut, l.faults = false, [2]Fault{} }) }
+func (l *Link) Heal() {
+	l.update(func() {
+		l.cut = false
+		l.faults = [2]Fault{}
+	})
+}
 
 // Open returns the number of open connections.
 func (l *Link) Open() int {
@@ -206,7 +211,8 @@
 
 // nextStep returns how many of n bytes are forwarded next, and after which pause.
 func (f Fault) nextStep(n int) (step int, pause time.Duration) {
-	step, pause = n, f.Delay
+	step = n
+	pause = f.Delay
 	if f.BytesPerSecond > 0 {
 		step = min(n, max(int(float64(f.BytesPerSecond)*rateInterval.Seconds()), 1))
 		pause += time.Duration(float64(step) / float64(f.BytesPerSecond) * float64(time.Second))
@@ -222,7 +228,9 @@
 func (l *Link) awaitPassage(way int) (Fault, bool) {
 	for {
 		l.mu.Lock()
-		f, over, change := l.faults[way], l.closed || l.cut, l.changed
+		f := l.faults[way]
+		over := l.closed || l.cut
+		change := l.changed
 		l.mu.Unlock()
 		if over || !f.Stall {
 			return f, !over
--- a/internal/testing/historychecker/history.go
+++ b/internal/testing/historychecker/history.go
@@ -109,7 +109,8 @@
 var Model = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
-		written, response := state.(string), output.(Response)
+		written := state.(string)
+		response := output.(Response)
 		switch response.Outcome {
 		case Served:
 			return written == "" || written == response.Result, response.Result
--- a/internal/testing/scenario/balancer.go
+++ b/internal/testing/scenario/balancer.go
@@ -44,7 +44,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.conn, err = net.Dial("tcp", b.addr); err == nil {
-		b.ended, b.stdout = false, map[uint16][]byte{}
+		b.ended = false
+		b.stdout = map[uint16][]byte{}
 		go b.read(b.conn)
 	}
 	return err
--- a/internal/testing/scenario/engine.go
+++ b/internal/testing/scenario/engine.go
@@ -71,7 +71,8 @@
 		_, err := io.WriteString(e.conn, e.notices[len(e.notices)-1])
 		return err
 	case "done":
-		m["t"], m["status"] = "DONE", words[2]
+		m["t"] = "DONE"
+		m["status"] = words[2]
 		m["b64"] = []byte(strings.Join(words[3:], " "))
 	case "need":
 		m["t"], m["b64"] = "NEED", []byte(strings.Join(words[2:], " "))
--- a/internal/testing/simcluster/node.go
+++ b/internal/testing/simcluster/node.go
@@ -41,7 +41,10 @@
 // start starts a process.
 func (n *Node) start(disk any) {
 	n.Cluster.incarnations++
-	n.Up, n.Incarnation, n.stops, n.heldCalls = true, n.Cluster.incarnations, 0, nil
+	n.Up = true
+	n.Incarnation = n.Cluster.incarnations
+	n.stops = 0
+	n.heldCalls = nil
 	n.Cluster.options.Start(n, disk)
 }
 
@@ -89,7 +92,8 @@
 // Every calls fn in this process at an interval. Of the calls that fall into a time in which the process
 // is held, one is made afterwards.
 func (n *Node) Every(interval time.Duration, fn func()) {
-	incarnation, pending := n.Incarnation, false
+	incarnation := n.Incarnation
+	pending := false
 	var tick func()
 	tick = func() {
 		if n.Incarnation != incarnation || !n.Up {
@@ -167,7 +171,8 @@
 	}
 	n.Cluster.log("%s crashes, back in %d ms with disk %d", n.Name, restartAfter.Milliseconds(), disk)
 	n.previousDisk, n.savedDisk = n.savedDisk, n.Cluster.options.Save(n)
-	n.Up, n.heldCalls = false, nil
+	n.Up = false
+	n.heldCalls = nil
 	n.Cluster.After(restartAfter, func() { n.start(n.diskIn(disk)) })
 }
 
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -89,7 +89,8 @@
 func (x *exchange) startStreaming() {
 	x.isStreaming = true
 	result := *x.result
-	result.Body, result.Stream = x.body, x
+	result.Body = x.body
+	result.Stream = x
 	hasReader := x.group.sink.ResponseStarted(x.attempt, &result)
 	if !hasReader && x.attempt.Idempotent {
 		x.end(lifecycle.Cancelled, nil)
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -145,7 +145,8 @@
 	known, ok := l.keys[r.Key]
 	switch {
 	case ok && at < known.ExpiresAt, r.KnownDuplicate && at < l.unlistedUntil:
-		r.Outcome, r.Work = OutcomeDuplicate, 0
+		r.Outcome = OutcomeDuplicate
+		r.Work = 0
 	case len(l.keys) >= l.settings.MaxKeys:
 		l.unlistedKeys++
 		l.unlistedUntil = max(l.unlistedUntil, r.KeyExpiresAt)
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -84,7 +84,8 @@
 // made, the one that supersedes the others counts.
 func (r *reconciler) collect(s *Statement) error {
 	if r.period == 0 {
-		r.period, r.slice = s.Period, s.Slice
+		r.period = s.Period
+		r.slice = s.Slice
 	}
 	if s.Period != r.period || s.Slice != r.slice {
 		return kindIncompatible.New(
--- a/internal/usage/ledger/seal.go
+++ b/internal/usage/ledger/seal.go
@@ -80,7 +80,8 @@
 		Final:          final,
 	}
 	if final {
-		s.Format, s.Steps = finalFormatVersion, l.steps
+		s.Format = finalFormatVersion
+		s.Steps = l.steps
 	}
 	for k, line := range l.lines {
 		if k.period < to {
--- a/internal/usage/ledger/state.go
+++ b/internal/usage/ledger/state.go
@@ -135,7 +135,8 @@
 	if err := s.check(settings); err != nil {
 		return nil, 0, err
 	}
-	settings.Period, settings.Slice = s.Period, s.Slice
+	settings.Period = s.Period
+	settings.Slice = s.Slice
 	l := New(settings, s.Incarnation, 0)
 	l.lastSeq = s.LastSeq
 	l.lastDigest = s.LastDigest
--- a/internal/usage/metering/mailbox.go
+++ b/internal/usage/metering/mailbox.go
@@ -65,6 +65,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	messages, exported = b.messages, b.exported
-	b.messages, b.exported = nil, nil
+	b.messages = nil
+	b.exported = nil
 	return messages, exported, b.view
 }
--- a/internal/usage/metering/replication.go
+++ b/internal/usage/metering/replication.go
@@ -51,7 +51,8 @@
 			statements = append(statements, name)
 		}
 	}
-	m.replication, m.remoteDone = c, make(chan struct{})
+	m.replication = c
+	m.remoteDone = make(chan struct{})
 	if err := m.enqueue(func(a *accountStore) { a.publisher = newPublisher(m.name, c.Process, a) }); err != nil {
 		return err
 	}
--- a/internal/yamldoc/yamldoc.go
+++ b/internal/yamldoc/yamldoc.go
@@ -82,13 +82,15 @@
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
 		if n, what, ok := strings.Cut(rest, ": "); ok {
 			if line, err := strconv.Atoi(n); err == nil {
-				e.Line, e.Reason = line, what
+				e.Line = line
+				e.Reason = what
 			}
 		}
 	}
 	if rest, ok := strings.CutPrefix(e.Reason, "field "); ok {
 		if name, what, ok := strings.Cut(rest, " "); ok {
-			e.Field, e.Reason = name, what
+			e.Field = name
+			e.Reason = what
 			if strings.HasPrefix(what, "not found") {
 				e.Reason = "unknown"
 			}
@@ -111,7 +113,8 @@
 // Line returns the line of a field such as routes.0.class, or of the innermost part of it that
 // exists.
 func (d *Document) Line(field string) int {
-	node, line := &d.root, 1
+	node := &d.root
+	line := 1
 	if len(node.Content) > 0 {
 		node = node.Content[0]
 	}
@@ -120,7 +123,8 @@
 		if value == nil {
 			return line
 		}
-		node, line = value, key.Line
+		node = value
+		line = key.Line
 	}
 	return line
 }
@@ -136,7 +140,8 @@
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(node.Content); i += 2 {
 			if node.Content[i].Value == part {
-				key, value = node.Content[i], node.Content[i+1]
+				key = node.Content[i]
+				value = node.Content[i+1]
 			}
 		}
 	}
