--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// ActionKind names what the host is to do.
+// ActionKind says what the host has to do.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions.
 const (
 	ActionNone        ActionKind = iota
 	ActionStart                  // run a queued request
 	ActionReject                 // final answer: rejected, it never ran
-	ActionFail                   // final answer: an error, without a promise of whether it ran
+	ActionFail                   // final answer: an error; the request may have run
 	ActionCancel                 // cancel a run
-	ActionPlaceCall              // place the awaited call, which ends after Duration
-	ActionOmitCall               // go on without the call
+	ActionPlaceCall              // place the call that the run waits for, with Duration as its timeout
+	ActionOmitCall               // continue the run without its call
 	ActionRememberKey            // remember the request's key for Duration
 	ActionForgetKey              // drop the remembered key
 	ActionReuseResult            // answer with the result of the request that this one repeats
-	ActionSetHealth              // answer health checks with Healthy
+	ActionSetHealth              // answer health checks by Healthy
 	ActionAdvertise              // send Value with every answer, in the form of Settings.CreditMode
 	ActionCloseIdle              // close connections that are idle for Duration
 	ActionTimer                  // report EventTimer with Token after Duration
 	ActionLog                    // write Text to the log
 )
 
-// Cause is why a request is answered without a result. The comments name what Action.Value and
-// Action.Limit hold.
+// Cause is why a request is answered without a result. The comment of a cause that sets Action.Value
+// and Action.Limit ends with what they hold.
 type Cause uint8
 
 // The causes.
 const (
 	CauseNone                 Cause = iota
-	CauseDraining                   // arrived after the drain's grace; seconds since its begin
+	CauseDraining                   // arrived after Settings.DrainGrace; seconds since the drain began
 	CauseMemory                     // no memory to queue it; kB
 	CauseDeadlineTooNear            // its deadline was too near when it was read; seconds left
-	CauseCallQueue                  // too many wait for calls; seconds of expected wait
-	CauseQueueingDelay              // queueing delay is past what is accepted; seconds
+	CauseCallQueue                  // too many requests wait for calls; seconds of estimated wait
+	CauseQueueingDelay              // its queueing delay is past the limit; seconds
 	CauseObjectiveUnreachable       // its latency objective cannot be met any more
 	CauseQuota                      // beyond its tenant's quota; seconds of queueing delay
 	CauseKeyMemory                  // no memory for its idempotency key; kB
@@ -44,15 +44,15 @@
 	CauseCancelled                  // its run was cancelled
 )
 
-// Action is one thing for the host to do, in the order written.
+// Action is one step that the host has to carry out, in the order in which Handle returns them.
 type Action struct {
 	Kind     ActionKind
 	Request  uint64
-	Duration time.Duration // ActionReject: Retry-After; see the other kinds
+	Duration time.Duration // ActionReject: Retry-After; for other kinds see ActionKind
 	NoRetry  bool          // ActionReject: ask the caller not to retry elsewhere
-	Static   bool          // ActionSetHealth: answer checks from this setting alone
+	Static   bool          // ActionSetHealth: answer health checks by Healthy alone
 	Healthy  bool          // ActionSetHealth
-	Value    float64       // ActionAdvertise; ActionReject, ActionFail: what the cause measured
+	Value    float64       // ActionAdvertise: the credit; ActionReject, ActionFail: the measured value
 	Token    uint64        // ActionTimer
 	Text     string        // ActionLog
 	Cause    Cause         // ActionReject, ActionFail
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// arrivalWeight is the weight of one arrival in the shares of arrivals. The moving averages so
-// cover about the last 50 arrivals.
+// arrivalWeight is the weight of one arrival in the moving averages over arrivals, which thus cover
+// about the last 50 arrivals.
 const arrivalWeight = 0.02
 
-// fullRejectedShare is the share of rejected arrivals from which all servers count as full.
+// fullRejectedShare is the share of rejected arrivals from which all servers count as saturated.
 const fullRejectedShare = 0.5
 
-// arrivalStatistics describes the requests that the server reads. Shares are moving averages over
-// arrivals, from 0 to 1.
+// arrivalStatistics describes the requests that the server reads. Shares are exponential moving
+// averages over arrivals, from 0 to 1.
 type arrivalStatistics struct {
-	retryShare    float64 // retries and hedged requests
-	rejectedShare float64
-	// readDelay is the mean queueing delay before a request is read, in nanoseconds. It is a moving
-	// average over arrivals that also fades by control periods.
+	retryShare    float64 // share of retries and hedged requests
+	rejectedShare float64 // share of rejected arrivals
+	// readDelay is the mean queueing delay before a request is read, in nanoseconds: a moving average
+	// over arrivals that also decays with each control period.
 	readDelay float64
-	recent    float64 // requests read, in a sum that fades by control periods
+	recent    float64 // requests read recently: a sum that decays with each control period
 	total     float64 // requests read since the start
-	// fleetSaturation is how full the other servers are expected to be, from 0 to 1.
+	// fleetSaturation estimates how saturated the other servers are, from 0 to 1.
 	fleetSaturation float64
 }
 
-// updateFleetSaturation estimates how full the other servers are from the share of requests that
-// this one rejects. While the cores are not busy requests queue for the dependency, which is the
-// same for all servers.
+// updateFleetSaturation estimates how saturated the other servers are from the share of requests
+// that this one rejects. While the cores are not busy, requests can only queue for the dependency,
+// which all servers call, so the others count as fully saturated.
 func (c *Controller) updateFleetSaturation() {
 	c.arrivals.fleetSaturation = min(c.arrivals.rejectedShare/fullRejectedShare, 1)
 	if !c.coresBusy() {
@@ -73,7 +73,7 @@
 		r.sizeKB = e.SizeKB
 	}
 	c.arrivals.readDelay += runTimeWeight * (float64(c.now-r.arrivedAt) - c.arrivals.readDelay)
-	r.deadline = c.now // a request of an unknown class is rejected for its deadline
+	r.deadline = c.now // rejects a request of an unknown class, as its deadline is too near
 	if e.Class >= 0 && e.Class < len(c.queues) {
 		r.class = e.Class
 		r.deadline = e.Deadline
@@ -86,14 +86,14 @@
 	r.isRetry = e.Retry || !c.settings.MarksRetries && age > 0
 	r.objectiveAt = r.arrivedAt + class.LatencyObjective +
 		time.Duration(class.ObjectiveWorkFactor*float64(r.expectedWork))
-	if r.isRetry { // the objective counts from the first attempt
+	if r.isRetry { // the latency objective starts at the first attempt
 		r.objectiveAt -= age
 	}
 	r.objectiveAt = min(r.objectiveAt, r.deadline)
 	return r
 }
 
-// unacceptable reports whether r cannot be taken at all, whatever the load, and why.
+// unacceptable reports whether r has to be rejected whatever the load of the cores, and why.
 func (c *Controller) unacceptable(r *request) (reason, bool) {
 	switch {
 	case c.arrivedAfterDrain(r):
@@ -107,9 +107,10 @@
 	return reason{}, false
 }
 
-// admit queues an arrival unless the server is saturated and the request is past the queueing delay
-// that is accepted, cannot meet its objective, or is beyond its tenant's quota. Rejection past a
-// multiple of the delay target is the AQM of Breakwater, section 3.2.3.
+// admit queues or rejects an arrival. It rejects a request that would wait too long for its call
+// and, while the server is saturated, a request whose queueing delay is past RejectDelayFactor times
+// the target, that cannot meet its objective, or that is beyond its tenant's quota and past the
+// target. Rejection past a multiple of the delay target is the AQM of Breakwater, section 3.2.3.
 func (c *Controller) admit(r *request, e *Event) {
 	delay := max(c.queueingDelay(r.class), c.now-r.arrivedAt)
 	target := c.delayTarget(r.class)
@@ -120,8 +121,8 @@
 	saturated := c.saturated(r.class)
 	switch {
 	case c.callQueueTooLong(r):
-		// The dependency is the same for all servers, so that a retry elsewhere does not help.
-		// Requests that need no call are still accepted, so that Retry-After is the shortest one.
+		// All servers call the same dependency, so a retry elsewhere does not help. Requests that
+		// need no call are still accepted, so Retry-After is the shortest one.
 		class := &c.settings.Classes[r.class]
 		c.reject(r, retryHint{noRetry: true}, reason{CauseCallQueue, c.estimatedCallWait(r.class).Seconds(),
 			c.parameters.CallQueueShare * class.LatencyObjective.Seconds()})
@@ -138,8 +139,8 @@
 	}
 }
 
-// countArrival updates the shares of retries and rejections for one more arrival, which is not
-// rejected yet.
+// countArrival updates the shares of retries and rejections for one more arrival. If it is
+// rejected, reject adds its weight to the share.
 func (c *Controller) countArrival(r *request) {
 	c.arrivals.retryShare *= 1 - arrivalWeight
 	c.arrivals.rejectedShare *= 1 - arrivalWeight
@@ -148,16 +149,16 @@
 	}
 }
 
-// retryDelayTarget is the delay target of a marked retry: a part of its class's target that shrinks
-// to 0 in a retry storm. A retry may have failed because it takes long, and retries must not
-// displace first attempts.
+// retryDelayTarget is the delay target of a marked retry: a share of its class's target that falls
+// to 0 as the share of retries reaches RetryStormShare. The first attempt may have failed because
+// the request takes long, and retries must not displace first attempts.
 func (c *Controller) retryDelayTarget(target time.Duration) time.Duration {
 	belowStorm := max(1-c.arrivals.retryShare/c.parameters.RetryStormShare, 0)
 	return time.Duration(c.parameters.RetryTargetShare * belowStorm * float64(target))
 }
 
-// callQueueTooLong reports whether r would wait for the dependency for too large a part of its
-// latency objective, while the cores are not busy.
+// callQueueTooLong reports whether, while the cores are not busy, r would wait for its call longer
+// than CallQueueShare of its latency objective.
 func (c *Controller) callQueueTooLong(r *request) bool {
 	class := &c.settings.Classes[r.class]
 	return class.CallsDependency && !c.coresBusy() &&
@@ -170,5 +171,6 @@
 	return r.isRetry || c.arrivals.retryShare > c.parameters.FewRetriesShare || c.arrivals.fleetSaturation >= 1
 }
 
-// saturated reports a lack of capacity for a class: busy cores, or a queue for the dependency.
+// saturated reports whether capacity is short for a class: the cores are busy, or its calls queue
+// for the dependency.
 func (c *Controller) saturated(class int) bool { return c.coresBusy() || c.callsCongested(class) }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A rejected request carries Retry-After; otherwise its client would retry at once.
+// A rejection has a Retry-After of at least tickInterval; otherwise the client would retry at once.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	late := h.arrival(1, 0)
 	late.Deadline = h.now + ms
 	if a := h.requireAction(h.advance(0, late), ActionReject, 1); a.Duration < tickInterval {
-		t.Fatalf("Retry-After of %v", a.Duration)
+		t.Fatalf("Retry-After = %v, want at least tickInterval", a.Duration)
 	}
 }
 
-// Many retries among the arrivals show that other servers reject too. Then a rejected first attempt
-// is not to be retried elsewhere either.
+// Many retries among the arrivals show that other servers reject requests too. A rejected first
+// attempt must then not be retried elsewhere.
 func TestRejectionForbidsRetryAmongManyRetries(t *testing.T) {
 	noRetry := func(retryPercent int) bool {
 		h := newHarness(t, nil)
@@ -27,17 +27,17 @@
 			h.advance(ms, e, completed(id))
 		}
 		e := h.arrival(500, 0)
-		e.QueueingDelay = 1500 * ms // read far too late
+		e.QueueingDelay = 1500 * ms // far past the accepted delay
 		return h.requireAction(h.advance(0, e), ActionReject, 500).NoRetry
 	}
 	if noRetry(2) || !noRetry(60) {
-		t.Fatalf("a rejected first attempt is not to be retried: %v among few retries, %v among many",
+		t.Fatalf("NoRetry of a rejected first attempt: %v with few retries, %v with many, want false and true",
 			noRetry(2), noRetry(60))
 	}
 }
 
-// A request that the queue will make late is rejected when it arrives, while a server with room can
-// still answer it.
+// A request that would miss its objective because of the queue is rejected when it arrives, while
+// a server with capacity can still answer it.
 func TestUnreachableObjectiveIsRejectedOnArrival(t *testing.T) {
 	for waiting, want := range map[int]ActionKind{0: ActionRememberKey, 12: ActionReject} {
 		h := newHarness(t, func(s *Settings) {
@@ -52,13 +52,13 @@
 		}
 		if a := h.requireAction(h.advance(0, h.arrival(100, 2)), want, 100); want == ActionReject &&
 			(a.Cause != CauseObjectiveUnreachable || a.NoRetry) {
-			t.Errorf("%+v", a)
+			t.Errorf("rejection = %+v, want CauseObjectiveUnreachable without NoRetry", a)
 		}
 	}
 }
 
-// A request that is late at a slow server may be retried elsewhere, unless others are full too or
-// the time left is too short for a run.
+// A request that misses its objective at a slow server may be retried elsewhere, unless other
+// servers reject requests too or the time left is too short for a run.
 func TestUnreachableObjectiveAllowsRetryWhereOthersHaveRoom(t *testing.T) {
 	for name, c := range map[string]struct {
 		rejectedShare float64
@@ -67,7 +67,7 @@
 	}{
 		"time for a usual run elsewhere": {0, 700 * ms, false},
 		"too little time left":           {0, 1600 * ms, true},
-		"all reject":                     {0.3, 700 * ms, true},
+		"other servers reject too":       {0.3, 700 * ms, true},
 	} {
 		h := newHarness(t, func(s *Settings) {
 			s.Cores, s.Cancel = 1, CancelNone
@@ -80,13 +80,13 @@
 		h.ctl.arrivals.rejectedShare = c.rejectedShare
 		a := h.requireAction(h.advance(c.after, timerEvent(1, 1)), ActionReject, 3)
 		if a.Cause != CauseObjectiveUnreachable || a.NoRetry != c.noRetry {
-			t.Errorf("%s: %+v", name, a)
+			t.Errorf("%s: rejection = %+v, want CauseObjectiveUnreachable with the NoRetry of the case", name, a)
 		}
 	}
 }
 
-// A storm of marked retries does not crowd out first attempts, and a few retries are still
-// accepted.
+// Marked retries are rejected in a retry storm, so that they do not displace first attempts. A few
+// retries are still accepted.
 func TestRetryStormRejectsRetriesFirst(t *testing.T) {
 	rejected := func(retryPercent int) (n int) {
 		h := newHarness(t, nil)
@@ -102,13 +102,13 @@
 		return n
 	}
 	if rejected(5) != 0 || rejected(70) != 1 {
-		t.Fatalf("a retry is rejected %d times among few, %d times in a storm", rejected(5), rejected(70))
+		t.Fatalf("rejections of a retry: %d with few retries, %d in a storm, want 0 and 1", rejected(5), rejected(70))
 	}
 }
 
-// A rejected request that is retried costs every server the reading. Where half of the arrivals are
-// rejected other servers have no room, and callers are asked not to retry; one rejection among many
-// accepted requests does not show that.
+// A retry of a rejected request costs each server that reads it. If half of the arrivals are
+// rejected, other servers have no capacity, and callers are asked not to retry. A few rejections
+// among many accepted requests do not show that.
 func TestRejectionForbidsRetryWhenMostAreRejected(t *testing.T) {
 	for _, rejected := range []struct {
 		share   float64
@@ -118,10 +118,11 @@
 		h.ctl.arrivals.rejectedShare = rejected.share
 		h.advance(tickInterval, timerEvent(1, 4))
 		e := h.arrival(3, 0)
-		e.QueueingDelay = 1500 * ms // read far too late
+		e.QueueingDelay = 1500 * ms // far past the accepted delay
 		a := h.requireAction(h.advance(0, e), ActionReject, 3)
 		if (a.Cause != CauseQueueingDelay && a.Cause != CauseObjectiveUnreachable) || a.NoRetry != rejected.noRetry {
-			t.Errorf("with a share of %v rejected: %+v", rejected.share, a)
+			t.Errorf("rejected share %v: rejection = %+v, want an overload cause, NoRetry as in the case",
+				rejected.share, a)
 		}
 	}
 }
--- a/internal/admission/answer.go
+++ b/internal/admission/answer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// answerMargin is how long before its deadline a request is answered, so that the answer is in time
-// although deadlines are checked once in tickInterval.
+// answerMargin is how long before its deadline a request counts as out of time. It is longer than
+// the interval at which deadlines are checked, so that the answer is still in time.
 const answerMargin = tickInterval + tickInterval/4
 
 // reason is why a request is answered without a result: the cause, the value that was measured and
@@ -22,8 +22,8 @@
 	noRetry bool          // do not retry at another server
 }
 
-// answer emits the final answer of a request; all answers pass through it. It drops a request that
-// does not run.
+// answer emits the final answer of r and releases r, unless it was answered before. All final
+// answers go through it.
 func (c *Controller) answer(r *request, a Action) {
 	if r.answered {
 		return
@@ -33,7 +33,7 @@
 	c.release(r)
 }
 
-// reject answers a queued request that never ran. A request that may have run fails instead: a
+// reject rejects a queued request that never ran. Any other request fails instead, because a
 // rejection promises that nothing ran.
 func (c *Controller) reject(r *request, hint retryHint, why reason) {
 	if r.state != queued || r.mayHaveRun {
@@ -51,13 +51,14 @@
 	})
 }
 
-// fail answers a request without a promise of whether it ran.
+// fail answers r with an error, which does not say whether it ran.
 func (c *Controller) fail(r *request, why reason) {
 	c.answer(r, Action{Kind: ActionFail, Cause: why.cause, Value: why.value, Limit: why.limit})
 }
 
-// release ends the interest in a request. One that does not run is dropped; one that runs is
-// cancelled where that is possible.
+// release marks r as answered or abandoned. A request that is not running is dropped. A run is
+// cancelled if the server can do that and no other request waits for its result; a run that waits
+// to place its call continues without it.
 func (c *Controller) release(r *request) {
 	if r.answered {
 		return
@@ -69,19 +70,19 @@
 		c.remove(r)
 	case running:
 		if c.settings.Cancel != CancelNone && r.waiters == 0 {
-			// Long runs are the ones that are cancelled: without them the mean would be too low.
+			// Mostly long runs are cancelled. Without them the mean would be too low.
 			c.recordRunTime(r)
 			c.emit(Action{Kind: ActionCancel, Request: r.id})
 		}
 	case awaitingCall:
 		c.resumeAfterCall(r)
-	case inCall: // the dependency works on the call until its end, or that of the run, is reported
+	case inCall: // the call stays in flight until the host reports its end or that of the run
 	}
 }
 
-// answerExpired answers requests that have run out of time, and cancels runs that are to give
-// up their cores. It iterates over copies, since an answer moves the requests that wait for its
-// result.
+// answerExpired answers requests that have run out of time, and cancels runs that are not worth
+// their core any more. It iterates over copies, since answering a request moves the requests that
+// wait for its result to another list.
 func (c *Controller) answerExpired() {
 	for i := range c.queues {
 		for _, r := range slices.Clone(c.queues[i].requests) {
@@ -98,12 +99,12 @@
 	}
 }
 
-// deadlineNear reports whether r has to be answered now.
+// deadlineNear reports whether r has to be answered now to meet its deadline.
 func (c *Controller) deadlineNear(r *request) bool { return r.deadline <= c.now+answerMargin }
 
-// notWorthRunning reports whether r, which runs and can be cancelled, is to give up its core: it
-// has run far longer than expected while next waits, or it is late and its answer has no weight any
-// more.
+// notWorthRunning reports whether the run of r should be cancelled to free its core under
+// saturation: it has run far longer than expected while next waits, or it has missed its objective
+// and a late answer has no weight.
 func (c *Controller) notWorthRunning(r, next *request) bool {
 	if r.state != running || c.settings.Cancel == CancelNone || !c.saturated(r.class) {
 		return false
@@ -112,8 +113,8 @@
 	return c.overrunsFor(r, next) || isWorthless
 }
 
-// overrunsFor reports whether r, under overload, is to give up its core to next. A run far beyond the
-// expected time is likely to go on for long.
+// overrunsFor reports whether, under overload, r has run for OverrunFactor times its expected time
+// and next has at least its priority weight. Such a run is likely to go on for long.
 func (c *Controller) overrunsFor(r, next *request) bool {
 	if !c.credit.overloaded || next == nil {
 		return false
--- a/internal/admission/call_limit.go
+++ b/internal/admission/call_limit.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// minCallSamples is the number of calls from which their times are compared.
+	// minCallSamples is the number of completed calls from which their times change the call limit.
 	minCallSamples = 10
-	// callTimeWeight is the least weight of a new call in the mean time of calls.
+	// callTimeWeight is the minimum weight of a new call in the mean call time.
 	callTimeWeight = 0.1
-	// longCallTimeWeight is the same in the long mean, from which the best time is taken.
+	// longCallTimeWeight is the minimum weight of a new call in the long mean, from which the best
+	// call time is derived.
 	longCallTimeWeight = 0.03
 	// upperBoundErrors is the number of standard errors between the long mean and its upper bound.
 	upperBoundErrors = 2
 )
 
-// dependencyCalls is this server's use of the dependency. Calls are limited by their number and by
-// the time for which they may be in flight, so that a quota of less than one call, as each of
+// dependencyCalls tracks this server's calls to the dependency. They are limited in number and in
+// the total time for which they are in flight, so that a quota of less than one call, as each of
 // hundreds of servers may have, is a share of time.
 type dependencyCalls struct {
-	queue          []*request      // awaiting a call, in the order in which they asked
+	queue          []*request      // requests that wait to place a call, in the order in which they joined
 	inFlight       int             // calls that are placed and not reported as ended
-	abandonedUntil []time.Duration // until when the dependency may work on each abandoned call
+	abandonedUntil []time.Duration // for each abandoned call, until when the dependency may work on it
 
-	meanLimit float64 // calls that may be in flight as a mean over time
-	limit     float64 // calls that may be in flight now; it follows the times of calls
+	meanLimit float64 // limit of the mean number of calls in flight
+	limit     float64 // limit of the calls in flight now; it follows the call times
 
-	budgetSeconds    float64 // time for which calls may be in flight
-	maxBudgetSeconds float64 // that may be saved up; as much again may be overdrawn
+	budgetSeconds    float64 // time saved up for which calls may be in flight; negative: overdrawn
+	maxBudgetSeconds float64 // the most that may be saved up; as much again may be overdrawn
 	budgetUpdatedAt  time.Duration
 
 	times callTimes
 }
 
-// newDependencyCalls derives the limits of calls from the quota. What the mean limit leaves of the
-// quota is saved up for calls that take long.
+// newDependencyCalls derives the call limits from the quota. The part of the quota above the mean
+// limit may be saved up, for calls that take long.
 func newDependencyCalls(s *Settings, p *Parameters) dependencyCalls {
 	objective := 0.0
 	window := s.CallQuotaWindow.Seconds()
@@ -56,8 +57,8 @@
 // occupied is the number of calls that the dependency works on for this server.
 func (d *dependencyCalls) occupied() int { return d.inFlight + len(d.abandonedUntil) }
 
-// updateCallBudget adds the time that passed to the budget, less that of the calls in flight, and
-// drops abandoned calls that are over.
+// updateCallBudget adds to the budget, for the time since the last update, the mean limit less the
+// calls that occupied the dependency. It also drops abandoned calls that are over.
 func (c *Controller) updateCallBudget() {
 	calls := &c.calls
 	spare := calls.meanLimit - float64(calls.occupied())
@@ -69,9 +70,9 @@
 	}
 }
 
-// updateCallLimit lowers the limit of calls while the dependency is congested, as it then gets less
-// done, and raises it otherwise. A dependency that is slow for another reason still gets as many
-// calls as it works on at once.
+// updateCallLimit lowers the call limit while the dependency is congested, since congestion reduces
+// its throughput, and raises it otherwise. MinCallLimitShare is a lower bound: a dependency that is
+// slow for another reason still gets as many calls as it works on at once.
 func (c *Controller) updateCallLimit() {
 	calls := &c.calls
 	if calls.times.completed < minCallSamples {
@@ -84,8 +85,9 @@
 	calls.limit = max(min(next, calls.meanLimit), c.parameters.MinCallLimitShare*c.settings.CallQuota, 1)
 }
 
-// mayPlaceCall reports whether one more call may be placed: whether the limit allows it, and the
-// budget is enough for twice a usual call and its stay after it is abandoned.
+// mayPlaceCall reports whether one more call may be placed: the limit allows it, and the budget with
+// its overdraft covers twice the mean call time and the time for which an abandoned call goes on. A
+// full budget is always enough.
 func (c *Controller) mayPlaceCall() bool {
 	if c.settings.Dependency != DependencyShared {
 		return true
@@ -95,7 +97,8 @@
 	return float64(calls.occupied()+1) <= calls.limit && calls.budgetSeconds >= need
 }
 
-// maxCallTime is how long a call may last by the budget, including what may be overdrawn.
+// maxCallTime is how long a new call may last by the budget: the budget, or with the overdraft and
+// less the time for which an abandoned call goes on, if that is more.
 func (c *Controller) maxCallTime() time.Duration {
 	budget := c.calls.budgetSeconds
 	return seconds(max(2*budget-c.settings.AbandonedCallTime.Seconds(), budget))
@@ -106,8 +109,8 @@
 	c.calls.abandonedUntil = append(c.calls.abandonedUntil, c.now+c.settings.AbandonedCallTime)
 }
 
-// callTimes describes how long calls take. The best time is the one without congestion: a slow mean
-// beside it means that the dependency is congested.
+// callTimes describes how long calls take. The best time estimates the call time without congestion:
+// a mean far above it means that the dependency is congested.
 type callTimes struct {
 	completed       float64 // calls
 	meanSeconds     float64 // moving mean of the last calls
@@ -118,9 +121,10 @@
 
 // record adds a call that lasted took seconds.
 //
-// The lowest mean of a few short calls is low by chance, and usual calls would look slow beside it.
-// So the best time is the lowest upper bound (by the standard error) of the long mean. It grows by
-// the factor growth with each call, and not with time, so that it expires as new calls replace it.
+// The mean of a few short calls can be low by chance, and usual calls would look slow compared with
+// it. The best time is therefore the lowest upper bound (by the standard error) of the long mean. It
+// is multiplied by growth for each call, rather than over time, so that it expires only as new calls
+// replace it.
 func (t *callTimes) record(took, growth float64) {
 	t.completed++
 	t.meanSeconds += max(callTimeWeight, 1/t.completed) * (took - t.meanSeconds)
@@ -128,7 +132,7 @@
 	t.longMeanSeconds += weight * (took - t.longMeanSeconds)
 	deviation := took - t.longMeanSeconds
 	t.longVariance += weight * (deviation*deviation - t.longVariance)
-	samples := min(t.completed, 2/longCallTimeWeight) // those that a moving average amounts to
+	samples := min(t.completed, 2/longCallTimeWeight) // effective sample size of the moving average
 	upper := t.longMeanSeconds + upperBoundErrors*math.Sqrt(t.longVariance/samples)
 	t.bestSeconds = min(t.bestSeconds*growth, upper)
 	if t.completed <= minCallSamples {
--- a/internal/admission/call_limit_test.go
+++ b/internal/admission/call_limit_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// The best call time of a few short calls is forgotten as others follow, so that usual calls are
-// not taken for congestion.
+// The best call time of a few short calls expires as other calls follow. Otherwise calls of the usual
+// length would be taken for congestion.
 func TestBestCallTimeRisesWithLaterCalls(t *testing.T) {
 	h := newHarness(t, nil)
-	h.completeCalls(1, 20, 8*ms) // by chance shorter than usual
+	h.completeCalls(1, 20, 8*ms) // shorter than usual by chance
 	most := h.ctl.calls.limit
-	for id := uint64(100); id < 900; id++ { // 20 a period
+	for id := uint64(100); id < 900; id++ { // 20 per control period
 		h.advance(0, h.arrival(id, 0))
 		h.advance(0, blocked(id))
 		h.advance(0, Event{Kind: EventCallCompleted, Request: id, Outcome: OutcomeOK, Elapsed: 20 * ms})
 		h.advance(controlPeriod/20, completed(id), timerEvent(0.5, 1))
 	}
 	if h.ctl.calls.limit < most {
-		t.Errorf("call limit %v, it was %v", h.ctl.calls.limit, most)
+		t.Errorf("call limit = %v, want at least the initial %v", h.ctl.calls.limit, most)
 	}
 }
 
@@ -34,13 +34,14 @@
 	h.advance(800*ms, lost)
 	h.requireAction(h.runTimers(callBackoff+controlPeriod, 0.5, 1), ActionPlaceCall, 100)
 	if h.ctl.calls.times.meanSeconds != mean || h.ctl.calls.limit < limit {
-		t.Errorf("mean %v, limit %v; they were %v and %v",
+		t.Errorf("mean call time = %v s, call limit = %v, want %v and at least %v",
 			h.ctl.calls.times.meanSeconds, h.ctl.calls.limit, mean, limit)
 	}
 }
 
-// A low mean of a few calls by chance is not the best time. Beside it usual calls would look slow,
-// and a server with few calls a second would limit them for good.
+// The best call time is not taken from a mean of a few calls that is low by chance. Compared with it
+// calls of the usual length would look slow, and a server with few calls per second would limit its
+// calls for good.
 func TestBestCallTimeIgnoresRandomLows(t *testing.T) {
 	limited := 0
 	for seed := range uint64(40) {
@@ -54,40 +55,41 @@
 		}
 	}
 	if limited > 1 {
-		t.Errorf("in %d of 40 days calls are limited at their usual time", limited)
+		t.Errorf("with %d of 40 seeds the call limit fell at the usual call times, want at most 1", limited)
 	}
 }
 
-// The limit of calls falls while calls take far longer than the best.
+// The call limit falls while calls take far longer than the best call time.
 func TestCongestedDependencyGetsFewerCalls(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota = 20 })
 	most := h.ctl.calls.limit
 	h.completeCalls(1, 10, 50*ms)
 	h.completeCalls(11, 50, 800*ms)
 	if h.ctl.calls.limit > most/2 {
-		t.Fatalf("call limit %v, was %v", h.ctl.calls.limit, most)
+		t.Fatalf("call limit = %v, want at most half of the initial %v", h.ctl.calls.limit, most)
 	}
 }
 
-// One short first call is not taken for the usual time; every later one would look like congestion.
+// One short first call is not taken for the usual call time; otherwise every later call would look
+// like congestion.
 func TestShortFirstCallDoesNotLowerCallLimit(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota = 20 })
 	most := h.ctl.calls.limit
 	h.completeCalls(1, 1, ms)
 	h.completeCalls(2, 80, 30*ms)
 	if h.ctl.calls.limit < most {
-		t.Fatalf("call limit %v, was %v", h.ctl.calls.limit, most)
+		t.Fatalf("call limit = %v, want at least the initial %v", h.ctl.calls.limit, most)
 	}
 }
 
-// A dependency that is slow for a reason of its own still gets as many calls as it works on at
-// once.
+// A dependency that is slow for another reason than congestion still gets as many calls as it works
+// on at once.
 func TestCallLimitKeepsMinimumForSlowDependency(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota = 20 })
 	h.completeCalls(1, 10, 50*ms)
 	h.completeCalls(11, 90, 800*ms)
 	if want := defaultParameters.MinCallLimitShare * 20; h.ctl.calls.limit != want {
-		t.Fatalf("call limit %v, want %v", h.ctl.calls.limit, want)
+		t.Fatalf("call limit = %v, want %v", h.ctl.calls.limit, want)
 	}
 }
 
@@ -105,11 +107,11 @@
 		h.advance(0, abandoned(id), cancelled(id))
 	}
 	if h.ctl.calls.times.meanSeconds < 0.39 {
-		t.Fatalf("a call takes %v s in the mean, 0.4 were seen", h.ctl.calls.times.meanSeconds)
+		t.Fatalf("mean call time = %v s, want 0.4 s, without the rejected calls", h.ctl.calls.times.meanSeconds)
 	}
 }
 
-// hangingDependency is a dependency whose calls all hang until they are given up, and that works on
+// hangingDependency is a dependency whose calls all hang until they time out. It goes on working on
 // them for AbandonedCallTime after that.
 type hangingDependency struct {
 	*harness
@@ -117,7 +119,7 @@
 	placed           int
 }
 
-// carryOut lets all runs call the dependency, and ends them when they fail.
+// carryOut carries out actions: every run calls the dependency and ends when its request fails.
 func (d *hangingDependency) carryOut(out []Action) {
 	for _, a := range out {
 		switch a.Kind {
@@ -126,14 +128,14 @@
 			d.placed++
 		case ActionStart:
 			d.carryOut(d.advance(0, blocked(a.Request)))
-		case ActionFail: // a run that is over ends at its call
+		case ActionFail: // the run ends while it waits for its call
 			d.carryOut(d.advance(0, cancelled(a.Request)))
 		}
 	}
 }
 
-// step plays the time up to now, one step after the last, and returns the number of calls that the
-// dependency worked on.
+// step times out the calls that ended in the step of this length up to now, and returns the number of
+// calls that the dependency works on.
 func (d *hangingDependency) step(length time.Duration) (busy float64) {
 	for id, end := range d.endsAt {
 		busy++
@@ -149,7 +151,7 @@
 	return busy
 }
 
-// maxMean is the largest mean of window values in a row.
+// maxMean is the largest mean of window consecutive values.
 func maxMean(values []float64, window int) (most float64) {
 	for i := range len(values) - window {
 		sum := 0.0
@@ -161,8 +163,8 @@
 	return most
 }
 
-// A quota of less than one call is a share of the time, also while every call hangs until it is
-// given up, and it is used.
+// A quota of less than one call is kept as a mean over time, even while every call hangs until it
+// times out, and calls are placed nevertheless.
 func TestFractionalCallQuotaIsShareOfTime(t *testing.T) {
 	const length = 20 * ms // of a step
 	for quota, abandonedTime := range map[float64]time.Duration{0.05: 10 * ms, 0.3: 100 * ms, 0.9: 200 * ms} {
@@ -181,22 +183,23 @@
 		}
 		most := maxMean(busy, int(d.ctl.settings.CallQuotaWindow/length))
 		if most > quota || d.placed < 3 {
-			t.Errorf("quota %v: %v calls in flight in the mean, %d placed", quota, most, d.placed)
+			t.Errorf("quota %v: mean calls in flight = %v, calls placed = %d, want at most the quota, and at least 3",
+				quota, most, d.placed)
 		}
 	}
 }
 
-// With a quota of less than one call, a call still gets the time that a slow dependency takes: one
-// that is given up just before its end loads the dependency for nothing.
+// With a quota of less than one call, a call still gets the time that a slow dependency takes. A call
+// that times out just before its end loads the dependency for nothing.
 func TestSmallCallQuotaAllowsSlowCall(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota, s.Classes[0].LatencyObjective = 0.6, 2400*ms })
-	h.advance(0, h.arrival(1, 1)) // keyed, no answer without the call
+	h.advance(0, h.arrival(1, 1)) // of the keyed class, which has no answer without the call
 	if got := h.requireAction(h.advance(ms, blocked(1)), ActionPlaceCall, 1).Duration; got < time.Second {
-		t.Fatalf("a call is given up after %v", got)
+		t.Fatalf("timeout of the call = %v, want at least 1s", got)
 	}
 }
 
-// A call that was given up is charged while the dependency may work on it, and no longer.
+// An abandoned call is charged to the budget while the dependency may work on it, and no longer.
 func TestAbandonedCallIsChargedOnce(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota = 0.4 })
 	call := func(id uint64) []Action {
--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -3,12 +3,14 @@
 import "time"
 
 const (
-	// callerActiveTime is how long a caller shares the credit pool after a request.
+	// callerActiveTime is how long after a request a caller counts as active and shares the credit
+	// pool.
 	callerActiveTime = time.Second
 	// callerTableSize is the number of callers that are distinguished; callers whose numbers are
 	// equal modulo it count as one.
 	callerTableSize = 2048
-	// callerSlots is the number of control periods in which an active caller was last seen.
+	// callerSlots is the number of control periods in which an active caller may have been last
+	// seen.
 	callerSlots = int(callerActiveTime/controlPeriod) + 1
 )
 
@@ -16,14 +18,15 @@
 // of a control period.
 type callerTracker struct {
 	lastSeen    [callerTableSize]time.Duration
-	seenInSlot  [callerSlots]int // callers by the control period in which they were last seen
+	seenInSlot  [callerSlots]int // number of callers by the control period in which they were last seen
 	currentSlot int              // the number of the current control period
 	active      int              // the sum of seenInSlot
-	// returningShare is the share of arrivals whose caller was seen within defaultIdleTimeout.
+	// returningShare is the share of arrivals whose caller was seen within defaultIdleTimeout
+	// before, as a moving average.
 	returningShare float64
 }
 
-// recordRequest marks a caller as active by a request.
+// recordRequest marks a caller as active because of a request.
 func (t *callerTracker) recordRequest(caller uint32, now time.Duration) {
 	last := t.lastSeen[caller%callerTableSize]
 	t.lastSeen[caller%callerTableSize] = now
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// maxCallAttempts is the number of attempts of one call. Up to a third of the dependency's
-	// servers may be lost at once.
+	// maxCallAttempts is the maximum number of attempts of one call. It allows for the loss of up to
+	// a third of the dependency's servers at once.
 	maxCallAttempts = 6
-	// callBackoff is the wait before the second attempt of a call. It grows by itself with each
-	// further one.
+	// callBackoff is the wait before the second attempt of a call. The wait before each further
+	// attempt is longer by the same amount.
 	callBackoff = 50 * time.Millisecond
-	// callCongestionDelay is the wait for a call from which the dependency counts as congested.
+	// callCongestionDelay is the wait to place a call above which the dependency counts as congested.
 	callCongestionDelay = 2 * controlPeriod
 )
 
-// onBlocked puts a running request that needs a call into the queue for calls.
+// onBlocked adds a running request that needs a call to the queue for calls.
 func (c *Controller) onBlocked(r *request) {
 	if r.state != running {
 		return
@@ -29,13 +29,13 @@
 	c.calls.queue = append(c.calls.queue, r)
 }
 
-// awaitsCallInTime reports whether r, of the queue for calls, may still meet its objective.
+// awaitsCallInTime reports whether r still waits to place its call and may still meet its objective.
 func (c *Controller) awaitsCallInTime(r *request) bool {
 	return r.state == awaitingCall && !r.answered && r.objectiveAt > c.now
 }
 
-// callQueueDelay is how long the first request in the queue for calls that may still be in time has
-// waited.
+// callQueueDelay is how long the first request in the queue for calls that may still meet its
+// objective has waited; 0: there is none.
 func (c *Controller) callQueueDelay() time.Duration {
 	for _, r := range c.calls.queue {
 		if c.awaitsCallInTime(r) {
@@ -45,7 +45,8 @@
 	return 0
 }
 
-// estimatedCallWait is how long a call of the class would wait behind those that go before it.
+// estimatedCallWait estimates how long a call of the class would wait behind the queued calls of the
+// same or a higher priority weight.
 func (c *Controller) estimatedCallWait(class int) time.Duration {
 	ahead := 0
 	weight := c.settings.Classes[class].PriorityWeight
@@ -57,13 +58,13 @@
 	return seconds(float64(ahead) * c.calls.times.meanSeconds / c.calls.limit)
 }
 
-// callsCongested reports whether requests of the class would wait long for a call. Requests that
-// make none need not wait.
+// callsCongested reports whether the class calls the dependency and would wait long for it. Classes
+// without calls need not wait.
 func (c *Controller) callsCongested(class int) bool {
 	return c.settings.Classes[class].CallsDependency && c.callQueueDelay() > callCongestionDelay
 }
 
-// placeCalls places waiting calls as far as the quota of calls allows, by weight.
+// placeCalls places waiting calls by weight, as far as the call limit and the budget allow.
 func (c *Controller) placeCalls() {
 	c.calls.queue = slices.DeleteFunc(c.calls.queue, func(r *request) bool {
 		return r.state != awaitingCall || r.answered
@@ -79,7 +80,8 @@
 	}
 }
 
-// nextCall is the place in the queue of the call to be placed next; -1: no call has any weight.
+// nextCall is the index in the queue of the call to place next; -1: no call that is due has any
+// weight.
 func (c *Controller) nextCall() int {
 	next := -1
 	most := 0.0
@@ -92,17 +94,17 @@
 	return next
 }
 
-// callWeight is the weight of a request that waits for a call: that of its class if the call would
-// be in time for the objective, and less otherwise. Of late requests the one with the most time
-// left goes first.
+// callWeight is the weight by which the call of r is placed: the priority weight of its class if the
+// call would end before the objective, and less otherwise. Among late requests the one with the most
+// time left goes first.
 func (c *Controller) callWeight(r *request) float64 {
 	class := &c.settings.Classes[r.class]
 	end := c.now + seconds(c.calls.times.meanSeconds)
 	if end <= r.objectiveAt {
 		return class.PriorityWeight
 	}
-	// With a quota so small that no usual call fits, calls that may end after the deadline are
-	// placed too.
+	// If the quota is so small that the budget never covers a call of mean length, calls that would
+	// end after the deadline are placed too.
 	if end > r.deadline-answerMargin && c.calls.times.meanSeconds < c.calls.maxBudgetSeconds {
 		return 0
 	}
@@ -110,8 +112,8 @@
 	return class.PriorityWeight*class.LateWeightFraction + c.parameters.LateCallWeight*(1+secondsLeft)
 }
 
-// placeCall places one call. It may last until the request's deadline, or until it is better to
-// go on without the call.
+// placeCall places the call of r. The call may last until the deadline of r or, where an answer
+// without it has any weight, until the run has to continue without it.
 func (c *Controller) placeCall(r *request) {
 	end := r.deadline - answerMargin
 	if c.settings.Classes[r.class].DegradedWeightFraction > 0 {
@@ -130,8 +132,8 @@
 	c.emit(Action{Kind: ActionPlaceCall, Request: r.id, Duration: end - c.now})
 }
 
-// continueWithoutCall lets r go on without its call where a degraded answer has any weight, and
-// fails it otherwise.
+// continueWithoutCall resumes r without its call where a degraded answer has any weight, and fails r
+// otherwise.
 func (c *Controller) continueWithoutCall(r *request) {
 	if c.settings.Classes[r.class].DegradedWeightFraction <= 0 {
 		c.fail(r, reason{cause: CauseCallFailed})
@@ -141,18 +143,18 @@
 	c.emit(Action{Kind: ActionOmitCall, Request: r.id})
 }
 
-// onCallCompleted ends an attempt of a call. The call is retried only where that cannot have an
-// effect twice.
+// onCallCompleted ends one attempt of a call. The call is retried only if its effect cannot happen
+// twice.
 func (c *Controller) onCallCompleted(r *request, e *Event) {
 	if r.state != inCall {
 		return
 	}
 	neverRan := e.Outcome.neverRan()
-	// A rejection at once, or a connection that broke, does not show how long calls take.
+	// A call that never ran, or whose connection broke, does not show how long calls take.
 	if !neverRan && e.Outcome != OutcomeConnectionLost {
 		c.calls.times.record(e.Elapsed.Seconds(), c.parameters.BestCallTimeGrowth)
 	}
-	if e.Outcome == OutcomeTimedOut { // the dependency itself drops a call whose connection broke
+	if e.Outcome == OutcomeTimedOut { // the dependency drops a call whose connection broke by itself
 		c.addAbandonedCall()
 	}
 	if e.Outcome == OutcomeOK || r.answered {
@@ -170,7 +172,7 @@
 	c.calls.queue = append(c.calls.queue, r)
 }
 
-// endCall ends r's stay at a call. An abandoned call stays with the dependency for a while.
+// endCall counts r as no longer at a call. The dependency works on an abandoned call for a while.
 func (c *Controller) endCall(r *request, abandoned bool) {
 	c.occupancy.atCalls--
 	if r.state == inCall {
@@ -181,7 +183,7 @@
 	}
 }
 
-// resumeAfterCall brings r back onto the cores from a call.
+// resumeAfterCall ends r's call and counts r as running on the cores again.
 func (c *Controller) resumeAfterCall(r *request) {
 	c.endCall(r, false)
 	r.state = running
--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Slow calls leave the cores idle, and the wait for a call counts as queueing delay all the same.
+// Slow calls leave the cores idle, but the wait for a call still counts as queueing delay, so that
+// requests are rejected.
 func TestSlowDependencyCountsAsOverload(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota = 2 })
 	for id := uint64(1); id <= 8; id++ {
@@ -19,8 +20,8 @@
 	h.requireAction(out, ActionReject, 0)
 }
 
-// While calls queue, classes that make no calls are still accepted, and enough credit for them
-// remains.
+// While calls queue, requests of classes that make no calls are still accepted, and enough credit for
+// them remains.
 func TestCallCongestionRejectsOnlyClassesThatCall(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota, s.Classes[2].CallsDependency = 1, false })
 	h.completeCalls(1, 20, 100*ms)
@@ -31,23 +32,24 @@
 	out := h.advance(ms, h.arrival(200, 0), h.arrival(201, 2))
 	h.requireAction(out, ActionStart, 201)
 	if a := h.requireAction(out, ActionReject, 200); !a.NoRetry || a.Duration > tickInterval {
-		t.Errorf("rejected with %+v, want no retry elsewhere and a short Retry-After", a)
+		t.Errorf("rejection = %+v, want NoRetry and a Retry-After of at most tickInterval", a)
 	}
 	h.runTimers(900*ms, 0.1, 0)
 	if h.ctl.credit.size < defaultParameters.IdleCreditPerCore*float64(h.ctl.settings.Cores) {
-		t.Errorf("credit pool of %v while the cores are idle", h.ctl.credit.size)
+		t.Errorf("credit pool = %v while the cores are idle, want at least IdleCreditPerCore per core",
+			h.ctl.credit.size)
 	}
 }
 
-// Waiting calls are placed by the weight that their requests can still earn, not by their order of
-// arrival.
+// Waiting calls are placed by the weight that the answers of their requests can still earn, not in
+// order of arrival.
 func TestCallsArePlacedByRemainingWeight(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota, s.Classes[0].DegradedWeightFraction = 2, 0 })
-	for id := uint64(1); id <= 4; id++ { // 1 takes the only call
+	for id := uint64(1); id <= 4; id++ { // request 1 takes the only call
 		h.advance(ms, h.arrival(id, 0))
 		h.advance(0, blocked(id))
 	}
-	h.runTimers(1020*ms, 0.1, 0) // 2 to 4 are past their objective
+	h.runTimers(1020*ms, 0.1, 0) // requests 2 to 4 are past their objective
 	for id, class := range []int{5: 0, 6: 1} {
 		if id > 4 {
 			h.advance(0, h.arrival(uint64(id), class))
@@ -62,8 +64,8 @@
 	}
 }
 
-// The call of a finished request stays in flight until its end is reported. Otherwise a slow
-// dependency would get more calls than its quota.
+// The call of an answered or abandoned request counts as in flight until the host reports its end.
+// Otherwise a slow dependency would get more calls than its quota.
 func TestCallsOfFinishedRequestsStayInFlight(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.CallQuota = 20 })
 	for id := uint64(1); id <= 3; id++ {
@@ -73,7 +75,7 @@
 	h.advance(ms, abandoned(1), abandoned(2), abandoned(3))
 	h.runTimers(time.Second, 0.1, 0) // five times AbandonedCallTime
 	if h.ctl.calls.inFlight != 3 {
-		t.Errorf("%d calls in flight, want 3", h.ctl.calls.inFlight)
+		t.Errorf("calls in flight = %d, want 3", h.ctl.calls.inFlight)
 	}
 	h.advance(
 		0,
@@ -82,12 +84,13 @@
 		cancelled(3),
 	)
 	if h.ctl.calls.inFlight != 0 || len(h.ctl.calls.abandonedUntil) != 2 {
-		t.Errorf("%d calls in flight and %d abandoned, want 0 and 2",
+		t.Errorf("calls in flight = %d, abandoned calls = %d, want 0 and 2",
 			h.ctl.calls.inFlight, len(h.ctl.calls.abandonedUntil))
 	}
 	h.advance(0, cancelled(1), cancelled(2))
 	if used := h.ctl.occupancy; used.onCores != 0 || used.atCalls != 0 || len(h.ctl.requests) != 0 {
-		t.Errorf("%d on the cores, %d at calls, %d requests", used.onCores, used.atCalls, len(h.ctl.requests))
+		t.Errorf("requests on the cores = %d, at calls = %d, in all = %d, want 0 of each",
+			used.onCores, used.atCalls, len(h.ctl.requests))
 	}
 }
 
@@ -107,7 +110,7 @@
 		h.advance(0, h.arrival(id, 2))
 		h.advance(0, blocked(id))
 	}
-	// takes the cores
+	// these requests take all cores
 	h.advance(0, h.arrival(11, 0), h.arrival(12, 0), h.arrival(13, 0), h.arrival(14, 0))
 	h.advance(0, h.arrival(25, 2), h.arrival(26, 0))
 	h.runTimers(2*callCongestionDelay, 0.5, 4)
@@ -131,7 +134,7 @@
 		out := h.advance(ms, Event{Kind: EventCallCompleted, Request: 1, Outcome: outcome})
 		out = append(out, h.runTimers(200*ms, 0.1, 0)...)
 		if got := findAction(out, ActionPlaceCall, 1) != nil; got != again {
-			t.Errorf("outcome %d: call repeated %v, want %v", outcome, got, again)
+			t.Errorf("outcome %d: call repeated = %v, want %v", outcome, got, again)
 		}
 		if !again {
 			h.requireAction(out, ActionFail, 1)
--- a/internal/admission/checker_rules_test.go
+++ b/internal/admission/checker_rules_test.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// play hands a batch over and checks every action.
-func (k *checker) play(events []Event) {
+// handleBatch passes a batch of events to the controller and checks every action.
+func (k *checker) handleBatch(events []Event) {
 	out := k.ctl.Handle(k.now, events, nil)
 	if k.mutate != nil {
 		out = k.mutate(k, out)
@@ -24,7 +24,7 @@
 		return
 	case ActionAdvertise:
 		if k.settings.CreditMode == CreditNone || !(a.Value >= 0) || math.IsInf(a.Value, 0) {
-			k.violate(ruleProtocol, "value %v", a.Value)
+			k.violate(ruleProtocol, "advertised value is %v", a.Value)
 		}
 		return
 	}
@@ -40,14 +40,14 @@
 		k.checkFinalAnswer(s, a)
 	case ActionCancel:
 		if k.settings.Cancel == CancelNone {
-			k.violate(ruleProtocol, "cancellation where nothing can be cancelled")
+			k.violate(ruleProtocol, "cancellation of a run with CancelNone")
 		}
 		s.cancelled = true
 	case ActionPlaceCall:
 		k.checkCall(s, a)
 	case ActionOmitCall:
 		if k.settings.Classes[s.class].DegradedWeightFraction == 0 {
-			k.violate(ruleProtocol, "call of request %d omitted", s.id)
+			k.violate(ruleProtocol, "call of request %d omitted, but a degraded answer has no weight", s.id)
 		}
 		if s.state == awaitingCall {
 			s.state, s.callDone = running, true
@@ -67,14 +67,15 @@
 	class := k.settings.Classes[s.class]
 	if k.drainAt > 0 && s.arrivedAt > k.drainAt+k.settings.DrainGrace {
 		late := s.arrivedAt - k.drainAt - k.settings.DrainGrace
-		k.violate(ruleDrain, "request %d started, %v too late", s.id, late)
+		k.violate(ruleDrain, "request %d started, though it arrived %v after the drain grace", s.id, late)
 	}
 	if class.Idempotency == IdempotentWithKey {
 		if at, ok := k.ranKeys[s.subject]; ok && s.arrivedAt <= at+class.IdempotencyWindow {
-			k.violate(ruleNoDuplicate, "key %d run again after %v", s.subject, s.arrivedAt-at)
+			k.violate(ruleNoDuplicate, "key %d ran again within its window, %v after the first run",
+				s.subject, s.arrivedAt-at)
 		}
 		if k.keyOwner[s.subject] != s.id {
-			k.violate(ruleNoDuplicate, "request %d started without its key remembered", s.id)
+			k.violate(ruleNoDuplicate, "request %d started, but its key is not remembered", s.id)
 		}
 		k.ranKeys[s.subject] = s.arrivedAt
 	}
@@ -119,21 +120,22 @@
 		return
 	}
 	if s.callMayHaveRun && k.settings.Classes[s.class].Idempotency != Idempotent {
-		k.violate(ruleNoDuplicate, "call of request %d repeated without proof", s.id)
+		k.violate(ruleNoDuplicate, "call of request %d repeated without proof that it never ran", s.id)
 	}
 	if a.Duration <= 0 || k.now+a.Duration > s.deadline+k.settings.DeadlineGrace {
-		k.violate(ruleOneAnswer, "call of request %d outlives its deadline", s.id)
+		k.violate(ruleOneAnswer, "timeout of the call of request %d is not positive or ends after the deadline", s.id)
 	}
 	s.state = inCall
 }
 
-// checkKey checks a change of the table of keys.
+// checkKey checks that a key is remembered or forgotten by the rules.
 func (k *checker) checkKey(s *observedRequest, a Action) {
 	class := k.settings.Classes[s.class]
 	if a.Kind == ActionRememberKey {
 		k.keyOwner[s.subject], k.keyExpiry[s.subject] = s.id, k.now+a.Duration
 		if a.Duration < class.IdempotencyWindow {
-			k.violate(ruleNoDuplicate, "key %d remembered for %v only", s.subject, a.Duration)
+			k.violate(ruleNoDuplicate, "key %d remembered for %v, which is less than its window",
+				s.subject, a.Duration)
 		}
 		return
 	}
@@ -141,27 +143,27 @@
 		return
 	}
 	if s.ran && class.Idempotency == IdempotentWithKey {
-		k.violate(ruleNoDuplicate, "key %d forgotten after it ran", s.subject)
+		k.violate(ruleNoDuplicate, "key %d forgotten after its request ran", s.subject)
 	}
 	delete(k.keyOwner, s.subject)
 }
 
-// checkReuse checks an answer from another's result.
+// checkReuse checks an answer from the result of another request.
 func (k *checker) checkReuse(s *observedRequest) {
 	if s.state != queued {
-		k.violate(ruleProtocol, "request %d reused in state %d", s.id, s.state)
+		k.violate(ruleProtocol, "request %d reuses a result in state %d, want queued", s.id, s.state)
 	}
 	if k.settings.Classes[s.class].Idempotency == Idempotent {
 		prior := k.all[s.priorRequest]
 		if prior == nil || !prior.succeeded || k.now > prior.finishedAt+k.settings.ResultMaxAge {
-			k.violate(ruleOneAnswer, "request %d is answered from a result that is not there", s.id)
+			k.violate(ruleOneAnswer, "request %d reuses a result that does not exist or has expired", s.id)
 		}
 	}
 	k.reused++
 	s.state = reusingResult
 }
 
-// audit checks the state that the actions left.
+// audit checks deadlines and limits after the actions of a batch.
 func (k *checker) audit() {
 	k.checkDeadlines()
 	usage := k.usage()
@@ -169,7 +171,7 @@
 		k.abandonedCalls = k.abandonedCalls[1:]
 	}
 	if usage.memoryKB > k.settings.MemoryKB {
-		k.violate(ruleCapacity, "%.0f kB of %.0f", usage.memoryKB, k.settings.MemoryKB)
+		k.violate(ruleCapacity, "memory in use is %.0f kB, limit %.0f kB", usage.memoryKB, k.settings.MemoryKB)
 	}
 	speed := 1.0
 	if k.settings.WarmingUp {
@@ -178,17 +180,17 @@
 	}
 	limit := float64(k.settings.Cores) * (1 + (k.settings.MaxRunningPerCore-1)*speed)
 	if float64(usage.onCores) > limit {
-		k.violate(ruleCapacity, "%d on the cores, %.1f is the limit", usage.onCores, limit)
+		k.violate(ruleCapacity, "%d requests on the cores, limit %.1f", usage.onCores, limit)
 	}
 	if k.settings.Dependency == DependencyShared &&
 		float64(usage.calls+len(k.abandonedCalls)) > max(k.settings.CallQuota, 1) &&
 		usage.calls > 0 && float64(usage.calls) > k.settings.CallQuota {
-		k.violate(ruleCapacity, "%d calls in flight of %.1f", usage.calls, k.settings.CallQuota)
+		k.violate(ruleCapacity, "%d calls in flight, quota %.1f", usage.calls, k.settings.CallQuota)
 	}
 }
 
-// checkDeadlines checks that requests have their answers by their deadline and by the stop of a
-// drain, and drops finished requests.
+// checkDeadlines checks that requests are answered by their deadline and before the stop of a drain.
+// It drops finished requests.
 func (k *checker) checkDeadlines() {
 	live := k.live[:0]
 	for _, s := range k.live {
@@ -207,7 +209,7 @@
 	k.live = live
 }
 
-// resourceUsage is what the live requests and the keys use.
+// resourceUsage is the memory, cores and calls that live requests and remembered keys use.
 type resourceUsage struct {
 	memoryKB       float64
 	onCores, calls int
@@ -221,7 +223,7 @@
 		case reusingResult:
 			u.memoryKB += s.sizeKB
 			if k.settings.Classes[s.class].Idempotency == Idempotent {
-				u.onCores++ // its result is there, so that it is on the cores
+				u.onCores++ // its result exists, so that it uses a core
 			}
 		case running:
 			u.onCores++
--- a/internal/admission/checker_test.go
+++ b/internal/admission/checker_test.go
@@ -11,7 +11,7 @@
 // checkerEpoch is the time at which a checked server starts.
 const checkerEpoch = time.Hour
 
-// observedRequest is what the checker knows of one request.
+// observedRequest is the checker's own state of one request.
 type observedRequest struct {
 	id                       uint64
 	class                    int
@@ -28,8 +28,8 @@
 	priorRequest             uint64
 }
 
-// checker feeds a controller legal events and holds its actions against the rules of the service.
-// It has no speeds, queues or scores: what ends, and when, is drawn at random.
+// checker feeds a controller with random valid events and checks its actions against the rules of the
+// service. It does not model speeds or queues: which runs and calls end, and when, is drawn at random.
 type checker struct {
 	settings  Settings
 	ctl       *Controller
@@ -38,15 +38,15 @@
 	lastID    uint64
 	all       map[uint64]*observedRequest
 	live      []*observedRequest
-	ranKeys   map[uint64]time.Duration // subject to the arrival of the attempt that ran
-	keyOwner  map[uint64]uint64        // subject to the request in the table of keys
+	ranKeys   map[uint64]time.Duration // by subject, the arrival of the attempt that ran
+	keyOwner  map[uint64]uint64        // by subject, the request whose key is remembered
 	keyExpiry map[uint64]time.Duration
 	timers    []time.Duration
 	drainAt   time.Duration
 	stopAt    time.Duration
-	// until when the dependency works on calls that were given up
+	// when the dependency stops working on each abandoned call
 	abandonedCalls []time.Duration
-	// subject to the first keyed request of the batch, which the host links later ones to
+	// by subject, the first keyed request of the batch, which later ones in the batch repeat
 	firstOfBatch map[uint64]uint64
 	mutate       func(k *checker, out []Action) []Action
 	problems     []string
@@ -71,18 +71,18 @@
 	}
 }
 
-// rule is one of the rules of the service that the checker holds.
+// rule is one of the rules of the service that the checker checks.
 type rule string
 
 const (
-	ruleOneAnswer   rule = "lost"      // one answer for each request, in time
-	ruleNoDuplicate rule = "duplicate" // no effect twice
-	ruleDrain       rule = "drain"     // a drain leaves nothing behind
-	ruleCapacity    rule = "fall-over" // the server and the dependency survive
+	ruleOneAnswer   rule = "lost"      // each request gets one answer in time
+	ruleNoDuplicate rule = "duplicate" // no effect happens twice
+	ruleDrain       rule = "drain"     // a drain leaves no request unanswered
+	ruleCapacity    rule = "fall-over" // the server and the dependency stay within their capacity
 	ruleProtocol    rule = "fault"     // only actions that the host can carry out
 )
 
-// violate notes that a rule was broken.
+// violate records that a rule was broken.
 func (k *checker) violate(broken rule, format string, a ...any) {
 	const maxProblems = 500
 	if len(k.problems) < maxProblems {
@@ -91,8 +91,8 @@
 	}
 }
 
-// day plays a whole life: load, more load, a drain and the stop.
-func (k *checker) day() {
+// runLifetime simulates a server from start to stop: load, more load, a drain and the stop.
+func (k *checker) runLifetime() {
 	for range 1500 {
 		k.step(20)
 	}
@@ -100,7 +100,7 @@
 		k.step(70)
 	}
 	k.drainAt, k.stopAt = k.now, k.now+3*time.Second
-	k.play([]Event{{Kind: EventDrain, Deadline: k.stopAt}})
+	k.handleBatch([]Event{{Kind: EventDrain, Deadline: k.stopAt}})
 	for k.now < k.stopAt {
 		k.step(40)
 		if k.now > k.stopAt-100*time.Millisecond {
@@ -110,8 +110,8 @@
 	}
 }
 
-// step moves the time on a little and plays a batch. An arrival follows another with a probability
-// of rate percent.
+// step advances the time by a few milliseconds and handles a batch of events. With a probability of
+// rate percent one more arrival is added, repeatedly.
 func (k *checker) step(rate int) {
 	k.now += time.Duration(1+k.rng.IntN(8)) * time.Millisecond
 	events := k.dueTimers()
@@ -128,7 +128,7 @@
 		kind := EventKind(2 + k.rng.IntN(4))
 		events = append(events, Event{Kind: kind, Request: uint64(k.rng.IntN(int(k.lastID)+9)) << 40})
 	}
-	k.play(events)
+	k.handleBatch(events)
 }
 
 // dueTimers returns an event for each timer that is due.
@@ -163,7 +163,7 @@
 	return n
 }
 
-// arrival draws one arrival.
+// arrival returns a random arrival.
 func (k *checker) arrival() Event {
 	k.lastID++
 	class := k.rng.IntN(len(k.settings.Classes))
@@ -187,7 +187,7 @@
 		QueueingDelay: delay,
 		Retry:         k.rng.IntN(4) == 0,
 	}
-	if !k.settings.ReportsAbandoned { // such a server knows no deadlines either
+	if !k.settings.ReportsAbandoned { // a host that does not report these has no deadlines either
 		e.Deadline, s.deadline = 0, s.arrivedAt+k.settings.Classes[class].Timeout
 	}
 	s.deadline = max(s.deadline, k.now)
@@ -203,11 +203,12 @@
 	return e
 }
 
-// linkToPrior tells the request that an arrival repeats, as a host does by its table of keys.
+// linkToPrior sets the remembered request that an arrival repeats, as a host does from its table of
+// keys.
 func (k *checker) linkToPrior(s *observedRequest, e *Event) {
 	idempotency := k.settings.Classes[s.class].Idempotency
 	if idempotency == Idempotent && k.settings.ResultMaxAge > 0 {
-		s.subject = 1000 + uint64(k.rng.IntN(10)) // few subjects, popular ones
+		s.subject = 1000 + uint64(k.rng.IntN(10)) // few subjects, so that reads share runs
 		e.Key, s.priorRequest = s.subject, k.keyOwner[s.subject]
 		prior := k.all[s.priorRequest]
 		if prior != nil && k.keyExpiry[s.subject] >= s.arrivedAt && k.mayShare(prior) {
@@ -226,12 +227,12 @@
 	}
 }
 
-// mayShare reports whether the result of a remembered read can be had, now or later.
+// mayShare reports whether the result of a remembered read is available or may become so.
 func (k *checker) mayShare(s *observedRequest) bool {
 	return !s.finished || s.succeeded && k.now <= s.finishedAt+k.settings.ResultMaxAge
 }
 
-// progress draws what happens to a request by itself.
+// progress returns a random event of a request after its arrival, if one happens.
 func (k *checker) progress(s *observedRequest) (Event, bool) {
 	if s.finished {
 		return Event{}, false
@@ -249,7 +250,7 @@
 	return Event{}, false
 }
 
-// runProgress draws the progress of a run, or of an answer from another's result.
+// runProgress returns a random event of a run, or of an answer from the result of another request.
 func (k *checker) runProgress(s *observedRequest, p int) (Event, bool) {
 	switch {
 	case s.state == running && s.cancelled:
@@ -269,7 +270,7 @@
 	return Event{}, false
 }
 
-// complete ends a run, or an answer from another's result.
+// complete ends a run, or an answer from the result of another request.
 func (k *checker) complete(s *observedRequest, o Outcome) Event {
 	s.finished, s.succeeded, s.finishedAt = true, o == OutcomeOK && s.state == running, k.now
 	if (o == OutcomeOK || o == OutcomeFailed) && !s.abandoned && !s.answered {
@@ -278,7 +279,7 @@
 	return Event{Kind: EventCompleted, Request: s.id, Outcome: o}
 }
 
-// callEnds ends a call with an outcome drawn at random.
+// callEnds ends a call with a random outcome.
 func (k *checker) callEnds(s *observedRequest) Event {
 	outcome := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut,
 		OutcomeUnreachable, OutcomeConnectionLost}[k.rng.IntN(8)]
@@ -287,14 +288,14 @@
 	if outcome == OutcomeOK {
 		s.state, s.callDone = running, true
 	}
-	if outcome == OutcomeTimedOut { // a call whose connection broke was dropped by the dependency
+	if outcome == OutcomeTimedOut { // the dependency drops a call whose connection broke
 		k.addAbandonedCall()
 	}
 	s.callMayHaveRun = outcome == OutcomeTimedOut || outcome == OutcomeConnectionLost || outcome == OutcomeFailed
 	return Event{Kind: EventCallCompleted, Request: s.id, Outcome: outcome, Elapsed: elapsed}
 }
 
-// abandon ends the interest in a request.
+// abandon reports that the caller no longer waits for a request.
 func (k *checker) abandon(s *observedRequest) Event {
 	s.abandoned = true
 	switch s.state {
--- a/internal/admission/classes_test.go
+++ b/internal/admission/classes_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Merged settings keep each class in its place, whatever is added, removed, reordered or configured
-// again.
+// Merging keeps the index of each class when classes are added, removed, reordered or configured
+// again, since open requests refer to classes by index.
 func TestMergeClassesKeepsPlaces(t *testing.T) {
 	safe := func(name string, objective time.Duration) Class {
 		return Class{Name: name, LatencyObjective: objective, Timeout: 3 * time.Second, PriorityWeight: 1}
@@ -28,26 +28,27 @@
 	}
 	a, b, c := safe("a", 1), safe("b", 1), safe("c", 1)
 	for name, x := range map[string]struct{ current, configured, want []Class }{
-		"as it was":                       {[]Class{a, b}, []Class{a, b}, []Class{a, b}},
-		"another order":                   {[]Class{a, b}, []Class{b, a}, []Class{a, b}},
-		"changed":                         {[]Class{a, b}, []Class{a, safe("b", 2)}, []Class{a, safe("b", 2)}},
-		"added in front":                  {[]Class{a}, []Class{c, a}, []Class{a, c}},
-		"removed":                         {[]Class{a, b}, []Class{b}, []Class{removed(a), b}},
-		"one for another":                 {[]Class{a}, []Class{b}, []Class{removed(a), b}},
-		"back, changed":                   {[]Class{removed(a), b}, []Class{safe("a", 2), b}, []Class{safe("a", 2), b}},
-		"of another idempotency":          {[]Class{a}, []Class{keyed}, []Class{removed(a), keyed}},
-		"of the first idempotency, later": {[]Class{removed(a), keyed}, []Class{a}, []Class{a, removed(keyed)}},
-		"removed before stays removed":    {[]Class{removed(a), b}, []Class{b}, []Class{removed(a), b}},
+		"unchanged":                    {[]Class{a, b}, []Class{a, b}, []Class{a, b}},
+		"reordered":                    {[]Class{a, b}, []Class{b, a}, []Class{a, b}},
+		"settings changed":             {[]Class{a, b}, []Class{a, safe("b", 2)}, []Class{a, safe("b", 2)}},
+		"added in front":               {[]Class{a}, []Class{c, a}, []Class{a, c}},
+		"removed":                      {[]Class{a, b}, []Class{b}, []Class{removed(a), b}},
+		"replaced":                     {[]Class{a}, []Class{b}, []Class{removed(a), b}},
+		"added back, changed":          {[]Class{removed(a), b}, []Class{safe("a", 2), b}, []Class{safe("a", 2), b}},
+		"idempotency changed":          {[]Class{a}, []Class{keyed}, []Class{removed(a), keyed}},
+		"idempotency changed back":     {[]Class{removed(a), keyed}, []Class{a}, []Class{a, removed(keyed)}},
+		"removed before stays removed": {[]Class{removed(a), b}, []Class{b}, []Class{removed(a), b}},
 	} {
 		got, err := Settings{Classes: x.configured}.MergeClasses(Settings{Classes: x.current})
 		if diff := cmp.Diff(x.want, got.Classes); err != nil || diff != "" {
-			t.Errorf("%s: %v (-want +got)\n%s", name, err, diff)
+			t.Errorf("%s: MergeClasses() error = %v, want nil; classes (-want +got):\n%s", name, err, diff)
 		}
 	}
 	_, err := Settings{Classes: []Class{a, b, a}}.MergeClasses(Settings{})
 	var duplicate *DuplicateClassError
-	if !errors.As(err, &duplicate) || duplicate.Index != 2 || !strings.Contains(err.Error(), "second class a") {
-		t.Errorf("a class that is configured twice: %v", err)
+	if !errors.As(err, &duplicate) || duplicate.Index != 2 ||
+		!strings.Contains(err.Error(), "class a is configured twice") {
+		t.Errorf("MergeClasses() with a duplicate class: error = %v, want a DuplicateClassError for index 2", err)
 	}
 	current := Settings{}
 	for i := range MaxClasses {
@@ -56,11 +57,12 @@
 	_, err = Settings{Classes: []Class{a}}.MergeClasses(current)
 	var tooMany *TooManyClassesError
 	if !errors.As(err, &tooMany) || tooMany.Count != MaxClasses+1 {
-		t.Errorf("more than %d places are taken: %v", MaxClasses, err)
+		t.Errorf("MergeClasses() with more than %d classes: error = %v, want a TooManyClassesError", MaxClasses, err)
 	}
 }
 
-// Queued requests, runs and what is known of classes go on while classes are added and removed.
+// Open requests of a removed class still run, and those of an added class run too, after the settings
+// of a running controller change.
 func TestConfigureKeepsOpenRequests(t *testing.T) {
 	s := Settings{
 		Cores:                 1,
@@ -95,13 +97,13 @@
 	}
 	first := c.Handle(now, arrivals, nil)
 	if diff := cmp.Diff([]uint64{1}, started(first)); diff != "" {
-		t.Fatalf("one core runs one: %s", diff)
+		t.Fatalf("requests started on one core (-want +got):\n%s", diff)
 	}
 	next := s
 	next.Classes = []Class{
 		{Name: "new", LatencyObjective: time.Second, Timeout: 2 * time.Second, PriorityWeight: 1},
 	}
-	for range 2 { // in quick succession
+	for range 2 { // the second time without a change
 		if next, err = next.MergeClasses(c.settings); err == nil {
 			err = c.Configure(next)
 		}
@@ -112,9 +114,9 @@
 	out := c.Handle(now+ms, []Event{{Kind: EventRequest, Request: 3, Class: 1, SizeKB: 1}, completed(1)}, nil)
 	out = c.Handle(now+2*ms, []Event{completed(2)}, out)
 	if diff := cmp.Diff([]uint64{2, 3}, started(out)); diff != "" {
-		t.Errorf("a queued request of the removed class runs, and then one of the new class: %s", diff)
+		t.Errorf("requests started, of the removed and then of the new class (-want +got):\n%s", diff)
 	}
 	if err := c.Configure(s); !errors.Is(err, ErrRestartRequired) {
-		t.Errorf("settings without a place of the classes in force: %v", err)
+		t.Errorf("Configure() without a class in force: error = %v, want ErrRestartRequired", err)
 	}
 }
--- a/internal/admission/contract_test.go
+++ b/internal/admission/contract_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestContract holds the actions for random legal events against the rules of the service.
+// TestContract checks the actions for random valid events against the rules of the service.
 func TestContract(t *testing.T) {
 	for name, change := range settingsVariants() {
 		t.Run(name, func(t *testing.T) {
@@ -14,7 +14,7 @@
 				s := testSettings()
 				change(&s)
 				k := newChecker(t, s, seed)
-				k.day()
+				k.runLifetime()
 				if len(k.problems) > 0 {
 					t.Fatalf("seed %d:\n%s", seed, strings.Join(k.problems[:min(len(k.problems), 12)], "\n"))
 				}
@@ -25,20 +25,20 @@
 					}
 				}
 				if s.ResultMaxAge > 0 && k.reused < 20 {
-					t.Fatalf("seed %d: only %d reads shared a run", seed, k.reused)
+					t.Fatalf("seed %d: %d requests reused a result, want at least 20", seed, k.reused)
 				}
 				if started < 20 {
-					t.Fatalf("seed %d: only %d of %d requests ran", seed, started, len(k.all))
+					t.Fatalf("seed %d: %d of %d requests ran, want at least 20", seed, started, len(k.all))
 				}
 			}
 		})
 	}
 }
 
-// mutation falsifies the actions of a controller.
+// mutation changes the actions of a controller so that they break a rule.
 type mutation func(*checker, []Action) []Action
 
-// dropActions leaves out all actions of a kind.
+// dropActions drops all actions of a kind.
 func dropActions(kind ActionKind) mutation {
 	return func(_ *checker, out []Action) []Action {
 		kept := out[:0]
@@ -51,7 +51,7 @@
 	}
 }
 
-// rejectInsteadOfFailing promises that nothing ran where that is not known.
+// rejectInsteadOfFailing turns failures into rejections, which promise that nothing ran.
 func rejectInsteadOfFailing(_ *checker, out []Action) []Action {
 	for i := range out {
 		if out[i].Kind == ActionFail {
@@ -61,7 +61,7 @@
 	return out
 }
 
-// startRejectedInDrain starts what is rejected during a drain.
+// startRejectedInDrain starts the requests that are rejected during a drain.
 func startRejectedInDrain(k *checker, out []Action) []Action {
 	for i := range out {
 		if k.drainAt > 0 && out[i].Kind == ActionReject {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// TestCheckerCatches breaks each rule on purpose.
+// TestCheckerCatches checks that the checker reports each rule that a mutation breaks.
 func TestCheckerCatches(t *testing.T) {
 	for name, c := range map[string]struct {
 		want   rule
@@ -106,12 +106,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.CallQuota = 2 // so low that calls past it are soon placed
+			s.CallQuota = 2 // low, so that calls soon exceed it
 			k := newChecker(t, s, 1)
 			k.mutate = c.mutate
-			k.day()
+			k.runLifetime()
 			if all := strings.Join(k.problems, "\n"); !strings.Contains(all, string(c.want)+":") {
-				t.Fatalf("want a violation of %q, got:\n%s", c.want, all)
+				t.Fatalf("want a violation of rule %q, got:\n%s", c.want, all)
 			}
 		})
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// tickInterval is the time between timers. A deadline is noticed this late at most.
+	// tickInterval is the time between two timer events. Deadlines are checked at each of them.
 	tickInterval = 20 * time.Millisecond
 	// controlPeriod is the time between two updates of the credit pool and the call limit.
 	controlPeriod = 100 * time.Millisecond
 )
 
-// ErrRestartRequired reports settings that a running controller cannot take: its queues and the
-// measured times depend on those that differ.
+// ErrRestartRequired reports changed settings that a running controller cannot adopt, since its
+// queues and measured times depend on them.
 var ErrRestartRequired = errors.New(
-	"admission: other classes, tenants, cores or another way of working need a restart")
+	"admission: changed classes, tenants, cores, memory factors, credit mode or dependency need a restart")
 
-// Controller decides for one server. It is not safe for concurrent use: Handle is called from one
-// goroutine.
+// Controller makes the admission decisions of one server. It is not safe for concurrent use: Handle
+// is called from one goroutine at a time.
 type Controller struct {
 	settings   Settings
 	parameters Parameters
 
 	started     bool
 	startedAt   time.Duration
-	now         time.Duration // of the events that are being handled
+	now         time.Duration // time of the events that are being handled
 	periodStart time.Duration // when the last control period began
 
-	requests  map[uint64]*request // all that are queued or in progress
+	requests  map[uint64]*request // all requests that are queued or in progress
 	queues    []classQueue        // one for each class
-	executing []*request          // those that left their queue, in the order in which they did
+	executing []*request          // requests that left their queue, in the order in which they left
 	occupancy occupancy
 	load      serverLoad
-	memoryKB  float64 // taken by requests and remembered keys
+	memoryKB  float64 // used by requests and remembered keys
 
 	credit      creditPool
 	callers     callerTracker
@@ -46,30 +46,30 @@
 
 	drain       drainState
 	unhealthy   bool          // health checks fail because requests are read too late
-	idleTimeout time.Duration // for idle connections, as the host knows it
+	idleTimeout time.Duration // of idle connections, as last reported to the host
 
-	actions []Action // of the events that are being handled
+	actions []Action // results of the events that are being handled
 }
 
 // occupancy counts the requests that use the server, by what they use.
 type occupancy struct {
 	onCores int // running
-	atCalls int // at a call, or waiting to place it
-	reusing int // reads that are being answered from another's result
+	atCalls int // in a call, or waiting to place one
+	reusing int // reads that are being answered from the result of another read
 }
 
-// onCoresWithOneMore is how many requests would use the cores if one more did.
+// onCoresWithOneMore is the number of requests that would use the cores if one more started.
 func (o *occupancy) onCoresWithOneMore() float64 { return float64(o.onCores + o.reusing + 1) }
 
-// serverLoad is the load of the cores by the last gauges.
+// serverLoad is the load of the cores as of the last gauges.
 type serverLoad struct {
 	cpu      float64 // busy fraction of the cores
-	runnable float64 // requests that want a core, kept up to date between timers
+	runnable float64 // requests that want a core; counted on between timers as runs enter and leave the cores
 }
 
-// New returns a controller for a server that starts now. It returns a SettingError for a setting
-// that is missing or out of range, and a ParameterError for a parameter out of its bounds. The seed
-// is not used, since no decision is random.
+// New returns a controller for a server that starts with the first call of Handle. It returns a
+// SettingError for a setting that is missing or out of range, and a ParameterError for a parameter
+// out of its bounds. The seed is not used, since no decision is random.
 func New(s Settings, _ uint64) (*Controller, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -94,8 +94,8 @@
 	return c, nil
 }
 
-// Handle takes the events up to now, in the order in which they happened, and appends the actions
-// to be carried out to out.
+// Handle processes the events up to now, in the order in which they happened. It appends the actions
+// that the host has to carry out to out and returns the result.
 func (c *Controller) Handle(now time.Duration, events []Event, out []Action) []Action {
 	c.actions = out
 	c.now = max(now, c.now)
@@ -112,9 +112,9 @@
 	return out
 }
 
-// Configure takes changed settings while the server runs. Their classes have to come from
-// [Settings.MergeClasses]. Settings on which the open requests and the learned times depend have to
-// be those that the controller began with; otherwise it returns ErrRestartRequired.
+// Configure applies changed settings while the server runs. Their classes have to come from
+// [Settings.MergeClasses]. It returns an error of New for invalid settings, and ErrRestartRequired
+// for a change of settings on which open requests and measured times depend.
 func (c *Controller) Configure(s Settings) error {
 	updated, err := New(s, 0)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// needsRestart reports whether s differs from the settings in force where a running controller
-// cannot follow.
+// needsRestart reports whether s differs from the settings in force in a setting that a running
+// controller cannot change.
 func (c *Controller) needsRestart(s *Settings) bool {
 	sameClass := func(a, b Class) bool { return a.Name == b.Name && a.Idempotency == b.Idempotency }
 	sameTenant := func(a, b Tenant) bool { return a.Name == b.Name }
@@ -189,8 +189,8 @@
 	c.emit(Action{Kind: ActionTimer, Duration: tickInterval})
 }
 
-// onTimer reads the gauges, answers requests whose time is over, and ends the control period when it
-// is due.
+// onTimer reads the gauges, answers requests that have run out of time, and ends the control period
+// when it is due.
 func (c *Controller) onTimer(e *Event) {
 	c.load = c.measuredLoad(&e.Gauges)
 	c.updateFleetSaturation()
@@ -203,8 +203,8 @@
 	c.emit(Action{Kind: ActionTimer, Duration: tickInterval})
 }
 
-// measuredLoad returns the load by the gauges. Where the host has none the running requests are
-// counted instead.
+// measuredLoad returns the load according to the gauges. If the host has none, it counts the running
+// requests instead.
 func (c *Controller) measuredLoad(gauges *Gauges) serverLoad {
 	hasGauges := gauges.CPU >= 0 && gauges.Runnable >= 0 // false for NaN
 	if hasGauges {
@@ -214,8 +214,8 @@
 	return serverLoad{cpu: running / float64(c.settings.Cores), runnable: running}
 }
 
-// endPeriod updates credit, limits, health and quotas at the end of a control period, which lasted
-// for elapsed.
+// endPeriod updates the idle timeout, call limit, health, credit and quotas at the end of a control
+// period that lasted for elapsed.
 func (c *Controller) endPeriod(elapsed time.Duration) {
 	delay := c.readDelays()
 	c.callers.expire(c.now)
@@ -234,7 +234,7 @@
 
 func (c *Controller) log(text string) { c.emit(Action{Kind: ActionLog, Text: "admission: " + text}) }
 
-// setLogged sets a state of the controller, and logs the change if there is one.
+// setLogged sets a state of the controller and logs entered or left if the state changes.
 func (c *Controller) setLogged(state *bool, on bool, entered, left string) {
 	if *state == on {
 		return
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -28,12 +28,12 @@
 		_, err := New(s, 0)
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || !strings.HasSuffix(invalid.Setting, field) {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("%s: New() error = %v, want a SettingError for this setting", field, err)
 		}
 	}
 }
 
-// Two controllers give the same actions for the same events.
+// Two controllers with the same settings return the same actions for the same events.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() (all [][]Action) {
 		k := newChecker(t, testSettings(), 3)
@@ -41,18 +41,19 @@
 			all = append(all, append([]Action(nil), out...))
 			return out
 		}
-		k.day()
+		k.runLifetime()
 		return all
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Fatal("two runs of the same events differ")
+		t.Fatal("actions of two controllers differ for the same events")
 	}
 }
 
-// Values that no host should report neither break the controller nor cost a request its one answer.
+// Events with invalid values do not break the controller, and each request still gets exactly one
+// answer.
 func TestInvalidEventValuesGetOneAnswer(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
-	odd := []Event{
+	invalid := []Event{
 		{Kind: EventRequest, Request: 1, Deadline: time.Second, SizeKB: nan},
 		{Kind: EventRequest, Request: 2, Class: 99, Tenant: 1 << 30, SizeKB: inf},
 		{Kind: EventRequest, Request: 3, Class: -1, Tenant: -4, SizeKB: -5, QueueingDelay: -time.Hour},
@@ -65,18 +66,18 @@
 	}
 	h := newHarness(t, nil)
 	answered := map[uint64]int{}
-	out := append(h.advance(ms, odd...), h.runTimers(4*time.Second, nan, nan)...)
+	out := append(h.advance(ms, invalid...), h.runTimers(4*time.Second, nan, nan)...)
 	for _, a := range out {
 		if a.Kind == ActionReject || a.Kind == ActionFail {
 			answered[a.Request]++
 		}
 		if a.Kind == ActionAdvertise && !(a.Value >= 0 && a.Value < 1e9) {
-			t.Errorf("value %v", a.Value)
+			t.Errorf("advertised value = %v, want at least 0 and below 1e9", a.Value)
 		}
 	}
 	for id := uint64(1); id <= 5; id++ {
 		if answered[id] != 1 {
-			t.Errorf("request %d answered %d times", id, answered[id])
+			t.Errorf("request %d answered %d times, want 1", id, answered[id])
 		}
 	}
 }
--- a/internal/admission/credit.go
+++ b/internal/admission/credit.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// notAdvertised stands for the value that callers know before the first was advertised.
+// notAdvertised is the value of creditPool.advertised before the first advertisement.
 const notAdvertised = -1
 
-// maxCreditPerUse bounds the growth of the credit pool, by the capacity in use.
+// maxCreditPerUse is the ratio of the credit pool to the capacity in use above which the pool does
+// not grow.
 const maxCreditPerUse = 2
 
 // creditPool is Breakwater's pool of credits, C_total: the number of requests that may run. Each
-// caller is advertised its part.
+// caller is advertised its share.
 type creditPool struct {
 	size       float64 // credits
-	advertised float64 // the value that was last advertised
+	advertised float64 // the last value of ActionAdvertise
 	overloaded bool    // queueing delay passed its target and capacity is still short
 }
 
@@ -40,8 +41,8 @@
 	return reading
 }
 
-// updateCredit moves the pool at the end of a control period: it grows while queueing delay is
-// under its target and is cut by the excess otherwise (Breakwater, section 3.2.1).
+// updateCredit adjusts the pool at the end of a control period: it grows while queueing delay is
+// under its target and is cut in proportion to the excess otherwise (Breakwater, section 3.2.1).
 func (c *Controller) updateCredit(delay delayReading) {
 	if delay.excess >= 0 {
 		c.credit.size = c.decreasedCredit(delay.excess)
@@ -49,21 +50,23 @@
 		c.credit.size = c.increasedCredit()
 	}
 	c.setLogged(&c.credit.overloaded, delay.saturated && (delay.excess >= 0 || c.credit.overloaded),
-		"overload entered: queueing delay over target, credit cut", "overload left: capacity no longer full")
+		"overload entered: queueing delay over target, credit cut",
+		"overload left: the server is no longer saturated")
 }
 
-// increasedCredit is equation (1) of Breakwater, with A = max(alpha n_c, 1) by equation (3),
-// section 3.2.2. The pool stays within what the server can run and within maxCreditPerUse times its
-// use: credit that nobody used would all be drawn at once when load comes.
+// increasedCredit is the pool after an increase by equation (1) of Breakwater, with A = max(alpha n_c,
+// 1) by equation (3), section 3.2.2. The pool stays within the number of requests that the server can
+// run and does not grow beyond maxCreditPerUse times the capacity in use, since accumulated unused
+// credit would be spent all at once when load rises.
 func (c *Controller) increasedCredit() float64 {
 	increase := max(c.parameters.AdditiveIncrease*float64(max(c.callers.active, 1)), 1)
 	use := float64(c.occupancy.onCores + c.occupancy.atCalls + c.settings.Cores)
 	return min(c.credit.size+increase, c.runningLimit(), max(c.credit.size, maxCreditPerUse*use))
 }
 
-// decreasedCredit is equation (2) of Breakwater, section 3.2.1. A minimum remains, so that the
-// server learns when it has recovered. It is higher while the cores are not busy, for the requests
-// that do not call the congested dependency.
+// decreasedCredit is the pool after a decrease by equation (2) of Breakwater, section 3.2.1. A minimum
+// of credit remains, so that requests still arrive and show when the server has recovered. While the
+// cores are not busy the minimum is higher, for requests that do not call the congested dependency.
 func (c *Controller) decreasedCredit(excess float64) float64 {
 	least := c.parameters.MinCredit
 	if !c.coresBusy() {
@@ -73,8 +76,8 @@
 	return max(c.credit.size*factor, least)
 }
 
-// advertise tells callers their part of the pool, in the form that they read, when it has moved by
-// more than AdvertiseStep.
+// advertise tells callers their share of the pool, in the form of Settings.CreditMode, if it has
+// changed by a larger fraction than AdvertiseStep.
 func (c *Controller) advertise() {
 	if c.settings.CreditMode == CreditNone {
 		return
@@ -87,7 +90,7 @@
 	}
 }
 
-// advertisedCredit is the pool in the form of Settings.CreditMode. A draining server has none.
+// advertisedCredit is the pool in the form of Settings.CreditMode. A draining server offers none.
 func (c *Controller) advertisedCredit() float64 {
 	pool := c.credit.size
 	if c.drain.active {
@@ -105,8 +108,8 @@
 	return 0
 }
 
-// creditedCallers is the number of callers that share the pool, Breakwater's n_c. Just after a
-// start it includes the callers that were not seen yet.
+// creditedCallers is the number of callers that share the pool, Breakwater's n_c. For
+// callerActiveTime after a start it is at least Settings.Callers, as some were not seen yet.
 func (c *Controller) creditedCallers() int {
 	callers := max(c.callers.active, 1)
 	if c.settings.WarmingUp && c.now < c.startedAt+callerActiveTime {
--- a/internal/admission/credit_test.go
+++ b/internal/admission/credit_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The pool grows by equation (1) and is cut by equation (2) of Breakwater, the latter only while
-// the cores are busy.
+// The pool grows by equation (1) of Breakwater, and it is cut by equation (2) only while the cores are
+// busy.
 func TestCreditPoolFollowsBreakwaterEquations(t *testing.T) {
 	h := newHarness(t, nil)
 	before := h.ctl.credit.size
 	h.runTimers(controlPeriod, 0.1, 0)
 	if got := h.ctl.credit.size; got != before+1 { // equation (1) with A = max(alpha n_c, 1)
-		t.Fatalf("pool %v after one quiet period, want %v", got, before+1)
+		t.Fatalf("credit pool = %v after a control period without load, want %v", got, before+1)
 	}
 	for id := uint64(1); id <= 40; id++ {
 		h.advance(0, h.arrival(id, 2))
@@ -21,32 +21,32 @@
 	h.runTimers(600*ms, 0.5, 8)
 	grown := h.ctl.credit.size
 	h.runTimers(300*ms, 1, 8)
-	if h.ctl.credit.size >= grown { // equation (2), only while the cpu gauge is over 0.9
-		t.Fatalf("pool %v not cut from %v", h.ctl.credit.size, grown)
+	if h.ctl.credit.size >= grown { // equation (2), only while the CPU gauge is over 0.9
+		t.Fatalf("credit pool = %v while the cores are busy, want less than %v", h.ctl.credit.size, grown)
 	}
 	h.requireAction(h.advance(0, h.arrival(99, 2)), ActionReject, 99)
 }
 
-// Credit that nobody uses does not pile up: it would all be drawn at once, and takes periods to
-// cut.
+// Unused credit does not accumulate: callers would spend it all at once, and cutting it takes several
+// control periods.
 func TestCreditPoolStaysNearItsUse(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MaxRunningPerCore = 20 })
 	most := 2 * float64(h.ctl.settings.Cores)
 	h.runTimers(10*time.Second, 0.1, 0)
 	if h.ctl.credit.size > most {
-		t.Errorf("the pool is %v without any use", h.ctl.credit.size)
+		t.Errorf("credit pool = %v without any load, want at most 2 per core", h.ctl.credit.size)
 	}
 	for id := uint64(1); id <= 8; id++ {
 		h.advance(0, h.arrival(id, 0))
 		h.advance(0, blocked(id))
 	}
 	if h.runTimers(time.Second, 0.1, 0); !(h.ctl.credit.size > most) {
-		t.Errorf("the pool is %v with eight requests at calls", h.ctl.credit.size)
+		t.Errorf("credit pool = %v with eight requests at calls, want more than 2 per core", h.ctl.credit.size)
 	}
 }
 
-// A server that warms up offers all its callers together no more than its pool, also before it has
-// seen them. Once warm it offers the whole pool.
+// A server that warms up advertises to all its callers together no more than its pool, even before it
+// has seen them all. Once warm it advertises the whole pool.
 func TestWarmingUpCreditCountsUnseenCallers(t *testing.T) {
 	const callers = 30
 	h := newHarness(t, func(s *Settings) { s.WarmingUp, s.Callers = true, callers })
@@ -61,17 +61,18 @@
 		sum += advertised
 	}
 	if most := float64(h.ctl.settings.Cores) * 2; sum > most {
-		t.Errorf("thirty callers got a credit of %v together, and the pool began at %d", sum, h.ctl.settings.Cores)
+		t.Errorf("thirty callers got a credit of %v together, want at most twice the initial pool of %d",
+			sum, h.ctl.settings.Cores)
 	}
 	h.runTimers(2*callerActiveTime, 0.1, 1)
 	want := h.ctl.credit.size / float64(max(h.ctl.callers.active, 1))
 	if math.Abs(h.ctl.credit.advertised-want) > 2*h.ctl.parameters.AdvertiseStep*want {
-		t.Errorf("once warm it advertises %v, want %v", h.ctl.credit.advertised, want)
+		t.Errorf("advertised credit once warm = %v, want %v", h.ctl.credit.advertised, want)
 	}
 }
 
-// A short queue sends requests to servers with room. Where all reject it only adds reads, so that
-// the delay target rises.
+// A low delay target sends requests to servers with capacity. If all servers reject requests, it only
+// makes them read more requests, so the target rises with the rejected share.
 func TestDelayTargetRisesWithRejectedShare(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Classes[2].LatencyObjective = 2 * time.Second })
 	target := func(rejectedShare, cpu float64) time.Duration {
@@ -82,6 +83,7 @@
 	least, half, idleCores := target(0, 1), target(fullRejectedShare/2, 1), target(0, 0.1)
 	if most := target(1, 1); most != 800*ms || idleCores != most || least != 600*ms ||
 		!(least < half && half < most) {
-		t.Errorf("targets %v, %v, %v", least, half, most)
+		t.Errorf("delay targets for rising rejected shares = %v, %v, %v, want 600ms, a value between, 800ms",
+			least, half, most)
 	}
 }
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// EventKind names what happened.
+// EventKind says what happened.
 type EventKind uint8
 
 // The events that the host reports.
 const (
 	EventNone          EventKind = iota
-	EventRequest                 // a request was read; it is owed exactly one answer
-	EventCompleted               // a run, or an answer from another's result, ended
+	EventRequest                 // a request was read; it gets exactly one answer
+	EventCompleted               // a run, or an answer from the result of another request, ended
 	EventBlocked                 // a running request waits for its call
 	EventCallCompleted           // a call ended
-	EventAbandoned               // nobody waits for this request any longer
+	EventAbandoned               // the caller no longer waits for the request
 	EventDrain                   // graceful shutdown begins and ends at Event.Deadline
 	EventTimer                   // a timer is due; carries the gauges
 )
@@ -46,35 +46,35 @@
 	Connections float64
 }
 
-// Event is one thing that happened. Only the fields of its kind are read.
+// Event is something that happened at the host. Only the fields of its kind are read.
 type Event struct {
 	Kind    EventKind
 	Request uint64
 
-	// EventRequest; Deadline also EventDrain.
+	// Fields of EventRequest; Deadline also of EventDrain.
 
-	Class  int    // place in Settings.Classes
-	Tenant int    // place in Settings.Tenants; others: no quota applies
-	Caller uint32 // number of the caller
+	Class  int    // index in Settings.Classes
+	Tenant int    // index in Settings.Tenants; any other value: no quota applies
+	Caller uint32 // number that identifies the caller
 	// Deadline is when the caller stops waiting, or when the draining process is stopped, by the
 	// clock of Controller.Handle; 0: unknown.
 	Deadline      time.Duration
 	ExpectedWork  time.Duration // on a standard core; 0: unknown
 	SizeKB        float64       // memory of the request while it is queued
-	Rank          float64       // position by priority weight, from 0 to under 1
-	Key           uint64        // subject of the request; 0: none
-	Write         bool          // it changes its subject, so that its result is not shared
+	Rank          float64       // rank by priority weight, from 0 to below 1
+	Key           uint64        // identifies the subject of the request; 0: none
+	Write         bool          // the request changes its subject, so that its result is not shared
 	Retry         bool          // a retry or a hedged request
 	QueueingDelay time.Duration // before the request was read
 	PriorRequest  uint64        // the remembered request that this one repeats; 0: none
 
-	// EventCompleted, EventCallCompleted.
+	// Fields of EventCompleted and EventCallCompleted.
 
 	Outcome Outcome
 	Elapsed time.Duration
 
-	// EventTimer.
+	// Fields of EventTimer.
 
-	Token  uint64 // of the ActionTimer
+	Token  uint64 // Action.Token of the ActionTimer
 	Gauges Gauges
 }
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -8,7 +8,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// Example shows the life of one request, of one rejection, and of a drain.
+// Example shows a request that runs, a rejected request and a drain.
 func Example() {
 	ctl, err := admission.New(admission.Settings{
 		Classes: []admission.Class{
@@ -50,7 +50,7 @@
 	// 0s health 0 true
 	// 0s start 7 false
 	// 30ms reject 8 false
-	// 30ms log 0 false admission: drain: leaving, late arrivals are refused
+	// 30ms log 0 false admission: drain: started, requests that arrive after the grace period are rejected
 	// 30ms health 0 false
 	// 2.03s reject 9 false
 }
--- a/internal/admission/fixtures_test.go
+++ b/internal/admission/fixtures_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// testSettings returns settings in the middle of what deployments use.
+// testSettings returns settings typical of deployments.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -60,29 +60,29 @@
 	}
 }
 
-// settingsVariants returns changes of testSettings that cover the kinds of deployment.
+// settingsVariants returns changes to testSettings that cover the kinds of deployments.
 func settingsVariants() map[string]func(*Settings) {
 	return map[string]func(*Settings){
-		"plain":       func(*Settings) {},
-		"cold":        func(s *Settings) { s.WarmingUp = true },
-		"discard":     func(s *Settings) { s.Cancel = CancelDiscard },
-		"freeze":      func(s *Settings) { s.Cancel = CancelSuspend },
-		"silent":      func(s *Settings) { s.CreditMode = CreditNone },
-		"level":       func(s *Settings) { s.CreditMode = CreditRankThreshold },
-		"weight":      func(s *Settings) { s.CreditMode = CreditWeight },
-		"no tenants":  func(s *Settings) { s.Tenants = nil },
-		"no calls":    func(s *Settings) { s.Dependency = DependencyNone },
-		"tier":        func(s *Settings) { s.Dependency = DependencyTier; s.CallQuota = 0 },
-		"fresh reads": func(s *Settings) { s.ResultMaxAge = time.Second },
-		"fresh reads, short memory": func(s *Settings) {
+		"plain":        func(*Settings) {},
+		"cold":         func(s *Settings) { s.WarmingUp = true },
+		"discard":      func(s *Settings) { s.Cancel = CancelDiscard },
+		"freeze":       func(s *Settings) { s.Cancel = CancelSuspend },
+		"silent":       func(s *Settings) { s.CreditMode = CreditNone },
+		"level":        func(s *Settings) { s.CreditMode = CreditRankThreshold },
+		"weight":       func(s *Settings) { s.CreditMode = CreditWeight },
+		"no tenants":   func(s *Settings) { s.Tenants = nil },
+		"no calls":     func(s *Settings) { s.Dependency = DependencyNone },
+		"tier":         func(s *Settings) { s.Dependency = DependencyTier; s.CallQuota = 0 },
+		"shared reads": func(s *Settings) { s.ResultMaxAge = time.Second },
+		"shared reads, little memory": func(s *Settings) {
 			s.ResultMaxAge, s.MemoryKB, s.KeyMemoryKB = time.Second, 6000, 100
 			s.WarmingUp, s.Cancel = true, CancelSuspend
 		},
-		"no told deadline": func(s *Settings) { s.ReportsAbandoned = false; s.Cancel = CancelNone },
-		"small":            func(s *Settings) { s.MemoryKB = 3000; s.Cores = 1 },
+		"no deadlines": func(s *Settings) { s.ReportsAbandoned = false; s.Cancel = CancelNone },
+		"small":        func(s *Settings) { s.MemoryKB = 3000; s.Cores = 1 },
 		"many callers": func(s *Settings) {
 			s.Cores, s.Callers, s.Servers, s.CallQuota = 2, 1000, 300, 0.4
 		},
-		"no advice": func(s *Settings) { s.MaxRetryAfter = 0; s.MarksRetries = false },
+		"no retry hints": func(s *Settings) { s.MaxRetryAfter = 0; s.MarksRetries = false },
 	}
 }
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -7,14 +7,14 @@
 
 const ms = time.Millisecond
 
-// harness drives one controller step by step.
+// harness drives one controller with explicit times and events.
 type harness struct {
 	t   testing.TB
 	ctl *Controller
 	now time.Duration
 }
 
-// newHarness starts a controller with testSettings, which change may alter.
+// newHarness starts a controller with testSettings as modified by change, which may be nil.
 func newHarness(t testing.TB, change func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -30,18 +30,19 @@
 	return h
 }
 
-// advance moves the time on and plays events.
+// advance advances the time and handles events.
 func (h *harness) advance(after time.Duration, events ...Event) []Action {
 	h.now += after
 	return h.ctl.Handle(h.now, events, nil)
 }
 
-// retryAge is the age that the retry detector estimates for a request with this time left.
+// retryAge is the age that the retry detector estimates for a request with this time until its
+// deadline.
 func (h *harness) retryAge(class int, left time.Duration) time.Duration {
 	return h.ctl.retries.age(left, h.ctl.settings.Classes[class].Timeout)
 }
 
-// runTimers plays timers with the same gauges for a while.
+// runTimers handles timer events with the same gauges for a span of time.
 func (h *harness) runTimers(span time.Duration, cpu, runnable float64) (out []Action) {
 	for ; span > 0; span -= tickInterval {
 		out = append(out, h.advance(tickInterval, timerEvent(cpu, runnable))...)
@@ -49,8 +50,8 @@
 	return out
 }
 
-// idleTimeoutAfter plays n requests of the callers in turn and returns for how long idle
-// connections are kept at the end.
+// idleTimeoutAfter handles n requests from the callers in turn and returns the idle timeout at the
+// end.
 func (h *harness) idleTimeoutAfter(first, n uint64, callers uint32, queued time.Duration, cpu float64) time.Duration {
 	last := h.ctl.idleTimeout
 	for id := first; id < first+n; id++ {
@@ -63,7 +64,7 @@
 	return last
 }
 
-// completeCalls plays n requests, one a control period, with a call each that lasts took.
+// completeCalls handles n requests, one in each control period, each with a call that lasts took.
 func (h *harness) completeCalls(first, n uint64, took time.Duration) {
 	for id := first; id < first+n; id++ {
 		h.advance(0, h.arrival(id, 0))
@@ -74,7 +75,7 @@
 	}
 }
 
-// arrival is a request of a class with its whole timeout left.
+// arrival is the event of a request of a class with its whole timeout left.
 func (h *harness) arrival(id uint64, class int) Event {
 	return Event{
 		Kind:     EventRequest,
@@ -92,12 +93,12 @@
 	h.t.Helper()
 	a := findAction(out, kind, id)
 	if a == nil {
-		h.t.Fatalf("no action %d for request %d in %+v", kind, id, out)
+		h.t.Fatalf("no action of kind %d for request %d in %+v", kind, id, out)
 	}
 	return a
 }
 
-// timerEvent is a timer with these gauges.
+// timerEvent is a timer event with these gauges.
 func timerEvent(cpu, runnable float64) Event {
 	return Event{Kind: EventTimer, Gauges: Gauges{CPU: cpu, Runnable: runnable}}
 }
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// newReadHarness returns a server whose reads may be shared, and a function that makes reads of one
-// subject.
+// newReadHarness returns a harness whose reads may share results, and a function that returns the
+// arrival of a read of one subject.
 func newReadHarness(t *testing.T, change func(*Settings)) (h *harness, read func(id, prior uint64) Event) {
 	h = newHarness(t, func(s *Settings) {
 		s.ResultMaxAge, s.Cores = time.Second, 1
@@ -129,16 +130,16 @@
 	}
 }
 
-// blocked reports that a run waits for its call.
+// blocked is the event of a run that waits for its call.
 func blocked(id uint64) Event { return Event{Kind: EventBlocked, Request: id} }
 
-// completed reports that a run succeeded.
+// completed is the event of a run that succeeded.
 func completed(id uint64) Event { return Event{Kind: EventCompleted, Request: id, Outcome: OutcomeOK} }
 
-// cancelled reports that a run ended by cancellation.
+// cancelled is the event of a run that was cancelled.
 func cancelled(id uint64) Event {
 	return Event{Kind: EventCompleted, Request: id, Outcome: OutcomeCancelled}
 }
 
-// abandoned reports that nobody waits for a request any longer.
+// abandoned is the event of a request whose caller no longer waits for it.
 func abandoned(id uint64) Event { return Event{Kind: EventAbandoned, Request: id} }
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -1,17 +1,18 @@
 package admission
 
-// readDelayDecay is the part of the mean delay before reading that a control period leaves. A
-// server that the endpoint list no longer names reads nothing, and returns as the delay fades.
+// readDelayDecay is the factor of the mean delay before reading in each control period. A server that
+// was dropped from the endpoint list reads no requests and recovers by this decay alone.
 const readDelayDecay = 0.98
 
-// recoveryDivisor: an unhealthy server is healthy again once the mean delay before reading is down
-// to this part of the longest delay target.
+// recoveryDivisor divides the longest delay target to give the mean delay before reading at which an
+// unhealthy server is healthy again.
 const recoveryDivisor = 2
 
-// updateHealth makes health checks fail while this server alone reads requests too late to answer
-// them; a low share of retries shows that it is alone. Callers that no longer know its credit then
-// drop it with the endpoint list. While it reads more than usual all servers may be overloaded, and
-// it stays healthy. The target is the longest delay target, in nanoseconds.
+// updateHealth makes health checks fail while this server, unlike the others, reads requests too late
+// to answer them; a low share of retries shows that the others do not. Callers that no longer know
+// its credit then drop it by the endpoint list. A server that reads more requests than usual stays
+// healthy, since all servers may be overloaded. The target is the longest delay target, in
+// nanoseconds.
 func (c *Controller) updateHealth(target float64) {
 	arrivals := &c.arrivals
 	arrivals.readDelay *= readDelayDecay
@@ -27,12 +28,13 @@
 		return
 	}
 	c.setLogged(&c.unhealthy, !c.unhealthy,
-		"health bad: reads too late to serve, others serve", "health good again")
+		"health bad: requests are read too late to be answered, and other servers have capacity",
+		"health good again: requests are read in time")
 	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: !c.unhealthy})
 }
 
 // readsTooLate reports whether this server, unlike others, reads requests past the delay at which
-// they are rejected.
+// they are rejected, although it reads no more of them than usual.
 func (c *Controller) readsTooLate(target float64) bool {
 	arrivals := &c.arrivals
 	usualPerPeriod := arrivals.total * float64(controlPeriod) / float64(c.now-c.startedAt)
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A server that alone reads too late turns unhealthy and recovers. Where retries show that others
-// are no better off, it stays healthy.
+// A server that reads requests too late while others do not becomes unhealthy and recovers. If many
+// retries show that others are overloaded too, it stays healthy.
 func TestServerReadingTooLateTurnsUnhealthy(t *testing.T) {
 	for _, manyRetries := range []bool{false, true} {
 		h := newHarness(t, nil)
@@ -23,22 +23,22 @@
 			unhealthy = unhealthy || a.Kind == ActionSetHealth && !a.Healthy
 		}
 		if unhealthy == manyRetries {
-			t.Fatalf("many retries %v: unhealthy %v", manyRetries, unhealthy)
+			t.Fatalf("many retries = %v: unhealthy = %v, want the opposite", manyRetries, unhealthy)
 		}
 		if !manyRetries && !h.requireAction(h.runTimers(time.Minute, 0.1, 0), ActionSetHealth, 0).Healthy {
-			t.Fatal("did not recover")
+			t.Fatal("the server did not become healthy again within a minute")
 		}
 	}
 }
 
-// A server that reads late because it gets more requests than usual, as when others are unhealthy,
-// stays healthy.
+// A server that reads requests late because it gets more of them than usual, for example while others
+// are unhealthy, stays healthy.
 func TestServerStaysHealthyUnderUnusualLoad(t *testing.T) {
 	h := newHarness(t, nil)
 	var out []Action
 	for id := uint64(1); id <= 1200; id++ {
 		after, e := 5*tickInterval, h.arrival(id, 0)
-		if id > 200 { // five times the usual
+		if id > 200 { // five times the usual rate
 			after, e.QueueingDelay = tickInterval, 2500*ms
 		}
 		out = append(out, h.advance(after, e, timerEvent(1, 4), completed(id))...)
@@ -48,7 +48,7 @@
 	}
 	for _, a := range out {
 		if a.Kind == ActionSetHealth && !a.Healthy {
-			t.Fatal("turned unhealthy")
+			t.Fatal("the server became unhealthy")
 		}
 	}
 }
--- a/internal/admission/idempotency.go
+++ b/internal/admission/idempotency.go
@@ -3,8 +3,8 @@
 import "time"
 
 // rememberKey remembers the idempotency key of a queued request for its whole window, or rejects
-// the request if there is no memory for the key. A read that others may share is remembered too,
-// but runs without it as well.
+// the request if there is no memory for the key. The key of a shareable read is remembered too if
+// there is memory for it; the read runs in any case.
 func (c *Controller) rememberKey(r *request) {
 	keyed := c.settings.Classes[r.class].Idempotency == IdempotentWithKey
 	scarce := c.memoryKB+c.settings.KeyMemoryKB > c.runMemoryLimitKB()
@@ -25,16 +25,16 @@
 	c.emit(Action{Kind: ActionRememberKey, Request: r.id, Duration: lifetime})
 }
 
-// scheduleKeyExpiry lets r's key expire at a time that must not be earlier than that of the class's
-// keys before it.
+// scheduleKeyExpiry sets the time at which r's key expires. It must not be earlier than the expiry of
+// the class's keys that were scheduled before.
 func (c *Controller) scheduleKeyExpiry(r *request, at time.Duration) {
 	r.keyExpiresAt = at
 	queue := &c.queues[r.class]
 	queue.keyExpiry = append(queue.keyExpiry, r)
 }
 
-// expireKeys gives back the memory of keys whose window is over. The window of a request that is
-// still queued begins anew.
+// expireKeys frees the memory of keys whose window is over. The window of a request that is still
+// queued starts again.
 func (c *Controller) expireKeys() {
 	for i := range c.queues {
 		queue := &c.queues[i]
@@ -52,8 +52,8 @@
 	}
 }
 
-// forgetKey drops r's key. The host needs to know only where the key has not expired by itself: for
-// a shareable read, and for a request that did not start.
+// forgetKey drops r's key and frees its memory. The host is told only if the key may not have expired
+// there by itself: for a shareable read, and for a request that did not start.
 func (c *Controller) forgetKey(r *request) {
 	if !r.keyRemembered {
 		return
--- a/internal/admission/parameters.go
+++ b/internal/admission/parameters.go
@@ -9,32 +9,32 @@
 // values are in defaultParameters, and their reasons in docs/capacity.md. The platform sets none of
 // them; the simulator may.
 type Parameters struct {
-	AdditiveIncrease       float64 // credits for each caller and control period; Breakwater's alpha
-	MultiplicativeDecrease float64 // of the relative excess of queueing delay; Breakwater's beta
-	MinCutFactor           float64 // of the pool that a cut leaves at least
-	DelayTargetShare       float64 // of the objective without the run: the delay target
-	MinDelayTargetShare    float64 // the same while no requests are rejected
-	RejectDelayFactor      float64 // delay targets from which arrivals are rejected
+	AdditiveIncrease       float64 // credits added per caller and control period; Breakwater's alpha
+	MultiplicativeDecrease float64 // relative cut of the pool per relative excess of delay; Breakwater's beta
+	MinCutFactor           float64 // minimum share of the pool that a cut leaves
+	DelayTargetShare       float64 // delay target, as a share of the objective less the mean run time
+	MinDelayTargetShare    float64 // the same while no arrivals are rejected
+	RejectDelayFactor      float64 // delay targets above which arrivals are rejected
 	BusyCPU                float64 // CPU gauge above which the cores count as busy
-	MinCredit              float64 // credits that cuts leave while the cores are busy
-	RetryTargetShare       float64 // of the delay target that a marked retry gets
-	RetryStormShare        float64 // of arrivals: with as many retries their delay target is 0
-	FewRetriesShare        float64 // of arrivals: with fewer retries other servers have capacity
-	OverrunFactor          float64 // expected run times after which a run gives way under overload
-	StartMarginFactor      float64 // expected run times left for a start that cannot be cancelled
-	RunningLimitShare      float64 // of Settings.MaxRunningPerCore that is used
-	RunMemoryShare         float64 // of the memory below which runs start and keys are remembered
-	QueueMemoryShare       float64 // of the memory past which arrivals are rejected
-	CallQuotaShare         float64 // of the call quota: upper bound of the mean calls in flight
-	MinCallQuotaShare      float64 // of the call quota: lower bound of the mean calls in flight
-	SlowCallFactor         float64 // best call times past which the dependency is congested
-	CallLimitDecrease      float64 // factor of the call limit for each congested control period
-	BestCallTimeGrowth     float64 // factor of the best call time for each call
-	LateCallWeight         float64 // priority weight for each second that a late request has left
-	CallQueueShare         float64 // of the latency objective: the longest accepted wait for a call
-	IdleCreditPerCore      float64 // credits for each core that cuts leave at idle cores
-	MinCallLimitShare      float64 // of the call quota: calls that the dependency works on at once
-	AdvertiseStep          float64 // of the advertised credit: smaller changes are not advertised
+	MinCredit              float64 // minimum credits that cuts leave while the cores are busy
+	RetryTargetShare       float64 // delay target of a marked retry, as a share of its class's
+	RetryStormShare        float64 // share of retries in arrivals at which their delay target is 0
+	FewRetriesShare        float64 // share of retries in arrivals up to which others may have capacity
+	OverrunFactor          float64 // expected run times after which overload may cancel a run
+	StartMarginFactor      float64 // expected run times that must be left to start an uncancellable run
+	RunningLimitShare      float64 // share of Settings.MaxRunningPerCore that is used
+	RunMemoryShare         float64 // share of memory up to which runs start and keys are remembered
+	QueueMemoryShare       float64 // share of memory above which arrivals are rejected
+	CallQuotaShare         float64 // upper bound of the mean calls in flight, as a share of the call quota
+	MinCallQuotaShare      float64 // lower bound of that mean, as a share of the call quota
+	SlowCallFactor         float64 // best call times above which the dependency counts as congested
+	CallLimitDecrease      float64 // factor of the call limit per congested control period
+	BestCallTimeGrowth     float64 // factor by which the best call time grows per call
+	LateCallWeight         float64 // priority weight per second that a late request has left
+	CallQueueShare         float64 // longest accepted wait for a call, as a share of the objective
+	IdleCreditPerCore      float64 // minimum credits per core that cuts leave while cores are not busy
+	MinCallLimitShare      float64 // lower bound of the call limit, as a share of the call quota
+	AdvertiseStep          float64 // relative change of the credit up to which it is not advertised again
 }
 
 var defaultParameters = Parameters{
@@ -72,7 +72,7 @@
 // ErrUnknownParameter reports a name that no parameter has.
 var ErrUnknownParameter = errors.New("no figure of the module has this name")
 
-// ParameterError is a parameter out of its bounds.
+// ParameterError reports a parameter that is out of its bounds.
 type ParameterError struct {
 	Name            string
 	Value, Min, Max float64
@@ -82,11 +82,11 @@
 	return fmt.Sprintf("%v is not from %v to %v", e.Value, e.Min, e.Max)
 }
 
-// Parameter is one of the parameters by the name that files and commands use.
+// Parameter is one of the parameters, with its name in files and commands.
 type Parameter struct {
 	Name     string
 	Value    *float64
-	Min, Max float64 // the values with which the module still works
+	Min, Max float64 // bounds, inclusive, within which the module works
 }
 
 // check returns a ParameterError if value is out of the parameter's bounds.
@@ -97,7 +97,7 @@
 	return &ParameterError{Name: p.Name, Value: value, Min: p.Min, Max: p.Max}
 }
 
-// All lists the parameters of p. Their values can be read and set through the list.
+// All lists the parameters of p. The list points to their values in p.
 func (p *Parameters) All() []Parameter {
 	return []Parameter{
 		{"alpha", &p.AdditiveIncrease, 0, 10},
--- a/internal/admission/parameters_test.go
+++ b/internal/admission/parameters_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// The default parameters lie within their bounds, and a value out of bounds is reported by name.
+// The default parameters are within their bounds, and a value out of bounds is reported with the name
+// of its parameter.
 func TestParametersAreCheckedAgainstBounds(t *testing.T) {
 	p := DefaultParameters()
 	if _, err := p.orDefault(defaultParameters); err != nil {
@@ -17,19 +18,20 @@
 	}
 	for _, parameter := range p.All() {
 		if *parameter.Value == 0 {
-			t.Errorf("%s is 0: it was left out", parameter.Name)
+			t.Errorf("default of %s is 0, want a value", parameter.Name)
 		}
 	}
 	if err := p.Set("target_share", 0.3); err != nil || p.DelayTargetShare != 0.3 ||
 		DefaultParameters().DelayTargetShare == 0.3 {
-		t.Fatalf("set: %v, %v", err, p.DelayTargetShare)
+		t.Fatalf("Set(target_share, 0.3) = %v, DelayTargetShare = %v, want nil, 0.3 and unchanged defaults",
+			err, p.DelayTargetShare)
 	}
 	var outOfBounds *ParameterError
 	if err := p.Set("target_share", 2); !errors.As(err, &outOfBounds) || outOfBounds.Max != 1 {
-		t.Errorf("target_share was set to 2: %v", err)
+		t.Errorf("Set(target_share, 2) = %v, want a ParameterError with Max = 1", err)
 	}
 	if err := p.Set("targets", 0.3); !errors.Is(err, ErrUnknownParameter) {
-		t.Errorf("targets was set: %v", err)
+		t.Errorf("Set(targets, 0.3) = %v, want ErrUnknownParameter", err)
 	}
 	s := testSettings()
 	s.Parameters = p
@@ -37,11 +39,11 @@
 	_, err := New(s, 0)
 	var invalid *ParameterError
 	if !errors.As(err, &invalid) || !strings.Contains(err.Error(), "call_cut: -1 is not from 0.01 to 1") {
-		t.Errorf("New: %v", err)
+		t.Errorf("New() with CallLimitDecrease = -1: error = %v, want a ParameterError for call_cut", err)
 	}
 }
 
-// The capacity page names each parameter with its value.
+// The capacity page lists each parameter with its default value.
 func TestCapacityPageListsParameters(t *testing.T) {
 	page, err := os.ReadFile("../../docs/capacity.md")
 	if err != nil {
@@ -56,7 +58,7 @@
 	for _, parameter := range p.All() {
 		value, err := strconv.ParseFloat(listed[parameter.Name], 64)
 		if err != nil || value != *parameter.Value {
-			t.Errorf("docs/capacity.md has %q for %s, which is %v",
+			t.Errorf("docs/capacity.md lists %q for parameter %s, want %v",
 				listed[parameter.Name], parameter.Name, *parameter.Value)
 		}
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -3,18 +3,19 @@
 import "time"
 
 // runTimeWeight is the weight of one more run in the mean run time of its class, and of one more
-// arrival in the mean delay before it is read.
+// arrival in the mean delay before requests are read. It is also the decay, in each control period,
+// of the sum of recent arrivals.
 const runTimeWeight = 0.1
 
-// minQueueTimeDivisor: at least this part of a latency objective counts as left beside the run.
+// minQueueTimeDivisor divides a latency objective to give the time that counts as left for queueing
+// at least, however long the run.
 const minQueueTimeDivisor = 4
 
 // maxExpectedSeconds bounds the expected time of a run, so that it fits a duration.
 const maxExpectedSeconds = 1e6
 
 // queueingDelay is the queueing delay of a class, Breakwater's d_m: the age of its oldest queued
-// request, including the time before it was read, and the wait for a call where the class makes
-// one.
+// request, including the time before it was read, plus the wait for a call if the class makes any.
 func (c *Controller) queueingDelay(class int) (delay time.Duration) {
 	if c.settings.Classes[class].CallsDependency {
 		delay = c.callQueueDelay()
@@ -25,9 +26,9 @@
 	return delay
 }
 
-// delayTarget is the target of a class's queueing delay, Breakwater's d_t: a share of what its
-// latency objective leaves beside the run. The share is smaller while other servers probably have
-// capacity, since an early cut sends requests there.
+// delayTarget is the target of a class's queueing delay, Breakwater's d_t: a share of its
+// latency objective less the mean run time. The share is smaller while other servers probably have
+// capacity, since an early cut of credit sends requests there.
 func (c *Controller) delayTarget(class int) time.Duration {
 	objective := c.settings.Classes[class].LatencyObjective
 	run := seconds(c.queues[class].meanRunSeconds)
@@ -42,13 +43,13 @@
 	queue := &c.queues[r.class]
 	run := queue.meanRunSeconds
 	if r.expectedWork > 0 && queue.meanExpectedSeconds > 0 {
-		// A part of each run is waiting, so that half of its time does not grow with the work.
+		// Part of each run is waiting, so half of its time is taken not to grow with the work.
 		run *= (1 + r.expectedWork.Seconds()/queue.meanExpectedSeconds) / 2
 	}
 	return seconds(min(run, maxExpectedSeconds))
 }
 
-// recordRunTime takes the run of r, which ends now, into the means of its class.
+// recordRunTime adds the run of r, which ends now, to the means of its class.
 func (c *Controller) recordRunTime(r *request) {
 	queue := &c.queues[r.class]
 	run := (c.now - r.startedAt).Seconds()
@@ -61,7 +62,7 @@
 	queue.meanExpectedSeconds += runTimeWeight * (expected - queue.meanExpectedSeconds)
 }
 
-// queueWait is how long the other queued requests take to start.
+// queueWait estimates how long r waits until the other queued requests have run.
 func (c *Controller) queueWait(r *request) time.Duration {
 	work := -c.queues[r.class].meanRunSeconds // r itself is queued
 	for i := range c.queues {
@@ -71,9 +72,9 @@
 	return seconds(work / float64(parallel))
 }
 
-// missesObjective reports whether r, after waiting for so long, cannot be answered while its answer
-// has any weight. Without saturation only the deadline counts, since requests must not be
-// rejected by an estimate while there is capacity.
+// missesObjective reports whether r, if it starts after wait, is expected to end too late for its
+// answer to have any weight. Without saturation only the deadline counts, since requests must not be
+// rejected because of an estimate while there is capacity.
 func (c *Controller) missesObjective(r *request, wait time.Duration) bool {
 	if !c.saturated(r.class) {
 		return c.deadlineNear(r)
@@ -83,15 +84,15 @@
 		end = min(end, r.objectiveAt)
 	}
 	run := float64(c.expectedRunTime(r))
-	// A run that turns out to be late keeps its core to the end.
+	// A late run that cannot be cancelled keeps its core to the end, so a start needs a margin.
 	if c.settings.Cancel == CancelNone {
 		run *= c.parameters.StartMarginFactor
 	}
 	return c.now+wait+time.Duration(run) > end
 }
 
-// retryIsFutile reports whether r, which misses its objective here, would miss it elsewhere: others
-// are full too, or the time left is shorter than a run.
+// retryIsFutile reports whether r, which misses its objective here, would probably miss it elsewhere
+// too: other servers are full, or the time left is shorter than a run.
 func (c *Controller) retryIsFutile(r *request) bool {
 	return c.arrivals.fleetSaturation > c.parameters.FewRetriesShare ||
 		r.objectiveAt < c.now+c.expectedRunTime(r)
@@ -115,8 +116,9 @@
 	}
 }
 
-// nextQueued is the queued request to start next, or nil: of the oldest of each class, the one with
-// the largest product of age and priority weight. Classes that would queue for the dependency wait.
+// nextQueued is the queued request to start next, or nil: among the oldest of each class, the one
+// with the largest product of age and priority weight. Classes that call the dependency are left out
+// while it is congested.
 func (c *Controller) nextQueued() *request {
 	var next *request
 	most := -1.0
@@ -134,12 +136,12 @@
 	return next
 }
 
-// hasCapacity reports whether one more request may run: up to the number of cores always, and up to
-// the credit pool while a core is free.
+// hasCapacity reports whether, within the running limit, one more request may run: up to the number
+// of cores always, and up to the credit pool while a core is free.
 func (c *Controller) hasCapacity() bool {
 	limit := c.runningLimit()
 	onCores := c.occupancy.onCoresWithOneMore()
-	// Requests at calls may all come back at once.
+	// Requests at calls may all return to the cores at once.
 	withCalls := onCores + float64(c.occupancy.atCalls)
 	if onCores > limit || withCalls > limit/c.parameters.RunningLimitShare {
 		return false
@@ -149,8 +151,8 @@
 		float64(c.occupancy.onCores) < c.credit.size && coreFree
 }
 
-// runningLimit is the number of requests that may run at once without harm to the server, which is
-// lower while it warms up.
+// runningLimit is the number of requests that may run at once without overloading the server. It is
+// lower while the server warms up.
 func (c *Controller) runningLimit() float64 {
 	speed := 1.0
 	if c.settings.WarmingUp && c.settings.WarmUpTime > 0 {
@@ -161,7 +163,8 @@
 	return max(float64(c.settings.Cores)*perCore*c.parameters.RunningLimitShare, 1)
 }
 
-// startRun starts a queued request, and reports whether it did; all starts pass through it.
+// startRun starts r if it is queued and may run, and reports whether it did. All starts go through
+// it.
 func (c *Controller) startRun(r *request) bool {
 	memoryKB := c.memoryKB + r.sizeKB*(c.settings.RunningMemoryFactor-1)
 	if r.state != queued || r.mayHaveRun || r.answered || c.arrivedAfterDrain(r) ||
@@ -179,12 +182,12 @@
 	return true
 }
 
-// onCompleted ends the run of r, or its answer from another's result.
+// onCompleted ends the run of r, or its answer from the result of another request.
 func (c *Controller) onCompleted(r *request, e *Event) {
 	if r.state == queued || r.state == awaitingResult {
 		return
 	}
-	if e.Outcome == OutcomeCancelled && !r.answered { // it may not start again
+	if e.Outcome == OutcomeCancelled && !r.answered { // it must not be started again
 		c.fail(r, reason{cause: CauseCancelled})
 	}
 	succeeded := r.state == running && e.Outcome == OutcomeOK
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// An idle server does not reject a long request on an estimate, however long its runs have been so
-// far.
+// An idle server does not reject a long request because of its estimated run time, however long runs
+// have been so far.
 func TestLongRequestStartsOnIdleServer(t *testing.T) {
 	h := newHarness(t, nil)
 	small := h.arrival(1, 0)
@@ -19,7 +19,8 @@
 	h.requireAction(h.advance(0, large), ActionStart, 2)
 }
 
-// With less than StartMarginFactor runs left, only work that can be cancelled is started.
+// A request with less time left than StartMarginFactor times its expected run is started only if runs
+// can be cancelled.
 func TestShortTimeLeftStartsOnlyCancellableWork(t *testing.T) {
 	for cancel, want := range map[CancelMode]ActionKind{CancelNone: ActionReject, CancelDiscard: ActionStart} {
 		h := newHarness(t, func(s *Settings) { s.Cancel = cancel })
@@ -32,8 +33,9 @@
 	}
 }
 
-// Queued requests start by age times weight: a heavy one before a light one that came a little
-// earlier, but not before one that is older by more than the ratio of the weights.
+// Queued requests start in order of age times priority weight: one of a large weight before one of a
+// small weight that arrived a little earlier, but not before one that is older by more than the ratio
+// of the weights.
 func TestQueueOrderByAgeAndWeight(t *testing.T) {
 	for lightFirst, want := range map[time.Duration]uint64{20 * ms: 11, 400 * ms: 10} {
 		h := newHarness(t, nil)
@@ -48,8 +50,8 @@
 	}
 }
 
-// Runs that are cancelled for being long count in the mean; otherwise it would fall and more would
-// be cancelled.
+// Cancelled runs count in the mean run time. Long runs are the ones that are cancelled, so that
+// otherwise the mean would fall and still more runs would be cancelled.
 func TestCancelledRunsCountInMeanRunTime(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Cancel = CancelDiscard })
 	h.advance(0, h.arrival(1, 0))
@@ -58,11 +60,11 @@
 	h.advance(0, h.arrival(2, 0))
 	h.advance(500*ms, abandoned(2))
 	if h.ctl.queues[0].meanRunSeconds <= before {
-		t.Fatalf("mean %v, was %v", h.ctl.queues[0].meanRunSeconds, before)
+		t.Fatalf("mean run time = %v s, want more than %v s", h.ctl.queues[0].meanRunSeconds, before)
 	}
 }
 
-// Where runs can be cancelled, one far beyond the mean gives way under overload.
+// If runs can be cancelled, a run that takes far longer than the mean is cancelled under overload.
 func TestOverrunningWorkIsCancelled(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Cancel = CancelDiscard; s.Cores = 1 })
 	h.advance(0, h.arrival(1, 0))
@@ -76,7 +78,7 @@
 	h.requireAction(out, ActionCancel, 2)
 }
 
-// A run that was expected to take long is not cancelled for exceeding the mean of its class.
+// A run that was expected to take long is not cancelled for exceeding the mean run time of its class.
 func TestOverrunIsMeasuredAgainstExpectedWork(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Cancel = CancelDiscard; s.Cores = 1 })
 	arrival := func(id uint64, work time.Duration) Event {
@@ -89,6 +91,6 @@
 	h.advance(0, arrival(2, 500*ms))
 	h.advance(0, arrival(3, 50*ms), arrival(4, 50*ms), arrival(5, 50*ms))
 	if out := h.runTimers(750*ms, 1, 2); findAction(out, ActionCancel, 2) != nil {
-		t.Fatal("cancelled, though it ran as long as was expected")
+		t.Fatal("request 2 was cancelled within its expected run time")
 	}
 }
--- a/internal/admission/quota.go
+++ b/internal/admission/quota.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// quotaBurst is the time for which a tenant's unused quota is saved up.
+// quotaBurst is the capacity of a tenant's token bucket, as the time in which its quota fills it.
 const quotaBurst = 2 * time.Second
 
-// tenantQuota is a tenant's part of this server, in requests a second.
+// tenantQuota is this server's share of a tenant's quota, in requests per second.
 func (c *Controller) tenantQuota(tenant int) float64 {
 	return c.settings.Tenants[tenant].QuotaRate / float64(max(c.settings.Servers, 1))
 }
@@ -23,7 +23,8 @@
 	return true
 }
 
-// refillQuotas fills the tenants' buckets for the time elapsed. Each holds one token at least.
+// refillQuotas refills the tenants' buckets for the time elapsed. Each has room for at least one
+// token.
 func (c *Controller) refillQuotas(elapsed time.Duration) {
 	for i := range c.quotaTokens {
 		quota := c.tenantQuota(i)
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -11,13 +11,13 @@
 const (
 	queued         requestState = iota
 	running                     // on the cores, or waiting for the disk
-	awaitingCall                // waits for a call that is not placed yet
+	awaitingCall                // waits to place a call
 	inCall                      // its call is in flight
-	awaitingResult              // a read that waits for the run of another read of the same subject
+	awaitingResult              // a read that waits for the result of another read of the same subject
 	reusingResult               // answered from the result of another request
 )
 
-// request is what the controller knows of one request until its run is over.
+// request is the state of one request until its run is over.
 type request struct {
 	id    uint64
 	class int
@@ -25,32 +25,32 @@
 
 	answered      bool // or abandoned: nobody waits for it
 	isRetry       bool // a retry or a hedged request
-	mayHaveRun    bool // it was started, or repeats a request that may have been
+	mayHaveRun    bool // it was started, or it repeats a request that may have run
 	keyRemembered bool
 	shareable     bool // a read whose result others may reuse
 
-	arrivedAt    time.Duration // when the server could have read it first
-	deadline     time.Duration // when it must have been answered
+	arrivedAt    time.Duration // the earliest time at which the server could have read it
+	deadline     time.Duration // by which it must be answered
 	objectiveAt  time.Duration // the end of its latency objective
 	startedAt    time.Duration // when its run started
 	expectedWork time.Duration // on a standard core; 0: unknown
-	sizeKB       float64       // of memory while it is queued
+	sizeKB       float64       // memory while it is queued
 
 	keyExpiresAt time.Duration
-	resultSource *request // whose result it waits for or reuses
+	resultSource *request // the request whose result it waits for or reuses
 	waiters      int      // requests that wait for its result
 
 	callAttempts int
-	nextCallAt   time.Duration // its call is not placed before
+	nextCallAt   time.Duration // the earliest time of its next call
 }
 
-// classQueue holds the queued requests of one class, in the order in which they were read, and what
-// is known of the class.
+// classQueue holds the queued requests of one class, in the order in which they were read, and the
+// mean run time and remembered keys of the class.
 type classQueue struct {
 	requests            []*request
 	meanRunSeconds      float64
-	meanExpectedSeconds float64    // mean of Event.ExpectedWork of those runs
-	keyExpiry           []*request // whose keys are remembered, by time of expiry
+	meanExpectedSeconds float64    // mean of Event.ExpectedWork of the same runs
+	keyExpiry           []*request // requests whose keys are remembered, by time of expiry
 }
 
 // enqueue adds r to the queue of its class.
@@ -60,10 +60,10 @@
 	queue.requests = append(queue.requests, r)
 }
 
-// dequeue takes r out of the queue of its class.
+// dequeue removes r from the queue of its class.
 func (c *Controller) dequeue(r *request) { removeFrom(&c.queues[r.class].requests, r) }
 
-// remove drops a request and gives back what it uses.
+// remove drops a request and frees the memory, core and call that it uses.
 func (c *Controller) remove(r *request) {
 	memoryKB := r.sizeKB * c.settings.RunningMemoryFactor
 	list := &c.executing
--- a/internal/admission/retry_detector.go
+++ b/internal/admission/retry_detector.go
@@ -8,28 +8,28 @@
 const (
 	// commonWaitSlots is the number of different waits that are remembered.
 	commonWaitSlots = 8
-	// commonWaitMinWeight is the weight, in arrivals of about the last 50, from which a wait counts
-	// as common.
+	// commonWaitMinWeight is the weight from which a wait counts as common: roughly the number of
+	// the last 50 arrivals that had this wait.
 	commonWaitMinWeight = 3.0
-	// waitTolerance is how far a wait may be off a common one and still be the same.
+	// waitTolerance is the difference below which two waits count as the same.
 	waitTolerance = 30 * time.Millisecond
 )
 
-// commonWait is a wait that callers use for first attempts, as a fraction of the class's timeout,
-// and how often it was seen lately. The weight fades with arrivals.
+// commonWait is a wait, which is the time from arrival to deadline, as a fraction of the class's
+// timeout, and a weight for how often it was seen recently. The weight decays with each arrival.
 type commonWait struct{ fraction, weight float64 }
 
-// retryDetector distinguishes retries from first attempts where callers do not mark them, by the
-// time for which they wait. First attempts wait the same fraction of the timeout at all callers of
-// one configuration, so that few fractions are common. A retry waits a little less than one of these
-// or, where callers limit single attempts, what is left of the client's timeout. Where waits vary at
-// random none is common, and no request is taken for a retry.
+// retryDetector distinguishes retries from first attempts by their waits, for callers that do not
+// mark retries. All callers with one configuration wait the same fraction of the timeout for first
+// attempts, so that few fractions are common. A retry waits a little less than a common fraction or,
+// if callers limit single attempts, for the rest of the client's timeout. If waits vary at random,
+// none is common and no request is taken for a retry.
 type retryDetector struct {
 	waits [commonWaitSlots]commonWait
 }
 
-// age estimates how long ago a request with this wait was first attempted; 0: now. It also counts
-// the wait.
+// age estimates how long ago the first attempt of a request with this wait was made; 0: it is the
+// first attempt. It also records the wait.
 func (d *retryDetector) age(wait, timeout time.Duration) time.Duration {
 	limit := float64(timeout)
 	tolerance := float64(waitTolerance) / limit
@@ -44,14 +44,14 @@
 	return time.Duration((firstFraction - fraction) * limit)
 }
 
-// fade lowers the weights of all waits for one more arrival.
+// fade decays the weights of all waits for one more arrival.
 func (d *retryDetector) fade() {
 	for i := range d.waits {
 		d.waits[i].weight *= 1 - arrivalWeight
 	}
 }
 
-// nextCommon returns the least common fraction above the given one (infinity: there is none), and
+// nextCommon returns the smallest common fraction above the given one (infinity: there is none), and
 // whether any fraction is common.
 func (d *retryDetector) nextCommon(fraction float64) (next float64, hasCommon bool) {
 	next = math.Inf(1)
@@ -67,7 +67,7 @@
 	return next, hasCommon
 }
 
-// record counts a wait. A new one takes the place of the rarest.
+// record adds one arrival with this wait. A new wait replaces the one with the least weight.
 func (d *retryDetector) record(fraction, tolerance float64) *commonWait {
 	wait := d.find(fraction, tolerance)
 	if wait == nil {
@@ -78,7 +78,8 @@
 	return wait
 }
 
-// find returns the wait of the largest weight that is the given one within the tolerance, or nil.
+// find returns, of the recorded waits within tolerance of fraction, the one with the largest weight,
+// or nil.
 func (d *retryDetector) find(fraction, tolerance float64) (found *commonWait) {
 	for i := range d.waits {
 		wait := &d.waits[i]
@@ -90,7 +91,7 @@
 	return found
 }
 
-// rarest returns the wait of the least weight.
+// rarest returns the wait with the least weight.
 func (d *retryDetector) rarest() *commonWait {
 	rarest := &d.waits[0]
 	for i := range d.waits {
--- a/internal/admission/reuse.go
+++ b/internal/admission/reuse.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// reuseResult answers r, which repeats a request with the same idempotency key, from that request.
+// reuseResult answers r, which repeats a request with the same idempotency key, from the result of
+// that request.
 func (c *Controller) reuseResult(r *request) {
 	c.dequeue(r)
 	r.state = reusingResult
@@ -13,8 +14,8 @@
 	c.emit(Action{Kind: ActionReuseResult, Request: r.id})
 }
 
-// joinRun lets a read wait for the result of the prior read of the same subject, and reports
-// whether there is one. The read needs no run of its own, so it is not rejected for queueing delay.
+// joinRun makes a read wait for the result of the prior read of the same subject, and reports
+// whether there is such a read. The read needs no run of its own, so it is not rejected for queueing delay.
 func (c *Controller) joinRun(r *request, prior uint64) bool {
 	source := cmp.Or(c.requests[prior], c.reusable[prior])
 	if source == nil || !source.keyRemembered || source.class != r.class {
@@ -28,7 +29,8 @@
 	return true
 }
 
-// requeueWaiters lets the reads that wait for source, which failed or was dropped, run themselves.
+// requeueWaiters puts the reads that wait for the result of source, which failed or was dropped, back
+// into their queue, to run themselves.
 func (c *Controller) requeueWaiters(source *request) {
 	for i := len(c.executing) - 1; source.waiters > 0 && i >= 0; i-- {
 		r := c.executing[i]
@@ -55,8 +57,8 @@
 	c.scheduleKeyExpiry(r, c.now+c.settings.ResultMaxAge)
 }
 
-// reuseResults answers waiting reads from results that are there, as far as the cores allow: each
-// answer takes a core for a moment.
+// reuseResults answers waiting reads whose result is available, as far as the running limit allows:
+// each answer uses a core for a moment.
 func (c *Controller) reuseResults() {
 	if len(c.reusable) == 0 {
 		return
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -19,7 +19,7 @@
 const (
 	CreditNone          CreditMode = iota // callers read no value, and none may be advertised
 	CreditRankThreshold                   // callers do not send requests of a lower Event.Rank
-	CreditPerCaller                       // requests in flight for each caller; a fraction is a chance
+	CreditPerCaller                       // requests in flight for each caller; a fraction is a probability
 	CreditWeight                          // probability, 0 to 1, with which a caller picks this server
 )
 
@@ -51,10 +51,10 @@
 	LatencyObjective time.Duration
 	// ObjectiveWorkFactor times a request's own expected work is added to its objective.
 	ObjectiveWorkFactor float64
-	// Timeout is how long a client waits in all. It gives the deadline of requests without one.
+	// Timeout is how long a client waits in total. It sets the deadline of requests without one.
 	Timeout time.Duration
-	// IdempotencyWindow is how long after its arrival a request may arrive again, for
-	// IdempotentWithKey.
+	// IdempotencyWindow is how long after its arrival a request with the same key may arrive again,
+	// for IdempotentWithKey.
 	IdempotencyWindow time.Duration
 	Idempotency       Idempotency
 	// PriorityWeight is the value of an answer relative to those of other classes.
@@ -75,11 +75,11 @@
 // Tenant is one customer of the fleet.
 type Tenant struct {
 	Name      string
-	QuotaRate float64 // requests a second within its quota, over all servers; 0: no quota
+	QuotaRate float64 // quota in requests per second, over all servers; 0: no quota
 }
 
-// Settings describes the server and its surroundings. The zero value of a field means that it is not
-// known, unless Validate reports it as missing.
+// Settings describes the server, its callers and its dependency. The zero value of a field means that
+// it is unknown, unless Validate reports it as missing.
 type Settings struct {
 	Classes []Class
 	Tenants []Tenant
@@ -102,7 +102,7 @@
 	// as a mean over CallQuotaWindow.
 	CallQuota                 float64
 	CallQuotaWindow           time.Duration
-	AbandonedCallTime         time.Duration // longest time that an abandoned call goes on
+	AbandonedCallTime         time.Duration // longest time for which the dependency works on an abandoned call
 	DeepHealthChecks          bool
 	ReportsAbandoned          bool // the host reports EventAbandoned
 	MarksRetries              bool // callers set Event.Retry
@@ -117,14 +117,14 @@
 	OverQuotaWeight float64 // weight of a request beyond its tenant's quota
 
 	DeadlineGrace time.Duration // time after a deadline in which an answer still counts
-	// DrainGrace is how long after the begin of a drain arrivals may still start.
+	// DrainGrace is the time from the start of a drain in which arrivals may still start.
 	DrainGrace time.Duration
-	// MaxRunningPerCore is the number of running requests for each core, as a mean over
-	// MaxRunningWindow, that a server can take which is not warming up.
+	// MaxRunningPerCore is the number of running requests per core, as a mean over MaxRunningWindow,
+	// that a server can take once it is warm.
 	MaxRunningPerCore  float64
 	MaxRunningWindow   time.Duration
 	WarmUpInitialShare float64       // speed at the start, as a share of the full speed
 	WarmUpTime         time.Duration // time until the full speed
 
-	Parameters Parameters // of the module itself; the zero value stands for DefaultParameters
+	Parameters Parameters // of the controller's decisions; the zero value stands for DefaultParameters
 }
--- a/internal/admission/validate.go
+++ b/internal/admission/validate.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// SettingError is a setting that is missing or out of range, or that another contradicts.
+// SettingError reports a setting that is missing or out of range, or that contradicts another.
 type SettingError struct {
 	Setting string // as Settings names it, for example Classes[2].IdempotencyWindow
 	Value   any
-	Want    string // what it would have to be
+	Want    string // what it has to be, for example "1 or more"
 }
 
 func (e *SettingError) Error() string {
@@ -39,7 +39,7 @@
 func fraction(v float64) bool { return v >= 0 && v <= 1 }
 
 // Validate returns a SettingError for the first setting that a controller cannot work with.
-// Settings that it makes no use of are not checked.
+// Settings that the controller does not use are not checked.
 func (s *Settings) Validate() error {
 	if err := s.validateServer(); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// validateServer checks the settings that are not of one class or tenant.
+// validateServer checks the settings that belong to no class or tenant.
 func (s *Settings) validateServer() error {
 	atLeast := func(v, least float64) bool { return v >= least && finite(v) }
 	callsValid := s.Dependency != DependencyShared || s.CallQuota > 0 && finite(s.CallQuota)
@@ -72,7 +72,7 @@
 		{"KeyMemoryKB", s.KeyMemoryKB, "0 or more", atLeast(s.KeyMemoryKB, 0)},
 		{"MaxRunningPerCore", s.MaxRunningPerCore, "1 or more", atLeast(s.MaxRunningPerCore, 1)},
 		{"WarmUpInitialShare", s.WarmUpInitialShare, "from 0 to 1", fraction(s.WarmUpInitialShare)},
-		{"CallQuota", s.CallQuota, "above 0, and calls are shared", callsValid},
+		{"CallQuota", s.CallQuota, "above 0 for a shared dependency", callsValid},
 	})
 	if err != nil {
 		return err
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// validate checks a class beside those before it. The error names the setting within the class.
+// validate checks a class, and its name against the classes before it. The error names the setting
+// within the class.
 func (c *Class) validate(others []Class) *SettingError {
 	notNegative := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	windowValid := c.Idempotency != IdempotentWithKey || c.IdempotencyWindow > 0
@@ -89,8 +90,8 @@
 		{"LatencyObjective", c.LatencyObjective, "above 0", c.LatencyObjective > 0},
 		{"Timeout", c.Timeout, "above 0", c.Timeout > 0},
 		{"ObjectiveWorkFactor", c.ObjectiveWorkFactor, "0 or more", notNegative(c.ObjectiveWorkFactor)},
-		{"Idempotency", c.Idempotency, "one of the effects", c.Idempotency <= NonIdempotent},
-		{"IdempotencyWindow", c.IdempotencyWindow, "above 0, and the class is keyed", windowValid},
+		{"Idempotency", c.Idempotency, "one of the kinds of idempotency", c.Idempotency <= NonIdempotent},
+		{"IdempotencyWindow", c.IdempotencyWindow, "above 0 for a class with idempotency keys", windowValid},
 		{"PriorityWeight", c.PriorityWeight, "0 or more", notNegative(c.PriorityWeight)},
 		{"LateWeightFraction", c.LateWeightFraction, "from 0 to 1", fraction(c.LateWeightFraction)},
 		{"DegradedWeightFraction", c.DegradedWeightFraction, "from 0 to 1", fraction(c.DegradedWeightFraction)},
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// validate checks a tenant beside those before it. The error names the setting within the tenant.
+// validate checks a tenant, and its name against the tenants before it. The error names the setting
+// within the tenant.
 func (t *Tenant) validate(others []Tenant) *SettingError {
 	if t.Name == "" {
 		return &SettingError{"Name", `""`, "a name"}
