--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -17,7 +17,7 @@
 	ActionRememberKey            // remember the request's key for Duration
 	ActionForgetKey              // drop the remembered key
 	ActionReuseResult            // answer with the result of the request that this one repeats
-	ActionSetHealth              // answer health checks by Healthy
+	ActionSetHealth              // set the answer to health checks to Healthy
 	ActionAdvertise              // send Value with every answer, in the form of Settings.CreditMode
 	ActionCloseIdle              // close connections that are idle for Duration
 	ActionTimer                  // report EventTimer with Token after Duration
@@ -25,7 +25,7 @@
 )
 
 // Cause is why a request is answered without a result. The comment of a cause that sets Action.Value
-// and Action.Limit ends with what they hold.
+// and Action.Limit ends with their unit or meaning.
 type Cause uint8
 
 // The causes.
@@ -44,7 +44,8 @@
 	CauseCancelled                  // its run was cancelled
 )
 
-// Action is one step that the host has to carry out, in the order in which Handle returns them.
+// Action is one thing that the host has to do. The host carries out actions in the order in which
+// Handle returns them.
 type Action struct {
 	Kind     ActionKind
 	Request  uint64
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// newRequest makes the record of a request that was read, and counts it in the arrival statistics.
+// newRequest creates the state of a request that was read, and counts it in the arrival statistics.
 func (c *Controller) newRequest(e *Event) *request {
 	c.arrivals.recent++
 	c.arrivals.total++
@@ -73,7 +73,7 @@
 		r.sizeKB = e.SizeKB
 	}
 	c.arrivals.readDelay += runTimeWeight * (float64(c.now-r.arrivedAt) - c.arrivals.readDelay)
-	r.deadline = c.now // rejects a request of an unknown class, as its deadline is too near
+	r.deadline = c.now // too near, so that a request of an unknown class is rejected
 	if e.Class >= 0 && e.Class < len(c.queues) {
 		r.class = e.Class
 		r.deadline = e.Deadline
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -47,7 +47,7 @@
 		h.advance(0, h.arrival(1, 2))
 		h.advance(300*ms, completed(1))
 		h.runTimers(100*ms, 1, 1)
-		for id := 2; id < 3+waiting; id++ { // one runs
+		for id := 2; id < 3+waiting; id++ { // the first of them runs
 			h.advance(0, h.arrival(uint64(id), 2))
 		}
 		if a := h.requireAction(h.advance(0, h.arrival(100, 2)), want, 100); want == ActionReject &&
@@ -76,7 +76,7 @@
 		})
 		h.advance(0, h.arrival(1, 2))
 		h.advance(time.Second, completed(1))
-		h.advance(0, h.arrival(2, 2), h.arrival(3, 2)) // one runs
+		h.advance(0, h.arrival(2, 2), h.arrival(3, 2)) // the first of them runs
 		h.ctl.arrivals.rejectedShare = c.rejectedShare
 		a := h.requireAction(h.advance(c.after, timerEvent(1, 1)), ActionReject, 3)
 		if a.Cause != CauseObjectiveUnreachable || a.NoRetry != c.noRetry {
--- a/internal/admission/answer.go
+++ b/internal/admission/answer.go
@@ -56,7 +56,7 @@
 	c.answer(r, Action{Kind: ActionFail, Cause: why.cause, Value: why.value, Limit: why.limit})
 }
 
-// release marks r as answered or abandoned. A request that is not running is dropped. A run is
+// release marks r as answered or abandoned. A request without a run of its own is dropped. A run is
 // cancelled if the server can do that and no other request waits for its result; a run that waits
 // to place its call continues without it.
 func (c *Controller) release(r *request) {
--- a/internal/admission/call_limit.go
+++ b/internal/admission/call_limit.go
@@ -97,8 +97,8 @@
 	return float64(calls.occupied()+1) <= calls.limit && calls.budgetSeconds >= need
 }
 
-// maxCallTime is how long a new call may last by the budget: the budget, or with the overdraft and
-// less the time for which an abandoned call goes on, if that is more.
+// maxCallTime is how long a new call may last: the budget with its overdraft, less the time for which
+// the call goes on if it is abandoned, and at least the budget itself.
 func (c *Controller) maxCallTime() time.Duration {
 	budget := c.calls.budgetSeconds
 	return seconds(max(2*budget-c.settings.AbandonedCallTime.Seconds(), budget))
@@ -112,9 +112,9 @@
 // callTimes describes how long calls take. The best time estimates the call time without congestion:
 // a mean far above it means that the dependency is congested.
 type callTimes struct {
-	completed       float64 // calls
-	meanSeconds     float64 // moving mean of the last calls
-	longMeanSeconds float64 // moving mean of more calls
+	completed       float64 // number of calls
+	meanSeconds     float64 // moving mean over the last calls
+	longMeanSeconds float64 // moving mean over more calls
 	longVariance    float64 // seconds squared
 	bestSeconds     float64
 }
--- a/internal/admission/call_limit_test.go
+++ b/internal/admission/call_limit_test.go
@@ -19,7 +19,7 @@
 		h.advance(controlPeriod/20, completed(id), timerEvent(0.5, 1))
 	}
 	if h.ctl.calls.limit < most {
-		t.Errorf("call limit = %v, want at least the initial %v", h.ctl.calls.limit, most)
+		t.Errorf("call limit = %v, want at least %v as before the usual calls", h.ctl.calls.limit, most)
 	}
 }
 
@@ -34,7 +34,7 @@
 	h.advance(800*ms, lost)
 	h.requireAction(h.runTimers(callBackoff+controlPeriod, 0.5, 1), ActionPlaceCall, 100)
 	if h.ctl.calls.times.meanSeconds != mean || h.ctl.calls.limit < limit {
-		t.Errorf("mean call time = %v s, call limit = %v, want %v and at least %v",
+		t.Errorf("mean call time = %v s, call limit = %v, want %v s and at least %v",
 			h.ctl.calls.times.meanSeconds, h.ctl.calls.limit, mean, limit)
 	}
 }
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -154,7 +154,7 @@
 	if !neverRan && e.Outcome != OutcomeConnectionLost {
 		c.calls.times.record(e.Elapsed.Seconds(), c.parameters.BestCallTimeGrowth)
 	}
-	if e.Outcome == OutcomeTimedOut { // the dependency drops a call whose connection broke by itself
+	if e.Outcome == OutcomeTimedOut { // the dependency itself drops a call whose connection broke
 		c.addAbandonedCall()
 	}
 	if e.Outcome == OutcomeOK || r.answered {
--- a/internal/admission/checker_rules_test.go
+++ b/internal/admission/checker_rules_test.go
@@ -71,7 +71,7 @@
 	}
 	if class.Idempotency == IdempotentWithKey {
 		if at, ok := k.ranKeys[s.subject]; ok && s.arrivedAt <= at+class.IdempotencyWindow {
-			k.violate(ruleNoDuplicate, "key %d ran again within its window, %v after the first run",
+			k.violate(ruleNoDuplicate, "key %d ran again within its window, %v after the first attempt",
 				s.subject, s.arrivedAt-at)
 		}
 		if k.keyOwner[s.subject] != s.id {
--- a/internal/admission/checker_test.go
+++ b/internal/admission/checker_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// step advances the time by a few milliseconds and handles a batch of events. With a probability of
-// rate percent one more arrival is added, repeatedly.
+// step advances the time by a few milliseconds and handles a batch of events. Arrivals
+// are added one by one, each with a probability of rate percent, until one is not.
 func (k *checker) step(rate int) {
 	k.now += time.Duration(1+k.rng.IntN(8)) * time.Millisecond
 	events := k.dueTimers()
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -30,7 +30,7 @@
 	shareable     bool // a read whose result others may reuse
 
 	arrivedAt    time.Duration // the earliest time at which the server could have read it
-	deadline     time.Duration // by which it must be answered
+	deadline     time.Duration // the time by which it must be answered
 	objectiveAt  time.Duration // the end of its latency objective
 	startedAt    time.Duration // when its run started
 	expectedWork time.Duration // on a standard core; 0: unknown
--- a/internal/admission/reuse.go
+++ b/internal/admission/reuse.go
@@ -14,8 +14,9 @@
 	c.emit(Action{Kind: ActionReuseResult, Request: r.id})
 }
 
-// joinRun makes a read wait for the result of the prior read of the same subject, and reports
-// whether there is such a read. The read needs no run of its own, so it is not rejected for queueing delay.
+// joinRun makes a read wait for the result of the prior read of the same subject, and reports whether
+// there is such a read. The waiting read needs no run of its own, so it is not rejected for queueing
+// delay.
 func (c *Controller) joinRun(r *request, prior uint64) bool {
 	source := cmp.Or(c.requests[prior], c.reusable[prior])
 	if source == nil || !source.keyRemembered || source.class != r.class {
