--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -11,15 +11,15 @@
 	controller *admission.Controller
 	now        func() time.Duration
 	events     []admission.Event  // not handled yet
-	actions    []admission.Action // of the last events
+	actions    []admission.Action // that the last events resulted in
 	next       int                // index of the next action
 }
 
 // report adds an event. The admission controller handles it when the next action is asked for.
 func (q *admissionQueue) report(e admission.Event) { q.events = append(q.events, e) }
 
-// nextAction returns the next action; false if all events are handled and their actions
-// executed. Its duration is in whole microseconds.
+// nextAction returns the next action; false if all events are handled and their actions executed.
+// The duration of the action is truncated to whole microseconds.
 func (q *admissionQueue) nextAction() (admission.Action, bool) {
 	if q.next == len(q.actions) {
 		if len(q.events) == 0 {
--- a/internal/lifecycle/answer.go
+++ b/internal/lifecycle/answer.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/admission"
 
-// answer gives a request its final answer, if it has none.
+// answer gives a request its final answer, if it has none yet.
 func (m *Manager) answer(r *request, a Answer) {
 	if r.answered {
 		return
@@ -28,12 +28,13 @@
 	m.answer(r, Answer{Status: status})
 }
 
-// isDeadlineNear reports whether an answer would come too late.
+// isDeadlineNear reports whether it is too late for a result to reach the caller by the deadline.
 func (m *Manager) isDeadlineNear(r *request) bool {
 	return m.env.Now() >= r.deadline-deadlineMargin
 }
 
-// closeRequest ends what a request waits for: it is answered, or its caller is gone.
+// closeRequest marks a request as answered or abandoned. A duplicate no longer waits for its original,
+// and the runner is told that the result of a running attempt is not needed.
 func (m *Manager) closeRequest(r *request) {
 	r.answered = true
 	m.openCount--
@@ -69,7 +70,7 @@
 	m.releaseAnswer(r)
 }
 
-// Abandon says that the caller of a request is gone. Its run goes on, and its key stays remembered.
+// Abandon reports that the caller of a request is gone. Its run goes on, and its key stays remembered.
 func (m *Manager) Abandon(t Ticket) {
 	if r := m.requests[uint64(t)]; r != nil && !r.answered {
 		m.stats[r.Class].Abandoned++
@@ -77,8 +78,8 @@
 	}
 }
 
-// Withdraw is Abandon for a caller that is still there, to which the frontend confirms the end of
-// the request without a result: callers take that for a failure.
+// Withdraw is Abandon for a caller that is still connected. The frontend confirms to the caller that
+// the request has ended without a result, which callers treat as a failure.
 func (m *Manager) Withdraw(t Ticket) {
 	if r := m.requests[uint64(t)]; r != nil && !r.answered {
 		m.stats[r.Class].Withdrawn++
@@ -93,7 +94,7 @@
 	m.releaseAnswer(r)
 }
 
-// releaseAnswer notifies the admission controller that a request needs no answer any more.
+// releaseAnswer notifies the admission controller that a request no longer needs an answer.
 func (m *Manager) releaseAnswer(r *request) {
 	if !r.awaitsStore { // otherwise storeEnd has reported the end of the run
 		m.admission.report(admission.Event{Kind: admission.EventAbandoned, Request: r.id})
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -6,8 +6,9 @@
 	"ryepaddle/internal/admission"
 )
 
-// start begins the run of an admitted request. As the only place where runs begin it checks once
-// more that the request may run: not answered, not too late in a drain, and the first of its key.
+// start begins the run of an admitted request. It is the only place where runs begin, and checks
+// once more that the request may run: it is not answered, did not arrive too late in a drain, and is
+// the first of its key to run.
 func (m *Manager) start(r *request) {
 	class := &m.settings.Classes[r.Class]
 	runsElsewhere := r.keyEntry != nil && r.keyEntry.remoteOwner != 0
@@ -83,7 +84,7 @@
 	r.running.runner.Run(r.running)
 }
 
-// requestOf returns the request of an attempt that runs; nil if the attempt has ended.
+// requestOf returns the request of a running attempt; nil if the attempt has ended.
 func (m *Manager) requestOf(a *Attempt) *request {
 	r := m.requests[a.id]
 	if a.ended || r == nil || r.running != a {
@@ -92,9 +93,9 @@
 	return r
 }
 
-// ResponseStarted reports a result whose body is still coming. It answers the request, whose run
-// goes on until AttemptEnded; from now on the request can neither fail nor be retried. It reports
-// whether the rest of the body is consumed.
+// ResponseStarted reports a result whose body is still being received. It answers the request, whose
+// run goes on until AttemptEnded; from now on the request can neither fail nor be retried. It returns
+// false if the result was not passed on, so that nothing consumes the rest of the body.
 func (m *Manager) ResponseStarted(a *Attempt, result *Result) bool {
 	r := m.requestOf(a)
 	if r == nil || r.answered {
@@ -109,8 +110,8 @@
 	return true
 }
 
-// AttemptEnded reports the end of an attempt. A run that succeeded without a result has one that
-// cannot be cached.
+// AttemptEnded reports the end of an attempt. If the outcome is Succeeded and result is nil, the run
+// has a result that cannot be cached.
 func (m *Manager) AttemptEnded(a *Attempt, outcome Outcome, result *Result) {
 	r := m.requestOf(a)
 	if r == nil {
@@ -162,7 +163,7 @@
 	m.removeIfDone(r)
 }
 
-// answerOf returns what the end of a run is to the admission controller and to its caller.
+// answerOf returns the outcome of a run for the admission controller and the answer for the caller.
 func answerOf(o Outcome, result *Result) (admission.Outcome, Answer) {
 	switch o {
 	case Succeeded:
@@ -179,8 +180,8 @@
 	return admission.OutcomeFailed, Answer{Status: Failed}
 }
 
-// shouldRetry decides whether an attempt is retried on another server: one that was interrupted
-// only if that is safe, one that never ran in any case.
+// shouldRetry decides whether an attempt is retried on another server. An attempt that no server
+// took may be retried; one that was interrupted only if it is idempotent.
 func (m *Manager) shouldRetry(r *request, a *Attempt, outcome Outcome) bool {
 	mayRetry := outcome == Unreachable || outcome == Interrupted && a.Idempotent
 	if r.answered || r.BodyConsumed || m.env.ShouldRetry == nil || !mayRetry {
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// provenLifetime is how long a caller counts after its last run.
+	// provenLifetime is how long a caller stays proven after its last run.
 	provenLifetime = 10 * time.Second
-	// maxProvenCallers bounds the callers that are counted.
+	// maxProvenCallers bounds the number of proven callers.
 	maxProvenCallers = 4096
-	// unprovenCaller is the caller number of all other callers together.
+	// unprovenCaller is the caller number that all other callers share.
 	unprovenCaller = 1<<32 - 1
 )
 
-// provenCallers holds the callers of which a request has run lately. The admission controller
-// divides its credit among the callers that it knows: if any number that a request carries counted
-// as a caller, a flood of made-up numbers would leave no credit for the others.
+// provenCallers holds the callers of which a request has run recently. The admission controller
+// divides its credit among the callers that it knows: if every caller number in a request counted, a
+// flood of made-up numbers would leave no credit for the other callers.
 type provenCallers struct {
 	lastRunAt map[uint32]time.Duration // monotonic, by caller number
 	sweptAt   time.Duration
--- a/internal/lifecycle/callers_test.go
+++ b/internal/lifecycle/callers_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Made-up caller numbers get no part of the credit, and callers are forgotten after a while.
+// All caller numbers of which no request has run share one number for the admission controller, so that
+// made-up numbers get no part of the credit. Proven callers are removed after provenLifetime.
 func TestCallersCountOnceRequestHasRun(t *testing.T) {
 	c := provenCallers{lastRunAt: map[uint32]time.Duration{}}
 	c.markProven(7, time.Microsecond)
@@ -15,6 +16,6 @@
 	c.expire(time.Microsecond + provenLifetime + sweepInterval)
 	got = append(got, c.admissionNumber(7), uint32(len(c.lastRunAt)))
 	if diff := cmp.Diff([]uint32{7, unprovenCaller, unprovenCaller, unprovenCaller, 0}, got); diff != "" {
-		t.Error("(-want +got)\n" + diff)
+		t.Error("caller numbers before and after expiry (-want +got):\n" + diff)
 	}
 }
--- a/internal/lifecycle/calls.go
+++ b/internal/lifecycle/calls.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// NeedsCall reports that a run waits for a call with that body.
+// NeedsCall reports that a run waits for a call to the back end with the given body.
 func (m *Manager) NeedsCall(a *Attempt, body []byte) {
 	r := m.requestOf(a)
 	if r == nil {
@@ -21,7 +21,7 @@
 	m.runActions()
 }
 
-// CallEnded reports the end of a call that took so long.
+// CallEnded reports how a call ended, its reply and how long it took.
 func (m *Manager) CallEnded(a *Attempt, outcome Outcome, reply []byte, took time.Duration) {
 	r := m.requestOf(a)
 	if r == nil || !r.callInFlight {
@@ -43,7 +43,7 @@
 	m.runActions()
 }
 
-// callOutcome returns the end of a call as the admission controller counts it.
+// callOutcome returns the outcome of a call for the admission controller.
 func callOutcome(o Outcome) admission.Outcome {
 	switch o {
 	case Succeeded:
@@ -64,7 +64,8 @@
 	return 0
 }
 
-// startCall places the call that a run waits for. Without a timeout, that of the class applies.
+// startCall places the call that a run waits for. If timeout is not positive, the timeout of the
+// class applies.
 func (m *Manager) startCall(r *request, timeout time.Duration) {
 	if r.running == nil || r.callBody == nil || m.env.Dependency == nil {
 		m.admission.report(admission.Event{
--- a/internal/lifecycle/cause.go
+++ b/internal/lifecycle/cause.go
@@ -2,30 +2,30 @@
 
 import "ryepaddle/internal/admission"
 
-// Cause is why a request was answered as it was. Values below firstLifecycleCause are causes of the
+// Cause is the reason for the answer to a request. Values below firstLifecycleCause are causes of the
 // admission controller.
 type Cause uint8
 
-// CauseNone is the cause of an answer that needs none.
+// CauseNone is the cause of an answer that needs no explanation.
 const CauseNone Cause = 0
 
-// firstLifecycleCause is the first cause that is not of the admission controller.
+// firstLifecycleCause is the first cause that does not come from the admission controller.
 const firstLifecycleCause Cause = 65
 
-// The causes that are not of the admission controller. Where a comment says so, Value and Limit of
-// the trace are what was compared.
+// The causes that do not come from the admission controller. Where a comment names two quantities
+// after a semicolon, these are Value and Limit of the trace.
 const (
-	CauseKeyTableFull = firstLifecycleCause + iota // no room for its key; keys, and the limit
-	CauseKeyStore                                  // its key cannot be made durable now
+	CauseKeyTableFull = firstLifecycleCause + iota // the table of keys is full; number of keys, limit
+	CauseKeyStore                                  // its key cannot be made durable at present
 	CauseDuplicateID                               // another request with its ID is open
 	CauseKeyReused                                 // its key was used with another body
-	// it duplicates one that had begun before a restart
+	// it duplicates a request that had begun before a restart
 	CauseInDoubt
 	// it got the answer of the request that it duplicates
 	CauseDuplicate
 	CauseOriginalNotRun // the request that it duplicates never ran
 	CauseNoServer       // no server took it
-	CauseServerFault    // its server failed it
+	CauseServerFault    // its server reported a failure
 	// its run was interrupted, and may not be retried
 	CauseInterrupted
 	CauseRunTimeout     // its run did not end by its deadline
@@ -33,12 +33,12 @@
 	// the deadline that its frontend set has passed
 	CauseDeadline
 	CauseCallerGone  // its caller was gone
-	CauseRunRejected // its run was rejected, and nothing ran
-	// no slot in time; seconds of the wait, and seconds left
+	CauseRunRejected // the server rejected its run, and nothing ran
+	// no slot of its bulkhead in time; seconds of waiting, seconds left
 	CauseBulkheadWait
-	// the queue of its bulkhead was full; requests, and the limit
+	// the queue of its bulkhead was full; queued requests, limit
 	CauseBulkheadFull
-	CauseReplicas // no replicas for its key
+	CauseReplicas // its key could not be replicated
 	firstUnusedCause
 )
 
@@ -81,7 +81,7 @@
 	return ""
 }
 
-// lifecycleText returns the text of a cause that is not of the admission controller.
+// lifecycleText returns the text of a cause that does not come from the admission controller.
 func (c Cause) lifecycleText() string {
 	switch c {
 	case CauseKeyTableFull:
@@ -134,7 +134,7 @@
 	return all
 }
 
-// outcomeCause returns why a run with that outcome has no result.
+// outcomeCause returns the cause of an answer without a result, by the outcome of the run.
 func outcomeCause(o Outcome) Cause {
 	switch o {
 	case Succeeded:
--- a/internal/lifecycle/duplicates.go
+++ b/internal/lifecycle/duplicates.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/admission"
 
-// endKey notes how the run of a key ended, and answers the duplicates that wait for it.
+// endKey records how the run of a key ended, and answers the duplicates that wait for it.
 func (m *Manager) endKey(r *request, outcome Outcome, result *Result) {
 	entry := r.keyEntry
 	if outcome.neverRan() { // another request may run the key
@@ -23,7 +23,7 @@
 	m.answerWaiters(entry)
 }
 
-// duplicateStatus returns how duplicates of a run without a result are answered.
+// duplicateStatus returns the status of answers to duplicates of a run without a result.
 func duplicateStatus(o Outcome) Status {
 	switch o {
 	case TimedOut:
@@ -58,7 +58,8 @@
 	m.endDuplicate(r, admission.OutcomeFailed)
 }
 
-// answerDuplicate answers a duplicate with the result of its original, now or when that has ended.
+// answerDuplicate answers a duplicate with the result of its original, now or when the original has
+// ended.
 func (m *Manager) answerDuplicate(r *request) {
 	entry := r.keyEntry
 	switch {
--- a/internal/lifecycle/durability.go
+++ b/internal/lifecycle/durability.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// replicationDrainMargin is how long before the process is stopped a result that is not replicated
-// is abandoned.
+// replicationDrainMargin is how long before the process is stopped a request is answered as expired
+// if its result is not replicated.
 const replicationDrainMargin = 300 * time.Millisecond
 
-// storeStart makes the start of a run durable and then begins it. A store that does not answer in
-// time is not waited for: the request is rejected, and the release of its key is stored after the
-// start.
+// storeStart makes the start of a run durable and then begins the run. If the store does not answer
+// in time, the request is rejected, and the release of its key is stored after the start.
 func (m *Manager) storeStart(r *request) {
 	attempt := m.newAttempt(r, nil)
 	r.running = attempt
@@ -38,8 +37,8 @@
 	m.env.KeyStore.Started(record, finish)
 }
 
-// startStored begins a run whose start is durable, unless that failed or the run may not begin any
-// more.
+// startStored begins a run whose start is durable. If the start could not be stored, or the run may no
+// longer begin, it rejects the request.
 func (m *Manager) startStored(r *request, a *Attempt, record KeyRecord, err error) {
 	if err == nil && m.mayStart(r) {
 		m.dispatch(r)
@@ -54,8 +53,9 @@
 }
 
 // storeEnd makes the end of a run durable, and then answers the request and its duplicates. The
-// admission controller is notified at once that the run has ended. The answer waits, but not for a
-// store that does not answer, and not beyond the deadline.
+// admission controller is notified at once that the run has ended. The answer waits for the store, but
+// not beyond the timeout of the store or the deadline. A result that is replicated may wait until the
+// deadline: see boundReplicationWait.
 func (m *Manager) storeEnd(r *request, outcome Outcome, result *Result) {
 	admissionOutcome, answer := answerOf(outcome, result)
 	m.complete(r, admissionOutcome)
@@ -84,7 +84,7 @@
 	}
 	timeOut := func() { finish(errStoreTimeout) }
 	if _, replicated := m.env.KeyStore.(ReplicatedKeyStore); replicated && outcome == Succeeded {
-		// No duplicate can come after the expiry of the key.
+		// No duplicate can arrive after the key has expired.
 		stopTimer = m.env.After(max(record.ExpiresAt.Sub(m.env.Unix()), 0), timeOut)
 		m.env.KeyStore.Ended(record, finish)
 		m.boundReplicationWait(r)
@@ -118,8 +118,9 @@
 }
 
 // boundReplicationWait answers a request as expired if its result is not replicated in time. The
-// result must not be sent before: if this process then seems to have failed, the other runners
-// answer duplicates as in doubt. The key waits on until the result is replicated.
+// result must not be sent before it is replicated: if this process then appeared to have failed, the
+// other runners would answer duplicates as in doubt. The key still waits until the result is
+// replicated.
 func (m *Manager) boundReplicationWait(r *request) {
 	now := m.env.Now()
 	wait := r.deadline - deadlineMargin - now
--- a/internal/lifecycle/helpers_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -13,9 +13,10 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// testManager is a manager with a clock, a runner and callers of the test. It is sent `ask ID CLASS
-// [KEY [TIMEOUT-MS]]`, `gone ID`, `end ID OUTCOME [RESULT]`, `need ID`, `called ID OUTCOME`, `drain
-// MS` and `pass MS`; it expects `run ID`, `answer ID STATUS [RESULT]`, `call ID` and `give-up ID`.
+// testManager is a scenario.Actor: a manager with a simulated clock, runner, back end and callers.
+// Scripts send it the commands `ask ID CLASS [KEY [TIMEOUT-MS]]`, `gone ID`, `end ID OUTCOME [RESULT]`,
+// `need ID`, `called ID OUTCOME`, `drain MS` and `pass MS`, and expect the events `run ID`, `answer ID
+// STATUS [RESULT]`, `call ID` and `give-up ID`.
 type testManager struct {
 	*Manager
 	now       time.Duration
@@ -44,7 +45,7 @@
 
 func (t *testManager) CancelCall(a *Attempt) { t.note("give-up %s", a.Request.ID) }
 
-// Next implements scenario.Actor. Everything happens at once, so that it never waits.
+// Next implements scenario.Actor. It never waits, as all events of a command occur during Send.
 func (t *testManager) Next(time.Duration) (string, bool) {
 	if len(t.seen) == 0 {
 		return "", false
@@ -62,10 +63,10 @@
 	switch w[0] {
 	case "ask":
 		class, _ := t.Class(w[2])
-		due, _ := strconv.Atoi(w[4]) // none is 0: the class's
+		due, _ := strconv.Atoi(w[4]) // 0 if it is not given: the timeout of the class
 		tenant, ok := t.Tenant("north")
 		if !ok {
-			return fmt.Errorf("no tenant north")
+			return fmt.Errorf("the settings have no tenant named north")
 		}
 		t.tickets[w[1]] = t.Submit(
 			&Request{
@@ -96,12 +97,12 @@
 			t.Drain(ms * time.Millisecond)
 			return nil
 		}
-		t.pass(ms * time.Millisecond)
+		t.advance(ms * time.Millisecond)
 	}
 	return nil
 }
 
-// unix is a wall clock that started with the monotonic one.
+// unix is a wall clock that started together with the monotonic clock.
 func (t *testManager) unix() wallclock.UnixMicro { return wallclock.UnixMicro(t.now.Microseconds()) }
 
 func (t *testManager) after(d time.Duration, fn func()) (stop func()) {
@@ -111,8 +112,8 @@
 	return func() { t.timers = slices.DeleteFunc(t.timers, func(v timer) bool { return v.n == n }) }
 }
 
-// pass lets time pass and calls the timers that are due, in order.
-func (t *testManager) pass(d time.Duration) {
+// advance advances the clock and calls the timers that are due, in order.
+func (t *testManager) advance(d time.Duration) {
 	for end := t.now + d; ; {
 		next := -1
 		for i := range t.timers {
@@ -150,7 +151,7 @@
 	a.manager.note("answer %s %s %s", a.id, statusWords[v.Status], text)
 }
 
-// The words of the scripts.
+// The words that scripts use for statuses and outcomes.
 var statusWords = map[Status]string{Served: "served", Rejected: "refused", Failed: "failed", Expired: "late"}
 
 var outcomeWords = map[string]Outcome{
@@ -164,7 +165,7 @@
 	"refused":     Unreachable,
 }
 
-// testSettings are settings with a class of reads and one that is idempotent with a key.
+// testSettings returns settings with an idempotent class and a class that is idempotent with a key.
 func testSettings() admission.Settings {
 	return admission.Settings{
 		Cores:                 4,
@@ -204,19 +205,19 @@
 	}
 }
 
-// newTestManager returns a started manager whose attempts are retried up to a number.
+// newTestManager returns a started manager that gives each request up to maxAttempts attempts.
 func newTestManager(t *testing.T, maxAttempts int) *testManager {
 	t.Helper()
 	return newTestProcess(t, maxAttempts, nil, 0)
 }
 
-// newTestManagerWith returns a manager with changed settings.
+// newTestManagerWith returns a started manager with changed settings.
 func newTestManagerWith(t *testing.T, change func(*admission.Settings)) *testManager {
 	t.Helper()
 	return newTestManagerOf(t, 1, nil, 0, change)
 }
 
-// newTestProcess returns the manager of one of several processes of a runner.
+// newTestProcess returns the started manager of one of several processes of a runner.
 func newTestProcess(
 	t *testing.T,
 	maxAttempts int,
--- a/internal/lifecycle/key_store.go
+++ b/internal/lifecycle/key_store.go
@@ -7,30 +7,30 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// KeyRecord is what is remembered of an idempotency key outside the process. Classes and tenants go
-// by name.
+// KeyRecord is the state of an idempotency key as it is stored outside the process. Classes and
+// tenants are stored by name.
 type KeyRecord struct {
 	Class, Tenant, Key string
-	// Owner identifies the attempt that the record is about among those of all processes: the
-	// incarnation in the upper 32 bits and the request in the lower.
+	// Owner identifies the request that owns the key among the requests of all processes: the
+	// incarnation of its process in the upper 32 bits and its number in the lower.
 	Owner uint64
 	// ExpiresAt is the time up to which a duplicate may arrive.
 	ExpiresAt  wallclock.UnixMicro
 	BodyHash   [32]byte // SHA-256 of the request's body
-	Ended      bool     // else its run has begun
-	Status     Status   // of an end without a result: how duplicates are answered
+	Ended      bool     // the run has ended; otherwise it has begun
+	Status     Status   // after an end without a result: how duplicates are answered
 	Result     *Result
-	ServerTime time.Duration // of an end: what servers spent on it
-	HasWaiter  bool          // of an end: a caller waits for the answer
+	ServerTime time.Duration // after an end: time that servers spent on the run
+	HasWaiter  bool          // after an end: a caller waits for the answer
 }
 
 // KeyStore makes keys durable. A run begins once its start is durable, and its answer is sent once
 // its result is. Records of one key are stored in the order of the calls.
 type KeyStore interface {
-	// Unavailable returns for how long no new key can be accepted, and why; zero if keys can be.
+	// Unavailable returns for how long no new keys are accepted, and why; zero if they are accepted.
 	Unavailable() (retryAfter time.Duration, why string)
 	// Started and Ended store the start and the end of a run. They call done on the manager's
-	// goroutine, later.
+	// goroutine, after they have returned.
 	Started(k KeyRecord, done func(error))
 	Ended(k KeyRecord, done func(error))
 	// Released stores that a run never began.
@@ -50,20 +50,20 @@
 
 // ReplicationError reports a key that could not be replicated.
 type ReplicationError struct {
-	RetryAfter time.Duration // when it may succeed; 0: not known
+	RetryAfter time.Duration // when a retry may succeed; 0: not known
 	Err        error
 }
 
 func (e *ReplicationError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the underlying error.
 func (e *ReplicationError) Unwrap() error { return e.Err }
 
 // errStoreTimeout reports a key store that did not answer in time.
 var errStoreTimeout = errors.New("the disk does not answer in time")
 
-// storeErrorCause returns the cause of a key that could not be stored, and when to retry; 0: not
-// known.
+// storeErrorCause returns the cause of an answer whose key could not be reserved or stored, and when
+// to retry; 0: not known.
 func storeErrorCause(err error) (cause Cause, retryAfter time.Duration) {
 	if replication := (*ReplicationError)(nil); errors.As(err, &replication) {
 		return CauseReplicas, replication.RetryAfter
@@ -82,15 +82,15 @@
 // ownerBits is how many bits of KeyRecord.Owner identify the request.
 const ownerBits = 32
 
-// ownerOf returns the owner that a request of this process is in a record.
+// ownerOf returns KeyRecord.Owner for a request of this process.
 func (m *Manager) ownerOf(id uint64) uint64 {
 	return m.env.Incarnation<<ownerBits | id&(1<<ownerBits-1)
 }
 
-// ownerIncarnation returns the incarnation of the process of an owner.
+// ownerIncarnation returns the incarnation of the process that an owner belongs to.
 func ownerIncarnation(owner uint64) uint32 { return uint32(owner >> ownerBits) }
 
-// requestRecord returns the record of a request's key, which it owns.
+// requestRecord returns the record of the key of a request that owns it.
 func (m *Manager) requestRecord(r *request) KeyRecord {
 	k := m.entryRecord(r.keyEntry)
 	k.Owner = m.ownerOf(r.id)
--- a/internal/lifecycle/key_table.go
+++ b/internal/lifecycle/key_table.go
@@ -10,47 +10,47 @@
 )
 
 const (
-	// maxReadDelay is how long after its arrival a duplicate may be read. It still finds the entry
-	// that was valid when it arrived.
+	// maxReadDelay is how long after its arrival a duplicate may be read. It must still find the
+	// entry that was valid when it arrived.
 	maxReadDelay = 10 * time.Second
-	// sweepInterval bounds how often the tables are searched for expired entries.
+	// sweepInterval is the minimum time between two searches of a table for expired entries.
 	sweepInterval = 500 * time.Millisecond
 	// The defaults of KeyLimits.
 	defaultMaxKeys        = 20_000
 	defaultMaxResultBytes = 24 << 20
 )
 
-// keyName identifies a key, whichever frontend its requests come through.
+// keyName identifies an idempotency key. It does not depend on the frontend of the request.
 type keyName struct {
 	class, tenant int // NoTenant, or an index in the settings
 	key           string
 }
 
-// bodyHash identifies the body of a request, which is the same in all attempts of its caller.
+// bodyHash identifies the body of a request, which is the same each time the caller sends it.
 type bodyHash [sha256.Size]byte
 
 func hashBody(q *Request) bodyHash { return sha256.Sum256(q.Body) }
 
 func keyNameOf(q *Request) keyName { return keyName{q.Class, q.Tenant, q.Key} }
 
-// keyEntry is what is remembered of a key.
+// keyEntry is the state of an idempotency key.
 type keyEntry struct {
 	name        keyName
 	originalID  string // ID of the request that owns the key
-	owner       uint64 // the request that owns the key; of another process: KeyRecord.Owner
+	owner       uint64 // the request that owns the key; for a key of another process: KeyRecord.Owner
 	bodyHash    bodyHash
 	expiresAt   wallclock.UnixMicro // up to which a duplicate may arrive
 	started     bool                // its run has begun
 	ended       bool
-	status      Status  // of an end without a result: how duplicates are answered
-	result      *Result // of an end with one
+	status      Status  // after an end without a result: how duplicates are answered
+	result      *Result // after an end with a result
 	waiters     []*request
 	restored    bool   // it was run by another process, or before a restart
-	inDoubt     bool   // its run had begun before a restart, and did not end
+	inDoubt     bool   // its run had begun when its process exited, and may have ended
 	remoteOwner uint32 // incarnation of the other process that runs it; 0: this process
 }
 
-// addWaiter adds a duplicate that waits for the end of the run.
+// addWaiter adds a duplicate, which waits for the end of the run.
 func (e *keyEntry) addWaiter(r *request) {
 	r.awaitsOriginal = true
 	e.waiters = append(e.waiters, r)
@@ -62,14 +62,14 @@
 	}
 }
 
-// takeWaiters removes and returns the duplicates that wait.
+// takeWaiters removes and returns the waiting duplicates.
 func (e *keyEntry) takeWaiters() []*request {
 	waiters := e.waiters
 	e.waiters = nil
 	return waiters
 }
 
-// markStarted notes that the run begins. The window of the key counts from the arrival of its
+// markStarted records that the run begins. The window of the key counts from the arrival of its
 // request.
 func (e *keyEntry) markStarted(arrivedAt wallclock.UnixMicro, window time.Duration) {
 	e.started = true
@@ -100,12 +100,12 @@
 	return nil
 }
 
-// put remembers the key of a request up to a time, in place of an expired entry.
+// put adds the key of a request, to be remembered until expiresAt. It replaces an expired entry.
 func (t *keyTable) put(r *request, expiresAt wallclock.UnixMicro) {
 	name := keyNameOf(r.Request)
 	entry := t.entries[name]
 	if entry != nil && entry.remoteOwner != 0 && r.ArrivedAt <= entry.expiresAt {
-		r.keyEntry = entry // another process was first, since the request was read
+		r.keyEntry = entry // another process has reserved the key since the request was read
 		return
 	}
 	if entry == nil || entry.owner != r.id {
@@ -134,7 +134,7 @@
 	return t.resultBytes+result.size() <= t.limits.ResultBytes
 }
 
-// setResult replaces the cached result of an entry; nil: there is none.
+// setResult replaces the cached result of an entry; nil removes it.
 func (t *keyTable) setResult(entry *keyEntry, result *Result) {
 	if entry.result != nil {
 		t.resultBytes -= entry.result.size()
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -26,12 +26,13 @@
 const (
 	// minRetryAfter is the shortest Retry-After of a rejection.
 	minRetryAfter = 20 * time.Millisecond
-	// keyTableFullRetryAfter is how long callers stay away while the table of keys is full.
+	// keyTableFullRetryAfter is the Retry-After of rejections while the table of keys is full.
 	keyTableFullRetryAfter = time.Second
-	// deadlineMargin is how close to its deadline a request is answered as expired: the answer has
-	// to reach the caller in time.
+	// deadlineMargin is how long before its deadline a request is answered as expired, so that the
+	// answer reaches the caller in time.
 	deadlineMargin = 40 * time.Millisecond
-	// rejectionLogInterval is how often rejections for lack of room for keys are logged.
+	// rejectionLogInterval is the minimum time between two log lines about requests that are
+	// rejected because their key cannot be remembered.
 	rejectionLogInterval = time.Second
 )
 
@@ -43,12 +44,12 @@
 	deadline       time.Duration // monotonic
 	answered       bool
 	running        *Attempt
-	callBody       []byte // of the call that the run waits for
-	callInFlight   bool   // the back end has not replied to the call
+	callBody       []byte // body of the call that the run waits for
+	callInFlight   bool   // the call was placed and has not ended
 	keyEntry       *keyEntry
-	awaitsOriginal bool   // it duplicates a request whose run has not ended
-	awaitsStore    bool   // its run has ended, and its answer waits until that is durable
-	trace          *Trace // nil: traces are not wanted
+	awaitsOriginal bool   // it waits for the run of the request that it duplicates
+	awaitsStore    bool   // its run has ended, and its answer waits until the end is durable
+	trace          *Trace // nil: no traces are collected
 	stopTimer      func() // stops the timer of a timeout set by the frontend; nil: there is none
 }
 
@@ -59,9 +60,9 @@
 	admission admissionQueue
 
 	requests  map[uint64]*request
-	openIDs   map[string]struct{} // of the requests
+	openIDs   map[string]struct{} // IDs of the requests in the table
 	lastID    uint64
-	openCount int // requests that are not answered
+	openCount int // number of requests that are not answered
 	callers   provenCallers
 	keys      keyTable
 	// unknownClassKeys are keys of other processes whose class is not in the settings.
@@ -69,17 +70,17 @@
 
 	runningActions bool          // guards runActions against recursion
 	drainingSince  time.Duration // monotonic; 0: not draining
-	stopAt         time.Duration // monotonic; when the drain must have ended
+	stopAt         time.Duration // monotonic; when the process is stopped
 
 	stats     []Stats         // by class
-	removedAt []time.Duration // by class: when it left the settings, monotonic
+	removedAt []time.Duration // by class: when it was removed from the settings; monotonic
 
 	unloggedRejections int
 	rejectionLoggedAt  time.Duration // monotonic
 }
 
-// New returns a manager with an admission controller of its own. The caller must call Start. It
-// fails if the settings are invalid.
+// New returns a manager with its own admission controller. The caller must call Start. New fails if
+// the settings are invalid.
 func New(settings admission.Settings, seed uint64, env Environment) (*Manager, error) {
 	settings = usableSettings(settings)
 	controller, err := admission.New(settings, seed)
@@ -102,7 +103,7 @@
 	}, nil
 }
 
-// Start starts the admission controller.
+// Start starts the admission controller and executes its first actions.
 func (m *Manager) Start() {
 	m.admission.report(admission.Event{})
 	m.runActions()
@@ -117,8 +118,8 @@
 // KeyCount returns how many idempotency keys are remembered.
 func (m *Manager) KeyCount() int { return len(m.keys.entries) }
 
-// Drain begins a graceful shutdown of a process that is stopped after so long. Further calls have
-// no effect.
+// Drain begins a graceful shutdown of the process, which is stopped after stopAfter. Further calls
+// have no effect.
 func (m *Manager) Drain(stopAfter time.Duration) {
 	if m.drainingSince != 0 {
 		return
@@ -134,8 +135,8 @@
 	m.runActions()
 }
 
-// tick measures the machine, expires what has been remembered for long enough, and lets the
-// admission controller run its periodic work.
+// tick measures the machine, removes expired keys and callers, and lets the admission controller run
+// its periodic work.
 func (m *Manager) tick() {
 	m.env.Measure(func(gauges Gauges) {
 		m.keys.expire(m.env.Unix())
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// A request that is queued for longer than its window keeps its key: it runs, and a duplicate that
-// comes meanwhile waits for it.
+// A request that is queued for longer than its idempotency window keeps its key: it runs, and
+// duplicates that arrive meanwhile wait for it.
 func TestKeyOutlivesQueueingBeyondWindow(t *testing.T) {
 	c := newTestManagerWith(
 		t,
@@ -35,7 +35,7 @@
 		manager expect nothing`, map[string]scenario.Actor{"manager": c})
 }
 
-// Changed settings do not lengthen the grace under which a drain began.
+// A change of the settings during a drain does not change the grace of the drain.
 func TestDrainGraceIsKeptOverSettingsChange(t *testing.T) {
 	c := newTestManagerWith(t, func(s *admission.Settings) { s.DrainGrace = time.Second })
 	c.Drain(5 * time.Second)
@@ -53,7 +53,7 @@
 		manager expect answer 2 refused`, map[string]scenario.Actor{"manager": c})
 }
 
-// requestsAreAnsweredOnceCases are cases of TestRequestsAreAnsweredOnce.
+// requestsAreAnsweredOnceCases are the cases of TestRequestsAreAnsweredOnce.
 var requestsAreAnsweredOnceCases = map[string]struct {
 	maxAttempts int
 	script      string
@@ -73,8 +73,8 @@
 			manager expect answer 1 late
 			manager send end 1 fine ok
 			manager expect nothing`},
-	// The admission controller does not know of the shorter deadline: it would take the request for an
-	// old retry.
+	// The shorter deadline is not passed to the admission controller, which would take the request for
+	// an old retry.
 	"a shorter deadline of the frontend is enforced": {1, `
 			manager send ask 1 check - 500
 			manager expect run 1
@@ -112,7 +112,7 @@
 			manager expect answer 1 failed
 			manager send ask 3 hand-in k
 			manager expect answer 3 failed`},
-	"a late run still serves its duplicates": {1, `
+	"the result of an abandoned run is sent to its duplicates": {1, `
 			manager send ask 1 hand-in k
 			manager expect run 1
 			manager send gone 1
@@ -191,19 +191,20 @@
 					open++
 				}
 			}
-			// Each request has at most a timer for its deadline, beside the one of the manager.
+			// Beside the timer of the manager, each request has at most one timer, for its deadline.
 			if len(c.timers) > 1+len(c.requests) || len(c.openIDs) != len(c.requests) {
-				t.Errorf("%d timers, %d IDs, %d requests", len(c.timers), len(c.openIDs), len(c.requests))
+				t.Errorf("%d timers and %d open IDs for %d requests, want at most one more timer and as many IDs",
+					len(c.timers), len(c.openIDs), len(c.requests))
 			}
 			if open != c.OpenRequests() {
-				t.Errorf("%d requests are open, %d by the count", open, c.OpenRequests())
+				t.Errorf("%d requests are not answered, but OpenRequests() = %d", open, c.OpenRequests())
 			}
 		})
 	}
 }
 
-// Settings that allow more than this program can do are accepted: an engine that can stop work, and
-// calls that may be omitted.
+// Settings for features that this program does not support are accepted, and the features stay off:
+// runs that may be cancelled or suspended, calls that may be omitted, and shared results of reads.
 func TestSettingsThatAllowMoreAreAccepted(t *testing.T) {
 	for name, change := range map[string]func(*admission.Settings){
 		"runs may be cancelled": func(s *admission.Settings) { s.Cancel = admission.CancelDiscard },
@@ -243,9 +244,9 @@
 	}
 }
 
-// Duplicates of runs in earlier processes are answered from memory: a result, an end without one,
-// and doubt. Keys of unknown classes and tenants are left out, and a table with more keys than its
-// limit accepts no new ones.
+// Duplicates of runs in earlier processes are answered from the restored keys: with the result, as a
+// run without a result, or as in doubt. Keys of unknown classes and tenants are left out, and a table
+// that is full accepts no new keys.
 func TestRestoredKeysAreAnsweredFromMemory(t *testing.T) {
 	c := newTestManager(t, 1)
 	c.keys.limits.Keys = 4
@@ -264,7 +265,7 @@
 	unknownTenant.Tenant = "nobody"
 	stored := []KeyRecord{served, failed, doubt, key("gone", "x"), unknownTenant, key("hand-in", "fourth")}
 	if unknown := c.Restore(stored); unknown != 2 {
-		t.Errorf("%d are unknown", unknown)
+		t.Errorf("Restore() = %d unknown keys, want 2", unknown)
 	}
 	for _, want := range []struct {
 		key    string
@@ -285,13 +286,13 @@
 		)
 		if got.Status != want.kind || got.Reason != want.reason ||
 			got.Status == Served && string(got.Result.Body) != "cached" {
-			t.Errorf("%s: %+v", want.key, got)
+			t.Errorf("key %s: answer = %+v, want other status, reason or result", want.key, got)
 		}
 	}
 }
 
-// The timers of the server and of the frontend are set to one time: whichever fires first, the
-// cause is the same.
+// A timeout of the frontend and the timer of the server's run expire at the same time. Whichever fires
+// first, the trace has the same cause.
 func TestFrontendDeadlineIsCauseOfTimeout(t *testing.T) {
 	for _, script := range []string{"manager send pass 500", "manager send end 1 out-of-time"} {
 		c := newTestManager(t, 1)
@@ -302,12 +303,12 @@
 		)
 		if len(c.traces) != 1 || c.traces[0].Cause != CauseDeadline ||
 			c.traces[0].Attempts[0].Outcome != TimedOut {
-			t.Errorf("%s: %+v", script, c.traces)
+			t.Errorf("%s: traces = %+v, want one with CauseDeadline and an attempt that timed out", script, c.traces)
 		}
 	}
 }
 
-// A request that arrives after the grace of a drain is rejected, and its trace says why.
+// A request that arrives after the grace of a drain is rejected, and its trace has the cause.
 func TestRejectionInDrainHasCause(t *testing.T) {
 	c := newTestManager(t, 1)
 	scenario.Play(
@@ -317,6 +318,6 @@
 	)
 	if len(c.traces) != 1 || c.traces[0].Cause != Cause(admission.CauseDraining) ||
 		c.traces[0].Value <= c.traces[0].Limit {
-		t.Errorf("%+v", c.traces)
+		t.Errorf("traces = %+v, want one with CauseDraining and a value above its limit", c.traces)
 	}
 }
--- a/internal/lifecycle/remote_keys.go
+++ b/internal/lifecycle/remote_keys.go
@@ -1,13 +1,13 @@
 package lifecycle
 
-// unknownClassKey is a key of another process whose class or tenant is not in the settings.
+// unknownClassKey is a record of another process whose class or tenant is not in the settings.
 type unknownClassKey struct {
 	KeyRecord
 	released bool
 }
 
-// ApplyRemote applies what another process has written about a key. With released, its run never
-// began.
+// ApplyRemote applies the record that another process has written about a key. released says that the
+// run of the key never began.
 func (m *Manager) ApplyRemote(k KeyRecord, released bool) {
 	name, ok := m.keyNameOfRecord(k)
 	if !ok { // the other process may have read settings that this one is about to read
@@ -29,7 +29,7 @@
 		m.keys.entries[name] = entry
 	}
 	if entry.remoteOwner != 0 && entry.owner == k.Owner && entry.ended {
-		return // repeated
+		return // a repeated record
 	}
 	if entry.owner != k.Owner { // the window of the earlier run is over
 		m.keys.setResult(entry, nil)
@@ -55,8 +55,8 @@
 	if entry.remoteOwner != 0 {
 		return entry.owner != k.Owner && k.ExpiresAt < entry.expiresAt
 	}
-	// The key ran here or in an earlier process. Under the lock no other process can have reserved
-	// it before its window is over.
+	// The key ran here or in an earlier process. As reservations are made under a shared lock, no
+	// other process can have reserved the key before its window was over.
 	return entry.started && !m.isReserving(entry) && !(entry.ended && k.ExpiresAt > entry.expiresAt)
 }
 
@@ -69,7 +69,7 @@
 	m.runActions()
 }
 
-// applyUnknownClassKeys applies records again that came before the settings had their classes.
+// applyUnknownClassKeys applies the records again that arrived before the settings had their classes.
 func (m *Manager) applyUnknownClassKeys() {
 	keys := m.unknownClassKeys
 	m.unknownClassKeys = nil
@@ -86,7 +86,7 @@
 	return r != nil && r.keyEntry == entry && r.running != nil && r.running.pending
 }
 
-// endRemote notes how a run in another process ended, and answers the requests that wait for it.
+// endRemote records how a run in another process ended, and answers the requests that wait for it.
 func (m *Manager) endRemote(entry *keyEntry, status Status, result *Result) {
 	entry.ended = true
 	entry.status = status
@@ -99,7 +99,8 @@
 	m.runActions()
 }
 
-// OwnerDied reports that another process has exited. Its runs whose end is not known may have run.
+// OwnerDied reports that another process has exited. Those of its runs whose end is not known are in
+// doubt: they may have run.
 func (m *Manager) OwnerDied(incarnation uint32) {
 	for _, entry := range m.keys.entries {
 		if entry.remoteOwner == incarnation && !entry.ended {
--- a/internal/lifecycle/replication_test.go
+++ b/internal/lifecycle/replication_test.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// testReplicas is a key store with replicas: a run may begin at once, and its result is confirmed
-// when the test says so. It is sent `confirm`.
+// testReplicas is a manager with a replicated key store: runs begin at once, and a result is confirmed
+// by the command `confirm`, in addition to those of testManager.
 type testReplicas struct {
 	*testManager
 	confirm func(error)
@@ -31,7 +31,7 @@
 }
 
 // The result of a run is not sent before other runners have confirmed it, however long that takes:
-// they would answer duplicates as in doubt.
+// otherwise they could answer its duplicates as in doubt.
 func TestResultWaitsForItsReplicas(t *testing.T) {
 	for name, script := range map[string]string{
 		"confirmed after the store's timeout": `
@@ -42,7 +42,7 @@
 			manager expect nothing
 			manager send confirm
 			manager expect answer 1 served result`,
-		"not confirmed in time, and then for a duplicate": `
+		"confirmed after the deadline, for a duplicate": `
 			manager send ask 1 hand-in k1
 			manager expect run 1
 			manager send end 1 fine result
@@ -64,14 +64,14 @@
 			manager expect nothing
 			manager send pass 20
 			manager expect answer 1 late`,
-		"its run ends in a drain": `
+		"the run ends during a drain": `
 			manager send ask 1 hand-in k1
 			manager expect run 1
 			manager send drain 1000
 			manager send end 1 fine result
 			manager send pass 710
 			manager expect answer 1 late`,
-		"a failure waits for the store's timeout alone": `
+		"a failure waits only for the store's timeout": `
 			manager send ask 1 hand-in k1
 			manager expect run 1
 			manager send end 1 fault
--- a/internal/lifecycle/reservation.go
+++ b/internal/lifecycle/reservation.go
@@ -9,21 +9,22 @@
 
 // Reservations decides among the processes of one runner which of them runs a key.
 type Reservations interface {
-	// Reserve reserves a key for a run that is about to begin. Once all that other processes have
-	// written is applied, it calls isFree, which reports whether the key is still available. It
-	// calls done once, now or later: reserved reports whether the key is reserved; after an error
-	// nothing may run.
+	// Reserve reserves a key for a run that is about to begin. Once it has applied all records of
+	// other processes, it calls isFree, which reports whether the key is still available. It calls
+	// done once, now or later: reserved reports whether the key is reserved; after an error nothing
+	// may run.
 	Reserve(k KeyRecord, within time.Duration, isFree func() bool, done func(reserved bool, err error))
-	// Ended says that the run of a key has ended.
+	// Ended reports that the run of a key has ended.
 	Ended(k KeyRecord)
-	// Released says that the run of a reserved key never began.
+	// Released reports that the run of a reserved key never began.
 	Released(k KeyRecord)
 }
 
 const (
 	// reservationTimeout bounds how long a run waits for its reservation.
 	reservationTimeout = 200 * time.Millisecond
-	// reservationRetryAfter is how long a caller stays away after a reservation failed.
+	// reservationRetryAfter is the Retry-After of a request whose reservation failed, if the error
+	// does not state one.
 	reservationRetryAfter = time.Second
 )
 
@@ -47,7 +48,7 @@
 	)
 }
 
-// startReserved goes on after the reservation of a key succeeded or failed.
+// startReserved begins the run of a request if the reservation of its key has succeeded.
 func (m *Manager) startReserved(r *request, a *Attempt, entry *keyEntry, reserved bool, err error) {
 	switch {
 	case entry.remoteOwner != 0:
@@ -82,8 +83,8 @@
 	m.removeIfDone(r)
 }
 
-// yieldToRemote makes a request that was to run here wait for the run in another process. To the
-// admission controller it has ended.
+// yieldToRemote makes a request that was to run here wait for the run in another process. The
+// admission controller is told that the request has ended without a run.
 func (m *Manager) yieldToRemote(r *request) {
 	m.complete(r, admission.OutcomeNeverStarted)
 	if !r.answered {
--- a/internal/lifecycle/reservation_test.go
+++ b/internal/lifecycle/reservation_test.go
@@ -14,8 +14,8 @@
 	"ryepaddle/internal/admission"
 )
 
-// sharedLog is what all processes of a runner have written, in order. A process reads it to its end
-// when it reserves a key, and else when the test says so.
+// sharedLog holds the records of all processes of a runner, in order. A process reads it to its end
+// when it reserves a key, and otherwise when the test calls catchUp.
 type sharedLog struct {
 	records      []sharedRecord
 	processes    []*testProcess
@@ -28,12 +28,12 @@
 	released    bool
 }
 
-// testProcess is one process. It implements Reservations on the shared log.
+// testProcess is one process of a runner. It implements Reservations on the shared log.
 type testProcess struct {
 	*testManager
 	log         *sharedLog
 	incarnation uint64
-	read        int
+	read        int // number of records of the log that it has read
 	dead        bool
 	diskFails   bool // reservations fail
 }
@@ -42,7 +42,7 @@
 	b.incarnations++
 	m := &testProcess{log: b, incarnation: b.incarnations}
 	m.testManager = newTestProcess(t, 1, m, m.incarnation)
-	m.pass(now - m.now)
+	m.advance(now - m.now)
 	m.catchUp()
 	for _, o := range b.processes {
 		if o.dead {
@@ -80,15 +80,16 @@
 func (m *testProcess) Ended(k KeyRecord)    { m.write(k, false) }
 func (m *testProcess) Released(k KeyRecord) { m.write(k, true) }
 
-// twoProcesses are two processes of a runner with random requests, and what the test knows of them.
+// twoProcesses are two processes of a runner that get random requests, with the state that the test
+// checks.
 type twoProcesses struct {
 	t        *testing.T
 	rt       *rapid.T
 	log      *sharedLog
 	one, two *testProcess
-	ran      map[string]time.Duration // when a key ran last
-	answered map[string]bool          // by request
-	keys     map[string]string        // by request
+	ran      map[string]time.Duration // when the last run of a key began
+	answered map[string]bool          // by request ID
+	keys     map[string]string        // by request ID
 	lastID   int
 }
 
@@ -113,7 +114,8 @@
 	p.check()
 }
 
-// check checks what the processes have done since the last time.
+// check checks the events of the processes since the last check: no key runs twice within its window,
+// and no request gets two answers or the result of another key.
 func (p *twoProcesses) check() {
 	p.each(func(m *testProcess) {
 		for _, line := range m.seen {
@@ -121,15 +123,15 @@
 			switch key := p.keys[w[1]]; w[0] {
 			case "run":
 				if at, before := p.ran[key]; before && m.now < at+13020*time.Millisecond {
-					p.rt.Fatalf("key %s runs at %v and at %v", key, at, m.now)
+					p.rt.Fatalf("key %s ran at %v and again at %v, within its window", key, at, m.now)
 				}
 				p.ran[key] = m.now
 			case "answer":
 				if p.answered[w[1]] {
-					p.rt.Fatalf("a second answer: %s", line)
+					p.rt.Fatalf("second answer to a request: %s", line)
 				}
 				if p.answered[w[1]] = true; w[2] == "served" && w[3] != key {
-					p.rt.Fatalf("%s is served with %q", key, w[3])
+					p.rt.Fatalf("a request with key %s was served the result %q, want that of its key", key, w[3])
 				}
 			}
 		}
@@ -168,14 +170,14 @@
 	p.check()
 }
 
-func (p *twoProcesses) pass(rt *rapid.T) {
+func (p *twoProcesses) advance(rt *rapid.T) {
 	ms := strconv.Itoa(rapid.IntRange(1, 6000).Draw(rt, "ms"))
 	p.each(func(m *testProcess) { p.send(m, "pass", ms) })
 }
 
 func (p *twoProcesses) failDisk(rt *rapid.T) { m := p.pick(rt); m.diskFails = !m.diskFails }
 
-// kill kills the first process, and starts another one.
+// kill kills the first process and starts another one, with a probability of one in ten.
 func (p *twoProcesses) kill(rt *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(rt, "odds") > 0 {
 		return
@@ -187,8 +189,9 @@
 	p.check()
 }
 
-// Whatever two processes read at what time, and whichever of them is killed, a key runs once within
-// its window, each request has one answer, and what is served is the result of the one run.
+// Two processes read each other's records at random times, and are killed and replaced. Nevertheless a
+// key runs once within its window, each request has one answer, and a request that is served gets the
+// result of the one run.
 func TestKeysRunOnceInTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := &sharedLog{}
@@ -207,28 +210,29 @@
 			"end":  p.end,
 			"gone": p.leave,
 			"read": p.read,
-			"pass": p.pass,
+			"pass": p.advance,
 			"disk": p.failDisk,
 			"kill": p.kill,
 			"": func(rt *rapid.T) {
 				p.each(func(m *testProcess) {
 					if n := m.OpenRequests(); n < 0 {
-						rt.Fatalf("%d open", n)
+						rt.Fatalf("OpenRequests() = %d, want 0 or more", n)
 					}
 				})
 			},
 		})
-		// all open requests are answered by their deadlines, whatever the other process does
+		// All open requests are answered by their deadlines, whatever the other process does.
 		p.each(func(m *testProcess) {
 			p.send(m, "pass", "3000")
 			if n := m.OpenRequests(); n > 0 {
-				rt.Fatalf("%d are still open", n)
+				rt.Fatalf("OpenRequests() = %d after all deadlines, want 0", n)
 			}
 		})
 	})
 }
 
-// One process has read settings with a class that the other does not know yet.
+// One process has already read settings with a new class when the other, which does not know the class
+// yet, reads a reservation of that class. The reservation must count once it knows the class.
 func TestReservationOfClassAddedLater(t *testing.T) {
 	b := &sharedLog{}
 	one, two := b.join(t, time.Second), b.join(t, time.Second)
@@ -259,11 +263,12 @@
 		t.Fatal(err)
 	}
 	if got := fmt.Sprint(one.seen, two.seen); got != "[run 1] []" {
-		t.Errorf("a key of a class that was added later: %s", got)
+		t.Errorf("events of both processes = %s, want [run 1] []", got)
 	}
 }
 
-// What a duplicate of a run in the other process gets, step by step.
+// Duplicates of a run in the other process are answered with its result, rejected if it never ran, and
+// fail if its process died.
 func TestDuplicateOfRunInOtherProcess(t *testing.T) {
 	b := &sharedLog{}
 	one, two := b.join(t, time.Second), b.join(t, time.Second)
@@ -276,11 +281,11 @@
 			t.Fatal(err)
 		}
 		if got := fmt.Sprint(m.seen); got != fmt.Sprint(want) {
-			t.Errorf("%s: %s, want %s", words, got, want)
+			t.Errorf("%s: events = %s, want %s", words, got, want)
 		}
 	}
 	step(one, "ask 1 hand-in a", "run 1")
-	step(two, "ask 2 hand-in a") // it was to run, and the other process reserved the key first
+	step(two, "ask 2 hand-in a") // admitted here, but the other process has reserved the key
 	step(two, "ask 3 hand-in a")
 	step(two, "gone 3")
 	step(one, "end 1 fine graded", "answer 1 served graded")
@@ -289,13 +294,13 @@
 	step(two, "ask 5 hand-in b", "run 5")
 	step(one, "ask 6 hand-in b")
 	step(two, "end 5 not-run", "answer 5 refused")
-	step(one, "read", "answer 6 refused") // it never ran
+	step(one, "read", "answer 6 refused") // as the original never ran
 	step(one, "ask 7 hand-in b", "run 7")
 	step(two, "ask 8 hand-in b")
 	one.dead = true
 	two.seen = nil
 	if two.OwnerDied(uint32(one.incarnation)); fmt.Sprint(two.seen) != "[answer 8 failed]" {
-		t.Errorf("after the process that ran it has died: %v", two.seen)
+		t.Errorf("events after the process that ran the key died = %v, want [answer 8 failed]", two.seen)
 	}
 	two.diskFails = true
 	step(two, "ask 9 hand-in c", "answer 9 refused")
--- a/internal/lifecycle/restore.go
+++ b/internal/lifecycle/restore.go
@@ -1,7 +1,7 @@
 package lifecycle
 
-// Restore adds the keys of earlier processes. A run that had begun and not ended is in doubt: it
-// may have run, and is never run again. It returns how many keys are of classes or tenants that the
+// Restore adds the keys of earlier processes. A run that had begun and not ended is in doubt: it may
+// have taken effect, and is never run again. It returns how many keys are of classes or tenants that the
 // settings lack.
 func (m *Manager) Restore(keys []KeyRecord) (unknown int) {
 	for _, k := range keys {
@@ -10,7 +10,7 @@
 			unknown++
 			continue
 		}
-		if m.keys.entries[name] != nil { // this process knows more
+		if m.keys.entries[name] != nil { // the entry of this process is newer
 			continue
 		}
 		entry := &keyEntry{
@@ -32,8 +32,8 @@
 	return unknown
 }
 
-// answerRestored answers a duplicate of a request that ran in an earlier process. Nothing runs, so
-// that the admission controller is not notified.
+// answerRestored answers a duplicate of a request that ran in another or an earlier process. As
+// nothing runs, the admission controller is not notified.
 func (m *Manager) answerRestored(q *Request, entry *keyEntry) {
 	answer := Answer{Status: entry.status}
 	switch {
--- a/internal/lifecycle/result.go
+++ b/internal/lifecycle/result.go
@@ -2,15 +2,15 @@
 
 // Result is the response that a run produced.
 type Result struct {
-	Status int // of the server; 200 for a run of the engine
+	Status int // HTTP status of the server's response; 200 for a run of the engine
 	Fields []Field
 	Body   []byte // the first part, if Stream is not nil
-	// ContentLength is the size of a body that streams; negative: not known.
+	// ContentLength is the size of a body that is streamed; negative: not known.
 	ContentLength int64
 	Stream        Stream // the rest of the body; nil: Body is complete
 }
 
-// size returns the bytes that the result occupies in the cache, about.
+// size returns approximately how many bytes the result occupies in the cache.
 func (r *Result) size() int {
 	n := len(r.Body)
 	for _, f := range r.Fields {
@@ -19,21 +19,21 @@
 	return n
 }
 
-// Stream is the rest of a result's body that is still coming.
+// Stream is the rest of a result's body that is still being received.
 type Stream interface {
-	// Attach sets who consumes the rest. It is called from within Responder.Answer or never.
+	// Attach sets the consumer of the rest. It is called from within Responder.Answer or not at all.
 	Attach(StreamConsumer)
 	// SetPaused pauses or resumes the stream.
 	SetPaused(paused bool)
-	// Cancel ends the stream, as its consumer is gone.
+	// Cancel ends the stream because its consumer is gone.
 	Cancel()
 }
 
-// StreamConsumer consumes the rest of a result's body. Completed or Truncated is called once, last,
+// StreamConsumer consumes the rest of a result's body. The last call is either Completed or Truncated,
 // unless the stream was cancelled.
 type StreamConsumer interface {
 	Consume(part []byte)
 	Completed()
-	// Truncated says that the rest will not come. The response must not look complete.
+	// Truncated reports that the rest will not arrive. The answer to the caller must not look complete.
 	Truncated()
 }
--- a/internal/lifecycle/runner.go
+++ b/internal/lifecycle/runner.go
@@ -13,10 +13,10 @@
 // The outcomes. NotStarted, CallRejected, Unreachable and UnknownRequest prove that nothing ran.
 const (
 	Succeeded      Outcome = iota + 1
-	Faulted                // the server failed it
-	Interrupted            // the connection broke; it may have had its effect
-	TimedOut               // it has no answer by its deadline; it may have had its effect
-	Cancelled              // its request was answered or abandoned before
+	Faulted                // the server reported a failure
+	Interrupted            // the connection broke; the run may have had its effect
+	TimedOut               // there was no response by the deadline; the run may have had its effect
+	Cancelled              // the request was answered or abandoned before the end
 	NotStarted             // the run was not begun
 	CallRejected           // the call was rejected
 	Unreachable            // no server took it
@@ -36,16 +36,16 @@
 	Deadline time.Duration
 	// Objective is the monotonic time after which the answer is worth less; 0: not known.
 	Objective  time.Duration
-	Idempotent bool     // it may be sent again
-	Server     string   // that took it, set by runners with several servers
+	Idempotent bool     // the request may safely run again
+	Server     string   // server that took the attempt; set by runners with several servers
 	Previous   *Attempt // the failed attempt that this one retries
-	// Cause is why it was not run, if the runner knows more than the outcome says, with what was
-	// compared.
+	// Cause is why the attempt did not run, if the runner knows more than the outcome tells. Value
+	// and Limit are the quantities that were compared.
 	Cause        Cause
 	Value, Limit float64
 
 	id      uint64
-	runner  Runner // that it was sent to; routes may change while it runs
+	runner  Runner // runner that it was sent to; the route may change while it runs
 	ended   bool
 	pending bool // it waits for its reservation or for the key store
 }
@@ -72,17 +72,18 @@
 // RetryCandidate is a failed attempt that may be retried.
 type RetryCandidate struct {
 	Class         int
-	HasSideEffect bool // running it twice would do harm
-	NeverRan      bool // it is proven that it did not run
-	Attempts      int  // that the request has had
-	Remaining     time.Duration
+	HasSideEffect bool          // running it twice would do harm
+	NeverRan      bool          // it is proven that the attempt did not run
+	Attempts      int           // number of attempts of the request so far
+	Remaining     time.Duration // time left for another attempt
 }
 
 // Runner runs requests. It reports the end of each attempt once, with Manager.AttemptEnded, never
 // from within Run.
 type Runner interface {
 	Run(a *Attempt)
-	// Abandon says that the result of an attempt is not needed any more. Its end is still reported.
+	// Abandon reports that the result of an attempt is no longer needed. The end of the attempt is
+	// still reported.
 	Abandon(a *Attempt)
 }
 
@@ -104,7 +105,7 @@
 // Gauges are measurements of the machine; NaN stands for a value that is not available.
 type Gauges admission.Gauges
 
-// UnknownGauges returns gauges without a value: the admission controller uses its own counts.
+// UnknownGauges returns gauges without values: the admission controller then uses its own counts.
 func UnknownGauges() Gauges {
 	return Gauges{CPU: math.NaN(), Runnable: math.NaN(), Memory: math.NaN(), Connections: math.NaN()}
 }
--- a/internal/lifecycle/settings.go
+++ b/internal/lifecycle/settings.go
@@ -7,22 +7,22 @@
 	"ryepaddle/internal/admission"
 )
 
-// removedClassGrace is how long requests of a class are accepted after the class left the settings:
-// callers learn of that late.
+// removedClassGrace is how long requests of a class are accepted after the class was removed from the
+// settings, as callers learn of the removal with a delay.
 const removedClassGrace = 5 * time.Second
 
-// NoTenant is the tenant index of requests without a tenant, which all are if the settings have
-// none.
+// NoTenant is the tenant index of requests without a tenant. All requests have it if the settings
+// have no tenants.
 const NoTenant = -1
 
-// Configure applies changed settings. It returns them as they are in force, with the indexes of
-// removed classes kept. After an error the old settings remain in force.
+// Configure applies changed settings. It returns the settings in force, in which removed classes keep
+// their indexes. After an error the old settings remain in force.
 func (m *Manager) Configure(settings admission.Settings) (admission.Settings, error) {
 	settings, err := usableSettings(settings).MergeClasses(m.settings)
 	if err != nil {
 		return settings, err
 	}
-	if m.drainingSince != 0 { // the drain keeps the grace that it began with
+	if m.drainingSince != 0 { // a drain keeps the grace with which it began
 		settings.DrainGrace = m.settings.DrainGrace
 	}
 	if err := m.admission.controller.Configure(settings); err != nil {
@@ -80,9 +80,9 @@
 	return m.settings.Classes[class].Idempotency == admission.IdempotentWithKey
 }
 
-// usableSettings restricts the settings to what this program can do; settings that allow more are
-// no reason not to serve. The engine's protocol can neither cancel a run nor go on without a call,
-// and reads do not share results, as an answer carries the result of its own run.
+// usableSettings turns off the settings that this program does not support, so that settings with
+// them are still accepted. The engine's protocol can neither cancel a run nor continue a run without
+// its call, and reads do not share results, as each answer carries the result of its own run.
 func usableSettings(settings admission.Settings) admission.Settings {
 	settings.Cancel = admission.CancelNone
 	settings.ResultMaxAge = 0
--- a/internal/lifecycle/stats.go
+++ b/internal/lifecycle/stats.go
@@ -2,19 +2,19 @@
 
 import "log/slog"
 
-// Stats counts what became of requests since the start. Each request that was read has one of the
-// ends or is open: Read = Served + Rejected + Failed + Expired + Conflicts + Abandoned + Withdrawn
-// + open requests.
+// Stats counts requests since the start of the process. Each request that was read either is counted
+// once by how it ended, or is open: Read = Served + Rejected + Failed + Expired + Conflicts +
+// Abandoned + Withdrawn + open requests.
 type Stats struct {
 	Read       int64 `json:"Read"`
 	Served     int64 `json:"Served"`
 	Rejected   int64 `json:"Refused"`
 	Failed     int64 `json:"Failed"`
 	Expired    int64 `json:"Late"`
-	Abandoned  int64 `json:"Gone"`      // their callers were gone
+	Abandoned  int64 `json:"Gone"`      // their callers disconnected
 	Withdrawn  int64 `json:"Withdrawn"` // withdrawn by their callers
 	Attempts   int64 `json:"Started"`   // attempts passed to runners
-	Duplicates int64 `json:"Repeats"`   // of those read, the duplicates
+	Duplicates int64 `json:"Repeats"`   // requests read that duplicate another request
 	Conflicts  int64 `json:"Misused"`
 }
 
@@ -50,7 +50,7 @@
 	s.Conflicts += o.Conflicts
 }
 
-// LogValue implements slog.LogValuer. The names are those of the operators' pages.
+// LogValue implements slog.LogValuer. The attributes have the names of the operators' documentation.
 func (s Stats) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int64("read", s.Read),
--- a/internal/lifecycle/stats_test.go
+++ b/internal/lifecycle/stats_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Requests of a class that was removed are accepted for a while, and its counts stay.
+// Requests of a removed class are accepted for removedClassGrace, and the counts of the class are kept.
 func TestRemovedClassIsAcceptedForGrace(t *testing.T) {
 	c := newTestManager(t, 1)
 	for _, words := range []string{"ask 1 check", "end 1 fine ok"} {
@@ -25,18 +25,18 @@
 		t.Fatal(err)
 	}
 	if _, ok := c.Class("check"); !ok || !c.IsRemovedClass("check") {
-		t.Error("a class that was removed just now is not accepted")
+		t.Error("a class that was just removed is not accepted, or IsRemovedClass does not report it")
 	}
-	c.pass(removedClassGrace)
+	c.advance(removedClassGrace)
 	if _, ok := c.Class("check"); ok || !c.IsRemovedClass("check") || c.IsRemovedClass("never was") {
-		t.Error("a class that was removed a while ago is accepted")
+		t.Error("after the grace a removed class is still accepted, or IsRemovedClass is wrong")
 	}
 	if diff := cmp.Diff(Stats{Read: 1, Served: 1, Attempts: 1}, c.StatsByClass()["check"]); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("StatsByClass() of the removed class (-want +got):\n%s", diff)
 	}
 }
 
-// countedRequests is a manager with random requests, whose answers are counted by the test too.
+// countedRequests is a manager that gets random requests, whose answers the test counts as well.
 type countedRequests struct {
 	*testManager
 	t         *rapid.T
@@ -58,7 +58,7 @@
 	return rapid.SampledFrom(slices.Sorted(maps.Keys(c.tickets))).Draw(t, "id")
 }
 
-// sampleRun draws the ID of a request that was run.
+// sampleRun draws the ID of a request that has run or runs.
 func (c *countedRequests) sampleRun(t *rapid.T) string {
 	return rapid.SampledFrom(slices.Sorted(maps.Keys(c.runs))).Draw(t, "id")
 }
@@ -70,7 +70,7 @@
 		class, key = "hand-in", rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 	}
 	id := strconv.Itoa(c.lastID)
-	// sometimes the ID of an earlier request, whether open or not
+	// Sometimes it has the ID of an earlier request, open or not.
 	if len(c.tickets) > 0 && rapid.IntRange(0, 9).Draw(t, "again") == 0 {
 		id = c.sampleID(t)
 	}
@@ -132,7 +132,7 @@
 	for _, line := range c.seen {
 		if w := strings.Fields(line); w[0] == "answer" && len(w) > 2 {
 			c.answers[w[2]]++
-		} else if w[0] == "answer" { // of a status that the script has no word for
+		} else if w[0] == "answer" { // statusWords has no word for its status
 			c.answers["conflict"]++
 		}
 	}
@@ -154,16 +154,16 @@
 		Duplicates: sum.Duplicates,
 	}
 	if diff := cmp.Diff(want, c.Stats()); diff != "" {
-		c.t.Fatalf("(-want +got)\n%s", diff)
+		c.t.Fatalf("Stats() (-want +got):\n%s", diff)
 	}
 	open := sum.Read - sum.Served - sum.Rejected - sum.Faulted() - sum.Abandoned
 	if open != int64(c.OpenRequests()) {
-		c.t.Fatalf("%d have no end, and %d are open", open, c.OpenRequests())
+		c.t.Fatalf("%d requests are not counted as ended, but OpenRequests() = %d", open, c.OpenRequests())
 	}
 }
 
-// Whatever happens, each request that was read has one end or is open, and the ends are the answers
-// that callers got.
+// Whatever happens, each request that was read is either counted once by how it ended or open, and the
+// counts are those of the answers that the callers got.
 func TestRequestsAreCountedOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := &countedRequests{testManager: newTestManager(t, 2), t: rt, answers: map[string]int64{}}
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -11,8 +11,8 @@
 
 // Submit takes over a request that has been read. It may be answered before Submit returns.
 func (m *Manager) Submit(q *Request) Ticket {
-	// Runners identify requests by ID: a second one with the same would get the result of the
-	// first.
+	// Runners identify requests by ID: a second request with the same ID would get the result of
+	// the first.
 	if _, open := m.openIDs[q.ID]; open {
 		return m.answerConflict(q, DuplicateID)
 	}
@@ -44,7 +44,7 @@
 	return Ticket(r.id)
 }
 
-// arrivalEvent is the event of a new request.
+// arrivalEvent returns the admission event of a new request.
 func (m *Manager) arrivalEvent(r *request, queued time.Duration) admission.Event {
 	return admission.Event{
 		Kind:          admission.EventRequest,
@@ -60,10 +60,11 @@
 	}
 }
 
-// answerDuplicateAtOnce answers a duplicate that need not wait, and reports whether it did: one
-// with another body, and one of a request that ran in an earlier process. Any other is counted.
+// answerDuplicateAtOnce answers a duplicate that need not wait, and reports whether it did. These
+// are requests that use a key with another body, and duplicates of a run that ended in another or an
+// earlier process. Any other duplicate is counted.
 func (m *Manager) answerDuplicateAtOnce(r *request) bool {
-	// All attempts of a caller carry the same body. A request with another one must not get the
+	// A caller repeats a request with the same body. A request with another body must not get the
 	// result.
 	if r.keyEntry.bodyHash != hashBody(r.Request) {
 		m.answerConflict(r.Request, KeyReused)
@@ -91,7 +92,7 @@
 	}
 	if r.Timeout > 0 {
 		// The admission controller uses the timeout of the class, from which it also estimates
-		// the age of a retry. A shorter one is enforced here.
+		// the age of a retry. A shorter timeout is enforced here.
 		now := m.env.Now()
 		r.deadline = min(r.deadline, now-queued+r.Timeout)
 		r.stopTimer = m.env.After(r.deadline-now, func() { m.expire(r) })
@@ -117,15 +118,15 @@
 	return true
 }
 
-// reject rejects a request that the admission controller does not know.
+// reject rejects a request that was not reported to the admission controller.
 func (m *Manager) reject(r *request, why string, retryAfter time.Duration) {
 	m.logRejection(m.settings.Classes[r.Class].Name, why)
 	m.answer(r, Answer{Status: Rejected, RetryAfter: retryAfter})
 	m.removeIfDone(r)
 }
 
-// logRejection logs a rejection for lack of room for its key, with the number of those that were
-// not logged since the last time.
+// logRejection logs that a request was rejected because its key cannot be remembered, at most once
+// per rejectionLogInterval, with the number of these rejections since the last log line.
 func (m *Manager) logRejection(class, why string) {
 	m.unloggedRejections++
 	now := m.env.Now()
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// maxTracedAttempts is how many attempts a trace describes.
+// maxTracedAttempts is the maximum number of attempts that a trace describes.
 const maxTracedAttempts = 4
 
 // AttemptTrace describes an attempt.
@@ -25,12 +25,12 @@
 	Caller        uint32
 	ArrivedAt     wallclock.UnixMicro // at the machine
 	ReadAt        wallclock.UnixMicro // when it was read completely
-	StartedAt     wallclock.UnixMicro // when its first attempt began; 0: never
+	StartedAt     wallclock.UnixMicro // when its first attempt began; 0: there was none
 	AnsweredAt    wallclock.UnixMicro
 	OriginalID    string // of a duplicate: the ID of the request that ran
 	Status        Status // 0: the caller was gone
 	Cause         Cause
-	// Value and Limit are what was compared, where the cause says so.
+	// Value and Limit are the quantities that were compared, if the cause has them.
 	Value, Limit float64
 	RetryAfter   time.Duration
 	Attempts     [maxTracedAttempts]AttemptTrace // the first ones
@@ -39,7 +39,7 @@
 	KeyWait time.Duration
 }
 
-// newTrace returns the trace of a request; nil if traces are not wanted. The methods of a nil trace
+// newTrace returns the trace of a request; nil if no traces are collected. The methods of a nil trace
 // do nothing.
 func (m *Manager) newTrace(q *Request) *Trace {
 	if m.env.OnAnswered == nil {
@@ -57,11 +57,11 @@
 	}
 }
 
-// setCause sets why an answer is about to be given, where nothing was compared.
+// setCause sets the cause of the answer that is about to be given, for a cause without Value and Limit.
 func (t *Trace) setCause(cause Cause) { t.setComparison(cause, 0, 0) }
 
-// setComparison is setCause with the value and the limit that were compared. The first cause that
-// is set remains, as it is the nearest to the reason.
+// setComparison is setCause with the value and the limit that were compared. The first cause that is
+// set is kept, as it is the closest to the reason.
 func (t *Trace) setComparison(cause Cause, value, limit float64) {
 	if t != nil && t.Cause == CauseNone {
 		t.Cause = cause
@@ -101,7 +101,7 @@
 	return &t.Attempts[t.AttemptCount-1]
 }
 
-// attemptStarted notes the start of an attempt.
+// attemptStarted records the start of an attempt.
 func (t *Trace) attemptStarted(now wallclock.UnixMicro) {
 	if t == nil {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// attemptEnded notes the end of the last attempt.
+// attemptEnded records the end of the last attempt.
 func (t *Trace) attemptEnded(a *Attempt, outcome Outcome, now wallclock.UnixMicro) {
 	if attempt := t.lastAttempt(); attempt != nil {
 		attempt.Server = a.Server
@@ -124,7 +124,7 @@
 	}
 }
 
-// addKeyWait adds a wait for the key to be reserved or durable.
+// addKeyWait adds time for which the request waited for its key to be reserved or durable.
 func (t *Trace) addKeyWait(d time.Duration) {
 	if t != nil {
 		t.KeyWait += d
