--- a/internal/lifecycle/cause.go
+++ b/internal/lifecycle/cause.go
@@ -25,7 +25,7 @@
 	CauseDuplicate
 	CauseOriginalNotRun // the request that it duplicates never ran
 	CauseNoServer       // no server took it
-	CauseServerFault    // its server reported a failure
+	CauseServerFault    // its run failed on the server
 	// its run was interrupted, and may not be retried
 	CauseInterrupted
 	CauseRunTimeout     // its run did not end by its deadline
@@ -33,7 +33,7 @@
 	// the deadline that its frontend set has passed
 	CauseDeadline
 	CauseCallerGone  // its caller was gone
-	CauseRunRejected // the server rejected its run, and nothing ran
+	CauseRunRejected // its run was rejected, and nothing ran
 	// no slot of its bulkhead in time; seconds of waiting, seconds left
 	CauseBulkheadWait
 	// the queue of its bulkhead was full; queued requests, limit
--- a/internal/lifecycle/runner.go
+++ b/internal/lifecycle/runner.go
@@ -13,7 +13,7 @@
 // The outcomes. NotStarted, CallRejected, Unreachable and UnknownRequest prove that nothing ran.
 const (
 	Succeeded      Outcome = iota + 1
-	Faulted                // the server reported a failure
+	Faulted                // it failed on the server
 	Interrupted            // the connection broke; the run may have had its effect
 	TimedOut               // there was no response by the deadline; the run may have had its effect
 	Cancelled              // the request was answered or abandoned before the end
