--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -16,9 +16,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// machine is a machine whose disk crashes, on which one process of the program follows another,
-// with clients that repeat their requests through all of them. It also is the checker: what ran and
-// who got which answer is recorded here, outside the processes.
+// machine simulates a machine with a disk that crashes, the successive processes of the program on it,
+// and clients that repeat their requests across these processes. It also is the checker: it records,
+// outside the processes, which keys ran and which answers clients got.
 type machine struct {
 	t            *testing.T
 	seed         uint64
@@ -26,22 +26,22 @@
 	sched        *virtualclock.Scheduler
 	rand         *rand.Rand
 	options      store.Options
-	diskIsCalm   bool // the disk answers in time, and does not fail
-	diskHangs    bool // it does not answer at all
+	diskIsCalm   bool // no sync takes longer than the timeout, and no operation fails by chance
+	diskHangs    bool // commits do not end
 	current      *process
 	incarnations uint64
 
-	ran         map[string]int    // runs of a key that began
-	results     map[string]string // result of the run of a key
-	served      map[string]bool
+	ran         map[string]int    // number of runs that began, by key
+	results     map[string]string // result of the run, by key
+	served      map[string]bool   // whether a client was served, by key
 	violations  []string
 	answers     int
 	traces      int
-	servedLater int // answered by a later process than the one that ran
+	servedLater int // answers served by a later process than the one that ran the key
 	inDoubt     int
 }
 
-// process is one process of the program. It is its own key store and runner.
+// process is one process of the program. It also is the key store and the runner of its manager.
 type process struct {
 	machine     *machine
 	incarnation uint64
@@ -60,7 +60,7 @@
 
 const window = 3 * time.Second
 
-// crashTestSettings are settings with one class, which is idempotent with a key.
+// crashTestSettings returns settings with one class, which is idempotent with a key.
 func crashTestSettings() admission.Settings {
 	return admission.Settings{
 		Servers:               1,
@@ -93,7 +93,7 @@
 	}
 }
 
-// environment returns what the manager of a process needs.
+// environment returns the environment of the manager of a process.
 func (m *machine) environment(p *process) lifecycle.Environment {
 	return lifecycle.Environment{
 		Now:   m.now,
@@ -112,13 +112,13 @@
 		OnAnswered: func(t *lifecycle.Trace) {
 			if m.traces++; t.Status != lifecycle.Served && t.Cause == lifecycle.CauseNone ||
 				t.Status == lifecycle.Served && t.OriginalID != "" && t.Cause != lifecycle.CauseDuplicate {
-				m.violated("%s has no cause: %+v", t.ID, *t)
+				m.violated("the trace of request %s has a wrong cause or none: %+v", t.ID, *t)
 			}
 		},
 	}
 }
 
-// start starts a process with what the disk holds, and reports whether it starts.
+// start starts a process with the files on the disk, and reports whether that succeeded.
 func (m *machine) start() bool {
 	m.incarnations++
 	p := &process{machine: m, incarnation: m.incarnations}
@@ -126,7 +126,7 @@
 	journal, found, err := store.OpenJournal(m.disk, m.unix(), m.options)
 	if journal == nil {
 		if !errors.Is(err, crashfs.ErrCrashed) {
-			m.violated("process %d does not start: %v", p.incarnation, err)
+			m.violated("process %d cannot open the journal: %v", p.incarnation, err)
 		}
 		return false
 	}
@@ -139,8 +139,8 @@
 	for _, k := range found.Keys {
 		keys = append(keys, keyRecord(k))
 	}
-	if strange := p.manager.Restore(keys); strange > 0 {
-		m.violated("%d strange keys", strange)
+	if unknown := p.manager.Restore(keys); unknown > 0 {
+		m.violated("Restore() = %d keys of unknown classes or tenants, want 0", unknown)
 	}
 	p.manager.Start()
 	m.current = p
@@ -164,8 +164,8 @@
 	})
 }
 
-// The methods of lifecycle.KeyStore: a commit takes a while, and records that come meanwhile wait
-// for the next one.
+// These methods implement lifecycle.KeyStore. A commit takes some time, and records that are put
+// meanwhile wait for the next commit.
 
 func (p *process) Unavailable() (time.Duration, string) {
 	if p.journal.IsDown() {
@@ -215,7 +215,7 @@
 				p.journal.FinishSnapshot(snap)
 			}
 		} else {
-			_ = p.journal.RotateSegment() // it is down then
+			_ = p.journal.RotateSegment() // after an error the journal is down, and is reopened below
 		}
 		if p.machine.disk.IsCrashed() {
 			p.machine.crash()
@@ -244,15 +244,15 @@
 	}
 }
 
-// Run implements lifecycle.Runner: it is the server, and records what runs.
+// Run implements lifecycle.Runner. It simulates the server and records which keys run.
 func (p *process) Run(a *lifecycle.Attempt) {
 	m, key := p.machine, a.Request.Key
-	if m.rand.IntN(8) == 0 { // it does not reach the server
+	if m.rand.IntN(8) == 0 { // the attempt does not reach the server
 		p.after(100*time.Microsecond, func() { p.manager.AttemptEnded(a, lifecycle.Unreachable, nil) })
 		return
 	}
 	if m.ran[key]++; m.ran[key] > 1 {
-		m.violated("%s runs for the %dth time, in process %d", key, m.ran[key], p.incarnation)
+		m.violated("key %s: run number %d begins, in process %d, want one run", key, m.ran[key], p.incarnation)
 	}
 	result := fmt.Sprintf("%s in process %d", key, p.incarnation)
 	m.results[key] = result
@@ -268,7 +268,7 @@
 // Abandon implements lifecycle.Runner.
 func (p *process) Abandon(*lifecycle.Attempt) {}
 
-// crash is a loss of power. A while later the next process starts.
+// crash simulates a loss of power. The next process starts 10 to 210 ms later.
 func (m *machine) crash() {
 	if m.current != nil {
 		m.current.dead, m.current = true, nil
@@ -286,7 +286,7 @@
 	}
 }
 
-// client sends one request and repeats it as long as its window lasts, often also after an answer.
+// client sends one request and repeats it within its idempotency window, often even after an answer.
 type client struct {
 	machine     *machine
 	key         string
@@ -319,7 +319,7 @@
 			Responder: c,
 		},
 	)
-	if m.rand.IntN(3) == 0 { // another attempt before there is an answer
+	if m.rand.IntN(3) == 0 { // repeats the request before it is answered
 		again()
 	}
 }
@@ -331,7 +331,7 @@
 	switch a.Status {
 	case lifecycle.Served:
 		if got := string(a.Result.Body); got != m.results[c.key] {
-			m.violated("%s gets %q, and %q ran", c.key, got, m.results[c.key])
+			m.violated("key %s: served result = %q, want %q", c.key, got, m.results[c.key])
 		}
 		m.served[c.key] = true
 		if m.results[c.key] != fmt.Sprintf("%s in process %d", c.key, c.incarnation) {
@@ -340,7 +340,7 @@
 	case lifecycle.Failed:
 		if a.Reason == lifecycle.InDoubt {
 			if m.inDoubt++; m.diskIsCalm && m.served[c.key] {
-				m.violated("%s was served, and is in doubt", c.key)
+				m.violated("key %s is in doubt after it was served", c.key)
 			}
 		}
 	}
@@ -349,9 +349,9 @@
 	}
 }
 
-// play plays forty requests in some seconds, with crashes at steps of the disk that the seed
-// chooses.
-func play(t *testing.T, seed uint64, mode store.SyncMode, fail bool) *machine {
+// simulate simulates forty requests within a few seconds, with crashes at operations of the disk that the
+// seed determines.
+func simulate(t *testing.T, seed uint64, mode store.SyncMode, fail bool) *machine {
 	m := &machine{
 		t:       t,
 		seed:    seed,
@@ -387,8 +387,9 @@
 	return m
 }
 
-// Over many plays with a crash at each step of the disk, which loses, tears and reorders what was
-// not synced and fails by chance, no key runs twice, and no client gets the result of another key.
+// Simulates many runs of a machine that crashes at any operation of the disk. A crash loses, tears and
+// reorders data that was not synced, and in some runs operations fail at random. No key may run twice, and
+// no client may get the result of another key.
 func TestNoKeyRunsTwiceOverCrashes(t *testing.T) {
 	runs := 1500
 	if testing.Short() {
@@ -396,12 +397,12 @@
 	}
 	var ran, answers, servedLater, inDoubt, processes int
 	for seed := range uint64(runs) {
-		m := play(t, seed, []store.SyncMode{store.SyncGroup, store.SyncAlways}[seed%2], seed%3 == 0)
+		m := simulate(t, seed, []store.SyncMode{store.SyncGroup, store.SyncAlways}[seed%2], seed%3 == 0)
 		if m.traces != m.answers {
-			t.Fatalf("seed %d: %d answers, %d traces", seed, m.answers, m.traces)
+			t.Fatalf("seed %d: %d answers but %d traces", seed, m.answers, m.traces)
 		}
 		if len(m.violations) > 0 {
-			t.Fatalf("seed %d: %q", seed, m.violations)
+			t.Fatalf("seed %d: violations: %q", seed, m.violations)
 		}
 		ran += len(m.ran)
 		answers += m.answers
@@ -410,7 +411,7 @@
 		processes += int(m.incarnations)
 	}
 	t.Logf(
-		"%d plays: %d processes, %d keys ran, %d answers, %d of them from an earlier process, %d in doubt",
+		"%d simulations: %d processes, %d keys ran, %d answers, %d of them of an earlier process, %d in doubt",
 		runs,
 		processes,
 		ran,
@@ -419,12 +420,12 @@
 		inDoubt,
 	)
 	if processes < 2*runs || servedLater < runs/2 || inDoubt < runs/10 {
-		t.Error("too few crashes, duplicates or doubts to test anything")
+		t.Error("too few crashes, answers by later processes or keys in doubt for the test to be meaningful")
 	}
 }
 
-// While the disk hangs, and in a drain meanwhile, each request gets its answer in time, and nothing
-// runs whose start is not durable.
+// A disk hangs, and a drain begins meanwhile. Each request is still answered in time, and no run begins
+// whose start is not durable.
 func TestDrainWithHangingDiskAnswersInTime(t *testing.T) {
 	m := &machine{
 		t:       t,
@@ -453,7 +454,8 @@
 				Responder: responderFunc(func(a lifecycle.Answer) {
 					m.answers++
 					if past := m.sched.Now() - at; a.Status != status || past > within {
-						t.Errorf("%s: status %d after %d ms", key, a.Status, past.Milliseconds())
+						t.Errorf("request %s: answered with status %d after %d ms, want another status or less time",
+							key, a.Status, past.Milliseconds())
 					}
 				}),
 			},
@@ -461,18 +463,19 @@
 	}
 	request("before", lifecycle.Served, 400*time.Millisecond)
 	m.sched.RunUntil(virtualclock.Origin + time.Second)
-	if m.answers == 0 { // the server interrupts some runs
-		t.Fatal("no answer")
+	if m.answers == 0 { // the simulated server interrupts some runs
+		t.Fatal("the request before the disk hangs is not answered")
 	}
 	m.diskHangs = true
 	for k := range 20 {
-		// once one has timed out, others do not wait
+		// once one request has timed out, the others do not wait
 		request(fmt.Sprint("stuck", k), lifecycle.Rejected, 60*time.Millisecond)
 	}
 	m.sched.After(20*time.Millisecond, func() { m.current.manager.Drain(1500 * time.Millisecond) })
 	m.sched.RunUntil(virtualclock.Origin + 4*time.Second)
 	if m.answers != 21 || m.current.manager.OpenRequests() != 0 || len(m.ran) != 1 {
-		t.Errorf("%d answers, %d open, %d ran", m.answers, m.current.manager.OpenRequests(), len(m.ran))
+		t.Errorf("%d answers, %d open requests and %d keys ran, want 21, 0 and 1",
+			m.answers, m.current.manager.OpenRequests(), len(m.ran))
 	}
 }
 
--- a/internal/idempotency/persistence/health.go
+++ b/internal/idempotency/persistence/health.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// restoringRetryAfter is how long a caller stays away while keys are restored.
+	// restoringRetryAfter is the Retry-After while keys are being restored.
 	restoringRetryAfter = 200 * time.Millisecond
-	// downRetryAfter is how long a caller stays away while the disk has failed.
+	// downRetryAfter is the Retry-After while the disk has failed.
 	downRetryAfter = time.Second
 )
 
-// health decides whether new keys can be accepted, from the records that wait for the disk. It does
-// no I/O.
+// health decides whether new keys can be accepted, from the state of the disk and the records that wait
+// for it. It does no I/O.
 type health struct {
-	stallTimeout time.Duration   // a disk that does not confirm a record for so long is stalled
+	stallTimeout time.Duration   // a disk that takes longer to confirm a record is stalled
 	restoring    bool            // the keys are being restored
-	closedUntil  time.Duration   // monotonic; until then it is not known what may have run
-	failure      string          // of the disk; empty: none
-	unconfirmed  []time.Duration // when the records that wait were sent, the oldest first
+	closedUntil  time.Duration   // monotonic; no new keys before, as it is not known what may have run
+	failure      string          // error of the disk; empty: it works
+	unconfirmed  []time.Duration // when the unconfirmed records were sent, oldest first
 }
 
-// recordSent notes a record that was passed to the store.
+// recordSent records that a record was passed to the store.
 func (h *health) recordSent(now time.Duration) { h.unconfirmed = append(h.unconfirmed, now) }
 
-// recordConfirmed notes that the store has reported the outcome of the oldest record.
+// recordConfirmed records that the store has reported the outcome of the oldest unconfirmed record.
 func (h *health) recordConfirmed() {
 	h.unconfirmed = h.unconfirmed[1:]
 	if len(h.unconfirmed) == 0 {
@@ -33,13 +33,13 @@
 	}
 }
 
-// unavailable returns for how long no key can be accepted, and why; zero if keys can be.
+// unavailable returns for how long no new keys are accepted, and why; zero if they are accepted.
 func (h *health) unavailable(now time.Duration) (retryAfter time.Duration, why string) {
 	switch {
 	case h.restoring:
-		return restoringRetryAfter, "the keys of earlier lives are being read"
+		return restoringRetryAfter, "the keys of earlier processes are being restored"
 	case now < h.closedUntil:
-		return h.closedUntil - now, "after a repair it is not known what may have run"
+		return h.closedUntil - now, "after a repair it is not known which keys may have run"
 	case h.failure != "":
 		return downRetryAfter, "the disk failed: " + h.failure
 	}
--- a/internal/idempotency/persistence/health_test.go
+++ b/internal/idempotency/persistence/health_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// New keys are rejected while it is not known what may have run, or the disk does not answer.
+// New keys are rejected while keys are restored, for a window after a repair, and while the disk has
+// failed or does not confirm records in time.
 func TestHealthRejectsKeysWhileDiskIsUnusable(t *testing.T) {
 	const ms = time.Millisecond
 	h := health{stallTimeout: 100 * ms, restoring: true}
@@ -18,18 +19,18 @@
 		{"restoring", func() {}, 1 * ms, restoringRetryAfter},
 		{"restored", func() { h.restoring = false }, 2 * ms, 0},
 		{"repaired", func() { h.closedUntil = 50 * ms }, 10 * ms, 40 * ms},
-		{"long after", func() {}, 50 * ms, 0},
+		{"the window after the repair is over", func() {}, 50 * ms, 0},
 		{"a record is sent", func() { h.recordSent(100 * ms); h.recordSent(150 * ms) }, 199 * ms, 0},
-		{"the record waits for long", func() {}, 200 * ms, 100 * ms},
+		{"the first record waits for the stall timeout", func() {}, 200 * ms, 100 * ms},
 		{"the first is confirmed", func() { h.recordConfirmed() }, 201 * ms, 0},
-		{"the second waits for long", func() {}, 251 * ms, 100 * ms},
+		{"the second record waits for the stall timeout", func() {}, 251 * ms, 100 * ms},
 		{"all are confirmed", func() { h.recordConfirmed() }, 900 * ms, 0},
 		{"down", func() { h.failure = "no room" }, 901 * ms, downRetryAfter},
 		{"recovered", func() { h.failure = "" }, 902 * ms, 0},
 	} {
 		c.do()
 		if got, why := h.unavailable(c.now); got != c.retryAfter || (got > 0) != (why != "") {
-			t.Errorf("%s: %v, %q", c.name, got, why)
+			t.Errorf("%s: unavailable() = %v, %q, want another duration, or a reason only with one", c.name, got, why)
 		}
 	}
 }
--- a/internal/idempotency/persistence/key_store.go
+++ b/internal/idempotency/persistence/key_store.go
@@ -1,6 +1,6 @@
-// Package persistence implements lifecycle.KeyStore on the store of package store: it converts
-// idempotency keys to records and back, restores them at the start, and decides when the disk is
-// too unhealthy for new keys.
+// Package persistence implements lifecycle.KeyStore with package store: it converts idempotency keys to
+// records and back, restores them at the start, and decides when the state of the disk does not allow
+// new keys.
 package persistence
 
 import (
@@ -33,16 +33,16 @@
 )
 
 const (
-	// restoreBatch is how many keys are restored in one turn of the loop.
+	// restoreBatch is the maximum number of keys that are restored in one iteration of the loop.
 	restoreBatch = 2000
 	// closeTimeout is how long Close waits for the disk.
 	closeTimeout = time.Second
 )
 
-// errStillReading reports that the store was closed while it was still being read.
-var errStillReading = errors.New("store: it is still being read")
+// errStillReading reports that Close did not wait until the files of the store were read.
+var errStillReading = errors.New("store: its files are still being read")
 
-// Loop is the event loop.
+// Loop is the event loop. Deliver calls a function on it, from any goroutine.
 type Loop interface {
 	Now() time.Duration
 	Unix() wallclock.UnixMicro
@@ -53,11 +53,11 @@
 type Config struct {
 	store.Settings
 	Timeout time.Duration // how long a run or an answer waits for the disk
-	Window  time.Duration // the longest time within which a key may be repeated
+	Window  time.Duration // the longest idempotency window of a class
 }
 
-// KeyStore implements lifecycle.KeyStore on a folder, which it owns. Its methods are called on the
-// loop.
+// KeyStore implements lifecycle.KeyStore with the files of a folder, which it owns. Its methods are
+// called on the loop.
 type KeyStore struct {
 	loop   Loop
 	fs     store.FS
@@ -65,7 +65,7 @@
 	health health
 	store  *store.Store // nil until the keys are restored
 	unlock func() error
-	opened chan *store.Store // receives the store once it is read; nil: that failed
+	opened chan *store.Store // receives the store once its files are read; nil if that failed
 }
 
 // Open locks a folder. It fails with store.ErrLocked if another process uses it. The caller must
@@ -85,9 +85,9 @@
 	}, nil
 }
 
-// Restore reads the folder on a goroutine of its own and passes the keys to restore, on the loop and in
-// batches; restore returns how many of them are of unknown classes or tenants. No new keys are
-// accepted until that is done. If the folder cannot be read, failed is called on the loop.
+// Restore reads the folder on a goroutine of its own. It passes the keys to restore on the loop and in
+// batches; restore returns how many keys of a batch have an unknown class or tenant. No new keys are
+// accepted until all are restored. If the folder cannot be read, failed is called on the loop.
 func (k *KeyStore) Restore(restore func([]lifecycle.KeyRecord) (unknown int), failed func(error)) {
 	go func() {
 		began := time.Now()
@@ -115,8 +115,8 @@
 	}()
 }
 
-// reportRecovery logs what was found. After a repair no new keys are accepted for a window: what
-// was lost may be of keys that have not expired.
+// reportRecovery logs what was found. After a repair no new keys are accepted for a window, as the lost
+// records may be of keys that have not expired.
 func (k *KeyStore) reportRecovery(recovery *store.Recovery, unknown int, elapsed time.Duration) {
 	inDoubt := 0
 	for _, key := range recovery.Keys {
@@ -174,7 +174,7 @@
 func (k *KeyStore) Released(r lifecycle.KeyRecord) { k.put(store.KeyReleased, r, func(error) {}) }
 
 func (k *KeyStore) put(kind store.RecordKind, r lifecycle.KeyRecord, done func(error)) {
-	if k.store == nil { // no run begins before the keys are restored
+	if k.store == nil { // not expected: no run begins before the keys are restored
 		k.loop.Deliver(func() { done(store.ErrDown) })
 		return
 	}
@@ -190,7 +190,7 @@
 func (k *KeyStore) Close() error {
 	select {
 	case opened := <-k.opened:
-		if opened == nil { // reading failed, and unlocked the folder
+		if opened == nil { // store.Open failed and unlocked the folder
 			return nil
 		}
 		return opened.Close(closeTimeout)
--- a/internal/idempotency/persistence/records.go
+++ b/internal/idempotency/persistence/records.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// ToRecord converts a key to the record of that kind, written at a time.
+// ToRecord converts a key to a record of the given kind that is written at the given time.
 func ToRecord(kind store.RecordKind, k lifecycle.KeyRecord, at wallclock.UnixMicro) *store.Record {
 	r := &store.Record{
 		Kind:      kind,
@@ -32,7 +32,7 @@
 	return r
 }
 
-// FromRecord converts a record to the key that it is about.
+// FromRecord converts a record to the state of its key.
 func FromRecord(r *store.Record) lifecycle.KeyRecord {
 	return keyRecord(
 		&store.Key{
@@ -47,8 +47,8 @@
 	)
 }
 
-// keyRecord converts a stored key. The end of a run without a result and with a status that is not
-// one of a failure, as another version may have written it, counts as failed.
+// keyRecord converts a stored key. If its run ended without a result and its status, perhaps written by
+// another version, is not that of a failure, the status becomes lifecycle.Failed.
 func keyRecord(key *store.Key) lifecycle.KeyRecord {
 	k := lifecycle.KeyRecord{
 		Class:     key.Name.Class,
