--- a/internal/idempotency/reservation/bench_test.go
+++ b/internal/idempotency/reservation/bench_test.go
@@ -7,7 +7,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// BenchmarkReserve measures what a reservation costs the loop, alone and beside another process.
+// BenchmarkReserve measures the time that a reservation takes on the loop, with and without another
+// process.
 func BenchmarkReserve(b *testing.B) {
 	for _, processes := range []int{1, 2} {
 		b.Run(fmt.Sprint(processes), func(b *testing.B) {
@@ -17,7 +18,7 @@
 				all[i] = start(b, dir, uint32(i+1))
 			}
 			one := all[0]
-			one.pass()
+			one.runTimers()
 			free, done := func() bool { return true }, func(mine bool, err error) {
 				if !mine || err != nil {
 					b.Fatal(mine, err)
--- a/internal/idempotency/reservation/coordinator.go
+++ b/internal/idempotency/reservation/coordinator.go
@@ -1,10 +1,10 @@
-// Package reservation decides among the processes of one runner which of them runs an idempotency
-// key, for the lifecycle.Reservations of the application. A new process is started beside the one
-// that it replaces; they share only a folder and the kernel. Each appends its reservations to a log
-// of its own, and holds a kernel lock on a file of its own as long as it is alive. A reservation is
-// made under a lock that all share: the process reads what the others have written, and then,
-// unless one of them has the key, writes the reservation. Records carry checksums: one that is
-// incomplete because its writer was killed is ignored, and its run never began.
+// Package reservation decides which of the processes of one runner runs an idempotency key. It serves the
+// application's lifecycle.Reservations. A new process is started beside the process that it replaces, and
+// the two share nothing but a folder and the kernel. Each process appends its reservations to its own log,
+// and holds a kernel lock on a file of its own as long as it is alive. To reserve a key, a process takes
+// a lock that all processes share, reads the records that the others have written and, unless one of
+// them has reserved the key, appends its reservation. Records carry checksums. A record that is incomplete
+// because its writer was killed is ignored: the run that it reserved the key for never began.
 package reservation
 
 import (
@@ -27,22 +27,22 @@
 )
 
 const (
-	// aloneInterval and sharedInterval are how often the logs of others are read: while no other
-	// process is alive, and while one is.
+	// aloneInterval is the interval at which the logs of other processes are read while no other
+	// process is alive, sharedInterval the one while another process is alive.
 	aloneInterval  = 50 * time.Millisecond
 	sharedInterval = 10 * time.Millisecond
-	// lockRetryInterval is the wait for the shared lock, which is held for microseconds unless its
-	// holder is not scheduled.
+	// lockRetryInterval is the wait before another attempt to take the shared lock, which is held for
+	// microseconds unless its holder is not scheduled.
 	lockRetryInterval = time.Millisecond
-	// openTimeout bounds the wait of Open for the shared lock.
+	// openTimeout is how long Open waits for the shared lock.
 	openTimeout = 2 * time.Second
-	// sweepInterval is how often files of exited processes are looked for.
+	// sweepInterval is the interval at which the files of exited processes are looked for and removed.
 	sweepInterval = 5 * time.Second
 )
 
-// ErrPeerIncomplete reports that another process could not write its reservations, so that its keys
-// are not known.
-var ErrPeerIncomplete error = faultPeerIncomplete.New("claims: another process could not write its claims")
+// ErrPeerIncomplete reports that another process could not write its reservations, and that its keys
+// are therefore not known.
+var ErrPeerIncomplete error = faultPeerIncomplete.New("claims: another process could not write its reservations")
 
 // ErrLockHeld reports that the lock could not be taken in time.
 var ErrLockHeld error = faultLockHeld.New("claims: another process holds the lock")
@@ -55,13 +55,13 @@
 
 // Table is the table of idempotency keys of this process.
 type Table interface {
-	// ApplyRemote takes what another process has written about a key. With released, the run never
-	// began.
+	// ApplyRemote applies the record that another process has written about a key. released says
+	// that the run of the key never began.
 	ApplyRemote(k lifecycle.KeyRecord, released bool)
-	// OwnerDied reports that the process of an incarnation has exited. Its runs whose end it has
-	// not written may have run.
+	// OwnerDied reports that the process of an incarnation has exited. Those of its runs whose end
+	// it has not written may have run.
 	OwnerDied(incarnation uint32)
-	// EachOwned calls fn for each key whose run this process has begun and that has not expired.
+	// EachOwned calls fn for each key that has not expired and whose run began in this process.
 	EachOwned(fn func(lifecycle.KeyRecord))
 }
 
@@ -72,55 +72,55 @@
 	Incarnation uint32 // identifies this process
 	// Window is the longest time for which a key is remembered.
 	Window time.Duration
-	// MaxResultBytes bounds the results that are written when another process appears.
+	// MaxResultBytes bounds the total size of the results that are written when another process starts.
 	MaxResultBytes int64
 	// OnProcessesChanged is called with the number of other processes that are alive whenever it
 	// changes; may be nil.
 	OnProcessesChanged func(alive int)
-	After              func(d time.Duration, fn func()) // the loop's timer
+	After              func(d time.Duration, fn func()) // calls fn on the loop after d
 }
 
-// Coordinator holds the reservations of one process, and reads those of the others. It owns its
-// files. Its methods are called on the loop.
+// Coordinator writes the reservations of one process and reads those of the others. It owns the files of
+// its process. Its methods are called on the loop.
 type Coordinator struct {
 	clock     Clock
 	config    Config
 	table     Table
-	basePath  string   // the common beginning of the paths of all files
+	basePath  string   // common prefix of the paths of all files
 	lock      *os.File // shared by all processes; nil once closed
 	aliveLock *os.File // locked as long as this process is alive
 	log       *os.File
-	// generation is the number of the log, which grows when it is compacted.
+	// generation is the number of the log. Each compaction increments it.
 	generation   uint64
-	size         int64 // of the log
-	compactBytes int64 // size from which on the log is compacted
-	// epoch is the number in the lock's file that grows whenever a log appears.
+	size         int64 // of the log, in bytes
+	compactBytes int64 // size above which the log is compacted
+	// epoch is the last epoch that this process has written, or for which it has looked for logs.
 	epoch         uint64
 	processes     map[uint32]*otherProcess // by incarnation
-	reportedAlive int                      // -1: none was reported
+	reportedAlive int                      // last number passed to OnProcessesChanged; -1: none yet
 	serving       bool                     // this process accepts connections
-	// incomplete says that the log lacks reservations: there was no room for them, and no other
-	// process to read them.
+	// incomplete says that the log lacks reservations: the disk had no space for them, and no other
+	// process was alive to read them.
 	incomplete  bool
 	sweptAt     time.Duration
-	loggedError string // the last error, which is not logged again
-	frame       []byte
+	loggedError string // text of the last error, which is not logged again while it lasts
+	frame       []byte // buffer for the encoded record
 }
 
-// otherProcess is another process of the runner, and how far its log is read.
+// otherProcess is another process of the runner and the state of reading its log.
 type otherProcess struct {
 	incarnation uint32
 	generation  uint64
 	log         *os.File
-	aliveLock   *os.File // nil: the file is gone, and so is the process
-	offset      int64    // in the log, up to which it is read
+	aliveLock   *os.File // nil: the file is gone, and the process with it
+	offset      int64    // in the log, up to which it has been read
 	alive       bool
 	serving     bool // it accepts connections
-	records     int
+	records     int  // number of records about keys that were read
 }
 
-// Open joins the processes of the runner. It reads what they have reserved before it returns, and
-// blocks for up to openTimeout. The caller must Close the coordinator.
+// Open creates the files of this process. It reads what the other processes of the runner have reserved
+// before it returns, and blocks for up to openTimeout. The caller must Close the coordinator.
 func Open(clock Clock, config Config, table Table) (*Coordinator, error) {
 	runnerHash := fnv.New64a()
 	runnerHash.Write([]byte(config.Runner))
@@ -163,11 +163,11 @@
 	if err = c.compact(nil); err != nil {
 		return err
 	}
-	// compact has just set the epoch, which therefore does not show files of earlier processes
+	// compact has just set c.epoch, so readOthers would not search for the logs of earlier processes.
 	return c.scan()
 }
 
-// Close closes all files. They stay in the folder, as other processes read them.
+// Close closes all files. They are not removed, as other processes read them.
 func (c *Coordinator) Close() {
 	for _, f := range []*os.File{c.lock, c.log, c.aliveLock} {
 		if f != nil {
@@ -187,10 +187,10 @@
 	}
 }
 
-// Reserve reserves a key for a run that is about to begin. Under the shared lock, after it has read
-// what others have written, it calls isFree, which reports whether the key is still available. It
-// calls done once, now or later: reserved reports whether the key is reserved. After an error that
-// is not known, and nothing may run. within bounds the wait for the lock.
+// Reserve reserves a key for a run that is about to begin. Under the shared lock, after it has read the
+// records of other processes, it calls isFree, which reports whether the key is still available. It
+// calls done once, now or later: reserved reports whether the key is reserved. After an error it is not
+// known whether the key is reserved, and nothing may run. within bounds the wait for the lock.
 func (c *Coordinator) Reserve(
 	k lifecycle.KeyRecord,
 	within time.Duration,
@@ -223,7 +223,7 @@
 		return false, err
 	}
 	for _, p := range c.processes {
-		if p.offset == 0 { // even an empty log has a first record
+		if p.offset == 0 { // a log without keys has a record too
 			return false, ErrPeerIncomplete
 		}
 	}
@@ -234,9 +234,9 @@
 	return true, c.appendReservation(k)
 }
 
-// compactIfLarge compacts the log. It is called before a reservation is written, as the table does
-// not hold that yet. A disk without room for another log is no reason to reject the run: the log
-// may stay as large as it is.
+// compactIfLarge compacts the log if it is too large. It must be called before a reservation is written,
+// as the table does not contain the new reservation yet. If the disk has no space for another log, the
+// run is not rejected: the log is kept, and may grow to twice the size.
 func (c *Coordinator) compactIfLarge() {
 	if c.size <= c.compactBytes {
 		return
@@ -247,7 +247,7 @@
 	}
 }
 
-// logError logs an error that is not the same as the last one.
+// logError logs an error unless it has the same text as the last one.
 func (c *Coordinator) logError(err error) {
 	text := ""
 	if err != nil {
@@ -280,7 +280,7 @@
 // OtherProcesses returns how many other processes are alive, and whether one of them accepts
 // connections.
 func (c *Coordinator) OtherProcesses() (alive int, serving bool) {
-	if c.lock != nil { // what was written since the last poll counts
+	if c.lock != nil { // records that were written since the last poll count
 		c.logError(c.readOthers())
 		c.reportAlive()
 	}
--- a/internal/idempotency/reservation/coordinator_test.go
+++ b/internal/idempotency/reservation/coordinator_test.go
@@ -15,8 +15,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// process is one of several processes of one runner, with a clock of the test. Its table records
-// what it is called with.
+// process is one of several processes of one runner, with a simulated clock. It implements Table and
+// records the calls of its methods.
 type process struct {
 	t                testing.TB
 	now              time.Duration
@@ -25,7 +25,7 @@
 	owned            []lifecycle.KeyRecord
 	reservedByOthers map[string]bool
 	seen             []string
-	others           int
+	others           int // other processes that are alive, as last reported
 }
 
 func (p *process) Now() time.Duration        { return p.now }
@@ -81,8 +81,8 @@
 // kill ends a process as SIGKILL does: the kernel releases its locks, and its files stay.
 func (p *process) kill() { p.coordinator.Close() }
 
-// pass runs the timers that are set.
-func (p *process) pass() {
+// runTimers calls the functions of all timers that are set, once.
+func (p *process) runTimers() {
 	timers := p.timers
 	p.timers = nil
 	for _, fn := range timers {
@@ -90,7 +90,7 @@
 	}
 }
 
-// reserve tries to reserve a key and returns the outcome: mine, theirs or the error.
+// reserve tries to reserve a key and returns the outcome: "mine", "theirs" or the text of the error.
 func (p *process) reserve(key string) (out string) {
 	owner := uint64(p.coordinator.config.Incarnation) << 32
 	k := lifecycle.KeyRecord{Class: "hand-in", Key: key, Owner: owner, ExpiresAt: 10_000_000}
@@ -112,7 +112,7 @@
 		if out != "" {
 			break
 		}
-		p.pass()
+		p.runTimers()
 	}
 	return out
 }
@@ -120,7 +120,7 @@
 func (p *process) expect(want ...string) {
 	p.t.Helper()
 	if diff := cmp.Diff(want, p.seen); diff != "" {
-		p.t.Errorf("(-want +got)\n%s", diff)
+		p.t.Errorf("records of other processes (-want +got):\n%s", diff)
 	}
 	p.seen = nil
 }
@@ -128,29 +128,29 @@
 func (p *process) expectReservation(key, want string) {
 	p.t.Helper()
 	if got := p.reserve(key); got != want {
-		p.t.Errorf("key %s: %s, want %s", key, got, want)
+		p.t.Errorf("reservation of key %s = %q, want %q", key, got, want)
 	}
 }
 
 func TestOneOfTwoProcessesRunsKey(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "[a] *") // no pattern, though it looks like one
+	dir := filepath.Join(t.TempDir(), "[a] *") // it must not be used as a pattern
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	one := start(t, dir, 1)
 	one.expectReservation("a", "mine")
 	two := start(t, dir, 2)
-	two.expect("started a") // what was reserved before it started counts
+	two.expect("started a") // reservations from before its start count
 	two.expectReservation("a", "theirs")
 	two.expectReservation("b", "mine")
-	one.expectReservation("b", "theirs") // though nothing was polled in between
+	one.expectReservation("b", "theirs") // without a poll in between
 	one.expect("started b")
 	one.coordinator.Released(one.owned[0])
-	two.pass()
+	two.runTimers()
 	two.expect("released a")
 	two.expectReservation("a", "mine")
-	if one.pass(); one.others != 1 || two.others != 1 {
-		t.Errorf("%d and %d other processes", one.others, two.others)
+	if one.runTimers(); one.others != 1 || two.others != 1 {
+		t.Errorf("other processes that are alive = %d and %d, want 1 and 1", one.others, two.others)
 	}
 }
 
@@ -160,34 +160,34 @@
 	one.expectReservation("a", "mine")
 	one.expectReservation("b", "mine")
 	one.expectReservation("c", "mine")
-	// the second result alone exceeds what is written at once
+	// The second result alone exceeds MaxResultBytes.
 	for i, text := range []string{"one", strings.Repeat("x", 200)} {
 		one.owned[i].Ended, one.owned[i].Result = true, &lifecycle.Result{Status: 200, Body: []byte(text)}
-		one.coordinator.Ended(one.owned[i]) // no process is there to read it
+		one.coordinator.Ended(one.owned[i]) // no other process is alive to read it
 	}
 	two := start(t, dir, 2)
 	two.expect("started a", "started b", "started c")
-	one.pass()
-	two.pass()
+	one.runTimers()
+	two.runTimers()
 	two.expect("ended a one", "ended b "+strings.Repeat("x", 200))
 	one.owned[2].Ended, one.owned[2].Result = true, &lifecycle.Result{Status: 200, Body: []byte("three")}
 	one.coordinator.Ended(one.owned[2])
-	two.pass()
+	two.runTimers()
 	two.expect("ended c three")
 }
 
 func TestReservationsOfKilledProcessStand(t *testing.T) {
 	for name, x := range map[string]struct {
-		cut  int64 // bytes of its last record that were not written
+		cut  int64 // bytes of the last record that were not written
 		seen []string
-		last string // who then has the key of the last record
+		last string // outcome of a later reservation of the key of the last record
 	}{
-		"after a reservation": {0, []string{"started a", "started b", "owner 1 died"}, "theirs"},
-		"in the last byte":    {1, []string{"started a", "owner 1 died"}, "mine"},
-		"in a record's head":  {1000, []string{"started a", "owner 1 died"}, "mine"},
+		"after a reservation":  {0, []string{"started a", "started b", "owner 1 died"}, "theirs"},
+		"in the last byte":     {1, []string{"started a", "owner 1 died"}, "mine"},
+		"in a record's header": {1000, []string{"started a", "owner 1 died"}, "mine"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// the other is there already, or comes later
+			// The other process starts before the reservations, or after the kill.
 			for _, before := range []bool{false, true} {
 				dir := t.TempDir()
 				one := start(t, dir, 1)
@@ -209,32 +209,32 @@
 				if !before {
 					two = start(t, dir, 2)
 				}
-				two.pass()
+				two.runTimers()
 				two.expect(x.seen...)
 				two.expectReservation("b", x.last)
 				two.expectReservation("a", "theirs")
 				if two.others != 0 {
-					t.Errorf("%d other processes", two.others)
+					t.Errorf("other processes that are alive = %d, want 0", two.others)
 				}
 			}
 		})
 	}
 }
 
-// A process that is stopped while it holds the lock makes the reservations of others fail, and does
-// not block their loops.
+// While a process that holds the lock is stopped, the reservations of other processes fail, but their
+// loops are not blocked.
 func TestHeldLockRejectsReservation(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
 	if !tryLock(one.coordinator.lock) {
-		t.Fatal("the lock is not free, and no process holds it")
+		t.Fatal("the lock cannot be taken, although no process holds it")
 	}
 	two.expectReservation("a", ErrLockHeld.Error())
 	unlock(one.coordinator.lock)
 	two.expectReservation("a", "mine")
 }
 
-// A log is compacted to the keys that have not expired. Its readers go on with the new one.
+// Compaction keeps the keys that have not expired, and other processes go on with the compacted log.
 func TestReadersFollowCompactedLog(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
@@ -245,21 +245,22 @@
 		one.owned = one.owned[max(len(one.owned)-3, 0):] // the other keys have expired
 	}
 	if one.coordinator.generation < 2 || one.coordinator.size > minCompactBytes {
-		t.Errorf("log %d of %d bytes", one.coordinator.generation, one.coordinator.size)
+		t.Errorf("generation %d has %d bytes, want a compacted log", one.coordinator.generation, one.coordinator.size)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
-	if err != nil || len(files) != 2 { // one of each
-		t.Errorf("%v, %v", files, err)
+	if err != nil || len(files) != 2 { // one log of each process
+		t.Errorf("logs = %v, error %v, want one log of each process", files, err)
 	}
 	if two.expectReservation("39", "theirs"); len(two.reservedByOthers) < 4 {
-		t.Errorf("of 40 reservations %d were read", len(two.reservedByOthers))
+		t.Errorf("of 40 reservations %d were read, want at least 4", len(two.reservedByOthers))
 	}
 	if _, serves := two.coordinator.OtherProcesses(); !serves {
-		t.Error("the compacted log does not say that it serves")
+		t.Error("the compacted log does not contain that its process accepts connections")
 	}
 }
 
-// The reservation that makes a log too long is in the compacted log too.
+// A reservation that triggers a compaction must be in the compacted log too, although the table does not
+// contain the key yet.
 func TestCompactedLogHoldsEachReservation(t *testing.T) {
 	dir := t.TempDir()
 	one := start(t, dir, 1)
@@ -272,7 +273,7 @@
 		later.kill()
 	}
 	if one.coordinator.generation < 8 {
-		t.Errorf("log %d: it was not compacted each time", one.coordinator.generation)
+		t.Errorf("generation = %d, want at least 8: the log was not compacted each time", one.coordinator.generation)
 	}
 }
 
@@ -286,22 +287,22 @@
 		t.Fatal(err)
 	}
 	two := start(t, dir, 2)
-	two.coordinator.config.Window = -time.Second // all keys have expired
+	two.coordinator.config.Window = -time.Second // so that all keys count as expired
 	two.now += 2 * sweepInterval
-	two.pass()
+	two.runTimers()
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
-	if err != nil || len(files) != 4 { // the lock, its own two, and the foreign one
-		t.Errorf("%v, %v", files, err)
+	if err != nil || len(files) != 4 { // the lock, the two files of the new process, and the unrelated one
+		t.Errorf("files = %v, error %v, want 4 files", files, err)
 	}
 }
 
-// A process that is alone goes on when its disk takes nothing. A process that comes knows that it
-// does not know what ran, until that is written.
+// A process without others goes on when its disk is full. A process that starts then cannot reserve keys
+// until the first one has written its reservations.
 func TestProcessAloneGoesOnWithoutRoom(t *testing.T) {
 	dir := t.TempDir()
 	one := start(t, dir, 1)
 	one.expectReservation("a", "mine")
-	full := func(on bool) { // the folder takes no new files, and the log no more records
+	full := func(on bool) { // makes the log read-only, or writable again
 		if on {
 			one.coordinator.log.Close()
 			one.coordinator.log, _ = os.Open(one.coordinator.logName(1, one.coordinator.generation))
@@ -316,34 +317,34 @@
 	}
 	full(true)
 	if got := one.reserve("b"); got == "mine" {
-		t.Errorf("with a log that can be neither written nor truncated: %s", got)
+		t.Errorf("reservation with a log that can be neither written nor truncated = %q, want an error", got)
 	}
 	full(false)
 	if err := one.coordinator.log.Truncate(0); err != nil {
 		t.Fatal(err)
 	}
-	one.coordinator.size, one.coordinator.incomplete = 0, true // as after a record that had no room
+	one.coordinator.size, one.coordinator.incomplete = 0, true // as after a record for which there was no space
 	two := start(t, dir, 2)
 	two.expectReservation("a", ErrPeerIncomplete.Error())
-	one.pass()
-	one.expectReservation("c", "mine") // there is room again, and everything is written
+	one.runTimers()
+	one.expectReservation("c", "mine") // there is space again, and all reservations are written
 	two.expectReservation("a", "theirs")
 	two.expectReservation("d", "mine")
 	two.expect("started a", "started c")
 }
 
-// A disk without room rejects the run if another process lives. A record that it took in part is
-// overwritten.
+// A reservation fails if it cannot be written while another process is alive. A record that a full disk
+// took only in part is overwritten.
 func TestPartialRecordIsOverwritten(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
 	whole := one.coordinator.log
-	// not for writing
+	// The log is opened read-only, so that writes fail.
 	if one.coordinator.log, _ = os.Open(one.coordinator.logName(1, 1)); one.coordinator.log == nil {
-		t.Fatal("no log")
+		t.Fatal("cannot open the log read-only")
 	}
 	if got := one.reserve("a"); got == "mine" || got == "theirs" {
-		t.Errorf("a reservation that cannot be written is %s", got)
+		t.Errorf("reservation that cannot be written = %q, want an error", got)
 	}
 	one.coordinator.log.Close()
 	one.coordinator.log = whole
--- a/internal/idempotency/reservation/log.go
+++ b/internal/idempotency/reservation/log.go
@@ -18,10 +18,10 @@
 const (
 	// minCompactBytes is the smallest size of a log that is compacted.
 	minCompactBytes = 256 << 10
-	// readChunkBytes is how much of a log is read at once.
+	// readChunkBytes is how many bytes of a log are read at once.
 	readChunkBytes  = 64 << 10
 	logSuffix       = ".log"
-	newLogSuffix    = ".new" // of a log that is being written
+	newLogSuffix    = ".new" // follows the name of a log that is still being written
 	filePermissions = 0o600
 )
 
@@ -33,7 +33,8 @@
 	return fmt.Sprintf("%s.%08x.%d%s", c.basePath, incarnation, generation, logSuffix)
 }
 
-// parseLogName returns the numbers in the path of a log of this runner; false for any other path.
+// parseLogName returns the incarnation and the generation in the path of a log of this runner; false for
+// any other path.
 func (c *Coordinator) parseLogName(name string) (incarnation uint32, generation uint64, ok bool) {
 	text, hasBase := strings.CutPrefix(name, c.basePath+".")
 	text, isLog := strings.CutSuffix(text, logSuffix)
@@ -49,23 +50,23 @@
 	return uint32(number), generation, err == nil
 }
 
-// readEpoch reads the number that grows whenever a log appears. It is kept in the file of the
-// shared lock.
+// readEpoch reads the epoch, which is incremented whenever a process creates a log. It is stored in the
+// file of the shared lock.
 func (c *Coordinator) readEpoch() uint64 {
 	var b [8]byte
-	_, _ = unix.Pread(int(c.lock.Fd()), b[:], 0) // zero if it was never written
+	_, _ = unix.Pread(int(c.lock.Fd()), b[:], 0) // the epoch is zero if it was never written
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// bumpEpoch makes other processes look for new logs.
+// bumpEpoch increments the epoch, so that other processes look for new logs.
 func (c *Coordinator) bumpEpoch() error {
 	c.epoch = c.readEpoch() + 1
 	_, err := c.lock.WriteAt(binary.LittleEndian.AppendUint64(nil, c.epoch), 0)
 	return err
 }
 
-// compact replaces the log by a new one with the keys that eachOwned yields; none if it is nil. The
-// caller holds the shared lock.
+// compact replaces the log by a new one that contains the keys for which eachOwned calls its argument, or
+// none if eachOwned is nil. The caller holds the shared lock.
 func (c *Coordinator) compact(eachOwned func(func(lifecycle.KeyRecord))) error {
 	name := c.logName(c.config.Incarnation, c.generation+1)
 	log, err := os.OpenFile(name+newLogSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, filePermissions)
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// encodeLog returns the content of a new log. It has at least one record, of a kind that readers
-// skip: an empty log is one that is incomplete.
+// encodeLog returns the content of a new log. It contains at least one record, of a kind that readers
+// skip, as an empty log means that reservations could not be written.
 func (c *Coordinator) encodeLog(eachOwned func(func(lifecycle.KeyRecord))) ([]byte, error) {
 	content, err := store.AppendFrame(nil, &store.Record{Kind: store.EndOfSnapshot})
 	if eachOwned == nil {
@@ -118,9 +119,10 @@
 	return content, err
 }
 
-// appendReservation appends a reservation. A process that is alone goes on if the disk is full: it
-// truncates its log, which needs no space, so that a process that starts sees that the log is
-// incomplete. It writes the log again once there is space, as all reservations are in the table.
+// appendReservation appends a reservation. If the disk is full and no other process is alive, the process
+// goes on: it truncates its log, which needs no space, so that a process that starts later sees that
+// the log is incomplete. Once there is space it writes the log again from the table, which holds all
+// reservations.
 func (c *Coordinator) appendReservation(k lifecycle.KeyRecord) error {
 	var err error
 	if c.incomplete {
@@ -151,13 +153,13 @@
 	return persistence.ToRecord(kind, k, c.clock.Unix())
 }
 
-// releasedRecord says that the run of a key never began.
+// releasedRecord returns the record that the run of a key never began.
 func releasedRecord(k lifecycle.KeyRecord, at wallclock.UnixMicro) *store.Record {
 	return persistence.ToRecord(store.KeyReleased, k, at)
 }
 
-// servingRecord says that the process accepts connections. A log of reservations has no use for the
-// SyncMark of a store's segment, and gives its kind this meaning.
+// servingRecord returns the record that the process accepts connections. It has the kind SyncMark, which
+// has another meaning in the segments of a store and does not otherwise occur in a log of reservations.
 func servingRecord() *store.Record { return &store.Record{Kind: store.SyncMark} }
 
 // append appends a record to the log.
@@ -169,8 +171,8 @@
 	if c.frame, err = store.AppendFrame(c.frame[:0], r); err != nil {
 		return err
 	}
-	// At the known size, not at the end of the file: this overwrites a record that a full disk took
-	// in part.
+	// The record is written at the known size and not at the end of the file, so that it overwrites a
+	// record of which a full disk took only a part.
 	if _, err = c.log.WriteAt(c.frame, c.size); err != nil {
 		_ = c.log.Truncate(c.size)
 		return err
@@ -179,8 +181,8 @@
 	return nil
 }
 
-// read applies the records that a process has written since the last time. A record that is not
-// complete yet is read again later; the last one of a process that was killed never will be.
+// read applies the records that a process has written since the last call. A record that is not complete
+// yet is read again later. The last record of a process that was killed may stay incomplete.
 func (c *Coordinator) read(p *otherProcess) error {
 	var unread []byte
 	chunk := make([]byte, readChunkBytes)
--- a/internal/idempotency/reservation/poll.go
+++ b/internal/idempotency/reservation/poll.go
@@ -10,7 +10,7 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// poll reads what others write, again and again until the coordinator is closed.
+// poll reads the records of other processes, and schedules itself again until the coordinator is closed.
 func (c *Coordinator) poll() {
 	if c.lock == nil {
 		return
@@ -31,8 +31,8 @@
 	c.config.After(interval, c.poll)
 }
 
-// reportAlive reports a change of the number of processes that are alive. When it grows, all known
-// results are written for the new process.
+// reportAlive reports a change of the number of other processes that are alive. When the number grows,
+// the results of this process are written for the new process.
 func (c *Coordinator) reportAlive() {
 	alive := c.aliveCount()
 	if alive == c.reportedAlive {
@@ -63,7 +63,7 @@
 	})
 }
 
-// readOthers reads what others have written since the last time.
+// readOthers reads the records that other processes have written since the last call.
 func (c *Coordinator) readOthers() error {
 	if epoch := c.readEpoch(); epoch != c.epoch {
 		if err := c.scan(); err != nil {
@@ -74,7 +74,7 @@
 	for _, p := range c.processes {
 		wasAlive := p.alive
 		p.alive = p.alive && isLocked(p.aliveLock)
-		if err := c.read(p); err != nil { // after it was found dead, so that its log is complete
+		if err := c.read(p); err != nil { // after the check of the lock: the log of a dead process is complete
 			return err
 		}
 		if wasAlive && !p.alive {
@@ -99,7 +99,7 @@
 			continue
 		}
 		log, err := os.Open(name)
-		if errors.Is(err, os.ErrNotExist) { // compacted just now; the new log is found as well
+		if errors.Is(err, os.ErrNotExist) { // its process has just compacted it; the new log is found as well
 			continue
 		}
 		if err != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// switchLog reads the rest of a process's log and goes on with its compacted one.
+// switchLog reads the rest of a process's log and then goes on with its compacted log.
 func (c *Coordinator) switchLog(p *otherProcess, log *os.File, generation uint64) error {
 	if err := c.read(p); err != nil {
 		log.Close()
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// addProcess adds a process whose log was found, and reads that.
+// addProcess adds a process whose log was found, and reads the log.
 func (c *Coordinator) addProcess(p *otherProcess) (err error) {
 	if p.aliveLock, err = os.Open(c.aliveName(p.incarnation)); err == nil {
 		p.alive = isLocked(p.aliveLock)
@@ -161,7 +161,7 @@
 		p.close()
 		delete(c.processes, incarnation)
 		os.Remove(p.log.Name())
-		// if it was killed while compacting
+		// the log that it was writing if it was killed during a compaction
 		os.Remove(c.logName(incarnation, p.generation+1) + newLogSuffix)
 		os.Remove(c.aliveName(incarnation))
 	}
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -14,7 +14,7 @@
 
 const storedDir = "testdata/stored"
 
-// storedKey is a key that a process has reserved in testdata.
+// storedKey returns a key that a process has reserved in the files of testdata.
 func storedKey(name string, incarnation uint32) lifecycle.KeyRecord {
 	return lifecycle.KeyRecord{
 		Class:     "hand-in",
@@ -26,7 +26,7 @@
 	}
 }
 
-// storedEnd is a key whose run has ended with a result.
+// storedEnd returns the key of storedKey after its run has ended with a result.
 func storedEnd(name string, incarnation uint32) lifecycle.KeyRecord {
 	k := storedKey(name, incarnation)
 	k.Ended = true
@@ -38,7 +38,7 @@
 	return k
 }
 
-// writeStored has two processes reserve keys and end without removing their files.
+// writeStored writes the files of two processes that reserve keys and are killed.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
 	first, second := start(t, dir, 7), start(t, dir, 8)
@@ -49,7 +49,7 @@
 			}
 		})
 	}
-	first.pass() // it sees the second
+	first.runTimers() // it finds the second process
 	reserve(first, storedKey("a", 7))
 	reserve(second, storedKey("b", 8))
 	reserve(first, storedKey("c", 7))
@@ -60,7 +60,7 @@
 	second.kill()
 }
 
-// recordingTable is a table of keys that records what it is told about other processes.
+// recordingTable is a Table that records the calls of its methods.
 type recordingTable struct {
 	keys     []lifecycle.KeyRecord
 	released []string
@@ -77,7 +77,7 @@
 func (h *recordingTable) OwnerDied(incarnation uint32)        { h.died = append(h.died, incarnation) }
 func (h *recordingTable) EachOwned(func(lifecycle.KeyRecord)) {}
 
-// What two processes of version 1 have reserved is read by a process that starts after them.
+// A process reads the reservations of two earlier processes from the files of format version 1.
 func TestReadsFilesOfVersion1(t *testing.T) {
 	dir := golden.Copy(t, storedDir)
 	h := &recordingTable{}
@@ -105,14 +105,14 @@
 	}
 	options := cmp.Options{cmp.AllowUnexported(recordingTable{}), cmpopts.IgnoreUnexported(store.Field{})}
 	if diff := cmp.Diff(want, h, options); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("records of earlier processes (-want +got):\n%s", diff)
 	}
 	if p := l.processes[8]; p == nil || !p.serving {
-		t.Errorf("the process that takes connections is known as %+v", p)
+		t.Errorf("process 8 = %+v, want one that accepts connections", p)
 	}
 }
 
-// The same reservations are written with the bytes of version 1, in files of the same names.
+// Reservations are written to files with the names and bytes of format version 1.
 func TestWritesBytesOfVersion1(t *testing.T) {
 	golden.CheckDir(t, storedDir, func(dir string) { writeStored(t, dir) })
 }
