--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -14,8 +14,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// BenchmarkStore measures how long the start and the end of a run take to be durable, one after the
-// other, for each sync mode and number of concurrent keys.
+// BenchmarkStore measures how long it takes until the start and then the end of a run are durable, by sync
+// mode and number of concurrent runs.
 func BenchmarkStore(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 50) // about 1 kB
 	modes := map[store.SyncMode]string{store.SyncAlways: "always", store.SyncGroup: "group", store.SyncNone: "none"}
@@ -43,7 +43,7 @@
 						for k := n; k < b.N; k += at {
 							key, from := fmt.Sprint(k), time.Now()
 							for _, r := range []*store.Record{started(key, 1), ended(key, 1, body)} {
-								// removed within a second
+								// so that the key is removed within a second
 								r.ExpiresAt = wallclock.FromTime(time.Now().Add(-9 * time.Second))
 								s.Put(r, func(err error) { done <- err })
 								if err := <-done; err != nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkRecovery measures opening a journal with that many keys: reading it, writing a snapshot
-// and creating a segment.
+// BenchmarkRecovery measures opening a journal, by its number of keys: reading it, writing a snapshot and
+// creating a segment.
 func BenchmarkRecovery(b *testing.B) {
 	body := strings.Repeat("result of a check, ", 10)
 	for _, n := range []int{1_000, 10_000, 100_000} {
--- a/internal/idempotency/store/damage.go
+++ b/internal/idempotency/store/damage.go
@@ -6,14 +6,14 @@
 	"ryepaddle/internal/fault"
 )
 
-// Damage is a part of a file that cannot be read and that a crash does not explain.
+// Damage is a part of a file that cannot be read although a crash does not explain that.
 type Damage struct {
 	File string `json:"File"`
 	From int64  `json:"From"` // offset of its first byte
-	To   int64  `json:"To"`   // offset behind its last byte; 0: the file is missing
+	To   int64  `json:"To"`   // offset after its last byte; 0: the file is missing
 }
 
-// DamageError reports damaged files. A store is not opened with them unless Options.Repair is
+// DamageError reports damaged files. A store with damaged files is not opened unless Options.Repair is
 // set.
 type DamageError struct{ Damage []Damage }
 
@@ -34,7 +34,7 @@
 	)
 }
 
-// FormatError reports a file of a format that this program does not know.
+// FormatError reports a file whose format version this program does not know.
 type FormatError struct {
 	File   string
 	Format int
@@ -47,7 +47,7 @@
 
 func (e *FormatError) Error() string {
 	return fmt.Sprintf(
-		"store: %s: format %d, and this program knows up to %d: it was written by a newer one",
+		"store: %s: format version %d is newer than %d, the newest that this program can read",
 		e.File,
 		e.Format,
 		Format,
--- a/internal/idempotency/store/files.go
+++ b/internal/idempotency/store/files.go
@@ -10,9 +10,9 @@
 const (
 	segmentPrefix   = "journal-"
 	snapshotPrefix  = "snapshot-"
-	temporarySuffix = ".tmp" // of a snapshot that is being written
-	damagedSuffix   = ".bad" // of a damaged file that was put aside
-	numberDigits    = 16     // of the number in a file name, with leading zeros
+	temporarySuffix = ".tmp" // of a snapshot that is still being written
+	damagedSuffix   = ".bad" // of a damaged file that was renamed by a repair
+	numberDigits    = 16     // digits of the number in a file name, with leading zeros
 	lockName        = "lock"
 	filePermissions = 0o600
 )
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s%0*d", snapshotPrefix, numberDigits, number)
 }
 
-// numberOf returns the number in the name of a segment or snapshot; false for any other name.
+// numberOf returns the number in a file name with a prefix; false if the name has another form.
 func numberOf(name, prefix string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(digits) != numberDigits {
--- a/internal/idempotency/store/frame.go
+++ b/internal/idempotency/store/frame.go
@@ -10,8 +10,8 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// A frame is a magic number, the length of the record, its checksum, and the encoded record.
-// Numbers are little-endian and have four bytes.
+// A frame consists of a magic number, the length of the encoded record, its CRC-32C, and the encoded
+// record. Numbers are little-endian and have four bytes.
 const (
 	frameMagic       = 0x52594531 // "RYE1"
 	frameHeaderSize  = 12
@@ -24,9 +24,9 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	// errTruncated reports that the input ends before the frame does.
-	errTruncated = errors.New("cut off")
-	// errCorrupt reports that the input is not a frame.
+	// errTruncated reports that the input ends before the frame or header does.
+	errTruncated = errors.New("truncated")
+	// errCorrupt reports that the input is not a valid frame, header or snapshot.
 	errCorrupt = errors.New("damaged")
 )
 
@@ -45,7 +45,7 @@
 	return append(b, payload...), nil
 }
 
-// compressed returns the record with its body compressed, where that makes it shorter. It does not
+// compressed returns the record with its body compressed, if that makes the body shorter. It does not
 // change r.
 func compressed(r *Record) *Record {
 	if r.Result == nil || r.Result.Compressed || len(r.Result.Body) < minCompressBytes {
@@ -63,7 +63,7 @@
 	return &record
 }
 
-// decoder bounds what a damaged record can make the decoder allocate.
+// decoder decodes records. Its limits bound the memory that a damaged record can make it allocate.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 64}.DecMode()
 	if err != nil {
@@ -72,8 +72,8 @@
 	return m
 }()
 
-// ReadFrame decodes the record at the front of b and returns the size of its frame. It fails if b
-// ends before the frame does, or does not begin with one.
+// ReadFrame decodes the record at the front of b and returns the size of its frame. It fails if b ends
+// before the frame does, or does not begin with a valid frame.
 func ReadFrame(b []byte) (r *Record, used int, err error) {
 	if len(b) < frameHeaderSize {
 		return nil, 0, errTruncated
--- a/internal/idempotency/store/fs.go
+++ b/internal/idempotency/store/fs.go
@@ -12,7 +12,7 @@
 
 // FS gives access to the files of one folder.
 type FS interface {
-	// Create creates a file. It fails with fs.ErrExist if there is one.
+	// Create creates a file. It fails with fs.ErrExist if the file exists.
 	Create(name string) (File, error)
 	Read(name string) ([]byte, error)
 	Rename(from, to string) error
@@ -25,7 +25,7 @@
 	Lock() (unlock func() error, err error)
 }
 
-// File is a file that is appended to.
+// File is a file to which data is appended.
 type File interface {
 	Write(b []byte) (int, error)
 	Sync() error
@@ -33,7 +33,7 @@
 }
 
 // ErrLocked reports a folder that another process uses.
-var ErrLocked error = faultLocked.New("another process uses it")
+var ErrLocked error = faultLocked.New("another process uses the folder")
 
 // Dir is the FS of a folder of the operating system.
 type Dir string
@@ -104,8 +104,8 @@
 	return f.Close, nil
 }
 
-// errExists is the error of Create for a file that exists.
+// errExists is the error of FS.Create for a file that exists.
 var errExists = fs.ErrExist
 
-// isNotExist reports whether an error is that a file does not exist.
+// isNotExist reports whether an error says that a file does not exist.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/idempotency/store/header.go
+++ b/internal/idempotency/store/header.go
@@ -2,26 +2,26 @@
 
 import "encoding/binary"
 
-// A file begins with a header: a magic text, the format and the number of the file.
+// A file begins with a header: a magic text, the format version and the number of the file.
 const (
 	headerSize   = 20
 	formatOffset = 8
 	numberOffset = 12
-	// Format is the format of the files that are written. Newer ones are rejected; fields that
-	// older ones lack are zero.
+	// Format is the format version of the files that are written. Files with a newer version are
+	// rejected; fields that files with an older version lack are zero.
 	Format = 1
 )
 
 var fileMagic = [8]byte{'r', 'y', 'e', 's', 't', 'o', 'r', 'e'}
 
-// appendHeader appends the header of the file of that number.
+// appendHeader appends the header of the file with the given number.
 func appendHeader(b []byte, number uint64) []byte {
 	b = append(b, fileMagic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, Format)
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
-// readHeader checks the header of a file.
+// readHeader checks the header of the file with the given number.
 func readHeader(name string, b []byte, number uint64) error {
 	if len(b) < headerSize {
 		return errTruncated
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -6,27 +6,27 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Journal is the files of a store, which it owns. It is used by one goroutine, except for
+// Journal reads and writes the files of a store, which it owns. It is used by one goroutine, except for
 // Snapshot.Write.
 type Journal struct {
 	fs          FS
 	options     Options
 	state       *State
-	segment     uint64 // number of the segment that is written, or was last
-	file        File   // of the segment; nil: the disk failed
-	size        int64  // of the segment
-	closedBytes int64  // size of the earlier segments, which a snapshot would free
-	syncedBytes int64  // of the segment that are on the disk
-	markedBytes int64  // of the segment that its last SyncMark confirms
+	segment     uint64 // number of the current or last segment
+	file        File   // the segment; nil: the disk failed, or the journal is closed
+	size        int64  // of the segment, in bytes
+	closedBytes int64  // bytes of the earlier segments, which a snapshot would free
+	syncedBytes int64  // bytes of the segment that are on the disk
+	markedBytes int64  // bytes of the segment that its last SyncMark confirms
 	buf         []byte
 }
 
 // ErrDown reports that the disk failed and has not recovered.
-var ErrDown error = faultDown.New("store: the disk failed, and nothing is kept until it works again")
+var ErrDown error = faultDown.New("store: the disk failed, and nothing is stored until it works again")
 
-// OpenJournal reads the files of a folder and begins a new segment after them. If the disk takes no
-// writes it returns a journal that is down, with the error: see Reopen. Damaged files are an
-// error of type DamageError, unless the options say to repair them.
+// OpenJournal reads the files of a folder and begins a new segment after them. If the disk cannot be
+// written, it returns the error with a journal that is down: see Reopen. If files are damaged, it fails
+// with a *DamageError unless options.Repair is set.
 func OpenJournal(fsys FS, now wallclock.UnixMicro, options Options) (*Journal, *Recovery, error) {
 	f, err := readFolder(fsys, now, options)
 	if err != nil {
@@ -44,12 +44,12 @@
 	return j, f.recovery, j.Reopen(now)
 }
 
-// Reopen starts again at the start or after the disk failed, with a snapshot of all keys and a new
-// segment. What the end of the old segment holds is not known, so that nothing is ever appended to
-// it, and a sync that failed is not tried again.
+// Reopen writes a snapshot of all keys and begins a new segment, when the journal is opened and after the
+// disk failed. As it is not known what the end of the old segment contains, nothing is ever appended to
+// that, and a sync that failed is not retried.
 func (j *Journal) Reopen(now wallclock.UnixMicro) error {
 	if j.file != nil {
-		_ = j.file.Close() // the snapshot replaces what it holds
+		_ = j.file.Close() // the snapshot replaces its content
 		j.file = nil
 	}
 	snapshot := j.newSnapshot(now)
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// createFile creates a file. It replaces one that an interrupted start left behind, of which
-// nothing was ever confirmed.
+// createFile creates a file. It replaces a file that an interrupted start left behind, none of whose
+// content was ever reported as stored.
 func (j *Journal) createFile(name string) (File, error) {
 	file, err := j.fs.Create(name)
 	if err == nil || !errors.Is(err, errExists) {
@@ -103,18 +103,18 @@
 	return j.fs.Create(name)
 }
 
-// IsDown reports whether the disk failed, so that nothing is stored until Reopen succeeds.
+// IsDown reports whether the disk failed. Nothing is stored then until Reopen succeeds.
 func (j *Journal) IsDown() bool { return j.file == nil }
 
-// State returns the keys, including what could not be written.
+// State returns the keys, including those whose records could not be written.
 func (j *Journal) State() *State { return j.state }
 
-// Size returns the bytes of all segments.
+// Size returns the size of all segments, in bytes.
 func (j *Journal) Size() int64 { return j.closedBytes + j.size }
 
-// Commit appends records and makes them durable as the sync mode says. If it fails none of them may
-// be relied on, and the journal is down. Ends of runs are remembered all the same, and are in the
-// next snapshot.
+// Commit appends records and makes them durable as the sync mode requires. If it fails, none of them
+// counts as stored, and the journal is down. All but RunStarted records are nevertheless applied to the
+// state, and are thus part of the next snapshot.
 func (j *Journal) Commit(records []*Record) error {
 	err := j.write(records)
 	for _, r := range records {
@@ -129,7 +129,7 @@
 	return err
 }
 
-// write appends records, after a mark for what is on the disk already, and syncs them.
+// write appends records, after a SyncMark for the bytes that are already on the disk, and syncs them.
 func (j *Journal) write(records []*Record) (err error) {
 	if j.file == nil {
 		return ErrDown
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// RotateSegment creates the next segment if this one is full.
+// RotateSegment creates the next segment if the current one is full.
 func (j *Journal) RotateSegment() error {
 	if j.file == nil || j.size < j.options.SegmentBytes {
 		return nil
@@ -173,7 +173,7 @@
 	return j.createSegment()
 }
 
-// closeSegment closes the segment, which is synced. On an error the journal is down.
+// closeSegment closes the segment, whose content is already synced. After an error the journal is down.
 func (j *Journal) closeSegment() error {
 	err := j.file.Close()
 	j.file = nil
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// Close closes the files. What was committed is on the disk.
+// Close closes the segment. All committed records are on the disk if it returns no error.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
--- a/internal/idempotency/store/options.go
+++ b/internal/idempotency/store/options.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// SyncMode says what must hold for a record before Store.Put reports it as stored.
+// SyncMode says when Store.Put reports a record as stored.
 type SyncMode uint8
 
-// The modes.
+// The sync modes.
 const (
-	SyncGroup  SyncMode = iota // it is on the disk; records that come together share one sync
-	SyncAlways                 // it is on the disk, by a sync of its own
-	SyncNone                   // the system has it: it survives the process, not a loss of power
+	SyncGroup  SyncMode = iota // once it is on the disk; concurrent records share one sync
+	SyncAlways                 // once it is on the disk, by a sync of its own
+	SyncNone                   // once the system has it: it survives the process, but no power loss
 )
 
-// ParseSyncMode returns the mode of that name: always, group or none.
+// ParseSyncMode returns the mode with the given name: always, group or none.
 func ParseSyncMode(name string) (SyncMode, error) {
 	switch name {
 	case "group":
@@ -25,15 +25,15 @@
 	case "none":
 		return SyncNone, nil
 	}
-	return 0, fmt.Errorf("unknown mode %q: want always, group or none", name)
+	return 0, fmt.Errorf("unknown sync mode %q: want always, group or none", name)
 }
 
 // Options configure a journal.
 type Options struct {
 	Sync         SyncMode
-	SegmentBytes int64 // size from which on the next segment is created
-	// A snapshot is due when the journal has more than SlackBytes and snapshotGrowthFactor times
-	// the bytes of the live keys.
+	SegmentBytes int64 // size of a segment at which the next one is created
+	// SlackBytes is added to snapshotGrowthFactor times the size of the live keys. A snapshot is due
+	// when the journal is larger than the sum.
 	SlackBytes int64
 	// Retention is how long a key is stored after its expiry, since a duplicate that arrived in
 	// time may be read later.
@@ -41,7 +41,7 @@
 	Repair    bool // open the store despite damaged files, which are renamed and not removed
 }
 
-// DefaultOptions returns the options that hold where the operator sets none.
+// DefaultOptions returns the options that apply if the operator sets none.
 func DefaultOptions() Options {
 	return Options{SegmentBytes: 8 << 20, SlackBytes: 16 << 20, Retention: 10 * time.Second}
 }
--- a/internal/idempotency/store/recovery.go
+++ b/internal/idempotency/store/recovery.go
@@ -7,19 +7,19 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Recovery is what was found in the files of a store.
+// Recovery describes what was found in the files of a store.
 type Recovery struct {
 	Keys      []*Key
 	Snapshot  uint64 // number of the snapshot read; 0: none
-	Segments  int    // read after the snapshot
-	Records   int    // in these segments
-	TornBytes int64  // at the end of segments, never confirmed to be on the disk
-	Expired   int    // keys left out
+	Segments  int    // number of segments read after the snapshot
+	Records   int    // number of records in these segments
+	TornBytes int64  // unreadable bytes at the ends of segments, never confirmed to be on the disk
+	Expired   int    // number of keys that are left out as expired
 	Damage    []Damage
 	NewestAt  wallclock.UnixMicro // when the newest record was written
 }
 
-// folder is the state of reading a store's files.
+// folder holds the state of reading the files of a store.
 type folder struct {
 	fs        FS
 	options   Options
@@ -58,8 +58,8 @@
 	return f, nil
 }
 
-// readNewestSnapshot applies the newest snapshot that is complete, and notes the damage of newer
-// ones. A snapshot is complete on the disk before it gets its name, so that no crash damages it.
+// readNewestSnapshot applies the newest snapshot that is complete, and records the damage of newer ones.
+// A snapshot is complete on the disk before it gets its name, so a crash does not damage it.
 func (f *folder) readNewestSnapshot() error {
 	for _, number := range slices.Backward(f.snapshots) {
 		name := snapshotName(number)
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// lastNumber returns the highest number in use, which is never used again.
+// lastNumber returns the highest number of a file. New files get higher numbers: none is used again.
 func (f *folder) lastNumber() uint64 {
 	last := f.recovery.Snapshot
 	for _, number := range slices.Concat(f.segments, f.snapshots) {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// Read returns what the files of a folder hold. It changes none of them; they may be in use.
+// Read returns the content of the files of a folder. It changes no files, and they may be in use.
 func Read(fsys FS, now wallclock.UnixMicro, options Options) (*Recovery, error) {
 	f, err := readFolder(fsys, now, options)
 	if err != nil {
--- a/internal/idempotency/store/reopen.go
+++ b/internal/idempotency/store/reopen.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// The backoff of attempts to reopen a journal whose disk failed.
+// Bounds of the exponential backoff between attempts to reopen a journal whose disk failed.
 const (
 	minReopenBackoff = 100 * time.Millisecond
 	maxReopenBackoff = 5 * time.Second
 )
 
-// reopenTimer schedules attempts to reopen the journal, with exponential backoff. Records that
-// come before a scheduled attempt do not delay it.
+// reopenTimer schedules attempts to reopen the journal, with exponential backoff. Records that arrive
+// before a scheduled attempt do not delay the attempt.
 type reopenTimer struct {
 	timer   *time.Timer
 	armed   bool // an attempt is scheduled
@@ -28,7 +28,7 @@
 	}
 }
 
-// failed schedules the next attempt after one that failed.
+// failed schedules the next attempt after an attempt that failed.
 func (r *reopenTimer) failed() {
 	r.backoff = min(2*r.backoff, maxReopenBackoff)
 	r.arm()
--- a/internal/idempotency/store/scan.go
+++ b/internal/idempotency/store/scan.go
@@ -6,16 +6,16 @@
 	"errors"
 )
 
-// segmentScan is what was found in a segment, without the records themselves.
+// segmentScan describes the content of a segment, except for the records themselves.
 type segmentScan struct {
 	records   int
-	tornBytes int64 // at its end, never confirmed to be on the disk
+	tornBytes int64 // unreadable bytes at its end, never confirmed to be on the disk
 	damage    []Damage
 }
 
-// scanSegment applies the records of a segment to a state. The end of a segment that may be torn
-// can be missing or incomplete after a crash, behind the last point that a mark confirms to be on
-// the disk. All else must be readable.
+// scanSegment applies the records of a segment to a state. If mayBeTorn is set, a crash may have lost or
+// torn the end of the segment, after the last byte that a SyncMark confirms to be on the disk. All other
+// bytes must be readable, or count as damage.
 func scanSegment(name string, content []byte, number uint64, mayBeTorn bool, s *State) (segmentScan, error) {
 	var found segmentScan
 	size := int64(len(content))
@@ -55,7 +55,7 @@
 	return found, nil
 }
 
-// markedBytes returns how many bytes of a segment its own marks confirm to be on the disk.
+// markedBytes returns how many bytes of a segment its SyncMarks confirm to be on the disk.
 func markedBytes(content []byte) (synced int64) {
 	for at := nextFrame(content, 0); at >= 0; {
 		record, n, err := ReadFrame(content[at:])
@@ -77,10 +77,10 @@
 	return synced
 }
 
-// magicBytes is the beginning of a frame.
+// magicBytes is the encoded magic number with which a frame begins.
 var magicBytes = binary.LittleEndian.AppendUint32(nil, frameMagic)
 
-// nextFrame returns the offset of the next valid frame at or after an offset; -1 if there is none.
+// nextFrame returns the offset of the first valid frame at or after from; -1 if there is none.
 func nextFrame(content []byte, from int64) int64 {
 	for from < int64(len(content)) {
 		i := bytes.Index(content[from:], magicBytes)
--- a/internal/idempotency/store/snapshot.go
+++ b/internal/idempotency/store/snapshot.go
@@ -7,20 +7,20 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// snapshotChunkBytes is how much of a snapshot is encoded before it is written.
+// snapshotChunkBytes is how many bytes of a snapshot are encoded before they are written.
 const snapshotChunkBytes = 256 << 10
 
-// snapshotGrowthFactor is how many times the size of the live keys the journal may have, beside
-// Options.SlackBytes, before a snapshot is due.
+// snapshotGrowthFactor bounds the size of the journal: a snapshot is due if the journal is larger than
+// snapshotGrowthFactor times the size of the live keys plus Options.SlackBytes.
 const snapshotGrowthFactor = 2
 
 // Snapshot holds all keys as of the end of a segment.
 type Snapshot struct {
 	fs         FS
-	segment    uint64 // the last one that it covers, whose number it has
+	segment    uint64 // the last segment that it covers, whose number it has
 	keys       []*Key
 	takenAt    wallclock.UnixMicro
-	freedBytes int64 // size of the segments that it makes superfluous
+	freedBytes int64 // bytes of the segments that it makes superfluous
 }
 
 // SnapshotIfDue begins a snapshot if the journal has grown over its limit, and returns nil if not.
@@ -33,8 +33,8 @@
 	return j.BeginSnapshot(now)
 }
 
-// BeginSnapshot begins a snapshot whatever the size of the journal. It fails with ErrDown if the
-// disk failed.
+// BeginSnapshot begins a snapshot regardless of the size of the journal. It fails with ErrDown if the
+// journal is down.
 func (j *Journal) BeginSnapshot(now wallclock.UnixMicro) (*Snapshot, error) {
 	if j.file == nil {
 		return nil, ErrDown
@@ -46,7 +46,8 @@
 	return snapshot, j.createSegment()
 }
 
-// newSnapshot collects the keys. Keys do not change once they are in the state.
+// newSnapshot returns a snapshot of the state. It shares the keys, which do not change once they are in
+// the state.
 func (j *Journal) newSnapshot(now wallclock.UnixMicro) *Snapshot {
 	j.state.ExpireEnded(now.Add(-j.options.Retention))
 	return &Snapshot{
@@ -58,12 +59,12 @@
 	}
 }
 
-// WriteSnapshot writes keys into an empty folder, from which a journal can start.
+// WriteSnapshot writes a snapshot of keys into an empty folder, which OpenJournal can then open.
 func WriteSnapshot(fsys FS, keys []*Key, now wallclock.UnixMicro) error {
 	return (&Snapshot{fs: fsys, keys: keys, takenAt: now}).Write()
 }
 
-// Write writes the snapshot to the disk, complete or not at all. It touches no other file.
+// Write writes the snapshot to the disk, completely or not at all. It changes no other file.
 func (s *Snapshot) Write() error {
 	name := snapshotName(s.segment)
 	temporary := name + temporarySuffix
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// writeTo writes and syncs the content.
+// writeTo writes and syncs the content of the snapshot.
 func (s *Snapshot) writeTo(file File) (err error) {
 	b := appendHeader(nil, s.segment)
 	for _, key := range s.keys {
@@ -115,8 +116,8 @@
 	return file.Sync()
 }
 
-// FinishSnapshot removes the files that a written snapshot makes superfluous. Those that cannot be
-// removed now are removed with the next snapshot.
+// FinishSnapshot removes the files that a written snapshot makes superfluous. Files that cannot be removed
+// are removed after the next snapshot.
 func (j *Journal) FinishSnapshot(s *Snapshot) {
 	names, err := j.fs.List()
 	if err != nil {
@@ -130,8 +131,8 @@
 	j.closedBytes = max(j.closedBytes-s.freedBytes, 0)
 }
 
-// supersedes reports whether the snapshot makes a file superfluous: the segments it covers, earlier
-// snapshots, and what is left of snapshots that were not completed.
+// supersedes reports whether the snapshot makes a file superfluous: a segment that it covers, an earlier
+// snapshot, or the temporary file of a snapshot that was not completed.
 func (s *Snapshot) supersedes(name string) bool {
 	if number, ok := numberOf(name, segmentPrefix); ok {
 		return number <= s.segment
--- a/internal/idempotency/store/stall_faults.go
+++ b/internal/idempotency/store/stall_faults.go
@@ -10,8 +10,8 @@
 // stallPollInterval is how often a simulated hang checks whether it is over.
 const stallPollInterval = 2 * time.Millisecond
 
-// stall simulates a disk that hangs: it blocks as long as a file named like the folder with the
-// suffix .hangs exists beside it.
+// stall simulates a disk that hangs: it blocks as long as a file exists whose path is that of the folder
+// with the suffix .hangs.
 func (d Dir) stall() {
 	for {
 		if _, err := os.Stat(string(d) + ".hangs"); err != nil {
--- a/internal/idempotency/store/state.go
+++ b/internal/idempotency/store/state.go
@@ -7,7 +7,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Estimated bytes of an encoded record and an encoded field, without their texts.
+// Estimated sizes in bytes of an encoded record and an encoded field, without their texts.
 const (
 	recordOverhead = 64
 	fieldOverhead  = 4
@@ -19,13 +19,13 @@
 	Owner     uint64
 	ExpiresAt wallclock.UnixMicro
 	BodyHash  [32]byte
-	Ended     bool // else its run has begun, and is in doubt once its process is gone
+	Ended     bool // the run has ended; otherwise it has begun, and is in doubt once its process has exited
 	Status    uint8
 	Result    *Result
-	size      int64 // estimated, of its record in a snapshot
+	size      int64 // estimated size of its record in a snapshot, in bytes
 }
 
-// record returns the key as a snapshot holds it.
+// record returns the record of the key in a snapshot.
 func (k *Key) record() *Record {
 	r := &Record{Kind: RunStarted, Name: k.Name, Owner: k.Owner, ExpiresAt: k.ExpiresAt, BodyHash: k.BodyHash}
 	if k.Ended {
@@ -36,10 +36,10 @@
 	return r
 }
 
-// State holds the keys that a sequence of records results in.
+// State holds the keys that result from a sequence of records.
 type State struct {
 	keys      map[KeyName]*Key
-	liveBytes int64               // estimated size of all keys in a snapshot
+	liveBytes int64               // estimated size of a snapshot
 	newestAt  wallclock.UnixMicro // when the newest record was written
 }
 
@@ -52,19 +52,19 @@
 // LiveBytes returns the estimated size of a snapshot, in bytes.
 func (s *State) LiveBytes() int64 { return s.liveBytes }
 
-// Apply applies a record. An end affects only the attempt that it names, not a later one of the
-// same key.
+// Apply applies a record. A RunEnded or KeyReleased record affects only the run that its Owner identifies,
+// not a later run of the same key.
 func (s *State) Apply(r *Record) {
 	s.newestAt = max(s.newestAt, r.WrittenAt)
 	k := s.keys[r.Name]
 	switch r.Kind {
 	case RunStarted:
-		if k != nil && k.Owner == r.Owner && k.Ended { // repeated
+		if k != nil && k.Owner == r.Owner && k.Ended { // a repeated record
 			return
 		}
 		s.put(&Key{Name: r.Name, Owner: r.Owner, ExpiresAt: r.ExpiresAt, BodyHash: r.BodyHash})
 	case RunEnded:
-		// In a snapshot and after a repair the end comes without the start.
+		// In a snapshot and after a repair there may be an end without a start.
 		if k == nil || k.Owner == r.Owner {
 			s.put(
 				&Key{
@@ -105,7 +105,7 @@
 	s.liveBytes -= k.size
 }
 
-// ExpireEnded removes the keys that expired before a time and whose run has ended.
+// ExpireEnded removes the keys that expired before the given time and whose run has ended.
 func (s *State) ExpireEnded(before wallclock.UnixMicro) {
 	for _, k := range s.keys {
 		if k.Ended && k.ExpiresAt < before {
@@ -114,8 +114,8 @@
 	}
 }
 
-// ExpireAll removes the keys that expired before a time. Runs that have not ended are those of a
-// process that has exited.
+// ExpireAll removes all keys that expired before the given time. It is used when files are read, where
+// runs that have not ended belong to a process that has exited.
 func (s *State) ExpireAll(before wallclock.UnixMicro) {
 	for _, k := range s.keys {
 		if k.ExpiresAt < before {
--- a/internal/idempotency/store/store.go
+++ b/internal/idempotency/store/store.go
@@ -18,25 +18,24 @@
 // Settings configure a store.
 type Settings struct {
 	Options
-	GroupWait time.Duration // SyncGroup: how long records wait at most for others to share a sync
-	MaxBatch  int           // records of one sync
-	MaxQueue  int           // records that wait for the disk
+	GroupWait time.Duration // with SyncGroup: how long records wait at most for others to share a sync
+	MaxBatch  int           // maximum number of records that share a sync
+	MaxQueue  int           // number of queued records at which new runs are rejected
 }
 
-// DefaultSettings returns the settings that hold where the operator sets none.
+// DefaultSettings returns the settings that apply if the operator sets none.
 func DefaultSettings() Settings {
 	return Settings{Options: DefaultOptions(), GroupWait: 2 * time.Millisecond, MaxBatch: 256, MaxQueue: 20_000}
 }
 
-// ErrBusy reports a record that was not accepted because the queue is full.
-var ErrBusy error = faultSlow.New("store: too much waits for the disk")
+// ErrBusy reports a record that was not accepted because the queue is full or the store is closing.
+var ErrBusy error = faultSlow.New("store: too many records wait for the disk")
 
-// minGroupWait is the shortest wait for more records: on a disk that syncs faster, waiting does not
-// pay.
+// minGroupWait is the shortest wait for more records. If the disk syncs faster, waiting costs more than it
+// saves.
 const minGroupWait = time.Millisecond
 
-// Store is a journal that is written by a goroutine of its own. It owns the journal and the lock of
-// the folder.
+// Store writes a journal on a goroutine of its own. It owns the journal and the lock of the folder.
 type Store struct {
 	settings    Settings
 	deliver     func(func())
@@ -52,10 +51,10 @@
 	done      chan struct{}        // closed when the goroutine has ended
 	snapshots chan writtenSnapshot // snapshots whose writing has ended
 
-	// Of the goroutine alone:
+	// Only the goroutine of the store uses these fields:
 	snapshotting bool
-	lastBatch    int           // records of the last sync
-	lastSync     time.Duration // how long it took
+	lastBatch    int           // number of records in the last sync
+	lastSync     time.Duration // duration of the last sync
 }
 
 // pendingRecord is a record that waits for the disk.
@@ -64,16 +63,16 @@
 	done   func(error)
 }
 
-// writtenSnapshot is a snapshot whose writing has ended.
+// writtenSnapshot is a snapshot whose writing has ended, with the error.
 type writtenSnapshot struct {
 	snapshot *Snapshot
 	err      error
 }
 
-// Open reads the files of a folder, which the caller has locked, and starts to accept records.
-// Close unlocks it, as does Open if it fails. Open blocks while it reads and must not be called on
-// the loop. deliver calls functions on the loop: the done functions of records, and onDiskState
-// with the error when the disk fails, and with nil when it recovers.
+// Open reads the files of a folder, which the caller has locked, and starts to accept records. Close
+// unlocks the folder, as does Open if it fails. Open blocks while it reads and must not be called on the
+// event loop. deliver must call its argument on the loop. It is used for the done functions of records
+// and for onDiskState, which is called with the error when the disk fails and with nil when it recovers.
 func Open(
 	fsys FS,
 	unlock func() error,
@@ -104,7 +103,7 @@
 
 func now() wallclock.UnixMicro { return wallclock.FromTime(wallclock.Now()) }
 
-// reportDiskFailure and reportDiskRecovery report the state of the disk on the loop.
+// reportDiskFailure and reportDiskRecovery call onDiskState on the loop.
 func (s *Store) reportDiskFailure(err error) { s.deliver(func() { s.onDiskState(err) }) }
 
 func (s *Store) reportDiskRecovery() { s.deliver(func() { s.onDiskState(nil) }) }
@@ -113,7 +112,7 @@
 // the sync mode requires, or with an error: ErrBusy if the queue is full or the store is closing.
 func (s *Store) Put(r *Record, done func(error)) {
 	s.mu.Lock()
-	// Ends and releases are accepted beyond the limit: their runs were accepted before.
+	// Ends and releases are accepted even if the queue is full, as their runs were accepted before.
 	isFull := r.Kind == RunStarted && len(s.queue) >= s.settings.MaxQueue
 	isRejected := isFull || s.closing
 	if !isRejected {
@@ -127,7 +126,7 @@
 	s.wakeUp()
 }
 
-// wakeUp makes the goroutine look at the queue.
+// wakeUp makes the goroutine check the queue.
 func (s *Store) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -135,8 +134,8 @@
 	}
 }
 
-// Close writes the queued records, closes the files and unlocks the folder. It returns an error if
-// the disk does not answer in time; the goroutine then goes on to close when it does.
+// Close writes the queued records, closes the files and unlocks the folder. It returns an error if the
+// disk does not answer in time; the goroutine then completes the closing once the disk answers.
 func (s *Store) Close(timeout time.Duration) error {
 	s.mu.Lock()
 	s.closing = true
@@ -150,7 +149,8 @@
 	}
 }
 
-// run is the goroutine of the store.
+// run commits queued records, finishes snapshots and reopens the journal until the store is closing. It is
+// the goroutine of the store.
 func (s *Store) run() {
 	defer close(s.done)
 	defer s.closeFiles()
@@ -214,7 +214,7 @@
 	}
 }
 
-// takeBatch removes the next batch from the queue, after a wait for more records where that pays.
+// takeBatch removes the next batch from the queue, after a wait for more records if that is worthwhile.
 func (s *Store) takeBatch() (batch []pendingRecord, closing bool) {
 	s.mu.Lock()
 	waiting, closing := len(s.queue), s.closing
@@ -240,9 +240,9 @@
 	return batch, closing
 }
 
-// waitForGroup waits for more records to share the next sync. Records that come while a sync runs
-// share the next one anyway. Waiting for more pays only if fewer are queued than the last sync had,
-// and for no longer than a sync takes.
+// waitForGroup waits for more records to share the next sync. Records that arrive during a sync share the
+// next one anyway. Waiting is worthwhile only if fewer records are queued than the last sync had, and
+// not for longer than a sync takes.
 func (s *Store) waitForGroup(waiting int) {
 	wait := min(s.settings.GroupWait, s.lastSync)
 	if s.settings.Sync == SyncGroup && waiting < s.lastBatch && wait >= minGroupWait && !s.journal.IsDown() {
@@ -250,7 +250,7 @@
 	}
 }
 
-// commit commits a batch and delivers its outcome.
+// commit commits a batch and calls the done functions of its records on the loop.
 func (s *Store) commit(batch []pendingRecord) error {
 	records := make([]*Record, len(batch))
 	for i, p := range batch {
@@ -268,7 +268,7 @@
 	return err
 }
 
-// maintain rotates the segment and begins a snapshot where one is due.
+// maintain rotates the segment if it is full, and begins a snapshot if one is due.
 func (s *Store) maintain() error {
 	if err := s.journal.RotateSegment(); err != nil || s.snapshotting {
 		return err
@@ -282,8 +282,8 @@
 	return err
 }
 
-// finishSnapshot removes what a snapshot makes superfluous. If it could not be written, the
-// segments stay until the next snapshot.
+// finishSnapshot removes the files that a snapshot makes superfluous. If the snapshot could not be written,
+// the segments are kept until the next one.
 func (s *Store) finishSnapshot(w writtenSnapshot) {
 	s.snapshotting = false
 	if w.err != nil {
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// markedBytes is keys in a line each.
+// describe returns a line for each key that was found.
 func describe(f *store.Recovery) (out []string) {
 	for _, k := range f.Keys {
 		what := "in doubt"
@@ -78,7 +78,8 @@
 	return out
 }
 
-// Records of one key give its state, whichever attempt they are of.
+// The records of a key, which may belong to several runs, give its state. The state is the same when it is
+// read from the journal and from snapshots.
 func TestRecordsGiveStateOfKeys(t *testing.T) {
 	long := strings.Repeat("result ", 1000)
 	d := crashfs.New(1)
@@ -105,7 +106,7 @@
 		failed,
 		ended("long", 7, long),
 	)
-	// An end that comes late affects its own attempt alone, not the second one.
+	// A late record of the first run of a key does not affect the second run.
 	commit(
 		t,
 		j,
@@ -117,30 +118,30 @@
 	old := started("old", 9)
 	old.ExpiresAt = now.Add(-20 * time.Second)
 	commit(t, j, old)
-	// A clock that was set back keeps keys for longer, and removes none.
+	// If the clock was set back, keys are kept for longer, and none is removed.
 	if f, err := store.Read(d, now.Add(-time.Hour), store.DefaultOptions()); err != nil || len(f.Keys) != 6 ||
 		f.NewestAt != now {
-		t.Errorf("an hour earlier: %d keys, %v", len(f.Keys), err)
+		t.Errorf("read with the clock set back: %d keys, error %v, want 6 keys, the newest at now", len(f.Keys), err)
 	}
 	want := []string{"again in doubt", "done 200 ok", "doubt in doubt", "failed how 3", "long 200 " + long}
-	for range 3 { // from the journal, from a snapshot of it, and from one of that
+	for range 3 { // from the journal, its snapshot, and the snapshot of that
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 		var f *store.Recovery
 		j, f = open(t, d, store.DefaultOptions())
 		if diff := cmp.Diff(want, describe(f)); diff != "" {
-			t.Errorf("(-want +got)\n%s", diff)
+			t.Errorf("keys (-want +got):\n%s", diff)
 		}
 		if f.Keys[1].BodyHash != [32]byte{1, 2} || f.Keys[1].Owner != 1 ||
 			f.Keys[1].Result.Fields[0].Value != "text/plain" {
-			t.Errorf("%+v", f.Keys[1])
+			t.Errorf("key = %+v, want the owner, body hash and result that were written", f.Keys[1])
 		}
 	}
 }
 
-// A file of a newer format is rejected and left unchanged. Records of unknown kinds are skipped,
-// and fields that an older record lacks are zero.
+// A file with a newer format version is rejected and left unchanged. Records of unknown kinds are skipped,
+// and fields that a record lacks are zero.
 func TestNewerFormatIsRejected(t *testing.T) {
 	d := crashfs.New(1)
 	j, _ := open(t, d, store.DefaultOptions())
@@ -152,7 +153,7 @@
 	)
 	j.Close()
 	if _, f := open(t, d, store.DefaultOptions()); len(f.Keys) != 1 || f.Keys[0].Owner != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("recovery = %+v, want one key without an owner", f)
 	}
 	d = crashfs.New(1)
 	w, err := d.Create("journal-0000000000000001")
@@ -164,14 +165,14 @@
 		t.Fatal(err)
 	}
 	opt := store.DefaultOptions()
-	opt.Repair = true // makes no difference
+	opt.Repair = true // a newer format is rejected all the same
 	_, _, err = store.OpenJournal(d, now, opt)
 	var format *store.FormatError
 	if !errors.As(err, &format) || format.Format != 2 {
-		t.Errorf("%v", err)
+		t.Errorf("OpenJournal() error = %v, want a FormatError of version 2", err)
 	}
 	if b, err := d.Read("journal-0000000000000001"); err != nil || !bytes.Equal(b, head) {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("content of the newer file = %q, error %v, want it unchanged", b, err)
 	}
 }
 
@@ -185,7 +186,7 @@
 	return d, "journal-0000000000000001"
 }
 
-// Truncated at any byte, a journal yields the records that are complete before it.
+// A journal that is truncated at any byte yields the records that are complete before that byte.
 func TestTruncatedJournalYieldsItsPrefix(t *testing.T) {
 	d, file := sixKeys(t)
 	content, err := d.Read(file)
@@ -201,20 +202,20 @@
 		}
 		_, f, err := store.OpenJournal(d, now, store.DefaultOptions())
 		var damage *store.DamageError
-		if errors.As(err, &damage) { // no crash truncates what a mark confirms
-			t.Fatalf("truncated at %d: %v", n, err)
+		if errors.As(err, &damage) { // a crash explains the missing end, which no mark confirms
+			t.Fatalf("truncated to %d bytes: error = %v, want no DamageError", n, err)
 		}
 		if len(f.Keys) < last || len(f.Keys) > 6 {
-			t.Fatalf("truncated at %d: %d keys, with less of it %d", n, len(f.Keys), last)
+			t.Fatalf("truncated to %d bytes: %d keys, with one byte less %d", n, len(f.Keys), last)
 		}
 		last = len(f.Keys)
 	}
 	if last != 5 {
-		t.Errorf("one byte short there are %d keys", last)
+		t.Errorf("without its last byte the journal has %d keys, want 5", last)
 	}
 }
 
-// Changed at any byte, a journal is rejected if a mark confirms the byte, and a repair yields the
+// A journal with any one byte changed is rejected if a SyncMark confirms the byte, and a repair yields the
 // other records.
 func TestCorruptByteIsDetectedAndRepaired(t *testing.T) {
 	d, file := sixKeys(t)
@@ -236,32 +237,32 @@
 			rejected++
 			checkRepair(t, d, file, n)
 		case err != nil:
-			t.Fatalf("byte %d: %v", n, err)
-		case len(f.Keys) < 5: // only what no mark confirms may be lost without an error
-			t.Fatalf("byte %d: %d keys, without an error", n, len(f.Keys))
+			t.Fatalf("byte %d changed: error = %v, want a DamageError or FormatError", n, err)
+		case len(f.Keys) < 5: // only records that no mark confirms may be lost without an error
+			t.Fatalf("byte %d changed: %d keys and no error, want at least 5 keys", n, len(f.Keys))
 		}
 	}
 	if rejected < len(content)/2 {
-		t.Errorf("%d of %d bytes are detected", rejected, len(content))
+		t.Errorf("changes of %d of %d bytes are detected, want at least half", rejected, len(content))
 	}
 }
 
-// checkRepair opens a journal that is corrupt at a byte with the repair option.
+// checkRepair checks that a journal whose byte n is changed is opened with the repair option.
 func checkRepair(t *testing.T, d *crashfs.Disk, file string, n int) {
 	t.Helper()
 	options := store.DefaultOptions()
 	options.Repair = true
 	_, f, err := store.OpenJournal(d, now, options)
 	if err != nil || len(f.Damage) == 0 || len(f.Keys) < 4 {
-		t.Fatalf("byte %d repaired: %v, %+v", n, err, f)
+		t.Fatalf("repair of byte %d: error = %v, recovery = %+v, want damage and at least 4 keys", n, err, f)
 	}
 	if names, _ := d.List(); !strings.Contains(fmt.Sprint(names), file+".bad") {
-		t.Fatalf("byte %d: the damaged file is not kept: %q", n, names)
+		t.Fatalf("repair of byte %d: files = %q, want the damaged file with the suffix .bad", n, names)
 	}
 }
 
-// Whatever is written, the journal stays within twice its live bytes and its slack, and no snapshot
-// loses a live key, even one that cannot be written.
+// Whatever is written, the size of the journal stays within twice the size of the live keys plus the slack,
+// and no snapshot loses a live key, even if the snapshot cannot be written.
 func TestJournalSizeIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := crashfs.New(1)
@@ -297,17 +298,17 @@
 			}
 		}
 		if most := 2*j.State().LiveBytes() + opt.SlackBytes + 3*opt.SegmentBytes; j.Size() > most && !fails {
-			rt.Fatalf("%d bytes, with %d alive", j.Size(), j.State().LiveBytes())
+			rt.Fatalf("%d bytes for %d live bytes, which is above the limit", j.Size(), j.State().LiveBytes())
 		}
 		j.Close()
 		_, f, err := store.OpenJournal(d, now, opt)
 		if err != nil || len(f.Keys) != len(alive) {
-			rt.Fatalf("%d keys of %d: %v", len(f.Keys), len(alive), err)
+			rt.Fatalf("recovered %d of %d live keys, error %v", len(f.Keys), len(alive), err)
 		}
 	})
 }
 
-// hung is a disk whose syncs hang.
+// hangingDisk is a disk whose syncs block until a value is received from hang.
 type hangingDisk struct {
 	store.FS
 	hang chan struct{}
@@ -328,11 +329,11 @@
 	return f.File.Sync()
 }
 
-// A disk that hangs blocks neither Put nor Close; the records it was given are answered when it
-// goes on.
+// A disk that hangs blocks neither Put nor Close. The done functions of accepted records are called once the
+// disk works again.
 func TestHangingDiskBlocksNeitherPutNorClose(t *testing.T) {
 	h := hangingDisk{store.Dir(t.TempDir()), make(chan struct{}, 100)}
-	for range 2 { // the syncs of Open
+	for range 2 { // lets the two syncs of Open through
 		h.hang <- struct{}{}
 	}
 	unlock, err := h.Lock()
@@ -340,7 +341,7 @@
 		t.Fatal(err)
 	}
 	if _, err := h.Lock(); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second lock: %v", err)
+		t.Errorf("second Lock() error = %v, want ErrLocked", err)
 	}
 	set := store.DefaultSettings()
 	set.MaxQueue = 5
@@ -350,18 +351,18 @@
 	}
 	done := make(chan error, 20)
 	s.Put(started("first", 1), func(err error) { done <- err })
-	time.Sleep(20 * time.Millisecond) // it hangs on that one
+	time.Sleep(20 * time.Millisecond) // until the sync of this record hangs
 	for k := range 8 {
 		s.Put(started(fmt.Sprint(k), 1), func(err error) { done <- err })
 	}
 	for range 3 {
 		if err := <-done; !errors.Is(err, store.ErrBusy) {
-			t.Errorf("with the queue full: %v", err)
+			t.Errorf("Put() error with the queue full = %v, want ErrBusy", err)
 		}
 	}
 	began := time.Now()
 	if err := s.Close(30 * time.Millisecond); err == nil || time.Since(began) > 10*time.Second {
-		t.Errorf("the end: %v", err)
+		t.Errorf("Close() of a hanging disk: error = %v, want an error within 10 s", err)
 	}
 	close(h.hang)
 	for range 6 {
@@ -374,7 +375,8 @@
 	}
 }
 
-// Whatever a file contains, reading it ends, and opening it loses nothing of what was read.
+// Whatever a file contains, Read returns, and OpenJournal with a repair loses none of the keys that were
+// read.
 func FuzzRead(f *testing.F) {
 	d := crashfs.New(1)
 	j, _ := open(f, d, store.DefaultOptions())
@@ -399,7 +401,7 @@
 		if err != nil {
 			return
 		}
-		// Opening it with a repair keeps exactly what was read, also the second time.
+		// Opening it with a repair yields exactly the keys that were read, also the second time.
 		opt := store.DefaultOptions()
 		opt.Repair = true
 		for range 2 {
@@ -408,7 +410,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(describe(found), describe(again)); diff != "" {
-				t.Fatalf("(-read +opened)\n%s", diff)
+				t.Fatalf("keys (-read +opened):\n%s", diff)
 			}
 			if err := j.Close(); err != nil {
 				t.Fatal(err)
--- a/internal/idempotency/store/stored_test.go
+++ b/internal/idempotency/store/stored_test.go
@@ -12,8 +12,8 @@
 
 const storedDir = "testdata/stored"
 
-// storedRecords are the records of the folder in testdata: those before its snapshot and those
-// after it.
+// storedRecords returns the records of the folder in testdata that were written before its snapshot, and
+// those that were written after it.
 func storedRecords() (before, after []*store.Record) {
 	withoutResult := ended("failed", 6, "")
 	withoutResult.Result, withoutResult.Status = nil, 3
@@ -30,7 +30,7 @@
 	return before, after
 }
 
-// writeStored writes the records into an empty folder.
+// writeStored writes the records of storedRecords into an empty folder.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
 	j, _ := open(t, store.Dir(dir), store.DefaultOptions())
@@ -51,7 +51,7 @@
 	}
 }
 
-// storedKeys are the keys that the folder in testdata holds.
+// storedKeys returns the keys that the folder in testdata contains.
 func storedKeys() []*store.Key {
 	long := ""
 	for len(long) < 600 {
@@ -79,8 +79,8 @@
 	return []*store.Key{done, failed, compressed, key("open", 5), key("open-2", 10)}
 }
 
-// The folder of a program of version 1, with a snapshot and the segment after it, holds the keys
-// that were written.
+// A folder of format version 1, with a snapshot and a segment after it, yields the keys that were
+// written.
 func TestReadsFolderOfVersion1(t *testing.T) {
 	found, err := store.Read(store.Dir(storedDir), now, store.DefaultOptions())
 	if err != nil {
@@ -88,20 +88,20 @@
 	}
 	want := &store.Recovery{Keys: storedKeys(), Snapshot: 1, Segments: 1, Records: 5, NewestAt: now}
 	if diff := cmp.Diff(want, found, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("read recovery (-want +got):\n%s", diff)
 	}
-	// A program that opens the folder goes on from it.
+	// A journal that is opened in the folder starts with the same keys.
 	dir := golden.Copy(t, storedDir)
 	j, opened := open(t, store.Dir(dir), store.DefaultOptions())
 	if diff := cmp.Diff(storedKeys(), opened.Keys, cmpopts.IgnoreUnexported(store.Key{}, store.Field{})); diff != "" {
-		t.Errorf("opened (-want +got)\n%s", diff)
+		t.Errorf("keys of the opened journal (-want +got):\n%s", diff)
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The same records and keys are written with the bytes of version 1.
+// Records and keys are written with the bytes of format version 1.
 func TestWritesBytesOfVersion1(t *testing.T) {
 	golden.CheckDir(t, storedDir, func(dir string) { writeStored(t, dir) })
 }
