--- a/internal/idempotency/reservation/coordinator_test.go
+++ b/internal/idempotency/reservation/coordinator_test.go
@@ -255,7 +255,7 @@
 		t.Errorf("of 40 reservations %d were read, want at least 4", len(two.reservedByOthers))
 	}
 	if _, serves := two.coordinator.OtherProcesses(); !serves {
-		t.Error("the compacted log does not contain that its process accepts connections")
+		t.Error("the compacted log lacks the record that its process accepts connections")
 	}
 }
 
--- a/internal/idempotency/store/damage.go
+++ b/internal/idempotency/store/damage.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/fault"
 )
 
-// Damage is a part of a file that cannot be read although a crash does not explain that.
+// Damage is a part of a file that cannot be read, for a reason other than a crash.
 type Damage struct {
 	File string `json:"File"`
 	From int64  `json:"From"` // offset of its first byte
--- a/internal/idempotency/store/recovery.go
+++ b/internal/idempotency/store/recovery.go
@@ -13,7 +13,7 @@
 	Snapshot  uint64 // number of the snapshot read; 0: none
 	Segments  int    // number of segments read after the snapshot
 	Records   int    // number of records in these segments
-	TornBytes int64  // unreadable bytes at the ends of segments, never confirmed to be on the disk
+	TornBytes int64  // bytes left out at the ends of segments, never confirmed to be on the disk
 	Expired   int    // number of keys that are left out as expired
 	Damage    []Damage
 	NewestAt  wallclock.UnixMicro // when the newest record was written
--- a/internal/idempotency/store/scan.go
+++ b/internal/idempotency/store/scan.go
@@ -9,7 +9,7 @@
 // segmentScan describes the content of a segment, except for the records themselves.
 type segmentScan struct {
 	records   int
-	tornBytes int64 // unreadable bytes at its end, never confirmed to be on the disk
+	tornBytes int64 // bytes left out at its end, never confirmed to be on the disk
 	damage    []Damage
 }
 
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -11,7 +11,7 @@
 	controller *admission.Controller
 	now        func() time.Duration
 	events     []admission.Event  // not handled yet
-	actions    []admission.Action // that the last events resulted in
+	actions    []admission.Action // that resulted from the last events
 	next       int                // index of the next action
 }
 
