--- a/internal/balancer/retry/retry.go
+++ b/internal/balancer/retry/retry.go
@@ -1,11 +1,12 @@
 // Package retry decides whether a request whose attempt failed is retried on another server. The
 // policy is a retry budget, as in Finagle and in the retry throttling of gRPC (gRFC A6): each first
-// attempt earns a part of a retry, for its class and for the total. Where so many attempts fail that
-// a budget is exhausted, more of them would add to an overload. The package does no I/O. Package
-// picker keeps a budget for each group of servers, and package upstream asks it.
+// attempt adds a fraction of a retry to the budget of its class and to the total budget. When so
+// many attempts fail that a budget is exhausted, further retries would add to an overload. The
+// package does no I/O. Package picker keeps a budget for each group of servers, and package upstream
+// asks it.
 //
-// A request that may have run and has side effects is never retried, nor one for which too little
-// time is left.
+// A request that may have run and has side effects is never retried, and neither is one with too
+// little time left before its deadline.
 package retry
 
 import (
@@ -22,10 +23,10 @@
 // The decisions.
 const (
 	Allowed              Decision = iota + 1
-	MayHaveRun                    // it has side effects, and may have run
-	AttemptsExhausted             // it has had all its attempts, or would fail everywhere alike
+	MayHaveRun                    // the request has side effects and may have run
+	AttemptsExhausted             // the request has had all its attempts, or would fail on every server alike
 	TooLittleTime                 // less time is left than an attempt takes
-	ClassBudgetExhausted          // the budget of its class is used up
+	ClassBudgetExhausted          // the budget of the request's class is used up
 	TotalBudgetExhausted          // the budget of all classes together is used up
 )
 
@@ -57,13 +58,14 @@
 type Config struct {
 	Ratio     float64 // retries that each first attempt earns, for its class and for the total
 	MinTokens float64 // retries available at the start; they do not decay
-	// DecayTime is after how long two thirds of the tokens above MinTokens are gone.
+	// DecayTime is the time constant of the exponential decay of the tokens above MinTokens: after
+	// this time about two thirds of them are gone.
 	DecayTime time.Duration
 }
 
-// DefaultConfig returns the default budget: one retry for five first attempts, 20 in reserve, and a
-// decay time of 10 s, so that the tokens earned in that time are there when many servers fail at
-// once.
+// DefaultConfig returns the default budget: one retry for five first attempts, 20 retries that do
+// not decay, and a decay time of 10 s, so that the tokens earned in the last 10 s are available when
+// many servers fail at once.
 func DefaultConfig() Config {
 	return Config{Ratio: 0.2, MinTokens: 20, DecayTime: 10 * time.Second}
 }
@@ -71,12 +73,12 @@
 // FailedAttempt describes a request whose attempt failed.
 type FailedAttempt struct {
 	Class          int
-	HasSideEffects bool          // it must not run twice
+	HasSideEffects bool          // the request must not run twice
 	NeverRan       bool          // it is certain that the attempt did not run
-	Attempts       int           // that it has had
-	MaxAttempts    int           // that it may have
-	TimeLeft       time.Duration // until its deadline
-	TimeNeeded     time.Duration // that an attempt of its class takes at least
+	Attempts       int           // made so far
+	MaxAttempts    int           // allowed, with the first one
+	TimeLeft       time.Duration // until the deadline of the request
+	TimeNeeded     time.Duration // minimum time of an attempt of the class
 }
 
 // Budget is the retry budget of a group of servers. It is used by one goroutine.
@@ -84,7 +86,7 @@
 	cfg            Config
 	total          tokenBucket
 	classes        []tokenBucket
-	DecisionCounts [TotalBudgetExhausted + 1]uint64 // by decision, since the start
+	DecisionCounts [TotalBudgetExhausted + 1]uint64 // indexed by decision, since the start
 	FirstAttempts  uint64                           // since the start
 }
 
@@ -94,7 +96,7 @@
 	updatedAt time.Duration // monotonic
 }
 
-// decay drops tokens that were earned long ago.
+// decay lets the tokens above MinTokens decay by the time since the last update.
 func (b *tokenBucket) decay(cfg *Config, now time.Duration) {
 	if excess := b.tokens - cfg.MinTokens; excess > 0 && now > b.updatedAt {
 		age := latency.Micros(now - b.updatedAt)
@@ -110,7 +112,8 @@
 	return b
 }
 
-// Configure changes the parameters. Tokens that were earned stay, and decay.
+// Configure changes the parameters and adds budgets for new classes. Tokens that were earned before
+// are kept, and decay by the new parameters.
 func (b *Budget) Configure(cfg Config, classes int) {
 	b.cfg = cfg
 	for len(b.classes) < classes {
@@ -127,8 +130,8 @@
 	}
 }
 
-// Allow decides whether a request is retried at the monotonic time now. A retry that is allowed is
-// taken off the budgets.
+// Allow decides whether a request is retried at the monotonic time now. A retry that is allowed
+// takes one token from the budget of its class and one from the total budget.
 func (b *Budget) Allow(attempt FailedAttempt, now time.Duration) Decision {
 	total, class := &b.total, &b.classes[attempt.Class]
 	total.decay(&b.cfg, now)
@@ -158,5 +161,5 @@
 	return Allowed
 }
 
-// TokensLeft returns how many retries the total budget still allows.
+// TokensLeft returns the number of tokens in the total budget, as of the last update.
 func (b *Budget) TokensLeft() float64 { return b.total.tokens }
--- a/internal/balancer/retry/retry_test.go
+++ b/internal/balancer/retry/retry_test.go
@@ -30,12 +30,12 @@
 		attempt := retryable
 		c.change(&attempt)
 		if got := New(DefaultConfig(), 1).Allow(attempt, time.Microsecond); got != c.want {
-			t.Errorf("%+v: %v, want %v", attempt, got, c.want)
+			t.Errorf("Allow(%+v) = %v, want %v", attempt, got, c.want)
 		}
 	}
 }
 
-// failedAttempt is one that may be retried if the budget allows it.
+// failedAttempt returns a failed attempt that only the budget can keep from being retried.
 func failedAttempt(class int) FailedAttempt {
 	return FailedAttempt{Class: class, NeverRan: true, MaxAttempts: 9, TimeLeft: time.Microsecond}
 }
@@ -58,14 +58,14 @@
 				firsts[class]++
 				continue
 			}
-			b.Allow(FailedAttempt{Class: class}, now) // so that the tokens have decayed
+			b.Allow(FailedAttempt{Class: class}, now) // is refused, but lets the tokens decay up to now
 			left := b.TokensLeft()
 			switch decision := b.Allow(failedAttempt(class), now); decision {
 			case Allowed:
 				granted[class]++
 			case ClassBudgetExhausted, TotalBudgetExhausted:
 				if b.TokensLeft() != left {
-					rt.Fatal("a refused retry took a token")
+					rt.Fatal("a refused retry took a token from the total budget")
 				}
 			default:
 				rt.Fatal(decision)
@@ -73,11 +73,13 @@
 			const rounding = 1e-6
 			for c := range granted {
 				if granted[c] > cfg.MinTokens+cfg.Ratio*firsts[c]+rounding {
-					rt.Fatalf("class %d: %v retries of %v first attempts", c, granted[c], firsts[c])
+					rt.Fatalf("class %d: %v retries allowed after %v first attempts, more than its budget",
+						c, granted[c], firsts[c])
 				}
 			}
 			if granted[0]+granted[1] > cfg.MinTokens+cfg.Ratio*(firsts[0]+firsts[1])+rounding {
-				rt.Fatalf("%v retries of %v first attempts", granted, firsts)
+				rt.Fatalf("retries allowed by class: %v after %v first attempts, more than the total budget",
+					granted, firsts)
 			}
 		}
 	})
@@ -91,7 +93,7 @@
 		b.Allow(failedAttempt(0), now)
 	}
 	if got := b.Allow(failedAttempt(0), now); got != ClassBudgetExhausted && got != TotalBudgetExhausted {
-		t.Errorf("after 100 failures: %v", got)
+		t.Errorf("Allow() after 100 failures = %v, want an exhausted budget", got)
 	}
 	b.Configure(Config{Ratio: 0.5, MinTokens: 2}, 3)
 	b.RecordFirstAttempt(2, now)
@@ -100,16 +102,16 @@
 func TestTokensAreSavedForTheDecayTime(t *testing.T) {
 	b := New(DefaultConfig(), 1)
 	now := time.Microsecond
-	for range 60_000 { // a minute, a thousand a second
+	for range 60_000 { // one minute with 1,000 requests per second
 		now += time.Millisecond
 		b.RecordFirstAttempt(0, now)
 	}
 	if got := b.TokensLeft(); got < 1900 || got > 2100 {
-		t.Errorf("%.0f tokens are saved, want those of 10 s, 2000", got)
+		t.Errorf("TokensLeft() after a minute = %.0f, want about 2000, those earned in 10 s", got)
 	}
 	now += 100 * time.Second
 	b.RecordFirstAttempt(0, now)
 	if got := b.TokensLeft(); got > 21 {
-		t.Errorf("%.1f are left after a quiet while, want about 20", got)
+		t.Errorf("TokensLeft() after 100 s without requests = %.1f, want about 20", got)
 	}
 }
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -1,6 +1,6 @@
 // Package waitqueue implements the lifecycle.Runner in front of a group of servers where the group
-// has bulkheads: attempts wait here for a slot of their pool (package bulkhead) before they go to
-// the runner behind it. All slots are taken and given back here. The application (internal/app)
+// has bulkheads: attempts wait for a slot of their pool (package bulkhead) before they are passed to
+// the next runner. A queue takes and releases all slots of its group. The application (internal/app)
 // puts a queue between the request lifecycle and each group of package upstream.
 package waitqueue
 
@@ -13,38 +13,39 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// tickInterval is how often waiting attempts are looked through.
+// tickInterval is the time between two checks of the waiting attempts.
 const tickInterval = 20 * time.Millisecond
 
-// Sink gets the results of attempts, as the request lifecycle does.
+// Sink receives the results of attempts. The request lifecycle implements it.
 type Sink interface {
-	// ResponseStarted reports a result that is still coming. It returns whether anyone reads the
-	// rest.
+	// ResponseStarted reports a result whose body is not complete yet. It returns whether a caller
+	// reads the rest.
 	ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool
-	// AttemptEnded reports the end of an attempt, once.
+	// AttemptEnded reports the end of an attempt. It is called once for each attempt.
 	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
 
-// Environment is what a queue needs of the program.
+// Environment holds the functions of the program that a queue calls.
 type Environment struct {
 	Now   func() time.Duration             // monotonic
 	Post  func(fn func())                  // calls fn soon, and not from within Post
 	After func(d time.Duration, fn func()) // calls fn after d
-	// requests that the servers can have in flight; 0: not known
+	// Capacity returns how many requests the servers can have in flight together; 0: not known.
 	Capacity func() int
 }
 
-// Queue is a lifecycle.Runner before another runner, whose Sink it is. It is used by one goroutine.
+// Queue is a lifecycle.Runner in front of another runner, for which it is the Sink. It is used by one
+// goroutine.
 type Queue struct {
 	environment   Environment
 	sink          Sink
 	next          lifecycle.Runner
-	scheduler     *bulkhead.Scheduler // nil: no bulkheads, attempts go on at once
+	scheduler     *bulkhead.Scheduler // nil: no bulkheads, attempts are passed on at once
 	requests      map[*lifecycle.Attempt]*bulkhead.Request
 	tickScheduled bool
 }
 
-// New returns a queue without bulkheads. SetNext must follow before attempts come.
+// New returns a queue without bulkheads. SetNext must be called before the first attempt.
 func New(environment Environment, sink Sink) *Queue {
 	return &Queue{
 		environment: environment,
@@ -53,11 +54,11 @@
 	}
 }
 
-// SetNext sets the runner that gets the attempts that have a slot.
+// SetNext sets the runner to which attempts are passed once they have a slot.
 func (q *Queue) SetNext(next lifecycle.Runner) { q.next = next }
 
-// Configure sets bulkheads, or changes them under load. With nil all waiting attempts go on at
-// once, and running ones are not counted any more.
+// Configure sets or changes the bulkheads, also while attempts wait or run. With nil it removes
+// them: all waiting attempts are passed on at once, and running ones no longer count.
 func (q *Queue) Configure(cfg *bulkhead.Config) {
 	switch {
 	case cfg == nil && q.scheduler != nil:
@@ -89,7 +90,7 @@
 	}
 }
 
-// Scheduler returns the scheduler of the bulkheads; nil: there are none.
+// Scheduler returns the scheduler of the bulkheads, or nil if there are no bulkheads.
 func (q *Queue) Scheduler() *bulkhead.Scheduler { return q.scheduler }
 
 // Run implements lifecycle.Runner.
@@ -128,8 +129,8 @@
 	}
 }
 
-// endDropped ends a dropped attempt. Value and Limit are what was compared: seconds, or for a full
-// queue the numbers of requests.
+// endDropped ends a dropped attempt. Its Value and Limit are the numbers that were compared: the
+// length of the queue and its limit if the queue was full, otherwise times in seconds.
 func (q *Queue) endDropped(d bulkhead.Dropped) {
 	const microsPerSecond = 1e6
 	a := d.Attachment.(*lifecycle.Attempt)
@@ -156,8 +157,8 @@
 	q.applyDecisions()
 }
 
-// Abandon implements lifecycle.Runner. An attempt that waits has not run: it ends at once, whatever
-// its class.
+// Abandon implements lifecycle.Runner. A waiting attempt has not run, and ends at once, whatever its
+// class.
 func (q *Queue) Abandon(a *lifecycle.Attempt) {
 	r := q.requests[a]
 	if r == nil || !q.scheduler.Cancel(r, q.environment.Now()) {
@@ -173,8 +174,8 @@
 	return q.sink.ResponseStarted(a, result)
 }
 
-// outcomeOf returns what the end of an attempt says about the servers. An error response, and the
-// end of an attempt whose request is over, say nothing.
+// outcomeOf maps the outcome of an attempt to what it says about the servers. Nothing follows from an
+// error response, nor from an attempt that was cancelled or whose request the runner does not know.
 func outcomeOf(outcome lifecycle.Outcome) bulkhead.Outcome {
 	switch outcome {
 	case lifecycle.Faulted, lifecycle.Cancelled, lifecycle.UnknownRequest:
@@ -189,20 +190,20 @@
 	return bulkhead.Success
 }
 
-// AttemptEnded implements Sink. It gives the slot of the attempt back.
+// AttemptEnded implements Sink. It releases the slot of the attempt.
 func (q *Queue) AttemptEnded(a *lifecycle.Attempt, outcome lifecycle.Outcome, result *lifecycle.Result) {
 	r := q.requests[a]
 	if r != nil {
 		delete(q.requests, a)
 		q.scheduler.Done(r, outcomeOf(outcome), q.environment.Now())
 	}
-	q.sink.AttemptEnded(a, outcome, result) // before others begin: what it frees counts for them
+	q.sink.AttemptEnded(a, outcome, result) // before others start: they can use what it frees
 	if r != nil && q.scheduler != nil {
 		q.applyDecisions()
 	}
 }
 
-// RetryAfter returns after how long a request of a class without a tenant may find a slot; 0
+// RetryAfter returns the estimated time until a request of a class without a tenant gets a slot; 0
 // without bulkheads.
 func (q *Queue) RetryAfter(class int) time.Duration {
 	if q.scheduler == nil {
--- a/internal/balancer/waitqueue/queue_test.go
+++ b/internal/balancer/waitqueue/queue_test.go
@@ -11,8 +11,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// testProgram is the program around a queue: a clock, posted functions, timers, a runner whose
-// attempts end when the test says so, and a sink that holds each attempt to one end.
+// testProgram stands in for the program around a queue: a clock, posted functions, timers, a runner
+// whose attempts end when the test ends them, and a sink that fails the test if an attempt ends twice.
 type testProgram struct {
 	now     time.Duration
 	posted  []func()
@@ -24,7 +24,7 @@
 
 func (p *testProgram) Run(a *lifecycle.Attempt) {
 	if p.running[a] {
-		p.t.Fatal("an attempt runs twice")
+		p.t.Fatal("Run called twice for the same attempt")
 	}
 	p.running[a] = true
 }
@@ -32,12 +32,13 @@
 func (p *testProgram) ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool { return true }
 func (p *testProgram) AttemptEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
 	if _, twice := p.ended[a]; twice {
-		p.t.Fatal("an attempt ends twice")
+		p.t.Fatal("AttemptEnded called twice for the same attempt")
 	}
 	p.ended[a] = o
 }
 
-func (p *testProgram) settle() {
+// runPosted calls the posted functions until none is left.
+func (p *testProgram) runPosted() {
 	for len(p.posted) > 0 {
 		fn := p.posted[0]
 		p.posted = p.posted[1:]
@@ -45,7 +46,7 @@
 	}
 }
 
-// environment has the given functions to post and to plan calls.
+// environment returns an Environment with the given Post and After functions and the test's clock.
 func (p *testProgram) environment(post func(func()), after func(time.Duration, func())) Environment {
 	return Environment{
 		Now:      func() time.Duration { return p.now },
@@ -83,17 +84,17 @@
 	}
 }
 
-// drawMicros draws a span of up to a number of microseconds.
+// drawMicros draws a duration of at most the given number of microseconds.
 func drawMicros(t *rapid.T, most int64, label string) time.Duration {
 	return time.Duration(rapid.Int64Range(0, most).Draw(t, label)) * time.Microsecond
 }
 
-// randomAttempts drives a queue by random attempts, ends and configurations.
+// randomAttempts drives a queue with random attempts, ends of attempts and configurations.
 type randomAttempts struct {
 	*testProgram
 	queue *Queue
-	open  []*lifecycle.Attempt // that have not ended
-	count int
+	open  []*lifecycle.Attempt // attempts that have not ended
+	count int                  // attempts begun so far
 }
 
 func (r *randomAttempts) begin() {
@@ -107,7 +108,7 @@
 	r.queue.Run(a)
 }
 
-// endFirst ends the first attempt that runs.
+// endFirst ends the first running attempt.
 func (r *randomAttempts) endFirst(outcome lifecycle.Outcome) {
 	i := slices.IndexFunc(r.open, func(a *lifecycle.Attempt) bool { return r.running[a] })
 	if i < 0 {
@@ -148,21 +149,21 @@
 			fn()
 		}
 	}
-	r.settle()
+	r.runPosted()
 }
 
-// checkDropped takes out the attempts that were dropped, which must not have run.
+// checkDropped removes the dropped attempts from the open ones, and checks that none of them has run.
 func (r *randomAttempts) checkDropped() {
 	r.open = slices.DeleteFunc(r.open, func(a *lifecycle.Attempt) bool {
 		outcome, isOver := r.ended[a]
 		if isOver && (outcome != lifecycle.NotStarted || r.running[a]) {
-			r.t.Fatalf("dropped: %v, running %v", outcome, r.running[a])
+			r.t.Fatalf("dropped attempt: outcome %v, running %v; want NotStarted, not running", outcome, r.running[a])
 		}
 		return isOver
 	})
 }
 
-// Bulkheads are set, changed and removed under load.
+// Bulkheads are set, changed and removed while attempts wait and run.
 func TestEachAttemptEndsOnceAndNoSlotStaysTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestProgram(t)
@@ -176,13 +177,13 @@
 			r.step()
 			r.checkDropped()
 		}
-		r.queue.Configure(nil) // all that wait go on
-		r.settle()
+		r.queue.Configure(nil) // passes all waiting attempts on
+		r.runPosted()
 		for range r.count {
 			r.endFirst(lifecycle.Succeeded)
 		}
 		if len(r.ended) != r.count || len(r.queue.requests) != 0 {
-			t.Fatalf("%d of %d ended, %d kept", len(r.ended), r.count, len(r.queue.requests))
+			t.Fatalf("%d of %d attempts ended, the queue still holds %d", len(r.ended), r.count, len(r.queue.requests))
 		}
 	})
 }
@@ -214,10 +215,12 @@
 	run(far)
 	if a := run(p.now + 500*time.Millisecond); a.Cause != lifecycle.CauseBulkheadWait || a.Value < 1 ||
 		a.Limit != 0.5 {
-		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
+		t.Errorf("attempt that is too late: cause %v, value %v, limit %v; want CauseBulkheadWait, at least 1, 0.5",
+			a.Cause, a.Value, a.Limit)
 	}
 	run(far)
 	if a := run(2 * far); a.Cause != lifecycle.CauseBulkheadFull || a.Value != 2 || a.Limit != 1 {
-		t.Errorf("%v, %v of %v", a.Cause, a.Value, a.Limit)
+		t.Errorf("attempt for a full queue: cause %v, value %v, limit %v; want CauseBulkheadFull, 2, 1",
+			a.Cause, a.Value, a.Limit)
 	}
 }
