--- a/internal/balancer/endpointhealth/config.go
+++ b/internal/balancer/endpointhealth/config.go
@@ -4,22 +4,22 @@
 
 // Config holds the parameters of a monitor.
 type Config struct {
-	ConsecutiveFailures int           // that eject an endpoint; default 3
-	BaseEjectionTime    time.Duration // of the first ejection; default 5 s
-	// MaxEjectionTime bounds the time of an ejection, which doubles each time that an endpoint
+	ConsecutiveFailures int           // failures in a row that eject an endpoint; default 3
+	BaseEjectionTime    time.Duration // duration of the first ejection; default 5 s
+	// MaxEjectionTime bounds the duration of an ejection, which doubles each time that an endpoint
 	// recovers and fails again; default 60 s.
 	MaxEjectionTime time.Duration
-	// EjectionResetAfter is after how long in service the next ejection counts as the first;
-	// default 60 s.
+	// EjectionResetAfter is how long an endpoint must be in service for its next ejection to count
+	// as the first; default 60 s.
 	EjectionResetAfter time.Duration
-	MaxEjectedShare    float64       // of the listed endpoints that may be out at once; default 0.5
-	WarmUpWindow       time.Duration // in which the share grows to the whole; default 10 s
-	WarmUpMinShare     float64       // share at the start of the warm-up; default 0.1
-	MinSuspectTime     time.Duration // that a suspicion lasts at least; default 5 s
-	SuspectShare       float64       // share of a suspected endpoint; default 0.5
+	MaxEjectedShare    float64       // share of the listed endpoints that may be ejected at once; default 0.5
+	WarmUpWindow       time.Duration // time in which the traffic share grows to 1; default 10 s
+	WarmUpMinShare     float64       // traffic share at the start of the warm-up; default 0.1
+	MinSuspectTime     time.Duration // minimum time for which an endpoint is suspected; default 5 s
+	SuspectShare       float64       // traffic share of a suspected endpoint; default 0.5
 
-	// An endpoint is compared with its peers once it has ended MinRequests (default 20) within the
-	// outlier window.
+	// An endpoint is compared with its peers once MinRequests (default 20) of its requests have
+	// ended within the outlier window.
 	MinRequests int
 	// An endpoint is an outlier by failures if the rate of its failures (0 to 1) reaches
 	// FailureRateThreshold (default 0.3) and FailureRateFactor (default 3) times that of its peers.
@@ -32,16 +32,16 @@
 	MinLatencyExcess time.Duration
 	SlowIntervals    int
 
-	// MaxProbeWait is how long an endpoint waits for a request that may be retried to probe it.
-	// After that any request may; default 5 s.
+	// MaxProbeWait is how long an endpoint waits to be probed by a request that may be retried.
+	// After that any request may probe it; default 5 s.
 	MaxProbeWait time.Duration
 	HealthChecks HealthChecks // default: none
 }
 
-// HealthChecks holds the parameters of active health checks. Checks that pass return an endpoint to
-// service, and say nothing else about it: it may answer checks and fail its requests.
+// HealthChecks holds the parameters of active health checks. Passed checks return an endpoint to
+// service, and count for nothing else: an endpoint may answer checks and fail its requests.
 type HealthChecks struct {
-	Interval           time.Duration // between two checks of an endpoint; 0, the default: no checks
+	Interval           time.Duration // time between two checks of an endpoint; 0, the default: no checks
 	UnhealthyThreshold int           // failed checks in a row that eject an endpoint; default 3
 	HealthyThreshold   int           // passed checks in a row before it gets requests; default 2
 }
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -8,20 +8,20 @@
 	"ryepaddle/internal/balancer/latency"
 )
 
-// MeasurementLifetime is after how long without outcomes the measurements of an endpoint are void.
+// MeasurementLifetime is how long the measurements of an endpoint hold after its last outcome.
 const MeasurementLifetime = 5 * time.Second
 
 const (
-	// smoothing is the number of requests over which the moving means of an endpoint go.
+	// smoothing is the window of the moving means of an endpoint, in requests.
 	smoothing = 16
-	// minLatencyPeers is how many endpoints must have a mean latency for a median to be formed.
+	// minLatencyPeers is how many endpoints must have a mean latency for their median to be used.
 	minLatencyPeers = 3
-	// probesPerBackoff is how many probes in a row fail before the ejection time doubles: a probe
-	// of an endpoint that stays down costs one request, an endpoint that recovers and fails again
-	// costs many.
+	// probesPerBackoff is how many probes in a row must fail for the ejection time to double. It is
+	// above 1 as a failed probe of an endpoint that stays down costs one request, while an endpoint
+	// that recovers and fails again costs many.
 	probesPerBackoff = 4
 	microsPerMs      = 1000
-	// maxBackoffDoublings bounds the exponent of the ejection time.
+	// maxBackoffDoublings bounds how often the ejection time doubles.
 	maxBackoffDoublings = 20
 )
 
@@ -46,18 +46,18 @@
 	switch outcome {
 	case Success:
 		e.consecutiveFailures = 0
-	case TimedOut: // a single one may be chance, or the fault of the load on all
+	case TimedOut: // a single timeout may be chance, or due to overload of all endpoints
 		e.consecutiveFailures++
 		if e.consecutiveFailures >= m.cfg.ConsecutiveFailures && m.peersAreInTime() {
-			m.judgeFailures(e, now)
+			m.evaluateFailures(e, now)
 		}
 	case Aborted, Unreachable:
 		e.consecutiveFailures++
-		m.judgeFailures(e, now)
+		m.evaluateFailures(e, now)
 	}
 }
 
-// record takes an outcome into the measurements of the endpoint.
+// record adds an outcome to the measurements of the endpoint.
 func (e *Endpoint) record(outcome Outcome, took, now time.Duration) {
 	if outcome != Inconclusive {
 		e.Requests++
@@ -83,25 +83,25 @@
 	}
 }
 
-// peersAreInTime reports whether so few of all requests fail that timeouts in a row are the fault
-// of the endpoint.
+// peersAreInTime reports whether so few requests to all endpoints fail that timeouts in a row are due
+// to the endpoint itself.
 func (m *Monitor) peersAreInTime() bool {
 	return m.failureRate <= m.cfg.FailureRateThreshold/m.cfg.FailureRateFactor
 }
 
-// judgeFailures ejects an endpoint for consecutive failures, or suspects it.
-func (m *Monitor) judgeFailures(e *Endpoint, now time.Duration) {
+// evaluateFailures ejects an endpoint that has failed too often in a row, or marks it as suspected.
+func (m *Monitor) evaluateFailures(e *Endpoint, now time.Duration) {
 	switch {
 	case !e.State.takesRequests():
 	case e.consecutiveFailures >= m.cfg.ConsecutiveFailures && m.mayEject():
 		m.eject(e, now, fmt.Sprintf("%d failures in a row", e.consecutiveFailures))
 	case e.State == InService:
-		m.setState(e, Suspected, now, "it failed")
+		m.setState(e, Suspected, now, "a request failed")
 	}
 }
 
-// mayEject reports whether MaxEjectedShare allows one more ejection. With too many ejected
-// the rest would be overloaded and fail in turn.
+// mayEject reports whether MaxEjectedShare allows one more ejection. With too many endpoints ejected
+// the others would be overloaded and fail in turn.
 func (m *Monitor) mayEject() bool {
 	return float64(m.ejected+1) <= m.cfg.MaxEjectedShare*float64(len(m.list.Endpoints))
 }
@@ -119,9 +119,9 @@
 	m.setState(e, Ejected, now, fmt.Sprintf("%s, for %d ms", cause, ejectionTime.Milliseconds()))
 }
 
-// NextProbe returns an endpoint that waits for a request to probe it, or nil. retryable says
-// whether the request may be retried if the probe fails; one that may not probes only an endpoint
-// that has waited for MaxProbeWait.
+// NextProbe returns an endpoint that waits for a request to probe it, or nil. retryable says whether
+// the request may be retried if the probe fails. A request that may not be retried probes only an
+// endpoint that has waited for MaxProbeWait.
 func (m *Monitor) NextProbe(retryable bool, now time.Duration) *Endpoint {
 	for _, e := range m.probing {
 		if !e.probeSent && (retryable || now-e.StateSince >= m.cfg.MaxProbeWait) {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// EarliestProbe returns the monotonic time at which the first of the ejected endpoints may be
-// probed; 0: none is ejected.
+// EarliestProbe returns the earliest monotonic time at which an ejected endpoint may be probed; 0: no
+// endpoint is ejected.
 func (m *Monitor) EarliestProbe() (at time.Duration) {
 	for _, e := range m.list.Endpoints {
 		if e.State == Ejected && (at == 0 || e.ejectedUntil < at) {
@@ -145,7 +145,7 @@
 func (m *Monitor) probeDone(e *Endpoint, outcome Outcome, now time.Duration) {
 	switch outcome {
 	case Success:
-		m.startRecovery(e, now, "its probe went well")
+		m.startRecovery(e, now, "its probe succeeded")
 	case Inconclusive:
 		e.probeSent = false // another request may probe it
 	default:
@@ -154,7 +154,7 @@
 	}
 }
 
-// startRecovery lets an endpoint that was ejected warm up.
+// startRecovery moves an endpoint that was ejected to WarmingUp.
 func (m *Monitor) startRecovery(e *Endpoint, now time.Duration, cause string) {
 	e.consecutiveFailures = 0
 	e.failedProbes = 0
@@ -162,18 +162,19 @@
 	m.setState(e, WarmingUp, now, cause)
 }
 
-// ejectOutliers compares each endpoint with its peers by the outcomes in the window.
+// ejectOutliers compares each endpoint with its peers by the outcomes in the outlier window, and
+// ejects outliers.
 func (m *Monitor) ejectOutliers(now time.Duration) {
 	all := m.measurePeers(now)
 	for _, e := range m.list.Endpoints {
 		if e.State.takesRequests() {
-			m.judgeOutlier(e, all, now)
+			m.evaluateOutlier(e, all, now)
 		}
 	}
 }
 
-// measurePeers updates the failure rate and the latencies of all endpoints, and returns the
-// outcomes of all of them.
+// measurePeers updates failureRate and peerLatencies, and returns the outcomes of all endpoints in the
+// outlier window.
 func (m *Monitor) measurePeers(now time.Duration) (all outcomeCounts) {
 	m.peerLatencies = m.peerLatencies[:0]
 	for _, e := range m.list.Endpoints {
@@ -189,9 +190,9 @@
 	return all
 }
 
-// judgeOutlier ejects an endpoint that is an outlier by failures or by latency. all are the outcomes
-// of all endpoints.
-func (m *Monitor) judgeOutlier(e *Endpoint, all outcomeCounts, now time.Duration) {
+// evaluateOutlier ejects an endpoint that is an outlier by failures or by latency. all holds the
+// outcomes of all endpoints, including this one.
+func (m *Monitor) evaluateOutlier(e *Endpoint, all outcomeCounts, now time.Duration) {
 	own := e.window.sum(now)
 	if own.total() < m.cfg.MinRequests {
 		e.slowIntervals = 0
@@ -199,11 +200,11 @@
 	}
 	peers := outcomeCounts{all.successes - own.successes, all.failures - own.failures}
 	if m.isFailureOutlier(own, peers) && m.mayEject() {
-		m.eject(e, now, fmt.Sprintf("%d of its %d requests failed, %.0f%% of its peers'",
+		m.eject(e, now, fmt.Sprintf("%d of its %d requests failed, and %.0f%% of those of its peers",
 			own.failures, own.total(), 100*peers.failureRate()))
 		return
 	}
-	m.judgeLatency(e, now)
+	m.evaluateLatency(e, now)
 }
 
 func (m *Monitor) isFailureOutlier(own, peers outcomeCounts) bool {
@@ -211,9 +212,9 @@
 	return rate >= m.cfg.FailureRateThreshold && rate >= m.cfg.FailureRateFactor*peers.failureRate()
 }
 
-// judgeLatency ejects an endpoint that has been a latency outlier for SlowIntervals. One that warms
-// up may be slow.
-func (m *Monitor) judgeLatency(e *Endpoint, now time.Duration) {
+// evaluateLatency ejects an endpoint that has been a latency outlier for SlowIntervals ticks in a row. An
+// endpoint that is warming up may be slow, and is not ejected for that.
+func (m *Monitor) evaluateLatency(e *Endpoint, now time.Duration) {
 	if m.cfg.LatencyFactor == 0 || len(m.peerLatencies) < minLatencyPeers || e.State == WarmingUp {
 		return
 	}
@@ -226,7 +227,7 @@
 	e.slowIntervals++
 	if e.slowIntervals >= m.cfg.SlowIntervals && m.mayEject() {
 		e.MeanLatency = 0 // to be measured again once it has recovered
-		m.eject(e, now, fmt.Sprintf("%.0f ms are too slow beside %.0f of its peers",
+		m.eject(e, now, fmt.Sprintf("its mean latency is %.0f ms, the median of its peers is %.0f ms",
 			mean/microsPerMs, median/microsPerMs))
 	}
 }
--- a/internal/balancer/endpointhealth/endpoint.go
+++ b/internal/balancer/endpointhealth/endpoint.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// ID names an endpoint. A server that comes back at another address is another endpoint.
+// ID identifies an endpoint. A server that comes back at another address is another endpoint.
 type ID struct{ Name, Addr string }
 
-// EndpointSpec is what the endpoint list says of an endpoint.
+// EndpointSpec is the entry of an endpoint in the endpoint list.
 type EndpointSpec struct {
 	ID
 	Zone   string
@@ -24,19 +24,19 @@
 	Cause    string        // for operators
 }
 
-// Endpoint is what is known of one endpoint. A monitor owns it; others only read it, and may set
-// Attachment.
+// Endpoint holds the state and the measurements of one endpoint. A monitor owns it; others only read
+// it, and may set Attachment.
 type Endpoint struct {
 	EndpointSpec
 	State          State
 	StateSince     time.Duration // monotonic
 	StateCause     string        // for operators
-	ActiveRequests int           // in flight
-	MeanLatency    float64       // moving mean of its successes, in microseconds; 0: not measured
-	Requests       uint64        // that ended, other than with Inconclusive
-	Failures       uint64        // those of them that failed
-	SuccessRate    float64       // moving mean, 0 to 1
-	LastOutcomeAt  time.Duration // monotonic; when the last of these requests ended
+	ActiveRequests int           // requests in flight
+	MeanLatency    float64       // moving mean of its successful requests, in microseconds; 0: not measured
+	Requests       uint64        // requests that ended with an outcome other than Inconclusive
+	Failures       uint64        // of Requests, those that failed
+	SuccessRate    float64       // moving mean over Requests, 0 to 1
+	LastOutcomeAt  time.Duration // monotonic; when the last of Requests ended
 	StateChanges   int
 	Attachment     any // state that a user of the monitor keeps with the endpoint
 
@@ -44,11 +44,11 @@
 	consecutiveFailures int
 	ejectedUntil        time.Duration // monotonic
 	repeatedEjections   int           // since the endpoint was last in service for EjectionResetAfter
-	failedProbes        int           // in a row
-	recovered           bool          // from an ejection, and not in service for EjectionResetAfter yet
-	probeSent           bool
+	failedProbes        int           // failed probes in a row
+	recovered           bool          // from an ejection, and not yet in service for EjectionResetAfter
+	probeSent           bool          // a request probes it, and has not ended
 	slowIntervals       int           // ticks in a row at which it was a latency outlier
-	checkStreak         int           // checks in a row that passed; negative: that failed
+	checkStreak         int           // passed checks in a row; negative: failed checks in a row
 	nextCheckAt         time.Duration // monotonic; 0: not scheduled
 	checkInFlight       bool
 	unlisted            bool // it is no longer in the endpoint list
@@ -58,7 +58,7 @@
 type EndpointList struct {
 	Version   uint64
 	At        time.Duration // monotonic
-	Endpoints []*Endpoint   // by name and address
+	Endpoints []*Endpoint   // sorted by name, then by address
 }
 
 func sortByID(endpoints []*Endpoint) {
--- a/internal/balancer/endpointhealth/healthcheck.go
+++ b/internal/balancer/endpointhealth/healthcheck.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// DueHealthChecks appends the endpoints that are to be checked now. For each of them the caller
-// calls HealthCheckDone once. The first checks of the first list are spread over the interval.
+// DueHealthChecks appends to due the endpoints whose health check is due. The caller checks each of
+// them, and then calls HealthCheckDone once for it. The first checks of the endpoints of the first
+// list are spread over the interval.
 func (m *Monitor) DueHealthChecks(now time.Duration, due []*Endpoint) []*Endpoint {
 	interval := m.cfg.HealthChecks.Interval
 	if interval == 0 {
@@ -27,7 +28,7 @@
 	return due
 }
 
-// HealthCheckDone reports the end of a health check.
+// HealthCheckDone reports whether a health check passed.
 func (m *Monitor) HealthCheckDone(e *Endpoint, passed bool, now time.Duration) {
 	e.checkInFlight = false
 	if e.unlisted {
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -1,17 +1,21 @@
 // Package endpointhealth keeps the health state of the endpoints of a group. It implements outlier
-// ejection as in gRPC (gRFC A50) and Envoy, with active health checks beside it, and slow start of
-// endpoints that are new or have recovered. It does no I/O: the caller passes endpoint lists, the
-// outcomes of requests and checks, and the time, and asks which share of the traffic an endpoint
-// gets. Package picker is that caller; package upstream makes the health checks.
+// ejection as in gRPC (gRFC A50) and Envoy, active health checks, and slow start of endpoints that
+// are new or have recovered. It does no I/O: the caller passes endpoint lists, the outcomes of
+// requests and checks, and the time, and asks which share of the traffic an endpoint gets. Package
+// picker is that caller; package upstream makes the health checks.
 //
-// An endpoint that fails is suspected, then ejected for a while; never more than a share of all
-// endpoints is ejected at once. After that a request or a health check probes it. If the probe
-// succeeds the endpoint warms up to its whole share. Endpoints are judged by consecutive failures,
-// and by failure rate and latency in comparison with their peers: what affects all of them is not
-// the fault of one. Each ejection soon after the one before lasts twice as long, and a suspicion has
-// a minimum time, so that the number of state changes of a flapping endpoint is bounded.
+// An endpoint that fails is suspected, and then ejected for some time. Never more than a share of
+// the endpoints (Config.MaxEjectedShare) is ejected at once. When its ejection time is over, a
+// request or a health check probes the endpoint. If the probe succeeds, the endpoint warms up until
+// it has its whole traffic share.
 //
-// Times are monotonic, whole microseconds and above zero. A monitor is used by one goroutine.
+// Endpoints are judged by consecutive failures, and by their failure rate and latency in comparison
+// with their peers, as a fault that affects all endpoints is not the fault of one. An ejection soon
+// after the previous one lasts twice as long, and an endpoint stays suspected for a minimum time, so
+// that the number of state changes of a flapping endpoint is bounded.
+//
+// Times are monotonic and above zero, as zero stands for "none". Latencies are measured in whole
+// microseconds. A monitor is used by one goroutine.
 package endpointhealth
 
 import (
@@ -22,29 +26,29 @@
 	"ryepaddle/internal/balancer/latency"
 )
 
-// TickInterval is how often Tick is to be called.
+// TickInterval is the interval at which the caller has to call Tick.
 const TickInterval = time.Second
 
-// CauseFirstList is the cause of the state changes by the first endpoint list.
+// CauseFirstList is the StateChange.Cause with which the endpoints of the first list get in service.
 const CauseFirstList = "it is in the first list"
 
-// minWarmUpShare bounds the share of an endpoint that warms up from below.
+// minWarmUpShare is the lower bound of the traffic share of an endpoint that is warming up.
 const minWarmUpShare = 0.01
 
 // Monitor keeps the health of the endpoints of a group.
 type Monitor struct {
 	cfg              Config
 	list             *EndpointList
-	byID             map[ID]*Endpoint // listed and draining ones
+	byID             map[ID]*Endpoint // listed and draining endpoints
 	onChange         func(*Endpoint, StateChange)
-	ejected          int              // listed ones that are ejected or probing
+	ejected          int              // number of listed endpoints that are ejected or probing
 	probing          []*Endpoint      // in the order in which their ejections ended
 	peerLatencies    []float64        // microseconds, ascending; at the last tick
-	failureRate      float64          // of all requests, at the last tick
-	TransitionCounts [Gone + 1]uint64 // changes into each state, since the start
+	failureRate      float64          // of all endpoints together, at the last tick
+	TransitionCounts [Gone + 1]uint64 // state changes by new state, since the start
 }
 
-// New returns a monitor without endpoints. onChange is called after each change of a state.
+// New returns a monitor without endpoints. onChange is called after each state change.
 func New(cfg Config, onChange func(*Endpoint, StateChange)) *Monitor {
 	return &Monitor{cfg: cfg, list: &EndpointList{}, byID: map[ID]*Endpoint{}, onChange: onChange}
 }
@@ -80,7 +84,8 @@
 }
 
 // Update replaces the endpoint list and returns the new one. Each ID may occur once. The endpoints
-// of the first list are in service at once, as no others can carry the traffic while they warm up.
+// of the first list are in service at once, as there are no others to carry the traffic while they
+// warm up.
 // An endpoint that stays listed keeps its state and measurements.
 func (m *Monitor) Update(specs []EndpointSpec, now time.Duration) *EndpointList {
 	isFirst := len(m.byID) == 0
@@ -106,7 +111,7 @@
 	return next
 }
 
-// endpointFor returns the endpoint of a spec, a new one if it is not known.
+// endpointFor returns the endpoint of a spec, and creates it if it is not known.
 func (m *Monitor) endpointFor(spec EndpointSpec, isFirst bool, now time.Duration) *Endpoint {
 	e := m.byID[spec.ID]
 	switch {
@@ -141,13 +146,14 @@
 	return WarmingUp
 }
 
-// unlist drains an endpoint that left the list. Its requests in flight go on.
+// unlist drains an endpoint that left the list. Its requests in flight continue.
 func (m *Monitor) unlist(e *Endpoint, now time.Duration) {
 	m.setState(e, Draining, now, fmt.Sprintf("it left the list with %d open", e.ActiveRequests))
 	e.unlisted = true
 	m.forgetDrained(e, now)
 }
 
+// forgetDrained drops an endpoint that has left the list once it has no request in flight.
 func (m *Monitor) forgetDrained(e *Endpoint, now time.Duration) {
 	if e.unlisted && e.ActiveRequests == 0 && e.State != Gone {
 		m.setState(e, Gone, now, "its last request ended")
@@ -159,7 +165,7 @@
 func (m *Monitor) DrainingCount() int { return len(m.byID) - len(m.list.Endpoints) }
 
 // DrainingEndpoints returns the endpoints that have left the list and still have requests in
-// flight, by name.
+// flight, sorted by name.
 func (m *Monitor) DrainingEndpoints() []*Endpoint {
 	var draining []*Endpoint
 	for _, e := range m.byID {
@@ -179,8 +185,8 @@
 	return counts
 }
 
-// TrafficShare returns the part of its weight (0 to 1) by which an endpoint gets traffic now. One
-// that is probing gets none by this; see NextProbe.
+// TrafficShare returns the share of its weight, 0 to 1, by which an endpoint gets requests now. It is
+// 0 for an endpoint in state Probing, which gets its request by NextProbe.
 func (m *Monitor) TrafficShare(e *Endpoint, now time.Duration) float64 {
 	switch e.State {
 	case InService:
@@ -196,8 +202,8 @@
 	return 0
 }
 
-// Tick moves endpoints between states by time, and ejects outliers. It is to be called each
-// TickInterval.
+// Tick makes the state changes that are due by time, and ejects outliers. The caller has to call it
+// each TickInterval.
 func (m *Monitor) Tick(now time.Duration) {
 	for _, e := range m.list.Endpoints {
 		m.expireState(e, now)
@@ -205,19 +211,19 @@
 	m.ejectOutliers(now)
 }
 
-// expireState moves an endpoint whose time in its state is over.
+// expireState moves an endpoint to its next state if its time in the current one is over.
 func (m *Monitor) expireState(e *Endpoint, now time.Duration) {
 	inState := now - e.StateSince
 	switch {
 	case e.State == Ejected && now >= e.ejectedUntil:
 		e.probeSent = false
-		m.setState(e, Probing, now, "its time is over")
+		m.setState(e, Probing, now, "its ejection time is over")
 	case e.State == WarmingUp && inState >= m.cfg.WarmUpWindow:
-		m.setState(e, InService, now, "it is warm")
+		m.setState(e, InService, now, "its warm-up is complete")
 	case e.State == Suspected && e.consecutiveFailures == 0 && inState >= m.cfg.MinSuspectTime:
-		m.setState(e, InService, now, "it serves again")
+		m.setState(e, InService, now, "its requests succeed again")
 	case e.State == Checking && m.cfg.HealthChecks.Interval == 0:
-		m.setState(e, WarmingUp, now, "there are no checks any more")
+		m.setState(e, WarmingUp, now, "health checks are disabled")
 	}
 	if e.State == InService && e.recovered && now-e.StateSince >= m.cfg.EjectionResetAfter {
 		e.repeatedEjections = 0
--- a/internal/balancer/endpointhealth/monitor_test.go
+++ b/internal/balancer/endpointhealth/monitor_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// monitorTest is a monitor whose endpoints are named n0, n1 and so on, with the log of its state
+// monitorTest is a monitor whose endpoints are named n0, n1 and so on, with a log of its state
 // changes.
 type monitorTest struct {
 	*Monitor
 	t   testing.TB
-	log []string
-	all []StateChange
+	log []string      // state changes since the last call of expect, as text
+	all []StateChange // since the start
 }
 
 func testSpec(n int) EndpointSpec {
@@ -37,7 +37,7 @@
 	return p
 }
 
-// list updates the list to a number of endpoints.
+// list updates the endpoint list to the given number of endpoints.
 func (p *monitorTest) list(now time.Duration, servers int) {
 	var list []EndpointSpec
 	for i := range servers {
@@ -48,14 +48,14 @@
 
 func (p *monitorTest) endpoint(n int) *Endpoint { return p.byID[testSpec(n).ID] }
 
-// request has one request begin and end at an endpoint.
+// request sends one request to an endpoint, and ends it at the same time.
 func (p *monitorTest) request(n int, outcome Outcome, took, now time.Duration) {
 	e := p.endpoint(n)
 	p.Sent(e)
 	p.Done(e, outcome, took, now)
 }
 
-// check ends all health checks that are due.
+// check starts and ends all health checks that are due.
 func (p *monitorTest) check(now time.Duration, passed bool) {
 	for _, e := range p.DueHealthChecks(now, nil) {
 		p.HealthCheckDone(e, passed, now)
@@ -69,10 +69,11 @@
 	return n
 }
 
+// expect compares the state changes since the last call with those that are wanted.
 func (p *monitorTest) expect(want ...string) {
 	p.t.Helper()
 	if diff := cmp.Diff(want, p.log); diff != "" {
-		p.t.Errorf("(-want +got)\n%s", diff)
+		p.t.Errorf("state changes (-want +got):\n%s", diff)
 	}
 	p.log = nil
 }
@@ -83,39 +84,39 @@
 		p.request(0, Aborted, 0, time.Second)
 	}
 	p.expect(
-		"1 n0 in service>suspected: it failed",
+		"1 n0 in service>suspected: a request failed",
 		"1 n0 suspected>ejected: 3 failures in a row, for 5000 ms",
 	)
 	e := p.endpoint(0)
 	p.Tick(5 * time.Second)
 	if p.TrafficShare(e, 5*time.Second) != 0 || p.NextProbe(true, 5*time.Second) != nil {
-		t.Error("an ejected endpoint gets traffic, or is probed")
+		t.Error("an ejected endpoint has a traffic share or is offered as a probe before its ejection ends")
 	}
 	if p.EarliestProbe() != 6*time.Second {
-		t.Errorf("it may be probed at %v", p.EarliestProbe())
+		t.Errorf("EarliestProbe() = %v, want 6s", p.EarliestProbe())
 	}
 	p.Tick(6 * time.Second)
 	if p.NextProbe(true, 6*time.Second) != e || p.NextProbe(false, 6*time.Second) != nil {
-		t.Error("nothing probes it, or a request does that may not be retried")
+		t.Error("NextProbe(): want the endpoint for a request that may be retried, nil for one that may not")
 	}
 	if p.NextProbe(false, 11*time.Second) != e {
-		t.Error("a request that may not be retried does not probe it after the wait")
+		t.Error("NextProbe() after MaxProbeWait: want the endpoint also for a request that may not be retried")
 	}
 	p.Sent(e)
 	if p.NextProbe(true, 6*time.Second) != nil {
-		t.Error("two requests probe it")
+		t.Error("NextProbe() returns the endpoint while a request probes it")
 	}
 	p.Done(e, Inconclusive, 0, 6*time.Second)
 	if p.NextProbe(true, 6*time.Second) != e {
-		t.Error("an inconclusive probe is not repeated")
+		t.Error("NextProbe() after an inconclusive probe: want the endpoint again")
 	}
 	p.request(0, Success, time.Millisecond, 7*time.Second)
 	if got := p.TrafficShare(e, 12*time.Second); got < 0.5 || got > 0.6 {
-		t.Errorf("halfway through the warm-up it gets %v", got)
+		t.Errorf("TrafficShare() halfway through the warm-up = %v, want 0.5 to 0.6", got)
 	}
 	p.Tick(17 * time.Second)
 	if p.TrafficShare(e, 17*time.Second) != 1 {
-		t.Error("after the warm-up it does not get its whole share")
+		t.Error("TrafficShare() after the warm-up: want 1")
 	}
 	for range 3 {
 		p.request(0, Unreachable, 0, 20*time.Second)
@@ -123,12 +124,12 @@
 	p.Tick(30 * time.Second)
 	p.request(0, Aborted, 0, 30*time.Second)
 	p.expect(
-		"6 n0 ejected>probing: its time is over",
-		"7 n0 probing>warming: its probe went well",
-		"17 n0 warming>in service: it is warm",
-		"20 n0 in service>suspected: it failed",
+		"6 n0 ejected>probing: its ejection time is over",
+		"7 n0 probing>warming: its probe succeeded",
+		"17 n0 warming>in service: its warm-up is complete",
+		"20 n0 in service>suspected: a request failed",
 		"20 n0 suspected>ejected: 3 failures in a row, for 10000 ms",
-		"30 n0 ejected>probing: its time is over",
+		"30 n0 ejected>probing: its ejection time is over",
 		"30 n0 probing>ejected: its probe failed, for 10000 ms",
 	)
 }
@@ -147,13 +148,13 @@
 		}
 	}
 	if diff := cmp.Diff([]int64{6, 11, 16, 21, 31, 41, 51, 61, 81}, at); diff != "" {
-		t.Errorf("probes (-want +got)\n%s", diff)
+		t.Errorf("seconds at which the endpoint was probed (-want +got):\n%s", diff)
 	}
 }
 
 func TestTimeoutsCountOnlyInARowAndWherePeersAreInTime(t *testing.T) {
 	p := newMonitorTest(t, DefaultConfig(), 4)
-	for n := range 4 { // under overload all time out now and then
+	for n := range 4 { // under overload some requests to every endpoint time out
 		for k := range 40 {
 			o := Success
 			if k%4 == 3 {
@@ -183,25 +184,25 @@
 	p.request(1, Success, time.Millisecond, 2*time.Second)
 	p.Tick(2 * time.Second)
 	if got := p.TrafficShare(p.endpoint(1), 2*time.Second); got != 0.5 {
-		t.Errorf("its share is %v", got)
+		t.Errorf("TrafficShare() of a suspected endpoint = %v, want 0.5", got)
 	}
 	p.Tick(6 * time.Second)
-	p.expect("1 n1 in service>suspected: it failed", "6 n1 suspected>in service: it serves again")
+	p.expect("1 n1 in service>suspected: a request failed", "6 n1 suspected>in service: its requests succeed again")
 }
 
 func TestFailureRateIsComparedWithPeers(t *testing.T) {
 	for name, c := range map[string]struct {
-		fails [4]int // of 40 requests
+		fails [4]int // failed requests by endpoint, of 40
 		want  []string
 	}{
 		"one": {[4]int{0, 0, 20, 0}, []string{
-			"2 n2 in service>ejected: 20 of its 40 requests failed, 0% of its peers', for 5000 ms",
+			"2 n2 in service>ejected: 20 of its 40 requests failed, and 0% of those of its peers, for 5000 ms",
 		}},
 		"all alike": {[4]int{20, 20, 22, 18}, nil},
 		"a few":     {[4]int{0, 8, 0, 0}, nil},
 		"half, and two": {[4]int{0, 40, 40, 0}, []string{
-			"2 n1 in service>ejected: 40 of its 40 requests failed, 33% of its peers', for 5000 ms",
-			"2 n2 in service>ejected: 40 of its 40 requests failed, 33% of its peers', for 5000 ms",
+			"2 n1 in service>ejected: 40 of its 40 requests failed, and 33% of those of its peers, for 5000 ms",
+			"2 n2 in service>ejected: 40 of its 40 requests failed, and 33% of those of its peers, for 5000 ms",
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -223,12 +224,12 @@
 
 func TestLatencyIsComparedWithPeers(t *testing.T) {
 	for name, c := range map[string]struct {
-		took [5]int // ms
-		want int    // that is ejected; -1: none
+		took [5]int // latencies by endpoint, in ms
+		want int    // the endpoint that is ejected; -1: none
 	}{
 		"one slow":      {[5]int{50, 50, 50, 400, 60}, 3},
 		"all slow":      {[5]int{400, 400, 400, 500, 400}, -1},
-		"little":        {[5]int{1, 1, 1, 10, 1}, -1}, // below the minimum excess
+		"little":        {[5]int{1, 1, 1, 10, 1}, -1}, // below MinLatencyExcess
 		"twice as slow": {[5]int{50, 50, 50, 100, 50}, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -251,7 +252,7 @@
 				}
 			}
 			if out != c.want {
-				t.Errorf("%d is ejected: %q", out, p.log)
+				t.Errorf("ejected endpoint (-1: none) = %d; state changes: %q", out, p.log)
 			}
 		})
 	}
@@ -265,7 +266,7 @@
 	p.list(2*time.Second, 4)
 	p.expect("2 n3 listed>checking: it is new in the list")
 	if p.TrafficShare(p.endpoint(3), 2*time.Second) != 0 {
-		t.Error("it gets traffic before it is checked")
+		t.Error("a new endpoint has a traffic share before its health checks passed")
 	}
 	for now := 2 * time.Second; now < 7*time.Second; now += time.Second {
 		p.check(now, true)
@@ -275,7 +276,7 @@
 		p.check(now, false)
 	}
 	if got := p.StateCounts(); got[Ejected] != 2 {
-		t.Errorf("%d of 4 are ejected by checks, of at most half: %q", got[Ejected], p.log)
+		t.Errorf("%d of 4 endpoints are ejected by failed checks, want 2, the most allowed: %q", got[Ejected], p.log)
 	}
 }
 
@@ -298,7 +299,7 @@
 		}
 	}
 	if ejections < 2 || ejections > 6 {
-		t.Errorf("it is ejected %d times in 2 minutes", ejections)
+		t.Errorf("the endpoint is ejected %d times in 2 minutes, want 2 to 6", ejections)
 	}
 }
 
@@ -311,10 +312,10 @@
 	back := p.EndpointList().Endpoints[0]
 	if p.TrafficShare(old, 2*time.Second) != 0 || p.TrafficShare(back, 2*time.Second) == 0 ||
 		p.DrainingCount() != 1 {
-		t.Errorf("%+v, %+v", old, back)
+		t.Errorf("want the old endpoint draining without traffic, and the new one with traffic: %+v, %+v", old, back)
 	}
 	if first.Endpoints[0] != old || len(first.Endpoints) != 1 || p.EndpointList().Version != first.Version+1 {
-		t.Error("the previous list was changed")
+		t.Error("Update changed the previous list, or did not increment the version")
 	}
 	p.Done(old, Aborted, 0, 3*time.Second)
 	p.expect(
@@ -323,21 +324,21 @@
 		"3 n0 draining>gone: its last request ended",
 	)
 	if p.DrainingCount() != 0 {
-		t.Error("it is still known")
+		t.Error("DrainingCount() after the last request ended: want 0")
 	}
 }
 
-// flapping drives random requests against endpoints that fail at random.
+// flapping sends random requests to endpoints that fail at random.
 type flapping struct {
 	*monitorTest
 	rt       *rapid.T
-	count    int   // of endpoints
-	inFlight []int // by endpoint
+	count    int   // number of endpoints
+	inFlight []int // requests in flight by endpoint
 	now      time.Duration
 }
 
-// step sends one request to an endpoint that gets traffic, or as a probe. It fails with a
-// probability of badPercent.
+// step sends one request to an endpoint that gets traffic, or to one that waits for a probe. The
+// request fails with a probability of badPercent.
 func (f *flapping) step(badPercent int) {
 	f.now += time.Duration(rapid.Int64Range(0, 500_000).Draw(f.rt, "wait")) * time.Microsecond
 	f.Tick(f.now)
@@ -351,7 +352,7 @@
 		f.rt.Fatalf("no endpoint gets traffic: %q", f.log)
 	}
 	if f.ejected > f.count/2 {
-		f.rt.Fatalf("%d of %d are ejected", f.ejected, f.count)
+		f.rt.Fatalf("%d of %d endpoints are ejected or probing, want at most half", f.ejected, f.count)
 	}
 	to := rapid.SampledFrom(candidates).Draw(f.rt, "to")
 	if probed := f.NextProbe(true, f.now); probed != nil {
@@ -373,7 +374,7 @@
 	for k := range f.count {
 		if f.endpoint(k).ActiveRequests != f.inFlight[k] {
 			f.rt.Fatalf(
-				"n%d: %d in flight, and %d by its count",
+				"n%d: %d requests are in flight, ActiveRequests says %d",
 				k,
 				f.inFlight[k],
 				f.endpoint(k).ActiveRequests,
@@ -392,13 +393,14 @@
 			}
 		}
 		if changes > maxChanges {
-			f.rt.Fatalf("%s changes %d times in a minute:\n%s",
+			f.rt.Fatalf("%s changes its state %d times within a minute:\n%s",
 				c.Endpoint.Name, changes, strings.Join(f.log, "\n"))
 		}
 	}
 }
 
-// heal ends all requests with success, and has all that follow succeed for the given time.
+// heal ends all requests in flight with success, and then sends requests that succeed for the given
+// time.
 func (f *flapping) heal(within time.Duration) {
 	for k, n := range f.inFlight {
 		for range n {
@@ -407,7 +409,7 @@
 	}
 	for end := f.now + within; f.now < end; {
 		f.step(0)
-		for k := range f.count { // so that all of them get requests
+		for k := range f.count { // so that each endpoint gets requests
 			if f.TrafficShare(f.endpoint(k), f.now) > 0 {
 				f.request(k, Success, time.Millisecond, f.now)
 			}
@@ -418,16 +420,17 @@
 func (f *flapping) checkAllInService() {
 	for k := range f.count {
 		if e := f.endpoint(k); e.State != InService {
-			f.rt.Fatalf("%s is %v, since %v: %s\n%s",
+			f.rt.Fatalf("%s is %v for %v: %s; want all endpoints in service\n%s",
 				e.Name, e.State, f.now-e.StateSince, e.StateCause, strings.Join(f.log, "\n"))
 		}
 	}
 }
 
-// Each endpoint changes its state a bounded number of times in any minute, never more are ejected
-// than may be, and those that have recovered are in service within a stated time.
+// Guards against endpoints that flap without bound: each endpoint changes its state a bounded number
+// of times in any minute, never more endpoints are ejected than MaxEjectedShare allows, and all of
+// them are in service within recoveryTime once their requests succeed.
 func TestStateChangesOfFlappingEndpointsAreBounded(t *testing.T) {
-	// the longest ejection, the wait for a probe, the warm-up, two ticks
+	// sum of the longest ejection, the wait for a probe, the warm-up and two ticks
 	const recoveryTime = 60*time.Second + 5*time.Second + 10*time.Second + 2*time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		count := rapid.IntRange(1, 6).Draw(rt, "endpoints")
--- a/internal/balancer/endpointhealth/state.go
+++ b/internal/balancer/endpointhealth/state.go
@@ -7,15 +7,15 @@
 
 // The states, in the order in which an endpoint passes through them.
 const (
-	Listed    State = iota + 1 // known, and nothing else decided yet
-	Checking                   // gets no requests until health checks pass
-	WarmingUp                  // new or recovered: gets a growing share
-	InService                  // gets its whole share
-	Suspected                  // failed lately, and gets a reduced share
+	Listed    State = iota + 1 // new in the endpoint list, before its first state is decided
+	Checking                   // gets no requests until its health checks pass
+	WarmingUp                  // new or recovered: gets a growing traffic share
+	InService                  // gets its whole traffic share
+	Suspected                  // failed lately: gets a reduced traffic share
 	Ejected                    // gets no requests
 	Probing                    // the ejection is over: gets a single request
-	Draining                   // no longer listed: gets no new requests, those in flight go on
-	Gone                       // drained; nothing is kept of it
+	Draining                   // no longer listed: gets no new requests, those in flight continue
+	Gone                       // drained, and forgotten by the monitor
 )
 
 // States lists all states.
@@ -60,9 +60,9 @@
 // The outcomes.
 const (
 	Success       Outcome = iota + 1
-	ErrorResponse         // it answered with an error, which may be the fault of the request
-	Aborted               // it broke the connection off
-	TimedOut              // no answer in time; counts only where the answers of its peers are in time
+	ErrorResponse         // an error response, which may be due to the request
+	Aborted               // the endpoint broke the connection off
+	TimedOut              // no answer in time; timeouts in a row eject an endpoint only if its peers answer in time
 	Unreachable           // the connection was not established
-	Inconclusive          // says nothing about the endpoint
+	Inconclusive          // the end of the request says nothing about the endpoint
 )
--- a/internal/balancer/endpointhealth/window.go
+++ b/internal/balancer/endpointhealth/window.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The outlier window is the last outlierBuckets buckets of bucketSpan.
+// The outlier window consists of the last outlierBuckets buckets, each of length bucketSpan.
 const (
 	outlierBuckets = 8
 	bucketSpan     = time.Second
@@ -10,12 +10,13 @@
 
 // outcomeWindow counts outcomes in a sliding window.
 type outcomeWindow struct {
-	newest    int64 // number of the newest bucket
+	newest    int64 // number of the newest bucket, counted from the monotonic time 0
 	successes [outlierBuckets]uint32
 	failures  [outlierBuckets]uint32
 }
 
-// advance drops the buckets that now lie before the window, and returns the index of the newest.
+// advance clears the buckets that lie before the window at now, and returns the index of the newest
+// bucket.
 func (w *outcomeWindow) advance(now time.Duration) int64 {
 	current := int64(now / bucketSpan)
 	if current-w.newest >= outlierBuckets {
@@ -33,7 +34,7 @@
 
 func (w *outcomeWindow) addFailure(now time.Duration) { w.failures[w.advance(now)]++ }
 
-// outcomeCounts is the sum over a window.
+// outcomeCounts holds the sums of outcomes over a window.
 type outcomeCounts struct{ successes, failures int }
 
 func (w *outcomeWindow) sum(now time.Duration) (c outcomeCounts) {
@@ -47,7 +48,7 @@
 
 func (c outcomeCounts) total() int { return c.successes + c.failures }
 
-// failureRate returns the share of failures, 0 where there were no requests.
+// failureRate returns the share of failures, 0 to 1; 0 if there were no requests.
 func (c outcomeCounts) failureRate() float64 {
 	return float64(c.failures) / float64(max(c.total(), 1))
 }
