--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -116,7 +116,7 @@
 	e.consecutiveFailures = 0
 	e.probeSent = false
 	e.recovered = false
-	m.setState(e, Ejected, now, fmt.Sprintf("%s, for %d ms", cause, ejectionTime.Milliseconds()))
+	m.setState(e, Ejected, now, fmt.Sprintf("%s; ejected for %d ms", cause, ejectionTime.Milliseconds()))
 }
 
 // NextProbe returns an endpoint that waits for a request to probe it, or nil. retryable says whether
@@ -227,7 +227,7 @@
 	e.slowIntervals++
 	if e.slowIntervals >= m.cfg.SlowIntervals && m.mayEject() {
 		e.MeanLatency = 0 // to be measured again once it has recovered
-		m.eject(e, now, fmt.Sprintf("its mean latency is %.0f ms, the median of its peers is %.0f ms",
+		m.eject(e, now, fmt.Sprintf("its mean latency of %.0f ms is too high beside %.0f ms, the median of its peers",
 			mean/microsPerMs, median/microsPerMs))
 	}
 }
