--- a/internal/balancer/bulkhead/bench_test.go
+++ b/internal/balancer/bulkhead/bench_test.go
@@ -40,7 +40,7 @@
 				running = append(running, granted...)
 				offer(r)
 				if len(running) == 0 {
-					b.Fatal("nothing runs")
+					b.Fatal("no request has a slot")
 				}
 			}
 		})
--- a/internal/balancer/bulkhead/borrowing.go
+++ b/internal/balancer/bulkhead/borrowing.go
@@ -6,19 +6,21 @@
 	"ryepaddle/internal/balancer/latency"
 )
 
-// A borrowed slot is one beyond the floor of its pool. Running requests cannot be interrupted, so
-// an unused floor may be lent only as far as it comes back within the reclaim time: at each moment
-// the slots that are free, together with the borrowed ones that will have been returned by then,
-// are no fewer than what is owed to pools below their floors. A run ends within the longest time
-// that its class took lately, so a run that started long enough ago counts as returning. Time alone
-// makes more runs count; only another loan, a floor that grows or a limit that falls can make
-// fewer, and then nothing is lent.
+// A borrowed slot is a slot that a pool has beyond its floor. Running requests cannot be interrupted,
+// so an unused floor may be lent only as far as it comes back within the reclaim time. The invariant:
+// the free slots, together with the borrowed slots that will be returned within the reclaim time, are
+// at least as many as the slots that pools lack to their floors.
+//
+// A run is assumed to end within the longest time that its class took lately, so a run that started
+// long enough ago counts as returning. The passing of time only adds returning runs. The invariant is
+// checked before each loan; a larger floor, a lower limit or a longer run time of a class can break
+// it, and then no slot is lent until it holds again.
 
-// unknownRunTime stands for the run time of a class that has not been measured.
+// unknownRunTime is the assumed run time of a class that has not been measured: longer than any.
 const unknownRunTime = 30 * 365 * 24 * time.Hour
 
-// owedSlots returns how many slots pools lack to their floors. Those of reserves are not counted:
-// they have to be free at all times.
+// owedSlots returns how many slots pools lack to their floors. Reserves are not counted: their slots
+// have to stay free at all times; see reservedSlots.
 func (s *Scheduler) owedSlots() (n int) {
 	for _, p := range s.pools {
 		if !p.Reserve {
@@ -38,10 +40,11 @@
 	return n
 }
 
+// lackingSlots returns how many slots a pool lacks to its floor.
 func (s *Scheduler) lackingSlots(p *pool) int { return max(s.floorSlots(p)-p.running, 0) }
 
-// mayBorrow reports whether a pool may have one more slot beyond its floor. free is the number of
-// free slots beside those of the reserves.
+// mayBorrow reports whether a pool may borrow a slot for the first request in its queue. free is the
+// number of free slots without those that stay free for reserves.
 func (s *Scheduler) mayBorrow(p *pool, free int) bool {
 	if free < 1 {
 		return false
@@ -64,9 +67,9 @@
 	return free-1+returned >= s.owedSlots()
 }
 
-// longestRun returns how long a request may run: the longest that its class took lately. The first
-// run of a class that has not been measured counts as short, as the class would never run
-// otherwise.
+// longestRun returns the assumed upper bound of the run time of a request: the longest time that its
+// class took lately. The first run of a class that has not been measured is assumed to take no longer
+// than the reclaim time, as the class would never run otherwise.
 func (s *Scheduler) longestRun(r *Request) time.Duration {
 	class := &s.classes[r.Class]
 	switch {
@@ -79,10 +82,10 @@
 }
 
 // returningRuns returns how many runs of a pool will have ended within the reclaim time. Runs are
-// in the order of their start, and the boundary moves with time, so that a call costs what has
-// changed since the last one; all are counted again when a class has come to take longer. Where the
-// classes of a pool differ, the first run that may take longer ends the count: it may be too low,
-// never too high.
+// listed in the order of their start, and the boundary firstLate moves on with time, so that a call
+// visits only the runs that have become returning since the last one. All runs are counted again
+// when the longest run time of a class has grown. The count ends at the first run that may take
+// longer: in a pool with several classes it may be too low, but never too high.
 func (s *Scheduler) returningRuns(p *pool) int {
 	if p.countedLongest != s.longestChanges {
 		p.countedLongest = s.longestChanges
--- a/internal/balancer/bulkhead/conservation_test.go
+++ b/internal/balancer/bulkhead/conservation_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// randomLoad drives a scheduler by random requests, ends and configurations.
+// randomLoad drives a scheduler with random requests, ends of requests and configurations.
 type randomLoad struct {
 	*simulation
 	rt      *rapid.T
 	random  *rand.Rand
 	cfg     Config
-	offered int
+	offered int // requests so far
 }
 
 func (l *randomLoad) offerBurst() {
@@ -36,7 +36,7 @@
 	return time.Duration(l.random.Int64N(below.Microseconds())) * time.Microsecond
 }
 
-// cancelOne cancels a request that waits, or tries it with one that runs.
+// cancelOne cancels a waiting request, or tries to cancel a running one if none waits.
 func (l *randomLoad) cancelOne() {
 	p := l.s.pools[l.random.IntN(len(l.s.pools))]
 	r := p.queue.head()
@@ -45,18 +45,18 @@
 	}
 	if r != nil {
 		state := l.open[r]
-		if l.s.Cancel(r, l.now) != (state == isOffered) {
-			l.rt.Fatalf("cancelled: %v", state)
+		if l.s.Cancel(r, l.now) != (state == requestOffered) {
+			l.rt.Fatalf("Cancel() of a request in state %q: want true only for a waiting one", state)
 		}
-		if state == isOffered {
+		if state == requestOffered {
 			delete(l.open, r)
-			l.answered++
+			l.ended++
 		}
 	}
 	l.check()
 }
 
-// endOneTwice ends a running request out of turn, and reports that twice.
+// endOneTwice ends a running request before its time, and reports its end twice.
 func (l *randomLoad) endOneTwice() {
 	if len(l.running) == 0 {
 		return
@@ -76,13 +76,14 @@
 	next.Pools[0].Floor = l.random.Float64() * 0.3
 	next.Pools[0].Reserve = next.Pools[0].Reserve && next.Pools[0].Floor > 0
 	if err := next.Validate(); err != nil {
-		l.rt.Fatalf("%v", err)
+		l.rt.Fatalf("Validate() of a random configuration: %v", err)
 	}
 	l.s.Configure(next, l.now)
 	l.check()
 }
 
-// Pools come and go under load. No limit, ceiling or count is exceeded.
+// Guards against lost slots and requests when pools come and go under load, and requests end early or
+// twice. Each step also checks that the limit, the ceilings and the counts hold.
 func TestEachRequestIsGrantedOrDroppedOnceAndNoSlotIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
@@ -96,7 +97,7 @@
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				l.pass(time.Duration(rapid.Int64Range(1, 2_000_000).Draw(t, "time")) * time.Microsecond)
+				l.advance(time.Duration(rapid.Int64Range(1, 2_000_000).Draw(t, "time")) * time.Microsecond)
 			case 1:
 				l.cancelOne()
 			case 2:
@@ -109,9 +110,10 @@
 				l.offerBurst()
 			}
 		}
-		l.pass(20_000 * ms)
-		if l.answered != l.offered || len(l.open) > 0 || l.s.Running() > 0 || l.s.Waiting() > 0 {
-			t.Fatalf("%d of %d are answered, %d open", l.answered, l.offered, len(l.open))
+		l.advance(20_000 * ms)
+		if l.ended != l.offered || len(l.open) > 0 || l.s.Running() > 0 || l.s.Waiting() > 0 {
+			t.Fatalf("%d of %d requests ended or were dropped, %d are open; want all, and none running or waiting",
+				l.ended, l.offered, len(l.open))
 		}
 	})
 }
--- a/internal/balancer/bulkhead/dropping.go
+++ b/internal/balancer/bulkhead/dropping.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/balancer/latency"
 
-// drop drops a waiting request. wanted and available are what was compared, see Dropped.
+// drop drops a waiting request. wanted and available are the numbers that were compared; see Dropped.
 func (s *Scheduler) drop(r *Request, reason DropReason, wanted, available float64) {
 	r.pool.queue.remove(r)
 	r.state = stateIdle
@@ -17,7 +17,8 @@
 	s.dropped = append(s.dropped, Dropped{Request: r, Reason: reason, Wanted: wanted, Available: available})
 }
 
-// valueRate returns what a slot earns with a request: priority weight over slot time.
+// valueRate returns the value of a request for each microsecond of slot time: its priority weight
+// divided by the mean run time of its class.
 func (s *Scheduler) valueRate(r *Request) float64 {
 	class := &s.cfg.Classes[r.Class]
 	weight := class.PriorityWeight
@@ -27,8 +28,8 @@
 	return weight / max(s.classes[r.Class].meanMicros.Value, 1)
 }
 
-// isLessValuable reports whether a is to be dropped rather than b: its overuse is larger, or it
-// earns less, or it has the later target.
+// isLessValuable reports whether a is to be dropped rather than b: its overuse is larger, or else its
+// value rate is lower, or else its target is later.
 func (s *Scheduler) isLessValuable(a, b *Request) bool {
 	if a.overuse != b.overuse {
 		return a.overuse > b.overuse
@@ -39,9 +40,10 @@
 	return a.target() > b.target()
 }
 
-// dropFromFullQueue drops one request of a queue that is too long: of the tenant that has most of
-// it for its share, of the caller that has most of that, the least valuable. Requests are compared
-// by what their tenants have now and not by their overuse, which was none while no others waited.
+// dropFromFullQueue drops one request from a queue that is too long: the least valuable one of the
+// caller with the most waiting requests, of the tenant with the most waiting requests for its share.
+// Tenants are compared by what they have in the queue now, and not by the overuse of their requests:
+// that was determined when each request was added, and is 0 if no other tenant waited then.
 func (s *Scheduler) dropFromFullQueue(p *pool) {
 	worst := p.queue.order[0]
 	for _, r := range p.queue.order[1:] {
@@ -63,21 +65,22 @@
 	return s.isLessValuable(a, b)
 }
 
-// tenantUse returns how many requests of a tenant wait, for its share.
+// tenantUse returns the number of waiting requests of a tenant, divided by its share.
 func (s *Scheduler) tenantUse(p *pool, tenant int) float64 {
 	return float64(p.queue.byTenant[tenant]) / max(s.tenantShare(tenant), minTenantShare)
 }
 
-// dropHopeless walks a queue in its order, and makes each request be in time by the requests ahead
-// of it: where one is not, the least valuable of those up to it is dropped. This is the rule of
-// Moore and Hodgson for the fewest late jobs, with value over slot time in place of length. The
-// walk decides from a request that was just added, as nothing changes ahead of it; nil: from the
-// first one.
+// dropLate walks a queue in its order, and drops requests until each one that remains would be in
+// time, given the requests ahead of it: for a request that would be late, the least valuable one of
+// those up to and including it is dropped (or demoted, see below). This is the rule of Moore and
+// Hodgson for the fewest late jobs, with value per slot time in place of the length of a job. added
+// is a request that was just added: the requests ahead of it are not decided again, as nothing has
+// changed for them. With nil all requests are decided.
 //
-// A latency objective counts only where the caller says when the request was first made: a request
-// that is dropped is made again, and would get a new objective. A request that misses its objective
-// goes behind those that can keep theirs, or is dropped if its late result is worth nothing.
-func (s *Scheduler) dropHopeless(p *pool, added *Request) {
+// A latency objective is known only if the caller says when the request was first made: a request that
+// is dropped is made again, and would otherwise get a new objective. A request that would miss its
+// objective is put behind those that can keep theirs, or dropped if a late result is worth nothing.
+func (s *Scheduler) dropLate(p *pool, added *Request) {
 	if p.queue.length() == 0 || added != nil && added.state != stateWaiting {
 		return
 	}
@@ -88,7 +91,7 @@
 		r := p.queue.order[i]
 		decides = decides || r == added
 		mean := s.classes[r.Class].meanMicros.Value
-		endMicros := (aheadMicros+mean)/slots + mean // it also waits for the next slot
+		endMicros := (aheadMicros+mean)/slots + mean // mean/slots is the wait for the next free slot
 		leftMicros := latency.Micros(r.target() - s.cfg.DeadlineMargin - s.now)
 		if !decides || leftMicros > 0 && (mean == 0 || endMicros <= leftMicros) {
 			aheadMicros += mean
@@ -104,8 +107,9 @@
 	}
 }
 
-// leastValuableUpTo returns the least valuable request of those up to a place in the queue, of which
-// each one ahead must free enough: at least the time by which the request at that place is late.
+// leastValuableUpTo returns the least valuable request of those up to a place in the queue. Requests
+// ahead of that place count only if without them the request at that place would be in time, which is
+// late by lateMicros.
 func (s *Scheduler) leastValuableUpTo(p *pool, place int, lateMicros, slots float64) *Request {
 	worst := p.queue.order[place]
 	for _, r := range p.queue.order[:place] {
@@ -117,8 +121,9 @@
 	return worst
 }
 
-// demoteOrDrop puts a request that would miss its latency objective behind those that can keep
-// theirs, or drops it. It makes room for the request late, which may be the same one.
+// demoteOrDrop puts a request with a latency objective behind those that can keep theirs, if a late
+// result is worth something, and drops it otherwise. late is the request that would be late, which may
+// be the same one or a request behind it.
 func (s *Scheduler) demoteOrDrop(p *pool, r, late *Request, endMicros, leftMicros float64) {
 	hasLateValue := s.cfg.Classes[r.Class].LatePriorityWeight > 0
 	switch {
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// runSample is the number of running requests by which the time to the next free slot is
+	// runSample is the number of running requests from which the time to the next free slot is
 	// estimated.
 	runSample = 64
-	// minSparePerReserve is how many free slots a reserve must have to lend one: one of them stays.
+	// minSparePerReserve is how many slots must be free for a request to use one of a reserve: one
+	// slot stays free for the reserve.
 	minSparePerReserve = 2
 )
 
-// floorSlots returns the floor of a pool in slots. With no more slots than pools that have a floor
-// a small share is none: otherwise the floors of idle pools, and above all those of reserves, would
-// starve the other pools.
+// floorSlots returns the floor of a pool in slots. A floor above 0 is at least one slot, unless there
+// are no more slots than pools with a floor: then the floors of idle pools, and above all those of
+// reserves, would starve the other pools.
 func (s *Scheduler) floorSlots(p *pool) int {
 	n := int(p.Floor * s.limit.current())
 	if n == 0 && p.Floor > 0 && s.Limit() > s.poolsWithFloor {
@@ -26,9 +27,11 @@
 	return n
 }
 
+// ceilingSlots returns the ceiling of a pool in slots, at least one.
 func (s *Scheduler) ceilingSlots(p *pool) int { return max(int(p.Ceiling*s.limit.current()), 1) }
 
-// expectedSlots returns how many slots a pool can count on while it has work.
+// expectedSlots returns how many slots a pool can expect while requests wait in it: what it has, its
+// floor or its part by weight, whichever is the most, up to its ceiling.
 func (s *Scheduler) expectedSlots(p *pool) int {
 	weights := 0.0
 	for _, other := range s.pools {
@@ -43,7 +46,7 @@
 	return max(min(max(p.running, s.floorSlots(p), part), s.ceilingSlots(p)), 1)
 }
 
-// grantSlots gives slots to waiting requests as long as one can have one.
+// grantSlots grants slots to waiting requests until no pool may have another slot.
 func (s *Scheduler) grantSlots() {
 	for {
 		p, isBorrowed := s.nextPool()
@@ -54,6 +57,7 @@
 	}
 }
 
+// grant gives a slot to a waiting request of a pool.
 func (s *Scheduler) grant(p *pool, r *Request, isBorrowed bool) {
 	p.queue.remove(r)
 	r.chargedMicros = max(s.classes[r.Class].meanMicros.Value, 1)
@@ -72,8 +76,9 @@
 	s.granted = append(s.granted, r)
 }
 
-// nextPool returns the pool that gets the next slot, and whether the slot is borrowed: a pool below
-// its floor, then the one whose turn it is by weight, then one that may use a reserve.
+// nextPool returns the pool that gets the next slot, or nil, and whether the slot is borrowed. A pool
+// below its floor comes first, then the pool whose turn it is by weight, then one that may use a slot
+// of a reserve.
 func (s *Scheduler) nextPool() (p *pool, isBorrowed bool) {
 	if s.running >= s.Limit() {
 		return nil, false
@@ -88,7 +93,8 @@
 	return s.nextFromReserve(), false
 }
 
-// nextBelowFloor returns the pool below its floor that got no slot for longest.
+// nextBelowFloor returns the pool that, of those below their floors, got its last slot the longest time
+// ago.
 func (s *Scheduler) nextBelowFloor(free int) (best *pool) {
 	for _, p := range s.pools {
 		isBelow := p.queue.length() > 0 && p.running < min(s.floorSlots(p), s.ceilingSlots(p))
@@ -99,8 +105,8 @@
 	return best
 }
 
-// nextByWeight returns the pool with the least slot time for its weight that may borrow. A pool
-// without a weight gets only what no other wants.
+// nextByWeight returns the pool with the lowest pass value, which is its slot time divided by its
+// weight, of those that may borrow a slot. A pool without a weight comes after all others.
 func (s *Scheduler) nextByWeight(free int) (best *pool) {
 	s.advanceIdlePools()
 	for _, p := range s.pools {
@@ -115,8 +121,8 @@
 	return best
 }
 
-// advanceIdlePools brings the pass of pools without waiting requests up to the least pass of the
-// others: a pool must not save up slot time while it is idle.
+// advanceIdlePools raises the pass value of each pool without waiting requests to the lowest one of
+// the others: a pool must not accumulate a claim to slot time while it is idle.
 func (s *Scheduler) advanceIdlePools() {
 	least := math.Inf(1)
 	for _, p := range s.pools {
@@ -135,9 +141,9 @@
 	}
 }
 
-// nextFromReserve returns a pool whose first request would be too late if it waited for the next
-// slot, and may have one of the reserve. No request may wait for that reserve, one of its slots
-// stays free, and what is owed to other pools is not touched.
+// nextFromReserve returns a pool whose first request may use a slot of a reserve, and would be too late
+// if it waited for the next slot. The slot is granted only if no request waits in the reserve's own
+// pool, one more slot stays free, and the slots that other pools lack to their floors are left.
 func (s *Scheduler) nextFromReserve() *pool {
 	for _, reserve := range s.pools {
 		spare := s.Limit() - s.running - s.owedSlots()
@@ -154,6 +160,8 @@
 	return nil
 }
 
+// needsReserve reports whether the first request of a pool may use a slot of a reserve, and would be
+// too late if it waited for the next slot.
 func (s *Scheduler) needsReserve(p *pool, r *Request) bool {
 	if !r.MayUseReserve || p.Reserve || p.running >= s.ceilingSlots(p) {
 		return false
@@ -163,8 +171,8 @@
 	return latestStart <= s.now+s.timeToNextSlot()
 }
 
-// timeToNextSlot returns how long the next slot may take to come free: the mean run time by the
-// number of running requests.
+// timeToNextSlot returns the estimated time until the next slot is free: the mean run time of the
+// running requests, divided by their number.
 func (s *Scheduler) timeToNextSlot() time.Duration {
 	sumMicros := 0.0
 	n := 0
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -8,63 +8,65 @@
 )
 
 const (
-	minWindow         = 500 * time.Millisecond // that a window lasts at least
-	minWindowRequests = 40                     // that end in a window at least
-	// measureInterval is the number of windows after which the best latency is measured again, and
-	// measureWindows for how many the limit is reduced for that: the first one still sees the queue
-	// from before.
+	minWindow         = 500 * time.Millisecond // minimum duration of a window
+	minWindowRequests = 40                     // minimum number of requests that end in a window
+	// measureInterval is the number of windows after which the best latency is measured again. For
+	// that the limit is reduced for measureWindows windows: the first of them still sees the queue
+	// of the time before.
 	measureInterval = 60
 	measureWindows  = 2
-	measureRatio    = 0.5 // by which the limit is multiplied meanwhile
-	// minClassRequests is how many requests of a class a window must have for a mean.
+	measureRatio    = 0.5 // factor of the limit while the best latency is measured
+	// minClassRequests is how many requests of a class a window must have for their mean to count.
 	minClassRequests = 5
-	// usedRatio of the limit must have been in use for the window to say something about it.
+	// usedRatio is the part of the limit that must have been in use for a window to tell anything
+	// about the limit.
 	usedRatio = 0.8
-	// overloadRatio of failures to successes in a window is a sign of overload, by which the limit
-	// is multiplied with overloadBackoff.
+	// A window with more than overloadRatio failures per success shows overload: the limit is then
+	// multiplied by overloadBackoff.
 	overloadRatio   = 0.1
 	overloadBackoff = 0.8
-	// Once a falling limit is down to declineCheck of where it began, the latency ratio must be
-	// down to declineGain: otherwise the latency was not that of a queue.
+	// Once a falling limit is down to declineCheck times the value from which it fell, the latency
+	// ratio must be down to declineGain times its former value: otherwise the latency was not due to
+	// a queue.
 	declineCheck = 0.7
 	declineGain  = 0.85
-	// capacityBackoff is by how much one window may lower the limit towards the capacity.
+	// capacityBackoff is the lowest factor by which one window lowers the limit towards the capacity.
 	capacityBackoff = 0.9
 )
 
-// adaptiveLimit finds how many requests at once a group of servers can work on: as many as get the
-// most done without a rise of latency. The latency of a class is compared with the best latency of
-// the same class, so that another mix of classes is not taken for another speed.
+// adaptiveLimit finds the number of concurrent requests at which a group of servers has its highest
+// throughput without a rise of latency. The latency of a class is compared with the best latency of
+// the same class, so that a change in the mix of classes is not taken for a change in speed.
 //
-// Latency alone cannot tell a queue from servers that have become slower. A lower limit helps
-// against the first; against the second it only gets less done. So where a limit that has fallen by
-// a third has not lowered the latency, the current latency becomes the best one.
+// Latency alone cannot tell a queue from servers that have become slower. A lower limit shortens a
+// queue; with slower servers it only reduces the throughput. So if a limit that has fallen by about
+// a third (declineCheck) has not lowered the latency, the current latency becomes the best one.
 type adaptiveLimit struct {
 	limit    float64
-	capacity float64        // of the servers together; 0: not known
+	capacity float64        // requests that the servers can take together; 0: not known
 	best     []latency.Best // by class
-	recent   []sampleMean   // latencies in this window, by class, in microseconds
+	recent   []sampleMean   // latencies in the current window, by class, in microseconds
 
 	windowStart time.Duration // monotonic; 0: no request has ended yet
-	succeeded   int           // in this window
+	succeeded   int           // requests in the current window
 	failed      int
-	peak        int // most requests running at once in this window
-
-	windows      int     // since the best latencies were measured
-	reducedFrom  float64 // the limit before it was reduced to measure; 0: it is not reduced
-	declineFrom  float64 // the limit from which it has been falling; 0: it is not falling
-	declineRatio float64 // the latency ratio at that time
-	demand       [demandWindows]float64
-	nextDemand   int
+	peak        int // most requests running at once in the current window
+
+	windows      int                    // since the best latencies were measured
+	reducedFrom  float64                // the limit before it was reduced for a measurement; 0: it is not reduced
+	declineFrom  float64                // the limit from which it has been falling; 0: it is not falling
+	declineRatio float64                // the latency ratio when the limit began to fall
+	demand       [demandWindows]float64 // limitWindow.demand of the last windows, as a ring buffer
+	nextDemand   int                    // windows written to demand so far
 }
 
-// limitWindow is what a window shows.
+// limitWindow is the summary of a window.
 type limitWindow struct {
-	ratio        float64 // mean latency over the best one; 0: not known
-	ratioError   float64 // its standard error
-	demand       float64 // slots that the completed work needs at the best latency
-	isUsed       bool    // the limit was nearly reached
-	isOverloaded bool
+	ratio        float64 // mean latency divided by the best latency; 0: not known
+	ratioError   float64 // standard error of ratio
+	demand       float64 // slots that the completed requests need at the best latency
+	isUsed       bool    // usedRatio of the limit was in use at some time
+	isOverloaded bool    // too many requests failed; see overloadRatio
 }
 
 func (l *adaptiveLimit) configure(cfg *Config) {
@@ -78,7 +80,7 @@
 	l.limit = min(max(l.limit, cfg.MinLimit), cfg.MaxLimit)
 }
 
-// current returns the limit within the capacity of the servers.
+// current returns the limit, cut to the capacity of the servers, and at least 1.
 func (l *adaptiveLimit) current() float64 {
 	if l.capacity > 0 {
 		return max(min(l.limit, l.capacity), 1)
@@ -101,7 +103,7 @@
 	l.endWindow(cfg, now)
 }
 
-// endWindow ends the window if it is long enough and has seen enough requests.
+// endWindow ends the current window if it is long enough and enough requests have ended in it.
 func (l *adaptiveLimit) endWindow(cfg *Config, now time.Duration) {
 	isLong := l.windowStart != 0 && now-l.windowStart >= minWindow
 	if !isLong || l.succeeded+l.failed < minWindowRequests {
@@ -139,7 +141,7 @@
 	return w
 }
 
-// update moves the limit by what a window shows.
+// update adjusts the limit after a window, or starts or ends the measurement of the best latency.
 func (l *adaptiveLimit) update(cfg *Config, w *limitWindow) {
 	l.windows++
 	l.demand[l.nextDemand%demandWindows] = w.demand
@@ -162,17 +164,17 @@
 		return
 	}
 	target := l.target(cfg, w)
-	if l.declineWasInVain(target, w) {
+	if l.declineHadNoEffect(target, w) {
 		l.resetBest()
 		return
 	}
-	if l.capacity > 0 { // otherwise it would grow while only the servers' own limits apply
+	if l.capacity > 0 { // otherwise the limit would grow while only the servers' own limits have effect
 		target = min(target, max(l.capacity, l.limit*capacityBackoff))
 	}
 	l.limit = min(max(target, cfg.MinLimit), cfg.MaxLimit)
 }
 
-// target returns the limit that follows from a window.
+// target returns the value towards which a window moves the limit.
 func (l *adaptiveLimit) target(cfg *Config, w *limitWindow) float64 {
 	target := l.limit
 	if w.ratio > 0 {
@@ -181,16 +183,16 @@
 	if w.isOverloaded {
 		target = min(target, l.limit*overloadBackoff)
 	}
-	// A limit that is not nearly reached shows nothing of what a higher one would do.
+	// While the limit is not nearly reached, nothing shows what a higher one would do.
 	if target > l.limit && !w.isUsed {
 		target = l.limit
 	}
 	return target
 }
 
-// declineWasInVain keeps track of a falling limit, and reports whether its fall has not lowered the
+// declineHadNoEffect tracks a falling limit, and reports whether its fall has failed to lower the
 // latency.
-func (l *adaptiveLimit) declineWasInVain(target float64, w *limitWindow) bool {
+func (l *adaptiveLimit) declineHadNoEffect(target float64, w *limitWindow) bool {
 	isChecked := l.limit <= l.declineFrom*declineCheck
 	switch {
 	case target >= l.limit:
@@ -207,7 +209,7 @@
 	return false
 }
 
-// learnBest takes the latencies of a window into the best ones.
+// learnBest updates the best latencies with the mean latencies of the current window.
 func (l *adaptiveLimit) learnBest(w *limitWindow) {
 	for i := range l.recent {
 		if mean, _ := l.recent[i].mean(); l.recent[i].count >= minClassRequests {
@@ -216,7 +218,8 @@
 	}
 }
 
-// resetBest makes the latencies of this window the best ones.
+// resetBest sets the best latencies to the mean latencies of the current window, and forgets the
+// decline and the demand that were measured by the former ones.
 func (l *adaptiveLimit) resetBest() {
 	for i := range l.recent {
 		if mean, _ := l.recent[i].mean(); l.recent[i].count >= minClassRequests {
@@ -228,7 +231,7 @@
 	l.demand = [demandWindows]float64{}
 }
 
-// sampleMean holds the sums of samples for their mean and its uncertainty.
+// sampleMean accumulates samples for their mean and its standard error.
 type sampleMean struct {
 	count     int
 	sum       float64
--- a/internal/balancer/bulkhead/limit_algorithms.go
+++ b/internal/balancer/bulkhead/limit_algorithms.go
@@ -6,24 +6,24 @@
 	"ryepaddle/internal/balancer/concurrencylimit"
 )
 
-// LimitAlgorithm is an algorithm by which the limit follows the latency, by its name in the
-// operator's file.
+// LimitAlgorithm names an algorithm that adapts the limit to the latency, as the operator's file does.
 type LimitAlgorithm string
 
-// The algorithms. All of them use the same windows.
+// The algorithms. They use the same windows and the same latency ratio.
 const (
-	// FixedLimit stays at InitialLimit.
+	// FixedLimit keeps the limit at InitialLimit.
 	FixedLimit LimitAlgorithm = "fixed"
 	// AIMDLimit increases additively and decreases multiplicatively, as the congestion control of
 	// TCP does.
 	AIMDLimit LimitAlgorithm = "additive"
 	// GradientLimit multiplies the limit by the ratio of the best latency to the current one, and
-	// adds its square root (Netflix concurrency-limits).
+	// adds the square root of the limit (Netflix concurrency-limits).
 	GradientLimit LimitAlgorithm = "gradient"
-	// VegasLimit estimates how many requests wait at the servers, as TCP Vegas does for packets.
+	// VegasLimit adjusts the limit by an estimate of how many requests wait at the servers, as TCP
+	// Vegas does for packets.
 	VegasLimit LimitAlgorithm = "queue"
-	// ThroughputLimit is what the best recent throughput needs at the best latency, and a part
-	// more (Little's law).
+	// ThroughputLimit sets the limit to the slots that the highest recent throughput needs at the
+	// best latency (Little's law), and a margin.
 	ThroughputLimit LimitAlgorithm = "rate"
 )
 
@@ -31,32 +31,33 @@
 var LimitAlgorithms = []LimitAlgorithm{FixedLimit, AIMDLimit, GradientLimit, VegasLimit, ThroughputLimit}
 
 const (
-	// latencyTolerance is how many times the best latency is still as good as the best.
+	// latencyTolerance is the latency ratio up to which a latency counts as good as the best one.
 	latencyTolerance = 1.5
-	// errorBounds is how many standard errors the latency ratio must be above a threshold.
+	// errorBounds is by how many standard errors the latency ratio must exceed a threshold to count as
+	// above it.
 	errorBounds = 2
-	// smoothing is the part of the way to its target that the limit goes in one window.
+	// smoothing is the part of the difference to its target by which the limit moves in one window.
 	smoothing = 0.3
 
 	aimdIncrease = 1.0 // slots
 	aimdBackoff  = 0.9
 
-	minLatencyRatio = 0.01 // bounds the ratio by which the gradient is divided
+	minLatencyRatio = 0.01 // lower bound of the latency ratio, by which latencyTolerance is divided
 
-	// The Vegas step is the decimal logarithm of the limit (at least vegasMinLimit) times
-	// vegasStepFactor. The limit grows while fewer than vegasLow steps of requests wait, and falls
-	// while more than vegasHigh do.
+	// The Vegas step, in slots, is the decimal logarithm of the limit (at least vegasMinLimit) times
+	// vegasStepFactor. The limit grows by a step while fewer than vegasLow steps of requests wait, and
+	// falls by a step while more than vegasHigh steps wait.
 	vegasMinLimit   = 10
 	vegasStepFactor = 2
 	vegasLow        = 3
 	vegasHigh       = 6
 
-	demandWindows    = 20  // windows of which the highest demand counts
-	throughputMargin = 1.3 // times what that demand needs
+	demandWindows    = 20  // number of the last windows whose highest demand counts
+	throughputMargin = 1.3 // factor of the highest demand
 )
 
-// targetByAlgorithm returns where an algorithm moves the limit after a window with a known latency
-// ratio. Latency counts as higher only beyond its uncertainty.
+// targetByAlgorithm returns the limit by an algorithm after a window with a known latency ratio. The
+// ratio is reduced by its uncertainty, so that chance alone does not count as a higher latency.
 func (l *adaptiveLimit) targetByAlgorithm(algorithm LimitAlgorithm, w *limitWindow) float64 {
 	ratio := w.ratio - errorBounds*w.ratioError
 	switch algorithm {
@@ -103,7 +104,7 @@
 		highest = max(highest, demand)
 	}
 	target := highest*throughputMargin + math.Sqrt(l.limit)
-	if ratio <= latencyTolerance { // without a queue there is no reason for fewer slots
+	if ratio <= latencyTolerance { // without a queue there is no reason to lower the limit
 		target = max(target, l.limit)
 	}
 	return l.limit + (target-l.limit)*smoothing
--- a/internal/balancer/bulkhead/limit_test.go
+++ b/internal/balancer/bulkhead/limit_test.go
@@ -9,14 +9,14 @@
 	"ryepaddle/internal/balancer/latency"
 )
 
-// testServers are workers behind one queue.
+// testServers models servers as workers behind one queue.
 type testServers struct {
 	workers    int
-	slowFactor float64
-	freeAt     []time.Duration // by worker: when it has done the work that it has
+	slowFactor float64         // factor of the time of each request
+	freeAt     []time.Duration // by worker: when it has completed its requests
 }
 
-// take returns how long a request takes, with the time that it waits for a worker.
+// take returns the latency of a request, including its wait for a worker.
 func (s *testServers) take(now, work time.Duration) time.Duration {
 	for len(s.freeAt) < s.workers {
 		s.freeAt = append(s.freeAt, now)
@@ -31,13 +31,13 @@
 	return s.freeAt[first] - now
 }
 
-// scale multiplies a span, cut to whole microseconds.
+// scale multiplies a duration by a factor, and cuts the result to whole microseconds.
 func scale(d time.Duration, factor float64) time.Duration {
 	return latency.FromMicros(latency.Micros(d) * factor)
 }
 
-// limitsUnderLoad plays a scheduler before such servers, with requests waiting all the time. It
-// returns the limits, one each second.
+// limitsUnderLoad simulates a scheduler in front of testServers, with requests waiting all the time.
+// change is called at the start of each second. It returns the limit at the end of each second.
 func limitsUnderLoad(
 	t *testing.T,
 	algorithm LimitAlgorithm,
@@ -67,15 +67,15 @@
 			for w.s.Waiting() < 10 {
 				w.offer(&Request{Class: rnd.IntN(2), Deadline: w.now + far})
 			}
-			w.pass(5 * ms)
+			w.advance(5 * ms)
 		}
 		limits = append(limits, w.s.limit.limit)
 	}
 	return limits
 }
 
-// Each algorithm finds about the number of workers, falls where the servers become slower, and comes
-// back without much overshoot.
+// Guards against algorithms that do not follow the servers: the limit must come to about the number of
+// workers, not collapse while the servers are slower, and recover after that without much overshoot.
 func TestLimitFollowsTheServers(t *testing.T) {
 	for _, algorithm := range LimitAlgorithms[1:] {
 		limits := limitsUnderLoad(t, algorithm, 1, 120, func(sec int, s *testServers) {
@@ -94,7 +94,7 @@
 		slowLo, _ := span(47, 75)
 		backLo, backHi := span(100, 120)
 		t.Logf(
-			"%s: %.0f to %.0f for 40 workers; %.0f while they are slow; %.0f to %.0f after that",
+			"%s: limit %.0f to %.0f for 40 workers; at least %.0f while they are slow; %.0f to %.0f after that",
 			algorithm,
 			calmLo,
 			calmHi,
@@ -103,12 +103,12 @@
 			backHi,
 		)
 		if calmLo < 18 || calmHi > 90 || slowLo < 8 || backLo < 20 || backHi > 180 {
-			t.Errorf("%s: %.0f", algorithm, limits)
+			t.Errorf("%s: limits out of range; by second: %.0f", algorithm, limits)
 		}
 	}
 }
 
-// One request among them runs all the time.
+// One request runs for the whole test: a single long run must not disturb the limit.
 func TestLimitIsSteadyNearTheCapacityOfTheServers(t *testing.T) {
 	cfg := testConfig()
 	cfg.LimitAlgorithm, cfg.InitialLimit = GradientLimit, 40
@@ -123,12 +123,12 @@
 	w.offer(&Request{Class: 2, Attachment: "long", Deadline: far})
 	for w.now < 40_000*ms {
 		w.offer(&Request{Class: rnd.IntN(3), Deadline: w.now + 2000*ms})
-		w.pass(scale(1600*time.Microsecond, rnd.ExpFloat64()) + time.Microsecond) // 0.94 of 40 workers
+		w.advance(scale(1600*time.Microsecond, rnd.ExpFloat64()) + time.Microsecond) // a load of 0.94 of the 40 workers
 		if l := w.s.limit.limit; w.now > 5000*ms && w.s.limit.reducedFrom == 0 && (l < 30 || l > 120) {
-			t.Fatalf("limit %.0f after %v", l, w.now)
+			t.Fatalf("limit after %[2]v = %[1].0f, want 30 to 120", l, w.now)
 		}
 	}
 	if c := w.s.Counts; c.TooLate+c.QueueFull+c.Displaced > c.Granted/100 {
-		t.Errorf("%+v", c)
+		t.Errorf("more than 1 %% of the requests were dropped: %+v", c)
 	}
 }
--- a/internal/balancer/bulkhead/pool.go
+++ b/internal/balancer/bulkhead/pool.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// pool is a pool with its queue and its running requests.
+// pool is a configured pool with its queue and its running requests.
 type pool struct {
 	Pool
 	queue       waitingQueue
-	first, last *Request // running ones, in the order of their start
+	first, last *Request // list of the running requests, in the order of their start
 	running     int
-	pass        float64       // of the stride scheduling by weight: microseconds over weight
+	pass        float64       // pass value of the stride scheduling: slot time in microseconds, divided by the weight
 	grantedAt   time.Duration // monotonic; when it last got a slot
 
-	// Of the count of the runs that will have ended within the reclaim time; see returningRuns.
-	firstLate      *Request // the first run that may take longer; nil: none does
+	// The count of the runs that will have ended within the reclaim time; see returningRuns.
+	firstLate      *Request // the first run that may take longer; nil: no run does
 	returning      int      // runs before firstLate
-	countedLongest int      // value of Scheduler.longestChanges at which they were counted
+	countedLongest int      // value of Scheduler.longestChanges when they were last counted in full
 }
 
-// charge accounts slot time (microseconds) to the pool: slots are shared by the time for which they
-// are taken, as by their number long work would get more than short work.
+// charge adds slot time, in microseconds, to the pass value of the pool. Slots are shared by the time
+// for which they are held: shared by number, long requests would get more than short ones.
 func (p *pool) charge(micros float64) {
 	if p.Weight > 0 {
 		p.pass += micros / p.Weight
 	}
 }
 
-// addRun appends a request to the running ones.
+// addRun appends a request to the list of the running requests.
 func (p *pool) addRun(r *Request) {
 	r.previous = p.last
 	r.next = nil
@@ -41,6 +41,7 @@
 	p.running++
 }
 
+// removeRun removes a request from the list of the running requests.
 func (p *pool) removeRun(r *Request) {
 	isReturning := p.returning > 0 && p.isBeforeFirstLate(r)
 	if p.firstLate == r {
@@ -63,8 +64,8 @@
 	p.running--
 }
 
-// isBeforeFirstLate reports whether a run is among those that count as returning. Runs that started
-// at the same time are distinguished by their places in the list.
+// isBeforeFirstLate reports whether a run is before firstLate in the list, and so counts as returning.
+// Runs that started at the same time are told apart by their places in the list.
 func (p *pool) isBeforeFirstLate(r *Request) bool {
 	if p.firstLate == nil {
 		return true
--- a/internal/balancer/bulkhead/queue.go
+++ b/internal/balancer/bulkhead/queue.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// A tenant or caller may have in the queue what the pool can run at once, multiplied by
-	// burstFactor, but at least minBurst, before that counts as overuse.
+	// A tenant or caller overuses the queue if it has more than its fair share in it. Fair shares are
+	// parts of the number of requests that the pool can run at once, multiplied by burstFactor, but at
+	// least minBurst.
 	burstFactor = 4
 	minBurst    = 8
-	// minTenantShare bounds the share of a tenant from below.
+	// minTenantShare is the lower bound of the share of a tenant.
 	minTenantShare = 0.01
 )
 
-// waitingQueue holds the waiting requests of one pool in the order in which they are granted: those
-// of tenants and callers that keep to their parts of the queue first, of these the ones that can
-// keep their latency objectives, and of these the one with the earliest target.
+// waitingQueue holds the waiting requests of one pool in the order in which they are granted slots:
+// first by the overuse of their tenants and callers, then those that can keep their latency objectives
+// before those that cannot, then by the earliest target.
 type waitingQueue struct {
 	order    []*Request
-	byTenant map[int]int // number of waiting requests
-	byCaller map[uint32]int
+	byTenant map[int]int    // number of waiting requests by tenant
+	byCaller map[uint32]int // number of waiting requests by caller
 }
 
 func (q *waitingQueue) length() int { return len(q.order) }
 
+// compareRequests orders requests as they are granted slots.
 func compareRequests(a, b *Request) int {
 	switch {
 	case a.overuse != b.overuse:
@@ -37,15 +39,16 @@
 	return cmp.Compare(a.target(), b.target())
 }
 
-// overuseOf returns how many times over their parts of the queue the tenant and the caller of a
-// request are, the larger of both. Parts are of those that wait now: a tenant that is alone may
-// have the whole queue. share is that of the tenant; callers have equal shares.
+// overuseOf returns how many times the tenant or the caller of a request fills its fair share of the
+// queue, as a whole number, the larger of both. The queue is shared among those that have requests in
+// it now: a tenant that is alone may have the whole queue. share is the configured share of the
+// tenant; callers have equal shares.
 func (q *waitingQueue) overuseOf(r *Request, share float64, maxLength, slots int) int {
 	if q.byTenant == nil {
 		q.byTenant = map[int]int{}
 		q.byCaller = map[uint32]int{}
 	}
-	part := func(others int, share float64) float64 {
+	fairShare := func(others int, share float64) float64 {
 		if others == 0 {
 			return float64(maxLength)
 		}
@@ -59,12 +62,12 @@
 	if q.byCaller[r.Caller] > 0 {
 		otherCallers--
 	}
-	ofTenant := float64(q.byTenant[r.Tenant]) / part(otherTenants, max(share, minTenantShare))
-	ofCaller := float64(q.byCaller[r.Caller]) / part(otherCallers, 1/float64(otherCallers+1))
+	ofTenant := float64(q.byTenant[r.Tenant]) / fairShare(otherTenants, max(share, minTenantShare))
+	ofCaller := float64(q.byCaller[r.Caller]) / fairShare(otherCallers, 1/float64(otherCallers+1))
 	return max(int(ofTenant), int(ofCaller))
 }
 
-// add inserts a request behind its equals.
+// add inserts a request behind those of the same rank.
 func (q *waitingQueue) add(r *Request) {
 	i, _ := slices.BinarySearchFunc(q.order, r, compareRequests)
 	for i < len(q.order) && compareRequests(q.order[i], r) == 0 {
@@ -75,6 +78,7 @@
 	q.byCaller[r.Caller]++
 }
 
+// remove removes a request, which must be in the queue.
 func (q *waitingQueue) remove(r *Request) {
 	i, _ := slices.BinarySearchFunc(q.order, r, compareRequests)
 	for q.order[i] != r {
@@ -85,7 +89,7 @@
 	decrement(q.byCaller, r.Caller)
 }
 
-// decrement lowers a count, and drops it when it is 0.
+// decrement decrements a count, and deletes its entry when it reaches 0.
 func decrement[K comparable](counts map[K]int, key K) {
 	counts[key]--
 	if counts[key] == 0 {
@@ -93,7 +97,7 @@
 	}
 }
 
-// head returns the request that is granted next; nil: the queue is empty.
+// head returns the request that is granted a slot next, or nil if the queue is empty.
 func (q *waitingQueue) head() *Request {
 	if len(q.order) == 0 {
 		return nil
@@ -101,7 +105,7 @@
 	return q.order[0]
 }
 
-// clear empties the queue, and returns what was in it.
+// clear empties the queue, and returns the requests that were in it.
 func (q *waitingQueue) clear() []*Request {
 	requests := q.order
 	*q = waitingQueue{}
--- a/internal/balancer/bulkhead/request.go
+++ b/internal/balancer/bulkhead/request.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Request is a request that wants a slot. The caller fills in the exported fields, and keeps the
-// request until it is granted and done, or dropped.
+// Request is a request for a slot. The caller sets the exported fields, and keeps the request unchanged
+// until it is done, dropped or cancelled.
 type Request struct {
 	Class    int
-	Tenant   int // or NoTenant
+	Tenant   int // number of the tenant, or NoTenant
 	Caller   uint32
-	Deadline time.Duration // monotonic; its result is worth nothing after that
-	// Objective is the monotonic time after which its result is worth less; 0: not known.
+	Deadline time.Duration // monotonic; a result after it is worth nothing
+	// Objective is the monotonic time of the latency objective, after which a result is worth less;
+	// 0: not known.
 	Objective     time.Duration
 	Attachment    any  // state that the caller keeps with the request
-	MayUseReserve bool // it may have a slot of the reserve if it would come too late otherwise
+	MayUseReserve bool // it may use a slot of a reserve if it would be too late otherwise
 
 	pool            *pool
 	state           requestState
-	missesObjective bool          // its latency objective cannot be kept any more
-	overuse         int           // how many times over their parts of the queue its tenant or caller is
-	startedAt       time.Duration // monotonic; when it was granted
-	chargedMicros   float64       // that its pool was charged when it was granted
+	missesObjective bool          // the latency objective cannot be kept any more
+	overuse         int           // see waitingQueue.overuseOf
+	startedAt       time.Duration // monotonic; when it was granted a slot
+	chargedMicros   float64       // slot time that was charged to its pool when it was granted a slot
 
 	previous, next *Request // in the list of the running requests of its pool
 }
@@ -47,17 +48,17 @@
 	return min(r.Objective, r.Deadline)
 }
 
-// DropReason is why a request was dropped.
+// DropReason is the reason why a request was dropped.
 type DropReason uint8
 
 // The reasons.
 const (
-	TooLate   DropReason = iota + 1 // it would miss its deadline, by the requests ahead of it
-	QueueFull                       // the queue was full, and it was the least valuable
-	Displaced                       // a more valuable request could be in time only without it
+	TooLate   DropReason = iota + 1 // it would miss its deadline, given the requests ahead of it
+	QueueFull                       // the queue was full, and this request was the first to be dropped from it
+	Displaced                       // a more valuable request behind it could be in time only without it
 )
 
-// String returns the reason as operators read it.
+// String returns the text for operators.
 func (r DropReason) String() string {
 	switch r {
 	case TooLate:
@@ -70,8 +71,9 @@
 	return fmt.Sprintf("bulkhead.DropReason(%d)", uint8(r))
 }
 
-// Dropped is a request that was dropped without having had a slot. Wanted and Available say what was
-// compared: microseconds, or for QueueFull the length of the queue and its limit.
+// Dropped is a request that was dropped without having had a slot. Wanted and Available are the
+// numbers that were compared: the time to the end of the request and the time left, in microseconds,
+// or for QueueFull the length of the queue and its limit.
 type Dropped struct {
 	*Request
 	Reason    DropReason
@@ -84,7 +86,7 @@
 
 // The outcomes.
 const (
-	Success      Outcome = iota // its time tells how long work takes
+	Success      Outcome = iota // its run time is a measurement of its class
 	Failure                     // the servers may be overloaded
-	Inconclusive                // nothing
+	Inconclusive                // it says nothing about the servers
 )
--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -1,17 +1,19 @@
 // Package bulkhead implements bulkheads: it decides which of the admitted requests get a slot at a
 // group of servers now, and which wait. The policy is weighted fair queueing (stride scheduling,
 // Waldspurger 1995) with guaranteed minimum shares and borrowing. It does no I/O: the caller reports
-// requests, their ends and the time, and takes the decisions. Package waitqueue is that caller.
+// requests, their ends and the time, and carries the decisions out. Package waitqueue is that caller.
 //
-// A Scheduler shares the slots of one group of servers among pools. It finds the number of slots
-// itself, by an adaptive limit (limit.go). A pool has a floor that it owns, a ceiling, and a weight
-// by which the remaining slots are shared. A floor that its pool does not need is lent; borrowed
-// slots come back within the reclaim time, which bounds what long work can borrow (borrowing.go). A
-// reserve is a floor that is never lent. Within a pool the requests of tenants and callers that keep
-// to their shares go first, and of these the one with the earliest target (queue.go). Requests that
-// cannot be in time are dropped at once (dropping.go).
+// A Scheduler shares the slots of one group of servers among pools. The number of slots is an
+// adaptive limit (limit.go). A pool has a floor, which is guaranteed to it, a ceiling, and a weight by
+// which the remaining slots are shared. Slots of a floor that its pool does not need are lent to
+// other pools; borrowed slots come back within the reclaim time, which bounds how much long-running
+// requests can borrow (borrowing.go). A reserve is a floor that is never lent. Within a pool the
+// requests of tenants and callers that keep to their fair shares of the queue go first, and of these
+// the one with the earliest target (queue.go). Requests that cannot be in time are dropped at once
+// (dropping.go).
 //
-// Times are monotonic and whole microseconds. A scheduler is used by one goroutine.
+// Times are monotonic, and latencies are measured in whole microseconds. A scheduler is used by one
+// goroutine.
 package bulkhead
 
 import (
@@ -22,10 +24,10 @@
 )
 
 const (
-	// meanWindow is the number of runs over which the mean run time of a class goes.
+	// meanWindow is the window of the mean run time of a class, in runs.
 	meanWindow = 64
-	// longestDecay is the number of runs over which the longest run time of a class falls back to
-	// the mean: one long run in some hundreds shows what the next one may be like.
+	// longestDecay is the number of runs over which the longest run time of a class decays towards
+	// the mean: one long run in some hundreds shows how long the next one may take.
 	longestDecay = 256
 )
 
@@ -33,33 +35,33 @@
 type Scheduler struct {
 	cfg     Config
 	pools   []*pool // in the order of the configuration
-	removed []*pool // no longer configured, with requests that still run
+	removed []*pool // pools that are no longer configured, and have running requests
 	classes []classStats
 	limit   adaptiveLimit
 	running int
 	// poolsWithFloor is the number of pools that have a floor.
 	poolsWithFloor int
-	// longestChanges counts how often the longest run time of a class has grown.
+	// longestChanges counts how often the longest run time of any class has grown.
 	longestChanges int
-	now            time.Duration // monotonic; of the current call
+	now            time.Duration // monotonic; the time of the current call
 
-	granted []*Request
-	dropped []Dropped
-	Counts  Counts // since the start
+	granted []*Request // since the last TakeDecisions
+	dropped []Dropped  // since the last TakeDecisions
+	Counts  Counts     // since the start
 }
 
 // Counts are numbers of requests since the start.
 type Counts struct {
 	Granted, Completed, TooLate, QueueFull, Displaced int
-	Borrowed                                          int // granted beyond the floor of their pool
-	ReserveGrants                                     int // granted from the reserve of another pool
+	Borrowed                                          int // granted a slot beyond the floor of their pool
+	ReserveGrants                                     int // granted a slot of the reserve of another pool
 }
 
-// classStats holds what is measured of a class.
+// classStats holds the measurements of a class.
 type classStats struct {
-	meanMicros    latency.Mean // of run times
-	longestMicros float64      // longest run time lately
-	running       int
+	meanMicros    latency.Mean // mean run time
+	longestMicros float64      // longest recent run time
+	running       int          // running requests
 }
 
 // New returns a scheduler for a configuration that Validate accepts.
@@ -70,8 +72,9 @@
 	return s
 }
 
-// Configure changes the parameters under load. Pools are matched by name, classes and tenants by
-// number. Running requests go on, and waiting ones move to the pool that takes them now.
+// Configure changes the parameters, also while requests wait or run. Pools are matched by name,
+// classes and tenants by number. Running requests keep their slots, and waiting ones move to the pool
+// that takes them now.
 func (s *Scheduler) Configure(cfg Config, now time.Duration) {
 	s.now = now
 	moved := s.replacePools(cfg.Pools)
@@ -88,7 +91,7 @@
 }
 
 // replacePools sets the pools, and returns the requests that waited in the former ones. A pool that
-// is no longer configured remains while requests of it run.
+// is no longer configured is kept while requests of it run.
 func (s *Scheduler) replacePools(configured []Pool) (waiting []*Request) {
 	former := append(s.pools, s.removed...)
 	s.pools = nil
@@ -121,7 +124,7 @@
 // Limit returns the current number of slots.
 func (s *Scheduler) Limit() int { return int(s.limit.current()) }
 
-// Running returns how many slots are taken.
+// Running returns how many requests have a slot.
 func (s *Scheduler) Running() int { return s.running }
 
 // Waiting returns how many requests wait.
@@ -132,8 +135,8 @@
 	return n
 }
 
-// SetCapacity bounds the limit by the number of requests that the servers can take together; 0: not
-// known.
+// SetCapacity sets an upper bound of the limit: the number of requests that the servers can take
+// together; 0: not known.
 func (s *Scheduler) SetCapacity(requests int) { s.limit.capacity = float64(requests) }
 
 // TakeDecisions returns the requests that were granted and dropped since the last call.
@@ -144,7 +147,8 @@
 	return granted, dropped
 }
 
-// Enqueue lets a request wait for a slot. It is dropped at once if it cannot be in time.
+// Enqueue adds a request to the queue of its pool. It may be granted a slot at once, or dropped at once
+// if it cannot be in time or the queue is full.
 func (s *Scheduler) Enqueue(r *Request, now time.Duration) {
 	s.now = now
 	p := s.poolOf(r.Class, r.Tenant, int64(r.Caller))
@@ -159,11 +163,10 @@
 		s.dropFromFullQueue(p)
 	}
 	s.grantSlots()
-	s.dropHopeless(p, r)
+	s.dropLate(p, r)
 }
 
-// poolOf returns the first pool that takes a request. Validate has refused a configuration without
-// one.
+// poolOf returns the first pool that takes a request. Validate rejects a configuration without one.
 func (s *Scheduler) poolOf(class, tenant int, caller int64) *pool {
 	for _, p := range s.pools {
 		if p.takes(class, tenant, caller) {
@@ -173,7 +176,7 @@
 	return s.pools[len(s.pools)-1]
 }
 
-// Cancel removes a waiting request, and reports whether it was waiting. One that runs is not
+// Cancel removes a waiting request, and reports whether it was waiting. A running request is not
 // affected.
 func (s *Scheduler) Cancel(r *Request, now time.Duration) bool {
 	s.now = now
@@ -185,7 +188,7 @@
 	return true
 }
 
-// Done returns the slot of a request. It has no effect on a request that has none.
+// Done releases the slot of a request. It has no effect on a request that has no slot.
 func (s *Scheduler) Done(r *Request, outcome Outcome, now time.Duration) {
 	if r.state != stateGranted {
 		return
@@ -212,6 +215,7 @@
 	s.grantSlots()
 }
 
+// learnRunTime updates the mean and the longest run time of a class.
 func (s *Scheduler) learnRunTime(class int, micros float64) {
 	c := &s.classes[class]
 	c.meanMicros.Add(micros, meanWindow)
@@ -222,19 +226,19 @@
 	}
 }
 
-// Tick drops requests that have become hopeless, and grants what time alone has made possible. It is
-// to be called each 10 to 100 ms.
+// Tick drops the requests that cannot be in time any more, and grants the slots that have become
+// available by the passing of time. The caller has to call it every 10 to 100 ms.
 func (s *Scheduler) Tick(now time.Duration) {
 	s.now = now
 	s.limit.endWindow(&s.cfg, now)
 	for _, p := range s.pools {
-		s.dropHopeless(p, nil)
+		s.dropLate(p, nil)
 	}
 	s.grantSlots()
 }
 
-// RetryAfter returns after how long there may be a slot for a request of a class that was dropped:
-// the requests that wait in its pool go first.
+// RetryAfter returns the estimated time until a request of a class that was dropped can get a slot,
+// given that the requests waiting in its pool go first.
 func (s *Scheduler) RetryAfter(class, tenant int) time.Duration {
 	p := s.poolOf(class, tenant, 0)
 	ahead := float64(p.queue.length() + 1)
--- a/internal/balancer/bulkhead/simulation_test.go
+++ b/internal/balancer/bulkhead/simulation_test.go
@@ -8,10 +8,11 @@
 
 const (
 	ms  = time.Millisecond
-	far = 300 * 24 * time.Hour // a deadline that does not matter
+	far = 300 * 24 * time.Hour // a deadline that is never reached
 )
 
-// testConfig has three pools of 20 slots, the second one a reserve, by class.
+// testConfig returns a configuration of 20 slots with one pool for each of three classes. The second
+// pool is a reserve.
 func testConfig() Config {
 	return Config{
 		Pools: []Pool{
@@ -35,7 +36,7 @@
 	}
 }
 
-// runs are the running requests, as a heap by their ends.
+// runs holds the running requests as a heap, ordered by their ends.
 type (
 	runs []*run
 	run  struct {
@@ -54,43 +55,43 @@
 	return x
 }
 
-type failer interface{ Fatalf(string, ...any) }
+type testReporter interface{ Fatalf(string, ...any) }
 
-// The states of a request in a simulation.
+// The states of an open request in a simulation.
 const (
-	isOffered = "offered"
-	isGranted = "granted"
+	requestOffered = "offered"
+	requestGranted = "granted"
 )
 
-// simulation plays a scheduler with runs of known lengths, and checks after each step what must
-// always hold.
+// simulation drives a scheduler with runs of known lengths, and checks its invariants after each step.
 type simulation struct {
-	t         failer
-	s         *Scheduler
-	now       time.Duration
-	running   runs
-	took      func(*Request) time.Duration
-	open      map[*Request]string        // by request: its state
-	granted   []int                      // by class
-	longest   []time.Duration            // longest wait of a granted request, by class
-	offeredAt map[*Request]time.Duration // by request
-	answered  int
+	t            testReporter
+	s            *Scheduler
+	now          time.Duration
+	running      runs
+	took         func(*Request) time.Duration // returns the run time of a request
+	open         map[*Request]string          // states of the requests that have not ended
+	granted      []int                        // granted requests, by class
+	longestWaits []time.Duration              // longest wait of a granted request, by class
+	offeredAt    map[*Request]time.Duration   // time of the enqueuing, by request
+	ended        int                          // requests that ended, or were dropped or cancelled
 }
 
-func newSimulation(t failer, cfg Config, took func(*Request) time.Duration) *simulation {
+func newSimulation(t testReporter, cfg Config, took func(*Request) time.Duration) *simulation {
 	return &simulation{
-		t:         t,
-		s:         New(cfg, 0),
-		took:      took,
-		open:      map[*Request]string{},
-		granted:   make([]int, len(cfg.Classes)),
-		longest:   make([]time.Duration, len(cfg.Classes)),
-		offeredAt: map[*Request]time.Duration{},
+		t:            t,
+		s:            New(cfg, 0),
+		took:         took,
+		open:         map[*Request]string{},
+		granted:      make([]int, len(cfg.Classes)),
+		longestWaits: make([]time.Duration, len(cfg.Classes)),
+		offeredAt:    map[*Request]time.Duration{},
 	}
 }
 
+// offer enqueues a request.
 func (w *simulation) offer(r *Request) {
-	w.open[r], w.offeredAt[r] = isOffered, w.now
+	w.open[r], w.offeredAt[r] = requestOffered, w.now
 	w.s.Enqueue(r, w.now)
 	w.check()
 }
@@ -98,24 +99,24 @@
 // waiting returns how many requests wait in the pool of a class.
 func (w *simulation) waiting(class int) int { return w.s.poolOf(class, 0, 0).queue.length() }
 
-// check takes the decisions, and compares the scheduler with what the simulation knows.
+// check takes the decisions, and checks them and the state of the scheduler.
 func (w *simulation) check() {
 	granted, dropped := w.s.TakeDecisions()
 	for _, r := range granted {
-		if w.open[r] != isOffered {
-			w.t.Fatalf("granted: %q", w.open[r])
+		if w.open[r] != requestOffered {
+			w.t.Fatalf("a request in state %q was granted a slot, want one that waits", w.open[r])
 		}
-		w.open[r] = isGranted
+		w.open[r] = requestGranted
 		w.granted[r.Class]++
-		w.longest[r.Class] = max(w.longest[r.Class], w.now-w.offeredAt[r])
+		w.longestWaits[r.Class] = max(w.longestWaits[r.Class], w.now-w.offeredAt[r])
 		heap.Push(&w.running, &run{r, w.now + w.took(r)})
 	}
 	for _, d := range dropped {
-		if w.open[d.Request] != isOffered {
-			w.t.Fatalf("dropped: %q", w.open[d.Request])
+		if w.open[d.Request] != requestOffered {
+			w.t.Fatalf("a request in state %q was dropped, want one that waits", w.open[d.Request])
 		}
 		delete(w.open, d.Request)
-		w.answered++
+		w.ended++
 	}
 	running := w.checkCounts()
 	w.checkPools(running)
@@ -127,21 +128,21 @@
 func (w *simulation) checkCounts() (running int) {
 	waiting := 0
 	for _, state := range w.open {
-		if state == isGranted {
+		if state == requestGranted {
 			running++
 		} else {
 			waiting++
 		}
 	}
 	if running != w.s.Running() || waiting != w.s.Waiting() {
-		w.t.Fatalf("%d run and %d wait, the scheduler says %d and %d",
+		w.t.Fatalf("%d requests run and %d wait, the scheduler reports %d and %d",
 			running, waiting, w.s.Running(), w.s.Waiting())
 	}
 	return running
 }
 
-// checkPools compares the lists of running requests, and the count of the returning ones with what
-// a full count gives.
+// checkPools compares the counts of running requests with the lists of the pools, and the counts of
+// returning runs with full counts.
 func (w *simulation) checkPools(running int) {
 	sum := 0
 	for _, p := range append(slices.Clone(w.s.pools), w.s.removed...) {
@@ -153,29 +154,30 @@
 			}
 		}
 		if got := w.s.returningRuns(p); n != p.running || got > returning {
-			w.t.Fatalf("pool %s: %d run of %d, %d of %d count as returning", p.Name, n, p.running, got, returning)
+			w.t.Fatalf("pool %s: %d requests in the list, running is %d; %d runs count as returning, want at most %d",
+				p.Name, n, p.running, got, returning)
 		}
 		sum += n
 	}
 	if sum != running {
-		w.t.Fatalf("%d run, %d in the pools", running, sum)
+		w.t.Fatalf("%d requests run, the pools have %d", running, sum)
 	}
 }
 
 func (w *simulation) checkLimits(granted []*Request, running int) {
 	if running > w.s.Limit() {
-		w.t.Fatalf("%d run, and the limit is %d", running, w.s.Limit())
+		w.t.Fatalf("%d requests run, more than the limit of %d", running, w.s.Limit())
 	}
 	for _, p := range w.s.pools {
 		hasGrant := slices.ContainsFunc(granted, func(r *Request) bool { return r.pool == p })
 		if hasGrant && p.running > w.s.ceilingSlots(p) {
-			w.t.Fatalf("pool %s: %d run, its ceiling is %d", p.Name, p.running, w.s.ceilingSlots(p))
+			w.t.Fatalf("pool %s: %d requests run, more than its ceiling of %d", p.Name, p.running, w.s.ceilingSlots(p))
 		}
 	}
 }
 
-// pass lets time pass, with the ends and the ticks that come meanwhile.
-func (w *simulation) pass(d time.Duration) {
+// advance lets time pass, with the ends of runs and the ticks that are due by then.
+func (w *simulation) advance(d time.Duration) {
 	for end := w.now + d; w.now < end || len(w.running) > 0 && w.running[0].end <= end; {
 		tick := w.now - w.now%(20*ms) + 20*ms
 		if len(w.running) > 0 && w.running[0].end <= min(tick, end) {
@@ -191,18 +193,18 @@
 
 func (w *simulation) end(r *Request, outcome Outcome) {
 	delete(w.open, r)
-	w.answered++
+	w.ended++
 	w.s.Done(r, outcome, w.now)
 }
 
-// keepWaiting has n requests of a class wait at all times for d.
+// keepWaiting lets time pass, and offers requests so that n requests of a class wait throughout.
 func (w *simulation) keepWaiting(class, n int, d time.Duration) {
-	for end := w.now + d; w.now < end; w.pass(5 * ms) {
+	for end := w.now + d; w.now < end; w.advance(5 * ms) {
 		w.fill(class, n)
 	}
 }
 
-// fill offers requests of a class until n wait.
+// fill offers requests of a class until n of its pool wait.
 func (w *simulation) fill(class, n int) {
 	for w.waiting(class) < n {
 		w.offer(&Request{Class: class, Deadline: w.now + far})
