--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -1,5 +1,5 @@
-// Package concurrencylimit implements an adaptive concurrency limit for one server: it finds how
-// many requests the server can work on at once. The policy is the gradient algorithm of Netflix's
+// Package concurrencylimit implements an adaptive concurrency limit for one server: it estimates how
+// many requests the server can process at once. The policy is the gradient algorithm of Netflix's
 // concurrency-limits library (GradientLimit) and of Envoy's adaptive concurrency filter. It does no
 // I/O; package picker, which keeps a limit for each server, reports the latency and the end of each
 // request.
@@ -9,9 +9,10 @@
 // whose latency does not rise gets a limit that is higher by the square root of the limit, as long
 // as the limit is used. A rise within the tolerance does not count.
 //
-// The best latency has to be measured again from time to time: under steady load a queue would
-// otherwise come to be taken for the server's own latency. For that the limit is halved for two
-// windows, and the mean latency of the second one, when the queue has drained, is the new best.
+// The best latency is measured again from time to time: under steady load the time that requests
+// spend in a queue would otherwise come to count as the server's own latency. For that the limit is
+// halved for two windows, and the mean latency of the second one, when the queue has drained, is the
+// new best latency.
 package concurrencylimit
 
 import (
@@ -26,16 +27,16 @@
 	Initial    int           // requests; the limit of a server that has not been measured
 	Min        int           // requests; the limit never falls below it
 	Max        int           // requests; the limit never rises above it
-	MinWindow  time.Duration // a window lasts at least this long
-	MinSamples int           // requests; a window has at least this number
+	MinWindow  time.Duration // minimum duration of a window
+	MinSamples int           // minimum number of requests that end in a window
 	// LatencyTolerance is the factor by which a latency may exceed the best one without effect.
 	LatencyTolerance float64
-	BackoffRatio     float64 // the limit is multiplied by it after a window with overload
-	Smoothing        float64 // part of the way to the new limit that one window goes; 0 to 1
+	BackoffRatio     float64 // factor of the limit after a window with overload
+	Smoothing        float64 // part of the difference to its target by which the limit moves in one window; 0 to 1
 	ProbeInterval    int     // windows after which the best latency is measured again
 }
 
-// DefaultConfig returns the default parameters with an upper bound of maxRequests.
+// DefaultConfig returns the default parameters, with maxRequests as the upper bound of the limit.
 func DefaultConfig(maxRequests int) Config {
 	return Config{
 		Initial:          min(8, maxRequests),
@@ -52,14 +53,15 @@
 
 const (
 	// measureWindows is for how many windows the limit is halved to measure the best latency. The
-	// first one still sees the queue from before.
+	// first of them still sees the queue of the time before.
 	measureWindows = 2
-	// measureGiveUp is after how many probe intervals a measurement without a success ends.
+	// measureGiveUp is the number of probe intervals since the last measurement after which a
+	// measurement in which no request succeeds is given up.
 	measureGiveUp = 2
-	// minGradient bounds by how much one window may lower the limit.
+	// minGradient is the lowest factor of the limit in one window.
 	minGradient = 0.5
-	// overloadDivisor: more than one overloaded request for this number of successes lowers the
-	// limit.
+	// overloadDivisor: a window with more than one overloaded request for this number of successes
+	// lowers the limit.
 	overloadDivisor = 10
 )
 
@@ -69,14 +71,14 @@
 	minimum   int
 	best      latency.Best
 	measuring bool // the limit is halved, to measure the best latency
-	windows   int  // since the best latency was measured
+	windows   int  // number of windows since the best latency was measured
 
 	// Of the current window:
 	windowStart time.Duration // monotonic; 0: no request has ended yet
-	latencySum  float64       // microseconds, of the requests that succeeded
-	succeeded   int
-	overloaded  int
-	peak        int // most requests in flight at once
+	latencySum  float64       // sum over the requests that succeeded, in microseconds
+	succeeded   int           // requests
+	overloaded  int           // requests
+	peak        int           // most requests in flight at once
 }
 
 // New returns the limit of a server that has not been measured.
@@ -90,18 +92,19 @@
 	return int(l.limit)
 }
 
-// Sent reports a request that was sent, and how many are in flight with it.
+// Sent reports a request that was sent. inFlight is the number of requests in flight, this one
+// included.
 func (l *Limit) Sent(inFlight int) { l.peak = max(l.peak, inFlight) }
 
-// Succeeded reports at the monotonic time now a request that succeeded, and its latency.
+// Succeeded reports a request that succeeded at the monotonic time now, and its latency.
 func (l *Limit) Succeeded(cfg *Config, took, now time.Duration) {
 	l.latencySum += latency.Micros(latency.AtLeastOneMicrosecond(took))
 	l.succeeded++
 	l.requestEnded(cfg, now)
 }
 
-// Overloaded reports at the monotonic time now a request that ended by overload: a timeout or a
-// broken connection. It counts against the limit.
+// Overloaded reports a request that failed at the monotonic time now by a timeout or a broken
+// connection, which count as signs of overload.
 func (l *Limit) Overloaded(cfg *Config, now time.Duration) {
 	l.overloaded++
 	l.requestEnded(cfg, now)
@@ -126,7 +129,8 @@
 	l.peak = 0
 }
 
-// endWindow moves the limit by what the window showed.
+// endWindow adjusts the limit at the end of a window, or starts or ends the measurement of the best
+// latency.
 func (l *Limit) endWindow(cfg *Config) {
 	mean := 0.0
 	if l.succeeded > 0 {
@@ -146,8 +150,8 @@
 	l.clamp(cfg)
 }
 
-// measure ends the measurement of the best latency once the queue has drained, or when no request
-// succeeds for too long.
+// measure ends the measurement of the best latency once the queue has drained, or once no request has
+// succeeded for too long.
 func (l *Limit) measure(cfg *Config, mean float64) {
 	if mean > 0 && l.windows >= cfg.ProbeInterval+measureWindows {
 		l.best.Micros = mean
@@ -162,17 +166,18 @@
 	l.windows = 0
 }
 
-// target returns the limit that follows from a window with a mean latency (microseconds; 0: none).
+// target returns the value towards which a window moves the limit. mean is the mean latency of the
+// window in microseconds; 0: no request succeeded.
 func (l *Limit) target(cfg *Config, mean float64) float64 {
 	target := l.limit
 	if mean > 0 {
-		l.best.Learn(mean, l.isHalfUsed()) // a limit that is not half used leaves no queue
+		l.best.Learn(mean, l.isHalfUsed()) // there is no queue while less than half of the limit is used
 		target = GradientTarget(l.limit, cfg.LatencyTolerance*l.best.Micros/mean)
 	}
 	if l.overloaded*overloadDivisor > l.succeeded {
 		target = min(target, l.limit*cfg.BackoffRatio)
 	}
-	// A limit that is not half used shows nothing of what a higher one would do.
+	// While less than half of the limit is used, nothing shows what a higher limit would do.
 	if target > l.limit && !l.isHalfUsed() {
 		target = l.limit
 	}
@@ -180,8 +185,8 @@
 }
 
 // GradientTarget returns the limit of the gradient algorithm after a window. The gradient is the
-// ratio of the accepted latency to the mean latency of the window, and is cut to 0.5 to 1. At 1 the
-// limit grows by its square root.
+// ratio of the accepted latency to the mean latency of the window, and is clamped to 0.5 to 1. At 1
+// the limit grows by its square root.
 func GradientTarget(limit, gradient float64) float64 {
 	gradient = min(max(gradient, minGradient), 1)
 	target := limit * gradient
@@ -191,9 +196,10 @@
 	return target
 }
 
+// isHalfUsed reports whether half of the limit was in use at some time of the current window.
 func (l *Limit) isHalfUsed() bool { return float64(l.peak) >= l.limit/2 }
 
-// ApplyBounds keeps the limit within bounds that have changed.
+// ApplyBounds moves the limit into the bounds of cfg, which may have changed.
 func (l *Limit) ApplyBounds(cfg *Config) {
 	l.minimum = cfg.Min
 	l.clamp(cfg)
--- a/internal/balancer/concurrencylimit/limit_test.go
+++ b/internal/balancer/concurrencylimit/limit_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// testServer is a server with a number of workers: a request waits for a worker, and then takes the
-// time of its work.
+// testServer models a server with a number of workers: a request waits for a free worker, which then
+// takes the time work.
 type testServer struct {
 	workers int
 	work    time.Duration
 	rand    *rand.Rand
 }
 
-// run keeps the server as busy as its limit allows for a number of windows, and returns the limit
-// at the end of each.
+// run keeps as many requests in flight as the limit allows for a number of windows, and returns the
+// limit at the end of each window.
 func (s *testServer) run(l *Limit, cfg *Config, now *time.Duration, windows int) (limits []int) {
 	for range windows {
 		inFlight := l.Current()
@@ -50,21 +50,21 @@
 	server.run(&l, &cfg, &now, 100)
 	fast := server.run(&l, &cfg, &now, 100)
 	if m := mean(fast); m < 16 || m > 48 {
-		t.Errorf("16 workers: the mean limit is %.1f", m)
+		t.Errorf("mean limit with 16 workers = %.1f, want 16 to 48", m)
 	}
 	server.workers = 4
 	server.run(&l, &cfg, &now, 60)
 	if m := mean(server.run(&l, &cfg, &now, 100)); m < 4 || m > 0.6*mean(fast) {
-		t.Errorf("4 workers: the limit is %.1f, and was %.1f", m, mean(fast))
+		t.Errorf("mean limit with 4 workers = %.1f, want 4 to 0.6 times the %.1f with 16 workers", m, mean(fast))
 	}
 	server.workers = 16
 	back := server.run(&l, &cfg, &now, 160)
 	if m := mean(back[60:]); m < 0.8*mean(fast) {
-		t.Errorf("back at 16 workers: the limit is %.1f, and was %.1f", m, mean(fast))
+		t.Errorf("mean limit back at 16 workers = %.1f, want at least 0.8 times the %.1f of before", m, mean(fast))
 	}
 	for _, x := range back {
 		if x > 2*int(mean(fast)) {
-			t.Errorf("it overshoots to %d", x)
+			t.Errorf("the limit overshoots to %d back at 16 workers, want at most twice the mean of before", x)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 		l.Succeeded(&cfg, seconds(r.ExpFloat64()*0.01), now)
 	}
 	if l.Current() < 8 {
-		t.Errorf("the limit is %d", l.Current())
+		t.Errorf("Current() with exponentially distributed latencies = %d, want at least 8", l.Current())
 	}
 }
 
@@ -100,7 +100,7 @@
 				l.Succeeded(&cfg, took, now)
 			}
 			if l.Current() < cfg.Min || l.Current() > cfg.Max || idle && l.Current() > before {
-				rt.Fatalf("%d after %d", l.Current(), before)
+				rt.Fatalf("limit %d after %d: out of bounds, or grown without use", l.Current(), before)
 			}
 		}
 	})
@@ -114,10 +114,11 @@
 		l.Overloaded(&cfg, now)
 	}
 	if l.Current() != cfg.Min {
-		t.Errorf("after overload alone the limit is %d", l.Current())
+		t.Errorf("Current() after nothing but overload = %d, want the minimum", l.Current())
 	}
 }
 
+// drawDuration draws a duration of whole microseconds between two bounds.
 func drawDuration(rt *rapid.T, least, most time.Duration, label string) time.Duration {
 	us := rapid.Int64Range(least.Microseconds(), most.Microseconds()).Draw(rt, label)
 	return time.Duration(us) * time.Microsecond
--- a/internal/balancer/latency/latency_test.go
+++ b/internal/balancer/latency/latency_test.go
@@ -7,13 +7,13 @@
 
 func TestConversionKeepsWholeMicroseconds(t *testing.T) {
 	if got := Micros(1500*time.Microsecond + 999*time.Nanosecond); got != 1500 {
-		t.Errorf("Micros: %v, want 1500", got)
+		t.Errorf("Micros(1500.999 µs) = %v, want 1500", got)
 	}
 	if got := FromMicros(1500.9); got != 1500*time.Microsecond {
-		t.Errorf("FromMicros: %v, want 1.5ms", got)
+		t.Errorf("FromMicros(1500.9) = %v, want 1.5ms", got)
 	}
 	if got := AtLeastOneMicrosecond(0); got != time.Microsecond {
-		t.Errorf("AtLeastOneMicrosecond(0): %v, want 1µs", got)
+		t.Errorf("AtLeastOneMicrosecond(0) = %v, want 1µs", got)
 	}
 }
 
@@ -26,7 +26,7 @@
 		t.Errorf("mean of three values: %v of %d, want 20 of 3", m.Value, m.Count)
 	}
 	if m.Add(50, 3); m.Value != 30 || m.Count != 3 {
-		t.Errorf("after a fourth: %v of %d, want 30 of 3", m.Value, m.Count)
+		t.Errorf("mean after a fourth value: %v of %d, want 30 of 3", m.Value, m.Count)
 	}
 }
 
@@ -43,7 +43,7 @@
 		{250, false, 100},
 	} {
 		if b.Learn(c.mean, c.hasQueue); b.Micros != c.want {
-			t.Errorf("after %v (queue: %v): %v, want %v", c.mean, c.hasQueue, b.Micros, c.want)
+			t.Errorf("best latency after Learn(%v, %v) = %v, want %v", c.mean, c.hasQueue, b.Micros, c.want)
 		}
 	}
 }
--- a/internal/balancer/slowstart/pacer_test.go
+++ b/internal/balancer/slowstart/pacer_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is the pacers of many processes for one server.
+// fleet holds the pacers of many processes for one server.
 type fleet struct {
 	cfg    Config
 	pacers []Pacer
-	sent   []time.Duration
+	sent   []time.Duration // times of the requests sent
 }
 
 func newFleet(cfg Config, seed uint64) *fleet {
@@ -26,7 +26,7 @@
 	return f
 }
 
-// send has each process send at one time all that it may.
+// send lets each process send as many requests at the time now as it may.
 func (f *fleet) send(now time.Duration) {
 	for i := range f.pacers {
 		for f.pacers[i].HasClockPermit(&f.cfg, 1, now) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// peak is the largest number of requests within one window.
+// peak returns the largest number of requests within one window.
 func (f *fleet) peak() (peak int) {
 	first := 0
 	for i, at := range f.sent {
@@ -48,19 +48,19 @@
 	return peak
 }
 
-// bound is the initial requests plus two standard deviations.
+// bound returns the initial requests plus two standard deviations, and two more requests.
 func (f *fleet) bound() float64 {
 	return f.cfg.InitialRequests + 2*math.Sqrt(f.cfg.InitialRequests) + 2
 }
 
 func TestSumOverProcessesStaysWithinTheInitialRequestsAndUsesThem(t *testing.T) {
 	for _, processes := range []int{1, 2, 20, 30, 300} {
-		for _, calls := range []float64{1, 4, 10, 30, 100, 400} {
-			t.Run(fmt.Sprintf("%d processes, %v calls", processes, calls), func(t *testing.T) {
+		for _, requests := range []float64{1, 4, 10, 30, 100, 400} {
+			t.Run(fmt.Sprintf("%d processes, %v requests", processes, requests), func(t *testing.T) {
 				t.Parallel()
 				over, seeds, used := 0, 100, 0
 				for seed := range uint64(seeds) {
-					f := newFleet(Config{InitialRequests: calls, Window: time.Second, Processes: processes}, seed)
+					f := newFleet(Config{InitialRequests: requests, Window: time.Second, Processes: processes}, seed)
 					begin := time.Duration(seed%7) * 3 * time.Second
 					for now := begin; now < begin+5*time.Second; now += 10 * time.Millisecond {
 						f.send(now)
@@ -72,19 +72,19 @@
 				}
 				mean := float64(used) / float64(seeds) / 5
 				t.Logf(
-					"over the bound in %d of %d plays of 5 s; %.2f of %v calls a second are used",
+					"over the bound in %d of %d simulations of 5 s; %.2f of %v requests per second are used",
 					over,
 					seeds,
 					mean,
-					calls,
+					requests,
 				)
-				if over > seeds/20 || mean < calls*0.8 || mean > calls {
+				if over > seeds/20 || mean < requests*0.8 || mean > requests {
 					t.Errorf(
-						"over the bound in %d of %d plays; %.2f of %v calls a second",
+						"over the bound in %d of %d simulations, want <= 5 %%; %.2f of %v requests a second, want >= 80 %%",
 						over,
 						seeds,
 						mean,
-						calls,
+						requests,
 					)
 				}
 			})
@@ -95,7 +95,7 @@
 func TestOneProcessStaysWithinItsShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := Config{
-			InitialRequests: rapid.Float64Range(0.1, 1000).Draw(rt, "calls"),
+			InitialRequests: rapid.Float64Range(0.1, 1000).Draw(rt, "requests"),
 			Window:          time.Second,
 			Processes:       rapid.IntRange(1, 300).Draw(rt, "processes"),
 		}
@@ -107,7 +107,7 @@
 			now += time.Duration(rapid.Int64Range(0, 250_000).Draw(rt, "wait")) * time.Microsecond
 			f.send(now)
 			if got := f.peak(); float64(got) > share*(1+1./expiryDivisor)+2 {
-				rt.Fatalf("%d within a second of a share of %.2f", got, share)
+				rt.Fatalf("one process sends %d requests within a second, its share is %.2f", got, share)
 			}
 		}
 	})
@@ -128,30 +128,30 @@
 		{2*time.Second + 90*time.Millisecond, false},
 	} {
 		if got := p.HasClockPermit(&cfg, 1, step.at); got != step.want {
-			t.Errorf("at %v: %v, want %v", step.at, got, step.want)
+			t.Errorf("HasClockPermit() at %v = %v, want %v", step.at, got, step.want)
 		}
 	}
 	unbounded := DefaultConfig()
 	if !p.HasClockPermit(&unbounded, 1, 3*time.Second) {
-		t.Error("bounded without initial requests")
+		t.Error("HasClockPermit() without initial requests = false, want true")
 	}
 }
 
 func TestRequestsToPeersEarnOnePermitThatIsSpentOrForfeited(t *testing.T) {
 	var p Pacer
 	p.Reset(0.5, 0, 0)
-	for i, want := range []bool{false, true, true} { // no more than one is kept
+	for i, want := range []bool{false, true, true} { // no more than one permit is kept
 		if p.PeerSent(0.25); p.HasPeerPermit() != want {
-			t.Errorf("after %d: %v", i+1, !want)
+			t.Errorf("HasPeerPermit() after %d requests to warm servers = %v, want the opposite", i+1, !want)
 		}
 	}
 	if p.Spend(); p.HasPeerPermit() {
-		t.Error("it was spent")
+		t.Error("HasPeerPermit() after Spend = true, want false")
 	}
 	for range 4 {
 		p.PeerSent(0.25)
 	}
 	if p.ForfeitPeerPermits(); p.HasPeerPermit() {
-		t.Error("it was forfeited")
+		t.Error("HasPeerPermit() after ForfeitPeerPermits = true, want false")
 	}
 }
--- a/internal/flowcontrol/flowcontrol_test.go
+++ b/internal/flowcontrol/flowcontrol_test.go
@@ -24,7 +24,7 @@
 		{"small", false, true, []int{40, 60}, []ResponseStep{Buffer, Buffer}, false},
 		{"large", false, true, []int{40, 61, 1}, []ResponseStep{Buffer, StartStreaming, Forward}, false},
 		{"large at once", false, true, []int{101}, []ResponseStep{StartStreaming}, false},
-		{"for a caller that cannot", false, false, []int{100, 1}, []ResponseStep{Buffer, Reject}, false},
+		{"large, not streamable", false, false, []int{100, 1}, []ResponseStep{Buffer, Reject}, false},
 		{"keyed", true, true, []int{100, 100}, []ResponseStep{Buffer, StartStreaming}, true},
 		{
 			"keyed, too long to cache", true, true, []int{100, 100, 1},
@@ -39,13 +39,13 @@
 				got = append(got, r.Add(n))
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" || r.Caches() != c.caches {
-				t.Errorf("caches %v (-want +got)\n%s", r.Caches(), diff)
+				t.Errorf("Caches() = %v; steps (-want +got):\n%s", r.Caches(), diff)
 			}
 		})
 	}
 }
 
-// Windows are smaller with many readers.
+// With many readers the window of each is smaller.
 func TestServerWaitsFromTheWindowOfItsReaderToHalfOfIt(t *testing.T) {
 	w := NewReaderWindows(testLimits)
 	w.AddReader(1, 0)
@@ -54,14 +54,14 @@
 		wait   bool
 	}{{49, false}, {50, true}, {40, true}, {26, true}, {25, false}, {49, false}, {60, true}, {0, false}} {
 		if got := w.SetQueued(1, c.queued, 0); got != c.wait {
-			t.Errorf("with %d queued: wait %v", c.queued, got)
+			t.Errorf("SetQueued(%d) = %v, want the opposite", c.queued, got)
 		}
 	}
 	for id := ReaderID(2); id <= 10; id++ {
 		w.AddReader(id, 0)
 	}
-	if !w.SetQueued(1, 20, 0) { // of 400, half among ten
-		t.Error("with many readers no server waits at a smaller window")
+	if !w.SetQueued(1, 20, 0) { // half of MaxQueuedTotal (400) is shared by ten readers
+		t.Error("SetQueued(20) with ten readers = false, want true: each has a window of 20")
 	}
 }
 
@@ -70,32 +70,33 @@
 	for id := ReaderID(1); id <= 3; id++ {
 		w.AddReader(id, 0)
 	}
-	w.SetQueued(1, 150, 10*ms) // progress at 30 ms
-	w.SetQueued(2, 100, 20*ms) // none since 20 ms
+	w.SetQueued(1, 150, 10*ms) // this one reads at 30 ms
+	w.SetQueued(2, 100, 20*ms) // this one has read nothing since 20 ms
 	w.SetQueued(3, 120, 25*ms)
 	w.SetQueued(1, 140, 30*ms)
 	if _, over := w.Victim(); over {
-		t.Fatal("a victim under the total")
+		t.Fatal("Victim() while no more than MaxQueuedTotal is queued: want none")
 	}
 	w.SetQueued(1, 190, 40*ms)
 	if id, over := w.Victim(); !over || id != 2 {
-		t.Fatalf("%v, %v", id, over)
+		t.Fatalf("Victim() = %v, %v, want 2, true", id, over)
 	}
 	w.RemoveReader(2)
 	if _, over := w.Victim(); over || w.QueuedBytes() != 310 {
-		t.Fatalf("still over with %d", w.QueuedBytes())
+		t.Fatalf("after the victim is removed %d bytes are queued, want 310 and no victim", w.QueuedBytes())
 	}
 	ids := w.Stalled(100*ms, 60*ms)
 	slices.Sort(ids)
 	if diff := cmp.Diff([]ReaderID{1, 3}, ids); diff != "" {
-		t.Error(diff)
+		t.Errorf("Stalled() for over 60 ms (-want +got):\n%s", diff)
 	}
 	if ids := w.Stalled(100*ms, 70*ms); !slices.Equal(ids, []ReaderID{3}) {
-		t.Errorf("stalled for 70 ms: %v", ids)
+		t.Errorf("Stalled() for over 70 ms = %v, want reader 3", ids)
 	}
 }
 
-// Where servers wait when they have to, with no part larger than a window, no reader is dropped.
+// Guards against a total above MaxQueuedTotal, and against readers that are dropped without need: none
+// is, if the servers wait when they have to and no part is larger than a window.
 func TestDroppingVictimsKeepsTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := NewReaderWindows(testLimits)
@@ -118,7 +119,7 @@
 			waits[id] = w.SetQueued(id, queued[id], time.Duration(step)*ms)
 			for victim, over := w.Victim(); over; victim, over = w.Victim() {
 				if obeys {
-					t.Fatalf("reader %d is dropped though all servers wait", victim)
+					t.Fatalf("reader %d is dropped although all servers wait when they have to", victim)
 				}
 				w.RemoveReader(victim)
 				delete(queued, victim)
@@ -128,7 +129,7 @@
 				sum += q
 			}
 			if w.QueuedBytes() != sum || sum > testLimits.MaxQueuedTotal {
-				t.Fatalf("total %d, queued %d of %d", w.QueuedBytes(), sum, testLimits.MaxQueuedTotal)
+				t.Fatalf("QueuedBytes() = %d, want %d, and at most %d", w.QueuedBytes(), sum, testLimits.MaxQueuedTotal)
 			}
 		}
 	})
@@ -152,17 +153,17 @@
 	} {
 		body := RequestBody{Idempotent: c.idempotent, Remote: c.remote, Length: c.length, Chunked: c.chunked}
 		if got := l.PlanBody(body); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("PlanBody() for case %+v = %v", c, got)
 		}
 	}
 	streamable := RequestBody{Idempotent: true, Remote: true, Length: 11}
 	if l.PlanOversizedChunked(streamable) != RequireLength ||
 		l.PlanOversizedChunked(RequestBody{Remote: true}) != RejectTooLarge ||
 		l.PlanOversizedChunked(RequestBody{Idempotent: true}) != RejectTooLarge {
-		t.Error("bodies in chunks that are too large")
+		t.Error("PlanOversizedChunked(): want RequireLength only for an idempotent request to a server")
 	}
 	if off := (Limits{MaxBufferedBody: 10}); off.PlanBody(streamable) != RejectTooLarge ||
 		off.PlanOversizedChunked(streamable) != RejectTooLarge {
-		t.Error("streaming is off, and a body streams")
+		t.Error("a body over MaxBufferedBody is not rejected although streaming is off")
 	}
 }
--- a/internal/flowcontrol/limits.go
+++ b/internal/flowcontrol/limits.go
@@ -1,22 +1,22 @@
 // Package flowcontrol decides how bodies pass through a proxy: which responses are buffered and
-// which stream, what of a response is cached under its idempotency key, which servers wait for
+// which are streamed, which responses are cached under their idempotency keys, which servers wait for
 // their readers (backpressure, with a low and a high watermark as in Envoy), and which reader is
-// dropped when too much is queued for all together. It does no I/O: packages upstream and
-// frontend/uwsgi report what is queued, and do what it decides.
+// dropped when too many bytes are queued for all readers together. It does no I/O: packages upstream
+// and frontend/uwsgi report the queued bytes, and carry the decisions out.
 package flowcontrol
 
-// Limits bound what passes, in bytes.
+// Limits holds the limits of bodies and queues, in bytes.
 type Limits struct {
-	// MaxBuffered is the size up to which a response is buffered, so that a failure in it can
-	// still be reported and the request retried.
+	// MaxBuffered is the size up to which a response is buffered, so that a failure before its end
+	// can still be reported and the request retried.
 	MaxBuffered    int
 	MaxCached      int // size up to which a response is cached under its idempotency key
 	MaxQueued      int // bytes that may wait for one reader
 	MaxQueuedTotal int // bytes that may wait for all readers together
 	// MaxBufferedBody is the size up to which a request body is read whole before the request is
-	// handed over.
+	// handed over to a server or the engine.
 	MaxBufferedBody int
-	MaxStreamedBody int // size up to which a request body may stream
+	MaxStreamedBody int // size up to which a request body may be streamed
 }
 
 // BodyPlan is how a request body is read.
@@ -24,17 +24,17 @@
 
 // The plans.
 const (
-	BufferBody     BodyPlan = iota // it is read whole before the request is handed over
+	BufferBody     BodyPlan = iota // the body is read whole before the request is handed over
 	StreamBody                     // the request is handed over, and its body follows
 	RejectTooLarge                 // the request is rejected
-	RequireLength                  // the request is rejected: to stream, its length must be known
+	RequireLength                  // the request is rejected, as a body of unknown length cannot be streamed
 )
 
 // RequestBody describes the body of a request before it is read.
 type RequestBody struct {
 	Idempotent bool  // the request is idempotent
 	Remote     bool  // the request goes to a server, not to the engine on this machine
-	Length     int64 // bytes; below 0: not known
+	Length     int64 // in bytes; below 0: not known
 	Chunked    bool  // the body comes in chunks, without a length
 }
 
@@ -55,7 +55,7 @@
 	return StreamBody
 }
 
-// PlanOversizedChunked decides about a body in chunks that is longer than MaxBufferedBody.
+// PlanOversizedChunked decides about a chunked body that has turned out longer than MaxBufferedBody.
 func (l *Limits) PlanOversizedChunked(body RequestBody) BodyPlan {
 	if body.mayStream() && l.MaxStreamedBody > l.MaxBufferedBody {
 		return RequireLength
--- a/internal/flowcontrol/readers.go
+++ b/internal/flowcontrol/readers.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// lowWatermarkDivisor: a server that waits for its reader goes on once the reader's queue is
-	// down to this part of its window. With the window itself as the low watermark it would be
-	// paused and resumed with each packet.
+	// lowWatermarkDivisor: a paused server resumes once its reader's queue is down to the window
+	// divided by this number. With the window itself as the low watermark it would be paused and
+	// resumed with each packet.
 	lowWatermarkDivisor = 2
-	// sharedDivisor: the windows of all readers together are this part of MaxQueuedTotal, the rest
-	// is left for what is in flight.
+	// sharedDivisor: the windows of all readers together have at most MaxQueuedTotal divided by this
+	// number; the rest is left for data in flight.
 	sharedDivisor = 2
 )
 
-// ReaderID names a reader.
+// ReaderID identifies a reader.
 type ReaderID uint64
 
-// reader is a client that reads a response that streams.
+// reader is a client that reads a streamed response.
 type reader struct {
 	id     ReaderID
-	queued int // bytes
-	// progressAt is the monotonic time at which it last read something, or its empty queue got
-	// something.
+	queued int // bytes that wait for it
+	// progressAt is the monotonic time at which it last read bytes, or at which bytes came into its
+	// empty queue.
 	progressAt time.Duration
-	isPaused   bool // the server that sends its response waits
+	isPaused   bool // the server that sends its response is paused
 }
 
-// ReaderWindows bounds the bytes that wait for all readers together. It is used by one goroutine.
+// ReaderWindows bounds the bytes that are queued for all readers together. It is used by one goroutine.
 type ReaderWindows struct {
 	limits  Limits
 	readers map[ReaderID]*reader
-	queued  int // bytes
-	Evicted int // readers that Victim has named, since the start
+	queued  int // bytes, for all readers together
+	Evicted int // readers that Victim has returned, since the start
 }
 
 // NewReaderWindows returns windows without readers.
@@ -41,7 +41,7 @@
 	return &ReaderWindows{limits: limits, readers: map[ReaderID]*reader{}}
 }
 
-// SetLimits changes the limits from now on.
+// SetLimits replaces the limits.
 func (w *ReaderWindows) SetLimits(limits Limits) { w.limits = limits }
 
 // AddReader adds a reader at the monotonic time now.
@@ -49,7 +49,7 @@
 	w.readers[id] = &reader{id: id, progressAt: now}
 }
 
-// RemoveReader removes a reader, and releases what is queued for it.
+// RemoveReader removes a reader and the bytes that are queued for it.
 func (w *ReaderWindows) RemoveReader(id ReaderID) {
 	if r := w.readers[id]; r != nil {
 		w.queued -= r.queued
@@ -57,18 +57,18 @@
 	}
 }
 
-// QueuedBytes returns how many bytes wait for all readers together.
+// QueuedBytes returns how many bytes are queued for all readers together.
 func (w *ReaderWindows) QueuedBytes() int { return w.queued }
 
-// window returns how many bytes may wait for one reader: fewer when there are many readers, so that
-// all of them together stay below the total.
+// window returns how many bytes may be queued for one reader: fewer when there are many readers, so
+// that all readers together stay below MaxQueuedTotal.
 func (w *ReaderWindows) window() int {
 	share := w.limits.MaxQueuedTotal / sharedDivisor / max(len(w.readers), 1)
 	return max(min(w.limits.MaxQueued, share), 1)
 }
 
-// SetQueued reports at the monotonic time now that n bytes wait for a reader. It returns whether
-// the reader's server has to wait: from the window on, until half of the window is reached.
+// SetQueued reports at the monotonic time now that n bytes are queued for a reader. It returns whether
+// the reader's server has to wait: from a full window on, until the queue is down to half the window.
 func (w *ReaderWindows) SetQueued(id ReaderID, n int, now time.Duration) (wait bool) {
 	r := w.readers[id]
 	if r == nil {
@@ -84,9 +84,9 @@
 	return r.isPaused
 }
 
-// Victim returns the reader to drop, while more than MaxQueuedTotal is queued: the one without
-// progress for longest, and of several the one with the most bytes. A slow reader is not dropped
-// before one that has stopped.
+// Victim returns the reader to drop while more than MaxQueuedTotal bytes are queued: the one without
+// progress for the longest time, and among equals the one with the most bytes. So a slow reader is
+// not dropped before one that has stopped.
 func (w *ReaderWindows) Victim() (id ReaderID, found bool) {
 	if w.queued <= w.limits.MaxQueuedTotal {
 		return 0, false
@@ -104,6 +104,7 @@
 	return worst.id, true
 }
 
+// isWorseThan reports whether the reader is to be dropped rather than the other one.
 func (r *reader) isWorseThan(other *reader) bool {
 	return cmp.Or(
 		cmp.Compare(other.progressAt, r.progressAt),
@@ -112,7 +113,8 @@
 	) > 0
 }
 
-// Stalled returns the readers that have made no progress for longer than the timeout, in any order.
+// Stalled returns the readers with queued bytes that have made no progress for longer than the timeout,
+// in any order.
 func (w *ReaderWindows) Stalled(now, timeout time.Duration) (ids []ReaderID) {
 	for id, r := range w.readers {
 		if r.queued > 0 && now-r.progressAt > timeout {
