--- a/internal/balancer/picker/affinity_test.go
+++ b/internal/balancer/picker/affinity_test.go
@@ -13,14 +13,14 @@
 	cfg.KeyAffinity, cfg.ConcurrencyLimit.Initial = true, 1<<20
 	cfg.ConcurrencyLimit.Max = 1 << 20
 	const keys = 20000
-	homes := func(list []endpointhealth.EndpointSpec, self string) map[int]string {
+	keyOwners := func(list []endpointhealth.EndpointSpec, self string) map[int]string {
 		p := New(cfg, self, 3, 7, func(*Server, endpointhealth.StateChange) {})
 		p.UpdateEndpoints(list, time.Second)
 		out := map[int]string{}
 		for k := range keys {
 			to, reason := send(p, Query{Key: fmt.Sprint("key", k), Now: 2 * time.Second})
 			if reason != Affinity {
-				t.Fatalf("%v", reason)
+				t.Fatalf("reason of a pick with a key = %v, want Affinity", reason)
 			}
 			out[k] = to.Name
 		}
@@ -28,16 +28,16 @@
 	}
 	for _, n := range []int{3, 17, 200} {
 		list := testSpecs(n, "a", "b")
-		before, elsewhere, after := homes(list, "here"), homes(list, "there"), homes(list[1:], "here")
+		before, elsewhere, after := keyOwners(list, "here"), keyOwners(list, "there"), keyOwners(list[1:], "here")
 		moved, load := 0, map[string]int{}
 		for k, name := range before {
 			load[name]++
 			if elsewhere[k] != name {
-				t.Fatalf("key %d is at %s here and at %s there", k, name, elsewhere[k])
+				t.Fatalf("key %d maps to %s at one instance and to %s at another", k, name, elsewhere[k])
 			}
 			if after[k] != name {
 				if moved++; name != list[0].Name {
-					t.Fatalf("key %d moves from %s, which stays", k, name)
+					t.Fatalf("key %d moves away from %s, which is still listed", k, name)
 				}
 			}
 		}
@@ -47,7 +47,7 @@
 		}
 		if moved != load[list[0].Name] || float64(most) > 1.6*float64(keys)/float64(n) {
 			t.Errorf(
-				"%d servers: %d of %d keys move, the most loaded has %.2f of the mean",
+				"%d servers: %d of %d keys move, want those of the removed one; most keys at one: %.2f times the mean",
 				n,
 				moved,
 				keys,
@@ -72,10 +72,11 @@
 		}
 	}
 	if share := float64(heavy) / 20000; share < 0.65 || share > 0.85 {
-		t.Errorf("the heavy half has %.2f of the keys, want 0.75", share)
+		t.Errorf("the half of the servers with weight 3 has %.2f of the keys, want about 0.75", share)
 	}
 }
 
+// Over all instances each server is used.
 func TestListChangeChangesAtMostOneServerOfASubset(t *testing.T) {
 	list := testSpecs(200, "a")
 	uses := map[string]int{}
@@ -83,7 +84,7 @@
 		self := fmt.Sprint("instance", i)
 		before, after := subset(self, list, 20), subset(self, list[1:], 20)
 		if len(before) != 20 || len(after) != 20 {
-			t.Fatalf("%d, %d", len(before), len(after))
+			t.Fatalf("sizes of the subsets = %d and %d, want 20", len(before), len(after))
 		}
 		had := map[string]bool{}
 		for _, l := range before {
@@ -97,12 +98,12 @@
 			}
 		}
 		if changed > 1 {
-			t.Errorf("%s: %d servers change", self, changed)
+			t.Errorf("%s: %d servers of the subset change, want at most 1", self, changed)
 		}
 	}
 	for _, l := range list {
 		if uses[l.Name] == 0 || uses[l.Name] > 25 {
-			t.Errorf("%s is in %d of 100 subsets, the mean is 10", l.Name, uses[l.Name])
+			t.Errorf("%s is in %d of 100 subsets, want 1 to 25; the mean is 10", l.Name, uses[l.Name])
 		}
 	}
 }
--- a/internal/balancer/picker/alias.go
+++ b/internal/balancer/picker/alias.go
@@ -2,15 +2,15 @@
 
 import "math/rand/v2"
 
-// aliasTable draws one of many places by their weights in constant time: Walker's alias method, in
-// the form of Vose. It is rebuilt in the memory that it has.
+// aliasTable draws an index at random by weights, in constant time: Walker's alias method in Vose's
+// form. build reuses its memory.
 type aliasTable struct {
-	keep  []float64 // by place: the probability to stay there when it is drawn
-	alias []int32   // by place: where to go otherwise
-	stack []int32   // used by build alone
+	keep  []float64 // by index: the probability to return it when it is drawn
+	alias []int32   // by index: the index to return otherwise
+	stack []int32   // used only by build
 }
 
-// build takes weights, which are not negative. It reports whether there is a place to draw.
+// build sets the weights, which must not be negative. It reports whether one of them is above 0.
 func (t *aliasTable) build(weights []float64) bool {
 	n := len(weights)
 	if cap(t.keep) < n {
@@ -27,7 +27,7 @@
 		t.keep = t.keep[:0]
 		return false
 	}
-	// Places below the mean are stacked from the left, those above it from the right.
+	// Indexes with weights below the mean are stacked from the left, the others from the right.
 	small := 0
 	large := n
 	for i, weight := range weights {
@@ -53,7 +53,7 @@
 			small++
 		}
 	}
-	// The rest differs from the mean by rounding alone.
+	// The remaining ones differ from the mean only by rounding errors.
 	for _, i := range t.stack[:small] {
 		t.keep[i] = 1
 	}
@@ -63,7 +63,7 @@
 	return true
 }
 
-// draw returns a place. The last build must have reported that there is one.
+// draw returns a random index. The last build must have returned true.
 func (t *aliasTable) draw(random *rand.Rand) int {
 	i := random.IntN(len(t.keep))
 	if random.Float64() < t.keep[i] {
--- a/internal/balancer/picker/alias_test.go
+++ b/internal/balancer/picker/alias_test.go
@@ -11,7 +11,7 @@
 	var table aliasTable
 	for _, weights := range [][]float64{{1}, {1, 2, 3, 4}, {0, 0, 5}, {0.1, 100, 0.1, 0}, {3, 3, 3, 3, 3, 3, 3}} {
 		if !table.build(weights) {
-			t.Fatalf("%v: nothing to draw", weights)
+			t.Fatalf("build(%v) = false, want true", weights)
 		}
 		sum := 0.0
 		for _, w := range weights {
@@ -23,11 +23,11 @@
 		}
 		for i, w := range weights {
 			if share := got[i] / 100_000; math.Abs(share-w/sum) > 0.01 || w == 0 && share > 0 {
-				t.Errorf("%v: place %d is drawn %.3f, want %.3f", weights, i, share, w/sum)
+				t.Errorf("weights %v: share of draws of index %d = %.3f, want about %.3f", weights, i, share, w/sum)
 			}
 		}
 	}
 	if table.build([]float64{0, 0}) || table.build(nil) {
-		t.Error("there is something to draw")
+		t.Error("build() without a weight above 0 = true, want false")
 	}
 }
--- a/internal/balancer/picker/bench_test.go
+++ b/internal/balancer/picker/bench_test.go
@@ -9,6 +9,7 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
+// BenchmarkPick measures a pick with the reports of its request.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 200, 5000} {
 		for _, kind := range []string{"drawn", "key"} {
@@ -33,6 +34,7 @@
 	}
 }
 
+// BenchmarkUpdateEndpoints measures an update in which one server has changed.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, n := range []int{17, 200, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/balancer/picker/endpoints.go
+++ b/internal/balancer/picker/endpoints.go
@@ -7,15 +7,15 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// UpdateEndpoints takes a new endpoint list. Of each zone the subset of this instance is used.
-// Servers that stay keep what was measured of them; those that go finish their requests in flight.
+// UpdateEndpoints replaces the endpoint list. Of each zone the subset of this instance is used. Servers
+// that stay listed keep their measurements; servers that leave complete their requests in flight.
 func (p *Picker) UpdateEndpoints(specs []endpointhealth.EndpointSpec, now time.Duration) {
 	byZone := map[string][]endpointhealth.EndpointSpec{}
 	for _, spec := range specs {
 		byZone[spec.Zone] = append(byZone[spec.Zone], spec)
 	}
 	zoneNames := p.orderZones(byZone)
-	used := specs // with key affinity all instances must have the same ring
+	used := specs // with key affinity all instances use all servers, as they must have the same ring
 	if !p.cfg.KeyAffinity {
 		used = nil
 		for _, name := range zoneNames {
@@ -25,7 +25,7 @@
 	list := p.health.Update(used, now)
 	p.placeServers(list.Endpoints, zoneNames)
 	for _, e := range p.health.DrainingEndpoints() {
-		e.Attachment.(*Server).zone = nil // its requests count for no zone any more
+		e.Attachment.(*Server).zone = nil // its requests no longer count for a zone
 	}
 	p.ring = &ring{}
 	if p.cfg.KeyAffinity && len(p.servers) > 0 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// orderZones returns the names of the zones: those of the configuration in its order, then the
-// others by name.
+// orderZones returns the names of the zones: first those of Config.Zones in their order, then the
+// others sorted by name.
 func (p *Picker) orderZones(byZone map[string][]endpointhealth.EndpointSpec) []string {
 	names := make([]string, 0, len(byZone))
 	for name := range byZone {
@@ -51,7 +51,7 @@
 	return names
 }
 
-// placeServers puts the servers of a new list into new zones.
+// placeServers rebuilds the zones from the servers of a new list.
 func (p *Picker) placeServers(endpoints []*endpointhealth.Endpoint, zoneNames []string) {
 	p.zones = nil
 	p.servers = nil
--- a/internal/balancer/picker/latency.go
+++ b/internal/balancer/picker/latency.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// smoothing is the number of requests over which the moving means of a group go.
+	// smoothing is the window of the moving means of a group, in requests.
 	smoothing = 64
-	// classBaselineWindow is over how many requests of a class its baseline latency is taken.
+	// classBaselineWindow is the window of the baseline latency of a class, in requests.
 	classBaselineWindow = 2048
 )
 
-// classLatency holds what is measured of a class, in microseconds.
+// classLatency holds the measured latencies of a class, in microseconds.
 type classLatency struct {
 	recent   float64      // moving mean; 0: not measured
-	baseline latency.Mean // over many requests
+	baseline latency.Mean // moving mean over classBaselineWindow requests
 }
 
-// learnLatency takes a latency into the means, and returns what it would have been for a request of
-// a typical class: a server that got requests of a slow class is not slow. What is typical of a
-// class is its mean over many requests; by the mean of all classes a server would look slow as soon
-// as the share of a slow class grows.
+// learnLatency adds a latency to the means, and returns it normalized to the reference class: a server
+// that got requests of a slow class is not slow. A latency is compared with the mean of its class over
+// many requests; compared with the mean of all classes, a server would look slow as soon as the share
+// of a slow class grows.
 func (p *Picker) learnLatency(class int, took time.Duration) time.Duration {
 	value := latency.Micros(latency.AtLeastOneMicrosecond(took))
 	if p.meanLatency == 0 {
@@ -42,8 +42,8 @@
 	return latency.AtLeastOneMicrosecond(latency.FromMicros(normalized))
 }
 
-// MinAttemptTime returns how long an attempt of a class takes at least, by what is known: half of
-// the mean latency, as many requests take less than the mean.
+// MinAttemptTime returns an estimate of the shortest time that an attempt of a class takes: half of the
+// mean latency, as many requests take less than the mean.
 func (p *Picker) MinAttemptTime(class int) time.Duration {
 	return latency.FromMicros(p.classes[class].recent / 2)
 }
--- a/internal/balancer/picker/pacing.go
+++ b/internal/balancer/picker/pacing.go
@@ -6,22 +6,23 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// minGrowthBase bounds the initial traffic share by which the growth of a share is measured.
+// minGrowthBase is the lower bound of the initial traffic share, by which the current share is divided
+// for its growth.
 const minGrowthBase = 0.01
 
-// isWarm reports whether a server has completed its slow start.
+// isWarm reports whether a server has completed its slow start: it is in service or suspected.
 func (s *Server) isWarm() bool {
 	return s.State == endpointhealth.InService || s.State == endpointhealth.Suspected
 }
 
-// isPaced reports whether a server gets requests by the permits of its pacer: it warms up beside
-// warm servers of its zone.
+// isPaced reports whether a server gets requests by the permits of its pacer: it is warming up, and
+// its zone has warm servers.
 func (s *Server) isPaced() bool {
 	return s.State == endpointhealth.WarmingUp && s.zone != nil && s.zone.warmWeight > 0
 }
 
-// hasClockPermit reports whether a server may get a request by the bound on what all processes
-// together send a server that is not warm.
+// hasClockPermit reports whether a server may get a request within the bound on the requests that all
+// processes together send to a server that is not warm.
 func (s *Server) hasClockPermit(now time.Duration) bool {
 	if s.isWarm() {
 		return true
@@ -31,13 +32,14 @@
 	return s.pacer.HasClockPermit(&cfg.SlowStart, growth, now)
 }
 
-// hasPermits reports whether a server that is paced may get the request.
+// hasPermits reports whether a paced server may get the request now.
 func (s *Server) hasPermits(q *Query) bool {
 	return s.isPaced() && s.pacer.HasPeerPermit() && s.isEligible(q) && s.hasClockPermit(q.Now)
 }
 
-// pace gives the request to a server of the same zone that warms up and has permits, unless that
-// has a higher cost. A request to a warm server earns those that warm up beside it their share.
+// pace returns, in place of the picked server, a server of the same zone that is warming up and has
+// permits, unless its cost is higher. A request to a warm server earns permits for the servers of its
+// zone that are warming up.
 func (p *Picker) pace(picked *Server, reason PickReason, q *Query) (*Server, PickReason) {
 	if picked == nil {
 		return p.paceOverloaded(q)
@@ -61,9 +63,9 @@
 	return picked, reason
 }
 
-// paceOverloaded gives a request that no warm server can take to one that warms up and has permits.
-// The request earns permits as one to a warm server does: servers that warm up would otherwise get
-// nothing while the warm ones hang.
+// paceOverloaded returns a server that is warming up and has permits, for a request that no warm server
+// can take. The request earns permits as one to a warm server does: otherwise servers that are warming
+// up would get no requests while the warm ones hang.
 func (p *Picker) paceOverloaded(q *Query) (*Server, PickReason) {
 	for _, z := range p.zones {
 		z.earnPermits(q.Now)
@@ -76,7 +78,7 @@
 	return nil, NoEndpoint
 }
 
-// earnPermits gives the servers that warm up their share of a request to a warm one.
+// earnPermits gives the servers that are warming up their share of a permit for a request to a warm one.
 func (z *zone) earnPermits(now time.Duration) {
 	for _, s := range z.warmingUp {
 		if s.isPaced() {
--- a/internal/balancer/picker/pacing_test.go
+++ b/internal/balancer/picker/pacing_test.go
@@ -11,17 +11,17 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// pickerFleet is a number of pickers that share servers, of which one joins cold. Requests come at
-// an even rate in sum, each at a picker that is drawn.
+// pickerFleet simulates several pickers that share servers, one of which joins later and is cold.
+// Requests arrive at a constant mean rate, each at a picker that is drawn at random.
 type pickerFleet struct {
 	pickers    []*Picker
 	random     *rand.Rand
-	tickedAt   []time.Duration // by picker
+	tickedAt   []time.Duration // time of the last tick, by picker
 	ends       endings
 	now        time.Duration
-	coldSent   []time.Duration // when the cold server was sent a request
-	refused    int
-	slowFactor int // how many times as long the cold server takes
+	coldSent   []time.Duration // times of the requests to the cold server
+	refused    int             // requests that got no server
+	slowFactor int             // factor of the latency of the cold server
 }
 
 // ending is a request in flight.
@@ -31,7 +31,7 @@
 	server   *Server
 }
 
-// endings are the requests in flight, as a heap by their ends.
+// endings holds the requests in flight as a heap, ordered by their ends.
 type endings []ending
 
 func (e endings) Len() int           { return len(e) }
@@ -46,7 +46,7 @@
 
 const coldName = "cold"
 
-// newPickerFleet returns pickers without the cold server, which tick at different times.
+// newPickerFleet returns pickers whose lists lack the cold server. They tick at different times.
 func newPickerFleet(cfg Config, processes, servers int, seed uint64) *pickerFleet {
 	f := &pickerFleet{random: rand.New(rand.NewPCG(seed, 1)), now: time.Second, slowFactor: 1}
 	warm := testSpecs(servers-1, "")
@@ -61,16 +61,16 @@
 	return f
 }
 
-// join puts the cold server into the list of each picker.
+// join adds the cold server to the list of each picker.
 func (f *pickerFleet) join(servers int) {
 	for _, p := range f.pickers {
 		p.UpdateEndpoints(append(testSpecs(servers-1, ""), testSpec(coldName, "")), f.now)
 	}
 }
 
-// play has requests come at a rate per second for a while. A request takes 20 ms, at the cold
-// server slowFactor times that.
-func (f *pickerFleet) play(rate float64, lasts time.Duration) {
+// run lets requests arrive at a rate per second for the given time. A request takes 20 ms, and
+// slowFactor times that at the cold server.
+func (f *pickerFleet) run(rate float64, lasts time.Duration) {
 	for end := f.now + lasts; f.now < end; {
 		f.now += time.Duration(f.random.ExpFloat64()*1e6/rate) * time.Microsecond
 		for len(f.ends) > 0 && f.ends[0].at <= f.now {
@@ -98,8 +98,9 @@
 	}
 }
 
-// peaks looks at each second that ends with a request to the cold server. It counts those with more
-// requests than a budget and two standard deviations allow, and returns the worst ratio to that.
+// peaks examines each window of one second that ends with a request to the cold server. It returns the
+// number of windows with more requests than the budget, two standard deviations and two more requests
+// allow, the number of all windows, and the highest ratio of the requests to this bound.
 func (f *pickerFleet) peaks(budget func(at time.Duration) float64) (exceeded, windows int, worst float64) {
 	first := 0
 	for i, at := range f.coldSent {
@@ -116,8 +117,8 @@
 	return exceeded, windows, worst
 }
 
-// warmUpBudget returns the requests per second that a server may get that joined at a time: the
-// initial ones, and more in proportion to its traffic share.
+// warmUpBudget returns a function of the time that returns the requests per second that a server may
+// get which joined at the time joined: the initial ones, growing in proportion to its traffic share.
 func warmUpBudget(
 	cfg *endpointhealth.Config,
 	initial float64,
@@ -133,14 +134,15 @@
 type warmUpCase struct {
 	processes       int
 	rate            float64 // requests per second
-	initialRequests float64 // that the operator allows; 0: no bound
+	initialRequests float64 // SlowStart.InitialRequests; 0: no bound
 	slowFactor      int
 }
 
-// The bound is the server's share of what a warm one gets, or the requests that the operator
-// allows. At least two thirds of it are used where the server is as fast as the others.
+// Guards against processes that together overload a server that is warming up. The bound is the
+// server's share of what a warm server gets, or the initial requests that are configured. At least two
+// thirds of it must be used if the server is as fast as the others.
 func TestProcessesTogetherStayWithinTheSlowStart(t *testing.T) {
-	// higher rates take too long with fewer than the most processes
+	// higher rates would take too long for all numbers of processes, and run only with the largest
 	const maxRateOfFewProcesses = 3000
 	for _, processes := range []int{1, 20, 30} {
 		for _, c := range []warmUpCase{
@@ -178,20 +180,21 @@
 	}
 	f := newPickerFleet(cfg, c.processes, servers, 1)
 	f.slowFactor = c.slowFactor
-	f.play(c.rate, 5*time.Second)
+	f.run(c.rate, 5*time.Second)
 	f.join(servers)
 	budget := warmUpBudget(&cfg.Health, initial, f.now)
 	mean := (budget(f.now) + budget(f.now+lasts)) / 2
-	f.play(c.rate, lasts)
+	f.run(c.rate, lasts)
 	exceeded, windows, worst := f.peaks(budget)
 	used := float64(len(f.coldSent)) / (mean * lasts.Seconds())
-	t.Logf("over the bound in %d of %d windows, at the most %.2f of it; %.2f of the budget is used",
+	t.Logf("over the bound in %d of %d windows, at most %.2f times the bound; %.2f of the budget is used",
 		exceeded, windows, worst, used)
 	if exceeded > 0 || f.refused > 0 {
-		t.Errorf("over the bound in %d of %d windows, %d requests refused", exceeded, windows, f.refused)
+		t.Errorf("over the bound in %d of %d windows, %d requests got no server; want 0 of both",
+			exceeded, windows, f.refused)
 	}
 	if c.slowFactor == 1 && used < 2./3 {
-		t.Errorf("%.2f of the budget is used", used)
+		t.Errorf("%.2f of the budget is used, want at least two thirds", used)
 	}
 }
 
@@ -201,7 +204,7 @@
 	cfg.SlowStart.InitialRequests, cfg.SlowStart.Processes = initialRequests, processes
 	f := newPickerFleet(cfg, processes, servers, 1)
 	f.join(servers)
-	f.play(3000, time.Second)
+	f.run(3000, time.Second)
 	for _, p := range f.pickers {
 		for _, x := range p.Servers() {
 			for range cfg.Health.ConsecutiveFailures {
@@ -214,16 +217,16 @@
 	}
 	f.coldSent = nil
 	lost := f.now
-	f.play(3000, 15*time.Second)
+	f.run(3000, 15*time.Second)
 	if len(f.coldSent) == 0 {
-		t.Fatal("it was not probed")
+		t.Fatal("the ejected server was not probed")
 	}
 	exceeded, windows, worst := f.peaks(func(at time.Duration) float64 {
 		return initialRequests * max(1, (at-lost-cfg.Health.BaseEjectionTime).Seconds())
 	})
-	t.Logf("over the bound in %d of %d windows, at the most %.2f of it", exceeded, windows, worst)
+	t.Logf("over the bound in %d of %d windows, at most %.2f times the bound", exceeded, windows, worst)
 	if exceeded > 0 {
-		t.Errorf("over the bound in %d of %d windows", exceeded, windows)
+		t.Errorf("over the bound in %d of %d windows, want 0", exceeded, windows)
 	}
 }
 
@@ -241,12 +244,12 @@
 		if to, reason := send(p, Query{Now: now}); to == nil {
 			refused++
 		} else if sent++; to.Name != coldName || reason != Overloaded {
-			t.Fatalf("%s by %v", to.Name, reason)
+			t.Fatalf("Pick() beside full servers = %s, %v, want the cold server, Overloaded", to.Name, reason)
 		} else {
 			p.Done(to, 0, endpointhealth.Success, time.Millisecond, now)
 		}
 	}
-	if sent < 100 || sent > 250 { // half of 0.1 to 0.55 of 1,000
-		t.Errorf("%d sent, %d refused", sent, refused)
+	if sent < 100 || sent > 250 { // half of a traffic share that grows from 0.1 to 0.55, of 1,000 requests
+		t.Errorf("%d requests got the cold server, want 100 to 250; %d got no server", sent, refused)
 	}
 }
--- a/internal/balancer/picker/picker.go
+++ b/internal/balancer/picker/picker.go
@@ -4,14 +4,15 @@
 // levels (overflow to the next zone). It does no I/O: package upstream passes endpoint lists, the
 // ends of requests and the time.
 //
-// Servers are grouped by zone, the nearest zone first. A request goes to the server of the least
-// cost in a small zone, or of a few servers that are drawn by weight in a large one. The cost is
-// the server's latency, success rate and load. A zone that is full, or that has lost much of its
-// capacity, passes requests on to the next zone. A server is full by its adaptive concurrency
-// limit; where all are full the least loaded one takes the request, as admission is decided
-// elsewhere.
+// Servers are grouped by zone, the nearest zone first. In a small zone a request goes to the server
+// of the least cost, in a large zone to the one of the least cost among a few servers that are drawn
+// at random by weight. The cost follows from the server's latency, success rate and load. A zone that
+// is full, or that has lost much of its capacity, passes requests on to the next zone. A server is
+// full when it has as many requests as its adaptive concurrency limit allows. If all servers are full
+// the least loaded one takes the request, as admission is decided elsewhere.
 //
-// Times are monotonic, whole microseconds and above zero. A picker is used by one goroutine.
+// Times are monotonic and above zero, as zero stands for "never". Latencies are measured in whole
+// microseconds. A picker is used by one goroutine.
 package picker
 
 import (
@@ -25,35 +26,36 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound the time after which a client is asked to try again.
+	// minRetryAfter and maxRetryAfter bound the time after which a client is told to try again.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// betterZoneFactor is how many times the cost of a server must be that of one in a zone further
-	// away for that one to be picked, once the near one is half full. Concurrency limits follow
-	// slowly, and a zone would queue up to them while the next one idles.
+	// betterZoneFactor: once a server is half full, a server in a zone further away is picked instead
+	// if its cost is lower by more than this factor. Concurrency limits adapt slowly: without it the
+	// requests of a zone would queue up to the limits while the next zone is idle.
 	betterZoneFactor = 1.5
-	// randomStream is the second word of the seed of a picker's random numbers.
+	// randomStream is the second word of the seed of a picker's random number generator.
 	randomStream = goldenGamma
 )
 
-// Attempts knows the servers to which a request was sent before.
+// Attempts tells to which servers a request was sent before.
 type Attempts interface {
-	// Tried reports whether a server of that name has had an attempt.
+	// Tried reports whether the server of that name has had an attempt.
 	Tried(server string) bool
 }
 
-// Query is an attempt that a server is wanted for.
+// Query describes an attempt for which a server is to be picked.
 type Query struct {
 	Key        string        // idempotency key; empty: none
-	Idempotent bool          // it may be sent again if it fails
+	Idempotent bool          // the request may be sent again if the attempt fails
 	Retry      bool          // the request has been sent before
-	Attempts   Attempts      // where it has been sent; nil: nowhere
+	Attempts   Attempts      // the request's earlier attempts; nil: none
 	Now        time.Duration // monotonic
 }
 
+// attempted reports whether the request has been sent to the server before.
 func (q *Query) attempted(s *Server) bool { return q.Attempts != nil && q.Attempts.Tried(s.Name) }
 
-// Picker balances the load over the servers of a group.
+// Picker balances the requests over the servers of a group.
 type Picker struct {
 	cfg         Config
 	instance    string // name of this process
@@ -65,16 +67,18 @@
 	ring        *ring
 	onChange    func(*Server, endpointhealth.StateChange)
 	classes     []classLatency
-	// Moving means of all successes, in microseconds; 0: not measured. For typicalLatency latencies
-	// are normalized to a class whose latency is referenceLatency, that of the first request.
+	// Moving means of the latencies of all successful requests, in microseconds; 0: not measured. For
+	// typicalLatency they are normalized to a class whose latency is referenceLatency, which is the
+	// latency of the first request.
 	meanLatency      float64
 	typicalLatency   float64
 	referenceLatency float64
-	PickCounts       [NoEndpoint + 1]uint64 // by reason, since the start
+	PickCounts       [NoEndpoint + 1]uint64 // picks by reason, since the start
 }
 
-// New returns a picker without servers, for a number of classes. instance is the name of this
-// process, which decides its subset. onChange is called after each change of a server's state.
+// New returns a picker without servers, for the given number of classes. instance is the name of this
+// process, which determines its subset of the servers. onChange is called after each change of a
+// server's state.
 func New(
 	cfg Config,
 	instance string,
@@ -95,6 +99,7 @@
 	return p
 }
 
+// stateChanged updates a server after a change of its health state, and creates it for a new endpoint.
 func (p *Picker) stateChanged(e *endpointhealth.Endpoint, change endpointhealth.StateChange) {
 	s, _ := e.Attachment.(*Server)
 	if s == nil {
@@ -111,7 +116,7 @@
 	p.onChange(s, change)
 }
 
-// Configure changes the parameters. What was measured stays.
+// Configure changes the parameters. Measurements are kept.
 func (p *Picker) Configure(cfg Config, classes int) {
 	p.cfg = cfg
 	p.health.Configure(cfg.Health)
@@ -121,7 +126,7 @@
 	}
 }
 
-// Servers returns the servers in use, by name.
+// Servers returns the servers in use, sorted by name.
 func (p *Picker) Servers() []*Server { return p.servers }
 
 // Size returns how many servers are in use.
@@ -130,11 +135,11 @@
 // Health returns the health of the servers.
 func (p *Picker) Health() *endpointhealth.Monitor { return p.health }
 
-// RetryBudget returns the budget of the group's retries.
+// RetryBudget returns the retry budget of the group.
 func (p *Picker) RetryBudget() *retry.Budget { return p.retryBudget }
 
-// Pick picks a server, or returns nil and NoEndpoint. The caller that sends the request there
-// reports it by Sent.
+// Pick returns a server and the reason for which it was picked, or nil and NoEndpoint. The caller
+// calls Sent when it sends the request to the server.
 func (p *Picker) Pick(q *Query) (*Server, PickReason) {
 	s, reason := p.pick(q)
 	if reason != Probe && reason != Affinity {
@@ -147,6 +152,7 @@
 	return s, reason
 }
 
+// pick picks a server as a probe, by the request's key or by cost. Paced servers are left to pace.
 func (p *Picker) pick(q *Query) (*Server, PickReason) {
 	if s := p.pickProbe(q); s != nil {
 		return s, Probe
@@ -164,7 +170,7 @@
 	return p.pickOverloaded(q)
 }
 
-// pickProbe returns a server that waits to be probed, if the request may do that.
+// pickProbe returns a server that waits for a probe, if the request may be its probe; nil otherwise.
 func (p *Picker) pickProbe(q *Query) *Server {
 	e := p.health.NextProbe(q.Idempotent && !q.Retry, q.Now)
 	if e == nil {
@@ -177,8 +183,8 @@
 	return nil
 }
 
-// pickInZone returns a server below its limit of the zone at a place in the order, or a much better
-// one of a zone further away.
+// pickInZone returns a server below its concurrency limit in the zone at the given place of p.zones, or
+// a server of much lower cost in a zone further away.
 func (p *Picker) pickInZone(place int, z *zone, q *Query) (*Server, PickReason) {
 	z.refresh(p.health, q.Now)
 	isLast := place == len(p.zones)-1
@@ -200,8 +206,7 @@
 	return s, Overflow
 }
 
-// pickBetter returns a server of the given zones whose cost is lower by betterZoneFactor; nil:
-// there is none.
+// pickBetter returns a server of the given zones whose cost is lower by betterZoneFactor, or nil.
 func (p *Picker) pickBetter(than *Server, zones []*zone, q *Query) *Server {
 	for _, z := range zones {
 		z.refresh(p.health, q.Now)
@@ -216,15 +221,17 @@
 	return nil
 }
 
-// overflows reports whether a zone that has lost much of its capacity passes this request on: the
-// healthy servers get a little more than their share, and not the whole load of the zone.
+// overflows decides at random whether a zone that has lost much of its capacity passes a request on to
+// the next zone: the healthy servers get only Overprovisioning times their share, and not the whole
+// load of the zone.
 func (p *Picker) overflows(z *zone) bool {
 	share := z.healthyShare * p.cfg.Overprovisioning
 	return share < 1 && p.random.Float64() >= share
 }
 
-// pickOverloaded returns the least loaded server, where all are full. Where none gets traffic by
-// its health, it returns an unhealthy one.
+// pickOverloaded returns the server of the least cost of the nearest zone that has one, although all are
+// full. If no server gets traffic by its health, it returns the unhealthy one with the fewest requests
+// in flight.
 func (p *Picker) pickOverloaded(q *Query) (*Server, PickReason) {
 	for _, z := range p.zones {
 		if s := z.pickLeastCost(p.random, q, canPick); s != nil {
@@ -243,7 +250,8 @@
 	return best, LastResort
 }
 
-// isLastResort reports whether the server can take the request, whatever its health.
+// isLastResort reports whether the server can take the request although it gets no traffic by its
+// health. New servers are left out.
 func (s *Server) isLastResort(q *Query) bool {
 	isNew := s.State == endpointhealth.Checking || s.State == endpointhealth.Listed
 	return !isNew && s.ActiveRequests < s.picker.cfg.MaxRequests &&
@@ -259,7 +267,7 @@
 	}
 }
 
-// Done reports the end of a request of a class, which took the given time.
+// Done reports the end of a request of a class at the monotonic time now. took is its latency.
 func (p *Picker) Done(s *Server, class int, outcome endpointhealth.Outcome, took, now time.Duration) {
 	if s.zone != nil {
 		s.zone.activeRequests--
@@ -287,12 +295,13 @@
 	return int(capacity)
 }
 
-// Tick is to be called each endpointhealth.TickInterval.
+// Tick makes the state changes that are due by time. The caller has to call it each
+// endpointhealth.TickInterval.
 func (p *Picker) Tick(now time.Duration) { p.health.Tick(now) }
 
-// RetryAfter returns after how long a client whose request got no server should try again: when the
-// first ejected server may be probed, if none gets traffic; otherwise when a request ends, by the
-// mean latency. It is between 20 ms and 10 s.
+// RetryAfter returns after how long a client whose request got no server should try again: the time to
+// the first probe of an ejected server if no server gets traffic, otherwise the mean latency, after
+// which a request in flight will have ended. It is between 20 ms and 10 s.
 func (p *Picker) RetryAfter(now time.Duration) time.Duration {
 	wait := latency.FromMicros(p.meanLatency)
 	withoutTraffic := 0
--- a/internal/balancer/picker/picker_test.go
+++ b/internal/balancer/picker/picker_test.go
@@ -15,7 +15,7 @@
 	return endpointhealth.EndpointSpec{ID: endpointhealth.ID{Name: name, Addr: "a"}, Zone: zone, Weight: 1}
 }
 
-// testSpecs returns n servers, spread over zones.
+// testSpecs returns n servers, spread evenly over zones.
 func testSpecs(n int, zones ...string) (list []endpointhealth.EndpointSpec) {
 	for i := range n {
 		list = append(list, testSpec(fmt.Sprintf("n%04d", i), zones[i%len(zones)]))
@@ -29,7 +29,7 @@
 	return p
 }
 
-// send picks a server, and reports the request as sent.
+// send picks a server for a request, and reports the request as sent.
 func send(p *Picker, q Query) (*Server, PickReason) {
 	to, reason := p.Pick(&q)
 	if to != nil {
@@ -38,7 +38,7 @@
 	return to, reason
 }
 
-// Where all zones are full the least loaded server gets the request.
+// When all zones are full the least loaded server gets the request.
 func TestRequestsOverflowToTheNextZoneOnceTheNearestIsFull(t *testing.T) {
 	cfg := DefaultConfig(1000)
 	cfg.Zones, cfg.ConcurrencyLimit.Initial = []string{"near", "next"}, 10
@@ -54,7 +54,7 @@
 	if got["near"] != 40 || got["next"] != 10 || got["far"] != 10 || reasons[Nearest] != 20 ||
 		reasons[Overflow] != 20 ||
 		reasons[Overloaded] != 20 {
-		t.Errorf("%v, %v", got, reasons)
+		t.Errorf("requests by zone %v, by reason %v; want 40 near, 10 next, 10 far, 20 for each reason", got, reasons)
 	}
 }
 
@@ -76,15 +76,15 @@
 		got[to.Zone]++
 		p.Done(to, 0, endpointhealth.Success, time.Millisecond, now)
 	}
-	if got["near"] < 200 || got["near"] > 360 { // 1.4 of 2 of 10
-		t.Errorf("%v", got)
+	if got["near"] < 200 || got["near"] > 360 { // 2 of 10 servers are left, which take 1.4 times their share
+		t.Errorf("requests by zone = %v of 1000, want 200 to 360 in zone near", got)
 	}
 }
 
 func TestLoadIsSpreadByWeightLatencyAndFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		weights [4]int
-		took    [4]int // ms; negative: it fails at once
+		took    [4]int // ms; negative: the server fails its requests at once
 		want    [4]float64
 	}{
 		"alike":       {[4]int{1, 1, 1, 1}, [4]int{10, 10, 10, 10}, [4]float64{.25, .25, .25, .25}},
@@ -97,15 +97,15 @@
 			got := sharesOf(c.weights, c.took, requests)
 			for i, want := range c.want {
 				if share := got[fmt.Sprint(i)] / requests; math.Abs(share-want) > 0.06 {
-					t.Errorf("server %d gets %.3f, want about %.3f", i, share, want)
+					t.Errorf("share of server %d = %.3f, want about %.3f", i, share, want)
 				}
 			}
 		})
 	}
 }
 
-// sharesOf returns how many requests each of four servers gets, if one comes each 500 µs: about 20
-// are in flight at once on the fast servers.
+// sharesOf returns how many requests each of four servers gets if one arrives each 500 µs: with the
+// fast servers about 20 are in flight at once.
 func sharesOf(weights, tookMs [4]int, requests int) map[string]float64 {
 	var list []endpointhealth.EndpointSpec
 	for i, weight := range weights {
@@ -147,7 +147,6 @@
 	return got
 }
 
-// Over all instances each server is used.
 func TestNewServerGetsAGrowingShareOfRequestsAndKeys(t *testing.T) {
 	for _, affinity := range []bool{false, true} {
 		cfg := DefaultConfig(1 << 20)
@@ -172,7 +171,7 @@
 			}
 			if share := float64(got) / 2000; share < want*0.6 || share > want*1.5 {
 				t.Errorf(
-					"affinity %v: %v after it came it gets %.2f of its share, want about %.2f",
+					"affinity %v: %v after it joined the server gets %.2f of its share, want about %.2f",
 					affinity,
 					age,
 					share,
@@ -183,16 +182,11 @@
 	}
 }
 
-// attempts are the names of servers that had an attempt.
+// attempts holds the names of the servers that had an attempt.
 type attempts []string
 
 func (a attempts) Tried(name string) bool { return slices.Contains(a, name) }
 
-// send sends a request to a listed server below its limit, that has had no attempt.
-// check holds the states of the servers and the counts of their requests.
-// No request goes to a server that is not listed or that had it before, never more are ejected than
-// may be, and a server is found as long as there is one.
-// BenchmarkPick measures one pick with the reports of its request.
 func TestLoadIsSpreadEvenlyWhereAllServersAreSuspected(t *testing.T) {
 	p := newTestPicker(DefaultConfig(1000), testSpecs(6, "a"))
 	for _, x := range p.Servers() {
@@ -206,7 +200,7 @@
 	}
 	for name, n := range got {
 		if n < 90 || n > 110 {
-			t.Errorf("%s gets %d of 600", name, n)
+			t.Errorf("%s gets %d of 600 requests, want 90 to 110", name, n)
 		}
 	}
 }
@@ -223,17 +217,17 @@
 		}
 	}
 	if got := p.RetryAfter(now + 2*time.Second); got != 3*time.Second {
-		t.Errorf("all are ejected: retry after %v", got)
+		t.Errorf("RetryAfter() with all servers ejected = %v, want 3s", got)
 	}
 	p = newTestPicker(cfg, testSpecs(1, "a"))
 	to, _ := send(p, Query{Now: now})
 	p.Done(to, 0, endpointhealth.Success, 300*time.Millisecond, now)
 	send(p, Query{Now: now})
 	if to, reason := send(p, Query{Now: now}); to != nil || reason != NoEndpoint {
-		t.Errorf("a server with one request of at most one gets another, by %v", reason)
+		t.Errorf("a server with one request in flight, the maximum, gets another one, by reason %v", reason)
 	}
 	if got := p.RetryAfter(now); got != 300*time.Millisecond {
-		t.Errorf("all are full: retry after %v", got)
+		t.Errorf("RetryAfter() with all servers full = %v, want 300ms", got)
 	}
 }
 
@@ -252,12 +246,12 @@
 		p.Done(to, 0, endpointhealth.Success, took, now)
 	}
 	if got["n0001"] < 30 || got["n0000"] < 60 || got["n0002"] < 60 {
-		t.Errorf("%v", got)
+		t.Errorf("requests by server = %v, want at least 30 for n0001 and 60 for each of the others", got)
 	}
 }
 
-// BenchmarkUpdateEndpoints measures an update in which one server has changed.
-// The latencies of a class are compared with those of the same class.
+// Guards against a server that looks slow because it gets more requests of a slow class: the latencies
+// of a class are compared with those of the same class.
 func TestLimitDoesNotFallWhenTheShareOfASlowClassGrows(t *testing.T) {
 	cfg := DefaultConfig(64)
 	p := New(cfg, "hop", 2, 1, func(*Server, endpointhealth.StateChange) {})
@@ -267,7 +261,7 @@
 		now,
 	)
 	server := p.Servers()[0]
-	limits := [2]int{64, 64} // the lowest of each part
+	limits := [2]int{64, 64} // the lowest limit of each part
 	for part, slowPercent := range []int{10, 90} {
 		for n := range 4000 {
 			class, took := 0, 5*time.Millisecond
@@ -286,6 +280,7 @@
 	}
 	// the limit is halved now and then to measure the best latency
 	if limits[0] < 16 || limits[1] < limits[0]*2/5 {
-		t.Errorf("limit %d, and with more of the slow class %d", limits[0], limits[1])
+		t.Errorf("lowest limit = %d, want at least 16; with more of the slow class = %d, want at least 0.4 of it",
+			limits[0], limits[1])
 	}
 }
--- a/internal/balancer/picker/reason.go
+++ b/internal/balancer/picker/reason.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// PickReason is why a server was picked.
+// PickReason is the reason why a server was picked.
 type PickReason uint8
 
 // The reasons.
 const (
-	Nearest    PickReason = iota + 1 // the best of the nearest zone
-	Overflow                         // the best of another zone, as nearer ones are full or unhealthy
-	Probe                            // to find out whether a server has recovered
-	Affinity                         // the server has the key of the request
+	Nearest    PickReason = iota + 1 // the best server of the nearest zone
+	Overflow                         // the best server of another zone, as nearer ones are full, unhealthy or worse
+	Probe                            // the request probes a server whose ejection time is over
+	Affinity                         // the idempotency key of the request maps to the server
 	Overloaded                       // all servers are at their limits, and this one is the least loaded
-	LastResort                       // no server gets traffic by its health, but this one may work
+	LastResort                       // no server gets traffic by its health; this one has the fewest requests in flight
 	NoEndpoint                       // no server can take the request
 )
 
--- a/internal/balancer/picker/ring.go
+++ b/internal/balancer/picker/ring.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// keyProbes is the number of positions of a key on the ring; the point nearest to one of them
-	// has the key.
+	// keyProbes is the number of positions of a key on the ring. The point with the smallest distance
+	// behind one of them owns the key.
 	keyProbes = 11
-	// maxPoints bounds the points of a server on the ring, where weights differ.
+	// maxPoints is how many points the server of the greatest weight has on the ring, if weights differ.
 	maxPoints = 16
-	// maxRingSteps is how many points behind its own a key goes on to.
+	// maxRingSteps is how many points are tried for a key, from the one that owns it on.
 	maxRingSteps = 16
 	// goldenGamma is the increment of SplitMix64.
 	goldenGamma = 0x9e3779b97f4a7c15
-	// mantissaBits is how many of the bits of a hash a float64 holds exactly.
+	// mantissaBits is the number of bits that a float64 holds exactly.
 	mantissaBits = 53
 )
 
 // ring maps keys to servers by multi-probe consistent hashing (Appleton and O'Reilly, 2015): few
-// keys move when a server comes or goes. It is the same for all instances that have the same list.
+// keys move when a server joins or leaves. It is the same for all instances with the same list.
 type ring struct {
-	positions []uint64  // ascending; apart from the servers, as a look-up reads positions alone
-	servers   []*Server // by point
+	positions []uint64  // of the points, ascending; kept apart from servers, as a look-up reads only positions
+	servers   []*Server // the servers of the points
 }
 
 func newRing(servers []*Server) *ring {
@@ -65,10 +65,10 @@
 	return r
 }
 
-// hashOf hashes the name alone: a server that moves to another address keeps its keys.
+// hashOf hashes only the name, so that a server that moves to another address keeps its keys.
 func hashOf(id endpointhealth.ID) uint64 { return xxhash.Sum64String(id.Name) }
 
-// mix spreads the bits of a number over all of it: the finalizer of SplitMix64.
+// mix spreads the bits of x over the whole result. It is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x += goldenGamma
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -76,8 +76,8 @@
 	return x ^ x>>31
 }
 
-// next returns the first point at or behind a position. Positions are spread evenly, so the search
-// starts where the point would be if they were spread exactly.
+// next returns the index of the first point at or behind a position. Positions are spread evenly, so
+// the search starts at the index that the point would have if all distances were equal.
 func (r *ring) next(position uint64) int {
 	n := len(r.positions)
 	estimate, _ := bits.Mul64(position, uint64(n))
@@ -91,7 +91,7 @@
 	return i % n
 }
 
-// find returns the point that has a key.
+// find returns the index of the point that owns a key.
 func (r *ring) find(key uint64) int {
 	nearest := 0
 	least := uint64(math.MaxUint64)
@@ -106,9 +106,9 @@
 	return nearest
 }
 
-// pickByKey returns the server that has the key, or the next one on the ring that can take the
-// request; nil: none near enough can. A server that warms up takes the keys of its traffic share,
-// always the same ones.
+// pickByKey returns the server that owns the key, or the next one on the ring that can take the
+// request; nil if none within maxRingSteps can. A server that is warming up takes a part of its keys,
+// according to its traffic share, and always the same ones.
 func (p *Picker) pickByKey(q *Query) *Server {
 	key := xxhash.Sum64String(q.Key)
 	first := p.ring.find(key)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// keyFraction maps a key to a number from 0 up to 1 that is fixed for the server.
+// keyFraction maps a key to a number from 0 up to, but not including, 1 that is fixed for the server.
 func keyFraction(key uint64, s *Server) float64 {
 	return float64(mix(key^hashOf(s.ID))>>(64-mantissaBits)) / (1 << mantissaBits)
 }
--- a/internal/balancer/picker/sequence_test.go
+++ b/internal/balancer/picker/sequence_test.go
@@ -11,24 +11,26 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// sequence is one sequence of events over three servers, of which one may move to another address.
+// sequence applies one sequence of events to a picker of three servers, one of which may move to another
+// address.
 type sequence struct {
 	t        *testing.T
-	code     int // its number, in base sequenceEvents
+	code     int // number of the sequence, whose digits in base sequenceEvents are the events
 	picker   *Picker
 	now      time.Duration
 	listed   []endpointhealth.EndpointSpec
 	inFlight []*Server // the oldest first
 }
 
-const sequenceEvents = 9
+const sequenceEvents = 9 // kinds of events; see sequence.apply
 
+// fail ends the test, and names the sequence.
 func (q *sequence) fail(format string, v ...any) {
 	q.t.Helper()
 	q.t.Fatalf("sequence %d in base %d: %s", q.code, sequenceEvents, fmt.Sprintf(format, v...))
 }
 
-func (q *sequence) play(event int, lists [][]endpointhealth.EndpointSpec) {
+func (q *sequence) apply(event int, lists [][]endpointhealth.EndpointSpec) {
 	switch event {
 	case 0, 1, 2:
 		q.listed = lists[event]
@@ -49,12 +51,14 @@
 	}
 }
 
+// send sends a request, and checks that it goes to a listed server below its limit that has had no
+// attempt of it.
 func (q *sequence) send(query Query) {
 	to, reason := send(q.picker, query)
 	if to == nil {
 		hasRoom := len(q.inFlight) < 2*len(q.listed) && !query.Retry
 		if hasRoom && reason != NoEndpoint {
-			q.fail("no server, by %v", reason)
+			q.fail("no server although there is room, and the reason is %v, want NoEndpoint", reason)
 		}
 		return
 	}
@@ -63,11 +67,13 @@
 		func(spec endpointhealth.EndpointSpec) bool { return spec.ID == to.ID },
 	)
 	if !isListed || query.attempted(to) || to.ActiveRequests > 2 {
-		q.fail("it goes to %v by %v, with %d in flight", to.ID, reason, to.ActiveRequests)
+		q.fail("Pick() = %v by %v, with %d in flight: want a listed server not tried before, with at most 2",
+			to.ID, reason, to.ActiveRequests)
 	}
 	q.inFlight = append(q.inFlight, to)
 }
 
+// endOldest ends the request that has been in flight for the longest time.
 func (q *sequence) endOldest(outcome endpointhealth.Outcome) {
 	if len(q.inFlight) > 0 {
 		q.picker.Done(q.inFlight[0], 0, outcome, time.Millisecond, q.now)
@@ -75,6 +81,7 @@
 	}
 }
 
+// check checks the states of the servers and the counts of their requests.
 func (q *sequence) check() {
 	ejected, used, drained := 0, 0, 0
 	for _, x := range q.picker.Servers() {
@@ -83,11 +90,11 @@
 		case endpointhealth.Ejected, endpointhealth.Probing:
 			ejected++
 		case endpointhealth.Draining, endpointhealth.Gone:
-			q.fail("%v is in use, and %v", x.ID, x.State)
+			q.fail("server %v is in Servers() in state %v", x.ID, x.State)
 		}
 	}
 	if ejected > len(q.listed)/2 {
-		q.fail("%d of %d are ejected", ejected, len(q.listed))
+		q.fail("%d of %d servers are ejected or probing, want at most half", ejected, len(q.listed))
 	}
 	inZones := 0
 	for _, z := range q.picker.zones {
@@ -97,11 +104,13 @@
 		drained += x.ActiveRequests
 	}
 	if inZones != used || used+drained != len(q.inFlight) {
-		q.fail("%d in flight in zones, %d at servers and %d at draining ones, of %d",
+		q.fail("requests in flight: %d by the zones, %d by the servers and %d by the draining ones; want %d in all",
 			inZones, used, drained, len(q.inFlight))
 	}
 }
 
+// No request goes to a server that is not listed or that had it before, never more servers are ejected
+// than allowed, and a server is found as long as there is one.
 func TestAllShortSequencesOfEvents(t *testing.T) {
 	a, b, c := testSpec("a", "x"), testSpec("b", "x"), testSpec("c", "y")
 	moved := b
@@ -109,7 +118,7 @@
 	lists := [][]endpointhealth.EndpointSpec{{a, b, c}, {a, c}, {a, moved, c}}
 	const depth = 5
 	cfg := DefaultConfig(2)
-	cfg.Health.ConsecutiveFailures = 1 // so that five events lead through all states
+	cfg.Health.ConsecutiveFailures = 1 // so that five events can lead through all states
 	total := 1
 	for range depth {
 		total *= sequenceEvents
@@ -123,13 +132,13 @@
 			listed: lists[0],
 		}
 		for code, k := n, 0; k < depth; code, k = code/sequenceEvents, k+1 {
-			q.play(code%sequenceEvents, lists)
+			q.apply(code%sequenceEvents, lists)
 			q.check()
 		}
 	}
 }
 
-// randomEvents drives a picker by random events.
+// randomEvents drives a picker with random events.
 type randomEvents struct {
 	rt       *rapid.T
 	cfg      Config
@@ -138,6 +147,7 @@
 	inFlight []*Server
 }
 
+// endOne ends a random request in flight with a random outcome.
 func (e *randomEvents) endOne() {
 	if len(e.inFlight) == 0 {
 		return
@@ -156,25 +166,28 @@
 	e.inFlight = slices.Delete(e.inFlight, i, i+1)
 }
 
+// send sends a request, and checks that it goes to a server that can take it, or that there is none.
 func (e *randomEvents) send() {
 	idempotent := rapid.Bool().Draw(e.rt, "idempotent")
 	key := fmt.Sprint(e.now.Microseconds())
 	to, reason := send(e.picker, Query{Idempotent: idempotent, Key: key, Now: e.now})
 	if to == nil {
 		for _, x := range e.picker.Servers() {
-			// one that warms up gets its share alone
+			// a paced server gets only its share, and takes no request without permits
 			if x.ActiveRequests < e.cfg.MaxRequests && (!x.isPaced() || x.hasPermits(&Query{Now: e.now})) {
-				e.rt.Fatalf("no server, and %s has %d in flight", x.Name, x.ActiveRequests)
+				e.rt.Fatalf("Pick() = nil although %s can take a request, with %d in flight", x.Name, x.ActiveRequests)
 			}
 		}
 		return
 	}
 	if to.ActiveRequests > e.cfg.MaxRequests || to.State >= endpointhealth.Draining || reason == NoEndpoint {
-		e.rt.Fatalf("%v, %v with %d in flight by %v", to.ID, to.State, to.ActiveRequests, reason)
+		e.rt.Fatalf("Pick() = %v in state %v, with %d in flight, by %v", to.ID, to.State, to.ActiveRequests, reason)
 	}
 	e.inFlight = append(e.inFlight, to)
 }
 
+// Guards against requests that go to servers which left the list or are at their maximum, and against
+// requests that get no server although one can take them.
 func TestRandomEventsKeepTheLimitsAndFindAServer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := DefaultConfig(rapid.IntRange(1, 20).Draw(rt, "max requests"))
--- a/internal/balancer/picker/server.go
+++ b/internal/balancer/picker/server.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// latencyTolerance is how many times the typical latency still counts as typical: smaller
-	// differences are chance, and would draw all of a light load to one server.
+	// latencyTolerance is the factor of the typical latency up to which latencies count as equal:
+	// smaller differences are chance, and would attract all of a light load to one server.
 	latencyTolerance = 1.25
-	// minLatency bounds the latency in the cost of a server, in microseconds.
+	// minLatency is the lower bound of the latency in the cost of a server, in microseconds.
 	minLatency = 1.0
-	// minSuccessRate bounds the success rate in the cost of a server.
+	// minSuccessRate is the lower bound of the success rate in the cost of a server.
 	minSuccessRate = 0.05
 )
 
-// Server is an endpoint with what the picker keeps of it.
+// Server is an endpoint with the state that the picker keeps for it.
 type Server struct {
 	*endpointhealth.Endpoint
 	Attachment  any // state that a user of the picker keeps with the server
@@ -26,12 +26,13 @@
 	zone        *zone // nil: it is no longer listed
 	limit       concurrencylimit.Limit
 	pacer       slowstart.Pacer // in use while it warms up or is probed
-	weightRatio float64         // its weight by the mean weight
+	weightRatio float64         // its weight divided by the mean weight
 }
 
-// Limit returns how many requests the server may have in flight by its concurrency limit.
+// Limit returns the current concurrency limit of the server, in requests.
 func (s *Server) Limit() int { return s.limit.Current() }
 
+// trafficShare returns the share of its weight by which the server gets requests now, 0 to 1.
 func (s *Server) trafficShare(now time.Duration) float64 {
 	return s.picker.health.TrafficShare(s.Endpoint, now)
 }
@@ -39,17 +40,18 @@
 // isFull reports whether the server has as many requests as its concurrency limit allows.
 func (s *Server) isFull() bool { return s.ActiveRequests >= s.limit.Current() }
 
-// isHalfFull reports whether half of the concurrency limit of the server is used.
+// isHalfFull reports whether the server has at least half as many requests as its concurrency limit
+// allows.
 func (s *Server) isHalfFull() bool { return 2*s.ActiveRequests >= s.limit.Current() }
 
-// cost returns how unfavourable it is to send a request to the server: it rises with the latency
-// and the failures of the server, and with its requests in flight for its weight and traffic share.
-// Where no server has a request in flight, weights do not count: servers are drawn by them already.
+// cost returns the cost of sending a request to the server. It rises with the latency and the failures
+// of the server, and with its requests in flight relative to its weight and traffic share. While no
+// server has a request in flight weights do not count, as servers are drawn by them already.
 func (s *Server) cost(q *Query) float64 {
 	latencyMicros := max(latencyTolerance*s.picker.typicalLatency, minLatency)
 	successRate := 1.0
 	if q.Now-s.LastOutcomeAt <= endpointhealth.MeasurementLifetime {
-		// A server that fails fast must not look like the fastest.
+		// a server that fails fast must not look like the fastest one
 		latencyMicros = max(latencyMicros, s.MeanLatency)
 		successRate = max(s.SuccessRate, minSuccessRate)
 	}
@@ -62,8 +64,8 @@
 	return s.ActiveRequests < s.picker.cfg.MaxRequests && s.trafficShare(q.Now) > 0 && !q.attempted(s)
 }
 
-// canPick reports whether the server may be picked by its cost. One that is paced is picked by its
-// permits instead.
+// canPick reports whether the server may be picked by its cost. A paced server is picked by its permits
+// instead; see pace.
 func canPick(s *Server, q *Query) bool {
 	return s.isEligible(q) && !s.isPaced() && s.hasClockPermit(q.Now)
 }
--- a/internal/balancer/picker/subset.go
+++ b/internal/balancer/picker/subset.go
@@ -9,9 +9,10 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// subset returns the size servers that an instance uses (0: all), by rendezvous (highest random
-// weight) hashing. A server that comes or goes changes at most one of them. Instances need not know
-// of each other; the price is that by chance a server is in more subsets than the mean.
+// subset returns the servers that an instance uses, at most size of them (0: all), by rendezvous
+// (highest random weight) hashing. A server that joins or leaves changes at most one of them.
+// Instances need not know of each other; in return, by chance some servers are in more subsets than
+// others.
 func subset(instance string, specs []endpointhealth.EndpointSpec, size int) []endpointhealth.EndpointSpec {
 	if size <= 0 || len(specs) <= size {
 		return specs
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// zoneRefreshInterval is how long the drawing of servers may lag behind their states. Each
-	// server that is drawn is checked before it is picked, so a stale zone costs another draw and
-	// not a failed request.
+	// zoneRefreshInterval is how long the weights of the sampler may lag behind the states of the
+	// servers. Each server that is drawn is checked before it is picked, so a stale zone costs another
+	// draw and not a failed request.
 	zoneRefreshInterval = 20 * time.Millisecond
-	// fullScanSize is up to how many servers of a zone are all compared.
+	// fullScanSize is the size of a zone up to which all its servers are compared.
 	fullScanSize = 32
-	// drawnCandidates is how many servers of a larger zone are compared.
+	// drawnCandidates is how many servers of a larger zone are drawn and compared.
 	drawnCandidates = 3
-	// maxDraws bounds the draws for them.
+	// maxDraws is the maximum number of draws to find these.
 	maxDraws = 12
 )
 
-// zone is the servers of one locality.
+// zone holds the servers of one locality.
 type zone struct {
 	name           string
 	servers        []*Server
-	activeRequests int // at its servers
+	activeRequests int // requests in flight at its servers
 
-	// Of the last refresh:
-	refreshedAt  time.Duration // 0: never
-	stale        bool          // the state of a server has changed since
+	// As of the last refresh:
+	refreshedAt  time.Duration // monotonic; 0: never
+	stale        bool          // the state of a server has changed since then
 	weights      []float64     // by server: weight times traffic share
-	drawer       aliasTable
-	drawable     bool      // the drawer has a server to draw
-	warmingUp    []*Server // their traffic shares change with time
+	sampler      aliasTable
+	canDraw      bool      // a server has a weight above 0
+	warmingUp    []*Server // servers in state WarmingUp, whose traffic shares change with time
 	warmWeight   float64   // sum of the weights of the servers that are warm
-	capacity     int       // sum of the limits of the servers that get traffic
-	healthyShare float64   // of its weight
+	capacity     int       // sum of the concurrency limits of the servers that get traffic
+	healthyShare float64   // healthy part of the weight of all servers, 0 to 1
 }
 
-// refresh brings the zone up to date where that is due.
+// refresh updates the weights and sums of the zone if the state of a server has changed or servers are
+// warming up, but not more often than each zoneRefreshInterval.
 func (z *zone) refresh(health *endpointhealth.Monitor, now time.Duration) {
 	unchanged := !z.stale && len(z.warmingUp) == 0
 	if z.refreshedAt != 0 && (unchanged || now-z.refreshedAt < zoneRefreshInterval) {
@@ -72,23 +73,24 @@
 		}
 	}
 	z.healthyShare = healthy / max(total, 1)
-	z.drawable = z.drawer.build(z.weights)
+	z.canDraw = z.sampler.build(z.weights)
 }
 
-// isFull reports whether the servers of the zone have as many requests as their limits allow.
-func (z *zone) isFull() bool { return !z.drawable || z.activeRequests >= z.capacity }
+// isFull reports whether the servers of the zone together have as many requests as their concurrency
+// limits allow.
+func (z *zone) isFull() bool { return !z.canDraw || z.activeRequests >= z.capacity }
 
-// candidate is the server of the least cost of those that were compared.
+// candidate is the server of the least cost among those compared so far.
 type candidate struct {
 	query   *Query
 	canPick func(*Server, *Query) bool
 	best    *Server
 	cost    float64
-	found   int // servers that may be picked
+	found   int // compared servers that may be picked
 }
 
-// compare takes a server into account. Of servers of the same cost the first one stays, so that a
-// light load too is spread by weight.
+// compare compares a server with the best one. Of servers of the same cost the first one stays: it was
+// drawn by weight, so that a light load too is spread by weight.
 func (c *candidate) compare(s *Server) {
 	if s == c.best || !c.canPick(s, c.query) {
 		return
@@ -100,10 +102,10 @@
 	}
 }
 
-// pickLeastCost returns the server of the least cost of all, or in a large zone of some that are
-// drawn by weight and traffic share; nil: none may be picked.
+// pickLeastCost returns the server of the least cost among all servers, or in a large zone among some
+// that are drawn by weight and traffic share. It returns nil if none may be picked.
 func (z *zone) pickLeastCost(random *rand.Rand, q *Query, canPick func(*Server, *Query) bool) *Server {
-	if !z.drawable {
+	if !z.canDraw {
 		return nil
 	}
 	c := candidate{query: q, canPick: canPick}
@@ -115,10 +117,11 @@
 	return c.best
 }
 
-// compareAll compares all servers: first one that is drawn, then all from a random place on.
-// Otherwise the first server would get all requests that the drawn one does not get.
+// compareAll compares all servers: first one that is drawn by weight, then all in the order of the list
+// from a random place on. From a fixed place on, the first server would get all requests that the drawn
+// one does not get.
 func (z *zone) compareAll(random *rand.Rand, c *candidate) {
-	c.compare(z.servers[z.drawer.draw(random)])
+	c.compare(z.servers[z.sampler.draw(random)])
 	start := random.IntN(len(z.servers))
 	for _, s := range z.servers[start:] {
 		c.compare(s)
@@ -128,11 +131,11 @@
 	}
 }
 
-// compareDrawn compares drawnCandidates servers that are drawn. Where no draw finds one that may be
-// picked, it takes the first one that may be from a random place on.
+// compareDrawn compares drawnCandidates servers that are drawn by weight. If none of the draws finds a
+// server that may be picked, it takes the first such server from a random place in the list on.
 func (z *zone) compareDrawn(random *rand.Rand, c *candidate) {
 	for range maxDraws {
-		c.compare(z.servers[z.drawer.draw(random)])
+		c.compare(z.servers[z.sampler.draw(random)])
 		if c.found == drawnCandidates {
 			return
 		}
