--- a/internal/balancer/bulkhead/config.go
+++ b/internal/balancer/bulkhead/config.go
@@ -60,8 +60,8 @@
 	Tenants        []float64 // shares, by tenant number; their sum is 1
 	LimitAlgorithm LimitAlgorithm
 	InitialLimit   float64       // slots; the limit of a group that has not been measured
-	MinLimit       float64       // slots; the limit never falls below it
-	MaxLimit       float64       // slots; the limit never rises above it
+	MinLimit       float64       // slots; lower bound of the adaptive limit
+	MaxLimit       float64       // slots; upper bound of the adaptive limit
 	ReclaimTime    time.Duration // time within which borrowed slots have to come back
 	MaxQueueLength int           // maximum number of waiting requests of a pool
 	// DeadlineMargin is how long before its deadline a request has to end; a request that would end
--- a/internal/balancer/bulkhead/dropping.go
+++ b/internal/balancer/bulkhead/dropping.go
@@ -107,9 +107,8 @@
 	}
 }
 
-// leastValuableUpTo returns the least valuable request of those up to a place in the queue. Requests
-// ahead of that place count only if without them the request at that place would be in time, which is
-// late by lateMicros.
+// leastValuableUpTo returns the least valuable request up to a place in the queue, if the request at
+// that place is late by lateMicros. A request ahead of it counts only if dropping it frees that time.
 func (s *Scheduler) leastValuableUpTo(p *pool, place int, lateMicros, slots float64) *Request {
 	worst := p.queue.order[place]
 	for _, r := range p.queue.order[:place] {
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -143,7 +143,7 @@
 
 // nextFromReserve returns a pool whose first request may use a slot of a reserve, and would be too late
 // if it waited for the next slot. The slot is granted only if no request waits in the reserve's own
-// pool, one more slot stays free, and the slots that other pools lack to their floors are left.
+// pool, one more slot stays free, and the slots that other pools lack to their floors stay free too.
 func (s *Scheduler) nextFromReserve() *pool {
 	for _, reserve := range s.pools {
 		spare := s.Limit() - s.running - s.owedSlots()
--- a/internal/balancer/endpointhealth/ejection.go
+++ b/internal/balancer/endpointhealth/ejection.go
@@ -48,7 +48,7 @@
 		e.consecutiveFailures = 0
 	case TimedOut: // a single timeout may be chance, or due to overload of all endpoints
 		e.consecutiveFailures++
-		if e.consecutiveFailures >= m.cfg.ConsecutiveFailures && m.peersAreInTime() {
+		if e.consecutiveFailures >= m.cfg.ConsecutiveFailures && m.overallFailureRateIsLow() {
 			m.evaluateFailures(e, now)
 		}
 	case Aborted, Unreachable:
@@ -83,9 +83,9 @@
 	}
 }
 
-// peersAreInTime reports whether so few requests to all endpoints fail that timeouts in a row are due
-// to the endpoint itself.
-func (m *Monitor) peersAreInTime() bool {
+// overallFailureRateIsLow reports whether so few requests to all endpoints fail that timeouts in a row
+// are due to the endpoint itself.
+func (m *Monitor) overallFailureRateIsLow() bool {
 	return m.failureRate <= m.cfg.FailureRateThreshold/m.cfg.FailureRateFactor
 }
 
--- a/internal/balancer/endpointhealth/state.go
+++ b/internal/balancer/endpointhealth/state.go
@@ -62,7 +62,7 @@
 	Success       Outcome = iota + 1
 	ErrorResponse         // an error response, which may be due to the request
 	Aborted               // the endpoint broke the connection off
-	TimedOut              // no answer in time; timeouts in a row eject an endpoint only if its peers answer in time
+	TimedOut              // no answer in time; timeouts in a row eject only while few requests to all endpoints fail
 	Unreachable           // the connection was not established
 	Inconclusive          // the end of the request says nothing about the endpoint
 )
