--- a/internal/balancer/slowstart/pacer_test.go
+++ b/internal/balancer/slowstart/pacer_test.go
@@ -80,7 +80,7 @@
 				)
 				if over > seeds/20 || mean < requests*0.8 || mean > requests {
 					t.Errorf(
-						"over the bound in %d of %d runs, want <= 5 %%; %.2f of %v requests a second, want >= 80 %%",
+						"over the bound in %d of %d runs, want <= 5 %%; %.2f of %v requests/s, want 80 to 100 %%",
 						over,
 						seeds,
 						mean,
