--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -12,8 +12,9 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// A cluster in virtual time: runners with their replicas, links that lose, delay, repeat and cut
-// messages, a consensus group by the library's Raft, clients, and a checker that sees all.
+// This file simulates a cluster in virtual time: runners with their replicas, links that lose, delay,
+// duplicate and cut messages, a consensus group with the Raft library, clients, and a checker that
+// observes all attempts.
 
 const (
 	ms               = time.Millisecond
@@ -24,10 +25,10 @@
 	loadDuration     = 15 * second
 	tickInterval     = 20 * ms
 	relayInterval    = 300 * ms
-	catchUpRateBytes = 4000 // a second, of the clusters that have a bound
+	catchUpRateBytes = 4000 // bytes per second, in clusters with a catch-up rate
 )
 
-// cluster is an installation of runners.
+// cluster is a simulated installation of runners.
 type cluster struct {
 	random    *rand.Rand
 	scheduler *virtualclock.Scheduler
@@ -36,9 +37,9 @@
 	voters    []string
 	slots     int
 	backups   int
-	rate      int64              // bytes a second for replicas that are catching up; 0: no bound
-	grid      *grid.Grid         // nil: all have links with all
-	cut       map[[2]string]bool // links that are cut: from, to
+	rate      int64              // catch-up rate in bytes per second; 0: no bound
+	grid      *grid.Grid         // nil: full mesh
+	cut       map[[2]string]bool // cut links, by sender and receiver
 
 	lastIncarnation uint64
 	keys            map[string]*keyHistory
@@ -47,12 +48,13 @@
 	refused         int
 	failed          int
 
-	// What a broken version of the program does otherwise.
+	// tamperMessage and tamperTable change messages and tables as a broken version of the program would;
+	// nil: no change.
 	tamperMessage func(c *cluster, m *Message) []Message
 	tamperTable   func(t *placement.Table)
 }
 
-// runner is one machine, and its process if it is up.
+// runner is a simulated machine and, while it is up, its process.
 type runner struct {
 	cluster   *cluster
 	name      string
@@ -62,18 +64,18 @@
 	process   uint32
 	up        bool
 	stopped   bool
-	deferred  []func() // what came while the process was stopped
+	deferred  []func() // calls that arrived while the process was stopped
 
-	tableVersion  uint64 // of the table that the replica has
-	rejoinVersion uint64 // of the table for which it began another incarnation
+	tableVersion  uint64 // version of the replica's table
+	rejoinVersion uint64 // version of the table after which the process rejoined
 	log           []consensus.DurableRecord
 	disk, older   disk
 	keys          map[string]*keyState
-	sent          int             // messages
-	links         map[string]bool // over which it sent anything
+	sent          int             // number of messages sent
+	links         map[string]bool // peers to which a message was sent
 }
 
-// disk is what outlives a process.
+// disk is the stored state that the next process starts from.
 type disk struct {
 	slots []SlotSnapshot
 	log   []consensus.DurableRecord
@@ -116,37 +118,37 @@
 	return c
 }
 
-// now is the time since the cluster began.
+// now returns the virtual time since the start of the cluster.
 func (c *cluster) now() time.Duration {
 	return c.scheduler.Now() - virtualclock.Origin
 }
 
-// after calls fn after a while.
+// after calls fn after d.
 func (c *cluster) after(d time.Duration, fn func()) { c.scheduler.After(d, fn) }
 
-// run plays for a while.
+// run advances the virtual clock by d.
 func (c *cluster) run(d time.Duration) {
 	c.scheduler.RunUntil(c.scheduler.Now() + d.Truncate(virtualclock.Resolution))
 }
 
-// between draws a whole number of microseconds from a to below b.
-func (c *cluster) between(a, b time.Duration) time.Duration {
+// randomDuration returns a random number of whole microseconds in [a, b).
+func (c *cluster) randomDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(c.random.Int64N((b-a).Microseconds()))*time.Microsecond
 }
 
-// count draws a number from a to below b.
-func (c *cluster) count(a, b int64) int64 { return a + c.random.Int64N(b-a) }
+// randomCount returns a random number in [a, b).
+func (c *cluster) randomCount(a, b int64) int64 { return a + c.random.Int64N(b-a) }
 
-// anyRunner draws a runner.
-func (c *cluster) anyRunner() *runner { return c.runners[c.random.IntN(len(c.runners))] }
+// randomRunner returns a random runner.
+func (c *cluster) randomRunner() *runner { return c.runners[c.random.IntN(len(c.runners))] }
 
-// newIncarnation returns a number that no process had.
+// newIncarnation returns a number that was not used before.
 func (c *cluster) newIncarnation() uint64 {
 	c.lastIncarnation++
 	return c.lastIncarnation
 }
 
-// start begins a process on a disk.
+// start starts a process with the state of a disk.
 func (r *runner) start(d disk) {
 	c := r.cluster
 	incarnation := c.newIncarnation()
@@ -173,23 +175,24 @@
 	if err != nil {
 		panic(err)
 	}
-	c.after(c.between(0, tickInterval), func() { r.tick(r.process) })
+	c.after(c.randomDuration(0, tickInterval), func() { r.tick(r.process) })
 }
 
-// tick is one tick of a process, and calls for the next one.
+// tick runs one tick of a process and schedules the next one.
 func (r *runner) tick(process uint32) {
 	if r.process != process || !r.up {
 		return
 	}
-	r.do(func() {
+	r.execute(func() {
 		r.consensus.Tick(r.cluster.now())
 		r.replica.Tick(r.cluster.now())
 	})
 	r.cluster.after(tickInterval, func() { r.tick(process) })
 }
 
-// do has the process do something, now or when it goes on, and sends what comes of it.
-func (r *runner) do(fn func()) {
+// execute runs fn in the process, at once or when the process resumes, and sends the resulting messages.
+// A process that is down ignores it.
+func (r *runner) execute(fn func()) {
 	switch {
 	case !r.up:
 	case r.stopped:
@@ -200,9 +203,10 @@
 	}
 }
 
-// flush exchanges what replica and consensus group have for each other, and sends their messages.
+// flush passes changes and tables between the replica and the consensus participant, and sends their
+// messages.
 func (r *runner) flush() {
-	for range 3 { // a voter's table may follow from what is flushed
+	for range 3 { // a voter's table may result from the changes passed before
 		r.exchange()
 	}
 	for _, m := range r.replica.TakeMessages() {
@@ -248,7 +252,8 @@
 	r.replica.SetTable(t, c.now())
 }
 
-// deliver takes something to another runner: by their link, or by a relay if the grid has none.
+// deliver calls fn at another runner, over the link between the two or over a relay if the grid has no
+// such link.
 func (c *cluster) deliver(from, to string, fn func(*runner)) {
 	if c.grid == nil || c.grid.Linked(from, to) {
 		c.hop(from, to, fn)
@@ -262,10 +267,10 @@
 			return
 		}
 	}
-	c.hop(from, to, fn) // a link beside the grid
+	c.hop(from, to, fn) // no relay is up: a direct link outside the grid
 }
 
-// hop takes something over one link, which may lose, repeat or delay it.
+// hop calls fn at the other end of one link. The link may lose, duplicate or delay the call.
 func (c *cluster) hop(from, to string, fn func(*runner)) {
 	if sender := c.byName[from]; sender != nil {
 		sender.sent++
@@ -280,19 +285,19 @@
 		times = 2
 	}
 	for range times {
-		d := c.between(200*time.Microsecond, 4*ms)
+		d := c.randomDuration(200*time.Microsecond, 4*ms)
 		if c.random.IntN(100) == 0 {
-			d = c.between(4*ms, 500*ms)
+			d = c.randomDuration(4*ms, 500*ms)
 		}
 		c.after(d, func() {
 			if r := c.byName[to]; r != nil && !c.cut[link] {
-				r.do(func() { fn(r) })
+				r.execute(func() { fn(r) })
 			}
 		})
 	}
 }
 
-// send sends a replica's message, as the version of the program that is played does.
+// send sends a replica's message, changed by tamperMessage if that is set.
 func (c *cluster) send(m Message) {
 	messages := []Message{m}
 	if c.tamperMessage != nil {
@@ -303,8 +308,8 @@
 	}
 }
 
-// deliverNow has a runner receive a message at once.
+// deliverNow delivers a message without delay or loss.
 func (c *cluster) deliverNow(m Message) {
 	to := c.byName[m.To]
-	to.do(func() { to.replica.Receive(&m, c.now()) })
+	to.execute(func() { to.replica.Receive(&m, c.now()) })
 }
--- a/internal/peers/replication/errors.go
+++ b/internal/peers/replication/errors.go
@@ -21,12 +21,12 @@
 	)
 )
 
-// Errors of a request.
+// Errors in the Result of a request.
 var (
-	// ErrTimeout is the error of a request that no primary answered in time.
-	ErrTimeout error = kindTimeout.New("replication: no replica answered in time")
-	// ErrUnavailable is the error of a request for a new key while no new keys are accepted.
+	// ErrTimeout is returned for a request that no primary answered before its deadline.
+	ErrTimeout error = kindTimeout.New("replication: no primary answered before the deadline")
+	// ErrUnavailable is returned for a request for a new key while no new keys are accepted.
 	ErrUnavailable error = kindUnavailable.New("replication: no new keys are accepted")
-	// ErrConflict is the error of a request that contradicts a stored record of another attempt.
-	ErrConflict error = kindConflict.New("replication: the record of another attempt is stored")
+	// ErrConflict is returned for a request that contradicts the stored record of another attempt.
+	ErrConflict error = kindConflict.New("replication: the key has a stored record of another attempt")
 )
--- a/internal/peers/replication/faults_test.go
+++ b/internal/peers/replication/faults_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// diskState is what a process finds on its disk.
+// diskState is the state of the disk after a crash.
 type diskState int
 
 const (
-	diskIntact diskState = iota
-	diskOld              // what it had at the crash before
+	diskIntact diskState = iota // as at this crash
+	diskOld                     // as at the crash before
 	diskEmpty
 )
 
-// drawnDiskStates are those of drawn crashes.
-var drawnDiskStates = []diskState{diskIntact, diskOld, diskEmpty, diskEmpty}
+// crashDiskStates are the disk states of random crashes. diskEmpty is twice as likely.
+var crashDiskStates = []diskState{diskIntact, diskOld, diskEmpty, diskEmpty}
 
-// stop stops the process for a while. What comes in waits.
+// stop suspends the process for d. Calls that arrive meanwhile are deferred.
 func (r *runner) stop(d time.Duration) {
 	if !r.up || r.stopped {
 		return
@@ -32,12 +32,12 @@
 		deferred := r.deferred
 		r.deferred = nil
 		for _, fn := range deferred {
-			r.do(fn)
+			r.execute(fn)
 		}
 	})
 }
 
-// crash ends the process. Another one begins after a while.
+// crash ends the process. A new one starts after the downtime with the given state of the disk.
 func (r *runner) crash(downtime time.Duration, state diskState) {
 	if !r.up {
 		return
@@ -57,7 +57,7 @@
 	})
 }
 
-// cutLink cuts the link from a to b for a while, or both ways.
+// cutLink cuts the link from a to b for d, or both directions.
 func (c *cluster) cutLink(a, b string, d time.Duration, both bool) {
 	links := [][2]string{{a, b}}
 	if both {
@@ -72,7 +72,7 @@
 	}
 }
 
-// cutZone cuts a zone off from the others for a while.
+// cutZone cuts the links between a zone and the others for d.
 func (c *cluster) cutZone(zone string, d time.Duration) {
 	for _, a := range c.runners {
 		for _, b := range c.runners {
@@ -83,20 +83,20 @@
 	}
 }
 
-// planFault draws a fault, and when it happens.
-func (c *cluster) planFault() {
-	r, other := c.anyRunner(), c.anyRunner()
-	kind, at, d := c.random.IntN(8), c.between(0, loadDuration), c.between(20*ms, 4*second)
+// scheduleFault schedules a random fault at a random time.
+func (c *cluster) scheduleFault() {
+	r, other := c.randomRunner(), c.randomRunner()
+	kind, at, d := c.random.IntN(8), c.randomDuration(0, loadDuration), c.randomDuration(20*ms, 4*second)
 	c.after(at, func() {
 		switch kind {
 		case 0, 1:
-			downtime := c.between(50*ms, 3*second)
-			r.crash(downtime, drawnDiskStates[c.random.IntN(len(drawnDiskStates))])
+			downtime := c.randomDuration(50*ms, 3*second)
+			r.crash(downtime, crashDiskStates[c.random.IntN(len(crashDiskStates))])
 		case 2, 3:
 			r.stop(d)
 		case 4:
 			c.cutLink(r.name, other.name, d, c.random.IntN(2) == 0)
-		case 5, 6: // cut off from all, or heard by nobody
+		case 5, 6: // all links cut in both directions, or only those from the runner
 			both := kind == 6
 			for _, o := range c.runners {
 				c.cutLink(r.name, o.name, d, both)
@@ -107,35 +107,36 @@
 	})
 }
 
-// planAttempt has an attempt with a key come to a runner that is drawn then.
-func (c *cluster) planAttempt(key string, first, at time.Duration) {
+// scheduleAttempt schedules an attempt with a key at a runner that is chosen at that time. The key's
+// window began with the attempt at firstAt.
+func (c *cluster) scheduleAttempt(key string, firstAt, at time.Duration) {
 	c.after(at, func() {
-		if r := c.anyRunner(); r.up && !r.stopped {
-			r.attempt(key, first+keyWindow-at)
+		if r := c.randomRunner(); r.up && !r.stopped {
+			r.attempt(key, firstAt+keyWindow-at)
 		}
 	})
 }
 
-// play plays a day with load and faults by a seed, of a program that change may break.
+// play simulates load and faults with a seed. If change is not nil, it may break the program first.
 func play(seed uint64, change func(*cluster)) *cluster {
 	runners, backups := 3+int(seed%7), 1+int(seed/7%2)
 	c := newCluster(seed, runners, backups, 4)
 	if change != nil {
 		change(c)
 	}
-	c.run(keyWindow + readGrace + second) // the first slots begin with nothing
+	c.run(keyWindow + readGrace + second) // the quarantine of the first, empty slots ends
 	for k := range 60 {
-		first := c.between(0, loadDuration)
-		for range c.count(2, 8) {
-			at := first + c.between(0, keyWindow-second)
+		first := c.randomDuration(0, loadDuration)
+		for range c.randomCount(2, 8) {
+			at := first + c.randomDuration(0, keyWindow-second)
 			if c.random.IntN(4) == 0 {
-				at = first + c.between(0, 3*ms) // at the same instant
+				at = first + c.randomDuration(0, 3*ms) // at the same instant
 			}
-			c.planAttempt(fmt.Sprint("k", k), first, at)
+			c.scheduleAttempt(fmt.Sprint("k", k), first, at)
 		}
 	}
-	for range c.count(3, 14) {
-		c.planFault()
+	for range c.randomCount(3, 14) {
+		c.scheduleFault()
 	}
 	c.run(loadDuration + keyWindow + 2*second)
 	return c
--- a/internal/peers/replication/fleet_test.go
+++ b/internal/peers/replication/fleet_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// fleetLoad is for how long the load without faults goes on, and faultyLoad that with them.
+	// fleetLoad is the duration of the load without faults, faultyLoad that of the load with faults.
 	fleetLoad  = 20 * second
 	faultyLoad = 5 * second
-	// maxFleetVoters is the number of voters of a fleet.
+	// maxFleetVoters is the number of voters of each fleet.
 	maxFleetVoters = 5
 )
 
-// newFleet returns a cluster of many runners, which stand in a grid from 33 on.
+// newFleet returns a cluster of many runners. With more than 32 runners they form a grid.
 func newFleet(runners int) *cluster {
 	c := newCluster(uint64(runners), runners, 2, 256)
 	if c.grid = nil; runners > 32 {
@@ -37,22 +37,22 @@
 	return c
 }
 
-// load has two keys a second for each runner, each attempted twice.
-func (c *cluster) load() {
+// runLoad runs fleetLoad with two keys per second and runner, each attempted twice.
+func (c *cluster) runLoad() {
 	for k := range 2 * len(c.runners) * int(fleetLoad/second) {
-		key, first := fmt.Sprint("k", k), c.between(0, fleetLoad)
+		key, first := fmt.Sprint("k", k), c.randomDuration(0, fleetLoad)
 		for range 2 {
-			c.planAttempt(key, first, first+c.between(0, second))
+			c.scheduleAttempt(key, first, first+c.randomDuration(0, second))
 		}
 	}
 	c.run(fleetLoad)
 }
 
-// loadWithFaults goes on with the load while six runners crash or stop.
-func (c *cluster) loadWithFaults() {
+// runLoadWithFaults runs faultyLoad with four attempts per key while six runners crash or stop.
+func (c *cluster) runLoadWithFaults() {
 	for range 6 {
-		r := c.anyRunner()
-		c.after(c.between(0, faultyLoad), func() {
+		r := c.randomRunner()
+		c.after(c.randomDuration(0, faultyLoad), func() {
 			if c.random.IntN(2) == 0 {
 				r.crash(second, diskEmpty)
 			} else {
@@ -61,16 +61,16 @@
 		})
 	}
 	for k := range 2 * len(c.runners) * int(faultyLoad/second) {
-		key, first := fmt.Sprint("f", k), c.between(0, faultyLoad)
+		key, first := fmt.Sprint("f", k), c.randomDuration(0, faultyLoad)
 		for range 4 {
-			c.planAttempt(key, first, first+c.between(0, keyWindow-second))
+			c.scheduleAttempt(key, first, first+c.randomDuration(0, keyWindow-second))
 		}
 	}
 	c.run(faultyLoad + keyWindow + 2*second)
 }
 
-// traffic returns how many messages a second a runner that does not vote sends on average, and the
-// most links that one has. In a fleet of voters only it is that of all.
+// traffic returns the average number of messages per second that a non-voting runner sends and the
+// maximum number of links of such a runner. In a fleet of voters only, it counts all runners.
 func (c *cluster) traffic() (messages float64, links int) {
 	others := c.runners[maxFleetVoters:]
 	if len(c.runners) == maxFleetVoters {
@@ -83,30 +83,30 @@
 	return float64(sent) / float64(len(others)) / fleetLoad.Seconds(), links
 }
 
-// Days at 5 to 300 runners, for a run by hand: RYEPADDLE_FLEETS names the chart that is made of the
-// messages and the links of each runner. A runner gets two keys a second whatever the size; runners
-// crash and stop meanwhile, no key runs twice and no committed result is lost.
+// Checks at 5 to 300 runners that no key runs twice and no committed result is lost while runners crash
+// and stop, with two keys per second and runner. Run by hand: RYEPADDLE_FLEETS names the file for the
+// chart of messages and links per runner.
 func TestFleetsOfManySizesKeepResults(t *testing.T) {
 	file := os.Getenv("RYEPADDLE_FLEETS")
 	if file == "" {
-		t.Skip("RYEPADDLE_FLEETS names no chart")
+		t.Skip("RYEPADDLE_FLEETS is not set to a chart file")
 	}
 	var messages, links plotter.XYs
 	for _, runners := range []int{5, 20, 100, 300} {
 		c := newFleet(runners)
-		c.load()
+		c.runLoad()
 		sent, linked := c.traffic()
 		messages = append(messages, plotter.XY{X: float64(runners), Y: sent})
 		links = append(links, plotter.XY{X: float64(runners), Y: float64(linked)})
-		calm := c.served
-		c.loadWithFaults()
+		servedWithoutFaults := c.served
+		c.runLoadWithFaults()
 		if v := c.verdict(); v != "" {
 			t.Errorf("%d runners: %s", runners, v)
 		}
 		t.Logf(
-			"%d runners: %.0f messages a second by one that does not vote, at most %d links; "+
-				"%d served, then with faults %d, %d refused, %d failed",
-			runners, sent, linked, calm, c.served-calm, c.refused, c.failed,
+			"%d runners: %.0f messages per second by a non-voting runner, at most %d links; "+
+				"served without faults %d, with faults %d; refused %d, failed %d",
+			runners, sent, linked, servedWithoutFaults, c.served-servedWithoutFaults, c.refused, c.failed,
 		)
 	}
 	drawFleets(t, file, messages, links)
@@ -115,10 +115,10 @@
 func drawFleets(t *testing.T, file string, messages, links plotter.XYs) {
 	t.Helper()
 	p := plot.New()
-	p.Title.Text = "Messages and links of one runner that does not vote"
-	p.X.Label.Text, p.Y.Label.Text = "runners", "messages a second; links"
+	p.Title.Text = "Messages and links of a non-voting runner"
+	p.X.Label.Text, p.Y.Label.Text = "runners", "messages per second; links"
 	p.Y.Min = 0
-	if err := plotutil.AddLinePoints(p, "messages a second", messages, "links", links); err != nil {
+	if err := plotutil.AddLinePoints(p, "messages per second", messages, "links", links); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Save(16*vg.Centimeter, 9*vg.Centimeter, file); err != nil {
--- a/internal/peers/replication/follower.go
+++ b/internal/peers/replication/follower.go
@@ -6,7 +6,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// handleAppend handles a probe or records of a primary. Those of an older epoch are not answered.
+// handleAppend handles a MsgProbe or MsgAppend of a primary. A message of an older epoch is not
+// answered.
 func (r *Replica) handleAppend(m *Message) {
 	t, s := &r.table.Slots[m.Slot], *r.slotAt(m.Slot)
 	if m.Epoch < t.Epoch || s != nil && m.Epoch < s.epoch {
@@ -16,7 +17,7 @@
 		s = newSlot()
 		*r.slotAt(m.Slot) = s
 	}
-	if m.Epoch > s.epoch { // the table that says so is on its way
+	if m.Epoch > s.epoch { // the table with this epoch has not arrived yet
 		s.epoch = m.Epoch
 		s.isPrimary = false
 		s.commitWaiters = nil
@@ -43,12 +44,13 @@
 	r.send(Message{Type: MsgAppendResp, To: m.From, Slot: m.Slot, Epoch: s.epoch, Seq: s.lastSeq})
 }
 
-// isStale reports whether a message is not newer than the newest of the same primary.
+// isStale reports whether a message is a duplicate of, or older than, the newest message received from
+// the same incarnation of the primary.
 func (s *slot) isStale(m *Message) bool {
 	return s.newest.from == m.From && s.newest.incarnation == m.Incarnation && s.newest.serial >= m.Serial
 }
 
-// storeEntries stores the records of a MsgAppend that has no gap to those before it.
+// storeEntries stores the records of a MsgAppend, which must directly follow the stored records.
 func (r *Replica) storeEntries(s *slot, m *Message) {
 	if m.Reset {
 		s.reset()
@@ -59,14 +61,15 @@
 			s.store(e, r.now+e.Remaining.Duration())
 		}
 	}
-	if m.EpochStarts != nil { // an epoch whose records have all expired has no other trace
+	if m.EpochStarts != nil { // records an epoch whose entries have all expired
 		s.epochStarts = slices.Clone(m.EpochStarts)
 		s.lastEpoch = m.EpochStarts[len(m.EpochStarts)-1].Epoch
 	}
 	s.lastSeq = max(s.lastSeq, m.Seq)
 }
 
-// quarantineLeft returns what a primary tells its followers of the slot's quarantine.
+// quarantineLeft returns the remaining quarantine of the slot as a primary sends it to its followers;
+// it is never negative.
 func (r *Replica) quarantineLeft(s *slot) wallclock.Micros {
 	return wallclock.MicrosOf(max(s.quarantine.until-r.now, 0))
 }
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -7,20 +7,20 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// MessageType is what a message is for.
+// MessageType is the type of a Message.
 type MessageType uint8
 
 // The types of messages. Their numbers are part of the protocol.
 const (
-	MsgPut        MessageType = iota + 1 // a runner asks a slot's primary to store a record
+	MsgPut        MessageType = iota + 1 // asks a slot's primary to store a record
 	MsgPutResp                           // the outcome of a MsgPut
-	MsgProbe                             // a primary begins an epoch and asks what a replica has
-	MsgProbeResp                         // the newest record that a replica has
-	MsgAppend                            // records to store
-	MsgAppendResp                        // the newest record up to which all are stored
+	MsgProbe                             // a primary that begins an epoch asks a replica for its newest record
+	MsgProbeResp                         // the epoch and sequence number of the replica's newest record
+	MsgAppend                            // records for a follower to store
+	MsgAppendResp                        // all records up to this sequence number are stored
 )
 
-// String returns the type's name.
+// String returns the name of the constant.
 func (t MessageType) String() string {
 	switch t {
 	case MsgPut:
@@ -39,20 +39,20 @@
 	return fmt.Sprintf("MessageType(%d)", uint8(t))
 }
 
-// Outcome is how a primary answers a MsgPut.
+// Outcome is a primary's decision on a MsgPut.
 type Outcome uint8
 
-// The outcomes. Their numbers are part of the protocol.
+// The outcomes of a MsgPut. Their numbers are part of the protocol.
 const (
 	OutcomeGranted      Outcome = iota + 1 // the run may begin
-	OutcomeOwnedByOther                    // another attempt owns the key: the entry is its record
+	OutcomeOwnedByOther                    // another attempt owns the key; the message's entry is its record
 	OutcomeStored                          // the end of a run is stored
-	OutcomeRetry                           // this primary cannot answer, or not yet
+	OutcomeRetry                           // the receiver is not the primary, or cannot commit records yet
 	OutcomeUnavailable                     // no new keys are accepted for a while
-	OutcomeConflict                        // it contradicts the record that is stored
+	OutcomeConflict                        // the request contradicts the stored record
 )
 
-// String returns the outcome in words.
+// String returns the outcome as lower-case words.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeGranted:
@@ -71,23 +71,23 @@
 	return fmt.Sprintf("Outcome(%d)", uint8(o))
 }
 
-// Entry is a record with its place in the order of its slot. Remaining says how much of the key's
-// window is left; the times of the record itself are not used.
+// Entry is a record with its position in the log of its slot. Remaining is the time left of the key's
+// window; the times within the record are not used.
 type Entry struct {
 	Seq       uint64           `cbor:"1,keyasint"`
-	Epoch     uint64           `cbor:"2,keyasint"` // in which the primary accepted it
+	Epoch     uint64           `cbor:"2,keyasint"` // epoch in which the primary accepted the record
 	Remaining wallclock.Micros `cbor:"3,keyasint"`
 	Record    *store.Record    `cbor:"4,keyasint"`
 }
 
-// EpochStart is the number of the first record of an epoch.
+// EpochStart is an epoch and the sequence number of its first record.
 type EpochStart struct {
 	_        struct{} `cbor:",toarray"`
 	Epoch    uint64
 	FirstSeq uint64
 }
 
-// Message goes from one runner to another.
+// Message is a message of the replication protocol between two runners.
 type Message struct {
 	Type      MessageType `cbor:"1,keyasint"`
 	From      string      `cbor:"2,keyasint"`
@@ -95,23 +95,24 @@
 	Slot      int         `cbor:"4,keyasint"`
 	Epoch     uint64      `cbor:"5,keyasint,omitempty"`
 	RequestID uint64      `cbor:"6,keyasint,omitempty"` // MsgPut and MsgPutResp
-	// MsgPutResp: the outcome. MsgPut: OutcomeGranted asks for the key, OutcomeOwnedByOther for the
-	// end of the run of another attempt.
+	// MsgPutResp: the outcome. MsgPut: the outcome that the sender waits for. OutcomeGranted requests
+	// the key, OutcomeOwnedByOther waits for the end of another attempt's run.
 	Outcome Outcome `cbor:"7,keyasint,omitempty"`
-	// MsgPutResp: the process of the run is lost, so that it is not known whether the run ended
+	// MsgPutResp: the process that began the run is lost; whether the run ended is unknown
 	InDoubt bool `cbor:"8,keyasint,omitempty"`
-	// MsgPutResp: the earliest time for a retry; 0: at any time
+	// MsgPutResp: delay before the earliest retry; 0: the request may be retried at once
 	RetryAfter wallclock.Micros `cbor:"9,keyasint,omitempty"`
-	// MsgAppend: the number before the first entry; MsgProbeResp: the epoch of the newest record
+	// MsgAppend: the sequence number before the first entry; MsgProbeResp: the epoch of the newest
+	// record
 	Base uint64 `cbor:"10,keyasint,omitempty"`
-	// MsgAppend: the entries are all up to this number; MsgProbeResp and MsgAppendResp: the newest
-	// record that is stored
+	// MsgAppend: the entries are complete up to this sequence number; MsgProbeResp and MsgAppendResp:
+	// the sequence number of the newest stored record
 	Seq   uint64 `cbor:"11,keyasint,omitempty"`
-	Reset bool   `cbor:"12,keyasint,omitempty"` // MsgAppend: drop what was stored before
-	// MsgAppend: how long the slot accepts no new keys
+	Reset bool   `cbor:"12,keyasint,omitempty"` // MsgAppend: drop all stored records first
+	// MsgAppend: remaining time during which the slot accepts no new keys
 	Quarantine  wallclock.Micros `cbor:"13,keyasint,omitempty"`
 	EpochStarts []EpochStart     `cbor:"14,keyasint,omitempty"`
 	Entries     []Entry          `cbor:"15,keyasint,omitempty"`
-	Incarnation uint64           `cbor:"16,keyasint,omitempty"` // the sender's
-	Serial      uint64           `cbor:"17,keyasint"`           // counts the sender's messages
+	Incarnation uint64           `cbor:"16,keyasint,omitempty"` // of the sender's membership
+	Serial      uint64           `cbor:"17,keyasint"`           // numbers the sender's messages
 }
--- a/internal/peers/replication/primary.go
+++ b/internal/peers/replication/primary.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// maxAppendBytes bounds the records of one message, but for a single record that is larger.
+	// maxAppendBytes bounds the size of the records in one MsgAppend. A single larger record is still
+	// sent.
 	maxAppendBytes = 256 << 10
-	// catchUpBurst is the part of a second's catch-up rate that may be sent at once.
+	// catchUpBurst is the time for which unused catch-up rate accumulates: the bytes of this time may
+	// be sent at once.
 	catchUpBurst = time.Second / 4
 )
 
-// handleFollowerResponse handles a MsgProbeResp or MsgAppendResp, as the slot's primary.
+// handleFollowerResponse handles a MsgProbeResp or MsgAppendResp as the slot's primary.
 func (r *Replica) handleFollowerResponse(m *Message) {
 	s := *r.slotAt(m.Slot)
 	if s == nil || !s.isPrimary || m.Epoch != s.epoch {
 		return
 	}
 	f := s.followers[m.From]
-	if f == nil || f.incarnation != m.Incarnation { // its disk may have gone with its incarnation
+	if f == nil || f.incarnation != m.Incarnation { // a new incarnation may have lost its disk
 		return
 	}
 	f.lastActive = r.now
@@ -46,16 +48,16 @@
 	r.advance(m.Slot, s)
 }
 
-// catchUp sends a follower the records that it lacks, up to one message's bound. One that is only
-// joining is held to the catch-up rate, as nothing waits for it; without any other nothing is
-// committed, and it is sent its records at once.
+// catchUp sends a follower the records that it lacks, as many as one message may contain. A follower
+// that is only joining is limited to the catch-up rate, because no commit waits for it. Commits wait
+// for any other follower, which is sent its records at once.
 func (r *Replica) catchUp(i int, s *slot, name string, f *follower) {
 	if f.sentSeq >= s.lastSeq && !f.needsReset && !f.needsAppend {
 		return
 	}
-	joins := r.cfg.CatchUpRate > 0 && !f.caughtUp && slices.Contains(r.table.Slots[i].Joining, name)
+	rateLimited := r.cfg.CatchUpRate > 0 && !f.caughtUp && slices.Contains(r.table.Slots[i].Joining, name)
 	maxBytes := maxAppendBytes
-	if joins {
+	if rateLimited {
 		if r.catchUpBudget <= 0 {
 			f.needsAppend = true
 			return
@@ -79,7 +81,7 @@
 			m.EpochStarts = append(m.EpochStarts, e)
 		}
 	}
-	r.countCatchUp(entries, joins)
+	r.countCatchUp(entries, rateLimited)
 	f.sentSeq = upTo
 	f.lastActive = r.now
 	f.needsReset = false
@@ -87,19 +89,19 @@
 	r.send(m)
 }
 
-// countCatchUp counts records that bring a follower up to date, and charges those for one that is
-// joining to the budget.
-func (r *Replica) countCatchUp(entries []Entry, joins bool) {
+// countCatchUp adds the records sent to a follower that lacked them to CatchUpBytes. Those of a
+// rate-limited follower also use up the catch-up budget.
+func (r *Replica) countCatchUp(entries []Entry, rateLimited bool) {
 	for _, e := range entries {
 		size := int64(recordSize(e.Record))
-		if r.CatchUpBytes += size; joins {
+		if r.CatchUpBytes += size; rateLimited {
 			r.catchUpBudget -= size
 		}
 	}
 }
 
-// refillCatchUpBudget adds what the catch-up rate gives for the time since the last refill, up to
-// the burst.
+// refillCatchUpBudget adds the bytes that the catch-up rate allows for the time since the last refill.
+// The budget does not exceed the bytes of catchUpBurst.
 func (r *Replica) refillCatchUpBudget() {
 	rate := r.cfg.CatchUpRate
 	refill := rate * (r.now - r.budgetRefilledAt).Microseconds() / time.Second.Microseconds()
@@ -107,8 +109,8 @@
 	r.budgetRefilledAt = r.now
 }
 
-// appendRecord stores a record as the slot's next and sends it to the followers that have all
-// before it.
+// appendRecord stores a record with the slot's next sequence number and sends it to the followers that
+// were sent all records before it.
 func (r *Replica) appendRecord(i int, s *slot, record *store.Record, remaining time.Duration) *item {
 	it := s.append(record, r.now+remaining)
 	for name, f := range s.sortedFollowers() {
@@ -133,7 +135,7 @@
 	return it
 }
 
-// tickFollowers resends what followers did not answer.
+// tickFollowers sends deferred catch-up records, and resends messages that followers did not answer.
 func (r *Replica) tickFollowers(i int, s *slot) {
 	for name, f := range s.sortedFollowers() {
 		switch {
@@ -150,8 +152,8 @@
 	}
 }
 
-// advance reports followers that have caught up to the consensus group and answers the requests
-// whose records are committed.
+// advance proposes followers that have caught up to the consensus group and runs the callbacks of the
+// records that are now committed.
 func (r *Replica) advance(i int, s *slot) {
 	t := &r.table.Slots[i]
 	if !s.isPrimary || t.Epoch != s.epoch {
@@ -177,8 +179,9 @@
 	}
 }
 
-// reportCaughtUp proposes that joining followers with all records become members of the replica
-// set. Before each required follower has answered the probe it is not known which records are all.
+// reportCaughtUp proposes that joining followers with all records become members of the replica set.
+// It does nothing until each required follower has answered the probe: before that, the primary does
+// not know which records the slot must have.
 func (r *Replica) reportCaughtUp(i int, s *slot, t *placement.Slot) {
 	unprobed := func(f *follower) bool { return !f.probed }
 	if slices.ContainsFunc(s.requiredFollowers(t), unprobed) {
--- a/internal/peers/replication/primary_test.go
+++ b/internal/peers/replication/primary_test.go
@@ -9,7 +9,8 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// pairTable is the table of two runners with some slots, whose second replica has caught up or not.
+// pairTable returns the table of two runners n1 and n2. n2 is joining, or a replica of slot 0 if caughtUp
+// is set.
 func pairTable(t *testing.T, slots int, incarnation uint64, caughtUp bool) *placement.Table {
 	t.Helper()
 	table, err := placement.New(slots, 1)
@@ -27,8 +28,9 @@
 	return table
 }
 
-// A response to a request of an earlier incarnation of the process is not taken for one to a request
-// of this: the key would run without being replicated.
+// Guards against taking a response to an earlier incarnation's request for one to a current request: the
+// key would run without being replicated. Request IDs must differ between incarnations, and a response
+// of the wrong kind must be ignored.
 func TestResponseToAnEarlierIncarnationIsIgnored(t *testing.T) {
 	ids := map[uint64]bool{}
 	for incarnation := uint64(1); incarnation <= 50; incarnation++ {
@@ -48,7 +50,7 @@
 				t.Fatalf("request ID %d is used in two incarnations", m.RequestID)
 			}
 			ids[m.RequestID] = true
-			r.Receive(&Message{ // of the end of a run, which it did not ask about
+			r.Receive(&Message{ // response to the end of a run, which was not requested
 				Type:      MsgPutResp,
 				From:      m.To,
 				To:        "n2",
@@ -58,16 +60,16 @@
 			}, 3*time.Microsecond)
 		}
 		if results > 0 {
-			t.Fatal("the beginning of a run is answered as its end is")
+			t.Fatal("OutcomeStored was accepted as the response to the beginning of a run")
 		}
 	}
 	if len(ids) < 50 {
-		t.Errorf("%d requests are too few to show anything", len(ids))
+		t.Errorf("number of requests = %d, want at least 50", len(ids))
 	}
 }
 
-// A replica that is only joining is sent no more than the catch-up rate, and all of it in the end;
-// one without which nothing is committed gets what it lacks at once.
+// The catch-up rate limits the records sent to a joining replica, which still gets all of them. A replica
+// that commits wait for gets the records that it lacks at once.
 func TestOnlyJoiningReplicasAreHeldToTheCatchUpRate(t *testing.T) {
 	const records, size, rate = 100, 1000, 20_000
 	for _, joining := range []bool{true, false} {
@@ -107,19 +109,19 @@
 		if want := second * records * (size + recordOverhead) / rate; stored < records ||
 			joining && (now < want*9/10 || now > want*12/10) ||
 			!joining && now > second {
-			t.Errorf("joining %v: it has %d records after %v", joining, stored, now)
+			t.Errorf("joining = %v: follower has %d records after %v", joining, stored, now)
 		}
 	}
 }
 
-// boundedPrimary is a primary with a bound on its memory, and a follower that stores all.
+// boundedPrimary is a primary with a memory bound and one follower that stores all records.
 type boundedPrimary struct {
 	replica *Replica
 	now     time.Duration
 	serial  uint64
 }
 
-// answer has the follower answer all messages.
+// answer delivers the follower's responses to all messages of the primary.
 func (p *boundedPrimary) answer() {
 	for _, m := range p.replica.TakeMessages() {
 		p.serial++
@@ -138,7 +140,7 @@
 	}
 }
 
-// put stores a record, with a result of some bytes, and returns the outcome.
+// put puts a record with a result of resultBytes, and returns the Result.
 func (p *boundedPrimary) put(key string, kind store.RecordKind, resultBytes int) (result Result) {
 	record := &store.Record{Kind: kind, Name: store.KeyName{Key: key}, Owner: 1 << 32}
 	if resultBytes > 0 {
@@ -154,8 +156,8 @@
 	return result
 }
 
-// At its memory bound a primary rejects new keys, stores the ends of runs that began, and accepts new
-// keys once windows are over.
+// At the memory bound a primary rejects new keys but still stores the ends of runs that began. It accepts
+// new keys again once the windows of stored keys are over.
 func TestNewKeysAreRejectedAtTheMemoryBound(t *testing.T) {
 	table := pairTable(t, 1, 1, true)
 	table.Slots[0].EmptyEpoch = 0
@@ -172,26 +174,26 @@
 		result := p.put(key, store.RunStarted, 0)
 		if result.Outcome == OutcomeUnavailable {
 			if result.RetryAfter != memoryRetryAfter {
-				t.Errorf("the retry is to come after %v", result.RetryAfter)
+				t.Errorf("RetryAfter at the memory bound = %v", result.RetryAfter)
 			}
 			break
 		}
 		if result.Outcome != OutcomeGranted {
-			t.Fatalf("%s: %+v", key, result)
+			t.Fatalf("Put of the beginning of key %s: result = %+v, want OutcomeGranted", key, result)
 		}
 		if result = p.put(key, store.RunEnded, 2000); result.Outcome != OutcomeStored {
-			t.Fatalf("the end of %s: %+v", key, result)
+			t.Fatalf("Put of the end of key %s: result = %+v, want OutcomeStored", key, result)
 		}
 	}
 	if accepted < 4 || accepted > 6 || len(s.items) != accepted {
-		t.Errorf("%d keys are accepted, %d stored", accepted, len(s.items))
+		t.Errorf("accepted keys = %d, want 4 to 6; stored keys = %d, want as many", accepted, len(s.items))
 	}
 	p.now += 500*ms + readGrace + 2*sweepInterval
 	if p.replica.Tick(p.now); len(s.items) > 0 || s.bytes != 0 {
-		t.Errorf("%d keys of %d bytes are left", len(s.items), s.bytes)
+		t.Errorf("after the windows: %d keys and %d bytes are stored, want none", len(s.items), s.bytes)
 	}
 	p.replica.Tick(p.now + ms)
 	if result := p.put("new", store.RunStarted, 0); result.Outcome != OutcomeGranted {
-		t.Errorf("a key after that: %+v", result)
+		t.Errorf("Put of a new key after the windows: result = %+v, want OutcomeGranted", result)
 	}
 }
--- a/internal/peers/replication/put.go
+++ b/internal/peers/replication/put.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// maxWatchers bounds the requests that wait for the end of one run.
+	// maxWatchers is the maximum number of requests that wait for the end of one run.
 	maxWatchers = 256
-	// memoryRetryAfter is the earliest time for a retry of a key that found no memory left.
+	// memoryRetryAfter is the delay before the earliest retry of a key that is rejected at the memory
+	// bound.
 	memoryRetryAfter = time.Second
 )
 
-// put is a MsgPut as the slot's primary handles it.
+// put is a MsgPut that this runner handles as the slot's primary.
 type put struct {
 	message   *Message
 	slot      *slot
 	record    *store.Record
 	remaining time.Duration
-	current   *item // what is stored of the key; nil: nothing
+	current   *item // stored record of the key; nil: none
 }
 
 // handlePut handles a MsgPut as the slot's primary. It responds once the records on which the
@@ -45,8 +46,8 @@
 	r.advance(m.Slot, s)
 }
 
-// servesPut reports whether this runner is the slot's primary at the epoch of the request, knows
-// that it is and can commit records.
+// servesPut reports whether this runner is the slot's primary in the epoch of the request, has recent
+// contact with the consensus group, and can commit records.
 func (r *Replica) servesPut(m *Message, s *slot) bool {
 	t := &r.table.Slots[m.Slot]
 	if s == nil || !s.isPrimary || s.epoch != t.Epoch || m.Epoch != s.epoch || r.quorumLost(r.now) {
@@ -56,8 +57,8 @@
 	return ok
 }
 
-// currentItem returns what is stored of a key, or nil if there is nothing or no retry of it can come
-// any more.
+// currentItem returns the stored record of a key. It returns nil if there is none, or if the key's
+// window and readGrace are over, unless the run still goes on.
 func (r *Replica) currentItem(s *slot, name store.KeyName) *item {
 	it := s.items[name]
 	if it == nil || r.now <= it.expiresAt+readGrace {
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// handleBegin decides whether a run may begin. It reports false if the request was rejected at
-// once, for want of room or during the quarantine.
+// handleBegin decides whether a run may begin. It reports false if it rejected the request at once:
+// during the quarantine, at the memory bound, or with too many watchers of the key.
 func (r *Replica) handleBegin(p *put) bool {
 	current := p.current
 	neverRan := current == nil || current.record.Kind == store.KeyReleased
@@ -83,16 +84,16 @@
 			r.respond(p.message, OutcomeUnavailable, wait)
 			return false
 		}
-		// The end of a run that began is stored beyond the bound.
+		// The memory bound applies to new keys only: the end of a run that began is always stored.
 		if r.cfg.MaxBytes > 0 && r.HeldBytes >= r.cfg.MaxBytes {
 			r.respond(p.message, OutcomeUnavailable, memoryRetryAfter)
 			return false
 		}
 		it := r.appendRecord(p.message.Slot, p.slot, p.record, p.remaining)
 		r.respondOnCommit(p, it, OutcomeGranted)
-	case isOwn && current.record.Kind == store.RunStarted: // the request was sent again
+	case isOwn && current.record.Kind == store.RunStarted: // the request was resent
 		r.respondOnCommit(p, current, OutcomeGranted)
-	case neverRan: // its own sender gave the attempt up
+	case neverRan: // its own sender abandoned the attempt
 		r.respond(p.message, OutcomeConflict, 0)
 	default:
 		return r.watch(p)
@@ -100,8 +101,8 @@
 	return true
 }
 
-// watch responds with the record of the attempt that owns the key, and once more when its run ends.
-// It reports false if too many wait for that.
+// watch responds with the record of the attempt that owns the key, and again when the run of that
+// attempt ends. It reports false if the run has maxWatchers already.
 func (r *Replica) watch(p *put) bool {
 	it := p.current
 	w := watcher{p.message.From, p.message.RequestID}
@@ -117,7 +118,7 @@
 	return true
 }
 
-// handleEnd stores that a run ended, or that it never began.
+// handleEnd stores the record of a run that ended or never began.
 func (r *Replica) handleEnd(p *put) {
 	current, slot := p.current, p.message.Slot
 	switch {
@@ -137,7 +138,7 @@
 	s.commitWaiters = append(s.commitWaiters, commitWaiter{seq, fn})
 }
 
-// respond answers a MsgPut. A retryAfter of 0 says that the request may be retried at any time.
+// respond answers a MsgPut. With a retryAfter of 0 the request may be retried at once.
 func (r *Replica) respond(m *Message, outcome Outcome, retryAfter time.Duration) {
 	r.send(Message{
 		Type:       MsgPutResp,
@@ -150,28 +151,28 @@
 	})
 }
 
-// respondOnCommit answers a MsgPut once an item is committed.
+// respondOnCommit answers a MsgPut once the item's record is committed.
 func (r *Replica) respondOnCommit(p *put, it *item, outcome Outcome) {
 	m := p.message
 	p.slot.onCommit(it.seq, func() { r.respond(m, outcome, 0) })
 }
 
-// respondNeverRan tells a request which waits for the end of another attempt's run that there was
-// none.
+// respondNeverRan answers a request that waits for the end of another attempt's run: the run never
+// began.
 func (r *Replica) respondNeverRan(p *put) {
-	never := *p.record
-	never.Kind = store.KeyReleased
+	released := *p.record
+	released.Kind = store.KeyReleased
 	r.send(Message{
 		Type:      MsgPutResp,
 		To:        p.message.From,
 		Slot:      p.message.Slot,
 		RequestID: p.message.RequestID,
 		Outcome:   OutcomeOwnedByOther,
-		Entries:   []Entry{{Remaining: wallclock.MicrosOf(p.remaining), Record: &never}},
+		Entries:   []Entry{{Remaining: wallclock.MicrosOf(p.remaining), Record: &released}},
 	})
 }
 
-// sendOwner tells a request which attempt owns the key.
+// sendOwner answers a request with the record of the attempt that owns the key.
 func (r *Replica) sendOwner(i int, it *item, w watcher) {
 	record := it.record
 	r.send(Message{
@@ -185,8 +186,8 @@
 	})
 }
 
-// notifyWatchers tells those who wait for a run that it ended, never began, or is in doubt. While it
-// goes on nobody is told.
+// notifyWatchers answers the watchers of a run that ended, never began or is in doubt. It does nothing
+// while the run goes on.
 func (r *Replica) notifyWatchers(i int, it *item) {
 	if len(it.watchers) == 0 || it.record.Kind == store.RunStarted && r.ownerAlive(&it.record) {
 		return
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// readGrace is how long after the end of its window a key may still be asked for.
+	// readGrace is the time after the end of a key's window during which its record is kept for late
+	// requests.
 	readGrace = 10 * time.Second
 	// resendInterval is the time after which an unanswered message is sent again.
 	resendInterval = 100 * time.Millisecond
-	// sweepInterval is the time between two looks for records whose windows are over.
+	// sweepInterval is the interval at which records whose windows are over are removed.
 	sweepInterval = time.Second
 )
 
@@ -20,45 +21,46 @@
 type Config struct {
 	Name        string
 	Incarnation uint64        // of the runner's membership
-	KeyWindow   time.Duration // the longest window of all classes of keys
-	// QuorumTimeout is how long after the last contact with the consensus group the runner accepts
-	// new keys: one that was replaced may not know it.
+	KeyWindow   time.Duration // the longest key window of all classes
+	// QuorumTimeout is the time after the last contact with the consensus group during which the runner
+	// accepts new keys. Without contact, the runner may have been replaced without learning of it.
 	QuorumTimeout time.Duration
-	MaxBytes      int   // of records, from which on no new keys are accepted; 0: no bound
-	CatchUpRate   int64 // bytes a second sent to replicas that are catching up; 0: no bound
+	MaxBytes      int   // size of all records at which new keys are rejected; 0: no bound
+	CatchUpRate   int64 // bytes per second for replicas that are catching up; 0: no bound
 }
 
-// Result is the outcome of a request.
+// Result is the result of a Put.
 type Result struct {
 	Outcome Outcome
-	// Record is that of the attempt which owns the key, with OutcomeOwnedByOther only. Its own times
-	// are not used.
+	// Record is the record of the attempt that owns the key; it is set with OutcomeOwnedByOther only.
+	// The times within it are not used.
 	Record    *store.Record
 	Remaining time.Duration // of the record's window
-	InDoubt   bool          // the process of the record's run is lost
-	// RetryAfter is the earliest time for a retry; 0: at any time.
+	InDoubt   bool          // the process that began the record's run is lost
+	// RetryAfter is the delay before the earliest retry; 0: at once.
 	RetryAfter time.Duration
 	Err        error
 }
 
-// Replica is one runner's part in the replication of keys.
+// Replica is the replication state machine of one runner. It is primary of some slots and follower of
+// others, and sends the runner's own requests to the primaries of their slots.
 type Replica struct {
 	cfg           Config
 	table         *placement.Table // nil: none is known yet
-	slots         []*slot          // nil: this runner has nothing of it
+	slots         []*slot          // by slot number; nil: this runner has no state of the slot
 	pending       map[uint64]*pendingPut
 	lastRequestID uint64
 	lastSerial    uint64
-	quorumContact time.Duration // when the consensus group was last heard
+	quorumContact time.Duration // time of the last contact with the consensus group
 	lastSweep     time.Duration
 	now           time.Duration
 
-	// HeldBytes is about how many bytes the records take, as of the last tick.
+	// HeldBytes is the approximate size of all records in memory, as of the last tick.
 	HeldBytes int
-	// CatchUpBytes counts the bytes of records that were sent to bring replicas up to date.
+	// CatchUpBytes is the total size of the records sent to replicas that were catching up.
 	CatchUpBytes int64
 
-	catchUpBudget    int64 // bytes that may be sent now to replicas that are catching up
+	catchUpBudget    int64 // bytes that may be sent now to replicas that are joining
 	budgetRefilledAt time.Duration
 
 	outbox   []Message
@@ -66,12 +68,12 @@
 	changes  []placement.Change
 }
 
-// requestIDsPerIncarnation spreads the numbers of requests of two incarnations apart (2^64 divided
-// by the golden ratio): a response to an earlier incarnation of the name may still be on its way.
+// requestIDsPerIncarnation separates the request IDs of different incarnations (2^64 divided by the
+// golden ratio): a response to an earlier incarnation of the same name may still be in flight.
 const requestIDsPerIncarnation = 0x9e3779b97f4a7c15
 
-// New returns a replica that knows no table yet. What its disk has of slots counts for nothing until
-// a primary has brought it up to date; it only saves sending.
+// New returns a replica without a table. The saved slots only reduce the records that have to be sent:
+// they do not count as replicas until a primary has brought them up to date.
 func New(cfg Config, saved []SlotSnapshot, now time.Duration) *Replica {
 	r := &Replica{
 		cfg:           cfg,
@@ -86,7 +88,7 @@
 	return r
 }
 
-// slotAt returns where a slot is kept.
+// slotAt returns a pointer to the entry of a slot, which is nil if there is no state of the slot.
 func (r *Replica) slotAt(i int) **slot {
 	for len(r.slots) <= i {
 		r.slots = append(r.slots, nil)
@@ -94,28 +96,28 @@
 	return &r.slots[i]
 }
 
-// slotOf returns the slot of a key.
+// slotOf returns the number of the slot of a key.
 func (r *Replica) slotOf(name store.KeyName) int {
 	return r.table.SlotOf(name.Class + "\x00" + name.Tenant + "\x00" + name.Key)
 }
 
-// TakeMessages returns the messages to send, and forgets them.
+// TakeMessages returns the messages to send and clears them.
 func (r *Replica) TakeMessages() []Message {
 	messages := r.outbox
 	r.outbox = nil
 	return messages
 }
 
-// TakeChanges returns the changes to propose to the consensus group, and forgets them. A change may
-// be returned more than once.
+// TakeChanges returns the changes to propose to the consensus group and clears them. A later call may
+// return the same change again.
 func (r *Replica) TakeChanges() []placement.Change {
 	changes := r.changes
 	r.changes = nil
 	return changes
 }
 
-// Rejoin begins another incarnation of the membership of a process that was declared lost. Its
-// records may not be complete any more; its own requests go on.
+// Rejoin begins a new incarnation of the membership of a process that was declared lost. The runner
+// stops being primary of any slot, as its records may no longer be complete. Its own requests continue.
 func (r *Replica) Rejoin(incarnation uint64) {
 	r.cfg.Incarnation = incarnation
 	for _, s := range r.slots {
@@ -127,10 +129,11 @@
 	}
 }
 
-// IsMember reports whether the table has this runner in its present incarnation.
+// IsMember reports whether this runner is in the table with its current incarnation.
 func (r *Replica) IsMember() bool { return r.table != nil && r.self() != nil }
 
-// self returns this runner's member in its present incarnation, or nil.
+// self returns the table's member of this runner, or nil if it is not in the table with its current
+// incarnation.
 func (r *Replica) self() *placement.Member {
 	if m := r.table.Member(r.cfg.Name); m != nil && m.Incarnation == r.cfg.Incarnation {
 		return m
@@ -138,19 +141,20 @@
 	return nil
 }
 
-// RecordQuorumContact notes that the consensus group was heard at that time.
+// RecordQuorumContact records a contact with the consensus group.
 func (r *Replica) RecordQuorumContact(at time.Duration) {
 	r.quorumContact = max(r.quorumContact, at)
 }
 
-// quorumLost reports whether the consensus group was not heard for too long: this runner may have
-// been replaced, and its replacement may have begun with nothing.
+// quorumLost reports whether the last contact with the consensus group is longer ago than
+// QuorumTimeout. This runner may have been replaced by then, and its replacement may have begun
+// without records.
 func (r *Replica) quorumLost(now time.Duration) bool {
 	return now-r.quorumContact > r.cfg.QuorumTimeout
 }
 
-// Unavailable returns why no new keys are accepted and the earliest time for a retry, or zero if
-// they are accepted.
+// Unavailable returns the delay before the earliest retry and the reason if this runner accepts no new
+// keys, and zero values if it accepts them.
 func (r *Replica) Unavailable(now time.Duration) (retryAfter time.Duration, reason string) {
 	switch {
 	case !r.IsMember():
@@ -161,16 +165,16 @@
 	return 0, ""
 }
 
-// KeyInfo is what a replica knows of a key.
+// KeyInfo is the state of a key at one replica.
 type KeyInfo struct {
 	Slot       int
-	Quarantine time.Duration // for how long the slot accepts no new keys, as far as is known here
+	Quarantine time.Duration // remaining time during which the slot accepts no new keys, as known here
 	Held       bool          // this runner is a replica of the slot
-	Record     *store.Record // nil: none is stored here
+	Record     *store.Record // nil: this replica has no record of the key
 	Remaining  time.Duration // of the record's window
 }
 
-// Lookup returns what this replica knows of a key.
+// Lookup returns the state of a key at this replica.
 func (r *Replica) Lookup(name store.KeyName, now time.Duration) KeyInfo {
 	if r.table == nil {
 		return KeyInfo{}
@@ -188,12 +192,12 @@
 	return info
 }
 
-// ownerAlive reports whether the process that began a run is a member.
+// ownerAlive reports whether the process that began the record's run is a member.
 func (r *Replica) ownerAlive(record *store.Record) bool {
 	return r.table.ProcessAlive(uint32(record.Owner >> 32))
 }
 
-// send sends a message. One to this runner itself is handled by drainLoopback.
+// send queues a message. Messages to this runner itself are handled by drainLoopback.
 func (r *Replica) send(m Message) {
 	r.lastSerial++
 	m.From = r.cfg.Name
@@ -216,15 +220,15 @@
 	}
 }
 
-// Receive handles a message of a peer.
+// Receive handles a message from a peer.
 func (r *Replica) Receive(m *Message, now time.Duration) {
 	r.now = max(r.now, now)
 	r.dispatch(m)
 	r.drainLoopback(now)
 }
 
-// dispatch handles a message. A runner that is not a member in its present incarnation has nothing
-// to answer with.
+// dispatch handles a message. A runner that is not a member with its current incarnation ignores all
+// messages.
 func (r *Replica) dispatch(m *Message) {
 	if !r.IsMember() || m.Slot < 0 || m.Slot >= len(r.table.Slots) {
 		return
@@ -241,8 +245,8 @@
 	}
 }
 
-// Tick resends what had no answer, fails requests that are late, and drops records whose windows
-// are over.
+// Tick resends unanswered messages, fails requests past their deadlines and removes records whose
+// windows are over.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = max(r.now, now)
 	if r.table == nil {
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -11,12 +11,12 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// replayHint is the command that plays one seed again.
+// replayHint is the command that runs one seed again.
 const replayHint = "RYEPADDLE_SEED=%d go test -run TestKeysRunOnceAndKeepTheirResultsUnderFaults " +
 	"./internal/peers/replication"
 
-// seedRange returns the first seed and how many are played. RYEPADDLE_SEEDS says how many and
-// RYEPADDLE_FIRST from which on; RYEPADDLE_SEED plays one again.
+// seedRange returns the first seed and the number of seeds. RYEPADDLE_FIRST sets the first seed and
+// RYEPADDLE_SEEDS the number; RYEPADDLE_SEED selects a single seed.
 func seedRange() (first uint64, count int) {
 	first, count = 1, 30
 	if n, err := strconv.Atoi(os.Getenv("RYEPADDLE_SEEDS")); err == nil {
@@ -31,8 +31,8 @@
 	return first, count
 }
 
-// No key runs twice and no committed result is lost over any mix of lost machines, old disks, stops,
-// cuts and late or repeated messages.
+// No key runs twice and no committed result is lost under random combinations of lost machines, old
+// disks, suspended processes, cut links, and late or duplicate messages.
 func TestKeysRunOnceAndKeepTheirResultsUnderFaults(t *testing.T) {
 	t.Parallel()
 	first, count := seedRange()
@@ -41,41 +41,41 @@
 		c := play(seed, nil)
 		if v := c.verdict(); v != "" {
 			if broken++; broken <= 5 {
-				t.Errorf("%s\nagain, but for the library's own draws, with: "+replayHint, v, seed)
+				t.Errorf("%s\nreplay, but for the Raft library's own draws, with: "+replayHint, v, seed)
 			}
 		}
 		served, refused, failed = served+c.served, refused+c.refused, failed+c.failed
 	}
-	t.Logf("%d seeds: %d served, %d refused, %d failed, %d seeds broken", count, served, refused, failed, broken)
+	t.Logf("%d seeds: %d served, %d refused, %d failed, %d with violations", count, served, refused, failed, broken)
 	if served < 40*count || count > 10 && refused == 0 {
-		t.Error("too few attempts were served or refused for the seeds to show anything")
+		t.Error("too few attempts were served or refused for a meaningful test")
 	}
 }
 
-// brokenVersions are versions of the program that break the guarantee: what they do otherwise is
-// done to their messages and tables.
+// brokenVersions are versions of the program that violate the guarantee. Each is emulated by changes to
+// messages or tables.
 var brokenVersions = []struct {
 	name     string
 	maxSeeds int
 	change   func(c *cluster)
 }{
-	{"an answer goes out before its copy", 200, func(c *cluster) { c.tamperMessage = acknowledgeEarly }},
-	{"a holder does not look at the epoch", 300, func(c *cluster) { c.tamperMessage = acceptOldEpochs }},
-	{"a set that begins with nothing takes keys at once", 300, func(c *cluster) {
+	{"primary responds before its followers store", 200, func(c *cluster) { c.tamperMessage = acknowledgeEarly }},
+	{"replica accepts records of older epochs", 300, func(c *cluster) { c.tamperMessage = acceptOldEpochs }},
+	{"empty slot accepts keys without quarantine", 300, func(c *cluster) {
 		c.tamperTable = func(t *placement.Table) {
 			for i := range t.Slots {
 				t.Slots[i].EmptyEpoch = 0
 			}
 		}
 	}},
-	{"an old disk counts as whole", 300, func(c *cluster) { c.tamperMessage = claimAllRecords }},
-	{"what is in doubt is run again", 300, func(c *cluster) { c.tamperMessage = grantInDoubt }},
-	{"repair drops the newest", 300, func(c *cluster) { c.tamperMessage = dropNewest }},
-	{"windows go by the time of day", 100, func(c *cluster) { c.tamperMessage = shiftWindows }},
-	{"a repeat of what runs elsewhere may run", 100, func(c *cluster) { c.tamperMessage = grantOwnedByOther }},
+	{"replica with an old disk claims all records", 300, func(c *cluster) { c.tamperMessage = claimAllRecords }},
+	{"run in doubt is granted again", 300, func(c *cluster) { c.tamperMessage = grantInDoubt }},
+	{"catch-up drops the newest record", 300, func(c *cluster) { c.tamperMessage = dropNewest }},
+	{"windows depend on the clocks of runners", 100, func(c *cluster) { c.tamperMessage = shiftWindows }},
+	{"run at another runner is granted", 100, func(c *cluster) { c.tamperMessage = grantOwnedByOther }},
 }
 
-// appendResponse is what a follower that has all records answers to a MsgAppend.
+// appendResponse returns the response to a MsgAppend of a follower that stores all its records.
 func (c *cluster) appendResponse(m *Message) Message {
 	return Message{
 		Type:        MsgAppendResp,
@@ -94,7 +94,7 @@
 		return []Message{*m}
 	}
 	late := *m
-	c.after(c.between(100*ms, 600*ms), func() { c.deliverNow(late) })
+	c.after(c.randomDuration(100*ms, 600*ms), func() { c.deliverNow(late) })
 	return []Message{c.appendResponse(m)}
 }
 
@@ -148,8 +148,8 @@
 	return []Message{*m}
 }
 
-// Each broken version is found within its number of seeds. The Raft library draws its elections by
-// itself, so that a seed does not play the same to the message.
+// The checker finds a violation in each broken version within the version's number of seeds. Runs with
+// the same seed differ in detail, because the Raft library randomizes its elections itself.
 func TestBrokenVersionsAreFound(t *testing.T) {
 	for _, version := range brokenVersions {
 		t.Run(version.name, func(t *testing.T) {
@@ -160,7 +160,7 @@
 					return
 				}
 			}
-			t.Errorf("not within %d seeds", version.maxSeeds)
+			t.Errorf("no violation found within %d seeds", version.maxSeeds)
 		})
 	}
 }
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -10,32 +10,34 @@
 )
 
 const (
-	// retryInterval is the time after which a primary that answered OutcomeRetry is asked again.
+	// retryInterval is the time after which a request that was answered with OutcomeRetry is resent.
 	retryInterval = 20 * time.Millisecond
 	// watchInterval is the time after which a request that waits for the end of another attempt's
-	// run is sent again.
+	// run is resent.
 	watchInterval = 5 * resendInterval
 )
 
-// pendingPut is a request of this runner that a primary has not settled yet.
+// pendingPut is a request of this runner without a final response of a primary.
 type pendingPut struct {
 	id        uint64
 	slot      int
 	record    *store.Record
 	expiresAt time.Duration // end of the key's window
-	deadline  time.Duration // when the caller is told that it came too late
-	abandonAt time.Duration // when it is not sent any more
+	deadline  time.Duration // when the caller gets ErrTimeout
+	abandonAt time.Duration // when it is no longer sent
 	nextSend  time.Duration
-	answered  bool // the caller has its result
+	answered  bool // done was called
 	watching  bool // it waits for the end of another attempt's run
 	done      func(Result)
 }
 
-// Put asks the key's primary to store a record: that a run is about to begin, that it ended, or that
-// it never began. Remaining is what is left of the key's window. Done is called once with the
-// result, after at most timeout with ErrTimeout; if another attempt's run goes on it is called with
-// that and once more when the run ends. The end of a run is sent on after the timeout until it is
-// stored; of a beginning that timed out it is stored that it never ran.
+// Put asks the primary of the key's slot to store a record: that a run is about to begin, that it
+// ended, or that it never began. Remaining is the time left of the key's window.
+//
+// Done is called once with the result, or with ErrTimeout after timeout. If another attempt's run goes
+// on, done is called with OutcomeOwnedByOther and again when that run ends. The end of a run is resent
+// after the timeout until it is stored. A run whose beginning timed out does not begin, and is stored
+// as one that never ran.
 func (r *Replica) Put(record *store.Record, remaining, timeout, now time.Duration, done func(Result)) {
 	r.now = max(r.now, now)
 	r.enqueuePut(record, remaining, timeout, done)
@@ -65,12 +67,12 @@
 	r.pending[p.id] = p
 }
 
-// sendPending sends the requests that are due, in the order in which they came, and fails those that
-// are late.
+// sendPending sends the requests that are due, in the order of their IDs, and fails those past their
+// deadlines.
 func (r *Replica) sendPending() {
 	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
 		p := r.pending[id]
-		if p == nil { // removed by the callback of one before it
+		if p == nil { // removed by the callback of an earlier request
 			continue
 		}
 		if r.now >= p.deadline && !p.answered && !p.watching {
@@ -85,18 +87,18 @@
 	}
 }
 
-// abandon gives a request up. A run that was about to begin is stored as one that never ran.
+// abandon stops sending a request. A run that was about to begin is stored as one that never ran.
 func (r *Replica) abandon(p *pendingPut) {
 	delete(r.pending, p.id)
 	if p.record.Kind != store.RunStarted || p.watching {
 		return
 	}
-	never := *p.record
-	never.Kind = store.KeyReleased
-	r.enqueuePut(&never, p.expiresAt-r.now, r.cfg.QuorumTimeout, func(Result) {})
+	released := *p.record
+	released.Kind = store.KeyReleased
+	r.enqueuePut(&released, p.expiresAt-r.now, r.cfg.QuorumTimeout, func(Result) {})
 }
 
-// sendPut sends a request to the slot's primary, if there is one.
+// sendPut sends a request to the slot's primary, if the table has one.
 func (r *Replica) sendPut(p *pendingPut) {
 	wanted := OutcomeGranted
 	interval := resendInterval
@@ -121,7 +123,7 @@
 	})
 }
 
-// answer gives the caller its result, once.
+// answer calls done with the result, unless it was called before.
 func (p *pendingPut) answer(result Result) {
 	if !p.answered {
 		p.answered = true
@@ -129,7 +131,7 @@
 	}
 }
 
-// handlePutResponse handles the outcome of a request of this runner.
+// handlePutResponse handles the response to a request of this runner.
 func (r *Replica) handlePutResponse(m *Message) {
 	p := r.pending[m.RequestID]
 	if p == nil {
@@ -149,15 +151,15 @@
 			p.watch(result)
 			return
 		}
-		if p.watching { // the second result
+		if p.watching { // the caller gets the end of the run as a second result
 			p.answered = false
 		}
 	case OutcomeGranted:
-		if p.record.Kind != store.RunStarted || r.now >= p.deadline { // it was given up, if only just
+		if p.record.Kind != store.RunStarted || r.now >= p.deadline { // of another request, or past the deadline
 			return
 		}
 	case OutcomeStored:
-		if p.record.Kind == store.RunStarted { // a response to another request
+		if p.record.Kind == store.RunStarted { // the response belongs to another request
 			return
 		}
 	case OutcomeUnavailable:
@@ -169,7 +171,7 @@
 	p.answer(result)
 }
 
-// watch has a request wait for the end of another attempt's run, and tells the caller that it runs.
+// watch calls done with another attempt's run that goes on, and keeps the request until that run ends.
 func (p *pendingPut) watch(result Result) {
 	if p.watching || p.answered {
 		return
--- a/internal/peers/replication/requests_test.go
+++ b/internal/peers/replication/requests_test.go
@@ -8,25 +8,25 @@
 	"ryepaddle/internal/idempotency/store"
 )
 
-// How an attempt ended, beside the result of its run.
+// Ends of attempts that have no result of a run.
 const (
 	endRefused = "refused"
 	endFailed  = "failed"
 )
 
-// keyState is what a runner's lifecycle knows of a key.
+// keyState is the state of a key in a runner's lifecycle.
 type keyState struct {
 	owner   uint64
 	running bool
-	result  string // that is committed; "": none yet
+	result  string // the committed result; "": none yet
 	waiters []func(end string, committed bool)
 }
 
-// keyHistory is what the checker knows of a key.
+// keyHistory is the checker's record of a key.
 type keyHistory struct {
 	runs        int
 	result      string
-	committedAt time.Duration // when its result was first served after it was committed; 0: not yet
+	committedAt time.Duration // when the committed result was first served; 0: not yet
 }
 
 func (c *cluster) history(key string) *keyHistory {
@@ -36,8 +36,8 @@
 	return c.keys[key]
 }
 
-// attempt is one attempt of a client with a key. The checker is told how it ends; of one at a
-// process that is gone it is told nothing.
+// attempt makes one attempt of a client with a key and reports its end to the checker. Attempts at a
+// process that ends are not reported.
 func (r *runner) attempt(key string, remaining time.Duration) {
 	c := r.cluster
 	began := c.now()
@@ -68,8 +68,8 @@
 	r.flush()
 }
 
-// end ends the attempts of a key at this runner. One that did not run may run again.
-func (r *runner) end(key string, k *keyState, end string, committed bool) {
+// finishAttempts ends the attempts of a key at this runner. A key that did not run may run again.
+func (r *runner) finishAttempts(key string, k *keyState, end string, committed bool) {
 	waiters := k.waiters
 	k.waiters = nil
 	if end == endRefused || end == endFailed {
@@ -82,7 +82,7 @@
 	}
 }
 
-// handleReservation handles the result of the request that a run begins.
+// handleReservation handles the result of the Put of a run's beginning.
 func (r *runner) handleReservation(
 	key string,
 	k *keyState,
@@ -93,21 +93,21 @@
 	c := r.cluster
 	switch {
 	case result.Err != nil:
-		r.end(key, k, endRefused, false)
+		r.finishAttempts(key, k, endRefused, false)
 	case result.Outcome == OutcomeGranted && c.now() > asked+requestTimeout:
-		c.violations = append(c.violations, key+" was begun after its time")
+		c.violations = append(c.violations, key+" began to run after the request timeout")
 	case result.Outcome == OutcomeGranted:
 		r.beginRun(key, k, record, expiresAt)
 	case result.Outcome == OutcomeOwnedByOther && result.Record.Kind == store.RunEnded:
-		r.end(key, k, string(result.Record.Result.Body), true)
+		r.finishAttempts(key, k, string(result.Record.Result.Body), true)
 	case result.Outcome == OutcomeOwnedByOther && result.InDoubt:
-		r.end(key, k, endFailed, true)
+		r.finishAttempts(key, k, endFailed, true)
 	case result.Outcome == OutcomeOwnedByOther && result.Record.Kind == store.KeyReleased:
-		r.end(key, k, endRefused, false)
+		r.finishAttempts(key, k, endRefused, false)
 	}
 }
 
-// beginRun runs a key, and stores the end of the run unless the process is gone by then.
+// beginRun runs a key and stores the end of the run, unless the process has ended by then.
 func (r *runner) beginRun(key string, k *keyState, record *store.Record, expiresAt time.Duration) {
 	c := r.cluster
 	k.running = true
@@ -115,8 +115,8 @@
 	history.runs++
 	result := fmt.Sprintf("run %d of %s at %s", history.runs, key, r.name)
 	process := r.process
-	c.after(c.between(ms, 300*ms), func() {
-		r.do(func() {
+	c.after(c.randomDuration(ms, 300*ms), func() {
+		r.execute(func() {
 			if r.process == process {
 				r.endRun(key, k, record, expiresAt, result)
 			}
@@ -124,27 +124,28 @@
 	})
 }
 
-// endRun stores the end of a run, and answers once that is committed or took too long.
+// endRun stores the end of a run. It ends the attempts once the end is committed or the request timeout
+// is over.
 func (r *runner) endRun(key string, k *keyState, record *store.Record, expiresAt time.Duration, result string) {
 	c := r.cluster
 	ended := *record
 	ended.Kind, ended.Result = store.RunEnded, &store.Result{Status: 200, Body: []byte(result)}
 	timedOut := false
 	c.after(requestTimeout, func() {
-		r.do(func() {
+		r.execute(func() {
 			timedOut = true
-			r.end(key, k, result, false)
+			r.finishAttempts(key, k, result, false)
 		})
 	})
 	r.replica.Put(&ended, expiresAt-c.now(), requestTimeout, c.now(), func(stored Result) {
 		if !timedOut {
-			r.end(key, k, result, stored.Err == nil)
+			r.finishAttempts(key, k, result, stored.Err == nil)
 		}
 	})
 }
 
-// check holds how an attempt ended against those that ended before it began: of two attempts at the
-// same time, either may have been first.
+// check compares the end of an attempt with earlier ends of the key. A failure is a violation only if
+// the attempt began after the committed result was served: concurrent attempts have no order.
 func (c *cluster) check(key, end string, committed bool, began time.Duration) {
 	h := c.history(key)
 	switch {
@@ -152,12 +153,12 @@
 		c.refused++
 	case end == endFailed:
 		if c.failed++; h.committedAt > 0 && began > h.committedAt {
-			c.violations = append(c.violations, fmt.Sprintf("%s was served and then failed", key))
+			c.violations = append(c.violations, fmt.Sprintf("%s failed after its committed result was served", key))
 		}
 	default:
 		c.served++
 		if h.result != "" && h.result != end {
-			c.violations = append(c.violations, fmt.Sprintf("%s is served with %q and %q", key, h.result, end))
+			c.violations = append(c.violations, fmt.Sprintf("%s was served with results %q and %q", key, h.result, end))
 		}
 		if h.result = end; committed && h.committedAt == 0 {
 			h.committedAt = c.now()
@@ -165,7 +166,7 @@
 	}
 }
 
-// verdict returns all violations.
+// verdict returns all violations, or "" if there are none.
 func (c *cluster) verdict() string {
 	for key, h := range c.keys {
 		if h.runs > 1 {
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// maxEpochStarts bounds the epochs that a slot remembers. A follower whose newest record is of
-	// an older one is sent all records.
+	// maxEpochStarts is the number of epochs whose first sequence numbers a slot retains. A follower
+	// whose newest record is of an older epoch is sent all records.
 	maxEpochStarts = 64
-	// recordOverhead is about how many bytes a record takes beside its names and its result.
+	// recordOverhead is the approximate size in bytes of a record without its name and its result.
 	recordOverhead = 128
 )
 
-// item is the record of one key.
+// item is the stored record of one key.
 type item struct {
 	record     store.Record
 	expiresAt  time.Duration // end of the key's window
 	seq, epoch uint64
-	watchers   []watcher // are answered when the run ends
+	watchers   []watcher // requests that are answered when the run ends
 }
 
 // watcher is a request that waits for the end of another attempt's run.
@@ -34,47 +34,48 @@
 	requestID uint64
 }
 
-// follower is another replica of a slot, as the primary sees it.
+// follower is the primary's view of another replica of a slot.
 type follower struct {
 	incarnation uint64
-	probed      bool          // it has answered the probe of this epoch
-	ackedSeq    uint64        // all records up to this one are stored there
+	probed      bool          // the follower has answered the probe of this epoch
+	ackedSeq    uint64        // the follower has stored all records up to this one
 	sentSeq     uint64        // all records up to this one were sent
-	lastActive  time.Duration // when a message last went to it or came from it
-	// The consensus group was told that it has all records: from then on nothing is committed
-	// without it.
+	lastActive  time.Duration // time of the last message to or from the follower
+	// caughtUp is set once the primary has proposed the follower to the consensus group as one with all
+	// records. From then on commits require its acknowledgment.
 	caughtUp    bool
-	needsReset  bool // its records are no prefix of the primary's, and it is yet to be told so
-	needsAppend bool // it is to be sent what it lacks once the catch-up budget allows
+	needsReset  bool // the next MsgAppend resets it, as its records are no prefix of the primary's
+	needsAppend bool // it is sent the records that it lacks once the catch-up budget allows
 }
 
-// commitWaiter is called once all records up to seq are committed.
+// commitWaiter is a callback for the time when all records up to seq are committed.
 type commitWaiter struct {
 	seq uint64
 	fn  func()
 }
 
-// slot is what a runner has of one part of the keys.
+// slot is the state of one slot of keys at this runner.
 type slot struct {
-	epoch       uint64 // messages of older epochs are rejected
-	lastEpoch   uint64 // of the newest record
-	lastSeq     uint64 // of the newest record
+	epoch       uint64 // the current epoch; messages of older epochs are rejected
+	lastEpoch   uint64 // epoch of the newest record
+	lastSeq     uint64 // sequence number of the newest record
 	epochStarts []EpochStart
 	items       map[store.KeyName]*item
-	bytes       int // about how many its records take
-	// newest is the newest message of a primary: one that comes twice or late is ignored.
+	bytes       int // approximate size of the records
+	// newest identifies the newest message received from a primary. Duplicates and older messages are
+	// ignored.
 	newest struct {
 		from        string
 		incarnation uint64
 		serial      uint64
 	}
-	// quarantine is the time for which a slot that began with nothing accepts no new keys.
+	// quarantine is the time during which a slot that began without records accepts no new keys.
 	quarantine struct {
-		epoch uint64 // the table's EmptyEpoch that began it
+		epoch uint64 // EmptyEpoch of the table that caused the quarantine
 		until time.Duration
 	}
 
-	// The rest is of the primary only.
+	// The following fields are used by the primary only.
 	isPrimary     bool
 	followers     map[string]*follower
 	commitWaiters []commitWaiter
@@ -82,7 +83,7 @@
 
 func newSlot() *slot { return &slot{items: map[store.KeyName]*item{}} }
 
-// reset forgets all records.
+// reset removes all records.
 func (s *slot) reset() {
 	s.items = map[store.KeyName]*item{}
 	s.bytes = 0
@@ -91,13 +92,14 @@
 	s.epochStarts = nil
 }
 
-// append stores the next record of a primary.
+// append stores a record with the next sequence number, as the primary.
 func (s *slot) append(record *store.Record, expiresAt time.Duration) *item {
 	s.lastSeq++
 	return s.store(Entry{Seq: s.lastSeq, Epoch: s.epoch, Record: record}, expiresAt)
 }
 
-// store stores a numbered record. Watchers of its key stay.
+// store stores a record that has a sequence number. It replaces the key's older record and keeps the
+// watchers of the key.
 func (s *slot) store(e Entry, expiresAt time.Duration) *item {
 	if e.Epoch != s.lastEpoch {
 		s.lastEpoch = e.Epoch
@@ -121,7 +123,7 @@
 	return it
 }
 
-// epochAt returns the epoch of the record with a number, or 0 if it is not known.
+// epochAt returns the epoch of the record with the sequence number seq, or 0 if it is not known.
 func (s *slot) epochAt(seq uint64) (epoch uint64) {
 	for _, e := range s.epochStarts {
 		if e.FirstSeq <= seq {
@@ -131,14 +133,14 @@
 	return epoch
 }
 
-// isPrefix reports whether the records of a replica whose newest one has this epoch and number are
-// a prefix of the slot's.
+// isPrefix reports whether the records of a replica are a prefix of the slot's records, given the epoch
+// and sequence number of the replica's newest record.
 func (s *slot) isPrefix(lastEpoch, lastSeq uint64) bool {
 	return lastSeq == 0 || lastSeq <= s.lastSeq && s.epochAt(lastSeq) == lastEpoch
 }
 
-// entriesAfter returns the records after a number in their order, at least one and then not more
-// than maxBytes of them, and the number up to which these are all.
+// entriesAfter returns the records after the sequence number seq in order, and the sequence number up
+// to which they are complete. The records exceed maxBytes only if the first one alone does.
 func (s *slot) entriesAfter(seq uint64, now time.Duration, maxBytes int) (entries []Entry, upTo uint64) {
 	size := 0
 	for _, it := range s.itemsInOrder(func(it *item) bool { return it.seq > seq }) {
@@ -152,8 +154,8 @@
 	return entries, s.lastSeq
 }
 
-// itemsInOrder returns the items that match, by their numbers: the same events send the same
-// messages.
+// itemsInOrder returns the items that match, in the order of their sequence numbers, so that the same
+// events always send the same messages.
 func (s *slot) itemsInOrder(match func(*item) bool) (items []*item) {
 	for _, it := range s.items {
 		if match(it) {
@@ -164,12 +166,12 @@
 	return items
 }
 
-// watchedItems returns the items with watchers, by their numbers.
+// watchedItems returns the items with watchers, in the order of their sequence numbers.
 func (s *slot) watchedItems() []*item {
 	return s.itemsInOrder(func(it *item) bool { return len(it.watchers) > 0 })
 }
 
-// recordSize is about how many bytes a record takes in memory.
+// recordSize returns the approximate size in bytes of a record in memory.
 func recordSize(r *store.Record) int {
 	n := recordOverhead + len(r.Name.Class) + len(r.Name.Tenant) + len(r.Name.Key)
 	if r.Result != nil {
@@ -181,7 +183,8 @@
 	return n
 }
 
-// sortedFollowers iterates over the followers by name: the same events send the same messages.
+// sortedFollowers iterates over the followers in the order of their names, so that the same events
+// always send the same messages.
 func (s *slot) sortedFollowers() iter.Seq2[string, *follower] {
 	return func(yield func(string, *follower) bool) {
 		for _, name := range slices.Sorted(maps.Keys(s.followers)) {
@@ -192,8 +195,8 @@
 	}
 }
 
-// requiredFollowers returns the followers without which nothing is committed: those of the replica
-// set, and those of which the consensus group was told that they have all records.
+// requiredFollowers returns the followers whose acknowledgment a commit requires: those of the replica
+// set, and those that were proposed to the consensus group as caught up.
 func (s *slot) requiredFollowers(t *placement.Slot) (required []*follower) {
 	for name, f := range s.followers {
 		if slices.Contains(t.Replicas, name) || f.caughtUp {
@@ -203,9 +206,9 @@
 	return required
 }
 
-// committed returns the number up to which all required followers have stored the records. It
-// reports false before each of them has answered the probe, and for a primary without another
-// member of the replica set: a follower that is only catching up does not make two.
+// committed returns the sequence number up to which all required followers have stored the records. It
+// reports false until each of them has answered the probe, and for a primary that is alone in the
+// replica set: a follower that is still joining does not count as the second copy.
 func (s *slot) committed(t *placement.Slot) (uint64, bool) {
 	seq := s.lastSeq
 	for _, f := range s.requiredFollowers(t) {
@@ -217,8 +220,8 @@
 	return seq, len(t.Replicas) > 1
 }
 
-// removeExpired drops the records that no retry of their key can meet any more: their windows ended
-// before the time given. A run that goes on, and one with watchers, is not dropped.
+// removeExpired removes the records whose windows ended before the given time. The records of runs that
+// go on and of keys with watchers stay.
 func (s *slot) removeExpired(before time.Duration, ownerAlive func(*store.Record) bool) {
 	for name, it := range s.items {
 		running := it.record.Kind == store.RunStarted && ownerAlive(&it.record)
--- a/internal/peers/replication/snapshot.go
+++ b/internal/peers/replication/snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SlotSnapshot is the stored form of what a runner has of one slot.
+// SlotSnapshot is the stored form of one slot's records at a runner.
 type SlotSnapshot struct {
 	Slot        int          `cbor:"1,keyasint"`
 	LastEpoch   uint64       `cbor:"2,keyasint"`
@@ -15,7 +15,7 @@
 	Entries     []Entry      `cbor:"5,keyasint,omitempty"`
 }
 
-// Snapshot returns the stored form of all slots that have records.
+// Snapshot returns the snapshots of all slots that have records.
 func (r *Replica) Snapshot(now time.Duration) []SlotSnapshot {
 	var all []SlotSnapshot
 	for i := range r.slots {
@@ -26,7 +26,7 @@
 	return all
 }
 
-// SnapshotSlot returns the stored form of one slot, or nil if the runner has no record of it.
+// SnapshotSlot returns the snapshot of one slot, or nil if the runner has no record of it.
 func (r *Replica) SnapshotSlot(i int, now time.Duration) *SlotSnapshot {
 	if i >= len(r.slots) || r.slots[i] == nil || r.slots[i].lastSeq == 0 {
 		return nil
@@ -42,7 +42,7 @@
 	}
 }
 
-// restore returns the slot of a snapshot. It is at no epoch: the replica counts for nothing until a
+// restore returns the slot of a snapshot. Its epoch is 0: the slot does not count as a replica until a
 // primary has brought it up to date.
 func (v *SlotSnapshot) restore(now time.Duration) *slot {
 	s := newSlot()
--- a/internal/peers/replication/table.go
+++ b/internal/peers/replication/table.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// SetTable takes a newer table. An older one is ignored.
+// SetTable replaces the table by a newer one. Older tables are ignored.
 func (r *Replica) SetTable(t *placement.Table, now time.Duration) {
 	if r.table != nil && t.Version <= r.table.Version {
 		return
@@ -16,14 +16,14 @@
 	for i := range t.Slots {
 		r.applySlot(i, &t.Slots[i])
 	}
-	for _, p := range r.pending { // their slots may have other primaries now
+	for _, p := range r.pending { // the slots may have new primaries
 		p.nextSend = min(p.nextSend, r.now)
 	}
 	r.sendPending()
 	r.drainLoopback(now)
 }
 
-// applySlot applies what the table says of a slot.
+// applySlot applies the table's entry of a slot: the epoch, the primary and the replicas.
 func (r *Replica) applySlot(i int, t *placement.Slot) {
 	if r.self() == nil || !t.Holds(r.cfg.Name) {
 		r.leaveSlot(i, t)
@@ -50,15 +50,16 @@
 		return
 	}
 	r.setFollowers(i, s, t)
-	for _, it := range s.watchedItems() { // the processes of their runs may be lost
+	for _, it := range s.watchedItems() { // the processes that began the runs may be lost
 		r.notifyWatchers(i, it)
 	}
 	r.advance(i, s)
 }
 
-// leaveSlot drops a slot that this runner does not replicate: nobody asks for its records, and they
-// are sent anew if it is to replicate the slot again. The slot stays if a primary of a later epoch
-// has sent something before the table that names it came.
+// leaveSlot removes the state of a slot that this runner does not replicate: no other runner needs its
+// records, and a primary sends them again if this runner is to replicate the slot later. The state
+// stays if a primary of a later epoch has sent a message before the table of that epoch arrived, or if
+// this runner is not a member with its current incarnation; then it only stops being primary.
 func (r *Replica) leaveSlot(i int, t *placement.Slot) {
 	s := *r.slotAt(i)
 	switch {
@@ -70,21 +71,22 @@
 	}
 }
 
-// applyEmptyEpoch quarantines a slot that began with nothing: for the longest window of a key, and
-// for as long as it may be asked for after that, a key may have run that the slot has no record of.
+// applyEmptyEpoch quarantines a slot that began an epoch without records. A key may have run before, and
+// the slot has no record of that run. It can be requested again until the longest key window and
+// readGrace are over.
 func (r *Replica) applyEmptyEpoch(s *slot, t *placement.Slot, isPrimary bool) {
 	if t.EmptyEpoch == s.quarantine.epoch {
 		return
 	}
 	s.quarantine.epoch = t.EmptyEpoch
 	s.quarantine.until = r.now + r.cfg.KeyWindow + readGrace
-	if t.EmptyEpoch == t.Epoch && isPrimary { // records of its own disk may not be complete
+	if t.EmptyEpoch == t.Epoch && isPrimary { // the records of its own disk may be incomplete
 		s.reset()
 	}
 }
 
-// remainingQuarantine returns for how long the slot accepts no new keys; it is negative once the
-// quarantine is over.
+// remainingQuarantine returns the remaining time during which the slot accepts no new keys. It is
+// negative once the quarantine is over, and 0 if there was none.
 func (s *slot) remainingQuarantine(now time.Duration) time.Duration {
 	if s.quarantine.epoch == 0 {
 		return 0
@@ -92,8 +94,8 @@
 	return s.quarantine.until - now
 }
 
-// setFollowers has a primary follow the table's replicas. One in another incarnation may have lost
-// its disk, and is probed anew.
+// setFollowers sets the primary's followers to the other replicas in the table. A replica with a new
+// incarnation may have lost its disk and is probed again.
 func (r *Replica) setFollowers(i int, s *slot, t *placement.Slot) {
 	for name := range s.followers {
 		if !t.Holds(name) {
