--- a/internal/peers/usagereplica/cluster_test.go
+++ b/internal/peers/usagereplica/cluster_test.go
@@ -19,17 +19,18 @@
 	stepInterval = 10 * ms
 )
 
-// breakage is what a broken version of the program does otherwise.
-type breakage struct {
-	anyIncarnation   bool // progress of an earlier incarnation counts
-	anySnapshot      bool // progress with an earlier snapshot counts
-	exportAtOnce     bool // a statement is exported before replicas have its seal
-	firstFinalCounts bool // the first final statement is billed, not the one that has most
-	dropAtOnce       bool // former replicas forget the ledger before others have it
-	keepStatements   bool // what a lost runner exported is not passed on
+// defects are the rules that a broken version of the program violates.
+type defects struct {
+	anyIncarnation   bool // accepts progress of an earlier incarnation
+	anySnapshot      bool // accepts progress with an earlier snapshot
+	exportAtOnce     bool // exports a statement before replicas have its seal
+	firstFinalCounts bool // bills the first final statement, not the most complete one
+	dropAtOnce       bool // drops a ledger at former replicas before the current ones have it
+	keepStatements   bool // does not pass on the statements of lost runners
 }
 
-// runner is one machine: a process with its ledger and those of others, and a disk with statements.
+// runner is a simulated machine: a process with its ledger and copies of others, and a disk with
+// statements.
 type runner struct {
 	name        string
 	up          bool
@@ -40,26 +41,27 @@
 	primary     *Primary
 	replica     *Replica
 	statements  *StatementStore
-	seals       map[uint64]uint64 // by the numbers of statements, the operations that sealed them
-	uses        []uint64          // the operations of the uses of this process
-	savedLedger []byte            // on the disk
+	seals       map[uint64]uint64 // sequence numbers of seal operations by statement number
+	uses        []uint64          // sequence numbers of the uses of this process
+	savedLedger []byte            // as last written to the disk
 	files       map[string]*ledger.Statement
 }
 
-// cluster is an installation in virtual time, with a consensus group that is always right and late.
+// cluster is an installation in virtual time. Its consensus group does not fail, but runners learn tables
+// late.
 type cluster struct {
 	t           *testing.T
-	broken      breakage
+	broken      defects
 	random      *rand.Rand
-	leaseRandom *rand.Rand    // for the lease alone, so that seeds without it play the same
+	leaseRandom *rand.Rand    // for the lease only, so that it does not change other random draws
 	now         time.Duration // since the Unix epoch
 	runners     []*runner
 	tables      []*placement.Table
 	inFlight    []delayedMessage
-	useLease    bool                         // one runner passes on the statements of lost ones
-	replicated  map[string]int               // by ledger, uses that anybody may rely on
-	counted     map[string]int               // by ledger, all uses
-	collected   map[string]*ledger.Statement // taken away from folders
+	useLease    bool                         // the holder of StatementsLease passes on statements of lost runners
+	replicated  map[string]int               // by ledger, number of replicated uses, which must be billed
+	counted     map[string]int               // by ledger, number of all uses
+	collected   map[string]*ledger.Statement // removed from the folders, by file name
 	lastKey     uint64
 }
 
@@ -68,7 +70,7 @@
 	message Message
 }
 
-func newCluster(t *testing.T, seed uint64, broken breakage) *cluster {
+func newCluster(t *testing.T, seed uint64, broken defects) *cluster {
 	runners, backups := 3+int(seed%7), 1+int(seed%2)
 	c := &cluster{
 		t:           t,
@@ -94,7 +96,7 @@
 	return c
 }
 
-// unix returns the time of day.
+// unix returns the current Unix time.
 func (c *cluster) unix() wallclock.UnixMicro { return wallclock.UnixMicro(c.now.Microseconds()) }
 
 // table returns the newest table.
@@ -117,7 +119,7 @@
 	}
 }
 
-// start begins another process: the ledger on the disk is finished, and a new one begins.
+// start starts a new process. It finishes the ledger on the disk and begins a new one.
 func (c *cluster) start(r *runner) {
 	r.up = true
 	r.incarnation++
@@ -147,7 +149,7 @@
 	r.savedLedger = l.Encode(0)
 }
 
-// finishSaved finishes the ledger on a runner's disk.
+// finishSaved finishes the ledger on a runner's disk and stores its statements.
 func (c *cluster) finishSaved(r *runner) {
 	c.t.Helper()
 	l, _, err := ledger.Decode(r.settings(), r.savedLedger)
@@ -166,7 +168,8 @@
 	}
 }
 
-// lose ends a process. Its disk is lost too if wipe is set, or as it was some time ago if stale is.
+// lose ends a process and declares it lost. With wipe its disk is empty afterwards; with stale the disk
+// has the ledger as it was saved last.
 func (c *cluster) lose(r *runner, wipe, stale bool) {
 	if !r.up {
 		return
@@ -187,8 +190,8 @@
 	c.apply(placement.Change{Kind: placement.ChangeLost, Member: member})
 }
 
-// noteReplicated notes the uses of a ledger that anybody may rely on. All that is billed of a ledger
-// is a prefix of its uses, so that their number tells which.
+// noteReplicated records how many uses of a ledger are replicated and must be billed. The billed uses of
+// a ledger are always a prefix of all its uses, therefore the number identifies them.
 func (c *cluster) noteReplicated(r *runner) {
 	if len(r.primary.replicas) == 0 {
 		return
@@ -201,7 +204,7 @@
 	}
 }
 
-// send sends messages, some of which are lost, repeated or late.
+// send sends messages, of which some are lost, duplicated or delayed.
 func (c *cluster) send(messages []Message) {
 	for _, m := range messages {
 		if c.random.IntN(25) == 0 {
@@ -215,7 +218,7 @@
 	}
 }
 
-// moveLease has a member hold the lease of statements, or release it from time to time.
+// moveLease grants StatementsLease to a random member if it is free, and sometimes releases it.
 func (c *cluster) moveLease() {
 	t := c.table()
 	l := t.Lease(StatementsLease)
@@ -243,7 +246,7 @@
 	}
 }
 
-// step plays one stepInterval.
+// step advances the simulation by stepInterval.
 func (c *cluster) step() {
 	c.now += stepInterval
 	if c.useLease && c.leaseRandom.IntN(50) == 0 {
@@ -269,14 +272,14 @@
 	}
 }
 
-// steps plays so many steps.
+// steps runs n steps.
 func (c *cluster) steps(n int) {
 	for range n {
 		c.step()
 	}
 }
 
-// receive has a runner handle a message, as the version of the program that is played does.
+// receive delivers a message to a runner, changed by the defects of the simulated version.
 func (c *cluster) receive(r *runner, m Message) {
 	switch m.Type {
 	case MsgProgress:
--- a/internal/peers/usagereplica/errors.go
+++ b/internal/peers/usagereplica/errors.go
@@ -4,13 +4,13 @@
 
 // Errors that a Replica reports with TakeErrors.
 var (
-	// ErrDiverged is the error of a ledger that came to another statement than its runner's. The
-	// replica asks for the ledger anew.
-	ErrDiverged = errors.New("usagereplica: a ledger differs from its runner's")
-	// ErrInvalidPart is the error of a part of a ledger with impossible numbers.
-	ErrInvalidPart = errors.New("usagereplica: a part of a ledger is not valid")
-	// ErrWrongOwner is the error of a ledger that is not of the runner which sent it.
-	ErrWrongOwner = errors.New("usagereplica: a ledger is not of the runner that sent it")
-	// ErrWrongName is the error of a statement that came under another name than its own.
-	ErrWrongName = errors.New("usagereplica: a statement does not have the name that it came under")
+	// ErrDiverged reports that an operation had another effect on the replica's ledger than on the
+	// primary's. The replica drops its copy, so that the primary sends the ledger again.
+	ErrDiverged = errors.New("usagereplica: the replica of a ledger diverged from the primary's ledger")
+	// ErrInvalidPart reports a part of a snapshot with values out of range.
+	ErrInvalidPart = errors.New("usagereplica: invalid part of a snapshot")
+	// ErrWrongOwner reports a snapshot of a ledger that does not belong to its sender.
+	ErrWrongOwner = errors.New("usagereplica: the ledger does not belong to the runner that sent it")
+	// ErrWrongName reports a statement that was sent under a file name other than its own.
+	ErrWrongName = errors.New("usagereplica: a statement was sent under another statement's file name")
 )
--- a/internal/peers/usagereplica/faults_test.go
+++ b/internal/peers/usagereplica/faults_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// seedCount returns how many seeds are played; RYEPADDLE_SEEDS says so for a long run by hand.
+// seedCount returns the number of seeds. RYEPADDLE_SEEDS sets it for a long run by hand.
 func seedCount(defaultCount uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("RYEPADDLE_SEEDS"), 10, 64); err == nil {
 		return n
@@ -15,12 +15,12 @@
 	return defaultCount
 }
 
-// isShortRun reports whether the tests are not a long run by hand.
+// isShortRun reports whether RYEPADDLE_SEEDS is not set.
 func isShortRun() bool { return seedCount(0) == 0 }
 
-// play plays losses of one machine at a time by a seed, the next once all runners have what they
-// need, and checks the bill.
-func play(t *testing.T, seed uint64, broken breakage) (result string, ok bool) {
+// play simulates losses of one machine at a time with a seed, and checks the bill. A machine is lost
+// only after all runners have replicated their ledgers and statements.
+func play(t *testing.T, seed uint64, broken defects) (result string, ok bool) {
 	t.Helper()
 	rounds := 12
 	if isShortRun() {
@@ -37,7 +37,7 @@
 		}
 		c.settle()
 		c.lose(r, wipe, stale)
-		if c.random.IntN(2) == 0 { // else it is back at once
+		if c.random.IntN(2) == 0 { // otherwise the runner starts again at once
 			c.steps(c.random.IntN(800))
 			c.settle()
 		}
@@ -48,13 +48,14 @@
 	return c.checkBill()
 }
 
-// What is replicated is billed, and nothing twice, whichever machine is lost with whatever disk.
+// All replicated uses are billed and none is billed twice, whichever machine is lost and whether its disk
+// is intact, stale or empty.
 func TestReplicatedUsesAreBilledOnceUnderLosses(t *testing.T) {
 	for part := range uint64(4) {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			for seed := part; seed < seedCount(4); seed += 4 {
-				result, ok := play(t, seed, breakage{})
+				result, ok := play(t, seed, defects{})
 				if !ok {
 					t.Fatalf("seed %d: %s", seed, result)
 				}
@@ -66,21 +67,22 @@
 	}
 }
 
-// shortRunVersions are how many broken versions a short run plays: those that are found soon.
+// shortRunVersions is the number of broken versions that a short run checks: the first ones, whose
+// violations are found with few seeds.
 const shortRunVersions = 3
 
-// Each broken version is found within its seeds.
+// The check of the bill finds a violation in each broken version within the number of seeds.
 func TestBrokenVersionsAreFound(t *testing.T) {
 	for i, version := range []struct {
 		name   string
-		broken breakage
+		broken defects
 	}{
-		{"what a lost runner told is not passed on", breakage{keepStatements: true}},
-		{"any last statement is billed", breakage{firstFinalCounts: true}},
-		{"a statement is told before heirs know of it", breakage{exportAtOnce: true}},
-		{"a word about an earlier giving counts", breakage{anySnapshot: true}},
-		{"an heir of an earlier life counts", breakage{anyIncarnation: true, anySnapshot: true}},
-		{"a former heir lets go before others know the account", breakage{dropAtOnce: true}},
+		{"statements of a lost runner are not passed on", defects{keepStatements: true}},
+		{"the first final statement is billed", defects{firstFinalCounts: true}},
+		{"a statement is exported before its seal is replicated", defects{exportAtOnce: true}},
+		{"progress with an earlier snapshot is accepted", defects{anySnapshot: true}},
+		{"progress of an earlier incarnation is accepted", defects{anyIncarnation: true, anySnapshot: true}},
+		{"a former replica drops the ledger too early", defects{dropAtOnce: true}},
 	} {
 		if i >= shortRunVersions && isShortRun() {
 			break
@@ -93,7 +95,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no violation found within the seeds")
 		})
 	}
 }
--- a/internal/peers/usagereplica/load_test.go
+++ b/internal/peers/usagereplica/load_test.go
@@ -8,10 +8,10 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// run has a process do its work of one step.
+// run runs one step of a process.
 func (c *cluster) run(r *runner) {
 	c.learnTable(r)
-	c.use(r)
+	c.recordUses(r)
 	if c.random.IntN(20) == 0 {
 		r.savedLedger = r.ledger.Encode(0)
 	}
@@ -36,7 +36,7 @@
 	c.send(r.replica.TakeMessages())
 }
 
-// learnTable has a process learn one of the newest tables from time to time.
+// learnTable sometimes applies one of the three newest tables to a process.
 func (c *cluster) learnTable(r *runner) {
 	if c.random.IntN(10) != 0 {
 		return
@@ -52,8 +52,8 @@
 	r.statements.SetTable(t, r.incarnation)
 }
 
-// use has a process count a use, lose one or seal a period.
-func (c *cluster) use(r *runner) {
+// recordUses randomly adds a use or a lost use to the ledger, and seals periods that have ended.
+func (c *cluster) recordUses(r *runner) {
 	if c.random.IntN(4) == 0 {
 		c.lastKey++
 		record := ledger.Record{
@@ -78,8 +78,8 @@
 	}
 }
 
-// exportStatements exports the statements whose seals are replicated. Somebody collects some of them
-// at once.
+// exportStatements exports the statements whose seals are replicated. About half of them are collected
+// from the folder at once.
 func (c *cluster) exportStatements(r *runner) {
 	for {
 		s, _ := r.ledger.NextStatement()
@@ -97,8 +97,8 @@
 	}
 }
 
-// allStatements returns all statements that are there in the end; the ledgers of runners that are up
-// are finished for that.
+// allStatements returns all statements at the end of a simulation, after finishing the ledgers of all
+// runners.
 func (c *cluster) allStatements() (all []*ledger.Statement) {
 	c.t.Helper()
 	for _, s := range c.collected {
@@ -118,8 +118,8 @@
 	return all
 }
 
-// onlyFirstFinal returns the statements without the final ones that come after another of the same
-// number.
+// onlyFirstFinal returns the statements without those final ones that follow a final statement of the
+// same ledger and number.
 func onlyFirstFinal(all []*ledger.Statement) (rest []*ledger.Statement) {
 	seen := map[string]bool{}
 	for _, s := range all {
@@ -133,8 +133,8 @@
 	return rest
 }
 
-// checkBill bills all statements, and checks that each ledger is billed for at least the uses that
-// anybody may rely on, at most for those that were counted, and for none twice.
+// checkBill bills all statements. For each ledger, the billed uses must be at least the replicated ones
+// and at most the counted ones, and no use may be billed twice.
 func (c *cluster) checkBill() (result string, ok bool) {
 	c.t.Helper()
 	statements := c.allStatements()
@@ -151,7 +151,7 @@
 		}
 	}
 	if bill.DeduplicatedRuns > 0 {
-		return fmt.Sprint(bill.DeduplicatedRuns, " are in two ledgers"), false
+		return fmt.Sprint(bill.DeduplicatedRuns, " runs are in two ledgers"), false
 	}
 	served := map[string]int{}
 	for _, l := range bill.Lines {
@@ -161,7 +161,7 @@
 	for name, n := range c.counted {
 		if served[name] > n || served[name] < c.replicated[name] {
 			return fmt.Sprintf(
-				"%s: %d are billed of %d that are replicated and %d that were counted",
+				"ledger %s: %d uses are billed, want at least %d (replicated) and at most %d (counted)",
 				name, served[name], c.replicated[name], n,
 			), false
 		}
@@ -170,8 +170,9 @@
 	return fmt.Sprint(billed, " billed, ", replicated, " replicated, ", counted, " counted"), true
 }
 
-// settle waits until the replicas of each runner have its ledger and nothing of an earlier loss is
-// left to do, so that the next loss is the first. What is new meanwhile may be on its way.
+// settle runs steps until each runner's ledger and statements are replicated and the ledgers of lost
+// processes are finished, so that at most one loss is open at a time. Operations of the last steps may
+// still be in flight.
 func (c *cluster) settle() {
 	const minSteps, maxSteps = 10, 3000
 	for n := 0; ; n++ {
@@ -197,7 +198,7 @@
 	return true
 }
 
-// interrupt declares a runner lost that goes on, and has it join again.
+// interrupt declares a runner lost while its process continues, and lets it join again later.
 func (c *cluster) interrupt(r *runner) {
 	c.declareLost(r)
 	c.steps(c.random.IntN(900))
--- a/internal/peers/usagereplica/message.go
+++ b/internal/peers/usagereplica/message.go
@@ -6,21 +6,21 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// MessageType is what a message is for.
+// MessageType is the type of a Message.
 type MessageType uint8
 
 // The types of messages. Their numbers are part of the protocol.
 const (
-	MsgAppend          MessageType = iota + 1 // operations, from a primary
-	MsgSnapshot                               // a part of the ledger as it stands, from a primary
-	MsgStatement                              // a statement; without its bytes, whether it is stored
-	MsgDrop                                   // other replicas have the ledger: forget it
-	MsgProgress                               // how much of the ledger a replica has
-	MsgStatementStored                        // the statement is stored here
-	MsgStatementWanted                        // it is not
+	MsgAppend          MessageType = iota + 1 // operations from a primary
+	MsgSnapshot                               // a part of the ledger's current state from a primary
+	MsgStatement                              // a statement; without its bytes it asks whether the receiver has it
+	MsgDrop                                   // the receiver is to drop the ledger, as its current replicas have it
+	MsgProgress                               // up to where a replica has the ledger
+	MsgStatementStored                        // the sender has the statement
+	MsgStatementWanted                        // the sender does not have the statement
 )
 
-// String returns the type's name.
+// String returns the name of the constant.
 func (t MessageType) String() string {
 	switch t {
 	case MsgAppend:
@@ -41,28 +41,30 @@
 	return fmt.Sprintf("MessageType(%d)", uint8(t))
 }
 
-// Message goes between a runner and one of its replicas.
+// Message is a message between the primary of a ledger and a replica, or between two runners about a
+// statement.
 type Message struct {
 	Type MessageType `cbor:"1,keyasint"`
 	From string      `cbor:"2,keyasint"`
 	To   string      `cbor:"3,keyasint"`
-	// Ledger is the incarnation of the ledger. Its runner is From, or To of a MsgProgress.
+	// Ledger is the incarnation of the ledger. Its primary is From, or To in a MsgProgress.
 	Ledger  string `cbor:"4,keyasint"`
-	Process uint32 `cbor:"5,keyasint,omitempty"` // of the ledger's runner
-	// Incarnation is that of the sender's membership, in MsgProgress and MsgStatementStored: what it
-	// has may go with that.
+	Process uint32 `cbor:"5,keyasint,omitempty"` // the sender's process
+	// MsgProgress and MsgStatementStored: incarnation of the sender's membership. A later incarnation may
+	// have lost the ledger or statement.
 	Incarnation uint64 `cbor:"6,keyasint,omitempty"`
-	// MsgAppend: the number before the first operation; MsgSnapshot: the last one that it has;
-	// MsgProgress: all operations up to this one are there; 0: the ledger is not known.
+	// MsgAppend: the sequence number before the first operation; MsgSnapshot: that of the last operation
+	// in the snapshot; MsgProgress: all operations up to this one are applied (while parts are missing,
+	// Seq of the snapshot); 0: the sender does not have the ledger
 	Seq        uint64      `cbor:"7,keyasint,omitempty"`
 	Operations []Operation `cbor:"8,keyasint,omitempty"`
-	// MsgSnapshot: which part; MsgProgress: how many are there
+	// MsgSnapshot: index of the part, from 0; MsgProgress: number of parts received
 	Part     int             `cbor:"9,keyasint,omitempty"`
 	Parts    int             `cbor:"10,keyasint,omitempty"`
-	Bytes    []byte          `cbor:"11,keyasint,omitempty"` // of the part, or of the statement
+	Bytes    []byte          `cbor:"11,keyasint,omitempty"` // content of the part or of the statement
 	Settings ledger.Settings `cbor:"12,keyasint,omitzero"`
-	Name     string          `cbor:"13,keyasint,omitempty"` // of the statement
-	// SnapshotID counts how often the primary sent its ledger: progress with an earlier snapshot
-	// counts for nothing.
+	Name     string          `cbor:"13,keyasint,omitempty"` // file name of the statement
+	// SnapshotID numbers the snapshots that the primary sent. It ignores progress with an earlier
+	// snapshot.
 	SnapshotID uint64 `cbor:"14,keyasint,omitempty"`
 }
--- a/internal/peers/usagereplica/operation.go
+++ b/internal/peers/usagereplica/operation.go
@@ -5,18 +5,18 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Operation is one operation on a ledger. One of its first four fields is set.
+// Operation is an operation on a ledger. Exactly one of the first four fields is set.
 type Operation struct {
 	Use        *ledger.Record     `cbor:"1,keyasint,omitempty"`
 	Correction *ledger.Correction `cbor:"2,keyasint,omitempty"`
-	LostUses   uint64             `cbor:"3,keyasint,omitempty"` // uses that were never counted
-	// SealDigest is the digest of the statement that seals the periods which have ended.
+	LostUses   uint64             `cbor:"3,keyasint,omitempty"` // number of uses that were never counted
+	// SealDigest is the digest of the statement that results from sealing the periods that have ended.
 	SealDigest string              `cbor:"4,keyasint,omitempty"`
-	At         wallclock.UnixMicro `cbor:"5,keyasint,omitempty"` // of a correction or a seal
+	At         wallclock.UnixMicro `cbor:"5,keyasint,omitempty"` // time of a correction or a seal
 }
 
-// apply applies the operation to a ledger. It returns the statement of a seal, and reports whether
-// the ledger came to the same as its runner's.
+// apply applies the operation to a ledger. It returns the statement that a seal results in, and reports
+// whether the effect is the same as on the primary's ledger.
 func (o *Operation) apply(l *ledger.Ledger) (sealed *ledger.Statement, same bool) {
 	switch {
 	case o.Use != nil:
--- a/internal/peers/usagereplica/placement.go
+++ b/internal/peers/usagereplica/placement.go
@@ -7,9 +7,10 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// ReplicasOf returns the replicas of a runner's ledger, of the members that keep ledgers: as many as
-// the table has backups, of other zones first and of each zone one first, by rendezvous hashing. The
-// same table gives the same replicas everywhere.
+// ReplicasOf returns the replicas of a runner's ledger: up to Table.Backups of the other members that
+// keep usage, chosen by rendezvous hashing. It takes one member of each other zone first, then further
+// members of other zones, then those of the runner's own zone. The same table gives the same replicas
+// on every runner.
 func ReplicasOf(t *placement.Table, name string) []placement.Member {
 	zone := ""
 	if m := t.Member(name); m != nil {
@@ -43,7 +44,7 @@
 	return candidates[:min(len(candidates), t.Backups)]
 }
 
-// sameZone is 1 for a member of the zone and 0 for any other.
+// sameZone returns 1 for a member of the zone and 0 for any other, as a sort key.
 func sameZone(m placement.Member, zone string) int {
 	if m.Zone == zone {
 		return 1
@@ -51,5 +52,5 @@
 	return 0
 }
 
-// hashRank returns a number of a runner and a replica, the same everywhere.
+// hashRank returns the rendezvous rank of a replica for a runner, which is the same on every runner.
 func hashRank(runner, replica string) uint64 { return placement.Rank(runner + "\x00" + replica) }
--- a/internal/peers/usagereplica/primary.go
+++ b/internal/peers/usagereplica/primary.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	// resendInterval is the time after which an unanswered message is sent again.
+	// resendInterval is the time after which an unanswered message is resent.
 	resendInterval = 200 * time.Millisecond
-	// dropInterval is the time between two MsgDrop to a former replica.
+	// dropInterval is the interval of MsgDrop to a former replica.
 	dropInterval = 5 * resendInterval
-	// dropAttempts is how often a former replica is told to forget the ledger.
+	// dropAttempts is the maximum number of MsgDrop sent to a former replica.
 	dropAttempts = 5
-	// snapshotPartBytes bounds the bytes of a ledger in one message.
+	// snapshotPartBytes is the maximum size of a snapshot part in one message.
 	snapshotPartBytes = 128 << 10
-	// maxOperationsPerMessage bounds the operations in one message.
+	// maxOperationsPerMessage is the maximum number of operations in one message.
 	maxOperationsPerMessage = 256
-	// maxInFlight bounds the operations that were sent to a replica and not acknowledged.
+	// maxInFlight is the number of unacknowledged operations at which no more are sent to a replica.
 	maxInFlight = 4096
-	// maxRetainedOperations bounds the operations that are kept for replicas that are behind. One
-	// that is further behind is sent the ledger.
+	// maxRetainedOperations is the number of operations that are retained for replicas that are behind.
+	// A replica that is further behind is sent a snapshot.
 	maxRetainedOperations = 1 << 14
 )
 
-// replicaProgress is what the primary knows of one replica.
+// replicaProgress is the primary's view of the progress of one replica.
 type replicaProgress struct {
 	incarnation uint64
-	ackedSeq    uint64 // it has all operations up to this one
+	ackedSeq    uint64 // the replica has all operations up to this one
 	sentSeq     uint64 // all operations up to this one were sent
 	lastSent    time.Duration
-	caughtUp    bool   // it has the ledger, and is sent operations
-	snapshot    []byte // the ledger that it is sent
-	snapshotSeq uint64 // the last operation of that
-	nextPart    int    // of the snapshot
+	caughtUp    bool   // the replica has the snapshot and is sent operations
+	snapshot    []byte // the encoded ledger while it is being sent
+	snapshotSeq uint64 // last operation in the snapshot
+	nextPart    int    // index of the snapshot's next part
 	snapshotID  uint64
 }
 
-// Primary replicates one ledger, which its owner changes. Operations are numbered from 2 on: 1 is
-// the ledger as it began, and 0 the progress of a replica that does not know it.
+// Primary replicates one ledger, which the caller modifies. Sequence number 1 stands for the ledger as
+// it began, and 0 for the progress of a replica that does not have it. Operations are numbered from 2.
 type Primary struct {
-	name         string
-	ledger       string
-	process      uint32
-	settings     ledger.Settings
-	encodeLedger func() []byte // the ledger as it stands
-	operations   []Operation   // the newest ones, after baseSeq
-	baseSeq      uint64
-	replicas     map[string]*replicaProgress
-	order        []string       // names of the replicas, sorted: the same events send the same messages
-	former       map[string]int // how often former replicas are still told to forget the ledger
-	tableVersion uint64
-	snapshots    uint64 // how often the ledger was sent to any replica
-	lastDrop     time.Duration
-	outbox       []Message
+	name           string
+	ledger         string
+	process        uint32
+	settings       ledger.Settings
+	encodeLedger   func() []byte // encodes the ledger's current state
+	operations     []Operation   // retained operations, which follow baseSeq
+	baseSeq        uint64
+	replicas       map[string]*replicaProgress
+	replicaNames   []string       // sorted, so that the same events send the same messages
+	former         map[string]int // remaining MsgDrop by former replica
+	tableVersion   uint64
+	lastSnapshotID uint64 // ID of the last snapshot sent to any replica
+	lastDrop       time.Duration
+	outbox         []Message
 }
 
-// NewPrimary returns the primary of a ledger that nobody else has.
+// NewPrimary returns the primary of a ledger without replicas.
 func NewPrimary(
 	name, ledgerName string,
 	process uint32,
@@ -78,17 +78,17 @@
 	}
 }
 
-// Append adds an operation that the ledger has applied already, and returns its number.
+// Append adds an operation that was already applied to the ledger, and returns its sequence number.
 func (p *Primary) Append(op Operation) uint64 {
 	p.operations = append(p.operations, op)
 	return p.LastSeq()
 }
 
-// LastSeq returns the number of the last operation.
+// LastSeq returns the sequence number of the last operation.
 func (p *Primary) LastSeq() uint64 { return p.baseSeq + uint64(len(p.operations)) }
 
-// ReplicatedSeq returns the number up to which all replicas have the ledger, or 0 if one of them does
-// not have it. Without replicas there is nobody to wait for.
+// ReplicatedSeq returns the sequence number up to which all replicas have applied the operations, or 0
+// if one of them does not have the ledger. Without replicas it returns LastSeq.
 func (p *Primary) ReplicatedSeq() uint64 {
 	seq := p.LastSeq()
 	for _, r := range p.replicas {
@@ -100,7 +100,8 @@
 	return seq
 }
 
-// SetTable takes a newer table. A replica in another incarnation may have lost the ledger.
+// SetTable replaces the table by a newer one. A replica with a new incarnation may have lost the ledger
+// and is sent a snapshot.
 func (p *Primary) SetTable(t *placement.Table, now time.Duration) {
 	if t.Version <= p.tableVersion {
 		return
@@ -116,8 +117,8 @@
 			p.former[name] = dropAttempts
 		}
 	}
-	p.order = slices.Sorted(maps.Keys(want))
-	for _, name := range p.order {
+	p.replicaNames = slices.Sorted(maps.Keys(want))
+	for _, name := range p.replicaNames {
 		delete(p.former, name)
 		if r := p.replicas[name]; r == nil || r.incarnation != want[name] {
 			p.replicas[name] = &replicaProgress{incarnation: want[name]}
@@ -127,10 +128,10 @@
 	p.trim()
 }
 
-// sendSnapshot begins to send a replica the ledger as it stands.
+// sendSnapshot starts sending a replica the ledger's current state.
 func (p *Primary) sendSnapshot(name string, r *replicaProgress, now time.Duration) {
-	p.snapshots++
-	r.snapshot, r.snapshotSeq, r.snapshotID = p.encodeLedger(), p.LastSeq(), p.snapshots
+	p.lastSnapshotID++
+	r.snapshot, r.snapshotSeq, r.snapshotID = p.encodeLedger(), p.LastSeq(), p.lastSnapshotID
 	r.caughtUp = false
 	r.nextPart = 0
 	r.ackedSeq = 0
@@ -165,8 +166,8 @@
 	p.outbox = append(p.outbox, m)
 }
 
-// Receive handles the progress of a replica. Progress of an earlier incarnation, or with an earlier
-// snapshot, may be of a ledger that the replica does not have any more.
+// Receive handles the progress of a replica. Progress of an earlier incarnation or with an earlier
+// snapshot is ignored: the replica may have lost that copy of the ledger.
 func (p *Primary) Receive(m *Message, now time.Duration) {
 	if m.Type != MsgProgress || m.Ledger != p.ledger {
 		return
@@ -192,16 +193,16 @@
 		r.sentSeq = m.Seq
 	case r.caughtUp && m.Seq > r.ackedSeq && m.Seq <= p.LastSeq():
 		r.ackedSeq = m.Seq
-	case r.caughtUp && m.Seq == 0: // it does not know the ledger
+	case r.caughtUp && m.Seq == 0: // the replica does not have the ledger
 		p.sendSnapshot(m.From, r, now)
 	}
 	p.trim()
 	p.Flush(now)
 }
 
-// Flush sends replicas the operations that they were not sent yet.
+// Flush sends the replicas the operations that were not sent yet, up to maxInFlight.
 func (p *Primary) Flush(now time.Duration) {
-	for _, name := range p.order {
+	for _, name := range p.replicaNames {
 		r := p.replicas[name]
 		for r.caughtUp && r.sentSeq < p.LastSeq() && r.sentSeq-r.ackedSeq < maxInFlight {
 			if r.sentSeq < p.baseSeq {
@@ -213,7 +214,7 @@
 	}
 }
 
-// sendOperations sends a replica the next operations, as many as one message takes.
+// sendOperations sends a replica the next operations, as many as one message may contain.
 func (p *Primary) sendOperations(name string, r *replicaProgress, now time.Duration) {
 	ops := p.operations[r.sentSeq-p.baseSeq:]
 	ops = ops[:min(len(ops), maxOperationsPerMessage)]
@@ -228,9 +229,9 @@
 	r.lastSent = now
 }
 
-// Tick resends what had no answer, and has former replicas forget the ledger.
+// Tick resends unanswered messages, and sends MsgDrop to former replicas.
 func (p *Primary) Tick(now time.Duration) {
-	for _, name := range p.order {
+	for _, name := range p.replicaNames {
 		switch r := p.replicas[name]; {
 		case now-r.lastSent < resendInterval:
 		case !r.caughtUp:
@@ -246,8 +247,8 @@
 	p.Flush(now)
 }
 
-// sendDrops tells former replicas to forget the ledger, once the present ones have all of it: before
-// that a former one may be the only one.
+// sendDrops sends MsgDrop to former replicas once the current replicas have all operations. Before that
+// a former replica may have the only other copy of the ledger.
 func (p *Primary) sendDrops() {
 	if p.ReplicatedSeq() < p.LastSeq() {
 		return
@@ -260,8 +261,7 @@
 	}
 }
 
-// trim forgets the operations that all replicas have, and the oldest ones beyond
-// maxRetainedOperations.
+// trim removes the operations that all replicas have, and the oldest ones beyond maxRetainedOperations.
 func (p *Primary) trim() {
 	last := p.LastSeq()
 	needed := last
@@ -281,15 +281,15 @@
 	}
 }
 
-// TakeMessages returns the messages to send, and forgets them.
+// TakeMessages returns the messages to send and clears them.
 func (p *Primary) TakeMessages() []Message {
 	messages := p.outbox
 	p.outbox = nil
 	return messages
 }
 
-// FullyReplicated reports whether there are replicas and each of them has the ledger and is sent
-// operations.
+// FullyReplicated reports whether there are replicas and each of them has a snapshot of the ledger and
+// is sent operations.
 func (p *Primary) FullyReplicated() bool {
 	for _, r := range p.replicas {
 		if !r.caughtUp {
@@ -299,7 +299,7 @@
 	return len(p.replicas) > 0
 }
 
-// Lag returns the number of operations that each replica has not acknowledged, by its name.
+// Lag returns the number of unacknowledged operations by the name of the replica.
 func (p *Primary) Lag() map[string]uint64 {
 	lag := map[string]uint64{}
 	for name, r := range p.replicas {
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// endDelay is the time after the loss of a runner before its ledgers are finished.
+	// endDelay is the time from the loss of a process until its ledgers are finished.
 	endDelay = 2 * time.Second
-	// maxSnapshotParts bounds the parts of a ledger.
+	// maxSnapshotParts is the maximum number of parts of a snapshot.
 	maxSnapshotParts = 256
-	// maxLedgersPerRunner bounds the ledgers of one runner: one that goes on, and those of earlier
-	// processes that are about to be finished.
+	// maxLedgersPerRunner is the maximum number of ledgers of one runner: that of its current process,
+	// and those of earlier processes that are not finished yet.
 	maxLedgersPerRunner = 3
 )
 
-// replicatedLedger is the ledger of another runner.
+// replicatedLedger is the copy of another runner's ledger.
 type replicatedLedger struct {
 	owner      string
 	process    uint32
-	ledger     *ledger.Ledger // nil: its snapshot is not complete yet
-	seq        uint64         // of the last operation
-	snapshotID uint64         // the newest snapshot that it was, or was found to be
-	parts      [][]byte       // of a snapshot that is not complete
-	partsID    uint64         // the snapshot that they are of
-	lostSince  time.Duration  // 0: its process is a member
+	ledger     *ledger.Ledger // nil: the snapshot is not complete yet
+	seq        uint64         // of the last applied operation
+	snapshotID uint64         // newest snapshot that the ledger includes
+	parts      [][]byte       // received parts of an incomplete snapshot
+	partsID    uint64         // snapshot that the parts belong to
+	lostSince  time.Duration  // 0: the primary's process is a member
 }
 
-// OwnedStatement is a statement to store, and the runner and process whose ledger made it.
+// OwnedStatement is a statement to store, with the runner and process that it was received from or whose
+// ledger it results from.
 type OwnedStatement struct {
 	Owner   string
 	Process uint32
 	*ledger.Statement
 }
 
-// Replica has the ledgers of other runners.
+// Replica keeps copies of the ledgers of other runners.
 type Replica struct {
 	name        string
 	incarnation uint64
 	table       *placement.Table             // nil: none is known yet
-	ledgers     map[string]*replicatedLedger // by the incarnations of the ledgers
+	ledgers     map[string]*replicatedLedger // by incarnation of the ledger
 	outbox      []Message
 	statements  []OwnedStatement
 	errs        []error
@@ -55,15 +56,15 @@
 	return &Replica{name: name, ledgers: map[string]*replicatedLedger{}}
 }
 
-// SetTable takes a newer table, and the incarnation of this runner's membership.
+// SetTable replaces the table, and sets the incarnation of this runner's membership.
 func (r *Replica) SetTable(t *placement.Table, incarnation uint64, now time.Duration) {
 	r.table = t
 	r.incarnation = incarnation
 	r.markLost(now)
 }
 
-// markLost notes the ledgers whose processes are no members. A message of such a process may come
-// after the table.
+// markLost sets lostSince of the ledgers whose primary's process is not a member, and clears it of the
+// others. A ledger may be added after the table that removed its process, by a late message.
 func (r *Replica) markLost(now time.Duration) {
 	if r.table == nil {
 		return
@@ -77,7 +78,7 @@
 	}
 }
 
-// Receive handles a message of a primary, or a statement of another runner.
+// Receive handles a message of a primary or a statement of another runner.
 func (r *Replica) Receive(m *Message) {
 	switch m.Type {
 	case MsgSnapshot:
@@ -94,7 +95,7 @@
 	}
 }
 
-func (r *Replica) fail(err error) { r.errs = append(r.errs, err) }
+func (r *Replica) recordError(err error) { r.errs = append(r.errs, err) }
 
 func (r *Replica) receiveStatement(m *Message) {
 	s, err := ledger.ParseStatement(m.Name, m.Bytes)
@@ -102,16 +103,17 @@
 		err = fmt.Errorf("%w: %s is %s", ErrWrongName, m.Name, s.FileName())
 	}
 	if err != nil {
-		r.fail(err)
+		r.recordError(err)
 		return
 	}
 	r.statements = append(r.statements, OwnedStatement{m.From, m.Process, s})
 }
 
-// sendProgress answers a message with the last operation that is here; 0: the ledger is not known.
+// sendProgress answers a message with the sequence number of the last applied operation; 0: this replica
+// does not have the ledger.
 func (r *Replica) sendProgress(m *Message, seq uint64) { r.sendPartProgress(m, seq, 0, 0) }
 
-// sendPartProgress answers a part of a snapshot with the number of parts that are here.
+// sendPartProgress answers a part of a snapshot with the number of parts received.
 func (r *Replica) sendPartProgress(m *Message, seq uint64, part, parts int) {
 	r.outbox = append(r.outbox, Message{
 		Type:        MsgProgress,
@@ -126,8 +128,8 @@
 	})
 }
 
-// applyOperations applies the operations that are new. If there is a gap before them, or the ledger
-// is not known, the answer says so.
+// applyOperations applies the operations that were not applied yet, and answers with the progress. If
+// operations are missing before them, it applies none.
 func (r *Replica) applyOperations(m *Message) {
 	l := r.ledgers[m.Ledger]
 	if l == nil || l.owner != m.From || l.ledger == nil || l.snapshotID != m.SnapshotID {
@@ -135,11 +137,11 @@
 		return
 	}
 	if m.Seq <= l.seq {
-		known := min(l.seq-m.Seq, uint64(len(m.Operations)))
-		for i := range m.Operations[known:] {
-			sealed, same := m.Operations[known:][i].apply(l.ledger)
+		alreadyApplied := min(l.seq-m.Seq, uint64(len(m.Operations)))
+		for i := range m.Operations[alreadyApplied:] {
+			sealed, same := m.Operations[alreadyApplied:][i].apply(l.ledger)
 			if !same {
-				r.fail(ErrDiverged)
+				r.recordError(ErrDiverged)
 				delete(r.ledgers, m.Ledger)
 				r.sendProgress(m, 0)
 				return
@@ -152,29 +154,29 @@
 	r.sendProgress(m, l.seq)
 }
 
-// isValidPart reports whether the numbers of a MsgSnapshot are possible.
+// isValidPart reports whether the values of a MsgSnapshot are within their bounds.
 func isValidPart(m *Message) bool {
 	return m.Parts >= 1 && m.Parts <= maxSnapshotParts && m.Part >= 0 && m.Part < m.Parts &&
 		len(m.Bytes) <= snapshotPartBytes && m.Settings.Period > 0 && m.Settings.Slice > 0
 }
 
-// receiveSnapshotPart takes a part of a ledger, and the ledger with the last one.
+// receiveSnapshotPart stores a part of a snapshot, and installs the snapshot with the last part.
 func (r *Replica) receiveSnapshotPart(m *Message) {
 	if !isValidPart(m) {
-		r.fail(ErrInvalidPart)
+		r.recordError(ErrInvalidPart)
 		return
 	}
 	l := r.ledgers[m.Ledger]
 	switch {
-	case l == nil && r.countOf(m.From) >= maxLedgersPerRunner:
-		return // earlier ones are finished soon; the primary sends it again
+	case l == nil && r.ledgerCount(m.From) >= maxLedgersPerRunner:
+		return // the earlier ledgers are finished soon; the primary resends the part
 	case l == nil:
 		l = &replicatedLedger{owner: m.From, process: m.Process}
 		r.ledgers[m.Ledger] = l
 	case l.owner != m.From:
 		return
 	}
-	if l.ledger != nil && m.Seq <= l.seq { // the ledger here has all of the snapshot
+	if l.ledger != nil && m.Seq <= l.seq { // the ledger already includes the snapshot
 		l.snapshotID = m.SnapshotID
 		r.sendProgress(m, l.seq)
 		return
@@ -193,8 +195,8 @@
 	r.installSnapshot(l, m)
 }
 
-// installSnapshot takes a ledger whose parts are all here. Its statements may not be stored by its
-// runner, and are stored here too.
+// installSnapshot decodes a ledger from the parts of its snapshot. The primary may not have stored the
+// statements within it yet, therefore they are stored here too.
 func (r *Replica) installSnapshot(l *replicatedLedger, m *Message) {
 	decoded, _, err := ledger.Decode(m.Settings, slices.Concat(l.parts...))
 	l.parts = nil
@@ -202,7 +204,7 @@
 		err = fmt.Errorf("%w: of %s from %s", ErrWrongOwner, m.Settings.Instance, m.From)
 	}
 	if err != nil {
-		r.fail(err)
+		r.recordError(err)
 		return
 	}
 	l.ledger = decoded
@@ -215,8 +217,8 @@
 	r.sendProgress(m, l.seq)
 }
 
-// countOf returns how many ledgers of a runner are here.
-func (r *Replica) countOf(owner string) (n int) {
+// ledgerCount returns the number of ledgers of a runner.
+func (r *Replica) ledgerCount(owner string) (n int) {
 	for _, l := range r.ledgers {
 		if l.owner == owner {
 			n++
@@ -225,16 +227,16 @@
 	return n
 }
 
-// Tick finishes the ledgers of the processes that have been lost for endDelay.
+// Tick finishes the ledgers of processes that have been lost for endDelay.
 func (r *Replica) Tick(now time.Duration) {
 	r.markLost(now)
 	r.finishLost(now - endDelay)
 }
 
-// Close finishes the ledgers of all lost processes, as this runner is about to stop.
+// Close finishes the ledgers of all lost processes. It is called before this runner stops.
 func (r *Replica) Close(now time.Duration) { r.finishLost(now) }
 
-// finishLost finishes the ledgers of the processes that were lost by then.
+// finishLost finishes the ledgers of processes that were lost at the given time or before.
 func (r *Replica) finishLost(by time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(r.ledgers)) {
 		l := r.ledgers[name]
@@ -251,28 +253,28 @@
 	}
 }
 
-// TakeMessages returns the messages to send, and forgets them.
+// TakeMessages returns the messages to send and clears them.
 func (r *Replica) TakeMessages() []Message {
 	messages := r.outbox
 	r.outbox = nil
 	return messages
 }
 
-// TakeStatements returns the statements to store, and forgets them.
+// TakeStatements returns the statements to store and clears them.
 func (r *Replica) TakeStatements() []OwnedStatement {
 	statements := r.statements
 	r.statements = nil
 	return statements
 }
 
-// TakeErrors returns what went wrong, and forgets it.
+// TakeErrors returns the errors since the last call and clears them.
 func (r *Replica) TakeErrors() []error {
 	errs := r.errs
 	r.errs = nil
 	return errs
 }
 
-// PendingEnds returns how many ledgers are of lost processes and not finished yet.
+// PendingEnds returns the number of ledgers of lost processes that are not finished yet.
 func (r *Replica) PendingEnds() (n int) {
 	for _, l := range r.ledgers {
 		if l.lostSince != 0 {
--- a/internal/peers/usagereplica/statement_store.go
+++ b/internal/peers/usagereplica/statement_store.go
@@ -8,42 +8,44 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// StatementsLease is the name of the lease to pass on the statements of lost runners.
+// StatementsLease is the name of the lease whose holder passes on the statements of lost runners.
 const StatementsLease = "statements"
 
-// checksPerTick bounds the statements that one tick looks at, and with them what is asked at once.
+// checksPerTick is the maximum number of statements that one tick checks, which also bounds the messages
+// that it sends.
 const checksPerTick = 64
 
-// StatementStore decides which other runners are to have the statements in this runner's folder. A
-// runner passes on the statements of its own ledgers, and those of a lost process: other replicas
-// may know less of its ledger. Where a member holds StatementsLease, the others pass the statements
-// of lost processes to it alone, and it passes them on; without a holder they wait where they are.
+// StatementStore decides to which other runners the statements in this runner's folder are sent. A runner
+// sends the statements of its own ledgers to its replicas. It also passes on the statements of lost
+// processes, as other replicas may have had less of the ledger. If the table has StatementsLease, only
+// its holder passes those on to its replicas and the other runners send them to the holder; without a
+// holder they are not sent.
 type StatementStore struct {
-	name        string
-	process     uint32 // this one
-	incarnation uint64
-	table       *placement.Table // nil: none is known yet
-	replicas    []placement.Member
-	statements  map[string]*storedStatement // by file name
-	order       []string                    // their names, sorted
-	nextCheck   int                         // where the next tick begins
-	outbox      []Message
+	name           string
+	process        uint32 // this process
+	incarnation    uint64
+	table          *placement.Table // nil: none is known yet
+	replicas       []placement.Member
+	statements     map[string]*storedStatement // by file name
+	statementNames []string                    // sorted
+	nextCheck      int                         // index of the statement that was checked last
+	outbox         []Message
 }
 
-// storedStatement is a statement that is in the folder, or was until somebody took it away.
+// storedStatement is a statement that is in the folder, or was there until it was collected.
 type storedStatement struct {
-	origin   placement.Member  // whose ledger made it; the zero member: this runner's
-	holders  map[string]uint64 // runners that have it, and their incarnations
+	origin   placement.Member  // Owner and Process of an OwnedStatement; the zero member: this runner
+	holders  map[string]uint64 // incarnations by the names of the runners that have it
 	lastSent time.Duration
 }
 
-// isHeldBy reports whether a member has the statement in its present incarnation.
+// isHeldBy reports whether a member has the statement in its current incarnation.
 func (s *storedStatement) isHeldBy(m placement.Member) bool {
 	incarnation, ok := s.holders[m.Name]
 	return ok && incarnation == m.Incarnation
 }
 
-// NewStatementStore returns the store of a folder with statements of this runner. Nobody else is
+// NewStatementStore returns the store of a folder with statements of this runner. No other runner is
 // known to have them.
 func NewStatementStore(name string, process uint32, statements []string) *StatementStore {
 	s := &StatementStore{name: name, process: process, statements: map[string]*storedStatement{}}
@@ -53,10 +55,10 @@
 	return s
 }
 
-// AddOwn notes a statement of this runner's ledger that is in the folder now.
+// AddOwn adds a statement of this runner's ledger that was written to the folder.
 func (s *StatementStore) AddOwn(name string) { s.add(name, placement.Member{}) }
 
-// AddReplicated notes a statement of another runner that is in the folder now.
+// AddReplicated adds a statement of another runner that was written to the folder.
 func (s *StatementStore) AddReplicated(statement *OwnedStatement) {
 	s.add(statement.FileName(), placement.Member{Name: statement.Owner, Process: statement.Process})
 }
@@ -66,22 +68,22 @@
 		return
 	}
 	s.statements[name] = &storedStatement{origin: origin, holders: map[string]uint64{}}
-	i, _ := slices.BinarySearch(s.order, name)
-	s.order = slices.Insert(s.order, i, name)
+	i, _ := slices.BinarySearch(s.statementNames, name)
+	s.statementNames = slices.Insert(s.statementNames, i, name)
 }
 
-// SetTable takes a newer table, and the incarnation of this runner's membership.
+// SetTable replaces the table, and sets the incarnation of this runner's membership.
 func (s *StatementStore) SetTable(t *placement.Table, incarnation uint64) {
 	s.table, s.incarnation, s.replicas = t, incarnation, ReplicasOf(t, s.name)
 }
 
-// isLost reports whether the process of a member is not in the table any more.
+// isLost reports whether the process of a member is no longer in the table.
 func (s *StatementStore) isLost(m placement.Member) bool {
 	current := s.table.Member(m.Name)
 	return current == nil || current.Incarnation == 0 || current.Process != m.Process
 }
 
-// recipients returns the members that this runner is to pass a statement on to.
+// recipients returns the members to which this runner is to send a statement.
 func (s *StatementStore) recipients(statement *storedStatement) []placement.Member {
 	switch l := s.table.Lease(StatementsLease); {
 	case statement.origin.Name == "":
@@ -98,14 +100,14 @@
 	}
 }
 
-// Tick asks recipients whether they have the statements that are to be passed on.
+// Tick asks the recipients of the next statements whether they have them.
 func (s *StatementStore) Tick(now time.Duration) {
-	if s.table == nil || len(s.order) == 0 {
+	if s.table == nil || len(s.statementNames) == 0 {
 		return
 	}
-	for range min(checksPerTick, len(s.order)) {
-		s.nextCheck = (s.nextCheck + 1) % len(s.order)
-		name := s.order[s.nextCheck]
+	for range min(checksPerTick, len(s.statementNames)) {
+		s.nextCheck = (s.nextCheck + 1) % len(s.statementNames)
+		name := s.statementNames[s.nextCheck]
 		statement := s.statements[name]
 		if now-statement.lastSent < resendInterval {
 			continue
@@ -119,8 +121,8 @@
 	}
 }
 
-// Receive handles a message about a statement. It returns the name of a statement that the sender
-// wants, which the caller reads and gives to Send, or "".
+// Receive handles a message about a statement. If the sender wants a statement, it returns the file name;
+// the caller reads the file and passes its content to Send. Otherwise it returns "".
 func (s *StatementStore) Receive(m *Message) (wanted string) {
 	statement := s.statements[m.Name]
 	switch {
@@ -141,8 +143,8 @@
 	s.outbox = append(s.outbox, response)
 }
 
-// Send sends a statement that a runner wants. One without bytes was taken away from the folder, and
-// is not passed on any more.
+// Send sends a statement to a runner that wants it. Empty data means that the statement was collected
+// from the folder: it is marked as held by all recipients and not sent any more.
 func (s *StatementStore) Send(to, name string, data []byte) {
 	if len(data) > 0 {
 		s.outbox = append(s.outbox, Message{
@@ -164,7 +166,7 @@
 	}
 }
 
-// Unreplicated returns how many statements a recipient does not have.
+// Unreplicated returns the number of statements that at least one recipient does not have.
 func (s *StatementStore) Unreplicated() (n int) {
 	if s.table == nil {
 		return 0
@@ -179,7 +181,7 @@
 	return n
 }
 
-// TakeMessages returns the messages to send, and forgets them.
+// TakeMessages returns the messages to send and clears them.
 func (s *StatementStore) TakeMessages() []Message {
 	messages := s.outbox
 	s.outbox = nil
