--- a/internal/peers/link/errors.go
+++ b/internal/peers/link/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// kindLink is the kind of errors by which links are closed.
+// kindLink is the kind of errors that close links.
 var kindLink = fault.Define(
 	"peers.link",
 	"A link between runners was closed: an invalid message came on it, or it was idle.",
@@ -10,8 +10,8 @@
 )
 
 var (
-	errNotInFile      error = kindLink.New("link: the peer is not in the operator's file any more")
-	errIdle           error = kindLink.New("link: the link is not used")
+	errNotInFile      error = kindLink.New("link: the peer was removed from the operator's file")
+	errIdle           error = kindLink.New("link: the link was idle for too long")
 	errConnectTimeout error = kindLink.New("link: the connection was not established in time")
-	errUnexpectedData error = kindLink.New("link: data on a connection that only sends")
+	errUnexpectedData error = kindLink.New("link: received data on a connection that is used for sending only")
 )
--- a/internal/peers/link/frame_test.go
+++ b/internal/peers/link/frame_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A frame is read as it was written, at whichever byte the data is cut; one that was changed at any
-// byte is rejected, or not complete.
+// A frame is decoded as it was encoded, and truncated data is incomplete at every length. A frame with a
+// changed byte is rejected or incomplete.
 func TestFrameIsReadAsItWasWritten(t *testing.T) {
 	b, err := AppendFrame(nil, sampleFrame())
 	if err != nil {
@@ -38,12 +38,12 @@
 	}
 	for cut := range len(b) {
 		if f, used, err := ReadFrame(b[:cut]); f != nil || used != 0 || err != nil {
-			t.Fatalf("of %d bytes %d are read: %v", cut, used, err)
+			t.Fatalf("ReadFrame of %d bytes: %d used, error %v, want an incomplete frame", cut, used, err)
 		}
 		bad := append([]byte(nil), b...)
 		bad[cut] ^= 0x40
 		if f, _, err := ReadFrame(bad); f != nil && err == nil {
-			t.Fatalf("changed at byte %d it is read", cut)
+			t.Fatalf("ReadFrame accepted a frame with byte %d changed", cut)
 		}
 	}
 	f, used, err := ReadFrame(append(b, b...))
@@ -63,7 +63,7 @@
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < framing.HeaderSize || used > len(b)) {
-			t.Errorf("%d of %d bytes are used", used, len(b))
+			t.Errorf("ReadFrame used %d of %d bytes", used, len(b))
 		}
 	})
 }
--- a/internal/peers/link/inbound.go
+++ b/internal/peers/link/inbound.go
@@ -2,18 +2,18 @@
 
 import "ryepaddle/internal/eventloop"
 
-// Reasons for which a connection is rejected, as the log has them.
+// Reasons for the rejection of a connection, as they are logged.
 const (
-	reasonNoHello           = "it does not say who it is"
-	reasonOtherInstallation = "it is of another installation"
-	reasonNotInFile         = "it is not in the file"
+	reasonNoHello           = "it sent no Hello"
+	reasonOtherInstallation = "it belongs to another installation"
+	reasonNotInFile         = "it is not in the operator's file"
 )
 
-// inboundLink is the connection of a peer.
+// inboundLink is a connection on which a peer sends.
 type inboundLink struct {
 	transport *Transport
 	conn      *eventloop.Conn
-	name      string // "": no Hello came yet
+	name      string // "": no Hello was received yet
 }
 
 func (t *Transport) accept(conn *eventloop.Conn) eventloop.Handler {
@@ -47,14 +47,15 @@
 			l.transport.dispatch(l.name, f)
 			continue
 		}
-		if reason := l.greet(f.Hello); reason != "" {
+		if reason := l.handleHello(f.Hello); reason != "" {
 			return used, nil
 		}
 	}
 }
 
-// greet takes the first message of a connection. It returns the reason if it rejects the connection.
-func (l *inboundLink) greet(h *Hello) (rejected string) {
+// handleHello handles the first message of a connection, which is nil if it is not a Hello. If it
+// rejects the connection, it returns the reason.
+func (l *inboundLink) handleHello(h *Hello) (rejected string) {
 	name := ""
 	if h != nil {
 		name = h.Name
--- a/internal/peers/link/outbound.go
+++ b/internal/peers/link/outbound.go
@@ -8,22 +8,22 @@
 	"ryepaddle/internal/peers/framing"
 )
 
-// outboundLink is the connection to a peer.
+// outboundLink is a connection on which this runner sends to a peer.
 type outboundLink struct {
 	transport *Transport
 	peer      Peer
-	conn      *eventloop.Conn // nil: there is none
+	conn      *eventloop.Conn // nil: not connected
 	connected bool
 	nextDial  time.Duration
 	lastUsed  time.Duration
-	// failed says that the last connection failed and none was established since; downLogged that
-	// the log says so.
+	// failed is set when the last connection failed, until another one is established. downLogged is set
+	// once the failure was logged.
 	failed     bool
 	downLogged bool
 }
 
-// send sends a message, over a new connection if there is none. It is dropped if that is too early
-// or too much waits to be sent.
+// send sends a message and opens a connection if there is none. The message is dropped if the last dial
+// is less than redialInterval ago or if the queue is over maxQueuedBytes.
 func (l *outboundLink) send(f *Frame) {
 	now := l.transport.loop.Now()
 	if l.conn == nil && now >= l.nextDial {
@@ -38,9 +38,9 @@
 	l.write(f)
 }
 
-// dial opens the connection and sends the Hello. A connection that is not established in time is
-// closed, and the next message opens another one: the system would try again much later than the
-// machine of a peer may be back.
+// dial opens the connection and sends the Hello. A connection that is not established within
+// connectTimeout is closed, and the next message opens another one: the operating system's own retries
+// may come long after the peer's machine is back.
 func (l *outboundLink) dial() {
 	limits := eventloop.BufferLimits{
 		In:  minBufferBytes,
@@ -74,7 +74,7 @@
 	eventLinkUp.Log(l.peer.Name)
 }
 
-// Data implements eventloop.Handler: a peer sends on a connection of its own.
+// Data implements eventloop.Handler. It closes the link, as a peer sends on a connection of its own.
 func (l *outboundLink) Data([]byte) (int, error) { return 0, errUnexpectedData }
 
 // End implements eventloop.Handler.
--- a/internal/peers/link/outbound_test.go
+++ b/internal/peers/link/outbound_test.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// A connection that is not established in time is closed, so that a peer whose machine is back is
-// reached by the next message and not as late as the system tries again.
+// A connection that is not established within connectTimeout is closed, and the next message opens a new
+// one. Otherwise a peer whose machine is back is only reached when the operating system retries.
 func TestConnectionThatIsNotEstablishedInTimeIsClosed(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	n, err := Open(
@@ -28,13 +28,13 @@
 	first := n.outbound["n2"].conn
 	s.Advance(0)
 	if s.Advance(connectTimeout - time.Microsecond); n.outbound["n2"].conn != first {
-		t.Fatal("it was closed before its time")
+		t.Fatal("connection was closed before connectTimeout")
 	}
 	if s.Advance(time.Microsecond); n.Connections() != 0 || !first.IsClosed() {
-		t.Fatalf("%d connections, the first closed %v", n.Connections(), first.IsClosed())
+		t.Fatalf("connections = %d, want 0; first is closed = %v, want true", n.Connections(), first.IsClosed())
 	}
 	n.Send("n2", sampleFrame())
 	if n.Connections() != 1 {
-		t.Error("the next message opens no other one")
+		t.Error("the next message did not open a new connection")
 	}
 }
--- a/internal/peers/link/stored_test.go
+++ b/internal/peers/link/stored_test.go
@@ -17,7 +17,7 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// sampleRecord has every field of a record set.
+// sampleRecord returns a record with every field set.
 func sampleRecord() *store.Record {
 	return &store.Record{
 		Kind:      store.RunEnded,
@@ -196,9 +196,8 @@
 	}
 }
 
-// Each message between runners has the bytes that version 1 of the protocol gave it, and those
-// bytes are read as the same message: runners of two versions work in one installation while it is
-// upgraded.
+// Each message is encoded to the bytes of version 1 of the protocol, and those bytes are decoded to the
+// same message: while an installation is upgraded, it has runners of two versions.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	for _, tt := range []struct {
 		file  string
@@ -232,11 +231,11 @@
 			want := golden.Read(t, path)
 			frame, used, err := ReadFrame(want)
 			if err != nil || used != len(want) {
-				t.Fatalf("%d of %d bytes are read: %v", used, len(want), err)
+				t.Fatalf("ReadFrame used %d of %d bytes, error %v", used, len(want), err)
 			}
 			if diff := cmp.Diff(&tt.frame, frame, cmpopts.IgnoreUnexported(replication.EpochStart{},
 				store.Field{})); diff != "" {
-				t.Errorf("read as (-want +got)\n%s", diff)
+				t.Errorf("decoded frame (-want +got)\n%s", diff)
 			}
 		})
 	}
--- a/internal/peers/link/transport.go
+++ b/internal/peers/link/transport.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// maxQueuedBytes bounds what waits to be sent to one peer.
+	// maxQueuedBytes is the size of the send queue of one peer above which messages are dropped.
 	maxQueuedBytes = 4 << 20
-	// minBufferBytes is the buffer of the direction of a connection that is not used.
+	// minBufferBytes is the buffer size for the unused direction of a connection.
 	minBufferBytes = 64
-	// redialInterval is the least time between two connections to a peer.
+	// redialInterval is the minimum time between two dials of a peer.
 	redialInterval = 200 * time.Millisecond
-	// helloTimeout bounds how long a peer's connection may be open without a Hello.
+	// helloTimeout is the time after which an inbound connection without a Hello is closed.
 	helloTimeout = 2 * time.Second
-	// connectTimeout bounds how long a connection may take to be established.
+	// connectTimeout is the time after which a connection that is not established is closed.
 	connectTimeout = 2 * time.Second
-	// relayInterval is for how long one relay is used: messages keep their order for that time, and a
-	// relay that hangs is left after it.
+	// relayInterval is the time after which the transport switches to another relay. Within it messages
+	// keep their order; a relay that hangs is left after it.
 	relayInterval = 300 * time.Millisecond
-	// maxDirectLinks bounds the links beside those of the grid, to peers without a usable relay.
+	// maxDirectLinks is the maximum number of links outside the grid, to peers without a usable relay.
 	maxDirectLinks = 8
-	// idleTimeout is the time without a message after which such a link is closed.
+	// idleTimeout is the time without a message after which a link outside the grid is closed.
 	idleTimeout = 10 * time.Second
 )
 
@@ -49,12 +49,12 @@
 	Name         string // of this runner
 	Listen       netip.AddrPort
 	Peers        []Peer // the other runners
-	// FullMeshLimit is the number of runners up to which all have links with all; 0: no bound.
+	// FullMeshLimit is the maximum number of runners for a full mesh of links; 0: always a full mesh.
 	FullMeshLimit int
 }
 
-// Transport has all links of this runner. Its methods are called on the loop, which closes its
-// connections when it ends.
+// Transport manages all links of this runner. Its methods must be called on the event loop, which closes
+// the connections when it ends.
 type Transport struct {
 	loop        *eventloop.Loop
 	cfg         Config
@@ -62,15 +62,15 @@
 	outbound    map[string]*outboundLink
 	inbound     map[*inboundLink]bool
 	grid        *grid.Grid
-	unavailable map[string]bool // peers that are lost, and relay nothing
+	unavailable map[string]bool // lost peers, which are not used as relays
 	receive     func(from string, f *Frame)
 
-	Sent    int64 // messages of this runner
-	Dropped int64 // messages that found no link with room
-	Relayed int64 // messages between other runners
+	Sent    int64 // messages that this runner sent to peers, including dropped ones
+	Dropped int64 // messages without a usable link, or over maxQueuedBytes
+	Relayed int64 // messages relayed between other runners
 }
 
-// Open listens for peers, and calls receive with each message of a peer of the configuration.
+// Open listens for connections of peers. It calls receive with each message from a configured peer.
 func Open(loop *eventloop.Loop, cfg Config, receive func(from string, f *Frame)) (*Transport, error) {
 	t := &Transport{
 		loop:     loop,
@@ -85,7 +85,7 @@
 	t.rebuildGrid()
 	loop.Every(idleTimeout/2, t.closeIdle)
 	var err error
-	// Each peer has one connection; a new one may come before the end of the last is seen.
+	// Each peer has one connection, but may open the next one before the end of the last one is noticed.
 	t.listener, err = loop.Listen(cfg.Listen, eventloop.ListenConfig{
 		MaxOpen: 2*len(cfg.Peers) + 4,
 		Limits:  eventloop.BufferLimits{In: framing.HeaderSize + maxFrameBytes, Out: minBufferBytes},
@@ -97,8 +97,7 @@
 // Addr returns the address on which the transport listens.
 func (t *Transport) Addr() netip.AddrPort { return t.listener.Addr() }
 
-// SetPeers replaces the peers. Links with peers that are not among them are closed, in both
-// directions.
+// SetPeers replaces the peers. The links with removed peers are closed in both directions.
 func (t *Transport) SetPeers(peers []Peer) {
 	added := map[string]Peer{}
 	for _, p := range peers {
@@ -138,13 +137,13 @@
 	t.grid = grid.New(names, limit)
 }
 
-// linked reports whether the grid has a link with a peer.
+// linked reports whether the grid has a link between this runner and a peer.
 func (t *Transport) linked(name string) bool { return t.grid.Linked(t.cfg.Name, name) }
 
-// SetUnavailable replaces the set of peers that are lost.
+// SetUnavailable replaces the set of lost peers, which are not used as relays.
 func (t *Transport) SetUnavailable(names map[string]bool) { t.unavailable = names }
 
-// Connections returns the number of connections to peers.
+// Connections returns the number of outbound connections to peers.
 func (t *Transport) Connections() (n int) {
 	for _, link := range t.outbound {
 		if link.conn != nil {
@@ -154,7 +153,7 @@
 	return n
 }
 
-// directLinks returns the number of connections beside those of the grid.
+// directLinks returns the number of outbound connections outside the grid.
 func (t *Transport) directLinks() (n int) {
 	for name, link := range t.outbound {
 		if link.conn != nil && !t.linked(name) {
@@ -164,7 +163,7 @@
 	return n
 }
 
-// closeIdle closes the links beside those of the grid that are not used.
+// closeIdle closes the links outside the grid that were idle for idleTimeout.
 func (t *Transport) closeIdle() {
 	for name, link := range t.outbound {
 		if link.conn != nil && !t.linked(name) && t.loop.Now()-link.lastUsed > idleTimeout {
@@ -173,8 +172,9 @@
 	}
 }
 
-// route returns the link by which to reach a peer: its own, that of a relay, or one beside those of
-// the grid while no relay is usable. It returns nil if there are too many of those.
+// route returns the link over which to send to a peer: the peer's own link if the grid has one, otherwise
+// that of a relay, or a direct link outside the grid if no relay is usable. It returns nil if a direct
+// link would exceed maxDirectLinks.
 func (t *Transport) route(to *outboundLink) *outboundLink {
 	if t.linked(to.peer.Name) {
 		return to
@@ -193,7 +193,8 @@
 	return to
 }
 
-// Send sends a message to a peer once there is a link. One to a runner that is no peer is ignored.
+// Send sends a message to a peer, or drops it if there is no usable link. Messages to runners that are
+// no peers are ignored.
 func (t *Transport) Send(to string, f *Frame) {
 	link := t.outbound[to]
 	if link == nil {
@@ -214,7 +215,7 @@
 	}
 }
 
-// dispatch handles a message of a peer: its own, or one that it relays.
+// dispatch handles a message that a peer sent or relayed.
 func (t *Transport) dispatch(from string, f *Frame) {
 	switch {
 	case f.To == "":
@@ -226,7 +227,7 @@
 	}
 }
 
-// relay passes a message on between two other runners.
+// relay forwards a message to another runner. It drops the message if the grid has no link with that one.
 func (t *Transport) relay(f *Frame) {
 	link := t.outbound[f.To]
 	if link == nil || !t.linked(f.To) {
--- a/internal/peers/link/transport_test.go
+++ b/internal/peers/link/transport_test.go
@@ -14,7 +14,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// newLoop returns a loop that ends by itself after 20 seconds.
+// newLoop returns an event loop that stops after 20 seconds at the latest.
 func newLoop(t *testing.T) *eventloop.Loop {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -26,7 +26,7 @@
 	return loop
 }
 
-// open opens a transport on any port.
+// open opens a transport that listens on a free port.
 func open(t *testing.T, loop *eventloop.Loop, cfg Config, receive func(string, *Frame)) *Transport {
 	t.Helper()
 	cfg.Listen = anyPort
@@ -37,13 +37,13 @@
 	return transport
 }
 
-// versionFrame is a message that is known by a number.
+// versionFrame returns a message that is identified by its version.
 func versionFrame(version uint64) *Frame {
 	return &Frame{Consensus: &consensus.Message{Version: version}}
 }
 
-// dialWith opens a connection and writes text. The channel gets the number of bytes that came back
-// before its end.
+// dialWith opens a connection and writes text. The channel receives 1 if a byte came back before the end
+// of the connection, otherwise 0.
 func dialWith(t *testing.T, addr netip.AddrPort, text string) <-chan int {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr.String())
@@ -55,22 +55,22 @@
 	received := make(chan int, 1)
 	go func() {
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		n, _ := conn.Read(make([]byte, 1)) // its end is what is waited for
+		n, _ := conn.Read(make([]byte, 1)) // wait for the end of the connection
 		received <- n
 	}()
 	return received
 }
 
-// Messages of peers are received in their order, with their sender. Runners of another installation
-// or that are no peers, and connections without a Hello or a frame, are rejected, and cost nobody
-// else anything.
+// Messages of a peer are received in order and with the sender's name. Runners of other installations,
+// runners that are no peers, and connections without a Hello or a valid frame are rejected, and do not
+// affect other connections.
 func TestOnlyPeersAreHeardInTheirOrder(t *testing.T) {
 	loop := newLoop(t)
 	var received []uint64
 	peers := []Peer{{Name: "n2", Addr: anyPort}}
 	n1 := open(t, loop, Config{Installation: "x", Name: "n1", Peers: peers}, func(from string, f *Frame) {
 		if from != "n2" || f.Consensus == nil {
-			t.Errorf("%s sent %+v", from, f)
+			t.Errorf("received a message from %s: %+v, want consensus messages from n2 only", from, f)
 			return
 		}
 		if received = append(received, f.Consensus.Version); len(received) == 3 {
@@ -83,7 +83,7 @@
 	}
 	openPeer("y", "n2").Send("n1", versionFrame(99))
 	openPeer("x", "n9").Send("n1", versionFrame(98))
-	strangers := []<-chan int{
+	rejectedConns := []<-chan int{
 		dialWith(t, n1.Addr(), ""),
 		dialWith(t, n1.Addr(), "no frame at all, but long enough for a head"),
 	}
@@ -91,21 +91,21 @@
 	for version := range uint64(3) {
 		n2.Send("n1", versionFrame(version))
 	}
-	n2.Send("n7", versionFrame(0)) // it is no peer
+	n2.Send("n7", versionFrame(0)) // not a peer
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]uint64{0, 1, 2}, received); diff != "" {
 		t.Error(diff)
 	}
-	for _, stranger := range strangers {
-		if n := <-stranger; n != 0 {
-			t.Error("a stranger is sent something")
+	for _, bytesRead := range rejectedConns {
+		if n := <-bytesRead; n != 0 {
+			t.Error("a rejected connection received data")
 		}
 	}
 }
 
-// openGrid opens four transports in a grid of two rows, which all know each other.
+// openGrid opens four transports in a grid of two rows, each with the others as peers.
 func openGrid(
 	t *testing.T,
 	loop *eventloop.Loop,
@@ -130,9 +130,9 @@
 	return transports
 }
 
-// Of four in a grid one reaches another by the two in between, whichever of them is lost, and by
-// itself if both are. It is heard in its own name; what is relayed for a runner that is no peer is
-// not heard.
+// In a grid of four, n1 reaches n4 through either of the relays n2 and n3 while the other one is lost,
+// and over a direct link while both are. n4 receives the messages under the name of n1, and ignores
+// messages relayed for a runner that is no peer.
 func TestPeersWithoutALinkAreReachedByRelays(t *testing.T) {
 	loop := newLoop(t)
 	received := map[uint64]string{}
@@ -142,7 +142,7 @@
 	n1, n2, n3 := transports["n1"], transports["n2"], transports["n3"]
 	n1.Send("n4", versionFrame(1))
 	n2.Send("n4", &Frame{Consensus: &consensus.Message{Version: 9}, To: "n4", From: "n7"})
-	var relayed []int64 // by n2 and n3, before each step
+	var relayed []int64 // Relayed of n2 and n3 before each step
 	step := func(at time.Duration, fn func()) {
 		loop.After(at, func() {
 			relayed = append(relayed, n2.Relayed, n3.Relayed)
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -100,7 +100,7 @@
 func (r *Replica) receiveStatement(m *Message) {
 	s, err := ledger.ParseStatement(m.Name, m.Bytes)
 	if err == nil && s.FileName() != m.Name {
-		err = fmt.Errorf("%w: %s is %s", ErrWrongName, m.Name, s.FileName())
+		err = fmt.Errorf("%w: sent as %s, is %s", ErrWrongName, m.Name, s.FileName())
 	}
 	if err != nil {
 		r.recordError(err)
@@ -201,7 +201,7 @@
 	decoded, _, err := ledger.Decode(m.Settings, slices.Concat(l.parts...))
 	l.parts = nil
 	if err == nil && (decoded.Incarnation() != m.Ledger || m.Settings.Instance != m.From) {
-		err = fmt.Errorf("%w: of %s from %s", ErrWrongOwner, m.Settings.Instance, m.From)
+		err = fmt.Errorf("%w: ledger of %s, sent by %s", ErrWrongOwner, m.Settings.Instance, m.From)
 	}
 	if err != nil {
 		r.recordError(err)
