--- a/internal/peers/framing/framing.go
+++ b/internal/peers/framing/framing.go
@@ -1,5 +1,5 @@
-// Package framing puts payloads one after the other into a stream or a file, each behind a header
-// with a magic number, its length and its checksum (CRC-32C), all little-endian.
+// Package framing encodes payloads as consecutive frames of a stream or a file. Each payload follows a
+// header with a magic number, the payload's length and its checksum (CRC-32C), all little-endian.
 package framing
 
 import (
@@ -8,10 +8,10 @@
 	"hash/crc32"
 )
 
-// HeaderSize is the number of bytes before each payload.
+// HeaderSize is the size of the header before each payload in bytes.
 const HeaderSize = 12
 
-// Offsets in the header.
+// Byte offsets in the header.
 const (
 	lengthOffset   = 4
 	checksumOffset = 8
@@ -19,17 +19,17 @@
 
 // Errors of Next.
 var (
-	// ErrIncomplete is the error of data that ends before the payload does.
+	// ErrIncomplete is returned for data that ends within a frame.
 	ErrIncomplete = errors.New("framing: the data ends within a frame")
-	// ErrNoFrame is the error of data with another magic number, or with a length over the bound.
-	ErrNoFrame = errors.New("framing: not a frame")
-	// ErrChecksum is the error of a payload that does not have its checksum.
-	ErrChecksum = errors.New("framing: a damaged frame")
+	// ErrNoFrame is returned for data with another magic number or with a length over maxPayload.
+	ErrNoFrame = errors.New("framing: wrong magic number or length")
+	// ErrChecksum is returned for a payload that does not match its checksum.
+	ErrChecksum = errors.New("framing: checksum mismatch")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Append appends a payload behind its header.
+// Append appends the header and the payload to b.
 func Append(b []byte, magic uint32, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, magic)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
@@ -37,8 +37,8 @@
 	return append(b, payload...)
 }
 
-// Next returns the payload at the front of b, which it shares, and the number of bytes that it takes
-// with its header.
+// Next returns the payload of the frame at the start of b and the size of the frame in bytes. The payload
+// shares memory with b.
 func Next(b []byte, magic uint32, maxPayload int) (payload []byte, used int, err error) {
 	if len(b) < HeaderSize {
 		return nil, 0, ErrIncomplete
--- a/internal/peers/grid/grid.go
+++ b/internal/peers/grid/grid.go
@@ -1,8 +1,8 @@
-// Package grid bounds the links of a runner in a large installation. Runners stand in rows and
-// columns in the order of their names; each has links with those of its row and of its column, and
-// reaches any other by one of two relays: the runner in its row and the other's column, or the one in
-// its column and the other's row. The package does no I/O; the same names give the same grid
-// everywhere.
+// Package grid bounds the number of links of a runner in a large installation. The runners are arranged
+// in rows and columns by the order of their names. Each runner has links with the runners of its row and
+// its column, and reaches any other through one of two relays: the runner in its own row and the other's
+// column, or the runner in its own column and the other's row. The package does no I/O. The same names
+// give the same grid on every runner.
 package grid
 
 import "slices"
@@ -10,10 +10,10 @@
 // Grid is the arrangement of the runners of an installation.
 type Grid struct {
 	names []string // sorted
-	width int      // of a row; 0: all have links with all
+	width int      // number of columns; 0: full mesh
 }
 
-// New returns the grid of these runners. Up to fullMeshLimit of them all have links with all.
+// New returns the grid of the runners. Up to fullMeshLimit runners form a full mesh.
 func New(names []string, fullMeshLimit int) *Grid {
 	g := &Grid{names: slices.Compact(slices.Sorted(slices.Values(names)))}
 	if len(g.names) > fullMeshLimit {
@@ -24,7 +24,7 @@
 	return g
 }
 
-// position returns the row and column of a runner, and whether it is in the grid.
+// position returns the row and column of a runner. It reports false if the runner is not in the grid.
 func (g *Grid) position(name string) (row, column int, ok bool) {
 	i, ok := slices.BinarySearch(g.names, name)
 	if g.width == 0 {
@@ -33,7 +33,7 @@
 	return i / g.width, i % g.width, ok
 }
 
-// at returns the runner at a position, or "" if the last row is too short.
+// at returns the runner at a position, or "" if the last row ends before it.
 func (g *Grid) at(row, column int) string {
 	if g.width == 0 {
 		return g.names[column]
@@ -51,7 +51,7 @@
 	return okA && okB && (g.width == 0 || rowA == rowB || columnA == columnB)
 }
 
-// Neighbors returns the runners with which a runner has links.
+// Neighbors returns the runners that a runner has links with.
 func (g *Grid) Neighbors(name string) (neighbors []string) {
 	for _, other := range g.names {
 		if other != name && g.Linked(name, other) {
@@ -61,8 +61,8 @@
 	return neighbors
 }
 
-// Relays returns the runners by which one reaches another that it has no link with. There are none
-// if it has one, or if one of the two is not in the grid.
+// Relays returns the runners that have links with both from and to. It returns none if from and to have
+// a link with each other, or if either of them is not in the grid.
 func (g *Grid) Relays(from, to string) (relays []string) {
 	fromRow, fromColumn, okFrom := g.position(from)
 	toRow, toColumn, okTo := g.position(to)
--- a/internal/peers/wal/errors.go
+++ b/internal/peers/wal/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// kindDamaged is the kind of errors for files that cannot be read.
+// kindDamaged is the kind of errors of files that cannot be decoded.
 var kindDamaged = fault.Define(
 	"peers.file_damaged",
 	"A file of the peers' folder is damaged.",
--- a/internal/peers/wal/stored_test.go
+++ b/internal/peers/wal/stored_test.go
@@ -23,7 +23,7 @@
 
 const storedDir = "testdata/stored"
 
-// storedSlot is the copy of one slot in testdata.
+// storedSlot returns the slot snapshot in testdata.
 func storedSlot() replication.SlotSnapshot {
 	return replication.SlotSnapshot{
 		Slot:        3,
@@ -56,7 +56,7 @@
 	}
 }
 
-// storedMember is the only voter of the group in testdata.
+// storedMember returns the only voter of the consensus group in testdata.
 func storedMember() placement.Member {
 	return placement.Member{
 		Name:        "runner-a",
@@ -88,16 +88,16 @@
 	return c
 }
 
-// agreeOnTable has a voter alone in its group agree on a table, and returns its log. How its records
-// fall together differs from run to run.
+// agreeOnTable runs a consensus group of one voter until it has agreed on a table, and returns the
+// voter's log. The grouping of entries into records differs from run to run.
 func agreeOnTable(t *testing.T) (log []consensus.DurableRecord) {
 	t.Helper()
 	c := voter(t, nil)
 	changes := 0
 	for now := time.Second; now < 6*time.Second; now += 50 * time.Millisecond {
 		c.Tick(now)
-		// Enough changes for the log to be cut by a snapshot, and some after it. They are of a member
-		// that is not there, so that only the version of the table counts them.
+		// Enough changes for a snapshot to compact the log, and some more after it. They name a member
+		// that is not in the table, therefore they only increase the table's version.
 		for range 16 {
 			if c.IsLeader() && changes < 1040 {
 				changes++
@@ -106,18 +106,18 @@
 				c.Propose([]placement.Change{stay}, now)
 			}
 		}
-		_, kept, err := c.Ready()
+		_, record, err := c.Ready()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if kept != nil {
-			log = append(log, *kept)
+		if record != nil {
+			log = append(log, *record)
 		}
 	}
 	return log
 }
 
-// writeFolder writes a log and the slot into an empty folder.
+// writeFolder writes a log and the slot snapshot into an empty folder.
 func writeFolder(t *testing.T, dir string, records []consensus.DurableRecord) {
 	t.Helper()
 	log, _, err := wal.Open(store.Dir(dir))
@@ -141,8 +141,8 @@
 	}
 }
 
-// The folder of a runner of version 1 is read: the log of the consensus group, record by record,
-// the table that a voter goes on with from it, and the saved copy of a slot.
+// Reads a folder that version 1 wrote: the records of the consensus group's log, the table that a voter
+// restores from them, and the snapshot of a slot.
 func TestReadsFolderOfVersion1(t *testing.T) {
 	if golden.Writing() {
 		golden.Clear(t, storedDir)
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	if found.TruncatedBytes != 0 || found.DamagedSlots != 0 {
-		t.Errorf("%d bytes are cut off and %d slots are damaged", found.TruncatedBytes, found.DamagedSlots)
+		t.Errorf("truncated bytes = %d, damaged slots = %d, want none", found.TruncatedBytes, found.DamagedSlots)
 	}
 	if diff := cmp.Diff(
 		[]replication.SlotSnapshot{storedSlot()},
@@ -165,7 +165,7 @@
 	}
 	checkLog(t, found.Log)
 	restored := voter(t, found.Log)
-	if _, _, err := restored.Ready(); err != nil { // it applies what was committed
+	if _, _, err := restored.Ready(); err != nil { // applies the committed entries
 		t.Fatal(err)
 	}
 	table := restored.Table()
@@ -177,7 +177,7 @@
 	}
 }
 
-// What is written of the same records has the bytes of version 1.
+// The same records are written with the bytes of version 1.
 func TestWritesBytesOfVersion1(t *testing.T) {
 	log, found, err := wal.Open(store.Dir(golden.Copy(t, storedDir)))
 	if err != nil {
@@ -187,7 +187,7 @@
 	golden.CheckDir(t, storedDir, func(dir string) { writeFolder(t, dir, found.Log) })
 }
 
-// checkLog compares the parts of the log, which are those of the Raft library, with what was kept.
+// checkLog compares the Raft states, entries and snapshots of a log with those of the log in testdata.
 func checkLog(t *testing.T, log []consensus.DurableRecord) {
 	t.Helper()
 	type record struct {
@@ -196,7 +196,7 @@
 		Vote     uint64
 		Commit   uint64
 		First    uint64 // index of the first entry
-		Last     uint64 // and of the last
+		Last     uint64 // index of the last entry
 		Snapshot uint64
 	}
 	var got []record
@@ -237,7 +237,7 @@
 	}
 }
 
-// storedTable is what the group in testdata agreed on.
+// storedTable returns the table that the consensus group in testdata agreed on.
 func storedTable() *placement.Table {
 	slot := placement.Slot{Epoch: 1, Replicas: []string{"runner-a"}, EmptyEpoch: 1}
 	member := storedMember()
--- a/internal/peers/wal/wal.go
+++ b/internal/peers/wal/wal.go
@@ -1,6 +1,7 @@
-// Package wal keeps on disk what a runner needs among its peers: the consensus group's log, which is
-// written ahead of the messages that depend on it, and snapshots of slots of keys, which only save
-// sending. Its calls block; one goroutine uses it.
+// Package wal stores a runner's consensus and replication state on disk: the write-ahead log of the
+// consensus group, whose records are durable before the messages that depend on them are sent, and
+// snapshots of slots of keys, which only reduce the records that have to be sent after a restart. Its
+// calls block, and only one goroutine may use it.
 package wal
 
 import (
@@ -18,7 +19,7 @@
 	"ryepaddle/internal/peers/replication"
 )
 
-// Names of files, which folders of earlier versions have.
+// Names of files. Folders of earlier versions have the same names.
 const (
 	logFile    = "council"
 	slotPrefix = "slot-"
@@ -27,25 +28,25 @@
 
 const magic = 0x52594356 // "RYCV"
 
-// Log has the files of a folder. Close unlocks it.
+// Log holds the write-ahead log and the slot snapshots of a folder, which is locked until Close.
 type Log struct {
 	dir     store.FS
-	file    store.File // the consensus group's log; nil: it has to be written anew
+	file    store.File // the write-ahead log; nil: it must be rewritten
 	records []consensus.DurableRecord
 	unlock  func() error
 }
 
-// Recovery is what a folder has.
+// Recovery is the state that Open found in a folder.
 type Recovery struct {
 	Log   []consensus.DurableRecord
 	Slots []replication.SlotSnapshot
-	// TruncatedBytes are those at the end of the log that are no complete record. Nothing was sent
-	// that depends on them.
+	// TruncatedBytes is the number of bytes after the last complete record of the log, such as those of a
+	// torn write. No message that depends on them was sent.
 	TruncatedBytes int
-	DamagedSlots   int // snapshots that cannot be read
+	DamagedSlots   int // number of snapshots that cannot be decoded
 }
 
-// Open opens and locks a folder, which no other process may use.
+// Open locks a folder against use by other processes and loads its contents.
 func Open(dir store.FS) (*Log, *Recovery, error) {
 	unlock, err := dir.Lock()
 	if err != nil {
@@ -70,7 +71,7 @@
 	return recovery, nil
 }
 
-// loadLog reads the records up to the first one that is not complete.
+// loadLog reads the records up to the first one that is incomplete or damaged.
 func (l *Log) loadLog(recovery *Recovery) error {
 	b, err := l.dir.Read(logFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// loadSlots reads the snapshots that are complete.
+// loadSlots reads the snapshots and counts those that are damaged.
 func (l *Log) loadSlots(recovery *Recovery) error {
 	names, err := l.dir.List()
 	if err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// encode appends a value in a frame.
+// encode appends the frame of a value to b.
 func encode(b []byte, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return framing.Append(b, magic, payload), nil
 }
 
-// decode reads the value at the front of b, and returns the number of bytes that it takes.
+// decode decodes the value in the frame at the start of b and returns the size of the frame.
 func decode(b []byte, value any) (used int, err error) {
 	payload, used, err := framing.Next(b, magic, math.MaxUint32)
 	if err != nil {
@@ -134,10 +135,10 @@
 	return used, nil
 }
 
-// Append has a record of the consensus group on disk once it returns nil. After an error the record
-// is to be appended again, and the log is written anew.
+// Append appends a record of the consensus group, which is durable once Append returns nil. After an
+// error the caller has to append the record again, which rewrites the log.
 func (l *Log) Append(record *consensus.DurableRecord) error {
-	if record.VoterID != 0 { // the log begins with this record
+	if record.VoterID != 0 { // the log starts anew with this record
 		l.records = nil
 		l.closeFile()
 	}
@@ -150,7 +151,7 @@
 	return err
 }
 
-// appendLast writes the last record, with all before it if there is no open file.
+// appendLast writes and syncs the last record. If the log is not open, it writes all records.
 func (l *Log) appendLast() error {
 	if l.file == nil {
 		return l.rewrite()
@@ -165,7 +166,7 @@
 	return l.file.Sync()
 }
 
-// rewrite replaces the log by a new one with all records.
+// rewrite replaces the log by a new file with all records.
 func (l *Log) rewrite() (err error) {
 	var b []byte
 	for i := range l.records {
@@ -177,7 +178,7 @@
 	return err
 }
 
-// replaceFile replaces a file as a whole, and returns it open.
+// replaceFile replaces a file atomically and durably, and returns the new file open for writing.
 func (l *Log) replaceFile(name string, b []byte) (store.File, error) {
 	temp := name + tempSuffix
 	if err := l.dir.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -201,7 +202,7 @@
 
 func (l *Log) closeFile() {
 	if l.file != nil {
-		_ = l.file.Close() // what was synced is on disk
+		_ = l.file.Close() // all acknowledged records were synced
 		l.file = nil
 	}
 }
@@ -219,7 +220,7 @@
 	return f.Close()
 }
 
-// Close closes the log and unlocks the folder.
+// Close closes the log file and unlocks the folder.
 func (l *Log) Close() error {
 	l.closeFile()
 	return l.unlock()
--- a/internal/peers/wal/wal_test.go
+++ b/internal/peers/wal/wal_test.go
@@ -14,19 +14,19 @@
 	"ryepaddle/internal/testing/crashfs"
 )
 
-// crashingLog is a log whose machine crashes again and again.
+// crashingLog checks a log on a machine that crashes repeatedly.
 type crashingLog struct {
 	seed   uint64
 	random *rand.Rand
 	disk   *crashfs.Disk
 
-	appended []consensus.DurableRecord // since the log began
-	durable  []consensus.DurableRecord // those whose Append returned nil, a prefix of appended
-	// replaced is the log before one that began anew, until that one is durable.
+	appended []consensus.DurableRecord // since the log last started anew
+	durable  []consensus.DurableRecord // records whose Append returned nil, a prefix of appended
+	// replaced is the previous log after a new one has started, until the new one is durable.
 	replaced []consensus.DurableRecord
 }
 
-// recover opens the log after a crash and checks what is found.
+// recover opens the log after a crash and checks the recovered records.
 func (c *crashingLog) recover(t *testing.T) *Log {
 	t.Helper()
 	c.disk.CrashAt = 0
@@ -40,7 +40,7 @@
 	if !isReplaced && (len(found) < len(c.durable) || len(found) > len(c.appended) ||
 		!equal(found, c.appended[:len(found)])) {
 		t.Fatalf(
-			"seed %d: %d records are found of %d that are durable and %d that were appended",
+			"seed %d: %d recovered records, want a prefix of the appended ones: %d durable, %d appended",
 			c.seed, len(found), len(c.durable), len(c.appended),
 		)
 	}
@@ -72,8 +72,8 @@
 	c.disk.Crash()
 }
 
-// Whichever step the machine crashes at, the next process finds all records that were durable by
-// then, and none that was not appended; a log that began anew is found as the old or the new one.
+// After a crash at any step of the disk, Open recovers all durable records and none that was not
+// appended. A log that was starting anew at the crash is recovered as either the old or the new log.
 func TestDurableRecordsSurviveCrashes(t *testing.T) {
 	for seed := range uint64(200) {
 		c := &crashingLog{seed: seed, random: rand.New(rand.NewPCG(seed, 3)), disk: crashfs.New(seed)}
@@ -83,8 +83,8 @@
 	}
 }
 
-// After a disk that failed all records are there once it works again; a damaged slot file counts for
-// nothing and harms no other.
+// Records that are appended again after a disk error are recovered together with all earlier ones. A
+// damaged slot snapshot is counted, and the other snapshots are still loaded.
 func TestRecordsSurviveADiskThatFails(t *testing.T) {
 	disk := crashfs.New(1)
 	log, _, err := Open(disk)
@@ -130,7 +130,7 @@
 		t.Error(diff)
 	}
 	if len(recovery.Slots) != 2 || recovery.DamagedSlots != 1 {
-		t.Errorf("%d slots are found, %d damaged", len(recovery.Slots), recovery.DamagedSlots)
+		t.Errorf("recovered slots = %d, want 2; damaged slots = %d, want 1", len(recovery.Slots), recovery.DamagedSlots)
 	}
 }
 
