--- a/internal/peers/link/frame_test.go
+++ b/internal/peers/link/frame_test.go
@@ -48,7 +48,7 @@
 	}
 	f, used, err := ReadFrame(append(b, b...))
 	if err != nil || used != len(b) {
-		t.Fatal(used, err)
+		t.Fatalf("ReadFrame of two frames: %d bytes used, error %v, want the first frame", used, err)
 	}
 	if diff := cmp.Diff(sampleFrame(), f); diff != "" {
 		t.Error(diff)
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -48,7 +48,7 @@
 	OutcomeOwnedByOther                    // another attempt owns the key; the message's entry is its record
 	OutcomeStored                          // the end of a run is stored
 	OutcomeRetry                           // the receiver is not the primary, or cannot commit records yet
-	OutcomeUnavailable                     // no new keys are accepted for a while
+	OutcomeUnavailable                     // new keys are rejected until RetryAfter is over
 	OutcomeConflict                        // the request contradicts the stored record
 )
 
--- a/internal/peers/replication/primary_test.go
+++ b/internal/peers/replication/primary_test.go
@@ -109,7 +109,7 @@
 		if want := second * records * (size + recordOverhead) / rate; stored < records ||
 			joining && (now < want*9/10 || now > want*12/10) ||
 			!joining && now > second {
-			t.Errorf("joining = %v: follower has %d records after %v", joining, stored, now)
+			t.Errorf("joining = %v: follower has %d records after %v, want all in time", joining, stored, now)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 		result := p.put(key, store.RunStarted, 0)
 		if result.Outcome == OutcomeUnavailable {
 			if result.RetryAfter != memoryRetryAfter {
-				t.Errorf("RetryAfter at the memory bound = %v", result.RetryAfter)
+				t.Errorf("RetryAfter at the memory bound = %v, want memoryRetryAfter", result.RetryAfter)
 			}
 			break
 		}
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -220,8 +220,8 @@
 	return seq, len(t.Replicas) > 1
 }
 
-// removeExpired removes the records whose windows ended before the given time. The records of runs that
-// go on and of keys with watchers stay.
+// removeExpired removes the records whose windows ended before the given time, when no retry of their
+// keys can come any more. The records of runs that go on and of keys with watchers stay.
 func (s *slot) removeExpired(before time.Duration, ownerAlive func(*store.Record) bool) {
 	for name, it := range s.items {
 		running := it.record.Kind == store.RunStarted && ownerAlive(&it.record)
--- a/internal/peers/wal/wal_test.go
+++ b/internal/peers/wal/wal_test.go
@@ -103,7 +103,7 @@
 		record := consensus.DurableRecord{HardState: []byte{n}}
 		fails = n%4 == 1
 		if err := log.Append(&record); fails != (err != nil) {
-			t.Fatal(n, err)
+			t.Fatalf("Append of record %d: error %v, want an error: %v", n, err, fails)
 		}
 		if fails {
 			fails = false
