--- a/internal/peers/consensus/errors.go
+++ b/internal/peers/consensus/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// The kinds of errors of this package.
+// The error kinds of this package.
 var (
 	kindUnknownMember = fault.Define(
 		"peers.unknown_member",
@@ -31,14 +31,17 @@
 	)
 )
 
-// Errors of SetLeaving.
+// Errors returned by SetLeaving.
 var (
-	// ErrUnknownMember is the error for a name that no member has.
+	// ErrUnknownMember is returned if no member has the given name.
 	ErrUnknownMember error = kindUnknownMember.New("consensus: no member has that name")
-	// ErrVersionTooOld is the error while a voter does not understand members that leave.
+	// ErrVersionTooOld is returned if a voter does not understand the change that marks a member as
+	// leaving or staying.
 	ErrVersionTooOld error = kindVersionTooOld.New(
-		"consensus: a voter is of an older version, which knows nothing of members that leave",
+		"consensus: a voter runs an older version that does not support leaving members",
+	)
+	// ErrTooFewMembers is returned if the remaining members are too few to hold all replicas of a slot.
+	ErrTooFewMembers error = kindTooFewMembers.New(
+		"consensus: too few other members remain to replicate the slots of the leaving member",
 	)
-	// ErrTooFewMembers is the error if the members that stay could not hold all copies.
-	ErrTooFewMembers error = kindTooFewMembers.New("consensus: too few others are left to hold its copies")
 )
--- a/internal/peers/consensus/group_test.go
+++ b/internal/peers/consensus/group_test.go
@@ -11,21 +11,22 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// stepInterval is the time between two ticks of all participants.
+// stepInterval is the virtual time between two ticks of all participants.
 const stepInterval = 10 * time.Millisecond
 
-// group is a consensus group and its followers, whose messages are delivered in steps of virtual
-// time in an order that is drawn. Messages of participants that are down or cut off are lost.
+// group runs a consensus group and the runners that follow it in virtual time. Each step delivers the
+// pending messages in a random order. Messages from and to participants that are down or cut off are
+// lost.
 type group struct {
 	t               *testing.T
 	random          *rand.Rand
 	now             time.Duration
 	names           []string
 	voters          []string
-	participants    map[string]*Participant // of those that are up
+	participants    map[string]*Participant // of the runners that are up, by name
 	disks           map[string][]DurableRecord
 	cutOff          map[string]bool
-	sent            map[string]int // messages
+	sent            map[string]int // number of messages sent, by runner
 	lastIncarnation uint64
 }
 
@@ -48,13 +49,13 @@
 	return g
 }
 
-// newIncarnation returns a number that no process had.
+// newIncarnation returns an incarnation that was not used before.
 func (g *group) newIncarnation() uint64 {
 	g.lastIncarnation++
 	return g.lastIncarnation
 }
 
-// start begins a process of a runner on its disk.
+// start starts a process of a runner with the records of the runner's disk.
 func (g *group) start(name string) {
 	g.t.Helper()
 	incarnation := g.newIncarnation()
@@ -70,7 +71,7 @@
 	g.participants[name] = c
 }
 
-// run plays for a while.
+// run advances the group by a duration of virtual time.
 func (g *group) run(d time.Duration) {
 	g.t.Helper()
 	for range d / stepInterval {
@@ -79,7 +80,8 @@
 	}
 }
 
-// tick ticks all participants, writes their records and returns the messages that are not lost.
+// tick ticks all participants, writes their records to their disks and returns the messages of those
+// that are not cut off.
 func (g *group) tick() (messages []Message) {
 	g.t.Helper()
 	for _, name := range g.names {
@@ -115,7 +117,7 @@
 	}
 }
 
-// leaderName returns the leader that is not cut off, or "".
+// leaderName returns the name of the leader that is not cut off, or "" if there is none.
 func (g *group) leaderName() string {
 	for _, name := range g.names {
 		if c := g.participants[name]; c != nil && c.IsLeader() && !g.cutOff[name] {
@@ -127,7 +129,7 @@
 
 func (g *group) leader() *Participant { return g.participants[g.leaderName()] }
 
-// otherVoter returns a voter that does not lead.
+// otherVoter returns the name of a voter that is not the leader.
 func (g *group) otherVoter() string {
 	if g.voters[0] == g.leaderName() {
 		return g.voters[1]
@@ -135,21 +137,22 @@
 	return g.voters[0]
 }
 
-// agreedTable returns the table, which all that are up and not cut off have to have.
+// agreedTable returns the leader's table, and fails the test if a participant that is up and not cut
+// off has a different one.
 func (g *group) agreedTable() *placement.Table {
 	g.t.Helper()
 	t := g.leader().Table()
 	for _, name := range g.names {
 		if c := g.participants[name]; c != nil && !g.cutOff[name] {
 			if diff := cmp.Diff(t, c.Table()); diff != "" {
-				g.t.Fatalf("%s has another table: %s", name, diff)
+				g.t.Fatalf("table of %s differs (-leader's +its own):\n%s", name, diff)
 			}
 		}
 	}
 	return t
 }
 
-// memberCount returns how many members are not lost.
+// memberCount returns the number of members in the agreed table that are not lost.
 func (g *group) memberCount() (n int) {
 	g.t.Helper()
 	for _, m := range g.agreedTable().Members {
--- a/internal/peers/consensus/heartbeat.go
+++ b/internal/peers/consensus/heartbeat.go
@@ -8,9 +8,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// sendHeartbeat sends this runner's heartbeat: to all other voters while it asks for a voter ID, to
-// itself if it leads, else to the leader. A leader that does not answer is looked for among the
-// voters in turn.
+// sendHeartbeat sends this runner's heartbeat. While the runner requests a voter ID, the heartbeat
+// goes to all other voters; a leader handles its own; all others send it to the leader. If no leader
+// answered within QuorumTimeout, the runner tries the voters in turn.
 func (c *Participant) sendHeartbeat() {
 	m := Message{
 		Type:    MsgHeartbeat,
@@ -45,11 +45,12 @@
 	}
 }
 
-// handleHeartbeat handles a runner's heartbeat. A voter that does not lead answers with the leader.
+// handleHeartbeat handles a runner's heartbeat. A voter that is not the leader responds with the
+// leader's name.
 func (c *Participant) handleHeartbeat(m *Message) {
 	if m.RequestedID != 0 && c.voterPosition(m.From) != 0 && c.requestedVoterID != 0 {
 		c.restartingVoters[m.From] = m.HasLog
-		_ = c.tryStart() // it fails only for a configuration that is not valid
+		_ = c.tryStart() // fails only if the Raft configuration is invalid
 		return
 	}
 	if m.RequestedID != 0 && !m.IsReply {
@@ -65,8 +66,9 @@
 	}
 }
 
-// replyToRestarting answers a restarting voter for which this one counted when it began: the other
-// one may not have heard this one's heartbeat.
+// replyToRestarting answers the heartbeat of a restarting voter with one of the same kind if this
+// voter itself has just started without an ID from the others. It counted on the sender for that,
+// but the sender may have missed its heartbeat and would not count this voter.
 func (c *Participant) replyToRestarting(m *Message) {
 	hasLog, ok := c.startedWithoutOthers()
 	if !ok {
@@ -83,13 +85,15 @@
 	})
 }
 
-// handleHeartbeatAsLeader handles a heartbeat as the group's leader.
+// handleHeartbeatAsLeader handles a heartbeat while this runner is the leader: it proposes what the
+// sender needs (a voter ID, its membership), records its lease request and responds.
 func (c *Participant) handleHeartbeatAsLeader(m *Message) {
 	established := c.isEstablished(m)
 	if m.RequestedID != 0 && established {
 		c.proposeVoterID(m)
 	}
-	// A late heartbeat of an earlier process may have taken the voter ID from the present one.
+	// The sender votes under an ID that the group has removed: a delayed heartbeat of an earlier process
+	// may have had it replaced.
 	if m.VoterID != 0 && c.voterPosition(m.From) == m.VoterID&positionMask &&
 		!slices.Contains(c.confState.GetVoters(), m.VoterID) {
 		c.send(Message{Type: MsgHeartbeatResp, To: m.From, VoterID: m.VoterID})
@@ -105,15 +109,15 @@
 		return
 	}
 	response := Message{Type: MsgHeartbeatResp, To: m.From, SentAt: m.SentAt, Version: c.table.Version}
-	if m.Version < c.table.Version && c.voterPosition(m.From) == 0 { // voters have it from the log
+	if m.Version < c.table.Version && c.voterPosition(m.From) == 0 { // voters get the table from the log
 		response.Table = c.table
 	}
 	c.send(response)
 }
 
-// proposeJoin proposes the sender of a heartbeat as a member if the table does not have it as it
-// announces itself. One that was declared lost comes back in another incarnation once it knows that
-// table.
+// proposeJoin proposes the sender of a heartbeat as a member if its announcement differs from the
+// table's entry. A member that was declared lost is not proposed before it knows the table that says
+// so: it then rejoins in a new incarnation.
 func (c *Participant) proposeJoin(m *Message) {
 	current := c.table.Member(m.From)
 	if current != nil && current.SameAnnouncement(&m.Member) {
@@ -128,7 +132,7 @@
 	c.proposeAsLeader([]placement.Change{{Kind: c.joinKind(), Member: m.Member}})
 }
 
-// joinKind returns the newest kind of change for a member that joins which all voters understand.
+// joinKind returns the newest kind of join change that all voters understand.
 func (c *Participant) joinKind() placement.ChangeKind {
 	for _, kind := range []placement.ChangeKind{placement.ChangeJoinV3, placement.ChangeJoinV2} {
 		if c.table.AllUnderstand(kind, c.cfg.Voters) {
@@ -138,15 +142,17 @@
 	return placement.ChangeJoin
 }
 
-// newProcess is a process under a name that the table has for another one.
+// newProcess is a process that sends heartbeats under a member's name while the table still has the
+// member's other process.
 type newProcess struct {
 	process uint32
-	since   time.Duration // its first heartbeat
+	since   time.Duration // when its first heartbeat was received
 }
 
-// isEstablished reports whether a heartbeat is of the process in the table, or of one that takes its
-// place. A single heartbeat of an earlier process may come late, all the more if this leader was
-// stopped; a process that is there sends another one before the other process does.
+// isEstablished reports whether a heartbeat is from the member's process in the table, or from a new
+// process that has taken its place. A single heartbeat does not establish a new process, as it may
+// be a delayed one of an earlier process, in particular after this leader was stopped. A live process
+// sends another heartbeat before the other process sends one.
 func (c *Participant) isEstablished(m *Message) bool {
 	current := c.table.Member(m.From)
 	if current == nil || current.Incarnation == 0 || current.Process == m.Member.Process {
@@ -160,8 +166,8 @@
 	return false
 }
 
-// handleHeartbeatResponse handles the response to a heartbeat of this runner, or to one of an
-// earlier process under its name.
+// handleHeartbeatResponse handles the response to a heartbeat of this runner, or to a heartbeat of an
+// earlier process under the same name.
 func (c *Participant) handleHeartbeatResponse(m *Message) {
 	if m.Leader != "" {
 		if c.voterPosition(m.Leader) != 0 {
@@ -174,7 +180,8 @@
 	case m.RequestedID != 0 && m.RequestedID == c.requestedVoterID:
 		c.takeVoterID()
 	case m.AskedAt != 0:
-		if m.Member.Incarnation == c.self.Incarnation { // an earlier process had another clock
+		// AskedAt is by the clock of the process that sent the heartbeat.
+		if m.Member.Incarnation == c.self.Incarnation {
 			c.leaderConfirmed(m.AskedAt.Duration(), m.Version)
 		}
 	case m.VoterID != 0:
@@ -184,9 +191,10 @@
 	}
 }
 
-// recordContact notes that the leader answered. A response to an earlier process, whose clock had
-// gone further, does not count; neither does a leader that knows less than was committed: a group
-// that was formed anew does not stand for the one before it.
+// recordContact records that the leader answered, and takes the response's table if it is newer. It
+// ignores a response to an earlier process, whose clock was ahead of this one's, and a leader whose
+// table is older than this runner's: that leader belongs to a group that was formed anew and does not
+// have the decisions of the group before it.
 func (c *Participant) recordContact(m *Message) {
 	sentAt := m.SentAt.Duration()
 	if sentAt > c.now || m.Version < c.table.Version {
--- a/internal/peers/consensus/late_message_test.go
+++ b/internal/peers/consensus/late_message_test.go
@@ -11,8 +11,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// A late heartbeat of an earlier process took the voter ID of the present one, which was heard after
-// that and never learned of a table again.
+// A delayed heartbeat of a voter's earlier process must not have the voter ID of its present process
+// replaced. The present process would still be heard, so that it is not declared lost, but would never
+// receive a table again.
 func TestLateHeartbeatDoesNotTakeTheVoterIDOfTheNextProcess(t *testing.T) {
 	g := newGroup(t, 5, 3)
 	g.run(8 * time.Second)
@@ -33,12 +34,15 @@
 	g.run(12 * time.Second)
 	c := g.participants[voter]
 	if m := g.agreedTable().Member(voter); g.memberCount() != 5 || !c.IsVoter() || m.Process != c.self.Process {
-		t.Errorf("%d members; %s votes: %v; %+v", g.memberCount(), voter, c.IsVoter(), m)
+		t.Errorf(
+			"members = %d, want 5; IsVoter() of %s = %v, want true; member = %+v, want the present process",
+			g.memberCount(), voter, c.IsVoter(), m,
+		)
 	}
 }
 
-// A late heartbeat of a process took it back to an earlier incarnation, and locked it out of its
-// present one.
+// A delayed heartbeat of the same process must not take the member back to an earlier incarnation: the
+// process could then not join under its present one.
 func TestLateHeartbeatDoesNotRestoreAnEarlierIncarnation(t *testing.T) {
 	g := newGroup(t, 4, 3)
 	g.run(8 * time.Second)
@@ -55,19 +59,19 @@
 	g.leader().Receive(&late, g.now)
 	g.run(2 * time.Second)
 	if m := g.agreedTable().Member(name); m.Incarnation != 701 {
-		t.Errorf("%+v", m)
+		t.Errorf("member after delayed heartbeats = %+v, want incarnation 701", m)
 	}
 }
 
-// A snapshot that was lost on its way was not sent again, and its voter never learned of a table
-// again.
+// A snapshot that is lost in transit must be sent again. Otherwise the Raft library waits for its
+// acknowledgement, and the voter never receives a table again.
 func TestLostSnapshotIsSentAgain(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.run(8 * time.Second)
 	voter, c := g.otherVoter(), g.leader()
 	g.cutOff[voter] = true
 	g.run(3 * time.Second)
-	c.snapshotDue = true // it compacts its log
+	c.snapshotDue = true // makes the leader compact its log
 	stay := placement.Change{Kind: placement.ChangeStay, Member: placement.Member{Name: c.cfg.Name}}
 	c.Propose([]placement.Change{stay}, g.now)
 	g.run(time.Second)
@@ -80,14 +84,14 @@
 		g.run(stepInterval)
 	}
 	if lost == 0 {
-		t.Fatal("no snapshot was sent")
+		t.Fatal("the leader sent no snapshot to the voter that was cut off")
 	}
 	g.run(8 * time.Second)
 	g.agreedTable()
 }
 
-// deliverWithoutSnapshots delivers what a participant sends, but for snapshots to a voter, and
-// returns how many of these were lost.
+// deliverWithoutSnapshots delivers the messages of a participant except snapshots to the given voter,
+// and returns how many snapshots it dropped.
 func (g *group) deliverWithoutSnapshots(c *Participant, voter string) (lost int) {
 	g.t.Helper()
 	c.Tick(g.now)
@@ -107,8 +111,8 @@
 	return lost
 }
 
-// A holder had its leases confirmed after it was proposed to declare it lost, and relied on them for
-// as long as a lease beside the next holder.
+// The leader must not confirm the leases of a runner that it has proposed to declare lost: the runner
+// would rely on them for up to the TTL while the next holder relies on them too.
 func TestNoLeaseIsConfirmedForARunnerProposedAsLost(t *testing.T) {
 	g := newGroup(t, 5, 3)
 	g.run(8 * time.Second)
@@ -118,19 +122,19 @@
 	c.table = c.table.Clone()
 	c.table.Leases = []placement.Lease{{Name: "d", Holder: name, Incarnation: self.Incarnation, Token: 1}}
 	if c.Receive(&heartbeat, g.now); len(c.pendingConfirmations) != 1 {
-		t.Fatalf("%d wait for a confirmation", len(c.pendingConfirmations))
+		t.Fatalf("pending confirmations = %d, want 1", len(c.pendingConfirmations))
 	}
 	c.pendingConfirmations = nil
 	later := g.now + FailureTimeout + 2*raftTickInterval
-	c.Tick(later) // it is proposed to declare it lost
+	c.Tick(later) // the leader proposes to declare the runner lost
 	if c.Receive(&heartbeat, later); len(c.pendingConfirmations) != 0 {
-		t.Error("it waits for a confirmation all the same")
+		t.Error("a runner that is proposed as lost has a pending confirmation, want none")
 	}
 }
 
-// A response to an earlier process came to the next one of its name, whose clock began anew: it was
-// taken for one from far in the future, and the last contact stayed new for as long as the earlier
-// process had lived.
+// A response to an earlier process may reach the next process of the runner, whose clock started
+// anew. It must be ignored: its times are in the future by the new clock, and the last contact would
+// count as recent for as long as the earlier process had lived.
 func TestResponseToAnEarlierProcessIsIgnored(t *testing.T) {
 	g := newGroup(t, 4, 3)
 	g.run(8 * time.Second)
@@ -146,11 +150,13 @@
 		c.Receive(&m, g.now)
 	}
 	if confirmed > 0 || c.LastContact() != contact {
-		t.Errorf("confirmed %d times, last contact at %v of %v", confirmed, c.LastContact(), g.now)
+		t.Errorf("confirmations = %d, want 0; LastContact() = %v at %v, want it unchanged",
+			confirmed, c.LastContact(), g.now)
 	}
 }
 
-// A voter whose ID was removed went on to be heard, and never learned of a table again.
+// A voter whose ID was removed from the group must request another one. Otherwise its heartbeats
+// still count, so that it is not declared lost, but it never receives a table again.
 func TestVoterAsksForAnotherIDAfterItsRemoval(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.run(8 * time.Second)
@@ -162,6 +168,6 @@
 	}
 	g.run(8 * time.Second)
 	if g.agreedTable(); !voter.IsVoter() || voter.currentVoterID() == before {
-		t.Errorf("votes %v under %d", voter.IsVoter(), voter.currentVoterID())
+		t.Errorf("IsVoter() = %v, want true; voter ID = %d, want a new one", voter.IsVoter(), voter.currentVoterID())
 	}
 }
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -14,33 +14,33 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// leaderState is what the leader knows of the runners and of its proposals.
+// leaderState is the state that a participant uses while it is the leader.
 type leaderState struct {
 	isLeader         bool
-	lastHeard        map[string]time.Duration // the newest heartbeat of each runner
-	pendingProposals map[string]time.Duration // encoded changes, and when they were proposed
+	lastHeard        map[string]time.Duration // when each runner's last heartbeat was received, by name
+	pendingProposals map[string]time.Duration // when each proposal was made, by the encoded change
 	newProcesses     map[string]newProcess    // by name
-	proposedLost     map[string]uint64        // incarnations that this leader proposed to declare lost
+	proposedLost     map[string]uint64        // incarnations that this leader proposed to declare lost, by name
 
-	snapshotPendingSince map[uint64]time.Duration // voters that wait for a snapshot
-	failedSnapshots      []uint64                 // voters whose snapshot may be lost
+	snapshotPendingSince map[uint64]time.Duration // since when a voter has waited for a snapshot, by voter ID
+	failedSnapshots      []uint64                 // IDs of voters whose snapshot may be lost
 
 	granter       *lease.Granter
 	leaseReleased bool                    // a lease was released since leases were last granted
-	leaseRequests map[string]leaseRequest // the newest of each runner
-	// pendingConfirmations wait for the next read index, readIndexRequests for the present one.
+	leaseRequests map[string]leaseRequest // the newest of each runner, by name
+	// pendingConfirmations wait for the next read index, readIndexRequests for the current one.
 	pendingConfirmations []leaseRequest
 	readIndexRequests    []leaseRequest
-	readIndexID          uint64
-	readIndexAt          time.Duration // when it was requested
-	readIndex            uint64        // the index that a quorum confirmed; 0: not yet
+	readIndexID          uint64        // identifies the current read index request
+	readIndexAt          time.Duration // when the current read index was requested
+	readIndex            uint64        // the index that a quorum confirmed; 0: not confirmed yet
 }
 
-// leaseRequest is a heartbeat of a runner that may hold leases.
+// leaseRequest is the part of a heartbeat that asks the leader to grant or renew leases.
 type leaseRequest struct {
 	name        string
 	incarnation uint64
-	askedAt     time.Duration // by the runner's own clock
+	askedAt     time.Duration // by the runner's own lease clock
 }
 
 func newLeaderState(cfg Config) leaderState {
@@ -55,8 +55,9 @@
 	}
 }
 
-// runLeader follows the Raft group's elections and does the leader's periodic work: it declares
-// runners lost, removes those that do not belong any more, spreads slots and grants leases.
+// runLeader tracks whether this voter is the Raft leader and does the leader's periodic work: it
+// proposes to declare silent runners lost, to remove lost runners that are leaving or no longer in
+// the operator's file, to rebalance slots and to grant leases.
 func (c *Participant) runLeader() {
 	isLeader := c.rawNode.BasicStatus().RaftState == raft.StateLeader
 	if isLeader && !c.isLeader {
@@ -78,7 +79,8 @@
 	c.proposeAsLeader(append(changes, c.leaseGrants()...))
 }
 
-// beginTerm forgets what an earlier term of this leader knew. All members count as heard now.
+// beginTerm clears the state of an earlier term of this leader. All members count as heard at this
+// time, so that none is declared lost before FailureTimeout.
 func (c *Participant) beginTerm() {
 	clear(c.lastHeard)
 	clear(c.pendingProposals)
@@ -91,8 +93,8 @@
 	}
 }
 
-// membershipChanges returns the changes for members that were not heard for FailureTimeout, and for
-// lost ones that are leaving or not in the operator's file any more.
+// membershipChanges returns the changes that declare members lost which were not heard for
+// FailureTimeout, and that remove lost members which are leaving or no longer in the operator's file.
 func (c *Participant) membershipChanges() (changes []placement.Change) {
 	for _, m := range c.table.Members {
 		at, ok := c.lastHeard[m.Name]
@@ -108,13 +110,15 @@
 	return changes
 }
 
-// isRemovedFromFile reports whether the operator's file names members, and not this one.
+// isRemovedFromFile reports whether the operator's file lists members and the named one is not among
+// them.
 func (c *Participant) isRemovedFromFile(name string) bool {
 	return len(c.cfg.KnownMembers) > 0 && !slices.Contains(c.cfg.KnownMembers, name)
 }
 
-// reportLostSnapshots tells the Raft library of voters that have waited for a snapshot for so long
-// that it may be lost: the library sends them nothing before it is told.
+// reportLostSnapshots reports to the Raft library the snapshots that a voter has not acknowledged
+// within FailureTimeout and that may therefore be lost. Without the report the library would send
+// that voter nothing more.
 func (c *Participant) reportLostSnapshots() {
 	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
 		switch since, ok := c.snapshotPendingSince[id]; {
@@ -127,14 +131,14 @@
 			c.failedSnapshots = append(c.failedSnapshots, id)
 		}
 	})
-	for _, id := range c.failedSnapshots { // not during WithProgress, which iterates over the progress
+	for _, id := range c.failedSnapshots { // not within WithProgress: ReportSnapshot changes the progress
 		c.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 	}
 	c.failedSnapshots = c.failedSnapshots[:0]
 }
 
-// proposeAsLeader proposes changes that all voters understand. One that is under way is not proposed
-// again before proposalRetryInterval.
+// proposeAsLeader proposes those changes that all voters understand. A change whose proposal is still
+// pending is not proposed again before proposalRetryInterval has passed.
 func (c *Participant) proposeAsLeader(changes []placement.Change) {
 	for _, change := range changes {
 		if change.Kind > placement.ChangeSetPrimary && !c.table.AllUnderstand(change.Kind, c.cfg.Voters) {
@@ -142,7 +146,7 @@
 		}
 		data, err := cbor.Marshal(change)
 		if err != nil {
-			continue // unreachable: a change is made of numbers and strings
+			continue // unreachable: changes consist of numbers, strings and bytes, which can be encoded
 		}
 		key := string(data)
 		if at, ok := c.pendingProposals[key]; ok && c.now-at < proposalRetryInterval {
@@ -151,7 +155,7 @@
 		if !c.hasProposalRoom() {
 			return
 		}
-		if c.rawNode.Propose(data) != nil { // there is no leader, or too much is uncommitted
+		if c.rawNode.Propose(data) != nil { // no leader, or the uncommitted entries exceed their bound
 			continue
 		}
 		c.pendingProposals[key] = c.now
@@ -161,8 +165,8 @@
 	}
 }
 
-// hasProposalRoom reports whether there may be another proposal under way, after those that were not
-// committed in time are forgotten.
+// hasProposalRoom reports whether another proposal may become pending. At the bound it first drops
+// those that were not committed within proposalRetryInterval.
 func (c *Participant) hasProposalRoom() bool {
 	if len(c.pendingProposals) < maxPendingProposals {
 		return true
@@ -175,7 +179,7 @@
 	return len(c.pendingProposals) < maxPendingProposals
 }
 
-// leaseGrants returns the grants of leases that nobody holds.
+// leaseGrants returns changes that grant the leases without a holder.
 func (c *Participant) leaseGrants() []placement.Change {
 	if len(c.cfg.LeaseRules.Rules) == 0 || !c.table.AllUnderstand(placement.ChangeJoinV2, c.cfg.Voters) {
 		return nil
@@ -190,9 +194,10 @@
 	})
 }
 
-// recordLeaseRequest notes a heartbeat of a runner that may hold leases. A holder has its leases
-// renewed once a quorum confirms this leader after that; one that this leader proposed to declare
-// lost has not: its leases may be another's before it learns of that.
+// recordLeaseRequest records the lease request in a runner's heartbeat. If the runner holds leases,
+// they are renewed once a quorum has confirmed this leader after the heartbeat. They are not renewed
+// if this leader has proposed to declare the runner lost: another member may be granted them before
+// the runner learns of it.
 func (c *Participant) recordLeaseRequest(m *Message) {
 	if m.AskedAt == 0 {
 		return
@@ -209,9 +214,10 @@
 	c.pendingConfirmations = append(slices.DeleteFunc(c.pendingConfirmations, sameName), request)
 }
 
-// requestReadIndex asks the other voters whether they still follow this leader (Raft section 6.4),
-// for the holders of leases whose heartbeats came since. One request is under way at a time; those
-// of a request that is lost are asked for again.
+// requestReadIndex requests a read index, by which a quorum confirms that this voter is still the
+// leader (Raft section 6.4), for the lease holders whose heartbeats came since the last request. One
+// request is in flight at a time. If it is not confirmed within proposalRetryInterval, it counts as
+// lost and the next request includes its lease requests.
 func (c *Participant) requestReadIndex() {
 	inFlight := len(c.readIndexRequests) > 0
 	switch {
@@ -228,8 +234,8 @@
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readIndexID))
 }
 
-// sendConfirmations answers the requests of a confirmed read index once the table has all changes up
-// to that index.
+// sendConfirmations answers the lease requests of a confirmed read index once the table includes all
+// changes up to that index.
 func (c *Participant) sendConfirmations() {
 	if c.readIndex == 0 || c.appliedIndex < c.readIndex {
 		return
--- a/internal/peers/consensus/logger.go
+++ b/internal/peers/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// silentLogger discards what the Raft library logs: what matters of it is in the errors of Ready and
-// in the table. Its fatal errors panic, as they are faults of the program.
+// silentLogger discards the log of the Raft library: operators learn of its failures from the errors
+// of Ready and of its decisions from the table. Fatal messages panic, as they report program errors.
 type silentLogger struct{}
 
 // Debug implements raft.Logger.
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two heartbeats of a runner.
+	// HeartbeatInterval is the time between two heartbeats of a runner to the leader.
 	HeartbeatInterval = 100 * time.Millisecond
 	// FailureTimeout is the time without a heartbeat after which the leader declares a runner lost.
 	FailureTimeout = 1500 * time.Millisecond
-	// QuorumTimeout is the time after the last contact for which a runner may rely on the consensus
-	// group going on without a newer table.
+	// QuorumTimeout is how long after its last contact with the leader a runner may act on its table. It
+	// is shorter than FailureTimeout, so that a runner that is cut off stops before it is declared lost.
 	QuorumTimeout = 600 * time.Millisecond
-	// proposalRetryInterval is the time after which a proposal that was not committed, or a read
-	// index that was not confirmed, is proposed again.
+	// proposalRetryInterval is the time after which an uncommitted proposal may be proposed again, and
+	// an unconfirmed read index requested again.
 	proposalRetryInterval = 500 * time.Millisecond
-	// maxPendingProposals bounds the proposals that are not committed yet.
+	// maxPendingProposals bounds the leader's uncommitted proposals.
 	maxPendingProposals = 64
 )
 
 // Config is the configuration of a participant.
 type Config struct {
 	Name         string
-	Voters       []string // the same in the same order at all runners
-	KnownMembers []string // all members of the operator's file; empty: not known
-	Slots        int      // of the table
-	Backups      int      // replicas of a slot beside the primary
+	Voters       []string // the names of all voters, in the same order at all runners
+	KnownMembers []string // the names of all members in the operator's file; empty: not known
+	Slots        int      // number of slots in the table
+	Backups      int      // replicas of a slot besides the primary
 	LeaseRules   lease.Rules
-	StartedAt    uint64 // Unix seconds at which this process began
-	// Clock reads the clock that leases go by, which also counts the time for which the machine was
-	// suspended. Without one the runner holds no leases.
+	StartedAt    uint64 // when this process started, in Unix seconds
+	// Clock reads the clock that lease times refer to, which also advances while the machine is
+	// suspended. If it is nil, the runner holds no leases.
 	Clock func() time.Duration
 }
 
@@ -49,50 +49,52 @@
 	table  *placement.Table
 	outbox []Message
 
-	leader          string // where heartbeats go; empty: not known
+	leader          string // the runner to which heartbeats are sent; empty: not known
 	nextHeartbeat   time.Duration
 	lastContact     time.Duration // when the newest heartbeat that the leader answered was sent
-	contactAttempts int           // voters that were tried without a known leader
+	contactAttempts int           // how often a voter was tried because no leader answered
 	leaderConfirmed func(askedAt time.Duration, tableVersion uint64)
 
 	voterState
 	leaderState
 }
 
-// voterState is what a voter knows of the Raft group and of its own part in it.
+// voterState is a voter's state in the Raft group.
 type voterState struct {
-	rawNode       *raft.RawNode // nil: this runner does not vote now
+	rawNode       *raft.RawNode // nil: this runner does not vote at present
 	storage       *raft.MemoryStorage
 	lastTick      time.Duration
 	appliedIndex  uint64
 	snapshotIndex uint64
-	snapshotDue   bool // a changed set of voters is not in a snapshot yet
+	snapshotDue   bool // the newest snapshot does not have the current set of voters
 	confState     *raftpb.ConfState
 
 	voterID           uint64
 	voterIDUnsaved    bool   // voterID is not in a durable record yet
-	voterIDRequests   int    // how often this process had to ask for another voter ID
-	requestedVoterID  uint64 // the ID that a voter without one asks for; 0: it votes
-	restartedFromDisk bool   // it went on from its disk, without an ID from the others
-	// bootstrapSnapshot is what a voter began with that formed the group; nil: it did not
+	voterIDRequests   int    // how often this process had to request another voter ID
+	requestedVoterID  uint64 // the ID that a voter without one requests; 0: the voter has an ID
+	restartedFromDisk bool   // the voter resumed from its log without a new ID from the others
+	// bootstrapSnapshot is the first snapshot of a voter that took part in forming the group; nil
+	// otherwise
 	bootstrapSnapshot *raftpb.Snapshot
-	// restartingVoters are the other voters without an ID, and whether their disks have a log
+	// restartingVoters tells whether the disk has a log, by the name of each other voter without an ID
 	restartingVoters map[string]bool
 }
 
-// New returns a participant that begins with what its disk has.
+// New returns a participant that is restored from the records of its disk.
 //
-// A voter that starts does not vote under the ID it had: its disk may be empty, or an older one that
-// was put back, so that it would contradict votes that it gave before. The other voters replace the
-// ID by a new one. If more than half of all voters are restarting, so that the rest cannot commit
-// that, those with a log go on from it; if none of them has a log, they form the group.
+// A starting voter does not vote under its previous ID: its disk may be empty or restored from an
+// older copy, and it could contradict votes that it gave before. The other voters replace that ID by
+// a new one. If so many voters are restarting that the rest cannot commit this, the voters with a log
+// resume from it once more than half of all voters are restarting with one. If all voters are
+// starting and none has a log, they form the group.
 func New(cfg Config, self placement.Member, disk []DurableRecord, now time.Duration) (*Participant, error) {
 	table, err := placement.New(cfg.Slots, cfg.Backups)
 	if err != nil {
 		return nil, err
 	}
 	if len(cfg.Voters)%2 == 0 || len(cfg.Voters) > maxVoters {
-		return nil, kindVoters.New("consensus: %d voters: want an odd number up to %d", len(cfg.Voters), maxVoters)
+		return nil, kindVoters.New("consensus: %d voters, want an odd number up to %d", len(cfg.Voters), maxVoters)
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = func() time.Duration { return 0 }
@@ -115,44 +117,44 @@
 	return c, c.restart(disk)
 }
 
-// Table returns the newest table that is known. It is not changed any more.
+// Table returns the newest known table. The returned table is immutable.
 func (c *Participant) Table() *placement.Table { return c.table }
 
 // LastContact returns when the newest heartbeat that the leader answered was sent.
 func (c *Participant) LastContact() time.Duration { return c.lastContact }
 
-// IsVoter reports whether this runner votes now. A voter that has just started does not before the
-// others gave it a voter ID.
+// IsVoter reports whether this runner votes at present. A voter that has just started does not vote
+// until it has a voter ID.
 func (c *Participant) IsVoter() bool { return c.rawNode != nil }
 
-// IsLeader reports whether this runner leads the consensus group.
+// IsLeader reports whether this runner is the leader of the consensus group.
 func (c *Participant) IsLeader() bool { return c.isLeader }
 
-// Rejoin begins another incarnation of this runner's membership.
+// Rejoin starts a new incarnation of this runner's membership.
 func (c *Participant) Rejoin(incarnation uint64) { c.self.Incarnation = incarnation }
 
-// OnLeaderConfirmed sets the function that is called when a quorum has confirmed the leader after
-// this runner's heartbeat at askedAt, with the version of the table that the leader had then.
+// OnLeaderConfirmed sets the function that is called once a quorum has confirmed the leader after
+// this runner's heartbeat at askedAt. TableVersion is the version of the leader's table at that time.
 func (c *Participant) OnLeaderConfirmed(fn func(askedAt time.Duration, tableVersion uint64)) {
 	c.leaderConfirmed = fn
 }
 
-// SetLeaseRules replaces the rules of leases.
+// SetLeaseRules replaces the rules by which leases are granted.
 func (c *Participant) SetLeaseRules(rules lease.Rules) {
 	c.cfg.LeaseRules = rules
 	c.self.LeaseNames = rules.NamesFor(c.cfg.Name)
 	c.granter.SetRules(rules)
 }
 
-// StopTakingLeases has this runner take no more leases. If it leads, it goes on granting them to
-// others.
+// StopTakingLeases makes this runner announce that it takes no more leases. As the leader, it
+// continues to grant leases to other members.
 func (c *Participant) StopTakingLeases() { c.self.LeaseNames = nil }
 
-// SetKnownMembers replaces the list of all members of the operator's file.
+// SetKnownMembers replaces the list of all members in the operator's file.
 func (c *Participant) SetKnownMembers(names []string) { c.cfg.KnownMembers = names }
 
-// SetLeaving proposes that a member gives up all its slots, or keeps them after all. It still holds
-// slots until others have caught up: see placement.Table.SlotCount.
+// SetLeaving proposes that a member gives up all its slots or, if leave is false, stays after all. A
+// leaving member holds its slots until other replicas have caught up: see placement.Table.SlotCount.
 func (c *Participant) SetLeaving(name string, leave bool, now time.Duration) error {
 	change := placement.Change{Kind: placement.ChangeLeave, Member: placement.Member{Name: name}}
 	m := c.table.Member(name)
@@ -175,15 +177,15 @@
 	return nil
 }
 
-// DeclaredLost reports whether the table has this runner as lost, so that it has to come back in
-// another incarnation.
+// DeclaredLost reports whether this runner is lost according to the table. It then has to rejoin in a
+// new incarnation.
 func (c *Participant) DeclaredLost() bool {
 	m := c.table.Member(c.cfg.Name)
 	return m != nil && m.Incarnation == 0
 }
 
-// Ready returns the messages to send and the record that has to be on disk before that, or nil if
-// there is none.
+// Ready returns the messages to send and the record that must be on disk before they are sent. The
+// record is nil if nothing has to be written.
 func (c *Participant) Ready() ([]Message, *DurableRecord, error) {
 	if c.rawNode != nil {
 		c.requestReadIndex()
@@ -200,8 +202,8 @@
 	c.outbox = append(c.outbox, m)
 }
 
-// Propose sends changes of the table to the leader. One that is not committed is lost; the caller
-// proposes it again.
+// Propose proposes changes of the table, by a message to the leader unless this runner is the leader.
+// A proposal may be lost: the caller repeats it until the table has the change.
 func (c *Participant) Propose(changes []placement.Change, now time.Duration) {
 	c.now = max(c.now, now)
 	switch {
@@ -213,7 +215,8 @@
 	}
 }
 
-// Tick advances the Raft group's clock, the leader's work and the heartbeats.
+// Tick advances the clock of the Raft library, does the leader's periodic work and sends heartbeats
+// when they are due.
 func (c *Participant) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	if c.rawNode != nil {
@@ -244,7 +247,8 @@
 	}
 }
 
-// stepRaft hands a message to the Raft library if it is between the voters it names.
+// stepRaft passes a message to the Raft library if its Raft sender is the voter that sent it and its
+// Raft receiver is this voter under its current ID.
 func (c *Participant) stepRaft(m *Message) {
 	if c.rawNode == nil || m.From == "" {
 		return
@@ -253,5 +257,5 @@
 	if proto.Unmarshal(m.Raft, r) != nil || c.voterName(r.GetFrom()) != m.From || r.GetTo() != c.voterID {
 		return
 	}
-	_ = c.rawNode.Step(r) // an error says that the message does not fit the present term
+	_ = c.rawNode.Step(r) // fails for a message that the library does not accept in its current state
 }
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -9,27 +9,27 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// All runners become members, whichever of them vote; the loss of the leader, with its disk, is that
-// of one member, and it comes back with a new vote.
+// All runners become members, voters or not. After the leader is lost together with its disk, only
+// that member is missing. When it is back, it votes under a new ID and counts towards the quorum.
 func TestMembershipSurvivesTheLossOfTheLeader(t *testing.T) {
 	g := newGroup(t, 6, 3)
 	g.run(8 * time.Second)
 	if n := g.memberCount(); n != 6 {
-		t.Fatalf("%d members", n)
+		t.Fatalf("members = %d, want 6", n)
 	}
 	lost := g.leaderName()
 	delete(g.participants, lost)
 	delete(g.disks, lost)
 	g.run(8 * time.Second)
 	if n := g.memberCount(); n != 5 || g.leaderName() == lost {
-		t.Fatalf("%d members after the loss of %s", n, lost)
+		t.Fatalf("members = %d after the loss of %s, want 5 and another leader", n, lost)
 	}
 	g.start(lost)
 	g.run(8 * time.Second)
 	if n := g.memberCount(); n != 6 {
-		t.Fatalf("%d members once it is back", n)
+		t.Fatalf("members after the return of the lost runner = %d, want 6", n)
 	}
-	other := g.leaderName() // the one that came back has to count by now
+	other := g.leaderName() // with the returned voter it is the quorum once the third voter is down
 	for _, name := range g.voters {
 		if name != other && name != lost {
 			delete(g.participants, name)
@@ -37,12 +37,13 @@
 	}
 	g.run(8 * time.Second)
 	if n := g.memberCount(); n != 5 {
-		t.Fatalf("%d members with two of three voters", n)
+		t.Fatalf("members with two of three voters = %d, want 5", n)
 	}
 }
 
-// Voters that all start again on their disks go on from the same table. A leader that is cut off
-// steps down, commits nothing and does not take the group for heard; it learns that it was lost.
+// Voters that all restart with their disks continue from the same table. A leader that is cut off
+// steps down, commits nothing and records no further contact. Once connected again, it learns that it
+// was declared lost and rejoins.
 func TestRestartKeepsTheTableAndACutOffLeaderStepsDown(t *testing.T) {
 	g := newGroup(t, 5, 3)
 	g.run(8 * time.Second)
@@ -52,7 +53,10 @@
 	}
 	g.run(8 * time.Second)
 	if after := g.agreedTable(); after.Version <= before || g.memberCount() != 5 {
-		t.Fatalf("version %d after %d, %d members", after.Version, before, g.memberCount())
+		t.Fatalf(
+			"table version after the restart = %d, want more than %d; members = %d, want 5",
+			after.Version, before, g.memberCount(),
+		)
 	}
 	alone := g.leaderName()
 	g.cutOff[alone] = true
@@ -61,25 +65,27 @@
 	g.run(8 * time.Second)
 	if since := g.now - c.LastContact(); c.IsLeader() || c.Table().Version != version || since < 6*QuorumTimeout {
 		t.Errorf(
-			"cut off it leads: %v, version %d after %d, heard %v ago",
+			"leader that was cut off: IsLeader() = %v, want false; version = %d, want %d; "+
+				"last contact %v ago, want at least 6 times QuorumTimeout",
 			c.IsLeader(), c.Table().Version, version, since,
 		)
 	}
 	if n := g.memberCount(); n != 4 {
-		t.Errorf("%d members", n)
+		t.Errorf("members without the leader that was cut off = %d, want 4", n)
 	}
 	delete(g.cutOff, alone)
 	g.run(3 * time.Second)
 	if !c.DeclaredLost() {
-		t.Error("it does not learn that it was lost")
+		t.Error("DeclaredLost() of the leader that was cut off = false, want true")
 	}
 	c.Rejoin(g.newIncarnation())
 	g.run(5 * time.Second)
 	if n := g.memberCount(); n != 5 {
-		t.Errorf("%d members once it is back", n)
+		t.Errorf("members after its return = %d, want 5", n)
 	}
 }
 
+// A runner that does not vote sends at most 110 messages in 10 s, however many runners there are.
 func TestMessagesOfARunnerDoNotGrowWithTheFleet(t *testing.T) {
 	for _, runners := range []int{5, 20, 100} {
 		g := newGroup(t, runners, 3)
@@ -91,16 +97,17 @@
 			most = max(most, g.sent[name])
 		}
 		t.Logf(
-			"%d runners: %d messages in 10 s by one that does not vote, %d by the leader",
+			"%d runners: at most %d messages in 10 s from a runner that does not vote, %d from the leader",
 			runners, most, g.sent[g.leaderName()],
 		)
 		if n := g.memberCount(); n != runners || most > 110 {
-			t.Errorf("%d of %d are members, %d messages", n, runners, most)
+			t.Errorf("members = %d, want %d; messages of a runner in 10 s = %d, want at most 110", n, runners, most)
 		}
 	}
 }
 
-// A log that is compacted by snapshots has the same table after a restart.
+// A log that was compacted by snapshots restores the table after a restart, and the number of records
+// on disk stays bounded.
 func TestCompactedLogRestoresTheTable(t *testing.T) {
 	g := newGroup(t, 1, 1)
 	g.run(3 * time.Second)
@@ -112,7 +119,7 @@
 	}
 	want := c.Table()
 	if n := len(g.disks["n001"]); n > compactAfterEntries+100 {
-		t.Errorf("%d records are on the disk", n)
+		t.Errorf("records on disk = %d, want at most compactAfterEntries+100", n)
 	}
 	g.start("n001")
 	restored := g.participants["n001"].Table()
@@ -121,16 +128,16 @@
 	}
 	g.run(3 * time.Second)
 	if got := g.agreedTable(); got.Version < want.Version {
-		t.Errorf("version %d, was %d", got.Version, want.Version)
+		t.Errorf("table version after the restart = %d, want at least %d", got.Version, want.Version)
 	}
 }
 
-// Voters that all begin with nothing are not heard by runners that know what was agreed on before:
-// else two tables would be acted on.
+// Voters that all lost their disks form a new group. Runners that know the table of the old group do
+// not count its leader as contact: otherwise they would act on two different tables.
 func TestGroupFormedAnewIsNotHeardByMembersOfTheOldOne(t *testing.T) {
 	g := newGroup(t, 6, 3)
 	g.run(8 * time.Second)
-	for range 20 { // so that the old table is ahead of the new one
+	for range 20 { // makes the old table's version exceed that of the new one
 		g.start(g.names[5])
 		g.run(3 * time.Second)
 	}
@@ -140,11 +147,11 @@
 	}
 	g.run(4 * time.Second)
 	if g.leaderName() == "" {
-		t.Fatal("the voters do not form a group")
+		t.Fatal("the voters without disks did not form a group")
 	}
 	for _, name := range g.names[3:] {
 		if ago := g.now - g.participants[name].LastContact(); ago < 2*QuorumTimeout {
-			t.Errorf("%s heard the new group %v ago", name, ago)
+			t.Errorf("last contact of %s was %v ago, want at least 2 times QuorumTimeout", name, ago)
 		}
 	}
 }
--- a/internal/peers/consensus/storage.go
+++ b/internal/peers/consensus/storage.go
@@ -13,14 +13,14 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// compactAfterEntries is the number of applied entries after which the log is replaced by a
-// snapshot.
+// compactAfterEntries is the number of entries applied since the last snapshot after which the log is
+// replaced by a new snapshot.
 const compactAfterEntries = 1000
 
-// readIndexIDBytes is the length of the context by which a read index is known again.
+// readIndexIDBytes is the length of the request context that identifies a read index request.
 const readIndexIDBytes = 8
 
-// restoreRecord applies a record of the disk.
+// restoreRecord applies a record that was read from the disk.
 func (c *Participant) restoreRecord(record *DurableRecord) error {
 	if record.VoterID != 0 {
 		c.resetLog(record.VoterID)
@@ -55,8 +55,8 @@
 	return c.storage.SetHardState(state)
 }
 
-// applySnapshot takes the table of a snapshot in place of the entries up to it. An older snapshot is
-// ignored.
+// applySnapshot replaces the table and the entries up to the snapshot's index by the snapshot. A
+// snapshot older than the present one is ignored.
 func (c *Participant) applySnapshot(s *raftpb.Snapshot) error {
 	err := c.storage.ApplySnapshot(s)
 	if errors.Is(err, raft.ErrSnapOutOfDate) {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// advanceRaft does all work that the Raft library has ready, and returns what has to be durable
-// before its messages are sent, or nil.
+// advanceRaft processes everything that the Raft library has ready. It returns the record that must
+// be durable before the resulting messages are sent, or nil if there is none.
 func (c *Participant) advanceRaft() (*DurableRecord, error) {
 	if c.rawNode == nil || !c.rawNode.HasReady() {
 		return nil, nil
@@ -102,7 +102,7 @@
 	return r.VoterID == 0 && r.HardState == nil && r.Entries == nil && r.Snapshot == nil
 }
 
-// advanceOnce does one round of the Raft library's work.
+// advanceOnce processes one raft.Ready and adds its durable parts to record.
 func (c *Participant) advanceOnce(record *DurableRecord) error {
 	ready := c.rawNode.Ready()
 	if err := c.persistVoterID(record); err != nil {
@@ -117,7 +117,7 @@
 	for _, e := range ready.CommittedEntries {
 		c.applyEntry(e)
 	}
-	if c.leaseReleased && c.isLeader { // the next holder begins without another tick
+	if c.leaseReleased && c.isLeader { // grant released leases now instead of at the next tick
 		c.leaseReleased = false
 		c.proposeAsLeader(c.leaseGrants())
 	}
@@ -131,12 +131,12 @@
 	return nil
 }
 
-// sendRaftMessages sends messages of the Raft library to their voters.
+// sendRaftMessages queues messages of the Raft library for the voters that they are addressed to.
 func (c *Participant) sendRaftMessages(messages []*raftpb.Message) error {
 	for _, m := range messages {
 		data, err := proto.Marshal(m)
 		if err != nil {
-			return kindConsensusFailed.New("consensus: encode a message: %w", err)
+			return kindConsensusFailed.New("consensus: encode a Raft message: %w", err)
 		}
 		if to := c.voterName(m.GetTo()); to != "" {
 			c.send(Message{Type: MsgRaft, To: to, Raft: data})
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// persistVoterID adds a new voter ID to a record, with what a voter that formed the group began
-// with.
+// persistVoterID adds a voter ID that is not durable yet to record, together with the first snapshot
+// if this voter took part in forming the group.
 func (c *Participant) persistVoterID(record *DurableRecord) error {
 	if !c.voterIDUnsaved {
 		return nil
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// persist adds what the Raft library wants durable to the storage in memory and to a record.
+// persist adds the snapshot, entries and hard state of ready to the in-memory storage and to record.
 func (c *Participant) persist(record *DurableRecord, ready *raft.Ready) error {
 	if ready.Snapshot != nil && !raft.IsEmptySnap(ready.Snapshot) {
 		data, err := proto.Marshal(ready.Snapshot)
@@ -205,15 +205,15 @@
 	return nil
 }
 
-// applyEntry applies a committed entry to the table. A change of a newer version, which cannot be
-// decoded here, changes nothing.
+// applyEntry applies a committed entry to the Raft configuration or to the table. An entry that cannot
+// be decoded, as one written by a newer version, is skipped.
 func (c *Participant) applyEntry(e *raftpb.Entry) {
 	c.appliedIndex = e.GetIndex()
 	if e.GetType() == raftpb.EntryConfChange {
 		change := &raftpb.ConfChange{}
 		if proto.Unmarshal(e.GetData(), change) == nil {
 			c.confState = c.rawNode.ApplyConfChange(change)
-			c.snapshotDue = true // the library rejects a snapshot that does not have a new voter
+			c.snapshotDue = true // a new voter rejects a snapshot whose configuration does not have it
 		}
 		return
 	}
@@ -233,8 +233,9 @@
 	}
 }
 
-// compactLog replaces the applied entries by a snapshot of the table once there are enough of them
-// or the set of voters has changed. The disk begins anew with the record.
+// compactLog replaces the applied entries by a snapshot of the table if there are at least
+// compactAfterEntries of them or the set of voters has changed. The log on disk then starts anew with
+// record.
 func (c *Participant) compactLog(record *DurableRecord) error {
 	if c.appliedIndex-c.snapshotIndex < compactAfterEntries && !c.snapshotDue {
 		return nil
@@ -261,7 +262,8 @@
 	return c.persistUnapplied(record)
 }
 
-// persistUnapplied adds the entries after a snapshot, and with them the hard state, to a record.
+// persistUnapplied adds the entries after the snapshot to record, together with the hard state, if
+// there are any.
 func (c *Participant) persistUnapplied(record *DurableRecord) error {
 	last, err := c.storage.LastIndex()
 	if err != nil || last <= c.appliedIndex {
--- a/internal/peers/consensus/voter.go
+++ b/internal/peers/consensus/voter.go
@@ -12,25 +12,25 @@
 const (
 	// raftTickInterval is the time between two ticks of the Raft library.
 	raftTickInterval = 50 * time.Millisecond
-	// maxLateTicks is how many ticks a process makes up for after it was stopped.
+	// maxLateTicks is the number of overdue ticks up to which a paused process catches up.
 	maxLateTicks = 20
-	// electionTicks is the number of ticks without a leader before an election.
+	// electionTicks is the election timeout in ticks.
 	electionTicks = 10
 	// raftHeartbeatTicks is the number of ticks between two heartbeats of the Raft leader.
 	raftHeartbeatTicks = 2
-	// maxRaftMessageBytes bounds the entries in one message of the Raft library.
+	// maxRaftMessageBytes bounds the entries in one append message, and the leader's uncommitted entries.
 	maxRaftMessageBytes = 256 << 10
-	// maxRaftInflight bounds the messages of the Raft library that one voter has not answered.
+	// maxRaftInflight bounds the append messages to one voter that it has not answered yet.
 	maxRaftInflight = 64
 	// maxVoters bounds the voters of a group.
 	maxVoters = 7
-	// maxVoterIDRequests bounds how often a process asks for another voter ID: the count is part of
-	// the ID, so that no ID is asked for twice.
+	// maxVoterIDRequests bounds how often a process requests another voter ID. The count is part of the
+	// ID, so that no ID is requested twice, and has the ID's four highest bits.
 	maxVoterIDRequests = 15
 )
 
-// A voter ID has the voter's position in its last byte, the incarnation of its process above that,
-// and in its highest bits how often the process has asked.
+// A voter ID has the voter's position in its lowest byte, the incarnation of its process above it,
+// and in its four highest bits how often the process has requested another ID.
 const (
 	positionBits         = 8
 	positionMask         = 1<<positionBits - 1
@@ -38,22 +38,24 @@
 	incarnationMask      = 1<<voterIDRequestsShift - 1
 )
 
-// restart begins with what a voter's disk has.
+// restart restores a voter from the records of its disk and starts voting if that is already allowed.
 func (c *Participant) restart(disk []DurableRecord) error {
 	c.storage = raft.NewMemoryStorage()
 	c.requestedVoterID = c.self.Incarnation<<positionBits | c.voterPosition(c.cfg.Name)
 	for i := range disk {
 		if err := c.restoreRecord(&disk[i]); err != nil {
-			return kindVoters.New("consensus: record %d of the disk: %w", i, err)
+			return kindVoters.New("consensus: restore log record %d from disk: %w", i, err)
 		}
 	}
 	if len(disk) > 0 && c.voterID == 0 {
-		return kindVoters.New("consensus: the disk does not have this voter's number")
+		return kindVoters.New("consensus: the log on disk does not contain a voter ID")
 	}
 	return c.tryStart()
 }
 
-// tryStart begins to vote without an ID from the others if enough voters are restarting.
+// tryStart starts voting without an ID from the other voters if that is allowed: with a log, if more
+// than half of all voters, this one included, are restarting with a log; without a log, if all other
+// voters are restarting without one.
 func (c *Participant) tryStart() error {
 	withLog := 0
 	for _, hasLog := range c.restartingVoters {
@@ -71,8 +73,9 @@
 	return nil
 }
 
-// startedWithoutOthers reports whether this voter began without an ID from the others and may have
-// no part in any decision yet, and whether its disk had a log.
+// startedWithoutOthers reports whether this voter started without an ID from the other voters and may
+// have taken part in no decision yet (one that formed the group has not voted, one that resumed from
+// its log knows no leader), and whether its disk had a log.
 func (c *Participant) startedWithoutOthers() (hasLog, ok bool) {
 	if c.rawNode == nil {
 		return false, false
@@ -86,7 +89,8 @@
 	return false, false
 }
 
-// bootstrap forms the group of the voters of the operator's file.
+// bootstrap starts a new Raft group of all voters in the operator's file, whose IDs are their
+// positions.
 func (c *Participant) bootstrap() error {
 	voters := &raftpb.ConfState{}
 	for i := range c.cfg.Voters {
@@ -104,7 +108,7 @@
 	return c.startRaft()
 }
 
-// startRaft begins to vote under voterID.
+// startRaft starts voting under voterID.
 func (c *Participant) startRaft() error {
 	c.requestedVoterID = 0
 	c.lastTick = c.now
@@ -127,8 +131,8 @@
 	return err
 }
 
-// tickRaft advances the Raft library's clock. A process that was stopped for long does not make up
-// for all of that.
+// tickRaft advances the Raft library's clock. A process that was paused for more than maxLateTicks
+// does one tick instead of catching up.
 func (c *Participant) tickRaft() {
 	if c.now-c.lastTick > maxLateTicks*raftTickInterval {
 		c.lastTick = c.now - raftTickInterval
@@ -139,13 +143,13 @@
 	}
 }
 
-// voterPosition returns a voter's place in the operator's file, from 1 on, or 0 for a runner that is
-// no voter.
+// voterPosition returns a voter's position in the operator's file, starting at 1, or 0 if the runner
+// is no voter.
 func (c *Participant) voterPosition(name string) uint64 {
 	return uint64(slices.Index(c.cfg.Voters, name) + 1)
 }
 
-// voterName returns the name of the voter with an ID, or "" if there is none.
+// voterName returns the name of the voter that an ID belongs to, or "" if there is none.
 func (c *Participant) voterName(id uint64) string {
 	if i := id & positionMask; i > 0 && i <= uint64(len(c.cfg.Voters)) {
 		return c.cfg.Voters[i-1]
@@ -153,7 +157,7 @@
 	return ""
 }
 
-// currentVoterID returns the ID under which this voter votes, or 0 if it does not.
+// currentVoterID returns the ID under which this runner votes, or 0 if it does not vote.
 func (c *Participant) currentVoterID() uint64 {
 	if c.rawNode == nil {
 		return 0
@@ -161,15 +165,15 @@
 	return c.voterID
 }
 
-// takeVoterID begins to vote under the ID that the others gave this voter. It learns the log from
-// them.
+// takeVoterID starts voting under the requested ID, which the group has accepted. The log starts
+// empty, and the leader sends its content.
 func (c *Participant) takeVoterID() {
 	c.resetLog(c.requestedVoterID)
 	c.voterIDUnsaved = true
-	_ = c.startRaft() // it fails only for a configuration that is not valid
+	_ = c.startRaft() // fails only if the Raft configuration is invalid
 }
 
-// resetLog begins an empty log under a voter ID.
+// resetLog starts an empty log under a voter ID.
 func (c *Participant) resetLog(voterID uint64) {
 	c.voterID = voterID
 	c.appliedIndex = 0
@@ -178,7 +182,8 @@
 	c.storage = raft.NewMemoryStorage()
 }
 
-// replaceVoterID has this voter ask for another ID after the group has removed the one it has.
+// replaceVoterID makes this voter stop voting and request another ID after the group has removed the
+// one it has.
 func (c *Participant) replaceVoterID(removed uint64) {
 	if c.rawNode == nil || c.voterID != removed || c.voterIDRequests == maxVoterIDRequests {
 		return
@@ -193,9 +198,9 @@
 		c.voterPosition(c.cfg.Name)
 }
 
-// proposeVoterID proposes the ID that a restarting voter asks for, after the removal of the one
-// under which it may have voted. One change is under way at a time; the voter asks until it has the
-// ID.
+// proposeVoterID proposes to add the voter ID that a restarting voter requests, or first to remove
+// the ID under which the voter may have voted before. The Raft library accepts one configuration
+// change at a time; the voter repeats its request until it has the ID.
 func (c *Participant) proposeVoterID(m *Message) {
 	position := c.voterPosition(m.From)
 	if position == 0 || m.RequestedID&positionMask != position {
@@ -212,5 +217,5 @@
 			change = &raftpb.ConfChange{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(id)}
 		}
 	}
-	_ = c.rawNode.ProposeConfChange(change) // an error says that another one is under way
+	_ = c.rawNode.ProposeConfChange(change) // dropped proposals are repeated on the voter's next request
 }
