--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if len(cfg.Voters)%2 == 0 || len(cfg.Voters) > maxVoters {
-		return nil, kindVoters.New("consensus: %d voters, want an odd number up to %d", len(cfg.Voters), maxVoters)
+		return nil, kindVoters.New("consensus: %d voters: want an odd number up to %d", len(cfg.Voters), maxVoters)
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = func() time.Duration { return 0 }
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -65,8 +65,7 @@
 	g.run(8 * time.Second)
 	if since := g.now - c.LastContact(); c.IsLeader() || c.Table().Version != version || since < 6*QuorumTimeout {
 		t.Errorf(
-			"leader that was cut off: IsLeader() = %v, want false; version = %d, want %d; "+
-				"last contact %v ago, want at least 6 times QuorumTimeout",
+			"cut-off leader: IsLeader() = %v, want false; version %d, want %d; contact %v ago, want >= 6*QuorumTimeout",
 			c.IsLeader(), c.Table().Version, version, since,
 		)
 	}
--- a/internal/peers/lease/checker_test.go
+++ b/internal/peers/lease/checker_test.go
@@ -11,21 +11,21 @@
 	"ryepaddle/internal/testing/simcluster"
 )
 
-// checker checks by true time what no runner can see: that one holder at a time relies on a lease,
-// that tokens are granted once, that the resource accepts acts in the order of tokens, and that what
-// was committed is handed over.
+// checker checks the guarantees of leases by true time, which no runner can see: at most one process
+// relies on a lease at a time, each token is granted once, the resource accepts operations in the
+// order of their tokens, and a committed handover reaches the next holder.
 type checker struct {
 	cluster    *cluster
 	violations []string
-	holding    map[string]holding // by lease, the newest holder
-	grants     map[uint64]string  // by token, to whom
-	committed  map[string]uint64  // by lease, the newest counter
+	holding    map[string]holding // the newest holder, by lease
+	grants     map[uint64]string  // the lease and holder of a grant in words, by token
+	committed  map[string]uint64  // the newest committed counter, by lease
 	fence      lease.Fence        // of the resource
-	accepted   map[string]uint64  // by lease, the newest token of an act
-	rejected   int                // acts
+	accepted   map[string]uint64  // the newest token of an accepted operation, by lease
+	rejected   int                // number of rejected operations
 }
 
-// holding is until when, in true time, a process relies on a lease.
+// holding is a process that relies on a lease, and the true time until which it does.
 type holding struct {
 	node        *simcluster.Node
 	incarnation uint64 // of the process
@@ -33,10 +33,10 @@
 	until       time.Duration
 }
 
-// isAlive reports whether the process is there, be it stopped.
+// isAlive reports whether the process still exists, even if it is stopped.
 func (h *holding) isAlive() bool { return h.node.Up && h.node.Incarnation == h.incarnation }
 
-// isOf reports whether it is the holding of a process.
+// isOf reports whether the holding belongs to a process.
 func (h *holding) isOf(p *process) bool {
 	return h.node == p.node && h.incarnation == p.node.Incarnation
 }
@@ -55,7 +55,8 @@
 	c.violations = append(c.violations, text)
 }
 
-// observeTable checks the grants of a table.
+// observeTable checks that the grants of a table have tokens of their own and are within the bound for
+// each member.
 func (c *checker) observeTable(t *placement.Table) {
 	held := map[string]int{}
 	for i := range t.Leases {
@@ -70,16 +71,16 @@
 		c.grants[l.Token] = grant
 		held[l.Holder]++
 		if most := c.cluster.rules.MaxPerMember; held[l.Holder] > most {
-			c.violation("%s holds %d leases of %d", l.Holder, held[l.Holder], most)
+			c.violation("%s holds %d leases, at most %d are allowed", l.Holder, held[l.Holder], most)
 		}
 	}
 }
 
-// observeHeld checks the leases that a process relies on now.
+// observeHeld checks that no other process relies on a lease that this process relies on now.
 func (c *checker) observeHeld(p *process, clock time.Duration) {
 	held := p.holder.HeldLeases(clock)
 	now := c.cluster.Now()
-	for name, h := range c.holding { // it may have released it
+	for name, h := range c.holding { // the process may have released a lease
 		isHeld := slices.ContainsFunc(held, func(g lease.Grant) bool { return g.Lease == name })
 		if h.isOf(p) && !isHeld {
 			h.until = min(h.until, now)
@@ -90,7 +91,7 @@
 		h := c.holding[g.Lease]
 		if h.node != nil && !h.isOf(p) && h.until > now && h.isAlive() {
 			c.violation(
-				"%s: %s relies on token %d, and %s does on %d for %v more",
+				"%s: %s relies on token %d while %s relies on token %d for %v more",
 				g.Lease, p.node.Name, g.Token, h.node.Name, h.token, h.until-now,
 			)
 		}
@@ -100,8 +101,8 @@
 	}
 }
 
-// trueExpiry returns when a grant expires in true time. By a clock that stands still it is only ever
-// later than that.
+// trueExpiry returns the true time at which a grant expires. With the defect suspendedClock the result
+// is the earliest possible time, as the clock may stand still.
 func (c *checker) trueExpiry(p *process, g lease.Grant, clock time.Duration) time.Duration {
 	if c.cluster.broken.suspendedClock {
 		return c.cluster.Now() + g.ExpiresAt - clock
@@ -109,34 +110,34 @@
 	return p.node.TrueTime(g.ExpiresAt)
 }
 
-// observeBegin checks the counter with which a holder begins.
+// observeBegin checks that a holder does not start with a lower counter than the committed one.
 func (c *checker) observeBegin(name string, g lease.Grant, counter uint64) {
 	if committed := c.committed[g.Lease]; counter < committed {
 		c.violation(
-			"%s: %s begins under token %d at %d, and %d was committed",
+			"%s: %s begins under token %d with counter %d, although %d was committed",
 			g.Lease, name, g.Token, counter, committed,
 		)
 	}
 }
 
-// observeCommitted notes a counter that was committed.
+// observeCommitted records the counter of a committed handover.
 func (c *checker) observeCommitted(name string, counter uint64) {
 	c.committed[name] = max(c.committed[name], counter)
 }
 
-// act is an act that comes to the resource.
-func (c *checker) act(g lease.Grant) {
+// receiveOperation handles an operation under a lease as the resource does, behind its fence.
+func (c *checker) receiveOperation(g lease.Grant) {
 	if err := c.fence.Check(g.Lease, g.Token); err != nil && !c.cluster.broken.noFence {
 		c.rejected++
 		return
 	}
 	if newest := c.accepted[g.Lease]; newest > g.Token {
-		c.violation("%s: an act under token %d was accepted after one under %d", g.Lease, g.Token, newest)
+		c.violation("%s: operation with token %d was accepted after one with token %d", g.Lease, g.Token, newest)
 	}
 	c.accepted[g.Lease] = max(c.accepted[g.Lease], g.Token)
 }
 
-// heldLeases returns the leases that a process relies on.
+// heldLeases returns the names of the leases that any process relies on.
 func (c *cluster) heldLeases() (names []string) {
 	for _, n := range c.Nodes {
 		if !n.Up {
@@ -150,7 +151,7 @@
 	return names
 }
 
-// state returns how all runners and leases stand.
+// state describes the state of all runners and leases, for a violation.
 func (c *cluster) state() string {
 	var b strings.Builder
 	for _, n := range c.Nodes {
@@ -158,14 +159,14 @@
 		t := p.consensus.Table()
 		fmt.Fprintf(
 			&b,
-			"\n%s up %v incarnation %d leads %v heard %d ms ago, table %d of the group of %d",
+			"\n%s: up %v, incarnation %d, leader %v, last contact %d ms ago, table version %d, bootstrap time %d",
 			n.Name, n.Up, p.incarnation, p.consensus.IsLeader(),
 			(p.monotonic() - p.consensus.LastContact()).Milliseconds(), t.Version, t.BootstrapTime,
 		)
 		for _, l := range t.Leases {
 			fmt.Fprintf(
 				&b,
-				"; %s %q incarnation %d token %d expirations %v abrupt %v",
+				"; lease %s: holder %q, incarnation %d, token %d, expirations %v, abrupt %v",
 				l.Name, l.Holder, l.Incarnation, l.Token, l.Expirations, l.Abrupt,
 			)
 		}
--- a/internal/peers/lease/cluster_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -13,25 +13,25 @@
 	"ryepaddle/internal/testing/simcluster"
 )
 
-// Leases in virtual time: real consensus groups and holders, acts that come late to a resource with
-// a fence, and a checker that sees true time.
+// This file simulates leases in virtual time: real consensus groups and holders, operations that reach
+// a fenced resource late, and a checker that sees true time.
 
 const (
 	ms     = time.Millisecond
 	second = time.Second
 )
 
-// breakage is what a broken version of the program does otherwise.
+// breakage selects the defects of a broken version of the program.
 type breakage struct {
-	suspendedClock  bool // leases go by a clock that stands still while the machine is suspended
-	renewAtResponse bool // a renewal counts from when its response came
-	noFence         bool // the resource accepts every act
-	lostHandover    bool // the handover is not passed on
-	oldTable        bool // a confirmation by a leader with a newer table counts
-	noQuorum        bool // the leader does not ask the voters whether it still leads
-	noWait          bool // a name that is back in another incarnation frees its leases at once
-	lateHandover    bool // a late handover replaces a newer one
-	sameToken       bool // a grant does not have a token of its own
+	suspendedClock  bool // leases use a clock that stands still while the machine is suspended
+	renewAtResponse bool // a renewed lease runs from the response instead of the request
+	noFence         bool // the resource accepts every operation
+	lostHandover    bool // the handover is not passed on to the next holder
+	oldTable        bool // a confirmation counts although the leader's table is newer than the holder's
+	noQuorum        bool // the leader confirms without asking the voters whether it is still the leader
+	noWait          bool // leases of a member that rejoins in another incarnation are granted at once
+	lateHandover    bool // a delayed handover replaces a newer one
+	sameToken       bool // all grants have the same token
 }
 
 // cluster is an installation of runners that hold leases.
@@ -41,21 +41,21 @@
 	rules      lease.Rules
 	voters     []string
 	checker    checker
-	lateEpochs uint64 // of lateHandover
+	lateEpochs uint64 // counts the changes that the defect lateHandover made the newest
 	log        func(format string, args ...any)
 }
 
-// logf logs with the true time, if there is a log.
+// logf writes a line with the true time to the log, if there is one.
 func (c *cluster) logf(format string, args ...any) {
 	if c.log != nil {
 		c.log("%.3f "+format, append([]any{c.seconds()}, args...)...)
 	}
 }
 
-// seconds returns the true time.
+// seconds returns the true time in seconds.
 func (c *cluster) seconds() float64 { return c.Now().Seconds() }
 
-// process is the process of a runner.
+// process is a runner's process.
 type process struct {
 	cluster      *cluster
 	node         *simcluster.Node
@@ -64,8 +64,8 @@
 	incarnation  uint64
 	tableVersion uint64
 	log          []consensus.DurableRecord
-	tokens       map[string]uint64 // by lease, under which it began its work
-	counters     map[string]uint64 // by lease, its handover
+	tokens       map[string]uint64 // the token under which the process began to work, by lease
+	counters     map[string]uint64 // the counter that is the process's handover, by lease
 }
 
 // processOf returns the process of a node.
@@ -103,9 +103,9 @@
 	return c
 }
 
-// mayFail reports whether the consensus group can go on without a runner's vote: a group that loses
-// half of its votes at once does not come back, and a restarting voter knows nothing until the others
-// have told it.
+// mayFail reports whether a runner may fail without stopping the consensus group for good: all other
+// voters must be voting and have the newest table. A group that loses half of its votes at once does
+// not recover, and a restarting voter knows nothing before the others have sent it the log.
 func (c *cluster) mayFail(n *simcluster.Node) bool {
 	newest, oldest := uint64(0), uint64(math.MaxUint64)
 	for _, name := range c.voters {
@@ -122,7 +122,7 @@
 	return oldest == newest
 }
 
-// start begins a process of a runner on its disk.
+// start starts a process of a runner with the records of the runner's disk.
 func (c *cluster) start(n *simcluster.Node, disk any) {
 	p := &process{
 		cluster:     c,
@@ -177,7 +177,7 @@
 	p.holder.ConfirmLeader(askedAt, tableVersion)
 }
 
-// leaseClock is the one that leases go by.
+// leaseClock returns the time of the clock that leases use.
 func (p *process) leaseClock() time.Duration {
 	if p.cluster.broken.suspendedClock {
 		return p.monotonic()
@@ -185,10 +185,11 @@
 	return p.node.BootTime()
 }
 
-// monotonic is the clock that stands still while the machine is suspended.
+// monotonic returns the time of the clock that stands still while the machine is suspended.
 func (p *process) monotonic() time.Duration { return p.node.Monotonic() }
 
-// flush exchanges what holder and consensus group have for each other, and sends their messages.
+// flush passes changes and tables between the holder and the consensus group, and sends their
+// messages.
 func (p *process) flush(clock time.Duration) {
 	for range 3 {
 		p.exchange(clock)
@@ -210,7 +211,7 @@
 	}
 	for _, m := range messages {
 		if p.cluster.broken.noQuorum && m.Type == consensus.MsgHeartbeatResp && m.AskedAt != 0 {
-			continue // receive has sent it already
+			continue // receive has sent a confirmation already
 		}
 		p.send(m)
 	}
@@ -235,8 +236,8 @@
 	p.holder.SetTable(t)
 }
 
-// tamperTable changes a table in place as a broken version does, so that all that follows from it is
-// wrong.
+// tamperTable changes a table in place as a broken version would, which affects all later changes of
+// the table too.
 func (c *cluster) tamperTable(t *placement.Table) {
 	for i := range t.Leases {
 		l := &t.Leases[i]
@@ -273,7 +274,8 @@
 	p.flush(p.leaseClock())
 }
 
-// makeNewest makes a late change of a lease look newer than all before it.
+// makeNewest gives a lease change an epoch above all earlier ones, so that a delayed change counts as
+// the newest.
 func (c *cluster) makeNewest(change *placement.Change) {
 	if change.Kind == placement.ChangeSetHandover || change.Kind == placement.ChangeReleaseLease {
 		c.lateEpochs++
@@ -281,8 +283,8 @@
 	}
 }
 
-// work does something under each lease that is held: an act a while later, as a process that pauses
-// between its look at the clock and its act does, a handover, or sometimes a release.
+// work does something at random under each held lease: an operation some time later, as by a process
+// that pauses between checking its clock and acting, a handover, or sometimes a release.
 func (p *process) work(clock time.Duration) {
 	c := p.cluster
 	for _, g := range p.holder.HeldLeases(clock) {
@@ -292,8 +294,8 @@
 		switch c.Rand.IntN(5) {
 		case 0, 1:
 			p.node.After(c.Between(0, 300*ms), func() {
-				// the process cannot stop an act on its way
-				c.After(c.Between(200*time.Microsecond, 20*ms), func() { c.checker.act(g) })
+				// the process cannot recall an operation in transit
+				c.After(c.Between(200*time.Microsecond, 20*ms), func() { c.checker.receiveOperation(g) })
 			})
 		case 2, 3:
 			p.counters[g.Lease]++
@@ -308,16 +310,17 @@
 	}
 }
 
-// beginWork goes on from the handover of the holder before.
+// beginWork continues from the handover of the previous holder.
 func (p *process) beginWork(g lease.Grant) {
 	p.tokens[g.Lease] = g.Token
 	counter, _ := strconv.ParseUint(string(g.Handover), 10, 64) // the first holder has none
 	p.counters[g.Lease] = counter
-	p.cluster.logf("%s begins %s under %d at %d, table %d", p.node.Name, g.Lease, g.Token, counter, p.tableVersion)
+	p.cluster.logf("%s: begin %s, token %d, count %d, table %d", p.node.Name, g.Lease, g.Token, counter, p.tableVersion)
 	p.cluster.checker.observeBegin(p.node.Name, g, counter)
 }
 
-// handOver proposes the counter of a lease for the next holder.
+// handOver proposes the counter of a lease as the handover for the next holder, by SetHandover or
+// Release.
 func (p *process) handOver(propose func(string, []byte, func(bool)), what string, g lease.Grant) {
 	counter := p.counters[g.Lease]
 	propose(g.Lease, []byte(strconv.FormatUint(counter, 10)), func(ok bool) {
@@ -325,7 +328,7 @@
 			return
 		}
 		p.cluster.logf(
-			"%s: %s of %s at %d under %d, table %d %+v",
+			"%s: committed the %s of %s, counter %d, token %d; table version %d, lease %+v",
 			p.node.Name, what, g.Lease, counter, g.Token, p.tableVersion, p.consensus.Table().Lease(g.Lease),
 		)
 		p.cluster.checker.observeCommitted(g.Lease, counter)
--- a/internal/peers/lease/errors.go
+++ b/internal/peers/lease/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// kindFenced is the kind of errors of a Fence.
+// kindFenced is the error kind of operations that a Fence rejects, and of rejected health reports.
 var kindFenced = fault.Define(
 	"peers.fenced",
 	"A runner acted under a lease that it had lost meanwhile, and the act was rejected.",
--- a/internal/peers/lease/faults_test.go
+++ b/internal/peers/lease/faults_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// play plays a day with faults by a seed, after which all leases have to be held again.
-func play(seed uint64, broken breakage, log func(string, ...any)) *cluster {
+// simulate runs a cluster with random faults drawn from a seed. At the end, all leases must be held
+// again.
+func simulate(seed uint64, broken breakage, log func(string, ...any)) *cluster {
 	runners, leases := 3+int(seed%7), 1+int(seed%5)
 	c := newCluster(seed, runners, leases, broken, log)
 	c.Run(3 * second)
@@ -17,12 +18,12 @@
 		c.After(c.Between(0, 12*second), c.Fault)
 	}
 	for range 240 {
-		if c.Run(100 * ms); len(c.checker.violations) > 0 { // the rest of the day shows nothing more
+		if c.Run(100 * ms); len(c.checker.violations) > 0 { // later violations follow from the first ones
 			return c
 		}
 	}
 	held := c.heldLeases()
-	for range 60 { // one may just be handed over
+	for range 60 { // a lease may be in transition to the next holder
 		if len(held) == leases {
 			break
 		}
@@ -30,13 +31,13 @@
 		held = c.heldLeases()
 	}
 	if len(held) != leases && len(c.checker.violations) == 0 {
-		c.checker.violation("of %d leases %v are held at the end%s", leases, held, c.state())
+		c.checker.violation("want all %d leases held at the end, got %v%s", leases, held, c.state())
 	}
 	return c
 }
 
-// seedRange returns the seeds to play: RYEPADDLE_SEEDS says how many and RYEPADDLE_FIRST from which
-// on.
+// seedRange returns the range of seeds to simulate. RYEPADDLE_SEEDS sets their number and
+// RYEPADDLE_FIRST the first one.
 func seedRange(defaultCount int) (from, to uint64) {
 	count, first := defaultCount, 1
 	if s := os.Getenv("RYEPADDLE_SEEDS"); s != "" {
@@ -48,23 +49,23 @@
 	return uint64(first), uint64(first + count)
 }
 
-// replayHint is the command that plays one seed again.
+// replayHint is the command that simulates a single seed again.
 const replayHint = "RYEPADDLE_FIRST=%d RYEPADDLE_SEEDS=1 " +
 	"go test -run TestOneHolderAtATimeUnderFaults ./internal/peers/lease"
 
-// maxLogLines bounds the lines of a day's log that are printed.
+// maxLogLines bounds the printed lines of a simulation's log.
 const maxLogLines = 200
 
-// At any instant at most one process relies on a lease, tokens are granted once, acts are accepted
-// in the order of tokens, what was committed is handed over, and after faults each lease is held
-// again.
+// At any time at most one process relies on a lease, each token is granted once, operations are
+// accepted in the order of their tokens, and a committed handover reaches the next holder. After the
+// faults each lease is held again.
 func TestOneHolderAtATimeUnderFaults(t *testing.T) {
 	from, to := seedRange(6)
 	rejected, grants := 0, 0
 	for seed := from; seed < to; seed++ {
 		var day []string
 		log := func(format string, args ...any) { day = append(day, fmt.Sprintf(format, args...)) }
-		c := play(seed, breakage{}, log)
+		c := simulate(seed, breakage{}, log)
 		if violations := c.checker.violations; len(violations) > 0 {
 			t.Fatalf(
 				"%s\nseed %d: %s\n"+replayHint,
@@ -74,28 +75,28 @@
 		}
 		rejected, grants = rejected+c.checker.rejected, grants+len(c.checker.grants)
 	}
-	t.Logf("%d seeds: %d grants, %d acts rejected at the resource", to-from, grants, rejected)
+	t.Logf("%d seeds: %d grants, %d operations rejected by the resource", to-from, grants, rejected)
 }
 
-// brokenVersions are versions of the program that break the guarantee.
+// brokenVersions are versions of the program with a defect that the checker must find.
 var brokenVersions = []struct {
 	name     string
 	broken   breakage
 	maxSeeds int
 }{
-	{"the checkpoint is not handed on", breakage{lostHandover: true}, 40},
-	{"a grant has the token of the one before", breakage{sameToken: true}, 40},
-	{"a note that comes late takes the place of a newer one", breakage{lateHandover: true}, 400},
-	{"the far end takes what comes", breakage{noFence: true}, 400},
-	{"a lease goes by a clock that stands still in a suspended machine", breakage{suspendedClock: true}, 400},
-	{"a renewal counts from its answer", breakage{renewAtResponse: true}, 400},
-	{"a word of a leader that knows a newer table counts", breakage{oldTable: true}, 400},
-	{"the leader does not ask whether it still is", breakage{noQuorum: true}, 400},
-	{"duties of a name that is back in another life are granted at once", breakage{noWait: true}, 400},
+	{"the handover is not passed on to the next holder", breakage{lostHandover: true}, 40},
+	{"a grant has the token of the previous one", breakage{sameToken: true}, 40},
+	{"a delayed handover replaces a newer one", breakage{lateHandover: true}, 400},
+	{"the resource accepts every operation", breakage{noFence: true}, 400},
+	{"leases use a clock that stands still while the machine is suspended", breakage{suspendedClock: true}, 400},
+	{"a renewed lease runs from the response", breakage{renewAtResponse: true}, 400},
+	{"a confirmation counts although the leader's table is newer", breakage{oldTable: true}, 400},
+	{"the leader confirms without asking the voters", breakage{noQuorum: true}, 400},
+	{"leases of a member in another incarnation are granted at once", breakage{noWait: true}, 400},
 }
 
-// Each broken version is found within its number of seeds. Without RYEPADDLE_BROKEN only those that
-// are found soonest are played.
+// The checker finds each broken version within its number of seeds. Unless RYEPADDLE_BROKEN is set,
+// only the two versions that are found soonest are simulated.
 func TestBrokenVersionsAreFound(t *testing.T) {
 	versions := brokenVersions
 	if os.Getenv("RYEPADDLE_BROKEN") == "" {
@@ -104,14 +105,14 @@
 	for _, version := range versions {
 		found := false
 		for seed := uint64(1); !found && seed <= uint64(version.maxSeeds); seed++ {
-			c := play(seed, version.broken, nil)
+			c := simulate(seed, version.broken, nil)
 			if found = len(c.checker.violations) > 0; found {
 				first, _, _ := strings.Cut(c.checker.violations[0], "\n")
 				t.Logf("%s: seed %d: %s", version.name, seed, first)
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found in %d seeds", version.name, version.maxSeeds)
+			t.Errorf("%s: no violation found in %d seeds", version.name, version.maxSeeds)
 		}
 	}
 }
--- a/internal/peers/lease/granter.go
+++ b/internal/peers/lease/granter.go
@@ -10,35 +10,36 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Granter decides which member is granted which lease, at the consensus group's leader.
+// Granter decides, at the consensus group's leader, which member is granted which lease.
 type Granter struct {
 	rules        Rules
-	startedAt    uint64                   // Unix seconds at which this process began
-	unheldSince  map[string]observation   // by lease; the value is the newest token
+	startedAt    uint64                   // when this process started, in Unix seconds
+	unheldSince  map[string]observation   // by lease; the value is the lease's newest token
 	expiredSince map[string]observation   // by lease and member; the value is the count of expirations
 	proposed     map[string]proposedGrant // by lease
 }
 
-// observation is since when this leader has seen a value.
+// observation is a value of the table and the time since which this leader has seen it.
 type observation struct {
 	value uint64
 	since time.Duration
 }
 
-// proposedGrant is a grant that may not be committed yet; the observed value is the newest token.
+// proposedGrant is a grant that may not be committed yet. The observation has the lease's token before
+// the grant and the time of the proposal.
 type proposedGrant struct {
 	member string
 	observation
 }
 
-// NewGranter returns a granter of a process that began at startedAt, in Unix seconds.
+// NewGranter returns a granter for a process that started at startedAt, in Unix seconds.
 func NewGranter(rules Rules, startedAt uint64) *Granter {
 	g := &Granter{rules: rules, startedAt: startedAt}
 	g.Reset()
 	return g
 }
 
-// Reset forgets what was observed, as when its runner begins to lead.
+// Reset discards all observations and proposals. It is called when the runner becomes the leader.
 func (g *Granter) Reset() {
 	g.unheldSince = map[string]observation{}
 	g.expiredSince = map[string]observation{}
@@ -48,7 +49,8 @@
 // SetRules replaces the rules.
 func (g *Granter) SetRules(rules Rules) { g.rules = rules }
 
-// observedSince returns since when a value has been seen, which is now if it is new.
+// observedSince returns the time since which the value of a key has been the same, and records now for
+// a new value.
 func observedSince(seen map[string]observation, key string, value uint64, now time.Duration) time.Duration {
 	if o, ok := seen[key]; ok && o.value == value {
 		return o.since
@@ -57,8 +59,9 @@
 	return now
 }
 
-// Grants returns the changes that grant the leases which nobody holds. AskedAt returns when a member
-// last asked, by its own clock.
+// Grants returns the changes that grant the leases without a holder or, if the table lacks it, the one
+// that sets the bootstrap time, which is part of all tokens. AskedAt returns when a member last asked
+// for leases, by its own clock.
 func (g *Granter) Grants(
 	t *placement.Table,
 	now time.Duration,
@@ -77,14 +80,15 @@
 		if l == nil {
 			l = &placement.Lease{}
 		}
-		for _, e := range l.Expirations { // also while another member holds the lease
+		for _, e := range l.Expirations { // the backoff runs also while another member holds the lease
 			observedSince(g.expiredSince, expirationKey(r.Name, e.Name), uint64(e.Count), now)
 		}
 		if _, ok := g.proposed[r.Name]; ok || l.Holder != "" {
 			continue
 		}
 		unheldSince := observedSince(g.unheldSince, r.Name, l.Token, now)
-		if l.Abrupt && now-unheldSince < TTL+ClockMargin { // an earlier incarnation may rely on it
+		// An earlier incarnation of the last holder may still rely on the lease.
+		if l.Abrupt && now-unheldSince < TTL+ClockMargin {
 			continue
 		}
 		m := g.bestMember(t, r, l, held, now)
@@ -104,8 +108,8 @@
 	return changes
 }
 
-// leaseCounts returns how many leases each member holds or is about to be granted. Grants that were
-// not committed in time, or were, are not under way any more.
+// leaseCounts returns how many leases each member holds or has been proposed as the holder of. It
+// first drops proposed grants that were committed, or not committed within resendInterval.
 func (g *Granter) leaseCounts(t *placement.Table, now time.Duration) map[string]int {
 	counts := map[string]int{}
 	for _, m := range t.Members {
@@ -121,9 +125,9 @@
 	return counts
 }
 
-// bestMember returns the member that is granted a lease, or nil if none may hold it now: one that
-// did not release it just now, then in the best zone, then with the fewest leases, then with the
-// fewest expirations of this one, then by rendezvous hashing.
+// bestMember returns the member that is to be granted a lease, or nil if none may hold it at present.
+// In this order it prefers a member that is not the one that released the lease, the most preferred
+// zone, the fewest leases, the fewest expirations of this lease, and the rank by rendezvous hashing.
 func (g *Granter) bestMember(
 	t *placement.Table,
 	r *Rule,
@@ -145,7 +149,7 @@
 			}
 		}
 		released := uint64(0)
-		if m.Name == l.ReleasedBy { // it may be about to stop
+		if m.Name == l.ReleasedBy { // the member may be about to stop
 			released = 1
 		}
 		rank := [5]uint64{
@@ -163,13 +167,14 @@
 	return best
 }
 
-// mayHold reports whether a member takes a lease, may hold it and holds fewer than the bound.
+// mayHold reports whether a member is neither lost nor leaving, announces that it takes the lease, may
+// hold it by the rules and holds fewer than Rules.MaxPerMember leases.
 func (g *Granter) mayHold(m *placement.Member, r *Rule, held map[string]int) bool {
 	return m.Incarnation != 0 && !m.Leaving && r.Allows(m.Name) && slices.Contains(m.LeaseNames, r.Name) &&
 		held[m.Name] < g.rules.MaxPerMember
 }
 
-// expirationCount returns how often in a row a member lost a lease without releasing it.
+// expirationCount returns how many times in a row a member lost a lease without releasing it.
 func expirationCount(l *placement.Lease, member string) int {
 	i := slices.IndexFunc(l.Expirations, func(e placement.Expiration) bool { return e.Name == member })
 	if i < 0 {
@@ -178,12 +183,12 @@
 	return l.Expirations[i].Count
 }
 
-// expirationKey is the key of Granter.expiredSince.
+// expirationKey returns the key of a lease and a member in Granter.expiredSince.
 func expirationKey(lease, member string) string { return lease + "\x00" + member }
 
-// hashRank returns a number of a lease and a member, the same everywhere (rendezvous hashing). It is
-// mixed after the hash: names that differ in their last letter hash to numbers that differ little in
-// the high bits.
+// hashRank returns the rank of a member for a lease by rendezvous hashing, which is the same at all
+// runners. The FNV hash is mixed afterwards, as the hashes of names that differ only in their last
+// letter differ little in the high bits.
 func hashRank(lease, member string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(lease + "\x00" + member)) // a hash returns no error
--- a/internal/peers/lease/granter_test.go
+++ b/internal/peers/lease/granter_test.go
@@ -10,10 +10,10 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// bootstrapTime is when the consensus group of a test began, in Unix seconds.
+// bootstrapTime is when the consensus group of a test was formed, in Unix seconds.
 const bootstrapTime = 7
 
-// newTable returns a table of runners that would take the leases a, b and c, one in each zone.
+// newTable returns a table of members that take the leases a, b and c, each in a zone of its own.
 func newTable(t *testing.T, names ...string) *placement.Table {
 	t.Helper()
 	table, err := placement.New(1, 1)
@@ -27,7 +27,7 @@
 	return table
 }
 
-// join has a runner join in an incarnation, in the zone of its number.
+// join lets a runner join in an incarnation. Its zone has the number of its name.
 func join(t *placement.Table, name string, incarnation uint64) {
 	t.Apply(placement.Change{
 		Kind: placement.ChangeJoin,
@@ -41,14 +41,14 @@
 	})
 }
 
-// rules returns the rules of leases of which a member may hold so many.
+// rules returns lease rules with at most maxPerMember leases for each member.
 func rules(maxPerMember int, all ...lease.Rule) lease.Rules {
 	return lease.Rules{MaxPerMember: maxPerMember, Rules: all}
 }
 
 func askedAt(string) time.Duration { return time.Millisecond }
 
-// grant applies the grants of a granter, and returns the holders of all leases.
+// grant applies the grants of a granter to the table, and returns the holders of all held leases.
 func grant(g *lease.Granter, t *placement.Table, now time.Duration) map[string]string {
 	for _, c := range g.Grants(t, now, askedAt) {
 		t.Apply(c)
@@ -62,8 +62,8 @@
 	return holders
 }
 
-// Leases go to preferred zones, spread over members, within the bound for each, and to members that
-// may hold them.
+// Leases are granted to members in preferred zones, only to members that may hold them and within the
+// bound for each member; otherwise they are spread over the members.
 func TestLeasesAreGrantedByTheRules(t *testing.T) {
 	onlyN3 := func(name string) lease.Rule { return lease.Rule{Name: name, Members: []string{"n3"}} }
 	for name, tt := range map[string]struct {
@@ -84,18 +84,19 @@
 	} {
 		table := newTable(t, "n1", "n2", "n3")
 		if diff := cmp.Diff(tt.want, grant(lease.NewGranter(tt.rules, bootstrapTime), table, 0)); diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: holders differ (-want +got):\n%s", name, diff)
 		}
 	}
 	table := newTable(t, "n1", "n2", "n3")
 	all := rules(3, lease.Rule{Name: "a"}, lease.Rule{Name: "b"}, lease.Rule{Name: "c"})
 	held := grant(lease.NewGranter(all, bootstrapTime), table, 0)
 	if table.LeaseCount("n1") != 1 || table.LeaseCount("n2") != 1 || table.LeaseCount("n3") != 1 {
-		t.Errorf("not spread: %v", held)
+		t.Errorf("holders = %v, want one lease for each member", held)
 	}
 }
 
-// A member that loses a lease without releasing it waits longer each time.
+// A member that loses a lease without releasing it is not granted it again before a backoff, which
+// doubles each time.
 func TestExpiryBackoffDoubles(t *testing.T) {
 	const backoff = 10 * time.Second
 	table := newTable(t, "n1")
@@ -108,19 +109,19 @@
 		incarnation++
 		join(table, "n1", incarnation)
 		if got := grant(g, table, now); len(got) > 0 {
-			t.Errorf("granted at once: %v", got)
+			t.Errorf("holders right after the loss = %v, want none", got)
 		}
 		if got := grant(g, table, now+wait-time.Microsecond); len(got) > 0 {
-			t.Errorf("granted before %v: %v", wait, got)
+			t.Errorf("holders before the backoff of %v = %v, want none", wait, got)
 		}
 		if now += wait; len(grant(g, table, now)) == 0 {
-			t.Errorf("not granted after %v", wait)
+			t.Errorf("lease is not granted after the backoff of %v", wait)
 		}
 	}
 }
 
-// The lease of a name that is back in another incarnation is not granted before the earlier one's
-// time is over.
+// The lease of a member that rejoins in another incarnation is not granted before the TTL and the
+// clock margin have passed: the earlier incarnation may rely on it until then.
 func TestAbruptlyLostLeaseIsGrantedAfterItsTime(t *testing.T) {
 	r := rules(1, lease.Rule{Name: "a", Zones: []string{"hall1"}})
 	table := newTable(t, "n1", "n2")
@@ -131,7 +132,7 @@
 		g := lease.NewGranter(r, bootstrapTime)
 		grant(g, later, 0)
 		if got := grant(g, later, now); len(got) != want {
-			t.Errorf("after %v: %v", now, got)
+			t.Errorf("holders after %v = %v, want none before TTL+ClockMargin and then one", now, got)
 		}
 	}
 }
--- a/internal/peers/lease/health_checks.go
+++ b/internal/peers/lease/health_checks.go
@@ -11,13 +11,14 @@
 const (
 	// maxReportServers bounds the servers of one report.
 	maxReportServers = 512
-	// maxKnownServers bounds the servers of which reports are remembered.
+	// maxKnownServers bounds the servers whose reported health is remembered.
 	maxKnownServers = 4096
-	// freshChecks is for how many checks a report of a healthy server counts.
+	// freshChecks is the number of check intervals for which the report of a healthy server is used.
 	freshChecks = 2
 )
 
-// HealthReport is what the holder of a lease saw of servers, for runners that did not check them.
+// HealthReport carries the results of health checks by the holder of a lease to another runner, which
+// then need not check the servers itself.
 type HealthReport struct {
 	From    string         `cbor:"1,keyasint"`
 	To      string         `cbor:"2,keyasint"`
@@ -31,39 +32,40 @@
 	Group   string           `cbor:"1,keyasint"`
 	Server  string           `cbor:"2,keyasint"`
 	Healthy bool             `cbor:"3,keyasint,omitempty"`
-	Age     wallclock.Micros `cbor:"4,keyasint,omitempty"` // as the report is sent
+	Age     wallclock.Micros `cbor:"4,keyasint,omitempty"` // of the result when the report was sent
 }
 
-// HealthChecks decides which runner checks the health of which servers. The holder of a zone's lease
-// checks all servers of the zone, and reports to the others. A runner with a recent report of a
-// healthy server does not check it. One without a report, or with a report of an unhealthy server,
-// checks by itself: a report never takes a server out of service, so that a false or an old one
-// costs no more than none.
+// HealthChecks decides which servers this runner checks. The holder of a zone's lease checks all
+// servers of the zone and reports the results to the other runners. A runner with a recent report of
+// a healthy server does not check that server. Without a report, or with a report of an unhealthy
+// server, it checks the server itself: a report never takes a server out of service, so that a wrong
+// or outdated report does no more harm than a missing one.
 type HealthChecks struct {
-	leases   map[string]string // by zone
+	leases   map[string]string // the name of the health check lease, by zone
 	fence    Fence
 	reported map[serverKey]observedHealth
-	unsent   map[string][]observedHealth // by lease, for the next report
-	tokens   map[string]uint64           // by lease, under which unsent was observed
+	unsent   map[string][]observedHealth // results for the next report, by lease
+	tokens   map[string]uint64           // the token under which the unsent results were observed, by lease
 
 	Performed int64 // checks by this runner
-	Skipped   int64 // checks that a report made needless
-	Stale     int64 // reports by runners that had lost the lease
+	Skipped   int64 // checks that were not needed because of a report
+	Stale     int64 // rejected reports, by runners that had lost the lease
 }
 
-// serverKey is a server of a group.
+// serverKey identifies a server by its group and its name in the group.
 type serverKey struct{ group, server string }
 
-// observedHealth is a server's health at a time.
+// observedHealth is the result of a health check and the time of the check.
 type observedHealth struct {
 	ServerHealth
 	at time.Duration
 }
 
-// HealthCheckLease returns the name of the lease to check a zone's servers.
+// HealthCheckLease returns the name of the lease whose holder checks a zone's servers for all runners.
 func HealthCheckLease(zone string) string { return "checks-" + zone }
 
-// NewHealthChecks returns the checks for the zones whose servers one runner checks.
+// NewHealthChecks returns the health checks of a runner. Zones are those whose servers one runner
+// checks for all; in any other zone each runner checks the servers itself.
 func NewHealthChecks(zones []string) *HealthChecks {
 	c := &HealthChecks{
 		leases:   map[string]string{},
@@ -75,7 +77,7 @@
 	return c
 }
 
-// SetZones replaces the zones whose servers one runner checks.
+// SetZones replaces the zones whose servers one runner checks for all.
 func (c *HealthChecks) SetZones(zones []string) {
 	clear(c.leases)
 	for _, zone := range zones {
@@ -83,9 +85,10 @@
 	}
 }
 
-// ShouldCheck reports whether this runner is to check a server now, and the lease and token of the
-// check; the lease is "" for a zone whose servers each runner checks. Interval is the time between
-// two checks. A server that is not in full service is checked by each runner, over its own link.
+// ShouldCheck reports whether this runner is to check a server now, and the lease and token for
+// RecordResult. The lease is "" in a zone whose servers each runner checks itself; the token is 0 if
+// this runner does not hold the lease. Interval is the time between two checks of a server. A server
+// that is not in full service is checked by each runner over its own connection.
 func (c *HealthChecks) ShouldCheck(
 	group, server, zone string,
 	interval, now time.Duration,
@@ -107,7 +110,7 @@
 	return true, lease, 0
 }
 
-// RecordResult notes the result of a check under a lease, for the next report.
+// RecordResult records the result of a check under a lease for the next report.
 func (c *HealthChecks) RecordResult(
 	lease string,
 	token uint64,
@@ -126,8 +129,8 @@
 	c.unsent[lease] = append(c.unsent[lease], observedHealth{result, now})
 }
 
-// TakeReports returns the reports to send to the other runners, and forgets them. Those under a
-// lease that this runner does not hold any more are dropped.
+// TakeReports returns the results recorded since the last call as reports to the other runners, one
+// for each lease. Results under a lease that this runner no longer holds are dropped.
 func (c *HealthChecks) TakeReports(
 	from string,
 	now time.Duration,
@@ -149,10 +152,11 @@
 	return reports
 }
 
-// Receive takes a report. One by a runner that lost the lease meanwhile is rejected.
+// Receive handles a report of another runner. It returns an error for one that is too large, or whose
+// sender has lost the lease.
 func (c *HealthChecks) Receive(report *HealthReport, now time.Duration) error {
 	if len(report.Servers) > maxReportServers {
-		return kindFenced.New("lease: a report of %d servers is over %d", len(report.Servers), maxReportServers)
+		return kindFenced.New("lease: health report has %d servers, at most %d", len(report.Servers), maxReportServers)
 	}
 	if err := c.fence.Check(report.Lease, report.Token); err != nil {
 		c.Stale++
--- a/internal/peers/lease/holder.go
+++ b/internal/peers/lease/holder.go
@@ -10,56 +10,58 @@
 )
 
 const (
-	// maxConfirmations bounds the confirmations whose table is not here yet.
+	// maxConfirmations bounds the confirmations whose table this runner does not have yet.
 	maxConfirmations = 8
-	// never is before all instants of a clock, and far enough from the lowest one for differences.
+	// never is earlier than all times of a clock. Its distance from the lowest duration lets differences
+	// to it be computed without overflow.
 	never time.Duration = math.MinInt64 / 2
 )
 
-// Grant is a lease that a runner may rely on until a time of its clock.
+// Grant is a lease that this runner may rely on until ExpiresAt by its own clock.
 type Grant struct {
 	Lease     string
-	Token     uint64
+	Token     uint64 // the fencing token
 	ExpiresAt time.Duration
-	Handover  []byte // from the holder before
+	Handover  []byte // what the previous holder left; nil: nothing
 }
 
-// Holder is the part of a runner that may hold leases.
+// Holder tracks the leases that a runner holds, and proposes their releases and handovers.
 type Holder struct {
 	name        string
 	incarnation uint64
 	table       *placement.Table // nil: none is known yet
-	// confirmedAt is the newest time at which this runner asked a leader that was confirmed with no
-	// newer table than is known here.
+	// confirmedAt is the newest time at which this runner asked a leader that was then confirmed, and
+	// whose table was no newer than this runner's.
 	confirmedAt   time.Duration
-	confirmations []confirmation // whose tables are not known here yet
-	released      map[string]uint64
+	confirmations []confirmation            // those whose table this runner does not have yet
+	released      map[string]uint64         // the tokens under which leases were released, by lease
 	pending       map[string]*pendingChange // by lease
 	seq           uint64                    // of the last change
 }
 
-// confirmation says that the leader was confirmed after this runner asked, with that version of the
-// table.
+// confirmation tells that a quorum confirmed the leader after this runner had asked at askedAt, and
+// which version the leader's table had.
 type confirmation struct {
 	askedAt      time.Duration
 	tableVersion uint64
 }
 
-// pendingChange is a change that is proposed until the table has it.
+// pendingChange is a change that is proposed repeatedly until the table shows whether it was
+// committed.
 type pendingChange struct {
 	change placement.Change
 	sentAt time.Duration
-	done   func(ok bool) // is called once it is committed, or cannot be any more; may be nil
+	done   func(ok bool) // called once the change is committed or can no longer be; may be nil
 }
 
-// finish reports whether the change was committed.
+// finish calls done, if there is one, with whether the change was committed.
 func (p *pendingChange) finish(ok bool) {
 	if p.done != nil {
 		p.done(ok)
 	}
 }
 
-// NewHolder returns the holder of a runner in one incarnation of its membership.
+// NewHolder returns the holder of a runner in the given incarnation of its membership.
 func NewHolder(name string, incarnation uint64) *Holder {
 	return &Holder{
 		name:        name,
@@ -70,7 +72,8 @@
 	}
 }
 
-// Renew begins another incarnation of this runner's membership.
+// Renew starts another incarnation of this runner's membership, which holds none of the leases of the
+// earlier one.
 func (h *Holder) Renew(incarnation uint64) {
 	h.incarnation = incarnation
 	h.confirmedAt = never
@@ -78,9 +81,9 @@
 	h.SetTable(h.table)
 }
 
-// ConfirmLeader notes that the leader was confirmed after this runner asked at askedAt, with that
-// version of the table. Leases are renewed once the runner knows that table: it may have lost them
-// by a change that it does not know yet.
+// ConfirmLeader records that a quorum confirmed the leader after this runner had asked at askedAt, and
+// the version of the leader's table. Leases are renewed once this runner has that table: it may have
+// lost them by a change that it does not have yet.
 func (h *Holder) ConfirmLeader(askedAt time.Duration, tableVersion uint64) {
 	h.confirmations = append(h.confirmations, confirmation{askedAt, tableVersion})
 	if len(h.confirmations) > maxConfirmations {
@@ -99,7 +102,7 @@
 	})
 }
 
-// SetTable takes a newer table.
+// SetTable replaces the table by a newer one, and settles the pending changes that it decides.
 func (h *Holder) SetTable(t *placement.Table) {
 	h.table = t
 	h.applyConfirmations()
@@ -119,7 +122,7 @@
 	}
 }
 
-// outcome reports whether a change was committed, once that is settled by the table.
+// outcome reports whether a change was committed, and whether the table settles that yet.
 func (h *Holder) outcome(l *placement.Lease, c *placement.Change) (committed, settled bool) {
 	holds := l != nil && l.Token == c.Token && l.Holder == h.name && l.Incarnation == h.incarnation
 	if holds && l.Seq < c.Epoch {
@@ -128,12 +131,13 @@
 	if c.Kind != placement.ChangeReleaseLease {
 		return holds, true
 	}
-	// Another member may hold the lease already. One that lost it has an expiration.
+	// Another member may hold the lease already. If this runner lost the lease instead of releasing it,
+	// the lease has an expiration of this runner.
 	gone := l != nil && (l.Token != c.Token || l.Holder == "")
 	return gone && expirationCount(l, h.name) == 0, true
 }
 
-// HeldLeases returns the leases that this runner may rely on now, by name.
+// HeldLeases returns the leases that this runner may rely on now, sorted by name.
 func (h *Holder) HeldLeases(now time.Duration) (grants []Grant) {
 	if h.table == nil {
 		return nil
@@ -155,8 +159,7 @@
 }
 
 // Release stops relying on a lease and proposes its release, with a handover for the next holder.
-// Done is called with whether that was committed before another member held the lease; it may be
-// nil.
+// Done, which may be nil, is called with whether the release was committed before the lease was lost.
 func (h *Holder) Release(name string, handover []byte, done func(ok bool)) {
 	l := h.ownLease(name, handover)
 	if l == nil {
@@ -167,9 +170,10 @@
 	h.enqueue(placement.ChangeReleaseLease, l, handover, done)
 }
 
-// SetHandover proposes a handover for the next holder, should this one be lost. Done is called with
-// whether it was committed while this runner held the lease. It replaces a change that is pending;
-// that one's done is called with false, though it may be committed.
+// SetHandover proposes the handover that the next holder finds if this runner is lost. Done, which may
+// be nil, is called with whether the handover was committed while this runner held the lease. A
+// pending change of the lease is replaced: its done is called with false, although the change may
+// still be committed.
 func (h *Holder) SetHandover(name string, handover []byte, done func(ok bool)) {
 	l := h.ownLease(name, handover)
 	if l == nil || h.released[name] == l.Token {
@@ -179,15 +183,15 @@
 	h.enqueue(placement.ChangeSetHandover, l, handover, done)
 }
 
-// reject tells the caller of a change that it was not committed.
+// reject calls done, if there is one, to report that a change was not committed.
 func reject(done func(ok bool)) {
 	if done != nil {
 		done(false)
 	}
 }
 
-// ownLease returns a lease that this runner holds by the table, or nil if it does not or the
-// handover is too large.
+// ownLease returns the lease of that name if this runner holds it according to the table and the
+// handover is within MaxHandoverBytes, and nil otherwise.
 func (h *Holder) ownLease(name string, handover []byte) *placement.Lease {
 	if h.table == nil || len(handover) > placement.MaxHandoverBytes {
 		return nil
@@ -214,7 +218,8 @@
 	h.pending[l.Name] = &pendingChange{change, never, done}
 }
 
-// PendingChanges returns the changes that are to be proposed now, and notes them as sent.
+// PendingChanges returns the pending changes that are due to be proposed (again), and records them as
+// sent.
 func (h *Holder) PendingChanges(now time.Duration) (changes []placement.Change) {
 	for _, name := range slices.Sorted(maps.Keys(h.pending)) {
 		if p := h.pending[name]; now-p.sentAt >= resendInterval {
@@ -225,7 +230,7 @@
 	return changes
 }
 
-// HasUnsentChanges reports whether a change was not returned by PendingChanges yet.
+// HasUnsentChanges reports whether there is a change that PendingChanges has not returned yet.
 func (h *Holder) HasUnsentChanges() bool {
 	for _, p := range h.pending {
 		if p.sentAt == never {
@@ -235,5 +240,5 @@
 	return false
 }
 
-// HasPendingChanges reports whether a change is not settled yet.
+// HasPendingChanges reports whether there is a change that is not settled yet.
 func (h *Holder) HasPendingChanges() bool { return len(h.pending) > 0 }
--- a/internal/peers/lease/holder_test.go
+++ b/internal/peers/lease/holder_test.go
@@ -11,7 +11,7 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// newHolder returns the holder of lease a, and its table.
+// newHolder returns a Holder whose runner n1 holds lease a, and its table.
 func newHolder(t *testing.T) (*lease.Holder, *placement.Table) {
 	t.Helper()
 	table := newTable(t, "n1", "n2")
@@ -22,7 +22,7 @@
 	return h, table
 }
 
-// expiry returns when the only lease that is held expires, or 0 if none is.
+// expiry returns the time at which the only held lease expires, or 0 if none is held.
 func expiry(h *lease.Holder, now time.Duration) time.Duration {
 	if held := h.HeldLeases(now); len(held) == 1 {
 		return held[0].ExpiresAt
@@ -30,30 +30,30 @@
 	return 0
 }
 
-// A holder relies on a lease for its time from when it asked, and on no confirmation by a leader
-// with a newer table.
+// A holder relies on a lease for its duration from the time at which it asked. A confirmation by a
+// leader with a newer table does not count until the holder has that table.
 func TestHolderReliesOnALeaseFromWhenItAsked(t *testing.T) {
 	h, table := newHolder(t)
 	const now = time.Millisecond
 	want := askedAt("n1") + lease.TTL - lease.ClockMargin
 	if got := expiry(h, now); got != want || expiry(h, want) != 0 {
-		t.Errorf("until %v, and %v is wanted and no longer", got, want)
+		t.Errorf("lease expires at %v, want %v and not held from then on", got, want)
 	}
 	const renewedAt = 500 * time.Millisecond
 	h.ConfirmLeader(renewedAt, table.Version+1)
 	if got := expiry(h, now); got != want {
-		t.Errorf("until %v by a confirmation with a newer table", got)
+		t.Errorf("lease expires at %v after a confirmation with a newer table, want no change", got)
 	}
 	newer := table.Clone()
 	newer.Version++
 	h.SetTable(newer)
 	if got, want := expiry(h, now), renewedAt+lease.TTL-lease.ClockMargin; got != want {
-		t.Errorf("until %v, and %v is wanted once it has that table", got, want)
+		t.Errorf("lease expires at %v once the holder has the newer table, want %v", got, want)
 	}
 }
 
-// A late handover does not replace a newer one, and a holder does nothing once it released the
-// lease.
+// A delayed handover does not replace a newer one. A holder that has released a lease neither relies
+// on it nor sets its handover any more.
 func TestHandoverAndReleaseAreAppliedInOrder(t *testing.T) {
 	h, table := newHolder(t)
 	const now = time.Millisecond
@@ -67,11 +67,11 @@
 	}
 	h.SetTable(table)
 	if got := string(table.Lease("a").Handover); got != "2" {
-		t.Errorf("the handover is %q", got)
+		t.Errorf("handover = %q, want \"2\"", got)
 	}
 	h.Release("a", []byte("3"), done)
 	if expiry(h, now) != 0 {
-		t.Error("it goes on with a lease that it released")
+		t.Error("the holder relies on a lease that it released")
 	}
 	for _, c := range h.PendingChanges(0) {
 		table.Apply(c)
@@ -81,16 +81,16 @@
 	l := table.Lease("a")
 	if diff := cmp.Diff([]bool{false, true, true, false}, outcomes); diff != "" ||
 		string(l.Handover) != "3" || l.Holder != "" {
-		t.Errorf("%s; %+v", diff, l)
+		t.Errorf("outcomes differ (-want +got):\n%s\nlease = %+v, want handover 3 and no holder", diff, l)
 	}
 }
 
-// A release by a runner that is declared lost meanwhile is not taken for committed.
+// A release is not reported as committed if the runner was declared lost before the commit.
 func TestReleaseAfterTheLossIsNotCommitted(t *testing.T) {
 	h, table := newHolder(t)
 	h.Release("a", []byte("late"), func(ok bool) {
 		if ok {
-			t.Error("reported as committed")
+			t.Error("the release is reported as committed")
 		}
 	})
 	h.Renew(2)
@@ -99,7 +99,8 @@
 		h.SetTable(table)
 	}
 	if l := table.Lease("a"); l.Holder != "" || len(l.Expirations) != 1 || h.HasPendingChanges() {
-		t.Errorf("%+v, still pending %v", l, h.HasPendingChanges())
+		t.Errorf("lease = %+v, want no holder and 1 expiration; HasPendingChanges() = %v, want false",
+			l, h.HasPendingChanges())
 	}
 }
 
@@ -121,12 +122,12 @@
 	} {
 		err := f.Check(tt.lease, tt.token)
 		if (err == nil) != tt.ok || err != nil && fault.Find(err).Kind.Name != "peers.fenced" {
-			t.Errorf("%s under %d: %v", tt.lease, tt.token, err)
+			t.Errorf("Check(%q, %d) = %v, want peers.fenced for an older or no token", tt.lease, tt.token, err)
 		}
 	}
 	restored := &lease.Fence{}
 	restored.Restore(f.Tokens())
 	if restored.Check("a", 5) == nil {
-		t.Error("the tokens are not restored")
+		t.Error("a restored fence accepts a token older than the stored one")
 	}
 }
--- a/internal/peers/lease/rules.go
+++ b/internal/peers/lease/rules.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// TTL is how long after it asked a holder relies on a lease, less ClockMargin.
+	// TTL is the duration of a lease. A holder relies on it for TTL less ClockMargin after it asked.
 	TTL = 600 * time.Millisecond
-	// ClockMargin covers clocks that run apart by up to one part in a hundred, and the time between a
-	// holder's look at its clock and its act.
+	// ClockMargin covers clocks whose rates differ by up to one percent, and the time between a holder's
+	// reading of its clock and its operation.
 	ClockMargin = 50*time.Millisecond + TTL/100
-	// resendInterval is the time after which a change that is not in the table is proposed again.
+	// resendInterval is the time after which a change that is not in the table yet is proposed again.
 	resendInterval = 300 * time.Millisecond
-	// maxBackoffDoublings bounds the doubling of Rules.ExpiryBackoff.
+	// maxBackoffDoublings bounds how often Rules.ExpiryBackoff is doubled.
 	maxBackoffDoublings = 7
 )
 
-// Rule is what the operator's file says of a lease.
+// Rule is the configuration of one lease in the operator's file.
 type Rule struct {
 	Name    string
-	Zones   []string // preferred ones, the best first; members of other zones come after them
-	Members []string // that may hold it; empty: all
+	Zones   []string // preferred zones, the best first; members in other zones come after them
+	Members []string // the members that may hold the lease; empty: all
 }
 
 // Allows reports whether a member may hold the lease.
@@ -29,7 +29,8 @@
 	return len(r.Members) == 0 || slices.Contains(r.Members, name)
 }
 
-// zoneRank returns the place of a zone among the preferred ones; all others come last.
+// zoneRank returns the position of a zone among the preferred ones, or a number above all positions
+// for any other zone.
 func (r *Rule) zoneRank(zone string) int {
 	if i := slices.Index(r.Zones, zone); i >= 0 {
 		return i
@@ -37,16 +38,16 @@
 	return len(r.Zones)
 }
 
-// Rules are what the operator's file says of all leases.
+// Rules is the configuration of all leases in the operator's file.
 type Rules struct {
-	MaxPerMember int // leases that one member may hold
-	// ExpiryBackoff is how long a member that lost a lease without releasing it is not granted it
-	// again. It doubles with each time in a row.
+	MaxPerMember int // how many leases one member may hold
+	// ExpiryBackoff is the time for which a member that lost a lease without releasing it is not granted
+	// that lease again. It doubles each further time in a row.
 	ExpiryBackoff time.Duration
 	Rules         []Rule
 }
 
-// NamesFor returns the leases that a member may hold.
+// NamesFor returns the names of the leases that a member may hold, in the order of the rules.
 func (r *Rules) NamesFor(member string) (names []string) {
 	for i := range r.Rules {
 		if r.Rules[i].Allows(member) {
@@ -56,7 +57,8 @@
 	return names
 }
 
-// backoff returns how long a member that lost a lease that often in a row is not granted it.
+// backoff returns the time for which a member is not granted a lease that it lost expirations times in
+// a row without releasing it.
 func (r *Rules) backoff(expirations int) time.Duration {
 	return r.ExpiryBackoff << min(expirations-1, maxBackoffDoublings)
 }
--- a/internal/peers/lease/snapshot.go
+++ b/internal/peers/lease/snapshot.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Snapshot is what a runner holds, for any goroutine to read: readers take no lock and allocate
-// nothing. The single writer replaces the grants as a whole (read-copy-update); they are not changed
-// after that.
+// Snapshot publishes a runner's grants to any goroutine. Readers take no lock and allocate nothing.
+// The single writer replaces all grants at once (read-copy-update) and does not change them
+// afterwards.
 type Snapshot struct{ grants atomic.Pointer[[]Grant] }
 
-// Set replaces the grants.
+// Set replaces the grants, which must not be changed any more.
 func (s *Snapshot) Set(grants []Grant) { s.grants.Store(&grants) }
 
-// Holds reports whether a lease may be relied on at a time of the holder's clock, and its token.
+// Holds reports whether the runner may rely on a lease at time now of its lease clock, and the token
+// of its newest grant of that lease, or 0 if there is none.
 func (s *Snapshot) Holds(name string, now time.Duration) (token uint64, ok bool) {
 	grants := s.Grants()
 	for i := range grants {
@@ -24,7 +25,7 @@
 	return 0, false
 }
 
-// Grants returns all grants. They are not to be changed.
+// Grants returns all grants. The caller must not change them.
 func (s *Snapshot) Grants() []Grant {
 	if grants := s.grants.Load(); grants != nil {
 		return *grants
--- a/internal/peers/lease/snapshot_test.go
+++ b/internal/peers/lease/snapshot_test.go
@@ -11,11 +11,12 @@
 	"ryepaddle/internal/peers/lease"
 )
 
-// Readers see grants that belong together, while others replace them all the time.
+// Readers always see grants of the same Set call while the writer replaces them continuously: no token
+// goes with another grant's expiry, and tokens never decrease.
 func TestSnapshotIsReadAsAWhole(t *testing.T) {
 	s := &lease.Snapshot{}
 	if _, ok := s.Holds("d", 0); ok {
-		t.Error("a snapshot without grants")
+		t.Error("Holds() of an empty snapshot = true, want false")
 	}
 	var readers sync.WaitGroup
 	var done atomic.Bool
@@ -24,7 +25,7 @@
 			for last := uint64(0); !done.Load(); {
 				token, ok := s.Holds("d", 5*time.Microsecond)
 				if ok != (token%2 == 1) || token < last {
-					t.Errorf("token %d after %d, %v", token, last, ok)
+					t.Errorf("token %d after %d, held %v, want no decrease, and held if odd", token, last, ok)
 					return
 				}
 				last = token
@@ -39,7 +40,7 @@
 	readers.Wait()
 }
 
-// callEvery10ms calls fn 100 times a second until stop is closed, and then closes stopped.
+// callEvery10ms calls fn every 10 ms until stop is closed, and then closes stopped.
 func callEvery10ms(stop, stopped chan bool, fn func()) {
 	defer close(stopped)
 	for t := time.NewTicker(10 * time.Millisecond); ; {
@@ -53,7 +54,8 @@
 	}
 }
 
-// lockedGrants are grants behind a lock, to compare a snapshot with.
+// lockedGrants holds grants behind a lock, as the alternative that BenchmarkHolds compares with a
+// Snapshot.
 type lockedGrants struct {
 	mu     sync.RWMutex
 	grants []lease.Grant
@@ -70,8 +72,8 @@
 	return token
 }
 
-// What a look costs a request while grants change 100 times a second: in a snapshot, and behind a
-// lock.
+// BenchmarkHolds measures what looking up a lease costs a request while the grants are replaced 100
+// times a second: in a Snapshot, and in a slice behind a lock.
 func BenchmarkHolds(b *testing.B) {
 	grants := []lease.Grant{
 		{Lease: "checks-hall1", Token: 5, ExpiresAt: math.MaxInt64},
