--- a/internal/peers/lease/health_checks.go
+++ b/internal/peers/lease/health_checks.go
@@ -156,7 +156,7 @@
 // sender has lost the lease.
 func (c *HealthChecks) Receive(report *HealthReport, now time.Duration) error {
 	if len(report.Servers) > maxReportServers {
-		return kindFenced.New("lease: health report has %d servers, at most %d", len(report.Servers), maxReportServers)
+		return kindFenced.New("lease: health report has %d servers, limit %d", len(report.Servers), maxReportServers)
 	}
 	if err := c.fence.Check(report.Lease, report.Token); err != nil {
 		c.Stale++
--- a/internal/peers/placement/apply.go
+++ b/internal/peers/placement/apply.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Apply applies a change. One that does not fit any more changes nothing but the version.
+// Apply applies a committed change. A change that does not fit the table any more only increases the
+// version.
 func (t *Table) Apply(c Change) {
 	t.Version++
 	m := t.Member(c.Member.Name)
@@ -40,8 +41,9 @@
 	t.assignReplicas()
 }
 
-// join takes a member in, in a new incarnation, and reports false if that is not new. What an
-// earlier incarnation replicated is forgotten.
+// join adds a member or a new incarnation of it, and reports whether the incarnation is new. A new
+// incarnation replicates no slots and holds no leases of the earlier one. If the incarnation is the
+// present one, only what the member announces of itself is updated.
 func (t *Table) join(c Change, m *Member) bool {
 	if m != nil && c.Member.Process != 0 && c.Member.Process == m.Process &&
 		c.Member.Incarnation < m.oldestIncarnation(c.Kind) {
@@ -52,7 +54,7 @@
 		t.Members = slices.Insert(t.Members, i, Member{Name: c.Member.Name})
 		m = &t.Members[i]
 	}
-	// A voter of an older version may have proposed the member without these.
+	// A voter of an older version may have proposed the member without these fields.
 	if m.Incarnation == c.Member.Incarnation && m.Incarnation != 0 {
 		m.NewestChange = c.Member.NewestChange
 		m.KeepsUsage = c.Member.KeepsUsage
@@ -75,10 +77,10 @@
 	return true
 }
 
-// oldestIncarnation is the oldest one in which the member's process may join by a kind of change.
-// The previous incarnation of a member that is not lost may be of an earlier process, whose
-// incarnations are other numbers. Older kinds do not tell that; all voters have to come to the same
-// table.
+// oldestIncarnation returns the oldest incarnation in which the member's present process may join by a
+// kind of change. The previous incarnation of a member that is not lost may belong to an earlier
+// process, whose incarnations cannot be compared with those of the present process. The older kinds of
+// join do not take this into account and keep their rules, as all voters must arrive at the same table.
 func (m *Member) oldestIncarnation(kind ChangeKind) uint64 {
 	switch {
 	case kind == ChangeJoin:
@@ -91,7 +93,7 @@
 	return m.PrevIncarnation
 }
 
-// markLost takes a member out of all slots and leases. A removed one is forgotten.
+// markLost takes all slots and leases from a member. If it is removed, its entry is deleted too.
 func (t *Table) markLost(m *Member, removed bool) {
 	name := m.Name
 	t.expireLeases(name, false)
@@ -105,7 +107,8 @@
 	}
 }
 
-// slotAt returns the slot of a change, or nil if its epoch is not the change's any more.
+// slotAt returns the slot that a change refers to, or nil if the slot does not exist or has another
+// epoch than the change.
 func (t *Table) slotAt(c Change) *Slot {
 	if c.Slot < 0 || c.Slot >= len(t.Slots) || t.Slots[c.Slot].Epoch != c.Epoch {
 		return nil
@@ -113,7 +116,7 @@
 	return &t.Slots[c.Slot]
 }
 
-// addReplica has a member join a full slot, so that another one can leave it.
+// addReplica lets a member join a fully replicated slot, so that another replica can leave it later.
 func (t *Table) addReplica(s *Slot, m *Member) {
 	if s == nil || m == nil || m.Incarnation == 0 || m.Leaving || s.Holds(m.Name) {
 		return
@@ -123,7 +126,7 @@
 	}
 }
 
-// setPrimary puts a replica first.
+// setPrimary makes a replica the primary of its slot.
 func (t *Table) setPrimary(s *Slot, name string) {
 	if s == nil || !slices.Contains(s.Replicas, name) {
 		return
@@ -132,8 +135,8 @@
 	s.Epoch++
 }
 
-// completeJoin makes a joining member a replica of the slot. If that is one too many, another one
-// leaves the slot.
+// completeJoin makes a joining member a replica of the slot. If the slot then has one replica too
+// many, the most dispensable one leaves it.
 func (t *Table) completeJoin(s *Slot, name string) {
 	s.Joining = without(s.Joining, name)
 	s.Replicas = append(s.Replicas, name)
@@ -143,8 +146,8 @@
 	}
 }
 
-// removeFromSlots takes a member out of all slots. A slot that loses its last replica begins anew
-// with no records; see assignReplicas.
+// removeFromSlots removes a member from all slots. A slot that loses its last replica starts anew
+// without records; see assignReplicas.
 func (t *Table) removeFromSlots(name string) {
 	for i := range t.Slots {
 		s := &t.Slots[i]
@@ -156,8 +159,8 @@
 	}
 }
 
-// assignReplicas has members join the slots that lack replicas. A slot without any begins with no
-// records: what a joining member has of it is not known to be complete.
+// assignReplicas lets members join the slots that lack replicas. A slot without any replica starts
+// anew without records, as the records of a joining member may be incomplete.
 func (t *Table) assignReplicas() {
 	counts := t.slotCounts()
 	for i := range t.Slots {
--- a/internal/peers/placement/apply_test.go
+++ b/internal/peers/placement/apply_test.go
@@ -7,9 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A process joins in another incarnation under a name whose earlier process had incarnations of
-// higher numbers: these say nothing of it. Neither what it sent before that incarnation nor what the
-// earlier process sent takes it back.
+// A process must be able to join in a new incarnation although an earlier process under its name had
+// higher incarnation numbers, which cannot be compared with its own. A delayed message must not take
+// the member back to an earlier incarnation of its process.
 func TestIncarnationsOfTwoProcessesUnderOneName(t *testing.T) {
 	const earlier, present = 1, 2 // processes
 	join := func(process uint32, incarnation uint64) Change {
@@ -27,23 +27,23 @@
 			[]Change{join(earlier, 900), lost(900), join(present, 100), join(present, 101)},
 			101,
 		},
-		"without the loss of the earlier one": {
+		"the earlier process was not declared lost": {
 			[]Change{join(earlier, 900), join(present, 100), join(present, 101)},
 			101,
 		},
-		"sent before another incarnation": {
+		"delayed join of an earlier incarnation": {
 			[]Change{join(earlier, 900), lost(900), join(present, 101), join(present, 100)},
 			101,
 		},
-		"the same while it is lost": {
+		"delayed join of an earlier incarnation while the member is lost": {
 			[]Change{join(present, 100), join(present, 101), lost(101), join(present, 100)},
 			0,
 		},
-		"back from the loss in another incarnation": {
+		"rejoin in another incarnation after the loss": {
 			[]Change{join(earlier, 900), join(present, 100), lost(100), join(present, 101)},
 			101,
 		},
-		"lost, and sent late": {
+		"delayed join of the lost incarnation": {
 			[]Change{join(present, 100), lost(100), join(present, 100)},
 			0,
 		},
@@ -57,13 +57,14 @@
 				table.Apply(change)
 			}
 			if got := table.Member("n1").Incarnation; got != tt.want {
-				t.Errorf("incarnation %d, want %d", got, tt.want)
+				t.Errorf("incarnation = %d, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// A lost member changes the slots that it held, and no others; the new primary was a replica.
+// The loss of a member changes only the slots that it held. Each of them gets a new epoch, a former
+// replica as the primary and a joining replica.
 func TestLossOfAMemberChangesOnlyItsSlots(t *testing.T) {
 	table := newSettledTable(t, 9, 3, 64, 2)
 	before := table.Clone()
@@ -73,27 +74,28 @@
 		old := before.Slots[i]
 		if !old.Holds(lost.Name) {
 			if diff := cmp.Diff(old, s); diff != "" {
-				t.Errorf("slot %d changed: %s", i, diff)
+				t.Errorf("slot %d without the lost member changed (-before +after):\n%s", i, diff)
 			}
 			continue
 		}
 		if s.Epoch <= old.Epoch || s.Holds(lost.Name) || !slices.Contains(old.Replicas, s.Primary()) ||
 			s.EmptyEpoch != old.EmptyEpoch ||
 			len(s.Joining) != 1 {
-			t.Errorf("slot %d is %+v, was %+v", i, s, old)
+			t.Errorf("slot %d = %+v, was %+v; want a new epoch, an old replica as primary, one joining", i, s, old)
 		}
 	}
-	table.Apply(Change{Kind: ChangeJoin, Member: lost}) // a late message
+	table.Apply(Change{Kind: ChangeJoin, Member: lost}) // a delayed message
 	if table.Member(lost.Name).Incarnation != 0 {
-		t.Error("a lost incarnation is back")
+		t.Error("the lost incarnation joined again")
 	}
 	table.Apply(Change{Kind: ChangeLost, Member: Member{Name: "n005", Incarnation: 99}})
 	if table.Member("n005").Incarnation == 0 {
-		t.Error("it is lost by the loss of another incarnation")
+		t.Error("the member is lost after the loss of another incarnation")
 	}
 }
 
-// What a member announces anew in the same incarnation changes nothing else.
+// A new announcement of a member in the same incarnation changes only the announced fields and the
+// version.
 func TestNewAnnouncementChangesOnlyTheMember(t *testing.T) {
 	table := newSettledTable(t, 3, 3, 16, 2)
 	m := *table.Member("n001")
@@ -107,7 +109,8 @@
 	}
 }
 
-// A member in a new incarnation is a replica of no slot before it has caught up.
+// A member in a new incarnation becomes a replica of a slot only when it has caught up in that
+// incarnation and at the slot's present epoch.
 func TestNewIncarnationIsNoReplicaBeforeItHasCaughtUp(t *testing.T) {
 	table := newSettledTable(t, 3, 3, 16, 2)
 	m := *table.Member("n001")
@@ -115,7 +118,7 @@
 	table.Apply(Change{Kind: ChangeJoin, Member: m})
 	for i, s := range table.Slots {
 		if slices.Contains(s.Replicas, m.Name) || !slices.Contains(s.Joining, m.Name) {
-			t.Errorf("slot %d: %+v", i, s)
+			t.Errorf("slot %d = %+v, want the new incarnation joining and no replica", i, s)
 		}
 	}
 	epoch := table.Slots[0].Epoch
@@ -126,11 +129,11 @@
 		{Kind: ChangeCaughtUp, Member: m, Slot: 99},
 	} {
 		if table.Apply(c); slices.Contains(table.Slots[0].Replicas, m.Name) {
-			t.Fatalf("%+v made it a replica", c)
+			t.Fatalf("change %+v made the joining member a replica", c)
 		}
 	}
 	table.Apply(Change{Kind: ChangeCaughtUp, Member: m, Epoch: epoch})
 	if !slices.Contains(table.Slots[0].Replicas, m.Name) {
-		t.Error("it does not become a replica")
+		t.Error("the member is no replica after it caught up")
 	}
 }
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -7,45 +7,46 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Bounds of what the table has of leases.
+// Bounds of the leases in the table.
 const (
 	MaxLeases        = 64
-	MaxHandoverBytes = 16 << 10 // that one holder leaves for the next
-	maxExpirations   = 16       // members that are remembered for a lease
+	MaxHandoverBytes = 16 << 10 // of the handover of one lease
+	maxExpirations   = 16       // members whose expirations are kept for one lease
 )
 
-// tokenVersionBits are the bits of a token that the table's version takes; the time at which the
-// consensus group began is above them.
+// tokenVersionBits is the number of low bits of a token that have the table's version. The bits above
+// them have the bootstrap time.
 const tokenVersionBits = 32
 
-// Lease is what the table has of one lease: the right to do a task that one member does at a time.
+// Lease is the right to do a task that only one member does at a time.
 type Lease struct {
 	Name        string `cbor:"1,keyasint"`
 	Holder      string `cbor:"2,keyasint,omitempty"` // "": nobody
 	Incarnation uint64 `cbor:"3,keyasint,omitempty"` // of the holder's membership
-	// Token is the fencing token of the newest grant. Tokens grow, over all leases and consensus
-	// groups of an installation.
+	// Token is the fencing token of the newest grant. Tokens increase with each grant, across all leases
+	// and successive consensus groups of an installation.
 	Token    uint64 `cbor:"4,keyasint,omitempty"`
-	Handover []byte `cbor:"5,keyasint,omitempty"` // what the holder left for the next one
-	// Abrupt says that the holder's name is back in another incarnation, so that the earlier one may
-	// rely on the lease for as long as it lasts.
+	Handover []byte `cbor:"5,keyasint,omitempty"` // what the holder leaves for the next one
+	// Abrupt is set if the last holder rejoined in another incarnation without having been declared lost,
+	// so that its earlier incarnation may still rely on the lease until it expires.
 	Abrupt bool `cbor:"6,keyasint,omitempty"`
 	// Expirations are the members that lost the lease without releasing it, the newest last.
 	Expirations []Expiration `cbor:"7,keyasint,omitempty"`
-	// AskedAt is when the holder asked before it was granted, by its own clock; 0: not known.
+	// AskedAt is when the holder asked for the lease before the grant, by its own lease clock; 0: not
+	// known.
 	AskedAt wallclock.Micros `cbor:"8,keyasint,omitempty"`
 	Seq     uint64           `cbor:"9,keyasint,omitempty"` // of the holder's newest change under the token
-	// ReleasedBy is the member that released the lease, until another one holds it.
+	// ReleasedBy is the member that released the lease; it is empty once the lease is granted again.
 	ReleasedBy string `cbor:"10,keyasint,omitempty"`
 }
 
-// Expiration is how often in a row a member lost a lease without releasing it.
+// Expiration is the number of times in a row that a member lost a lease without releasing it.
 type Expiration struct {
-	Name  string `cbor:"1,keyasint"`
+	Name  string `cbor:"1,keyasint"` // of the member
 	Count int    `cbor:"2,keyasint"`
 }
 
-// Lease returns the lease of that name, or nil if nobody ever held it.
+// Lease returns the lease of that name, or nil if it was never granted.
 func (t *Table) Lease(name string) *Lease {
 	i, ok := t.searchLease(name)
 	if !ok {
@@ -54,14 +55,16 @@
 	return &t.Leases[i]
 }
 
-// searchLease returns where the lease of that name is or would be inserted, and whether it is there.
+// searchLease returns the index at which the lease of that name is or would be inserted, and whether
+// it exists.
 func (t *Table) searchLease(name string) (int, bool) {
 	byName := func(l Lease, name string) int { return cmp.Compare(l.Name, name) }
 	return slices.BinarySearchFunc(t.Leases, name, byName)
 }
 
-// GrantToken returns the token of a lease that is granted by the table's newest change. A consensus
-// group that is formed anew counts its changes from 0, but began later.
+// GrantToken returns the token of a lease that the table's newest change grants. The bootstrap time in
+// its high bits keeps tokens increasing after a new consensus group was formed, whose version starts
+// at 0 again.
 func (t *Table) GrantToken() uint64 {
 	return t.BootstrapTime<<tokenVersionBits | t.Version&(1<<tokenVersionBits-1)
 }
@@ -76,8 +79,8 @@
 	return n
 }
 
-// applyLeaseChange applies a change of a lease. One by a member that does not hold it any more, or
-// that knows less of it than the table, changes nothing.
+// applyLeaseChange applies a change of a lease. A change is ignored if its member does not hold the
+// lease, or if its token or sequence number is outdated.
 func (t *Table) applyLeaseChange(c Change, m *Member) {
 	if c.Kind == ChangeGrantLease {
 		t.grantLease(c, m)
@@ -99,7 +102,7 @@
 	}
 }
 
-// grantLease grants a lease that nobody holds to a member.
+// grantLease grants a lease without a holder to a member.
 func (t *Table) grantLease(c Change, m *Member) {
 	if m == nil || m.Incarnation == 0 || m.Incarnation != c.Member.Incarnation || m.Leaving ||
 		t.BootstrapTime == 0 {
@@ -124,8 +127,8 @@
 	l.ReleasedBy = ""
 }
 
-// expireLeases takes all leases from a member that is lost, or whose name is back in another
-// incarnation.
+// expireLeases takes all leases from a member that is lost or, with abrupt, has rejoined in another
+// incarnation without having been declared lost.
 func (t *Table) expireLeases(name string, abrupt bool) {
 	for i := range t.Leases {
 		l := &t.Leases[i]
@@ -141,7 +144,8 @@
 	}
 }
 
-// withoutExpiration returns a copy of expirations without that of a member, and its count.
+// withoutExpiration returns a copy of expirations without the one of a member, and the count of that
+// one, or 0 if there is none.
 func withoutExpiration(expirations []Expiration, name string) (rest []Expiration, count int) {
 	rest = slices.Clone(expirations)
 	i := slices.IndexFunc(rest, func(e Expiration) bool { return e.Name == name })
--- a/internal/peers/placement/properties_test.go
+++ b/internal/peers/placement/properties_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawChange draws a change, which often fits the table.
+// drawChange draws a random change. Its incarnation and epoch often match the table.
 func drawChange(t *rapid.T, table *Table) Change {
 	c := Change{
 		Kind: ChangeKind(rapid.IntRange(0, 10).Draw(t, "kind")),
@@ -29,20 +29,20 @@
 	return c
 }
 
-// checkSlot checks what a change did to a slot.
+// checkSlot checks the invariants of a slot after a change.
 func checkSlot(t *rapid.T, table *Table, c Change, i int, old Slot) {
 	s := table.Slots[i]
 	if s.Epoch < old.Epoch || s.Epoch == old.Epoch && !slices.Equal(s.Replicas, old.Replicas) {
-		t.Fatalf("%+v: slot %d went from %+v to %+v", c, i, old, s)
+		t.Fatalf("%+v: replicas changed without a later epoch: slot %d from %+v to %+v", c, i, old, s)
 	}
 	wasReplica := func(name string) bool { return slices.Contains(old.Replicas, name) }
 	if len(s.Replicas) > 0 && !slices.ContainsFunc(s.Replicas, wasReplica) && s.EmptyEpoch != s.Epoch {
-		t.Fatalf("%+v: slot %d began with no records and does not say so: %+v to %+v", c, i, old, s)
+		t.Fatalf("%+v: slot %d started without records and EmptyEpoch is not set: %+v to %+v", c, i, old, s)
 	}
 	seen := map[string]bool{}
 	for _, name := range append(slices.Clone(s.Replicas), s.Joining...) {
 		if m := table.Member(name); seen[name] || m == nil || m.Incarnation == 0 {
-			t.Fatalf("%+v: slot %d is at %q in %+v", c, i, name, s)
+			t.Fatalf("%+v: slot %d has %q twice, or as a lost or unknown member: %+v", c, i, name, s)
 		}
 		seen[name] = true
 	}
@@ -51,9 +51,10 @@
 	}
 }
 
-// Whatever changes come: epochs never go back, and rise whenever the replicas change; replicas are
-// members that are not lost, each once; a slot that lost its last replica says that it began with no
-// records; the same changes give the same table.
+// The following holds for any sequence of changes. Epochs never decrease, and increase whenever the
+// replicas change. Replicas and joining members are distinct members that are not lost. EmptyEpoch
+// tells when a slot started anew after it had lost its last replica. The same changes result in the
+// same table.
 func TestAnyChangesKeepTheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots, backups := rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(1, 2).Draw(t, "backups")
--- a/internal/peers/placement/spread.go
+++ b/internal/peers/placement/spread.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// maxImbalance is by how many slots two members may differ before a slot is moved.
+// maxImbalance is the difference between the slots, or the primaries, of two members up to which
+// nothing is moved.
 const maxImbalance = 2
 
-// bestReplica returns the member that is to join a slot next, or "" if there is none: one that is
-// not leaving, then in the zone with the fewest replicas of the slot, then with the fewest slots,
-// then by rendezvous hashing. A leaving member is taken for a slot without replicas only.
+// bestReplica returns the member that is to join a slot next, or "" if there is none. In this order it
+// prefers a member that is not leaving, the zone with the fewest replicas of the slot, the fewest
+// slots, and the rank by rendezvous hashing. A leaving member joins only a slot without replicas.
 func (t *Table) bestReplica(slot int, counts map[string]int) string {
 	s := &t.Slots[slot]
 	best := ""
@@ -33,7 +34,7 @@
 	return best
 }
 
-// replicasInZone returns how many members of a zone hold a slot.
+// replicasInZone returns how many members of a zone replicate a slot or are joining it.
 func (t *Table) replicasInZone(s *Slot, zone string) (n int) {
 	for _, names := range [][]string{s.Replicas, s.Joining} {
 		for _, name := range names {
@@ -45,7 +46,7 @@
 	return n
 }
 
-// leavingRank is 1 for a member that is leaving and 0 for any other.
+// leavingRank returns 1 for a member that is leaving and 0 for any other.
 func (t *Table) leavingRank(name string) int {
 	if m := t.Member(name); m != nil && m.Leaving {
 		return 1
@@ -53,8 +54,9 @@
 	return 0
 }
 
-// mostDispensable returns the replica that leaves a slot with one too many, never the primary: one
-// that is leaving, then in the zone with the most replicas of the slot, then with the most slots.
+// mostDispensable returns the replica that is to leave a slot with one replica too many. It is never
+// the primary. In this order it prefers a leaving member, the zone with the most replicas of the slot,
+// and the most slots.
 func (t *Table) mostDispensable(s *Slot, counts map[string]int) string {
 	worst := s.Replicas[1]
 	for _, name := range s.Replicas[2:] {
@@ -70,8 +72,9 @@
 	return worst
 }
 
-// Rebalance returns a change that moves a slot off a leaving member or spreads slots or primaries
-// better. It reports false if nothing is to be moved, or while any slot lacks a replica.
+// Rebalance returns the next change that moves a slot away from a leaving member or spreads slots or
+// primaries more evenly over the members. It reports false if nothing is to be moved, or while a slot
+// lacks a replica or has a joining one.
 func (t *Table) Rebalance() (Change, bool) {
 	for i := range t.Slots {
 		if len(t.Slots[i].Joining) > 0 || !t.isFull(&t.Slots[i]) {
@@ -101,8 +104,8 @@
 	return Change{}, false
 }
 
-// moveOffLeaving returns a change that brings a leaving member closer to holding nothing. It reports
-// false if there is none, or nobody who could take its place.
+// moveOffLeaving returns a change by which a slot of a leaving member gets another primary or an
+// additional replica. It reports false if no leaving member has slots or no member can take them.
 func (t *Table) moveOffLeaving(counts map[string]int) (Change, bool) {
 	for i := range t.Slots {
 		s := &t.Slots[i]
@@ -125,7 +128,8 @@
 	return Change{}, false
 }
 
-// leastLoaded returns the member with the fewest slots of those that stay, or "".
+// leastLoaded returns the member with the fewest slots among those that are not lost or leaving, or ""
+// if there is none.
 func (t *Table) leastLoaded(counts map[string]int) (least string) {
 	for _, m := range t.Members {
 		if m.Incarnation != 0 && !m.Leaving && (least == "" || counts[m.Name] < counts[least]) {
@@ -144,8 +148,8 @@
 	return counts
 }
 
-// shouldTakeSlot reports whether a slot is to move to a member from one with more than maxImbalance
-// slots more.
+// shouldTakeSlot reports whether a member is to join a slot so that a replica leaves it that has more
+// slots than the member by more than maxImbalance.
 func (t *Table) shouldTakeSlot(name string, s *Slot, counts map[string]int) bool {
 	if s.Holds(name) {
 		return false
--- a/internal/peers/placement/spread_test.go
+++ b/internal/peers/placement/spread_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newSettledTable returns a table of so many runners in so many zones, once all slots are replicated
-// and spread.
+// newSettledTable returns a table of the given numbers of runners, zones, slots and backups, in which
+// all slots are fully replicated and rebalanced.
 func newSettledTable(t testing.TB, runners, zones, slots, backups int) *Table {
 	t.Helper()
 	table, err := New(slots, backups)
@@ -28,7 +28,7 @@
 	return table
 }
 
-// settle has all joining replicas catch up and the table rebalanced until nothing is left to do.
+// settle lets joining replicas catch up and rebalances the table until no change is left.
 func settle(t *Table) {
 	for range 100_000 {
 		c, ok := nextStep(t)
@@ -39,8 +39,8 @@
 	}
 }
 
-// nextStep returns the change by which a joining replica has caught up or, if there is none, that of
-// Rebalance.
+// nextStep returns the change by which a joining replica has caught up or, if no replica is joining,
+// the next change of Rebalance.
 func nextStep(t *Table) (Change, bool) {
 	for i, s := range t.Slots {
 		if len(s.Joining) > 0 {
@@ -50,8 +50,8 @@
 	return t.Rebalance()
 }
 
-// Of any number of runners, the replicas of a slot are in as many zones as there are, and slots and
-// primaries are spread over the members.
+// For various numbers of runners, the replicas of a slot are in as many different zones as possible,
+// and slots and primaries are spread evenly over the members.
 func TestSlotsAreSpreadOverZonesAndMembers(t *testing.T) {
 	for _, tt := range []struct{ runners, zones, slots, backups int }{
 		{3, 3, 64, 2},
@@ -67,7 +67,7 @@
 				zones[table.Member(name).Zone] = true
 			}
 			if len(s.Replicas) != 1+tt.backups || len(zones) != min(1+tt.backups, tt.zones) {
-				t.Errorf("%+v: slot %d is at %v", tt, i, s.Replicas)
+				t.Errorf("%+v: replicas of slot %d = %v, want 1+backups in distinct zones", tt, i, s.Replicas)
 			}
 		}
 		fewest, most := tt.slots, 0
@@ -76,18 +76,19 @@
 		}
 		if len(table.slotCounts()) != tt.runners ||
 			most > 2*tt.slots*(1+tt.backups)/tt.runners+maxImbalance {
-			t.Errorf("%+v: %d hold from %d to %d slots", tt, len(table.slotCounts()), fewest, most)
+			t.Errorf("%+v: %d members hold from %d to %d slots, want all with about as many",
+				tt, len(table.slotCounts()), fewest, most)
 		}
 		for name, n := range table.primaryCounts() {
 			if n > 3*tt.slots/tt.runners+maxImbalance+1 {
-				t.Errorf("%+v: %s is the primary of %d slots", tt, name, n)
+				t.Errorf("%+v: %s is the primary of %d slots, more than three times the mean", tt, name, n)
 			}
 		}
 	}
 }
 
-// A leaving member comes to hold nothing, one slot after the other, and no slot ever has fewer
-// replicas; where the others are too few, it keeps what it has.
+// A leaving member gives up all its slots one by one, and all slots remain fully replicated meanwhile.
+// If the other members are too few, it keeps its slots.
 func TestLeavingMemberGivesUpItsSlotsOneByOne(t *testing.T) {
 	table := newSettledTable(t, 5, 3, 64, 2)
 	for _, name := range []string{"n001", "n003"} {
@@ -99,22 +100,22 @@
 			}
 			if table.Apply(c); table.FullyReplicatedSlots() < 64 || step > 10_000 {
 				full := table.FullyReplicatedSlots()
-				t.Fatalf("after %d steps, by %+v, %d slots are fully replicated", step, c, full)
+				t.Fatalf("step %d: %+v: fully replicated slots = %d, want 64 within 10000 steps", step, c, full)
 			}
 		}
 		if n := table.SlotCount(name); n != 0 {
-			t.Errorf("%s holds %d", name, n)
+			t.Errorf("slots of the leaving member %s = %d, want 0", name, n)
 		}
 	}
 	before := table.SlotCount("n000")
 	table.Apply(Change{Kind: ChangeLeave, Member: Member{Name: "n000"}})
 	settle(table)
 	if n := table.SlotCount("n000"); !table.NeedsLeavingMembers() || n != before {
-		t.Errorf("too few others are there, and it went from %d to %d slots", before, n)
+		t.Errorf("slots of a leaving member among too few others went from %d to %d, want no change", before, n)
 	}
 	table.Apply(Change{Kind: ChangeStay, Member: Member{Name: "n001"}})
 	settle(table)
 	if left, took := table.SlotCount("n000"), table.SlotCount("n001"); left != 0 || took == 0 {
-		t.Errorf("n000 holds %d, n001 %d", left, took)
+		t.Errorf("n000 holds %d slots, want 0; n001 holds %d, want some", left, took)
 	}
 }
