--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -22,41 +22,42 @@
 const (
 	// slotSaveInterval is the least time between two saves of one slot.
 	slotSaveInterval = 30 * time.Second
-	// diskRetryInterval is the time after which a record that could not be written is tried again.
+	// diskRetryInterval is the time after which a failed write of a record is repeated.
 	diskRetryInterval = time.Second
 	// closeTimeout bounds how long Close waits for the disk.
 	closeTimeout = time.Second
-	// maxQueuedOutputs bounds the outputs that wait for the disk.
+	// maxQueuedOutputs bounds the outputs that wait for the disk; see disk.enqueue.
 	maxQueuedOutputs = 1024
-	// maxQueuedWork bounds the work that waits for the disk's goroutine.
+	// maxQueuedWork bounds the writes that wait for the disk's goroutine.
 	maxQueuedWork = 4
 )
 
-// consensusOutput is one output of the consensus group: its messages may be sent, and its table
-// holds, only once its record is on disk.
+// consensusOutput is one output of the consensus participant. Its messages may be sent and its table
+// may be used only once its record is on disk.
 type consensusOutput struct {
 	messages []consensus.Message
 	record   *consensus.DurableRecord // nil: nothing has to be on disk
 	table    *placement.Table
 }
 
-// disk writes the consensus group's records before its messages go out, and saves slots now and
-// then. Its methods are called on the loop; a goroutine of its own does the writing.
+// disk writes the records of the consensus participant before the messages that depend on them are
+// sent, and saves the slots periodically. Its methods are called on the loop; a goroutine of its own
+// does the writing.
 type disk struct {
 	node        *Node
-	log         *wal.Log // used by the goroutine only
-	work        chan func()
+	log         *wal.Log      // used by the goroutine only
+	work        chan func()   // writes for the goroutine
 	stopped     chan struct{} // closed once the goroutine has closed the log
 	queue       []consensusOutput
-	newestTable *placement.Table // queued or released
-	writing     bool
-	failedSince time.Duration // 0: the disk does not fail
-	nextSlot    int
-	savedAt     []time.Duration // of each slot
-	saving      bool
+	newestTable *placement.Table // the table of the last enqueued output
+	writing     bool             // a record is being written, or waits for its retry
+	failedSince time.Duration    // when writing began to fail; 0: it does not fail
+	nextSlot    int              // the slot that was last considered for saving
+	savedAt     []time.Duration  // when each slot was last saved
+	saving      bool             // a slot is being saved
 }
 
-// openDisk opens the folder of the log, and returns what is in it.
+// openDisk opens the folder of the log, and returns the log records and slots stored there.
 func (n *Node) openDisk(dir string) ([]consensus.DurableRecord, []replication.SlotSnapshot, error) {
 	log, recovery, err := wal.Open(store.Dir(dir))
 	if err != nil {
@@ -69,7 +70,7 @@
 	return recovery.Log, recovery.Slots, nil
 }
 
-// run does the writing until Close closes the work.
+// run executes the writes until close closes the work channel, and then closes the log.
 func (d *disk) run() {
 	defer close(d.stopped)
 	for fn := range d.work {
@@ -80,8 +81,9 @@
 	}
 }
 
-// enqueue releases an output once all before it are released and its record is on disk. While a disk
-// hangs, messages without a record are lost, as others on their way may be.
+// enqueue releases an output once its record is on disk and all outputs before it are released. If
+// maxQueuedOutputs wait for a disk that hangs, the messages of an output without a record are dropped:
+// the protocol tolerates their loss, as it does in the network.
 func (d *disk) enqueue(output consensusOutput) {
 	d.newestTable = output.table
 	if len(d.queue) >= maxQueuedOutputs && output.record == nil {
@@ -92,8 +94,8 @@
 	d.writeNext()
 }
 
-// writeNext releases the outputs without a record at the front of the queue, and begins to write the
-// first record.
+// writeNext releases the outputs without a record at the front of the queue, and starts writing the
+// first record in the queue.
 func (d *disk) writeNext() {
 	for len(d.queue) > 0 && !d.writing {
 		output := d.queue[0]
@@ -110,8 +112,9 @@
 	}
 }
 
-// handleWritten releases the first output of the queue, or tries its record again after a pause. Until
-// that is on disk this voter sends nothing, so that the others go on without it.
+// handleWritten releases the first output of the queue or, if its record could not be written, tries
+// again after diskRetryInterval. Until the record is on disk, this voter sends none of the later
+// messages either, and the other voters continue without it.
 func (d *disk) handleWritten(err error) {
 	d.writing = false
 	now := d.node.loop.Now()
@@ -138,8 +141,9 @@
 	d.node.flush()
 }
 
-// saveNextSlot saves the next slot that is due, one at a time. A slot that is not saved is only sent
-// anew by the others.
+// saveNextSlot considers the next slot in turn and saves it if slotSaveInterval has passed since its
+// last save. One slot is saved at a time. Saving is an optimization: after a restart, the other
+// replicas send what was not saved.
 func (d *disk) saveNextSlot() {
 	now, slots := d.node.loop.Now(), len(d.node.consensus.Table().Slots)
 	if d.saving || slots == 0 || len(d.work) > 0 {
@@ -169,8 +173,9 @@
 	}
 }
 
-// Close saves all slots and closes the log. The loop delivers nothing more by then. It fails if the
-// disk does not answer within closeTimeout; what is on disk counts.
+// Close saves all slots and closes the log. It must be called after the loop has stopped. It returns
+// an error if the disk does not respond within closeTimeout; what is on disk by then is used at the
+// next start.
 func (n *Node) Close() error {
 	if n.disk == nil {
 		return nil
@@ -183,7 +188,7 @@
 			continue
 		}
 		select {
-		case d.work <- func() { _ = d.log.SaveSlot(snapshot) }: // the others send what is not saved
+		case d.work <- func() { _ = d.log.SaveSlot(snapshot) }: // other replicas send what is not saved
 		case <-timeout:
 			return errDiskClose
 		}
@@ -191,7 +196,7 @@
 	return d.close(timeout)
 }
 
-// close has the goroutine close the log once its work is done, and waits for that.
+// close waits until the goroutine has executed the queued writes and closed the log.
 func (d *disk) close(timeout <-chan time.Time) error {
 	close(d.work)
 	select {
--- a/internal/peers/node/doc.go
+++ b/internal/peers/node/doc.go
@@ -1,4 +1,4 @@
-// Package node is a runner's part among its peers. It ties the replica of keys, the consensus group,
-// the leases and the links between runners to the event loop and to the disk, and is what the
-// request lifecycle sees of them: a store of keys that are replicated, and reservations of keys.
+// Package node connects a runner to its peers. It drives the key replica, the consensus participant,
+// the leases and the links between runners from the event loop, and makes their state durable. To the
+// request lifecycle it provides a replicated key store and the reservation of keys.
 package node
--- a/internal/peers/node/errors.go
+++ b/internal/peers/node/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// The kinds of errors of this package.
+// The error kinds of this package.
 var (
 	kindReplacement = fault.Define(
 		"peers.invalid_replacement",
@@ -22,8 +22,8 @@
 )
 
 var (
-	errDiskClose   error = kindDiskClose.New("node: the disk does not answer; what is there counts")
+	errDiskClose   error = kindDiskClose.New("node: timeout closing the log; what is on disk is kept")
 	errDiskTimeout error = kindDiskTimeout.New(
-		"node: the disk does not answer in time; other runners have the result",
+		"node: timeout storing the result on the local disk; other runners have it",
 	)
 )
--- a/internal/peers/node/keys.go
+++ b/internal/peers/node/keys.go
@@ -11,13 +11,14 @@
 	"ryepaddle/internal/peers/replication"
 )
 
-// put replicates a record of a key. Done is called in a turn of the loop of its own: it may ask for
-// more at once.
+// put replicates a record of a key. Done is called by the loop after the current callback, so that it
+// may make further requests.
 func (n *Node) put(kind store.RecordKind, k lifecycle.KeyRecord, done func(replication.Result)) {
 	now := n.loop.Unix()
 	remaining := k.ExpiresAt.Sub(now)
 	timeout := n.cfg.ReplicationTimeout
-	if kind == store.RunEnded { // the lifecycle bounds how long an answer waits for this
+	// For the end of a run, the lifecycle bounds how long an answer waits for replication.
+	if kind == store.RunEnded {
 		timeout = max(timeout, remaining)
 	}
 	n.replica.Put(
@@ -30,8 +31,8 @@
 	n.loop.Post(n.flush)
 }
 
-// Reserve implements lifecycle.Reservations: a run begins once its beginning is replicated, unless
-// another attempt owns the key.
+// Reserve implements lifecycle.Reservations: a run may start once the record of its start is
+// replicated, unless another attempt owns the key.
 func (n *Node) Reserve(
 	k lifecycle.KeyRecord,
 	_ time.Duration,
@@ -56,7 +57,8 @@
 	})
 }
 
-// reservationError returns the error of a result as the lifecycle has it, or nil.
+// reservationError returns the error of a result as a lifecycle.ReplicationError, or nil if it has
+// none.
 func reservationError(result replication.Result) error {
 	if result.Err == nil {
 		return nil
@@ -64,7 +66,8 @@
 	return &lifecycle.ReplicationError{RetryAfter: result.RetryAfter, Err: result.Err}
 }
 
-// applyRemote tells the lifecycle of another attempt's run. One whose process is lost may have run.
+// applyRemote passes the record of another attempt's run to the lifecycle. A run whose process is lost
+// is in doubt, as it may have been executed: it is passed on as a failed one.
 func (n *Node) applyRemote(result replication.Result) {
 	record := *result.Record
 	record.ExpiresAt = n.loop.Unix().Add(result.Remaining)
@@ -74,17 +77,18 @@
 	n.keys.ApplyRemote(persistence.FromRecord(&record), record.Kind == store.KeyReleased)
 }
 
-// Ended implements lifecycle.Reservations. The end of a run is replicated by the key store, before
-// it is answered.
+// Ended implements lifecycle.Reservations. It does nothing, as the key store replicates the end of a
+// run before the caller gets the answer.
 func (n *Node) Ended(lifecycle.KeyRecord) {}
 
-// Released implements lifecycle.Reservations.
+// Released implements lifecycle.Reservations. It replicates the release of the key and does not wait
+// for it.
 func (n *Node) Released(k lifecycle.KeyRecord) {
 	n.put(store.KeyReleased, k, func(replication.Result) {})
 }
 
-// KeyStore returns a store that replicates keys to peers and keeps them in the local store too, if
-// that is not nil.
+// KeyStore returns a store that replicates keys to peers and also writes them to the local store,
+// unless that is nil.
 func (n *Node) KeyStore(local lifecycle.KeyStore) lifecycle.KeyStore {
 	n.localStore = local
 	return keyStore{n}
@@ -111,7 +115,7 @@
 // Timeout implements lifecycle.KeyStore.
 func (s keyStore) Timeout() time.Duration { return s.node.cfg.ReplicationTimeout }
 
-// Started implements lifecycle.KeyStore. Peers have the record by the reservation.
+// Started implements lifecycle.KeyStore. Peers already have the record from the reservation.
 func (s keyStore) Started(k lifecycle.KeyRecord, done func(error)) {
 	if s.node.localStore == nil {
 		s.node.loop.Post(func() { done(nil) })
@@ -120,9 +124,9 @@
 	s.node.localStore.Started(k, done)
 }
 
-// Ended implements lifecycle.KeyStore: done is called once peers and the local store have the end of
-// the run, and other runners its use. A local store that hangs is given its own timeout, as peers
-// have the result.
+// Ended implements lifecycle.KeyStore. Done is called once the peers and the local store have the end
+// of the run, and other runners have its usage record. The local store's own timeout bounds the wait
+// for it if it hangs, as the peers have the result.
 func (s keyStore) Ended(k lifecycle.KeyRecord, done func(error)) {
 	n := s.node
 	var errs error
@@ -144,7 +148,8 @@
 	n.put(store.RunEnded, k, func(result replication.Result) { finish(result.Err) })
 }
 
-// withTimeout returns a function that passes its first error on, unless the timeout came before it.
+// withTimeout returns a function whose first call passes its error on to done. If there is no call
+// before the timeout, done is called with errDiskTimeout and later calls are ignored.
 func (n *Node) withTimeout(timeout time.Duration, done func(error)) func(error) {
 	var timer *eventloop.Timer
 	called := false
@@ -160,7 +165,7 @@
 	return once
 }
 
-// Released implements lifecycle.KeyStore. Peers hear it by the reservation.
+// Released implements lifecycle.KeyStore. Peers get the release from Node.Released.
 func (s keyStore) Released(k lifecycle.KeyRecord) {
 	if s.node.localStore != nil {
 		s.node.localStore.Released(k)
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -23,8 +23,9 @@
 // reportTicks is the number of ticks between two health reports to other runners.
 const reportTicks = 10
 
-// BootTime returns the time since the machine booted in whole microseconds, with the time for which
-// it was suspended. Leases go by it. Where it cannot be read it is 0, by which no lease is held.
+// BootTime returns the time since the machine booted, including the time for which it was suspended,
+// in whole microseconds. It is the clock of leases. If the clock cannot be read, BootTime returns 0
+// and the runner is granted no leases.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -33,15 +34,15 @@
 	return time.Duration(t.Nano()).Truncate(time.Microsecond)
 }
 
-// Leases are the leases of this runner and the health checks that go by them. Its methods are called
-// on the loop, but for Holds.
+// Leases manages the leases of this runner and the health checks that depend on them. All methods
+// except Holds must be called on the loop.
 type Leases struct {
 	node         *Node
 	holder       *lease.Holder
 	snapshot     lease.Snapshot
 	HealthChecks *lease.HealthChecks
-	heldTokens   map[string]uint64 // by lease, as was logged
-	suspended    map[string]bool   // of those, the ones that this runner may not rely on now
+	heldTokens   map[string]uint64 // the tokens of leases logged as acquired and not yet as lost, by lease
+	suspended    map[string]bool   // the leases in heldTokens that this runner may not rely on at present
 	releasing    bool              // this runner is about to stop
 }
 
@@ -59,14 +60,14 @@
 // Leases returns the leases of this runner.
 func (n *Node) Leases() *Leases { return n.leases }
 
-// Holds reports whether this runner may rely on a lease now, and its token. Any goroutine may call
-// it.
+// Holds reports whether this runner may rely on a lease now, and the lease's fencing token. It may be
+// called by any goroutine.
 func (l *Leases) Holds(name string) (token uint64, ok bool) {
 	return l.snapshot.Holds(name, BootTime())
 }
 
-// update publishes what is held now, logs what changed and releases what this runner is not to hold
-// any more.
+// update publishes the leases that are held now, logs changes and releases the leases that this runner
+// should no longer hold.
 func (l *Leases) update() {
 	now := BootTime()
 	held := l.holder.HeldLeases(now)
@@ -86,8 +87,8 @@
 	l.snapshot.Set(l.holder.HeldLeases(now))
 }
 
-// logLost logs the leases that were held and are not, or that this runner may not rely on as their
-// time is over or their release is under way.
+// logLost logs the leases that this runner has lost, and as suspended those that it holds by the table
+// but may not rely on, because they were not renewed in time or their release is pending.
 func (l *Leases) logLost(held []lease.Grant) {
 	t := l.node.consensus.Table()
 	for name, token := range l.heldTokens {
@@ -108,8 +109,8 @@
 	}
 }
 
-// shouldRelease reports whether this runner is about to stop, leaves, or may not hold the lease by
-// the operator's file any more.
+// shouldRelease reports whether this runner is to release a lease: it is about to stop, it is leaving,
+// or the operator's file no longer allows it to hold the lease.
 func (l *Leases) shouldRelease(name string) bool {
 	self := l.node.cfg.Links.Name
 	if m := l.node.consensus.Table().Member(self); l.releasing || m != nil && m.Leaving {
@@ -118,14 +119,14 @@
 	return !slices.Contains(l.node.cfg.LeaseRules.NamesFor(self), name)
 }
 
-// ReleaseAll releases all leases, as this runner is about to stop.
+// ReleaseAll releases all leases and takes no new ones. It is called before this runner stops.
 func (l *Leases) ReleaseAll() {
 	l.releasing = true
 	l.node.consensus.StopTakingLeases()
 	l.node.loop.Post(l.node.flush)
 }
 
-// sendHealthReports sends the other members what this runner saw of servers for them.
+// sendHealthReports sends the results of this runner's health checks under leases to all other members.
 func (l *Leases) sendHealthReports() {
 	for _, report := range l.HealthChecks.TakeReports(l.node.cfg.Links.Name, l.node.loop.Now(), l.Holds) {
 		for _, m := range l.node.consensus.Table().Members {
@@ -144,25 +145,25 @@
 	}
 }
 
-// SetLeaseRules replaces the rules of leases and the zones whose servers one runner checks.
+// SetLeaseRules replaces the lease rules and the zones whose servers one runner checks for all.
 func (n *Node) SetLeaseRules(rules lease.Rules, checkedZones []string) {
 	n.cfg.LeaseRules = rules
 	n.consensus.SetLeaseRules(rules)
 	n.leases.HealthChecks.SetZones(checkedZones)
 }
 
-// LeaseStatus is how a lease stands, as this runner knows it.
+// LeaseStatus is the state of a lease as this runner knows it.
 type LeaseStatus struct {
 	Name          string `json:"name"`
 	Holder        string `json:"holder,omitempty"`
 	Token         uint64 `json:"token,omitempty"`
-	HeldHere      bool   `json:"here,omitempty"`        // this runner may rely on it now
-	RemainingMs   int64  `json:"left_ms,omitempty"`     // if it is held here
-	Expirations   int    `json:"lapses,omitempty"`      // members that lost it without releasing it
-	HandoverBytes int    `json:"check_bytes,omitempty"` // left for the next holder
+	HeldHere      bool   `json:"here,omitempty"`        // this runner may rely on the lease now
+	RemainingMs   int64  `json:"left_ms,omitempty"`     // for which this runner may rely on it, if it does
+	Expirations   int    `json:"lapses,omitempty"`      // members that lost the lease without releasing it
+	HandoverBytes int    `json:"check_bytes,omitempty"` // size of the handover for the next holder
 }
 
-// status returns how all leases of the operator's file and of the table stand.
+// status returns the state of all leases in the operator's file or in the table, sorted by name.
 func (l *Leases) status() (all []LeaseStatus) {
 	now, t := BootTime(), l.node.consensus.Table()
 	for _, r := range l.node.cfg.LeaseRules.Rules {
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// tickInterval is the time between two ticks of the replica and the consensus group.
+	// tickInterval is the time between two ticks of the replica and the consensus participant.
 	tickInterval = 20 * time.Millisecond
-	// tableLogInterval is the least time between two log lines about tables with slots that lack
+	// tableLogInterval is the least time between two log lines about tables in which slots lack
 	// replicas.
 	tableLogInterval = time.Second
 )
@@ -35,39 +35,39 @@
 type Config struct {
 	Links        link.Config
 	Zone         string
-	Voters       []string // of the consensus group
-	KnownMembers []string // all members of the operator's file
+	Voters       []string // names of the voters of the consensus group
+	KnownMembers []string // names of all members in the operator's file
 	Slots        int
-	Backups      int           // replicas of a slot beside the primary
+	Backups      int           // replicas of a slot besides the primary
 	KeyWindow    time.Duration // the longest window of all classes
-	MaxBytes     int           // of the records of keys; 0: no bound
-	CatchUpRate  int64         // bytes a second sent to replicas that are catching up; 0: no bound
+	MaxBytes     int           // bound of the key records' size; 0: no bound
+	CatchUpRate  int64         // bytes per second sent to replicas that are catching up; 0: no bound
 	// ReplicationTimeout bounds how long a run or an answer waits for replicas.
 	ReplicationTimeout time.Duration
-	Process            uint32 // the number of this process
-	Incarnation        uint64 // of the membership
-	Dir                string // on a durable disk; "": there is none
-	UsageReplicas      UsageReplicas
+	Process            uint32        // the number of this process
+	Incarnation        uint64        // of this runner's membership
+	Dir                string        // the folder for durable state; "": nothing is durable
+	UsageReplicas      UsageReplicas // nil: no usage ledgers are kept
 	LeaseRules         lease.Rules
-	CheckedZones       []string // whose servers one runner checks
+	CheckedZones       []string // the zones whose servers one runner checks for all
 }
 
-// UsageReplicas replicates the ledgers of usage; nil where none are kept. Its methods are called on
-// the loop, and do not wait.
+// UsageReplicas replicates the usage ledgers. Its methods are called on the loop and must not block.
 type UsageReplicas interface {
 	Receive(m *usagereplica.Message)
 	SetTable(t *placement.Table, incarnation uint64)
-	// Replicate counts the use of a run that ended, and calls done on the loop once others have it.
+	// Replicate records the usage of an ended run, and calls done on the loop once others have it.
 	Replicate(k lifecycle.KeyRecord, done func(error))
 }
 
-// KeyTable takes what other runners know of keys that this one has asked for.
+// KeyTable receives the records that other runners have of keys that this runner tried to reserve.
 type KeyTable interface {
-	ApplyRemote(k lifecycle.KeyRecord, forgotten bool)
+	// ApplyRemote applies a key's record. With released, the key's run never started.
+	ApplyRemote(k lifecycle.KeyRecord, released bool)
 }
 
-// Node is a runner's part among its peers. Its methods are called on the loop. Close releases its
-// disk; the links are the loop's.
+// Node is a runner as a peer of the other runners. Its methods must be called on the loop, except
+// Close, which closes the disk after the loop has stopped. The loop closes the links.
 type Node struct {
 	cfg        Config
 	loop       *eventloop.Loop
@@ -79,16 +79,15 @@
 	leases     *Leases
 	disk       *disk // nil: nothing is durable
 
-	// durableTable is the newest table that is on disk, if there is one, and appliedVersion the
-	// version of the one that the parts go by.
+	// durableTable is the newest table whose record is on disk, or the newest one if there is no disk.
 	durableTable   *placement.Table
-	appliedVersion uint64
+	appliedVersion uint64 // the version of the table that the node's components use
 	tableLoggedAt  time.Duration
-	flushing       bool
+	flushing       bool // flush is running
 	ticks          int
 }
 
-// Start opens the disk and listens for peers. The node takes part from Run on.
+// Start opens the disk and listens for peers. The node does not take part before Run.
 func Start(loop *eventloop.Loop, cfg Config) (*Node, error) {
 	n := &Node{cfg: cfg, loop: loop}
 	var log []consensus.DurableRecord
@@ -108,7 +107,7 @@
 	return n, nil
 }
 
-// open begins the parts of the node with what its disk has, and listens.
+// open creates the node's components from the state on its disk, and listens for peers.
 func (n *Node) open(log []consensus.DurableRecord, slots []replication.SlotSnapshot) error {
 	cfg := &n.cfg
 	n.replica = replication.New(
@@ -159,7 +158,7 @@
 // Transport returns the links to other runners.
 func (n *Node) Transport() *link.Transport { return n.transport }
 
-// Run begins to take part. What others know of keys goes to keys.
+// Run makes the node take part. Records of other runners are passed to keys.
 func (n *Node) Run(keys KeyTable) {
 	n.keys = keys
 	n.loop.Every(tickInterval, n.tick)
@@ -177,7 +176,8 @@
 	}
 }
 
-// receive handles a message of a peer. One that does not name its sender is ignored.
+// receive handles a frame of a peer. A message in it is ignored unless it names that peer as its
+// sender.
 func (n *Node) receive(from string, f *link.Frame) {
 	switch {
 	case f.Replication != nil && f.Replication.From == from:
@@ -196,10 +196,10 @@
 	n.flush()
 }
 
-// flush exchanges what the parts have for each other and sends what they have for peers, until
-// nothing more comes of it.
+// flush passes changes, tables and messages between the node's components and to peers until there are
+// no more.
 func (n *Node) flush() {
-	if n.flushing { // a part called back; the outer call goes on
+	if n.flushing { // called back by a component; the outer call continues
 		return
 	}
 	n.flushing = true
@@ -208,7 +208,7 @@
 	}
 }
 
-// exchange does one round of flush, and reports whether another one is due.
+// exchange does one round of flush, and reports whether another round is needed.
 func (n *Node) exchange() (more bool) {
 	n.consensus.Propose(n.replica.TakeChanges(), n.loop.Now())
 	n.consensus.Propose(n.leases.holder.PendingChanges(BootTime()), n.loop.Now())
@@ -226,7 +226,8 @@
 	return more || n.leases.holder.HasUnsentChanges()
 }
 
-// takeConsensusOutput sends what the consensus group has, by way of the disk if there is one.
+// takeConsensusOutput releases the output of the consensus participant: at once, or through the disk
+// if there is one.
 func (n *Node) takeConsensusOutput() {
 	messages, record, err := n.consensus.Ready()
 	if err != nil {
@@ -241,7 +242,7 @@
 	}
 }
 
-// release sends messages of the consensus group whose record is durable, and lets its table hold.
+// release sends the messages of an output whose record is durable, and makes its table available.
 func (n *Node) release(output consensusOutput) {
 	for i := range output.messages {
 		m := &output.messages[i]
@@ -250,8 +251,8 @@
 	n.durableTable = output.table
 }
 
-// applyTable has all parts go by a table. A runner that the table has as lost comes back in another
-// incarnation.
+// applyTable passes a table to all components. If this runner is lost according to the consensus
+// participant's table, it rejoins in a new incarnation.
 func (n *Node) applyTable(t *placement.Table) {
 	n.appliedVersion = t.Version
 	if n.consensus.DeclaredLost() {
@@ -276,7 +277,8 @@
 	n.logTable(t)
 }
 
-// logTable logs a table: each one that has all replicas, others once in tableLogInterval.
+// logTable logs a table. Tables in which slots lack replicas are logged at most once per
+// tableLogInterval.
 func (n *Node) logTable(t *placement.Table) {
 	full := t.FullyReplicatedSlots()
 	if n.loop.Now() < n.tableLoggedAt+tableLogInterval && full < len(t.Slots) {
@@ -286,32 +288,34 @@
 	eventTable.Log(t.Version, len(t.Members), full, len(t.Slots), n.consensus.IsLeader())
 }
 
-// SendUsage sends messages about ledgers of usage.
+// SendUsage sends messages about usage ledgers to peers.
 func (n *Node) SendUsage(messages []usagereplica.Message) {
 	for i := range messages {
 		n.transport.Send(messages[i].To, &link.Frame{Usage: &messages[i]})
 	}
 }
 
-// SetMembers replaces the members of the operator's file. Voters stay as they were at the start.
+// SetMembers replaces the peers and the names of all members in the operator's file. The voters remain
+// those at the start.
 func (n *Node) SetMembers(peers []link.Peer, known []string) {
 	n.transport.SetPeers(peers)
 	n.consensus.SetKnownMembers(known)
 }
 
-// SetLeaving has a member give up all its slots, or keep them after all.
+// SetLeaving proposes that a member gives up all its slots or, if leave is false, stays after all.
 func (n *Node) SetLeaving(name string, leave bool) error {
 	err := n.consensus.SetLeaving(name, leave, n.loop.Now())
 	n.loop.Post(n.flush)
 	return err
 }
 
-// Replace has a member give up all its slots in favour of another one that is a member already.
+// Replace proposes that member old gives up all its slots, after checking that member by is there to
+// take them over.
 func (n *Node) Replace(old, by string) error {
 	m := n.consensus.Table().Member(by)
 	switch {
 	case m == nil || m.Incarnation == 0:
-		return kindReplacement.New("%s is not in: add it to all files, and start it first", by)
+		return kindReplacement.New("%s is not a member: add it to all files and start it first", by)
 	case m.Leaving || old == by:
 		return kindReplacement.New("%s is leaving itself", by)
 	}
--- a/internal/peers/node/node_test.go
+++ b/internal/peers/node/node_test.go
@@ -11,6 +11,8 @@
 	"ryepaddle/internal/peers/wal"
 )
 
+// A node that fails to start must unlock its folder: otherwise another start with a corrected
+// configuration would fail.
 func TestNodeThatDoesNotStartUnlocksItsFolder(t *testing.T) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -26,24 +28,25 @@
 		Dir:     dir,
 	})
 	if f := fault.Find(err); f == nil || f.Kind.Name != "peers.invalid_voters" {
-		t.Fatalf("the node starts with two voters: %v", err)
+		t.Fatalf("Start() with two voters = %v, want an error of kind peers.invalid_voters", err)
 	}
 	log, _, err := wal.Open(store.Dir(dir))
 	if err != nil {
-		t.Fatalf("the folder is not unlocked: %v", err)
+		t.Fatalf("opening the folder after the failed start: %v", err)
 	}
 	if err := log.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Leases compare times of this clock that were sent as whole microseconds.
+// BootTime must be in whole microseconds: leases compare its times with times that were sent to the
+// leader and back as whole microseconds.
 func TestBootTimeIsInWholeMicroseconds(t *testing.T) {
 	before := BootTime()
 	if before <= 0 || before%time.Microsecond != 0 {
-		t.Errorf("it is %v", before)
+		t.Errorf("BootTime() = %v, want a positive number of whole microseconds", before)
 	}
 	if after := BootTime(); after < before {
-		t.Errorf("it went back from %v to %v", before, after)
+		t.Errorf("BootTime() went back from %v to %v", before, after)
 	}
 }
--- a/internal/peers/node/status.go
+++ b/internal/peers/node/status.go
@@ -5,29 +5,29 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// KeyStatus is where a key is replicated, and what this runner has of it. Its JSON is what operators
-// read.
+// KeyStatus tells where a key is replicated and which record of it this runner has. Operators read its
+// JSON form.
 type KeyStatus struct {
 	Slot     int      `json:"slot"`
 	Epoch    uint64   `json:"epoch"`
 	Replicas []string `json:"set"` // the primary first
 	Joining  []string `json:"joining,omitempty"`
-	// QuarantineMs is for how long the slot accepts no new keys, as far as is known here.
+	// QuarantineMs is for how long the slot accepts no new keys, as far as this runner knows.
 	QuarantineMs int64 `json:"quiet_ms,omitempty"`
 	// State is begun, ended, forgotten, KeyNotHeld or KeyUnknown.
 	State       string `json:"here"`
-	Owner       string `json:"by,omitempty"`      // the runner whose process runs it, or ran it
-	RemainingMs int64  `json:"left_ms,omitempty"` // of its window
+	Owner       string `json:"by,omitempty"`      // the runner whose process executes or executed the run
+	RemainingMs int64  `json:"left_ms,omitempty"` // of the key's window
 	ResultBytes int    `json:"bytes,omitempty"`
 }
 
-// States of a key that this node has no record of.
+// States of a key of which this node has no record.
 const (
 	KeyNotHeld = "not held" // this node is no replica of the key's slot
 	KeyUnknown = "unknown"  // this node is a replica of the slot, and has no record of the key
 )
 
-// KeyStatus returns where a key is replicated.
+// KeyStatus returns the status of a key as this runner knows it.
 func (n *Node) KeyStatus(name store.KeyName) *KeyStatus {
 	t := n.consensus.Table()
 	info := n.replica.Lookup(name, n.loop.Now())
@@ -55,7 +55,7 @@
 	return s
 }
 
-// stateName returns the state of a key with a record of that kind.
+// stateName returns the KeyStatus.State of a key whose record is of the given kind.
 func stateName(kind store.RecordKind) string {
 	switch kind {
 	case store.RunStarted:
@@ -68,7 +68,8 @@
 	return ""
 }
 
-// ownerName returns the runner whose process owns a record.
+// ownerName returns the name of the runner whose process owns a record, or a text that says that the
+// process is no member's any more.
 func ownerName(t *placement.Table, record *store.Record) string {
 	owner := "a process that is gone"
 	for _, m := range t.Members {
@@ -79,42 +80,42 @@
 	return owner
 }
 
-// Status is how replication stands, as this runner knows it. Its JSON is what operators read.
+// Status is the state of replication as this runner knows it. Operators read its JSON form.
 type Status struct {
 	Version         uint64          `json:"version"` // of the table
-	IsLeader        bool            `json:"leads"`   // of the consensus group
+	IsLeader        bool            `json:"leads"`   // this runner is the consensus group's leader
 	IsMember        bool            `json:"in"`
 	Unavailable     string          `json:"closed,omitempty"` // why no new keys are accepted
 	FullyReplicated int             `json:"slots_whole"`
 	Slots           int             `json:"slots"`
-	Members         []string        `json:"members"` // that are not lost
+	Members         []string        `json:"members"` // the members that are not lost
 	Lost            []string        `json:"lost,omitempty"`
 	Leaving         []LeavingMember `json:"leaving,omitempty"`
 	Links           int             `json:"links"`                     // connections to peers
-	Relayed         int64           `json:"messages_passed,omitempty"` // between other runners
-	HeldBytes       int             `json:"bytes_held"`                // about how many the records take
+	Relayed         int64           `json:"messages_passed,omitempty"` // messages relayed between other runners
+	HeldBytes       int             `json:"bytes_held"`                // approximate size of the records
 	CatchUpBytes    int64           `json:"bytes_copied"`              // sent to replicas to bring them up to date
 	Messages        int64           `json:"messages_sent"`
 	Dropped         int64           `json:"messages_dropped"`
 	Leases          []LeaseStatus   `json:"duties,omitempty"`
-	// HealthChecks is set where one runner checks a zone's servers.
+	// HealthChecks is set if there are zones whose servers one runner checks for all.
 	HealthChecks *HealthCheckStatus `json:"checks,omitempty"`
 }
 
 // HealthCheckStatus counts health checks of servers.
 type HealthCheckStatus struct {
-	Performed int64 `json:"made"`   // by this runner
-	Skipped   int64 `json:"spared"` // another runner had reported the server
-	Stale     int64 `json:"late"`   // reports of runners that had lost the lease
+	Performed int64 `json:"made"`   // checks by this runner
+	Skipped   int64 `json:"spared"` // checks skipped because another runner had reported the server
+	Stale     int64 `json:"late"`   // rejected reports of runners that had lost the lease
 }
 
-// LeavingMember is a member that gives up its slots.
+// LeavingMember is a member that is giving up its slots.
 type LeavingMember struct {
 	Name  string `json:"name"`
-	Slots int    `json:"holds"` // that it still has
+	Slots int    `json:"holds"` // how many slots it still holds
 }
 
-// Status returns how replication stands.
+// Status returns the state of replication as this runner knows it.
 func (n *Node) Status() *Status {
 	t := n.consensus.Table()
 	s := &Status{
