--- a/internal/peers/consensus/heartbeat.go
+++ b/internal/peers/consensus/heartbeat.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// replyToRestarting answers the heartbeat of a restarting voter with one of the same kind if this
-// voter itself has just started without an ID from the others. It counted on the sender for that,
-// but the sender may have missed its heartbeat and would not count this voter.
+// replyToRestarting replies to the heartbeat of a restarting voter if this voter has just started
+// without an ID from the others. This voter counted the sender among the restarting voters, but the
+// sender may have missed its heartbeat and would then not count it.
 func (c *Participant) replyToRestarting(m *Message) {
 	hasLog, ok := c.startedWithoutOthers()
 	if !ok {
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -230,7 +230,7 @@
 	c.sendHeartbeat()
 }
 
-// Receive handles a message.
+// Receive handles a message from another runner.
 func (c *Participant) Receive(m *Message, now time.Duration) {
 	c.now = max(c.now, now)
 	switch m.Type {
--- a/internal/peers/lease/granter.go
+++ b/internal/peers/lease/granter.go
@@ -191,7 +191,7 @@
 // letter differ little in the high bits.
 func hashRank(lease, member string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(lease + "\x00" + member)) // a hash returns no error
+	_, _ = h.Write([]byte(lease + "\x00" + member)) // Write of a hash.Hash never returns an error
 	x := h.Sum64()
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return x ^ x>>27
--- a/internal/peers/lease/holder.go
+++ b/internal/peers/lease/holder.go
@@ -36,7 +36,7 @@
 	confirmations []confirmation            // those whose table this runner does not have yet
 	released      map[string]uint64         // the tokens under which leases were released, by lease
 	pending       map[string]*pendingChange // by lease
-	seq           uint64                    // of the last change
+	seq           uint64                    // the sequence number of this holder's last change
 }
 
 // confirmation tells that a quorum confirmed the leader after this runner had asked at askedAt, and
--- a/internal/peers/placement/table.go
+++ b/internal/peers/placement/table.go
@@ -194,7 +194,7 @@
 
 func fnv64(text string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // a hash returns no error
+	_, _ = h.Write([]byte(text)) // Write of a hash.Hash never returns an error
 	return h.Sum64()
 }
 
