--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -35,7 +35,7 @@
 	// AskedAt is when the holder asked for the lease before the grant, by its own lease clock; 0: not
 	// known.
 	AskedAt wallclock.Micros `cbor:"8,keyasint,omitempty"`
-	Seq     uint64           `cbor:"9,keyasint,omitempty"` // sequence number of the holder's newest change under the token
+	Seq     uint64           `cbor:"9,keyasint,omitempty"` // of the holder's newest change under the token
 	// ReleasedBy is the member that released the lease; it is empty once the lease is granted again.
 	ReleasedBy string `cbor:"10,keyasint,omitempty"`
 }
