--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxPreconnectedAge is how long a connection that was opened in advance is used: servers close
-	// those on which nothing comes.
+	// maxPreconnectedAge is the greatest age at which a connection that was opened in advance is used:
+	// servers close connections on which they receive nothing.
 	maxPreconnectedAge = 2 * time.Second
-	// maxBodyPart is the size of one part of a request body that streams, in bytes.
+	// maxBodyPart is the greatest size of one part of a request body that streams, in bytes.
 	maxBodyPart = 128 << 10
-	// packetHeaderBytes is the size of the header of a uwsgi packet.
+	// packetHeaderBytes is the size of the header of a uwsgi packet, in bytes.
 	packetHeaderBytes = 4
 )
 
 // connection is a connection to a server. It carries one request, or was opened in advance and
-// waits for one.
+// waits for a request.
 type connection struct {
 	server      *server
 	conn        *eventloop.Conn
 	established bool
 	dialedAt    time.Duration // monotonic
-	exchange    *exchange     // nil: it waits for one, or its exchange gave it up
+	exchange    *exchange     // nil: it has no exchange yet, or its exchange has abandoned it
 }
 
 // dial opens a connection to a server.
@@ -41,7 +41,7 @@
 	return c
 }
 
-// takePreconnected returns a connection that was opened in advance and can still be used; nil:
+// takePreconnected returns a connection that was opened in advance and can still be used, or nil if
 // there is none.
 func (g *Group) takePreconnected(s *server) *connection {
 	for len(s.preconnected) > 0 && s.preconnected[0].established {
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// preconnect opens connections in advance, within what the server may have.
+// preconnect opens connections to a server in advance, unless the server gets no traffic. Requests in
+// flight and connections opened in advance together stay within the server's limit of requests.
 func (g *Group) preconnect(s *server) {
 	for len(s.preconnected) < g.options.Preconnect {
 		isAtLimit := s.ActiveRequests+len(s.preconnected) >= g.options.Picker.MaxRequests
@@ -69,7 +70,7 @@
 	}
 }
 
-// closePreconnected closes connections that were opened in advance, until keep are left.
+// closePreconnected closes the newest connections that were opened in advance, until keep are left.
 func (s *server) closePreconnected(keep int) {
 	for len(s.preconnected) > keep {
 		c := s.preconnected[len(s.preconnected)-1]
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -25,14 +25,15 @@
 )
 
 var (
-	errConnectTimeout  = errors.New("connection takes too long")
-	errConnectDeadline = errors.New("connection does not stand in time")
-	errClosed          = errors.New("closed")
-	errTruncated       = errors.New("closed before the answer was whole")
-	errUnsolicited     = errors.New("something came before it was asked for")
+	errConnectTimeout  = errors.New("connection not established within the connect timeout")
+	errConnectDeadline = errors.New("connection not established before the deadline of the request")
+	errClosed          = errors.New("connection closed by the server")
+	errTruncated       = errors.New("connection closed before the response was complete")
+	errUnsolicited     = errors.New("data received on a connection without a request")
 )
 
-// withoutRequestKind returns the cause of an error of requestKind, as the log names it.
+// withoutRequestKind returns the cause of an error of requestKind, so that the log shows the cause
+// without the kind. It returns any other error unchanged.
 func withoutRequestKind(err error) error {
 	var f *fault.Error
 	if errors.As(err, &f) && f.Kind == requestKind {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,21 +19,21 @@
 	group          *Group
 	server         *server // nil: no server was found
 	attempt        *lifecycle.Attempt
-	packet         []byte // the request, as it is sent
+	packet         []byte // the request as sent; of a body that streams only the part read so far
 	startedAt      time.Duration
 	connection     *connection
 	isPreconnected bool             // the connection was opened in advance
-	connecting     *eventloop.Timer // until the connection is established
+	connecting     *eventloop.Timer // connect timeout; runs until the connection is established
 	deadline       *eventloop.Timer
-	upload         lifecycle.Upload // the rest of a request body that streams; nil: there is none
+	upload         lifecycle.Upload // sends the rest of a request body that streams; nil: nothing to send
 
 	isHead      bool // the method is HEAD: the response has no body
 	reader      *httpmessage.ResponseReader
 	flow        *flowcontrol.Response
-	result      *lifecycle.Result        // nil: the head of the response has not come
+	result      *lifecycle.Result        // nil: the head of the response has not been received
 	body        []byte                   // buffered, or to be cached
-	isStreaming bool                     // the response is forwarded as it comes
-	consumer    lifecycle.StreamConsumer // of a response that streams; nil: none
+	isStreaming bool                     // the response is forwarded as it arrives
+	consumer    lifecycle.StreamConsumer // reader of a response that streams; nil: none
 }
 
 // Run implements lifecycle.Runner.
@@ -80,8 +80,8 @@
 }
 
 // openConnection returns a connection that was opened in advance, or a new one. An idle connection
-// may be broken without having been reset: a request that may run only once, or whose body cannot
-// be sent again, gets a new one.
+// may be broken without having been reset, so that a request has to be sent again: a request that may
+// run only once, or whose body cannot be sent again, gets a new connection.
 func (x *exchange) openConnection() *connection {
 	if x.attempt.Idempotent && x.attempt.Request.Upload == nil {
 		if c := x.group.takePreconnected(x.server); c != nil {
@@ -92,7 +92,7 @@
 	return x.group.dial(x.server)
 }
 
-// pick returns a server for an attempt; nil: there is none.
+// pick returns a server for an attempt, or nil if there is none.
 func (g *Group) pick(a *lifecycle.Attempt, now time.Duration) *picker.Server {
 	isRetry := a.Previous != nil
 	if !isRetry {
@@ -111,8 +111,8 @@
 	return s
 }
 
-// Abandon implements lifecycle.Runner. A request with side effects goes on to its end, so that its
-// result can be cached.
+// Abandon implements lifecycle.Runner. A request with side effects is not cancelled but runs to its
+// end, so that its result can be cached.
 func (g *Group) Abandon(a *lifecycle.Attempt) {
 	if x := g.exchanges[a]; x != nil && a.Idempotent {
 		g.loop.Post(func() { x.end(lifecycle.Cancelled, nil) })
@@ -122,7 +122,7 @@
 // isOpen reports whether the exchange has not ended.
 func (x *exchange) isOpen() bool { return x.group.exchanges[x.attempt] == x }
 
-// send sends the request on a connection, and opens others in advance for the next ones.
+// send sends the request on a connection, and opens connections in advance for later requests.
 func (x *exchange) send(c *connection) {
 	g := x.group
 	c.exchange = x
@@ -136,7 +136,8 @@
 	g.preconnect(x.server)
 }
 
-// connected sends the rest of a body that streams.
+// connected is called when the connection is established. It starts to send the rest of a request body
+// that streams.
 func (x *exchange) connected() {
 	x.connecting.Stop()
 	request := x.attempt.Request
@@ -166,8 +167,9 @@
 	}
 }
 
-// deadlinePassed ends the attempt at its deadline. One with side effects gets the same time once
-// more: its caller has gone, but a retry of the request gets its result.
+// deadlinePassed ends the attempt at its deadline. An attempt with side effects may take twice the time
+// from the request's arrival to its deadline: its caller has gone by then, but a retry of the request
+// gets its result.
 func (x *exchange) deadlinePassed() {
 	if !x.connection.established {
 		x.unreachable(errConnectDeadline)
@@ -184,8 +186,9 @@
 	x.end(lifecycle.TimedOut, nil)
 }
 
-// fail ends the attempt by an error of its connection. An idempotent request whose connection was
-// opened in advance, and has answered nothing, is sent again on a new connection.
+// fail ends the attempt because of an error of its connection. If the connection was opened in advance,
+// which only idempotent requests use, and no head of a response has been received, the request is sent
+// again on a new connection.
 func (x *exchange) fail(err error) {
 	if !x.connection.established {
 		x.unreachable(err)
@@ -206,7 +209,7 @@
 	x.end(lifecycle.Interrupted, nil)
 }
 
-// unreachable ends an attempt whose connection was not established: nothing was sent, so that it
+// unreachable ends an attempt whose connection was not established: nothing was sent, so the request
 // did not run.
 func (x *exchange) unreachable(err error) {
 	if x.isOpen() {
@@ -223,7 +226,7 @@
 func (x *exchange) connectionClosed(err error) {
 	var refused *eventloop.ConnectionRefusedError
 	switch {
-	case errors.As(err, &refused): // it cannot have run
+	case errors.As(err, &refused): // the request cannot have run
 		x.end(lifecycle.Unreachable, nil)
 	case err == nil || errors.Is(err, io.EOF):
 		x.fail(errClosed)
@@ -232,7 +235,7 @@
 	}
 }
 
-// end releases the exchange and reports the outcome, once.
+// end releases the exchange and reports the outcome. Only the first call has an effect.
 func (x *exchange) end(outcome lifecycle.Outcome, result *lifecycle.Result) {
 	if !x.isOpen() {
 		return
@@ -261,7 +264,7 @@
 	g.sink.AttemptEnded(x.attempt, outcome, result)
 }
 
-// endpointOutcome returns what the end of an attempt says about its server.
+// endpointOutcome returns the outcome that counts for the health of the attempt's server.
 func endpointOutcome(outcome lifecycle.Outcome) endpointhealth.Outcome {
 	switch outcome {
 	case lifecycle.Succeeded:
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -17,7 +17,7 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// recorder is a sink that keeps the ends of attempts.
+// recorder is a sink that records the outcomes and results of attempts.
 type recorder struct {
 	outcomes []lifecycle.Outcome
 	results  []string
@@ -31,7 +31,7 @@
 	}
 }
 
-// newTestGroup returns a group of one server.
+// newTestGroup returns a group with one server, at the address.
 func newTestGroup(s *scenario.SteppedLoop, sink Sink, at netip.AddrPort, connectTimeout time.Duration) *Group {
 	opt := Options{
 		ConnectTimeout: connectTimeout,
@@ -63,12 +63,13 @@
 	}
 }
 
-// Nothing was sent, whatever ends the attempt: one with side effects may be sent elsewhere, and its
-// key is not taken for that of a request that ran.
+// An attempt that ends before its connection is established is Unreachable, whether the connect timeout
+// or the deadline ends it: nothing was sent, so even a request with side effects may be sent to another
+// server, and its key is not taken for that of a request that ran.
 func TestAttemptWithoutAConnectionIsUnreachable(t *testing.T) {
-	for name, c := range map[string]struct{ connectTimeout, timeout, passes time.Duration }{
-		"it takes too long to connect": {time.Second, 3 * time.Second, time.Second},
-		"the deadline is before":       {3 * time.Second, time.Second, time.Second},
+	for name, c := range map[string]struct{ connectTimeout, timeout, advance time.Duration }{
+		"connect timeout before deadline": {time.Second, 3 * time.Second, time.Second},
+		"deadline before connect timeout": {3 * time.Second, time.Second, time.Second},
 	} {
 		for _, idempotent := range []bool{true, false} {
 			t.Run(name, func(t *testing.T) {
@@ -76,13 +77,13 @@
 				g := newTestGroup(s, sink, scenario.UnresponsiveServer(t), c.connectTimeout)
 				g.Run(newTestAttempt(s, idempotent, c.timeout))
 				s.Advance(0)
-				s.Advance(c.passes)
+				s.Advance(c.advance)
 				if diff := cmp.Diff([]lifecycle.Outcome{lifecycle.Unreachable}, sink.outcomes); diff != "" {
 					t.Fatalf("idempotent %v: outcomes (-want +got)\n%s", idempotent, diff)
 				}
 				s.Advance(3 * time.Second)
 				if active := g.picker.Servers()[0].ActiveRequests; len(sink.outcomes) != 1 || active != 0 {
-					t.Errorf("outcomes %v, %d in flight", sink.outcomes, active)
+					t.Errorf("outcomes = %v, want one; %d requests in flight, want 0", sink.outcomes, active)
 				}
 			})
 		}
@@ -91,65 +92,68 @@
 
 const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nresult"
 
-// crossing is a response that crosses the end of its attempt.
-type crossing struct {
-	response   string
-	closes     bool // the server closes behind it
-	idempotent bool
-	// crosses happens in the turn of the loop in which the response is there; nil: nothing does.
-	crosses func(s *scenario.SteppedLoop, g *Group, a *lifecycle.Attempt)
+// responseRace is a response that arrives in the same turn of the loop as an event that may end its
+// attempt.
+type responseRace struct {
+	response     string
+	serverCloses bool // the server closes its side after the response
+	idempotent   bool
+	// event takes place in the turn of the loop in which the response is received; nil: no event.
+	event   func(s *scenario.SteppedLoop, g *Group, a *lifecycle.Attempt)
 	want    lifecycle.Outcome
 	results []string
 }
 
-func pass(d time.Duration) func(*scenario.SteppedLoop, *Group, *lifecycle.Attempt) {
+func advanceTime(d time.Duration) func(*scenario.SteppedLoop, *Group, *lifecycle.Attempt) {
 	return func(s *scenario.SteppedLoop, _ *Group, _ *lifecycle.Attempt) { s.AwaitAndPass(d) }
 }
 
 func abandon(_ *scenario.SteppedLoop, g *Group, a *lifecycle.Attempt) { g.Abandon(a) }
 
-func unlistAll(_ *scenario.SteppedLoop, g *Group, _ *lifecycle.Attempt) { g.Update(nil, g.options) }
+func removeServers(_ *scenario.SteppedLoop, g *Group, _ *lifecycle.Attempt) { g.Update(nil, g.options) }
 
-// The outcome goes by what came first. An attempt whose response was truncated may have run, and one
-// with side effects goes on for the repeats of its request.
-func TestResponseThatCrossesItsEndHasOneOutcome(t *testing.T) {
+// A response and an event that ends its attempt are handled in one turn of the loop: the attempt must
+// end once, with the outcome of what is handled first. A truncated response means Interrupted, as the
+// request may have run. An attempt with side effects outlives its deadline and its caller, for retries
+// of its request.
+func TestResponseRacingEndOfAttemptHasOneOutcome(t *testing.T) {
 	result := []string{"result"}
 	truncated := completeResponse[:len(completeResponse)-1]
-	for name, c := range map[string]crossing{
+	for name, c := range map[string]responseRace{
 		"complete, and the server closes": {
-			response: completeResponse, closes: true, want: lifecycle.Succeeded, results: result,
+			response: completeResponse, serverCloses: true, want: lifecycle.Succeeded, results: result,
 		},
-		"complete, with bytes behind it": {
+		"complete, followed by more bytes": {
 			response: completeResponse + "HTTP/1.1 500 again", want: lifecycle.Succeeded, results: result,
 		},
-		"truncated in its head": {response: completeResponse[:20], closes: true, want: lifecycle.Interrupted},
-		"truncated in its body": {response: truncated, closes: true, want: lifecycle.Interrupted},
+		"truncated in its head": {response: completeResponse[:20], serverCloses: true, want: lifecycle.Interrupted},
+		"truncated in its body": {response: truncated, serverCloses: true, want: lifecycle.Interrupted},
 		"truncated in its body, idempotent": {
-			response: truncated, closes: true, idempotent: true, want: lifecycle.Interrupted,
+			response: truncated, serverCloses: true, idempotent: true, want: lifecycle.Interrupted,
 		},
-		"closed without a response": {closes: true, want: lifecycle.Interrupted},
-		"complete, as its deadline passes, idempotent": {
-			response: completeResponse, idempotent: true, crosses: pass(2 * time.Second), want: lifecycle.TimedOut,
+		"closed without a response": {serverCloses: true, want: lifecycle.Interrupted},
+		"complete, while its deadline passes, idempotent": {
+			response: completeResponse, idempotent: true, event: advanceTime(2 * time.Second), want: lifecycle.TimedOut,
 		},
-		"complete, as its deadline passes": {
-			response: completeResponse, crosses: pass(1500 * time.Millisecond),
+		"complete, while its deadline passes": {
+			response: completeResponse, event: advanceTime(1500 * time.Millisecond),
 			want: lifecycle.Succeeded, results: result,
 		},
-		"complete, as its caller goes, idempotent": {
-			response: completeResponse, idempotent: true, crosses: abandon, want: lifecycle.Cancelled,
+		"complete, while its caller disconnects, idempotent": {
+			response: completeResponse, idempotent: true, event: abandon, want: lifecycle.Cancelled,
 		},
-		"complete, as its caller goes": {
-			response: completeResponse, crosses: abandon, want: lifecycle.Succeeded, results: result,
+		"complete, while its caller disconnects": {
+			response: completeResponse, event: abandon, want: lifecycle.Succeeded, results: result,
 		},
-		"complete, as the server leaves the list": {
-			response: completeResponse, crosses: unlistAll, want: lifecycle.Succeeded, results: result,
+		"complete, while its server is removed from the list": {
+			response: completeResponse, event: removeServers, want: lifecycle.Succeeded, results: result,
 		},
 	} {
 		t.Run(name, c.test)
 	}
 }
 
-func (c crossing) test(t *testing.T) {
+func (c responseRace) test(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -174,13 +178,13 @@
 	if _, err := io.WriteString(server, c.response); err != nil {
 		t.Fatal(err)
 	}
-	if c.closes {
+	if c.serverCloses {
 		if err := server.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if c.crosses != nil {
-		c.crosses(s, g, a)
+	if c.event != nil {
+		c.event(s, g, a)
 	}
 	s.Until(func() bool { return len(sink.outcomes) > 0 })
 	if diff := cmp.Diff([]lifecycle.Outcome{c.want}, sink.outcomes); diff != "" {
@@ -190,6 +194,6 @@
 		t.Errorf("results (-want +got)\n%s", diff)
 	}
 	if len(g.exchanges) != 0 {
-		t.Errorf("%d exchanges are kept", len(g.exchanges))
+		t.Errorf("%d exchanges are left after the end of the attempt, want 0", len(g.exchanges))
 	}
 }
--- a/internal/upstream/group.go
+++ b/internal/upstream/group.go
@@ -13,7 +13,7 @@
 	"ryepaddle/internal/netaddr"
 )
 
-// tickInterval is how often a group looks for health checks that are due.
+// tickInterval is the time between two searches for health checks that are due.
 const tickInterval = 250 * time.Millisecond
 
 // Group is a group of servers that run the requests of some classes. It owns the connections to
@@ -28,18 +28,18 @@
 	exchanges   map[*lifecycle.Attempt]*exchange
 	dueChecks   []*endpointhealth.Endpoint
 	tickedAt    time.Duration // monotonic; 0: never
-	lastSummary string        // the states at the last call of Summary
+	lastSummary string        // stateSummary at the last call of Summary
 }
 
-// server is what the group keeps of a server.
+// server holds a server's address and the connections that the group has opened to it in advance.
 type server struct {
 	*picker.Server
 	addr         netaddr.Addr
 	preconnected []*connection // opened in advance, the oldest first
 }
 
-// New returns a group without servers. instance is the name of this process, which decides its
-// subset of the servers; the sink gets the results of attempts.
+// New returns a group without servers. The name instance of this process decides which subset of the
+// servers it uses; the sink receives the results of attempts.
 func New(loop *eventloop.Loop, name, instance string, seed uint64, sink Sink, options Options) *Group {
 	g := &Group{
 		name:      name,
@@ -54,7 +54,7 @@
 }
 
 func (g *Group) stateChanged(s *picker.Server, change endpointhealth.StateChange) {
-	// At the start there would be a line for each of thousands of servers.
+	// At the start the servers of the first list are not logged: there may be thousands.
 	if g.tickedAt > 0 || change.Cause != endpointhealth.CauseFirstList {
 		evEndpointState.Log(
 			g.name,
@@ -71,7 +71,8 @@
 	}
 }
 
-// tick moves the states of the servers by time, and starts the health checks that are due.
+// tick applies the state changes of servers that depend on time, and starts the health checks that
+// are due.
 func (g *Group) tick() {
 	now := g.loop.Now()
 	if now-g.tickedAt >= endpointhealth.TickInterval {
@@ -84,7 +85,8 @@
 	}
 }
 
-// checkOrSkip checks a server, unless another runner has done that and found it healthy.
+// checkOrSkip checks a server. If another runner has found it healthy within the interval, that
+// counts as a passed check instead.
 func (g *Group) checkOrSkip(e *endpointhealth.Endpoint, now time.Duration) {
 	lease := CheckLease{}
 	shouldCheck := true
@@ -98,8 +100,9 @@
 	g.picker.Health().HealthCheckDone(e, true, now)
 }
 
-// Update takes the servers of an inventory that belong to the group, and other options. A server
-// that stays keeps what is known of it; requests in flight at one that goes end there.
+// Update replaces the options, and replaces the servers by those of an inventory that belong to the
+// group. A server that is still listed keeps its state and statistics; requests in flight to a server
+// that is no longer listed run to their end there.
 func (g *Group) Update(all []inventory.Server, options Options) {
 	g.options = options
 	g.picker.Configure(options.Picker, options.ClassCount)
@@ -128,8 +131,8 @@
 	evEndpointList.Log(g.name, version, g.picker.Size(), g.picker.Health().DrainingCount())
 }
 
-// reportEmptyZones reports the configured zones without a server: they may be switched off, or
-// misspelt.
+// reportEmptyZones logs the configured zones that have no server: the zone may be switched off, or
+// its name misspelt.
 func (g *Group) reportEmptyZones(specs []endpointhealth.EndpointSpec) {
 	for _, zone := range g.options.Picker.Zones {
 		isInZone := func(spec endpointhealth.EndpointSpec) bool { return spec.Zone == zone }
@@ -145,7 +148,7 @@
 // Picker returns the group's picker.
 func (g *Group) Picker() *picker.Picker { return g.picker }
 
-// Capacity returns how many requests the servers may have in flight together.
+// Capacity returns how many requests all servers together may have in flight.
 func (g *Group) Capacity() int { return g.picker.Capacity(g.loop.Now()) }
 
 // AllowRetry decides whether a request whose attempt failed is retried on another server.
@@ -162,5 +165,5 @@
 	return g.picker.RetryBudget().Allow(attempt, g.loop.Now()) == retry.Allowed
 }
 
-// RetryAfter returns after how long a caller whose request was rejected should try again.
+// RetryAfter returns how long a caller whose request was rejected should wait before it retries.
 func (g *Group) RetryAfter() time.Duration { return g.picker.RetryAfter(g.loop.Now()) }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -13,8 +13,8 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// HealthCheck holds the parameters of active health checks. Package endpointhealth says when one is
-// due.
+// HealthCheck holds the parameters of active health checks. Package endpointhealth decides when a
+// check is due.
 type HealthCheck struct {
 	Path    string        // empty: no checks
 	Timeout time.Duration // for the whole check
@@ -23,30 +23,31 @@
 // CheckLease is the lease under which a runner checks a server on behalf of others.
 type CheckLease struct {
 	Name  string
-	Token uint64 // fencing token; 0: there is no lease, the check is for this runner alone
+	Token uint64 // fencing token; 0: no lease, the result is used by this runner only
 }
 
 // HealthCheckCoordinator decides which of several runners checks a server.
 type HealthCheckCoordinator interface {
-	// ShouldCheck returns whether this runner checks the server now, and under which lease.
-	// Otherwise another runner has found it healthy within the interval.
+	// ShouldCheck returns whether this runner checks the server now, and under which lease. If it
+	// does not, another runner has found the server healthy within the interval.
 	ShouldCheck(group string, e *endpointhealth.Endpoint, interval time.Duration) (CheckLease, bool)
-	// CheckDone reports the end of a check under a lease.
+	// CheckDone reports the result of a check that was made under a lease.
 	CheckDone(group string, e *endpointhealth.Endpoint, lease CheckLease, passed bool)
 }
 
-// The variables by which a server can reject a check whose runner has lost the lease.
+// Variables of a check under a lease. By them a server can reject a check whose runner has lost the
+// lease.
 const (
 	leaseVariable  = "HTTP_X_DUTY"
 	tokenVariable  = "HTTP_X_DUTY_TOKEN"
 	holderVariable = "HTTP_X_DUTY_HOLDER"
 )
 
-// minUnhealthyStatus is the lowest status that fails a check.
+// minUnhealthyStatus is the lowest HTTP status that fails a check.
 const minUnhealthyStatus = 400
 
-// check is one health check: a request on a connection of its own. It passes with any status below
-// minUnhealthyStatus.
+// check is one health check: a request on a connection of its own. It passes if the response has a
+// status below minUnhealthyStatus.
 type check struct {
 	group  *Group
 	server *picker.Server
@@ -61,7 +62,7 @@
 func (g *Group) startCheck(s *picker.Server, lease CheckLease) {
 	c := &check{group: g, server: s, lease: lease, reader: httpmessage.NewResponseReader(false)}
 	packet, err := uwsgi.Append(nil, g.checkRequest(lease))
-	if err != nil { // a path that is too long is rejected with the operator's file
+	if err != nil { // a path that is too long, which the configuration rejects
 		g.loop.Post(func() { c.end(false) })
 		return
 	}
@@ -115,7 +116,7 @@
 // Connected implements eventloop.Handler.
 func (c *check) Connected() {}
 
-// Data implements eventloop.Handler. The head of the response decides the check.
+// Data implements eventloop.Handler. The status in the head of the response decides the result.
 func (c *check) Data(b []byte) (int, error) { return c.read(b, false) }
 
 func (c *check) read(b []byte, isEnd bool) (int, error) {
--- a/internal/upstream/packet.go
+++ b/internal/upstream/packet.go
@@ -11,8 +11,9 @@
 
 const defaultMethod = "POST"
 
-// isDropped reports whether a variable of the caller is not forwarded: those about the caller's own
-// connection, and HTTP_PROXY, which a server may take for its own proxy setting (httpoxy).
+// isDropped reports whether a variable of the caller is not forwarded. Not forwarded are variables
+// that describe the caller's connection or the length and transfer of its body, and HTTP_PROXY, which
+// a server may take for its own proxy setting (httpoxy).
 func isDropped(name string) bool {
 	switch name {
 	case "CONTENT_LENGTH", "HTTP_CONTENT_LENGTH", "HTTP_CONNECTION", "HTTP_TRANSFER_ENCODING",
@@ -31,8 +32,8 @@
 	return defaultMethod
 }
 
-// packetFor returns the uwsgi packet of an attempt: the caller's variables, those that the runner
-// sets, and the part of the body that has been read.
+// packetFor returns the uwsgi packet of an attempt: the caller's variables, the variables that the
+// runner sets, and the part of the body that has been read.
 func packetFor(a *lifecycle.Attempt, options *Options) ([]byte, error) {
 	own := runnerVariables(a, options)
 	r := &uwsgi.Request{Body: a.Request.Body}
@@ -67,7 +68,7 @@
 }
 
 // runnerVariables returns the variables for the idempotency key, the tenant and the trace context
-// that the runner uses for the request. They replace what the caller sent under these names.
+// that the runner uses for the request. They replace the caller's variables of the same names.
 func runnerVariables(a *lifecycle.Attempt, options *Options) []uwsgi.Variable {
 	own := []uwsgi.Variable{{Name: options.KeyVariable, Value: a.Request.Key}}
 	if t := a.Request.Tenant; t >= 0 && t < len(options.Tenants) {
--- a/internal/upstream/packet_test.go
+++ b/internal/upstream/packet_test.go
@@ -9,8 +9,9 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// Whatever the caller sent under their names: with the key of the caller in place of that of the
-// runner a server would take one request for two.
+// The runner's key and tenant replace the caller's variables of the same names. If a server got a
+// caller's variable instead of the key that the runner used, it would take the attempts of one request
+// for different requests.
 func TestServerGetsTheKeyAndTenantThatTheRunnerUsed(t *testing.T) {
 	a := &lifecycle.Attempt{
 		Request: &lifecycle.Request{
@@ -56,6 +57,6 @@
 		"CONTENT_LENGTH":       {"5"},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("variables of the packet (-want +got)\n%s", diff)
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,7 +14,8 @@
 // minErrorStatus is the lowest status that counts as an error of the server.
 const minErrorStatus = 500
 
-// read parses the part of the response that has come, and returns how many bytes it has used.
+// read parses the received bytes of the response, and returns how many of them it has consumed. isEnd
+// says that the server has closed its side, so that no more bytes follow.
 func (x *exchange) read(b []byte, isEnd bool) (used int, err error) {
 	for x.isOpen() {
 		event, n, err := x.reader.Next(b[used:], isEnd)
@@ -41,7 +42,7 @@
 			return used, nil
 		}
 	}
-	return len(b), nil // what comes after the end is ignored
+	return len(b), nil // bytes after the end of the response are ignored
 }
 
 func (x *exchange) endWithError(status int) {
@@ -49,11 +50,12 @@
 	x.end(lifecycle.Faulted, nil)
 }
 
-// resultOf returns the head of a response as the caller gets it.
+// resultOf returns the result that the caller gets for the head of a response, without hop-by-hop
+// fields.
 func (x *exchange) resultOf(head *httpmessage.Head) *lifecycle.Result {
 	result := &lifecycle.Result{Status: head.Status, ContentLength: int64(head.Length)}
 	for _, f := range head.Fields {
-		// The frontend sets the length itself. The response to a HEAD request keeps it.
+		// The frontend sets Content-Length itself, except in the response to a HEAD request.
 		isReplaced := !x.isHead && strings.EqualFold(f.Name, "Content-Length")
 		if !uwsgi.IsHopByHop(f.Name) && !isReplaced {
 			result.Fields = append(result.Fields, lifecycle.Field(f))
@@ -79,7 +81,7 @@
 	}
 	if x.isStreaming && !x.flow.Caches() {
 		x.body = nil
-		if x.consumer == nil && !x.attempt.Idempotent { // it ran, and the rest is not needed
+		if x.consumer == nil && !x.attempt.Idempotent { // the request ran, and nobody needs the rest
 			x.end(lifecycle.Succeeded, nil)
 		}
 	}
@@ -97,7 +99,8 @@
 	}
 }
 
-// complete ends a complete response. One that streamed has a result only if it is cached.
+// complete ends the exchange after a complete response. The result of a streamed response is reported
+// only if it is to be cached.
 func (x *exchange) complete() {
 	if x.isStreaming && !x.flow.Caches() {
 		x.end(lifecycle.Succeeded, nil)
@@ -110,7 +113,7 @@
 // Attach implements lifecycle.Stream.
 func (x *exchange) Attach(consumer lifecycle.StreamConsumer) { x.consumer = consumer }
 
-// SetPaused implements lifecycle.Stream: the server waits for a slow reader.
+// SetPaused implements lifecycle.Stream: while the reader is slow, nothing is read from the server.
 func (x *exchange) SetPaused(paused bool) { x.connection.conn.SetPaused(paused) }
 
 // Cancel implements lifecycle.Stream. The response to a request with side effects is read to its
@@ -122,14 +125,14 @@
 		return
 	}
 	outcome := lifecycle.Cancelled
-	if !x.attempt.Idempotent { // it ran, whatever becomes of the rest
+	if !x.attempt.Idempotent { // the request ran, even if its response is not read to the end
 		outcome = lifecycle.Succeeded
 	}
 	x.group.loop.Post(func() { x.end(outcome, nil) })
 }
 
-// readEnd reads the last of the response after the server has closed its side. A response that is
-// not complete then is an error.
+// readEnd parses the remaining bytes of the response after the server has closed its side. It is an
+// error if the response is not complete then.
 func (x *exchange) readEnd() {
 	_, err := x.read(x.connection.conn.Buffered(), true)
 	switch {
--- a/internal/upstream/status.go
+++ b/internal/upstream/status.go
@@ -10,8 +10,8 @@
 	"ryepaddle/internal/balancer/retry"
 )
 
-// Summary returns the group in one line, and whether the states of its servers have changed since
-// the last call.
+// Summary describes the group in one line. It also returns whether the list or the states of the
+// servers have changed since the last call.
 func (g *Group) Summary() (line string, changed bool) {
 	states := g.stateSummary()
 	changed, g.lastSummary = states != g.lastSummary, states
@@ -54,22 +54,22 @@
 	return b.String()
 }
 
-// Metric is one count of the group.
+// Metric is one value that the group counts.
 type Metric struct {
-	Kind  string // one of the kinds below; the label of the metric
-	Name  string // the state, reason or decision that is counted
+	Kind  string // one of the kinds below; also the name of the metric's label
+	Name  string // the state, reason or decision that is counted; the value of the label
 	Value float64
 }
 
 // The kinds of metrics.
 const (
-	ServersInState   = "state"  // servers that are in a state
-	StateTransitions = "became" // changes into a state, since the start
-	Picks            = "chosen" // picks by reason, since the start
+	ServersInState   = "state"  // servers that are in a state now
+	StateTransitions = "became" // transitions of servers into a state, since the start
+	Picks            = "chosen" // picks of a server by reason, since the start
 	RetryDecisions   = "retry"  // decisions about retries, since the start
 )
 
-// Metrics returns all counts of the group.
+// Metrics returns all metrics of the group.
 func (g *Group) Metrics() (metrics []Metric) {
 	health := g.picker.Health()
 	counts := health.StateCounts()
@@ -98,18 +98,19 @@
 	Zone           string  `json:"hall,omitempty"`
 	Weight         int     `json:"weight"`
 	State          string  `json:"state"`
-	StateSeconds   int64   `json:"for_s"` // for which it has been in that state
+	StateSeconds   int64   `json:"for_s"` // time in State
 	Cause          string  `json:"cause"`
-	TrafficShare   float64 `json:"part"` // 0 to 1
+	TrafficShare   float64 `json:"part"` // share of its weight by which it gets traffic, 0 to 1
 	ActiveRequests int     `json:"open"`
-	Limit          int     `json:"limit"` // requests in flight, by its concurrency limit
+	Limit          int     `json:"limit"` // concurrency limit: the most requests in flight
 	LatencyMs      float64 `json:"latency_ms"`
-	Requests       uint64  `json:"requests"` // since it was listed
+	Requests       uint64  `json:"requests"` // since the server was listed
 	Failures       uint64  `json:"failed"`   // of these requests
 	StateChanges   int     `json:"changes"`
 }
 
-// ServerStatuses returns the states of the listed servers, then of the draining ones, by name.
+// ServerStatuses returns the states of the listed servers by name, followed by those of the draining
+// ones by name.
 func (g *Group) ServerStatuses() (statuses []ServerStatus) {
 	for _, e := range g.picker.Health().EndpointList().Endpoints {
 		statuses = append(statuses, g.statusOf(e))
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,10 @@
 // Package upstream implements a lifecycle.Runner that sends attempts to a group of uwsgi servers,
-// as a reverse proxy does: one request a connection, with connections opened in advance, active
+// as a reverse proxy does: one request per connection, with connections opened in advance, active
 // health checks, streaming in both directions and backpressure. Package picker decides which server
 // gets an attempt. A request is cancelled by closing its connection. The application (internal/app)
-// makes the groups, each behind a queue of package waitqueue.
+// creates the groups, each behind a queue of package waitqueue.
 //
-// A group and all that belongs to it is used on the goroutine of its event loop alone.
+// A group and everything that belongs to it is used only on the goroutine of its event loop.
 package upstream
 
 import (
@@ -17,7 +17,7 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// maxStateEvents bounds the log lines about states of endpoints, per second.
+// maxStateEvents is the most log lines per second about state changes of endpoints.
 const maxStateEvents = 100
 
 // Events of the log.
@@ -39,27 +39,27 @@
 type Options struct {
 	ConnectTimeout time.Duration
 	FlowControl    flowcontrol.Limits
-	Preconnect     int // connections that are opened in advance to each server; 0: none
+	Preconnect     int // connections that are opened to each server in advance; 0: none
 	Picker         picker.Config
 	ClassCount     int
 	MaxAttempts    int // servers that one request may be sent to
 	HealthCheck    HealthCheck
-	// HealthCheckCoordinator says which runner checks a server; nil: each runner checks all.
+	// HealthCheckCoordinator decides which runner checks a server; nil: each runner checks all servers.
 	HealthCheckCoordinator HealthCheckCoordinator
-	RunnerName             string // sent to servers that are checked under a lease
-	// Names of the variables by which a server gets the idempotency key and the tenant; empty: it
-	// gets none. What the caller sent under these names is replaced.
+	RunnerName             string // sent with checks that are made under a lease
+	// KeyVariable and TenantVariable name the variables in which a server gets the idempotency key and
+	// the tenant; empty: it is not sent. A caller's variables of these names are replaced.
 	KeyVariable, TenantVariable string
-	Tenants                     []string // names, by number
-	// TraceParent returns the trace context of an attempt; nil: servers get what the caller sent.
+	Tenants                     []string // names, by the index of the tenant
+	// TraceParent returns the trace context of an attempt; nil: the caller's is forwarded unchanged.
 	TraceParent func(*lifecycle.Attempt) string
 }
 
-// Sink gets the results of attempts, as the request lifecycle does.
+// Sink receives the results of attempts. The request lifecycle is one.
 type Sink interface {
-	// ResponseStarted reports a result that is still coming. It returns whether anyone reads the
-	// rest.
+	// ResponseStarted reports a result whose body is still being received. It returns whether anyone
+	// reads the rest of the body.
 	ResponseStarted(*lifecycle.Attempt, *lifecycle.Result) bool
-	// AttemptEnded reports the end of an attempt, once.
+	// AttemptEnded reports the end of an attempt. It is called once for each attempt.
 	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
 }
