--- a/internal/app/answers.go
+++ b/internal/app/answers.go
@@ -19,26 +19,26 @@
 	Groups      []string                `json:"groups,omitempty"`
 	Servers     []upstream.ServerStatus `json:"servers,omitempty"`
 	Pools       []PoolStatus            `json:"pools,omitempty"`
-	// InventoryRejected is why the inventory's files are not applied; empty: they are.
+	// InventoryRejected is why the inventory's files are not applied; empty: they are applied.
 	InventoryRejected string `json:"inventory_refused,omitempty"`
-	// KeysRejected is why new keys are rejected; empty: they are not.
+	// KeysRejected is why new keys are rejected; empty: they are accepted.
 	KeysRejected string       `json:"keys_refused,omitempty"`
 	KeyCount     int          `json:"keys_held"`
 	Peers        *node.Status `json:"peers,omitempty"`
-	// UsageReplication is how the usage ledger is replicated on peers; nil: it is not.
+	// UsageReplication is the state of the usage ledger's replicas on peers; nil: it is not replicated.
 	UsageReplication *metering.ReplicationStatus `json:"accounts,omitempty"`
 	Retained         []RetainedRequests          `json:"remembered,omitempty"`
 }
 
-// PoolStatus is the state of a pool of slots before a group of servers.
+// PoolStatus is the state of a pool of slots in front of a group of servers.
 type PoolStatus struct {
 	Group string `json:"group"`
-	Limit int    `json:"limit"` // slots of the group
+	Limit int    `json:"limit"` // slots of the whole group
 	bulkhead.PoolStatus
 }
 
-// RetainedRequests is how many requests of a class and status there were, and how many can be
-// explained.
+// RetainedRequests is how many requests of a class and status there were since the start, and how many
+// of them the request log retains, so that they can be explained.
 type RetainedRequests struct {
 	Class    string `json:"class"`
 	Status   string `json:"kind"`
@@ -51,43 +51,44 @@
 	Entries []ExplainedRequest `json:"entries"`
 }
 
-// ExplainedRequest is what became of a request.
+// ExplainedRequest describes an answered request: who sent it, how it was handled and how it ended.
 type ExplainedRequest struct {
 	ID  string `json:"id"`
 	Key string `json:"key,omitempty"`
-	// OriginalID is the ID of the first request with the same key; empty: it is the first.
+	// OriginalID is the ID of the first request with the same key; empty: this request is the first.
 	OriginalID string `json:"repeats,omitempty"`
 	Class      string `json:"class"`
 	Tenant     string `json:"tenant,omitempty"`
 	Caller     uint32 `json:"caller"`
 	ArrivedMs  int64  `json:"arrived_ms"` // Unix time
-	// from its arrival until it ran, or was answered
+	// WaitedMs is the time from its arrival until it started, or was answered if it never ran.
 	WaitedMs     float64            `json:"waited_ms"`
 	TookMs       float64            `json:"took_ms"` // from its arrival until it was answered
 	Status       string             `json:"end"`
 	Cause        string             `json:"cause,omitempty"`
-	Value        float64            `json:"value,omitempty"` // that was compared with Limit
+	Value        float64            `json:"value,omitempty"` // value that was compared with Limit
 	Limit        float64            `json:"limit,omitempty"`
 	RetryAfterMs int64              `json:"come_back_ms,omitempty"`
 	Attempts     []ExplainedAttempt `json:"tries,omitempty"`
 	MoreAttempts int                `json:"more_tries,omitempty"` // beyond those in Attempts
-	// KeyWaitMs is how long it waited until its key was durable.
+	// KeyWaitMs is how long the request waited until its key was durable.
 	KeyWaitMs float64 `json:"kept_ms,omitempty"`
-	// KeyStoredOn is KeyStoredOnPeers or KeyStoredOnDisk; empty: it did not wait.
+	// KeyStoredOn is KeyStoredOnPeers or KeyStoredOnDisk; empty: the request did not wait for its key.
 	KeyStoredOn string `json:"kept_by,omitempty"`
-	// Represents is how many similar requests it stands for, as only a sample is retained; 0: one.
+	// Represents is how many requests of the same class and status this one stands for, since only a
+	// sample is retained; 0: only itself.
 	Represents int `json:"stands_for,omitempty"`
 }
 
-// What makes the idempotency key of a request durable.
+// Values of ExplainedRequest.KeyStoredOn: what makes the idempotency key of a request durable.
 const (
 	KeyStoredOnPeers = "copies"
 	KeyStoredOnDisk  = "disk"
 )
 
-// ExplainedAttempt is an attempt on a server.
+// ExplainedAttempt is an attempt on a server or on the engine.
 type ExplainedAttempt struct {
-	Server  string  `json:"server"` // empty: the engine
+	Server  string  `json:"server"` // empty: it ran on the engine
 	Ms      float64 `json:"ms"`
 	Outcome string  `json:"outcome"`
 }
@@ -99,7 +100,7 @@
 
 // LevelsAnswer is the answer to levels.
 type LevelsAnswer struct {
-	Levels map[string]string `json:"levels"` // by area
+	Levels map[string]string `json:"levels"` // log levels by area
 }
 
 // VersionAnswer is the answer to version.
@@ -107,7 +108,7 @@
 	Version string `json:"version"`
 }
 
-// statusNames are the statuses of requests in metrics, traces, logs and answers.
+// statusNames holds the names of the statuses of requests in metrics, traces, logs and answers.
 var statusNames = map[lifecycle.Status]string{
 	0:                    "gone",
 	lifecycle.Served:     "served",
@@ -119,7 +120,7 @@
 	lifecycle.ResultLost: "ran",
 }
 
-// outcomeNames are the outcomes of attempts in traces and answers.
+// outcomeNames holds the names of the outcomes of attempts in traces and answers.
 var outcomeNames = map[lifecycle.Outcome]string{
 	0:                        "not over",
 	lifecycle.Succeeded:      "fine",
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,6 +1,6 @@
-// Package app is the program: it creates the frontends, the request lifecycle, the groups of
+// Package app assembles the program: it creates the frontends, the request lifecycle, the groups of
 // servers and the stores, starts, reloads and drains them, and answers the control socket and the
-// admin listener. The command runner calls it, and tests that run a whole program.
+// admin listener. It is called by the command runner, and by tests that run a whole program.
 package app
 
 import (
@@ -14,11 +14,11 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// Options are what the program is started with.
+// Options holds the options with which the program is started.
 type Options struct {
 	PlatformFile string
 	OperatorFile string // empty: there is none
-	RepairStore  bool   // set damaged files of the key store aside and go on
+	RepairStore  bool   // set damaged files of the key store aside and start without them
 }
 
 // Check reads and checks the configuration files without starting anything.
@@ -30,8 +30,8 @@
 func Run(options Options) error {
 	log := logging.Start(os.Stderr, logging.FormatText)
 	defer log.Close()
-	// A file that reached its size limit is handled as a full disk; by default the signal kills the
-	// process.
+	// A write beyond the limit of a file's size is to fail like a write to a full disk. By default the
+	// signal kills the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	return run(options, log)
 }
@@ -42,8 +42,8 @@
 		return err
 	}
 	defer loop.Close()
-	// Signals are caught before anything else: a HUP that arrives while the files are read must not
-	// kill the process. They are handled when the loop runs, and p is set by then.
+	// Signals are caught first: a HUP that arrives while the files are read must not kill the process.
+	// They are handled once the loop runs, when p is set.
 	var p *Program
 	loop.Signals(
 		func(signal os.Signal) { p.handleSignal(signal) },
@@ -69,7 +69,7 @@
 	return errors.Join(err, p.Close())
 }
 
-// handleSignal reloads at HUP, logs the servers at USR1, and drains at TERM and INT.
+// handleSignal reloads the configuration on HUP, logs the servers on USR1, and drains on TERM and INT.
 func (p *Program) handleSignal(signal os.Signal) {
 	switch signal {
 	case syscall.SIGHUP:
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -15,17 +15,17 @@
 	CommandStatus  = "status"
 	CommandExplain = "explain"
 	CommandMetrics = "metrics"
-	CommandLevels  = "levels" // sets levels of logging, if any are given, and returns all
+	CommandLevels  = "levels" // sets log levels, if any are given, and returns those of all areas
 	CommandUsage   = "usage"
 	CommandCorrect = "correct" // corrects the usage ledger
 	CommandDrain   = "drain"
 	CommandReload  = "reload"
 	CommandVersion = "version"
 
-	CommandPeersKey     = "peers-key"     // where the replicas of a key are
-	CommandPeersLeave   = "peers-leave"   // a member leaves
-	CommandPeersStay    = "peers-stay"    // it stays after all
-	CommandPeersReplace = "peers-replace" // it leaves in favour of another one
+	CommandPeersKey     = "peers-key"     // returns where the replicas of a key are
+	CommandPeersLeave   = "peers-leave"   // makes a member leave
+	CommandPeersStay    = "peers-stay"    // cancels that a member leaves
+	CommandPeersReplace = "peers-replace" // replaces a member by another one
 )
 
 // listenControl opens the control socket, if the operator's file names one.
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// answerControl carries out a command of the control socket. Those about usage are answered later.
+// answerControl carries out a command of the control socket. Commands about usage are answered once
+// the goroutine that owns the usage ledger has handled them.
 func (p *Program) answerControl(request control.Request, reply func(any, error)) {
 	switch request.Command {
 	case CommandUsage:
@@ -77,14 +78,14 @@
 		return VersionAnswer{buildinfo.Version()}, nil
 	}
 	return nil, unknownKind.New(
-		"unknown question %q: want status, explain, metrics, levels, usage, correct, peers-key, "+
+		"unknown command %q: want status, explain, metrics, levels, usage, correct, peers-key, "+
 			"peers-leave, peers-stay, peers-replace, drain, reload or version",
 		request.Command,
 	)
 }
 
-// setLevels sets levels of logging, given as AREA=LEVEL, and returns those of all areas. They are
-// in force until the next start, or until a HUP finds others in the operator's file.
+// setLevels sets log levels, given as AREA=LEVEL, and returns the levels of all areas. They are in force
+// until the next start, or until a HUP finds a changed log section in the operator's file.
 func setLevels(settings []string) (any, error) {
 	levels, err := logging.ParseLevels(settings)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return answer, nil
 }
 
-// statusAnswer is the state of the whole program.
+// statusAnswer returns the state of the whole program.
 func (p *Program) statusAnswer() *Status {
 	s := &Status{
 		Name:        p.config.Name,
--- a/internal/app/descriptors.go
+++ b/internal/app/descriptors.go
@@ -6,26 +6,27 @@
 	"ryepaddle/internal/platform/backend"
 )
 
-// descriptorShares bounds the file descriptors that balancers and requests may open. The rest is
-// reserved for the links to the engine, the registry and operators, so that these work while
-// callers have opened all that they may.
+// descriptorShares holds the most file descriptors that balancers and requests may use. The rest is
+// reserved for the links to the engine, the registry and operators, so that these work while callers
+// use all of their share.
 type descriptorShares struct {
 	balancers int // connections of the platform's frontend
 	backend   int // connections to the back end
 }
 
 const (
-	// reservedDescriptors do not grow with the load: standard streams, epoll and wake-up of the
-	// loop and of the Go runtime, the listener, the registry's socket, the files of reservations,
-	// two links to the engine while it moves, and a file that is read.
+	// reservedDescriptors is the number of descriptors that do not grow with the load: standard
+	// streams, epoll and wake-up of the loop and of the Go runtime, the listener, the registry's
+	// socket, the files of reservations, two links to the engine while its address changes, and a
+	// file that is being read.
 	reservedDescriptors   = 16
 	minBackendDescriptors = 2
-	// descriptorsPerUWSGIConnection are the connection of a caller and one to a server.
+	// descriptorsPerUWSGIConnection counts the connection of a caller and one to a server.
 	descriptorsPerUWSGIConnection = 2
 )
 
-// shareDescriptors divides the descriptors of the process. Balancers may always open half of them,
-// and up to five eighths where enough is left for the back end.
+// shareDescriptors divides the descriptors of the process. Balancers always get half of them, and up to
+// five eighths if enough remain for backend.MaxConnections.
 func shareDescriptors(c *config.Platform, operator *config.Operator) descriptorShares {
 	reserved := reservedDescriptors
 	if c.Admin.IsValid() {
--- a/internal/app/descriptors_test.go
+++ b/internal/app/descriptors_test.go
@@ -9,13 +9,14 @@
 	"ryepaddle/internal/platform/backend"
 )
 
-// Balancers get the half that the platform lets them open, and what callers cannot take is enough
-// for the rest.
+// Balancers get at least the half of the descriptors that the platform allows them, and the shares and
+// the reserved descriptors together stay within the limit. Otherwise the links to the engine, registry
+// and operators would find no descriptor while callers use their whole share.
 func TestDescriptorSharesStayWithinLimit(t *testing.T) {
-	door := netip.MustParseAddrPort("127.0.0.1:1")
+	adminAddr := netip.MustParseAddrPort("127.0.0.1:1")
 	for _, c := range []struct {
-		sockets int
-		door    bool
+		maxDescriptors int
+		hasAdmin       bool
 	}{
 		{64, false},
 		{96, true},
@@ -27,19 +28,19 @@
 		{1024, true},
 		{4096, true},
 	} {
-		cfg := &config.Platform{MaxDescriptors: c.sockets}
-		kept := reservedDescriptors
-		if c.door {
-			cfg.Admin = door
-			kept += admin.MaxDescriptors
+		cfg := &config.Platform{MaxDescriptors: c.maxDescriptors}
+		reserved := reservedDescriptors
+		if c.hasAdmin {
+			cfg.Admin = adminAddr
+			reserved += admin.MaxDescriptors
 		}
 		got := shareDescriptors(cfg, nil)
-		if got.balancers < c.sockets/2 || got.backend < minBackendDescriptors ||
+		if got.balancers < c.maxDescriptors/2 || got.backend < minBackendDescriptors ||
 			got.backend > backend.MaxConnections {
-			t.Errorf("%d sockets: %+v", c.sockets, got)
+			t.Errorf("max descriptors %d: shares %+v are out of bounds", c.maxDescriptors, got)
 		}
-		if sum := got.balancers + got.backend + kept; sum > c.sockets {
-			t.Errorf("%d sockets: %d are shared out and kept back", c.sockets, sum)
+		if sum := got.balancers + got.backend + reserved; sum > c.maxDescriptors {
+			t.Errorf("max descriptors %d: shares and reserve add up to %d", c.maxDescriptors, sum)
 		}
 	}
 }
--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -5,14 +5,14 @@
 const (
 	// drainPollInterval is the time between two checks whether the process can end.
 	drainPollInterval = 20 * time.Millisecond
-	// exitMargin is how long before the platform kills the process it ends by itself.
+	// exitMargin is how long before the time at which the platform kills it the process exits.
 	exitMargin = 150 * time.Millisecond
-	// listenGrace is how long the listeners stay open after the time in which a drain still answers
-	// late requests.
+	// listenGrace is how long the listeners stay open after the time (Settings.DrainGrace) in which
+	// requests that arrive during a drain are still run.
 	listenGrace = 100 * time.Millisecond
 )
 
-// drain shuts down gracefully: late requests are rejected, all requests that were read are
+// drain shuts down gracefully: requests that arrive late are rejected, all requests that were read are
 // answered, then the program ends.
 func (p *Program) drain() {
 	if p.state.draining {
@@ -24,7 +24,7 @@
 	}
 	p.state.draining = true
 	startedAt := p.loop.Now()
-	stopTimeout := p.config.StopTimeout // a HUP during the drain does not extend it
+	stopTimeout := p.config.StopTimeout // fixed here: a HUP during the drain must not extend it
 	eventDrainStarted.Log(p.requests.OpenRequests())
 	p.requests.Drain(stopTimeout)
 	if p.peers != nil {
@@ -41,7 +41,7 @@
 	})
 }
 
-// drainFrontends closes the listeners, and each connection once it has no open request.
+// drainFrontends closes the listeners, and each connection as soon as it has no open request.
 func (p *Program) drainFrontends() {
 	if p.state.listening {
 		p.platform.frontend.Drain()
@@ -51,7 +51,7 @@
 	}
 }
 
-// exitWhen ends the program once done reports true for the time since startedAt.
+// exitWhen polls done with the time elapsed since startedAt, and ends the program once it returns true.
 func (p *Program) exitWhen(startedAt time.Duration, done func(elapsed time.Duration) bool) {
 	elapsed := p.loop.Now() - startedAt
 	if done(elapsed) {
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -13,7 +13,7 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// standaloneConfig is the example's configuration without links to the platform, listening on a
+// standaloneConfig returns the example's configuration without links to the platform, listening on a
 // free port.
 func standaloneConfig(t *testing.T) *config.Platform {
 	t.Helper()
@@ -25,16 +25,15 @@
 	return c
 }
 
-// disconnect removes the links to the platform from a configuration, and has it listen on a free
-// port.
+// disconnect removes the links to the platform from a configuration, and sets a free port to listen on.
 func disconnect(c *config.Platform) {
 	none := netip.AddrPort{}
 	c.Engine, c.Backend, c.Registry, c.Admin = none, none, none, none
 	c.Listen = netip.MustParseAddrPort("127.0.0.1:0")
 }
 
-// newStandalone creates a program on a loop that the test steps, with its platform's frontend and
-// nothing else. change changes its configuration before.
+// newStandalone creates a program on a loop that the test steps, with the platform's frontend and
+// nothing else. change modifies the configuration before the start.
 func newStandalone(t *testing.T, s *scenario.SteppedLoop, change func(*config.Platform)) *Program {
 	t.Helper()
 	c := standaloneConfig(t)
@@ -47,13 +46,13 @@
 	return p
 }
 
-// partialRequest is the beginning of a request.
+// partialRequest returns the first record of a request.
 func partialRequest(id uint16) string {
 	body := fastcgi.BeginRequestBody{Role: fastcgi.Responder, KeepConnection: true}
 	return string(fastcgi.AppendBegin(nil, id, body))
 }
 
-// completeRequest is a request that runs until its deadline, as there is no engine.
+// completeRequest returns a request that stays open until its deadline, as there is no engine.
 func completeRequest(s *scenario.SteppedLoop, id uint16) string {
 	var params []byte
 	for _, variable := range [][2]string{
@@ -73,16 +72,16 @@
 	return string(fastcgi.Append(b, fastcgi.Stdin, id, nil))
 }
 
-// passUntilStopped lets time pass until the loop has stopped, or for limit.
+// passUntilStopped advances the clock until the loop has stopped, by at most limit.
 func passUntilStopped(s *scenario.SteppedLoop, limit time.Duration) {
 	for end := s.Now() + limit; !s.IsStopped() && s.Now() < end; {
 		s.Advance(drainPollInterval)
 	}
 }
 
-// A replaced process ends at its time while a request arrives in parts on one of its connections:
-// its own side is shut down in order before the exit, so that input that arrives then does not
-// destroy answers that were given.
+// A replaced process exits at the end of its retirement although a request has arrived only in part.
+// It must shut down its side of the connection before the exit: closing it with unread input would reset
+// it, and the peer would lose answers that it has not read.
 func TestReplacedProcessShutsDownConnectionsBeforeExit(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	p := newStandalone(t, s, func(c *config.Platform) {
@@ -95,10 +94,10 @@
 	p.retire()
 	limit := retirementTime(p.config)
 	passUntilStopped(s, limit-time.Second)
-	s.Send(balancer, partialRequest(2)) // as the first is answered, the next has begun
+	s.Send(balancer, partialRequest(2)) // the next request begins about when the first is answered
 	passUntilStopped(s, limit)
 	if !s.IsStopped() || p.platform.frontend.Connections() != 1 {
-		t.Fatalf("stopped %v, with %d connections", s.IsStopped(), p.platform.frontend.Connections())
+		t.Fatalf("stopped = %v, want true; connections = %d, want 1", s.IsStopped(), p.platform.frontend.Connections())
 	}
 	if err := balancer.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
@@ -108,13 +107,13 @@
 	}
 }
 
-// A HUP that allows a longer stop does not extend a drain that has started: the process is killed
-// at the time of the notice.
+// A HUP with a longer stop timeout must not extend a drain that has started: the platform kills the
+// process when the timeout that was in force at the start of the drain has passed.
 func TestReloadDoesNotExtendDrain(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
 	const stop = time.Second
 	p := newStandalone(t, s, func(c *config.Platform) { c.StopTimeout = stop })
-	// its rest may arrive for 2 s
+	// The rest of the request may arrive within 2 s, longer than the stop timeout.
 	s.DialAddr(p.platform.frontend.Addr().String(), partialRequest(1))
 	s.Until(func() bool { return p.platform.frontend.Connections() == 1 })
 	p.drain()
@@ -123,9 +122,9 @@
 	if err := p.apply(&longer, nil); err != nil {
 		t.Fatal(err)
 	}
-	began := p.loop.Now()
+	startedAt := p.loop.Now()
 	passUntilStopped(s, 2*stop)
-	if took := p.loop.Now() - began; took >= stop {
-		t.Errorf("it ends %v after the notice, and is killed after %v", took, stop)
+	if took := p.loop.Now() - startedAt; took >= stop {
+		t.Errorf("drain took %v, want less than the stop timeout %v", took, stop)
 	}
 }
--- a/internal/app/errors.go
+++ b/internal/app/errors.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/fault"
 
-// Kinds of errors.
+// Kinds of errors of the start, of reloads and of the control socket.
 var (
 	addressKind = fault.Define(
 		"start.address",
--- a/internal/app/errors_test.go
+++ b/internal/app/errors_test.go
@@ -11,8 +11,8 @@
 	"ryepaddle/internal/fault"
 )
 
-// The on-call page's table of errors is made from the code: UPDATE=1 go test ./internal/app -run
-// Kinds
+// The on-call page's table of errors must match the kinds in the code. To write the table:
+// UPDATE=1 go test ./internal/app -run Kinds
 func TestOnCallPageListsErrorKinds(t *testing.T) {
 	const page, from, to = "../../docs/on-call.md", "| kind | what it tells | what to do |\n| --- | --- " +
 		"| --- |\n", "\n## "
@@ -23,13 +23,13 @@
 	before, rest, ok := strings.Cut(string(text), from)
 	table, after, more := strings.Cut(rest, to)
 	if !ok || !more {
-		t.Fatal("the page has no table of errors")
+		t.Fatal("docs/on-call.md has no table of errors")
 	}
 	var want strings.Builder
 	for _, k := range fault.Kinds() {
 		for _, s := range []string{k.Description, k.Remedy} {
 			if strings.Contains(s, "|") || !strings.HasSuffix(s, ".") || len(s) > 200 {
-				t.Errorf("%s: %q is no short sentence", k.Name, s)
+				t.Errorf("%s: %q: want a sentence of at most 200 bytes with a full stop and without |", k.Name, s)
 			}
 		}
 		fmt.Fprintf(&want, "| `%s` | %s | %s |\n", k.Name, k.Description, k.Remedy)
@@ -41,6 +41,6 @@
 		return
 	}
 	if diff := cmp.Diff(want.String(), table); diff != "" {
-		t.Errorf("(-code +page)\n%s", diff)
+		t.Errorf("table of errors (-code +page)\n%s", diff)
 	}
 }
--- a/internal/app/events.go
+++ b/internal/app/events.go
@@ -8,7 +8,7 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// Events of the start, the end and reloads.
+// Events of the start, the shutdown and reloads.
 var (
 	eventListening          = logging.Define("start.listens", slog.LevelInfo, "name", "address")
 	eventReservationsFailed = logging.Define("start.reservations_failed", slog.LevelError, "error")
@@ -25,7 +25,7 @@
 	eventPeersCloseFailed = logging.Define("peers.close_failed", slog.LevelWarn, "error")
 )
 
-// Events of telemetry.
+// Events of recorders, log levels and answered requests.
 var (
 	eventRecordingStarted = logging.Define("record.started", slog.LevelInfo, "file")
 	eventRecordingFailed  = logging.Define("record.failed", slog.LevelError, "error")
@@ -49,14 +49,14 @@
 	eventInventoryRejected = logging.Define("status.inventory_rejected", slog.LevelWarn, "error")
 )
 
-// Lines of an event that are logged in a second.
+// Limits of the log lines of an event, per second.
 const (
 	maxAnsweredPerSecond = 1000
 	maxGroupsPerSecond   = 100
 )
 
-// configureLog sets the log's format and levels as the operator's file says, which has been
-// checked.
+// configureLog sets the log's format and levels as the operator's file says. The levels parse without
+// an error, as the file has been checked.
 func configureLog(log *logging.Writer, settings *config.Log) {
 	log.SetFormat(settings.Format)
 	levels, _ := logging.ParseLevels(strings.Fields(settings.Levels))
--- a/internal/app/events_test.go
+++ b/internal/app/events_test.go
@@ -17,7 +17,7 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// The on-call page lists each event with its level and fields, and no others.
+// The on-call page must list exactly the events of the code, with their levels and fields.
 func TestOnCallPageListsEvents(t *testing.T) {
 	text, err := os.ReadFile("../../docs/on-call.md")
 	if err != nil {
@@ -31,14 +31,14 @@
 		-1,
 	) {
 		if page[row[1]] = row[2] + ": " + strings.TrimSpace(row[3]); len(row[4]) < 10 {
-			t.Errorf("%s: what it means is missing", row[1])
+			t.Errorf("%s: the page does not say what the event means", row[1])
 		}
 	}
 	for _, e := range logging.Events() {
 		code[e.Name] = strings.ToLower(e.Level.String()) + ": " + strings.Join(e.Fields, " ")
 	}
 	if diff := cmp.Diff(code, page); diff != "" {
-		t.Errorf("(-code +page)\n%s", diff)
+		t.Errorf("events (-code +page)\n%s", diff)
 	}
 }
 
@@ -104,7 +104,7 @@
 		event, values := qualifiedName(file, call.Fun.(*ast.SelectorExpr).X), len(call.Args)
 		if values > 0 {
 			first := qualifiedName(file, call.Args[0])
-			if _, ok := fields[first]; ok { // an event that is passed to a function, as Environment.Log
+			if _, ok := fields[first]; ok { // the event is an argument of the function, as of Environment.Log
 				event, values = first, values-1
 			}
 		}
@@ -116,14 +116,15 @@
 	return calls
 }
 
-// Each event is logged, with a value for each field, and nothing goes to a log in another way.
+// Each event must be logged somewhere, always with one value for each field, and package log must not be
+// used.
 func TestEventsAreLoggedWithAllFields(t *testing.T) {
 	files, fields := sources(t), map[string]int{}
 	for _, file := range files {
 		maps.Copy(fields, eventFields(file))
 		for _, imported := range file.Imports {
 			if imported.Path.Value == `"log"` {
-				t.Errorf("%s: package log is used", file.fset.Position(imported.Pos()))
+				t.Errorf("%s: imports package log; want package logging", file.fset.Position(imported.Pos()))
 			}
 		}
 	}
@@ -132,21 +133,21 @@
 		for _, call := range logCalls(file, fields) {
 			logged[call.event] = true
 			if want := fields[call.event]; call.values != want {
-				t.Errorf("%s: %d values for %d fields", call.at, call.values, want)
+				t.Errorf("%s: event is logged with %d values, want %d", call.at, call.values, want)
 			}
 		}
 	}
 	for event := range fields {
 		if !logged[event] {
-			t.Errorf("no call that logs %s is seen", event)
+			t.Errorf("found no call that logs %s", event)
 		}
 	}
-	if len(logged) < len(logging.Events())-5 { // package logging writes its own events in another way
-		t.Errorf("calls are seen of %d of %d events", len(logged), len(logging.Events()))
+	if len(logged) < len(logging.Events())-5 { // package logging does not log its own events by calls of Log
+		t.Errorf("found calls that log %d of %d events, want all but 5 at most", len(logged), len(logging.Events()))
 	}
 }
 
-// isCall reports whether a call is of a function or method of that name, and of that package if one is given.
+// isCall reports whether a call is of the function or method name, and of package pkg unless pkg is empty.
 func isCall(call *ast.CallExpr, pkg, name string) bool {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || selector.Sel.Name != name {
@@ -156,7 +157,7 @@
 	return pkg == "" || ok && x.Name == pkg
 }
 
-// qualifiedName is the name of a variable with its package, which is the file's if none is written.
+// qualifiedName returns the name of a variable with its package, which is the file's own for a plain name.
 func qualifiedName(file source, e ast.Expr) string {
 	switch x := e.(type) {
 	case *ast.Ident:
--- a/internal/app/explain.go
+++ b/internal/app/explain.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxExplained = 1000 // requests in one answer
-	anyClass     = -1   // in a query of the request log
+	maxExplained = 1000 // most requests in one answer
+	anyClass     = -1   // in a query of the request log: requests of all classes
 )
 
-// explain answers what became of the requests that a command asks for.
+// explain returns the recent requests that match a command's query.
 func (p *Program) explain(request control.Request) (any, error) {
 	query, err := p.explainQuery(request)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return answer, nil
 }
 
-// explainQuery is the query of the request log for a command.
+// explainQuery returns the query of the request log for a command, or an error for an unknown name.
 func (p *Program) explainQuery(request control.Request) (explain.Query, error) {
 	query := explain.Query{
 		ID:        request.ID,
@@ -61,7 +61,7 @@
 	return query, nil
 }
 
-// statusByName finds the status of a name, except that of requests without an answer.
+// statusByName returns the status with a name. The status of requests without an answer is not found.
 func statusByName(name string) (lifecycle.Status, bool) {
 	for status, statusName := range statusNames {
 		if statusName == name && status != 0 {
@@ -71,7 +71,7 @@
 	return 0, false
 }
 
-// causeByName finds the cause of a text, or CauseNone.
+// causeByName returns the cause with a text, or CauseNone if there is none.
 func causeByName(text string) lifecycle.Cause {
 	for _, cause := range lifecycle.AllCauses() {
 		if cause.String() == text {
@@ -81,7 +81,7 @@
 	return lifecycle.CauseNone
 }
 
-// explainRequest is what is answered of a request.
+// explainRequest converts an entry of the request log to its form in an answer.
 func (p *Program) explainRequest(entry *explain.Entry) ExplainedRequest {
 	settings := &p.config.Settings
 	e := ExplainedRequest{
@@ -102,7 +102,7 @@
 	if entry.Tenant >= 0 && entry.Tenant < len(settings.Tenants) {
 		e.Tenant = settings.Tenants[entry.Tenant].Name
 	}
-	e.WaitedMs = e.TookMs // where it never ran
+	e.WaitedMs = e.TookMs // if it never ran
 	if entry.StartedAt > 0 {
 		e.WaitedMs = milliseconds(entry.StartedAt.Sub(entry.ArrivedAt))
 	}
@@ -125,7 +125,7 @@
 	return e
 }
 
-// keyStoredOn is what makes keys durable: copies on peers, or the disk.
+// keyStoredOn returns what makes keys durable: replicas on peers, or the disk.
 func (p *Program) keyStoredOn() string {
 	if p.peers != nil {
 		return KeyStoredOnPeers
@@ -133,5 +133,5 @@
 	return KeyStoredOnDisk
 }
 
-// milliseconds is a duration in milliseconds, with three decimal places.
+// milliseconds returns a duration in milliseconds, cut to whole microseconds.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/app/gauges.go
+++ b/internal/app/gauges.go
@@ -11,17 +11,17 @@
 // labels are the labels of a metric.
 type labels = map[string]string
 
-// gauge returns a sample of a value that may fall.
+// gauge returns a sample of a value that may rise and fall.
 func gauge(name, help string, value float64, attributes labels) metrics.Sample {
 	return metrics.Sample{Name: name, Help: help, Labels: attributes, Value: value}
 }
 
-// counter returns a sample of a value that only grows.
+// counter returns a sample of a value that only increases.
 func counter(name, help string, value float64, attributes labels) metrics.Sample {
 	return metrics.Sample{Name: name, Help: help, Labels: attributes, Value: value, Monotonic: true}
 }
 
-// boolValue returns the value of a gauge for a condition: 1 if it holds.
+// boolValue returns the value of a gauge for a condition: 1 if it holds, else 0.
 func boolValue(holds bool) float64 {
 	if holds {
 		return 1
@@ -52,7 +52,7 @@
 	}
 }
 
-// requestSamples count requests and attempts by class.
+// requestSamples returns the counts of requests and attempts by class.
 func (p *Program) requestSamples() []metrics.Sample {
 	var samples []metrics.Sample
 	for class, stats := range p.requests.StatsByClass() {
@@ -69,7 +69,7 @@
 	return samples
 }
 
-// requestsByEnd counts requests by the metrics' names of how they ended.
+// requestsByEnd returns the counts of requests by the values of the metric's label "end".
 func requestsByEnd(stats lifecycle.Stats) map[string]int64 {
 	return map[string]int64{
 		"served":    stats.Served,
@@ -82,7 +82,7 @@
 	}
 }
 
-// groupSamples are the metrics of the groups of servers.
+// groupSamples returns the metrics of the groups of servers.
 func (p *Program) groupSamples() []metrics.Sample {
 	var samples []metrics.Sample
 	for name, group := range p.uwsgi.groups {
@@ -117,7 +117,7 @@
 	return sample
 }
 
-// queueSamples are the metrics of the queues and pools before the groups of servers.
+// queueSamples returns the metrics of the queues and pools in front of the groups of servers.
 func (p *Program) queueSamples() []metrics.Sample {
 	var samples []metrics.Sample
 	for group, queue := range p.uwsgi.queues {
--- a/internal/app/healthchecks.go
+++ b/internal/app/healthchecks.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/upstream"
 )
 
-// checkCoordinator decides which runner checks the health of which servers, where one does so for
-// all.
+// checkCoordinator decides which servers this runner checks, where the runners share health checks: one
+// checks a server under a lease and reports the result to the others.
 type checkCoordinator struct{ program *Program }
 
 // ShouldCheck implements upstream.HealthCheckCoordinator.
--- a/internal/app/inventory.go
+++ b/internal/app/inventory.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/inventory"
 )
 
-// watchInventory watches the inventory's files as the operator's file says, and stops watching
-// those of the previous one.
+// watchInventory watches the inventory's files as a new operator's file says, and stops watching those
+// of the previous operator's file. If the file watches the same inventory, the watcher is kept.
 func (p *Program) watchInventory(next *config.Operator) {
 	if p.uwsgi.inventory != nil && sameInventory(p.operator, next) {
 		p.uwsgi.inventory.Accepted(next.InventoryFingerprint, next.Servers)
@@ -17,7 +17,7 @@
 	}
 	if watcher := p.uwsgi.inventory; watcher != nil {
 		p.uwsgi.inventory = nil
-		go watcher.Stop() // it waits for a read that is in progress
+		go watcher.Stop() // in a goroutine, because it waits for a read that is in progress
 	}
 	if next == nil || next.InventoryPath == "" || next.InventoryWatch.IntervalS == 0 {
 		return
@@ -25,8 +25,8 @@
 	p.uwsgi.inventory = p.startWatcher(next)
 }
 
-// sameInventory reports whether two operator's files have the same inventory, watched in the same
-// way.
+// sameInventory reports whether two operator's files have the same inventory, with the same settings of
+// the watch.
 func sameInventory(a, b *config.Operator) bool {
 	return a != nil && b != nil && a.InventoryPath == b.InventoryPath && a.InventoryWatch == b.InventoryWatch
 }
@@ -52,8 +52,8 @@
 	return watcher
 }
 
-// applyFound applies an endpoint list that a watcher has found, unless the watcher was replaced or
-// a HUP has applied a newer list in the meantime.
+// applyFound applies a list of servers that a watcher has found, unless the watcher was replaced or a
+// HUP has applied a newer list in the meantime.
 func (p *Program) applyFound(
 	watcher *discovery.Watcher,
 	fingerprint discovery.Fingerprint,
@@ -64,8 +64,8 @@
 	}
 }
 
-// applyInventory applies another endpoint list, where the rest of the operator's file is still
-// valid with it.
+// applyInventory applies a new list of servers. It rejects the list if the rest of the operator's file
+// is not valid with it.
 func (p *Program) applyInventory(fingerprint discovery.Fingerprint, servers []inventory.Server) {
 	next, err := p.operator.WithServers(fingerprint, servers, p.config)
 	if err != nil {
--- a/internal/app/inventory_test.go
+++ b/internal/app/inventory_test.go
@@ -47,8 +47,8 @@
 	return p
 }
 
-// A list that a watcher has found is not applied once a HUP has brought a newer one, or another
-// watcher is in its place.
+// A list that a watcher has found is delivered to the loop later. It must not be applied if a HUP has
+// applied a newer list in the meantime, or if another watcher has replaced the one that found it.
 func TestOutdatedInventoryIsNotApplied(t *testing.T) {
 	p := newWithInventory(t, scenario.NewSteppedLoop(t))
 	operator, watcher := p.operator, p.uwsgi.inventory
@@ -57,7 +57,7 @@
 	const fingerprint = discovery.Fingerprint(7)
 	count := func() int { return len(p.operator.Servers) }
 	if p.applyFound(watcher, fingerprint, both); count() != 1 {
-		t.Errorf("%d servers: a list that is not pending any more was applied", count())
+		t.Errorf("%d servers, want 1: a list that is no longer pending was applied", count())
 	}
 	other := discovery.Watch(
 		operator.InventoryPath,
@@ -69,6 +69,6 @@
 	)
 	t.Cleanup(other.Stop)
 	if p.applyFound(other, fingerprint, both); count() != 1 {
-		t.Errorf("%d servers: the list of another watcher was applied", count())
+		t.Errorf("%d servers, want 1: the list of another watcher was applied", count())
 	}
 }
--- a/internal/app/keystore.go
+++ b/internal/app/keystore.go
@@ -8,8 +8,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// openKeyStore takes the lock of the store's folder. Its contents are read after the request
-// lifecycle was created. Without a folder it returns nil.
+// openKeyStore opens the key store, which takes the lock of its folder. The stored keys are read after
+// the request lifecycle has been created. Without a folder openKeyStore returns nil.
 func (p *Program) openKeyStore(repair bool) (lifecycle.KeyStore, error) {
 	if p.operator == nil || p.operator.Store.Dir == "" {
 		return nil, nil
@@ -27,9 +27,9 @@
 	return p.keys.store, nil
 }
 
-// restoreKeys gives the request lifecycle the keys of earlier incarnations, and returns how many
-// are unknown to it. With peers, a key whose run had not ended is left out: the peers know its
-// state.
+// restoreKeys passes the keys of earlier incarnations to the request lifecycle, and returns how many
+// have a class or tenant that is not configured. With peers, keys whose runs had not ended are left
+// out: the peers know their state.
 func (p *Program) restoreKeys(keys []lifecycle.KeyRecord) (unknown int) {
 	if p.peers == nil {
 		return p.requests.Restore(keys)
@@ -43,14 +43,14 @@
 	return p.requests.Restore(ended)
 }
 
-// keyStoreFailed ends a program that cannot rely on its stored keys: all open requests are answered
+// keyStoreFailed ends the program, which cannot rely on its stored keys. All open requests are answered
 // first.
 func (p *Program) keyStoreFailed(err error) {
 	p.state.err = err
 	p.drain()
 }
 
-// closeKeyStore waits for the last writes.
+// closeKeyStore closes the key store and waits for its last writes.
 func (p *Program) closeKeyStore() error {
 	if p.keys.store == nil {
 		return nil
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -7,31 +7,32 @@
 	"ryepaddle/internal/config"
 )
 
-// onProcessesChanged is called with the number of other processes of this runner.
+// onProcessesChanged is called when the number of other processes of this runner changes.
 func (p *Program) onProcessesChanged(others int) {
 	p.keys.processes = others + 1
 	p.applyLimits()
 }
 
-// applyLimits gives this process its share of the limits, which the processes of a runner divide
+// applyLimits applies this process's share of the limits, which the processes of a runner divide
 // equally.
 func (p *Program) applyLimits() {
 	limitMemory(p.config, p.keys.processes)
 	p.applyDescriptorLimits()
-	// the settings in force were accepted before, and their share differs in numbers alone
+	// No error is expected: the settings in force were accepted before, and only numbers differ.
 	if _, err := p.requests.Configure(p.processShare(p.config.Settings)); err != nil {
 		eventReloadRejected.Log(err)
 	}
 }
 
-// applyDescriptorLimits divides the descriptors of this process anew.
+// applyDescriptorLimits applies the limits of connections that follow from the descriptors of this
+// process.
 func (p *Program) applyDescriptorLimits() {
 	shares := shareDescriptors(p.config, p.operator)
 	p.platform.frontend.SetMaxConnections(shares.balancers / p.keys.processes)
 	p.platform.backend.SetMaxConnections(max(shares.backend/p.keys.processes, minBackendDescriptors))
 }
 
-// processShare is this process's share of the settings.
+// processShare returns the settings with the limits reduced to this process's share.
 func (p *Program) processShare(s admission.Settings) admission.Settings {
 	n := float64(p.keys.processes)
 	s.MemoryKB /= n
@@ -40,8 +41,8 @@
 	return s
 }
 
-// heapDivisor divides the platform's memory limit to get that of the Go runtime. The rest is left
-// for what the runtime does not count, such as the buffers of sockets.
+// heapDivisor is the factor by which the memory limit of the Go runtime is below the platform's. The
+// rest is left for what the runtime does not count, such as the buffers of sockets.
 const heapDivisor = 2
 
 // limitMemory sets the memory limit of the Go runtime for one of the processes of a runner.
--- a/internal/app/limits_test.go
+++ b/internal/app/limits_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range c.Settings.Classes { // nothing listens for calls here
+	for i := range c.Settings.Classes { // no back end runs in the test
 		c.Settings.Classes[i].CallsDependency = false
 	}
 	c.Listen = netip.MustParseAddrPort("127.0.0.1:0")
@@ -44,7 +44,7 @@
 	return p
 }
 
-// onLoop calls fn on the program's loop, and waits for it.
+// onLoop calls fn on the program's loop, and waits until it has returned.
 func (p *Program) onLoop(fn func()) {
 	done := make(chan struct{})
 	p.loop.Deliver(func() { fn(); close(done) })
@@ -67,8 +67,8 @@
 	return process, runner
 }
 
-// requireShare waits until a process knows how many are its runner, and checks its share of the
-// limits.
+// requireShare waits until a program knows the number of processes of its runner, and checks its share
+// of the limits.
 func requireShare(t *testing.T, p *Program, processes int) {
 	t.Helper()
 	var got, runner limits
@@ -86,7 +86,7 @@
 		math.Max(runner.MaxRunningPerCore/n, 1),
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("limits of the process (-want +got)\n%s", diff)
 	}
 }
 
@@ -96,12 +96,13 @@
 	p.onLoop(func() {
 		all := shareDescriptors(p.config, nil).balancers
 		if got := p.platform.frontend.MaxConnections(); got != all/processes {
-			t.Errorf("one of %d accepts %d connections, of %d", processes, got, all)
+			t.Errorf("one of %d processes accepts %d connections, want an equal share of %d", processes, got, all)
 		}
 	})
 }
 
-// Two processes have together what one has, and the one that stays has all of it again.
+// Two processes of a runner divide its limits, and the one that remains gets all of them again. Without
+// that the runner would exceed its limits while a new version starts, or stay below them afterwards.
 func TestLimitsAreDividedAmongProcesses(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	unchanged := func(*config.Platform) {}
@@ -113,7 +114,7 @@
 	other := startProgram(t, func(c *config.Platform) { c.Name = "n1" }) // of another runner
 	requireShare(t, other, 1)
 	requireMaxConnections(t, one, 2)
-	two.onLoop(two.keys.reservations.Close) // as its death does
+	two.onLoop(two.keys.reservations.Close) // has the effect of the process's end
 	requireShare(t, one, 1)
 	requireMaxConnections(t, one, 1)
 }
--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -6,11 +6,11 @@
 	"ryepaddle/internal/frontend/admin"
 )
 
-// enginePollInterval is the time between two checks whether the engine is connected.
+// enginePollInterval is the time between two checks of whether the engine is connected.
 const enginePollInterval = 10 * time.Millisecond
 
-// startListening opens the listeners, that of the platform's frontend last: from then on the
-// program serves.
+// startListening opens the listeners. The platform's frontend comes last: once it listens, the program
+// serves.
 func (p *Program) startListening() error {
 	if p.uwsgi.frontend != nil {
 		if err := p.uwsgi.frontend.Listen(p.requests); err != nil {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// listenPlatform accepts connections of balancers: at once, or, beside another process that serves,
-// once this one can.
+// listenPlatform accepts connections of balancers. While other processes of this runner exist it waits
+// until the engine is connected, so that this process can serve what it accepts.
 func (p *Program) listenPlatform() error {
 	if p.keys.processes > 1 && p.config.Engine.IsValid() && !p.platform.engine.IsConnected() {
 		p.loop.After(enginePollInterval, p.listenWhenReady)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// listenWhenReady tries again to listen. An address that is taken ends the program.
+// listenWhenReady calls listenPlatform again. An error, such as an address in use, ends the program.
 func (p *Program) listenWhenReady() {
 	if err := p.listenPlatform(); err != nil {
 		p.state.err = err
@@ -67,7 +67,8 @@
 	}
 }
 
-// logListeners logs the addresses of the listeners, except the platform's.
+// logListeners logs the addresses of the listeners, except that of the platform's frontend, which
+// listenPlatform logs.
 func (p *Program) logListeners() {
 	if p.admin != nil {
 		eventListening.Log("ops", p.admin.Addr())
@@ -80,7 +81,7 @@
 	}
 }
 
-// connections is how many connections of callers are open.
+// connections returns how many connections of callers are open.
 func (p *Program) connections() int {
 	if p.uwsgi.frontend != nil {
 		return p.platform.frontend.Connections() + p.uwsgi.frontend.Connections()
@@ -88,8 +89,8 @@
 	return p.platform.frontend.Connections()
 }
 
-// setHealth sets how the frontends answer health checks. If stored is set, the platform's deep
-// checks get the same answer.
+// setHealth sets how the frontends answer health checks. If stored is set, the platform's deep checks
+// get the same answer without a check.
 func (p *Program) setHealth(stored, healthy bool) {
 	p.platform.frontend.SetHealth(stored, healthy)
 	if p.uwsgi.frontend != nil {
--- a/internal/app/peergauges.go
+++ b/internal/app/peergauges.go
@@ -5,7 +5,7 @@
 	"ryepaddle/internal/telemetry/metrics"
 )
 
-// peerSamples are the metrics of the peers, and of the replicas of the usage ledger on them.
+// peerSamples returns the metrics of the peers, and of the replicas of the usage ledger on them.
 func (p *Program) peerSamples() []metrics.Sample {
 	if p.peers == nil {
 		return nil
@@ -29,7 +29,7 @@
 	return append(samples, p.usageReplicationSamples()...)
 }
 
-// replicationSamples are the metrics of the replicas of keys.
+// replicationSamples returns the metrics of the replicas of keys.
 func replicationSamples(status *node.Status) []metrics.Sample {
 	return []metrics.Sample{
 		gauge("ryepaddle_peers_closed", "1: no new keys are taken, as peers do not keep them.",
@@ -45,7 +45,7 @@
 	}
 }
 
-// peerMessageSamples are the metrics of the links to peers.
+// peerMessageSamples returns the metrics of the links to peers.
 func peerMessageSamples(status *node.Status) []metrics.Sample {
 	const name, help = "ryepaddle_peers_messages_total", "Messages to peers."
 	return []metrics.Sample{
@@ -56,7 +56,7 @@
 	}
 }
 
-// usageReplicationSamples are the metrics of the replicas of the usage ledger.
+// usageReplicationSamples returns the metrics of the replicas of the usage ledger.
 func (p *Program) usageReplicationSamples() []metrics.Sample {
 	if p.usage.meter == nil {
 		return nil
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -13,15 +13,15 @@
 	"ryepaddle/internal/usage/metering"
 )
 
-// peersMemoryDivisor divides the memory limit to get the bound of the replicas' memory where the
-// operator's file has none.
+// peersMemoryDivisor divides the platform's memory limit to get the default limit of the replicas'
+// memory.
 const peersMemoryDivisor = 4
 
-// incarnationShift leaves the low bits of a node's incarnation free, which the node counts up
-// itself.
+// incarnationShift leaves the low bits of a node's incarnation free for the node, which increments
+// them.
 const incarnationShift = 20
 
-// startPeers joins the runners of the installation, if the operator's file has any.
+// startPeers joins the other runners of the installation, if the operator's file has peers.
 func (p *Program) startPeers(incarnation uint64) error {
 	if p.operator == nil || !p.operator.Peers.Enabled() {
 		return nil
@@ -43,7 +43,7 @@
 	})
 }
 
-// peersConfig is the configuration of this runner's node.
+// peersConfig returns the configuration of this runner's node.
 func (p *Program) peersConfig(incarnation uint64) node.Config {
 	settings := &p.operator.Peers
 	memoryMB := cmp.Or(settings.MemoryMB, int64(p.config.MemoryMB)/peersMemoryDivisor)
@@ -77,7 +77,7 @@
 	return c
 }
 
-// closePeers closes the node and releases its folder.
+// closePeers closes the node, which releases its folder.
 func (p *Program) closePeers() {
 	if p.peers == nil {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// peersOf returns the other members of a file, and the names of all.
+// peersOf returns the members of an operator's file except self, and the names of all members.
 func peersOf(settings *config.Peers, self string) (others []link.Peer, names []string) {
 	for _, member := range settings.Members {
 		names = append(names, member.Name)
@@ -98,7 +98,8 @@
 	return others, names
 }
 
-// applyPeers adopts the members of another file at a HUP. All other changes need a restart.
+// applyPeers applies the members and lease rules of a new operator's file. All other changes need a
+// restart.
 func (p *Program) applyPeers(settings *config.Peers) {
 	running := p.peers != nil
 	if running != settings.Enabled() {
@@ -117,8 +118,8 @@
 
 var errNoPeers error = noPeersKind.New("this runner has no peers: its operator's file has no section for them")
 
-// answerPeers answers a command about peers: where a key is, or that a member leaves, stays or is
-// replaced.
+// answerPeers carries out a command about peers: it returns where the replicas of a key are, or makes a
+// member leave, stay or be replaced.
 func (p *Program) answerPeers(request control.Request) (any, error) {
 	if p.peers == nil {
 		return nil, errNoPeers
--- a/internal/app/platform.go
+++ b/internal/app/platform.go
@@ -11,7 +11,8 @@
 	"ryepaddle/internal/simwire"
 )
 
-// platformLinks are the connections with the platform.
+// platformLinks holds the connections to the platform: those that the frontend accepts, and the links to
+// the engine, the back end and the registry.
 type platformLinks struct {
 	frontend *platform.Frontend
 	engine   *engine.Link
@@ -35,8 +36,8 @@
 	return links
 }
 
-// start opens the links to the back end, the engine and the registry, as far as the platform has
-// them.
+// start starts the links to the back end, the engine and the registry. Links without a configured
+// address stay closed.
 func (l *platformLinks) start(p *Program) {
 	l.backend.SetMaxConnections(shareDescriptors(p.config, p.operator).backend)
 	l.backend.Start(p.requests)
@@ -52,7 +53,7 @@
 	}
 }
 
-// moveRegistry reports to another address of the registry, if a new configuration has one.
+// moveRegistry sends reports to the registry's new address, if a new configuration changes it.
 func (l *platformLinks) moveRegistry(next, previous *config.Platform) {
 	if !next.Registry.IsValid() || next.Registry == previous.Registry {
 		return
--- a/internal/app/program.go
+++ b/internal/app/program.go
@@ -17,7 +17,7 @@
 // Program is a running program. All its methods are called on its loop.
 type Program struct {
 	files    configFiles
-	log      *logging.Writer // nil in a program that is part of another one
+	log      *logging.Writer // nil if the program runs inside another one, such as a test
 	config   *config.Platform
 	operator *config.Operator // nil without an operator's file
 	loop     *eventloop.Loop
@@ -32,22 +32,22 @@
 	admin     *admin.Server // nil without an admin listener
 	state     processState
 
-	// classNames has the names of the classes by index. Goroutines other than the loop's read it.
+	// classNames holds the names of the classes by index. Goroutines other than the loop's read it.
 	classNames atomic.Pointer[[]string]
 }
 
 // processState is the phase of the process and of its reloads.
 type processState struct {
 	listening   bool  // the platform's frontend accepts connections
-	draining    bool  // the process shuts down, or another one has replaced it
+	draining    bool  // the process shuts down, because of a signal or because another one replaces it
 	reloading   bool  // a goroutine reads the configuration files
-	reloadAgain bool  // another reload was requested while the files are read
-	err         error // why the program ends; nil: it was requested
+	reloadAgain bool  // another reload was requested while the files were being read
+	err         error // the error that ends the program; nil: the end was requested
 
 	reloadsAccepted, reloadsRejected int64
 }
 
-// New starts a program on a loop. It listens, and serves while the loop runs.
+// New starts a program on a loop and opens its listeners. The program serves while the loop runs.
 func New(
 	loop *eventloop.Loop,
 	platformConfig *config.Platform,
@@ -74,8 +74,8 @@
 	return p, p.startListening()
 }
 
-// startRequests starts the request lifecycle with all that it depends on: stored keys, other
-// processes or peers, and the platform's links.
+// startRequests starts the request lifecycle and what it depends on: the key store, the peers or the
+// reservations shared with other processes of this runner, and the links to the platform.
 func (p *Program) startRequests(repairStore bool) error {
 	incarnation := uint64(max(rand.Uint32(), 1))
 	p.keys.processes = 1
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// environment is what the request lifecycle needs of the program.
+// environment returns the functions and parts of the program that the request lifecycle uses.
 func (p *Program) environment(
 	store lifecycle.KeyStore,
 	reservations lifecycle.Reservations,
@@ -129,9 +129,9 @@
 	}
 }
 
-// Close closes the stores and recorders, and waits for their last writes, each for a bounded time.
-// It is to be called after the loop has ended, and returns why the program ended, if that was an
-// error.
+// Close closes the stores and recorders, and waits a bounded time for the last writes of each. It must
+// be called after the loop has ended. It returns the error that ended the program, if any, joined with
+// an error of the key store.
 func (p *Program) Close() error {
 	err := p.closeKeyStore()
 	p.closePeers()
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -6,10 +6,10 @@
 	"ryepaddle/internal/config"
 )
 
-// configFiles are the paths of the configuration files.
+// configFiles holds the paths of the configuration files. operator is empty without an operator's file.
 type configFiles struct{ platform, operator string }
 
-// read reads and checks the files. Without an operator's file operator is nil.
+// read reads and checks the files. The operator returned is nil without an operator's file.
 func (f configFiles) read() (platform *config.Platform, operator *config.Operator, err error) {
 	if platform, err = config.ReadPlatform(f.platform); err != nil {
 		return nil, nil, err
@@ -36,8 +36,8 @@
 	}()
 }
 
-// reloaded applies files that were read, and reads them again if a HUP came in the meantime, since
-// they may have changed after they were read.
+// reloaded applies the files that were read. It reads them again if a HUP arrived in the meantime,
+// since they may have changed after they were read.
 func (p *Program) reloaded(platform *config.Platform, operator *config.Operator, err error) {
 	p.state.reloading = false
 	if err == nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// apply moves to a new configuration. Open requests go on with their keys, and the engine's notices
-// with their numbers; the listeners stay where they are.
+// apply switches to a new configuration. Open requests keep their idempotency keys, the engine's notices
+// keep their numbering, and the listeners keep their addresses.
 func (p *Program) apply(next *config.Platform, operator *config.Operator) error {
 	if err := p.checkUnchanged(next); err != nil {
 		return err
@@ -83,11 +83,11 @@
 func (p *Program) checkUnchanged(next *config.Platform) error {
 	switch {
 	case next.Name != p.config.Name:
-		return fixedKind.New("config: field name: %q, this is %s", next.Name, p.config.Name)
+		return fixedKind.New("config: field name: %q, but the running program is %s", next.Name, p.config.Name)
 	case !sameLinks(next, p.config):
 		return fixedKind.New(
-			"config: engine, backend and roster can be moved, not added or taken away, while the " +
-				"program runs",
+			"config: engine, backend and roster can get another address, but not be added or removed, " +
+				"while the program runs",
 		)
 	case !slices.Equal(next.Gauges, p.config.Gauges):
 		return fixedKind.New("config: field settings: the gauges cannot change while the program runs")
@@ -95,15 +95,16 @@
 	return nil
 }
 
-// sameLinks reports whether two configurations have links to the same parts of the platform.
+// sameLinks reports whether two configurations have links to the same parts of the platform, at whatever
+// addresses.
 func sameLinks(a, b *config.Platform) bool {
 	return a.Engine.IsValid() == b.Engine.IsValid() &&
 		a.Backend.IsValid() == b.Backend.IsValid() &&
 		a.Registry.IsValid() == b.Registry.IsValid()
 }
 
-// applySettings gives the settings to the request lifecycle. Classes that are removed keep their
-// index.
+// applySettings applies the settings to the request lifecycle. Classes that are removed keep their
+// index, since open requests refer to it.
 func (p *Program) applySettings(next *config.Platform) error {
 	settings, err := next.Settings.MergeClasses(p.config.Settings)
 	if err == nil {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// keepUntilRestart keeps the values in force of fields that only a restart changes.
+// keepUntilRestart replaces the fields of next that only a restart can change by those in force.
 func (p *Program) keepUntilRestart(next *config.Platform) {
 	if next.Admin != p.config.Admin {
 		eventRestartNeeded.Log("ops of the platform's file")
@@ -130,7 +131,7 @@
 	next.Seed = p.config.Seed
 }
 
-// applyOperator moves to another operator's file, and returns how many servers it has.
+// applyOperator applies a new operator's file, and returns how many servers it has.
 func (p *Program) applyOperator(next *config.Operator) (servers int) {
 	if next == nil {
 		p.applyRoutes(nil)
@@ -151,7 +152,8 @@
 	return len(next.Servers)
 }
 
-// logRestartNeeded logs the changed sections of the operator's file that only a restart applies.
+// logRestartNeeded logs the sections of the operator's file that have changed but need a restart to be
+// applied.
 func (p *Program) logRestartNeeded(next *config.Operator) {
 	previous := p.operator
 	listenChanged := next.ListenAddr != previous.ListenAddr ||
--- a/internal/app/reservations.go
+++ b/internal/app/reservations.go
@@ -10,27 +10,30 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// A new version is started beside the one that it replaces, and for a while two processes are one
-// runner. They share $TMPDIR, where each logs the idempotency keys that it reserves.
+// A new version is started while the version that it replaces still runs, so that for a while one
+// runner consists of two processes. They share $TMPDIR, where each logs the idempotency keys that it
+// reserves.
 
 const (
-	// resultsMemoryDivisor divides the memory limit to get the bound of the results that are handed
-	// to another process of the runner.
+	// resultsMemoryDivisor divides the platform's memory limit to get the limit of the size of the
+	// results that are passed to another process of the runner.
 	resultsMemoryDivisor = 16
-	// maxKeyDelay is how long after its window a key is kept for retries that arrive late.
+	// maxKeyDelay is how long a key is kept after its window, for retries that arrive late.
 	maxKeyDelay       = 10 * time.Second
-	lockRetryInterval = 100 * time.Millisecond // while another process holds the lock
+	lockRetryInterval = 100 * time.Millisecond // between attempts while another process holds the lock
 )
 
-// idempotencyKeys are the parts that keep idempotency keys outside the process.
+// idempotencyKeys holds the key store and the reservations, which keep idempotency keys outside the
+// process.
 type idempotencyKeys struct {
-	store        *persistence.KeyStore    // nil where keys are not stored on a disk
-	reservations *reservation.Coordinator // nil where no other process can be this runner
-	lockPending  bool                     // reservations wait for a lock that another process holds
-	processes    int                      // of this runner, this one included; at least 1
+	store        *persistence.KeyStore    // nil if keys are not stored on a disk
+	reservations *reservation.Coordinator // nil if this process does not reserve keys
+	lockPending  bool                     // another process holds the lock that reservations need
+	processes    int                      // processes of this runner, including this one; at least 1
 }
 
-// reserver passes reservations on to the coordinator, which may be opened later.
+// reserver passes reservations on to the coordinator. It exists because the coordinator is opened after
+// the request lifecycle was created.
 type reserver struct{ program *Program }
 
 // Reserve implements lifecycle.Reservations.
@@ -44,7 +47,7 @@
 	switch {
 	case keys.reservations != nil:
 		keys.reservations.Reserve(key, within, free, done)
-	case keys.lockPending: // another process may have run it
+	case keys.lockPending: // another process may have run the request
 		done(false, reservation.ErrLockHeld)
 	default:
 		done(true, nil)
@@ -65,8 +68,9 @@
 	}
 }
 
-// openReservations joins the processes of this runner. Without a folder, or with one that cannot be
-// used, it is the only one; while another process holds the lock nothing is reserved.
+// openReservations joins the other processes of this runner. Without $TMPDIR, or if it cannot be used,
+// this process acts as the only one. While another process holds the lock, no key can be reserved, and
+// the lock is tried again.
 func (p *Program) openReservations(incarnation uint64) {
 	dir := os.Getenv("TMPDIR")
 	if dir == "" {
@@ -95,7 +99,7 @@
 	}
 }
 
-// longestWindow is the longest time in which a key of any class may be retried.
+// longestWindow returns the longest idempotency window of a class.
 func (p *Program) longestWindow() time.Duration {
 	var longest time.Duration
 	for _, class := range p.config.Settings.Classes {
@@ -104,7 +108,7 @@
 	return longest
 }
 
-// isReplaced reports whether another process of this runner accepts requests.
+// isReplaced reports whether another process of this runner accepts connections.
 func (p *Program) isReplaced() bool {
 	if p.keys.reservations == nil {
 		return false
--- a/internal/app/retire.go
+++ b/internal/app/retire.go
@@ -7,18 +7,18 @@
 	"ryepaddle/internal/config"
 )
 
-// Times of a process that another one replaces.
+// Times of the shutdown of a process that another one replaces.
 const (
-	// maxRetirement bounds the time for which requests that were read may still run.
+	// maxRetirement is the longest time for which requests that were read may still run.
 	maxRetirement = 3 * time.Second
-	// retirementMargin is the time after that in which the last answers are sent.
+	// retirementMargin is the additional time in which the last answers are sent.
 	retirementMargin = 700 * time.Millisecond
-	// retirementDrain is the time before the end in which requests that still arrive are rejected.
+	// retirementDrain is the time before the end from which arriving requests are rejected.
 	retirementDrain = time.Second
 )
 
-// retirementTime is how long a process runs after it is replaced: the longest timeout of a class,
-// up to maxRetirement, and retirementMargin.
+// retirementTime returns how long a process runs after it is replaced: the longest timeout of a class,
+// but at most maxRetirement, plus retirementMargin.
 func retirementTime(c *config.Platform) time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
@@ -29,9 +29,10 @@
 	return min(longest, maxRetirement) + retirementMargin
 }
 
-// retire leaves service to another process of the runner. Unlike a drain it does not send callers
-// to other runners: requests that were read are answered, requests on open connections are served
-// until the time runs out, and each connection is closed once it has no open request.
+// retire shuts down in favour of another process of this runner. Unlike a drain it does not send
+// callers to other runners: requests that were read are answered, requests on open connections are
+// served until retirementDrain before the end, and each connection is closed once it has no open
+// request.
 func (p *Program) retire() {
 	p.state.draining = true
 	startedAt := p.loop.Now()
@@ -53,7 +54,7 @@
 	})
 }
 
-// drainRetired rejects, from now on, what arrives at a process that is replaced.
+// drainRetired makes a process that is replaced reject all requests that arrive from now on.
 func (p *Program) drainRetired() {
 	settings := p.processShare(p.config.Settings)
 	settings.DrainGrace = 0
--- a/internal/app/statistics.go
+++ b/internal/app/statistics.go
@@ -1,12 +1,12 @@
 package app
 
-// Statistics are what the admin listener answers. The keys are the platform's; the maps are by
+// Statistics is the answer of the admin listener. The JSON keys are the platform's; the maps are by
 // class.
 type Statistics struct {
 	Served          map[string]int64 `json:"fulfilled"`
 	Rejected        map[string]int64 `json:"throttled"`
 	Faulted         map[string]int64 `json:"faulted"` // all other answers
-	Attempts        int64            `json:"relayed"` // given to the engine or a server
+	Attempts        int64            `json:"relayed"` // attempts sent to the engine or a server
 	OpenRequests    int              `json:"open_requests"`
 	ReloadsAccepted int64            `json:"cfg_accepted"`
 	ReloadsRejected int64            `json:"cfg_invalid"`
--- a/internal/app/status.go
+++ b/internal/app/status.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	statusInterval = 10 * time.Second // between two status lines
-	maxTableRows   = 400              // of a table of servers, which goes through the log
+	statusInterval = 10 * time.Second // time between two status reports in the log
+	maxTableRows   = 400              // most servers of a group that reportServers logs
 )
 
-// reportStatus logs the counters of requests and the state of the groups of servers, as far as they
-// have changed since it was called last.
+// reportStatus logs the counters of requests, the states of the groups of servers, and lost records and
+// spans, each only if it has changed since the last call.
 func (p *Program) reportStatus() {
 	logging.ReportSuppressed()
 	p.reportTrafficLost()
@@ -30,7 +30,7 @@
 	}
 }
 
-// reportServers logs the state of all servers. USR1 asks for it.
+// reportServers logs the state of all servers. It is called on USR1.
 func (p *Program) reportServers() {
 	eventStatus.Log(p.requests.OpenRequests(), p.connections(), p.requests.Stats())
 	if p.uwsgi.inventory != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// reportGroup logs the state of the servers of a group.
+// reportGroup logs the summary of a group and the state of its servers, at most maxTableRows of them.
 func (p *Program) reportGroup(name string) {
 	summary, _ := p.uwsgi.groups[name].Summary()
 	eventGroup.Log(name, summary)
--- a/internal/app/stored_test.go
+++ b/internal/app/stored_test.go
@@ -65,8 +65,8 @@
 	}}}
 }
 
-// A command reads what a program of version 1 answers on the control socket, and a program answers
-// what a command of version 1 reads.
+// The JSON of the answers on the control socket must not change: commands and programs of different
+// versions, from version 1 on, talk to each other.
 func TestAnswersKeepTheirEncoding(t *testing.T) {
 	for name, sample := range map[string]any{
 		"status":  storedStatus(),
@@ -98,7 +98,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(sample, read.Elem().Interface()); diff != "" {
-				t.Errorf("read as (-want +got)\n%s", diff)
+				t.Errorf("decoded answer (-want +got)\n%s", diff)
 			}
 		})
 	}
--- a/internal/app/telemetry.go
+++ b/internal/app/telemetry.go
@@ -9,23 +9,24 @@
 	"ryepaddle/internal/telemetry/traffic"
 )
 
-// telemetry is what is recorded of requests, and reported to operators.
+// telemetry holds the control socket and the recorders of requests for operators.
 type telemetry struct {
 	control    *control.Server     // nil without a control socket
 	metrics    *metrics.Metrics    // by class and outcome; nil without a control socket
 	requestLog *explain.RequestLog // recent requests; nil without a control socket
-	traffic    *traffic.Recorder   // nil where traffic is not recorded
-	traces     *tracing.Recorder   // nil where no traces are written
+	traffic    *traffic.Recorder   // nil if traffic is not recorded
+	traces     *tracing.Recorder   // nil if no traces are written
 
-	// values that were last logged, so that only changes are logged
+	// The values logged last, so that only changes are logged.
 
 	reportedStats lifecycle.Stats
 	trafficLost   traffic.Lost
 	tracesLost    tracing.Lost
 }
 
-// answerObserver returns the function that counts, logs and traces each answered request, as the
-// operator's file says; nil if it says nothing.
+// answerObserver returns the function that is called with the trace of each answered request. It
+// counts, logs and traces the request as the operator's file configures; nil if it configures none of
+// that.
 func (p *Program) answerObserver() func(*lifecycle.Trace) {
 	var observers []func(*lifecycle.Trace)
 	if p.usage.meter != nil {
@@ -63,7 +64,8 @@
 	p.telemetry.traces.Record(trace, p.loop.Unix())
 }
 
-// logAnswered logs an answered request, if its level is logged.
+// logAnswered logs an answered request, with the server of its last recorded attempt, if the event's
+// level is enabled.
 func (p *Program) logAnswered(trace *lifecycle.Trace) {
 	if !eventAnswered.Enabled() {
 		return
--- a/internal/app/traces.go
+++ b/internal/app/traces.go
@@ -8,7 +8,7 @@
 	"ryepaddle/internal/telemetry/tracing"
 )
 
-// tracesCloseTimeout is how long the end of the program waits for the last spans.
+// tracesCloseTimeout is how long Close waits for the last spans to be written.
 const tracesCloseTimeout = 100 * time.Millisecond
 
 // startTraces starts to write traces if the operator's file says so.
@@ -34,7 +34,7 @@
 	return err
 }
 
-// traceParent is the traceparent header that the server of an attempt is sent.
+// traceParent returns the traceparent header for the server of an attempt.
 func (p *Program) traceParent(attempt *lifecycle.Attempt) string {
 	index := 0
 	for previous := attempt.Previous; previous != nil; previous = previous.Previous {
@@ -45,7 +45,7 @@
 	return context.Attempt(index).String()
 }
 
-// reportTracesLost logs spans that were lost since it was called last.
+// reportTracesLost logs the counts of lost spans if they have changed since the last call.
 func (p *Program) reportTracesLost() {
 	if p.telemetry.traces == nil {
 		return
@@ -56,7 +56,7 @@
 	}
 }
 
-// closeTraces writes the spans that are queued.
+// closeTraces writes the queued spans and closes the recorder of traces.
 func (p *Program) closeTraces() {
 	if p.telemetry.traces == nil {
 		return
--- a/internal/app/traffic.go
+++ b/internal/app/traffic.go
@@ -11,11 +11,12 @@
 	"ryepaddle/internal/telemetry/traffic"
 )
 
-// trafficCloseTimeout is how long the end of the program waits for the last records.
+// trafficCloseTimeout is how long Close waits for the last records to be written.
 const trafficCloseTimeout = 100 * time.Millisecond
 
-// startRecording starts to record traffic if the operator's file says so, and returns what records
-// a request, or nil. An error of the disk is logged and costs the records, not the service.
+// startRecording starts to record traffic if the operator's file says so. It returns the function that
+// records a request, or nil. After an error of the disk, which is logged, the program serves without
+// recording.
 func (p *Program) startRecording() func(*lifecycle.Request) {
 	if p.operator == nil || p.operator.TrafficRecording.Dir == "" {
 		return nil
@@ -35,14 +36,14 @@
 	}
 	eventRecordingStarted.Log(path)
 	return func(request *lifecycle.Request) {
-		// a class that a HUP has added is not in the header
+		// A class that a HUP has added is not in the header, so its requests are not recorded.
 		if request.Class < len(header.Classes) {
 			p.telemetry.traffic.Record(trafficRequest(request))
 		}
 	}
 }
 
-// trafficHeader is the header of a file of recorded traffic.
+// trafficHeader returns the header of a file of recorded traffic.
 func (p *Program) trafficHeader() traffic.Header {
 	header := traffic.Header{
 		Runner:    p.config.Name,
@@ -56,7 +57,7 @@
 	return header
 }
 
-// trafficRequest is what is recorded of a request.
+// trafficRequest returns the record of a request.
 func trafficRequest(request *lifecycle.Request) traffic.Request {
 	record := traffic.Request{
 		ArrivedAt: request.ArrivedAt,
@@ -67,7 +68,7 @@
 		Rank:      float32(request.Rank),
 		BodyBytes: uint32(len(request.Body)),
 	}
-	if len(request.Body) > 0 { // else all without a body would look like attempts of one request
+	if len(request.Body) > 0 { // a hash of empty bodies would make such requests look like retries of one
 		record.BodyHash = xxhash.Sum64(request.Body)
 	}
 	if request.Key != "" {
@@ -76,7 +77,7 @@
 	return record
 }
 
-// reportTrafficLost logs records that were lost since it was called last.
+// reportTrafficLost logs the counts of lost records if they have changed since the last call.
 func (p *Program) reportTrafficLost() {
 	if p.telemetry.traffic == nil {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// closeRecording finishes the file.
+// closeRecording finishes the file of recorded traffic.
 func (p *Program) closeRecording() {
 	if p.telemetry.traffic == nil {
 		return
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -14,24 +14,24 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// usageCloseTimeout is how long the end of the program waits for the usage ledger.
+// usageCloseTimeout is how long Close waits for the usage ledger to be written.
 const usageCloseTimeout = time.Second
 
-// SchoolUnnamed is the school of requests that name none.
-const SchoolUnnamed = "(none)"
+// UnnamedTenant is the tenant in the usage ledger of requests without a tenant.
+const UnnamedTenant = "(none)"
 
-// usageAccount counts what schools use.
+// usageAccount meters the usage of the tenants.
 type usageAccount struct {
-	meter *metering.Meter // nil where usage is not counted
-	// counted has the keys whose use was counted and replicated before their answers go out; nil
-	// without peers.
+	meter *metering.Meter // nil if usage is not metered
+	// counted holds the keys whose usage was handed to replication before their answers were sent, so
+	// that recordUsage does not count it again; nil without peers.
 	counted map[usedKey]bool
 }
 
-// usedKey is a key whose run has ended.
-type usedKey struct{ class, school, key string }
+// usedKey names an idempotency key whose run has ended.
+type usedKey struct{ class, tenant, key string }
 
-// startMeter starts to count usage if the operator's file says so.
+// startMeter starts to meter usage if the operator's file says so.
 func (p *Program) startMeter() error {
 	if p.operator == nil || p.operator.Usage.Dir == "" {
 		return nil
@@ -43,7 +43,7 @@
 	return err
 }
 
-// usageOutcomes are the outcomes of the usage ledger by the status of a request.
+// usageOutcomes maps the status of a request to its outcome in the usage ledger.
 var usageOutcomes = map[lifecycle.Status]ledger.Outcome{
 	0:                    ledger.OutcomeAbandoned,
 	lifecycle.Served:     ledger.OutcomeServed,
@@ -55,12 +55,12 @@
 	lifecycle.ResultLost: ledger.OutcomeDuplicate,
 }
 
-// recordUsage counts a request that is answered. Its answer goes out after that.
+// recordUsage counts the usage of an answered request. It is called before the answer is sent.
 func (p *Program) recordUsage(trace *lifecycle.Trace) {
 	settings := &p.config.Settings
 	record := ledger.Record{
 		AnsweredAt:     trace.AnsweredAt,
-		School:         SchoolUnnamed,
+		School:         UnnamedTenant,
 		Class:          settings.Classes[trace.Class].Name,
 		Outcome:        usageOutcomes[trace.Status],
 		KnownDuplicate: trace.Cause == lifecycle.CauseDuplicate,
@@ -71,7 +71,7 @@
 	if trace.Key != "" && p.requests.RequiresKey(trace.Class) {
 		p.setUsageKey(&record, trace.Class, trace.Key)
 		key := usedKey{record.Class, record.School, trace.Key}
-		// Replicate counted it when its run ended
+		// Replicate has counted this request when its run ended.
 		if !record.KnownDuplicate && p.usage.counted[key] {
 			delete(p.usage.counted, key)
 			return
@@ -88,12 +88,12 @@
 func (p *Program) setUsageKey(record *ledger.Record, classIndex int, key string) {
 	class := &p.config.Settings.Classes[classIndex]
 	record.Key = ledger.HashKey(record.School, record.Class, key)
-	// A duplicate that arrived at the end of the window is answered within its deadline, or not at
-	// all.
+	// A duplicate may arrive as late as the end of the window, and is answered within the timeout of its
+	// class or not at all.
 	record.KeyExpiresAt = record.AnsweredAt.Add(class.IdempotencyWindow).Add(class.Timeout)
 }
 
-// usageReplicas replicates the use of idempotent runs to peers before they are answered.
+// usageReplicas replicates the usage of runs with an idempotency key to peers before they are answered.
 type usageReplicas struct{ program *Program }
 
 // Receive implements node.UsageReplicas.
@@ -114,7 +114,7 @@
 	}
 	record := ledger.Record{
 		AnsweredAt: p.loop.Unix(),
-		School:     cmp.Or(key.Tenant, SchoolUnnamed),
+		School:     cmp.Or(key.Tenant, UnnamedTenant),
 		Class:      key.Class,
 		Outcome:    ledger.OutcomeServed,
 		Work:       wallclock.MicrosOf(key.ServerTime),
@@ -126,13 +126,13 @@
 
 // CorrectionAnswer is the answer to a correction of the usage ledger.
 type CorrectionAnswer struct {
-	Known bool `json:"known"` // it had been accepted before
+	Known bool `json:"known"` // the correction had been accepted before
 }
 
-var errNoUsage error = noUsageKind.New("no account of usage is kept: see usage of the operator's file")
+var errNoUsage error = noUsageKind.New("usage is not metered: see section usage of the operator's file")
 
-// answerUsage answers with a summary of the usage ledger, once the goroutine that owns the ledger
-// has made it.
+// answerUsage replies with a summary of the usage ledger, once the goroutine that owns the ledger has
+// made it.
 func (p *Program) answerUsage(reply func(any, error)) {
 	if p.usage.meter == nil {
 		reply(nil, errNoUsage)
@@ -147,7 +147,7 @@
 	}
 }
 
-// answerCorrection corrects the usage ledger, and answers once the correction is on the disk.
+// answerCorrection corrects the usage ledger, and replies once the correction is on the disk.
 func (p *Program) answerCorrection(request control.Request, reply func(any, error)) {
 	if p.usage.meter == nil {
 		reply(nil, errNoUsage)
@@ -166,7 +166,7 @@
 	}
 }
 
-// closeMeter waits until the usage ledger is on the disk.
+// closeMeter closes the meter, and waits up to usageCloseTimeout until the usage ledger is on the disk.
 func (p *Program) closeMeter() {
 	if p.usage.meter == nil {
 		return
--- a/internal/app/uwsgi.go
+++ b/internal/app/uwsgi.go
@@ -12,20 +12,20 @@
 	"ryepaddle/internal/upstream"
 )
 
-// uwsgiGroups are the uwsgi frontend, the groups of servers of the inventory, and what runs each
+// uwsgiGroups holds the uwsgi frontend, the groups of servers of the inventory, and the runner of each
 // class.
 type uwsgiGroups struct {
-	frontend  *uwsgi.Frontend // nil where no operator's file sets it up
+	frontend  *uwsgi.Frontend // nil if the operator's file does not configure it
 	groups    map[string]*upstream.Group
-	queues    map[string]*waitqueue.Queue // before the group of the same name
-	inventory *discovery.Watcher          // nil where no inventory is watched
+	queues    map[string]*waitqueue.Queue // each in front of the group of the same name
+	inventory *discovery.Watcher          // nil if no inventory is watched
 
 	runnerByClass []lifecycle.Runner
-	groupByClass  []*upstream.Group // nil where the engine runs the class
+	groupByClass  []*upstream.Group // nil if the engine runs the class
 }
 
-// startUWSGI creates the groups of servers, and the uwsgi frontend if the operator's file sets it
-// up.
+// startUWSGI creates the groups of servers, and the uwsgi frontend if the operator's file configures
+// it.
 func (p *Program) startUWSGI() {
 	p.uwsgi.groups = map[string]*upstream.Group{}
 	p.uwsgi.queues = map[string]*waitqueue.Queue{}
@@ -38,8 +38,9 @@
 // UWSGIFrontend returns the uwsgi frontend, or nil if there is none.
 func (p *Program) UWSGIFrontend() *uwsgi.Frontend { return p.uwsgi.frontend }
 
-// applyRoutes decides where each class runs: on the group of servers that the operator's file
-// names, or on the engine. Groups that exist take the file's servers and limits.
+// applyRoutes sets where each class runs: on the group of servers that the operator's file names, or
+// on the engine. It creates groups that are new, and applies the file's servers and limits to all
+// groups.
 func (p *Program) applyRoutes(operator *config.Operator) {
 	p.routeToEngine()
 	if operator == nil {
@@ -65,8 +66,8 @@
 	}
 }
 
-// routeToEngine has all classes run on the engine. Open requests of a removed class stay where they
-// are.
+// routeToEngine routes all classes to the engine. A removed class keeps its runner and group, since its
+// open requests run there.
 func (p *Program) routeToEngine() {
 	classes := p.config.Settings.Classes
 	previousRunners := p.uwsgi.runnerByClass
@@ -82,7 +83,7 @@
 	}
 }
 
-// addGroup creates a group of servers and the queue before it.
+// addGroup creates a group of servers and the queue in front of it.
 func (p *Program) addGroup(name string, options upstream.Options) {
 	environment := waitqueue.Environment{
 		Now:      p.loop.Now,
@@ -97,7 +98,7 @@
 	p.uwsgi.queues[name] = queue
 }
 
-// upstreamOptions are the options of all groups of servers.
+// upstreamOptions returns the options that all groups of servers share.
 func (p *Program) upstreamOptions(operator *config.Operator) upstream.Options {
 	options := upstream.Options{
 		ConnectTimeout: time.Duration(operator.Limits.ConnectMs) * time.Millisecond,
@@ -124,7 +125,7 @@
 	return options
 }
 
-// uwsgiOptions are the options of the uwsgi frontend.
+// uwsgiOptions returns the options of the uwsgi frontend.
 func (p *Program) uwsgiOptions(operator *config.Operator) uwsgi.Options {
 	options := uwsgi.Options{
 		Listen:                   operator.ListenAddr,
@@ -155,13 +156,13 @@
 	return options
 }
 
-// setClassNames stores the names of the classes.
+// setClassNames stores the names of the classes for className.
 func (p *Program) setClassNames(settings admission.Settings) {
 	names := classNames(settings)
 	p.classNames.Store(&names)
 }
 
-// className is the name of a class by its index.
+// className returns the name of a class by its index. It may be called on any goroutine.
 func (p *Program) className(class int) string { return (*p.classNames.Load())[class] }
 
 func classNames(settings admission.Settings) []string {
@@ -180,8 +181,8 @@
 	return names
 }
 
-// ResponseStarted passes the start of a response on to the request lifecycle. The groups of servers
-// are created before the lifecycle, so that the program is their sink.
+// ResponseStarted passes the start of a response on to the request lifecycle. The program is the sink
+// of the groups of servers because they are created before the lifecycle.
 func (p *Program) ResponseStarted(attempt *lifecycle.Attempt, result *lifecycle.Result) bool {
 	return p.requests.ResponseStarted(attempt, result)
 }
@@ -195,14 +196,15 @@
 	p.requests.AttemptEnded(attempt, outcome, result)
 }
 
-// shouldRetry decides whether a request is retried: never on the engine, and on the servers of its
-// group as the group allows.
+// shouldRetry decides whether a request is retried: never on the engine; on the servers of a group, if
+// the group allows it.
 func (p *Program) shouldRetry(candidate lifecycle.RetryCandidate) bool {
 	group := p.uwsgi.groupByClass[candidate.Class]
 	return group != nil && group.AllowRetry(candidate)
 }
 
-// retryAfter is the Retry-After of a request that no server could take; 0 on the engine.
+// retryAfter returns the Retry-After of a request of a class that no server could take; 0 if the engine
+// runs the class.
 func (p *Program) retryAfter(class int) time.Duration {
 	group := p.uwsgi.groupByClass[class]
 	if group == nil {
