--- a/internal/app/program.go
+++ b/internal/app/program.go
@@ -39,7 +39,7 @@
 // processState is the phase of the process and of its reloads.
 type processState struct {
 	listening   bool  // the platform's frontend accepts connections
-	draining    bool  // the process shuts down, because of a signal or because another one replaces it
+	draining    bool  // the process shuts down, in a drain or because another process replaces it
 	reloading   bool  // a goroutine reads the configuration files
 	reloadAgain bool  // another reload was requested while the files were being read
 	err         error // the error that ends the program; nil: the end was requested
