--- a/internal/usage/ledger/bill.go
+++ b/internal/usage/ledger/bill.go
@@ -9,33 +9,34 @@
 
 // BillingTerms are the parameters of a bill.
 type BillingTerms struct {
-	// Quotas are the requests a second that schools may have served, over all instances. A school
-	// without one has no limit.
+	// Quotas holds the served requests per second that each tenant may have over all instances. A
+	// tenant without a quota has no limit.
 	Quotas map[string]float64
-	// Instances are those of which statements are expected, beside those that have any.
+	// Instances lists instances that are expected to have statements, in addition to those that do.
 	Instances []string
 }
 
-// Bill is the reconciliation of statements.
+// Bill is the result of reconciling statements.
 type Bill struct {
 	Periods             []BillPeriod `json:"periods"`
 	Lines               []BillLine   `json:"lines"`
 	Schools             []BillSchool `json:"schools"`
 	Problems            []Problem    `json:"problems,omitempty"`
-	Statements          int          `json:"statements"`       // that it was made from
-	DuplicateStatements int          `json:"copies,omitempty"` // that were given more than once
-	// DeduplicatedRuns are the requests with a key that two instances counted; they are counted once.
+	Statements          int          `json:"statements"`       // number of statements that it counts
+	DuplicateStatements int          `json:"copies,omitempty"` // number of statements that were repeated or superseded
+	// DeduplicatedRuns is the number of runs that repeated, on another instance, a request with the
+	// same idempotency key. They are billed as duplicates.
 	DeduplicatedRuns int    `json:"twice,omitempty"`
 	Lost             uint64 `json:"lost,omitempty"` // records that are known to be in no statement
 }
 
-// BillPeriod says which instances have no statement of a period.
+// BillPeriod lists the instances that have no statement of a period.
 type BillPeriod struct {
 	Period           wallclock.UnixMicro `json:"period"` // its start
 	MissingInstances []string            `json:"missing,omitempty"`
 }
 
-// BillLine is what a school used of a class in a period.
+// BillLine holds what a tenant used of a class in a period.
 type BillLine struct {
 	Period wallclock.UnixMicro `json:"period"` // its start
 	School string              `json:"school"`
@@ -46,7 +47,7 @@
 
 func (l BillLine) key() lineKey { return lineKey{l.Period, l.School, l.Class} }
 
-// BillSchool compares what a school used in a period with its quota.
+// BillSchool compares what a tenant used in a period with its quota.
 type BillSchool struct {
 	Period     wallclock.UnixMicro `json:"period"` // its start
 	School     string              `json:"school"`
@@ -55,7 +56,7 @@
 	Work       wallclock.Micros    `json:"work_us"`
 }
 
-// Problem is something by which a bill may be incomplete or wrong.
+// Problem describes why a bill may be incomplete or wrong.
 type Problem struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"life,omitempty"` // of the account
--- a/internal/usage/ledger/correction.go
+++ b/internal/usage/ledger/correction.go
@@ -8,13 +8,13 @@
 
 // Bounds of corrections.
 const (
-	maxCorrectionIDs = 10_000 // corrections whose repeats are recognized
+	maxCorrectionIDs = 10_000 // remembered IDs, by which repeats are recognized, and the most pending corrections
 	maxTextBytes     = 200    // of each text of a correction, and of a name in a ring
 )
 
-// Correction is a change of the account by an operator, of any period that has begun.
+// Correction is an operator's change to the account, for any period that has begun.
 type Correction struct {
-	ID     string              `json:"id"` // a second one of the same ID is ignored
+	ID     string              `json:"id"` // a second correction with the same ID is ignored
 	Period wallclock.UnixMicro `json:"period"`
 	School string              `json:"school"`
 	Class  string              `json:"class"`
@@ -23,8 +23,8 @@
 	Author string `json:"by,omitempty"`
 }
 
-// Correct takes a correction. One whose ID was taken before is no error; known reports that. The
-// error is of kind usage.correction, or ErrTooManyCorrections.
+// Correct applies a correction. known reports that a correction with its ID was applied before, which is
+// not an error. The error is of kind usage.correction, or ErrTooManyCorrections.
 func (l *Ledger) Correct(c Correction, now wallclock.UnixMicro) (known bool, err error) {
 	if err := l.validate(&c, now); err != nil {
 		return false, err
@@ -41,7 +41,7 @@
 	return false, nil
 }
 
-// validate returns an error that names the field of a correction that is wrong.
+// validate returns an error if a correction is invalid, which names the wrong field.
 func (l *Ledger) validate(c *Correction, now wallclock.UnixMicro) error {
 	for _, f := range []struct {
 		name, value string
@@ -58,7 +58,7 @@
 		}
 		if len(f.value) > maxTextBytes {
 			return kindCorrection.New(
-				"usage: correction: field %s has %d bytes; %d is the most",
+				"usage: correction: field %s has %d bytes, more than the maximum of %d",
 				f.name,
 				len(f.value),
 				maxTextBytes,
@@ -70,7 +70,7 @@
 	}
 	if start := l.settings.PeriodStart(c.Period); c.Period != start {
 		return kindCorrection.New(
-			"usage: correction: field period: none begins at %d; the one it is in at %d",
+			"usage: correction: field period: %d is not the start of a period; its period starts at %d",
 			c.Period,
 			start,
 		)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// rememberCorrection notes the ID of a correction, and forgets the oldest beyond the bound.
+// rememberCorrection remembers the ID of a correction, and forgets the oldest beyond maxCorrectionIDs.
 func (l *Ledger) rememberCorrection(id string) {
 	l.correctionIDs = append(l.correctionIDs, id)
 	l.knownCorrections[id] = true
--- a/internal/usage/ledger/count.go
+++ b/internal/usage/ledger/count.go
@@ -8,7 +8,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Count is the sums of records. In a correction and in an amendment they may be negative.
+// Count holds the sums over records, by outcome. They may be negative in a correction, and in a line of
+// a bill to which a correction was applied.
 type Count struct {
 	Served     int64            `json:"served,omitempty"`
 	Duplicates int64            `json:"repeats,omitempty"`
@@ -16,10 +17,10 @@
 	Rejected   int64            `json:"refused,omitempty"`
 	Failed     int64            `json:"failed,omitempty"`
 	Abandoned  int64            `json:"gone,omitempty"`
-	Work       wallclock.Micros `json:"work_us,omitempty"` // time that servers spent
+	Work       wallclock.Micros `json:"work_us,omitempty"` // time that servers spent on the requests
 }
 
-// counter returns a pointer to the sum of an outcome.
+// counter returns a pointer to the sum for an outcome.
 func (c *Count) counter(o Outcome) *int64 {
 	sums := [outcomeCount]*int64{
 		OutcomeServed:    &c.Served,
@@ -32,7 +33,7 @@
 	return sums[o]
 }
 
-// Add adds the sums of another count. A sum that would overflow stays at its bound.
+// Add adds the sums of another count. A sum that would overflow saturates.
 func (c *Count) Add(other Count) {
 	for o := OutcomeServed; o < outcomeCount; o++ {
 		sum := c.counter(o)
@@ -41,7 +42,7 @@
 	c.Work = addSaturating(c.Work, other.Work)
 }
 
-// addSaturating returns a+b, or the bound of its type where that overflows.
+// addSaturating returns a+b, or the nearest bound of int64 if the sum overflows.
 func addSaturating[T ~int64](a, b T) T {
 	sum := a + b
 	switch {
@@ -63,7 +64,7 @@
 	return total
 }
 
-// hasNegative reports whether a sum is negative, which only a correction makes it.
+// hasNegative reports whether a sum is negative, which only a correction can cause.
 func (c Count) hasNegative() bool {
 	for o := OutcomeServed; o < outcomeCount; o++ {
 		if *c.counter(o) < 0 {
@@ -73,14 +74,15 @@
 	return c.Work < 0
 }
 
-// Line is what a school used of a class in a period.
+// Line holds what a tenant used of a class in a period.
 type Line struct {
 	Period wallclock.UnixMicro `json:"period"` // its start
 	School string              `json:"school"`
 	Class  string              `json:"class"`
 	Count
-	// Slices are the served requests of each slice of the period, up to the last that has any. A
-	// quota is a rate over all instances, so that a bill adds slices up before it compares them.
+	// Slices holds the number of served requests in each slice of the period, up to the last slice
+	// that has any. A quota is a rate over all instances, so a bill adds up the slices of all
+	// instances before it compares them with the quota.
 	Slices []int64 `json:"slices,omitempty"`
 }
 
@@ -94,7 +96,7 @@
 	return l
 }
 
-// addToSlice adds n to slice i, and returns the slices with room for it.
+// addToSlice adds n to element i of served, which it extends if needed, and returns served.
 func addToSlice(served []int64, i int, n int64) []int64 {
 	if i >= len(served) {
 		served = append(served, make([]int64, i+1-len(served))...)
@@ -103,17 +105,17 @@
 	return served
 }
 
-// lineKey names a line.
+// lineKey identifies a line.
 type lineKey struct {
 	period        wallclock.UnixMicro
-	school, class string
+	tenant, class string
 }
 
-// compareLineKeys orders keys by period, school and class.
+// compareLineKeys orders keys by period, tenant and class.
 func compareLineKeys(a, b lineKey) int {
 	return cmp.Or(
 		cmp.Compare(a.period, b.period),
-		cmp.Compare(a.school, b.school),
+		cmp.Compare(a.tenant, b.tenant),
 		cmp.Compare(a.class, b.class),
 	)
 }
--- a/internal/usage/ledger/errors.go
+++ b/internal/usage/ledger/errors.go
@@ -31,12 +31,12 @@
 )
 
 var (
-	// ErrTooManyCorrections is returned while as many corrections are pending as are bounded.
+	// ErrTooManyCorrections is returned while maxCorrectionIDs corrections wait for the next statement.
 	ErrTooManyCorrections error = kindFull.New("usage: too many corrections since the last statement")
 	// ErrTruncated is returned for a file whose end is missing.
-	ErrTruncated error = kindDamaged.New("its end is missing")
-	// ErrDigestMismatch is returned for a file that is not as it was written.
+	ErrTruncated error = kindDamaged.New("the file is truncated")
+	// ErrDigestMismatch is returned for a file whose contents do not match its digest.
 	ErrDigestMismatch error = kindDamaged.New("it is not as it was written")
 	// ErrForeignRing is returned for memory that holds no ring of this account.
-	ErrForeignRing error = kindRing.New("usage: no ring of this account")
+	ErrForeignRing error = kindRing.New("usage: the memory holds no ring of this account")
 )
--- a/internal/usage/ledger/keys.go
+++ b/internal/usage/ledger/keys.go
@@ -18,19 +18,19 @@
 	Hash          uint64              // HashKey of the key
 	ServedAt      wallclock.UnixMicro // rounded down to a second
 	ExpiresAt     wallclock.UnixMicro // rounded up to a second
-	Work          wallclock.Micros    // up to about an hour
-	School, Class string
+	Work          wallclock.Micros    // at most 2^32-1 microseconds, about 71 minutes
+	Tenant, Class string
 }
 
-// CountedKeys are encoded as JSON in a packed form, which bounds the size of statements.
+// CountedKeys is a list of keys. Its JSON is a packed form, which keeps statements small.
 type CountedKeys []CountedKey
 
-// keyGroup is the keys of a school and class, in the order in which they were listed. Each takes
-// packedKeySize bytes, big-endian: 8 of the hash, 4 of the second in which it was served, 4 of the
-// seconds after that until it expires, 4 of its work in microseconds. The order of the fields is part
-// of the format.
+// keyGroup holds the keys of a tenant and class, in the order in which they were listed. Each key takes
+// packedKeySize bytes, big-endian: 8 for the hash, 4 for the Unix second in which it was served, 4 for
+// the seconds from then until it expires, and 4 for its work in microseconds. The order of the fields
+// is part of the format.
 type keyGroup struct {
-	School string `json:"school"`
+	Tenant string `json:"school"`
 	Class  string `json:"class"`
 	Packed []byte `json:"packed"`
 }
@@ -45,7 +45,7 @@
 	second = wallclock.Micros(time.Second / time.Microsecond)
 )
 
-// rounded returns the key as it is read from its packed form.
+// rounded returns the key with the precision and range of its packed form.
 func (k CountedKey) rounded() CountedKey {
 	k.ServedAt = unixSecond(packedSecond(k))
 	k.ExpiresAt = packedLifetime(k).After(k.ServedAt)
@@ -53,12 +53,12 @@
 	return k
 }
 
-// packedSecond returns the second in which a key was served.
+// packedSecond returns the Unix second in which a key was served.
 func packedSecond(k CountedKey) uint32 {
 	return uint32(min(max(int64(k.ServedAt)/int64(second), 0), math.MaxUint32))
 }
 
-// packedLifetime returns the span from when a key was served, in whole seconds, until it expires.
+// packedLifetime returns how long after it was served a key expires, rounded up to whole seconds.
 func packedLifetime(k CountedKey) wallclock.Micros {
 	span := wallclock.Micros(k.ExpiresAt - k.ServedAt)
 	return min(max((span+second-1)/second, 0), math.MaxUint32) * second
@@ -69,26 +69,26 @@
 // MarshalJSON implements json.Marshaler. Keys of a group keep their order.
 func (keys CountedKeys) MarshalJSON() ([]byte, error) {
 	groups := []keyGroup{}
-	type groupName struct{ school, class string }
+	type groupName struct{ tenant, class string }
 	index := map[groupName]int{}
 	for _, k := range keys {
 		k = k.rounded()
-		name := groupName{k.School, k.Class}
+		name := groupName{k.Tenant, k.Class}
 		i, ok := index[name]
 		if !ok {
 			i = len(groups)
 			index[name] = i
-			groups = append(groups, keyGroup{School: k.School, Class: k.Class})
+			groups = append(groups, keyGroup{Tenant: k.Tenant, Class: k.Class})
 		}
 		groups[i].Packed = k.appendPacked(groups[i].Packed)
 	}
 	slices.SortFunc(groups, func(a, b keyGroup) int {
-		return cmp.Or(cmp.Compare(a.School, b.School), cmp.Compare(a.Class, b.Class))
+		return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Class, b.Class))
 	})
 	return json.Marshal(groups)
 }
 
-// appendPacked appends the packed form of a key that is rounded.
+// appendPacked appends the packed form of a key, which must be rounded.
 func (k CountedKey) appendPacked(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, k.Hash)
 	b = binary.BigEndian.AppendUint32(b, packedSecond(k))
@@ -106,8 +106,8 @@
 	for _, g := range groups {
 		if len(g.Packed)%packedKeySize != 0 {
 			return fmt.Errorf(
-				"keys of %s, %s: %d bytes, not a multiple of %d",
-				g.School,
+				"keys of tenant %s, class %s: %d bytes is not a multiple of %d",
+				g.Tenant,
 				g.Class,
 				len(g.Packed),
 				packedKeySize,
@@ -120,13 +120,13 @@
 	return nil
 }
 
-// unpack returns the key of a packed form.
+// unpack returns the key with a packed form.
 func (g *keyGroup) unpack(packed []byte) CountedKey {
 	k := CountedKey{
 		Hash:     binary.BigEndian.Uint64(packed),
 		ServedAt: unixSecond(binary.BigEndian.Uint32(packed[packedServedAtOffset:])),
 		Work:     wallclock.Micros(binary.BigEndian.Uint32(packed[packedWorkOffset:])),
-		School:   g.School,
+		Tenant:   g.Tenant,
 		Class:    g.Class,
 	}
 	lifetime := wallclock.Micros(binary.BigEndian.Uint32(packed[packedLifetimeOffset:])) * second
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -11,24 +11,25 @@
 type Settings struct {
 	Instance string           `cbor:"Instance"`
 	Period   wallclock.Micros `cbor:"Period"`
-	Slice    wallclock.Micros `cbor:"Slice"` // divides the period
-	// Grace is the time from a period's end until it is sealed: records of its end may still be on
-	// their way.
+	Slice    wallclock.Micros `cbor:"Slice"` // divides Period; quotas are compared slice by slice
+	// Grace is how long after its end a period is sealed, so that records of its last moments can
+	// still arrive.
 	Grace    wallclock.Micros `cbor:"Grace"`
-	MaxKeys  int              `cbor:"Keys"`  // keys that are remembered, and listed in a statement
-	MaxLines int              `cbor:"Lines"` // of open periods; further ones are counted for OtherSchool
+	MaxKeys  int              `cbor:"Keys"`  // idempotency keys that are remembered and listed in a statement
+	MaxLines int              `cbor:"Lines"` // lines of open periods; records beyond them are counted for OtherTenant
 }
 
 // Bounds of what an account remembers.
 const (
-	maxOpenPeriods   = 48 // that a clock may run ahead at once
-	maxAheadRecords  = 20 // records in a row from beyond that
-	maxUnwritten     = 64 // statements that are sealed and cannot be written
-	keySweepInterval = second
+	maxOpenPeriods   = 48     // periods by which a record may be ahead of the newest one
+	maxAheadRecords  = 20     // consecutive records further ahead until their time is believed
+	maxUnwritten     = 64     // sealed statements that are not written yet
+	keySweepInterval = second // minimum time between two sweeps of expired keys
 )
 
-// OtherSchool is the school of records for which there is no line left.
-const OtherSchool = "(other)"
+// OtherTenant is the tenant, and the class, of records beyond Settings.MaxLines, and the name that
+// replaces names for which a ring has no room.
+const OtherTenant = "(other)"
 
 // Ledger is the account of one instance. It is used by one goroutine.
 type Ledger struct {
@@ -39,28 +40,29 @@
 	lastSeq       uint64
 	lastDigest    string
 	sealedThrough wallclock.UnixMicro // periods up to here are sealed
-	sealedAt      wallclock.UnixMicro // when the last was sealed
+	sealedAt      wallclock.UnixMicro // when the last statement was sealed
 	unwritten     []*Statement        // sealed, and not known to be written; oldest first
-	exported      uint64              // number of the last that is known to be written
-	renaming      uint64              // number of the one that is being renamed; 0: none
+	exported      uint64              // number of the last statement that is known to be written
+	renaming      uint64              // number of the statement whose file is being renamed; 0: none
 
 	// Open periods.
-	newest           wallclock.UnixMicro // instant of the latest record
-	consecutiveAhead int                 // latest records in a row that were beyond maxOpenPeriods
+	newest           wallclock.UnixMicro // latest instant at which a record was counted
+	consecutiveAhead int                 // latest consecutive records more than maxOpenPeriods ahead
 	lines            map[lineKey]*Line
-	steps            uint64 // records and corrections that were taken
+	steps            uint64 // number of records and corrections that were received
 	ended            bool
-	lost             uint64 // records that were never counted, since the last statement
-	ringLost         uint64 // part of lost: those of the ring that began after record ringStartedAfter
+	lost             uint64 // records that were lost instead of counted, since the last statement
+	ringLost         uint64 // records added to lost for the ring that began after ringStartedAfter
 	ringStartedAfter uint64
 
 	// Idempotency keys.
 	keys         map[uint64]CountedKey // counted as served, until they expire
-	newKeys      CountedKeys           // those since the last statement
+	newKeys      CountedKeys           // keys counted since the last statement
 	unlistedKeys uint64                // records since the last statement whose keys are not listed
-	// unlistedUntil is the instant up to which a request may repeat one whose key is not listed.
+	// unlistedUntil is the latest expiry of a key that is not listed. Until then a known duplicate may
+	// repeat the request of such a key.
 	unlistedUntil wallclock.UnixMicro
-	sweptAt       wallclock.UnixMicro // when expired keys were dropped
+	sweptAt       wallclock.UnixMicro // when expired keys were last dropped because the table was full
 
 	// Corrections.
 	corrections      []Correction // since the last statement
@@ -68,7 +70,8 @@
 	knownCorrections map[string]bool
 }
 
-// New begins an account. No other account of an instance of this name may have its incarnation.
+// New returns a new account that begins with the period of now. Its incarnation must differ from that
+// of every other account of the instance.
 func New(settings Settings, incarnation string, now wallclock.UnixMicro) *Ledger {
 	return &Ledger{
 		settings:         settings,
@@ -81,8 +84,8 @@
 	}
 }
 
-// NewSuccessor begins an account in place of one that was ended. It knows the keys that the old one
-// counted as served and the corrections that it took.
+// NewSuccessor returns a new account that replaces one that was ended. It knows the keys that the old
+// account counted as served, and the IDs of the corrections that it applied.
 func NewSuccessor(old *Ledger, settings Settings, incarnation string, now wallclock.UnixMicro) *Ledger {
 	l := New(settings, incarnation, now)
 	l.unlistedUntil = old.unlistedUntil
@@ -102,7 +105,7 @@
 // Ended reports whether Finish was called.
 func (l *Ledger) Ended() bool { return l.ended }
 
-// PeriodStart returns when the period of an instant began.
+// PeriodStart returns the start of the period that contains an instant.
 func (s Settings) PeriodStart(at wallclock.UnixMicro) wallclock.UnixMicro {
 	period := wallclock.UnixMicro(s.Period)
 	start := at / period * period
@@ -112,7 +115,7 @@
 	return start
 }
 
-// Add counts a record.
+// Add counts a record. A record without a valid outcome is counted as lost.
 func (l *Ledger) Add(r Record) {
 	l.steps++
 	if r.Outcome == 0 || r.Outcome >= outcomeCount {
@@ -134,12 +137,13 @@
 	}
 }
 
-// countKey notes the key of a record that was served at an instant. If the key was counted before, the
-// record becomes a duplicate: its result was cached, and it did not run a second time.
+// countKey remembers the key of a record that was served at the instant at. If the key was counted
+// before and has not expired, the record becomes a duplicate: it was answered with the cached result,
+// and did not run a second time.
 //
-// A duplicate of a request that was not counted, as the process was killed before it answered, is
-// counted here. While some keys are not listed, as the table was full, it may be a duplicate of one of
-// those, and is counted as one.
+// A known duplicate whose key is not remembered counts as served: the process was killed before it
+// answered the original request, which was not counted. Until unlistedUntil it counts as a duplicate
+// instead, since the original may be a request whose key was left out while the table was full.
 func (l *Ledger) countKey(r *Record, at wallclock.UnixMicro) {
 	l.sweepKeys(at)
 	known, ok := l.keys[r.Key]
@@ -156,7 +160,7 @@
 			ServedAt:  at,
 			ExpiresAt: max(r.KeyExpiresAt, at),
 			Work:      r.Work,
-			School:    r.School,
+			Tenant:    r.School,
 			Class:     r.Class,
 		}.rounded()
 		l.keys[r.Key] = key
@@ -164,9 +168,10 @@
 	}
 }
 
-// plausibleTime returns the instant at which a record is counted. One from beyond the periods that
-// may be open is counted with the newest, as a clock that was wrong for a moment must not open
-// periods of another year. After maxAheadRecords of them in a row the clock is taken to be right.
+// plausibleTime returns the instant at which a record is counted. A record that is more than
+// maxOpenPeriods ahead of the newest one is counted at the instant of the newest, because a clock that
+// was wrong for a moment must not open periods of another year. After maxAheadRecords such records in a
+// row the clock is taken to be right.
 func (l *Ledger) plausibleTime(at wallclock.UnixMicro) wallclock.UnixMicro {
 	last := max(l.newest, l.sealedThrough)
 	if at > (maxOpenPeriods * l.settings.Period).After(last) {
@@ -196,24 +201,24 @@
 }
 
 // line returns the line of a key, which it adds if there is none. Beyond Settings.MaxLines it returns
-// the line of OtherSchool, which each period may have in addition.
+// the line of OtherTenant, which each period may have in addition.
 func (l *Ledger) line(k lineKey) *Line {
 	if line := l.lines[k]; line != nil {
 		return line
 	}
-	if len(l.lines) >= l.settings.MaxLines && k.school != OtherSchool {
-		return l.line(lineKey{k.period, OtherSchool, OtherSchool})
+	if len(l.lines) >= l.settings.MaxLines && k.tenant != OtherTenant {
+		return l.line(lineKey{k.period, OtherTenant, OtherTenant})
 	}
-	line := &Line{Period: k.period, School: k.school, Class: k.class}
+	line := &Line{Period: k.period, School: k.tenant, Class: k.class}
 	l.lines[k] = line
 	return line
 }
 
-// AddLost counts records that could not be delivered.
+// AddLost counts n records as lost.
 func (l *Ledger) AddLost(n uint64) { l.lost += n }
 
-// AddRingLost counts the records that found no room in a ring since this was called last, and returns
-// their number. A ring counts all that it ever lost, also over a kill of the process.
+// AddRingLost counts as lost the records that found no room in a ring since the last call, and returns
+// their number. A ring keeps a total of all its lost records, which survives a kill of the process.
 func (l *Ledger) AddRingLost(r *Ring) (lost uint64) {
 	counted := uint64(0)
 	if l.ringStartedAfter == r.StartedAfter() {
@@ -229,7 +234,8 @@
 	return lost
 }
 
-// OpenLines returns what has been counted and is in no statement.
+// OpenLines returns copies of the lines that are in no statement yet, ordered by period, tenant and
+// class.
 func (l *Ledger) OpenLines() []Line {
 	out := make([]Line, 0, len(l.lines))
 	for _, line := range l.lines {
--- a/internal/usage/ledger/ledger_test.go
+++ b/internal/usage/ledger/ledger_test.go
@@ -12,28 +12,28 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Spans in microseconds, of whatever type a value has.
+// Lengths of time in microseconds, untyped so that they fit both instants and spans.
 const (
 	sec  = 1_000_000
 	hour = 3600 * sec
 )
 
-// begin is when the first period of most tests begins.
+// begin is the start of the first period of most tests.
 const begin = wallclock.UnixMicro(480_000 * hour)
 
 func settings() Settings {
 	return Settings{Instance: "n0", Period: hour, Slice: 60 * sec, Grace: 5 * sec, MaxKeys: 100, MaxLines: 50}
 }
 
-// accountRun is an account that a test draws the steps of, beside what is expected of it.
+// accountRun applies random steps to an account, and keeps the sums that its bill must have.
 type accountRun struct {
 	*rapid.T
-	settings Settings
-	ledger   *Ledger
-	now      wallclock.UnixMicro
-	list     []*Statement
-	served   map[uint64]int64 // by key
-	want     Count
+	settings   Settings
+	ledger     *Ledger
+	now        wallclock.UnixMicro
+	statements []*Statement
+	served     map[uint64]int64 // how often each key was served
+	want       Count
 }
 
 func (r *accountRun) micros(low, high int64, label string) wallclock.UnixMicro {
@@ -42,19 +42,19 @@
 
 func (r *accountRun) seal() {
 	if s := r.ledger.Seal(r.now); s != nil {
-		r.list = append(r.list, s)
+		r.statements = append(r.statements, s)
 		r.ledger.MarkExported(s)
 	}
 }
 
-// restart stores the account and reads it again.
+// restart encodes the account, and goes on with the decoded one.
 func (r *accountRun) restart() {
 	again, lastRecord, err := Decode(r.settings, r.ledger.Encode(7))
 	if err != nil || lastRecord != 7 {
-		r.Fatal(err, lastRecord)
+		r.Fatalf("Decode() = error %v, last record %d, want nil, 7", err, lastRecord)
 	}
 	if diff := cmp.Diff(string(r.ledger.Encode(7)), string(again.Encode(7))); diff != "" {
-		r.Fatal(diff)
+		r.Fatalf("state of the decoded account (-want +got):\n%s", diff)
 	}
 	r.ledger = again
 }
@@ -129,35 +129,36 @@
 	}
 }
 
-// sealAll has all that was counted in statements.
+// sealAll lets time pass and seals until statements hold everything that was counted.
 func (r *accountRun) sealAll() {
 	for range 3 {
 		r.now = max(r.now, r.ledger.sealedThrough) + 2*hour
 		r.seal()
 	}
 	if s := r.ledger.Summary(); len(s.Lines) > 0 || s.Corrections > 0 {
-		r.Fatalf("left open: %+v", s)
+		r.Fatalf("lines or corrections are in no statement after all periods have ended: %+v", s)
 	}
 }
 
-// shuffleFiles reads the statements as files, in any order and some twice.
+// shuffleFiles encodes and parses the statements, in random order, and repeats some.
 func (r *accountRun) shuffleFiles() {
-	order := rand.New(rand.NewPCG(uint64(len(r.list)), 1))
-	order.Shuffle(len(r.list), func(i, j int) { r.list[i], r.list[j] = r.list[j], r.list[i] })
-	for i, s := range r.list {
+	order := rand.New(rand.NewPCG(uint64(len(r.statements)), 1))
+	order.Shuffle(len(r.statements), func(i, j int) {
+		r.statements[i], r.statements[j] = r.statements[j], r.statements[i]
+	})
+	for i, s := range r.statements {
 		read, err := ParseStatement("x", s.Encode())
 		if err != nil || read.Digest() != s.Digest() {
-			r.Fatal(err)
+			r.Fatalf("statement %d is not read as it was written: %v", s.Seq, err)
 		}
-		if r.list[i] = read; i%3 == 0 {
-			r.list = append(r.list, read)
+		if r.statements[i] = read; i%3 == 0 {
+			r.statements = append(r.statements, read)
 		}
 	}
 }
 
-// Whatever the clock does, and wherever the account is stored and read again: all that was counted is
-// billed once, from statements that follow each other and whose sums are those of the records; a key
-// counts as served once.
+// Guards against records that are lost or billed twice when the clock jumps, or the account is stored
+// and read again. The bill must have no problems and the sums of the records, with each key served once.
 func TestAllRecordsAreBilledOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set, now := settings(), begin+100*sec
@@ -173,26 +174,26 @@
 		}
 		r.sealAll()
 		r.shuffleFiles()
-		bill, err := Reconcile(r.list, BillingTerms{})
+		bill, err := Reconcile(r.statements, BillingTerms{})
 		if err != nil || len(bill.Problems) > 0 {
-			t.Fatal(err, bill.Problems)
+			t.Fatalf("Reconcile() = error %v, problems %v, want none", err, bill.Problems)
 		}
 		var got Count
 		for _, b := range bill.Lines {
 			got.Add(b.Count)
 		}
 		if diff := cmp.Diff(r.want, got); diff != "" || bill.DeduplicatedRuns > 0 {
-			t.Fatal(diff, bill.DeduplicatedRuns)
+			t.Fatalf("sums of the bill (-want +got):\n%s\n%d runs deduplicated, want 0", diff, bill.DeduplicatedRuns)
 		}
 	})
 }
 
-func servedCheck(at wallclock.UnixMicro, school string) Record {
+func servedRecord(at wallclock.UnixMicro, school string) Record {
 	return Record{AnsweredAt: at, School: school, Class: "check", Outcome: OutcomeServed}
 }
 
-// Beyond the bounds of lines and keys all is still counted, and the statement says which keys it does
-// not list.
+// Records beyond MaxLines and MaxKeys must still be counted, and the statement must say how many keys it
+// does not list.
 func TestLinesAndKeysAreBounded(t *testing.T) {
 	l, now := boundedLedger(), begin
 	for n := range uint64(10) {
@@ -205,7 +206,7 @@
 			KeyExpiresAt: now + hour,
 		}
 		l.Add(r)
-		r.KnownDuplicate = true // recognized by its key, or by this field where the key is not remembered
+		r.KnownDuplicate = true // shows the duplicate if its key is not remembered
 		l.Add(r)
 	}
 	s := l.Seal(now + 2*hour)
@@ -215,7 +216,13 @@
 	}
 	if want := (Count{Served: 10, Duplicates: 10}); got != want || len(s.Lines) != 4 || len(s.Keys) != 2 ||
 		s.UnlistedKeys != 8 {
-		t.Errorf("%+v in %d lines, %d keys, %d unlisted", got, len(s.Lines), len(s.Keys), s.UnlistedKeys)
+		t.Errorf(
+			"sums %+v, %d lines, %d keys, %d unlisted; want 10 served, 10 duplicates, 4, 2, 8",
+			got,
+			len(s.Lines),
+			len(s.Keys),
+			s.UnlistedKeys,
+		)
 	}
 }
 
@@ -226,48 +233,50 @@
 	return New(set, "a", begin)
 }
 
-// A clock that was wrong for a moment opens no period; one that stays where it is does.
+// A record far ahead of the others must not open a period, as the clock may have been wrong for a moment.
+// After maxAheadRecords of them in a row their time must be used.
 func TestClockFarAheadIsBelievedOnceItStays(t *testing.T) {
 	l, now := boundedLedger(), begin
 	l.Seal(now + 2*hour)
-	l.Add(servedCheck(now+10_000*hour, "s0"))
+	l.Add(servedRecord(now+10_000*hour, "s0"))
 	if open := l.OpenLines(); len(open) != 1 || open[0].Period > now+2*hour {
-		t.Errorf("%+v", open)
+		t.Errorf("OpenLines() after one record far ahead = %+v, want one line that is not ahead", open)
 	}
 	for range maxAheadRecords {
-		l.Add(servedCheck(now+10_000*hour, "s0"))
+		l.Add(servedRecord(now+10_000*hour, "s0"))
 	}
 	if open := l.OpenLines(); open[len(open)-1].Period != now+10_000*hour {
-		t.Errorf("%+v", open)
+		t.Errorf("OpenLines() after maxAheadRecords more = %+v, want the last line far ahead", open)
 	}
 }
 
-// Statements that cannot be written are bounded, and nothing is lost meanwhile.
+// While statements cannot be written, at most maxUnwritten must be sealed, which bounds the memory.
 func TestUnwrittenStatementsAreBounded(t *testing.T) {
 	l := boundedLedger()
 	for n := range wallclock.UnixMicro(2 * maxUnwritten) {
 		l.Seal(begin + (n+3)*hour)
 	}
 	if len(l.unwritten) != maxUnwritten {
-		t.Errorf("%d statements wait", len(l.unwritten))
+		t.Errorf("%d statements wait to be written, want maxUnwritten", len(l.unwritten))
 	}
 }
 
-// A clock that was set far back settles nothing: what is counted then is an amendment, once a period.
+// A clock that was set far back must settle no period: records are then sealed in amendments, at most one
+// per period.
 func TestClockFarBehindAmendsOnceAPeriod(t *testing.T) {
 	l := boundedLedger()
 	for n := range wallclock.UnixMicro(2 * maxUnwritten) {
 		l.Seal(begin + (n+3)*hour)
 	}
 	behind := l.sealedThrough - 100*hour
-	l.Add(servedCheck(behind, "s1"))
+	l.Add(servedRecord(behind, "s1"))
 	l.unwritten = nil
 	if s := l.Seal(behind + sec); s == nil || s.From != s.To || s.validate() != nil {
-		t.Errorf("%+v", s)
+		t.Errorf("Seal() with the clock far behind = %+v, want a valid statement that settles no period", s)
 	}
-	l.Add(servedCheck(behind, "s1"))
+	l.Add(servedRecord(behind, "s1"))
 	if l.SealDue(behind + 2*sec) {
-		t.Error("it amends more than once in a period")
+		t.Error("SealDue() = true a second after an amendment, want false until a period has passed")
 	}
 }
 
@@ -286,7 +295,7 @@
 		"field why is missing":          func(c *Correction) { c.Reason = "" },
 		"field school has 300 bytes":    func(c *Correction) { c.School = strings.Repeat("x", 300) },
 		"it changes nothing":            func(c *Correction) { c.Count = Count{} },
-		"field period: none begins at":  func(c *Correction) { c.Period++ },
+		"is not the start of a period":  func(c *Correction) { c.Period++ },
 		"has not begun":                 func(c *Correction) { c.Period += hour },
 		"too many corrections since th": nil,
 	} {
@@ -300,7 +309,7 @@
 		}
 		change(&c)
 		if _, err := l.Correct(c, now); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want an error that contains %q, got %v", want, err)
 		}
 	}
 }
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -9,15 +9,15 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Reconcile makes a bill of statements, which may come in any order and more than once. What does not
-// fit is a problem of the bill and no error. Statements of different periods or slices are an error
-// of kind usage.apart.
+// Reconcile makes a bill of statements, which may be in any order and repeated. Missing, conflicting and
+// incomplete statements are reported as problems of the bill, not as an error. Statements with different
+// lengths of periods or slices are an error of kind usage.apart.
 func Reconcile(list []*Statement, terms BillingTerms) (*Bill, error) {
 	r := &reconciler{
 		bill:          &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
 		accounts:      map[accountName]*accountStatements{},
 		lines:         map[lineKey]*BillLine{},
-		servedBySlice: map[schoolPeriod][]int64{},
+		servedBySlice: map[tenantPeriod][]int64{},
 		corrections:   map[string]bool{},
 	}
 	for _, s := range list {
@@ -35,7 +35,7 @@
 	return r.bill, nil
 }
 
-// accountName is an account of an instance.
+// accountName identifies an account of an instance.
 type accountName struct{ instance, incarnation string }
 
 func compareAccounts(a, b accountName) int {
@@ -48,31 +48,31 @@
 	conflicting map[uint64]bool // numbers of which there are two statements that differ
 }
 
-// schoolPeriod is a period of a school.
-type schoolPeriod struct {
+// tenantPeriod identifies a period of a tenant.
+type tenantPeriod struct {
 	period wallclock.UnixMicro
-	school string
+	tenant string
 }
 
-// coverage is a span of periods that an instance has settled.
+// coverage is a span of periods that an instance has settled, without the one that starts at to.
 type coverage struct {
 	instance string
 	from, to wallclock.UnixMicro
 }
 
-// reconciler makes one bill.
+// reconciler holds the state of making one bill.
 type reconciler struct {
 	bill          *Bill
 	period, slice wallclock.Micros // of all statements
 	accounts      map[accountName]*accountStatements
 	lines         map[lineKey]*BillLine
-	servedBySlice map[schoolPeriod][]int64
-	corrections   map[string]bool // IDs of those that are counted
+	servedBySlice map[tenantPeriod][]int64
+	corrections   map[string]bool // IDs of the corrections that are counted
 	keys          []CountedKey
 	settled       []coverage
 }
 
-func (r *reconciler) problem(a accountName, format string, args ...any) {
+func (r *reconciler) addProblem(a accountName, format string, args ...any) {
 	r.bill.Problems = append(r.bill.Problems, Problem{
 		Instance:    a.instance,
 		Incarnation: a.incarnation,
@@ -80,8 +80,8 @@
 	})
 }
 
-// collect notes a statement with its account. Of several final statements of a number, which replicas
-// made, the one that supersedes the others counts.
+// collect adds a statement to those of its account. Replicas may have made several final statements
+// with one number; the one that supersedes the others is kept.
 func (r *reconciler) collect(s *Statement) error {
 	if r.period == 0 {
 		r.period = s.Period
@@ -89,7 +89,7 @@
 	}
 	if s.Period != r.period || s.Slice != r.slice {
 		return kindIncompatible.New(
-			"usage: %s has periods of %d s in slices of %d s, others of %d and %d",
+			"usage: %s has periods of %d s in slices of %d s, but other statements have %d s and %d s",
 			s.FileName(),
 			s.Period/second,
 			s.Slice/second,
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// addAccount counts the statements of an account, and reports those that are missing, that differ
-// from each other, and that do not follow the one before.
+// addAccount counts the statements of an account, and reports statements that are missing, that
+// conflict with another one of their number, or that do not follow the previous one.
 func (r *reconciler) addAccount(name accountName, account *accountStatements) {
 	var previous *Statement
 	next := uint64(1)
@@ -129,18 +129,18 @@
 		s := account.bySeq[seq]
 		switch {
 		case seq == next+1:
-			r.problem(name, "statement %d is missing", next)
+			r.addProblem(name, "statement %d is missing", next)
 		case seq > next:
-			r.problem(name, "statements %d to %d are missing", next, seq-1)
+			r.addProblem(name, "statements %d to %d are missing", next, seq-1)
 		}
 		next = seq + 1
 		if account.conflicting[seq] {
-			r.problem(name, "there are two statements %d, which differ; neither is counted", seq)
+			r.addProblem(name, "there are two statements %d, which differ; neither is counted", seq)
 			previous = nil
 			continue
 		}
 		if previous != nil && previous.Seq == seq-1 && !s.follows(previous) {
-			r.problem(
+			r.addProblem(
 				name,
 				"statement %d does not follow the statement %d that is here; both are counted",
 				seq,
@@ -161,10 +161,10 @@
 	r.bill.Statements++
 	r.bill.Lost += s.Lost
 	if s.Lost > 0 {
-		r.problem(name, "statement %d says that %d uses were lost", s.Seq, s.Lost)
+		r.addProblem(name, "statement %d says that %d uses were lost", s.Seq, s.Lost)
 	}
 	if s.UnlistedKeys > 0 {
-		r.problem(
+		r.addProblem(
 			name,
 			"statement %d does not list the keys of %d uses; other instances may have counted them too",
 			s.Seq,
@@ -176,7 +176,7 @@
 		line.Add(l.Count)
 		line.Changed = line.Changed || l.Period < s.From
 		for i, served := range l.Slices {
-			r.addServed(schoolPeriod{l.Period, l.School}, i, served)
+			r.addServed(tenantPeriod{l.Period, l.School}, i, served)
 		}
 	}
 	for _, c := range s.Corrections {
@@ -186,7 +186,7 @@
 	r.settled = append(r.settled, coverage{s.Instance, s.From, s.To})
 }
 
-// addCorrection counts a correction. One that was given to two instances is counted once.
+// addCorrection counts a correction. A correction that two instances applied is counted once.
 func (r *reconciler) addCorrection(c *Correction) {
 	if r.corrections[c.ID] {
 		return
@@ -199,18 +199,18 @@
 
 func (r *reconciler) line(k lineKey) *BillLine {
 	if r.lines[k] == nil {
-		r.lines[k] = &BillLine{Period: k.period, School: k.school, Class: k.class}
+		r.lines[k] = &BillLine{Period: k.period, School: k.tenant, Class: k.class}
 	}
 	return r.lines[k]
 }
 
-// addServed adds served requests to a slice of a school's period.
-func (r *reconciler) addServed(p schoolPeriod, slice int, served int64) {
+// addServed adds served requests to a slice of a tenant's period.
+func (r *reconciler) addServed(p tenantPeriod, slice int, served int64) {
 	r.servedBySlice[p] = addToSlice(r.servedBySlice[p], slice, served)
 }
 
-// deduplicateKeys counts a request with a key once that two instances ran: the first one counts, and
-// those until the key expires are duplicates.
+// deduplicateKeys bills a request with an idempotency key once if several instances ran it: the earliest
+// run counts as served, and later runs before its key expires become duplicates.
 func (r *reconciler) deduplicateKeys() {
 	slices.SortFunc(r.keys, func(a, b CountedKey) int {
 		return cmp.Or(
@@ -227,35 +227,36 @@
 		}
 		r.bill.DeduplicatedRuns++
 		period := Settings{Period: r.period}.PeriodStart(k.ServedAt)
-		line := r.line(lineKey{period, k.School, k.Class})
+		line := r.line(lineKey{period, k.Tenant, k.Class})
 		line.Add(Count{Served: -1, Duplicates: 1, Work: -k.Work})
 		slice := int((k.ServedAt - period) / wallclock.UnixMicro(r.slice))
-		r.addServed(schoolPeriod{period, k.School}, slice, -1)
+		r.addServed(tenantPeriod{period, k.Tenant}, slice, -1)
 	}
 }
 
-// duplicates reports whether a key is that of an earlier request and was served before that expired.
+// duplicates reports whether the key is that of an earlier run, first, and was served before the key of
+// that run expired.
 func (k *CountedKey) duplicates(first *CountedKey) bool {
-	return k.Hash == first.Hash && k.School == first.School && k.Class == first.Class &&
+	return k.Hash == first.Hash && k.Tenant == first.Tenant && k.Class == first.Class &&
 		k.ServedAt < first.ExpiresAt
 }
 
-// applyQuotas compares what schools used with their quotas, slice by slice.
+// applyQuotas compares what tenants used with their quotas, slice by slice.
 func (r *reconciler) applyQuotas(quotas map[string]float64) {
-	schools := map[schoolPeriod]*BillSchool{}
+	tenants := map[tenantPeriod]*BillSchool{}
 	for k, line := range r.lines {
-		name := schoolPeriod{k.period, k.school}
-		if schools[name] == nil {
-			schools[name] = &BillSchool{Period: k.period, School: k.school}
+		name := tenantPeriod{k.period, k.tenant}
+		if tenants[name] == nil {
+			tenants[name] = &BillSchool{Period: k.period, School: k.tenant}
 		}
-		s := schools[name]
+		s := tenants[name]
 		s.Served = addSaturating(s.Served, line.Served)
 		s.Work = addSaturating(s.Work, line.Work)
 	}
-	for name, s := range schools {
-		if rate, ok := quotas[name.school]; ok {
+	for name, s := range tenants {
+		if rate, ok := quotas[name.tenant]; ok {
 			s.AboveQuota = r.aboveQuota(r.servedBySlice[name], rate)
-			// A correction may have taken some of it back.
+			// A correction may have reduced the number of served requests.
 			s.AboveQuota = min(s.AboveQuota, float64(max(s.Served, 0)))
 		}
 		r.bill.Schools = append(r.bill.Schools, *s)
@@ -265,7 +266,8 @@
 	})
 }
 
-// aboveQuota returns the served requests of slices beyond a rate in requests a second.
+// aboveQuota returns how many served requests exceed a rate in requests per second, summed over the
+// slices.
 func (r *reconciler) aboveQuota(servedBySlice []int64, rate float64) (above float64) {
 	for _, served := range servedBySlice {
 		above += max(float64(served)-rate*float64(r.slice)/float64(second), 0)
@@ -273,8 +275,8 @@
 	return above
 }
 
-// checkCoverage lists the periods of the bill with the instances that have not settled them.
-// expected are instances of which there are to be statements, beside those that have any.
+// checkCoverage lists the periods of the bill with the instances that have not settled them. expected
+// are instances that should have statements, in addition to those that do.
 func (r *reconciler) checkCoverage(expected []string) {
 	instances := map[string]bool{}
 	for _, c := range r.settled {
@@ -282,7 +284,7 @@
 	}
 	for _, name := range expected {
 		if !instances[name] {
-			r.problem(accountName{instance: name}, "there is no statement of it")
+			r.addProblem(accountName{instance: name}, "there is no statement of it")
 		}
 		instances[name] = true
 	}
@@ -312,10 +314,10 @@
 func (r *reconciler) finish() {
 	for k, line := range r.lines {
 		if line.hasNegative() {
-			r.problem(
+			r.addProblem(
 				accountName{instance: "bill"},
 				"%s, %s, period %d: a sum is below nought",
-				k.school,
+				k.tenant,
 				k.class,
 				k.period,
 			)
--- a/internal/usage/ledger/record.go
+++ b/internal/usage/ledger/record.go
@@ -15,12 +15,12 @@
 	OutcomeDuplicate                    // its idempotency key was counted as served before
 	OutcomeTimedOut                     // it missed its deadline
 	OutcomeRejected                     // it never ran
-	OutcomeFailed                       // it ran, or was tried, without a result
+	OutcomeFailed                       // it ran, or an attempt was made, without a result
 	OutcomeAbandoned                    // its caller disconnected
 	outcomeCount
 )
 
-// Record is the use of one request that was answered.
+// Record says how one request ended and what it used.
 type Record struct {
 	AnsweredAt     wallclock.UnixMicro `cbor:"At"`
 	School         string              `cbor:"School"`
@@ -28,14 +28,14 @@
 	Outcome        Outcome             `cbor:"End"`
 	Work           wallclock.Micros    `cbor:"Work"`  // time that servers spent on all its attempts
 	Key            uint64              `cbor:"Key"`   // HashKey of its idempotency key; 0: it has none
-	KeyExpiresAt   wallclock.UnixMicro `cbor:"Until"` // until then the key may be used again
+	KeyExpiresAt   wallclock.UnixMicro `cbor:"Until"` // until then a request with the same key is a duplicate
 	KnownDuplicate bool                `cbor:"Again"` // it is known to repeat another request
 }
 
 // HashKey returns the hash of an idempotency key, which is the same on all instances and never zero.
-func HashKey(school, class, key string) uint64 {
+func HashKey(tenant, class, key string) uint64 {
 	d := xxhash.New()
-	for _, s := range []string{school, class, key} {
+	for _, s := range []string{tenant, class, key} {
 		_, _ = d.WriteString(s)
 		_, _ = d.Write([]byte{0})
 	}
--- a/internal/usage/ledger/ring.go
+++ b/internal/usage/ledger/ring.go
@@ -9,23 +9,24 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Ring passes records from the event loop to the goroutine that keeps the account, through memory
-// that outlives the process where it is mapped from a file: what was put before a kill is there after
-// it. One goroutine calls Put, and another one the methods that read.
+// Ring is a ring buffer that passes records from the event loop to the goroutine that keeps the
+// account. If its memory is mapped from a file, records that were put survive a kill of the process.
+// One goroutine calls Put and Last, and another one calls the other methods.
 //
-// The memory begins with a header. The table of names follows, each with its length, and then the
-// records, each with its number, which is written last. All numbers are little-endian.
+// The memory begins with a header. It is followed by a table of names, each after its length, and then
+// by the records. The number of a record is written last, and shows that the record is complete. All
+// numbers are little-endian.
 type Ring struct {
 	mem      []byte
 	capacity uint64 // in records
 	next     uint64 // number of the next record; the first is 1
 	released atomic.Uint64
 
-	// Names are written by Put, and read into a table of the reader's own.
+	// Put writes names to the memory, and the reader copies them into a table of its own.
 	nameIDs    map[string]uint16
-	nameEnd    int // offset behind the last name
+	nameEnd    int // offset after the last name that was written
 	namesRead  []string
-	nameReadAt int // offset behind the last of namesRead
+	nameReadAt int // offset after the last of namesRead
 }
 
 // Layout of the header, in bytes.
@@ -44,7 +45,7 @@
 // Layout of the names and of a record, in bytes.
 const (
 	namesSize      = 32 << 10
-	nameLengthSize = 2 // of the length before each name
+	nameLengthSize = 2 // size of the length before each name
 	recordSize     = 64
 
 	numberOffset       = 0 // the number of the record, written last; 0 while the record is written
@@ -52,20 +53,20 @@
 	keyExpiresAtOffset = 16
 	keyOffset          = 24
 	workOffset         = 32
-	schoolOffset       = 40
+	tenantOffset       = 40
 	classOffset        = 42
 	outcomeOffset      = 44
 	duplicateOffset    = 45
-	checkedNumOffset   = 48 // the number again, under the checksum
+	checkedNumOffset   = 48 // the number again, covered by the checksum
 	checksumOffset     = 60
 )
 
-// RingSize returns the bytes of memory that a ring of a capacity in records takes.
+// RingSize returns the size in bytes of the memory of a ring with a capacity in records.
 func RingSize(capacity int) int { return headerSize + namesSize + capacity*recordSize }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// NewRing begins a ring in memory that is all zero, for the records after number startedAfter.
+// NewRing initializes a ring in memory that is all zero. Its first record has number startedAfter+1.
 func NewRing(mem []byte, incarnation string, startedAfter uint64) *Ring {
 	r := &Ring{
 		mem:        mem,
@@ -109,7 +110,7 @@
 // recordOffset returns the offset of the record with a number.
 func (r *Ring) recordOffset(number uint64) int { return slotOffset(int((number - 1) % r.capacity)) }
 
-// Put adds a record, and reports whether there was room. One that found none is counted as lost.
+// Put adds a record, and reports whether there was room. A record without room is counted as lost.
 func (r *Ring) Put(record Record) bool {
 	if r.next-r.released.Load() > r.capacity {
 		r.word(lostOffset).Add(1)
@@ -123,7 +124,7 @@
 	le.PutUint64(b[keyExpiresAtOffset:], uint64(record.KeyExpiresAt))
 	le.PutUint64(b[keyOffset:], record.Key)
 	le.PutUint64(b[workOffset:], uint64(record.Work))
-	le.PutUint16(b[schoolOffset:], r.nameID(record.School))
+	le.PutUint16(b[tenantOffset:], r.nameID(record.School))
 	le.PutUint16(b[classOffset:], r.nameID(record.Class))
 	b[outcomeOffset] = byte(record.Outcome)
 	b[duplicateOffset] = 0
@@ -137,20 +138,20 @@
 	return true
 }
 
-// recordChecksum returns the checksum of a record and its number: a disk may have kept one without
-// the other.
+// recordChecksum returns the checksum over a record and its number. It covers both because a disk that
+// lost power may have kept one without the other.
 func recordChecksum(b []byte) uint32 {
 	return crc32.Checksum(b[answeredAtOffset:checksumOffset], castagnoli)
 }
 
-// nameID returns the number of a name, which it adds if there is room. The number of other names is
-// 0, that of OtherSchool.
+// nameID returns the number of a name, which it adds to the table if there is room. A name without room
+// has number 0, that of OtherTenant.
 func (r *Ring) nameID(s string) uint16 {
 	if id, ok := r.nameIDs[s]; ok {
 		return id
 	}
-	if len(r.nameIDs) == 0 && s != OtherSchool {
-		r.nameID(OtherSchool)
+	if len(r.nameIDs) == 0 && s != OtherTenant {
+		r.nameID(OtherTenant)
 	}
 	s = s[:min(len(s), maxTextBytes)]
 	if id, ok := r.nameIDs[s]; ok || r.nameEnd+nameLengthSize+len(s) > headerSize+namesSize {
@@ -165,7 +166,8 @@
 	return id
 }
 
-// name returns the name of a number.
+// name returns the name with a number, and reports whether there is one. It first reads the names that
+// were added since the last call.
 func (r *Ring) name(id uint16) (string, bool) {
 	for n := r.word(nameCountOffset).Load(); uint64(len(r.namesRead)) < n; {
 		if r.nameReadAt+nameLengthSize > headerSize+namesSize {
@@ -185,7 +187,7 @@
 	return r.namesRead[id], true
 }
 
-// Read returns the record with a number, if it is there and intact.
+// Read returns the record with a number, and reports whether it is there and intact.
 func (r *Ring) Read(number uint64) (Record, bool) {
 	offset := r.recordOffset(number)
 	if r.word(offset+numberOffset).Load() != number {
@@ -196,43 +198,42 @@
 	if le.Uint64(b[checkedNumOffset:]) != number || le.Uint32(b[checksumOffset:]) != recordChecksum(b) {
 		return Record{}, false
 	}
-	school, schoolKnown := r.name(le.Uint16(b[schoolOffset:]))
+	tenant, tenantKnown := r.name(le.Uint16(b[tenantOffset:]))
 	class, classKnown := r.name(le.Uint16(b[classOffset:]))
 	return Record{
 		AnsweredAt:     wallclock.UnixMicro(le.Uint64(b[answeredAtOffset:])),
 		KeyExpiresAt:   wallclock.UnixMicro(le.Uint64(b[keyExpiresAtOffset:])),
 		Key:            le.Uint64(b[keyOffset:]),
 		Work:           wallclock.Micros(le.Uint64(b[workOffset:])),
-		School:         school,
+		School:         tenant,
 		Class:          class,
 		Outcome:        Outcome(b[outcomeOffset]),
 		KnownDuplicate: b[duplicateOffset] == 1,
-	}, schoolKnown && classKnown
+	}, tenantKnown && classKnown
 }
 
 // Last returns the number of the last record that was put.
 func (r *Ring) Last() uint64 { return r.next - 1 }
 
-// Release frees the room of the records up to a number, which are stored elsewhere.
+// Release frees the room of the records up to a number, which must be stored elsewhere by then.
 func (r *Ring) Release(number uint64) { r.released.Store(number) }
 
-// Lost returns the number of records that found no room.
+// Lost returns the total number of records that found no room.
 func (r *Ring) Lost() uint64 { return r.word(lostOffset).Load() }
 
-// StartedAfter returns the number of the record after which the ring began. It differs between the
-// rings of an account.
+// StartedAfter returns the number of the record after which the ring began, which identifies the ring
+// among those of an account.
 func (r *Ring) StartedAfter() uint64 { return binary.LittleEndian.Uint64(r.mem[startedAfterOffset:]) }
 
-// Utilization returns the part of the capacity, from 0 to 1, that is taken by records up to a number
-// and not released.
+// Utilization returns the fraction of the capacity, from 0 to 1, that is taken by the records up to a
+// number that are not released.
 func (r *Ring) Utilization(number uint64) float64 {
 	return float64(number-r.released.Load()) / float64(r.capacity)
 }
 
-// Recover calls add, in order, with the intact records that an earlier process left after the last one
-// that was counted.
-// It returns the number of the last one, and how many before it are not intact: a disk that lost power
-// may have kept any of them.
+// Recover calls add, in order, with the intact records that an earlier process left after record
+// lastCounted. It returns the number of the last intact record, or lastCounted if there is none, and how
+// many records between the two are missing: a disk that lost power may have kept any of them.
 func (r *Ring) Recover(lastCounted uint64, add func(Record)) (last, missing uint64) {
 	last = max(r.lastIntact(lastCounted), lastCounted)
 	for number := lastCounted + 1; number <= last; number++ {
@@ -245,7 +246,7 @@
 	return last, missing
 }
 
-// lastIntact returns the highest number of an intact record after lastCounted; 0: there is none.
+// lastIntact returns the highest number of an intact record after lastCounted, or 0 if there is none.
 func (r *Ring) lastIntact(lastCounted uint64) (last uint64) {
 	for index := range int(r.capacity) {
 		offset := slotOffset(index)
--- a/internal/usage/ledger/ring_test.go
+++ b/internal/usage/ledger/ring_test.go
@@ -9,13 +9,13 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// ringRun is a ring that a test draws the steps of, beside the records that it should hold.
+// ringRun applies random steps to a ring, and keeps the records that it must hold.
 type ringRun struct {
 	*rapid.T
 	ring     *Ring
 	capacity int
-	taken    uint64
-	waiting  []Record
+	lastRead uint64
+	unread   []Record
 	lost     uint64
 }
 
@@ -27,42 +27,42 @@
 		Work:           5,
 		Outcome:        OutcomeTimedOut,
 		KnownDuplicate: rapid.Bool().Draw(r.T, "duplicate"),
-		School:         rapid.SampledFrom([]string{"north", "south", "", OtherSchool}).Draw(r.T, "school"),
+		School:         rapid.SampledFrom([]string{"north", "south", "", OtherTenant}).Draw(r.T, "school"),
 		Class:          "c",
 	}
 	if r.ring.Put(record) {
-		r.waiting = append(r.waiting, record)
-	} else if r.lost++; len(r.waiting) < r.capacity {
-		r.Fatal("there was room")
+		r.unread = append(r.unread, record)
+	} else if r.lost++; len(r.unread) < r.capacity {
+		r.Fatal("Put() = false while the ring has room")
 	}
 }
 
 func (r *ringRun) read() {
-	record, ok := r.ring.Read(r.taken + 1)
-	if !ok || record != r.waiting[0] {
-		r.Fatalf("%+v, %v; want %+v", record, ok, r.waiting[0])
+	record, ok := r.ring.Read(r.lastRead + 1)
+	if !ok || record != r.unread[0] {
+		r.Fatalf("Read() = %+v, %v, want %+v, true", record, ok, r.unread[0])
 	}
-	r.taken, r.waiting = r.taken+1, r.waiting[1:]
-	r.ring.Release(r.taken)
+	r.lastRead, r.unread = r.lastRead+1, r.unread[1:]
+	r.ring.Release(r.lastRead)
 }
 
-// What was put before a kill is there after it, complete and in order, wherever the kill came; a disk
-// that kept only some of it shows.
+// Records that were put before a kill of the process must be recovered after it, complete and in order.
+// Where the disk kept only part of the memory, the damaged record must not be recovered.
 func TestRingOutlivesProcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 9).Draw(t, "capacity")
 		mem := make([]byte, RingSize(capacity))
 		taken := rapid.Uint64Range(0, 50).Draw(t, "from")
-		r := &ringRun{T: t, ring: NewRing(mem, "life", taken), capacity: capacity, taken: taken}
+		r := &ringRun{T: t, ring: NewRing(mem, "life", taken), capacity: capacity, lastRead: taken}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") {
 				r.put()
-			} else if len(r.waiting) > 0 {
+			} else if len(r.unread) > 0 {
 				r.read()
 			}
 		}
 		if r.ring.Lost() != r.lost {
-			t.Fatal(r.ring.Lost(), r.lost)
+			t.Fatalf("Lost() = %d, want %d", r.ring.Lost(), r.lost)
 		}
 		torn := rapid.IntRange(-1, capacity-1).Draw(t, "torn")
 		if torn >= 0 {
@@ -73,20 +73,20 @@
 			t.Fatal(err)
 		}
 		var got []Record
-		last, missing := after.Recover(r.taken, func(u Record) { got = append(got, u) })
-		if torn < 0 && (len(got) != len(r.waiting) || missing != 0) ||
-			len(got)+int(missing) > len(r.waiting) ||
-			len(got) < len(r.waiting)-1 ||
-			last > r.taken+uint64(len(r.waiting)) {
-			t.Fatalf("%d of %d, %d missing", len(got), len(r.waiting), missing)
+		last, missing := after.Recover(r.lastRead, func(u Record) { got = append(got, u) })
+		if torn < 0 && (len(got) != len(r.unread) || missing != 0) ||
+			len(got)+int(missing) > len(r.unread) ||
+			len(got) < len(r.unread)-1 ||
+			last > r.lastRead+uint64(len(r.unread)) {
+			t.Fatalf("Recover() gave %d of %d unread records, and %d as missing", len(got), len(r.unread), missing)
 		}
 		if _, err := OpenRing(mem, "other"); !errors.Is(err, ErrForeignRing) {
-			t.Fatal(err)
+			t.Fatalf("OpenRing() for another account = error %v, want ErrForeignRing", err)
 		}
 	})
 }
 
-// A ring is memory that a crash may have left with anything in it.
+// A crash may leave any bytes in the memory of a ring: Recover must still keep its bounds.
 func FuzzRing(f *testing.F) {
 	mem := make([]byte, RingSize(3))
 	r := NewRing(mem, "life", 0)
@@ -98,7 +98,7 @@
 		copy(mem[headerSize+namesSize:], records)
 		if r, err := OpenRing(mem, "life"); err == nil {
 			if last, missing := r.Recover(0, func(Record) {}); last > 3 || missing > last {
-				t.Error(last, missing)
+				t.Errorf("Recover() = last %d, missing %d, want missing <= last <= 3", last, missing)
 			}
 		}
 	})
--- a/internal/usage/ledger/seal.go
+++ b/internal/usage/ledger/seal.go
@@ -7,9 +7,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// SealDue reports whether a period has ended that is not sealed. A period without records is sealed
-// too, which says that there were none. While maxUnwritten statements cannot be written no more are
-// sealed; what is counted goes into a later one.
+// SealDue reports whether a period has ended that is not sealed, or an amendment is due. A period
+// without records is sealed too, which shows that there were none. While maxUnwritten statements are
+// not written, no further statement is sealed; records are counted for a later one.
 func (l *Ledger) SealDue(now wallclock.UnixMicro) bool {
 	if len(l.unwritten) >= maxUnwritten || l.ended {
 		return false
@@ -17,9 +17,10 @@
 	return l.endOfLastPeriod(now) > l.sealedThrough || l.amendmentDue(now)
 }
 
-// amendmentDue reports whether records or corrections are due for a statement that settles no period,
-// as the clock is far behind the periods that are sealed: it was wrong then, or is now. One such
-// statement is made a period.
+// amendmentDue reports whether records or corrections are due for a statement that settles no period.
+// That is so while the clock is more than a period behind the sealed periods: it was wrong when they
+// were sealed, or is wrong now. At most one such statement is made per period, unless the clock is set
+// back again.
 func (l *Ledger) amendmentDue(now wallclock.UnixMicro) bool {
 	period := l.settings.Period
 	clockBehind := period.After(now) < l.sealedThrough
@@ -27,7 +28,7 @@
 		(now < l.sealedAt || now >= period.After(l.sealedAt))
 }
 
-// endOfLastPeriod returns the end of the last period that can be sealed.
+// endOfLastPeriod returns the end of the last period that can be sealed at now.
 func (l *Ledger) endOfLastPeriod(now wallclock.UnixMicro) wallclock.UnixMicro {
 	return l.settings.PeriodStart(now - wallclock.UnixMicro(l.settings.Grace))
 }
@@ -43,9 +44,9 @@
 	return s
 }
 
-// Finish ends the account with a final statement of all that it holds, also of open periods. It
-// returns nil if earlier statements hold everything. Several replicas may finish one account, each
-// with the records that it has received.
+// Finish ends the account, and returns a final statement of everything that is in no statement yet,
+// including open periods; nil if there is nothing, or the account had ended. Several replicas may
+// finish the same account, each with the records that it has received.
 func (l *Ledger) Finish() *Statement {
 	if l.ended {
 		return nil
@@ -61,7 +62,7 @@
 	return l.newStatement(to, true)
 }
 
-// newStatement makes the statement of all lines of periods before an instant.
+// newStatement seals the periods before the instant to, and returns the statement with their lines.
 func (l *Ledger) newStatement(to wallclock.UnixMicro, final bool) *Statement {
 	s := &Statement{
 		Format:         FormatVersion,
@@ -104,9 +105,10 @@
 	return s
 }
 
-// NextStatement returns the statement that is to be written now; nil: none. renaming reports that its
-// file was about to be renamed when the state was last saved: if the file that it is renamed from is
-// gone, the rename is done, and a collector may have taken the renamed file.
+// NextStatement returns the oldest statement that is not known to be written, or nil. renaming reports
+// that its file was about to be renamed to its final name when the state was last saved. If the file
+// under the temporary name is gone, the rename was done, and a collector may have taken the renamed
+// file.
 func (l *Ledger) NextStatement() (s *Statement, renaming bool) {
 	if len(l.unwritten) == 0 {
 		return nil, false
@@ -115,8 +117,8 @@
 	return s, l.renaming == s.Seq
 }
 
-// MarkRenaming notes that the complete file of a statement is about to be renamed; nil: that none is.
-// The state with this note has to be on the disk before the file is renamed.
+// MarkRenaming records that the complete file of a statement is about to be renamed to its final name;
+// nil records that none is. The state must be saved to the disk before the file is renamed.
 func (l *Ledger) MarkRenaming(s *Statement) {
 	l.renaming = 0
 	if s != nil {
@@ -124,7 +126,7 @@
 	}
 }
 
-// MarkExported notes that the file of a statement has its final name.
+// MarkExported records that the file of a statement has its final name.
 func (l *Ledger) MarkExported(s *Statement) {
 	if len(l.unwritten) > 0 && l.unwritten[0].Seq == s.Seq {
 		l.unwritten = l.unwritten[1:]
--- a/internal/usage/ledger/state.go
+++ b/internal/usage/ledger/state.go
@@ -8,7 +8,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// state is an account as it is stored, with the number of the last record that it counted.
+// state is the stored form of an account, with the number of the last record that it counted.
 type state struct {
 	Format        int                 `json:"format"`
 	Instance      string              `json:"instance"`
@@ -40,7 +40,8 @@
 	Ahead         int                 `json:"ahead,omitempty"`
 }
 
-// Encode returns the account as a file. lastRecord is the number of the last record that it counted.
+// Encode returns the contents of the account's file. lastRecord is the number of the last record that
+// the account counted.
 func (l *Ledger) Encode(lastRecord uint64) []byte {
 	s := state{
 		Format:        FormatVersion,
@@ -77,7 +78,7 @@
 	return appendDigest(mustMarshal(s), stateMark)
 }
 
-// Inspect reads the account of a file, of whatever instance and periods.
+// Inspect returns the account that a file holds, for any instance and any length of periods.
 func Inspect(file []byte) (*Ledger, error) {
 	s, err := decodeState(file)
 	if err != nil {
@@ -87,9 +88,9 @@
 	return l, err
 }
 
-// Decode reads the account of a file, and the number of the last record that it counted. An account
-// of another instance or of other periods is an error of kind usage.format: its statements would
-// overlap those that were written.
+// Decode returns the account that a file holds, and the number of the last record that it counted. An
+// account of another instance, or with other lengths of periods or slices, is an error of kind
+// usage.format: its statements would overlap those that were written.
 func Decode(settings Settings, file []byte) (l *Ledger, lastRecord uint64, err error) {
 	s, err := decodeState(file)
 	if err != nil {
@@ -110,17 +111,17 @@
 	return s, nil
 }
 
-// check returns an error if an account of these settings cannot go on from the state.
+// check returns an error if an account with these settings cannot continue from the state.
 func (s *state) check(settings Settings) error {
 	switch {
 	case s.Format < 1 || s.Format > FormatVersion:
-		return kindFormat.New("format %d; this program knows up to %d", s.Format, FormatVersion)
+		return kindFormat.New("format version %d; this program supports up to %d", s.Format, FormatVersion)
 	case s.Instance != settings.Instance:
-		return kindFormat.New("it is the account of %s, and this is %s", s.Instance, settings.Instance)
+		return kindFormat.New("the account is of instance %s, but this instance is %s", s.Instance, settings.Instance)
 	case settings.Period != 0 && (s.Period != settings.Period || s.Slice != settings.Slice):
 		return kindFormat.New(
-			"it has periods of %d s in slices of %d s, and the settings say %d and %d: "+
-				"end it, and begin another folder",
+			"the account has periods of %d s in slices of %d s, but the settings say %d s and %d s: "+
+				"end the account, and begin a new one in another folder",
 			s.Period/second,
 			s.Slice/second,
 			settings.Period/second,
@@ -130,7 +131,8 @@
 	return nil
 }
 
-// restore returns the account of the state. Settings without a period take those of the state.
+// restore returns the account of the state, with the lengths of periods and slices of the state. It
+// checks them against the settings only if these have a period.
 func (s *state) restore(settings Settings) (*Ledger, uint64, error) {
 	if err := s.check(settings); err != nil {
 		return nil, 0, err
--- a/internal/usage/ledger/statement_test.go
+++ b/internal/usage/ledger/statement_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// sealedHandIn returns the account of one request with a key, and its statement.
-func sealedHandIn() (*Ledger, *Statement) {
+// sealedKeyedRequest returns an account that served one request with an idempotency key, and its statement.
+func sealedKeyedRequest() (*Ledger, *Statement) {
 	l := New(settings(), "a", begin)
 	l.Add(
 		Record{
@@ -24,7 +24,7 @@
 }
 
 func TestChangedFilesAreRejected(t *testing.T) {
-	l, s := sealedHandIn()
+	l, s := sealedKeyedRequest()
 	b := s.Encode()
 	for name, c := range map[string]struct {
 		b    []byte
@@ -37,23 +37,23 @@
 	} {
 		if _, err := ParseStatement(name, c.b); !errors.Is(err, c.want) ||
 			!strings.HasPrefix(err.Error(), name+": ") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("ParseStatement(%q) = error %v, want the error of the case, preceded by the name", name, err)
 		}
 	}
 	for want, set := range map[string]func(*Settings){
-		"account of n0, and this is n1": func(s *Settings) { s.Instance = "n1" },
-		"begin another folder":          func(s *Settings) { s.Period = 2 * hour },
+		"account is of instance n0, but this instance is n1": func(s *Settings) { s.Instance = "n1" },
+		"begin a new one in another folder":                  func(s *Settings) { s.Period = 2 * hour },
 	} {
 		other := settings()
 		set(&other)
 		if _, _, err := Decode(other, l.Encode(1)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v", err)
+			t.Errorf("Decode() = error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
 func FuzzStatement(f *testing.F) {
-	_, s := sealedHandIn()
+	_, s := sealedKeyedRequest()
 	f.Add(s.body())
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var s Statement
@@ -63,7 +63,7 @@
 		b := s.Encode()
 		again, err := ParseStatement("x", b)
 		if err != nil || !bytes.Equal(again.Encode(), b) {
-			t.Fatalf("%v: %s", err, b)
+			t.Fatalf("ParseStatement() = error %v, or a statement whose bytes are not\n%s", err, b)
 		}
 		if _, err := Reconcile([]*Statement{&s, again}, BillingTerms{}); err != nil {
 			t.Fatal(err)
--- a/internal/usage/ledger/stored_test.go
+++ b/internal/usage/ledger/stored_test.go
@@ -18,8 +18,8 @@
 	lastName  = "usage-n0-0011aabbccdd-00000003-last-23.json"
 )
 
-// storedUses are uses of three periods.
-func storedUses(period int) []Record {
+// storedRecords returns records of a period, which is counted from 0.
+func storedRecords(period int) []Record {
 	at := begin + wallclock.UnixMicro(period)*hour
 	return []Record{
 		{
@@ -49,7 +49,7 @@
 	}
 }
 
-// storedCorrection is a correction of the first period.
+// storedCorrection returns a correction of the first period.
 func storedCorrection(id string) Correction {
 	return Correction{
 		ID: id, Period: begin, School: "north", Class: "hand-in",
@@ -66,19 +66,19 @@
 	}
 }
 
-// storedFiles makes the files of an account: its state in the third period, the statements of the
-// first and the last, and a ring of uses.
+// storedFiles returns the files of an account, by name: its state in the third period, its first and
+// last statements, and a ring of records.
 func storedFiles(t *testing.T) map[string][]byte {
 	t.Helper()
 	l := New(settings(), "0011aabbccdd", begin)
 	add := func(period int) {
-		for _, u := range storedUses(period) {
+		for _, u := range storedRecords(period) {
 			l.Add(u)
 		}
 	}
 	add(0)
 	if known, err := l.Correct(storedCorrection("c-1"), begin+hour); known || err != nil {
-		t.Fatal(known, err)
+		t.Fatalf("Correct() = %v, %v, want false, nil", known, err)
 	}
 	l.AddLost(2)
 	first := l.Seal(begin + hour + 10*sec)
@@ -89,13 +89,13 @@
 	l.MarkRenaming(second)
 	add(2)
 	if known, err := l.Correct(storedCorrection("c-2"), begin+2*hour); known || err != nil {
-		t.Fatal(known, err)
+		t.Fatalf("Correct() = %v, %v, want false, nil", known, err)
 	}
 	files := map[string][]byte{"state": l.Encode(21), firstName: first.Encode()}
-	// Two uses more than the ring has room for.
+	// Two records more than the ring has room for.
 	ring := make([]byte, RingSize(7))
 	r := NewRing(ring, "0011aabbccdd", 21)
-	for _, u := range append(storedUses(2), storedUses(1)[:2]...) {
+	for _, u := range append(storedRecords(2), storedRecords(1)[:2]...) {
 		r.Put(u)
 	}
 	files["ring"] = ring
@@ -103,7 +103,7 @@
 	return files
 }
 
-// allFields are values of what is stored or shown as JSON, with every field set.
+// allFields returns a value of each type that is stored or printed as JSON, with every field set.
 func allFields() map[string]any {
 	count := Count{Served: 1, Duplicates: 2, TimedOut: 3, Rejected: 4, Failed: 5, Abandoned: 6, Work: 7}
 	line := Line{Period: begin, School: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
@@ -143,7 +143,7 @@
 	}
 }
 
-// Each field that is stored or shown has the name that version 1 gave it, and is read under it.
+// Fields that are stored or printed must be written and read under the names that they had in version 1.
 func TestFieldsKeepTheirNames(t *testing.T) {
 	for name, sample := range allFields() {
 		golden.RequireAllSet(t, name, sample)
@@ -158,12 +158,12 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(sample, read.Elem().Interface(), cmp.AllowUnexported(state{})); diff != "" {
-			t.Errorf("%s is read as (-want +got)\n%s", name, diff)
+			t.Errorf("%s: decoded value (-want +got)\n%s", name, diff)
 		}
 	}
 }
 
-// The files of an account that version 1 wrote have the same bytes when they are written now.
+// The same records must give files with the bytes that version 1 wrote.
 func TestWritesBytesOfVersion1(t *testing.T) {
 	for name, got := range storedFiles(t) {
 		golden.Check(t, filepath.Join(storedDir, name), got)
@@ -175,7 +175,7 @@
 	return golden.Read(t, filepath.Join(storedDir, name))
 }
 
-// storedLines are the lines of the uses of a period.
+// storedLines returns the lines of the records of a period.
 func storedLines(period int) []Line {
 	at := begin + wallclock.UnixMicro(period)*hour
 	return []Line{
@@ -195,7 +195,7 @@
 	}
 }
 
-// storedKeyOf is the key of the hand-in that was counted in a period.
+// storedKeyOf returns the key that is counted as served in a period.
 func storedKeyOf(period int) CountedKey {
 	at := begin + wallclock.UnixMicro(period)*hour + 10*sec
 	return CountedKey{
@@ -203,12 +203,12 @@
 		ServedAt:  at,
 		ExpiresAt: at + 3*sec,
 		Work:      25_000,
-		School:    "north",
+		Tenant:    "north",
 		Class:     "hand-in",
 	}
 }
 
-// The statements of version 1 are read as they were written, the last of an account too.
+// Statements that version 1 wrote, regular and final ones, must be read with all their fields.
 func TestReadsStatementsOfVersion1(t *testing.T) {
 	first := &Statement{
 		Format: 1, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 1,
@@ -230,19 +230,19 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%s (-want +got)\n%s", name, diff)
+			t.Errorf("statement in %s (-want +got)\n%s", name, diff)
 		}
 		if got.FileName() != name {
-			t.Errorf("%s names itself %s", name, got.FileName())
+			t.Errorf("FileName() of the statement in %s = %s, want the name of the file", name, got.FileName())
 		}
 	}
 }
 
-// The state of an account that version 1 kept is read as it was, and the account goes on from it.
+// A state that version 1 wrote must be read with all its fields, and the account must continue from it.
 func TestReadsStateOfVersion1(t *testing.T) {
-	l, taken, err := Decode(settings(), readStored(t, "state"))
-	if err != nil || taken != 21 {
-		t.Fatal(taken, err)
+	l, lastRecord, err := Decode(settings(), readStored(t, "state"))
+	if err != nil || lastRecord != 21 {
+		t.Fatalf("Decode() = last record %d, error %v, want 21, nil", lastRecord, err)
 	}
 	want := Summary{
 		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: begin + 2*hour, Statements: 2, Exported: 1,
@@ -253,17 +253,17 @@
 	}
 	if next, naming := l.NextStatement(); !naming || next.Seq != 2 ||
 		!reflect.DeepEqual(next.Lines, storedLines(1)) {
-		t.Errorf("the statement to be written is %+v, naming: %v", next, naming)
+		t.Errorf("NextStatement() = %+v, %v, want statement 2 with the lines of the second period, true", next, naming)
 	}
 	if known, err := l.Correct(storedCorrection("c-1"), begin+2*hour); !known || err != nil {
-		t.Errorf("a correction of before is known: %v, %v", known, err)
+		t.Errorf("Correct() with the ID of an earlier correction = %v, %v, want true, nil", known, err)
 	}
 	if got, want := l.Finish().Encode(), readStored(t, lastName); string(got) != string(want) {
-		t.Errorf("the account ends with\n%s\nand not with\n%s", got, want)
+		t.Errorf("final statement =\n%s\nwant\n%s", got, want)
 	}
 }
 
-// The ring that a process of version 1 left gives its uses.
+// The records of a ring that a process of version 1 left must be recovered.
 func TestReadsRingOfVersion1(t *testing.T) {
 	r, err := OpenRing(readStored(t, "ring"), "0011aabbccdd")
 	if err != nil {
@@ -272,9 +272,15 @@
 	var got []Record
 	last, missing := r.Recover(21, func(u Record) { got = append(got, u) })
 	if last != 28 || missing != 0 || r.Lost() != 2 || r.StartedAfter() != 21 {
-		t.Errorf("uses up to %d, %d missing, %d lost, from %d", last, missing, r.Lost(), r.StartedAfter())
+		t.Errorf(
+			"last = %d, %d missing, %d lost, started after %d; want 28, 0, 2, 21",
+			last,
+			missing,
+			r.Lost(),
+			r.StartedAfter(),
+		)
 	}
-	if diff := cmp.Diff(storedUses(2), got); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+	if diff := cmp.Diff(storedRecords(2), got); diff != "" {
+		t.Errorf("records (-want +got)\n%s", diff)
 	}
 }
