--- a/internal/usage/metering/account_store.go
+++ b/internal/usage/metering/account_store.go
@@ -14,57 +14,57 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// StateFile is the name of the file with the usage ledger in its folder.
+// StateFile is the name of the file that holds the usage ledger, in the folder of the account.
 const StateFile = "state"
 
-// The other files of a folder, beside the statements.
+// Names and suffixes of the other files of the folder, apart from the statements.
 const (
-	ringFile    = "ring"
-	bootFile    = "boot"  // the boot ID of the machine when the folder was opened last
-	newSuffix   = ".new"  // of a file that is not complete yet
-	partSuffix  = ".part" // of a statement that is complete and does not have its final name yet
-	maxRingUsed = 0.5     // part of the ring that records may take before the account is saved
+	ringFile           = "ring"
+	bootFile           = "boot"  // boot ID of the machine when the folder was last opened
+	newSuffix          = ".new"  // of a file that may be incomplete
+	partSuffix         = ".part" // of a statement that does not have its final name yet
+	maxRingUtilization = 0.5     // fraction of the ring that records may take before the account is saved
 )
 
-// accountStore keeps the account in a folder: it counts the records of the ring, saves the account,
-// and writes statements. Each step may fail or be the last one before a crash; the next process goes
-// on from what is there. It is used by one goroutine.
+// accountStore keeps the account in a folder: it counts the records of the ring, saves the account and
+// writes statements. Any step may fail, or be the last one before a crash; the next process continues
+// from the files that are there. It is used by one goroutine.
 type accountStore struct {
 	fs           store.FS
 	ledger       *ledger.Ledger
 	ring         *ledger.Ring
 	publisher    *publisher    // nil: the account is not replicated
-	saveInterval time.Duration // between two saves, while something was counted
-	lastRecord   uint64        // number of the last record that is counted
-	ringLost     uint64        // records that the ring has lost, as it said last
-	dirty        bool          // something is not saved
+	saveInterval time.Duration // time between two saves while there are unsaved changes
+	lastRecord   uint64        // number of the last counted record
+	ringLost     uint64        // last known total of records that the ring lost
+	dirty        bool          // there are changes that are not saved
 	savedAt      wallclock.UnixMicro
 	exported     []string // names of statements that were written since the last takeExported
 }
 
-// openParams are how an account is opened.
+// openParams are the parameters of openAccount.
 type openParams struct {
 	settings     ledger.Settings
 	saveInterval time.Duration
 	now          wallclock.UnixMicro
-	incarnation  string // of a new account
-	oldRing      []byte // that the process before left; empty: there is none
-	// sameBoot says that the machine has run on since the process before: its files are as that one
-	// left them, and not as the disk kept them over a loss of power.
+	incarnation  string // name of a new account
+	oldRing      []byte // memory of the ring that the previous process left; empty: there is none
+	// sameBoot says that the machine has not restarted since the previous process, so that the files are
+	// as that process left them, and not as the disk kept them over a power loss.
 	sameBoot bool
-	// mustReplace ends the account and begins another one, as its replicas may have ended it.
+	// mustReplace ends the account and begins a new one, because its replicas may have ended it.
 	mustReplace bool
 }
 
-// recovery says what openAccount has recovered after the process before.
+// recovery says what openAccount recovered from the previous process.
 type recovery struct {
 	newAccount bool
-	recovered  uint64 // records of the ring that the process before had not saved
-	missing    uint64 // records of the ring that are known to be gone
-	ringError  error  // why the ring could not be read
+	recovered  uint64 // records of the ring that the previous process had not saved
+	missing    uint64 // records of the ring that are known to be lost
+	ringError  error  // why the ring could not be read; nil: it was, or there was none
 }
 
-// openAccount goes on with the account of a folder, or begins one.
+// openAccount opens the account of a folder, or begins one if there is none.
 func openAccount(fsys store.FS, p openParams) (*accountStore, recovery, error) {
 	a := &accountStore{fs: fsys, saveInterval: p.saveInterval}
 	var found recovery
@@ -88,7 +88,7 @@
 	return a, found, a.replaceAccount(p)
 }
 
-// load reads the state, or begins an account where there is none.
+// load reads the state, or begins an account if there is none.
 func (a *accountStore) load(p openParams, found *recovery) error {
 	b, err := a.fs.Read(StateFile)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// recoverRing counts the records that the process before left in its ring.
+// recoverRing counts the records that the previous process left in its ring.
 func (a *accountStore) recoverRing(memory []byte, found *recovery) {
 	ring, err := ledger.OpenRing(memory, a.ledger.Incarnation())
 	if err != nil {
@@ -123,7 +123,7 @@
 	a.ledger.AddRingLost(ring)
 }
 
-// replaceAccount ends the account and begins another one. The records of the ring are saved by now.
+// replaceAccount ends the account and begins a new one. The records of the old ring must be saved.
 func (a *accountStore) replaceAccount(p openParams) error {
 	a.ledger.Finish()
 	if err := a.save(p.now); err != nil {
@@ -140,8 +140,8 @@
 	return a.save(p.now)
 }
 
-// refuseOldStatements returns an error if a folder without an account has statements of the instance:
-// a new account would use their numbers again.
+// refuseOldStatements returns an error if a folder without an account has statements of the instance,
+// since a new account would use their numbers again.
 func (a *accountStore) refuseOldStatements(instance string) error {
 	names, err := a.fs.List()
 	if err != nil {
@@ -154,15 +154,15 @@
 		return nil
 	}
 	return kindAccount.New(
-		"usage: there is %s and no %s: move the statements away to begin a new account",
+		"usage: the folder has statement %s but no file %s: move the statements away to begin a new account",
 		names[i],
 		StateFile,
 	)
 }
 
-// checkRenamed looks whether a statement is there after the machine lost power while it was renamed.
-// The disk may have neither of its names; then it is written again, and a collector that has it
-// already recognizes its number.
+// checkRenamed checks, after the machine may have lost power, that a statement that was being renamed is
+// there under one of its two names. If the disk has kept neither, the statement is written again; a
+// collector that already has it recognizes its number.
 func (a *accountStore) checkRenamed(s *ledger.Statement) error {
 	for _, name := range []string{s.FileName(), s.FileName() + partSuffix} {
 		b, err := a.fs.Read(name)
@@ -192,11 +192,12 @@
 	return a.export(now)
 }
 
-// saveDue reports whether the account is to be saved: something was counted, and the ring is getting
-// full, or the interval has passed, or the clock was set back.
+// saveDue reports whether the account must be saved: there are unsaved changes, and the ring is more full
+// than maxRingUtilization, or the interval has passed, or the clock was set back.
 func (a *accountStore) saveDue(now wallclock.UnixMicro) bool {
 	return a.dirty &&
-		(a.ring.Utilization(a.lastRecord) > maxRingUsed || now.Sub(a.savedAt) >= a.saveInterval || now < a.savedAt)
+		(a.ring.Utilization(a.lastRecord) > maxRingUtilization ||
+			now.Sub(a.savedAt) >= a.saveInterval || now < a.savedAt)
 }
 
 // countRing counts the records of the ring.
@@ -218,8 +219,8 @@
 	}
 }
 
-// save writes the state, and releases the records of the ring that are in it. After an error the
-// state is as it was.
+// save writes the state, and releases the records of the ring that are in it. If it fails, the earlier
+// state remains.
 func (a *accountStore) save(now wallclock.UnixMicro) error {
 	a.dirty = true
 	if err := writeSynced(a.fs, StateFile+newSuffix, a.ledger.Encode(a.lastRecord)); err != nil {
@@ -236,7 +237,7 @@
 	return nil
 }
 
-// export writes the statements that are sealed, one after the other.
+// export writes the sealed statements in order, as far as they may be exported.
 func (a *accountStore) export(now wallclock.UnixMicro) error {
 	for {
 		s, renaming := a.ledger.NextStatement()
@@ -249,9 +250,9 @@
 	}
 }
 
-// exportStatement writes a statement under its name, once: the state says that the file is about to be
-// renamed before it is, and the file that it was renamed from is gone afterwards, even if a collector
-// has taken the renamed one.
+// exportStatement writes a statement under its final name, exactly once. The state records that the file
+// is about to be renamed before it is. A process that finds this record, but not the file under its
+// temporary name, knows that the rename was done, even if a collector has taken the renamed file.
 func (a *accountStore) exportStatement(s *ledger.Statement, renaming bool, now wallclock.UnixMicro) error {
 	name, part := s.FileName(), s.FileName()+partSuffix
 	if !renaming {
--- a/internal/usage/metering/account_store_test.go
+++ b/internal/usage/metering/account_store_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	sec = 1_000_000 // in microseconds, of whatever type a value has
-	// begin is when a period begins.
+	sec = 1_000_000 // in microseconds, untyped so that it fits both instants and spans
+	// begin is the start of a period.
 	begin = wallclock.UnixMicro(2_880_000 * 600 * sec)
 	// ringCapacity is the capacity of the rings of tests, in records.
 	ringCapacity = 20
@@ -28,17 +28,17 @@
 	return ledger.Settings{Instance: "n0", Period: 600 * sec, Slice: 60 * sec, MaxKeys: 10_000, MaxLines: 100}
 }
 
-// testProcess is a process that keeps an account on a disk that may crash at any step, beside a
-// collector that takes its statements away.
+// testProcess simulates a process that keeps an account on a disk which may crash at any step, and a
+// collector that takes the statements away.
 type testProcess struct {
-	disk      *crashfs.Disk
-	mem       []byte // of the ring
-	account   *accountStore
-	now       wallclock.UnixMicro
-	collected map[string]string // digests of the statements that were collected, by their names
-	list      []*ledger.Statement
-	replace   bool // each process begins an account of its own
-	starts    int
+	disk       *crashfs.Disk
+	mem        []byte // of the ring
+	account    *accountStore
+	now        wallclock.UnixMicro
+	collected  map[string]string // digests of the collected statements, by file name
+	statements []*ledger.Statement
+	replace    bool // each process begins a new account
+	starts     int
 }
 
 func newTestProcess(seed uint64) *testProcess {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// collect takes the statements away that have their names. It returns names that it has had before.
+// collect takes away the statements with final names. It returns the names that it collected before.
 func (p *testProcess) collect(t *testing.T, r *rand.Rand) (again []string) {
 	t.Helper()
 	names, err := p.disk.List()
@@ -85,27 +85,27 @@
 		}
 		s, err := ledger.ParseStatement(name, b)
 		if err != nil {
-			t.Fatalf("a statement that has its name: %v", err)
+			t.Fatalf("a statement with a final name cannot be read: %v", err)
 		}
 		if p.disk.Remove(name) != nil {
-			return again // it crashed; statements are collected after that
+			return again // the disk crashed; the statement is collected after that
 		}
 		if digest, ok := p.collected[name]; ok {
 			if again = append(again, name); digest != s.Digest() {
-				t.Fatalf("%s is another one", name)
+				t.Fatalf("%s was collected again with other contents", name)
 			}
 			continue
 		}
 		p.collected[name] = s.Digest()
-		p.list = append(p.list, s)
+		p.statements = append(p.statements, s)
 	}
 	return again
 }
 
-// bill returns the bill of the statements that were collected, and its sums.
+// bill returns the bill of the collected statements, and its sums.
 func (p *testProcess) bill(t *testing.T) (*ledger.Bill, ledger.Count) {
 	t.Helper()
-	bill, err := ledger.Reconcile(p.list, ledger.BillingTerms{})
+	bill, err := ledger.Reconcile(p.statements, ledger.BillingTerms{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,29 +116,29 @@
 	return bill, sum
 }
 
-// crashRun has one process after the other crash, and keeps account of what must be billed.
+// crashRun crashes one process after the other, and keeps the numbers that the bill must have.
 type crashRun struct {
 	*testing.T
 	*testProcess
 	seed      uint64
 	rand      *rand.Rand
-	losePower bool // the machine goes down, and not the process alone
+	losePower bool // the machine loses power; otherwise only the process is killed
 
-	recorded, lost uint64 // records that found room in a ring, and that did not
+	recorded, lost uint64 // records that found room in a ring, and records that did not
 	saved          uint64 // records that are in the state
 	key            uint64
-	repeated       int // statements that were collected again as they were
+	repeated       int // statements that were collected again with the same contents
 }
 
 func (c *crashRun) collectStatements() {
 	again := c.collect(c.T, c.rand)
 	if len(again) > 0 && !c.losePower {
-		c.Fatalf("seed %d: %v are given out again", c.seed, again)
+		c.Fatalf("seed %d: statements %v were exported again", c.seed, again)
 	}
 	c.repeated += len(again)
 }
 
-// work has the process work until its disk crashes.
+// work runs a process until its disk crashes.
 func (c *crashRun) work() {
 	c.disk.CrashAt = c.disk.Steps + 1 + c.rand.IntN(60)
 	err := c.start(!c.losePower)
@@ -153,11 +153,11 @@
 		c.collectStatements()
 	}
 	if !errors.Is(err, crashfs.ErrCrashed) {
-		c.Fatalf("seed %d: %v", c.seed, err)
+		c.Fatalf("seed %d: the process failed with %v, want ErrCrashed", c.seed, err)
 	}
 }
 
-// record puts records into the ring, at times more than it has room for.
+// record puts records into the ring, sometimes more than it has room for.
 func (c *crashRun) record() {
 	for range c.rand.IntN(12) * (1 + 3*c.rand.IntN(2)) {
 		c.key++
@@ -179,7 +179,7 @@
 	}
 }
 
-// crash ends the process, or the machine: then the disk may have kept none or some of the ring.
+// crash kills the process, or the machine; the disk may then have kept none or only some of the ring.
 func (c *crashRun) crash() {
 	if !c.losePower {
 		c.disk.Kill()
@@ -200,7 +200,7 @@
 	}
 }
 
-// finish has all that there is settled and collected.
+// finish starts a last process, and lets it export all statements until they are collected.
 func (c *crashRun) finish() {
 	if err := c.start(!c.losePower); err != nil {
 		c.Fatal(c.seed, err)
@@ -223,13 +223,19 @@
 		func(p ledger.Problem) bool { return strings.Contains(p.Description, "were lost") },
 	)
 	if len(problems) > 0 || got.Duplicates > 0 || bill.DeduplicatedRuns > 0 {
-		c.Fatalf("seed %d: %v, %+v, %d twice", c.seed, problems, got, bill.DeduplicatedRuns)
+		c.Fatalf(
+			"seed %d: problems %v, sums %+v, %d runs deduplicated; want no problems and no duplicates",
+			c.seed,
+			problems,
+			got,
+			bill.DeduplicatedRuns,
+		)
 	}
 	served := uint64(got.Served)
 	if !c.losePower && (served != c.recorded || bill.Lost != c.lost) ||
 		c.losePower && (served > c.recorded || served+bill.Lost < c.saved) {
 		c.Fatalf(
-			"seed %d: %d billed of %d recorded, %d saved or known to be gone; %d lost, %d billed as lost",
+			"seed %d: %d billed as served of %d recorded, %d saved or known to be gone; %d lost, %d billed as lost",
 			c.seed,
 			served,
 			c.recorded,
@@ -240,9 +246,9 @@
 	}
 }
 
-// A crash at any step, again and again, of the process or of the machine, loses no record, counts none
-// twice and exports no statement twice. Where the machine lost power, what was not yet on its disk may
-// be gone, and a statement that was just being renamed may come again as it was.
+// Repeated crashes at any step, of the process or the machine, must lose no record, count none twice and
+// export no statement twice. After a power loss, records that were not on the disk may be gone, and a
+// statement that was just being renamed may be exported again with the same contents.
 func TestCrashAtAnyStepLosesNothing(t *testing.T) {
 	const crashesPerRun = 12
 	seeds := uint64(40)
@@ -258,7 +264,7 @@
 				c := &crashRun{
 					T: t, testProcess: p, seed: seed, rand: rand.New(rand.NewPCG(seed, 5)), losePower: losePower,
 				}
-				p.disk.Fail = func(op, _ string) error { // also in the middle of a step
+				p.disk.Fail = func(op, _ string) error { // also collects in the middle of a step
 					if op == "syncdir" {
 						c.collectStatements()
 					}
@@ -275,11 +281,11 @@
 			}
 		}
 	}
-	t.Logf("%d crashes; %d statements came again as they were", crashes, repeated)
+	t.Logf("%d crashes; %d statements were collected again with the same contents", crashes, repeated)
 }
 
-// A disk that fails costs time, and then the records for which there is no room, which are counted as
-// lost; nothing that was counted.
+// While the disk fails, records that were counted must not be lost. Only records for which the ring has
+// no room may be, and they must be counted as lost.
 func TestFailingDiskLosesNothingCounted(t *testing.T) {
 	p := newTestProcess(1)
 	if err := p.start(true); err != nil {
@@ -293,10 +299,10 @@
 			return nil
 		}
 		for n := range 50 {
-			p.account.ring.Put(servedCheck(p.now, op))
+			p.account.ring.Put(servedRecord(p.now, op))
 			p.now += sec
 			if err := p.account.advance(p.now); n > 40 && err == nil {
-				t.Fatalf("%s: it does not show", op)
+				t.Fatalf("advance() = nil while %s fails, want an error", op)
 			}
 		}
 		p.disk.Fail = nil
@@ -314,16 +320,16 @@
 	}
 	bill, got := p.bill(t)
 	if n := uint64(got.Served) + bill.Lost; n != 250 || bill.Lost == 0 || got.Served < 100 {
-		t.Errorf("%d served, %d lost, of 250", got.Served, bill.Lost)
+		t.Errorf("%d served, %d lost, want 250 in total, with at least 100 served and 1 lost", got.Served, bill.Lost)
 	}
 }
 
-func servedCheck(at wallclock.UnixMicro, school string) ledger.Record {
+func servedRecord(at wallclock.UnixMicro, school string) ledger.Record {
 	return ledger.Record{AnsweredAt: at, School: school, Class: "check", Outcome: ledger.OutcomeServed}
 }
 
-// A file in the way of a statement is left as it is, and the account goes on once it is gone; a folder
-// that lost its account is refused.
+// A foreign file with the name of a statement must be left as it is, and the account must continue once
+// the file is gone. A folder with statements but without its account must be rejected.
 func TestFileInTheWayOfStatementIsKept(t *testing.T) {
 	p := newTestProcess(1)
 	if err := p.start(true); err != nil {
@@ -335,25 +341,25 @@
 		t.Fatal(err)
 	}
 	fmt.Fprint(f, "somebody's")
-	p.account.ring.Put(servedCheck(p.now, "north"))
+	p.account.ring.Put(servedRecord(p.now, "north"))
 	p.now += 700 * sec
 	var conflict *fileConflictError
 	if err := p.account.advance(p.now); !errors.As(err, &conflict) || conflict.name != name {
-		t.Fatal(err)
+		t.Fatalf("advance() = error %v, want a fileConflictError for %s", err, name)
 	}
 	if b, _ := p.disk.Read(name); string(b) != "somebody's" {
-		t.Errorf("%q", b)
+		t.Errorf("file in the way of the statement holds %q, want it unchanged", b)
 	}
 	if err := p.disk.Remove(name); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.account.advance(p.now); err != nil || len(p.account.takeExported()) != 1 {
-		t.Fatal(err)
+		t.Fatalf("advance() = error %v, want nil and one exported statement", err)
 	}
 	if err := p.disk.Remove(StateFile); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.start(true); err == nil || !strings.Contains(err.Error(), "move the statements away") {
-		t.Fatal(err)
+		t.Fatalf("openAccount() without a state = error %v, want one that asks to move the statements away", err)
 	}
 }
--- a/internal/usage/metering/errors.go
+++ b/internal/usage/metering/errors.go
@@ -25,24 +25,26 @@
 )
 
 var (
-	// ErrBusy is returned while as many questions wait as are bounded.
-	ErrBusy error = kindBusy.New("usage: too many questions wait for the disk")
+	// ErrBusy is returned while maxQueuedCalls calls wait for the goroutine of the account.
+	ErrBusy error = kindBusy.New("usage: too many questions about the account wait for its disk")
 	// ErrNotReplicated is returned for a change that the replicas did not confirm in time.
 	ErrNotReplicated error = kindNotReplicated.New(
-		"usage: it is kept here, and others could not be told in time; give it again",
+		"usage: it is kept here, but was not replicated in time; submit it again",
 	)
 
-	errNoRoom   error = kindNoRoom.New("usage: no room for a use; the disk takes nothing")
-	errBacklog  error = kindNoRoom.New("usage: the disk takes no statements of others")
-	errDiskSlow error = kindNoRoom.New("usage: the disk does not answer; what was counted is counted at the next start")
+	errNoRoom   error = kindNoRoom.New("usage: no room for a record, as the disk accepts no writes")
+	errBacklog  error = kindNoRoom.New("usage: too many statements of other runners wait for the disk")
+	errDiskSlow error = kindNoRoom.New(
+		"usage: the disk does not respond; records that are not saved are counted at the next start",
+	)
 )
 
-// fileConflictError reports a file that has the name of a statement and is another one, or none.
+// fileConflictError reports an existing file that has the name of a statement but other contents.
 type fileConflictError struct{ name string }
 
 func (e *fileConflictError) Error() string {
 	return fmt.Sprintf(
-		"usage: %s is there and is not what is to be written; it is left as it is, and nothing more is written",
+		"usage: %s exists and is not the statement to be written; it is left as it is, and nothing more is written",
 		e.name,
 	)
 }
--- a/internal/usage/metering/files.go
+++ b/internal/usage/metering/files.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/idempotency/store"
 )
 
-// writeSynced makes a file and syncs it. A file of that name, which an earlier attempt left, is
-// removed first.
+// writeSynced creates a file, writes b and syncs it. If an earlier attempt left a file with that name, it
+// is removed first.
 func writeSynced(fsys store.FS, name string, b []byte) error {
 	if err := removeIfExists(fsys, name); err != nil {
 		return err
@@ -23,7 +23,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// renameSynced renames a file and syncs the folder, whether the rename succeeds or not.
+// renameSynced renames a file and syncs the folder, even if the rename fails.
 func renameSynced(fsys store.FS, from, to string) error {
 	return errors.Join(fsys.Rename(from, to), fsys.SyncDir())
 }
--- a/internal/usage/metering/mailbox.go
+++ b/internal/usage/metering/mailbox.go
@@ -7,21 +7,21 @@
 	"ryepaddle/internal/peers/usagereplica"
 )
 
-// maxQueuedMessages bounds the messages of a mailbox. Those that find no room are sent again.
+// maxQueuedMessages bounds the messages of a mailbox. Others are dropped, and the sender repeats them.
 const maxQueuedMessages = 1024
 
-// mailbox passes messages, names of own statements and the newest table to a goroutine. Any goroutine
-// may put into it.
+// mailbox passes messages, names of this runner's statements and the newest table to a goroutine. Any
+// goroutine may put into it.
 type mailbox struct {
 	ready chan struct{} // has one value while there is something to take
 
 	mu       sync.Mutex
 	messages []usagereplica.Message
-	exported []string // own statements that were exported since the last take
+	exported []string // names of this runner's statements that were exported since the last take
 	view     clusterView
 }
 
-// clusterView is a table of the cluster, and the incarnation in which this runner is in it.
+// clusterView is a table of the cluster, and the incarnation of this runner in it.
 type clusterView struct {
 	table       *placement.Table // nil: none is known yet
 	incarnation uint64
@@ -29,11 +29,11 @@
 
 func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
 
-// notify wakes the goroutine that takes.
+// notify wakes the goroutine that calls take.
 func (b *mailbox) notify() {
 	select {
 	case b.ready <- struct{}{}:
-	default: // it has been woken
+	default: // it has been woken already
 	}
 }
 
@@ -60,7 +60,7 @@
 	b.notify()
 }
 
-// take returns what has been put since the last take, and the newest view.
+// take returns the messages and names that were put since the last take, and the newest view.
 func (b *mailbox) take() (messages []usagereplica.Message, exported []string, view clusterView) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/usage/metering/meter.go
+++ b/internal/usage/metering/meter.go
@@ -22,21 +22,21 @@
 type Options struct {
 	Dir          string
 	Settings     ledger.Settings
-	RingCapacity int           // records in memory that are not saved yet
-	SaveInterval time.Duration // between two saves of the account
-	Replicated   bool          // see StartReplication
+	RingCapacity int           // most records that are not saved yet
+	SaveInterval time.Duration // time between two saves of the account
+	Replicated   bool          // StartReplication will be called; then each start begins a new account
 }
 
 const (
-	pollInterval   = 100 * time.Millisecond // of the ring, the mailboxes and what is due
-	retryBackoff   = time.Second            // after a failure of the disk
-	maxQueuedCalls = 16                     // that wait for the goroutine of the account; more are ErrBusy
+	pollInterval   = 100 * time.Millisecond // between checks of the ring, the mailboxes and what is due
+	retryBackoff   = time.Second            // before the next attempt after a failure of the disk
+	maxQueuedCalls = 16                     // for the goroutine of the account; beyond them ErrBusy
 	// incarnationBytes is the length of the random name of a new account.
 	incarnationBytes = 6
 )
 
-// Meter keeps the account of a running program. Record, RecordReplicated and StartReplication are
-// called on the event loop, the other methods by any goroutine.
+// Meter keeps the usage account of a running program. Record, RecordReplicated and StartReplication must
+// be called on the event loop; the other methods may be called from any goroutine.
 type Meter struct {
 	name      string
 	dir       store.Dir
@@ -47,20 +47,20 @@
 
 	calls   chan func(*accountStore) // run on the goroutine of the account
 	closing chan struct{}
-	done    chan struct{} // closed at the end of the goroutine of the account
+	done    chan struct{} // closed when the goroutine of the account ends
 
 	// Replication.
 	replication ReplicationConfig
 	accountBox  *mailbox        // for the goroutine of the account
-	remoteBox   *mailbox        // for that of the other runners' accounts
-	remoteDone  chan struct{}   // closed at its end; nil: it was not started
+	remoteBox   *mailbox        // for the goroutine of the other runners' accounts
+	remoteDone  chan struct{}   // closed when that goroutine ends; nil: it was not started
 	waiting     []waitingRecord // used on the event loop
 	mu          sync.Mutex
 	status      ReplicationStatus
 }
 
-// Start goes on with the account of a folder, or begins one. The error is of kind usage.account for a
-// folder whose files do not fit, or that of the disk or of the lock.
+// Start opens the account of a folder, or begins one if there is none. The error is of kind
+// usage.account if the files of the folder do not fit, or one of the disk or the lock.
 func Start(opt Options) (*Meter, error) {
 	dir := store.Dir(opt.Dir)
 	unlock, err := dir.Lock()
@@ -86,7 +86,7 @@
 	sealedThrough := s.SealedThrough.Time().Unix()
 	eventOpened.Log(opt.Dir, s.Incarnation, s.Statements, sealedThrough, found.recovered, found.missing)
 	if found.missing > 0 {
-		eventLost.Log(found.missing, "the machine went down before they were on the disk")
+		eventLost.Log(found.missing, "the machine went down before the records were on the disk")
 	}
 	if found.ringError != nil {
 		eventLost.Log("unknown", found.ringError)
@@ -95,7 +95,7 @@
 	return m, nil
 }
 
-// open opens the account of the folder and begins a ring.
+// open opens the account of the folder and begins a new ring.
 func (m *Meter) open(opt Options) (*accountStore, recovery, error) {
 	ringPath := filepath.Join(opt.Dir, ringFile)
 	bootPath := filepath.Join(opt.Dir, bootFile)
@@ -129,11 +129,11 @@
 // newIncarnation returns a random name for an account.
 func newIncarnation() string {
 	var b [incarnationBytes]byte
-	_, _ = rand.Read(b[:]) // it does not fail
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return hex.EncodeToString(b[:])
 }
 
-// beginRing puts a new ring in the place of the old one, whose records are saved.
+// beginRing replaces the file of the old ring, whose records are saved, with a new ring.
 func (m *Meter) beginRing(account *accountStore, path string, capacity int) (err error) {
 	if m.mem, err = mapNewFile(path+newSuffix, ledger.RingSize(capacity)); err != nil {
 		return err
@@ -149,19 +149,19 @@
 // elapsed returns the time since the start, on a monotonic clock.
 func (m *Meter) elapsed() time.Duration { return time.Since(m.startedAt) }
 
-// Record counts a record. It does not wait, and the record outlives a kill of the process. Without
-// room in the ring the record is counted as lost.
+// Record counts a record. It does not block, and the record survives a kill of the process. If the ring
+// is full, the record is counted as lost.
 func (m *Meter) Record(r ledger.Record) { m.ring.Put(r) }
 
-// Inspect calls fn with the account, on the goroutine of the account. The error is ErrBusy.
+// Inspect has fn called with the account, on the goroutine of the account. The error is ErrBusy.
 func (m *Meter) Inspect(fn func(*ledger.Ledger)) error {
 	return m.enqueue(func(a *accountStore) { fn(a.ledger) })
 }
 
-// Correct takes a correction, and calls done once it is saved, and replicated if the account is; known
-// reports that it was taken before. done is called on the goroutine of the account. The error that
-// Correct returns is ErrBusy; that of done is one of ledger.Correct or of the disk, or
-// ErrNotReplicated.
+// Correct applies a correction, and calls done once it is saved and, if the account is replicated, also
+// replicated. known reports that a correction with its ID was applied before. done is called on the
+// goroutine of the account. Correct itself returns only ErrBusy; the error that done gets is one of
+// Ledger.Correct or of the disk, or ErrNotReplicated.
 func (m *Meter) Correct(c ledger.Correction, done func(known bool, err error)) error {
 	return m.enqueue(func(a *accountStore) {
 		known, err := a.correct(c)
@@ -173,8 +173,8 @@
 	})
 }
 
-// correct takes and saves a correction. One that is known is saved too: an earlier save may have
-// failed.
+// correct applies and saves a correction. It saves also if the correction is known, because the earlier
+// save may have failed.
 func (a *accountStore) correct(c ledger.Correction) (known bool, err error) {
 	now := wallclock.FromTime(wallclock.Now())
 	known, err = a.ledger.Correct(c, now)
@@ -197,9 +197,9 @@
 	}
 }
 
-// Close saves all that was counted. If the disk does not answer in time, or nearly twice that with
-// replication, it returns an error of kind usage.no_room: what was counted is in the ring, and is
-// counted at the next start. Nothing is recorded any more by then.
+// Close saves the account, and ends the goroutines of the meter. If the disk does not respond within the
+// timeout, or up to twice that with replication, it returns an error of kind usage.no_room: the unsaved
+// records are in the ring, and are counted at the next start. No record may be put any more.
 func (m *Meter) Close(timeout time.Duration) error {
 	close(m.closing)
 	if m.remoteDone != nil {
--- a/internal/usage/metering/meter_test.go
+++ b/internal/usage/metering/meter_test.go
@@ -13,8 +13,8 @@
 // closeTimeout is long enough for any disk of a test.
 const closeTimeout = 20 * time.Second
 
-// servedIn returns how many requests the statements of a folder come to.
-func servedIn(t *testing.T, dir string) int64 {
+// servedInStatements returns the number of served requests in the statements of a folder.
+func servedInStatements(t *testing.T, dir string) int64 {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, "usage-n0-*.json"))
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	bill, err := ledger.Reconcile(list, ledger.BillingTerms{})
 	if err != nil || len(bill.Problems) > 0 {
-		t.Fatal(err, bill.Problems)
+		t.Fatalf("Reconcile() = error %v, problems %v, want none", err, bill.Problems)
 	}
 	served := int64(0)
 	for _, l := range bill.Lines {
@@ -43,8 +43,8 @@
 	return served
 }
 
-// On a real folder: what is recorded comes out in statements, over closes and starts, and a second
-// meter is kept out.
+// On a real folder, all records must get into statements over several starts and closes, and a second
+// meter must not open the same folder.
 func TestRecordsBecomeStatementsOverRestarts(t *testing.T) {
 	dir := t.TempDir()
 	opt := Options{
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Start(opt); err == nil {
-			t.Fatal("two meters use one folder")
+			t.Fatal("Start() = nil error for a folder that another meter uses, want one")
 		}
 		for n := range 10 {
 			now := wallclock.FromTime(time.Now())
@@ -84,12 +84,12 @@
 	}
 	defer m.Close(closeTimeout)
 	for deadline := time.Now().Add(closeTimeout); ; time.Sleep(20 * time.Millisecond) {
-		served := servedIn(t, dir)
+		served := servedInStatements(t, dir)
 		if served == 30 {
 			break
 		}
 		if served > 30 || time.Now().After(deadline) {
-			t.Fatalf("%d of 30 are in statements", served)
+			t.Fatalf("%d served requests are in statements, want 30", served)
 		}
 	}
 }
--- a/internal/usage/metering/publisher.go
+++ b/internal/usage/metering/publisher.go
@@ -8,20 +8,20 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// publisher sends the operations of the account to its replicas. The methods of a nil one, of an
-// account that is not replicated, do nothing. It is used by the goroutine of the account.
+// publisher sends the operations of the account to its replicas. A nil publisher is that of an account
+// that is not replicated, and publishes nothing. It is used by the goroutine of the account.
 type publisher struct {
 	primary *usagereplica.Primary
-	seals   map[uint64]uint64 // operations that sealed statements, by the statements' numbers
+	seals   map[uint64]uint64 // number of the operation that sealed each statement, by the statement's number
 
-	// Records that are not replicated yet; the oldest first.
+	// Records that are not known to be replicated, oldest first.
 	unreplicated []publishedRecord
 	confirmed    uint64 // number of the last record that was reported as replicated
 
 	waiting []pendingChange
 }
 
-// publishedRecord is a record and the operation that it was published with.
+// publishedRecord holds the number of a record and that of the operation which published it.
 type publishedRecord struct{ record, operation uint64 }
 
 // pendingChange is a change whose caller waits until it is replicated.
@@ -42,7 +42,7 @@
 		return
 	}
 	if len(p.unreplicated) >= maxWaitingRecords {
-		// A later record that is replicated confirms the oldest too.
+		// The oldest is confirmed together with a later one: records are replicated in order.
 		p.unreplicated = p.unreplicated[1:]
 	}
 	operation := p.primary.Append(usagereplica.Operation{Use: r})
@@ -55,15 +55,15 @@
 	}
 }
 
-// mayExport reports whether the file of a statement may get its final name, as the replicas know that
-// its periods are sealed. A file that was collected before that would supersede the statements of the
-// replicas, and the records that only they have would be in no statement.
+// mayExport reports whether the file of a statement may get its final name: the replicas must know that
+// its periods are sealed. A file that was collected earlier would supersede the statements that the
+// replicas may write, and the records that only they have would be in no statement.
 func (p *publisher) mayExport(s *ledger.Statement) bool {
 	return p == nil || p.seals[s.Seq] <= p.primary.ReplicatedSeq()
 }
 
-// whenReplicated calls done once all that was published is replicated, or with ErrNotReplicated after
-// a deadline.
+// whenReplicated calls done once all operations published so far are replicated, or with
+// ErrNotReplicated after the deadline. Without replication it calls done at once.
 func (p *publisher) whenReplicated(deadline time.Duration, done func(error)) {
 	if p == nil {
 		done(nil)
@@ -72,7 +72,7 @@
 	p.waiting = append(p.waiting, pendingChange{p.primary.LastSeq(), deadline, done})
 }
 
-// takeConfirmed returns the number of the last record that is replicated by now, and whether it has
+// takeConfirmed returns the number of the last record that is known to be replicated, and whether it has
 // changed since the last call.
 func (p *publisher) takeConfirmed() (record uint64, changed bool) {
 	replicated := p.primary.ReplicatedSeq()
@@ -88,7 +88,7 @@
 	return record, changed
 }
 
-// answerWaiting answers the callers whose changes are replicated, or whose deadlines have passed.
+// answerWaiting calls done for the changes that are replicated, or whose deadlines have passed.
 func (p *publisher) answerWaiting(now time.Duration) {
 	replicated := p.primary.ReplicatedSeq()
 	rest := p.waiting[:0]
--- a/internal/usage/metering/remote.go
+++ b/internal/usage/metering/remote.go
@@ -10,22 +10,21 @@
 	"ryepaddle/internal/peers/usagereplica"
 )
 
-// Bounds of the queues between a goroutine of remoteAccounts and the one of its disk.
+// Bounds of the queues between the goroutine of remoteAccounts and its disk goroutine.
 const (
 	maxDiskJobs    = 4 * maxQueuedMessages
 	maxDiskResults = 16
 )
 
-// remoteAccounts holds replicas of other runners' accounts, and stores their statements. Files are
-// written and read by a goroutine of their own, so that a disk that hangs delays no answer to other
-// runners.
+// remoteAccounts holds replicas of other runners' accounts, and stores their statements. A goroutine of
+// its own writes and reads the files, so that a disk that hangs delays no answer to other runners.
 type remoteAccounts struct {
 	meter      *Meter
 	replica    *usagereplica.Replica
 	statements *usagereplica.StatementStore
 
 	jobs    chan diskJob
-	results chan func() // handle the results of jobs
+	results chan func() // functions that handle the results of jobs
 	stop    chan struct{}
 	disk    sync.WaitGroup
 }
@@ -34,7 +33,7 @@
 // remoteAccounts.
 type diskJob func() (then func())
 
-// newRemoteAccounts returns the replicas of a runner whose folder has the named statements.
+// newRemoteAccounts returns remoteAccounts without replicas; statements names those in the folder.
 func newRemoteAccounts(m *Meter, statements []string) *remoteAccounts {
 	return &remoteAccounts{
 		meter:      m,
@@ -46,7 +45,7 @@
 	}
 }
 
-// run goes on until the meter is closed. All jobs of the disk are done when it returns.
+// run runs until the meter is closed. All disk jobs are done when it returns.
 func (r *remoteAccounts) run() {
 	defer close(r.meter.remoteDone)
 	r.disk.Go(r.runJobs)
@@ -73,7 +72,7 @@
 	}
 }
 
-// enqueue adds a job for the goroutine of the disk, and reports whether there was room for it.
+// enqueue adds a job for the disk goroutine, and reports whether there was room for it.
 func (r *remoteAccounts) enqueue(job diskJob) bool {
 	select {
 	case r.jobs <- job:
@@ -126,12 +125,12 @@
 	}
 }
 
-// receive takes a message about an account of another runner.
+// receive handles a message from another runner about its account or about statements.
 func (r *remoteAccounts) receive(message *usagereplica.Message) {
 	switch message.Type {
 	case usagereplica.MsgStatement, usagereplica.MsgStatementStored, usagereplica.MsgStatementWanted:
 		if wanted := r.statements.Receive(message); wanted != "" {
-			// Without room the other runner asks again.
+			// If there is no room, the other runner asks again.
 			r.enqueue(func() func() { return r.readStatement(message.From, wanted) })
 		}
 		if len(message.Bytes) > 0 {
@@ -142,7 +141,7 @@
 	}
 }
 
-// readStatement reads a statement that another runner wants. After an error that one asks again.
+// readStatement reads a statement that another runner wants. After an error the other runner asks again.
 func (r *remoteAccounts) readStatement(runner, name string) (then func()) {
 	b, err := r.meter.dir.Read(name)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -151,8 +150,8 @@
 	return func() { r.statements.Send(runner, name, b) }
 }
 
-// storeStatements enqueues the writing of the statements that were sealed for accounts of other
-// runners. While the disk hangs they are dropped: other replicas of the account have them.
+// storeStatements enqueues jobs that write the statements sealed for accounts of other runners. If the
+// queue is full because the disk hangs, they are dropped: other replicas of the account have them.
 func (r *remoteAccounts) storeStatements() {
 	for _, s := range r.replica.TakeStatements() {
 		if !r.enqueue(func() func() { return r.storeStatement(&s) }) {
@@ -161,7 +160,7 @@
 	}
 }
 
-// storeStatement writes a statement of another runner's account, if it is not there.
+// storeStatement writes a statement of another runner's account, unless the folder has it already.
 func (r *remoteAccounts) storeStatement(s *usagereplica.OwnedStatement) (then func()) {
 	err := r.writeStatement(s)
 	return func() {
--- a/internal/usage/metering/replication.go
+++ b/internal/usage/metering/replication.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// maxWaitingRecords bounds the records that wait until they are replicated.
+	// maxWaitingRecords bounds the records that wait to be replicated.
 	maxWaitingRecords = 1 << 13
-	// correctionTimeout is how long a correction waits until it is replicated.
+	// correctionTimeout bounds the time that a correction waits to be replicated.
 	correctionTimeout = 2 * time.Second
 )
 
-// ReplicationConfig is how an account is replicated among runners.
+// ReplicationConfig configures the replication of an account among runners.
 type ReplicationConfig struct {
-	Process   uint32                                // of this runner, as the table names it
-	Send      func(messages []usagereplica.Message) // is called from any goroutine
-	RunOnLoop func(fn func())                       // has fn called on the event loop
+	Process   uint32                                // this runner's process, as the table names it
+	Send      func(messages []usagereplica.Message) // sends messages to other runners; called from any goroutine
+	RunOnLoop func(fn func())                       // schedules fn on the event loop; called from any goroutine
 }
 
-// ReplicationStatus is how far the account is replicated, and what is known of other runners'.
+// ReplicationStatus tells how far the account is replicated, and which remote accounts are held here.
 type ReplicationStatus struct {
-	Replicas map[string]uint64 `json:"heirs"` // and how many operations each is behind
-	// InSync says that there are replicas, and that all of them have the account.
+	Replicas map[string]uint64 `json:"heirs"` // number of operations that each replica lags behind, by runner
+	// InSync says that the account has replicas, and that all of them are up to date.
 	InSync                bool `json:"told"`
-	RemoteAccounts        int  `json:"known"`            // accounts of other runners that are known here
-	ExpiringAccounts      int  `json:"ending,omitempty"` // those of them whose runners are lost
-	UndeliveredStatements int  `json:"short,omitempty"`  // statements that others do not have yet
+	RemoteAccounts        int  `json:"known"`            // accounts of other runners of which this one holds replicas
+	ExpiringAccounts      int  `json:"ending,omitempty"` // remote accounts whose runners are lost
+	UndeliveredStatements int  `json:"short,omitempty"`  // statements that other runners do not have yet
 }
 
-// FullyReplicated reports whether all that is known here is on as many runners as it should be.
+// FullyReplicated reports whether the account, the accounts of lost runners that are known here, and all
+// statements here are on as many runners as they should be.
 func (s *ReplicationStatus) FullyReplicated() bool {
 	return s.InSync && s.ExpiringAccounts == 0 && s.UndeliveredStatements == 0
 }
 
-// StartReplication begins to replicate the account, and to keep replicas of other runners' accounts.
-// It is called once, on the event loop. The error is ErrBusy, or that of the folder.
+// StartReplication starts to replicate the account, and to hold replicas of other runners' accounts. It
+// must be called at most once, on the event loop. The error is ErrBusy, or one of the folder.
 func (m *Meter) StartReplication(c ReplicationConfig) error {
 	names, err := m.dir.List()
 	if err != nil {
@@ -68,13 +69,13 @@
 	}
 }
 
-// SetTable takes a newer table of the cluster, and this runner's incarnation in it.
+// SetTable sets a newer table of the cluster, and this runner's incarnation in it.
 func (m *Meter) SetTable(t *placement.Table, incarnation uint64) {
 	m.accountBox.setView(clusterView{t, incarnation})
 	m.remoteBox.setView(clusterView{t, incarnation})
 }
 
-// Receive takes a message of another runner.
+// Receive accepts a message from another runner.
 func (m *Meter) Receive(message *usagereplica.Message) {
 	if message.Type == usagereplica.MsgProgress {
 		m.accountBox.putMessage(*message)
@@ -83,15 +84,15 @@
 	m.remoteBox.putMessage(*message)
 }
 
-// waitingRecord is a record whose caller waits until it is replicated.
+// waitingRecord is a record that waits to be replicated, by its number.
 type waitingRecord struct {
 	number uint64
 	done   func(error)
 }
 
 // RecordReplicated counts a record, and calls done on the event loop once it is replicated. It sets no
-// deadline. The error is of kind usage.no_room, or ErrNotReplicated when later records take the place
-// of the oldest that wait.
+// deadline. done gets an error of kind usage.no_room if the ring is full, or ErrNotReplicated if more than
+// maxWaitingRecords wait and the record is the oldest of them.
 func (m *Meter) RecordReplicated(r ledger.Record, done func(error)) {
 	if !m.ring.Put(r) {
 		done(errNoRoom)
@@ -106,7 +107,7 @@
 	m.accountBox.notify()
 }
 
-// confirmRecords answers the callers that wait for records up to a number.
+// confirmRecords calls done for the waiting records up to a number.
 func (m *Meter) confirmRecords(number uint64) {
 	n := 0
 	for n < len(m.waiting) && m.waiting[n].number <= number {
@@ -126,15 +127,16 @@
 	return m.status
 }
 
-// replicationTrigger is the reason for an exchange with the replicas.
+// replicationTrigger is the reason for exchanging messages with the replicas.
 type replicationTrigger uint8
 
 const (
-	triggerEvent replicationTrigger = iota // there are records, corrections or messages
+	triggerEvent replicationTrigger = iota // there may be new records, corrections or messages
 	triggerTick                            // pollInterval has passed: unanswered messages are sent again
 )
 
-// replicate exchanges messages with the replicas, and answers the callers that wait for them.
+// replicate exchanges messages with the replicas, and completes the changes and records that wait for
+// them.
 func (m *Meter) replicate(p *publisher, trigger replicationTrigger) {
 	if p == nil {
 		return
--- a/internal/usage/metering/ring_file.go
+++ b/internal/usage/metering/ring_file.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// currentBootID returns the ID of the current run of the machine; empty: it is not known.
+// currentBootID returns the ID of the current boot of the machine, or "" if it is not known.
 func currentBootID() string {
 	b, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(b))
 }
 
-// mapNewFile makes a file of zeros and maps it. Its blocks are allocated: a page that finds no room on
-// the disk when it is written to ends the process. Its pages are in memory, so that the event loop
-// does not wait for them.
+// mapNewFile creates a file of zeros and maps it. It allocates the file's blocks, because a write to a
+// mapped page for which the disk has no room kills the process. It reads the pages into memory in
+// advance, so that the event loop does not wait for them.
 func mapNewFile(path string, size int) ([]byte, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/usage/metering/stored_test.go
+++ b/internal/usage/metering/stored_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// writeStored has a process count records of two periods and write the statement of the first, and
-// leaves two records in its ring as a kill does.
+// writeStored counts records of two periods, writes the statement of the first period, and leaves two
+// uncounted records in the ring, as after a kill of the process.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
 	account, _, err := openAccount(
@@ -58,8 +58,8 @@
 	}
 }
 
-// A process goes on with the account of a folder that version 1 wrote: it counts what that one had
-// left in its ring, and writes the statement that comes next.
+// A process must continue the account of a folder that version 1 wrote: it must count the records that
+// were left in the ring, and write the next statement.
 func TestContinuesAccountOfVersion1(t *testing.T) {
 	dir := golden.Copy(t, storedDir)
 	old, err := os.ReadFile(filepath.Join(dir, ringFile))
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if found != (recovery{recovered: 2}) {
-		t.Errorf("found %+v, want 2 records that were not saved", found)
+		t.Errorf("openAccount() recovered %+v, want 2 records that were not saved", found)
 	}
 	wantSummary := ledger.Summary{
 		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: begin + 600*sec, Statements: 1,
@@ -92,20 +92,20 @@
 		}},
 	}
 	if diff := cmp.Diff(wantSummary, account.ledger.Summary()); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("summary (-want +got)\n%s", diff)
 	}
 	account.ring = ledger.NewRing(make([]byte, ledger.RingSize(20)), account.ledger.Incarnation(), account.lastRecord)
 	if err := account.advance(begin + 1300*sec); err != nil {
 		t.Fatal(err)
 	}
-	names := statementsIn(t, dir)
+	names := statementFiles(t, dir)
 	want := []string{"usage-n0-0011aabbccdd-00000001.json", "usage-n0-0011aabbccdd-00000002.json"}
 	if diff := cmp.Diff(want, names); diff != "" {
 		t.Errorf("statements (-want +got)\n%s", diff)
 	}
 }
 
-func statementsIn(t *testing.T, dir string) (statements []string) {
+func statementFiles(t *testing.T, dir string) (statements []string) {
 	t.Helper()
 	names, err := store.Dir(dir).List()
 	if err != nil {
@@ -119,7 +119,7 @@
 	return statements
 }
 
-// The same records make the files of version 1, with the same bytes.
+// The same records must give files with the bytes that version 1 wrote.
 func TestWritesBytesOfVersion1(t *testing.T) {
 	golden.CheckDir(t, storedDir, func(dir string) { writeStored(t, dir) })
 }
--- a/internal/usage/metering/worker.go
+++ b/internal/usage/metering/worker.go
@@ -11,12 +11,12 @@
 	meter   *Meter
 	account *accountStore
 
-	failedAt     time.Time // of the first failure of the disk; zero: it works
+	failedAt     time.Time // when the disk began to fail; zero: it works
 	retryAt      time.Time // end of the backoff after a failure
 	reportedLost uint64    // records of the ring whose loss was logged
 }
 
-// run goes on until the meter is closed.
+// run runs until the meter is closed.
 func (w *accountWorker) run() {
 	m := w.meter
 	defer close(m.done)
@@ -41,7 +41,7 @@
 	}
 }
 
-// finish saves what is not saved yet.
+// finish advances the account a last time, and saves unsaved changes.
 func (w *accountWorker) finish() {
 	w.advance()
 	if !w.account.dirty {
@@ -52,14 +52,14 @@
 	}
 }
 
-// advanceUnlessBackoff advances the account, unless the disk failed a short time ago.
+// advanceUnlessBackoff advances the account, unless the disk failed less than retryBackoff ago.
 func (w *accountWorker) advanceUnlessBackoff() {
 	if !time.Now().Before(w.retryAt) {
 		w.advance()
 	}
 }
 
-// advance counts, seals, saves and exports what is due of the account, and logs the results.
+// advance counts the records of the ring, seals, saves and exports what is due, and logs the results.
 func (w *accountWorker) advance() {
 	err := w.account.advance(wallclock.FromTime(wallclock.Now()))
 	for _, name := range w.account.takeExported() {
@@ -69,7 +69,7 @@
 		}
 	}
 	if lost := w.account.ringLost; lost != w.reportedLost {
-		eventLost.Log(lost-w.reportedLost, "the disk did not take what was counted before")
+		eventLost.Log(lost-w.reportedLost, "the ring was full, as the disk did not accept earlier records")
 		w.reportedLost = lost
 	}
 	w.logDiskChange(err)
