--- a/internal/usage/ledger/correction.go
+++ b/internal/usage/ledger/correction.go
@@ -41,7 +41,7 @@
 	return false, nil
 }
 
-// validate returns an error if a correction is invalid, which names the wrong field.
+// validate returns an error that names the wrong field if a correction is invalid.
 func (l *Ledger) validate(c *Correction, now wallclock.UnixMicro) error {
 	for _, f := range []struct {
 		name, value string
--- a/internal/usage/ledger/keys.go
+++ b/internal/usage/ledger/keys.go
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// unpack returns the key with a packed form.
+// unpack decodes a key of the group from its packed form.
 func (g *keyGroup) unpack(packed []byte) CountedKey {
 	k := CountedKey{
 		Hash:     binary.BigEndian.Uint64(packed),
--- a/internal/usage/ledger/ring_test.go
+++ b/internal/usage/ledger/ring_test.go
@@ -52,8 +52,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 9).Draw(t, "capacity")
 		mem := make([]byte, RingSize(capacity))
-		taken := rapid.Uint64Range(0, 50).Draw(t, "from")
-		r := &ringRun{T: t, ring: NewRing(mem, "life", taken), capacity: capacity, lastRead: taken}
+		startedAfter := rapid.Uint64Range(0, 50).Draw(t, "from")
+		r := &ringRun{T: t, ring: NewRing(mem, "life", startedAfter), capacity: capacity, lastRead: startedAfter}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") {
 				r.put()
--- a/internal/usage/ledger/statement.go
+++ b/internal/usage/ledger/statement.go
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// beginsPeriod reports whether an instant is the start of a period, by the length of the statement's.
+// beginsPeriod reports whether a period of the statement begins at an instant.
 func (s *Statement) beginsPeriod(at wallclock.UnixMicro) bool {
 	return at%wallclock.UnixMicro(s.Period) == 0
 }
--- a/internal/usage/metering/meter.go
+++ b/internal/usage/metering/meter.go
@@ -153,7 +153,8 @@
 // is full, the record is counted as lost.
 func (m *Meter) Record(r ledger.Record) { m.ring.Put(r) }
 
-// Inspect has fn called with the account, on the goroutine of the account. The error is ErrBusy.
+// Inspect schedules fn to be called with the account, on the goroutine of the account. The error is
+// ErrBusy.
 func (m *Meter) Inspect(fn func(*ledger.Ledger)) error {
 	return m.enqueue(func(a *accountStore) { fn(a.ledger) })
 }
@@ -187,7 +188,8 @@
 	return known, a.save(now)
 }
 
-// enqueue has fn called with the account, on the goroutine of the account.
+// enqueue schedules fn to be called with the account, on the goroutine of the account. The error is
+// ErrBusy.
 func (m *Meter) enqueue(fn func(*accountStore)) error {
 	select {
 	case m.calls <- fn:
@@ -199,7 +201,8 @@
 
 // Close saves the account, and ends the goroutines of the meter. If the disk does not respond within the
 // timeout, or up to twice that with replication, it returns an error of kind usage.no_room: the unsaved
-// records are in the ring, and are counted at the next start. No record may be put any more.
+// records are in the ring, and are counted at the next start. Record and
+// RecordReplicated must not be called any more.
 func (m *Meter) Close(timeout time.Duration) error {
 	close(m.closing)
 	if m.remoteDone != nil {
--- a/internal/usage/metering/replication.go
+++ b/internal/usage/metering/replication.go
@@ -20,7 +20,7 @@
 type ReplicationConfig struct {
 	Process   uint32                                // this runner's process, as the table names it
 	Send      func(messages []usagereplica.Message) // sends messages to other runners; called from any goroutine
-	RunOnLoop func(fn func())                       // schedules fn on the event loop; called from any goroutine
+	RunOnLoop func(fn func())                       // schedules fn to run on the event loop
 }
 
 // ReplicationStatus tells how far the account is replicated, and which remote accounts are held here.
