--- a/internal/discovery/difference.go
+++ b/internal/discovery/difference.go
@@ -7,16 +7,16 @@
 	"ryepaddle/internal/inventory"
 )
 
-// Difference counts how a list of servers differs from an earlier one. Disabled servers do not
-// count.
+// Difference counts how a list of servers differs from an earlier one. Disabled servers are not
+// counted.
 type Difference struct {
 	Added   int
 	Removed int
-	Moved   int // another address
-	Changed int // another weight, zone or groups
+	Moved   int // servers with another address
+	Changed int // servers with another weight, zone or groups
 }
 
-// Diff compares two lists by the names of servers.
+// Diff compares two lists; servers are matched by name.
 func Diff(before, after []inventory.Server) (d Difference) {
 	enabled := make(map[string]*inventory.Server, len(before))
 	for i := range before {
@@ -43,7 +43,7 @@
 	return d
 }
 
-// String returns the counts in words.
+// String formats the counts, such as "1 came, 0 left, 2 moved, 0 changed".
 func (d Difference) String() string {
 	return fmt.Sprintf("%d came, %d left, %d moved, %d changed", d.Added, d.Removed, d.Moved, d.Changed)
 }
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -1,12 +1,13 @@
-// Package discovery watches the inventory of servers for the program, and validates the lists that
-// it reads: it decides when changed files are read, and whether the list is accepted. The Validator
-// does no I/O; the Watcher applies it to files, and runner inventory check to two files of an
-// operator.
+// Package discovery watches the files of the server inventory, reads them when they have changed,
+// and decides whether the new list is accepted. The Validator makes these decisions and does no
+// I/O. The Watcher applies it to the files of a running program, the command "runner inventory
+// check" to two files that an operator names.
 //
-// The files are read when they have not changed for a settle time, so that a file is not read while
-// it is written, or after some settle times if they keep changing. A list is accepted as a whole or
-// not at all. A list that is invalid, or that lacks many of the accepted servers, is rejected once,
-// with the reason, and the accepted list stays; SIGHUP confirms a loss that is intended.
+// The files are read once they have not changed for a settle time, so that a file is not read while
+// it is written; files that keep changing are read after several settle times. A list is accepted
+// as a whole or not at all. A list that is invalid, or that lacks many of the accepted servers, is
+// rejected, the reason is logged once, and the accepted list stays in force. SIGHUP accepts a list
+// that lacks servers on purpose.
 package discovery
 
 import (
@@ -19,39 +20,41 @@
 
 // Config configures a Validator.
 type Config struct {
-	// SettleTime is how long the files have to stay unchanged before they are read.
+	// SettleTime is how long the files must stay unchanged before they are read.
 	SettleTime time.Duration
-	// MaxShrink is the largest share of the accepted servers, from 0 to 1, that a list may lack.
+	// MaxShrink is the largest share of the accepted servers, from 0 to 1, that a new list may lack.
 	MaxShrink float64
 }
 
-// maxSettleFactor is after how many settle times files that keep changing are read all the same.
+// maxSettleFactor is the number of settle times after which files are read even if they keep
+// changing.
 const maxSettleFactor = 5
 
-// Fingerprint identifies the contents of an inventory's files; 0: they cannot be read.
+// Fingerprint identifies the contents of an inventory's files; 0 means that they cannot be read.
 type Fingerprint uint64
 
 // Validator is the state machine that decides when the files are read and which lists are accepted.
 // Times are monotonic and above 0. It is not safe for concurrent use.
 type Validator struct {
 	config     Config
-	observed   Fingerprint // of the last observation
-	observedAt time.Duration
-	// unsettledSince is when the files began to differ from what was accepted or rejected; 0: they
-	// do not.
+	observed   Fingerprint   // last observed fingerprint
+	observedAt time.Duration // when observed was first seen
+	// unsettledSince is when the files began to differ from the accepted, rejected or pending list;
+	// 0: they do not differ.
 	unsettledSince time.Duration
 
 	acceptedFingerprint Fingerprint
 	accepted            []inventory.Server
 	rejectedFingerprint Fingerprint
 	rejectReason        string
-	// of a list that was handed over and is neither accepted nor rejected
+	// pending is the fingerprint of a list for which Validate returned Accept, until Accepted or
+	// Rejected is called; 0: none.
 	pending     Fingerprint
 	version     int // of the accepted list
-	readVersion int // version when the files were last found to be due
+	readVersion int // version when Observe last recorded a change
 }
 
-// New returns a Validator with an accepted list.
+// New returns a Validator whose accepted list is servers, read from files with that fingerprint.
 func New(config Config, fingerprint Fingerprint, servers []inventory.Server) *Validator {
 	return &Validator{
 		config:              config,
@@ -61,7 +64,8 @@
 	}
 }
 
-// Observe records the fingerprint of the files, and reports whether they are to be read now.
+// Observe records the current fingerprint of the files, and reports whether they are due to be read
+// now.
 func (v *Validator) Observe(fingerprint Fingerprint, now time.Duration) (due bool) {
 	if fingerprint != v.observed {
 		v.observed = fingerprint
@@ -80,17 +84,18 @@
 	return settled || overdue
 }
 
-// isSettled reports whether a list with that fingerprint was accepted, rejected or handed over.
+// isSettled reports whether the files with this fingerprint need not be read: their list is
+// accepted, rejected or pending.
 func (v *Validator) isSettled(fingerprint Fingerprint) bool {
 	return fingerprint == v.acceptedFingerprint ||
 		fingerprint == v.pending && fingerprint != 0 ||
 		fingerprint == v.rejectedFingerprint && v.rejectReason != ""
 }
 
-// Verdict is the decision about a list that was read.
+// Verdict is the decision on a list that was read.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts of Validate.
 const (
 	Accept Verdict = iota + 1
 	Reject
@@ -100,9 +105,10 @@
 // ErrShrunk reports a list that lacks too many of the accepted servers.
 var ErrShrunk error = shrunkKind.New("a HUP confirms it, if it is meant")
 
-// Validate decides about a list that was read, or could not be read because of err, between two
-// fingerprints of the files. A list that was accepted since the files were found to be due may be
-// newer than this one, so that they are read again.
+// Validate decides on a list that was read, or on the error of reading it. before and after are the
+// fingerprints of the files before and after they were read. The verdict is Reread if the files
+// changed meanwhile, or if a list was accepted since Observe found the files due: that list may be
+// newer than this one.
 func (v *Validator) Validate(
 	before, after Fingerprint,
 	servers []inventory.Server,
@@ -125,7 +131,7 @@
 }
 
 // checkShrink returns an error if a list lacks too many of the accepted servers. Disabled servers
-// do not count.
+// are not counted.
 func (v *Validator) checkShrink(servers []inventory.Server) error {
 	enabled := make(map[string]bool, len(servers))
 	for _, server := range servers {
@@ -152,7 +158,7 @@
 	return nil
 }
 
-// Rejected records that the list with a fingerprint is rejected.
+// Rejected records that the list with this fingerprint is rejected, and why.
 func (v *Validator) Rejected(fingerprint Fingerprint, reason error) {
 	v.rejectedFingerprint = fingerprint
 	v.rejectReason = reason.Error()
@@ -160,7 +166,8 @@
 	v.pending = 0
 }
 
-// Accepted records the list that is in force from now on, wherever it comes from.
+// Accepted records the list that is in force from now on, whether it was read by the Watcher or at
+// SIGHUP.
 func (v *Validator) Accepted(fingerprint Fingerprint, servers []inventory.Server) {
 	v.version++
 	v.acceptedFingerprint = fingerprint
@@ -171,8 +178,8 @@
 	v.pending = 0
 }
 
-// IsPending reports whether a list that was handed over is still to be accepted or rejected. A
-// SIGHUP may have brought a newer one.
+// IsPending reports whether the list with this fingerprint is still to be accepted or rejected. It
+// is not pending any more if a list was accepted at SIGHUP meanwhile.
 func (v *Validator) IsPending(fingerprint Fingerprint) bool {
 	return v.pending == fingerprint && fingerprint != 0
 }
--- a/internal/discovery/validator_test.go
+++ b/internal/discovery/validator_test.go
@@ -26,16 +26,17 @@
 	return out
 }
 
-// Files are read once after they have settled; files that keep changing are read all the same.
+// Files are read once when they have not changed for the settle time. Files that keep changing are read
+// after maxSettleFactor settle times.
 func TestFilesAreReadWhenTheyHaveSettled(t *testing.T) {
-	i := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.5}, 1, servers(4))
+	validator := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.5}, 1, servers(4))
 	for _, c := range []struct {
-		mark Fingerprint
-		now  int // microseconds
-		read bool
+		fingerprint Fingerprint
+		now         int // microseconds
+		due         bool
 	}{
-		{1, 1000, false}, {2, 1010, false}, {2, 1100, false}, {2, 1110, true}, // rested
-		// never does
+		{1, 1000, false}, {2, 1010, false}, {2, 1100, false}, {2, 1110, true}, // settled
+		// never settles
 		{3, 1120, false},
 		{4, 1200, false},
 		{5, 1290, false},
@@ -43,17 +44,17 @@
 		{7, 1470, false},
 		{8, 1500, false},
 		{9, 1510, true},
-		{1, 1520, false}, {1, 2520, false}, // back to what holds
+		{1, 1520, false}, {1, 2520, false}, // back to the accepted list
 		{2, 2600, false}, {2, 2700, true},
 	} {
-		if got := i.Observe(c.mark, time.Duration(c.now)*time.Microsecond); got != c.read {
-			t.Errorf("at %d it looks like %d: read %v", c.now, c.mark, got)
+		if got := validator.Observe(c.fingerprint, time.Duration(c.now)*time.Microsecond); got != c.due {
+			t.Errorf("at %d µs, fingerprint %d: unexpected due = %v", c.now, c.fingerprint, got)
 		}
 	}
 }
 
 func TestInvalidAndShrunkListsAreRejected(t *testing.T) {
-	bad := errors.New("a.csv:3: wrong")
+	bad := errors.New("a.csv:3: bad address")
 	for name, c := range map[string]struct {
 		after   Fingerprint
 		servers []inventory.Server
@@ -61,10 +62,10 @@
 		verdict Verdict
 		why     string
 	}{
-		"good":              {2, servers(5), nil, Accept, ""},
-		"wrong":             {2, nil, bad, Reject, "a.csv:3: wrong"},
-		"changed meanwhile": {3, nil, bad, Reread, ""},
-		"half of it":        {2, servers(2), nil, Accept, ""},
+		"good":                {2, servers(5), nil, Accept, ""},
+		"invalid":             {2, nil, bad, Reject, "a.csv:3: bad address"},
+		"changed while read":  {3, nil, bad, Reread, ""},
+		"half of the servers": {2, servers(2), nil, Accept, ""},
 		"much smaller": {
 			2,
 			servers(1),
@@ -73,7 +74,7 @@
 			"3 of 4 servers are gone from it at once, n1 the first of them: a HUP confirms it, if it is " +
 				"meant",
 		},
-		"as many, and all others": {
+		"same size, all servers replaced": {
 			2,
 			renamed(servers(4)),
 			nil,
@@ -81,9 +82,9 @@
 			"4 of 4 servers are gone from it at once, n0 the first of them: a HUP confirms it, if it is " +
 				"meant",
 		},
-		"all switched off": {
+		"all servers disabled": {
 			2,
-			off(servers(4)),
+			disabled(servers(4)),
 			nil,
 			Reject,
 			"4 of 4 servers are gone from it at once, n0 the first of them: a HUP confirms it, if it is " +
@@ -91,22 +92,23 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := New(Config{MaxShrink: 0.5}, 1, servers(4))
-			i.Observe(2, 10*time.Microsecond)
-			v, err := i.Validate(2, c.after, c.servers, c.err, 10*time.Microsecond)
+			validator := New(Config{MaxShrink: 0.5}, 1, servers(4))
+			validator.Observe(2, 10*time.Microsecond)
+			verdict, err := validator.Validate(2, c.after, c.servers, c.err, 10*time.Microsecond)
 			why := ""
 			if err != nil {
 				why = err.Error()
 			}
-			if v != c.verdict || why != c.why || i.RejectReason() != c.why {
-				t.Errorf("%v, %q, reason %q", v, why, i.RejectReason())
+			if verdict != c.verdict || why != c.why || validator.RejectReason() != c.why {
+				t.Errorf("Validate() = %v, %q, RejectReason() = %q, want those of the case",
+					verdict, why, validator.RejectReason())
 			}
-			if again := i.Observe(c.after, 20*time.Microsecond); again != (v == Reread) {
-				t.Errorf("read again: %v", again)
+			if again := validator.Observe(c.after, 20*time.Microsecond); again != (verdict == Reread) {
+				t.Errorf("Observe() after Validate() = %v, want true only after Reread", again)
 			}
-			i.Accepted(c.after, c.servers) // a HUP
-			if i.RejectReason() != "" || i.Observe(c.after, 30*time.Microsecond) {
-				t.Error("what was confirmed is still refused, or read again")
+			validator.Accepted(c.after, c.servers) // as after a SIGHUP
+			if validator.RejectReason() != "" || validator.Observe(c.after, 30*time.Microsecond) {
+				t.Error("the list that SIGHUP accepted is still rejected, or due to be read again")
 			}
 		})
 	}
@@ -119,7 +121,7 @@
 	return s
 }
 
-func off(s []inventory.Server) []inventory.Server {
+func disabled(s []inventory.Server) []inventory.Server {
 	for i := range s {
 		s[i].Weight = 0
 	}
@@ -132,100 +134,101 @@
 	next[1].Weight = 3
 	next[2].Zone = "solna"
 	if got := Diff(old, next).String(); got != "1 came, 1 left, 1 moved, 2 changed" {
-		t.Error(got)
+		t.Errorf("Diff() = %s, want 1 came, 1 left, 1 moved, 2 changed", got)
 	}
 }
 
-// However files change and whatever they hold, a list is accepted only if it is valid and keeps enough
-// servers of the accepted one, and a valid list that settles is accepted in the end.
+// Files change at random times to random contents. A list must be accepted only if it is valid and has
+// enough of the accepted servers, and a valid list that stays unchanged must be accepted in the end.
 func TestOnlyValidListsAreAccepted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		held := servers(10)
-		i := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.3}, 1, held)
+		accepted := servers(10)
+		validator := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.3}, 1, accepted)
 		now := time.Microsecond
-		mark := Fingerprint(1)
-		content := map[Fingerprint]int{1: 10} // servers; negative: it cannot be read
+		fingerprint := Fingerprint(1)
+		content := map[Fingerprint]int{1: 10} // servers by fingerprint; negative: not readable
 		step := func() {
-			if !i.Observe(mark, now) {
+			if !validator.Observe(fingerprint, now) {
 				return
 			}
-			n, before := content[mark], mark
+			n, before := content[fingerprint], fingerprint
 			var list []inventory.Server
 			var err error
 			if n < 0 {
-				err = errors.New("wrong")
+				err = errors.New("invalid list")
 			} else {
 				list = servers(n)
 			}
-			if v, _ := i.Validate(before, mark, list, err, now); v == Accept {
-				if n < 0 || float64(len(held)-n) > 0.3*float64(len(held)) {
-					rt.Fatalf("a list of %d is taken in place of %d", n, len(held))
+			if verdict, _ := validator.Validate(before, fingerprint, list, err, now); verdict == Accept {
+				if n < 0 || float64(len(accepted)-n) > 0.3*float64(len(accepted)) {
+					rt.Fatalf("a list of %d servers was accepted in place of %d", n, len(accepted))
 				}
-				held = list
-				i.Accepted(before, list)
+				accepted = list
+				validator.Accepted(before, list)
 			}
 		}
 		for range 200 {
 			now += time.Duration(rapid.Int64Range(0, 60).Draw(rt, "wait")) * time.Microsecond
 			if rapid.IntRange(0, 3).Draw(rt, "write") == 0 {
-				mark = Fingerprint(rapid.IntRange(1, 6).Draw(rt, "mark"))
-				if _, known := content[mark]; !known {
-					content[mark] = rapid.IntRange(-3, 12).Draw(rt, "content")
+				fingerprint = Fingerprint(rapid.IntRange(1, 6).Draw(rt, "fingerprint"))
+				if _, known := content[fingerprint]; !known {
+					content[fingerprint] = rapid.IntRange(-3, 12).Draw(rt, "content")
 				}
 			}
 			step()
 		}
-		mark, content[99] = 99, len(held)+1
+		fingerprint, content[99] = 99, len(accepted)+1
 		for range 4 {
 			now += 60 * time.Microsecond
 			step()
 		}
-		if len(held) != content[99] {
-			rt.Fatalf("a good list that rests is not taken: %q", i.RejectReason())
+		if len(accepted) != content[99] {
+			rt.Fatalf("an unchanged valid list was not accepted: reject reason = %q", validator.RejectReason())
 		}
 	})
 }
 
-// A SIGHUP brings a list while the watcher reads, or while its list is pending. The watcher's list may be
-// older and must not be accepted after it; a shrunken list that SIGHUP confirmed would be rejected from
-// then on.
-func TestAHUPCrossesAListThatWasFound(t *testing.T) {
+// SIGHUP accepts a list while the watcher reads the files, or while the watcher's list is pending. The
+// watcher's list may be older and must not be accepted afterwards: the shrunken list that SIGHUP confirmed
+// would be rejected from then on.
+func TestSIGHUPSupersedesAnOlderList(t *testing.T) {
 	const before, older, confirmed = Fingerprint(1), Fingerprint(2), Fingerprint(3)
 	for name, c := range map[string]struct {
-		first, last func(i *Validator) Verdict // the HUP's list is taken between them
+		first, last func(validator *Validator) Verdict // before and after SIGHUP's list is accepted
 		want        Verdict
 	}{
-		"it is being read": {
+		"while the list is read": {
 			func(*Validator) Verdict { return 0 },
-			func(i *Validator) Verdict {
-				v, _ := i.Validate(older, older, servers(5), nil, time.Millisecond)
-				return v
+			func(validator *Validator) Verdict {
+				verdict, _ := validator.Validate(older, older, servers(5), nil, time.Millisecond)
+				return verdict
 			},
 			Reread},
-		"it waits to be taken": {
-			func(i *Validator) Verdict {
-				v, _ := i.Validate(older, older, servers(5), nil, time.Millisecond)
-				return v
+		"while the list is pending": {
+			func(validator *Validator) Verdict {
+				verdict, _ := validator.Validate(older, older, servers(5), nil, time.Millisecond)
+				return verdict
 			},
 			func(*Validator) Verdict { return Accept },
 			Accept},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.5}, before, servers(4))
-			i.Observe(older, 10*time.Microsecond)
-			if !i.Observe(older, 110*time.Microsecond) {
-				t.Fatal("it is not read")
+			validator := New(Config{SettleTime: 100 * time.Microsecond, MaxShrink: 0.5}, before, servers(4))
+			validator.Observe(older, 10*time.Microsecond)
+			if !validator.Observe(older, 110*time.Microsecond) {
+				t.Fatal("Observe() = false, want the settled files due")
 			}
-			c.first(i)
-			i.Accepted(confirmed, servers(1))
-			if got := c.last(i); got != c.want {
-				t.Errorf("verdict %d, want %d", got, c.want)
+			c.first(validator)
+			validator.Accepted(confirmed, servers(1))
+			if got := c.last(validator); got != c.want {
+				t.Errorf("verdict = %d, want %d", got, c.want)
 			}
-			if i.IsPending(older) {
-				t.Error("the older list would be taken")
+			if validator.IsPending(older) {
+				t.Error("the older list is still pending")
 			}
-			if i.Observe(confirmed, 2000*time.Microsecond) || i.RejectReason() != "" {
-				t.Errorf("the HUP's list is read again, or refused: %q", i.RejectReason())
+			if validator.Observe(confirmed, 2000*time.Microsecond) || validator.RejectReason() != "" {
+				t.Errorf("SIGHUP's list is due to be read again, or rejected: reject reason = %q",
+					validator.RejectReason())
 			}
 		})
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,24 +15,26 @@
 
 // Log events.
 var (
-	// eventPolled reports that the system notifies of no changes, so that the files are only
-	// polled.
-	eventPolled      = logging.Define("inventory.polled", slog.LevelWarn, "every", "error")
+	// eventPolled reports that change notifications of the system are not available, so that the
+	// files are only polled.
+	eventPolled = logging.Define("inventory.polled", slog.LevelWarn, "every", "error")
+	// eventWatchFailed reports an error of the change notifications.
 	eventWatchFailed = logging.Define("inventory.watch_failed", slog.LevelWarn, "error")
 	// EventRejected reports a list that is not accepted; the accepted list stays in force.
 	EventRejected = logging.Define("inventory.rejected", slog.LevelError, "error")
 )
 
-// A notification of the system is followed by a check of the files after a share of the settle
-// time, so that several changes in a row are checked once.
+// After a change notification the files are checked with a delay, a fraction of the settle time, so
+// that several changes in a row cause one check.
 const (
-	debounceShare = 4 // settle time / debounce time
-	minDebounce   = 10 * time.Millisecond
+	debounceDivisor = 4 // settle time / debounce time
+	minDebounce     = 10 * time.Millisecond
 )
 
-// Watcher checks an inventory's files on a goroutine of its own: when the system notifies of a
-// change, and at an interval, since not all file systems notify. It hands an accepted list to a
-// callback, whose owner answers with Accepted or Rejected. Its methods are safe for concurrent use.
+// Watcher checks an inventory's files on a goroutine of its own: after change notifications of the
+// system, and at an interval, since not all file systems send notifications. It passes each valid
+// new list to a callback; the program then calls Accepted or Rejected for it. Its methods are safe
+// for concurrent use.
 type Watcher struct {
 	path      string
 	interval  time.Duration
@@ -45,7 +47,8 @@
 	validator *Validator // guarded by mu
 }
 
-// Watch starts to watch the inventory at path, of which a list was accepted. Stop ends it.
+// Watch starts to watch the inventory at path, of which servers is the accepted list, read from
+// files with that fingerprint. onList is called on the watcher's goroutine. Stop ends the watch.
 func Watch(
 	path string,
 	config Config,
@@ -80,14 +83,15 @@
 	w.validator.Accepted(fingerprint, servers)
 }
 
-// IsPending reports whether a list that was handed over is still to be accepted or rejected.
+// IsPending reports whether a list that was passed to the callback is still to be accepted or
+// rejected.
 func (w *Watcher) IsPending(fingerprint Fingerprint) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.validator.IsPending(fingerprint)
 }
 
-// Rejected records that a list that was handed over is rejected.
+// Rejected records that a list that was passed to the callback is rejected, and why.
 func (w *Watcher) Rejected(fingerprint Fingerprint, reason error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +108,7 @@
 // now returns the time since the watch started, in whole microseconds.
 func (w *Watcher) now() time.Duration { return time.Since(w.startedAt).Truncate(time.Microsecond) }
 
-// run is the goroutine of the watch.
+// run checks the files after notifications and at the interval, until Stop is called.
 func (w *Watcher) run(settleTime time.Duration) {
 	defer w.done.Done()
 	events := make(<-chan fsnotify.Event)
@@ -120,14 +124,14 @@
 	}
 	timer := time.NewTimer(w.interval)
 	defer timer.Stop()
-	debounce := min(max(settleTime/debounceShare, minDebounce), w.interval)
+	debounce := min(max(settleTime/debounceDivisor, minDebounce), w.interval)
 	checkSoon := false // whether the timer runs for the debounce time, not for the interval
 	for {
 		select {
 		case <-w.stop:
 			return
 		case err := <-failures:
-			// An overflow means that there were events, and the next check finds what they changed.
+			// An overflow means that events were dropped; the next check finds their changes.
 			if err != nil && !errors.Is(err, fsnotify.ErrEventOverflow) {
 				eventWatchFailed.Log(err)
 			}
@@ -150,8 +154,8 @@
 	}
 }
 
-// watchFolders has the system notify of changes in the folders of the files. The files themselves
-// are not watched, since a file that is replaced would not be watched any more.
+// watchFolders requests notifications of changes in the folders of the files. The files themselves
+// are not watched, since the watch of a file ends when the file is replaced.
 func (w *Watcher) watchFolders(notifier *fsnotify.Watcher) {
 	folders := []string{filepath.Dir(w.path)}
 	if files, err := inventory.Files(w.path); err == nil {
@@ -166,13 +170,13 @@
 	for _, folder := range folders {
 		if !watched[folder] {
 			watched[folder] = true
-			_ = notifier.Add(folder) // a folder that cannot be watched is checked at the interval
+			_ = notifier.Add(folder) // files in a folder that cannot be watched are checked at the interval
 		}
 	}
 }
 
-// check observes the files, and reads them if they are due. It reports whether they have to be
-// checked again soon.
+// check observes the files, and reads them if they are due. It reports whether they are to be
+// checked again after the debounce time.
 func (w *Watcher) check() (checkSoon bool) {
 	before := w.fingerprint()
 	w.mu.Lock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -12,7 +12,7 @@
 	"ryepaddle/internal/inventory"
 )
 
-// watchedInventory is a folder with an inventory and a watcher that accepts each list.
+// watchedInventory is a folder with an inventory and a watcher whose lists are all accepted.
 type watchedInventory struct {
 	dir     string
 	watcher *Watcher
@@ -33,10 +33,10 @@
 	}
 }
 
-// path is the path of the inventory.
+// path returns the path of the inventory.
 func (w *watchedInventory) path() string { return filepath.Join(w.dir, "hosts.yml") }
 
-// start watches the inventory.
+// start starts the watcher.
 func (w *watchedInventory) start(t *testing.T) {
 	t.Helper()
 	fingerprint, err := FingerprintOf(w.path())
@@ -63,7 +63,7 @@
 	t.Cleanup(w.watcher.Stop)
 }
 
-// accept records and accepts a list.
+// accept records a list and tells the watcher that it is accepted.
 func (w *watchedInventory) accept(f Fingerprint, servers []inventory.Server) {
 	var names []string
 	for _, s := range servers {
@@ -75,19 +75,20 @@
 	w.watcher.Accepted(f, servers)
 }
 
-// await waits for a condition.
+// await waits until a condition holds. what names it in the error.
 func (w *watchedInventory) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			t.Fatalf("%s does not come: %q, rejected: %q", what, w.accepted, w.watcher.RejectReason())
+			t.Fatalf("timeout waiting for %s: accepted lists = %q, reject reason = %q",
+				what, w.accepted, w.watcher.RejectReason())
 		}
 	}
 }
 
-// awaitList waits until the last accepted list ends with a server.
+// awaitList waits until the last accepted list ends with a server, given as NAME@ADDRESS.
 func (w *watchedInventory) awaitList(t *testing.T, what, ending string) {
 	t.Helper()
 	w.await(t, what, func() bool {
@@ -103,13 +104,13 @@
 	w.await(t, what, func() bool { return strings.Contains(w.watcher.RejectReason(), reason) })
 }
 
-// hostsFile is an inventory of n hosts.
+// hostsFile returns the text of an inventory of n hosts.
 func hostsFile(n int) string {
 	return fmt.Sprintf("g:\n  vars: {ansible_host: 127.0.0.1}\n  hosts:\n    n[1:%d]: {}\n", n)
 }
 
-// The files are written in place, replaced, half-written, removed and restored, with variables beside
-// them.
+// The watcher must notice files that are written in place, replaced, truncated, removed and restored, and
+// changed variables beside them.
 func TestWatcherFollowsEachWayOfWriting(t *testing.T) {
 	w := &watchedInventory{dir: t.TempDir()}
 	for i := range 9 {
@@ -118,25 +119,25 @@
 	w.write(t, "hosts.yml", hostsFile(3))
 	w.start(t)
 	w.write(t, "hosts.yml", hostsFile(4))
-	w.awaitList(t, "a file that was written in place", "n4@127.0.0.1:4004")
+	w.awaitList(t, "the list of a file written in place", "n4@127.0.0.1:4004")
 	w.write(t, "new", hostsFile(5))
 	if err := os.Rename(filepath.Join(w.dir, "new"), w.path()); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitList(t, "a file that was replaced", "n5@127.0.0.1:4005")
+	w.awaitList(t, "the list of a file that was replaced", "n5@127.0.0.1:4005")
 	w.write(t, "host_vars/n5.yml", "uwsgi_port: 5005\n")
-	w.awaitList(t, "a variable beside it", "n5@127.0.0.1:5005")
+	w.awaitList(t, "the list after a change in host_vars", "n5@127.0.0.1:5005")
 	w.write(t, "hosts.yml", hostsFile(6)[:40])
-	w.awaitReason(t, "the reason of a half-written file", "the last line has no end")
+	w.awaitReason(t, "the reject reason of a truncated file", "the last line has no end")
 	if err := os.Remove(w.path()); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitReason(t, "the reason of a missing file", "no such file")
+	w.awaitReason(t, "the reject reason of a missing file", "no such file")
 	w.write(t, "hosts.yml", hostsFile(1))
-	w.awaitReason(t, "the reason of a list that shrank", "gone from it at once")
+	w.awaitReason(t, "the reject reason of a list that shrank", "gone from it at once")
 	w.write(t, "hosts.yml", hostsFile(6))
-	w.awaitList(t, "a file that is complete again", "n6@127.0.0.1:4006")
+	w.awaitList(t, "the list of the restored file", "n6@127.0.0.1:4006")
 	if reason := w.watcher.RejectReason(); reason != "" {
-		t.Error(reason)
+		t.Errorf("RejectReason() = %q, want none", reason)
 	}
 }
