--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -18,15 +18,18 @@
 // Operator is the operator's file. It configures the uwsgi frontend, the servers behind it, the
 // peers, and the storage, recording, logging and accounting of requests.
 type Operator struct {
-	Listen      string      `yaml:"listen"`
-	HealthPath  string      `yaml:"health_path"`
-	Tenant      tenantRules `yaml:"tenant"`
-	KeyVariable string      `yaml:"key_var"`
+	// Listen is the address of the uwsgi frontend, as IP:PORT or unix:PATH.
+	Listen string `yaml:"listen"`
+	// HealthPath is the path of health checks that the runner itself answers; empty: none.
+	HealthPath string      `yaml:"health_path"`
+	Tenant     tenantRules `yaml:"tenant"`
+	// KeyVariable is the variable with the idempotency key; default HTTP_X_DEDUPE_KEY.
+	KeyVariable string `yaml:"key_var"`
 	// FirstAttemptVariable is the variable with the time of a request's first attempt, in Unix
 	// milliseconds; empty: none.
 	FirstAttemptVariable string               `yaml:"first_var"`
 	Limits               Limits               `yaml:"limits"`
-	Inventory            string               `yaml:"inventory"`
+	Inventory            string               `yaml:"inventory"` // path; empty: there are no servers
 	Routes               []Route              `yaml:"routes"`
 	TrafficRecording     TrafficRecording     `yaml:"record"`
 	Routing              Routing              `yaml:"routing"`
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -22,7 +22,7 @@
 	Affinity bool `yaml:"affinity"`
 	// WarmUpS is the time in s over which a new server ramps up to its full weight; default 10.
 	WarmUpS float64 `yaml:"warm_s"`
-	// WarmUpFrom is the share of its full weight that a new server starts with.
+	// WarmUpFrom is the share of its full weight that a new server starts with; default 0.1.
 	WarmUpFrom       float64          `yaml:"warm_from"`
 	SlowStart        SlowStart        `yaml:"cold"`
 	OutlierEjection  OutlierEjection  `yaml:"eject"`
@@ -34,28 +34,31 @@
 // SlowStart bounds the requests that all processes together send to a server that has just started.
 // The bound grows with the server's weight while it warms up.
 type SlowStart struct {
-	// Calls is the most requests within OverMs; default 0: the rate that its peers get.
+	// Calls is the most requests within OverMs at first; default 0: the server is bounded only
+	// by the rate of requests to its warm peers.
 	Calls float64 `yaml:"calls"`
-	// OverMs is the window of the bound in ms.
+	// OverMs is the window of the bound in ms; default 1000.
 	OverMs int64 `yaml:"over_ms"`
 	// Processes is the number of processes that send to the server; default 0: as many as there are
-	// peers, else as the platform's settings name, else the default of the picker.
+	// peers, else as the platform's settings name, else 30.
 	Processes int `yaml:"processes"`
 }
 
 // OutlierEjection configures when a server is ejected, and for how long.
 type OutlierEjection struct {
-	// ConsecutiveFailures is the number of failures in a row that ejects a server.
+	// ConsecutiveFailures is the number of failures in a row that ejects a server; default 3.
 	ConsecutiveFailures int `yaml:"fails"`
-	// FailureRate is the share of failed requests that ejects a server whose peers fail less.
+	// FailureRate is the share of failed requests that ejects a server whose peers fail less;
+	// default 0.3.
 	FailureRate float64 `yaml:"rate"`
-	// LatencyFactor is the multiple of the latency of its peers that ejects a server; 0: off.
+	// LatencyFactor is the multiple of the latency of its peers that ejects a server; default 4, 0: off.
 	LatencyFactor float64 `yaml:"slow"`
 	// BaseTimeS is the time in s of the first ejection, doubled at each further one; default 5.
 	BaseTimeS float64 `yaml:"first_s"`
 	// MaxTimeS is the longest ejection in s; default 60.
 	MaxTimeS float64 `yaml:"most_s"`
-	// MaxRatio is the largest share of a group that may be ejected at the same time.
+	// MaxRatio is the largest share of a group that may be ejected at the same time;
+	// default 0.5.
 	MaxRatio float64 `yaml:"share"`
 }
 
@@ -79,9 +82,10 @@
 
 // RetryBudget bounds the retries of all requests together; limits.tries bounds those of each request.
 type RetryBudget struct {
-	// Ratio is the number of retries that each first attempt adds to the budget.
+	// Ratio is the number of retries that each first attempt adds to the budget; default 0.2.
 	Ratio float64 `yaml:"share"`
-	// Burst is the number of retries that are in the budget at the start and do not expire.
+	// Burst is the number of retries that are in the budget at the start and do not expire;
+	// default 20.
 	Burst float64 `yaml:"spare"`
 }
 
