--- a/internal/match/fields.go
+++ b/internal/match/fields.go
@@ -4,14 +4,15 @@
 	"net/netip"
 )
 
-// Lengths in bytes that the cost of an expression assumes for the short fields.
+// Maximum lengths in bytes of the short fields, on which the cost of an expression is based.
 const (
 	maxMethodBytes = 64
 	maxSchemeBytes = 8
-	maxNameBytes   = 256 // of a host or a school
+	maxNameBytes   = 256 // of a host or a tenant
 )
 
-// fields are the properties of a request that expressions can name. host has no port.
+// fields maps the names of the request fields that expressions can use to their nodes. The host has
+// no port.
 var fields = map[string]*node{
 	"method": textField(maxMethodBytes, func(r *Request) string { return r.Method }),
 	"path":   textField(maxFieldBytes, func(r *Request) string { return r.Path }),
@@ -23,7 +24,7 @@
 	"remote": {resultType: Addr, cost: 1, evalAddr: func(r *Request) netip.Addr { return r.Remote }},
 }
 
-// textField returns a node for a text property of at most maxLength bytes.
+// textField returns a node for a text field of at most maxLength bytes.
 func textField(maxLength int, get func(*Request) string) *node {
 	return &node{resultType: Text, cost: 1, maxLength: maxLength, evalText: get}
 }
--- a/internal/match/functions.go
+++ b/internal/match/functions.go
@@ -11,16 +11,16 @@
 
 // Bounds and costs of the functions.
 const (
-	variableLookupCost = 16   // steps to find a variable among the most that a request can have
-	maxArgumentBytes   = 1024 // of the value of a query argument, decoded
+	variableLookupCost = 16   // steps to find a variable in a request with the maximum number of them
+	maxArgumentBytes   = 1024 // of the value of a query argument, as encoded
 	maxArguments       = 256  // of a query; further ones are ignored
 	argumentCost       = 8    // steps to split off and compare a query argument
-	maxFoldBytes       = 512  // of a text whose case is changed
+	maxFoldBytes       = 512  // of a text that lower and upper convert
 	maxPartIndex       = 1000
 	partCost           = 2 // steps to split off a part
 	maxBuckets         = 1_000_000
 	maxNumberBytes     = 20 // digits and sign of the longest 64-bit number
-	// maxEncodedLength is the most bytes that encode one byte of a query argument: %XX.
+	// maxEncodedLength is the length in bytes of the longest encoding of one byte of a query argument: %XX.
 	maxEncodedLength = 3
 )
 
@@ -38,14 +38,14 @@
 	constantIntLiteral  = parameter{resultType: Int, constant: true}
 )
 
-// function is a function of the language. build fills in a node that evaluates it for arguments of
-// the types of its parameters, and returns its own cost in steps.
+// function is a function of the language. build sets up a node that calls it with arguments of the
+// parameters' types, and returns the cost of the call in steps without that of the arguments.
 type function struct {
 	parameters []parameter
 	build      func(n *node, arguments []*node) (cost int, err error)
 }
 
-// lookUpFunction returns the function of that name.
+// lookUpFunction returns the function with the given name.
 func lookUpFunction(name string) (f function, ok bool) {
 	switch name {
 	case "var":
@@ -76,7 +76,7 @@
 	return function{}, false
 }
 
-// buildVariable is var(name): the value of a variable of the request, or an empty text.
+// buildVariable compiles var(name): the value of a variable of the request, or an empty text.
 func buildVariable(n *node, arguments []*node) (int, error) {
 	name := arguments[0].evalText(nil)
 	n.resultType = Text
@@ -88,7 +88,7 @@
 	return variableLookupCost, nil
 }
 
-// buildHas is has(name): whether the request has a variable.
+// buildHas compiles has(name): whether the request has a variable.
 func buildHas(n *node, arguments []*node) (int, error) {
 	name := arguments[0].evalText(nil)
 	n.resultType = Bool
@@ -99,8 +99,9 @@
 	return variableLookupCost, nil
 }
 
-// buildArgument is arg(name): the first value of an argument of the query, or an empty text where
-// there is none among the first maxArguments or it cannot be decoded.
+// buildArgument compiles arg(name): the first value of an argument of the query, decoded. It is an
+// empty text if the first maxArguments do not include the argument or its value cannot be decoded.
+// Values of more than maxArgumentBytes are skipped.
 func buildArgument(n *node, arguments []*node) (int, error) {
 	name := arguments[0].evalText(nil)
 	n.resultType = Text
@@ -110,7 +111,7 @@
 	return scanCost(maxFieldBytes) + argumentCost*maxArguments, nil
 }
 
-// buildDefault is default(a, b): the first text, or the second one if the first is empty.
+// buildDefault compiles default(a, b): the first text, or the second one if the first is empty.
 func buildDefault(n *node, arguments []*node) (int, error) {
 	value := arguments[0]
 	fallback := arguments[1]
@@ -120,8 +121,8 @@
 	return 1, nil
 }
 
-// buildFold is lower(text) or upper(text). A text of more than maxFoldBytes is returned unchanged,
-// so that no more than MaxTextBytes are allocated.
+// buildFold compiles lower(text) or upper(text). A text of more than maxFoldBytes is returned
+// unchanged, to stay within the MaxTextBytes that an evaluation may allocate.
 func buildFold(fold func(string) string) func(*node, []*node) (int, error) {
 	return func(n *node, arguments []*node) (int, error) {
 		text := arguments[0]
@@ -139,7 +140,7 @@
 	}
 }
 
-// buildFirst is first(text, n): the first n bytes of a text.
+// buildFirst compiles first(text, n): the first n bytes of a text.
 func buildFirst(n *node, arguments []*node) (int, error) {
 	text, limit := arguments[0], arguments[1].evalInt(nil)
 	if limit < 0 || limit > maxFieldBytes {
@@ -154,8 +155,8 @@
 	return 1, nil
 }
 
-// buildPart is part(text, separator, i): the part at index i, from 0, of a text that is split at
-// each separator, or an empty text where there are fewer parts.
+// buildPart compiles part(text, separator, i): the part at index i, from 0, of a text that is split at
+// each separator, or an empty text if there are fewer parts.
 func buildPart(n *node, arguments []*node) (int, error) {
 	text, separator, index := arguments[0], arguments[1].evalText(nil), arguments[2].evalInt(nil)
 	if separator == "" {
@@ -170,14 +171,15 @@
 	return scanCost(text.maxLength) + partCost*int(index), nil
 }
 
-// buildLength is len(text): the length of a text in bytes.
+// buildLength compiles len(text): the length of a text in bytes.
 func buildLength(n *node, arguments []*node) (int, error) {
 	n.resultType = Int
 	n.evalInt = func(r *Request) int64 { return int64(len(arguments[0].evalText(r))) }
 	return 1, nil
 }
 
-// buildNumber is number(text, fallback): the decimal number that a text spells, or the fallback.
+// buildNumber compiles number(text, fallback): the decimal value of a text, or the fallback if the
+// text is not a 64-bit number.
 func buildNumber(n *node, arguments []*node) (int, error) {
 	text := arguments[0]
 	fallback := arguments[1]
@@ -196,7 +198,7 @@
 	return 1, nil
 }
 
-// buildBucket is bucket(text, n): a number from 0 to n-1 by the hash of a text, the same on every
+// buildBucket compiles bucket(text, n): the hash of a text modulo n, which is the same on every
 // runner.
 func buildBucket(n *node, arguments []*node) (int, error) {
 	text, buckets := arguments[0], arguments[1].evalInt(nil)
@@ -210,20 +212,21 @@
 	return scanCost(text.maxLength), nil
 }
 
-// buildKnown is known(address): whether an address is known.
+// buildKnown compiles known(address): whether an address is known.
 func buildKnown(n *node, arguments []*node) (int, error) {
 	n.resultType = Bool
 	n.evalBool = func(r *Request) bool { return arguments[0].evalAddr(r).IsValid() }
 	return 1, nil
 }
 
-// queryArgument returns the first value of an argument of a query string, decoded.
+// queryArgument returns the first value of an argument of a query string, decoded, as buildArgument
+// describes.
 func queryArgument(query, name string) string {
 	for n := 0; len(query) > 0 && n < maxArguments; n++ {
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
 		key, value, _ := strings.Cut(pair, "=")
-		// Decoding never makes a text longer.
+		// Decoding never lengthens a text, so the encoded length bounds what it allocates.
 		if len(key) > maxEncodedLength*maxArgumentBytes || len(value) > maxArgumentBytes {
 			continue
 		}
@@ -239,7 +242,8 @@
 	return ""
 }
 
-// nthPart returns the part at an index of s, split at each separator, or an empty text.
+// nthPart splits s at each separator and returns the part at an index, or an empty text if there are
+// fewer parts.
 func nthPart(s, separator string, index int) string {
 	for ; ; index-- {
 		head, tail, more := strings.Cut(s, separator)
--- a/internal/match/lexer.go
+++ b/internal/match/lexer.go
@@ -16,7 +16,7 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Offset+1, e.Reason) }
 
-// errorAt returns an *Error for a place of the source.
+// errorAt returns an *Error for an offset in the source.
 func errorAt(at int, format string, args ...any) error {
 	return &Error{at, fmt.Sprintf(format, args...)}
 }
@@ -35,15 +35,15 @@
 // token is one lexical element of the source.
 type token struct {
 	kind   tokenKind
-	offset int    // byte of the source at which it begins
-	text   string // as in the source; of a tokenText the value without quotes and escapes
+	offset int    // in the source, in bytes
+	text   string // as in the source; of a tokenText the value, without quotes and escapes
 	number int64  // value of a tokenNumber
 }
 
 func (t token) String() string {
 	switch t.kind {
 	case tokenEnd:
-		return "the end"
+		return "the end of the expression"
 	case tokenText:
 		return strconv.Quote(t.text)
 	}
@@ -63,16 +63,16 @@
 	"within":     true,
 }
 
-// Bounds of the source; together they bound the work and the stack of the parser.
+// Bounds of the source. Together they bound the work and the stack of the parser.
 const (
 	maxSourceBytes = 4096
-	maxDepth       = 64
+	maxDepth       = 64 // levels of nesting
 )
 
 // lex splits a source into tokens, the last of which is tokenEnd.
 func lex(s string) ([]token, error) {
 	if len(s) > maxSourceBytes {
-		return nil, errorAt(0, "it has %d bytes; %d is the most", len(s), maxSourceBytes)
+		return nil, errorAt(0, "it has %d bytes, more than the limit of %d", len(s), maxSourceBytes)
 	}
 	if !utf8.ValidString(s) {
 		return nil, errorAt(0, "it is not valid UTF-8")
@@ -107,7 +107,7 @@
 		digits := lexWord(rest)
 		number, err := strconv.ParseInt(digits, 10, 64)
 		if err != nil {
-			return token{}, 0, errorAt(offset, "%s is no whole number", digits)
+			return token{}, 0, errorAt(offset, "%s is not a whole number of 64 bits", digits)
 		}
 		return token{tokenNumber, offset, digits, number}, len(digits), nil
 	case isLetter(c):
@@ -121,12 +121,12 @@
 	operator := lexOperator(rest)
 	if operator == "" {
 		r, _ := utf8.DecodeRuneInString(rest)
-		return token{}, 0, errorAt(offset, "%q means nothing here", r)
+		return token{}, 0, errorAt(offset, "unexpected character %q", r)
 	}
 	return token{kind: tokenOperator, offset: offset, text: operator}, len(operator), nil
 }
 
-// lexWord returns the letters and digits at the front of s.
+// lexWord returns the letters, digits and underscores at the front of s.
 func lexWord(s string) string {
 	n := 0
 	for n < len(s) && (isDigit(s[n]) || isLetter(s[n])) {
@@ -155,8 +155,8 @@
 // isLetter reports whether c may begin a name.
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
 
-// lexString reads a quoted text and returns its value and its length in the source with the quotes.
-// A backslash escapes a quote or another backslash.
+// lexString reads a quoted text and returns its value and its length in the source, including the
+// quotes. A backslash escapes a quote or another backslash.
 func lexString(s string) (text string, n int, err error) {
 	var b strings.Builder
 	for i := 1; i < len(s); i++ {
@@ -165,12 +165,12 @@
 			return b.String(), i + 1, nil
 		case c == '\\':
 			if i++; i == len(s) || s[i] != '\\' && s[i] != '"' && s[i] != '\'' {
-				return "", 0, fmt.Errorf("a backslash stands before a quote or another backslash")
+				return "", 0, fmt.Errorf("a backslash has to precede a quote or another backslash")
 			}
 			b.WriteByte(s[i])
 		default:
 			b.WriteByte(c)
 		}
 	}
-	return "", 0, fmt.Errorf("the text that begins here has no end")
+	return "", 0, fmt.Errorf("the text that begins here has no closing quote")
 }
--- a/internal/match/list.go
+++ b/internal/match/list.go
@@ -15,7 +15,7 @@
 // len returns the number of values.
 func (l *listValues) len() int { return len(l.texts) + len(l.numbers) }
 
-// contains reports whether the list has the value of a literal.
+// contains reports whether the list contains the value of a literal.
 func (l *listValues) contains(literal *node) bool {
 	if literal.resultType == Text {
 		return l.texts[literal.evalText(nil)]
@@ -23,7 +23,7 @@
 	return l.numbers[literal.evalInt(nil)]
 }
 
-// add adds the value of a literal.
+// add adds the value of a literal to the list.
 func (l *listValues) add(literal *node) {
 	if literal.resultType == Text {
 		l.texts[literal.evalText(nil)] = true
@@ -32,11 +32,11 @@
 	}
 }
 
-// parseMembership parses the list after in or not in, and compiles the test whether the list
-// contains a value.
+// parseMembership parses the list that follows the operator "in" or "not in", and compiles the test
+// whether the list contains the value of a.
 func (p *parser) parseMembership(offset int, a *node, negated bool) (*node, error) {
 	if a.resultType != Int && a.resultType != Text {
-		return nil, errorAt(a.offset, "%v is in no list", a.resultType)
+		return nil, errorAt(a.offset, "%v cannot be looked up in a list", a.resultType)
 	}
 	list, err := p.parseList(a.resultType)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return n.withCost(scanCost(a.maxLength), a)
 }
 
-// parseList parses a list of literals of a type, in square brackets.
+// parseList parses a list of literals of one type, in square brackets.
 func (p *parser) parseList(valueType Type) (*listValues, error) {
 	if err := p.expect("["); err != nil {
 		return nil, err
@@ -72,11 +72,11 @@
 		}
 		switch {
 		case !b.constant || b.resultType != valueType:
-			return nil, errorAt(b.offset, "the list is of %v each, written out", valueType)
+			return nil, errorAt(b.offset, "each value of the list has to be %v, as a literal", valueType)
 		case list.contains(b):
-			return nil, errorAt(b.offset, "it stands twice in the list")
+			return nil, errorAt(b.offset, "the list contains this value twice")
 		case list.len() >= maxListLength:
-			return nil, errorAt(b.offset, "the list has more than %d", maxListLength)
+			return nil, errorAt(b.offset, "the list has more than %d values", maxListLength)
 		}
 		list.add(b)
 	}
--- a/internal/match/match.go
+++ b/internal/match/match.go
@@ -1,8 +1,8 @@
 // Package match implements a small typed expression language with which the operator's file selects
-// requests and derives their tenant and idempotency key. An expression is compiled once. The
-// language has no loops, so that the worst cost of an expression is known when it is compiled: one
-// that is ill-typed, refers to itself or could exceed its bounds is rejected there. The package
-// does no I/O.
+// requests and derives their tenant and idempotency key. An expression is compiled once and
+// evaluated for each request. The language has no loops, so the worst-case cost of an expression is
+// known when it is compiled: Compile rejects an expression that is ill-typed, refers to itself or
+// could exceed MaxCost or MaxTextBytes. The package does no I/O.
 //
 //	school in ["north", "lindby"] and path startswith "/ops/exam" and length < 20000
 //	var("HTTP_X_EXERCISE") matches "intro-*" or remote within "10.0.0.0/8"
@@ -14,10 +14,10 @@
 	"net/netip"
 )
 
-// Type is the type of a value.
+// Type is the result type of an expression.
 type Type uint8
 
-// Types of values.
+// Result types of expressions.
 const (
 	Bool Type = iota + 1
 	Int
@@ -25,7 +25,7 @@
 	Addr
 )
 
-// String returns the type as error texts name it.
+// String returns the type as error messages name it, with an article.
 func (t Type) String() string {
 	return [...]string{"", "a condition", "a number", "a text", "an address"}[t]
 }
@@ -33,8 +33,8 @@
 // Request is the request that an expression is evaluated for.
 type Request struct {
 	Method, Path, Query, Host, Scheme string
-	School                            string // tenant; set by Matcher.Match
-	// address of the caller; invalid: unknown, as on a Unix socket
+	School                            string // the tenant; set by Matcher.Match
+	// Remote is the address of the caller. It is invalid if unknown, as on a Unix socket.
 	Remote netip.Addr
 	Length int64 // bytes of the body; -1: not stated
 	// Var returns the value of a request variable and whether the request has it.
@@ -43,12 +43,13 @@
 
 // Bounds of an expression.
 const (
-	// MaxCost is the largest worst-case cost of an expression in steps: one for each operation, and
-	// one for each 64 bytes that it reads of inputs of the greatest length.
+	// MaxCost is the largest worst-case cost of an expression in steps: one step for each operation,
+	// and one for each 64 bytes of input that the operation reads. All inputs are assumed to have
+	// their maximum length.
 	MaxCost = 10_000
 	// MaxTextBytes is the most text that one evaluation may allocate, in bytes.
 	MaxTextBytes  = 4096
-	maxFieldBytes = 32 << 10 // bytes of a request field; frontends accept no longer ones
+	maxFieldBytes = 32 << 10 // longest request field in bytes; frontends reject longer ones
 	bytesPerStep  = 64
 )
 
@@ -58,12 +59,12 @@
 	root   *node
 }
 
-// Definitions maps names to the sources of expressions that other expressions may use by name.
+// Definitions maps names to the sources of named expressions, which other expressions may refer to.
 type Definitions map[string]string
 
-// Compile compiles an expression that has to have the type want. It may use the given definitions.
-// The unavailable fields are not known yet where the expression is evaluated, and using one is an
-// error. All errors are *Error.
+// Compile compiles an expression, whose result type has to be want. The expression may refer to the
+// definitions. The unavailable fields have no value yet when the expression is evaluated, so using
+// one of them is an error. All errors are *Error.
 func Compile(source string, want Type, definitions Definitions, unavailable ...string) (*Expression, error) {
 	p := newParser(definitions, unavailable)
 	n, err := p.parseSource(source)
@@ -76,13 +77,12 @@
 	return &Expression{source: source, root: n}, nil
 }
 
-// CheckDefinition returns what is wrong with the name and the source of a definition, whether or
-// not an expression uses it.
+// CheckDefinition validates the name and the source of a definition, even if no expression uses it.
 func CheckDefinition(name string, definitions Definitions) error {
 	tokens, err := lex(name)
 	switch {
 	case err != nil || len(tokens) != 2 || tokens[0].kind != tokenName:
-		return fmt.Errorf("%q is no name: letters, digits and _, and none of the operators", name)
+		return fmt.Errorf("%q is no name: a name consists of letters, digits and _ and is not an operator", name)
 	case fields[name] != nil:
 		return fmt.Errorf("%s is a field of requests", name)
 	}
@@ -95,11 +95,11 @@
 // String returns the source of the expression.
 func (e *Expression) String() string { return e.source }
 
-// Cost returns the worst-case cost in steps.
+// Cost returns the worst-case cost of the expression in steps.
 func (e *Expression) Cost() int { return e.root.cost }
 
-// Matches evaluates a condition. The expression has to be of type Bool.
+// Matches evaluates the expression as a condition. Its type has to be Bool.
 func (e *Expression) Matches(r *Request) bool { return e.root.evalBool(r) }
 
-// Text evaluates a text. The expression has to be of type Text.
+// Text evaluates the expression to a text. Its type has to be Text.
 func (e *Expression) Text(r *Request) string { return e.root.evalText(r) }
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// conditionCases maps conditions to what they evaluate to for request().
+// conditionCases maps conditions to their values for request().
 var conditionCases = map[string]bool{
 	`both`:          true,
 	`not both`:      false,
@@ -78,12 +78,12 @@
 	for text, want := range conditionCases {
 		e, err := Compile(text, Bool, names)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("Compile(%s) = %v", text, err)
 		} else if got := e.Matches(request()); got != want {
-			t.Errorf("%s: %v", text, got)
+			t.Errorf("%s: Matches() = %v, want the opposite", text, got)
 		}
 	}
-	nobody := &Request{Length: -1, Var: func(string) (string, bool) { return "", false }}
+	emptyRequest := &Request{Length: -1, Var: func(string) (string, bool) { return "", false }}
 	for _, text := range []string{
 		`remote within "0.0.0.0/0"`,
 		`known(remote)`,
@@ -91,70 +91,70 @@
 		`length >= 0`,
 		`path startswith "/"`,
 	} {
-		if e, err := Compile(text, Bool, nil); err != nil || e.Matches(nobody) {
-			t.Errorf("%s holds for nobody: %v", text, err)
+		if e, err := Compile(text, Bool, nil); err != nil || e.Matches(emptyRequest) {
+			t.Errorf("%s: holds for an empty request, or Compile failed: %v", text, err)
 		}
 	}
 }
 
-// invalidCases maps invalid expressions to a part of their error.
+// invalidCases maps invalid expressions to a part of their error message.
 var invalidCases = map[string]string{
-	``: "column 1: the end stands where a value is missing", `path`: "column 1: it is a text; " +
-		"wanted is a condition", `path == 1`: "column 6: a text is compared with a number",
+	``: "column 1: found the end of the expression, expected a value", `path`: "column 1: it is a text; " +
+		"wanted is a condition", `path == 1`: "column 6: a text cannot be compared with a number",
 	`path and true`:          "there is no field and no expression named true",
 	`path and method == "x"`: `column 1: a side of "and" is a text; wanted is a condition`,
-	`not length`:             "column 5: what follows",
+	`not length`:             `column 5: the operand of "not"`,
 	`a`: "column 1: in a: column 1: in b: column 1: a " +
 		"stands for itself", `text`: "column 1: it is a text",
-	`bad == 1`:                   "in bad: column 4: the end stands",
-	`d39 == ""`:                  "could make",
+	`bad == 1`:                   "in bad: column 4: found the end of the expression",
+	`d39 == ""`:                  "could allocate",
 	`c39`:                        "could cost",
 	`school in []`:               "the list is empty",
-	`school in ["a", "a"]`:       "column 17: it stands twice",
-	`school in ["a", 1]`:         "column 17: the list is of a text each",
-	`school in [path]`:           "written out",
+	`school in ["a", "a"]`:       "column 17: the list contains this value twice",
+	`school in ["a", 1]`:         "column 17: each value of the list has to be a text",
+	`school in [path]`:           "as a literal",
 	`length == 1 == 2`:           "two comparisons in a row",
 	`1 < length < 3`:             "two comparisons in a row",
-	`path matches school`:        "the pattern has to be written out",
-	`path contains school`:       "written out",
+	`path matches school`:        "the pattern has to be a literal",
+	`path contains school`:       `the right side of "contains" has to be a literal`,
 	`remote within "10.0.0.1/8"`: "is 10.0.0.0/8 meant?",
-	`remote within "x"`:          "is no network",
-	`remote within path`:         "written out",
+	`remote within "x"`:          "is not a network",
+	`remote within path`:         "the network has to be a text literal",
 	`path within "10.0.0.0/8"`:   "is a text; wanted is an address",
-	`remote == remote`:           "does not compare an address",
-	`remote in ["x"]`:            "an address is in no list",
+	`remote == remote`:           "does not apply to an address",
+	`remote in ["x"]`:            "an address cannot be looked up in a list",
 	`part(path, "", 1) == ""`:    "the separator is empty",
-	`part(path, "/", 0-1) == ""`: "has to be written out",
-	`part(path, "/") == ""`:      "takes 3 values, and has 2",
-	`lower(1) == ""`:             "value 1 of lower is a number",
-	`nothing(1)`:                 "there is no function nothing",
-	`var(path) == ""`:            "has to be written out",
+	`part(path, "/", 0-1) == ""`: "has to be a literal",
+	`part(path, "/") == ""`:      "takes 3 argument(s), got 2",
+	`lower(1) == ""`:             "argument 1 of lower is a number",
+	`nothing(1)`:                 "there is no function named nothing",
+	`var(path) == ""`:            "has to be a literal",
 	`bucket(path, 0) == 0`:       "is not from 1",
 	`first(path, -1) == ""`:      "is not from 0",
-	`path - path == ""`:          "- does not go with",
-	`"a`:                         "has no end",
-	`"\n" == ""`:                 "a backslash stands before",
-	`path = "x"`:                 `'=' means nothing here`,
-	`12x == 1`:                   "12x is no whole number",
-	`path == "x" path`:           "path follows a whole expression",
-	`(path == "x"`:               `")" is missing`,
-	`- path == 1`:                "a minus stands before a number",
+	`path - path == ""`:          "- does not apply to",
+	`"a`:                         "has no closing quote",
+	`"\n" == ""`:                 "a backslash has to precede",
+	`path = "x"`:                 `unexpected character '='`,
+	`12x == 1`:                   "12x is not a whole number",
+	`path == "x" path`:           "unexpected path after the expression",
+	`(path == "x"`:               `expected ")"`,
+	`- path == 1`:                "a minus has to precede a number",
 	strings.Repeat(
 		"(",
 		70,
-	): "more than 64 deep", strings.Repeat(
+	): "more than 64 levels deep", strings.Repeat(
 		"not ",
 		70,
-	) + "a": "more than 64 deep", strings.Repeat(
+	) + "a": "more than 64 levels deep", strings.Repeat(
 		"x",
 		5000,
-	): "5000 bytes; 4096 is the most", "\xff": "not valid UTF-8",
-	`length not 1`: `"in" is missing`, `len(path, path) == 1`: "len takes 1 values",
+	): "5000 bytes, more than the limit of 4096", "\xff": "not valid UTF-8",
+	`length not 1`: `expected "in"`, `len(path, path) == 1`: "len takes only 1 argument",
 }
 
 func TestInvalidExpressionsAreRejectedWithTheirPlace(t *testing.T) {
 	names := Definitions{"a": "b and b", "b": "a", "text": `"x"`, "bad": "1 +", "d0": `school + school`}
-	for i := 1; i < 40; i++ { // each twice the one before
+	for i := 1; i < 40; i++ { // each definition costs twice as much as the one before
 		names[fmt.Sprint("d", i)] = fmt.Sprintf("d%d + d%d", i-1, i-1)
 		names[fmt.Sprint("c", i)] = fmt.Sprintf("c%d and c%d", i-1, i-1)
 	}
@@ -163,12 +163,12 @@
 		_, err := Compile(text, Bool, names)
 		var at *Error
 		if !errors.As(err, &at) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.40s: %v; want %s", text, err, want)
+			t.Errorf("Compile(%.40s) = %v, want an *Error with %q", text, err, want)
 		}
 	}
 	if _, err := Compile("school", Text, nil, "school"); err == nil ||
 		!strings.Contains(err.Error(), "not known yet") {
-		t.Error(err)
+		t.Error("a field that is not available yet: Compile returned", err)
 	}
 }
 
@@ -212,36 +212,37 @@
 		if got := table.Find(
 			&Request{Path: c.path, Method: c.method, School: c.school, Length: c.length},
 		); got != c.want {
-			t.Errorf("%+v: rule %d", c, got)
+			t.Errorf("Find() for case %+v = %d", c, got)
 		}
 	}
-	var behind *UnreachableRuleError
+	var unreachable *UnreachableRuleError
 	if _, err := NewRuleTable(
 		append(rules, Rule{"/ops/exam", when(`length == 1`)}),
-	); !errors.As(err, &behind) ||
-		behind.Rule != 5 ||
-		behind.Before != 4 {
-		t.Error(err)
+	); !errors.As(err, &unreachable) ||
+		unreachable.Rule != 5 ||
+		unreachable.Before != 4 {
+		t.Error("rule 5 is unreachable behind rule 4: NewRuleTable returned", err)
 	}
 	for range 60 {
 		rules = append(rules, Rule{"/x", when(`var("A") contains "x"`)})
 	}
 	if _, err := NewRuleTable(rules); err == nil ||
 		!strings.Contains(err.Error(), "conditions together could cost") {
-		t.Error(err)
+		t.Error("conditions that exceed MaxCost together: NewRuleTable returned", err)
 	}
 }
 
+// matchesPattern agrees with a naive recursive implementation.
 func TestPatternsMatchLikeAPlainReading(t *testing.T) {
-	var plain func(s, p string) bool
-	plain = func(s, p string) bool {
+	var naive func(s, p string) bool
+	naive = func(s, p string) bool {
 		if p == "" {
 			return s == ""
 		}
 		if p[0] == '*' {
-			return plain(s, p[1:]) || s != "" && plain(s[1:], p)
+			return naive(s, p[1:]) || s != "" && naive(s[1:], p)
 		}
-		return s != "" && s[0] == p[0] && plain(s[1:], p[1:])
+		return s != "" && s[0] == p[0] && naive(s[1:], p[1:])
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		s, p := rapid.StringMatching(
@@ -255,13 +256,13 @@
 			t,
 			"p",
 		)
-		if got := matchesPattern(s, strings.Split(p, "*")); got != plain(s, p) {
-			t.Fatalf("%q, %q: %v", s, p, got)
+		if got := matchesPattern(s, strings.Split(p, "*")); got != naive(s, p) {
+			t.Fatalf("text %q, pattern %q: matchesPattern() = %v, the naive implementation differs", s, p, got)
 		}
 	})
 }
 
-// Compiling any text ends, and what it compiles to stays within its bounds.
+// Compile returns for any text, and a compiled expression stays within its bounds.
 func FuzzCompile(f *testing.F) {
 	for _, s := range []string{
 		`both`,
@@ -281,7 +282,7 @@
 				continue
 			}
 			if e.Cost() > MaxCost {
-				t.Error(e.Cost())
+				t.Error("cost over MaxCost:", e.Cost())
 			}
 			for _, r := range []*Request{
 				request(),
@@ -295,15 +296,15 @@
 				if want == Bool {
 					e.Matches(r)
 				} else if n := len(e.Text(r)); n > maxFieldBytes+MaxTextBytes {
-					t.Errorf("%d bytes", n)
+					t.Errorf("evaluates to %d bytes, more than a field and MaxTextBytes together", n)
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkWorst evaluates expressions of the greatest cost on the longest fields, and reports the time
-// for one step.
+// BenchmarkWorst evaluates expressions of the highest allowed cost on fields of the maximum length,
+// and reports the time per step.
 func BenchmarkWorst(b *testing.B) {
 	long := strings.Repeat("b", maxFieldBytes-1) + "a"
 	r := &Request{
@@ -311,7 +312,7 @@
 		Query: strings.Repeat("a%41=b&", maxFieldBytes/7),
 		Var:   func(string) (string, bool) { return long, true },
 	}
-	for name, one := range map[string]string{
+	for name, condition := range map[string]string{
 		"contains": `path contains "aa"`,
 		"pattern":  `path matches "*a*a"`,
 		"part":     `part(path, "b", 1000) == "x"`,
@@ -321,13 +322,13 @@
 		"bucket":   `bucket(path, 7) == 9`,
 	} {
 		b.Run(name, func(b *testing.B) {
-			text, e := one, (*Expression)(nil)
+			text, e := condition, (*Expression)(nil)
 			for {
-				more, err := Compile(text, Bool, nil)
+				longer, err := Compile(text, Bool, nil)
 				if err != nil {
 					break
 				}
-				e, text = more, text+" or "+one
+				e, text = longer, text+" or "+condition
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -338,6 +339,7 @@
 	}
 }
 
+// BenchmarkUsual evaluates a condition of typical size on a typical request.
 func BenchmarkUsual(b *testing.B) {
 	e, err := Compile(
 		`school in ["north", "south"] and path startswith "/ops/exam" and `+
--- a/internal/match/node.go
+++ b/internal/match/node.go
@@ -5,22 +5,23 @@
 	"net/netip"
 )
 
-// node is a compiled part of an expression. The evaluation function of its result type is set.
+// node is a compiled subexpression. Of its evaluation functions only that of its result type is set.
 type node struct {
-	offset       int // byte of the source at which it begins
+	offset       int // in the source in bytes; of an infix operator, where the operator begins
 	resultType   Type
-	cost         int  // steps in the worst case, with its operands
-	maxLength    int  // bytes, if it is a text
-	maxAllocated int  // bytes of text that are allocated, with its operands
-	constant     bool // a literal: it may be evaluated without a request
+	cost         int  // worst case in steps, including the operands
+	maxLength    int  // of the result in bytes, if it is a text
+	maxAllocated int  // bytes of text that an evaluation allocates, including the operands
+	constant     bool // a literal, which can be evaluated with a nil request
 	evalBool     func(*Request) bool
 	evalInt      func(*Request) int64
 	evalText     func(*Request) string
 	evalAddr     func(*Request) netip.Addr
 }
 
-// withCost adds the costs of the operands to those of the node itself, and returns an error where
-// the sum exceeds MaxCost or MaxTextBytes. A definition counts at each place where it is used.
+// withCost sets the cost of the node to its own steps plus the costs of its operands, and adds the
+// text that the operands allocate. It returns an error if a sum exceeds MaxCost or MaxTextBytes. A
+// definition counts each time it is used.
 func (n *node) withCost(own int, operands ...*node) (*node, error) {
 	n.cost = own
 	for _, operand := range operands {
@@ -28,12 +29,12 @@
 		n.maxAllocated = min(n.maxAllocated+operand.maxAllocated, math.MaxInt32)
 	}
 	if n.cost > MaxCost {
-		return nil, errorAt(n.offset, "it could cost %d steps; %d is the most", n.cost, MaxCost)
+		return nil, errorAt(n.offset, "it could cost %d steps, more than the limit of %d", n.cost, MaxCost)
 	}
 	if n.maxAllocated > MaxTextBytes {
 		return nil, errorAt(
 			n.offset,
-			"it could make %d bytes of text; %d is the most",
+			"it could allocate %d bytes of text, more than the limit of %d",
 			n.maxAllocated,
 			MaxTextBytes,
 		)
@@ -41,7 +42,8 @@
 	return n, nil
 }
 
-// expectType returns an error where the node has another type. what names the place in the error.
+// expectType returns an error if the type of the node is not t. what describes the node in the error
+// message.
 func (n *node) expectType(t Type, what string) error {
 	if n.resultType != t {
 		return errorAt(n.offset, "%s is %v; wanted is %v", what, n.resultType, t)
@@ -49,10 +51,10 @@
 	return nil
 }
 
-// scanCost returns the cost in steps of reading that many bytes.
+// scanCost returns the cost in steps of reading a text of the given length in bytes.
 func scanCost(bytes int) int { return 1 + bytes/bytesPerStep }
 
-// textLiteral returns a node for a literal text.
+// textLiteral returns a node for a text literal at an offset in the source.
 func textLiteral(at int, s string) *node {
 	return &node{
 		offset:     at,
@@ -64,7 +66,7 @@
 	}
 }
 
-// intLiteral returns a node for a literal number.
+// intLiteral returns a node for a number literal at an offset in the source.
 func intLiteral(at int, v int64) *node {
 	return &node{
 		offset:     at,
--- a/internal/match/operators.go
+++ b/internal/match/operators.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// comparison tells whether a comparison operator holds where the left side is less than, equal to
-// and greater than the right side.
+// comparison defines a comparison operator: its elements state whether the operator holds if the
+// left side is less than, equal to, and greater than the right side.
 type comparison [3]bool
 
-// holds evaluates the operator for an order as cmp.Compare returns it: -1, 0 or 1.
+// holds evaluates the operator for a result of cmp.Compare: -1, 0 or 1.
 func (c *comparison) holds(order int) bool { return c[1+order] }
 
 // comparisons are the comparison operators.
@@ -28,7 +28,7 @@
 // compareValues compiles a comparison of two numbers or two texts.
 func compareValues(t token, a, b *node, operator *comparison) (*node, error) {
 	if a.resultType != b.resultType {
-		return nil, errorAt(t.offset, "%v is compared with %v", a.resultType, b.resultType)
+		return nil, errorAt(t.offset, "%v cannot be compared with %v", a.resultType, b.resultType)
 	}
 	n := &node{offset: t.offset, resultType: Bool}
 	switch a.resultType {
@@ -41,11 +41,11 @@
 		}
 		return n.withCost(scanCost(min(a.maxLength, b.maxLength)), a, b)
 	}
-	return nil, errorAt(t.offset, "%s does not compare %v", t.text, a.resultType)
+	return nil, errorAt(t.offset, "%s does not apply to %v", t.text, a.resultType)
 }
 
-// textSearches are the operators that look for one text in another. matches has a pattern as its
-// right side and no function here.
+// textSearches are the operators that search a text for another one. The entry of "matches" is nil:
+// its right side is a pattern, for which searchText calls matchesPattern.
 var textSearches = map[string]func(s, of string) bool{
 	"startswith": strings.HasPrefix,
 	"endswith":   strings.HasSuffix,
@@ -64,15 +64,15 @@
 	switch t.text {
 	case "matches":
 		if !b.constant {
-			return nil, errorAt(b.offset, "the pattern has to be written out")
+			return nil, errorAt(b.offset, "the pattern has to be a literal")
 		}
 		pieces := strings.Split(b.evalText(nil), "*")
 		n.evalBool = func(r *Request) bool { return matchesPattern(a.evalText(r), pieces) }
-		// The pieces are searched for once each, from left to right in the rest of the text.
+		// Each piece is searched for once, in the text that follows the piece before it.
 		return n.withCost(scanCost(a.maxLength)+len(pieces), a, b)
 	case "contains":
 		if !b.constant {
-			return nil, errorAt(b.offset, "what it contains has to be written out")
+			return nil, errorAt(b.offset, `the right side of "contains" has to be a literal`)
 		}
 		n.evalBool = func(r *Request) bool { return find(a.evalText(r), b.evalText(r)) }
 		return n.withCost(scanCost(a.maxLength), a, b)
@@ -82,7 +82,7 @@
 }
 
 // matchesPattern reports whether s consists of the pieces with any text between them. Taking the
-// first occurrence of each piece is sufficient.
+// first occurrence of each piece is sufficient, because it leaves the most text for the later ones.
 func matchesPattern(s string, pieces []string) bool {
 	last := len(pieces) - 1
 	if last == 0 {
@@ -105,20 +105,20 @@
 // withinNetwork compiles the test whether an address belongs to a network. An unknown address
 // belongs to none.
 func withinNetwork(t token, a, b *node) (*node, error) {
-	if err := a.expectType(Addr, `what is "within"`); err != nil {
+	if err := a.expectType(Addr, `the left side of "within"`); err != nil {
 		return nil, err
 	}
 	if b.resultType != Text || !b.constant {
-		return nil, errorAt(b.offset, "the network has to be written out, as a text")
+		return nil, errorAt(b.offset, "the network has to be a text literal")
 	}
 	network, err := netip.ParsePrefix(b.evalText(nil))
 	if err != nil {
-		return nil, errorAt(b.offset, "%q is no network, such as 10.0.0.0/8", b.evalText(nil))
+		return nil, errorAt(b.offset, "%q is not a network such as 10.0.0.0/8", b.evalText(nil))
 	}
 	if network != network.Masked() {
 		return nil, errorAt(
 			b.offset,
-			"%v has bits behind its length: is %v meant?",
+			"%v has bits set beyond its prefix length: is %v meant?",
 			network,
 			network.Masked(),
 		)
@@ -133,11 +133,11 @@
 // withinCost is the cost of testing whether an address belongs to a network, in steps.
 const withinCost = 2
 
-// addValues compiles the sum or difference of two numbers, which saturates at the limits of int64,
-// or the concatenation of two texts.
+// addValues compiles + and -: the sum or difference of two numbers, which saturates at the limits of
+// int64, or the concatenation of two texts.
 func addValues(t token, a, b *node) (*node, error) {
 	if a.resultType != b.resultType || a.resultType != Int && (a.resultType != Text || t.text == "-") {
-		return nil, errorAt(t.offset, "%s does not go with %v and %v", t.text, a.resultType, b.resultType)
+		return nil, errorAt(t.offset, "%s does not apply to %v and %v", t.text, a.resultType, b.resultType)
 	}
 	n := &node{offset: t.offset, resultType: a.resultType}
 	if a.resultType == Text {
@@ -149,14 +149,14 @@
 	n.evalInt = func(r *Request) int64 {
 		x, y := a.evalInt(r), b.evalInt(r)
 		if t.text == "-" {
-			y = -max(y, -math.MaxInt64) // the smallest number has no negation
+			y = -max(y, -math.MaxInt64) // the smallest int64 has no negation
 		}
 		return addSaturating(x, y)
 	}
 	return n.withCost(1, a, b)
 }
 
-// addSaturating adds two numbers; a sum beyond the limits of int64 is the nearest limit.
+// addSaturating adds two numbers. A sum beyond the limits of int64 becomes the nearest limit.
 func addSaturating(x, y int64) int64 {
 	sum := x + y
 	switch {
--- a/internal/match/parser.go
+++ b/internal/match/parser.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// parser is a recursive-descent parser that type-checks and compiles as it reads. From the loosest
-// to the tightest the operators are: or, and, not, comparisons, + and -.
+// parser is a recursive-descent parser that type-checks and compiles as it reads. The operators in
+// the order of increasing precedence are: or, and, not, comparisons, + and -.
 type parser struct {
 	definitions Definitions
 	unavailable []string         // fields that may not be used
-	compiled    map[string]*node // definitions that were used before
-	expanding   map[string]bool  // definitions that are being compiled, to find cycles
-	tokens      []token          // rest of the source
-	depth       int              // levels of nesting, as enter counts them
+	compiled    map[string]*node // definitions that were compiled already
+	expanding   map[string]bool  // definitions that are being compiled, to detect cycles
+	tokens      []token          // not consumed yet
+	depth       int              // current level of nesting, which enter counts
 }
 
-// newParser returns a parser that has no source yet.
+// newParser returns a parser without a source; parseSource gives it one.
 func newParser(definitions Definitions, unavailable []string) *parser {
 	return &parser{
 		definitions: definitions,
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if t := inner.peek(); t.kind != tokenEnd {
-		return nil, errorAt(t.offset, "%v follows a whole expression", t)
+		return nil, errorAt(t.offset, "unexpected %v after the expression", t)
 	}
 	return n, nil
 }
@@ -57,7 +57,7 @@
 	return t
 }
 
-// accept consumes the next token if it is that operator.
+// accept consumes the next token if it is the given operator, and reports whether it did.
 func (p *parser) accept(operator string) bool {
 	if t := p.peek(); t.kind == tokenOperator && t.text == operator {
 		p.next()
@@ -66,18 +66,19 @@
 	return false
 }
 
-// expect consumes that operator, or returns an error.
+// expect consumes the next token if it is the given operator, and returns an error otherwise.
 func (p *parser) expect(operator string) error {
 	if !p.accept(operator) {
-		return errorAt(p.peek().offset, "%v stands where %q is missing", p.peek(), operator)
+		return errorAt(p.peek().offset, "found %v, expected %q", p.peek(), operator)
 	}
 	return nil
 }
 
-// enter counts one level of nesting; the caller has to decrement depth when it leaves the level.
+// enter counts one more level of nesting, and returns an error if there are more than maxDepth. The
+// caller has to decrement depth when it leaves the level.
 func (p *parser) enter(offset int) error {
 	if p.depth++; p.depth > maxDepth {
-		return errorAt(offset, "it is more than %d deep", maxDepth)
+		return errorAt(offset, "it is nested more than %d levels deep", maxDepth)
 	}
 	return nil
 }
@@ -136,7 +137,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := a.expectType(Bool, `what follows "not"`); err != nil {
+		if err := a.expectType(Bool, `the operand of "not"`); err != nil {
 			return nil, err
 		}
 		negation := &node{
@@ -149,7 +150,7 @@
 	return p.parseComparison()
 }
 
-// parseComparison parses a value, or two values and how they are compared.
+// parseComparison parses a value, or two values with a comparison operator between them.
 func (p *parser) parseComparison() (*node, error) {
 	a, err := p.parseSum()
 	if err != nil {
@@ -166,7 +167,7 @@
 	case "not":
 		p.next()
 		if !p.accept("in") {
-			return nil, errorAt(p.peek().offset, `%v stands where "in" is missing`, p.peek())
+			return nil, errorAt(p.peek().offset, `found %v, expected "in"`, p.peek())
 		}
 		return p.parseMembership(t.offset, a, true)
 	}
@@ -217,7 +218,7 @@
 	return a, nil
 }
 
-// parseValue parses a literal, a name, a call or an expression in brackets.
+// parseValue parses a literal, a name, a function call or an expression in parentheses.
 func (p *parser) parseValue() (*node, error) {
 	t := p.next()
 	if err := p.enter(t.offset); err != nil {
@@ -233,7 +234,7 @@
 		if n := p.next(); n.kind == tokenNumber {
 			return intLiteral(t.offset, -n.number), nil
 		}
-		return nil, errorAt(t.offset, "a minus stands before a number, or between two")
+		return nil, errorAt(t.offset, "a minus has to precede a number literal or join two values")
 	case t.kind == tokenOperator && t.text == "(":
 		n, err := p.parseOr()
 		if err != nil {
@@ -245,11 +246,11 @@
 	case t.kind == tokenName:
 		return p.parseName(t)
 	}
-	return nil, errorAt(t.offset, "%v stands where a value is missing", t)
+	return nil, errorAt(t.offset, "found %v, expected a value", t)
 }
 
 // parseName resolves a name to a field or a definition. A definition is compiled once, and its cost
-// counts at each place where it is used.
+// counts each time it is used.
 func (p *parser) parseName(t token) (*node, error) {
 	if f, ok := fields[t.text]; ok {
 		if slices.Contains(p.unavailable, t.text) {
@@ -279,11 +280,11 @@
 	return n, nil
 }
 
-// parseCall parses the arguments of a function up to the closing bracket.
+// parseCall parses the arguments of a function up to the closing parenthesis, and compiles the call.
 func (p *parser) parseCall(t token) (*node, error) {
 	f, ok := lookUpFunction(t.text)
 	if !ok {
-		return nil, errorAt(t.offset, "there is no function %s", t.text)
+		return nil, errorAt(t.offset, "there is no function named %s", t.text)
 	}
 	var arguments []*node
 	for !p.accept(")") {
@@ -293,26 +294,26 @@
 			}
 		}
 		if len(arguments) == len(f.parameters) {
-			return nil, errorAt(p.peek().offset, "%s takes %d values", t.text, len(f.parameters))
+			return nil, errorAt(p.peek().offset, "%s takes only %d argument(s)", t.text, len(f.parameters))
 		}
 		a, err := p.parseOr()
 		if err != nil {
 			return nil, err
 		}
 		want := f.parameters[len(arguments)]
-		place := fmt.Sprintf("value %d of %s", len(arguments)+1, t.text)
+		place := fmt.Sprintf("argument %d of %s", len(arguments)+1, t.text)
 		if err := a.expectType(want.resultType, place); err != nil {
 			return nil, err
 		}
 		if want.constant && !a.constant {
-			return nil, errorAt(a.offset, "%s has to be written out", place)
+			return nil, errorAt(a.offset, "%s has to be a literal", place)
 		}
 		arguments = append(arguments, a)
 	}
 	if len(arguments) < len(f.parameters) {
 		return nil, errorAt(
 			t.offset,
-			"%s takes %d values, and has %d",
+			"%s takes %d argument(s), got %d",
 			t.text,
 			len(f.parameters),
 			len(arguments),
--- a/internal/match/rules.go
+++ b/internal/match/rules.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// noRule is the index that is returned where no rule applies.
+// noRule is returned in place of the index of a rule if no rule applies.
 const noRule = -1
 
 // Rule selects the requests below a path prefix for which a condition holds.
@@ -19,12 +19,12 @@
 // RuleTable finds the rule that applies to a request. It is immutable.
 type RuleTable struct {
 	rules []Rule
-	order []int // indexes of rules: longer prefixes first, then as listed
-	cost  int
+	order []int // indexes into rules: longest prefix first, then as listed
+	cost  int   // worst case of all conditions together, in steps
 }
 
-// NewRuleTable returns a table of the rules. A rule that no request can reach is an
-// *UnreachableRuleError; conditions that together exceed MaxCost are an error too.
+// NewRuleTable returns a table of the rules. It returns an *UnreachableRuleError for a rule that no
+// request can reach, and an error if the costs of the conditions together exceed MaxCost.
 func NewRuleTable(rules []Rule) (*RuleTable, error) {
 	t := &RuleTable{rules: rules}
 	unconditional := map[string]int{} // indexes of rules without a condition, by prefix
@@ -41,7 +41,7 @@
 	}
 	if t.cost > MaxCost {
 		return nil, fmt.Errorf(
-			"the conditions together could cost %d steps for one request; %d is the most",
+			"the conditions together could cost %d steps for one request, more than the limit of %d",
 			t.cost,
 			MaxCost,
 		)
@@ -55,13 +55,13 @@
 // Matcher derives the tenant of a request and finds the rule that applies to it.
 type Matcher struct {
 	Rules          *RuleTable
-	School         *Expression // tenant of a request; nil: SchoolVariable holds it
-	SchoolVariable string      // name of the variable with the tenant
-	DefaultSchool  string      // tenant of requests that name none
+	School         *Expression // derives the tenant; nil: SchoolVariable holds it
+	SchoolVariable string      // name of the request variable that holds the tenant
+	DefaultSchool  string      // tenant of requests for which the above give an empty text
 }
 
 // Match sets the tenant of a request, which the conditions may use, and returns the index of the
-// rule that applies, or -1.
+// rule that applies, or -1 if none does.
 func (m *Matcher) Match(r *Request) int {
 	if m.School != nil {
 		r.School = m.School.Text(r)
@@ -75,8 +75,8 @@
 // Cost returns the worst-case cost of a rule's condition in steps.
 func (t *RuleTable) Cost(rule int) int { return t.rules[rule].Condition.Cost() }
 
-// UnreachableRuleError reports a rule that never applies, as an earlier one with the same prefix
-// applies to all of its requests.
+// UnreachableRuleError reports a rule that never applies, because an earlier rule with the same
+// prefix and without a condition applies to all of its requests.
 type UnreachableRuleError struct {
 	Rule   int // index of the rule
 	Before int // index of the earlier rule
@@ -90,8 +90,8 @@
 	)
 }
 
-// Find returns the index of the rule that applies to a request, or -1: of the rules whose condition
-// holds, the first one with the longest prefix.
+// Find returns the index of the rule that applies to a request, or -1 if none does. Of the rules that
+// match the request, the one with the longest prefix applies; of several such rules, the first.
 func (t *RuleTable) Find(r *Request) int {
 	for _, i := range t.order {
 		if t.rules[i].matches(r) {
