--- a/internal/protocol/cgi/cgi.go
+++ b/internal/protocol/cgi/cgi.go
@@ -2,9 +2,9 @@
 // that the runner and the server behind it cannot disagree about which of two values counts. It
 // does no I/O. The uwsgi frontend uses it.
 //
-// Variables that identify a request (its method, path, length, tenant, key) have one value; a
-// second, different one is an error. Other variables of one name are joined (RFC 3875, 4.1.18). The
-// result has each name once.
+// A variable that identifies a request (its method, path, length, tenant, key) may have one value
+// only: a second, different value is an error. Repeated variables of any other name are joined
+// (RFC 3875, 4.1.18). The result has each name once.
 package cgi
 
 import (
@@ -23,7 +23,7 @@
 	"ryepaddle/internal/protocol/httpmessage"
 )
 
-// Variable is one variable of a request, under its CGI name.
+// Variable is one variable of a request, with its CGI name.
 type Variable struct{ Name, Value string }
 
 // Error reports a request that is rejected.
@@ -43,24 +43,25 @@
 // Request is a normalized request.
 type Request struct {
 	Method string
-	// Path is PATH_INFO, or SCRIPT_NAME where that is empty, without dot segments.
+	// Path is PATH_INFO, or SCRIPT_NAME if PATH_INFO is empty, without dot segments.
 	Path    string
 	Query   string
 	Host    string
 	Scheme  string     // http or https
 	Remote  netip.Addr // address of the caller; invalid: unknown
-	Length  int64      // stated length of the body in bytes; -1: none
+	Length  int64      // stated length of the body in bytes; -1: not stated
 	Chunked bool       // the body has the chunked transfer coding
-	// UntilClose tells that the body ends as the caller closes its side of the connection: it has
-	// the transfer coding identity and no length.
+	// UntilClose reports that the body ends when the caller closes its side of the connection: it
+	// has the transfer coding identity and no stated length.
 	UntilClose bool
-	// ExpectsContinue tells that the caller sends the body only after an interim response.
+	// ExpectsContinue reports that the caller waits for an interim response (100 Continue) before it
+	// sends the body.
 	ExpectsContinue bool
 	Variables       []Variable // each name once
 }
 
-// identifying are the variables that may have one value only, in addition to those that the caller
-// of Read names.
+// identifying lists the variables that may have one value only, in addition to those that are
+// passed to Read.
 var identifying = []string{
 	"REQUEST_METHOD",
 	"PATH_INFO",
@@ -101,7 +102,7 @@
 	return "", false
 }
 
-// MatchRequest returns the request as expressions see it.
+// MatchRequest returns the properties of the request that match expressions use.
 func (r *Request) MatchRequest() *match.Request {
 	return &match.Request{
 		Method: r.Method,
@@ -115,7 +116,7 @@
 	}
 }
 
-// Read normalizes a request. alsoIdentifying are further variables that may have one value only.
+// Read normalizes a request. alsoIdentifying names further variables that may have one value only.
 // All errors are *Error.
 func Read(variables []Variable, alsoIdentifying ...string) (*Request, error) {
 	r, err := merge(variables, alsoIdentifying)
@@ -135,7 +136,7 @@
 	return r, nil
 }
 
-// merge returns a request with each variable once.
+// merge returns a request that has each variable once, with repeated ones joined.
 func merge(variables []Variable, alsoIdentifying []string) (*Request, error) {
 	if len(variables) > maxVariables {
 		return nil, &Error{
@@ -162,7 +163,8 @@
 	return r, nil
 }
 
-// join adds a second value of the variable.
+// join adds another value of the same name to the variable. It returns an error if the variable may
+// have one value only and the values differ.
 func (v *Variable) join(value string, alsoIdentifying []string) error {
 	switch {
 	case v.Value == value:
@@ -184,7 +186,7 @@
 	return slices.Contains(identifying, name) || slices.Contains(also, name)
 }
 
-// check rejects a variable that a server could take for another one, or for two.
+// check rejects a variable that a server could mistake for another variable, or for two.
 func check(v Variable, alsoIdentifying []string) error {
 	if v.Name == "" || strings.ContainsAny(v.Name, "=\x00\r\n") {
 		return badRequest("a variable named %q", v.Name)
@@ -193,7 +195,7 @@
 	if strings.ContainsFunc(v.Value, isControl) {
 		return badRequest("%s holds a control character", v.Name)
 	}
-	// A server that folds names reads http-x-dedupe-key as HTTP_X_DEDUPE_KEY.
+	// A server that normalizes names reads http-x-dedupe-key as HTTP_X_DEDUPE_KEY.
 	folded := strings.ToUpper(strings.ReplaceAll(v.Name, "-", "_"))
 	if folded != v.Name && (isIdentifying(folded, alsoIdentifying) || strings.HasPrefix(folded, "HTTP_")) {
 		return badRequest("a variable named %q, which reads like %s", v.Name, folded)
@@ -217,7 +219,7 @@
 	r.Variables = slices.DeleteFunc(r.Variables, func(v Variable) bool { return v.Name == name })
 }
 
-// readMethod sets the method and the scheme.
+// readMethod sets the method, POST by default, and the scheme, http by default.
 func (r *Request) readMethod() error {
 	r.Method = cmp.Or(r.Get("REQUEST_METHOD"), "POST")
 	if !httpmessage.IsToken(r.Method) {
@@ -234,7 +236,8 @@
 }
 
 // readPath sets the path, without dot segments, and the query. A REQUEST_URI that differs from
-// them, such as one from before a rewrite, is replaced, since a server may use either.
+// them, for example because the web server rewrote the path, is replaced, since a server may use
+// either.
 func (r *Request) readPath() error {
 	for _, name := range []string{"PATH_INFO", "SCRIPT_NAME"} {
 		given := r.Get(name)
@@ -305,7 +308,7 @@
 	return clean, nil
 }
 
-// readBody decides how the body is framed. Two framings at once are an error, since they would
+// readBody determines how the body is framed. Two framings at once are an error, since they would
 // allow request smuggling.
 func (r *Request) readBody() error {
 	for _, read := range []func() error{r.readLength, r.readTransferEncoding, r.readExpect} {
@@ -336,7 +339,8 @@
 	return nil
 }
 
-// readTransferEncoding sets the framing of a body by its transfer coding.
+// readTransferEncoding sets the framing of a body that has a transfer coding. readLength has to run
+// before it.
 func (r *Request) readTransferEncoding() error {
 	hasLength := r.Length >= 0
 	switch coding := strings.ToLower(strings.Trim(r.Get("HTTP_TRANSFER_ENCODING"), " \t")); {
@@ -356,13 +360,13 @@
 	return nil
 }
 
-// readExpect notes whether the caller waits for an interim response before it sends the body.
+// readExpect sets whether the caller waits for an interim response before it sends the body.
 func (r *Request) readExpect() error {
 	switch expect := strings.ToLower(r.Get("HTTP_EXPECT")); {
 	case expect == "":
 	case expect != "100-continue":
 		return &Error{Status: http.StatusExpectationFailed, Reason: fmt.Sprintf("HTTP_EXPECT %q", expect)}
-	default: // the runner answers it; the server gets the complete body
+	default: // the runner sends the interim response, and the server gets the complete body
 		r.ExpectsContinue = r.Chunked || r.Length > 0
 		r.remove("HTTP_EXPECT")
 	}
--- a/internal/protocol/cgi/cgi_test.go
+++ b/internal/protocol/cgi/cgi_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// vars reads "A=b C=d" with _ for a space in a value.
+// vars parses variables in the form "A=b C=d", with ~ for a space in a value.
 func vars(text string) (out []Variable) {
 	for _, pair := range strings.Fields(text) {
 		name, value, _ := strings.Cut(pair, "=")
@@ -23,7 +23,7 @@
 func TestRequestsAreNormalized(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{
-			"alike twice",
+			"the same value twice",
 			"PATH_INFO=/a HTTP_X_DEDUPE_KEY=k HTTP_X_DEDUPE_KEY=k",
 			"PATH_INFO=/a HTTP_X_DEDUPE_KEY=k",
 		},
@@ -34,34 +34,34 @@
 		},
 		{"dot segments", "PATH_INFO=/a/./b//../c/ SCRIPT_NAME=/s", "PATH_INFO=/a/c/ SCRIPT_NAME=/s"},
 		{
-			"a URI that agrees stays",
+			"a URI that agrees with the path and the query is kept",
 			"PATH_INFO=/a~b QUERY_STRING=x=1 REQUEST_URI=/a%20b?x=1",
 			"PATH_INFO=/a~b QUERY_STRING=x=1 REQUEST_URI=/a%20b?x=1",
 		},
 		{
-			"a URI that does not is written anew",
+			"a URI that differs from the path and the query is replaced",
 			"PATH_INFO=/a QUERY_STRING=x=1 REQUEST_URI=/old?y=2",
 			"PATH_INFO=/a QUERY_STRING=x=1 REQUEST_URI=/a?x=1",
 		},
 		{
-			"a URI that hides another path",
+			"a URI with an encoded slash that leads to another path is replaced",
 			"PATH_INFO=/ops/quick-check REQUEST_URI=/ops/x/..%2fhand-in",
 			"PATH_INFO=/ops/quick-check REQUEST_URI=/ops/quick-check",
 		},
 		{"a URI without a path", "PATH_INFO=/ REQUEST_URI=A:", "PATH_INFO=/ REQUEST_URI=/"},
 		{
-			"under a script",
+			"a path below SCRIPT_NAME",
 			"SCRIPT_NAME=/app PATH_INFO=/a REQUEST_URI=/app/a",
 			"SCRIPT_NAME=/app PATH_INFO=/a REQUEST_URI=/app/a",
 		},
 		{
-			"expect is answered here",
+			"HTTP_EXPECT is removed",
 			"PATH_INFO=/a CONTENT_LENGTH=5 HTTP_EXPECT=100-Continue",
 			"PATH_INFO=/a CONTENT_LENGTH=5",
 		},
-		{"an address that is none", "PATH_INFO=/a REMOTE_ADDR=unix:", "PATH_INFO=/a"},
+		{"a malformed REMOTE_ADDR is removed", "PATH_INFO=/a REMOTE_ADDR=unix:", "PATH_INFO=/a"},
 		{
-			"others' variables",
+			"variables of other programs are kept",
 			"PATH_INFO=/a wsgi.url_scheme=http UWSGI_FILE=x",
 			"PATH_INFO=/a wsgi.url_scheme=http UWSGI_FILE=x",
 		},
@@ -94,7 +94,7 @@
 		r, err := Read(vars(in))
 		if err != nil || r.Length != want.Length || r.Chunked != want.Chunked || r.UntilClose != want.UntilClose ||
 			r.ExpectsContinue != want.ExpectsContinue {
-			t.Errorf("%s: %+v, %v", in, r, err)
+			t.Errorf("Read(%s) = %+v, error %v: not the wanted framing", in, r, err)
 		}
 	}
 }
@@ -134,16 +134,15 @@
 		_, err := Read(vars(c.in), key)
 		var e *Error
 		if !errors.As(err, &e) || e.Status != c.status || !strings.Contains(e.Reason, c.want) {
-			t.Errorf("%s: %v, want %d %s", c.in, err, c.status, c.want)
+			t.Errorf("Read(%s): error %v, want status %d and a reason with %q", c.in, err, c.status, c.want)
 		}
 	}
 	if _, err := Read([]Variable{{"HTTP_A", "x\r\nB: c"}}); err == nil {
-		t.Error("a line end was passed on")
+		t.Error("Read accepted a value that contains a line end")
 	}
 }
 
-// Reading what was read gives the same: two hops in a row cannot disagree. And each name comes
-// once.
+// Read is idempotent, so that two hops in a row cannot disagree, and its result has each name once.
 func TestEachIdentifyingVariableHasOneValue(t *testing.T) {
 	name := rapid.SampledFrom(
 		[]string{"PATH_INFO", "SCRIPT_NAME", "REQUEST_URI", "QUERY_STRING", "HTTP_ACCEPT", "HTTP_COOKIE",
@@ -176,7 +175,7 @@
 		}
 		twice, err := Read(once.Variables, key)
 		if err != nil {
-			t.Fatalf("what was read is refused: %v", err)
+			t.Fatalf("Read rejected its own result: %v", err)
 		}
 		if diff := cmp.Diff(once.Variables, twice.Variables); diff != "" {
 			t.Fatalf("(-once +twice)\n%s", diff)
@@ -184,13 +183,14 @@
 		seen := map[string]bool{}
 		for _, v := range once.Variables {
 			if seen[v.Name] {
-				t.Fatalf("%s comes twice", v.Name)
+				t.Fatalf("the result has %s twice", v.Name)
 			}
 			seen[v.Name] = true
 		}
 	})
 }
 
+// FuzzRead checks that paths begin with / and have no .. segments, and that Read is idempotent.
 func FuzzRead(f *testing.F) {
 	f.Add("/a/../b", "x=1", "/b?x=1", "host")
 	f.Fuzz(func(t *testing.T, path, query, uri, host string) {
@@ -206,11 +206,11 @@
 			return
 		}
 		if strings.Contains(r.Path+"/", "/../") || path != "" && !strings.HasPrefix(r.Path, "/") {
-			t.Fatalf("path %q", r.Path)
+			t.Fatalf("Path = %q, want one without .. segments that begins with /", r.Path)
 		}
 		again, err := Read(r.Variables)
 		if err != nil || again.Path != r.Path || again.Get("REQUEST_URI") != r.Get("REQUEST_URI") {
-			t.Fatalf("%+v, then %+v, %v", r, again, err)
+			t.Fatalf("the first Read returned %+v, the second Read %+v, %v", r, again, err)
 		}
 	})
 }
--- a/internal/protocol/fastcgi/fastcgi.go
+++ b/internal/protocol/fastcgi/fastcgi.go
@@ -8,7 +8,7 @@
 	"fmt"
 )
 
-// Types of records (specification, section 8).
+// Record types (specification, section 8).
 const (
 	BeginRequest    = 1
 	AbortRequest    = 2
@@ -23,7 +23,7 @@
 	UnknownType     = 11
 )
 
-// Responder is the only role that is served.
+// Responder is the only role that the frontend serves.
 const Responder = 1
 
 // KeepConnection is the flag of a BeginRequest that asks to keep the connection open.
@@ -42,13 +42,13 @@
 	headerSize = 8
 	maxContent = 65535
 	maxPadding = 255
-	bodySize   = 8 // of a BeginRequest and an EndRequest
-	alignment  = 8 // to which the content of a record is padded
+	bodySize   = 8 // of the content of a BeginRequest and of an EndRequest
+	alignment  = 8 // records are padded to a multiple of it
 	// MaxRecord is the largest size of a record.
 	MaxRecord = headerSize + maxContent + maxPadding
 )
 
-// Offsets in the header of a record, and in the bodies of a BeginRequest and an EndRequest.
+// Offsets in the header of a record, and in the contents of a BeginRequest and an EndRequest.
 const (
 	typeOffset           = 1
 	idOffset             = 2
@@ -58,14 +58,14 @@
 	protocolStatusOffset = 4
 )
 
-// version is the protocol version of a record.
+// version is the protocol version, the first byte of a record's header.
 const version = 1
 
 // reserved is the last byte of a record's header.
 const reserved = 0
 
-// Lengths of names and values take one byte up to maxShortLength, and else four bytes with the
-// highest bit set.
+// The length of a name or value is encoded in one byte up to maxShortLength, and otherwise in four
+// bytes with the highest bit set.
 const (
 	maxShortLength = 127
 	longLengthFlag = 1 << 31
@@ -86,8 +86,8 @@
 }
 
 // Read decodes one record from the front of b and returns how many bytes it takes, or 0 if b holds
-// only a part of it. A record of more than maxSize bytes is ErrRecordTooLong as soon as its header
-// is there.
+// only a part of it. For a record of more than maxSize bytes it returns ErrRecordTooLong as soon as
+// b holds the header.
 func Read(b []byte, maxSize int) (Record, int, error) {
 	if len(b) > 0 && b[0] != version {
 		return Record{}, 0, ErrVersion
@@ -111,8 +111,8 @@
 	}, size, nil
 }
 
-// Append appends a record to b. Content that exceeds one record is split over several; empty
-// content makes one empty record, which ends a stream.
+// Append appends a record to b. Content that exceeds one record is split over several. Empty
+// content results in one empty record, which ends a stream.
 func Append(b []byte, typ uint8, id uint16, content []byte) []byte {
 	for first := true; first || len(content) > 0; first = false {
 		part := content[:min(len(content), maxContent)]
@@ -137,7 +137,7 @@
 // ReadBegin decodes the content of a BeginRequest.
 func ReadBegin(content []byte) (BeginRequestBody, error) {
 	if len(content) < bodySize {
-		return BeginRequestBody{}, fmt.Errorf("%w: begin of %d bytes", ErrTruncated, len(content))
+		return BeginRequestBody{}, fmt.Errorf("%w: BeginRequest with a body of %d bytes", ErrTruncated, len(content))
 	}
 	return BeginRequestBody{
 		Role:           binary.BigEndian.Uint16(content),
@@ -175,8 +175,8 @@
 	return append(append(b, name...), value...)
 }
 
-// ReadPairs calls fn for each name and value of a complete Params stream. A stream that ends within
-// a pair is ErrTruncated.
+// ReadPairs calls fn for each name and value of a complete Params stream. It returns ErrTruncated if
+// the stream ends within a pair.
 func ReadPairs(b []byte, fn func(name, value string)) error {
 	for len(b) > 0 {
 		nameLength, rest, ok := readLength(b)
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// readLength decodes the length of a name or value.
+// readLength decodes the length of a name or value from the front of b, and returns the rest of b.
 func readLength(b []byte) (length int, rest []byte, ok bool) {
 	switch {
 	case len(b) >= 1 && b[0] <= maxShortLength:
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// FuzzRead feeds records in any split: the same ones must come out as from the whole.
+// FuzzRead decodes a stream in pieces: the records must be the same as those of the whole stream.
 func FuzzRead(f *testing.F) {
 	f.Add(Append(AppendBegin(nil, 1, BeginRequestBody{Responder, true}), Stdin, 1, []byte("body")), uint8(3))
 	f.Add(AppendEnd(Append(nil, 77, 9, bytes.Repeat([]byte("x"), 300)), 9, 1, Overloaded), uint8(200))
@@ -33,7 +33,7 @@
 	})
 }
 
-// Content over the size of one record comes as several, and nothing of it is lost.
+// Content that exceeds one record is split over several without loss.
 func TestLongContentIsSplit(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789"), 7000)
 	recs, err := drain(Append(nil, Stdout, 3, long))
@@ -42,10 +42,11 @@
 		got = append(got, r.Content...)
 	}
 	if err != nil || len(recs) != 2 || !bytes.Equal(got, long) {
-		t.Fatalf("%d records, %d bytes, %v", len(recs), len(got), err)
+		t.Fatalf("got %d records, %d bytes, error %v; want 2 records with all the content", len(recs), len(got), err)
 	}
 }
 
+// drain decodes all complete records of b.
 func drain(b []byte) (out []Record, err error) {
 	for {
 		r, n, err := Read(b, MaxRecord)
@@ -72,7 +73,7 @@
 			continue
 		}
 		if ReadPairs(b[:i], func(string, string) {}) == nil {
-			t.Errorf("%d of %d bytes are read as whole", i, len(b))
+			t.Errorf("ReadPairs of the first %d of %d bytes returned no error", i, len(b))
 		}
 	}
 }
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -24,7 +24,7 @@
 // crlf ends each line and the data of each chunk.
 const crlf = "\r\n"
 
-// framing is how the end of a body is found.
+// framing is the way in which the end of a body is determined.
 type framing uint8
 
 const (
@@ -61,10 +61,10 @@
 // BodyUntilClose returns a reader of a body that ends with the stream.
 func BodyUntilClose() *Body { return &Body{framing: framedByClose} }
 
-// Next decodes what it can from the front of b; end tells that the stream ends behind b. data is a
-// slice of b, and done reports the end of the body, behind which nothing is used. If nothing is
-// used and done is false, more input is needed. A body that is incomplete at the end of the stream
-// is io.ErrUnexpectedEOF.
+// Next decodes the next part of the body from the front of b, of which it uses the given number of
+// bytes. end states that the stream ends after b. data is a slice of b. done reports the end of the
+// body; no input is used after it. If no bytes are used and done is false, more input is needed. For
+// a body that is incomplete at the end of the stream it returns io.ErrUnexpectedEOF.
 func (r *Body) Next(b []byte, end bool) (data []byte, used int, done bool, err error) {
 	if r.done {
 		return nil, 0, true, nil
@@ -82,14 +82,15 @@
 		data, used, done, err = r.nextChunkPart(b)
 	}
 	r.done = done
-	// The stream may also end within a chunk's line, with input left that is not a complete line.
+	// The stream may also end within the size line of a chunk, with input that is not a complete line.
 	if err == nil && !done && end && (used == 0 || used == len(b)) {
 		err = io.ErrUnexpectedEOF
 	}
 	return data, used, done, err
 }
 
-// take returns the part of b that belongs to what remains, and counts it.
+// take returns the part of b that belongs to the body or the current chunk, and subtracts its length
+// from the remaining bytes.
 func (r *Body) take(b []byte) []byte {
 	n := int(min(r.remaining, int64(len(b))))
 	r.remaining -= int64(n)
@@ -148,7 +149,7 @@
 }
 
 // readTrailerLine decodes one line of the trailer section, which ends with an empty line. Fields
-// are checked and not passed on.
+// are validated and discarded.
 func (r *Body) readTrailerLine(b []byte) (used int, done bool, err error) {
 	line, used, err := crlfLine(b, maxTrailerBytes-r.trailerBytes, ErrTrailerTooLong)
 	if err != nil || used == 0 {
@@ -164,8 +165,9 @@
 	return used, false, nil
 }
 
-// crlfLine returns the line at the front of b without its end, and how many bytes it takes with it,
-// or 0 if it is incomplete. A line of more than maxBytes is the error tooLong.
+// crlfLine returns the line at the front of b without its line end, and how many bytes it takes
+// including the line end, or 0 if it is incomplete. For a line of more than maxBytes it returns the
+// error tooLong.
 func crlfLine(b []byte, maxBytes int, tooLong error) (line []byte, used int, err error) {
 	i := bytes.IndexByte(b[:min(len(b), maxBytes+1)], '\n')
 	switch {
@@ -179,7 +181,7 @@
 	return b[:i-1], i + 1, nil
 }
 
-// chunkSize decodes the size in bytes at the front of a chunk's line. Extensions are ignored.
+// chunkSize decodes the size in bytes from the size line of a chunk. Extensions are ignored.
 func chunkSize(line []byte) (int64, error) {
 	size, extensions, _ := bytes.Cut(line, []byte(";"))
 	size = bytes.TrimRight(size, " \t")
--- a/internal/protocol/httpmessage/head.go
+++ b/internal/protocol/httpmessage/head.go
@@ -1,6 +1,7 @@
-// Package httpmessage reads HTTP/1.x responses (RFC 9112) and CGI responses (RFC 3875, 6), as the
-// back end and uwsgi servers send them, and message bodies of both directions. It does no I/O.
-// Packages backend and upstream read responses with it, and the uwsgi frontend bodies of requests.
+// Package httpmessage parses HTTP/1.x responses (RFC 9112) and CGI responses (RFC 3875, 6), as the
+// back end and uwsgi servers send them, and the message bodies of requests and responses. It does no
+// I/O. Packages backend and upstream parse responses with it, and the uwsgi frontend the bodies of
+// requests.
 package httpmessage
 
 import (
@@ -18,10 +19,10 @@
 // ErrHeadTooLong reports a head of more than MaxHeadBytes.
 var ErrHeadTooLong = errors.New("head over its limit")
 
-// SyntaxError reports a part of a message that cannot be read, or that could be read in two ways.
+// SyntaxError reports a part of a message that is malformed or ambiguous.
 type SyntaxError struct {
 	Part  string // such as "status line" or the name of a header field
-	Value string // as received; empty: Part says it all
+	Value string // as received; empty: Part describes the fault
 }
 
 // Error implements error.
@@ -54,20 +55,20 @@
 	return ""
 }
 
-// isInterim reports whether the response is interim (1xx), with a final one to follow.
+// isInterim reports whether the response is interim (1xx), so that a final one follows it.
 func (h *Head) isInterim() bool { return h.Status < http.StatusOK }
 
-// hasNoBody reports whether a response of that status never has a body (RFC 9112, 6.3).
+// hasNoBody reports whether a response with this status never has a body (RFC 9112, 6.3).
 func (h *Head) hasNoBody() bool {
 	return h.Status == http.StatusNoContent || h.Status == http.StatusNotModified
 }
 
-// headEnd is the end of the last line of a head, and its empty line.
+// headEnd is the end of the last line of a head, followed by the empty line that ends the head.
 var headEnd = []byte("\r\n\r\n")
 
-// Read decodes the head of a final response from the front of b and returns how many bytes it takes
-// with the interim responses before it, or 0 if b holds only a part of it. Lines have to end with
-// CRLF, and transfer codings are not accepted.
+// Read decodes the head of a final response from the front of b. It returns how many bytes the head
+// takes, including the interim responses before it, or 0 if b holds only a part of it. Lines have to
+// end with CRLF, and identity is the only transfer coding that is accepted.
 func Read(b []byte) (*Head, int, error) {
 	for used := 0; ; {
 		head, _, ok := bytes.Cut(b[used:], headEnd)
@@ -88,7 +89,7 @@
 	}
 }
 
-// parse decodes a head without its empty line.
+// parse decodes a head, without the empty line that ends it.
 func parse(text string) (*Head, error) {
 	lines := strings.Split(text, "\r\n")
 	h := &Head{Length: -1}
@@ -110,7 +111,8 @@
 // ASCII.
 func isSpaceControlOrNonASCII(r rune) bool { return r <= ' ' || r >= 0x7f }
 
-// parseStrictField adds a header field. The body has to be framed by its length alone.
+// parseStrictField decodes a header field and adds it. It rejects transfer codings other than
+// identity, since the body has to be framed by its length alone.
 func (h *Head) parseStrictField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsFunc(name, isSpaceControlOrNonASCII) {
--- a/internal/protocol/httpmessage/head_test.go
+++ b/internal/protocol/httpmessage/head_test.go
@@ -9,16 +9,16 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// reading is all that a response came to.
+// reading is the result of reading a response.
 type reading struct {
 	Head *Head
 	Body []byte
 	Done bool
-	Left int // bytes that were not taken
+	Left int // bytes that were not used
 	Err  string
 }
 
-// read reads a response that comes in pieces of the given sizes, the last repeated.
+// read reads a response that arrives in pieces of the given sizes, the last of which is repeated.
 func read(text []byte, headOnly bool, sizes ...int) reading {
 	r, got, have := NewResponseReader(headOnly), reading{Body: []byte{}}, []byte{}
 	for i := 0; ; {
@@ -26,7 +26,7 @@
 		for {
 			ev, n, err := r.Next(have, end)
 			if err != nil {
-				return reading{Err: kind(err)} // what was read of it before does not count
+				return reading{Err: kind(err)} // the parts that were read before are dropped
 			}
 			have = have[n:]
 			got.Body = append(got.Body, ev.Data...)
@@ -51,6 +51,7 @@
 	}
 }
 
+// kind returns "cut" for a truncated response, and "bad" for any other error.
 func kind(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return "cut"
@@ -68,7 +69,8 @@
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
 }
 
-// Whatever a response is and however it is split, it reads the same.
+// FuzzAnySplit checks that the result of reading a response does not depend on how its input is
+// split.
 func FuzzAnySplit(f *testing.F) {
 	for _, s := range seeds {
 		f.Add([]byte(s), 3, 7, false)
@@ -84,21 +86,22 @@
 			}
 		}
 		if whole.Done && whole.Head == nil {
-			t.Fatal("done without a head")
+			t.Fatal("the response is reported complete, but has no head")
 		}
 	})
 }
 
-// Cut at every byte, a response that states its end is never taken for whole.
+// A response that states its length or is chunked is never reported complete when it is truncated,
+// at whichever byte.
 func TestTruncatedResponsesAreUnexpectedEOF(t *testing.T) {
 	for _, s := range seeds[:2] {
 		text := []byte(s[:len(s)-len("extra")])
 		if r := read(text, false, len(text)); !r.Done || string(r.Body) != "body" || r.Left != 0 {
-			t.Fatalf("%+v", r)
+			t.Fatalf("reading the complete response gave %+v", r)
 		}
 		for n := range text {
 			if r := read(text[:n], false, 1); r.Done || r.Err != "cut" {
-				t.Errorf("cut at %d of %d: %+v", n, len(text), r)
+				t.Errorf("response truncated after %d of %d bytes: got %+v, want io.ErrUnexpectedEOF", n, len(text), r)
 			}
 		}
 	}
@@ -123,7 +126,7 @@
 	} {
 		n, err := chunkSize([]byte(text))
 		if (err != nil) != (want < 0) || err == nil && n != want {
-			t.Errorf("%q: %d, %v", text, n, err)
+			t.Errorf("chunkSize(%q) = %d, %v", text, n, err)
 		}
 	}
 }
@@ -142,6 +145,6 @@
 		}
 	}
 	if len(got) != 307 || string(got[:7]) != "hello, " {
-		t.Errorf("%d bytes", len(got))
+		t.Errorf("read back %d bytes, want 307 that begin with hello", len(got))
 	}
 }
--- a/internal/protocol/httpmessage/response.go
+++ b/internal/protocol/httpmessage/response.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// maxInterim bounds the interim (1xx) responses before the final one.
+// maxInterim bounds the number of interim (1xx) responses before the final one.
 const maxInterim = 16
 
 // Status codes have statusDigits digits, from minStatus to maxStatus.
@@ -27,20 +27,20 @@
 // Errors of responses.
 var (
 	ErrTooManyInterim     = errors.New("too many interim responses")
-	ErrSwitchingProtocols = errors.New("status 101: the protocol was changed though nobody asked for it")
+	ErrSwitchingProtocols = errors.New("status 101: the server switched protocols without a request to do so")
 )
 
 // Event is one part of a response.
 type Event struct {
-	Head *Head  // the complete head; nil: this is another part
+	Head *Head  // the complete head; nil in the other events
 	Data []byte // part of the body, a slice of the input
 	Done bool   // the response is complete
 }
 
-// ResponseReader is an incremental reader of one response of a uwsgi server. The head has a status
-// line or the form of CGI, its lines end with CRLF or LF, and the body has a stated length, the
-// chunked transfer coding, or ends with the stream. Input that could be read in two ways is an
-// error. It buffers nothing but the head.
+// ResponseReader is an incremental reader of one response of a uwsgi server. The head begins with a
+// status line or is a CGI head without one, and its lines end with CRLF or LF. The body has a stated
+// length or the chunked transfer coding, or ends with the stream. Ambiguous input is an error. The
+// reader buffers nothing but the head.
 type ResponseReader struct {
 	headOnly bool // response to a HEAD request
 	head     *Head
@@ -48,16 +48,17 @@
 	interim  int
 }
 
-// NewResponseReader returns a reader. headOnly tells that the request was HEAD, so that no body
-// follows.
+// NewResponseReader returns a reader. headOnly states that the method of the request was HEAD, so
+// that no body follows.
 func NewResponseReader(headOnly bool) *ResponseReader { return &ResponseReader{headOnly: headOnly} }
 
 // Head returns the head of the final response, or nil before it is complete.
 func (r *ResponseReader) Head() *Head { return r.head }
 
-// Next decodes one part from the front of b; end tells that the stream ends behind b. If nothing is
-// used and the event is empty, more input is needed. A response that is incomplete at the end of
-// the stream is io.ErrUnexpectedEOF.
+// Next decodes one part of the response from the front of b, of which it uses the given number of
+// bytes. end states that the stream ends after b. If no bytes are used and the event is empty, more
+// input is needed. For a response that is incomplete at the end of the stream it returns
+// io.ErrUnexpectedEOF.
 func (r *ResponseReader) Next(b []byte, end bool) (ev Event, used int, err error) {
 	if r.head == nil {
 		h, n, err := readHead(b)
@@ -85,7 +86,7 @@
 	return Event{Data: data, Done: done}, used, err
 }
 
-// frame decides where the body ends (RFC 9112, 6.3).
+// frame determines how the body is framed (RFC 9112, 6.3).
 func (r *ResponseReader) frame(h *Head) *Body {
 	switch {
 	case r.headOnly || h.hasNoBody():
@@ -123,7 +124,8 @@
 	}
 }
 
-// parseHead decodes a status line and header fields or, in the form of CGI, header fields alone.
+// parseHead decodes the lines of a head: a status line and header fields or, for a CGI response,
+// header fields alone.
 func parseHead(lines []string) (*Head, error) {
 	if len(lines) == 0 {
 		return nil, &SyntaxError{Part: "an empty head"}
@@ -145,7 +147,7 @@
 		}
 	}
 	if h.Chunked && h.Length >= 0 {
-		return nil, &SyntaxError{Part: "a body both of a stated length and in chunks"}
+		return nil, &SyntaxError{Part: "both Content-Length and a chunked body"}
 	}
 	if h.Status == 0 { // RFC 3875, 6.2 and 6.3.3
 		h.Status = http.StatusOK
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// parseStatus decodes a status code with the reason phrase that may follow it.
+// parseStatus decodes a status code. A reason phrase may follow it.
 func parseStatus(text string) (status int, ok bool) {
 	code, _, _ := strings.Cut(text, " ")
 	n, err := strconv.Atoi(code)
@@ -185,20 +187,21 @@
 	return f, nil
 }
 
-// Valid reports whether a header field can be written so that it is read as the same field.
+// Valid reports whether the header field is read back unchanged after it was written.
 func (f Field) Valid() bool {
 	return IsToken(f.Name) && !strings.ContainsAny(f.Value, "\r\n\x00")
 }
 
-// IsToken reports whether s is a token (RFC 9110, 5.6.2), as names of fields and methods are.
+// IsToken reports whether s is a token (RFC 9110, 5.6.2), which names of fields and methods have to
+// be.
 func IsToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return isSpaceControlOrNonASCII(r) || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
 	})
 }
 
-// add adds a header field and applies what it says about the body. Fields that state the same twice
-// have to agree.
+// add adds a header field. It applies the fields that frame the body, and takes the status of a CGI
+// head from the field Status. Repeated lengths or statuses have to agree.
 func (h *Head) add(f Field) error {
 	switch {
 	case strings.EqualFold(f.Name, "Content-Length"):
@@ -227,7 +230,7 @@
 			return &SyntaxError{"field Status", f.Value}
 		}
 		h.Status = n
-		return nil // it belongs to the status line
+		return nil // it takes the place of a status line, and is not a header field
 	}
 	h.Fields = append(h.Fields, f)
 	return nil
--- a/internal/protocol/traceparent/traceparent.go
+++ b/internal/protocol/traceparent/traceparent.go
@@ -1,6 +1,7 @@
 // Package traceparent implements the traceparent header of W3C Trace Context, level 1. It derives
-// span IDs from what identifies a request, so that every part that knows the request can compute
-// them. Package tracing derives the spans, and package upstream sends them to servers.
+// span IDs from the properties that identify a request, so that every part of the program that knows
+// the request can compute them. Package tracing derives spans with it, and package upstream sends
+// the header to servers.
 package traceparent
 
 import (
@@ -18,17 +19,17 @@
 type Context struct {
 	Trace   [16]byte
 	Span    [8]byte
-	Sampled bool // the caller records the trace
+	Sampled bool // the trace is recorded
 }
 
-// Variable is the CGI variable of the header.
+// Variable is the name of the CGI variable that holds the header.
 const Variable = "HTTP_TRACEPARENT"
 
-// header is the name of the header as the propagator knows it.
+// header is the key under which the propagator reads and writes the header.
 const header = "traceparent"
 
-// Parse decodes a header, and reports whether it is valid. A header of a later version is read as
-// one of this version.
+// Parse decodes a header, and reports whether it is valid. A header of a later version is decoded as
+// if it were of version 00.
 func Parse(s string) (Context, bool) {
 	c := trace.SpanContextFromContext(
 		propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{header: s}),
@@ -50,9 +51,9 @@
 	return carrier[header]
 }
 
-// New returns the span of a request: in the trace of its caller, if parent is a valid header, or in
-// a new trace. Of new traces the ratio sampleRatio, from 0 to 1, is sampled. The name of a
-// request is unique together with its instance and arrival.
+// New returns the span of a request: in the trace of its caller if parent is a valid header, and in
+// a new trace otherwise. sampleRatio, from 0 to 1, is the ratio of new traces that are sampled. The
+// instance, the name and the arrival time together identify a request.
 func New(instance, name string, arrivedAt wallclock.UnixMicro, parent string, sampleRatio float64) Context {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(arrivedAt))
@@ -72,14 +73,15 @@
 	return c
 }
 
-// unitFraction maps a uniformly distributed number to [0, 1), by as many of its bits as a float64
-// holds exactly.
+// unitFraction maps a uniformly distributed number to [0, 1). It uses the highest bits, as many as a
+// float64 holds exactly.
 func unitFraction(n uint64) float64 {
 	const bits = 53
 	return float64(n>>(64-bits)) / (1 << bits)
 }
 
-// Attempt returns the span of the n-th attempt of a request, from 0.
+// Attempt returns the span of the n-th attempt of a request, counted from 0. c is the span of the
+// request.
 func (c Context) Attempt(n int) Context {
 	c.setSpan(xxhash.Sum64(append(c.Span[:], byte(n), byte(n>>8))))
 	return c
--- a/internal/protocol/traceparent/traceparent_test.go
+++ b/internal/protocol/traceparent/traceparent_test.go
@@ -25,16 +25,15 @@
 	} {
 		c, got := Parse(text)
 		if got != ok {
-			t.Errorf("%q: %v", text, got)
+			t.Errorf("Parse(%q) reported %v, want the opposite", text, got)
 		}
 		if ok && text[:2] == "00" && c.String() != text {
-			t.Errorf("%q becomes %q", text, c)
+			t.Errorf("Parse(%q).String() = %q, want the same header", text, c)
 		}
 	}
 }
 
-// Ids are the same whenever they are asked for, and differ between requests, tries, instances and
-// lives.
+// Span IDs are deterministic, and differ between requests, attempts, instances and arrival times.
 func TestIDsFollowFromWhatIdentifiesARequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.String().Draw(t, "name")
@@ -50,19 +49,19 @@
 			c.Attempt(256),
 		} {
 			if seen[other.Span] || other.Trace != c.Trace || !other.Sampled {
-				t.Errorf("%v and %v", c, other)
+				t.Errorf("spans %v and %v: want different span IDs in one sampled trace", c, other)
 			}
 			seen[other.Span] = true
 		}
 		own := New("n1", name, at, "nonsense", 1)
 		if again := New("n1", name, at, "", 1); own != again || !own.Sampled || own.Trace == c.Trace ||
 			New("n1", name, at, "", 0).Sampled {
-			t.Errorf("%v, %v", own, again)
+			t.Errorf("new traces %v and %v: want the same for both, sampled, and not that of a caller", own, again)
 		}
 	})
 }
 
-// The share that is sampled is the one that was asked for.
+// The ratio of new traces that are sampled is close to sampleRatio.
 func TestSampleRatioIsKept(t *testing.T) {
 	n := 0
 	for i := range wallclock.UnixMicro(10_000) {
@@ -71,6 +70,6 @@
 		}
 	}
 	if n < 850 || n > 1150 {
-		t.Errorf("%d of 10,000", n)
+		t.Errorf("%d of 10,000 traces are sampled, want 850 to 1150", n)
 	}
 }
--- a/internal/protocol/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -41,7 +41,7 @@
 	ErrBodyTooLong       = errors.New("uwsgi: body over its limit")
 )
 
-// Variable is one variable of a request, under its CGI name.
+// Variable is one variable of a request, with its CGI name.
 type Variable struct{ Name, Value string }
 
 // Request is a request packet with the body that follows it.
@@ -50,7 +50,7 @@
 	Body      []byte
 }
 
-// Get returns the value of a variable, or an empty string. The first variable of a name counts.
+// Get returns the value of the first variable with the given name, or an empty string.
 func (r *Request) Get(name string) string {
 	for _, v := range r.Variables {
 		if v.Name == name {
@@ -79,8 +79,8 @@
 }
 
 // ReadHead decodes a packet from the front of b and returns how many bytes it takes, or 0 if b
-// holds only a part of it. A packet of another kind, or whose variables exceed maxVariables bytes,
-// is an error as soon as its header is there.
+// holds only a part of it. For a packet of another kind, or one whose variables exceed maxVariables
+// bytes, it returns an error as soon as b holds the header.
 func ReadHead(b []byte, maxVariables int) (*Head, int, error) {
 	if len(b) == 0 {
 		return nil, 0, nil
@@ -119,8 +119,8 @@
 func AppendPing(b []byte) []byte { return append(b, ModifierPing, 0, 0, pingAnswer) }
 
 // Read decodes a request with a body of a stated length from the front of b and returns how many
-// bytes it takes, or 0 if b holds only a part of it. Variables or a body over their limits, in
-// bytes, are an error as soon as their length is there.
+// bytes it takes, or 0 if b holds only a part of it. For variables or a body over their limits, in
+// bytes, it returns an error as soon as b holds their length.
 func Read(b []byte, maxVariables, maxBody int) (*Request, int, error) {
 	head, headSize, err := ReadHead(b, maxVariables)
 	switch {
@@ -142,7 +142,7 @@
 	return r, size, nil
 }
 
-// contentLength returns the stated length of the body in bytes; 0 if none is stated.
+// contentLength returns the stated length of the body in bytes, or 0 if none is stated.
 func (r *Request) contentLength(maxBody int) (int, error) {
 	text := r.Get("CONTENT_LENGTH")
 	if text == "" {
@@ -176,7 +176,7 @@
 	return variables, nil
 }
 
-// readString decodes a string, which follows its length.
+// readString decodes a string with its length before it, and returns the rest of b.
 func readString(b []byte) (s string, rest []byte, ok bool) {
 	if len(b) < lengthSize {
 		return "", nil, false
@@ -188,7 +188,7 @@
 	return string(b[lengthSize:end]), b[end:], true
 }
 
-// Append appends a request to b. Variables that exceed a packet are ErrVariablesTooLong.
+// Append appends a request to b. It returns ErrVariablesTooLong if the variables exceed a packet.
 func Append(b []byte, r *Request) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, headerSize)...)
@@ -216,7 +216,7 @@
 	Body   []byte
 }
 
-// hopByHop are the headers that concern a single connection (RFC 9110, 7.6.1). A gateway does not
+// hopByHop lists the headers that concern a single connection (RFC 9110, 7.6.1). A gateway does not
 // forward them.
 var hopByHop = []string{
 	"Connection",
@@ -233,8 +233,8 @@
 	return slices.ContainsFunc(hopByHop, func(hop string) bool { return strings.EqualFold(hop, name) })
 }
 
-// AppendHead appends the head of a response to b. length is the length of the body in bytes; a
-// negative one is not stated, and the body then ends with the connection.
+// AppendHead appends the head of a response to b. length is the length of the body in bytes. If it
+// is negative, the head states no length, and the body ends with the connection.
 func AppendHead(b []byte, status int, fields []httpmessage.Field, length int64) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, f := range fields {
@@ -248,7 +248,7 @@
 	return append(b, "Connection: close\r\n\r\n"...)
 }
 
-// AppendResponse appends a response to b. headOnly leaves the body and its length out.
+// AppendResponse appends a response to b. If headOnly is set, the body and its length are left out.
 func AppendResponse(b []byte, r *Response, headOnly bool) []byte {
 	length := int64(len(r.Body))
 	if headOnly || r.Status == http.StatusNoContent || r.Status == http.StatusNotModified {
--- a/internal/protocol/uwsgi/uwsgi_test.go
+++ b/internal/protocol/uwsgi/uwsgi_test.go
@@ -12,8 +12,8 @@
 	"ryepaddle/internal/protocol/httpmessage"
 )
 
-// FuzzRead reads what it can, writes that again and reads the same; a part of it is never taken for
-// the whole.
+// FuzzRead checks that a decoded request is the same after it is encoded and decoded again, and that
+// a truncated request is never decoded as complete.
 func FuzzRead(f *testing.F) {
 	b, err := Append(
 		nil,
@@ -30,7 +30,7 @@
 			return
 		}
 		if _, part, err := Read(b[:n-1], 4096, 4096); part != 0 || err != nil {
-			t.Fatalf("%d of %d bytes are read as %d, %v", n-1, n, part, err)
+			t.Fatalf("Read of the first %d of %d bytes used %d, error %v; want 0 and no error", n-1, n, part, err)
 		}
 		again, err := Append(nil, r)
 		if err != nil {
@@ -38,42 +38,43 @@
 		}
 		r2, _, err := Read(again, 4096, 4096)
 		if diff := cmp.Diff(r, r2); diff != "" || err != nil {
-			t.Fatalf("%v (-want +got)\n%s", err, diff)
+			t.Fatalf("the encoded request is decoded with error %v (-want +got)\n%s", err, diff)
 		}
 	})
 }
 
 const responseFields = "Content-Type: a/b\r\nConnection: close\r\n"
 
-// forwardedFields are the fields of responseFields that do not concern a single connection.
+// forwardedFields are the fields of responseFields that are not hop-by-hop.
 var forwardedFields = []httpmessage.Field{{Name: "Content-Type", Value: "a/b"}}
 
-// readResponseCases are responses by what is special about them. end tells that the stream ends behind
-// the text, headOnly that the request was HEAD; err is a part of the error.
+// readResponseCases maps the property under test to a response. end states that the stream ends after
+// the text, headOnly that the method of the request was HEAD. err is a part of the error message. A
+// nil response without an error means that the response is incomplete.
 var readResponseCases = map[string]struct {
 	text          string
 	end, headOnly bool
 	want          *Response
 	err           string
 }{
-	"of a stated length": {
+	"a stated length": {
 		"HTTP/1.1 200 OK\r\n" + responseFields + "Content-Length: 4\r\n\r\nbody",
 		false,
 		false,
 		&Response{200, forwardedFields, []byte("body")},
 		"",
 	},
-	"short of it": {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", true, false, nil, ""},
-	"to the end": {
+	"shorter than its stated length": {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nbody", true, false, nil, ""},
+	"a body that ends with the stream": {
 		"HTTP/1.0 404 None\r\n" + responseFields + "\r\nbody",
 		true,
 		false,
 		&Response{404, forwardedFields, []byte("body")},
 		"",
 	},
-	"before the end":     {"HTTP/1.0 200 OK\r\n\r\nbody", false, false, nil, ""},
+	"a body that ends with the stream, before its end": {"HTTP/1.0 200 OK\r\n\r\nbody", false, false, nil, ""},
 	"a part of the head": {"HTTP/1.1 200 OK\r\nConte", true, false, nil, ""},
-	"an interim one first": {
+	"an interim response first": {
 		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n\r\n",
 		false,
 		false,
@@ -88,7 +89,7 @@
 		"",
 	},
 	"not HTTP": {"hello\r\n\r\n", false, false, nil, "header"},
-	"two lengths": {
+	"two different lengths": {
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		false,
 		false,
@@ -111,7 +112,7 @@
 		"",
 	},
 	"a folded header": {"HTTP/1.1 200 OK\r\nA: b\r\n c: d\r\n\r\n", false, false, nil, "header"},
-	"over its limit": {
+	"a body over its limit": {
 		"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n",
 		false,
 		false,
@@ -132,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := readResponse([]byte(c.text), c.end, c.headOnly, 99)
 			if (err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) {
-				t.Fatalf("error %v, want %q", err, c.err)
+				t.Fatalf("readResponse returned error %v, want %q", err, c.err)
 			}
 			if diff := cmp.Diff(c.want, got, cmpopts.EquateEmpty()); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
@@ -147,12 +148,12 @@
 		&Request{Variables: []Variable{{"A", strings.Repeat("a", 40000)}, {"B", strings.Repeat("b", 40000)}}},
 	)
 	if !errors.Is(err, ErrVariablesTooLong) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("Append of variables over one packet returned error %v, want ErrVariablesTooLong", err)
 	}
 }
 
-// FuzzReadResponse writes what it could read again: the same must be read from that, and nothing
-// from a part of it.
+// FuzzReadResponse checks that a decoded response is the same after it is encoded and decoded again,
+// and that a truncated response is never decoded as complete.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 4\r\n\r\nbody"))
 	f.Add([]byte("HTTP/1.0 404 None\r\nA:\r\n\r\n"))
@@ -164,29 +165,30 @@
 		again := AppendResponse(nil, r, false)
 		r2, err := readResponse(again, false, false, 4096)
 		if diff := cmp.Diff(r, r2, cmpopts.EquateEmpty()); diff != "" || err != nil {
-			t.Fatalf("%v (-want +got)\n%s", err, diff)
+			t.Fatalf("the encoded response is decoded with error %v (-want +got)\n%s", err, diff)
 		}
 		if part, err := readResponse(again[:len(again)-1], true, false, 4096); part != nil || err != nil {
-			t.Fatalf("a part is read as %v, %v", part, err)
+			t.Fatalf("a truncated response is decoded as %v, error %v; want neither", part, err)
 		}
 	})
 }
 
-// collector makes a whole response of what comes, in bounded memory.
+// collector assembles a complete response from its parts, in bounded memory.
 type collector struct {
 	reader   *httpmessage.ResponseReader
 	headOnly bool
-	most     int // bytes of the body
+	maxBody  int // bytes
 	resp     *Response
 }
 
-// newCollector begins a response with a body of at most so many bytes.
+// newCollector returns a collector of a response with a body of at most maxBody bytes.
 func newCollector(headOnly bool, maxBody int) *collector {
-	return &collector{reader: httpmessage.NewResponseReader(headOnly), headOnly: headOnly, most: maxBody}
+	return &collector{reader: httpmessage.NewResponseReader(headOnly), headOnly: headOnly, maxBody: maxBody}
 }
 
-// take takes all it can from b and returns how much that was. The response is not nil once it is
-// whole. One that is cut off at the end of the stream is io.ErrUnexpectedEOF.
+// take decodes all it can from b and returns how many bytes it used. The response is not nil once it
+// is complete. For a response that is truncated by the end of the stream it returns
+// io.ErrUnexpectedEOF.
 func (c *collector) take(b []byte, end bool) (r *Response, used int, err error) {
 	for {
 		ev, n, err := c.reader.Next(b[used:], end)
@@ -195,7 +197,7 @@
 		case err != nil:
 			return nil, used, err
 		case ev.Head != nil:
-			if ev.Head.Length > c.most && !c.headOnly {
+			if ev.Head.Length > c.maxBody && !c.headOnly {
 				return nil, used, ErrBodyTooLong
 			}
 			c.resp = &Response{Status: ev.Head.Status, Body: []byte{}}
@@ -205,7 +207,7 @@
 				}
 			}
 			continue
-		case len(c.bodyOf())+len(ev.Data) > c.most:
+		case len(c.bodyOf())+len(ev.Data) > c.maxBody:
 			return nil, used, ErrBodyTooLong
 		case len(ev.Data) > 0:
 			c.resp.Body = append(c.resp.Body, ev.Data...)
@@ -226,8 +228,8 @@
 	return c.resp.Body
 }
 
-// readResponse takes a response from b, the whole stream so far. Nil without an error means that
-// more has to come, or, at the end of the stream, that it was cut off.
+// readResponse decodes a response from b, the whole stream so far. A nil response without an error
+// is incomplete or, at the end of the stream, truncated.
 func readResponse(b []byte, end, headOnly bool, maxBody int) (*Response, error) {
 	r, _, err := newCollector(headOnly, maxBody).take(b, end)
 	if errors.Is(err, io.ErrUnexpectedEOF) {
