--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -10,24 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// The reasons for which a connection is closed that are not errors of the system.
+// Reasons for closing a connection other than errors of system calls.
 var (
-	// ErrSlowPeer reports a peer that does not read what is sent to it.
+	// ErrSlowPeer reports a peer that does not read the output fast enough.
 	ErrSlowPeer = errors.New("peer does not read")
-	// ErrInputOverflow reports a peer that sends more than the input buffer may hold.
-	ErrInputOverflow = errors.New("peer sends more than fits the buffer")
+	// ErrInputOverflow reports a peer that sends more input than may be buffered or discarded.
+	ErrInputOverflow = errors.New("peer sends more than the input limit")
 )
 
 // Handler receives the events of one connection. All methods are called on the loop.
 type Handler interface {
 	// Connected is called once when a dialled connection is established.
 	Connected()
-	// Data receives all input that is not consumed so far, and returns how many bytes of it it has
-	// consumed. An error closes the connection.
+	// Data receives all input that is not consumed yet, and returns how many bytes it consumes. An
+	// error closes the connection.
 	Data(b []byte) (int, error)
-	// End is called once when the peer has closed its side. Returning true keeps this side open.
+	// End is called once when the peer has closed its side. If it returns true, this side stays open.
 	End() bool
-	// Closed is called once, last, after the descriptor was closed. err is the reason.
+	// Closed is the last call. It is called once, after the descriptor was closed. err is the reason.
 	Closed(err error)
 }
 
@@ -38,30 +38,31 @@
 type Conn struct {
 	loop    *Loop
 	fd      int
-	remote  netip.AddrPort // the address dialled or accepted from
+	remote  netip.AddrPort // the address that was dialled or that a connection was accepted from
 	dialled bool
 	handler Handler
 	limits  BufferLimits
 	in, out []byte
 
 	connecting  bool // the connect is in progress
-	peerClosed  bool // the peer sends no more
-	closing     bool // closed gracefully: input is discarded until the peer closes
-	writeShut   bool // this side was shut down
+	peerClosed  bool // the peer has closed its side and sends no more
+	closing     bool // being closed gracefully: input is discarded until the peer closes
+	writeShut   bool // this side was shut down for writing
 	closed      bool // the descriptor is closed
 	flushQueued bool // listed in Loop.unflushed
 	paused      bool // reading is paused
-	unwatched   bool // removed from epoll while it is paused
+	unwatched   bool // removed from epoll while reading is paused
 
-	events       uint32        // that epoll waits for
-	stalledSince time.Duration // when the peer stopped taking output; 0: it takes all
-	discarded    int           // bytes read while closing
+	events       uint32        // events that epoll is asked to report
+	stalledSince time.Duration // when the socket stopped taking output; 0: it takes all output
+	discarded    int           // bytes that were read while closing
 	closeTimer   *Timer        // bounds a graceful close
-	onFlushed    func()        // called when the peer has taken output
+	onFlushed    func()        // called when the socket has taken queued output
 	onReleased   func()        // called after Handler.Closed
 }
 
-// newConn returns an established connection. It takes over the descriptor, also on an error.
+// newConn returns an established connection. It takes ownership of the descriptor, and closes it on
+// an error.
 func newConn(l *Loop, fd int, limits BufferLimits) (*Conn, error) {
 	c := &Conn{loop: l, fd: fd, limits: limits, events: unix.EPOLLIN}
 	return c, c.watch()
@@ -88,15 +89,15 @@
 		c.finishConnect()
 		return
 	}
-	// Epoll reports the end of a connection whatever it is asked to wait for. For a paused one it
-	// would do so in every turn, and closing it would lose the input that came before the end.
+	// Epoll reports the end of a connection whichever events it is asked for. For a paused connection
+	// it would report it in every turn, and closing the connection would lose the unread input.
 	if c.paused && events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && len(c.out) == 0 {
 		c.unwatched = true
 		c.loop.unwatch(c.fd)
 		return
 	}
-	// Input that a server sent before it reset the connection is still delivered; that of a client
-	// is not.
+	// Input that a server sent before it reset the connection is still delivered. Input of a client
+	// that reset the connection is not.
 	if events&unix.EPOLLERR != 0 && (events&unix.EPOLLIN == 0 || c.peerClosed || !c.dialled) {
 		errno, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		c.Close(fmt.Errorf("connection broke: %w", unix.Errno(errno)))
@@ -105,13 +106,14 @@
 	if events&(unix.EPOLLIN|unix.EPOLLHUP) != 0 && !c.peerClosed && !c.paused {
 		c.read()
 	} else if events&unix.EPOLLHUP != 0 {
-		c.Close(io.EOF) // both sides are down
+		c.Close(io.EOF) // both sides are shut down
 	}
 	if events&unix.EPOLLOUT != 0 && !c.closed {
 		c.flush()
 	}
 }
 
+// finishConnect handles the outcome of a connect that was in progress.
 func (c *Conn) finishConnect() {
 	errno, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && errno != 0 {
@@ -126,6 +128,7 @@
 	c.handler.Connected()
 }
 
+// read reads once from the socket, and delivers or discards the input.
 func (c *Conn) read() {
 	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch {
@@ -147,7 +150,7 @@
 	c.deliver(c.loop.readBuffer[:n])
 }
 
-// deliver passes input to the handler and buffers what that does not consume.
+// deliver passes input to the handler and buffers the part that the handler does not consume.
 func (c *Conn) deliver(data []byte) {
 	if len(c.in) > 0 {
 		c.in = append(c.in, data...)
@@ -161,7 +164,7 @@
 		c.Close(err)
 		return
 	}
-	// The rest is copied to a buffer of the connection itself; an idle connection holds none.
+	// The rest is copied to a buffer of the connection. An idle connection has no buffer.
 	c.in = append(c.in[:0], data[used:]...)
 	if len(c.in) == 0 {
 		c.in = nil
@@ -171,9 +174,10 @@
 	}
 }
 
-// peerEnded handles the end of the peer's input. A client that only stopped sending still gets the
-// queued output: its end may be read in the same turn in which its response was written, before
-// that was flushed. A server that ends has nothing more to wait for.
+// peerEnded handles the end of the peer's input. A client that has shut down only its sending side
+// still gets the queued output: the end of its input may be read in the turn in which its response
+// was written, before the response was flushed. A dialled connection is closed at once, because a
+// server that ends waits for no more output.
 func (c *Conn) peerEnded() {
 	c.peerClosed = true
 	keepOpen := !c.closing && c.handler.End()
@@ -196,7 +200,7 @@
 		return
 	}
 	if len(c.out)+len(b) > c.limits.Out {
-		c.flush() // what the peer takes at once does not count against the limit
+		c.flush() // output that the socket takes at once does not count against the limit
 	}
 	if len(c.out)+len(b) > c.limits.Out {
 		c.Close(ErrSlowPeer)
@@ -206,7 +210,7 @@
 	c.scheduleFlush()
 }
 
-// scheduleFlush lists the connection to be flushed at the end of the turn.
+// scheduleFlush has the loop flush the connection at the end of the turn.
 func (c *Conn) scheduleFlush() {
 	if !c.flushQueued && !c.connecting {
 		c.flushQueued = true
@@ -214,8 +218,8 @@
 	}
 }
 
-// SetPaused stops or resumes reading. While it is paused, input waits in the system's buffers, and
-// then at the peer.
+// SetPaused pauses or resumes reading. While reading is paused, input fills the system's buffers and
+// then blocks the peer.
 func (c *Conn) SetPaused(paused bool) {
 	if c.paused != paused && !c.closed {
 		c.paused = paused
@@ -225,20 +229,22 @@
 	}
 }
 
-// Buffered returns the input that was received and is not consumed yet.
+// Buffered returns the input that the handler has not consumed yet.
 func (c *Conn) Buffered() []byte { return c.in }
 
-// QueuedBytes returns the size of the output that the peer has not taken yet.
+// QueuedBytes returns the size of the output that the socket has not taken yet.
 func (c *Conn) QueuedBytes() int { return len(c.out) }
 
-// Flush sends the queued output as far as the peer takes it, without waiting for the end of the
+// Flush sends as much of the queued output as the socket takes, without waiting for the end of the
 // turn.
 func (c *Conn) Flush() { c.flush() }
 
-// OnFlushed sets fn to be called whenever the peer has taken queued output. fn must not write.
+// OnFlushed sets the function that is called whenever the socket has taken queued output. fn must not
+// call Write.
 func (c *Conn) OnFlushed(fn func()) { c.onFlushed = fn }
 
-// IsIdle reports whether the connection is open and has no input that was not consumed.
+// IsIdle reports whether the connection is open, the peer has not closed its side, and there is no
+// unconsumed input, neither in the connection's buffer nor in the system's.
 func (c *Conn) IsIdle() bool {
 	if c.closed || c.peerClosed || len(c.in) > 0 {
 		return false
@@ -247,8 +253,8 @@
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// HasUnreadInput reports whether the system holds input that the loop has not read yet, as it came
-// in this very turn.
+// HasUnreadInput reports whether the system's buffer has input that the loop has not read yet, such
+// as input that arrived during this turn.
 func (c *Conn) HasUnreadInput() bool {
 	if c.closed || c.peerClosed {
 		return false
@@ -264,10 +270,11 @@
 	return n, err
 }
 
-// RemoteAddr returns the address dialled or accepted from. It is not valid for a unix socket.
+// RemoteAddr returns the address that was dialled or that the connection was accepted from. It is
+// not valid for a unix socket.
 func (c *Conn) RemoteAddr() netip.AddrPort { return c.remote }
 
-// PeerUID returns the user of the process that connected to a unix socket; false if it is not
+// PeerUID returns the user ID of the process that connected to a unix socket, and whether it is
 // known.
 func (c *Conn) PeerUID() (uid int, ok bool) {
 	credentials, err := unix.GetsockoptUcred(c.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
@@ -277,7 +284,7 @@
 	return int(credentials.Uid), true
 }
 
-// StalledFor returns for how long the peer has taken none of the queued output.
+// StalledFor returns for how long the socket has taken none of the queued output.
 func (c *Conn) StalledFor() time.Duration {
 	if c.stalledSince == 0 {
 		return 0
@@ -285,14 +292,14 @@
 	return c.loop.now - c.stalledSince
 }
 
-// IsConnecting reports whether a dialled connection is not established yet, so that nothing was
-// sent.
+// IsConnecting reports whether a dialled connection is not established yet, in which case nothing
+// was sent on it.
 func (c *Conn) IsConnecting() bool { return c.connecting && !c.closed }
 
 // IsClosed reports whether the descriptor was closed.
 func (c *Conn) IsClosed() bool { return c.closed }
 
-// flush sends the queued output as far as the peer takes it.
+// flush sends as much of the queued output as the socket takes.
 func (c *Conn) flush() {
 	for len(c.out) > 0 && !c.closed && !c.connecting {
 		n, err := unix.SendmsgN(c.fd, c.out, nil, nil, unix.MSG_NOSIGNAL)
@@ -327,7 +334,7 @@
 	c.rearm()
 }
 
-// rearm makes epoll wait for the events that the state of the connection calls for.
+// rearm asks epoll for the events that the state of the connection requires.
 func (c *Conn) rearm() {
 	if c.closed {
 		return
--- a/internal/eventloop/conn_close.go
+++ b/internal/eventloop/conn_close.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// flushTimeout bounds how long a gracefully closed connection waits for its output to be taken.
+	// flushTimeout bounds how long a graceful close waits until the queued output is sent.
 	flushTimeout = 10 * time.Second
-	// lingerTimeout bounds how long it then waits for the peer to close.
+	// lingerTimeout bounds how long a graceful close then waits for the peer to close its side.
 	lingerTimeout = 500 * time.Millisecond
-	// maxDiscardedBytes bounds how much input it reads and discards until then.
+	// maxDiscardedBytes bounds the input that a graceful close reads and discards.
 	maxDiscardedBytes = 1 << 20
 )
 
-// CloseGracefully sends the queued output, shuts down this side and closes when the peer does or a
-// bounded time has passed. Closing at once would reset the connection where the peer has just
-// written, and discard responses that it has not read.
+// CloseGracefully sends the queued output, shuts down this side and closes the connection when the
+// peer has closed its side or a timeout has passed. Closing at once would reset the connection if
+// the peer has just written, and the peer would lose responses that it has not read.
 func (c *Conn) CloseGracefully() {
 	if c.closed || c.closing {
 		return
@@ -26,7 +26,7 @@
 		c.Close(nil)
 		return
 	}
-	// Reading resumes if it was paused: a close with unread input would reset the connection.
+	// Reading resumes if it was paused: closing with unread input would reset the connection.
 	c.closing = true
 	c.paused = false
 	c.in = nil
@@ -35,8 +35,9 @@
 	c.scheduleFlush()
 }
 
-// FlushAndShutdown is CloseGracefully for a process that ends at once: it sends what the peer takes
-// now, shuts down this side and reads the input that has come. The descriptor stays open.
+// FlushAndShutdown is CloseGracefully for a process that ends immediately: it sends the output that
+// the socket takes without waiting, shuts down this side, and reads and discards the input that has
+// arrived. The descriptor stays open.
 func (c *Conn) FlushAndShutdown() {
 	if c.closed || c.connecting {
 		return
@@ -45,7 +46,7 @@
 	if c.closed {
 		return
 	}
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails where the peer has reset the connection
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails if the peer has reset the connection
 	for range maxDiscardedBytes / readChunkBytes {
 		if n, err := unix.Read(c.fd, c.loop.readBuffer); n <= 0 || err != nil {
 			return
@@ -53,7 +54,7 @@
 	}
 }
 
-// shutdownWrite shuts down this side of a connection that is closing and whose output is sent.
+// shutdownWrite shuts down this side of a connection that is being closed, after its output was sent.
 func (c *Conn) shutdownWrite() {
 	c.closeTimer.Stop()
 	if c.peerClosed || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
@@ -63,7 +64,7 @@
 	c.closeTimer = c.loop.After(lingerTimeout, func() { c.Close(nil) })
 }
 
-// IsClosing reports whether the connection was closed gracefully and waits for the peer.
+// IsClosing reports whether a graceful close has begun.
 func (c *Conn) IsClosing() bool { return c.closing }
 
 // Close closes the descriptor at once. Handler.Closed is called with err later in the turn.
@@ -84,10 +85,12 @@
 	})
 }
 
-// Abort resets the connection, so that the peer does not take what it received for complete.
+// Abort resets the connection, so that the peer does not mistake what it received so far for a
+// complete message.
 func (c *Conn) Abort(err error) {
 	if !c.closed {
-		// If this fails the close is an ordinary one, which a stated length still exposes.
+		// If this fails, the connection is closed without a reset. The peer then detects a truncated
+		// message only by its stated length.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		c.Close(err)
 	}
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -14,7 +14,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// peer is a handler that buffers its input, or handles it as the test says.
+// peer is a handler that passes its input to data, or leaves it unconsumed if data is nil.
 type peer struct{ data func([]byte) (int, error) }
 
 func (p *peer) Connected() {}
@@ -27,16 +27,17 @@
 func (p *peer) End() bool    { return false }
 func (p *peer) Closed(error) {}
 
-// expect runs the loop until the peer has read to an orderly end, and compares what it read.
+// expect runs the loop until the peer has read to the end of its input, and fails the test unless the
+// connection ended without an error and the input is want.
 func expect(t testing.TB, s *scenario.SteppedLoop, got <-chan scenario.Received, want string) {
 	t.Helper()
 	if r := s.AwaitEnd(got); r.Err != nil || r.Text != want {
-		t.Fatalf("the peer got %d bytes (%v), want %d", len(r.Text), r.Err, len(want))
+		t.Fatalf("the peer got %d bytes with error %v, want the %d bytes that were sent", len(r.Text), r.Err, len(want))
 	}
 }
 
-// accepting listens and returns the accepted connections, oldest first.
-func accepting(
+// listen returns a listener and the connections that it accepts, in order.
+func listen(
 	t testing.TB,
 	l *eventloop.Loop,
 	maxOpen int,
@@ -58,11 +59,11 @@
 	return ln, taken
 }
 
-// The end of a peer's input is read in the turn in which its response is written: the response is
-// still sent.
+// A response is sent even if the end of the peer's input is read in the turn in which the response is
+// written.
 func TestOutputIsSentWhenPeerClosesInSameTurn(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
 	s.Until(func() bool { return len(*taken) == 1 })
 	s.Until(func() bool { return len((*taken)[0].Buffered()) == 1 })
@@ -75,10 +76,11 @@
 	expect(t, s, got, "answer")
 }
 
-// The same with a response that the system does not take at once, on a connection that is closing.
+// A response that is too large for the socket's buffer is sent completely to a peer that has closed
+// its side, while the connection is being closed gracefully.
 func TestOutputIsSentToSlowPeerThatClosed(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
 	s.Until(func() bool { return len(*taken) == 1 })
 	large := make([]byte, 6<<20)
@@ -90,16 +92,16 @@
 	}
 	s.AwaitAndPass(0)
 	if (*taken)[0].IsClosed() {
-		t.Fatal("closed with a part of the answer still queued")
+		t.Fatal("the connection is closed while a part of the response is still queued")
 	}
 	expect(t, s, scenario.ReadToEnd(c), string(large))
 }
 
-// A connection that is closed gracefully while it is paused reads the input that still comes: a
-// close with unread input would reset it, and the response would be lost.
+// A connection that is closed gracefully while reading is paused reads the remaining input: closing
+// with unread input would reset the connection, and the response would be lost.
 func TestGracefulCloseResumesPausedReading(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "")
 	s.Until(func() bool { return len(*taken) == 1 })
 	lc := (*taken)[0]
@@ -114,17 +116,17 @@
 	expect(t, s, scenario.ReadToEnd(c), "answer")
 }
 
-// Connections that wait in the queue when a listener closes are established to their peers: all of
-// them are accepted, however many they are.
+// A listener that closes accepts all connections in its queue, even if they are more than it accepts
+// in one turn: for their peers they are established, and would be reset.
 func TestClosingListenerAcceptsItsQueue(t *testing.T) {
 	const many = 3 * acceptsInOneTurn
-	for name, end := range map[string]func(*eventloop.Listener){
-		"close":      (*eventloop.Listener).Close,
-		"when taken": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(time.Second) },
+	for name, closeListener := range map[string]func(*eventloop.Listener){
+		"Close":             (*eventloop.Listener).Close,
+		"CloseWhenAccepted": func(ln *eventloop.Listener) { ln.CloseWhenAccepted(time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario.NewSteppedLoop(t)
-			ln, taken := accepting(
+			ln, taken := listen(
 				t,
 				s.Loop,
 				2*many,
@@ -133,48 +135,48 @@
 			for range many {
 				s.Dial(ln, "")
 			}
-			end(ln)
+			closeListener(ln)
 			if len(*taken) != many || ln.IsListening() {
-				t.Fatalf("%d of %d taken, listens: %t", len(*taken), many, ln.IsListening())
+				t.Fatalf("accepted %d of %d connections, IsListening() = %t", len(*taken), many, ln.IsListening())
 			}
 		})
 	}
 }
 
-// Connections in the queue for which there is no room are accepted as others close, and only then
-// the listener closes.
+// Connections in the queue that exceed the limit of open connections are accepted as others close,
+// and the listener closes only after that.
 func TestClosingListenerWaitsForRoom(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := accepting(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
+	ln, taken := listen(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
 		return &peer{data: func(b []byte) (int, error) {
 			c.Write(b)
 			c.CloseGracefully()
 			return len(b), nil
 		}}
 	})
-	var answers []<-chan scenario.Received
+	var responses []<-chan scenario.Received
 	for range 3 {
-		answers = append(answers, scenario.ReadToEnd(s.Dial(ln, "call")))
+		responses = append(responses, scenario.ReadToEnd(s.Dial(ln, "call")))
 	}
 	ln.CloseWhenAccepted(time.Hour)
 	if !ln.IsListening() {
-		t.Fatal("closed while peers wait for room")
+		t.Fatal("the listener is closed while connections wait in its queue")
 	}
-	for _, got := range answers {
+	for _, got := range responses {
 		expect(t, s, got, "call")
 	}
 	s.Advance(time.Second) // the last connection closes
 	s.Advance(0)
 	if len(*taken) != 3 || ln.IsListening() {
-		t.Fatalf("%d taken, listens: %t", len(*taken), ln.IsListening())
+		t.Fatalf("accepted %d of 3 connections, IsListening() = %t", len(*taken), ln.IsListening())
 	}
 }
 
-// As the process ends its connections are closed at once: unread input must not reset one whose
-// peer has not read the response yet.
+// When the process ends, its connections are closed at once. Unread input must not reset a connection
+// whose peer has not read the response yet.
 func TestShutdownKeepsResponseBeforeUnreadInput(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := accepting(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "")
 	s.Until(func() bool { return len(*taken) == 1 })
 	lc := (*taken)[0]
--- a/internal/eventloop/datagram.go
+++ b/internal/eventloop/datagram.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Datagram is a socket that sends to one address and receives nothing.
+// Datagram is a socket that sends datagrams to one address and receives none.
 type Datagram struct{ fd int }
 
-// Datagram opens a socket for datagrams to addr.
+// Datagram opens a non-blocking socket for datagrams to addr.
 func (l *Loop) Datagram(addr netip.AddrPort) (*Datagram, error) {
 	fd, err := unix.Socket(ipFamily(addr), unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return &Datagram{fd}, nil
 }
 
-// Send sends one datagram. An error may be the network's response to an earlier one.
+// Send sends one datagram. The error may concern an earlier datagram, which the network rejected.
 func (d *Datagram) Send(b []byte) error {
 	_, err := unix.Write(d.fd, b)
 	return err
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -10,7 +10,7 @@
 	"ryepaddle/internal/netaddr"
 )
 
-// ConnectionRefusedError reports that a connection was refused, or could not be tried because no
+// ConnectionRefusedError reports that a connection was refused, or could not be attempted because no
 // descriptor was available. Either proves that nothing was sent on it.
 type ConnectionRefusedError struct{ Err error }
 
@@ -19,7 +19,7 @@
 // Unwrap returns the system's error.
 func (e *ConnectionRefusedError) Unwrap() error { return e.Err }
 
-// Dial opens a connection to addr. The handler receives the outcome, never before Dial returns.
+// Dial opens a connection to addr. The handler is called with the outcome after Dial has returned.
 func (l *Loop) Dial(addr netip.AddrPort, limits BufferLimits, h Handler) *Conn {
 	return l.DialAddr(netaddr.Addr{IP: addr}, limits, h)
 }
@@ -40,7 +40,7 @@
 	return c
 }
 
-// startConnect returns a non-blocking socket whose connect has begun.
+// startConnect returns a non-blocking socket with a connect in progress or complete.
 func startConnect(addr netaddr.Addr) (fd int, err error) {
 	family, sockaddr := socketAddr(addr)
 	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -55,7 +55,7 @@
 		return fd, nil
 	}
 	_ = unix.Close(fd)
-	if addr.IsUnix() { // connects at once or not at all: no peer took it, whatever the error
+	if addr.IsUnix() { // connects at once or not at all: any error proves that no peer accepted it
 		return -1, &ConnectionRefusedError{err}
 	}
 	return -1, connectError(err)
@@ -68,7 +68,8 @@
 	return &Conn{loop: l, fd: -1, handler: h, closed: true}
 }
 
-// connectError marks the only error of a TCP connect that proves that no peer took the connection.
+// connectError wraps an error of a TCP connect. It returns a ConnectionRefusedError only for
+// ECONNREFUSED, the one error that proves that no peer accepted the connection.
 func connectError(err error) error {
 	if errors.Is(err, unix.ECONNREFUSED) {
 		return &ConnectionRefusedError{err}
@@ -76,7 +77,7 @@
 	return fmt.Errorf("connect: %w", err)
 }
 
-// socketAddr returns the address family and the address as the system calls take them.
+// socketAddr returns the address family and the address in the form of the system calls.
 func socketAddr(a netaddr.Addr) (family int, sockaddr unix.Sockaddr) {
 	if a.IsUnix() {
 		return unix.AF_UNIX, &unix.SockaddrUnix{Name: a.Path}
@@ -98,7 +99,7 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
 }
 
-// addrPort returns the IP address of a socket address, and the zero value for any other kind.
+// addrPort returns the IP address and port of a socket address, or the zero value for other families.
 func addrPort(sockaddr unix.Sockaddr) netip.AddrPort {
 	switch sa := sockaddr.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -13,12 +13,12 @@
 const (
 	// maxAcceptsPerTurn bounds the connections that a listener accepts in one turn of the loop.
 	maxAcceptsPerTurn = 64
-	// listenBacklog is how many connections may wait in the system's queue.
+	// listenBacklog is how many connections may wait in the system's accept queue.
 	listenBacklog = 1024
-	// acceptPause is how long no connection is accepted after the system ran out of a resource.
+	// acceptPause is how long accepting is paused after the system ran out of a resource, or before
+	// the owner of a full listener is asked again to close a connection.
 	acceptPause = 50 * time.Millisecond
-	// handshakeTime is how long a handshake that has begun is given to end before its listener
-	// closes.
+	// handshakeTime is how long HandOver lets pending handshakes complete before the listener closes.
 	handshakeTime = 200 * time.Millisecond
 )
 
@@ -27,14 +27,15 @@
 
 // ListenConfig configures a listener.
 type ListenConfig struct {
-	// MaxOpen is how many connections may be open at once. The others wait in the system's queue.
+	// MaxOpen is how many connections may be open at once. Further ones wait in the system's queue.
 	MaxOpen int
 	// Limits bound the buffers of the connections.
 	Limits BufferLimits
 	// Accept returns the handler of a new connection.
 	Accept func(*Conn) Handler
-	// OnFull is called when a connection waits and MaxOpen are open, so that the owner can close an
-	// idle one; may be nil.
+	// OnFull is called when a connection waits in the queue and cannot be accepted, because MaxOpen
+	// connections are open or the system is out of a resource, so that the owner can close an idle
+	// connection. It may be nil.
 	OnFull func()
 }
 
@@ -43,16 +44,16 @@
 	return l.ListenAddr(netaddr.Addr{IP: addr}, config)
 }
 
-// ListenShared is Listen on an address on which other processes of the same user may listen too.
-// The system spreads connections over all of them.
+// ListenShared is Listen on an address on which other processes of the same user may listen too
+// (SO_REUSEPORT). The system spreads connections over all of them.
 func (l *Loop) ListenShared(addr netip.AddrPort, config ListenConfig) (*Listener, error) {
 	ln := l.newListener(config)
 	ln.shared = true
 	return ln.listenOn(netaddr.Addr{IP: addr})
 }
 
-// ListenAddr is Listen on an IP address or a unix socket. The file of a unix socket on which no
-// process listens any more is replaced.
+// ListenAddr is Listen on an IP address or a unix socket. A socket file on which no process listens
+// any more is replaced.
 func (l *Loop) ListenAddr(addr netaddr.Addr, config ListenConfig) (*Listener, error) {
 	return l.newListener(config).listenOn(addr)
 }
@@ -75,7 +76,7 @@
 	return ln, nil
 }
 
-// open makes the listening socket and has epoll watch it.
+// open creates the listening socket and has epoll watch it.
 func (ln *Listener) open(addr netaddr.Addr) error {
 	family, sockaddr := socketAddr(addr)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -88,7 +89,7 @@
 	} else {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	}
-	if ln.shared { // if this fails, bind fails where the address is in use
+	if ln.shared { // if this fails, bind fails if the address is in use
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}
 	err = ln.bind(addr, sockaddr)
@@ -116,15 +117,15 @@
 		return err
 	}
 	if ln.shared {
-		// HandOver of a replaced process attached a filter to the address, which would route all
+		// HandOver in a replaced process attached a filter to the address. It would route all
 		// connections to this process alone.
 		_ = unix.SetsockoptInt(ln.fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0)
 	}
 	return nil
 }
 
-// removeStaleSocket removes the socket file that a killed process left behind. A socket that still
-// accepts connections and a file of another kind stay, and bind fails on them.
+// removeStaleSocket removes the socket file that a killed process left behind. It keeps a socket that
+// still accepts connections and a file of another kind, on which bind fails.
 func removeStaleSocket(path string) {
 	var st unix.Stat_t
 	if unix.Lstat(path, &st) != nil || st.Mode&unix.S_IFMT != unix.S_IFSOCK {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -9,7 +9,7 @@
 	"ryepaddle/internal/netaddr"
 )
 
-// Listener accepts connections, up to a number that may be open at once. It owns the listening
+// Listener accepts connections, with a limit on how many may be open at once. It owns the listening
 // socket.
 type Listener struct {
 	loop      *Loop
@@ -17,15 +17,15 @@
 	maxOpen   int
 	openConns int
 	limits    BufferLimits
-	path      string // of a unix socket, whose file is removed with it; empty for an IP address
+	path      string // of the socket file, which is removed on closing; empty for an IP address
 	accept    func(*Conn) Handler
 	onFull    func()
-	paused    bool // epoll does not watch the queue
+	paused    bool // epoll does not report waiting connections
 	shared    bool // other processes may listen on the address too
-	draining  bool // it closes when the queue is empty
+	draining  bool // the listener closes when the queue is empty
 }
 
-// LocalAddr returns the address it listens on.
+// LocalAddr returns the address that the listener listens on.
 func (ln *Listener) LocalAddr() netaddr.Addr {
 	if ln.path != "" {
 		return netaddr.Addr{Path: ln.path}
@@ -33,22 +33,22 @@
 	return netaddr.Addr{IP: ln.Addr()}
 }
 
-// Addr returns the IP address it listens on; the zero value for a unix socket.
+// Addr returns the IP address that the listener listens on, or the zero value for a unix socket.
 func (ln *Listener) Addr() netip.AddrPort {
-	sockaddr, _ := unix.Getsockname(ln.fd) // fails only once closed
+	sockaddr, _ := unix.Getsockname(ln.fd) // fails only after the listener was closed
 	return addrPort(sockaddr)
 }
 
 func (ln *Listener) ready(uint32) { ln.acceptUpTo(maxAcceptsPerTurn) }
 
-// acceptUpTo accepts at most limit connections from the queue, as far as there is room.
+// acceptUpTo accepts connections from the queue, at most limit and no more than may be open.
 func (ln *Listener) acceptUpTo(limit int) {
 	for accepted := range limit {
 		if ln.fd < 0 {
 			return
 		}
 		if ln.openConns >= ln.maxOpen {
-			if accepted > 0 && !ln.draining && !ln.hasQueued() { // no connection needs room yet
+			if accepted > 0 && !ln.draining && !ln.hasQueued() { // full, but no connection waits
 				return
 			}
 			ln.pauseFull()
@@ -60,7 +60,7 @@
 	}
 }
 
-// acceptOne accepts a connection from the queue, and reports whether to try for another one.
+// acceptOne accepts a connection from the queue, and reports whether to try to accept another one.
 func (ln *Listener) acceptOne() bool {
 	fd, from, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	switch err {
@@ -72,27 +72,28 @@
 		}
 		return false
 	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-		// The queue stays readable: without a pause the loop would spin on an accept that cannot
-		// succeed.
+		// Epoll keeps reporting the queue: without a pause the loop would spin on an accept that
+		// cannot succeed.
 		ln.pause()
 		if ln.onFull != nil {
 			ln.onFull()
 		}
 		ln.loop.After(acceptPause, ln.resume)
 		return false
-	default: // the connection broke in the queue
+	default: // the connection broke while it was queued
 	}
 	return true
 }
 
-// pauseFull pauses accepting until there is room, and asks the owner to make some.
+// pauseFull pauses accepting until fewer than maxOpen connections are open, and asks the owner to
+// close one.
 func (ln *Listener) pauseFull() {
 	ln.pause()
 	if ln.onFull == nil {
 		return
 	}
 	ln.onFull()
-	// The owner may have had no idle connection to close, and no open one may end by itself.
+	// The owner may have had no idle connection to close yet, and perhaps none closes by itself.
 	ln.loop.After(acceptPause, ln.retryWhenFull)
 }
 
@@ -103,7 +104,7 @@
 	return n > 0
 }
 
-// register makes a connection of an accepted descriptor.
+// register creates the connection for an accepted descriptor.
 func (ln *Listener) register(fd int, from unix.Sockaddr) {
 	if ln.path == "" {
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
@@ -124,7 +125,7 @@
 // MaxOpen returns how many connections may be open at once.
 func (ln *Listener) MaxOpen() int { return ln.maxOpen }
 
-// SetMaxOpen changes how many connections may be open at once. Those that are open stay.
+// SetMaxOpen changes how many connections may be open at once. It closes none that are open.
 func (ln *Listener) SetMaxOpen(maxOpen int) {
 	ln.maxOpen = maxOpen
 	ln.resume()
@@ -136,7 +137,7 @@
 // SetLimits changes the buffer limits of connections that are accepted from now on.
 func (ln *Listener) SetLimits(limits BufferLimits) { ln.limits = limits }
 
-// retryWhenFull watches the queue again, so that the owner is asked for room once more.
+// retryWhenFull watches the queue again, so that the owner is asked again to close a connection.
 func (ln *Listener) retryWhenFull() {
 	if ln.paused && ln.fd >= 0 {
 		ln.paused = false
@@ -144,6 +145,7 @@
 	}
 }
 
+// pause stops watching the queue.
 func (ln *Listener) pause() {
 	if !ln.paused {
 		ln.paused = true
@@ -151,20 +153,22 @@
 	}
 }
 
+// resume watches the queue again, unless the limit of open connections is reached.
 func (ln *Listener) resume() {
 	if !ln.paused || ln.fd < 0 || ln.openConns >= ln.maxOpen {
 		return
 	}
 	ln.paused = false
 	ln.loop.rewatch(ln.fd, unix.EPOLLIN)
-	if ln.draining { // epoll does not report an empty queue
+	if ln.draining { // epoll does not report an empty queue, at which the listener closes
 		ln.acceptUpTo(listenBacklog)
 	}
 }
 
-// HandOver makes the system route new connections to the process that began to listen after this
-// one, and closes the listener once the handshakes that were routed to it are over: closing it at
-// once would reset them. If the system cannot do so, the listener closes at once.
+// HandOver makes the system route new connections to the process that began to listen on the address
+// after this one. It closes the listener after the pending handshakes had time to complete, since
+// closing it at once would reset them. If the system cannot reroute connections, the listener closes
+// at once.
 func (ln *Listener) HandOver() {
 	if ln.fd < 0 {
 		return
@@ -181,13 +185,13 @@
 	ln.loop.After(handshakeTime, ln.Close)
 }
 
-// IsListening reports whether it still accepts connections.
+// IsListening reports whether the listener is open.
 func (ln *Listener) IsListening() bool { return ln.fd >= 0 }
 
 // CloseWhenAccepted closes the listener once all connections in the queue are accepted, at the
-// latest after within: to their peers they are established, and closing the listener would reset
-// them. Usually that is at once; if the limit of open connections is reached, those in the queue
-// wait for room.
+// latest after within. Closing it earlier would reset the connections in the queue, which are
+// already established for their peers. Usually they are accepted at once. If the limit of open
+// connections is reached, they wait until others close.
 func (ln *Listener) CloseWhenAccepted(within time.Duration) {
 	if ln.fd < 0 || ln.draining {
 		return
@@ -199,7 +203,8 @@
 	}
 }
 
-// Close accepts the connections in the queue as far as there is room, and closes the listener.
+// Close accepts the connections in the queue, up to the limit of open connections, and closes the
+// listener.
 func (ln *Listener) Close() {
 	if ln.fd < 0 {
 		return
@@ -209,7 +214,7 @@
 	ln.release()
 }
 
-// release closes the listening socket. It is the only place that does.
+// release closes the listening socket and removes its file. No other function closes it.
 func (ln *Listener) release() {
 	if ln.fd < 0 {
 		return
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,8 @@
 // Package eventloop implements the program's single-threaded event loop on epoll: timers, a clock
-// that is read once a turn, stream connections with bounded buffers, listeners, and signals. All
-// callbacks run on the goroutine that calls Run; other goroutines enter through Deliver. Frontends,
-// upstream, the platform's adapters and the links to peers do their I/O on it.
+// that is read once per turn, stream connections with bounded buffers, listeners, and signals. A
+// turn is one iteration of the loop. All callbacks run on the goroutine that calls Run; other
+// goroutines use Deliver to run a function there. The frontends, package upstream, the platform's
+// adapters and the links to peers do their I/O on it.
 package eventloop
 
 import (
@@ -19,36 +20,36 @@
 )
 
 const (
-	// readChunkBytes bounds what is read from one connection in one turn.
+	// readChunkBytes bounds the bytes that are read from one connection in one turn.
 	readChunkBytes = 64 << 10
-	// maxEventsPerTurn bounds the descriptors that are served in one turn.
+	// maxEventsPerTurn bounds the number of descriptors whose events are handled in one turn.
 	maxEventsPerTurn = 256
-	// maxPollTimeout is the longest wait of a turn without a timer that is due.
+	// maxPollTimeout is how long a turn waits for events if no timer is due earlier.
 	maxPollTimeout = time.Second
-	// clockOrigin is the clock's time at the start of the loop, so that 0 can mean "never".
+	// clockOrigin is the loop's time when it starts. It is not 0, so that 0 can mean "never".
 	clockOrigin = time.Second
 )
 
-// source is a descriptor's owner, which handles the events of epoll.
+// source is the owner of a watched descriptor, which handles its events.
 type source interface {
 	ready(events uint32)
 }
 
-// registration is a watched descriptor. Its generation distinguishes it from an earlier one
-// of the same number.
+// registration is a watched descriptor. Its generation distinguishes it from earlier descriptors
+// with the same number.
 type registration struct {
 	source     source
 	generation int32
 }
 
-// Clock returns the time of day with its monotonic reading.
+// Clock returns the current time with a monotonic clock reading, as time.Now does.
 type Clock func() time.Time
 
 // Loop owns the epoll descriptor, the table of watched descriptors and the timers.
 type Loop struct {
 	epollFD    int
 	clock      Clock
-	stepped    bool // a test advances the clock, so that no turn waits for time to pass
+	stepped    bool // a test advances the clock, so turns never wait
 	start      time.Time
 	now        time.Duration
 	unix       wallclock.UnixMicro
@@ -56,12 +57,12 @@
 	generation int32
 	timers     timerHeap
 	posted     []func()
-	unflushed  []*Conn // connections with output that was queued in this turn
+	unflushed  []*Conn // connections that are flushed at the end of the turn
 	readBuffer []byte  // shared by all connections
 	events     [maxEventsPerTurn]unix.EpollEvent
 	stopped    bool
 
-	wakeFD    int // eventfd: something was delivered
+	wakeFD    int // eventfd that is readable while delivered functions wait
 	mu        sync.Mutex
 	delivered []func()
 }
@@ -69,8 +70,8 @@
 // New returns a loop that uses the system's clock. The caller must Close it.
 func New() (*Loop, error) { return newLoop(wallclock.Now) }
 
-// NewStepped returns a loop for tests: it uses a clock that the test advances, and its turns serve
-// what is ready and due without waiting.
+// NewStepped returns a loop for tests. It uses a clock that the test advances, and its turns handle
+// the events that are ready and the timers that are due without waiting.
 func NewStepped(clock Clock) (*Loop, error) {
 	l, err := newLoop(clock)
 	if err != nil {
@@ -107,10 +108,11 @@
 // Close closes the loop's own descriptors.
 func (l *Loop) Close() error { return errors.Join(unix.Close(l.epollFD), unix.Close(l.wakeFD)) }
 
-// Now returns the monotonic time of this turn, in whole microseconds, since the clock's origin.
+// Now returns the monotonic time at which this turn began, truncated to microseconds. It counts from
+// the start of the loop, at which it is one second.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Unix returns the system's Unix time of this turn.
+// Unix returns the Unix time at which this turn began.
 func (l *Loop) Unix() wallclock.UnixMicro { return l.unix }
 
 // readClock reads the clock for the turn that begins.
@@ -120,16 +122,16 @@
 	l.unix = wallclock.FromTime(t)
 }
 
-// Post calls fn later in this turn, after the current callback.
+// Post calls fn at the end of this turn, after the current callback has returned.
 func (l *Loop) Post(fn func()) { l.posted = append(l.posted, fn) }
 
-// Stop ends Run after this turn.
+// Stop makes Run return after this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
 // IsStopped reports whether Stop was called.
 func (l *Loop) IsStopped() bool { return l.stopped }
 
-// Run runs turns until Stop is called. It returns an error of epoll.
+// Run runs turns until Stop is called or epoll fails.
 func (l *Loop) Run() error {
 	for !l.stopped {
 		if err := l.Turn(); err != nil {
@@ -141,7 +143,7 @@
 }
 
 // Turn waits until a descriptor is ready or the next timer is due. It fires the timers that are
-// due, then serves the descriptors, and flushes the output of both at the end.
+// due, then handles the events of descriptors, and flushes the output of both at the end.
 func (l *Loop) Turn() error {
 	l.settle()
 	n, err := unix.EpollWait(l.epollFD, l.events[:], l.pollTimeout())
@@ -151,8 +153,8 @@
 	l.readClock()
 	l.fireTimers()
 	for _, event := range l.events[:max(n, 0)] {
-		// The number of a descriptor that was closed earlier in this turn may be in use again, by
-		// another generation.
+		// If the descriptor was closed earlier in this turn, its number may be in use again by a
+		// descriptor with another generation, for which the event is not meant.
 		if r, ok := l.table[int(event.Fd)]; ok && r.generation == event.Pad {
 			r.source.ready(event.Events)
 		}
@@ -162,8 +164,8 @@
 }
 
 // AwaitReady waits up to the given time until a descriptor is ready, and reports whether one is. It
-// does not serve it. A test with a stepped clock uses it to have a timer and a descriptor served in
-// one turn.
+// does not handle the event. A test with a stepped clock uses it so that a timer and an event are
+// handled in the same turn.
 func (l *Loop) AwaitReady(within time.Duration) (bool, error) {
 	fds := []unix.PollFd{{Fd: int32(l.epollFD), Events: unix.POLLIN}}
 	for {
@@ -174,7 +176,7 @@
 	}
 }
 
-// settle runs posted functions and flushes the output of the turn.
+// settle runs the posted functions and flushes the output of the turn until none is left.
 func (l *Loop) settle() {
 	for len(l.posted) > 0 || len(l.unflushed) > 0 {
 		posted := l.posted
@@ -221,26 +223,26 @@
 		return
 	}
 	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: r.generation}
-	// fails only for a descriptor that is not watched, which the table rules out
+	// Fails only for a descriptor that is not watched, which the table rules out.
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &ev)
 }
 
-// unwatch removes a descriptor that stays open from epoll.
+// unwatch removes a descriptor from epoll without closing it.
 func (l *Loop) unwatch(fd int) {
 	delete(l.table, fd)
-	// fails only for a descriptor that is not watched
+	// Fails only for a descriptor that is not watched.
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// release closes a watched descriptor. It is the only place that does.
+// release closes a watched descriptor. No other function closes one.
 func (l *Loop) release(fd int) {
 	delete(l.table, fd)
-	_ = unix.Close(fd) // also removes it from epoll; an error leaves nothing to do
+	_ = unix.Close(fd) // also removes it from epoll; the descriptor is gone even after an error
 }
 
-// Signals calls fn on the loop for each of the signals. Signals of one kind that come together
-// count once, so that a flood of one neither blocks nor displaces another. They are caught from
-// this call on until the program ends.
+// Signals calls fn on the loop for each of the signals that arrives. Signals of one kind that arrive
+// in quick succession may be merged into one, so that a flood of one kind neither blocks nor
+// displaces another. The signals are caught from this call until the program ends.
 func (l *Loop) Signals(fn func(os.Signal), signals ...os.Signal) {
 	for _, s := range signals {
 		ch := make(chan os.Signal, 1)
@@ -256,12 +258,12 @@
 // eventfdIncrement makes an eventfd readable: the number 1 in 64 bits.
 var eventfdIncrement = binary.NativeEndian.AppendUint64(nil, 1)
 
-// Deliver calls fn on the loop. It is the only method for other goroutines.
+// Deliver calls fn on the loop. It is the only method that other goroutines may call.
 func (l *Loop) Deliver(fn func()) {
 	l.mu.Lock()
 	l.delivered = append(l.delivered, fn)
 	l.mu.Unlock()
-	// fails only while a wake-up is pending
+	// Fails only while a wake-up is pending, because the counter would overflow.
 	_, _ = unix.Write(l.wakeFD, eventfdIncrement)
 }
 
@@ -278,7 +280,7 @@
 	}
 }
 
-// readyFunc is a source that is a function.
+// readyFunc is a function that implements source.
 type readyFunc func(events uint32)
 
 func (f readyFunc) ready(events uint32) { f(events) }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -13,7 +13,7 @@
 
 var any4 = netip.MustParseAddrPort("127.0.0.1:0")
 
-// peer is a handler that the test fills in.
+// peer is a handler whose methods call the functions that the test sets.
 type peer struct {
 	up     func()
 	data   func([]byte) (int, error)
@@ -38,7 +38,7 @@
 	}
 }
 
-// run runs a new loop until the test stops it.
+// run runs a new loop until the test stops it, for at most 10 seconds.
 func run(t *testing.T, begin func(*Loop)) *Loop {
 	t.Helper()
 	l, err := New()
@@ -47,7 +47,7 @@
 	}
 	defer l.Close()
 	l.After(10*time.Second, func() {
-		t.Error("the test does not end")
+		t.Error("the loop was not stopped within 10 seconds")
 		l.Stop()
 	})
 	begin(l)
@@ -72,7 +72,7 @@
 	return ln
 }
 
-// A peer that does not read must not cost more than its output buffer.
+// A peer that does not read is closed when its output buffer overflows.
 func TestSlowPeerIsClosed(t *testing.T) {
 	var got error
 	run(t, func(l *Loop) {
@@ -87,11 +87,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		mute, err := net.Dial("tcp", ln.Addr().String())
+		silent, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { mute.Close() })
+		t.Cleanup(func() { silent.Close() })
 		l.Every(time.Millisecond, func() {
 			if c != nil {
 				c.Write(make([]byte, 1<<18))
@@ -99,7 +99,7 @@
 		})
 	})
 	if !errors.Is(got, ErrSlowPeer) {
-		t.Fatalf("closed with %v", got)
+		t.Fatalf("the connection closed with error %v, want ErrSlowPeer", got)
 	}
 }
 
@@ -132,12 +132,12 @@
 	})
 	var r *ConnectionRefusedError
 	if !errors.Is(flood, ErrInputOverflow) || !errors.As(refused, &r) {
-		t.Fatalf("flood closed with %v, refusal with %v", flood, refused)
+		t.Fatalf("overflow closed with error %v, refused connect with %v", flood, refused)
 	}
 }
 
-// An accept that fails for lack of descriptors leaves the listener readable: the loop must pause,
-// not spin on it.
+// When the process is out of descriptors, accept fails and the listener stays readable: the loop must
+// pause accepting instead of spinning, and accept the connection later.
 func TestAcceptPausesWithoutDescriptors(t *testing.T) {
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
@@ -156,7 +156,7 @@
 		var c *Conn
 		c = l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{up: func() { c.Write([]byte("x")) }})
 		low := old
-		low.Cur = uint64(c.fd) + 1 // all that are in use, and no more
+		low.Cur = uint64(c.fd) + 1 // allows the descriptors that are in use, and no more
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &low); err != nil {
 			t.Fatal(err)
 		}
@@ -167,19 +167,20 @@
 		})
 	})
 	if !took || fulls == 0 || fulls > 20 {
-		t.Fatalf("taken in the end: %t, after %d failed accepts", took, fulls)
+		t.Fatalf("connection accepted: %t, after %d failed accepts; want true after 1 to 20", took, fulls)
 	}
 }
 
-// At its limit the listener leaves connections in the queue, and accepts them as others close.
+// A listener at its limit of open connections leaves further ones in the queue, and accepts them as
+// others close.
 func TestFullListenerAcceptsAsConnectionsClose(t *testing.T) {
-	taken, fulls := 0, 0
+	accepted, fulls := 0, 0
 	run(t, func(l *Loop) {
 		var first *Conn
 		ln, err := l.Listen(
 			any4,
 			ListenConfig{MaxOpen: 1, Limits: BufferLimits{10, 10}, Accept: func(c *Conn) Handler {
-				if taken++; taken == 2 {
+				if accepted++; accepted == 2 {
 					l.Stop()
 				}
 				first = c
@@ -192,8 +193,8 @@
 		l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{})
 		l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{})
 	})
-	if taken != 2 || fulls == 0 {
-		t.Fatalf("%d taken, full %d times", taken, fulls)
+	if accepted != 2 || fulls == 0 {
+		t.Fatalf("accepted %d connections, want 2; OnFull called %d times, want at least 1", accepted, fulls)
 	}
 }
 
@@ -206,7 +207,7 @@
 		stopped := l.After(15*time.Millisecond, func() { got = append(got, -1) })
 		stopped.Stop()
 		stopped.Stop()
-		// Of two timers that are due in one turn the first stops the second, which must not fire.
+		// Of two timers that are due in the same turn, the first stops the second, which must not fire.
 		var second *Timer
 		l.After(0, func() { second.Stop() })
 		second = l.After(time.Microsecond, func() { got = append(got, -2) })
@@ -214,22 +215,22 @@
 		l.After(40*time.Millisecond, l.Stop)
 	})
 	if len(got) != 3 || got[0] != 10 || got[1] != 20 || got[2] != 30 {
-		t.Fatalf("timers fired as %v", got)
+		t.Fatalf("timers fired in the order %v, want [10 20 30]", got)
 	}
 }
 
-// handOver is a test in which two listeners share an address and the first hands over to the
-// second.
+// handOver is the state of a test in which two listeners share an address and the first hands over
+// to the second.
 type handOver struct {
 	t          *testing.T
 	loop       *Loop
 	listeners  [2]*Listener
 	accepted   [2]int
 	handedOver bool
-	late       int // connections that the first accepted after it handed over
+	late       int // connections that the first listener accepted after it handed over
 }
 
-// listen opens both listeners, whose connections echo each byte as a dot.
+// listen opens both listeners, whose connections answer input with a dot.
 func (h *handOver) listen(maxOpen int) {
 	addr := any4
 	for i := range h.listeners {
@@ -257,8 +258,8 @@
 	}
 }
 
-// connect dials the address count times, one after the other, and hands over after a quarter of
-// them.
+// connect dials the address count times, one after the other, and hands over after a quarter of the
+// connections. It sends the result of each to failed.
 func (h *handOver) connect(addr netip.AddrPort, count int, failed chan<- error) {
 	for n := range count {
 		failed <- echo(addr)
@@ -266,7 +267,7 @@
 			h.loop.Deliver(func() {
 				h.listeners[0].HandOver()
 				if h.handedOver = true; !h.listeners[0].IsListening() {
-					h.t.Error("pending handshakes are reset")
+					h.t.Error("the first listener closed at once, which resets pending handshakes")
 				}
 			})
 		}
@@ -274,26 +275,27 @@
 	close(failed)
 }
 
-// finish stops the loop once the first listener must have closed.
+// finish stops the loop after the time in which the first listener has to close.
 func (h *handOver) finish() {
 	h.loop.After(2*handshakeTime, func() {
 		if h.listeners[0].IsListening() {
-			h.t.Error("the first listener is still listening")
+			h.t.Error("the first listener is still listening after twice handshakeTime")
 		}
 		h.loop.Stop()
 	})
 }
 
-// The first of two listeners on one address hands over while peers connect: each connection is
-// accepted by one of them, none is reset, and none goes to the first once it has handed over.
+// The first of two listeners on one address hands over while peers connect. Each connection is
+// accepted by one of the listeners, none is reset, and no new connection goes to the first one after
+// it handed over.
 func TestHandOverResetsNoConnection(t *testing.T) {
-	const each = 400
+	const connections = 400
 	h := &handOver{t: t}
 	run(t, func(l *Loop) {
 		h.loop = l
-		h.listen(10 * each)
-		addr, failed := h.listeners[0].Addr(), make(chan error, each)
-		go h.connect(addr, each, failed)
+		h.listen(10 * connections)
+		addr, failed := h.listeners[0].Addr(), make(chan error, connections)
+		go h.connect(addr, connections, failed)
 		go func() {
 			for err := range failed {
 				if err != nil {
@@ -303,9 +305,10 @@
 			l.Deliver(h.finish)
 		}()
 	})
-	// One that was led to the first before the hand-over may be accepted after it.
-	if h.accepted[0]+h.accepted[1] != each || h.accepted[0] == 0 || h.late > 1 {
-		t.Errorf("%v of %d are accepted, %d late", h.accepted, each, h.late)
+	// A connection that was routed to the first listener before the hand-over may be accepted after it.
+	if h.accepted[0]+h.accepted[1] != connections || h.accepted[0] == 0 || h.late > 1 {
+		t.Errorf("the listeners accepted %v of %d connections, the first one %d after it handed over",
+			h.accepted, connections, h.late)
 	}
 }
 
@@ -323,11 +326,11 @@
 	return err
 }
 
-// Small writes are sent at once on accepted and on dialled connections: what the system held back
-// would be lost with a reset.
+// Accepted and dialled connections have TCP_NODELAY, so that small writes are sent at once: output
+// that the system holds back would be lost with a reset.
 func TestSocketsHaveNoDelay(t *testing.T) {
 	noDelay := map[string]int{}
-	look := func(l *Loop, name string, c *Conn) {
+	readNoDelay := func(l *Loop, name string, c *Conn) {
 		value, err := unix.GetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
 		if err != nil {
 			t.Error(err)
@@ -340,7 +343,7 @@
 		ln, err := l.Listen(
 			any4,
 			ListenConfig{MaxOpen: 8, Limits: BufferLimits{100, 100}, Accept: func(c *Conn) Handler {
-				l.Post(func() { look(l, "accepted", c) })
+				l.Post(func() { readNoDelay(l, "accepted", c) })
 				return &peer{}
 			}},
 		)
@@ -348,9 +351,9 @@
 			t.Fatal(err)
 		}
 		var dialled *Conn
-		dialled = l.Dial(ln.Addr(), BufferLimits{100, 100}, &peer{up: func() { look(l, "dialled", dialled) }})
+		dialled = l.Dial(ln.Addr(), BufferLimits{100, 100}, &peer{up: func() { readNoDelay(l, "dialled", dialled) }})
 	})
 	if noDelay["accepted"] != 1 || noDelay["dialled"] != 1 {
-		t.Errorf("TCP_NODELAY: %v", noDelay)
+		t.Errorf("TCP_NODELAY by connection = %v, want 1 for both", noDelay)
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Timer is a scheduled call.
+// Timer is a scheduled call of a function on the loop.
 type Timer struct {
 	loop  *Loop
-	dueAt time.Duration
-	fn    func()
-	index int // in the heap; -1: not in it
+	dueAt time.Duration // in the time of Loop.Now
+	fn    func()        // nil: stopped
+	index int           // in the heap; -1: not in it
 }
 
-// After calls fn once, after d.
+// After calls fn once, after d. A negative d counts as 0.
 func (l *Loop) After(d time.Duration, fn func()) *Timer {
 	t := &Timer{loop: l, dueAt: l.now + max(d, 0), fn: fn}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Every calls fn once every d, first after d.
+// Every calls fn repeatedly, for the first time after d, and then d after each call.
 func (l *Loop) Every(d time.Duration, fn func()) {
 	l.After(d, func() {
 		fn()
@@ -40,7 +40,8 @@
 	}
 }
 
-// fireTimers calls the timers that are due. Timers that these calls set wait for the next turn.
+// fireTimers calls the functions of the timers that are due. Timers that these calls set fire in the
+// next turn at the earliest.
 func (l *Loop) fireTimers() {
 	var due []*Timer
 	for len(l.timers) > 0 && l.timers[0].dueAt <= l.now {
--- a/internal/protocol/uwsgi/uwsgi_test.go
+++ b/internal/protocol/uwsgi/uwsgi_test.go
@@ -175,15 +175,15 @@
 
 // collector assembles a complete response from its parts, in bounded memory.
 type collector struct {
-	reader   *httpmessage.ResponseReader
-	headOnly bool
-	maxBody  int // bytes
-	resp     *Response
+	reader    *httpmessage.ResponseReader
+	headOnly  bool
+	bodyLimit int // bytes
+	resp      *Response
 }
 
 // newCollector returns a collector of a response with a body of at most maxBody bytes.
 func newCollector(headOnly bool, maxBody int) *collector {
-	return &collector{reader: httpmessage.NewResponseReader(headOnly), headOnly: headOnly, maxBody: maxBody}
+	return &collector{reader: httpmessage.NewResponseReader(headOnly), headOnly: headOnly, bodyLimit: maxBody}
 }
 
 // take decodes all it can from b and returns how many bytes it used. The response is not nil once it
@@ -197,7 +197,7 @@
 		case err != nil:
 			return nil, used, err
 		case ev.Head != nil:
-			if ev.Head.Length > c.maxBody && !c.headOnly {
+			if ev.Head.Length > c.bodyLimit && !c.headOnly {
 				return nil, used, ErrBodyTooLong
 			}
 			c.resp = &Response{Status: ev.Head.Status, Body: []byte{}}
@@ -207,7 +207,7 @@
 				}
 			}
 			continue
-		case len(c.bodyOf())+len(ev.Data) > c.maxBody:
+		case len(c.bodyOf())+len(ev.Data) > c.bodyLimit:
 			return nil, used, ErrBodyTooLong
 		case len(ev.Data) > 0:
 			c.resp.Body = append(c.resp.Body, ev.Data...)
