--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -44,30 +44,30 @@
 	h func(*eventloop.Conn) eventloop.Handler,
 ) (*eventloop.Listener, *[]*eventloop.Conn) {
 	t.Helper()
-	taken := &[]*eventloop.Conn{}
+	accepted := &[]*eventloop.Conn{}
 	ln, err := l.Listen(loopback, eventloop.ListenConfig{
 		MaxOpen: maxOpen,
 		Limits:  eventloop.BufferLimits{In: 1 << 10, Out: 8 << 20},
 		Accept: func(c *eventloop.Conn) eventloop.Handler {
-			*taken = append(*taken, c)
+			*accepted = append(*accepted, c)
 			return h(c)
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ln, taken
+	return ln, accepted
 }
 
 // A response is sent even if the end of the peer's input is read in the turn in which the response is
 // written.
 func TestOutputIsSentWhenPeerClosesInSameTurn(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, accepted := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
-	s.Until(func() bool { return len(*taken) == 1 })
-	s.Until(func() bool { return len((*taken)[0].Buffered()) == 1 })
-	s.After(time.Millisecond, func() { (*taken)[0].Write([]byte("answer")) })
+	s.Until(func() bool { return len(*accepted) == 1 })
+	s.Until(func() bool { return len((*accepted)[0].Buffered()) == 1 })
+	s.After(time.Millisecond, func() { (*accepted)[0].Write([]byte("answer")) })
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
@@ -80,18 +80,18 @@
 // its side, while the connection is being closed gracefully.
 func TestOutputIsSentToSlowPeerThatClosed(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, accepted := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "x")
-	s.Until(func() bool { return len(*taken) == 1 })
+	s.Until(func() bool { return len(*accepted) == 1 })
 	large := make([]byte, 6<<20)
-	(*taken)[0].Write(large)
-	(*taken)[0].CloseGracefully()
-	s.Until(func() bool { return (*taken)[0].QueuedBytes() < len(large) })
+	(*accepted)[0].Write(large)
+	(*accepted)[0].CloseGracefully()
+	s.Until(func() bool { return (*accepted)[0].QueuedBytes() < len(large) })
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitAndPass(0)
-	if (*taken)[0].IsClosed() {
+	if (*accepted)[0].IsClosed() {
 		t.Fatal("the connection is closed while a part of the response is still queued")
 	}
 	expect(t, s, scenario.ReadToEnd(c), string(large))
@@ -101,10 +101,10 @@
 // with unread input would reset the connection, and the response would be lost.
 func TestGracefulCloseResumesPausedReading(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, accepted := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "")
-	s.Until(func() bool { return len(*taken) == 1 })
-	lc := (*taken)[0]
+	s.Until(func() bool { return len(*accepted) == 1 })
+	lc := (*accepted)[0]
 	lc.SetPaused(true)
 	s.Send(c, "more")
 	lc.Write([]byte("answer"))
@@ -126,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario.NewSteppedLoop(t)
-			ln, taken := listen(
+			ln, accepted := listen(
 				t,
 				s.Loop,
 				2*many,
@@ -136,8 +136,8 @@
 				s.Dial(ln, "")
 			}
 			closeListener(ln)
-			if len(*taken) != many || ln.IsListening() {
-				t.Fatalf("accepted %d of %d connections, IsListening() = %t", len(*taken), many, ln.IsListening())
+			if len(*accepted) != many || ln.IsListening() {
+				t.Fatalf("accepted %d of %d connections, IsListening() = %t", len(*accepted), many, ln.IsListening())
 			}
 		})
 	}
@@ -147,7 +147,7 @@
 // and the listener closes only after that.
 func TestClosingListenerWaitsForRoom(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := listen(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
+	ln, accepted := listen(t, s.Loop, 1, func(c *eventloop.Conn) eventloop.Handler {
 		return &peer{data: func(b []byte) (int, error) {
 			c.Write(b)
 			c.CloseGracefully()
@@ -167,8 +167,8 @@
 	}
 	s.Advance(time.Second) // the last connection closes
 	s.Advance(0)
-	if len(*taken) != 3 || ln.IsListening() {
-		t.Fatalf("accepted %d of 3 connections, IsListening() = %t", len(*taken), ln.IsListening())
+	if len(*accepted) != 3 || ln.IsListening() {
+		t.Fatalf("accepted %d of 3 connections, IsListening() = %t", len(*accepted), ln.IsListening())
 	}
 }
 
@@ -176,10 +176,10 @@
 // whose peer has not read the response yet.
 func TestShutdownKeepsResponseBeforeUnreadInput(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	ln, taken := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
+	ln, accepted := listen(t, s.Loop, 4, func(*eventloop.Conn) eventloop.Handler { return &peer{} })
 	c := s.Dial(ln, "")
-	s.Until(func() bool { return len(*taken) == 1 })
-	lc := (*taken)[0]
+	s.Until(func() bool { return len(*accepted) == 1 })
+	lc := (*accepted)[0]
 	lc.Write([]byte("answer"))
 	s.Send(c, "more")
 	for !lc.HasUnreadInput() {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -143,15 +143,15 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	fulls, took := 0, false
+	onFullCalls, received := 0, false
 	run(t, func(l *Loop) {
 		ln := listen(
 			t,
 			l,
 			100,
 			BufferLimits{10, 10},
-			&peer{data: func([]byte) (int, error) { took = true; l.Stop(); return 0, nil }},
-			func() { fulls++ },
+			&peer{data: func([]byte) (int, error) { received = true; l.Stop(); return 0, nil }},
+			func() { onFullCalls++ },
 		)
 		var c *Conn
 		c = l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{up: func() { c.Write([]byte("x")) }})
@@ -166,15 +166,15 @@
 			}
 		})
 	})
-	if !took || fulls == 0 || fulls > 20 {
-		t.Fatalf("connection accepted: %t, after %d failed accepts; want true after 1 to 20", took, fulls)
+	if !received || onFullCalls == 0 || onFullCalls > 20 {
+		t.Fatalf("input received: %t, after %d failed accepts; want true after 1 to 20", received, onFullCalls)
 	}
 }
 
 // A listener at its limit of open connections leaves further ones in the queue, and accepts them as
 // others close.
 func TestFullListenerAcceptsAsConnectionsClose(t *testing.T) {
-	accepted, fulls := 0, 0
+	accepted, onFullCalls := 0, 0
 	run(t, func(l *Loop) {
 		var first *Conn
 		ln, err := l.Listen(
@@ -185,7 +185,7 @@
 				}
 				first = c
 				return &peer{}
-			}, OnFull: func() { fulls++; first.CloseGracefully() }},
+			}, OnFull: func() { onFullCalls++; first.CloseGracefully() }},
 		)
 		if err != nil {
 			t.Fatal(err)
@@ -193,8 +193,8 @@
 		l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{})
 		l.Dial(ln.Addr(), BufferLimits{10, 10}, &peer{})
 	})
-	if accepted != 2 || fulls == 0 {
-		t.Fatalf("accepted %d connections, want 2; OnFull called %d times, want at least 1", accepted, fulls)
+	if accepted != 2 || onFullCalls == 0 {
+		t.Fatalf("accepted %d connections, want 2; OnFull called %d times, want at least 1", accepted, onFullCalls)
 	}
 }
 
