--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -36,10 +36,10 @@
 	CauseDeadlineTooNear            // its deadline was too near when it was read; seconds left
 	CauseCallQueue                  // too many requests wait for calls; seconds of estimated wait
 	CauseQueueingDelay              // its queueing delay is past the limit; seconds
-	CauseObjectiveUnreachable       // its latency objective cannot be met any more
+	CauseObjectiveUnreachable       // its latency objective or deadline cannot be met any more
 	CauseQuota                      // beyond its tenant's quota; seconds of queueing delay
 	CauseKeyMemory                  // no memory for its idempotency key; kB
-	CauseDeadlinePassed             // its deadline came while it was queued or ran
+	CauseDeadlinePassed             // its deadline came after it left its queue, or overload ended its run
 	CauseCallFailed                 // its call failed, and there is no answer without it
 	CauseCancelled                  // its run was cancelled
 )
--- a/internal/admission/answer.go
+++ b/internal/admission/answer.go
@@ -18,7 +18,7 @@
 
 // retryHint is the advice on retries that the caller of a rejected request gets.
 type retryHint struct {
-	after   time.Duration // Retry-After, within tickInterval and Settings.MaxRetryAfter
+	after   time.Duration // Retry-After, raised to tickInterval, then limited to Settings.MaxRetryAfter
 	noRetry bool          // do not retry at another server
 }
 
@@ -76,7 +76,7 @@
 		}
 	case awaitingCall:
 		c.resumeAfterCall(r)
-	case inCall: // the call stays in flight until the host reports its end or that of the run
+	case inCall: // the call stays in flight until the host reports the end of the call or of the run
 	}
 }
 
--- a/internal/admission/call_limit.go
+++ b/internal/admission/call_limit.go
@@ -17,9 +17,9 @@
 	upperBoundErrors = 2
 )
 
-// dependencyCalls tracks this server's calls to the dependency. They are limited in number and in
-// the total time for which they are in flight, so that a quota of less than one call, as each of
-// hundreds of servers may have, is a share of time.
+// dependencyCalls tracks this server's calls to the dependency. It limits their number and the total
+// time for which they are in flight. Each of hundreds of servers may have a quota of less than one
+// call; the limit of time keeps such a quota as a mean over time.
 type dependencyCalls struct {
 	queue          []*request      // requests that wait to place a call, in the order in which they joined
 	inFlight       int             // calls that are placed and not reported as ended
--- a/internal/admission/call_limit_test.go
+++ b/internal/admission/call_limit_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// step times out the calls that ended in the step of this length up to now, and returns the number of
-// calls that the dependency works on.
+// step times out the calls whose timeout ended since the step before, which was length ago, and
+// returns the number of calls that the dependency works on.
 func (d *hangingDependency) step(length time.Duration) (busy float64) {
 	for id, end := range d.endsAt {
 		busy++
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -34,8 +34,8 @@
 	return r.state == awaitingCall && !r.answered && r.objectiveAt > c.now
 }
 
-// callQueueDelay is how long the first request in the queue for calls that may still meet its
-// objective has waited; 0: there is none.
+// callQueueDelay returns the wait of the first request in the call queue that may still meet its
+// objective; 0: there is none.
 func (c *Controller) callQueueDelay() time.Duration {
 	for _, r := range c.calls.queue {
 		if c.awaitsCallInTime(r) {
--- a/internal/admission/checker_rules_test.go
+++ b/internal/admission/checker_rules_test.go
@@ -24,7 +24,7 @@
 		return
 	case ActionAdvertise:
 		if k.settings.CreditMode == CreditNone || !(a.Value >= 0) || math.IsInf(a.Value, 0) {
-			k.violate(ruleProtocol, "advertised value is %v", a.Value)
+			k.violate(ruleProtocol, "advertised value is %v, want none with CreditNone, otherwise 0 or more", a.Value)
 		}
 		return
 	}
--- a/internal/admission/checker_test.go
+++ b/internal/admission/checker_test.go
@@ -187,7 +187,7 @@
 		QueueingDelay: delay,
 		Retry:         k.rng.IntN(4) == 0,
 	}
-	if !k.settings.ReportsAbandoned { // a host that does not report these has no deadlines either
+	if !k.settings.ReportsAbandoned { // a host that does not report abandoned requests knows no deadlines either
 		e.Deadline, s.deadline = 0, s.arrivedAt+k.settings.Classes[class].Timeout
 	}
 	s.deadline = max(s.deadline, k.now)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -138,9 +138,9 @@
 func (c *Controller) needsRestart(s *Settings) bool {
 	sameClass := func(a, b Class) bool { return a.Name == b.Name && a.Idempotency == b.Idempotency }
 	sameTenant := func(a, b Tenant) bool { return a.Name == b.Name }
-	places := len(c.queues)
-	return len(s.Classes) < places ||
-		!slices.EqualFunc(s.Classes[:places], c.settings.Classes, sameClass) ||
+	classCount := len(c.queues)
+	return len(s.Classes) < classCount ||
+		!slices.EqualFunc(s.Classes[:classCount], c.settings.Classes, sameClass) ||
 		!slices.EqualFunc(s.Tenants, c.settings.Tenants, sameTenant) ||
 		s.Cores != c.settings.Cores ||
 		s.KeyMemoryKB != c.settings.KeyMemoryKB ||
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -18,5 +18,6 @@
 // that took effect, one EventCallCompleted for each ActionPlaceCall unless EventCompleted comes
 // first, and one EventTimer for each ActionTimer.
 //
-// Times are durations since the start of the host's clock. Names of numbers in seconds say so.
+// Times are durations since the start of the host's clock. A float64 that
+// holds seconds says so in its name or comment.
 package admission
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -13,7 +13,7 @@
 	EventBlocked                 // a running request waits for its call
 	EventCallCompleted           // a call ended
 	EventAbandoned               // the caller no longer waits for the request
-	EventDrain                   // graceful shutdown begins and ends at Event.Deadline
+	EventDrain                   // graceful shutdown begins; the process is stopped at Event.Deadline
 	EventTimer                   // a timer is due; carries the gauges
 )
 
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -9,10 +9,10 @@
 const recoveryDivisor = 2
 
 // updateHealth makes health checks fail while this server, unlike the others, reads requests too late
-// to answer them; a low share of retries shows that the others do not. Callers that no longer know
-// its credit then drop it by the endpoint list. A server that reads more requests than usual stays
-// healthy, since all servers may be overloaded. The target is the longest delay target, in
-// nanoseconds.
+// to answer them; a low share of retries shows that the others do not. Callers then drop
+// the server by the endpoint list, even if they no longer know its credit. A server that reads more
+// requests than usual stays healthy, since all servers may be overloaded. The target is the longest
+// delay target, in nanoseconds.
 func (c *Controller) updateHealth(target float64) {
 	arrivals := &c.arrivals
 	arrivals.readDelay *= readDelayDecay
@@ -28,8 +28,8 @@
 		return
 	}
 	c.setLogged(&c.unhealthy, !c.unhealthy,
-		"health bad: requests are read too late to be answered, and other servers have capacity",
-		"health good again: requests are read in time")
+		"health checks fail: requests are read too late to be answered, and other servers have capacity",
+		"health checks pass again: requests are read in time")
 	c.emit(Action{Kind: ActionSetHealth, Static: true, Healthy: !c.unhealthy})
 }
 
--- a/internal/admission/idempotency.go
+++ b/internal/admission/idempotency.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// forgetKey drops r's key and frees its memory. The host is told only if the key may not have expired
-// there by itself: for a shareable read, and for a request that did not start.
+// forgetKey drops r's key and frees its memory. The host is told only if it may still remember the
+// key: for a shareable read, and for a request that did not start.
 func (c *Controller) forgetKey(r *request) {
 	if !r.keyRemembered {
 		return
--- a/internal/admission/parameters.go
+++ b/internal/admission/parameters.go
@@ -14,20 +14,20 @@
 	MinCutFactor           float64 // minimum share of the pool that a cut leaves
 	DelayTargetShare       float64 // delay target, as a share of the objective less the mean run time
 	MinDelayTargetShare    float64 // the same while no arrivals are rejected
-	RejectDelayFactor      float64 // delay targets above which arrivals are rejected
+	RejectDelayFactor      float64 // queueing delay that rejects arrivals, in delay targets
 	BusyCPU                float64 // CPU gauge above which the cores count as busy
 	MinCredit              float64 // minimum credits that cuts leave while the cores are busy
 	RetryTargetShare       float64 // delay target of a marked retry, as a share of its class's
 	RetryStormShare        float64 // share of retries in arrivals at which their delay target is 0
 	FewRetriesShare        float64 // share of retries in arrivals up to which others may have capacity
-	OverrunFactor          float64 // expected run times after which overload may cancel a run
-	StartMarginFactor      float64 // expected run times that must be left to start an uncancellable run
+	OverrunFactor          float64 // run time from which overload may cancel a run, in expected run times
+	StartMarginFactor      float64 // minimum time left to start an uncancellable run, in expected run times
 	RunningLimitShare      float64 // share of Settings.MaxRunningPerCore that is used
 	RunMemoryShare         float64 // share of memory up to which runs start and keys are remembered
 	QueueMemoryShare       float64 // share of memory above which arrivals are rejected
 	CallQuotaShare         float64 // upper bound of the mean calls in flight, as a share of the call quota
 	MinCallQuotaShare      float64 // lower bound of that mean, as a share of the call quota
-	SlowCallFactor         float64 // best call times above which the dependency counts as congested
+	SlowCallFactor         float64 // mean call time that counts as congestion, in best call times
 	CallLimitDecrease      float64 // factor of the call limit per congested control period
 	BestCallTimeGrowth     float64 // factor by which the best call time grows per call
 	LateCallWeight         float64 // priority weight per second that a late request has left
@@ -70,7 +70,7 @@
 func DefaultParameters() Parameters { return defaultParameters }
 
 // ErrUnknownParameter reports a name that no parameter has.
-var ErrUnknownParameter = errors.New("no figure of the module has this name")
+var ErrUnknownParameter = errors.New("the admission controller has no parameter of this name")
 
 // ParameterError reports a parameter that is out of its bounds.
 type ParameterError struct {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,8 +7,8 @@
 // of the sum of recent arrivals.
 const runTimeWeight = 0.1
 
-// minQueueTimeDivisor divides a latency objective to give the time that counts as left for queueing
-// at least, however long the run.
+// minQueueTimeDivisor divides a latency objective to give the minimum time that the delay target
+// assumes to be left for queueing, however long runs take.
 const minQueueTimeDivisor = 4
 
 // maxExpectedSeconds bounds the expected time of a run, so that it fits a duration.
@@ -43,7 +43,7 @@
 	queue := &c.queues[r.class]
 	run := queue.meanRunSeconds
 	if r.expectedWork > 0 && queue.meanExpectedSeconds > 0 {
-		// Part of each run is waiting, so half of its time is taken not to grow with the work.
+		// Part of each run is waiting, so half of the mean run time is assumed not to grow with the work.
 		run *= (1 + r.expectedWork.Seconds()/queue.meanExpectedSeconds) / 2
 	}
 	return seconds(min(run, maxExpectedSeconds))
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -53,8 +53,8 @@
 	ObjectiveWorkFactor float64
 	// Timeout is how long a client waits in total. It sets the deadline of requests without one.
 	Timeout time.Duration
-	// IdempotencyWindow is how long after its arrival a request with the same key may arrive again,
-	// for IdempotentWithKey.
+	// IdempotencyWindow is how long after the arrival of a request others with the same key may
+	// arrive, and be recognized as repeats of it. It applies to IdempotentWithKey.
 	IdempotencyWindow time.Duration
 	Idempotency       Idempotency
 	// PriorityWeight is the value of an answer relative to those of other classes.
--- a/internal/simulator/variant/variant_test.go
+++ b/internal/simulator/variant/variant_test.go
@@ -85,7 +85,7 @@
 		{
 			"target_share: 0.3",
 			"target: 0.3",
-			"variant: v.yaml:3: field figures.target: no figure of the module has this name",
+			"variant: v.yaml:3: field figures.target: the admission controller has no parameter of this name",
 		},
 		{
 			"target_share: 0.3",
