--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -11,11 +11,12 @@
 	controller *admission.Controller
 	now        func() time.Duration
 	events     []admission.Event  // not handled yet
-	actions    []admission.Action // that resulted from the last events
+	actions    []admission.Action // results of the events handled last
 	next       int                // index of the next action
 }
 
-// report adds an event. The admission controller handles it when the next action is asked for.
+// report adds an event. The admission controller handles it once the actions of earlier events have
+// been executed.
 func (q *admissionQueue) report(e admission.Event) { q.events = append(q.events, e) }
 
 // nextAction returns the next action; false if all events are handled and their actions executed.
--- a/internal/lifecycle/answer.go
+++ b/internal/lifecycle/answer.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// expire answers a request whose frontend set a shorter timeout than its class has.
+// expire answers a request as expired when the timeout that its frontend set is over.
 func (m *Manager) expire(r *request) {
 	if r.answered {
 		return
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -7,11 +7,11 @@
 	provenLifetime = 10 * time.Second
 	// maxProvenCallers bounds the number of proven callers.
 	maxProvenCallers = 4096
-	// unprovenCaller is the caller number that all other callers share.
+	// unprovenCaller is the caller number that all callers that are not proven share.
 	unprovenCaller = 1<<32 - 1
 )
 
-// provenCallers holds the callers of which a request has run recently. The admission controller
+// provenCallers holds the callers that had a request run recently. The admission controller
 // divides its credit among the callers that it knows: if every caller number in a request counted, a
 // flood of made-up numbers would leave no credit for the other callers.
 type provenCallers struct {
--- a/internal/lifecycle/helpers_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -63,7 +63,7 @@
 	switch w[0] {
 	case "ask":
 		class, _ := t.Class(w[2])
-		due, _ := strconv.Atoi(w[4]) // 0 if it is not given: the timeout of the class
+		timeoutMs, _ := strconv.Atoi(w[4]) // 0 if it is not given: the timeout of the class
 		tenant, ok := t.Tenant("north")
 		if !ok {
 			return fmt.Errorf("the settings have no tenant named north")
@@ -76,7 +76,7 @@
 				ArrivedAt: t.unix(),
 				SizeKB:    1,
 				Key:       w[3],
-				Timeout:   time.Duration(due) * time.Millisecond,
+				Timeout:   time.Duration(timeoutMs) * time.Millisecond,
 				Responder: testResponder{t, w[1]},
 			},
 		)
--- a/internal/lifecycle/key_store.go
+++ b/internal/lifecycle/key_store.go
@@ -60,7 +60,7 @@
 func (e *ReplicationError) Unwrap() error { return e.Err }
 
 // errStoreTimeout reports a key store that did not answer in time.
-var errStoreTimeout = errors.New("the disk does not answer in time")
+var errStoreTimeout = errors.New("the key store did not answer in time")
 
 // storeErrorCause returns the cause of an answer whose key could not be reserved or stored, and when
 // to retry; 0: not known.
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -286,7 +286,8 @@
 		)
 		if got.Status != want.kind || got.Reason != want.reason ||
 			got.Status == Served && string(got.Result.Body) != "cached" {
-			t.Errorf("key %s: answer = %+v, want other status, reason or result", want.key, got)
+			t.Errorf("key %s: answer = %+v, want status %d, reason %q and, if served, the cached result",
+				want.key, got, want.kind, want.reason)
 		}
 	}
 }
--- a/internal/lifecycle/replication_test.go
+++ b/internal/lifecycle/replication_test.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// testReplicas is a manager with a replicated key store: runs begin at once, and a result is confirmed
-// by the command `confirm`, in addition to those of testManager.
+// testReplicas is a manager with a replicated key store. The store confirms starts at once, and ends by
+// the command `confirm`, which scripts have beside those of testManager.
 type testReplicas struct {
 	*testManager
 	confirm func(error)
--- a/internal/lifecycle/runner.go
+++ b/internal/lifecycle/runner.go
@@ -50,7 +50,7 @@
 	pending bool // it waits for its reservation or for the key store
 }
 
-// Tried reports whether an earlier attempt of the request was sent to a server.
+// Tried reports whether an earlier attempt of the request was sent to server.
 func (a *Attempt) Tried(server string) bool {
 	for previous := a.Previous; previous != nil; previous = previous.Previous {
 		if previous.Server == server {
--- a/internal/lifecycle/stats.go
+++ b/internal/lifecycle/stats.go
@@ -50,7 +50,7 @@
 	s.Conflicts += o.Conflicts
 }
 
-// LogValue implements slog.LogValuer. The attributes have the names of the operators' documentation.
+// LogValue implements slog.LogValuer. The attributes have the names that the operators' documentation uses.
 func (s Stats) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int64("read", s.Read),
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// Ticket identifies a submitted request.
+// Ticket identifies an accepted request; 0: the request was answered without being accepted.
 type Ticket uint64
 
 // Submit takes over a request that has been read. It may be answered before Submit returns.
