--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -9,8 +9,8 @@
 const recoveryDivisor = 2
 
 // updateHealth makes health checks fail while this server, unlike the others, reads requests too late
-// to answer them; a low share of retries shows that the others do not. Callers then drop
-// the server by the endpoint list, even if they no longer know its credit. A server that reads more
+// to answer them; a low share of retries shows that the others do not. Callers then drop the
+// server by the endpoint list, even if they no longer know its credit. A server that reads more
 // requests than usual stays healthy, since all servers may be overloaded. The target is the longest
 // delay target, in nanoseconds.
 func (c *Controller) updateHealth(target float64) {
--- a/internal/admission/parameters.go
+++ b/internal/admission/parameters.go
@@ -14,7 +14,7 @@
 	MinCutFactor           float64 // minimum share of the pool that a cut leaves
 	DelayTargetShare       float64 // delay target, as a share of the objective less the mean run time
 	MinDelayTargetShare    float64 // the same while no arrivals are rejected
-	RejectDelayFactor      float64 // queueing delay that rejects arrivals, in delay targets
+	RejectDelayFactor      float64 // queueing delay above which arrivals are rejected, in delay targets
 	BusyCPU                float64 // CPU gauge above which the cores count as busy
 	MinCredit              float64 // minimum credits that cuts leave while the cores are busy
 	RetryTargetShare       float64 // delay target of a marked retry, as a share of its class's
@@ -27,7 +27,7 @@
 	QueueMemoryShare       float64 // share of memory above which arrivals are rejected
 	CallQuotaShare         float64 // upper bound of the mean calls in flight, as a share of the call quota
 	MinCallQuotaShare      float64 // lower bound of that mean, as a share of the call quota
-	SlowCallFactor         float64 // mean call time that counts as congestion, in best call times
+	SlowCallFactor         float64 // mean call time above which calls are congested, in best call times
 	CallLimitDecrease      float64 // factor of the call limit per congested control period
 	BestCallTimeGrowth     float64 // factor by which the best call time grows per call
 	LateCallWeight         float64 // priority weight per second that a late request has left
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -11,7 +11,7 @@
 	unprovenCaller = 1<<32 - 1
 )
 
-// provenCallers holds the callers that had a request run recently. The admission controller
+// provenCallers holds the callers of requests that have run recently. The admission controller
 // divides its credit among the callers that it knows: if every caller number in a request counted, a
 // flood of made-up numbers would leave no credit for the other callers.
 type provenCallers struct {
