--- a/internal/balancer/bulkhead/dropping.go
+++ b/internal/balancer/bulkhead/dropping.go
@@ -74,8 +74,8 @@
 // time, given the requests ahead of it: for a request that would be late, the least valuable one of
 // those up to and including it is dropped (or demoted, see below). This is the rule of Moore and
 // Hodgson for the fewest late jobs, with value per slot time in place of the length of a job. added
-// is a request that was just added: the requests ahead of it are not decided again, as nothing has
-// changed for them. With nil all requests are decided.
+// is a request that was just added: the requests ahead of it are not checked again, as nothing has
+// changed for them. With nil all requests are checked.
 //
 // A latency objective is known only if the caller says when the request was first made: a request that
 // is dropped is made again, and would otherwise get a new objective. A request that would miss its
@@ -86,14 +86,14 @@
 	}
 	slots := float64(s.expectedSlots(p))
 	aheadMicros := 0.0 // slot time of the requests ahead
-	decides := added == nil
+	checks := added == nil
 	for i := 0; i < p.queue.length(); {
 		r := p.queue.order[i]
-		decides = decides || r == added
+		checks = checks || r == added
 		mean := s.classes[r.Class].meanMicros.Value
 		endMicros := (aheadMicros+mean)/slots + mean // mean/slots is the wait for the next free slot
 		leftMicros := latency.Micros(r.target() - s.cfg.DeadlineMargin - s.now)
-		if !decides || leftMicros > 0 && (mean == 0 || endMicros <= leftMicros) {
+		if !checks || leftMicros > 0 && (mean == 0 || endMicros <= leftMicros) {
 			aheadMicros += mean
 			i++
 			continue
@@ -121,8 +121,8 @@
 }
 
 // demoteOrDrop puts a request with a latency objective behind those that can keep theirs, if a late
-// result is worth something, and drops it otherwise. late is the request that would be late, which may
-// be the same one or a request behind it.
+// result is worth something, and drops it otherwise. late is the request that would be late: r itself,
+// or a request behind r in the queue.
 func (s *Scheduler) demoteOrDrop(p *pool, r, late *Request, endMicros, leftMicros float64) {
 	hasLateValue := s.cfg.Classes[r.Class].LatePriorityWeight > 0
 	switch {
--- a/internal/balancer/bulkhead/granting.go
+++ b/internal/balancer/bulkhead/granting.go
@@ -11,8 +11,8 @@
 	// runSample is the number of running requests from which the time to the next free slot is
 	// estimated.
 	runSample = 64
-	// minSparePerReserve is how many slots must be free for a request to use one of a reserve: one
-	// slot stays free for the reserve.
+	// minSparePerReserve is how many slots must be free for a request of another pool to use one slot
+	// of a reserve: one slot stays free for the reserve.
 	minSparePerReserve = 2
 )
 
@@ -93,8 +93,9 @@
 	return s.nextFromReserve(), false
 }
 
-// nextBelowFloor returns the pool that, of those below their floors, got its last slot the longest time
-// ago.
+// nextBelowFloor returns, of the pools that are below their floors and have waiting requests, the one
+// that got its last slot the longest time ago. free is the number of free slots without those that stay
+// free for reserves.
 func (s *Scheduler) nextBelowFloor(free int) (best *pool) {
 	for _, p := range s.pools {
 		isBelow := p.queue.length() > 0 && p.running < min(s.floorSlots(p), s.ceilingSlots(p))
@@ -105,8 +106,9 @@
 	return best
 }
 
-// nextByWeight returns the pool with the lowest pass value, which is its slot time divided by its
-// weight, of those that may borrow a slot. A pool without a weight comes after all others.
+// nextByWeight returns, of the pools that may borrow a slot, the one with the lowest pass value, which is
+// its slot time divided by its weight. A pool without a weight comes after all others. free is as for
+// nextBelowFloor.
 func (s *Scheduler) nextByWeight(free int) (best *pool) {
 	s.advanceIdlePools()
 	for _, p := range s.pools {
--- a/internal/balancer/bulkhead/limit.go
+++ b/internal/balancer/bulkhead/limit.go
@@ -52,7 +52,7 @@
 	failed      int
 	peak        int // most requests running at once in the current window
 
-	windows      int                    // since the best latencies were measured
+	windows      int                    // since the best latencies were measured; during a measurement, since it began
 	reducedFrom  float64                // the limit before it was reduced for a measurement; 0: it is not reduced
 	declineFrom  float64                // the limit from which it has been falling; 0: it is not falling
 	declineRatio float64                // the latency ratio when the limit began to fall
@@ -168,7 +168,7 @@
 		l.resetBest()
 		return
 	}
-	if l.capacity > 0 { // otherwise the limit would grow while only the servers' own limits have effect
+	if l.capacity > 0 { // unbounded, the limit would grow while only the servers' own limits have effect
 		target = min(target, max(l.capacity, l.limit*capacityBackoff))
 	}
 	l.limit = min(max(target, cfg.MinLimit), cfg.MaxLimit)
@@ -219,7 +219,7 @@
 }
 
 // resetBest sets the best latencies to the mean latencies of the current window, and forgets the
-// decline and the demand that were measured by the former ones.
+// decline and the demand, which were measured against the former best latencies.
 func (l *adaptiveLimit) resetBest() {
 	for i := range l.recent {
 		if mean, _ := l.recent[i].mean(); l.recent[i].count >= minClassRequests {
--- a/internal/balancer/bulkhead/limit_algorithms.go
+++ b/internal/balancer/bulkhead/limit_algorithms.go
@@ -6,7 +6,8 @@
 	"ryepaddle/internal/balancer/concurrencylimit"
 )
 
-// LimitAlgorithm names an algorithm that adapts the limit to the latency, as the operator's file does.
+// LimitAlgorithm is the name of an algorithm that adapts the limit to the latency. The operator's file
+// uses the same names.
 type LimitAlgorithm string
 
 // The algorithms. They use the same windows and the same latency ratio.
@@ -23,7 +24,7 @@
 	// Vegas does for packets.
 	VegasLimit LimitAlgorithm = "queue"
 	// ThroughputLimit sets the limit to the slots that the highest recent throughput needs at the
-	// best latency (Little's law), and a margin.
+	// best latency (Little's law), plus a margin.
 	ThroughputLimit LimitAlgorithm = "rate"
 )
 
@@ -40,7 +41,7 @@
 	smoothing = 0.3
 
 	aimdIncrease = 1.0 // slots
-	aimdBackoff  = 0.9
+	aimdBackoff  = 0.9 // factor of the limit
 
 	minLatencyRatio = 0.01 // lower bound of the latency ratio, by which latencyTolerance is divided
 
@@ -56,8 +57,9 @@
 	throughputMargin = 1.3 // factor of the highest demand
 )
 
-// targetByAlgorithm returns the limit by an algorithm after a window with a known latency ratio. The
-// ratio is reduced by its uncertainty, so that chance alone does not count as a higher latency.
+// targetByAlgorithm returns the limit that an algorithm computes after a window with a known latency
+// ratio. The ratio is reduced by its uncertainty, so that chance alone does not count as a higher
+// latency.
 func (l *adaptiveLimit) targetByAlgorithm(algorithm LimitAlgorithm, w *limitWindow) float64 {
 	ratio := w.ratio - errorBounds*w.ratioError
 	switch algorithm {
--- a/internal/balancer/bulkhead/limit_test.go
+++ b/internal/balancer/bulkhead/limit_test.go
@@ -103,7 +103,8 @@
 			backHi,
 		)
 		if calmLo < 18 || calmHi > 90 || slowLo < 8 || backLo < 20 || backHi > 180 {
-			t.Errorf("%s: limits out of range; by second: %.0f", algorithm, limits)
+			t.Errorf("%s: limits by second = %.0f; want 18 to 90 before the slow part, >= 8 in it, 20 to 180 after it",
+				algorithm, limits)
 		}
 	}
 }
@@ -129,6 +130,6 @@
 		}
 	}
 	if c := w.s.Counts; c.TooLate+c.QueueFull+c.Displaced > c.Granted/100 {
-		t.Errorf("more than 1 %% of the requests were dropped: %+v", c)
+		t.Errorf("counts = %+v, want at most 1 dropped request for 100 granted ones", c)
 	}
 }
--- a/internal/balancer/bulkhead/queue.go
+++ b/internal/balancer/bulkhead/queue.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// A tenant or caller overuses the queue if it has more than its fair share in it. Fair shares are
-	// parts of the number of requests that the pool can run at once, multiplied by burstFactor, but at
-	// least minBurst.
+	// A tenant or caller overuses the queue if more requests of it wait than its fair share, while
+	// others wait too. Fair shares are parts of burstFactor times the number of requests that the pool
+	// can run at once, or of minBurst if that is more, but not of more than the maximum queue length.
 	burstFactor = 4
 	minBurst    = 8
 	// minTenantShare is the lower bound of the share of a tenant.
@@ -39,10 +39,11 @@
 	return cmp.Compare(a.target(), b.target())
 }
 
-// overuseOf returns how many times the tenant or the caller of a request fills its fair share of the
-// queue, as a whole number, the larger of both. The queue is shared among those that have requests in
-// it now: a tenant that is alone may have the whole queue. share is the configured share of the
-// tenant; callers have equal shares.
+// overuseOf returns the overuse of the queue by the tenant of a request or by its caller, whichever is
+// larger: the number of their waiting requests divided by their fair share, rounded down. The queue is
+// shared among those that have requests in it now: a tenant that is alone may have the whole queue.
+// share is the configured share of the tenant; callers have equal shares. slots is how many requests
+// the pool can run at once.
 func (q *waitingQueue) overuseOf(r *Request, share float64, maxLength, slots int) int {
 	if q.byTenant == nil {
 		q.byTenant = map[int]int{}
--- a/internal/balancer/bulkhead/request.go
+++ b/internal/balancer/bulkhead/request.go
@@ -58,15 +58,15 @@
 	Displaced                       // a more valuable request behind it could be in time only without it
 )
 
-// String returns the text for operators.
+// String returns a description of the reason.
 func (r DropReason) String() string {
 	switch r {
 	case TooLate:
-		return "too late by what stands before it"
+		return "too late, given the requests ahead of it"
 	case QueueFull:
-		return "the line is full"
+		return "the queue is full"
 	case Displaced:
-		return "gave way"
+		return "displaced by a more valuable request"
 	}
 	return fmt.Sprintf("bulkhead.DropReason(%d)", uint8(r))
 }
--- a/internal/balancer/bulkhead/scheduler.go
+++ b/internal/balancer/bulkhead/scheduler.go
@@ -226,8 +226,9 @@
 	}
 }
 
-// Tick drops the requests that cannot be in time any more, and grants the slots that have become
-// available by the passing of time. The caller has to call it every 10 to 100 ms.
+// Tick drops the requests that cannot be in time any more, and grants slots that may be lent only now,
+// as more borrowed ones are due to come back within the reclaim time. The caller has to call it every
+// 10 to 100 ms.
 func (s *Scheduler) Tick(now time.Duration) {
 	s.now = now
 	s.limit.endWindow(&s.cfg, now)
--- a/internal/balancer/bulkhead/scheduler_test.go
+++ b/internal/balancer/bulkhead/scheduler_test.go
@@ -124,7 +124,7 @@
 			}
 		}
 		if lost > 0 || wait > 300*ms {
-			t.Errorf("flood %s: %d requests of another are dropped, the longest wait is %v; want 0, at most 300ms",
+			t.Errorf("flood %s: %d requests of another caller dropped, longest wait %v; want 0, at most 300ms",
 				name, lost, wait)
 		}
 	}
@@ -151,7 +151,7 @@
 			got = append(got, fmt.Sprint(slices.Index(all, d.Request), " ", d.Reason))
 		}
 	}
-	want := "[2 too late by what stands before it 1 gave way]"
+	want := "[2 too late, given the requests ahead of it 1 displaced by a more valuable request]"
 	if fmt.Sprint(got) != want || !running.IsGranted() || valuable.IsGranted() {
 		t.Errorf("dropped requests = %v, want 2 as too late, then 1 as displaced; 0 running and 3 waiting", got)
 	}
--- a/internal/balancer/concurrencylimit/limit.go
+++ b/internal/balancer/concurrencylimit/limit.go
@@ -24,16 +24,19 @@
 
 // Config holds the parameters of a limit.
 type Config struct {
-	Initial    int           // requests; the limit of a server that has not been measured
-	Min        int           // requests; the limit never falls below it
+	Initial    int           // requests; the limit of a server that has not been measured; default 8
+	Min        int           // requests; the limit never falls below it; default 2
 	Max        int           // requests; the limit never rises above it
-	MinWindow  time.Duration // minimum duration of a window
-	MinSamples int           // minimum number of requests that end in a window
-	// LatencyTolerance is the factor by which a latency may exceed the best one without effect.
+	MinWindow  time.Duration // minimum duration of a window; default 500 ms
+	MinSamples int           // minimum number of requests that end in a window; default 30
+	// LatencyTolerance is the factor by which a latency may exceed the best one without effect;
+	// default 1.5.
 	LatencyTolerance float64
-	BackoffRatio     float64 // factor of the limit after a window with overload
-	Smoothing        float64 // part of the difference to its target by which the limit moves in one window; 0 to 1
-	ProbeInterval    int     // windows after which the best latency is measured again
+	BackoffRatio     float64 // factor of the limit after a window with overload; default 0.8
+	// Smoothing is the part of the difference to its target by which the limit moves in one window,
+	// 0 to 1; default 0.3.
+	Smoothing     float64
+	ProbeInterval int // windows after which the best latency is measured again; default 40
 }
 
 // DefaultConfig returns the default parameters, with maxRequests as the upper bound of the limit.
--- a/internal/balancer/endpointhealth/config.go
+++ b/internal/balancer/endpointhealth/config.go
@@ -25,9 +25,9 @@
 	// FailureRateThreshold (default 0.3) and FailureRateFactor (default 3) times that of its peers.
 	FailureRateThreshold float64
 	FailureRateFactor    float64
-	// An endpoint is an outlier by latency if its mean exceeds LatencyFactor (default 4; 0: latency
-	// is not compared) times the median, by MinLatencyExcess (default 20 ms) at least, at
-	// SlowIntervals (default 3) ticks in a row.
+	// An endpoint is an outlier by latency if, at SlowIntervals (default 3) ticks in a row, its mean
+	// latency is more than LatencyFactor (default 4; 0: latency is not compared) times the median of
+	// the endpoints in service, and at least MinLatencyExcess (default 20 ms) above that median.
 	LatencyFactor    float64
 	MinLatencyExcess time.Duration
 	SlowIntervals    int
--- a/internal/balancer/endpointhealth/healthcheck.go
+++ b/internal/balancer/endpointhealth/healthcheck.go
@@ -6,8 +6,8 @@
 )
 
 // DueHealthChecks appends to due the endpoints whose health check is due. The caller checks each of
-// them, and then calls HealthCheckDone once for it. The first checks of the endpoints of the first
-// list are spread over the interval.
+// them, and then calls HealthCheckDone once for it. The first checks of endpoints that are in service
+// already are spread over the interval.
 func (m *Monitor) DueHealthChecks(now time.Duration, due []*Endpoint) []*Endpoint {
 	interval := m.cfg.HealthChecks.Interval
 	if interval == 0 {
@@ -28,7 +28,7 @@
 	return due
 }
 
-// HealthCheckDone reports whether a health check passed.
+// HealthCheckDone records the result of a health check, and makes the state change that follows from it.
 func (m *Monitor) HealthCheckDone(e *Endpoint, passed bool, now time.Duration) {
 	e.checkInFlight = false
 	if e.unlisted {
--- a/internal/balancer/endpointhealth/monitor.go
+++ b/internal/balancer/endpointhealth/monitor.go
@@ -84,9 +84,9 @@
 }
 
 // Update replaces the endpoint list and returns the new one. Each ID may occur once. The endpoints
-// of the first list are in service at once, as there are no others to carry the traffic while they
-// warm up.
-// An endpoint that stays listed keeps its state and measurements.
+// of the first list, or of a list that comes when no endpoint is left, are in service at once, as there
+// are no others to carry the traffic while they warm up. An endpoint that stays listed keeps its state
+// and measurements.
 func (m *Monitor) Update(specs []EndpointSpec, now time.Duration) *EndpointList {
 	isFirst := len(m.byID) == 0
 	listed := make(map[ID]bool, len(specs))
@@ -148,7 +148,7 @@
 
 // unlist drains an endpoint that left the list. Its requests in flight continue.
 func (m *Monitor) unlist(e *Endpoint, now time.Duration) {
-	m.setState(e, Draining, now, fmt.Sprintf("it left the list with %d open", e.ActiveRequests))
+	m.setState(e, Draining, now, fmt.Sprintf("it left the list with %d requests in flight", e.ActiveRequests))
 	e.unlisted = true
 	m.forgetDrained(e, now)
 }
--- a/internal/balancer/endpointhealth/monitor_test.go
+++ b/internal/balancer/endpointhealth/monitor_test.go
@@ -198,9 +198,9 @@
 		"one": {[4]int{0, 0, 20, 0}, []string{
 			"2 n2 in service>ejected: 20 of its 40 requests failed, and 0% of those of its peers; ejected for 5000 ms",
 		}},
-		"all alike": {[4]int{20, 20, 22, 18}, nil},
-		"a few":     {[4]int{0, 8, 0, 0}, nil},
-		"half, and two": {[4]int{0, 40, 40, 0}, []string{
+		"all alike":  {[4]int{20, 20, 22, 18}, nil},
+		"few of one": {[4]int{0, 8, 0, 0}, nil},
+		"two of four, as many as may be ejected": {[4]int{0, 40, 40, 0}, []string{
 			"2 n1 in service>ejected: 40 of its 40 requests failed, and 33% of those of its peers; ejected for 5000 ms",
 			"2 n2 in service>ejected: 40 of its 40 requests failed, and 33% of those of its peers; ejected for 5000 ms",
 		}},
@@ -229,7 +229,7 @@
 	}{
 		"one slow":      {[5]int{50, 50, 50, 400, 60}, 3},
 		"all slow":      {[5]int{400, 400, 400, 500, 400}, -1},
-		"little":        {[5]int{1, 1, 1, 10, 1}, -1}, // below MinLatencyExcess
+		"small excess":  {[5]int{1, 1, 1, 10, 1}, -1}, // below MinLatencyExcess
 		"twice as slow": {[5]int{50, 50, 50, 100, 50}, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -319,7 +319,7 @@
 	}
 	p.Done(old, Aborted, 0, 3*time.Second)
 	p.expect(
-		"2 n0 in service>draining: it left the list with 1 open",
+		"2 n0 in service>draining: it left the list with 1 requests in flight",
 		"2 n0 listed>warming: it is new in the list",
 		"3 n0 draining>gone: its last request ended",
 	)
--- a/internal/balancer/latency/latency_test.go
+++ b/internal/balancer/latency/latency_test.go
@@ -23,10 +23,10 @@
 		m.Add(v, 3)
 	}
 	if m.Value != 20 || m.Count != 3 {
-		t.Errorf("mean of three values: %v of %d, want 20 of 3", m.Value, m.Count)
+		t.Errorf("mean of three values = %v with Count %d, want 20 with Count 3", m.Value, m.Count)
 	}
 	if m.Add(50, 3); m.Value != 30 || m.Count != 3 {
-		t.Errorf("mean after a fourth value: %v of %d, want 30 of 3", m.Value, m.Count)
+		t.Errorf("mean after a fourth value = %v with Count %d, want 30 with Count 3", m.Value, m.Count)
 	}
 }
 
--- a/internal/balancer/picker/affinity_test.go
+++ b/internal/balancer/picker/affinity_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Over all instances each server is used.
+// Also guards against servers that are in the subset of no instance, or of too many.
 func TestListChangeChangesAtMostOneServerOfASubset(t *testing.T) {
 	list := testSpecs(200, "a")
 	uses := map[string]int{}
--- a/internal/balancer/picker/bench_test.go
+++ b/internal/balancer/picker/bench_test.go
@@ -9,7 +9,7 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// BenchmarkPick measures a pick with the reports of its request.
+// BenchmarkPick measures Pick together with Sent and Done for the picked server.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 200, 5000} {
 		for _, kind := range []string{"drawn", "key"} {
--- a/internal/balancer/picker/pacing.go
+++ b/internal/balancer/picker/pacing.go
@@ -6,8 +6,8 @@
 	"ryepaddle/internal/balancer/endpointhealth"
 )
 
-// minGrowthBase is the lower bound of the initial traffic share, by which the current share is divided
-// for its growth.
+// minGrowthBase is the lower bound of the initial traffic share, by which the current share is divided to
+// get its growth since the start of the warm-up.
 const minGrowthBase = 0.01
 
 // isWarm reports whether a server has completed its slow start: it is in service or suspected.
--- a/internal/balancer/picker/pacing_test.go
+++ b/internal/balancer/picker/pacing_test.go
@@ -117,8 +117,8 @@
 	return exceeded, windows, worst
 }
 
-// warmUpBudget returns a function of the time that returns the requests per second that a server may
-// get which joined at the time joined: the initial ones, growing in proportion to its traffic share.
+// warmUpBudget returns the budget of a server that joined at the time joined, as a function of the time:
+// the initial requests per second, growing in proportion to the server's traffic share.
 func warmUpBudget(
 	cfg *endpointhealth.Config,
 	initial float64,
--- a/internal/balancer/picker/sequence_test.go
+++ b/internal/balancer/picker/sequence_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// No request goes to a server that is not listed or that had it before, never more servers are ejected
-// than allowed, and a server is found as long as there is one.
+// Guards against requests that go to a server which is not listed or had them before, against more
+// ejected servers than allowed, and against counts of requests in flight that go wrong.
 func TestAllShortSequencesOfEvents(t *testing.T) {
 	a, b, c := testSpec("a", "x"), testSpec("b", "x"), testSpec("c", "y")
 	moved := b
@@ -181,7 +181,8 @@
 		return
 	}
 	if to.ActiveRequests > e.cfg.MaxRequests || to.State >= endpointhealth.Draining || reason == NoEndpoint {
-		e.rt.Fatalf("Pick() = %v in state %v, with %d in flight, by %v", to.ID, to.State, to.ActiveRequests, reason)
+		e.rt.Fatalf("Pick() = %v in state %v, with %d in flight, by %v; want a listed server, not above its maximum",
+			to.ID, to.State, to.ActiveRequests, reason)
 	}
 	e.inFlight = append(e.inFlight, to)
 }
--- a/internal/balancer/picker/zone.go
+++ b/internal/balancer/picker/zone.go
@@ -34,7 +34,7 @@
 	canDraw      bool      // a server has a weight above 0
 	warmingUp    []*Server // servers in state WarmingUp, whose traffic shares change with time
 	warmWeight   float64   // sum of the weights of the servers that are warm
-	capacity     int       // sum of the concurrency limits of the servers that get traffic
+	capacity     int       // sum of the concurrency limits of the servers that get traffic; Picker.Done updates it too
 	healthyShare float64   // healthy part of the weight of all servers, 0 to 1
 }
 
@@ -77,7 +77,7 @@
 }
 
 // isFull reports whether the servers of the zone together have as many requests as their concurrency
-// limits allow.
+// limits allow, or none of them gets traffic.
 func (z *zone) isFull() bool { return !z.canDraw || z.activeRequests >= z.capacity }
 
 // candidate is the server of the least cost among those compared so far.
--- a/internal/balancer/retry/retry.go
+++ b/internal/balancer/retry/retry.go
@@ -24,7 +24,7 @@
 const (
 	Allowed              Decision = iota + 1
 	MayHaveRun                    // the request has side effects and may have run
-	AttemptsExhausted             // the request has had all its attempts, or would fail on every server alike
+	AttemptsExhausted             // the request has had MaxAttempts attempts
 	TooLittleTime                 // less time is left than an attempt takes
 	ClassBudgetExhausted          // the budget of the request's class is used up
 	TotalBudgetExhausted          // the budget of all classes together is used up
--- a/internal/balancer/retry/retry_test.go
+++ b/internal/balancer/retry/retry_test.go
@@ -68,7 +68,7 @@
 					rt.Fatal("a refused retry took a token from the total budget")
 				}
 			default:
-				rt.Fatal(decision)
+				rt.Fatal("decision is neither Allowed nor an exhausted budget: ", decision)
 			}
 			const rounding = 1e-6
 			for c := range granted {
--- a/internal/balancer/slowstart/pacer.go
+++ b/internal/balancer/slowstart/pacer.go
@@ -3,11 +3,13 @@
 // does no I/O: package picker reports the requests sent, passes the time, and asks whether one more
 // request may be sent.
 //
-// A request needs one permit from each of two token buckets. One bucket earns a fraction of a permit
-// with each request to a warm server, the other earns permits with time. Requests take whole permits;
-// the fraction of a permit stays in the bucket. The caller draws the initial fractions at random:
-// otherwise processes that each earn a third of a permit would all round it up or down alike. Permits
-// expire soon, as those that many processes had saved up would be used all at once.
+// Two token buckets hold the permits. One bucket earns a fraction of a permit with each request to a
+// warm server, the other earns permits with time. The picker asks for a permit from both if the zone of
+// the server has warm servers, and otherwise, or for a probe or a request that goes to the server by its
+// key, only from the second. Requests take whole permits; the fraction of a permit stays in the bucket.
+// The caller draws the initial fractions at random: otherwise processes that each earn a third of a
+// permit would all round it up or down alike. Permits expire soon: otherwise many processes could save
+// permits up and use them all at once.
 package slowstart
 
 import (
@@ -65,7 +67,7 @@
 }
 
 // PeerSent reports a request to a warm server, which earns the given share of a permit: the weight of
-// this server divided by the sum of the weights of all warm servers.
+// this server times its traffic share, divided by the sum of the weights of the warm servers of its zone.
 func (p *Pacer) PeerSent(share float64) { p.peerPermits = min(p.peerPermits+share, 1) }
 
 // HasPeerPermit reports whether the requests to warm servers have earned a permit.
--- a/internal/balancer/waitqueue/queue.go
+++ b/internal/balancer/waitqueue/queue.go
@@ -197,7 +197,7 @@
 		delete(q.requests, a)
 		q.scheduler.Done(r, outcomeOf(outcome), q.environment.Now())
 	}
-	q.sink.AttemptEnded(a, outcome, result) // before others start: they can use what it frees
+	q.sink.AttemptEnded(a, outcome, result) // first, so that waiting attempts can use what this one frees
 	if r != nil && q.scheduler != nil {
 		q.applyDecisions()
 	}
