--- a/internal/balancer/bulkhead/borrowing.go
+++ b/internal/balancer/bulkhead/borrowing.go
@@ -87,8 +87,8 @@
 // when the longest run time of a class has grown. The count ends at the first run that may take
 // longer: in a pool with several classes it may be too low, but never too high.
 func (s *Scheduler) returningRuns(p *pool) int {
-	if p.countedLongest != s.longestChanges {
-		p.countedLongest = s.longestChanges
+	if p.longestChangesAtCount != s.longestChanges {
+		p.longestChangesAtCount = s.longestChanges
 		p.firstLate = p.first
 		p.returning = 0
 	}
--- a/internal/balancer/bulkhead/pool.go
+++ b/internal/balancer/bulkhead/pool.go
@@ -12,9 +12,9 @@
 	grantedAt   time.Duration // monotonic; when it last got a slot
 
 	// The count of the runs that will have ended within the reclaim time; see returningRuns.
-	firstLate      *Request // the first run that may take longer; nil: no run does
-	returning      int      // runs before firstLate
-	countedLongest int      // value of Scheduler.longestChanges when they were last counted in full
+	firstLate             *Request // the first run that may take longer; nil: no run does
+	returning             int      // runs before firstLate
+	longestChangesAtCount int      // value of Scheduler.longestChanges when they were last counted in full
 }
 
 // charge adds slot time, in microseconds, to the pass value of the pool. Slots are shared by the time
--- a/internal/balancer/endpointhealth/endpoint.go
+++ b/internal/balancer/endpointhealth/endpoint.go
@@ -57,7 +57,7 @@
 // EndpointList is one version of the listed endpoints. It is immutable: an update makes a new one.
 type EndpointList struct {
 	Version   uint64
-	At        time.Duration // monotonic
+	At        time.Duration // monotonic; when the list was made
 	Endpoints []*Endpoint   // sorted by name, then by address
 }
 
--- a/internal/balancer/endpointhealth/monitor_test.go
+++ b/internal/balancer/endpointhealth/monitor_test.go
@@ -337,8 +337,8 @@
 	now      time.Duration
 }
 
-// step sends one request to an endpoint that gets traffic, or to one that waits for a probe. The
-// request fails with a probability of badPercent.
+// step sends one request to an endpoint that gets traffic, or to one that waits for a probe. Nine of
+// ten requests (all, if badPercent is 0) end at once, and fail with a probability of badPercent.
 func (f *flapping) step(badPercent int) {
 	f.now += time.Duration(rapid.Int64Range(0, 500_000).Draw(f.rt, "wait")) * time.Microsecond
 	f.Tick(f.now)
--- a/internal/balancer/slowstart/pacer.go
+++ b/internal/balancer/slowstart/pacer.go
@@ -4,12 +4,13 @@
 // request may be sent.
 //
 // Two token buckets hold the permits. One bucket earns a fraction of a permit with each request to a
-// warm server, the other earns permits with time. The picker asks for a permit from both if the zone of
-// the server has warm servers, and otherwise, or for a probe or a request that goes to the server by its
-// key, only from the second. Requests take whole permits; the fraction of a permit stays in the bucket.
-// The caller draws the initial fractions at random: otherwise processes that each earn a third of a
-// permit would all round it up or down alike. Permits expire soon: otherwise many processes could save
-// permits up and use them all at once.
+// warm server, the other earns permits with time. A server that is warming up beside warm servers of its
+// zone gets a request by its cost only with a permit from both. Any other request to a server that is not
+// warm, such as a probe or one that follows its idempotency key, needs only a permit from the second.
+// Requests take whole permits; the fraction of a permit stays in the bucket. The caller draws the initial
+// fractions at random: otherwise processes that each earn a third of a permit would all round it up or
+// down alike. Permits expire soon: otherwise many processes could save permits up and use them all at
+// once.
 package slowstart
 
 import (
