--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -27,7 +27,7 @@
 	open            map[uint16]*exchange // by request ID of FastCGI
 	incompleteBytes int                  // of requests that are not complete
 	acceptedAt      time.Duration
-	usedAt          time.Duration // when a record was last complete or answered
+	usedAt          time.Duration // when a record last arrived completely, or a request was last answered
 	// partialRecordSince is when the first bytes of an incomplete record arrived; 0: there is none.
 	partialRecordSince time.Duration
 	hasRequested       bool // a complete request arrived
@@ -117,8 +117,8 @@
 	return false
 }
 
-// closeIfDone closes the connection once it is of no further use. Owed answers are sent before, and
-// a request that has begun to arrive may still be completed, unless the peer cannot send the rest.
+// closeIfDone closes the connection once it has no further use. Outstanding answers are sent first,
+// and a request that has begun to arrive may still be completed, unless its rest cannot arrive.
 func (c *connection) closeIfDone() {
 	if c.readingRecords || c.hasUnanswered() || c.IsClosing() || c.IsClosed() {
 		return
@@ -131,7 +131,7 @@
 		c.CloseGracefully()
 	case c.frontend.draining:
 		noInput := c.partialRecordSince == 0 && !c.HasUnreadInput()
-		if c.frontend.closesAtOnce() || noInput {
+		if c.frontend.closesWithUnreadInput() || noInput {
 			c.CloseGracefully()
 		}
 	}
@@ -173,7 +173,7 @@
 			c.usedAt = c.frontend.loop.Now()
 			err = c.handleRecord(record)
 		}
-		// Requests that were complete before the error are still answered.
+		// Requests that were complete before the malformed input are still answered.
 		if err != nil {
 			eventBadRecord.Log(err)
 			c.dropIncomplete()
@@ -215,8 +215,8 @@
 	case record.Type == fastcgi.BeginRequest && x == nil:
 		return c.beginRequest(record)
 	case record.Type == fastcgi.BeginRequest:
-		return fmt.Errorf("request %d begins twice", record.ID)
-	case x == nil: // of a request that has ended
+		return fmt.Errorf("BeginRequest for request %d, which is open already", record.ID)
+	case x == nil: // the request has ended
 	case record.Type == fastcgi.AbortRequest:
 		x.abort()
 	case record.Type == fastcgi.Params && !x.paramsComplete:
@@ -258,7 +258,7 @@
 		c.advanceTo(stateFinishing)
 		c.Write(fastcgi.AppendEnd(nil, record.ID, 0, fastcgi.UnknownRole))
 	case c.state != stateAccepting || len(c.open) >= maxRequestsPerConnection:
-		// It never ran, and may be sent again on another connection.
+		// The request never ran and may be sent again on another connection.
 		c.Write(fastcgi.AppendEnd(nil, record.ID, 0, fastcgi.Overloaded))
 	default:
 		c.open[record.ID] = &exchange{
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -18,38 +18,38 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// idleFor is how long a connection may rest on the runner of these tests, and longIdle is longer
-// than what a request that has begun may take.
+// Times and sizes of these tests.
 const (
-	idleFor  = 200 * time.Millisecond
-	longIdle = 3 * time.Second
-	sweep    = 100 * time.Millisecond // how often the front looks after its connections
+	idleFor  = 200 * time.Millisecond // a short idle timeout
+	longIdle = 3 * time.Second        // an idle timeout longer than the frontend's readTimeout
+	sweep    = 100 * time.Millisecond // sweepInterval of the frontend
 
-	beginSize = 8 + 8         // bytes of the record that begins a request
-	midRecord = beginSize + 5 // a place in the head of the next one
+	beginSize = 8 + 8         // bytes of a BeginRequest record
+	midRecord = beginSize + 5 // offset within the header of the record after it
 )
 
-// runner is the front with a core whose runs end as the test says, on a loop that it steps.
+// runner is a frontend with a request lifecycle on a loop that the test steps. The test also ends
+// the runs of the requests.
 type runner struct {
 	*scenario.SteppedLoop
-	t     *testing.T
-	front *platform.Frontend
-	core  *lifecycle.Manager
-	runs  []*lifecycle.Attempt
+	t        *testing.T
+	frontend *platform.Frontend
+	manager  *lifecycle.Manager
+	runs     []*lifecycle.Attempt
 }
 
 func (r *runner) Run(a *lifecycle.Attempt)   { r.runs = append(r.runs, a) }
 func (r *runner) Abandon(*lifecycle.Attempt) {}
 
-// end ends the oldest run.
-func (r *runner) end() {
+// endOldestRun ends the oldest run with a result.
+func (r *runner) endOldestRun() {
 	r.t.Helper()
 	if len(r.runs) == 0 {
-		r.t.Fatal("nothing runs")
+		r.t.Fatal("no request is running")
 	}
 	a := r.runs[0]
 	r.runs = r.runs[1:]
-	r.core.AttemptEnded(
+	r.manager.AttemptEnded(
 		a,
 		lifecycle.Succeeded,
 		&lifecycle.Result{Status: 200, Body: []byte("result of " + a.Request.ID)},
@@ -59,8 +59,8 @@
 func newRunner(t *testing.T, idle time.Duration) *runner {
 	t.Helper()
 	r := &runner{SteppedLoop: scenario.NewSteppedLoop(t), t: t}
-	r.front = platform.New(r.Loop, nil, 0)
-	set := admission.Settings{
+	r.frontend = platform.New(r.Loop, nil, 0)
+	settings := admission.Settings{
 		Cores:                 4,
 		MemoryKB:              50_000,
 		RunningMemoryFactor:   8,
@@ -74,37 +74,38 @@
 		},
 	}
 	var err error
-	r.core, err = lifecycle.New(set, 1, lifecycle.Environment{Now: r.Now, Unix: r.Unix,
+	r.manager, err = lifecycle.New(settings, 1, lifecycle.Environment{Now: r.Now, Unix: r.Unix,
 		After:     func(d time.Duration, fn func()) func() { return r.After(d, fn).Stop },
 		Measure:   func(fn func(lifecycle.Gauges)) { fn(lifecycle.UnknownGauges()) },
-		SetHealth: r.front.SetHealth,
-		Advertise: r.front.SetAdvertisedValue,
+		SetHealth: r.frontend.SetHealth,
+		Advertise: r.frontend.SetAdvertisedValue,
 		CloseIdle: func(time.Duration) {},
 		Route:     func(int) lifecycle.Runner { return r }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.core.Start()
-	if err := r.front.Listen(netip.MustParseAddrPort("127.0.0.1:0"), 100, r.core); err != nil {
+	r.manager.Start()
+	if err := r.frontend.Listen(netip.MustParseAddrPort("127.0.0.1:0"), 100, r.manager); err != nil {
 		t.Fatal(err)
 	}
-	r.front.SetIdleTimeout(idle)
+	r.frontend.SetIdleTimeout(idle)
 	return r
 }
 
-// connect opens a connection of a balancer that is taken.
+// connect opens a connection, busy a text on it, and waits until the frontend has accepted it.
 func (r *runner) connect(send string) *net.TCPConn {
 	r.t.Helper()
-	before := r.front.Connections()
-	c := r.DialAddr(r.front.Addr().String(), send)
-	r.Until(func() bool { return r.front.Connections() > before })
+	before := r.frontend.Connections()
+	c := r.DialAddr(r.frontend.Addr().String(), send)
+	r.Until(func() bool { return r.frontend.Connections() > before })
 	return c
 }
 
-// parseRequest is a whole request by its number, on which the connection is kept.
+// request returns the records of a complete request, which keeps the connection open. id is both
+// its FastCGI ID and its call ID.
 func (r *runner) request(id int) string { return r.requestOn(id, id) }
 
-// requestOn is one whose number on its connection is another than its name.
+// requestOn is request with a FastCGI ID and a call ID that differ.
 func (r *runner) requestOn(id, name int) string {
 	params := []byte{}
 	for _, p := range [][2]string{{
@@ -128,15 +129,15 @@
 	return string(fastcgi.Append(b, fastcgi.Stdin, uint16(id), nil))
 }
 
-// answers are the requests that a connection has ended, by their numbers: the status of a response,
-// or "overloaded".
+// answers returns the answers in the output of a connection by FastCGI ID: the status of a response,
+// or "overloaded" for a request that ended with that protocol status.
 func answers(t *testing.T, text string) map[int]string {
 	t.Helper()
 	got, out := map[int]string{}, map[uint16][]byte{}
 	for b := []byte(text); len(b) > 0; {
 		rec, n, err := fastcgi.Read(b, fastcgi.MaxRecord)
 		if err != nil || n == 0 {
-			t.Fatalf("what came is not whole: %d bytes left, %v", len(b), err)
+			t.Fatalf("output ends with an incomplete record: %d bytes left, error %v", len(b), err)
 		}
 		b = b[n:]
 		switch rec.Type {
@@ -148,7 +149,7 @@
 				status = "overloaded"
 			}
 			if _, twice := got[int(rec.ID)]; twice {
-				t.Fatalf("request %d is answered twice", rec.ID)
+				t.Fatalf("request %d was answered twice", rec.ID)
 			}
 			got[int(rec.ID)] = status
 		}
@@ -156,26 +157,27 @@
 	return got
 }
 
-// expect reads a connection to its end, which has to be in order, and compares its answers.
+// expect reads a connection until its peer closes it, which must not fail, and compares its answers.
 func (r *runner) expect(c net.Conn, want map[int]string) {
 	r.t.Helper()
 	end := r.AwaitEnd(scenario.ReadToEnd(c))
 	if got := answers(r.t, end.Text); end.Err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-		r.t.Fatalf("answers %v, end %v; want %v and an end in order", got, end.Err, want)
+		r.t.Fatalf("answers = %v, read error = %v; want %v and no error", got, end.Err, want)
 	}
 }
 
-// serve ends runs until so many have been.
+// serve waits for n runs and ends each of them.
 func (r *runner) serve(n int) {
 	r.t.Helper()
 	for range n {
 		r.Until(func() bool { return len(r.runs) > 0 })
-		r.end()
+		r.endOldestRun()
 	}
 	r.Advance(0)
 }
 
-// A request that comes in the very turn in which its connection would be closed as idle is served.
+// A request that arrives in the same turn of the event loop in which its connection would be closed
+// as idle is served.
 func TestRequestCrossesTheCloseOfItsIdleConnection(t *testing.T) {
 	r := newRunner(t, idleFor)
 	c := r.connect(r.request(1))
@@ -189,17 +191,17 @@
 	r.expect(c, map[int]string{1: "200", 2: "200"})
 }
 
-// A request that comes in pieces on a connection that has rested is not taken for one that never
-// ends, nor its connection for an idle one.
+// A request that arrives in pieces on a connection that was idle is served: the time before it does
+// not count as part of readTimeout, and the connection no longer counts as idle.
 func TestRequestInPiecesOnAnIdleConnectionIsServed(t *testing.T) {
-	for name, idle := range map[string]time.Duration{"that may rest": longIdle, "that is trimmed": idleFor} {
+	for name, idle := range map[string]time.Duration{"long idle timeout": longIdle, "short idle timeout": idleFor} {
 		t.Run(name, func(t *testing.T) {
 			r := newRunner(t, idle)
 			c := r.connect(r.request(1))
 			r.serve(1)
 			r.Advance(idle - sweep/2)
 			whole := r.request(2)
-			// in the head of the first record, and in the second one
+			// within the header of the first record, and within the second record
 			for _, cut := range []int{3, midRecord} {
 				r.Send(c, whole[:cut])
 				r.AwaitAndPass(0)
@@ -216,7 +218,8 @@
 	}
 }
 
-// Half a request as the front leaves: the rest may still come, and gets its answer.
+// A request of which only a part has arrived when the frontend begins to drain may still be completed
+// and is answered.
 func TestHalfARequestIsReadDuringADrain(t *testing.T) {
 	for _, cut := range []int{3, midRecord} {
 		r := newRunner(t, longIdle)
@@ -225,7 +228,7 @@
 		whole := r.request(2)
 		r.Send(c, whole[:cut])
 		r.AwaitAndPass(0)
-		r.front.Drain()
+		r.frontend.Drain()
 		r.Advance(2 * sweep)
 		r.Send(c, whole[cut:])
 		r.serve(1)
@@ -233,21 +236,21 @@
 	}
 }
 
-// The answer to one request must not end a connection on which another has begun to come, or has
-// come in the same moment.
+// During a drain, the answer to one request must not close a connection on which another request has
+// begun to arrive, or has arrived in the same turn.
 func TestAnswerCrossesAnotherRequest(t *testing.T) {
 	for name, cut := range map[string]int{"begun": midRecord, "unread": 0} {
 		t.Run(name, func(t *testing.T) {
 			r := newRunner(t, longIdle)
 			c := r.connect(r.request(1))
 			r.Until(func() bool { return len(r.runs) == 1 })
-			r.front.Drain()
+			r.frontend.Drain()
 			whole := r.request(2)
 			if cut > 0 {
 				r.Send(c, whole[:cut])
 				r.AwaitAndPass(0)
 			}
-			r.After(time.Millisecond, r.end) // in the turn in which the rest is there
+			r.After(time.Millisecond, r.endOldestRun) // in the turn in which the rest of the second request can be read
 			r.Send(c, whole[cut:])
 			r.AwaitAndPass(time.Millisecond)
 			r.serve(1)
@@ -256,8 +259,8 @@
 	}
 }
 
-// A balancer gives up a request whose answer is on its way, and then uses its number again: the
-// abort is about nothing any more, and the new request is served.
+// A balancer aborts a request whose answer is already on its way, and then reuses its FastCGI ID. The
+// abort is ignored, and the new request is served.
 func TestRequestIDIsReusedAsAnAbortCrossesTheAnswer(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1))
@@ -268,7 +271,7 @@
 		t.Fatal(err)
 	}
 	if got := answers(t, string(answer[:n])); got[1] != "200" {
-		t.Fatalf("the first answer: %v", got)
+		t.Fatalf("answers = %v, want 200 for request 1", got)
 	}
 	r.Send(c, string(fastcgi.Append(nil, fastcgi.AbortRequest, 1, nil))+r.requestOn(1, 2))
 	r.serve(1)
@@ -278,7 +281,7 @@
 	r.expect(c, map[int]string{1: "200"})
 }
 
-// What cannot be read ends a connection, but not the requests that were read on it before.
+// Malformed input closes a connection, but complete requests that arrived before it are answered.
 func TestMalformedInputAfterARequestKeepsItsAnswer(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1) + r.request(2)[:midRecord] + strings.Repeat("\xff", 9000))
@@ -286,7 +289,7 @@
 	r.expect(c, map[int]string{1: "200"})
 }
 
-// A request whose rest does not come in time is turned away alone: the others on its connection get
+// A request that is not complete in time is rejected alone: the other requests on its connection get
 // their answers.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	r := newRunner(t, longIdle)
@@ -297,8 +300,8 @@
 	r.expect(c, map[int]string{1: "200", 2: "overloaded"})
 }
 
-// A bad request ends its connection after the others on it: one that has begun is still read, and a
-// new one is turned away.
+// A malformed request closes its connection only after the other requests on it: a request that has
+// begun to arrive is still read and answered, and a new one is rejected.
 func TestMalformedRequestKeepsTheAnswersOfOthers(t *testing.T) {
 	r := newRunner(t, longIdle)
 	bad := bytes.Replace([]byte(r.request(3)), []byte("/ops/check"), []byte("/ops/chalk"), 1)
@@ -308,58 +311,59 @@
 	r.expect(c, map[int]string{1: "200", 2: "200", 3: "400", 4: "overloaded"})
 }
 
-// Idle connections make room for others, the oldest first, but not one on which a request has just
-// come.
+// Idle connections are closed to make room for others, those idle for longest first, but not a
+// connection on which a request has just arrived.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
 	r := newRunner(t, longIdle)
-	r.front.SetMaxConnections(3)
-	var resting []*net.TCPConn
+	r.frontend.SetMaxConnections(3)
+	var idle []*net.TCPConn
 	for id := 1; id <= 3; id++ {
-		resting = append(resting, r.connect(r.request(id)))
+		idle = append(idle, r.connect(r.request(id)))
 		r.serve(1)
 		r.Advance(time.Millisecond)
 	}
-	late := r.DialAddr(r.front.Addr().String(), r.request(5)) // the listener is ready first
-	// it has rested longest, and is idle no more
-	r.Send(resting[0], r.request(4))
+	late := r.DialAddr(r.frontend.Addr().String(), r.request(5)) // the event loop sees it before the next request
+	// the connection that was idle for longest, and is not idle any more
+	r.Send(idle[0], r.request(4))
 	r.serve(1)
-	r.Advance(time.Second) // those that were left are gone
+	r.Advance(time.Second) // connections whose peers do not close are closed by now
 	r.serve(1)
-	for _, c := range []*net.TCPConn{late, resting[0]} {
+	for _, c := range []*net.TCPConn{late, idle[0]} {
 		if err := c.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.expect(resting[0], map[int]string{1: "200", 4: "200"})
+	r.expect(idle[0], map[int]string{1: "200", 4: "200"})
 	r.expect(late, map[int]string{5: "200"})
 }
 
-// A peer that rests until the process ends does not hold it up, and one that always sends is left
-// some time.
+// After a drain, a peer that stays idle is closed at once, and one that keeps sending is closed after a
+// bounded time. Otherwise either could prevent the process from ending.
 func TestPeersThatStayAreClosedAfterADrain(t *testing.T) {
 	r := newRunner(t, longIdle)
-	rests, sends := r.connect(r.request(1)), r.connect(r.request(2))
+	idle, busy := r.connect(r.request(1)), r.connect(r.request(2))
 	r.serve(2)
-	r.Send(sends, r.request(3)) // from now on something is always unread
-	r.front.Drain()
-	if r.front.IsListening() {
-		t.Fatal("it still listens")
+	r.Send(busy, r.request(3)) // from now on this connection always has unread input
+	r.frontend.Drain()
+	if r.frontend.IsListening() {
+		t.Fatal("IsListening() = true after Drain")
 	}
-	for id := 4; r.front.Connections() > 0; id++ {
+	for id := 4; r.frontend.Connections() > 0; id++ {
 		if id > 3000 {
-			t.Fatal("connections stay open")
+			t.Fatal("connections are still open after 3000 requests")
 		}
-		_, _ = sends.Write([]byte(r.request(id))) // it fails once the connection is gone
+		_, _ = busy.Write([]byte(r.request(id))) // fails once the connection is closed
 		for len(r.runs) > 0 {
-			r.end() // with the next one unread
+			r.endOldestRun() // while the next request is unread
 		}
 		r.Advance(time.Millisecond)
 	}
-	r.expect(rests, map[int]string{1: "200"})
+	r.expect(idle, map[int]string{1: "200"})
 }
 
-// parts are requests that begin and do not come whole, by their numbers.
-func parts(first, last int) string {
+// incompleteRequests returns the first records of requests that are never completed, with the FastCGI
+// IDs from first to last.
+func incompleteRequests(first, last int) string {
 	var b []byte
 	for id := first; id <= last; id++ {
 		b = fastcgi.AppendBegin(
@@ -372,32 +376,32 @@
 	return string(b)
 }
 
-// A flood of parts on many connections costs the largest of them its parts, and not the answer that
-// it is owed.
+// When many connections send incomplete requests, those of the connection with the most bytes are
+// rejected, but its complete request still gets its answer.
 func TestFloodOfIncompleteRequestsKeepsOwedAnswers(t *testing.T) {
 	r := newRunner(t, longIdle)
 	c := r.connect(r.request(1))
 	r.Until(func() bool { return len(r.runs) == 1 })
-	// it fails where the connection is closed
+	// fails once the connection is closed
 	write := func(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
-	go write(c, parts(2, 32))
+	go write(c, incompleteRequests(2, 32))
 	for range 8 {
-		go write(r.connect(""), parts(1, 30))
+		go write(r.connect(""), incompleteRequests(1, 30))
 	}
-	refused := make(chan string, 1)
+	rejected := make(chan string, 1)
 	go func() {
 		b := make([]byte, 64<<10)
 		n, _ := c.Read(b)
-		refused <- string(b[:n])
+		rejected <- string(b[:n])
 	}()
 	for {
 		select {
-		case text := <-refused:
-			r.end()
+		case text := <-rejected:
+			r.endOldestRun()
 			end := r.AwaitEnd(scenario.ReadToEnd(c))
 			got := answers(t, text+end.Text)
 			if end.Err != nil || len(got) != 32 || got[1] != "200" || got[32] != "overloaded" {
-				t.Fatalf("answers %v, end %v", got, end.Err)
+				t.Fatalf("answers = %v, read error = %v; want 32 answers with 1: 200 and 32: overloaded", got, end.Err)
 			}
 			return
 		case <-time.After(time.Millisecond):
--- a/internal/frontend/platform/exchange.go
+++ b/internal/frontend/platform/exchange.go
@@ -13,14 +13,14 @@
 	"ryepaddle/internal/protocol/fastcgi"
 )
 
-// Header fields of answers, by the names of the operators' pages.
+// Names of the header fields of answers, as the operators' pages give them.
 const (
 	headerAdvertisedValue = "X-Pressure"
 	headerRetryAfterMs    = "X-Come-Back-Ms"
 	headerNoRetry         = "X-No-Failover"
 )
 
-// Errors of requests that are rejected.
+// Errors of requests that are rejected. Their texts are sent to callers.
 var (
 	errParamsTooLong  = errors.New("parameters over their limit")
 	errBodyTooLong    = errors.New("body over its limit")
@@ -59,7 +59,7 @@
 	x.conn.frontend.countIncomplete(len(part))
 }
 
-// addParams appends to the parameters. An empty part completes them.
+// addParams appends a part to the parameters. An empty part completes them.
 func (x *exchange) addParams(part []byte) error {
 	x.paramsComplete = len(part) == 0
 	if len(x.params)+len(part) > maxParamsBytes {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// addBody appends to the body. An empty part completes the request.
+// addBody appends a part to the body. An empty part completes the request.
 func (x *exchange) addBody(part []byte) {
 	switch {
 	case len(part) == 0:
@@ -82,7 +82,7 @@
 	}
 }
 
-// abort ends a request whose caller aborted it. A run goes on, and its key is kept.
+// abort ends a request that the caller aborted. If it runs, the run goes on and its key is kept.
 func (x *exchange) abort() {
 	if x.submitted {
 		x.conn.frontend.manager.Withdraw(x.ticket)
@@ -90,7 +90,7 @@
 	x.finish(nil, fastcgi.RequestComplete)
 }
 
-// finish writes the given records and an EndRequest, and drops the request.
+// finish writes the given records and an EndRequest record, and forgets the request.
 func (x *exchange) finish(records []byte, protocolStatus uint8) {
 	c := x.conn
 	if c.open[x.id] != x {
@@ -106,7 +106,7 @@
 	c.closeIfDone()
 }
 
-// Sizes in bytes that are allocated at first for an answer; it may have more.
+// Initial capacities of the buffers for an answer, in bytes. The buffers grow where needed.
 const (
 	typicalHeadBytes = 256
 	recordsOverhead  = 64 // headers and padding of the records around a head and a body
@@ -188,7 +188,7 @@
 	length := params[paramLength]
 	switch {
 	case errors.Is(err, errRemovedClass):
-		// The balancer has not heard of the removal yet; its other requests are valid.
+		// The balancer does not know of the removal yet; other requests on its connection are valid.
 		x.respondText(http.StatusNotFound, err.Error())
 	case err != nil:
 		x.reject(http.StatusBadRequest, err)
@@ -205,8 +205,8 @@
 	}
 }
 
-// readParams decodes the parameters, also as a list in their order. Two different values of one
-// name are an error, since a server might use the other one.
+// readParams decodes the parameters, both as a map and as a list in their order. Two different
+// values of one name are an error, since a server might not use the same one as this package.
 func readParams(content []byte) (params map[string]string, metadata []lifecycle.Field, err error) {
 	params = map[string]string{}
 	var conflict error
@@ -224,8 +224,8 @@
 	return params, metadata, cmp.Or(err, conflict)
 }
 
-// reject answers a malformed request. Its connection accepts no more: a peer that sends the same
-// again as soon as it is answered would keep the event loop busy.
+// reject answers a malformed request. Its connection accepts no further requests: a peer that
+// repeats the request as soon as it is answered would keep the event loop busy.
 func (x *exchange) reject(status int, err error) {
 	x.conn.advanceTo(stateFinishing)
 	eventBadRequest.Log(status, err)
@@ -237,8 +237,8 @@
 	x.respond(status, []byte(text+"\n"), lifecycle.Field{Name: "Content-Type", Value: "text/plain"})
 }
 
-// answerHealthCheck answers a health check. thorough=1 in the query asks for a deep one, which the
-// health checker performs.
+// answerHealthCheck answers a health check. thorough=1 in the query asks for a deep check, which
+// the health checker performs.
 func (x *exchange) answerHealthCheck(query string) {
 	f := x.conn.frontend
 	answer := func(healthy bool) {
@@ -248,7 +248,7 @@
 		}
 		x.respond(status, nil)
 	}
-	values, _ := url.ParseQuery(query) // a malformed part sets nothing
+	values, _ := url.ParseQuery(query) // malformed parts of the query are ignored
 	if f.healthStored || f.healthChecker == nil || values.Get("thorough") != "1" {
 		answer(f.healthy)
 		return
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,6 +1,6 @@
 // Package platform is the frontend for the platform's balancers. It listens for FastCGI
 // connections, hands their requests to the request lifecycle, writes its answers, and bounds the
-// memory and the time that a connection may take. Package app creates it; it takes no decisions
+// memory and the time that a connection may take. Package app creates it; it makes no decisions
 // about requests.
 package platform
 
@@ -31,45 +31,46 @@
 	maxParamsBytes           = 8 << 10
 	maxBodyBytes             = 2 << 10
 	maxRequestsPerConnection = 32 // the platform's balancers open no more
-	// maxQueuedBytes bounds the answers that a peer has not read; largeAnswersQueued of the largest
-	// size may be queued in addition.
+	// maxQueuedBytes bounds the answers that are queued on a connection until its peer reads them;
+	// largeAnswersQueued answers of the largest size may be queued in addition.
 	maxQueuedBytes     = 256 << 10
 	largeAnswersQueued = 8
-	// maxRecordBytes bounds a record, so that many peers that leave one incomplete cannot take all
-	// memory. No balancer needs longer ones.
+	// maxRecordBytes bounds a record. An incomplete record is buffered, so many peers that each
+	// leave a long one incomplete could exhaust the memory. No balancer needs longer records.
 	maxRecordBytes = recordHeaderBytes + maxParamsBytes + maxRecordPadding
 	// maxIncompleteBytes bounds the parts of incomplete requests on all connections together.
 	maxIncompleteBytes = 2 << 20
 )
 
-// Parts of a FastCGI record beside its content, in bytes.
+// Sizes of the parts of a FastCGI record other than its content, in bytes.
 const (
 	recordHeaderBytes = 8
 	maxRecordPadding  = 255
 )
 
-// Times of a connection.
+// Timeouts and other times of a connection.
 const (
 	sweepInterval       = 100 * time.Millisecond
-	firstRequestTimeout = 2 * time.Second  // for the first complete request
-	readTimeout         = 2 * time.Second  // for a request that has begun to arrive
-	writeTimeout        = 10 * time.Second // for a peer to read what it is sent
-	minConnectionAge    = 100 * time.Millisecond
-	minReceivingAge     = 500 * time.Millisecond // with a first request that has begun to arrive
+	firstRequestTimeout = 2 * time.Second        // until the first request begins to arrive
+	readTimeout         = 2 * time.Second        // for the rest of a request that has begun to arrive
+	writeTimeout        = 10 * time.Second       // for a peer to read any of its queued answers
+	minConnectionAge    = 100 * time.Millisecond // before it may be closed to make room
+	minReceivingAge     = 500 * time.Millisecond // the same while its first request arrives
 )
 
-// Times of a drain, from its start.
+// Times of a drain.
 const (
-	// for the request of a connection that was just accepted
+	// drainRequestTimeout is how long a connection without a request is kept after it was accepted.
 	drainRequestTimeout = 300 * time.Millisecond
-	// the listener stays open while callers wait in its queue
+	// drainAcceptTime bounds how long the listener stays open to accept the callers in its queue.
 	drainAcceptTime = 300 * time.Millisecond
-	// before it, a connection with unread input is not closed
-	drainQuietTime = time.Second
+	// drainInputTime is how long, from the start of the drain, connections with unread input are
+	// kept open.
+	drainInputTime = time.Second
 )
 
-// closedAtOnce is the most connections that are closed at once when new ones wait. If it were one,
-// a single slow peer could delay all new connections.
+// closedAtOnce bounds how many connections are closed at once when new ones wait. If it were 1, a
+// single slow peer could delay all new connections.
 const closedAtOnce = 16
 
 // Paths of requests.
@@ -102,19 +103,19 @@
 	replaced      bool // another process serves in its place
 
 	advertisedValue string // sent with each answer; empty: none
-	healthStored    bool   // health checks are answered with healthy, also deep ones
+	healthStored    bool   // deep health checks are answered with healthy too, without a check
 	healthy         bool
 }
 
-// New returns a frontend; Listen opens it. checker may be nil. maxResponse is the size of a large
-// answer in bytes, of which a few may be queued on a connection.
+// New returns a frontend; Listen opens it. checker may be nil. maxResponse is the size of the
+// largest answers in bytes, of which a connection may queue a few.
 func New(l *eventloop.Loop, checker DeepHealthChecker, maxResponse int) *Frontend {
 	f := &Frontend{loop: l, healthChecker: checker, connections: map[*connection]struct{}{}, healthy: true}
 	f.SetMaxResponse(maxResponse)
 	return f
 }
 
-// SetMaxResponse sets the size of a large answer in bytes, for new connections.
+// SetMaxResponse sets the size of the largest answers in bytes, for new connections.
 func (f *Frontend) SetMaxResponse(size int) {
 	f.maxQueuedBytes = maxQueuedBytes + largeAnswersQueued*size
 	if f.listener != nil {
@@ -122,14 +123,14 @@
 	}
 }
 
-// SetMaxConnections bounds the connections that are open at once.
+// SetMaxConnections sets the maximum number of open connections.
 func (f *Frontend) SetMaxConnections(n int) {
 	if f.listener != nil {
 		f.listener.SetMaxOpen(n)
 	}
 }
 
-// MaxConnections returns the bound of the connections that are open at once.
+// MaxConnections returns the maximum number of open connections.
 func (f *Frontend) MaxConnections() int { return f.listener.MaxOpen() }
 
 // limits returns the bounds of the buffers of a connection.
@@ -163,14 +164,15 @@
 	f.healthy = healthy
 }
 
-// SetAdvertisedValue sets the value of admission control that is sent with each answer.
+// SetAdvertisedValue sets the value of admission control that is sent with each answer. It has no
+// effect after HandOver.
 func (f *Frontend) SetAdvertisedValue(v float64) {
 	if !f.replaced {
 		f.advertisedValue = strconv.FormatFloat(v, 'f', 4, 64)
 	}
 }
 
-// SetIdleTimeout sets after which time idle connections are closed; 0: never.
+// SetIdleTimeout sets how long a connection may be idle before it is closed; 0: no limit.
 func (f *Frontend) SetIdleTimeout(d time.Duration) { f.idleTimeout = d }
 
 // Drain stops listening, and closes each connection when it has no open request.
@@ -180,10 +182,10 @@
 	f.sweep()
 }
 
-// closesAtOnce reports whether connections are closed even with unread input: a peer that keeps
-// sending has to be closed some time.
-func (f *Frontend) closesAtOnce() bool {
-	return f.draining && f.loop.Now()-f.drainingSince > drainQuietTime
+// closesWithUnreadInput reports whether the drain closes connections even if they have unread input. Without
+// such a time a peer that keeps sending would never be closed.
+func (f *Frontend) closesWithUnreadInput() bool {
+	return f.draining && f.loop.Now()-f.drainingSince > drainInputTime
 }
 
 // Close ends all connections before the process ends. Queued answers are written as far as the
@@ -198,8 +200,8 @@
 // IsListening reports whether connections are accepted.
 func (f *Frontend) IsListening() bool { return f.listener != nil && f.listener.IsListening() }
 
-// HandOver is Drain for a process that another one replaces: the listener is handed over, and no
-// value is advertised, since it would not be that of the other process.
+// HandOver is Drain for a process that is replaced by another one: the listener is handed over, and
+// no value is advertised any more, since it would not be the value of the other process.
 func (f *Frontend) HandOver() {
 	f.replaced = true
 	f.advertisedValue = ""
@@ -245,7 +247,7 @@
 			c.Close(eventloop.ErrSlowPeer)
 		case c.isOverdue(now):
 			f.stopReceiving(c)
-		case f.isIdle(c, now) && !c.HasUnreadInput(): // input of this moment is read first
+		case f.isIdle(c, now) && !c.HasUnreadInput(): // input that has just arrived is read first
 			c.CloseGracefully()
 		}
 	}
@@ -262,8 +264,8 @@
 	return f.idleTimeout > 0 && now-c.usedAt > f.idleTimeout
 }
 
-// stopReceiving gives up the incomplete requests of a connection. Its other requests get their
-// answers.
+// stopReceiving rejects the incomplete requests of a connection and stops reading from it. Its
+// complete requests still get their answers; without any, the connection is closed.
 func (f *Frontend) stopReceiving(c *connection) {
 	if !c.hasUnanswered() {
 		eventNoRequest.Log()
@@ -277,8 +279,8 @@
 	}
 }
 
-// makeRoom closes connections, as the limit is reached and new ones wait: first those without any
-// request, then those with an incomplete first one, then those that were idle for longest.
+// makeRoom closes connections when the limit is reached and new ones wait: first those without any
+// request, then those whose first request is incomplete, then those that were idle for longest.
 func (f *Frontend) makeRoom() {
 	now := f.loop.Now()
 	var candidates []*connection
@@ -299,7 +301,7 @@
 		if closed == closedAtOnce {
 			return
 		}
-		if !c.isReceiving() && c.HasUnreadInput() { // a request arrived in this moment
+		if !c.isReceiving() && c.HasUnreadInput() { // a request has just arrived
 			continue
 		}
 		closed++
@@ -333,8 +335,9 @@
 	return 1
 }
 
-// countIncomplete adds bytes of incomplete requests. If they exceed their bound on all connections
-// together, the incomplete requests of the connection with the most of them are rejected.
+// countIncomplete adds n to the bytes of incomplete requests. If the bytes of all connections
+// together exceed their bound, the incomplete requests of the connection with the most bytes are
+// rejected.
 func (f *Frontend) countIncomplete(n int) {
 	f.incompleteBytes += n
 	if f.incompleteBytes <= maxIncompleteBytes {
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -11,13 +11,13 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Parameters of a request, by the names of the operators' pages.
+// Names of the parameters of a request, as the operators' pages give them.
 const (
 	paramID        = "HTTP_X_CALL_ID"
 	paramKey       = "HTTP_X_DEDUPE_KEY" // idempotency key
 	paramMethod    = "REQUEST_METHOD"
 	paramTenant    = "HTTP_X_CUSTOMER"
-	paramArrivedAt = "HTTP_X_QUEUE_START" // in Unix milliseconds
+	paramArrivedAt = "HTTP_X_QUEUE_START" // when the request arrived at the machine, in Unix milliseconds
 	paramCaller    = "HTTP_X_SOURCE"      // number of the balancer
 	paramSizeKB    = "HTTP_X_HEAP_KB"     // memory that the request takes
 	paramRank      = "HTTP_X_IMPORTANCE"  // from 0 up to 1
@@ -27,16 +27,17 @@
 	paramLength    = "CONTENT_LENGTH" // bytes of the body
 )
 
-// maxClockSkew is by how much a balancer's clock may be ahead.
+// maxClockSkew is how far a balancer's clock may be ahead of this machine's.
 const maxClockSkew = time.Second
 
-// maxRequestKB is the bound, in kB, below which the stated size of a request has to be.
+// maxRequestKB is the exclusive upper bound of the stated size of a request, in kB.
 const maxRequestKB = 2000
 
 // idLength is the length of a request ID in hex digits.
 const idLength = 16
 
-// parseRequest parses the parameters of a request, by the names of the operators' pages.
+// parseRequest returns a request of the given parameters, without its body. Texts of errors are
+// sent to the caller.
 func (f *Frontend) parseRequest(params map[string]string, path string) (*lifecycle.Request, error) {
 	r := &lifecycle.Request{ID: params[paramID], Key: params[paramKey]}
 	if err := f.parseClass(r, path); err != nil {
@@ -64,7 +65,7 @@
 	return r, nil
 }
 
-// parseClass sets the class by the path.
+// parseClass sets the class from the path.
 func (f *Frontend) parseClass(r *lifecycle.Request, path string) error {
 	name := strings.TrimPrefix(path, classPrefix)
 	var ok bool
@@ -78,8 +79,9 @@
 	return fmt.Errorf("no class at %q", path)
 }
 
-// parseArrival sets when the request arrived at the machine, a Unix time in milliseconds. A key is
-// kept for its window from then on, so that a time far ahead would keep it for ever.
+// parseArrival sets when the request arrived at the machine, from a Unix time in milliseconds. An
+// idempotency key is kept for its window from that time on, so a time far in the future, which
+// would keep it for ever, is an error.
 func (f *Frontend) parseArrival(r *lifecycle.Request, text string) error {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	latest := int64(f.loop.Unix())/1000 + maxClockSkew.Milliseconds()
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// parseSource sets the caller, and what it states of the request's size, rank and entity.
+// parseSource sets the caller, and the size, rank and entity that it states for the request.
 func parseSource(r *lifecycle.Request, params map[string]string) error {
 	source, err := strconv.ParseUint(params[paramCaller], 10, 32)
 	if err != nil {
