--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -41,8 +41,8 @@
 func (r *runner) Run(a *lifecycle.Attempt)   { r.runs = append(r.runs, a) }
 func (r *runner) Abandon(*lifecycle.Attempt) {}
 
-// endOldestRun ends the oldest run with a result.
-func (r *runner) endOldestRun() {
+// end ends the oldest run with a result.
+func (r *runner) end() {
 	r.t.Helper()
 	if len(r.runs) == 0 {
 		r.t.Fatal("no request is running")
@@ -92,7 +92,7 @@
 	return r
 }
 
-// connect opens a connection, busy a text on it, and waits until the frontend has accepted it.
+// connect opens a connection, sends a text on it, and waits until the frontend has accepted it.
 func (r *runner) connect(send string) *net.TCPConn {
 	r.t.Helper()
 	before := r.frontend.Connections()
@@ -171,7 +171,7 @@
 	r.t.Helper()
 	for range n {
 		r.Until(func() bool { return len(r.runs) > 0 })
-		r.endOldestRun()
+		r.end()
 	}
 	r.Advance(0)
 }
@@ -250,7 +250,7 @@
 				r.Send(c, whole[:cut])
 				r.AwaitAndPass(0)
 			}
-			r.After(time.Millisecond, r.endOldestRun) // in the turn in which the rest of the second request can be read
+			r.After(time.Millisecond, r.end) // in the turn that reads the rest of request 2
 			r.Send(c, whole[cut:])
 			r.AwaitAndPass(time.Millisecond)
 			r.serve(1)
@@ -326,7 +326,7 @@
 	// the connection that was idle for longest, and is not idle any more
 	r.Send(idle[0], r.request(4))
 	r.serve(1)
-	r.Advance(time.Second) // connections whose peers do not close are closed by now
+	r.Advance(time.Second) // the connections closed to make room are gone by now
 	r.serve(1)
 	for _, c := range []*net.TCPConn{late, idle[0]} {
 		if err := c.CloseWrite(); err != nil {
@@ -354,7 +354,7 @@
 		}
 		_, _ = busy.Write([]byte(r.request(id))) // fails once the connection is closed
 		for len(r.runs) > 0 {
-			r.endOldestRun() // while the next request is unread
+			r.end() // while the next request is unread
 		}
 		r.Advance(time.Millisecond)
 	}
@@ -397,7 +397,7 @@
 	for {
 		select {
 		case text := <-rejected:
-			r.endOldestRun()
+			r.end()
 			end := r.AwaitEnd(scenario.ReadToEnd(c))
 			got := answers(t, text+end.Text)
 			if end.Err != nil || len(got) != 32 || got[1] != "200" || got[32] != "overloaded" {
