--- a/internal/frontend/uwsgi/connection.go
+++ b/internal/frontend/uwsgi/connection.go
@@ -16,14 +16,14 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Errors of requests that are rejected.
+// Errors of requests that are rejected, whose texts are sent to callers, and of connections.
 var (
 	errRequestTimeout = errors.New("request does not come")
 	errBodyTimeout    = errors.New("the rest of the body does not come")
 	errLengthRequired = errors.New("a body of this size needs its length stated")
 	errResultLost     = errors.New("it ran, and its result was not kept")
 	errServerStalled  = errors.New("the server does not take the body")
-	errTruncated      = errors.New("the response was cut")
+	errTruncated      = errors.New("response truncated")
 )
 
 // connection is one connection of a caller with its request. It implements eventloop.Handler,
@@ -44,25 +44,25 @@
 	ticket      lifecycle.Ticket
 	excessBytes int // received after the request
 
-	framing        *httpmessage.Body // of the body
+	framing        *httpmessage.Body // finds the end of the body
 	body           []byte            // received so far, if it does not stream
-	bodyUntilClose bool
+	bodyUntilClose bool              // the body ends when the caller closes its side
 
 	bodyStreams    bool                     // the rest of the body is passed on as it arrives
 	uploadConsumer lifecycle.UploadConsumer // nil: none yet
-	pendingUpload  []byte                   // waits for the consumer
+	pendingUpload  []byte                   // parts of the body that arrived before there was a consumer
 	uploadReader   flowcontrol.ReaderID
-	uploadPaused   bool // the caller waits for the server
+	uploadPaused   bool // reading is paused until the server has taken more
 
-	responseStream lifecycle.Stream // rest of the response; nil: none
+	responseStream lifecycle.Stream // the rest of a response that streams; nil: none
 	responseReader flowcontrol.ReaderID
 }
 
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements eventloop.Handler. There is one request on a connection; what follows it is
-// dropped, up to a bound.
+// Data implements eventloop.Handler. There is one request on a connection. Further input is dropped,
+// up to maxExcessBytes.
 func (c *connection) Data(b []byte) (int, error) {
 	if c.bodyStreams {
 		return c.readUpload(b)
@@ -90,7 +90,7 @@
 }
 
 // readHead reads the variables of the request and returns how many bytes are used. bodyFollows
-// reports that they are complete and the body is to be read.
+// reports whether they are complete and the body is to be read.
 func (c *connection) readHead(b []byte) (used int, bodyFollows bool) {
 	head, n, err := uwsgi.ReadHead(b, c.frontend.options.MaxVariablesBytes)
 	switch {
@@ -147,8 +147,8 @@
 	}
 }
 
-// beginRequest takes the variables of the request, and reports whether its body is to be read. A
-// request that can be answered without it is answered.
+// beginRequest processes the variables of the request, and reports whether its body is to be read. A
+// request that can be answered without its body is answered at once.
 func (c *connection) beginRequest(head *uwsgi.Head) bool {
 	f := c.frontend
 	r, ok := c.normalize(head)
@@ -216,7 +216,7 @@
 	c.respond(&uwsgi.Response{Status: status})
 }
 
-// frameBody sets how the end of the body is found.
+// frameBody sets how the end of the body is recognized.
 func (c *connection) frameBody(r *cgi.Request) {
 	switch {
 	case r.Chunked:
@@ -239,7 +239,7 @@
 	c.ticket = c.frontend.manager.Submit(c.request)
 }
 
-// statusOf returns the status for an error of the packet.
+// statusOf returns the HTTP status for an error in the request packet.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, uwsgi.ErrBodyTooLong):
@@ -251,7 +251,7 @@
 }
 
 // End implements eventloop.Handler. A caller that closes its side before the answer cancels the
-// request, unless that ends the body.
+// request, unless the close marks the end of the body.
 func (c *connection) End() bool {
 	if c.bodyUntilClose && !c.answered {
 		if !c.submitted {
@@ -289,7 +289,7 @@
 	}
 }
 
-// reject answers with an error.
+// reject answers with the text of an error.
 func (c *connection) reject(status int, err error) {
 	eventBadRequest.Log(status, err)
 	c.respond(&uwsgi.Response{
@@ -299,7 +299,7 @@
 	})
 }
 
-// respond sends the answer and closes the connection. Only the first answer counts.
+// respond sends the answer and closes the connection. Any later answer is ignored.
 func (c *connection) respond(r *uwsgi.Response) {
 	if c.answered {
 		return
@@ -349,8 +349,8 @@
 }
 
 // retryAfterFields returns the header fields that tell a rejected caller when to retry: Retry-After
-// in whole seconds and the same in milliseconds, both rounded up. There are none if the answer does
-// not say it.
+// in seconds and X-Come-Back-Ms in milliseconds, both rounded up. There are none if the answer
+// states no such time.
 func retryAfterFields(a lifecycle.Answer) []httpmessage.Field {
 	ms := a.RetryAfterMs()
 	if ms == 0 {
--- a/internal/frontend/uwsgi/crossing_test.go
+++ b/internal/frontend/uwsgi/crossing_test.go
@@ -13,9 +13,9 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// newFront listens on a loop that the test steps. It is asked for its health alone, which needs no
-// core.
-func newFront(t *testing.T, connections int) (*scenario.SteppedLoop, *front.Frontend) {
+// newFrontend returns a frontend that listens on a loop that the test steps. The tests send it only
+// health checks, which need no lifecycle.Manager.
+func newFrontend(t *testing.T, connections int) (*scenario.SteppedLoop, *front.Frontend) {
 	t.Helper()
 	s := scenario.NewSteppedLoop(t)
 	f := front.New(
@@ -31,8 +31,8 @@
 	return s, f
 }
 
-// health is a whole request.
-func health(t *testing.T) string {
+// healthCheck returns the packet of a health check.
+func healthCheck(t *testing.T) string {
 	t.Helper()
 	packet, err := uwsgi.Append(
 		nil,
@@ -49,42 +49,44 @@
 	return string(packet)
 }
 
-func expectGood(t *testing.T, s *scenario.SteppedLoop, c net.Conn) {
+// expectOK reads a connection until its peer closes it, and expects an answer with status 200.
+func expectOK(t *testing.T, s *scenario.SteppedLoop, c net.Conn) {
 	t.Helper()
 	if end := s.AwaitEnd(scenario.ReadToEnd(c)); end.Err != nil || !strings.Contains(end.Text, " 200 ") {
-		t.Fatalf("got %q, %v", end.Text, end.Err)
+		t.Fatalf("answer = %q, read error = %v; want status 200 and no error", end.Text, end.Err)
 	}
 }
 
-// What waits in the queue as the front leaves has been accepted in its caller's eyes, and its
-// request is read and answered; one that comes a little later as well.
+// Connections in the listener's queue at the start of a drain look established to their callers, so
+// a request on one of them must be read and answered, also if it arrives a little later.
 func TestQueuedRequestIsServedDuringADrain(t *testing.T) {
-	s, f := newFront(t, 8)
-	asked := s.DialAddr(f.Addr().String(), health(t))
+	s, f := newFrontend(t, 8)
+	queued := s.DialAddr(f.Addr().String(), healthCheck(t))
 	silent := s.DialAddr(f.Addr().String(), "")
 	f.Drain()
-	expectGood(t, s, asked)
-	s.Send(silent, health(t))
+	expectOK(t, s, queued)
+	s.Send(silent, healthCheck(t))
 	s.AwaitAndPass(0)
-	expectGood(t, s, silent)
+	expectOK(t, s, silent)
 	s.Advance(time.Second)
 	if s.Advance(time.Second); f.Connections() != 0 {
-		t.Fatalf("%d connections stay open", f.Connections())
+		t.Fatalf("open connections = %d after a drain, want 0", f.Connections())
 	}
 }
 
-// Silent connections make room for others, but not one whose request has just come.
+// Connections that have sent nothing are closed to make room for others, but not a connection on which
+// a request has just arrived.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
-	s, f := newFront(t, 2)
-	var rest []*net.TCPConn
+	s, f := newFrontend(t, 2)
+	var idle []*net.TCPConn
 	for n := 1; n <= 2; n++ {
-		rest = append(rest, s.DialAddr(f.Addr().String(), ""))
+		idle = append(idle, s.DialAddr(f.Addr().String(), ""))
 		s.Until(func() bool { return f.Connections() == n })
 		s.Advance(time.Second)
 	}
-	late := s.DialAddr(f.Addr().String(), health(t))
-	s.Send(rest[0], health(t)) // it has been silent for longest
+	late := s.DialAddr(f.Addr().String(), healthCheck(t))
+	s.Send(idle[0], healthCheck(t)) // the connection that has been silent for longest
 	s.AwaitAndPass(0)
-	expectGood(t, s, rest[0])
-	expectGood(t, s, late)
+	expectOK(t, s, idle[0])
+	expectOK(t, s, late)
 }
--- a/internal/frontend/uwsgi/frontend.go
+++ b/internal/frontend/uwsgi/frontend.go
@@ -1,7 +1,7 @@
 // Package uwsgi is the frontend for callers that speak the uwsgi protocol, such as nginx. It hands
 // the one request of each connection to the request lifecycle, writes the answer, streams bodies
 // and responses, and bounds the memory and the time that a connection may take. Package app creates
-// it; it takes no decisions about requests.
+// it; it makes no decisions about requests.
 package uwsgi
 
 import (
@@ -35,11 +35,11 @@
 type Route struct {
 	Prefix string // of the path
 	Class  int
-	// Deadline is how long a caller waits; 0: the class's own time.
+	// Deadline is how long a caller waits for its answer; 0: the timeout of the class.
 	Deadline time.Duration
-	// Key is the idempotency key of a request; nil: the variable that the options name holds it.
+	// Key is evaluated to the idempotency key of a request; nil: Options.KeyVariable holds the key.
 	Key        *match.Expression
-	Idempotent bool // requests of the class may be repeated
+	Idempotent bool // requests of the class may be run more than once
 	Proxied    bool // requests run on servers of the inventory
 }
 
@@ -47,41 +47,42 @@
 type Options struct {
 	Listen         netaddr.Addr
 	MaxConnections int
-	// MaxConnectionsPerAddress bounds the connections of one IP address; 0: no bound.
+	// MaxConnectionsPerAddress bounds the open connections of one IP address; 0: no bound.
 	MaxConnectionsPerAddress int
 	MaxVariablesBytes        int
 	Flow                     flowcontrol.Limits // of bodies and responses
-	ReadTimeout              time.Duration      // for a complete request
+	ReadTimeout              time.Duration      // for a request, or for the next part of a body that streams
 	Routes                   []Route
 	Matcher                  match.Matcher // finds the index of a request's route
 	HealthPath               string        // empty: no health checks
-	TenantVariable           string        // variable with the tenant
-	KeyVariable              string        // variable with the idempotency key
-	// FirstAttemptVariable is the variable with the time of the first attempt, in Unix
-	// milliseconds; empty: none.
+	TenantVariable           string        // variable that holds the tenant
+	KeyVariable              string        // variable that holds the idempotency key
+	// FirstAttemptVariable is the variable that holds when the caller sent the first attempt of the
+	// request, in Unix milliseconds; empty: none.
 	FirstAttemptVariable string
 	SizeKB               float64 // memory that a request is assumed to take
-	Seed                 uint64  // of request IDs
+	Seed                 uint64  // of the sequence of request IDs
 }
 
 // Bounds of a connection, in bytes.
 const (
 	packetHeaderBytes = 4         // before the variables of a request
 	maxFramingBytes   = 8 << 10   // of a line of a chunked body
-	maxPartBytes      = 128 << 10 // of a streamed response, beside what may be queued
-	maxExcessBytes    = 64 << 10  // after the request, which are dropped
+	maxPartBytes      = 128 << 10 // of a part of a streamed response, in addition to Flow.MaxQueued
+	maxExcessBytes    = 64 << 10  // received after the request, which are dropped
 )
 
-// Times of a connection.
+// Timeouts and other times of a connection.
 const (
 	sweepInterval    = 500 * time.Millisecond
-	readerTimeout    = 10 * time.Second // a reader of a streamed response that reads nothing
-	minConnectionAge = 100 * time.Millisecond
-	// for the request of a connection that was just accepted
+	readerTimeout    = 10 * time.Second       // for a reader that takes nothing of a stream
+	minConnectionAge = 100 * time.Millisecond // before it may be closed to make room
+	// drainRequestTimeout is how long a draining frontend waits for the request of a connection
+	// that was just accepted.
 	drainRequestTimeout = 300 * time.Millisecond
 )
 
-// closedAtOnce is the most connections that are closed at once when new ones wait.
+// closedAtOnce bounds how many connections are closed at once when new ones wait.
 const closedAtOnce = 16
 
 // Frontend owns the listener of uwsgi callers and its connections. All methods are to be called on
@@ -93,7 +94,7 @@
 	listener             *eventloop.Listener
 	connections          map[*connection]struct{}
 	connectionsByAddress map[netip.Addr]int
-	lastID               uint64 // of a request
+	lastID               uint64 // last request ID that was assigned
 	healthy              bool
 	readers              *flowcontrol.ReaderWindows // of streamed bodies and responses
 	lastReader           flowcontrol.ReaderID
@@ -133,7 +134,7 @@
 // Connections returns how many connections are open.
 func (f *Frontend) Connections() int { return len(f.connections) }
 
-// SetOptions sets the options for new requests. The address of the listener does not change.
+// SetOptions sets the options for new requests. The address of the listener stays the same.
 func (f *Frontend) SetOptions(options Options) {
 	options.Listen = f.options.Listen
 	f.options = options
@@ -156,8 +157,8 @@
 func (f *Frontend) SetHealth(healthy bool) { f.healthy = healthy }
 
 // Drain stops listening. Requests that have begun to arrive are read and answered. Connections
-// without input are closed; those that were just accepted only after drainRequestTimeout, as their
-// requests may be on the way.
+// without input are closed; those that were just accepted only after drainRequestTimeout, since
+// their requests may be on the way.
 func (f *Frontend) Drain() {
 	f.listener.CloseWhenAccepted(drainRequestTimeout)
 	f.closeSilent(drainRequestTimeout)
@@ -176,8 +177,8 @@
 	}
 }
 
-// makeRoom closes connections without a complete request, the oldest first, as the limit is reached
-// and new ones wait. Otherwise peers that send nothing could block all callers for the read
+// makeRoom closes connections without a complete request, the oldest first, when the limit is
+// reached and new ones wait. Otherwise peers that send nothing could block all callers for the read
 // timeout.
 func (f *Frontend) makeRoom() {
 	var candidates []*connection
@@ -192,7 +193,7 @@
 		if closed == closedAtOnce {
 			return
 		}
-		if c.HasUnreadInput() { // a request arrived in this moment
+		if c.HasUnreadInput() { // a request has just arrived
 			continue
 		}
 		closed++
@@ -213,8 +214,8 @@
 	return c
 }
 
-// countAddress counts a connection for its address, and closes it if there are too many. Nothing of
-// it ran, so that the caller may try again.
+// countAddress counts a connection for its IP address, and closes it if the address has too many.
+// No request of it ran, so the caller may try again.
 func (f *Frontend) countAddress(c *connection) {
 	c.callerAddr = c.RemoteAddr().Addr()
 	f.connectionsByAddress[c.callerAddr]++
@@ -225,7 +226,7 @@
 	}
 }
 
-// uncountAddress takes back countAddress.
+// uncountAddress reverses countAddress when a connection is closed.
 func (f *Frontend) uncountAddress(c *connection) {
 	if !c.callerAddr.IsValid() {
 		return
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// maxStatedDelay is the oldest time that a caller may state for a request.
+	// maxStatedDelay is how far in the past a time that a caller states may be.
 	maxStatedDelay = time.Minute
-	// maxStatedMs bounds a stated time in Unix milliseconds, so that its microseconds fit an int64.
+	// maxStatedMs bounds a stated time in Unix milliseconds, so that it fits an int64 in microseconds.
 	maxStatedMs = 1 << 50
-	// defaultCaller is the number of callers that state none; the platform numbers its balancers
-	// from 0.
+	// defaultCaller is the number of callers that state none. It is above the numbers of the
+	// platform's balancers, which begin at 0.
 	defaultCaller = 1 << 16
-	// idIncrement is odd, so that no request ID recurs.
+	// idIncrement is added for each request ID. It is odd, so IDs repeat only after 2^64 requests.
 	idIncrement = 0x9e3779b97f4a7c15
 )
 
-// Variables of a request, by the names of the operators' pages.
+// Names of the variables of a request, as the operators' pages give them.
 const (
 	sourceVariable = "HTTP_X_SOURCE" // number of the caller
 	// when a proxy received the request, in Unix milliseconds
 	arrivalVariable = "HTTP_X_QUEUE_START"
 )
 
-// requestError is a request that is rejected with a status.
+// requestError is the error of a request that is rejected. The reason is sent to the caller.
 type requestError struct {
 	status int
 	reason string
@@ -43,13 +43,12 @@
 // Error implements error.
 func (e *requestError) Error() string { return e.reason }
 
-// requestErrorf returns a requestError.
+// requestErrorf returns a requestError with a formatted reason.
 func requestErrorf(status int, format string, args ...any) *requestError {
 	return &requestError{status: status, reason: fmt.Sprintf(format, args...)}
 }
 
-// parseRequest returns the request as the request lifecycle takes it, without its body, and its
-// route.
+// parseRequest returns the request for the request lifecycle, without its body, and its route.
 func (f *Frontend) parseRequest(r *cgi.Request) (*lifecycle.Request, *Route, *requestError) {
 	request := &lifecycle.Request{
 		AcceptsStream: true,
@@ -90,7 +89,7 @@
 // class that requires a key gets one.
 func (f *Frontend) setKey(request *lifecycle.Request, route *Route, subject *match.Request) *requestError {
 	if route.Key != nil {
-		// A key that was percent-decoded may have characters that a variable cannot have.
+		// A key from a percent-decoded text may have characters that a variable cannot have.
 		request.Key = route.Key.Text(subject)
 		if strings.ContainsFunc(request.Key, unicode.IsControl) {
 			return requestErrorf(http.StatusBadRequest, "the key %q holds a control character", request.Key)
@@ -102,8 +101,8 @@
 	return nil
 }
 
-// arrivedAt returns when the request arrived: the time that a proxy before this one states, or when
-// its connection was accepted.
+// arrivedAt returns when the request arrived: the time that an upstream proxy states, or the time at
+// which its connection was accepted.
 func (f *Frontend) arrivedAt(r *cgi.Request, acceptedAt wallclock.UnixMicro) wallclock.UnixMicro {
 	stated, ok := f.parseTime(r.Get(arrivalVariable))
 	if !ok {
@@ -112,8 +111,8 @@
 	return stated
 }
 
-// firstSentAt returns when the caller sent the first attempt of the request, as it states, or 0.
-// Without it a retry of a rejected request looks like a new one.
+// firstSentAt returns when the caller, by its own statement, sent the first attempt of the request,
+// or 0. Without this time a retry of a rejected request looks like a new request.
 func (f *Frontend) firstSentAt(r *cgi.Request) wallclock.UnixMicro {
 	if f.options.FirstAttemptVariable == "" {
 		return 0
@@ -122,8 +121,8 @@
 	return stated
 }
 
-// parseTime parses a stated time in Unix milliseconds. It may not be in the future, nor older than
-// maxStatedDelay.
+// parseTime parses a time in Unix milliseconds that a caller states. ok is false if the time is in
+// the future or older than maxStatedDelay.
 func (f *Frontend) parseTime(text string) (at wallclock.UnixMicro, ok bool) {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms <= 0 || ms > maxStatedMs {
@@ -137,7 +136,7 @@
 	return at, true
 }
 
-// keySource returns where the idempotency keys of a route come from, for errors.
+// keySource returns the expression or variable that holds a route's idempotency keys, for errors.
 func (f *Frontend) keySource(route *Route) string {
 	if route.Key != nil {
 		return route.Key.String()
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -8,14 +8,14 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// Causes for which streams are truncated, in log events.
+// Causes of truncated streams, in log events.
 const (
-	causeTotal   = "all readers together leave too much untaken"
-	causeStalled = "its reader takes nothing"
+	causeTotal   = "too many bytes are queued for all readers together"
+	causeStalled = "its reader has stopped reading"
 )
 
-// beginStream sends the head and the first part of a response that streams. From then on it can
-// only be completed or truncated.
+// beginStream sends the head and the first part of a response that streams. From then on the
+// response can only be completed or truncated.
 func (c *connection) beginStream(result *lifecycle.Result) {
 	f := c.frontend
 	c.answered = true
@@ -43,7 +43,7 @@
 	}
 }
 
-// updateQueued pauses the server while too much is queued for the reader.
+// updateQueued pauses the server while too many bytes are queued for the reader.
 func (c *connection) updateQueued() {
 	if c.responseStream == nil || c.IsClosed() {
 		return
@@ -58,14 +58,14 @@
 	c.CloseGracefully()
 }
 
-// Truncated implements lifecycle.StreamConsumer. The connection is reset, as a response without a
-// stated length would look complete after an ordinary end.
+// Truncated implements lifecycle.StreamConsumer. The connection is reset, since a response without a
+// stated length would look complete after an orderly close.
 func (c *connection) Truncated() {
 	c.endResponseStream()
 	c.Abort(errTruncated)
 }
 
-// endResponseStream releases what the response holds.
+// endResponseStream releases the resources of the response stream.
 func (c *connection) endResponseStream() {
 	c.responseStream = nil
 	c.OnFlushed(nil)
@@ -92,7 +92,7 @@
 	f.readers.RemoveReader(id) // its connection was closed
 }
 
-// sweep truncates the streams of readers that read nothing.
+// sweep truncates the streams of readers that have read nothing for readerTimeout.
 func (f *Frontend) sweep() {
 	for _, id := range f.readers.Stalled(f.loop.Now(), readerTimeout) {
 		f.truncate(id, causeStalled)
--- a/internal/frontend/uwsgi/upload.go
+++ b/internal/frontend/uwsgi/upload.go
@@ -6,8 +6,8 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// beginUpload submits the request, whose body follows as it arrives. length is the stated length of
-// the body in bytes, or -1.
+// beginUpload submits the request before its body, which is passed on as it arrives. length is the
+// stated length of the body in bytes, or -1 if none is stated.
 func (c *connection) beginUpload(length int64) {
 	f := c.frontend
 	c.bodyStreams = true
@@ -20,8 +20,8 @@
 	c.submit()
 }
 
-// resetReadTimer gives the caller the read timeout to send more. It does not run out while the
-// caller waits for the server.
+// resetReadTimer restarts the read timeout for the next part of the body. The timeout does not expire
+// while reading is paused for a slow server.
 func (c *connection) resetReadTimer() {
 	c.timer.Stop()
 	c.timer = c.frontend.loop.After(c.frontend.options.ReadTimeout, func() {
@@ -38,7 +38,7 @@
 	})
 }
 
-// readUpload reads more of the body and passes it on.
+// readUpload reads a further part of the body and passes it on.
 func (c *connection) readUpload(b []byte) (used int, err error) {
 	for c.bodyStreams {
 		data, n, done, err := c.framing.Next(b[used:], false)
@@ -65,7 +65,7 @@
 	return len(b), nil
 }
 
-// passUpload passes a part of the body to its consumer, or keeps it until there is one.
+// passUpload passes a part of the body to its consumer, or keeps it until a consumer is attached.
 func (c *connection) passUpload(data []byte) {
 	if c.uploadConsumer != nil {
 		c.uploadConsumer.ConsumeBody(data)
@@ -99,7 +99,7 @@
 	c.bodyStreams = false
 }
 
-// endUpload releases what the body holds.
+// endUpload releases the resources of the body's stream.
 func (c *connection) endUpload() {
 	c.uploadConsumer = nil
 	c.pendingUpload = nil
