--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -1,5 +1,5 @@
 // Package admin is the admin listener for operators: HTTP/1.1 with one request on a connection. It
-// reports the status of the program and takes no decisions.
+// reports the status of the program and makes no decisions.
 //
 //	GET /ops/readiness   200: this process can serve; 503: it cannot, with the reason
 //	GET /ops/stats       statistics as JSON
@@ -21,8 +21,8 @@
 	"ryepaddle/internal/telemetry/logging"
 )
 
-// eventBadCall is the log event of a malformed request.
-var eventBadCall = logging.Define("ops.bad_request", slog.LevelWarn, "status", "error")
+// eventBadRequest is the log event of a request that is rejected.
+var eventBadRequest = logging.Define("ops.bad_request", slog.LevelWarn, "status", "error")
 
 // Bounds of the listener.
 const (
@@ -30,13 +30,13 @@
 	maxHeadBytes   = 4 << 10 // of a request
 	maxQueuedBytes = 256 << 10
 	readTimeout    = 2 * time.Second // for a complete request
-	closedAtOnce   = 4               // connections that are closed when others wait
+	closedAtOnce   = 4               // connections closed at once when others wait
 )
 
-// headEnd ends the head of a request.
+// headEnd is the empty line that ends the head of a request.
 var headEnd = []byte("\r\n\r\n")
 
-// Errors of requests.
+// Errors of requests that are rejected. Their texts are sent to callers.
 var (
 	errHeadTooLong = errors.New("head over its limit")
 	errUnknownPath = errors.New("no such call: there are /ops/readiness and /ops/stats")
@@ -49,14 +49,14 @@
 	statisticsPath = "/ops/stats"
 )
 
-// MaxDescriptors is the most descriptors that the listener takes, its own included.
+// MaxDescriptors is the maximum number of file descriptors that a server uses, including the listener's.
 const MaxDescriptors = maxConnections + 1
 
 // StatusSource is the program whose status is reported.
 type StatusSource interface {
 	// Ready reports whether this process can serve, and if not, the reason.
 	Ready() (reason string, ok bool)
-	// Statistics returns a value that is encoded as JSON.
+	// Statistics returns the statistics of the program, which are encoded as JSON.
 	Statistics() any
 }
 
@@ -65,10 +65,10 @@
 	loop        *eventloop.Loop
 	source      StatusSource
 	listener    *eventloop.Listener
-	connections []*connection // the oldest first
+	connections []*connection // oldest first
 }
 
-// Listen opens the listener.
+// Listen opens a listener at addr and returns its server.
 func Listen(l *eventloop.Loop, addr netip.AddrPort, source StatusSource) (*Server, error) {
 	s := &Server{loop: l, source: source}
 	var err error
@@ -94,7 +94,7 @@
 	return c
 }
 
-// makeRoom closes the oldest connections without a complete request, as the limit is reached and
+// makeRoom closes the oldest connections without a complete request when the limit is reached and
 // new ones wait.
 func (s *Server) makeRoom() {
 	closed := 0
@@ -122,7 +122,7 @@
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements eventloop.Handler. There is one request on a connection; what follows it is
+// Data implements eventloop.Handler. There is one request on a connection; further input is
 // dropped.
 func (c *connection) Data(b []byte) (int, error) {
 	if c.replied {
@@ -161,7 +161,7 @@
 	}
 }
 
-// serveReadiness responds whether this process can serve.
+// serveReadiness reports whether this process can serve.
 func (c *connection) serveReadiness() {
 	reason, ok := c.server.source.Ready()
 	if !ok {
@@ -175,7 +175,7 @@
 
 // reject responds with an error.
 func (c *connection) reject(status int, err error) {
-	eventBadCall.Log(status, err)
+	eventBadRequest.Log(status, err)
 	c.reply(status, errorReply{err.Error()})
 }
 
@@ -201,7 +201,7 @@
 		response.Header.Set("Allow", http.MethodGet)
 	}
 	var out bytes.Buffer
-	_ = response.Write(&out) // neither the buffer nor the body fails
+	_ = response.Write(&out) // neither the buffer nor the body returns an error
 	c.Write(out.Bytes())
 	c.CloseGracefully()
 }
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -14,24 +14,24 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// program is ready unless it says why not.
-type program struct{ why string }
+// program is a StatusSource that is ready if it has no reason not to be.
+type program struct{ reason string }
 
-func (p *program) Ready() (string, bool) { return p.why, p.why == "" }
+func (p *program) Ready() (string, bool) { return p.reason, p.reason == "" }
 func (p *program) Statistics() any       { return map[string]int{"open_requests": 14} }
 
-// connections has a door on a loop of its own, until the test ends.
-func open(t *testing.T, of StatusSource) string {
+// startServer runs a server on an event loop of its own until the test ends, and returns its address.
+func startServer(t *testing.T, source StatusSource) string {
 	t.Helper()
 	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Listen(l, netip.MustParseAddrPort("127.0.0.1:0"), of)
+	server, err := Listen(l, netip.MustParseAddrPort("127.0.0.1:0"), source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, done := d.Addr().String(), make(chan error, 1)
+	addr, done := server.Addr().String(), make(chan error, 1)
 	go func() { done <- l.Run() }()
 	t.Cleanup(func() {
 		l.Deliver(l.Stop)
@@ -43,7 +43,7 @@
 	return addr
 }
 
-// ask writes a call in pieces, and gives all that comes until the door closes.
+// ask writes a request in pieces, and returns the response up to the end of the connection.
 func ask(t *testing.T, addr string, pieces ...string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -59,16 +59,16 @@
 	}
 	got, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("%q: %v", pieces, err)
+		t.Fatalf("reading the response to %q: %v", pieces, err)
 	}
 	return string(got)
 }
 
-// requestCases are requests to a program that can serve, or that drains, with what they get.
+// requestCases are requests to a program that can serve or is draining, with their responses.
 var requestCases = []struct {
-	name               string
-	draining           bool
-	call, status, body string
+	name                  string
+	draining              bool
+	request, status, body string
 }{
 	{"ready", false, "GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n", "200 OK", `{"ready":true}`},
 	{
@@ -76,48 +76,48 @@
 		true,
 		"GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n",
 		"503 Service Unavailable",
-		`{"error":"it leaves"}`,
+		`{"error":"draining"}`,
 	},
-	{"figures", false, "GET /ops/stats HTTP/1.1\r\n\r\n", "200 OK", `{"open_requests":14}`},
+	{"statistics", false, "GET /ops/stats HTTP/1.1\r\n\r\n", "200 OK", `{"open_requests":14}`},
 	{
-		"figures of one that leaves",
+		"statistics while draining",
 		true,
 		"GET /ops/stats HTTP/1.1\r\n\r\n",
 		"200 OK",
 		`{"open_requests":14}`,
 	},
-	{"query", false, "GET /ops/stats?pretty=1 HTTP/1.0\r\n\r\n", "200 OK", `{"open_requests":14}`},
+	{"query in the path", false, "GET /ops/stats?pretty=1 HTTP/1.0\r\n\r\n", "200 OK", `{"open_requests":14}`},
 	{
-		"another path",
+		"unknown path",
 		false,
 		"GET /ops HTTP/1.1\r\n\r\n",
 		"404 Not Found",
 		`{"error":"no such call: there are /ops/readiness and /ops/stats"}`,
 	},
 	{
-		"another method",
+		"method not allowed",
 		false,
 		"POST /ops/stats HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
 		"405 Method Not Allowed",
 		`{"error":"the method is GET"}`,
 	},
-	{"no HTTP", false, "hello\r\n\r\n", "400 Bad Request", `{"error":"malformed HTTP request \"hello\""}`},
+	{"not HTTP", false, "hello\r\n\r\n", "400 Bad Request", `{"error":"malformed HTTP request \"hello\""}`},
 	{
-		"another version",
+		"unsupported HTTP version",
 		false,
 		"GET /ops/stats HTTP/3\r\n\r\n",
 		"400 Bad Request",
 		`{"error":"malformed HTTP version \"HTTP/3\""}`,
 	},
 	{
-		"a bad header",
+		"malformed header",
 		false,
 		"GET /ops/stats HTTP/1.1\r\nbad header\r\n\r\n",
 		"400 Bad Request",
 		`{"error":"malformed MIME header: missing colon: \"bad header\""}`,
 	},
 	{
-		"a second call",
+		"pipelined second request",
 		false,
 		"GET /ops/stats HTTP/1.1\r\n\r\nGET /ops/readiness HTTP/1.1\r\n\r\n",
 		"200 OK",
@@ -126,27 +126,27 @@
 }
 
 func TestRequestsGetStatusAndBody(t *testing.T) {
-	serving, draining := open(t, &program{}), open(t, &program{why: "it leaves"})
+	serving, draining := startServer(t, &program{}), startServer(t, &program{reason: "draining"})
 	for _, x := range requestCases {
 		addr := serving
 		if x.draining {
 			addr = draining
 		}
 		t.Run(x.name, func(t *testing.T) {
-			for _, pieces := range [][]string{{x.call}, strings.SplitAfter(x.call, "/")} {
+			for _, pieces := range [][]string{{x.request}, strings.SplitAfter(x.request, "/")} {
 				head, body, _ := strings.Cut(ask(t, addr, pieces...), "\r\n\r\n")
 				status, fields, _ := strings.Cut(head, "\r\n")
 				if diff := cmp.Diff(
 					[]string{"HTTP/1.1 " + x.status, x.body},
 					[]string{status, body},
 				); diff != "" {
-					t.Errorf("(-want +got)\n%s", diff)
+					t.Errorf("status and body (-want +got)\n%s", diff)
 				}
 				if want := fmt.Sprintf("Content-Length: %d\r\n", len(x.body)); !strings.Contains(
 					fields+"\r\n",
 					want,
 				) {
-					t.Errorf("%q not in %q", want, fields)
+					t.Errorf("want %q in the header fields, got %q", want, fields)
 				}
 			}
 		})
@@ -154,15 +154,16 @@
 }
 
 func TestHeadOverItsLimitIsRejected(t *testing.T) {
-	got := ask(t, open(t, &program{}), "GET /ops/stats HTTP/1.1\r\nX: "+strings.Repeat("a", maxHeadBytes))
+	got := ask(t, startServer(t, &program{}), "GET /ops/stats HTTP/1.1\r\nX: "+strings.Repeat("a", maxHeadBytes))
 	if !strings.HasPrefix(got, "HTTP/1.1 431 ") {
-		t.Errorf("a head over its limit gets %q", got)
+		t.Errorf("response to a head over its limit = %q, want status 431", got)
 	}
 }
 
-// Callers that send nothing take no place from those that ask.
+// Callers that never complete a request must not keep others from being served: the oldest of their
+// connections are closed.
 func TestSilentCallersMakeRoom(t *testing.T) {
-	addr := open(t, &program{})
+	addr := startServer(t, &program{})
 	var silent []net.Conn
 	for range 4 * maxConnections {
 		c, err := net.Dial("tcp", addr)
@@ -176,13 +177,13 @@
 		silent = append(silent, c)
 	}
 	if got := ask(t, addr, "GET /ops/readiness HTTP/1.1\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 200 ") {
-		t.Errorf("beside %d silent callers: %q", len(silent), got)
+		t.Errorf("response beside %d silent callers = %q, want status 200", len(silent), got)
 	}
-	// The one that came last is still there, and is told when its time is over.
+	// The latest silent connection was not closed, and gets a response after readTimeout.
 	last := silent[len(silent)-1]
 	last.SetDeadline(time.Now().Add(10 * time.Second))
 	got, err := io.ReadAll(last)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 408 ") {
-		t.Errorf("a call that does not come whole gets %q, %v", got, err)
+		t.Errorf("response to an incomplete request = %q, error %v; want status 408", got, err)
 	}
 }
