--- a/internal/frontend/control/client.go
+++ b/internal/frontend/control/client.go
@@ -9,11 +9,12 @@
 	"ryepaddle/internal/fault"
 )
 
-// maxLineBuffer is the first size of the buffer for a reply, in bytes.
-const maxLineBuffer = 64 << 10
+// lineBufferBytes is the size of the read buffer for a reply. Longer replies are read in parts.
+const lineBufferBytes = 64 << 10
 
 // Ask sends a request to the program that listens on the socket at path, and decodes its reply into
-// v, which may be nil. Errors have a kind: that of the program's error if it rejected the request.
+// v, which may be nil. The error has a kind; if the program rejected the request, it is the kind that
+// the reply states.
 func Ask(path string, request Request, timeout time.Duration, v any) error {
 	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
@@ -30,14 +31,14 @@
 	if _, err := c.Write(append(text, '\n')); err != nil {
 		return unreachableKind.New("control: %w", err)
 	}
-	line, err := bufio.NewReaderSize(c, maxLineBuffer).ReadBytes('\n')
+	line, err := bufio.NewReaderSize(c, lineBufferBytes).ReadBytes('\n')
 	if err != nil {
-		return unreachableKind.New("control: no answer: %w", err)
+		return unreachableKind.New("control: no reply: %w", err)
 	}
 	return decodeReply(line, v)
 }
 
-// decodeReply decodes a line of the program.
+// decodeReply decodes a reply line into v, or returns the error that the reply states.
 func decodeReply(line []byte, v any) error {
 	var r struct {
 		OK     json.RawMessage `json:"ok"`
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -5,7 +5,7 @@
 //	{"ok":{"entries":[...]}}
 //	{"error":"unknown class \"handin\""}
 //
-// A client that sends too much, does not read, or is idle is closed.
+// The connection of a client that sends too much, does not read, or is idle for long is closed.
 package control
 
 import (
@@ -26,11 +26,11 @@
 	Key        string          `json:"key,omitempty"`
 	Class      string          `json:"class,omitempty"`
 	Tenant     string          `json:"tenant,omitempty"`
-	Successor  string          `json:"by,omitempty"`   // member that replaces the one that leaves
+	Successor  string          `json:"by,omitempty"`   // member that replaces the leaving one
 	Kind       string          `json:"kind,omitempty"` // how requests ended, such as refused
 	Cause      string          `json:"cause,omitempty"`
 	NotServed  bool            `json:"not_served,omitempty"`
-	FromMs     int64           `json:"from_ms,omitempty"` // Unix time in ms
+	FromMs     int64           `json:"from_ms,omitempty"` // Unix time in milliseconds
 	ToMs       int64           `json:"to_ms,omitempty"`
 	Limit      int             `json:"most,omitempty"`
 	Levels     []string        `json:"levels,omitempty"` // AREA=LEVEL
@@ -60,8 +60,8 @@
 	maxConnections = 8
 	maxLineBytes   = 4 << 10
 	maxReplyBytes  = 4 << 20
-	idleTimeout    = time.Minute // without a request
-	// minReplyInterval is the least time between two replies, over all clients. A long reply takes
+	idleTimeout    = time.Minute // after the last request
+	// minReplyInterval is the minimum time between two replies, over all clients. A long reply takes
 	// milliseconds on the event loop, which also serves the requests of callers.
 	minReplyInterval = 50 * time.Millisecond
 )
@@ -72,7 +72,7 @@
 	listener    *eventloop.Listener
 	answer      AnswerFunc
 	connections map[*connection]struct{}
-	nextReplyAt time.Duration // when the next request may be answered
+	nextReplyAt time.Duration // monotonic time from which the next request may be answered
 }
 
 // connection is the connection of one client. It implements eventloop.Handler.
@@ -87,8 +87,8 @@
 // event loop, with a value that is encoded as JSON or with an error.
 type AnswerFunc func(request Request, reply func(value any, err error))
 
-// Listen opens the socket at path. answer is called for each request. Only the program's user and
-// root may send requests.
+// Listen opens the socket at path. answer is called for each request. Only the user that the program
+// runs as and root may send requests.
 func Listen(l *eventloop.Loop, path string, answer AnswerFunc) (*Server, error) {
 	s := &Server{loop: l, answer: answer, connections: map[*connection]struct{}{}}
 	var err error
@@ -109,7 +109,7 @@
 	}
 }
 
-// accept returns the handler of a new connection, and rejects other users.
+// accept returns the handler of a new connection. Connections of other users are rejected.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
 	s.connections[c] = struct{}{}
@@ -121,7 +121,7 @@
 	return c
 }
 
-// resetIdleTimer starts the idle timeout of a connection.
+// resetIdleTimer restarts the idle timeout of a connection.
 func (c *connection) resetIdleTimer() {
 	c.timer.Stop()
 	c.timer = c.server.loop.After(idleTimeout, func() { c.conn.Close(nil) })
@@ -131,7 +131,7 @@
 func (c *connection) send(r reply) {
 	text, err := json.Marshal(r)
 	if err != nil {
-		text, _ = json.Marshal(errorReply(err)) // a text can always be encoded
+		text, _ = json.Marshal(errorReply(err)) // a reply of strings can always be encoded
 	}
 	if len(text) >= maxReplyBytes {
 		text, _ = json.Marshal(errorReply(questionKind.New("the answer is too long: ask for less")))
@@ -142,25 +142,26 @@
 // Connected implements eventloop.Handler.
 func (c *connection) Connected() {}
 
-// Data implements eventloop.Handler. A request before the last reply is an error, so that a client
-// cannot keep the event loop busy.
+// Data implements eventloop.Handler. A request that arrives before the reply to the previous one is an
+// error, so that a client cannot keep the event loop busy.
 func (c *connection) Data(b []byte) (int, error) {
 	lineLength := bytes.IndexByte(b, '\n')
 	if lineLength < 0 {
 		if len(b) >= maxLineBytes-1 {
-			return 0, questionKind.New("control: a line is too long")
+			return 0, questionKind.New("control: request line too long")
 		}
 		return 0, nil
 	}
 	if c.awaitsReply || len(b) > lineLength+1 {
-		return 0, questionKind.New("control: a question came before the last was answered")
+		return 0, questionKind.New("control: request received before the reply to the previous one")
 	}
 	c.resetIdleTimer()
 	c.readRequest(b[:lineLength])
 	return lineLength + 1, nil
 }
 
-// readRequest decodes a request, and has it answered when the interval between replies allows.
+// readRequest decodes a request and schedules its answer, minReplyInterval or more after the previous
+// one.
 func (c *connection) readRequest(line []byte) {
 	var request Request
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -176,7 +177,7 @@
 	c.server.loop.After(replyAt-now, func() { c.answer(request) })
 }
 
-// answer has the program answer a request.
+// answer passes a request to the AnswerFunc, and sends its reply.
 func (c *connection) answer(request Request) {
 	if c.conn.IsClosed() {
 		return
--- a/internal/frontend/control/stored_test.go
+++ b/internal/frontend/control/stored_test.go
@@ -12,8 +12,8 @@
 	"ryepaddle/internal/testing/golden"
 )
 
-// A question and its answers have the form of version 1: commands and programs of two versions
-// understand each other. A program refuses a question with fields that it does not know.
+// Requests and replies keep the encoding of version 1, so that commands and programs of different
+// versions understand each other. A program rejects a request with unknown fields.
 func TestMessagesKeepTheirForm(t *testing.T) {
 	for name, sample := range map[string]any{
 		"request": Request{
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(sample, read.Elem().Interface()); diff != "" {
-				t.Errorf("read as (-want +got)\n%s", diff)
+				t.Errorf("message decoded from its golden file (-want +got)\n%s", diff)
 			}
 		})
 	}
