--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -76,7 +76,7 @@
 		true,
 		"GET /ops/readiness HTTP/1.1\r\nHost: n0\r\n\r\n",
 		"503 Service Unavailable",
-		`{"error":"draining"}`,
+		`{"error":"it leaves"}`,
 	},
 	{"statistics", false, "GET /ops/stats HTTP/1.1\r\n\r\n", "200 OK", `{"open_requests":14}`},
 	{
@@ -126,7 +126,7 @@
 }
 
 func TestRequestsGetStatusAndBody(t *testing.T) {
-	serving, draining := startServer(t, &program{}), startServer(t, &program{reason: "draining"})
+	serving, draining := startServer(t, &program{}), startServer(t, &program{reason: "it leaves"})
 	for _, x := range requestCases {
 		addr := serving
 		if x.draining {
