--- a/internal/platform/engine/connection.go
+++ b/internal/platform/engine/connection.go
@@ -9,12 +9,12 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// connection is one connection to the engine. There are two while a new one is dialed beside the
-// current one. It implements eventloop.Handler.
+// connection is one connection to the engine. There are two while a new connection is established
+// beside the current one. It implements eventloop.Handler.
 type connection struct {
 	link      *Link
 	conn      *eventloop.Conn
-	startedAt time.Duration // when it was dialed, and then established
+	startedAt time.Duration // when it was dialed or, once established, when that was
 }
 
 // Connected implements eventloop.Handler.
@@ -28,7 +28,7 @@
 	link.current = c
 	link.dialing = nil
 	c.startedAt = link.loop.Now()
-	if old != nil { // its unread notices are sent again on the new connection
+	if old != nil { // the engine resends its unread notices on the new connection
 		old.conn.Close(nil)
 		link.connectionLost()
 	}
@@ -48,8 +48,8 @@
 		link.current = nil
 		link.state = stateDown
 		link.connectionLost()
-		// A connection that was established is replaced at once, since runs of the engine wait for
-		// their calls; one that broke at once is dialed again after a delay.
+		// A connection that has lasted is replaced at once, since runs of the engine wait for their
+		// calls. After one that broke soon, the next is dialed after a delay.
 		if link.loop.Now()-c.startedAt > redialDelay {
 			link.loop.Post(link.redial)
 		} else {
@@ -73,12 +73,12 @@
 		used += i + 1
 		var m notice
 		if err := json.Unmarshal(line, &m); err != nil {
-			if link.unreadableAfter == link.lastNotice { // it recurs on a new connection
+			if link.unreadableAfter == link.lastNotice { // the line recurred on a new connection
 				eventNoticeInvalid.Log(link.lastNotice, err)
 				continue
 			}
 			link.unreadableAfter = link.lastNotice
-			return used, fmt.Errorf("notice: %w", err)
+			return used, fmt.Errorf("decode a notice: %w", err)
 		}
 		if err := link.handle(&m); err != nil {
 			return used, err
--- a/internal/platform/engine/crossing_test.go
+++ b/internal/platform/engine/crossing_test.go
@@ -9,40 +9,40 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// The connection to the first new address is given up, and the link attaches at the second one with all
-// open runs.
+// The engine's address changes twice, the second time while the link still dials the first new address.
+// That connection is closed, and the link attaches at the last address, with all open runs.
 func TestEngineMovesTwiceWhileDialing(t *testing.T) {
-	s, stand := scenario.NewSteppedLoop(t), scenario.NewEngine(t)
-	k := New(
+	s, engine := scenario.NewSteppedLoop(t), scenario.NewEngine(t)
+	link := New(
 		s.Loop,
-		netip.MustParseAddrPort(stand.Listener.Addr().String()),
+		netip.MustParseAddrPort(engine.Listener.Addr().String()),
 		func([]float64) lifecycle.Gauges { return lifecycle.UnknownGauges() },
 	)
-	k.Start(&endings{loop: s.Loop})
-	s.Until(k.IsConnected)
-	k.Run(attempt(s.Loop, "1"))
+	link.Start(&outcomeSink{loop: s.Loop})
+	s.Until(link.IsConnected)
+	link.Run(attempt(s.Loop, "1"))
 	s.Advance(0)
-	expect(t, stand, "ATTACH 0", "RUN 1 check")
-	k.SetAddress(scenario.UnresponsiveServer(t))
+	expect(t, engine, "ATTACH 0", "RUN 1 check")
+	link.SetAddress(scenario.UnresponsiveServer(t))
 	s.Advance(0)
-	if !k.IsConnected() || k.dialing == nil {
-		t.Fatal("the link that stands is given up before the new one stands")
+	if !link.IsConnected() || link.dialing == nil {
+		t.Fatal("the current connection was closed before the new one was established")
 	}
-	last := netip.MustParseAddrPort(stand.NewAddress(t))
-	k.SetAddress(last)
-	s.Until(func() bool { return k.IsConnected() && k.current.conn.RemoteAddr() == last })
-	if k.dialing != nil {
-		t.Error("a second link is still being opened")
+	last := netip.MustParseAddrPort(engine.NewAddress(t))
+	link.SetAddress(last)
+	s.Until(func() bool { return link.IsConnected() && link.current.conn.RemoteAddr() == last })
+	if link.dialing != nil {
+		t.Error("a second connection is still being established")
 	}
-	expect(t, stand, "ATTACH 0")
+	expect(t, engine, "ATTACH 0")
 }
 
-// expect takes what the engine sees next.
-func expect(t *testing.T, stand *scenario.Engine, all ...string) {
+// expect reads the next messages that the fake engine has received, and compares them.
+func expect(t *testing.T, engine *scenario.Engine, all ...string) {
 	t.Helper()
 	for _, want := range all {
-		if got, ok := stand.Next(10 * time.Second); !ok || got != want {
-			t.Fatalf("the engine saw %q, want %q", got, want)
+		if got, ok := engine.Next(10 * time.Second); !ok || got != want {
+			t.Fatalf("engine received %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -1,8 +1,9 @@
 // Package engine is the link to the platform's engine, which runs requests of the platform's
-// frontend. The protocol is one JSON object a line (operators' protocol page, "engine"). The link
-// may break and be replaced at any time: notices of the engine are numbered, and a new connection
-// attaches after the last one that was handled; commands are kept until the engine is known to have
-// read them.
+// frontend. The protocol is one JSON object per line (operators' protocol page, "engine").
+//
+// The connection may break and be replaced at any time. The engine numbers its notices, and a new
+// connection attaches after the last notice that was handled; commands are kept until the engine is
+// known to have read them.
 package engine
 
 import (
@@ -35,44 +36,45 @@
 	maxQueuedBytes = 4 << 20
 )
 
-// Times of the link.
+// Timeouts and intervals of the link.
 const (
 	redialDelay     = 50 * time.Millisecond
 	dialTimeout     = 2 * time.Second
-	responseTimeout = 3 * time.Second        // without an answer a connection is replaced
-	maxGaugesAge    = 200 * time.Millisecond // older gauges are unknown
-	gaugesTimeout   = 10 * time.Millisecond  // a measurement waits no longer for an answer
+	responseTimeout = 3 * time.Second        // a connection without a response is replaced
+	maxGaugesAge    = 200 * time.Millisecond // older gauges count as unknown
+	gaugesTimeout   = 10 * time.Millisecond  // longest time that a measurement waits for a response
 	checkTimeout    = 5 * time.Second        // of a deep health check
-	runLostAfter    = time.Minute            // after its deadline a silent run is lost
+	runLostAfter    = time.Minute            // a run whose end is not reported so long after its deadline is lost
 	sweepInterval   = responseTimeout / 6    // how often these timeouts are checked
 )
 
 // Errors with which the link closes connections.
 var (
-	errNoAnswer     = errors.New("no answer on the link")
-	errNoHello      = errors.New("no HELLO on the link")
-	errNoConnection = errors.New("no connection in time")
-	errMoved        = errors.New("the engine has moved")
+	errNoAnswer     = errors.New("no response from the engine to a probe in time")
+	errNoHello      = errors.New("no HELLO from the engine in time")
+	errNoConnection = errors.New("connection to the engine not established in time")
+	errMoved        = errors.New("the engine's address has changed")
 )
 
 // Sink receives what the engine reports.
 type Sink interface {
 	// AttemptEnded reports the end of a run. The result is set if it succeeded.
 	AttemptEnded(*lifecycle.Attempt, lifecycle.Outcome, *lifecycle.Result)
-	// NeedsCall reports that a run waits for a call with that body.
+	// NeedsCall reports that a run waits for the reply to a call with the given body.
 	NeedsCall(*lifecycle.Attempt, []byte)
 }
 
-// noNotice is below the number of every notice.
+// noNotice stands for no notice. It is below the number of every notice.
 const noNotice = -1
 
 // linkState is the state of the current connection.
 type linkState uint8
 
 const (
-	stateDown      linkState = iota // there is none
+	stateDown      linkState = iota // there is no connection
 	stateAttaching                  // ATTACH was sent
-	// HELLO was received; the answer to a probe follows all notices that were kept for it
+	// HELLO was received and a probe was sent. The response to it follows all notices that the engine
+	// kept for this connection.
 	stateCatchingUp
 	stateLive // commands are sent
 )
@@ -85,32 +87,32 @@
 	sink         Sink
 	decodeGauges func([]float64) lifecycle.Gauges
 
-	current *connection // the engine is attached on it; nil: none
-	dialing *connection // nil: none
+	current *connection // connection on which the link is attached or attaching; nil: none
+	dialing *connection // connection that is being established; nil: none
 	state   linkState
-	everUp  bool // an engine has answered since the start
+	everUp  bool // the engine has sent HELLO since the start
 
 	lastNotice int64 // number of the last notice that was handled
-	// gapAfter is the notice after which numbers were missing, and unreadableAfter the one after
-	// which a line could not be decoded; noNotice: none. What recurs on a new connection is
-	// skipped.
+	// gapAfter is the number of the notice after which numbers were missing, and unreadableAfter the
+	// number of the notice after which a line could not be decoded; noNotice: none. A gap or an
+	// unreadable line that recurs on a new connection is skipped.
 	gapAfter        int64
 	unreadableAfter int64
 
-	lastSequence int64 // of the last command
-	pending      []pendingCommand
-	runs         map[string]*run // by request ID
+	lastSequence int64            // of the last command
+	pending      []pendingCommand // in the order of their numbers
+	runs         map[string]*run  // by request ID
 
 	probeSentAt time.Duration // when the oldest unanswered probe was sent; 0: none
 	gauges      lifecycle.Gauges
-	gaugesAt    time.Duration // when they were received
+	gaugesAt    time.Duration // when gauges were received
 	onGauges    func()        // completes the measurement that waits for gauges; nil: none
 	gaugesTimer *eventloop.Timer
 	lastCheck   int64                 // number of the last deep health check
-	checks      map[string]func(bool) // deep health checks without an answer, by mark
+	checks      map[string]func(bool) // deep health checks without a response, by mark
 }
 
-// New returns a link; Start connects it. decodeGauges maps the engine's list of gauges.
+// New returns a link; Start connects it. decodeGauges converts the engine's list of gauge values.
 func New(l *eventloop.Loop, addr netip.AddrPort, decodeGauges func([]float64) lifecycle.Gauges) *Link {
 	return &Link{
 		loop:            l,
@@ -124,21 +126,21 @@
 	}
 }
 
-// Start connects, and reconnects from then on.
+// Start connects to the engine, and reconnects from then on. Events are reported to sink.
 func (link *Link) Start(sink Sink) {
 	link.sink = sink
 	link.dial()
 	link.loop.Every(sweepInterval, link.checkTimeouts)
 }
 
-// checkTimeouts closes connections on which the engine is silent, and ends lost runs.
+// checkTimeouts closes connections on which the engine does not respond, and ends lost runs.
 func (link *Link) checkTimeouts() {
 	now := link.loop.Now()
 	probeOverdue := link.probeSentAt != 0 && now-link.probeSentAt > responseTimeout
 	switch {
 	case link.state >= stateCatchingUp && probeOverdue:
 		link.current.conn.Close(errNoAnswer)
-	// An engine that starts may take long to answer; one that was up before has no reason to.
+	// An engine that is starting may take long to respond; one that was up before should not.
 	case link.state == stateAttaching && link.everUp && now-link.current.startedAt > responseTimeout:
 		link.current.conn.Close(errNoHello)
 	}
@@ -151,8 +153,8 @@
 // IsConnected reports whether the engine takes commands.
 func (link *Link) IsConnected() bool { return link.state == stateLive }
 
-// SetAddress sets the engine's address. The current connection serves until one to the new address
-// is established; notices and commands continue there.
+// SetAddress sets the engine's address. The current connection is used until a connection to the new
+// address is established; notices and commands continue there.
 func (link *Link) SetAddress(addr netip.AddrPort) {
 	if addr == link.addr {
 		return
@@ -165,7 +167,7 @@
 	link.dial()
 }
 
-// dial opens a connection unless one is being opened.
+// dial opens a connection unless one is being established.
 func (link *Link) dial() {
 	if link.dialing != nil {
 		return
@@ -182,17 +184,17 @@
 	}
 }
 
-// connectionLost ends what waits for an answer on a lost connection. Commands wait for the next
-// one.
+// connectionLost ends probes and measurements that wait for a response on a lost connection. Commands
+// stay pending for the next connection.
 func (link *Link) connectionLost() {
 	link.probeSentAt = 0
 	link.deliverGauges()
 }
 
-// write sends an object on the current connection.
+// write sends a message on the current connection.
 func (link *Link) write(v any) { link.current.conn.Write(encode(v)) }
 
-// encode returns a line of the protocol.
+// encode returns a message as a line of JSON.
 func encode(v any) []byte {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -201,8 +203,8 @@
 	return append(line, '\n')
 }
 
-// sendProbe asks for the engine's gauges. Its answer proves that the engine has read the commands
-// before it.
+// sendProbe asks for the engine's gauges. The response proves that the engine has read all commands
+// that were sent before the probe.
 func (link *Link) sendProbe() {
 	if link.probeSentAt == 0 {
 		link.probeSentAt = link.loop.Now()
@@ -210,12 +212,12 @@
 	link.write(probe{Type: typeStat, Mark: strconv.FormatInt(link.lastSequence, 10)})
 }
 
-// handle handles one line of the engine. On an error the connection is closed, and the engine sends
-// again on the next one what was not handled.
+// handle handles one message of the engine. On an error the connection is closed, and the engine
+// resends the notices that were not handled on the next connection.
 func (link *Link) handle(m *notice) error {
 	if m.Number != 0 {
 		if m.Number <= link.lastNotice {
-			return nil // it was handled before
+			return nil // the notice was handled before
 		}
 		if err := link.countNotice(m.Number); err != nil {
 			return err
@@ -247,14 +249,14 @@
 	return nil
 }
 
-// countNotice records the number of the next notice. The first time that numbers are missing is an
-// error, so that the engine sends them again on the next connection. What it does not send there is
-// lost.
+// countNotice records the number of the next notice. If numbers are missing, it returns an error, so
+// that the engine resends the missing notices on the next connection. Notices that are still missing
+// there are logged as lost.
 func (link *Link) countNotice(number int64) error {
 	if number != link.lastNotice+1 {
 		if link.gapAfter != link.lastNotice {
 			link.gapAfter = link.lastNotice
-			return fmt.Errorf("notice %d follows %d", number, link.lastNotice)
+			return fmt.Errorf("notice %d follows notice %d", number, link.lastNotice)
 		}
 		eventNoticesMissing.Log(link.lastNotice+1, number-1)
 	}
--- a/internal/platform/engine/engine_test.go
+++ b/internal/platform/engine/engine_test.go
@@ -10,36 +10,37 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// endings is a sink that stops the loop at the first end of an attempt.
-type endings struct {
+// outcomeSink is a Sink that keeps the outcome of an attempt, and stops the loop when one ends.
+type outcomeSink struct {
 	loop *eventloop.Loop
 	got  lifecycle.Outcome
 }
 
-func (e *endings) AttemptEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
+func (e *outcomeSink) AttemptEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ *lifecycle.Result) {
 	e.got = o
 	e.loop.Stop()
 }
-func (e *endings) NeedsCall(*lifecycle.Attempt, []byte) {}
+func (e *outcomeSink) NeedsCall(*lifecycle.Attempt, []byte) {}
 
-// link turns a loop with a link to a stand-in until an attempt ends or too much time has passed.
-func link(t *testing.T, play func(*eventloop.Loop, *Link, *scenario.Engine)) lifecycle.Outcome {
+// runWithEngine connects a link to a fake engine, calls play, and runs the event loop until an attempt
+// ends, play stops it, or 10 s have passed. It returns the outcome of the attempt.
+func runWithEngine(t *testing.T, play func(*eventloop.Loop, *Link, *scenario.Engine)) lifecycle.Outcome {
 	t.Helper()
 	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	stand := scenario.NewEngine(t)
-	k := New(
+	engine := scenario.NewEngine(t)
+	link := New(
 		l,
-		netip.MustParseAddrPort(stand.Listener.Addr().String()),
+		netip.MustParseAddrPort(engine.Listener.Addr().String()),
 		func([]float64) lifecycle.Gauges { return lifecycle.UnknownGauges() },
 	)
-	sink := &endings{loop: l}
-	k.Start(sink)
+	sink := &outcomeSink{loop: l}
+	link.Start(sink)
 	l.After(10*time.Second, l.Stop)
-	play(l, k, stand)
+	play(l, link, engine)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -54,42 +55,44 @@
 	}
 }
 
-// The end of a run may be in notices that the engine no longer has.
+// A run whose end is never reported, since the engine lost the notice, must end as faulted some time
+// after its deadline.
 func TestRunWithoutAnEndIsReportedAsFaulted(t *testing.T) {
-	got := link(t, func(l *eventloop.Loop, k *Link, _ *scenario.Engine) {
-		k.Run(attempt(l, "1"))
-		l.After(50*time.Millisecond, func() { k.endLostRuns(10 * time.Millisecond) })
+	got := runWithEngine(t, func(l *eventloop.Loop, link *Link, _ *scenario.Engine) {
+		link.Run(attempt(l, "1"))
+		l.After(50*time.Millisecond, func() { link.endLostRuns(10 * time.Millisecond) })
 	})
 	if got != lifecycle.Faulted {
-		t.Fatalf("outcome %v", got)
+		t.Fatalf("outcome = %v, want Faulted", got)
 	}
 }
 
-// The admission module keeps deadlines when it gets gauges, so that it must not wait for them.
+// The admission module checks deadlines when it gets gauges, so a measurement must end although the
+// engine does not respond.
 func TestMeasurementDoesNotWaitForASilentEngine(t *testing.T) {
-	looks := 0
-	link(t, func(l *eventloop.Loop, k *Link, stand *scenario.Engine) {
+	measurements := 0
+	runWithEngine(t, func(l *eventloop.Loop, link *Link, engine *scenario.Engine) {
 		l.After(100*time.Millisecond, func() {
-			if err := stand.Send([]string{"deaf"}); err != nil {
+			if err := engine.Send([]string{"deaf"}); err != nil {
 				t.Error(err)
 			}
-			k.Gauges(func(lifecycle.Gauges) {
-				looks++
+			link.Gauges(func(lifecycle.Gauges) {
+				measurements++
 				l.Stop()
 			})
 		})
 	})
-	if looks != 1 {
-		t.Fatalf("looked round %d times", looks)
+	if measurements != 1 {
+		t.Fatalf("measurements that ended = %d, want 1", measurements)
 	}
 }
 
 func TestSecondAttemptWithTheSameIDFails(t *testing.T) {
-	got := link(t, func(l *eventloop.Loop, k *Link, _ *scenario.Engine) {
-		k.Run(attempt(l, "1"))
-		k.Run(attempt(l, "1"))
+	got := runWithEngine(t, func(l *eventloop.Loop, link *Link, _ *scenario.Engine) {
+		link.Run(attempt(l, "1"))
+		link.Run(attempt(l, "1"))
 	})
 	if got != lifecycle.Faulted {
-		t.Fatalf("outcome %v", got)
+		t.Fatalf("outcome = %v, want Faulted", got)
 	}
 }
--- a/internal/platform/engine/gauges.go
+++ b/internal/platform/engine/gauges.go
@@ -6,8 +6,9 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// Gauges measures the machine and calls fn once: with the engine's answer, with gauges of at most
-// maxGaugesAge if it is late, or with unknown gauges.
+// Gauges measures the machine and calls fn once: with the gauges of the engine's response or, if that
+// takes longer than gaugesTimeout, with the last gauges, or with unknown gauges if those are older
+// than maxGaugesAge.
 func (link *Link) Gauges(fn func(lifecycle.Gauges)) {
 	if link.state != stateLive {
 		fn(lifecycle.UnknownGauges())
@@ -24,7 +25,7 @@
 	link.gaugesTimer = link.loop.After(gaugesTimeout, link.deliverGauges)
 }
 
-// deliverGauges completes the measurement that waits, if there is one.
+// deliverGauges completes the measurement that waits for gauges, if there is one.
 func (link *Link) deliverGauges() {
 	if fn := link.onGauges; fn != nil {
 		link.onGauges = nil
@@ -33,8 +34,8 @@
 	}
 }
 
-// takeGauges handles the answer to a probe: the gauges, and the proof that the engine has read the
-// commands before it.
+// takeGauges handles the response to a probe: it stores the gauges, and drops the pending commands
+// that the response proves to have been read.
 func (link *Link) takeGauges(m *notice) {
 	link.probeSentAt = 0
 	link.gauges = link.decodeGauges(m.Gauges)
@@ -47,7 +48,7 @@
 	if link.state == stateCatchingUp {
 		link.state = stateLive
 		link.resendPending()
-		for mark := range link.checks { // these may be lost as well
+		for mark := range link.checks { // their requests may be lost as well
 			link.write(probe{Type: typeTest, Mark: mark})
 		}
 	}
--- a/internal/platform/engine/messages.go
+++ b/internal/platform/engine/messages.go
@@ -21,14 +21,14 @@
 	typeNo     = "NO" // a command was rejected
 )
 
-// Statuses of a run or, for statusFine, of a check that succeeded.
+// Statuses of a run. statusFine is also the status of a health check that succeeded.
 const (
 	statusFine      = "fine"
-	statusBrokenOff = "broken_off" // it was cancelled
-	statusLate      = "late"       // it was not begun
+	statusBrokenOff = "broken_off" // the run was cancelled
+	statusLate      = "late"       // the run was not started
 )
 
-// notice is a message of the engine. Its fields have the names of the protocol page.
+// notice is a message of the engine. Its JSON keys are those of the protocol page.
 type notice struct {
 	Type      string    `json:"t"`
 	Number    int64     `json:"no"`
@@ -53,13 +53,13 @@
 	Body      []byte `json:"b64"`
 }
 
-// probe asks for gauges (STAT) or a deep health check (TEST). The answer repeats its mark.
+// probe asks for gauges (STAT) or a deep health check (TEST). The response repeats its mark.
 type probe struct {
 	Type string `json:"t"`
 	Mark string `json:"mark"`
 }
 
-// outcomeOf returns the outcome of a run by its status on the wire.
+// outcomeOf returns the outcome for the status of a run on the wire.
 func outcomeOf(status string) lifecycle.Outcome {
 	switch status {
 	case statusFine:
@@ -72,7 +72,7 @@
 	return lifecycle.Faulted
 }
 
-// notNil returns b, or an empty slice for nil, which would be encoded as null.
+// notNil returns b, or an empty slice if b is nil, which JSON would encode as null.
 func notNil(b []byte) []byte {
 	if b == nil {
 		return []byte{}
--- a/internal/platform/engine/runs.go
+++ b/internal/platform/engine/runs.go
@@ -9,16 +9,16 @@
 
 // pendingCommand is a command that the engine may not have read.
 type pendingCommand struct {
-	sequence    int64 // number of the command
+	sequence    int64 // number of the command, ascending from 1
 	requestID   string
-	callsNeeded int // calls that the run had needed when the command was given
+	callsNeeded int // value of run.callsNeeded when the command was sent
 	line        []byte
 }
 
 // run is an attempt that was sent to the engine.
 type run struct {
 	attempt     *lifecycle.Attempt
-	callsNeeded int // calls that it has needed so far
+	callsNeeded int // number of NEED notices that were received for it
 }
 
 // Run implements lifecycle.Runner.
@@ -36,8 +36,8 @@
 	}, 0)
 }
 
-// Abandon implements lifecycle.Runner. A run cannot be stopped; the engine ends it at its next
-// call.
+// Abandon implements lifecycle.Runner. It does nothing: a run cannot be stopped, and the engine ends
+// it at its next call.
 func (link *Link) Abandon(*lifecycle.Attempt) {}
 
 // Resume implements lifecycle.Resumer.
@@ -47,8 +47,8 @@
 	}
 }
 
-// endLostRuns ends runs whose end was not reported within a time after their deadline, as when
-// notices are missing.
+// endLostRuns ends the runs whose end was not reported by the given time after their deadline, for
+// example since notices are missing.
 func (link *Link) endLostRuns(after time.Duration) {
 	for id, r := range link.runs {
 		if link.loop.Now() > r.attempt.Deadline+after {
@@ -74,7 +74,7 @@
 	link.sink.AttemptEnded(r.attempt, outcome, result)
 }
 
-// commandRejected handles NO: the engine did not carry out a command.
+// commandRejected handles NO: the engine did not carry out a command, whose type is in m.Status.
 func (link *Link) commandRejected(m *notice) {
 	eventCommandRejected.Log(m.Status, m.RequestID)
 	if r := link.runs[m.RequestID]; r != nil && m.Status == typeRun {
@@ -83,7 +83,7 @@
 	}
 }
 
-// send sends a command, now or when the link is live. callsNeeded is the count of its run.
+// send sends a command, now or once the link is live. callsNeeded is that of its run.
 func (link *Link) send(c runCommand, callsNeeded int) {
 	line := encode(c)
 	link.lastSequence++
@@ -98,9 +98,9 @@
 	}
 }
 
-// resendPending sends the commands again that the engine may not have read on the last connection.
-// All its notices were handled, so that a command of a run that has reported anything since was
-// read.
+// resendPending resends the commands that the engine may not have read on the last connection. All
+// notices that the engine kept have been handled, so if a run has reported anything since a command
+// for it was sent, the engine has read that command.
 func (link *Link) resendPending() {
 	unread := link.pending[:0]
 	for _, c := range link.pending {
