--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -16,15 +16,15 @@
 	"ryepaddle/internal/protocol/httpmessage"
 )
 
-// MaxConnections is the upper bound of the connections of a pool.
+// MaxConnections is the upper bound of the number of open connections of a pool.
 const MaxConnections = 64
 
-// Idle connections.
+// Limits of idle connections.
 const (
-	// maxIdleConnections bounds the connections that are kept for further calls.
+	// maxIdleConnections bounds the idle connections that are kept for further calls.
 	maxIdleConnections = 8
-	// idleTimeout is below that of the back end, which is 10 s, so that the back end rarely closes
-	// a connection while a call is sent on it.
+	// idleTimeout is below the idle timeout of the back end, which is 10 s, so that the back end
+	// rarely closes a connection while a call is sent on it.
 	idleTimeout = 2 * time.Second
 	// idleSweepInterval is how often idle connections are checked for idleTimeout.
 	idleSweepInterval = 500 * time.Millisecond
@@ -32,14 +32,15 @@
 
 // Errors with which the pool closes connections.
 var (
-	errNotIdle         = errors.New("not quiet while it was idle")
-	errCallCanceled    = errors.New("call given up")
-	errUnexpectedReply = errors.New("reply to no call")
+	errNotIdle         = errors.New("idle connection closed by the back end or with unexpected input")
+	errCallCanceled    = errors.New("call canceled")
+	errUnexpectedReply = errors.New("reply without an open call")
 )
 
-// Sink receives the ends of calls.
+// Sink is told when calls end.
 type Sink interface {
-	// CallEnded reports the end of a call. reply is set if it succeeded.
+	// CallEnded reports the outcome of a call and how long it took. reply is the body of its reply; nil
+	// if none was received.
 	CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, reply []byte, took time.Duration)
 }
 
@@ -50,21 +51,21 @@
 	addr           netip.AddrPort
 	sink           Sink
 	calls          map[*lifecycle.Attempt]*call
-	idle           []*connection // the most recently used one is the last
-	open           int           // connections that count against maxConnections
+	idle           []*connection // ordered by last use, the most recently used last
+	open           int           // number of connections that count against maxConnections
 	maxConnections int
-	lastNumber     int64   // of the last call
+	lastNumber     int64   // number of the last call
 	meanLatency    float64 // moving mean of the duration of a call, in microseconds; 0: none ended
 }
 
-// call is a call that has not ended.
+// call is an open call.
 type call struct {
 	attempt   *lifecycle.Attempt
-	number    int64 // calls are numbered in the order in which they are placed
+	number    int64 // calls are numbered in the order in which they are made
 	startedAt time.Duration
-	overtaken int // later calls whose replies came before its own
+	overtaken int // number of later calls that have been replied to
 	timer     *eventloop.Timer
-	conn      *connection // nil: it was rejected, as no connection was available
+	conn      *connection // nil: the call is rejected, since no connection is available
 }
 
 // New returns a pool for the back end at addr.
@@ -77,17 +78,17 @@
 	}
 }
 
-// SetMaxConnections bounds the connections that are open at once, up to MaxConnections. Open ones
-// stay.
+// SetMaxConnections sets the maximum number of open connections, up to MaxConnections. Connections
+// that are open already stay open.
 func (p *Pool) SetMaxConnections(n int) { p.maxConnections = min(n, MaxConnections) }
 
-// Start sets where the ends of calls are reported.
+// Start sets the sink to which the ends of calls are reported.
 func (p *Pool) Start(sink Sink) {
 	p.sink = sink
 	p.loop.Every(idleSweepInterval, p.closeIdle)
 }
 
-// closeIdle closes the connections that were idle for too long.
+// closeIdle closes the connections that were idle for longer than idleTimeout.
 func (p *Pool) closeIdle() {
 	for len(p.idle) > 0 && p.loop.Now()-p.idle[0].idleSince > idleTimeout {
 		p.idle[0].conn.Close(nil)
@@ -95,9 +96,9 @@
 	}
 }
 
-// SetAddress sets the address of the back end. Calls in flight may end on their connections, which
-// carry no further call. A call whose connection is not established was not sent, and ends as
-// unreachable.
+// SetAddress sets the address of the back end. Calls in flight continue on their connections, which
+// are not used for further calls. A call whose connection is not established yet was not sent, and
+// ends as unreachable.
 func (p *Pool) SetAddress(addr netip.AddrPort) {
 	if addr == p.addr {
 		return
@@ -108,7 +109,7 @@
 	for _, c := range idle {
 		c.conn.Close(nil)
 	}
-	var unsent []*call // collected first, since the end of a call may place another one
+	var unsent []*call // collected first, since the sink may make another call when one ends
 	for _, c := range p.calls {
 		if c.isUnsent() {
 			unsent = append(unsent, c)
@@ -134,9 +135,8 @@
 	p.end(c, lifecycle.TimedOut, nil)
 }
 
-// Call implements lifecycle.Dependency. A call that may not be made twice gets a new connection: an
-// idle one may have been closed by the back end, and its break would not prove that the call never
-// ran.
+// Call implements lifecycle.Dependency. A call that is not idempotent gets a new connection: the back
+// end may have closed an idle one, and its failure would not prove that the call never ran.
 func (p *Pool) Call(a *lifecycle.Attempt, body []byte, timeout time.Duration) {
 	p.CancelCall(a)
 	p.lastNumber++
@@ -171,8 +171,8 @@
 	return c
 }
 
-// takeIdle returns the most recently used idle connection, or nil. A connection on which anything
-// was received since the last reply is closed: it would be taken for the next reply.
+// takeIdle returns the most recently used idle connection, or nil. It closes connections that the back
+// end has closed, and those with any input since the last reply, which would be read as the next one.
 func (p *Pool) takeIdle() *connection {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// closeOldestIdle closes the connection that was idle for longest, if any. Its place is free at
-// once.
+// closeOldestIdle closes the connection that was idle for longest, if any. It no longer counts against
+// maxConnections from then on.
 func (p *Pool) closeOldestIdle() {
 	if len(p.idle) == 0 {
 		return
@@ -198,7 +198,8 @@
 	oldest.conn.Close(nil)
 }
 
-// encodeCall returns a call. Its timeout is stated in whole milliseconds, rounded down, at least 1.
+// encodeCall returns the HTTP request of a call. The timeout is stated in whole milliseconds, rounded
+// down, but at least 1.
 func encodeCall(host, requestID string, timeout time.Duration, body []byte) []byte {
 	const format = "POST /rpc/call HTTP/1.1\r\n" +
 		"Host: %s\r\nParent-Call: %s\r\nDeadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s"
@@ -212,7 +213,7 @@
 	}
 }
 
-// release drops a call and its timer. If it is still on its connection, that is closed.
+// release forgets a call and stops its timer. A connection that still carries the call is closed.
 func (p *Pool) release(c *call) {
 	delete(p.calls, c.attempt)
 	c.timer.Stop()
@@ -222,7 +223,7 @@
 	}
 }
 
-// end releases a call and reports its end, unless it has ended.
+// end releases a call and reports its outcome, unless it has ended already.
 func (p *Pool) end(c *call, o lifecycle.Outcome, reply []byte) {
 	if p.calls[c.attempt] != c {
 		return
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -10,18 +10,18 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// calls is a sink that places one call after another, until the first one ends or there were many.
-type calls struct {
-	t     *testing.T
-	loop  *eventloop.Loop
-	pool  *Pool
-	stand *scenario.Backend
-	first *lifecycle.Attempt
-	got   lifecycle.Outcome
-	n     int
+// callSink is a Sink that makes one call after another, until the first call ends or 1000 were made.
+type callSink struct {
+	t       *testing.T
+	loop    *eventloop.Loop
+	pool    *Pool
+	backend *scenario.Backend
+	first   *lifecycle.Attempt
+	got     lifecycle.Outcome
+	n       int
 }
 
-func (c *calls) CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ time.Duration) {
+func (c *callSink) CallEnded(a *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ time.Duration) {
 	if a == c.first {
 		c.got = o
 	}
@@ -29,35 +29,36 @@
 		c.loop.Stop()
 		return
 	}
-	c.place("200 row")
+	c.call("200 row")
 }
 
-func (c *calls) place(reply string) *lifecycle.Attempt {
+func (c *callSink) call(reply string) *lifecycle.Attempt {
 	c.n++
 	a := &lifecycle.Attempt{Request: &lifecycle.Request{ID: scenario.CallID("1")}, Idempotent: true}
 	c.pool.Call(a, nil, time.Minute)
-	scenario.Play(c.t, "backend send "+reply, map[string]scenario.Actor{"backend": c.stand})
+	scenario.Play(c.t, "backend send "+reply, map[string]scenario.Actor{"backend": c.backend})
 	return a
 }
 
-// A lost reply must not hold its call, and its share of the back end, until the deadline.
+// A call whose reply is lost must not occupy the back end's capacity until its deadline: it is
+// abandoned after enough later calls were replied to.
 func TestOvertakenCallIsGivenUp(t *testing.T) {
 	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := &calls{t: t, loop: l, stand: scenario.NewBackend(t)}
-	c.pool = New(l, netip.MustParseAddrPort(c.stand.Listener.Addr().String()))
+	c := &callSink{t: t, loop: l, backend: scenario.NewBackend(t)}
+	c.pool = New(l, netip.MustParseAddrPort(c.backend.Listener.Addr().String()))
 	c.pool.Start(c)
-	c.first = c.place("never")
+	c.first = c.call("never")
 	var next func()
 	next = func() {
-		if c.stand.Waiting() > 0 { // the first call must have its answer, which is none
+		if c.backend.Waiting() > 0 { // the first call has not taken its reply yet, which is never sent
 			l.After(time.Millisecond, next)
 			return
 		}
-		c.place("200 row")
+		c.call("200 row")
 	}
 	next()
 	l.After(20*time.Second, l.Stop)
@@ -65,6 +66,6 @@
 		t.Fatal(err)
 	}
 	if c.got != lifecycle.Interrupted || c.n < overtakenLimit {
-		t.Errorf("outcome %v after %d calls", c.got, c.n)
+		t.Errorf("outcome = %v after %d calls, want Interrupted after overtakenLimit calls or more", c.got, c.n)
 	}
 }
--- a/internal/platform/backend/connection.go
+++ b/internal/platform/backend/connection.go
@@ -16,9 +16,9 @@
 	pool      *Pool
 	conn      *eventloop.Conn
 	call      *call          // nil: it is idle
-	address   netip.AddrPort // of the back end when it was dialed
+	address   netip.AddrPort // address of the back end that was dialed
 	idleSince time.Duration
-	uncounted bool // it no longer counts among the open ones
+	uncounted bool // it no longer counts in Pool.open
 }
 
 // Connected implements eventloop.Handler.
@@ -52,8 +52,8 @@
 	}
 }
 
-// readReply reads the reply to the call. The connection is kept only if nothing is left on it,
-// since the rest would be read as the next reply.
+// readReply reads the reply to the call. The connection is kept only if no input is left on it, since
+// that input would be read as the next reply.
 func (c *connection) readReply(b []byte) (used int, err error) {
 	if c.call == nil {
 		return 0, errUnexpectedReply
@@ -76,7 +76,8 @@
 	return used, nil
 }
 
-// outcomeOf returns the outcome of a call by its reply. Only a rejection proves that it never ran.
+// outcomeOf returns the outcome of a call for its reply. Only a rejection proves that the call never
+// ran.
 func outcomeOf(r reply) lifecycle.Outcome {
 	switch {
 	case r.status == http.StatusOK:
--- a/internal/platform/backend/crossing_test.go
+++ b/internal/platform/backend/crossing_test.go
@@ -9,26 +9,26 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// ended is a sink that keeps the ends of calls.
-type ended struct{ outcomes []lifecycle.Outcome }
+// outcomeSink is a Sink that keeps the outcomes of calls.
+type outcomeSink struct{ outcomes []lifecycle.Outcome }
 
-func (e *ended) CallEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ time.Duration) {
+func (e *outcomeSink) CallEnded(_ *lifecycle.Attempt, o lifecycle.Outcome, _ []byte, _ time.Duration) {
 	e.outcomes = append(e.outcomes, o)
 }
 
-// Nothing was sent on a connection that was never established, so that a call that may not be made twice
-// may be placed again.
+// Nothing was sent on a connection that was never established. A call on it must end as unreachable, so
+// that it may be made again even if it is not idempotent.
 func TestCallOnAnUnestablishedConnectionIsUnreachable(t *testing.T) {
-	for name, cross := range map[string]func(*scenario.SteppedLoop, *Pool){
-		"the back end moves": func(_ *scenario.SteppedLoop, p *Pool) {
+	for name, interrupt := range map[string]func(*scenario.SteppedLoop, *Pool){
+		"the address changes": func(_ *scenario.SteppedLoop, p *Pool) {
 			p.SetAddress(
 				netip.MustParseAddrPort("127.0.0.1:9"),
 			)
 		},
-		"its time is up": func(s *scenario.SteppedLoop, _ *Pool) { s.Advance(time.Second) },
+		"the call times out": func(s *scenario.SteppedLoop, _ *Pool) { s.Advance(time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, sink := scenario.NewSteppedLoop(t), &ended{}
+			s, sink := scenario.NewSteppedLoop(t), &outcomeSink{}
 			p := New(s.Loop, scenario.UnresponsiveServer(t))
 			p.Start(sink)
 			p.Call(
@@ -37,13 +37,13 @@
 				time.Second,
 			)
 			s.Advance(0)
-			cross(s, p)
+			interrupt(s, p)
 			if len(sink.outcomes) != 1 || sink.outcomes[0] != lifecycle.Unreachable {
-				t.Fatalf("outcomes %v", sink.outcomes)
+				t.Fatalf("outcomes = %v, want one Unreachable", sink.outcomes)
 			}
 			s.Advance(time.Second)
 			if len(sink.outcomes) != 1 || p.open != 0 {
-				t.Fatalf("outcomes %v, %d connections", sink.outcomes, p.open)
+				t.Fatalf("outcomes = %v, open connections = %d; want one outcome, 0 open", sink.outcomes, p.open)
 			}
 		})
 	}
--- a/internal/platform/backend/reply.go
+++ b/internal/platform/backend/reply.go
@@ -20,11 +20,11 @@
 }
 
 // errBodyTooLong reports a reply of more than maxBodyBytes.
-var errBodyTooLong = errors.New("body over its limit")
+var errBodyTooLong = errors.New("reply body over its limit")
 
-// parseReply decodes a response from the front of b and returns how many bytes it takes, or 0 if b
-// holds only a part of it. A reply that does not state the length of its body is never complete: its
-// call ends with the connection.
+// parseReply decodes a response at the start of b and returns how many bytes it takes, or 0 if b holds
+// only a part of it. A reply that does not state the length of its body is never complete: its call
+// ends when the connection is closed.
 func parseReply(b []byte) (reply, int, error) {
 	head, headSize, err := httpmessage.Read(b)
 	if err != nil || headSize == 0 {
--- a/internal/platform/backend/reply_test.go
+++ b/internal/platform/backend/reply_test.go
@@ -8,47 +8,48 @@
 	"ryepaddle/internal/lifecycle"
 )
 
-// replyCases are cases of TestRepliesAreParsed.
+// replyCases are replies with the outcome of their call, how many bytes are used (-1: an error), and
+// whether the connection may be kept.
 var replyCases = map[string]struct {
 	text string
 	want lifecycle.Outcome
 	used int
 	keep bool
 }{
-	"went well": {
+	"success": {
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nrowHTTP",
 		lifecycle.Succeeded,
 		41,
 		true,
 	},
-	"closes": {
+	"connection closes": {
 		"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		lifecycle.Succeeded,
 		57,
 		false,
 	},
-	"turned away": {
+	"rejected": {
 		"HTTP/1.1 503 No\r\nTurned-Away: 1\r\nContent-Length: 0\r\n\r\n",
 		lifecycle.CallRejected,
 		54,
 		true,
 	},
-	"a 503 proves nothing": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", lifecycle.Faulted, 38, true},
-	"no run waits": {
+	"503 without Turned-Away": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", lifecycle.Faulted, 38, true},
+	"not started": {
 		"HTTP/1.1 409 No\r\nTurned-Away: 1\r\nContent-Length: 0\r\n\r\n",
 		lifecycle.NotStarted,
 		54,
 		true,
 	},
-	"out of time": {
+	"timed out": {
 		"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n",
 		lifecycle.TimedOut,
 		38,
 		true,
 	},
-	"failed":                 {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", lifecycle.Faulted, 38, true},
-	"a part of the body":     {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nro", 0, 0, false},
-	"a body to the end":      {"HTTP/1.1 200 OK\r\n\r\nrow", 0, 0, false},
+	"faulted":                {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", lifecycle.Faulted, 38, true},
+	"incomplete body":        {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nro", 0, 0, false},
+	"body without a length":  {"HTTP/1.1 200 OK\r\n\r\nrow", 0, 0, false},
 	"a status of two digits": {"HTTP/1.1 20 OK\r\nContent-Length: 0\r\n\r\n", 0, -1, false},
 	"two lengths": {
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nrow",
@@ -56,8 +57,8 @@
 		-1,
 		false,
 	},
-	"a name with noise":     {"HTTP/1.1 200 OK\r\nX\x01: 1\r\nContent-Length: 0\r\n\r\n", 0, -1, false},
-	"a body over its limit": {"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n", 0, -1, false},
+	"control character in a name": {"HTTP/1.1 200 OK\r\nX\x01: 1\r\nContent-Length: 0\r\n\r\n", 0, -1, false},
+	"a body over its limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n", 0, -1, false},
 }
 
 func TestRepliesAreParsed(t *testing.T) {
@@ -75,7 +76,7 @@
 				[]any{c.want, c.used, c.keep},
 				[]any{o, used, r.keepAlive && used > 0},
 			); diff != "" {
-				t.Errorf("%v (-want +got)\n%s", err, diff)
+				t.Errorf("error %v; outcome, bytes used, kept (-want +got)\n%s", err, diff)
 			}
 		})
 	}
--- a/internal/platform/registry/registry.go
+++ b/internal/platform/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry registers this runner with the platform's registry (the roster of the operators'
-// pages) by UDP reports.
+// Package registry registers this runner with the platform's registry, which the operators' pages call
+// the roster, by periodic UDP reports.
 package registry
 
 import (
@@ -10,10 +10,10 @@
 )
 
 // reportInterval is the time between two reports. A registration expires 3 s after the last report
-// that arrives, and a quarter of the reports may be lost.
+// that was received, and up to a quarter of the reports may be lost.
 const reportInterval = 250 * time.Millisecond
 
-// A report is a datagram of reportPrefix, the runner's name, a space and its state.
+// reportPrefix begins a report: a datagram of the prefix, the runner's name, a space and its state.
 const reportPrefix = "HERE "
 
 // States of a report.
@@ -26,16 +26,16 @@
 type Reporter struct {
 	loop           *eventloop.Loop
 	addr           netip.AddrPort
-	socket         *eventloop.Datagram // nil: it could not be opened yet
-	addressChanged bool                // the socket still sends to the former address
+	socket         *eventloop.Datagram // nil: it could not be opened so far
+	addressChanged bool                // the socket still sends to the previous address
 	name           string
 	state          string
 	closed         bool
 }
 
-// Start sends reports at once and at the interval. If the socket cannot be opened, as without a
-// route or a descriptor, the error is returned and each report tries again: a runner serves without
-// its registration.
+// Start sends a report at once and then at each reportInterval. If the socket cannot be opened, for
+// example since there is no route or no free descriptor, it returns the error together with a reporter
+// that tries again at each report: a runner serves even if it is not registered.
 func Start(l *eventloop.Loop, addr netip.AddrPort, name string) (*Reporter, error) {
 	r := &Reporter{loop: l, addr: addr, name: name, state: stateOn}
 	err := r.open()
@@ -44,8 +44,8 @@
 	return r, err
 }
 
-// SetAddress sets the address of the registry. If a socket to it cannot be opened, the error is
-// returned and the former one is used until a report can open it.
+// SetAddress sets the address of the registry. If no socket to it can be opened, it returns the error,
+// and the previous socket is used until a report can open the new one.
 func (r *Reporter) SetAddress(addr netip.AddrPort) error {
 	r.addr = addr
 	r.addressChanged = r.socket != nil
@@ -54,7 +54,7 @@
 	return err
 }
 
-// open opens a socket to the present address and closes the former one.
+// open opens a socket to the current address and closes the previous one.
 func (r *Reporter) open() error {
 	s, err := r.loop.Datagram(r.addr)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// SetAvailable sets the state that is reported, and reports a change at once.
+// SetAvailable sets whether the runner is reported as available, and reports a change at once.
 func (r *Reporter) SetAvailable(available bool) {
 	state := stateOff
 	if available {
@@ -80,16 +80,17 @@
 	}
 }
 
-// Close stops the reports without a last one: another process of this runner continues them.
+// Close stops the reports without reporting the runner as unavailable, since another process of this
+// runner continues them.
 func (r *Reporter) Close() { r.closed = true }
 
-// report sends one datagram; the next one makes up for a loss.
+// report sends one report. A failed or lost one is not repeated, since the next one replaces it.
 func (r *Reporter) report() {
 	if r.closed {
 		return
 	}
 	if r.socket == nil || r.addressChanged {
-		_ = r.open() // the first failure was returned; the next report tries again
+		_ = r.open() // Start or SetAddress returned the first error; the next report tries again
 	}
 	if r.socket != nil {
 		_ = r.socket.Send([]byte(reportPrefix + r.name + " " + r.state))
--- a/internal/platform/registry/registry_test.go
+++ b/internal/platform/registry/registry_test.go
@@ -11,8 +11,8 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// registry is a roster that hears reports.
-func registry(t *testing.T) (*net.UDPConn, netip.AddrPort) {
+// listen opens a UDP socket that takes the place of the registry.
+func listen(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -22,6 +22,7 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
+// expect reads the next report and compares it.
 func expect(t *testing.T, c *net.UDPConn, want string) {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -30,18 +31,18 @@
 	b := make([]byte, 64)
 	n, err := c.Read(b)
 	if err != nil || string(b[:n]) != want {
-		t.Fatalf("heard %q, %v; want %q", b[:n], err, want)
+		t.Fatalf("report = %q, error %v; want %q", b[:n], err, want)
 	}
 }
 
-// withoutDescriptors does something while the process can open no descriptor.
+// withoutDescriptors calls do while the process cannot open a file descriptor.
 func withoutDescriptors(t *testing.T, do func()) {
 	t.Helper()
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	next, err := unix.Dup(0) // the lowest that is free
+	next, err := unix.Dup(0) // the lowest free descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,25 +56,27 @@
 	}
 }
 
+// If no descriptor is free at the start, the reporter opens its socket at a later report.
 func TestReportsBeginOnceADescriptorIsFree(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	c, addr := registry(t)
+	c, addr := listen(t)
 	var r *Reporter
 	withoutDescriptors(t, func() {
 		var err error
 		if r, err = Start(s.Loop, addr, "n3"); err == nil || r == nil {
-			t.Errorf("reporter %v, error %v", r, err)
+			t.Errorf("Start() = %v, %v; want a reporter and an error", r, err)
 		}
 	})
 	s.Advance(reportInterval)
 	expect(t, c, "HERE n3 on")
 }
 
-// While no descriptor is free, reports go to the former address of the registry, and then to the new one.
+// While no descriptor is free for a socket to a new address of the registry, reports are sent to the
+// previous address.
 func TestOldAddressIsUsedUntilADescriptorIsFree(t *testing.T) {
 	s := scenario.NewSteppedLoop(t)
-	first, addr := registry(t)
-	second, next := registry(t)
+	first, addr := listen(t)
+	second, next := listen(t)
 	r, err := Start(s.Loop, addr, "n3")
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +84,7 @@
 	expect(t, first, "HERE n3 on")
 	withoutDescriptors(t, func() {
 		if err := r.SetAddress(next); err == nil {
-			t.Error("moved without a descriptor")
+			t.Error("SetAddress() = nil without a free descriptor, want an error")
 		}
 	})
 	expect(t, first, "HERE n3 on")
