--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -19,20 +19,20 @@
 
 // Layout of the header of a batch, in bytes.
 const (
-	batchSizeOffset  = 0 // of what follows the header
-	batchCountOffset = 4 // of the events
-	batchNowOffset   = 8
+	batchSizeOffset  = 0 // size of the records and the tail
+	batchCountOffset = 4 // number of events
+	batchNowOffset   = 8 // time of the simulated clock
 )
 
-// maxMicros is the longest time that a time.Duration holds, in microseconds.
+// maxMicros is the longest duration that a time.Duration can hold, in microseconds.
 const maxMicros = math.MaxInt64 / 1000
 
-// maxBatchSize bounds the memory that one batch may ask for, in bytes.
+// maxBatchSize bounds the memory that is allocated for one batch, in bytes.
 const maxBatchSize = 1 << 30
 
 var littleEndian = binary.LittleEndian
 
-// FrameError is a frame, or a record of one, that cannot be read or written.
+// FrameError reports a frame, or a record of a frame, that cannot be read or written.
 type FrameError struct {
 	Part string // of the frame, for example "record 3"
 	Err  error
@@ -43,7 +43,7 @@
 // Unwrap returns the error of the part.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// frameErrorf makes a FrameError of a part.
+// frameErrorf returns a FrameError for a part.
 func frameErrorf(part, format string, a ...any) error {
 	return &FrameError{Part: part, Err: fmt.Errorf(format, a...)}
 }
@@ -55,11 +55,12 @@
 	tail    []byte
 }
 
-// Len is the number of events in the batch.
+// Len returns the number of events in the batch.
 func (b *Batch) Len() int { return len(b.records) / eventSize }
 
-// ReadBatch reads one frame, into buf where that is large enough, and returns the buffer for the
-// next call. It returns io.EOF at the end of the input between frames, and a FrameError otherwise.
+// ReadBatch reads one frame, into buf if that is large enough, and returns the buffer for the next
+// call; the batch is valid until then. If the input ends before the frame, the error is io.EOF; all
+// other errors are FrameErrors.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -90,19 +91,19 @@
 	const part = "batch header"
 	switch {
 	case size > maxBatchSize:
-		return frameErrorf(part, "length %d out of range", size)
+		return frameErrorf(part, "size of %d bytes out of range", size)
 	case uint64(count)*eventSize > uint64(size):
 		return frameErrorf(part, "%d records do not fit in %d bytes", count, size)
 	case now > maxMicros:
-		return frameErrorf(part, "clock %d out of range", now)
+		return frameErrorf(part, "clock of %d us out of range", now)
 	}
 	return nil
 }
 
-// micros converts microseconds of the wire.
+// micros converts a time on the wire, in microseconds, and caps it at maxMicros.
 func micros(v uint64) time.Duration {
 	return time.Duration(min(v, maxMicros)) * time.Microsecond
 }
 
-// float converts a 32-bit float of the wire.
+// float decodes a 32-bit float.
 func float(b []byte) float64 { return float64(math.Float32frombits(littleEndian.Uint32(b))) }
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -14,7 +14,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// frame builds a batch of records and a tail.
+// frame returns a batch of records, which are padded to their size, and a tail.
 func frame(tail string, records ...[]byte) []byte {
 	out := make([]byte, batchHeaderSize)
 	for _, r := range records {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// unhex decodes hexadecimal digits with spaces.
+// unhex decodes hexadecimal digits and ignores spaces.
 func unhex(s string) []byte {
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
@@ -38,12 +38,12 @@
 	return b
 }
 
-// names is the order of the gauges of all instances.
+// names returns the order of the gauges, which is the same for all instances.
 func names(uint32) []Gauge {
 	return []Gauge{gaugeCPU, gaugeRunnable, gaugeMemory, gaugeConnections}
 }
 
-// The records are those of the example of the wire format.
+// The records are the examples from the description of the wire format.
 func TestRecordDecodesEvents(t *testing.T) {
 	b, _, err := ReadBatch(bytes.NewReader(frame(
 		"",
@@ -56,7 +56,7 @@
 		unhex("0700 05000000 192b6f0ed2580a00"),
 	)), nil)
 	if err != nil || b.Now != 5*time.Second || b.Len() != 4 {
-		t.Fatalf("%v %v %v", b.Now, b.Len(), err)
+		t.Fatalf("ReadBatch: time %v, %d records, error %v; want 5s, 4, nil", b.Now, b.Len(), err)
 	}
 	arrival, err := b.Record(0, names)
 	want := Record{Instance: 3, Event: admission.Event{
@@ -72,20 +72,20 @@
 		PriorRequest:  0xa58d20e6f2b19,
 	}}
 	if diff := cmp.Diff(want, arrival); err != nil || diff != "" {
-		t.Fatalf("%v (-want +got)\n%s", err, diff)
+		t.Fatalf("record 0: error %v (-want +got)\n%s", err, diff)
 	}
 	timer, err := b.Record(1, names)
 	if g := timer.Event.Gauges; err != nil || g.Runnable != 3 || g.Connections != 120 ||
 		timer.Event.Token != 77 {
-		t.Fatalf("%+v %v", timer, err)
+		t.Fatalf("record 1 = %+v, %v; want a timer with token 77, 3 runnable, 120 connections", timer, err)
 	}
 	completed, err := b.Record(2, names)
 	if e := completed.Event; err != nil || e.Outcome != admission.OutcomeOK || e.Elapsed != 18500*time.Microsecond {
-		t.Fatalf("%+v %v", completed, err)
+		t.Fatalf("record 2 = %+v, %v; want outcome OK after 18.5ms", completed, err)
 	}
 	abandoned, err := b.Record(3, names)
 	if err != nil || abandoned.Event.Kind != admission.EventAbandoned || abandoned.Instance != 5 {
-		t.Fatalf("%+v %v", abandoned, err)
+		t.Fatalf("record 3 = %+v, %v; want EventAbandoned of instance 5", abandoned, err)
 	}
 }
 
@@ -93,20 +93,20 @@
 	good := frame("", unhex("0700 05000000"))
 	long := append([]byte(nil), good...)
 	littleEndian.PutUint32(long[4:], 9)
-	for name, in := range map[string][]byte{"cut header": good[:7], "cut records": good[:40], "too many": long} {
+	for name, in := range map[string][]byte{"short header": good[:7], "short records": good[:40], "large count": long} {
 		_, _, err := ReadBatch(bytes.NewReader(in), nil)
 		var invalid *FrameError
 		if !errors.As(err, &invalid) || errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error = %v, want a FrameError that is not io.EOF", name, err)
 		}
 	}
 	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input: error = %v, want io.EOF", err)
 	}
 	for name, r := range map[string]string{
-		"unknown code": "6300 05000000",
-		"tail":         "0100 05000000 0000000000000000 02000000 ffffffff",
-		"gauges":       "0800 05000000 0000000000000000 ff",
+		"unknown code":              "6300 05000000",
+		"settings outside the tail": "0100 05000000 0000000000000000 02000000 ffffffff",
+		"gauges outside the record": "0800 05000000 0000000000000000 ff",
 	} {
 		b, _, err := ReadBatch(bytes.NewReader(frame("xyz", unhex(r))), nil)
 		if err != nil {
@@ -115,7 +115,7 @@
 		_, err = b.Record(0, names)
 		var invalid *FrameError
 		if !errors.As(err, &invalid) || !strings.Contains(err.Error(), "record 0") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error = %v, want a FrameError of record 0", name, err)
 		}
 	}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -19,8 +19,9 @@
 	codeKilled        = 9
 )
 
-// Layout of an event, in bytes. The fields after the request depend on the event's code; a request is
-// at the offset of a drain's deadline, a timer's token and a start's seed.
+// Layout of an event record, in bytes. The fields after eventRequestOffset depend on the event's code.
+// At eventRequestOffset a drain has its deadline, a timer its token, and the start of an instance its
+// seed.
 const (
 	eventCodeOffset     = 0
 	eventInstanceOffset = 2
@@ -35,8 +36,8 @@
 	timerGaugeCountOffset = 14
 	timerGaugesOffset     = 15
 
-	startSettingsOffset = 14 // of the text in the tail: where it begins
-	startLengthOffset   = 18
+	startSettingsOffset = 14 // offset of the settings in the tail
+	startLengthOffset   = 18 // length of the settings in bytes
 
 	requestClassOffset         = 14
 	requestTenantOffset        = 15
@@ -53,12 +54,12 @@
 
 // Flags of a request on the wire.
 const (
-	flagExpectedWork = 1 << iota // the record has the expected work
+	flagExpectedWork = 1 << iota // the record states the expected work
 	flagRetry
 	flagWrite
 )
 
-// outcomes are the outcomes by their codes on the wire.
+// outcomes maps codes on the wire to outcomes.
 var outcomes = map[uint16]admission.Outcome{
 	200: admission.OutcomeOK,
 	502: admission.OutcomeFailed,
@@ -70,19 +71,20 @@
 	409: admission.OutcomeNeverStarted,
 }
 
-// Record is one event of a batch. Those with Start or Killed are for the host of the instances; all
-// others carry an Event for the instance.
+// Record is one event of a batch. A record with Start or Killed concerns the process that hosts the
+// instances; any other carries an Event for its instance.
 type Record struct {
 	Instance uint32
-	Start    bool // a new instance with this seed and these settings
-	Killed   bool // the instance is gone
+	Start    bool // a new instance starts, with Seed and Settings
+	Killed   bool // the instance has ended
 	Seed     uint64
 	Settings string // lines for ParseSettings
 	Event    admission.Event
 }
 
-// Record decodes event i. The gauges of a timer follow names, the order that the settings of the
-// instance give. It returns a FrameError for a record that is malformed or of an unknown kind.
+// Record decodes event i. names returns the order of the gauges in an instance's timer events, which
+// its settings give. The error for a record that is malformed or has an unknown code is a
+// FrameError.
 func (b *Batch) Record(i int, names func(instance uint32) []Gauge) (Record, error) {
 	r := b.records[i*eventSize : (i+1)*eventSize]
 	rec := Record{Instance: littleEndian.Uint32(r[eventInstanceOffset:])}
@@ -115,7 +117,7 @@
 		count := int(r[timerGaugeCountOffset])
 		gaugesEnd := timerGaugesOffset + count*gaugeSize
 		if gaugesEnd > eventSize {
-			return rec, recordErrorf(i, "%d gauges exceed the record", count)
+			return rec, recordErrorf(i, "%d gauges do not fit in the record", count)
 		}
 		ev.Gauges = decodeGauges(r[timerGaugesOffset:gaugesEnd], names(rec.Instance))
 	case codeKilled:
@@ -126,20 +128,20 @@
 	return rec, nil
 }
 
-// decodeStart decodes the start of an instance, whose settings are in the tail.
+// decodeStart decodes the start of an instance. Its settings are in the tail.
 func (b *Batch) decodeStart(i int, r []byte, rec *Record) error {
 	rec.Start = true
 	rec.Seed = rec.Event.Request
 	offset := uint64(littleEndian.Uint32(r[startSettingsOffset:]))
 	length := uint64(littleEndian.Uint32(r[startLengthOffset:]))
 	if offset+length > uint64(len(b.tail)) {
-		return recordErrorf(i, "tail range %d+%d exceeds %d bytes", offset, length, len(b.tail))
+		return recordErrorf(i, "settings at offset %d of %d bytes exceed the tail of %d bytes", offset, length, len(b.tail))
 	}
 	rec.Settings = string(b.tail[offset : offset+length])
 	return nil
 }
 
-// decodeArrival decodes a request that was read.
+// decodeArrival decodes the arrival of a request.
 func decodeArrival(r []byte, ev *admission.Event) {
 	flags := r[requestFlagsOffset]
 	ev.Kind = admission.EventRequest
@@ -159,7 +161,7 @@
 	ev.PriorRequest = littleEndian.Uint64(r[requestPriorRequestOffset:])
 }
 
-// recordErrorf makes a FrameError of record i.
+// recordErrorf returns a FrameError for record i.
 func recordErrorf(i int, format string, a ...any) error {
 	return frameErrorf(fmt.Sprintf("record %d", i), format, a...)
 }
--- a/internal/simwire/gauges.go
+++ b/internal/simwire/gauges.go
@@ -7,21 +7,21 @@
 	"ryepaddle/internal/admission"
 )
 
-// Gauge names one of the gauges that timers carry.
+// Gauge identifies one of the gauges that timer events carry.
 type Gauge int
 
 const (
-	gaugeOther Gauge = iota // one that the decisions do not read
+	gaugeOther Gauge = iota // a gauge that admission.Gauges does not have
 	gaugeCPU
 	gaugeRunnable
 	gaugeMemory
 	gaugeConnections
 )
 
-// gaugeSize is the size in bytes of a gauge of an event.
+// gaugeSize is the size of a gauge in an event record, in bytes.
 const gaugeSize = 4
 
-// gaugeNames are the gauges by their names on the wire.
+// gaugeNames maps names on the wire to gauges.
 var gaugeNames = map[string]Gauge{
 	"cpu_busy": gaugeCPU,
 	"runnable": gaugeRunnable,
@@ -29,6 +29,7 @@
 	"sockets":  gaugeConnections,
 }
 
+// decodeGauges decodes the gauges of an event, which are in the order of names.
 func decodeGauges(b []byte, names []Gauge) admission.Gauges {
 	values := make([]float64, 0, len(b)/gaugeSize)
 	for encoded := range slices.Chunk(b, gaugeSize) {
@@ -37,8 +38,8 @@
 	return ArrangeGauges(values, names)
 }
 
-// ArrangeGauges makes gauges of values that come in the order of names. A gauge without a value is
-// NaN.
+// ArrangeGauges returns the gauges whose values are given in the order of names. A gauge without a
+// value is NaN.
 func ArrangeGauges(values []float64, names []Gauge) admission.Gauges {
 	nan := math.NaN()
 	g := admission.Gauges{CPU: nan, Runnable: nan, Memory: nan, Connections: nan}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,23 +8,23 @@
 	"ryepaddle/internal/admission"
 )
 
-// codeFault is the code on the wire that reports a fault of an instance.
+// codeFault is the code on the wire of a record that reports a fault of an instance.
 const codeFault = 77
 
-// Layout of an action, in bytes. The fields after the instance depend on the action.
+// Layout of an action record, in bytes. The fields after the instance depend on the kind of action.
 const (
 	actionCodeOffset       = 0
 	actionInstanceOffset   = 2
-	actionRequestOffset    = 6 // or a value, an idle time or a token
+	actionRequestOffset    = 6 // the request, the advertised value, the idle time or the timer's token
 	actionStaticOffset     = 6
 	actionHealthyOffset    = 7
 	actionDurationOffset   = 14
 	actionNoRetryOffset    = 18
-	actionTextOffset       = 6 // where the text begins in the tail
-	actionTextLengthOffset = 10
+	actionTextOffset       = 6  // offset of the text in the tail
+	actionTextLengthOffset = 10 // length of the text in bytes
 )
 
-// actionCodes are the codes of the actions on the wire, by kind.
+// actionCodes holds the code on the wire of each kind of action.
 var actionCodes = [...]uint16{
 	admission.ActionStart:       76,
 	admission.ActionReject:      75,
@@ -51,7 +51,7 @@
 // Reset empties the reply for the next batch.
 func (p *Reply) Reset() { p.records, p.tail = p.records[:0], p.tail[:0] }
 
-// Add appends an instance's action.
+// Add appends an action of an instance.
 func (p *Reply) Add(instance uint32, a *admission.Action) {
 	r := p.addRecord(actionCodes[a.Kind], instance)
 	littleEndian.PutUint64(r[actionRequestOffset:], a.Request)
@@ -77,11 +77,12 @@
 	}
 }
 
-// Fault reports that an instance's decisions have failed.
+// Fault appends a record which reports that an instance has failed, with a text.
 func (p *Reply) Fault(instance uint32, text string) {
 	p.addText(p.addRecord(codeFault, instance), text)
 }
 
+// addRecord appends a record that is zero after its code and instance, and returns its bytes.
 func (p *Reply) addRecord(code uint16, instance uint32) []byte {
 	n := len(p.records)
 	var zero [actionSize]byte
@@ -92,14 +93,15 @@
 	return r
 }
 
-// addText puts a record's text into the tail.
+// addText appends a text to the tail and refers to it in the record r.
 func (p *Reply) addText(r []byte, text string) {
 	littleEndian.PutUint32(r[actionTextOffset:], uint32(len(p.tail)))
 	littleEndian.PutUint32(r[actionTextLengthOffset:], uint32(len(text)))
 	p.tail = append(p.tail, text...)
 }
 
-// WriteTo writes the reply as one frame. It returns a FrameError if w fails.
+// WriteTo implements io.WriterTo: it writes the reply as one frame. Errors of w are wrapped in a
+// FrameError.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
 	var header [replyHeaderSize]byte
 	littleEndian.PutUint32(header[0:], uint32(len(p.records)+len(p.tail)))
@@ -115,7 +117,7 @@
 	return total, nil
 }
 
-// toMicros converts a duration to microseconds, within what the wire holds.
+// toMicros converts a duration to microseconds, limited to the range of a uint32.
 func toMicros(d time.Duration) uint32 {
 	return uint32(min(max(d/time.Microsecond, 0), math.MaxUint32))
 }
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -8,7 +8,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// The records are those of the example of the wire format.
+// The records are the examples from the description of the wire format.
 func TestReplyEncodesActions(t *testing.T) {
 	var p Reply
 	p.Add(3, &admission.Action{
@@ -30,6 +30,6 @@
 		"4a00 03000000 0000803e 0000000000000000000000000000" +
 		"4500 05000000 00000000 03000000 00000000000000000000" + "74776f")
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Fatalf("got  %x\nwant %x", out.Bytes(), want)
+		t.Fatalf("frame = %x\nwant    %x", out.Bytes(), want)
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -14,9 +14,9 @@
 // maxCount is the largest count that a setting may have.
 const maxCount = 1 << 20
 
-// MalformedSettingError is a setting whose text is no value of its kind.
+// MalformedSettingError reports a setting whose text is not a value of the setting's type.
 type MalformedSettingError struct {
-	Path  string // on the wire
+	Path  string // path of the setting on the wire
 	Value string
 }
 
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("admission: setting %s: malformed value %q", e.Path, e.Value)
 }
 
-// Words of the wire for the settings that are one of a few.
+// Enumerated settings: their values by their names on the wire.
 var (
 	idempotencies = map[string]admission.Idempotency{
 		"read_like":       admission.Idempotent,
@@ -53,7 +53,7 @@
 	weighsPerWork = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// ParseSettings reads start-up text of lines path=value, as DecodeSettings does.
+// ParseSettings parses start-up settings of lines path=value, and decodes them with DecodeSettings.
 func ParseSettings(text string) (admission.Settings, []Gauge, error) {
 	values := map[string]string{}
 	for _, line := range strings.Split(text, "\n") {
@@ -64,10 +64,10 @@
 	return DecodeSettings(values)
 }
 
-// DecodeSettings reads start-up settings by their paths on the wire, and the order in which timers
-// carry the gauges. Unknown paths are skipped. It returns a MalformedSettingError for the first
-// value that cannot be read, or an admission.SettingError, which names the path, for a setting that
-// is missing or out of range.
+// DecodeSettings decodes start-up settings, given by their paths on the wire, and returns them with the
+// order in which timer events carry the gauges. Unknown paths are ignored. The error is a
+// MalformedSettingError for the first value that cannot be decoded, or an admission.SettingError with
+// the path on the wire for a setting that is missing or out of range.
 func DecodeSettings(values map[string]string) (admission.Settings, []Gauge, error) {
 	r := &settingsReader{values: values}
 	s := r.server()
@@ -83,13 +83,13 @@
 	return s, gauges, r.err
 }
 
-// settingsReader reads settings by path and remembers the first malformed value.
+// settingsReader decodes settings by path. It keeps the error for the first malformed value.
 type settingsReader struct {
 	values map[string]string
 	err    error
 }
 
-// server reads the settings that are not of one class or tenant.
+// server reads the settings that do not belong to a class or tenant.
 func (r *settingsReader) server() admission.Settings {
 	return admission.Settings{
 		Servers:                   r.count("Servers"),
@@ -126,8 +126,8 @@
 	}
 }
 
-// classes reads the classes. Whether they call the dependency, and the weight of an answer that omits
-// the call, are in lists of their own.
+// classes reads the classes. Whether they call the dependency, and the weight of an answer without
+// that call, are in separate lists with one value per class.
 func (r *settingsReader) classes() (classes []admission.Class) {
 	const callsPath, degradedPath = "Specifics.CallsByClass", "Specifics.ClassSkipWorth"
 	calls, degraded := r.list(callsPath), r.list(degradedPath)
@@ -167,13 +167,14 @@
 	return tenants
 }
 
+// malformed records the error for a malformed value, unless there was one before.
 func (r *settingsReader) malformed(path, value string) {
 	if r.err == nil {
 		r.err = &MalformedSettingError{Path: path, Value: value}
 	}
 }
 
-// float reads a finite number. One that is not there is 0, as with all kinds of values.
+// float reads a finite number. A missing number is 0; a missing count, duration or flag is zero as well.
 func (r *settingsReader) float(path string) float64 {
 	value := r.values[path]
 	if value == "" {
@@ -187,7 +188,7 @@
 	return f
 }
 
-// count reads a whole number from 0 to maxCount.
+// count reads an integer from 0 to maxCount.
 func (r *settingsReader) count(path string) int {
 	f := r.float(path)
 	if f < 0 || f > maxCount || f != math.Trunc(f) {
@@ -197,7 +198,7 @@
 	return int(f)
 }
 
-// duration reads a number of microseconds.
+// duration reads a duration in microseconds, up to maxMicros.
 func (r *settingsReader) duration(path string) time.Duration {
 	f := r.float(path)
 	if f < 0 || f > float64(maxMicros) {
@@ -221,8 +222,8 @@
 	return false
 }
 
-// listLength reads the number of objects in a list. Each of them has a path, so that a valid length is
-// at most the number of paths.
+// listLength reads the number of objects in a list. Each object has at least one path of its own, so a
+// length above the number of all paths is malformed.
 func (r *settingsReader) listLength(path string) int {
 	n := r.count(path)
 	if n > len(r.values) {
@@ -232,7 +233,7 @@
 	return n
 }
 
-// list reads values that are joined by commas.
+// list reads a list of values that are separated by commas.
 func (r *settingsReader) list(path string) []string {
 	if r.values[path] == "" {
 		return nil
@@ -240,7 +241,7 @@
 	return strings.Split(r.values[path], ",")
 }
 
-// word reads one of the words of the wire.
+// word reads an enumerated setting, whose values are given by their names on the wire.
 func word[T any](r *settingsReader, path string, words map[string]T) T {
 	v, ok := words[r.values[path]]
 	if !ok {
@@ -249,8 +250,8 @@
 	return v
 }
 
-// Paths on the wire of the settings that Settings.Validate may report, by their names in the
-// module.
+// Paths on the wire of the settings that admission.Settings.Validate may report, by the names of their
+// fields.
 var (
 	settingPaths = map[string]string{
 		"Classes":             "RequestClasses",
@@ -290,8 +291,8 @@
 	return "RequestClasses." + index + "." + classPaths[field]
 }
 
-// withWirePath names the setting of a SettingError by its path on the wire. A setting that is not
-// there at all is reported as missing, and not as 0.
+// withWirePath replaces the name of the setting in a SettingError by its path on the wire. A setting
+// that is not given at all is reported as missing and not as 0.
 func (r *settingsReader) withWirePath(err error) error {
 	var invalid *admission.SettingError
 	if !errors.As(err, &invalid) {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -9,7 +9,7 @@
 	"ryepaddle/internal/admission"
 )
 
-// settingsText are settings as the simulator tells them.
+// settingsText holds valid settings in the form that the simulator sends.
 const settingsText = `RequestClasses.count=1
 RequestClasses.0.Name=one
 RequestClasses.0.DeadlineUs=3000
@@ -34,15 +34,16 @@
 	if err != nil || s.Cancel != admission.CancelSuspend || s.CreditMode != admission.CreditRankThreshold ||
 		!s.WeightPerWork || s.Dependency != admission.DependencyTier || len(gauges) != 3 ||
 		gauges[2] != gaugeRunnable {
-		t.Fatalf("%+v %v %v", s, gauges, err)
+		t.Fatalf("ParseSettings() = %+v, %v, %v; want the values of settingsText", s, gauges, err)
 	}
 	if c := s.Classes[0]; c.Idempotency != admission.IdempotentWithKey ||
 		c.LatencyObjective != 2*time.Millisecond || !c.CallsDependency || c.DegradedWeightFraction != 0.3 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("class 0 = %+v, want the values of settingsText", c)
 	}
 }
 
-// An error names the path of the setting, and has the type of its kind.
+// The error names the path of the setting. It is a MalformedSettingError for a value that cannot be
+// decoded, and an admission.SettingError for one that is missing or out of range.
 func TestParseSettingsReportsInvalidValues(t *testing.T) {
 	for line, malformed := range map[string]bool{
 		"Specifics.Cores=many":         true,
@@ -58,20 +59,20 @@
 	} {
 		_, _, err := ParseSettings(settingsText + "\n" + line)
 		path, _, _ := strings.Cut(line, "=")
-		var notRead *MalformedSettingError
+		var malformedErr *MalformedSettingError
 		var outOfRange *admission.SettingError
 		typed := errors.As(err, &outOfRange)
 		if malformed {
-			typed = errors.As(err, &notRead)
+			typed = errors.As(err, &malformedErr)
 		}
 		if !typed || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("%s: error = %v, want one of the expected type that names the path", line, err)
 		}
 	}
 }
 
-// TestSettingErrorsNameTheWirePath holds the path that an error names for each setting that the
-// module may report, as the operators know it.
+// TestSettingErrorsNameTheWirePath checks, for each setting that package admission may report, that the
+// error names the path on the wire, which is the name that operators know.
 func TestSettingErrorsNameTheWirePath(t *testing.T) {
 	for setting, want := range map[string]string{
 		"Classes":                           "RequestClasses",
@@ -98,7 +99,7 @@
 		err := r.withWirePath(&admission.SettingError{Setting: setting, Value: 7, Want: "less"})
 		var named *admission.SettingError
 		if !errors.As(err, &named) || named.Setting != want || named.Value != 7 {
-			t.Errorf("%s: %v, want the path %s", setting, err, want)
+			t.Errorf("%s: error = %v, want one with the path %s and the value 7", setting, err, want)
 		}
 	}
 }
