--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter hosts one admission.Controller for each server of a simulation. It reads
 // batches of events from standard input and writes the actions to standard output, in the frames of
-// package simwire. All decisions are the controllers'.
+// package simwire. The controllers make all decisions.
 package main
 
 import (
@@ -56,15 +56,15 @@
 // instance is one server's controller with its events of the current batch.
 type instance struct {
 	controller *admission.Controller
-	gauges     []simwire.Gauge // the order in which its timers carry them
+	gauges     []simwire.Gauge // order of the gauges in its timer events
 	events     []admission.Event
-	scheduled  bool // it is in host.scheduled and has not decided yet
+	scheduled  bool // it is in host.scheduled, and its events are not handled yet
 }
 
 // host holds the instances of a simulation.
 type host struct {
 	instances map[uint32]*instance
-	scheduled []uint32 // instances with an event in this batch, in the order of their first
+	scheduled []uint32 // instances with an event in this batch, in the order of their first events
 	reply     simwire.Reply
 	actions   []admission.Action
 }
@@ -120,6 +120,7 @@
 	return true
 }
 
+// gaugesOf returns the order of the gauges in an instance's timer events.
 func (h *host) gaugesOf(id uint32) []simwire.Gauge {
 	if in := h.instances[id]; in != nil {
 		return in.gauges
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// schedule lets an instance decide at the end of the batch.
+// schedule has an instance handle its events at the end of the batch.
 func (h *host) schedule(id uint32, in *instance) {
 	if !in.scheduled {
 		in.scheduled = true
@@ -135,6 +136,7 @@
 	}
 }
 
+// newInstance returns the instance that a start record describes.
 func newInstance(record *simwire.Record) (*instance, error) {
 	settings, gauges, err := simwire.ParseSettings(record.Settings)
 	if err != nil {
@@ -147,7 +149,8 @@
 	return &instance{controller: controller, gauges: gauges}, nil
 }
 
-// decide lets one instance act, and reports a panic as its fault.
+// decide has an instance handle its events and adds its actions to the reply. A panic is reported as a
+// fault of the instance.
 func (h *host) decide(id uint32, in *instance, batch *simwire.Batch) {
 	defer func() {
 		if p := recover(); p != nil {
