--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -135,7 +135,7 @@
 	offset := uint64(littleEndian.Uint32(r[startSettingsOffset:]))
 	length := uint64(littleEndian.Uint32(r[startLengthOffset:]))
 	if offset+length > uint64(len(b.tail)) {
-		return recordErrorf(i, "settings at offset %d of %d bytes exceed the tail of %d bytes", offset, length, len(b.tail))
+		return recordErrorf(i, "settings at %d of %d bytes exceed the tail of %d bytes", offset, length, len(b.tail))
 	}
 	rec.Settings = string(b.tail[offset : offset+length])
 	return nil
