--- a/internal/frontend/control/errors.go
+++ b/internal/frontend/control/errors.go
@@ -6,7 +6,7 @@
 var (
 	unreachableKind = fault.Define("control.unreachable", "No program answers on the control socket.",
 		"See that it runs and that its operator's file names this socket under control.")
-	questionKind = fault.Define("control.question", "A question on the control socket cannot be read.",
+	invalidRequestKind = fault.Define("control.question", "A question on the control socket cannot be read.",
 		"Ask with ryepaddle of the same version; a line has one question of 4 KB at the most.")
 	forbiddenKind = fault.Define(
 		"control.forbidden",
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -134,7 +134,7 @@
 		text, _ = json.Marshal(errorReply(err)) // a reply of strings can always be encoded
 	}
 	if len(text) >= maxReplyBytes {
-		text, _ = json.Marshal(errorReply(questionKind.New("the answer is too long: ask for less")))
+		text, _ = json.Marshal(errorReply(invalidRequestKind.New("the answer is too long: ask for less")))
 	}
 	c.conn.Write(append(text, '\n'))
 }
@@ -148,12 +148,12 @@
 	lineLength := bytes.IndexByte(b, '\n')
 	if lineLength < 0 {
 		if len(b) >= maxLineBytes-1 {
-			return 0, questionKind.New("control: request line too long")
+			return 0, invalidRequestKind.New("control: request line too long")
 		}
 		return 0, nil
 	}
 	if c.awaitsReply || len(b) > lineLength+1 {
-		return 0, questionKind.New("control: request received before the reply to the previous one")
+		return 0, invalidRequestKind.New("control: request received before the reply to the previous one")
 	}
 	c.resetIdleTimer()
 	c.readRequest(b[:lineLength])
@@ -167,7 +167,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&request); err != nil {
-		c.send(errorReply(questionKind.New("the question cannot be read: %w", err)))
+		c.send(errorReply(invalidRequestKind.New("the question cannot be read: %w", err)))
 		return
 	}
 	c.awaitsReply = true
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -20,8 +20,8 @@
 	maxStatedDelay = time.Minute
 	// maxStatedMs bounds a stated time in Unix milliseconds, so that it fits an int64 in microseconds.
 	maxStatedMs = 1 << 50
-	// defaultCaller is the number of callers that state none. It is above the numbers of the
-	// platform's balancers, which begin at 0.
+	// defaultCaller is the number of callers that state none. The platform numbers its balancers from
+	// 0, so a high number is kept apart from theirs.
 	defaultCaller = 1 << 16
 	// idIncrement is added for each request ID. It is odd, so IDs repeat only after 2^64 requests.
 	idIncrement = 0x9e3779b97f4a7c15
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// arrivedAt returns when the request arrived: the time that an upstream proxy states, or the time at
-// which its connection was accepted.
+// arrivedAt returns when the request arrived: the time that a proxy in front of this one states, or the
+// time at which its connection was accepted.
 func (f *Frontend) arrivedAt(r *cgi.Request, acceptedAt wallclock.UnixMicro) wallclock.UnixMicro {
 	stated, ok := f.parseTime(r.Get(arrivalVariable))
 	if !ok {
