--- a/internal/peers/consensus/errors.go
+++ b/internal/peers/consensus/errors.go
@@ -6,28 +6,28 @@
 var (
 	kindUnknownMember = fault.Define(
 		"peers.unknown_member",
-		"No member has the name.",
-		"Look at the names with runner peers; a new runner is added to all files and started first.",
+		"No member of the installation has the given name.",
+		"Look up the names with runner peers; add a new runner to every operator's file and start it first.",
 	)
 	kindVersionTooOld = fault.Define(
 		"peers.voter_too_old",
-		"A voter is of an older version, which does not support the request.",
-		"Upgrade the voters to one version, one after the other, and repeat the request.",
+		"A voter runs an older version that does not support the request.",
+		"Upgrade all voters to the same version, one at a time, and repeat the request.",
 	)
 	kindTooFewMembers = fault.Define(
 		"peers.too_few_members",
-		"The members that stay are too few to replicate the slots of one that leaves.",
-		"Add a runner first, or wait until a lost one is back.",
+		"Too few other members would remain to replicate the slots of the leaving member.",
+		"Add a runner first, or wait until a lost member has rejoined.",
 	)
 	kindVoters = fault.Define(
 		"peers.invalid_voters",
-		"The voters of the operator's file, or this voter's log, are not valid.",
-		"Correct peers.members: an odd number of voters; a voter keeps its name and its folder.",
+		"The voters in the operator's file or the log on this voter's disk are invalid.",
+		"Correct peers.members: the number of voters must be odd, and a voter must keep its name and its folder.",
 	)
 	kindConsensusFailed = fault.Define(
 		"peers.consensus",
-		"This runner's part in the consensus group has failed.",
-		"Restart this runner; the others go on without it.",
+		"This runner's participation in the consensus group has failed.",
+		"Restart this runner; the other runners continue without it.",
 	)
 )
 
--- a/internal/peers/consensus/heartbeat.go
+++ b/internal/peers/consensus/heartbeat.go
@@ -46,7 +46,8 @@
 }
 
 // handleHeartbeat handles a runner's heartbeat. A voter that is not the leader responds with the
-// leader's name.
+// leader's name. A voter that requests a voter ID itself does not respond to another one that does; it
+// counts it as restarting.
 func (c *Participant) handleHeartbeat(m *Message) {
 	if m.RequestedID != 0 && c.voterPosition(m.From) != 0 && c.requestedVoterID != 0 {
 		c.restartingVoters[m.From] = m.HasLog
@@ -93,7 +94,7 @@
 		c.proposeVoterID(m)
 	}
 	// The sender votes under an ID that the group has removed: a delayed heartbeat of an earlier process
-	// may have had it replaced.
+	// may have caused the removal.
 	if m.VoterID != 0 && c.voterPosition(m.From) == m.VoterID&positionMask &&
 		!slices.Contains(c.confState.GetVoters(), m.VoterID) {
 		c.send(Message{Type: MsgHeartbeatResp, To: m.From, VoterID: m.VoterID})
@@ -116,8 +117,8 @@
 }
 
 // proposeJoin proposes the sender of a heartbeat as a member if its announcement differs from the
-// table's entry. A member that was declared lost is not proposed before it knows the table that says
-// so: it then rejoins in a new incarnation.
+// table's entry. A member that was declared lost is not proposed until it has the leader's table: it
+// then learns of the loss and rejoins in a new incarnation.
 func (c *Participant) proposeJoin(m *Message) {
 	current := c.table.Member(m.From)
 	if current != nil && current.SameAnnouncement(&m.Member) {
@@ -150,9 +151,10 @@
 }
 
 // isEstablished reports whether a heartbeat is from the member's process in the table, or from a new
-// process that has taken its place. A single heartbeat does not establish a new process, as it may
-// be a delayed one of an earlier process, in particular after this leader was stopped. A live process
-// sends another heartbeat before the other process sends one.
+// process that has taken its place. The first heartbeat does not establish a new process, as it may be
+// a delayed one of an earlier process, in particular after this leader was paused. A later one
+// does if it is received at least half a HeartbeatInterval after the first and the process in the table
+// has sent none in between.
 func (c *Participant) isEstablished(m *Message) bool {
 	current := c.table.Member(m.From)
 	if current == nil || current.Incarnation == 0 || current.Process == m.Member.Process {
--- a/internal/peers/consensus/late_message_test.go
+++ b/internal/peers/consensus/late_message_test.go
@@ -11,8 +11,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// A delayed heartbeat of a voter's earlier process must not have the voter ID of its present process
-// replaced. The present process would still be heard, so that it is not declared lost, but would never
+// A delayed heartbeat of a voter's earlier process must not cause the voter ID of its present process to
+// be replaced. The present process would still send heartbeats and not be declared lost, but would never
 // receive a table again.
 func TestLateHeartbeatDoesNotTakeTheVoterIDOfTheNextProcess(t *testing.T) {
 	g := newGroup(t, 5, 3)
--- a/internal/peers/consensus/leader.go
+++ b/internal/peers/consensus/leader.go
@@ -79,8 +79,8 @@
 	c.proposeAsLeader(append(changes, c.leaseGrants()...))
 }
 
-// beginTerm clears the state of an earlier term of this leader. All members count as heard at this
-// time, so that none is declared lost before FailureTimeout.
+// beginTerm clears the state of an earlier term of this leader. All members count as heard from
+// at this time, so that none is declared lost before FailureTimeout has passed.
 func (c *Participant) beginTerm() {
 	clear(c.lastHeard)
 	clear(c.pendingProposals)
@@ -93,8 +93,8 @@
 	}
 }
 
-// membershipChanges returns the changes that declare members lost which were not heard for
-// FailureTimeout, and that remove lost members which are leaving or no longer in the operator's file.
+// membershipChanges returns the changes that declare each member lost that has not been heard from for
+// FailureTimeout, and that remove lost members that are leaving or no longer in the operator's file.
 func (c *Participant) membershipChanges() (changes []placement.Change) {
 	for _, m := range c.table.Members {
 		at, ok := c.lastHeard[m.Name]
--- a/internal/peers/consensus/logger.go
+++ b/internal/peers/consensus/logger.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // silentLogger discards the log of the Raft library: operators learn of its failures from the errors
-// of Ready and of its decisions from the table. Fatal messages panic, as they report program errors.
+// of Ready and of its decisions from the table. Fatal messages panic, as they report programming errors.
 type silentLogger struct{}
 
 // Debug implements raft.Logger.
--- a/internal/peers/consensus/participant.go
+++ b/internal/peers/consensus/participant.go
@@ -36,7 +36,7 @@
 	LeaseRules   lease.Rules
 	StartedAt    uint64 // when this process started, in Unix seconds
 	// Clock reads the clock that lease times refer to, which also advances while the machine is
-	// suspended. If it is nil, the runner holds no leases.
+	// suspended. If it is nil, the runner requests no leases and may rely on none.
 	Clock func() time.Duration
 }
 
@@ -86,7 +86,7 @@
 // A starting voter does not vote under its previous ID: its disk may be empty or restored from an
 // older copy, and it could contradict votes that it gave before. The other voters replace that ID by
 // a new one. If so many voters are restarting that the rest cannot commit this, the voters with a log
-// resume from it once more than half of all voters are restarting with one. If all voters are
+// resume from it once more than half of all voters are restarting with a log. If all voters are
 // starting and none has a log, they form the group.
 func New(cfg Config, self placement.Member, disk []DurableRecord, now time.Duration) (*Participant, error) {
 	table, err := placement.New(cfg.Slots, cfg.Backups)
@@ -134,7 +134,8 @@
 func (c *Participant) Rejoin(incarnation uint64) { c.self.Incarnation = incarnation }
 
 // OnLeaderConfirmed sets the function that is called once a quorum has confirmed the leader after
-// this runner's heartbeat at askedAt. TableVersion is the version of the leader's table at that time.
+// this runner's heartbeat at askedAt. TableVersion is the version of the leader's table when the leader
+// was confirmed.
 func (c *Participant) OnLeaderConfirmed(fn func(askedAt time.Duration, tableVersion uint64)) {
 	c.leaderConfirmed = fn
 }
@@ -150,7 +151,7 @@
 // continues to grant leases to other members.
 func (c *Participant) StopTakingLeases() { c.self.LeaseNames = nil }
 
-// SetKnownMembers replaces the list of all members in the operator's file.
+// SetKnownMembers replaces Config.KnownMembers.
 func (c *Participant) SetKnownMembers(names []string) { c.cfg.KnownMembers = names }
 
 // SetLeaving proposes that a member gives up all its slots or, if leave is false, stays after all. A
--- a/internal/peers/consensus/participant_test.go
+++ b/internal/peers/consensus/participant_test.go
@@ -123,7 +123,7 @@
 	g.start("n001")
 	restored := g.participants["n001"].Table()
 	if diff := cmp.Diff(want.Slots, restored.Slots); diff != "" && restored.Version == 0 {
-		t.Error(diff)
+		t.Errorf("slots of the restored table differ (-before +after):\n%s", diff)
 	}
 	g.run(3 * time.Second)
 	if got := g.agreedTable(); got.Version < want.Version {
--- a/internal/peers/consensus/storage.go
+++ b/internal/peers/consensus/storage.go
@@ -206,14 +206,14 @@
 }
 
 // applyEntry applies a committed entry to the Raft configuration or to the table. An entry that cannot
-// be decoded, as one written by a newer version, is skipped.
+// be decoded, such as one written by a newer version, is skipped.
 func (c *Participant) applyEntry(e *raftpb.Entry) {
 	c.appliedIndex = e.GetIndex()
 	if e.GetType() == raftpb.EntryConfChange {
 		change := &raftpb.ConfChange{}
 		if proto.Unmarshal(e.GetData(), change) == nil {
 			c.confState = c.rawNode.ApplyConfChange(change)
-			c.snapshotDue = true // a new voter rejects a snapshot whose configuration does not have it
+			c.snapshotDue = true // a new voter rejects a snapshot whose configuration lacks it
 		}
 		return
 	}
--- a/internal/peers/consensus/voter.go
+++ b/internal/peers/consensus/voter.go
@@ -25,7 +25,7 @@
 	// maxVoters bounds the voters of a group.
 	maxVoters = 7
 	// maxVoterIDRequests bounds how often a process requests another voter ID. The count is part of the
-	// ID, so that no ID is requested twice, and has the ID's four highest bits.
+	// ID, in its four highest bits, so that no ID is requested twice.
 	maxVoterIDRequests = 15
 )
 
@@ -74,8 +74,8 @@
 }
 
 // startedWithoutOthers reports whether this voter started without an ID from the other voters and may
-// have taken part in no decision yet (one that formed the group has not voted, one that resumed from
-// its log knows no leader), and whether its disk had a log.
+// not have taken part in a decision yet: a voter that formed the group has not voted, a voter that
+// resumed from its log knows no leader. HasLog tells whether its disk had a log.
 func (c *Participant) startedWithoutOthers() (hasLog, ok bool) {
 	if c.rawNode == nil {
 		return false, false
