--- a/internal/peers/lease/checker_test.go
+++ b/internal/peers/lease/checker_test.go
@@ -55,8 +55,8 @@
 	c.violations = append(c.violations, text)
 }
 
-// observeTable checks that the grants of a table have tokens of their own and are within the bound for
-// each member.
+// observeTable checks that each token was granted only once and that no member holds more leases than
+// it may.
 func (c *checker) observeTable(t *placement.Table) {
 	held := map[string]int{}
 	for i := range t.Leases {
--- a/internal/peers/lease/cluster_test.go
+++ b/internal/peers/lease/cluster_test.go
@@ -283,8 +283,9 @@
 	}
 }
 
-// work does something at random under each held lease: an operation some time later, as by a process
-// that pauses between checking its clock and acting, a handover, or sometimes a release.
+// work draws what the process does under each held lease: it starts an operation that is delayed, as if
+// the process paused between checking its clock and acting, sets a handover, rarely releases the lease,
+// or does nothing.
 func (p *process) work(clock time.Duration) {
 	c := p.cluster
 	for _, g := range p.holder.HeldLeases(clock) {
@@ -315,7 +316,10 @@
 	p.tokens[g.Lease] = g.Token
 	counter, _ := strconv.ParseUint(string(g.Handover), 10, 64) // the first holder has none
 	p.counters[g.Lease] = counter
-	p.cluster.logf("%s: begin %s, token %d, count %d, table %d", p.node.Name, g.Lease, g.Token, counter, p.tableVersion)
+	p.cluster.logf(
+		"%s: begin work under %s, token %d, counter %d, table version %d",
+		p.node.Name, g.Lease, g.Token, counter, p.tableVersion,
+	)
 	p.cluster.checker.observeBegin(p.node.Name, g, counter)
 }
 
--- a/internal/peers/lease/faults_test.go
+++ b/internal/peers/lease/faults_test.go
@@ -63,13 +63,13 @@
 	from, to := seedRange(6)
 	rejected, grants := 0, 0
 	for seed := from; seed < to; seed++ {
-		var day []string
-		log := func(format string, args ...any) { day = append(day, fmt.Sprintf(format, args...)) }
+		var logLines []string
+		log := func(format string, args ...any) { logLines = append(logLines, fmt.Sprintf(format, args...)) }
 		c := simulate(seed, breakage{}, log)
 		if violations := c.checker.violations; len(violations) > 0 {
 			t.Fatalf(
 				"%s\nseed %d: %s\n"+replayHint,
-				strings.Join(day[max(len(day)-maxLogLines, 0):], "\n"),
+				strings.Join(logLines[max(len(logLines)-maxLogLines, 0):], "\n"),
 				seed, strings.Join(violations, "\n"), seed,
 			)
 		}
--- a/internal/peers/lease/granter.go
+++ b/internal/peers/lease/granter.go
@@ -59,9 +59,9 @@
 	return now
 }
 
-// Grants returns the changes that grant the leases without a holder or, if the table lacks it, the one
-// that sets the bootstrap time, which is part of all tokens. AskedAt returns when a member last asked
-// for leases, by its own clock.
+// Grants returns the changes that grant the leases without a holder. While the table has no bootstrap
+// time, which is part of all tokens, it returns only the change that sets it. AskedAt returns when a
+// member last asked for leases, by its own lease clock; 0: not known.
 func (g *Granter) Grants(
 	t *placement.Table,
 	now time.Duration,
--- a/internal/peers/lease/health_checks.go
+++ b/internal/peers/lease/health_checks.go
@@ -152,8 +152,8 @@
 	return reports
 }
 
-// Receive handles a report of another runner. It returns an error for one that is too large, or whose
-// sender has lost the lease.
+// Receive handles a report of another runner. It returns an error if the report is too large, or if
+// its sender has lost the lease.
 func (c *HealthChecks) Receive(report *HealthReport, now time.Duration) error {
 	if len(report.Servers) > maxReportServers {
 		return kindFenced.New("lease: health report has %d servers, limit %d", len(report.Servers), maxReportServers)
--- a/internal/peers/lease/holder.go
+++ b/internal/peers/lease/holder.go
@@ -102,7 +102,7 @@
 	})
 }
 
-// SetTable replaces the table by a newer one, and settles the pending changes that it decides.
+// SetTable replaces the table by a newer one, and finishes the pending changes whose outcome it shows.
 func (h *Holder) SetTable(t *placement.Table) {
 	h.table = t
 	h.applyConfirmations()
@@ -122,7 +122,7 @@
 	}
 }
 
-// outcome reports whether a change was committed, and whether the table settles that yet.
+// outcome reports whether a change was committed, and whether the table shows that yet.
 func (h *Holder) outcome(l *placement.Lease, c *placement.Change) (committed, settled bool) {
 	holds := l != nil && l.Token == c.Token && l.Holder == h.name && l.Incarnation == h.incarnation
 	if holds && l.Seq < c.Epoch {
--- a/internal/peers/lease/snapshot_test.go
+++ b/internal/peers/lease/snapshot_test.go
@@ -25,7 +25,7 @@
 			for last := uint64(0); !done.Load(); {
 				token, ok := s.Holds("d", 5*time.Microsecond)
 				if ok != (token%2 == 1) || token < last {
-					t.Errorf("token %d after %d, held %v, want no decrease, and held if odd", token, last, ok)
+					t.Errorf("Holds() token = %d after %d, ok = %v; want no decrease, and ok if odd", token, last, ok)
 					return
 				}
 				last = token
