--- a/internal/peers/placement/apply_test.go
+++ b/internal/peers/placement/apply_test.go
@@ -105,7 +105,7 @@
 	want.Version++
 	table.Apply(Change{Kind: ChangeJoin, Member: m})
 	if diff := cmp.Diff(want, table); diff != "" {
-		t.Error(diff)
+		t.Errorf("table after the announcement differs (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/peers/placement/change.go
+++ b/internal/peers/placement/change.go
@@ -26,8 +26,8 @@
 	// ChangeJoinV2 is ChangeJoin, except that a delayed message of a process does not take its member
 	// back to an earlier incarnation.
 	ChangeJoinV2
-	// ChangeJoinV3 is ChangeJoinV2, except that a process is not compared with the incarnations of an
-	// earlier process under its name.
+	// ChangeJoinV3 is ChangeJoinV2, except that the incarnation of a process is not compared with those
+	// of an earlier process under its name.
 	ChangeJoinV3
 )
 
--- a/internal/peers/placement/lease.go
+++ b/internal/peers/placement/lease.go
@@ -14,8 +14,8 @@
 	maxExpirations   = 16       // members whose expirations are kept for one lease
 )
 
-// tokenVersionBits is the number of low bits of a token that have the table's version. The bits above
-// them have the bootstrap time.
+// tokenVersionBits is the number of low bits of a token that hold the table's version. The bits above
+// them hold the bootstrap time.
 const tokenVersionBits = 32
 
 // Lease is the right to do a task that only one member does at a time.
@@ -26,11 +26,11 @@
 	// Token is the fencing token of the newest grant. Tokens increase with each grant, across all leases
 	// and successive consensus groups of an installation.
 	Token    uint64 `cbor:"4,keyasint,omitempty"`
-	Handover []byte `cbor:"5,keyasint,omitempty"` // what the holder leaves for the next one
+	Handover []byte `cbor:"5,keyasint,omitempty"` // state that the holder leaves for the next holder
 	// Abrupt is set if the last holder rejoined in another incarnation without having been declared lost,
 	// so that its earlier incarnation may still rely on the lease until it expires.
 	Abrupt bool `cbor:"6,keyasint,omitempty"`
-	// Expirations are the members that lost the lease without releasing it, the newest last.
+	// Expirations count, by member, the losses of the lease without a release, the newest last.
 	Expirations []Expiration `cbor:"7,keyasint,omitempty"`
 	// AskedAt is when the holder asked for the lease before the grant, by its own lease clock; 0: not
 	// known.
@@ -79,8 +79,9 @@
 	return n
 }
 
-// applyLeaseChange applies a change of a lease. A change is ignored if its member does not hold the
-// lease, or if its token or sequence number is outdated.
+// applyLeaseChange applies a change of a lease. A change other than a grant is ignored if its member
+// does not hold the lease, if its token or sequence number is outdated, or if its handover exceeds
+// MaxHandoverBytes.
 func (t *Table) applyLeaseChange(c Change, m *Member) {
 	if c.Kind == ChangeGrantLease {
 		t.grantLease(c, m)
--- a/internal/peers/placement/properties_test.go
+++ b/internal/peers/placement/properties_test.go
@@ -73,7 +73,7 @@
 			}
 		}
 		if diff := cmp.Diff(table, twin); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("tables after the same changes differ (-first +second):\n%s", diff)
 		}
 	})
 }
--- a/internal/peers/placement/spread.go
+++ b/internal/peers/placement/spread.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxImbalance is the difference between the slots, or the primaries, of two members up to which
-// nothing is moved.
+// maxImbalance is the largest difference between the numbers of slots, or of primaries, of two members
+// at which nothing is moved.
 const maxImbalance = 2
 
 // bestReplica returns the member that is to join a slot next, or "" if there is none. In this order it
@@ -148,8 +148,8 @@
 	return counts
 }
 
-// shouldTakeSlot reports whether a member is to join a slot so that a replica leaves it that has more
-// slots than the member by more than maxImbalance.
+// shouldTakeSlot reports whether a member is to join a slot in place of a replica that has more slots
+// than the member by more than maxImbalance.
 func (t *Table) shouldTakeSlot(name string, s *Slot, counts map[string]int) bool {
 	if s.Holds(name) {
 		return false
--- a/internal/peers/placement/spread_test.go
+++ b/internal/peers/placement/spread_test.go
@@ -76,12 +76,12 @@
 		}
 		if len(table.slotCounts()) != tt.runners ||
 			most > 2*tt.slots*(1+tt.backups)/tt.runners+maxImbalance {
-			t.Errorf("%+v: %d members hold from %d to %d slots, want all with about as many",
+			t.Errorf("%+v: %d members hold from %d to %d slots, want all members to hold similar numbers",
 				tt, len(table.slotCounts()), fewest, most)
 		}
 		for name, n := range table.primaryCounts() {
 			if n > 3*tt.slots/tt.runners+maxImbalance+1 {
-				t.Errorf("%+v: %s is the primary of %d slots, more than three times the mean", tt, name, n)
+				t.Errorf("%+v: %s is the primary of %d slots, want at most about three times the mean", tt, name, n)
 			}
 		}
 	}
--- a/internal/peers/placement/table.go
+++ b/internal/peers/placement/table.go
@@ -184,11 +184,11 @@
 // hashRank returns the rank of a member for a slot by rendezvous hashing, which is the same at all
 // runners.
 func hashRank(slot int, name string) uint64 {
-	const goldenGamma = 0x9e3779b97f4a7c15 // of splitmix64: slots one apart differ in all bits
+	const goldenGamma = 0x9e3779b97f4a7c15 // of splitmix64: spreads consecutive numbers over all bits
 	return mix64(fnv64(name) ^ uint64(slot)*goldenGamma)
 }
 
-// Rank returns a hash of a text that is the same at all runners, by which they choose alike among
+// Rank returns a hash of a text that is the same at all runners, so that they make the same choice among
 // several candidates.
 func Rank(text string) uint64 { return mix64(fnv64(text)) }
 
