--- a/internal/peers/node/disk.go
+++ b/internal/peers/node/disk.go
@@ -52,7 +52,7 @@
 	newestTable *placement.Table // the table of the last enqueued output
 	writing     bool             // a record is being written, or waits for its retry
 	failedSince time.Duration    // when writing began to fail; 0: it does not fail
-	nextSlot    int              // the slot that was last considered for saving
+	slotCursor  int              // the slot that was last considered for saving
 	savedAt     []time.Duration  // when each slot was last saved
 	saving      bool             // a slot is being saved
 }
@@ -152,12 +152,12 @@
 	for len(d.savedAt) < slots {
 		d.savedAt = append(d.savedAt, now)
 	}
-	d.nextSlot = (d.nextSlot + 1) % slots
-	if now-d.savedAt[d.nextSlot] < slotSaveInterval {
+	d.slotCursor = (d.slotCursor + 1) % slots
+	if now-d.savedAt[d.slotCursor] < slotSaveInterval {
 		return
 	}
-	d.savedAt[d.nextSlot] = now
-	snapshot := d.node.replica.SnapshotSlot(d.nextSlot, now)
+	d.savedAt[d.slotCursor] = now
+	snapshot := d.node.replica.SnapshotSlot(d.slotCursor, now)
 	if snapshot == nil {
 		return
 	}
--- a/internal/peers/node/errors.go
+++ b/internal/peers/node/errors.go
@@ -6,18 +6,18 @@
 var (
 	kindReplacement = fault.Define(
 		"peers.invalid_replacement",
-		"The runner that is to replace another one is no member, or is leaving itself.",
-		"Add it to all files and start it first, or name another one.",
+		"The runner named as the replacement is not a member, or is itself leaving.",
+		"Add that runner to every operator's file and start it first, or name another runner.",
 	)
 	kindDiskTimeout = fault.Define(
 		"peers.disk_timeout",
-		"The disk of the keys did not store a result in time; other runners have it.",
-		"Check the disk; the result is not lost, and retries get it.",
+		"The local disk did not store the result of a run in time; other runners have the result.",
+		"Check the disk; the result is not lost, and retries of the request receive it.",
 	)
 	kindDiskClose = fault.Define(
 		"peers.close_timeout",
-		"The peers' folder did not answer as the program stopped.",
-		"Check its disk; what is stored counts at the next start, and the others send the rest.",
+		"The disk of the peers' folder did not respond in time while the runner was stopping.",
+		"Check the disk; the next start uses what it has stored, and the other runners send the rest.",
 	)
 )
 
--- a/internal/peers/node/leases.go
+++ b/internal/peers/node/leases.go
@@ -24,8 +24,8 @@
 const reportTicks = 10
 
 // BootTime returns the time since the machine booted, including the time for which it was suspended,
-// in whole microseconds. It is the clock of leases. If the clock cannot be read, BootTime returns 0
-// and the runner is granted no leases.
+// in whole microseconds. It is the clock of leases. If the clock cannot be read, BootTime returns 0,
+// with which the runner requests no leases.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -159,7 +159,7 @@
 	Token         uint64 `json:"token,omitempty"`
 	HeldHere      bool   `json:"here,omitempty"`        // this runner may rely on the lease now
 	RemainingMs   int64  `json:"left_ms,omitempty"`     // for which this runner may rely on it, if it does
-	Expirations   int    `json:"lapses,omitempty"`      // members that lost the lease without releasing it
+	Expirations   int    `json:"lapses,omitempty"`      // number of members that lost the lease without releasing it
 	HandoverBytes int    `json:"check_bytes,omitempty"` // size of the handover for the next holder
 }
 
--- a/internal/peers/node/node.go
+++ b/internal/peers/node/node.go
@@ -56,7 +56,8 @@
 type UsageReplicas interface {
 	Receive(m *usagereplica.Message)
 	SetTable(t *placement.Table, incarnation uint64)
-	// Replicate records the usage of an ended run, and calls done on the loop once others have it.
+	// Replicate records the usage of an ended run, and calls done on the loop once other runners
+	// have it.
 	Replicate(k lifecycle.KeyRecord, done func(error))
 }
 
@@ -87,7 +88,7 @@
 	ticks          int
 }
 
-// Start opens the disk and listens for peers. The node does not take part before Run.
+// Start opens the disk and listens for peers. The node's periodic work starts with Run.
 func Start(loop *eventloop.Loop, cfg Config) (*Node, error) {
 	n := &Node{cfg: cfg, loop: loop}
 	var log []consensus.DurableRecord
@@ -158,7 +159,7 @@
 // Transport returns the links to other runners.
 func (n *Node) Transport() *link.Transport { return n.transport }
 
-// Run makes the node take part. Records of other runners are passed to keys.
+// Run starts the periodic work of the node. Records of other runners are passed to keys.
 func (n *Node) Run(keys KeyTable) {
 	n.keys = keys
 	n.loop.Every(tickInterval, n.tick)
@@ -295,8 +296,8 @@
 	}
 }
 
-// SetMembers replaces the peers and the names of all members in the operator's file. The voters remain
-// those at the start.
+// SetMembers replaces the peers and the names of all members by those of a newer operator's file. The
+// voters remain those at the start.
 func (n *Node) SetMembers(peers []link.Peer, known []string) {
 	n.transport.SetPeers(peers)
 	n.consensus.SetKnownMembers(known)
@@ -309,15 +310,15 @@
 	return err
 }
 
-// Replace proposes that member old gives up all its slots, after checking that member by is there to
-// take them over.
-func (n *Node) Replace(old, by string) error {
-	m := n.consensus.Table().Member(by)
+// Replace proposes that member old gives up all its slots, after checking that replacement is a member
+// that can take over slots.
+func (n *Node) Replace(old, replacement string) error {
+	m := n.consensus.Table().Member(replacement)
 	switch {
 	case m == nil || m.Incarnation == 0:
-		return kindReplacement.New("%s is not a member: add it to all files and start it first", by)
-	case m.Leaving || old == by:
-		return kindReplacement.New("%s is leaving itself", by)
+		return kindReplacement.New("%s is not a member: add it to every operator's file and start it", replacement)
+	case m.Leaving || old == replacement:
+		return kindReplacement.New("%s is itself leaving", replacement)
 	}
 	return n.SetLeaving(old, true)
 }
--- a/internal/peers/node/status.go
+++ b/internal/peers/node/status.go
@@ -68,8 +68,8 @@
 	return ""
 }
 
-// ownerName returns the name of the runner whose process owns a record, or a text that says that the
-// process is no member's any more.
+// ownerName returns the name of the runner whose process owns a record, or a text saying that the
+// process no longer belongs to a member.
 func ownerName(t *placement.Table, record *store.Record) string {
 	owner := "a process that is gone"
 	for _, m := range t.Members {
