--- a/internal/telemetry/explain/request_log.go
+++ b/internal/telemetry/explain/request_log.go
@@ -1,10 +1,10 @@
 // Package explain keeps recent requests in bounded memory, with their statuses and causes, for queries
 // by the control command "explain". It does no I/O.
 //
-// It is a stratified sample with a stratum for each class and status. Once the memory is full, the
-// stratum that is furthest over its part drops its oldest entry, so that a flood of
-// one kind drops its own entries. Rarer and worse outcomes have a larger part. Of a flood of served
-// requests only a sample is remembered, and the others are counted.
+// The log is a stratified sample with one stratum for each class and status. When it is full, the
+// stratum with the most entries for its weight drops its oldest entry, so that a flood of requests of
+// one class and status displaces only its own entries. Rarer and worse outcomes have a larger weight.
+// At a high rate of served requests only a random sample of them is stored, and the others are counted.
 package explain
 
 import (
@@ -18,55 +18,57 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Entry is one request. Its texts are cut to maxTextBytes.
+// Entry is a request in the log. Its strings are truncated to maxTextBytes.
 type Entry struct {
 	lifecycle.Trace
-	Seq        uint64 // in the order of answers
-	Represents int    // requests of its stratum for which it stands, itself and those skipped before it
+	Seq        uint64 // sequence number from 1, in the order in which the stored requests were answered
+	Represents int    // requests of its stratum that it represents: itself and those skipped before it
 }
 
-// MaxEntryBytes is the most memory that an entry takes, with all its texts and its place.
+// MaxEntryBytes bounds the memory of an entry, with its strings and its pointer in the stratum.
 const MaxEntryBytes = 900
 
 const (
 	maxTextBytes = 64
-	// Weights of the part of the memory that a stratum has beside others.
+	// Factors of the weight of a stratum, which is 1 without them. Strata share the memory in proportion
+	// to their weights.
 	notServedWeight = 4.0
-	keyedWeight     = 2.0 // of classes whose requests have effects
-	// maxServedPerSecond bounds the served requests of a class that are remembered in a second.
+	keyedWeight     = 2.0 // for classes whose requests have idempotency keys, and so side effects
+	// maxServedPerSecond is the rate to which sampling reduces the stored requests of a class that were
+	// served. Rates below twice this are not sampled.
 	maxServedPerSecond = 100
-	// defaultLimit is the most entries that a query without a limit returns.
+	// defaultLimit is the maximum number of entries that a query without a limit returns.
 	defaultLimit = 20
 	// maxSpareEntries is the unused capacity of a stratum, beyond twice its length, that is not freed.
 	maxSpareEntries = 64
-	// randomStream is the second seed of the sampling.
+	// randomStream is the second seed of the random generator that samples.
 	randomStream = 5
 )
 
-// stratumKey names a stratum.
+// stratumKey identifies a stratum.
 type stratumKey struct {
 	class  int
 	status lifecycle.Status
 }
 
-// stratum is the entries of a class and status, the oldest first.
+// stratum holds the entries of a class and status, oldest first.
 type stratum struct {
 	stratumKey
 	entries []*Entry
 	weight  float64
-	added   uint64
-	skipped int // requests since the last that was remembered
+	added   uint64 // requests since the start, including those that were not stored
+	skipped int    // requests since the last one that was stored
 	rate    rateMeter
 }
 
-// rateMeter counts events by seconds.
+// rateMeter counts events in windows of one second.
 type rateMeter struct {
-	since    wallclock.UnixMicro // begin of the second that is counted
-	count    int                 // events in it
-	previous int                 // events in the second before
+	since    wallclock.UnixMicro // start of the current window
+	count    int                 // events in the current window
+	previous int                 // events in the window before it
 }
 
-// add counts an event, and returns the higher of the counts of this second and the one before.
+// add counts an event, and returns the higher of the counts of the current and the previous window.
 func (m *rateMeter) add(now wallclock.UnixMicro) int {
 	elapsed := now.Sub(m.since)
 	clockSetBack := elapsed < 0
@@ -82,19 +84,19 @@
 	return max(m.previous, m.count)
 }
 
-// RequestLog is the requests that are remembered. It is used by one goroutine.
+// RequestLog is a log of answered requests. It is not safe for concurrent use.
 type RequestLog struct {
 	capacity int
 	keyed    func(class int) bool
 	rand     *rand.Rand
 	strata   map[stratumKey]*stratum
-	order    []*stratum // as they came, so that what is dropped is the same each time
+	order    []*stratum // in the order of their creation, so that the choice of a stratum to drop from is deterministic
 	len      int
 	lastSeq  uint64
 }
 
-// New returns a log that takes at most a number of bytes. keyed reports whether a class has requests
-// with idempotency keys.
+// New returns a log that takes at most maxBytes but holds at least one entry. keyed reports whether a
+// class has requests with idempotency keys, and seed is that of the sampling.
 func New(maxBytes int, keyed func(class int) bool, seed uint64) *RequestLog {
 	return &RequestLog{
 		capacity: max(maxBytes/MaxEntryBytes, 1),
@@ -104,13 +106,13 @@
 	}
 }
 
-// Capacity returns how many entries there is room for.
+// Capacity returns the maximum number of entries.
 func (r *RequestLog) Capacity() int { return r.capacity }
 
-// Len returns how many entries there are.
+// Len returns the number of entries.
 func (r *RequestLog) Len() int { return r.len }
 
-// Add takes a request that was answered now.
+// Add adds a request that was answered at now. At a high rate, sampling may skip a served request.
 func (r *RequestLog) Add(t *lifecycle.Trace, now wallclock.UnixMicro) {
 	s := r.stratum(stratumKey{t.Class, t.Status})
 	s.added++
@@ -128,7 +130,7 @@
 	}
 }
 
-// stratum returns the stratum of a key, which it adds if there is none.
+// stratum returns the stratum of a key, and creates it if it does not exist.
 func (r *RequestLog) stratum(key stratumKey) *stratum {
 	s := r.strata[key]
 	if s == nil {
@@ -139,7 +141,7 @@
 	return s
 }
 
-// weight returns the part of the memory that a stratum has beside others.
+// weight returns the weight of a stratum, in proportion to which strata share the memory.
 func (r *RequestLog) weight(key stratumKey) float64 {
 	weight := 1.0
 	if key.status != lifecycle.Served {
@@ -151,7 +153,7 @@
 	return weight
 }
 
-// skips reports whether a served request is not remembered, at a rate in requests a second.
+// skips decides at random whether a served request is not stored, at a rate in requests per second.
 func (r *RequestLog) skips(rate int) bool {
 	n := rate / maxServedPerSecond
 	return n > 1 && r.rand.IntN(n) > 0
@@ -166,11 +168,11 @@
 	return e
 }
 
-// truncateText bounds a text, and copies it: a substring of a received packet would keep all of the
-// packet in memory.
+// truncateText returns a copy of the first maxTextBytes of s. It copies because a substring would keep
+// the whole received packet in memory.
 func truncateText(s string) string { return strings.Clone(s[:min(len(s), maxTextBytes)]) }
 
-// dropOldest drops the oldest entry of the stratum that is furthest over its part.
+// dropOldest drops the oldest entry of the stratum with the most entries for its weight.
 func (r *RequestLog) dropOldest() {
 	var worst *stratum
 	highest := 0.0
@@ -185,7 +187,7 @@
 	r.len--
 }
 
-// dropFirst drops the oldest entry, and frees memory once much of it is unused.
+// dropFirst drops the oldest entry, and frees the unused capacity of the slice once it is large.
 func (s *stratum) dropFirst() {
 	s.entries[0] = nil
 	s.entries = s.entries[1:]
@@ -194,15 +196,15 @@
 	}
 }
 
-// Query says which requests to find. A field with its zero value selects nothing, but for Class.
+// Query selects requests. A field with its zero value matches all requests, except Class.
 type Query struct {
 	ID, Key   string
 	Class     int // -1: any
 	Status    lifecycle.Status
 	NotServed bool
 	Cause     lifecycle.Cause
-	From, To  wallclock.UnixMicro // bounds of the time of the answer
-	Limit     int                 // most entries; 0: defaultLimit
+	From, To  wallclock.UnixMicro // bounds of the time of the answer, inclusive
+	Limit     int                 // maximum number of entries; 0: defaultLimit
 }
 
 func (q *Query) matches(e *Entry) bool {
@@ -221,8 +223,8 @@
 	return true
 }
 
-// Find returns the newest of the requests that match, the newest first. A query by ID finds the
-// duplicates of that request as well, and all requests that had the ID.
+// Find returns the newest requests that match, newest first. A query by ID finds all requests with that
+// ID, and the duplicates of the request with that ID.
 func (r *RequestLog) Find(q Query) []*Entry {
 	limit := cmp.Or(q.Limit, defaultLimit)
 	var found []*Entry
@@ -233,7 +235,7 @@
 	return found[:min(len(found), limit)]
 }
 
-// newest returns the newest entries that match, up to a limit.
+// newest returns the newest entries that match, newest first and up to a limit.
 func (s *stratum) newest(q *Query, limit int) (found []*Entry) {
 	for _, e := range slices.Backward(s.entries) {
 		if len(found) == limit {
@@ -246,15 +248,15 @@
 	return found
 }
 
-// Stratum is what is known of a class and a status.
+// Stratum has the numbers of requests of a class and status.
 type Stratum struct {
 	Class    int
 	Status   lifecycle.Status
 	Added    uint64 // requests since the start
-	Retained int    // those of them that are remembered
+	Retained int    // entries in the log
 }
 
-// Strata returns all strata, by class and status.
+// Strata returns all strata, ordered by class and status.
 func (r *RequestLog) Strata() (out []Stratum) {
 	for _, s := range r.order {
 		out = append(out, Stratum{s.class, s.status, s.added, len(s.entries)})
--- a/internal/telemetry/explain/request_log_test.go
+++ b/internal/telemetry/explain/request_log_test.go
@@ -26,12 +26,13 @@
 	}
 }
 
-// A flood of ten times the capacity leaves the last 100 rejected hand-ins.
+// A flood of ten times the capacity, of other requests, does not displace the 100 newest rejected requests
+// of a class with idempotency keys.
 func TestFloodLeavesRareRequests(t *testing.T) {
 	r := New(1000*MaxEntryBytes, keyed, 1)
 	now := wallclock.UnixMicro(1)
 	for n := range 10 * r.Capacity() {
-		now += 10 // 100,000 a second
+		now += 10 // 100,000 per second
 		r.Add(trace(n, check, lifecycle.Served), now)
 		if n%5 == 0 {
 			r.Add(trace(n, check, lifecycle.Rejected), now)
@@ -41,55 +42,55 @@
 		}
 	}
 	if r.Len() > r.Capacity() {
-		t.Errorf("%d entries of %d", r.Len(), r.Capacity())
+		t.Errorf("Len() = %d, want at most %d", r.Len(), r.Capacity())
 	}
 	got := r.Find(Query{Class: handIn, Status: lifecycle.Rejected, Limit: 100})
 	if len(got) != 100 {
-		t.Fatalf("%d rejected hand-ins are found", len(got))
+		t.Fatalf("Find() returned %d rejected requests of class hand-in, want 100", len(got))
 	}
 	for i, e := range got {
 		if want := 10*r.Capacity() - 50*(i+1); e.AnsweredAt != wallclock.UnixMicro(want) {
-			t.Fatalf("number %d is %d, want %d", i, e.AnsweredAt, want)
+			t.Fatalf("entry %d was answered at %d, want %d", i, e.AnsweredAt, want)
 		}
 	}
 	served := r.Find(Query{Class: check, Status: lifecycle.Served, Limit: 1})
 	if len(served) != 1 || served[0].Represents < 2 {
-		t.Errorf("of a flood of served requests: %+v", served)
+		t.Errorf("Find() after a flood of served requests = %+v, want 1 entry that represents at least 2", served)
 	}
 	for _, s := range r.Strata() {
 		if s.Class == check && s.Status == lifecycle.Served && s.Added != uint64(10*r.Capacity()) {
-			t.Errorf("%d are counted", s.Added)
+			t.Errorf("Added of the served requests = %d, want 10 times the capacity", s.Added)
 		}
 	}
 }
 
-// Whatever comes, the log keeps to its bound and finds the newest request, and a status with few
-// entries loses none to one with many.
+// For any sequence of requests the log stays within its capacity and finds the newest request: a status
+// with few entries loses none to a status with many.
 func TestLogIsBoundedAndFindsNewest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := New(rapid.IntRange(0, 60).Draw(rt, "most")*MaxEntryBytes, keyed, 1)
+		r := New(rapid.IntRange(0, 60).Draw(rt, "capacity")*MaxEntryBytes, keyed, 1)
 		now := wallclock.UnixMicro(1)
 		for n := range 300 {
-			now += wallclock.UnixMicro(rapid.Int64Range(-2_000_000, 2_000_000).Draw(rt, "step")) // clocks do that
+			now += wallclock.UnixMicro(rapid.Int64Range(-2_000_000, 2_000_000).Draw(rt, "step")) // may go back
 			tr := trace(
 				n,
 				rapid.IntRange(0, 1).Draw(rt, "class"),
-				lifecycle.Status(rapid.IntRange(0, 3).Draw(rt, "kind")),
+				lifecycle.Status(rapid.IntRange(0, 3).Draw(rt, "status")),
 			)
 			r.Add(tr, now)
 			if r.Len() > r.Capacity() {
-				rt.Fatalf("%d of %d", r.Len(), r.Capacity())
+				rt.Fatalf("Len() = %d, want at most %d", r.Len(), r.Capacity())
 			}
 			if got := r.Find(Query{ID: tr.ID, Class: -1}); tr.Status != lifecycle.Served &&
 				r.Capacity() > 8 &&
 				len(got) != 1 {
-				rt.Fatalf("the newest is found %d times", len(got))
+				rt.Fatalf("Find() by the newest ID returned %d entries, want 1", len(got))
 			}
 		}
 	})
 }
 
-// A query by ID finds all requests that had it, and the duplicates of the first.
+// A query by ID finds all requests with that ID, and the duplicates of the request with that ID.
 func TestFindSelectsByQuery(t *testing.T) {
 	r := New(100*MaxEntryBytes, keyed, 1)
 	for n := range 3 {
@@ -112,12 +113,12 @@
 		{Query{Class: -1, Limit: 1}, 1},
 	} {
 		if got := r.Find(c.q); len(got) != c.want {
-			t.Errorf("%+v: %d", c.q, len(got))
+			t.Errorf("Find(%+v) returned %d entries, want %d", c.q, len(got), c.want)
 		}
 	}
 }
 
-// An entry at its largest takes no more memory than its bound.
+// An entry of the largest size takes at most MaxEntryBytes of memory.
 func TestEntryIsWithinMaxEntryBytes(t *testing.T) {
 	const n = 5000
 	r := New(n*MaxEntryBytes, keyed, 1)
@@ -136,7 +137,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if used := int64(after.HeapAlloc) - int64(before.HeapAlloc); used > n*MaxEntryBytes {
-		t.Errorf("%d bytes an entry, %d are allowed", used/n, MaxEntryBytes)
+		t.Errorf("an entry takes %d bytes, want at most %d", used/n, MaxEntryBytes)
 	}
 	runtime.KeepAlive(r)
 }
