--- a/internal/telemetry/logging/event.go
+++ b/internal/telemetry/logging/event.go
@@ -12,10 +12,10 @@
 	"ryepaddle/internal/fault"
 )
 
-// defaultRateLimit is the number of lines of an event that are written in a second.
+// defaultRateLimit is the maximum number of lines of an event that are written per second.
 const defaultRateLimit = 10
 
-// Event is a kind of log line. Its name and those of its fields are stable: operators search for them.
+// Event is a type of log line. Its name and those of its fields are stable: operators search for them.
 // docs/on-call.md lists all events.
 type Event struct {
 	Name   string // AREA.WHAT
@@ -23,26 +23,27 @@
 	Fields []string
 
 	area      *slog.LevelVar
-	rateLimit int // lines in a second
+	rateLimit int // lines per second
 
 	mu         sync.Mutex
-	since      time.Time // begin of the second that is counted
-	passed     int       // lines in it
-	suppressed int64     // lines that were not written, and not reported yet
+	since      time.Time // start of the current window of one second
+	count      int       // lines in it, including suppressed ones
+	suppressed int64     // lines that were suppressed and not reported yet
 }
 
-// SetRateLimit sets how many lines are written in a second, in place of defaultRateLimit. Further ones
-// are suppressed and counted.
+// SetRateLimit sets the maximum number of lines per second, which is defaultRateLimit otherwise. Further
+// lines are suppressed and counted.
 func (e *Event) SetRateLimit(linesPerSecond int) *Event {
 	e.rateLimit = linesPerSecond
 	return e
 }
 
-// Enabled reports whether the event is logged at the level of its area, for values that are costly to
-// get.
+// Enabled reports whether the event is logged at the level of its area. A caller checks it before it
+// computes values that are expensive.
 func (e *Event) Enabled() bool { return e.Level >= e.area.Level() }
 
-// Log writes a line, with a value for each field. Any goroutine may call it; it does not wait.
+// Log writes a line with a value for each field. It is safe for concurrent use, and does not wait for the
+// reader of the log once Start was called.
 func (e *Event) Log(values ...any) {
 	if !e.Enabled() {
 		return
@@ -57,26 +58,26 @@
 	}
 }
 
-// allow counts a line, and reports whether it is within the rate limit. suppressed is the number of
-// lines before this second that were not, if that was not reported yet.
+// allow counts a line, and reports whether it is within the rate limit. When it begins a new window,
+// suppressed is the number of earlier lines that were suppressed and not reported yet.
 func (e *Event) allow(now time.Time) (suppressed int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now.Sub(e.since) >= time.Second {
 		suppressed = e.suppressed
 		e.since = now
-		e.passed = 0
+		e.count = 0
 		e.suppressed = 0
 	}
-	e.passed++
-	if e.passed > e.rateLimit {
+	e.count++
+	if e.count > e.rateLimit {
 		e.suppressed++
 		return suppressed, false
 	}
 	return suppressed, true
 }
 
-// takeSuppressed returns how many lines were suppressed that were not reported yet.
+// takeSuppressed returns the number of suppressed lines that were not reported yet, and resets it.
 func (e *Event) takeSuppressed() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,8 +86,8 @@
 	return n
 }
 
-// ReportSuppressed logs how many lines of each event were suppressed. Without it that is logged with
-// the next line of the event, which may never come.
+// ReportSuppressed logs how many lines of each event were suppressed. Without it the number is logged
+// with the next line of the event, and there may be none.
 func ReportSuppressed() {
 	now := time.Now()
 	for _, e := range Events() {
@@ -104,8 +105,8 @@
 	_ = (*output.Load()).Handle(context.Background(), r) // there is nowhere to report it
 }
 
-// attrs returns the values under the names of their fields. With an error of a kind, the kind and its
-// remedy follow.
+// attrs returns the values under the names of their fields. If one is an error with a fault.Kind, the
+// name of the kind and its remedy follow.
 func (e *Event) attrs(values []any) []slog.Attr {
 	out := make([]slog.Attr, len(values))
 	var kind *fault.Error
@@ -121,7 +122,7 @@
 	return out
 }
 
-// surplusField is the name of a value for which an event has no field.
+// surplusField is the key of values that are beyond the fields of an event.
 const surplusField = "surplus"
 
 // fieldName returns the name of the field at an index.
@@ -132,7 +133,8 @@
 	return surplusField
 }
 
-// printable returns the text of a value that has one, unless the handler knows how to write it.
+// printable returns the text of a fmt.Stringer, unless the handler can format it itself, and other values
+// unchanged.
 func printable(v any) any {
 	switch x := v.(type) {
 	case error, encoding.TextMarshaler, slog.LogValuer:
@@ -142,7 +144,7 @@
 	return v
 }
 
-// FormatLine returns the event on one line, for programs that write to no log.
+// FormatLine returns the event as one line of text, for programs without a log.
 func (e *Event) FormatLine(values ...any) string {
 	var b strings.Builder
 	b.WriteString(e.Name)
--- a/internal/telemetry/logging/logging_test.go
+++ b/internal/telemetry/logging/logging_test.go
@@ -16,7 +16,7 @@
 
 var (
 	eventBad = Define("test.bad", slog.LevelWarn, "peer", "state")
-	// of a test with a clock of its own
+	// eventPlain is logged only by TestLinesHaveTheFormat, which has a synctest clock of its own.
 	eventPlain = Define("test.plain", slog.LevelWarn, "peer", "state")
 	eventQuiet = Define("test.quiet", slog.LevelDebug)
 )
@@ -26,9 +26,9 @@
 func (state) String() string { return "in service" }
 
 func logged(t *testing.T, format string, do func()) string {
-	// the clock of the test before may have been a later one
+	// An earlier test may have had a clock that was ahead of this one.
 	for _, e := range []*Event{eventBad, eventPlain} {
-		e.since, e.passed, e.suppressed = time.Time{}, 0, 0
+		e.since, e.count, e.suppressed = time.Time{}, 0, 0
 	}
 	var out bytes.Buffer
 	setOutput(newHandler(&out, format))
@@ -37,7 +37,8 @@
 	return out.String()
 }
 
-// A client that repeats a bad request as soon as it is rejected does not flood the log.
+// A client that repeats a bad request as soon as it is rejected does not flood the log: lines beyond the
+// rate limit of an event are suppressed, and their number is logged once.
 func TestFloodOfLinesIsSuppressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := logged(t, FormatText, func() {
@@ -52,14 +53,14 @@
 			ReportSuppressed()
 		})
 		if n := strings.Count(out, "event=test.bad peer=1 state=2\n"); n != 20 {
-			t.Errorf("%d lines", n)
+			t.Errorf("%d lines of test.bad, want 20", n)
 		}
 		for _, want := range []string{
 			"event=log.suppressed of=test.bad lines=90\n",
 			"event=log.suppressed of=test.bad lines=5\n",
 		} {
 			if strings.Count(out, want) != 1 {
-				t.Errorf("%q is not logged once:\n%s", want, out)
+				t.Errorf("want %q once in the log:\n%s", want, out)
 			}
 		}
 	})
@@ -79,12 +80,12 @@
 				func() { eventPlain.Log(netip.MustParseAddrPort("127.0.0.1:80"), state(1)) },
 			)
 			if diff := cmp.Diff(want, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("log line (-want +got)\n%s", diff)
 			}
 		}
 	})
 	if got := eventBad.FormatLine("x", state(1)); got != "test.bad peer=x state=in service" {
-		t.Error(got)
+		t.Errorf("FormatLine() = %q, want the name and both fields", got)
 	}
 }
 
@@ -103,16 +104,17 @@
 	} {
 		l, err := ParseLevels(strings.Fields(c.words))
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s: %v", c.words, err)
+			t.Errorf("ParseLevels(%q) = %v, want the error %q", c.words, err, c.err)
 		}
 		SetLevels(l)
 		if eventBad.Enabled() != c.bad || eventQuiet.Enabled() != c.quiet {
-			t.Errorf("%s: %v", c.words, Levels())
+			t.Errorf("levels after %q = %v, want test.bad enabled %t and test.quiet enabled %t",
+				c.words, Levels(), c.bad, c.quiet)
 		}
 	}
 }
 
-// A reader of the log that stands still does not hold up the program.
+// A reader of the log that does not read does not block the program.
 func TestWriterDoesNotWaitForItsReader(t *testing.T) {
 	r, w := io.Pipe() // nobody reads
 	defer r.Close()
@@ -127,12 +129,12 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("writing waits")
+		t.Fatal("Write() waits for a reader that does not read")
 	}
-	if n := len(l.lines); n < maxQueuedLines-1 { // one may be in hand
-		t.Errorf("%d lines wait, and nothing was read", n)
+	if n := len(l.lines); n < maxQueuedLines-1 { // run may have taken one
+		t.Errorf("%d lines are queued though nothing was read, want at least maxQueuedLines - 1", n)
 	}
-	// Once it reads, it learns how many lines were dropped.
+	// Once the reader reads, it is told how many lines were dropped.
 	go l.Close()
 	text, buf := "", make([]byte, 1000)
 	for !strings.Contains(text, "event=log.dropped lines=") {
--- a/internal/telemetry/logging/registry.go
+++ b/internal/telemetry/logging/registry.go
@@ -16,8 +16,8 @@
 	areas  map[string]*slog.LevelVar
 }{events: map[string]*Event{}, areas: map[string]*slog.LevelVar{}}
 
-// Define defines an event, for a variable of the package that logs it. It panics for a name that is
-// taken.
+// Define registers an event. The package that logs the event keeps it in a package-level variable.
+// Define panics if the name is taken.
 func Define(name string, level slog.Level, fields ...string) *Event {
 	registry.Lock()
 	defer registry.Unlock()
@@ -43,7 +43,7 @@
 	)
 }
 
-// allAreas names, in SetLevels and ParseLevels, the areas that have no level of their own there.
+// allAreas stands for all areas that are not named in the argument of SetLevels or ParseLevels.
 const allAreas = "all"
 
 // Levels returns the levels of the areas.
--- a/internal/telemetry/logging/writer.go
+++ b/internal/telemetry/logging/writer.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait to be written. Further ones are dropped and counted.
+	// maxQueuedLines bounds the lines that wait to be written. Further lines are dropped and counted.
 	maxQueuedLines = 512
 	closeTimeout   = time.Second
-	// allLevels is below all levels: the areas decide.
+	// allLevels is below all levels, so that handlers pass every line: Event.Log checks the level.
 	allLevels = slog.Level(-100)
 )
 
-// output is where events are written.
+// output is the handler that writes events.
 var output atomic.Pointer[slog.Handler]
 
 func init() { setOutput(newHandler(os.Stderr, FormatText)) }
@@ -53,13 +53,13 @@
 
 // Writer passes lines to a slow reader without waiting for it.
 type Writer struct {
-	lines   chan []byte // nil is the end
+	lines   chan []byte // a nil line stops run
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// Start begins to write events to w in a format, on a goroutine of its own. Until then they are written
-// to the standard error output.
+// Start begins to write events to w in a format, on a goroutine of its own. Until then events are
+// written to the standard error output.
 func Start(w io.Writer, format string) *Writer {
 	l := newWriter(w, newHandler(w, format))
 	setOutput(newHandler(l, format))
@@ -71,15 +71,15 @@
 
 var eventDropped = Define("log.dropped", slog.LevelWarn, "lines")
 
-// newWriter begins to write to w. It logs through direct, which writes to w itself, how many lines were
-// dropped.
+// newWriter starts a goroutine that writes to w. It logs how many lines were dropped through direct, a
+// handler that writes to w without the queue.
 func newWriter(w io.Writer, direct slog.Handler) *Writer {
 	l := &Writer{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go l.run(w, direct)
 	return l
 }
 
-// run writes lines until the end.
+// run writes queued lines until it receives a nil line.
 func (l *Writer) run(w io.Writer, direct slog.Handler) {
 	defer close(l.done)
 	for line := range l.lines {
@@ -105,7 +105,7 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, unless that takes longer than a second.
+// Close writes the queued lines, but gives up after closeTimeout.
 func (l *Writer) Close() {
 	ReportSuppressed()
 	timeout := time.After(closeTimeout)
--- a/internal/telemetry/metrics/metrics.go
+++ b/internal/telemetry/metrics/metrics.go
@@ -18,10 +18,10 @@
 	Name, Help string
 	Labels     map[string]string
 	Value      float64
-	Monotonic  bool // it is a counter, and no gauge
+	Monotonic  bool // true: a counter; false: a gauge
 }
 
-// Metrics are the metrics of one program. They are used on the event loop.
+// Metrics holds the metrics of one program. It is used only on the event loop.
 type Metrics struct {
 	registry *prometheus.Registry
 	latency  *prometheus.HistogramVec
@@ -34,7 +34,7 @@
 	samples     func() []Sample
 }
 
-// latencyBuckets are bounds in seconds, from a few milliseconds to the longest deadlines.
+// latencyBuckets are upper bounds in seconds, from a few milliseconds to the longest deadlines.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2, 4, 8, 16}
 
 // New returns the metrics of a program. className names a class by its index, and samples returns the
@@ -78,7 +78,7 @@
 	return m
 }
 
-// Observe counts a request that was answered. Its ID goes with the latency as an exemplar.
+// Observe counts a request that was answered, with its ID as the exemplar of its latencies.
 func (m *Metrics) Observe(t *lifecycle.Trace) {
 	class := m.className(t.Class)
 	status := m.statusNames[t.Status]
@@ -92,11 +92,11 @@
 	m.attempts.WithLabelValues(class).Add(float64(t.AttemptCount))
 }
 
-// maxExemplarID is the length in bytes that the OpenMetrics format allows for the ID of an exemplar, in
-// addition to the name of its label.
+// maxExemplarID is the length in bytes up to which the ID of a request is used as an exemplar. OpenMetrics
+// limits the label names and values of an exemplar to 128 characters in all.
 const maxExemplarID = 120
 
-// observe adds a latency to a histogram. One that is negative, as the clock was set back, counts as 0.
+// observe adds a latency to a histogram. A negative latency counts as 0: the clock was set back.
 func observe(o prometheus.Observer, latency time.Duration, id string) {
 	seconds := float64(max(latency, 0).Microseconds()) / 1e6
 	if e, ok := o.(prometheus.ExemplarObserver); ok && id != "" && len(id) <= maxExemplarID {
@@ -109,7 +109,8 @@
 // sampleCollector collects the samples at each scrape.
 type sampleCollector struct{ metrics *Metrics }
 
-// Describe implements prometheus.Collector. It describes nothing, as samples differ between scrapes.
+// Describe implements prometheus.Collector. It sends no descriptors, because samples differ between
+// scrapes.
 func (sampleCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -128,8 +129,8 @@
 	}
 }
 
-// Text returns all metrics in the OpenMetrics format. The error is that of a sample that does not fit
-// the others.
+// Text returns all metrics in the OpenMetrics format. It fails if a sample is inconsistent with the
+// others, such as one with the same name and labels.
 func (m *Metrics) Text() (string, error) {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/telemetry/metrics/metrics_test.go
+++ b/internal/telemetry/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 )
 
 // A request that was answered is in all metrics of its class and status, with its ID as an exemplar; a
-// latency that is negative, as the clock was set back, counts as 0.
+// negative latency counts as 0. It is negative if the clock was set back.
 func TestAnsweredRequestIsInAllMetrics(t *testing.T) {
 	m := New(
 		func(int) string { return "hand-in" },
@@ -53,7 +53,7 @@
 		`ryepaddle_read_total{class="hand-in"} 7.0`,
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%s is missing in\n%s", want, text)
+			t.Errorf("Text() lacks %s:\n%s", want, text)
 		}
 	}
 }
