--- a/internal/telemetry/tracing/file.go
+++ b/internal/telemetry/tracing/file.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// rotatingFile is a file of bounded size. When it is full it is renamed to FILE.1, in place of an older
-// one, and a new one begins.
+// rotatingFile is a file of bounded size. When it is full it is renamed to FILE.1, which replaces an older
+// one, and a new file is created.
 type rotatingFile struct {
 	path     string
 	maxBytes int64
@@ -20,7 +20,7 @@
 	return f, f.begin()
 }
 
-// begin begins a new file.
+// begin creates an empty file. One that exists and has contents is renamed first.
 func (f *rotatingFile) begin() error {
 	if info, err := os.Stat(f.path); err == nil && info.Size() > 0 {
 		if err := os.Rename(f.path, f.path+".1"); err != nil {
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// write adds all of b or nothing, so that the file holds complete lines.
+// write appends all of b or nothing, so that the file holds complete lines.
 func (f *rotatingFile) write(b []byte) error {
 	if f.file != nil && f.size > 0 && f.size+int64(len(b)) > f.maxBytes {
-		_ = f.file.Close() // what was written is in it
+		_ = f.file.Close() // the writes to it succeeded
 		f.file = nil
 	}
 	if f.file == nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// truncate removes what a failed write left. Its errors are ignored: the caller reports that of the
-// write.
+// truncate removes what a failed write left. Its errors are ignored, because the caller reports the error
+// of the write.
 func (f *rotatingFile) truncate() {
 	_ = f.file.Truncate(f.size)
 	_, _ = f.file.Seek(f.size, io.SeekStart)
--- a/internal/telemetry/tracing/recorder.go
+++ b/internal/telemetry/tracing/recorder.go
@@ -1,6 +1,6 @@
-// Package tracing writes answered requests as OpenTelemetry spans to a file: one span for a
-// request, one for its wait, one for each attempt. A goroutine makes and writes them; with a slow or
-// full disk spans are dropped and counted. Package app records the requests of the program.
+// Package tracing writes answered requests as OpenTelemetry spans to a file: one span for the request,
+// one for its wait until the first attempt, and one for each attempt. A goroutine makes and writes them;
+// with a slow or full disk spans are dropped and counted. Package app records the requests of the program.
 package tracing
 
 import (
@@ -20,16 +20,16 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Options are what is written, and where.
+// Options configures a Recorder.
 type Options struct {
-	Path         string
-	MaxBytes     int64   // of the file; one older file of this size is kept
-	QueueSize    int     // requests whose spans are not written yet
-	SampleRatio  float64 // part, from 0 to 1, of the requests about which no caller decided
-	MaxPerSecond int     // requests of a class and status
+	Path         string  // of the file of spans
+	MaxBytes     int64   // maximum size of the file; one older file of this size is kept
+	QueueSize    int     // maximum number of requests whose spans are not written yet
+	SampleRatio  float64 // part, from 0 to 1, that is sampled of the requests without a valid traceparent header
+	MaxPerSecond int     // maximum number of recorded requests per second of a class and status
 	Instance     string
 	Version      string
-	ClassName    func(class int) string // is called on the recorder's goroutine
+	ClassName    func(class int) string // called on the recorder's goroutine
 	Tenants      []string
 	StatusNames  map[lifecycle.Status]string
 	OutcomeNames map[lifecycle.Outcome]string
@@ -38,7 +38,7 @@
 // Lost counts requests whose spans were not written: the queue was full, or the file failed.
 type Lost struct{ Queue, Errors int64 }
 
-// Recorder writes spans. Record and SpanContext are called by one goroutine.
+// Recorder writes spans. Record and SpanContext must be called from one goroutine.
 type Recorder struct {
 	opt     Options
 	sampler *Sampler
@@ -48,7 +48,7 @@
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 	out      *rotatingFile
-	buf      bytes.Buffer // spans of the request that is written
+	buf      bytes.Buffer // spans of the request that is being written
 
 	lostQueue, lostErrors atomic.Int64
 	lastError             atomic.Pointer[error]
@@ -62,7 +62,7 @@
 	hasParent bool
 }
 
-// Start begins to write. The error is that of the file.
+// Start creates the file and starts the goroutine that writes spans. It fails if the file cannot be created.
 func Start(opt Options) (*Recorder, error) {
 	r := &Recorder{
 		opt:     opt,
@@ -95,7 +95,7 @@
 	return r, nil
 }
 
-// Record enqueues a request that was answered now for the writing of its spans, if it is sampled. It
+// Record enqueues a request, which was answered at now, for the writing of its spans if it is sampled. It
 // never waits.
 func (r *Recorder) Record(t *lifecycle.Trace, now wallclock.UnixMicro) {
 	span := r.SpanContext(t.ID, t.ArrivedAt, t.TraceParent)
@@ -111,13 +111,13 @@
 	}
 }
 
-// SpanContext returns the span of a request, by its ID, its arrival and the traceparent header of its
-// caller.
+// SpanContext returns the span of a request, which is derived from its ID, its arrival and the traceparent
+// header of its caller.
 func (r *Recorder) SpanContext(id string, arrivedAt wallclock.UnixMicro, parent string) traceparent.Context {
 	return traceparent.New(r.opt.Instance, id, arrivedAt, parent, r.opt.SampleRatio)
 }
 
-// Lost returns what was lost so far, and the last error of the file.
+// Lost returns how many requests were lost so far, and the last error of the file.
 func (r *Recorder) Lost() (Lost, error) {
 	var err error
 	if p := r.lastError.Load(); p != nil {
@@ -126,7 +126,7 @@
 	return Lost{r.lostQueue.Load(), r.lostErrors.Load()}, err
 }
 
-// Close writes what is queued, unless that takes longer than a timeout. Record is not called after it.
+// Close writes the queued spans, but gives up after the timeout. Record must not be called after it.
 func (r *Recorder) Close(timeout time.Duration) {
 	close(r.queue)
 	select {
@@ -146,6 +146,6 @@
 			r.lastError.Store(&err)
 		}
 	}
-	_ = r.provider.Shutdown(context.Background()) // all spans are with the exporter by now
+	_ = r.provider.Shutdown(context.Background()) // the exporter has all spans already
 	r.out.close()
 }
--- a/internal/telemetry/tracing/recorder_test.go
+++ b/internal/telemetry/tracing/recorder_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A request that was served and whose trace is not sampled is passed over, and a flood of one status
-// leaves room for others.
+// A served request whose trace is not sampled is not accepted, and a flood of one status does not use up
+// the rate limit of another.
 func TestSamplerLimitsEachStatus(t *testing.T) {
 	s := NewSampler(10)
 	keep := func(status lifecycle.Status, sampled bool, n int, now wallclock.UnixMicro) (kept int) {
@@ -65,13 +65,13 @@
 		{lifecycle.Rejected, false, 500_000, 5},
 	} {
 		if got := keep(c.status, c.sampled, 1000, c.now+1_000_000_000); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+			t.Errorf("%+v: %d requests were accepted", c, got)
 		}
 	}
 }
 
-// The file is bounded and holds complete lines. A clock that was set back makes no span of
-// negative length.
+// The file is bounded and holds complete lines. If the clock is set back while a request runs, its spans
+// have no negative duration.
 func TestFileIsBounded(t *testing.T) {
 	opt := options(t)
 	opt.MaxBytes, opt.MaxPerSecond, opt.QueueSize = 10_000, 1000, 1000
@@ -84,7 +84,7 @@
 	}
 	r.Close(10 * time.Second)
 	if lost, err := r.Lost(); lost != (Lost{}) || err != nil {
-		t.Errorf("%+v, %v", lost, err)
+		t.Errorf("Lost() = %+v, %v, want none and no error", lost, err)
 	}
 	for _, path := range []string{opt.Path, opt.Path + ".1"} {
 		text, err := os.ReadFile(path)
@@ -93,12 +93,12 @@
 		}
 		if len(text) == 0 || len(text) > 10_000 || text[len(text)-1] != '\n' ||
 			strings.Contains(string(text), "T00:00:04") {
-			t.Errorf("%s: %d bytes: %.600s", path, len(text), text)
+			t.Errorf("%s has %d bytes, want 1 to 10000, and complete lines without T00:00:04: %.600s", path, len(text), text)
 		}
 	}
 }
 
-// A disk that fails costs spans, which are counted; once it works again spans are written.
+// Spans are lost and counted while the file cannot be written, and written once it can be created again.
 func TestFailingDiskCostsSpansThatAreCounted(t *testing.T) {
 	opt := options(t)
 	w, err := openFile(opt.Path, 100)
@@ -112,18 +112,18 @@
 	if err := os.Rename(dir, dir+"-away"); err != nil {
 		t.Fatal(err)
 	}
-	long := []byte(strings.Repeat("x", 99) + "\n") // a new file has to begin
+	long := []byte(strings.Repeat("x", 99) + "\n") // does not fit into the file, which is rotated
 	if err := w.write(long); err == nil {
-		t.Error("written to nowhere")
+		t.Error("write() returned no error though the folder is missing")
 	}
 	if err := os.Rename(dir+"-away", dir); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.write(long); err != nil {
-		t.Error(err)
+		t.Errorf("write() after the folder is back: %v", err)
 	}
 	if text, _ := os.ReadFile(opt.Path + ".1"); string(text) != "first\n" {
-		t.Errorf("%q", text)
+		t.Errorf("the rotated file holds %q, want the first line", text)
 	}
 	r, err := Start(opt)
 	if err != nil {
@@ -133,11 +133,11 @@
 	r.Record(rejected(), 0)
 	r.Close(10 * time.Second)
 	if lost, err := r.Lost(); lost != (Lost{Errors: 1}) || err == nil {
-		t.Errorf("%+v, %v", lost, err)
+		t.Errorf("Lost() = %+v, %v, want 1 error", lost, err)
 	}
 }
 
-// Requests whose spans are not written are bounded.
+// At most QueueSize requests wait for their spans to be written. The others are dropped and counted.
 func TestQueueIsBounded(t *testing.T) {
 	opt := options(t)
 	r := &Recorder{opt: opt, sampler: NewSampler(1000), queue: make(chan sampledRequest, opt.QueueSize)}
@@ -145,7 +145,7 @@
 		r.Record(rejected(), 0)
 	}
 	if lost, _ := r.Lost(); lost.Queue != 96 {
-		t.Errorf("%+v", lost)
+		t.Errorf("Lost() = %+v, want 96 of the queue", lost)
 	}
 }
 
--- a/internal/telemetry/tracing/sampler.go
+++ b/internal/telemetry/tracing/sampler.go
@@ -7,9 +7,9 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Sampler decides of which requests spans are written, once they are answered: of those whose traces
-// are sampled, and of all that were not served. Each class and status has a rate limit of its own, so
-// that a flood of one takes nothing from the others. It is used by one goroutine.
+// Sampler decides, when a request is answered, whether its spans are written: they are if its trace is
+// sampled or if it did not succeed. Each class and status has a rate limit of its own, so that a flood of
+// one takes nothing from the others. It is not safe for concurrent use.
 type Sampler struct {
 	maxPerSecond int
 	limiters     map[limiterKey]*rate.Limiter
@@ -20,14 +20,14 @@
 	status lifecycle.Status
 }
 
-// NewSampler returns a sampler that passes at most a number of requests of a class and status in a
+// NewSampler returns a sampler that accepts at most maxPerSecond requests of each class and status per
 // second.
 func NewSampler(maxPerSecond int) *Sampler {
 	return &Sampler{maxPerSecond: maxPerSecond, limiters: map[limiterKey]*rate.Limiter{}}
 }
 
-// Sample reports whether the spans of a request are written. sampled says that its trace is sampled,
-// and now is when it was answered.
+// Sample reports whether the spans of a request are written. sampled tells whether its trace is sampled,
+// and now is the time of its answer.
 func (s *Sampler) Sample(t *lifecycle.Trace, sampled bool, now wallclock.UnixMicro) bool {
 	if !sampled && isSuccess(t.Status) {
 		return false
@@ -41,5 +41,6 @@
 	return l.AllowN(now.Time(), 1)
 }
 
-// isSuccess reports whether a request ran and got its result, or had run before.
+// isSuccess reports whether a request was answered with the result of a run, or is a duplicate of one that
+// ran and whose result is not available.
 func isSuccess(s lifecycle.Status) bool { return s == lifecycle.Served || s == lifecycle.ResultLost }
--- a/internal/telemetry/tracing/spans.go
+++ b/internal/telemetry/tracing/spans.go
@@ -12,11 +12,11 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// waitSpanNumber is the number from which the ID of the wait's span is derived. It is beyond those of
-// attempts.
+// waitSpanNumber is the number from which the ID of the span of the wait is derived. It is higher than the
+// numbers of attempts.
 const waitSpanNumber = 1 << 15
 
-// makeSpans makes the spans of a request.
+// makeSpans makes the spans of a request and of its wait and attempts.
 func (r *Recorder) makeSpans(s *sampledRequest) {
 	ctx := context.Background()
 	if s.hasParent {
@@ -66,7 +66,7 @@
 	return attrs
 }
 
-// attemptSpan makes the span of an attempt, with its number from 1 on.
+// attemptSpan makes the span of an attempt. number counts attempts from 1.
 func (r *Recorder) attemptSpan(
 	ctx context.Context,
 	at traceparent.Context,
@@ -86,7 +86,7 @@
 	endSpan(span, attempt.StartedAt, attempt.StartedAt.Add(attempt.Duration))
 }
 
-// startSpan starts a span with the ID that is known for it.
+// startSpan starts a span with the IDs of at.
 func (r *Recorder) startSpan(
 	ctx context.Context,
 	at traceparent.Context,
@@ -104,15 +104,16 @@
 	)
 }
 
-// endSpan ends a span. If the clock was set back meanwhile it has no length.
+// endSpan ends a span. If the clock was set back since its start, its duration is zero.
 func endSpan(s trace.Span, startedAt, endedAt wallclock.UnixMicro) {
 	s.End(trace.WithTimestamp(max(startedAt, endedAt).Time()))
 }
 
-// spanIDKey is the key of a context's value that has the ID of the span to start.
+// spanIDKey is the context key of the IDs of the span to start.
 type spanIDKey struct{}
 
-// contextIDs gives spans the IDs in their contexts, which servers have received with the request.
+// contextIDs generates the IDs of spans: it returns those in the context, because the servers have already
+// received them with the request.
 type contextIDs struct{}
 
 // NewIDs implements sdk.IDGenerator.
