--- a/internal/telemetry/tracing/recorder_test.go
+++ b/internal/telemetry/tracing/recorder_test.go
@@ -93,7 +93,7 @@
 		}
 		if len(text) == 0 || len(text) > 10_000 || text[len(text)-1] != '\n' ||
 			strings.Contains(string(text), "T00:00:04") {
-			t.Errorf("%s has %d bytes, want 1 to 10000, and complete lines without T00:00:04: %.600s", path, len(text), text)
+			t.Errorf("%s has %d bytes, want 1 to 10000, in lines without T00:00:04: %.600s", path, len(text), text)
 		}
 	}
 }
--- a/internal/telemetry/traffic/decode.go
+++ b/internal/telemetry/traffic/decode.go
@@ -12,22 +12,22 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Errors of a file that cannot be used at all.
+// Errors of Decode for a file that cannot be read at all.
 var (
 	ErrNotRecording = errors.New("this is no recorded traffic")
 	ErrNewerVersion = errors.New("a later version wrote it")
 )
 
-// Recording is what a file holds.
+// Recording is the contents of a file, or of several that Read merged.
 type Recording struct {
 	Header
 	Requests   []Request
 	Lost       Lost
-	Truncation error // why the file ends early; nil: it is complete
-	OutOfOrder int   // requests that arrived before the one in front of them
+	Truncation error // where and why reading ended early; nil: the file is complete
+	OutOfOrder int   // requests whose arrival is earlier than that of the request before them
 }
 
-// decoder bounds what it decodes, as the files are not trusted.
+// decoder bounds the length of arrays and the nesting, because the files are not trusted.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
@@ -36,8 +36,8 @@
 	return m
 }()
 
-// Decode reads a file. What is cut off or damaged ends it, and Truncation says where; the blocks before
-// that are complete. The error is ErrNotRecording or ErrNewerVersion.
+// Decode reads a file. It stops at the first frame that is truncated or damaged, and Truncation tells
+// where; the blocks before it are complete. The error wraps ErrNotRecording or ErrNewerVersion.
 func Decode(r io.Reader) (*Recording, error) {
 	if err := readStart(r); err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	rec := &Recording{}
 	kind, payload, err := readFrame(r)
 	if err != nil || kind != frameHeader || decoder.Unmarshal(payload, &rec.Header) != nil {
-		return nil, fmt.Errorf("%w: its head cannot be read", ErrNotRecording)
+		return nil, fmt.Errorf("%w: its header cannot be decoded", ErrNotRecording)
 	}
 	offset := int64(startSize + frameHeadSize + len(payload))
 	for {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// readFrame reads a frame and checks it. The error is io.EOF where the file ends between two frames.
+// readFrame reads a frame and checks its checksum. The error is io.EOF if the file ends between two frames.
 func readFrame(r io.Reader) (kind byte, payload []byte, err error) {
 	var head [frameHeadSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -95,7 +95,7 @@
 	}
 	n := binary.LittleEndian.Uint32(head[frameLengthOffset:])
 	if n > maxPayload {
-		return 0, nil, fmt.Errorf("a frame of %d bytes", n)
+		return 0, nil, fmt.Errorf("a frame of %d bytes is too long", n)
 	}
 	if payload, err = io.ReadAll(io.LimitReader(r, int64(n))); err != nil {
 		return 0, nil, err
@@ -105,12 +105,12 @@
 	}
 	kind = head[0]
 	if checksum(kind, payload) != binary.LittleEndian.Uint64(head[frameChecksumOffset:]) {
-		return 0, nil, errors.New("a frame with a wrong checksum")
+		return 0, nil, errors.New("the checksum of a frame does not match")
 	}
 	return kind, payload, nil
 }
 
-// addFrame adds what a frame holds.
+// addFrame adds the contents of a frame.
 func (rec *Recording) addFrame(kind byte, payload []byte) error {
 	switch kind {
 	case frameBlock:
@@ -125,21 +125,21 @@
 func (rec *Recording) addBlock(payload []byte) error {
 	n, err := s2.DecodedLen(payload)
 	if err != nil || n > maxPayload {
-		return errors.New("a block that does not unpack")
+		return errors.New("a block cannot be decompressed")
 	}
 	plain, err := s2.Decode(nil, payload)
 	if err != nil {
-		return fmt.Errorf("a block that does not unpack: %w", err)
+		return fmt.Errorf("a block cannot be decompressed: %w", err)
 	}
 	var block []Request
 	if err := decoder.Unmarshal(plain, &block); err != nil {
-		return fmt.Errorf("a block that cannot be read: %w", err)
+		return fmt.Errorf("a block cannot be decoded: %w", err)
 	}
 	previous := wallclock.UnixMicro(0)
 	for _, q := range block {
 		if int(q.Class) >= len(rec.Classes) || int(q.Tenant) >= len(rec.Tenants) {
 			return fmt.Errorf(
-				"a request of class %d and tenant %d, which the head does not name",
+				"a request of class %d and tenant %d, which the header does not list",
 				q.Class,
 				q.Tenant,
 			)
@@ -157,11 +157,11 @@
 func (rec *Recording) addTrailer(payload []byte) error {
 	var t Trailer
 	if err := decoder.Unmarshal(payload, &t); err != nil {
-		return fmt.Errorf("an end that cannot be read: %w", err)
+		return fmt.Errorf("the trailer cannot be decoded: %w", err)
 	}
 	rec.Lost = t.Lost
 	if t.Requests != int64(len(rec.Requests)) {
-		return fmt.Errorf("%d requests, and its end tells of %d", len(rec.Requests), t.Requests)
+		return fmt.Errorf("%d requests were read, but the trailer counts %d", len(rec.Requests), t.Requests)
 	}
 	return nil
 }
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -1,9 +1,9 @@
 // Package traffic records the requests that a runner received, and reads recordings for the simulator.
 //
-// A recording is the magic, the version, and frames: a kind, the length of the payload, its checksum
-// and the payload, with numbers in little-endian. The first frame is the header, blocks of requests
-// follow, compressed, and the last is the trailer with what was lost. What was cut off or damaged is
-// recognized, and the blocks before it are read.
+// A recording consists of the magic, the version, and frames. A frame has a kind, the length of the
+// payload, a checksum and the payload, with numbers in little-endian. The first frame is the header,
+// compressed blocks of requests follow, and the last is the trailer with the numbers of lost requests.
+// A truncated or damaged frame is recognized, and the blocks before it are read.
 package traffic
 
 import (
@@ -16,7 +16,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Version is that of the format that is written. Newer ones are refused.
+// Version is the version of the format that is written. Files of newer versions are refused.
 const Version = 1
 
 const magic = "RYETRAF\n"
@@ -35,11 +35,11 @@
 	frameHeadSize       = 13
 )
 
-// maxPayload is the most bytes of a payload. A longer one is taken for damage.
+// maxPayload is the maximum length of a payload in bytes. A longer one is treated as damage.
 const maxPayload = 16 << 20
 
-// Header says whose traffic it is. As the other values of a file it is stored as an array: the order
-// of its fields is part of the format.
+// Header tells which runner recorded the traffic, and names its classes and tenants. Like the other
+// values of a file it is stored as an array: the order of its fields is part of the format.
 type Header struct {
 	_         struct{} `cbor:",toarray"`
 	Runner    string
@@ -48,17 +48,17 @@
 	Tenants   []string
 }
 
-// Request is an attempt of a request that a runner received.
+// Request is a request as a runner received it. Each retry by a caller is a Request of its own.
 type Request struct {
 	_         struct{}            `cbor:",toarray"`
-	ArrivedAt wallclock.UnixMicro // at the machine; in a file, since the one before
+	ArrivedAt wallclock.UnixMicro // at the machine; in a file, since the request before it in the block
 	Class     uint16              // index into the classes of the header
-	Tenant    uint16              // index into its tenants
+	Tenant    uint16              // index into the tenants of the header
 	Caller    uint32
 	SizeKB    float32
 	Rank      float32
-	KeyHash   uint64 // of its idempotency key; 0: it has none
-	BodyHash  uint64 // by which retries are recognized; 0: it has no body
+	KeyHash   uint64 // of the idempotency key; 0: it has none
+	BodyHash  uint64 // by which retries without a key are recognized; 0: it has no body
 	BodyBytes uint32
 }
 
@@ -66,7 +66,7 @@
 type Lost struct {
 	_      struct{} `cbor:",toarray"`
 	Queue  int64    `json:"Queue"`  // the writer was too slow
-	Bytes  int64    `json:"Bytes"`  // the file had reached its bound
+	Bytes  int64    `json:"Bytes"`  // the file had reached its maximum size
 	Errors int64    `json:"Errors"` // the disk failed
 }
 
@@ -76,21 +76,21 @@
 // Total returns the number of lost requests.
 func (l Lost) Total() int64 { return l.Queue + l.Bytes + l.Errors }
 
-// add adds what another recording lost.
+// add adds the counts of another recording.
 func (l *Lost) add(other Lost) {
 	l.Queue += other.Queue
 	l.Bytes += other.Bytes
 	l.Errors += other.Errors
 }
 
-// Trailer ends a complete file.
+// Trailer is the last frame of a complete file.
 type Trailer struct {
 	_        struct{} `cbor:",toarray"`
 	Requests int64    // in the file
 	Lost     Lost
 }
 
-// appendFrame appends a frame with a value.
+// appendFrame appends a frame with the encoding of a value. Blocks are compressed.
 func appendFrame(to []byte, kind byte, v any) ([]byte, error) {
 	payload, err := cbor.Marshal(v)
 	if err != nil {
@@ -105,14 +105,14 @@
 	return append(to, payload...), nil
 }
 
-// checksum returns the checksum of a payload, which covers its kind and length too.
+// checksum returns the checksum of a frame, which covers the payload, the kind and the length.
 func checksum(kind byte, payload []byte) uint64 {
 	d := xxhash.NewWithSeed(uint64(kind)<<32 | uint64(len(payload)))
-	_, _ = d.Write(payload) // a hash does not fail
+	_, _ = d.Write(payload) // a hash returns no error
 	return d.Sum64()
 }
 
-// appendBlock appends a frame of requests, with their arrivals as differences.
+// appendBlock appends a block of requests. Arrivals are encoded as the time since the request before.
 func appendBlock(to []byte, requests []Request) ([]byte, error) {
 	block := make([]Request, len(requests))
 	previous := wallclock.UnixMicro(0)
@@ -124,7 +124,7 @@
 	return appendFrame(to, frameBlock, block)
 }
 
-// appendStart appends what a file begins with.
+// appendStart appends the start of a file: the magic, the version and the header.
 func appendStart(to []byte, h Header) ([]byte, error) {
 	to = append(to, magic...)
 	to = binary.LittleEndian.AppendUint16(to, Version)
--- a/internal/telemetry/traffic/read.go
+++ b/internal/telemetry/traffic/read.go
@@ -10,8 +10,8 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Read reads recordings of several runners as one. They must be of the same classes and tenants. The
-// error names the file.
+// Read reads the recordings of several runners and merges them into one. They must have the same classes
+// and tenants. The error names the file.
 func Read(paths ...string) (*Recording, error) {
 	var all *Recording
 	for _, path := range paths {
@@ -24,7 +24,7 @@
 			continue
 		}
 		if !slices.Equal(all.Classes, rec.Classes) || !slices.Equal(all.Tenants, rec.Tenants) {
-			return nil, fmt.Errorf("traffic: %s: other classes or tenants than %s has", path, paths[0])
+			return nil, fmt.Errorf("traffic: %s: its classes or tenants differ from those of %s", path, paths[0])
 		}
 		all.merge(rec)
 	}
@@ -65,7 +65,7 @@
 	key, body     uint64
 }
 
-// identityOf returns the identity of a request; false: it has neither key nor body.
+// identityOf returns the identity of a request, and false if it has neither a key nor a body.
 func identityOf(q *Request) (identity, bool) {
 	id := identity{class: q.Class, tenant: q.Tenant}
 	if q.KeyHash != 0 {
@@ -78,9 +78,9 @@
 }
 
 // WithoutRetries returns the requests in the order of their arrivals, without those that look like
-// retries, and how many these are. A request looks like a retry if an earlier one has its idempotency
-// key or, without a key, its caller and body, and arrived within the retry window of its class.
-// Runners do not learn which attempts are retries, so that this is an estimate: equal requests of two
+// retries, and the number of those. A request looks like a retry if it arrived within the retry window of
+// its class after a request with the same idempotency key or, without a key, the same caller and body.
+// This is an estimate, because runners are not told which requests are retries: equal requests of two
 // clients count as one.
 func (rec *Recording) WithoutRetries(window func(class int) time.Duration) (first []Request, retries int) {
 	sorted := slices.Clone(rec.Requests)
--- a/internal/telemetry/traffic/recorder.go
+++ b/internal/telemetry/traffic/recorder.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// File is what a recorder writes to.
+// File is the file that a recorder writes.
 type File interface {
 	Write(p []byte) (int, error)
 	Truncate(size int64) error
@@ -18,23 +18,23 @@
 	Close() error
 }
 
-// Options bound a recorder.
+// Options sets the limits of a recorder.
 type Options struct {
-	MaxBytes      int64         // of the file
-	QueueSize     int           // requests in memory that are not written yet
-	BlockSize     int           // requests in a block; 0: 512
-	FlushInterval time.Duration // after which a block is written that is not full; 0: 1 s
+	MaxBytes      int64         // maximum size of the file
+	QueueSize     int           // maximum number of queued requests that are not in a block yet; at least 1 is used
+	BlockSize     int           // requests per block; 0: 512
+	FlushInterval time.Duration // interval at which a block is written though it is not full; 0: 1 s
 }
 
 const (
 	defaultBlockSize     = 512
 	defaultFlushInterval = time.Second
-	// trailerRoom is the bytes that are kept free in a file for its trailer.
+	// trailerRoom is the number of bytes that are reserved in a file for its trailer.
 	trailerRoom = 256
 )
 
-// Recorder writes requests to a file, on a goroutine of its own: a slow or full disk costs records,
-// which are counted, and delays no request.
+// Recorder writes requests to a file, on a goroutine of its own. With a slow or full disk records are
+// lost, and counted, but no request is delayed.
 type Recorder struct {
 	opt    Options
 	file   File
@@ -42,15 +42,15 @@
 	done   chan struct{} // closed at the end of the goroutine
 	closed sync.Once
 
-	size       int64 // of what is complete in the file
+	size       int64 // length of the complete frames in the file
 	written    int64 // requests in the file
-	full       bool  // the file has reached its bound
-	incomplete bool  // a failed write left a part of a block after size
+	full       bool  // the file has reached its maximum size
+	incomplete bool  // a failed write may have left part of a frame after size
 
 	lostQueue, lostBytes, lostErrors atomic.Int64
 }
 
-// Create begins a file. It does not overwrite one that is there: the error is then os.ErrExist.
+// Create creates a file and starts a recorder. An existing file is kept: the error is then os.ErrExist.
 func Create(path string, h Header, opt Options) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return r, nil
 }
 
-// NewRecorder begins to write to a file, which it closes in the end. The error is that of the file, or
-// of a bound that leaves no room for requests.
+// NewRecorder writes the header to a file and starts a recorder, which closes the file at its end. It
+// fails if the header cannot be written, or if MaxBytes leaves no room for requests.
 func NewRecorder(f File, h Header, opt Options) (*Recorder, error) {
 	if opt.BlockSize <= 0 {
 		opt.BlockSize = defaultBlockSize
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
 	if opt.MaxBytes < int64(len(start)+trailerRoom) {
-		return nil, fmt.Errorf("traffic: a file of %d bytes holds nothing", opt.MaxBytes)
+		return nil, fmt.Errorf("traffic: a file of %d bytes has no room for requests", opt.MaxBytes)
 	}
 	if _, err := f.Write(start); err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
@@ -93,7 +93,7 @@
 	return r, nil
 }
 
-// Record records a request, or counts it as lost. It does not wait. It is not called after Close.
+// Record records a request, or counts it as lost. It does not wait. It must not be called after Close.
 func (r *Recorder) Record(q Request) {
 	select {
 	case r.queue <- q:
@@ -102,13 +102,13 @@
 	}
 }
 
-// Lost returns what was lost so far.
+// Lost returns the numbers of requests that were lost so far.
 func (r *Recorder) Lost() Lost {
 	return Lost{Queue: r.lostQueue.Load(), Bytes: r.lostBytes.Load(), Errors: r.lostErrors.Load()}
 }
 
-// Close writes what is queued and the trailer. After the timeout it returns an error, and the disk that
-// hangs does not hold up the end of the program; Close may then be called again.
+// Close writes the queued requests and the trailer. It returns an error after the timeout, so that a disk
+// that hangs does not delay the end of the program; Close may then be called again.
 func (r *Recorder) Close(timeout time.Duration) error {
 	r.closed.Do(func() { close(r.queue) })
 	select {
@@ -119,7 +119,7 @@
 	}
 }
 
-// run writes blocks as they fill or their time comes.
+// run writes a block when it is full, and at each flush interval.
 func (r *Recorder) run() {
 	defer close(r.done)
 	tick := time.NewTicker(r.opt.FlushInterval)
@@ -145,8 +145,8 @@
 	}
 }
 
-// writeBlock writes a block, or counts its requests as lost. Once a block found no room in the file,
-// smaller ones that would still fit are lost too, so that the file has no gaps.
+// writeBlock writes a block, or counts its requests as lost. After the first block that does not fit into
+// the file, smaller ones that would fit are lost too, so that the file has no gaps.
 func (r *Recorder) writeBlock(block []Request) {
 	if len(block) == 0 {
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-// write adds a frame. It first removes what an earlier write that failed has left.
+// write appends a frame. It first removes what an earlier failed write left.
 func (r *Recorder) write(frame []byte) error {
 	if r.incomplete {
 		if err := r.file.Truncate(r.size); err != nil {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// finish writes the trailer and closes the file. Without the trailer a reader reports that the file is
-// not complete, as is the case.
+// finish writes the trailer and closes the file. If the trailer cannot be written, readers rightly report
+// that the file is not complete.
 func (r *Recorder) finish() {
 	frame, err := appendFrame(nil, frameTrailer, Trailer{Requests: r.written, Lost: r.Lost()})
 	if err == nil {
--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// A recording of version 1 is read as it was written, and recorded again it has the same bytes.
+// A stored recording of version 1 is read as it was written, and the same requests are recorded as the same
+// bytes.
 func TestReadsRecordingOfVersion1(t *testing.T) {
 	again := filepath.Join(t.TempDir(), "again.traffic")
 	writeStored(t, again)
@@ -68,7 +69,7 @@
 	}
 }
 
-// What was lost is in the last frame of a file; the figures keep their order.
+// The trailer has the numbers of lost requests in a fixed order, as stored.
 func TestTrailerKeepsItsBytes(t *testing.T) {
 	got, err := appendFrame(nil, frameTrailer, Trailer{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
 	if err != nil {
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -26,12 +26,12 @@
 	Tenants:   []string{"a", "b"},
 }
 
-// disk is a file that fails by script.
+// disk is a File in memory, whose writes fail or wait as a test sets it.
 type disk struct {
 	mu     sync.Mutex
 	text   []byte
-	room   int           // bytes it takes in all; -1: no bound
-	gate   chan struct{} // a write waits for it
+	room   int           // capacity in bytes; -1: unlimited
+	gate   chan struct{} // writes wait until it is closed, once there are 100 bytes; nil: they do not
 	closed bool
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-func written(t testing.TB, d *disk, n int, opt Options) *Recorder {
+func recordRequests(t testing.TB, d *disk, n int, opt Options) *Recorder {
 	t.Helper()
 	if opt.MaxBytes == 0 {
 		opt.MaxBytes = 1 << 20
@@ -119,7 +119,7 @@
 	}
 }
 
-// What was recorded is read again, whatever it was and however it fell into blocks.
+// Any requests are read as they were recorded, with blocks of any size.
 func TestRecordedRequestsAreReadAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []Request
@@ -139,7 +139,7 @@
 			r.Record(q)
 		}
 		if err := r.Close(10 * time.Second); err != nil || !d.closed {
-			t.Fatal(err, d.closed)
+			t.Fatalf("Close() = %v, file closed: %t", err, d.closed)
 		}
 		rec, err := Decode(bytes.NewReader(d.text))
 		if err != nil || rec.Truncation != nil || rec.Lost.Any() {
@@ -149,41 +149,43 @@
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
 		if rec.Runner != "n3" || rec.StartedAt != head.StartedAt {
-			t.Fatalf("%+v", rec.Header)
+			t.Fatalf("header = %+v, want the one that was recorded", rec.Header)
 		}
 	})
 }
 
-// A file that ends anywhere gives its complete blocks, and says where it ends.
+// Of a file that is truncated at any byte, the complete blocks are read and the truncation is reported.
 func TestTruncatedFileGivesCompleteBlocks(t *testing.T) {
 	d := &disk{room: -1}
-	written(t, d, 50, Options{BlockSize: 10})
+	recordRequests(t, d, 50, Options{BlockSize: 10})
 	complete := decode(t, d.text)
 	for n := range len(d.text) {
 		rec, err := Decode(bytes.NewReader(d.text[:n]))
 		if err != nil {
 			if !errors.Is(err, ErrNotRecording) || n > 200 {
-				t.Fatalf("cut at %d: %v", n, err)
+				t.Fatalf("truncated at %d: Decode() = %v", n, err)
 			}
 			continue
 		}
 		if rec.Truncation == nil || len(rec.Requests)%10 != 0 {
-			t.Fatalf("cut at %d: %d requests, %v", n, len(rec.Requests), rec.Truncation)
+			t.Fatalf("truncated at %d: %d requests, Truncation = %v, want complete blocks and an error",
+				n, len(rec.Requests), rec.Truncation)
 		}
 		diff := cmp.Diff(complete.Requests[:len(rec.Requests)], rec.Requests, cmp.AllowUnexported(Request{}))
 		if diff != "" && len(rec.Requests) > 0 {
-			t.Fatalf("cut at %d (-want +got)\n%s", n, diff)
+			t.Fatalf("truncated at %d (-want +got)\n%s", n, diff)
 		}
 	}
 	if complete.Truncation != nil || len(complete.Requests) != 50 {
-		t.Fatalf("%d requests, %v", len(complete.Requests), complete.Truncation)
+		t.Fatalf("whole file: %d requests, Truncation = %v, want 50 and nil",
+			len(complete.Requests), complete.Truncation)
 	}
 }
 
-// A flipped bit is recognized wherever it is, and never changes a request.
+// A flipped bit is recognized at any byte, and never changes a request that is read.
 func TestDamageIsRecognizedAnywhere(t *testing.T) {
 	d := &disk{room: -1}
-	written(t, d, 30, Options{BlockSize: 10})
+	recordRequests(t, d, 30, Options{BlockSize: 10})
 	complete := decode(t, d.text)
 	for i := range d.text {
 		damaged := bytes.Clone(d.text)
@@ -193,11 +195,11 @@
 			continue
 		}
 		if rec.Truncation == nil {
-			t.Fatalf("byte %d: not recognized", i)
+			t.Fatalf("byte %d: the damage is not recognized", i)
 		}
 		for k, q := range rec.Requests {
 			if q != complete.Requests[k] {
-				t.Fatalf("byte %d: request %d is %+v", i, k, q)
+				t.Fatalf("byte %d: the damage changes request %d to %+v", i, k, q)
 			}
 		}
 	}
@@ -216,7 +218,7 @@
 		{"no head", append([]byte(magic), 1, 0), ErrNotRecording},
 	} {
 		if _, err := Decode(bytes.NewReader(c.text)); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: Decode() = %v, want %v", c.name, err, c.want)
 		}
 	}
 	huge, err := appendStart(nil, head)
@@ -227,18 +229,18 @@
 	huge = append(huge, make([]byte, 20)...)
 	if rec := decode(t, huge); rec.Truncation == nil ||
 		!strings.Contains(rec.Truncation.Error(), "a frame of 3221225472 bytes") {
-		t.Errorf("%v", rec.Truncation)
+		t.Errorf("a frame of 3 GiB: Truncation = %v, want its length", rec.Truncation)
 	}
-	stranger, err := appendBlock(append([]byte{}, huge[:len(huge)-25]...), []Request{{Class: 7}})
+	unknownClass, err := appendBlock(append([]byte{}, huge[:len(huge)-25]...), []Request{{Class: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rec := decode(t, stranger); rec.Truncation == nil || !strings.Contains(rec.Truncation.Error(), "class 7") {
-		t.Errorf("%v", rec.Truncation)
+	if rec := decode(t, unknownClass); rec.Truncation == nil || !strings.Contains(rec.Truncation.Error(), "class 7") {
+		t.Errorf("an unknown class: Truncation = %v, want its number", rec.Truncation)
 	}
 }
 
-// A slow disk costs records, which are counted, and delays no request.
+// With a slow disk records are lost, and counted, but no request is delayed.
 func TestSlowDiskDelaysNothing(t *testing.T) {
 	d := &disk{room: -1, gate: make(chan struct{})}
 	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 50, BlockSize: 10})
@@ -250,10 +252,10 @@
 	}
 	lost := r.Lost().Queue
 	if lost < 900 || lost > 950 {
-		t.Errorf("%d of 1000 lost with room for 50 and a block", lost)
+		t.Errorf("%d of 1000 requests are lost, want 900 to 950 with a queue of 50 and blocks of 10", lost)
 	}
 	if err := r.Close(time.Millisecond); err == nil {
-		t.Error("closed while the disk hangs")
+		t.Error("Close() returned no error while the disk hangs")
 	}
 	close(d.gate)
 	if err := r.Close(10 * time.Second); err != nil {
@@ -261,12 +263,13 @@
 	}
 	if rec := decode(t, d.text); rec.Truncation != nil || rec.Lost.Queue != lost ||
 		int64(len(rec.Requests)) != 1000-lost {
-		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Truncation)
+		t.Errorf("%d requests, lost %+v, Truncation = %v, want all 1000 read or lost",
+			len(rec.Requests), rec.Lost, rec.Truncation)
 	}
 }
 
-// A full disk costs records; when there is room again recording goes on, and the file holds complete
-// blocks only.
+// With a full disk records are lost and counted. Once there is room again recording goes on, and the file
+// holds complete blocks only.
 func TestFullDiskCostsRecordsThatAreCounted(t *testing.T) {
 	d := &disk{room: 400}
 	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 1000, BlockSize: 10})
@@ -296,23 +299,25 @@
 	lost := r.Lost().Errors
 	if rec.Truncation != nil || lost < 10 || lost > 110 || int64(len(rec.Requests)) != 200-lost ||
 		rec.Lost.Errors != lost {
-		t.Errorf("%d requests, lost %+v, %v", len(rec.Requests), rec.Lost, rec.Truncation)
+		t.Errorf("%d requests, lost %+v, Truncation = %v, want all 200 read or lost",
+			len(rec.Requests), rec.Lost, rec.Truncation)
 	}
 	if last := rec.Requests[len(rec.Requests)-1]; last != request(199) {
-		t.Errorf("the last is %+v", last)
+		t.Errorf("last request = %+v, want the one that was recorded last", last)
 	}
 }
 
 func TestFileIsBounded(t *testing.T) {
 	d := &disk{room: -1}
-	r := written(t, d, 5000, Options{MaxBytes: 4000, BlockSize: 10})
+	r := recordRequests(t, d, 5000, Options{MaxBytes: 4000, BlockSize: 10})
 	rec := decode(t, d.text)
 	if len(d.text) > 4000 || rec.Truncation != nil || r.Lost().Bytes == 0 ||
 		int64(len(rec.Requests))+r.Lost().Bytes != 5000 {
-		t.Errorf("%d bytes, %d requests, lost %+v, %v", len(d.text), len(rec.Requests), r.Lost(), rec.Truncation)
+		t.Errorf("%d bytes, %d requests, lost %+v, Truncation = %v, want at most 4000 bytes and all 5000 read or lost",
+			len(d.text), len(rec.Requests), r.Lost(), rec.Truncation)
 	}
 	if _, err := NewRecorder(&disk{room: -1}, head, Options{MaxBytes: 100}); err == nil {
-		t.Error("a file with no room was begun")
+		t.Error("NewRecorder() returned no error for a file without room")
 	}
 }
 
@@ -322,10 +327,10 @@
 		t.Fatal(err)
 	}
 	if _, err := Create(path, head, Options{MaxBytes: 1 << 20}); !errors.Is(err, os.ErrExist) {
-		t.Errorf("%v", err)
+		t.Errorf("Create() = %v, want os.ErrExist", err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "dear" {
-		t.Errorf("%q", text)
+		t.Errorf("the file that existed holds %q, want it unchanged", text)
 	}
 }
 
@@ -335,7 +340,7 @@
 		{ArrivedAt: 5 * s, Class: 0, Caller: 1, BodyHash: 70},  // the clock was set back after this one
 		{ArrivedAt: 1 * s, Class: 0, Caller: 1, BodyHash: 10},  //
 		{ArrivedAt: 2 * s, Class: 0, Caller: 1, BodyHash: 10},  // again
-		{ArrivedAt: 2 * s, Class: 0, Caller: 2, BodyHash: 10},  // another caller's
+		{ArrivedAt: 2 * s, Class: 0, Caller: 2, BodyHash: 10},  // of another caller
 		{ArrivedAt: 3 * s, Class: 1, Caller: 1, KeyHash: 9},    //
 		{ArrivedAt: 4 * s, Class: 1, Caller: 2, KeyHash: 9},    // again, through another balancer
 		{ArrivedAt: 20 * s, Class: 0, Caller: 1, BodyHash: 10}, // long after
@@ -348,14 +353,14 @@
 		at = append(at, fmt.Sprint(q.ArrivedAt/s))
 	}
 	if got := strings.Join(at, " "); got != "1 2 3 5 20 21 22" || retries != 2 {
-		t.Errorf("%s, %d retries", got, retries)
+		t.Errorf("requests at %s s and %d retries, want 1 2 3 5 20 21 22 and 2", got, retries)
 	}
 }
 
-// Decoding takes any bytes: it does not panic, and requests are of classes and tenants that there are.
+// Decode does not panic on any bytes, and the requests that it returns have classes and tenants of the header.
 func FuzzDecode(f *testing.F) {
 	d := &disk{room: -1}
-	written(f, d, 20, Options{BlockSize: 7})
+	recordRequests(f, d, 20, Options{BlockSize: 7})
 	f.Add(d.text)
 	f.Add(d.text[:len(d.text)/2])
 	f.Add([]byte(magic))
@@ -366,7 +371,7 @@
 		}
 		for _, q := range rec.Requests {
 			if int(q.Class) >= len(rec.Classes) || int(q.Tenant) >= len(rec.Tenants) {
-				t.Fatalf("%+v", q)
+				t.Fatalf("a request has a class or tenant that the header lacks: %+v", q)
 			}
 		}
 	})
