--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,9 +1,10 @@
-// Package buildinfo names the program that runs.
+// Package buildinfo tells the version of the running program.
 package buildinfo
 
 import "runtime/debug"
 
-// Version is the commit that the program was built from, or the version of its module.
+// Version returns the commit that the program was built from, the version of its module if the commit is
+// not known, or "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -25,13 +25,13 @@
 	kinds = map[string]*Kind{}
 )
 
-// Define registers a kind. It panics on an empty argument or on a name that is taken, and is to be
-// called while packages are initialized.
+// Define registers a kind. It panics on an empty argument or on a name that is taken. Packages call it
+// while they are initialized.
 func Define(name, description, remedy string) *Kind {
 	mu.Lock()
 	defer mu.Unlock()
 	if kinds[name] != nil || name == "" || description == "" || remedy == "" {
-		panic(fmt.Sprintf("fault: %q is defined twice, or says too little", name))
+		panic(fmt.Sprintf("fault: kind %q is defined twice, or has an empty name, description or remedy", name))
 	}
 	k := &Kind{Name: name, Description: description, Remedy: remedy}
 	kinds[name] = k
@@ -49,7 +49,7 @@
 	return all
 }
 
-// Location is the place of an error. Fields that do not apply are zero.
+// Location is the place in a file to which an error refers. Fields that do not apply are zero.
 type Location struct {
 	File  string
 	Line  int // from 1
@@ -85,7 +85,7 @@
 	return &Error{Kind: k, Err: err}
 }
 
-// At sets the location.
+// At sets the location of the error, and returns the error.
 func (e *Error) At(file string, line int, field string) *Error {
 	e.Location = Location{file, line, field}
 	return e
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -12,10 +12,10 @@
 // invalid.
 type Addr struct {
 	IP   netip.AddrPort
-	Path string // path of a Unix socket; empty: an IP address
+	Path string // path of a Unix socket; empty: IP is the address
 }
 
-// maxPathBytes is the longest path of a Unix socket (sockaddr_un without its terminating zero).
+// maxPathBytes is the maximum length of the path of a Unix socket (sun_path without its terminating zero).
 const maxPathBytes = 107
 
 // Parse parses IP:PORT, or unix:PATH with an absolute path.
@@ -23,10 +23,10 @@
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		switch {
 		case !strings.HasPrefix(path, "/"):
-			return Addr{}, fmt.Errorf("%q: the path of a unix socket begins with /", text)
+			return Addr{}, fmt.Errorf("%q: the path of a Unix socket must begin with /", text)
 		case len(path) > maxPathBytes || strings.Contains(path, "\x00"):
 			return Addr{}, fmt.Errorf(
-				"%q: the path of a unix socket is over %d bytes, or holds a zero",
+				"%q: the path of a Unix socket is longer than %d bytes, or contains a zero byte",
 				text,
 				maxPathBytes,
 			)
--- a/internal/netaddr/netaddr_test.go
+++ b/internal/netaddr/netaddr_test.go
@@ -19,10 +19,10 @@
 	} {
 		a, err := Parse(text)
 		if (err == nil) != good || good && (a.String() != text || !a.IsValid()) {
-			t.Errorf("%q: %v, %v", text, a, err)
+			t.Errorf("Parse(%q) = %v, %v, want it accepted: %t", text, a, err, good)
 		}
 	}
 	if (Addr{}).IsValid() {
-		t.Error("nothing is an address")
+		t.Error("the zero Addr is valid")
 	}
 }
--- a/internal/wallclock/faults.go
+++ b/internal/wallclock/faults.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Var says by how much the clock is ahead, such as 7m or -1h.
+// Var is the environment variable that sets the offset of the clock, such as 7m or -1h.
 const Var = "RYEPADDLE_CLOCK"
 
-var ahead = told(os.Getenv(Var))
+var offset = parseOffset(os.Getenv(Var))
 
-func told(text string) time.Duration {
+// parseOffset parses a duration. It panics on an invalid one; an empty text is 0.
+func parseOffset(text string) time.Duration {
 	if text == "" {
 		return 0
 	}
--- a/internal/wallclock/micros_test.go
+++ b/internal/wallclock/micros_test.go
@@ -25,10 +25,10 @@
 func TestDecodedSpanDoesNotOverflowWithAnInstant(t *testing.T) {
 	const uptime = 100 * 365 * 24 * time.Hour
 	if got := Micros(math.MaxInt64).Duration() + uptime; got < uptime {
-		t.Errorf("the sum with the largest span is %v", got)
+		t.Errorf("the sum with the largest Micros is %v, want no overflow", got)
 	}
 	if got := Micros(math.MinInt64).Duration() - uptime; got > 0 {
-		t.Errorf("the difference with the smallest span is %v", got)
+		t.Errorf("the difference with the smallest Micros is %v, want no overflow", got)
 	}
 }
 
--- a/internal/wallclock/plain.go
+++ b/internal/wallclock/plain.go
@@ -4,4 +4,5 @@
 
 import "time"
 
-const ahead time.Duration = 0
+// offset is zero, as only programs that are built with the tag faults have another.
+const offset time.Duration = 0
--- a/internal/wallclock/unixmicro.go
+++ b/internal/wallclock/unixmicro.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// UnixMicro is a point on the Unix clock in whole microseconds. It is stored and sent as a plain
-// integer; spans between two of them are time.Duration. Zero stands for "not known".
+// UnixMicro is a Unix time in whole microseconds. It is stored and sent as a plain integer; the difference
+// of two is a time.Duration. Zero stands for an unknown time.
 type UnixMicro int64
 
-// FromTime returns the point of t, cut to whole microseconds.
+// FromTime returns t as a UnixMicro, truncated to whole microseconds.
 func FromTime(t time.Time) UnixMicro { return UnixMicro(t.UnixMicro()) }
 
-// Time returns the point as a time.Time.
+// Time returns u as a time.Time.
 func (u UnixMicro) Time() time.Time { return time.UnixMicro(int64(u)) }
 
-// Add returns the point d after u, cut to whole microseconds.
+// Add returns the time that is d after u. d is truncated to whole microseconds.
 func (u UnixMicro) Add(d time.Duration) UnixMicro { return u + UnixMicro(d/time.Microsecond) }
 
-// Sub returns the time from v to u.
+// Sub returns the duration from v to u.
 func (u UnixMicro) Sub(v UnixMicro) time.Duration { return time.Duration(u-v) * time.Microsecond }
--- a/internal/wallclock/unixmicro_test.go
+++ b/internal/wallclock/unixmicro_test.go
@@ -12,7 +12,7 @@
 		t.Errorf("FromTime(%v) = %d, want %d", at, u, want)
 	}
 	if got, want := u.Add(1500*time.Nanosecond), u+1; got != want {
-		t.Errorf("Add cut to %d, want %d", got, want)
+		t.Errorf("Add = %d, want %d", got, want)
 	}
 	if got, want := (u + 5).Sub(u), 5*time.Microsecond; got != want {
 		t.Errorf("Sub = %v, want %v", got, want)
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,9 +1,9 @@
-// Package wallclock is the system's clock, as all parts read it that go by the time of day. A
-// program that is built with the tag faults can be told another one, for tests of machines whose
-// clocks differ.
+// Package wallclock returns the time of the system's clock to all parts that depend on the time of day.
+// In a program that is built with the tag faults an offset can be set, for tests of machines whose clocks
+// differ.
 package wallclock
 
 import "time"
 
-// Now is the time of day.
-func Now() time.Time { return time.Now().Add(ahead) }
+// Now returns the current time, with the offset of the clock added.
+func Now() time.Time { return time.Now().Add(offset) }
--- a/internal/yamldoc/yamldoc.go
+++ b/internal/yamldoc/yamldoc.go
@@ -22,7 +22,7 @@
 	root      yaml.Node
 }
 
-// Error reports what is wrong with a file.
+// Error reports a file that cannot be decoded, or an invalid value in it.
 type Error struct {
 	Component string // part of the program that decodes the file
 	File      string
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("%s: %s: field %s: %s", e.Component, at, e.Field, e.Reason)
 }
 
-// Decode decodes text into v, a pointer to a struct that holds the defaults. Errors are *Error and
-// name the component and the file.
+// Decode decodes text into v, a pointer to a struct that holds the default values. Errors are of type
+// *Error, and name the component and the file.
 func Decode(component, file string, text []byte, v any) (*Document, error) {
 	doc := &Document{component: component, file: file}
 	d := yaml.NewDecoder(bytes.NewReader(text))
@@ -74,24 +74,25 @@
 	return doc, nil
 }
 
-// fromYAML converts the first error of the library, with its line and field if it names them.
+// fromYAML converts the first error that the YAML library reports, with its line and field if it names
+// them.
 func (d *Document) fromYAML(err error) error {
 	text := strings.TrimPrefix(strings.TrimPrefix(err.Error(), "yaml: "), "unmarshal errors:\n")
 	text, _, _ = strings.Cut(strings.TrimSpace(text), "\n")
 	e := &Error{Component: d.component, File: d.file, Reason: text}
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
-		if n, what, ok := strings.Cut(rest, ": "); ok {
+		if n, reason, ok := strings.Cut(rest, ": "); ok {
 			if line, err := strconv.Atoi(n); err == nil {
 				e.Line = line
-				e.Reason = what
+				e.Reason = reason
 			}
 		}
 	}
 	if rest, ok := strings.CutPrefix(e.Reason, "field "); ok {
-		if name, what, ok := strings.Cut(rest, " "); ok {
+		if name, reason, ok := strings.Cut(rest, " "); ok {
 			e.Field = name
-			e.Reason = what
-			if strings.HasPrefix(what, "not found") {
+			e.Reason = reason
+			if strings.HasPrefix(reason, "not found") {
 				e.Reason = "unknown"
 			}
 		}
@@ -99,7 +100,7 @@
 	return e
 }
 
-// Errorf returns an *Error for a field.
+// Errorf returns an *Error for a field of the document, with its line.
 func (d *Document) Errorf(field, format string, v ...any) error {
 	return &Error{
 		Component: d.component,
@@ -129,8 +130,8 @@
 	return line
 }
 
-// child returns an entry of a list or a mapping, and the node with its line: the key, or the entry
-// itself in a list.
+// child returns the value of an entry of a list or a mapping, and as key the node that has its line: the
+// key of the mapping, or the entry itself in a list. Both are nil if there is no such entry.
 func child(node *yaml.Node, part string) (key, value *yaml.Node) {
 	switch node.Kind {
 	case yaml.SequenceNode:
