--- a/internal/ci/codeindex_test.go
+++ b/internal/ci/codeindex_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// majorVersion is the last part of an import path that names a version.
+// majorVersion matches the last part of an import path if it is a major version, such as v2.
 var majorVersion = regexp.MustCompile(`^v\d+$`)
 
 // nameSet is a set of names.
@@ -20,12 +20,12 @@
 
 // codeIndex holds the names that the Go code of the repository declares.
 type codeIndex struct {
-	declared nameSet            // all names, those of tests among them
-	packages map[string]nameSet // names of a package; several packages may share a name
-	types    map[string]nameSet // names of the packages that declare a type of that name
-	strings  nameSet            // string literals outside tests: log events, kinds of errors, paths of settings
-	keys     nameSet            // keys of YAML and JSON, by the tags of fields
-	imports  nameSet            // names of imported packages, by their paths
+	declared nameSet            // all names, including those of tests
+	packages map[string]nameSet // by name of a package: the names that packages of that name declare
+	types    map[string]nameSet // by name of a type: the names that the folders that declare such a type declare
+	strings  nameSet            // string literals outside tests, such as log events, kinds of errors, paths of settings
+	keys     nameSet            // keys of YAML and JSON in the tags of fields
+	imports  nameSet            // names of imported packages, taken from their paths
 	files    nameSet            // base names of Go files
 }
 
@@ -184,7 +184,8 @@
 	maps.Copy(sets[key], names)
 }
 
-// scope returns the names that may follow a package or type of that name; empty: there is neither.
+// scope returns the names that may follow name and a dot, if it is the name of a package or type. It is
+// empty if there is neither.
 func (index *codeIndex) scope(name string) nameSet {
 	scope := maps.Clone(index.packages[name])
 	if scope == nil {
--- a/internal/ci/pages_test.go
+++ b/internal/ci/pages_test.go
@@ -15,7 +15,7 @@
 
 const root = "../.."
 
-// eachGoFile parses each Go file of the repository, tests among them.
+// eachGoFile parses each Go file of the repository, including tests.
 func eachGoFile(t *testing.T, visit func(path string, file *ast.File)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -39,7 +39,7 @@
 	}
 }
 
-// declared returns the names of all functions, methods and types of the repository, tests among them.
+// declared returns the names of all functions, methods and types of the repository, including tests.
 func declared(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -57,7 +57,8 @@
 	return names
 }
 
-// The pages that lead through the code name functions and tests that exist.
+// The functions, types and tests that request-path.md and shutdown.md name exist, and the tests that
+// crossings.md names.
 func TestPagesNameExistingFunctions(t *testing.T) {
 	names := declared(t)
 	code := regexp.MustCompile("`([A-Za-z]+(?:\\.[A-Za-z]+)*)(?:/[^`]*)?`")
@@ -82,7 +83,7 @@
 			}
 		}
 		if found < 10 {
-			t.Errorf("%s names %d: the check does not read it", page, found)
+			t.Errorf("%s names %d functions, want at least 10: the check does not read it", page, found)
 		}
 	}
 }
--- a/internal/ci/references_test.go
+++ b/internal/ci/references_test.go
@@ -25,7 +25,7 @@
 	formerNameRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| `[^`]+` \\|$")
 )
 
-// All pages name tests, folders, files and code that exist.
+// The tests, folders, files and declarations that pages name exist.
 func TestPagesReferToExistingCode(t *testing.T) {
 	pages := pagePaths(t)
 	index := newCodeIndex(t)
@@ -43,11 +43,11 @@
 		}
 	}
 	if found < 150 {
-		t.Errorf("the pages refer to code %d times: the check does not read them", found)
+		t.Errorf("the pages refer to code %d times, want at least 150: the check does not read them", found)
 	}
 }
 
-// pagePaths returns the pages and those on results.
+// pagePaths returns the paths of the pages, including those on results.
 func pagePaths(t *testing.T) (pages []string) {
 	t.Helper()
 	for _, pattern := range []string{"docs/*.md", "docs/results/*/*.md"} {
@@ -58,12 +58,12 @@
 		pages = append(pages, paths...)
 	}
 	if len(pages) < 30 {
-		t.Fatalf("%d pages: the check does not find them", len(pages))
+		t.Fatalf("%d pages, want at least 30: the check does not find them", len(pages))
 	}
 	return pages
 }
 
-// The check of the pages finds names that do not exist.
+// checkReference reports names that do not exist, and accepts names that do.
 func TestReferencesToMissingCodeAreFound(t *testing.T) {
 	index := newCodeIndex(t)
 	former := nameSet{"store.formerevent": true}
@@ -84,7 +84,7 @@
 		"go test -run TestPagesReferToExistingCode ./internal/nosuchpackage",
 	} {
 		if _, err := checkReference(index, former, span); err == nil {
-			t.Errorf("%s is taken for a name that exists", span)
+			t.Errorf("checkReference(%q) returned no error for code that does not exist", span)
 		}
 	}
 	for _, span := range []string{
@@ -98,12 +98,13 @@
 		"go test -run TestPagesRefer ./internal/ci",
 	} {
 		if isReference, err := checkReference(index, former, span); err != nil || !isReference {
-			t.Errorf("%s: a reference %v, %v", span, isReference, err)
+			t.Errorf("checkReference(%q) = %v, %v, want a reference and no error", span, isReference, err)
 		}
 	}
 }
 
-// The page on races names code that exists in the column of where each is decided, also without a package.
+// The code that the page on races names in the column of where each race is decided exists. It may be named
+// without its package.
 func TestRacesNameTheCodeThatDecides(t *testing.T) {
 	const column = 5
 	index := newCodeIndex(t)
@@ -122,12 +123,12 @@
 		}
 	}
 	if found < 60 {
-		t.Errorf("crossings.md names code %d times: the check does not read it", found)
+		t.Errorf("crossings.md names code %d times, want at least 60: the check does not read it", found)
 	}
 }
 
-// codeSpans returns the texts in code style of a page, without blocks of code. A text that is wrapped counts
-// as one line.
+// codeSpans returns the code spans of a page, without code blocks. A span that is wrapped is joined to one
+// line.
 func codeSpans(page string) (spans []string) {
 	for _, paragraph := range paragraphEnd.Split(codeBlock.ReplaceAllString(page, ""), -1) {
 		for _, span := range codeSpan.FindAllStringSubmatch(paragraph, -1) {
@@ -137,17 +138,18 @@
 	return spans
 }
 
-// Texts in code style are found beside blocks of code, in tables and over the end of a line.
+// Code spans are found beside code blocks, in tables and across the end of a line, also after a backquote
+// without its pair.
 func TestCodeSpansArePaired(t *testing.T) {
 	page := "One `a.B` and `two\n  words`.\n\n```\n`block\n```\n\n| `c` | `d` |\n| an open ` mark |\n- `e`\n"
 	want := []string{"a.B", "two words", "c", "d", "e"}
 	if got := codeSpans(page); !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("codeSpans() = %q, want %q", got, want)
 	}
 }
 
-// checkReference returns an error if a text in code style names a test, a path or a declaration that does
-// not exist. isReference is false for other texts.
+// checkReference returns an error if a code span names a test, a path or a declaration that does not exist.
+// isReference is false for spans that name none of these.
 func checkReference(index *codeIndex, former nameSet, span string) (isReference bool, err error) {
 	switch {
 	case testName.MatchString(span):
@@ -165,7 +167,7 @@
 	return false, nil
 }
 
-// checkCommand returns an error if a command names a folder that does not exist, or runs no test.
+// checkCommand returns an error if a command names a folder or a test that does not exist.
 func checkCommand(index *codeIndex, command string) (isReference bool, err error) {
 	for _, m := range commandPath.FindAllStringSubmatch(command, -1) {
 		isReference, err = true, errors.Join(err, checkPath(m[1]))
@@ -179,7 +181,7 @@
 	return isReference, err
 }
 
-// checkPath returns an error if a path, of which one part may be a list of alternatives, does not exist.
+// checkPath returns an error if a path does not exist. One part of it may be alternatives, such as {a,b}.
 func checkPath(path string) error {
 	if m := alternatives.FindStringSubmatch(path); m != nil {
 		for part := range strings.SplitSeq(m[2], ",") {
@@ -196,8 +198,9 @@
 	return err
 }
 
-// checkName returns an error if a qualified name whose first part is a package or a type of the repository
-// is not declared there, and is no file, key of a setting, log event or kind of error either.
+// checkName returns an error if the first part of a qualified name is a package or a type of the repository
+// that does not declare the rest, and the name is not a file, a key of a setting, a log event or a kind of
+// error either.
 func checkName(index *codeIndex, former nameSet, name string) (isReference bool, err error) {
 	parts := strings.Split(name, ".")
 	scope := index.scope(parts[0])
@@ -227,7 +230,7 @@
 		former[row[1]] = true
 	}
 	if len(former) < 20 {
-		t.Fatalf("log-events.md lists %d former names: the check does not read it", len(former))
+		t.Fatalf("log-events.md lists %d former names, want at least 20: the check does not read it", len(former))
 	}
 	return former
 }
--- a/internal/ci/verdict/known.go
+++ b/internal/ci/verdict/known.go
@@ -11,7 +11,7 @@
 // KnownFailure is a test that is expected to fail, because of a fault that is not fixed yet.
 type KnownFailure struct {
 	Test    string // name of the test, with its subtest if only that one fails
-	Command string // how to run it
+	Command string // command that reproduces the failure
 	Seed    string // seed of that run, or "none"
 	Seen    string // what the run showed
 	Issue   string // number of the open issue
@@ -27,7 +27,7 @@
 // Error implements error.
 func (e *KnownError) Error() string { return fmt.Sprintf("KNOWN-RED.txt:%d: %s", e.Line, e.Reason) }
 
-// issueNumber is the form of the last part of an entry.
+// issueNumber matches the number of an issue.
 var issueNumber = regexp.MustCompile(`^\d+$`)
 
 // ReadKnown reads a list of known failures. Entries are separated by blank lines and have five
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// set takes one line of an entry and returns what is wrong with it.
+// set sets the field that a line of an entry names, and returns why the line is invalid, or an empty string.
 func (k *KnownFailure) set(line string) (reason string) {
 	label, value, _ := strings.Cut(line, ":")
 	field := k.part(label)
 	switch {
 	case field == nil:
-		return fmt.Sprintf("%q is no part of an entry: want test, command, seed, seen or issue", label)
+		return fmt.Sprintf("unknown label %q: want test, command, seed, seen or issue", label)
 	case *field != "":
 		return fmt.Sprintf("a second %s in one entry: separate entries by a blank line", label)
 	}
@@ -113,7 +113,7 @@
 	return ""
 }
 
-// problem returns what is wrong with a whole entry.
+// problem returns why an entry is invalid, or an empty string.
 func (k *KnownFailure) problem() (reason string) {
 	for _, label := range []string{"test", "command", "seed", "seen", "issue"} {
 		if *k.part(label) == "" {
@@ -122,9 +122,9 @@
 	}
 	switch {
 	case !strings.HasPrefix(k.Test, "Test"):
-		return fmt.Sprintf("%q is no name of a test", k.Test)
+		return fmt.Sprintf("%q is not the name of a test", k.Test)
 	case !issueNumber.MatchString(k.Issue):
-		return fmt.Sprintf("%q is no number of an issue", k.Issue)
+		return fmt.Sprintf("%q is not the number of an issue", k.Issue)
 	}
 	return ""
 }
@@ -134,7 +134,7 @@
 	return test == k.Test || strings.HasPrefix(test, k.Test+"/")
 }
 
-// String is the line that CI prints for a failure that it passed over.
+// String returns the description that CI prints of a known failure.
 func (k *KnownFailure) String() string {
 	return fmt.Sprintf(
 		"%s (issue %s): %s; again with: %s, seed %s",
--- a/internal/ci/verdict/main.go
+++ b/internal/ci/verdict/main.go
@@ -1,10 +1,10 @@
-// Command verdict reads the output of `go test -json` and decides whether the run is green. Tests
-// that KNOWN-RED.txt lists have to fail, and all others to pass:
+// Command verdict reads the output of `go test -json` and decides whether the run is green: the tests that
+// KNOWN-RED.txt lists must fail, and all others must not.
 //
 //	go test -race -json ./... | go run ./internal/ci/verdict KNOWN-RED.txt
 //
-// It prints each known failure that it passed over, and each problem. The exit code is 0 for green
-// and 1 for red or unreadable input.
+// It prints each known failure and each problem. The exit code is 0 for green, 1 for red or unreadable
+// input, and 2 for wrong arguments.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	}
 }
 
-// run judges the run read from in by the list at path, and writes the findings to out.
+// run evaluates the test run that it reads from in against the list at path, and writes the findings to out.
 func run(path string, in io.Reader, out io.Writer) (green bool, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return false, err
 	}
-	problems := Judge(results, known)
+	problems := Evaluate(results, known)
 	for i := range known {
 		fmt.Fprintln(out, "known red, passed over:", &known[i])
 	}
--- a/internal/ci/verdict/verdict.go
+++ b/internal/ci/verdict/verdict.go
@@ -18,7 +18,7 @@
 	Output  string `json:"Output"`
 }
 
-// The actions that end a test or a package, and the one that begins a test.
+// The actions that are evaluated.
 const (
 	actionRun       = "run"
 	actionPass      = "pass"
@@ -28,22 +28,22 @@
 	actionBuildFail = "build-fail"
 )
 
-// testName is one test of a package.
+// testName identifies a test or subtest.
 type testName struct{ pkg, test string }
 
-// Results is how the tests and packages of a run ended.
+// Results holds the outcomes of the tests and packages of a run.
 type Results struct {
-	tests      map[testName]string   // last action of each test; actionRun: it has not ended
+	tests      map[testName]string   // last action of each test; actionRun: the test has not ended
 	packages   map[string]string     // action that ended each package
 	unbuilt    int                   // packages that could not be built
-	transcript map[testName][]string // output of the tests that have not passed
+	transcript map[testName][]string // output of the tests that have not ended
 }
 
-// maxLineBytes bounds one line of the output.
+// maxLineBytes bounds a line of the input.
 const maxLineBytes = 16 << 20
 
-// ReadResults reads a run to its end. It copies to out what packages print, and what failing tests
-// print. Input that is not the output of go test -json, or in which no package ends, is an error.
+// ReadResults reads a run to its end. It copies the output of packages and of failing tests to out. Input
+// that is not the output of go test -json, or in which no package ends, is an error.
 func ReadResults(r io.Reader, out io.Writer) (*Results, error) {
 	results := &Results{
 		tests:      map[testName]string{},
@@ -95,8 +95,8 @@
 	}
 }
 
-// Judge returns what makes a run red. A run without problems is green.
-func Judge(r *Results, known []KnownFailure) (problems []string) {
+// Evaluate returns the problems that make a run red. A run without problems is green.
+func Evaluate(r *Results, known []KnownFailure) (problems []string) {
 	if r.unbuilt > 0 {
 		problems = append(problems, fmt.Sprintf("%d packages cannot be built", r.unbuilt))
 	}
@@ -134,8 +134,7 @@
 	return false
 }
 
-// checkKnown returns what is wrong with a known failure: no test has its name, or the test does not
-// fail.
+// checkKnown returns the problems of an entry of the list: no test has its name, or the test does not fail.
 func (r *Results) checkKnown(k *KnownFailure) (problems []string) {
 	found := false
 	for name, action := range r.tests {
--- a/internal/ci/verdict/verdict_test.go
+++ b/internal/ci/verdict/verdict_test.go
@@ -12,7 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// entry is a whole entry of the list, with some lines replaced or, where the value is empty, left out.
+// entry returns an entry of the list, with some values replaced. A line whose value is replaced by an empty
+// one is left out.
 func entry(replaced map[string]string) string {
 	var b strings.Builder
 	for _, part := range [][2]string{
@@ -45,8 +46,8 @@
 	for name, c := range map[string]struct {
 		text string
 		want []KnownFailure
-		line int    // at which the error is; 0: none
-		says string // part of the error
+		line int    // line of the expected error; 0: no error
+		says string // part of the expected error
 	}{
 		"nothing": {"\n\n# a comment\n", nil, 0, ""},
 		"one":     {entry(nil), []KnownFailure{first}, 0, ""},
@@ -57,25 +58,25 @@
 			"",
 		},
 		"more than three":     {strings.Repeat(entry(nil)+"\n", 5), many, 0, ""},
-		"no test":             {entry(map[string]string{"test": "BenchmarkA"}), nil, 1, "no name of a test"},
+		"no test":             {entry(map[string]string{"test": "BenchmarkA"}), nil, 1, "not the name of a test"},
 		"without a test":      {entry(map[string]string{"test": ""}), nil, 1, "no test"},
 		"without a command":   {entry(nil) + "\n" + entry(map[string]string{"command": ""}), nil, 7, "no command"},
 		"without a seed":      {entry(map[string]string{"seed": ""}), nil, 1, "no seed"},
 		"without what's seen": {"\n" + entry(map[string]string{"seen": ""}), nil, 2, "no seen"},
 		"without an issue":    {entry(map[string]string{"issue": ""}), nil, 1, "no issue"},
-		"the issue's words":   {entry(map[string]string{"issue": "soon"}), nil, 1, "no number of an issue"},
-		"an unknown part":     {entry(nil) + "cause: a race\n", nil, 6, "no part of an entry"},
+		"the issue's words":   {entry(map[string]string{"issue": "soon"}), nil, 1, "not the number of an issue"},
+		"an unknown part":     {entry(nil) + "cause: a race\n", nil, 6, "unknown label"},
 		"two in one":          {entry(nil) + entry(nil), nil, 6, "a second test"},
-		"the former form":     {"TestA, the link breaks, issue 36\n", nil, 1, "no part of an entry"},
+		"the former form":     {"TestA, the link breaks, issue 36\n", nil, 1, "unknown label"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ReadKnown(strings.NewReader(c.text))
 			var wrong *KnownError
 			if errors.As(err, &wrong) != (c.line > 0) || wrong != nil && wrong.Line != c.line {
-				t.Fatalf("%v, want line %d", err, c.line)
+				t.Fatalf("ReadKnown() = %v, want a KnownError at line %d (0: none)", err, c.line)
 			}
 			if err != nil && !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%v does not say %q", err, c.says)
+				t.Errorf("ReadKnown() = %v, want the text %q", err, c.says)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
@@ -84,7 +85,8 @@
 	}
 }
 
-// events writes a run as go test -json does: `package/test action` each.
+// events returns the output of go test -json for a run, whose lines are "package:test action" or
+// "package action".
 func events(run string) io.Reader {
 	var b strings.Builder
 	for line := range strings.Lines(run) {
@@ -149,7 +151,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(c.want, Judge(results, c.known)); diff != "" {
+			if diff := cmp.Diff(c.want, Evaluate(results, c.known)); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
 			}
 		})
@@ -159,7 +161,7 @@
 func TestInputWithoutAnEndedPackageIsAnError(t *testing.T) {
 	for _, text := range []string{"", "ok p\n", `{"Action":"run","Package":"p","Test":"TestA"}` + "\n"} {
 		if _, err := ReadResults(strings.NewReader(text), io.Discard); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("ReadResults(%q) returned no error", text)
 		}
 	}
 }
@@ -202,7 +204,7 @@
 			var out strings.Builder
 			green, err := run(path, events(c.events), &out)
 			if err != nil || green != c.green {
-				t.Errorf("green %v, %v", green, err)
+				t.Errorf("run() = %v, %v, want %v and no error", green, err, c.green)
 			}
 			want := "known red, passed over: TestA (issue 31): it is answered twice; " +
 				"again with: go test -run TestA ./p, seed 7\n" + c.want
