--- a/internal/telemetry/explain/request_log_test.go
+++ b/internal/telemetry/explain/request_log_test.go
@@ -98,14 +98,14 @@
 		tr.Key, tr.AnsweredAt = strings.Repeat("k", 100), wallclock.UnixMicro(100+n)
 		r.Add(tr, 1)
 	}
-	again := trace(8, handIn, lifecycle.Served)
-	again.OriginalID = fmt.Sprintf("%016x", 7)
-	r.Add(again, 1)
+	duplicate := trace(8, handIn, lifecycle.Served)
+	duplicate.OriginalID = fmt.Sprintf("%016x", 7)
+	r.Add(duplicate, 1)
 	for _, c := range []struct {
 		q    Query
 		want int
 	}{
-		{Query{ID: again.OriginalID, Class: -1}, 4},
+		{Query{ID: duplicate.OriginalID, Class: -1}, 4},
 		{Query{Key: strings.Repeat("k", 100), Class: handIn}, 3},
 		{Query{Class: -1, NotServed: true, From: 101}, 2},
 		{Query{Class: check}, 0},
--- a/internal/telemetry/logging/logging_test.go
+++ b/internal/telemetry/logging/logging_test.go
@@ -104,7 +104,7 @@
 	} {
 		l, err := ParseLevels(strings.Fields(c.words))
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("ParseLevels(%q) = %v, want the error %q", c.words, err, c.err)
+			t.Errorf("ParseLevels(%q) = %v, want the error %q (empty: none)", c.words, err, c.err)
 		}
 		SetLevels(l)
 		if eventBad.Enabled() != c.bad || eventQuiet.Enabled() != c.quiet {
--- a/internal/telemetry/traffic/read.go
+++ b/internal/telemetry/traffic/read.go
@@ -79,9 +79,9 @@
 
 // WithoutRetries returns the requests in the order of their arrivals, without those that look like
 // retries, and the number of those. A request looks like a retry if it arrived within the retry window of
-// its class after a request with the same idempotency key or, without a key, the same caller and body.
-// This is an estimate, because runners are not told which requests are retries: equal requests of two
-// clients count as one.
+// its class after a request that is not a retry itself and has the same idempotency key or, without a key,
+// the same caller and body. This is an estimate, because runners are not told which requests are retries:
+// equal requests of two clients count as one.
 func (rec *Recording) WithoutRetries(window func(class int) time.Duration) (first []Request, retries int) {
 	sorted := slices.Clone(rec.Requests)
 	slices.SortStableFunc(sorted, func(a, b Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
--- a/internal/telemetry/traffic/recorder.go
+++ b/internal/telemetry/traffic/recorder.go
@@ -21,7 +21,7 @@
 // Options sets the limits of a recorder.
 type Options struct {
 	MaxBytes      int64         // maximum size of the file
-	QueueSize     int           // maximum number of queued requests that are not in a block yet; at least 1 is used
+	QueueSize     int           // maximum number of queued requests that are not in a block yet; minimum 1
 	BlockSize     int           // requests per block; 0: 512
 	FlushInterval time.Duration // interval at which a block is written though it is not full; 0: 1 s
 }
--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -13,7 +13,7 @@
 
 const storedFile = "testdata/stored.traffic"
 
-func storedHead() Header {
+func storedHeader() Header {
 	return Header{
 		Runner:    "n3",
 		StartedAt: 1_764_576_000_000_000,
@@ -41,7 +41,7 @@
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	opt := Options{MaxBytes: 1 << 20, QueueSize: 10, BlockSize: 3, FlushInterval: time.Hour}
-	r, err := Create(path, storedHead(), opt)
+	r, err := Create(path, storedHeader(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Recording{Header: storedHead(), Requests: storedRequests(), OutOfOrder: 1}
+	want := &Recording{Header: storedHeader(), Requests: storedRequests(), OutOfOrder: 1}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Header{}, Request{}, Lost{})); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -19,7 +19,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-var head = Header{
+var header = Header{
 	Runner:    "n3",
 	StartedAt: 1_764_576_000_000_000,
 	Classes:   []string{"check", "hand-in"},
@@ -63,7 +63,7 @@
 
 func request(i int) Request {
 	return Request{
-		ArrivedAt: head.StartedAt + wallclock.UnixMicro(i)*1000,
+		ArrivedAt: header.StartedAt + wallclock.UnixMicro(i)*1000,
 		Class:     uint16(i % 2),
 		Tenant:    uint16(i / 2 % 2),
 		Caller:    uint32(i),
@@ -83,7 +83,7 @@
 	if opt.QueueSize == 0 {
 		opt.QueueSize = n + 1
 	}
-	r, err := NewRecorder(d, head, opt)
+	r, err := NewRecorder(d, header, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 		d := &disk{room: -1}
 		r, err := NewRecorder(
 			d,
-			head,
+			header,
 			Options{MaxBytes: 1 << 20, QueueSize: 100, BlockSize: rapid.IntRange(1, 40).Draw(t, "block")},
 		)
 		if err != nil {
@@ -148,7 +148,7 @@
 		if diff := cmp.Diff(want, rec.Requests, cmp.AllowUnexported(Request{})); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
-		if rec.Runner != "n3" || rec.StartedAt != head.StartedAt {
+		if rec.Runner != "n3" || rec.StartedAt != header.StartedAt {
 			t.Fatalf("header = %+v, want the one that was recorded", rec.Header)
 		}
 	})
@@ -215,13 +215,13 @@
 		{"empty", nil, ErrNotRecording},
 		{"text", []byte("name,address\na,b\n"), ErrNotRecording},
 		{"newer", newer, ErrNewerVersion},
-		{"no head", append([]byte(magic), 1, 0), ErrNotRecording},
+		{"no header", append([]byte(magic), 1, 0), ErrNotRecording},
 	} {
 		if _, err := Decode(bytes.NewReader(c.text)); !errors.Is(err, c.want) {
 			t.Errorf("%s: Decode() = %v, want %v", c.name, err, c.want)
 		}
 	}
-	huge, err := appendStart(nil, head)
+	huge, err := appendStart(nil, header)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 // With a slow disk records are lost, and counted, but no request is delayed.
 func TestSlowDiskDelaysNothing(t *testing.T) {
 	d := &disk{room: -1, gate: make(chan struct{})}
-	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 50, BlockSize: 10})
+	r, err := NewRecorder(d, header, Options{MaxBytes: 1 << 20, QueueSize: 50, BlockSize: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,7 +272,7 @@
 // holds complete blocks only.
 func TestFullDiskCostsRecordsThatAreCounted(t *testing.T) {
 	d := &disk{room: 400}
-	r, err := NewRecorder(d, head, Options{MaxBytes: 1 << 20, QueueSize: 1000, BlockSize: 10})
+	r, err := NewRecorder(d, header, Options{MaxBytes: 1 << 20, QueueSize: 1000, BlockSize: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -316,7 +316,7 @@
 		t.Errorf("%d bytes, %d requests, lost %+v, Truncation = %v, want at most 4000 bytes and all 5000 read or lost",
 			len(d.text), len(rec.Requests), r.Lost(), rec.Truncation)
 	}
-	if _, err := NewRecorder(&disk{room: -1}, head, Options{MaxBytes: 100}); err == nil {
+	if _, err := NewRecorder(&disk{room: -1}, header, Options{MaxBytes: 100}); err == nil {
 		t.Error("NewRecorder() returned no error for a file without room")
 	}
 }
@@ -326,7 +326,7 @@
 	if err := os.WriteFile(path, []byte("dear"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Create(path, head, Options{MaxBytes: 1 << 20}); !errors.Is(err, os.ErrExist) {
+	if _, err := Create(path, header, Options{MaxBytes: 1 << 20}); !errors.Is(err, os.ErrExist) {
 		t.Errorf("Create() = %v, want os.ErrExist", err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "dear" {
@@ -336,7 +336,7 @@
 
 func TestRetriesAreLeftOut(t *testing.T) {
 	const s = 1_000_000 // in microseconds
-	rec := &Recording{Header: head, Requests: []Request{
+	rec := &Recording{Header: header, Requests: []Request{
 		{ArrivedAt: 5 * s, Class: 0, Caller: 1, BodyHash: 70},  // the clock was set back after this one
 		{ArrivedAt: 1 * s, Class: 0, Caller: 1, BodyHash: 10},  //
 		{ArrivedAt: 2 * s, Class: 0, Caller: 1, BodyHash: 10},  // again
@@ -378,7 +378,7 @@
 }
 
 func BenchmarkRecord(b *testing.B) {
-	r, err := NewRecorder(&disk{room: -1}, head, Options{MaxBytes: 1 << 40, QueueSize: 4096})
+	r, err := NewRecorder(&disk{room: -1}, header, Options{MaxBytes: 1 << 40, QueueSize: 4096})
 	if err != nil {
 		b.Fatal(err)
 	}
