--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -13,7 +13,7 @@
 
 const storedFile = "testdata/stored.traffic"
 
-func storedHead() Header {
+func storedHeader() Header {
 	return Header{
 		Runner:    "n3",
 		StartedAt: 1_764_576_000_000_000,
@@ -41,7 +41,7 @@
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	opt := Options{MaxBytes: 1 << 20, QueueSize: 10, BlockSize: 3, FlushInterval: time.Hour}
-	r, err := Create(path, storedHead(), opt)
+	r, err := Create(path, storedHeader(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,8 @@
 	}
 }
 
-// A recording of version 1 is read as it was written, and recorded again it has the same bytes.
+// A stored recording of version 1 is read as it was written, and the same requests are recorded as the same
+// bytes.
 func TestReadsRecordingOfVersion1(t *testing.T) {
 	again := filepath.Join(t.TempDir(), "again.traffic")
 	writeStored(t, again)
@@ -62,13 +63,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Recording{Header: storedHead(), Requests: storedRequests(), OutOfOrder: 1}
+	want := &Recording{Header: storedHeader(), Requests: storedRequests(), OutOfOrder: 1}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Header{}, Request{}, Lost{})); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
 }
 
-// What was lost is in the last frame of a file; the figures keep their order.
+// The trailer has the numbers of lost requests in a fixed order, as stored.
 func TestTrailerKeepsItsBytes(t *testing.T) {
 	got, err := appendFrame(nil, frameTrailer, Trailer{Requests: 4, Lost: Lost{Queue: 1, Bytes: 2, Errors: 300}})
 	if err != nil {
