--- a/internal/peers/replication/cluster_test.go
+++ b/internal/peers/replication/cluster_test.go
@@ -69,7 +69,7 @@
 	tableVersion  uint64 // version of the replica's table
 	rejoinVersion uint64 // version of the table after which the process rejoined
 	log           []consensus.DurableRecord
-	disk, older   disk
+	disk, older   disk // state at the last crash and at the crash before it
 	keys          map[string]*keyState
 	sent          int             // number of messages sent
 	links         map[string]bool // peers to which a message was sent
@@ -131,7 +131,7 @@
 	c.scheduler.RunUntil(c.scheduler.Now() + d.Truncate(virtualclock.Resolution))
 }
 
-// randomDuration returns a random number of whole microseconds in [a, b).
+// randomDuration returns a random duration in [a, b), in whole microseconds.
 func (c *cluster) randomDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(c.random.Int64N((b-a).Microseconds()))*time.Microsecond
 }
--- a/internal/peers/replication/errors.go
+++ b/internal/peers/replication/errors.go
@@ -6,18 +6,18 @@
 var (
 	kindTimeout = fault.Define(
 		"peers.replication_timeout",
-		"The replicas of a key did not answer in time.",
-		"See which runners they are with runner peers key, and whether their links are up.",
+		"The primary of a key's slot did not answer a request in time.",
+		"Find the replicas of the key with runner peers key, and check that they run and that their links are up.",
 	)
 	kindUnavailable = fault.Define(
 		"peers.unavailable",
-		"No new keys are accepted: there are too few replicas, or the consensus group is not heard.",
-		"See with runner peers which runners are lost; it ends by itself once a majority is connected.",
+		"A key was rejected: this runner has no table yet, or the key's slot is in quarantine or has reached a limit.",
+		"Check with runner peers that a majority is connected; a quarantine ends after the longest key window.",
 	)
 	kindConflict = fault.Define(
 		"peers.key_conflict",
-		"The record of another attempt of the key is stored, at this runner or another.",
-		"Nothing: the caller gets the result of the first attempt when it retries.",
+		"A request contradicts the stored record of its key, such as the record of another attempt.",
+		"No action is needed: a caller that retries gets the result of the attempt that owns the key.",
 	)
 )
 
@@ -25,8 +25,9 @@
 var (
 	// ErrTimeout is returned for a request that no primary answered before its deadline.
 	ErrTimeout error = kindTimeout.New("replication: no primary answered before the deadline")
-	// ErrUnavailable is returned for a request for a new key while no new keys are accepted.
+	// ErrUnavailable is returned for a request that is rejected with OutcomeUnavailable or made before this
+	// runner has a table.
 	ErrUnavailable error = kindUnavailable.New("replication: no new keys are accepted")
-	// ErrConflict is returned for a request that contradicts the stored record of another attempt.
-	ErrConflict error = kindConflict.New("replication: the key has a stored record of another attempt")
+	// ErrConflict is returned for a request that contradicts the stored record of its key.
+	ErrConflict error = kindConflict.New("replication: the request contradicts the stored record of the key")
 )
--- a/internal/peers/replication/follower.go
+++ b/internal/peers/replication/follower.go
@@ -61,7 +61,7 @@
 			s.store(e, r.now+e.Remaining.Duration())
 		}
 	}
-	if m.EpochStarts != nil { // records an epoch whose entries have all expired
+	if m.EpochStarts != nil { // the newest epochs may have no unexpired entries
 		s.epochStarts = slices.Clone(m.EpochStarts)
 		s.lastEpoch = m.EpochStarts[len(m.EpochStarts)-1].Epoch
 	}
--- a/internal/peers/replication/message.go
+++ b/internal/peers/replication/message.go
@@ -17,7 +17,7 @@
 	MsgProbe                             // a primary that begins an epoch asks a replica for its newest record
 	MsgProbeResp                         // the epoch and sequence number of the replica's newest record
 	MsgAppend                            // records for a follower to store
-	MsgAppendResp                        // all records up to this sequence number are stored
+	MsgAppendResp                        // the sender has stored all records up to Seq
 )
 
 // String returns the name of the constant.
@@ -46,7 +46,7 @@
 const (
 	OutcomeGranted      Outcome = iota + 1 // the run may begin
 	OutcomeOwnedByOther                    // another attempt owns the key; the message's entry is its record
-	OutcomeStored                          // the end of a run is stored
+	OutcomeStored                          // the record of a run that ended or never began is stored
 	OutcomeRetry                           // the receiver is not the primary, or cannot commit records yet
 	OutcomeUnavailable                     // new keys are rejected until RetryAfter is over
 	OutcomeConflict                        // the request contradicts the stored record
--- a/internal/peers/replication/primary_test.go
+++ b/internal/peers/replication/primary_test.go
@@ -109,7 +109,10 @@
 		if want := second * records * (size + recordOverhead) / rate; stored < records ||
 			joining && (now < want*9/10 || now > want*12/10) ||
 			!joining && now > second {
-			t.Errorf("joining = %v: follower has %d records after %v, want all in time", joining, stored, now)
+			t.Errorf(
+				"joining = %v: follower has %d records after %v, want all at the catch-up rate if joining, else in 1s",
+				joining, stored, now,
+			)
 		}
 	}
 }
--- a/internal/peers/replication/put.go
+++ b/internal/peers/replication/put.go
@@ -21,8 +21,8 @@
 	message   *Message
 	slot      *slot
 	record    *store.Record
-	remaining time.Duration
-	current   *item // stored record of the key; nil: none
+	remaining time.Duration // time left of the key's window
+	current   *item         // stored record of the key; nil: none
 }
 
 // handlePut handles a MsgPut as the slot's primary. It responds once the records on which the
@@ -133,7 +133,7 @@
 	}
 }
 
-// onCommit calls fn once all records up to seq are committed.
+// onCommit registers fn to be called once all records up to seq are committed.
 func (s *slot) onCommit(seq uint64, fn func()) {
 	s.commitWaiters = append(s.commitWaiters, commitWaiter{seq, fn})
 }
--- a/internal/peers/replication/replica.go
+++ b/internal/peers/replication/replica.go
@@ -26,7 +26,7 @@
 	// accepts new keys. Without contact, the runner may have been replaced without learning of it.
 	QuorumTimeout time.Duration
 	MaxBytes      int   // size of all records at which new keys are rejected; 0: no bound
-	CatchUpRate   int64 // bytes per second for replicas that are catching up; 0: no bound
+	CatchUpRate   int64 // bytes per second for all joining replicas together; 0: no bound
 }
 
 // Result is the result of a Put.
@@ -46,9 +46,9 @@
 // others, and sends the runner's own requests to the primaries of their slots.
 type Replica struct {
 	cfg           Config
-	table         *placement.Table // nil: none is known yet
-	slots         []*slot          // by slot number; nil: this runner has no state of the slot
-	pending       map[uint64]*pendingPut
+	table         *placement.Table       // nil: none is known yet
+	slots         []*slot                // by slot number; nil: this runner has no state of the slot
+	pending       map[uint64]*pendingPut // by request ID
 	lastRequestID uint64
 	lastSerial    uint64
 	quorumContact time.Duration // time of the last contact with the consensus group
--- a/internal/peers/replication/replica_test.go
+++ b/internal/peers/replication/replica_test.go
@@ -41,7 +41,7 @@
 		c := play(seed, nil)
 		if v := c.verdict(); v != "" {
 			if broken++; broken <= 5 {
-				t.Errorf("%s\nreplay, but for the Raft library's own draws, with: "+replayHint, v, seed)
+				t.Errorf("%s\nreplay (except for the Raft library's own random numbers) with: "+replayHint, v, seed)
 			}
 		}
 		served, refused, failed = served+c.served, refused+c.refused, failed+c.failed
@@ -52,8 +52,8 @@
 	}
 }
 
-// brokenVersions are versions of the program that violate the guarantee. Each is emulated by changes to
-// messages or tables.
+// brokenVersions are versions of the program in which a key can run twice or lose its committed result.
+// Each is emulated by changes to messages or tables.
 var brokenVersions = []struct {
 	name     string
 	maxSeeds int
--- a/internal/peers/replication/request.go
+++ b/internal/peers/replication/request.go
@@ -155,7 +155,7 @@
 			p.answered = false
 		}
 	case OutcomeGranted:
-		if p.record.Kind != store.RunStarted || r.now >= p.deadline { // of another request, or past the deadline
+		if p.record.Kind != store.RunStarted || r.now >= p.deadline { // response to another request, or too late
 			return
 		}
 	case OutcomeStored:
--- a/internal/peers/replication/requests_test.go
+++ b/internal/peers/replication/requests_test.go
@@ -36,8 +36,8 @@
 	return c.keys[key]
 }
 
-// attempt makes one attempt of a client with a key and reports its end to the checker. Attempts at a
-// process that ends are not reported.
+// attempt makes one attempt of a client with a key and reports its end to the checker. An attempt
+// is not reported if its process ends first.
 func (r *runner) attempt(key string, remaining time.Duration) {
 	c := r.cluster
 	began := c.now()
@@ -87,14 +87,14 @@
 	key string,
 	k *keyState,
 	record *store.Record,
-	asked, expiresAt time.Duration,
+	requestedAt, expiresAt time.Duration,
 	result Result,
 ) {
 	c := r.cluster
 	switch {
 	case result.Err != nil:
 		r.finishAttempts(key, k, endRefused, false)
-	case result.Outcome == OutcomeGranted && c.now() > asked+requestTimeout:
+	case result.Outcome == OutcomeGranted && c.now() > requestedAt+requestTimeout:
 		c.violations = append(c.violations, key+" began to run after the request timeout")
 	case result.Outcome == OutcomeGranted:
 		r.beginRun(key, k, record, expiresAt)
--- a/internal/peers/replication/slot.go
+++ b/internal/peers/replication/slot.go
@@ -48,7 +48,7 @@
 	needsAppend bool // it is sent the records that it lacks once the catch-up budget allows
 }
 
-// commitWaiter is a callback for the time when all records up to seq are committed.
+// commitWaiter is a callback that runs once all records up to seq are committed.
 type commitWaiter struct {
 	seq uint64
 	fn  func()
--- a/internal/peers/replication/table.go
+++ b/internal/peers/replication/table.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// applyEmptyEpoch quarantines a slot that began an epoch without records. A key may have run before, and
-// the slot has no record of that run. It can be requested again until the longest key window and
+// applyEmptyEpoch quarantines a slot that began an epoch without records. A key may have run before
+// without a record in the slot. Retries of such a key may arrive until the longest key window and
 // readGrace are over.
 func (r *Replica) applyEmptyEpoch(s *slot, t *placement.Slot, isPrimary bool) {
 	if t.EmptyEpoch == s.quarantine.epoch {
