--- a/internal/peers/usagereplica/faults_test.go
+++ b/internal/peers/usagereplica/faults_test.go
@@ -95,7 +95,7 @@
 					return
 				}
 			}
-			t.Error("no violation found within the seeds")
+			t.Error("no violation found with any of the seeds")
 		})
 	}
 }
--- a/internal/peers/usagereplica/load_test.go
+++ b/internal/peers/usagereplica/load_test.go
@@ -171,8 +171,8 @@
 }
 
 // settle runs steps until each runner's ledger and statements are replicated and the ledgers of lost
-// processes are finished, so that at most one loss is open at a time. Operations of the last steps may
-// still be in flight.
+// processes are finished, so that no two losses overlap. Operations of the last steps may still be in
+// flight.
 func (c *cluster) settle() {
 	const minSteps, maxSteps = 10, 3000
 	for n := 0; ; n++ {
--- a/internal/peers/usagereplica/message.go
+++ b/internal/peers/usagereplica/message.go
@@ -15,7 +15,7 @@
 	MsgSnapshot                               // a part of the ledger's current state from a primary
 	MsgStatement                              // a statement; without its bytes it asks whether the receiver has it
 	MsgDrop                                   // the receiver is to drop the ledger, as its current replicas have it
-	MsgProgress                               // up to where a replica has the ledger
+	MsgProgress                               // the operations or snapshot parts that a replica has
 	MsgStatementStored                        // the sender has the statement
 	MsgStatementWanted                        // the sender does not have the statement
 )
@@ -64,7 +64,7 @@
 	Bytes    []byte          `cbor:"11,keyasint,omitempty"` // content of the part or of the statement
 	Settings ledger.Settings `cbor:"12,keyasint,omitzero"`
 	Name     string          `cbor:"13,keyasint,omitempty"` // file name of the statement
-	// SnapshotID numbers the snapshots that the primary sent. It ignores progress with an earlier
-	// snapshot.
+	// SnapshotID numbers the snapshots that the primary sent. The primary ignores progress with an
+	// earlier snapshot.
 	SnapshotID uint64 `cbor:"14,keyasint,omitempty"`
 }
--- a/internal/peers/usagereplica/placement.go
+++ b/internal/peers/usagereplica/placement.go
@@ -7,10 +7,10 @@
 	"ryepaddle/internal/peers/placement"
 )
 
-// ReplicasOf returns the replicas of a runner's ledger: up to Table.Backups of the other members that
-// keep usage, chosen by rendezvous hashing. It takes one member of each other zone first, then further
-// members of other zones, then those of the runner's own zone. The same table gives the same replicas
-// on every runner.
+// ReplicasOf returns the replicas of a runner's ledger: up to Table.Backups of the other members with
+// KeepsUsage, chosen by rendezvous hashing. Members that are leaving are excluded unless the table still
+// needs them. One member of each other zone is taken first, then further members of other zones, then
+// those of the runner's own zone. The same table gives the same replicas on every runner.
 func ReplicasOf(t *placement.Table, name string) []placement.Member {
 	zone := ""
 	if m := t.Member(name); m != nil {
--- a/internal/peers/usagereplica/primary.go
+++ b/internal/peers/usagereplica/primary.go
@@ -22,8 +22,8 @@
 	maxOperationsPerMessage = 256
 	// maxInFlight is the number of unacknowledged operations at which no more are sent to a replica.
 	maxInFlight = 4096
-	// maxRetainedOperations is the number of operations that are retained for replicas that are behind.
-	// A replica that is further behind is sent a snapshot.
+	// maxRetainedOperations is the maximum number of operations that are retained for replicas that are
+	// behind. A replica that is further behind is sent a snapshot.
 	maxRetainedOperations = 1 << 14
 )
 
@@ -52,7 +52,7 @@
 	baseSeq        uint64
 	replicas       map[string]*replicaProgress
 	replicaNames   []string       // sorted, so that the same events send the same messages
-	former         map[string]int // remaining MsgDrop by former replica
+	former         map[string]int // number of MsgDrop still to send, by name
 	tableVersion   uint64
 	lastSnapshotID uint64 // ID of the last snapshot sent to any replica
 	lastDrop       time.Duration
--- a/internal/peers/usagereplica/statement_store.go
+++ b/internal/peers/usagereplica/statement_store.go
@@ -28,11 +28,11 @@
 	replicas       []placement.Member
 	statements     map[string]*storedStatement // by file name
 	statementNames []string                    // sorted
-	nextCheck      int                         // index of the statement that was checked last
+	lastChecked    int                         // index of the statement that was checked last
 	outbox         []Message
 }
 
-// storedStatement is a statement that is in the folder, or was there until it was collected.
+// storedStatement is a statement that is in the folder or was removed from it.
 type storedStatement struct {
 	origin   placement.Member  // Owner and Process of an OwnedStatement; the zero member: this runner
 	holders  map[string]uint64 // incarnations by the names of the runners that have it
@@ -100,14 +100,14 @@
 	}
 }
 
-// Tick asks the recipients of the next statements whether they have them.
+// Tick asks the recipients of the next checksPerTick statements whether they have them.
 func (s *StatementStore) Tick(now time.Duration) {
 	if s.table == nil || len(s.statementNames) == 0 {
 		return
 	}
 	for range min(checksPerTick, len(s.statementNames)) {
-		s.nextCheck = (s.nextCheck + 1) % len(s.statementNames)
-		name := s.statementNames[s.nextCheck]
+		s.lastChecked = (s.lastChecked + 1) % len(s.statementNames)
+		name := s.statementNames[s.lastChecked]
 		statement := s.statements[name]
 		if now-statement.lastSent < resendInterval {
 			continue
@@ -143,7 +143,7 @@
 	s.outbox = append(s.outbox, response)
 }
 
-// Send sends a statement to a runner that wants it. Empty data means that the statement was collected
+// Send sends a statement to a runner that wants it. Empty data means that the statement was removed
 // from the folder: it is marked as held by all recipients and not sent any more.
 func (s *StatementStore) Send(to, name string, data []byte) {
 	if len(data) > 0 {
