--- a/internal/peers/link/errors.go
+++ b/internal/peers/link/errors.go
@@ -2,11 +2,11 @@
 
 import "ryepaddle/internal/fault"
 
-// kindLink is the kind of errors that close links.
+// kindLink is the kind of errors of links and of the messages on them.
 var kindLink = fault.Define(
 	"peers.link",
-	"A link between runners was closed: an invalid message came on it, or it was idle.",
-	"Nothing, if it is up again soon; else check that both runners are of this installation and version.",
+	"A link between runners was closed or not established in time, or a message on it was invalid.",
+	"If the link stays down, check that both runners are up and of the same installation and version.",
 )
 
 var (
--- a/internal/peers/link/frame.go
+++ b/internal/peers/link/frame.go
@@ -14,8 +14,8 @@
 
 const (
 	magic = 0x52595031 // "RYP1"
-	// maxFrameBytes is the maximum size of an encoded message. It has room for one MsgAppend of records
-	// with the largest result that is stored.
+	// maxFrameBytes is the maximum size of an encoded message. It has room for a MsgAppend with the record
+	// of the largest result that is stored.
 	maxFrameBytes = 2 << 20
 	// formatVersion is the version that Hello carries. Newer versions add fields, which older ones
 	// ignore.
@@ -36,7 +36,8 @@
 	Consensus   *consensus.Message    `cbor:"3,keyasint,omitempty"`
 	Usage       *usagereplica.Message `cbor:"4,keyasint,omitempty"`
 	Health      *lease.HealthReport   `cbor:"7,keyasint,omitempty"`
-	// To and From are the receiver and the sender of a message that goes through a relay.
+	// To and From are the receiver and the sender of a message that goes through a relay. They are
+	// empty on a direct message.
 	To   string `cbor:"5,keyasint,omitempty"`
 	From string `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/peers/link/frame_test.go
+++ b/internal/peers/link/frame_test.go
@@ -63,7 +63,7 @@
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if g, used, err := ReadFrame(b); err == nil && g != nil && (used < framing.HeaderSize || used > len(b)) {
-			t.Errorf("ReadFrame used %d of %d bytes", used, len(b))
+			t.Errorf("ReadFrame used %d of %d bytes, want a whole frame within the data", used, len(b))
 		}
 	})
 }
--- a/internal/peers/link/stored_test.go
+++ b/internal/peers/link/stored_test.go
@@ -231,7 +231,7 @@
 			want := golden.Read(t, path)
 			frame, used, err := ReadFrame(want)
 			if err != nil || used != len(want) {
-				t.Fatalf("ReadFrame used %d of %d bytes, error %v", used, len(want), err)
+				t.Fatalf("ReadFrame used %d of %d bytes, error %v, want all bytes", used, len(want), err)
 			}
 			if diff := cmp.Diff(&tt.frame, frame, cmpopts.IgnoreUnexported(replication.EpochStart{},
 				store.Field{})); diff != "" {
--- a/internal/peers/link/transport.go
+++ b/internal/peers/link/transport.go
@@ -28,8 +28,8 @@
 	helloTimeout = 2 * time.Second
 	// connectTimeout is the time after which a connection that is not established is closed.
 	connectTimeout = 2 * time.Second
-	// relayInterval is the time after which the transport switches to another relay. Within it messages
-	// keep their order; a relay that hangs is left after it.
+	// relayInterval is the time after which the transport switches to another relay. The messages of one
+	// interval keep their order, and a relay that hangs is not used for longer than that.
 	relayInterval = 300 * time.Millisecond
 	// maxDirectLinks is the maximum number of links outside the grid, to peers without a usable relay.
 	maxDirectLinks = 8
@@ -227,7 +227,7 @@
 	}
 }
 
-// relay forwards a message to another runner. It drops the message if the grid has no link with that one.
+// relay forwards a message to another runner. It drops the message if the grid has no link with it.
 func (t *Transport) relay(f *Frame) {
 	link := t.outbound[f.To]
 	if link == nil || !t.linked(f.To) {
