--- a/internal/peers/grid/grid.go
+++ b/internal/peers/grid/grid.go
@@ -1,8 +1,8 @@
 // Package grid bounds the number of links of a runner in a large installation. The runners are arranged
 // in rows and columns by the order of their names. Each runner has links with the runners of its row and
 // its column, and reaches any other through one of two relays: the runner in its own row and the other's
-// column, or the runner in its own column and the other's row. The package does no I/O. The same names
-// give the same grid on every runner.
+// column, or the runner in its own column and the other's row. If the last row is not full, one of the
+// two may be missing. The package does no I/O. The same names give the same grid on every runner.
 package grid
 
 import "slices"
