--- a/internal/peers/wal/errors.go
+++ b/internal/peers/wal/errors.go
@@ -6,5 +6,5 @@
 var kindDamaged = fault.Define(
 	"peers.file_damaged",
 	"A file of the peers' folder is damaged.",
-	"Nothing: the other runners send what it had; if it happens again, check the disk.",
+	"No action is needed, as the other runners send the records again; if it recurs, check the disk.",
 )
