--- a/internal/peers/link/transport_test.go
+++ b/internal/peers/link/transport_test.go
@@ -173,8 +173,7 @@
 	if relayed[0]+relayed[1] != 1 || relayed[3]-relayed[1] != 0 && relayed[2]-relayed[0] != 0 ||
 		relayed[6]+relayed[7] != 3 || n1.Connections() != 3 {
 		t.Errorf(
-			"relayed by n2 and n3 before each step = %v, want 1 in total at first and 3 at last; "+
-				"n1 has %d connections, want 3",
+			"relayed by n2 and n3 before each step = %v, want sums 1 first and 3 last; n1 has %d connections, want 3",
 			relayed, n1.Connections(),
 		)
 	}
