--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -9,18 +9,18 @@
 var (
 	connectKind = fault.Define(
 		"upstream.connect",
-		"No connection to a server was established, so that the request did not run.",
-		"See that the server is up and listens at the address that the inventory names.",
+		"No connection to the server could be established, so the request did not run.",
+		"Check that the server is running and listens on the address in the inventory.",
 	)
 	interruptedKind = fault.Define(
 		"upstream.interrupted",
-		"A server broke a request off, which may have run.",
-		"Look in the log of the server for the same request.",
+		"The connection to a server failed, or its response was truncated or invalid; the request may have run.",
+		"Look for the same request in the server's log.",
 	)
 	requestKind = fault.Define(
 		"upstream.request",
-		"A request cannot be sent to a server as it is.",
-		"See what the caller sends: its variables are too many or too long.",
+		"A request does not fit into a uwsgi packet and was not sent.",
+		"Check the caller's request: it has too many variables, or they are too long.",
 	)
 )
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,7 +19,7 @@
 	group          *Group
 	server         *server // nil: no server was found
 	attempt        *lifecycle.Attempt
-	packet         []byte // the request as sent; of a body that streams only the part read so far
+	packet         []byte // the request as sent; if its body streams, only the part read before Run
 	startedAt      time.Duration
 	connection     *connection
 	isPreconnected bool             // the connection was opened in advance
@@ -79,9 +79,9 @@
 	return x
 }
 
-// openConnection returns a connection that was opened in advance, or a new one. An idle connection
-// may be broken without having been reset, so that a request has to be sent again: a request that may
-// run only once, or whose body cannot be sent again, gets a new connection.
+// openConnection returns a connection that was opened in advance, or a new one. An idle connection may
+// prove broken only after the request was sent on it, so that the request has to be sent again: one that
+// may run only once, or whose body cannot be sent again, gets a new connection.
 func (x *exchange) openConnection() *connection {
 	if x.attempt.Idempotent && x.attempt.Request.Upload == nil {
 		if c := x.group.takePreconnected(x.server); c != nil {
@@ -160,7 +160,7 @@
 	}
 }
 
-// reportBacklog reports to the sender of the body how many bytes the server has not read.
+// reportBacklog reports to the sender of the body how many bytes are queued for the server.
 func (x *exchange) reportBacklog() {
 	if x.upload != nil {
 		x.upload.SetBacklog(x.connection.conn.QueuedBytes())
--- a/internal/upstream/group.go
+++ b/internal/upstream/group.go
@@ -38,7 +38,7 @@
 	preconnected []*connection // opened in advance, the oldest first
 }
 
-// New returns a group without servers. The name instance of this process decides which subset of the
+// New returns a group without servers. instance, the name of this runner, determines which subset of the
 // servers it uses; the sink receives the results of attempts.
 func New(loop *eventloop.Loop, name, instance string, seed uint64, sink Sink, options Options) *Group {
 	g := &Group{
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -35,8 +35,7 @@
 	CheckDone(group string, e *endpointhealth.Endpoint, lease CheckLease, passed bool)
 }
 
-// Variables of a check under a lease. By them a server can reject a check whose runner has lost the
-// lease.
+// Variables of a check under a lease. They let a server reject a check whose runner has lost the lease.
 const (
 	leaseVariable  = "HTTP_X_DUTY"
 	tokenVariable  = "HTTP_X_DUTY_TOKEN"
--- a/internal/upstream/packet.go
+++ b/internal/upstream/packet.go
@@ -11,9 +11,9 @@
 
 const defaultMethod = "POST"
 
-// isDropped reports whether a variable of the caller is not forwarded. Not forwarded are variables
-// that describe the caller's connection or the length and transfer of its body, and HTTP_PROXY, which
-// a server may take for its own proxy setting (httpoxy).
+// isDropped reports whether a variable of the caller is not forwarded: it describes the caller's
+// connection or the length and transfer of its body, or is HTTP_PROXY, which a server may take for its
+// own proxy setting (httpoxy).
 func isDropped(name string) bool {
 	switch name {
 	case "CONTENT_LENGTH", "HTTP_CONTENT_LENGTH", "HTTP_CONNECTION", "HTTP_TRANSFER_ENCODING",
--- a/internal/upstream/status.go
+++ b/internal/upstream/status.go
@@ -100,7 +100,7 @@
 	State          string  `json:"state"`
 	StateSeconds   int64   `json:"for_s"` // time in State
 	Cause          string  `json:"cause"`
-	TrafficShare   float64 `json:"part"` // share of its weight by which it gets traffic, 0 to 1
+	TrafficShare   float64 `json:"part"` // fraction of its weight at which it gets traffic, 0 to 1
 	ActiveRequests int     `json:"open"`
 	Limit          int     `json:"limit"` // concurrency limit: the most requests in flight
 	LatencyMs      float64 `json:"latency_ms"`
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -42,7 +42,7 @@
 	Preconnect     int // connections that are opened to each server in advance; 0: none
 	Picker         picker.Config
 	ClassCount     int
-	MaxAttempts    int // servers that one request may be sent to
+	MaxAttempts    int // most attempts of one request, the first one included
 	HealthCheck    HealthCheck
 	// HealthCheckCoordinator decides which runner checks a server; nil: each runner checks all servers.
 	HealthCheckCoordinator HealthCheckCoordinator
