--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -26,12 +26,12 @@
 	return configFiles{options.PlatformFile, options.OperatorFile}.read()
 }
 
-// Run runs the program from its start to its end.
+// Run starts the program, and returns when it has ended.
 func Run(options Options) error {
 	log := logging.Start(os.Stderr, logging.FormatText)
 	defer log.Close()
-	// A write beyond the limit of a file's size is to fail like a write to a full disk. By default the
-	// signal kills the process.
+	// A write beyond the file size limit must fail like a write to a full disk. By default the signal kills
+	// the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	return run(options, log)
 }
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -24,7 +24,7 @@
 
 	CommandPeersKey     = "peers-key"     // returns where the replicas of a key are
 	CommandPeersLeave   = "peers-leave"   // makes a member leave
-	CommandPeersStay    = "peers-stay"    // cancels that a member leaves
+	CommandPeersStay    = "peers-stay"    // lets a member that was told to leave stay
 	CommandPeersReplace = "peers-replace" // replaces a member by another one
 )
 
--- a/internal/app/descriptors.go
+++ b/internal/app/descriptors.go
@@ -6,9 +6,9 @@
 	"ryepaddle/internal/platform/backend"
 )
 
-// descriptorShares holds the most file descriptors that balancers and requests may use. The rest is
-// reserved for the links to the engine, the registry and operators, so that these work while callers
-// use all of their share.
+// descriptorShares holds the most file descriptors that connections of balancers and connections to the
+// back end may use. The rest is reserved for the links to the engine, the registry and operators, so that
+// these work while callers use all of their share.
 type descriptorShares struct {
 	balancers int // connections of the platform's frontend
 	backend   int // connections to the back end
--- a/internal/app/descriptors_test.go
+++ b/internal/app/descriptors_test.go
@@ -9,9 +9,9 @@
 	"ryepaddle/internal/platform/backend"
 )
 
-// Balancers get at least the half of the descriptors that the platform allows them, and the shares and
-// the reserved descriptors together stay within the limit. Otherwise the links to the engine, registry
-// and operators would find no descriptor while callers use their whole share.
+// Balancers get at least half of the descriptors that the platform allows, and the shares and the reserved
+// descriptors together stay within the limit. Otherwise the links to the engine, registry and operators
+// would find no descriptor while callers use their whole share.
 func TestDescriptorSharesStayWithinLimit(t *testing.T) {
 	adminAddr := netip.MustParseAddrPort("127.0.0.1:1")
 	for _, c := range []struct {
@@ -37,10 +37,10 @@
 		got := shareDescriptors(cfg, nil)
 		if got.balancers < c.maxDescriptors/2 || got.backend < minBackendDescriptors ||
 			got.backend > backend.MaxConnections {
-			t.Errorf("max descriptors %d: shares %+v are out of bounds", c.maxDescriptors, got)
+			t.Errorf("max descriptors %d: shares = %+v, want them within their bounds", c.maxDescriptors, got)
 		}
 		if sum := got.balancers + got.backend + reserved; sum > c.maxDescriptors {
-			t.Errorf("max descriptors %d: shares and reserve add up to %d", c.maxDescriptors, sum)
+			t.Errorf("max descriptors %d: shares and reserve sum = %d, want at most the maximum", c.maxDescriptors, sum)
 		}
 	}
 }
--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -5,7 +5,8 @@
 const (
 	// drainPollInterval is the time between two checks whether the process can end.
 	drainPollInterval = 20 * time.Millisecond
-	// exitMargin is how long before the time at which the platform kills it the process exits.
+	// exitMargin is how long before its time limit a shutdown ends. At the limit of a drain the platform
+	// kills the process.
 	exitMargin = 150 * time.Millisecond
 	// listenGrace is how long the listeners stay open after the time (Settings.DrainGrace) in which
 	// requests that arrive during a drain are still run.
@@ -61,8 +62,8 @@
 	p.loop.After(drainPollInterval, func() { p.exitWhen(startedAt, done) })
 }
 
-// exit ends the program: open connections are flushed and shut down, and requests without an answer
-// are logged. elapsed is the time since the shutdown began.
+// exit ends the program: open connections are flushed and shut down, and the number of requests without
+// an answer is logged. elapsed is the time since the shutdown began.
 func (p *Program) exit(elapsed time.Duration) {
 	p.platform.frontend.Close()
 	eventDrained.Log(elapsed.Milliseconds(), p.requests.OpenRequests(), p.requests.Stats())
--- a/internal/app/errors.go
+++ b/internal/app/errors.go
@@ -6,16 +6,16 @@
 var (
 	addressKind = fault.Define(
 		"start.address",
-		"An address that the program is to listen on is not to be had.",
-		"See which process has it, or name another address; a second process of this runner needs the "+
-			"same $TMPDIR.",
+		"The program could not listen on an address.",
+		"Find the process that uses the address, or configure another one; a second process of the same "+
+			"runner needs the same $TMPDIR.",
 	)
-	fixedKind = fault.Define("config.fixed", "A change at HUP holds for the life of the program.",
-		"Give the field its value again, or start the program anew if the change is meant.")
-	unknownKind = fault.Define("control.unknown", "A question names what there is not.",
-		"Ask for what the answer lists; runner --help tells the questions.")
-	noUsageKind = fault.Define("usage.off", "No account of usage is kept.",
-		"Add a usage section to the operator's file, and start the program anew.")
+	fixedKind = fault.Define("config.fixed", "A reload changes a field that cannot change while the program runs.",
+		"Restore the field's old value, or restart the program if the change is intended.")
+	unknownKind = fault.Define("control.unknown", "A command has an unknown name or a value out of range.",
+		"Correct the name or value in the error; runner --help lists the commands.")
+	noUsageKind = fault.Define("usage.off", "Usage is not metered.",
+		"Add a usage section to the operator's file, and restart the program.")
 	noPeersKind = fault.Define("peers.off", "This runner has no peers.",
-		"Add a peers section to the operator's file, and start the program anew.")
+		"Add a peers section to the operator's file, and restart the program.")
 )
--- a/internal/app/healthchecks.go
+++ b/internal/app/healthchecks.go
@@ -7,8 +7,8 @@
 	"ryepaddle/internal/upstream"
 )
 
-// checkCoordinator decides which servers this runner checks, where the runners share health checks: one
-// checks a server under a lease and reports the result to the others.
+// checkCoordinator decides which servers this runner checks if the runners share the health checks: one
+// runner checks a server under a lease and reports the result to the others.
 type checkCoordinator struct{ program *Program }
 
 // ShouldCheck implements upstream.HealthCheckCoordinator.
--- a/internal/app/retire.go
+++ b/internal/app/retire.go
@@ -13,7 +13,7 @@
 	maxRetirement = 3 * time.Second
 	// retirementMargin is the additional time in which the last answers are sent.
 	retirementMargin = 700 * time.Millisecond
-	// retirementDrain is the time before the end from which arriving requests are rejected.
+	// retirementDrain is how long before the end the process begins to reject arriving requests.
 	retirementDrain = time.Second
 )
 
--- a/internal/app/traffic.go
+++ b/internal/app/traffic.go
@@ -68,7 +68,7 @@
 		Rank:      float32(request.Rank),
 		BodyBytes: uint32(len(request.Body)),
 	}
-	if len(request.Body) > 0 { // a hash of empty bodies would make such requests look like retries of one
+	if len(request.Body) > 0 { // with a hash, all requests without a body would look like retries of one request
 		record.BodyHash = xxhash.Sum64(request.Body)
 	}
 	if request.Key != "" {
