--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,6 +5,6 @@
 // shrunkKind is the kind of ErrShrunk.
 var shrunkKind = fault.Define(
 	"inventory.shrunk",
-	"A list lacks so many of the servers in force that it is not believed.",
-	"If it is meant, send HUP, which confirms it; else see why the list is short.",
+	"A list of servers lacks too many of the servers in force and was rejected.",
+	"If the loss is intended, send SIGHUP to accept the list; otherwise find out why it is short.",
 )
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -6,8 +6,8 @@
 // The files are read once they have not changed for a settle time, so that a file is not read while
 // it is written; files that keep changing are read after several settle times. A list is accepted
 // as a whole or not at all. A list that is invalid, or that lacks many of the accepted servers, is
-// rejected, the reason is logged once, and the accepted list stays in force. SIGHUP accepts a list
-// that lacks servers on purpose.
+// rejected, the reason is logged once, and the accepted list stays in force. If the loss of servers is
+// intended, SIGHUP makes the program accept the list.
 package discovery
 
 import (
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -47,8 +47,8 @@
 	validator *Validator // guarded by mu
 }
 
-// Watch starts to watch the inventory at path, of which servers is the accepted list, read from
-// files with that fingerprint. onList is called on the watcher's goroutine. Stop ends the watch.
+// Watch starts to watch the inventory at path. servers is the accepted list, and fingerprint that of
+// the files that it was read from. onList is called on the watcher's goroutine. Stop ends the watch.
 func Watch(
 	path string,
 	config Config,
