--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -58,7 +58,7 @@
 	return dir
 }
 
-// summaries returns the name, address, groups and weight of each server in one text.
+// summaries returns one string for each server, with its name, address, groups and weight.
 func summaries(servers []Server) (out []string) {
 	for _, s := range servers {
 		out = append(
@@ -124,7 +124,7 @@
 	{
 		"a.csv",
 		"name,address,group\na,127.0.0.1:1,g\nb,127.0.0.1:2,to",
-		"a.csv:3: the last line has no end: the file may be cut off",
+		"a.csv:3: the last line has no end: the file may be truncated",
 	},
 	{"a.yaml", "g:\n  hosts:\n    a: {address: \"127.0.0.1:1\"}", "a.yaml:3: the last line has no end"},
 	{
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -65,8 +65,8 @@
 
 var listKind = fault.Define(
 	"inventory.list",
-	"An inventory cannot be read, names what cannot be, or may be cut off.",
-	"Correct the line that is named, or have the tool that keeps the list write it anew; the list in "+
+	"An inventory cannot be read, is invalid, or may be truncated.",
+	"Correct the line that is named, or let the tool that maintains the list write it again; the list in "+
 		"force stays meanwhile.",
 )
 
@@ -126,7 +126,8 @@
 // ignoredExtensions are the extensions of copies that editors and tools leave in a folder.
 var ignoredExtensions = []string{".bak", ".orig", ".swp", ".tmp", ".rpmsave", ".cfg", ".retry"}
 
-// listFiles returns the files of a folder, ordered by name, without hidden files and such copies.
+// listFiles returns the files of a folder, ordered by name, without hidden files and the copies that
+// editors and tools leave.
 func listFiles(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -166,7 +167,7 @@
 	if len(text) > 0 && text[len(text)-1] != '\n' {
 		return t.errorAt(
 			1+bytes.Count(text, []byte("\n")),
-			errors.New("the last line has no end: the file may be cut off"),
+			errors.New("the last line has no end: the file may be truncated"),
 		)
 	}
 	if extension == ".csv" {
--- a/internal/inventory/resolve.go
+++ b/internal/inventory/resolve.go
@@ -57,14 +57,14 @@
 	return merged, nil
 }
 
-// overrides reports whether g is below the group among groups that sets a zone.
+// overrides reports whether g is below the one of the groups that sets the given zone.
 func (g *group) overrides(zone variable, groups []*group) bool {
 	return slices.ContainsFunc(groups, func(other *group) bool {
 		return other != g && other.variables[columnZone] == zone && g.isWithin(other)
 	})
 }
 
-// maxDepth returns the length of the longest path from a group to one without parents.
+// maxDepth returns the length of the longest path from g to a group without parents.
 func (g *group) maxDepth() (depth int) {
 	for _, parent := range g.parents {
 		depth = max(depth, parent.maxDepth()+1)
