--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -57,7 +57,8 @@
 	defaultMaxLimit     = 1000 // requests
 	defaultReclaimMs    = 500
 	defaultQueueLength  = 200 // requests
-	// deadlineMargin is how long before its deadline a waiting request is rejected.
+	// deadlineMargin is how long before its deadline a request has to end; one that would end later is
+	// dropped while it waits.
 	deadlineMargin = 30 * time.Millisecond
 )
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -37,7 +37,8 @@
 	StreamMB int `yaml:"stream_mb"`
 	// RequestKB is the memory in kB that a request is assumed to take; default 32.
 	RequestKB float64 `yaml:"request_kb"`
-	// ReadMs is the time in ms within which a request must be received completely; default 2500.
+	// ReadMs is the time in ms within which a request, or the next part of a body that streams, must be
+	// received; default 2500.
 	ReadMs int64 `yaml:"read_ms"`
 	// ConnectMs is the time in ms to connect to a server; default 1000.
 	ConnectMs int64 `yaml:"connect_ms"`
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -30,7 +30,7 @@
 	// MemoryMB bounds the memory in MB of all replicas that are held here; default 0: a quarter of
 	// memory_mb.
 	MemoryMB int64 `yaml:"memory_mb"`
-	// RepairKBPerSecond bounds the rate at which new replicas are filled; default 4096.
+	// RepairKBPerSecond bounds the rate in kB per second at which new replicas are filled; default 4096.
 	RepairKBPerSecond int64  `yaml:"repair_kb"`
 	Members           []Peer `yaml:"members"`
 	Leases            Leases `yaml:"duties"`
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -41,8 +41,8 @@
 	)
 	changedKind = fault.Define(
 		"config.changed",
-		"The platform's file at SIGHUP lacks a key of the file in force, or has a value of "+
-			"another type under it.",
+		"The platform's file at SIGHUP lacks a key of the file in force, or the value of a "+
+			"key has another type.",
 		"Write the whole file again with the named key, or restart the program if the change is intended.",
 	)
 )
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -16,7 +16,8 @@
 	// Zones holds names of the inventory's zones, the nearest first; zones that are not listed follow
 	// by name.
 	Zones []string `yaml:"halls"`
-	// Subset is how many servers of each zone this runner uses; default 0: all.
+	// Subset is how many servers of each zone this runner uses; default 0: all. With Affinity it has no
+	// effect.
 	Subset int `yaml:"subset"`
 	// Affinity makes all runners send requests with the same idempotency key to the same server.
 	Affinity bool `yaml:"affinity"`
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -12,7 +12,7 @@
 	Dir string `yaml:"dir"`
 	// Mode is when the journal is synced: "always", "group" (the default) or "none".
 	Mode string `yaml:"mode"`
-	// WaitMs is the time in ms that a record waits in mode group for other records to be synced
+	// WaitMs is the longest time in ms that a record waits in mode group for other records to be synced
 	// together with it; default 2.
 	WaitMs float64 `yaml:"wait_ms"`
 	// TimeoutMs is the time in ms that a run or an answer waits for the disk; default 500.
