--- a/internal/config/bulkheads.go
+++ b/internal/config/bulkheads.go
@@ -16,7 +16,8 @@
 
 // Bulkheads divide the concurrency of a group of servers among classes, tenants and callers.
 type Bulkheads struct {
-	// Mode is the algorithm that finds the limit of the group, one of bulkhead.LimitAlgorithms.
+	// Mode is the algorithm that finds the limit of the group, one of bulkhead.LimitAlgorithms; default
+	// bulkhead.GradientLimit.
 	Mode string `yaml:"way"`
 	// First is the limit at the start, in requests; default 16.
 	First float64 `yaml:"first"`
@@ -56,7 +57,8 @@
 	defaultMaxLimit     = 1000 // requests
 	defaultReclaimMs    = 500
 	defaultQueueLength  = 200 // requests
-	// deadlineMargin is how long before its deadline a waiting request is rejected.
+	// deadlineMargin is how long before its deadline a request has to end; one that would end later is
+	// dropped while it waits.
 	deadlineMargin = 30 * time.Millisecond
 )
 
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -30,7 +30,7 @@
 	// MemoryMB bounds the memory in MB of all replicas that are held here; default 0: a quarter of
 	// memory_mb.
 	MemoryMB int64 `yaml:"memory_mb"`
-	// RepairKBPerSecond bounds the rate at which new replicas are filled; default 4096.
+	// RepairKBPerSecond bounds the rate in kB per second at which new replicas are filled; default 4096.
 	RepairKBPerSecond int64  `yaml:"repair_kb"`
 	Members           []Peer `yaml:"members"`
 	Leases            Leases `yaml:"duties"`
@@ -45,7 +45,7 @@
 	// doubled at each further loss in a row; default 10.
 	AgainS float64            `yaml:"again_s"`
 	Checks []ZoneHealthChecks `yaml:"checks"`
-	// Statements leases the task to pass on the usage statements of lost runners to one runner; nil:
+	// Statements leases to one runner the task of passing on the usage statements of lost runners; nil:
 	// each replica of a lost runner passes them on.
 	Statements *LeaseHolders `yaml:"statements"`
 }
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -16,7 +16,8 @@
 	// Zones holds names of the inventory's zones, the nearest first; zones that are not listed follow
 	// by name.
 	Zones []string `yaml:"halls"`
-	// Subset is how many servers of each zone this runner uses; default 0: all.
+	// Subset is how many servers of each zone this runner uses; default 0: all. With Affinity it has no
+	// effect.
 	Subset int `yaml:"subset"`
 	// Affinity makes all runners send requests with the same idempotency key to the same server.
 	Affinity bool `yaml:"affinity"`
@@ -39,8 +40,8 @@
 	Calls float64 `yaml:"calls"`
 	// OverMs is the window of the bound in ms; default 1000.
 	OverMs int64 `yaml:"over_ms"`
-	// Processes is the number of processes that send to the server; default 0: as many as there are
-	// peers, else as the platform's settings name, else 30.
+	// Processes is the number of processes that send to the server; default 0: the number of members of peers,
+	// else the number of runners in the platform's settings, else 30.
 	Processes int `yaml:"processes"`
 }
 
