--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// A running program accepts a correction once and stores it on its disk. Its ledger is the same before
-// and after a kill.
+// A running program accepts a correction once and stores it on its disk. After a kill its ledger has
+// all that was counted and corrected before.
 func TestUsageCorrections(t *testing.T) {
 	t.Parallel()
 	server, usage, socket := newWorkingServer(t, 0), newFolder(t), socketPath(t)
--- a/cmd/runner/control_test.go
+++ b/cmd/runner/control_test.go
@@ -21,8 +21,8 @@
 	want   string
 }
 
-// controlCommands are commands to a running program over its control socket. The program has served
-// one request, of class hand-in, which failed.
+// controlCommands are commands to a running program over its control socket, after one request, of
+// class hand-in, whose server failed.
 var controlCommands = []commandCase{
 	{"status", 0, "in service"},
 	{"status --json", 0, `"state": "in service"`},
--- a/cmd/runner/inventory.go
+++ b/cmd/runner/inventory.go
@@ -79,6 +79,6 @@
 	if _, err := validator.Validate(unchanged, unchanged, servers, nil, 0); err != nil {
 		return fmt.Errorf("%s compared with %s: %w", c.File, c.Against, err)
 	}
-	fmt.Fprintf(s.err, "changes from %s: %v\n", c.Against, discovery.Diff(previous, servers))
+	fmt.Fprintf(s.err, "beside %s: %v\n", c.Against, discovery.Diff(previous, servers))
 	return nil
 }
--- a/cmd/runner/inventory_test.go
+++ b/cmd/runner/inventory_test.go
@@ -220,7 +220,7 @@
 	return counts
 }
 
-// newInventoryServers starts count servers, whose names have the numbers from from on.
+// newInventoryServers starts count servers, named by format with numbers that begin at from.
 func newInventoryServers(t *testing.T, format string, from, count int) []*inventoryServer {
 	t.Helper()
 	var members []*inventoryServer
--- a/cmd/runner/keystore_test.go
+++ b/cmd/runner/keystore_test.go
@@ -197,7 +197,7 @@
 		t.Fatalf("usage ledger = %+v, want lines of tenant north and nothing lost", counted)
 	}
 	sum := int64(0)
-	for _, line := range counted.Lines { // two if a new hour has begun
+	for _, line := range counted.Lines { // more than one if a new hour has begun
 		sum += line.Served
 	}
 	if sum != served || sum != int64(counted.Keys) {
--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -157,7 +157,7 @@
 func printKey(s *streams, key *node.KeyStatus) {
 	fmt.Fprintf(s.out, "slot %d at epoch %d: %s\n", key.Slot, key.Epoch, strings.Join(key.Replicas, " "))
 	if len(key.Joining) > 0 {
-		fmt.Fprintf(s.out, "new replicas that do not hold all records yet: %s\n", strings.Join(key.Joining, " "))
+		fmt.Fprintf(s.out, "being brought up: %s\n", strings.Join(key.Joining, " "))
 	}
 	if key.QuarantineMs > 0 {
 		fmt.Fprintf(s.out, "the slot started without records, and accepts no new keys for %.1f s\n",
