--- a/cmd/runner/bill.go
+++ b/cmd/runner/bill.go
@@ -130,14 +130,14 @@
 func printBill(s *streams, bill *ledger.Bill) {
 	t := newTable(usageColumns("work s", "changed")...)
 	for _, line := range bill.Lines {
-		t.AppendRow(append(usageRow(line.Period, line.School, line.Class, &line.Count), line.Changed))
+		t.AppendRow(append(usageRow(line.Period, line.Tenant, line.Class, &line.Count), line.Changed))
 	}
 	fmt.Fprintln(s.out, t.Render())
 	t = newTable("period", "school", "served", "above its share", "work s")
-	for _, school := range bill.Schools {
+	for _, school := range bill.Tenants {
 		aboveQuota := fmt.Sprintf("%.0f", school.AboveQuota)
 		t.AppendRow(table.Row{
-			formatTime(school.Period), school.School, school.Served, aboveQuota, formatSeconds(school.Work),
+			formatTime(school.Period), school.Tenant, school.Served, aboveQuota, formatSeconds(school.Work),
 		})
 	}
 	fmt.Fprintln(s.out, t.Render())
@@ -164,7 +164,7 @@
 	}
 	rows := [][]string{header}
 	for _, line := range bill.Lines {
-		row := []string{formatTime(line.Period), line.School, line.Class}
+		row := []string{formatTime(line.Period), line.Tenant, line.Class}
 		numbers := []int64{
 			line.Served, line.Duplicates, line.TimedOut, line.Rejected, line.Failed, line.Abandoned,
 			int64(line.Work),
--- a/cmd/runner/commands_test.go
+++ b/cmd/runner/commands_test.go
@@ -161,7 +161,7 @@
 		l.Add(
 			ledger.Record{
 				AnsweredAt:   (480_000 + n) * hour,
-				School:       "north",
+				Tenant:       "north",
 				Class:        "hand-in",
 				Outcome:      ledger.OutcomeServed,
 				Work:         1500,
--- a/cmd/runner/keystore_test.go
+++ b/cmd/runner/keystore_test.go
@@ -190,7 +190,7 @@
 func requireUsage(t *testing.T, socket string, served int64) {
 	t.Helper()
 	counted := ask[ledger.Summary](t, socket, control.Request{Command: app.CommandUsage})
-	if len(counted.Lines) == 0 || counted.Lines[0].School != "north" || counted.Lost > 0 {
+	if len(counted.Lines) == 0 || counted.Lines[0].Tenant != "north" || counted.Lost > 0 {
 		t.Fatalf("%+v", counted)
 	}
 	sum := int64(0)
--- a/cmd/runner/usage.go
+++ b/cmd/runner/usage.go
@@ -79,7 +79,7 @@
 	}
 	t := newTable(usageColumns("work s")...)
 	for _, line := range summary.Lines {
-		t.AppendRow(usageRow(line.Period, line.School, line.Class, &line.Count))
+		t.AppendRow(usageRow(line.Period, line.Tenant, line.Class, &line.Count))
 	}
 	fmt.Fprintln(s.out, t.Render())
 	return nil
@@ -145,7 +145,7 @@
 	return ledger.Correction{
 		ID:     c.ID,
 		Period: wallclock.FromTime(c.Period),
-		School: c.School,
+		Tenant: c.School,
 		Class:  c.Class,
 		Reason: c.Reason,
 		Author: c.Author,
--- a/internal/app/usage.go
+++ b/internal/app/usage.go
@@ -60,17 +60,17 @@
 	settings := &p.config.Settings
 	record := ledger.Record{
 		AnsweredAt:     trace.AnsweredAt,
-		School:         UnnamedTenant,
+		Tenant:         UnnamedTenant,
 		Class:          settings.Classes[trace.Class].Name,
 		Outcome:        usageOutcomes[trace.Status],
 		KnownDuplicate: trace.Cause == lifecycle.CauseDuplicate,
 	}
 	if trace.Tenant >= 0 && trace.Tenant < len(settings.Tenants) {
-		record.School = settings.Tenants[trace.Tenant].Name
+		record.Tenant = settings.Tenants[trace.Tenant].Name
 	}
 	if trace.Key != "" && p.requests.RequiresKey(trace.Class) {
 		p.setUsageKey(&record, trace.Class, trace.Key)
-		key := usedKey{record.Class, record.School, trace.Key}
+		key := usedKey{record.Class, record.Tenant, trace.Key}
 		// Replicate has counted this request when its run ended.
 		if !record.KnownDuplicate && p.usage.counted[key] {
 			delete(p.usage.counted, key)
@@ -87,7 +87,7 @@
 // recognized.
 func (p *Program) setUsageKey(record *ledger.Record, classIndex int, key string) {
 	class := &p.config.Settings.Classes[classIndex]
-	record.Key = ledger.HashKey(record.School, record.Class, key)
+	record.Key = ledger.HashKey(record.Tenant, record.Class, key)
 	// A duplicate may arrive as late as the end of the window, and is answered within the timeout of its
 	// class or not at all.
 	record.KeyExpiresAt = record.AnsweredAt.Add(class.IdempotencyWindow).Add(class.Timeout)
@@ -114,13 +114,13 @@
 	}
 	record := ledger.Record{
 		AnsweredAt: p.loop.Unix(),
-		School:     cmp.Or(key.Tenant, UnnamedTenant),
+		Tenant:     cmp.Or(key.Tenant, UnnamedTenant),
 		Class:      key.Class,
 		Outcome:    ledger.OutcomeServed,
 		Work:       wallclock.MicrosOf(key.ServerTime),
 	}
 	p.setUsageKey(&record, class, key.Key)
-	p.usage.counted[usedKey{record.Class, record.School, key.Key}] = true
+	p.usage.counted[usedKey{record.Class, record.Tenant, key.Key}] = true
 	p.usage.meter.RecordReplicated(record, done)
 }
 
--- a/internal/peers/link/stored_test.go
+++ b/internal/peers/link/stored_test.go
@@ -141,7 +141,7 @@
 		Operations: []usagereplica.Operation{{
 			Use: &ledger.Record{
 				AnsweredAt:     1_700_000_000_000_001,
-				School:         "north",
+				Tenant:         "north",
 				Class:          "hand-in",
 				Outcome:        ledger.OutcomeDuplicate,
 				Work:           25_000,
@@ -152,7 +152,7 @@
 			Correction: &ledger.Correction{
 				ID:     "c-1",
 				Period: 1_699_999_800_000_000,
-				School: "north",
+				Tenant: "north",
 				Class:  "hand-in",
 				Count: ledger.Count{
 					Served:     -1,
--- a/internal/peers/usagereplica/load_test.go
+++ b/internal/peers/usagereplica/load_test.go
@@ -58,7 +58,7 @@
 		c.lastKey++
 		record := ledger.Record{
 			AnsweredAt:   c.unix(),
-			School:       r.ledger.Incarnation(),
+			Tenant:       r.ledger.Incarnation(),
 			Class:        "hand-in",
 			Outcome:      ledger.OutcomeServed,
 			Key:          c.lastKey,
@@ -155,7 +155,7 @@
 	}
 	served := map[string]int{}
 	for _, l := range bill.Lines {
-		served[l.School] += int(l.Served)
+		served[l.Tenant] += int(l.Served)
 	}
 	billed, replicated, counted := 0, 0, 0
 	for name, n := range c.counted {
--- a/internal/usage/ledger/bill.go
+++ b/internal/usage/ledger/bill.go
@@ -20,7 +20,7 @@
 type Bill struct {
 	Periods             []BillPeriod `json:"periods"`
 	Lines               []BillLine   `json:"lines"`
-	Schools             []BillSchool `json:"schools"`
+	Tenants             []BillTenant `json:"schools"`
 	Problems            []Problem    `json:"problems,omitempty"`
 	Statements          int          `json:"statements"`       // number of statements that it counts
 	DuplicateStatements int          `json:"copies,omitempty"` // number of statements that were repeated or superseded
@@ -39,18 +39,18 @@
 // BillLine holds what a tenant used of a class in a period.
 type BillLine struct {
 	Period wallclock.UnixMicro `json:"period"` // its start
-	School string              `json:"school"`
+	Tenant string              `json:"school"`
 	Class  string              `json:"class"`
 	Count
 	Changed bool `json:"changed,omitempty"` // by an amendment or a correction
 }
 
-func (l BillLine) key() lineKey { return lineKey{l.Period, l.School, l.Class} }
+func (l BillLine) key() lineKey { return lineKey{l.Period, l.Tenant, l.Class} }
 
-// BillSchool compares what a tenant used in a period with its quota.
-type BillSchool struct {
+// BillTenant compares what a tenant used in a period with its quota.
+type BillTenant struct {
 	Period     wallclock.UnixMicro `json:"period"` // its start
-	School     string              `json:"school"`
+	Tenant     string              `json:"school"`
 	Served     int64               `json:"served"`
 	AboveQuota float64             `json:"above"` // served requests beyond the quota of their slice
 	Work       wallclock.Micros    `json:"work_us"`
--- a/internal/usage/ledger/correction.go
+++ b/internal/usage/ledger/correction.go
@@ -16,7 +16,7 @@
 type Correction struct {
 	ID     string              `json:"id"` // a second correction with the same ID is ignored
 	Period wallclock.UnixMicro `json:"period"`
-	School string              `json:"school"`
+	Tenant string              `json:"school"`
 	Class  string              `json:"class"`
 	Count
 	Reason string `json:"why"`
@@ -48,7 +48,7 @@
 		required    bool
 	}{
 		{"id", c.ID, true},
-		{"school", c.School, true},
+		{"school", c.Tenant, true},
 		{"class", c.Class, true},
 		{"why", c.Reason, true},
 		{"by", c.Author, false},
--- a/internal/usage/ledger/count.go
+++ b/internal/usage/ledger/count.go
@@ -77,7 +77,7 @@
 // Line holds what a tenant used of a class in a period.
 type Line struct {
 	Period wallclock.UnixMicro `json:"period"` // its start
-	School string              `json:"school"`
+	Tenant string              `json:"school"`
 	Class  string              `json:"class"`
 	Count
 	// Slices holds the number of served requests in each slice of the period, up to the last slice
@@ -86,7 +86,7 @@
 	Slices []int64 `json:"slices,omitempty"`
 }
 
-func (l Line) key() lineKey { return lineKey{l.Period, l.School, l.Class} }
+func (l Line) key() lineKey { return lineKey{l.Period, l.Tenant, l.Class} }
 
 // compareLines orders lines by their keys.
 func compareLines(a, b Line) int { return compareLineKeys(a.key(), b.key()) }
--- a/internal/usage/ledger/doc.go
+++ b/internal/usage/ledger/doc.go
@@ -7,5 +7,5 @@
 // the next statement, as an amendment of the period to which it belongs.
 //
 // Instants are Unix time in microseconds and spans are whole microseconds; both are stored as plain
-// integers. Stored fields, commands and exported fields call a tenant a school.
+// integers. Stored fields and commands call a tenant a school.
 package ledger
--- a/internal/usage/ledger/ledger.go
+++ b/internal/usage/ledger/ledger.go
@@ -127,7 +127,7 @@
 		l.countKey(&r, at)
 	}
 	// A record of a sealed period keeps its period: its line is an amendment.
-	line := l.line(lineKey{l.settings.PeriodStart(at), r.School, r.Class})
+	line := l.line(lineKey{l.settings.PeriodStart(at), r.Tenant, r.Class})
 	sum := line.counter(r.Outcome)
 	*sum = addSaturating(*sum, 1)
 	line.Work = addSaturating(line.Work, max(r.Work, 0))
@@ -160,7 +160,7 @@
 			ServedAt:  at,
 			ExpiresAt: max(r.KeyExpiresAt, at),
 			Work:      r.Work,
-			Tenant:    r.School,
+			Tenant:    r.Tenant,
 			Class:     r.Class,
 		}.rounded()
 		l.keys[r.Key] = key
@@ -209,7 +209,7 @@
 	if len(l.lines) >= l.settings.MaxLines && k.tenant != OtherTenant {
 		return l.line(lineKey{k.period, OtherTenant, OtherTenant})
 	}
-	line := &Line{Period: k.period, School: k.tenant, Class: k.class}
+	line := &Line{Period: k.period, Tenant: k.tenant, Class: k.class}
 	l.lines[k] = line
 	return line
 }
--- a/internal/usage/ledger/ledger_test.go
+++ b/internal/usage/ledger/ledger_test.go
@@ -64,7 +64,7 @@
 	r.ledger.Add(
 		Record{
 			AnsweredAt:   r.now,
-			School:       "north",
+			Tenant:       "north",
 			Class:        "hand-in",
 			Outcome:      OutcomeServed,
 			Work:         10,
@@ -83,7 +83,7 @@
 	c := Correction{
 		ID:     fmt.Sprint(rapid.IntRange(0, 5).Draw(r.T, "id")),
 		Period: r.settings.PeriodStart(r.now),
-		School: "south",
+		Tenant: "south",
 		Class:  "check",
 		Reason: "x",
 		Count:  Count{TimedOut: 3},
@@ -100,7 +100,7 @@
 	r.ledger.Add(
 		Record{
 			AnsweredAt: r.now - r.micros(0, 2*hour, "ago"),
-			School:     rapid.SampledFrom([]string{"north", "south"}).Draw(r.T, "school"),
+			Tenant:     rapid.SampledFrom([]string{"north", "south"}).Draw(r.T, "tenant"),
 			Class:      "check",
 			Outcome:    outcome,
 			Work:       5,
@@ -188,8 +188,8 @@
 	})
 }
 
-func servedRecord(at wallclock.UnixMicro, school string) Record {
-	return Record{AnsweredAt: at, School: school, Class: "check", Outcome: OutcomeServed}
+func servedRecord(at wallclock.UnixMicro, tenant string) Record {
+	return Record{AnsweredAt: at, Tenant: tenant, Class: "check", Outcome: OutcomeServed}
 }
 
 // Records beyond MaxLines and MaxKeys must still be counted, and the statement must say how many keys it
@@ -199,7 +199,7 @@
 	for n := range uint64(10) {
 		r := Record{
 			AnsweredAt:   now,
-			School:       fmt.Sprint("s", n),
+			Tenant:       fmt.Sprint("s", n),
 			Class:        "hand-in",
 			Outcome:      OutcomeServed,
 			Key:          n + 1,
@@ -285,7 +285,7 @@
 	good := Correction{
 		ID:     "1",
 		Period: now - sec,
-		School: "s",
+		Tenant: "s",
 		Class:  "c",
 		Reason: "w",
 		Count:  Count{Served: -1},
@@ -293,7 +293,7 @@
 	for want, change := range map[string]func(*Correction){
 		"field id is missing":           func(c *Correction) { c.ID = "" },
 		"field why is missing":          func(c *Correction) { c.Reason = "" },
-		"field school has 300 bytes":    func(c *Correction) { c.School = strings.Repeat("x", 300) },
+		"field school has 300 bytes":    func(c *Correction) { c.Tenant = strings.Repeat("x", 300) },
 		"it changes nothing":            func(c *Correction) { c.Count = Count{} },
 		"is not the start of a period":  func(c *Correction) { c.Period++ },
 		"has not begun":                 func(c *Correction) { c.Period += hour },
@@ -323,7 +323,7 @@
 		l.Add(
 			Record{
 				AnsweredAt:   begin + wallclock.UnixMicro(n),
-				School:       "north",
+				Tenant:       "north",
 				Class:        "hand-in",
 				Outcome:      OutcomeServed,
 				Key:          uint64(n),
@@ -343,7 +343,7 @@
 				l.Add(
 					Record{
 						AnsweredAt:   begin,
-						School:       fmt.Sprint("s", n%17),
+						Tenant:       fmt.Sprint("s", n%17),
 						Class:        "hand-in",
 						Outcome:      OutcomeServed,
 						Key:          uint64(n + 1),
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -14,7 +14,7 @@
 // lengths of periods or slices are an error of kind usage.apart.
 func Reconcile(list []*Statement, terms BillingTerms) (*Bill, error) {
 	r := &reconciler{
-		bill:          &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Schools: []BillSchool{}},
+		bill:          &Bill{Periods: []BillPeriod{}, Lines: []BillLine{}, Tenants: []BillTenant{}},
 		accounts:      map[accountName]*accountStatements{},
 		lines:         map[lineKey]*BillLine{},
 		servedBySlice: map[tenantPeriod][]int64{},
@@ -176,7 +176,7 @@
 		line.Add(l.Count)
 		line.Changed = line.Changed || l.Period < s.From
 		for i, served := range l.Slices {
-			r.addServed(tenantPeriod{l.Period, l.School}, i, served)
+			r.addServed(tenantPeriod{l.Period, l.Tenant}, i, served)
 		}
 	}
 	for _, c := range s.Corrections {
@@ -192,14 +192,14 @@
 		return
 	}
 	r.corrections[c.ID] = true
-	line := r.line(lineKey{c.Period, c.School, c.Class})
+	line := r.line(lineKey{c.Period, c.Tenant, c.Class})
 	line.Add(c.Count)
 	line.Changed = true
 }
 
 func (r *reconciler) line(k lineKey) *BillLine {
 	if r.lines[k] == nil {
-		r.lines[k] = &BillLine{Period: k.period, School: k.tenant, Class: k.class}
+		r.lines[k] = &BillLine{Period: k.period, Tenant: k.tenant, Class: k.class}
 	}
 	return r.lines[k]
 }
@@ -243,11 +243,11 @@
 
 // applyQuotas compares what tenants used with their quotas, slice by slice.
 func (r *reconciler) applyQuotas(quotas map[string]float64) {
-	tenants := map[tenantPeriod]*BillSchool{}
+	tenants := map[tenantPeriod]*BillTenant{}
 	for k, line := range r.lines {
 		name := tenantPeriod{k.period, k.tenant}
 		if tenants[name] == nil {
-			tenants[name] = &BillSchool{Period: k.period, School: k.tenant}
+			tenants[name] = &BillTenant{Period: k.period, Tenant: k.tenant}
 		}
 		s := tenants[name]
 		s.Served = addSaturating(s.Served, line.Served)
@@ -259,10 +259,10 @@
 			// A correction may have reduced the number of served requests.
 			s.AboveQuota = min(s.AboveQuota, float64(max(s.Served, 0)))
 		}
-		r.bill.Schools = append(r.bill.Schools, *s)
+		r.bill.Tenants = append(r.bill.Tenants, *s)
 	}
-	slices.SortFunc(r.bill.Schools, func(a, b BillSchool) int {
-		return cmp.Or(cmp.Compare(a.Period, b.Period), cmp.Compare(a.School, b.School))
+	slices.SortFunc(r.bill.Tenants, func(a, b BillTenant) int {
+		return cmp.Or(cmp.Compare(a.Period, b.Period), cmp.Compare(a.Tenant, b.Tenant))
 	})
 }
 
--- a/internal/usage/ledger/reconcile_test.go
+++ b/internal/usage/ledger/reconcile_test.go
@@ -20,7 +20,7 @@
 		for k := range n[0] + n[1] {
 			r := Record{
 				AnsweredAt: at + sec,
-				School:     "north",
+				Tenant:     "north",
 				Class:      "check",
 				Outcome:    OutcomeServed,
 				Work:       100,
@@ -45,7 +45,7 @@
 	l.Add(
 		Record{
 			AnsweredAt:   at,
-			School:       "north",
+			Tenant:       "north",
 			Class:        "hand-in",
 			Outcome:      OutcomeServed,
 			Key:          key,
@@ -63,7 +63,7 @@
 	set.Instance = instance
 	l := New(set, "a", begin)
 	c := Correction{
-		ID: "t1", Period: begin, School: "north", Class: "check", Reason: "w", Count: Count{Served: -2},
+		ID: "t1", Period: begin, Tenant: "north", Class: "check", Reason: "w", Count: Count{Served: -2},
 	}
 	for range 2 {
 		if _, err := l.Correct(c, begin+sec); err != nil {
@@ -77,7 +77,7 @@
 func servedLine(period, served int64) BillLine {
 	at := begin + wallclock.UnixMicro(period)*hour
 	return BillLine{
-		Period: at, School: "north", Class: "check",
+		Period: at, Tenant: "north", Class: "check",
 		Count: Count{Served: served, Work: wallclock.Micros(served) * 100},
 	}
 }
@@ -94,7 +94,7 @@
 }
 
 func aboveQuota(want float64) func(*Bill) bool {
-	return func(b *Bill) bool { return b.Schools[0].AboveQuota == want }
+	return func(b *Bill) bool { return b.Tenants[0].AboveQuota == want }
 }
 
 // chainCases returns cases of statements that are missing, repeated or in conflict.
@@ -166,7 +166,7 @@
 				), keyedStatement("n1", begin+5*sec, 7, 50), keyedStatement("n2", begin+60*sec, 7, 70),
 			},
 			lines: []BillLine{{
-				Period: begin, School: "north", Class: "hand-in",
+				Period: begin, Tenant: "north", Class: "hand-in",
 				Count: Count{Served: 2, Duplicates: 1, Work: 100},
 			}},
 			check: func(b *Bill) bool { return b.DeduplicatedRuns == 1 },
--- a/internal/usage/ledger/record.go
+++ b/internal/usage/ledger/record.go
@@ -23,7 +23,7 @@
 // Record says how one request ended and what it used.
 type Record struct {
 	AnsweredAt     wallclock.UnixMicro `cbor:"At"`
-	School         string              `cbor:"School"`
+	Tenant         string              `cbor:"School"`
 	Class          string              `cbor:"Class"`
 	Outcome        Outcome             `cbor:"End"`
 	Work           wallclock.Micros    `cbor:"Work"`  // time that servers spent on all its attempts
--- a/internal/usage/ledger/ring.go
+++ b/internal/usage/ledger/ring.go
@@ -124,7 +124,7 @@
 	le.PutUint64(b[keyExpiresAtOffset:], uint64(record.KeyExpiresAt))
 	le.PutUint64(b[keyOffset:], record.Key)
 	le.PutUint64(b[workOffset:], uint64(record.Work))
-	le.PutUint16(b[tenantOffset:], r.nameID(record.School))
+	le.PutUint16(b[tenantOffset:], r.nameID(record.Tenant))
 	le.PutUint16(b[classOffset:], r.nameID(record.Class))
 	b[outcomeOffset] = byte(record.Outcome)
 	b[duplicateOffset] = 0
@@ -205,7 +205,7 @@
 		KeyExpiresAt:   wallclock.UnixMicro(le.Uint64(b[keyExpiresAtOffset:])),
 		Key:            le.Uint64(b[keyOffset:]),
 		Work:           wallclock.Micros(le.Uint64(b[workOffset:])),
-		School:         tenant,
+		Tenant:         tenant,
 		Class:          class,
 		Outcome:        Outcome(b[outcomeOffset]),
 		KnownDuplicate: b[duplicateOffset] == 1,
--- a/internal/usage/ledger/ring_test.go
+++ b/internal/usage/ledger/ring_test.go
@@ -27,7 +27,7 @@
 		Work:           5,
 		Outcome:        OutcomeTimedOut,
 		KnownDuplicate: rapid.Bool().Draw(r.T, "duplicate"),
-		School:         rapid.SampledFrom([]string{"north", "south", "", OtherTenant}).Draw(r.T, "school"),
+		Tenant:         rapid.SampledFrom([]string{"north", "south", "", OtherTenant}).Draw(r.T, "tenant"),
 		Class:          "c",
 	}
 	if r.ring.Put(record) {
@@ -90,7 +90,7 @@
 func FuzzRing(f *testing.F) {
 	mem := make([]byte, RingSize(3))
 	r := NewRing(mem, "life", 0)
-	r.Put(Record{School: "north", Class: "c", Outcome: OutcomeServed})
+	r.Put(Record{Tenant: "north", Class: "c", Outcome: OutcomeServed})
 	f.Add(mem[:headerSize+40], mem[headerSize+namesSize:])
 	f.Fuzz(func(t *testing.T, head, records []byte) {
 		mem := make([]byte, RingSize(3))
@@ -113,7 +113,7 @@
 		r.Put(
 			Record{
 				AnsweredAt: at,
-				School:     "north",
+				Tenant:     "north",
 				Class:      "hand-in",
 				Outcome:    OutcomeServed,
 				Key:        9,
--- a/internal/usage/ledger/statement_test.go
+++ b/internal/usage/ledger/statement_test.go
@@ -13,7 +13,7 @@
 	l.Add(
 		Record{
 			AnsweredAt:   begin,
-			School:       "s",
+			Tenant:       "s",
 			Class:        "c",
 			Outcome:      OutcomeServed,
 			Key:          5,
--- a/internal/usage/ledger/stored_test.go
+++ b/internal/usage/ledger/stored_test.go
@@ -24,7 +24,7 @@
 	return []Record{
 		{
 			AnsweredAt:   at + 10*sec,
-			School:       "north",
+			Tenant:       "north",
 			Class:        "hand-in",
 			Outcome:      OutcomeServed,
 			Work:         25_000,
@@ -33,7 +33,7 @@
 		},
 		{
 			AnsweredAt:     at + 11*sec,
-			School:         "north",
+			Tenant:         "north",
 			Class:          "hand-in",
 			Outcome:        OutcomeServed,
 			Work:           1,
@@ -41,18 +41,18 @@
 			KeyExpiresAt:   at + 14*sec,
 			KnownDuplicate: true,
 		},
-		{AnsweredAt: at + 12*sec, School: "north", Class: "check", Outcome: OutcomeTimedOut, Work: 300},
-		{AnsweredAt: at + 70*sec, School: "south", Class: "check", Outcome: OutcomeServed, Work: 2_000},
-		{AnsweredAt: at + 71*sec, School: "south", Class: "check", Outcome: OutcomeRejected},
-		{AnsweredAt: at + 72*sec, School: "south", Class: "check", Outcome: OutcomeFailed, Work: 7},
-		{AnsweredAt: at + 73*sec, School: "south", Class: "check", Outcome: OutcomeAbandoned},
+		{AnsweredAt: at + 12*sec, Tenant: "north", Class: "check", Outcome: OutcomeTimedOut, Work: 300},
+		{AnsweredAt: at + 70*sec, Tenant: "south", Class: "check", Outcome: OutcomeServed, Work: 2_000},
+		{AnsweredAt: at + 71*sec, Tenant: "south", Class: "check", Outcome: OutcomeRejected},
+		{AnsweredAt: at + 72*sec, Tenant: "south", Class: "check", Outcome: OutcomeFailed, Work: 7},
+		{AnsweredAt: at + 73*sec, Tenant: "south", Class: "check", Outcome: OutcomeAbandoned},
 	}
 }
 
 // storedCorrection returns a correction of the first period.
 func storedCorrection(id string) Correction {
 	return Correction{
-		ID: id, Period: begin, School: "north", Class: "hand-in",
+		ID: id, Period: begin, Tenant: "north", Class: "hand-in",
 		Count: Count{
 			Served:     -1,
 			Duplicates: 2,
@@ -106,7 +106,7 @@
 // allFields returns a value of each type that is stored or printed as JSON, with every field set.
 func allFields() map[string]any {
 	count := Count{Served: 1, Duplicates: 2, TimedOut: 3, Rejected: 4, Failed: 5, Abandoned: 6, Work: 7}
-	line := Line{Period: begin, School: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
+	line := Line{Period: begin, Tenant: "north", Class: "hand-in", Count: count, Slices: []int64{1, 2}}
 	keys := CountedKeys{storedKeyOf(0)}
 	statement := Statement{
 		Format: 2, Instance: "n0", Incarnation: "0011aabbccdd", Seq: 3, From: begin, To: begin + hour,
@@ -132,9 +132,9 @@
 		"all-fields-bill.json": Bill{
 			Periods: []BillPeriod{{Period: begin, MissingInstances: []string{"n1"}}},
 			Lines: []BillLine{
-				{Period: begin, School: "north", Class: "hand-in", Count: count, Changed: true},
+				{Period: begin, Tenant: "north", Class: "hand-in", Count: count, Changed: true},
 			},
-			Schools: []BillSchool{{Period: begin, School: "north", Served: 1, AboveQuota: 2.5, Work: 3}},
+			Tenants: []BillTenant{{Period: begin, Tenant: "north", Served: 1, AboveQuota: 2.5, Work: 3}},
 			Problems: []Problem{
 				{Instance: "n0", Incarnation: "0011aabbccdd", Description: "a statement is missing"},
 			},
@@ -179,16 +179,16 @@
 func storedLines(period int) []Line {
 	at := begin + wallclock.UnixMicro(period)*hour
 	return []Line{
-		{Period: at, School: "north", Class: "check", Count: Count{TimedOut: 1, Work: 300}},
+		{Period: at, Tenant: "north", Class: "check", Count: Count{TimedOut: 1, Work: 300}},
 		{
 			Period: at,
-			School: "north",
+			Tenant: "north",
 			Class:  "hand-in",
 			Count:  Count{Served: 1, Duplicates: 1, Work: 25_000},
 			Slices: []int64{1},
 		},
 		{
-			Period: at, School: "south", Class: "check",
+			Period: at, Tenant: "south", Class: "check",
 			Count:  Count{Served: 1, Rejected: 1, Failed: 1, Abandoned: 1, Work: 2_007},
 			Slices: []int64{0, 1},
 		},
--- a/internal/usage/metering/account_store_test.go
+++ b/internal/usage/metering/account_store_test.go
@@ -164,7 +164,7 @@
 		if c.account.ring.Put(
 			ledger.Record{
 				AnsweredAt:   c.now,
-				School:       "north",
+				Tenant:       "north",
 				Class:        "hand-in",
 				Outcome:      ledger.OutcomeServed,
 				Key:          c.key,
@@ -324,8 +324,8 @@
 	}
 }
 
-func servedRecord(at wallclock.UnixMicro, school string) ledger.Record {
-	return ledger.Record{AnsweredAt: at, School: school, Class: "check", Outcome: ledger.OutcomeServed}
+func servedRecord(at wallclock.UnixMicro, tenant string) ledger.Record {
+	return ledger.Record{AnsweredAt: at, Tenant: tenant, Class: "check", Outcome: ledger.OutcomeServed}
 }
 
 // A foreign file with the name of a statement must be left as it is, and the account must continue once
--- a/internal/usage/metering/meter_test.go
+++ b/internal/usage/metering/meter_test.go
@@ -66,7 +66,7 @@
 			m.Record(
 				ledger.Record{
 					AnsweredAt:   now,
-					School:       "north",
+					Tenant:       "north",
 					Class:        "hand-in",
 					Outcome:      ledger.OutcomeServed,
 					Key:          uint64(start*10 + n + 1),
--- a/internal/usage/metering/stored_test.go
+++ b/internal/usage/metering/stored_test.go
@@ -20,7 +20,7 @@
 func storedRecord(at wallclock.UnixMicro, key string) ledger.Record {
 	return ledger.Record{
 		AnsweredAt:   at,
-		School:       "north",
+		Tenant:       "north",
 		Class:        "hand-in",
 		Outcome:      ledger.OutcomeServed,
 		Work:         2_000,
@@ -87,7 +87,7 @@
 		Instance: "n0", Incarnation: "0011aabbccdd", SealedThrough: begin + 600*sec, Statements: 1,
 		Exported: 1, Keys: 3,
 		Lines: []ledger.Line{{
-			Period: begin + 600*sec, School: "north", Class: "hand-in", Count: ledger.Count{Served: 3, Work: 6_000},
+			Period: begin + 600*sec, Tenant: "north", Class: "hand-in", Count: ledger.Count{Served: 3, Work: 6_000},
 			Slices: []int64{3},
 		}},
 	}
