--- a/internal/idempotency/persistence/crash_test.go
+++ b/internal/idempotency/persistence/crash_test.go
@@ -454,8 +454,8 @@
 				Responder: responderFunc(func(a lifecycle.Answer) {
 					m.answers++
 					if past := m.sched.Now() - at; a.Status != status || past > within {
-						t.Errorf("request %s: answered with status %d after %d ms, want another status or less time",
-							key, a.Status, past.Milliseconds())
+						t.Errorf("request %s: answered with status %d after %d ms, want status %d within %d ms",
+							key, a.Status, past.Milliseconds(), status, within.Milliseconds())
 					}
 				}),
 			},
--- a/internal/idempotency/persistence/health_test.go
+++ b/internal/idempotency/persistence/health_test.go
@@ -30,7 +30,7 @@
 	} {
 		c.do()
 		if got, why := h.unavailable(c.now); got != c.retryAfter || (got > 0) != (why != "") {
-			t.Errorf("%s: unavailable() = %v, %q, want another duration, or a reason only with one", c.name, got, why)
+			t.Errorf("%s: unavailable() = %v, %q, want %v, and a reason unless 0", c.name, got, why, c.retryAfter)
 		}
 	}
 }
--- a/internal/idempotency/persistence/key_store.go
+++ b/internal/idempotency/persistence/key_store.go
@@ -35,7 +35,7 @@
 const (
 	// restoreBatch is the maximum number of keys that are restored in one iteration of the loop.
 	restoreBatch = 2000
-	// closeTimeout is how long Close waits for the disk.
+	// closeTimeout is how long Close waits for the files to be read, and then again for the disk.
 	closeTimeout = time.Second
 )
 
@@ -185,8 +185,8 @@
 	})
 }
 
-// Close writes the queued records and unlocks the folder. It blocks for up to closeTimeout, and
-// returns an error if the disk does not answer by then.
+// Close writes the queued records and unlocks the folder. It returns an error if the files are not read
+// within closeTimeout, or if the disk does not answer within another closeTimeout.
 func (k *KeyStore) Close() error {
 	select {
 	case opened := <-k.opened:
--- a/internal/idempotency/reservation/bench_test.go
+++ b/internal/idempotency/reservation/bench_test.go
@@ -21,7 +21,7 @@
 			one.runTimers()
 			free, done := func() bool { return true }, func(mine bool, err error) {
 				if !mine || err != nil {
-					b.Fatal(mine, err)
+					b.Fatalf("reservation = %v, error %v, want true, nil", mine, err)
 				}
 			}
 			for i := 0; b.Loop(); i++ {
--- a/internal/idempotency/reservation/coordinator.go
+++ b/internal/idempotency/reservation/coordinator.go
@@ -1,10 +1,10 @@
-// Package reservation decides which of the processes of one runner runs an idempotency key. It serves the
-// application's lifecycle.Reservations. A new process is started beside the process that it replaces, and
-// the two share nothing but a folder and the kernel. Each process appends its reservations to its own log,
-// and holds a kernel lock on a file of its own as long as it is alive. To reserve a key, a process takes
-// a lock that all processes share, reads the records that the others have written and, unless one of
-// them has reserved the key, appends its reservation. Records carry checksums. A record that is incomplete
-// because its writer was killed is ignored: the run that it reserved the key for never began.
+// Package reservation decides which of the processes of one runner runs an idempotency key. The
+// application implements lifecycle.Reservations with it. A new process is started beside the process that
+// it replaces, and the two share nothing but a folder and the kernel. Each process appends its reservations
+// to its own log, and holds a kernel lock on a file of its own as long as it is alive. To reserve a key, a
+// process takes a lock that all processes share, reads the records that the others have written and, unless
+// one of them has reserved the key, appends its reservation. Records carry checksums. A record that is
+// incomplete because its writer was killed is ignored: the run that it reserved the key for never began.
 package reservation
 
 import (
@@ -58,8 +58,8 @@
 	// ApplyRemote applies the record that another process has written about a key. released says
 	// that the run of the key never began.
 	ApplyRemote(k lifecycle.KeyRecord, released bool)
-	// OwnerDied reports that the process of an incarnation has exited. Those of its runs whose end
-	// it has not written may have run.
+	// OwnerDied reports that the process of an incarnation has exited. It is not known what became of
+	// the runs whose end it has not written.
 	OwnerDied(incarnation uint32)
 	// EachOwned calls fn for each key that has not expired and whose run began in this process.
 	EachOwned(fn func(lifecycle.KeyRecord))
--- a/internal/idempotency/reservation/coordinator_test.go
+++ b/internal/idempotency/reservation/coordinator_test.go
@@ -338,7 +338,7 @@
 func TestPartialRecordIsOverwritten(t *testing.T) {
 	dir := t.TempDir()
 	one, two := start(t, dir, 1), start(t, dir, 2)
-	whole := one.coordinator.log
+	writable := one.coordinator.log
 	// The log is opened read-only, so that writes fail.
 	if one.coordinator.log, _ = os.Open(one.coordinator.logName(1, 1)); one.coordinator.log == nil {
 		t.Fatal("cannot open the log read-only")
@@ -347,12 +347,12 @@
 		t.Errorf("reservation that cannot be written = %q, want an error", got)
 	}
 	one.coordinator.log.Close()
-	one.coordinator.log = whole
+	one.coordinator.log = writable
 	frame, err := store.AppendFrame(nil, &store.Record{Kind: store.RunStarted, Name: store.KeyName{Key: "z"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := whole.WriteAt(frame[:len(frame)/2], one.coordinator.size); err != nil {
+	if _, err := writable.WriteAt(frame[:len(frame)/2], one.coordinator.size); err != nil {
 		t.Fatal(err)
 	}
 	one.expectReservation("b", "mine")
--- a/internal/idempotency/reservation/faults.go
+++ b/internal/idempotency/reservation/faults.go
@@ -6,14 +6,14 @@
 var (
 	faultPeerIncomplete = fault.Define(
 		"claims.unwritten",
-		"Another process of this runner could not write what it runs.",
-		"See to the space of $TMPDIR; hand-ins are refused until the keys of that process are known.",
+		"Another process of this runner could not write its reservations.",
+		"Check the free space of $TMPDIR; requests with a key are rejected until the keys of that process are known.",
 	)
-	faultLockHeld = fault.Define("claims.held", "Another process of this runner holds the lock of the claims.",
-		"Nothing, if it lasts for moments; else end the process that is stopped or starved.")
+	faultLockHeld = fault.Define("claims.held", "Another process of this runner holds the lock of the reservations.",
+		"Nothing if it lasts only moments; otherwise end the process that is stopped or gets no CPU.")
 	faultFolder = fault.Define(
 		"claims.folder",
-		"The folder in which the processes of a runner share what they run cannot be used.",
-		"See that $TMPDIR is there, that the program may write it, and that it has space.",
+		"The folder in which the processes of a runner share their reservations cannot be used.",
+		"Check that $TMPDIR exists, that the program may write to it, and that it has free space.",
 	)
 )
--- a/internal/idempotency/reservation/stored_test.go
+++ b/internal/idempotency/reservation/stored_test.go
@@ -45,7 +45,7 @@
 	reserve := func(p *process, k lifecycle.KeyRecord) {
 		p.coordinator.Reserve(k, 0, func() bool { return true }, func(mine bool, err error) {
 			if !mine || err != nil {
-				t.Fatal(mine, err)
+				t.Fatalf("reservation of key %s = %v, error %v, want true, nil", k.Key, mine, err)
 			}
 		})
 	}
--- a/internal/idempotency/store/bench_test.go
+++ b/internal/idempotency/store/bench_test.go
@@ -20,8 +20,8 @@
 	body := strings.Repeat("result of a check, ", 50) // about 1 kB
 	modes := map[store.SyncMode]string{store.SyncAlways: "always", store.SyncGroup: "group", store.SyncNone: "none"}
 	for mode, name := range modes {
-		for _, at := range []int{1, 16, 128} {
-			b.Run(fmt.Sprintf("%s/%d", name, at), func(b *testing.B) {
+		for _, concurrency := range []int{1, 16, 128} {
+			b.Run(fmt.Sprintf("%s/%d", name, concurrency), func(b *testing.B) {
 				set := store.DefaultSettings()
 				set.Sync = mode
 				dir := store.Dir(b.TempDir())
@@ -37,10 +37,10 @@
 				hist := hdrhistogram.New(1, 60_000_000, 3)
 				var all sync.WaitGroup
 				begin := time.Now()
-				for n := range at {
+				for n := range concurrency {
 					all.Go(func() {
 						done := make(chan error)
-						for k := n; k < b.N; k += at {
+						for k := n; k < b.N; k += concurrency {
 							key, from := fmt.Sprint(k), time.Now()
 							for _, r := range []*store.Record{started(key, 1), ended(key, 1, body)} {
 								// so that the key is removed within a second
@@ -93,7 +93,7 @@
 			for b.Loop() {
 				j, f := open(b, store.Dir(path), opt)
 				if len(f.Keys) != n {
-					b.Fatal(len(f.Keys))
+					b.Fatalf("recovered %d keys, want %d", len(f.Keys), n)
 				}
 				j.Close()
 			}
--- a/internal/idempotency/store/frame.go
+++ b/internal/idempotency/store/frame.go
@@ -34,10 +34,10 @@
 func AppendFrame(b []byte, r *Record) ([]byte, error) {
 	payload, err := cbor.Marshal(compressed(r))
 	if err != nil {
-		return b, fmt.Errorf("store: record: %w", err)
+		return b, fmt.Errorf("store: cannot encode a record: %w", err)
 	}
 	if len(payload) > maxRecordBytes {
-		return b, fmt.Errorf("store: record of %d bytes is over %d", len(payload), maxRecordBytes)
+		return b, fmt.Errorf("store: a record has %d bytes, more than the maximum of %d", len(payload), maxRecordBytes)
 	}
 	b = binary.LittleEndian.AppendUint32(b, frameMagic)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
--- a/internal/idempotency/store/journal.go
+++ b/internal/idempotency/store/journal.go
@@ -45,8 +45,8 @@
 }
 
 // Reopen writes a snapshot of all keys and begins a new segment, when the journal is opened and after the
-// disk failed. As it is not known what the end of the old segment contains, nothing is ever appended to
-// that, and a sync that failed is not retried.
+// disk failed. Nothing is ever appended to the old segment, as it is not known what its end contains, and
+// a sync that failed is not retried.
 func (j *Journal) Reopen(now wallclock.UnixMicro) error {
 	if j.file != nil {
 		_ = j.file.Close() // the snapshot replaces its content
@@ -173,7 +173,8 @@
 	return j.createSegment()
 }
 
-// closeSegment closes the segment, whose content is already synced. After an error the journal is down.
+// closeSegment closes the segment, whose content is already synced unless the mode is SyncNone. After an
+// error the journal is down.
 func (j *Journal) closeSegment() error {
 	err := j.file.Close()
 	j.file = nil
@@ -185,7 +186,8 @@
 	return nil
 }
 
-// Close closes the segment. All committed records are on the disk if it returns no error.
+// Close closes the segment. With SyncNone it syncs the segment before; with the other modes all committed
+// records are on the disk already.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
--- a/internal/idempotency/store/options.go
+++ b/internal/idempotency/store/options.go
@@ -12,7 +12,7 @@
 const (
 	SyncGroup  SyncMode = iota // once it is on the disk; concurrent records share one sync
 	SyncAlways                 // once it is on the disk, by a sync of its own
-	SyncNone                   // once the system has it: it survives the process, but no power loss
+	SyncNone                   // once the operating system has it: it survives the process, but not a power loss
 )
 
 // ParseSyncMode returns the mode with the given name: always, group or none.
--- a/internal/idempotency/store/stall_faults.go
+++ b/internal/idempotency/store/stall_faults.go
@@ -21,6 +21,7 @@
 	}
 }
 
+// stallingFile is a file whose writes and syncs hang as stall does.
 type stallingFile struct {
 	*os.File
 	dir Dir
--- a/internal/idempotency/store/store_test.go
+++ b/internal/idempotency/store/store_test.go
@@ -68,7 +68,7 @@
 	for _, k := range f.Keys {
 		what := "in doubt"
 		if k.Ended {
-			what = fmt.Sprintf("how %d", k.Status)
+			what = fmt.Sprintf("status %d", k.Status)
 		}
 		if k.Result != nil {
 			what = fmt.Sprintf("%d %s", k.Result.Status, k.Result.Body)
@@ -123,7 +123,7 @@
 		f.NewestAt != now {
 		t.Errorf("read with the clock set back: %d keys, error %v, want 6 keys, the newest at now", len(f.Keys), err)
 	}
-	want := []string{"again in doubt", "done 200 ok", "doubt in doubt", "failed how 3", "long 200 " + long}
+	want := []string{"again in doubt", "done 200 ok", "doubt in doubt", "failed status 3", "long 200 " + long}
 	for range 3 { // from the journal, its snapshot, and the snapshot of that
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/usage/ledger/errors.go
+++ b/internal/usage/ledger/errors.go
@@ -6,28 +6,28 @@
 var (
 	kindFull = fault.Define(
 		"usage.full",
-		"There is no room for a further correction before the next statement.",
-		"Give it again after the end of the period.",
+		"Too many corrections wait for the next statement.",
+		"Submit the correction again after the end of the period.",
 	)
 	kindCorrection = fault.Define(
 		"usage.correction",
-		"A correction lacks a field, or has one that cannot be.",
-		"Correct the field that is named, and give it again under the same id.",
+		"A correction lacks a field or has an invalid one.",
+		"Change the field that the error names, and submit the correction again with the same id.",
 	)
 	kindDamaged = fault.Define(
 		"usage.damaged",
-		"A file of the account or a statement is cut off, or is not as it was written.",
-		"Take it from a copy; a bill names the statements that are missing, and the next statement goes on without it.",
+		"A file of the account or a statement is truncated, or does not match its digest.",
+		"Restore it from a copy; a bill made without a statement reports it as missing, and counts the others.",
 	)
 	kindFormat = fault.Define(
 		"usage.format",
-		"A file of the account is of a newer format, or of another account.",
-		"Use the newer program, or give each account a folder of its own.",
+		"A file of the account has a newer format or an invalid field, or belongs to another account.",
+		"Use the newer program, or give each account its own folder.",
 	)
-	kindIncompatible = fault.Define("usage.apart", "Statements do not go together into one bill.",
-		"Make a bill of the statements of one setting of periods at a time.")
-	kindRing = fault.Define("usage.ring", "The file that outlives a kill is none of this account.",
-		"Move it away; what was in it is told as missing.")
+	kindIncompatible = fault.Define("usage.apart", "Statements with different periods or slices cannot make one bill.",
+		"Make a separate bill for each setting of the periods and slices.")
+	kindRing = fault.Define("usage.ring", "The ring file belongs to another account or is no ring.",
+		"Nothing: a new ring replaces it, and the event usage.lost reports that its records are lost.")
 )
 
 var (
--- a/internal/usage/ledger/reconcile.go
+++ b/internal/usage/ledger/reconcile.go
@@ -54,7 +54,7 @@
 	tenant string
 }
 
-// coverage is a span of periods that an instance has settled, without the one that starts at to.
+// coverage says that an instance has settled the periods from one instant (inclusive) to another (exclusive).
 type coverage struct {
 	instance string
 	from, to wallclock.UnixMicro
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// addAccount counts the statements of an account, and reports statements that are missing, that
-// conflict with another one of their number, or that do not follow the previous one.
+// addAccount counts the statements of an account, and reports statements that are missing, that differ
+// from another one with the same number, or that do not follow the previous one.
 func (r *reconciler) addAccount(name accountName, account *accountStatements) {
 	var previous *Statement
 	next := uint64(1)
@@ -166,7 +166,7 @@
 	if s.UnlistedKeys > 0 {
 		r.addProblem(
 			name,
-			"statement %d does not list the keys of %d uses; other instances may have counted them too",
+			"statement %d does not list the keys of %d requests; other instances may have counted them too",
 			s.Seq,
 			s.UnlistedKeys,
 		)
--- a/internal/usage/ledger/reconcile_test.go
+++ b/internal/usage/ledger/reconcile_test.go
@@ -73,7 +73,7 @@
 	return l.Seal(begin + 2*hour)
 }
 
-// servedLine returns the line of a number of served requests in a period; the first is 0.
+// servedLine returns a line with a number of served requests in a period, which is counted from 0.
 func servedLine(period, served int64) BillLine {
 	at := begin + wallclock.UnixMicro(period)*hour
 	return BillLine{
--- a/internal/usage/ledger/seal.go
+++ b/internal/usage/ledger/seal.go
@@ -106,9 +106,8 @@
 }
 
 // NextStatement returns the oldest statement that is not known to be written, or nil. renaming reports
-// that its file was about to be renamed to its final name when the state was last saved. If the file
-// under the temporary name is gone, the rename was done, and a collector may have taken the renamed
-// file.
+// whether MarkRenaming was called for it. If so and the file under the temporary name is gone, the rename
+// was done, and a collector may have taken the renamed file.
 func (l *Ledger) NextStatement() (s *Statement, renaming bool) {
 	if len(l.unwritten) == 0 {
 		return nil, false
--- a/internal/usage/ledger/stored_test.go
+++ b/internal/usage/ledger/stored_test.go
@@ -251,9 +251,9 @@
 	if diff := cmp.Diff(want, l.Summary()); diff != "" {
 		t.Errorf("summary (-want +got)\n%s", diff)
 	}
-	if next, naming := l.NextStatement(); !naming || next.Seq != 2 ||
+	if next, renaming := l.NextStatement(); !renaming || next.Seq != 2 ||
 		!reflect.DeepEqual(next.Lines, storedLines(1)) {
-		t.Errorf("NextStatement() = %+v, %v, want statement 2 with the lines of the second period, true", next, naming)
+		t.Errorf("NextStatement() = %+v, %v, want statement 2 with lines of the second period, true", next, renaming)
 	}
 	if known, err := l.Correct(storedCorrection("c-1"), begin+2*hour); !known || err != nil {
 		t.Errorf("Correct() with the ID of an earlier correction = %v, %v, want true, nil", known, err)
--- a/internal/usage/metering/errors.go
+++ b/internal/usage/metering/errors.go
@@ -11,25 +11,25 @@
 	kindAccount = fault.Define(
 		"usage.account",
 		"The folder of the account cannot be used as it is.",
-		"See that it is there and that the program may write it; the file that is named says what is in the way.",
+		"Check that it exists and that the program may write to it; the error names the file that is in the way.",
 	)
-	kindBusy = fault.Define("usage.busy", "Too many questions about the account wait for its disk.",
-		"Ask again in a moment; if it stays so, see to the disk.")
+	kindBusy = fault.Define("usage.busy", "Too many queries and corrections of the account wait for its disk.",
+		"Try again in a moment; if that does not help, check the disk.")
 	kindNotReplicated = fault.Define(
 		"usage.unkept",
-		"A correction is kept here, and the other runners could not be told in time.",
-		"Give it again under the same id: it counts once.",
+		"A correction is kept here, but was not replicated in time.",
+		"Submit it again with the same id: it counts once.",
 	)
-	kindNoRoom = fault.Define("usage.no_room", "The disk of the account takes nothing.",
-		"Make room on it; what is counted waits in memory as long as there is some.")
+	kindNoRoom = fault.Define("usage.no_room", "The disk of the account accepts no writes.",
+		"Check its free space and health; records wait in memory as long as there is room for them.")
 )
 
 var (
 	// ErrBusy is returned while maxQueuedCalls calls wait for the goroutine of the account.
-	ErrBusy error = kindBusy.New("usage: too many questions about the account wait for its disk")
+	ErrBusy error = kindBusy.New("usage: too many queries and corrections of the account wait for its disk")
 	// ErrNotReplicated is returned for a change that the replicas did not confirm in time.
 	ErrNotReplicated error = kindNotReplicated.New(
-		"usage: it is kept here, but was not replicated in time; submit it again",
+		"usage: the change is kept here, but was not replicated in time; submit it again",
 	)
 
 	errNoRoom   error = kindNoRoom.New("usage: no room for a record, as the disk accepts no writes")
@@ -44,7 +44,7 @@
 
 func (e *fileConflictError) Error() string {
 	return fmt.Sprintf(
-		"usage: %s exists and is not the statement to be written; it is left as it is, and nothing more is written",
+		"usage: %s exists and is not the statement to be written; it is kept, and the statement is not written",
 		e.name,
 	)
 }
--- a/internal/usage/metering/meter.go
+++ b/internal/usage/metering/meter.go
@@ -22,7 +22,7 @@
 type Options struct {
 	Dir          string
 	Settings     ledger.Settings
-	RingCapacity int           // most records that are not saved yet
+	RingCapacity int           // maximum number of records that are not saved yet
 	SaveInterval time.Duration // time between two saves of the account
 	Replicated   bool          // StartReplication will be called; then each start begins a new account
 }
@@ -60,7 +60,8 @@
 }
 
 // Start opens the account of a folder, or begins one if there is none. The error is of kind
-// usage.account if the files of the folder do not fit, or one of the disk or the lock.
+// usage.account if the files of the folder are damaged or not those of this account, or one of the disk
+// or the lock.
 func Start(opt Options) (*Meter, error) {
 	dir := store.Dir(opt.Dir)
 	unlock, err := dir.Lock()
@@ -201,8 +202,8 @@
 
 // Close saves the account, and ends the goroutines of the meter. If the disk does not respond within the
 // timeout, or up to twice that with replication, it returns an error of kind usage.no_room: the unsaved
-// records are in the ring, and are counted at the next start. Record and
-// RecordReplicated must not be called any more.
+// records are in the ring, and are counted at the next start. Record and RecordReplicated must not be
+// called any more.
 func (m *Meter) Close(timeout time.Duration) error {
 	close(m.closing)
 	if m.remoteDone != nil {
