--- a/internal/idempotency/store/faults.go
+++ b/internal/idempotency/store/faults.go
@@ -9,8 +9,8 @@
 	faultDamaged = fault.Define(
 		"store.damaged",
 		"Files of the store are damaged in a way that no crash explains.",
-		"Inspect them with runner store verify; "+
-			"with --repair the program renames them, and accepts no new keys for an idempotency window.",
+		"Look at them with runner store verify; "+
+			"with --repair the program keeps them aside and takes no new keys for a window.",
 	)
 	faultNewerFormat = fault.Define(
 		"store.newer",
--- a/internal/usage/ledger/record.go
+++ b/internal/usage/ledger/record.go
@@ -15,7 +15,7 @@
 	OutcomeDuplicate                    // its idempotency key was counted as served before
 	OutcomeTimedOut                     // it missed its deadline
 	OutcomeRejected                     // it never ran
-	OutcomeFailed                       // it ran, or an attempt was made, without a result
+	OutcomeFailed                       // it ended without a result in another way; it may have run
 	OutcomeAbandoned                    // its caller disconnected
 	outcomeCount
 )
