--- a/internal/usage/ledger/record.go
+++ b/internal/usage/ledger/record.go
@@ -15,7 +15,7 @@
 	OutcomeDuplicate                    // its idempotency key was counted as served before
 	OutcomeTimedOut                     // it missed its deadline
 	OutcomeRejected                     // it never ran
-	OutcomeFailed                       // it ran, or an attempt was made, without a result
+	OutcomeFailed                       // it ended without a result in another way; it may have run
 	OutcomeAbandoned                    // its caller disconnected
 	outcomeCount
 )
@@ -23,7 +23,7 @@
 // Record says how one request ended and what it used.
 type Record struct {
 	AnsweredAt     wallclock.UnixMicro `cbor:"At"`
-	School         string              `cbor:"School"`
+	Tenant         string              `cbor:"School"`
 	Class          string              `cbor:"Class"`
 	Outcome        Outcome             `cbor:"End"`
 	Work           wallclock.Micros    `cbor:"Work"`  // time that servers spent on all its attempts
