--- a/cmd/runner/route.go
+++ b/cmd/runner/route.go
@@ -115,8 +115,8 @@
 	}
 	matched := request.MatchRequest()
 	index := operator.Matcher.Match(matched)
-	if !isTenant(platform, matched.School) {
-		return nil, fmt.Errorf("unknown tenant %q", matched.School)
+	if !isTenant(platform, matched.Tenant) {
+		return nil, fmt.Errorf("unknown tenant %q", matched.Tenant)
 	}
 	if index < 0 {
 		return nil, fmt.Errorf("no class at %q", request.Path)
@@ -128,7 +128,7 @@
 		When:   route.Condition,
 		Class:  route.Class,
 		Group:  route.Group,
-		School: matched.School,
+		School: matched.Tenant,
 		Key:    request.Get(operator.KeyVariable),
 	}
 	if route.KeyExpression != nil {
--- a/internal/config/match.go
+++ b/internal/config/match.go
@@ -29,9 +29,9 @@
 		return e, nil
 	}
 	var err error
-	o.Matcher.SchoolVariable = o.Tenant.Variable
-	o.Matcher.DefaultSchool = o.Tenant.Default
-	if o.Matcher.School, err = compile("tenant.from", o.Tenant.Expression, match.Text, "school"); err != nil {
+	o.Matcher.TenantVariable = o.Tenant.Variable
+	o.Matcher.DefaultTenant = o.Tenant.Default
+	if o.Matcher.TenantExpression, err = compile("tenant.from", o.Tenant.Expression, match.Text, "school"); err != nil {
 		return err
 	}
 	rules := make([]match.Rule, len(o.Routes))
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -66,8 +66,8 @@
 	request.Class = route.Class
 	request.Timeout = route.Deadline
 	var ok bool
-	if request.Tenant, ok = f.manager.Tenant(subject.School); !ok {
-		return nil, nil, requestErrorf(http.StatusForbidden, "unknown tenant %q", subject.School)
+	if request.Tenant, ok = f.manager.Tenant(subject.Tenant); !ok {
+		return nil, nil, requestErrorf(http.StatusForbidden, "unknown tenant %q", subject.Tenant)
 	}
 	if err := f.setKey(request, route, subject); err != nil {
 		return nil, nil, err
--- a/internal/match/fields.go
+++ b/internal/match/fields.go
@@ -19,7 +19,7 @@
 	"query":  textField(maxFieldBytes, func(r *Request) string { return r.Query }),
 	"host":   textField(maxNameBytes, func(r *Request) string { return r.Host }),
 	"scheme": textField(maxSchemeBytes, func(r *Request) string { return r.Scheme }),
-	"school": textField(maxNameBytes, func(r *Request) string { return r.School }),
+	"school": textField(maxNameBytes, func(r *Request) string { return r.Tenant }),
 	"length": {resultType: Int, cost: 1, evalInt: func(r *Request) int64 { return r.Length }},
 	"remote": {resultType: Addr, cost: 1, evalAddr: func(r *Request) netip.Addr { return r.Remote }},
 }
--- a/internal/match/match.go
+++ b/internal/match/match.go
@@ -33,7 +33,7 @@
 // Request is the request that an expression is evaluated for.
 type Request struct {
 	Method, Path, Query, Host, Scheme string
-	School                            string // the tenant; set by Matcher.Match
+	Tenant                            string // set by Matcher.Match
 	// Remote is the address of the caller. It is invalid if unknown, as on a Unix socket.
 	Remote netip.Addr
 	Length int64 // bytes of the body; -1: not stated
--- a/internal/match/match_test.go
+++ b/internal/match/match_test.go
@@ -18,7 +18,7 @@
 		Query:  "group=a%20b&n=3&group=c",
 		Host:   "North.example.org",
 		Scheme: "https",
-		School: "north",
+		Tenant: "north",
 		Remote: netip.MustParseAddr(
 			"::ffff:10.1.2.3",
 		),
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		path, method, school string
+		path, method, tenant string
 		length               int64
 		want                 int
 	}{{
@@ -210,7 +210,7 @@
 	}, {"/ops/exam/1", "GET", "south", 1, 4}, {"/ops/examine", "POST", "south", 1, 1},
 		{"/ops/examine", "POST", "north", 1, 0}, {"/ops", "POST", "south", 1, 1}, {"x", "", "", 0, -1}} {
 		if got := table.Find(
-			&Request{Path: c.path, Method: c.method, School: c.school, Length: c.length},
+			&Request{Path: c.path, Method: c.method, Tenant: c.tenant, Length: c.length},
 		); got != c.want {
 			t.Errorf("Find() for case %+v = %d", c, got)
 		}
--- a/internal/match/rules.go
+++ b/internal/match/rules.go
@@ -54,21 +54,21 @@
 
 // Matcher derives the tenant of a request and finds the rule that applies to it.
 type Matcher struct {
-	Rules          *RuleTable
-	School         *Expression // derives the tenant; nil: SchoolVariable holds it
-	SchoolVariable string      // name of the request variable that holds the tenant
-	DefaultSchool  string      // tenant of requests for which the above give an empty text
+	Rules            *RuleTable
+	TenantExpression *Expression // derives the tenant; nil: TenantVariable holds it
+	TenantVariable   string      // name of the request variable that holds the tenant
+	DefaultTenant    string      // tenant of requests for which the above give an empty text
 }
 
 // Match sets the tenant of a request, which the conditions may use, and returns the index of the
 // rule that applies, or -1 if none does.
 func (m *Matcher) Match(r *Request) int {
-	if m.School != nil {
-		r.School = m.School.Text(r)
+	if m.TenantExpression != nil {
+		r.Tenant = m.TenantExpression.Text(r)
 	} else {
-		r.School, _ = r.Var(m.SchoolVariable)
+		r.Tenant, _ = r.Var(m.TenantVariable)
 	}
-	r.School = cmp.Or(r.School, m.DefaultSchool)
+	r.Tenant = cmp.Or(r.Tenant, m.DefaultTenant)
 	return m.Rules.Find(r)
 }
 
