--- a/internal/match/fields.go
+++ b/internal/match/fields.go
@@ -11,8 +11,8 @@
 	maxNameBytes   = 256 // of a host or a tenant
 )
 
-// fields maps the names of the request fields that expressions can use to their nodes. The host has
-// no port.
+// fields maps the names of the request fields that expressions can use to their nodes. The field
+// "school" is the tenant, and the host has no port.
 var fields = map[string]*node{
 	"method": textField(maxMethodBytes, func(r *Request) string { return r.Method }),
 	"path":   textField(maxFieldBytes, func(r *Request) string { return r.Path }),
--- a/internal/match/lexer.go
+++ b/internal/match/lexer.go
@@ -72,10 +72,10 @@
 // lex splits a source into tokens, the last of which is tokenEnd.
 func lex(s string) ([]token, error) {
 	if len(s) > maxSourceBytes {
-		return nil, errorAt(0, "it has %d bytes, more than the limit of %d", len(s), maxSourceBytes)
+		return nil, errorAt(0, "the expression has %d bytes, more than the limit of %d", len(s), maxSourceBytes)
 	}
 	if !utf8.ValidString(s) {
-		return nil, errorAt(0, "it is not valid UTF-8")
+		return nil, errorAt(0, "the expression is not valid UTF-8")
 	}
 	var tokens []token
 	for i := 0; i < len(s); {
--- a/internal/match/node.go
+++ b/internal/match/node.go
@@ -29,12 +29,12 @@
 		n.maxAllocated = min(n.maxAllocated+operand.maxAllocated, math.MaxInt32)
 	}
 	if n.cost > MaxCost {
-		return nil, errorAt(n.offset, "it could cost %d steps, more than the limit of %d", n.cost, MaxCost)
+		return nil, errorAt(n.offset, "the expression could cost %d steps, more than the limit of %d", n.cost, MaxCost)
 	}
 	if n.maxAllocated > MaxTextBytes {
 		return nil, errorAt(
 			n.offset,
-			"it could allocate %d bytes of text, more than the limit of %d",
+			"the expression could allocate %d bytes of text, more than the limit of %d",
 			n.maxAllocated,
 			MaxTextBytes,
 		)
@@ -46,7 +46,7 @@
 // message.
 func (n *node) expectType(t Type, what string) error {
 	if n.resultType != t {
-		return errorAt(n.offset, "%s is %v; wanted is %v", what, n.resultType, t)
+		return errorAt(n.offset, "%s is %v, expected %v", what, n.resultType, t)
 	}
 	return nil
 }
--- a/internal/match/operators.go
+++ b/internal/match/operators.go
@@ -44,9 +44,9 @@
 	return nil, errorAt(t.offset, "%s does not apply to %v", t.text, a.resultType)
 }
 
-// textSearches are the operators that search a text for another one. The entry of "matches" is nil:
+// textSearches are the operators that look for one text in another. The entry of "matches" is nil:
 // its right side is a pattern, for which searchText calls matchesPattern.
-var textSearches = map[string]func(s, of string) bool{
+var textSearches = map[string]func(s, part string) bool{
 	"startswith": strings.HasPrefix,
 	"endswith":   strings.HasSuffix,
 	"contains":   strings.Contains,
@@ -54,7 +54,7 @@
 }
 
 // searchText compiles one of the textSearches.
-func searchText(t token, a, b *node, find func(s, of string) bool) (*node, error) {
+func searchText(t token, a, b *node, find func(s, part string) bool) (*node, error) {
 	for _, side := range []*node{a, b} {
 		if err := side.expectType(Text, "a side of "+strconv.Quote(t.text)); err != nil {
 			return nil, err
--- a/internal/match/parser.go
+++ b/internal/match/parser.go
@@ -78,7 +78,7 @@
 // caller has to decrement depth when it leaves the level.
 func (p *parser) enter(offset int) error {
 	if p.depth++; p.depth > maxDepth {
-		return errorAt(offset, "it is nested more than %d levels deep", maxDepth)
+		return errorAt(offset, "the expression is nested more than %d levels deep", maxDepth)
 	}
 	return nil
 }
@@ -254,7 +254,7 @@
 func (p *parser) parseName(t token) (*node, error) {
 	if f, ok := fields[t.text]; ok {
 		if slices.Contains(p.unavailable, t.text) {
-			return nil, errorAt(t.offset, "%s is not known yet here", t.text)
+			return nil, errorAt(t.offset, "%s has no value yet at this point", t.text)
 		}
 		n := *f
 		n.offset = t.offset
@@ -268,7 +268,7 @@
 		return nil, errorAt(t.offset, "there is no field and no expression named %s", t.text)
 	}
 	if p.expanding[t.text] {
-		return nil, errorAt(t.offset, "%s stands for itself", t.text)
+		return nil, errorAt(t.offset, "%s refers to itself", t.text)
 	}
 	p.expanding[t.text] = true
 	defer delete(p.expanding, t.text)
--- a/internal/match/rules.go
+++ b/internal/match/rules.go
@@ -57,7 +57,7 @@
 	Rules            *RuleTable
 	TenantExpression *Expression // derives the tenant; nil: TenantVariable holds it
 	TenantVariable   string      // name of the request variable that holds the tenant
-	DefaultTenant    string      // tenant of requests for which the above give an empty text
+	DefaultTenant    string      // tenant of requests for which the expression or variable is empty
 }
 
 // Match sets the tenant of a request, which the conditions may use, and returns the index of the
@@ -85,7 +85,7 @@
 // Error implements error.
 func (e *UnreachableRuleError) Error() string {
 	return fmt.Sprintf(
-		"no request comes to it: the one of the same path before it, no. %d, takes all",
+		"no request reaches this route: route no. %d, with the same path and without a condition, matches all of them",
 		e.Before+1,
 	)
 }
