--- a/internal/match/match.go
+++ b/internal/match/match.go
@@ -82,7 +82,10 @@
 	tokens, err := lex(name)
 	switch {
 	case err != nil || len(tokens) != 2 || tokens[0].kind != tokenName:
-		return fmt.Errorf("%q is not a valid name: a name consists of letters, digits and _ and is not an operator", name)
+		return fmt.Errorf(
+			"%q is not a valid name: a name consists of letters, digits and _ and is not an operator",
+			name,
+		)
 	case fields[name] != nil:
 		return fmt.Errorf("%s is a field of requests", name)
 	}
--- a/internal/protocol/cgi/cgi_test.go
+++ b/internal/protocol/cgi/cgi_test.go
@@ -94,7 +94,7 @@
 		r, err := Read(vars(in))
 		if err != nil || r.Length != want.Length || r.Chunked != want.Chunked || r.UntilClose != want.UntilClose ||
 			r.ExpectsContinue != want.ExpectsContinue {
-			t.Errorf("Read(%s) = %+v, error %v: not the wanted framing", in, r, err)
+			t.Errorf("Read(%s) = %+v, error %v; want the length and the framing of the case", in, r, err)
 		}
 	}
 }
--- a/internal/protocol/httpmessage/body.go
+++ b/internal/protocol/httpmessage/body.go
@@ -61,8 +61,8 @@
 // BodyUntilClose returns a reader of a body that ends with the stream.
 func BodyUntilClose() *Body { return &Body{framing: framedByClose} }
 
-// Next decodes the next part of the body from the front of b, of which it uses the given number of
-// bytes. end states that the stream ends after b. data is a slice of b. done reports the end of the
+// Next decodes the next part of the body from the front of b, and returns how many bytes of b it
+// used. end states that the stream ends after b. data is a slice of b. done reports the end of the
 // body; no input is used after it. If no bytes are used and done is false, more input is needed. For
 // a body that is incomplete at the end of the stream it returns io.ErrUnexpectedEOF.
 func (r *Body) Next(b []byte, end bool) (data []byte, used int, done bool, err error) {
--- a/internal/protocol/httpmessage/response.go
+++ b/internal/protocol/httpmessage/response.go
@@ -55,8 +55,8 @@
 // Head returns the head of the final response, or nil before it is complete.
 func (r *ResponseReader) Head() *Head { return r.head }
 
-// Next decodes one part of the response from the front of b, of which it uses the given number of
-// bytes. end states that the stream ends after b. If no bytes are used and the event is empty, more
+// Next decodes one part of the response from the front of b, and returns how many bytes of b it
+// used. end states that the stream ends after b. If no bytes are used and the event is empty, more
 // input is needed. For a response that is incomplete at the end of the stream it returns
 // io.ErrUnexpectedEOF.
 func (r *ResponseReader) Next(b []byte, end bool) (ev Event, used int, err error) {
@@ -187,7 +187,7 @@
 	return f, nil
 }
 
-// Valid reports whether the header field is read back unchanged after it was written.
+// Valid reports whether the header field, once written, is read back unchanged.
 func (f Field) Valid() bool {
 	return IsToken(f.Name) && !strings.ContainsAny(f.Value, "\r\n\x00")
 }
--- a/internal/protocol/uwsgi/uwsgi.go
+++ b/internal/protocol/uwsgi/uwsgi.go
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// First modifiers of the packets that are served.
+// First modifiers of the packets that ReadHead accepts.
 const (
 	ModifierRequest = 0
 	ModifierPing    = 100
@@ -188,7 +188,8 @@
 	return string(b[lengthSize:end]), b[end:], true
 }
 
-// Append appends a request to b. It returns ErrVariablesTooLong if the variables exceed a packet.
+// Append appends a request to b. It returns ErrVariablesTooLong if the variables do not fit
+// into a packet.
 func Append(b []byte, r *Request) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, headerSize)...)
--- a/internal/protocol/uwsgi/uwsgi_test.go
+++ b/internal/protocol/uwsgi/uwsgi_test.go
@@ -207,7 +207,7 @@
 				}
 			}
 			continue
-		case len(c.bodyOf())+len(ev.Data) > c.bodyLimit:
+		case len(c.received())+len(ev.Data) > c.bodyLimit:
 			return nil, used, ErrBodyTooLong
 		case len(ev.Data) > 0:
 			c.resp.Body = append(c.resp.Body, ev.Data...)
@@ -221,7 +221,7 @@
 	}
 }
 
-func (c *collector) bodyOf() []byte {
+func (c *collector) received() []byte {
 	if c.resp == nil {
 		return nil
 	}
