--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -137,7 +137,8 @@
 			}
 			closeListener(ln)
 			if len(*accepted) != many || ln.IsListening() {
-				t.Fatalf("accepted %d of %d connections, IsListening() = %t", len(*accepted), many, ln.IsListening())
+				t.Fatalf("accepted %d of %d connections, IsListening() = %t; want all, false",
+					len(*accepted), many, ln.IsListening())
 			}
 		})
 	}
@@ -168,7 +169,7 @@
 	s.Advance(time.Second) // the last connection closes
 	s.Advance(0)
 	if len(*accepted) != 3 || ln.IsListening() {
-		t.Fatalf("accepted %d of 3 connections, IsListening() = %t", len(*accepted), ln.IsListening())
+		t.Fatalf("accepted %d of 3 connections, IsListening() = %t; want 3, false", len(*accepted), ln.IsListening())
 	}
 }
 
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -160,7 +160,7 @@
 	}
 	ln.paused = false
 	ln.loop.rewatch(ln.fd, unix.EPOLLIN)
-	if ln.draining { // epoll does not report an empty queue, at which the listener closes
+	if ln.draining { // it closes when the queue is empty, which epoll does not report
 		ln.acceptUpTo(listenBacklog)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -234,15 +234,16 @@
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, fd, nil)
 }
 
-// release closes a watched descriptor. No other function closes one.
+// release closes the descriptor of a connection or a listener. Once watched, it is closed only here.
 func (l *Loop) release(fd int) {
 	delete(l.table, fd)
 	_ = unix.Close(fd) // also removes it from epoll; the descriptor is gone even after an error
 }
 
 // Signals calls fn on the loop for each of the signals that arrives. Signals of one kind that arrive
-// in quick succession may be merged into one, so that a flood of one kind neither blocks nor
-// displaces another. The signals are caught from this call until the program ends.
+// in quick succession may be merged into one. Each kind has a channel of its own, so a flood of one
+// kind neither blocks nor displaces another. The signals are caught from this call until the program
+// ends.
 func (l *Loop) Signals(fn func(os.Signal), signals ...os.Signal) {
 	for _, s := range signals {
 		ch := make(chan os.Signal, 1)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -132,7 +132,8 @@
 	})
 	var r *ConnectionRefusedError
 	if !errors.Is(flood, ErrInputOverflow) || !errors.As(refused, &r) {
-		t.Fatalf("overflow closed with error %v, refused connect with %v", flood, refused)
+		t.Fatalf("overflow closed with error %v, refused connect with %v; want ErrInputOverflow, ConnectionRefusedError",
+			flood, refused)
 	}
 }
 
@@ -259,7 +260,7 @@
 }
 
 // connect dials the address count times, one after the other, and hands over after a quarter of the
-// connections. It sends the result of each to failed.
+// connections. It sends the error of each, or nil, to results.
 func (h *handOver) connect(addr netip.AddrPort, count int, failed chan<- error) {
 	for n := range count {
 		failed <- echo(addr)
@@ -307,7 +308,7 @@
 	})
 	// A connection that was routed to the first listener before the hand-over may be accepted after it.
 	if h.accepted[0]+h.accepted[1] != connections || h.accepted[0] == 0 || h.late > 1 {
-		t.Errorf("the listeners accepted %v of %d connections, the first one %d after it handed over",
+		t.Errorf("the listeners accepted %v of %d connections, the first one %d after it handed over; want all, at most 1",
 			h.accepted, connections, h.late)
 	}
 }
