--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -132,7 +132,7 @@
 	})
 	var r *ConnectionRefusedError
 	if !errors.Is(flood, ErrInputOverflow) || !errors.As(refused, &r) {
-		t.Fatalf("overflow closed with error %v, refused connect with %v; want ErrInputOverflow, ConnectionRefusedError",
+		t.Fatalf("overflow closed with error %v, refused dial with %v; want ErrInputOverflow, ConnectionRefusedError",
 			flood, refused)
 	}
 }
@@ -261,9 +261,9 @@
 
 // connect dials the address count times, one after the other, and hands over after a quarter of the
 // connections. It sends the error of each, or nil, to results.
-func (h *handOver) connect(addr netip.AddrPort, count int, failed chan<- error) {
+func (h *handOver) connect(addr netip.AddrPort, count int, results chan<- error) {
 	for n := range count {
-		failed <- echo(addr)
+		results <- echo(addr)
 		if n == count/4 {
 			h.loop.Deliver(func() {
 				h.listeners[0].HandOver()
@@ -273,7 +273,7 @@
 			})
 		}
 	}
-	close(failed)
+	close(results)
 }
 
 // finish stops the loop after the time in which the first listener has to close.
@@ -295,10 +295,10 @@
 	run(t, func(l *Loop) {
 		h.loop = l
 		h.listen(10 * connections)
-		addr, failed := h.listeners[0].Addr(), make(chan error, connections)
-		go h.connect(addr, connections, failed)
+		addr, results := h.listeners[0].Addr(), make(chan error, connections)
+		go h.connect(addr, connections, results)
 		go func() {
-			for err := range failed {
+			for err := range results {
 				if err != nil {
 					t.Error(err)
 				}
@@ -308,7 +308,7 @@
 	})
 	// A connection that was routed to the first listener before the hand-over may be accepted after it.
 	if h.accepted[0]+h.accepted[1] != connections || h.accepted[0] == 0 || h.late > 1 {
-		t.Errorf("the listeners accepted %v of %d connections, the first one %d after it handed over; want all, at most 1",
+		t.Errorf("the listeners accepted %v of %d connections, the first %d after handing over; want all, at most 1",
 			h.accepted, connections, h.late)
 	}
 }
