--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -30,7 +30,7 @@
 	maxHeadBytes   = 4 << 10 // of a request
 	maxQueuedBytes = 256 << 10
 	readTimeout    = 2 * time.Second // for a complete request
-	closedAtOnce   = 4               // connections closed at once when others wait
+	closedAtOnce   = 4               // most connections that are closed at once when others wait
 )
 
 // headEnd is the empty line that ends the head of a request.
--- a/internal/frontend/control/client.go
+++ b/internal/frontend/control/client.go
@@ -13,8 +13,8 @@
 const lineBufferBytes = 64 << 10
 
 // Ask sends a request to the program that listens on the socket at path, and decodes its reply into
-// v, which may be nil. The error has a kind; if the program rejected the request, it is the kind that
-// the reply states.
+// v, which may be nil. An error has a kind, unless the reply does not fit v; if the program rejected
+// the request, it is the kind that the reply states.
 func Ask(path string, request Request, timeout time.Duration, v any) error {
 	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
--- a/internal/frontend/control/errors.go
+++ b/internal/frontend/control/errors.go
@@ -5,14 +5,15 @@
 // Kinds of errors.
 var (
 	unreachableKind = fault.Define("control.unreachable", "No program answers on the control socket.",
-		"See that it runs and that its operator's file names this socket under control.")
-	invalidRequestKind = fault.Define("control.question", "A question on the control socket cannot be read.",
-		"Ask with ryepaddle of the same version; a line has one question of 4 KB at the most.")
+		"Check that the program runs and that its operator's file names this socket under control.")
+	invalidRequestKind = fault.Define("control.question",
+		"A request on the control socket is malformed or too long, or its reply is too long.",
+		"Use ryepaddle of the same version as the program, and keep requests below 4 KB and replies below 4 MB.")
 	forbiddenKind = fault.Define(
 		"control.forbidden",
-		"Another user than the program's asked on the control socket.",
-		"Ask as the program's user or as root.",
+		"A user other than root and the program's own connected to the control socket.",
+		"Run the command as the program's user or as root.",
 	)
-	rejectedKind = fault.Define("control.refused", "A running program turned a question down.",
-		"Do as the text of its answer says.")
+	rejectedKind = fault.Define("control.refused", "A running program rejected a request on the control socket.",
+		"Correct the request as the text of the error says.")
 )
--- a/internal/frontend/control/server.go
+++ b/internal/frontend/control/server.go
@@ -41,7 +41,7 @@
 type reply struct {
 	OK     any    `json:"ok,omitempty"`
 	Error  string `json:"error,omitempty"`
-	Kind   string `json:"kind,omitempty"` // of the error: docs/on-call.md lists them
+	Kind   string `json:"kind,omitempty"` // of the error; docs/on-call.md lists the kinds
 	Remedy string `json:"do,omitempty"`   // what an operator can do about it
 }
 
@@ -59,7 +59,7 @@
 const (
 	maxConnections = 8
 	maxLineBytes   = 4 << 10
-	maxReplyBytes  = 4 << 20
+	maxReplyBytes  = 4 << 20     // including the line end
 	idleTimeout    = time.Minute // after the last request
 	// minReplyInterval is the minimum time between two replies, over all clients. A long reply takes
 	// milliseconds on the event loop, which also serves the requests of callers.
@@ -115,7 +115,7 @@
 	s.connections[c] = struct{}{}
 	c.resetIdleTimer()
 	if uid, ok := conn.PeerUID(); !ok || uid != 0 && uid != os.Geteuid() {
-		c.send(errorReply(forbiddenKind.New("only the program's own user and root may ask")))
+		c.send(errorReply(forbiddenKind.New("only root and the program's own user may send requests")))
 		conn.CloseGracefully()
 	}
 	return c
@@ -134,7 +134,7 @@
 		text, _ = json.Marshal(errorReply(err)) // a reply of strings can always be encoded
 	}
 	if len(text) >= maxReplyBytes {
-		text, _ = json.Marshal(errorReply(invalidRequestKind.New("the answer is too long: ask for less")))
+		text, _ = json.Marshal(errorReply(invalidRequestKind.New("the reply is too long: ask for less")))
 	}
 	c.conn.Write(append(text, '\n'))
 }
@@ -167,7 +167,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&request); err != nil {
-		c.send(errorReply(invalidRequestKind.New("the question cannot be read: %w", err)))
+		c.send(errorReply(invalidRequestKind.New("the request cannot be decoded: %w", err)))
 		return
 	}
 	c.awaitsReply = true
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -54,7 +54,7 @@
 	firstRequestTimeout = 2 * time.Second        // until the first request begins to arrive
 	readTimeout         = 2 * time.Second        // for the rest of a request that has begun to arrive
 	writeTimeout        = 10 * time.Second       // for a peer to read any of its queued answers
-	minConnectionAge    = 100 * time.Millisecond // before it may be closed to make room
+	minConnectionAge    = 100 * time.Millisecond // age from which it may be closed to make room
 	minReceivingAge     = 500 * time.Millisecond // the same while its first request arrives
 )
 
@@ -182,8 +182,8 @@
 	f.sweep()
 }
 
-// closesWithUnreadInput reports whether the drain closes connections even if they have unread input. Without
-// such a time a peer that keeps sending would never be closed.
+// closesWithUnreadInput reports whether the drain has lasted for drainInputTime, after which it also
+// closes connections with unread input. Otherwise a peer that keeps sending would never be closed.
 func (f *Frontend) closesWithUnreadInput() bool {
 	return f.draining && f.loop.Now()-f.drainingSince > drainInputTime
 }
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -20,8 +20,8 @@
 	paramArrivedAt = "HTTP_X_QUEUE_START" // when the request arrived at the machine, in Unix milliseconds
 	paramCaller    = "HTTP_X_SOURCE"      // number of the balancer
 	paramSizeKB    = "HTTP_X_HEAP_KB"     // memory that the request takes
-	paramRank      = "HTTP_X_IMPORTANCE"  // from 0 up to 1
-	paramEntity    = "HTTP_X_ENTITY"      // in hex
+	paramRank      = "HTTP_X_IMPORTANCE"  // at least 0 and below 1
+	paramEntity    = "HTTP_X_ENTITY"      // identifies what is read, in hex; empty: none
 	paramPath      = "SCRIPT_NAME"
 	paramQuery     = "QUERY_STRING"
 	paramLength    = "CONTENT_LENGTH" // bytes of the body
@@ -30,7 +30,7 @@
 // maxClockSkew is how far a balancer's clock may be ahead of this machine's.
 const maxClockSkew = time.Second
 
-// maxRequestKB is the exclusive upper bound of the stated size of a request, in kB.
+// maxRequestKB is the bound, in kB, below which the stated size of a request has to be.
 const maxRequestKB = 2000
 
 // idLength is the length of a request ID in hex digits.
--- a/internal/frontend/uwsgi/frontend.go
+++ b/internal/frontend/uwsgi/frontend.go
@@ -76,7 +76,7 @@
 const (
 	sweepInterval    = 500 * time.Millisecond
 	readerTimeout    = 10 * time.Second       // for a reader that takes nothing of a stream
-	minConnectionAge = 100 * time.Millisecond // before it may be closed to make room
+	minConnectionAge = 100 * time.Millisecond // age from which it may be closed to make room
 	// drainRequestTimeout is how long a draining frontend waits for the request of a connection
 	// that was just accepted.
 	drainRequestTimeout = 300 * time.Millisecond
@@ -214,8 +214,8 @@
 	return c
 }
 
-// countAddress counts a connection for its IP address, and closes it if the address has too many.
-// No request of it ran, so the caller may try again.
+// countAddress counts a connection for its IP address, and closes the connection if the address has too
+// many. No request on it ran, so the caller may try again.
 func (f *Frontend) countAddress(c *connection) {
 	c.callerAddr = c.RemoteAddr().Addr()
 	f.connectionsByAddress[c.callerAddr]++
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -20,8 +20,8 @@
 	maxStatedDelay = time.Minute
 	// maxStatedMs bounds a stated time in Unix milliseconds, so that it fits an int64 in microseconds.
 	maxStatedMs = 1 << 50
-	// defaultCaller is the number of callers that state none. The platform numbers its balancers from
-	// 0, so a high number is kept apart from theirs.
+	// defaultCaller is the caller of requests that state no caller number. The platform numbers its
+	// balancers from 0, so this number is higher than theirs.
 	defaultCaller = 1 << 16
 	// idIncrement is added for each request ID. It is odd, so IDs repeat only after 2^64 requests.
 	idIncrement = 0x9e3779b97f4a7c15
