--- a/internal/platform/backend/backend.go
+++ b/internal/platform/backend/backend.go
@@ -55,7 +55,7 @@
 	open           int           // number of connections that count against maxConnections
 	maxConnections int
 	lastNumber     int64   // number of the last call
-	meanLatency    float64 // moving mean of the duration of a call, in microseconds; 0: none ended
+	meanLatency    float64 // moving mean of the time until a reply, in microseconds; 0: no reply yet
 }
 
 // call is an open call.
--- a/internal/platform/engine/connection.go
+++ b/internal/platform/engine/connection.go
@@ -14,7 +14,7 @@
 type connection struct {
 	link      *Link
 	conn      *eventloop.Conn
-	startedAt time.Duration // when it was dialed or, once established, when that was
+	startedAt time.Duration // when it was dialed; once it is established, when it was established
 }
 
 // Connected implements eventloop.Handler.
@@ -48,8 +48,8 @@
 		link.current = nil
 		link.state = stateDown
 		link.connectionLost()
-		// A connection that has lasted is replaced at once, since runs of the engine wait for their
-		// calls. After one that broke soon, the next is dialed after a delay.
+		// A connection that lasted longer than redialDelay is replaced at once, since runs of the
+		// engine wait for their calls. After one that broke sooner, the next is dialed after a delay.
 		if link.loop.Now()-c.startedAt > redialDelay {
 			link.loop.Post(link.redial)
 		} else {
--- a/internal/platform/engine/engine.go
+++ b/internal/platform/engine/engine.go
@@ -44,7 +44,7 @@
 	maxGaugesAge    = 200 * time.Millisecond // older gauges count as unknown
 	gaugesTimeout   = 10 * time.Millisecond  // longest time that a measurement waits for a response
 	checkTimeout    = 5 * time.Second        // of a deep health check
-	runLostAfter    = time.Minute            // a run whose end is not reported so long after its deadline is lost
+	runLostAfter    = time.Minute            // after its deadline, a run whose end was not reported counts as lost
 	sweepInterval   = responseTimeout / 6    // how often these timeouts are checked
 )
 
@@ -109,7 +109,7 @@
 	onGauges    func()        // completes the measurement that waits for gauges; nil: none
 	gaugesTimer *eventloop.Timer
 	lastCheck   int64                 // number of the last deep health check
-	checks      map[string]func(bool) // deep health checks without a response, by mark
+	checks      map[string]func(bool) // deep health checks without a response, by probe.Mark
 }
 
 // New returns a link; Start connects it. decodeGauges converts the engine's list of gauge values.
--- a/internal/platform/engine/gauges.go
+++ b/internal/platform/engine/gauges.go
@@ -48,7 +48,7 @@
 	if link.state == stateCatchingUp {
 		link.state = stateLive
 		link.resendPending()
-		for mark := range link.checks { // their requests may be lost as well
+		for mark := range link.checks { // their TEST messages may be lost as well
 			link.write(probe{Type: typeTest, Mark: mark})
 		}
 	}
--- a/internal/platform/engine/runs.go
+++ b/internal/platform/engine/runs.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// send sends a command, now or once the link is live. callsNeeded is that of its run.
+// send sends a command, now or once the link is live. callsNeeded is the current value of its run.
 func (link *Link) send(c runCommand, callsNeeded int) {
 	line := encode(c)
 	link.lastSequence++
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -59,8 +59,8 @@
 func (b *Batch) Len() int { return len(b.records) / eventSize }
 
 // ReadBatch reads one frame, into buf if that is large enough, and returns the buffer for the next
-// call; the batch is valid until then. If the input ends before the frame, the error is io.EOF; all
-// other errors are FrameErrors.
+// call; the batch is valid until then. If no input is left, the error is io.EOF; all other errors are
+// FrameErrors.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
