--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -19,11 +19,11 @@
 
 // Log events.
 var (
-	eventNoRequest  = logging.Define("platform.request_timeout", slog.LevelWarn)
-	eventUnfinished = logging.Define("platform.request_evicted", slog.LevelWarn, "bytes")
-	eventBadRecord  = logging.Define("platform.bad_record", slog.LevelWarn, "error")
-	eventSlowReader = logging.Define("platform.slow_reader", slog.LevelWarn, "open", "error")
-	eventBadRequest = logging.Define("platform.bad_request", slog.LevelWarn, "status", "error")
+	eventRequestTimeout = logging.Define("platform.request_timeout", slog.LevelWarn)
+	eventRequestEvicted = logging.Define("platform.request_evicted", slog.LevelWarn, "bytes")
+	eventBadRecord      = logging.Define("platform.bad_record", slog.LevelWarn, "error")
+	eventSlowReader     = logging.Define("platform.slow_reader", slog.LevelWarn, "open", "error")
+	eventBadRequest     = logging.Define("platform.bad_request", slog.LevelWarn, "status", "error")
 )
 
 // Bounds of a connection.
@@ -268,12 +268,12 @@
 // complete requests still get their answers; without any, the connection is closed.
 func (f *Frontend) stopReceiving(c *connection) {
 	if !c.hasUnanswered() {
-		eventNoRequest.Log()
+		eventRequestTimeout.Log()
 		c.Close(nil)
 		return
 	}
 	if c.state != stateDiscarding && c.isReceiving() {
-		eventNoRequest.Log()
+		eventRequestTimeout.Log()
 		c.rejectIncomplete()
 		c.discard()
 	}
@@ -350,7 +350,7 @@
 		}
 	}
 	if largest != nil {
-		eventUnfinished.Log(largest.incompleteBytes)
+		eventRequestEvicted.Log(largest.incompleteBytes)
 		largest.rejectIncomplete()
 		largest.advanceTo(stateFinishing)
 		largest.closeIfDone()
--- a/internal/frontend/uwsgi/connection.go
+++ b/internal/frontend/uwsgi/connection.go
@@ -261,7 +261,7 @@
 		return true
 	}
 	if !c.submitted && !c.answered {
-		eventUnfinished.Log()
+		eventRequestIncomplete.Log()
 	}
 	return c.answered
 }
--- a/internal/frontend/uwsgi/frontend.go
+++ b/internal/frontend/uwsgi/frontend.go
@@ -23,12 +23,12 @@
 
 // Log events.
 var (
-	eventTooManyConnections = logging.Define("uwsgi.connection_limit", slog.LevelWarn, "address", "most")
-	eventUnfinished         = logging.Define("uwsgi.request_incomplete", slog.LevelWarn)
-	eventSlowReader         = logging.Define("uwsgi.slow_reader", slog.LevelWarn, "error")
-	eventBadRequest         = logging.Define("uwsgi.bad_request", slog.LevelWarn, "status", "error")
-	eventBodyTruncated      = logging.Define("uwsgi.body_aborted", slog.LevelWarn, "cause")
-	eventResponseTruncated  = logging.Define("uwsgi.response_aborted", slog.LevelWarn, "untaken", "cause")
+	eventConnectionLimit   = logging.Define("uwsgi.connection_limit", slog.LevelWarn, "address", "most")
+	eventRequestIncomplete = logging.Define("uwsgi.request_incomplete", slog.LevelWarn)
+	eventSlowReader        = logging.Define("uwsgi.slow_reader", slog.LevelWarn, "error")
+	eventBadRequest        = logging.Define("uwsgi.bad_request", slog.LevelWarn, "status", "error")
+	eventBodyTruncated     = logging.Define("uwsgi.body_aborted", slog.LevelWarn, "cause")
+	eventResponseTruncated = logging.Define("uwsgi.response_aborted", slog.LevelWarn, "untaken", "cause")
 )
 
 // Route assigns the requests that it matches to a class.
@@ -221,7 +221,7 @@
 	f.connectionsByAddress[c.callerAddr]++
 	limit := f.options.MaxConnectionsPerAddress
 	if limit > 0 && f.connectionsByAddress[c.callerAddr] > limit {
-		eventTooManyConnections.Log(c.callerAddr, limit)
+		eventConnectionLimit.Log(c.callerAddr, limit)
 		f.loop.Post(func() { c.Close(nil) })
 	}
 }
--- a/internal/frontend/uwsgi/stream.go
+++ b/internal/frontend/uwsgi/stream.go
@@ -72,7 +72,8 @@
 	c.frontend.readers.RemoveReader(c.responseReader)
 }
 
-// truncate ends the response of a reader, or the request whose body its server does not read.
+// truncate ends the stream of a reader: the response to a caller that does not read it, or the request
+// whose body its server does not read.
 func (f *Frontend) truncate(id flowcontrol.ReaderID, cause string) {
 	for c := range f.connections {
 		if c.uploadReader == id && !c.answered {
--- a/internal/platform/backend/backend_test.go
+++ b/internal/platform/backend/backend_test.go
@@ -54,7 +54,7 @@
 	c.first = c.call("never")
 	var next func()
 	next = func() {
-		if c.backend.Waiting() > 0 { // the first call has not taken its reply yet, which is never sent
+		if c.backend.Waiting() > 0 { // the first call has not taken its "never" yet
 			l.After(time.Millisecond, next)
 			return
 		}
