--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -19,11 +19,11 @@
 
 // Log events.
 var (
-	eventNoRequest  = logging.Define("platform.request_timeout", slog.LevelWarn)
-	eventUnfinished = logging.Define("platform.request_evicted", slog.LevelWarn, "bytes")
-	eventBadRecord  = logging.Define("platform.bad_record", slog.LevelWarn, "error")
-	eventSlowReader = logging.Define("platform.slow_reader", slog.LevelWarn, "open", "error")
-	eventBadRequest = logging.Define("platform.bad_request", slog.LevelWarn, "status", "error")
+	eventRequestTimeout = logging.Define("platform.request_timeout", slog.LevelWarn)
+	eventRequestEvicted = logging.Define("platform.request_evicted", slog.LevelWarn, "bytes")
+	eventBadRecord      = logging.Define("platform.bad_record", slog.LevelWarn, "error")
+	eventSlowReader     = logging.Define("platform.slow_reader", slog.LevelWarn, "open", "error")
+	eventBadRequest     = logging.Define("platform.bad_request", slog.LevelWarn, "status", "error")
 )
 
 // Bounds of a connection.
@@ -54,7 +54,7 @@
 	firstRequestTimeout = 2 * time.Second        // until the first request begins to arrive
 	readTimeout         = 2 * time.Second        // for the rest of a request that has begun to arrive
 	writeTimeout        = 10 * time.Second       // for a peer to read any of its queued answers
-	minConnectionAge    = 100 * time.Millisecond // before it may be closed to make room
+	minConnectionAge    = 100 * time.Millisecond // age from which it may be closed to make room
 	minReceivingAge     = 500 * time.Millisecond // the same while its first request arrives
 )
 
@@ -182,8 +182,8 @@
 	f.sweep()
 }
 
-// closesWithUnreadInput reports whether the drain closes connections even if they have unread input. Without
-// such a time a peer that keeps sending would never be closed.
+// closesWithUnreadInput reports whether the drain has lasted for drainInputTime, after which it also
+// closes connections with unread input. Otherwise a peer that keeps sending would never be closed.
 func (f *Frontend) closesWithUnreadInput() bool {
 	return f.draining && f.loop.Now()-f.drainingSince > drainInputTime
 }
@@ -268,12 +268,12 @@
 // complete requests still get their answers; without any, the connection is closed.
 func (f *Frontend) stopReceiving(c *connection) {
 	if !c.hasUnanswered() {
-		eventNoRequest.Log()
+		eventRequestTimeout.Log()
 		c.Close(nil)
 		return
 	}
 	if c.state != stateDiscarding && c.isReceiving() {
-		eventNoRequest.Log()
+		eventRequestTimeout.Log()
 		c.rejectIncomplete()
 		c.discard()
 	}
@@ -350,7 +350,7 @@
 		}
 	}
 	if largest != nil {
-		eventUnfinished.Log(largest.incompleteBytes)
+		eventRequestEvicted.Log(largest.incompleteBytes)
 		largest.rejectIncomplete()
 		largest.advanceTo(stateFinishing)
 		largest.closeIfDone()
--- a/internal/frontend/uwsgi/frontend.go
+++ b/internal/frontend/uwsgi/frontend.go
@@ -23,12 +23,12 @@
 
 // Log events.
 var (
-	eventTooManyConnections = logging.Define("uwsgi.connection_limit", slog.LevelWarn, "address", "most")
-	eventUnfinished         = logging.Define("uwsgi.request_incomplete", slog.LevelWarn)
-	eventSlowReader         = logging.Define("uwsgi.slow_reader", slog.LevelWarn, "error")
-	eventBadRequest         = logging.Define("uwsgi.bad_request", slog.LevelWarn, "status", "error")
-	eventBodyTruncated      = logging.Define("uwsgi.body_aborted", slog.LevelWarn, "cause")
-	eventResponseTruncated  = logging.Define("uwsgi.response_aborted", slog.LevelWarn, "untaken", "cause")
+	eventConnectionLimit   = logging.Define("uwsgi.connection_limit", slog.LevelWarn, "address", "most")
+	eventRequestIncomplete = logging.Define("uwsgi.request_incomplete", slog.LevelWarn)
+	eventSlowReader        = logging.Define("uwsgi.slow_reader", slog.LevelWarn, "error")
+	eventBadRequest        = logging.Define("uwsgi.bad_request", slog.LevelWarn, "status", "error")
+	eventBodyTruncated     = logging.Define("uwsgi.body_aborted", slog.LevelWarn, "cause")
+	eventResponseTruncated = logging.Define("uwsgi.response_aborted", slog.LevelWarn, "untaken", "cause")
 )
 
 // Route assigns the requests that it matches to a class.
@@ -76,7 +76,7 @@
 const (
 	sweepInterval    = 500 * time.Millisecond
 	readerTimeout    = 10 * time.Second       // for a reader that takes nothing of a stream
-	minConnectionAge = 100 * time.Millisecond // before it may be closed to make room
+	minConnectionAge = 100 * time.Millisecond // age from which it may be closed to make room
 	// drainRequestTimeout is how long a draining frontend waits for the request of a connection
 	// that was just accepted.
 	drainRequestTimeout = 300 * time.Millisecond
@@ -214,14 +214,14 @@
 	return c
 }
 
-// countAddress counts a connection for its IP address, and closes it if the address has too many.
-// No request of it ran, so the caller may try again.
+// countAddress counts a connection for its IP address, and closes the connection if the address has too
+// many. No request on it ran, so the caller may try again.
 func (f *Frontend) countAddress(c *connection) {
 	c.callerAddr = c.RemoteAddr().Addr()
 	f.connectionsByAddress[c.callerAddr]++
 	limit := f.options.MaxConnectionsPerAddress
 	if limit > 0 && f.connectionsByAddress[c.callerAddr] > limit {
-		eventTooManyConnections.Log(c.callerAddr, limit)
+		eventConnectionLimit.Log(c.callerAddr, limit)
 		f.loop.Post(func() { c.Close(nil) })
 	}
 }
