--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -167,7 +167,7 @@
 	if len(text) > 0 && text[len(text)-1] != '\n' {
 		return t.errorAt(
 			1+bytes.Count(text, []byte("\n")),
-			errors.New("the last line has no end: the file may be truncated"),
+			errors.New("the last line has no newline: the file may be truncated"),
 		)
 	}
 	if extension == ".csv" {
