--- a/cmd/runner/admin_test.go
+++ b/cmd/runner/admin_test.go
@@ -37,8 +37,8 @@
 		balancer send 7 extra
 		engine expect RUN 7 extra`
 
-// The statistics of the admin listener match what the balancer and the engine saw. Readiness is
-// answered beside many incomplete calls, and is withdrawn by a drain.
+// The statistics of the admin listener match what the balancer and the engine saw. The runner reports that it
+// is ready, also while many connections hold incomplete requests, until a drain starts.
 func TestAdminStatisticsMatchWhatPeersSaw(t *testing.T) {
 	t.Parallel()
 	engine := scenario.NewEngine(t)
@@ -57,7 +57,7 @@
 	}
 	scenario.Play(t, adminScript, actors)
 	requireStatistics(t, p)
-	openIncompleteAdminCalls(t, p)
+	openIncompleteAdminRequests(t, p)
 	if status, body := p.askAdmin("/ops/readiness"); status != 200 {
 		t.Errorf("readiness beside many connections = %d %s, want 200", status, body)
 	}
@@ -85,19 +85,19 @@
 		got[class] = ends{f.Fulfilled[class], f.Throttled[class], f.Faulted[class]}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("by class (-want +got)\n%s", diff)
+		t.Errorf("served, rejected and failed requests by class (-want +got)\n%s", diff)
 	}
 	// The leaver's request is open, like that of class extra: a client that closed its sending side may
 	// still wait for its answer.
 	counts := []int64{f.Relayed, f.Open, f.CfgAccepted, f.CfgInvalid}
 	if diff := cmp.Diff([]int64{5, 2, 1, 1}, counts); diff != "" {
-		t.Errorf("relayed, open, accepted, rejected (-want +got)\n%s", diff)
+		t.Errorf("relayed and open requests, accepted and rejected configurations (-want +got)\n%s", diff)
 	}
 }
 
-// openIncompleteAdminCalls opens connections that never send a complete call. They must not delay other
-// answers.
-func openIncompleteAdminCalls(t *testing.T, p *program) {
+// openIncompleteAdminRequests opens connections to the admin listener that never send a complete request. They
+// must not delay other answers.
+func openIncompleteAdminRequests(t *testing.T, p *program) {
 	t.Helper()
 	for range 100 {
 		c, err := net.Dial("tcp", p.listen["ops"])
--- a/cmd/runner/conform_test.go
+++ b/cmd/runner/conform_test.go
@@ -14,7 +14,7 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// The program meets each clause of the conformance suite, with input sent at once and a byte at a time,
+// The program passes each case of the conformance suite, with input sent at once and a byte at a time,
 // over TCP and Unix sockets.
 func TestConformance(t *testing.T) {
 	t.Parallel()
--- a/cmd/runner/control.go
+++ b/cmd/runner/control.go
@@ -57,7 +57,7 @@
 	return operator.Control.Socket, nil
 }
 
-// send sends a command whose answer holds no data.
+// send sends a command whose answer holds no data. With --json it prints the name of the command.
 func (f *controlFlags) send(s *streams, command string) error {
 	if err := f.ask(control.Request{Command: command}, nil); err != nil || !f.JSON {
 		return err
--- a/cmd/runner/explain.go
+++ b/cmd/runner/explain.go
@@ -59,7 +59,7 @@
 	return request
 }
 
-// describeStorage names where a key was stored before its request was answered.
+// describeStorage returns the printed name of the place where a key was stored before its request was answered.
 func describeStorage(keyStoredOn string) string {
 	switch keyStoredOn {
 	case app.KeyStoredOnPeers:
@@ -90,7 +90,7 @@
 	return b.String()
 }
 
-// describeCause appends why a request was not served, and after which time its caller was told to retry.
+// describeCause appends why a request was not served, and the delay after which its caller was told to retry.
 func describeCause(b *strings.Builder, e *app.ExplainedRequest) {
 	if e.Cause != "" {
 		fmt.Fprintf(b, ", since: %s", e.Cause)
--- a/cmd/runner/explain_test.go
+++ b/cmd/runner/explain_test.go
@@ -311,7 +311,7 @@
 }
 
 // BenchmarkAsked sends requests with idempotency keys without a request log, with one, and with one
-// that a client queries all the time with the highest limit. Run it as BenchmarkHandIns.
+// that a client queries all the time with the highest limit. Run it like BenchmarkHandIns.
 func BenchmarkAsked(b *testing.B) {
 	if bin := os.Getenv("RYEPADDLE_BIN"); bin != "" {
 		old := binary
--- a/cmd/runner/help.go
+++ b/cmd/runner/help.go
@@ -23,8 +23,8 @@
 	"flag_operator": "The operator's file: the uwsgi frontend, its servers, and all settings that the platform's " +
 		"file does not have.",
 	"flag_socket": "The control socket. The default is that of the operator's file.",
-	"flag_levels": "Such as upstream=debug; the area all stands for those that are not named. Without levels, " +
-		"those in force are printed.",
+	"flag_levels": "Levels such as upstream=debug. The area all sets all areas that are not named. Without levels, " +
+		"the levels in force are printed.",
 	"peers_status":    "Show the state of replication. This is the default command of peers.",
 	"peers_key":       "Show where the replicas of one key are.",
 	"peers_remove":    "Move all slots of a runner to others, so that it can be stopped for good.",
@@ -40,13 +40,14 @@
 	"usage_bill":      "Make a bill from statements of any instances: what each school used, and what is missing.",
 	"usage_correct":   "Correct the usage ledger of a running program.",
 	"flag_id":         "The ID of a request. Requests that repeat it are shown as well.",
-	"flag_end":        "That ended this way: served, refused, failed, late, misused, foreign or ran.",
-	"flag_from":       "Answered at this time or later, such as 2026-12-01T21:40:00Z.",
+	"flag_end":        "Requests that ended this way: served, refused, failed, late, misused, foreign or ran.",
+	"flag_from":       "Requests that were answered at this time or later, such as 2026-12-01T21:40:00Z.",
 	"flag_against": "The inventory in force: show the changes from it, and whether a running program would apply " +
 		"them without a HUP.",
-	"flag_instances":     "The instances whose statements are expected. The default is those with any statement.",
-	"flag_correction_id": "The ID of the correction. Sent twice, also to different instances, it counts once.",
-	"flag_period":        "The start of the period to correct.",
+	"flag_instances": "Instances whose statements are expected, in addition to those with any statement.",
+	"flag_correction_id": "The ID of the correction. A correction that is sent twice, also to different " +
+		"instances, counts once.",
+	"flag_period": "The start of the period to correct.",
 }
 
 // description is the help of the program.
@@ -119,7 +120,7 @@
 func (peersRemoveCmd) Help() string {
 	return `A slot leaves the runner only when another runner has a complete replica; "runner peers" shows how ` +
 		`many slots it still holds. When it holds none, stop it and
-remove it from all files. A runner that is lost already is removed from the table.`
+remove it from the operator's files of all runners. A runner that is lost already is removed from the table.`
 }
 
 // Help implements kong.HelpProvider.
--- a/cmd/runner/inventory_test.go
+++ b/cmd/runner/inventory_test.go
@@ -266,7 +266,7 @@
 	// Only requests that a crash interrupted may fail, because they may have run: at most those that
 	// the killed servers had in flight, and one retry of each.
 	if counts[502] > crashes*callers*2 || counts[200] < len(answers)*9/10 || len(answers) < 500 {
-		t.Errorf("%d answers, by status: %v", len(answers), counts)
+		t.Errorf("%d answers, by status: %v; want at least 500, 9 in 10 of them 200, few 502", len(answers), counts)
 	}
 	applied := strings.Count(p.log(), "event=inventory.applied")
 	rejected := strings.Count(p.log(), "event=inventory.rejected")
--- a/cmd/runner/pools_test.go
+++ b/cmd/runner/pools_test.go
@@ -122,7 +122,7 @@
 // Under a load of 1.5 times the servers' capacity, most of it long requests, and with pools that change
 // meanwhile, each request gets one answer, each idempotency key runs once, and the queues are empty at
 // the end. If the test has the machine to itself (RYEPADDLE_MEASURE), 99% of the requests of the reserved
-// pool are answered within their objective; the model checks the same in virtual time.
+// pool are answered within their objective; internal/simulator/cluster checks this in virtual time.
 func TestPoolsUnderLoad(t *testing.T) {
 	t.Parallel()
 	socket := socketPath(t)
--- a/cmd/runner/process_test.go
+++ b/cmd/runner/process_test.go
@@ -243,10 +243,10 @@
 	return nil
 }
 
-// awaitLogCount waits until the log contains a text more than before times.
-func (p *program) awaitLogCount(text string, before int) error {
+// awaitLogCount waits until the log contains a text more than count times.
+func (p *program) awaitLogCount(text string, count int) error {
 	for range int(testTimeout / pollInterval) {
-		if strings.Count(p.log(), text) > before {
+		if strings.Count(p.log(), text) > count {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/cmd/runner/record_test.go
+++ b/cmd/runner/record_test.go
@@ -70,7 +70,7 @@
 func TestTruncatedRecordingIsRead(t *testing.T) {
 	t.Parallel()
 	rec := recordTraffic(t, threeRequests+"\nrunner close")
-	if rec.Truncation == nil || !strings.Contains(rec.Truncation.Error(), "it was not finished") {
+	if rec.Truncation == nil || !strings.Contains(rec.Truncation.Error(), "the file ends without a trailer") {
 		t.Fatalf("recording = %+v, want a truncated one", rec)
 	}
 }
--- a/cmd/runner/replacement_test.go
+++ b/cmd/runner/replacement_test.go
@@ -25,8 +25,8 @@
 	tmp  string // TMPDIR of both
 }
 
-// newProcessPair reserves an address on which several processes of the test can listen, because they
-// set SO_REUSEPORT, and no other program.
+// newProcessPair reserves an address for the processes of the test. Several of them can listen on it, because
+// they set SO_REUSEPORT; other programs cannot.
 func newProcessPair(t *testing.T) *processPair {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -169,7 +169,7 @@
 			other expect 3 200 checked
 			old expect exit 0
 			second expect nothing`},
-	"a key that the other process was killed over is in doubt": {`
+	"a key whose process was killed during its run is not run again": {`
 			balancer send 1 hand-in key=a body=code
 			engine expect RUN 1 hand-in code`, `
 			old close
@@ -181,7 +181,7 @@
 			second send done 3 fine graded
 			other expect 3 200 graded
 			second expect nothing`},
-	"what comes on a connection that stands is served": {`
+	"requests on an open connection are served": {`
 			balancer send 1 quick-check
 			engine expect RUN 1 quick-check`, `
 			old send TERM
--- a/cmd/runner/restart_test.go
+++ b/cmd/runner/restart_test.go
@@ -28,7 +28,7 @@
 			engine send done 1 fine graded
 			balancer expect 1 200 graded
 			runner expect exit 0`,
-		"TERM in the moment of a HUP": `
+		"TERM between two HUPs": `
 			runner send signals HUP TERM HUP
 			engine send done 1 fine graded
 			balancer expect 1 200 graded
--- a/cmd/runner/scenarios_test.go
+++ b/cmd/runner/scenarios_test.go
@@ -57,7 +57,7 @@
 			balancer expect 2 500
 			balancer send health
 			balancer expect 99 200`},
-	"requests that cannot be read are failed": {"", `
+	"invalid requests are answered with 400": {"", `
 			balancer send 1 no-such-class
 			balancer expect 1 400 no class at "/ops/no-such-class"
 			balancer expect gone
@@ -82,7 +82,7 @@
 			engine expect nothing`},
 	// Misbehaving clients got the results of other clients' requests: by using their key, or the ID
 	// of an open request.
-	"what belongs to another request is an error": {routesToEngine, `
+	"the key or the ID of another request is rejected": {routesToEngine, `
 			balancer send 1 hand-in key=a body=code
 			engine expect RUN 1 hand-in code
 			other send 2 hand-in key=a body=other
@@ -105,7 +105,7 @@
 			other expect gone
 			engine expect nothing`},
 	// A client that sent nothing, or an incomplete request, occupied its connection for half a minute.
-	"what does not come whole is closed in time": {"", `
+	"connections with incomplete requests are closed in time": {"", `
 			other send raw 0101000100080000000101000000000001040001000000000105000120000000
 			other expect gone
 			other send raw 01010001000800000001010000000000
@@ -194,7 +194,7 @@
 // linkScenarios test the links to the engine and the back end.
 var linkScenarios = map[string]processScenario{
 	// A command sent on a link that then broke was lost, and its request with it.
-	"a broken link swallows commands": {"", `
+	"commands that a broken link lost are sent again": {"", `
 			balancer send 1 quick-check
 			engine expect RUN 1 quick-check
 			wait 100ms
@@ -224,7 +224,7 @@
 			engine expect ATTACH 0
 			balancer expect 1 200 one
 			other expect 2 200 two`},
-	"a call goes round": {"", `
+	"the reply to a call reaches its run": {"", `
 			balancer send 1 hand-in key=a
 			engine expect RUN 1 hand-in
 			engine send need 1 insert
@@ -235,7 +235,7 @@
 			balancer expect 1 200 graded`},
 	// A duplicate reply was taken for the reply to the next call on the connection, and sent to
 	// another run.
-	"what comes behind a reply belongs to no call": {"", `
+	"a duplicate reply is not taken for the next one": {"", `
 			balancer send 1 quick-check
 			engine expect RUN 1 quick-check
 			engine send need 1 select
@@ -249,7 +249,7 @@
 			backend send 200 other
 			engine expect FEED 2 other
 			engine expect nothing`},
-	"only proof lets the call of a hand-in be placed again": {"", `
+	"a call of a keyed request is repeated only if the back end turned it away": {"", `
 			balancer send 1 hand-in key=a
 			engine expect RUN 1 hand-in
 			engine send need 1 insert
--- a/cmd/runner/scenarios_uwsgi_test.go
+++ b/cmd/runner/scenarios_uwsgi_test.go
@@ -144,7 +144,7 @@
 			one expect nothing`},
 	// A HUP applied only the inventory: after engine and back end had moved, all runs and calls
 	// of a day were lost.
-	"a new configuration moves the links, and what is open goes on": {"", `
+	"a new configuration moves the links, and open requests continue": {"", `
 			balancer send 1 hand-in key=a body=code
 			engine expect RUN 1 hand-in code
 			engine send need 1 insert
--- a/cmd/runner/servers_test.go
+++ b/cmd/runner/servers_test.go
@@ -144,7 +144,7 @@
 	h.start("response_kb: 4, body_kb: 4, upload_mb: 16", func(c net.Conn) { serveFailure(c, large) })
 	for path, want := range map[string]int{"reset": 502, "reset-in-head": 502, "silent": 504} {
 		if status, _, whole := h.ask("/ops/quick-check/"+path, ""); status != want || !whole {
-			t.Errorf("%s: status %d, complete answer %v", path, status, whole)
+			t.Errorf("%s: status %d, complete answer %v; want %d, complete", path, status, whole, want)
 		}
 	}
 	if status, got, whole := h.ask("/ops/quick-check/reset-in-stream", ""); status != 200 || whole {
--- a/cmd/runner/stream_test.go
+++ b/cmd/runner/stream_test.go
@@ -86,7 +86,8 @@
 			switch {
 			case n == len(text):
 				if status != 200 || !whole || !bytes.Equal(got, body) {
-					t.Errorf("%s, sent whole: status %d, %d bytes, complete %v", name, status, len(got), whole)
+					t.Errorf("%s, sent whole: status %d, %d bytes, complete %v; want 200, all",
+						name, status, len(got), whole)
 				}
 			case status == 502 && whole:
 				failed++
@@ -143,7 +144,8 @@
 		for _, conn := range []net.Conn{repeat, h.dial("/ops/hand-in", c.key)} {
 			status, got, whole := scenario.ReadAnswer(conn)
 			if status != c.status || !whole || c.body != nil && !bytes.Equal(got, c.body) {
-				t.Errorf("retry of %s: status %d, %d bytes, complete %v", c.key, status, len(got), whole)
+				t.Errorf("retry of %s: status %d, %d bytes, complete %v; want %d, complete",
+					c.key, status, len(got), whole, c.status)
 			}
 			conn.Close()
 		}
--- a/cmd/runner/traces_test.go
+++ b/cmd/runner/traces_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Failed requests are traced, and those whose callers set the sampled flag. The server receives the
-// span of its attempt as parent.
+// Failed requests and requests whose callers set the sampled flag are traced. The server receives the span of
+// its attempt as parent.
 func TestTraces(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "spans")
--- a/internal/telemetry/traffic/decode.go
+++ b/internal/telemetry/traffic/decode.go
@@ -45,13 +45,13 @@
 	rec := &Recording{}
 	kind, payload, err := readFrame(r)
 	if err != nil || kind != frameHeader || decoder.Unmarshal(payload, &rec.Header) != nil {
-		return nil, fmt.Errorf("%w: its header cannot be decoded", ErrNotRecording)
+		return nil, fmt.Errorf("%w: the header cannot be decoded", ErrNotRecording)
 	}
 	offset := int64(startSize + frameHeadSize + len(payload))
 	for {
 		kind, payload, err := readFrame(r)
 		if errors.Is(err, io.EOF) {
-			rec.Truncation = fmt.Errorf("at byte %d: it was not finished", offset)
+			rec.Truncation = fmt.Errorf("at byte %d: the file ends without a trailer", offset)
 			return rec, nil
 		}
 		if err == nil {
