--- a/internal/telemetry/tracing/recorder.go
+++ b/internal/telemetry/tracing/recorder.go
@@ -1,6 +1,6 @@
 // Package tracing writes answered requests as OpenTelemetry spans to a file: one span for the request,
 // one for its wait until the first attempt, and one for each attempt. A goroutine makes and writes them;
-// with a slow or full disk spans are dropped and counted. Package app records the requests of the program.
+// if the disk is slow or full, spans are dropped and counted. Package app records the requests of the program.
 package tracing
 
 import (
@@ -25,7 +25,7 @@
 	Path         string  // of the file of spans
 	MaxBytes     int64   // maximum size of the file; one older file of this size is kept
 	QueueSize    int     // maximum number of requests whose spans are not written yet
-	SampleRatio  float64 // part, from 0 to 1, that is sampled of the requests without a valid traceparent header
+	SampleRatio  float64 // ratio, from 0 to 1, of sampled requests among those without a valid traceparent header
 	MaxPerSecond int     // maximum number of recorded requests per second of a class and status
 	Instance     string
 	Version      string
@@ -95,8 +95,8 @@
 	return r, nil
 }
 
-// Record enqueues a request, which was answered at now, for the writing of its spans if it is sampled. It
-// never waits.
+// Record queues a request that was answered at now, so that its spans are written, if the sampler selects it.
+// It never waits.
 func (r *Recorder) Record(t *lifecycle.Trace, now wallclock.UnixMicro) {
 	span := r.SpanContext(t.ID, t.ArrivedAt, t.TraceParent)
 	if !r.sampler.Sample(t, span.Sampled, now) {
--- a/internal/telemetry/traffic/format.go
+++ b/internal/telemetry/traffic/format.go
@@ -1,7 +1,7 @@
 // Package traffic records the requests that a runner received, and reads recordings for the simulator.
 //
 // A recording consists of the magic, the version, and frames. A frame has a kind, the length of the
-// payload, a checksum and the payload, with numbers in little-endian. The first frame is the header,
+// payload, a checksum and the payload; its numbers are little-endian. The first frame is the header,
 // compressed blocks of requests follow, and the last is the trailer with the numbers of lost requests.
 // A truncated or damaged frame is recognized, and the blocks before it are read.
 package traffic
@@ -51,14 +51,14 @@
 // Request is a request as a runner received it. Each retry by a caller is a Request of its own.
 type Request struct {
 	_         struct{}            `cbor:",toarray"`
-	ArrivedAt wallclock.UnixMicro // at the machine; in a file, since the request before it in the block
+	ArrivedAt wallclock.UnixMicro // at the machine; in a file, the time since the previous request of the block
 	Class     uint16              // index into the classes of the header
 	Tenant    uint16              // index into the tenants of the header
 	Caller    uint32
-	SizeKB    float32
-	Rank      float32
-	KeyHash   uint64 // of the idempotency key; 0: it has none
-	BodyHash  uint64 // by which retries without a key are recognized; 0: it has no body
+	SizeKB    float32 // memory of the request while it is queued, in kB
+	Rank      float32 // rank by priority weight, from 0 to below 1
+	KeyHash   uint64  // of the idempotency key; 0: it has none
+	BodyHash  uint64  // by which retries without a key are recognized; 0: it has no body
 	BodyBytes uint32
 }
 
@@ -112,7 +112,7 @@
 	return d.Sum64()
 }
 
-// appendBlock appends a block of requests. Arrivals are encoded as the time since the request before.
+// appendBlock appends a block of requests. Arrivals are encoded as the time since the previous request.
 func appendBlock(to []byte, requests []Request) ([]byte, error) {
 	block := make([]Request, len(requests))
 	previous := wallclock.UnixMicro(0)
--- a/internal/telemetry/traffic/recorder.go
+++ b/internal/telemetry/traffic/recorder.go
@@ -33,8 +33,8 @@
 	trailerRoom = 256
 )
 
-// Recorder writes requests to a file, on a goroutine of its own. With a slow or full disk records are
-// lost, and counted, but no request is delayed.
+// Recorder writes requests to a file, on a goroutine of its own. If the disk is slow or full, records are
+// lost and counted, but no request is delayed.
 type Recorder struct {
 	opt    Options
 	file   File
@@ -115,7 +115,7 @@
 	case <-r.done:
 		return nil
 	case <-time.After(timeout):
-		return errors.New("traffic: the disk takes too long, the file is not finished")
+		return errors.New("traffic: the disk did not finish the file before the timeout")
 	}
 }
 
