--- a/internal/wallclock/plain.go
+++ b/internal/wallclock/plain.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// offset is zero, as only programs that are built with the tag faults have another.
+// offset is the offset of the clock. Only programs that are built with the tag faults can change it.
 const offset time.Duration = 0
--- a/internal/yamldoc/yamldoc.go
+++ b/internal/yamldoc/yamldoc.go
@@ -33,9 +33,9 @@
 
 var kind = fault.Define(
 	"file.field",
-	"A YAML file has a field that is not known, or a value that the field cannot have.",
-	"Correct the line that is named; runner check reads the files without starting anything, and runner "+
-		"schema lists the fields.",
+	"A YAML file is empty or malformed, has an unknown field, or a field has an invalid value.",
+	"Correct the field or line that is named; runner check checks the files without starting the program, and "+
+		"runner schema lists the fields.",
 )
 
 // Fault implements fault.Classified.
