--- a/internal/ci/codeindex_test.go
+++ b/internal/ci/codeindex_test.go
@@ -21,8 +21,8 @@
 // codeIndex holds the names that the Go code of the repository declares.
 type codeIndex struct {
 	declared nameSet            // all names, including those of tests
-	packages map[string]nameSet // by name of a package: the names that packages of that name declare
-	types    map[string]nameSet // by name of a type: the names that the folders that declare such a type declare
+	packages map[string]nameSet // by name of a package: the names declared in packages of that name
+	types    map[string]nameSet // by name of a type: all names declared in the folders that declare such a type
 	strings  nameSet            // string literals outside tests, such as log events, kinds of errors, paths of settings
 	keys     nameSet            // keys of YAML and JSON in the tags of fields
 	imports  nameSet            // names of imported packages, taken from their paths
--- a/internal/ci/pages_test.go
+++ b/internal/ci/pages_test.go
@@ -57,7 +57,7 @@
 	return names
 }
 
-// The functions, types and tests that request-path.md and shutdown.md name exist, and the tests that
+// The functions, types and tests that request-path.md and shutdown.md name exist, and so do the tests that
 // crossings.md names.
 func TestPagesNameExistingFunctions(t *testing.T) {
 	names := declared(t)
--- a/internal/ci/references_test.go
+++ b/internal/ci/references_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// The code that the page on races names in the column of where each race is decided exists. It may be named
-// without its package.
+// Column 5 of the tables of crossings.md names the code that decides each race. That code exists; it may be
+// named without its package.
 func TestRacesNameTheCodeThatDecides(t *testing.T) {
 	const column = 5
 	index := newCodeIndex(t)
@@ -138,8 +138,8 @@
 	return spans
 }
 
-// Code spans are found beside code blocks, in tables and across the end of a line, also after a backquote
-// without its pair.
+// Code spans are found beside code blocks, in tables and across the end of a line, also after an unpaired
+// backquote.
 func TestCodeSpansArePaired(t *testing.T) {
 	page := "One `a.B` and `two\n  words`.\n\n```\n`block\n```\n\n| `c` | `d` |\n| an open ` mark |\n- `e`\n"
 	want := []string{"a.B", "two words", "c", "d", "e"}
@@ -200,7 +200,7 @@
 
 // checkName returns an error if the first part of a qualified name is a package or a type of the repository
 // that does not declare the rest, and the name is not a file, a key of a setting, a log event or a kind of
-// error either.
+// error either. An exported name of a package that is neither declared nor imported is also an error.
 func checkName(index *codeIndex, former nameSet, name string) (isReference bool, err error) {
 	parts := strings.Split(name, ".")
 	scope := index.scope(parts[0])
