--- a/cmd/runner/control_test.go
+++ b/cmd/runner/control_test.go
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	if status, _, errs := runCommand(t, "reload", "--socket", socket); status != 0 {
-		t.Fatal(errs)
+		t.Fatal("reload failed:", errs)
 	}
 	p.awaitLog(t, `"level":"INFO","event":"reload.applied","engine":"127.0.0.1:`)
 	scenario.Play(
@@ -160,7 +160,7 @@
 	t.Helper()
 	scenario.Play(t, "caller send 3 /ops/hand-in key=c\none expect /ops/hand-in", actors)
 	if status, _, errs := runCommand(t, "drain", "--socket", socket); status != 0 {
-		t.Fatal(errs)
+		t.Fatal("drain failed:", errs)
 	}
 	if s := ask[app.Status](t, socket, control.Request{Command: app.CommandStatus}); !s.Draining ||
 		s.Open != 1 {
--- a/cmd/runner/record_test.go
+++ b/cmd/runner/record_test.go
@@ -23,7 +23,7 @@
 		"balancer": scenario.NewBalancer(t, p.listen["platform"], false)})
 	files, err := filepath.Glob(filepath.Join(dir, "n0-*.traffic"))
 	if err != nil || len(files) != 1 {
-		t.Fatal(files, err)
+		t.Fatal("want one recording; files and error:", files, err)
 	}
 	rec, err := traffic.Read(files[0])
 	if err != nil {
@@ -58,7 +58,7 @@
 		classes = append(classes, rec.Classes[q.Class])
 	}
 	if diff := cmp.Diff([]string{"quick-check", "hand-in", "hand-in"}, classes); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("classes of the requests (-want +got)\n%s", diff)
 	}
 	first, further := rec.WithoutRetries(func(int) time.Duration { return 4300 * time.Millisecond })
 	if len(first) != 2 || further != 1 || rec.Requests[1].KeyHash == 0 || rec.Requests[0].BodyHash == 0 {
--- a/cmd/runner/replacement_test.go
+++ b/cmd/runner/replacement_test.go
@@ -355,7 +355,7 @@
 					t.Errorf("request of class %s: %v", class, err)
 				case status == 200 && body != "result of "+id,
 					status != 200 && status != 503 && class == "full-check":
-					t.Errorf("request of class %s: status %d, body %q", class, status, body)
+					t.Errorf("request of class %s: status %d, body %q; want its result, or 503", class, status, body)
 				}
 			}
 		})
--- a/cmd/runner/store.go
+++ b/cmd/runner/store.go
@@ -13,7 +13,7 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// maxReadAttempts limits how often a folder is read again because its files were deleted meanwhile.
+// maxReadAttempts bounds the number of reads of a folder whose files are deleted meanwhile.
 const maxReadAttempts = 20
 
 // shownHashBytes is how many bytes of a body's hash are printed.
--- a/cmd/runner/stream_test.go
+++ b/cmd/runner/stream_test.go
@@ -94,7 +94,8 @@
 			case (status == 200 || status == 0) && !whole && bytes.HasPrefix(body, got):
 				cut++
 			default:
-				t.Errorf("%s, closed at byte %d: status %d, %d bytes, complete %v", name, n, status, len(got), whole)
+				t.Errorf("%s, closed at byte %d: status %d, %d bytes, complete %v; want 502, or a truncated response",
+					name, n, status, len(got), whole)
 			}
 		}
 		if failed < 1000 || cut < 300 {
--- a/cmd/runner/traces_test.go
+++ b/cmd/runner/traces_test.go
@@ -120,7 +120,7 @@
 		"quick-check Unset ",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Fatalf("(-want +got)\n%s", diff)
+		t.Fatalf("spans (-want +got)\n%s", diff)
 	}
 	for n, context := range []traceparent.Context{failed, wanted} {
 		try, whole := spans[3*n+1], spans[3*n+2]
--- a/internal/ci/verdict/verdict_test.go
+++ b/internal/ci/verdict/verdict_test.go
@@ -79,7 +79,7 @@
 				t.Errorf("ReadKnown() = %v, want the text %q", err, c.says)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Errorf("(-want +got)\n%s", diff)
+				t.Errorf("ReadKnown() (-want +got)\n%s", diff)
 			}
 		})
 	}
@@ -152,7 +152,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(c.want, Evaluate(results, c.known)); diff != "" {
-				t.Errorf("(-want +got)\n%s", diff)
+				t.Errorf("Evaluate() (-want +got)\n%s", diff)
 			}
 		})
 	}
@@ -179,7 +179,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff("of b\nFAIL p\n", out.String()); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("output of ReadResults() (-want +got)\n%s", diff)
 	}
 }
 
@@ -209,7 +209,7 @@
 			want := "known red, passed over: TestA (issue 31): it is answered twice; " +
 				"again with: go test -run TestA ./p, seed 7\n" + c.want
 			if diff := cmp.Diff(want, out.String()); diff != "" {
-				t.Errorf("(-want +got)\n%s", diff)
+				t.Errorf("output of run() (-want +got)\n%s", diff)
 			}
 		})
 	}
--- a/internal/telemetry/traffic/stored_test.go
+++ b/internal/telemetry/traffic/stored_test.go
@@ -65,7 +65,7 @@
 	}
 	want := &Recording{Header: storedHeader(), Requests: storedRequests(), OutOfOrder: 1}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Header{}, Request{}, Lost{})); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("Read() (-want +got)\n%s", diff)
 	}
 }
 
--- a/internal/telemetry/traffic/traffic_test.go
+++ b/internal/telemetry/traffic/traffic_test.go
@@ -139,14 +139,14 @@
 			r.Record(q)
 		}
 		if err := r.Close(10 * time.Second); err != nil || !d.closed {
-			t.Fatalf("Close() = %v, file closed: %t", err, d.closed)
+			t.Fatalf("Close() = %v, file closed: %t, want nil and true", err, d.closed)
 		}
 		rec, err := Decode(bytes.NewReader(d.text))
 		if err != nil || rec.Truncation != nil || rec.Lost.Any() {
-			t.Fatal(err, rec.Truncation, rec.Lost)
+			t.Fatal("Decode(): error, truncation and lost requests:", err, rec.Truncation, rec.Lost)
 		}
 		if diff := cmp.Diff(want, rec.Requests, cmp.AllowUnexported(Request{})); diff != "" {
-			t.Fatalf("(-want +got)\n%s", diff)
+			t.Fatalf("requests (-want +got)\n%s", diff)
 		}
 		if rec.Runner != "n3" || rec.StartedAt != header.StartedAt {
 			t.Fatalf("header = %+v, want the one that was recorded", rec.Header)
@@ -163,7 +163,7 @@
 		rec, err := Decode(bytes.NewReader(d.text[:n]))
 		if err != nil {
 			if !errors.Is(err, ErrNotRecording) || n > 200 {
-				t.Fatalf("truncated at %d: Decode() = %v", n, err)
+				t.Fatalf("truncated at %d: Decode() = %v, want an error only within the header", n, err)
 			}
 			continue
 		}
