--- a/internal/simulator/fleet/attempt.go
+++ b/internal/simulator/fleet/attempt.go
@@ -11,56 +11,56 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Attempt is an attempt from its sending to its answer.
+// Attempt is an attempt of a request at a runner, from its sending by the balancer to the answer.
 type Attempt struct {
-	Name         string // set once it is read: 16 hexadecimal digits
+	Name         string // 16 hexadecimal digits; empty until the runner has read the request
 	simulation   *Simulation
 	balancer     *balancer
 	sent         *balance.Attempt
 	arrival      *day.Arrival
 	runner       *runner
-	incarnation  *Incarnation  // the one that read it
-	arrivedAt    time.Duration // at the machine
+	incarnation  *Incarnation  // the incarnation that reads it; nil: it has not arrived, or was refused
+	arrivedAt    time.Duration // time of its arrival at the machine
 	readAt       time.Duration
-	frozenBefore time.Duration // frozen time of the machine before readAt
-	calls        []float64     // work of the calls of its run
+	frozenBefore time.Duration // how long the machine had been frozen in all by readAt
+	calls        []float64     // work of each call of its run
 	callsDone    int
 	running      bool
 	answered     bool
-	abandoned    bool // by its balancer, and the runner has learned of it
+	abandoned    bool // its balancer aborted it, and the runner has learned of that
 }
 
-// class returns the class of its request.
+// class returns the class of the request.
 func (a *Attempt) class() *day.Class { return &a.simulation.day.Spec.Classes[a.arrival.Class] }
 
-// isClosed reports whether the runner does not have to answer any more.
+// isClosed reports whether the runner owes no answer: the attempt is answered or abandoned.
 func (a *Attempt) isClosed() bool { return a.answered || a.abandoned }
 
-// Class returns the index of its class.
+// Class returns the index of the request's class.
 func (a *Attempt) Class() int { return a.arrival.Class }
 
-// ClassName returns the name of its class.
+// ClassName returns the name of the request's class.
 func (a *Attempt) ClassName() string { return a.class().Name }
 
-// TenantName returns the name of its tenant.
+// TenantName returns the name of the request's tenant.
 func (a *Attempt) TenantName() string { return a.simulation.day.Spec.Tenants[a.arrival.Tenant].Name }
 
-// Caller returns the number of its balancer, from 1.
+// Caller returns the number of the balancer that sent the attempt, counted from 1.
 func (a *Attempt) Caller() uint32 { return uint32(a.balancer.index + 1) }
 
-// Arrived returns when it arrived at the machine.
+// Arrived returns the time at which the attempt arrived at the machine.
 func (a *Attempt) Arrived() wallclock.UnixMicro { return a.simulation.unixOrigin.Add(a.arrivedAt) }
 
-// SizeKB returns the memory that it takes while it is queued.
+// SizeKB returns the memory that the request takes while it is queued.
 func (a *Attempt) SizeKB() float64 { return a.arrival.SizeKB }
 
-// Rank returns its rank by priority weight, in [0, 1).
+// Rank returns the rank of the request by priority weight, in [0, 1).
 func (a *Attempt) Rank() float64 { return a.arrival.Rank }
 
-// Body returns the body, which is the same for all attempts of a request.
+// Body returns the body of the request, which is the same for all its attempts.
 func (a *Attempt) Body() []byte { return requestBody(a.arrival.ID) }
 
-// Key returns the idempotency key, or "" if the class has none.
+// Key returns the idempotency key, or "" if requests of the class carry none.
 func (a *Attempt) Key() string {
 	if a.class().Effect != day.EffectKeyed {
 		return ""
@@ -68,7 +68,8 @@
 	return fmt.Sprintf("%032x", a.arrival.ID)
 }
 
-// CallWork returns the work of the call for which its run waits.
+// CallWork returns the work of the back-end call for which the run waits, or the mean work of a call if
+// the run has none left.
 func (a *Attempt) CallWork() float64 {
 	if a.callsDone < len(a.calls) {
 		return a.calls[a.callsDone]
@@ -76,10 +77,10 @@
 	return a.simulation.day.CallWork
 }
 
-// IsRunning reports whether its run is under way.
+// IsRunning reports whether a run of the attempt has started and not ended.
 func (a *Attempt) IsRunning() bool { return a.running }
 
-// arrive brings the attempt to its runner's machine.
+// arrive handles the arrival of the attempt at the runner's machine.
 func (a *Attempt) arrive() {
 	incarnation := a.runner.incarnation
 	if incarnation == nil || incarnation.closed || !incarnation.process.IsReady() {
@@ -96,7 +97,7 @@
 	incarnation.connections[a] = struct{}{}
 }
 
-// read gives the request to the runner.
+// read passes the request, which the machine has read, to the process of the runner.
 func (a *Attempt) read() {
 	incarnation, s := a.incarnation, a.simulation
 	if incarnation.dead || a.abandoned {
@@ -113,7 +114,7 @@
 	incarnation.process.Submit(a)
 }
 
-// abandon tells the runner that the balancer does not wait any more.
+// abandon tells the runner that the balancer no longer waits for the answer.
 func (a *Attempt) abandon() {
 	a.abandoned = true
 	if a.incarnation == nil || a.incarnation.dead || a.Name == "" || a.answered {
@@ -125,7 +126,7 @@
 	a.incarnation.forgetIfDone(a)
 }
 
-// Answer takes the final answer of the runner. A second one is a violation.
+// Answer sends the runner's answer to the balancer. A second answer to the same attempt is a violation.
 func (a *Attempt) Answer(answer Answer) {
 	incarnation := a.incarnation
 	if a.answered {
@@ -152,15 +153,16 @@
 	incarnation.sendAnswer(a, out)
 }
 
-// checkDeadline records a violation if the answer is later than the rules allow. A request that is
-// read after its deadline is to be answered at once.
+// checkDeadline records a violation if the present is later than the rules allow for the answer: the
+// deadline, extended by the time that the machine was frozen since it read the request, plus a slack. A
+// request that was read after its deadline must be answered at once.
 func (a *Attempt) checkDeadline(state string) {
 	class, s := a.class(), a.simulation
 	deadline := max(a.arrivedAt+virtualclock.FromMillis(class.DeadlineMs), a.readAt)
 	deadline += a.incarnation.frozenTime() - a.frozenBefore
 	late := s.now() - deadline - virtualclock.FromMillis(s.day.Spec.Fleet.SlackMs) - measuringTolerance
 	if late > 0 && !a.abandoned {
-		a.addViolation(ledger.Lost, "%s: a %s was %s %d ms past its due time",
+		a.addViolation(ledger.Lost, "%s: a request of class %s was %s %d ms after its deadline",
 			a.runner.spec.Name, class.Name, state, late.Milliseconds())
 	}
 }
@@ -169,7 +171,8 @@
 	a.simulation.account.AddViolation(rule, a.simulation.now(), format, v...)
 }
 
-// answerBalancer sends an answer over the network. If the network is cut, the connection times out.
+// answerBalancer sends an answer to the balancer over the network. If a zone cut separates the two, the
+// balancer sees a failed attempt after connectTimeout instead.
 func (a *Attempt) answerBalancer(answer balance.Answer) {
 	delay, arrives := a.simulation.networkDelay(a.runner.spec.Zone, a.balancer.zone)
 	if !arrives {
@@ -179,7 +182,7 @@
 	a.simulation.clock.After(delay, func() { a.deliver(answer) })
 }
 
-// deliver gives an answer to the balancer, if it still waits for one.
+// deliver passes an answer to the balancer if it still waits for one.
 func (a *Attempt) deliver(answer balance.Answer) {
 	if a.balancer.attempts[a.sent] == a {
 		delete(a.balancer.attempts, a.sent)
@@ -187,7 +190,8 @@
 	}
 }
 
-// ConnectionBroke says that the connection broke before there was an answer.
+// ConnectionBroke reports that the connection broke. The balancer sees a failed attempt, unless the
+// runner has answered.
 func (a *Attempt) ConnectionBroke() {
 	if !a.answered {
 		a.answered = true
@@ -195,7 +199,7 @@
 	}
 }
 
-// Unreachable says that the runner refused the connection, which proves that nothing ran.
+// Unreachable reports that the runner refused the connection, which proves that the request did not run.
 func (a *Attempt) Unreachable() {
 	if !a.answered {
 		a.answered = true
@@ -205,10 +209,10 @@
 	}
 }
 
-// Lost records a violation: the connection ended without a complete answer, or with a wrong one.
+// Lost records as a violation that the connection ended without a complete answer or with a wrong one.
 func (a *Attempt) Lost(why string) {
 	if !a.answered {
-		a.addViolation(ledger.Lost, "%s: a %s: %s", a.runner.spec.Name, a.ClassName(), why)
+		a.addViolation(ledger.Lost, "%s: a request of class %s: %s", a.runner.spec.Name, a.ClassName(), why)
 		a.ConnectionBroke()
 		a.incarnation.forgetIfDone(a)
 	}
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -18,16 +18,16 @@
 	zone            int
 	usesLoadReports bool
 	policy          *balance.Balancer
-	arrivals        map[uint64]*day.Arrival       // not finished
-	attempts        map[*balance.Attempt]*Attempt // not answered
-	notices         uint64                        // of the registry so far
+	arrivals        map[uint64]*day.Arrival       // requests that are not finished, by ID
+	attempts        map[*balance.Attempt]*Attempt // attempts that are neither answered nor aborted
+	notices         uint64                        // delays of registry notices drawn so far
 }
 
 func (s *Simulation) newBalancer(i int) *balancer {
 	drawn := s.day.Balancers[i]
 	kind := s.day.Spec.Balancers[drawn.Kind]
 	followsAdvice := drawn.FollowsAdvice
-	if s.options.BalancerKinds != nil { // the draw stays that of the day, with another share
+	if s.options.BalancerKinds != nil { // the same draw as that of the day, compared with the share of the replacement
 		kind = s.options.BalancerKinds[drawn.Kind]
 		followsAdvice = day.Unit(s.day.Seed, "heeds", uint64(i)) < kind.Heeds
 	}
@@ -48,7 +48,7 @@
 	return b
 }
 
-// watchRegistry has the balancer learn of changes of the list after drawn delays.
+// watchRegistry passes changes of the registry's list to the balancer, each after a drawn delay.
 func (b *balancer) watchRegistry() {
 	s := b.simulation
 	notice := s.day.Spec.Roster.NoticeS
@@ -66,7 +66,7 @@
 	})
 }
 
-// submit starts the request of a client.
+// submit passes the request of a client to the balancer.
 func (b *balancer) submit(arrival *day.Arrival) {
 	class := &b.simulation.day.Spec.Classes[arrival.Class]
 	b.arrivals[arrival.ID] = arrival
@@ -96,7 +96,8 @@
 	s.clock.After(delay, a.arrive)
 }
 
-// Abort implements balance.Transport. The runner learns of it after a delay, or never.
+// Abort implements balance.Transport. The runner learns of the abort after a drawn delay; with a
+// probability of Fleet.GoneLost it never does.
 func (b *balancer) Abort(t *balance.Attempt) {
 	s := b.simulation
 	a := b.attempts[t]
@@ -113,7 +114,8 @@
 	s.clock.After(delay, a.abandon)
 }
 
-// Check implements balance.Transport. A check is read by the machine like a request.
+// Check implements balance.Transport. The machine reads the health check like a request. A check that
+// is not answered within checkTimeout fails.
 func (b *balancer) Check(server int) {
 	s := b.simulation
 	r := s.runners[server]
@@ -143,7 +145,7 @@
 	})
 }
 
-// causes maps the outcomes of requests to the causes of the account.
+// causes maps the outcomes of requests at the balancer to the causes in the ledger.
 var causes = map[balance.Outcome]ledger.Cause{
 	balance.EndServed:   ledger.WithinObjective,
 	balance.EndRejected: ledger.Rejected,
--- a/internal/simulator/fleet/incarnation.go
+++ b/internal/simulator/fleet/incarnation.go
@@ -12,31 +12,31 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// The reasons of an end that is not a crash.
+// The reasons for which an incarnation ends without a crash.
 const (
 	reasonKilled  = "killed"
 	reasonStopped = "stopped"
 )
 
-// Incarnation is a runner from its start to its end: a process on a machine of its own.
+// Incarnation is one life of a runner, from the start to the end of its process on a machine of its own.
 type Incarnation struct {
 	runner      *runner
 	process     Process
 	machine     *dependencies.Machine
 	dead        bool
-	closed      bool // it takes no more connections
+	closed      bool // it refuses new connections
 	advertised  float64
-	drainAt     time.Duration // 0: it is not draining
-	stopAt      time.Duration
-	attempts    map[string]*Attempt // read, and not yet answered with their runs ended
+	drainAt     time.Duration       // start of the drain; 0: it is not draining
+	stopAt      time.Duration       // end of the drain's timeout
+	attempts    map[string]*Attempt // attempts that were read, until they are closed and their runs have ended
 	connections map[*Attempt]struct{}
 	ranUntil    map[uint64]time.Duration // end of the window of each request that ran
-	frozenTotal time.Duration            // in earlier freezes
+	frozenTotal time.Duration            // total length of the earlier freezes
 	frozenSince time.Duration            // 0: the machine is not frozen
 	heldAnswers []heldAnswer
 }
 
-// heldAnswer is an answer that waits until its machine goes on.
+// heldAnswer is an answer that is held back while its machine is frozen.
 type heldAnswer struct {
 	attempt *Attempt
 	answer  balance.Answer
@@ -56,7 +56,7 @@
 	in.after(reportInterval, in.reportPeriodically)
 }
 
-// Report registers the runner, unless it is draining or its zone is cut off.
+// Report reports the runner to the registry, unless it is draining or its zone is cut off.
 func (in *Incarnation) Report() {
 	s := in.runner.simulation
 	if !in.dead && in.drainAt == 0 && s.cutZone != in.runner.spec.Zone {
@@ -67,16 +67,17 @@
 // Name returns the name of the runner, which all its incarnations share.
 func (in *Incarnation) Name() string { return in.runner.spec.Name }
 
-// Machine returns the machine on which it runs.
+// Machine returns the machine on which the process runs.
 func (in *Incarnation) Machine() *dependencies.Machine { return in.machine }
 
-// Attempt returns the attempt with a name that was read here and is not done, or nil.
+// Attempt returns the attempt with the given name, or nil if it was not read here or is already
+// forgotten.
 func (in *Incarnation) Attempt(name string) *Attempt { return in.attempts[name] }
 
-// Advertise sets the credit that goes with every answer from now on.
+// Advertise sets the credit that every answer carries from now on.
 func (in *Incarnation) Advertise(credit float64) { in.advertised = credit }
 
-// Lost says that the process ended by itself.
+// Lost reports that the process ended by itself, which is a crash unless it is draining.
 func (in *Incarnation) Lost(why string) {
 	if !in.dead && in.drainAt == 0 {
 		in.machine.Kill(why)
@@ -91,7 +92,7 @@
 	return in.frozenTotal
 }
 
-// sendAnswer sends an answer once the machine is not frozen.
+// sendAnswer sends an answer to its balancer, or holds it back while the machine is frozen.
 func (in *Incarnation) sendAnswer(a *Attempt, answer balance.Answer) {
 	if in.frozenSince != 0 {
 		in.heldAnswers = append(in.heldAnswers, heldAnswer{a, answer})
@@ -110,7 +111,8 @@
 	return count
 }
 
-// recordUnanswered records the attempts that wait for an answer as violations.
+// recordUnanswered records the attempts that wait for an answer as violations: all of them during a
+// drain, otherwise those that are past their deadlines.
 func (in *Incarnation) recordUnanswered(when string) {
 	s := in.runner.simulation
 	for _, a := range sortedAttempts(in.attempts, func(_ string, a *Attempt) *Attempt { return a }) {
@@ -125,7 +127,8 @@
 	}
 }
 
-// Died implements dependencies.MachineObserver: the incarnation is over, and its connections break.
+// Died implements dependencies.MachineObserver. It ends the incarnation and breaks its connections. A
+// crash is recorded as a violation, and the runner restarts after a drawn delay.
 func (in *Incarnation) Died(why string) {
 	r := in.runner
 	s := in.runner.simulation
@@ -149,7 +152,7 @@
 	in.process.Kill()
 }
 
-// forgetIfDone forgets an attempt that is answered or abandoned and does not run.
+// forgetIfDone removes an attempt that is answered or abandoned and does not run.
 func (in *Incarnation) forgetIfDone(a *Attempt) {
 	if a.isClosed() && !a.running {
 		delete(in.attempts, a.Name)
@@ -158,8 +161,8 @@
 	}
 }
 
-// Run starts the run of an attempt on the engine. It reports false if there is no such attempt, or if
-// it is closed. It checks the rules on runs, independently of the runner's own checks.
+// Run starts the run of an attempt on the engine. It returns false if there is no such attempt or if it
+// is closed. It checks the rules on runs independently of the runner's own checks.
 func (in *Incarnation) Run(name string) bool {
 	a := in.attempts[name]
 	if a == nil || in.dead || !a.running && a.isClosed() {
@@ -174,26 +177,28 @@
 	return true
 }
 
-// checkRun records as violations a second run of a request with an effect, and a run of a request
-// that arrived after the grace of a drain.
+// checkRun records two kinds of violation: a second run of a request that is not idempotent by itself,
+// and a run of a request that arrived after the grace period of a drain.
 func (in *Incarnation) checkRun(a *Attempt) {
 	s := in.runner.simulation
 	class := a.class()
 	if class.Effect != day.EffectSafe {
 		until, ran := in.ranUntil[a.arrival.ID]
 		if ran && (class.Effect == day.EffectUnsafe || a.arrivedAt <= until) {
-			s.account.AddViolation(ledger.Duplicate, s.now(), "%s ran a %s twice", in.Name(), class.Name)
+			s.account.AddViolation(ledger.Duplicate, s.now(), "%s ran a request of class %s twice",
+				in.Name(), class.Name)
 		}
 		in.ranUntil[a.arrival.ID] = a.arrivedAt + virtualclock.FromMillis(class.WindowMs)
 	}
 	late := a.arrivedAt - in.drainAt - virtualclock.FromMillis(s.day.Spec.Fleet.DrainMs) - measuringTolerance
 	if in.drainAt != 0 && late > 0 {
-		s.account.AddViolation(ledger.Drain, s.now(), "%s ran what came %d ms too late",
+		s.account.AddViolation(ledger.Drain, s.now(), "%s ran a request that arrived %d ms too late in a drain",
 			in.Name(), late.Milliseconds())
 	}
 }
 
-// workParts divides the work of a run by its calls. A runner that warms up makes more calls.
+// workParts divides the work of a run evenly into the parts before, between and after its calls. A
+// runner that warms up makes more calls.
 func (in *Incarnation) workParts(a *Attempt) []float64 {
 	d := in.runner.simulation.day
 	a.calls = append([]float64(nil), a.arrival.Calls...)
@@ -211,7 +216,7 @@
 	return parts
 }
 
-// Resume continues the run of an attempt after its call. It reports whether there is such an attempt.
+// Resume continues the run of an attempt whose call has ended. It reports whether the attempt exists.
 func (in *Incarnation) Resume(name string) bool {
 	a := in.attempts[name]
 	if a == nil || in.dead {
@@ -238,7 +243,7 @@
 	}
 }
 
-// sortedAttempts returns the attempts of a table in an order that does not depend on the map's.
+// sortedAttempts returns the attempts of a map in an order that does not depend on the iteration order.
 func sortedAttempts[K comparable, V any](table map[K]V, attempt func(K, V) *Attempt) []*Attempt {
 	attempts := make([]*Attempt, 0, len(table))
 	for k, v := range table {
--- a/internal/simulator/fleet/inprocess.go
+++ b/internal/simulator/fleet/inprocess.go
@@ -15,28 +15,28 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// inProcessRunner is a runner in this process: the program's own request lifecycle and admission on
-// the clock of the simulation.
+// inProcessRunner implements Process without sockets: it runs the program's own request lifecycle and
+// admission on the clock of the simulation.
 type inProcessRunner struct {
 	incarnation *Incarnation
 	simulation  *Simulation
 	manager     *lifecycle.Manager
-	requests    map[string]*hostedRequest // by the name of the attempt
+	requests    map[string]*hostedRequest // by Attempt.Name
 	healthy     bool
 }
 
-// hostedRequest is an attempt in an inProcessRunner.
+// hostedRequest is the state of an attempt in an inProcessRunner.
 type hostedRequest struct {
 	attempt *Attempt
 	ticket  lifecycle.Ticket
-	run     *lifecycle.Attempt // nil: it does not run
-	call    *dependencyCall    // nil: its run makes none
+	run     *lifecycle.Attempt // nil: the request does not run
+	call    *dependencyCall    // nil: no call is in progress
 }
 
 // dependencyCall is a call of a run to the back end.
 type dependencyCall struct {
-	backendCall *dependencies.Call // nil: it has not arrived there
-	timer       virtualclock.Timer // of its timeout
+	backendCall *dependencies.Call // nil: the call has not arrived at the back end
+	timer       virtualclock.Timer // of the call's timeout
 	startedAt   time.Duration
 	ended       bool
 }
@@ -67,7 +67,7 @@
 	return p, nil
 }
 
-// gauges returns the measurements of the machine.
+// gauges returns the measurements of the machine for the admission. All are unknown if the CPU use is NaN.
 func (p *inProcessRunner) gauges() lifecycle.Gauges {
 	g := p.incarnation.machine.Gauges()
 	if math.IsNaN(g.CPU) {
@@ -128,7 +128,7 @@
 // Drain implements Process.
 func (p *inProcessRunner) Drain(timeout time.Duration) { p.manager.Drain(timeout) }
 
-// Kill implements Process. Its calls are canceled at the back end, whose connections break.
+// Kill implements Process. It cancels the runner's calls at the back end, as their connections break.
 func (p *inProcessRunner) Kill() {
 	for _, a := range sortedAttempts(p.requests, func(_ string, h *hostedRequest) *Attempt { return h.attempt }) {
 		if c := p.requests[a.Name].call; c != nil {
@@ -148,7 +148,7 @@
 
 // Ended implements Process.
 func (p *inProcessRunner) Ended(a *Attempt, outcome dependencies.RunOutcome) {
-	h := p.requests[a.Name] // may be forgotten before the manager learns of the end
+	h := p.requests[a.Name] // looked up now, as the attempt may be forgotten before the manager learns of the end
 	p.incarnation.after(linkDelay, func() {
 		run := h.run
 		h.run = nil
@@ -160,7 +160,7 @@
 	})
 }
 
-// engineLink is the link between an inProcessRunner and the engine of its machine.
+// engineLink connects an inProcessRunner to the engine of its machine, with a delay of linkDelay.
 type engineLink struct{ *inProcessRunner }
 
 // Run implements lifecycle.Runner.
@@ -175,7 +175,8 @@
 	})
 }
 
-// Abandon implements lifecycle.Runner. The engine learns by itself that the request is over.
+// Abandon implements lifecycle.Runner. It does nothing, as Attempt.abandon and Attempt.Answer stop the
+// run on the engine.
 func (p engineLink) Abandon(*lifecycle.Attempt) {}
 
 // Resume implements lifecycle.Resumer.
@@ -183,7 +184,7 @@
 	p.incarnation.after(linkDelay, func() { p.incarnation.Resume(run.Request.ID) })
 }
 
-// callOutcomes maps outcomes of the back end to those of the request lifecycle.
+// callOutcomes maps the outcomes of calls at the back end to those of the request lifecycle.
 var callOutcomes = map[dependencies.CallOutcome]lifecycle.Outcome{
 	dependencies.CallSucceeded:   lifecycle.Succeeded,
 	dependencies.CallRejected:    lifecycle.CallRejected,
@@ -231,7 +232,7 @@
 	}
 }
 
-// cancel cancels a call, whose outcome is not reported any more.
+// cancel cancels a call. Its outcome is not reported.
 func (c *dependencyCall) cancel(b *dependencies.Backend) {
 	c.ended = true
 	c.timer.Stop()
@@ -240,7 +241,7 @@
 	}
 }
 
-// requestBody returns the body of all attempts of a request, which no other request has.
+// requestBody returns the body that all attempts of a request share. It is unique to the request.
 func requestBody(id uint64) []byte { return binary.LittleEndian.AppendUint64(nil, id) }
 
 // attemptName returns the name of the n-th attempt: 16 hexadecimal digits.
--- a/internal/simulator/fleet/process.go
+++ b/internal/simulator/fleet/process.go
@@ -7,33 +7,35 @@
 	"ryepaddle/internal/simulator/dependencies"
 )
 
-// Process is the process of a runner, in this process or behind sockets. It reports back through its
-// Incarnation and its Attempts; from within one of these methods only Submit may.
+// Process is the process of a runner, simulated in this process or reached over sockets. It reports back
+// by calling methods of its Incarnation and Attempts. Submit may do so before it returns, the other
+// methods may not.
 type Process interface {
-	// IsReady reports whether it takes requests.
+	// IsReady reports whether the process takes requests.
 	IsReady() bool
-	// Submit gives it a request that was read completely. It owes exactly one answer.
+	// Submit passes on a request that was read completely. The process owes it exactly one answer.
 	Submit(a *Attempt)
-	// Abandon says that the balancer does not wait for the answer any more.
+	// Abandon reports that the balancer no longer waits for the answer.
 	Abandon(a *Attempt)
-	// Forget says that an attempt is answered or abandoned, and that its run has ended.
+	// Forget reports that an attempt is answered or abandoned and does not run: nothing more follows for
+	// it.
 	Forget(a *Attempt)
-	// Check starts a health check of a caller, numbered from 1. done may never be called.
+	// Check starts a health check by a caller, numbered from 1. A process may never call done.
 	Check(caller int, done func(healthy bool))
-	// Needs says that a run waits for its call.
+	// Needs reports that a run waits for its next call to the back end.
 	Needs(a *Attempt)
-	// Ended says that a run has ended.
+	// Ended reports that a run has ended.
 	Ended(a *Attempt, outcome dependencies.RunOutcome)
-	// Drain starts a graceful shutdown. The process is killed after the timeout.
+	// Drain starts a graceful shutdown. The simulation kills the process after the timeout.
 	Drain(timeout time.Duration)
-	// Kill ends it at once.
+	// Kill ends the process at once.
 	Kill()
 }
 
-// Launch starts the process of an incarnation with its settings.
+// Launch starts the process of an incarnation with the given settings.
 type Launch func(incarnation *Incarnation, settings admission.Settings) (Process, error)
 
-// Status says how a runner answered.
+// Status tells whether a runner served, rejected or failed a request.
 type Status uint8
 
 // The statuses.
@@ -46,6 +48,6 @@
 // Answer is the answer of a runner to an attempt.
 type Answer struct {
 	Status     Status
-	RetryAfter time.Duration // of Rejected: until this runner is to be tried again; 0: not given
-	DoNotRetry bool          // of Rejected: no other runner is to be tried
+	RetryAfter time.Duration // with Rejected: how long to avoid this runner; 0: not given
+	DoNotRetry bool          // with Rejected: the balancer is to try no other runner
 }
--- a/internal/simulator/fleet/ruleprobe_test.go
+++ b/internal/simulator/fleet/ruleprobe_test.go
@@ -10,7 +10,8 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// ruleProbe is a simulation in which a test runs what a faulty runner might.
+// ruleProbe starts runs in a simulation directly, as a faulty runner could, to test the checks of the
+// rules.
 type ruleProbe struct {
 	t           testing.TB
 	simulation  *Simulation
@@ -26,7 +27,7 @@
 	return &ruleProbe{t: t, simulation: s, incarnation: s.runners[0].incarnation}
 }
 
-// run has the engine run a keyed request that arrived at a time.
+// run makes the engine run a request of a keyed class that arrived at the given time.
 func (p *ruleProbe) run(id uint64, arrivedAt time.Duration) {
 	class := -1
 	for i, c := range p.simulation.day.Spec.Classes {
--- a/internal/simulator/fleet/runner.go
+++ b/internal/simulator/fleet/runner.go
@@ -10,21 +10,21 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// runner is one place of the fleet, with one incarnation after the other.
+// runner is a member of the fleet. Each restart gives it another incarnation.
 type runner struct {
 	simulation   *Simulation
 	index        int
 	spec         *day.Runner
 	incarnation  *Incarnation // nil while it is down
-	incarnations uint64       // so far
-	slowdown     float64
-	workDone     float64 // by incarnations that have ended, in microseconds at speed 1
+	incarnations uint64       // number of incarnations so far
+	slowdown     float64      // factor by which its machine is slower; 0: no slowdown was set
+	workDone     float64      // by incarnations that have ended, in microseconds at speed 1
 }
 
-// startWarm begins an incarnation that has warmed up.
+// startWarm starts an incarnation that has already warmed up.
 func (r *runner) startWarm() error { return r.start(false) }
 
-// startCold begins an incarnation that warms up.
+// startCold starts an incarnation that has yet to warm up.
 func (r *runner) startCold() error { return r.start(true) }
 
 func (r *runner) start(cold bool) error {
@@ -58,14 +58,15 @@
 	return nil
 }
 
-// kill ends the present incarnation and its machine at once.
+// kill ends the current incarnation and its machine at once.
 func (r *runner) kill() {
 	if r.incarnation != nil {
-		r.incarnation.machine.Kill(reasonKilled) // which calls Died
+		r.incarnation.machine.Kill(reasonKilled) // calls Incarnation.Died
 	}
 }
 
-// restartAfter begins a cold incarnation after a delay.
+// restartAfter starts a cold incarnation after a delay, unless the runner is up by then or the day has
+// ended.
 func (r *runner) restartAfter(delay time.Duration) {
 	r.simulation.clock.After(delay, func() {
 		if r.incarnation != nil || r.simulation.closed {
@@ -77,7 +78,7 @@
 	})
 }
 
-// setSlowdown makes the machine slower by a factor, in this incarnation and the next ones.
+// setSlowdown makes the machine slower by a factor, in this incarnation and in later ones.
 func (r *runner) setSlowdown(factor float64) {
 	r.slowdown = factor
 	if r.incarnation != nil {
@@ -85,8 +86,8 @@
 	}
 }
 
-// setFrozen freezes the machine, or lets it go on: meanwhile nothing is written to the runner, and
-// nothing that it writes is read.
+// setFrozen freezes the machine or resumes it. A frozen machine does no work, so that the runner reads no
+// requests, and the runner's answers are held back until the machine is resumed.
 func (r *runner) setFrozen(frozen bool) {
 	incarnation := r.incarnation
 	if incarnation == nil || frozen == (incarnation.frozenSince != 0) {
@@ -106,8 +107,8 @@
 	}
 }
 
-// drain starts a graceful shutdown. The runner is stopped once all requests are answered or the timeout
-// has passed, and restarts cold.
+// drain starts a graceful shutdown. The runner is stopped once all requests are answered and the grace
+// period is over, or once the timeout has passed. It then restarts cold.
 func (r *runner) drain() {
 	s := r.simulation
 	spec := &s.day.Spec.Fleet
--- a/internal/simulator/fleet/simulation.go
+++ b/internal/simulator/fleet/simulation.go
@@ -1,8 +1,8 @@
-// Package fleet simulates a day of a fleet in virtual time. Each runner is the program's own request
-// lifecycle and admission on a machine of package dependencies; the balancers are those of package
-// balance, so that all decisions are those of the program itself. The result depends on nothing but
-// the drawn day and the Options. Package compare and cmd/simulator call it; package daytest runs the
-// same simulation with processes behind sockets.
+// Package fleet simulates a day of a fleet of runners in virtual time. Each runner executes the program's
+// own request lifecycle and admission on a machine modelled by package dependencies; the balancers are
+// modelled by package balance. All decisions of a runner are therefore those of the program itself. The
+// result depends only on the drawn day and the Options. Package compare and cmd/simulator call this
+// package; package daytest runs the same simulation with processes behind sockets.
 package fleet
 
 import (
@@ -18,19 +18,19 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Version identifies the model. Results of different versions are not comparable.
+// Version is the version of the simulation model. Results of different versions are not comparable.
 const Version = 1
 
-// Options is what may differ between two simulations of one day.
+// Options holds what may differ between two simulations of the same day.
 type Options struct {
-	// Settings changes the settings of the runners; nil: nothing is changed.
+	// Settings changes the settings of the runners; nil: they stay as drawn.
 	Settings func(*admission.Settings)
-	// BalancerKinds replaces the kinds of balancers of the scenario, by index; nil: they stay.
+	// BalancerKinds replaces the scenario's kinds of balancers, by index; nil: they are not replaced.
 	BalancerKinds []day.BalancerKind
 	Limits        lifecycle.KeyLimits // of the runners' tables of idempotency keys
-	// BalancerSeed makes the balancers and the network draw anew, with the day as it is.
+	// BalancerSeed changes the draws of the balancers and of the network. The day stays the same.
 	BalancerSeed uint64
-	// Log takes what the runners log; at is the time of the day. nil: nothing is logged.
+	// Log receives the log lines of the runners; at is the time since the day began. nil: nothing is logged.
 	Log func(at time.Duration, runner, text string)
 }
 
@@ -39,32 +39,32 @@
 	*ledger.Result
 	Seed         uint64  `json:"seed"`
 	RequestRate  float64 `json:"rate"`     // requests per second of the clients
-	Capacity     float64 `json:"capacity"` // requests per second of the cores
+	Capacity     float64 `json:"capacity"` // requests per second of all cores
 	Events       uint64  `json:"events"`
 	AttemptsRead int     `json:"read"` // attempts that a runner read
 }
 
-// unixOrigin is the Unix time at which a day in virtual time begins. Any will do.
+// unixOrigin is the Unix time at which a day in virtual time begins. Its value is arbitrary.
 const unixOrigin wallclock.UnixMicro = 1_764_576_000_000_000
 
 const (
-	reportInterval     = time.Second            // of a runner to the registry
-	loadReportInterval = 500 * time.Millisecond // of loads to balancers
-	loadNoise          = 0.1                    // relative error of a load report
+	reportInterval     = time.Second            // between the reports of a runner to the registry
+	loadReportInterval = 500 * time.Millisecond // between the load reports to balancers
+	loadNoise          = 0.1                    // largest relative error of a load report
 	connectTimeout     = time.Second
 	checkTimeout       = time.Second            // of a health check
 	linkDelay          = 50 * time.Microsecond  // between a runner and its engine
 	backendDelay       = 300 * time.Microsecond // between a runner and the back end, one way
-	// measuringTolerance is added to the time limits of the rules: with runners behind sockets, reading
-	// an answer takes time.
+	// measuringTolerance is added to the time limits of the rules, as reading an answer of a runner behind
+	// sockets takes time.
 	measuringTolerance = 100 * time.Millisecond
 )
 
-// noZone is the value of cutZone while no zone is cut off.
+// noZone is the value of Simulation.cutZone while no zone is cut off.
 const noZone = -1
 
-// Simulation is a day of a fleet, with its machines, back end, registry, balancers and runners. It is not
-// safe for concurrent use.
+// Simulation simulates one day of a fleet: its runners with their machines, the back end, the registry
+// and the balancers. It is not safe for concurrent use.
 type Simulation struct {
 	day           *day.Day
 	options       Options
@@ -78,14 +78,14 @@
 	registry      *dependencies.Registry
 	runners       []*runner
 	balancers     []*balancer
-	cutZone       int // zone that is cut off, or noZone
-	attemptsRead  int
-	attemptsNamed uint64
-	messages      uint64 // sent over the network
+	cutZone       int    // zone that is cut off, or noZone
+	attemptsRead  int    // attempts that a runner read
+	attemptsNamed uint64 // attempts that were given a name
+	messages      uint64 // messages sent over the network
 	closed        bool
 }
 
-// Play simulates a day to its end, in virtual time, with runners in this process.
+// Play simulates a whole day in virtual time, with runners in this process.
 func Play(d *day.Day, options Options) (*Run, error) {
 	clock := virtualclock.New()
 	s := NewSimulation(d, options, clock, launchInProcess, RegisteredBySimulation)
@@ -102,17 +102,17 @@
 	return r, nil
 }
 
-// Registration says who reports runners to the registry.
+// Registration tells who reports the runners to the registry.
 type Registration uint8
 
 const (
-	// RegisteredBySimulation makes the simulation report them at an interval.
+	// RegisteredBySimulation makes the simulation report the runners periodically.
 	RegisteredBySimulation Registration = iota
-	// SelfRegistered leaves it to their processes, through Incarnation.Report.
+	// SelfRegistered leaves the reports to the runners' processes, which call Incarnation.Report.
 	SelfRegistered
 )
 
-// NewSimulation prepares a day on a clock, with runners that launch starts.
+// NewSimulation prepares the simulation of a day on a clock. launch starts the processes of the runners.
 func NewSimulation(
 	d *day.Day,
 	options Options,
@@ -141,7 +141,7 @@
 	return s
 }
 
-// newAccount returns the empty account of a day.
+// newAccount returns an empty ledger for a day.
 func newAccount(d *day.Day) *ledger.Ledger {
 	var classes []ledger.Class
 	for _, c := range d.Spec.Classes {
@@ -170,7 +170,7 @@
 	}, d.Length)
 }
 
-// Start starts the runners.
+// Start starts all runners, warmed up.
 func (s *Simulation) Start() error {
 	for _, r := range s.runners {
 		if err := r.startWarm(); err != nil {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// IsReady reports whether all runners take requests.
+// IsReady reports whether all runners are up and take requests.
 func (s *Simulation) IsReady() bool {
 	for _, r := range s.runners {
 		if r.incarnation == nil || !r.incarnation.process.IsReady() {
@@ -190,7 +190,7 @@
 	return true
 }
 
-// Begin begins the day at a Unix time, with all runners listed.
+// Begin begins the day at the given Unix time, with all runners listed.
 func (s *Simulation) Begin(at wallclock.UnixMicro) {
 	s.origin = s.clock.Now()
 	s.unixOrigin = at
@@ -206,7 +206,7 @@
 	}
 }
 
-// Duration returns how long after Begin the last request of the day has ended.
+// Duration returns how long after Begin all requests of the day have ended.
 func (s *Simulation) Duration() time.Duration {
 	deadlineMs := 0.0
 	for _, c := range s.day.Spec.Classes {
@@ -228,7 +228,8 @@
 	return true
 }
 
-// Close ends the day and returns its result.
+// Close ends the day and returns its result. Requests that are still unanswered count as violations if
+// they are past their deadlines or their runner drains.
 func (s *Simulation) Close() (*Run, error) {
 	s.closed = true
 	workDone := 0.0
@@ -240,7 +241,7 @@
 		}
 	}
 	for range s.backend.Crashes {
-		s.account.AddViolation(ledger.BackendCrash, s.now(), "the back end fell over")
+		s.account.AddViolation(ledger.BackendCrash, s.now(), "the back end crashed")
 	}
 	result, err := s.account.Close(workDone)
 	if err != nil {
@@ -263,7 +264,7 @@
 	return virtualclock.FromMillis(s.day.Spec.Fleet.StopMs)
 }
 
-// Find returns the attempt with a name that a runner has read and that is not done, or nil.
+// Find returns the attempt with the given name, or nil if no runner that is up holds it.
 func (s *Simulation) Find(name string) *Attempt {
 	for _, r := range s.runners {
 		if r.incarnation != nil {
@@ -275,7 +276,7 @@
 	return nil
 }
 
-// Incarnation returns the present incarnation of a runner, or nil if it is down.
+// Incarnation returns the current incarnation of the runner with the given name, or nil if it is down.
 func (s *Simulation) Incarnation(name string) *Incarnation {
 	for _, r := range s.runners {
 		if r.spec.Name == name {
@@ -288,7 +289,7 @@
 // now returns the time since the day began.
 func (s *Simulation) now() time.Duration { return s.clock.Now() - s.origin }
 
-// log logs a line of a runner.
+// log passes a log line of a runner to Options.Log.
 func (s *Simulation) log(r *runner, text string) {
 	if s.options.Log != nil {
 		s.options.Log(s.now(), r.spec.Name, text)
--- a/internal/simulator/fleet/simulation_test.go
+++ b/internal/simulator/fleet/simulation_test.go
@@ -15,7 +15,7 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// smallDay is a day that takes milliseconds to simulate, with more appended to its text.
+// smallDay returns a scenario that takes milliseconds to simulate, with more appended to its text.
 func smallDay(t testing.TB, more string) *day.Spec {
 	t.Helper()
 	text := "name: small\nlength_s: 12\nwindow_s: 4\nfleet: {runners: 5, restart_s: 2, cold_s: 6}\n" + more
@@ -61,7 +61,7 @@
   - {kind: cut, at_s: 8, for_s: 1.5, hall: solna}
 `
 
-// The result is the same to the byte, whatever else is simulated at the same time.
+// Simulations of the same day give results that are equal to the byte, also when several run concurrently.
 func TestDayIsDeterministic(t *testing.T) {
 	s := smallDay(t, troubles)
 	want := make([]string, 4)
@@ -76,15 +76,16 @@
 	wg.Wait()
 	for i := range got {
 		if diff := cmp.Diff(want[i%len(want)], got[i]); diff != "" {
-			t.Fatalf("day %d (-want +got)\n%s", i%len(want), diff)
+			t.Fatalf("result of day %d (-alone +concurrent)\n%s", i%len(want), diff)
 		}
 	}
 	if want[0] == want[1] {
-		t.Fatal("two seeds give the same day")
+		t.Fatal("seeds 0 and 1 give the same result, want different ones")
 	}
 }
 
-// Play returns an error if a request does not end exactly once.
+// No rule is violated, whatever the behavior of the balancers. Play itself returns an error if a request
+// does not end exactly once.
 func TestRulesHoldWithAllBehaviorsOfBalancers(t *testing.T) {
 	for _, b := range []string{
 		"{count: 3, choose: round, retry: limitless, pause_ms: 20}",
@@ -98,17 +99,18 @@
 		t.Run(b, func(t *testing.T) {
 			r := play(t, smallDay(t, "load: {of_capacity: 0.9}\nbalancers:\n  - "+b+troubles), 3, Options{})
 			if r.Broken != 0 {
-				t.Errorf("rules %v: %v", r.Rules, r.Notes)
+				t.Errorf("violations by rule %v, want none; notes: %v", r.Rules, r.Notes)
 			}
 			if r.All.First < 300 || r.Worth < 0.1 || r.Tries < r.All.First/2 {
-				t.Errorf("%d requests, %d attempts, worth %.3f", r.All.First, r.Tries, r.Worth)
+				t.Errorf("%d requests, %d attempts, worth %.3f; want at least 300, half as many and 0.1",
+					r.All.First, r.Tries, r.Worth)
 			}
 		})
 	}
 }
 
-// Balancers that follow no advice retry without limit. A burst starts a retry storm, which outlasts
-// the burst and ends when the load is low again.
+// With balancers that retry without limit and follow no advice, a burst starts a retry storm. The storm
+// outlasts the burst, and ends some time after the load is low again. With bounded retries there is none.
 func TestRetryStormAppearsLastsAndEnds(t *testing.T) {
 	text := `
 load:
@@ -126,7 +128,8 @@
 	storm := play(t, longDay(t, strings.Replace(text, "RETRY", "limitless", 1)), 1, Options{})
 	calm := play(t, longDay(t, strings.Replace(text, "RETRY", "bounded", 1)), 1, Options{})
 	if storm.Retries < 3*calm.Retries || storm.Retries < 0.5 {
-		t.Errorf("retries a request: %.2f without limit, %.2f with one", storm.Retries, calm.Retries)
+		t.Errorf("retries per request = %.2f unlimited, %.2f bounded; want at least 0.5, and three times the bounded",
+			storm.Retries, calm.Retries)
 	}
 	served := func(from, to int) float64 {
 		asked, got := 0.0, 0.0
@@ -135,7 +138,7 @@
 		}
 		return got / asked
 	}
-	// The burst ends at 14 s. From then on the load is that of before, at which all were served.
+	// The burst ends at 14 s. From then on the load is that before the burst, at which all were served.
 	for _, c := range []struct {
 		what        string
 		from, to    int
@@ -147,12 +150,12 @@
 		{"in the end", 30, 40, 0.97, 1},
 	} {
 		if v := served(c.from, c.to); v < c.least || v > c.most {
-			t.Errorf("served %.3f %s, want %v to %v", v, c.what, c.least, c.most)
+			t.Errorf("share served = %.3f %s, want %v to %v", v, c.what, c.least, c.most)
 		}
 	}
 	for i, s := range calm.Series[20:40] {
 		if s.Got < 0.95*s.Asked {
-			t.Errorf("with a bound on retries only %.2f of %.2f is served in second %d", s.Got, s.Asked, 20+i)
+			t.Errorf("with bounded retries %.2f of %.2f are served in second %d, want 95 percent", s.Got, s.Asked, 20+i)
 		}
 	}
 }
@@ -166,7 +169,8 @@
 	return s
 }
 
-// The attempts at the crashed runners break and are retried elsewhere.
+// When a fifth of the runners crashes, the attempts at them break and are retried at other runners. The
+// fleet loses at most 0.15 of its worth, and no rule is violated.
 func TestFleetServesThroughACrashOfAFifth(t *testing.T) {
 	var log []string
 	s := smallDay(t, "load: {of_capacity: 0.45}\ntroubles:\n  - {kind: crash, at_s: 5, for_s: 3, part: 0.2}")
@@ -177,11 +181,11 @@
 	}})
 	calm := play(t, smallDay(t, "load: {of_capacity: 0.45}"), 2, Options{})
 	if diff := cmp.Diff([]string{"5 ended: killed"}, log); diff != "" {
-		t.Errorf("(-want +got)\n%s", diff)
+		t.Errorf("ends of runners (-want +got)\n%s", diff)
 	}
 	if r.Broken != 0 || r.Tries <= calm.Tries || r.Worth > calm.Worth || r.Worth < calm.Worth-0.15 {
 		t.Errorf(
-			"worth %.3f with %d attempts, without the fault %.3f with %d; rules %v",
+			"worth %.3f with %d attempts, without the crash %.3f with %d; violations by rule %v",
 			r.Worth,
 			r.Tries,
 			calm.Worth,
@@ -198,14 +202,15 @@
   - {name: never, share: 0, work_ms: 200, aim_ms: 2700, deadline_ms: 9000, worth: 5, effect: keyed,
      window_ms: 9000}`), 1, Options{})
 	if r.Classes[1].First != 0 || r.Classes[1].Served != 1 || r.WorstClass < 0.9 {
-		t.Errorf("%+v, worst class %v", r.Classes, r.WorstClass)
+		t.Errorf("classes %+v, worst class %v; want the second class to count as served", r.Classes, r.WorstClass)
 	}
 	if r := play(t, smallDay(t, "load: {of_capacity: 0}"), 1, Options{}); r.All.First != 0 || r.Broken != 0 {
-		t.Errorf("a day without requests: %+v", r.Result)
+		t.Errorf("result of a day without requests: %+v, want no requests and no violations", r.Result)
 	}
 }
 
-// The rules are checked by the model itself: it finds a runner that runs too much.
+// The model checks the rules itself: it reports the crash of a runner that runs too many requests, and
+// that of a back end that gets too many calls.
 func TestViolationsByACrashAreFound(t *testing.T) {
 	s := smallDay(t, "")
 	for _, c := range []struct {
@@ -230,7 +235,7 @@
 			}
 			over := *s
 			over.Load.OfCapacity = day.Range{Lo: 2, Hi: 2}
-			over.Fleet.ReadShare = day.Range{} // or reading alone limits the concurrency
+			over.Fleet.ReadShare = day.Range{} // otherwise the work of reading limits the concurrency
 			over.Classes = slices.Clone(s.Classes)
 			for i := range over.Classes {
 				if c.rule != "backend" {
@@ -243,14 +248,14 @@
 			}
 			r := play(t, &over, 1, c.opt)
 			if r.Rules[c.rule] == 0 || r.Score != 0 {
-				t.Errorf("rules %v, score %v", r.Rules, r.Score)
+				t.Errorf("violations by rule %v, score %v; want a crash and score 0", r.Rules, r.Score)
 			}
 		})
 	}
 }
 
-// A second run of a key within its window is a violation, and so is a run of a request that arrived
-// too late in a drain.
+// A second run of an idempotency key within its window is a violation, and so is a run of a request that
+// arrived after the grace period of a drain.
 func TestViolationsByARunAreFound(t *testing.T) {
 	f := newRuleProbe(t, day.Draw(smallDay(t, ""), 1))
 	f.run(3, 0)
@@ -261,6 +266,6 @@
 	f.run(6, 2*time.Second)
 	res := f.close()
 	if res.Rules["duplicate"] != 1 || res.Rules["drain"] != 1 {
-		t.Fatalf("rules %v: %v", res.Rules, res.Notes)
+		t.Fatalf("violations by rule %v, want one duplicate and one drain; notes: %v", res.Rules, res.Notes)
 	}
 }
--- a/internal/simulator/fleet/traffic.go
+++ b/internal/simulator/fleet/traffic.go
@@ -9,7 +9,7 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// scheduleArrival schedules the i-th request of the day.
+// scheduleArrival schedules the arrival of request i of the day, which schedules the next one.
 func (s *Simulation) scheduleArrival(i int) {
 	if i == len(s.day.Arrivals) {
 		return
@@ -28,10 +28,11 @@
 	})
 }
 
-// readWork returns the work of reading a request.
+// readWork returns the work of reading a request, in microseconds of a core of speed 1.
 func (s *Simulation) readWork() float64 { return s.day.Runners[0].Spec.ReadWork }
 
-// networkDelay draws how long a message takes between zones, and reports whether it arrives.
+// networkDelay draws the one-way delay of a message between two zones. It reports false if the message
+// does not arrive because one of the zones is cut off.
 func (s *Simulation) networkDelay(from, to int) (time.Duration, bool) {
 	if from != to && (from == s.cutZone || to == s.cutZone) {
 		return 0, false
@@ -45,7 +46,8 @@
 	return virtualclock.FromMicros(mean * (0.9 + 0.2*u)), true
 }
 
-// reportLoads reports the loads of all runners to the balancers that use them, with noise.
+// reportLoads sends noisy reports of the loads of all runners to the balancers that use them, and
+// schedules the next reports.
 func (s *Simulation) reportLoads() {
 	s.clock.After(loadReportInterval, s.reportLoads)
 	for _, b := range s.balancers {
