--- a/internal/simulator/dependencies/backend.go
+++ b/internal/simulator/dependencies/backend.go
@@ -6,18 +6,18 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// BackendSpec describes the shared back end.
+// BackendSpec describes the back end that all runners share.
 type BackendSpec struct {
 	Slots           float64       // calls that it processes at full speed
-	Thrash          float64       // relative loss of speed for each further multiple of Slots
-	RejectsOverload bool          // it rejects calls while more than twice Slots are in flight
-	CrashFactor     float64       // calls in flight, in multiples of Slots, beyond which it crashes; 0: never
-	CrashWindow     time.Duration // over which the mean of the calls in flight is taken
-	RestartTime     time.Duration
+	Thrash          float64       // relative slowdown for each multiple of Slots in flight beyond the first
+	RejectsOverload bool          // it rejects calls while at least twice Slots are in flight
+	CrashFactor     float64       // mean calls in flight, in multiples of Slots, beyond which it crashes; 0: never
+	CrashWindow     time.Duration // window of that mean
+	RestartTime     time.Duration // how long it refuses connections after a crash
 	CancelLinger    time.Duration // how long a canceled call stays in flight
 }
 
-// CallOutcome says how a call ended.
+// CallOutcome is the outcome of a call.
 type CallOutcome uint8
 
 // The outcomes of calls. CallRejected and CallUnreachable prove that the call never ran.
@@ -28,13 +28,14 @@
 	CallInterrupted
 )
 
-// overloadFactor is the multiple of its slots from which a back end rejects calls, if it does.
+// overloadFactor is the number of calls in flight, in multiples of Slots, from which a back end with
+// RejectsOverload rejects further calls.
 const overloadFactor = 2
 
 // Call is a call of a run to the back end.
 type Call struct {
-	job  *job // nil: it is not in flight
-	done func(CallOutcome)
+	job  *job              // nil: the call is not in flight
+	done func(CallOutcome) // nil: nobody waits for the outcome
 }
 
 // Backend models the back end that all runners share.
@@ -42,15 +43,15 @@
 	spec     BackendSpec
 	clock    virtualclock.Clock
 	slots    sharedProcessor
-	window   slidingWindow // of the calls in flight
+	window   slidingWindow // of the number of calls in flight
 	calls    map[*job]*Call
-	order    []*Call // in the order of their arrival, in which a crash interrupts them
+	order    []*Call // by arrival, which is the order in which a crash interrupts them
 	slowdown float64
 	down     bool
-	Crashes  int // so far
+	Crashes  int // number of crashes so far
 }
 
-// NewBackend starts a back end.
+// NewBackend returns a back end that runs on a clock.
 func NewBackend(clock virtualclock.Clock, spec BackendSpec) *Backend {
 	b := &Backend{
 		spec:     spec,
@@ -77,14 +78,14 @@
 	b.slots.setSpeed(1 / b.slowdown)
 }
 
-// InFlight returns the number of calls in flight, with canceled ones that linger.
+// InFlight returns the number of calls in flight, including canceled ones that linger.
 func (b *Backend) InFlight() int { return len(b.slots.jobs) }
 
 // IsDown reports whether the back end has crashed and refuses connections.
 func (b *Backend) IsDown() bool { return b.down }
 
-// Call starts a call of so much work, in microseconds of a slot at full speed. done gets its outcome;
-// it is called before Call returns if the call never runs.
+// Call starts a call. Its work is in microseconds of a slot at full speed. done is called with the
+// outcome; if the back end refuses the call, before Call returns.
 func (b *Backend) Call(work float64, done func(CallOutcome)) *Call {
 	c := &Call{done: done}
 	switch {
@@ -101,6 +102,7 @@
 	return c
 }
 
+// finish ends a call that is in flight, and reports the outcome if it was not canceled.
 func (b *Backend) finish(c *Call, outcome CallOutcome) {
 	if c.job == nil {
 		return
@@ -114,8 +116,7 @@
 	}
 }
 
-// Cancel cancels a call. Its done is not called any more, and it leaves the back end after
-// CancelLinger.
+// Cancel cancels a call. Its outcome is not reported, and it leaves the back end CancelLinger later.
 func (b *Backend) Cancel(c *Call) {
 	c.done = nil
 	if c.job != nil {
@@ -123,7 +124,8 @@
 	}
 }
 
-// sample measures the calls in flight, and crashes the back end if there are too many.
+// sample adds a sample of the calls in flight to the window, and crashes the back end if their mean is
+// too high.
 func (b *Backend) sample() {
 	b.clock.After(sampleInterval, b.sample)
 	b.slots.advance()
@@ -140,7 +142,7 @@
 	}
 }
 
-// crash interrupts all calls. The back end is back after its restart time.
+// crash interrupts all calls. The back end is up again after RestartTime.
 func (b *Backend) crash() {
 	b.down = true
 	b.Crashes++
--- a/internal/simulator/dependencies/backend_test.go
+++ b/internal/simulator/dependencies/backend_test.go
@@ -9,9 +9,9 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// endedCall is a call that has ended, and when, in milliseconds from the start.
+// endedCall is the outcome of a call that has ended, and the time of its end.
 type endedCall struct {
-	At      int64
+	At      int64 // milliseconds from the start
 	Outcome CallOutcome
 }
 
@@ -26,8 +26,8 @@
 	}
 }
 
-// newTestBackend starts a back end. It returns the calls that have ended, and a function that starts
-// a call of so much work.
+// newTestBackend starts a back end. It also returns its clock, the calls that have ended, and a function
+// that starts a call of the given work.
 func newTestBackend(s BackendSpec) (*Backend, *virtualclock.Scheduler, *[]endedCall, func(work float64) *Call) {
 	clock := virtualclock.New()
 	backend, ended := NewBackend(clock, s), &[]endedCall{}
@@ -40,15 +40,15 @@
 }
 
 func TestCallCanceledAsItEndsIsNotReported(t *testing.T) {
-	// the cancellation finds the call done
+	// the call is already done when it is canceled
 	backend, clock, ended, call := newTestBackend(BackendSpec{Slots: 2})
 	c := call(10_000)
-	backend.slots.timer.Stop() // its own timer fires a microsecond after it is done
+	backend.slots.timer.Stop() // it would fire a microsecond after the call is done
 	clock.RunUntil(virtualclock.Origin + 10_001*time.Microsecond)
 	backend.Cancel(c)
 	clock.RunUntil(virtualclock.Origin + time.Second)
 	if len(*ended) != 0 || backend.InFlight() != 0 {
-		t.Errorf("%v, %d in flight", *ended, backend.InFlight())
+		t.Errorf("calls ended = %v, %d in flight; want none", *ended, backend.InFlight())
 	}
 }
 
@@ -58,10 +58,10 @@
 		call(10_000)
 	}
 	clock.RunUntil(virtualclock.Origin + time.Second)
-	// twice its slots: half the speed, and half as long again
+	// twice as many calls as slots: half the speed, and half as long again by Thrash
 	want := []endedCall{{30, 1}, {30, 1}, {30, 1}, {30, 1}}
 	if diff := cmp.Diff(want, *ended); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("calls ended (-want +got)\n%s", diff)
 	}
 }
 
@@ -73,7 +73,7 @@
 		call(10_000)
 	}
 	if diff := cmp.Diff([]endedCall{{0, CallRejected}}, *ended); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("calls ended (-want +got)\n%s", diff)
 	}
 }
 
@@ -84,7 +84,8 @@
 	lingering := backend.InFlight()
 	clock.RunUntil(virtualclock.Origin + 2*time.Second)
 	if lingering != 1 || backend.InFlight() != 0 || len(*ended) != 0 {
-		t.Fatalf("in flight %d, then %d; ended %v", lingering, backend.InFlight(), *ended)
+		t.Fatalf("in flight = %d, then %d, want 1, then 0; calls ended = %v, want none",
+			lingering, backend.InFlight(), *ended)
 	}
 }
 
@@ -96,17 +97,18 @@
 	clock.RunUntil(virtualclock.Origin + 6*time.Second)
 	if !backend.IsDown() || backend.Crashes != 1 || len(*ended) != 11 ||
 		(*ended)[0].Outcome != CallInterrupted {
-		t.Fatalf("down %v, crashes %d, ended %v", backend.IsDown(), backend.Crashes, *ended)
+		t.Fatalf("down = %v, crashes = %d, calls ended = %v; want down, 1 crash and 11 interrupted calls",
+			backend.IsDown(), backend.Crashes, *ended)
 	}
 	call(1000)
 	if last := (*ended)[11]; last.Outcome != CallUnreachable {
-		t.Fatalf("a call while it is down: %v", last)
+		t.Fatalf("call to a back end that is down: %v, want it unreachable", last)
 	}
 	clock.RunUntil(virtualclock.Origin + 9*time.Second)
 	call(1000)
 	clock.RunUntil(virtualclock.Origin + 10*time.Second)
 	if last := (*ended)[12]; last.Outcome != CallSucceeded || backend.Crashes != 1 {
-		t.Fatalf("a call after it is back: %v", last)
+		t.Fatalf("call after the restart: %v, want success and no further crash", last)
 	}
 }
 
@@ -118,6 +120,6 @@
 	backend.SetSlowdown(1)
 	clock.RunUntil(virtualclock.Origin + time.Second)
 	if diff := cmp.Diff([]endedCall{{30, 1}}, *ended); diff != "" {
-		t.Fatal(diff)
+		t.Fatalf("calls ended (-want +got)\n%s", diff)
 	}
 }
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -1,7 +1,7 @@
-// Package dependencies models what a fleet of runners depends on: the machine of each runner with
-// its engine, the back end that all runners share, and the registry. The models are state machines
-// without I/O, which package fleet runs in virtual time and package daytest behind sockets. They make
-// no decisions about requests.
+// Package dependencies models what a fleet of runners depends on: the machine of each runner with its
+// engine, the back end that all runners share, and the registry. The models are state machines without
+// I/O: package fleet runs them in virtual time, and package daytest behind sockets. Decisions about
+// requests are left to the runners and balancers.
 package dependencies
 
 import (
@@ -15,27 +15,27 @@
 type MachineSpec struct {
 	Cores             int
 	Speed             float64
-	Thrash            float64       // relative loss of speed for each further multiple of ThrashAt
-	ThrashAt          float64       // jobs per core beyond which they slow each other down
-	ReadWork          float64       // work of reading one request
-	Backlog           int           // unread requests per core; with more, connections are refused
-	MemoryKB          float64       // beyond which the machine crashes
+	Thrash            float64       // relative slowdown for each multiple of ThrashAt beyond the first
+	ThrashAt          float64       // jobs per core beyond which jobs slow each other down
+	ReadWork          float64       // work of reading a request
+	Backlog           int           // unread requests per core beyond which connections are refused
+	MemoryKB          float64       // memory use beyond which the machine crashes
 	RunFactor         float64       // memory of a running request, in multiples of a queued one
-	ConcurrencyLimit  float64       // mean of running requests per core beyond which the machine crashes
-	ConcurrencyWindow time.Duration // over which that mean is taken
-	WarmUpSpeed       float64       // share of Speed at the start
-	WarmUpTime        time.Duration // until Speed is reached
-	WarmUpCallFactor  float64       // further calls per call while it warms up
+	ConcurrencyLimit  float64       // mean running requests per core beyond which the machine crashes
+	ConcurrencyWindow time.Duration // window of that mean
+	WarmUpSpeed       float64       // share of Speed at the start of a warm-up
+	WarmUpTime        time.Duration // length of a warm-up, after which Speed is reached
+	WarmUpCallFactor  float64       // probability of an extra call for each call while it warms up; from 1 on: always
 }
 
 // Work is a request as the engine sees it.
 type Work struct {
 	ID     string
 	SizeKB float64
-	Parts  []float64 // work before, between and after its calls
+	Parts  []float64 // work before, between and after its calls to the back end
 }
 
-// RunOutcome says how a run ended.
+// RunOutcome is the outcome of a run.
 type RunOutcome uint8
 
 // The outcomes of runs.
@@ -44,33 +44,33 @@
 	RunInterrupted
 )
 
-// MachineObserver is notified of what happens on a machine.
+// MachineObserver is notified of events on a machine.
 type MachineObserver interface {
-	// Needs says that a run waits for a call.
+	// Needs reports that a run waits for its next call to the back end.
 	Needs(id string)
-	// Ended says that a run has ended.
+	// Ended reports that a run has ended.
 	Ended(id string, outcome RunOutcome)
-	// Died says that the machine crashed or was killed. Nothing follows.
+	// Died reports that the machine crashed or was killed. No other notification follows.
 	Died(why string)
 }
 
 const (
-	sampleInterval   = 100 * time.Millisecond // of gauges and of the limits on memory and concurrency
-	reservationDelay = 100 * time.Millisecond // until a queued request counts against the memory
-	cpuSamples       = 5                      // of the window of Gauges.CPU
+	sampleInterval   = 100 * time.Millisecond // at which gauges are measured and limits checked
+	reservationDelay = 100 * time.Millisecond // until the memory of a queued request counts
+	cpuSamples       = 5                      // length of the window of Gauges.CPU, in samples
 	minThrashAt      = 0.1
 )
 
-// run is a request that runs.
+// run is a request that the engine runs.
 type run struct {
 	Work
-	part         int  // index of the part that runs or runs next
-	job          *job // of that part; nil: it is not on the cores
+	part         int  // index of the current part, or of the next one while the run waits for a call
+	job          *job // job of the current part; nil: the run is not on the cores
 	waitsForCall bool
-	stopped      bool // nobody waits for its result: it ends at the next call
+	stopped      bool // it was canceled, and ends at its next call
 }
 
-// reservation is the memory of a queued request that does not count yet.
+// reservation is the memory of a queued request, which counts from countsFrom on.
 type reservation struct {
 	id         string
 	sizeKB     float64
@@ -84,17 +84,17 @@
 	observer            MachineObserver
 	cores               sharedProcessor
 	startedAt           time.Duration
-	cold                bool // it warms up from startedAt on
+	cold                bool // it started cold, and warms up from startedAt on
 	slowdown            float64
 	frozen              bool
-	reading             int
-	unread              []func()
+	reading             int      // requests that are being read
+	unread              []func() // backlog: the done functions of Read
 	runs                map[string]*run
-	pendingReservations []reservation // in the order of countsFrom
-	reserved            map[string]float64
-	memory              float64 // in KB
-	running             int     // runs on the cores
-	runningTime         float64 // integral of running, up to countedAt
+	pendingReservations []reservation      // ordered by countsFrom
+	reserved            map[string]float64 // memory of queued requests that counts, in KB
+	memory              float64            // in use, in KB
+	running             int                // runs that are on the cores
+	runningTime         float64            // integral of running over time, up to countedAt, in microseconds
 	countedAt           time.Duration
 	cpuWindow           slidingWindow
 	runningWindow       slidingWindow
@@ -102,7 +102,7 @@
 	dead                bool
 }
 
-// NewMachine starts a machine, cold or warmed up.
+// NewMachine returns a running machine, cold or warmed up.
 func NewMachine(clock virtualclock.Clock, spec MachineSpec, cold bool, observer MachineObserver) *Machine {
 	m := &Machine{
 		spec:          spec,
@@ -129,7 +129,7 @@
 	return m
 }
 
-// warmShare returns the share of its speed that the machine has reached.
+// warmShare returns the share of its full speed that the machine has reached.
 func (m *Machine) warmShare() float64 {
 	if !m.cold {
 		return 1
@@ -138,7 +138,7 @@
 	return min(m.spec.WarmUpSpeed+(1-m.spec.WarmUpSpeed)*elapsed, 1)
 }
 
-// speed returns the present speed of a core.
+// speed returns the current speed of a core.
 func (m *Machine) speed() float64 {
 	if m.frozen {
 		return 0
@@ -146,7 +146,7 @@
 	return m.spec.Speed * m.warmShare() / m.slowdown
 }
 
-// IsWarmingUp reports whether the machine has not reached its speed since its start.
+// IsWarmingUp reports whether the machine is still warming up after its start.
 func (m *Machine) IsWarmingUp() bool { return m.warmShare() < 1 }
 
 // SetSlowdown makes the machine slower by a factor of at least 1.
@@ -155,14 +155,14 @@
 	m.cores.setSpeed(m.speed())
 }
 
-// SetFrozen stops all work on the machine, or lets it go on.
+// SetFrozen stops all work on the machine or resumes it.
 func (m *Machine) SetFrozen(frozen bool) {
 	m.frozen = frozen
 	m.cores.setSpeed(m.speed())
 }
 
-// Read reads a request that has arrived: one per core at a time, the others wait in the backlog. It
-// reports whether the backlog had room; done is called once the request is read.
+// Read takes a request that has arrived. Each core reads one request at a time; the others wait in the
+// backlog. Read reports whether the backlog had room. done is called once the request is read.
 func (m *Machine) Read(done func()) bool {
 	if m.dead || len(m.unread) >= m.spec.Backlog*m.spec.Cores {
 		return false
@@ -186,7 +186,7 @@
 	}
 }
 
-// ReserveMemory reserves memory for a queued request. It counts after a short delay.
+// ReserveMemory reserves memory for a queued request. The memory counts as used reservationDelay later.
 func (m *Machine) ReserveMemory(id string, sizeKB float64) {
 	m.pendingReservations = append(m.pendingReservations, reservation{id, sizeKB, m.clock.Now() + reservationDelay})
 	m.reserved[id] = 0
@@ -199,7 +199,7 @@
 	delete(m.reserved, id)
 }
 
-// Run starts a request. It does nothing if the request runs already.
+// Run starts a run of a request. It does nothing if the request is already running.
 func (m *Machine) Run(w Work) {
 	if m.dead || m.runs[w.ID] != nil {
 		return
@@ -211,7 +211,7 @@
 	m.startPart(r)
 }
 
-// startPart puts the next part of a run on the cores.
+// startPart starts the next part of a run on the cores.
 func (m *Machine) startPart(r *run) {
 	work := 0.0
 	if r.part < len(r.Parts) {
@@ -221,7 +221,8 @@
 	r.job = m.cores.add(work, func() { m.endPart(r) })
 }
 
-// endPart ends a run, or makes it wait for its next call.
+// endPart ends a run after its last part or if it was canceled, and otherwise makes it wait for its next
+// call.
 func (m *Machine) endPart(r *run) {
 	r.job = nil
 	m.countRunning(-1)
@@ -243,7 +244,7 @@
 	m.observer.Ended(r.ID, outcome)
 }
 
-// countRunning changes the number of runs on the cores, and brings its integral up to now.
+// countRunning updates the integral of running and then changes the number of runs on the cores.
 func (m *Machine) countRunning(change int) {
 	now := m.clock.Now()
 	m.runningTime += float64(m.running) * virtualclock.Micros(now-m.countedAt)
@@ -259,7 +260,7 @@
 	}
 }
 
-// Stop cancels a run. It ends at its next call, or at once if it waits for one.
+// Stop cancels a run. The run ends at its next call, or at once if it waits for one.
 func (m *Machine) Stop(id string) {
 	r := m.runs[id]
 	if m.dead || r == nil || r.stopped {
@@ -277,7 +278,7 @@
 	})
 }
 
-// sample measures the gauges, and crashes the machine if a limit is exceeded.
+// sample measures the gauges, and crashes the machine if it exceeds its limit on memory or concurrency.
 func (m *Machine) sample() {
 	if m.dead {
 		return
@@ -294,17 +295,17 @@
 	meanRunning := runningTime / virtualclock.Micros(m.spec.ConcurrencyWindow)
 	switch {
 	case time.Duration(samples)*sampleInterval >= m.spec.ConcurrencyWindow && meanRunning > m.maxRunning():
-		m.Kill(fmt.Sprintf("crowd: %.1f running requests a core in the mean of %d ms",
+		m.Kill(fmt.Sprintf("concurrency: mean of %.1f running requests per core over %d ms",
 			meanRunning/float64(m.spec.Cores), m.spec.ConcurrencyWindow.Milliseconds()))
 	case m.memory > m.spec.MemoryKB:
-		m.Kill(fmt.Sprintf("memory: %.0f of %.0f kB", m.memory, m.spec.MemoryKB))
+		m.Kill(fmt.Sprintf("memory: %.0f kB in use of %.0f kB", m.memory, m.spec.MemoryKB))
 	default:
 		m.clock.After(sampleInterval, m.sample)
 	}
 }
 
-// maxRunning returns the mean of running requests that the machine survives. It rises from one per
-// core while the machine warms up.
+// maxRunning returns the highest mean of running requests that the machine survives. During a warm-up it
+// rises from one request per core to ConcurrencyLimit.
 func (m *Machine) maxRunning() float64 {
 	if m.cold {
 		return float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warmShare())
@@ -312,7 +313,7 @@
 	return m.spec.ConcurrencyLimit * float64(m.spec.Cores)
 }
 
-// countReservations counts the reservations whose time has come.
+// countReservations adds the reservations that are due to the memory in use.
 func (m *Machine) countReservations() {
 	due := 0
 	for ; due < len(m.pendingReservations) && m.pendingReservations[due].countsFrom <= m.clock.Now(); due++ {
@@ -325,7 +326,7 @@
 	m.pendingReservations = m.pendingReservations[due:]
 }
 
-// Kill ends the machine and all that runs on it. Its observer is notified once.
+// Kill ends the machine and all its work, and notifies the observer. Later calls do nothing.
 func (m *Machine) Kill(why string) {
 	if m.dead {
 		return
@@ -337,14 +338,14 @@
 	m.observer.Died(why)
 }
 
-// Gauges are measurements of a machine.
+// Gauges holds measurements of a machine.
 type Gauges struct {
 	CPU      float64 // share of the cores in use, 0 to 1
-	Runnable float64 // jobs on the cores and requests in the backlog
+	Runnable float64 // number of jobs on the cores and of requests in the backlog
 	Memory   float64 // share of the memory in use
 }
 
-// Gauges returns the present measurements.
+// Gauges returns the current measurements.
 func (m *Machine) Gauges() Gauges {
 	m.countReservations()
 	return Gauges{
--- a/internal/simulator/dependencies/machine_test.go
+++ b/internal/simulator/dependencies/machine_test.go
@@ -14,12 +14,12 @@
 
 const workPerSecond = 1e6 // of a core of speed 1
 
-// recordingObserver records its notifications, and makes no calls.
+// recordingObserver records the notifications that it gets.
 type recordingObserver struct {
 	clock *virtualclock.Scheduler
-	lines []string
+	lines []string // notifications, each with its time in milliseconds
 	ends  map[string]time.Duration
-	died  string
+	died  string // reason of Died
 }
 
 func (observer *recordingObserver) record(format string, v ...any) {
@@ -58,12 +58,12 @@
 		name string
 		runs int
 		with func(*MachineSpec)
-		want int64 // ms for runs of 100 ms each
+		want int64 // milliseconds that runs of 100 ms of work take
 	}{
-		{"one a core", 2, func(*MachineSpec) {}, 100},
-		{"two a core", 4, func(*MachineSpec) {}, 200},
+		{"one per core", 2, func(*MachineSpec) {}, 100},
+		{"two per core", 4, func(*MachineSpec) {}, 200},
 		{"fast", 2, func(s *MachineSpec) { s.Speed = 2 }, 50},
-		// 4 a core: 1.5 times as long
+		// 4 per core: 1.5 times as long as without contention
 		{"beyond the contention limit", 8, func(s *MachineSpec) { s.ThrashAt, s.Thrash = 2, 0.5 }, 600},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 				}
 			}
 			if len(observer.ends) != c.runs {
-				t.Errorf("%d of %d runs ended", len(observer.ends), c.runs)
+				t.Errorf("%d of %d runs ended, want all", len(observer.ends), c.runs)
 			}
 		})
 	}
@@ -94,12 +94,12 @@
 			accepted++
 		}
 	}
-	if accepted != 10 { // two that are read and eight in the backlog
-		t.Errorf("%d of 20 were accepted", accepted)
+	if accepted != 10 { // two that are being read and eight in the backlog
+		t.Errorf("%d of 20 requests were accepted, want 10", accepted)
 	}
 	clock.RunUntil(virtualclock.Origin + time.Second)
 	if observer.lines[0] != "10 read 0" || observer.lines[9] != "50 read 9" {
-		t.Errorf("%v", observer.lines)
+		t.Errorf("notifications = %v, want the first read at 10 ms and the tenth at 50 ms", observer.lines)
 	}
 }
 
@@ -109,12 +109,12 @@
 	m.Run(Work{ID: "b", Parts: []float64{10_000, 20_000}})
 	clock.RunUntil(virtualclock.Origin + 100*time.Millisecond)
 	m.Resume("a")
-	m.Resume("a") // it continues once
-	m.Stop("b")   // it waits for a call, and ends
+	m.Resume("a") // has no effect, as it no longer waits for a call
+	m.Stop("b")   // ends it at once, as it waits for a call
 	clock.RunUntil(virtualclock.Origin + time.Second)
 	want := []string{"10 a needs", "10 b needs", "100 b ended 2", "120 a ended 1"}
 	if diff := cmp.Diff(want, observer.lines); diff != "" || m.memory != 0 {
-		t.Fatalf("memory %v (-want +got)\n%s", m.memory, diff)
+		t.Fatalf("memory in use = %v kB, want 0; notifications (-want +got)\n%s", m.memory, diff)
 	}
 }
 
@@ -127,11 +127,11 @@
 		want string
 	}{
 		{
-			"crowd",
+			"concurrency",
 			13,
 			false,
 			func(*MachineSpec) {},
-			"crowd: 6.5 running requests a core in the mean of 2000 ms",
+			"concurrency: mean of 6.5 running requests per core over 2000 ms",
 		},
 		{"within the limit", 12, false, func(*MachineSpec) {}, ""},
 		{
@@ -139,9 +139,9 @@
 			8,
 			true,
 			func(s *MachineSpec) { s.WarmUpSpeed, s.WarmUpTime = 0.2, 18*time.Second },
-			"crowd: 4.0 running requests a core in the mean of 2000 ms",
+			"concurrency: mean of 4.0 running requests per core over 2000 ms",
 		},
-		{"memory", 4, false, func(s *MachineSpec) { s.MemoryKB = 900 }, "memory: 960 of 900 kB"},
+		{"memory", 4, false, func(s *MachineSpec) { s.MemoryKB = 900 }, "memory: 960 kB in use of 900 kB"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSpec()
@@ -152,14 +152,14 @@
 			}
 			clock.RunUntil(virtualclock.Origin + 3*time.Second)
 			if observer.died != c.want {
-				t.Fatalf("died of %q, want %q", observer.died, c.want)
+				t.Fatalf("reason of the end = %q, want %q", observer.died, c.want)
 			}
 		})
 	}
 }
 
-// A queued request counts from 0.1 s after its reservation, a running one eight times, and all is
-// released.
+// The memory of a queued request counts from 0.1 s after its reservation. A running request takes eight
+// times as much. All memory is released in the end.
 func TestMemoryIsReservedAndReleased(t *testing.T) {
 	m, _, clock := newTestMachine(testSpec(), false)
 	m.ReserveMemory("a", 50)
@@ -169,7 +169,7 @@
 	at := func(after time.Duration, want float64) {
 		t.Helper()
 		if clock.RunUntil(virtualclock.Origin + after); m.Gauges().Memory*1e6 != want {
-			t.Errorf("at %v %v kB are reserved, want %v", after, m.Gauges().Memory*1e6, want)
+			t.Errorf("memory in use after %v = %v kB, want %v", after, m.Gauges().Memory*1e6, want)
 		}
 	}
 	at(99*time.Millisecond, 0)
@@ -187,12 +187,12 @@
 	clock.After(50*time.Millisecond, func() { m.SetFrozen(true) })
 	clock.After(150*time.Millisecond, func() { m.SetFrozen(false); m.SetSlowdown(4) })
 	clock.RunUntil(virtualclock.Origin + time.Second)
-	// 50, frozen for 100, 50 at a quarter of the speed
+	// 50 ms at full speed, 100 ms frozen, then 50 ms of work at a quarter of the speed
 	if got := (observer.ends["a"] - virtualclock.Origin).Milliseconds(); got != 350 {
-		t.Fatalf("ended after %d ms", got)
+		t.Fatalf("run ended after %d ms, want 350", got)
 	}
 	if cpu := m.Gauges().CPU; cpu != 0 {
-		t.Fatalf("cpu %v when nothing runs", cpu)
+		t.Fatalf("CPU use = %v while nothing runs, want 0", cpu)
 	}
 }
 
@@ -200,17 +200,18 @@
 	s := testSpec()
 	s.WarmUpSpeed, s.WarmUpTime = 0.25, 4*time.Second
 	m, observer, clock := newTestMachine(s, true)
-	m.Run(Work{ID: "a", Parts: []float64{2.5 * workPerSecond}}) // the mean of 0.25 and 1 over four seconds
+	m.Run(Work{ID: "a", Parts: []float64{2.5 * workPerSecond}}) // 4 s at the mean of the speeds 0.25 and 1
 	clock.RunUntil(virtualclock.Origin + 10*time.Second)
 	if got := (observer.ends["a"] - virtualclock.Origin).Seconds(); math.Abs(got-4) > 0.1 {
-		t.Fatalf("took %.2f s", got)
+		t.Fatalf("run took %.2f s, want 4", got)
 	}
 	if m.IsWarmingUp() {
-		t.Fatal("still warming up")
+		t.Fatal("IsWarmingUp() = true after the warm-up, want false")
 	}
 }
 
-// Whatever runs, is stopped or frozen, the work of the cores is that of runs and reading.
+// The work that the cores do is the sum of the work of runs and of reading, also if runs are stopped and
+// the machine is frozen in between.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSpec()
@@ -234,15 +235,15 @@
 		}
 		clock.RunUntil(clock.Now() + 10*time.Second)
 		if len(m.runs) != 0 || len(observer.ends) == 0 || m.memory != 0 {
-			t.Fatalf("%d runs left, memory %v", len(m.runs), m.memory)
+			t.Fatalf("%d runs left, %v kB of memory in use; want none", len(m.runs), m.memory)
 		}
-		if got := m.WorkDone(); math.Abs(got-want) > 100 { // timers have whole microseconds
-			t.Fatalf("the cores did %v, runs and reading took %v", got, want)
+		if got := m.WorkDone(); math.Abs(got-want) > 100 { // timers fire at whole microseconds
+			t.Fatalf("work done by the cores = %v, want %v", got, want)
 		}
 	})
 }
 
-// coarseClock is a clock whose timers fire up to a millisecond late, as those of an event loop do.
+// coarseClock is a clock whose timers fire up to a millisecond late, like those of an event loop.
 type coarseClock struct{ *virtualclock.Scheduler }
 
 func (l coarseClock) After(d time.Duration, fn func()) virtualclock.Timer {
@@ -252,7 +253,7 @@
 	)
 }
 
-// A late timer makes other jobs no longer, and adds no work.
+// A timer that fires late neither delays other jobs nor adds work.
 func TestLateTimersAddNoWork(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		scheduler := virtualclock.New()
@@ -273,7 +274,8 @@
 		}
 		scheduler.RunUntil(virtualclock.Origin + 5*time.Second)
 		if got := m.WorkDone(); math.Abs(got-want) > 300 || len(observer.ends) != 200 {
-			t.Errorf("late %v: the cores did %.0f of %.0f, %d runs ended", late, got, want, len(observer.ends))
+			t.Errorf("late timers %v: work done = %.0f, want %.0f; %d runs ended, want 200",
+				late, got, want, len(observer.ends))
 		}
 	}
 }
--- a/internal/simulator/dependencies/processor.go
+++ b/internal/simulator/dependencies/processor.go
@@ -7,15 +7,15 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// job is work that shares a processor with other work.
+// job is a piece of work on a sharedProcessor.
 type job struct {
-	finishAt float64 // attained service at which it is done, in microseconds of work
-	seq      uint64  // order among jobs that are done at once
-	index    int     // in the heap; -1: it is off the processor
+	finishAt float64 // attained service at which the job is done, in microseconds of work
+	seq      uint64  // order among jobs with the same finishAt
+	index    int     // in the heap; -1: the job has left the processor
 	done     func()
 }
 
-// jobHeap orders jobs by their end.
+// jobHeap is a heap of jobs, the one that is done first on top.
 type jobHeap []*job
 
 // Len implements heap.Interface.
@@ -51,27 +51,27 @@
 	return j
 }
 
-// sharedProcessor models processor sharing: all jobs progress at one rate. A job is therefore done
-// once the service that each job has attained passes its finishAt, and one timer for the least of
-// them is enough for any number of jobs. Times and work are in microseconds.
+// sharedProcessor models a processor with processor sharing: all jobs progress at the same rate. A job is
+// done once the service that every job has attained since the start reaches its finishAt. One timer for
+// the lowest finishAt is therefore enough for any number of jobs. Times and work are in microseconds.
 type sharedProcessor struct {
 	clock           virtualclock.Clock
-	parallelism     float64 // jobs that progress at full speed
-	contentionLoss  float64 // relative loss for each further multiple of contentionFrom
-	contentionFrom  float64 // jobs beyond which they slow each other down
-	speed           float64 // of a job at full speed, in work per time; 0 stops all
-	attainedService float64 // work done for each job since the start
+	parallelism     float64 // number of jobs that can progress at full speed
+	contentionLoss  float64 // relative slowdown for each multiple of contentionFrom beyond the first
+	contentionFrom  float64 // number of jobs beyond which jobs slow each other down
+	speed           float64 // full speed of a job, in work per time; 0 stops all jobs
+	attainedService float64 // work done for each job since the start of the processor
 	advancedTo      float64 // time up to which the state is computed
 	jobs            jobHeap
-	finished        []*job // done, and not yet notified
+	finished        []*job // done, but done functions not called yet
 	seq             uint64
 	timer           virtualclock.Timer
-	busyTime        float64 // integral of the parallelism in use
-	jobTime         float64 // integral of the number of jobs
-	workDone        float64
+	busyTime        float64 // integral over time of the parallelism in use
+	jobTime         float64 // integral over time of the number of jobs
+	workDone        float64 // by all jobs together
 }
 
-// rate returns the work per time that each job progresses.
+// rate returns the rate at which each job progresses, in work per time.
 func (s *sharedProcessor) rate() float64 {
 	n := float64(len(s.jobs))
 	if n == 0 {
@@ -84,8 +84,8 @@
 	return rate
 }
 
-// advance computes the state at the present. A job that was done in the meantime left the processor
-// at its time, however late the timer fires: on sockets it may be a millisecond late.
+// advance brings the state up to the present. A job that was done in the meantime leaves the processor at
+// the time at which it was done, even if the timer fires late: on sockets it may be a millisecond late.
 func (s *sharedProcessor) advance() {
 	now := virtualclock.Micros(s.clock.Now())
 	for s.advancedTo < now {
@@ -110,14 +110,14 @@
 	}
 }
 
-// finishNext takes the job that is done first off the processor.
+// finishNext removes the job with the lowest finishAt from the processor.
 func (s *sharedProcessor) finishNext() {
 	j := heap.Pop(&s.jobs).(*job)
 	s.attainedService = max(s.attainedService, j.finishAt)
 	s.finished = append(s.finished, j)
 }
 
-// schedule sets the timer for the next job that is done.
+// schedule sets the timer to the time at which the next job is done.
 func (s *sharedProcessor) schedule() {
 	if s.timer != nil {
 		s.timer.Stop()
@@ -135,7 +135,7 @@
 	s.timer = s.clock.After(remaining+time.Microsecond, s.onTimer)
 }
 
-// onTimer notifies the jobs that are done.
+// onTimer calls the done functions of the jobs that are done.
 func (s *sharedProcessor) onTimer() {
 	s.timer = nil
 	s.advance()
@@ -149,7 +149,7 @@
 	s.schedule()
 }
 
-// add starts a job and returns it. done is called once it is done.
+// add starts a job and returns it. done is called when the job is done.
 func (s *sharedProcessor) add(work float64, done func()) *job {
 	s.advance()
 	s.seq++
@@ -159,8 +159,8 @@
 	return j
 }
 
-// remove takes a job off the processor without notifying it. A job that is done just now is not
-// notified either.
+// remove removes a job from the processor. Its done function is not called, not even if the job is done
+// at this very time.
 func (s *sharedProcessor) remove(j *job) {
 	j.done = nil
 	s.advance()
@@ -180,7 +180,7 @@
 	s.schedule()
 }
 
-// clear removes all jobs.
+// clear removes all jobs without calling their done functions.
 func (s *sharedProcessor) clear() {
 	s.advance()
 	for _, j := range s.jobs {
--- a/internal/simulator/dependencies/registry.go
+++ b/internal/simulator/dependencies/registry.go
@@ -9,18 +9,21 @@
 // reportLifetime is how long a runner stays listed after its last report.
 const reportLifetime = 3 * time.Second
 
-// Registry lists runners as long as they report. Its watchers learn of a change after a delay.
+// Registry models the registry: it lists runners as long as they report. Watchers learn of changes of
+// the list after a delay.
 type Registry struct {
 	clock    virtualclock.Clock
 	entries  map[string]*entry
 	watchers []watcher
 }
 
+// entry is the state of a runner that has reported.
 type entry struct {
 	listed bool
-	timer  virtualclock.Timer // of the report's lifetime
+	timer  virtualclock.Timer // expiry of the last report
 }
 
+// watcher is a recipient of changes.
 type watcher struct {
 	delay  func() time.Duration
 	notify func(name string, listed bool)
@@ -31,13 +34,13 @@
 	return &Registry{clock: clock, entries: map[string]*entry{}}
 }
 
-// Watch calls notify for each change of the list, after a delay that is asked for each time. notify
-// gets the state at the time of the call, not of the change.
+// Watch calls notify for each change of the list. The delay of each notification is obtained from delay.
+// notify gets the state at the time of the notification, not at the time of the change.
 func (r *Registry) Watch(delay func() time.Duration, notify func(name string, listed bool)) {
 	r.watchers = append(r.watchers, watcher{delay, notify})
 }
 
-// Report lists a runner for the lifetime of a report.
+// Report lists a runner for reportLifetime.
 func (r *Registry) Report(name string) {
 	e := r.entries[name]
 	if e == nil {
--- a/internal/simulator/dependencies/registry_test.go
+++ b/internal/simulator/dependencies/registry_test.go
@@ -26,10 +26,10 @@
 	registry.Report("n2")
 	registry.Deregister("n2")
 	clock.RunUntil(virtualclock.Origin + 20*time.Second)
-	// n2 was listed and removed before a watcher learned of it; n1 expires 3 s after its last report,
-	// of which the watcher learns 2 s later.
+	// n2 was listed and removed before the watcher was notified of either change. n1 expires 3 s after its
+	// last report, and the watcher is notified 2 s after that.
 	want := []string{"2 n1 true", "6 n2 false", "6 n2 false", "9 n1 false"}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Fatalf("(-want +got)\n%s", diff)
+		t.Fatalf("notifications (-want +got)\n%s", diff)
 	}
 }
