--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -1,10 +1,10 @@
-// Package balance models the load balancers in front of the runners: it chooses a server for each
-// attempt, times attempts out, retries and hedges, ejects and checks servers, and observes their
-// advice, as its Behavior configures. It does no I/O: package fleet runs it in virtual time, and
-// package daytest on sockets.
+// Package balance models the load balancers in front of the runners. A balancer chooses a server for each
+// attempt, limits the time of attempts, retries and hedges requests, health-checks and ejects servers, and
+// follows their advice, all as its Behavior configures. The package does no I/O: package fleet runs it in
+// virtual time, and package daytest on sockets.
 //
-// Each submitted request is finished exactly once. The state of a server comes from the endpoint list,
-// the balancer's own health checks, load reports and the server's answers alone.
+// Each submitted request is finished exactly once. All that a balancer knows of a server comes from the
+// endpoint list, its own health checks, load reports and the server's answers.
 package balance
 
 import (
@@ -15,44 +15,44 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// pendingRequest is a request that is not finished.
+// pendingRequest is the state of a request until it is finished.
 type pendingRequest struct {
 	*Request
 	startedAt     time.Duration
-	attempts      int
-	active        []*Attempt
-	tried         map[int]bool       // servers, in this round of the list
-	lastOutcome   Outcome            // of the attempts so far
-	deadlineTimer virtualclock.Timer // nil: it is finished
-	hedged        bool
+	attempts      int                // attempts sent so far
+	active        []*Attempt         // attempts that are neither answered nor aborted
+	tried         map[int]bool       // servers tried in the current round of the list
+	lastOutcome   Outcome            // of the latest attempt that ended; 0: none has
+	deadlineTimer virtualclock.Timer // nil: the request is finished
+	hedged        bool               // the hedged attempt was scheduled
 	retryTimer    virtualclock.Timer
-	sameServer    int // to which the next attempt goes; anyServer: any
+	sameServer    int // server of the next attempt, or anyServer
 }
 
 // Values in place of the index of a server.
 const (
-	anyServer = -1 // no particular one is required
-	noServer  = -1 // none is eligible
+	anyServer = -1 // the attempt may go to any server
+	noServer  = -1 // no server is eligible
 )
 
-// server is the state of a server as this balancer sees it.
+// server is what the balancer knows of a server.
 type server struct {
 	listed       bool
 	inSubset     bool
 	weight       float64
-	outstanding  int
-	credit       float64
-	creditAt     time.Duration // 0: it never advertised any
-	avoidUntil   time.Duration
-	failures     int // consecutive
+	outstanding  int           // attempts that are not answered
+	credit       float64       // last advertised credit, in requests
+	creditAt     time.Duration // time of that advertisement; 0: none so far
+	avoidUntil   time.Duration // end of the last Retry-After
+	failures     int           // consecutive failed attempts
 	ejectedUntil time.Duration
-	failedChecks int     // consecutive
-	latency      float64 // moving average in microseconds; 0: unknown
-	load         float64 // as reported
-	checking     bool
+	failedChecks int     // consecutive failed health checks
+	latency      float64 // moving average, in microseconds; 0: unknown
+	load         float64 // last reported load
+	checking     bool    // a health check is under way
 }
 
-// Stats counts what a balancer did.
+// Stats holds the counters of a balancer.
 type Stats struct{ Requests, Attempts, Hedged, Aborted, Ejections, Unsent, Throttled int }
 
 // Balancer is a load balancer. It is not safe for concurrent use.
@@ -62,25 +62,26 @@
 	transport      Transport
 	draw           Draw
 	servers        []server
-	nextServer     int // of RoundRobin
-	retryTokens    float64
-	recentRequests float64 // decaying count, for the throttle
+	nextServer     int     // index from which RoundRobin goes on
+	retryTokens    float64 // retries that the budget allows
+	recentRequests float64 // exponentially decaying count, for the throttle
 	recentServed   float64 // likewise
 	decayedAt      time.Duration
-	eligible       []int // scratch space of choose
+	eligible       []int // scratch space of choose, reused between calls
 	Stats          Stats
 }
 
 const (
-	unhealthyAfterChecks = 2   // consecutive failed health checks
-	latencyWeight        = 0.2 // of the newest sample in the moving average
+	unhealthyAfterChecks = 2   // consecutive failed health checks after which a server is unhealthy
+	latencyWeight        = 0.2 // weight of the newest sample in the moving average of the latency
 	maxRetryTokens       = 10.0
-	throttleDecay        = 10 * time.Second // time constant of the counts
+	throttleDecay        = 10 * time.Second // time constant of recentRequests and recentServed
 	minRetryPause        = time.Millisecond
 	minFailureLatency    = time.Second // a failed attempt counts as at least this slow
 )
 
-// New returns a balancer for n servers, none of which is listed. The name selects its subset.
+// New returns a balancer for n servers, none of which is listed yet. Its name determines its subset of the
+// servers and the start of RoundRobin.
 func New(
 	name uint64,
 	n int,
@@ -113,7 +114,7 @@
 	return b
 }
 
-// chooseSubset restricts the balancer to the servers with the highest scores for its name.
+// chooseSubset restricts the balancer to the SubsetSize servers with the highest scores for its name.
 func (b *Balancer) chooseSubset(name uint64) {
 	if b.behavior.SubsetSize <= 0 || b.behavior.SubsetSize >= len(b.servers) {
 		return
@@ -129,7 +130,8 @@
 	}
 }
 
-// SetListed adds server i to the endpoint list or removes it. Its attempts go on.
+// SetListed adds server i to the endpoint list or removes it. A change resets what the balancer has learned
+// of the server; outstanding attempts go on.
 func (b *Balancer) SetListed(i int, listed bool) {
 	s := &b.servers[i]
 	if s.listed == listed {
@@ -147,13 +149,13 @@
 // SetWeight sets the weight of server i for WeightedRandom.
 func (b *Balancer) SetWeight(i int, weight float64) { b.servers[i].weight = max(weight, 0) }
 
-// Report takes a load report of server i.
+// Report records a load report of server i.
 func (b *Balancer) Report(i int, load float64) { b.servers[i].load = load }
 
 // Outstanding returns the number of attempts at server i that are not answered.
 func (b *Balancer) Outstanding(i int) int { return b.servers[i].outstanding }
 
-// Checked takes the result of a health check of server i.
+// Checked records the result of a health check of server i.
 func (b *Balancer) Checked(i int, healthy bool) {
 	s := &b.servers[i]
 	s.checking = false
@@ -164,8 +166,8 @@
 	}
 }
 
-// startCheck starts a health check of server i and schedules the next one. A check that has not
-// ended by then has failed.
+// startCheck starts a health check of server i and schedules the next one. If the previous check has not
+// ended, it counts as failed and no other one is started.
 func (b *Balancer) startCheck(i int) {
 	b.clock.After(b.behavior.HealthCheckInterval, func() { b.startCheck(i) })
 	s := &b.servers[i]
@@ -180,7 +182,7 @@
 	b.transport.Check(i)
 }
 
-// Submit takes over a request.
+// Submit accepts a request, which is finished by its deadline at the latest.
 func (b *Balancer) Submit(r *Request) {
 	p := &pendingRequest{Request: r, startedAt: b.clock.Now(), tried: map[int]bool{}, sameServer: anyServer}
 	b.Stats.Requests++
@@ -194,8 +196,8 @@
 	b.send(p)
 }
 
-// isThrottled reports whether a request is dropped, with a probability that grows with the share of
-// recent requests that were not served.
+// isThrottled decides whether a request is dropped. The probability grows with the share of recent requests
+// that were not served.
 func (b *Balancer) isThrottled(r *Request) bool {
 	if b.behavior.ThrottleFactor <= 0 {
 		return false
@@ -209,7 +211,7 @@
 	return b.draw(r.ID, 0, drawThrottle) < excess/(b.recentRequests+1)
 }
 
-// send sends the next attempt of a request, or handles that no server is eligible.
+// send sends the next attempt of a request if a server is eligible for it.
 func (b *Balancer) send(p *pendingRequest) {
 	i := b.choose(p)
 	if i == noServer {
@@ -219,7 +221,7 @@
 	b.sendAttempt(b.newAttempt(p, i))
 }
 
-// sendHedged sends an attempt beside the one that is active, if a server is eligible.
+// sendHedged sends the hedged attempt of a request if a server is eligible for it.
 func (b *Balancer) sendHedged(p *pendingRequest) {
 	i := b.choose(p)
 	if i == noServer {
@@ -254,7 +256,7 @@
 	b.transport.Send(attempt)
 }
 
-// startTimeout starts the timeout of an attempt, if it ends before the request's deadline.
+// startTimeout starts the timer of the attempt's timeout, unless the request's deadline comes first.
 func (b *Balancer) startTimeout(attempt *Attempt) {
 	p := attempt.pending
 	timeout := scale(p.Deadline, b.behavior.AttemptTimeout)
@@ -277,7 +279,8 @@
 	})
 }
 
-// handleNoServer deals with a request for which no server is left in this round of the list.
+// handleNoServer handles a request for which no server is eligible. With RetryUnlimited, another round of
+// the list starts after a pause if a server was tried in this one. Otherwise the request is finished.
 func (b *Balancer) handleNoServer(p *pendingRequest) {
 	if len(p.tried) == 0 {
 		if p.lastOutcome == 0 {
@@ -300,7 +303,7 @@
 	p.retryTimer = b.clock.After(pause, func() { b.send(p) })
 }
 
-// attemptTimedOut ends an attempt whose timeout has passed.
+// attemptTimedOut aborts an attempt at its timeout, counts it as a failure and retries the request.
 func (b *Balancer) attemptTimedOut(attempt *Attempt) {
 	if attempt.closed {
 		return
@@ -311,8 +314,8 @@
 	b.retry(attempt, Failed)
 }
 
-// Answered takes the answer to an attempt. Of an attempt that was aborted only the advertised credit
-// counts.
+// Answered handles the answer to an attempt. Of an answer to an aborted attempt, only the advertised credit
+// is used.
 func (b *Balancer) Answered(attempt *Attempt, a Answer) {
 	s, now := &b.servers[attempt.Server], b.clock.Now()
 	if a.AdvertisedValue >= 0 && b.behavior.FollowsAdvice {
@@ -338,7 +341,7 @@
 	}
 }
 
-// rejected deals with an attempt that its server rejected.
+// rejected handles an attempt that the server rejected.
 func (b *Balancer) rejected(attempt *Attempt, a Answer) {
 	p := attempt.pending
 	if b.behavior.FollowsAdvice && a.RetryAfter > 0 {
@@ -354,7 +357,7 @@
 	b.retry(attempt, Rejected)
 }
 
-// observeLatency adds a sample to the moving average.
+// observeLatency adds a sample to the moving average of the latency.
 func (s *server) observeLatency(latency time.Duration) {
 	sample := virtualclock.Micros(latency)
 	if s.latency == 0 {
@@ -363,7 +366,8 @@
 	s.latency += latencyWeight * (sample - s.latency)
 }
 
-// recordFailure counts a failed attempt against its server, and ejects the server after enough.
+// recordFailure records a failed attempt at its server, and ejects the server after EjectAfterFailures
+// consecutive ones.
 func (b *Balancer) recordFailure(attempt *Attempt) {
 	s, now := &b.servers[attempt.Server], b.clock.Now()
 	s.failures++
@@ -375,7 +379,7 @@
 	}
 }
 
-// closeAttempt removes an attempt from its request and its server.
+// closeAttempt marks an attempt as closed and removes it from its request and its server.
 func (b *Balancer) closeAttempt(attempt *Attempt) {
 	attempt.closed = true
 	b.servers[attempt.Server].outstanding--
@@ -387,19 +391,19 @@
 	}
 }
 
-// abort closes an attempt that has no answer.
+// abort closes an attempt that is not answered and cancels it at its server.
 func (b *Balancer) abort(attempt *Attempt) {
 	b.closeAttempt(attempt)
 	b.Stats.Aborted++
 	b.transport.Abort(attempt)
 }
 
-// retry decides what follows an attempt that was not served. After a failure the request may have
-// run: it is then retried only if it is idempotent, by itself or by its key.
+// retry decides whether and how a request is retried after an attempt that was not served. After a failed
+// attempt the request may have run; it is then retried only if it is idempotent, by itself or by its key.
 func (b *Balancer) retry(attempt *Attempt, kind Kind) {
 	p := attempt.pending
 	mayHaveRun := kind == Failed
-	if len(p.active) > 0 || p.deadlineTimer == nil { // the hedged attempt may still be served
+	if len(p.active) > 0 || p.deadlineTimer == nil { // another attempt may still be served, or the request is finished
 		return
 	}
 	if mayHaveRun && !p.Idempotent && !p.Keyed {
@@ -427,7 +431,7 @@
 	}
 }
 
-// takeRetryToken reports whether a bounded retry is allowed, and takes it from the budget.
+// takeRetryToken reports whether a bounded retry is allowed, and if so takes a token from the budget.
 func (b *Balancer) takeRetryToken(p *pendingRequest) bool {
 	if p.attempts >= b.behavior.MaxAttempts {
 		return false
@@ -442,7 +446,7 @@
 	return true
 }
 
-// finish ends a request for its client, once, and aborts its attempts.
+// finish finishes a request for its client and aborts its active attempts. Later calls do nothing.
 func (b *Balancer) finish(p *pendingRequest, outcome Outcome, by *Attempt) {
 	if p.deadlineTimer == nil {
 		return
--- a/internal/simulator/balance/balance_test.go
+++ b/internal/simulator/balance/balance_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, c := range []struct {
 		policy Policy
-		first  func(counts []int) bool
+		wanted func(counts []int) bool // by server
 	}{
 		{RoundRobin, func(n []int) bool { return n[0] == 20 && n[1] == 20 && n[2] == 20 }},
 		{LeastRequests, func(n []int) bool { return n[0] < 5 }},
@@ -43,8 +43,8 @@
 			for _, i := range transport.servers() {
 				counts[i]++
 			}
-			if !c.first(counts) {
-				t.Fatalf("requests at the servers: %v", counts)
+			if !c.wanted(counts) {
+				t.Fatalf("requests by server = %v, which is not as the policy spreads them", counts)
 			}
 		})
 	}
@@ -59,10 +59,10 @@
 	transport.balancer.Submit(&Request{ID: 1, Deadline: 200 * time.Millisecond})
 	transport.clock.RunUntil(virtualclock.Origin + time.Second)
 	if diff := cmp.Diff([]int{0, 1, 2}, transport.servers()[:3]); diff != "" {
-		t.Errorf("first round (-want +got)\n%s", diff)
+		t.Errorf("servers of the first round (-want +got)\n%s", diff)
 	}
 	if n := len(transport.sent); n < 10 || n > 12 {
-		t.Errorf("%d attempts in four rounds of three", n)
+		t.Errorf("%d attempts, want four rounds of three", n)
 	}
 	if diff := cmp.Diff([]Outcome{EndTimedOut}, transport.outcomes[1]); diff != "" {
 		t.Errorf("outcomes (-want +got)\n%s", diff)
@@ -77,7 +77,7 @@
 	)
 	transport.submit(1, Request{Idempotent: true})
 	if len(transport.sent) != 3 || transport.outcomes[1][0] != EndFailed {
-		t.Fatalf("%d attempts, outcomes %v", len(transport.sent), transport.outcomes)
+		t.Fatalf("%d attempts, want 3; outcomes = %v, want a failure", len(transport.sent), transport.outcomes)
 	}
 	transport = newBalancerWithServers(
 		4,
@@ -91,9 +91,9 @@
 		answerWith(Failed, time.Millisecond),
 	)
 	transport.submit(200, Request{Idempotent: true})
-	// a tenth of 200, and the ten of the initial budget
+	// a tenth of 200, and the initial budget of ten
 	if retries := len(transport.sent) - 200; retries < 25 || retries > 31 {
-		t.Fatalf("%d retries of 200 requests with a budget of a tenth", retries)
+		t.Fatalf("%d retries of 200 requests with a retry budget of a tenth, want 25 to 31", retries)
 	}
 }
 
@@ -120,7 +120,7 @@
 			)
 			transport.submit(1, c.r)
 			if diff := cmp.Diff(c.want, transport.servers()); diff != "" {
-				t.Fatalf("(-want +got)\n%s", diff)
+				t.Fatalf("servers of the attempts (-want +got)\n%s", diff)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 		transport.sent,
 	) < 9 || transport.aborts != len(transport.sent) || transport.outcomes[1][0] != EndTimedOut {
 		t.Fatalf(
-			"%d attempts, %d aborted, outcomes %v",
+			"%d attempts, want at least 9; %d aborted, want all; outcomes = %v, want a timeout",
 			len(transport.sent),
 			transport.aborts,
 			transport.outcomes,
@@ -146,7 +146,8 @@
 	}
 }
 
-// The first of two answers counts, and the other attempt is aborted.
+// A slow idempotent request is hedged at another server. The first of the two answers counts, and the other
+// attempt is aborted. A keyed request is not hedged.
 func TestHedgedRequestGoesToAnotherServer(t *testing.T) {
 	transport := newBalancerWithServers(2, Behavior{
 		Policy:     RoundRobin,
@@ -164,7 +165,8 @@
 		[]int{0, 1},
 		transport.servers(),
 	); diff != "" || transport.aborts != 1 || len(transport.outcomes[1]) != 1 {
-		t.Fatalf("%d aborted, outcomes %v (-want +got)\n%s", transport.aborts, transport.outcomes, diff)
+		t.Fatalf("%d aborted, outcomes = %v, want one of each; servers (-want +got)\n%s",
+			transport.aborts, transport.outcomes, diff)
 	}
 	transport = newBalancerWithServers(
 		2,
@@ -173,7 +175,7 @@
 	)
 	transport.submit(1, Request{Keyed: true})
 	if transport.clock.RunUntil(virtualclock.Origin + time.Second); len(transport.sent) != 1 {
-		t.Fatalf("a keyed request was sent %d times", len(transport.sent))
+		t.Fatalf("a keyed request was sent %d times, want 1", len(transport.sent))
 	}
 }
 
@@ -191,11 +193,11 @@
 	})
 	transport.submit(5, Request{Idempotent: true})
 	if len(transport.sent) != 1 || transport.outcomes[2][0] != EndUnsent {
-		t.Fatalf("%d sent, outcomes %v", len(transport.sent), transport.outcomes)
+		t.Fatalf("%d attempts, want 1; outcomes = %v, want the others unsent", len(transport.sent), transport.outcomes)
 	}
 	transport.submit(1, Request{Idempotent: true})
 	if len(transport.sent) != 2 {
-		t.Fatalf("%d sent after the time was over", len(transport.sent))
+		t.Fatalf("%d attempts after Retry-After has passed, want 2", len(transport.sent))
 	}
 }
 
@@ -219,7 +221,7 @@
 		)
 		transport.submit(1, Request{Idempotent: true})
 		if want := map[bool]int{true: 1, false: 3}[follows]; len(transport.sent) != want {
-			t.Fatalf("follows advice %v: %d attempts, want %d", follows, len(transport.sent), want)
+			t.Fatalf("FollowsAdvice %v: %d attempts, want %d", follows, len(transport.sent), want)
 		}
 	}
 }
@@ -236,16 +238,17 @@
 	)
 	transport.submit(30, Request{Idempotent: true})
 	if out := transport.balancer.Outstanding(0); out < 2 || out > 3 {
-		t.Fatalf("%d outstanding at a credit of 2.5", out)
+		t.Fatalf("%d attempts outstanding at a credit of 2.5, want 2 or 3", out)
 	}
 	transport.clock.RunUntil(transport.clock.Now() + 2*time.Second) // the credit has expired
 	transport.submit(10, Request{Idempotent: true})
 	if out := transport.balancer.Outstanding(0); out != 10 {
-		t.Fatalf("%d outstanding after the credit expired, want all 10", out)
+		t.Fatalf("%d attempts outstanding after the credit expired, want 10", out)
 	}
 }
 
-// If all servers are ejected, none is avoided.
+// A server that fails is ejected after five failures, so that later requests go to the other one. If all
+// servers are ejected, none is avoided.
 func TestFailingServersAreEjected(t *testing.T) {
 	failAt := func(failing ...int) func(*Attempt) (Answer, time.Duration) {
 		return func(attempt *Attempt) (Answer, time.Duration) {
@@ -266,7 +269,7 @@
 	transport := newBalancerWithServers(2, h, failAt(0))
 	transport.submit(100, Request{Idempotent: true})
 	if n := len(transport.outcomes); n != 100 || transport.balancer.Stats.Ejections != 1 {
-		t.Fatalf("%d outcomes, %d ejections", n, transport.balancer.Stats.Ejections)
+		t.Fatalf("%d requests finished, want 100; %d ejections, want 1", n, transport.balancer.Stats.Ejections)
 	}
 	lost := 0
 	for _, e := range transport.outcomes {
@@ -275,12 +278,12 @@
 		}
 	}
 	if lost != 5 {
-		t.Fatalf("%d failed at a server that is ejected after five", lost)
+		t.Fatalf("%d requests failed, want the 5 before the ejection", lost)
 	}
 	transport = newBalancerWithServers(2, h, failAt(0, 1))
 	transport.submit(40, Request{Idempotent: true})
 	if len(transport.sent) != 40 {
-		t.Fatalf("%d of 40 sent with all servers ejected", len(transport.sent))
+		t.Fatalf("%d of 40 requests sent with all servers ejected, want all", len(transport.sent))
 	}
 }
 
@@ -300,7 +303,7 @@
 	transport.submit(10, Request{Idempotent: true})
 	for _, i := range transport.servers() {
 		if i != 1 {
-			t.Fatalf("requests at %v though server 0 fails its checks", transport.servers())
+			t.Fatalf("servers of the attempts = %v, want only 1, as 0 fails its checks", transport.servers())
 		}
 	}
 }
@@ -313,7 +316,7 @@
 	)
 	transport.submit(300, Request{Idempotent: true})
 	if n := len(transport.sent); n > 60 {
-		t.Fatalf("%d of 300 sent to a server that rejects all", n)
+		t.Fatalf("%d of 300 requests sent to a server that rejects all, want at most 60", n)
 	}
 	transport = newBalancerWithServers(
 		1,
@@ -322,12 +325,12 @@
 	)
 	transport.submit(300, Request{Idempotent: true})
 	if n := len(transport.sent); n != 300 {
-		t.Fatalf("%d of 300 sent to a server that serves all", n)
+		t.Fatalf("%d of 300 requests sent to a server that serves all, want all", n)
 	}
 }
 
 func TestConsistentHashMovesOnlyKeysOfTheRemovedServer(t *testing.T) {
-	at := func(removed int) map[uint64]int {
+	serversByKey := func(removed int) map[uint64]int {
 		transport := newBalancerWithServers(
 			10,
 			Behavior{Policy: ConsistentHash, Retry: RetryNever},
@@ -340,21 +343,22 @@
 			transport.balancer.Submit(&Request{ID: k, Key: k, Deadline: time.Second, Idempotent: true})
 		}
 		got := map[uint64]int{}
-		for _, try := range transport.sent {
-			got[try.Request.Key] = try.Server
+		for _, attempt := range transport.sent {
+			got[attempt.Request.Key] = attempt.Server
 		}
 		return got
 	}
-	before, after := at(-1), at(3)
+	before, after := serversByKey(-1), serversByKey(3)
 	for k, i := range before {
 		if i != 3 && after[k] != i || after[k] == 3 {
-			t.Fatalf("key %d moved from %d to %d when server 3 left", k, i, after[k])
+			t.Fatalf("key %d moved from server %d to %d when server 3 was removed", k, i, after[k])
 		}
 	}
 }
 
-// Whatever servers answer, and however the list changes: no unlisted server gets an attempt, the
-// bound on attempts holds, and in the end no attempt is outstanding.
+// With random answers and changes of the endpoint list, each request is finished exactly once by its
+// deadline, no attempt goes to a server that is not listed, the bound on attempts holds, and no attempt is
+// outstanding after the last deadline.
 func TestEachRequestIsFinishedOnceWithinItsDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, n := drawBehavior(t), rapid.IntRange(1, 5).Draw(t, "servers")
@@ -382,12 +386,13 @@
 		transport.clock.RunUntil(transport.clock.Now() + 200*time.Millisecond)
 		for i := range count {
 			if ends := transport.outcomes[uint64(i+1)]; len(ends) != 1 {
-				t.Fatalf("request %d was finished %d times: %v", i+1, len(ends), ends)
+				t.Fatalf("request %d was finished %d times, want once; outcomes = %v", i+1, len(ends), ends)
 			}
 		}
 		for i := range n {
 			if transport.balancer.Outstanding(i) != 0 {
-				t.Fatalf("%d outstanding at server %d in the end", transport.balancer.Outstanding(i), i)
+				t.Fatalf("%d attempts outstanding at server %d after all requests are finished, want 0",
+					transport.balancer.Outstanding(i), i)
 			}
 		}
 	})
--- a/internal/simulator/balance/policy.go
+++ b/internal/simulator/balance/policy.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rendezvousScore is the score of a server for a key. The server with the highest score has the key,
-// so that few keys move when servers come and go.
+// rendezvousScore returns the score of a server for a key in rendezvous hashing: the server with the highest
+// score gets the key, so that few keys move when servers are added or removed.
 func rendezvousScore(key uint64, server int) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], key)
@@ -16,8 +16,8 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// choose returns the server of the next attempt, or noServer. If no server is healthy,
-// health does not count.
+// choose returns the server of the next attempt, or noServer. If no server is healthy, unhealthy ones are
+// eligible.
 func (b *Balancer) choose(p *pendingRequest) int {
 	if i := p.sameServer; i >= 0 && b.servers[i].listed {
 		return i
@@ -39,7 +39,7 @@
 	return b.pick(p)
 }
 
-// isAvailable reports whether server i is listed, in the subset and, with healthyOnly, neither
+// isAvailable reports whether server i is listed and in the subset. With healthyOnly, it must also be neither
 // ejected nor failing its health checks.
 func (b *Balancer) isAvailable(i int, healthyOnly bool) bool {
 	s := &b.servers[i]
@@ -58,8 +58,8 @@
 	return false
 }
 
-// hasCapacity reports whether server i takes one more request, by the advice that this balancer
-// follows. The fraction of a credit is the probability of one more.
+// hasCapacity reports whether server i may get one more request by its advice, if the balancer follows
+// advice. The fractional part of a credit is the probability of one more request.
 func (b *Balancer) hasCapacity(i int, p *pendingRequest) bool {
 	s := &b.servers[i]
 	now := b.clock.Now()
@@ -99,7 +99,7 @@
 	}
 }
 
-// pickLeast returns the server with the lowest value; ties are broken from a random start.
+// pickLeast returns the eligible server with the lowest value. Ties go to the first one from a random start.
 func (b *Balancer) pickLeast(p *pendingRequest, value func(s *server) float64) int {
 	count := len(b.eligible)
 	start := int(b.draw(p.ID, p.attempts, drawFirst) * float64(count))
@@ -129,7 +129,7 @@
 	return i
 }
 
-// pickWeighted draws a server by the weights.
+// pickWeighted draws an eligible server with a probability proportional to its weight.
 func (b *Balancer) pickWeighted(p *pendingRequest) int {
 	sum := 0.0
 	for _, i := range b.eligible {
@@ -145,7 +145,7 @@
 	return b.eligible[len(b.eligible)-1]
 }
 
-// pickByKey returns the server with the highest score for the request's key.
+// pickByKey returns the eligible server with the highest score for the request's key.
 func (b *Balancer) pickByKey(p *pendingRequest) int {
 	best := b.eligible[0]
 	for _, i := range b.eligible[1:] {
@@ -156,7 +156,7 @@
 	return best
 }
 
-// pickNext returns the next server in the order of the list.
+// pickNext returns the next eligible server in the order of the list.
 func (b *Balancer) pickNext() int {
 	best := b.eligible[0]
 	for _, i := range b.eligible {
--- a/internal/simulator/balance/transport_test.go
+++ b/internal/simulator/balance/transport_test.go
@@ -8,15 +8,15 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// scriptedTransport records what it is asked to do and answers by a function.
+// scriptedTransport records the calls of a balancer and answers attempts by a function.
 type scriptedTransport struct {
 	clock    *virtualclock.Scheduler
 	balancer *Balancer
-	answer   func(attempt *Attempt) (Answer, time.Duration) // and its delay; negative: never
+	answer   func(attempt *Attempt) (Answer, time.Duration) // and the delay of the answer; negative: no answer
 	sent     []*Attempt
 	aborts   int
 	outcomes map[uint64][]Outcome
-	checks   []int
+	checks   []int // servers of the health checks
 }
 
 func (transport *scriptedTransport) Send(attempt *Attempt) {
@@ -34,11 +34,12 @@
 	transport.outcomes[r.ID] = append(transport.outcomes[r.ID], e)
 }
 
-func (transport *scriptedTransport) servers() (at []int) {
+// servers returns the servers of the attempts, in the order of sending.
+func (transport *scriptedTransport) servers() (servers []int) {
 	for _, attempt := range transport.sent {
-		at = append(at, attempt.Server)
+		servers = append(servers, attempt.Server)
 	}
-	return at
+	return servers
 }
 
 // submit submits n requests, 10 ms apart.
@@ -54,10 +55,12 @@
 	}
 }
 
-func hashDraw(request uint64, no, what int) float64 {
-	return float64(rendezvousScore(request*31+uint64(no), what)>>11) / (1 << 53)
+// hashDraw implements Draw.
+func hashDraw(request uint64, number, purpose int) float64 {
+	return float64(rendezvousScore(request*31+uint64(number), purpose)>>11) / (1 << 53)
 }
 
+// newBalancerWithServers returns the transport of a balancer with n listed servers.
 func newBalancerWithServers(n int, h Behavior, answer func(*Attempt) (Answer, time.Duration)) *scriptedTransport {
 	transport := &scriptedTransport{
 		clock:    virtualclock.New(),
@@ -75,11 +78,12 @@
 	return transport
 }
 
+// answerWith returns a function that answers every attempt with the same kind, after the same delay.
 func answerWith(k Kind, after time.Duration) func(*Attempt) (Answer, time.Duration) {
 	return func(*Attempt) (Answer, time.Duration) { return Answer{Kind: k, AdvertisedValue: NoCredit}, after }
 }
 
-// drawBehavior draws the behavior of a balancer.
+// drawBehavior draws a random behavior of a balancer.
 func drawBehavior(t *rapid.T) Behavior {
 	return Behavior{
 		Policy: rapid.SampledFrom(Policies).Draw(t, "policy"),
@@ -103,8 +107,8 @@
 	}
 }
 
-// newRandomServers returns a balancer for n servers that answer, or not, as drawn. It fails on an
-// attempt that the behavior forbids.
+// newRandomServers returns the transport of a balancer with n servers whose answers are drawn; one server may
+// never answer. It fails the test on an attempt that the behavior forbids.
 func newRandomServers(t *rapid.T, h Behavior, n int) *scriptedTransport {
 	kinds := rapid.SliceOfN(
 		rapid.SampledFrom([]Kind{Served, Rejected, Failed, Unreachable}),
@@ -116,25 +120,25 @@
 	)
 	silent := rapid.IntRange(-1, n-1).Draw(t, "silent")
 	var transport *scriptedTransport
-	transport = newBalancerWithServers(n, h, func(try *Attempt) (Answer, time.Duration) {
-		if !transport.balancer.servers[try.Server].listed {
-			t.Fatalf("an attempt at server %d, which is not listed", try.Server)
+	transport = newBalancerWithServers(n, h, func(attempt *Attempt) (Answer, time.Duration) {
+		if !transport.balancer.servers[attempt.Server].listed {
+			t.Fatalf("attempt at server %d, which is not listed", attempt.Server)
 		}
-		if h.Retry == RetryBounded && try.Number >= h.MaxAttempts+1 { // and one hedged
-			t.Fatalf("attempt %d of %d", try.Number+1, h.MaxAttempts)
+		if h.Retry == RetryBounded && attempt.Number >= h.MaxAttempts+1 { // one more for the hedged attempt
+			t.Fatalf("attempt %d, want at most %d and a hedged one", attempt.Number+1, h.MaxAttempts)
 		}
-		if try.Server == silent {
+		if attempt.Server == silent {
 			return Answer{}, -1
 		}
 		a := Answer{
-			Kind:            kinds[try.Server],
-			AdvertisedValue: float64(try.Number%3) - 1,
-			DoNotRetry:      try.Number%4 == 3,
+			Kind:            kinds[attempt.Server],
+			AdvertisedValue: float64(attempt.Number%3) - 1,
+			DoNotRetry:      attempt.Number%4 == 3,
 		}
-		if try.Server%2 == 1 {
+		if attempt.Server%2 == 1 {
 			a.RetryAfter = 30 * time.Millisecond
 		}
-		return a, time.Duration(try.Server+1) * 2 * time.Millisecond
+		return a, time.Duration(attempt.Server+1) * 2 * time.Millisecond
 	})
 	return transport
 }
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -13,11 +13,11 @@
 const (
 	RoundRobin        Policy = "round"    // one server after the other
 	LeastRequests     Policy = "least"    // the fewest outstanding requests of this balancer
-	PowerOfTwoChoices Policy = "two"      // the one of two random servers with fewer outstanding requests
-	WeightedRandom    Policy = "weighted" // random by fixed weights
+	PowerOfTwoChoices Policy = "two"      // of two random servers, the one with fewer outstanding requests
+	WeightedRandom    Policy = "weighted" // random, in proportion to fixed weights
 	LeastReportedLoad Policy = "told"     // the lowest reported load
-	ConsistentHash    Policy = "hash"     // by the request's key, with little change as the list changes
-	LeastLatency      Policy = "fastest"  // the lowest mean latency
+	ConsistentHash    Policy = "hash"     // rendezvous hashing by the request's key: few keys move as the list changes
+	LeastLatency      Policy = "fastest"  // the lowest moving average of the latency
 )
 
 // Policies lists all policies.
@@ -31,38 +31,40 @@
 	LeastLatency,
 }
 
-// Retry says how a balancer retries.
+// Retry is the way in which a balancer retries.
 type Retry string
 
 // The ways of retrying. Their values are the names in scenario files.
 const (
 	RetryNever     Retry = "never"
-	RetryBounded   Retry = "bounded"   // up to Behavior.MaxAttempts, within a retry budget
-	RetryUnlimited Retry = "limitless" // through the list again and again until the deadline
+	RetryBounded   Retry = "bounded"   // up to Behavior.MaxAttempts and within a retry budget
+	RetryUnlimited Retry = "limitless" // round after round of the list, until the deadline
 )
 
 // Behavior configures a balancer.
 type Behavior struct {
 	Policy      Policy
 	Retry       Retry
-	MaxAttempts int     // of a request, with RetryBounded
-	RetryBudget float64 // retries for each request, with RetryBounded; 0: no budget
-	// RetryPause is the pause before the next round of the list, and between bounded attempts.
+	MaxAttempts int     // attempts for each request, with RetryBounded
+	RetryBudget float64 // retries that each request adds to the budget, with RetryBounded; 0: no budget
+	// RetryPause is the pause before the next round of the list with RetryUnlimited, and before each retry
+	// with RetryBounded.
 	RetryPause time.Duration
-	// AttemptTimeout limits each attempt, as a fraction of the request's deadline; 1: no limit of its own.
+	// AttemptTimeout is the timeout of each attempt, as a fraction of the request's deadline; 1: none but
+	// the deadline.
 	AttemptTimeout float64
-	HedgeDelay     time.Duration // after which a slow idempotent request is hedged; 0: never
+	HedgeDelay     time.Duration // delay after which an idempotent request is hedged; 0: never
 	// FollowsAdvice makes the balancer observe the advertised credit, Retry-After and DoNotRetry.
 	FollowsAdvice       bool
-	CreditTTL           time.Duration // how long an advertised credit holds
+	CreditTTL           time.Duration // how long an advertised credit is valid
 	HealthCheckInterval time.Duration // 0: no health checks
 	EjectAfterFailures  int           // consecutive failures after which a server is ejected; 0: never
-	EjectionTime        time.Duration
-	// ThrottleFactor makes the balancer drop requests itself once fewer than one in ThrottleFactor
-	// is served; 0: never.
+	EjectionTime        time.Duration // how long a server stays ejected
+	// ThrottleFactor makes the balancer drop part of the requests itself once fewer than one in
+	// ThrottleFactor recent requests is served; 0: never.
 	ThrottleFactor float64
-	SubsetSize     int  // number of servers that it uses; 0: all
-	Sticky         bool // a keyed request whose attempt may have run is retried at the same server
+	SubsetSize     int  // number of servers that the balancer uses; 0: all
+	Sticky         bool // retry a keyed request that may have run at the same server
 }
 
 // Request is a request of a client.
@@ -71,7 +73,7 @@
 	Key        uint64 // for ConsistentHash
 	Idempotent bool
 	Keyed      bool          // idempotent by its idempotency key
-	Deadline   time.Duration // from Submit on
+	Deadline   time.Duration // counted from Submit
 }
 
 // Kind is the kind of a server's answer.
@@ -82,21 +84,21 @@
 	Served Kind = iota + 1
 	Rejected
 	Failed      // the request may have run
-	Unreachable // there was no connection: the request never ran
+	Unreachable // no connection was made, so that the request did not run
 )
 
-// NoCredit is the AdvertisedValue of an answer that carries none. Any negative value means the same.
+// NoCredit is the AdvertisedValue of an answer that carries no credit. Any negative value means the same.
 const NoCredit = -1
 
 // Answer is the answer to an attempt.
 type Answer struct {
 	Kind            Kind
-	RetryAfter      time.Duration // of Rejected: until this server is to be tried again; 0: not given
-	DoNotRetry      bool          // of Rejected: no other server is to be tried
-	AdvertisedValue float64       // credit for this balancer, in requests; negative: none
+	RetryAfter      time.Duration // with Rejected: how long to avoid this server; 0: not given
+	DoNotRetry      bool          // with Rejected: the balancer is to try no other server
+	AdvertisedValue float64       // credit of this balancer at the server, in requests; negative: none
 }
 
-// Outcome is how a request ended for its client.
+// Outcome is the outcome of a request for its client.
 type Outcome uint8
 
 // The outcomes.
@@ -111,21 +113,21 @@
 // Attempt is one attempt of a request at a server.
 type Attempt struct {
 	Request *Request
-	Server  int           // index
-	Number  int           // of the attempt, from 0
+	Server  int           // index of the server
+	Number  int           // of the attempt within its request, from 0
 	SentAt  time.Duration // by the balancer's clock
-	Hedged  bool          // it is the second, hedged one
+	Hedged  bool          // it was sent beside a slow earlier attempt
 	pending *pendingRequest
-	timer   virtualclock.Timer // of the attempt's timeout; nil: it has none
-	closed  bool
+	timer   virtualclock.Timer // of the attempt's timeout; nil: it has no timeout of its own
+	closed  bool               // it is answered or aborted
 }
 
-// Transport carries out what a balancer decides. It reports results through Balancer.Answered and
-// Balancer.Checked, never from within one of its methods.
+// Transport carries out the decisions of a balancer. It reports results through Balancer.Answered and
+// Balancer.Checked, which it must not call from within one of its methods.
 type Transport interface {
 	// Send sends an attempt to its server.
 	Send(attempt *Attempt)
-	// Abort cancels an attempt whose answer nobody waits for. No answer is needed any more.
+	// Abort cancels an attempt. Its answer is no longer needed.
 	Abort(attempt *Attempt)
 	// Check starts a health check of a server.
 	Check(server int)
@@ -133,15 +135,16 @@
 	Finish(r *Request, e Outcome, by *Attempt)
 }
 
-// Draw returns a number in [0, 1) that depends on its arguments alone, so that two simulations of a day
-// make the same draws, whatever else differs between them.
+// Draw returns a pseudo-random number in [0, 1) that depends only on its arguments, so that two simulations
+// of a day make the same draws whatever else differs between them.
 type Draw func(request uint64, number, purpose int) float64
 
-// The purposes of draws. That of a fractional credit is drawCredit plus the server's index.
+// The purposes of draws, by which draws of the same request and number differ. A draw for the fractional part
+// of the credit at server i has the purpose drawCredit + i, which stays below drawThrottle.
 const (
-	drawFirst = iota
-	drawSecond
-	drawWeight
+	drawFirst  = iota // start of pickLeast, first server of pickOfTwo, delay of the first health check
+	drawSecond        // second server of pickOfTwo
+	drawWeight        // position in the sum of weights of pickWeighted
 	drawCredit
 	drawThrottle = 1 << 20
 )
