--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -40,7 +40,7 @@
 	listed       bool
 	inSubset     bool
 	weight       float64
-	outstanding  int           // attempts that are not answered
+	outstanding  int           // attempts that are neither answered nor aborted
 	credit       float64       // last advertised credit, in requests
 	creditAt     time.Duration // time of that advertisement; 0: none so far
 	avoidUntil   time.Duration // end of the last Retry-After
@@ -152,7 +152,7 @@
 // Report records a load report of server i.
 func (b *Balancer) Report(i int, load float64) { b.servers[i].load = load }
 
-// Outstanding returns the number of attempts at server i that are not answered.
+// Outstanding returns the number of attempts at server i that are neither answered nor aborted.
 func (b *Balancer) Outstanding(i int) int { return b.servers[i].outstanding }
 
 // Checked records the result of a health check of server i.
--- a/internal/simulator/day/arrivals.go
+++ b/internal/simulator/day/arrivals.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	curveStep       = 100 * time.Millisecond // at which the maximum of the rate curve is sought
-	burstPeriod     = 250 * time.Millisecond // for which a burst level holds
-	maxBurstLevel   = 4.0
-	sizeVariation   = 0.4 // coefficient of variation of the memory of a queued request
-	maxSizeKB       = 1999
+	curveStep       = 100 * time.Millisecond // steps in which the maximum of the rate curve is searched
+	burstPeriod     = 250 * time.Millisecond // length of time for which a burst level applies
+	maxBurstLevel   = 4.0                    // factor of the request rate
+	sizeVariation   = 0.4                    // coefficient of variation of the memory of a queued request
+	maxSizeKB       = 1999                   // memory of a queued request
 	maxRank         = 1 - 1e-9
-	noBurstDrawn    = -1 // no burst level has been drawn yet
-	steadyRateLevel = 1.0
+	noBurstDrawn    = -1  // value of burstLevels.period before the first draw
+	steadyRateLevel = 1.0 // level of a load that is not bursty
 )
 
-// rateFactor returns the factor of the request rate at a time, by the load curve and the events.
+// rateFactor returns the factor of the request rate at a time, which the load curve and the bursts among the
+// faults determine.
 func (d *Day) rateFactor(at time.Duration) float64 {
 	factor := 1.0
 	curve := d.Spec.Load.Curve
@@ -43,7 +44,7 @@
 	return factor
 }
 
-// maxRateFactor returns the maximum of the rate factor over the day.
+// maxRateFactor returns the maximum of rateFactor over the day, found in steps of curveStep.
 func (d *Day) maxRateFactor() float64 {
 	highest := 0.0
 	for at := time.Duration(0); at <= d.Length; at += curveStep {
@@ -52,13 +53,13 @@
 	return highest
 }
 
-// burstLevels draws the levels of the request rate of a bursty load, each of which holds for a
-// burstPeriod.
+// burstLevels draws the burst levels of a bursty load: factors of the request rate, each of which applies
+// for a burstPeriod.
 type burstLevels struct {
 	seed       uint64
 	burstiness float64 // coefficient of variation; 0: the load is not bursty
-	period     int64   // of the last level
-	level      float64
+	period     int64   // number of the period of the last level
+	level      float64 // last level
 }
 
 func (d *Day) newBurstLevels() *burstLevels {
@@ -66,7 +67,7 @@
 	return &burstLevels{seed: d.Seed, burstiness: burstiness, period: noBurstDrawn, level: steadyRateLevel}
 }
 
-// max returns a bound on the levels.
+// max returns an upper bound of the levels.
 func (b *burstLevels) max() float64 {
 	if b.burstiness > 0 {
 		return maxBurstLevel
@@ -74,7 +75,7 @@
 	return steadyRateLevel
 }
 
-// at returns the level at a time. Times must not decrease.
+// at returns the level at a time. It must be called with times that do not decrease.
 func (b *burstLevels) at(at time.Duration) float64 {
 	if b.burstiness <= 0 {
 		return steadyRateLevel
@@ -108,7 +109,7 @@
 			return
 		}
 		rate := d.rateFactor(at) * d.RequestRate * bursts.at(at)
-		if source.Float64()*maxRate >= rate { // thinning of a process with the highest rate
+		if source.Float64()*maxRate >= rate { // thinning of a Poisson process with rate maxRate
 			continue
 		}
 		a := Arrival{At: at, ID: id}
@@ -131,7 +132,7 @@
 	})
 }
 
-// drawIndex draws an index below n by weights.
+// drawIndex draws an index below n with a probability in proportion to its weight.
 func drawIndex(n int, source rand.Source, weight func(i int) float64) int {
 	weights := make([]float64, n)
 	for i := range weights {
@@ -140,11 +141,11 @@
 	return int(distuv.NewCategorical(weights, source).Rand())
 }
 
-// requestDraws holds the parameters that the draws of all requests of a day share.
+// requestDraws holds the parameters that are common to the draws of all requests of a day.
 type requestDraws struct {
 	day        *Day
-	variations []float64 // of the work, by class
-	ranks      []float64 // lowest rank of each class
+	variations []float64 // coefficient of variation of the work, by class
+	ranks      []float64 // lowest rank, by class
 }
 
 func (d *Day) newRequestDraws() *requestDraws {
@@ -161,7 +162,8 @@
 	return variations
 }
 
-// classRanks returns the lowest rank of each class, in the order of the priority weights.
+// classRanks returns the lowest rank of each class. Ranks rise with the priority weights; the classes divide
+// the range from 0 to 1 evenly.
 func (d *Day) classRanks() []float64 {
 	ranks := make([]float64, len(d.Spec.Classes))
 	for i, c := range d.Spec.Classes {
--- a/internal/simulator/day/defaults.go
+++ b/internal/simulator/day/defaults.go
@@ -1,6 +1,6 @@
 package day
 
-// defaultSpec returns what a scenario need not say: the operators' figures for their fleet.
+// defaultSpec returns the defaults of a scenario, which are the operators' figures for their fleet.
 func defaultSpec() *Spec {
 	return &Spec{LengthS: 60, WindowS: 10,
 		Load: Load{OfCapacity: Range{0.65, 0.65}},
@@ -46,7 +46,7 @@
 			QuotaOf: Range{0.61, 0.99}, Waste: 0.05, LateFail: 0.044}}
 }
 
-// defaultClasses returns the classes of a scenario that names none.
+// defaultClasses returns the classes of a scenario that defines none.
 func defaultClasses() []Class {
 	return []Class{
 		{
@@ -87,7 +87,7 @@
 	}
 }
 
-// defaultTenants returns the tenants of a scenario that names none.
+// defaultTenants returns the tenants of a scenario that defines none.
 func defaultTenants() []Tenant {
 	return []Tenant{{Name: "malarskolan", Share: 0.3}, {Name: "ostra-gymnasiet", Share: 0.28},
 		{Name: "bergvik-kommun", Share: 0.24}, {Name: "lindby-skola", Share: 0.19}}
--- a/internal/simulator/day/draw.go
+++ b/internal/simulator/day/draw.go
@@ -22,44 +22,44 @@
 // Arrival is a request of a client.
 type Arrival struct {
 	At       time.Duration // from the start of the day
-	Class    int
-	Tenant   int
-	Balancer int
-	Work     float64   // of its run, in microseconds of a core of speed 1
-	Calls    []float64 // work of each call, in microseconds of a slot of the back end
-	SizeKB   float64
-	Rank     float64 // by priority weight, in [0, 1)
+	Class    int           // index
+	Tenant   int           // index
+	Balancer int           // index
+	Work     float64       // of the run, in microseconds of a core of speed 1
+	Calls    []float64     // work of each call, in microseconds of a slot of the back end
+	SizeKB   float64       // memory while it is queued
+	Rank     float64       // by priority weight, in [0, 1)
 	ID       uint64
-	InShare  bool // within its tenant's quota
+	InShare  bool // the request is within its tenant's quota
 }
 
 // Runner is a runner of the fleet.
 type Runner struct {
 	Name string
-	Zone int
+	Zone int // index in Fleet.Zones
 	Spec dependencies.MachineSpec
 }
 
 // Balancer is a balancer in front of the fleet.
 type Balancer struct {
-	Kind          int
-	Zone          int
+	Kind          int // index in Spec.Balancers
+	Zone          int // index in Fleet.Zones
 	FollowsAdvice bool
 }
 
-// AllZones is the zone of an event that is not limited to one.
+// AllZones is the Event.Zone of an event that is not limited to a zone.
 const AllZones = -1
 
-// Event is a fault of the day.
+// Event is a drawn fault of a day.
 type Event struct {
 	Kind         string
 	At, Duration time.Duration
-	Runners      []int   // that it hits
-	Factor       float64 // of the slowdown or of the traffic
-	Zone         int     // or AllZones
+	Runners      []int   // indices of the runners that it hits
+	Factor       float64 // of the slowdown or of the request rate
+	Zone         int     // index in Fleet.Zones, or AllZones
 }
 
-// Day is a day that was drawn from a scenario.
+// Day is a day drawn from a scenario.
 type Day struct {
 	Spec            *Spec
 	Seed            uint64
@@ -72,7 +72,7 @@
 	Events          []Event
 	CrossZoneMicros float64            // mean delay between zones, one way
 	RequestRate     float64            // requests per second where the load curve is 1
-	Capacity        float64            // requests per second of all cores
+	Capacity        float64            // requests per second that all cores can process
 	Quotas          []float64          // requests per second of each tenant
 	KeyKB           float64            // memory of an idempotency key
 	HoldKB          float64            // mean memory of a queued request
@@ -81,10 +81,10 @@
 	Settings        admission.Settings // of a runner that has warmed up
 }
 
-// drawFrom draws a number of a range.
+// drawFrom draws a number uniformly from a range.
 func drawFrom(r *rand.Rand, v Range) float64 { return v.Lo + (v.Hi-v.Lo)*r.Float64() }
 
-// Draw draws a day of a scenario. The same scenario and seed give the same day.
+// Draw draws a day from a scenario. The same scenario and seed always give the same day.
 func Draw(s *Spec, seed uint64) *Day {
 	d := &Day{Spec: s, Seed: seed, Length: virtualclock.FromSeconds(s.LengthS)}
 	d.drawFleet()
@@ -100,7 +100,8 @@
 	return d
 }
 
-// drawFleet draws the work of the classes, the machines, the load and the memory of keys.
+// drawFleet draws the work of the classes, the runners and their machines, the request rate, and the memory
+// of an idempotency key.
 func (d *Day) drawFleet() {
 	spec := &d.Spec.Fleet
 	r := Stream(d.Seed, "fleet", 0)
@@ -142,7 +143,7 @@
 	return meanWork / shares
 }
 
-// drawMachine draws what the machines of all runners have in common.
+// drawMachine draws the values that the machines of all runners share.
 func (d *Day) drawMachine(r *rand.Rand, readWork float64) dependencies.MachineSpec {
 	spec := &d.Spec.Fleet
 	m := dependencies.MachineSpec{
@@ -162,7 +163,7 @@
 	return m
 }
 
-// keysAtCapacity returns how many idempotency keys each of so many runners remembers at full load.
+// keysAtCapacity returns how many idempotency keys each runner of a fleet stores at full load.
 func (d *Day) keysAtCapacity(runners int) float64 {
 	shares := 0.0
 	for _, c := range d.Spec.Classes {
@@ -179,7 +180,7 @@
 	return d.Capacity / float64(runners) * keyedShare * windowS
 }
 
-// drawBackend draws the back end, and the work of a call from its headroom.
+// drawBackend draws the back end and derives the mean work of a call from the drawn headroom.
 func (d *Day) drawBackend() {
 	spec := &d.Spec.BackEnd
 	r := Stream(d.Seed, "backend", 0)
@@ -248,14 +249,16 @@
 	}
 }
 
-// CallExtra draws the further call that a runner makes at one of a request's calls while it warms up:
-// the chance below which it makes one, and the work of it.
+// CallExtra draws the extra call that a runner may make beside a call of a request while it warms up. It
+// makes the extra call if chance, uniform in [0, 1), is below MachineSpec.WarmUpCallFactor. work is the work
+// of the extra call.
 func (d *Day) CallExtra(id uint64, runner, call int) (chance, work float64) {
 	r := Stream(d.Seed, "extra", id<<16^uint64(runner)<<8^uint64(call))
 	return r.Float64(), lognormal(d.CallWork, d.Spec.BackEnd.CV, r)
 }
 
-// lognormal draws by mean and coefficient of variation; without variation it returns the mean.
+// lognormal draws from the lognormal distribution with a mean and a coefficient of variation. Without
+// variation it returns the mean.
 func lognormal(mean, variation float64, source rand.Source) float64 {
 	if variation <= 0 {
 		return mean
--- a/internal/simulator/day/named.go
+++ b/internal/simulator/day/named.go
@@ -15,7 +15,7 @@
 func Names() (names []string) {
 	entries, err := scenarios.ReadDir("scenarios")
 	if err != nil {
-		panic(err) // they are part of the program
+		panic(err) // impossible: the scenarios are embedded in the program
 	}
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".yaml"))
@@ -23,14 +23,14 @@
 	return names
 }
 
-// Read reads a scenario, by the name of a built-in one or by the path of a file. It returns its text
-// too.
+// Read reads and parses a scenario, given by the name of a built-in one or by the path of a file. It also
+// returns the text.
 func Read(name string) (*Spec, []byte, error) {
 	text, err := scenarios.ReadFile(path.Join("scenarios", name+".yaml"))
 	if err != nil {
 		if text, err = os.ReadFile(name); err != nil {
 			return nil, nil, fmt.Errorf(
-				"day: no scenario of this name is built in (%s), and no file: %w",
+				"day: no built-in scenario has this name (built in: %s), and it is not a readable file: %w",
 				strings.Join(Names(), ", "),
 				err,
 			)
--- a/internal/simulator/day/override.go
+++ b/internal/simulator/day/override.go
@@ -12,7 +12,7 @@
 	"ryepaddle/internal/yamldoc"
 )
 
-// Behavior returns the behavior of balancers of this kind that follow advice, or do not.
+// Behavior returns the behavior of a balancer of this kind, which follows advice or not.
 func (k *BalancerKind) Behavior(followsAdvice bool) balance.Behavior {
 	return balance.Behavior{
 		Policy:              balance.Policy(k.Choose),
@@ -33,9 +33,9 @@
 	}
 }
 
-// OverrideError reports a wrong change of a kind of balancer.
+// OverrideError reports an invalid change of a kind of balancer.
 type OverrideError struct {
-	Index  int    // index of the kind
+	Index  int    // index of the kind in Spec.Balancers
 	Field  string // may be empty
 	Reason string
 }
@@ -45,8 +45,9 @@
 	return fmt.Sprintf("balancers.%d.%s: %s", e.Index, e.Field, e.Reason)
 }
 
-// Override returns the kinds of balancers of the scenario with some fields changed. Their numbers and
-// shares of the traffic belong to the day and cannot be changed.
+// Override returns the scenario's kinds of balancers with some fields changed: changes[i] holds the changed
+// fields of kind i, or null. Counts and shares of the traffic cannot be changed, as the draws of the day
+// depend on them.
 func (s *Spec) Override(changes []yaml.Node) ([]BalancerKind, *OverrideError) {
 	kinds := slices.Clone(s.Balancers)
 	for i := range changes {
--- a/internal/simulator/day/quota.go
+++ b/internal/simulator/day/quota.go
@@ -6,12 +6,12 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// quotaBurstS is how many seconds of its quota a tenant may use at once.
+// quotaBurstS is the burst of a quota: the seconds of its quota that a tenant may use at once.
 const quotaBurstS = 2
 
-// quotaBuckets are token buckets that tell which requests are within the quotas of their tenants.
+// quotaBuckets holds a token bucket for each tenant, which decide which requests are within the quotas.
 type quotaBuckets struct {
-	rates, tokens []float64 // by tenant; rates are requests per second
+	rates, tokens []float64 // by tenant; rates in requests per second
 	refilledAt    time.Duration
 }
 
@@ -23,7 +23,8 @@
 	return b
 }
 
-// count sets InShare of the next request, in the order of time. A tenant without a quota has no limit.
+// count sets InShare of a request. It must be called in the order of arrival. A tenant without a quota has
+// no limit.
 func (b *quotaBuckets) count(a *Arrival) {
 	elapsed := virtualclock.Micros(a.At - b.refilledAt)
 	for i := range b.tokens {
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -12,24 +12,24 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// Replay is recorded traffic in place of drawn requests.
+// Replay is recorded traffic that replaces the drawn requests of a day.
 type Replay struct {
-	requests  []traffic.Request // without retries, in the order of time
-	startedAt wallclock.UnixMicro
-	classes   []int   // indices in the scenario of the classes of the recording
-	tenants   []int   // likewise
-	rate      float64 // factor of the recorded rate
-	Retries   int     // recorded attempts that were taken for retries
+	requests  []traffic.Request   // without retries, in the order of arrival
+	startedAt wallclock.UnixMicro // arrival of the first request
+	classes   []int               // index in the scenario of each class of the recording
+	tenants   []int               // index in the scenario of each tenant of the recording
+	rate      float64             // factor of the recorded request rate
+	Retries   int                 // recorded requests that were recognized as retries and left out
 }
 
-// maxJitter bounds the time by which the copy of a request is moved, earlier or later, as copies at
-// one time would be bursts.
+// maxJitter is the largest time by which the copy of a request is moved, earlier or later. Without jitter the
+// copies would arrive together with their originals, as bursts.
 const maxJitter = 250 * time.Millisecond
 
-// requestBodyBytes is the size of the body of a request, its ID.
+// requestBodyBytes is the size of the body of a request, which is its ID.
 const requestBodyBytes = 8
 
-// RecordingError reports a recording that a scenario cannot replay.
+// RecordingError reports that a recording cannot be replayed with a scenario.
 type RecordingError struct{ Reason string }
 
 // Error implements error.
@@ -39,12 +39,13 @@
 	return &RecordingError{fmt.Sprintf(format, v...)}
 }
 
-// WithTraffic returns the scenario with recorded traffic at a factor of its rate. The day is as long as
-// the recording. Fleet, faults and work stay those of the scenario, as a recording has no work. It
-// returns a RecordingError if the scenario lacks a class or a tenant, or the recording is unfit.
+// WithTraffic returns the scenario with recorded traffic in place of drawn requests; rate is the factor of the
+// recorded request rate. The day is as long as the recording. The fleet, the faults and the work of requests
+// are still drawn from the scenario, as a recording contains no work. WithTraffic returns a RecordingError if
+// the scenario lacks a class or tenant of the recording, or if the recording or the rate is unfit.
 func (s *Spec) WithTraffic(rec *traffic.Recording, rate float64) (*Spec, *Replay, error) {
 	if !(rate > 0 && rate <= 100) {
-		return nil, nil, recordingErrorf("a rate of %v times the recorded one", rate)
+		return nil, nil, recordingErrorf("a rate of %v times the recorded one is not above 0 and up to 100", rate)
 	}
 	if len(rec.Requests) == 0 {
 		return nil, nil, recordingErrorf("the recording of %s holds no requests", rec.Runner)
@@ -53,14 +54,14 @@
 	for _, name := range rec.Classes {
 		i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 		if i < 0 {
-			return nil, nil, recordingErrorf("the recording has a class %q, which %s does not name", name, s.Name)
+			return nil, nil, recordingErrorf("the recording has a class %q, which %s does not define", name, s.Name)
 		}
 		r.classes = append(r.classes, i)
 	}
 	for _, name := range rec.Tenants {
 		i := slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if i < 0 {
-			return nil, nil, recordingErrorf("the recording has a tenant %q, which %s does not name", name, s.Name)
+			return nil, nil, recordingErrorf("the recording has a tenant %q, which %s does not define", name, s.Name)
 		}
 		r.tenants = append(r.tenants, i)
 	}
@@ -80,8 +81,9 @@
 	return &out, r, nil
 }
 
-// replayArrivals takes the requests from a recording. At a higher rate some are copied, with some
-// jitter; at a lower one some are left out. Which ones, and their work, is drawn for each day.
+// replayArrivals takes the requests of the day from the recording. At a rate above 1, requests are copied with
+// jitter; below 1, requests are left out. Which requests those are, and the work of each, is drawn for each
+// day.
 func (d *Day) replayArrivals() {
 	replay := d.Spec.replay
 	draws := d.newRequestDraws()
@@ -101,7 +103,7 @@
 	d.RequestRate = float64(len(d.Arrivals)) / d.Spec.LengthS
 }
 
-// replayArrival returns a recorded request, or a copy of it at another time.
+// replayArrival returns the arrival of a recorded request, or with jittered that of a copy at another time.
 func (d *Day) replayArrival(recorded *traffic.Request, id uint64, jittered bool, draws *requestDraws) Arrival {
 	replay := d.Spec.replay
 	recordedAt := recorded.ArrivedAt.Sub(replay.startedAt)
@@ -129,7 +131,7 @@
 	return a
 }
 
-// Record returns the requests of a day as the recording of one runner that read them all, without
+// Record returns the requests of a day as a recording of a single runner that read all of them, without
 // retries.
 func (d *Day) Record(startedAt wallclock.UnixMicro) (header traffic.Header, requests []traffic.Request) {
 	header = traffic.Header{Runner: d.Spec.Name, StartedAt: startedAt}
--- a/internal/simulator/day/schema.go
+++ b/internal/simulator/day/schema.go
@@ -6,14 +6,15 @@
 	"github.com/invopop/jsonschema"
 )
 
-// JSONSchema implements the interface of package jsonschema: a number, or a list of both ends.
+// JSONSchema returns the schema of a range, which is a number or a list of both ends. Package jsonschema
+// calls it.
 func (Range) JSONSchema() *jsonschema.Schema {
 	two := uint64(2)
 	return &jsonschema.Schema{OneOf: []*jsonschema.Schema{{Type: "number"},
 		{Type: "array", Items: &jsonschema.Schema{Type: "number"}, MinItems: &two, MaxItems: &two}}}
 }
 
-// MarshalJSON implements json.Marshaler: a range as in a scenario file.
+// MarshalJSON implements json.Marshaler. It writes a range as a scenario file does.
 func (r Range) MarshalJSON() ([]byte, error) {
 	v, err := r.MarshalYAML()
 	if err != nil {
--- a/internal/simulator/day/settings.go
+++ b/internal/simulator/day/settings.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	creditTTL             = time.Second // for which balancers observe a credit
+	creditTTL             = time.Second // how long balancers observe an advertised credit
 	maxRetryAfter         = time.Second // longest Retry-After that balancers observe
 	idleConnectionTimeout = 30 * time.Second
 )
 
-// idempotencyOf maps the values of Class.Effect.
+// idempotencyOf maps the values of Class.Effect to those of the admission.
 var idempotencyOf = map[string]admission.Idempotency{
 	EffectSafe:   admission.Idempotent,
 	EffectKeyed:  admission.IdempotentWithKey,
 	EffectUnsafe: admission.NonIdempotent,
 }
 
-// drawSettings sets the settings of the runners. It draws the quotas of the tenants.
+// drawSettings derives the settings of the runners from the drawn day, and draws the quotas of the tenants.
 func (d *Day) drawSettings() {
 	fleet := &d.Spec.Fleet
 	machine := d.Runners[0].Spec
@@ -49,7 +49,7 @@
 	d.addTenants(&d.Settings)
 }
 
-// addClasses adds the classes and, if one of them calls, the limits on calls.
+// addClasses adds the classes to the settings and, if one of them makes calls, the limits on calls.
 func (d *Day) addClasses(settings *admission.Settings) {
 	for i, c := range d.Spec.Classes {
 		settings.Classes = append(settings.Classes, admission.Class{
@@ -73,7 +73,7 @@
 	}
 }
 
-// addTenants draws the quotas and adds the tenants.
+// addTenants draws the quotas of the tenants and adds the tenants to the settings.
 func (d *Day) addTenants(settings *admission.Settings) {
 	total := drawFrom(Stream(d.Seed, "quota", 0), d.Spec.Goal.QuotaOf) * d.Capacity
 	shares := 0.0
--- a/internal/simulator/day/validate.go
+++ b/internal/simulator/day/validate.go
@@ -12,19 +12,19 @@
 // maxLengthS is the longest day and the longest fault, in seconds.
 const maxLengthS = 86_400
 
-// boundedField is a field of a scenario with its bounds.
+// boundedField is a field of a scenario with its value and the bounds of the value.
 type boundedField struct {
 	field    string
 	value    Range
 	min, max float64
 }
 
-// number returns a boundedField that is one number.
+// number returns the boundedField of a field that is a single number.
 func number(field string, value, lowest, highest float64) boundedField {
 	return boundedField{field, Range{value, value}, lowest, highest}
 }
 
-// checkBounds reports the first field that is out of its bounds. NaN is out of any.
+// checkBounds returns an error for the first field that is out of its bounds. NaN is out of all bounds.
 func checkBounds(doc *yamldoc.Document, prefix string, fields ...boundedField) error {
 	for _, f := range fields {
 		if !(f.value.Lo >= f.min && f.value.Hi <= f.max) {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// String returns the number, or both ends of the range.
+// String formats the range for error messages, as one number or as both ends.
 func (r Range) String() string {
 	if r.Lo == r.Hi {
 		return strconv.FormatFloat(r.Lo, 'g', -1, 64)
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%g to %g", r.Lo, r.Hi)
 }
 
-// checkNumbers checks the name, the zones, the load curve and all numbers outside of lists.
+// checkNumbers checks the name, the zones, the load curve and all numbers that are not in lists.
 func (s *Spec) checkNumbers() error {
 	if s.Name == "" {
 		return s.doc.Errorf("name", "missing")
@@ -72,7 +72,7 @@
 	}
 	for i, zone := range zones {
 		if zone == "" || slices.Contains(zones[:i], zone) {
-			return s.doc.Errorf("fleet.halls", "%q is empty or stands twice", zone)
+			return s.doc.Errorf("fleet.halls", "%q is empty or a duplicate", zone)
 		}
 	}
 	return nil
@@ -83,7 +83,7 @@
 	for i, point := range s.Load.Curve {
 		prefix := "load.curve." + strconv.Itoa(i) + "."
 		if point.AtS < lastS {
-			return s.doc.Errorf(prefix+"at_s", "%v comes before the point above", point.AtS)
+			return s.doc.Errorf(prefix+"at_s", "%v is before the previous point", point.AtS)
 		}
 		err := checkBounds(s.doc, prefix,
 			number("at_s", point.AtS, 0, s.LengthS),
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// setDefaults fills in what a kind of balancer leaves out.
+// setDefaults sets the defaults of the fields that are not given.
 func (k *BalancerKind) setDefaults() {
 	if k.Count == 0 {
 		k.Count = 1
@@ -199,7 +199,7 @@
 	}
 }
 
-// check fills in the defaults of a kind of balancer and checks its fields.
+// check sets the defaults of a kind of balancer and checks its fields.
 func (k *BalancerKind) check(prefix string, doc *yamldoc.Document) error {
 	k.setDefaults()
 	if !slices.Contains(balance.Policies, balance.Policy(k.Choose)) {
@@ -236,7 +236,7 @@
 		shares += s.Classes[i].Share
 	}
 	if !(shares > 0) {
-		return s.doc.Errorf("classes", "their shares come to 0")
+		return s.doc.Errorf("classes", "the shares of all classes sum to 0")
 	}
 	return s.checkTenants()
 }
@@ -246,13 +246,13 @@
 	sameName := func(other Class) bool { return other.Name == c.Name }
 	switch {
 	case c.Name == "" || slices.ContainsFunc(s.Classes[:i], sameName):
-		return s.doc.Errorf(prefix+"name", "%q is empty or stands twice", c.Name)
+		return s.doc.Errorf(prefix+"name", "%q is empty or a duplicate", c.Name)
 	case !slices.Contains([]string{EffectSafe, EffectKeyed, EffectUnsafe}, c.Effect):
 		return s.doc.Errorf(prefix+"effect", "%q is none of safe, keyed, unsafe", c.Effect)
 	case c.Effect == EffectKeyed && c.WindowMs <= 0:
 		return s.doc.Errorf(prefix+"window_ms", "missing in a keyed class")
 	case c.AimMs > c.DeadlineMs:
-		return s.doc.Errorf(prefix+"aim_ms", "%v is over the deadline", c.AimMs)
+		return s.doc.Errorf(prefix+"aim_ms", "%v exceeds the deadline", c.AimMs)
 	}
 	return checkBounds(s.doc, prefix,
 		number("share", c.Share, 0, 1e6),
@@ -272,7 +272,7 @@
 		t, prefix := &s.Tenants[i], "tenants."+strconv.Itoa(i)+"."
 		sameName := func(other Tenant) bool { return other.Name == t.Name }
 		if t.Name == "" || slices.ContainsFunc(s.Tenants[:i], sameName) {
-			return s.doc.Errorf(prefix+"name", "%q is empty or stands twice", t.Name)
+			return s.doc.Errorf(prefix+"name", "%q is empty or a duplicate", t.Name)
 		}
 		err := checkBounds(s.doc, prefix, number("share", t.Share, 0, 1e6), number("asks", t.Asks, 0, 1e6))
 		if err != nil {
@@ -281,7 +281,7 @@
 		traffic += t.trafficShare()
 	}
 	if !(traffic > 0) {
-		return s.doc.Errorf("tenants", "they ask for nothing")
+		return s.doc.Errorf("tenants", "the tenants have no traffic: the weights sum to 0")
 	}
 	return nil
 }
@@ -300,9 +300,9 @@
 		case !slices.Contains(Kinds, t.Kind):
 			return s.doc.Errorf(prefix+"kind", "%q is none of %v", t.Kind, Kinds)
 		case t.Zone != "" && !slices.Contains(s.Fleet.Zones, t.Zone):
-			return s.doc.Errorf(prefix+"hall", "%q is no hall of the fleet", t.Zone)
+			return s.doc.Errorf(prefix+"hall", "%q is not a hall of the fleet", t.Zone)
 		case t.Kind == CutZone && t.Zone == "":
-			return s.doc.Errorf(prefix+"hall", "missing: which one is cut off")
+			return s.doc.Errorf(prefix+"hall", "missing: the hall that is cut off")
 		}
 		err := checkBounds(s.doc, prefix,
 			boundedField{"at_s", t.AtS, 0, s.LengthS},
