--- a/internal/simulator/balance/transport_test.go
+++ b/internal/simulator/balance/transport_test.go
@@ -35,11 +35,11 @@
 }
 
 // servers returns the servers of the attempts, in the order of sending.
-func (transport *scriptedTransport) servers() (servers []int) {
+func (transport *scriptedTransport) servers() (indices []int) {
 	for _, attempt := range transport.sent {
-		servers = append(servers, attempt.Server)
+		indices = append(indices, attempt.Server)
 	}
-	return servers
+	return indices
 }
 
 // submit submits n requests, 10 ms apart.
