--- a/internal/simulator/cluster/attempts.go
+++ b/internal/simulator/cluster/attempts.go
@@ -8,12 +8,12 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// inFlightAttempt is an attempt at a server.
+// inFlightAttempt is the state of an attempt from its sending to its end.
 type inFlightAttempt struct {
 	request   *serverRequest
-	server    string
+	server    string // name
 	startedAt time.Duration
-	timer     virtualclock.Timer // of its timeout
+	timer     virtualclock.Timer // of the attempt's timeout
 }
 
 // Run implements lifecycle.Runner.
@@ -37,14 +37,14 @@
 	s.byName[name].accept(attempt.request)
 }
 
-// workOf returns the work that submit has put into the metadata.
+// workOf returns the work of a request, which clientRequest.submit puts into the first metadata field.
 func workOf(a *lifecycle.Attempt) (work float64) {
 	_, _ = fmt.Sscan(a.Request.Metadata[0].Value, &work)
 	return work
 }
 
-// attemptTimedOut ends an attempt at its deadline. One that is not idempotent goes on for as long
-// again, so that a retry of its key gets its result.
+// attemptTimedOut ends an attempt at its deadline. An attempt that is not idempotent goes on for the same
+// time again, so that a retry with its idempotency key gets its result.
 func (s *simulation) attemptTimedOut(a *lifecycle.Attempt) {
 	attempt := s.inFlight[a]
 	if attempt == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// endAttempt ends an attempt, once.
+// endAttempt ends an attempt with an outcome. It does nothing if the attempt has already ended.
 func (s *simulation) endAttempt(a *lifecycle.Attempt, outcome lifecycle.Outcome) {
 	attempt := s.inFlight[a]
 	if attempt == nil {
@@ -85,7 +85,8 @@
 	s.reportEnd(a, outcome, result)
 }
 
-// reportEnd reports the end of an attempt to what is in front of the servers.
+// reportEnd reports the end of an attempt to the queue with bulkheads or, without one, to the request
+// lifecycle.
 func (s *simulation) reportEnd(a *lifecycle.Attempt, o lifecycle.Outcome, result *lifecycle.Result) {
 	if s.queue != nil {
 		s.queue.AttemptEnded(a, o, result)
--- a/internal/simulator/cluster/bulkheads.go
+++ b/internal/simulator/cluster/bulkheads.go
@@ -7,26 +7,29 @@
 	"ryepaddle/internal/balancer/bulkhead"
 )
 
-// reserveClass is the class of the cheapest requests, which have a reserved bulkhead.
+// reserveClass is the class of the requests with the least work, which have a reserved bulkhead.
 const reserveClass = quickCheckClass
 
-// reportedCoresFactor is the ratio of cores in the settings of the admission to workers, where a queue
-// behind the admission limits the concurrency. With as many cores as workers the admission would queue
-// all further requests itself, and the bulkheads would have none to share.
+// reportedCoresFactor is the ratio of the cores in the settings of the admission to the workers of the
+// servers, in modes in which a queue behind the admission limits the concurrency. With as many cores as
+// workers, the admission itself would queue all further requests, and none would reach the bulkheads.
 const reportedCoresFactor = 32
 
 const (
-	// bulkheadPrefix is that of the routing modes with bulkheads; the rest is the limit algorithm.
+	// bulkheadPrefix is the prefix of the routing modes with bulkheads. The rest of their names is the limit
+	// algorithm or objectiveMode.
 	bulkheadPrefix = "pools-"
-	// objectiveMode stands for the gradient algorithm with clients that send their first submission.
+	// objectiveMode is the rest of the name of the mode with the gradient algorithm and with clients that
+	// send the time of their first submission.
 	objectiveMode = "aims"
 )
 
+// reportsMoreCores reports whether a mode multiplies the cores by reportedCoresFactor.
 func reportsMoreCores(mode string) bool {
 	return mode == modeWide || strings.HasPrefix(mode, bulkheadPrefix)
 }
 
-// bulkheadConfig returns the bulkheads of a routing mode, or nil if it has none.
+// bulkheadConfig returns the configuration of the bulkheads of a routing mode, or nil if it has none.
 func bulkheadConfig(mode string, spec *Spec) *bulkhead.Config {
 	name, ok := strings.CutPrefix(mode, bulkheadPrefix)
 	if !ok {
--- a/internal/simulator/cluster/clients.go
+++ b/internal/simulator/cluster/clients.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxSubmissions  = 4 // of a request by its client
-	clientAddresses = 4
-	workSigma       = 0.5 // of the lognormal work of requests, whose mean is that of the class
+	maxSubmissions  = 4   // submissions of a request by its client, the first one included
+	clientAddresses = 4   // number of callers that the submissions are spread over
+	workSigma       = 0.5 // of the lognormal distribution of the work, whose mean is that of the class
 )
 
-// clientRequest is a request of a client, which submits it again after a rejection.
+// clientRequest is a request of a client, who submits it again after a rejection.
 type clientRequest struct {
 	simulation  *simulation
 	class       int
 	firstSentAt time.Duration
-	work        float64 // microseconds of a warm worker
+	work        float64 // in microseconds of a warm worker
 	key         string
-	submissions int
+	submissions int // so far
 	answered    bool
 }
 
-// startArrivals starts the requests of the day, a Poisson process.
+// startArrivals starts the arrivals of the day, a Poisson process over all classes.
 func (s *simulation) startArrivals() {
 	r := day.Stream(s.seed, "arrivals", 0)
 	rate := s.spec.Load * float64(s.spec.workers()) / meanWork() // per microsecond
@@ -38,7 +38,7 @@
 	}, drawClass)
 }
 
-// startFlood starts further requests of one class.
+// startFlood schedules the additional arrivals of FaultFlood, a Poisson process of one class.
 func (s *simulation) startFlood(fault Fault) {
 	r := day.Stream(s.seed, "flood", uint64(fault.Class))
 	rate := fault.Share * float64(s.spec.workers()) / (classes[fault.Class].Work * 1000) // per microsecond
@@ -49,7 +49,7 @@
 	})
 }
 
-// arriveUntil starts requests at a rate per microsecond until ended reports true.
+// arriveUntil starts requests at a rate per microsecond until ended returns true.
 func (s *simulation) arriveUntil(
 	r *rand.Rand,
 	rate float64,
@@ -68,7 +68,7 @@
 	arrive()
 }
 
-// drawClass draws a class by the shares.
+// drawClass draws a class in proportion to the shares.
 func drawClass(r *rand.Rand) int {
 	u := r.Float64()
 	class := 0
@@ -79,7 +79,7 @@
 	return class
 }
 
-// newRequest draws a request of a class and submits it.
+// newRequest draws the work of a request of a class and submits the request.
 func (s *simulation) newRequest(class int, r *rand.Rand) {
 	request := &clientRequest{
 		simulation:  s,
@@ -124,7 +124,7 @@
 // Answer implements lifecycle.Responder.
 func (r *clientRequest) Answer(answer lifecycle.Answer) {
 	if r.answered {
-		panic("cluster: a request is answered twice")
+		panic("cluster: a request was answered twice")
 	}
 	s := r.simulation
 	latency := s.scheduler.Now() - r.firstSentAt
@@ -144,8 +144,8 @@
 	s.stats.countEnd(r)
 }
 
-// submitAgain submits a rejected request again after a jittered Retry-After. It reports whether there
-// is time for that.
+// submitAgain schedules another submission of a rejected request after Retry-After with jitter. It returns
+// false if the request has no submission left or not enough time before its deadline.
 func (r *clientRequest) submitAgain(retryAfter, elapsed time.Duration) bool {
 	s := r.simulation
 	c := &classes[r.class]
--- a/internal/simulator/cluster/cluster_test.go
+++ b/internal/simulator/cluster/cluster_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// shortSpec is a short day of a kind, with faults that begin early.
+// shortSpec returns a kind of day of 20 seconds, with its faults moved to a third of their times.
 func shortSpec(t *testing.T, name string) Spec {
 	t.Helper()
 	s, ok := Named(name)
@@ -22,11 +22,11 @@
 	return s
 }
 
-// bulkheadDays are the kinds of day that are made for bulkheads.
+// bulkheadDays lists the kinds of day that are meant for modes with bulkheads.
 var bulkheadDays = []string{"load-80", "load-110", "load-150", "flood", "crawl", "crawl-fifth"}
 
-// On any kind of day, in any routing mode, each request has one answer, no key runs twice, and a seed
-// gives the same result again.
+// On each kind of day, in the routing modes that suit it, each request gets one answer, no idempotency key runs
+// twice, and simulating the same seed again gives the same result.
 func TestRulesHoldOnAllKindsOfDay(t *testing.T) {
 	for _, kind := range Specs() {
 		s := shortSpec(t, kind.Name)
@@ -34,7 +34,8 @@
 			s.Servers = 50
 		}
 		for _, mode := range RoutingModes {
-			// Modes with bulkheads, the days for them, and each with some of the others.
+			// Modes with bulkheads, and modeWide, run on the days meant for bulkheads and on flapping. The other
+			// modes run on the other days, and modeRouted on all days.
 			bulkheads, daysForThem := reportsMoreCores(mode), slices.Contains(bulkheadDays, kind.Name)
 			if bulkheads != daysForThem && !(bulkheads && kind.Name == "flapping") &&
 				!(daysForThem && mode == modeRouted) {
@@ -53,19 +54,20 @@
 					r.Worst > r.Worth ||
 					r.Failed > 1 ||
 					r.Tries <= 0 {
-					t.Errorf("%+v", *r)
+					t.Errorf("result out of bounds: %+v", *r)
 				}
 				again, err := Play(&s, 5, mode)
 				if diff := cmp.Diff(r, again); err != nil || diff != "" {
-					t.Errorf("the same day again: %v (-first +second)\n%s", err, diff)
+					t.Errorf("second simulation of the day: error = %v, result (-first +second)\n%s", err, diff)
 				}
 			})
 		}
 	}
 }
 
-// A server that fails at once costs little, unlike with the baseline, and routing costs nothing on a
-// calm day. The number of workers does not change the result.
+// A server that answers errors at once attracts requests. The routing loses little worth to it, the baseline
+// at least 0.1 more. On a calm day the routing is not worse. The number of workers of the comparison does not
+// change the result.
 func TestRoutingEarnsMoreThanTheBaseline(t *testing.T) {
 	s := shortSpec(t, "fast-failer")
 	one, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 1, func() {})
@@ -73,11 +75,11 @@
 		t.Fatal(err)
 	}
 	if e := one.Estimates[0]; e.Lo < 0.1 || e.B < 0.98 {
-		t.Errorf("fast failer: %+v", e)
+		t.Errorf("worth on a day with a fast failer = %+v, want B at least 0.98 and better by 0.1", e)
 	}
 	eight, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 8, func() {})
 	if diff := cmp.Diff(one, eight); err != nil || diff != "" {
-		t.Errorf("%v (-1 worker +8)\n%s", err, diff)
+		t.Errorf("error = %v, comparison (-1 worker +8 workers)\n%s", err, diff)
 	}
 	s = shortSpec(t, "calm")
 	c, err := Compare(context.Background(), &s, "before", "routed", 1, 3, 8, func() {})
@@ -85,12 +87,12 @@
 		t.Fatal(err)
 	}
 	if e := c.Estimates[0]; e.Diff < -0.002 {
-		t.Errorf("calm: %+v", e)
+		t.Errorf("worth on a calm day = %+v, want B no worse than by 0.002", e)
 	}
 }
 
-// At one and a half times the capacity the cheapest requests are served within their objective with
-// bulkheads, and without them they are not.
+// At one and a half times the capacity, bulkheads serve the requests of the cheapest class within their latency
+// objective. Without bulkheads many of them are late or not served.
 func TestReserveServesTheCheapestInTime(t *testing.T) {
 	s := shortSpec(t, "load-150")
 	c, err := Compare(context.Background(), &s, "routed", "pools-gradient", 1, 3, 8, func() {})
@@ -99,7 +101,8 @@
 	}
 	for i := range c.DaysB {
 		if a, b := c.DaysA[i].Cheap, c.DaysB[i].Cheap; b < 0.99 || a > 0.9 {
-			t.Errorf("day %d: %.3f of the cheapest requests are in time without bulkheads, %.3f with them", i, a, b)
+			t.Errorf("day %d: cheapest requests in time = %.3f, with bulkheads %.3f; want at most 0.9, at least 0.99",
+				i, a, b)
 		}
 	}
 }
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -6,7 +6,7 @@
 	"ryepaddle/internal/simulator/compare"
 )
 
-// Comparison compares two routing modes on days of one kind.
+// Comparison is the comparison of two routing modes, A and B, on days of one kind.
 type Comparison struct {
 	Day       string             `json:"day"`
 	About     string             `json:"about"`
@@ -17,16 +17,17 @@
 	DaysB     []*Result          `json:"days_b"`
 }
 
-// significance is the probability of an error of each estimate.
+// significance is the error probability of the confidence interval of each estimate.
 const significance = 0.05
 
-// metric is a figure of a day.
+// metric is a figure of a day that Compare estimates.
 type metric struct {
 	name, unit string
 	direction  compare.Direction
-	of         func(*Result) float64
+	value      func(*Result) float64
 }
 
+// metrics lists the metrics in the order of the report.
 var metrics = []metric{
 	{"worth", "", compare.HigherIsBetter, func(r *Result) float64 { return r.Worth }},
 	{"worst 10 s", "", compare.HigherIsBetter, func(r *Result) float64 { return r.Worst }},
@@ -41,9 +42,9 @@
 	{"broken rules", "a day", compare.LowerIsBetter, func(r *Result) float64 { return float64(r.Twice + r.Unasked) }},
 }
 
-// Compare simulates days with both modes, on so many workers, and estimates the differences B - A.
-// The first day has the given seed, the next ones count on. done is called after each simulation. The
-// result does not depend on the number of workers.
+// Compare simulates days with both modes, up to workers simulations in parallel, and estimates the differences
+// B - A. The first day has the given seed, and each further day the next seed. done is called after each
+// simulation. The result does not depend on the number of workers.
 func Compare(
 	ctx context.Context,
 	spec *Spec,
@@ -77,7 +78,7 @@
 	for _, m := range metrics {
 		var valuesA, valuesB []float64
 		for i := range days {
-			valuesA, valuesB = append(valuesA, m.of(c.DaysA[i])), append(valuesB, m.of(c.DaysB[i]))
+			valuesA, valuesB = append(valuesA, m.value(c.DaysA[i])), append(valuesB, m.value(c.DaysB[i]))
 		}
 		c.Estimates = append(c.Estimates, compare.Paired(m.name, m.unit, m.direction, valuesA, valuesB, significance))
 	}
--- a/internal/simulator/cluster/faults.go
+++ b/internal/simulator/cluster/faults.go
@@ -8,23 +8,24 @@
 
 // The kinds of fault.
 const (
-	FaultDead    = "dead"    // servers crash and start again
+	FaultDead    = "dead"    // servers crash; they start again if Fault.To is set
 	FaultCut     = "cut"     // servers do not answer
-	FaultFailing = "faults"  // servers answer every request with an error at once
-	FaultSlow    = "slow"    // servers are slower by a factor
-	FaultFlap    = "flap"    // servers crash and start again every few seconds
+	FaultFailing = "faults"  // servers answer every request with an error after failureTime
+	FaultSlow    = "slow"    // servers are slower by the factor Fault.Times
+	FaultFlap    = "flap"    // servers crash every flapPeriodS and start again flapDownS later
 	FaultRelease = "release" // all servers are restarted one after the other
 	FaultJoin    = "join"    // servers join that were not listed before
-	FaultFlood   = "flood"   // further requests of one class
+	FaultFlood   = "flood"   // additional requests of one class
 )
 
 const (
-	flapDownS    = 3 // seconds that a flapping server is down
-	flapPeriodS  = 6
-	releaseDownS = 2 // seconds that a server is down in a release
+	flapDownS    = 3 // seconds that a server is down in FaultFlap
+	flapPeriodS  = 6 // seconds between two crashes of a flapping server
+	releaseDownS = 2 // seconds that a server is down in FaultRelease
 )
 
-// affected returns the servers that a fault hits.
+// affected returns the servers that a fault hits: those of its zone or, if it names none, its share of the
+// servers, from the first one on.
 func (s *simulation) affected(fault Fault) (affected []*server) {
 	count := int(math.Round(fault.Share * float64(len(s.servers))))
 	for i, server := range s.servers {
@@ -35,7 +36,7 @@
 	return affected
 }
 
-// scheduleFault schedules a fault and its end.
+// scheduleFault schedules the begin of a fault and its end, if it has one.
 func (s *simulation) scheduleFault(fault Fault) {
 	each := func(second float64, do func(*server)) {
 		s.at(second, func() {
@@ -77,7 +78,7 @@
 	}
 }
 
-// join starts the servers that are not listed, and lists all.
+// join starts the servers that are not listed yet, and lists all servers.
 func (s *simulation) join() {
 	for _, server := range s.servers[:len(s.servers)-len(s.listed)] {
 		server.start()
--- a/internal/simulator/cluster/leastbusy.go
+++ b/internal/simulator/cluster/leastbusy.go
@@ -9,23 +9,25 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// leastBusyPicker is the baseline: it picks the server with the fewest requests and avoids, for a
-// while, one that failed several times in a row.
+// leastBusyPicker is the baseline. It picks the server with the fewest active requests. A server that fails
+// several times in a row is avoided for avoidTime, as long as there is another one.
 type leastBusyPicker struct{ servers []*leastBusyServer }
 
+// leastBusyServer is the state of a server at a leastBusyPicker.
 type leastBusyServer struct {
 	name       string
-	active     int
-	failures   int // consecutive
-	avoidUntil time.Duration
+	active     int           // requests in flight
+	failures   int           // consecutive
+	avoidUntil time.Duration // 0: it is not avoided
 }
 
 const (
 	maxFailures  = 3 // consecutive failures after which a server is avoided
 	avoidTime    = 5 * time.Second
-	avoidPenalty = 1e9 // added to the load of an avoided server
+	avoidPenalty = 1e9 // added to the number of requests of an avoided server
 )
 
+// find returns the listed server with a name, or nil.
 func (p *leastBusyPicker) find(name string) *leastBusyServer {
 	for _, s := range p.servers {
 		if s.name == name {
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -10,27 +10,27 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// Picker chooses the servers of attempts. Times are those of the virtual clock.
+// Picker chooses servers for attempts. Times are those of the virtual clock.
 type Picker interface {
 	// SetEndpoints replaces the list of servers.
 	SetEndpoints(list []endpointhealth.EndpointSpec, now time.Duration)
-	// Pick returns the server of an attempt. ok is false if there is none.
+	// Pick returns the name of the server for an attempt. ok is false if no server is eligible.
 	Pick(a *lifecycle.Attempt, now time.Duration) (name string, ok bool)
-	// Done takes the end of an attempt.
+	// Done records the end of an attempt at the server with the given name.
 	Done(name string, class int, o lifecycle.Outcome, latency, now time.Duration)
 	// ShouldRetry reports whether a failed attempt is retried.
 	ShouldRetry(c lifecycle.RetryCandidate, now time.Duration) bool
-	// RetryAfter returns the Retry-After of a request for which there was no server.
+	// RetryAfter returns the Retry-After for a request for which no server is eligible.
 	RetryAfter(now time.Duration) time.Duration
-	// Capacity returns how many more requests the servers take.
+	// Capacity returns how many more requests all servers together can take.
 	Capacity(now time.Duration) int
-	// StateChanges returns the number of changes of servers' states so far.
+	// StateChanges returns how often servers have changed their health state so far.
 	StateChanges() int
-	// Tick is called at the interval of endpointhealth.TickInterval.
+	// Tick is called every endpointhealth.TickInterval.
 	Tick(now time.Duration)
 }
 
-// The routing modes that the code refers to.
+// The routing modes that the code refers to by name.
 const (
 	modeBefore    = "before"
 	modeRouted    = "routed"
@@ -40,7 +40,7 @@
 	modeWide      = "wide"
 )
 
-// RoutingModes lists the routing modes by name. The first is the baseline.
+// RoutingModes lists the names of the routing modes. The first one is the baseline.
 var RoutingModes = []string{
 	modeBefore,
 	modeRouted,
@@ -58,11 +58,11 @@
 }
 
 const (
-	maxRequestsPerServer = 64
-	maxAttempts          = 2 // of a request
+	maxRequestsPerServer = 64 // in flight
+	maxAttempts          = 2  // of a request
 )
 
-// NewPicker returns the picker of a routing mode. Modes with "no-" leave a part of the routing out.
+// NewPicker returns the picker of a routing mode. Modes with the prefix "no-" disable a part of the routing.
 func NewPicker(mode string, spec *Spec, seed uint64) Picker {
 	config := picker.DefaultConfig(maxRequestsPerServer)
 	config.Zones = spec.Zones
@@ -83,12 +83,12 @@
 	return newProductionPicker(config, seed)
 }
 
-// productionPicker is the picker of the program.
+// productionPicker adapts the picker of the program to Picker.
 type productionPicker struct {
 	picker  *picker.Picker
-	servers map[string]*picker.Server // by name, with those that left the list and have requests
-	query   picker.Query
-	changes int
+	servers map[string]*picker.Server // by name, including servers that left the list and still have requests
+	query   picker.Query              // reused between calls of Pick
+	changes int                       // of servers' states
 }
 
 func newProductionPicker(config picker.Config, seed uint64) *productionPicker {
@@ -123,7 +123,7 @@
 	return s.Name, true
 }
 
-// endpointOutcomes maps outcomes of the request lifecycle to those of endpoint health.
+// endpointOutcomes maps the outcomes of the request lifecycle to those of package endpointhealth.
 var endpointOutcomes = map[lifecycle.Outcome]endpointhealth.Outcome{
 	lifecycle.Succeeded:   endpointhealth.Success,
 	lifecycle.Faulted:     endpointhealth.ErrorResponse,
--- a/internal/simulator/cluster/replaced.go
+++ b/internal/simulator/cluster/replaced.go
@@ -10,8 +10,8 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// replacedMode is the routing mode in which the picker is replaced in the middle of the day by one
-// without any knowledge, as when an instance of the program is replaced.
+// replacedMode is the routing mode in which the picker is replaced in the middle of the day by a new one
+// that knows nothing about the servers, as happens when an instance of the program is replaced.
 const replacedMode = "new-blind"
 
 // replacedPicker is the picker of replacedMode.
@@ -22,7 +22,7 @@
 	replaceAt time.Duration
 	replaced  bool
 	listed    []endpointhealth.EndpointSpec
-	oldActive map[string]int // requests of the replaced picker, by server
+	oldActive map[string]int // requests of the replaced picker that are in flight, by server
 }
 
 func newReplacedPicker(config picker.Config, spec *Spec, seed uint64) *replacedPicker {
@@ -41,8 +41,8 @@
 	p.productionPicker.SetEndpoints(list, now)
 }
 
-// Done implements Picker. The new picker does not learn of requests of the replaced one, which are
-// taken to end first at each server.
+// Done implements Picker. The new picker does not learn of the ends of requests that the replaced picker sent.
+// As requests are not told apart, those of the replaced picker are assumed to end first at each server.
 func (p *replacedPicker) Done(name string, class int, o lifecycle.Outcome, latency, now time.Duration) {
 	if p.oldActive[name] > 0 {
 		p.oldActive[name]--
@@ -51,7 +51,7 @@
 	p.productionPicker.Done(name, class, o, latency, now)
 }
 
-// Tick implements Picker. It replaces the picker once it is time.
+// Tick implements Picker. It replaces the picker at replaceAt.
 func (p *replacedPicker) Tick(now time.Duration) {
 	if p.replaced || now < p.replaceAt {
 		p.productionPicker.Tick(now)
--- a/internal/simulator/cluster/result.go
+++ b/internal/simulator/cluster/result.go
@@ -12,27 +12,27 @@
 // resultWindow is the length of the windows of Result.Worst and Result.Middle.
 const resultWindow = 10 * time.Second
 
-// maxLatency bounds the latencies of the histogram. All deadlines are below.
+// maxLatency is the upper bound of the latency histogram. All deadlines are below it.
 const maxLatency = time.Minute
 
 // Result is the result of a day.
 type Result struct {
 	Seed  uint64  `json:"seed"`
 	Asked int     `json:"asked"` // requests
-	Worth float64 `json:"worth"` // share of the weight that was earned
-	Worst float64 `json:"worst"` // the same in the worst window
-	// Middle is the same in the window from the middle of the day on, where an instance may be replaced.
+	Worth float64 `json:"worth"` // share of the weight of all requests that was earned
+	Worst float64 `json:"worst"` // Worth of the worst window
+	// Middle is Worth of the window that contains the middle of the day, when replacedMode replaces the picker.
 	Middle   float64 `json:"middle"`
-	P50Ms    float64 `json:"p50_ms"` // latency of served requests from the first submission on
+	P50Ms    float64 `json:"p50_ms"` // latency of served requests, from the first submission to the answer
 	P99Ms    float64 `json:"p99_ms"`
-	Tries    float64 `json:"tries"`    // attempts at servers for each request
-	Refusals float64 `json:"refusals"` // rejections for each request
+	Tries    float64 `json:"tries"`    // attempts at servers per request
+	Refusals float64 `json:"refusals"` // rejections per request
 	Failed   float64 `json:"failed"`   // share of the requests that were not served in the end
-	Twice    int     `json:"twice"`    // keys that ran twice: a violation
-	Unasked  int     `json:"unasked"`  // requests without an answer: a violation
-	Cheap    float64 `json:"cheap"`    // share of the cheapest requests served within their objective
+	Twice    int     `json:"twice"`    // idempotency keys that ran more than once, which is a violation
+	Unasked  int     `json:"unasked"`  // requests without an answer, which is a violation
+	Cheap    float64 `json:"cheap"`    // share of the requests of reserveClass that were served within their objective
 	HandIns  float64 `json:"hand_ins"` // share of the weight of keyed requests that was earned
-	Changes  int     `json:"changes"`  // of the states of servers
+	Changes  int     `json:"changes"`  // changes of the health states of servers
 }
 
 // stats counts the requests of a day and their outcomes.
@@ -42,15 +42,15 @@
 	answered      int
 	failed        int
 	rejections    int
-	attempts      int
+	attempts      int // at servers
 	runsByKey     map[string]int
 	latencies     *hdrhistogram.Histogram // of served requests, in microseconds
-	offeredWeight []float64               // by window
-	earnedWeight  []float64
-	keyedOffered  float64 // weight of keyed requests
-	keyedEarned   float64
-	cheapEnded    int // requests of reserveClass
-	cheapInTime   int // of them, served within their objective
+	offeredWeight []float64               // weight of all requests, by window
+	earnedWeight  []float64               // weight earned by served requests, by window
+	keyedOffered  float64                 // weight of keyed requests
+	keyedEarned   float64                 // weight earned by keyed requests
+	cheapEnded    int                     // ended requests of reserveClass
+	cheapInTime   int                     // those of them that were served within their objective
 }
 
 func newStats(spec *Spec) *stats {
@@ -64,14 +64,14 @@
 	}
 }
 
-// countRun counts the start of a run of a key; "" is none.
+// countRun counts the start of a run with an idempotency key. Runs without a key ("") are not counted.
 func (s *stats) countRun(key string) {
 	if key != "" {
 		s.runsByKey[key]++
 	}
 }
 
-// windowOf returns the window of a request, by its first submission.
+// windowOf returns the index of the window in which a request was first submitted.
 func windowOf(r *clientRequest) int { return int((r.firstSentAt - virtualclock.Origin) / resultWindow) }
 
 // countRequest counts a new request.
@@ -84,7 +84,7 @@
 	}
 }
 
-// countServed counts a request that was served, and its latency.
+// countServed counts a served request with its latency and the weight that it earns.
 func (s *stats) countServed(r *clientRequest, latency time.Duration) {
 	c := &classes[r.class]
 	weight := c.PriorityWeight
@@ -96,7 +96,7 @@
 	if c.Keyed {
 		s.keyedEarned += weight
 	}
-	_ = s.latencies.RecordValue(max(latency.Microseconds(), 1)) // within the range
+	_ = s.latencies.RecordValue(max(latency.Microseconds(), 1)) // no error: latencies are below maxLatency
 	if r.class == reserveClass && inTime {
 		s.cheapInTime++
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-// result returns the figures of the day.
+// result returns the result of the day.
 func (s *stats) result(seed uint64, picker Picker) *Result {
 	requests := float64(max(s.requests, 1))
 	r := &Result{
--- a/internal/simulator/cluster/server.go
+++ b/internal/simulator/cluster/server.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	networkDelay   = 200 * time.Microsecond // one way
-	connectTimeout = time.Second
-	backlog        = 128              // waiting requests of a server; with more, connections time out
-	failureTime    = time.Millisecond // of the answer of a failing server
+	networkDelay   = 200 * time.Microsecond // of a message between the program and a server, one way
+	connectTimeout = time.Second            // from the sending of a request
+	backlog        = 128                    // queued requests of a server beyond which connections time out
+	failureTime    = time.Millisecond       // time until a failing server answers with an error
 )
 
-// serverRequest is an attempt as a server sees it.
+// serverRequest is an attempt as the server sees it.
 type serverRequest struct {
-	work   float64 // microseconds of a warm worker
+	work   float64 // in microseconds of a warm worker
 	key    string
 	onEnd  func(lifecycle.Outcome)
-	closed bool               // nobody waits for it: it is not started any more
-	timer  virtualclock.Timer // of the next message
+	closed bool               // the attempt has ended, so that the request is not started any more
+	timer  virtualclock.Timer // of the next network message
 }
 
-// end ends the request, once.
+// end ends the request with an outcome. It does nothing if the request is closed.
 func (r *serverRequest) end(outcome lifecycle.Outcome) {
 	if !r.closed {
 		r.closed = true
@@ -35,20 +35,20 @@
 	}
 }
 
-// server is a simulated uwsgi server: workers and a queue.
+// server is a simulated uwsgi server with a queue and a number of workers.
 type server struct {
 	endpointhealth.EndpointSpec
 	clock     virtualclock.Clock
 	spec      *Spec
-	startedAt time.Duration // of the last start, from which it warms up; 0: it is warm
-	slowdown  float64
-	dead      bool
-	cut       bool // it does not answer
-	failing   bool // it answers with errors
-	busy      int  // workers
+	startedAt time.Duration // time of the last restart, from which it warms up; 0: it is warm
+	slowdown  float64       // factor of the work
+	dead      bool          // it refuses connections
+	cut       bool          // it does not answer
+	failing   bool          // it answers every request with an error
+	busy      int           // busy workers
 	queue     []*serverRequest
-	running   []*serverRequest // in the order of their starts
-	onStart   func(key string) // called with each request that is started
+	running   []*serverRequest // in the order in which they were started
+	onStart   func(key string) // called with the key of each request that is started
 }
 
 func newServer(clock virtualclock.Clock, spec *Spec, n int, onStart func(key string)) *server {
@@ -66,7 +66,7 @@
 	}
 }
 
-// workFactor returns the present factor of the time that work takes.
+// workFactor returns the factor by which work takes longer now than on a warm server without slowdown.
 func (s *server) workFactor() float64 {
 	factor := s.slowdown
 	if s.startedAt > 0 {
@@ -76,7 +76,7 @@
 	return factor
 }
 
-// accept takes a connection with a request.
+// accept handles a connection with a request.
 func (s *server) accept(r *serverRequest) {
 	r.timer = s.clock.After(networkDelay, func() {
 		switch {
@@ -108,8 +108,8 @@
 	}
 }
 
-// finish answers a request whose work is done. A started request is worked on to its end, whether or
-// not anybody waits for it.
+// finish answers a request whose work is done. A started request occupies its worker until the work is done,
+// even if nobody waits for the answer any more.
 func (s *server) finish(r *serverRequest) {
 	i := slices.Index(s.running, r)
 	if i < 0 { // the server was killed in the meantime
@@ -123,7 +123,7 @@
 	s.startRequests()
 }
 
-// kill ends the server as a crash does.
+// kill crashes the server: its requests are interrupted and it refuses connections.
 func (s *server) kill() {
 	s.dead = true
 	for _, r := range s.queue {
@@ -137,10 +137,10 @@
 	s.busy = 0
 }
 
-// stop makes the server refuse new requests, and finish those that it has.
+// stop makes the server refuse new requests. It still finishes the requests that it has accepted.
 func (s *server) stop() { s.dead = true }
 
-// start starts the server again, cold.
+// start starts the server cold.
 func (s *server) start() {
 	s.dead = false
 	s.startedAt = s.clock.Now()
--- a/internal/simulator/cluster/simulation.go
+++ b/internal/simulator/cluster/simulation.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// settleTime is how long after the last arrival the simulation goes on.
+	// settleTime is how long the simulation goes on after the end of the day, so that all requests end.
 	settleTime = 15 * time.Second
 	// unixOrigin is the Unix time at the origin of the virtual clock.
 	unixOrigin wallclock.UnixMicro = 1e15
 )
 
-// simulation is a day that is simulated. It implements lifecycle.Runner over the simulated servers.
+// simulation simulates one day. It implements lifecycle.Runner over the simulated servers.
 type simulation struct {
 	spec      *Spec
 	seed      uint64
 	scheduler *virtualclock.Scheduler
 	manager   *lifecycle.Manager
 	picker    Picker
-	queue     *waitqueue.Queue // nil without bulkheads
+	queue     *waitqueue.Queue // nil: the mode has no bulkheads
 	servers   []*server
 	byName    map[string]*server
 	listed    []endpointhealth.EndpointSpec
 	inFlight  map[*lifecycle.Attempt]*inFlightAttempt
-	clients   *rand.Rand
-	// submissions counts those of all clients.
+	clients   *rand.Rand // jitter of the clients' retries
+	// submissions counts the submissions of all clients.
 	submissions int
 	// sendsFirstSentAt makes clients send the time of their first submission.
 	sendsFirstSentAt bool
 	stats            *stats
 }
 
-// Play simulates a day with a routing mode.
+// Play simulates a day of a kind with a routing mode. The seed determines the day.
 func Play(spec *Spec, seed uint64, mode string) (*Result, error) {
 	s := &simulation{
 		spec:      spec,
@@ -70,7 +70,7 @@
 	return s.stats.result(seed, s.picker), nil
 }
 
-// addServers creates the servers and lists those that do not join later.
+// addServers creates the servers and lists all but those that join later.
 func (s *simulation) addServers() {
 	for i := range s.spec.Servers {
 		created := newServer(s.scheduler, s.spec, i, s.stats.countRun)
@@ -89,8 +89,8 @@
 	s.picker.SetEndpoints(s.listed, s.scheduler.Now())
 }
 
-// addBulkheads puts a queue with bulkheads in front of the servers if the mode has some. It returns
-// the runner of the request lifecycle.
+// addBulkheads puts a queue with bulkheads in front of the servers if the mode has bulkheads. It returns the
+// lifecycle.Runner to which the request lifecycle sends attempts.
 func (s *simulation) addBulkheads(mode string) lifecycle.Runner {
 	config := bulkheadConfig(mode, s.spec)
 	if config == nil {
@@ -108,7 +108,7 @@
 	return s.queue
 }
 
-// managerSink passes results on to the request lifecycle, which is created after the queue.
+// managerSink passes results on to simulation.manager, which does not exist yet when the queue is created.
 type managerSink struct{ simulation *simulation }
 
 // ResponseStarted implements lifecycle.Sink.
@@ -121,7 +121,7 @@
 	m.simulation.manager.AttemptEnded(a, o, r)
 }
 
-// environment connects the request lifecycle to the simulation.
+// environment returns the environment that connects the request lifecycle to the simulation.
 func (s *simulation) environment(runner lifecycle.Runner) lifecycle.Environment {
 	return lifecycle.Environment{
 		Now:   s.scheduler.Now,
@@ -143,7 +143,7 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a rejection of a class.
+// retryAfter returns the Retry-After for a rejected request of a class.
 func (s *simulation) retryAfter(class int) time.Duration {
 	retryAfter := s.picker.RetryAfter(s.scheduler.Now())
 	if s.queue != nil {
@@ -152,7 +152,7 @@
 	return retryAfter
 }
 
-// settings returns the settings of the program in front of the servers.
+// settings returns the settings of the admission.
 func (s *simulation) settings(mode string) admission.Settings {
 	settings := admission.Settings{
 		Servers:               1,
@@ -195,7 +195,7 @@
 	return settings
 }
 
-// every calls fn at an interval.
+// every calls fn periodically, for the first time after one interval.
 func (s *simulation) every(interval time.Duration, fn func()) {
 	s.scheduler.After(interval, func() {
 		fn()
@@ -203,7 +203,7 @@
 	})
 }
 
-// at calls fn so many seconds into the day.
+// at calls fn at a time of the day, in seconds.
 func (s *simulation) at(second float64, fn func()) {
 	s.scheduler.After(virtualclock.Origin+virtualclock.FromSeconds(second)-s.scheduler.Now(), fn)
 }
--- a/internal/simulator/cluster/spec.go
+++ b/internal/simulator/cluster/spec.go
@@ -1,28 +1,29 @@
-// Package cluster simulates the program in front of many uwsgi servers in virtual time: its request
-// lifecycle, its admission and its routing, or a baseline for the routing, with servers that are
-// slow, cold, dead, cut off or failing. Days are drawn from a seed; two routing modes of one day
-// differ in the routing alone.
+// Package cluster simulates the program in front of many uwsgi servers in virtual time. It uses the request
+// lifecycle, the admission and the routing of the program, or a baseline in place of the routing; the servers
+// may be slow, cold, dead, cut off or failing. Days are drawn from a seed: simulations of one day with two
+// routing modes differ only in the routing.
 package cluster
 
-// Class is a class of requests. Times are in milliseconds.
+// Class is a class of requests. Times and work are in milliseconds.
 type Class struct {
 	Name               string
-	Share              float64 // of the requests
-	Work               float64 // mean, of a worker of a warm server
+	Share              float64 // share of all requests
+	Work               float64 // mean work of a request, on a worker of a warm server
 	LatencyObjective   float64
 	Deadline           float64
 	PriorityWeight     float64
-	LateWeightFraction float64 // of the weight that a late answer earns
-	Keyed              bool    // idempotent by an idempotency key
+	LateWeightFraction float64 // fraction of the weight that a late answer earns
+	Keyed              bool    // idempotent by its idempotency key
 }
 
-// Indices of the classes.
+// The indices of classes.
 const (
 	quickCheckClass = iota
 	fullCheckClass
 	handInClass
 )
 
+// classes are the classes of all kinds of day.
 var classes = []Class{
 	quickCheckClass: {
 		Name:               "quick-check",
@@ -59,13 +60,13 @@
 	Kind  string
 	From  float64
 	To    float64 // 0: to the end
-	Share float64 // of the servers, the first ones; of FaultFlood: of the capacity
-	Zone  string  // all servers of a zone, in place of a share
-	Times float64 // factor of FaultSlow
-	Class int     // of FaultFlood
+	Share float64 // share of the servers, from the first one on; with FaultFlood: of the capacity
+	Zone  string  // zone whose servers are all hit, in place of Share
+	Times float64 // factor of the work, with FaultSlow
+	Class int     // class of the requests, with FaultFlood
 }
 
-// Spec is a kind of day.
+// Spec describes a kind of day.
 type Spec struct {
 	Name           string
 	About          string
@@ -73,16 +74,16 @@
 	Zones          []string
 	Workers        int     // of each server
 	Load           float64 // request rate, as a share of the capacity of all servers
-	Seconds        float64 // length of the day
-	WarmUpTime     float64 // seconds
-	WarmUpSlowdown float64 // factor of the work at the start of a server
+	Seconds        float64 // length of the day, in seconds
+	WarmUpTime     float64 // length of the warm-up of a server, in seconds
+	WarmUpSlowdown float64 // factor of the work at the start of the warm-up of a server
 	Faults         []Fault
 }
 
-// workers returns the number of workers of all servers.
+// workers returns the total number of workers of all servers.
 func (s *Spec) workers() int { return s.Servers * s.Workers }
 
-// Named returns the kind of day with a name.
+// Named returns the kind of day with the given name, and whether there is one.
 func Named(name string) (Spec, bool) {
 	for _, s := range Specs() {
 		if s.Name == name {
@@ -92,7 +93,7 @@
 	return Spec{}, false
 }
 
-// meanWork returns the mean work of a request, in microseconds.
+// meanWork returns the mean work of a request over all classes, in microseconds.
 func meanWork() (micros float64) {
 	for _, c := range classes {
 		micros += c.Share * c.Work * 1000
--- a/internal/simulator/cluster/specs.go
+++ b/internal/simulator/cluster/specs.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// newSpec returns a kind of day with a usual cluster.
+// newSpec returns a kind of day with the default cluster: 17 servers with 4 workers in one zone, for a minute.
 func newSpec(name, about string, load float64, faults ...Fault) Spec {
 	return Spec{
 		Name:           name,
@@ -41,7 +41,7 @@
 	return []Spec{large, cut}
 }
 
-// serverFaultSpecs returns the kinds of day with faults of servers, and one without.
+// serverFaultSpecs returns the kinds of day with faults of servers, and one without any fault.
 func serverFaultSpecs() []Spec {
 	return []Spec{
 		newSpec("calm", "nothing happens", 0.65),
@@ -62,7 +62,7 @@
 	}
 }
 
-// loadSpecs returns the kinds of day for bulkheads: high loads, floods and slow servers.
+// loadSpecs returns the kinds of day that are meant for bulkheads: high loads, a flood and slow servers.
 func loadSpecs() []Spec {
 	crawl := Fault{Kind: FaultSlow, From: 20, To: 40, Share: 1, Times: 2.5}
 	slowFifth := Fault{Kind: FaultSlow, From: 20, Share: 0.2, Times: 4}
