--- a/internal/simulator/fleet/attempt.go
+++ b/internal/simulator/fleet/attempt.go
@@ -153,7 +153,7 @@
 	incarnation.sendAnswer(a, out)
 }
 
-// checkDeadline records a violation if the present is later than the rules allow for the answer: the
+// checkDeadline records a violation if the time limit for the answer has passed. The limit is the
 // deadline, extended by the time that the machine was frozen since it read the request, plus a slack. A
 // request that was read after its deadline must be answered at once.
 func (a *Attempt) checkDeadline(state string) {
@@ -162,7 +162,7 @@
 	deadline += a.incarnation.frozenTime() - a.frozenBefore
 	late := s.now() - deadline - virtualclock.FromMillis(s.day.Spec.Fleet.SlackMs) - measuringTolerance
 	if late > 0 && !a.abandoned {
-		a.addViolation(ledger.Lost, "%s: a request of class %s was %s %d ms after its deadline",
+		a.addViolation(ledger.Lost, "%s: a request of class %s was %s %d ms past the time limit",
 			a.runner.spec.Name, class.Name, state, late.Milliseconds())
 	}
 }
--- a/internal/simulator/fleet/process.go
+++ b/internal/simulator/fleet/process.go
@@ -20,7 +20,7 @@
 	// Forget reports that an attempt is answered or abandoned and does not run: nothing more follows for
 	// it.
 	Forget(a *Attempt)
-	// Check starts a health check by a caller, numbered from 1. A process may never call done.
+	// Check starts a health check by a caller, numbered from 1. The process need not call done.
 	Check(caller int, done func(healthy bool))
 	// Needs reports that a run waits for its next call to the back end.
 	Needs(a *Attempt)
