--- a/internal/simulator/day/named.go
+++ b/internal/simulator/day/named.go
@@ -15,7 +15,7 @@
 func Names() (names []string) {
 	entries, err := scenarios.ReadDir("scenarios")
 	if err != nil {
-		panic(err) // they are part of the program
+		panic(err) // impossible: the scenarios are embedded in the program
 	}
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".yaml"))
@@ -23,8 +23,8 @@
 	return names
 }
 
-// Read reads a scenario, by the name of a built-in one or by the path of a file. It returns its text
-// too.
+// Read reads and parses a scenario, given by the name of a built-in one or by the path of a file. It also
+// returns the text.
 func Read(name string) (*Spec, []byte, error) {
 	text, err := scenarios.ReadFile(path.Join("scenarios", name+".yaml"))
 	if err != nil {
