--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	got := scenario.ReadToEnd(c)
-	s.AwaitAndPass(time.Millisecond)
+	s.AwaitAndAdvance(time.Millisecond)
 	expect(t, s, got, "answer")
 }
 
@@ -90,7 +90,7 @@
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	s.AwaitAndPass(0)
+	s.AwaitAndAdvance(0)
 	if (*accepted)[0].IsClosed() {
 		t.Fatal("the connection is closed while a part of the response is still queued")
 	}
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -183,7 +183,7 @@
 	c := r.connect(r.request(1))
 	r.serve(1)
 	r.Send(c, r.request(2))
-	r.AwaitAndPass(idleFor + sweep)
+	r.AwaitAndAdvance(idleFor + sweep)
 	r.serve(1)
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 			// within the header of the first record, and within the second record
 			for _, cut := range []int{3, midRecord} {
 				r.Send(c, whole[:cut])
-				r.AwaitAndPass(0)
+				r.AwaitAndAdvance(0)
 				r.Advance(2 * sweep)
 				whole = whole[cut:]
 			}
@@ -227,7 +227,7 @@
 		r.serve(1)
 		whole := r.request(2)
 		r.Send(c, whole[:cut])
-		r.AwaitAndPass(0)
+		r.AwaitAndAdvance(0)
 		r.frontend.Drain()
 		r.Advance(2 * sweep)
 		r.Send(c, whole[cut:])
@@ -248,11 +248,11 @@
 			whole := r.request(2)
 			if cut > 0 {
 				r.Send(c, whole[:cut])
-				r.AwaitAndPass(0)
+				r.AwaitAndAdvance(0)
 			}
 			r.After(time.Millisecond, r.end) // in the turn that reads the rest of request 2
 			r.Send(c, whole[cut:])
-			r.AwaitAndPass(time.Millisecond)
+			r.AwaitAndAdvance(time.Millisecond)
 			r.serve(1)
 			r.expect(c, map[int]string{1: "200", 2: "200"})
 		})
--- a/internal/frontend/uwsgi/crossing_test.go
+++ b/internal/frontend/uwsgi/crossing_test.go
@@ -66,7 +66,7 @@
 	f.Drain()
 	expectOK(t, s, queued)
 	s.Send(silent, healthCheck(t))
-	s.AwaitAndPass(0)
+	s.AwaitAndAdvance(0)
 	expectOK(t, s, silent)
 	s.Advance(time.Second)
 	if s.Advance(time.Second); f.Connections() != 0 {
@@ -86,7 +86,7 @@
 	}
 	late := s.DialAddr(f.Addr().String(), healthCheck(t))
 	s.Send(idle[0], healthCheck(t)) // the connection that has been silent for longest
-	s.AwaitAndPass(0)
+	s.AwaitAndAdvance(0)
 	expectOK(t, s, idle[0])
 	expectOK(t, s, late)
 }
--- a/internal/testing/scenario/steppedloop.go
+++ b/internal/testing/scenario/steppedloop.go
@@ -33,8 +33,8 @@
 	return s
 }
 
-// AwaitAndPass waits until a descriptor is ready, advances the clock, and handles both in one turn.
-func (s *SteppedLoop) AwaitAndPass(d time.Duration) {
+// AwaitAndAdvance waits until a descriptor is ready, advances the clock, and handles both in one turn.
+func (s *SteppedLoop) AwaitAndAdvance(d time.Duration) {
 	s.t.Helper()
 	ready, err := s.AwaitReady(readyTimeout)
 	if err != nil || !ready {
@@ -56,7 +56,7 @@
 func (s *SteppedLoop) Until(done func() bool) {
 	s.t.Helper()
 	for !done() {
-		s.AwaitAndPass(0)
+		s.AwaitAndAdvance(0)
 	}
 }
 
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -105,7 +105,7 @@
 }
 
 func advanceTime(d time.Duration) func(*scenario.SteppedLoop, *Group, *lifecycle.Attempt) {
-	return func(s *scenario.SteppedLoop, _ *Group, _ *lifecycle.Attempt) { s.AwaitAndPass(d) }
+	return func(s *scenario.SteppedLoop, _ *Group, _ *lifecycle.Attempt) { s.AwaitAndAdvance(d) }
 }
 
 func abandon(_ *scenario.SteppedLoop, g *Group, a *lifecycle.Attempt) { g.Abandon(a) }
