--- a/internal/testing/scenario/balancer.go
+++ b/internal/testing/scenario/balancer.go
@@ -14,10 +14,13 @@
 	"ryepaddle/internal/protocol/fastcgi"
 )
 
-// Balancer is a FastCGI client, as the platform's load balancer. It sends `ID CLASS [key=K] [body=B] [age=MS] [keep=no]
-// [FIELD=VALUE]`, where fields are parameters under their CGI names, `abort ID`, `stdin ID BYTES`,
-// `health`, or `raw HEX`. It observes `ID STATUS BODY`, with come-back before the body of a
-// rejection with a time to stay away, and `gone` when its connection ends, after which it dials again.
+// Balancer is a test double of the platform's load balancer, a FastCGI client. It sends
+// `ID CLASS [key=K] [body=B] [age=MS] [keep=no] [FIELD=VALUE]`, where each FIELD is the CGI name of a parameter,
+// `abort ID`, `stdin ID BYTES` (that many zero bytes), `health`, or `raw HEX`.
+//
+// It observes `ID STATUS BODY`, with come-back before the body if the answer has the header field X-Come-Back-Ms,
+// and `ID ended PROTOCOL-STATUS` for a request that ends without an answer. When its connection ends it observes
+// `gone`, and opens a new connection for the next action.
 type Balancer struct {
 	*Observations
 	addr     string
@@ -39,7 +42,7 @@
 	return b
 }
 
-// dial opens a connection and reads from it.
+// dial opens a connection and starts to read from it.
 func (b *Balancer) dial() (err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,7 +109,7 @@
 	return b.write(b.request(uint16(id), p, o["body"], o["keep"] != "no"))
 }
 
-// request returns the records of a request.
+// request returns the FastCGI records of a request.
 func (b *Balancer) request(id uint16, params map[string]string, body string, keep bool) []byte {
 	var pairs []byte
 	for name, value := range params {
@@ -120,7 +123,7 @@
 	return fastcgi.Append(out, fastcgi.Stdin, id, nil)
 }
 
-// write writes on the connection; if that has ended, on a new one.
+// write writes p to the connection, or to a new one if the connection has ended.
 func (b *Balancer) write(p []byte) error {
 	b.mu.Lock()
 	ended := b.ended
@@ -168,7 +171,7 @@
 	}
 }
 
-// handleRecord notes the answer that a record completes.
+// handleRecord handles one record. An EndRequest record completes an answer, which is then observed.
 func (b *Balancer) handleRecord(rec fastcgi.Record) {
 	switch rec.Type {
 	case fastcgi.Stdout:
@@ -190,5 +193,5 @@
 	}
 }
 
-// CallID returns the X-Call-Id of the request with a number.
+// CallID returns the X-Call-Id of a request: its ID in the script, padded to 16 characters.
 func CallID(id string) string { return fmt.Sprintf("%016s", id) }
--- a/internal/testing/scenario/caller.go
+++ b/internal/testing/scenario/caller.go
@@ -14,10 +14,11 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// Caller is a uwsgi client with one request on each connection. It sends `ID PATH [key=K] [body=B]
-// [VAR=VALUE]`, `part ID PATH` (half a packet), `raw ID HEX` or `cancel ID`, and observes `ID STATUS
-// BODY`, with retry-after before the body if the answer has that header, or `ID gone` if its connection
-// ends without an answer.
+// Caller is a uwsgi client that opens a connection for each request. It sends
+// `ID PATH [key=K] [body=B] [VAR=VALUE]`, `part ID PATH` (the first half of a packet), `raw ID HEX` or `cancel ID`
+// (closes the connection). It observes `ID STATUS BODY`, with retry-after before the body if the answer has that
+// header field, `ID cut off` if the body does not have the stated length, or `ID gone` if the connection ends
+// without an answer.
 type Caller struct {
 	*Observations
 	addr  string
@@ -69,7 +70,7 @@
 	return c.open(words[0], packet)
 }
 
-// open sends a packet on a new connection and notes the answer.
+// open sends a packet on a new connection and observes the answer.
 func (c *Caller) open(id string, packet []byte) error {
 	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// encodeRequest returns the packet of a request.
+// encodeRequest returns the uwsgi packet of a request, with options as parseOptions returns them.
 func encodeRequest(path string, o map[string]string) ([]byte, error) {
 	r := &uwsgi.Request{Body: []byte(o["body"]), Variables: []uwsgi.Variable{{Name: "PATH_INFO", Value: path}}}
 	vars := map[string]string{
--- a/internal/testing/scenario/client.go
+++ b/internal/testing/scenario/client.go
@@ -17,12 +17,12 @@
 
 // Errors of SendRequest.
 var (
-	errTruncatedAnswer = errors.New("an answer that is cut off")
-	errNoAnswer        = errors.New("no answer")
+	errTruncatedAnswer = errors.New("scenario: truncated answer")
+	errNoAnswer        = errors.New("scenario: no answer")
 )
 
-// SendRequest sends one request to the platform's frontend on a connection of its own. The status is 0 with
-// an error if the connection was refused or broke.
+// SendRequest sends one request to the platform's frontend on a new connection. The status is 0, with an error,
+// if the connection was refused or broke.
 func SendRequest(addr, id, class, key string) (status int, body string, err error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -32,7 +32,7 @@
 	if err := c.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
 		return 0, "", err
 	}
-	if _, err := c.Write(encodeCall(id, class, key)); err != nil {
+	if _, err := c.Write(encodeFastCGIRequest(id, class, key)); err != nil {
 		return 0, "", err
 	}
 	all, err := io.ReadAll(c)
@@ -42,8 +42,8 @@
 	return decodeAnswer(all)
 }
 
-// encodeCall returns the records of a request. Its key is also its body.
-func encodeCall(id, class, key string) []byte {
+// encodeFastCGIRequest returns the records of a request whose body is its key.
+func encodeFastCGIRequest(id, class, key string) []byte {
 	var params []byte
 	for _, p := range [][2]string{
 		{"SCRIPT_NAME", "/ops/" + class},
@@ -63,7 +63,7 @@
 	return fastcgi.Append(fastcgi.Append(out, fastcgi.Stdin, 1, []byte(key)), fastcgi.Stdin, 1, nil)
 }
 
-// decodeAnswer decodes the records of an answer.
+// decodeAnswer decodes the FastCGI records of an answer.
 func decodeAnswer(records []byte) (status int, body string, err error) {
 	var stdout []byte
 	for len(records) > 0 {
--- a/internal/testing/scenario/countingengine.go
+++ b/internal/testing/scenario/countingengine.go
@@ -25,7 +25,7 @@
 	byBody map[string]int // guarded by mu
 }
 
-// Each calls fn for each body that ran.
+// Each calls fn for each body that was run, with the number of its runs.
 func (r *RunCounts) Each(fn func(body string, runs int)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// add counts a run.
+// add counts a run of a request with body.
 func (r *RunCounts) add(body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 	r.byBody[body]++
 }
 
-// NewCountingEngine listens for a runner. Each run takes workTime.
+// NewCountingEngine starts an engine on a loopback port. Each run takes workTime.
 func NewCountingEngine(t testing.TB, workTime time.Duration, runs *RunCounts) *CountingEngine {
 	e := &CountingEngine{Listener: listenLoopback(t), workTime: workTime, runs: runs}
 	go acceptLoop(e.Listener, e.serve)
--- a/internal/testing/scenario/engine.go
+++ b/internal/testing/scenario/engine.go
@@ -12,9 +12,10 @@
 )
 
 // Engine is a test double of the platform's engine. It observes `RUN ID CLASS BODY`, `FEED ID BODY` and
-// `ATTACH NO`, sends `done ID STATUS RESULT`, `need ID BODY`, `no ID COMMAND` and `lost` before a
-// notice that is kept but not written, and answers gauges by itself: 0.1 of its cores are busy, or
-// the share set by `cpu SHARE`. Close breaks the connection; `deaf` drops all input until then.
+// `ATTACH NO`. It sends `done ID STATUS RESULT`, `need ID BODY`, `no ID COMMAND`, and `again`, which repeats the
+// last notice. `lost done ...` and `lost need ...` keep the notice for the next connection without writing it.
+// It answers STAT by itself: 0.1 of its cores are busy, or the share set by `cpu SHARE`. After `deaf` it ignores
+// all commands but ATTACH and writes no notices, until Close, which breaks the connection.
 type Engine struct {
 	*Observations
 	Listener net.Listener
@@ -26,14 +27,14 @@
 	started  map[string]bool
 }
 
-// NewEngine listens for a runner.
+// NewEngine starts an engine on a loopback port.
 func NewEngine(t testing.TB) *Engine {
 	e := &Engine{Observations: newObservations(), Listener: listenLoopback(t), cpu: "0.1", started: map[string]bool{}}
 	go acceptLoop(e.Listener, e.serve)
 	return e
 }
 
-// NewAddress returns a further address of the engine.
+// NewAddress makes the engine listen on one more port and returns its address.
 func (e *Engine) NewAddress(t testing.TB) string {
 	ln := listenLoopback(t)
 	go acceptLoop(ln, e.serve)
@@ -67,7 +68,7 @@
 	case "deaf":
 		e.deaf = true
 		return nil
-	case "again": // a notice that the runner has read
+	case "again": // repeats a notice that the runner has read
 		_, err := io.WriteString(e.conn, e.notices[len(e.notices)-1])
 		return err
 	case "done":
@@ -118,7 +119,7 @@
 		case e.deaf:
 		case m.T == "STAT":
 			fmt.Fprintf(c, `{"t":"STATS","mark":%q,"v":[%s,0,0,0]}`+"\n", m.Mark, e.cpu)
-		case m.T == "RUN" && e.started[m.Rid]: // repeated on a new connection: it runs already
+		case m.T == "RUN" && e.started[m.Rid]: // repeated on a new connection: the run has started already
 		case m.T == "RUN":
 			e.started[m.Rid] = true
 			e.Note("RUN %s %s %s", id, m.Route, m.B64)
--- a/internal/testing/scenario/http.go
+++ b/internal/testing/scenario/http.go
@@ -10,7 +10,8 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// ReadHead reads the variables of a uwsgi request, and the part of its body that has arrived.
+// ReadHead reads a uwsgi request up to the end of its variables. It returns the value of the first variable, which
+// is the path, and the part of the body that has arrived.
 func ReadHead(c net.Conn) (path string, body []byte, err error) {
 	var in []byte
 	buf := make([]byte, 64<<10)
@@ -22,7 +23,7 @@
 		in = append(in, buf[:n]...)
 		head, used, err := uwsgi.ReadHead(in, uwsgi.MaxVariablesBytes)
 		if err != nil || used > 0 && len(head.Variables) == 0 {
-			return "", nil, errors.New("no request")
+			return "", nil, errors.New("scenario: not a uwsgi request with variables")
 		}
 		if used > 0 {
 			return head.Variables[0].Value, in[used:], nil
@@ -30,8 +31,8 @@
 	}
 }
 
-// ReadAnswer reads an answer. It is complete if it has its stated length, or states none and ends without a
-// reset.
+// ReadAnswer reads an answer until the connection ends. complete reports whether the connection ended without a
+// reset and the body has its stated length, if one is stated.
 func ReadAnswer(c io.Reader) (status int, body []byte, complete bool) {
 	all, err := io.ReadAll(c)
 	head, n, bad := httpmessage.Read(all)
@@ -45,7 +46,8 @@
 // responsePartBytes is the size of the pieces in which Respond writes.
 const responsePartBytes = 50_000
 
-// Respond sends a response with its length stated or in chunks.
+// Respond sends a response with status 200. Its body has a Content-Length if length is true, and is chunked
+// otherwise.
 func Respond(c net.Conn, body []byte, length bool) error {
 	if length {
 		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)); err != nil {
--- a/internal/testing/scenario/listener.go
+++ b/internal/testing/scenario/listener.go
@@ -32,23 +32,23 @@
 	}
 }
 
-// closeListener closes a listener so that further connections are refused. Closing alone is not enough: a
-// child process that is being started holds a copy of the descriptor until its exec, so that connections
-// are queued.
+// closeListener closes a listener so that further connections are refused. Close alone is not enough: a child
+// process that is being started holds a copy of the descriptor until its exec, and connections are queued
+// meanwhile.
 func closeListener(ln net.Listener) error {
 	if sc, ok := ln.(syscall.Conn); ok {
 		raw, err := sc.SyscallConn()
 		if err != nil {
 			return err
 		}
-		// It fails only for a closed listener.
+		// Control fails only for a closed listener.
 		_ = raw.Control(func(fd uintptr) { _ = unix.Shutdown(int(fd), unix.SHUT_RDWR) })
 	}
 	return ln.Close()
 }
 
-// UnresponsiveServer returns the address of a listener whose queue is full, so that connections to it are
-// neither established nor refused.
+// UnresponsiveServer returns the address of a listener whose accept queue is full: connections to it are neither
+// established nor refused.
 func UnresponsiveServer(t testing.TB) netip.AddrPort {
 	t.Helper()
 	socket := func() int {
@@ -79,8 +79,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port))
 }
 
-// Serve calls fn for each connection, on a goroutine of its own, and closes the connection after it, until
-// the listener is closed.
+// Serve calls fn for each connection, on a goroutine of its own, until the listener is closed. The connection is
+// closed when fn returns.
 func Serve(ln net.Listener, fn func(c net.Conn)) {
 	acceptLoop(ln, func(c net.Conn) {
 		defer c.Close()
--- a/internal/testing/scenario/listener_test.go
+++ b/internal/testing/scenario/listener_test.go
@@ -7,12 +7,11 @@
 	"testing"
 )
 
-// A scenario that closes a server expects the next connection to be refused. While another test
-// started a program, that program's copy of the descriptor kept the port open, and the connection
-// was reset instead.
+// A connection to a closed server must be refused. A child process that was being started held a copy
+// of the listening descriptor, which kept the port open, and the connection was reset instead.
 func TestClosedServersRefuse(t *testing.T) {
 	s := NewServer(t)
-	held, err := s.Listener.(*net.TCPListener).File() // as a child that is being started holds it
+	held, err := s.Listener.(*net.TCPListener).File() // the copy of a child process that is being started
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,6 +20,6 @@
 		t.Fatal(err)
 	}
 	if c, err := net.Dial("tcp", s.Listener.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("connection %v, error %v, want it refused", c, err)
+		t.Errorf("Dial() after Close = %v, %v, want ECONNREFUSED", c, err)
 	}
 }
--- a/internal/testing/scenario/scenario.go
+++ b/internal/testing/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario supports tests of the runner: test doubles for all peers that it talks to, and a small
-// language whose lines drive them.
+// Package scenario supports tests of the runner: test doubles of all parties that it talks to, and a small script
+// language that controls them.
 //
 //	balancer send 1 hand-in key=a body=code
 //	engine expect RUN 1 hand-in code
@@ -21,10 +21,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// expectTimeout is how long an expectation may take. Only a failing test waits for it.
+// expectTimeout bounds the wait for an expected observation. Only a failing test waits that long.
 const expectTimeout = 10 * time.Second
 
-// Actor is a test double that the lines of a script name.
+// Actor is a test double. Scripts refer to it by name.
 type Actor interface {
 	// Send performs an action.
 	Send(words []string) error
@@ -33,8 +33,8 @@
 	Close() error
 }
 
-// Play executes the lines of a script. Blank lines and those that begin with # are skipped. It fails the
-// test at the first line that does not hold.
+// Play executes the lines of a script. Blank lines and lines whose first word is # are skipped. The test fails at
+// the first line that cannot be executed or whose expectation is not met.
 func Play(t testing.TB, script string, actors map[string]Actor) {
 	t.Helper()
 	for n, line := range strings.Split(strings.TrimSpace(script), "\n") {
@@ -57,7 +57,7 @@
 	}
 	a := actors[words[0]]
 	if a == nil || len(words) < 2 {
-		return errors.New("no such actor or verb")
+		return errors.New("unknown actor or missing verb")
 	}
 	switch rest := strings.Join(words[2:], " "); words[1] {
 	case "send":
@@ -74,14 +74,14 @@
 			got = "nothing"
 		}
 		if diff := cmp.Diff(rest, got); diff != "" {
-			return fmt.Errorf("(-want +got)\n%s", diff)
+			return fmt.Errorf("wrong observation (-want +got)\n%s", diff)
 		}
 		return nil
 	}
 	return fmt.Errorf("unknown verb %q", words[1])
 }
 
-// Observations is a queue of what an actor observed. It is safe for concurrent use.
+// Observations is a queue of the observations of an actor. It is safe for concurrent use.
 type Observations struct {
 	mu    sync.Mutex
 	lines []string
--- a/internal/testing/scenario/server.go
+++ b/internal/testing/scenario/server.go
@@ -12,16 +12,16 @@
 	"ryepaddle/internal/protocol/uwsgi"
 )
 
-// Server is a test double of a uwsgi server. It observes `PATH BODY`, and sends `STATUS BODY`, `short
-// BODY` (less than it states), `head` (a truncated head) or `break` (nothing) to the oldest
-// request, then closes. It notes `cancelled` when a caller closes first.
+// Server is a test double of a uwsgi server. It observes `PATH BODY`. It answers the oldest request with
+// `STATUS BODY`, `short BODY` (a body shorter than its stated length), `head` (a truncated head) or `break`
+// (nothing), and closes the connection. It observes `cancelled` if the caller closes first.
 type Server struct {
 	*Observations
 	Listener net.Listener
 	replies  chan []string
 }
 
-// NewServer listens for requests.
+// NewServer starts a server on a loopback port. It stops listening when the test ends.
 func NewServer(t testing.TB) *Server {
 	s := &Server{Observations: newObservations(), Listener: listenLoopback(t), replies: make(chan []string, 16)}
 	go acceptLoop(s.Listener, s.serve)
@@ -77,8 +77,8 @@
 	}
 }
 
-// errCallerGone reports a caller that closed its connection before its request was complete.
-var errCallerGone = errors.New("no request")
+// errCallerGone is the error of ReadRequest for a caller that closes before its request is complete.
+var errCallerGone = errors.New("scenario: the caller closed before its request was complete")
 
 // maxRequestBody bounds the body of a request in bytes.
 const maxRequestBody = 1 << 20
--- a/internal/testing/scenario/steppedloop.go
+++ b/internal/testing/scenario/steppedloop.go
@@ -9,11 +9,11 @@
 	"ryepaddle/internal/eventloop"
 )
 
-// readyTimeout bounds the wait for what a peer on loopback has sent.
+// readyTimeout bounds the wait for an event that a peer on loopback causes.
 const readyTimeout = 10 * time.Second
 
-// SteppedLoop is an event loop whose clock and turns are controlled by the test, which so decides which
-// events happen in one turn.
+// SteppedLoop is an event loop whose clock and turns are controlled by the test. The test thereby decides which
+// events are handled in one turn.
 type SteppedLoop struct {
 	*eventloop.Loop
 	t   testing.TB
@@ -33,17 +33,18 @@
 	return s
 }
 
-// AwaitAndAdvance waits until a descriptor is ready, advances the clock, and handles both in one turn.
+// AwaitAndAdvance waits until a descriptor is ready, advances the clock by d, and takes one turn, which handles
+// the descriptor's events and the timers that are due.
 func (s *SteppedLoop) AwaitAndAdvance(d time.Duration) {
 	s.t.Helper()
 	ready, err := s.AwaitReady(readyTimeout)
 	if err != nil || !ready {
-		s.t.Fatalf("nothing gets ready: %v", err)
+		s.t.Fatalf("no descriptor became ready: %v", err)
 	}
 	s.Advance(d)
 }
 
-// Advance advances the clock and takes one turn.
+// Advance advances the clock by d and takes one turn.
 func (s *SteppedLoop) Advance(d time.Duration) {
 	s.t.Helper()
 	s.now = s.now.Add(d)
@@ -52,7 +53,7 @@
 	}
 }
 
-// Until takes turns until done, without advancing the clock.
+// Until takes turns until done returns true, without advancing the clock.
 func (s *SteppedLoop) Until(done func() bool) {
 	s.t.Helper()
 	for !done() {
@@ -66,7 +67,7 @@
 	return s.DialAddr(ln.Addr().String(), send)
 }
 
-// DialAddr is Dial to an address.
+// DialAddr connects to an address and sends a text.
 func (s *SteppedLoop) DialAddr(addr, send string) *net.TCPConn {
 	s.t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -78,7 +79,7 @@
 	return c.(*net.TCPConn)
 }
 
-// Send writes on a peer's side.
+// Send writes a text to a peer's end of a connection.
 func (s *SteppedLoop) Send(c io.Writer, text string) {
 	s.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -86,13 +87,13 @@
 	}
 }
 
-// Received is what a peer read to the end of its connection; a reset is an error.
+// Received is what a peer read until the end of its connection. Err is set if the connection was reset.
 type Received struct {
 	Text string
 	Err  error
 }
 
-// ReadToEnd reads a connection to its end, beside the loop.
+// ReadToEnd reads a connection to its end on a goroutine of its own.
 func ReadToEnd(c net.Conn) <-chan Received {
 	got := make(chan Received, 1)
 	go func() {
@@ -102,7 +103,7 @@
 	return got
 }
 
-// AwaitEnd takes turns, a millisecond each, until the peer has read to the end.
+// AwaitEnd takes turns, and advances the clock by a millisecond in each, until the peer has read to the end.
 func (s *SteppedLoop) AwaitEnd(got <-chan Received) Received {
 	s.t.Helper()
 	for {
