--- a/internal/testing/cluster/bench_test.go
+++ b/internal/testing/cluster/bench_test.go
@@ -17,20 +17,20 @@
 // readPath is the path of requests without a key.
 const readPath = "/ops/quick-check"
 
-// maxLatency is the largest latency that a histogram tells, in microseconds.
+// maxLatency is the largest latency that a histogram records, in microseconds.
 const maxLatency = 60_000_000
 
-// clockTicks is the unit of processor times in /proc, in ticks a second.
+// clockTicks is the number of ticks per second in the processor times of /proc.
 const clockTicks = 100
 
-// replicationCase is how keys and usage are kept.
+// replicationCase is the number of further copies of a key, and whether usage is recorded.
 type replicationCase struct {
 	replicas  int
 	withUsage bool
 }
 
-// BenchmarkKeyedRequests measures keyed requests, and reads without a key, at one of three runners
-// that keep no, one or two further copies, with and without an account of usage. Run it with
+// BenchmarkKeyedRequests measures requests with an idempotency key, and reads without one, at one of
+// three runners that keep no, one or two further copies, with and without an account of usage. Run it with
 // -benchtime 3000x, and with RYEPADDLE_BIN, a program without the race detector.
 func BenchmarkKeyedRequests(b *testing.B) {
 	program := os.Getenv("RYEPADDLE_BIN")
@@ -134,11 +134,11 @@
 	return sum
 }
 
-// TestRepairBesideService is for a run by hand: RYEPADDLE_REPAIR keys with 1.2 KB of result each
-// are kept by five runners with one copy. One runner is lost with its disk and starts again. The
-// test logs how long it takes until copies are complete, and the latencies and failures of keyed
-// requests and reads before and meanwhile. RYEPADDLE_BIN is a program without the race detector,
-// RYEPADDLE_RATE the bound of repair_kb.
+// TestRepairBesideService measures the repair of copies while requests are served; it is run by hand.
+// Five runners keep RYEPADDLE_REPAIR keys with results of 1.2 KB and one further copy of each. One
+// runner is lost with its disk and restarted. The test logs the time until all copies are complete,
+// and the latencies and failures of keyed requests and reads before and during the repair.
+// RYEPADDLE_BIN is a program without the race detector, RYEPADDLE_RATE the value of repair_kb.
 func TestRepairBesideService(t *testing.T) {
 	keys, err := strconv.Atoi(os.Getenv("RYEPADDLE_REPAIR"))
 	program := os.Getenv("RYEPADDLE_BIN")
@@ -189,7 +189,7 @@
 	return c
 }
 
-// loseAndRepair loses the second runner with its disk and waits until copies are complete.
+// loseAndRepair kills the second runner, empties its disk, and waits until all copies are complete.
 func loseAndRepair(t *testing.T, c *Cluster) {
 	t.Helper()
 	started := time.Now()
@@ -199,7 +199,7 @@
 	if err := c.WaitUntilReplicated(90 * time.Second); err != nil {
 		t.Error(err)
 	}
-	t.Logf("complete after %.1f s", time.Since(started).Seconds())
+	t.Logf("all copies complete after %.1f s", time.Since(started).Seconds())
 }
 
 // logLatenciesDuring sends keyed requests and reads during a phase, and logs their latencies.
@@ -217,8 +217,8 @@
 	running.Wait()
 }
 
-// sendUntilClosed sends a request every 5 ms, in turn to the runners that are not lost, until done is
-// closed. It returns what was seen.
+// sendUntilClosed sends a request every 5 ms, in turn to the runners that are not killed, until done
+// is closed. It returns a summary of failures and latencies.
 func sendUntilClosed(c *Cluster, phase, path string, done chan struct{}) string {
 	latencies := hdrhistogram.New(1, maxLatency, 3)
 	remaining := []int{0, 2, 3, 4}
@@ -246,7 +246,7 @@
 	}
 }
 
-// residentBytes returns the resident memory of a runner's process; 0: not known.
+// residentBytes returns the resident memory of a runner's process; 0: unknown.
 func (n *Node) residentBytes() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", n.command.Process.Pid))
 	fields := strings.Fields(string(text))
--- a/internal/testing/cluster/client.go
+++ b/internal/testing/cluster/client.go
@@ -12,13 +12,13 @@
 // tenantName is the tenant of all requests.
 const tenantName = "north"
 
-// keyedPath is the path of keyed requests, and keyedClass their class.
+// keyedPath is the path of requests with an idempotency key, and keyedClass their class.
 const (
 	keyedPath  = "/ops/hand-in"
 	keyedClass = "hand-in"
 )
 
-// SendKeyed sends a keyed request to a runner, once, and adds the outcome to the history.
+// SendKeyed sends one request with an idempotency key to a runner and adds the outcome to the history.
 func (c *Cluster) SendKeyed(n *Node, key string) historychecker.Response {
 	sent := time.Since(c.started)
 	status, body := SendRequest(n.clientLink.Addr(), keyedPath, key, c.opt.Timeout)
@@ -36,15 +36,15 @@
 	return response
 }
 
-// SendRequest sends one uwsgi request to addr and returns the answer. The status is 0 if no whole
-// answer came within the timeout.
+// SendRequest sends one uwsgi request to addr and returns the answer. The status is 0 if no complete
+// answer was received within the timeout.
 func SendRequest(addr, path, key string, timeout time.Duration) (status int, body string) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return 0, ""
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // without one the request only takes longer
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // without a deadline the request only takes longer
 	packet, err := uwsgi.Append(nil, &uwsgi.Request{Variables: []uwsgi.Variable{
 		{Name: "PATH_INFO", Value: path},
 		{Name: "HTTP_X_CUSTOMER", Value: tenantName},
@@ -57,8 +57,8 @@
 	if _, err := conn.Write(packet); err != nil {
 		return 0, ""
 	}
-	status, text, isWhole := scenario.ReadAnswer(conn)
-	if !isWhole {
+	status, text, isComplete := scenario.ReadAnswer(conn)
+	if !isComplete {
 		return 0, ""
 	}
 	return status, string(text)
--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -2,8 +2,8 @@
 //
 // Each connection between a client, a runner and a server, and between two runners, goes through a
 // link of package faultlink. Faults of links, processes and disks are played from a script or drawn
-// from a seed. Clients send keyed requests meanwhile, and package historychecker decides from
-// outside whether what they saw is consistent.
+// from a seed. Meanwhile clients send requests with idempotency keys, and package historychecker
+// decides whether the answers that they received and the runs that servers counted are consistent.
 package cluster
 
 import (
@@ -22,27 +22,27 @@
 const (
 	// HealthCheckInterval is the time between two health checks of a server, with Options.Leases.
 	HealthCheckInterval = 250 * time.Millisecond
-	// pollInterval is the time between two looks at runners that something is awaited of.
+	// pollInterval is how often runners are polled by a function that waits for a condition.
 	pollInterval = 20 * time.Millisecond
 )
 
-// Options say what is started.
+// Options configure a cluster.
 type Options struct {
-	// Binary is the path of the runner's program.
+	// Binary is the path of the program of all runners that are not in Binaries.
 	Binary string
-	// Binaries are the programs of runners, by name, that have another one than Binary.
+	// Binaries are the paths of the programs of single runners, by the runner's name.
 	Binaries map[string]string
-	// ClockOffsets is by how much the clocks of runners, by name, are ahead. Their programs need the
-	// build tag faults.
+	// ClockOffsets is by how much the clocks of single runners are ahead, by the runner's name. Their
+	// programs must be built with the tag faults.
 	ClockOffsets map[string]time.Duration
-	// Dir is the directory of all files. Empty: a temporary one.
+	// Dir is the directory of all files. Empty: a temporary directory, which Close removes.
 	Dir string
 	// Runners is the number of runners.
 	Runners int
-	// Joining is the number of runners, the last ones, that are not started and are no members
-	// before SetMember.
+	// Joining is how many of the runners, counted from the last, Start does not start. They are not
+	// members until SetMember adds them.
 	Joining int
-	// Zones is the number of zones over which runners and servers are spread. 0: one.
+	// Zones is the number of zones over which runners and servers are spread. 0: one zone.
 	Zones int
 	// Servers is the number of uwsgi servers. There is a link from each runner to each server.
 	Servers int
@@ -52,18 +52,18 @@
 	Window time.Duration
 	// Timeout bounds a start, a drain and the wait for an answer.
 	Timeout time.Duration
-	// Replicas is the number of copies of a key beside the first. 0: runners are no peers.
+	// Replicas is the number of further copies of each key. 0: the runners are not peers.
 	Replicas int
-	// MaxFullMesh is the number of members up to which each has links with all. 0: the default.
+	// MaxFullMesh is the number of members up to which each has a link to every other. 0: defaultFullMesh.
 	MaxFullMesh int
-	// Leases has one runner check the health of the servers of each zone for all.
+	// Leases makes one runner check the health of the servers of each zone on behalf of all.
 	Leases bool
-	// Operator returns the operator's file of a runner. Nil: WithReplicas, or without replicas
-	// WithStore.
+	// Operator returns the operator's file of a runner. Nil: WithReplicas if Replicas is above 0,
+	// otherwise WithStore.
 	Operator func(n *Node) (string, error)
 }
 
-// Server is a stand-in for a server. It counts its runs by key.
+// Server is a uwsgi server of a cluster. It counts its runs by key.
 type Server struct {
 	Name, Zone string
 	*uwsgiserver.Server
@@ -77,16 +77,16 @@
 
 	opt        Options
 	started    time.Time
-	tempDir    string         // to be removed; empty: none
-	background sync.WaitGroup // ends of faults
+	tempDir    string         // removed by Close; empty: none
+	background sync.WaitGroup // goroutines that end faults or restart runners after a time
 
 	mu      sync.Mutex
-	err     error           // guarded by mu: of ends of faults
-	members map[string]bool // guarded by mu: runners that are in the files of the others
+	err     error           // guarded by mu: errors of the background goroutines
+	members map[string]bool // guarded by mu: names of the members in the operator's files
 }
 
 // Start starts all runners but the joining ones and waits until they listen. It returns an error if
-// one does not within opt.Timeout.
+// a runner does not listen within opt.Timeout.
 func Start(opt Options) (*Cluster, error) {
 	c := &Cluster{opt: opt, started: time.Now(), members: map[string]bool{}}
 	if opt.Dir == "" {
@@ -160,7 +160,7 @@
 // zone returns the zone of the i-th runner or server.
 func (c *Cluster) zone(i int) string { return fmt.Sprintf("hall%d", i%max(c.opt.Zones, 1)+1) }
 
-// openLinks opens the links from a runner's clients, and from the runner to servers and peers.
+// openLinks opens the link from a runner's clients and the links from the runner to servers and peers.
 func (c *Cluster) openLinks(n *Node) (err error) {
 	if n.clientLink, err = faultlink.New(""); err != nil {
 		return err
@@ -206,7 +206,7 @@
 	return errors.Join(errs...)
 }
 
-// Node returns the runner of a name.
+// Node returns the runner with a name.
 func (c *Cluster) Node(name string) (*Node, error) {
 	for _, n := range c.Nodes {
 		if n.Name == name {
@@ -227,7 +227,8 @@
 	return counts
 }
 
-// Check returns what is inconsistent in the history, and which runners ended by themselves.
+// Check returns the inconsistencies of the history, the errors of the background goroutines, and the
+// runners that exited unexpectedly.
 func (c *Cluster) Check() historychecker.Verdict {
 	verdict := c.History.Check(c.RunCounts())
 	c.mu.Lock()
@@ -243,7 +244,7 @@
 	return verdict
 }
 
-// fail notes an error of something in the background.
+// fail records an error of a background goroutine.
 func (c *Cluster) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/cluster/config.go
+++ b/internal/testing/cluster/config.go
@@ -9,8 +9,8 @@
 	"ryepaddle/internal/testing/daytest"
 )
 
-// requestTimeout is the deadline of each class. It is long, as the machine may be busy with all the
-// processes.
+// requestTimeout is the deadline of each class. It is long because the many processes may keep the
+// machine busy.
 const requestTimeout = 8 * time.Second
 
 // runnerLimits are the limits of each runner.
--- a/internal/testing/cluster/disk.go
+++ b/internal/testing/cluster/disk.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// errNoBackup is the error of a restore without a backup.
+// errNoBackup is the error of restore for a disk that was not backed up.
 var errNoBackup = errors.New("there is no backup of the disk")
 
-// emptyDir removes all that is in a directory, which is created if it does not exist.
+// emptyDir removes the contents of a directory, and creates it if it does not exist.
 func emptyDir(dir string) error {
 	if err := os.RemoveAll(dir); err != nil {
 		return err
@@ -22,7 +22,7 @@
 // backupOf returns the directory of the backup of a disk.
 func backupOf(dir string) string { return dir + ".aside" }
 
-// backUp copies a disk, in place of an earlier backup.
+// backUp copies a disk to its backup, which replaces an earlier one.
 func backUp(dir string) error {
 	if err := os.RemoveAll(backupOf(dir)); err != nil {
 		return err
@@ -41,8 +41,8 @@
 	return os.CopyFS(dir, os.DirFS(backupOf(dir)))
 }
 
-// limitFileSize bounds the size of the files that the runner's process may write, in bytes: beyond
-// it the disk is full. It has no effect on a process that has ended, or on the next one.
+// limitFileSize bounds the size of the files that the runner's process may write, in bytes. Writes
+// beyond it fail as on a full disk. It has no effect on a process that has ended, or on the next one.
 func (n *Node) limitFileSize(bytes uint64) error {
 	command, _ := n.expectExit()
 	if command == nil {
@@ -56,8 +56,8 @@
 	return err
 }
 
-// setDiskHang has operations on the runner's directories block, or complete again. The program needs
-// the build tag faults.
+// setDiskHang makes operations on the runner's directories block, or lets them complete again. The
+// program must be built with the tag faults.
 func (n *Node) setDiskHang(isHanging bool) error {
 	var errs []error
 	for _, dir := range []string{n.peersDir(), n.keysDir()} {
--- a/internal/testing/cluster/faults.go
+++ b/internal/testing/cluster/faults.go
@@ -11,9 +11,9 @@
 	"ryepaddle/internal/testing/faultlink"
 )
 
-// Play applies faults at their times, and returns once the last one is over and its runner has
-// started again. It calls onFault, which may be nil, before each. Faults of unknown parties are
-// refused before the first one.
+// Play applies faults at their times, and returns once all of them have ended and their runners have
+// been restarted. It calls onFault, which may be nil, before each fault. If a fault names an unknown
+// party, Play returns an error and applies no fault.
 func (c *Cluster) Play(faults []Fault, onFault func(Fault)) error {
 	for _, f := range faults {
 		if err := c.Validate(f); err != nil {
@@ -60,8 +60,8 @@
 	return nil, fmt.Errorf("%s has no link to %q", runner, other)
 }
 
-// Apply applies a fault at once. What ends a fault after a time, or starts a runner again, happens
-// in the background.
+// Apply applies a fault at once. The end of a fault that lasts for a time, and a later restart of a
+// runner, happen in the background.
 func (c *Cluster) Apply(f Fault) error {
 	switch len(f.Targets) {
 	case 0:
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	duration, _ := time.ParseDuration(f.Value) // a count is none
-	count, _ := strconv.Atoi(f.Value)          // a duration is none
+	duration, _ := time.ParseDuration(f.Value) // 0 if the value is a count
+	count, _ := strconv.Atoi(f.Value)          // 0 if the value is a duration
 	switch f.Action {
 	case ActionCut:
 		link.Cut()
@@ -88,7 +88,7 @@
 		link.Set(f.Direction, faultlink.Fault{Stall: true})
 	case ActionDelay:
 		link.Set(f.Direction, faultlink.Fault{Delay: duration})
-		return nil // it lasts until the link is healed
+		return nil // the delay lasts until the link is healed
 	case ActionThrottle:
 		link.Set(f.Direction, faultlink.Fault{BytesPerSecond: count})
 	case ActionReset:
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// applyToNode applies a fault of a runner. Faults of one runner are applied one after the other.
+// applyToNode applies a fault of a runner. Faults of the same runner are applied one after the other.
 func (c *Cluster) applyToNode(f Fault) error {
 	n, err := c.Node(f.Targets[0])
 	if err != nil {
@@ -113,8 +113,8 @@
 	}
 	n.faultMu.Lock()
 	defer n.faultMu.Unlock()
-	duration, _ := time.ParseDuration(f.Value) // only some actions have one
-	if err := c.act(n, f, duration); err != nil {
+	duration, _ := time.ParseDuration(f.Value) // 0 for an action without a duration
+	if err := c.applyAction(n, f, duration); err != nil {
 		return err
 	}
 	if f.WipeDisk {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// act carries out a fault's action on a runner. The caller must hold n.faultMu.
-func (c *Cluster) act(n *Node, f Fault, duration time.Duration) error {
+// applyAction applies the action of a fault to a runner. The caller must hold n.faultMu.
+func (c *Cluster) applyAction(n *Node, f Fault, duration time.Duration) error {
 	switch f.Action {
 	case ActionKill:
 		return n.Kill()
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// applyFor calls begin, and after a time end.
+// applyFor calls begin at once, and end after a time in the background.
 func (c *Cluster) applyFor(d time.Duration, begin, end func() error) error {
 	if err := begin(); err != nil {
 		return err
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// startOn starts a runner that is down, on the backup of its disk if that is wanted. The caller
-// must hold n.faultMu.
+// startOn starts a runner that is not running. With isRestored its disk is first replaced by the
+// backup. The caller must hold n.faultMu.
 func (n *Node) startOn(isRestored bool) error {
 	if isRestored {
 		if err := restore(n.disk()); err != nil {
@@ -176,14 +176,14 @@
 	return n.Start()
 }
 
-// startIfDown starts a runner, unless another fault has started it meanwhile.
+// startIfDown starts a runner, unless another fault has already started it.
 func (n *Node) startIfDown() error {
 	n.faultMu.Lock()
 	defer n.faultMu.Unlock()
 	return n.startOn(false)
 }
 
-// runAfter calls fn in the background after a time. Wait for it with c.background.
+// runAfter calls fn in the background after a time. c.background.Wait waits for the call.
 func (c *Cluster) runAfter(d time.Duration, fn func() error) {
 	c.background.Go(func() {
 		time.Sleep(d)
@@ -193,7 +193,7 @@
 	})
 }
 
-// Repair ends all faults: links heal, and every runner is started.
+// Repair ends all faults: it heals the links, and resumes or starts every runner.
 func (c *Cluster) Repair() error {
 	c.background.Wait()
 	var errs []error
@@ -210,7 +210,7 @@
 	return errors.Join(errs...)
 }
 
-// PartitionFaults are the faults that cut a runner off from all others for a time, in both
+// PartitionFaults returns the faults that cut a runner off from all other runners for a time, in both
 // directions.
 func (c *Cluster) PartitionFaults(n *Node, d time.Duration) []Fault {
 	var faults []Fault
--- a/internal/testing/cluster/faultscript.go
+++ b/internal/testing/cluster/faultscript.go
@@ -12,33 +12,34 @@
 	"ryepaddle/internal/testing/faultlink"
 )
 
-// Fault is one line of a fault script: when, what, and which parties it affects.
+// Fault is one line of a fault script: a time, an action, and the parties that it affects.
 //
 //	2s kill n2            the process is killed; --wipe: its disk is emptied too; --back 1s: it is
-//	                      started again after that time
-//	2s start n2           it is started; --old: on the backup of its disk
+//	                      restarted after that time
+//	2s start n2           it is started; --old: with the backup of its disk
 //	2s aside n2           its disk is backed up while it runs
 //	2s stop n2 3s         it is suspended for that time
 //	2s full n2 1s         its disk is full for that time
-//	2s hang n2 1s         its disk does not answer for that time; the program needs the tag faults
-//	2s drain n2           it shuts down gracefully; --back 1s
-//	2s cut n1 s1          no connection in either direction until heal, or for a time that is given
+//	2s hang n2 1s         operations on its disk block for that time; needs the build tag faults
+//	2s drain n2           it shuts down gracefully; --back 1s: as for kill
+//	2s cut n1 s1          no connection in either direction until heal; cut n1 s1 1s: for that time
 //	2s hold n1 s1 1s      no bytes pass; --there or --back-way: in that direction only
-//	2s delay n1 s1 50ms   each piece is late
-//	2s drip n1 s1 100     bytes a second
+//	2s delay n1 s1 50ms   each piece of data is delayed by that time
+//	2s drip n1 s1 100     at most that many bytes per second pass
 //	2s chop n1 s1 90      the connection is reset after that many bytes
-//	2s heal n1 s1         the link has no fault any more
-//	2s wait               nothing: the run lasts at least that long
+//	2s heal n1 s1         all faults of the link end
+//	2s wait               no fault: the run lasts at least until that time
 //
-// The clients of a runner are "clients". A link "n1 n2" carries what n1 sends to n2.
+// "clients" stands for the clients of a runner. The link "n1 n2" carries the connections that n1 opens
+// to n2.
 type Fault struct {
 	At            time.Duration // since the start of the run
 	Action        Action
 	Targets       []string // names of runners, servers, or Clients
-	Value         string   // a duration or a number, as the action takes it; empty: none
+	Value         string   // a duration or a count, depending on the action; empty: none
 	WipeDisk      bool
 	RestoreBackup bool
-	RestartAfter  time.Duration // negative: it is not started again
+	RestartAfter  time.Duration // negative: the runner is not restarted
 	Direction     faultlink.Direction
 }
 
@@ -85,7 +86,7 @@
 	countValue
 )
 
-// actionSyntax is the form of an action's line.
+// actionSyntax is the syntax of an action: its number of targets and the kind of its value.
 type actionSyntax struct {
 	targets int
 	value   valueKind
@@ -108,7 +109,7 @@
 	ActionWait:     {0, noValue},
 }
 
-// String returns the line of the fault.
+// String returns the fault as a line of a script, which ParseFault decodes.
 func (f Fault) String() string {
 	words := append([]string{f.At.String(), string(f.Action)}, f.Targets...)
 	if f.Value != "" {
@@ -132,7 +133,7 @@
 	return strings.Join(words, " ")
 }
 
-// ParseFault decodes one line. Its error quotes the line and says what is wrong with it.
+// ParseFault decodes one line of a script. Its error quotes the line.
 func ParseFault(line string) (Fault, error) {
 	f := Fault{RestartAfter: -1, Direction: faultlink.BothDirections}
 	words, err := f.parseFlags(strings.Fields(line))
@@ -177,14 +178,14 @@
 	return words, nil
 }
 
-// parseWords takes the time, the action, its targets and its value.
+// parseWords decodes the time, the action, its targets and its value.
 func (f *Fault) parseWords(words []string) error {
 	if len(words) < 2 {
-		return errors.New("a fault is a time, a verb and the names that it affects")
+		return errors.New("a line needs a time and a verb, followed by the names that the verb affects")
 	}
 	var err error
 	if f.At, err = time.ParseDuration(words[0]); err != nil || f.At < 0 {
-		return errors.New("it does not begin with a time")
+		return errors.New("the line does not begin with a time")
 	}
 	f.Action = Action(words[1])
 	syntax, ok := syntaxOf[f.Action]
@@ -199,10 +200,10 @@
 	return f.parseValue(words[syntax.targets:], syntax.value)
 }
 
-// parseValue takes the value of the action, if it takes one.
+// parseValue decodes the value of the action, if it has one.
 func (f *Fault) parseValue(words []string, kind valueKind) error {
 	if len(words) > 1 || kind == noValue && len(words) > 0 {
-		return fmt.Errorf("there is more than %s takes", f.Action)
+		return fmt.Errorf("too many arguments for %s", f.Action)
 	}
 	if len(words) == 1 {
 		f.Value = words[0]
@@ -220,8 +221,8 @@
 	return nil
 }
 
-// ParseScript decodes a script, a fault a line. Blank lines and lines that begin with # are
-// ignored. The faults are returned in the order of their times. The error joins those of all lines.
+// ParseScript decodes a script with one fault per line. Blank lines and lines that begin with # are
+// ignored. The faults are returned in the order of their times. The error joins the errors of all lines.
 func ParseScript(text string) ([]Fault, error) {
 	var faults []Fault
 	var errs []error
--- a/internal/testing/cluster/faultscript_test.go
+++ b/internal/testing/cluster/faultscript_test.go
@@ -23,7 +23,7 @@
 7s drain n3 --back 0s
 9s wait`
 
-// Lines that are refused, and a part of each error.
+// badLines maps invalid lines to a part of the wanted error.
 var badLines = map[string]string{
 	"kill n1":           "time",
 	"1s":                "verb",
@@ -33,7 +33,7 @@
 	"1s stop n1":        "needs a time",
 	"1s stop n1 -1s":    "needs a time",
 	"1s drip n1 s1 0":   "number",
-	"1s kill n1 5s":     "more than",
+	"1s kill n1 5s":     "too many arguments",
 	"1s kill n1 --back": "--back",
 	"1s kill n1 --hard": "unknown flag",
 	"-1s wait":          "time",
@@ -50,7 +50,7 @@
 	}
 	for _, f := range RandomFaults(7, 100, time.Minute, 5, 3, true, true) {
 		if diff := cmp.Diff([]Fault{f}, parseScript(t, f.String())); diff != "" {
-			t.Errorf("%v: %s", f, diff)
+			t.Errorf("%v parsed again (-want +got)\n%s", f, diff)
 		}
 	}
 }
@@ -59,11 +59,11 @@
 	for line, want := range badLines {
 		_, err := ParseScript("\n" + line)
 		if err == nil {
-			t.Errorf("%q is taken", line)
+			t.Errorf("ParseScript() of %q = nil error, want one", line)
 			continue
 		}
 		if !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%q: %v", line, err)
+			t.Errorf("error for %q = %v; want the reason and line 2", line, err)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	c := &Cluster{Nodes: []*Node{{Name: "n1"}}}
 	for _, line := range []string{"0s kill n9", "0s cut n1 n2", "0s cut n9 s1"} {
 		if c.Play(parseScript(t, line), nil) == nil {
-			t.Errorf("%q is played", line)
+			t.Errorf("Play() of %q = nil, want an error", line)
 		}
 	}
 }
--- a/internal/testing/cluster/hardfaults_test.go
+++ b/internal/testing/cluster/hardfaults_test.go
@@ -41,10 +41,10 @@
 	{"two versions", withOldVersion, playTwoVersions},
 }
 
-// The cases are played one after the other, and before the tests that run side by side: each keeps
-// a core or two busy, and those depend on how soon runners hear of each other. A cluster that has
-// just started waits for a window before it accepts keys, and does nothing meanwhile, so all of
-// them start at once.
+// Faulty disks, wrong clocks and two versions must not lose results or run a key twice. The cases run
+// one after the other, before the parallel tests: each keeps one or two cores busy, and the parallel
+// tests depend on how soon runners hear of each other. The clusters are all started at once, as a new
+// cluster is idle for a window before it accepts keys.
 func TestDiskClockAndVersionFaults(t *testing.T) {
 	started := make([]*pendingCluster, len(hardFaultCases))
 	for i, c := range hardFaultCases {
@@ -60,8 +60,8 @@
 	return func(*testing.T) (Options, error) { return options(), nil }
 }
 
-// errNoOldVersion is the error of a checkout without the commit of the old version.
-var errNoOldVersion = errors.New("not on this checkout")
+// errNoOldVersion is the error for a checkout without the commit of the old version.
+var errNoOldVersion = errors.New("the old version is not in this checkout")
 
 // pendingCluster is a cluster that does not accept keys yet.
 type pendingCluster struct {
@@ -71,7 +71,7 @@
 	close   sync.Once
 }
 
-// startPending starts a cluster in the background. It is closed as the test ends, if it was not
+// startPending starts a cluster in the background. It is closed when the test ends, if it was not
 // closed before.
 func startPending(t *testing.T, options func(*testing.T) (Options, error)) *pendingCluster {
 	p := &pendingCluster{started: make(chan struct{})}
@@ -117,7 +117,7 @@
 	})
 }
 
-// ready waits until the cluster accepts keys. It is closed as the test ends.
+// ready waits until the cluster accepts keys. The cluster is closed when the test t ends.
 func (p *pendingCluster) ready(t *testing.T) *Cluster {
 	t.Helper()
 	<-p.started
@@ -131,8 +131,8 @@
 	return p.cluster
 }
 
-// checkUnderLoad calls play beside a load and checks the history: no key runs twice, and no result
-// is lost.
+// checkUnderLoad calls play under load and checks the history: no key may run twice, and no result
+// may be lost.
 func checkUnderLoad(t *testing.T, c *Cluster, play func() error) {
 	t.Helper()
 	load := peerLoad(3, 2)
@@ -151,12 +151,12 @@
 func checkLogged(t *testing.T, n *Node, event string) {
 	t.Helper()
 	if !strings.Contains(n.Log(maxLogLines), "event="+event) {
-		t.Errorf("%s has not logged %s", n.Name, event)
+		t.Errorf("%s did not log event %s", n.Name, event)
 	}
 }
 
-// Disks of a voter and of a member without a vote are full or hang while these and others serve.
-// The runners log it, go on once the disk does, and lose the disk in the middle of it.
+// The disks of a voter and of a member without a vote are full or hang under load, while other disks
+// are lost. The runners must log the failure and continue once the disk works again.
 func playFullAndHangingDisks(t *testing.T, c *Cluster) {
 	t.Helper()
 	faults := parseScript(t, `
@@ -176,14 +176,14 @@
 	checkBill(t, c)
 }
 
-// Clocks are minutes apart: each runner remembers a key for its window by its own clock. Machines
-// are lost meanwhile. The bill is not checked: accounts tell uses apart by their times, and count a
-// use several times whose times are further apart than a window.
+// The runners' clocks are minutes apart while machines are lost: each runner keeps a key for its
+// window by its own clock. The bill is not checked: accounts identify a use by its times as well, and
+// count a use more than once if its recorded times are further apart than a window.
 func playClocksApart(t *testing.T, c *Cluster) {
 	t.Helper()
 	checkUnderLoad(t, c, func() error {
-		// The next machine is lost only once all copies are complete: more than half of the voters
-		// at once would have no data.
+		// The next machine is lost only once all copies are complete. Otherwise more than half of
+		// the voters could be without data at once.
 		for _, n := range c.Nodes {
 			time.Sleep(200 * time.Millisecond)
 			faults := parseScript(t, "0s kill "+n.Name+" --wipe --back 100ms")
@@ -219,19 +219,19 @@
 		return "", err
 	}
 	if err := exec.Command("git", "-C", checkout, "cat-file", "-e", oldVersion).Run(); err != nil {
-		return "", fmt.Errorf("%w, which does not have %s: %w", errNoOldVersion, oldVersion, err)
+		return "", fmt.Errorf("%w: commit %s: %w", errNoOldVersion, oldVersion, err)
 	}
 	script := `mkdir src && git -C "$0" archive "$1" | tar -x -C src && cd src && go build -o ../old "$2"`
 	build := exec.Command("sh", "-c", script, checkout, oldVersion, oldPackage)
 	build.Dir = dir
 	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%s cannot be built: %w\n%s", oldVersion, err, out)
+		return "", fmt.Errorf("build of commit %s: %w\n%s", oldVersion, err, out)
 	}
 	return filepath.Join(dir, "old"), nil
 }
 
-// Runners of two versions serve as one cluster: each is restarted with the new version while the
-// others serve, and one goes back to the old one.
+// Runners of two versions form one cluster: runners are restarted with the new version while the
+// others serve, and one is restarted with the old version again.
 func playTwoVersions(t *testing.T, c *Cluster) {
 	t.Helper()
 	old := c.opt.Binaries["n1"]
@@ -252,7 +252,7 @@
 	checkBill(t, c)
 }
 
-// restartWith drains a runner, starts it with another program and waits for complete copies.
+// restartWith drains a runner, starts it with another program and waits until all copies are complete.
 func restartWith(c *Cluster, name, binary string) error {
 	n, err := c.Node(name)
 	if err != nil {
@@ -265,7 +265,7 @@
 	return errors.Join(n.Start(), c.WaitUntilReplicated(replicationTimeout))
 }
 
-// moduleRoot returns the directory of the checkout.
+// moduleRoot returns the root directory of the module.
 func moduleRoot() (string, error) {
 	out, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	return strings.TrimSpace(string(out)), err
--- a/internal/testing/cluster/helpers_test.go
+++ b/internal/testing/cluster/helpers_test.go
@@ -14,22 +14,22 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// The runner's program, and one with the build tag faults: its disk can hang and its clock can be
-// wrong.
+// runnerBinary is the path of the runner's program. faultsBinary is built with the tag faults, so that
+// its disk can hang and its clock can be wrong.
 var runnerBinary, faultsBinary string
 
-// parallelTests is the number of tests that run side by side. They wait for most of their time.
+// parallelTests is the number of tests that run in parallel. They wait for most of their time.
 const parallelTests = "12"
 
 const (
-	// shortWindow is the window of keyed requests among peers: replica sets that start without data
-	// accept none for as long.
+	// shortWindow is the idempotency window among peers. Replica sets that start without data accept
+	// no keyed requests for as long.
 	shortWindow = 3 * time.Second
-	// longWindow is the window of keys on a disk.
+	// longWindow is the idempotency window of keys on a disk.
 	longWindow = 10 * time.Minute
-	// replicationTimeout bounds the wait for complete copies.
+	// replicationTimeout bounds the wait until all copies are complete.
 	replicationTimeout = 60 * time.Second
-	// acceptTimeout bounds the wait for the first keyed request.
+	// acceptTimeout bounds the wait until a keyed request is served.
 	acceptTimeout = 30 * time.Second
 	// conditionTimeout bounds the wait for a condition.
 	conditionTimeout = 30 * time.Second
@@ -60,7 +60,8 @@
 	os.Exit(code)
 }
 
-// seeds returns the seeds to play: the usual number of them, or what the environment asks for.
+// seeds returns the first seed and the number of seeds to play: usual of them, unless RYEPADDLE_SEED
+// selects one seed or RYEPADDLE_SEEDS the number.
 func seeds(usual int) (first uint64, count int) {
 	if n, err := strconv.ParseUint(os.Getenv("RYEPADDLE_SEED"), 10, 64); err == nil {
 		return n, 1
@@ -71,7 +72,7 @@
 	return 1, usual
 }
 
-// startCluster starts a cluster that is closed as the test ends.
+// startCluster starts a cluster that is closed when the test ends.
 func startCluster(t *testing.T, opt Options) *Cluster {
 	t.Helper()
 	setTestDefaults(&opt)
@@ -96,8 +97,8 @@
 	return startCluster(t, Options{Runners: runners, Zones: 3, Servers: 3, Window: longWindow})
 }
 
-// startAccepting starts a cluster of peers and waits until all copies are complete and it accepts
-// keyed requests, each within a time.
+// startAccepting starts a cluster of peers, waits until all copies are complete, and then until it
+// accepts keyed requests. replication and accept bound the two waits.
 func startAccepting(t *testing.T, opt Options, replication, accept time.Duration) *Cluster {
 	t.Helper()
 	c := startCluster(t, opt)
@@ -152,7 +153,7 @@
 	return faults
 }
 
-// playLines plays faults that are given as a script.
+// playLines plays the faults of a script.
 func playLines(t *testing.T, c *Cluster, text string) {
 	t.Helper()
 	if err := c.Play(parseScript(t, text), nil); err != nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-// playUnderLoad plays faults beside a load, repairs them, and checks the history. A failure tells
-// the command that plays the same faults again.
+// playUnderLoad plays faults under load, repairs them, and checks the history. The message of a
+// failure has the command that plays the same faults again.
 func playUnderLoad(t *testing.T, c *Cluster, l *Load, seed uint64, faults []Fault) {
 	t.Helper()
 	l.Start(c)
@@ -176,7 +177,7 @@
 	if v := c.Check(); len(v) > 0 {
 		name, _, _ := strings.Cut(t.Name(), "/")
 		t.Errorf(
-			"%v\nagain with: RYEPADDLE_SEED=%d go test -race -run %s ./internal/testing/cluster\n%v",
+			"%v\nrepeat with: RYEPADDLE_SEED=%d go test -race -run %s ./internal/testing/cluster\n%v",
 			v,
 			seed,
 			name,
@@ -204,7 +205,7 @@
 			return response
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s at %s is %v", key, n.Name, response)
+			t.Fatalf("last response to key %s at %s = %v, not the wanted outcome", key, n.Name, response)
 		}
 	}
 }
@@ -213,7 +214,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(conditionTimeout); !isTrue(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("after %v it is not true that %s", conditionTimeout, condition)
+			t.Fatalf("not reached within %v: %s", conditionTimeout, condition)
 		}
 	}
 }
@@ -225,7 +226,7 @@
 	}
 }
 
-// checkBill drains all runners and checks that each served key is billed once.
+// checkBill drains all runners and checks that each key that was served is billed once.
 func checkBill(t *testing.T, c *Cluster) {
 	t.Helper()
 	v, bill, err := c.ReconcileUsage()
@@ -236,7 +237,7 @@
 		t.Error(v)
 	}
 	t.Logf(
-		"the bill: %d statements, %d duplicate ones, %d requests in two accounts",
+		"bill: %d statements, %d duplicate statements, %d requests in two accounts",
 		bill.Statements,
 		bill.DuplicateStatements,
 		bill.DeduplicatedRuns,
--- a/internal/testing/cluster/lease.go
+++ b/internal/testing/cluster/lease.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// holderLossTime is how long a suspended or partitioned holder is lost.
+	// holderLossTime is how long a holder is suspended or partitioned.
 	holderLossTime = 2500 * time.Millisecond
-	// holderRestartDelay is after what time a killed or drained holder starts again.
+	// holderRestartDelay is the time after which a killed or drained holder is restarted.
 	holderRestartDelay = 100 * time.Millisecond
-	// effectPollInterval is the time between two looks at the servers.
+	// effectPollInterval is how often the health checks that servers received are polled.
 	effectPollInterval = 5 * time.Millisecond
 )
 
-// HolderLosses are the ways in which the holder of a lease is lost, or gives it back.
+// HolderLosses are the faults by which a lease loses its holder. A drained holder gives the lease back.
 var HolderLosses = []Action{ActionKill, ActionSuspend, ActionCut, ActionDrain}
 
-// LeaseEffects returns the health checks under a lease, as the servers have seen them.
+// LeaseEffects returns the health checks under a lease that the servers have received.
 func (c *Cluster) LeaseEffects() (effects []historychecker.LeaseEffect) {
 	for _, s := range c.Servers {
 		for _, check := range s.HealthChecks() {
@@ -40,8 +40,8 @@
 	return effects
 }
 
-// LeaseHolder returns the holder of a lease and its fencing token, by the newest table that any
-// answering runner knows. The name is empty if nobody holds the lease.
+// LeaseHolder returns the holder of a lease and its fencing token, according to the newest table that
+// a responding runner knows. The name is empty if no runner holds the lease.
 func (c *Cluster) LeaseHolder(lease string) (name string, token uint64) {
 	newest := uint64(0)
 	for _, n := range c.Nodes {
@@ -63,8 +63,8 @@
 	return name, token
 }
 
-// LoseHolder has the holder of a lease lost in some way, and returns how long it took until a
-// server saw the first effect of the next holder.
+// LoseHolder applies a fault to the holder of a lease, and returns the time until a server received
+// the first health check of the next holder.
 func (c *Cluster) LoseHolder(lease string, loss Action, timeout time.Duration) (time.Duration, error) {
 	deadline := time.Now().Add(timeout)
 	holder, token, err := c.awaitHolder(lease, deadline)
@@ -80,14 +80,14 @@
 			return effect.At.Sub(started), errors.Join(<-played, c.Repair())
 		}
 		if time.Now().After(deadline) {
-			err := fmt.Errorf("no next holder of %s: %s (token %d) was lost by %s", lease, holder.Name, token, loss)
+			err := fmt.Errorf("no next holder of %s after %s (token %d), lost by %s", lease, holder.Name, token, loss)
 			return 0, errors.Join(err, <-played, c.Repair())
 		}
 		time.Sleep(effectPollInterval)
 	}
 }
 
-// awaitHolder waits until a lease has a holder of which a server has seen an effect.
+// awaitHolder waits until a lease has a holder of which a server has received a health check.
 func (c *Cluster) awaitHolder(lease string, deadline time.Time) (*Node, uint64, error) {
 	for {
 		name, token := c.LeaseHolder(lease)
@@ -96,13 +96,13 @@
 			return n, token, nil
 		}
 		if time.Now().After(deadline) {
-			return nil, 0, fmt.Errorf("no holder of %s acts: %q, token %d", lease, name, token)
+			return nil, 0, fmt.Errorf("no health check under %s, holder %q, token %d", lease, name, token)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// holderFaults returns the faults by which a holder is lost.
+// holderFaults returns the faults that make a runner lose its leases in the given way.
 func (c *Cluster) holderFaults(n *Node, loss Action) []Fault {
 	fault := Fault{Action: loss, Targets: []string{n.Name}, RestartAfter: -1}
 	switch loss {
@@ -116,7 +116,7 @@
 	return []Fault{fault}
 }
 
-// firstEffect returns the first effect under a token that is at least minToken; nil: none yet.
+// firstEffect returns the earliest effect whose token is at least minToken; nil: none yet.
 func (c *Cluster) firstEffect(lease string, minToken uint64) *historychecker.LeaseEffect {
 	var first *historychecker.LeaseEffect
 	for _, e := range c.LeaseEffects() {
--- a/internal/testing/cluster/lease_test.go
+++ b/internal/testing/cluster/lease_test.go
@@ -12,11 +12,12 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// effectDelay is how long an effect may be in flight, and how long a holder takes from its check of
-// the lease to its act, while nothing delays it.
+// effectDelay bounds the time from a holder's check of its lease until the effect reaches a server,
+// while no fault delays it.
 const effectDelay = 300 * time.Millisecond
 
-// leaseOptions are those of five runners, one of which checks the servers of each zone for all.
+// leaseOptions are the options of a cluster of five runners, one of which checks the servers of each
+// zone for all.
 var leaseOptions = Options{
 	Runners:  5,
 	Zones:    2,
@@ -26,9 +27,10 @@
 	Leases:   true,
 }
 
-// Holders are killed, suspended, partitioned and drained in turn: there is a next holder, no server
-// accepts an effect of a former holder after one of the next, no two act at the same time, and one
-// runner checks the servers. RYEPADDLE_HOLDERS is the number of losses, for a long run by hand.
+// Lease holders are killed, suspended, partitioned and drained in turn. Each time another runner must
+// become the holder, no server may accept a health check of a former holder after one of the next, and
+// no two holders may act at the same time. RYEPADDLE_HOLDERS is the number of losses, for a long run
+// by hand.
 func TestLeaseHolderLosses(t *testing.T) {
 	t.Parallel()
 	losses := len(HolderLosses)
@@ -56,12 +58,12 @@
 	logLosses(t, times, effects)
 }
 
-// logLosses logs the times until the next holder acted, and how many effects servers refused.
+// logLosses logs the times until the next holder acted, and how many effects servers rejected.
 func logLosses(t *testing.T, times map[Action][]time.Duration, effects []historychecker.LeaseEffect) {
 	t.Helper()
 	for loss, d := range times {
 		slices.Sort(d)
-		t.Logf("%s: the next holder acts after %v at best, median %v, of %d", loss, d[0], d[len(d)/2], len(d))
+		t.Logf("%s: time until the next holder acted: least %v, median %v, of %d", loss, d[0], d[len(d)/2], len(d))
 	}
 	refused := 0
 	for _, e := range effects {
@@ -69,26 +71,27 @@
 			refused++
 		}
 	}
-	t.Logf("%d effects, %d refused", len(effects), refused)
+	t.Logf("%d effects, %d rejected", len(effects), refused)
 }
 
-// Without faults only the holder checks a server. Where nobody holds the lease, each runner does.
+// Without faults only the holder of a zone's lease checks its servers. Without a holder each runner
+// does.
 func TestOneRunnerChecksHealth(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseOptions)
 	waitUntilReplicated(t, c)
 	var counts healthCheckCounts
-	for range 10 { // news may be late on a busy machine
+	for range 10 { // the runners may learn of the holder late on a busy machine
 		counts = countHealthChecks(c)
 		if counts.leased > 0 && counts.unleased <= counts.leased {
 			break
 		}
 	}
-	t.Logf("%+v", counts)
+	t.Logf("health checks: %+v", counts)
 	if counts.leased == 0 || counts.unleased > counts.leased {
-		t.Errorf("%d runners made these health checks: %+v", len(c.Nodes), counts)
+		t.Errorf("health checks of %d runners = %+v, want most of them leased", len(c.Nodes), counts)
 	}
-	for _, n := range c.Nodes[1:] { // without a quorum leases expire, and each checks for itself
+	for _, n := range c.Nodes[1:] { // without a quorum leases expire, and each runner checks for itself
 		if err := n.Suspend(); err != nil {
 			t.Fatal(err)
 		}
@@ -100,13 +103,13 @@
 			return
 		}
 	}
-	t.Errorf("without a quorum there are these health checks: %+v", counts)
+	t.Errorf("health checks without a quorum = %+v, want none of them leased", counts)
 }
 
-// healthCheckCounts are the numbers of health checks under a lease and of runners for themselves.
+// healthCheckCounts are the numbers of health checks under a lease and without one.
 type healthCheckCounts struct{ leased, unleased int }
 
-// countHealthChecks counts the health checks of the time that starts now.
+// countHealthChecks counts the health checks that servers receive during eight intervals from now.
 func countHealthChecks(c *Cluster) (counts healthCheckCounts) {
 	started := time.Now()
 	time.Sleep(8 * HealthCheckInterval)
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -10,18 +10,18 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// retryDelay is the time between two attempts of a key that was not served.
+// retryDelay is the pause after an attempt of a key that was not served.
 const retryDelay = 5 * time.Millisecond
 
-// Load is a number of callers. Each sends one key after another, and repeats it until it is served
-// or has failed.
+// Load generates requests with idempotency keys from a number of callers. Each sends one key after
+// another, and repeats a key until it is served or has failed.
 type Load struct {
 	// Callers is the number of callers.
 	Callers int
 	// Keys is the number of keys after which the load ends. 0: it goes on until Stop.
 	Keys int
-	// SwitchRunners sends each repeat to another runner than the attempt before it. Otherwise a key
-	// stays at its runner.
+	// SwitchRunners sends each attempt of a key to the runner after that of the attempt before.
+	// Otherwise all attempts of a key go to the same runner.
 	SwitchRunners bool
 	// Repeats is the number of repeats after a key was served, which should return the same result.
 	Repeats int
@@ -99,7 +99,7 @@
 // Wait waits until all keys are done.
 func (l *Load) Wait() { l.callers.Wait() }
 
-// String tells what callers have seen so far.
+// String returns the number of keys that ran and of attempts by outcome so far.
 func (c *Cluster) String() string {
 	n := c.History.Count()
 	return fmt.Sprintf(
--- a/internal/testing/cluster/members.go
+++ b/internal/testing/cluster/members.go
@@ -10,10 +10,10 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// acceptDelay is the time between two keyed requests of WaitUntilAccepting.
+// acceptDelay is the pause between two requests of WaitUntilAccepting.
 const acceptDelay = 50 * time.Millisecond
 
-// notLeaving is the answer of LeavingSlots about a runner that does not leave.
+// notLeaving is the result of LeavingSlots for a runner that is not leaving.
 const notLeaving = -1
 
 func (c *Cluster) isMember(n *Node) bool {
@@ -32,8 +32,8 @@
 	return count
 }
 
-// SetMember adds a runner to the files of all others, or removes it, and has the running ones read
-// their files.
+// SetMember adds a runner to the operator's files of all others, or removes it, and makes those that
+// are running reload their files.
 func (c *Cluster) SetMember(n *Node, isMember bool) error {
 	c.mu.Lock()
 	c.members[n.Name] = isMember
@@ -47,7 +47,7 @@
 	return errors.Join(errs...)
 }
 
-// WaitUntilReplicated waits until every member knows of all members, and all copies are complete.
+// WaitUntilReplicated waits until every member reports all members and complete copies of all slots.
 func (c *Cluster) WaitUntilReplicated(timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		complete := 0
@@ -61,13 +61,13 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d runners know of all copies", complete, members)
+			return fmt.Errorf("only %d of %d runners report that all copies are complete", complete, members)
 		}
 	}
 }
 
-// WaitUntilAccepting waits until the first runner accepts keyed requests. Replica sets that start
-// without data accept none for a window.
+// WaitUntilAccepting waits until the first runner accepts requests with idempotency keys. Replica sets
+// that start without data accept none for the length of a window.
 func (c *Cluster) WaitUntilAccepting(timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for k := 1; ; k++ {
@@ -76,14 +76,14 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %v no keyed request is accepted: status %d", timeout, response.Status)
+			return fmt.Errorf("no keyed request was served within %v: last status %d", timeout, response.Status)
 		}
 		time.Sleep(acceptDelay)
 	}
 }
 
-// LeavingSlots returns how many slots a leaving member still holds, as the other runners know;
-// negative: none of them knows that it leaves.
+// LeavingSlots returns how many slots a leaving member still holds, according to the other runners.
+// It is negative if none of them reports the member as leaving.
 func (c *Cluster) LeavingSlots(name string) int {
 	for _, n := range c.Nodes {
 		if n.Name == name {
@@ -102,10 +102,10 @@
 	return notLeaving
 }
 
-// errNotRunning is the error of a question to a runner without a process.
+// errNotRunning is the error of status for a runner without a process.
 var errNotRunning = errors.New("the runner has no process")
 
-// status asks a runner for its status. It returns an error if it does not answer in a moment.
+// status asks a runner for its status. It returns an error after controlTimeout.
 func (n *Node) status() (*app.Status, error) {
 	if !n.IsRunning() {
 		return nil, errNotRunning
--- a/internal/testing/cluster/membership_test.go
+++ b/internal/testing/cluster/membership_test.go
@@ -12,9 +12,9 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// A runner that is partitioned from the others rejects new keyed requests within a moment and
-// serves reads. The others serve both, and return a result that it gave before. It serves again
-// once it is heard. So does one that was suspended for longer than it counts as alive.
+// A runner that is partitioned from the others rejects new keyed requests without delay and serves
+// reads. The others serve both, and return a result that the runner returned before. It serves keyed
+// requests again once the partition ends. So does a runner that was suspended until it counted as lost.
 func TestPartitionedAndSuspendedRunner(t *testing.T) {
 	t.Parallel()
 	c := startPeers(t, 3, 1)
@@ -25,7 +25,7 @@
 	time.Sleep(time.Second) // its lease expires
 	checkPartitioned(t, c, one)
 	if again := sendUntil(t, c, two, "before", historychecker.Served); again.Result != before.Result {
-		t.Errorf("it is %q, and was %q", again.Result, before.Result)
+		t.Errorf("result of the repeated request = %q, want %q", again.Result, before.Result)
 	}
 	sendUntil(t, c, three, "meanwhile", historychecker.Served)
 	if err := c.Repair(); err != nil {
@@ -38,7 +38,7 @@
 	waitUntilReplicated(t, c)
 	sendUntil(t, c, two, "stopped", historychecker.Served)
 	checkHistory(t, c)
-	checkBill(t, c) // others ended their accounts meanwhile, and they went on
+	checkBill(t, c) // other runners ended the accounts of n1 and n2 meanwhile, and both continued
 }
 
 // checkPartitioned checks that a runner without its peers rejects keyed requests, explains why, and
@@ -48,27 +48,27 @@
 	started := time.Now()
 	for k := range 5 {
 		if response := c.SendKeyed(n, fmt.Sprint("cut-", k)); response.Outcome != historychecker.Rejected {
-			t.Errorf("a keyed request is answered %v", response)
+			t.Errorf("response to a keyed request = %v, want a rejection", response)
 		}
 		status, _ := SendRequest(n.clientLink.Addr(), "/ops/quick-check", "", time.Minute)
 		if status != 200 {
-			t.Errorf("a read is answered %d", status)
+			t.Errorf("status of a read = %d, want 200", status)
 		}
 	}
 	var answer app.ExplainAnswer
 	request := control.Request{Command: "explain", Cause: "its copies were not to be had", Limit: 3}
 	err := control.Ask(n.file("control"), request, time.Second, &answer)
 	if err != nil || len(answer.Entries) == 0 {
-		t.Errorf("no rejection is explained by its copies: %v", err)
+		t.Errorf("explain has no rejection caused by missing copies, error %v", err)
 	}
 	if took := time.Since(started); took > 5*time.Second {
-		t.Errorf("ten answers took %v", took)
+		t.Errorf("ten answers took %v, want at most 5s", took)
 	}
 }
 
-// Under load a runner is added by HUP, another one leaves and is stopped once it holds nothing, and
-// then every runner is restarted in turn: no key runs twice, no result is lost, each is billed
-// once, and the runner that left is forgotten.
+// Under load a runner is added by SIGHUP, another one leaves and is drained once it holds no slots, and
+// then every runner is restarted in turn. No key may run twice, no result may be lost, each key must
+// be billed once, and the others must forget the runner that left.
 func TestMembershipChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	c := startAccepting(t, Options{
@@ -82,7 +82,7 @@
 	leaving, joining := c.Nodes[3], c.Nodes[4]
 	replace := control.Request{Command: "peers-replace", ID: leaving.Name, Successor: joining.Name}
 	if err := c.Nodes[0].Control(replace, nil); err == nil {
-		t.Error("a member is replaced by one that does not exist")
+		t.Error("peers-replace by a runner that is not a member = nil error, want one")
 	}
 	load := peerLoad(4, 1)
 	load.Start(c)
@@ -96,7 +96,7 @@
 	if err := c.Nodes[0].Control(replace, nil); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "n4 holds nothing", func() bool { return c.LeavingSlots(leaving.Name) == 0 })
+	waitFor(t, "n4 holds no slots", func() bool { return c.LeavingSlots(leaving.Name) == 0 })
 	checkReplicas(t, c, "a key", leaving)
 	if err := leaving.Drain(); err != nil {
 		t.Fatal(err)
@@ -111,8 +111,8 @@
 	checkBill(t, c)
 }
 
-// checkReplicas sends a key to the last runner, and checks that two runners, and not the leaving
-// one, have its result.
+// checkReplicas sends a key to the last runner, and checks that two runners have its result, and that
+// the leaving one does not.
 func checkReplicas(t *testing.T, c *Cluster, name string, leaving *Node) {
 	t.Helper()
 	response := sendUntil(t, c, c.Nodes[len(c.Nodes)-1], name, historychecker.Served)
@@ -120,7 +120,7 @@
 	var key node.KeyStatus
 	err := c.Nodes[0].Control(request, &key)
 	if err != nil || len(key.Replicas) != 2 || slices.Contains(key.Replicas, leaving.Name) {
-		t.Errorf("%v; the status of the key is %+v", err, key)
+		t.Errorf("error %v, key status %+v, want 2 replicas without the leaving runner", err, key)
 	}
 	for _, n := range c.Nodes {
 		if !slices.Contains(key.Replicas, n.Name) {
@@ -128,12 +128,13 @@
 		}
 		err := n.Control(request, &key)
 		if err != nil || key.State != "ended" || key.ResultBytes != len(response.Result) {
-			t.Errorf("%v; at its replica %s the status of the key is %+v", err, n.Name, key)
+			t.Errorf("error %v, key status at replica %s = %+v, want it ended with its result", err, n.Name, key)
 		}
 	}
 }
 
-// restartAllBut restarts each runner but one, and waits for complete copies before each.
+// restartAllBut restarts each runner but one. Before each restart it waits until all copies are
+// complete.
 func restartAllBut(t *testing.T, c *Cluster, skipped *Node) {
 	t.Helper()
 	for _, n := range c.Nodes {
@@ -151,8 +152,8 @@
 	waitUntilReplicated(t, c)
 }
 
-// Voters that all restart at once go on from their disks: the runner that lived on hears them, and
-// new keys are accepted.
+// Voters that all restart at once continue from their disks: the runner that kept running connects to
+// them again, and new keys are accepted.
 func TestVotersRestart(t *testing.T) {
 	t.Parallel()
 	c := startPeers(t, 4, 1)
--- a/internal/testing/cluster/node.go
+++ b/internal/testing/cluster/node.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// maxLogLines bounds the log lines that are kept of a runner.
+	// maxLogLines bounds the log lines that are kept for each runner.
 	maxLogLines = 4000
-	// errorLogLines is the number of log lines in an error of a start.
+	// errorLogLines is the number of log lines in the error of a failed start.
 	errorLogLines = 5
 )
 
-// listenEvent matches the log line that tells the address of a listener.
+// listenEvent matches the log line with the address of a listener.
 var listenEvent = regexp.MustCompile(`event=start.listens name=(\S+) address=(\S+)`)
 
 // The names of listeners in listenEvent.
@@ -34,7 +34,7 @@
 	peersListener = "peers"
 )
 
-// Node is one runner: a process at times, a disk, and the links to it and from it.
+// Node is one runner: its disk, its process while there is one, and the links from and to it.
 type Node struct {
 	Name, Zone string
 	cluster    *Cluster
@@ -44,13 +44,13 @@
 
 	faultMu sync.Mutex // held while a fault is applied
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	command   *exec.Cmd  // nil: there is no process
 	exited    chan struct{}
 	logLines  []string
-	expected  bool // the process should be up
+	shouldRun bool // the process should not exit
 	suspended bool
-	err       error // of a process that ended by itself
+	err       error // why a process exited unexpectedly
 }
 
 // disk is the directory that outlives the runner's processes.
@@ -59,8 +59,8 @@
 // file returns the path of one of the runner's files.
 func (n *Node) file(name string) string { return filepath.Join(n.dir, name) }
 
-// Start starts a process and waits until it listens. It returns an error if it does not within the
-// timeout of the options.
+// Start starts a process and waits until it listens. It returns an error if the process does not
+// listen within Options.Timeout.
 func (n *Node) Start() error {
 	listening := make(chan struct{})
 	exited, err := n.startProcess(listening)
@@ -71,18 +71,19 @@
 	case <-listening:
 		return nil
 	case <-exited:
-		return fmt.Errorf("%s ended as it started: %s", n.Name, n.Log(errorLogLines))
+		return fmt.Errorf("%s exited during its start, log:\n%s", n.Name, n.Log(errorLogLines))
 	case <-time.After(n.cluster.opt.Timeout):
-		return fmt.Errorf("%s does not listen: %s", n.Name, n.Log(errorLogLines))
+		return fmt.Errorf("%s did not listen in time, log:\n%s", n.Name, n.Log(errorLogLines))
 	}
 }
 
-// startProcess starts a process, which closes listening once it listens, and exited at its end.
+// startProcess starts a process. listening is closed once the process listens, and exited once it has
+// exited.
 func (n *Node) startProcess(listening chan struct{}) (exited chan struct{}, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command != nil {
-		return nil, fmt.Errorf("%s runs", n.Name)
+		return nil, fmt.Errorf("%s is already running", n.Name)
 	}
 	if err := n.writeFiles(); err != nil {
 		return nil, err
@@ -102,13 +103,13 @@
 	exited = make(chan struct{})
 	n.command = command
 	n.exited = exited
-	n.expected = true
+	n.shouldRun = true
 	n.suspended = false
 	go n.readLog(command, bufio.NewScanner(stderr), exited, listening)
 	return exited, nil
 }
 
-// newCommand returns the command of a process, which does not outlive this one.
+// newCommand returns the command of a process, which is killed when this process ends.
 func (n *Node) newCommand(temp string) *exec.Cmd {
 	opt := &n.cluster.opt
 	binary := cmp.Or(opt.Binaries[n.Name], opt.Binary)
@@ -140,7 +141,7 @@
 	)
 }
 
-// inventory returns a list of the servers by the addresses of the runner's links to them.
+// inventory returns the inventory file: the servers with the addresses of the runner's links to them.
 func (n *Node) inventory() string {
 	var b strings.Builder
 	b.WriteString("name,address,group,hall\n")
@@ -150,7 +151,7 @@
 	return b.String()
 }
 
-// readLog keeps what a process logs, learns its addresses from it, and waits for its end.
+// readLog stores the log lines of a process, takes its addresses from them, and waits for its exit.
 func (n *Node) readLog(command *exec.Cmd, log *bufio.Scanner, exited, listening chan struct{}) {
 	for log.Scan() {
 		line := log.Text()
@@ -169,8 +170,8 @@
 	}
 	err := command.Wait()
 	n.mu.Lock()
-	if n.expected {
-		n.err = fmt.Errorf("%s ended by itself: %w", n.Name, err)
+	if n.shouldRun {
+		n.err = fmt.Errorf("%s exited unexpectedly: %w", n.Name, err)
 	}
 	n.command = nil
 	n.mu.Unlock()
@@ -186,7 +187,7 @@
 	}
 }
 
-// setPeerAddress points the links from all other runners to the runner's listener.
+// setPeerAddress sets the runner's listener as the target of the links from all other runners.
 func (n *Node) setPeerAddress(addr string) {
 	for _, other := range n.cluster.Nodes {
 		if link := other.links[n.Name]; link != nil {
@@ -195,7 +196,7 @@
 	}
 }
 
-// Reload writes the runner's files anew and has it read them.
+// Reload rewrites the runner's files and makes the process reload them.
 func (n *Node) Reload() error {
 	n.mu.Lock()
 	err := n.writeFiles()
@@ -206,28 +207,29 @@
 	return n.signal(syscall.SIGHUP)
 }
 
-// Kill ends the process as the loss of its machine does, and waits for its end. Its connections are
-// reset.
+// Kill kills the process, as the loss of its machine would, and waits for its exit. Its connections
+// are reset.
 func (n *Node) Kill() error {
 	command, exited := n.expectExit()
 	if command == nil {
 		return nil
 	}
-	_ = command.Process.Kill() // it may have ended by itself
+	_ = command.Process.Kill() // fails if the process has exited
 	<-exited
 	return nil
 }
 
-// expectExit returns the process, if there is one, whose end is no failure from now on.
+// expectExit marks the exit of the process as expected, so that it is not a failure, and returns the
+// process; nil: there is none.
 func (n *Node) expectExit() (command *exec.Cmd, exited chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.expected = false
+	n.shouldRun = false
 	return n.command, n.exited
 }
 
-// Drain shuts the process down gracefully and waits for its end. A process that does not end within
-// the timeout of the options is killed.
+// Drain shuts the process down gracefully and waits for its exit. A process that does not exit within
+// Options.Timeout is killed, which is an error.
 func (n *Node) Drain() error {
 	command, exited := n.expectExit()
 	if command == nil {
@@ -240,14 +242,14 @@
 	case <-exited:
 		return nil
 	case <-time.After(n.cluster.opt.Timeout):
-		return errors.Join(fmt.Errorf("%s does not end its drain", n.Name), n.Kill())
+		return errors.Join(fmt.Errorf("%s did not exit after a drain", n.Name), n.Kill())
 	}
 }
 
 // Suspend suspends the process until Resume.
 func (n *Node) Suspend() error { return n.signal(syscall.SIGSTOP) }
 
-// Resume continues a process that was suspended.
+// Resume continues a suspended process.
 func (n *Node) Resume() error { return n.signal(syscall.SIGCONT) }
 
 // signal sends a signal to the process, if there is one.
@@ -281,7 +283,7 @@
 // IsRunning reports whether there is a process, which may be suspended.
 func (n *Node) IsRunning() bool { return n.processState() != ProcessDown }
 
-// failure returns why a process ended by itself, if one did.
+// failure returns why a process exited unexpectedly; nil: none did.
 func (n *Node) failure() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/cluster/operatorfile.go
+++ b/internal/testing/cluster/operatorfile.go
@@ -12,23 +12,22 @@
 )
 
 const (
-	// defaultFullMesh is the number of members up to which each has links with all.
+	// defaultFullMesh is the number of members up to which each has a link to every other.
 	defaultFullMesh = 32
 	// slotCount is the number of slots of keys among peers.
 	slotCount = 16
-	// unusedAddress is what a runner's own file says of its own address, which nobody connects to.
+	// unusedAddress is the address of a runner in its own file, to which nobody connects.
 	unusedAddress = "127.0.0.1:1"
 )
 
-// The number of voters, and from how many members on there are more.
+// The number of voters is moreVoters from moreVotersFromSize initial members on, and fewVoters below.
 const (
 	fewVoters          = 3
 	moreVoters         = 5
 	moreVotersFromSize = 5
 )
 
-// WithStore returns the operator's file of a runner that sends keyed requests to the servers and
-// stores its keys on its disk.
+// WithStore returns the operator's file of a runner that stores its idempotency keys on its disk.
 func WithStore(n *Node) (string, error) {
 	keys := n.keysDir()
 	if err := os.MkdirAll(keys, 0o700); err != nil {
@@ -37,10 +36,10 @@
 	return n.baseFile(fmt.Sprintf("store: {dir: %s, wait_ms: 1}\n", keys)), nil
 }
 
-// WithoutStore returns the operator's file of a runner whose keys are in memory alone.
+// WithoutStore returns the operator's file of a runner that keeps its idempotency keys in memory only.
 func WithoutStore(n *Node) (string, error) { return n.baseFile(""), nil }
 
-// baseFile returns the sections that all operator's files have, and a section of the store.
+// baseFile returns the sections that all operator's files have, with the given store section.
 func (n *Node) baseFile(store string) string {
 	check := ""
 	if n.cluster.opt.Leases {
@@ -62,15 +61,15 @@
 `, n.Zone, check, store, n.file("control"))
 }
 
-// WithReplicas returns the operator's file of a runner whose keys are replicated by its peers and
-// are on no disk. Its account of usage is on its disk and is replicated too.
+// WithReplicas returns the operator's file of a runner whose idempotency keys are replicated by its
+// peers and are not stored on disk. Its account of usage is on its disk and is replicated too.
 func WithReplicas(n *Node) (string, error) {
 	usage := fmt.Sprintf("usage: {dir: %s, period_min: 1, grace_s: 1, queue: 4096}\n", n.usageDir())
 	err := errors.Join(os.MkdirAll(n.usageDir(), 0o700), os.MkdirAll(n.peersDir(), 0o700))
 	return n.baseFile("") + n.peersSection() + n.leasesSection() + usage, err
 }
 
-// peersSection returns the section of peers, without that of leases.
+// peersSection returns the peers section, which leasesSection continues.
 func (n *Node) peersSection() string {
 	c := n.cluster
 	var b strings.Builder
@@ -103,7 +102,7 @@
 	return b.String()
 }
 
-// voters returns the number of runners, the first ones, that vote.
+// voters returns the number of voters, which are the first runners.
 func (c *Cluster) voters() int {
 	if len(c.Nodes)-c.opt.Joining >= moreVotersFromSize {
 		return moreVoters
@@ -111,7 +110,8 @@
 	return fewVoters
 }
 
-// leasesSection returns the part of the section of peers that has one runner check the servers.
+// leasesSection returns the part of the peers section by which one runner checks the servers of each
+// zone. It is empty without Options.Leases.
 func (n *Node) leasesSection() string {
 	if !n.cluster.opt.Leases {
 		return ""
--- a/internal/testing/cluster/randomfaults.go
+++ b/internal/testing/cluster/randomfaults.go
@@ -9,15 +9,15 @@
 	"ryepaddle/internal/testing/faultlink"
 )
 
-// faultStream tells the generator of faults from others of the same seed.
+// faultStream separates the draws of faults from other draws with the same seed.
 const faultStream = 0x6661756c7473
 
 // faultKinds is the number of cases of faultGenerator.choose.
 const faultKinds = 9
 
-// RandomFaults draws count faults within a time. The same arguments give the same faults. Runners
-// start again and links heal. Disks are emptied only with wipe, and links between runners have
-// faults only with peers.
+// RandomFaults draws count faults within a time. The same arguments give the same faults. Killed and
+// drained runners are restarted, cut and stalled links heal. Disks are emptied only with wipe, and
+// links between runners have faults only with peers.
 func RandomFaults(seed uint64, count int, within time.Duration, runners, servers int, wipe, peers bool) []Fault {
 	g := faultGenerator{
 		random:  rand.New(rand.NewPCG(seed, faultStream)),
@@ -43,7 +43,7 @@
 	wipe, peers      bool
 }
 
-// duration draws a duration of from to to, exclusively, in milliseconds.
+// duration draws a duration in [from, to), both in milliseconds.
 func (g *faultGenerator) duration(from, to int) time.Duration {
 	return time.Duration(from+g.random.IntN(to-from)) * time.Millisecond
 }
@@ -70,7 +70,7 @@
 	return f
 }
 
-// choose draws what the fault does, to a runner or to the link between it and another party.
+// choose draws the action of the fault, on a runner or on the link from it to another party.
 func (g *faultGenerator) choose(f *Fault, runner, other string) {
 	f.Targets = []string{runner, other}
 	switch g.random.IntN(faultKinds) {
--- a/internal/testing/cluster/replication_test.go
+++ b/internal/testing/cluster/replication_test.go
@@ -26,8 +26,8 @@
 	return RandomFaults(seed, 14, peerFaultTime, len(c.Nodes), len(c.Servers), true, true)
 }
 
-// Repeats go to any runner, over random faults of links among peers, processes and machines: no key
-// runs twice, and no result is lost.
+// Keys are repeated at any runner during random faults of links among peers, processes and machines:
+// no key may run twice, and no result may be lost.
 func TestReplicationWithRandomFaults(t *testing.T) {
 	t.Parallel()
 	first, count := seeds(1)
@@ -40,16 +40,16 @@
 	}
 }
 
-// Machines are lost with their disks one after the other: no key runs twice, and each result is
-// returned by all runners afterwards. RYEPADDLE_LOST is how often each machine is lost, for a long
-// run by hand.
+// Machines are lost with their disks one after the other: no key may run twice, and repeats at any
+// runner must return the same result. RYEPADDLE_LOST is how often each machine is lost, for a long run
+// by hand.
 func TestMachineLosses(t *testing.T) {
 	t.Parallel()
 	rounds := 1
 	if n, err := strconv.Atoi(os.Getenv("RYEPADDLE_LOST")); err == nil {
 		rounds = n
 	}
-	for part := range max(1, min(rounds, 5)) { // side by side, as they wait most of the time
+	for part := range max(1, min(rounds, 5)) { // in parallel, as they wait most of the time
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			loseEachMachine(t, max(rounds/5, 1))
@@ -78,8 +78,8 @@
 	}
 }
 
-// Nine runners in a grid, none of which has links with all: random faults, relays among them, break
-// no rule.
+// Nine runners are linked as a grid, in which none has a link to every other. Random faults, also of
+// runners that relay messages, must break no guarantee.
 func TestGridOfLinksWithRandomFaults(t *testing.T) {
 	t.Parallel()
 	first, count := seeds(1)
@@ -101,7 +101,7 @@
 		Replicas:    2,
 		MaxFullMesh: 4,
 	}, 30*time.Second, acceptTimeout)
-	// At the start, while relays were not known, there may have been more.
+	// At the start, before runners know their relays, more links may be open.
 	waitFor(t, "all links are those of the grid", func() bool {
 		_, few := relayed(c, 4)
 		return few
@@ -109,7 +109,7 @@
 	playUnderLoad(t, c, peerLoad(6, 2), seed, peerFaults(c, seed))
 	messages, _ := relayed(c, 8)
 	if messages == 0 {
-		t.Error("nothing is relayed")
+		t.Error("relayed messages = 0, want more")
 	}
 }
 
@@ -129,7 +129,8 @@
 	return messages, few
 }
 
-// A runner that restarts with its disk is sent only what it lacks, and one with an empty disk all.
+// A runner that restarts with its disk is sent only the data that it lacks, and one that restarts with
+// an empty disk all data.
 func TestCatchUpBytes(t *testing.T) {
 	t.Parallel()
 	c := startPeers(t, 3, 2) // each has all keys
@@ -150,12 +151,12 @@
 		sent[i] = catchUpBytes(t, c.Nodes[:2]) - before
 	}
 	if sent[0]*3 > sent[1] {
-		t.Errorf("with its disk it was sent %d bytes, without %d", sent[0], sent[1])
+		t.Errorf("catch-up bytes = %d with the disk, %d without, want at most a third", sent[0], sent[1])
 	}
-	t.Logf("with its disk it was sent %d bytes, without %d", sent[0], sent[1])
+	t.Logf("catch-up bytes: %d with the disk, %d without", sent[0], sent[1])
 }
 
-// catchUpBytes returns how many bytes runners have sent to others that lacked them.
+// catchUpBytes returns how many bytes runners have sent so that others catch up.
 func catchUpBytes(t *testing.T, nodes []*Node) (sum int64) {
 	t.Helper()
 	for _, n := range nodes {
@@ -168,8 +169,8 @@
 	return sum
 }
 
-// Attempts of a key at two runners at the same instant, and at a third one during the run, are one
-// run. When a zone is then lost with its disks, two machines at once, the others return the results
+// Attempts of a key at two runners at the same time, and at a third one during the run, must result in
+// one run. When a zone of two machines is then lost with its disks, the others must return the results
 // and bill them.
 func TestConcurrentAttemptsAndZoneLoss(t *testing.T) {
 	t.Parallel()
@@ -184,7 +185,7 @@
 	results := sendConcurrently(c, 15)
 	for k, r := range results {
 		if len(r) != 1 || r[""] {
-			t.Errorf("of key %d callers are told %v", k, r)
+			t.Errorf("results of key %d = %v, want one", k, r)
 		}
 	}
 	waitUntilReplicated(t, c)
@@ -193,7 +194,7 @@
 	for k, r := range results {
 		response := sendUntil(t, c, c.Nodes[1+k%2], concurrentKey(k), historychecker.Served)
 		if !r[response.Result] {
-			t.Errorf("after the loss key %d is %q, and was %v", k, response.Result, r)
+			t.Errorf("result of key %d after the loss = %q, want one of %v", k, response.Result, r)
 		}
 	}
 	for _, n := range []*Node{c.Nodes[0], c.Nodes[3]} {
--- a/internal/testing/cluster/state.go
+++ b/internal/testing/cluster/state.go
@@ -15,7 +15,7 @@
 // ProcessState is the state of a runner's process.
 type ProcessState string
 
-// The states, as they are printed.
+// The states of a process, as they are printed.
 const (
 	ProcessUp        ProcessState = "up"
 	ProcessSuspended ProcessState = "stopped"
@@ -43,13 +43,13 @@
 
 type peersAnswer struct {
 	IsMember        bool     `json:"in"`
-	Closed          string   `json:"closed"` // why it takes no keyed requests
+	Closed          string   `json:"closed"` // why the runner rejects keyed requests; empty: it accepts them
 	ReplicatedSlots int      `json:"slots_whole"`
 	Slots           int      `json:"slots"`
 	Members         []string `json:"members"`
 }
 
-// isFullyReplicated reports whether a runner knows of all members and all copies.
+// isFullyReplicated reports whether a runner reports all members and complete copies of all slots.
 func (a *statusAnswer) isFullyReplicated(members int) bool {
 	p := a.Peers
 	return p.IsMember &&
--- a/internal/testing/cluster/store_test.go
+++ b/internal/testing/cluster/store_test.go
@@ -9,8 +9,8 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// No disk is lost, and a key stays at its runner: it runs once and keeps its result over random
-// faults. RYEPADDLE_SEEDS is the number of seeds; RYEPADDLE_SEED plays one of them again.
+// While no disk is lost and a key is repeated only at its runner, the key must run once and keep its
+// result through random faults. RYEPADDLE_SEEDS is the number of seeds; RYEPADDLE_SEED plays one of them again.
 func TestStoreWithRandomFaults(t *testing.T) {
 	t.Parallel()
 	first, count := seeds(2)
@@ -24,8 +24,8 @@
 	}
 }
 
-// The checker finds that a key runs again once the disk of its runner is lost, or is replaced by a
-// backup from before the key.
+// The checker must find the second run of a key after the disk of its runner was emptied, or replaced
+// by a backup that is older than the key.
 func TestCheckerFindsDiskLoss(t *testing.T) {
 	t.Parallel()
 	for _, line := range []string{"0s kill n1 --wipe", "0s start n1 --old"} {
@@ -51,11 +51,11 @@
 	sendUntilServed(t, c)
 	verdict := c.Check().String()
 	if !strings.Contains(verdict, "a ran 2 times") || !strings.Contains(verdict, "a has no order") {
-		t.Errorf("the verdict is %v", verdict)
+		t.Errorf("verdict = %v, want that key a ran 2 times and has no order", verdict)
 	}
 }
 
-// sendUntilServed sends the key a until it is served. It must not fail.
+// sendUntilServed sends the key a until it is served. The test fails if the key fails.
 func sendUntilServed(t *testing.T, c *Cluster) {
 	t.Helper()
 	for {
@@ -64,7 +64,7 @@
 		case historychecker.Served:
 			return
 		case historychecker.Failed:
-			t.Fatalf("%v", response)
+			t.Fatalf("response to key a = %v, want any outcome but failed", response)
 		}
 	}
 }
--- a/internal/testing/cluster/usage.go
+++ b/internal/testing/cluster/usage.go
@@ -35,7 +35,8 @@
 	return c.History.CheckBill(keyedClass, bill, statements, c.RunCounts(), hash), bill, nil
 }
 
-// readStatements returns the statements of a directory, and those that would finish its account.
+// readStatements returns the exported statements of a directory, and those that are still in its state
+// file.
 func readStatements(dir string) ([]*ledger.Statement, error) {
 	exported, err := exportedStatements(dir)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return append(exported, rest...), nil
 }
 
-// exportedStatements returns the statements that lie in a directory.
+// exportedStatements returns the statements in the JSON files of a directory.
 func exportedStatements(dir string) ([]*ledger.Statement, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return statements, nil
 }
 
-// unexportedStatements returns the statements that finish the account of a state file, none if the
-// file does not exist.
+// unexportedStatements finishes the account of a state file and returns its remaining statements; none
+// if the file does not exist.
 func unexportedStatements(stateFile string) ([]*ledger.Statement, error) {
 	state, err := os.ReadFile(stateFile)
 	if errors.Is(err, fs.ErrNotExist) {
