--- a/internal/testing/benchserver/benchserver.go
+++ b/internal/testing/benchserver/benchserver.go
@@ -11,9 +11,9 @@
 	"ryepaddle/internal/testing/scenario"
 )
 
-// Play starts a server whose responses have size bytes, and writes its address to out. Each line of in has an
-// address and a number of requests, which are sent there; the number of complete responses is written to
-// out. Play returns at the end of in.
+// Play starts a server whose responses have a body of size bytes, and writes its address to out. For each line
+// of in, which has an address and a number of requests, it sends the requests to the address one after the other
+// and writes the number of complete responses to out. Play returns at the end of in.
 func Play(size int, in io.Reader, out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testing/crashfs/crashfs.go
+++ b/internal/testing/crashfs/crashfs.go
@@ -1,5 +1,5 @@
-// Package crashfs is an in-memory implementation of store.FS with crashes and faults. A crash keeps what was
-// synced, and a random part of the rest, torn and out of order.
+// Package crashfs is an in-memory implementation of store.FS with crashes and faults. A crash keeps all synced
+// data, and a random part of the rest, with torn and reordered writes.
 package crashfs
 
 import (
@@ -14,12 +14,13 @@
 )
 
 // ErrCrashed is the error of each operation after a crash.
-var ErrCrashed = errors.New("crashfs: the machine is gone")
+var ErrCrashed = errors.New("crashfs: the machine has crashed")
 
-// ErrLocked is the error of a second lock.
+// ErrLocked is the error of Lock for a directory that is locked.
 var ErrLocked = errors.New("crashfs: locked")
 
-// sectorBytes are kept or lost together in a crash. They are few, so that records are torn.
+// sectorBytes is the size of the units that a crash keeps or loses as a whole. It is small so that records
+// are torn.
 const sectorBytes = 64
 
 // inode is the content of a file.
@@ -28,15 +29,15 @@
 	data   []byte // as the program sees it
 }
 
-// Disk is one folder of files. It is not safe for concurrent use.
+// Disk is one directory of files. It is not safe for concurrent use.
 type Disk struct {
-	// Fail is called before each operation and may return its error. A write that fails may have been
-	// made in part.
+	// Fail is called before each operation that changes or syncs the disk. The operation fails with the
+	// error that it returns; a write may then have been made in part.
 	Fail func(op, name string) error
 	// CrashAt is the number of the operation, from 1, at which the machine crashes; 0: never.
 	CrashAt int
 
-	Steps   int // operations so far
+	Steps   int // number of operations so far
 	rand    *rand.Rand
 	names   map[string]*inode // as the program sees them
 	durable map[string]*inode // as of the last SyncDir
@@ -44,7 +45,7 @@
 	crashed bool
 }
 
-// New returns an empty disk. seed determines what crashes keep.
+// New returns an empty disk. seed determines which unsynced data crashes keep.
 func New(seed uint64) *Disk {
 	return &Disk{
 		rand:    rand.New(rand.NewPCG(seed, 77)),
@@ -72,14 +73,14 @@
 // IsCrashed reports whether the machine has crashed.
 func (d *Disk) IsCrashed() bool { return d.crashed }
 
-// Kill ends the process that uses the disk, but not the machine: all operations are kept.
+// Kill simulates the end of the process that uses the disk, but not of the machine: all data is kept.
 func (d *Disk) Kill() {
 	d.locked = false
 	d.crashed = false
 	d.CrashAt = 0
 }
 
-// Crash simulates a loss of power. The disk then holds a possible state after it.
+// Crash simulates a loss of power. It leaves the disk in one of the possible states after it.
 func (d *Disk) Crash() {
 	after := map[string]*inode{}
 	// Each change of a name since the last SyncDir is kept or lost.
@@ -94,7 +95,7 @@
 		}
 	}
 	seen := map[*inode]bool{}
-	// In a fixed order, so that the seed determines the result.
+	// The order is fixed so that the seed determines the result.
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		if f := after[name]; !seen[f] {
 			seen[f] = true
@@ -118,8 +119,8 @@
 	return all
 }
 
-// tear keeps what was synced of a file and a random part of what follows: sectors may be lost although the
-// length is kept.
+// tear keeps the synced data of a file and a random part of the data that follows: sectors may be lost within
+// the length that is kept.
 func (d *Disk) tear(f *inode) {
 	out := slices.Clone(f.synced)
 	length := len(f.synced) + d.rand.IntN(len(f.data)-len(f.synced)+1)
@@ -128,7 +129,7 @@
 		switch d.rand.IntN(3) {
 		case 0: // not written
 			out = append(out, make([]byte, end-at)...)
-		case 1: // former contents
+		case 1: // former contents of the disk
 			for range end - at {
 				out = append(out, byte(d.rand.UintN(256)))
 			}
--- a/internal/testing/faultlink/faultlink.go
+++ b/internal/testing/faultlink/faultlink.go
@@ -1,5 +1,5 @@
-// Package faultlink simulates network faults between two parties: TCP proxies on loopback that forward bytes,
-// and delay, stall, slow down or reset them on request, in one or both directions.
+// Package faultlink simulates network faults between two parties with TCP proxies on loopback. A proxy forwards
+// bytes, and on request delays, stalls, slows down or resets connections, in one or both directions.
 package faultlink
 
 import (
@@ -14,19 +14,19 @@
 // Direction is a direction of a link, or both.
 type Direction uint8
 
-// Directions. ToServer leads from the party that connects to the one that listens.
+// The directions. ToServer is from the party that connects to the one that listens.
 const (
 	ToServer Direction = 1 << iota
 	ToClient
 	BothDirections = ToServer | ToClient
 )
 
-// Fault is what happens to bytes in a direction. The zero value forwards them.
+// Fault is a fault of one direction of a link. The zero value is no fault.
 type Fault struct {
 	Stall           bool          // bytes are held until the fault ends
-	Delay           time.Duration // of each piece
-	BytesPerSecond  int           // 0: no bound
-	ResetAfterBytes int64         // further bytes after which the connection is reset; 0: none
+	Delay           time.Duration // before each piece of at most bufferBytes
+	BytesPerSecond  int           // 0: unlimited
+	ResetAfterBytes int64         // bytes forwarded from now on until the connection is reset; 0: no reset
 }
 
 // Link is a proxy to one listener. Its methods are safe for concurrent use.
@@ -42,20 +42,20 @@
 	closed  bool
 }
 
-// pipe is one forwarded connection.
+// pipe is one forwarded connection: its ends at the caller and at the target.
 type pipe struct{ from, to net.Conn }
 
 // reset resets both connections, as the loss of a host does.
 func (p *pipe) reset() {
 	for _, c := range []net.Conn{p.from, p.to} {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // it may be closed already
+			_ = t.SetLinger(0) // fails if the connection is closed
 		}
 		_ = c.Close()
 	}
 }
 
-// New opens a link to a target address, which may be empty until SetTarget.
+// New opens a link to a target address. Without one, connections are reset until SetTarget.
 func New(target string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +69,7 @@
 // Addr returns the address of the link.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// SetTarget sets where new connections are forwarded.
+// SetTarget sets the address to which new connections are forwarded.
 func (l *Link) SetTarget(addr string) { l.update(func() { l.target = addr }) }
 
 // Set sets the fault of one direction or both.
@@ -83,7 +83,7 @@
 	})
 }
 
-// Cut resets all connections, and new ones until Heal.
+// Cut resets all open connections, and until Heal also each new one.
 func (l *Link) Cut() {
 	l.update(func() { l.cut = true })
 	l.mu.Lock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// Heal ends all faults and cuts.
+// Heal ends all faults and a cut.
 func (l *Link) Heal() {
 	l.update(func() {
 		l.cut = false
@@ -115,7 +115,7 @@
 	l.Cut()
 }
 
-// update changes the state of the link and wakes what waits for a change.
+// update changes the state of the link and wakes the goroutines that wait for a change.
 func (l *Link) update(fn func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,7 @@
 	for {
 		c, err := l.listener.Accept()
 		if err != nil {
-			return // it was closed
+			return // the listener was closed
 		}
 		go l.connect(c)
 	}
@@ -168,13 +168,13 @@
 // bufferBytes is the largest piece that is forwarded at once.
 const bufferBytes = 16 << 10
 
-// forward forwards one direction of a connection, under the faults at each piece.
+// forward forwards one direction of a connection. The current fault is applied to each piece.
 func (l *Link) forward(p *pipe, from, to net.Conn, way int) {
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
 		for rest := buf[:n]; len(rest) > 0; {
-			f, ok := l.awaitPassage(way)
+			f, ok := l.waitWhileStalled(way)
 			if !ok {
 				p.reset()
 				return
@@ -192,7 +192,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) { // the other direction may stay open
-			if _, ok := l.awaitPassage(way); !ok {
+			if _, ok := l.waitWhileStalled(way); !ok {
 				p.reset()
 			} else if t, ok := to.(*net.TCPConn); ok {
 				_ = t.CloseWrite()
@@ -206,10 +206,10 @@
 	}
 }
 
-// rateInterval is the time between two pieces under a bound of the rate.
+// rateInterval is the time between two pieces while the rate is limited.
 const rateInterval = 10 * time.Millisecond
 
-// nextStep returns how many of n bytes are forwarded next, and after which pause.
+// nextStep returns how many of n bytes are forwarded next, and the pause before that.
 func (f Fault) nextStep(n int) (step int, pause time.Duration) {
 	step = n
 	pause = f.Delay
@@ -223,9 +223,9 @@
 	return step, pause
 }
 
-// awaitPassage waits while a direction is stalled and returns its fault; ok is false if the link is closed or
-// cut.
-func (l *Link) awaitPassage(way int) (Fault, bool) {
+// waitWhileStalled waits while a direction is stalled, and returns its fault. It returns false if the link is
+// closed or cut.
+func (l *Link) waitWhileStalled(way int) (Fault, bool) {
 	for {
 		l.mu.Lock()
 		f := l.faults[way]
@@ -239,7 +239,7 @@
 	}
 }
 
-// countBytes counts forwarded bytes, and reports whether the connection is to be reset.
+// countBytes counts forwarded bytes, and reports whether the connection must be reset.
 func (l *Link) countBytes(way int, n int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/faultlink/faultlink_test.go
+++ b/internal/testing/faultlink/faultlink_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// echoing is a link to a listener that sends back what it hears, and a connection through it.
-func echoing(t *testing.T) (*Link, net.Conn) {
+// startEcho returns a link to a server that sends back what it receives, and a connection through the link.
+func startEcho(t *testing.T) (*Link, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,16 +47,16 @@
 	return c
 }
 
-// say sends a text and reads as much within a time; it gives what came.
-func say(c net.Conn, text string, within time.Duration) string {
-	c.Write([]byte(text)) // a failure shows in what comes back
-	return hear(c, len(text), within)
+// exchange sends a text and reads as many bytes within a time. It returns the bytes that were received.
+func exchange(c net.Conn, text string, within time.Duration) string {
+	c.Write([]byte(text)) // a failure shows in the result
+	return receive(c, len(text), within)
 }
 
-func hear(c net.Conn, n int, within time.Duration) string {
+func receive(c net.Conn, n int, within time.Duration) string {
 	c.SetReadDeadline(time.Now().Add(within))
 	got := make([]byte, n)
-	n, _ = io.ReadFull(c, got) // what is missing shows
+	n, _ = io.ReadFull(c, got) // missing bytes show in the result
 	return string(got[:n])
 }
 
@@ -64,79 +64,79 @@
 
 func TestFaults(t *testing.T) {
 	for name, play := range map[string]func(l *Link, c net.Conn) (want, got string){
-		"none": func(l *Link, c net.Conn) (string, string) { return "hello", say(c, "hello", long) },
+		"none": func(l *Link, c net.Conn) (string, string) { return "hello", exchange(c, "hello", long) },
 		"held there and let go on": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToServer, Fault{Stall: true})
-			before := say(c, "hello", short)
+			before := exchange(c, "hello", short)
 			l.Heal()
-			return "hello", before + hear(c, 5, long)
+			return "hello", before + receive(c, 5, long)
 		},
 		"held back and let go on": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToClient, Fault{Stall: true})
-			before := say(c, "hello", short)
+			before := exchange(c, "hello", short)
 			l.Heal()
-			return "hello", before + hear(c, 5, long)
+			return "hello", before + receive(c, 5, long)
 		},
 		"held while it is cut": func(l *Link, c net.Conn) (string, string) {
 			l.Set(BothDirections, Fault{Stall: true})
-			say(c, "hello", short)
+			exchange(c, "hello", short)
 			l.Cut()
-			return "", hear(c, 5, long)
+			return "", receive(c, 5, long)
 		},
 		"cut in the middle": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToServer, Fault{ResetAfterBytes: 3})
-			say(c, "hello", long)
+			exchange(c, "hello", long)
 			l.Heal()
-			return "again", say(dial(t, l), "again", long)
+			return "again", exchange(dial(t, l), "again", long)
 		},
 		"cut back in the middle": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToClient, Fault{ResetAfterBytes: 3})
-			got := say(c, "hello", long)
-			// a reset may take what came before it
+			got := exchange(c, "hello", long)
+			// a reset may discard bytes that were sent before it
 			return "true", map[bool]string{true: "true", false: got}[len(got) <= 3]
 		},
 		"cut and healed": func(l *Link, c net.Conn) (string, string) {
 			l.Cut()
-			broken := say(c, "hello", long)
-			// a reset in the middle of it is what a cut may do
+			broken := exchange(c, "hello", long)
+			// a connection may be reset as soon as it is established
 			if d, err := net.Dial("tcp", l.Addr()); err == nil {
-				broken += say(d, "hello", long)
+				broken += exchange(d, "hello", long)
 				d.Close()
 			}
 			l.Heal()
-			return "again", broken + say(dial(t, l), "again", long)
+			return "again", broken + exchange(dial(t, l), "again", long)
 		},
 		"dripping": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToServer, Fault{BytesPerSecond: 200})
 			began := time.Now()
-			got := say(c, "0123456789", long)
+			got := exchange(c, "0123456789", long)
 			if took := time.Since(began); took < 40*time.Millisecond {
-				t.Errorf("ten bytes at 200 a second came within %v", took)
+				t.Errorf("ten bytes at 200 bytes/s took %v, want at least 40ms", took)
 			}
 			return "0123456789", got
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, c := echoing(t)
+			l, c := startEcho(t)
 			if want, got := play(l, c); got != want {
-				t.Errorf("it hears %q, not %q", got, want)
+				t.Errorf("received %q, want %q", got, want)
 			}
 		})
 	}
 }
 
-// Whatever became of connections, the link gives them back.
-func TestGivenBack(t *testing.T) {
-	l, _ := echoing(t)
+// The link must release connections that were closed by a party or reset by a cut.
+func TestClosedConnectionsAreReleased(t *testing.T) {
+	l, _ := startEcho(t)
 	for range 50 {
 		c := dial(t, l)
-		say(c, "x", long)
+		exchange(c, "x", long)
 		c.Close()
 	}
 	l.Cut()
 	for deadline := time.Now().Add(long); l.Open() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d are open", l.Open())
+			t.Fatalf("open connections = %d, want 0", l.Open())
 		}
 	}
 }
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what a test makes with files in testdata that an earlier version of the
-// program wrote. With RYEPADDLE_WRITE_TESTDATA=1 the tests write the files anew: that is done once for
-// a version that is to be kept, and never to make a test pass.
+// Package golden compares the output of a test with files in testdata that an earlier version of the
+// program wrote. With RYEPADDLE_WRITE_TESTDATA=1 the tests rewrite the files. Do this once for a version
+// whose files are to be kept, and never to make a test pass.
 package golden
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// writeVariable is the environment variable that has testdata written.
+// writeVariable is the environment variable that makes tests write testdata.
 const writeVariable = "RYEPADDLE_WRITE_TESTDATA"
 
 // Writing reports whether testdata is to be written.
 func Writing() bool { return os.Getenv(writeVariable) != "" }
 
-// Check fails the test unless a file has the bytes of got.
+// Check fails the test unless the contents of a file are got.
 func Check(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if Writing() {
@@ -52,8 +52,8 @@
 	return b
 }
 
-// CheckDir has write make files in an empty folder, and fails the test unless each file of dir is among
-// them with the same bytes.
+// CheckDir calls write with an empty directory, and fails the test unless write creates each file of dir
+// there with the same bytes.
 func CheckDir(t testing.TB, dir string, write func(dir string)) {
 	t.Helper()
 	if Writing() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Clear makes dir an empty folder.
+// Clear makes dir an empty directory.
 func Clear(t testing.TB, dir string) {
 	t.Helper()
 	if err := os.RemoveAll(dir); err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Copy returns a folder with copies of the files of dir, which the test may change.
+// Copy returns a temporary directory with copies of the files of dir, which the test may change.
 func Copy(t testing.TB, dir string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -99,7 +99,7 @@
 }
 
 // RequireAllSet fails the test for each exported field of a sample, at any depth, that has its zero
-// value: the encoding of such a sample would not show that the field's tag was changed.
+// value: the encoding of such a sample would not reveal a change of the field's tag.
 func RequireAllSet(t testing.TB, name string, sample any) {
 	t.Helper()
 	requireAllSet(t, name, reflect.ValueOf(sample))
--- a/internal/testing/historychecker/bill.go
+++ b/internal/testing/historychecker/bill.go
@@ -6,8 +6,9 @@
 	"ryepaddle/internal/usage/ledger"
 )
 
-// CheckBill checks the bill of a class of requests with idempotency keys: each key that was served is billed
-// once, and no key that did not run is billed. hashKey returns a key as statements hold it.
+// CheckBill checks the bill of a class of requests with idempotency keys: each key that was served must be
+// billed once, and no key that did not run may be billed. ran is how often servers ran each key. hashKey
+// returns the hash under which statements list a key.
 func (h *History) CheckBill(
 	class string,
 	bill *ledger.Bill,
--- a/internal/testing/historychecker/checker_test.go
+++ b/internal/testing/historychecker/checker_test.go
@@ -8,12 +8,12 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func TestJudge(t *testing.T) {
+func TestHistoryCheck(t *testing.T) {
 	served := func(r string) Response { return Response{Outcome: Served, Result: r} }
 	for name, x := range map[string]struct {
-		told []Response // one after the other
-		ran  int
-		want string
+		responses []Response // to attempts, one after the other
+		ran       int
+		want      string
 	}{
 		"served and again":             {[]Response{served("a"), served("a")}, 1, ""},
 		"refused, then served":         {[]Response{{Outcome: Rejected}, served("a")}, 1, ""},
@@ -28,22 +28,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var h History
-			for i, told := range x.told {
-				h.Add(Record{Key: "k", Runner: "n1", SentAt: ms(2 * i), EndedAt: ms(2*i + 1), Response: told})
+			for i, response := range x.responses {
+				h.Add(Record{Key: "k", Runner: "n1", SentAt: ms(2 * i), EndedAt: ms(2*i + 1), Response: response})
 			}
 			v := h.Check(map[string]int{"k": x.ran})
 			if (len(v) == 0) != (x.want == "") || !strings.Contains(v.String(), x.want) {
-				t.Errorf("it says %v", v)
+				t.Errorf("unexpected verdict: %v", v)
 			}
 		})
 	}
-	var h History // two at once have some order
+	var h History // concurrent attempts may take effect in either order
 	h.Add(Record{Key: "k", SentAt: ms(0), EndedAt: ms(9), Response: Response{Outcome: Failed}})
 	h.Add(Record{Key: "k", SentAt: ms(1), EndedAt: ms(5), Response: served("a")})
 	if v := h.Check(map[string]int{"k": 1}); len(v) > 0 {
 		t.Error(v)
 	}
 	if v := h.Check(map[string]int{"k": 1, "other": 1}); len(v) != 1 {
-		t.Errorf("a run that nobody asked for: %v", v)
+		t.Errorf("verdict on a run without a request = %v, want one violation", v)
 	}
 }
--- a/internal/testing/historychecker/history.go
+++ b/internal/testing/historychecker/history.go
@@ -16,15 +16,15 @@
 // Outcome is how an attempt ended, as its caller saw it.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes of an attempt.
 const (
 	Unknown  Outcome = iota // the connection broke, or there was no answer in time
 	Served                  // with a result
-	Rejected                // it never ran; a later attempt may
-	Failed                  // it may have run, and there will be no result
+	Rejected                // it did not run; a later attempt may run
+	Failed                  // it may have run, and no result will be returned
 )
 
-// String returns the outcome in a word.
+// String returns the name of the outcome, as it is printed.
 func (o Outcome) String() string {
 	switch o {
 	case Served:
@@ -57,16 +57,16 @@
 	Status  int // on the wire; 0: there was no complete answer
 }
 
-// Record is one attempt. Times are since the beginning of the run.
+// Record is one attempt. Times are relative to the start of the run.
 type Record struct {
 	Key      string
-	Runner   string // that it was sent to
+	Runner   string // receiver of the attempt
 	SentAt   time.Duration
 	EndedAt  time.Duration
 	Response Response
 }
 
-// History is what callers saw. Its methods are safe for concurrent use.
+// History collects the attempts of all callers. Its methods are safe for concurrent use.
 type History struct {
 	mu      sync.Mutex
 	records []Record
@@ -104,8 +104,8 @@
 	return by
 }
 
-// Model is a key as a register that is written once, with the first result that a caller received. A
-// rejection and an unknown outcome say nothing about it; Failed is possible only before it is written.
+// Model is the sequential model of a key: a register that is written once, with the first result that a caller
+// received. Rejected and Unknown are possible in any state, Failed only before the register is written.
 var Model = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
@@ -121,10 +121,10 @@
 	},
 }
 
-// Verdict lists broken guarantees.
+// Verdict lists violations of the guarantees.
 type Verdict []string
 
-// String returns the verdict in words.
+// String returns the number of violations and one line for each.
 func (v Verdict) String() string {
 	if len(v) == 0 {
 		return "no promise was broken"
@@ -136,7 +136,7 @@
 const searchTimeout = 10 * time.Second
 
 // Check checks the attempts of each key against Model. ran is how often servers ran each key: no key may run
-// twice, and none that was not sent.
+// twice, and only keys that were sent may run.
 func (h *History) Check(ran map[string]int) Verdict {
 	h.mu.Lock()
 	records := slices.Clone(h.records)
@@ -183,7 +183,7 @@
 	return operations, served
 }
 
-// describe returns the attempts of a key in words.
+// describe lists the attempts of a key for a violation.
 func describe(records []Record, key string) string {
 	var words []string
 	for _, r := range records {
--- a/internal/testing/historychecker/leases.go
+++ b/internal/testing/historychecker/leases.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// LeaseEffect is an effect of a lease holder, as a server saw it.
+// LeaseEffect is an action of a lease holder, such as a health check, as a server received it.
 type LeaseEffect struct {
-	Server   string // that saw it
+	Server   string // receiver of the effect
 	At       time.Time
 	Lease    string
 	Token    uint64
 	Holder   string
-	Accepted bool // by the server
+	Accepted bool // whether the server accepted it
 }
 
 // leaseStart is the first accepted effect under the highest token of a lease.
@@ -22,16 +22,16 @@
 	at    time.Time
 }
 
-// leaseCheck is the state of CheckLeases.
+// leaseCheck is the state of CheckLeases after the effects so far.
 type leaseCheck struct {
 	holders  map[uint64]string    // by token
 	accepted map[[2]string]uint64 // highest accepted token by server and lease
 	started  map[string]leaseStart
 }
 
-// CheckLeases returns what is wrong with the effects of lease holders: a token that two runners used, an
+// CheckLeases returns the violations among the effects of lease holders: a token that two runners used, an
 // effect that a server accepted after one under a higher token, and holders whose effects overlap at
-// different servers by more than delay, the time for which an effect may be on its way.
+// different servers by more than delay, the longest time that an effect may be in flight.
 func CheckLeases(effects []LeaseEffect, delay time.Duration) (v Verdict) {
 	ordered := slices.Clone(effects)
 	slices.SortFunc(ordered, func(a, b LeaseEffect) int { return a.At.Compare(b.At) })
@@ -46,7 +46,7 @@
 	return v
 }
 
-// add checks one more effect.
+// add checks the next effect in the order of time.
 func (c *leaseCheck) add(e *LeaseEffect, delay time.Duration) (v Verdict) {
 	if holder, ok := c.holders[e.Token]; ok && holder != e.Holder {
 		v = append(v, fmt.Sprintf("token %d of %s was used by %s and by %s", e.Token, e.Lease, holder, e.Holder))
--- a/internal/testing/historychecker/leases_test.go
+++ b/internal/testing/historychecker/leases_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Each fault of effects is told, and what is right is not.
-func TestDuties(t *testing.T) {
-	at := func(ms int, far string, token uint64, holder string, taken bool) LeaseEffect {
+// CheckLeases must find each kind of violation, and none in a regular handover.
+func TestCheckLeases(t *testing.T) {
+	at := func(ms int, server string, token uint64, holder string, accepted bool) LeaseEffect {
 		return LeaseEffect{
-			Server:   far,
+			Server:   server,
 			At:       time.UnixMilli(int64(ms)),
 			Lease:    "d",
 			Token:    token,
 			Holder:   holder,
-			Accepted: taken,
+			Accepted: accepted,
 		}
 	}
 	for name, c := range map[string]struct {
@@ -39,7 +39,7 @@
 		"two holders at two far ends": {[]LeaseEffect{at(1, "a", 2, "n1", true), at(300, "b", 1, "n2", true)}, 1},
 	} {
 		if v := CheckLeases(c.effects, 100*time.Millisecond); len(v) != c.wrong {
-			t.Errorf("%s: %v", name, v)
+			t.Errorf("%s: unexpected number of violations: %v", name, v)
 		}
 	}
 }
--- a/internal/testing/simcluster/faults.go
+++ b/internal/testing/simcluster/faults.go
@@ -7,7 +7,7 @@
 	minRestart, maxRestart = 50 * time.Millisecond, 3 * time.Second
 )
 
-// Fault injects a random fault.
+// Fault injects a random fault into a random node, link or part of the cluster.
 func (c *Cluster) Fault() {
 	n, other := c.Nodes[c.Rand.IntN(len(c.Nodes))], c.Nodes[c.Rand.IntN(len(c.Nodes))]
 	d := c.Between(minFault, maxFault)
@@ -40,7 +40,7 @@
 
 func (c *Cluster) mayFail(n *Node) bool { return c.options.MayFail == nil || c.options.MayFail(n) }
 
-// cutBetween cuts the nodes of a side from all others, both ways.
+// cutBetween cuts the links between the nodes of a side and all others, in both directions.
 func (c *Cluster) cutBetween(d time.Duration, inSide func(n *Node) bool) {
 	for _, a := range c.Nodes {
 		for _, b := range c.Nodes {
--- a/internal/testing/simcluster/node.go
+++ b/internal/testing/simcluster/node.go
@@ -7,7 +7,7 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// Node is the machine of a runner, and its process if there is one.
+// Node is the machine of a runner, and its process while there is one.
 type Node struct {
 	Name, Zone  string
 	Cluster     *Cluster
@@ -15,16 +15,16 @@
 	Incarnation uint64 // of the process
 	State       any    // of the process, for the test
 
-	stops           int      // faults that hold the process
-	heldCalls       []func() // meanwhile
+	stops           int      // number of faults that hold the process
+	heldCalls       []func() // calls to make once the process is no longer held
 	clockRate       float64
-	monotonicOffset time.Duration // of Monotonic
-	bootOffset      time.Duration // of BootTime
+	monotonicOffset time.Duration // reading of Monotonic at time 0
+	bootOffset      time.Duration // reading of BootTime at time 0
 	suspendedSince  time.Duration // 0: the machine is not suspended
-	suspendedTotal  time.Duration // in earlier suspensions
-	savedDisk       any           // at the last crash
-	previousDisk    any           // at the crash before
-	replaced        bool          // another machine has its name: nobody hears it
+	suspendedTotal  time.Duration // time spent in earlier suspensions
+	savedDisk       any           // contents of the disk at the last crash
+	previousDisk    any           // contents of the disk at the crash before
+	replaced        bool          // another machine has its name, and its messages are dropped
 }
 
 func (c *Cluster) newNode(name, zone string, clockRate float64) *Node {
@@ -38,7 +38,7 @@
 	}
 }
 
-// start starts a process.
+// start starts a process that finds the given disk; nil: an empty one.
 func (n *Node) start(disk any) {
 	n.Cluster.incarnations++
 	n.Up = true
@@ -48,7 +48,7 @@
 	n.Cluster.options.Start(n, disk)
 }
 
-// Monotonic reads the clock of the machine that stands still while the machine is suspended.
+// Monotonic reads the machine's monotonic clock, which stops while the machine is suspended.
 func (n *Node) Monotonic() time.Duration {
 	at := n.Cluster.Now()
 	if n.suspendedSince != 0 {
@@ -57,18 +57,18 @@
 	return n.monotonicOffset + virtualclock.FromMicros(virtualclock.Micros(at-n.suspendedTotal)*n.clockRate)
 }
 
-// BootTime reads the clock of the machine that goes on while the machine is suspended.
+// BootTime reads the machine's boot-time clock, which continues while the machine is suspended.
 func (n *Node) BootTime() time.Duration {
 	return n.bootOffset + virtualclock.FromMicros(virtualclock.Micros(n.Cluster.Now())*n.clockRate)
 }
 
-// TrueTime returns the true time at which BootTime reads a value.
+// TrueTime returns the true time at which BootTime reads bootTime.
 func (n *Node) TrueTime(bootTime time.Duration) time.Duration {
 	return virtualclock.FromMicros(virtualclock.Micros(bootTime-n.bootOffset) / n.clockRate)
 }
 
-// Do calls fn in the process: at once, when the process is not held any more, or never if it ends
-// before that.
+// Do calls fn in the process: at once, or as soon as the process is no longer held. fn is never called if
+// the process ends before that.
 func (n *Node) Do(fn func()) {
 	switch {
 	case !n.Up:
@@ -79,7 +79,7 @@
 	}
 }
 
-// After calls fn in this process after a time.
+// After calls fn in this process after a time, unless the process has ended.
 func (n *Node) After(d time.Duration, fn func()) {
 	incarnation := n.Incarnation
 	n.Cluster.After(d, func() {
@@ -89,8 +89,8 @@
 	})
 }
 
-// Every calls fn in this process at an interval. Of the calls that fall into a time in which the process
-// is held, one is made afterwards.
+// Every calls fn in this process at an interval. Calls that fall due while the process is held are made
+// once, when it continues.
 func (n *Node) Every(interval time.Duration, fn func()) {
 	incarnation := n.Incarnation
 	pending := false
@@ -108,7 +108,8 @@
 	n.Cluster.After(n.Cluster.Between(0, interval), tick)
 }
 
-// Send sends a message to the process of another runner, which deliver gives to it.
+// Send sends a message to another runner. deliver is called in that runner's process on arrival, and
+// hands over the message.
 func (n *Node) Send(to string, deliver func(to *Node)) {
 	n.Cluster.Sent++
 	if !n.replaced {
@@ -116,10 +117,10 @@
 	}
 }
 
-// Stop holds the process for a time, as SIGSTOP does. Messages wait.
+// Stop holds the process for a time, as SIGSTOP does. Messages to it wait.
 func (n *Node) Stop(d time.Duration) { n.pause(d, false) }
 
-// Suspend holds the machine for a time: Monotonic stands still too.
+// Suspend holds the process for a time as Stop does, and stops Monotonic as well.
 func (n *Node) Suspend(d time.Duration) { n.pause(d, true) }
 
 func (n *Node) pause(d time.Duration, suspend bool) {
@@ -143,7 +144,7 @@
 	})
 }
 
-// resume makes the calls that were held.
+// resume ends one fault that holds the process, and makes the calls that waited.
 func (n *Node) resume() {
 	n.stops--
 	calls := n.heldCalls
@@ -164,7 +165,7 @@
 	diskCount
 )
 
-// Crash ends the process. Another one starts after a time.
+// Crash ends the process. A new process starts after restartAfter and finds the disk in the given state.
 func (n *Node) Crash(restartAfter time.Duration, disk Disk) {
 	if !n.Up {
 		return
@@ -176,7 +177,7 @@
 	n.Cluster.After(restartAfter, func() { n.start(n.diskIn(disk)) })
 }
 
-// diskIn returns the contents of the disk in a state; nil: it is empty.
+// diskIn returns the contents of a disk in the given state; nil: it is empty.
 func (n *Node) diskIn(state Disk) any {
 	switch state {
 	case DiskIntact:
@@ -188,8 +189,8 @@
 	}
 }
 
-// Replace starts a process with the name of the runner on another, empty machine. The process on this
-// one goes on, but nobody hears it any more.
+// Replace starts a process with the name of the runner on another machine with an empty disk. The process
+// on this machine continues, but its messages are dropped.
 func (n *Node) Replace() {
 	c := n.Cluster
 	c.log("%s is replaced by another machine", n.Name)
@@ -200,7 +201,7 @@
 	next.start(nil)
 }
 
-// CutOff cuts the links to all other runners for a time, or both ways.
+// CutOff cuts the links to all other runners for a time. With both it also cuts the links from them.
 func (n *Node) CutOff(d time.Duration, both bool) {
 	n.Cluster.log("%s is cut off for %d ms, both ways %v", n.Name, d.Milliseconds(), both)
 	for _, other := range n.Cluster.Nodes {
--- a/internal/testing/simcluster/simcluster.go
+++ b/internal/testing/simcluster/simcluster.go
@@ -1,9 +1,9 @@
 // Package simcluster simulates a cluster of runners in virtual time: processes that crash, are stopped,
-// or are suspended with their machine; clocks that run fast or slow; links that lose, delay, duplicate
-// and cut; and disks that a restarted process finds intact, stale or empty. What the processes do is
-// up to the test. A seed gives the same run each time, if the processes are deterministic.
+// or are suspended with their machine; clocks that run fast or slow; links that lose, delay and duplicate
+// messages or are cut; and disks that a restarted process finds intact, stale or empty. The test supplies
+// the processes. A seed gives the same run each time if the processes are deterministic.
 //
-// Times are true times, which no process can read: it has only the clocks of its Node.
+// Times are true times, which a process cannot read: it may use only the clocks of its Node.
 package simcluster
 
 import (
@@ -18,10 +18,10 @@
 type Options struct {
 	Runners int
 	Zones   int
-	Drift   float64 // highest relative error of the rate of a clock
-	// Start starts a process with what its disk holds; nil: the disk is empty.
+	Drift   float64 // largest relative error of the rate of a clock
+	// Start starts a process with the contents of its disk; nil: the disk is empty.
 	Start func(n *Node, disk any)
-	// Save returns what the disk holds after a crash of the process.
+	// Save returns the contents of the disk after a crash of the process.
 	Save func(n *Node) any
 	// MayFail reports whether a process may be lost now; nil: always.
 	MayFail func(n *Node) bool
@@ -29,7 +29,7 @@
 	Log func(format string, a ...any)
 }
 
-// link is the direction of messages between two runners.
+// link is one direction between two runners.
 type link struct{ from, to string }
 
 // Cluster is a simulated cluster. It is not safe for concurrent use.
@@ -37,17 +37,17 @@
 	*virtualclock.Scheduler
 	Rand         *rand.Rand
 	Nodes        []*Node
-	Sent         int // messages so far
+	Sent         int // number of messages sent so far
 	options      Options
 	byName       map[string]*Node
 	cutLinks     map[link]int // number of faults that cut each link
-	incarnations uint64       // of all processes so far
+	incarnations uint64       // number of processes started so far
 }
 
-// randomStream separates the draws of a cluster from others with its seed.
+// randomStream separates the draws of a cluster from other draws with the same seed.
 const randomStream = 41
 
-// New returns a cluster of which nothing runs before Start.
+// New returns a cluster whose processes are started by Start.
 func New(seed uint64, options Options) *Cluster {
 	c := &Cluster{
 		Scheduler: virtualclock.New(),
@@ -91,11 +91,11 @@
 }
 
 const (
-	lossOdds, duplicateOdds, slowOdds = 300, 150, 100 // one message in so many
+	lossOdds, duplicateOdds, slowOdds = 300, 150, 100 // one of so many messages is lost, duplicated or slow
 	minDelay, maxDelay, maxSlowDelay  = 200 * time.Microsecond, 4 * time.Millisecond, 500 * time.Millisecond
 )
 
-// send delivers a message as the link does: never, once or twice, after some delay.
+// send delivers a message over a link: never, once or twice, each time after a random delay.
 func (c *Cluster) send(l link, deliver func(to *Node)) {
 	if c.cutLinks[l] > 0 || c.Rand.IntN(lossOdds) == 0 {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// Cut cuts the link from a to b for a time, or both ways.
+// Cut cuts the link from a to b for a time. With both it also cuts the link from b to a.
 func (c *Cluster) Cut(a, b string, d time.Duration, both bool) {
 	if a == b {
 		return
--- a/internal/testing/uwsgiserver/server.go
+++ b/internal/testing/uwsgiserver/server.go
@@ -1,4 +1,4 @@
-// Package uwsgiserver is a uwsgi server for tests, with a bounded number of workers, which counts its runs
+// Package uwsgiserver is a uwsgi server for tests. It can bound the number of its workers, and counts its runs
 // by idempotency key.
 package uwsgiserver
 
@@ -27,7 +27,7 @@
 // Server answers each request with "result of KEY". Its methods are safe for concurrent use.
 type Server struct {
 	Listener net.Listener
-	slots    chan struct{} // one for each worker; nil: no bound
+	slots    chan struct{} // has an element for each busy worker; nil: no bound
 	workTime func(path string) time.Duration
 
 	mu             sync.Mutex
@@ -79,22 +79,22 @@
 	return slices.Clone(s.checks)
 }
 
-// NumberRuns makes the result of each run unique, also over all servers.
+// NumberRuns makes the result of each run unique, also among all servers.
 func (s *Server) NumberRuns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.numberRuns, s.runPrefix = true, rand.Uint64()
 }
 
-// SetResultSize sets the least size of a result in bytes.
+// SetResultSize sets the minimum size of a result in bytes.
 func (s *Server) SetResultSize(size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.minResultBytes = size
 }
 
-// Start starts a server on loopback. workers is how many requests run at once, 0 for any number, and
-// workTime how long a request of a path runs.
+// Start starts a server on loopback. workers is the maximum number of requests that run at once, 0 for no
+// bound, and workTime returns how long a request for a path runs.
 func Start(workers int, workTime func(path string) time.Duration) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -150,7 +150,7 @@
 	return result + strings.Repeat(".", max(s.minResultBytes-len(result), 0))
 }
 
-// Runs returns how often each key began to run.
+// Runs returns the number of runs of each key, including those that have not ended.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
