--- a/internal/testing/conformance/suite.go
+++ b/internal/testing/conformance/suite.go
@@ -1,6 +1,6 @@
 // Package conformance is a conformance suite for uwsgi gateways: cases as data, and a Suite that runs them
-// against a gateway at any address. The suite is the caller in front of the gateway and the server
-// behind it, so that it sees both directions.
+// against a gateway at any address. The suite is both the caller in front of the gateway and the server
+// behind it, so that it checks both directions.
 package conformance
 
 import (
@@ -33,36 +33,36 @@
 	Text   string `yaml:"text"`
 }
 
-// Case is a request with what the server responds, and what each side has to receive.
+// Case is a request and the server's response, with what the server and the caller must receive.
 type Case struct {
 	Name          string      `yaml:"name"`
 	Clauses       []string    `yaml:"clauses"`
-	Class         string      `yaml:"to"` // safe, the default, or keyed
+	Class         string      `yaml:"to"` // "safe" (the default) or "keyed"
 	Vars          [][2]string `yaml:"vars"`
 	Body          string      `yaml:"body"`
 	Raw           string      `yaml:"raw"`
-	CloseWrite    bool        `yaml:"shut"` // the caller closes its side behind what it sends
+	CloseWrite    bool        `yaml:"shut"` // the caller closes its side for writing after the request
 	ServerSees    *ServerSees `yaml:"sees"`
 	Server        string      `yaml:"server"`
-	AfterResponse string      `yaml:"then"` // end, the default, or hold: the server keeps the connection
+	AfterResponse string      `yaml:"then"` // "end" (the default) or "hold": the server keeps the connection open
 	Want          Want        `yaml:"want"`
 }
 
-// ServerSees is what the server has to receive.
+// ServerSees is what the server must receive.
 type ServerSees struct {
 	Body   string            `yaml:"body"`
 	Vars   map[string]string `yaml:"vars"`
 	Absent []string          `yaml:"absent"`
 }
 
-// Want is what the caller has to receive.
+// Want is what the caller must receive.
 type Want struct {
 	Status   int               `yaml:"status"`
 	Body     string            `yaml:"body"`
 	Fields   map[string]string `yaml:"fields"` // several values of one name are joined by |
 	Absent   []string          `yaml:"absent"`
 	Interim  []int             `yaml:"interim"`
-	Bytes    string            `yaml:"bytes"` // all that comes, in place of a response
+	Bytes    string            `yaml:"bytes"` // all received bytes; if set, they are not parsed as a response
 	HeadOnly bool              `yaml:"headOnly"`
 }
 
@@ -84,12 +84,12 @@
 
 // Gateway is the gateway under test.
 type Gateway struct {
-	FrontendAddr   string // network address of its uwsgi front; a path is a unix socket
-	IdempotentPath string // path of a class that is safe to repeat, and leads to the server alone
-	KeyedPath      string // path of a keyed class that does, too
-	KeyVariable    string
-	Tenant         [2]string // variable and value
-	Timeout        time.Duration
+	FrontendAddr   string        // address of its uwsgi frontend; a path is a unix socket
+	IdempotentPath string        // path of an idempotent class whose only server is the suite's
+	KeyedPath      string        // path of a class with idempotency keys whose only server is the suite's
+	KeyVariable    string        // variable that carries the idempotency key
+	Tenant         [2]string     // variable and value
+	Timeout        time.Duration // of each connection, and of the wait for a request
 }
 
 // Suite runs cases. It is not safe for concurrent use.
@@ -97,7 +97,7 @@
 	gateway  Gateway
 	listener net.Listener
 	received chan receivedRequest
-	current  chan currentCase // the case that the server plays next
+	current  chan currentCase // the case of the server's next response
 	lastRun  int64
 }
 
@@ -105,7 +105,7 @@
 type currentCase struct {
 	testCase *Case
 	bytewise bool
-	done     chan struct{} // closed when the server need not hold its connection any longer
+	done     chan struct{} // closed at the end of the case, when the server may close its connection
 }
 
 // receivedRequest is a request that the server received.
@@ -114,10 +114,10 @@
 	err     error
 }
 
-// New returns a suite whose server accepts connections of the gateway on a listener.
-func New(hop Gateway, server net.Listener) *Suite {
+// New returns a suite whose server accepts the gateway's connections on a listener.
+func New(gateway Gateway, server net.Listener) *Suite {
 	s := &Suite{
-		gateway:  hop,
+		gateway:  gateway,
 		listener: server,
 		received: make(chan receivedRequest, 16),
 		current:  make(chan currentCase, 1),
@@ -127,7 +127,8 @@
 	return s
 }
 
-// Run runs a case, with its bytes at once or one at a time, and returns what was not as expected.
+// Run runs a case, with its bytes sent at once or one at a time. It returns an error that describes the first
+// deviation from the case.
 func (s *Suite) Run(c *Case, bytewise bool) error {
 	s.lastRun++
 	key := fmt.Sprintf("conform-%d", s.lastRun)
@@ -160,7 +161,7 @@
 	return s.checkReceived(c, expand)
 }
 
-// encodeRequest returns what the caller sends.
+// encodeRequest returns the bytes that the caller sends.
 func (s *Suite) encodeRequest(c *Case, path, key string, expand func(string) string) ([]byte, error) {
 	if c.Raw != "" {
 		return []byte(c.Raw), nil
@@ -193,8 +194,8 @@
 	return uwsgi.Append(nil, r)
 }
 
-// exchange sends a packet and returns all that is received until the gateway closes the connection.
-func (s *Suite) exchange(packet []byte, bytewise, shut bool) ([]byte, error) {
+// exchange sends a packet and returns all bytes received until the gateway closes the connection.
+func (s *Suite) exchange(packet []byte, bytewise, closeWrite bool) ([]byte, error) {
 	network := "tcp"
 	if strings.HasPrefix(s.gateway.FrontendAddr, "/") {
 		network = "unix"
@@ -204,16 +205,16 @@
 		return nil, fmt.Errorf("conformance: %w", err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(s.gateway.Timeout)) // an error shows in the next call
+	_ = conn.SetDeadline(time.Now().Add(s.gateway.Timeout)) // an error also shows in the next call
 	go func() {
 		send(conn, packet, bytewise)
-		if half, ok := conn.(interface{ CloseWrite() error }); shut && ok {
+		if half, ok := conn.(interface{ CloseWrite() error }); closeWrite && ok {
 			_ = half.CloseWrite() // an error shows in the response
 		}
 	}()
 	got, err := io.ReadAll(conn)
 	if err != nil && len(got) == 0 {
-		return nil, fmt.Errorf("no answer: %w", err)
+		return nil, fmt.Errorf("no answer from the gateway: %w", err)
 	}
 	return got, nil
 }
@@ -242,7 +243,7 @@
 	}
 }
 
-// answer reads one request and responds as the current case says.
+// answer reads one request and sends the response of the current case.
 func (s *Suite) answer(conn net.Conn) {
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(s.gateway.Timeout))
@@ -267,15 +268,15 @@
 		if p.testCase.AfterResponse == "hold" {
 			<-p.done
 		}
-	default: // a retry of a case that has ended
+	default: // the gateway retries the request of a case that was already answered
 	}
 }
 
-// check compares what the caller received with what is wanted.
+// check compares the bytes that the caller received with the wanted response.
 func (w *Want) check(got []byte) error {
 	if w.Bytes != "" {
 		if string(got) != w.Bytes {
-			return fmt.Errorf("want the bytes %q", w.Bytes)
+			return fmt.Errorf("wrong bytes, want %q", w.Bytes)
 		}
 		return nil
 	}
@@ -297,14 +298,14 @@
 	}
 	h, n, err := httpmessage.Read(got)
 	if err != nil || n == 0 {
-		return fmt.Errorf("no response: %v", err)
+		return fmt.Errorf("no complete response: %v", err)
 	}
 	if h.Status != w.Status {
 		return fmt.Errorf("status %d, want %d", h.Status, w.Status)
 	}
 	body := got[n:]
 	if h.Length >= 0 && !w.HeadOnly && len(body) != h.Length {
-		return fmt.Errorf("a body of %d bytes, and %d stated", len(body), h.Length)
+		return fmt.Errorf("body of %d bytes, but a stated length of %d", len(body), h.Length)
 	}
 	if w.Status < 400 && string(body) != w.Body {
 		return fmt.Errorf("body %q, want %q", body, w.Body)
@@ -317,23 +318,23 @@
 			}
 		}
 		if strings.Join(values, "|") != want {
-			return fmt.Errorf("%s is %q, want %q", name, values, want)
+			return fmt.Errorf("header field %s is %q, want %q", name, values, want)
 		}
 	}
 	for _, name := range w.Absent {
 		if h.Get(name) != "" {
-			return fmt.Errorf("%s reached the caller", name)
+			return fmt.Errorf("header field %s reached the caller, want it absent", name)
 		}
 	}
 	return nil
 }
 
-// checkReceived compares what the server received with what it has to receive.
+// checkReceived compares the request that the server received with the wanted one.
 func (s *Suite) checkReceived(c *Case, expand func(string) string) error {
 	if c.ServerSees == nil {
 		select {
 		case v := <-s.received:
-			return fmt.Errorf("the server saw a request that is to be refused: %+v", v.request)
+			return fmt.Errorf("the server received a request that the gateway must refuse: %+v", v.request)
 		default:
 			return nil
 		}
@@ -342,18 +343,18 @@
 	select {
 	case v = <-s.received:
 	case <-time.After(s.gateway.Timeout):
-		return fmt.Errorf("the server saw nothing")
+		return fmt.Errorf("the server received no request")
 	}
 	if v.err != nil {
-		return fmt.Errorf("the server got what it cannot read: %w", v.err)
+		return fmt.Errorf("the server received an invalid request: %w", v.err)
 	}
 	if string(v.request.Body) != c.ServerSees.Body {
-		return fmt.Errorf("the server saw the body %q, want %q", v.request.Body, c.ServerSees.Body)
+		return fmt.Errorf("the server received the body %q, want %q", v.request.Body, c.ServerSees.Body)
 	}
 	names := map[string]int{}
 	for _, x := range v.request.Variables {
 		if names[x.Name]++; names[x.Name] > 1 {
-			return fmt.Errorf("the server saw %s twice", x.Name)
+			return fmt.Errorf("the server received the variable %s twice", x.Name)
 		}
 	}
 	for name, want := range c.ServerSees.Vars {
@@ -361,12 +362,12 @@
 			name = s.gateway.KeyVariable
 		}
 		if got := v.request.Get(name); got != expand(want) {
-			return fmt.Errorf("the server saw %s as %q, want %q", name, got, expand(want))
+			return fmt.Errorf("the server received the variable %s as %q, want %q", name, got, expand(want))
 		}
 	}
 	for _, name := range c.ServerSees.Absent {
 		if names[name] > 0 {
-			return fmt.Errorf("the server saw %s", name)
+			return fmt.Errorf("the server received the variable %s, want it absent", name)
 		}
 	}
 	return nil
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -5,34 +5,35 @@
 	"testing"
 )
 
-// Each clause has a case, each case has a clause, and no two cases have one name.
+// Each clause must have a case and each case a clause, and names of cases must be unique.
 func TestClausesAndCases(t *testing.T) {
 	cases, clauses, err := Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	shown, named := map[string]bool{}, map[string]bool{}
+	covered, named := map[string]bool{}, map[string]bool{}
 	for _, c := range cases {
 		if named[c.Name] || len(c.Clauses) == 0 {
-			t.Errorf("case %q stands twice or shows nothing", c.Name)
+			t.Errorf("case %q is defined twice or covers no clause", c.Name)
 		}
 		named[c.Name] = true
 		for _, id := range c.Clauses {
-			shown[id] = true
+			covered[id] = true
 			if !slices.ContainsFunc(clauses, func(l Clause) bool { return l.ID == id }) {
-				t.Errorf("case %q shows %s, which is no clause", c.Name, id)
+				t.Errorf("case %q covers %s, which is not a clause", c.Name, id)
 			}
 		}
 	}
 	for _, l := range clauses {
-		if !shown[l.ID] || l.Text == "" || l.Source == "" {
-			t.Errorf("no case shows %s, or it says nothing", l.ID)
+		if !covered[l.ID] || l.Text == "" || l.Source == "" {
+			t.Errorf("clause %s has no case, no text or no source", l.ID)
 		}
 	}
 	t.Logf("%d cases, %d clauses", len(cases), len(clauses))
 }
 
-// A suite that cannot fail shows nothing: what is not as wanted is found out.
+// check must find each kind of deviation from the wanted response, and none in the wanted one. A suite that
+// cannot fail would prove nothing.
 func TestWantFindsFaults(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\n\r\nok"
 	for name, c := range map[string]struct {
@@ -50,7 +51,7 @@
 		"bytes":     {Want{Bytes: "x"}, "y"},
 	} {
 		if c.want.check([]byte(c.got)) == nil {
-			t.Errorf("%s: nothing was found", name)
+			t.Errorf("%s: check() = nil, want an error", name)
 		}
 	}
 	if err := (&Want{Status: 200, Body: "ok", Fields: map[string]string{"a": "b"}}).check(
--- a/internal/testing/daytest/backend.go
+++ b/internal/testing/daytest/backend.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	// backendPollInterval is how soon connections are refused once the back end is down.
+	// backendPollInterval bounds the time until connections are refused once the back end is down.
 	backendPollInterval = 50 * time.Millisecond
 	// backendBacklog is the listen queue of the back end, in connections.
 	backendBacklog = 4096
 )
 
-// The end of a request's header, and the header of an answer to a call that never ran.
+// headerEnd ends the header of a message. notAcceptedLine is in the header of the answer to a call that did
+// not run.
 const (
 	headerEnd       = "\r\n\r\n"
 	notAcceptedLine = "Turned-Away: 1\r\n"
 )
 
-// backend is the shared dependency behind a socket. It speaks HTTP/1.1.
+// backend serves the model of the shared dependency on a socket, over HTTP/1.1.
 type backend struct {
 	loop       *eventloop.Loop
 	simulation *fleet.Simulation
@@ -56,7 +57,7 @@
 	return err
 }
 
-// poll closes the listener while the model is down and opens it when the model is back.
+// poll closes the listener when the model goes down, and opens it when the model is up again.
 func (b *backend) poll() {
 	down := b.simulation.Backend().IsDown()
 	switch {
@@ -64,7 +65,7 @@
 		b.listener.Close()
 		b.listener = nil
 	case !down && b.listener == nil:
-		_ = b.listen() // the address is its own; if it cannot be had yet, the next poll tries again
+		_ = b.listen() // if the address cannot be bound yet, the next poll tries again
 	}
 }
 
@@ -79,7 +80,7 @@
 // Connected implements eventloop.Handler.
 func (c *backendConn) Connected() {}
 
-// End implements eventloop.Handler. Closing cancels the call.
+// End implements eventloop.Handler. The connection is closed, which cancels the call.
 func (c *backendConn) End() bool { return false }
 
 // Closed implements eventloop.Handler.
@@ -110,7 +111,7 @@
 	return n, nil
 }
 
-// readCall decodes a whole call: the ID of the request that makes it, its body and its length in
+// readCall decodes a complete call: the ID of the request that makes it, its body and its length in
 // bytes. The length is 0 while bytes are missing.
 func readCall(b []byte) (callID string, body []byte, n int, err error) {
 	end := bytes.Index(b, []byte(headerEnd))
@@ -129,7 +130,7 @@
 		return "", nil, 0, err
 	}
 	if request.Method != http.MethodPost || request.URL.Path != "/rpc/call" {
-		return "", nil, 0, errors.New("daytest: not a call")
+		return "", nil, 0, errors.New("daytest: a request to the back end that is not a call")
 	}
 	return request.Header.Get("Parent-Call"), body, n, nil
 }
@@ -147,7 +148,7 @@
 	}
 }
 
-// reply writes an answer. header is empty or whole header lines.
+// reply writes an answer. header is empty or consists of complete header lines.
 func (c *backendConn) reply(status int, header string, body []byte) {
 	c.Write(fmt.Appendf(
 		nil,
--- a/internal/testing/daytest/balancer.go
+++ b/internal/testing/daytest/balancer.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// maxMultiplexed is how many requests share one connection.
+	// maxMultiplexed is the maximum number of concurrent requests on a connection.
 	maxMultiplexed = 32
-	// resendWindow is how young a request is that is sent once more if its connection closes: the
-	// close and the request have crossed.
+	// resendWindow is the time after a request is sent in which it is sent once more if its connection
+	// closes: the runner may have closed the connection before the request arrived.
 	resendWindow = 50 * time.Millisecond
 	// healthCheckID is the request ID of a health check, which has a connection of its own.
 	healthCheckID = 1
@@ -51,7 +51,7 @@
 	c.Write(encodeRequest(x.id, paramsOf(a), a.Body()))
 }
 
-// connFor returns a connection of the balancer that takes one more request.
+// connFor returns a connection of the balancer that has room for one more request.
 func (p *process) connFor(caller uint32) *balancerConn {
 	for _, c := range p.conns[caller] {
 		if len(c.open) < maxMultiplexed && !c.IsClosed() && !c.readEnded {
@@ -69,7 +69,7 @@
 	return c
 }
 
-// Abandon implements fleet.Process. An answer that still comes is ignored.
+// Abandon implements fleet.Process. An answer that still arrives is ignored.
 func (p *process) Abandon(a *fleet.Attempt) {
 	x := p.exchanges[a]
 	if x == nil {
@@ -91,7 +91,7 @@
 // param is a name and a value of a FastCGI request.
 type param struct{ name, value string }
 
-// paramsOf are the parameters of an attempt, by the platform's names.
+// paramsOf returns the parameters of an attempt, under the platform's names.
 func paramsOf(a *fleet.Attempt) []param {
 	params := []param{
 		{"REQUEST_METHOD", "POST"},
@@ -109,7 +109,7 @@
 	return params
 }
 
-// encodeRequest returns a whole request in FastCGI records.
+// encodeRequest returns the FastCGI records of a request.
 func encodeRequest(id uint16, params []param, body []byte) []byte {
 	var pairs []byte
 	for _, p := range params {
@@ -131,7 +131,7 @@
 	process   *process
 	open      map[uint16]*exchange // by request ID
 	lastID    uint16
-	readEnded bool // the runner sends no more
+	readEnded bool // the runner has closed its side
 }
 
 // nextID returns a request ID that is not in use on the connection.
@@ -168,7 +168,8 @@
 	}
 }
 
-// handle takes a record. It reports whether the connection has served its purpose.
+// handle handles a record. isLast reports whether the connection is no longer needed, as it was opened for a
+// health check that has ended.
 func (c *balancerConn) handle(record fastcgi.Record) (isLast bool) {
 	x := c.open[record.ID]
 	if x == nil {
@@ -189,10 +190,10 @@
 	return false
 }
 
-// protocolStatusOffset is where the protocol status stands in the body of an EndRequest record.
+// protocolStatusOffset is the offset of the protocol status in the body of an EndRequest record.
 const protocolStatusOffset = 4
 
-// deliver passes a whole answer to the model.
+// deliver passes a complete answer to the model.
 func (p *process) deliver(x *exchange, endBody []byte) {
 	if len(endBody) > protocolStatusOffset && endBody[protocolStatusOffset] == fastcgi.Overloaded {
 		x.attempt.Answer(fleet.Answer{Status: fleet.Rejected})
@@ -217,8 +218,8 @@
 	x.attempt.Answer(answer)
 }
 
-// readHeader reads the header of an answer: its status, and what it says to the balancer. The
-// answer counts as failed until its status says otherwise.
+// readHeader reads the header of an answer: its status, and the fields for the balancer. The returned
+// answer is Failed; the caller sets another outcome by the status.
 func (p *process) readHeader(head string) (status string, answer fleet.Answer) {
 	answer.Status = fleet.Failed
 	for line := range strings.SplitSeq(head, "\r\n") {
@@ -260,9 +261,9 @@
 	c.open = nil
 }
 
-// connectionClosed decides a request whose connection closed without an answer. One on a connection
-// that was refused never ran; one that crossed the close is sent once more; any other is lost,
-// unless the process was killed.
+// connectionClosed decides the outcome of a request whose connection closed without an answer. If the
+// connection was refused, the request never ran. If the process was killed, the connection broke. A request
+// within its resendWindow is sent once more, and any other is lost.
 func (p *process) connectionClosed(x *exchange, err error) {
 	var refused *eventloop.ConnectionRefusedError
 	switch {
--- a/internal/testing/daytest/engine.go
+++ b/internal/testing/daytest/engine.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxNotices is how many notices the engine keeps for a link that comes back.
+	// maxNotices is how many notices the engine keeps for a runner that reconnects.
 	maxNotices = 4000
 	// engineBacklog is the listen queue of an engine, in connections.
 	engineBacklog = 16
@@ -55,12 +55,12 @@
 func (m message) encode() []byte {
 	line, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // a message holds nothing that cannot be encoded
+		panic(err) // all fields of a message can be encoded
 	}
 	return append(line, '\n')
 }
 
-// engine is the engine on the machine of one incarnation.
+// engine is the stand-in for the engine on the machine of one incarnation of a runner.
 type engine struct {
 	loop        *eventloop.Loop
 	incarnation *fleet.Incarnation
@@ -68,7 +68,7 @@
 	link        *engineLink // the attached link; nil: none
 	started     time.Duration
 	lastNumber  int64    // of the last notice
-	notices     [][]byte // the last ones, encoded
+	notices     [][]byte // the last maxNotices, encoded
 	isClosed    bool
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// Data implements eventloop.Handler. A line that is no message closes the link.
+// Data implements eventloop.Handler. A line that is not a message closes the link.
 func (k *engineLink) Data(b []byte) (used int, err error) {
 	for {
 		line, _, ok := bytes.Cut(b[used:], []byte("\n"))
@@ -147,7 +147,7 @@
 
 func (k *engineLink) send(m message) { k.Write(m.encode()) }
 
-// handle carries out a command of the runner.
+// handle executes a command of the runner.
 func (k *engineLink) handle(m message) {
 	switch m.Type {
 	case typeAttach:
@@ -169,8 +169,8 @@
 	}
 }
 
-// attach makes k the link that stands, in place of one before, and sends the notices after the
-// given number.
+// attach makes k the attached link, closes the one attached before, and sends the notices whose numbers
+// are above after.
 func (k *engineLink) attach(after int64) {
 	e := k.engine
 	if e.link != nil && e.link != k {
@@ -187,7 +187,7 @@
 	}
 }
 
-// run starts a request, unless it is not the one that the balancer sent.
+// run starts a request. A request that differs from the one that the balancer sent is refused.
 func (k *engineLink) run(m message) {
 	incarnation := k.engine.incarnation
 	attempt := incarnation.Attempt(m.RequestID)
--- a/internal/testing/daytest/harness.go
+++ b/internal/testing/daytest/harness.go
@@ -23,23 +23,23 @@
 const (
 	// startTimeout is how long the processes may take to start.
 	startTimeout = 30 * time.Second
-	// startPollInterval is how often the harness looks whether they have started.
+	// startPollInterval is how often the harness checks whether they have started.
 	startPollInterval = 20 * time.Millisecond
-	// endPollInterval is how often the harness looks whether the day is over.
+	// endPollInterval is how often the harness checks whether the day is over.
 	endPollInterval = 100 * time.Millisecond
-	// settleTime is how long the day goes on once all first attempts have ended: runners still owe
-	// answers that no client waits for.
+	// settleTime is how long the day continues once all first attempts have ended: runners may still
+	// send answers that no client waits for.
 	settleTime = 500 * time.Millisecond
-	// wakeInterval is how often the loop looks at its timers. By itself it sleeps in whole
-	// milliseconds, which a request would meet half a dozen times on its way. The fleet that the
-	// harness stands in for does not wait like that.
+	// wakeInterval is how often the loop is woken to check its timers. By itself it sleeps in whole
+	// milliseconds, which would delay a request about six times on its way, unlike the fleet that the
+	// harness stands in for.
 	wakeInterval = 200 * time.Microsecond
 )
 
-// loopback is where the harness opens its listeners.
+// loopback is the address at which the harness and the runners listen, each on a free port.
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// loopClock runs the simulator's state machines on the event loop.
+// loopClock is the clock of the simulator's state machines when they run on the event loop.
 type loopClock struct{ loop *eventloop.Loop }
 
 // Now implements virtualclock.Clock.
@@ -50,7 +50,7 @@
 	return c.loop.After(d, fn)
 }
 
-// harness is a day under way.
+// harness plays one day.
 type harness struct {
 	loop       *eventloop.Loop
 	simulation *fleet.Simulation
@@ -67,7 +67,7 @@
 	log   io.Writer // guarded by logMu
 
 	stopWaking    atomic.Bool
-	wakingStopped chan struct{} // closed when nothing wakes the loop any more; nil: nothing has
+	wakingStopped chan struct{} // closed when the goroutine of startWaking ends; nil: it was not started
 }
 
 // Play plays a day on processes of the runner's program at binary and blocks until the day is over
@@ -105,7 +105,7 @@
 	return h.run, h.err
 }
 
-// openStandIns opens the sockets of the back end and of the registry.
+// openStandIns opens the sockets of the stand-ins for the back end and the registry.
 func (h *harness) openStandIns() (err error) {
 	if h.backend, err = newBackend(h.loop, h.simulation); err != nil {
 		return err
@@ -125,14 +125,14 @@
 			h.simulation.Begin(h.loop.Unix())
 			h.awaitEnd(h.loop.Now() + h.simulation.Duration())
 		case time.Now().After(deadline):
-			h.fail(errors.New("daytest: the runners do not start"))
+			h.fail(errors.New("daytest: the runners did not start in time"))
 		default:
 			h.awaitStart(deadline)
 		}
 	})
 }
 
-// awaitEnd ends the day once it is over, or at the last moment of it.
+// awaitEnd ends the day once it is over, and at the time last at the latest.
 func (h *harness) awaitEnd(last time.Duration) {
 	if h.simulation.IsOver() || h.loop.Now() >= last {
 		h.loop.After(settleTime, h.finish)
@@ -141,13 +141,13 @@
 	h.loop.After(endPollInterval, func() { h.awaitEnd(last) })
 }
 
-// finish takes the result.
+// finish stores the result of the day and stops the loop.
 func (h *harness) finish() {
 	h.run, h.err = h.simulation.Close()
 	h.loop.Stop()
 }
 
-// fail ends the day for the first fault of the harness or of what it plays.
+// fail ends the day with an error. The first error is kept.
 func (h *harness) fail(err error) {
 	if h.err == nil {
 		h.err = err
@@ -168,7 +168,7 @@
 	}()
 }
 
-// close ends all processes and waits for them, so that none outlives its day.
+// close kills all processes and waits for them, so that none outlives the day.
 func (h *harness) close() {
 	h.stopWaking.Store(true)
 	if h.wakingStopped != nil {
--- a/internal/testing/daytest/harness_test.go
+++ b/internal/testing/daytest/harness_test.go
@@ -42,7 +42,7 @@
 }
 
 // patientDay is a day whose clients wait so long that its outcome does not depend on the speed of the
-// machine: each request is served in the end, or the accounts say why not.
+// machine: each request is eventually served, or the accounts give the cause why not.
 const patientDay = `
 name: patient
 length_s: 7
@@ -73,20 +73,20 @@
 	return run, log.String(), err
 }
 
-// A day with a crash, a slow runner and a drain: each first attempt ends once (the accounts do not
-// close otherwise), no rule is broken, and nearly all requests are served. A keyed request whose
-// connection broke during its run may fail.
+// In a day with a crash, a slow runner and a drain, each first attempt must end once (otherwise the
+// accounts do not add up and Play returns an error), no rule may be broken, and nearly all requests
+// must be served. A keyed request whose connection broke during its run may fail.
 func TestDayWithFaultsOnRealProcesses(t *testing.T) {
 	run, log, err := play(context.Background(), t, patientDay)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, log)
 	}
 	if run.Broken != 0 {
-		t.Errorf("rules %v: %v\n%s", run.Rules, run.Notes, log)
+		t.Errorf("broken rules %v: %v\n%s", run.Rules, run.Notes, log)
 	}
 	if run.All.First < 120 || run.All.Served < 0.9 || run.AttemptsRead < run.All.First {
 		t.Errorf(
-			"%d first tries, %d read, served %.3f: %v\n%s",
+			"first attempts = %d, attempts read = %d, share served = %.3f, causes %v\n%s",
 			run.All.First,
 			run.AttemptsRead,
 			run.All.Served,
@@ -99,16 +99,16 @@
 			t.Errorf("no runner logged %q", want)
 		}
 	}
-	// Three at first, one after the crash, one after the drain.
+	// Three runners start at first, one after the crash and one after the drain.
 	if starts := strings.Count(log, "event=start.listens name=n"); starts != 5 {
-		t.Errorf("%d starts", starts)
+		t.Errorf("processes started = %d, want 5", starts)
 	}
 }
 
 // A runner that ends by itself counts as crashed, and the day goes on.
 func TestRunnerCrash(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "crashing")
-	// It serves for a second and dies.
+	// The runner serves for a second and is killed.
 	if err := os.WriteFile(
 		script,
 		[]byte("#!/bin/sh\n"+runnerBinary+" &\npid=$!\nsleep 1\nkill -9 $pid\nwait\n"),
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	s.Troubles = nil
-	for i := range s.Classes { // or clients would wait for a fleet that stays down
+	for i := range s.Classes { // otherwise clients would wait for a fleet that stays down
 		s.Classes[i].DeadlineMs, s.Classes[i].AimMs = 1500, 1000
 	}
 	var log bytes.Buffer
@@ -130,7 +130,7 @@
 		t.Fatalf("%v\n%s", err, log.String())
 	}
 	if run.Rules["fall-over"] == 0 || run.Score != 0 {
-		t.Errorf("rules %v", run.Rules)
+		t.Errorf("broken rules = %v, want fall-over and a score of 0", run.Rules)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	out, _ := exec.Command("pgrep", "-f", runnerBinary).Output()
 	if len(bytes.TrimSpace(out)) > 0 {
-		t.Errorf("processes are left: %s", out)
+		t.Errorf("processes still running: %s", out)
 	}
 }
 
--- a/internal/testing/daytest/process.go
+++ b/internal/testing/daytest/process.go
@@ -26,24 +26,24 @@
 
 var bufferLimits = eventloop.BufferLimits{In: receiveBuffer, Out: sendBuffer}
 
-// listenEvent matches the log line that tells the address of the FastCGI listener.
+// listenEvent matches the log line with the address of the FastCGI listener.
 var listenEvent = regexp.MustCompile(`event=start.listens name=\S+ address=(\S+)`)
 
-// process is a runner's process, and what the models of balancers and engine do with it. It
-// implements fleet.Process.
+// process is a runner's process, with its engine and the balancers' connections to it. It implements
+// fleet.Process.
 type process struct {
 	harness     *harness
 	incarnation *fleet.Incarnation
 	command     *exec.Cmd
 	exited      chan struct{}  // closed once the process has ended
-	addr        netip.AddrPort // where it listens; invalid: not known yet
+	addr        netip.AddrPort // address of its listener; invalid: not known yet
 	engine      *engine
 	conns       map[uint32][]*balancerConn   // by balancer
 	exchanges   map[*fleet.Attempt]*exchange // in flight
 	isKilled    bool
 }
 
-// launch starts a runner with its configuration and its engine.
+// launch starts an engine and a runner whose configuration has that engine's address.
 func (h *harness) launch(incarnation *fleet.Incarnation, set admission.Settings) (fleet.Process, error) {
 	p := &process{
 		harness:     h,
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// readLog passes on what the process logs, learns its address from it, and tells the model when the
-// process ends. It runs in a goroutine of its own.
+// readLog passes on the log lines of the process, takes its address from them, and reports its exit to
+// the model. It runs in a goroutine of its own.
 func (p *process) readLog(lines *bufio.Scanner) {
 	for lines.Scan() {
 		line := lines.Text()
@@ -148,13 +148,13 @@
 // Drain implements fleet.Process.
 func (p *process) Drain(time.Duration) { _ = p.command.Process.Signal(syscall.SIGTERM) }
 
-// Kill implements fleet.Process. It ends the process with all that it started.
+// Kill implements fleet.Process. It kills the process and all processes that it started.
 func (p *process) Kill() {
 	if p.isKilled {
 		return
 	}
 	p.isKilled = true
-	_ = syscall.Kill(-p.command.Process.Pid, syscall.SIGKILL) // it may have ended by itself
+	_ = syscall.Kill(-p.command.Process.Pid, syscall.SIGKILL) // fails if the process has exited
 	p.engine.close()
 	for _, conns := range p.conns {
 		for _, c := range conns {
--- a/internal/testing/daytest/settings.go
+++ b/internal/testing/daytest/settings.go
@@ -2,7 +2,7 @@
 
 import "ryepaddle/internal/admission"
 
-// PlatformSettings is the object "settings" of the platform's file. The names are the platform's.
+// PlatformSettings is the object "settings" of the platform's file. Its field names are the platform's names.
 type PlatformSettings struct {
 	Accounts       []accountSettings
 	RequestClasses []classSettings
@@ -105,7 +105,7 @@
 	gaugeNames = []string{"cpu_busy", "runnable", "mem_used", "sockets"}
 )
 
-// Settings lays out the settings of a runner as the platform's file does.
+// Settings converts the settings of a runner to the form of the platform's file.
 func Settings(s *admission.Settings) PlatformSettings {
 	valueBy := "request"
 	if s.WeightPerWork {
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment draws random deployments: settings with each field over all values that are allowed,
-// and a short day of a small fleet that is played under them. It is independent of any real deployment.
+// Package deployment draws random deployments: settings whose fields cover all allowed values, and a short day
+// of a small fleet to play under them. It is independent of any real deployment.
 package deployment
 
 import (
@@ -14,25 +14,26 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// Deployment is a deployment that was drawn.
+// Deployment is a randomly drawn deployment.
 type Deployment struct {
 	Spec *day.Spec
 	Seed uint64
-	// ChangeSettings changes the settings of a runner to those of this deployment.
+	// ChangeSettings changes the settings of a runner to those of this deployment that the model of a day
+	// ignores.
 	ChangeSettings func(*admission.Settings)
 }
 
-// Limits bound what is drawn.
+// Limits bound the deployments that are drawn.
 type Limits struct {
 	Classes, Tenants, Cores, Runners int
 	WorkMs                           [2]float64
 	DeadlineMs                       [2]int
 	LengthS                          float64
-	Rate                             float64 // most requests a second
+	Rate                             float64 // maximum number of requests per second
 	Faults                           []string
 }
 
-// Wide are the limits of a day in virtual time.
+// Wide are the limits for a day in virtual time.
 var Wide = Limits{
 	Classes:    12,
 	Tenants:    40,
@@ -45,8 +46,7 @@
 	Faults:     day.Kinds,
 }
 
-// Real are the limits of a day with real processes, whose results must not depend on the speed of the
-// machine.
+// Real are the limits for a day with real processes. Its results must not depend on the speed of the machine.
 var Real = Limits{
 	Classes:    5,
 	Tenants:    5,
@@ -62,7 +62,7 @@
 // object is a mapping of a day's file.
 type object = map[string]any
 
-// drawNumber draws a number; its bounds are drawn more often than others.
+// drawNumber draws a number of an interval. The bounds are drawn more often than other numbers.
 func drawNumber(t *rapid.T, what string, low, high float64) float64 {
 	if odd := rapid.IntRange(0, 9).Draw(t, what+" end"); odd == 0 {
 		return low
@@ -82,7 +82,7 @@
 	tenants, none := drawTenants(t, l)
 	crashFactor := drawNumber(t, "fall", 1.5, 20)
 	tier := rapid.IntRange(0, 3).Draw(t, "tier") == 0
-	if tier { // a further tier of servers protects itself
+	if tier { // the dependency is a tier of servers that protects itself, and does not crash
 		crashFactor = 1e6
 	}
 	load := object{"rate_s": drawNumber(t, "rate", 1, l.Rate), "burstiness": drawNumber(t, "burstiness", 0, 2)}
@@ -123,7 +123,7 @@
 	return classes
 }
 
-// drawTenants draws the tenants. none tells that the settings have none; a day has at least one.
+// drawTenants draws the tenants. none reports that the settings have no tenants; a day has at least one.
 func drawTenants(t *rapid.T, l Limits) (tenants []object, none bool) {
 	none = rapid.IntRange(0, 3).Draw(t, "no tenants") == 0
 	n := rapid.IntRange(1, l.Tenants).Draw(t, "tenants")
@@ -155,8 +155,8 @@
 	return rapid.SliceOfN(draw, 0, 3).Draw(t, "troubles")
 }
 
-// relaxBackend lets the back end survive one long, cancelled call of each runner, which no runner can
-// foresee: a smaller quota could be kept only by making no calls.
+// relaxBackend lets the back end survive one long, cancelled call of each runner, which a runner cannot
+// foresee: a runner could keep to a smaller quota only by making no calls.
 func (d *Deployment) relaxBackend() {
 	drawn := day.Draw(d.Spec, d.Seed)
 	b := &d.Spec.BackEnd
@@ -216,7 +216,7 @@
 	}
 }
 
-// drawBalancers draws a kind of balancer.
+// drawBalancers draws a group of balancers of one kind.
 func drawBalancers(t *rapid.T) object {
 	return object{
 		"count":  rapid.IntRange(1, 4).Draw(t, "count"),
@@ -249,7 +249,7 @@
 	return k
 }
 
-// drawSettings draws settings that the model of a day ignores and a runner gets all the same.
+// drawSettings draws the settings that a runner is given although the model of a day ignores them.
 func drawSettings(t *rapid.T, noTenants, tier bool) func(*admission.Settings) {
 	drawn := drawRunnerSettings(t)
 	degraded := drawNumber(t, "skip worth", 0, 1)
--- a/internal/testing/deployment/deployment_test.go
+++ b/internal/testing/deployment/deployment_test.go
@@ -19,23 +19,23 @@
 	"ryepaddle/internal/testing/daytest"
 )
 
-// Whatever the settings say, a runner starts with them, each request gets its one answer in time,
-// and no rule is broken. By hand: go test ./internal/testing/deployment -run Everywhere
-// -rapid.checks=20000
+// With any allowed settings a runner must start, answer each request once and in time, and break no rule
+// of the simulator. A long run by hand:
+// go test ./internal/testing/deployment -run Everywhere -rapid.checks=20000
 func TestEverywhere(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		d := Draw(t, Wide)
 		drawn := day.Draw(d.Spec, d.Seed)
-		told := drawn.Settings
-		d.ChangeSettings(&told)
+		settings := drawn.Settings
+		d.ChangeSettings(&settings)
 		text, err := json.Marshal(
 			map[string]any{
 				"name":     "n1",
 				"listen":   "127.0.0.1:1",
 				"stop_ms":  1,
 				"limits":   map[string]int{"sockets": 512, "memory_mb": 48},
-				"settings": daytest.Settings(&told),
+				"settings": daytest.Settings(&settings),
 			},
 		)
 		if err != nil {
@@ -45,20 +45,20 @@
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
 		}
-		if diff := cmp.Diff(told, read.Settings); diff != "" {
-			t.Fatalf("the file says something else (-told +read)\n%s", diff)
+		if diff := cmp.Diff(settings, read.Settings); diff != "" {
+			t.Fatalf("settings read from the platform's file (-want +got)\n%s", diff)
 		}
 		run, err := fleet.Play(drawn, fleet.Options{Settings: d.ChangeSettings})
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
 		}
 		if run.Broken > 0 {
-			t.Fatalf("%v: %v\n%s", run.Rules, run.Notes, text)
+			t.Fatalf("broken rules %v: %v\n%s", run.Rules, run.Notes, text)
 		}
 	})
 }
 
-// A few of them on real processes behind sockets, with the platform's front.
+// Plays a few deployments on real processes over sockets, with the platform's frontend.
 func TestOnProcesses(t *testing.T) {
 	t.Parallel()
 	bin := filepath.Join(t.TempDir(), "ryepaddle")
@@ -76,7 +76,7 @@
 	var read atomic.Int64
 	t.Cleanup(func() {
 		if read.Load() < int64(*processes) {
-			t.Errorf("that tells nothing: %d requests were read", read.Load())
+			t.Errorf("requests read = %d, too few for a meaningful test", read.Load())
 		}
 	})
 	for seed := range *processes {
@@ -95,10 +95,10 @@
 				t.Fatalf("%v\n%s", err, log.String())
 			}
 			if read.Add(int64(run.AttemptsRead)); run.Broken > 0 {
-				t.Errorf("%v: %v\n%s", run.Rules, run.Notes, log.String())
+				t.Errorf("broken rules %v: %v\n%s", run.Rules, run.Notes, log.String())
 			}
 		})
 	}
 }
 
-var processes = flag.Int("deployments", 6, "how many are played on processes")
+var processes = flag.Int("deployments", 6, "number of deployments to play on real processes")
