--- a/internal/testing/cluster/hardfaults_test.go
+++ b/internal/testing/cluster/hardfaults_test.go
@@ -198,8 +198,8 @@
 
 // oldVersion is the last commit of the version before this one, and oldPackage its program.
 const (
-	oldVersion = "2642f86"
-	oldPackage = "./cmd/ryepaddle"
+	oldVersion = "6610976"
+	oldPackage = "./cmd/runner"
 )
 
 // withOldVersion returns options of runners of the old version.
