--- a/internal/simulator/ledger/cause.go
+++ b/internal/simulator/ledger/cause.go
@@ -5,14 +5,14 @@
 // Cause says how a request ended.
 type Cause uint8
 
-// The causes.
+// The causes: Open is that of a request that has not ended.
 const (
-	Open            Cause = iota // it has not ended
+	Open            Cause = iota // the request has not ended
 	WithinObjective              // served within its latency objective
-	Late                         // served after it, before its client gave up
+	Late                         // served after its latency objective, before its client gave up
 	Rejected
 	Failed   // an error, or a broken connection
-	TimedOut // its client gave up
+	TimedOut // the client gave up
 	Unsent   // no server was eligible
 	causeCount
 )
@@ -48,16 +48,16 @@
 	return names
 }
 
-// Rule is a rule that must hold on every day.
+// Rule is an invariant that must hold on every day. A violation makes the day's score 0.
 type Rule uint8
 
 // The rules.
 const (
 	Lost         Rule = iota // each request that was read gets its final answer by its deadline
-	Duplicate                // no request with an effect runs twice, and none is answered twice
-	Drain                    // a draining runner answers what it has, and runs nothing that came late
+	Duplicate                // no request with an effect runs twice, and no request is answered twice
+	Drain                    // a draining runner answers all requests, and runs none that came too late
 	RunnerCrash              // no runner exceeds its limits on concurrency and memory
-	BackendCrash             // the back end does not crash of its calls
+	BackendCrash             // the runners' calls do not crash the back end
 	ruleCount
 )
 
--- a/internal/simulator/ledger/ledger.go
+++ b/internal/simulator/ledger/ledger.go
@@ -1,7 +1,8 @@
-// Package ledger keeps the account of a simulated day: which requests were made, how each ended, and
-// which rules were violated. Each request is added once and ends once; its retries belong to it.
-// The score is a weighted sum of the shares served of all requests, of the worst window, of the worst
-// class and of the worst tenant within its quota. Package fleet fills the account.
+// Package ledger keeps the account of a simulated day: which requests were made, how each of them ended
+// and which rules were violated. Each request is added once and ends once, whatever the number of its
+// attempts. The score is a weighted sum of the served shares of all requests, of the worst window, of
+// the worst class and of the worst tenant within its quota, less penalties for wasted work and late
+// failures. Package fleet fills the account.
 package ledger
 
 import (
@@ -16,15 +17,15 @@
 	Name                       string
 	LatencyObjective, Deadline time.Duration
 	PriorityWeight             float64
-	LateWeightFraction         float64 // of the weight that a late answer earns
+	LateWeightFraction         float64 // share of its weight that a late request earns
 }
 
-// Goal holds the factors of the score.
+// Goal holds the factors of the score and of the weights of requests.
 type Goal struct {
 	Whole, WorstWindow, WorstClass, WorstTenant float64
-	OverWorth                                   float64       // of the weight of a request over its tenant's quota
-	Waste, LateFail                             float64       // subtracted: factors of wasted work, of late failures
-	Window                                      time.Duration // of WorstWindow
+	OverWorth                                   float64       // weight factor of a request beyond its tenant's quota
+	Waste, LateFail                             float64       // penalty factors of wasted work and of late failures
+	Window                                      time.Duration // length of the windows of WorstWindow
 }
 
 // Request is a request of a client.
@@ -36,12 +37,12 @@
 	Work    float64 // in microseconds of a core of speed 1
 }
 
-// entry is a request of the account.
+// entry is a request of the account and how it ended.
 type entry struct {
 	Request
 	weight        float64
 	cause         Cause
-	pastObjective bool // it ended after its latency objective
+	pastObjective bool // the request ended after its latency objective
 }
 
 // Ledger is the account of a day.
@@ -51,18 +52,18 @@
 	goal         Goal
 	length       time.Duration
 	entries      map[uint64]*entry
-	order        []uint64                  // of the entries
+	order        []uint64                  // IDs of the entries, in the order of AddRequest
 	latencies    []*hdrhistogram.Histogram // of served requests, by class, in microseconds
 	violations   [ruleCount]int
 	notes        []string
 	attempts     int
 	rejections   int
-	usefulWork   float64 // of requests that were served
-	repeatedEnds int     // ends of requests that had ended
+	usefulWork   float64 // work of the requests that were served
+	repeatedEnds int     // ends of requests that had ended or were never added
 }
 
 const (
-	// the range and the significant digits of the histograms
+	// The range and the significant digits of the latency histograms.
 	minLatency, maxLatency = 100 * time.Microsecond, time.Hour
 	significantDigits      = 3
 	maxNotes               = 20
@@ -72,7 +73,7 @@
 	return hdrhistogram.New(minLatency.Microseconds(), maxLatency.Microseconds(), significantDigits)
 }
 
-// New returns an empty account of a day.
+// New returns an empty account of a day of the given length.
 func New(classes []Class, tenants []string, goal Goal, length time.Duration) *Ledger {
 	l := &Ledger{classes: classes, tenants: tenants, goal: goal, length: length, entries: map[uint64]*entry{}}
 	for range classes {
@@ -81,7 +82,7 @@
 	return l
 }
 
-// AddRequest enters a request.
+// AddRequest adds a request.
 func (l *Ledger) AddRequest(id uint64, r Request) {
 	weight := l.classes[r.Class].PriorityWeight
 	if !r.InShare {
@@ -91,8 +92,8 @@
 	l.order = append(l.order, id)
 }
 
-// EndRequest enters the end of a request, and how long it took. WithinObjective becomes Late if it
-// took longer than the latency objective.
+// EndRequest records how a request ended and how long it took. WithinObjective becomes Late if the
+// request took longer than its latency objective.
 func (l *Ledger) EndRequest(id uint64, cause Cause, took time.Duration) {
 	e := l.entries[id]
 	if e == nil || e.cause != Open {
@@ -106,7 +107,7 @@
 	e.cause = cause
 	if cause == WithinObjective || cause == Late {
 		latency := min(max(took, minLatency), maxLatency)
-		_ = l.latencies[e.Class].RecordValue(latency.Microseconds()) // within the range
+		_ = l.latencies[e.Class].RecordValue(latency.Microseconds()) // cannot fail: latency is within the range
 	}
 }
 
@@ -116,11 +117,11 @@
 // CountRejection counts an attempt that a runner rejected.
 func (l *Ledger) CountRejection() { l.rejections++ }
 
-// AddUsefulWork adds the work of a request that was served.
+// AddUsefulWork adds the work of a request that was served, in microseconds of a core of speed 1.
 func (l *Ledger) AddUsefulWork(work float64) { l.usefulWork += work }
 
-// AddViolation enters the violation of a rule at a time of the day. The first ones are described in
-// Result.Notes.
+// AddViolation records the violation of a rule at a time of the day. The first maxNotes violations are
+// described in Result.Notes.
 func (l *Ledger) AddViolation(r Rule, at time.Duration, format string, v ...any) {
 	l.violations[r]++
 	if len(l.notes) < maxNotes {
--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 func checkNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
-		t.Errorf("%s is %v, want %v", what, got, want)
+		t.Errorf("%s = %v, want %v", what, got, want)
 	}
 }
 
@@ -50,7 +50,7 @@
 	l.AddRequest(1, at(0.5, 0, 0, true))
 	l.EndRequest(1, WithinObjective, 100*ms)
 	l.AddRequest(2, at(1.5, 0, 0, true))
-	l.EndRequest(2, WithinObjective, 101*ms) // past its objective
+	l.EndRequest(2, WithinObjective, 101*ms) // after its latency objective
 	l.AddRequest(3, at(2.5, 1, 1, true))
 	l.EndRequest(3, WithinObjective, 50*ms)
 	l.AddRequest(4, at(3.5, 1, 1, false))
@@ -63,15 +63,15 @@
 	asked := 1 + 1 + 3 + 0.15
 	checkNear(t, "whole", r.Whole, (1+0.2+3)/asked)
 	checkNear(t, "worst class", r.WorstClass, 1.2/2) // the class without requests does not count
-	// what is over the quota of the other does not count
+	// The other tenant's request beyond its quota does not count.
 	checkNear(t, "worst tenant", r.WorstTenant, 1.2/2)
-	checkNear(t, "worst window", r.WorstWindow, 3.2/4) // of 1 to 3 s and 2 to 4 s
+	checkNear(t, "worst window", r.WorstWindow, 3.2/4) // the windows from 1 to 3 s and from 2 to 4 s
 	checkNear(t, "waste", r.Waste, 0.5)
-	checkNear(t, "late fail", r.LateFail, 0.15/asked)
+	checkNear(t, "weight of late failures", r.LateFail, 0.15/asked)
 	checkNear(t, "worth", r.Worth, 0.45*4.2/asked+0.15*0.8+0.3*0.6+0.1*0.6-0.05*0.5-0.044*0.15/asked)
 	checkNear(t, "served share without requests", r.Classes[2].Served, 1)
 	if r.Score != r.Worth || r.Classes[0].P50Ms < 99 || r.Classes[0].P50Ms > 102 {
-		t.Errorf("score %v, p50 %v", r.Score, r.Classes[0].P50Ms)
+		t.Errorf("score = %v, want the worth; p50 of class check = %v ms, want 99 to 102", r.Score, r.Classes[0].P50Ms)
 	}
 }
 
@@ -83,14 +83,14 @@
 	r, err := l.Close(0)
 	if err != nil || r.Score != 0 || r.Worth < 0.9 || r.Rules["duplicate"] != 1 ||
 		r.Notes[0] != "1.500 s: duplicate: hand-in 7" {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("Close() = %+v, %v; want score 0, worth 0.9 or more, and one duplicate with its note", r, err)
 	}
 }
 
 func TestDayWithoutRequestsScoresOne(t *testing.T) {
 	r, err := newTestLedger(4 * time.Second).Close(0)
 	if err != nil || math.Abs(r.Worth-1) > 1e-9 || math.IsNaN(r.Score) {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("Close() = %+v, %v; want worth 1 and a score", r, err)
 	}
 }
 
@@ -98,14 +98,14 @@
 	l := newTestLedger(4 * time.Second)
 	l.AddRequest(1, Request{})
 	var inconsistent *InconsistencyError
-	if _, err := l.Close(0); !errors.As(err, &inconsistent) || !strings.Contains(err.Error(), "has no end") {
-		t.Errorf("a request without an end: %v", err)
+	if _, err := l.Close(0); !errors.As(err, &inconsistent) || !strings.Contains(err.Error(), "has not ended") {
+		t.Errorf("Close() with a request that has not ended: error = %v, want an InconsistencyError", err)
 	}
 	l.EndRequest(1, Failed, time.Microsecond)
 	l.EndRequest(1, WithinObjective, time.Microsecond)
 	if _, err := l.Close(0); !errors.As(err, &inconsistent) ||
-		!strings.Contains(err.Error(), "1 ends of what had ended") {
-		t.Errorf("a request that ends twice: %v", err)
+		!strings.Contains(err.Error(), "1 ends of requests that had ended") {
+		t.Errorf("Close() with a request that ended twice: error = %v, want an InconsistencyError", err)
 	}
 }
 
@@ -149,11 +149,11 @@
 			"seconds": bySecond,
 		} {
 			if math.Abs(v-r.All.Asked) > 1e-6 {
-				t.Fatalf("%s sum up to %v, all to %v", what, v, r.All.Asked)
+				t.Fatalf("weight of all %s = %v, want %v", what, v, r.All.Asked)
 			}
 		}
 		if math.Abs(got-r.All.Got) > 1e-6 || int(count) != n {
-			t.Fatalf("earned %v by cause, %v in all; %v of %d", got, r.All.Got, count, n)
+			t.Fatalf("weight earned by cause = %v, want %v; requests by cause = %v, want %d", got, r.All.Got, count, n)
 		}
 	})
 }
--- a/internal/simulator/ledger/result.go
+++ b/internal/simulator/ledger/result.go
@@ -10,7 +10,8 @@
 
 const (
 	seriesStep = time.Second // of Result.Series
-	// minWindowLoad is the share of the mean weight below which a window cannot be the worst.
+	// minWindowLoad is the share of the mean weight of a window that a window must exceed to count as
+	// the worst one.
 	minWindowLoad = 0.2
 	// weightTolerance is the relative rounding error that sums of weights may have.
 	weightTolerance = 1e-6
@@ -19,10 +20,10 @@
 // Share sums up a class, a tenant or all requests.
 type Share struct {
 	Name   string  `json:"name"`
-	First  int     `json:"first"`  // requests
+	First  int     `json:"first"`  // number of requests
 	Asked  float64 `json:"asked"`  // weight of the requests
 	Got    float64 `json:"got"`    // weight earned
-	Served float64 `json:"served"` // Got by Asked; 1 without requests
+	Served float64 `json:"served"` // Got divided by Asked; 1 without requests
 	P50Ms  float64 `json:"p50_ms,omitempty"`
 	P99Ms  float64 `json:"p99_ms,omitempty"`
 }
@@ -34,7 +35,7 @@
 	Got   float64 `json:"got"`   // weight earned
 }
 
-// Second sums up the requests made in a second of the day.
+// Second sums up the requests that were made in one second of the day.
 type Second struct {
 	Asked float64 `json:"asked"`
 	Got   float64 `json:"got"`
@@ -43,28 +44,28 @@
 // Result is the result of a day.
 type Result struct {
 	Score       float64         `json:"score"` // Worth, or 0 after a violation
-	Worth       float64         `json:"worth"` // weighted by the goal
+	Worth       float64         `json:"worth"` // the sum that Goal weights, less its penalties
 	Whole       float64         `json:"whole"`
 	WorstWindow float64         `json:"worst_window"`
 	WorstClass  float64         `json:"worst_class"`
 	WorstTenant float64         `json:"worst_tenant"`
-	Waste       float64         `json:"waste"`     // share of the work asked for that served nobody
-	LateFail    float64         `json:"late_fail"` // share of the weight that failed after the objective
+	Waste       float64         `json:"waste"`     // useless work divided by all requests' work; at most 1
+	LateFail    float64         `json:"late_fail"` // share of the weight that ended unserved after the objective
 	All         Share           `json:"all"`
 	Classes     []Share         `json:"classes"`
 	Tenants     []Share         `json:"tenants"`
 	Causes      map[string]Loss `json:"causes"`
 	Tries       int             `json:"tries"`    // attempts
-	Refusals    float64         `json:"refusals"` // rejections for each request
-	Retries     float64         `json:"retries"`  // for each request
-	Broken      int             `json:"broken"`   // violations
+	Refusals    float64         `json:"refusals"` // rejected attempts per request
+	Retries     float64         `json:"retries"`  // attempts beyond the first, per request
+	Broken      int             `json:"broken"`   // number of violations
 	Rules       map[string]int  `json:"rules"`    // violations by rule
 	Notes       []string        `json:"notes,omitempty"`
 	Series      []Second        `json:"series"`
 }
 
-// InconsistencyError reports an account that does not add up: a fault of the model, and not of what
-// it simulates.
+// InconsistencyError reports an account that does not add up. The fault is in the simulator, not in the
+// program that it simulates.
 type InconsistencyError struct{ Reason string }
 
 // Error implements error.
@@ -87,7 +88,7 @@
 	s.Got += earned
 }
 
-// close computes what follows from the sums. latencies may be nil.
+// close computes the served share and the latency quantiles. latencies may be nil.
 func (s *Share) close(latencies *hdrhistogram.Histogram) {
 	s.Served = servedShare(s.Got, s.Asked)
 	if latencies != nil && latencies.TotalCount() > 0 {
@@ -103,22 +104,22 @@
 	return earned / asked
 }
 
-// sums are what Close adds up over the entries, beside the Result.
+// sums holds the totals over all entries that Close needs beside those in Result.
 type sums struct {
-	inQuota  []Share // by tenant
+	inQuota  []Share // of the requests within the quota, by tenant
 	work     float64
-	lateFail float64 // weight that failed after the objective
+	lateFail float64 // weight of the requests that ended unserved after their objective
 }
 
-// Close computes the result of the day. workDone is the work of all cores, in microseconds at speed 1.
-// It returns an InconsistencyError if the account does not add up.
+// Close computes the result of the day. workDone is the work that all cores did, in microseconds of a
+// core of speed 1. It returns an InconsistencyError if the account does not add up.
 func (l *Ledger) Close(workDone float64) (*Result, error) {
 	r := l.newResult()
 	s := sums{inQuota: make([]Share, len(l.tenants))}
 	for _, id := range l.order {
 		e := l.entries[id]
 		if e.cause == Open {
-			return nil, &InconsistencyError{fmt.Sprintf("first try %d has no end", id)}
+			return nil, &InconsistencyError{fmt.Sprintf("request %d has not ended", id)}
 		}
 		l.addEntry(r, &s, e)
 	}
@@ -176,7 +177,8 @@
 
 func (l *Ledger) checkConsistency(r *Result) error {
 	if l.repeatedEnds > 0 || len(l.order) != len(l.entries) {
-		return &InconsistencyError{fmt.Sprintf("%d ends of what had ended, %d first tries of %d",
+		return &InconsistencyError{fmt.Sprintf(
+			"%d ends of requests that had ended or are unknown, %d requests with %d ids",
 			l.repeatedEnds, len(l.order), len(l.entries))}
 	}
 	sum := 0.0
@@ -184,7 +186,8 @@
 		sum += loss.Worth
 	}
 	if math.Abs(sum-r.All.Asked) > weightTolerance*max(sum, 1) {
-		return &InconsistencyError{fmt.Sprintf("causes come to %v of %v asked", sum, r.All.Asked)}
+		return &InconsistencyError{fmt.Sprintf(
+			"the weights by cause sum up to %v, the weight of all requests is %v", sum, r.All.Asked)}
 	}
 	return nil
 }
@@ -212,7 +215,8 @@
 	}
 }
 
-// score weighs the shares by the goal, and counts rejections, retries and violations.
+// score computes the worth and the score of the day, the rates of rejections and retries, and the number
+// of violations.
 func (l *Ledger) score(r *Result) {
 	g := &l.goal
 	r.Worth = g.Whole*r.Whole + g.WorstWindow*r.WorstWindow + g.WorstClass*r.WorstClass +
@@ -230,8 +234,9 @@
 	}
 }
 
-// worstWindow returns the least share served in any window of whole seconds, from the second one on.
-// Windows with hardly any requests do not count.
+// worstWindow returns the smallest served share of all windows that begin at a whole second, from 1 s
+// on. Windows with little load do not count; see minWindowLoad. If no window counts, it returns the served
+// share of the whole day.
 func (r *Result) worstWindow(window time.Duration) float64 {
 	n := int(window / seriesStep)
 	if len(r.Series) < n+1 || n < 1 {
--- a/internal/simulator/virtualclock/scheduler.go
+++ b/internal/simulator/virtualclock/scheduler.go
@@ -1,12 +1,12 @@
 // Package virtualclock provides the clock on which the simulator's state machines run, and a
-// discrete-event scheduler that implements it in virtual time. On sockets the same state machines
+// discrete-event scheduler that implements it in virtual time. With real sockets the same state machines
 // run on the clock of an event loop.
 package virtualclock
 
 import "time"
 
-// Timer is a pending callback of a Clock. Stop cancels it; it has no effect on a timer that has
-// fired or was stopped before.
+// Timer is a pending callback of a Clock. Stop cancels it, and has no effect if the timer has fired or
+// was stopped before.
 type Timer interface{ Stop() }
 
 // Clock is a monotonic clock with timers. Callbacks run on the goroutine that owns the clock.
@@ -17,31 +17,31 @@
 	After(d time.Duration, fn func()) Timer
 }
 
-// Origin is the time at which a Scheduler starts, so that a zero time can mean "never".
+// Origin is the time at which a Scheduler starts. It is not 0, so that a zero time can mean "never".
 const Origin = time.Second
 
-// Resolution is the unit of virtual time: delays are cut to whole multiples of it.
+// Resolution is the unit of virtual time: delays are truncated to multiples of it.
 const Resolution = time.Microsecond
 
 // Micros returns d in microseconds, the unit in which work is measured.
 func Micros(d time.Duration) float64 { return float64(d.Microseconds()) }
 
-// FromMicros returns the duration of us microseconds, cut to whole ones.
+// FromMicros returns the duration of us microseconds, truncated to whole microseconds.
 func FromMicros(us float64) time.Duration { return time.Duration(int64(us)) * time.Microsecond }
 
-// FromMillis returns the duration of ms milliseconds, cut to whole microseconds.
+// FromMillis returns the duration of ms milliseconds, truncated to whole microseconds.
 func FromMillis(ms float64) time.Duration { return FromMicros(ms * 1000) }
 
-// FromSeconds returns the duration of s seconds, cut to whole microseconds.
+// FromSeconds returns the duration of s seconds, truncated to whole microseconds.
 func FromSeconds(s float64) time.Duration { return FromMicros(s * 1e6) }
 
 // event is a timer of a Scheduler.
 type event struct {
 	scheduler *Scheduler
 	at        time.Duration
-	seq       uint64 // order among events at one time
+	seq       uint64 // order among events with the same time
 	fn        func()
-	index     int // in the heap; -1: not in it
+	index     int // in the heap; -1 if it is not in the heap
 }
 
 // Stop implements Timer.
@@ -57,7 +57,7 @@
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-// Scheduler runs events in the order of their times, and those of one time in the order in which
+// Scheduler runs events in the order of their times, and events with the same time in the order in which
 // they were scheduled. It is deterministic and not safe for concurrent use.
 type Scheduler struct {
 	now       time.Duration
@@ -69,11 +69,11 @@
 // New returns a scheduler whose time is Origin and that has no events.
 func New() *Scheduler { return &Scheduler{now: Origin} }
 
-// Now returns the time of the event that runs, or the time up to which events have run.
+// Now returns the time of the event that is running, or else the time up to which events have run.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// After schedules fn to run d from now, cut to the Resolution. A negative d counts as 0; the event
-// then runs after those that are already scheduled for now.
+// After schedules fn to run d from now, truncated to Resolution. A negative d counts as 0; the event
+// then runs after the events that are already scheduled for now.
 func (s *Scheduler) After(d time.Duration, fn func()) Timer {
 	s.seq++
 	at := s.now + max(d, 0).Truncate(Resolution)
@@ -83,7 +83,7 @@
 	return e
 }
 
-// RunUntil runs the events that are due up to and at end, and leaves the clock there.
+// RunUntil runs the events that are due at or before end, and advances the clock to end.
 func (s *Scheduler) RunUntil(end time.Duration) {
 	for len(s.heap) > 0 && s.heap[0].at <= end {
 		e := s.heap[0]
--- a/internal/simulator/virtualclock/scheduler_test.go
+++ b/internal/simulator/virtualclock/scheduler_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is scheduled and stopped, the rest runs in the order of time and, in a tie, of scheduling.
+// Events that were not stopped run in the order of their times, and those with the same time in the order
+// in which they were scheduled.
 func TestEventsRunInOrderOfTimeAndScheduling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type scheduled struct {
@@ -37,10 +38,10 @@
 			order = append(order, event.index)
 		}
 		if diff := gocmp.Diff(order, got); diff != "" {
-			t.Fatalf("(-want +got)\n%s", diff)
+			t.Fatalf("order of events (-want +got)\n%s", diff)
 		}
 		if s.Pending() != 0 || s.Now() != Origin+10*time.Microsecond {
-			t.Fatalf("%d pending at %v", s.Pending(), s.Now())
+			t.Fatalf("Pending() = %d at %v, want 0 at the end of the run", s.Pending(), s.Now())
 		}
 	})
 }
@@ -53,7 +54,7 @@
 	s.After(delay, func() { got = append(got, "second") })
 	s.RunUntil(Origin + delay)
 	if diff := gocmp.Diff([]string{"first", "second", "third"}, got); diff != "" {
-		t.Fatalf("(-want +got)\n%s", diff)
+		t.Fatalf("order of events (-want +got)\n%s", diff)
 	}
 }
 
@@ -65,6 +66,6 @@
 	}
 	s.RunUntil(Origin + time.Second)
 	if diff := gocmp.Diff([]time.Duration{Origin, Origin + time.Microsecond}, at); diff != "" {
-		t.Fatalf("(-want +got)\n%s", diff)
+		t.Fatalf("times of events (-want +got)\n%s", diff)
 	}
 }
