--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -93,7 +93,7 @@
 		{"run " + day + " --with nowhere.yaml", 2, "nowhere.yaml: no such file"},
 		{"compare - " + odd + " --day " + day, 2, "odd.yaml:2: field figures.target_share"},
 		{"compare - - --days 1 --day " + day, 2, "--days is at least 2"},
-		{"compare - /bin/true --days 2 --day " + day, 2, "/bin/true is no worker of the lab"},
+		{"compare - /bin/true --days 2 --day " + day, 2, "/bin/true is not a simulator worker"},
 		{"worker --day nowhere.yaml", 2, "no scenario of this name"},
 		{"verify small --bin nowhere", 2, "no such file"},
 		{"verify small --bin /bin/true --runs 2", 2, "--runs is at least 3"},
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -12,7 +12,8 @@
 
 // Player simulates days. It is safe for concurrent use.
 type Player interface {
-	// Play simulates the day of a seed. The noise draws the choices of balancers anew.
+	// Play simulates the day of a seed. With another noise the balancers and the network make other random
+	// choices on the same day.
 	Play(ctx context.Context, seed, noise uint64) (*fleet.Run, error)
 }
 
@@ -31,17 +32,17 @@
 
 // Plan configures a comparison.
 type Plan struct {
-	Seed    uint64  // of the first day; the next ones count on
-	Days    int     // at most, on each side
-	Width   float64 // half the width of the score's interval at which the comparison stops
-	Alpha   float64 // probability of an error; 0: 0.05
-	Workers int     // days simulated at once
-	// Independent draws the choices of the balancers apart for both sides. Days stay paired, but
-	// chance does not drop out any more: a comparison of a side with itself then shows how often
-	// chance passes for a difference.
+	Seed    uint64  // of the first day; each further day has the next higher seed
+	Days    int     // maximum on each side
+	Width   float64 // the comparison stops when half the score's interval is at most as wide
+	Alpha   float64 // probability of reporting a difference by chance; 0 means 0.05
+	Workers int     // number of days simulated at once
+	// Independent draws the random choices of the balancers and the network independently for the two sides.
+	// Days stay paired, but these choices no longer cancel out: comparisons of a side with itself then show
+	// how often chance is taken for a difference.
 	Independent bool
-	// Progress is called after each simulation; nil: it is not.
-	Progress func(done, most int)
+	// Progress, if not nil, is called after each simulation with the number of days done and Plan.Days.
+	Progress func(done, limit int)
 }
 
 // Pair is a day on both sides.
@@ -56,7 +57,7 @@
 	Model     int        `json:"model"` // version of the model
 	Seed      uint64     `json:"seed"`
 	Days      int        `json:"days"`
-	Level     float64    `json:"level"` // of the intervals; the interim analyses share Plan.Alpha
+	Level     float64    `json:"level"` // confidence level of the intervals; the analyses share Plan.Alpha
 	Verdict   string     `json:"verdict"`
 	Stopped   string     `json:"stopped"` // why no more days were simulated
 	Estimates []Estimate `json:"estimates"`
@@ -65,7 +66,7 @@
 
 const (
 	defaultAlpha = 0.05
-	// narrowShare is the share of the difference at which its interval is narrow enough.
+	// narrowShare is the largest half width of a narrow interval, as a share of the difference.
 	narrowShare = 0.25
 )
 
@@ -99,7 +100,7 @@
 	return out, nil
 }
 
-// play simulates the days from one index to below another, on both sides.
+// play simulates the days with the indices from to to-1 on both sides.
 func play(ctx context.Context, plan Plan, from, to int, a, b Player) ([]Pair, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -130,7 +131,7 @@
 	return pairs, nil
 }
 
-// noise returns the noise of side B on a day.
+// noise returns the noise of side B on a day; that of side A is 0.
 func noise(plan Plan, seed uint64) uint64 {
 	if plan.Independent {
 		return day.Mix(seed, "independent", 1)
@@ -138,8 +139,8 @@
 	return 0
 }
 
-// progressOf returns a function that counts a simulation and calls Plan.Progress. done is the number
-// of simulations so far.
+// progressOf returns a function that counts a simulation and calls Plan.Progress. done is the number of
+// simulations before the first call; a day takes two, one of each side.
 func progressOf(plan Plan, done int) func() {
 	if plan.Progress == nil {
 		return func() {}
--- a/internal/simulator/compare/compare_test.go
+++ b/internal/simulator/compare/compare_test.go
@@ -21,7 +21,7 @@
 	"ryepaddle/internal/simulator/variant"
 )
 
-const small = `
+const smallDay = `
 name: small
 length_s: 9
 window_s: 3
@@ -35,7 +35,7 @@
 
 func spec(t testing.TB) *day.Spec {
 	t.Helper()
-	s, err := day.Parse("small.yaml", []byte(small))
+	s, err := day.Parse("small.yaml", []byte(smallDay))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 			want = got
 		}
 		if diff := cmp.Diff(string(want), string(got)); diff != "" {
-			t.Fatalf("%d workers (-want +got)\n%s", workers, diff)
+			t.Fatalf("outcome with %d workers (-want +got)\n%s", workers, diff)
 		}
 	}
 }
@@ -95,19 +95,19 @@
 	o := compare(t, Plan{Seed: 1, Days: 8, Workers: 4}, local(t, ""), local(t, ""))
 	for _, e := range o.Estimates {
 		if e.Diff != 0 || e.Lo != 0 || e.Hi != 0 || e.Shown != None {
-			t.Errorf("%+v", e)
+			t.Errorf("estimate = %+v, want no difference", e)
 		}
 	}
 	if o.Verdict != None || o.Days != 8 || o.Stopped != "the interval is narrow enough" {
-		t.Errorf("%d days, %s, %s", o.Days, o.Verdict, o.Stopped)
+		t.Errorf("%d days, verdict %q, stopped as %q; want 8 days without a difference", o.Days, o.Verdict, o.Stopped)
 	}
 }
 
-// With independent choices a side differs from itself by chance on each day. That passes for a
-// difference no more often than the level says: in at most five of 40 comparisons at 95%.
+// With independent choices of the balancers a side differs from itself by chance on each day. At a
+// confidence level of 95% at most five of 40 comparisons may report that as a difference.
 func TestChanceDoesNotPassForADifference(t *testing.T) {
 	if testing.Short() {
-		t.Skip("640 days")
+		t.Skip("simulates 640 days")
 	}
 	shown, differ := 0, 0
 	for set := range uint64(40) {
@@ -129,7 +129,7 @@
 		t.Errorf("a difference was shown in %d of 40 comparisons of a side with itself", shown)
 	}
 	if differ < 35 {
-		t.Errorf("only in %d of 40 did chance make a difference: the test proves nothing", differ)
+		t.Errorf("sides differed by chance in %d of 40 comparisons, want 35 or more for a meaningful test", differ)
 	}
 }
 
@@ -141,22 +141,23 @@
 		local(t, "settings: {cores: 1, crowd_limit: 1.25}"),
 	)
 	if o.Verdict != Worse || o.Days > 8 || o.Estimates[0].Hi > -0.05 {
-		t.Fatalf("%s after %d days: %+v", o.Verdict, o.Days, o.Estimates[0])
+		t.Fatalf("verdict %q after %d days, want a worse B within 8; score = %+v", o.Verdict, o.Days, o.Estimates[0])
 	}
-	if back := compare(
+	if reversed := compare(
 		t,
 		Plan{Seed: 1, Days: 8, Workers: 4},
 		local(t, "settings: {cores: 1, crowd_limit: 1.25}"),
 		local(t, ""),
-	); back.Verdict != Better {
-		t.Fatalf("the other way round: %s", back.Verdict)
+	); reversed.Verdict != Better {
+		t.Fatalf("verdict with the sides exchanged = %q, want a better B", reversed.Verdict)
 	}
 }
 
-// made returns scores that a test makes up.
-type made func(seed uint64) float64
+// scoreFunc is a Player whose days have the score that the function returns for the seed, or fail if it is
+// NaN.
+type scoreFunc func(seed uint64) float64
 
-func (m made) Play(_ context.Context, seed, _ uint64) (*fleet.Run, error) {
+func (m scoreFunc) Play(_ context.Context, seed, _ uint64) (*fleet.Run, error) {
 	v := m(seed)
 	if math.IsNaN(v) {
 		return nil, errors.New("no such day")
@@ -165,13 +166,13 @@
 }
 
 func TestDaysAreDrawnUntilTheIntervalIsNarrow(t *testing.T) {
-	zero := made(func(uint64) float64 { return 0 })
-	noise := func(by float64) made {
+	zero := scoreFunc(func(uint64) float64 { return 0 })
+	noise := func(by float64) scoreFunc {
 		return func(seed uint64) float64 { return by * (day.Unit(seed, "noise", 0) - 0.5) }
 	}
 	for _, c := range []struct {
 		name    string
-		b       made
+		b       scoreFunc
 		days    int
 		verdict string
 		stopped string
@@ -191,17 +192,19 @@
 			o := compare(t, Plan{Seed: 5, Days: 100, Width: 0.02, Workers: 2}, zero, c.b)
 			if o.Days != c.days || o.Verdict != c.verdict || o.Stopped != c.stopped ||
 				len(o.Pairs) != c.days {
-				t.Errorf("%d days, %s, %s: %+v", o.Days, o.Verdict, o.Stopped, o.Estimates[0])
+				t.Errorf("%d days, verdict %q, stopped as %q, score = %+v",
+					o.Days, o.Verdict, o.Stopped, o.Estimates[0])
 			}
 		})
 	}
 }
 
-// Under looks that stop early at least 95 in 100 intervals contain the true difference.
+// At least 95% of the intervals contain the true difference, although a comparison may stop at an interim
+// analysis.
 func TestIntervalsCoverTheTrueDifference(t *testing.T) {
 	missed := 0
 	for set := range uint64(400) {
-		b := made(func(seed uint64) float64 {
+		b := scoreFunc(func(seed uint64) float64 {
 			u := 0.0
 			for k := range uint64(6) {
 				u += day.Unit(seed, "normal", k) - 0.5
@@ -211,7 +214,7 @@
 		o := compare(
 			t,
 			Plan{Seed: set << 20, Days: 64, Width: 0.02, Workers: 1},
-			made(func(uint64) float64 { return 0 }),
+			scoreFunc(func(uint64) float64 { return 0 }),
 			b,
 		)
 		if e := o.Estimates[0]; e.Lo > 0.03 || e.Hi < 0.03 {
@@ -219,25 +222,26 @@
 		}
 	}
 	if missed > 20 {
-		t.Errorf("%d of 400 intervals miss the truth", missed)
+		t.Errorf("%d of 400 intervals miss the true difference, want at most 20", missed)
 	}
 }
 
-func TestLooksShareTheLevel(t *testing.T) {
-	for _, most := range []int{1, 5, 8, 9, 64, 1000} {
-		at, spend := interimAnalyses(most, 0.05)
+func TestInterimAnalysesShareTheLevel(t *testing.T) {
+	for _, limit := range []int{1, 5, 8, 9, 64, 1000} {
+		days, alphas := interimAnalyses(limit, 0.05)
 		sum := 0.0
-		for _, s := range spend {
+		for _, s := range alphas {
 			sum += s
 		}
-		if at[len(at)-1] != most || math.Abs(sum-0.05) > 1e-12 {
-			t.Errorf("up to %d: looks at %v spend %v", most, at, spend)
+		if days[len(days)-1] != limit || math.Abs(sum-0.05) > 1e-12 {
+			t.Errorf("limit %d: analyses after %v days with alphas %v, want the last at the limit and a sum of 0.05",
+				limit, days, alphas)
 		}
 	}
 }
 
 func TestFailedDayEndsTheComparison(t *testing.T) {
-	bad := made(func(seed uint64) float64 {
+	bad := scoreFunc(func(seed uint64) float64 {
 		if seed == 12 {
 			return math.NaN()
 		}
@@ -246,7 +250,7 @@
 	_, err := Run(
 		context.Background(),
 		Plan{Seed: 10, Days: 8, Workers: 3},
-		made(func(uint64) float64 { return 0 }),
+		scoreFunc(func(uint64) float64 { return 0 }),
 		bad,
 	)
 	if err == nil || err.Error() != "compare: day 12, side B: no such day" {
@@ -254,13 +258,14 @@
 	}
 }
 
-// TestMain lets the test's own binary act as other builds of the simulator.
+// TestMain lets the test binary act as a worker of another build of the simulator, of the kind that
+// COMPARE_TEST_WORKER names.
 func TestMain(m *testing.M) {
 	switch os.Getenv("COMPARE_TEST_WORKER") {
 	case "":
 		os.Exit(m.Run())
 	case "good":
-		s, err := day.Parse("small.yaml", []byte(small))
+		s, err := day.Parse("small.yaml", []byte(smallDay))
 		if err == nil {
 			err = Serve(os.Stdin, os.Stdout, Local{Spec: s})
 		}
@@ -280,7 +285,7 @@
 	}
 }
 
-// fakeBuild writes a script that runs this binary as a build of a kind.
+// fakeBuild writes a script that runs the test binary as a worker of a kind, and returns its path.
 func fakeBuild(t *testing.T, kind string) string {
 	t.Helper()
 	self, err := os.Executable()
@@ -308,18 +313,18 @@
 		o := compare(t, Plan{Seed: 1, Days: 4, Workers: 3}, local(t, ""), v)
 		for _, e := range o.Estimates {
 			if e.Diff != 0 {
-				t.Errorf("%+v", e)
+				t.Errorf("estimate = %+v, want no difference", e)
 			}
 		}
 	})
 	for _, c := range []struct{ kind, want string }{
-		{"other", "plays version 99 of the model, this is 1"},
-		{"mute", "is no worker of the lab: EOF: what worker?"},
+		{"other", "has version 99 of the model, this build has 1"},
+		{"mute", "is not a simulator worker: EOF: what worker?"},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
 			if _, err := StartVersion(fakeBuild(t, c.kind), nil, 2); err == nil ||
 				!strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("StartVersion() error = %v, want %s", err, c.want)
 			}
 		})
 	}
@@ -332,12 +337,12 @@
 		_, err = Run(context.Background(), Plan{Seed: 1, Days: 4, Workers: 2}, local(t, ""), v)
 		if err == nil || !strings.Contains(err.Error(), "side B") ||
 			!strings.Contains(err.Error(), "out of luck") {
-			t.Errorf("%v", err)
+			t.Errorf("Run() error = %v, want one of side B with the worker's error output", err)
 		}
 	})
 	if _, err := StartVersion(filepath.Join(t.TempDir(), "none"), nil, 1); !errors.Is(err, os.ErrNotExist) &&
 		!errors.Is(err, exec.ErrNotFound) {
-		t.Errorf("a build that is not there: %v", err)
+		t.Errorf("StartVersion() of a missing file: error = %v, want one of a missing file", err)
 	}
 }
 
@@ -346,18 +351,18 @@
 	if err := Serve(
 		strings.NewReader(`{"seed":1}`+"\nnonsense\n"),
 		&out,
-		made(func(uint64) float64 { return math.NaN() }),
+		scoreFunc(func(uint64) float64 { return math.NaN() }),
 	); err == nil {
-		t.Error("no error")
+		t.Error("Serve() returned no error for an invalid task")
 	}
 	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2 ||
 		lines[1] != `{"error":"no such day"}` {
-		t.Errorf("%q", out.String())
+		t.Errorf("output = %q, want hello and a reply with an error", out.String())
 	}
 }
 
-// A further simulation lies inside the interval as often as the level says, and a fleet with other
-// settings outside.
+// Further simulations of the model lie inside its prediction interval about as often as the level says; a
+// fleet with other settings lies outside.
 func TestValidationTellsModelsApart(t *testing.T) {
 	play := func(l Local, noise uint64) *fleet.Run {
 		t.Helper()
@@ -379,10 +384,10 @@
 		}
 	}
 	if outside > 7 {
-		t.Errorf("%d of 40 further runs of the model lie outside", outside)
+		t.Errorf("%d of 40 further runs of the model lie outside the interval, want at most 7", outside)
 	}
-	held := Validate(play(other, 5), model, 0.05)
-	if held[0].Name != "score" || held[0].Inside || held[0].Real > held[0].Lo {
-		t.Errorf("a fleet held to one core's work: %+v", held[0])
+	limited := Validate(play(other, 5), model, 0.05)
+	if limited[0].Name != "score" || limited[0].Inside || limited[0].Real > limited[0].Lo {
+		t.Errorf("score of a fleet limited to one core = %+v, want it below the interval", limited[0])
 	}
 }
--- a/internal/simulator/compare/estimate.go
+++ b/internal/simulator/compare/estimate.go
@@ -1,6 +1,6 @@
 // Package compare compares two settings, or two versions of the program, on the same simulated days. It
-// estimates how much better one is, with a confidence interval, and reports whether that is more than
-// chance. Days are added until the interval is narrow enough or a limit is reached.
+// estimates how much better one is, with a confidence interval, and reports whether the difference is
+// statistically significant. Days are added until the interval is narrow enough or a limit is reached.
 package compare
 
 import (
@@ -21,16 +21,16 @@
 	LowerIsBetter  Direction = -1
 )
 
-// Metric is a figure of a day.
+// Metric is a measure of a simulated day.
 type Metric struct {
 	Name      string
 	Unit      string // "" for shares
 	Direction Direction
-	Of        func(*fleet.Run) float64
+	Value     func(*fleet.Run) float64
 }
 
-// Metrics returns the figures that are compared, for days with the classes and tenants of a run.
-func Metrics(like *fleet.Run) []Metric {
+// Metrics returns the metrics that are compared, for days with the same classes and tenants as a run.
+func Metrics(sample *fleet.Run) []Metric {
 	metrics := []Metric{
 		{"score", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.Score }},
 		{"worth", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.Worth }},
@@ -39,11 +39,11 @@
 		{"worst class", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.WorstClass }},
 		{"worst school", "", HigherIsBetter, func(r *fleet.Run) float64 { return r.WorstTenant }},
 	}
-	for i, c := range like.Classes {
+	for i, c := range sample.Classes {
 		served := func(r *fleet.Run) float64 { return r.Classes[i].Served }
 		metrics = append(metrics, Metric{"class " + c.Name, "", HigherIsBetter, served})
 	}
-	for i, t := range like.Tenants {
+	for i, t := range sample.Tenants {
 		served := func(r *fleet.Run) float64 { return r.Tenants[i].Served }
 		metrics = append(metrics, Metric{"school " + t.Name, "", HigherIsBetter, served})
 	}
@@ -57,8 +57,8 @@
 	)
 }
 
-// Estimate holds the means of a figure on both sides, and the difference B - A with its confidence
-// interval from Lo to Hi.
+// Estimate holds the means of a metric on both sides and the difference B - A with its confidence interval
+// from Lo to Hi.
 type Estimate struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit,omitempty"`
@@ -70,25 +70,25 @@
 	Shown string  `json:"shown"` // Better, Worse or None
 }
 
-// The verdicts.
+// The verdicts: None if the confidence interval contains 0.
 const (
 	Better = "B is better"
 	Worse  = "B is worse"
 	None   = "no difference shown"
 )
 
-// estimate estimates the difference of a figure over the pairs.
+// estimate estimates the difference of a metric from the days of both sides.
 func estimate(m Metric, pairs []Pair, alpha float64) Estimate {
 	a := make([]float64, len(pairs))
 	b := make([]float64, len(pairs))
 	for i, p := range pairs {
-		a[i], b[i] = m.Of(p.A), m.Of(p.B)
+		a[i], b[i] = m.Value(p.A), m.Value(p.B)
 	}
 	return Paired(m.Name, m.Unit, m.Direction, a, b, alpha)
 }
 
-// Paired estimates the difference of a figure from pairs of values, so that what both have in common
-// drops out. The interval is Student's, at a level of 1 - alpha.
+// Paired estimates the difference of a metric from pairs of values. Effects that the values of a pair have
+// in common cancel out. The interval is Student's, at a confidence level of 1 - alpha.
 func Paired(name, unit string, direction Direction, a, b []float64, alpha float64) Estimate {
 	differences := make([]float64, len(a))
 	for i := range a {
@@ -106,7 +106,8 @@
 	return e
 }
 
-// interval returns the mean of samples and half the width of its interval.
+// interval returns the mean of samples and half the width of its confidence interval, which is infinite for
+// fewer than two samples.
 func interval(samples []float64, alpha float64) (mean, half float64) {
 	mean, sd := stat.MeanStdDev(samples, nil)
 	if len(samples) < 2 {
@@ -132,10 +133,10 @@
 // firstAnalysisDays is the number of days before the first interim analysis.
 const firstAnalysisDays = 8
 
-// interimAnalyses returns the numbers of days after which the interval is computed, up to a limit, and
-// the alpha of each of these analyses. A comparison that stops at the first significant one would err
-// more often than alpha, so that they share it (alpha spending): the first takes half, each next one
-// half of the rest, and the last one all that is left.
+// interimAnalyses returns the numbers of days after which the interval is computed, the last of which is
+// the limit, and the alpha of each of these analyses. A comparison that may stop at any of several analyses
+// would err with a higher probability than alpha if each of them used it whole. They therefore share it
+// (alpha spending): the first one takes half, each further one half of the rest, and the last one the rest.
 func interimAnalyses(limit int, alpha float64) (days []int, alphas []float64) {
 	for n := min(firstAnalysisDays, limit); n < limit; n = min(2*n, limit) {
 		days = append(days, n)
--- a/internal/simulator/compare/parallel.go
+++ b/internal/simulator/compare/parallel.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// ParallelEach calls do with 0 to n-1 on so many workers. It returns the error of the lowest index, or
-// that of the context. Calls that have begun when the context ends are finished.
+// ParallelEach calls do with each index from 0 to n-1, on up to workers goroutines at once. It returns the
+// error of the lowest index that has one, or else the context's error. After the end of the context it
+// starts no further calls and waits for those in progress.
 func ParallelEach(ctx context.Context, workers, n int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int)
@@ -18,9 +19,9 @@
 			}
 		})
 	}
-	var ended error
+	var ctxErr error
 	for i := range n {
-		if ended = ctx.Err(); ended != nil {
+		if ctxErr = ctx.Err(); ctxErr != nil {
 			break
 		}
 		next <- i
@@ -32,5 +33,5 @@
 			return err
 		}
 	}
-	return ended
+	return ctxErr
 }
--- a/internal/simulator/compare/validate.go
+++ b/internal/simulator/compare/validate.go
@@ -9,7 +9,8 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// Validation compares a figure of a real fleet with simulations of the same day.
+// Validation compares a metric of a real fleet with its values in simulations of the same day. Lo and Hi
+// bound the prediction interval; Inside says whether Real lies in it.
 type Validation struct {
 	Name   string  `json:"name"`
 	Unit   string  `json:"unit,omitempty"`
@@ -20,9 +21,10 @@
 	Inside bool    `json:"inside"`
 }
 
-// Validate reports for each figure of a day whether a real run lies in the prediction interval of the
-// model: where a further simulation would lie with a probability of 1 - alpha, judged by simulations
-// of the same day that differ in chance alone. The interval is Student's for a new observation.
+// Validate reports for each metric of a day whether a run on a real fleet lies in the prediction interval
+// of the model, in which a further simulation would lie with a probability of 1 - alpha. The interval is
+// Student's for a new observation, computed from simulations of the same day that differ only in their
+// random choices.
 func Validate(measured *fleet.Run, model []*fleet.Run, alpha float64) []Validation {
 	var out []Validation
 	n := float64(len(model))
@@ -30,14 +32,14 @@
 	for _, m := range Metrics(measured) {
 		values := make([]float64, len(model))
 		for i, r := range model {
-			values[i] = m.Of(r)
+			values[i] = m.Value(r)
 		}
 		mean, sd := stat.MeanStdDev(values, nil)
 		half := t * sd * math.Sqrt(1+1/n)
 		v := Validation{
 			Name: m.Name,
 			Unit: m.Unit,
-			Real: m.Of(measured),
+			Real: m.Value(measured),
 			Mean: mean,
 			Lo:   mean - half,
 			Hi:   mean + half,
--- a/internal/simulator/compare/worker.go
+++ b/internal/simulator/compare/worker.go
@@ -14,8 +14,8 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// The protocol of a worker has one JSON value on each line. The worker sends hello first; then it
-// answers each task with a reply.
+// The protocol between a Version and its workers has one JSON value per line. A worker sends hello first;
+// then it answers each task with a reply.
 type (
 	hello struct {
 		Model int `json:"model"`
@@ -30,7 +30,7 @@
 	}
 )
 
-// Serve is the side of the worker: it answers tasks until the end of the input.
+// Serve runs the worker's side of the protocol: it answers tasks until the end of the input.
 func Serve(r io.Reader, w io.Writer, p Player) error {
 	out := json.NewEncoder(w)
 	if err := out.Encode(hello{fleet.Version}); err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Version simulates days in worker processes of another build of the simulator. Close ends them.
+// Version simulates days in worker processes of another build of the simulator. Close ends the processes.
 type Version struct {
 	path string
 	idle chan *process
@@ -70,7 +70,7 @@
 	stderr *bytes.Buffer
 }
 
-// VersionError reports a build whose days are not comparable, as its model has another version.
+// VersionError reports a build that has another version of the model, so that its days are not comparable.
 type VersionError struct {
 	Path  string
 	Model int
@@ -78,11 +78,12 @@
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("compare: %s plays version %d of the model, this is %d: their days are not alike",
+	return fmt.Sprintf("compare: %s has version %d of the model, this build has %d: their days are not comparable",
 		e.Path, e.Model, fleet.Version)
 }
 
-// StartVersion starts so many workers of a build. It returns a VersionError if the model is another.
+// StartVersion starts the given number of workers of a build. It returns a VersionError if the build has
+// another version of the model.
 func StartVersion(path string, args []string, workers int) (*Version, error) {
 	v := &Version{path: path, idle: make(chan *process, workers)}
 	for range workers {
@@ -114,7 +115,7 @@
 	p.out = bufio.NewReader(out)
 	var h hello
 	if err := p.read(&h); err != nil {
-		return nil, fmt.Errorf("compare: %s is no worker of the lab: %w", path, p.failure(err))
+		return nil, fmt.Errorf("compare: %s is not a simulator worker: %w", path, p.failure(err))
 	}
 	if h.Model != fleet.Version {
 		p.stop()
@@ -131,7 +132,7 @@
 	return json.Unmarshal(line, v)
 }
 
-// failure ends the process and adds its error output to an error.
+// failure stops the process and returns err with the process's error output.
 func (p *process) failure(err error) error {
 	p.stop()
 	if output := strings.TrimSpace(p.stderr.String()); output != "" {
@@ -141,13 +142,13 @@
 }
 
 func (p *process) stop() {
-	// it may have ended by itself, and ends with a signal otherwise
+	// Errors are ignored: the process may have ended by itself, and otherwise ends with a signal.
 	_ = p.in.Close()
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
 }
 
-// Play implements Player: an idle worker simulates the day.
+// Play implements Player. It waits for an idle worker, which simulates the day.
 func (v *Version) Play(ctx context.Context, seed, noise uint64) (*fleet.Run, error) {
 	var p *process
 	select {
@@ -156,14 +157,14 @@
 		return nil, ctx.Err()
 	}
 	defer func() { v.idle <- p }()
-	stop := context.AfterFunc(ctx, func() { _ = p.cmd.Process.Kill() }) // it may have ended
+	stop := context.AfterFunc(ctx, func() { _ = p.cmd.Process.Kill() }) // fails if it has ended
 	defer stop()
 	if err := json.NewEncoder(p.in).Encode(task{seed, noise}); err != nil {
 		return nil, fmt.Errorf("%s: %w", v.path, p.failure(err))
 	}
 	var answer reply
 	if err := p.read(&answer); err != nil {
-		return nil, fmt.Errorf("%s: its worker ended: %w", v.path, p.failure(err))
+		return nil, fmt.Errorf("%s: worker process ended: %w", v.path, p.failure(err))
 	}
 	if answer.Error != "" {
 		return nil, errors.New(answer.Error)
--- a/internal/simulator/ledger/ledger_test.go
+++ b/internal/simulator/ledger/ledger_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestScoreWeighsSharesAndPrices(t *testing.T) {
+func TestScoreWeighsSharesAndPenalties(t *testing.T) {
 	l := newTestLedger(4 * time.Second)
 	at := func(s float64, class, tenant int, in bool) Request {
 		return Request{
--- a/internal/simulator/report/charts.go
+++ b/internal/simulator/report/charts.go
@@ -13,7 +13,7 @@
 	"ryepaddle/internal/simulator/ledger"
 )
 
-// chart is a chart of a comparison.
+// chart is a chart of a comparison. Name is the base name of its files.
 type chart struct {
 	Name, Title string
 	draw        func(c *Comparison, p *plot.Plot) error
@@ -30,7 +30,7 @@
 	chartWidth    = 18 * vg.Centimeter
 	chartHeight   = 9 * vg.Centimeter
 	labelRotation = 0.5 // radians
-	// minLineLength is the extent of the horizontal lines of a chart of one day.
+	// minLineLength is added to horizontal lines, which have no length on a chart of one day otherwise.
 	minLineLength = 1e-3
 )
 
@@ -42,7 +42,7 @@
 	dashed
 )
 
-// formats lists the formats of the files of a chart.
+// formats lists the file formats in which each chart is rendered.
 var formats = []string{"png", "svg"}
 
 var (
@@ -51,7 +51,7 @@
 	grey   = color.RGBA{R: 130, G: 130, B: 130, A: 255}
 )
 
-// render renders a chart in a format of package plot.
+// render renders a chart in one of the formats.
 func render(p *plot.Plot, format string) ([]byte, error) {
 	w, err := p.WriterTo(chartWidth, chartHeight, format)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return out.Bytes(), err
 }
 
-// drawCharts renders the charts of a comparison. It returns the files by name.
+// drawCharts renders the charts of a comparison and returns the files by name.
 func drawCharts(c *Comparison) (map[string][]byte, error) {
 	files := map[string][]byte{}
 	for _, ch := range charts {
@@ -147,13 +147,13 @@
 	return drawBars(all, p)
 }
 
-// Bar is a figure with its interval.
+// Bar is a mean with its interval.
 type Bar struct {
 	Name         string
 	Mean, Lo, Hi float64
 }
 
-// drawBars adds figures with their intervals to a chart.
+// drawBars adds means with their intervals to a chart.
 func drawBars(all []Bar, p *plot.Plot) error {
 	if len(all) == 0 {
 		return nil
@@ -183,7 +183,7 @@
 	return line(p, plotter.XYs{{X: -0.5, Y: 0}, {X: float64(len(names)) - 0.5, Y: 0}}, grey, solid, "")
 }
 
-// Bars draws figures with their intervals. It returns the files of the chart by name.
+// Bars draws a chart of means with their intervals and returns its files by name.
 func Bars(name, title string, all []Bar) (map[string][]byte, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// series returns the share served in each second, over all days.
+// series returns the share served in each second, over all days. of selects the side of a pair.
 func series(pairs []compare.Pair, of func(compare.Pair) []ledger.Second) (pts plotter.XYs) {
 	var asked, earned []float64
 	for _, p := range pairs {
--- a/internal/simulator/report/report.go
+++ b/internal/simulator/report/report.go
@@ -1,5 +1,5 @@
 // Package report writes the results of the simulator: tables, charts and a page, in a folder that also
-// holds the inputs, the seeds and the simulated days, so that they can be repeated.
+// holds the inputs, the seeds and the simulated days, so that a comparison can be repeated.
 package report
 
 import (
@@ -24,9 +24,9 @@
 //go:embed page.html
 var page string
 
-// Input is a file on which a result depends.
+// Input is a file on which the result of a comparison depends.
 type Input struct {
-	Name string // in the folder
+	Name string // of the file in the folder of the report
 	Text []byte
 }
 
@@ -38,15 +38,16 @@
 	Day     string           `json:"day"`
 	Build   string           `json:"build"` // of the simulator
 	Builds  []string         `json:"builds,omitempty"`
-	Traffic []string         `json:"traffic,omitempty"` // recordings, with their checksums
+	Traffic []string         `json:"traffic,omitempty"` // names and checksums of the recordings
 	Outcome *compare.Outcome `json:"outcome"`
 	Inputs  []Input          `json:"-"`
 }
 
-// FormatFigure formats a figure: whole milliseconds, or three decimals; "-" for an infinite one.
+// FormatFigure formats a value: in whole milliseconds if its unit is "ms", otherwise with three decimals. An
+// infinite value becomes "-".
 func FormatFigure(value float64, unit string) string {
 	switch {
-	case math.Abs(value) >= math.MaxFloat64/2: // stands for infinity, as JSON has none
+	case math.Abs(value) >= math.MaxFloat64/2: // stands for infinity, which JSON does not have
 		return "-"
 	case unit == "ms":
 		return strconv.FormatFloat(value, 'f', 0, 64)
@@ -54,7 +55,7 @@
 	return strconv.FormatFloat(value, 'f', 3, 64)
 }
 
-// formatMs formats a time in milliseconds; 0 is one that was not measured.
+// formatMs formats a time in milliseconds. 0 means that it was not measured and gives an empty text.
 func formatMs(value float64) string {
 	if value == 0 {
 		return ""
@@ -70,7 +71,7 @@
 	return t
 }
 
-// Table returns the estimates of a comparison.
+// Table returns a table of the estimates of a comparison.
 func Table(c *Comparison) table.Writer {
 	t := NewTable("figure", "A", "B", "B - A", "interval", "")
 	for _, e := range c.Outcome.Estimates {
@@ -121,7 +122,7 @@
 	)
 }
 
-// Days returns a table of simulated days.
+// Days returns a table of simulated days, one in each row.
 func Days(runs []*fleet.Run) table.Writer {
 	t := NewTable("day", "score", "worth", "whole", "worst stretch", "worst class", "worst school",
 		"p50 ms", "p99 ms", "asked/s", "refusals", "retries", "broken rules")
--- a/internal/simulator/report/report_test.go
+++ b/internal/simulator/report/report_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// saveTwice saves a comparison into two folders. It returns a function that reads a file, which must be
-// the same in both.
+// saveTwice saves a comparison into two folders. It returns a function that reads a file and checks that it
+// is the same in both.
 func saveTwice(t *testing.T, c *Comparison) (read func(name string) []byte) {
 	t.Helper()
 	dirs := []string{filepath.Join(t.TempDir(), "a", "b"), t.TempDir()}
@@ -68,7 +68,7 @@
 		}
 		other, err := os.ReadFile(filepath.Join(dirs[1], name))
 		if err != nil || !bytes.Equal(text, other) {
-			t.Errorf("%s: two folders differ, %v", name, err)
+			t.Errorf("%s differs between two folders, or reading it failed: error = %v", name, err)
 		}
 		return text
 	}
@@ -80,10 +80,10 @@
 	for _, ch := range charts {
 		img, err := png.Decode(bytes.NewReader(read(ch.Name + ".png")))
 		if err != nil || img.Bounds().Dx() < 300 {
-			t.Errorf("%s: %v", ch.Name, err)
+			t.Errorf("%s.png is no PNG image of 300 pixels or more: error = %v", ch.Name, err)
 		}
 		if !bytes.Contains(read(ch.Name+".svg"), []byte("<svg")) {
-			t.Errorf("%s.svg is none", ch.Name)
+			t.Errorf("%s.svg is no SVG image", ch.Name)
 		}
 	}
 	page := string(read("index.html"))
@@ -95,11 +95,11 @@
 		`href="day.yaml"`,
 	} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page has no %s", want)
+			t.Errorf("index.html does not contain %s", want)
 		}
 	}
 	if rows := strings.Count(string(read("table.csv")), "\n"); rows != len(c.Outcome.Estimates)+1 {
-		t.Errorf("%d rows of %d figures", rows, len(c.Outcome.Estimates))
+		t.Errorf("table.csv has %d rows, want a header and %d metrics", rows, len(c.Outcome.Estimates))
 	}
 	read("table.txt")
 	read("day.yaml")
@@ -119,11 +119,11 @@
 		pairs = append(pairs, p)
 	}
 	if diff := cmp.Diff(c.Outcome.Pairs, pairs); diff != "" {
-		t.Errorf("the days (-want +got)\n%s", diff)
+		t.Errorf("days.jsonl (-want +got)\n%s", diff)
 	}
 	var back Comparison
 	if err := json.Unmarshal(read("comparison.json"), &back); err != nil || back.Outcome.Days != 4 {
-		t.Errorf("%+v, %v", back, err)
+		t.Errorf("comparison.json = %+v, error = %v; want 4 days", back, err)
 	}
 }
 
@@ -131,7 +131,7 @@
 	c := comparison(t)
 	s := compare.Plan{Seed: 3, Days: 1}
 	made := c.Outcome.Pairs[0]
-	o, err := compare.Run(context.Background(), s, given{made, true}, given{made, false})
+	o, err := compare.Run(context.Background(), s, recordedPlayer{made, true}, recordedPlayer{made, false})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(Table(c).Render(), "- to -") || o.Verdict != compare.None {
-		t.Errorf("%s\n%s", o.Verdict, Table(c).Render())
+		t.Errorf("verdict = %q, want none, and unbounded intervals in the table\n%s", o.Verdict, Table(c).Render())
 	}
 }
 
@@ -155,13 +155,13 @@
 	}
 }
 
-// given returns one side of a pair that was simulated before.
-type given struct {
+// recordedPlayer is a Player that returns one side of a pair that was simulated before.
+type recordedPlayer struct {
 	pair  compare.Pair
 	sideA bool
 }
 
-func (g given) Play(context.Context, uint64, uint64) (*fleet.Run, error) {
+func (g recordedPlayer) Play(context.Context, uint64, uint64) (*fleet.Run, error) {
 	if g.sideA {
 		return g.pair.A, nil
 	}
--- a/internal/simulator/variant/schema.go
+++ b/internal/simulator/variant/schema.go
@@ -10,7 +10,7 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// Schema returns the JSON schema of a variant file, with the names, bounds and defaults of the
+// Schema returns the JSON schema of a variant file. It contains the names, bounds and defaults of the
 // admission module's parameters.
 func Schema() *jsonschema.Schema {
 	reflector := jsonschema.Reflector{RequiredFromJSONSchemaTags: true, ExpandedStruct: true}
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -1,6 +1,6 @@
-// Package variant reads a file of differences to try out in a simulation: parameters of the admission
-// module, settings of the runners, limits of the key table and how balancers route. With a variant
-// the simulated day stays the same otherwise.
+// Package variant reads variant files: changes to try out in a simulation, of the admission module's
+// parameters, the runners' settings, the limits of their tables of idempotency keys and the balancers'
+// routing. Everything else of the simulated day stays the same.
 package variant
 
 import (
@@ -20,20 +20,20 @@
 	"ryepaddle/internal/yamldoc"
 )
 
-// Variant is a file of differences. Values that it does not name stay as the day has them.
+// Variant is the content of a variant file. Values that the file does not name stay as the day has them.
 type Variant struct {
 	Name string `yaml:"name" json:"name"`
-	// Parameters are by admission.Parameter.Name.
+	// Parameters holds values of the admission module's parameters by admission.Parameter.Name.
 	Parameters map[string]float64 `yaml:"figures" json:"figures,omitempty"`
 	Settings   Settings           `yaml:"settings" json:"settings"`
 	Limits     Limits             `yaml:"limits" json:"limits"`
-	// Balancers are fields of each balancer kind of the day, by place.
+	// Balancers holds the changed fields of each balancer kind, in the order of the day's kinds.
 	Balancers []yaml.Node `yaml:"balancers" json:"-"`
 	doc       *yamldoc.Document
 }
 
-// Settings are changes of the settings that runners get. 0 does not change a field; a factor
-// multiplies the value of the day.
+// Settings holds changes of the settings that the runners get. A field that is 0 changes nothing; a factor
+// multiplies the day's value.
 type Settings struct {
 	Cores                  int     `yaml:"cores" json:"cores,omitempty"`
 	Servers                int     `yaml:"servers" json:"servers,omitempty"`
@@ -44,19 +44,20 @@
 	LatencyObjectiveFactor float64 `yaml:"aim_times" json:"aim_times,omitempty"`
 	MaxRunningPerCore      float64 `yaml:"crowd_limit" json:"crowd_limit,omitempty"`
 	MaxRetryAfterMs        float64 `yaml:"max_stay_away_ms" json:"max_stay_away_ms,omitempty"`
-	NoCredit               bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners do not advertise
+	NoCredit               bool    `yaml:"no_credit" json:"no_credit,omitempty"` // runners advertise no credit
 }
 
-// Limits are those of a runner's table of idempotency keys; 0 does not change a limit.
+// Limits holds the limits of a runner's table of idempotency keys. 0 leaves a limit unchanged.
 type Limits struct {
 	Keys     int     `yaml:"keys" json:"keys,omitempty"`
-	ResultMB float64 `yaml:"result_mb" json:"result_mb,omitempty"` // of remembered results
+	ResultMB float64 `yaml:"result_mb" json:"result_mb,omitempty"` // size of the remembered results in MiB
 }
 
-// bytesPerMB converts Limits.ResultMB.
+// bytesPerMB is the unit of Limits.ResultMB.
 const bytesPerMB = 1 << 20
 
-// Read reads and checks a file, and returns its text too. The empty path stands for no differences.
+// Read reads and checks a variant file, and returns its text too. For an empty path it returns a variant
+// that changes nothing.
 func Read(path string) (*Variant, []byte, error) {
 	if path == "" {
 		return &Variant{Name: "as it is"}, nil, nil
@@ -69,8 +70,8 @@
 	return v, text, err
 }
 
-// Parse reads and checks the text of a file. Its errors are of package yamldoc, with the line and the
-// field.
+// Parse decodes and checks the text of the variant file at a path. Its errors are those of package yamldoc
+// and name the line and the field.
 func Parse(path string, text []byte) (*Variant, error) {
 	v := &Variant{}
 	var err error
@@ -94,13 +95,13 @@
 	return v, nil
 }
 
-// bounded is a value of a file with its bounds.
+// bounded is a value of a variant file with its bounds.
 type bounded struct {
 	field           string
 	value, min, max float64
 }
 
-// bounds lists the values of the file, in the order in which they are checked.
+// bounds returns the bounded values of the variant, in the order in which they are checked.
 func (v *Variant) bounds() []bounded {
 	s := &v.Settings
 	limits := &v.Limits
@@ -119,8 +120,8 @@
 	}
 }
 
-// Options are the options of a simulation of the day with the variant. An error names the field of
-// the variant that the day has no place for.
+// Options returns the options of a simulation of the day with the variant. An error names the field of the
+// variant that does not fit the day.
 func (v *Variant) Options(s *day.Spec) (fleet.Options, error) {
 	limits := lifecycle.KeyLimits{Keys: v.Limits.Keys, ResultBytes: int(v.Limits.ResultMB * bytesPerMB)}
 	o := fleet.Options{Settings: v.apply, Limits: limits}
@@ -128,7 +129,7 @@
 		return o, nil
 	}
 	if len(v.Balancers) > len(s.Balancers) {
-		return o, v.doc.Errorf("balancers", "%d kinds, and the day has %d", len(v.Balancers), len(s.Balancers))
+		return o, v.doc.Errorf("balancers", "%d balancer kinds, but the day has %d", len(v.Balancers), len(s.Balancers))
 	}
 	kinds, err := s.Override(v.Balancers)
 	if err != nil {
@@ -138,12 +139,13 @@
 	return o, nil
 }
 
-// apply makes the differences to the settings of a runner. It copies the lists that it changes.
+// apply changes the settings of a runner. It copies the slices whose elements it changes, as they belong to
+// the day.
 func (v *Variant) apply(settings *admission.Settings) {
 	settings.Parameters = admission.DefaultParameters()
 	for name, value := range v.Parameters {
 		if err := settings.Parameters.Set(name, value); err != nil {
-			panic(err) // Parse has checked it
+			panic(err) // Parse has checked the name and the value
 		}
 	}
 	s := &v.Settings
--- a/internal/simulator/variant/variant_test.go
+++ b/internal/simulator/variant/variant_test.go
@@ -11,8 +11,8 @@
 	"ryepaddle/internal/simulator/day"
 )
 
-// text is a variant file with values of each section.
-const text = `name: tight
+// variantText is a variant file that sets values in each section.
+const variantText = `name: tight
 figures:
   target_share: 0.3
 settings:
@@ -43,9 +43,9 @@
 	return s
 }
 
-// Options change what the variant names, and leave the day itself as it is.
+// Options change only what the variant names. The settings and the balancer kinds of the day stay as they are.
 func TestOptionsApplyDifferences(t *testing.T) {
-	v, err := Parse("v.yaml", []byte(text))
+	v, err := Parse("v.yaml", []byte(variantText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,24 +61,25 @@
 		changed.MaxRetryAfter != 500*time.Millisecond ||
 		changed.Parameters.DelayTargetShare != 0.3 ||
 		changed.Parameters.RejectDelayFactor != admission.DefaultParameters().RejectDelayFactor {
-		t.Errorf("%+v", changed)
+		t.Errorf("changed settings = %+v, want the values of the variant file", changed)
 	}
 	if original.Tenants[0].QuotaRate != 10 {
 		t.Error("the day's own settings were changed")
 	}
 	if o.Limits.Keys != 100 || o.Limits.ResultBytes != 0 {
-		t.Errorf("%+v", o.Limits)
+		t.Errorf("limits = %+v, want 100 keys and no limit of the results", o.Limits)
 	}
 	if k := o.BalancerKinds[0]; k.Retry != string(balance.RetryBounded) || k.Tries != 3 || k.Choose != "round" ||
 		k.Count != 2 || k.Heeds != 1 {
-		t.Errorf("%+v", k)
+		t.Errorf("first balancer kind = %+v, want two changed fields", k)
 	}
 	if o.BalancerKinds[1].Tries != 5 || s.Balancers[0].Retry != "limitless" {
-		t.Errorf("%+v of %+v", o.BalancerKinds[1], s.Balancers[0])
+		t.Errorf("second kind = %+v, want 5 tries; the day's first kind = %+v, want it unchanged",
+			o.BalancerKinds[1], s.Balancers[0])
 	}
 }
 
-// An error names the file, the line and the field.
+// The error of an invalid variant names the file, the line and the field.
 func TestInvalidVariantsNameTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"name: tight", "", "variant: v.yaml:1: field name: missing"},
@@ -98,19 +99,19 @@
 		{"retry: bounded", "retry: often", `variant: v.yaml:11: field balancers.0.retry: "often" is none of`},
 		{"tries: 3", "trials: 3", "variant: v.yaml:11: field balancers.0.trials: unknown"},
 		{"tries: 3", "count: 3", "variant: v.yaml:11: field balancers.0.count: how many there are"},
-		{"  -\n", "  -\n  - {tries: 2}\n", "variant: v.yaml:10: field balancers: 3 kinds, and the day has 2"},
+		{"  -\n", "  -\n  - {tries: 2}\n", "variant: v.yaml:10: field balancers: 3 balancer kinds, but the day has 2"},
 	} {
-		v, err := Parse("v.yaml", []byte(strings.Replace(text, c.old, c.new, 1)))
+		v, err := Parse("v.yaml", []byte(strings.Replace(variantText, c.old, c.new, 1)))
 		if err == nil {
 			_, err = v.Options(scenario(t))
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %s", c.new, err, c.want)
+			t.Errorf("with %q: error = %v, want %s", c.new, err, c.want)
 		}
 	}
 }
 
-// Without a file nothing changes.
+// Without a variant file nothing changes.
 func TestEmptyPathChangesNothing(t *testing.T) {
 	v, _, err := Read("")
 	if err != nil {
@@ -121,11 +122,11 @@
 	o.Settings(&settings)
 	if err != nil || o.BalancerKinds != nil || settings.Cores != 6 ||
 		settings.Parameters != admission.DefaultParameters() {
-		t.Errorf("%+v, %v", settings, err)
+		t.Errorf("settings = %+v, error = %v; want unchanged settings", settings, err)
 	}
 }
 
-// The schemas name each field that the files may have.
+// The schemas contain the fields of scenario files and of variant files.
 func TestSchemasNameEachField(t *testing.T) {
 	fields := map[string][]string{
 		"day":     {"of_capacity", "thrash_at", "retry_budget", "window_ms", "quota_of_capacity"},
