--- a/cmd/simulator/compare.go
+++ b/cmd/simulator/compare.go
@@ -33,15 +33,15 @@
 type side struct {
 	name   string
 	player compare.Player
-	input  *report.Input // nil: it has no file
-	build  string        // checksum of the build; empty: it is this one
+	input  *report.Input // the side's variant file; nil if it has none
+	build  string        // name and checksum of the build; empty for this build
 	close  func()
 }
 
 // Run compares B with A.
 func (c *compareCmd) Run(console *console) error {
 	if c.Days < 2 || c.Workers < 1 || !(c.Width >= 0) {
-		return badInput("--days is at least 2, --workers at least 1 and --width not negative")
+		return badInput("--days must be at least 2, --workers at least 1 and --width not negative")
 	}
 	spec, text, err := c.read(console, c.Day)
 	if err != nil {
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	// both versions read this file, whatever is built in
+	// Workers of both builds read this file: the scenarios that are built into them may differ.
 	dayFile := filepath.Join(dir, "day.yaml")
 	if err := os.WriteFile(dayFile, text, 0o600); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	return c.show(console, comparison)
 }
 
-// compare runs the comparison and shows its progress.
+// compare compares the two sides and shows the progress.
 func (c *compareCmd) compare(console *console, sides [2]*side) (*compare.Outcome, error) {
 	step, finish := console.progress("days, up to", c.Days)
 	defer finish()
@@ -96,7 +96,7 @@
 	return compare.Run(console.ctx, plan, sides[0].player, sides[1].player)
 }
 
-// report returns the comparison with its inputs.
+// report returns the comparison with its inputs and checksums.
 func (c *compareCmd) report(
 	spec *day.Spec,
 	dayText []byte,
@@ -145,11 +145,11 @@
 	return nil
 }
 
-// thisBuild is the argument for this build of the simulator, without differences.
+// thisBuild is the argument that stands for this build of the simulator without a variant.
 const thisBuild = "-"
 
-// openSide prepares a side: a build of the simulator, a file of differences, or thisBuild. The letter
-// names the side's file in the report.
+// openSide prepares a side: a build of the simulator, a variant file, or thisBuild. The letter is the base
+// name of the side's variant file in the report.
 func (c *compareCmd) openSide(name, letter string, spec *day.Spec, dayFile string) (*side, error) {
 	if name == thisBuild {
 		name = ""
@@ -196,7 +196,7 @@
 	return &side{name: name, player: version, build: sum, close: version.Close}, nil
 }
 
-// checksum returns the name and the checksum of a file.
+// checksum returns the base name and the SHA-256 checksum of a file as text.
 func checksum(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -216,7 +216,7 @@
 	scenarioFlags
 }
 
-// Run answers tasks on standard input.
+// Run simulates the days that tasks on standard input ask for, until its end.
 func (c *workerCmd) Run(console *console) error {
 	spec, _, options, err := c.open(console, c.Day, c.With)
 	if err != nil {
--- a/cmd/simulator/conform.go
+++ b/cmd/simulator/conform.go
@@ -26,7 +26,7 @@
 	JSON    bool          `help:"Print it as JSON."`
 }
 
-// caseResult is the result of a case that was played in one way.
+// caseResult is the result of a case whose request was sent in one of the two ways.
 type caseResult struct {
 	Case    string   `json:"case"`
 	Clauses []string `json:"clauses"`
@@ -34,13 +34,13 @@
 	Fault   string   `json:"fault,omitempty"`
 }
 
-// The ways in which the request of a case is sent.
+// The ways in which the request of a case is sent: in one write, or in a write per byte.
 const (
 	sentWhole    = "whole"
 	sentBytewise = "a byte at a time"
 )
 
-// Run plays the suite.
+// Run runs the conformance suite against a frontend and prints the results.
 func (c *conformCmd) Run(console *console) error {
 	cases, clauses, err := conformance.Load()
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	name, value, ok := strings.Cut(c.Tenant, "=")
 	if c.Front == "" || c.Server == "" || !ok || c.Within <= 0 {
-		return badInput("--front and --server name two addresses, --tenant is VARIABLE=NAME")
+		return badInput("--front and --server must be addresses, --tenant must be VARIABLE=NAME and --within above 0")
 	}
 	listener, err := net.Listen("tcp", c.Server)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return c.show(console, results, len(cases))
 }
 
-// playCases plays each case with its request in one write and a byte at a time.
+// playCases runs each case twice: with its request in one write, and a byte at a time.
 func playCases(ctx context.Context, suite *conformance.Suite, cases []conformance.Case) ([]caseResult, error) {
 	var results []caseResult
 	for i := range cases {
@@ -111,16 +111,16 @@
 			fmt.Fprintf(console.stdout, "%s, %s (%s): %s\n",
 				r.Case, r.How, strings.Join(r.Clauses, ", "), r.Fault)
 		}
-		fmt.Fprintf(console.stdout, "%d of %d plays of %d cases hold\n",
+		fmt.Fprintf(console.stdout, "%d of %d runs of %d cases passed\n",
 			len(results)-len(failed), len(results), cases)
 	}
 	if len(failed) > 0 {
-		return fmt.Errorf("%d plays do not hold", len(failed))
+		return fmt.Errorf("%d runs of cases failed", len(failed))
 	}
 	return nil
 }
 
-// list prints the clauses, each with the cases that show it.
+// list prints the clauses, each with the cases that test it.
 func (c *conformCmd) list(console *console, cases []conformance.Case, clauses []conformance.Clause) error {
 	if c.JSON {
 		return console.printJSON(clauses)
--- a/cmd/simulator/help.go
+++ b/cmd/simulator/help.go
@@ -11,9 +11,9 @@
 )
 
 // description is the head of the help text.
-const description = "simulator plays days of a fleet on a model: the real core and decision module of the " +
-	"runner, in virtual time, on\n" + `modelled machines, behind modelled balancers. Only up, verify and
-conform open sockets.
+const description = "simulator simulates days of a fleet: the runner's own request lifecycle and admission module " +
+	"run in virtual time, on\n" + `modelled machines and behind modelled balancers. Only up, verify and conform
+open sockets.
 
 Examples:
   simulator up
@@ -26,30 +26,30 @@
   simulator routes dead-fifth slow-fifth --count 16 --out results/routes
   simulator verify small --bin bin/runner
 
-Exit status: 0 done, 1 failed, 2 the command or a file that it was given is wrong.`
+Exit status: 0 success, 1 failure, 2 an error in the command line or in a file that it names.`
 
-// helpTexts returns the values of ${} in the tags of the commands: defaults, and texts of help that
-// are too long for a tag.
+// helpTexts returns the values of ${} in the tags of the commands: defaults, and help texts that are too long
+// for a tag.
 func helpTexts() kong.Vars {
 	return kong.Vars{
 		"workers": fmt.Sprint(runtime.GOMAXPROCS(0)),
 		"ways":    strings.Join(cluster.RoutingModes, ", "),
-		"help_up": "Bring up a fleet of real runners with servers, send hand-ins, put faults between them, and " +
-			"judge what callers saw.",
-		"help_routes": "Compare two ways of routing to many uwsgi servers that are slow, cold, dead or cut off.",
-		"help_verify": "Play a day on real runner processes, and say whether its figures lie in the model's " +
-			"intervals.",
-		"help_worker": "Play the days that are asked for on standard input, for a comparison of versions.",
-		"help_side_a": "What B is compared with: a file of differences, a build of simulator, or - for this " +
-			"build as it is.",
-		"help_front": "The uwsgi front under examination: IP:PORT, or the path of a unix socket.",
-		"help_server": "Where this suite's server listens; the front's inventory must lead both classes to it " +
-			"alone.",
-		"help_tenant":  "The variable that names the tenant, and one that is known.",
-		"help_traffic": "Recorded traffic in place of the scenario's; given again for each runner's file.",
-		"help_with": "A file of differences, for the real fleet and the model alike. Figures of the module and " +
-			"limits of the core cannot be set on real runners.",
-		"help_roam": "A repeat goes to another runner than the try before it; without copies that runs keys twice.",
-		"help_logs": "Where the runners' files and folders stay; else they go with the fleet.",
+		"help_up": "Start a fleet of real runners and servers, send keyed requests, inject faults, and check the " +
+			"outcomes that callers saw.",
+		"help_routes": "Compare two ways of routing requests to many uwsgi servers, some slow, cold, dead or cut off.",
+		"help_verify": "Play a day on real runner processes, and report whether its figures lie in the model's " +
+			"prediction intervals.",
+		"help_worker": "Simulate the days that tasks on standard input ask for, as a worker of a comparison.",
+		"help_side_a": "What B is compared with: a file of differences, a build of the simulator, or - for this " +
+			"build without differences.",
+		"help_front": "Address of the uwsgi frontend to test: IP:PORT, or the path of a unix socket.",
+		"help_server": "Address at which the suite's server listens; the frontend's inventory must route both " +
+			"classes to this server only.",
+		"help_tenant":  "The variable that names the tenant, and the name of a tenant that the frontend knows.",
+		"help_traffic": "Recorded traffic that replaces the scenario's; repeat the flag for each runner's file.",
+		"help_with": "A file of differences, for both the real fleet and the model. Figures of the admission module " +
+			"and limits of the key table cannot be set on real runners.",
+		"help_roam": "Send each repeat to another runner than the last attempt; without --copies, keys run twice.",
+		"help_logs": "Folder in which the runners' files are kept; without it they are deleted with the fleet.",
 	}
 }
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,5 +1,6 @@
-// Command simulator simulates days of a fleet and compares settings and versions of the program on
-// them. Three of its commands run real processes instead: up, verify and conform.
+// Command simulator simulates days of a fleet, and compares settings and versions of the program on the same
+// days. Three of its commands use real sockets instead: up and verify start runner processes, conform tests
+// a uwsgi frontend.
 package main
 
 import (
@@ -18,13 +19,13 @@
 	"ryepaddle/internal/yamldoc"
 )
 
-// console holds what all commands share: a context that ends with a signal, and the standard streams.
+// console holds what all commands share: a context that a signal cancels, and the standard streams.
 type console struct {
 	ctx      context.Context
 	stdin    io.Reader
 	stdout   io.Writer
 	stderr   io.Writer
-	terminal bool // stderr is one
+	terminal bool // stderr is a terminal
 }
 
 // The exit statuses.
@@ -34,7 +35,7 @@
 	exitBadInput = 2
 )
 
-// commandLine is the command line. Texts of help in ${} are those of helpTexts.
+// commandLine declares the commands. helpTexts gives the values of ${} in the tags.
 type commandLine struct {
 	Up      upCmd      `cmd:"" help:"${help_up}"`
 	Run     runCmd     `cmd:"" help:"Play days of a scenario on the model and tell what was served."`
@@ -59,11 +60,11 @@
 	os.Exit(execute(&console{ctx, os.Stdin, os.Stdout, os.Stderr, terminal}, os.Args[1:]))
 }
 
-// execute runs a command line and returns the exit status.
+// execute parses and runs a command line. It returns the exit status.
 func execute(c *console, args []string) int {
 	var line commandLine
-	const notHelped = -1
-	helpStatus := notHelped // exit status after a help text
+	const helpNotShown = -1
+	helpStatus := helpNotShown // exit status after a help text was printed
 	parser, err := kong.New(
 		&line,
 		kong.Name("simulator"),
@@ -79,7 +80,7 @@
 		return exitFailed
 	}
 	command, err := parser.Parse(args)
-	if helpStatus != notHelped {
+	if helpStatus != helpNotShown {
 		return helpStatus
 	}
 	if err == nil {
@@ -95,16 +96,16 @@
 	return exitFailed
 }
 
-// inputError is an error in the arguments of a command.
+// inputError is an error in the arguments of a command or in a file that they name.
 type inputError struct{ error }
 
-// Unwrap returns the error itself.
+// Unwrap returns the underlying error.
 func (e inputError) Unwrap() error { return e.error }
 
-// badInput returns an inputError with a text.
+// badInput returns an inputError with a formatted message.
 func badInput(format string, a ...any) error { return inputError{fmt.Errorf(format, a...)} }
 
-// isBadInput reports whether an error is in the command line or in a file that it names.
+// isBadInput reports whether the cause of an error is the command line or a file that it names.
 func isBadInput(err error) bool {
 	var parse *kong.ParseError
 	var doc *yamldoc.Error
@@ -115,7 +116,7 @@
 		errors.As(err, &input)
 }
 
-// printJSON prints a value.
+// printJSON prints a value to stdout as indented JSON.
 func (c *console) printJSON(v any) error {
 	text, err := marshalIndented(v)
 	if err == nil {
--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -14,7 +14,7 @@
 	"ryepaddle/internal/simulator/fleet"
 )
 
-// run runs a command line.
+// run executes a command line and returns the exit status, stdout and stderr.
 func run(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
@@ -40,23 +40,23 @@
 	for _, workers := range []string{"1", "8"} {
 		status, out, errs := run(t, "run", day, "--days", "5", "--seed", "3", "--workers", workers, "--json")
 		if status != 0 || errs != "" {
-			t.Fatalf("status %d, %s", status, errs)
+			t.Fatalf("exit status = %d, want 0 and no stderr: %s", status, errs)
 		}
 		if want == "" {
 			want = out
 		}
 		if out != want {
-			t.Fatalf("%s workers give another result", workers)
+			t.Fatalf("with %s workers the result differs from that with one", workers)
 		}
 	}
 	var runs []fleet.Run
 	if err := json.Unmarshal([]byte(want), &runs); err != nil || len(runs) != 5 || runs[4].Seed != 7 ||
 		runs[0].All.First < 20 {
-		t.Fatalf("%v: %.300s", err, want)
+		t.Fatalf("run --json: error = %v, want 5 days from seed 3: %.300s", err, want)
 	}
 	if status, out, _ := run(t, "run", day, "--with", "../../example/lab/one-core.yaml"); status != 0 ||
 		!strings.Contains(out, "lindby-skola") {
-		t.Fatalf("%d: %s", status, out)
+		t.Fatalf("run --with: exit status = %d, want 0 and a row of lindby-skola: %s", status, out)
 	}
 	if status, _, errs := run(
 		t,
@@ -65,11 +65,11 @@
 		"--log",
 	); status != 0 ||
 		!strings.Contains(errs, "overload entered") {
-		t.Fatalf("%d: %s", status, errs)
+		t.Fatalf("run --log: exit status = %d, want 0 and a log of the overload: %s", status, errs)
 	}
 }
 
-// Bad input ends with status 2 and names file, line and field; help ends with status 0.
+// Bad input gives exit status 2 and an error that names the file, line and field; help gives status 0.
 func TestBadInputIsReportedWithItsPlace(t *testing.T) {
 	day := write(t, "day.yaml", tiny)
 	bad := write(t, "bad.yaml", strings.Replace(tiny, "two", "both", 1))
@@ -92,11 +92,11 @@
 		{"run " + day + " --with " + odd, 2, "odd.yaml:2: field figures.target_share: 7 is not from"},
 		{"run " + day + " --with nowhere.yaml", 2, "nowhere.yaml: no such file"},
 		{"compare - " + odd + " --day " + day, 2, "odd.yaml:2: field figures.target_share"},
-		{"compare - - --days 1 --day " + day, 2, "--days is at least 2"},
+		{"compare - - --days 1 --day " + day, 2, "--days must be at least 2"},
 		{"compare - /bin/true --days 2 --day " + day, 2, "/bin/true is not a simulator worker"},
 		{"worker --day nowhere.yaml", 2, "no scenario of this name"},
 		{"verify small --bin nowhere", 2, "no such file"},
-		{"verify small --bin /bin/true --runs 2", 2, "--runs is at least 3"},
+		{"verify small --bin /bin/true --runs 2", 2, "--runs must be at least 3"},
 		{"verify " + bad + " --bin /bin/true", 2, "bad.yaml:7: field balancers.0.choose"},
 		{"verify " + day + " --bin /bin/true --with " + odd, 2, "odd.yaml:2: field figures.target_share"},
 		{
@@ -109,7 +109,7 @@
 		status, out, errs := run(t, strings.Fields(c.args)...)
 		if status != c.status || !strings.Contains(errs, c.want) ||
 			c.status == 0 && !strings.Contains(out, "Usage: simulator") {
-			t.Errorf("%s: status %d, %s", c.args, status, errs)
+			t.Errorf("%s: exit status = %d, want the status and the text of the case; stderr: %s", c.args, status, errs)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	if err := json.Unmarshal([]byte(out), &got); status != 0 || err != nil ||
 		got.Outcome.Verdict != compare.Worse ||
 		got.B != "one core's work" {
-		t.Fatalf("status %d, %v: %s %s", status, err, errs, out)
+		t.Fatalf("exit status = %d, error = %v; want 0 and a worse B: %s %s", status, err, errs, out)
 	}
 	for _, name := range []string{
 		"day.yaml",
@@ -148,16 +148,16 @@
 		"seconds.png",
 	} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s is missing or empty: error = %v", name, err)
 		}
 	}
 }
 
-// Two builds simulate the same days as workers; here both are this one.
+// A comparison with workers of another build; here it is a build of the same source, so that no day differs.
 func TestCompareOfTwoBuilds(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "simulator")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	status, out, errs := run(
 		t,
@@ -173,7 +173,7 @@
 	)
 	if status != 0 || !strings.Contains(out, "no difference shown: the score goes from") ||
 		!strings.Contains(out, "by 0.000 (0.000 to 0.000") {
-		t.Fatalf("status %d: %s %s", status, out, errs)
+		t.Fatalf("exit status = %d, want 0 and no difference: %s %s", status, out, errs)
 	}
 }
 
@@ -184,20 +184,20 @@
 		var runs []fleet.Run
 		if err := json.Unmarshal([]byte(out), &runs); status != 0 || err != nil || runs[0].Broken != 0 ||
 			runs[0].All.First < 1000 {
-			t.Errorf("%s: status %d, %v, %s", name, status, err, errs)
+			t.Errorf("run %s: exit status = %d, error = %v; want a day without violations: %s", name, status, err, errs)
 		}
 	}
 	if _, out, _ := run(t, "days", "storm"); !strings.Contains(out, "retry: limitless") {
-		t.Error(out)
+		t.Error("days storm prints no scenario with limitless retries:", out)
 	}
 	if _, out, _ := run(t, "figures"); !strings.Contains(out, "target_share") {
-		t.Error(out)
+		t.Error("figures does not list target_share:", out)
 	}
 	for _, of := range []string{"day", "differences"} {
 		var schema map[string]any
 		if _, out, _ := run(t, "schema", of); json.Unmarshal([]byte(out), &schema) != nil ||
 			schema["properties"] == nil {
-			t.Error(out)
+			t.Error("schema prints no JSON schema with properties:", out)
 		}
 	}
 	for _, name := range []string{"tight", "bounded"} {
@@ -208,17 +208,17 @@
 			"--with",
 			"../../example/lab/"+name+".yaml",
 		); status != 0 {
-			t.Errorf("%s: %s", name, errs)
+			t.Errorf("run calm --with %s.yaml failed: %s", name, errs)
 		}
 	}
 }
 
-// makeTraffic writes the traffic of a small day. It returns the files of the day and of the traffic.
+// makeTraffic records the traffic of a small day. It returns the paths of the day's and the recording's file.
 func makeTraffic(t *testing.T) (day, file string) {
 	t.Helper()
 	day, file = write(t, "day.yaml", tiny), filepath.Join(t.TempDir(), "a.traffic")
 	if status, _, errs := run(t, "traffic", "make", day, "--out", file); status != 0 {
-		t.Fatal(errs)
+		t.Fatal("traffic make failed:", errs)
 	}
 	return day, file
 }
@@ -227,7 +227,7 @@
 	day, file := makeTraffic(t)
 	if status, _, errs := run(t, "traffic", "make", day, "--out", file); status != 2 ||
 		!strings.Contains(errs, "file exists") {
-		t.Errorf("over what is there: %d, %s", status, errs)
+		t.Errorf("traffic make over an existing file: exit status = %d, want 2: %s", status, errs)
 	}
 	var was, again []fleet.Run
 	_, out, _ := run(t, "run", day, "--json")
@@ -238,15 +238,17 @@
 	if err := json.Unmarshal([]byte(out), &again); status != 0 || err != nil ||
 		again[0].All.First != was[0].All.First ||
 		errs != "" {
-		t.Fatalf("%d, %v: %s", status, err, errs)
+		t.Fatalf("run --traffic: exit status = %d, error = %v; want as many requests as recorded: %s",
+			status, err, errs)
 	}
 	if status, _, errs := run(t, "compare", "-", "../../example/lab/tight.yaml", "--day", day,
 		"--traffic", file, "--rate", "2", "--days", "2"); status != 0 {
-		t.Errorf("%d, %s", status, errs)
+		t.Errorf("compare --traffic: exit status = %d, want 0: %s", status, errs)
 	}
 }
 
-// A truncated recording is shown and replayed as far as it goes, with a warning.
+// A truncated recording is shown and replayed up to the truncation, with a warning. A file of another kind or
+// of a later version is an error.
 func TestDamagedTrafficIsReported(t *testing.T) {
 	day, file := makeTraffic(t)
 	dir := t.TempDir()
@@ -260,20 +262,20 @@
 	os.WriteFile(later, text, 0o644)
 	if status, out, _ := run(t, "traffic", "show", file, cut); status != 0 ||
 		!strings.Contains(out, "at byte") {
-		t.Errorf("%d: %s", status, out)
+		t.Errorf("traffic show: exit status = %d, want 0 and the place of the truncation: %s", status, out)
 	}
 	for _, c := range []struct {
 		file, want string
 		status     int
 	}{
-		{cut, "unexpected EOF; what came before that is played", 0},
+		{cut, "unexpected EOF; only the traffic before that is replayed", 0},
 		{later, "a later version wrote it: version 200", 2},
 		{day, "this is no recorded traffic", 2},
 		{filepath.Join(dir, "none"), "no such file", 2},
 	} {
 		if status, _, errs := run(t, "run", day, "--traffic", c.file); status != c.status ||
 			!strings.Contains(errs, c.want) {
-			t.Errorf("%s: %d, %s", c.file, status, errs)
+			t.Errorf("run --traffic %s: exit status = %d, stderr: %s", c.file, status, errs)
 		}
 	}
 }
@@ -282,26 +284,27 @@
 	dir := filepath.Join(t.TempDir(), "out")
 	status, out, errs := run(t, "routes", "flapping", "--count", "2", "--out", dir)
 	if status != 0 || !strings.Contains(out, "broken rules") || !strings.Contains(out, "flapping") {
-		t.Fatalf("%d: %s %s", status, out, errs)
+		t.Fatalf("routes flapping: exit status = %d, want 0 and a table: %s %s", status, out, errs)
 	}
 	for _, name := range []string{"days.json", "table.txt", "table.csv", "worth.png", "worth.svg"} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s is missing or empty: error = %v", name, err)
 		}
 	}
 	for _, c := range []struct{ args, want string }{
 		{"routes nonsense", `unknown kind of day "nonsense"`},
 		{"routes --b nonsense", `unknown way of routing "nonsense"`},
-		{"routes calm --count 1", "--count is at least 2"},
+		{"routes calm --count 1", "--count must be at least 2"},
 	} {
 		if status, _, errs := run(t, strings.Fields(c.args)...); status != 2 ||
 			!strings.Contains(errs, c.want) {
-			t.Errorf("%s: %d, %s", c.args, status, errs)
+			t.Errorf("%s: exit status = %d, want 2; stderr: %s", c.args, status, errs)
 		}
 	}
 }
 
-// A fleet passes its check, and fails it where repeats go to another runner without replicas.
+// A fleet passes the check of its guarantees with faults. Without replicas it fails it if repeats go to
+// another runner, as keys then run twice.
 func TestUpChecksAFleet(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "ryepaddle")
 	if out, err := exec.Command(
@@ -311,7 +314,7 @@
 		bin,
 		"ryepaddle/cmd/runner",
 	).CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	up := func(more ...string) (int, string, string) {
 		return run(t, append([]string{"up", "--bin", bin, "--for", "1s"}, more...)...)
@@ -331,17 +334,18 @@
 	if err := json.Unmarshal([]byte(out), &end); status != 0 || err != nil || len(end.Runners) != 3 ||
 		end.Tries["served"] == 0 ||
 		len(end.Broken) > 0 {
-		t.Errorf("%d %v: %s%s", status, err, out, errs)
+		t.Errorf("up: exit status = %d, error = %v; want 3 runners and no violation: %s%s", status, err, out, errs)
 	}
 	for _, r := range end.Runners {
 		if r.State != "up" {
-			t.Errorf("a runner is %s at the end", r.State)
+			t.Errorf("state of a runner at the end = %q, want up", r.State)
 		}
 	}
 	status, out, errs = up("--roam", "--runners", "2")
 	if status != 1 || !strings.Contains(out, "ran 2 times") ||
-		!strings.Contains(errs, "again with: simulator up --runners 2") {
-		t.Errorf("repeats at another runner, with nothing copied: %d %.500s%s", status, out, errs)
+		!strings.Contains(errs, "repeat with: simulator up --runners 2") {
+		t.Errorf("up --roam without copies: exit status = %d, want 1 and a key that ran twice: %.500s%s",
+			status, out, errs)
 	}
 	for _, bad := range [][]string{
 		{"--fault", "1s explode n1"},
@@ -351,7 +355,7 @@
 		{"--bin", "nowhere"},
 	} {
 		if status, _, errs := up(bad...); status == 0 || errs == "" {
-			t.Errorf("%v: %d %s", bad, status, errs)
+			t.Errorf("up %v: exit status = %d, want an error; stderr: %s", bad, status, errs)
 		}
 	}
 }
--- a/cmd/simulator/progress.go
+++ b/cmd/simulator/progress.go
@@ -8,11 +8,12 @@
 
 const (
 	progressInterval = 200 * time.Millisecond
-	// finalRenderTime is the time that the last drawing of a progress bar needs.
+	// finalRenderTime is how long to wait for the last rendering of the bar: more than progressInterval.
 	finalRenderTime = 250 * time.Millisecond
 )
 
-// progress shows a progress bar on a terminal. step counts one of the steps; finish removes it.
+// progress shows a progress bar if stderr is a terminal and there is more than one step. step counts a step;
+// finish completes the bar and stops rendering it.
 func (c *console) progress(what string, steps int) (step, finish func()) {
 	if !c.terminal || steps < 2 {
 		return func() {}, func() {}
--- a/cmd/simulator/routes.go
+++ b/cmd/simulator/routes.go
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// check checks the arguments and returns the kinds of day.
+// check checks the arguments and returns the kinds of day to simulate.
 func (c *routesCmd) check() ([]cluster.Spec, error) {
 	if c.Count < 2 || c.Workers < 1 {
-		return nil, badInput("--count is at least 2, for an interval, and --workers at least 1")
+		return nil, badInput("--count must be at least 2 to compute an interval, and --workers at least 1")
 	}
 	for _, mode := range []string{c.A, c.B} {
 		if !slices.Contains(cluster.RoutingModes, mode) {
@@ -82,7 +82,7 @@
 	return specs, nil
 }
 
-// routesTable returns the estimates of all kinds of day.
+// routesTable returns a table of the estimates for all kinds of day.
 func routesTable(all []*cluster.Comparison) table.Writer {
 	t := report.NewTable("day", "figure", all[0].A, all[0].B, "difference", "95% interval", "")
 	for i, c := range all {
@@ -113,7 +113,7 @@
 	return table.Row{day, name, format(e.A), format(e.B), format(e.Diff), interval, e.Shown}
 }
 
-// saveRoutes writes the results into a folder, which it creates.
+// saveRoutes writes the tables, the days and a chart into a folder, which it creates.
 func saveRoutes(dir string, all []*cluster.Comparison) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/cmd/simulator/run.go
+++ b/cmd/simulator/run.go
@@ -22,10 +22,10 @@
 	Log  bool `help:"Print what the runners log, for one day."`
 }
 
-// Run simulates the days.
+// Run simulates the days and prints their results.
 func (c *runCmd) Run(console *console) error {
 	if c.Days < 1 || c.Workers < 1 {
-		return badInput("--days and --workers are at least 1")
+		return badInput("--days and --workers must be at least 1")
 	}
 	spec, _, options, err := c.open(console, c.Day, c.With)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	if c.Log {
 		if c.Days > 1 {
-			return badInput("--log is for one day")
+			return badInput("--log needs --days 1")
 		}
 		options.Log = func(at time.Duration, runner, text string) {
 			fmt.Fprintf(console.stderr, "%9.3f %s %s\n", virtualclock.Micros(at)/1e6, runner, text)
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// showDays prints the tables and the violations of simulated days.
+// showDays prints the tables of simulated days and the violations of rules. Of a single day it also prints
+// the classes, the tenants and the causes.
 func showDays(console *console, runs []*fleet.Run) {
 	fmt.Fprintln(console.stdout, report.Days(runs).Render())
 	if len(runs) == 1 {
@@ -65,7 +66,7 @@
 	}
 }
 
-// simulateAll simulates n days on so many workers. It returns them by number.
+// simulateAll simulates n days, up to workers of them at once. It returns the results by index.
 func simulateAll(
 	console *console,
 	workers, n int,
--- a/cmd/simulator/stored_test.go
+++ b/cmd/simulator/stored_test.go
@@ -6,8 +6,8 @@
 	"ryepaddle/internal/testing/golden"
 )
 
-// A recording of version 1 is shown as version 1 showed it. The file is the one that
-// internal/telemetry/traffic keeps as test data.
+// The output for a recording of version 1 must not change. The recording is the same file as in the test
+// data of internal/telemetry/traffic.
 func TestShowsRecordingOfVersion1(t *testing.T) {
 	const file = "testdata/stored.traffic"
 	for path, args := range map[string][]string{
@@ -16,7 +16,7 @@
 	} {
 		status, got, errs := run(t, args...)
 		if status != 0 {
-			t.Fatalf("status %d: %s", status, errs)
+			t.Fatalf("traffic show: exit status = %d, want 0; stderr: %s", status, errs)
 		}
 		golden.Check(t, path, []byte(got))
 	}
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -14,14 +14,14 @@
 	"ryepaddle/internal/wallclock"
 )
 
-// scenarioFlags are the flags of commands that simulate days of a scenario, with recorded traffic in
-// place of its own if there is any.
+// scenarioFlags holds the flags of commands that simulate days of a scenario. With files of recorded
+// traffic, that traffic replaces the scenario's own.
 type scenarioFlags struct {
 	Traffic []string `placeholder:"FILE" sep:"none" help:"${help_traffic}"`
 	Rate    float64  `default:"1" help:"Times the rate of the recorded traffic."`
 }
 
-// read reads a scenario and the text of its file.
+// read reads a scenario and the recorded traffic. It also returns the text of the scenario's file.
 func (f *scenarioFlags) read(console *console, name string) (*day.Spec, []byte, error) {
 	spec, text, err := day.Read(name)
 	if err != nil || len(f.Traffic) == 0 {
@@ -32,13 +32,13 @@
 		return nil, nil, inputError{err}
 	}
 	if recording.Truncation != nil {
-		fmt.Fprintf(console.stderr, "simulator: %v; what came before that is played\n", recording.Truncation)
+		fmt.Fprintf(console.stderr, "simulator: %v; only the traffic before that is replayed\n", recording.Truncation)
 	}
 	if lost := recording.Lost; lost.Any() {
 		fmt.Fprintf(
 			console.stderr,
-			"simulator: the recording lacks requests: %d for a slow disk, %d for its bound, %d for "+
-				"errors of the disk\n",
+			"simulator: the recording lacks requests: %d because the disk was slow, %d because of the size "+
+				"limit, %d because of disk errors\n",
 			lost.Queue,
 			lost.Bytes,
 			lost.Errors,
@@ -51,7 +51,7 @@
 	return spec, text, nil
 }
 
-// open reads a scenario and a file of differences.
+// open reads a scenario and a variant file, and returns the options of simulations of both.
 func (f *scenarioFlags) open(
 	console *console,
 	name, with string,
@@ -68,7 +68,7 @@
 	return spec, v, options, err
 }
 
-// workerArgs returns the command line of a worker that simulates the same days.
+// workerArgs returns the arguments of a worker that simulates days of the same scenario and traffic.
 func (f *scenarioFlags) workerArgs(dayFile string) []string {
 	args := []string{"worker", "--day", dayFile, "--rate", fmt.Sprint(f.Rate)}
 	for _, file := range f.Traffic {
@@ -87,24 +87,24 @@
 	JSON  bool     `help:"Print it as JSON."`
 }
 
-// trafficSummary is what is shown of a file.
+// trafficSummary sums up a file of recorded traffic.
 type trafficSummary struct {
 	File     string         `json:"file"`
 	Runner   string         `json:"runner"`
 	Began    string         `json:"began"`
 	Seconds  float64        `json:"seconds"`
 	Requests int            `json:"requests"`
-	Further  int            `json:"further"` // that look like retries
+	Further  int            `json:"further"` // requests that look like retries
 	Backward int            `json:"backward"`
 	Lost     traffic.Lost   `json:"lost"`
 	Cut      string         `json:"cut,omitempty"`
 	Classes  map[string]int `json:"Classes"`
 }
 
-// assumedDeadline is the time within which equal requests are taken for retries.
+// assumedDeadline is the time within which an equal request counts as a retry.
 const assumedDeadline = 10 * time.Second
 
-// Run shows the files.
+// Run prints a summary of each file.
 func (c *trafficShowCmd) Run(console *console) error {
 	var all []trafficSummary
 	for _, path := range c.Files {
@@ -165,7 +165,8 @@
 	Seed uint64 `default:"1" help:"Seed of the day."`
 }
 
-// recordingStart is the Unix time at which made recordings start: a fixed one makes the same bytes.
+// recordingStart is the Unix time at which the recordings of trafficMakeCmd start. It is fixed, so that a day
+// always gives the same bytes.
 const recordingStart wallclock.UnixMicro = 1_764_576_000_000_000
 
 const (
@@ -173,7 +174,7 @@
 	closeTimeout      = time.Minute
 )
 
-// Run writes the file.
+// Run writes the traffic of the day to the file.
 func (c *trafficMakeCmd) Run(console *console) error {
 	spec, _, err := day.Read(c.Day)
 	if err != nil {
--- a/cmd/simulator/up.go
+++ b/cmd/simulator/up.go
@@ -33,26 +33,26 @@
 	JSON    bool          `help:"Print the end of it as JSON."`
 }
 
-// violationError is the error of a run in which a guarantee was violated.
+// violationError reports a run in which guarantees to callers were violated.
 type violationError struct{ historychecker.Verdict }
 
 // Error implements error.
 func (e violationError) Error() string { return e.String() }
 
 const (
-	displayInterval = 500 * time.Millisecond // of the states of the runners
-	runTime         = 5 * time.Millisecond   // of a keyed request at a server
+	displayInterval = 500 * time.Millisecond // between two displays of the runners' states
+	runTime         = 5 * time.Millisecond   // time that a server takes for a keyed request
 	zones           = 3
 	answerTimeout   = 10 * time.Second
 	readyTimeout    = 30 * time.Second
-	maxProcesses    = 64 // runners, and servers
+	maxProcesses    = 64 // of runners, and of servers
 
-	// windows of idempotency keys, with a disk and with replicas
+	// The windows of idempotency keys that are kept on disk, and of replicated ones.
 	keyWindow           = 10 * time.Minute
 	replicatedKeyWindow = 3 * time.Second
 )
 
-// Run starts a fleet, sends keyed requests, injects faults and checks what the callers saw.
+// Run starts a fleet, sends keyed requests, injects faults and checks the outcomes that the callers saw.
 func (c *upCmd) Run(console *console) error {
 	faults, err := c.faults()
 	if err != nil {
@@ -95,23 +95,23 @@
 func (c *upCmd) check() error {
 	if c.Runners < 1 || c.Runners > maxProcesses || c.Servers < 1 || c.Servers > maxProcesses ||
 		c.Callers < 1 || c.For <= 0 || c.Copies < 0 || c.Copies >= c.Runners {
-		return badInput("--runners and --servers are 1 to %d, --callers at least 1, --for above 0, --copies "+
-			"fewer than runners", maxProcesses)
+		return badInput("--runners and --servers must be 1 to %d, --callers at least 1, --for above 0, --copies "+
+			"0 or more and less than --runners", maxProcesses)
 	}
 	return nil
 }
 
 // waitForReplicas waits until the replicas are complete and keyed requests are admitted.
 func waitForReplicas(console *console, fleet *cluster.Cluster) error {
-	fmt.Fprintln(console.stderr, "copies are made; sets that begin with nothing take no hand-ins for a window")
+	fmt.Fprintln(console.stderr, "waiting for replicas; replica sets without data admit no keyed requests for a window")
 	if err := fleet.WaitUntilReplicated(readyTimeout); err != nil {
 		return err
 	}
 	return fleet.WaitUntilAccepting(readyTimeout)
 }
 
-// injectFaults plays the faults under load, and shows the states of the runners meanwhile. In the end
-// all faults are repaired.
+// injectFaults injects the faults while callers send requests, and shows the states of the runners. At the
+// end it repairs all faults.
 func (c *upCmd) injectFaults(console *console, fleet *cluster.Cluster, faults []cluster.Fault) error {
 	load := &cluster.Load{Callers: c.Callers, SwitchRunners: c.Roam, Repeats: 1, RepeatFor: c.window() / 2}
 	load.Start(fleet)
@@ -129,8 +129,8 @@
 	return err
 }
 
-// window returns the window of the idempotency keys. With replicas it is short, as a fleet without any
-// state admits no keyed requests for a window.
+// window returns the window of the idempotency keys. With replicas it is short: a fleet that starts without
+// data admits no keyed requests until a window has passed.
 func (c *upCmd) window() time.Duration {
 	if c.Copies > 0 {
 		return replicatedKeyWindow
@@ -138,7 +138,7 @@
 	return keyWindow
 }
 
-// faults returns the faults of the script and of the flags, and those that are drawn.
+// faults returns the faults of the script, those of the flags and the random ones.
 func (c *upCmd) faults() ([]cluster.Fault, error) {
 	text := strings.Join(c.Fault, "\n")
 	if c.Script != "" {
@@ -159,8 +159,8 @@
 	return cluster.ParseScript(text)
 }
 
-// program returns the path of the runner's program, which it builds if none was named. remove removes
-// what was built.
+// program returns the path of the runner's executable. It builds one if --bin is not given. remove deletes
+// the built executable.
 func (c *upCmd) program(console *console) (path string, remove func(), err error) {
 	if c.Bin != "" {
 		if _, err := os.Stat(c.Bin); err != nil {
@@ -177,18 +177,18 @@
 	build := exec.CommandContext(console.ctx, "go", "build", "-o", path, "ryepaddle/cmd/runner")
 	if output, err := build.CombinedOutput(); err != nil {
 		remove()
-		return "", nil, badInput("no --bin, and the program cannot be built here: %w\n%s", err, output)
+		return "", nil, badInput("--bin is not given, and building the runner failed: %w\n%s", err, output)
 	}
 	return path, remove, nil
 }
 
-// display shows the states of the runners at an interval: a table in place on a terminal, otherwise
-// one line each time.
+// display shows the states of the runners every displayInterval: on a terminal as a table that is redrawn in
+// place, otherwise as one more line.
 type display struct {
 	console   *console
 	fleet     *cluster.Cluster
 	startedAt time.Time
-	lastFault atomic.Value // string
+	lastFault atomic.Value // text of the last injected fault, a string
 	stopping  chan struct{}
 	stopped   chan struct{}
 }
@@ -207,7 +207,7 @@
 
 func (d *display) setLastFault(f cluster.Fault) { d.lastFault.Store(f.String()) }
 
-// stop ends the display and waits for that.
+// stop stops the display and waits until it has stopped.
 func (d *display) stop() {
 	close(d.stopping)
 	<-d.stopped
@@ -228,7 +228,7 @@
 			continue
 		}
 		text := head + "\n" + renderStates(d.fleet.States()) + "\n"
-		// up by the lines of the last drawing, and clear to the end of the screen
+		// Move the cursor up to the first line of the last table, and clear the screen from there.
 		fmt.Fprintf(d.console.stderr, "\x1b[%dA\x1b[J%s", lines, text)
 		if lines == 0 {
 			fmt.Fprintf(d.console.stderr, "\x1b[J")
@@ -263,7 +263,7 @@
 	return t.Render()
 }
 
-// fleetResult is the end of a run as JSON.
+// fleetResult is the result of a run as JSON.
 type fleetResult struct {
 	Runners []cluster.NodeState    `json:"runners"`
 	Tries   map[string]int         `json:"tries"`
@@ -273,11 +273,11 @@
 	Seed    uint64                 `json:"seed"`
 }
 
-// verdict prints the end of a run. After a violation it prints the command that repeats the run, and
-// returns a violationError.
+// verdict checks the run and prints its result. After a violation it prints the command that repeats the
+// run, and returns a violationError.
 func (c *upCmd) verdict(console *console, fleet *cluster.Cluster) error {
 	result := fleetResult{Broken: fleet.Check(), Runners: fleet.States(), Seed: c.Seed}
-	// drawn faults may take more disks at once than there are replicas
+	// Random faults may wipe more disks at once than there are replicas, so that usage is lost.
 	if c.Copies > 0 && !(c.Random > 0 && c.Wipe) {
 		violations, bill, err := fleet.ReconcileUsage()
 		if err != nil {
@@ -290,7 +290,7 @@
 		return err
 	}
 	if len(result.Broken) > 0 {
-		fmt.Fprintf(console.stderr, "again with: simulator up %s\n", c.arguments())
+		fmt.Fprintf(console.stderr, "repeat with: simulator up %s\n", c.arguments())
 		return violationError{result.Broken}
 	}
 	return nil
@@ -311,7 +311,7 @@
 		for _, line := range bill.Lines {
 			served += line.Served
 		}
-		fmt.Fprintf(console.stdout, "%d hand-ins billed, by %d statements\n", served, bill.Statements)
+		fmt.Fprintf(console.stdout, "%d keyed requests billed, by %d statements\n", served, bill.Statements)
 	}
 	fmt.Fprintf(console.stdout, "%v\n", result.Broken)
 	return nil
--- a/cmd/simulator/verify.go
+++ b/cmd/simulator/verify.go
@@ -29,7 +29,7 @@
 	JSON bool   `help:"Print the outcome as JSON."`
 }
 
-// verification is the result of a day on real processes beside that of the model.
+// verification is the result of a day on real processes and of simulations of the same day.
 type verification struct {
 	Day   string               `json:"day"`
 	Seed  uint64               `json:"seed"`
@@ -38,13 +38,13 @@
 	Model []*fleet.Run         `json:"model"`
 }
 
-// maxErrorLogBytes is how much of the runners' log goes into an error.
+// maxErrorLogBytes limits the end of the runners' log that is appended to an error.
 const maxErrorLogBytes = 2000
 
-// Run plays a day on real processes and compares it with the model.
+// Run plays a day on real runner processes and compares the result with simulations of the day.
 func (c *verifyCmd) Run(console *console) error {
 	if c.Runs < 3 || c.Workers < 1 || !(c.Level > 0 && c.Level < 1) {
-		return badInput("--runs is at least 3, --workers at least 1, and --level between 0 and 1")
+		return badInput("--runs must be at least 3, --workers at least 1 and --level between 0 and 1")
 	}
 	if _, err := os.Stat(c.Bin); err != nil {
 		return inputError{err}
@@ -79,7 +79,8 @@
 	})
 }
 
-// playProcesses plays the day on real processes. An error ends with the last lines of their log.
+// playProcesses plays the day on real runner processes. Without --log, an error contains the end of their
+// log.
 func (c *verifyCmd) playProcesses(console *console, d *day.Day, options fleet.Options) (*fleet.Run, error) {
 	var kept bytes.Buffer
 	var log io.Writer = &kept
@@ -103,7 +104,7 @@
 	return run, nil
 }
 
-// show prints the figures of the real fleet beside the intervals of the model.
+// show prints the metrics of the real fleet beside the prediction intervals of the model.
 func (c *verifyCmd) show(console *console, v *verification) error {
 	if c.JSON {
 		return console.printJSON(v)
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -32,9 +32,9 @@
 
 // Plan configures a comparison.
 type Plan struct {
-	Seed    uint64  // of the first day; each further day has the next higher seed
+	Seed    uint64  // of the first day; it grows by 1 with each further day
 	Days    int     // maximum on each side
-	Width   float64 // the comparison stops when half the score's interval is at most as wide
+	Width   float64 // half width of the score's interval at which the comparison stops
 	Alpha   float64 // probability of reporting a difference by chance; 0 means 0.05
 	Workers int     // number of days simulated at once
 	// Independent draws the random choices of the balancers and the network independently for the two sides.
--- a/internal/simulator/compare/compare_test.go
+++ b/internal/simulator/compare/compare_test.go
@@ -254,7 +254,7 @@
 		bad,
 	)
 	if err == nil || err.Error() != "compare: day 12, side B: no such day" {
-		t.Fatal(err)
+		t.Fatal("Run() did not fail with the error of day 12 on side B:", err)
 	}
 }
 
--- a/internal/simulator/compare/worker.go
+++ b/internal/simulator/compare/worker.go
@@ -157,7 +157,7 @@
 		return nil, ctx.Err()
 	}
 	defer func() { v.idle <- p }()
-	stop := context.AfterFunc(ctx, func() { _ = p.cmd.Process.Kill() }) // fails if it has ended
+	stop := context.AfterFunc(ctx, func() { _ = p.cmd.Process.Kill() }) // fails if the process has ended
 	defer stop()
 	if err := json.NewEncoder(p.in).Encode(task{seed, noise}); err != nil {
 		return nil, fmt.Errorf("%s: %w", v.path, p.failure(err))
--- a/internal/simulator/report/report_test.go
+++ b/internal/simulator/report/report_test.go
@@ -147,11 +147,11 @@
 func TestTablesOfADay(t *testing.T) {
 	c := comparison(t)
 	if out := Days([]*fleet.Run{c.Outcome.Pairs[0].A}).Render(); !strings.Contains(out, "WORST STRETCH") {
-		t.Error(out)
+		t.Error("table of days has no column WORST STRETCH:", out)
 	}
 	if out := Parts(c.Outcome.Pairs[0].A).Render(); !strings.Contains(out, "lindby-skola") ||
 		!strings.Contains(out, "in_aim") {
-		t.Error(out)
+		t.Error("table of a day has no rows of lindby-skola and in_aim:", out)
 	}
 }
 
