--- a/internal/simulator/balance/balance.go
+++ b/internal/simulator/balance/balance.go
@@ -52,7 +52,9 @@
 	checking     bool    // a health check is under way
 }
 
-// Stats holds the counters of a balancer.
+// Stats holds the counters of a balancer. Unsent counts requests that ended without an attempt because no
+// server was eligible, and Throttled those that the throttle dropped. Hedged counts requests for which a hedged
+// attempt was due, even if no server was eligible for it.
 type Stats struct{ Requests, Attempts, Hedged, Aborted, Ejections, Unsent, Throttled int }
 
 // Balancer is a load balancer. It is not safe for concurrent use.
@@ -318,8 +320,8 @@
 // is used.
 func (b *Balancer) Answered(attempt *Attempt, a Answer) {
 	s, now := &b.servers[attempt.Server], b.clock.Now()
-	if a.AdvertisedValue >= 0 && b.behavior.FollowsAdvice {
-		s.credit = a.AdvertisedValue
+	if a.AdvertisedCredit >= 0 && b.behavior.FollowsAdvice {
+		s.credit = a.AdvertisedCredit
 		s.creditAt = now
 	}
 	if attempt.closed {
--- a/internal/simulator/balance/balance_test.go
+++ b/internal/simulator/balance/balance_test.go
@@ -14,9 +14,9 @@
 func TestPoliciesSpreadRequests(t *testing.T) {
 	slowFirst := func(attempt *Attempt) (Answer, time.Duration) { // server 0 is slow
 		if attempt.Server == 0 {
-			return Answer{Kind: Served, AdvertisedValue: NoCredit}, 400 * time.Millisecond
+			return Answer{Kind: Served, AdvertisedCredit: NoCredit}, 400 * time.Millisecond
 		}
-		return Answer{Kind: Served, AdvertisedValue: NoCredit}, time.Millisecond
+		return Answer{Kind: Served, AdvertisedCredit: NoCredit}, time.Millisecond
 	}
 	for _, c := range []struct {
 		policy Policy
@@ -155,9 +155,9 @@
 		HedgeDelay: 20 * time.Millisecond,
 	}, func(attempt *Attempt) (Answer, time.Duration) {
 		if attempt.Server == 0 {
-			return Answer{Kind: Served, AdvertisedValue: NoCredit}, 500 * time.Millisecond
+			return Answer{Kind: Served, AdvertisedCredit: NoCredit}, 500 * time.Millisecond
 		}
-		return Answer{Kind: Served, AdvertisedValue: NoCredit}, 10 * time.Millisecond
+		return Answer{Kind: Served, AdvertisedCredit: NoCredit}, 10 * time.Millisecond
 	})
 	transport.submit(1, Request{Idempotent: true})
 	transport.clock.RunUntil(virtualclock.Origin + time.Second)
@@ -186,9 +186,9 @@
 		FollowsAdvice: true,
 	}, func(*Attempt) (Answer, time.Duration) {
 		return Answer{
-			Kind:            Rejected,
-			RetryAfter:      45 * time.Millisecond,
-			AdvertisedValue: NoCredit,
+			Kind:             Rejected,
+			RetryAfter:       45 * time.Millisecond,
+			AdvertisedCredit: NoCredit,
 		}, time.Millisecond
 	})
 	transport.submit(5, Request{Idempotent: true})
@@ -213,9 +213,9 @@
 			},
 			func(*Attempt) (Answer, time.Duration) {
 				return Answer{
-					Kind:            Rejected,
-					DoNotRetry:      true,
-					AdvertisedValue: NoCredit,
+					Kind:             Rejected,
+					DoNotRetry:       true,
+					AdvertisedCredit: NoCredit,
 				}, time.Millisecond
 			},
 		)
@@ -234,7 +234,7 @@
 	)
 	transport.balancer.Answered(
 		&Attempt{closed: true, pending: &pendingRequest{}},
-		Answer{Kind: Served, AdvertisedValue: 2.5},
+		Answer{Kind: Served, AdvertisedCredit: 2.5},
 	)
 	transport.submit(30, Request{Idempotent: true})
 	if out := transport.balancer.Outstanding(0); out < 2 || out > 3 {
@@ -254,10 +254,10 @@
 		return func(attempt *Attempt) (Answer, time.Duration) {
 			for _, i := range failing {
 				if attempt.Server == i {
-					return Answer{Kind: Unreachable, AdvertisedValue: NoCredit}, time.Millisecond
+					return Answer{Kind: Unreachable, AdvertisedCredit: NoCredit}, time.Millisecond
 				}
 			}
-			return Answer{Kind: Served, AdvertisedValue: NoCredit}, time.Millisecond
+			return Answer{Kind: Served, AdvertisedCredit: NoCredit}, time.Millisecond
 		}
 	}
 	h := Behavior{
--- a/internal/simulator/balance/transport_test.go
+++ b/internal/simulator/balance/transport_test.go
@@ -30,8 +30,8 @@
 
 func (transport *scriptedTransport) Check(i int) { transport.checks = append(transport.checks, i) }
 
-func (transport *scriptedTransport) Finish(r *Request, e Outcome, _ *Attempt) {
-	transport.outcomes[r.ID] = append(transport.outcomes[r.ID], e)
+func (transport *scriptedTransport) Finish(r *Request, outcome Outcome, _ *Attempt) {
+	transport.outcomes[r.ID] = append(transport.outcomes[r.ID], outcome)
 }
 
 // servers returns the servers of the attempts, in the order of sending.
@@ -80,7 +80,7 @@
 
 // answerWith returns a function that answers every attempt with the same kind, after the same delay.
 func answerWith(k Kind, after time.Duration) func(*Attempt) (Answer, time.Duration) {
-	return func(*Attempt) (Answer, time.Duration) { return Answer{Kind: k, AdvertisedValue: NoCredit}, after }
+	return func(*Attempt) (Answer, time.Duration) { return Answer{Kind: k, AdvertisedCredit: NoCredit}, after }
 }
 
 // drawBehavior draws a random behavior of a balancer.
@@ -131,9 +131,9 @@
 			return Answer{}, -1
 		}
 		a := Answer{
-			Kind:            kinds[attempt.Server],
-			AdvertisedValue: float64(attempt.Number%3) - 1,
-			DoNotRetry:      attempt.Number%4 == 3,
+			Kind:             kinds[attempt.Server],
+			AdvertisedCredit: float64(attempt.Number%3) - 1,
+			DoNotRetry:       attempt.Number%4 == 3,
 		}
 		if attempt.Server%2 == 1 {
 			a.RetryAfter = 30 * time.Millisecond
--- a/internal/simulator/balance/types.go
+++ b/internal/simulator/balance/types.go
@@ -47,8 +47,8 @@
 	Retry       Retry
 	MaxAttempts int     // attempts for each request, with RetryBounded
 	RetryBudget float64 // retries that each request adds to the budget, with RetryBounded; 0: no budget
-	// RetryPause is the pause before the next round of the list with RetryUnlimited, and before each retry
-	// with RetryBounded.
+	// RetryPause is the pause before each retry with RetryBounded. With RetryUnlimited it is the pause, of at
+	// least 1 ms, before the next round of the list and before a retry at the same server (see Sticky).
 	RetryPause time.Duration
 	// AttemptTimeout is the timeout of each attempt, as a fraction of the request's deadline; 1: none but
 	// the deadline.
@@ -87,15 +87,15 @@
 	Unreachable // no connection was made, so that the request did not run
 )
 
-// NoCredit is the AdvertisedValue of an answer that carries no credit. Any negative value means the same.
+// NoCredit is the AdvertisedCredit of an answer that carries no credit. Any negative value means the same.
 const NoCredit = -1
 
 // Answer is the answer to an attempt.
 type Answer struct {
-	Kind            Kind
-	RetryAfter      time.Duration // with Rejected: how long to avoid this server; 0: not given
-	DoNotRetry      bool          // with Rejected: the balancer is to try no other server
-	AdvertisedValue float64       // credit of this balancer at the server, in requests; negative: none
+	Kind             Kind
+	RetryAfter       time.Duration // with Rejected: how long to avoid this server; 0: not given
+	DoNotRetry       bool          // with Rejected: the balancer is to try no other server
+	AdvertisedCredit float64       // credit of this balancer at the server, in requests; negative: none
 }
 
 // Outcome is the outcome of a request for its client.
@@ -132,7 +132,7 @@
 	// Check starts a health check of a server.
 	Check(server int)
 	// Finish ends a request for its client. by is the attempt that served it, or nil.
-	Finish(r *Request, e Outcome, by *Attempt)
+	Finish(r *Request, outcome Outcome, by *Attempt)
 }
 
 // Draw returns a pseudo-random number in [0, 1) that depends only on its arguments, so that two simulations
--- a/internal/simulator/cluster/attempts.go
+++ b/internal/simulator/cluster/attempts.go
@@ -43,8 +43,8 @@
 	return work
 }
 
-// attemptTimedOut ends an attempt at its deadline. An attempt that is not idempotent goes on for the same
-// time again, so that a retry with its idempotency key gets its result.
+// attemptTimedOut ends an attempt at its deadline. An attempt that is not idempotent gets as much time again
+// after its deadline, so that a retry with its idempotency key gets its result.
 func (s *simulation) attemptTimedOut(a *lifecycle.Attempt) {
 	attempt := s.inFlight[a]
 	if attempt == nil {
@@ -59,7 +59,8 @@
 	s.endAttempt(a, lifecycle.TimedOut)
 }
 
-// Abandon implements lifecycle.Runner.
+// Abandon implements lifecycle.Runner. It cancels idempotent attempts. Others go on, so that a retry with their
+// idempotency key gets their result.
 func (s *simulation) Abandon(a *lifecycle.Attempt) {
 	if a.Idempotent {
 		s.scheduler.After(0, func() { s.endAttempt(a, lifecycle.Cancelled) })
--- a/internal/simulator/cluster/bulkheads.go
+++ b/internal/simulator/cluster/bulkheads.go
@@ -11,8 +11,8 @@
 const reserveClass = quickCheckClass
 
 // reportedCoresFactor is the ratio of the cores in the settings of the admission to the workers of the
-// servers, in modes in which a queue behind the admission limits the concurrency. With as many cores as
-// workers, the admission itself would queue all further requests, and none would reach the bulkheads.
+// servers, in modes with bulkheads and in modeWide. With as many cores as workers, the admission itself would
+// queue all further requests, and none would reach the bulkheads.
 const reportedCoresFactor = 32
 
 const (
--- a/internal/simulator/cluster/cluster_test.go
+++ b/internal/simulator/cluster/cluster_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	s, ok := Named(name)
 	if !ok {
-		t.Fatal(name)
+		t.Fatal("unknown kind of day:", name)
 	}
 	s.Seconds = 20
 	for i := range s.Faults {
@@ -36,12 +36,12 @@
 		for _, mode := range RoutingModes {
 			// Modes with bulkheads, and modeWide, run on the days meant for bulkheads and on flapping. The other
 			// modes run on the other days, and modeRouted on all days.
-			bulkheads, daysForThem := reportsMoreCores(mode), slices.Contains(bulkheadDays, kind.Name)
-			if bulkheads != daysForThem && !(bulkheads && kind.Name == "flapping") &&
-				!(daysForThem && mode == modeRouted) {
+			bulkheads, isBulkheadDay := reportsMoreCores(mode), slices.Contains(bulkheadDays, kind.Name)
+			if bulkheads != isBulkheadDay && !(bulkheads && kind.Name == "flapping") &&
+				!(isBulkheadDay && mode == modeRouted) {
 				continue
 			}
-			if s.Seconds = 8; daysForThem {
+			if s.Seconds = 8; isBulkheadDay {
 				s.Seconds = 6
 			}
 			t.Run(s.Name+"/"+mode, func(t *testing.T) {
@@ -50,7 +50,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.Twice != 0 || r.Unasked != 0 || r.Asked < 1000 || r.Worth <= 0 || r.Worth > 1 ||
+				if r.Twice != 0 || r.Unanswered != 0 || r.Asked < 1000 || r.Worth <= 0 || r.Worth > 1 ||
 					r.Worst > r.Worth ||
 					r.Failed > 1 ||
 					r.Tries <= 0 {
--- a/internal/simulator/cluster/compare.go
+++ b/internal/simulator/cluster/compare.go
@@ -39,7 +39,9 @@
 	{"p99", "ms", compare.LowerIsBetter, func(r *Result) float64 { return r.P99Ms }},
 	{"tries", "a request", compare.LowerIsBetter, func(r *Result) float64 { return r.Tries }},
 	{"refusals", "a request", compare.LowerIsBetter, func(r *Result) float64 { return r.Refusals }},
-	{"broken rules", "a day", compare.LowerIsBetter, func(r *Result) float64 { return float64(r.Twice + r.Unasked) }},
+	{"broken rules", "a day", compare.LowerIsBetter, func(r *Result) float64 {
+		return float64(r.Twice + r.Unanswered)
+	}},
 }
 
 // Compare simulates days with both modes, up to workers simulations in parallel, and estimates the differences
--- a/internal/simulator/cluster/leastbusy.go
+++ b/internal/simulator/cluster/leastbusy.go
@@ -9,8 +9,9 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// leastBusyPicker is the baseline. It picks the server with the fewest active requests. A server that fails
-// several times in a row is avoided for avoidTime, as long as there is another one.
+// leastBusyPicker is the picker of modeBefore, with which the routing is compared. It picks the server with the
+// fewest requests in flight. A server with maxFailures consecutive failures is avoided for avoidTime, as long as
+// another one is eligible.
 type leastBusyPicker struct{ servers []*leastBusyServer }
 
 // leastBusyServer is the state of a server at a leastBusyPicker.
--- a/internal/simulator/cluster/picker.go
+++ b/internal/simulator/cluster/picker.go
@@ -32,12 +32,12 @@
 
 // The routing modes that the code refers to by name.
 const (
-	modeBefore    = "before"
-	modeRouted    = "routed"
-	modeNoLimits  = "no-limits"
-	modeNoBudget  = "no-budget"
-	modeNoLatency = "no-latency"
-	modeWide      = "wide"
+	modeBefore    = "before"     // leastBusyPicker, the baseline
+	modeRouted    = "routed"     // the routing of the program
+	modeNoLimits  = "no-limits"  // modeRouted without adaptive concurrency limits
+	modeNoBudget  = "no-budget"  // modeRouted with a retry budget that never runs out
+	modeNoLatency = "no-latency" // modeRouted without latency in the health of servers
+	modeWide      = "wide"       // modeRouted with the cores of modes with bulkheads, see reportedCoresFactor
 )
 
 // RoutingModes lists the names of the routing modes. The first one is the baseline.
--- a/internal/simulator/cluster/result.go
+++ b/internal/simulator/cluster/result.go
@@ -22,17 +22,17 @@
 	Worth float64 `json:"worth"` // share of the weight of all requests that was earned
 	Worst float64 `json:"worst"` // Worth of the worst window
 	// Middle is Worth of the window that contains the middle of the day, when replacedMode replaces the picker.
-	Middle   float64 `json:"middle"`
-	P50Ms    float64 `json:"p50_ms"` // latency of served requests, from the first submission to the answer
-	P99Ms    float64 `json:"p99_ms"`
-	Tries    float64 `json:"tries"`    // attempts at servers per request
-	Refusals float64 `json:"refusals"` // rejections per request
-	Failed   float64 `json:"failed"`   // share of the requests that were not served in the end
-	Twice    int     `json:"twice"`    // idempotency keys that ran more than once, which is a violation
-	Unasked  int     `json:"unasked"`  // requests without an answer, which is a violation
-	Cheap    float64 `json:"cheap"`    // share of the requests of reserveClass that were served within their objective
-	HandIns  float64 `json:"hand_ins"` // share of the weight of keyed requests that was earned
-	Changes  int     `json:"changes"`  // changes of the health states of servers
+	Middle     float64 `json:"middle"`
+	P50Ms      float64 `json:"p50_ms"` // latency of served requests, from the first submission to the answer
+	P99Ms      float64 `json:"p99_ms"`
+	Tries      float64 `json:"tries"`    // attempts at servers per request
+	Refusals   float64 `json:"refusals"` // rejections per request
+	Failed     float64 `json:"failed"`   // share of the requests that were not served in the end
+	Twice      int     `json:"twice"`    // idempotency keys that ran more than once, which is a violation
+	Unanswered int     `json:"unasked"`  // requests without an answer, which is a violation
+	Cheap      float64 `json:"cheap"`    // share of the requests of reserveClass that were served within the objective
+	HandIns    float64 `json:"hand_ins"` // share of the weight of keyed requests that was earned
+	Changes    int     `json:"changes"`  // changes of the health states of servers
 }
 
 // stats counts the requests of a day and their outcomes.
@@ -50,7 +50,7 @@
 	keyedOffered  float64                 // weight of keyed requests
 	keyedEarned   float64                 // weight earned by keyed requests
 	cheapEnded    int                     // ended requests of reserveClass
-	cheapInTime   int                     // those of them that were served within their objective
+	cheapInTime   int                     // requests of reserveClass that were served within their objective
 }
 
 func newStats(spec *Spec) *stats {
@@ -114,18 +114,18 @@
 func (s *stats) result(seed uint64, picker Picker) *Result {
 	requests := float64(max(s.requests, 1))
 	r := &Result{
-		Seed:     seed,
-		Asked:    s.requests,
-		Unasked:  s.requests - s.answered,
-		P50Ms:    float64(s.latencies.ValueAtQuantile(50)) / 1000,
-		P99Ms:    float64(s.latencies.ValueAtQuantile(99)) / 1000,
-		Tries:    float64(s.attempts) / requests,
-		Refusals: float64(s.rejections) / requests,
-		Failed:   float64(s.failed) / requests,
-		Cheap:    float64(s.cheapInTime) / float64(max(s.cheapEnded, 1)),
-		HandIns:  s.keyedEarned / max(s.keyedOffered, 1),
-		Changes:  picker.StateChanges(),
-		Worst:    1,
+		Seed:       seed,
+		Asked:      s.requests,
+		Unanswered: s.requests - s.answered,
+		P50Ms:      float64(s.latencies.ValueAtQuantile(50)) / 1000,
+		P99Ms:      float64(s.latencies.ValueAtQuantile(99)) / 1000,
+		Tries:      float64(s.attempts) / requests,
+		Refusals:   float64(s.rejections) / requests,
+		Failed:     float64(s.failed) / requests,
+		Cheap:      float64(s.cheapInTime) / float64(max(s.cheapEnded, 1)),
+		HandIns:    s.keyedEarned / max(s.keyedOffered, 1),
+		Changes:    picker.StateChanges(),
+		Worst:      1,
 	}
 	offered := 0.0
 	earned := 0.0
--- a/internal/simulator/day/day_test.go
+++ b/internal/simulator/day/day_test.go
@@ -101,7 +101,7 @@
 		bursts += len(d.Events) - 1
 	}
 	if len(seen) < 5 || bursts < 10 || bursts > 30 {
-		t.Errorf("sizes of fleets = %v, want at least 5; %d bursts on 40 days, want 10 to 30", seen, bursts)
+		t.Errorf("sizes of fleets = %v, want at least 5 sizes; %d bursts on 40 days, want 10 to 30", seen, bursts)
 	}
 }
 
--- a/internal/simulator/day/named.go
+++ b/internal/simulator/day/named.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		if text, err = os.ReadFile(name); err != nil {
 			return nil, nil, fmt.Errorf(
-				"day: no scenario of this name is built in (%s), and no file: %w",
+				"day: the scenario is neither built in (%s) nor a readable file: %w",
 				strings.Join(Names(), ", "),
 				err,
 			)
--- a/internal/simulator/day/quota.go
+++ b/internal/simulator/day/quota.go
@@ -23,8 +23,8 @@
 	return b
 }
 
-// count sets InShare of a request. It must be called in the order of arrival. A tenant without a quota has
-// no limit.
+// count sets InShare of a request and takes a token of its tenant if there is one. It must be called in the
+// order of arrival. All requests of a tenant without a quota are within it.
 func (b *quotaBuckets) count(a *Arrival) {
 	elapsed := virtualclock.Micros(a.At - b.refilledAt)
 	for i := range b.tokens {
--- a/internal/simulator/day/replay.go
+++ b/internal/simulator/day/replay.go
@@ -42,10 +42,11 @@
 // WithTraffic returns the scenario with recorded traffic in place of drawn requests; rate is the factor of the
 // recorded request rate. The day is as long as the recording. The fleet, the faults and the work of requests
 // are still drawn from the scenario, as a recording contains no work. WithTraffic returns a RecordingError if
-// the scenario lacks a class or tenant of the recording, or if the recording or the rate is unfit.
+// the scenario lacks a class or tenant of the recording, if the recording is empty or longer than 24 hours, or
+// if rate is not above 0 and at most 100.
 func (s *Spec) WithTraffic(rec *traffic.Recording, rate float64) (*Spec, *Replay, error) {
 	if !(rate > 0 && rate <= 100) {
-		return nil, nil, recordingErrorf("a rate of %v times the recorded one is not above 0 and up to 100", rate)
+		return nil, nil, recordingErrorf("a rate of %v times the recorded one is not above 0 and at most 100", rate)
 	}
 	if len(rec.Requests) == 0 {
 		return nil, nil, recordingErrorf("the recording of %s holds no requests", rec.Runner)
@@ -75,7 +76,7 @@
 	out.replay = r
 	out.LengthS = math.Ceil(float64(r.requests[len(r.requests)-1].ArrivedAt-r.startedAt+1) / microsPerSecond)
 	if out.LengthS > maxLengthS {
-		return nil, nil, recordingErrorf("the recording spans %.0f s, more than a day", out.LengthS)
+		return nil, nil, recordingErrorf("the recording spans %.0f s, more than a day of 24 hours", out.LengthS)
 	}
 	out.WindowS = min(out.WindowS, out.LengthS)
 	return &out, r, nil
--- a/internal/simulator/day/replay_test.go
+++ b/internal/simulator/day/replay_test.go
@@ -91,7 +91,7 @@
 	}
 	again, r, err := s.WithTraffic(rec, 1)
 	if err != nil || r.Retries != n/2 || len(Draw(again, 1).Arrivals) != n {
-		t.Errorf("error = %v, %d retries, want %d", err, r.Retries, n/2)
+		t.Errorf("error = %v, want none; %d retries, want %d", err, r.Retries, n/2)
 	}
 }
 
--- a/internal/simulator/day/spec.go
+++ b/internal/simulator/day/spec.go
@@ -93,17 +93,18 @@
 	ThrashAt Range    `yaml:"thrash_at" json:"thrash_at"`
 	// work of reading a request, as a share of the mean work
 	ReadShare Range `yaml:"read_share" json:"read_share"`
-	Backlog   int   `yaml:"backlog_per_core" json:"backlog_per_core"` // most unread requests
+	Backlog   int   `yaml:"backlog_per_core" json:"backlog_per_core"` // most unread requests per core
 	// running requests per core that fill the memory
 	MemoryRuns Range   `yaml:"memory_runs" json:"memory_runs"`
 	RunFactor  float64 `yaml:"run_factor" json:"run_factor"` // see MachineSpec.RunFactor
 	HoldKB     Range   `yaml:"hold_kb" json:"hold_kb"`       // mean memory of a queued request
 	// share of the memory for idempotency keys at full load
-	KeyRoom     Range   `yaml:"key_room" json:"key_room"`
-	ColdFrom    Range   `yaml:"cold_from" json:"cold_from"` // share of the speed at the start of a warm-up
-	ColdS       Range   `yaml:"cold_s" json:"cold_s"`       // length of the warm-up
-	ColdCalls   Range   `yaml:"cold_calls" json:"cold_calls"`
-	RestartS    Range   `yaml:"restart_s" json:"restart_s"`           // time until a runner restarts after a crash
+	KeyRoom   Range `yaml:"key_room" json:"key_room"`
+	ColdFrom  Range `yaml:"cold_from" json:"cold_from"` // share of the speed at the start of a warm-up
+	ColdS     Range `yaml:"cold_s" json:"cold_s"`       // length of the warm-up
+	ColdCalls Range `yaml:"cold_calls" json:"cold_calls"`
+	// time until a runner restarts after a crash; after a drain it is Lo
+	RestartS    Range   `yaml:"restart_s" json:"restart_s"`
 	CrowdLimit  float64 `yaml:"crowd_limit" json:"crowd_limit"`       // mean running requests per core that crash it
 	CrowdMs     float64 `yaml:"crowd_ms" json:"crowd_ms"`             // window of that mean
 	SlackMs     float64 `yaml:"slack_ms" json:"slack_ms"`             // time by which an answer may be late
@@ -217,7 +218,7 @@
 	Kind  string  `yaml:"kind" json:"kind"`
 	AtS   Range   `yaml:"at_s" json:"at_s"`   // begin
 	ForS  Range   `yaml:"for_s" json:"for_s"` // duration
-	Part  Range   `yaml:"part" json:"part"`   // share of the runners that are hit; 0: all
+	Part  Range   `yaml:"part" json:"part"`   // share of all runners that are hit; 0: all
 	Times Range   `yaml:"times" json:"times"` // factor of the slowdown or of the request rate; 0: 1
 	Zone  string  `yaml:"hall" json:"hall"`   // only its runners are hit; with CutZone: the zone that is cut off
 	Odds  float64 `yaml:"odds" json:"odds"`   // probability that it happens; 0: it always does
--- a/internal/simulator/dependencies/backend_test.go
+++ b/internal/simulator/dependencies/backend_test.go
@@ -61,7 +61,7 @@
 	// twice as many calls as slots: half the speed, and half as long again by Thrash
 	want := []endedCall{{30, 1}, {30, 1}, {30, 1}, {30, 1}}
 	if diff := cmp.Diff(want, *ended); diff != "" {
-		t.Fatal(diff)
+		t.Fatal("ended calls (-want +got)\n", diff)
 	}
 }
 
@@ -73,7 +73,7 @@
 		call(10_000)
 	}
 	if diff := cmp.Diff([]endedCall{{0, CallRejected}}, *ended); diff != "" {
-		t.Fatal(diff)
+		t.Fatal("ended calls (-want +got)\n", diff)
 	}
 }
 
@@ -120,6 +120,6 @@
 	backend.SetSlowdown(1)
 	clock.RunUntil(virtualclock.Origin + time.Second)
 	if diff := cmp.Diff([]endedCall{{30, 1}}, *ended); diff != "" {
-		t.Fatal(diff)
+		t.Fatal("ended calls (-want +got)\n", diff)
 	}
 }
--- a/internal/simulator/dependencies/machine.go
+++ b/internal/simulator/dependencies/machine.go
@@ -20,7 +20,7 @@
 	ReadWork          float64       // work of reading a request
 	Backlog           int           // unread requests per core beyond which connections are refused
 	MemoryKB          float64       // memory use beyond which the machine crashes
-	RunFactor         float64       // memory of a running request, in multiples of a queued one
+	RunFactor         float64       // memory of a running request, in multiples of its memory while queued
 	ConcurrencyLimit  float64       // mean running requests per core beyond which the machine crashes
 	ConcurrencyWindow time.Duration // window of that mean
 	WarmUpSpeed       float64       // share of Speed at the start of a warm-up
@@ -58,7 +58,7 @@
 	sampleInterval   = 100 * time.Millisecond // at which gauges are measured and limits checked
 	reservationDelay = 100 * time.Millisecond // until the memory of a queued request counts
 	cpuSamples       = 5                      // length of the window of Gauges.CPU, in samples
-	minThrashAt      = 0.1
+	minThrashAt      = 0.1                    // lower bound of MachineSpec.ThrashAt, by which the model divides
 )
 
 // run is a request that the engine runs.
@@ -260,7 +260,7 @@
 	}
 }
 
-// Stop cancels a run. The run ends at its next call, or at once if it waits for one.
+// Stop cancels a run. The run ends at its next call, at once if it waits for one, or after its last part.
 func (m *Machine) Stop(id string) {
 	r := m.runs[id]
 	if m.dead || r == nil || r.stopped {
@@ -304,8 +304,8 @@
 	}
 }
 
-// maxRunning returns the highest mean of running requests that the machine survives. During a warm-up it
-// rises from one request per core to ConcurrencyLimit.
+// maxRunning returns the highest mean of running requests that the machine survives: ConcurrencyLimit for each
+// core. After a cold start, the part of ConcurrencyLimit above 1 is multiplied by warmShare.
 func (m *Machine) maxRunning() float64 {
 	if m.cold {
 		return float64(m.spec.Cores) * (1 + (m.spec.ConcurrencyLimit-1)*m.warmShare())
--- a/internal/simulator/dependencies/machine_test.go
+++ b/internal/simulator/dependencies/machine_test.go
@@ -17,9 +17,9 @@
 // recordingObserver records the notifications that it gets.
 type recordingObserver struct {
 	clock *virtualclock.Scheduler
-	lines []string // notifications, each with its time in milliseconds
-	ends  map[string]time.Duration
-	died  string // reason of Died
+	lines []string                 // notifications, each with its time in milliseconds
+	ends  map[string]time.Duration // time of the end of each run, by ID
+	died  string                   // reason of Died
 }
 
 func (observer *recordingObserver) record(format string, v ...any) {
--- a/internal/simulator/fleet/attempt.go
+++ b/internal/simulator/fleet/attempt.go
@@ -16,12 +16,12 @@
 	Name         string // 16 hexadecimal digits; empty until the runner has read the request
 	simulation   *Simulation
 	balancer     *balancer
-	sent         *balance.Attempt
+	sent         *balance.Attempt // the attempt as package balance knows it
 	arrival      *day.Arrival
 	runner       *runner
 	incarnation  *Incarnation  // the incarnation that reads it; nil: it has not arrived, or was refused
-	arrivedAt    time.Duration // time of its arrival at the machine
-	readAt       time.Duration
+	arrivedAt    time.Duration // time of its arrival at the machine, since the day began
+	readAt       time.Duration // time at which the machine had read it, since the day began
 	frozenBefore time.Duration // how long the machine had been frozen in all by readAt
 	calls        []float64     // work of each call of its run
 	callsDone    int
@@ -84,14 +84,14 @@
 func (a *Attempt) arrive() {
 	incarnation := a.runner.incarnation
 	if incarnation == nil || incarnation.closed || !incarnation.process.IsReady() {
-		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
+		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedCredit: balance.NoCredit})
 		return
 	}
 	a.incarnation = incarnation
 	a.arrivedAt = a.simulation.now()
 	if !incarnation.machine.Read(a.read) {
 		a.incarnation = nil
-		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
+		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedCredit: balance.NoCredit})
 		return
 	}
 	incarnation.connections[a] = struct{}{}
@@ -138,7 +138,7 @@
 	incarnation.machine.Stop(a.Name)
 	a.checkDeadline("answered")
 	incarnation.forgetIfDone(a)
-	out := balance.Answer{AdvertisedValue: incarnation.advertised}
+	out := balance.Answer{AdvertisedCredit: incarnation.advertised}
 	switch answer.Status {
 	case Served:
 		out.Kind = balance.Served
@@ -177,7 +177,7 @@
 	delay, arrives := a.simulation.networkDelay(a.runner.spec.Zone, a.balancer.zone)
 	if !arrives {
 		delay = connectTimeout
-		answer = balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit}
+		answer = balance.Answer{Kind: balance.Failed, AdvertisedCredit: balance.NoCredit}
 	}
 	a.simulation.clock.After(delay, func() { a.deliver(answer) })
 }
@@ -195,7 +195,7 @@
 func (a *Attempt) ConnectionBroke() {
 	if !a.answered {
 		a.answered = true
-		a.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit})
+		a.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedCredit: balance.NoCredit})
 	}
 }
 
@@ -205,7 +205,7 @@
 		a.answered = true
 		a.incarnation.machine.ReleaseMemory(a.Name)
 		a.incarnation.forgetIfDone(a)
-		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
+		a.answerBalancer(balance.Answer{Kind: balance.Unreachable, AdvertisedCredit: balance.NoCredit})
 	}
 }
 
--- a/internal/simulator/fleet/balancer.go
+++ b/internal/simulator/fleet/balancer.go
@@ -27,7 +27,9 @@
 	drawn := s.day.Balancers[i]
 	kind := s.day.Spec.Balancers[drawn.Kind]
 	followsAdvice := drawn.FollowsAdvice
-	if s.options.BalancerKinds != nil { // the same draw as that of the day, compared with the share of the replacement
+	// With replaced kinds, FollowsAdvice is drawn again. The draw depends only on the seed of the day and the
+	// balancer, so that all replacements compare the same draw with their own probability.
+	if s.options.BalancerKinds != nil {
 		kind = s.options.BalancerKinds[drawn.Kind]
 		followsAdvice = day.Unit(s.day.Seed, "heeds", uint64(i)) < kind.Heeds
 	}
@@ -89,7 +91,7 @@
 	delay, arrives := s.networkDelay(b.zone, r.spec.Zone)
 	if !arrives {
 		s.clock.After(connectTimeout, func() {
-			a.deliver(balance.Answer{Kind: balance.Unreachable, AdvertisedValue: balance.NoCredit})
+			a.deliver(balance.Answer{Kind: balance.Unreachable, AdvertisedCredit: balance.NoCredit})
 		})
 		return
 	}
@@ -145,7 +147,8 @@
 	})
 }
 
-// causes maps the outcomes of requests at the balancer to the causes in the ledger.
+// causes maps the outcomes of requests at the balancer to the causes in the ledger. The ledger itself changes
+// WithinObjective to Late for a request that was served after its latency objective.
 var causes = map[balance.Outcome]ledger.Cause{
 	balance.EndServed:   ledger.WithinObjective,
 	balance.EndRejected: ledger.Rejected,
--- a/internal/simulator/fleet/bench_test.go
+++ b/internal/simulator/fleet/bench_test.go
@@ -8,7 +8,8 @@
 )
 
 // BenchmarkDay simulates a minute of fleets of up to 200 runners, with 10 requests per second for each
-// runner. It reports the events per second. Drawing the day is not measured.
+// runner. It reports the events per second and per day, and the time per runner. Drawing the day is not
+// measured.
 func BenchmarkDay(b *testing.B) {
 	for _, n := range []int{12, 25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
--- a/internal/simulator/fleet/incarnation.go
+++ b/internal/simulator/fleet/incarnation.go
@@ -12,7 +12,7 @@
 	"ryepaddle/internal/simulator/virtualclock"
 )
 
-// The reasons for which an incarnation ends without a crash.
+// The reasons with which the simulation itself ends an incarnation. An end for any other reason is a violation.
 const (
 	reasonKilled  = "killed"
 	reasonStopped = "stopped"
@@ -24,15 +24,15 @@
 	process     Process
 	machine     *dependencies.Machine
 	dead        bool
-	closed      bool // it refuses new connections
-	advertised  float64
-	drainAt     time.Duration       // start of the drain; 0: it is not draining
-	stopAt      time.Duration       // end of the drain's timeout
-	attempts    map[string]*Attempt // attempts that were read, until they are closed and their runs have ended
-	connections map[*Attempt]struct{}
-	ranUntil    map[uint64]time.Duration // end of the window of each request that ran
+	closed      bool                     // it refuses new connections
+	advertised  float64                  // credit that every answer carries; negative: none
+	drainAt     time.Duration            // start of the drain, since the day began; 0: it is not draining
+	stopAt      time.Duration            // end of the drain's timeout, since the day began
+	attempts    map[string]*Attempt      // attempts that were read, until they are closed and their runs have ended
+	connections map[*Attempt]struct{}    // accepted attempts, until they are closed and their runs have ended
+	ranUntil    map[uint64]time.Duration // end of the window of each non-safe request that ran, by request ID
 	frozenTotal time.Duration            // total length of the earlier freezes
-	frozenSince time.Duration            // 0: the machine is not frozen
+	frozenSince time.Duration            // start of the current freeze, by the clock; 0: the machine is not frozen
 	heldAnswers []heldAnswer
 }
 
@@ -143,7 +143,7 @@
 		r.restartAfter(virtualclock.FromSeconds(restart.Lo + (restart.Hi-restart.Lo)*u))
 	}
 	for _, held := range in.heldAnswers {
-		held.attempt.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedValue: balance.NoCredit})
+		held.attempt.answerBalancer(balance.Answer{Kind: balance.Failed, AdvertisedCredit: balance.NoCredit})
 	}
 	in.heldAnswers = nil
 	for _, a := range sortedAttempts(in.connections, func(a *Attempt, _ struct{}) *Attempt { return a }) {
@@ -161,8 +161,9 @@
 	}
 }
 
-// Run starts the run of an attempt on the engine. It returns false if there is no such attempt or if it
-// is closed. It checks the rules on runs independently of the runner's own checks.
+// Run starts the run of an attempt on the engine, unless the attempt is already running. It returns false if
+// the attempt is unknown or closed, or if the incarnation has ended. It checks the rules on runs independently
+// of the runner's own checks.
 func (in *Incarnation) Run(name string) bool {
 	a := in.attempts[name]
 	if a == nil || in.dead || !a.running && a.isClosed() {
--- a/internal/simulator/fleet/simulation.go
+++ b/internal/simulator/fleet/simulation.go
@@ -40,8 +40,8 @@
 	Seed         uint64  `json:"seed"`
 	RequestRate  float64 `json:"rate"`     // requests per second of the clients
 	Capacity     float64 `json:"capacity"` // requests per second of all cores
-	Events       uint64  `json:"events"`
-	AttemptsRead int     `json:"read"` // attempts that a runner read
+	Events       uint64  `json:"events"`   // events that the virtual clock ran; 0: the day ran on another clock
+	AttemptsRead int     `json:"read"`     // attempts that a runner read
 }
 
 // unixOrigin is the Unix time at which a day in virtual time begins. Its value is arbitrary.
@@ -53,10 +53,11 @@
 	loadNoise          = 0.1                    // largest relative error of a load report
 	connectTimeout     = time.Second
 	checkTimeout       = time.Second            // of a health check
-	linkDelay          = 50 * time.Microsecond  // between a runner and its engine
+	linkDelay          = 50 * time.Microsecond  // between a runner and its engine, one way
 	backendDelay       = 300 * time.Microsecond // between a runner and the back end, one way
-	// measuringTolerance is added to the time limits of the rules, as reading an answer of a runner behind
-	// sockets takes time.
+	// measuringTolerance is added to the time limits of the rules (ledger.Rule), as reading an answer of a
+	// runner behind sockets takes time. It is also the interval at which drain checks whether the runner may
+	// be stopped.
 	measuringTolerance = 100 * time.Millisecond
 )
 
@@ -245,7 +246,7 @@
 	}
 	result, err := s.account.Close(workDone)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: day %d: %w", s.day.Seed, err)
+		return nil, fmt.Errorf("fleet: day with seed %d: %w", s.day.Seed, err)
 	}
 	return &Run{
 		Result:       result,
