--- a/internal/testing/cluster/cluster.go
+++ b/internal/testing/cluster/cluster.go
@@ -22,7 +22,7 @@
 const (
 	// HealthCheckInterval is the time between two health checks of a server, with Options.Leases.
 	HealthCheckInterval = 250 * time.Millisecond
-	// pollInterval is how often runners are polled by a function that waits for a condition.
+	// pollInterval is the time between two polls by a function that waits for a condition.
 	pollInterval = 20 * time.Millisecond
 )
 
@@ -32,21 +32,21 @@
 	Binary string
 	// Binaries are the paths of the programs of single runners, by the runner's name.
 	Binaries map[string]string
-	// ClockOffsets is by how much the clocks of single runners are ahead, by the runner's name. Their
-	// programs must be built with the tag faults.
+	// ClockOffsets are the times by which the clocks of single runners are ahead, by the runner's name;
+	// negative: behind. Their programs must be built with the tag faults.
 	ClockOffsets map[string]time.Duration
 	// Dir is the directory of all files. Empty: a temporary directory, which Close removes.
 	Dir string
 	// Runners is the number of runners.
 	Runners int
-	// Joining is how many of the runners, counted from the last, Start does not start. They are not
+	// Joining is the number of runners, counted from the last, that Start does not start. They are not
 	// members until SetMember adds them.
 	Joining int
 	// Zones is the number of zones over which runners and servers are spread. 0: one zone.
 	Zones int
 	// Servers is the number of uwsgi servers. There is a link from each runner to each server.
 	Servers int
-	// RunTime is how long the servers take for a request.
+	// RunTime is how long a server takes to run a request.
 	RunTime time.Duration
 	// Window is the time in which a key may be repeated.
 	Window time.Duration
--- a/internal/testing/cluster/disk.go
+++ b/internal/testing/cluster/disk.go
@@ -43,6 +43,7 @@
 
 // limitFileSize bounds the size of the files that the runner's process may write, in bytes. Writes
 // beyond it fail as on a full disk. It has no effect on a process that has ended, or on the next one.
+// From then on the process may exit without being counted as a failure.
 func (n *Node) limitFileSize(bytes uint64) error {
 	command, _ := n.expectExit()
 	if command == nil {
@@ -56,8 +57,8 @@
 	return err
 }
 
-// setDiskHang makes operations on the runner's directories block, or lets them complete again. The
-// program must be built with the tag faults.
+// setDiskHang makes operations on the runner's peers and keys directories block, or lets them complete
+// again. The program must be built with the tag faults.
 func (n *Node) setDiskHang(isHanging bool) error {
 	var errs []error
 	for _, dir := range []string{n.peersDir(), n.keysDir()} {
--- a/internal/testing/cluster/faults.go
+++ b/internal/testing/cluster/faults.go
@@ -148,7 +148,7 @@
 	case ActionBackup:
 		return backUp(n.disk())
 	case ActionStart:
-		return n.startOn(f.RestoreBackup)
+		return n.startFromDisk(f.RestoreBackup)
 	}
 	return nil
 }
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// startOn starts a runner that is not running. With isRestored its disk is first replaced by the
-// backup. The caller must hold n.faultMu.
-func (n *Node) startOn(isRestored bool) error {
-	if isRestored {
+// startFromDisk starts a runner, unless it is running. With restoreFirst its disk is replaced by the
+// backup before. The caller must hold n.faultMu.
+func (n *Node) startFromDisk(restoreFirst bool) error {
+	if restoreFirst {
 		if err := restore(n.disk()); err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 func (n *Node) startIfDown() error {
 	n.faultMu.Lock()
 	defer n.faultMu.Unlock()
-	return n.startOn(false)
+	return n.startFromDisk(false)
 }
 
 // runAfter calls fn in the background after a time. c.background.Wait waits for the call.
--- a/internal/testing/cluster/faultscript.go
+++ b/internal/testing/cluster/faultscript.go
@@ -23,9 +23,10 @@
 //	2s hang n2 1s         operations on its disk block for that time; needs the build tag faults
 //	2s drain n2           it shuts down gracefully; --back 1s: as for kill
 //	2s cut n1 s1          no connection in either direction until heal; cut n1 s1 1s: for that time
-//	2s hold n1 s1 1s      no bytes pass; --there or --back-way: in that direction only
-//	2s delay n1 s1 50ms   each piece of data is delayed by that time
-//	2s drip n1 s1 100     at most that many bytes per second pass
+//	2s hold n1 s1         no bytes pass until heal; hold n1 s1 1s: for that time; --there: only bytes
+//	                      from the party that connects are held; --back-way: only bytes to it
+//	2s delay n1 s1 50ms   each piece of data is delayed by that time until heal
+//	2s drip n1 s1 100     at most that many bytes per second pass until heal
 //	2s chop n1 s1 90      the connection is reset after that many bytes
 //	2s heal n1 s1         all faults of the link end
 //	2s wait               no fault: the run lasts at least until that time
--- a/internal/testing/cluster/hardfaults_test.go
+++ b/internal/testing/cluster/hardfaults_test.go
@@ -13,7 +13,7 @@
 	"ryepaddle/internal/testing/historychecker"
 )
 
-// hardFaultCase is a cluster with a copy of each key, and faults that are played on it.
+// hardFaultCase is a cluster with one further copy of each key, and the faults that are played on it.
 type hardFaultCase struct {
 	name    string
 	options func(t *testing.T) (Options, error)
@@ -71,8 +71,8 @@
 	close   sync.Once
 }
 
-// startPending starts a cluster in the background. It is closed when the test ends, if it was not
-// closed before.
+// startPending starts a cluster in the background. The cluster is closed when the test ends, if it was
+// not closed before.
 func startPending(t *testing.T, options func(*testing.T) (Options, error)) *pendingCluster {
 	p := &pendingCluster{started: make(chan struct{})}
 	go func() {
--- a/internal/testing/cluster/helpers_test.go
+++ b/internal/testing/cluster/helpers_test.go
@@ -18,7 +18,7 @@
 // its disk can hang and its clock can be wrong.
 var runnerBinary, faultsBinary string
 
-// parallelTests is the number of tests that run in parallel. They wait for most of their time.
+// parallelTests is the number of tests that run in parallel. They wait most of the time.
 const parallelTests = "12"
 
 const (
@@ -31,9 +31,9 @@
 	replicationTimeout = 60 * time.Second
 	// acceptTimeout bounds the wait until a keyed request is served.
 	acceptTimeout = 30 * time.Second
-	// conditionTimeout bounds the wait for a condition.
+	// conditionTimeout bounds the wait of waitFor.
 	conditionTimeout = 30 * time.Second
-	// sendTimeout bounds the wait for an outcome.
+	// sendTimeout bounds an attempt, and the attempts of a key until it has the wanted outcome.
 	sendTimeout = 20 * time.Second
 )
 
@@ -60,8 +60,8 @@
 	os.Exit(code)
 }
 
-// seeds returns the first seed and the number of seeds to play: usual of them, unless RYEPADDLE_SEED
-// selects one seed or RYEPADDLE_SEEDS the number.
+// seeds returns the first seed and the number of seeds to play. They are 1 and usual, unless
+// RYEPADDLE_SEED selects a single seed or RYEPADDLE_SEEDS the number.
 func seeds(usual int) (first uint64, count int) {
 	if n, err := strconv.ParseUint(os.Getenv("RYEPADDLE_SEED"), 10, 64); err == nil {
 		return n, 1
--- a/internal/testing/cluster/lease.go
+++ b/internal/testing/cluster/lease.go
@@ -13,11 +13,11 @@
 	holderLossTime = 2500 * time.Millisecond
 	// holderRestartDelay is the time after which a killed or drained holder is restarted.
 	holderRestartDelay = 100 * time.Millisecond
-	// effectPollInterval is how often the health checks that servers received are polled.
+	// effectPollInterval is the time between two polls of the health checks that servers received.
 	effectPollInterval = 5 * time.Millisecond
 )
 
-// HolderLosses are the faults by which a lease loses its holder. A drained holder gives the lease back.
+// HolderLosses are the faults by which a lease loses its holder. A drained holder releases the lease.
 var HolderLosses = []Action{ActionKill, ActionSuspend, ActionCut, ActionDrain}
 
 // LeaseEffects returns the health checks under a lease that the servers have received.
@@ -80,7 +80,7 @@
 			return effect.At.Sub(started), errors.Join(<-played, c.Repair())
 		}
 		if time.Now().After(deadline) {
-			err := fmt.Errorf("no next holder of %s after %s (token %d), lost by %s", lease, holder.Name, token, loss)
+			err := fmt.Errorf("lease %s: no holder after %s (token %d), fault: %s", lease, holder.Name, token, loss)
 			return 0, errors.Join(err, <-played, c.Repair())
 		}
 		time.Sleep(effectPollInterval)
@@ -96,7 +96,7 @@
 			return n, token, nil
 		}
 		if time.Now().After(deadline) {
-			return nil, 0, fmt.Errorf("no health check under %s, holder %q, token %d", lease, name, token)
+			return nil, 0, fmt.Errorf("no health check under lease %s, holder %q, token %d", lease, name, token)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/testing/cluster/load.go
+++ b/internal/testing/cluster/load.go
@@ -20,8 +20,8 @@
 	Callers int
 	// Keys is the number of keys after which the load ends. 0: it goes on until Stop.
 	Keys int
-	// SwitchRunners sends each attempt of a key to the runner after that of the attempt before.
-	// Otherwise all attempts of a key go to the same runner.
+	// SwitchRunners sends each attempt of a key to the next runner in Cluster.Nodes. Otherwise all
+	// attempts of a key go to the same runner.
 	SwitchRunners bool
 	// Repeats is the number of repeats after a key was served, which should return the same result.
 	Repeats int
@@ -99,7 +99,7 @@
 // Wait waits until all keys are done.
 func (l *Load) Wait() { l.callers.Wait() }
 
-// String returns the number of keys that ran and of attempts by outcome so far.
+// String returns the number of keys that ran so far, and the number of attempts by outcome.
 func (c *Cluster) String() string {
 	n := c.History.Count()
 	return fmt.Sprintf(
--- a/internal/testing/cluster/replication_test.go
+++ b/internal/testing/cluster/replication_test.go
@@ -103,8 +103,8 @@
 	}, 30*time.Second, acceptTimeout)
 	// At the start, before runners know their relays, more links may be open.
 	waitFor(t, "all links are those of the grid", func() bool {
-		_, few := relayed(c, 4)
-		return few
+		_, withinLimit := relayed(c, 4)
+		return withinLimit
 	})
 	playUnderLoad(t, c, peerLoad(6, 2), seed, peerFaults(c, seed))
 	messages, _ := relayed(c, 8)
@@ -113,20 +113,20 @@
 	}
 }
 
-// relayed returns the number of messages that the runners have relayed, and whether none of them
-// has more than maxLinks links.
-func relayed(c *Cluster, maxLinks int) (messages int64, few bool) {
-	few = true
+// relayed returns the number of messages that the runners have relayed, and whether all of them
+// report at most maxLinks links.
+func relayed(c *Cluster, maxLinks int) (messages int64, withinLimit bool) {
+	withinLimit = true
 	for _, n := range c.Nodes {
 		var status app.Status
 		err := n.Control(control.Request{Command: "status"}, &status)
 		if err != nil || status.Peers.Links > maxLinks {
-			few = false
+			withinLimit = false
 			continue
 		}
 		messages += status.Peers.Relayed
 	}
-	return messages, few
+	return messages, withinLimit
 }
 
 // A runner that restarts with its disk is sent only the data that it lacks, and one that restarts with
--- a/internal/testing/cluster/state.go
+++ b/internal/testing/cluster/state.go
@@ -30,7 +30,7 @@
 	Responses       map[historychecker.Outcome]int `json:"-"`
 	KeysHeld        int                            `json:"keys"`
 	Unresponsive    bool                           `json:"silent,omitempty"`
-	FullyReplicated bool                           `json:"copies_whole"` // never without peers
+	FullyReplicated bool                           `json:"copies_whole"` // false without peers
 	ReplicatedSlots string                         `json:"copies,omitempty"`
 }
 
