--- a/internal/testing/faultlink/faultlink.go
+++ b/internal/testing/faultlink/faultlink.go
@@ -36,8 +36,8 @@
 	mu      sync.Mutex
 	target  string
 	cut     bool
-	faults  [2]Fault
-	changed chan struct{} // closed and replaced at each change of target, cut or faults
+	faults  [2]Fault      // to the server, to the client
+	changed chan struct{} // closed and replaced at each change of target, cut, faults or closed
 	pipes   map[*pipe]struct{}
 	closed  bool
 }
@@ -168,7 +168,8 @@
 // bufferBytes is the largest piece that is forwarded at once.
 const bufferBytes = 16 << 10
 
-// forward forwards one direction of a connection. The current fault is applied to each piece.
+// forward forwards one direction of a connection. way is the index of the direction in Link.faults. The
+// current fault is applied to each piece.
 func (l *Link) forward(p *pipe, from, to net.Conn, way int) {
 	buf := make([]byte, bufferBytes)
 	for {
--- a/internal/testing/faultlink/faultlink_test.go
+++ b/internal/testing/faultlink/faultlink_test.go
@@ -65,31 +65,31 @@
 func TestFaults(t *testing.T) {
 	for name, play := range map[string]func(l *Link, c net.Conn) (want, got string){
 		"none": func(l *Link, c net.Conn) (string, string) { return "hello", exchange(c, "hello", long) },
-		"held there and let go on": func(l *Link, c net.Conn) (string, string) {
+		"stalled to the server, then healed": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToServer, Fault{Stall: true})
 			before := exchange(c, "hello", short)
 			l.Heal()
 			return "hello", before + receive(c, 5, long)
 		},
-		"held back and let go on": func(l *Link, c net.Conn) (string, string) {
+		"stalled to the client, then healed": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToClient, Fault{Stall: true})
 			before := exchange(c, "hello", short)
 			l.Heal()
 			return "hello", before + receive(c, 5, long)
 		},
-		"held while it is cut": func(l *Link, c net.Conn) (string, string) {
+		"cut while stalled": func(l *Link, c net.Conn) (string, string) {
 			l.Set(BothDirections, Fault{Stall: true})
 			exchange(c, "hello", short)
 			l.Cut()
 			return "", receive(c, 5, long)
 		},
-		"cut in the middle": func(l *Link, c net.Conn) (string, string) {
+		"reset after three bytes to the server": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToServer, Fault{ResetAfterBytes: 3})
 			exchange(c, "hello", long)
 			l.Heal()
 			return "again", exchange(dial(t, l), "again", long)
 		},
-		"cut back in the middle": func(l *Link, c net.Conn) (string, string) {
+		"reset after three bytes to the client": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToClient, Fault{ResetAfterBytes: 3})
 			got := exchange(c, "hello", long)
 			// a reset may discard bytes that were sent before it
@@ -106,7 +106,7 @@
 			l.Heal()
 			return "again", broken + exchange(dial(t, l), "again", long)
 		},
-		"dripping": func(l *Link, c net.Conn) (string, string) {
+		"limited rate": func(l *Link, c net.Conn) (string, string) {
 			l.Set(ToServer, Fault{BytesPerSecond: 200})
 			began := time.Now()
 			got := exchange(c, "0123456789", long)
--- a/internal/testing/historychecker/checker_test.go
+++ b/internal/testing/historychecker/checker_test.go
@@ -15,16 +15,16 @@
 		ran       int
 		want      string
 	}{
-		"served and again":             {[]Response{served("a"), served("a")}, 1, ""},
-		"refused, then served":         {[]Response{{Outcome: Rejected}, served("a")}, 1, ""},
-		"in doubt, then known":         {[]Response{{Outcome: Failed}, served("a")}, 1, ""},
-		"broken, then served":          {[]Response{{Outcome: Unknown}, served("a")}, 1, ""},
-		"refused for a while":          {[]Response{served("a"), {Outcome: Rejected}, served("a")}, 1, ""},
-		"another result":               {[]Response{served("a"), served("b")}, 1, "no order"},
-		"lost after it was given":      {[]Response{served("a"), {Outcome: Failed}}, 1, "no order"},
-		"ran twice":                    {[]Response{{Outcome: Unknown}, served("a")}, 2, "ran 2 times"},
-		"served what did not run":      {[]Response{served("a")}, 0, "did not run"},
-		"lost between two that had it": {[]Response{served("a"), {Outcome: Failed}, served("a")}, 1, "no order"},
+		"served twice":               {[]Response{served("a"), served("a")}, 1, ""},
+		"refused, then served":       {[]Response{{Outcome: Rejected}, served("a")}, 1, ""},
+		"failed, then served":        {[]Response{{Outcome: Failed}, served("a")}, 1, ""},
+		"broken, then served":        {[]Response{{Outcome: Unknown}, served("a")}, 1, ""},
+		"refused between two served": {[]Response{served("a"), {Outcome: Rejected}, served("a")}, 1, ""},
+		"another result":             {[]Response{served("a"), served("b")}, 1, "no order"},
+		"failed after it was served": {[]Response{served("a"), {Outcome: Failed}}, 1, "no order"},
+		"ran twice":                  {[]Response{{Outcome: Unknown}, served("a")}, 2, "ran 2 times"},
+		"served without a run":       {[]Response{served("a")}, 0, "did not run"},
+		"failed between two served":  {[]Response{served("a"), {Outcome: Failed}, served("a")}, 1, "no order"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var h History
--- a/internal/testing/historychecker/leases_test.go
+++ b/internal/testing/historychecker/leases_test.go
@@ -19,9 +19,9 @@
 	}
 	for name, c := range map[string]struct {
 		effects []LeaseEffect
-		wrong   int
+		wrong   int // number of violations
 	}{
-		"handed on": {
+		"handover": {
 			[]LeaseEffect{
 				at(1, "a", 1, "n1", true),
 				at(2, "b", 1, "n1", true),
@@ -30,13 +30,13 @@
 			},
 			0,
 		},
-		"on its way": {
+		"former holder within the delay": {
 			[]LeaseEffect{at(1, "a", 1, "n1", true), at(3, "a", 2, "n2", true), at(5, "b", 1, "n1", true)},
 			0,
 		},
-		"a token of two":              {[]LeaseEffect{at(1, "a", 1, "n1", true), at(3, "b", 1, "n2", true)}, 1},
-		"taken though it was old":     {[]LeaseEffect{at(1, "a", 2, "n1", true), at(3, "a", 1, "n2", true)}, 1},
-		"two holders at two far ends": {[]LeaseEffect{at(1, "a", 2, "n1", true), at(300, "b", 1, "n2", true)}, 1},
+		"one token of two holders":   {[]LeaseEffect{at(1, "a", 1, "n1", true), at(3, "b", 1, "n2", true)}, 1},
+		"lower token accepted":       {[]LeaseEffect{at(1, "a", 2, "n1", true), at(3, "a", 1, "n2", true)}, 1},
+		"holders overlap at servers": {[]LeaseEffect{at(1, "a", 2, "n1", true), at(300, "b", 1, "n2", true)}, 1},
 	} {
 		if v := CheckLeases(c.effects, 100*time.Millisecond); len(v) != c.wrong {
 			t.Errorf("%s: unexpected number of violations: %v", name, v)
--- a/internal/testing/simcluster/faults.go
+++ b/internal/testing/simcluster/faults.go
@@ -33,7 +33,7 @@
 			n.Replace()
 		}
 	case 9:
-		c.log("the fleet is cut in two for %d ms", d.Milliseconds())
+		c.log("the cluster is cut in two for %d ms", d.Milliseconds())
 		c.cutBetween(d, func(a *Node) bool { return a.Name[len(a.Name)-1]%2 == 0 })
 	}
 }
--- a/internal/testing/simcluster/node.go
+++ b/internal/testing/simcluster/node.go
@@ -108,8 +108,8 @@
 	n.Cluster.After(n.Cluster.Between(0, interval), tick)
 }
 
-// Send sends a message to another runner. deliver is called in that runner's process on arrival, and
-// hands over the message.
+// Send sends a message to another runner. deliver is called in that runner's process each time the
+// message arrives, which may be never or twice.
 func (n *Node) Send(to string, deliver func(to *Node)) {
 	n.Cluster.Sent++
 	if !n.replaced {
@@ -170,7 +170,7 @@
 	if !n.Up {
 		return
 	}
-	n.Cluster.log("%s crashes, back in %d ms with disk %d", n.Name, restartAfter.Milliseconds(), disk)
+	n.Cluster.log("%s crashes, restarts after %d ms, disk state %d", n.Name, restartAfter.Milliseconds(), disk)
 	n.previousDisk, n.savedDisk = n.savedDisk, n.Cluster.options.Save(n)
 	n.Up = false
 	n.heldCalls = nil
--- a/internal/testing/simcluster/simcluster.go
+++ b/internal/testing/simcluster/simcluster.go
@@ -91,7 +91,7 @@
 }
 
 const (
-	lossOdds, duplicateOdds, slowOdds = 300, 150, 100 // one of so many messages is lost, duplicated or slow
+	lossOdds, duplicateOdds, slowOdds = 300, 150, 100 // one message in this many is lost, duplicated or slow
 	minDelay, maxDelay, maxSlowDelay  = 200 * time.Microsecond, 4 * time.Millisecond, 500 * time.Millisecond
 )
 
