--- a/internal/testing/crashfs/crashfs.go
+++ b/internal/testing/crashfs/crashfs.go
@@ -80,7 +80,7 @@
 	d.CrashAt = 0
 }
 
-// Crash simulates a loss of power. It leaves the disk in one of the possible states after it.
+// Crash simulates a loss of power. It leaves the disk in one of the states that are possible after that.
 func (d *Disk) Crash() {
 	after := map[string]*inode{}
 	// Each change of a name since the last SyncDir is kept or lost.
@@ -105,7 +105,7 @@
 	d.names, d.durable = after, maps.Clone(after)
 	d.locked = false
 	d.crashed = false
-	d.CrashAt = 00
+	d.CrashAt = 0
 }
 
 // union returns the names of both maps.
@@ -234,7 +234,8 @@
 	return len(b), nil
 }
 
-// Sync implements store.File. A sync that fails has lost data, even if the next one succeeds.
+// Sync implements store.File. A failed sync may lose unsynced data, which a later successful sync does not
+// bring back.
 func (f *file) Sync() error {
 	if err := f.disk.step("sync", f.name); err != nil {
 		if !f.disk.crashed {
--- a/internal/testing/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -26,7 +26,7 @@
 		r := &recorder{TB: t}
 		Check(r, path, []byte(got))
 		if (len(r.errors) > 0) != fails {
-			t.Errorf("errors of Check() for %q: %v", got, r.errors)
+			t.Errorf("unexpected errors of Check() for %q: %v", got, r.errors)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 			}
 		})
 		if (len(r.errors) > 0) != fails {
-			t.Errorf("errors of CheckDir() for %q: %v", text, r.errors)
+			t.Errorf("unexpected errors of CheckDir() for %q: %v", text, r.errors)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		change(&sample)
 		RequireAllSet(r, "sample", sample)
 		if (len(r.errors) > 0) != (name != "") || name != "" && !strings.Contains(r.errors[0], "is not set") {
-			t.Errorf("errors for the zero field %s: %v", name, r.errors)
+			t.Errorf("unexpected errors of RequireAllSet() for the zero field %q: %v", name, r.errors)
 		}
 	}
 }
