--- a/internal/testing/daytest/balancer.go
+++ b/internal/testing/daytest/balancer.go
@@ -33,7 +33,7 @@
 	sent          time.Duration
 	isResend      bool
 	stdout        []byte
-	onHealthCheck func(healthy bool) // of a health check, which has no attempt
+	onHealthCheck func(healthy bool) // set for a health check, which has no attempt
 }
 
 // Submit implements fleet.Process.
@@ -168,8 +168,8 @@
 	}
 }
 
-// handle handles a record. isLast reports whether the connection is no longer needed, as it was opened for a
-// health check that has ended.
+// handle handles a record. isLast reports whether the record ended a health check, for which alone its
+// connection was opened.
 func (c *balancerConn) handle(record fastcgi.Record) (isLast bool) {
 	x := c.open[record.ID]
 	if x == nil {
@@ -201,14 +201,14 @@
 	}
 	head, body, ok := strings.Cut(string(x.stdout), headerEnd)
 	if !ok {
-		x.attempt.Lost("an answer that cannot be read")
+		x.attempt.Lost("an answer that cannot be parsed")
 		return
 	}
 	status, answer := p.readHeader(head)
 	switch status {
 	case "200":
 		if body != string(resultOf(x.attempt)) {
-			x.attempt.Lost("'served' with what no run made for it")
+			x.attempt.Lost("an answer with status 200 whose body is not the result of the request")
 			return
 		}
 		answer.Status = fleet.Served
--- a/internal/testing/daytest/harness.go
+++ b/internal/testing/daytest/harness.go
@@ -30,9 +30,9 @@
 	// settleTime is how long the day continues once all first attempts have ended: runners may still
 	// send answers that no client waits for.
 	settleTime = 500 * time.Millisecond
-	// wakeInterval is how often the loop is woken to check its timers. By itself it sleeps in whole
-	// milliseconds, which would delay a request about six times on its way, unlike the fleet that the
-	// harness stands in for.
+	// wakeInterval is the time between two wake-ups of the loop, which then checks its timers. By itself
+	// the loop sleeps in whole milliseconds, which would delay each request at about six points, unlike
+	// the fleet that the harness stands in for.
 	wakeInterval = 200 * time.Microsecond
 )
 
@@ -58,7 +58,7 @@
 	dir        string // of configuration files and temporary directories
 	backend    *backend
 	registry   *net.UDPConn
-	starts     int
+	starts     int // number of processes started so far
 	processes  []*process
 	run        *fleet.Run // the result, once the day is over
 	err        error      // why the day ended early
--- a/internal/testing/daytest/harness_test.go
+++ b/internal/testing/daytest/harness_test.go
@@ -42,7 +42,7 @@
 }
 
 // patientDay is a day whose clients wait so long that its outcome does not depend on the speed of the
-// machine: each request is eventually served, or the accounts give the cause why not.
+// machine: each request is eventually served, or the accounts give the cause of its failure.
 const patientDay = `
 name: patient
 length_s: 7
@@ -79,7 +79,7 @@
 func TestDayWithFaultsOnRealProcesses(t *testing.T) {
 	run, log, err := play(context.Background(), t, patientDay)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, log)
+		t.Fatalf("Play(): %v\n%s", err, log)
 	}
 	if run.Broken != 0 {
 		t.Errorf("broken rules %v: %v\n%s", run.Rules, run.Notes, log)
@@ -127,7 +127,7 @@
 	var log bytes.Buffer
 	run, err := Play(context.Background(), day.Draw(s, 1), fleet.Options{}, script, &log)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, log.String())
+		t.Fatalf("Play(): %v\n%s", err, log.String())
 	}
 	if run.Rules["fall-over"] == 0 || run.Score != 0 {
 		t.Errorf("broken rules = %v, want fall-over and a score of 0", run.Rules)
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -18,19 +18,19 @@
 type Deployment struct {
 	Spec *day.Spec
 	Seed uint64
-	// ChangeSettings changes the settings of a runner to those of this deployment that the model of a day
-	// ignores.
+	// ChangeSettings sets those settings of a runner that the deployment draws although the model of a day
+	// ignores them.
 	ChangeSettings func(*admission.Settings)
 }
 
 // Limits bound the deployments that are drawn.
 type Limits struct {
-	Classes, Tenants, Cores, Runners int
-	WorkMs                           [2]float64
-	DeadlineMs                       [2]int
+	Classes, Tenants, Cores, Runners int        // maximum numbers
+	WorkMs                           [2]float64 // minimum and maximum
+	DeadlineMs                       [2]int     // minimum and maximum
 	LengthS                          float64
-	Rate                             float64 // maximum number of requests per second
-	Faults                           []string
+	Rate                             float64  // maximum number of requests per second
+	Faults                           []string // kinds of faults
 }
 
 // Wide are the limits for a day in virtual time.
--- a/internal/testing/deployment/deployment_test.go
+++ b/internal/testing/deployment/deployment_test.go
@@ -43,14 +43,14 @@
 		}
 		read, err := config.ParsePlatform(text)
 		if err != nil {
-			t.Fatalf("%v\n%s", err, text)
+			t.Fatalf("ParsePlatform(): %v\n%s", err, text)
 		}
 		if diff := cmp.Diff(settings, read.Settings); diff != "" {
 			t.Fatalf("settings read from the platform's file (-want +got)\n%s", diff)
 		}
 		run, err := fleet.Play(drawn, fleet.Options{Settings: d.ChangeSettings})
 		if err != nil {
-			t.Fatalf("%v\n%s", err, text)
+			t.Fatalf("Play(): %v\n%s", err, text)
 		}
 		if run.Broken > 0 {
 			t.Fatalf("broken rules %v: %v\n%s", run.Rules, run.Notes, text)
@@ -92,7 +92,7 @@
 				&log,
 			)
 			if err != nil {
-				t.Fatalf("%v\n%s", err, log.String())
+				t.Fatalf("Play(): %v\n%s", err, log.String())
 			}
 			if read.Add(int64(run.AttemptsRead)); run.Broken > 0 {
 				t.Errorf("broken rules %v: %v\n%s", run.Rules, run.Notes, log.String())
