--- a/internal/peers/usagereplica/load_test.go
+++ b/internal/peers/usagereplica/load_test.go
@@ -188,7 +188,7 @@
 		if !r.up {
 			continue
 		}
-		if r.table != c.table() || !r.primary.FullyReplicated() || r.replica.PendingEnds() > 0 {
+		if r.table != c.table() || !r.primary.FullyReplicated() || r.replica.OrphanedLedgers() > 0 {
 			return false
 		}
 		if r.statements.Unreplicated() > 0 && !c.broken.keepStatements {
--- a/internal/peers/usagereplica/replica.go
+++ b/internal/peers/usagereplica/replica.go
@@ -274,8 +274,8 @@
 	return errs
 }
 
-// PendingEnds returns the number of ledgers of lost processes that are not finished yet.
-func (r *Replica) PendingEnds() (n int) {
+// OrphanedLedgers returns the number of ledgers of lost processes that are not finished yet.
+func (r *Replica) OrphanedLedgers() (n int) {
 	for _, l := range r.ledgers {
 		if l.lostSince != 0 {
 			n++
--- a/internal/usage/metering/remote.go
+++ b/internal/usage/metering/remote.go
@@ -107,7 +107,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.status.RemoteAccounts = r.replica.Len()
-	m.status.ExpiringAccounts = r.replica.PendingEnds()
+	m.status.ExpiringAccounts = r.replica.OrphanedLedgers()
 	m.status.UndeliveredStatements = r.statements.Unreplicated()
 }
 
