--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -50,7 +50,7 @@
 	class := &c.settings.Classes[r.class]
 	// A repeat of a request that may have run is neither started nor rejected.
 	r.mayHaveRun = e.PriorRequest != 0 && class.Idempotency == IdempotentWithKey
-	r.shareable = class.Idempotency == Idempotent && e.Key != 0 && !e.Write && c.settings.ResultMaxAge > 0
+	r.shareable = class.Idempotency == Idempotent && e.SubjectKey != 0 && !e.Write && c.settings.ResultMaxAge > 0
 	why, unacceptable := c.unacceptable(r)
 	if unacceptable {
 		c.reject(r, retryHint{}, why)
--- a/internal/admission/checker_test.go
+++ b/internal/admission/checker_test.go
@@ -209,7 +209,7 @@
 	idempotency := k.settings.Classes[s.class].Idempotency
 	if idempotency == Idempotent && k.settings.ResultMaxAge > 0 {
 		s.subject = 1000 + uint64(k.rng.IntN(10)) // few subjects, so that reads share runs
-		e.Key, s.priorRequest = s.subject, k.keyOwner[s.subject]
+		e.SubjectKey, s.priorRequest = s.subject, k.keyOwner[s.subject]
 		prior := k.all[s.priorRequest]
 		if prior != nil && k.keyExpiry[s.subject] >= s.arrivedAt && k.mayShare(prior) {
 			e.PriorRequest = s.priorRequest
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -62,7 +62,7 @@
 	ExpectedWork  time.Duration // on a standard core; 0: unknown
 	SizeKB        float64       // memory of the request while it is queued
 	Rank          float64       // rank by priority weight, from 0 to below 1
-	Key           uint64        // identifies the subject of the request; 0: none
+	SubjectKey    uint64        // identifies the subject of the request; 0: none
 	Write         bool          // the request changes its subject, so that its result is not shared
 	Retry         bool          // a retry or a hedged request
 	QueueingDelay time.Duration // before the request was read
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -125,7 +125,7 @@
 	})
 	return h, func(id, prior uint64) Event {
 		e := h.arrival(id, 0)
-		e.Key, e.PriorRequest = 7, prior
+		e.SubjectKey, e.PriorRequest = 7, prior
 		return e
 	}
 }
--- a/internal/admission/idempotency.go
+++ b/internal/admission/idempotency.go
@@ -3,8 +3,8 @@
 import "time"
 
 // rememberKey remembers the idempotency key of a queued request for its whole window, or rejects
-// the request if there is no memory for the key. The key of a shareable read is remembered too if
-// there is memory for it; the read runs in any case.
+// the request if there is no memory for the key. The subject key of a shareable read is remembered too
+// if there is memory for it; the read runs in any case.
 func (c *Controller) rememberKey(r *request) {
 	keyed := c.settings.Classes[r.class].Idempotency == IdempotentWithKey
 	scarce := c.memoryKB+c.settings.KeyMemoryKB > c.runMemoryLimitKB()
--- a/internal/lifecycle/submit.go
+++ b/internal/lifecycle/submit.go
@@ -54,7 +54,7 @@
 		Caller:        m.callers.admissionNumber(r.Caller),
 		SizeKB:        r.SizeKB,
 		Rank:          r.Rank,
-		Key:           r.Entity,
+		SubjectKey:    r.Entity,
 		QueueingDelay: queued,
 		Write:         m.settings.Classes[r.Class].Idempotency != admission.Idempotent,
 	}
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -67,7 +67,7 @@
 		ExpectedWork:  12 * time.Millisecond,
 		SizeKB:        24.5,
 		Rank:          0.625,
-		Key:           0x91f03b7c55d20a64,
+		SubjectKey:    0x91f03b7c55d20a64,
 		QueueingDelay: 1850 * time.Microsecond,
 		PriorRequest:  0xa58d20e6f2b19,
 	}}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -147,7 +147,7 @@
 	ev.Kind = admission.EventRequest
 	ev.Class = int(r[requestClassOffset])
 	ev.Tenant = int(littleEndian.Uint32(r[requestTenantOffset:]))
-	ev.Key = littleEndian.Uint64(r[requestKeyOffset:])
+	ev.SubjectKey = littleEndian.Uint64(r[requestKeyOffset:])
 	ev.Deadline = micros(littleEndian.Uint64(r[requestDeadlineOffset:]))
 	if flags&flagExpectedWork != 0 {
 		ev.ExpectedWork = micros(uint64(littleEndian.Uint32(r[requestExpectedWorkOffset:])))
