--- a/internal/wallclock/faults.go
+++ b/internal/wallclock/faults.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Var is the environment variable that sets the offset of the clock, such as 7m or -1h.
-const Var = "RYEPADDLE_CLOCK"
+// OffsetVariable is the environment variable that sets the offset of the clock, such as 7m or -1h.
+const OffsetVariable = "RYEPADDLE_CLOCK"
 
-var offset = parseOffset(os.Getenv(Var))
+var offset = parseOffset(os.Getenv(OffsetVariable))
 
 // parseOffset parses a duration. It panics on an invalid one; an empty text is 0.
 func parseOffset(text string) time.Duration {
@@ -19,7 +19,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		panic(Var + ": " + err.Error())
+		panic(OffsetVariable + ": " + err.Error())
 	}
 	return d
 }
