--- a/internal/idempotency/store/faults.go
+++ b/internal/idempotency/store/faults.go
@@ -23,7 +23,7 @@
 		"Check its free space, permissions and health; requests with a key are accepted again once it works.",
 	)
 	faultSlow = fault.Define("store.slow", "The disk of the idempotency keys is too slow for the records.",
-		"Move the folder to a faster disk, or set store.sync to a mode that waits less for the disk.")
+		"Move the folder to a faster disk, or set store.mode to a mode that waits less for the disk.")
 	faultDisk = fault.Define("store.disk", "The folder of the idempotency keys cannot be read or written.",
 		"Check that it exists, that the program may write to it, and that it has free space.")
 )
