--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -22,7 +22,7 @@
 }
 
 var (
-	errNoPeers    = errors.New("this runner has no peers: its operator's file has no section for them")
+	errNoPeers    = errors.New("this runner has no peers: its operator's file has no peers section")
 	errIncomplete = errors.New("some slots or usage ledgers lack replicas, or this runner accepts no new keys")
 )
 
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -116,7 +116,7 @@
 	p.peers.SetLeaseRules(settings.LeaseRules())
 }
 
-var errNoPeers error = noPeersKind.New("this runner has no peers: its operator's file has no section for them")
+var errNoPeers error = noPeersKind.New("this runner has no peers: its operator's file has no peers section")
 
 // answerPeers carries out a command about peers: it returns where the replicas of a key are, or makes a
 // member leave, stay or be replaced.
