--- a/internal/admission/validate.go
+++ b/internal/admission/validate.go
@@ -10,11 +10,11 @@
 type SettingError struct {
 	Setting string // as Settings names it, for example Classes[2].IdempotencyWindow
 	Value   any
-	Want    string // what it has to be, for example "1 or more"
+	Want    string // the valid values, for example "1 or more"
 }
 
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("admission: setting %s: %v, and it has to be %s", e.Setting, e.Value, e.Want)
+	return fmt.Sprintf("admission: setting %s is %v, want %s", e.Setting, e.Value, e.Want)
 }
 
 // settingCheck is one check of a setting.
