--- a/cmd/simulator/compare.go
+++ b/cmd/simulator/compare.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	// Workers of both builds read this file: the scenarios that are built into them may differ.
+	// Workers of another build read this file, because the scenarios that are built into it may differ.
 	dayFile := filepath.Join(dir, "day.yaml")
 	if err := os.WriteFile(dayFile, text, 0o600); err != nil {
 		return err
@@ -172,7 +172,8 @@
 	return s, nil
 }
 
-// isProgram reports whether a path is that of an executable file and not of a YAML file.
+// isProgram reports whether path names an executable file. A file with the suffix .yaml counts as a variant
+// file even if it is executable.
 func isProgram(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0 &&
@@ -216,7 +217,7 @@
 	scenarioFlags
 }
 
-// Run simulates the days that tasks on standard input ask for, until its end.
+// Run simulates the days that tasks on standard input ask for, until the end of the input.
 func (c *workerCmd) Run(console *console) error {
 	spec, _, options, err := c.open(console, c.Day, c.With)
 	if err != nil {
--- a/cmd/simulator/conform.go
+++ b/cmd/simulator/conform.go
@@ -40,7 +40,8 @@
 	sentBytewise = "a byte at a time"
 )
 
-// Run runs the conformance suite against a frontend and prints the results.
+// Run runs the conformance suite against a frontend and prints the results. With --clauses it only lists the
+// clauses.
 func (c *conformCmd) Run(console *console) error {
 	cases, clauses, err := conformance.Load()
 	if err != nil {
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -28,7 +28,7 @@
 	terminal bool // stderr is a terminal
 }
 
-// The exit statuses.
+// The exit statuses that description lists.
 const (
 	exitDone     = 0
 	exitFailed   = 1
--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -275,7 +275,8 @@
 	} {
 		if status, _, errs := run(t, "run", day, "--traffic", c.file); status != c.status ||
 			!strings.Contains(errs, c.want) {
-			t.Errorf("run --traffic %s: exit status = %d, stderr: %s", c.file, status, errs)
+			t.Errorf("run --traffic %s: exit status = %d, want the status and the text of the case; stderr: %s",
+				c.file, status, errs)
 		}
 	}
 }
@@ -303,8 +304,8 @@
 	}
 }
 
-// A fleet passes the check of its guarantees with faults. Without replicas it fails it if repeats go to
-// another runner, as keys then run twice.
+// up finds no violation in a fleet with faults. With --roam and without replicas it finds violations: repeats
+// go to another runner, so that keys run twice.
 func TestUpChecksAFleet(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "ryepaddle")
 	if out, err := exec.Command(
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -92,13 +92,13 @@
 	File     string         `json:"file"`
 	Runner   string         `json:"runner"`
 	Began    string         `json:"began"`
-	Seconds  float64        `json:"seconds"`
+	Seconds  float64        `json:"seconds"` // from the first to the last request that is no retry
 	Requests int            `json:"requests"`
-	Further  int            `json:"further"` // requests that look like retries
-	Backward int            `json:"backward"`
+	Further  int            `json:"further"`  // requests that look like retries
+	Backward int            `json:"backward"` // requests whose time is before that of their predecessor
 	Lost     traffic.Lost   `json:"lost"`
-	Cut      string         `json:"cut,omitempty"`
-	Classes  map[string]int `json:"Classes"`
+	Cut      string         `json:"cut,omitempty"` // where and how the file is truncated
+	Classes  map[string]int `json:"Classes"`       // requests by class, retries included
 }
 
 // assumedDeadline is the time within which an equal request counts as a retry.
@@ -165,8 +165,8 @@
 	Seed uint64 `default:"1" help:"Seed of the day."`
 }
 
-// recordingStart is the Unix time at which the recordings of trafficMakeCmd start. It is fixed, so that a day
-// always gives the same bytes.
+// recordingStart is the time at which the recordings of trafficMakeCmd start: 2025-12-01 08:00:00 UTC. It is
+// fixed, so that a day always gives the same bytes.
 const recordingStart wallclock.UnixMicro = 1_764_576_000_000_000
 
 const (
--- a/cmd/simulator/up.go
+++ b/cmd/simulator/up.go
@@ -266,9 +266,9 @@
 // fleetResult is the result of a run as JSON.
 type fleetResult struct {
 	Runners []cluster.NodeState    `json:"runners"`
-	Tries   map[string]int         `json:"tries"`
-	Ran     int                    `json:"keys_run"`
-	Broken  historychecker.Verdict `json:"broken"`
+	Tries   map[string]int         `json:"tries"`    // attempts by outcome
+	Ran     int                    `json:"keys_run"` // keys that a server began to run
+	Broken  historychecker.Verdict `json:"broken"`   // violations of guarantees to callers
 	Bill    *ledger.Bill           `json:"bill,omitempty"`
 	Seed    uint64                 `json:"seed"`
 }
@@ -277,7 +277,8 @@
 // run, and returns a violationError.
 func (c *upCmd) verdict(console *console, fleet *cluster.Cluster) error {
 	result := fleetResult{Broken: fleet.Check(), Runners: fleet.States(), Seed: c.Seed}
-	// Random faults may wipe more disks at once than there are replicas, so that usage is lost.
+	// With --wipe, random faults may wipe more disks at once than there are replicas. Usage may then be lost, so
+	// it is not reconciled.
 	if c.Copies > 0 && !(c.Random > 0 && c.Wipe) {
 		violations, bill, err := fleet.ReconcileUsage()
 		if err != nil {
--- a/internal/simulator/compare/compare.go
+++ b/internal/simulator/compare/compare.go
@@ -33,10 +33,10 @@
 // Plan configures a comparison.
 type Plan struct {
 	Seed    uint64  // of the first day; it grows by 1 with each further day
-	Days    int     // maximum on each side
-	Width   float64 // half width of the score's interval at which the comparison stops
+	Days    int     // maximum on each side; less than 1 means 1
+	Width   float64 // half width of the score's interval at which the comparison stops; see also narrowShare
 	Alpha   float64 // probability of reporting a difference by chance; 0 means 0.05
-	Workers int     // number of days simulated at once
+	Workers int     // number of simulations at once; less than 1 means 1
 	// Independent draws the random choices of the balancers and the network independently for the two sides.
 	// Days stay paired, but these choices no longer cancel out: comparisons of a side with itself then show
 	// how often chance is taken for a difference.
@@ -57,8 +57,8 @@
 	Model     int        `json:"model"` // version of the model
 	Seed      uint64     `json:"seed"`
 	Days      int        `json:"days"`
-	Level     float64    `json:"level"` // confidence level of the intervals; the analyses share Plan.Alpha
-	Verdict   string     `json:"verdict"`
+	Level     float64    `json:"level"`   // confidence level of the intervals: 1 - the alpha of the last analysis
+	Verdict   string     `json:"verdict"` // on the score: Better, Worse or None
 	Stopped   string     `json:"stopped"` // why no more days were simulated
 	Estimates []Estimate `json:"estimates"`
 	Pairs     []Pair     `json:"-"`
@@ -66,7 +66,8 @@
 
 const (
 	defaultAlpha = 0.05
-	// narrowShare is the largest half width of a narrow interval, as a share of the difference.
+	// narrowShare is the half width, as a share of the difference, at which the score's interval is narrow
+	// enough even if it exceeds Plan.Width.
 	narrowShare = 0.25
 )
 
--- a/internal/simulator/compare/compare_test.go
+++ b/internal/simulator/compare/compare_test.go
@@ -99,7 +99,8 @@
 		}
 	}
 	if o.Verdict != None || o.Days != 8 || o.Stopped != "the interval is narrow enough" {
-		t.Errorf("%d days, verdict %q, stopped as %q; want 8 days without a difference", o.Days, o.Verdict, o.Stopped)
+		t.Errorf("%d days, verdict %q, stopped because %q; want 8 days, no difference and a narrow interval",
+			o.Days, o.Verdict, o.Stopped)
 	}
 }
 
@@ -126,7 +127,7 @@
 	}
 	t.Logf("a difference was shown in %d of 40 comparisons", shown)
 	if shown > 5 {
-		t.Errorf("a difference was shown in %d of 40 comparisons of a side with itself", shown)
+		t.Errorf("a difference was shown in %d of 40 comparisons of a side with itself, want at most 5", shown)
 	}
 	if differ < 35 {
 		t.Errorf("sides differed by chance in %d of 40 comparisons, want 35 or more for a meaningful test", differ)
@@ -192,7 +193,7 @@
 			o := compare(t, Plan{Seed: 5, Days: 100, Width: 0.02, Workers: 2}, zero, c.b)
 			if o.Days != c.days || o.Verdict != c.verdict || o.Stopped != c.stopped ||
 				len(o.Pairs) != c.days {
-				t.Errorf("%d days, verdict %q, stopped as %q, score = %+v",
+				t.Errorf("%d days, verdict %q, stopped because %q, want those of the case; score = %+v",
 					o.Days, o.Verdict, o.Stopped, o.Estimates[0])
 			}
 		})
--- a/internal/simulator/compare/worker.go
+++ b/internal/simulator/compare/worker.go
@@ -42,7 +42,7 @@
 		if err := in.Decode(&t); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("compare: worker: %w", err)
+			return fmt.Errorf("compare: worker: reading a task: %w", err)
 		}
 		run, err := p.Play(context.Background(), t.Seed, t.Noise)
 		answer := reply{Run: run}
@@ -160,11 +160,11 @@
 	stop := context.AfterFunc(ctx, func() { _ = p.cmd.Process.Kill() }) // fails if the process has ended
 	defer stop()
 	if err := json.NewEncoder(p.in).Encode(task{seed, noise}); err != nil {
-		return nil, fmt.Errorf("%s: %w", v.path, p.failure(err))
+		return nil, fmt.Errorf("%s: sending a task to the worker: %w", v.path, p.failure(err))
 	}
 	var answer reply
 	if err := p.read(&answer); err != nil {
-		return nil, fmt.Errorf("%s: worker process ended: %w", v.path, p.failure(err))
+		return nil, fmt.Errorf("%s: reading the worker's reply: %w", v.path, p.failure(err))
 	}
 	if answer.Error != "" {
 		return nil, errors.New(answer.Error)
--- a/internal/simulator/ledger/cause.go
+++ b/internal/simulator/ledger/cause.go
@@ -5,15 +5,15 @@
 // Cause says how a request ended.
 type Cause uint8
 
-// The causes: Open is that of a request that has not ended.
+// The causes. A request is Open until it ends with one of the others.
 const (
 	Open            Cause = iota // the request has not ended
 	WithinObjective              // served within its latency objective
 	Late                         // served after its latency objective, before its client gave up
-	Rejected
-	Failed   // an error, or a broken connection
-	TimedOut // the client gave up
-	Unsent   // no server was eligible
+	Rejected                     // a runner rejected the last attempt
+	Failed                       // an error, or a broken connection
+	TimedOut                     // the client gave up
+	Unsent                       // no attempt was sent: the balancer throttled the request, or no server was eligible
 	causeCount
 )
 
--- a/internal/simulator/ledger/ledger.go
+++ b/internal/simulator/ledger/ledger.go
@@ -22,7 +22,7 @@
 
 // Goal holds the factors of the score and of the weights of requests.
 type Goal struct {
-	Whole, WorstWindow, WorstClass, WorstTenant float64
+	Whole, WorstWindow, WorstClass, WorstTenant float64       // factors of the served shares
 	OverWorth                                   float64       // weight factor of a request beyond its tenant's quota
 	Waste, LateFail                             float64       // penalty factors of wasted work and of late failures
 	Window                                      time.Duration // length of the windows of WorstWindow
--- a/internal/simulator/ledger/result.go
+++ b/internal/simulator/ledger/result.go
@@ -10,8 +10,8 @@
 
 const (
 	seriesStep = time.Second // of Result.Series
-	// minWindowLoad is the share of the mean weight of a window that a window must exceed to count as
-	// the worst one.
+	// minWindowLoad bounds the load of the windows among which the worst one is found: the weight of such a
+	// window is more than this share of the mean weight of a window.
 	minWindowLoad = 0.2
 	// weightTolerance is the relative rounding error that sums of weights may have.
 	weightTolerance = 1e-6
@@ -20,11 +20,11 @@
 // Share sums up a class, a tenant or all requests.
 type Share struct {
 	Name   string  `json:"name"`
-	First  int     `json:"first"`  // number of requests
-	Asked  float64 `json:"asked"`  // weight of the requests
-	Got    float64 `json:"got"`    // weight earned
-	Served float64 `json:"served"` // Got divided by Asked; 1 without requests
-	P50Ms  float64 `json:"p50_ms,omitempty"`
+	First  int     `json:"first"`            // number of requests
+	Asked  float64 `json:"asked"`            // weight of the requests
+	Got    float64 `json:"got"`              // weight earned
+	Served float64 `json:"served"`           // Got divided by Asked; 1 without requests
+	P50Ms  float64 `json:"p50_ms,omitempty"` // latency of the served requests; not measured for tenants
 	P99Ms  float64 `json:"p99_ms,omitempty"`
 }
 
@@ -35,16 +35,17 @@
 	Got   float64 `json:"got"`   // weight earned
 }
 
-// Second sums up the requests that were made in one second of the day.
+// Second sums up the requests that were made in one second of the day: their weight and the weight earned.
 type Second struct {
 	Asked float64 `json:"asked"`
 	Got   float64 `json:"got"`
 }
 
-// Result is the result of a day.
+// Result is the result of a day. Whole and the fields from WorstWindow to WorstTenant are served shares, of
+// all requests and of the worst window, class and tenant.
 type Result struct {
 	Score       float64         `json:"score"` // Worth, or 0 after a violation
-	Worth       float64         `json:"worth"` // the sum that Goal weights, less its penalties
+	Worth       float64         `json:"worth"` // sum of the served shares weighted by Goal, less the penalties
 	Whole       float64         `json:"whole"`
 	WorstWindow float64         `json:"worst_window"`
 	WorstClass  float64         `json:"worst_class"`
--- a/internal/simulator/report/charts.go
+++ b/internal/simulator/report/charts.go
@@ -183,7 +183,8 @@
 	return line(p, plotter.XYs{{X: -0.5, Y: 0}, {X: float64(len(names)) - 0.5, Y: 0}}, grey, solid, "")
 }
 
-// Bars draws a chart of means with their intervals and returns its files by name.
+// Bars draws a chart of means with their intervals and returns its files by name. name is the base name of
+// the files.
 func Bars(name, title string, all []Bar) (map[string][]byte, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -207,7 +208,8 @@
 	return nil
 }
 
-// series returns the share served in each second, over all days. of selects the side of a pair.
+// series returns the share served in each second of the day that has requests, over all days. of returns the
+// seconds of one side of a pair.
 func series(pairs []compare.Pair, of func(compare.Pair) []ledger.Second) (pts plotter.XYs) {
 	var asked, earned []float64
 	for _, p := range pairs {
--- a/internal/simulator/report/report.go
+++ b/internal/simulator/report/report.go
@@ -35,9 +35,9 @@
 	Title   string           `json:"title"`
 	A       string           `json:"a"`
 	B       string           `json:"b"`
-	Day     string           `json:"day"`
-	Build   string           `json:"build"` // of the simulator
-	Builds  []string         `json:"builds,omitempty"`
+	Day     string           `json:"day"`               // name or file of the scenario
+	Build   string           `json:"build"`             // version of this build of the simulator
+	Builds  []string         `json:"builds,omitempty"`  // names and checksums of other builds that were compared
 	Traffic []string         `json:"traffic,omitempty"` // names and checksums of the recordings
 	Outcome *compare.Outcome `json:"outcome"`
 	Inputs  []Input          `json:"-"`
@@ -146,7 +146,8 @@
 	return t
 }
 
-// Parts returns a table of the classes, the tenants and the causes of a day.
+// Parts returns a table of the classes, the tenants and the causes of a day. Weights are formatted like
+// milliseconds, as whole numbers.
 func Parts(r *fleet.Run) table.Writer {
 	t := NewTable("", "first tries", "asked", "served", "share", "p50 ms", "p99 ms")
 	for _, shares := range [][]ledger.Share{r.Classes, r.Tenants} {
--- a/internal/simulator/variant/variant.go
+++ b/internal/simulator/variant/variant.go
@@ -1,6 +1,6 @@
-// Package variant reads variant files: changes to try out in a simulation, of the admission module's
-// parameters, the runners' settings, the limits of their tables of idempotency keys and the balancers'
-// routing. Everything else of the simulated day stays the same.
+// Package variant reads variant files, which the command line calls files of differences. For a simulation, a
+// variant file changes the admission module's parameters, the runners' settings, the limits of their tables
+// of idempotency keys or the balancers' routing. Everything else of the simulated day stays the same.
 package variant
 
 import (
