--- a/cmd/runner/bill.go
+++ b/cmd/runner/bill.go
@@ -15,11 +15,11 @@
 )
 
 type usageBillCmd struct {
-	Files     []string `arg:"" help:"Statements, or folders that hold some."`
-	Config    string   `placeholder:"FILE" help:"The platform's file, for the shares of the schools."`
+	Files     []string `arg:"" help:"Files of usage statements, or folders with usage-*.json files."`
+	Config    string   `placeholder:"FILE" help:"The platform's file, for the schools' quotas; without it, none apply."`
 	Instances []string `help:"${flag_instances}"`
-	CSV       bool     `name:"csv" help:"Print the lines as CSV."`
-	JSON      bool     `help:"Print all of it as JSON."`
+	CSV       bool     `name:"csv" help:"Print the lines of the bill as CSV."`
+	JSON      bool     `help:"Print the whole bill as JSON."`
 }
 
 // Run makes a bill from usage statements and prints it. An incomplete bill is printed too, and Run
--- a/cmd/runner/explain.go
+++ b/cmd/runner/explain.go
@@ -12,14 +12,14 @@
 type explainCmd struct {
 	ID string `arg:"" optional:"" help:"${flag_id}"`
 	controlFlags
-	Key       string    `help:"Its dedupe key."`
-	Class     string    `help:"Of this class."`
+	Key       string    `help:"Requests with this idempotency key."`
+	Class     string    `help:"Requests of this class."`
 	End       string    `help:"${flag_end}"`
-	Cause     string    `help:"For this cause, as it is told."`
-	NotServed bool      `help:"That were not served."`
+	Cause     string    `help:"Requests with this cause, in the words that explain prints."`
+	NotServed bool      `help:"Requests that were not served."`
 	From      time.Time `format:"2006-01-02T15:04:05Z07:00" placeholder:"TIME" help:"${flag_from}"`
-	To        time.Time `format:"2006-01-02T15:04:05Z07:00" placeholder:"TIME" help:"Answered up to then."`
-	Limit     int       `name:"most" default:"20" help:"The newest so many."`
+	To        time.Time `format:"2006-01-02T15:04:05Z07:00" placeholder:"TIME" help:"Requests answered by this time."`
+	Limit     int       `name:"most" default:"20" help:"Show at most this many requests, the newest ones."`
 }
 
 // Run prints the outcomes of requests.
--- a/cmd/runner/inventory.go
+++ b/cmd/runner/inventory.go
@@ -17,7 +17,7 @@
 type inventoryCheckCmd struct {
 	File    string  `arg:"" help:"A .csv, .yaml or .yml file, or a folder of them."`
 	Against string  `placeholder:"FILE" help:"${flag_against}"`
-	Shrink  float64 `default:"0.5" help:"With --against: inventory_watch.shrink of the operator's file."`
+	Shrink  float64 `default:"0.5" help:"With --against: largest share of servers removed, as inventory_watch.shrink."`
 	JSON    bool    `help:"Print the servers as JSON."`
 }
 
--- a/cmd/runner/peers.go
+++ b/cmd/runner/peers.go
@@ -134,9 +134,9 @@
 
 type peersKeyCmd struct {
 	controlFlags
-	Key    string `arg:"" help:"The key, as the request has it."`
-	Class  string `required:"" help:"Its class."`
-	School string `help:"Its school; without it, of a request that names none."`
+	Key    string `arg:"" help:"The idempotency key, as in the request."`
+	Class  string `required:"" help:"The class of the request."`
+	School string `help:"The school (tenant) of the request; leave it out if the request names none."`
 }
 
 // Run prints where the replicas of a key are.
@@ -176,7 +176,7 @@
 
 type peersRemoveCmd struct {
 	controlFlags
-	Name string `arg:"" help:"The runner."`
+	Name string `arg:"" help:"The runner to remove."`
 }
 
 // Run starts moving the slots of a member to other members, so that it can be stopped.
@@ -186,7 +186,7 @@
 
 type peersStayCmd struct {
 	controlFlags
-	Name string `arg:"" help:"The runner."`
+	Name string `arg:"" help:"The runner whose removal to cancel."`
 }
 
 // Run cancels the removal of a member.
@@ -196,8 +196,8 @@
 
 type peersReplaceCmd struct {
 	controlFlags
-	Old string `arg:"" help:"The runner that is to go."`
-	New string `arg:"" help:"The one in its place, which is in."`
+	Old string `arg:"" help:"The runner to replace."`
+	New string `arg:"" help:"The runner that replaces it, which must be a member already."`
 }
 
 // Run starts moving the slots of a member away, after a check that its replacement is a member.
--- a/cmd/runner/route.go
+++ b/cmd/runner/route.go
@@ -18,13 +18,13 @@
 
 type routeCmd struct {
 	configFlags
-	Path   string   `arg:"" help:"The path, with the query if there is one."`
-	Method string   `default:"POST" help:"The method."`
-	Host   string   `help:"The host that the caller names."`
-	Remote string   `placeholder:"ADDRESS" help:"The address that the caller has."`
-	Length int64    `default:"-1" help:"The length of the body."`
-	Var    []string `sep:"none" placeholder:"NAME=VALUE" help:"A variable. May be given again."`
-	JSON   bool     `help:"Print it as JSON."`
+	Path   string   `arg:"" help:"The path of the request, with its query string if it has one."`
+	Method string   `default:"POST" help:"The method of the request."`
+	Host   string   `help:"The Host header of the request; without it, the request has none."`
+	Remote string   `placeholder:"ADDRESS" help:"The IP address of the caller; without it, REMOTE_ADDR is not set."`
+	Length int64    `default:"-1" help:"The length of the body in bytes; -1: CONTENT_LENGTH is not set."`
+	Var    []string `sep:"none" placeholder:"NAME=VALUE" help:"A further CGI variable of the request; may be repeated."`
+	JSON   bool     `help:"Print the route as JSON."`
 }
 
 // routeAnswer describes the route that a request would take. It is printed as JSON.
--- a/cmd/runner/serve.go
+++ b/cmd/runner/serve.go
@@ -18,7 +18,7 @@
 
 type serveCmd struct {
 	configFlags
-	Repair bool `help:"Go on with damaged files of the store, which are kept aside."`
+	Repair bool `help:"Start although files of the store are damaged: rename them, and use what can be read."`
 }
 
 // Run serves requests until the program is shut down.
@@ -49,7 +49,7 @@
 
 type checkCmd struct {
 	configFlags
-	JSON bool `help:"Print what was read as JSON."`
+	JSON bool `help:"Print the summary or the error as JSON."`
 }
 
 // Run reads and checks the files, and prints a summary of them.
@@ -111,7 +111,7 @@
 func (*schemaCmd) Run(s *streams) error { return printJSON(s, config.OperatorSchema()) }
 
 type versionCmd struct {
-	JSON bool `help:"Print it as JSON."`
+	JSON bool `help:"Print the version as JSON."`
 }
 
 // Run prints the version of this build.
--- a/cmd/runner/status.go
+++ b/cmd/runner/status.go
@@ -16,7 +16,7 @@
 
 type statusCmd struct {
 	controlFlags
-	Every time.Duration `help:"Ask again and again, after so long each time, until it is interrupted."`
+	Every time.Duration `help:"Repeat at this interval until interrupted; without it, print the state once."`
 }
 
 // Run prints the state of a running program, once or repeatedly.
--- a/cmd/runner/store.go
+++ b/cmd/runner/store.go
@@ -59,7 +59,7 @@
 }
 
 type storeInspectCmd struct {
-	Dir  string `arg:"" help:"The folder, as store.dir of the operator's file names it."`
+	Dir  string `arg:"" help:"The folder of the store: store.dir of the operator's file."`
 	JSON bool   `help:"Print the keys as JSON."`
 }
 
@@ -127,8 +127,8 @@
 }
 
 type storeVerifyCmd struct {
-	Dir  string `arg:"" help:"The folder."`
-	JSON bool   `help:"Print what was found as JSON."`
+	Dir  string `arg:"" help:"The folder of the store."`
+	JSON bool   `help:"Print the summary, including any damage, as JSON."`
 }
 
 // storeSummary summarizes what a folder holds. It is printed as JSON.
@@ -183,9 +183,9 @@
 }
 
 type storeCompactCmd struct {
-	Dir    string `arg:"" help:"The folder. No process may use it."`
-	Repair bool   `help:"Keep damaged files aside and go on."`
-	JSON   bool   `help:"Print what is left as JSON."`
+	Dir    string `arg:"" help:"The folder of the store, which must not be in use."`
+	Repair bool   `help:"Compact although files are damaged: rename them, and keep what can be read."`
+	JSON   bool   `help:"Print the summary as JSON."`
 }
 
 // Run replaces the journal by a snapshot.
@@ -222,9 +222,9 @@
 }
 
 type storeCopyCmd struct {
-	Dir  string `arg:"" help:"The folder."`
-	To   string `arg:"" help:"A folder that is not there yet."`
-	JSON bool   `help:"Print what was copied as JSON."`
+	Dir  string `arg:"" help:"The folder of the store."`
+	To   string `arg:"" help:"The folder to create, which must not exist."`
+	JSON bool   `help:"Print the summary as JSON."`
 }
 
 // Run writes a backup from which a program can start.
--- a/cmd/runner/usage.go
+++ b/cmd/runner/usage.go
@@ -35,8 +35,8 @@
 }
 
 type usageShowCmd struct {
-	Dir  string `arg:"" type:"existingdir" help:"The folder, as usage.dir of the operator's file names it."`
-	JSON bool   `help:"Print it as JSON."`
+	Dir  string `arg:"" type:"existingdir" help:"The folder of the ledger: usage.dir of the operator's file."`
+	JSON bool   `help:"Print the ledger as JSON."`
 }
 
 // Run prints the usage ledger in a folder. It does not include what a running program has counted
@@ -112,11 +112,11 @@
 	Period  time.Time `required:"" format:"2006-01-02T15:04:05Z07:00" placeholder:"TIME" help:"${flag_period}"`
 	School  string    `required:""`
 	Class   string    `required:""`
-	Served  int64     `help:"So many more, or less."`
-	Repeats int64     `help:"So many more, or less."`
-	WorkMs  int64     `help:"So much more work, or less."`
+	Served  int64     `help:"Number of served requests to add; negative to subtract."`
+	Repeats int64     `help:"Number of repeats to add; negative to subtract."`
+	WorkMs  int64     `help:"Server time to add, in milliseconds; negative to subtract."`
 	Reason  string    `name:"why" required:""`
-	Author  string    `name:"by" env:"USER" help:"Who corrects."`
+	Author  string    `name:"by" env:"USER" help:"Author of the correction."`
 }
 
 // Run corrects the usage ledger of a running program. It returns when the program has stored the
