--- a/cmd/simulator/compare.go
+++ b/cmd/simulator/compare.go
@@ -17,15 +17,15 @@
 
 type compareCmd struct {
 	A           string  `arg:"" help:"${help_side_a}"`
-	B           string  `arg:"" help:"What may be better, in the same forms."`
-	Day         string  `default:"sunday" help:"The scenario: a file, or the name of one that is built in."`
-	Seed        uint64  `default:"1" help:"Seed of the first day."`
-	Days        int     `default:"64" help:"The most days that are drawn."`
-	Width       float64 `default:"0.01" help:"Half the width of the score's interval that is narrow enough."`
-	Workers     int     `default:"${workers}" help:"Days played at once. It does not change the result."`
-	Independent bool    `help:"Draw the balancers' choices of the two sides apart, to see what chance does."`
+	B           string  `arg:"" help:"What is compared with A, in the same forms as A."`
+	Day         string  `default:"sunday" help:"The scenario: a YAML file, or the name of a built-in scenario."`
+	Seed        uint64  `default:"1" help:"Seed of the first day; each further day adds 1."`
+	Days        int     `default:"64" help:"Maximum number of days to simulate on each side."`
+	Width       float64 `default:"0.01" help:"Half width of the score's interval at which the comparison stops."`
+	Workers     int     `default:"${workers}" help:"Days simulated at once; the result does not depend on it."`
+	Independent bool    `help:"Draw balancer and network choices independently per side, to see the effect of chance."`
 	scenarioFlags
-	Out  string `placeholder:"DIR" help:"Keep inputs, raw days, tables, charts and a page in this folder."`
+	Out  string `placeholder:"DIR" help:"Write inputs, raw days, tables, charts and a page to this folder."`
 	JSON bool   `help:"Print the outcome as JSON."`
 }
 
--- a/cmd/simulator/conform.go
+++ b/cmd/simulator/conform.go
@@ -17,13 +17,13 @@
 type conformCmd struct {
 	Front   string        `placeholder:"ADDR" help:"${help_front}"`
 	Server  string        `placeholder:"ADDR" help:"${help_server}"`
-	Safe    string        `default:"/ops/quick-check" help:"Path of a class that is safe to repeat."`
-	Keyed   string        `default:"/ops/hand-in" help:"Path of a keyed class."`
-	KeyVar  string        `default:"HTTP_X_DEDUPE_KEY" help:"The variable with the dedupe key."`
+	Safe    string        `default:"/ops/quick-check" help:"Path of a class whose requests are idempotent."`
+	Keyed   string        `default:"/ops/hand-in" help:"Path of a class with idempotency keys."`
+	KeyVar  string        `default:"HTTP_X_DEDUPE_KEY" help:"The variable that holds the idempotency key."`
 	Tenant  string        `default:"HTTP_X_CUSTOMER=north" help:"${help_tenant}"`
-	Within  time.Duration `default:"10s" help:"How long one case may take."`
-	Clauses bool          `help:"List the clauses and the cases that show each, and play nothing."`
-	JSON    bool          `help:"Print it as JSON."`
+	Within  time.Duration `default:"10s" help:"Time limit of each case."`
+	Clauses bool          `help:"List the clauses and the cases that test each, without running any."`
+	JSON    bool          `help:"Print the results or the list as JSON."`
 }
 
 // caseResult is the result of a case whose request was sent in one of the two ways.
--- a/cmd/simulator/lists.go
+++ b/cmd/simulator/lists.go
@@ -12,7 +12,7 @@
 )
 
 type daysCmd struct {
-	Name string `arg:"" optional:"" help:"The scenario to print."`
+	Name string `arg:"" optional:"" help:"The scenario to print; without it, list the built-in scenarios."`
 }
 
 // Run lists the built-in scenarios, or prints one.
@@ -32,7 +32,7 @@
 }
 
 type schemaCmd struct {
-	Of string `arg:"" enum:"day,differences" help:"day or differences."`
+	Of string `arg:"" enum:"day,differences" help:"Kind of file whose schema to print: day or differences."`
 }
 
 // Run prints a JSON schema.
@@ -44,7 +44,7 @@
 }
 
 type figuresCmd struct {
-	JSON bool `help:"Print them as JSON."`
+	JSON bool `help:"Print the figures as JSON."`
 }
 
 // Run lists the parameters of the admission module.
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -38,15 +38,15 @@
 // commandLine declares the commands. helpTexts gives the values of ${} in the tags.
 type commandLine struct {
 	Up      upCmd      `cmd:"" help:"${help_up}"`
-	Run     runCmd     `cmd:"" help:"Play days of a scenario on the model and tell what was served."`
+	Run     runCmd     `cmd:"" help:"Simulate days of a scenario, and report how requests were served."`
 	Compare compareCmd `cmd:"" help:"Compare two settings, or two versions of the program, on the same days."`
 	Routes  routesCmd  `cmd:"" help:"${help_routes}"`
-	Traffic trafficCmd `cmd:"" help:"Recorded traffic: tell what files hold, or make one."`
+	Traffic trafficCmd `cmd:"" help:"Summarize recorded traffic, or write the traffic of a scenario as a recording."`
 	Verify  verifyCmd  `cmd:"" help:"${help_verify}"`
-	Conform conformCmd `cmd:"" help:"Play the conformance suite against a uwsgi front, in front of it and behind it."`
-	Days    daysCmd    `cmd:"" help:"List the scenarios that are built in, or print one."`
+	Conform conformCmd `cmd:"" help:"Run the conformance suite against a uwsgi frontend, as its client and its server."`
+	Days    daysCmd    `cmd:"" help:"List the built-in scenarios, or print one."`
 	Schema  schemaCmd  `cmd:"" help:"Print the JSON schema of a scenario or of a file of differences."`
-	Figures figuresCmd `cmd:"" help:"List the module's figures that a file of differences can change."`
+	Figures figuresCmd `cmd:"" help:"List the admission module's figures that a file of differences can change."`
 	Worker  workerCmd  `cmd:"" hidden:"" help:"${help_worker}"`
 }
 
--- a/cmd/simulator/routes.go
+++ b/cmd/simulator/routes.go
@@ -15,14 +15,14 @@
 )
 
 type routesCmd struct {
-	Days    []string `arg:"" optional:"" help:"Kinds of day; all that are built in, if none is named."`
+	Days    []string `arg:"" optional:"" help:"Kinds of day to simulate; without any, all built-in kinds."`
 	A       string   `default:"before" help:"One way of routing: ${ways}."`
-	B       string   `default:"routed" help:"And the other."`
-	Seed    uint64   `default:"1" help:"Seed of the first day of each kind; further days count on from it."`
-	Count   int      `default:"8" help:"How many days of each kind."`
-	Workers int      `default:"${workers}" help:"Days played at once. It does not change the result."`
+	B       string   `default:"routed" help:"The way of routing to compare with A."`
+	Seed    uint64   `default:"1" help:"Seed of the first day of each kind; each further day adds 1."`
+	Count   int      `default:"8" help:"Number of days of each kind, at least 2."`
+	Workers int      `default:"${workers}" help:"Days simulated at once; the result does not depend on it."`
 	JSON    bool     `help:"Print the comparisons, with all days, as JSON."`
-	Out     string   `placeholder:"DIR" help:"Keep the tables, the days and a chart in this folder."`
+	Out     string   `placeholder:"DIR" help:"Write the tables, the days and a chart to this folder."`
 }
 
 // Run compares two routing modes on simulated clusters of uwsgi servers.
--- a/cmd/simulator/run.go
+++ b/cmd/simulator/run.go
@@ -12,14 +12,14 @@
 )
 
 type runCmd struct {
-	Day     string `arg:"" help:"A scenario: a YAML file, or the name of one that is built in (see simulator days)."`
-	Seed    uint64 `default:"1" help:"Seed of the first day; further days count on from it."`
-	Days    int    `default:"1" help:"How many days to play."`
-	With    string `placeholder:"FILE" help:"A file of differences to play them with."`
-	Workers int    `default:"${workers}" help:"Days played at once. It does not change the result."`
+	Day     string `arg:"" help:"The scenario: a YAML file, or the name of a built-in scenario (see simulator days)."`
+	Seed    uint64 `default:"1" help:"Seed of the first day; each further day adds 1."`
+	Days    int    `default:"1" help:"Number of days to simulate."`
+	With    string `placeholder:"FILE" help:"A file of differences to apply to the simulation."`
+	Workers int    `default:"${workers}" help:"Days simulated at once; the result does not depend on it."`
 	scenarioFlags
 	JSON bool `help:"Print the days as JSON."`
-	Log  bool `help:"Print what the runners log, for one day."`
+	Log  bool `help:"Print the log of the runners to standard error; requires --days 1."`
 }
 
 // Run simulates the days and prints their results.
--- a/cmd/simulator/traffic.go
+++ b/cmd/simulator/traffic.go
@@ -18,7 +18,7 @@
 // traffic, that traffic replaces the scenario's own.
 type scenarioFlags struct {
 	Traffic []string `placeholder:"FILE" sep:"none" help:"${help_traffic}"`
-	Rate    float64  `default:"1" help:"Times the rate of the recorded traffic."`
+	Rate    float64  `default:"1" help:"Factor by which to scale the recorded request rate, at most 100."`
 }
 
 // read reads a scenario and the recorded traffic. It also returns the text of the scenario's file.
@@ -78,13 +78,13 @@
 }
 
 type trafficCmd struct {
-	Show trafficShowCmd `cmd:"" help:"Tell what files of recorded traffic hold."`
+	Show trafficShowCmd `cmd:"" help:"Summarize files of recorded traffic."`
 	Make trafficMakeCmd `cmd:"" help:"Write the traffic of a scenario's day as a recording."`
 }
 
 type trafficShowCmd struct {
-	Files []string `arg:"" help:"Files that runners wrote."`
-	JSON  bool     `help:"Print it as JSON."`
+	Files []string `arg:"" help:"Files of traffic that runners recorded."`
+	JSON  bool     `help:"Print the summary as JSON."`
 }
 
 // trafficSummary sums up a file of recorded traffic.
@@ -161,7 +161,7 @@
 
 type trafficMakeCmd struct {
 	Day  string `arg:"" help:"The scenario."`
-	Out  string `required:"" placeholder:"FILE" help:"The file, which must not be there yet."`
+	Out  string `required:"" placeholder:"FILE" help:"The file to create, which must not exist."`
 	Seed uint64 `default:"1" help:"Seed of the day."`
 }
 
--- a/cmd/simulator/up.go
+++ b/cmd/simulator/up.go
@@ -17,20 +17,20 @@
 )
 
 type upCmd struct {
-	Bin     string        `placeholder:"FILE" help:"The runner's program; without it, it is built from this checkout."`
-	Runners int           `default:"3" help:"Runners to start."`
-	Servers int           `default:"3" help:"uwsgi servers behind them."`
-	Callers int           `default:"6" help:"Callers that hand in at once."`
-	Copies  int           `help:"Runners are peers and keep so many copies beside the first, in place of a disk."`
+	Bin     string        `placeholder:"FILE" help:"The runner's executable; without it, build one from this checkout."`
+	Runners int           `default:"3" help:"Number of runners to start."`
+	Servers int           `default:"3" help:"Number of uwsgi servers to start behind the runners."`
+	Callers int           `default:"6" help:"Number of concurrent callers."`
+	Copies  int           `help:"Further replicas of each key on peers; without it, keys are stored on disk."`
 	Roam    bool          `help:"${help_roam}"`
-	For     time.Duration `default:"10s" help:"How long callers hand in, or as long as the faults take."`
-	Script  string        `placeholder:"FILE" help:"Faults, a line each, such as: 2s kill n2 --back 1s"`
-	Fault   []string      `sep:"none" placeholder:"LINE" help:"One fault; may be given more than once."`
-	Random  int           `help:"So many faults, drawn by the seed."`
-	Wipe    bool          `help:"Some of them take the disk as well."`
-	Seed    uint64        `default:"1" help:"Of the faults that are drawn."`
+	For     time.Duration `default:"10s" help:"How long callers send requests; longer if the faults take longer."`
+	Script  string        `placeholder:"FILE" help:"File of faults, one per line, such as: 2s kill n2 --back 1s"`
+	Fault   []string      `sep:"none" placeholder:"LINE" help:"A fault, as in a line of --script; may be repeated."`
+	Random  int           `help:"Number of random faults to add, drawn with --seed."`
+	Wipe    bool          `help:"Have some of the random kills also delete the runner's disk."`
+	Seed    uint64        `default:"1" help:"Seed of the random faults."`
 	Logs    string        `placeholder:"FOLDER" help:"${help_logs}"`
-	JSON    bool          `help:"Print the end of it as JSON."`
+	JSON    bool          `help:"Print the result as JSON."`
 }
 
 // violationError reports a run in which guarantees to callers were violated.
--- a/cmd/simulator/verify.go
+++ b/cmd/simulator/verify.go
@@ -17,15 +17,15 @@
 )
 
 type verifyCmd struct {
-	Day     string  `arg:"" default:"small" help:"The scenario; it is played in real time, with one process a runner."`
-	Bin     string  `default:"bin/runner" help:"The built runner."`
+	Day     string  `arg:"" default:"small" help:"The scenario, played in real time with one process per runner."`
+	Bin     string  `default:"bin/runner" help:"The runner's executable."`
 	Seed    uint64  `default:"1" help:"Seed of the day."`
 	With    string  `placeholder:"FILE" help:"${help_with}"`
-	Runs    int     `default:"40" help:"Runs of the model on the same day, which differ in chance alone."`
-	Level   float64 `default:"0.95" help:"Of the model's intervals."`
-	Workers int     `default:"${workers}" help:"Days played at once."`
+	Runs    int     `default:"40" help:"Simulations of the same day, which differ in random choices only."`
+	Level   float64 `default:"0.95" help:"Level of the model's prediction intervals, between 0 and 1."`
+	Workers int     `default:"${workers}" help:"Days simulated at once."`
 	scenarioFlags
-	Log  string `placeholder:"FILE" help:"Write what the real runners log to this file."`
+	Log  string `placeholder:"FILE" help:"Write the log of the real runners to this file."`
 	JSON bool   `help:"Print the outcome as JSON."`
 }
 
