--- a/internal/testing/cluster/disk.go
+++ b/internal/testing/cluster/disk.go
@@ -22,12 +22,22 @@
 // backupOf returns the directory of the backup of a disk.
 func backupOf(dir string) string { return dir + ".aside" }
 
+// maxBackupAttempts bounds the attempts of a backup. An attempt fails if the running process renames or
+// removes a file after the folder was listed and before the file is copied.
+const maxBackupAttempts = 20
+
 // backUp copies a disk to its backup, which replaces an earlier one.
 func backUp(dir string) error {
-	if err := os.RemoveAll(backupOf(dir)); err != nil {
-		return err
+	var err error
+	for range maxBackupAttempts {
+		if err = os.RemoveAll(backupOf(dir)); err != nil {
+			return err
+		}
+		if err = os.CopyFS(backupOf(dir), os.DirFS(dir)); !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
 	}
-	return os.CopyFS(backupOf(dir), os.DirFS(dir))
+	return err
 }
 
 // restore replaces a disk by its backup.
